--- a/crates/peer-net/src/beside.rs
+++ b/crates/cluster-net/src/beside.rs
@@ -5,7 +5,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use bitternlatch_agreement::{Beside, Found, Given, KeepError, Together, Wanted};
+use bitternlatch_quota_lease::{Beside, Found, Given, KeepError, Together, Wanted};
 use bitternlatch_net::clock::Clock;
 use bitternlatch_net::lock;
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
--- a/crates/peer-net/src/kept.rs
+++ b/crates/cluster-net/src/kept.rs
@@ -7,7 +7,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::Path;
 
-use bitternlatch_agreement::{Found, KeepError};
+use bitternlatch_quota_lease::{Found, KeepError};
 use redb::{
     Builder, Database, DatabaseError, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition,
     TableError, TableHandle,
--- a/crates/peer-net/src/links.rs
+++ b/crates/cluster-net/src/links.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use bitternlatch_agreement::{Process, FRAME_MOST};
+use bitternlatch_quota_lease::{Process, FRAME_MOST};
 use bitternlatch_membership::{Kind, NameKey, Opener, Sealer, Secret, Topic, SEAL_BYTES};
 use bitternlatch_net::lock;
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
--- a/crates/peer-net/src/plane.rs
+++ b/crates/cluster-net/src/plane.rs
@@ -9,7 +9,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use bitternlatch_agreement::{Beside, Output, Part, Peers, Process, Together, Told as Agreed};
+use bitternlatch_quota_lease::{Beside, Output, Part, Peers, Process, Together, Told as Agreed};
 use bitternlatch_core::settings::Cluster;
 use bitternlatch_core::{Input, Micros, Seen};
 use bitternlatch_membership::{Event, Membership, NameKey, Peer, Roster, Secret, DATAGRAM_MOST};
--- a/crates/peer-net/src/routes.rs
+++ b/crates/cluster-net/src/routes.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
-use bitternlatch_agreement::{Peers, Process};
+use bitternlatch_quota_lease::{Peers, Process};
 use bitternlatch_membership::Topic;
 use bitternlatch_net::lock;
 
--- a/crates/peer-net/src/snapshot.rs
+++ b/crates/cluster-net/src/snapshot.rs
@@ -5,7 +5,7 @@
 use std::io::{ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-use bitternlatch_agreement::{Found, KeepError};
+use bitternlatch_quota_lease::{Found, KeepError};
 use crc32fast::hash;
 
 use crate::beside::{Batch, Store};
--- a/crates/peer-net/src/views.rs
+++ b/crates/cluster-net/src/views.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-use bitternlatch_agreement::{base, Together};
+use bitternlatch_quota_lease::{base, Together};
 use serde::{Deserialize, Serialize};
 
 use crate::error::PeerNetError;
--- a/crates/peer-net/tests/beside.rs
+++ b/crates/cluster-net/tests/beside.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use bitternlatch_agreement::{Beside, Given, KeepError, Wanted};
+use bitternlatch_quota_lease::{Beside, Given, KeepError, Wanted};
 use bitternlatch_core::settings::{Cluster, Peer};
 use bitternlatch_membership::{NameKey, Topic};
-use bitternlatch_peer_net::{Asker, Batch, Plane, Store};
+use bitternlatch_cluster_net::{Asker, Batch, Plane, Store};
 use crossbeam_channel::{unbounded, Receiver};
 
 /// Passes on what it is asked, and tells all that it hears.
--- a/crates/peer-net/tests/kept.rs
+++ b/crates/cluster-net/tests/kept.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
-use bitternlatch_agreement::KeepError;
-use bitternlatch_peer_net::{Batch, Kept, Store};
+use bitternlatch_quota_lease::KeepError;
+use bitternlatch_cluster_net::{Batch, Kept, Store};
 use redb::StorageBackend;
 
 fn some(name: &str, bytes: &[u8]) -> (Vec<u8>, Option<Vec<u8>>) {
--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -1,6 +1,6 @@
 //! What clients are told: each listener is given exactly one final event, and nothing after it.
 
-use bitternlatch_lengths::End;
+use bitternlatch_output_length::End;
 use bitternlatch_policy::interface::{Event, Outcome, RequestId};
 use bitternlatch_protocol::client::{self, Create, IncompleteDetails, Response, ResponseError, Status};
 use bitternlatch_workflow::{Fate, Refusal};
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bitternlatch_agreement::{Hearsay, Host, Trait};
+use bitternlatch_quota_lease::{Hearsay, Host, Trait};
 use bitternlatch_policy::interface::{Event, ListForm, Outcome, ServerId, Sight};
 
 use crate::machine::{log, Machine};
--- a/crates/core/src/lengths.rs
+++ b/crates/core/src/lengths.rs
@@ -2,7 +2,7 @@
 //!
 //! Knows nothing of the machine: it is asked by it, and tells it what to do.
 
-use bitternlatch_lengths::{Ask, ClassKey, Curves, End, Ended, Expected, ModelKey, TenantKey, Told};
+use bitternlatch_output_length::{Ask, ClassKey, Curves, End, Ended, Expected, ModelKey, TenantKey, Told};
 use bitternlatch_policy::interface;
 use bitternlatch_protocol::tokens_of;
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use bitternlatch_budget::book::Hold;
-use bitternlatch_lengths::Expected;
+use bitternlatch_output_length::Expected;
 use bitternlatch_policy::interface::{RequestId, ServerId};
 use bitternlatch_protocol::client::{Response, Usage};
 use bitternlatch_protocol::engine::{EngineUsage, KvTransferParams};
--- a/crates/core/src/shares.rs
+++ b/crates/core/src/shares.rs
@@ -1,6 +1,6 @@
 //! This dispatcher's part of what all share, where it is lent one by its peers: checked at each step, by time.
 
-use bitternlatch_agreement::base;
+use bitternlatch_quota_lease::base;
 use bitternlatch_membership::{Share, Work};
 use bitternlatch_policy::interface::Event;
 
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -1,6 +1,6 @@
 //! Ids, the clock, and what goes into and comes out of the machine.
 
-use bitternlatch_agreement::Hearsay;
+use bitternlatch_quota_lease::Hearsay;
 use bitternlatch_budget::charge::Entry;
 use bitternlatch_budget::ledger::{Part, Want};
 use bitternlatch_identity::Caller;
@@ -131,7 +131,7 @@
     },
     /// By the machines beside the plane.
     Overload(bitternlatch_overload::Told),
-    Lengths(bitternlatch_lengths::Told),
+    Lengths(bitternlatch_output_length::Told),
     Workflow(bitternlatch_workflow::Told),
     /// Whether the list of hosts cannot be read any more, or can again.
     ListLost(bool),
@@ -190,7 +190,7 @@
     Seen(Vec<Seen>),
     /// To the machines beside the plane.
     Overload(bitternlatch_overload::Ask),
-    Lengths(bitternlatch_lengths::Ask),
+    Lengths(bitternlatch_output_length::Ask),
     Workflow(bitternlatch_workflow::Ask),
     /// What a request was charged; before its final answer, and again when more is known.
     Charge(Entry),
--- a/crates/core/tests/evidence.rs
+++ b/crates/core/tests/evidence.rs
@@ -1,7 +1,7 @@
 //! What is seen of hosts and told to peers, and what peers tell: in the machine.
 mod common;
 
-use bitternlatch_agreement::{Hearsay, Host, Trait};
+use bitternlatch_quota_lease::{Hearsay, Host, Trait};
 use bitternlatch_core::{Input, Micros, Output, Settings};
 use bitternlatch_inventory::host_id;
 use bitternlatch_membership::Standing;
--- a/crates/membership/src/simulated.rs
+++ b/crates/membership/src/simulated.rs
@@ -4,8 +4,8 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-pub use bitternlatch_simulated::ms;
-use bitternlatch_simulated::Network;
+pub use bitternlatch_simulation::ms;
+use bitternlatch_simulation::Network;
 
 use crate::{Event, Membership, NameKey, Output, Peer, Roster, Secret, Standing, State};
 
--- a/crates/net/src/accept.rs
+++ b/crates/net/src/accept.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use bitternlatch_door::{Handshakes, Visitor};
+use bitternlatch_connection_limits::{Handshakes, Visitor};
 use bitternlatch_identity::Caller;
 use tungstenite::protocol::Role;
 
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -141,7 +141,7 @@
 #[derive(Default)]
 pub struct Beside {
     pub overload: Option<Box<dyn Fn(bitternlatch_overload::Ask) -> bool>>,
-    pub lengths: Option<Box<dyn Fn(bitternlatch_lengths::Ask) -> bool>>,
+    pub lengths: Option<Box<dyn Fn(bitternlatch_output_length::Ask) -> bool>>,
     pub workflow: Option<Box<dyn Fn(bitternlatch_workflow::Ask) -> bool>>,
 }
 
--- a/crates/lengths/src/machine.rs
+++ b/crates/output-length/src/machine.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use bitternlatch_agreement::{Beside, Found, Given, KeepError, Process, Wanted, FRAME_MOST};
+use bitternlatch_quota_lease::{Beside, Found, Given, KeepError, Process, Wanted, FRAME_MOST};
 use bitternlatch_membership::{NameKey, Topic, SAID_MOST};
 
 use crate::error::LengthsError;
--- a/crates/lengths/src/simulated.rs
+++ b/crates/output-length/src/simulated.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use bitternlatch_agreement::{Beside, Given, Part, Peers, Process, Wanted};
+use bitternlatch_quota_lease::{Beside, Given, Part, Peers, Process, Wanted};
 use bitternlatch_membership::{NameKey, Standing};
-use bitternlatch_simulated::{ms, Network, Node, Sent, World};
+use bitternlatch_simulation::{ms, Network, Node, Sent, World};
 
 use crate::{Ask, ClassKey, Curves, End, Ended, Lengths, ModelKey, TenantKey, Told};
 
--- a/crates/lengths/tests/members.rs
+++ b/crates/output-length/tests/members.rs
@@ -1,10 +1,10 @@
 //! Members that learn together over a simulated network: loss, cuts, restarts, drift, liars, crowds.
 use std::time::Duration;
 
-use bitternlatch_agreement::{Given, KeepError};
-use bitternlatch_lengths::simulated::*;
-use bitternlatch_lengths::*;
-use bitternlatch_simulated::{ms, World};
+use bitternlatch_quota_lease::{Given, KeepError};
+use bitternlatch_output_length::simulated::*;
+use bitternlatch_output_length::*;
+use bitternlatch_simulation::{ms, World};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -210,7 +210,7 @@
     for said in [vec![2, 0, 0], vec![], vec![1, 0, 1, 255], vec![1; 200], b"noise".to_vec()] {
         for frame in [false, true] {
             world.act(0, |m, now, out| {
-                bitternlatch_simulated::Node::take(m, now, 1, Said(frame, said.clone()), out)
+                bitternlatch_simulation::Node::take(m, now, 1, Said(frame, said.clone()), out)
             });
         }
     }
--- a/crates/lengths/tests/merging.rs
+++ b/crates/output-length/tests/merging.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bitternlatch_lengths::*;
+use bitternlatch_output_length::*;
 use bitternlatch_membership::NameKey;
 use proptest::prelude::*;
 
--- a/crates/overload/src/machine.rs
+++ b/crates/overload/src/machine.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use bitternlatch_agreement::{Beside, Given, Part, Peers, Process, Wanted};
+use bitternlatch_quota_lease::{Beside, Given, Part, Peers, Process, Wanted};
 use bitternlatch_membership::{NameKey, Standing, Topic};
 
 use crate::capacity::{Capacity, Takes};
--- a/crates/overload/src/sums.rs
+++ b/crates/overload/src/sums.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use bitternlatch_agreement::Process;
+use bitternlatch_quota_lease::Process;
 use bitternlatch_membership::NameKey;
 
 use crate::order::LEVELS;
--- a/crates/overload/tests/fleet.rs
+++ b/crates/overload/tests/fleet.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use bitternlatch_agreement::{Beside, Given, Part, Peers, Process, Wanted};
+use bitternlatch_quota_lease::{Beside, Given, Part, Peers, Process, Wanted};
 use bitternlatch_membership::{NameKey, Standing};
 use bitternlatch_overload::{Ask, Asked, Gate, Overload, Settings, Taken, Told, Verdict};
-use bitternlatch_simulated::{ms, Node, Sent, World};
+use bitternlatch_simulation::{ms, Node, Sent, World};
 
 const AIM_S: f64 = 1.5;
 /// Far from 0, as the clocks in service are.
--- a/crates/platform/src/answers.rs
+++ b/crates/platform/src/answers.rs
@@ -1,6 +1,6 @@
 //! What a model host answers, read as it comes.
 
-use bitternlatch_settings::Names;
+use bitternlatch_routing_settings::Names;
 
 use crate::events::Events;
 use crate::http1::{answer_head, AnswerHead, Bad, Body, Framing, MOST_BODY};
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use bitternlatch_policy::interface as policy;
-use bitternlatch_settings::{read_bounds, read_names, read_settings, Bounds, Facts, Names, SettingsError};
+use bitternlatch_routing_settings::{read_bounds, read_names, read_settings, Bounds, Facts, Names, SettingsError};
 use serde::Deserialize;
 use serde_json::Value;
 use thiserror::Error;
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -5,7 +5,7 @@
 
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::{ListForm, ServerEntry, ServerId, Standing};
-use bitternlatch_settings::Names;
+use bitternlatch_routing_settings::Names;
 use serde::Deserialize;
 use serde_json::Value;
 
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -5,10 +5,10 @@
 use std::net::SocketAddr;
 
 use bitternlatch_core::{decide, Micros, Timers, Traced};
-use bitternlatch_lengths::Timed;
+use bitternlatch_output_length::Timed;
 use bitternlatch_policy::choice::Router;
 use bitternlatch_policy::interface::{Action, Event, ListForm, RequestId, Role, ServerId};
-use bitternlatch_settings::{Bounds, Names};
+use bitternlatch_routing_settings::{Bounds, Names};
 
 use crate::clients::Clients;
 use crate::config::{Config, Limits};
--- a/crates/platform/src/requests.rs
+++ b/crates/platform/src/requests.rs
@@ -5,7 +5,7 @@
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface as policy;
 use bitternlatch_policy::interface::{RequestId, ServerId};
-use bitternlatch_settings::Names;
+use bitternlatch_routing_settings::Names;
 
 use crate::http1::RequestHead;
 use crate::types::ConnId;
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -5,7 +5,7 @@
 use bitternlatch_platform::config::Config;
 use bitternlatch_platform::discovery::List;
 use bitternlatch_policy::interface::Settings;
-use bitternlatch_settings::{read_settings, Facts};
+use bitternlatch_routing_settings::{read_settings, Facts};
 use common::*;
 
 /// The same deployment as the simulator's wire writes it.
--- a/crates/agreement/tests/shares.rs
+++ b/crates/quota-lease/tests/shares.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use bitternlatch_agreement::{base, Message, Number, Part, Process, Shares, Told};
+use bitternlatch_quota_lease::{base, Message, Number, Part, Process, Shares, Told};
 use bitternlatch_membership::NameKey;
 use proptest::prelude::*;
 
--- a/crates/replica/src/disk.rs
+++ b/crates/replicated-register/src/disk.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use bitternlatch_agreement::Found;
+use bitternlatch_quota_lease::Found;
 use bitternlatch_membership::NameKey;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
--- a/crates/replica/src/error.rs
+++ b/crates/replicated-register/src/error.rs
@@ -1,6 +1,6 @@
 //! What can be wrong, and what an operator can do.
 
-use bitternlatch_agreement::KeepError;
+use bitternlatch_quota_lease::KeepError;
 
 use crate::Version;
 
--- a/crates/replica/src/io.rs
+++ b/crates/replicated-register/src/io.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bitternlatch_agreement::{Found, KeepError, Peers, Process};
+use bitternlatch_quota_lease::{Found, KeepError, Peers, Process};
 use bitternlatch_membership::NameKey;
 
 use crate::{RegisterKey, ReplicaError, Version};
--- a/crates/replica/src/job.rs
+++ b/crates/replicated-register/src/job.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use bitternlatch_agreement::{KeepError, Process};
+use bitternlatch_quota_lease::{KeepError, Process};
 use bitternlatch_membership::NameKey;
 
 use crate::memory::majority;
--- a/crates/replica/src/replica/catch_up.rs
+++ b/crates/replicated-register/src/replica/catch_up.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use bitternlatch_agreement::{Found, KeepError, Process};
+use bitternlatch_quota_lease::{Found, KeepError, Process};
 use bitternlatch_membership::NameKey;
 
 use super::{For, Replica, Unkept, GRACE};
--- a/crates/replica/src/replica/mod.rs
+++ b/crates/replicated-register/src/replica/mod.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use bitternlatch_agreement::{KeepError, Peers, Process};
+use bitternlatch_quota_lease::{KeepError, Peers, Process};
 use bitternlatch_membership::NameKey;
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::SplitMix64;
--- a/crates/replica/src/replica/serve.rs
+++ b/crates/replicated-register/src/replica/serve.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bitternlatch_agreement::KeepError;
+use bitternlatch_quota_lease::KeepError;
 use bitternlatch_membership::NameKey;
 
 use super::{For, Replica, Ticket, Unkept, GRACE, WAITING_MOST};
--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replicated-register/tests/common/mod.rs
@@ -4,12 +4,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use bitternlatch_agreement::{KeepError, Process};
+use bitternlatch_quota_lease::{KeepError, Process};
 use bitternlatch_membership::NameKey;
-use bitternlatch_replica::{
+use bitternlatch_replicated_register::{
     Call, Event, Input, Output, RegisterKey, Replica, ReplicaError, Settings, Version,
 };
-use bitternlatch_simulated::{ms, Node, Sent, World};
+use bitternlatch_simulation::{ms, Node, Sent, World};
 
 pub type Disk = BTreeMap<Vec<u8>, Vec<u8>>;
 pub type Frame = (u64, Vec<u8>);
--- a/crates/replica/tests/courses.rs
+++ b/crates/replicated-register/tests/courses.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use bitternlatch_replica::{Output, RegisterKey, ReplicaError};
-use bitternlatch_simulated::ms;
+use bitternlatch_replicated_register::{Output, RegisterKey, ReplicaError};
+use bitternlatch_simulation::ms;
 use common::{Disk, Fleet};
 
 const OF: usize = 5;
--- a/crates/replica/tests/returns.rs
+++ b/crates/replicated-register/tests/returns.rs
@@ -5,11 +5,11 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use bitternlatch_agreement::{KeepError, Part, Peers, Process};
+use bitternlatch_quota_lease::{KeepError, Part, Peers, Process};
 use bitternlatch_membership::{NameKey, Standing};
-use bitternlatch_replica::{Event, Input, RegisterKey, Replica, ReplicaError, Settings, Version};
-use bitternlatch_replica::{GAP_LASTS, VALUE_MOST};
-use bitternlatch_simulated::ms;
+use bitternlatch_replicated_register::{Event, Input, RegisterKey, Replica, ReplicaError, Settings, Version};
+use bitternlatch_replicated_register::{GAP_LASTS, VALUE_MOST};
+use bitternlatch_simulation::ms;
 use common::{name, Fleet};
 
 fn key(i: u16) -> RegisterKey {
@@ -340,7 +340,7 @@
         replica.step(ms(1), input, &mut out);
         (format!("{out:?}"), replica.counts())
     };
-    let call = |n| bitternlatch_replica::Call(n);
+    let call = |n| bitternlatch_replicated_register::Call(n);
     let until = ms(1000);
     let value = vec![0; VALUE_MOST + 1];
     let (said, _) = step(Input::Write { call: call(0), key: key(1), on: None, epoch: 1, value, until });
--- a/crates/workflow/src/attempts.rs
+++ b/crates/workflow/src/attempts.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use bitternlatch_agreement::Process;
-use bitternlatch_replica::RegisterKey;
+use bitternlatch_quota_lease::Process;
+use bitternlatch_replicated_register::RegisterKey;
 
 use crate::step::Attempt;
 use crate::turns::Mine;
--- a/crates/workflow/src/cache.rs
+++ b/crates/workflow/src/cache.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use bitternlatch_replica::{RegisterKey, Version};
+use bitternlatch_replicated_register::{RegisterKey, Version};
 
 use crate::record::Record;
 
--- a/crates/workflow/src/desk.rs
+++ b/crates/workflow/src/desk.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use bitternlatch_agreement::Process;
-use bitternlatch_replica::{Call as Op, Input, RegisterKey, ReplicaError, Version};
+use bitternlatch_quota_lease::Process;
+use bitternlatch_replicated_register::{Call as Op, Input, RegisterKey, ReplicaError, Version};
 
 use crate::attempts::Attempts;
 use crate::cache::Cache;
--- a/crates/workflow/src/job.rs
+++ b/crates/workflow/src/job.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bitternlatch_replica::{RegisterKey, ReplicaError, Version};
+use bitternlatch_replicated_register::{RegisterKey, ReplicaError, Version};
 
 use crate::io::{Ask, Call, Effect, Fate, Refusal};
 use crate::record::{Record, Turn};
--- a/crates/workflow/src/machine.rs
+++ b/crates/workflow/src/machine.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-use bitternlatch_agreement::{Beside, Given, Process, Wanted};
+use bitternlatch_quota_lease::{Beside, Given, Process, Wanted};
 use bitternlatch_membership::{NameKey, Topic};
-use bitternlatch_replica::{Input, Output, RegisterKey, Replica, Version};
+use bitternlatch_replicated_register::{Input, Output, RegisterKey, Replica, Version};
 
 use crate::desk::{Desk, Out};
 use crate::io::{Ask, Settings, Told};
@@ -52,7 +52,7 @@
         now: Duration,
         guards: Guards,
     ) -> Workflows {
-        let below = bitternlatch_replica::Settings { copies: COPIES, durable };
+        let below = bitternlatch_replicated_register::Settings { copies: COPIES, durable };
         Workflows {
             desk: Desk::new(own, settings, guards),
             replica: Replica::new(own, roster, below, seed, now),
--- a/crates/workflow/src/queue.rs
+++ b/crates/workflow/src/queue.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use bitternlatch_replica::RegisterKey;
+use bitternlatch_replicated_register::RegisterKey;
 
 use crate::job::{Act, Job};
 
--- a/crates/workflow/src/sends.rs
+++ b/crates/workflow/src/sends.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bitternlatch_replica::RegisterKey;
+use bitternlatch_replicated_register::RegisterKey;
 
 use crate::desk::{new_job, us, Desk, Due, Out, SILENTLY};
 use crate::io::{Fate, Refusal, Told};
--- a/crates/workflow/src/tests.rs
+++ b/crates/workflow/src/tests.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use bitternlatch_agreement::{KeepError, Process};
+use bitternlatch_quota_lease::{KeepError, Process};
 use bitternlatch_membership::NameKey;
-use bitternlatch_replica::{Input, RegisterKey, ReplicaError, Version};
+use bitternlatch_replicated_register::{Input, RegisterKey, ReplicaError, Version};
 
 use crate::desk::{key_of, Desk, Out};
 use crate::*;
--- a/crates/workflow/src/watch.rs
+++ b/crates/workflow/src/watch.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use bitternlatch_replica::{RegisterKey, Version};
+use bitternlatch_replicated_register::{RegisterKey, Version};
 
 use crate::record::Record;
 
--- a/crates/workflow/tests/fleet/actors.rs
+++ b/crates/workflow/tests/fleet/actors.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bitternlatch_agreement::{Beside, Given, Process, Wanted};
+use bitternlatch_quota_lease::{Beside, Given, Process, Wanted};
 use bitternlatch_membership::NameKey;
-use bitternlatch_simulated::{ms, Node, Sent};
+use bitternlatch_simulation::{ms, Node, Sent};
 use bitternlatch_workflow::*;
 
 pub const STEPS: u32 = 10;
@@ -270,7 +270,7 @@
     fn soon(&mut self, now: Duration, soon: Soon, out: &mut Sent<Message>) {
         match soon {
             Soon::Kept(tickets, batch) => {
-                let done = if self.disk_full { Err(bitternlatch_agreement::KeepError::Full) } else { Ok(()) };
+                let done = if self.disk_full { Err(bitternlatch_quota_lease::KeepError::Full) } else { Ok(()) };
                 for (name, bytes) in batch.into_iter().filter(|_| !self.disk_full) {
                     match bytes {
                         Some(bytes) => drop(self.disk.insert(name, bytes)),
--- a/crates/workflow/tests/fleet/course.rs
+++ b/crates/workflow/tests/fleet/course.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bitternlatch_agreement::{Given, Part, Peers};
+use bitternlatch_quota_lease::{Given, Part, Peers};
 use bitternlatch_membership::{NameKey, Standing};
-use bitternlatch_simulated::{ms, World};
+use bitternlatch_simulation::{ms, World};
 use bitternlatch_workflow::*;
 
 use super::actors::*;
@@ -248,7 +248,7 @@
     fn at_dispatcher(
         &mut self,
         i: usize,
-        f: impl FnOnce(&mut Dispatcher, Duration, &mut bitternlatch_simulated::Sent<Message>),
+        f: impl FnOnce(&mut Dispatcher, Duration, &mut bitternlatch_simulation::Sent<Message>),
     ) {
         self.world.act(i, |actor, now, out| {
             if let Actor::Dispatcher(d) = actor {
--- a/crates/workflow/tests/simulated.rs
+++ b/crates/workflow/tests/simulated.rs
@@ -2,7 +2,7 @@
 
 mod fleet;
 
-use bitternlatch_simulated::ms;
+use bitternlatch_simulation::ms;
 use bitternlatch_workflow::Guards;
 use fleet::course::{adopt, lost, play, Plan};
 
--- a/programs/measure/src/cluster.rs
+++ b/programs/benchmark/src/cluster.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use bitternlatch_badday::client::Client;
-use bitternlatch_badday::process::{own_address, Dispatcher};
+use bitternlatch_chaos::client::Client;
+use bitternlatch_chaos::process::{own_address, Dispatcher};
 use bitternlatch_core::settings::{Cluster, Peer};
-use bitternlatch_peer_net::{ask as ask_view, Plane};
-use bitternlatch_standin::capture::Capture;
+use bitternlatch_cluster_net::{ask as ask_view, Plane};
+use bitternlatch_mock_engine::capture::Capture;
 
 use crate::latency::{ask, Times};
 use crate::rig::{dispatcher, folder, stand_ins};
--- a/programs/measure/src/engines.rs
+++ b/programs/benchmark/src/engines.rs
@@ -9,15 +9,15 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use bitternlatch_badday::client::{Came, Client};
-use bitternlatch_badday::process::{own_address, Dispatcher};
+use bitternlatch_chaos::client::{Came, Client};
+use bitternlatch_chaos::process::{own_address, Dispatcher};
 use bitternlatch_core::settings::{Cluster, Peer};
 use bitternlatch_net::dial::dial;
 use bitternlatch_net::socket::{Heard, Limits};
-use bitternlatch_peer_net::ask as ask_view;
+use bitternlatch_cluster_net::ask as ask_view;
 use bitternlatch_protocol::engine::{decode, encode, FromEngine, ToEngine};
-use bitternlatch_standin::capture::Capture;
-use bitternlatch_standin::{Config, Standins};
+use bitternlatch_mock_engine::capture::Capture;
+use bitternlatch_mock_engine::{Config, Standins};
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
@@ -317,7 +317,7 @@
     let (start, stop) = (Instant::now(), Arc::new(AtomicBool::new(false)));
     // The channel holds all lines that nobody takes.
     let counted = std::thread::spawn(move || {
-        let late = |l: &bitternlatch_standin::capture::Line| {
+        let late = |l: &bitternlatch_mock_engine::capture::Line| {
             l.dir == "preempted" && start.elapsed().as_secs_f64() > WARM_S
         };
         lines.iter().filter(late).count()
--- a/programs/measure/src/latency.rs
+++ b/programs/benchmark/src/latency.rs
@@ -2,13 +2,13 @@
 
 use std::time::{Duration, Instant};
 
-use bitternlatch_badday::client::{Came, Client};
+use bitternlatch_chaos::client::{Came, Client};
 use bitternlatch_net::dial::dial;
 use bitternlatch_net::socket::{Heard, Limits, Outbox, Reader};
 use bitternlatch_protocol::engine::{
     decode, encode, CompletionRequest, FromEngine, KvTransferParams, ToEngine,
 };
-use bitternlatch_standin::capture::Capture;
+use bitternlatch_mock_engine::capture::Capture;
 use hdrhistogram::Histogram;
 
 use crate::rig::{dispatcher, stand_ins};
--- a/programs/measure/src/lengths.rs
+++ b/programs/benchmark/src/lengths.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use bitternlatch_lengths::simulated::{answer, around, end, world, Member, Said};
-use bitternlatch_lengths::{ClassKey, Ended, Local, ModelKey};
-use bitternlatch_simulated::{Network, World};
+use bitternlatch_output_length::simulated::{answer, around, end, world, Member, Said};
+use bitternlatch_output_length::{ClassKey, Ended, Local, ModelKey};
+use bitternlatch_simulation::{Network, World};
 
 use crate::rig::quantile;
 
--- a/programs/measure/src/main.rs
+++ b/programs/benchmark/src/main.rs
@@ -20,7 +20,7 @@
 
 use std::process::ExitCode;
 
-use bitternlatch_badday::process::AS_DISPATCHER;
+use bitternlatch_chaos::process::AS_DISPATCHER;
 use clap::{Parser, Subcommand};
 
 /// The word that turns this program into a bare relay.
@@ -30,7 +30,7 @@
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Example:\n  cargo run --release --bin bitternlatch-measure -- latency\n\n\
+    after_help = "Example:\n  cargo run --release --bin bitternlatch-benchmark -- latency\n\n\
     Exit codes: 0 measured, 2 could not run."
 )]
 struct Args {
@@ -205,7 +205,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("bitternlatch-measure: {why}");
+            eprintln!("bitternlatch-benchmark: {why}");
             ExitCode::from(2)
         }
     }
--- a/programs/measure/src/overload.rs
+++ b/programs/benchmark/src/overload.rs
@@ -3,9 +3,9 @@
 
 use std::path::Path;
 
-use bitternlatch_audit::quantile;
-use bitternlatch_badday::day::Day;
-use bitternlatch_badday::run::{run, Outcome};
+use bitternlatch_invariant_checker::quantile;
+use bitternlatch_chaos::day::Day;
+use bitternlatch_chaos::run::{run, Outcome};
 
 use crate::rig::folder;
 
--- a/programs/measure/src/relay.rs
+++ b/programs/benchmark/src/relay.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bitternlatch_badday::process::free_address;
+use bitternlatch_chaos::process::free_address;
 use bitternlatch_identity::Caller;
 use bitternlatch_net::accept::{Acceptor, Door, Handler};
 use bitternlatch_net::dial::dial;
--- a/programs/measure/src/rig.rs
+++ b/programs/benchmark/src/rig.rs
@@ -4,10 +4,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use bitternlatch_badday::process::Dispatcher;
+use bitternlatch_chaos::process::Dispatcher;
 use bitternlatch_net::dial::Manner;
-use bitternlatch_standin::capture::Capture;
-use bitternlatch_standin::{Config, Standins};
+use bitternlatch_mock_engine::capture::Capture;
+use bitternlatch_mock_engine::{Config, Standins};
 
 const SETTINGS: &str = include_str!("../../../deploy/dispatch.toml");
 
@@ -102,7 +102,7 @@
 pub fn folder() -> PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let name =
-        format!("bitternlatch-measure-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+        format!("bitternlatch-benchmark-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     std::env::temp_dir().join(name)
 }
 
--- a/programs/measure/src/secured.rs
+++ b/programs/benchmark/src/secured.rs
@@ -2,15 +2,15 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use bitternlatch_badday::client::Client;
-use bitternlatch_badday::process::Dispatcher;
-use bitternlatch_badday::secured::Proofs;
+use bitternlatch_chaos::client::Client;
+use bitternlatch_chaos::process::Dispatcher;
+use bitternlatch_chaos::secured::Proofs;
 use bitternlatch_identity::keys::KeySet;
 use bitternlatch_identity::token::{check, TokenRules};
 use bitternlatch_keys::Ring;
 use bitternlatch_net::dial::{upgraded, Manner};
-use bitternlatch_standin::capture::Capture;
-use bitternlatch_standin::Standins;
+use bitternlatch_mock_engine::capture::Capture;
+use bitternlatch_mock_engine::Standins;
 use ring::rand::SystemRandom;
 use ring::signature::{Ed25519KeyPair, KeyPair, UnparsedPublicKey, ED25519};
 use serde_json::json;
--- a/programs/measure/src/sessions.rs
+++ b/programs/benchmark/src/sessions.rs
@@ -4,8 +4,8 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use bitternlatch_badday::client::{Came, Client};
-use bitternlatch_standin::capture::Capture;
+use bitternlatch_chaos::client::{Came, Client};
+use bitternlatch_mock_engine::capture::Capture;
 
 use crate::rig::{dispatcher, stand_ins};
 
--- a/programs/measure/src/workflows.rs
+++ b/programs/benchmark/src/workflows.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use bitternlatch_badday::client::{Came, Client};
-use bitternlatch_badday::process::{own_address, Dispatcher};
+use bitternlatch_chaos::client::{Came, Client};
+use bitternlatch_chaos::process::{own_address, Dispatcher};
 use bitternlatch_core::settings::{Cluster, Peer};
 use bitternlatch_protocol::engine::{decode, ToEngine};
 use bitternlatch_protocol::workflow::Claimed;
-use bitternlatch_standin::capture::{unix_us, Capture, Line};
+use bitternlatch_mock_engine::capture::{unix_us, Capture, Line};
 use crossbeam_channel::Receiver;
 use serde_json::json;
 
--- a/programs/bill/src/main.rs
+++ b/programs/billing/src/main.rs
@@ -3,14 +3,14 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use bitternlatch_bill::{begin_of, counts, gather, rows, Row};
+use bitternlatch_billing::{begin_of, counts, gather, rows, Row};
 use clap::{Parser, ValueEnum};
 
 /// Bills tenants for the tokens of their requests.
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Example:\n  bitternlatch-bill target/day/trouble/dispatch-1.charges --format csv\n\n\
+    after_help = "Example:\n  bitternlatch-billing target/day/trouble/dispatch-1.charges --format csv\n\n\
     A journal can be read while no dispatcher has it open.\n\
     Exit codes: 0 done, 1 entries contradict each other or the hosts' counts, 2 could not run."
 )]
@@ -49,7 +49,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(why) => {
-            eprintln!("bitternlatch-bill: {why}");
+            eprintln!("bitternlatch-billing: {why}");
             ExitCode::from(2)
         }
     }
@@ -58,7 +58,7 @@
 /// False where something does not add up.
 fn run(args: &Args) -> Result<bool, String> {
     let (entries, contradictions) = gather(&args.journals)?;
-    contradictions.iter().for_each(|c| eprintln!("bitternlatch-bill: entries contradict each other: {c}"));
+    contradictions.iter().for_each(|c| eprintln!("bitternlatch-billing: entries contradict each other: {c}"));
     let at = |day: &Option<String>, open: u64| day.as_ref().map_or(Ok(open), |d| begin_of(d, &args.zone));
     let (from, to) = (at(&args.from, 0)?, at(&args.to, u64::MAX)?);
     if args.entries {
--- a/programs/badday/src/agents/field.rs
+++ b/programs/chaos/src/agents/field.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use bitternlatch_net::lock;
-use bitternlatch_standin::capture::{unix_us, Line};
+use bitternlatch_mock_engine::capture::{unix_us, Line};
 use rustix::process::{kill_process, Pid, Signal};
 
 use super::{workflows, Agents, Brief, WorkerFault, AS_WORKER};
--- a/programs/badday/src/agents/plan.rs
+++ b/programs/chaos/src/agents/plan.rs
@@ -1,6 +1,6 @@
 //! Workflows planned ahead from a seed. All workers know the whole plan: who finds one that its worker left goes on with it.
 
-use bitternlatch_audit::WorkflowFacts;
+use bitternlatch_invariant_checker::WorkflowFacts;
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde::{Deserialize, Serialize};
--- a/programs/badday/src/agents/worker.rs
+++ b/programs/chaos/src/agents/worker.rs
@@ -11,7 +11,7 @@
 use bitternlatch_protocol::workflow::{
     Claimed, StepFate, META_DO, META_EPOCH, META_STEP, META_WORKER, META_WORKFLOW,
 };
-use bitternlatch_standin::capture::Capture;
+use bitternlatch_mock_engine::capture::Capture;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
--- a/programs/badday/src/client.rs
+++ b/programs/chaos/src/client.rs
@@ -6,7 +6,7 @@
 use bitternlatch_net::dial::{dial_as, Manner};
 use bitternlatch_net::socket::{Heard, Limits, Outbox};
 use bitternlatch_protocol::client::ServerEvent;
-use bitternlatch_standin::capture::Capture;
+use bitternlatch_mock_engine::capture::Capture;
 use crossbeam_channel::{unbounded, Receiver};
 
 /// What came.
--- a/programs/badday/src/clients.rs
+++ b/programs/chaos/src/clients.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bitternlatch_net::dial::Manner;
-use bitternlatch_standin::capture::Capture;
+use bitternlatch_mock_engine::capture::Capture;
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde_json::json;
--- a/programs/badday/src/day.rs
+++ b/programs/chaos/src/day.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use bitternlatch_standin::config::{Cold, Fault, HostConfig, Trouble};
+use bitternlatch_mock_engine::config::{Cold, Fault, HostConfig, Trouble};
 use serde::Deserialize;
 
 use crate::agents::Agents;
@@ -210,8 +210,8 @@
         each.flat_map(|(t, hosts)| hosts.iter().map(move |h| (t, h.clone()))).collect()
     }
 
-    pub fn standins(&self) -> bitternlatch_standin::Config {
-        bitternlatch_standin::Config {
+    pub fn standins(&self) -> bitternlatch_mock_engine::Config {
+        bitternlatch_mock_engine::Config {
             tls: None,
             hosts: self.hosts.iter().map(|h| h.config.clone()).collect(),
             cold: Cold::default(),
--- a/programs/badday/src/main.rs
+++ b/programs/chaos/src/main.rs
@@ -3,18 +3,18 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use bitternlatch_audit::quantile;
-use bitternlatch_badday::agents::{work, AS_WORKER};
-use bitternlatch_badday::day::Day;
-use bitternlatch_badday::process::AS_DISPATCHER;
-use bitternlatch_badday::run::{run, Outcome};
+use bitternlatch_invariant_checker::quantile;
+use bitternlatch_chaos::agents::{work, AS_WORKER};
+use bitternlatch_chaos::day::Day;
+use bitternlatch_chaos::process::AS_DISPATCHER;
+use bitternlatch_chaos::run::{run, Outcome};
 use clap::Parser;
 
 /// Starts hosts and dispatchers, plays clients and troubles, and judges the five rules from the sockets.
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Example:\n  bitternlatch-badday deploy/days/carnival.toml --out target/day\n\n\
+    after_help = "Example:\n  bitternlatch-chaos deploy/scenarios/overlapping-faults.toml --out target/day\n\n\
     Exit codes: 0 all five rules held, 1 one was broken or a record did not replay, 2 could not run."
 )]
 struct Args {
@@ -47,7 +47,7 @@
     match play(&args) {
         Ok(held) => ExitCode::from(u8::from(!held)),
         Err(why) => {
-            eprintln!("bitternlatch-badday: {why}");
+            eprintln!("bitternlatch-chaos: {why}");
             ExitCode::from(2)
         }
     }
--- a/programs/badday/src/parted.rs
+++ b/programs/chaos/src/parted.rs
@@ -8,7 +8,7 @@
 
 use bitternlatch_core::settings::{Cluster, Peer};
 use bitternlatch_net::lock;
-use bitternlatch_standin::capture::unix_us;
+use bitternlatch_mock_engine::capture::unix_us;
 use serde::Deserialize;
 
 use crate::between::{Between, Rule};
--- a/programs/badday/src/run.rs
+++ b/programs/chaos/src/run.rs
@@ -5,12 +5,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use bitternlatch_audit::{judge_dir, ClassFacts, ColdFacts, Facts, HostFacts, Verdict};
+use bitternlatch_invariant_checker::{judge_dir, ClassFacts, ColdFacts, Facts, HostFacts, Verdict};
 use bitternlatch_core::record::{read, replay};
 use bitternlatch_core::settings::{Effect, Settings};
 use bitternlatch_net::lock;
-use bitternlatch_standin::capture::{unix_us, Capture};
-use bitternlatch_standin::Standins;
+use bitternlatch_mock_engine::capture::{unix_us, Capture};
+use bitternlatch_mock_engine::Standins;
 
 use crate::agents::{draw, workflows, Drawn, Field};
 use crate::clients::{plan, play, Service};
--- a/programs/badday/src/secured.rs
+++ b/programs/chaos/src/secured.rs
@@ -9,7 +9,7 @@
 use bitternlatch_keys::Ring;
 use bitternlatch_net::dial::Manner;
 use bitternlatch_net::tls;
-use bitternlatch_standin::capture::Capture;
+use bitternlatch_mock_engine::capture::Capture;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
--- a/programs/badday/tests/agents.rs
+++ b/programs/chaos/tests/agents.rs
@@ -3,17 +3,17 @@
 
 use std::path::Path;
 
-use bitternlatch_audit::{judge, read_lines, Facts, Rule, Verdict};
-use bitternlatch_badday::agents::workflows;
-use bitternlatch_badday::day::Day;
-use bitternlatch_badday::run::run;
+use bitternlatch_invariant_checker::{judge, read_lines, Facts, Rule, Verdict};
+use bitternlatch_chaos::agents::workflows;
+use bitternlatch_chaos::day::Day;
+use bitternlatch_chaos::run::run;
 use bitternlatch_protocol::engine::{decode, ToEngine};
-use bitternlatch_standin::capture::Line;
+use bitternlatch_mock_engine::capture::Line;
 use common::{folder, image};
 
-/// The day of `deploy/days/agents.toml`, made short.
+/// The day of `deploy/scenarios/worker-crashes.toml`, made short.
 fn short() -> (Day, std::path::PathBuf) {
-    let days = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/days");
+    let days = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/scenarios");
     let mut day = Day::read(&days.join("agents.toml")).expect("a day");
     (day.between, day.process) = (Vec::new(), Vec::new());
     day.for_s = 6.0;
--- a/programs/badday/tests/alike.rs
+++ b/programs/chaos/tests/alike.rs
@@ -6,8 +6,8 @@
 
 use bitternlatch_core::record::{read, replay, Entry, Recorded};
 use bitternlatch_core::Machine;
-use bitternlatch_drill::encode::{at, event_records, frame, start_record};
-use bitternlatch_drill::wire::{encode_reply, Adapter};
+use bitternlatch_simulator_adapter::encode::{at, event_records, frame, start_record};
+use bitternlatch_simulator_adapter::wire::{encode_reply, Adapter};
 use bitternlatch_policy::interface::*;
 use common::{create, final_kind, rig, FOUR};
 
@@ -26,7 +26,7 @@
         ));
         final_kind(&client);
         match i {
-            10 => rig.standins().trouble("writer-1", bitternlatch_standin::config::Trouble::Crash, 1.0, 0.3),
+            10 => rig.standins().trouble("writer-1", bitternlatch_mock_engine::config::Trouble::Crash, 1.0, 0.3),
             15 => rig.write_list(&["reader-1"]),
             _ => {}
         }
--- a/programs/badday/tests/bills.rs
+++ b/programs/chaos/tests/bills.rs
@@ -3,11 +3,11 @@
 
 use std::time::Duration;
 
-use bitternlatch_badday::client::Came;
-use bitternlatch_bill::reconcile::Counts;
-use bitternlatch_bill::{gather, rows};
+use bitternlatch_chaos::client::Came;
+use bitternlatch_billing::reconcile::Counts;
+use bitternlatch_billing::{gather, rows};
 use bitternlatch_budget::charge::{Entries, Used};
-use bitternlatch_standin::config::Trouble;
+use bitternlatch_mock_engine::config::Trouble;
 use common::{create, final_kind, image, rig, Rig, FOUR};
 
 fn charged(name: &str) -> Rig {
--- a/programs/badday/tests/callers.rs
+++ b/programs/chaos/tests/callers.rs
@@ -8,10 +8,10 @@
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD as B64;
 use base64::Engine;
-use bitternlatch_badday::client::{Came, Client};
+use bitternlatch_chaos::client::{Came, Client};
 use bitternlatch_keys::Ring;
 use bitternlatch_net::dial::Manner;
-use bitternlatch_standin::capture::Capture;
+use bitternlatch_mock_engine::capture::Capture;
 use common::{closed, create, error_code, log_of, now, rig, to_the_end, wait_for, Rig, FOUR};
 use serde_json::{json, Value};
 
--- a/programs/badday/tests/cluster.rs
+++ b/programs/chaos/tests/cluster.rs
@@ -4,9 +4,9 @@
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::time::Duration;
 
-use bitternlatch_badday::between::Rule;
-use bitternlatch_badday::process::Dispatcher;
-use bitternlatch_peer_net::ask;
+use bitternlatch_chaos::between::Rule;
+use bitternlatch_chaos::process::Dispatcher;
+use bitternlatch_cluster_net::ask;
 use common::cluster::{cluster, cluster_but, LIST, SOON};
 use common::{cluster_table, folder, folder_of, free_for_peers, image, CUT, SETTINGS};
 
--- a/programs/badday/tests/common/cluster.rs
+++ b/programs/chaos/tests/common/cluster.rs
@@ -3,9 +3,9 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::{Duration, Instant};
 
-use bitternlatch_badday::between::Between;
-use bitternlatch_badday::process::Dispatcher;
-use bitternlatch_peer_net::{ask, Shown};
+use bitternlatch_chaos::between::Between;
+use bitternlatch_chaos::process::Dispatcher;
+use bitternlatch_cluster_net::{ask, Shown};
 
 use super::{between, cluster_table, folder, free_for_peers, image, SETTINGS};
 
--- a/programs/badday/tests/common/lengths.rs
+++ b/programs/chaos/tests/common/lengths.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use bitternlatch_peer_net::ask;
+use bitternlatch_cluster_net::ask;
 
 use super::*;
 
--- a/programs/badday/tests/common/mod.rs
+++ b/programs/chaos/tests/common/mod.rs
@@ -10,20 +10,20 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use bitternlatch_badday::between::{Between, Rule};
-use bitternlatch_badday::client::{Came, Client};
-use bitternlatch_badday::day::Day;
-use bitternlatch_badday::process::{own_address, Dispatcher};
+use bitternlatch_chaos::between::{Between, Rule};
+use bitternlatch_chaos::client::{Came, Client};
+use bitternlatch_chaos::day::Day;
+use bitternlatch_chaos::process::{own_address, Dispatcher};
 use bitternlatch_net::dial::Manner;
 use bitternlatch_protocol::client::ServerEvent;
-use bitternlatch_standin::capture::{Capture, Line};
-use bitternlatch_standin::Standins;
+use bitternlatch_mock_engine::capture::{Capture, Line};
+use bitternlatch_mock_engine::Standins;
 use crossbeam_channel::Receiver;
 
 pub const SETTINGS: &str = include_str!("../../../../deploy/dispatch.toml");
 
 pub fn image() -> PathBuf {
-    PathBuf::from(env!("CARGO_BIN_EXE_bitternlatch-badday"))
+    PathBuf::from(env!("CARGO_BIN_EXE_bitternlatch-chaos"))
 }
 
 /// A folder of this test's own.
--- a/programs/badday/tests/common/surge.rs
+++ b/programs/chaos/tests/common/surge.rs
@@ -2,9 +2,9 @@
 
 use std::path::{Path, PathBuf};
 
-use bitternlatch_audit::{Load, Part, Recovery};
-use bitternlatch_badday::day::Day;
-use bitternlatch_badday::run::{run, Outcome};
+use bitternlatch_invariant_checker::{Load, Part, Recovery};
+use bitternlatch_chaos::day::Day;
+use bitternlatch_chaos::run::{run, Outcome};
 
 use super::{folder, image};
 
--- a/programs/badday/tests/common/workflows.rs
+++ b/programs/chaos/tests/common/workflows.rs
@@ -4,11 +4,11 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use bitternlatch_badday::between::Between;
-use bitternlatch_badday::client::Client;
-use bitternlatch_peer_net::ask;
+use bitternlatch_chaos::between::Between;
+use bitternlatch_chaos::client::Client;
+use bitternlatch_cluster_net::ask;
 use bitternlatch_protocol::workflow::Claimed;
-use bitternlatch_standin::capture::Line;
+use bitternlatch_mock_engine::capture::Line;
 use serde_json::json;
 
 use super::*;
--- a/programs/badday/tests/evidence.rs
+++ b/programs/chaos/tests/evidence.rs
@@ -5,9 +5,9 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-use bitternlatch_badday::between::Between;
-use bitternlatch_badday::process::ask as get;
-use bitternlatch_peer_net::ask;
+use bitternlatch_chaos::between::Between;
+use bitternlatch_chaos::process::ask as get;
+use bitternlatch_cluster_net::ask;
 use common::*;
 
 struct Three {
--- a/programs/badday/tests/ledger.rs
+++ b/programs/chaos/tests/ledger.rs
@@ -4,9 +4,9 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use bitternlatch_badday::process::free_address;
-use bitternlatch_bill::{gather, rows};
-use bitternlatch_ledger::{Running, Settings, Tenant};
+use bitternlatch_chaos::process::free_address;
+use bitternlatch_billing::{gather, rows};
+use bitternlatch_quota_server::{Running, Settings, Tenant};
 use common::{create, final_kind, folder, rig, wait_for, Rig, FOUR};
 use serde_json::json;
 
--- a/programs/badday/tests/lengths.rs
+++ b/programs/chaos/tests/lengths.rs
@@ -5,8 +5,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use bitternlatch_badday::between::Rule;
-use bitternlatch_badday::client::Came;
+use bitternlatch_chaos::between::Rule;
+use bitternlatch_chaos::client::Came;
 use bitternlatch_core::record::read;
 use common::lengths::some;
 use common::*;
--- a/programs/badday/tests/lengths_hard.rs
+++ b/programs/chaos/tests/lengths_hard.rs
@@ -5,7 +5,7 @@
 use std::ops::Range;
 
 use bitternlatch_core::record::read;
-use bitternlatch_standin::config::Trouble;
+use bitternlatch_mock_engine::config::Trouble;
 use common::lengths::{some, Some as Rigged};
 use common::*;
 
@@ -13,7 +13,7 @@
 const MOST: f64 = 1024.0;
 
 /// An answer of so many tokens of a model, served.
-fn served(client: &bitternlatch_badday::client::Client, model: &str, class: &str, key: &str, tokens: usize) {
+fn served(client: &bitternlatch_chaos::client::Client, model: &str, class: &str, key: &str, tokens: usize) {
     let asked = create(class, key, &format!("words [len={tokens}]"));
     client.say(&asked.replace("\"model\":\"m\"", &format!("\"model\":\"{model}\"")));
     assert_eq!(final_kind(client), "response.completed", "{model} {key}");
--- a/programs/badday/tests/secured.rs
+++ b/programs/chaos/tests/secured.rs
@@ -7,11 +7,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bitternlatch_badday::client::{Came, Client};
+use bitternlatch_chaos::client::{Came, Client};
 use bitternlatch_keys::authority::{Authority, Wanted};
 use bitternlatch_net::dial::Manner;
 use bitternlatch_net::tls;
-use bitternlatch_standin::capture::Capture;
+use bitternlatch_mock_engine::capture::Capture;
 use common::{closed, create, error_code, folder, log_of, now, rig_with, wait_for, Rig, FOUR};
 use serde_json::json;
 
--- a/programs/badday/tests/seeds.rs
+++ b/programs/chaos/tests/seeds.rs
@@ -4,9 +4,9 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-use bitternlatch_badday::between::{Between, Rule};
-use bitternlatch_badday::process::{own_address, Dispatcher};
-use bitternlatch_peer_net::ask;
+use bitternlatch_chaos::between::{Between, Rule};
+use bitternlatch_chaos::process::{own_address, Dispatcher};
+use bitternlatch_cluster_net::ask;
 use common::cluster::{LIST, SOON};
 use common::{between, cluster_table, folder, image, wait_for, CUT, SETTINGS};
 
--- a/programs/badday/tests/sessions.rs
+++ b/programs/chaos/tests/sessions.rs
@@ -5,9 +5,9 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use bitternlatch_badday::client::Came;
-use bitternlatch_badday::process::ask;
-use bitternlatch_standin::config::Trouble;
+use bitternlatch_chaos::client::Came;
+use bitternlatch_chaos::process::ask;
+use bitternlatch_mock_engine::config::Trouble;
 use common::{create, final_kind, rig, to_the_end, FOUR};
 
 #[test]
@@ -119,7 +119,7 @@
     rig.end();
 }
 
-fn to_closed(client: &bitternlatch_badday::client::Client) -> Came {
+fn to_closed(client: &bitternlatch_chaos::client::Client) -> Came {
     loop {
         match client.next(Duration::from_secs(20)) {
             Came::Event(_) => {}
--- a/programs/badday/tests/shares.rs
+++ b/programs/chaos/tests/shares.rs
@@ -3,8 +3,8 @@
 
 use std::time::{Duration, Instant};
 
-use bitternlatch_badday::between::Rule;
-use bitternlatch_badday::views::lent_at_most;
+use bitternlatch_chaos::between::Rule;
+use bitternlatch_chaos::views::lent_at_most;
 use common::cluster::{cluster, cluster_but, Cluster};
 use common::{folder_of, image, CUT};
 
--- a/programs/badday/tests/standing.rs
+++ b/programs/chaos/tests/standing.rs
@@ -5,11 +5,11 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use bitternlatch_badday::between::{Between, Rule};
-use bitternlatch_badday::client::{Came, Client};
-use bitternlatch_badday::process::ask as get;
-use bitternlatch_peer_net::ask;
-use bitternlatch_standin::capture::Capture;
+use bitternlatch_chaos::between::{Between, Rule};
+use bitternlatch_chaos::client::{Came, Client};
+use bitternlatch_chaos::process::ask as get;
+use bitternlatch_cluster_net::ask;
+use bitternlatch_mock_engine::capture::Capture;
 use common::*;
 
 struct Three {
--- a/programs/badday/tests/workers.rs
+++ b/programs/chaos/tests/workers.rs
@@ -7,12 +7,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use bitternlatch_badday::agents::{carry_all, draw, workflows, Agents, Brief};
-use bitternlatch_badday::parted::ProcessFault;
+use bitternlatch_chaos::agents::{carry_all, draw, workflows, Agents, Brief};
+use bitternlatch_chaos::parted::ProcessFault;
 use bitternlatch_net::accept::{Acceptor, Door, Handler};
 use bitternlatch_net::socket::{Limits, Outbox};
 use bitternlatch_protocol::client::{error, finished, parse, BadRequest, ClientEvent, Response, Status};
-use bitternlatch_standin::capture::Capture;
+use bitternlatch_mock_engine::capture::Capture;
 use common::folder;
 use serde_json::json;
 
--- a/programs/badday/tests/workflows.rs
+++ b/programs/chaos/tests/workflows.rs
@@ -3,8 +3,8 @@
 
 use std::time::{Duration, Instant};
 
-use bitternlatch_badday::between::Rule;
-use bitternlatch_badday::client::{Came, Client};
+use bitternlatch_chaos::between::Rule;
+use bitternlatch_chaos::client::{Came, Client};
 use bitternlatch_protocol::workflow::StepFate;
 use common::workflows::*;
 use common::*;
--- a/programs/cluster/src/lib.rs
+++ b/programs/cluster-status/src/lib.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use bitternlatch_peer_net::{ask, Shown};
+use bitternlatch_cluster_net::{ask, Shown};
 
 /// A member's name and what it tells, or why it tells nothing.
 pub type Told = (String, Result<Shown, String>);
@@ -67,7 +67,7 @@
 
 #[cfg(test)]
 mod tests {
-    use bitternlatch_peer_net::Line;
+    use bitternlatch_cluster_net::Line;
 
     use super::*;
 
--- a/programs/cluster/src/main.rs
+++ b/programs/cluster-status/src/main.rs
@@ -4,15 +4,15 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use bitternlatch_cluster::{differences, gather, table};
-use bitternlatch_peer_net::ask;
+use bitternlatch_cluster_status::{differences, gather, table};
+use bitternlatch_cluster_net::ask;
 use clap::{Parser, Subcommand};
 
 /// Shows what dispatchers know of each other.
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Example:\n  bitternlatch-cluster members --peer 127.0.0.1:7811 --all\n\nExit codes: 0 shown, \
+    after_help = "Example:\n  bitternlatch-cluster-status members --peer 127.0.0.1:7811 --all\n\nExit codes: 0 shown, \
     1 shown and members differ or are not there, 2 the peer could not be asked."
 )]
 struct Args {
@@ -49,7 +49,7 @@
     let first = match ask(peer, within) {
         Ok(shown) => shown,
         Err(why) => {
-            eprintln!("bitternlatch-cluster: {why}");
+            eprintln!("bitternlatch-cluster-status: {why}");
             return ExitCode::from(2);
         }
     };
@@ -71,7 +71,7 @@
         }
         differ.iter().for_each(|line| println!("{line}"));
     }
-    let away = |view: &Result<bitternlatch_peer_net::Shown, String>| match view {
+    let away = |view: &Result<bitternlatch_cluster_net::Shown, String>| match view {
         Ok(shown) => shown.standing != "whole",
         Err(_) => true,
     };
--- a/programs/dispatch/src/beside.rs
+++ b/programs/dispatch/src/beside.rs
@@ -3,12 +3,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-use bitternlatch_agreement::Beside as Machine;
+use bitternlatch_quota_lease::Beside as Machine;
 use bitternlatch_core::{Input, Settings};
-use bitternlatch_lengths::Lengths;
+use bitternlatch_output_length::Lengths;
 use bitternlatch_net::driver::{Beside, Event};
 use bitternlatch_overload::Overload;
-use bitternlatch_peer_net::{Kept, Plane, Snapshot, Store};
+use bitternlatch_cluster_net::{Kept, Plane, Snapshot, Store};
 use bitternlatch_workflow::Workflows;
 use crossbeam_channel::Sender;
 
--- a/programs/dispatch/src/lib.rs
+++ b/programs/dispatch/src/lib.rs
@@ -22,7 +22,7 @@
 use bitternlatch_net::ledger::LedgerLink;
 use bitternlatch_net::socket::Limits;
 use bitternlatch_net::{guard, logs, tls, watch};
-use bitternlatch_peer_net::{Plane, Told};
+use bitternlatch_cluster_net::{Plane, Told};
 use clap::Parser;
 use crossbeam_channel::Sender;
 use signal_hook::consts::{SIGINT, SIGTERM};
@@ -109,7 +109,7 @@
         return Ok((settings, text));
     };
     let base = config.parent().unwrap_or(Path::new(""));
-    let (roster, by) = bitternlatch_peer_net::roster(cluster, &settings.name, base).map_err(|e| e.told())?;
+    let (roster, by) = bitternlatch_cluster_net::roster(cluster, &settings.name, base).map_err(|e| e.told())?;
     let mut table: toml::Table = toml::from_str(&text).map_err(|e| e.to_string())?;
     let roster_value = toml::Value::try_from(&roster).map_err(|e| e.to_string())?;
     if let Some(cluster) = table.get_mut("cluster").and_then(toml::Value::as_table_mut) {
--- a/programs/audit/src/answers.rs
+++ b/programs/invariant-checker/src/answers.rs
@@ -4,7 +4,7 @@
 
 use bitternlatch_protocol::client::{parse, ClientEvent, Create, ServerEvent};
 use bitternlatch_protocol::tokens_of;
-use bitternlatch_standin::capture::Line;
+use bitternlatch_mock_engine::capture::Line;
 
 use crate::hosts::{effects, Seen};
 use crate::{mark, us, Breach, ClassFacts, Facts, Rule, Verdict, WorkflowFacts, SLACK_S};
@@ -299,7 +299,7 @@
 
 #[cfg(test)]
 mod tests {
-    use bitternlatch_standin::capture::Line;
+    use bitternlatch_mock_engine::capture::Line;
     use serde_json::json;
 
     use crate::{judge, ClassFacts, Facts};
--- a/programs/audit/src/hosts.rs
+++ b/programs/invariant-checker/src/hosts.rs
@@ -6,9 +6,9 @@
     decode, CompletionRequest, EngineState, FromEngine, ToEngine, CODE_FULL, CODE_STATE_GONE,
 };
 use bitternlatch_protocol::tokens_of;
-use bitternlatch_standin::capture::Line;
+use bitternlatch_mock_engine::capture::Line;
 
-use bitternlatch_standin::answer_len;
+use bitternlatch_mock_engine::answer_len;
 
 use crate::{mark, us, Breach, Facts, HostFacts, Rule, Verdict, SLACK_S};
 
@@ -312,7 +312,7 @@
     use bitternlatch_protocol::engine::{
         encode, Chunk, CompletionRequest, FromEngine, KvTransferParams, ToEngine,
     };
-    use bitternlatch_standin::capture::Line;
+    use bitternlatch_mock_engine::capture::Line;
 
     use crate::{judge, Facts};
 
--- a/programs/audit/src/lib.rs
+++ b/programs/invariant-checker/src/lib.rs
@@ -13,7 +13,7 @@
 use std::io::{BufRead, BufReader};
 use std::path::Path;
 
-use bitternlatch_standin::capture::Line;
+use bitternlatch_mock_engine::capture::Line;
 use serde::{Deserialize, Serialize};
 
 pub use load::{quantile, Load, Part, Recovery};
--- a/programs/audit/src/load.rs
+++ b/programs/invariant-checker/src/load.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bitternlatch_protocol::engine::{decode, ToEngine};
-use bitternlatch_standin::capture::Line;
+use bitternlatch_mock_engine::capture::Line;
 use serde::Serialize;
 
 use crate::answers::{Final, Try};
@@ -338,7 +338,7 @@
 #[cfg(test)]
 mod tests {
     use bitternlatch_protocol::engine::{encode, CompletionRequest, KvTransferParams, ToEngine};
-    use bitternlatch_standin::capture::Line;
+    use bitternlatch_mock_engine::capture::Line;
     use serde_json::{json, Value};
 
     use super::recovery;
--- a/programs/audit/src/main.rs
+++ b/programs/invariant-checker/src/main.rs
@@ -3,14 +3,14 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use bitternlatch_audit::judge_dir;
+use bitternlatch_invariant_checker::judge_dir;
 use clap::Parser;
 
 /// Judges the five rules from the frames that a day left.
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Example:\n  bitternlatch-audit target/day/trouble\n\n\
+    after_help = "Example:\n  bitternlatch-invariant-checker target/day/trouble\n\n\
     Exit codes: 0 all five rules held, 1 one was broken, 2 the captures cannot be read."
 )]
 struct Args {
@@ -26,7 +26,7 @@
     let verdict = match judge_dir(&args.dir) {
         Ok(verdict) => verdict,
         Err(e) => {
-            eprintln!("bitternlatch-audit: {e}");
+            eprintln!("bitternlatch-invariant-checker: {e}");
             return ExitCode::from(2);
         }
     };
--- a/programs/audit/tests/workflows.rs
+++ b/programs/invariant-checker/tests/workflows.rs
@@ -1,7 +1,7 @@
 //! Each rule of workflows fails on a capture made for it, and on none without cause.
 
-use bitternlatch_audit::{judge, Breach, ClassFacts, Facts, Rule, WorkflowFacts};
-use bitternlatch_standin::capture::Line;
+use bitternlatch_invariant_checker::{judge, Breach, ClassFacts, Facts, Rule, WorkflowFacts};
+use bitternlatch_mock_engine::capture::Line;
 use serde_json::{json, Value};
 
 const MS: u64 = 1000;
--- a/programs/roster/src/main.rs
+++ b/programs/inventory-check/src/main.rs
@@ -11,7 +11,7 @@
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Example:\n  bitternlatch-roster deploy/hosts.csv deploy/hosts.yaml\n\n\
+    after_help = "Example:\n  bitternlatch-inventory-check deploy/hosts.csv deploy/hosts.yaml\n\n\
     Exit codes: 0 all good and alike, 1 a list is broken or the lists differ, 2 could not read."
 )]
 struct Args {
@@ -32,7 +32,7 @@
         let text = match std::fs::read_to_string(file) {
             Ok(text) => text,
             Err(e) => {
-                eprintln!("bitternlatch-roster: {shown}: {e}");
+                eprintln!("bitternlatch-inventory-check: {shown}: {e}");
                 worst = 2;
                 continue;
             }
--- a/programs/standin/src/main.rs
+++ b/programs/mock-engine/src/main.rs
@@ -3,8 +3,8 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use bitternlatch_standin::capture::Capture;
-use bitternlatch_standin::{Config, Standins};
+use bitternlatch_mock_engine::capture::Capture;
+use bitternlatch_mock_engine::{Config, Standins};
 use clap::Parser;
 use signal_hook::consts::{SIGINT, SIGTERM};
 
@@ -12,7 +12,7 @@
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Example:\n  bitternlatch-standin --config deploy/standin.toml --capture target/hosts.jsonl\n\n\
+    after_help = "Example:\n  bitternlatch-mock-engine --config deploy/mock-engine.toml --capture target/hosts.jsonl\n\n\
     Exit codes: 0 stopped as told, 2 could not run."
 )]
 struct Args {
@@ -29,7 +29,7 @@
     match run(&args) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("bitternlatch-standin: {why}");
+            eprintln!("bitternlatch-mock-engine: {why}");
             ExitCode::from(2)
         }
     }
--- a/programs/standin/tests/reports.rs
+++ b/programs/mock-engine/tests/reports.rs
@@ -7,9 +7,9 @@
 use bitternlatch_protocol::engine::{
     decode, encode, CompletionRequest, FromEngine, KvTransferParams, Load, ToEngine,
 };
-use bitternlatch_standin::capture::Capture;
-use bitternlatch_standin::config::Trouble;
-use bitternlatch_standin::{Config, Standins};
+use bitternlatch_mock_engine::capture::Capture;
+use bitternlatch_mock_engine::config::Trouble;
+use bitternlatch_mock_engine::{Config, Standins};
 
 /// A reader that takes half a second for a read, a mixed host with one slot, and one whose memory two answers outgrow: 20 blocks.
 const HOSTS: &str = r#"
--- a/programs/ledger/src/main.rs
+++ b/programs/quota-server/src/main.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use bitternlatch_ledger::{Running, Settings};
+use bitternlatch_quota_server::{Running, Settings};
 use bitternlatch_net::logs;
 use clap::Parser;
 use signal_hook::consts::{SIGINT, SIGTERM};
@@ -12,7 +12,7 @@
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Example:\n  bitternlatch-ledger --config deploy/ledger.toml --check\n\n\
+    after_help = "Example:\n  bitternlatch-quota-server --config deploy/quota-server.toml --check\n\n\
     Exit codes: 0 stopped as told, 2 could not run."
 )]
 struct Args {
@@ -30,7 +30,7 @@
     match run(&args) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("bitternlatch-ledger: {why}");
+            eprintln!("bitternlatch-quota-server: {why}");
             ExitCode::from(2)
         }
     }
--- a/programs/drill/src/main.rs
+++ b/programs/simulator-adapter/src/main.rs
@@ -4,11 +4,11 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match bitternlatch_drill::wire::serve(BufReader::with_capacity(1 << 16, stdin().lock()), stdout().lock())
+    match bitternlatch_simulator_adapter::wire::serve(BufReader::with_capacity(1 << 16, stdin().lock()), stdout().lock())
     {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("bitternlatch-drill: {e}");
+            eprintln!("bitternlatch-simulator-adapter: {e}");
             ExitCode::FAILURE
         }
     }
--- a/programs/drill/src/wire.rs
+++ b/programs/simulator-adapter/src/wire.rs
@@ -4,10 +4,10 @@
 use std::fmt;
 use std::io::{self, Read, Write};
 
-use bitternlatch_lengths::Timed;
+use bitternlatch_output_length::Timed;
 use bitternlatch_policy::choice::Router;
 use bitternlatch_policy::interface::*;
-use bitternlatch_settings::{read_settings, Facts};
+use bitternlatch_routing_settings::{read_settings, Facts};
 
 /// Why a run had to stop: what was wrong and where.
 #[derive(Debug)]
--- a/programs/drill/tests/node.rs
+++ b/programs/simulator-adapter/tests/node.rs
@@ -2,8 +2,8 @@
 #[path = "../../../crates/platform/tests/common/mod.rs"]
 mod common;
 
-use bitternlatch_drill::encode::{at, event_records, frame, start_record};
-use bitternlatch_drill::wire::{encode_reply, Adapter};
+use bitternlatch_simulator_adapter::encode::{at, event_records, frame, start_record};
+use bitternlatch_simulator_adapter::wire::{encode_reply, Adapter};
 use bitternlatch_platform::types::Input;
 use common::*;
 
--- a/programs/drill/tests/wire.rs
+++ b/programs/simulator-adapter/tests/wire.rs
@@ -1,5 +1,5 @@
 //! Frames as the wire page lays them out, and what malformed ones get.
-use bitternlatch_drill::wire::{encode_reply, parse_settings, serve, Adapter};
+use bitternlatch_simulator_adapter::wire::{encode_reply, parse_settings, serve, Adapter};
 use bitternlatch_policy::interface::Action;
 
 const FACTS: &str = "balancers=2\nclasses.count=1\nclasses.0.aimS=1.5\nclasses.0.deadlineS=6.0\n\
