--- a/crates/budget/src/book.rs
+++ b/crates/budget/src/book.rs
@@ -37,7 +37,11 @@
 impl Account {
     /// The share that a class has to leave to others.
     fn others(&self, class: u16) -> f64 {
-        self.reserve.iter().filter(|(c, _)| **c != class).map(|(_, share)| share).sum()
+        self.reserve
+            .iter()
+            .filter(|(c, _)| **c != class)
+            .map(|(_, share)| share)
+            .sum()
     }
 }
 
@@ -85,9 +89,18 @@
         share: f64,
         class: impl Fn(&str) -> Option<u16>,
     ) {
-        let reserve = budget.reserve.iter().filter_map(|(name, s)| Some((class(name)?, *s))).collect();
-        let rate = budget.rate.map(|r| (r.tokens_per_s * share, r.burst_tokens * share));
-        let amount = budget.period.as_ref().map(|p| (p.tokens as f64 * share) as u64);
+        let reserve = budget
+            .reserve
+            .iter()
+            .filter_map(|(name, s)| Some((class(name)?, *s)))
+            .collect();
+        let rate = budget
+            .rate
+            .map(|r| (r.tokens_per_s * share, r.burst_tokens * share));
+        let amount = budget
+            .period
+            .as_ref()
+            .map(|p| (p.tokens as f64 * share) as u64);
         let burst = rate.map_or(0.0, |r| r.1);
         let before = self.accounts.remove(&tenant);
         let (old_rate, old_period) = before.map_or((None, None), |a| (a.rate, a.period));
@@ -98,14 +111,25 @@
             }
             None => Bucket::new(rate, burst, now_s),
         });
-        let period = budget.period.as_ref().zip(amount).and_then(|(p, amount)| match old_period {
-            Some(mut old) => {
-                old.change(amount);
-                Some(old)
-            }
-            None => Some(Allowance::new(amount, p.per, p.time_zone()?)),
-        });
-        let account = Account { rate, period, reserve, burst, amount: amount.unwrap_or(0), lent_of: None };
+        let period = budget
+            .period
+            .as_ref()
+            .zip(amount)
+            .and_then(|(p, amount)| match old_period {
+                Some(mut old) => {
+                    old.change(amount);
+                    Some(old)
+                }
+                None => Some(Allowance::new(amount, p.per, p.time_zone()?)),
+            });
+        let account = Account {
+            rate,
+            period,
+            reserve,
+            burst,
+            amount: amount.unwrap_or(0),
+            lent_of: None,
+        };
         self.accounts.insert(tenant, account);
     }
 
@@ -114,8 +138,12 @@
     /// A burst of many small parts would let no large request in anywhere. So with a part, a request larger than the
     /// part's burst is taken when that burst is full, and the rest of it is owed.
     pub fn lend(&mut self, now_s: f64, tenant: u32, share: f64, whole: (f64, f64)) {
-        let Some(account) = self.accounts.get_mut(&tenant) else { return };
-        let Some(bucket) = &mut account.rate else { return };
+        let Some(account) = self.accounts.get_mut(&tenant) else {
+            return;
+        };
+        let Some(bucket) = &mut account.rate else {
+            return;
+        };
         account.lent_of = Some(whole);
         account.burst = whole.1 * share;
         bucket.change(now_s, whole.0 * share, account.burst);
@@ -125,17 +153,41 @@
     ///
     /// # Errors
     /// [`Short`]: the longer of the waits for the rate and for the period.
-    pub fn hold(&mut self, now_s: f64, tenant: u32, class: u16, most: Amount) -> Result<Hold, Short> {
-        let mut hold = Hold { tenant, held: most, period: None };
-        let Some(account) = self.accounts.get_mut(&tenant) else { return Ok(hold) };
+    pub fn hold(
+        &mut self,
+        now_s: f64,
+        tenant: u32,
+        class: u16,
+        most: Amount,
+    ) -> Result<Hold, Short> {
+        let mut hold = Hold {
+            tenant,
+            held: most,
+            period: None,
+        };
+        let Some(account) = self.accounts.get_mut(&tenant) else {
+            return Ok(hold);
+        };
         let others = account.others(class);
         let (burst, amount) = (account.burst, account.amount);
         let total = most.total();
-        let lent = account.lent_of.is_some_and(|whole| total as f64 <= whole.1 * (1.0 - others));
-        let asks = if lent { (total as f64).min(burst * (1.0 - others)) } else { total as f64 };
-        let by_rate = account.rate.as_mut().map_or(Ok(()), |b| b.check(now_s, asks, burst * others));
+        let lent = account
+            .lent_of
+            .is_some_and(|whole| total as f64 <= whole.1 * (1.0 - others));
+        let asks = if lent {
+            (total as f64).min(burst * (1.0 - others))
+        } else {
+            total as f64
+        };
+        let by_rate = account
+            .rate
+            .as_mut()
+            .map_or(Ok(()), |b| b.check(now_s, asks, burst * others));
         let floor = (amount as f64 * others) as u64;
-        let by_period = account.period.as_mut().map_or(Ok(()), |p| p.check(now_s, total, floor));
+        let by_period = account
+            .period
+            .as_mut()
+            .map_or(Ok(()), |p| p.check(now_s, total, floor));
         match (by_rate, by_period) {
             (Ok(()), Ok(())) => {}
             (Err(Short::Ever), _) | (_, Err(Short::Ever)) => return Err(Short::Ever),
@@ -151,7 +203,9 @@
 
     /// Puts the account right: what was held and not used is there again at once; what was used beyond it is owed.
     pub fn settle(&mut self, hold: Hold, used: Amount) {
-        let Some(account) = self.accounts.get_mut(&hold.tenant) else { return };
+        let Some(account) = self.accounts.get_mut(&hold.tenant) else {
+            return;
+        };
         let (held, used) = (hold.held.total(), used.total());
         if let Some(bucket) = &mut account.rate {
             if held >= used {
@@ -185,7 +239,9 @@
 
     /// What is left to a tenant here.
     pub fn left(&mut self, now_s: f64, tenant: u32) -> Left {
-        let Some(account) = self.accounts.get_mut(&tenant) else { return Left::default() };
+        let Some(account) = self.accounts.get_mut(&tenant) else {
+            return Left::default();
+        };
         Left {
             rate: account.rate.as_mut().map(|b| b.level(now_s)),
             period: account.period.as_mut().map(|p| p.left(now_s)),
--- a/crates/budget/src/bucket.rs
+++ b/crates/budget/src/bucket.rs
@@ -23,7 +23,12 @@
 impl Bucket {
     /// A full one.
     pub fn new(rate: f64, burst: f64, now_s: f64) -> Bucket {
-        Bucket { rate, burst, level: burst, at_s: now_s }
+        Bucket {
+            rate,
+            burst,
+            level: burst,
+            at_s: now_s,
+        }
     }
 
     fn fill(&mut self, now_s: f64) {
@@ -47,7 +52,9 @@
             Err(Short::Ever)
         } else {
             // A clock that went back has the way to where it was before it, too.
-            Err(Short::For(missing / self.rate + (self.at_s - now_s).max(0.0)))
+            Err(Short::For(
+                missing / self.rate + (self.at_s - now_s).max(0.0),
+            ))
         }
     }
 
@@ -96,7 +103,11 @@
         b.take(100.0);
         assert_eq!(b.check(0.0, 30.0, 0.0), Err(Short::For(3.0)));
         assert_eq!(b.check(3.0, 30.0, 0.0), Ok(()));
-        assert_eq!(b.check(3.0, 30.0, 20.0), Err(Short::For(2.0)), "a reserve is not touched");
+        assert_eq!(
+            b.check(3.0, 30.0, 20.0),
+            Err(Short::For(2.0)),
+            "a reserve is not touched"
+        );
         assert_eq!(b.check(3.0, 101.0, 0.0), Err(Short::Ever));
         assert_eq!(b.level(1e9), 100.0, "no more than the burst");
     }
@@ -106,7 +117,11 @@
         let mut b = Bucket::new(10.0, 100.0, 100.0);
         b.take(150.0);
         assert_eq!(b.check(100.0, 10.0, 0.0), Err(Short::For(6.0)));
-        assert_eq!(b.check(40.0, 10.0, 0.0), Err(Short::For(66.0)), "set back by a minute");
+        assert_eq!(
+            b.check(40.0, 10.0, 0.0),
+            Err(Short::For(66.0)),
+            "set back by a minute"
+        );
         assert_eq!(b.level(105.0), 0.0);
         assert_eq!(b.level(50.0), 0.0);
         assert_eq!(b.level(105.0), 0.0, "the same seconds are not given twice");
--- a/crates/budget/src/charge.rs
+++ b/crates/budget/src/charge.rs
@@ -83,8 +83,13 @@
     /// Sums by tenant and class of what was taken between two times, Unix microseconds.
     pub fn bill(&self, from_us: u64, to_us: u64) -> BTreeMap<(String, String), Line> {
         let mut bill: BTreeMap<(String, String), Line> = BTreeMap::new();
-        for entry in self.standing().filter(|e| (from_us..to_us).contains(&e.taken_us)) {
-            let line = bill.entry((entry.tenant.clone(), entry.class.clone())).or_default();
+        for entry in self
+            .standing()
+            .filter(|e| (from_us..to_us).contains(&e.taken_us))
+        {
+            let line = bill
+                .entry((entry.tenant.clone(), entry.class.clone()))
+                .or_default();
             match entry.used {
                 Used::Known(a) => {
                     line.requests += 1;
--- a/crates/budget/src/lease.rs
+++ b/crates/budget/src/lease.rs
@@ -27,7 +27,12 @@
 
 impl Default for LeaseRules {
     fn default() -> Self {
-        LeaseRules { lasts_s: 10.0, skew_s: 2.0, careful: 0.1, free: 0.1 }
+        LeaseRules {
+            lasts_s: 10.0,
+            skew_s: 2.0,
+            careful: 0.1,
+            free: 0.1,
+        }
     }
 }
 
@@ -67,7 +72,13 @@
     pub fn new(rules: LeaseRules, rate: f64, now_s: f64, first: bool) -> Lender {
         let opens_s = if first { now_s } else { now_s + rules.lasts_s };
         // Numbers go on above those of an earlier run, as the clock does.
-        Lender { next: (now_s.max(0.0) * 1e6) as u64, rules, rate, lent: BTreeMap::new(), opens_s }
+        Lender {
+            next: (now_s.max(0.0) * 1e6) as u64,
+            rules,
+            rate,
+            lent: BTreeMap::new(),
+            opens_s,
+        }
     }
 
     fn expire(&mut self, now_s: f64) {
@@ -76,7 +87,11 @@
 
     /// What is lent out now, tokens a second.
     pub fn out(&self, now_s: f64) -> f64 {
-        self.lent.values().filter(|l| l.ends_s > now_s).map(|l| l.lease.rate).sum()
+        self.lent
+            .values()
+            .filter(|l| l.ends_s > now_s)
+            .map(|l| l.lease.rate)
+            .sum()
     }
 
     /// Lends a holder a part for what it wants (tokens a second); its part before ends with this. `None` while parts of an
@@ -86,13 +101,33 @@
             return None;
         }
         self.expire(now_s);
-        let wants = if wants.is_finite() { wants.max(0.0) } else { 0.0 };
-        let others: f64 = self.lent.iter().filter(|(h, _)| **h != holder).map(|(_, l)| l.lease.rate).sum();
+        let wants = if wants.is_finite() {
+            wants.max(0.0)
+        } else {
+            0.0
+        };
+        let others: f64 = self
+            .lent
+            .iter()
+            .filter(|(h, _)| **h != holder)
+            .map(|(_, l)| l.lease.rate)
+            .sum();
         let fair = self.fair(holder, wants);
         let rate = fair.min(self.rate - others).max(0.0);
         self.next += 1;
-        let lease = Lease { number: self.next, rate, lasts_s: self.rules.lasts_s };
-        self.lent.insert(holder, Lent { lease, ends_s: now_s + lease.lasts_s, wants });
+        let lease = Lease {
+            number: self.next,
+            rate,
+            lasts_s: self.rules.lasts_s,
+        };
+        self.lent.insert(
+            holder,
+            Lent {
+                lease,
+                ends_s: now_s + lease.lasts_s,
+                wants,
+            },
+        );
         Some(lease)
     }
 
@@ -100,8 +135,12 @@
     /// what is left over is lent in the same proportion, so that a burst finds something, but for a part kept free.
     fn fair(&self, holder: Holder, wants: f64) -> f64 {
         let usable = self.rate * (1.0 - self.rules.free);
-        let mut all: Vec<f64> =
-            self.lent.iter().filter(|(h, _)| **h != holder).map(|(_, l)| l.wants).collect();
+        let mut all: Vec<f64> = self
+            .lent
+            .iter()
+            .filter(|(h, _)| **h != holder)
+            .map(|(_, l)| l.wants)
+            .collect();
         all.push(wants);
         all.sort_by(f64::total_cmp);
         let (mut left, mut share) = (usable, f64::INFINITY);
@@ -121,7 +160,11 @@
 
     /// A holder gives its part back. One that says so of an older part is not believed.
     pub fn give_back(&mut self, holder: Holder, number: u64) {
-        if self.lent.get(&holder).is_some_and(|l| l.lease.number == number) {
+        if self
+            .lent
+            .get(&holder)
+            .is_some_and(|l| l.lease.number == number)
+        {
             self.lent.remove(&holder);
         }
     }
@@ -149,7 +192,14 @@
     /// Without a part: at the careful rate.
     pub fn new(rules: LeaseRules, rate: f64, dispatchers: u32, now_s: f64) -> Borrower {
         let careful_rate = rules.careful * rate / f64::from(dispatchers.max(1));
-        Borrower { rules, careful_rate, lease: None, spent: 0.0, since_s: now_s, wants: 0.0 }
+        Borrower {
+            rules,
+            careful_rate,
+            lease: None,
+            spent: 0.0,
+            since_s: now_s,
+            wants: 0.0,
+        }
     }
 
     /// The rate that may be spent at a time.
@@ -172,7 +222,9 @@
 
     /// Whether to ask for a part now: well before the end, so that a lost answer leaves time for another try.
     pub fn asks(&self, now_s: f64) -> bool {
-        self.lease.as_ref().is_none_or(|(lease, ends_s)| now_s >= ends_s - lease.lasts_s / 2.0)
+        self.lease
+            .as_ref()
+            .is_none_or(|(lease, ends_s)| now_s >= ends_s - lease.lasts_s / 2.0)
     }
 
     /// What to ask for, tokens a second: what was wanted of late, smoothed.
@@ -180,7 +232,11 @@
         let over = now_s - self.since_s;
         if over >= self.rules.lasts_s / 4.0 {
             let seen = self.spent / over;
-            self.wants = if seen > self.wants { seen } else { 0.5 * (self.wants + seen) };
+            self.wants = if seen > self.wants {
+                seen
+            } else {
+                0.5 * (self.wants + seen)
+            };
             (self.spent, self.since_s) = (0.0, now_s);
         }
         self.wants
@@ -189,9 +245,16 @@
     /// A part came, asked for at `asked_s`: its time runs from the question, as the ledger's cannot have begun before it. An
     /// older part than the one that is held changes nothing.
     pub fn lent(&mut self, asked_s: f64, lease: Lease) {
-        if self.lease.as_ref().is_some_and(|(held, _)| held.number >= lease.number) {
+        if self
+            .lease
+            .as_ref()
+            .is_some_and(|(held, _)| held.number >= lease.number)
+        {
             return;
         }
-        self.lease = Some((lease, asked_s + (lease.lasts_s - self.rules.skew_s).max(0.0)));
+        self.lease = Some((
+            lease,
+            asked_s + (lease.lasts_s - self.rules.skew_s).max(0.0),
+        ));
     }
 }
--- a/crates/budget/src/ledger.rs
+++ b/crates/budget/src/ledger.rs
@@ -19,7 +19,11 @@
 #[serde(tag = "op", rename_all = "snake_case")]
 pub enum ToLedger {
     /// Parts are wanted.
-    Ask { holder: u64, number: u64, tenants: Vec<Want> },
+    Ask {
+        holder: u64,
+        number: u64,
+        tenants: Vec<Want>,
+    },
     /// Charges; answered once they are on the ledger's disk.
     Ship { number: u64, entries: Vec<Entry> },
 }
@@ -62,17 +66,30 @@
 
 impl Ledger {
     /// For tenants with a rate (tokens a second). `first` where nothing can be out from an earlier run.
-    pub fn new(rates: &BTreeMap<String, f64>, rules: &LeaseRules, now_s: f64, first: bool) -> Ledger {
-        let lender =
-            |(name, rate): (&String, &f64)| (name.clone(), Lender::new(rules.clone(), *rate, now_s, first));
-        Ledger { lenders: rates.iter().map(lender).collect() }
+    pub fn new(
+        rates: &BTreeMap<String, f64>,
+        rules: &LeaseRules,
+        now_s: f64,
+        first: bool,
+    ) -> Ledger {
+        let lender = |(name, rate): (&String, &f64)| {
+            (
+                name.clone(),
+                Lender::new(rules.clone(), *rate, now_s, first),
+            )
+        };
+        Ledger {
+            lenders: rates.iter().map(lender).collect(),
+        }
     }
 
     /// Answers a question. Tenants that are not known are passed over; more than [`TENANTS_MOST`] are not answered.
     pub fn ask(&mut self, now_s: f64, holder: u64, tenants: &[Want]) -> Vec<Part> {
         let mut parts = Vec::new();
         for want in tenants.iter().take(TENANTS_MOST) {
-            let Some(lender) = self.lenders.get_mut(&want.tenant) else { continue };
+            let Some(lender) = self.lenders.get_mut(&want.tenant) else {
+                continue;
+            };
             if want.tokens_per_s == 0.0 && want.holds != 0 {
                 lender.give_back(Holder(holder), want.holds);
                 continue;
@@ -92,7 +109,10 @@
 
     /// Tokens a second that are lent out now, by tenant.
     pub fn out(&self, now_s: f64) -> BTreeMap<String, f64> {
-        self.lenders.iter().map(|(name, l)| (name.clone(), l.out(now_s))).collect()
+        self.lenders
+            .iter()
+            .map(|(name, l)| (name.clone(), l.out(now_s)))
+            .collect()
     }
 }
 
--- a/crates/budget/src/period.rs
+++ b/crates/budget/src/period.rs
@@ -47,7 +47,14 @@
 impl Allowance {
     /// Nothing used yet.
     pub fn new(amount: u64, per: Per, zone: TimeZone) -> Allowance {
-        Allowance { amount, per, zone, begins: i64::MIN, ends: i64::MIN, used: 0 }
+        Allowance {
+            amount,
+            per,
+            zone,
+            begins: i64::MIN,
+            ends: i64::MIN,
+            used: 0,
+        }
     }
 
     /// Goes into the period that holds a time; never back into one that has ended, as a clock that is set back over
@@ -119,7 +126,8 @@
     #[test]
     fn days_and_months_are_the_zones_own() {
         // 2026-03-29 in Berlin has 23 hours, 2026-10-25 has 25; Port of Spain changes nothing.
-        let day = |name, at: i64| bounds(Per::Day, &zone(name), at as f64).map(|(b, e)| (e - b) / 3600);
+        let day =
+            |name, at: i64| bounds(Per::Day, &zone(name), at as f64).map(|(b, e)| (e - b) / 3600);
         assert_eq!(day("Europe/Berlin", 1_774_780_000), Some(23));
         assert_eq!(day("Europe/Berlin", 1_792_920_000), Some(25));
         assert_eq!(day("America/Port_of_Spain", 1_774_780_000), Some(24));
@@ -138,7 +146,11 @@
         let first = a.take(80);
         assert_eq!(a.check(before, 80, 0), Err(Short::For(10.0)));
         assert_eq!(a.check(before, 101, 0), Err(Short::Ever));
-        assert_eq!(a.check(before, 10, 20), Err(Short::For(10.0)), "a reserve is not touched");
+        assert_eq!(
+            a.check(before, 10, 20),
+            Err(Short::For(10.0)),
+            "a reserve is not touched"
+        );
         // The period ends in mid-stream: the new one is not burdened, nor given what the old one gets back.
         let after = before + 20.0;
         assert_eq!(a.left(after), 100);
--- a/crates/budget/src/plan.rs
+++ b/crates/budget/src/plan.rs
@@ -63,7 +63,10 @@
                 );
             }
             if !(rate.burst_tokens >= 1.0 && rate.burst_tokens <= 1e15) {
-                return bad("rate.burst_tokens", format!("{} is not between 1 and 1e15", rate.burst_tokens));
+                return bad(
+                    "rate.burst_tokens",
+                    format!("{} is not between 1 and 1e15", rate.burst_tokens),
+                );
             }
         }
         if let Some(period) = &self.period {
@@ -76,12 +79,18 @@
                 return bad("reserve", format!("'{name}' is no class"));
             }
             if !(0.0..=1.0).contains(share) {
-                return bad("reserve", format!("{share} for '{name}' is not between 0 and 1"));
+                return bad(
+                    "reserve",
+                    format!("{share} for '{name}' is not between 0 and 1"),
+                );
             }
         }
         let sum: f64 = self.reserve.values().sum();
         if sum > 1.0 {
-            return bad("reserve", format!("the shares add up to {sum}, more than 1"));
+            return bad(
+                "reserve",
+                format!("the shares add up to {sum}, more than 1"),
+            );
         }
         Ok(())
     }
--- a/crates/budget/tests/lease.rs
+++ b/crates/budget/tests/lease.rs
@@ -40,12 +40,34 @@
     fn new(number: u64, dispatchers: u32, now: f64, demand: f64) -> Dispatcher {
         let borrower = Borrower::new(LeaseRules::default(), RATE, dispatchers, now);
         let mut book = Book::default();
-        let rate = Some(Rate { tokens_per_s: RATE, burst_tokens: BURST });
-        book.open(now, 0, &Budget { rate, period: None, reserve: BTreeMap::new() }, 1.0, |_| None);
+        let rate = Some(Rate {
+            tokens_per_s: RATE,
+            burst_tokens: BURST,
+        });
+        book.open(
+            now,
+            0,
+            &Budget {
+                rate,
+                period: None,
+                reserve: BTreeMap::new(),
+            },
+            1.0,
+            |_| None,
+        );
         book.lend(now, 0, borrower.rate(now) / RATE, (RATE, BURST));
         let holder = Holder(number);
         let size = 200 + (number as u32 * 397) % (LARGEST - 200);
-        Dispatcher { holder, borrower, book, asked: 0.0, size, paused_until: 0.0, answer: None, demand }
+        Dispatcher {
+            holder,
+            borrower,
+            book,
+            asked: 0.0,
+            size,
+            paused_until: 0.0,
+            answer: None,
+            demand,
+        }
     }
 
     /// One step: what it spends.
@@ -57,7 +79,10 @@
         while self.asked >= f64::from(self.size) {
             self.asked -= f64::from(self.size);
             self.borrower.wanted(f64::from(self.size));
-            let most = Amount { prompt: self.size, output: 0 };
+            let most = Amount {
+                prompt: self.size,
+                output: 0,
+            };
             if let Ok(hold) = self.book.hold(now, 0, 0, most) {
                 self.book.settle(hold, most);
                 spent += f64::from(self.size);
@@ -74,7 +99,14 @@
     let (mut ledger_up, mut next) = (true, u64::from(dispatchers));
     let demand = 3.0 * RATE / f64::from(dispatchers);
     let mut all: Vec<Dispatcher> = (0..next)
-        .map(|n| Dispatcher::new(n, dispatchers, 0.0, demand * 2.0 * (n as f64 + 0.5) / next as f64))
+        .map(|n| {
+            Dispatcher::new(
+                n,
+                dispatchers,
+                0.0,
+                demand * 2.0 * (n as f64 + 0.5) / next as f64,
+            )
+        })
         .collect();
     let (mut sums, mut sum, mut now) = (vec![0.0], 0.0, 0.0);
     while now < 240.0 {
@@ -108,7 +140,10 @@
             }
             sum += d.step(now);
         }
-        assert!(lender.out(now) <= RATE * 1.000_001, "the ledger never lends more than there is");
+        assert!(
+            lender.out(now) <= RATE * 1.000_001,
+            "the ledger never lends more than there is"
+        );
         sums.push(sum);
     }
     // The bound in the docs, over every span: a burst, the rate and the careful rate beside it, one request for each dispatcher that is owed,
@@ -132,7 +167,10 @@
     for (dispatchers, seeds) in [(3, 0..20), (300, 0..3)] {
         for seed in seeds {
             let (spent, over) = day(dispatchers, seed, true);
-            assert!(over <= 0.0, "{dispatchers} dispatchers, seed {seed}: {over} above the bound");
+            assert!(
+                over <= 0.0,
+                "{dispatchers} dispatchers, seed {seed}: {over} above the bound"
+            );
             assert!(
                 spent > 0.08 * RATE * 240.0,
                 "{dispatchers} dispatchers, seed {seed}: {spent} were spent at all"
@@ -147,7 +185,10 @@
     for (dispatchers, least) in [(3, 0.85), (300, 0.75)] {
         let (spent, _) = day(dispatchers, 1, false);
         let share = spent / (RATE * 240.0);
-        assert!(share > least, "{dispatchers} dispatchers: {share} of the rate");
+        assert!(
+            share > least,
+            "{dispatchers} dispatchers: {share} of the rate"
+        );
     }
 }
 
@@ -161,7 +202,10 @@
     assert!(second.number > first.number);
     lender.give_back(b, second.number);
     lender.give_back(a, first.number);
-    assert!(lender.out(1.0) > 0.0, "neither another's word nor an old number gives a part back");
+    assert!(
+        lender.out(1.0) > 0.0,
+        "neither another's word nor an old number gives a part back"
+    );
     let mut borrower = Borrower::new(rules.clone(), 100.0, 2, 0.0);
     borrower.lent(1.0, second);
     borrower.lent(0.0, first);
@@ -186,9 +230,18 @@
     for round in 0..6 {
         for (holder, want) in &wants {
             let now = f64::from(round) * 5.0;
-            rates.insert(*holder, lender.lend(now, Holder(*holder), *want).expect("lent").rate);
+            rates.insert(
+                *holder,
+                lender.lend(now, Holder(*holder), *want).expect("lent").rate,
+            );
         }
     }
-    assert!((rates[&1] - 5.0).abs() < 1e-9 && (rates[&2] - 10.0).abs() < 1e-9, "{rates:?}");
-    assert!((rates[&3] - 37.5).abs() < 1e-9 && (rates[&4] - 37.5).abs() < 1e-9, "{rates:?}");
+    assert!(
+        (rates[&1] - 5.0).abs() < 1e-9 && (rates[&2] - 10.0).abs() < 1e-9,
+        "{rates:?}"
+    );
+    assert!(
+        (rates[&3] - 37.5).abs() < 1e-9 && (rates[&4] - 37.5).abs() < 1e-9,
+        "{rates:?}"
+    );
 }
--- a/crates/cluster-net/src/beside.rs
+++ b/crates/cluster-net/src/beside.rs
@@ -5,9 +5,9 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{Beside, Found, Given, KeepError, Together, Wanted};
 use bitternlatch_net::clock::Clock;
 use bitternlatch_net::lock;
+use bitternlatch_quota_lease::{Beside, Found, Given, KeepError, Together, Wanted};
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
 
 use crate::links::Links;
@@ -76,10 +76,12 @@
     /// # Errors
     /// Where it is not taken.
     pub fn ask(&self, ask: A) -> Result<(), AskError> {
-        self.0.try_send(Given::Ask(ask)).map_err(|e| match e.is_full() {
-            true => AskError::Full,
-            false => AskError::Ended,
-        })
+        self.0
+            .try_send(Given::Ask(ask))
+            .map_err(|e| match e.is_full() {
+                true => AskError::Full,
+                false => AskError::Ended,
+            })
     }
 }
 
@@ -165,7 +167,13 @@
             }
             let done = store.put(batch);
             for ticket in tickets {
-                if to.send(Given::Kept { ticket, done: done.clone() }).is_err() {
+                if to
+                    .send(Given::Kept {
+                        ticket,
+                        done: done.clone(),
+                    })
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -190,8 +198,14 @@
     fn run(mut self) {
         let mut out = Vec::new();
         loop {
-            let wait = self.machine.wake_at().map(|at| at.saturating_sub(now(&self.clock)));
-            let given = match self.given.recv_timeout(wait.unwrap_or(LOOK_EVERY).min(LOOK_EVERY)) {
+            let wait = self
+                .machine
+                .wake_at()
+                .map(|at| at.saturating_sub(now(&self.clock)));
+            let given = match self
+                .given
+                .recv_timeout(wait.unwrap_or(LOOK_EVERY).min(LOOK_EVERY))
+            {
                 Ok(given) => given,
                 Err(RecvTimeoutError::Timeout) => Given::Wake,
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -199,7 +213,12 @@
             let last = matches!(given, Given::Leave);
             self.machine.step(now(&self.clock), given, &mut out);
             // Inputs may come so densely that nothing else wakes it.
-            if !last && self.machine.wake_at().is_some_and(|at| at <= now(&self.clock)) {
+            if !last
+                && self
+                    .machine
+                    .wake_at()
+                    .is_some_and(|at| at <= now(&self.clock))
+            {
                 self.machine.step(now(&self.clock), Given::Wake, &mut out);
             }
             self.carry(&mut out);
@@ -210,17 +229,26 @@
     }
 
     fn carry(&mut self, out: &mut Vec<Wanted<B::Told>>) {
-        let mut kept = Ticketed { tickets: vec![], batch: vec![] };
+        let mut kept = Ticketed {
+            tickets: vec![],
+            batch: vec![],
+        };
         for wanted in out.drain(..) {
             match wanted {
                 Wanted::Say(to, said) => {
                     let sealed = lock(&self.whole).say(B::TOPIC, to, &said);
                     // A datagram that cannot be sent is as good as lost.
-                    sealed.into_iter().for_each(|(at, bytes)| drop(self.socket.send_to(&bytes, at)));
+                    sealed
+                        .into_iter()
+                        .for_each(|(at, bytes)| drop(self.socket.send_to(&bytes, at)));
                 }
                 Wanted::Send(to, said) => self.links.send(B::TOPIC, to, &said),
                 Wanted::Tell(told) => (self.told)(told),
-                Wanted::Keep { ticket, name, bytes } => {
+                Wanted::Keep {
+                    ticket,
+                    name,
+                    bytes,
+                } => {
                     kept.tickets.push(ticket);
                     kept.batch.push((name, bytes));
                 }
@@ -245,7 +273,8 @@
         let mut out = Vec::new();
         for ticket in tickets {
             let done = Err(fault.clone());
-            self.machine.step(now(&self.clock), Given::Kept { ticket, done }, &mut out);
+            self.machine
+                .step(now(&self.clock), Given::Kept { ticket, done }, &mut out);
         }
         // What it wants kept in answer to that is its own affair: it would be refused likewise.
         out.retain(|wanted| !matches!(wanted, Wanted::Keep { .. }));
--- a/crates/cluster-net/src/error.rs
+++ b/crates/cluster-net/src/error.rs
@@ -46,13 +46,22 @@
     #[error("{}: {why}", path.display())]
     Secret { path: PathBuf, why: io::Error },
     #[error("{}: {bytes} bytes; a secret has {least} to {most}", path.display())]
-    SecretSize { path: PathBuf, bytes: u64, least: u64, most: u64 },
+    SecretSize {
+        path: PathBuf,
+        bytes: u64,
+        least: u64,
+        most: u64,
+    },
     #[error("cluster.roster: {0}")]
     Roster(#[from] RosterError),
     #[error("cluster: no address of its own")]
     NoAddress,
     #[error("cluster: no {what:?} at {address}: {why}")]
-    Address { what: Opened, address: SocketAddrV4, why: io::Error },
+    Address {
+        what: Opened,
+        address: SocketAddrV4,
+        why: io::Error,
+    },
     #[error("{}: {why}", path.display())]
     Start { path: PathBuf, why: io::Error },
     #[error("{}: not a start's number", path.display())]
@@ -68,7 +77,10 @@
     #[error("{peer}: {why}")]
     NoAnswer { peer: SocketAddr, why: io::Error },
     #[error("{peer}: this is not a view: {why}")]
-    NoView { peer: SocketAddr, why: serde_json::Error },
+    NoView {
+        peer: SocketAddr,
+        why: serde_json::Error,
+    },
 }
 
 impl PeerNetError {
@@ -112,28 +124,55 @@
     fn each_says_what_to_do_and_no_two_the_same() {
         let io = || io::Error::from(io::ErrorKind::PermissionDenied);
         let json = || serde_json::from_str::<u8>("x").expect_err("no number");
-        let (path, address) = (PathBuf::from("f"), SocketAddrV4::new([127, 0, 0, 1].into(), 1));
+        let (path, address) = (
+            PathBuf::from("f"),
+            SocketAddrV4::new([127, 0, 0, 1].into(), 1),
+        );
         let faults = || SeedFaults(vec![(address, NoRoster::Shape), (address, NoRoster::Proof)]);
         let peer = SocketAddr::V4(address);
         let all = [
-            PeerNetError::Secret { path: path.clone(), why: io::ErrorKind::NotFound.into() },
-            PeerNetError::Secret { path: path.clone(), why: io() },
-            PeerNetError::SecretSize { path: path.clone(), bytes: 1, least: 16, most: 4096 },
+            PeerNetError::Secret {
+                path: path.clone(),
+                why: io::ErrorKind::NotFound.into(),
+            },
+            PeerNetError::Secret {
+                path: path.clone(),
+                why: io(),
+            },
+            PeerNetError::SecretSize {
+                path: path.clone(),
+                bytes: 1,
+                least: 16,
+                most: 4096,
+            },
             PeerNetError::Roster(RosterError::Size(0)),
             PeerNetError::NoAddress,
-            PeerNetError::Address { what: Opened::Datagrams, address, why: io() },
-            PeerNetError::Start { path: path.clone(), why: io() },
+            PeerNetError::Address {
+                what: Opened::Datagrams,
+                address,
+                why: io(),
+            },
+            PeerNetError::Start {
+                path: path.clone(),
+                why: io(),
+            },
             PeerNetError::NoNumber { path },
             PeerNetError::Random(getrandom::Error::UNSUPPORTED),
             PeerNetError::Thread(io()),
             PeerNetError::Seeds(faults()),
-            PeerNetError::KeptRoster { seeds: faults(), kept: NoRoster::OtherCluster("x".into()) },
+            PeerNetError::KeptRoster {
+                seeds: faults(),
+                kept: NoRoster::OtherCluster("x".into()),
+            },
             PeerNetError::NoAnswer { peer, why: io() },
             PeerNetError::NoView { peer, why: json() },
         ];
-        let advice: std::collections::BTreeSet<&str> = all.iter().map(PeerNetError::advice).collect();
+        let advice: std::collections::BTreeSet<&str> =
+            all.iter().map(PeerNetError::advice).collect();
         assert_eq!(advice.len(), all.len());
-        assert!(all.iter().all(|e| e.told().ends_with(e.advice()) && e.told().len() > e.advice().len() + 2));
+        assert!(all
+            .iter()
+            .all(|e| e.told().ends_with(e.advice()) && e.told().len() > e.advice().len() + 2));
         assert!(faults().to_string().contains("; 127.0.0.1:1: the proof"));
     }
 }
--- a/crates/cluster-net/src/kept.rs
+++ b/crates/cluster-net/src/kept.rs
@@ -9,8 +9,8 @@
 
 use bitternlatch_quota_lease::{Found, KeepError};
 use redb::{
-    Builder, Database, DatabaseError, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition,
-    TableError, TableHandle,
+    Builder, Database, DatabaseError, ReadableDatabase, ReadableTable, StorageBackend,
+    TableDefinition, TableError, TableHandle,
 };
 
 use crate::beside::{Batch, Store};
@@ -54,13 +54,21 @@
     pub fn at(path: &Path) -> Kept {
         let own = path.to_path_buf();
         let open = move || Builder::new().create(&own);
-        Kept { shown: path.display().to_string(), open: Box::new(open), db: None }
+        Kept {
+            shown: path.display().to_string(),
+            open: Box::new(open),
+            db: None,
+        }
     }
 
     /// Keeps in storage of the caller's own, asked for at each opening.
     pub fn over<B: StorageBackend>(mut storage: impl FnMut() -> B + Send + 'static) -> Kept {
         let open = move || Builder::new().create_with_backend(storage());
-        Kept { shown: "storage".to_string(), open: Box::new(open), db: None }
+        Kept {
+            shown: "storage".to_string(),
+            open: Box::new(open),
+            db: None,
+        }
     }
 
     fn with<T>(&mut self, act: impl FnOnce(&Database) -> Result<T, Fault>) -> Result<T, KeepError> {
@@ -141,7 +149,9 @@
     match version {
         Some(THIS_VERSION) => return Ok(db),
         Some(other) => return Err(Fault::Version(other)),
-        None if read.list_tables()?.any(|t| t.name() != ABOUT.name()) => return Err(Fault::Foreign),
+        None if read.list_tables()?.any(|t| t.name() != ABOUT.name()) => {
+            return Err(Fault::Foreign)
+        }
         None => {}
     }
     drop(read);
@@ -175,5 +185,8 @@
 }
 
 fn is_full(kind: ErrorKind) -> bool {
-    matches!(kind, ErrorKind::StorageFull | ErrorKind::QuotaExceeded | ErrorKind::FileTooLarge)
+    matches!(
+        kind,
+        ErrorKind::StorageFull | ErrorKind::QuotaExceeded | ErrorKind::FileTooLarge
+    )
 }
--- a/crates/cluster-net/src/links.rs
+++ b/crates/cluster-net/src/links.rs
@@ -11,9 +11,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use bitternlatch_quota_lease::{Process, FRAME_MOST};
 use bitternlatch_membership::{Kind, NameKey, Opener, Sealer, Secret, Topic, SEAL_BYTES};
 use bitternlatch_net::lock;
+use bitternlatch_quota_lease::{Process, FRAME_MOST};
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
 
 use crate::routes::{Heard, Routes};
@@ -71,7 +71,12 @@
 
     /// Puts a frame on its way, or loses it.
     pub(crate) fn send(self: &Arc<Self>, topic: Topic, to: NameKey, said: &[u8]) {
-        let Some(address) = self.addresses.get(&to).copied().filter(|_| said.len() <= FRAME_MOST) else {
+        let Some(address) = self
+            .addresses
+            .get(&to)
+            .copied()
+            .filter(|_| said.len() <= FRAME_MOST)
+        else {
             return;
         };
         let mut out = lock(&self.out);
@@ -89,7 +94,10 @@
         let (queue, frames) = bounded(QUEUE);
         let (name, sealed) = (self.name.clone(), self.seal(topic, to, said));
         let write = move || write(&name, address, &frames);
-        let thread = std::thread::Builder::new().name("link".into()).stack_size(STACK).spawn(write);
+        let thread = std::thread::Builder::new()
+            .name("link".into())
+            .stack_size(STACK)
+            .spawn(write);
         if thread.is_ok() && queue.try_send(sealed).is_ok() {
             out.insert(to, queue);
         }
@@ -115,7 +123,12 @@
             links.incoming.fetch_sub(1, Ordering::SeqCst);
             tracing::debug!(?ended, "a link from a peer has ended");
         };
-        if std::thread::Builder::new().name("link".into()).stack_size(STACK).spawn(read).is_err() {
+        if std::thread::Builder::new()
+            .name("link".into())
+            .stack_size(STACK)
+            .spawn(read)
+            .is_err()
+        {
             self.incoming.fetch_sub(1, Ordering::SeqCst);
         }
     }
@@ -131,7 +144,9 @@
                 // The end, or a frame longer than any of ours.
                 return Ok(());
             }
-            let Ok(sealed) = cobs::decode_vec(&framed) else { return Err(ErrorKind::InvalidData.into()) };
+            let Ok(sealed) = cobs::decode_vec(&framed) else {
+                return Err(ErrorKind::InvalidData.into());
+            };
             self.take(&sealed);
         }
     }
@@ -140,12 +155,25 @@
     fn take(&self, sealed: &[u8]) {
         let mut opener = lock(&self.opener);
         let (opener, secret) = &mut *opener;
-        let Ok((from, addressed)) = opener.open_of(secret, sealed, SEALED_MOST) else { return };
+        let Ok((from, addressed)) = opener.open_of(secret, sealed, SEALED_MOST) else {
+            return;
+        };
         let Kind::Of(topic) = from.kind else { return };
-        let Some((to, said)) = addressed.split_first_chunk::<NAME_BYTES>() else { return };
+        let Some((to, said)) = addressed.split_first_chunk::<NAME_BYTES>() else {
+            return;
+        };
         if u32::from_le_bytes(*to) == self.own.0 && self.addresses.contains_key(&from.name) {
-            let from = Process { name: from.name, start: from.process };
-            self.routes.tell(topic, Heard::Frame { from, said: said.to_vec() });
+            let from = Process {
+                name: from.name,
+                start: from.process,
+            };
+            self.routes.tell(
+                topic,
+                Heard::Frame {
+                    from,
+                    said: said.to_vec(),
+                },
+            );
         }
     }
 }
--- a/crates/cluster-net/src/plane.rs
+++ b/crates/cluster-net/src/plane.rs
@@ -9,12 +9,12 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use bitternlatch_quota_lease::{Beside, Output, Part, Peers, Process, Together, Told as Agreed};
 use bitternlatch_core::settings::Cluster;
 use bitternlatch_core::{Input, Micros, Seen};
 use bitternlatch_membership::{Event, Membership, NameKey, Peer, Roster, Secret, DATAGRAM_MOST};
 use bitternlatch_net::clock::Clock;
 use bitternlatch_net::lock;
+use bitternlatch_quota_lease::{Beside, Output, Part, Peers, Process, Together, Told as Agreed};
 
 use crate::beside::{Asker, End, Ground, Store};
 use crate::error::{Opened, PeerNetError};
@@ -65,11 +65,23 @@
 }
 
 pub(crate) fn read_secret(path: &Path) -> Result<Vec<u8>, PeerNetError> {
-    let unread = |why| PeerNetError::Secret { path: path.to_path_buf(), why };
+    let unread = |why| PeerNetError::Secret {
+        path: path.to_path_buf(),
+        why,
+    };
     let bytes = std::fs::metadata(path).map_err(unread)?.len();
     if !SECRET_BYTES.contains(&bytes) {
-        let (path, least, most) = (path.to_path_buf(), *SECRET_BYTES.start(), *SECRET_BYTES.end());
-        return Err(PeerNetError::SecretSize { path, bytes, least, most });
+        let (path, least, most) = (
+            path.to_path_buf(),
+            *SECRET_BYTES.start(),
+            *SECRET_BYTES.end(),
+        );
+        return Err(PeerNetError::SecretSize {
+            path,
+            bytes,
+            least,
+            most,
+        });
     }
     std::fs::read(path).map_err(unread)
 }
@@ -83,11 +95,18 @@
 
 impl Papers {
     fn read(cluster: &Cluster, name: &str, base: &Path) -> Result<Papers, PeerNetError> {
-        let peers = cluster.roster.iter().map(|p| Peer { name: p.name.clone(), address: p.address });
+        let peers = cluster.roster.iter().map(|p| Peer {
+            name: p.name.clone(),
+            address: p.address,
+        });
         let roster = Roster::new(name, &peers.collect::<Vec<_>>())?;
         let address = cluster.own_address(name).ok_or(PeerNetError::NoAddress)?;
         let secret = Secret::new(&cluster.name, &read_secret(&base.join(&cluster.secret))?);
-        Ok(Papers { roster, secret, address })
+        Ok(Papers {
+            roster,
+            secret,
+            address,
+        })
     }
 }
 
@@ -111,7 +130,11 @@
         base: &Path,
         mut told: impl FnMut(Told) + Send + 'static,
     ) -> Result<Plane, PeerNetError> {
-        let Papers { roster, secret, address } = Papers::read(cluster, name, base)?;
+        let Papers {
+            roster,
+            secret,
+            address,
+        } = Papers::read(cluster, name, base)?;
         let bad = |what| move |why| PeerNetError::Address { what, address, why };
         let socket = UdpSocket::bind(address).map_err(bad(Opened::Datagrams))?;
         let listener = TcpListener::bind(address).map_err(bad(Opened::Connections))?;
@@ -122,18 +145,27 @@
         let clock = Clock::start();
         let member = Membership::new(name, process, roster, secret.clone(), seed, now(&clock));
         let routes = Arc::new(Routes::default());
-        let links = Arc::new(Links::new(name, process, &secret, member.addresses(), Arc::clone(&routes)));
+        let links = Arc::new(Links::new(
+            name,
+            process,
+            &secret,
+            member.addresses(),
+            Arc::clone(&routes),
+        ));
         let whole = Together::new(member, seed.rotate_left(32), now(&clock));
         let whole = Arc::new(Mutex::new(whole));
         let thread = |what: &str| std::thread::Builder::new().name(what.into());
         let no_thread = PeerNetError::Thread;
-        let (seen, cluster_name, own) = (Arc::clone(&whole), cluster.name.clone(), name.to_string());
+        let (seen, cluster_name, own) =
+            (Arc::clone(&whole), cluster.name.clone(), name.to_string());
         let view = move || Shown::of(&cluster_name, &own, &lock(&seen), now(&clock));
         let (own_roster, proven) = (cluster.clone(), secret.clone());
         let other = move |question: &str| seeds::answer(&own_roster, &proven, question);
         let doors = Arc::clone(&links);
         let link = move |reader| doors.accept(reader);
-        thread("views").spawn(move || views::serve(&listener, view, other, link)).map_err(no_thread)?;
+        thread("views")
+            .spawn(move || views::serve(&listener, view, other, link))
+            .map_err(no_thread)?;
         let own_socket = socket.try_clone().map_err(bad(Opened::Datagrams))?;
         let ground = Ground {
             whole: Arc::clone(&whole),
@@ -145,18 +177,35 @@
         let stop = Arc::new(AtomicBool::new(false));
         let ear = Arc::clone(&whole);
         let (ended, name) = (Arc::clone(&stop), name.to_string());
-        let plane = Loop { socket, clock, whole, stop: ended, routes, name, run: process, kept };
+        let plane = Loop {
+            socket,
+            clock,
+            whole,
+            stop: ended,
+            routes,
+            name,
+            run: process,
+            kept,
+        };
         let run = move || plane.run(&mut told);
         let thread = thread("peers").spawn(run).map_err(no_thread)?;
         tracing::info!(cluster = cluster.name, %address, start = process, "in the cluster");
-        Ok(Plane { whole: ear, stop, thread: Some(thread), ground, beside: vec![] })
+        Ok(Plane {
+            whole: ear,
+            stop,
+            thread: Some(thread),
+            ground,
+            beside: vec![],
+        })
     }
 
     /// Takes what the dispatcher sees of hosts, for its peers; from any thread.
     pub fn ear(&self) -> impl Fn(Vec<Seen>) + 'static {
         let whole = Arc::clone(&self.whole);
         move |seen| {
-            let dated = seen.into_iter().map(|(host, what, at)| ((host, what), Duration::from_micros(at.0)));
+            let dated = seen
+                .into_iter()
+                .map(|(host, what, at)| ((host, what), Duration::from_micros(at.0)));
             lock(&whole).shares.sees(dated.collect());
         }
     }
@@ -176,7 +225,10 @@
         B::Ask: Send + 'static,
         B::Told: 'static,
     {
-        let (asker, end) = self.ground.start(machine, store, told).map_err(PeerNetError::Thread)?;
+        let (asker, end) = self
+            .ground
+            .start(machine, store, told)
+            .map_err(PeerNetError::Thread)?;
         self.beside.push(end);
         Ok(asker)
     }
@@ -185,7 +237,13 @@
     pub fn own(&self) -> (Process, BTreeSet<NameKey>) {
         let whole = lock(&self.whole);
         let own = whole.member.own();
-        (Process { name: own.name, start: own.start.process }, whole.member.roster())
+        (
+            Process {
+                name: own.name,
+                start: own.start.process,
+            },
+            whole.member.roster(),
+        )
     }
 
     /// The time by its clock, which machines beside it are stepped by.
@@ -220,7 +278,9 @@
         let (mut told_part, mut said) = (Part::default(), Part::default());
         loop {
             let wake_at = lock(&self.whole).wake_at();
-            let wait = wake_at.map_or(LOOK_EVERY, |at| at.saturating_sub(now(&self.clock)).min(LOOK_EVERY));
+            let wait = wake_at.map_or(LOOK_EVERY, |at| {
+                at.saturating_sub(now(&self.clock)).min(LOOK_EVERY)
+            });
             let heard = self.hear(wait, &mut buffer);
             let mut whole = lock(&self.whole);
             match heard {
@@ -230,19 +290,33 @@
                 _ => whole.wake(now(&self.clock), &mut out),
             }
             let at = now(&self.clock);
-            let news = out.iter().any(|o| matches!(o, Output::Member(Event::Standing(_))));
+            let news = out
+                .iter()
+                .any(|o| matches!(o, Output::Member(Event::Standing(_))));
             if news || at >= tell_at {
                 tell_at = at + TELL_EVERY;
                 let until = micros(at + COUNTS_FOR);
                 let (standing, there) = (whole.member.standing(), whole.member.there());
-                told(Told::Input(Input::Standing { standing, there, until }));
+                told(Told::Input(Input::Standing {
+                    standing,
+                    there,
+                    until,
+                }));
                 let (there, part) = (whole.member.there_keys(), whole.shares.part());
-                self.routes.tell_all(&Peers { standing, there, until: at + COUNTS_FOR, part });
+                self.routes.tell_all(&Peers {
+                    standing,
+                    there,
+                    until: at + COUNTS_FOR,
+                    part,
+                });
             }
             let part = whole.shares.part();
             if part != told_part {
                 told_part = part;
-                told(Told::Input(Input::Part { lent: part.lent, until: micros(part.until) }));
+                told(Told::Input(Input::Part {
+                    lent: part.lent,
+                    until: micros(part.until),
+                }));
             }
             said = self.log_part(at, part, said);
             let stop = self.stop.load(Ordering::SeqCst);
@@ -260,7 +334,10 @@
     fn hear(&self, wait: Duration, buffer: &mut [u8]) -> Option<(SocketAddr, usize)> {
         let began = Instant::now();
         let wait = wait.max(Duration::from_millis(1));
-        let heard = self.socket.set_read_timeout(Some(wait)).and_then(|()| self.socket.recv_from(buffer));
+        let heard = self
+            .socket
+            .set_read_timeout(Some(wait))
+            .and_then(|()| self.socket.recv_from(buffer));
         match heard {
             Ok((n, from)) => Some((from, n)),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => None,
@@ -279,11 +356,15 @@
             match output {
                 // A datagram that cannot be sent is as good as lost, which the protocol bears.
                 Output::Send(to, bytes) => drop(self.socket.send_to(&bytes, to)),
-                Output::Agreed(Agreed::Heard { of, heard }) => {
-                    told(Told::Input(Input::Heard { at: self.clock.now(), of, heard }))
-                }
+                Output::Agreed(Agreed::Heard { of, heard }) => told(Told::Input(Input::Heard {
+                    at: self.clock.now(),
+                    of,
+                    heard,
+                })),
                 Output::Agreed(agreed) => self.log_agreed(&agreed),
-                Output::Said { topic, from, said } => self.routes.tell(topic, Heard::Said { from, said }),
+                Output::Said { topic, from, said } => {
+                    self.routes.tell(topic, Heard::Said { from, said })
+                }
                 Output::Member(event) => {
                     self.log(&event);
                     if let Event::Fenced(by) = event {
@@ -309,7 +390,10 @@
                 "its part of what all share"
             );
         }
-        Part { lent, until: part.until }
+        Part {
+            lent,
+            until: part.until,
+        }
     }
 
     fn keep_later(&self, later: u64) {
@@ -342,12 +426,24 @@
                 let named = lock(&self.whole).member.name_of(*name);
                 tracing::info!(me, at_us, peer = named, state = ?state, start = start.process, "a member");
             }
-            Event::Standing(standing) => tracing::warn!(me, at_us, standing = ?standing, "standing"),
+            Event::Standing(standing) => {
+                tracing::warn!(me, at_us, standing = ?standing, "standing")
+            }
             Event::StoodStill(d) => {
-                tracing::warn!(me, at_us, ms = d.as_millis() as u64, "stood still; doubts itself first")
+                tracing::warn!(
+                    me,
+                    at_us,
+                    ms = d.as_millis() as u64,
+                    "stood still; doubts itself first"
+                )
             }
             Event::CameBack(start) => {
-                tracing::warn!(me, at_us, comebacks = start.comeback, "had been given up by peers; is back")
+                tracing::warn!(
+                    me,
+                    at_us,
+                    comebacks = start.comeback,
+                    "had been given up by peers; is back"
+                )
             }
             Event::Fenced(by) => {
                 tracing::error!(
--- a/crates/cluster-net/src/routes.rs
+++ b/crates/cluster-net/src/routes.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
-use bitternlatch_quota_lease::{Peers, Process};
 use bitternlatch_membership::Topic;
 use bitternlatch_net::lock;
+use bitternlatch_quota_lease::{Peers, Process};
 
 /// What a machine beside the plane hears.
 #[derive(Clone, Debug)]
@@ -34,6 +34,8 @@
     }
 
     pub(crate) fn tell_all(&self, peers: &Peers) {
-        lock(&self.0).values().for_each(|route| route(Heard::Peers(peers.clone())));
+        lock(&self.0)
+            .values()
+            .for_each(|route| route(Heard::Peers(peers.clone())));
     }
 }
--- a/crates/cluster-net/src/seeds.rs
+++ b/crates/cluster-net/src/seeds.rs
@@ -36,11 +36,16 @@
 /// The answer to a question for the roster, if it is one: `roster 1 NAME NONCE`.
 pub(crate) fn answer(cluster: &Cluster, secret: &Secret, question: &str) -> Option<String> {
     let words: Vec<&str> = question.split_whitespace().collect();
-    let ["roster", "1", _name, nonce] = words[..] else { return None };
+    let ["roster", "1", _name, nonce] = words[..] else {
+        return None;
+    };
     if nonce.len() != 2 * NONCE || cluster.roster.is_empty() {
         return None;
     }
-    let told = Told { cluster: cluster.name.clone(), roster: cluster.roster.clone() };
+    let told = Told {
+        cluster: cluster.name.clone(),
+        roster: cluster.roster.clone(),
+    };
     let text = serde_json::to_string(&told).ok()?;
     let proof = hex(&secret.proof(nonce.as_bytes(), text.as_bytes()));
     Some(format!("{text}\n{proof}\n"))
@@ -72,7 +77,10 @@
 }
 
 fn keep(path: &Path, cluster: &str, roster: &[Peer]) -> io::Result<()> {
-    let told = Told { cluster: cluster.to_string(), roster: roster.to_vec() };
+    let told = Told {
+        cluster: cluster.to_string(),
+        roster: roster.to_vec(),
+    };
     // Whole or not at all.
     let beside = path.with_extension("roster-new");
     std::fs::write(&beside, serde_json::to_string(&told)?)?;
@@ -83,7 +91,11 @@
 ///
 /// # Errors
 /// Where neither is to be had, with what each seed said.
-pub fn roster(cluster: &Cluster, name: &str, base: &Path) -> Result<(Vec<Peer>, String), PeerNetError> {
+pub fn roster(
+    cluster: &Cluster,
+    name: &str,
+    base: &Path,
+) -> Result<(Vec<Peer>, String), PeerNetError> {
     let secret = Secret::new(&cluster.name, &read_secret(&base.join(&cluster.secret))?);
     let kept = kept(cluster, base);
     let (began, mut faults) = (Instant::now(), Vec::new());
@@ -97,7 +109,9 @@
             let told = put(SocketAddr::V4(*seed), &question, ONE_SEED).map_err(NoRoster::from);
             match told.and_then(|answer| read(&cluster.name, &secret, &nonce, &answer)) {
                 Ok(roster) => {
-                    if let Some(Err(error)) = kept.as_ref().map(|path| keep(path, &cluster.name, &roster)) {
+                    if let Some(Err(error)) =
+                        kept.as_ref().map(|path| keep(path, &cluster.name, &roster))
+                    {
                         tracing::warn!(%error, "the roster cannot be kept");
                     }
                     return Ok((roster, format!("seed {seed}")));
@@ -108,7 +122,9 @@
         std::thread::sleep(AGAIN);
     }
     let seeds = SeedFaults(faults);
-    let last = kept.as_ref().and_then(|path| std::fs::read_to_string(path).ok());
+    let last = kept
+        .as_ref()
+        .and_then(|path| std::fs::read_to_string(path).ok());
     match last.map(|text| parse(&cluster.name, &text)) {
         Some(Ok(roster)) => {
             tracing::warn!(%seeds, "no seed tells the roster; the last one told counts");
@@ -133,7 +149,12 @@
         };
         let roster = vec![peer(1), peer(2)];
         let (name, secret) = ("hall".to_string(), String::new());
-        Cluster { name, secret, roster, ..Cluster::default() }
+        Cluster {
+            name,
+            secret,
+            roster,
+            ..Cluster::default()
+        }
     }
 
     #[test]
@@ -141,15 +162,34 @@
         let (cluster, secret) = (cluster(), Secret::new("hall", b"s"));
         let nonce = "0".repeat(2 * NONCE);
         let told = answer(&cluster, &secret, &format!("roster 1 d2 {nonce}")).expect("an answer");
-        assert_eq!(read("hall", &secret, &nonce, &told).ok(), Some(cluster.roster.clone()));
-        let fails =
-            |secret: &Secret, name: &str, nonce: &str, told: &str| read(name, secret, nonce, told).is_err();
-        assert!(fails(&secret, "hall", &"1".repeat(2 * NONCE), &told), "an old answer");
-        assert!(fails(&Secret::new("hall", b"t"), "hall", &nonce, &told), "a stranger's");
+        assert_eq!(
+            read("hall", &secret, &nonce, &told).ok(),
+            Some(cluster.roster.clone())
+        );
+        let fails = |secret: &Secret, name: &str, nonce: &str, told: &str| {
+            read(name, secret, nonce, told).is_err()
+        };
+        assert!(
+            fails(&secret, "hall", &"1".repeat(2 * NONCE), &told),
+            "an old answer"
+        );
+        assert!(
+            fails(&Secret::new("hall", b"t"), "hall", &nonce, &told),
+            "a stranger's"
+        );
         assert!(fails(&secret, "yard", &nonce, &told), "another cluster's");
-        assert!(fails(&secret, "hall", &nonce, &told.replace("7001", "7009")), "changed on the way");
+        assert!(
+            fails(&secret, "hall", &nonce, &told.replace("7001", "7009")),
+            "changed on the way"
+        );
         assert!(fails(&secret, "hall", &nonce, ""));
-        for question in ["members 1", "roster 1 d2", "roster 2 d2 00", "roster 1 d2 00", ""] {
+        for question in [
+            "members 1",
+            "roster 1 d2",
+            "roster 2 d2 00",
+            "roster 1 d2 00",
+            "",
+        ] {
             assert_eq!(answer(&cluster, &secret, question), None, "{question}");
         }
     }
--- a/crates/cluster-net/src/snapshot.rs
+++ b/crates/cluster-net/src/snapshot.rs
@@ -52,13 +52,17 @@
     }
     let mut parts = vec![];
     while let Some((length, more)) = rest.split_first_chunk::<8>() {
-        let (part, more) = more.split_at_checked(usize::try_from(u64::from_le_bytes(*length)).ok()?)?;
+        let (part, more) =
+            more.split_at_checked(usize::try_from(u64::from_le_bytes(*length)).ok()?)?;
         parts.push(part.to_vec());
         rest = more;
     }
     let pairs = parts.chunks_exact(2);
-    (rest.is_empty() && pairs.remainder().is_empty())
-        .then(|| pairs.map(|pair| (pair[0].clone(), pair[1].clone())).collect())
+    (rest.is_empty() && pairs.remainder().is_empty()).then(|| {
+        pairs
+            .map(|pair| (pair[0].clone(), pair[1].clone()))
+            .collect()
+    })
 }
 
 fn write_whole(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
@@ -70,7 +74,10 @@
     file.sync_all()?;
     std::fs::rename(&beside, path)?;
     // The name is durable once its folder is.
-    let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = path
+        .parent()
+        .filter(|p| !p.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     File::open(folder)?.sync_all()
 }
 
@@ -96,7 +103,9 @@
         }
         let file = encode(&kept);
         if file.len() as u64 > FILE_BYTES {
-            return Err(KeepError::Io("a snapshot too large to be read back".to_string()));
+            return Err(KeepError::Io(
+                "a snapshot too large to be read back".to_string(),
+            ));
         }
         write_whole(&self.path, &file).map_err(|e| self.failed(&e))?;
         self.kept = kept;
@@ -115,14 +124,25 @@
         let mut store = Snapshot::at(path.clone());
         assert_eq!(store.load(), Ok(vec![]));
         let put = |name: &[u8], bytes: Option<&[u8]>| (name.to_vec(), bytes.map(<[u8]>::to_vec));
-        store.put(vec![put(b"a", Some(b"one")), put(b"b", Some(b""))]).unwrap();
-        store.put(vec![put(b"a", Some(b"two")), put(b"c", Some(b"three")), put(b"c", None)]).unwrap();
+        store
+            .put(vec![put(b"a", Some(b"one")), put(b"b", Some(b""))])
+            .unwrap();
+        store
+            .put(vec![
+                put(b"a", Some(b"two")),
+                put(b"c", Some(b"three")),
+                put(b"c", None),
+            ])
+            .unwrap();
         let expected: Found = vec![(b"b".to_vec(), vec![]), (b"a".to_vec(), b"two".to_vec())];
         assert_eq!(Snapshot::at(path.clone()).load(), Ok(expected));
         let whole = std::fs::read(&path).unwrap();
         for length in 0..whole.len() {
             std::fs::write(&path, &whole[..length]).unwrap();
-            assert!(matches!(Snapshot::at(path.clone()).load(), Err(KeepError::Io(_))), "{length}");
+            assert!(
+                matches!(Snapshot::at(path.clone()).load(), Err(KeepError::Io(_))),
+                "{length}"
+            );
         }
         for at in 0..whole.len() {
             let mut torn = whole.clone();
@@ -133,6 +153,8 @@
         // A broken one is replaced.
         store.put(vec![]).unwrap();
         assert!(Snapshot::at(path.clone()).load().is_ok());
-        assert!(Snapshot::at(dir.path().join("no/folder")).put(vec![]).is_err());
+        assert!(Snapshot::at(dir.path().join("no/folder"))
+            .put(vec![])
+            .is_err());
     }
 }
--- a/crates/cluster-net/src/start.rs
+++ b/crates/cluster-net/src/start.rs
@@ -16,10 +16,18 @@
 /// # Errors
 /// Where the file cannot be read or written, or holds no number; a start that could pass for an earlier one is none.
 pub(crate) fn number(kept: Option<&Path>) -> Result<u64, PeerNetError> {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64;
     let Some(path) = kept else { return Ok(unix) };
-    let bad = |why| PeerNetError::Start { path: path.to_path_buf(), why };
-    let no_number = || PeerNetError::NoNumber { path: path.to_path_buf() };
+    let bad = |why| PeerNetError::Start {
+        path: path.to_path_buf(),
+        why,
+    };
+    let no_number = || PeerNetError::NoNumber {
+        path: path.to_path_buf(),
+    };
     let last = match std::fs::metadata(path) {
         Err(e) if e.kind() == ErrorKind::NotFound => 0,
         Err(e) => return Err(bad(e)),
@@ -40,7 +48,9 @@
 /// # Errors
 /// As the file's.
 pub(crate) fn raise(path: &Path, later: u64) -> std::io::Result<()> {
-    let kept = std::fs::read_to_string(path).ok().and_then(|text| text.trim().parse::<u64>().ok());
+    let kept = std::fs::read_to_string(path)
+        .ok()
+        .and_then(|text| text.trim().parse::<u64>().ok());
     match kept {
         Some(kept) if kept >= later => Ok(()),
         _ => write(path, later),
@@ -71,7 +81,11 @@
         std::fs::write(&path, ahead.to_string()).expect("a file");
         assert_eq!(number(Some(&path)).ok(), Some(ahead + 1));
         raise(&path, ahead).expect("kept");
-        assert_eq!(number(Some(&path)).ok(), Some(ahead + 2), "an earlier one lowers nothing");
+        assert_eq!(
+            number(Some(&path)).ok(),
+            Some(ahead + 2),
+            "an earlier one lowers nothing"
+        );
         raise(&path, ahead + 9).expect("kept");
         assert_eq!(number(Some(&path)).ok(), Some(ahead + 10));
         std::fs::write(&path, "x7").expect("a file");
--- a/crates/cluster-net/src/views.rs
+++ b/crates/cluster-net/src/views.rs
@@ -75,10 +75,18 @@
             standing: format!("{:?}", view.standing).to_lowercase(),
             fenced_by: view.fenced_by.map(|s| s.process),
             at_ms: now.as_millis() as u64,
-            steward: whole.shares.steward().map(|key| whole.member.name_of(key)).unwrap_or_default(),
+            steward: whole
+                .shares
+                .steward()
+                .map(|key| whole.member.name_of(key))
+                .unwrap_or_default(),
             part: lent + base(whole.member.roster().len()),
             members: view.members.iter().map(line).collect(),
-            dropped: view.dropped.iter().map(|(why, n)| (why.name().to_string(), *n)).collect(),
+            dropped: view
+                .dropped
+                .iter()
+                .map(|(why, n)| (why.name().to_string(), *n))
+                .collect(),
         }
     }
 }
@@ -113,7 +121,9 @@
     stream.set_write_timeout(Some(ASKER))?;
     let mut question = String::new();
     let mut reader = BufReader::new(stream.try_clone()?);
-    (&mut reader).take(QUESTION_BYTES).read_line(&mut question)?;
+    (&mut reader)
+        .take(QUESTION_BYTES)
+        .read_line(&mut question)?;
     if question.split_whitespace().next() == Some(links::WORD) {
         link(reader);
         return Ok(());
--- a/crates/cluster-net/tests/beside.rs
+++ b/crates/cluster-net/tests/beside.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use bitternlatch_quota_lease::{Beside, Given, KeepError, Wanted};
+use bitternlatch_cluster_net::{Asker, Batch, Plane, Store};
 use bitternlatch_core::settings::{Cluster, Peer};
 use bitternlatch_membership::{NameKey, Topic};
-use bitternlatch_cluster_net::{Asker, Batch, Plane, Store};
+use bitternlatch_quota_lease::{Beside, Given, KeepError, Wanted};
 use crossbeam_channel::{unbounded, Receiver};
 
 /// Passes on what it is asked, and tells all that it hears.
@@ -34,13 +34,20 @@
             Given::Wake | Given::Peers(_) => {}
             Given::Ask(Ask::Say(to, said)) => out.push(Wanted::Say(to, said)),
             Given::Ask(Ask::Send(to, said)) => out.push(Wanted::Send(to, said)),
-            Given::Ask(Ask::Keep(ticket, name)) => {
-                out.push(Wanted::Keep { ticket, name, bytes: Some(b"kept".to_vec()) })
-            }
+            Given::Ask(Ask::Keep(ticket, name)) => out.push(Wanted::Keep {
+                ticket,
+                name,
+                bytes: Some(b"kept".to_vec()),
+            }),
             Given::Said { said, .. } => out.push(Wanted::Tell(format!("said {}", said.len()))),
             Given::Frame { said, .. } => out.push(Wanted::Tell(format!("frame {}", said.len()))),
-            Given::Found(found) => out.push(Wanted::Tell(format!("found {}", found.map_or(0, |f| f.len())))),
-            Given::Kept { ticket, done } => out.push(Wanted::Tell(format!("kept {ticket} {}", done.is_ok()))),
+            Given::Found(found) => out.push(Wanted::Tell(format!(
+                "found {}",
+                found.map_or(0, |f| f.len())
+            ))),
+            Given::Kept { ticket, done } => {
+                out.push(Wanted::Tell(format!("kept {ticket} {}", done.is_ok())))
+            }
             Given::Leave => out.push(Wanted::Tell("leaves".to_string())),
         }
     }
@@ -66,20 +73,37 @@
     SocketAddrV4::new(host.into(), 7811 + n)
 }
 
-fn start(n: u16, store: Option<Box<dyn Store>>, dir: &Path) -> (Plane, Asker<Ask>, Receiver<String>) {
-    let peer = |n| Peer { name: format!("d{n}"), address: address(n), clients: None };
+fn start(
+    n: u16,
+    store: Option<Box<dyn Store>>,
+    dir: &Path,
+) -> (Plane, Asker<Ask>, Receiver<String>) {
+    let peer = |n| Peer {
+        name: format!("d{n}"),
+        address: address(n),
+        clients: None,
+    };
     let roster = vec![peer(1), peer(2)];
-    let cluster = Cluster { name: "hall".into(), secret: "secret".into(), roster, ..Cluster::default() };
+    let cluster = Cluster {
+        name: "hall".into(),
+        secret: "secret".into(),
+        roster,
+        ..Cluster::default()
+    };
     let mut plane = Plane::join(&cluster, &format!("d{n}"), dir, |_| ()).expect("a plane");
     let (to, heard) = unbounded();
-    let asker = plane.beside(Echo, store, move |told| drop(to.send(told))).expect("a machine");
+    let asker = plane
+        .beside(Echo, store, move |told| drop(to.send(told)))
+        .expect("a machine");
     (plane, asker, heard)
 }
 
 fn until(heard: &Receiver<String>, what: &str) {
     let by = Instant::now() + Duration::from_secs(20);
     loop {
-        let told = heard.recv_deadline(by).unwrap_or_else(|_| panic!("'{what}' has not come"));
+        let told = heard
+            .recv_deadline(by)
+            .unwrap_or_else(|_| panic!("'{what}' has not come"));
         if told == what {
             return;
         }
@@ -114,11 +138,27 @@
 #[test]
 fn a_cluster_without_its_secret_is_told_how_to_make_one() {
     let dir = tempfile::tempdir().expect("a folder");
-    let roster = vec![Peer { name: "d1".into(), address: address(1), clients: None }];
-    let cluster = Cluster { name: "hall".into(), secret: "secret".into(), roster, ..Cluster::default() };
-    let why = Plane::check(&cluster, "d1", dir.path()).expect_err("no secret").told();
-    assert!(why.contains("secret: No such file") && why.contains("head -c 32"), "{why}");
+    let roster = vec![Peer {
+        name: "d1".into(),
+        address: address(1),
+        clients: None,
+    }];
+    let cluster = Cluster {
+        name: "hall".into(),
+        secret: "secret".into(),
+        roster,
+        ..Cluster::default()
+    };
+    let why = Plane::check(&cluster, "d1", dir.path())
+        .expect_err("no secret")
+        .told();
+    assert!(
+        why.contains("secret: No such file") && why.contains("head -c 32"),
+        "{why}"
+    );
     std::fs::write(dir.path().join("secret"), "short").expect("a file");
-    let why = Plane::check(&cluster, "d1", dir.path()).expect_err("a short one").told();
+    let why = Plane::check(&cluster, "d1", dir.path())
+        .expect_err("a short one")
+        .told();
     assert!(why.contains("5 bytes; a secret has 16 to 4096"), "{why}");
 }
--- a/crates/cluster-net/tests/kept.rs
+++ b/crates/cluster-net/tests/kept.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
-use bitternlatch_quota_lease::KeepError;
 use bitternlatch_cluster_net::{Batch, Kept, Store};
+use bitternlatch_quota_lease::KeepError;
 use redb::StorageBackend;
 
 fn some(name: &str, bytes: &[u8]) -> (Vec<u8>, Option<Vec<u8>>) {
@@ -28,7 +28,8 @@
     assert_eq!(kept.load(), Ok(vec![]));
     let batch: Batch = vec![some("a", b"1"), some("b", &[7; 50_000]), some("c", b"")];
     kept.put(batch).expect("kept");
-    kept.put(vec![some("a", b"2"), (b"b".to_vec(), None)]).expect("kept");
+    kept.put(vec![some("a", b"2"), (b"b".to_vec(), None)])
+        .expect("kept");
     let whole = vec![(b"a".to_vec(), b"2".to_vec()), (b"c".to_vec(), vec![])];
     assert_eq!(kept.load(), Ok(whole.clone()));
     let other = words(Kept::at(&path).load().expect_err("open already"));
@@ -43,7 +44,9 @@
     let at = |name: &str| dir.path().join(name);
     let good = at("good.redb");
     let mut kept = Kept::at(&good);
-    let batch = (0..200u32).map(|i| some(&format!("name-{i}"), &[i as u8; 300])).collect();
+    let batch = (0..200u32)
+        .map(|i| some(&format!("name-{i}"), &[i as u8; 300]))
+        .collect();
     kept.put(batch).expect("kept");
     let found = kept.load().expect("all");
     drop(kept);
@@ -74,12 +77,20 @@
         }
     }
     assert!(noticed > 3, "{noticed} flipped bits are noticed");
-    fs::write(at("text"), "not a store at all, but some longer text".repeat(200)).expect("a file");
+    fs::write(
+        at("text"),
+        "not a store at all, but some longer text".repeat(200),
+    )
+    .expect("a file");
     assert!(words(Kept::at(&at("text")).load().expect_err("foreign")).contains("move it away"));
     let make = |name: &str, table: redb::TableDefinition<'_, &str, u64>| {
         let db = redb::Database::create(at(name)).expect("a database");
         let write = db.begin_write().expect("a write");
-        write.open_table(table).expect("a table").insert("version", 9).expect("put");
+        write
+            .open_table(table)
+            .expect("a table")
+            .insert("version", 9)
+            .expect("put");
         write.commit().expect("written");
     };
     make("foreign", redb::TableDefinition::new("others"));
@@ -102,7 +113,9 @@
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), Error> {
         let bytes = self.bytes.lock().expect("not poisoned");
         let from = offset as usize;
-        let part = bytes.get(from..from + out.len()).ok_or(Error::from(ErrorKind::UnexpectedEof))?;
+        let part = bytes
+            .get(from..from + out.len())
+            .ok_or(Error::from(ErrorKind::UnexpectedEof))?;
         out.copy_from_slice(part);
         Ok(())
     }
@@ -110,7 +123,10 @@
         if len > self.room.load(Ordering::SeqCst) {
             return Err(Error::from(ErrorKind::StorageFull));
         }
-        self.bytes.lock().expect("not poisoned").resize(len as usize, 0);
+        self.bytes
+            .lock()
+            .expect("not poisoned")
+            .resize(len as usize, 0);
         Ok(())
     }
     fn sync_data(&self) -> Result<(), Error> {
@@ -129,12 +145,19 @@
 
 #[test]
 fn a_full_disk_is_named_keeps_what_it_had_and_goes_on_once_there_is_room() {
-    let disk = Small { bytes: Arc::default(), room: Arc::new(AtomicU64::new(4 << 20)) };
+    let disk = Small {
+        bytes: Arc::default(),
+        room: Arc::new(AtomicU64::new(4 << 20)),
+    };
     let own = disk.clone();
     let mut kept = Kept::over(move || own.clone());
     kept.put(vec![some("first", b"1")]).expect("kept");
-    let big =
-        |i: u32| vec![some(&format!("big-{i}"), &vec![i as u8; 300_000]), some("last", &i.to_le_bytes())];
+    let big = |i: u32| {
+        vec![
+            some(&format!("big-{i}"), &vec![i as u8; 300_000]),
+            some("last", &i.to_le_bytes()),
+        ]
+    };
     let full = (0..100).find_map(|i| kept.put(big(i)).err().map(|e| (i, e)));
     let (at, error) = full.expect("it runs full");
     assert_eq!(error, KeepError::Full);
--- a/crates/connection-limits/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -36,7 +36,11 @@
 
     /// Lets one in; also gives the one that has to go for it.
     pub fn enter(&mut self, address: IpAddr) -> (Visitor, Option<Visitor>) {
-        let gone = if self.inside.len() >= self.most { self.displaced(address) } else { None };
+        let gone = if self.inside.len() >= self.most {
+            self.displaced(address)
+        } else {
+            None
+        };
         if let Some(gone) = gone {
             self.leave(gone);
             self.sent_away += 1;
@@ -50,14 +54,20 @@
 
     /// The oldest of the address that would have the most, the newcomer counted.
     fn displaced(&self, newcomer: IpAddr) -> Option<Visitor> {
-        let weight = |(address, n): (&IpAddr, &usize)| (n + usize::from(*address == newcomer), *address);
+        let weight =
+            |(address, n): (&IpAddr, &usize)| (n + usize::from(*address == newcomer), *address);
         let (_, crowd) = self.by_address.iter().map(weight).max()?;
-        self.inside.iter().find(|(_, a)| **a == crowd).map(|(v, _)| *v)
+        self.inside
+            .iter()
+            .find(|(_, a)| **a == crowd)
+            .map(|(v, _)| *v)
     }
 
     /// Its handshake has ended, one way or another; false where it had been sent away before.
     pub fn leave(&mut self, visitor: Visitor) -> bool {
-        let Some(address) = self.inside.remove(&visitor) else { return false };
+        let Some(address) = self.inside.remove(&visitor) else {
+            return false;
+        };
         if let Some(n) = self.by_address.get_mut(&address) {
             *n -= 1;
             if *n == 0 {
@@ -97,7 +107,11 @@
         for oldest in &crowd {
             assert_eq!(room.enter(ip(2)).1, Some(*oldest));
         }
-        assert_eq!(room.enter(ip(3)).1.map(|v| v > crowd[2]), Some(true), "the crowd's own again");
+        assert_eq!(
+            room.enter(ip(3)).1.map(|v| v > crowd[2]),
+            Some(true),
+            "the crowd's own again"
+        );
         assert!(room.leave(quiet), "the quiet one was left alone");
         assert!(!room.leave(crowd[0]), "one that was sent away has left");
         assert_eq!((room.len(), room.sent_away()), (3, 4));
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -3,7 +3,8 @@
 use bitternlatch_policy::interface::{AttemptEnd, Event, Outcome, RequestId, ServerId};
 use bitternlatch_protocol::client::{InputDetails, Usage};
 use bitternlatch_protocol::engine::{
-    decode, encode, Chunk, EngineError, EngineState, FromEngine, Load, ToEngine, CODE_FULL, CODE_STATE_GONE,
+    decode, encode, Chunk, EngineError, EngineState, FromEngine, Load, ToEngine, CODE_FULL,
+    CODE_STATE_GONE,
 };
 
 use crate::links::{again, Queued};
@@ -34,12 +35,23 @@
             self.end_over_link(now, link, out);
         }
         let jitter = self.chance();
-        let Some((queued, pause_s)) = self.links.down(link, jitter) else { return };
+        let Some((queued, pause_s)) = self.links.down(link, jitter) else {
+            return;
+        };
         self.hand_back(now, queued, out);
         if let Some(at) = again(now, pause_s) {
-            self.timers.set(at, Timer::Link { host: link.host, epoch: link.epoch });
-        }
-        let name = self.fleet.get(link.host).map_or("a host that left the list", |k| k.host.name.as_str());
+            self.timers.set(
+                at,
+                Timer::Link {
+                    host: link.host,
+                    epoch: link.epoch,
+                },
+            );
+        }
+        let name = self
+            .fleet
+            .get(link.host)
+            .map_or("a host that left the list", |k| k.host.name.as_str());
         log(out, Level::Warn, format!("link to {name} is down: {why}"));
     }
 
@@ -58,8 +70,12 @@
                 None => self.end_attempt(now, id, Outcome::Reset, 0, Vec::new(), out),
             }
         }
-        let probes: Vec<u64> =
-            self.probes.iter().filter(|(_, p)| p.link == link).map(|(id, _)| *id).collect();
+        let probes: Vec<u64> = self
+            .probes
+            .iter()
+            .filter(|(_, p)| p.link == link)
+            .map(|(id, _)| *id)
+            .collect();
         for id in probes {
             self.end_probe(now, id, Outcome::Reset, Vec::new());
         }
@@ -67,7 +83,10 @@
 
     fn ended_reason(&self, id: RequestId) -> Option<String> {
         let attempt = self.requests.get(&id)?.attempt.as_ref()?;
-        attempt.finish_reason.clone().filter(|_| attempt.purpose != Purpose::Read)
+        attempt
+            .finish_reason
+            .clone()
+            .filter(|_| attempt.purpose != Purpose::Read)
     }
 
     /// Attempts whose message never left are told as not connected.
@@ -85,17 +104,32 @@
     }
 
     fn end_unsent(&mut self, now: Micros, id: RequestId, number: u16, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         if let Some(attempt) = request.attempt.as_mut().filter(|a| a.number == number) {
             attempt.stage = Stage::Queued;
             self.end_attempt(now, id, Outcome::ConnectFailed, 0, Vec::new(), out);
         }
     }
 
-    pub(crate) fn on_unsent(&mut self, now: Micros, link: LinkId, attempt: &str, out: &mut Vec<Output>) {
-        let Some((id, number)) = read_wire_id(self.instance, attempt) else { return };
+    pub(crate) fn on_unsent(
+        &mut self,
+        now: Micros,
+        link: LinkId,
+        attempt: &str,
+        out: &mut Vec<Output>,
+    ) {
+        let Some((id, number)) = read_wire_id(self.instance, attempt) else {
+            return;
+        };
         let over = |a: &Attempt| a.link == link && a.stage == Stage::Out;
-        if self.requests.get(&id).and_then(|r| r.attempt.as_ref()).is_some_and(over) {
+        if self
+            .requests
+            .get(&id)
+            .and_then(|r| r.attempt.as_ref())
+            .is_some_and(over)
+        {
             self.end_unsent(now, id, number, out);
         }
     }
@@ -109,13 +143,21 @@
         }
     }
 
-    pub(crate) fn on_engine_text(&mut self, now: Micros, link: LinkId, text: &str, out: &mut Vec<Output>) {
+    pub(crate) fn on_engine_text(
+        &mut self,
+        now: Micros,
+        link: LinkId,
+        text: &str,
+        out: &mut Vec<Output>,
+    ) {
         let message: FromEngine = match decode(text) {
             Ok(message) => message,
             Err(e) => return self.fault(link, &format!("not a message known here: {e}"), out),
         };
         match message {
-            FromEngine::Hello { uptime_s, state, .. } => self.on_hello(now, link, uptime_s, state, out),
+            FromEngine::Hello {
+                uptime_s, state, ..
+            } => self.on_hello(now, link, uptime_s, state, out),
             FromEngine::State { state } => self.on_state(now, link, state, out),
             FromEngine::Load { id, load } => {
                 let report = self.report(Some(&load));
@@ -126,7 +168,9 @@
             }
             FromEngine::Chunk { id, body } => self.on_chunk(now, link, &id, body, out),
             FromEngine::Done { id, load } => self.on_done(now, link, &id, load.as_ref(), out),
-            FromEngine::Error { id, error, load, .. } => {
+            FromEngine::Error {
+                id, error, load, ..
+            } => {
                 if let Some(request) = self.current(now, link, &id, out) {
                     let report = self.report(load.as_ref());
                     self.end_attempt(now, request, outcome_of(&error), 0, report, out);
@@ -137,10 +181,19 @@
 
     /// Tells a host what was wrong with a message of its, and the log.
     fn fault(&self, link: LinkId, why: &str, out: &mut Vec<Output>) {
-        let name = self.fleet.get(link.host).map_or("a host that left the list", |k| k.host.name.as_str());
+        let name = self
+            .fleet
+            .get(link.host)
+            .map_or("a host that left the list", |k| k.host.name.as_str());
         log(out, Level::Warn, format!("{name}: {why}"));
-        let text = encode(&ToEngine::Fault { message: why.to_string() });
-        out.push(Output::Tell { link, text, stale: None });
+        let text = encode(&ToEngine::Fault {
+            message: why.to_string(),
+        });
+        out.push(Output::Tell {
+            link,
+            text,
+            stale: None,
+        });
     }
 
     fn on_hello(
@@ -155,11 +208,17 @@
             return;
         }
         let warm_after_s = self.settings.rules.cold.warm_after_s;
-        let Some((entry, anew)) = self.fleet.greeted(now, link.host, uptime_s, state, warm_after_s) else {
+        let Some((entry, anew)) = self
+            .fleet
+            .greeted(now, link.host, uptime_s, state, warm_after_s)
+        else {
             return;
         };
         let form = bitternlatch_policy::interface::ListForm::Delta;
-        self.events.push_back(Event::Servers { form, entries: vec![entry] });
+        self.events.push_back(Event::Servers {
+            form,
+            entries: vec![entry],
+        });
         let queued = self.links.greeted(link);
         if anew || state == EngineState::Draining {
             // What was decided for the host before its restart was known does not hold: a cold host takes less.
@@ -194,7 +253,10 @@
         }
         if let Some(entry) = self.fleet.said(link.host, state) {
             let form = bitternlatch_policy::interface::ListForm::Delta;
-            self.events.push_back(Event::Servers { form, entries: vec![entry] });
+            self.events.push_back(Event::Servers {
+                form,
+                entries: vec![entry],
+            });
             if state == EngineState::Draining {
                 self.hand_back_queued(now, link.host, out);
             }
@@ -203,10 +265,20 @@
 
     /// The request whose current attempt a message is about; a word on an attempt that is over is passed over, and one
     /// with an id never given out is a fault.
-    fn current(&mut self, now: Micros, link: LinkId, id: &str, out: &mut Vec<Output>) -> Option<RequestId> {
+    fn current(
+        &mut self,
+        now: Micros,
+        link: LinkId,
+        id: &str,
+        out: &mut Vec<Output>,
+    ) -> Option<RequestId> {
         let Some((request, number)) = read_wire_id(self.instance, id) else {
             let shown: String = id.chars().take(60).collect();
-            self.fault(link, &format!("'{shown}' is no request of this dispatcher"), out);
+            self.fault(
+                link,
+                &format!("'{shown}' is no request of this dispatcher"),
+                out,
+            );
             return None;
         };
         let attempt = self.requests.get_mut(&request)?.attempt.as_mut()?;
@@ -217,8 +289,18 @@
         Some(request)
     }
 
-    fn on_chunk(&mut self, now: Micros, link: LinkId, wire: &str, body: Chunk, out: &mut Vec<Output>) {
-        let kept = body.kv_transfer_params.as_ref().is_some_and(|p| p.do_remote_prefill);
+    fn on_chunk(
+        &mut self,
+        now: Micros,
+        link: LinkId,
+        wire: &str,
+        body: Chunk,
+        out: &mut Vec<Output>,
+    ) {
+        let kept = body
+            .kv_transfer_params
+            .as_ref()
+            .is_some_and(|p| p.do_remote_prefill);
         let Some(id) = self.current(now, link, wire, out) else {
             if kept && read_wire_id(self.instance, wire).is_some() {
                 // A read that was given up on has ended after all: nobody will fetch its state.
@@ -226,15 +308,21 @@
             }
             return;
         };
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(attempt) = request.attempt.as_mut() else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = request.attempt.as_mut() else {
+            return;
+        };
         if let Some(usage) = body.usage {
             attempt.usage = Some(usage);
         }
         if kept {
             attempt.state = body.kv_transfer_params;
         }
-        let Some(choice) = body.choices.into_iter().next() else { return };
+        let Some(choice) = body.choices.into_iter().next() else {
+            return;
+        };
         if choice.finish_reason.is_some() {
             attempt.finish_reason = choice.finish_reason;
         }
@@ -244,11 +332,18 @@
     }
 
     fn on_piece(&mut self, now: Micros, id: RequestId, piece: &str, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let most =
-            (request.max_tokens as usize).saturating_mul(ANSWER_BYTES.0).saturating_add(ANSWER_BYTES.1);
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let most = (request.max_tokens as usize)
+            .saturating_mul(ANSWER_BYTES.0)
+            .saturating_add(ANSWER_BYTES.1);
         if request.text.len() + piece.len() > most {
-            log(out, Level::Warn, format!("{}: the engine sent more than it may", request.response.id));
+            log(
+                out,
+                Level::Warn,
+                format!("{}: the engine sent more than it may", request.response.id),
+            );
             self.tell_cancel(id, out);
             return self.end_attempt(now, id, Outcome::Error, 0, Vec::new(), out);
         }
@@ -257,19 +352,37 @@
         if let Some(attempt) = request.attempt.as_mut().filter(|a| a.stage == Stage::Out) {
             attempt.stage = Stage::Streaming;
             self.shed.begun(now, &mut request.counted);
-            let (number, server, elapsed_s) = (attempt.number, attempt.host, now.since(attempt.sent));
+            let (number, server, elapsed_s) =
+                (attempt.number, attempt.host, now.since(attempt.sent));
             // The state has been fetched: nothing of it is held any more.
             request.state = None;
-            self.timers.set(now.after(stall_s), Timer::Stall { request: id });
-            self.events.push_back(Event::FirstToken { request: id, attempt: number, server, elapsed_s });
+            self.timers
+                .set(now.after(stall_s), Timer::Stall { request: id });
+            self.events.push_back(Event::FirstToken {
+                request: id,
+                attempt: number,
+                server,
+                elapsed_s,
+            });
         }
         self.say_delta(id, piece, out);
     }
 
-    fn on_done(&mut self, now: Micros, link: LinkId, wire: &str, load: Option<&Load>, out: &mut Vec<Output>) {
-        let Some(id) = self.current(now, link, wire, out) else { return };
+    fn on_done(
+        &mut self,
+        now: Micros,
+        link: LinkId,
+        wire: &str,
+        load: Option<&Load>,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(id) = self.current(now, link, wire, out) else {
+            return;
+        };
         let report = self.report(load);
-        let Some(attempt) = self.requests.get(&id).and_then(|r| r.attempt.as_ref()) else { return };
+        let Some(attempt) = self.requests.get(&id).and_then(|r| r.attempt.as_ref()) else {
+            return;
+        };
         match (attempt.purpose, attempt.finish_reason.clone()) {
             (Purpose::Read, _) => self.end_read(now, id, report, out),
             (_, Some(reason)) => self.end_served(now, id, &reason, report, out),
@@ -279,11 +392,18 @@
 
     fn end_read(&mut self, now: Micros, id: RequestId, report: Vec<f64>, out: &mut Vec<Output>) {
         let made_by = |a: &Attempt| wire_id(self.instance, id, a.number);
-        let Some(attempt) = self.requests.get(&id).and_then(|r| r.attempt.as_ref()) else { return };
+        let Some(attempt) = self.requests.get(&id).and_then(|r| r.attempt.as_ref()) else {
+            return;
+        };
         let Some(params) = attempt.state.clone() else {
             return self.end_attempt(now, id, Outcome::Error, 0, report, out);
         };
-        let state = HeldState { host: attempt.host, made_by: made_by(attempt), params, release: false };
+        let state = HeldState {
+            host: attempt.host,
+            made_by: made_by(attempt),
+            params,
+            release: false,
+        };
         let cached = cached_tokens(attempt);
         if let Some(request) = self.requests.get_mut(&id) {
             request.state = Some(state);
@@ -299,13 +419,19 @@
         report: Vec<f64>,
         out: &mut Vec<Output>,
     ) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(attempt) = request.attempt.as_ref() else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = request.attempt.as_ref() else {
+            return;
+        };
         let cached = cached_tokens(attempt);
         if let Some(usage) = attempt.usage {
             request.usage = Usage {
                 input_tokens: usage.prompt_tokens,
-                input_tokens_details: InputDetails { cached_tokens: cached },
+                input_tokens_details: InputDetails {
+                    cached_tokens: cached,
+                },
                 output_tokens: usage.completion_tokens,
                 total_tokens: usage.total_tokens,
             };
@@ -324,9 +450,16 @@
         report: Vec<f64>,
         out: &mut Vec<Output>,
     ) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(attempt) = request.attempt.take() else { return };
-        let never_ran = matches!(outcome, Outcome::ReadDone | Outcome::Full { .. } | Outcome::ConnectFailed);
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = request.attempt.take() else {
+            return;
+        };
+        let never_ran = matches!(
+            outcome,
+            Outcome::ReadDone | Outcome::Full { .. } | Outcome::ConnectFailed
+        );
         if attempt.purpose != Purpose::Read && !never_ran {
             request.may_have_run = true;
         }
@@ -343,9 +476,20 @@
         self.note_outcome(now, attempt.host, outcome);
         out.extend(self.shed.tried(attempt.host, outcome).map(Output::Overload));
         if attempt.stage == Stage::Streaming && outcome != Outcome::Served {
-            self.fail(now, id, "server_error", "the answer broke off; it may have run", out);
-        }
-        if self.requests.get(&id).and_then(|r| r.state.as_ref()).is_some_and(|state| state.release) {
+            self.fail(
+                now,
+                id,
+                "server_error",
+                "the answer broke off; it may have run",
+                out,
+            );
+        }
+        if self
+            .requests
+            .get(&id)
+            .and_then(|r| r.state.as_ref())
+            .is_some_and(|state| state.release)
+        {
             self.release(id, out);
         }
         let finished = self.requests.get(&id).is_none_or(|r| r.answered);
@@ -362,14 +506,22 @@
         self.tidy(id, out);
     }
 
-    pub(crate) fn on_attempt_time(&mut self, now: Micros, id: RequestId, number: u16, out: &mut Vec<Output>) {
+    pub(crate) fn on_attempt_time(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        number: u16,
+        out: &mut Vec<Output>,
+    ) {
         let current = self.requests.get(&id).and_then(|r| r.attempt.as_ref());
-        let Some(attempt) = current.filter(|a| a.number == number && a.stage != Stage::Streaming) else {
+        let Some(attempt) = current.filter(|a| a.number == number && a.stage != Stage::Streaming)
+        else {
             return;
         };
         if attempt.stage == Stage::Queued {
             let host = attempt.host;
-            self.links.take_back(host, &wire_id(self.instance, id, number));
+            self.links
+                .take_back(host, &wire_id(self.instance, id, number));
             return self.end_unsent(now, id, number, out);
         }
         self.tell_cancel(id, out);
@@ -378,11 +530,23 @@
 
     /// The client's time is up. The module has answered by now; should it not have, the rule is kept here.
     pub(crate) fn on_deadline(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id).filter(|r| !r.streaming()) else { return };
+        let Some(request) = self.requests.get(&id).filter(|r| !r.streaming()) else {
+            return;
+        };
         let number = request.attempt.as_ref().map(|a| a.number);
         if !request.answered {
-            log(out, Level::Error, format!("{}: unanswered at its deadline", request.response.id));
-            self.fail(now, id, "server_error", "not answered in time; it may have run", out);
+            log(
+                out,
+                Level::Error,
+                format!("{}: unanswered at its deadline", request.response.id),
+            );
+            self.fail(
+                now,
+                id,
+                "server_error",
+                "not answered in time; it may have run",
+                out,
+            );
             self.events.push_back(Event::ClientGone { request: id });
         }
         if let Some(number) = number {
@@ -392,11 +556,15 @@
 
     /// A stream that has said nothing for as long as a first token may take has stalled.
     pub(crate) fn on_stall(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id).filter(|r| r.streaming()) else { return };
+        let Some(request) = self.requests.get(&id).filter(|r| r.streaming()) else {
+            return;
+        };
         let most_s = self.settings.classes[usize::from(request.class)].deadline_s;
         let heard = request.attempt.as_ref().map_or(now, |a| a.heard);
         if now.since(heard) < most_s {
-            return self.timers.set(heard.after(most_s), Timer::Stall { request: id });
+            return self
+                .timers
+                .set(heard.after(most_s), Timer::Stall { request: id });
         }
         self.tell_cancel(id, out);
         self.end_attempt(now, id, Outcome::TimedOut, 0, Vec::new(), out);
@@ -410,7 +578,13 @@
             let value = load.get(&f.name).copied().map(|v| f64::from(v as f32));
             value.filter(|v| v.is_finite() && *v >= 0.0)
         };
-        self.settings.reports.fields.iter().map(value).collect::<Option<Vec<f64>>>().unwrap_or_default()
+        self.settings
+            .reports
+            .fields
+            .iter()
+            .map(value)
+            .collect::<Option<Vec<f64>>>()
+            .unwrap_or_default()
     }
 }
 
--- a/crates/core/src/budgets.rs
+++ b/crates/core/src/budgets.rs
@@ -28,7 +28,11 @@
 
 impl From<BadRequest> for Denied {
     fn from(bad: BadRequest) -> Denied {
-        Denied { bad, retry_after_s: None, elsewhere: vec![] }
+        Denied {
+            bad,
+            retry_after_s: None,
+            elsewhere: vec![],
+        }
     }
 }
 
@@ -36,21 +40,37 @@
     /// The event that says so.
     pub(crate) fn to_text(&self, create: &Create) -> String {
         let own = (self.bad.status == 429).then_some(COME_BACK_S);
-        let again = self.retry_after_s.or(own).map(|s| (s * 1000.0).ceil() as u64);
+        let again = self
+            .retry_after_s
+            .or(own)
+            .map(|s| (s * 1000.0).ceil() as u64);
         client::error_elsewhere(&self.bad, again, Some(&create.metadata), &self.elsewhere)
     }
 
     pub(crate) fn by_workflow(why: Refusal) -> Denied {
         let bad = refused(why);
         let retry_after_s = (bad.status == 503).then_some(COME_BACK_S);
-        Denied { bad, retry_after_s, elsewhere: vec![] }
+        Denied {
+            bad,
+            retry_after_s,
+            elsewhere: vec![],
+        }
     }
 
     /// Refused at once by what all shed together; asking again is harmless.
     pub(crate) fn by_shedding(retry_after_s: f64) -> Denied {
         let message = "no place now for what it asks; asking again is harmless".to_string();
-        let bad = BadRequest { status: 429, code: "rate_limit_exceeded", message, param: None };
-        Denied { bad, retry_after_s: Some(retry_after_s), elsewhere: vec![] }
+        let bad = BadRequest {
+            status: 429,
+            code: "rate_limit_exceeded",
+            message,
+            param: None,
+        };
+        Denied {
+            bad,
+            retry_after_s: Some(retry_after_s),
+            elsewhere: vec![],
+        }
     }
 
     pub(crate) fn by_budget(short: Short) -> Denied {
@@ -92,7 +112,10 @@
     /// fault and not the tenant's.
     fn counted(&self) -> Option<Amount> {
         let usage = (self.usage.total_tokens > 0).then_some(self.usage)?;
-        Some(Amount { prompt: usage.input_tokens, output: usage.output_tokens.min(self.max_tokens) })
+        Some(Amount {
+            prompt: usage.input_tokens,
+            output: usage.output_tokens.min(self.max_tokens),
+        })
     }
 
     /// What it is to be charged as things stand; nothing for what is known not to have run or is refused.
@@ -108,7 +131,13 @@
 
 impl Machine {
     /// Tells a session what is left, where its tenant is near a bound.
-    pub(crate) fn say_left(&mut self, now: Micros, tenant: u32, session: SessionId, out: &mut Vec<Output>) {
+    pub(crate) fn say_left(
+        &mut self,
+        now: Micros,
+        tenant: u32,
+        session: SessionId,
+        out: &mut Vec<Output>,
+    ) {
         if let Some(near) = self.book.near(now.seconds(), tenant) {
             let text = client::rate_limits(near.limit as u64, near.remaining as u64, near.reset_s);
             out.push(Output::Say { session, text });
@@ -116,28 +145,49 @@
     }
 
     /// The entry for a final answer, before the answer itself.
-    pub(crate) fn charge_answer(&mut self, id: RequestId, answer: &Response, out: &mut Vec<Output>) {
+    pub(crate) fn charge_answer(
+        &mut self,
+        id: RequestId,
+        answer: &Response,
+        out: &mut Vec<Output>,
+    ) {
         let served = matches!(answer.status, Status::Completed | Status::Incomplete);
         let refused = answer.error.as_ref().is_some_and(|e| e.safe_to_repeat);
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.refused = refused;
         let used = request.used(served, refused);
         self.charge(id, used, out);
     }
 
     fn charge(&mut self, id: RequestId, used: Option<Used>, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(used) = used.filter(|u| request.charged.last != Some(*u)) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(used) = used.filter(|u| request.charged.last != Some(*u)) else {
+            return;
+        };
         request.charged.last = Some(used);
         request.charged.entries += 1;
-        let tenant = self.settings.tenants.get(request.tenant as usize).map(|t| t.name.clone());
+        let tenant = self
+            .settings
+            .tenants
+            .get(request.tenant as usize)
+            .map(|t| t.name.clone());
         out.push(Output::Charge(Entry {
             response: request.response.id.clone(),
             number: request.charged.entries,
             tenant: tenant.unwrap_or_default(),
-            class: self.settings.classes[usize::from(request.class)].name.clone(),
+            class: self.settings.classes[usize::from(request.class)]
+                .name
+                .clone(),
             owner: request.owner.clone(),
-            key: request.key.as_ref().map(|k| k.text.clone()).unwrap_or_default(),
+            key: request
+                .key
+                .as_ref()
+                .map(|k| k.text.clone())
+                .unwrap_or_default(),
             taken_us: request.taken.0,
             used,
         }));
@@ -146,10 +196,14 @@
     /// Nothing of the request is out any more: what is known by now is charged, and the rest of its hold is given back. What may have been
     /// used stays taken: the engine has worked for it.
     pub(crate) fn settle(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         let used = request.used(false, request.refused);
         self.charge(id, used, out);
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         let used = match request.charged.last {
             Some(Used::Known(amount) | Used::Possibly(amount)) => amount,
             None => Amount::default(),
@@ -165,10 +219,16 @@
     pub(crate) fn open_accounts(&mut self, now: Micros) {
         let share = 1.0 / self.sharers() as f64;
         let classes = &self.settings.classes;
-        let number = |name: &str| classes.iter().position(|c| c.name == name).map(|i| i as u16);
+        let number = |name: &str| {
+            classes
+                .iter()
+                .position(|c| c.name == name)
+                .map(|i| i as u16)
+        };
         for (i, tenant) in self.settings.tenants.iter().enumerate() {
             if let Some(budget) = &tenant.budget {
-                self.book.open(now.seconds(), i as u32, budget, share, number);
+                self.book
+                    .open(now.seconds(), i as u32, budget, share, number);
             }
         }
     }
--- a/crates/core/src/callers.rs
+++ b/crates/core/src/callers.rs
@@ -36,7 +36,12 @@
 }
 
 fn refused(status: u16, code: &'static str, message: String, param: Option<&str>) -> BadRequest {
-    BadRequest { status, code, message, param: param.map(str::to_string) }
+    BadRequest {
+        status,
+        code,
+        message,
+        param: param.map(str::to_string),
+    }
 }
 
 impl Machine {
@@ -53,11 +58,21 @@
         }
         let caller = self.sessions.caller(session);
         if let Some(ending) = self.sessions.ending(session) {
-            return Err(refused(401, ending.code(), "the proof of the caller no longer counts".into(), None));
+            return Err(refused(
+                401,
+                ending.code(),
+                "the proof of the caller no longer counts".into(),
+                None,
+            ));
         }
         let proofs_s = self.proofs_s(now);
         let Some(caller) = caller.filter(|c| proofs_s < c.ends) else {
-            return Err(refused(401, "token_expired", "the proof of the caller has ended".into(), None));
+            return Err(refused(
+                401,
+                "token_expired",
+                "the proof of the caller has ended".into(),
+                None,
+            ));
         };
         let wish = Wish {
             class,
@@ -66,11 +81,21 @@
             tenant: create.metadata.get(client::META_TENANT).map(String::as_str),
         };
         let Some(rights) = &self.rights else {
-            return Err(refused(403, "caller_unknown", "no rights are in force".into(), None));
+            return Err(refused(
+                403,
+                "caller_unknown",
+                "no rights are in force".into(),
+                None,
+            ));
         };
         match rights.may(caller, &wish) {
             Ok(grant) => Ok(Some(grant)),
-            Err(denial) => Err(refused(403, denial.code(), denial.to_string(), denial.param())),
+            Err(denial) => Err(refused(
+                403,
+                denial.code(),
+                denial.to_string(),
+                denial.param(),
+            )),
         }
     }
 
@@ -80,9 +105,11 @@
                 self.rights = Some(rights);
                 log(out, Level::Info, "new rights are in force");
             }
-            Err(why) => {
-                log(out, Level::Error, format!("rights are not taken, the last good ones stay: {why}"))
-            }
+            Err(why) => log(
+                out,
+                Level::Error,
+                format!("rights are not taken, the last good ones stay: {why}"),
+            ),
         }
     }
 
@@ -100,36 +127,61 @@
 
     /// When the clock will show a time at which a proof ends.
     fn clock_at(&self, ends_s: u64) -> Micros {
-        Micros(ends_s.saturating_mul(1_000_000).saturating_sub_signed(self.proofs_ahead_us))
+        Micros(
+            ends_s
+                .saturating_mul(1_000_000)
+                .saturating_sub_signed(self.proofs_ahead_us),
+        )
     }
 
     /// The judged time has moved against the clock: ends of proofs come sooner or later than they were to.
     pub(crate) fn on_proof_time(&mut self, now: Micros, ahead_us: i64, out: &mut Vec<Output>) {
         let by_s = ahead_us.saturating_sub(self.proofs_ahead_us) as f64 / 1e6;
-        log(out, Level::Warn, format!("the time of proofs moves by {by_s:.1} s"));
+        log(
+            out,
+            Level::Warn,
+            format!("the time of proofs moves by {by_s:.1} s"),
+        );
         self.proofs_ahead_us = ahead_us;
         for (session, ends_s) in self.sessions.ends() {
-            self.timers.set(self.clock_at(ends_s), Timer::Caller { session });
+            self.timers
+                .set(self.clock_at(ends_s), Timer::Caller { session });
             self.on_caller_time(now, session);
         }
     }
 
     pub(crate) fn on_renewed(&mut self, session: SessionId, caller: Caller, out: &mut Vec<Output>) {
-        let Some(before) = self.sessions.caller(session) else { return };
+        let Some(before) = self.sessions.caller(session) else {
+            return;
+        };
         if before.subject != caller.subject {
             let why = "the token is another caller's; a session stays its caller's".to_string();
             let bad = refused(403, "subject_mismatch", why, Some("token"));
-            return out.push(Output::Say { session, text: client::error(&bad, None, None) });
+            return out.push(Output::Say {
+                session,
+                text: client::error(&bad, None, None),
+            });
         }
         let ends = caller.ends;
         self.set_caller(session, caller);
-        out.push(Output::Say { session, text: client::renewed(ends) });
+        out.push(Output::Say {
+            session,
+            text: client::renewed(ends),
+        });
     }
 
     pub(crate) fn on_renewal_refused(&self, session: SessionId, code: &str, out: &mut Vec<Output>) {
         if self.sessions.is_open(session) {
-            let bad = refused(401, "token_refused", format!("the token is not taken: {code}"), Some("token"));
-            out.push(Output::Say { session, text: client::error(&bad, None, None) });
+            let bad = refused(
+                401,
+                "token_refused",
+                format!("the token is not taken: {code}"),
+                Some("token"),
+            );
+            out.push(Output::Say {
+                session,
+                text: client::error(&bad, None, None),
+            });
         }
     }
 
@@ -137,11 +189,22 @@
     pub(crate) fn on_keys_withdrawn(&mut self, ids: &[String], out: &mut Vec<Output>) {
         let hit = self.sessions.proven_by(ids);
         if !hit.is_empty() {
-            log(out, Level::Warn, format!("{} sessions end: their proof is withdrawn", hit.len()));
+            log(
+                out,
+                Level::Warn,
+                format!("{} sessions end: their proof is withdrawn", hit.len()),
+            );
         }
         for session in hit {
-            let by_certificate = self.sessions.caller(session).is_some_and(|c| c.proof == Proof::Certificate);
-            let why = if by_certificate { Ending::CertificateRevoked } else { Ending::KeyWithdrawn };
+            let by_certificate = self
+                .sessions
+                .caller(session)
+                .is_some_and(|c| c.proof == Proof::Certificate);
+            let why = if by_certificate {
+                Ending::CertificateRevoked
+            } else {
+                Ending::KeyWithdrawn
+            };
             self.sessions.end(session, why);
         }
     }
@@ -149,7 +212,9 @@
     pub(crate) fn on_caller_time(&mut self, now: Micros, session: SessionId) {
         let proofs_s = self.proofs_s(now);
         let why = match self.sessions.caller(session) {
-            Some(c) if c.ends <= proofs_s && c.proof == Proof::Certificate => Ending::CertificateEnded,
+            Some(c) if c.ends <= proofs_s && c.proof == Proof::Certificate => {
+                Ending::CertificateEnded
+            }
             Some(c) if c.ends <= proofs_s => Ending::TokenEnded,
             _ => return,
         };
--- a/crates/core/src/carry.rs
+++ b/crates/core/src/carry.rs
@@ -1,7 +1,9 @@
 //! Carries out what the decision module decides.
 
 use bitternlatch_overload::{Ask, Told};
-use bitternlatch_policy::interface::{Action, AttemptEnd, Event, Outcome, RequestId, Role, ServerId, Sight};
+use bitternlatch_policy::interface::{
+    Action, AttemptEnd, Event, Outcome, RequestId, Role, ServerId, Sight,
+};
 use bitternlatch_protocol::engine::{encode, CompletionRequest, KvTransferParams, ToEngine};
 
 use crate::links::{Given, Queued};
@@ -19,19 +21,44 @@
 impl Machine {
     pub(crate) fn carry_out(&mut self, now: Micros, action: Action, out: &mut Vec<Output>) {
         match action {
-            Action::Send { request, server, timeout_s } => self.send(now, request, server, timeout_s, out),
+            Action::Send {
+                request,
+                server,
+                timeout_s,
+            } => self.send(now, request, server, timeout_s, out),
             Action::Cancel { request, attempt } => self.cancel(now, request, attempt, out),
-            Action::Refuse { request, retry_after_s } => {
-                let counted = self.requests.get(&request).map(|r| r.counted).unwrap_or_default();
+            Action::Refuse {
+                request,
+                retry_after_s,
+            } => {
+                let counted = self
+                    .requests
+                    .get(&request)
+                    .map(|r| r.counted)
+                    .unwrap_or_default();
                 let retry_after_s = self.shed.refused(now, &counted, retry_after_s);
-                self.refuse(now, request, retry_after_s, "no place now; asking again is harmless", out);
+                self.refuse(
+                    now,
+                    request,
+                    retry_after_s,
+                    "no place now; asking again is harmless",
+                    out,
+                );
             }
             Action::Fail { request } => {
-                self.fail(now, request, "server_error", "not answered in time; it may have run", out);
+                self.fail(
+                    now,
+                    request,
+                    "server_error",
+                    "not answered in time; it may have run",
+                    out,
+                );
             }
             Action::Release { request } => self.release(request, out),
             Action::Probe { server } => self.probe(now, server, out),
-            Action::SetTimer { at, label } => self.timers.set(Micros::at(at), Timer::Router { label }),
+            Action::SetTimer { at, label } => {
+                self.timers.set(Micros::at(at), Timer::Router { label })
+            }
             Action::Log { text } => log(out, Level::Info, text),
             Action::Fault { text } => log(out, Level::Error, format!("decision module: {text}")),
             // The list is pushed, places are not held ahead, and peers are not spoken with yet.
@@ -45,13 +72,28 @@
         }
     }
 
-    fn send(&mut self, now: Micros, id: RequestId, host: ServerId, timeout_s: f64, out: &mut Vec<Output>) {
-        let open = self.fleet.get(host).filter(|k| k.takes_work()).map(|k| k.role);
+    fn send(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        host: ServerId,
+        timeout_s: f64,
+        out: &mut Vec<Output>,
+    ) {
+        let open = self
+            .fleet
+            .get(host)
+            .filter(|k| k.takes_work())
+            .map(|k| k.role);
         // A step's effect leaves while it is permitted, and waits where it is not; a read has none.
         if open != Some(Role::Reader) && !self.workflows.may_leave(now, id) {
             return self.wait_to_send(now, id, Waits { host, timeout_s }, out);
         }
-        let Some(request) = self.requests.get_mut(&id).filter(|r| !r.answered && r.attempt.is_none()) else {
+        let Some(request) = self
+            .requests
+            .get_mut(&id)
+            .filter(|r| !r.answered && r.attempt.is_none())
+        else {
             return self.not_sent(id, 0, host, Outcome::NotSent);
         };
         let (number, class) = (request.attempts, request.class);
@@ -67,12 +109,16 @@
                 return self.not_sent(id, number, host, Outcome::Full { state_gone: false });
             }
         }
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         // Work that would be done again goes by what all may repeat.
         if open.is_some() && !self.shed.may_send(now, &request.counted) {
             return self.not_sent(id, number, host, Outcome::NotSent);
         }
-        let Some(role) = open else { return self.not_sent(id, number, host, Outcome::ConnectFailed) };
+        let Some(role) = open else {
+            return self.not_sent(id, number, host, Outcome::ConnectFailed);
+        };
         let purpose = match (role, &request.state) {
             (Role::Reader, _) => Purpose::Read,
             (_, Some(_)) => Purpose::Write,
@@ -88,18 +134,38 @@
             Given::Queued(link) => (link, Stage::Queued),
             Given::NoWay => return self.not_sent(id, number, host, Outcome::ConnectFailed),
         };
-        self.begin_attempt(now, id, Attempt::new(number, host, link, purpose, stage, now), timeout_s);
+        self.begin_attempt(
+            now,
+            id,
+            Attempt::new(number, host, link, purpose, stage, now),
+            timeout_s,
+        );
     }
 
     fn wait_to_send(&mut self, now: Micros, id: RequestId, send: Waits, out: &mut Vec<Output>) {
-        let live = self.requests.get(&id).filter(|r| !r.answered && r.attempt.is_none());
+        let live = self
+            .requests
+            .get(&id)
+            .filter(|r| !r.answered && r.attempt.is_none());
         // A state that waits to be fetched keeps its place for so long at the most, whatever time the request has left.
         let pinned = now.after(self.settings.rules.pin_limit_s * PINNED_SHARE);
-        let ends = |r: &Request| if r.state.is_some() { pinned } else { r.deadline.max(now.after(PROBE_S)) };
-        let asked = live.map(|r| (r.may_run(), ends(r))).and_then(|(may_have_run, ends)| {
-            self.workflows.wait(id, send, may_have_run, ends).map(|(call, tell)| (call, tell, ends))
-        });
-        let Some((call, tell, ends)) = asked else { return self.send_not(id, send) };
+        let ends = |r: &Request| {
+            if r.state.is_some() {
+                pinned
+            } else {
+                r.deadline.max(now.after(PROBE_S))
+            }
+        };
+        let asked = live
+            .map(|r| (r.may_run(), ends(r)))
+            .and_then(|(may_have_run, ends)| {
+                self.workflows
+                    .wait(id, send, may_have_run, ends)
+                    .map(|(call, tell)| (call, tell, ends))
+            });
+        let Some((call, tell, ends)) = asked else {
+            return self.send_not(id, send);
+        };
         self.timers.set(ends, Timer::Call { call });
         out.extend(tell.into_iter().map(Output::Workflow));
     }
@@ -135,44 +201,77 @@
     }
 
     /// An attempt's message on its way: it must not reach a host long after a drain was told, nor a step's past its permission.
-    pub(crate) fn tell_attempt(&self, now: Micros, id: RequestId, link: LinkId, message: Queued) -> Output {
+    pub(crate) fn tell_attempt(
+        &self,
+        now: Micros,
+        id: RequestId,
+        link: LinkId,
+        message: Queued,
+    ) -> Output {
         let Queued { attempt, text } = message;
         let after_s = self.settings.rules.drain_grace_s / 2.0;
-        let reads = self.fleet.get(link.host).is_some_and(|k| k.role == Role::Reader);
+        let reads = self
+            .fleet
+            .get(link.host)
+            .is_some_and(|k| k.role == Role::Reader);
         let left_s = self.workflows.left_s(now, id).filter(|_| !reads);
         let after_s = left_s.map_or(after_s, |left_s| after_s.min(left_s));
         let stale = Stale { after_s, attempt };
-        Output::Tell { link, text, stale: Some(stale) }
+        Output::Tell {
+            link,
+            text,
+            stale: Some(stale),
+        }
     }
 
     fn begin_attempt(&mut self, now: Micros, id: RequestId, attempt: Attempt, timeout_s: f64) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         let number = attempt.number;
         request.attempt = Some(attempt);
         if timeout_s != 0.0 {
             let at = now.after(timeout_s).min(request.deadline);
-            self.timers.set(at, Timer::Attempt { request: id, attempt: number });
+            self.timers.set(
+                at,
+                Timer::Attempt {
+                    request: id,
+                    attempt: number,
+                },
+            );
         }
     }
 
     /// The message for an attempt, in vLLM's words.
     fn completion(&self, id: RequestId, number: u16, purpose: Purpose) -> String {
-        let Some(request) = self.requests.get(&id) else { return String::new() };
+        let Some(request) = self.requests.get(&id) else {
+            return String::new();
+        };
         let wire = wire_id(self.instance, id, number);
         let kv = match purpose {
-            Purpose::Read => Some(KvTransferParams { do_remote_decode: true, ..Default::default() }),
+            Purpose::Read => Some(KvTransferParams {
+                do_remote_decode: true,
+                ..Default::default()
+            }),
             Purpose::Write => request.state.as_ref().map(|s| s.params.clone()),
             Purpose::Whole => None,
         };
         let keyed = self.settings.classes[usize::from(request.class)].effect == Effect::Keyed;
-        let key = request.key.as_ref().filter(|_| keyed && purpose != Purpose::Read);
+        let key = request
+            .key
+            .as_ref()
+            .filter(|_| keyed && purpose != Purpose::Read);
         encode(&ToEngine::Completion {
             id: wire.clone(),
             body: Box::new(CompletionRequest {
                 request_id: wire,
                 model: request.response.model.clone(),
                 prompt: request.prompt.clone(),
-                max_tokens: if purpose == Purpose::Read { 1 } else { request.max_tokens },
+                max_tokens: if purpose == Purpose::Read {
+                    1
+                } else {
+                    request.max_tokens
+                },
                 stream: true,
                 temperature: request.temperature,
                 top_p: request.top_p,
@@ -198,35 +297,56 @@
 
     fn cancel(&mut self, now: Micros, id: RequestId, number: u16, out: &mut Vec<Output>) {
         let current = self.requests.get(&id).and_then(|r| r.attempt.as_ref());
-        let Some(attempt) = current.filter(|a| a.number == number && a.stage != Stage::Streaming) else {
+        let Some(attempt) = current.filter(|a| a.number == number && a.stage != Stage::Streaming)
+        else {
             return;
         };
         let (host, queued) = (attempt.host, attempt.stage == Stage::Queued);
         if queued {
-            self.links.take_back(host, &wire_id(self.instance, id, number));
+            self.links
+                .take_back(host, &wire_id(self.instance, id, number));
         } else {
             self.tell_cancel(id, out);
         }
-        let outcome = if queued { Outcome::ConnectFailed } else { Outcome::Cancelled };
+        let outcome = if queued {
+            Outcome::ConnectFailed
+        } else {
+            Outcome::Cancelled
+        };
         self.end_attempt(now, id, outcome, 0, Vec::new(), out);
     }
 
     /// Tells the host of the current attempt that its work is not wanted.
     pub(crate) fn tell_cancel(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(attempt) = self.requests.get(&id).and_then(|r| r.attempt.as_ref()) else { return };
-        let text = encode(&ToEngine::Cancel { id: wire_id(self.instance, id, attempt.number) });
-        out.push(Output::Tell { link: attempt.link, text, stale: None });
+        let Some(attempt) = self.requests.get(&id).and_then(|r| r.attempt.as_ref()) else {
+            return;
+        };
+        let text = encode(&ToEngine::Cancel {
+            id: wire_id(self.instance, id, attempt.number),
+        });
+        out.push(Output::Tell {
+            link: attempt.link,
+            text,
+            stale: None,
+        });
     }
 
     /// Lets go of the state held for a request, unless an attempt waits for it: then once that has ended. Without a link there is nothing to do: a host lets go of what a lost
     /// link's dispatcher held there.
     pub(crate) fn release(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         if request.attempt.is_some() {
-            request.state.iter_mut().for_each(|state| state.release = true);
+            request
+                .state
+                .iter_mut()
+                .for_each(|state| state.release = true);
             return;
         }
-        let Some(state) = request.state.take() else { return };
+        let Some(state) = request.state.take() else {
+            return;
+        };
         if let Some(link) = self.links.open(state.host) {
             self.tell_release(link, &state.made_by, out);
         }
@@ -234,8 +354,14 @@
     }
 
     pub(crate) fn tell_release(&self, link: LinkId, made_by: &str, out: &mut Vec<Output>) {
-        let text = encode(&ToEngine::Release { id: made_by.to_string() });
-        out.push(Output::Tell { link, text, stale: None });
+        let text = encode(&ToEngine::Release {
+            id: made_by.to_string(),
+        });
+        out.push(Output::Tell {
+            link,
+            text,
+            stale: None,
+        });
     }
 
     /// What all are to do together, and what was heard of hosts for this one.
@@ -257,14 +383,24 @@
                 }
             }
             Told::Probe { host } => {
-                let Some(link) = self.links.open(host).filter(|_| self.shed.is_on()) else { return };
+                let Some(link) = self.links.open(host).filter(|_| self.shed.is_on()) else {
+                    return;
+                };
                 let id = self.next_probe;
                 self.next_probe += 1;
                 self.shed.asks(now, id, host);
-                out.push(Output::Tell { link, text: encode(&ToEngine::Probe { id }), stale: None });
+                out.push(Output::Tell {
+                    link,
+                    text: encode(&ToEngine::Probe { id }),
+                    stale: None,
+                });
             }
             Told::Report { host, report, .. } => {
-                let mine = self.probes.iter().filter(|(_, p)| p.link.host == host).map(|(id, _)| *id);
+                let mine = self
+                    .probes
+                    .iter()
+                    .filter(|(_, p)| p.link.host == host)
+                    .map(|(id, _)| *id);
                 let report: Vec<f64> = report.iter().map(|v| v.get()).collect();
                 for id in mine.collect::<Vec<u64>>() {
                     self.end_probe(now, id, Outcome::Served, report.clone());
@@ -278,7 +414,10 @@
         self.timers.set(now.after(LOOK_S), Timer::Shed);
         let reads = |role: Role| matches!(role, Role::Reader | Role::Mixed);
         let open = |id: &ServerId| self.links.open(*id).is_some();
-        let hosts = self.fleet.listed().filter(|(id, k)| k.takes_work() && reads(k.role) && open(id));
+        let hosts = self
+            .fleet
+            .listed()
+            .filter(|(id, k)| k.takes_work() && reads(k.role) && open(id));
         let weight = hosts.map(|(_, known)| known.host.weight).sum();
         out.extend(self.shed.tell(now, weight).map(Output::Overload));
     }
@@ -301,18 +440,36 @@
             // One of all asks; the answer, whoever is given it, ends this probe.
             return out.push(Output::Overload(Ask::Probe { host: server }));
         }
-        out.push(Output::Tell { link, text: encode(&ToEngine::Probe { id }), stale: None });
+        out.push(Output::Tell {
+            link,
+            text: encode(&ToEngine::Probe { id }),
+            stale: None,
+        });
     }
 
     pub(crate) fn end_probe(&mut self, now: Micros, id: u64, outcome: Outcome, report: Vec<f64>) {
-        let Some(probe) = self.probes.remove(&id) else { return };
+        let Some(probe) = self.probes.remove(&id) else {
+            return;
+        };
         let (server, elapsed_s) = (probe.link.host, now.since(probe.sent));
-        self.events.push_back(Event::ProbeEnded { server, outcome, elapsed_s, report });
+        self.events.push_back(Event::ProbeEnded {
+            server,
+            outcome,
+            elapsed_s,
+            report,
+        });
     }
 }
 
 impl Attempt {
-    fn new(number: u16, host: ServerId, link: LinkId, purpose: Purpose, stage: Stage, now: Micros) -> Self {
+    fn new(
+        number: u16,
+        host: ServerId,
+        link: LinkId,
+        purpose: Purpose,
+        stage: Stage,
+        now: Micros,
+    ) -> Self {
         Attempt {
             number,
             host,
--- a/crates/core/src/contexts.rs
+++ b/crates/core/src/contexts.rs
@@ -29,11 +29,20 @@
 
 impl Contexts {
     pub(crate) fn new(most_bytes: usize) -> Self {
-        Contexts { most_bytes, bytes: 0, kept: BTreeMap::new(), order: BTreeMap::new(), next: 0 }
+        Contexts {
+            most_bytes,
+            bytes: 0,
+            kept: BTreeMap::new(),
+            order: BTreeMap::new(),
+            next: 0,
+        }
     }
 
     pub(crate) fn find(&self, id: &str, tenant: u32, owner: &str) -> Option<&Context> {
-        self.kept.get(id).map(|(_, c)| c).filter(|c| c.tenant == tenant && c.owner == owner)
+        self.kept
+            .get(id)
+            .map(|(_, c)| c)
+            .filter(|c| c.tenant == tenant && c.owner == owner)
     }
 
     pub(crate) fn keep(&mut self, id: &str, context: Context) {
@@ -60,7 +69,9 @@
     }
 
     fn drop_oldest(&mut self) -> bool {
-        let Some((_, id)) = self.order.pop_first() else { return false };
+        let Some((_, id)) = self.order.pop_first() else {
+            return false;
+        };
         if let Some((_, old)) = self.kept.remove(&id) {
             self.bytes -= old.text.len();
         }
@@ -91,7 +102,10 @@
             kept.find("a", 1, "ann").is_some() && kept.find("a", 2, "ann").is_none(),
             "its own tenant's alone"
         );
-        assert!(kept.find("a", 1, "eve").is_none(), "found by its own caller alone");
+        assert!(
+            kept.find("a", 1, "eve").is_none(),
+            "found by its own caller alone"
+        );
         kept.keep("c", context("1", 3));
         assert!(kept.find("a", 1, "ann").is_none() && kept.find("b", 1, "ann").is_some());
         kept.sweep(Micros(3));
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bitternlatch_quota_lease::{Hearsay, Host, Trait};
 use bitternlatch_policy::interface::{Event, ListForm, Outcome, ServerId, Sight};
+use bitternlatch_quota_lease::{Hearsay, Host, Trait};
 
 use crate::machine::{log, Machine};
 use crate::timers::Timer;
@@ -70,10 +70,12 @@
             0 if self.fleet.ready().next().is_some() => evidence.none_open.or(Some(now)),
             _ => None,
         };
+        evidence.row.retain(|host, (_, last)| {
+            now.since(*last) < FAILING_S && self.fleet.get(*host).is_some()
+        });
         evidence
-            .row
-            .retain(|host, (_, last)| now.since(*last) < FAILING_S && self.fleet.get(*host).is_some());
-        evidence.failing_elsewhere.retain(|_, at| now.since(*at) < OLD_S);
+            .failing_elsewhere
+            .retain(|_, at| now.since(*at) < OLD_S);
         let seen = self.seen(now);
         if self.evidence.told != seen {
             self.evidence.told = seen.clone();
@@ -105,11 +107,18 @@
                 seen.insert(key, at);
             }
         }
-        for (id, (_, last)) in self.evidence.row.iter().filter(|(_, (many, _))| *many >= ROW) {
+        for (id, (_, last)) in self
+            .evidence
+            .row
+            .iter()
+            .filter(|(_, (many, _))| *many >= ROW)
+        {
             let at = seen.entry((Host(*id), Trait::Failing)).or_insert(*last);
             *at = (*at).max(*last);
         }
-        seen.into_iter().map(|((host, what), at)| (host, what, at)).collect()
+        seen.into_iter()
+            .map(|((host, what), at)| (host, what, at))
+            .collect()
     }
 
     /// What peers see of hosts, as told at a time: told from before this process stood still it is no evidence.
@@ -124,7 +133,10 @@
         if self.settings.cluster.is_none() || now.since(at) > OLD_S {
             return;
         }
-        let drained = heard.iter().filter(|h| h.what == Trait::Draining).map(|h| h.host.0);
+        let drained = heard
+            .iter()
+            .filter(|h| h.what == Trait::Draining)
+            .map(|h| h.host.0);
         if self.evidence.list_lost {
             self.drain_by_hearsay(drained.collect(), out);
         }
@@ -155,20 +167,29 @@
     fn drain_by_hearsay(&mut self, hosts: BTreeSet<ServerId>, out: &mut Vec<Output>) {
         let entries = self.fleet.drained_elsewhere(hosts);
         if !entries.is_empty() {
-            let text =
-                format!("drains by the word of peers, as the list cannot be read: {} changed", entries.len());
+            let text = format!(
+                "drains by the word of peers, as the list cannot be read: {} changed",
+                entries.len()
+            );
             log(out, Level::Warn, text);
-            self.events.push_back(Event::Servers { form: ListForm::Delta, entries });
+            self.events.push_back(Event::Servers {
+                form: ListForm::Delta,
+                entries,
+            });
         }
     }
 
     /// Whether hosts are reached, as far as can be told.
     pub(crate) fn reaches_hosts(&self, now: Micros) -> bool {
-        self.evidence.none_open.is_none_or(|since| now.since(since) < NONE_REACHED_S)
+        self.evidence
+            .none_open
+            .is_none_or(|since| now.since(since) < NONE_REACHED_S)
     }
 
     /// Whether peers have said of every host that takes work that it fails for them too.
     pub(crate) fn all_fail_elsewhere(&self) -> bool {
-        self.fleet.ready().all(|id| self.evidence.failing_elsewhere.contains_key(&id))
+        self.fleet
+            .ready()
+            .all(|id| self.evidence.failing_elsewhere.contains_key(&id))
     }
 }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -98,7 +98,11 @@
     pub(crate) fn new(zone: &str) -> Self {
         let mut zones = Names::default();
         zones.number(zone);
-        Fleet { hosts: BTreeMap::new(), zones, cells: Names::default() }
+        Fleet {
+            hosts: BTreeMap::new(),
+            zones,
+            cells: Names::default(),
+        }
     }
 
     pub(crate) fn get(&self, id: ServerId) -> Option<&Known> {
@@ -107,12 +111,18 @@
 
     /// All but those that are gone.
     pub(crate) fn listed(&self) -> impl Iterator<Item = (ServerId, &Known)> {
-        self.hosts.iter().filter(|(_, k)| k.standing() != Standing::Gone).map(|(id, k)| (*id, k))
+        self.hosts
+            .iter()
+            .filter(|(_, k)| k.standing() != Standing::Gone)
+            .map(|(id, k)| (*id, k))
     }
 
     /// Those that take work.
     pub(crate) fn ready(&self) -> impl Iterator<Item = ServerId> + '_ {
-        self.hosts.iter().filter(|(_, k)| k.takes_work()).map(|(id, _)| *id)
+        self.hosts
+            .iter()
+            .filter(|(_, k)| k.takes_work())
+            .map(|(id, _)| *id)
     }
 
     /// Holds these for draining by the word of others, and no more those that were before; gives what changed.
@@ -140,14 +150,19 @@
             let id = host.id();
             let kinds = &settings.kinds;
             let Some(kind) = kinds.iter().position(|k| k.name == host.kind) else {
-                change.passed.push(format!("host '{}' has kind '{}', unknown here", host.name, host.kind));
+                change.passed.push(format!(
+                    "host '{}' has kind '{}', unknown here",
+                    host.name, host.kind
+                ));
                 continue;
             };
             let (cell, zone) = (self.cells.number(&host.cell), self.zones.number(&host.zone));
             let role = kinds[kind].role;
             let old = self.hosts.remove(&id);
             let was_open = old.as_ref().is_some_and(Known::takes_work);
-            let moved = old.as_ref().is_none_or(|o| o.host.endpoint() != host.endpoint());
+            let moved = old
+                .as_ref()
+                .is_none_or(|o| o.host.endpoint() != host.endpoint());
             let (said, booted_at) = match &old {
                 Some(o) if !moved => (o.said, o.booted_at),
                 _ => (EngineState::Ready, 0.0),
@@ -160,7 +175,16 @@
                 change.dial.push(id);
             }
             let kind = kind as u16;
-            let known = Known { host, role, kind, cell, zone, said, booted_at, drained_elsewhere: false };
+            let known = Known {
+                host,
+                role,
+                kind,
+                cell,
+                zone,
+                said,
+                booted_at,
+                drained_elsewhere: false,
+            };
             if was_open && !known.takes_work() {
                 change.closed.push(id);
             }
@@ -187,7 +211,11 @@
     ) -> Option<(ServerEntry, bool)> {
         let known = self.hosts.get_mut(&id)?;
         let warm = !uptime_s.is_finite() || uptime_s >= warm_after_s;
-        let booted_at = if warm { 0.0 } else { now.seconds() - uptime_s.max(0.0) };
+        let booted_at = if warm {
+            0.0
+        } else {
+            now.seconds() - uptime_s.max(0.0)
+        };
         let same = (booted_at - known.booted_at).abs() <= RESTART_SLACK_S;
         let anew = booted_at > 0.0 && !same;
         if !same {
@@ -211,7 +239,10 @@
     use bitternlatch_inventory::parse;
 
     fn hosts(text: &str) -> Vec<Host> {
-        parse("hosts.csv", text).expect("a good list").into_values().collect()
+        parse("hosts.csv", text)
+            .expect("a good list")
+            .into_values()
+            .collect()
     }
 
     #[test]
@@ -222,7 +253,10 @@
             hosts("name,port,kind,address\na,1,reader,127.0.0.1\nb,2,writer,127.0.0.1\nc,3,odd,127.0.0.1\n"),
             &settings,
         );
-        assert_eq!((first.entries.len(), first.dial.len(), first.leave.len()), (2, 2, 0));
+        assert_eq!(
+            (first.entries.len(), first.dial.len(), first.leave.len()),
+            (2, 2, 0)
+        );
         assert!(first.passed[0].contains("'odd'"));
         let second = fleet.take_list(
             hosts(
@@ -230,9 +264,18 @@
             ),
             &settings,
         );
-        let (a, b) = (bitternlatch_inventory::host_id("a"), bitternlatch_inventory::host_id("b"));
-        assert_eq!((second.dial, second.leave, second.closed), (vec![a], vec![a], vec![b]));
-        let third = fleet.take_list(hosts("name,port,kind,address\na,9,reader,127.0.0.1\n"), &settings);
+        let (a, b) = (
+            bitternlatch_inventory::host_id("a"),
+            bitternlatch_inventory::host_id("b"),
+        );
+        assert_eq!(
+            (second.dial, second.leave, second.closed),
+            (vec![a], vec![a], vec![b])
+        );
+        let third = fleet.take_list(
+            hosts("name,port,kind,address\na,9,reader,127.0.0.1\n"),
+            &settings,
+        );
         assert_eq!((third.leave, third.closed), (vec![b], vec![b]));
     }
 
@@ -243,11 +286,17 @@
         fleet.take_list(hosts("name,port,kind\na,1,reader\n"), &settings);
         let a = bitternlatch_inventory::host_id("a");
         let at = |s: u64| Micros(s * 1_000_000);
-        let (entry, anew) = fleet.greeted(at(100), a, 500.0, EngineState::Ready, 14.0).expect("known");
+        let (entry, anew) = fleet
+            .greeted(at(100), a, 500.0, EngineState::Ready, 14.0)
+            .expect("known");
         assert_eq!((entry.booted_at, anew), (0.0, false));
-        let (entry, anew) = fleet.greeted(at(200), a, 2.0, EngineState::Ready, 14.0).expect("known");
+        let (entry, anew) = fleet
+            .greeted(at(200), a, 2.0, EngineState::Ready, 14.0)
+            .expect("known");
         assert_eq!((entry.booted_at, anew), (198.0, true));
-        let (_, anew) = fleet.greeted(at(203), a, 5.1, EngineState::Ready, 14.0).expect("known");
+        let (_, anew) = fleet
+            .greeted(at(203), a, 5.1, EngineState::Ready, 14.0)
+            .expect("known");
         assert!(!anew, "the same start seen over another link");
     }
 }
--- a/crates/core/src/intake.rs
+++ b/crates/core/src/intake.rs
@@ -30,7 +30,12 @@
 }
 
 fn too_many(message: &str) -> BadRequest {
-    BadRequest { status: 429, code: "too_many_requests", message: message.to_string(), param: None }
+    BadRequest {
+        status: 429,
+        code: "too_many_requests",
+        message: message.to_string(),
+        param: None,
+    }
 }
 
 impl Machine {
@@ -85,14 +90,25 @@
                     return Ok(());
                 }
                 Known::Forgotten => {
-                    let why = "its request has ended and may have run; the answer is no longer kept";
+                    let why =
+                        "its request has ended and may have run; the answer is no longer kept";
                     let bad = BadRequest::field("metadata.idempotency_key", why);
-                    return Err(BadRequest { status: 410, code: "answer_not_kept", ..bad }.into());
+                    return Err(BadRequest {
+                        status: 410,
+                        code: "answer_not_kept",
+                        ..bad
+                    }
+                    .into());
                 }
                 Known::OtherRequest => {
                     let why = "this key was used for another request";
                     let bad = BadRequest::field("metadata.idempotency_key", why);
-                    return Err(BadRequest { status: 409, code: "idempotency_key_reused", ..bad }.into());
+                    return Err(BadRequest {
+                        status: 409,
+                        code: "idempotency_key_reused",
+                        ..bad
+                    }
+                    .into());
                 }
                 Known::NoRoom => return Err(too_many("no room for another idempotency key").into()),
             }
@@ -110,23 +126,50 @@
         out: &mut Vec<Output>,
     ) -> Result<(), Denied> {
         if let Err(denied) = self.has_room(now, &wanted) {
-            wanted.counted.iter_mut().for_each(|counted| self.shed.gone(counted));
+            wanted
+                .counted
+                .iter_mut()
+                .for_each(|counted| self.shed.gone(counted));
             return Err(denied);
         }
-        let judged = wanted.counted.map_or_else(|| self.judge(now, create, &wanted), Ok);
+        let judged = wanted
+            .counted
+            .map_or_else(|| self.judge(now, create, &wanted), Ok);
         let Ok(mut counted) = judged else {
-            self.begin(now, session, create, wanted, Leave { hold: None, judged }, out);
+            self.begin(
+                now,
+                session,
+                create,
+                wanted,
+                Leave { hold: None, judged },
+                out,
+            );
             return Ok(());
         };
-        let most = Amount { prompt: tokens_of(wanted.prompt.len()), output: wanted.max_tokens };
+        let most = Amount {
+            prompt: tokens_of(wanted.prompt.len()),
+            output: wanted.max_tokens,
+        };
         self.leases.wanted(now, wanted.tenant, most.total());
-        let hold = self.book.hold(now.seconds(), wanted.tenant, wanted.class, most);
+        let hold = self
+            .book
+            .hold(now.seconds(), wanted.tenant, wanted.class, most);
         let hold = hold.map_err(|short| {
             self.shed.gone(&mut counted);
             Denied::by_budget(short)
         })?;
         let tenant = wanted.tenant;
-        self.begin(now, session, create, wanted, Leave { hold: Some(hold), judged }, out);
+        self.begin(
+            now,
+            session,
+            create,
+            wanted,
+            Leave {
+                hold: Some(hold),
+                judged,
+            },
+            out,
+        );
         self.say_left(now, tenant, session, out);
         Ok(())
     }
@@ -148,11 +191,26 @@
     /// What the fleet's shedding says of a request, and when one that it refuses may come back.
     fn judge(&mut self, now: Micros, create: &Create, wanted: &Wanted) -> Result<Counted, f64> {
         let class = &self.settings.classes[usize::from(wanted.class)];
-        let expected =
-            self.lengths.expect(&create.model, &class.name, wanted.prompt_tokens(), wanted.max_tokens);
-        let quota = self.settings.tenants.get(wanted.tenant as usize).map(|t| t.quota_rps);
-        let asked = wanted.asked(create, class, expected.map(|e| e.mean), quota.unwrap_or(f64::INFINITY));
-        self.shed.judge(now, &asked).unwrap_or(Ok(Counted::default()))
+        let expected = self.lengths.expect(
+            &create.model,
+            &class.name,
+            wanted.prompt_tokens(),
+            wanted.max_tokens,
+        );
+        let quota = self
+            .settings
+            .tenants
+            .get(wanted.tenant as usize)
+            .map(|t| t.quota_rps);
+        let asked = wanted.asked(
+            create,
+            class,
+            expected.map(|e| e.mean),
+            quota.unwrap_or(f64::INFINITY),
+        );
+        self.shed
+            .judge(now, &asked)
+            .unwrap_or(Ok(Counted::default()))
     }
 
     pub(crate) fn wanted(
@@ -167,17 +225,25 @@
             None => 0,
             Some(name) => {
                 let found = self.settings.classes.iter().position(|c| c.name == name);
-                found.ok_or_else(|| field(client::META_CLASS, format!("'{name}' is no class here")))?
+                found.ok_or_else(|| {
+                    field(client::META_CLASS, format!("'{name}' is no class here"))
+                })?
             }
         };
         let grant = self.granted(now, session, create, &self.settings.classes[class].name)?;
         // With callers known the tenant is the caller's; what the request claims has been held against it.
-        let tenant = match grant.as_ref().map(|g| g.tenant.as_str()).or(meta(client::META_TENANT)) {
+        let tenant = match grant
+            .as_ref()
+            .map(|g| g.tenant.as_str())
+            .or(meta(client::META_TENANT))
+        {
             None => 0,
             Some(_) if self.settings.tenants.is_empty() => 0,
             Some(name) => {
                 let found = self.settings.tenants.iter().position(|t| t.name == name);
-                found.ok_or_else(|| field(client::META_TENANT, format!("'{name}' is no tenant here")))?
+                found.ok_or_else(|| {
+                    field(client::META_TENANT, format!("'{name}' is no tenant here"))
+                })?
             }
         };
         let full_s = self.settings.classes[class].deadline_s;
@@ -192,7 +258,12 @@
         let (class, tenant) = (class as u16, tenant as u32);
         let text = meta(client::META_KEY).filter(|k| !k.is_empty());
         let owner = grant.as_ref().map(|g| g.owner.clone()).unwrap_or_default();
-        let key = text.map(|text| Key { tenant, class, owner: owner.clone(), text: text.to_string() });
+        let key = text.map(|text| Key {
+            tenant,
+            class,
+            owner: owner.clone(),
+            text: text.to_string(),
+        });
         let (conversation, prompt) = self.prompt(create, tenant, &owner)?;
         let most = self.settings.requests.max_output_tokens;
         let allowed = grant.map_or(most, |g| most.min(g.max_output_tokens));
@@ -212,14 +283,23 @@
     }
 
     /// The whole prompt and the key of its conversation; 0 where it begins one.
-    fn prompt(&self, create: &Create, tenant: u32, owner: &str) -> Result<(u64, String), BadRequest> {
+    fn prompt(
+        &self,
+        create: &Create,
+        tenant: u32,
+        owner: &str,
+    ) -> Result<(u64, String), BadRequest> {
         let (conversation, head) = match &create.previous_response_id {
             None => (0, create.instructions.as_str()),
             Some(id) => match self.contexts.find(id, tenant, owner) {
                 Some(context) => (context.conversation, context.text.as_str()),
                 None => {
-                    let bad = BadRequest::field("previous_response_id", "is not known here any more");
-                    return Err(BadRequest { code: "previous_response_not_found", ..bad });
+                    let bad =
+                        BadRequest::field("previous_response_id", "is not known here any more");
+                    return Err(BadRequest {
+                        code: "previous_response_not_found",
+                        ..bad
+                    });
                 }
             },
         };
@@ -257,7 +337,9 @@
         let mut ask = wanted.ask(id, create, conversation, left_s);
         let class = &self.settings.classes[usize::from(wanted.class)].name;
         let prompt_tokens = tokens_of(wanted.prompt.len());
-        let expected = self.lengths.expect(&create.model, class, prompt_tokens, wanted.max_tokens);
+        let expected = self
+            .lengths
+            .expect(&create.model, class, prompt_tokens, wanted.max_tokens);
         ask.output_tokens = Lengths::for_module(expected);
         if let Some(key) = wanted.key.as_ref().filter(|_| wanted.step.is_none()) {
             self.keys.begin(key.clone(), fingerprint(create), id);
@@ -277,7 +359,11 @@
             temperature: create.temperature,
             top_p: create.top_p,
             deadline,
-            listeners: vec![Listener { session, sequence: 0, metadata: None }],
+            listeners: vec![Listener {
+                session,
+                sequence: 0,
+                metadata: None,
+            }],
             text: String::new(),
             usage: Default::default(),
             attempts: 0,
@@ -311,7 +397,13 @@
             return self.refuse(now, id, COME_BACK_S, "this dispatcher is stopping", out);
         }
         if id == u32::MAX {
-            return self.refuse(now, id, COME_BACK_S, "this dispatcher has to be started again", out);
+            return self.refuse(
+                now,
+                id,
+                COME_BACK_S,
+                "this dispatcher has to be started again",
+                out,
+            );
         }
         self.timers.set(deadline, Timer::Deadline { request: id });
         self.events.push_back(Event::Arrival(ask));
@@ -348,16 +440,26 @@
         create: &Create,
         out: &mut Vec<Output>,
     ) -> Result<(), BadRequest> {
-        let Some(request) = self.requests.get_mut(&id) else { return Err(too_many("is ending; ask again")) };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return Err(too_many("is ending; ask again"));
+        };
         if request.listeners.iter().any(|l| l.session == session) {
             let why = "this session already waits for the request with this key";
             let bad = BadRequest::field("metadata.idempotency_key", why);
-            return Err(BadRequest { status: 409, code: "already_waiting", ..bad });
+            return Err(BadRequest {
+                status: 409,
+                code: "already_waiting",
+                ..bad
+            });
         }
         if request.listeners.len() >= LISTENERS_MOST {
             return Err(too_many("too many sessions wait for this request"));
         }
-        request.listeners.push(Listener { session, sequence: 0, metadata: Some(create.metadata.clone()) });
+        request.listeners.push(Listener {
+            session,
+            sequence: 0,
+            metadata: Some(create.metadata.clone()),
+        });
         self.sessions.listen(session, id);
         self.say_created(id, session, out);
         self.say_so_far(id, session, out);
@@ -366,7 +468,11 @@
 
     /// What a request is about, where workflows are on.
     fn about(&self, create: &Create) -> Result<Option<About>, BadRequest> {
-        let on = self.settings.cluster.as_ref().is_some_and(|c| c.workflows.is_some());
+        let on = self
+            .settings
+            .cluster
+            .as_ref()
+            .is_some_and(|c| c.workflows.is_some());
         if on {
             workflow::read(&create.metadata)
         } else {
@@ -387,7 +493,11 @@
         if self.stopping {
             return Err(Denied::by_workflow(Refusal::Busy));
         }
-        let tenant = self.settings.tenants.get(wanted.tenant as usize).map_or("", |t| t.name.as_str());
+        let tenant = self
+            .settings
+            .tenants
+            .get(wanted.tenant as usize)
+            .map_or("", |t| t.name.as_str());
         let workflow = workflows::name(tenant, &wanted.owner, &about.workflow);
         let class = &self.settings.classes[usize::from(wanted.class)];
         let key = wanted.key.as_ref().map_or("", |k| k.text.as_str());
@@ -401,12 +511,17 @@
                 None if !self.may_take(now, wanted.class) => return Err(self.sent_elsewhere(now)),
                 None => {
                     wanted.step = Some((intent.clone(), now));
-                    counted = self.judge(now, create, &wanted).map_err(Denied::by_shedding)?;
+                    counted = self
+                        .judge(now, create, &wanted)
+                        .map_err(Denied::by_shedding)?;
                 }
             }
         }
-        let until = now.after((wanted.time_left_s - self.settings.requests.answer_margin_s).max(0.0));
-        let asked = self.workflows.ask(now, (session, create), question, counted, until);
+        let until =
+            now.after((wanted.time_left_s - self.settings.requests.answer_margin_s).max(0.0));
+        let asked = self
+            .workflows
+            .ask(now, (session, create), question, counted, until);
         let (call, ask) = asked.map_err(|why| {
             self.shed.gone(&mut counted);
             Denied::by_workflow(why)
@@ -425,7 +540,9 @@
     ) -> Result<(), BadRequest> {
         let id = self.names.read_response(response);
         let heard = |id: &RequestId| {
-            self.requests.get(id).is_some_and(|r| r.listeners.iter().any(|l| l.session == session))
+            self.requests
+                .get(id)
+                .is_some_and(|r| r.listeners.iter().any(|l| l.session == session))
         };
         match id.filter(heard) {
             Some(id) => {
@@ -433,18 +550,30 @@
                 Ok(())
             }
             None => {
-                let bad = BadRequest::field("response_id", "no response of this id runs in this session");
-                Err(BadRequest { status: 404, code: "response_not_found", ..bad })
+                let bad =
+                    BadRequest::field("response_id", "no response of this id runs in this session");
+                Err(BadRequest {
+                    status: 404,
+                    code: "response_not_found",
+                    ..bad
+                })
             }
         }
     }
 
-    pub(crate) fn on_session_closed(&mut self, now: Micros, session: SessionId, out: &mut Vec<Output>) {
+    pub(crate) fn on_session_closed(
+        &mut self,
+        now: Micros,
+        session: SessionId,
+        out: &mut Vec<Output>,
+    ) {
         for mut counted in self.workflows.session_closed(session) {
             self.shed.gone(&mut counted);
         }
         for id in self.sessions.close(session) {
-            let Some(request) = self.requests.get_mut(&id) else { continue };
+            let Some(request) = self.requests.get_mut(&id) else {
+                continue;
+            };
             request.listeners.retain(|l| l.session != session);
             // A keyed request with an effect goes on: its client may come back for the one answer that it has.
             let lingers = (request.key.is_some() || request.step)
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -88,7 +88,13 @@
     }
 
     pub(crate) fn begin(&mut self, key: Key, asked: u64, request: RequestId) {
-        let entry = Entry { asked, held: Held::Running(request), ended: None, bytes: 0, turn: 0 };
+        let entry = Entry {
+            asked,
+            held: Held::Running(request),
+            ended: None,
+            bytes: 0,
+            turn: 0,
+        };
         self.entries.insert(key, entry);
     }
 
@@ -101,11 +107,14 @@
     }
 
     pub(crate) fn end(&mut self, now: Micros, key: &Key, answer: Response, bytes: usize) {
-        let Some(entry) = self.entries.get_mut(key) else { return };
+        let Some(entry) = self.entries.get_mut(key) else {
+            return;
+        };
         self.turns += 1;
         self.ended.remove(&entry.turn);
         self.bytes = self.bytes + bytes - entry.bytes;
-        (entry.held, entry.ended, entry.bytes) = (Held::Answered(Box::new(answer)), Some(now), bytes);
+        (entry.held, entry.ended, entry.bytes) =
+            (Held::Answered(Box::new(answer)), Some(now), bytes);
         entry.turn = self.turns;
         self.ended.insert(self.turns, key.clone());
         self.forget_texts();
@@ -131,7 +140,10 @@
     pub(crate) fn sweep(&mut self, now: Micros) {
         while let Some((turn, key)) = self.ended.first_key_value() {
             let entry = self.entries.get(key);
-            if entry.and_then(|e| e.ended).is_some_and(|at| now.since(at) < self.kept_s) {
+            if entry
+                .and_then(|e| e.ended)
+                .is_some_and(|at| now.since(at) < self.kept_s)
+            {
                 return;
             }
             let (turn, key) = (*turn, key.clone());
@@ -153,7 +165,12 @@
     use bitternlatch_protocol::client::Status;
 
     fn key(text: &str) -> Key {
-        Key { tenant: 0, class: 1, owner: String::new(), text: text.to_string() }
+        Key {
+            tenant: 0,
+            class: 1,
+            owner: String::new(),
+            text: text.to_string(),
+        }
     }
 
     fn answer() -> Response {
--- a/crates/core/src/leases.rs
+++ b/crates/core/src/leases.rs
@@ -60,13 +60,25 @@
         }
         let rules = LeaseRules::default();
         for (i, tenant) in self.settings.tenants.iter().enumerate() {
-            let Some(rate) = tenant.budget.as_ref().and_then(|b| b.rate) else { continue };
+            let Some(rate) = tenant.budget.as_ref().and_then(|b| b.rate) else {
+                continue;
+            };
             let dispatchers = self.settings.dispatchers;
-            let borrower = Borrower::new(rules.clone(), rate.tokens_per_s, dispatchers, now.seconds());
+            let borrower =
+                Borrower::new(rules.clone(), rate.tokens_per_s, dispatchers, now.seconds());
             let spends = borrower.rate(now.seconds());
             let whole = (rate.tokens_per_s, rate.burst_tokens);
-            self.book.lend(now.seconds(), i as u32, spends / whole.0, whole);
-            self.leases.borrowers.insert(i as u32, Borrowing { borrower, holds: 0, spends, used: None });
+            self.book
+                .lend(now.seconds(), i as u32, spends / whole.0, whole);
+            self.leases.borrowers.insert(
+                i as u32,
+                Borrowing {
+                    borrower,
+                    holds: 0,
+                    spends,
+                    used: None,
+                },
+            );
         }
         self.timers.set(now.after(LOOK_S), Timer::Ledger);
     }
@@ -78,17 +90,31 @@
         let due = |b: &Borrowing| (b.busy(now) || b.holds != 0) && b.borrower.asks(now.seconds());
         let after = self.leases.borrowers.range(self.leases.turn..);
         let before = self.leases.borrowers.range(..self.leases.turn);
-        let due: Vec<u32> =
-            after.chain(before).filter(|(_, b)| due(b)).map(|(t, _)| *t).take(TENANTS_MOST).collect();
+        let due: Vec<u32> = after
+            .chain(before)
+            .filter(|(_, b)| due(b))
+            .map(|(t, _)| *t)
+            .take(TENANTS_MOST)
+            .collect();
         let Some(last) = due.last() else { return };
         let last = *last;
         self.leases.turn = last + 1;
         let mut tenants = Vec::new();
         for tenant in due {
-            let Some(b) = self.leases.borrowers.get_mut(&tenant) else { continue };
-            let wants = if b.busy(now) { b.borrower.wants(now.seconds()).max(1.0) } else { 0.0 };
+            let Some(b) = self.leases.borrowers.get_mut(&tenant) else {
+                continue;
+            };
+            let wants = if b.busy(now) {
+                b.borrower.wants(now.seconds()).max(1.0)
+            } else {
+                0.0
+            };
             let name = self.settings.tenants[tenant as usize].name.clone();
-            tenants.push(Want { tenant: name, tokens_per_s: wants, holds: b.holds });
+            tenants.push(Want {
+                tenant: name,
+                tokens_per_s: wants,
+                holds: b.holds,
+            });
             if wants == 0.0 {
                 b.holds = 0;
                 b.borrower.drop_part();
@@ -101,17 +127,37 @@
             self.leases.asked.pop_first();
         }
         self.follow_leases(now);
-        out.push(Output::AskLedger { holder: self.instance, number, tenants });
+        out.push(Output::AskLedger {
+            holder: self.instance,
+            number,
+            tenants,
+        });
     }
 
     /// Parts came for a question.
-    pub(crate) fn on_lent(&mut self, now: Micros, number: u64, parts: &[Part], out: &mut Vec<Output>) {
-        let Some(asked) = self.leases.asked.remove(&number) else { return };
+    pub(crate) fn on_lent(
+        &mut self,
+        now: Micros,
+        number: u64,
+        parts: &[Part],
+        out: &mut Vec<Output>,
+    ) {
+        let Some(asked) = self.leases.asked.remove(&number) else {
+            return;
+        };
         for part in parts {
-            let tenant = self.settings.tenants.iter().position(|t| t.name == part.tenant);
+            let tenant = self
+                .settings
+                .tenants
+                .iter()
+                .position(|t| t.name == part.tenant);
             let known = tenant.and_then(|t| self.leases.borrowers.get_mut(&(t as u32)));
             let (Some(b), Some(lease)) = (known, part.lease()) else {
-                log(out, Level::Warn, format!("a part for '{}' cannot be used", part.tenant));
+                log(
+                    out,
+                    Level::Warn,
+                    format!("a part for '{}' cannot be used", part.tenant),
+                );
                 continue;
             };
             b.borrower.lent(asked.seconds(), lease);
@@ -124,11 +170,15 @@
     pub(crate) fn follow_leases(&mut self, now: Micros) {
         for (tenant, b) in &mut self.leases.borrowers {
             let rate = b.borrower.rate(now.seconds());
-            let whole = self.settings.tenants[*tenant as usize].budget.as_ref().and_then(|p| p.rate);
+            let whole = self.settings.tenants[*tenant as usize]
+                .budget
+                .as_ref()
+                .and_then(|p| p.rate);
             if let Some(whole) = whole.filter(|_| rate != b.spends) {
                 b.spends = rate;
                 let whole = (whole.tokens_per_s, whole.burst_tokens);
-                self.book.lend(now.seconds(), *tenant, rate / whole.0, whole);
+                self.book
+                    .lend(now.seconds(), *tenant, rate / whole.0, whole);
             }
         }
     }
--- a/crates/core/src/lengths.rs
+++ b/crates/core/src/lengths.rs
@@ -2,7 +2,9 @@
 //!
 //! Knows nothing of the machine: it is asked by it, and tells it what to do.
 
-use bitternlatch_output_length::{Ask, ClassKey, Curves, End, Ended, Expected, ModelKey, TenantKey, Told};
+use bitternlatch_output_length::{
+    Ask, ClassKey, Curves, End, Ended, Expected, ModelKey, TenantKey, Told,
+};
 use bitternlatch_policy::interface;
 use bitternlatch_protocol::tokens_of;
 use xxhash_rust::xxh3::xxh3_64;
@@ -24,7 +26,9 @@
     pub(crate) fn told(&mut self, _now: Micros, told: Told) {
         match told {
             // Bounded by `Curves`.
-            Told::Curves(curves) => curves.into_iter().for_each(|(cell, curve)| self.curves.set(cell, curve)),
+            Told::Curves(curves) => curves
+                .into_iter()
+                .for_each(|(cell, curve)| self.curves.set(cell, curve)),
         }
     }
 
@@ -39,13 +43,20 @@
         if self.curves.is_empty() {
             return None;
         }
-        let known = self.curves.find(ModelKey(short(model)), ClassKey(short(class)), prompt_tokens)?;
+        let known = self.curves.find(
+            ModelKey(short(model)),
+            ClassKey(short(class)),
+            prompt_tokens,
+        )?;
         Some(known.expected(ceiling))
     }
 
     /// What the decision module is told of it.
     pub(crate) fn for_module(expected: Option<Expected>) -> Option<interface::Expected> {
-        expected.map(|e| interface::Expected { mean: e.mean, p90: e.p90 })
+        expected.map(|e| interface::Expected {
+            mean: e.mean,
+            p90: e.p90,
+        })
     }
 
     /// An answer that has ended, or that its client left while it ran.
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -64,23 +64,42 @@
         *epoch += 1;
         let epoch = *epoch;
         let failures = self.links.get(&host).map_or(0, |l| l.failures);
-        let queue = self.links.remove(&host).map(|l| l.queue).unwrap_or_default();
-        self.links.insert(host, Link { epoch, stage: Stage::Dialled, failures, queue, leaving: false });
+        let queue = self
+            .links
+            .remove(&host)
+            .map(|l| l.queue)
+            .unwrap_or_default();
+        self.links.insert(
+            host,
+            Link {
+                epoch,
+                stage: Stage::Dialled,
+                failures,
+                queue,
+                leaving: false,
+            },
+        );
         LinkId { host, epoch }
     }
 
     fn current(&mut self, link: LinkId) -> Option<&mut Link> {
-        self.links.get_mut(&link.host).filter(|l| l.epoch == link.epoch)
+        self.links
+            .get_mut(&link.host)
+            .filter(|l| l.epoch == link.epoch)
     }
 
     /// The socket is up; false for a link that is no longer wanted.
     pub(crate) fn up(&mut self, link: LinkId) -> bool {
-        self.current(link).map(|l| l.stage = Stage::Silent).is_some()
+        self.current(link)
+            .map(|l| l.stage = Stage::Silent)
+            .is_some()
     }
 
     /// The host has greeted: gives what was queued, in order.
     pub(crate) fn greeted(&mut self, link: LinkId) -> Vec<Queued> {
-        let Some(l) = self.current(link).filter(|l| l.stage == Stage::Silent) else { return Vec::new() };
+        let Some(l) = self.current(link).filter(|l| l.stage == Stage::Silent) else {
+            return Vec::new();
+        };
         (l.stage, l.failures) = (Stage::Open, 0);
         l.queue.drain(..).collect()
     }
@@ -101,27 +120,40 @@
 
     /// Whether a link in this epoch has not yet greeted.
     pub(crate) fn is_opening(&self, link: LinkId) -> bool {
-        let opening = |l: &&Link| l.epoch == link.epoch && matches!(l.stage, Stage::Dialled | Stage::Silent);
+        let opening =
+            |l: &&Link| l.epoch == link.epoch && matches!(l.stage, Stage::Dialled | Stage::Silent);
         self.links.get(&link.host).filter(opening).is_some()
     }
 
     pub(crate) fn is_paused(&self, link: LinkId) -> bool {
-        self.links.get(&link.host).is_some_and(|l| l.epoch == link.epoch && l.stage == Stage::Paused)
+        self.links
+            .get(&link.host)
+            .is_some_and(|l| l.epoch == link.epoch && l.stage == Stage::Paused)
     }
 
     pub(crate) fn is_current(&self, link: LinkId) -> bool {
-        self.links.get(&link.host).is_some_and(|l| l.epoch == link.epoch)
+        self.links
+            .get(&link.host)
+            .is_some_and(|l| l.epoch == link.epoch)
     }
 
     /// The open link to a host.
     pub(crate) fn open(&self, host: ServerId) -> Option<LinkId> {
         let l = self.links.get(&host).filter(|l| l.stage == Stage::Open)?;
-        Some(LinkId { host, epoch: l.epoch })
+        Some(LinkId {
+            host,
+            epoch: l.epoch,
+        })
     }
 
     pub(crate) fn give(&mut self, host: ServerId, message: Queued) -> Given {
-        let Some(l) = self.links.get_mut(&host) else { return Given::NoWay };
-        let link = LinkId { host, epoch: l.epoch };
+        let Some(l) = self.links.get_mut(&host) else {
+            return Given::NoWay;
+        };
+        let link = LinkId {
+            host,
+            epoch: l.epoch,
+        };
         match l.stage {
             Stage::Open => Given::Tell(link, message),
             Stage::Dialled | Stage::Silent if l.queue.len() < QUEUE_MOST && !l.leaving => {
@@ -134,7 +166,9 @@
 
     /// Takes one attempt's message out of its queue; false if it is not there.
     pub(crate) fn take_back(&mut self, host: ServerId, attempt: &str) -> bool {
-        let Some(l) = self.links.get_mut(&host) else { return false };
+        let Some(l) = self.links.get_mut(&host) else {
+            return false;
+        };
         let before = l.queue.len();
         l.queue.retain(|q| q.attempt != attempt);
         l.queue.len() < before
@@ -142,14 +176,20 @@
 
     /// Takes all that is still queued for a host.
     pub(crate) fn take_queue(&mut self, host: ServerId) -> Vec<Queued> {
-        self.links.get_mut(&host).map(|l| l.queue.drain(..).collect()).unwrap_or_default()
+        self.links
+            .get_mut(&host)
+            .map(|l| l.queue.drain(..).collect())
+            .unwrap_or_default()
     }
 
     /// The link is not wanted any more; gives it where it is to be hung up at once.
     pub(crate) fn leave(&mut self, host: ServerId, busy: bool) -> Option<LinkId> {
         let l = self.links.get_mut(&host)?;
         l.leaving = true;
-        let link = LinkId { host, epoch: l.epoch };
+        let link = LinkId {
+            host,
+            epoch: l.epoch,
+        };
         match (&l.stage, busy) {
             (Stage::Open, true) => None,
             (Stage::Paused, _) => {
@@ -162,11 +202,18 @@
 
     /// Links that are to be left.
     pub(crate) fn leaving(&self) -> Vec<ServerId> {
-        self.links.iter().filter(|(_, l)| l.leaving).map(|(id, _)| *id).collect()
+        self.links
+            .iter()
+            .filter(|(_, l)| l.leaving)
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     pub(crate) fn open_count(&self) -> usize {
-        self.links.values().filter(|l| l.stage == Stage::Open).count()
+        self.links
+            .values()
+            .filter(|l| l.stage == Stage::Open)
+            .count()
     }
 }
 
@@ -180,7 +227,10 @@
     use super::*;
 
     fn message(attempt: &str) -> Queued {
-        Queued { attempt: attempt.to_string(), text: String::new() }
+        Queued {
+            attempt: attempt.to_string(),
+            text: String::new(),
+        }
     }
 
     #[test]
@@ -192,7 +242,10 @@
         assert!(links.greeted(first).is_empty(), "not up yet");
         assert!(links.up(first));
         assert_eq!(links.greeted(first), vec![message("a")]);
-        assert_eq!(links.give(1, message("b")), Given::Tell(first, message("b")));
+        assert_eq!(
+            links.give(1, message("b")),
+            Given::Tell(first, message("b"))
+        );
         let (queued, pause) = links.down(first, 0.0).expect("current");
         assert!(queued.is_empty() && pause > 0.0);
         assert_eq!(links.give(1, message("c")), Given::NoWay);
@@ -212,7 +265,9 @@
         }
         assert_eq!(last, PAUSE_S.1);
         links.dial(1);
-        let taken = (0..100).filter(|_| links.give(1, message("a")) != Given::NoWay).count();
+        let taken = (0..100)
+            .filter(|_| links.give(1, message("a")) != Given::NoWay)
+            .count();
         assert_eq!(taken, QUEUE_MOST);
     }
 
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -61,7 +61,11 @@
     let kept = trace.is_some().then(|| event.clone());
     router.handle(now.seconds(), event, actions);
     if let (Some(trace), Some(event)) = (trace.as_mut(), kept) {
-        trace.push(Traced { now_s: now.seconds(), event, actions: actions.clone() });
+        trace.push(Traced {
+            now_s: now.seconds(),
+            event,
+            actions: actions.clone(),
+        });
     }
 }
 
@@ -191,7 +195,8 @@
             self.open_accounts(now);
             self.open_leases(now);
             if self.settings.cluster.is_some() {
-                self.timers.set(now.after(evidence::LOOK_S), Timer::Evidence);
+                self.timers
+                    .set(now.after(evidence::LOOK_S), Timer::Evidence);
             }
             if self.shed.is_on() {
                 self.timers.set(now.after(shed::LOOK_S), Timer::Shed);
@@ -232,7 +237,11 @@
             Input::LinkClosed { link, why } => self.on_link_down(now, link, true, &why, out),
             Input::LinkText { link, text } => self.on_engine_text(now, link, &text, out),
             Input::LinkUnsent { link, attempt } => self.on_unsent(now, link, &attempt, out),
-            Input::Standing { standing, there, until } => self.on_standing(standing, there, until),
+            Input::Standing {
+                standing,
+                there,
+                until,
+            } => self.on_standing(standing, there, until),
             Input::Heard { at, of, heard } => self.on_heard(now, at, of, &heard, out),
             Input::Overload(told) => self.on_overload(now, told, out),
             Input::Lengths(told) => self.lengths.told(now, told),
@@ -245,7 +254,11 @@
             Input::Tick => {}
             Input::Stop => {
                 self.stopping = true;
-                log(out, Level::Info, format!("stopping: {} sessions open", self.sessions.len()));
+                log(
+                    out,
+                    Level::Info,
+                    format!("stopping: {} sessions open", self.sessions.len()),
+                );
             }
         }
     }
@@ -263,9 +276,15 @@
 
     fn on_hosts(&mut self, now: Micros, list: Vec<Host>, out: &mut Vec<Output>) {
         let change = self.fleet.take_list(list, &self.settings);
-        change.passed.into_iter().for_each(|why| log(out, Level::Error, why));
+        change
+            .passed
+            .into_iter()
+            .for_each(|why| log(out, Level::Error, why));
         // The module is told first, so that what is handed back does not go to the same host again.
-        self.events.push_back(Event::Servers { form: ListForm::Full, entries: change.entries });
+        self.events.push_back(Event::Servers {
+            form: ListForm::Full,
+            entries: change.entries,
+        });
         for host in change.closed {
             self.hand_back_queued(now, host, out);
         }
@@ -280,26 +299,49 @@
 
     /// Closes a link once nothing is out over it, or at once where its host has moved.
     fn leave(&mut self, host: ServerId, at_once: bool, out: &mut Vec<Output>) {
-        let busy = self.requests.values().any(|r| r.attempt.as_ref().is_some_and(|a| a.host == host));
+        let busy = self
+            .requests
+            .values()
+            .any(|r| r.attempt.as_ref().is_some_and(|a| a.host == host));
         if let Some(link) = self.links.leave(host, busy && !at_once) {
             out.push(Output::Hang { link });
         }
     }
 
     pub(crate) fn dial(&mut self, now: Micros, host: ServerId, out: &mut Vec<Output>) {
-        let Some(known) = self.fleet.get(host) else { return };
+        let Some(known) = self.fleet.get(host) else {
+            return;
+        };
         let (endpoint, name) = (known.host.endpoint(), known.host.name.clone());
         let link = self.links.dial(host);
         let within_s = self.settings.engines.connect_s + self.settings.engines.greet_s;
-        self.timers.set(now.after(within_s), Timer::Link { host, epoch: link.epoch });
-        out.push(Output::Dial { link, endpoint, name });
+        self.timers.set(
+            now.after(within_s),
+            Timer::Link {
+                host,
+                epoch: link.epoch,
+            },
+        );
+        out.push(Output::Dial {
+            link,
+            endpoint,
+            name,
+        });
     }
 
     fn on_session(&mut self, session: SessionId, caller: Option<Caller>, out: &mut Vec<Output>) {
         if self.stopping || self.sessions.len() >= self.settings.listen.sessions {
-            let reason = if self.stopping { "stopping; come back elsewhere" } else { "too many sessions" };
+            let reason = if self.stopping {
+                "stopping; come back elsewhere"
+            } else {
+                "too many sessions"
+            };
             let code = if self.stopping { 1001 } else { 1013 };
-            return out.push(Output::CloseSession { session, code, reason: reason.to_string() });
+            return out.push(Output::CloseSession {
+                session,
+                code,
+                reason: reason.to_string(),
+            });
         }
         self.sessions.open(session);
         if let Some(caller) = caller {
@@ -322,7 +364,8 @@
             Timer::Call { call } => {
                 let act = self.workflows.late(call);
                 if self.workflows.lingers(call) {
-                    self.timers.set(now.after(HELD_WITHIN_S), Timer::Call { call });
+                    self.timers
+                        .set(now.after(HELD_WITHIN_S), Timer::Call { call });
                 }
                 self.on_workflow(now, act, out);
             }
@@ -348,5 +391,8 @@
 }
 
 pub(crate) fn log(out: &mut Vec<Output>, level: Level, text: impl Into<String>) {
-    out.push(Output::Log { level, text: text.into() });
+    out.push(Output::Log {
+        level,
+        text: text.into(),
+    });
 }
--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -21,7 +21,10 @@
         };
         let number = derive("bitternlatch 2026 number of a run");
         let instance = u64::from_le_bytes(std::array::from_fn(|i| number[i]));
-        Names { secret: derive("bitternlatch 2026 ids of responses"), instance }
+        Names {
+            secret: derive("bitternlatch 2026 ids of responses"),
+            instance,
+        }
     }
 
     /// Number of the run.
@@ -32,7 +35,11 @@
     /// Id of a response, as clients see it.
     pub(crate) fn response(&self, request: RequestId) -> String {
         let tag = blake3::keyed_hash(&self.secret, &request.to_le_bytes()).to_hex();
-        format!("resp_{:016x}{request:08x}{}", self.instance, &tag[..2 * TAG_BYTES])
+        format!(
+            "resp_{:016x}{request:08x}{}",
+            self.instance,
+            &tag[..2 * TAG_BYTES]
+        )
     }
 
     /// The request of an id that this run made; `None` for any other text.
@@ -58,7 +65,14 @@
         assert_eq!(tag(9).len(), 32);
         let counted = id.replace("00000009", "0000000a");
         assert_ne!(counted, id);
-        for bad in ["resp_", "resp_\u{e9}", &counted, &id[..29], &id.to_uppercase(), &format!("{id}0")] {
+        for bad in [
+            "resp_",
+            "resp_\u{e9}",
+            &counted,
+            &id[..29],
+            &id.to_uppercase(),
+            &format!("{id}0"),
+        ] {
             assert_eq!(names.read_response(bad), None, "{bad}");
         }
     }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -29,7 +29,10 @@
 
 impl Machine {
     pub(crate) fn on_standing(&mut self, standing: Standing, there: Vec<String>, until: Micros) {
-        self.peers = Peers { told: Some((standing, until)), there };
+        self.peers = Peers {
+            told: Some((standing, until)),
+            there,
+        };
     }
 
     /// What it knows now; `None` where it is to know of nobody. What was told before this process stood still, or has
@@ -47,18 +50,31 @@
 
     /// Whether a request of this class may be begun, or sent for the first time, now.
     pub(crate) fn may_take(&self, now: Micros, class: u16) -> bool {
-        let Some(class) = self.settings.classes.get(usize::from(class)) else { return false };
-        self.duty(now, work(class.effect)).is_none_or(|duty| duty.takes)
+        let Some(class) = self.settings.classes.get(usize::from(class)) else {
+            return false;
+        };
+        self.duty(now, work(class.effect))
+            .is_none_or(|duty| duty.takes)
     }
 
     /// The refusal of what may not be taken, with where else to try: all others that are there, or, where none is
     /// known to be, all that there should be.
     pub(crate) fn sent_elsewhere(&self, now: Micros) -> Denied {
-        let others =
-            self.settings.cluster.iter().flat_map(|c| &c.roster).filter(|p| p.name != self.settings.name);
-        let all: Vec<_> = others.filter_map(|p| Some((&p.name, p.clients.as_ref()?))).collect();
+        let others = self
+            .settings
+            .cluster
+            .iter()
+            .flat_map(|c| &c.roster)
+            .filter(|p| p.name != self.settings.name);
+        let all: Vec<_> = others
+            .filter_map(|p| Some((&p.name, p.clients.as_ref()?)))
+            .collect();
         let there = |(name, _): &&(&String, &String)| self.peers.there.contains(name);
-        let known: Vec<String> = all.iter().filter(there).map(|(_, at)| (*at).clone()).collect();
+        let known: Vec<String> = all
+            .iter()
+            .filter(there)
+            .map(|(_, at)| (*at).clone())
+            .collect();
         // Where hosts fail for all there is nowhere to go.
         let hosts = self.reaches_hosts(now);
         let elsewhere = match known.is_empty() {
@@ -70,8 +86,17 @@
             true => "this dispatcher is cut off from its peers and takes nothing that must not run twice",
             false => "this dispatcher reaches no model host",
         };
-        let bad = BadRequest { status: 503, code: "cut_off", message: message.to_string(), param: None };
-        Denied { bad, retry_after_s: Some(COME_BACK_S), elsewhere }
+        let bad = BadRequest {
+            status: 503,
+            code: "cut_off",
+            message: message.to_string(),
+            param: None,
+        };
+        Denied {
+            bad,
+            retry_after_s: Some(COME_BACK_S),
+            elsewhere,
+        }
     }
 
     /// Whether callers should come, by what is known of peers and hosts.
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -23,10 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
     /// The first entry: what the machine was made from.
-    Start {
-        settings: String,
-        seed: u64,
-    },
+    Start { settings: String, seed: u64 },
     Step {
         at: Micros,
         input: Input,
@@ -62,7 +59,10 @@
     /// Where the sink fails, as for all that follows.
     pub fn begin(mut sink: W) -> io::Result<Self> {
         sink.write_all(MAGIC)?;
-        Ok(Writer { sink, lines: Vec::new() })
+        Ok(Writer {
+            sink,
+            lines: Vec::new(),
+        })
     }
 
     pub fn put(&mut self, entry: &Entry) -> io::Result<()> {
@@ -116,7 +116,10 @@
     if head != MAGIC {
         return Err(RecordError::Magic(head.to_vec()));
     }
-    let mut recorded = Recorded { entries: Vec::new(), torn_bytes: 0 };
+    let mut recorded = Recorded {
+        entries: Vec::new(),
+        torn_bytes: 0,
+    };
     let mut at = MAGIC.len();
     while at < data.len() {
         match block(&data[at..]) {
@@ -124,7 +127,12 @@
                 recorded.torn_bytes = (data.len() - at) as u64;
                 break;
             }
-            Block::Bad(cause) => return Err(RecordError::Block { at: at as u64, cause }),
+            Block::Bad(cause) => {
+                return Err(RecordError::Block {
+                    at: at as u64,
+                    cause,
+                })
+            }
             Block::Whole(size, entries) => {
                 at += size;
                 recorded.entries.extend(entries);
@@ -141,12 +149,20 @@
 }
 
 fn block(data: &[u8]) -> Block {
-    let word = |i: usize| data.get(i..i + 4).and_then(|b| b.try_into().ok()).map(u32::from_le_bytes);
-    let (Some(size), Some(sum)) = (word(0), word(4)) else { return Block::Torn };
+    let word = |i: usize| {
+        data.get(i..i + 4)
+            .and_then(|b| b.try_into().ok())
+            .map(u32::from_le_bytes)
+    };
+    let (Some(size), Some(sum)) = (word(0), word(4)) else {
+        return Block::Torn;
+    };
     if size > BLOCK_MOST {
         return Block::Bad(format!("its length {size} is more than {BLOCK_MOST}"));
     }
-    let Some(packed) = data.get(8..8 + size as usize) else { return Block::Torn };
+    let Some(packed) = data.get(8..8 + size as usize) else {
+        return Block::Torn;
+    };
     if crc32fast::hash(packed) != sum {
         return Block::Bad("its checksum is wrong".to_string());
     }
@@ -154,8 +170,11 @@
         Ok(lines) => lines,
         Err(e) => return Block::Bad(format!("it does not unpack: {e}")),
     };
-    let entries =
-        lines.split(|b| *b == b'\n').filter(|l| !l.is_empty()).map(serde_json::from_slice).collect();
+    let entries = lines
+        .split(|b| *b == b'\n')
+        .filter(|l| !l.is_empty())
+        .map(serde_json::from_slice)
+        .collect();
     match entries {
         Ok(entries) => Block::Whole(8 + size as usize, entries),
         Err(e) => Block::Bad(format!("an entry is not known: {e}")),
@@ -199,7 +218,9 @@
     }
     let mut found = Replay::default();
     for entry in steps {
-        let Entry::Step { at, input, outputs } = entry else { return Err(RecordError::NoStart) };
+        let Entry::Step { at, input, outputs } = entry else {
+            return Err(RecordError::NoStart);
+        };
         let mut replayed = Vec::new();
         machine.step(*at, input.clone(), &mut replayed);
         found.steps += 1;
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -80,7 +80,10 @@
     pub(crate) fn view<'a>(&self, response: &'a Response) -> Cow<'a, Response> {
         match &self.metadata {
             None => Cow::Borrowed(response),
-            Some(own) => Cow::Owned(Response { metadata: own.clone(), ..response.clone() }),
+            Some(own) => Cow::Owned(Response {
+                metadata: own.clone(),
+                ..response.clone()
+            }),
         }
     }
 }
@@ -128,7 +131,9 @@
 
 impl Request {
     pub(crate) fn streaming(&self) -> bool {
-        self.attempt.as_ref().is_some_and(|a| a.stage == Stage::Streaming)
+        self.attempt
+            .as_ref()
+            .is_some_and(|a| a.stage == Stage::Streaming)
     }
 }
 
@@ -159,7 +164,14 @@
         let id = wire_id(7, 9, 3);
         assert_eq!(read_wire_id(7, &id), Some((9, 3)));
         assert_eq!(read_wire_id(8, &id), None);
-        for bad in ["", "-", "7-1", "00000000000000070000000z-1", "é000000000000007-1", &format!("{id}x")] {
+        for bad in [
+            "",
+            "-",
+            "7-1",
+            "00000000000000070000000z-1",
+            "é000000000000007-1",
+            &format!("{id}x"),
+        ] {
             assert_eq!(read_wire_id(7, bad), None, "{bad}");
         }
     }
--- a/crates/core/src/sessions.rs
+++ b/crates/core/src/sessions.rs
@@ -29,7 +29,10 @@
     /// Ends a session and gives the requests that it still listened to.
     pub(crate) fn close(&mut self, session: SessionId) -> BTreeSet<RequestId> {
         self.ending.remove(&session);
-        self.open.remove(&session).map(|o| o.requests).unwrap_or_default()
+        self.open
+            .remove(&session)
+            .map(|o| o.requests)
+            .unwrap_or_default()
     }
 
     pub(crate) fn is_open(&self, session: SessionId) -> bool {
@@ -50,13 +53,24 @@
 
     pub(crate) fn proven_by(&self, keys: &[String]) -> Vec<SessionId> {
         let keys: BTreeSet<&str> = keys.iter().map(String::as_str).collect();
-        let by = |o: &Open| o.caller.as_ref().is_some_and(|c| keys.contains(c.key_id.as_str()));
-        self.open.iter().filter(|(_, o)| by(o)).map(|(id, _)| *id).collect()
+        let by = |o: &Open| {
+            o.caller
+                .as_ref()
+                .is_some_and(|c| keys.contains(c.key_id.as_str()))
+        };
+        self.open
+            .iter()
+            .filter(|(_, o)| by(o))
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// When the proof of each session's caller ends, Unix seconds.
     pub(crate) fn ends(&self) -> Vec<(SessionId, u64)> {
-        self.open.iter().filter_map(|(id, o)| Some((*id, o.caller.as_ref()?.ends))).collect()
+        self.open
+            .iter()
+            .filter_map(|(id, o)| Some((*id, o.caller.as_ref()?.ends)))
+            .collect()
     }
 
     pub(crate) fn end(&mut self, session: SessionId, why: Ending) {
@@ -70,7 +84,11 @@
     }
 
     pub(crate) fn ended_and_idle(&self) -> Vec<(SessionId, Ending)> {
-        self.ending.iter().filter(|(s, _)| self.in_hand(**s) == 0).map(|(s, e)| (*s, *e)).collect()
+        self.ending
+            .iter()
+            .filter(|(s, _)| self.in_hand(**s) == 0)
+            .map(|(s, e)| (*s, *e))
+            .collect()
     }
 
     /// Requests in hand for a session.
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -409,7 +409,11 @@
             RoleName::Writer => policy::Role::Writer,
             RoleName::Mixed => policy::Role::Mixed,
         };
-        Kind { name: raw.name, role, memory_tokens: raw.memory_tokens }
+        Kind {
+            name: raw.name,
+            role,
+            memory_tokens: raw.memory_tokens,
+        }
     }
 }
 
@@ -472,41 +476,59 @@
         let all: Vec<Settings> = texts.iter().map(read).collect();
         let roster = |s: &Settings| s.cluster.as_ref().map(|c| c.roster.clone());
         assert!(all.iter().all(|s| roster(s) == roster(&all[0])));
-        let clients =
-            |s: &Settings| roster(s).and_then(|r| r.into_iter().find(|p| p.name == s.name)?.clients);
-        assert!(all.iter().all(|s| clients(s).as_ref() == Some(&s.listen.address)));
+        let clients = |s: &Settings| {
+            roster(s).and_then(|r| r.into_iter().find(|p| p.name == s.name)?.clients)
+        };
+        assert!(all
+            .iter()
+            .all(|s| clients(s).as_ref() == Some(&s.listen.address)));
     }
 
     #[test]
     fn a_cluster_is_checked_by_place_and_cause() {
         let fault = |roster: &str| {
             let table = "[cluster]\nname = \"hall\"\nsecret = \"s\"\n";
-            Settings::parse("f.toml", &format!("{SMALL}{table}{roster}")).map_err(|e| e.to_string()).err()
+            Settings::parse("f.toml", &format!("{SMALL}{table}{roster}"))
+                .map_err(|e| e.to_string())
+                .err()
+        };
+        let peer = |name: &str, at: &str| {
+            format!("[[cluster.roster]]\nname = \"{name}\"\naddress = \"{at}\"\n")
         };
-        let peer =
-            |name: &str, at: &str| format!("[[cluster.roster]]\nname = \"{name}\"\naddress = \"{at}\"\n");
         let (one, two) = (peer("d1", "127.0.0.1:7811"), peer("d2", "127.0.0.1:7812"));
         assert_eq!(fault(&(one.clone() + &two)), None);
         assert!(fault(&two).is_some_and(|f| f.contains("'d1', this dispatcher, is not in it")));
         let twice = fault(&(one.clone() + &peer("d2", "127.0.0.1:7811")));
-        assert!(twice.is_some_and(|f| f.contains("cluster.roster.1.address: 127.0.0.1:7811 is also")));
+        assert!(
+            twice.is_some_and(|f| f.contains("cluster.roster.1.address: 127.0.0.1:7811 is also"))
+        );
         assert!(fault(&(one.clone() + &one)).is_some_and(|f| f.contains("'d1' is also the name")));
         assert!(fault(&peer("d1", "127.0.0.1:0")).is_some_and(|f| f.contains("cannot be sent to")));
         let seeds = |of: &str| format!("seeds = [{of}]\n");
         assert_eq!(fault(&seeds("\"127.0.0.1:7811\"")), None);
-        assert!(fault(&seeds("\"127.0.0.1:0\"")).is_some_and(|f| f.contains("cluster.seeds.0: 127.0.0.1:0")));
-        assert!(
-            fault(&seeds(&"\"127.0.0.1:7811\",".repeat(17))).is_some_and(|f| f.contains("16 at the most"))
-        );
-        assert!(fault(&(seeds("\"127.0.0.1:7811\"") + &one)).is_some_and(|f| f.contains("keep one of them")));
+        assert!(fault(&seeds("\"127.0.0.1:0\""))
+            .is_some_and(|f| f.contains("cluster.seeds.0: 127.0.0.1:0")));
+        assert!(fault(&seeds(&"\"127.0.0.1:7811\",".repeat(17)))
+            .is_some_and(|f| f.contains("16 at the most")));
+        assert!(fault(&(seeds("\"127.0.0.1:7811\"") + &one))
+            .is_some_and(|f| f.contains("keep one of them")));
         assert!(fault("").is_some_and(|f| f.contains("cluster.roster")));
         let workflows = |line: &str| format!("{one}[cluster.workflows]\n{line}\n");
         assert_eq!(fault(&workflows("")), None);
-        for line in ["lease_s = 0.1", "steps = 0", "bytes = 9", "tokens = 0", "lasts_s = nan", "kept = \"\""]
-        {
+        for line in [
+            "lease_s = 0.1",
+            "steps = 0",
+            "bytes = 9",
+            "tokens = 0",
+            "lasts_s = nan",
+            "kept = \"\"",
+        ] {
             let key = line.split(' ').next().unwrap_or_default();
             let found = fault(&workflows(line)).unwrap_or_default();
-            assert!(found.contains(&format!("cluster.workflows.{key}: ")), "{line}: {found}");
+            assert!(
+                found.contains(&format!("cluster.workflows.{key}: ")),
+                "{line}: {found}"
+            );
         }
     }
 
@@ -516,11 +538,14 @@
             let text = SMALL.replacen(from, to, 1);
             Settings::parse("f.toml", &text).expect_err(to).to_string()
         };
-        assert_eq!(fault("most = 4", "most = 0"), "f.toml:13:8: attempts.most: 0 is not between 1 and 100");
-        assert!(
-            fault("deadline_s = 12.0", "deadline_s = -1").starts_with("f.toml:28:14: classes.1.deadline_s")
+        assert_eq!(
+            fault("most = 4", "most = 0"),
+            "f.toml:13:8: attempts.most: 0 is not between 1 and 100"
         );
-        assert!(fault("\"booking\"", "\"query\"").contains("f.toml:24:8: classes.1.name: 'query' is also"));
+        assert!(fault("deadline_s = 12.0", "deadline_s = -1")
+            .starts_with("f.toml:28:14: classes.1.deadline_s"));
+        assert!(fault("\"booking\"", "\"query\"")
+            .contains("f.toml:24:8: classes.1.name: 'query' is also"));
         assert!(fault("zone = \"z\"", "zon = 1").contains("unknown field `zon`"));
         assert!(fault("name = \"d1\"", "name = d1").starts_with("f.toml:1:"));
         assert!(fault("effect = \"safe\"", "effect = \"odd\"").starts_with("f.toml:17:"));
