--- a/crates/core/src/settings/check.rs
+++ b/crates/core/src/settings/check.rs
@@ -13,7 +13,12 @@
     /// The first fault: broken TOML, a key that is missing, unknown or of the wrong type, or a value out of its bounds,
     /// with line and column.
     pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
-        let fail = |(line, column), cause| SettingsError { file: file.to_string(), line, column, cause };
+        let fail = |(line, column), cause| SettingsError {
+            file: file.to_string(),
+            line,
+            column,
+            cause,
+        };
         let parsed: Result<Settings, toml::de::Error> = toml::from_str(text);
         let settings = parsed.map_err(|e| {
             let at = e.span().map_or((0, 0), |s| position(text, s.start));
@@ -42,8 +47,18 @@
     fn check_sides(&self, c: &mut Check) {
         let (l, e, r) = (&self.listen, &self.engines, &self.requests);
         c.within("listen.sessions", l.sessions as f64, 1.0, 100_000.0);
-        c.within("listen.session_requests", l.session_requests as f64, 1.0, 10_000.0);
-        c.within("listen.message_bytes", l.message_bytes as f64, 1024.0, 64.0 * 1048576.0);
+        c.within(
+            "listen.session_requests",
+            l.session_requests as f64,
+            1.0,
+            10_000.0,
+        );
+        c.within(
+            "listen.message_bytes",
+            l.message_bytes as f64,
+            1024.0,
+            64.0 * 1048576.0,
+        );
         c.within("listen.handshake_s", l.handshake_s, 0.01, 600.0);
         c.within("listen.idle_s", l.idle_s, 0.1, 1e6);
         c.within("listen.ping_s", l.ping_s, 0.05, 3600.0);
@@ -51,25 +66,44 @@
         c.within("listen.handshakes", l.handshakes as f64, 1.0, 100_000.0);
         if let Some(tls) = &l.tls {
             if tls.clients.is_none() && (tls.clients_required || !tls.revoked.is_empty()) {
-                c.fail("listen.tls", "clients_required and revoked need clients".into());
+                c.fail(
+                    "listen.tls",
+                    "clients_required and revoked need clients".into(),
+                );
             }
         }
-        if e.tls.as_ref().is_some_and(|t| t.certificate.is_some() != t.key.is_some()) {
+        if e.tls
+            .as_ref()
+            .is_some_and(|t| t.certificate.is_some() != t.key.is_some())
+        {
             c.fail("engines.tls", "certificate and key come together".into());
         }
         c.within("engines.connect_s", e.connect_s, 0.01, 60.0);
         c.within("engines.greet_s", e.greet_s, 0.01, 60.0);
-        c.within("engines.message_bytes", e.message_bytes as f64, 1024.0, 64.0 * 1048576.0);
+        c.within(
+            "engines.message_bytes",
+            e.message_bytes as f64,
+            1024.0,
+            64.0 * 1048576.0,
+        );
         c.within("engines.queue_messages", e.queue_messages as f64, 8.0, 1e6);
         c.within("engines.ping_s", e.ping_s, 0.05, 3600.0);
         c.within("inventory.reread_s", self.inventory.reread_s, 0.01, 3600.0);
         if let Some(identity) = &self.identity {
-            if identity.keys.is_some() && (identity.issuer.is_empty() || identity.audience.is_empty()) {
-                c.fail("identity.keys", "tokens need an issuer and an audience".into());
+            if identity.keys.is_some()
+                && (identity.issuer.is_empty() || identity.audience.is_empty())
+            {
+                c.fail(
+                    "identity.keys",
+                    "tokens need an issuer and an audience".into(),
+                );
             }
             let by_certificate = l.tls.as_ref().is_some_and(|t| t.clients.is_some());
             if identity.keys.is_none() && !by_certificate {
-                c.fail("identity", "neither keys of tokens nor listen.tls.clients: nobody could call".into());
+                c.fail(
+                    "identity",
+                    "neither keys of tokens nor listen.tls.clients: nobody could call".into(),
+                );
             }
             c.within("identity.skew_s", identity.skew_s as f64, 0.0, 600.0);
             c.within("identity.refresh_s", identity.refresh_s, 0.05, 86_400.0);
@@ -78,14 +112,24 @@
         c.within("stop.within_s", self.stop.within_s, 0.1, 3600.0);
         c.within("requests.in_hand", r.in_hand as f64, 1.0, 1e7);
         c.within("requests.prompt_bytes", r.prompt_bytes as f64, 1024.0, 1e9);
-        c.within("requests.prompt_bytes_in_hand", r.prompt_bytes_in_hand as f64, 1024.0, 1e12);
+        c.within(
+            "requests.prompt_bytes_in_hand",
+            r.prompt_bytes_in_hand as f64,
+            1024.0,
+            1e12,
+        );
         c.within("requests.context_bytes", r.context_bytes as f64, 0.0, 1e12);
         c.within("requests.context_s", r.context_s, 0.0, 1e7);
         c.within("requests.keys", r.keys as f64, 1.0, 1e8);
         c.within("requests.key_bytes", r.key_bytes as f64, 0.0, 1e12);
         c.within("requests.key_s", r.key_s, 1.0, 1e7);
         c.within("requests.answer_margin_s", r.answer_margin_s, 0.0, 10.0);
-        c.within("requests.max_output_tokens", f64::from(r.max_output_tokens), 1.0, 1e7);
+        c.within(
+            "requests.max_output_tokens",
+            f64::from(r.max_output_tokens),
+            1.0,
+            1e7,
+        );
     }
 
     fn check_rules(&self, c: &mut Check) {
@@ -93,11 +137,21 @@
         c.within("rules.pin_limit_s", rules.pin_limit_s, 0.01, 3600.0);
         c.within("rules.drain_grace_s", rules.drain_grace_s, 0.01, 3600.0);
         c.within("rules.cold.start_capacity", cold.start_capacity, 0.01, 1.0);
-        c.within("rules.cold.overload_factor", cold.overload_factor, 1.0, 100.0);
+        c.within(
+            "rules.cold.overload_factor",
+            cold.overload_factor,
+            1.0,
+            100.0,
+        );
         c.within("rules.cold.window_s", cold.window_s, 0.1, 600.0);
         c.within("rules.cold.warm_after_s", cold.warm_after_s, 0.1, 3600.0);
         c.within("attempts.most", f64::from(a.most), 1.0, 100.0);
-        c.within("attempts.max_retry_after_s", a.max_retry_after_s, 0.0, 3600.0);
+        c.within(
+            "attempts.max_retry_after_s",
+            a.max_retry_after_s,
+            0.0,
+            3600.0,
+        );
     }
 
     fn check_tables(&self, c: &mut Check) {
@@ -109,25 +163,43 @@
         for (i, class) in self.classes.iter().enumerate() {
             let at = |key: &str| format!("classes.{i}.{key}");
             c.within(&at("ttft_aim_s"), class.ttft_aim_s, 0.001, 3600.0);
-            c.within(&at("ttft_aim_ms_per_1000_tokens"), class.ttft_aim_ms_per_1000_tokens, 0.0, 1e6);
+            c.within(
+                &at("ttft_aim_ms_per_1000_tokens"),
+                class.ttft_aim_ms_per_1000_tokens,
+                0.0,
+                1e6,
+            );
             c.within(&at("token_gap_aim_s"), class.token_gap_aim_s, 0.0001, 60.0);
             c.within(&at("deadline_s"), class.deadline_s, 0.05, 86_400.0);
             c.within(&at("worth"), class.worth, 0.0, 1e6);
             c.within(&at("late_worth"), class.late_worth, 0.0, 1.0);
             c.within(&at("key_window_s"), class.key_window_s, 0.0, 1e7);
             if class.effect == Effect::Keyed && class.key_window_s <= 0.0 {
-                c.fail(&at("effect"), "a keyed class needs key_window_s above 0".into());
+                c.fail(
+                    &at("effect"),
+                    "a keyed class needs key_window_s above 0".into(),
+                );
             }
         }
         for (i, tenant) in self.tenants.iter().enumerate() {
-            c.within(&format!("tenants.{i}.quota_rps"), tenant.quota_rps, 0.0, 1e9);
+            c.within(
+                &format!("tenants.{i}.quota_rps"),
+                tenant.quota_rps,
+                0.0,
+                1e9,
+            );
             let known = |name: &str| self.classes.iter().any(|c| c.name == name);
             if let Some(Err((key, why))) = tenant.budget.as_ref().map(|b| b.check(known)) {
                 c.fail(&format!("tenants.{i}.budget.{key}"), why);
             }
         }
         for (i, kind) in self.kinds.iter().enumerate() {
-            c.within(&format!("kinds.{i}.memory_tokens"), kind.memory_tokens, 0.0, 1e12);
+            c.within(
+                &format!("kinds.{i}.memory_tokens"),
+                kind.memory_tokens,
+                0.0,
+                1e12,
+            );
         }
     }
 }
@@ -166,7 +238,10 @@
             let at = format!("{path}.{i}.name");
             self.name(&at, name);
             if let Some(first) = seen.insert(name, i) {
-                self.fail(&at, format!("'{name}' is also the name of number {}", first + 1));
+                self.fail(
+                    &at,
+                    format!("'{name}' is also the name of number {}", first + 1),
+                );
             }
         }
     }
@@ -182,13 +257,18 @@
 
 /// Where a key given by its path stands, or the nearest table above it.
 fn locate(text: &str, path: &str) -> (usize, usize) {
-    let Ok(root) = DeTable::parse(text) else { return (0, 0) };
+    let Ok(root) = DeTable::parse(text) else {
+        return (0, 0);
+    };
     let mut here = DeValue::Table(root.into_inner());
     let mut at = 0;
     for part in path.split('.') {
         let next = match &here {
             DeValue::Table(table) => table.get(part).cloned(),
-            DeValue::Array(list) => part.parse::<usize>().ok().and_then(|i| list.get(i).cloned()),
+            DeValue::Array(list) => part
+                .parse::<usize>()
+                .ok()
+                .and_then(|i| list.get(i).cloned()),
             _ => None,
         };
         let Some(next) = next else { break };
--- a/crates/core/src/settings/cluster.rs
+++ b/crates/core/src/settings/cluster.rs
@@ -53,19 +53,32 @@
         if let Some(workflows) = &self.workflows {
             check_workflows(workflows, c);
         }
-        if let Some(Err(why)) = self.overload.as_ref().map(bitternlatch_overload::Settings::check) {
+        if let Some(Err(why)) = self
+            .overload
+            .as_ref()
+            .map(bitternlatch_overload::Settings::check)
+        {
             c.fail("cluster.overload", format!("{why}; {}", why.advice()));
         }
         if !self.seeds.is_empty() {
             return match self.roster.is_empty() {
                 true => self.check_seeds(c),
-                false => c.fail("cluster.seeds", "a roster is given as well; keep one of them".to_string()),
+                false => c.fail(
+                    "cluster.seeds",
+                    "a roster is given as well; keep one of them".to_string(),
+                ),
             };
         }
         c.some("cluster.roster", self.roster.len());
-        c.unique("cluster.roster", self.roster.iter().map(|p| p.name.as_str()));
+        c.unique(
+            "cluster.roster",
+            self.roster.iter().map(|p| p.name.as_str()),
+        );
         if self.roster.iter().all(|p| p.name != own) {
-            c.fail("cluster.roster", format!("'{own}', this dispatcher, is not in it"));
+            c.fail(
+                "cluster.roster",
+                format!("'{own}', this dispatcher, is not in it"),
+            );
         }
         let mut seen = BTreeMap::new();
         for (i, peer) in self.roster.iter().enumerate() {
@@ -77,23 +90,37 @@
                 c.fail(&at, format!("{} cannot be sent to", peer.address));
             }
             if let Some(other) = seen.insert(peer.address, &peer.name) {
-                c.fail(&at, format!("{} is also the address of '{other}'", peer.address));
+                c.fail(
+                    &at,
+                    format!("{} is also the address of '{other}'", peer.address),
+                );
             }
         }
     }
 
     fn check_seeds(&self, c: &mut Check) {
         if self.seeds.len() > SEEDS_MOST {
-            c.fail("cluster.seeds", format!("{} of them; {SEEDS_MOST} at the most", self.seeds.len()));
+            c.fail(
+                "cluster.seeds",
+                format!("{} of them; {SEEDS_MOST} at the most", self.seeds.len()),
+            );
         }
         for (i, seed) in self.seeds.iter().enumerate().filter(|(_, s)| s.port() == 0) {
-            c.fail(&format!("cluster.seeds.{i}"), format!("{seed} cannot be connected to"));
+            c.fail(
+                &format!("cluster.seeds.{i}"),
+                format!("{seed} cannot be connected to"),
+            );
         }
     }
 
     /// Where this one listens.
     pub fn own_address(&self, own: &str) -> Option<SocketAddrV4> {
-        self.address.or_else(|| self.roster.iter().find(|p| p.name == own).map(|p| p.address))
+        self.address.or_else(|| {
+            self.roster
+                .iter()
+                .find(|p| p.name == own)
+                .map(|p| p.address)
+        })
     }
 }
 
@@ -101,8 +128,18 @@
     if let Some(kept) = &w.kept {
         c.name("cluster.workflows.kept", kept);
     }
-    c.within("cluster.workflows.steps", f64::from(w.steps), 1.0, 100_000.0);
-    c.within("cluster.workflows.bytes", w.bytes as f64, 1024.0, 64.0 * 1048576.0);
+    c.within(
+        "cluster.workflows.steps",
+        f64::from(w.steps),
+        1.0,
+        100_000.0,
+    );
+    c.within(
+        "cluster.workflows.bytes",
+        w.bytes as f64,
+        1024.0,
+        64.0 * 1048576.0,
+    );
     c.within("cluster.workflows.tokens", w.tokens as f64, 1.0, 1e12);
     c.within("cluster.workflows.lasts_s", w.lasts_s, 1.0, 1e8);
     // Shorter than a few words between peers, a lease would end in every pause; longer than an hour, nobody would resume.
--- a/crates/core/src/settings/module.rs
+++ b/crates/core/src/settings/module.rs
@@ -11,9 +11,20 @@
             dispatchers: self.dispatchers,
             zone: 0,
             classes: self.classes.iter().map(Class::policy).collect(),
-            tenants: self.tenants.iter().map(|t| policy::TenantSettings { quota_rps: t.quota_rps }).collect(),
+            tenants: self
+                .tenants
+                .iter()
+                .map(|t| policy::TenantSettings {
+                    quota_rps: t.quota_rps,
+                })
+                .collect(),
             kinds: self.kinds.iter().map(Kind::policy).collect(),
-            report_fields: self.reports.fields.iter().map(|f| f.means.policy()).collect(),
+            report_fields: self
+                .reports
+                .fields
+                .iter()
+                .map(|f| f.means.policy())
+                .collect(),
             report_mode: match self.reports.mode {
                 ReportMode::WithAnswers => policy::ReportMode::WithAnswers,
                 ReportMode::OnProbe => policy::ReportMode::OnProbe,
@@ -53,7 +64,10 @@
         policy::ClassSettings {
             effect: match self.effect {
                 Effect::Safe => policy::Effect::Safe,
-                Effect::Keyed => policy::Effect::Keyed { scope, window_s: self.key_window_s },
+                Effect::Keyed => policy::Effect::Keyed {
+                    scope,
+                    window_s: self.key_window_s,
+                },
                 Effect::Unsafe => policy::Effect::Unsafe,
             },
             ttft_aim_s: self.ttft_aim_s,
@@ -68,7 +82,10 @@
 
 impl Kind {
     fn policy(&self) -> policy::KindSettings {
-        policy::KindSettings { role: self.role, memory_tokens: self.memory_tokens }
+        policy::KindSettings {
+            role: self.role,
+            memory_tokens: self.memory_tokens,
+        }
     }
 }
 
--- a/crates/core/src/shares.rs
+++ b/crates/core/src/shares.rs
@@ -1,8 +1,8 @@
 //! This dispatcher's part of what all share, where it is lent one by its peers: checked at each step, by time.
 
-use bitternlatch_quota_lease::base;
 use bitternlatch_membership::{Share, Work};
 use bitternlatch_policy::interface::Event;
+use bitternlatch_quota_lease::base;
 
 use crate::machine::Machine;
 use crate::types::Micros;
@@ -33,17 +33,26 @@
     /// Lets a part that has ended end, at the moment at which it did, before anything is done: this process may have stood
     /// still since. What others let go of counts from the step in which it is heard of.
     pub(crate) fn follow_part(&mut self, now: Micros) {
-        let Some(duty) = self.duty(now, Work::Safe) else { return };
+        let Some(duty) = self.duty(now, Work::Safe) else {
+            return;
+        };
         let careful = base(self.sharers());
         let ended = now >= self.lent.until;
         let may = !ended && duty.share == Share::Lent;
-        let spends = if may { careful + self.lent.lent } else { careful };
+        let spends = if may {
+            careful + self.lent.lent
+        } else {
+            careful
+        };
         if spends == self.lent.spends {
             return;
         }
         self.lent.spends = spends;
         let since = if ended { self.lent.until.min(now) } else { now };
-        self.events.push_back(Event::Share { part: spends, since: since.seconds() });
+        self.events.push_back(Event::Share {
+            part: spends,
+            since: since.seconds(),
+        });
         if self.settings.ledger.is_some() {
             return;
         }
--- a/crates/core/src/shed.rs
+++ b/crates/core/src/shed.rs
@@ -57,7 +57,11 @@
         let most_s = settings.attempts.max_retry_after_s;
         Shed {
             gate: on.map(|(own, roster)| Gate::new(own, roster, most_s, seed)),
-            queue: settings.reports.fields.iter().position(|f| f.means == Meaning::Queue),
+            queue: settings
+                .reports
+                .fields
+                .iter()
+                .position(|f| f.means == Meaning::Queue),
             asked: BTreeMap::new(),
             trials: BTreeMap::new(),
             row: BTreeMap::new(),
@@ -98,7 +102,9 @@
         match outcome {
             Outcome::Served | Outcome::ReadDone => {
                 self.row.remove(&host);
-                self.trials.contains_key(&host).then_some(Ask::Tried { host, well: true })
+                self.trials
+                    .contains_key(&host)
+                    .then_some(Ask::Tried { host, well: true })
             }
             Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => {
                 let row = self.row.entry(host).or_default();
@@ -118,27 +124,40 @@
     /// What is to be passed on, where this answers a probe that went for all.
     pub(crate) fn probed(&mut self, id: u64, report: &[f64]) -> Option<Ask> {
         let (host, _) = self.asked.remove(&id)?;
-        Some(Ask::Probed { host, report: report.iter().map(|v| Millionths::of(*v)).collect() })
+        Some(Ask::Probed {
+            host,
+            report: report.iter().map(|v| Millionths::of(*v)).collect(),
+        })
     }
 
     /// Judges a request that comes; `None` where it is off. A refusal says when to come back.
     pub(crate) fn judge(&mut self, now: Micros, asked: &Asked) -> Option<Result<Counted, f64>> {
         let fingerprint = asked.fingerprint;
         Some(match self.gate.as_mut()?.judge(clock(now), asked) {
-            Verdict::Take(t) => Ok(Counted { taken: Some(t), work: t.work, fingerprint, repeats: false }),
+            Verdict::Take(t) => Ok(Counted {
+                taken: Some(t),
+                work: t.work,
+                fingerprint,
+                repeats: false,
+            }),
             Verdict::Refuse { retry_after_s } => Err(retry_after_s),
         })
     }
 
     /// When a request that was taken and then refused may come back: not before the decision module says.
     pub(crate) fn refused(&mut self, now: Micros, counted: &Counted, least_s: f64) -> f64 {
-        let Some(gate) = &mut self.gate else { return least_s };
-        gate.refused(clock(now), counted.work, counted.fingerprint).max(least_s)
+        let Some(gate) = &mut self.gate else {
+            return least_s;
+        };
+        gate.refused(clock(now), counted.work, counted.fingerprint)
+            .max(least_s)
     }
 
     /// Whether an attempt may go: one that repeats work needs leave.
     pub(crate) fn may_send(&mut self, now: Micros, counted: &Counted) -> bool {
-        let Some(gate) = self.gate.as_mut().filter(|_| counted.repeats) else { return true };
+        let Some(gate) = self.gate.as_mut().filter(|_| counted.repeats) else {
+            return true;
+        };
         gate.may_repeat(clock(now), counted.work)
     }
 
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -47,7 +47,10 @@
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
-        Timers { due: BTreeMap::new(), set: 0 }
+        Timers {
+            due: BTreeMap::new(),
+            set: 0,
+        }
     }
 }
 
@@ -74,6 +77,8 @@
     /// Takes all that is due; timers set meanwhile wait for the next call.
     pub fn take_due(&mut self, now: Micros) -> Vec<T> {
         let later = self.due.split_off(&(Micros(now.0.saturating_add(1)), 0));
-        std::mem::replace(&mut self.due, later).into_values().collect()
+        std::mem::replace(&mut self.due, later)
+            .into_values()
+            .collect()
     }
 }
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -1,12 +1,12 @@
 //! Ids, the clock, and what goes into and comes out of the machine.
 
-use bitternlatch_quota_lease::Hearsay;
 use bitternlatch_budget::charge::Entry;
 use bitternlatch_budget::ledger::{Part, Want};
 use bitternlatch_identity::Caller;
 use bitternlatch_inventory::Host;
 use bitternlatch_membership::Standing;
 use bitternlatch_policy::interface::ServerId;
+use bitternlatch_quota_lease::Hearsay;
 use serde::{Deserialize, Serialize};
 
 use crate::evidence::Seen;
--- a/crates/core/src/wanted.rs
+++ b/crates/core/src/wanted.rs
@@ -35,7 +35,13 @@
 
     /// What the decision module is told of a request. The shared prefix goes by the caller's own key where it gives one,
     /// else by the instructions; token counts are the text's bytes over four.
-    pub(crate) fn ask(&self, id: RequestId, create: &Create, conversation: u64, left_s: f64) -> Ask {
+    pub(crate) fn ask(
+        &self,
+        id: RequestId,
+        create: &Create,
+        conversation: u64,
+        left_s: f64,
+    ) -> Ask {
         Ask {
             id,
             class: self.class,
@@ -61,9 +67,14 @@
     ) -> Asked {
         let prompt_tokens = f64::from(self.prompt_tokens());
         let words = fingerprint(create);
-        let fingerprint = self.key.as_ref().map_or(words, |k| xxh3_64(k.text.as_bytes()));
+        let fingerprint = self
+            .key
+            .as_ref()
+            .map_or(words, |k| xxh3_64(k.text.as_bytes()));
         let (spent, identity) = match &self.step {
-            Some((intent, _)) if intent.step > 1 => (Spent::Steps, xxh3_64(intent.workflow.as_bytes())),
+            Some((intent, _)) if intent.step > 1 => {
+                (Spent::Steps, xxh3_64(intent.workflow.as_bytes()))
+            }
             Some((intent, _)) => (Spent::Nothing, xxh3_64(intent.workflow.as_bytes())),
             None if self.conversation == 0 => (Spent::Nothing, fingerprint),
             None => (Spent::Turns, self.conversation),
@@ -96,7 +107,12 @@
 pub(crate) fn fingerprint(create: &Create) -> u64 {
     let mut hash = Xxh3::new();
     let previous = create.previous_response_id.as_deref().unwrap_or("");
-    for part in [create.model.as_str(), &create.instructions, &create.input, previous] {
+    for part in [
+        create.model.as_str(),
+        &create.instructions,
+        &create.input,
+        previous,
+    ] {
         hash.update(&(part.len() as u64).to_le_bytes());
         hash.update(part.as_bytes());
     }
--- a/crates/core/src/workflows.rs
+++ b/crates/core/src/workflows.rs
@@ -43,10 +43,24 @@
 /// What a session asks before there is a request, or without one.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Question {
-    Claim { workflow: String, worker: String },
-    Carry { workflow: String, epoch: u64 },
-    Finish { workflow: String, epoch: u64, cancelled: bool },
-    Settle { workflow: String, step: u32, fate: Fate },
+    Claim {
+        workflow: String,
+        worker: String,
+    },
+    Carry {
+        workflow: String,
+        epoch: u64,
+    },
+    Finish {
+        workflow: String,
+        epoch: u64,
+        cancelled: bool,
+    },
+    Settle {
+        workflow: String,
+        step: u32,
+        fate: Fate,
+    },
     Step(Intent),
 }
 
@@ -73,7 +87,11 @@
         withdrawn: bool,
     },
     /// Its answer is there and waits, until then, for its result to be held.
-    Ending { answer: Box<Response>, fate: Fate, until: Micros },
+    Ending {
+        answer: Box<Response>,
+        fate: Fate,
+        until: Micros,
+    },
 }
 
 #[derive(Debug)]
@@ -93,17 +111,33 @@
 #[derive(Debug)]
 pub(crate) enum Act {
     /// Answer a session without a host.
-    Answer { asked: Asked, text: String, known: bool },
+    Answer {
+        asked: Asked,
+        text: String,
+        known: bool,
+    },
     /// Refuse a session's request.
     Refuse { asked: Asked, why: Refusal },
     /// Take a step's request as any other. Its intent is held, and it may leave until then.
-    Go { asked: Asked, intent: Intent, until: Micros },
+    Go {
+        asked: Asked,
+        intent: Intent,
+        until: Micros,
+    },
     /// A send that waited may go, or may not.
-    Send { request: RequestId, send: Waits, may: bool },
+    Send {
+        request: RequestId,
+        send: Waits,
+        may: bool,
+    },
     /// Tell how a step ended once more, after [`AGAIN_S`].
     Again(RequestId),
     /// Give a request's final answer, or one that says why not; without a cause it was not held in time.
-    Give { request: RequestId, answer: Box<Response>, held: Result<(), Option<Refusal>> },
+    Give {
+        request: RequestId,
+        answer: Box<Response>,
+        held: Result<(), Option<Refusal>>,
+    },
     /// Tell what nobody waits for.
     Tell(Ask),
 }
@@ -141,33 +175,82 @@
         let call = self.call();
         let until_us = until.0;
         let ask = match question.clone() {
-            Question::Claim { workflow, worker } => Ask::Claim { call, workflow, worker, until_us },
-            Question::Carry { workflow, epoch } => Ask::Carry { call, workflow, epoch, until_us },
-            Question::Finish { workflow, epoch, cancelled } => {
-                Ask::Finish { call, workflow, epoch, cancelled, until_us }
-            }
-            Question::Settle { workflow, step, fate } => Ask::Settle { call, workflow, step, fate, until_us },
+            Question::Claim { workflow, worker } => Ask::Claim {
+                call,
+                workflow,
+                worker,
+                until_us,
+            },
+            Question::Carry { workflow, epoch } => Ask::Carry {
+                call,
+                workflow,
+                epoch,
+                until_us,
+            },
+            Question::Finish {
+                workflow,
+                epoch,
+                cancelled,
+            } => Ask::Finish {
+                call,
+                workflow,
+                epoch,
+                cancelled,
+                until_us,
+            },
+            Question::Settle {
+                workflow,
+                step,
+                fate,
+            } => Ask::Settle {
+                call,
+                workflow,
+                step,
+                fate,
+                until_us,
+            },
             Question::Step(intent) => intend(call, intent, until),
         };
         let create = Box::new(create.clone());
-        self.asked.insert(call, Asked { session, create, at: now, counted, question, gone: false });
+        self.asked.insert(
+            call,
+            Asked {
+                session,
+                create,
+                at: now,
+                counted,
+                question,
+                gone: false,
+            },
+        );
         Ok((call, ask))
     }
 
     /// Whether a step is in hand here: under way as a request, or not to be taken now.
     pub(crate) fn in_hand(&self, wanted: &Intent) -> Option<Result<RequestId, Refusal>> {
-        let same =
-            |i: &Intent| (&i.workflow, i.epoch, i.step) == (&wanted.workflow, wanted.epoch, wanted.step);
+        let same = |i: &Intent| {
+            (&i.workflow, i.epoch, i.step) == (&wanted.workflow, wanted.epoch, wanted.step)
+        };
         if let Some((id, step)) = self.steps.iter().find(|(_, s)| same(&s.intent)) {
-            return Some(if step.intent.asks == wanted.asks { Ok(*id) } else { Err(Refusal::OtherRequest) });
+            return Some(if step.intent.asks == wanted.asks {
+                Ok(*id)
+            } else {
+                Err(Refusal::OtherRequest)
+            });
         }
         let waits = |a: &Asked| matches!(&a.question, Question::Step(i) if same(i));
-        self.asked.values().any(|a| !a.gone && waits(a)).then_some(Err(Refusal::Busy))
+        self.asked
+            .values()
+            .any(|a| !a.gone && waits(a))
+            .then_some(Err(Refusal::Busy))
     }
 
     /// Questions in hand for a session.
     pub(crate) fn asked_by(&self, session: SessionId) -> usize {
-        self.asked.values().filter(|a| a.session == session && !a.gone).count()
+        self.asked
+            .values()
+            .filter(|a| a.session == session && !a.gone)
+            .count()
     }
 
     /// Whether anything waits for an answer.
@@ -188,8 +271,17 @@
 
     /// A step goes on as this request.
     pub(crate) fn go(&mut self, request: RequestId, intent: Intent, until: Micros) {
-        self.steps
-            .insert(request, Step { intent, stage: Stage::Going { until, waits: None, withdrawn: false } });
+        self.steps.insert(
+            request,
+            Step {
+                intent,
+                stage: Stage::Going {
+                    until,
+                    waits: None,
+                    withdrawn: false,
+                },
+            },
+        );
     }
 
     /// A step whose intent is held was not taken as a request after all.
@@ -200,18 +292,21 @@
     /// Whether a request's effect may leave at this moment: checked at the act, as the process may have stood still since it was
     /// permitted. What is no step, or is safe, always may.
     pub(crate) fn may_leave(&self, now: Micros, request: RequestId) -> bool {
-        self.steps.get(&request).is_none_or(|step| match step.stage {
-            Stage::Going { until, .. } => step.intent.effect == Effect::Safe || now < until,
-            Stage::Ending { .. } => false,
-        })
+        self.steps
+            .get(&request)
+            .is_none_or(|step| match step.stage {
+                Stage::Going { until, .. } => step.intent.effect == Effect::Safe || now < until,
+                Stage::Ending { .. } => false,
+            })
     }
 
     /// Seconds for which a step's effect may still leave; none where that does not end.
     pub(crate) fn left_s(&self, now: Micros, request: RequestId) -> Option<f64> {
         match self.steps.get(&request)? {
-            Step { intent, stage: Stage::Going { until, .. } } if intent.effect != Effect::Safe => {
-                Some(until.since(now))
-            }
+            Step {
+                intent,
+                stage: Stage::Going { until, .. },
+            } if intent.effect != Effect::Safe => Some(until.since(now)),
             _ => None,
         }
     }
@@ -227,7 +322,14 @@
     ) -> Option<(Call, Vec<Ask>)> {
         let (first, call) = (self.call(), self.call());
         let step = self.steps.get_mut(&request)?;
-        let Stage::Going { until, waits, withdrawn } = &mut step.stage else { return None };
+        let Stage::Going {
+            until,
+            waits,
+            withdrawn,
+        } = &mut step.stage
+        else {
+            return None;
+        };
         let tells = !may_have_run && !*withdrawn;
         (*until, *waits, *withdrawn) = (Micros(0), Some(send), !may_have_run);
         let never = tells.then(|| ended(first, step.intent.clone(), Fate::NeverRan, ends));
@@ -260,7 +362,11 @@
         let call = self.call();
         match self.steps.get_mut(&request) {
             Some(step) if matches!(step.stage, Stage::Going { .. }) => {
-                step.stage = Stage::Ending { answer, fate: fate.clone(), until };
+                step.stage = Stage::Ending {
+                    answer,
+                    fate: fate.clone(),
+                    until,
+                };
                 let intent = step.intent.clone();
                 self.of_steps.retain(|_, of| *of != request);
                 self.of_steps.insert(call, request);
@@ -274,14 +380,27 @@
     pub(crate) fn end_again(&mut self, request: RequestId) -> Option<(Call, Micros, Ask)> {
         let call = self.call();
         let step = self.steps.get(&request)?;
-        let Stage::Ending { fate, until, .. } = &step.stage else { return None };
-        let (until, ask) = (*until, ended(call, step.intent.clone(), fate.clone(), *until));
+        let Stage::Ending { fate, until, .. } = &step.stage else {
+            return None;
+        };
+        let (until, ask) = (
+            *until,
+            ended(call, step.intent.clone(), fate.clone(), *until),
+        );
         self.of_steps.insert(call, request);
         Some((call, until, ask))
     }
 
     fn is_withdrawn(&self, request: RequestId, fate: &Fate) -> bool {
-        let withdrawn = |s: &Step| matches!(s.stage, Stage::Going { withdrawn: true, .. });
+        let withdrawn = |s: &Step| {
+            matches!(
+                s.stage,
+                Stage::Going {
+                    withdrawn: true,
+                    ..
+                }
+            )
+        };
         *fate == Fate::NeverRan && self.steps.get(&request).is_some_and(withdrawn)
     }
 
@@ -291,7 +410,9 @@
     }
 
     pub(crate) fn is_ending(&self, request: RequestId) -> bool {
-        self.steps.get(&request).is_some_and(|s| matches!(s.stage, Stage::Ending { .. }))
+        self.steps
+            .get(&request)
+            .is_some_and(|s| matches!(s.stage, Stage::Ending { .. }))
     }
 
     /// Nobody waits for a step's answer any more; what became of it is told all the same.
@@ -328,14 +449,28 @@
                 return None;
             }
             if matches!(asked.question, Question::Step(_)) {
-                self.asked.insert(call, Asked { gone: true, counted: Counted::default(), ..asked.clone() });
+                self.asked.insert(
+                    call,
+                    Asked {
+                        gone: true,
+                        counted: Counted::default(),
+                        ..asked.clone()
+                    },
+                );
             }
             asked.gone = true;
-            return Some(Act::Refuse { asked, why: Refusal::NoMajority });
+            return Some(Act::Refuse {
+                asked,
+                why: Refusal::NoMajority,
+            });
         }
         let request = self.of_steps.remove(&call)?;
         match self.unwait(request) {
-            Some(send) => Some(Act::Send { request, send, may: false }),
+            Some(send) => Some(Act::Send {
+                request,
+                send,
+                may: false,
+            }),
             None => self.give(request, Err(None)),
         }
     }
@@ -354,35 +489,77 @@
                 let (intent, until) = (intent.clone(), Micros(until_us));
                 Some(match asked.gone {
                     true => Act::Tell(self.never_ran(intent, until)),
-                    false => Act::Go { asked, intent, until },
+                    false => Act::Go {
+                        asked,
+                        intent,
+                        until,
+                    },
                 })
             }
             _ if asked.gone => None,
-            (Question::Step(_), Told::Known { result, .. }) => {
-                Some(Act::Answer { asked, text: result, known: true })
-            }
-            (Question::Claim { .. }, Told::Claimed { epoch, context, steps, lease_us, .. }) => {
+            (Question::Step(_), Told::Known { result, .. }) => Some(Act::Answer {
+                asked,
+                text: result,
+                known: true,
+            }),
+            (
+                Question::Claim { .. },
+                Told::Claimed {
+                    epoch,
+                    context,
+                    steps,
+                    lease_us,
+                    ..
+                },
+            ) => {
                 let steps = steps.into_iter().map(shown).collect();
-                let text = json(&Claimed { epoch, context, lease_ms: lease_us / 1000, steps });
-                Some(Act::Answer { asked, text, known: false })
+                let text = json(&Claimed {
+                    epoch,
+                    context,
+                    lease_ms: lease_us / 1000,
+                    steps,
+                });
+                Some(Act::Answer {
+                    asked,
+                    text,
+                    known: false,
+                })
             }
             (
-                question @ (Question::Carry { .. } | Question::Finish { .. } | Question::Settle { .. }),
+                question @ (Question::Carry { .. }
+                | Question::Finish { .. }
+                | Question::Settle { .. }),
                 Told::Held { .. },
             ) => {
-                let text = json(&Carried { epoch: epoch_of(question) });
-                Some(Act::Answer { asked, text, known: false })
+                let text = json(&Carried {
+                    epoch: epoch_of(question),
+                });
+                Some(Act::Answer {
+                    asked,
+                    text,
+                    known: false,
+                })
             }
             (_, Told::Refused { why, .. }) => Some(Act::Refuse { asked, why }),
             // An answer to another question: nothing can be said for certain.
-            _ => Some(Act::Refuse { asked, why: Refusal::Busy }),
+            _ => Some(Act::Refuse {
+                asked,
+                why: Refusal::Busy,
+            }),
         }
     }
 
     fn answer_step(&mut self, now: Micros, request: RequestId, told: Told) -> Option<Act> {
         let step = self.steps.get_mut(&request)?;
         match (&mut step.stage, told) {
-            (Stage::Going { until, waits, withdrawn }, told) => {
+            (
+                Stage::Going {
+                    until,
+                    waits,
+                    withdrawn,
+                },
+                told,
+            ) => {
                 let send = waits.take()?;
                 let may = match told {
                     Told::Go { until_us, .. } => {
@@ -394,7 +571,9 @@
                 Some(Act::Send { request, send, may })
             }
             (Stage::Ending { .. }, Told::Held { .. }) => self.give(request, Ok(())),
-            (Stage::Ending { until, .. }, Told::Refused { why, .. }) if passing(why) && now < *until => {
+            (Stage::Ending { until, .. }, Told::Refused { why, .. })
+                if passing(why) && now < *until =>
+            {
                 Some(Act::Again(request))
             }
             (Stage::Ending { .. }, Told::Refused { why, .. }) => self.give(request, Err(Some(why))),
@@ -407,20 +586,52 @@
             return None;
         }
         match self.steps.remove(&request)?.stage {
-            Stage::Ending { answer, .. } => Some(Act::Give { request, answer, held }),
+            Stage::Ending { answer, .. } => Some(Act::Give {
+                request,
+                answer,
+                held,
+            }),
             Stage::Going { .. } => None,
         }
     }
 }
 
 fn intend(call: Call, intent: Intent, until: Micros) -> Ask {
-    let Intent { workflow, epoch, step, effect, key, asks } = intent;
-    Ask::Intend { call, workflow, epoch, step, effect, key, asks, until_us: until.0 }
+    let Intent {
+        workflow,
+        epoch,
+        step,
+        effect,
+        key,
+        asks,
+    } = intent;
+    Ask::Intend {
+        call,
+        workflow,
+        epoch,
+        step,
+        effect,
+        key,
+        asks,
+        until_us: until.0,
+    }
 }
 
 fn ended(call: Call, intent: Intent, fate: Fate, until: Micros) -> Ask {
-    let Intent { workflow, epoch, step, .. } = intent;
-    Ask::Ended { call, workflow, epoch, step, fate, until_us: until.0 }
+    let Intent {
+        workflow,
+        epoch,
+        step,
+        ..
+    } = intent;
+    Ask::Ended {
+        call,
+        workflow,
+        epoch,
+        step,
+        fate,
+        until_us: until.0,
+    }
 }
 
 /// Whether a refusal says nothing of the workflow itself.
--- a/crates/core/src/workflows/tests.rs
+++ b/crates/core/src/workflows/tests.rs
@@ -7,7 +7,14 @@
 const S: SessionId = SessionId(1);
 
 fn intent(epoch: u64, step: u32, effect: Effect) -> Intent {
-    Intent { workflow: "t//w".into(), epoch, step, effect, key: "k".into(), asks: 7 }
+    Intent {
+        workflow: "t//w".into(),
+        epoch,
+        step,
+        effect,
+        key: "k".into(),
+        asks: 7,
+    }
 }
 
 fn answer() -> Box<Response> {
@@ -28,11 +35,21 @@
 }
 
 fn asks(w: &mut Workflows, question: Question) -> (Call, Ask) {
-    w.ask(Micros(0), (S, &Create::default()), question, Counted::default(), Micros(1_000)).expect("taken")
+    w.ask(
+        Micros(0),
+        (S, &Create::default()),
+        question,
+        Counted::default(),
+        Micros(1_000),
+    )
+    .expect("taken")
 }
 
 fn done() -> Fate {
-    Fate::Done { result: "yes".into(), tokens: 1 }
+    Fate::Done {
+        result: "yes".into(),
+        tokens: 1,
+    }
 }
 
 #[test]
@@ -42,20 +59,72 @@
     let (call, _) = asks(&mut w, Question::Step(wanted.clone()));
     assert_eq!(w.in_hand(&wanted), Some(Err(Refusal::Busy)));
     assert_eq!((w.asked_by(S), w.waits()), (1, true));
-    let act = w.told(Micros(0), Told::Go { call, until_us: 500 });
-    assert!(matches!(act, Some(Act::Go { until: Micros(500), .. })), "{act:?}");
-    assert!(w.told(Micros(0), Told::Go { call, until_us: 900 }).is_none(), "told twice");
+    let act = w.told(
+        Micros(0),
+        Told::Go {
+            call,
+            until_us: 500,
+        },
+    );
+    assert!(
+        matches!(
+            act,
+            Some(Act::Go {
+                until: Micros(500),
+                ..
+            })
+        ),
+        "{act:?}"
+    );
+    assert!(
+        w.told(
+            Micros(0),
+            Told::Go {
+                call,
+                until_us: 900
+            }
+        )
+        .is_none(),
+        "told twice"
+    );
     w.go(9, wanted.clone(), Micros(500));
     assert_eq!(w.in_hand(&wanted), Some(Ok(9)));
-    assert_eq!(w.in_hand(&Intent { asks: 8, ..wanted.clone() }), Some(Err(Refusal::OtherRequest)));
-    assert_eq!(w.in_hand(&intent(4, 1, Effect::Unsafe)), None, "a later epoch asks for itself");
-    let Ok((call, ask)) = w.end(9, done(), answer(), Micros(2_000)) else { panic!("a step") };
-    assert!(matches!(ask, Ask::Ended { epoch: 3, step: 1, fate: Fate::Done { .. }, .. }));
+    assert_eq!(
+        w.in_hand(&Intent {
+            asks: 8,
+            ..wanted.clone()
+        }),
+        Some(Err(Refusal::OtherRequest))
+    );
+    assert_eq!(
+        w.in_hand(&intent(4, 1, Effect::Unsafe)),
+        None,
+        "a later epoch asks for itself"
+    );
+    let Ok((call, ask)) = w.end(9, done(), answer(), Micros(2_000)) else {
+        panic!("a step")
+    };
+    assert!(matches!(
+        ask,
+        Ask::Ended {
+            epoch: 3,
+            step: 1,
+            fate: Fate::Done { .. },
+            ..
+        }
+    ));
     assert!(w.is_ending(9) && !w.may_leave(Micros(0), 9) && w.waits());
-    assert!(w.end(9, done(), answer(), Micros(2_000)).is_err(), "it ends once");
+    assert!(
+        w.end(9, done(), answer(), Micros(2_000)).is_err(),
+        "it ends once"
+    );
     assert!(matches!(
         w.told(Micros(0), Told::Held { call }),
-        Some(Act::Give { request: 9, held: Ok(()), .. })
+        Some(Act::Give {
+            request: 9,
+            held: Ok(()),
+            ..
+        })
     ));
     assert!(w.late(call).is_none() && !w.waits() && w.in_hand(&wanted).is_none());
 }
@@ -66,30 +135,74 @@
     w.go(1, intent(1, 1, Effect::Unsafe), Micros(500));
     w.go(2, intent(1, 2, Effect::Safe), Micros(500));
     assert!(w.may_leave(Micros(499), 1) && !w.may_leave(Micros(500), 1));
-    assert!(w.may_leave(Micros(500), 2) && w.may_leave(Micros(500), 77), "safe, and no step");
-    let send = Waits { host: 7, timeout_s: 1.0 };
+    assert!(
+        w.may_leave(Micros(500), 2) && w.may_leave(Micros(500), 77),
+        "safe, and no step"
+    );
+    let send = Waits {
+        host: 7,
+        timeout_s: 1.0,
+    };
     let (call, tell) = w.wait(1, send, false, Micros(5_000)).expect("it waits");
     assert!(matches!(
         tell.as_slice(),
-        [Ask::Ended { fate: Fate::NeverRan, .. }, Ask::Intend { until_us: 5_000, .. }]
+        [
+            Ask::Ended {
+                fate: Fate::NeverRan,
+                ..
+            },
+            Ask::Intend {
+                until_us: 5_000,
+                ..
+            }
+        ]
     ));
-    let go = w.told(Micros(600), Told::Go { call, until_us: 900 });
-    assert!(matches!(go, Some(Act::Send { request: 1, may: true, send: s }) if s == send), "{go:?}");
+    let go = w.told(
+        Micros(600),
+        Told::Go {
+            call,
+            until_us: 900,
+        },
+    );
+    assert!(
+        matches!(go, Some(Act::Send { request: 1, may: true, send: s }) if s == send),
+        "{go:?}"
+    );
     assert!(w.may_leave(Micros(899), 1) && !w.may_leave(Micros(900), 1));
     let (call, tell) = w.wait(1, send, true, Micros(5_000)).expect("it waits");
-    assert!(matches!(tell.as_slice(), [Ask::Intend { .. }]), "an earlier one may have run");
+    assert!(
+        matches!(tell.as_slice(), [Ask::Intend { .. }]),
+        "an earlier one may have run"
+    );
     assert!(!w.may_leave(Micros(0), 1), "until it is permitted again");
-    let no = w.told(Micros(700), Told::Refused { call, why: Refusal::Fenced });
+    let no = w.told(
+        Micros(700),
+        Told::Refused {
+            call,
+            why: Refusal::Fenced,
+        },
+    );
     assert!(matches!(no, Some(Act::Send { may: false, .. })) && !w.may_leave(Micros(0), 1));
     let (call, _) = w.wait(1, send, true, Micros(5_000)).expect("it waits");
     assert!(matches!(w.late(call), Some(Act::Send { may: false, .. })));
     let (call, _) = w.wait(1, send, true, Micros(5_000)).expect("it waits");
     assert_eq!(w.unwait(1), Some(send), "its request has ended");
-    assert!(w.told(Micros(0), Told::Go { call, until_us: 900 }).is_none());
+    assert!(w
+        .told(
+            Micros(0),
+            Told::Go {
+                call,
+                until_us: 900
+            }
+        )
+        .is_none());
     w.go(3, intent(1, 3, Effect::Unsafe), Micros(500));
     assert!(w.wait(3, send, false, Micros(5_000)).is_some());
     let end = w.end(3, Fate::NeverRan, answer(), Micros(9));
-    assert!(end.is_err() && w.in_hand(&intent(1, 3, Effect::Unsafe)).is_none(), "that is told already");
+    assert!(
+        end.is_err() && w.in_hand(&intent(1, 3, Effect::Unsafe)).is_none(),
+        "that is told already"
+    );
 }
 
 #[test]
@@ -98,54 +211,170 @@
     let (call, _) = asks(&mut w, Question::Step(intent(1, 1, Effect::Keyed)));
     w.session_closed(S);
     assert_eq!((w.asked_by(S), w.waits()), (0, false));
-    let act = w.told(Micros(0), Told::Go { call, until_us: 500 });
-    assert!(matches!(act, Some(Act::Tell(Ask::Ended { fate: Fate::NeverRan, .. }))), "{act:?}");
+    let act = w.told(
+        Micros(0),
+        Told::Go {
+            call,
+            until_us: 500,
+        },
+    );
+    assert!(
+        matches!(
+            act,
+            Some(Act::Tell(Ask::Ended {
+                fate: Fate::NeverRan,
+                ..
+            }))
+        ),
+        "{act:?}"
+    );
     let (call, _) = asks(&mut w, Question::Step(intent(1, 2, Effect::Keyed)));
-    assert!(matches!(w.late(call), Some(Act::Refuse { why: Refusal::NoMajority, .. })));
+    assert!(matches!(
+        w.late(call),
+        Some(Act::Refuse {
+            why: Refusal::NoMajority,
+            ..
+        })
+    ));
     assert!(w.lingers(call) && !w.waits());
-    let act = w.told(Micros(0), Told::Go { call, until_us: 500 });
-    assert!(matches!(act, Some(Act::Tell(Ask::Ended { step: 2, fate: Fate::NeverRan, .. }))), "{act:?}");
+    let act = w.told(
+        Micros(0),
+        Told::Go {
+            call,
+            until_us: 500,
+        },
+    );
+    assert!(
+        matches!(
+            act,
+            Some(Act::Tell(Ask::Ended {
+                step: 2,
+                fate: Fate::NeverRan,
+                ..
+            }))
+        ),
+        "{act:?}"
+    );
     let (call, _) = asks(&mut w, Question::Step(intent(1, 2, Effect::Keyed)));
-    assert!(w.late(call).is_some() && w.late(call).is_none() && !w.lingers(call), "once more, and no longer");
+    assert!(
+        w.late(call).is_some() && w.late(call).is_none() && !w.lingers(call),
+        "once more, and no longer"
+    );
     w.go(5, intent(1, 3, Effect::Keyed), Micros(500));
     let told = w.abandon(5, Fate::MayHaveRun, Micros(900));
-    assert!(matches!(told, Some(Ask::Ended { step: 3, fate: Fate::MayHaveRun, .. })));
+    assert!(matches!(
+        told,
+        Some(Ask::Ended {
+            step: 3,
+            fate: Fate::MayHaveRun,
+            ..
+        })
+    ));
     assert_eq!(w.abandon(5, Fate::MayHaveRun, Micros(900)), None);
     w.go(6, intent(1, 4, Effect::Keyed), Micros(500));
-    let Ok((call, _)) = w.end(6, done(), answer(), Micros(2_000)) else { panic!("a step") };
-    let busy = |call| Told::Refused { call, why: Refusal::Busy };
+    let Ok((call, _)) = w.end(6, done(), answer(), Micros(2_000)) else {
+        panic!("a step")
+    };
+    let busy = |call| Told::Refused {
+        call,
+        why: Refusal::Busy,
+    };
     assert!(
         matches!(w.told(Micros(1), busy(call)), Some(Act::Again(6))),
         "a result is not lost to a full queue"
     );
-    let Some((call, Micros(2_000), _)) = w.end_again(6) else { panic!("told again") };
-    assert!(matches!(w.late(call), Some(Act::Give { held: Err(None), .. })));
+    let Some((call, Micros(2_000), _)) = w.end_again(6) else {
+        panic!("told again")
+    };
+    assert!(matches!(
+        w.late(call),
+        Some(Act::Give {
+            held: Err(None),
+            ..
+        })
+    ));
     w.go(7, intent(1, 5, Effect::Keyed), Micros(500));
-    let Ok((call, _)) = w.end(7, done(), answer(), Micros(2_000)) else { panic!("a step") };
+    let Ok((call, _)) = w.end(7, done(), answer(), Micros(2_000)) else {
+        panic!("a step")
+    };
     let late = w.told(Micros(2_000), busy(call));
-    assert!(matches!(late, Some(Act::Give { held: Err(Some(Refusal::Busy)), .. })));
+    assert!(matches!(
+        late,
+        Some(Act::Give {
+            held: Err(Some(Refusal::Busy)),
+            ..
+        })
+    ));
 }
 
 #[test]
 fn claims_are_answered_in_words_and_the_table_is_bounded() {
     let mut w = Workflows::default();
-    let (call, _) = asks(&mut w, Question::Claim { workflow: "t//w".into(), worker: "a".into() });
-    let step =
-        |number, fate| bitternlatch_workflow::Step { number, effect: Effect::Keyed, key: "k".into(), fate };
+    let (call, _) = asks(
+        &mut w,
+        Question::Claim {
+            workflow: "t//w".into(),
+            worker: "a".into(),
+        },
+    );
+    let step = |number, fate| bitternlatch_workflow::Step {
+        number,
+        effect: Effect::Keyed,
+        key: "k".into(),
+        fate,
+    };
     let steps = vec![step(1, Some(done())), step(2, None)];
-    let told = Told::Claimed { call, epoch: 2, context: "c".into(), steps, lease_us: 3_000_000 };
-    let Some(Act::Answer { text, known: false, .. }) = w.told(Micros(0), told) else { panic!("an answer") };
+    let told = Told::Claimed {
+        call,
+        epoch: 2,
+        context: "c".into(),
+        steps,
+        lease_us: 3_000_000,
+    };
+    let Some(Act::Answer {
+        text, known: false, ..
+    }) = w.told(Micros(0), told)
+    else {
+        panic!("an answer")
+    };
     let claimed: Claimed = serde_json::from_str(&text).expect("a claim");
-    assert_eq!((claimed.epoch, claimed.lease_ms, claimed.steps.len()), (2, 3000, 2));
+    assert_eq!(
+        (claimed.epoch, claimed.lease_ms, claimed.steps.len()),
+        (2, 3000, 2)
+    );
     assert_eq!(claimed.steps[0].result.as_deref(), Some("yes"));
     assert_eq!(claimed.steps[1].fate, StepFate::Open);
-    let (call, _) = asks(&mut w, Question::Carry { workflow: "t//w".into(), epoch: 2 });
+    let (call, _) = asks(
+        &mut w,
+        Question::Carry {
+            workflow: "t//w".into(),
+            epoch: 2,
+        },
+    );
     let act = w.told(Micros(0), Told::Go { call, until_us: 1 });
-    assert!(matches!(act, Some(Act::Refuse { .. })), "no answer to this question: {act:?}");
+    assert!(
+        matches!(act, Some(Act::Refuse { .. })),
+        "no answer to this question: {act:?}"
+    );
     for _ in 0..ASKED_MOST {
-        asks(&mut w, Question::Carry { workflow: "t//w".into(), epoch: 2 });
+        asks(
+            &mut w,
+            Question::Carry {
+                workflow: "t//w".into(),
+                epoch: 2,
+            },
+        );
     }
-    let carry = Question::Carry { workflow: "t//w".into(), epoch: 2 };
-    let more = w.ask(Micros(0), (S, &Create::default()), carry, Counted::default(), Micros(1));
+    let carry = Question::Carry {
+        workflow: "t//w".into(),
+        epoch: 2,
+    };
+    let more = w.ask(
+        Micros(0),
+        (S, &Create::default()),
+        carry,
+        Counted::default(),
+        Micros(1),
+    );
     assert_eq!(more, Err(Refusal::Busy));
 }
--- a/crates/core/src/workflows/words.rs
+++ b/crates/core/src/workflows/words.rs
@@ -20,7 +20,13 @@
         Effect::Keyed => StepEffect::Keyed,
         Effect::Unsafe => StepEffect::Unsafe,
     };
-    ClaimedStep { number: step.number, effect, key: step.key, fate, result }
+    ClaimedStep {
+        number: step.number,
+        effect,
+        key: step.key,
+        fate,
+        result,
+    }
 }
 
 pub(super) fn json(value: &impl serde::Serialize) -> String {
@@ -36,19 +42,40 @@
 }
 
 /// What a request asks of a workflow.
-pub(crate) fn question(workflow: String, does: Does, create: &Create, class: &Class, key: &str) -> Question {
+pub(crate) fn question(
+    workflow: String,
+    does: Does,
+    create: &Create,
+    class: &Class,
+    key: &str,
+) -> Question {
     match does {
         Does::Claim { worker } => Question::Claim { workflow, worker },
         Does::Carry { epoch } => Question::Carry { workflow, epoch },
-        Does::Finish { epoch } => Question::Finish { workflow, epoch, cancelled: false },
-        Does::Cancel { epoch } => Question::Finish { workflow, epoch, cancelled: true },
+        Does::Finish { epoch } => Question::Finish {
+            workflow,
+            epoch,
+            cancelled: false,
+        },
+        Does::Cancel { epoch } => Question::Finish {
+            workflow,
+            epoch,
+            cancelled: true,
+        },
         Does::Settle { step, fate } => {
             let fate = match fate {
-                Decided::Done => Fate::Done { result: create.input.clone(), tokens: 0 },
+                Decided::Done => Fate::Done {
+                    result: create.input.clone(),
+                    tokens: 0,
+                },
                 Decided::NeverRan => Fate::NeverRan,
                 Decided::LeftOut => Fate::MayHaveRun,
             };
-            Question::Settle { workflow, step, fate }
+            Question::Settle {
+                workflow,
+                step,
+                fate,
+            }
         }
         Does::Step { epoch, step } => {
             let effect = match class.effect {
@@ -58,8 +85,19 @@
             };
             let asks = digest(create, &class.name, key);
             // Without one of the caller's a repeat still has to be known for one.
-            let key = if key.is_empty() { format!("{workflow}/{step}") } else { key.to_string() };
-            Question::Step(Intent { workflow, epoch, step, effect, key, asks })
+            let key = if key.is_empty() {
+                format!("{workflow}/{step}")
+            } else {
+                key.to_string()
+            };
+            Question::Step(Intent {
+                workflow,
+                epoch,
+                step,
+                effect,
+                key,
+                asks,
+            })
         }
     }
 }
@@ -90,5 +128,10 @@
         Refusal::Busy => (503, "workflow_busy"),
         Refusal::NotKept => (503, "workflow_not_kept"),
     };
-    BadRequest { status, code, message: why.to_string(), param: None }
+    BadRequest {
+        status,
+        code,
+        message: why.to_string(),
+        param: None,
+    }
 }
--- a/crates/core/tests/any_order.rs
+++ b/crates/core/tests/any_order.rs
@@ -8,8 +8,8 @@
 use bitternlatch_membership::Standing;
 use bitternlatch_protocol::client::ServerEvent;
 use bitternlatch_protocol::engine::{
-    decode, encode, Choice, Chunk, EngineError, EngineState, FromEngine, KvTransferParams, ToEngine,
-    CODE_FULL, CODE_STATE_GONE,
+    decode, encode, Choice, Chunk, EngineError, EngineState, FromEngine, KvTransferParams,
+    ToEngine, CODE_FULL, CODE_STATE_GONE,
 };
 use bitternlatch_workflow::{Ask, Fate, Refusal, Told};
 use common::{four, SETTINGS, START_US};
@@ -46,9 +46,16 @@
 
 impl Chaos {
     fn new(seed: u64, steps: bool) -> Chaos {
-        let text = if steps { workflows() } else { SETTINGS.to_string() };
+        let text = if steps {
+            workflows()
+        } else {
+            SETTINGS.to_string()
+        };
         let settings = Settings::parse("test", &text).expect("settings");
-        let start = Entry::Start { settings: text, seed };
+        let start = Entry::Start {
+            settings: text,
+            seed,
+        };
         let mut chaos = Chaos {
             machine: Machine::new(settings, seed),
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
@@ -73,7 +80,11 @@
         chaos.step(Input::Hosts(four()));
         if steps {
             let (standing, until) = (Standing::Whole, Micros(u64::MAX));
-            chaos.step(Input::Standing { standing, there: vec!["d2".into()], until });
+            chaos.step(Input::Standing {
+                standing,
+                there: vec!["d2".into()],
+                until,
+            });
         }
         chaos
     }
@@ -95,14 +106,25 @@
                 _ => {}
             }
         }
-        self.entries.push(Entry::Step { at: self.now, input, outputs });
+        self.entries.push(Entry::Step {
+            at: self.now,
+            input,
+            outputs,
+        });
     }
 
     fn heard(&mut self, session: SessionId, text: &str) {
-        assert!(self.sessions.contains(&session), "nothing is said to a closed session");
+        assert!(
+            self.sessions.contains(&session),
+            "nothing is said to a closed session"
+        );
         let event: ServerEvent = serde_json::from_str(text).expect("an event");
-        let id =
-            event.response.as_ref().map(|r| r.id.clone()).or(event.response_id.clone()).unwrap_or_default();
+        let id = event
+            .response
+            .as_ref()
+            .map(|r| r.id.clone())
+            .or(event.response_id.clone())
+            .unwrap_or_default();
         let key = (session, id);
         if let Some(response) = &event.response {
             let asked = response.metadata.get("try").cloned().unwrap_or_default();
@@ -124,13 +146,26 @@
         }
         match decode::<ToEngine>(text).expect("a message") {
             ToEngine::Completion { id, body } => {
-                let reads = body.kv_transfer_params.as_ref().is_some_and(|k| k.do_remote_decode);
+                let reads = body
+                    .kv_transfer_params
+                    .as_ref()
+                    .is_some_and(|k| k.do_remote_decode);
                 if !reads && body.prompt.starts_with("booking") {
                     let permit = self.permits.get(&body.prompt).copied().unwrap_or(0);
-                    assert!(!self.steps || self.now.0 < permit, "'{}' leaves unpermitted", body.prompt);
-                    self.runs.entry(body.prompt.clone()).or_default().insert(id.clone());
+                    assert!(
+                        !self.steps || self.now.0 < permit,
+                        "'{}' leaves unpermitted",
+                        body.prompt
+                    );
+                    self.runs
+                        .entry(body.prompt.clone())
+                        .or_default()
+                        .insert(id.clone());
                 }
-                let waiting = body.kv_transfer_params.as_ref().and_then(|k| k.remote_request_id.clone());
+                let waiting = body
+                    .kv_transfer_params
+                    .as_ref()
+                    .and_then(|k| k.remote_request_id.clone());
                 if let Some(state) = waiting {
                     self.states.remove(&state);
                 }
@@ -171,15 +206,24 @@
     fn link_up(&mut self) {
         for link in std::mem::take(&mut self.dialled) {
             match self.below(5) {
-                0 => self.step(Input::LinkFailed { link, why: "refused".into() }),
+                0 => self.step(Input::LinkFailed {
+                    link,
+                    why: "refused".into(),
+                }),
                 1 => self.dialled.push(link),
                 _ => {
                     self.open.push(link);
                     self.step(Input::LinkUp { link });
                     let uptime_s = if self.below(3) == 0 { 1.0 } else { 1e5 };
-                    let hello =
-                        FromEngine::Hello { engine_id: String::new(), uptime_s, state: EngineState::Ready };
-                    self.step(Input::LinkText { link, text: encode(&hello) });
+                    let hello = FromEngine::Hello {
+                        engine_id: String::new(),
+                        uptime_s,
+                        state: EngineState::Ready,
+                    };
+                    self.step(Input::LinkText {
+                        link,
+                        text: encode(&hello),
+                    });
                 }
             }
         }
@@ -189,20 +233,36 @@
         self.next += 1;
         let session = SessionId(self.next % 7);
         if self.sessions.insert(session) {
-            self.step(Input::SessionOpened { session, caller: None });
+            self.step(Input::SessionOpened {
+                session,
+                caller: None,
+            });
         }
         let class = ["query", "booking"][self.below(2)];
-        let number = if self.below(3) == 0 { self.next.saturating_sub(20) } else { self.next };
+        let number = if self.below(3) == 0 {
+            self.next.saturating_sub(20)
+        } else {
+            self.next
+        };
         let text = format!("{class} {number}");
         let mut create = serde_json::json!({ "type": "response.create", "model": "m", "input": text,
             "metadata": { "class": class, "idempotency_key": text, "try": format!("{text}/{}", self.next) } });
         if self.steps {
             let meta = &mut create["metadata"];
-            (meta["workflow"], meta["workflow_epoch"], meta["workflow_step"]) =
-                (text.as_str().into(), "1".into(), "1".into());
+            (
+                meta["workflow"],
+                meta["workflow_epoch"],
+                meta["workflow_step"],
+            ) = (text.as_str().into(), "1".into(), "1".into());
         }
-        *self.asked.entry((session, format!("{text}/{}", self.next))).or_default() += 1;
-        self.step(Input::SessionText { session, text: create.to_string() });
+        *self
+            .asked
+            .entry((session, format!("{text}/{}", self.next)))
+            .or_default() += 1;
+        self.step(Input::SessionText {
+            session,
+            text: create.to_string(),
+        });
     }
 
     fn session_drops(&mut self) {
@@ -218,7 +278,9 @@
 
     /// The oldest question is answered: truthfully, or not at all, or by a refusal that changes nothing.
     fn answer_ask(&mut self) {
-        let Some(ask) = self.asks.pop_front() else { return };
+        let Some(ask) = self.asks.pop_front() else {
+            return;
+        };
         let call = ask.call();
         let told = match ask {
             _ if self.below(12) == 0 => {
@@ -231,7 +293,10 @@
                 match self.fates.get(&name) {
                     Some(None) => refused(Refusal::Busy),
                     Some(Some(Fate::MayHaveRun)) => refused(Refusal::Unsettled),
-                    Some(Some(Fate::Done { result, .. })) => Told::Known { call, result: result.clone() },
+                    Some(Some(Fate::Done { result, .. })) => Told::Known {
+                        call,
+                        result: result.clone(),
+                    },
                     None | Some(Some(Fate::NeverRan)) => {
                         let until_us = self.now.0 + self.rng.next_u64() % 2_000_000;
                         self.fates.insert(name.clone(), None);
@@ -262,7 +327,10 @@
         let at = self.below(self.open.len());
         let link = self.open[at];
         self.end_link(link);
-        self.step(Input::LinkClosed { link, why: "reset".into() });
+        self.step(Input::LinkClosed {
+            link,
+            why: "reset".into(),
+        });
     }
 
     fn host_says(&mut self) {
@@ -271,26 +339,38 @@
         }
         let at = self.below(self.out.len());
         let (link, id, reads, prompt) = self.out[at].clone();
-        let say = |c: &mut Chaos, m: &FromEngine| c.step(Input::LinkText { link, text: encode(m) });
+        let say = |c: &mut Chaos, m: &FromEngine| {
+            c.step(Input::LinkText {
+                link,
+                text: encode(m),
+            })
+        };
         let error = |code: Option<&str>| FromEngine::Error {
             id: id.clone(),
             status: 500,
-            error: EngineError { message: String::new(), code: code.map(str::to_string) },
+            error: EngineError {
+                message: String::new(),
+                code: code.map(str::to_string),
+            },
             load: None,
         };
-        let chunk = |text: &str, finish: Option<&str>, kv: Option<KvTransferParams>| FromEngine::Chunk {
+        let chunk =
+            |text: &str, finish: Option<&str>, kv: Option<KvTransferParams>| FromEngine::Chunk {
+                id: id.clone(),
+                body: Chunk {
+                    choices: vec![Choice {
+                        index: 0,
+                        text: text.into(),
+                        finish_reason: finish.map(str::to_string),
+                    }],
+                    usage: None,
+                    kv_transfer_params: kv,
+                },
+            };
+        let done = FromEngine::Done {
             id: id.clone(),
-            body: Chunk {
-                choices: vec![Choice {
-                    index: 0,
-                    text: text.into(),
-                    finish_reason: finish.map(str::to_string),
-                }],
-                usage: None,
-                kv_transfer_params: kv,
-            },
+            load: None,
         };
-        let done = FromEngine::Done { id: id.clone(), load: None };
         let what = self.below(10);
         if what > 1 || !reads {
             self.out.retain(|o| o.1 != id || what == 1);
@@ -340,15 +420,29 @@
             assert!(finals <= *n, "seed {seed}: {key:?} has {finals} finals");
         }
         for (prompt, ids) in &self.runs {
-            assert!(ids.len() <= 1, "seed {seed}: '{prompt}' may have run as {ids:?}");
+            assert!(
+                ids.len() <= 1,
+                "seed {seed}: '{prompt}' may have run as {ids:?}"
+            );
         }
-        assert!(self.states.is_empty(), "seed {seed}: states left: {:?}", self.states);
-        assert_eq!(self.machine.counts().requests, 0, "seed {seed}: requests left");
+        assert!(
+            self.states.is_empty(),
+            "seed {seed}: states left: {:?}",
+            self.states
+        );
+        assert_eq!(
+            self.machine.counts().requests,
+            0,
+            "seed {seed}: requests left"
+        );
     }
 
     /// Taken requests without a final answer.
     fn owed(&self) -> Vec<&(SessionId, String)> {
-        let taken = self.by_response.iter().map(|((s, _), asked)| (*s, asked.clone()));
+        let taken = self
+            .by_response
+            .iter()
+            .map(|((s, _), asked)| (*s, asked.clone()));
         let open = |k: &(SessionId, String)| self.finals.get(k).copied().unwrap_or(0) != 1;
         let taken: BTreeSet<(SessionId, String)> = taken.filter(open).collect();
         self.asked.keys().filter(|k| taken.contains(*k)).collect()
@@ -356,10 +450,18 @@
 }
 
 fn workflows() -> String {
-    let peer =
-        |i: u32| format!("[[cluster.roster]]\nname = \"d{i}\"\naddress = \"127.0.0.1:{}\"\n", 7000 + i);
+    let peer = |i: u32| {
+        format!(
+            "[[cluster.roster]]\nname = \"d{i}\"\naddress = \"127.0.0.1:{}\"\n",
+            7000 + i
+        )
+    };
     let cluster = "[cluster]\nname = \"hall\"\nsecret = \"secret\"\n";
-    format!("{SETTINGS}{cluster}{}{}[cluster.workflows]\n", peer(1), peer(2))
+    format!(
+        "{SETTINGS}{cluster}{}{}[cluster.workflows]\n",
+        peer(1),
+        peer(2)
+    )
 }
 
 fn run(seed: u64) -> Chaos {
@@ -382,7 +484,11 @@
 fn each_taken_request_ends_once_no_booking_runs_twice_and_no_state_is_left() {
     for seed in 0..300 {
         let chaos = run(seed);
-        assert!(chaos.owed().is_empty(), "seed {seed}: owed {:?}", chaos.owed());
+        assert!(
+            chaos.owed().is_empty(),
+            "seed {seed}: owed {:?}",
+            chaos.owed()
+        );
         chaos.check(seed);
     }
 }
@@ -392,9 +498,17 @@
     let mut done = 0;
     for seed in 0..150 {
         let chaos = run_with(seed, true);
-        assert!(chaos.owed().is_empty(), "seed {seed}: owed {:?}", chaos.owed());
+        assert!(
+            chaos.owed().is_empty(),
+            "seed {seed}: owed {:?}",
+            chaos.owed()
+        );
         chaos.check(seed);
-        done += chaos.fates.values().filter(|f| matches!(f, Some(Fate::Done { .. }))).count();
+        done += chaos
+            .fates
+            .values()
+            .filter(|f| matches!(f, Some(Fate::Done { .. })))
+            .count();
     }
     assert!(done > 150, "{done} steps done");
     let chaos = run_with(7, true);
@@ -416,9 +530,15 @@
 fn a_record_replays_alike_and_a_changed_output_is_named() {
     let chaos = run(7);
     let recorded = read(written(&chaos.entries).as_slice()).expect("a good record");
-    assert_eq!((recorded.entries.len(), recorded.torn_bytes), (chaos.entries.len(), 0));
+    assert_eq!(
+        (recorded.entries.len(), recorded.torn_bytes),
+        (chaos.entries.len(), 0)
+    );
     let found = replay(&recorded, false).expect("replays");
-    assert_eq!((found.steps, found.difference), (chaos.entries.len() - 1, None));
+    assert_eq!(
+        (found.steps, found.difference),
+        (chaos.entries.len() - 1, None)
+    );
     let mut changed = recorded;
     let (at, step) = changed
         .entries
@@ -438,16 +558,28 @@
 #[test]
 fn a_torn_record_is_read_to_its_last_whole_block_and_a_damaged_one_is_named() {
     let chaos = run(3);
-    let many: Vec<Entry> = std::iter::repeat_n(&chaos.entries, 3).flatten().cloned().collect();
+    let many: Vec<Entry> = std::iter::repeat_n(&chaos.entries, 3)
+        .flatten()
+        .cloned()
+        .collect();
     let data = written(&many);
     let whole = read(data.as_slice()).expect("good").entries.len();
     let torn = read(&data[..data.len() - 1]).expect("the rest is good");
     assert!(torn.entries.len() < whole && torn.torn_bytes > 0);
     let mut bad = data.clone();
     bad[40] ^= 1;
-    assert!(matches!(read(bad.as_slice()), Err(RecordError::Block { at: 8, .. })));
-    assert!(matches!(read(&b"BLREC\0\0\x09"[..]), Err(RecordError::Magic(_))));
+    assert!(matches!(
+        read(bad.as_slice()),
+        Err(RecordError::Block { at: 8, .. })
+    ));
+    assert!(matches!(
+        read(&b"BLREC\0\0\x09"[..]),
+        Err(RecordError::Magic(_))
+    ));
     assert!(matches!(read(&b""[..]), Err(RecordError::Magic(_))));
     let long = [&data[..8], &u32::MAX.to_le_bytes(), &[0; 8]].concat();
-    assert!(matches!(read(long.as_slice()), Err(RecordError::Block { .. })));
+    assert!(matches!(
+        read(long.as_slice()),
+        Err(RecordError::Block { .. })
+    ));
 }
--- a/crates/core/tests/budgets.rs
+++ b/crates/core/tests/budgets.rs
@@ -22,7 +22,10 @@
 fn ask(bench: &mut Bench, session: SessionId, class: &str, key: &str, output: u32) {
     let text = serde_json::json!({ "type": "response.create", "model": "m", "input": "x".repeat(400),
         "max_output_tokens": output, "metadata": { "class": class, "idempotency_key": key } });
-    bench.step(Input::SessionText { session, text: text.to_string() });
+    bench.step(Input::SessionText {
+        session,
+        text: text.to_string(),
+    });
 }
 
 /// Asks, reads, and gives the write that follows.
@@ -49,7 +52,10 @@
 fn refusal(bench: &mut Bench, session: SessionId) -> (String, Option<u64>) {
     let last = bench.heard(session).pop().expect("an event");
     let error = last.error.expect("an error");
-    (error["code"].as_str().unwrap_or_default().to_string(), error["retry_after_ms"].as_u64())
+    (
+        error["code"].as_str().unwrap_or_default().to_string(),
+        error["retry_after_ms"].as_u64(),
+    )
 }
 
 #[test]
@@ -60,10 +66,17 @@
     ask(&mut bench, two, "query", "k", 800);
     bench.end(&write, 107, 20);
     ask(&mut bench, two, "query", "k", 800);
-    assert_eq!(charges(&bench), [(1, known(107, 20))], "its repeats are charged as the first try");
+    assert_eq!(
+        charges(&bench),
+        [(1, known(107, 20))],
+        "its repeats are charged as the first try"
+    );
     let at = |fits: &dyn Fn(&Output) -> bool| bench.out.iter().position(fits).expect("it");
     let charged = at(&|o| matches!(o, Output::Charge(_)));
-    assert!(charged < at(&|o| matches!(o, Output::Say { text, .. } if text.contains("response.completed"))));
+    assert!(
+        charged
+            < at(&|o| matches!(o, Output::Say { text, .. } if text.contains("response.completed")))
+    );
     // 1000 less 127, and some tens earned meanwhile: 800 more can be held at once.
     ask(&mut bench, one, "query", "k2", 760);
     assert!(bench.kinds(one).contains(&"response.created".to_string()));
@@ -82,9 +95,15 @@
     ask(&mut bench, session, "query", "k2", 100);
     let (code, after_ms) = refusal(&mut bench, session);
     let after_s = after_ms.expect("a time") as f64 / 1000.0;
-    assert!(code == "budget_spent" && (18.0..=20.0).contains(&after_s), "{code} {after_s}");
+    assert!(
+        code == "budget_spent" && (18.0..=20.0).contains(&after_s),
+        "{code} {after_s}"
+    );
     ask(&mut bench, session, "query", "k3", 2000);
-    assert_eq!(refusal(&mut bench, session), ("budget_too_small".into(), None));
+    assert_eq!(
+        refusal(&mut bench, session),
+        ("budget_too_small".into(), None)
+    );
     assert!(charges(&bench).is_empty(), "refusals cost nothing");
     bench.end(&write, 100, 890);
     bench.heard(session);
@@ -93,7 +112,9 @@
     assert_eq!(refusal(&mut bench, session).0, "budget_spent");
     bench.pass(1.1);
     ask(&mut bench, session, "query", "k5", 100);
-    assert!(bench.kinds(session).contains(&"response.created".to_string()));
+    assert!(bench
+        .kinds(session)
+        .contains(&"response.created".to_string()));
 }
 
 #[test]
@@ -101,9 +122,15 @@
     let mut bench = budgeted();
     let session = bench.open(1);
     let write = begin(&mut bench, session, "booking", "k", 200);
-    bench.step(Input::LinkClosed { link: write.link, why: "reset".into() });
+    bench.step(Input::LinkClosed {
+        link: write.link,
+        why: "reset".into(),
+    });
     bench.pass(20.0);
-    let bound = Used::Possibly(Amount { prompt: 100, output: 200 });
+    let bound = Used::Possibly(Amount {
+        prompt: 100,
+        output: 200,
+    });
     assert_eq!(charges(&bench), [(1, bound)]);
     // One that never left costs nothing: the reader never took it.
     let mut bench = budgeted();
@@ -122,7 +149,13 @@
     assert_eq!(last.kind, "response.failed");
     assert!(charges(&bench).is_empty(), "{:?}", charges(&bench));
     ask(&mut bench, session, "query", "k9", 890);
-    assert!(bench.heard(session).iter().any(|e| e.kind == "response.created"), "all was given back");
+    assert!(
+        bench
+            .heard(session)
+            .iter()
+            .any(|e| e.kind == "response.created"),
+        "all was given back"
+    );
 }
 
 #[test]
@@ -133,7 +166,10 @@
     bench.end(&write, 0, 0);
     let write = begin(&mut bench, session, "query", "k2", 200);
     bench.end(&write, 130, 5000);
-    let bound = Used::Possibly(Amount { prompt: 100, output: 200 });
+    let bound = Used::Possibly(Amount {
+        prompt: 100,
+        output: 200,
+    });
     assert_eq!(
         charges(&bench),
         [(1, bound), (1, known(130, 200))],
@@ -147,12 +183,17 @@
     }
     let bill = entries.bill(0, u64::MAX);
     let line = bill[&("bands".to_string(), "query".to_string())];
-    assert_eq!((line.prompt, line.output, line.possibly_tokens), (130, 200, 300));
+    assert_eq!(
+        (line.prompt, line.output, line.possibly_tokens),
+        (130, 200, 300)
+    );
 }
 
 fn asked(bench: &mut Bench) -> Option<(u64, Want)> {
     let ask = |o: &Output| match o {
-        Output::AskLedger { number, tenants, .. } => Some((*number, tenants[0].clone())),
+        Output::AskLedger {
+            number, tenants, ..
+        } => Some((*number, tenants[0].clone())),
         _ => None,
     };
     let last = bench.out.iter().rev().find_map(ask);
@@ -161,14 +202,20 @@
 }
 
 fn part(lease: u64, tokens_per_s: f64) -> Part {
-    Part { tenant: "bands".into(), lease, tokens_per_s, lasts_s: 10.0 }
+    Part {
+        tenant: "bands".into(),
+        lease,
+        tokens_per_s,
+        lasts_s: 10.0,
+    }
 }
 
 #[test]
 fn with_a_ledger_parts_are_asked_for_when_used_spent_to_their_end_and_given_back_when_idle() {
     let ledger = "\n[ledger]\naddress = \"127.0.0.1:1\"\n";
     let budget = BUDGET.replace("= 10,", "= 100,");
-    let settings = Settings::parse("test", &format!("{SETTINGS}{ledger}{budget}")).expect("settings");
+    let settings =
+        Settings::parse("test", &format!("{SETTINGS}{ledger}{budget}")).expect("settings");
     let mut bench = Bench::with(settings, 5);
     bench.step(Input::Hosts(four()));
     bench.open_all(1000.0);
@@ -177,22 +224,42 @@
     assert_eq!(asked(&mut bench), None, "what is not used is not asked for");
     // Without a part: the careful rate, a tenth of 100 a second, and its burst of 100.
     ask(&mut bench, session, "query", "k1", 200);
-    assert!(bench.kinds(session).contains(&"response.created".to_string()), "on debt");
+    assert!(
+        bench
+            .kinds(session)
+            .contains(&"response.created".to_string()),
+        "on debt"
+    );
     ask(&mut bench, session, "query", "k2", 200);
     let (code, after_ms) = refusal(&mut bench, session);
-    assert!(code == "budget_spent" && after_ms.is_some_and(|ms| ms > 25_000), "{code} {after_ms:?}");
+    assert!(
+        code == "budget_spent" && after_ms.is_some_and(|ms| ms > 25_000),
+        "{code} {after_ms:?}"
+    );
     bench.pass(0.6);
     let (number, want) = asked(&mut bench).expect("a question");
     assert!(want.tokens_per_s >= 1.0 && want.holds == 0, "{want:?}");
     // An answer to a question that was never asked changes nothing; the right one does.
-    bench.step(Input::Lent { number: number + 7, parts: vec![part(9, 100.0)] });
+    bench.step(Input::Lent {
+        number: number + 7,
+        parts: vec![part(9, 100.0)],
+    });
     bench.step(Input::Lent {
         number,
-        parts: vec![part(1, 90.0), Part { tokens_per_s: f64::NAN, ..part(2, 1.0) }],
+        parts: vec![
+            part(1, 90.0),
+            Part {
+                tokens_per_s: f64::NAN,
+                ..part(2, 1.0)
+            },
+        ],
     });
     ask(&mut bench, session, "query", "k3", 200);
     let (_, sooner_ms) = refusal(&mut bench, session);
-    assert!(sooner_ms.is_some_and(|ms| ms < 15_000), "the part pays the debt off sooner: {sooner_ms:?}");
+    assert!(
+        sooner_ms.is_some_and(|ms| ms < 15_000),
+        "the part pays the debt off sooner: {sooner_ms:?}"
+    );
     bench.pass(4.5);
     let (_, want) = asked(&mut bench).expect("asked again at half of its time");
     assert!(want.holds == 1 && want.tokens_per_s > 0.0, "{want:?}");
@@ -203,19 +270,26 @@
     bench.heard(session);
     ask(&mut bench, session, "query", "k5", 200);
     let (_, later_ms) = refusal(&mut bench, session);
-    assert!(later_ms.is_some_and(|ms| ms > 60_000), "at the careful rate again: {later_ms:?}");
+    assert!(
+        later_ms.is_some_and(|ms| ms > 60_000),
+        "at the careful rate again: {later_ms:?}"
+    );
 }
 
 #[test]
 fn a_part_that_is_idle_goes_back_and_is_spent_no_more() {
     let ledger = "\n[ledger]\naddress = \"127.0.0.1:1\"\n";
-    let settings = Settings::parse("test", &format!("{SETTINGS}{ledger}{BUDGET}")).expect("settings");
+    let settings =
+        Settings::parse("test", &format!("{SETTINGS}{ledger}{BUDGET}")).expect("settings");
     let mut bench = Bench::with(settings, 5);
     let session = bench.open(1);
     ask(&mut bench, session, "query", "k1", 50);
     bench.pass(0.6);
     let (number, _) = asked(&mut bench).expect("a question");
-    bench.step(Input::Lent { number, parts: vec![part(4, 10.0)] });
+    bench.step(Input::Lent {
+        number,
+        parts: vec![part(4, 10.0)],
+    });
     bench.pass(5.0);
     let (_, back) = asked(&mut bench).expect("it goes back");
     assert_eq!((back.holds, back.tokens_per_s), (4, 0.0));
--- a/crates/core/tests/callers.rs
+++ b/crates/core/tests/callers.rs
@@ -39,18 +39,32 @@
 
 fn caller(subject: &str, group: &str, key_id: &str, ends: u64) -> Caller {
     let (subject, key_id) = (subject.to_string(), key_id.to_string());
-    Caller { subject, groups: vec![group.to_string()], key_id, token_id: None, ends, proof: Proof::Token }
+    Caller {
+        subject,
+        groups: vec![group.to_string()],
+        key_id,
+        token_id: None,
+        ends,
+        proof: Proof::Token,
+    }
 }
 
 fn open(bench: &mut Bench, session: u64, subject: &str, group: &str) -> SessionId {
     let caller = Some(caller(subject, group, "k1", NOW_S + 600));
-    bench.step(Input::SessionOpened { session: SessionId(session), caller });
+    bench.step(Input::SessionOpened {
+        session: SessionId(session),
+        caller,
+    });
     SessionId(session)
 }
 
 fn codes(bench: &mut Bench, session: SessionId) -> Vec<String> {
     let code = |e: serde_json::Value| e["code"].as_str().unwrap_or_default().to_string();
-    bench.heard(session).into_iter().map(|e| e.error.map_or(e.kind, code)).collect()
+    bench
+        .heard(session)
+        .into_iter()
+        .map(|e| e.error.map_or(e.kind, code))
+        .collect()
 }
 
 #[test]
@@ -63,17 +77,37 @@
         bench.ask(session, "booking", "one", "the season");
         bench.pass(0.02);
     }
-    assert_eq!(bench.told.len(), 2, "eve's runs for itself; ann's second session is attached to its first");
+    assert_eq!(
+        bench.told.len(),
+        2,
+        "eve's runs for itself; ann's second session is attached to its first"
+    );
     let id = |bench: &mut Bench, session| {
-        bench.heard(session)[0].response.as_ref().expect("a response").id.clone()
+        bench.heard(session)[0]
+            .response
+            .as_ref()
+            .expect("a response")
+            .id
+            .clone()
     };
-    let (a, e, b) = (id(&mut bench, ann), id(&mut bench, eve), id(&mut bench, again));
+    let (a, e, b) = (
+        id(&mut bench, ann),
+        id(&mut bench, eve),
+        id(&mut bench, again),
+    );
     assert!(a == b && a != e, "{a} {b} {e}");
 
-    let (one, two) = (open(&mut bench, 4, "dee", "desk"), open(&mut bench, 5, "dan", "desk"));
+    let (one, two) = (
+        open(&mut bench, 4, "dee", "desk"),
+        open(&mut bench, 5, "dan", "desk"),
+    );
     bench.ask(one, "booking", "one", "the desk's season");
     bench.ask(two, "booking", "one", "the desk's season");
-    assert_eq!(id(&mut bench, one), id(&mut bench, two), "the desk shares its keys");
+    assert_eq!(
+        id(&mut bench, one),
+        id(&mut bench, two),
+        "the desk shares its keys"
+    );
 }
 
 #[test]
@@ -88,16 +122,28 @@
     let id = last.response.expect("a response").id;
     let follow = json!({ "type": "response.create", "model": "m", "input": "and then?",
         "previous_response_id": id, "metadata": { "class": "query" } });
-    for (session, code) in [(eve, "previous_response_not_found"), (ann, "response.created")] {
-        bench.step(Input::SessionText { session, text: follow.to_string() });
+    for (session, code) in [
+        (eve, "previous_response_not_found"),
+        (ann, "response.created"),
+    ] {
+        bench.step(Input::SessionText {
+            session,
+            text: follow.to_string(),
+        });
         assert_eq!(codes(&mut bench, session), [code]);
     }
-    assert!(bench.take().body.prompt.contains("a secret hall"), "its own caller goes on from it");
+    assert!(
+        bench.take().body.prompt.contains("a secret hall"),
+        "its own caller goes on from it"
+    );
     // Counting on from an id that was seen finds nothing, running or ended.
     let running = id.replacen("00000001", "00000002", 1);
     assert_ne!(running, id);
     let cancel = json!({ "type": "response.cancel", "response_id": running });
-    bench.step(Input::SessionText { session: ann, text: cancel.to_string() });
+    bench.step(Input::SessionText {
+        session: ann,
+        text: cancel.to_string(),
+    });
     assert_eq!(codes(&mut bench, ann), ["response_not_found"]);
 }
 
@@ -108,13 +154,24 @@
     let write = bench.begin_write(ann, "booking", "k", "the season");
     bench.step(Input::KeysWithdrawn(vec!["k1".into()]));
     bench.ask(ann, "query", "k2", "another");
-    assert_eq!(codes(&mut bench, ann), ["response.created", "token_key_withdrawn"]);
-    assert!(!bench.out.iter().any(|o| matches!(o, Output::CloseSession { .. })), "the booking still runs");
+    assert_eq!(
+        codes(&mut bench, ann),
+        ["response.created", "token_key_withdrawn"]
+    );
+    assert!(
+        !bench
+            .out
+            .iter()
+            .any(|o| matches!(o, Output::CloseSession { .. })),
+        "the booking still runs"
+    );
     bench.piece(&write, "booked", Some("stop"));
     bench.done(&write);
-    assert_eq!(codes(&mut bench, ann).last().map(String::as_str), Some("response.completed"));
-    let closes =
-        |o: &Output| matches!(o, Output::CloseSession { session, code: 4401, .. } if *session == ann);
+    assert_eq!(
+        codes(&mut bench, ann).last().map(String::as_str),
+        Some("response.completed")
+    );
+    let closes = |o: &Output| matches!(o, Output::CloseSession { session, code: 4401, .. } if *session == ann);
     assert!(bench.out.iter().any(closes));
 }
 
@@ -122,9 +179,15 @@
 fn a_clock_that_is_set_ends_proofs_by_the_judged_time_and_the_record_tells() {
     let mut bench = guarded();
     let ann = open(&mut bench, 1, "ann", "members");
-    bench.step(Input::ProofTime { ahead_us: 599_000_000 });
+    bench.step(Input::ProofTime {
+        ahead_us: 599_000_000,
+    });
     bench.ask(ann, "query", "k", "one more");
-    assert_eq!(codes(&mut bench, ann), ["response.created"], "a second is left");
+    assert_eq!(
+        codes(&mut bench, ann),
+        ["response.created"],
+        "a second is left"
+    );
     bench.step(Input::ProofTime { ahead_us: 0 });
     bench.pass(2.0);
     bench.ask(ann, "query", "k2", "and one");
@@ -132,11 +195,19 @@
         codes(&mut bench, ann).contains(&"response.created".to_string()),
         "the clock was put right again"
     );
-    bench.step(Input::ProofTime { ahead_us: 598_500_000 });
+    bench.step(Input::ProofTime {
+        ahead_us: 598_500_000,
+    });
     bench.ask(ann, "query", "k3", "too late");
-    assert_eq!(codes(&mut bench, ann).last().map(String::as_str), Some("token_expired"));
+    assert_eq!(
+        codes(&mut bench, ann).last().map(String::as_str),
+        Some("token_expired")
+    );
     let late = Some(caller("bob", "members", "k1", NOW_S + 600));
-    bench.step(Input::SessionOpened { session: SessionId(9), caller: late });
+    bench.step(Input::SessionOpened {
+        session: SessionId(9),
+        caller: late,
+    });
     bench.ask(SessionId(9), "query", "k", "late");
     assert_eq!(codes(&mut bench, SessionId(9)), ["token_expired"]);
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -5,8 +5,8 @@
 use bitternlatch_inventory::{host_id, parse, Host};
 use bitternlatch_protocol::client::ServerEvent;
 use bitternlatch_protocol::engine::{
-    decode, encode, Choice, Chunk, CompletionRequest, EngineError, EngineState, EngineUsage, FromEngine,
-    KvTransferParams, ToEngine,
+    decode, encode, Choice, Chunk, CompletionRequest, EngineError, EngineState, EngineUsage,
+    FromEngine, KvTransferParams, ToEngine,
 };
 
 pub const SETTINGS: &str = r#"name = "d1"
@@ -66,7 +66,10 @@
 
 impl Told {
     pub fn is_read(&self) -> bool {
-        self.body.kv_transfer_params.as_ref().is_some_and(|k| k.do_remote_decode)
+        self.body
+            .kv_transfer_params
+            .as_ref()
+            .is_some_and(|k| k.do_remote_decode)
     }
 }
 
@@ -90,7 +93,10 @@
 
 pub fn hosts(rows: &str) -> Vec<Host> {
     let text = format!("name,address,port,kind,state\n{rows}");
-    parse("hosts.csv", &text).expect("a good list").into_values().collect()
+    parse("hosts.csv", &text)
+        .expect("a good list")
+        .into_values()
+        .collect()
 }
 
 /// Readers r1, r2 and writers w1, w2.
@@ -143,7 +149,14 @@
 
     pub fn greet(&mut self, link: LinkId, uptime_s: f64) {
         let engine_id = String::new();
-        self.says(link, &FromEngine::Hello { engine_id, uptime_s, state: EngineState::Ready });
+        self.says(
+            link,
+            &FromEngine::Hello {
+                engine_id,
+                uptime_s,
+                state: EngineState::Ready,
+            },
+        );
     }
 
     pub fn step(&mut self, input: Input) {
@@ -168,7 +181,11 @@
 
     fn on_tell(&mut self, link: LinkId, text: &str) {
         match decode::<ToEngine>(text).expect("a message") {
-            ToEngine::Completion { id, body } => self.told.push(Told { link, id, body: *body }),
+            ToEngine::Completion { id, body } => self.told.push(Told {
+                link,
+                id,
+                body: *body,
+            }),
             ToEngine::Cancel { id } => self.cancels.push((link, id)),
             ToEngine::Release { id } => self.releases.push((link, id)),
             ToEngine::Probe { id } => self.probes.push((link, id)),
@@ -192,7 +209,10 @@
 
     pub fn open(&mut self, session: u64) -> SessionId {
         let session = SessionId(session);
-        self.step(Input::SessionOpened { session, caller: None });
+        self.step(Input::SessionOpened {
+            session,
+            caller: None,
+        });
         session
     }
 
@@ -201,11 +221,17 @@
             "type": "response.create", "model": "m", "input": input,
             "metadata": { "class": class, "idempotency_key": key, "try": &input[..input.len().min(100)] },
         });
-        self.step(Input::SessionText { session, text: text.to_string() });
+        self.step(Input::SessionText {
+            session,
+            text: text.to_string(),
+        });
     }
 
     pub fn says(&mut self, link: LinkId, message: &FromEngine) {
-        self.step(Input::LinkText { link, text: encode(message) });
+        self.step(Input::LinkText {
+            link,
+            text: encode(message),
+        });
     }
 
     /// Takes the oldest completion; a choice may wait a moment for its probes.
@@ -213,7 +239,11 @@
         if self.told.is_empty() {
             self.pass(0.02);
         }
-        assert!(!self.told.is_empty(), "no completion was told; log: {:?}", self.logs);
+        assert!(
+            !self.told.is_empty(),
+            "no completion was told; log: {:?}",
+            self.logs
+        );
         self.told.remove(0)
     }
 
@@ -225,30 +255,69 @@
             remote_request_id: Some(told.id.clone()),
             ..KvTransferParams::default()
         };
-        let body = Chunk { kv_transfer_params: Some(params), ..Chunk::default() };
-        self.says(told.link, &FromEngine::Chunk { id: told.id.clone(), body });
-        self.says(told.link, &FromEngine::Done { id: told.id.clone(), load: None });
+        let body = Chunk {
+            kv_transfer_params: Some(params),
+            ..Chunk::default()
+        };
+        self.says(
+            told.link,
+            &FromEngine::Chunk {
+                id: told.id.clone(),
+                body,
+            },
+        );
+        self.says(
+            told.link,
+            &FromEngine::Done {
+                id: told.id.clone(),
+                load: None,
+            },
+        );
     }
 
     pub fn piece(&mut self, told: &Told, text: &str, finish: Option<&str>) {
-        let choice = Choice { index: 0, text: text.into(), finish_reason: finish.map(str::to_string) };
+        let choice = Choice {
+            index: 0,
+            text: text.into(),
+            finish_reason: finish.map(str::to_string),
+        };
         let usage = finish.map(|_| EngineUsage {
             prompt_tokens: 9,
             completion_tokens: 2,
             total_tokens: 11,
             prompt_tokens_details: None,
         });
-        let body = Chunk { choices: vec![choice], usage, kv_transfer_params: None };
-        self.says(told.link, &FromEngine::Chunk { id: told.id.clone(), body });
+        let body = Chunk {
+            choices: vec![choice],
+            usage,
+            kv_transfer_params: None,
+        };
+        self.says(
+            told.link,
+            &FromEngine::Chunk {
+                id: told.id.clone(),
+                body,
+            },
+        );
     }
 
     pub fn done(&mut self, told: &Told) {
-        self.says(told.link, &FromEngine::Done { id: told.id.clone(), load: None });
+        self.says(
+            told.link,
+            &FromEngine::Done {
+                id: told.id.clone(),
+                load: None,
+            },
+        );
     }
 
     /// The write's end, with what the host counted; without a prompt it counted nothing.
     pub fn end(&mut self, told: &Told, prompt: u32, output: u32) {
-        let choice = Choice { index: 0, text: "yes".into(), finish_reason: Some("stop".into()) };
+        let choice = Choice {
+            index: 0,
+            text: "yes".into(),
+            finish_reason: Some("stop".into()),
+        };
         let usage = EngineUsage {
             prompt_tokens: prompt,
             completion_tokens: output,
@@ -256,14 +325,35 @@
             prompt_tokens_details: None,
         };
         let usage = (prompt > 0).then_some(usage);
-        let body = Chunk { choices: vec![choice], usage, kv_transfer_params: None };
-        self.says(told.link, &FromEngine::Chunk { id: told.id.clone(), body });
+        let body = Chunk {
+            choices: vec![choice],
+            usage,
+            kv_transfer_params: None,
+        };
+        self.says(
+            told.link,
+            &FromEngine::Chunk {
+                id: told.id.clone(),
+                body,
+            },
+        );
         self.done(told);
     }
 
     pub fn error(&mut self, told: &Told, status: u16, code: Option<&str>) {
-        let error = EngineError { message: "no".into(), code: code.map(str::to_string) };
-        self.says(told.link, &FromEngine::Error { id: told.id.clone(), status, error, load: None });
+        let error = EngineError {
+            message: "no".into(),
+            code: code.map(str::to_string),
+        };
+        self.says(
+            told.link,
+            &FromEngine::Error {
+                id: told.id.clone(),
+                status,
+                error,
+                load: None,
+            },
+        );
     }
 
     /// Asks, reads, and gives the write that follows.
@@ -278,7 +368,9 @@
 
     /// Events said to a session since the last call.
     pub fn heard(&mut self, session: SessionId) -> Vec<ServerEvent> {
-        let (mine, rest) = std::mem::take(&mut self.said).into_iter().partition(|(s, _)| *s == session);
+        let (mine, rest) = std::mem::take(&mut self.said)
+            .into_iter()
+            .partition(|(s, _)| *s == session);
         self.said = rest;
         let mine: Vec<(SessionId, ServerEvent)> = mine;
         mine.into_iter().map(|(_, e)| e).collect()
@@ -289,6 +381,9 @@
     }
 
     pub fn name_of(link: LinkId) -> &'static str {
-        ["r1", "r2", "w1", "w2"].into_iter().find(|n| host_id(n) == link.host).unwrap_or("?")
+        ["r1", "r2", "w1", "w2"]
+            .into_iter()
+            .find(|n| host_id(n) == link.host)
+            .unwrap_or("?")
     }
 }
--- a/crates/core/tests/evidence.rs
+++ b/crates/core/tests/evidence.rs
@@ -1,11 +1,11 @@
 //! What is seen of hosts and told to peers, and what peers tell: in the machine.
 mod common;
 
-use bitternlatch_quota_lease::{Hearsay, Host, Trait};
 use bitternlatch_core::{Input, Micros, Output, Settings};
 use bitternlatch_inventory::host_id;
 use bitternlatch_membership::Standing;
 use bitternlatch_policy::interface::{Event, Sight};
+use bitternlatch_quota_lease::{Hearsay, Host, Trait};
 use common::{four, hosts, Bench, SETTINGS};
 use std::time::Duration;
 
@@ -26,7 +26,11 @@
 
 fn stand(bench: &mut Bench, standing: Standing) {
     let until = Micros(bench.now.0 + 3_600_000_000);
-    bench.step(Input::Standing { standing, there: vec!["d2".into()], until });
+    bench.step(Input::Standing {
+        standing,
+        there: vec!["d2".into()],
+        until,
+    });
 }
 
 /// What was told to peers last, without the times.
@@ -39,7 +43,12 @@
 }
 
 fn hear(bench: &mut Bench, host: &str, what: Trait, voices: u8, at: Micros) {
-    let heard = vec![Hearsay { host: Host(host_id(host)), what, voices, age: Duration::from_millis(500) }];
+    let heard = vec![Hearsay {
+        host: Host(host_id(host)),
+        what,
+        voices,
+        age: Duration::from_millis(500),
+    }];
     bench.step(Input::Heard { at, of: 2, heard });
 }
 
@@ -48,8 +57,15 @@
     let session = bench.open(key.bytes().fold(7, |n, b| n * 31 + u64::from(b)));
     bench.ask(session, class, key, "words");
     let error = bench.heard(session).pop()?.error?;
-    let elsewhere = error["elsewhere"].as_array().into_iter().flatten().filter_map(|v| v.as_str());
-    Some((error["code"].as_str()?.to_string(), elsewhere.map(str::to_string).collect()))
+    let elsewhere = error["elsewhere"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .filter_map(|v| v.as_str());
+    Some((
+        error["code"].as_str()?.to_string(),
+        elsewhere.map(str::to_string).collect(),
+    ))
 }
 
 #[test]
@@ -66,7 +82,10 @@
     assert_eq!(told(&bench), Some(vec![]));
     let session = bench.open(1);
     let write = bench.begin_write(session, "booking", "k", "q");
-    bench.step(Input::LinkClosed { link: write.link, why: "reset".into() });
+    bench.step(Input::LinkClosed {
+        link: write.link,
+        why: "reset".into(),
+    });
     bench.pass(0.3);
     assert_eq!(told(&bench), Some(vec![]), "a short break");
     bench.pass(0.7);
@@ -93,7 +112,10 @@
     }
     bench.pass(0.3);
     let failing = told(&bench).expect("something seen");
-    assert!(!failing.is_empty() && failing.iter().all(|(_, what)| *what == Trait::Failing), "{failing:?}");
+    assert!(
+        !failing.is_empty() && failing.iter().all(|(_, what)| *what == Trait::Failing),
+        "{failing:?}"
+    );
     bench.pass(4.0);
     assert_eq!(told(&bench), Some(vec![]), "it is not seen for ever");
 }
@@ -110,10 +132,25 @@
     bench.now = Micros(sent.0 + 60_000_000);
     hear(&mut bench, "r1", Trait::Failing, 2, sent);
     let trace = bench.machine.take_trace();
-    let heard: Vec<_> = trace.iter().filter(|t| matches!(t.event, Event::Hearsay { .. })).collect();
+    let heard: Vec<_> = trace
+        .iter()
+        .filter(|t| matches!(t.event, Event::Hearsay { .. }))
+        .collect();
     assert_eq!(heard.len(), 1, "{heard:?}");
-    let Event::Hearsay { server, sight, voices, of, age_s } = heard[0].event else { panic!("{heard:?}") };
-    assert_eq!((server, sight, voices, of), (host_id("r1"), Sight::Failing, 2, 2));
+    let Event::Hearsay {
+        server,
+        sight,
+        voices,
+        of,
+        age_s,
+    } = heard[0].event
+    else {
+        panic!("{heard:?}")
+    };
+    assert_eq!(
+        (server, sight, voices, of),
+        (host_id("r1"), Sight::Failing, 2, 2)
+    );
     assert!((age_s - 1.5).abs() < 1e-9, "{age_s}");
 }
 
@@ -122,11 +159,21 @@
     let mut bench = cluster();
     let links: Vec<_> = ["r1", "r2", "w1", "w2"].map(host_id).to_vec();
     for host in &links {
-        let link = bitternlatch_core::LinkId { host: *host, epoch: 1 };
-        bench.step(Input::LinkClosed { link, why: "no route".into() });
+        let link = bitternlatch_core::LinkId {
+            host: *host,
+            epoch: 1,
+        };
+        bench.step(Input::LinkClosed {
+            link,
+            why: "no route".into(),
+        });
     }
     bench.pass(0.5);
-    assert_ne!(refused(&mut bench, "query", "a").map(|r| r.0), Some("cut_off".into()), "a short break");
+    assert_ne!(
+        refused(&mut bench, "query", "a").map(|r| r.0),
+        Some("cut_off".into()),
+        "a short break"
+    );
     bench.pass(1.5);
     let expected = Some(("cut_off".to_string(), vec!["c2".to_string()]));
     assert_eq!(refused(&mut bench, "query", "b"), expected);
@@ -136,10 +183,16 @@
         let now = bench.now;
         hear(&mut bench, host, Trait::Failing, 1, now);
     }
-    assert_eq!(refused(&mut bench, "query", "c"), Some(("cut_off".to_string(), vec![])));
+    assert_eq!(
+        refused(&mut bench, "query", "c"),
+        Some(("cut_off".to_string(), vec![]))
+    );
     // Alone it cannot tell whose fault it is.
     stand(&mut bench, Standing::Alone);
-    assert_ne!(refused(&mut bench, "query", "d").map(|r| r.0), Some("cut_off".into()));
+    assert_ne!(
+        refused(&mut bench, "query", "d").map(|r| r.0),
+        Some("cut_off".into())
+    );
     stand(&mut bench, Standing::Whole);
     bench.pass(3.0);
     bench.open_all(1000.0);
@@ -167,7 +220,10 @@
         first
     };
     hear(&mut bench, "r1", Trait::Draining, 1, now);
-    assert!(goes_to_r1(&mut bench, 1) > 0, "one voice against the own list");
+    assert!(
+        goes_to_r1(&mut bench, 1) > 0,
+        "one voice against the own list"
+    );
     bench.step(Input::ListLost(true));
     hear(&mut bench, "r1", Trait::Draining, 1, now);
     assert_eq!(goes_to_r1(&mut bench, 2), 0);
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -12,14 +12,21 @@
 fn bench(overload: &str) -> Bench {
     let mut text = format!("{SETTINGS}[cluster]\nname = \"hall\"\nsecret = \"secret\"\n{overload}");
     for i in 1..=4 {
-        text += &format!("[[cluster.roster]]\nname = \"d{i}\"\naddress = \"127.0.0.1:{}\"\n", 7000 + i);
+        text += &format!(
+            "[[cluster.roster]]\nname = \"d{i}\"\naddress = \"127.0.0.1:{}\"\n",
+            7000 + i
+        );
     }
     let settings = Settings::parse("test", &text).expect("settings");
     let mut bench = Bench::with(settings, 5);
     bench.step(Input::Hosts(four()));
     bench.open_all(1000.0);
     let until = Micros(bench.now.0 + 60_000_000);
-    bench.step(Input::Standing { standing: Standing::Whole, there: vec![], until });
+    bench.step(Input::Standing {
+        standing: Standing::Whole,
+        there: vec![],
+        until,
+    });
     bench
 }
 
@@ -48,8 +55,14 @@
 
 /// The session's final refusal, if it has one: when to come back, seconds.
 fn refusal(bench: &mut Bench, session: SessionId) -> Option<f64> {
-    let error = bench.heard(session).into_iter().find_map(|e| e.response?.error)?;
-    assert_eq!((error.code.as_str(), error.safe_to_repeat), ("rate_limit_exceeded", true));
+    let error = bench
+        .heard(session)
+        .into_iter()
+        .find_map(|e| e.response?.error)?;
+    assert_eq!(
+        (error.code.as_str(), error.safe_to_repeat),
+        ("rate_limit_exceeded", true)
+    );
     Some(error.retry_after_ms.expect("when to come back") as f64 / 1000.0)
 }
 
@@ -63,9 +76,12 @@
 fn below_the_cut_all_are_refused_at_once_and_nothing_is_sent() {
     let mut bench = on();
     told(&mut bench, 48.0, 100.0, 1.0);
-    let waits: Vec<f64> = (0..20).map(|n| asked(&mut bench, n).expect("refused")).collect();
+    let waits: Vec<f64> = (0..20)
+        .map(|n| asked(&mut bench, n).expect("refused"))
+        .collect();
     assert!(waits.iter().all(|w| (0.1..=5.0).contains(w)), "{waits:?}");
-    let times: std::collections::BTreeSet<u64> = waits.iter().map(|w| (w * 1000.0) as u64).collect();
+    let times: std::collections::BTreeSet<u64> =
+        waits.iter().map(|w| (w * 1000.0) as u64).collect();
     assert!(times.len() > 15, "not in step: {waits:?}");
     assert!(bench.told.is_empty());
     told(&mut bench, 0.0, 100.0, 1.0);
@@ -81,7 +97,11 @@
     // Without a wake in between, as after a pause.
     bench.now = Micros(bench.now.0 + 60_000_000);
     let until = Micros(bench.now.0 + 60_000_000);
-    bench.step(Input::Standing { standing: Standing::Whole, there: vec![], until });
+    bench.step(Input::Standing {
+        standing: Standing::Whole,
+        there: vec![],
+        until,
+    });
     let refused = (10..90).filter(|n| asked(&mut bench, *n).is_some()).count();
     // A quarter of 4 a second, of which 0.3 s go at once: queries of 64 ms for a fifth of their ceiling.
     assert!((72..=79).contains(&refused), "{refused}");
@@ -101,7 +121,10 @@
 fn an_attempt_that_repeats_work_needs_leave_and_a_write_after_its_read_does_not() {
     let mut bench = on();
     told(&mut bench, 0.1, 0.0, 1.0);
-    assert!(second(&mut bench, 1).is_none(), "no fresh work of which it would be a tenth");
+    assert!(
+        second(&mut bench, 1).is_none(),
+        "no fresh work of which it would be a tenth"
+    );
     told(&mut bench, 0.1, 100.0, 1.0);
     assert!(second(&mut bench, 2).is_some(), "a quarter of 10");
     let mut bench = on();
@@ -128,17 +151,27 @@
     let mut bench = bench("");
     told(&mut bench, 48.0, 0.0, 60.0);
     bench.probes.clear();
-    bench.step(Input::Overload(Word::Probe { host: bitternlatch_inventory::host_id("r1") }));
+    bench.step(Input::Overload(Word::Probe {
+        host: bitternlatch_inventory::host_id("r1"),
+    }));
     assert!(bench.probes.is_empty());
     assert!((0..50).all(|n| asked(&mut bench, n).is_none()));
     bench.pass(1.0);
     assert!(!bench.out.iter().any(|o| matches!(o, Output::Overload(_))));
     let bad = format!("{SETTINGS}[cluster]\nname = \"h\"\nsecret = \"s\"\noverload = {{ wait_share = 9.0 }}\nroster = [{{ name = \"d1\", address = \"127.0.0.1:7001\" }}]\n");
-    assert!(Settings::parse("test", &bad).expect_err("a bad share").to_string().contains("wait_share"));
+    assert!(Settings::parse("test", &bad)
+        .expect_err("a bad share")
+        .to_string()
+        .contains("wait_share"));
 }
 
 fn at(bench: &Bench, name: &str) -> Vec<Told> {
-    bench.told.iter().filter(|t| Bench::name_of(t.link) == name).cloned().collect()
+    bench
+        .told
+        .iter()
+        .filter(|t| Bench::name_of(t.link) == name)
+        .cloned()
+        .collect()
 }
 
 /// Reads at r1 and r2 of some requests after r1 was given leave for so many until a time from now.
@@ -163,10 +196,17 @@
     let mut bench = on_trial(0, 0);
     let failing = at(&bench, "r1");
     assert!(failing.len() >= 3, "its time is over");
-    failing.iter().take(3).for_each(|t| bench.error(t, 500, None));
+    failing
+        .iter()
+        .take(3)
+        .for_each(|t| bench.error(t, 500, None));
     let r1 = bitternlatch_inventory::host_id("r1");
     let told = |o: &&Output| matches!(o, Output::Overload(Ask::Tried { host, well: false }) if *host == r1);
-    assert_eq!(bench.out.iter().filter(told).count(), 2, "from the second on");
+    assert_eq!(
+        bench.out.iter().filter(told).count(),
+        2,
+        "from the second on"
+    );
 }
 
 #[test]
@@ -177,16 +217,29 @@
         let meta = serde_json::json!({ "class": "query", "idempotency_key": format!("k{number}"), "workflow": "season",
             "workflow_epoch": "1", "workflow_step": step.to_string() });
         let create = serde_json::json!({ "type": "response.create", "model": "m", "input": "words", "metadata": meta });
-        bench.step(Input::SessionText { session, text: create.to_string() });
-        let asks = std::mem::take(&mut bench.out).into_iter().filter(|o| matches!(o, Output::Workflow(_)));
+        bench.step(Input::SessionText {
+            session,
+            text: create.to_string(),
+        });
+        let asks = std::mem::take(&mut bench.out)
+            .into_iter()
+            .filter(|o| matches!(o, Output::Workflow(_)));
         (asks.count(), bench.heard(session))
     };
     told(&mut bench, 48.0, 100.0, 1.0);
     let (asks, heard) = step(&mut bench, 1, 1);
     assert_eq!(asks, 0, "refused before its intent is asked for");
-    let error = heard.last().and_then(|e| e.error.clone()).expect("a refusal");
+    let error = heard
+        .last()
+        .and_then(|e| e.error.clone())
+        .expect("a refusal");
     assert_eq!(error["code"], "rate_limit_exceeded");
-    assert!(error["retry_after_ms"].as_u64().is_some_and(|ms| (100..=5000).contains(&ms)), "{error}");
+    assert!(
+        error["retry_after_ms"]
+            .as_u64()
+            .is_some_and(|ms| (100..=5000).contains(&ms)),
+        "{error}"
+    );
     told(&mut bench, 0.0, 100.0, 1.0);
     let (asks, heard) = step(&mut bench, 2, 2);
     assert_eq!((asks, heard.len()), (1, 0), "it waits for its intent");
--- a/crates/core/tests/path.rs
+++ b/crates/core/tests/path.rs
@@ -12,7 +12,11 @@
     let write = b.begin_write(s, "query", "", "a free Thursday hall?");
     assert!(Bench::name_of(write.link).starts_with('w'));
     assert_eq!(write.body.prompt, "a free Thursday hall?");
-    assert!(write.body.kv_transfer_params.as_ref().is_some_and(|k| k.do_remote_prefill));
+    assert!(write
+        .body
+        .kv_transfer_params
+        .as_ref()
+        .is_some_and(|k| k.do_remote_prefill));
     b.piece(&write, "the small", None);
     b.piece(&write, " one", None);
     b.piece(&write, "", Some("stop"));
@@ -20,7 +24,10 @@
     let heard = b.heard(s);
     let kinds: Vec<&str> = heard.iter().map(|e| e.kind.as_str()).collect();
     let delta = "response.output_text.delta";
-    assert_eq!(kinds, ["response.created", delta, delta, "response.completed"]);
+    assert_eq!(
+        kinds,
+        ["response.created", delta, delta, "response.completed"]
+    );
     let last = heard[3].response.as_ref().expect("a response");
     assert_eq!(last.status, Status::Completed);
     assert_eq!(last.output[0].content[0].text, "the small one");
@@ -38,17 +45,26 @@
     b.piece(&write, "yes", Some("length"));
     b.done(&write);
     let heard = b.heard(s);
-    let last = heard.last().and_then(|e| e.response.clone()).expect("a response");
+    let last = heard
+        .last()
+        .and_then(|e| e.response.clone())
+        .expect("a response");
     assert_eq!(last.status, Status::Incomplete);
     let follow = |id: &str| {
         let create = serde_json::json!({ "type": "response.create", "model": "m", "input": "and then?",
             "previous_response_id": id });
         create.to_string()
     };
-    b.step(Input::SessionText { session: s, text: follow(&last.id) });
+    b.step(Input::SessionText {
+        session: s,
+        text: follow(&last.id),
+    });
     assert_eq!(b.take().body.prompt, "first\nassistant: yes\nand then?");
     b.heard(s);
-    b.step(Input::SessionText { session: s, text: follow("resp_00") });
+    b.step(Input::SessionText {
+        session: s,
+        text: follow("resp_00"),
+    });
     let heard = b.heard(s);
     let error = heard[0].error.as_ref().expect("an error");
     assert_eq!(error["code"], "previous_response_not_found");
@@ -63,18 +79,31 @@
     b.piece(&write, "book", None);
     b.step(Input::SessionClosed { session: first });
     b.pass(0.5);
-    assert!(b.cancels.is_empty(), "a keyed booking goes on without its client");
+    assert!(
+        b.cancels.is_empty(),
+        "a keyed booking goes on without its client"
+    );
     let second = b.open(2);
     b.ask(second, "booking", "k1", "the season");
     let heard = b.heard(second);
     assert_eq!(heard[0].kind, "response.created");
-    assert_eq!(heard[1].delta.as_deref(), Some("book"), "what came before is given at once");
+    assert_eq!(
+        heard[1].delta.as_deref(),
+        Some("book"),
+        "what came before is given at once"
+    );
     b.piece(&write, "ed", Some("stop"));
     b.done(&write);
     let heard = b.heard(second);
     assert_eq!(heard.iter().filter(|e| e.is_final()).count(), 1);
     assert_eq!(
-        heard.last().and_then(|e| e.response.clone()).expect("it").output[0].content[0].text,
+        heard
+            .last()
+            .and_then(|e| e.response.clone())
+            .expect("it")
+            .output[0]
+            .content[0]
+            .text,
         "booked"
     );
     assert!(b.told.is_empty(), "nothing was sent again");
@@ -87,7 +116,10 @@
     );
     assert!(b.told.is_empty(), "the recorded answer is given");
     b.ask(third, "booking", "k1", "another season");
-    assert_eq!(b.heard(third)[0].error.as_ref().expect("an error")["code"], "idempotency_key_reused");
+    assert_eq!(
+        b.heard(third)[0].error.as_ref().expect("an error")["code"],
+        "idempotency_key_reused"
+    );
 }
 
 #[test]
@@ -95,10 +127,16 @@
     let mut b = Bench::ready(1);
     let s = b.open(1);
     let write = b.begin_write(s, "booking", "k1", "the season");
-    b.step(Input::LinkClosed { link: write.link, why: "reset".into() });
+    b.step(Input::LinkClosed {
+        link: write.link,
+        why: "reset".into(),
+    });
     for round in 0..2 {
         let heard = b.heard(s);
-        let last = heard.last().and_then(|e| e.response.clone()).expect("a final answer");
+        let last = heard
+            .last()
+            .and_then(|e| e.response.clone())
+            .expect("a final answer");
         assert_eq!(last.status, Status::Failed, "round {round}");
         assert!(!last.error.expect("an error").safe_to_repeat);
         assert!(b.told.is_empty());
@@ -115,8 +153,15 @@
     b.step(Input::SessionClosed { session: s });
     assert_eq!(b.cancels, [(read.link, read.id.clone())]);
     b.read_done(&read);
-    assert_eq!(b.releases, [(read.link, read.id.clone())], "a late read state is let go of");
-    assert_eq!((b.machine.counts().requests, b.machine.counts().keys), (0, 0));
+    assert_eq!(
+        b.releases,
+        [(read.link, read.id.clone())],
+        "a late read state is let go of"
+    );
+    assert_eq!(
+        (b.machine.counts().requests, b.machine.counts().keys),
+        (0, 0)
+    );
 }
 
 #[test]
@@ -131,8 +176,16 @@
     let cases = [
         ("{", "invalid_json", None),
         (r#"{"type":"response.sing"}"#, "invalid_value", Some("type")),
-        (r#"{"type":"response.create","input":"x"}"#, "invalid_value", Some("model")),
-        (r#"{"type":"response.create","model":"m"}"#, "invalid_value", Some("input")),
+        (
+            r#"{"type":"response.create","input":"x"}"#,
+            "invalid_value",
+            Some("model"),
+        ),
+        (
+            r#"{"type":"response.create","model":"m"}"#,
+            "invalid_value",
+            Some("input"),
+        ),
         (
             r#"{"type":"response.create","model":"m","input":"x","max_output_tokens":0}"#,
             "invalid_value",
@@ -143,16 +196,35 @@
             "invalid_value",
             Some("input[0].content"),
         ),
-        (&meta(r#""class":"odd""#), "invalid_value", Some("metadata.class")),
-        (&meta(r#""deadline_ms":"soon""#), "invalid_value", Some("metadata.deadline_ms")),
-        (r#"{"type":"response.cancel","response_id":"resp_é"}"#, "response_not_found", Some("response_id")),
+        (
+            &meta(r#""class":"odd""#),
+            "invalid_value",
+            Some("metadata.class"),
+        ),
+        (
+            &meta(r#""deadline_ms":"soon""#),
+            "invalid_value",
+            Some("metadata.deadline_ms"),
+        ),
+        (
+            r#"{"type":"response.cancel","response_id":"resp_é"}"#,
+            "response_not_found",
+            Some("response_id"),
+        ),
     ];
     for (text, code, param) in cases {
-        b.step(Input::SessionText { session: s, text: text.to_string() });
+        b.step(Input::SessionText {
+            session: s,
+            text: text.to_string(),
+        });
         let heard = b.heard(s);
         assert_eq!(heard.len(), 1, "{text}");
         let error = heard[0].error.as_ref().expect("an error");
-        assert_eq!((error["code"].as_str(), error["param"].as_str()), (Some(code), param), "{text}");
+        assert_eq!(
+            (error["code"].as_str(), error["param"].as_str()),
+            (Some(code), param),
+            "{text}"
+        );
     }
     b.piece(&write, "still here", Some("stop"));
     b.done(&write);
@@ -167,7 +239,10 @@
         b.ask(s, "query", "", &format!("q{i}"));
     }
     let heard = b.heard(s);
-    let error = heard.last().and_then(|e| e.error.clone()).expect("the fifth is over the bound");
+    let error = heard
+        .last()
+        .and_then(|e| e.error.clone())
+        .expect("the fifth is over the bound");
     assert_eq!(
         (error["code"].as_str(), error["metadata"]["try"].as_str()),
         (Some("too_many_requests"), Some("q4"))
@@ -193,13 +268,20 @@
     b.ask(s, "query", "", &long);
     b.ask(s, "query", "", "y".repeat(100).as_str());
     let heard = b.heard(s);
-    assert!(heard.last().and_then(|e| e.error.clone()).expect("an error")["message"]
+    assert!(heard
+        .last()
+        .and_then(|e| e.error.clone())
+        .expect("an error")["message"]
         .to_string()
         .contains("memory"));
     b.pass(7.0);
     b.heard(s);
     b.ask(s, "query", "", &long);
-    assert_eq!(b.heard(s)[0].kind, "response.created", "the first has ended and given its part back");
+    assert_eq!(
+        b.heard(s)[0].kind,
+        "response.created",
+        "the first has ended and given its part back"
+    );
 }
 
 #[test]
@@ -210,9 +292,18 @@
     let read = b.take();
     let id = b.heard(s)[0].response.as_ref().expect("created").id.clone();
     let cancel = serde_json::json!({ "type": "response.cancel", "response_id": id }).to_string();
-    b.step(Input::SessionText { session: other, text: cancel.clone() });
-    assert_eq!(b.heard(other)[0].error.as_ref().expect("an error")["code"], "response_not_found");
-    b.step(Input::SessionText { session: s, text: cancel });
+    b.step(Input::SessionText {
+        session: other,
+        text: cancel.clone(),
+    });
+    assert_eq!(
+        b.heard(other)[0].error.as_ref().expect("an error")["code"],
+        "response_not_found"
+    );
+    b.step(Input::SessionText {
+        session: s,
+        text: cancel,
+    });
     assert_eq!(b.kinds(s), ["response.failed"]);
     assert_eq!(b.cancels, [(read.link, read.id)]);
 }
@@ -227,10 +318,17 @@
     b.heard(s);
     b.ask(s, "query", "", "new");
     let heard = b.heard(s);
-    let error = heard.last().and_then(|e| e.response.clone()).and_then(|r| r.error).expect("refused");
+    let error = heard
+        .last()
+        .and_then(|e| e.response.clone())
+        .and_then(|r| r.error)
+        .expect("refused");
     assert!(error.safe_to_repeat && error.retry_after_ms.is_some());
     b.open(9);
-    assert!(b.out.iter().any(|o| matches!(o, Output::CloseSession { code: 1001, .. })));
+    assert!(b
+        .out
+        .iter()
+        .any(|o| matches!(o, Output::CloseSession { code: 1001, .. })));
     b.piece(&write, "done", Some("stop"));
     b.done(&write);
     assert!(b.kinds(s).contains(&"response.completed".to_string()) && b.stopped);
--- a/crates/core/tests/shares.rs
+++ b/crates/core/tests/shares.rs
@@ -12,7 +12,10 @@
 fn cluster() -> Bench {
     let mut text = format!("{SETTINGS}{BUDGET}[cluster]\nname = \"hall\"\nsecret = \"secret\"\n");
     for i in 1..=10 {
-        text += &format!("[[cluster.roster]]\nname = \"d{i}\"\naddress = \"127.0.0.1:{}\"\n", 7000 + i);
+        text += &format!(
+            "[[cluster.roster]]\nname = \"d{i}\"\naddress = \"127.0.0.1:{}\"\n",
+            7000 + i
+        );
     }
     let settings = Settings::parse("test", &text).expect("settings");
     let mut bench = Bench::with(settings, 5);
@@ -23,7 +26,11 @@
 
 fn lend(bench: &mut Bench, lent: f64, for_s: f64) {
     let until = Micros(bench.now.0 + (for_s * 1e6) as u64);
-    bench.step(Input::Standing { standing: Standing::Whole, there: vec![], until });
+    bench.step(Input::Standing {
+        standing: Standing::Whole,
+        there: vec![],
+        until,
+    });
     bench.step(Input::Part { lent, until });
 }
 
@@ -32,8 +39,13 @@
     let session = bench.open(key.bytes().fold(1000, |n, b| n * 7 + u64::from(b)));
     let text = serde_json::json!({ "type": "response.create", "model": "m", "input": "x".repeat(400),
         "max_output_tokens": output, "metadata": { "class": "query", "idempotency_key": key } });
-    bench.step(Input::SessionText { session, text: text.to_string() });
-    bench.kinds(session).contains(&"response.created".to_string())
+    bench.step(Input::SessionText {
+        session,
+        text: text.to_string(),
+    });
+    bench
+        .kinds(session)
+        .contains(&"response.created".to_string())
 }
 
 /// Spends so many tokens, which must be taken.
@@ -88,7 +100,11 @@
     lend(&mut bench, 0.9, 100.0);
     bench.pass(20.0);
     let until = Micros(bench.now.0 + 80_000_000);
-    bench.step(Input::Standing { standing: Standing::CutOff, there: vec![], until });
+    bench.step(Input::Standing {
+        standing: Standing::CutOff,
+        there: vec![],
+        until,
+    });
     // Of the 910 saved the careful part's 10 are left.
     assert!(takes(&mut bench, "a", 10));
     assert!(!takes(&mut bench, "b", 10));
@@ -101,5 +117,8 @@
     bench.step(Input::Hosts(four()));
     bench.open_all(1000.0);
     lend(&mut bench, 0.0, 0.0);
-    assert!(takes(&mut bench, "a", 890), "the whole, as the settings name one dispatcher");
+    assert!(
+        takes(&mut bench, "a", 890),
+        "the whole, as the settings name one dispatcher"
+    );
 }
--- a/crates/core/tests/trouble.rs
+++ b/crates/core/tests/trouble.rs
@@ -13,7 +13,11 @@
         Event::AttemptEnded(end) => Some(end.outcome),
         _ => None,
     };
-    b.machine.take_trace().into_iter().filter_map(|t| ended(t.event)).collect()
+    b.machine
+        .take_trace()
+        .into_iter()
+        .filter_map(|t| ended(t.event))
+        .collect()
 }
 
 fn final_status(b: &mut Bench, s: bitternlatch_core::SessionId) -> (Status, Option<bool>) {
@@ -31,7 +35,10 @@
         let s = b.open(1);
         let write = b.begin_write(s, "booking", "k", "q");
         b.piece(&write, "last token", finish);
-        b.step(Input::LinkClosed { link: write.link, why: "reset".into() });
+        b.step(Input::LinkClosed {
+            link: write.link,
+            why: "reset".into(),
+        });
         assert_eq!(final_status(&mut b, s).0, status);
     }
 }
@@ -42,13 +49,26 @@
     b.machine.keep_trace();
     let s = b.open(1);
     let write = b.begin_write(s, "query", "", "q");
-    b.step(Input::LinkClosed { link: write.link, why: "reset".into() });
+    b.step(Input::LinkClosed {
+        link: write.link,
+        why: "reset".into(),
+    });
     let second = b.take();
-    assert!(second.link.host != write.link.host, "not to the host whose link is down");
+    assert!(
+        second.link.host != write.link.host,
+        "not to the host whose link is down"
+    );
     b.error(&second, 503, Some(CODE_FULL));
     b.pass(0.5);
     let told = outcomes(&mut b);
-    assert_eq!(told[..3], [Outcome::ReadDone, Outcome::Reset, Outcome::Full { state_gone: false }]);
+    assert_eq!(
+        told[..3],
+        [
+            Outcome::ReadDone,
+            Outcome::Reset,
+            Outcome::Full { state_gone: false }
+        ]
+    );
 }
 
 #[test]
@@ -58,7 +78,10 @@
     let write = b.begin_write(s, "booking", "k", "q");
     b.error(&write, 409, Some(CODE_STATE_GONE));
     let again = b.take();
-    assert!(again.is_read(), "it never ran, so that it may be read again");
+    assert!(
+        again.is_read(),
+        "it never ran, so that it may be read again"
+    );
     b.read_done(&again);
     let write = b.take();
     b.piece(&write, "ok", Some("stop"));
@@ -72,18 +95,29 @@
     b.machine.keep_trace();
     let s = b.open(1);
     let write = b.begin_write(s, "booking", "k", "q");
-    b.step(Input::LinkUnsent { link: write.link, attempt: write.id.clone() });
-    assert_eq!(outcomes(&mut b), [Outcome::ReadDone, Outcome::ConnectFailed]);
+    b.step(Input::LinkUnsent {
+        link: write.link,
+        attempt: write.id.clone(),
+    });
+    assert_eq!(
+        outcomes(&mut b),
+        [Outcome::ReadDone, Outcome::ConnectFailed]
+    );
     let second = b.take();
-    assert!(!second.is_read(), "a booking that never left is sent again with the same state");
+    assert!(
+        !second.is_read(),
+        "a booking that never left is sent again with the same state"
+    );
 }
 
 #[test]
 fn a_send_that_waits_for_its_link_is_handed_back_when_the_host_is_told_to_drain() {
     let mut b = Bench::new(1);
     b.step(Input::Hosts(four()));
-    let (reader, rest): (Vec<_>, Vec<_>) =
-        b.dials.drain(..).partition(|l| Bench::name_of(*l).starts_with('r'));
+    let (reader, rest): (Vec<_>, Vec<_>) = b
+        .dials
+        .drain(..)
+        .partition(|l| Bench::name_of(*l).starts_with('r'));
     b.dials = rest;
     b.open_all(1000.0);
     for link in &reader {
@@ -98,7 +132,11 @@
     readers_greet(&mut b);
     b.pass(1.0);
     assert!(b.told.is_empty(), "nothing reaches a host that drains");
-    assert_eq!(final_status(&mut b, s), (Status::Failed, Some(true)), "refused: asking again is harmless");
+    assert_eq!(
+        final_status(&mut b, s),
+        (Status::Failed, Some(true)),
+        "refused: asking again is harmless"
+    );
 }
 
 #[test]
@@ -123,11 +161,17 @@
 fn what_was_queued_for_a_host_that_proves_cold_is_handed_back() {
     let mut b = Bench::new(1);
     b.machine.keep_trace();
-    b.step(Input::Hosts(hosts("r1,127.0.0.1,1,reader,\nw1,127.0.0.1,3,writer,\n")));
+    b.step(Input::Hosts(hosts(
+        "r1,127.0.0.1,1,reader,\nw1,127.0.0.1,3,writer,\n",
+    )));
     let s = b.open(1);
     b.ask(s, "query", "", "q");
     let links = std::mem::take(&mut b.dials);
-    let reader = links.iter().find(|l| Bench::name_of(**l) == "r1").copied().expect("dialled");
+    let reader = links
+        .iter()
+        .find(|l| Bench::name_of(**l) == "r1")
+        .copied()
+        .expect("dialled");
     b.step(Input::LinkUp { link: reader });
     b.greet(reader, 0.5);
     assert!(outcomes(&mut b).contains(&Outcome::ConnectFailed));
@@ -138,7 +182,9 @@
     let mut b = Bench::new(1);
     b.step(Input::Hosts(four()));
     let links = std::mem::take(&mut b.dials);
-    links.iter().for_each(|link| b.step(Input::LinkUp { link: *link }));
+    links
+        .iter()
+        .for_each(|link| b.step(Input::LinkUp { link: *link }));
     let s = b.open(1);
     b.ask(s, "query", "", "q");
     b.pass(2.5);
@@ -146,7 +192,10 @@
     assert!(b.dials.len() >= 4, "all four are dialled again");
     assert!(b.logs.iter().any(|l| l.contains("did not greet in time")));
     b.pass(6.0);
-    assert!(matches!(final_status(&mut b, s), (Status::Failed, Some(true))));
+    assert!(matches!(
+        final_status(&mut b, s),
+        (Status::Failed, Some(true))
+    ));
 }
 
 #[test]
@@ -180,7 +229,10 @@
     b.pass(5.0);
     b.piece(&write, "two", None);
     b.pass(5.0);
-    assert!(b.heard(s).iter().all(|e| !e.is_final()), "it has not been silent for its deadline");
+    assert!(
+        b.heard(s).iter().all(|e| !e.is_final()),
+        "it has not been silent for its deadline"
+    );
     b.pass(1.5);
     assert_eq!(final_status(&mut b, s), (Status::Failed, Some(false)));
     assert_eq!(b.cancels, [(write.link, write.id)]);
@@ -191,18 +243,38 @@
     let mut b = Bench::ready(1);
     let s = b.open(1);
     let write = b.begin_write(s, "query", "", "q");
-    for text in ["{\"op\":\"chunk\",", "{\"op\":\"sing\"}", "", "{\"op\":\"done\",\"id\":\"no-such\"}"] {
-        b.step(Input::LinkText { link: write.link, text: text.to_string() });
+    for text in [
+        "{\"op\":\"chunk\",",
+        "{\"op\":\"sing\"}",
+        "",
+        "{\"op\":\"done\",\"id\":\"no-such\"}",
+    ] {
+        b.step(Input::LinkText {
+            link: write.link,
+            text: text.to_string(),
+        });
     }
     assert_eq!(b.faults.len(), 4);
     let other = b.out.iter().find_map(|o| match o {
         bitternlatch_core::Output::Dial { link, .. } if link.host != write.link.host => Some(*link),
         _ => None,
     });
-    let foreign = FromEngine::Done { id: write.id.clone(), load: None };
+    let foreign = FromEngine::Done {
+        id: write.id.clone(),
+        load: None,
+    };
     b.says(other.expect("another host"), &foreign);
-    b.says(write.link, &FromEngine::Done { id: write.id.replace('-', "-9"), load: None });
-    assert!(b.heard(s).iter().all(|e| !e.is_final()), "neither word counts");
+    b.says(
+        write.link,
+        &FromEngine::Done {
+            id: write.id.replace('-', "-9"),
+            load: None,
+        },
+    );
+    assert!(
+        b.heard(s).iter().all(|e| !e.is_final()),
+        "neither word counts"
+    );
     b.piece(&write, "fine", Some("stop"));
     b.done(&write);
     assert_eq!(final_status(&mut b, s).0, Status::Completed);
@@ -227,7 +299,13 @@
     let s = b.open(1);
     b.ask(s, "query", "", "q");
     let read = b.take();
-    b.says(read.link, &FromEngine::Chunk { id: read.id.clone(), body: Chunk::default() });
+    b.says(
+        read.link,
+        &FromEngine::Chunk {
+            id: read.id.clone(),
+            body: Chunk::default(),
+        },
+    );
     b.done(&read);
     assert_eq!(outcomes(&mut b), [Outcome::Error]);
     let again = b.take();
@@ -242,14 +320,21 @@
     let mut b = Bench::ready(1);
     b.machine.keep_trace();
     let s = b.open(1);
-    let loads =
-        [r#"{}"#, r#"{"kv_cache_usage_perc":-0.5}"#, r#"{"other":1}"#, r#"{"kv_cache_usage_perc":0.5}"#];
+    let loads = [
+        r#"{}"#,
+        r#"{"kv_cache_usage_perc":-0.5}"#,
+        r#"{"other":1}"#,
+        r#"{"kv_cache_usage_perc":0.5}"#,
+    ];
     let mut reports = Vec::new();
     for (i, load) in loads.iter().enumerate() {
         let write = b.begin_write(s, "query", "", &format!("q{i}"));
         b.piece(&write, "x", Some("stop"));
         let text = format!(r#"{{"op":"done","id":"{}","load":{load}}}"#, write.id);
-        b.step(Input::LinkText { link: write.link, text });
+        b.step(Input::LinkText {
+            link: write.link,
+            text,
+        });
         for t in b.machine.take_trace() {
             if let Event::AttemptEnded(end) = t.event {
                 if end.outcome == Outcome::Served {
@@ -270,9 +355,14 @@
         "r1,127.0.0.1,1,reader,\nr2,127.0.0.1,2,reader,\nw1,127.0.0.1,33,writer,\nw2,127.0.0.1,44,writer,\n";
     b.out.clear();
     b.step(Input::Hosts(hosts(rows)));
-    let hung = b.out.contains(&bitternlatch_core::Output::Hang { link: write.link });
+    let hung = b
+        .out
+        .contains(&bitternlatch_core::Output::Hang { link: write.link });
     assert!(hung && b.dials.len() == 2);
-    b.step(Input::LinkClosed { link: write.link, why: "hung up".into() });
+    b.step(Input::LinkClosed {
+        link: write.link,
+        why: "hung up".into(),
+    });
     b.open_all(1000.0);
     b.pass(8.0);
     final_status(&mut b, s);
--- a/crates/core/tests/workflows.rs
+++ b/crates/core/tests/workflows.rs
@@ -12,7 +12,10 @@
 fn text(on: bool) -> String {
     let mut text = format!("{SETTINGS}[cluster]\nname = \"hall\"\nsecret = \"secret\"\n");
     for i in 1..=3 {
-        text += &format!("[[cluster.roster]]\nname = \"d{i}\"\naddress = \"127.0.0.1:{}\"\n", 7000 + i);
+        text += &format!(
+            "[[cluster.roster]]\nname = \"d{i}\"\naddress = \"127.0.0.1:{}\"\n",
+            7000 + i
+        );
     }
     text + if on { "[cluster.workflows]\n" } else { "" }
 }
@@ -22,25 +25,47 @@
     bench.step(Input::Hosts(four()));
     bench.open_all(1000.0);
     let until = Micros(bench.now.0 + 3_600_000_000);
-    bench.step(Input::Standing { standing: Standing::Whole, there: vec!["d2".into()], until });
+    bench.step(Input::Standing {
+        standing: Standing::Whole,
+        there: vec!["d2".into()],
+        until,
+    });
     bench
 }
 
 fn say(bench: &mut Bench, session: SessionId, class: &str, does: &[(&str, &str)]) {
     let mut meta = json!({ "class": class, "idempotency_key": "k1", "workflow": "season" });
-    does.iter().for_each(|(key, value)| meta[*key] = json!(value));
-    let text = json!({ "type": "response.create", "model": "m", "input": "book", "metadata": meta });
-    bench.step(Input::SessionText { session, text: text.to_string() });
+    does.iter()
+        .for_each(|(key, value)| meta[*key] = json!(value));
+    let text =
+        json!({ "type": "response.create", "model": "m", "input": "book", "metadata": meta });
+    bench.step(Input::SessionText {
+        session,
+        text: text.to_string(),
+    });
 }
 
 fn step(bench: &mut Bench, session: SessionId, class: &str, epoch: &str) {
-    say(bench, session, class, &[("workflow_epoch", epoch), ("workflow_step", "1")]);
+    say(
+        bench,
+        session,
+        class,
+        &[("workflow_epoch", epoch), ("workflow_step", "1")],
+    );
 }
 
 /// What the machine beside the plane was asked since the last call.
 fn asked(bench: &mut Bench) -> Vec<Ask> {
     let all = std::mem::take(&mut bench.out);
-    all.into_iter().filter_map(|o| if let Output::Workflow(ask) = o { Some(ask) } else { None }).collect()
+    all.into_iter()
+        .filter_map(|o| {
+            if let Output::Workflow(ask) = o {
+                Some(ask)
+            } else {
+                None
+            }
+        })
+        .collect()
 }
 
 fn one(bench: &mut Bench) -> Ask {
@@ -74,13 +99,25 @@
 }
 
 fn code(event: &ServerEvent) -> String {
-    let error = event.error.as_ref().and_then(|e| e["code"].as_str()).map(str::to_string);
-    let failed = event.response.as_ref().and_then(|r| r.error.as_ref()).map(|e| e.code.clone());
+    let error = event
+        .error
+        .as_ref()
+        .and_then(|e| e["code"].as_str())
+        .map(str::to_string);
+    let failed = event
+        .response
+        .as_ref()
+        .and_then(|r| r.error.as_ref())
+        .map(|e| e.code.clone());
     error.or(failed).unwrap_or_default()
 }
 
 fn answer_of(event: &ServerEvent) -> String {
-    event.response.as_ref().map(|r| r.output[0].content[0].text.clone()).unwrap_or_default()
+    event
+        .response
+        .as_ref()
+        .map(|r| r.output[0].content[0].text.clone())
+        .unwrap_or_default()
 }
 
 #[test]
@@ -91,12 +128,24 @@
     bench.pass(1.0);
     assert!(bench.told.is_empty() && bench.heard(s).is_empty());
     let intent = one(&mut bench);
-    let Ask::Intend { call, workflow, epoch: 4, step: 1, effect: Effect::Unsafe, key, until_us, .. } = intent
+    let Ask::Intend {
+        call,
+        workflow,
+        epoch: 4,
+        step: 1,
+        effect: Effect::Unsafe,
+        key,
+        until_us,
+        ..
+    } = intent
     else {
         panic!("{intent:?}")
     };
     assert_eq!((workflow.as_str(), key.as_str()), ("//season", "k1"));
-    assert!(until_us > bench.now.0 && until_us <= bench.now.after(12.0).0, "the request's own time");
+    assert!(
+        until_us > bench.now.0 && until_us <= bench.now.after(12.0).0,
+        "the request's own time"
+    );
     go(&mut bench, call, 60.0);
     let read = bench.take();
     bench.read_done(&read);
@@ -105,17 +154,48 @@
     bench.end(&write, 9, 2);
     assert_eq!(
         bench.kinds(s),
-        ["response.created", "response.output_text.delta", "response.output_text.delta"]
+        [
+            "response.created",
+            "response.output_text.delta",
+            "response.output_text.delta"
+        ]
+    );
+    let Ask::Ended {
+        call,
+        epoch: 4,
+        step: 1,
+        fate,
+        ..
+    } = one(&mut bench)
+    else {
+        panic!("its end")
+    };
+    assert_eq!(
+        fate,
+        Fate::Done {
+            result: "yesyes".into(),
+            tokens: 2
+        }
+    );
+    tell(
+        &mut bench,
+        Told::Refused {
+            call,
+            why: Refusal::Busy,
+        },
     );
-    let Ask::Ended { call, epoch: 4, step: 1, fate, .. } = one(&mut bench) else { panic!("its end") };
-    assert_eq!(fate, Fate::Done { result: "yesyes".into(), tokens: 2 });
-    tell(&mut bench, Told::Refused { call, why: Refusal::Busy });
     bench.pass(0.2);
-    assert!(bench.heard(s).is_empty(), "it is told again, and still waited for");
+    assert!(
+        bench.heard(s).is_empty(),
+        "it is told again, and still waited for"
+    );
     let call = one(&mut bench).call();
     tell(&mut bench, Told::Held { call });
     let end = last(&mut bench, s);
-    assert_eq!((end.kind.as_str(), answer_of(&end).as_str()), ("response.completed", "yesyes"));
+    assert_eq!(
+        (end.kind.as_str(), answer_of(&end).as_str()),
+        ("response.completed", "yesyes")
+    );
     assert_eq!(bench.machine.counts().requests, 0);
 }
 
@@ -125,34 +205,70 @@
     let s = bench.open(1);
     step(&mut bench, s, "booking", "4");
     let call = one(&mut bench).call();
-    tell(&mut bench, Told::Known { call, result: "booked".into() });
+    tell(
+        &mut bench,
+        Told::Known {
+            call,
+            result: "booked".into(),
+        },
+    );
     let end = last(&mut bench, s);
     assert_eq!(answer_of(&end), "booked");
     let previous = end.response.expect("a response").id;
-    let text =
-        json!({ "type": "response.create", "model": "m", "input": "next", "previous_response_id": previous });
-    bench.step(Input::SessionText { session: s, text: text.to_string() });
-    assert!(bench.take().body.prompt.contains("assistant: booked"), "the conversation goes on from it");
-    for (why, wanted, again) in
-        [(Refusal::Fenced, "workflow_fenced", false), (Refusal::NoMajority, "workflow_no_majority", true)]
-    {
+    let text = json!({ "type": "response.create", "model": "m", "input": "next", "previous_response_id": previous });
+    bench.step(Input::SessionText {
+        session: s,
+        text: text.to_string(),
+    });
+    assert!(
+        bench.take().body.prompt.contains("assistant: booked"),
+        "the conversation goes on from it"
+    );
+    for (why, wanted, again) in [
+        (Refusal::Fenced, "workflow_fenced", false),
+        (Refusal::NoMajority, "workflow_no_majority", true),
+    ] {
         step(&mut bench, s, "booking", "4");
         let call = one(&mut bench).call();
         tell(&mut bench, Told::Refused { call, why });
         let end = last(&mut bench, s);
         assert_eq!((end.kind.as_str(), code(&end).as_str()), ("error", wanted));
-        assert_eq!(end.error.expect("an error")["retry_after_ms"].is_u64(), again);
+        assert_eq!(
+            end.error.expect("an error")["retry_after_ms"].is_u64(),
+            again
+        );
     }
     step(&mut bench, s, "booking", "4");
     bench.pass(13.0);
-    assert_eq!(code(&last(&mut bench, s)), "workflow_no_majority", "it waits no longer than its request may");
-    say(&mut bench, s, "query", &[("workflow_do", "claim"), ("workflow_worker", "a")]);
+    assert_eq!(
+        code(&last(&mut bench, s)),
+        "workflow_no_majority",
+        "it waits no longer than its request may"
+    );
+    say(
+        &mut bench,
+        s,
+        "query",
+        &[("workflow_do", "claim"), ("workflow_worker", "a")],
+    );
     let claim = asked(&mut bench).pop().expect("a claim");
-    assert!(matches!(&claim, Ask::Claim { worker, .. } if worker == "a"), "{claim:?}");
-    let told = Told::Claimed { call: claim.call(), epoch: 5, context: "".into(), steps: vec![], lease_us: 1 };
+    assert!(
+        matches!(&claim, Ask::Claim { worker, .. } if worker == "a"),
+        "{claim:?}"
+    );
+    let told = Told::Claimed {
+        call: claim.call(),
+        epoch: 5,
+        context: "".into(),
+        steps: vec![],
+        lease_us: 1,
+    };
     tell(&mut bench, told);
     assert!(answer_of(&last(&mut bench, s)).starts_with("{\"epoch\":5,"));
-    assert!(bench.told.iter().all(|t| t.body.prompt != "book"), "no host is asked for any of it");
+    assert!(
+        bench.told.iter().all(|t| t.body.prompt != "book"),
+        "no host is asked for any of it"
+    );
 }
 
 #[test]
@@ -169,15 +285,34 @@
     bench.pass(0.1);
     assert!(bench.told.is_empty(), "no write");
     let told = asked(&mut bench);
-    let [Ask::Ended { fate: Fate::NeverRan, .. }, Ask::Intend { call, epoch: 4, step: 1, .. }] =
-        told.as_slice()
+    let [Ask::Ended {
+        fate: Fate::NeverRan,
+        ..
+    }, Ask::Intend {
+        call,
+        epoch: 4,
+        step: 1,
+        ..
+    }] = told.as_slice()
     else {
         panic!("{told:?}")
     };
-    tell(&mut bench, Told::Refused { call: *call, why: Refusal::Fenced });
+    tell(
+        &mut bench,
+        Told::Refused {
+            call: *call,
+            why: Refusal::Fenced,
+        },
+    );
     assert!(bench.told.is_empty(), "another has it");
-    assert!(asked(&mut bench).is_empty(), "that nothing ran is told already");
-    let end = last(&mut bench, s).response.and_then(|r| r.error).expect("a refusal");
+    assert!(
+        asked(&mut bench).is_empty(),
+        "that nothing ran is told already"
+    );
+    let end = last(&mut bench, s)
+        .response
+        .and_then(|r| r.error)
+        .expect("a refusal");
     assert!(end.safe_to_repeat);
     // Where nobody else has it the effect leaves once it is permitted again.
     step(&mut bench, s, "booking", "4");
@@ -195,7 +330,10 @@
 #[test]
 fn an_answer_whose_result_is_not_held_fails_honestly_and_a_fenced_one_says_so() {
     let mut bench = bench(true);
-    for (s, told, wanted) in [(1, None, "server_error"), (2, Some(Refusal::Fenced), "workflow_fenced")] {
+    for (s, told, wanted) in [
+        (1, None, "server_error"),
+        (2, Some(Refusal::Fenced), "workflow_fenced"),
+    ] {
         let s = bench.open(s);
         let write = written(&mut bench, s, "booking");
         bench.end(&write, 9, 2);
@@ -205,14 +343,24 @@
             None => bench.pass(13.0),
         }
         let end = last(&mut bench, s);
-        assert_eq!((end.kind.as_str(), code(&end).as_str()), ("response.failed", wanted));
-        assert!(!end.response.and_then(|r| r.error).expect("an error").safe_to_repeat);
+        assert_eq!(
+            (end.kind.as_str(), code(&end).as_str()),
+            ("response.failed", wanted)
+        );
+        assert!(
+            !end.response
+                .and_then(|r| r.error)
+                .expect("an error")
+                .safe_to_repeat
+        );
     }
     let s = bench.open(3);
     let write = written(&mut bench, s, "booking");
     bench.error(&write, 500, None);
     bench.pass(0.1);
-    let Some(Ask::Ended { fate, .. }) = asked(&mut bench).pop() else { panic!("its end") };
+    let Some(Ask::Ended { fate, .. }) = asked(&mut bench).pop() else {
+        panic!("its end")
+    };
     assert_eq!(fate, Fate::MayHaveRun, "a host that failed may have booked");
 }
 
@@ -233,14 +381,26 @@
     let write = written(&mut bench, b, "query");
     bench.step(Input::SessionClosed { session: b });
     assert_eq!(bench.cancels.len(), 1, "{write:?}");
-    assert!(matches!(asked(&mut bench).as_slice(), [Ask::Ended { fate: Fate::MayHaveRun, .. }]));
+    assert!(matches!(
+        asked(&mut bench).as_slice(),
+        [Ask::Ended {
+            fate: Fate::MayHaveRun,
+            ..
+        }]
+    ));
     // One that leaves before its intent is held leaves nothing open.
     let c = bench.open(3);
     step(&mut bench, c, "booking", "4");
     let call = one(&mut bench).call();
     bench.step(Input::SessionClosed { session: c });
     go(&mut bench, call, 3.0);
-    assert!(matches!(one(&mut bench), Ask::Ended { fate: Fate::NeverRan, .. }));
+    assert!(matches!(
+        one(&mut bench),
+        Ask::Ended {
+            fate: Fate::NeverRan,
+            ..
+        }
+    ));
     assert!(bench.told.is_empty() && bench.machine.counts().requests <= 1);
 }
 
@@ -258,7 +418,10 @@
 fn a_record_with_steps_replays_alike() {
     let (mut bench, mut entries) = (bench(true), vec![]);
     let settings = text(true);
-    entries.push(Entry::Start { settings: settings.clone(), seed: 5 });
+    entries.push(Entry::Start {
+        settings: settings.clone(),
+        seed: 5,
+    });
     let s = bench.open(1);
     let write = written(&mut bench, s, "booking");
     bench.end(&write, 9, 2);
@@ -273,11 +436,29 @@
     let line = serde_json::to_string(&entries).expect("JSON");
     let entries: Vec<Entry> = serde_json::from_str(&line).expect("as it was written");
     let asks = |e: &&Entry| matches!(e, Entry::Step { outputs, .. } if outputs.iter().any(|o| matches!(o, Output::Workflow(_))));
-    assert_eq!(entries.iter().filter(asks).count(), 2, "the intent and the end are in the record");
-    let mut recorded = Recorded { entries, torn_bytes: 0 };
+    assert_eq!(
+        entries.iter().filter(asks).count(),
+        2,
+        "the intent and the end are in the record"
+    );
+    let mut recorded = Recorded {
+        entries,
+        torn_bytes: 0,
+    };
     assert_eq!(replay(&recorded, false).expect("replays").difference, None);
     // The comparison can fail: the record without the word that the intent is held.
-    let is_go = |e: &Entry| matches!(e, Entry::Step { input: Input::Workflow(Told::Go { .. }), .. });
+    let is_go = |e: &Entry| {
+        matches!(
+            e,
+            Entry::Step {
+                input: Input::Workflow(Told::Go { .. }),
+                ..
+            }
+        )
+    };
     recorded.entries.retain(|e| !is_go(e));
-    assert!(replay(&recorded, false).expect("replays").difference.is_some());
+    assert!(replay(&recorded, false)
+        .expect("replays")
+        .difference
+        .is_some());
 }
--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -28,7 +28,11 @@
             self.admit();
         }
         let read = self.pieces();
-        write.retain(|(id, _)| self.sequences.get(id).is_some_and(|s| s.phase == Phase::Writing));
+        write.retain(|(id, _)| {
+            self.sequences
+                .get(id)
+                .is_some_and(|s| s.phase == Phase::Writing)
+        });
         if read.is_empty() && write.is_empty() {
             return;
         }
@@ -38,7 +42,10 @@
     }
 
     pub(crate) fn reading(&self) -> usize {
-        self.active.values().filter(|id| self.is(**id, Phase::Reading)).count()
+        self.active
+            .values()
+            .filter(|id| self.is(**id, Phase::Reading))
+            .count()
     }
 
     fn is(&self, id: Id, phase: Phase) -> bool {
@@ -61,14 +68,21 @@
                 true => 0,
                 false => (self.constants.spare * self.memory.capacity() as f64).ceil() as usize,
             };
-            let marks: &[u64] = if fetches { &[] } else { &s.request.prompt.marks };
-            let Some((holding, known)) = self.memory.take(marks, s.needs(&self.constants), spare) else {
+            let marks: &[u64] = if fetches {
+                &[]
+            } else {
+                &s.request.prompt.marks
+            };
+            let Some((holding, known)) = self.memory.take(marks, s.needs(&self.constants), spare)
+            else {
                 return;
             };
             self.waiting.pop_front();
             self.admissions += 1;
             let (now, admitted) = (self.now, self.admissions);
-            let Some(s) = self.sequences.get_mut(&id) else { return };
+            let Some(s) = self.sequences.get_mut(&id) else {
+                return;
+            };
             let tokens = s.tokens();
             s.holding = holding;
             s.admitted = admitted;
@@ -76,12 +90,16 @@
             if fetches {
                 s.phase = Phase::Fetching;
                 s.cached = Some(0);
-                let transfer_s = tokens as f64 / self.constants.transfer_tokens_per_s * self.slowness;
-                self.timers.insert((key(now + self.fetch_delay_s + transfer_s), id), ());
+                let transfer_s =
+                    tokens as f64 / self.constants.transfer_tokens_per_s * self.slowness;
+                self.timers
+                    .insert((key(now + self.fetch_delay_s + transfer_s), id), ());
                 continue;
             }
             // One token is read always: the next one comes from it.
-            s.read = (known as u64).saturating_mul(self.constants.block_tokens).min(tokens.saturating_sub(1));
+            s.read = (known as u64)
+                .saturating_mul(self.constants.block_tokens)
+                .min(tokens.saturating_sub(1));
             s.phase = Phase::Reading;
             s.cached.get_or_insert(s.read);
             if s.again {
@@ -97,7 +115,9 @@
         for (admitted, id) in writers {
             // One that was thrown out for an earlier one no longer writes.
             while self.is(id, Phase::Writing) {
-                let Some(s) = self.sequences.get_mut(&id) else { break };
+                let Some(s) = self.sequences.get_mut(&id) else {
+                    break;
+                };
                 if s.holding.blocks() >= s.needs(&self.constants) {
                     grown.push((id, admitted));
                     break;
@@ -113,8 +133,15 @@
     /// Throws out the latest that reads or writes. What is being fetched stays: the other engine's state waits for it.
     fn preempt(&mut self, out: &mut Vec<Output>) {
         let works = |s: &Sequence| matches!(s.phase, Phase::Reading | Phase::Writing);
-        let latest = self.active.values().rev().find(|id| self.sequences.get(id).is_some_and(works)).copied();
-        let Some((id, s)) = latest.and_then(|id| Some((id, self.sequences.get_mut(&id)?))) else { return };
+        let latest = self
+            .active
+            .values()
+            .rev()
+            .find(|id| self.sequences.get(id).is_some_and(works))
+            .copied();
+        let Some((id, s)) = latest.and_then(|id| Some((id, self.sequences.get_mut(&id)?))) else {
+            return;
+        };
         self.active.remove(&s.admitted);
         self.memory.let_go(&mut s.holding);
         s.phase = Phase::Waiting;
@@ -122,7 +149,10 @@
         s.read = 0;
         self.waiting.push_front(id);
         self.preemptions += 1;
-        out.push(Output::Preempted { id, written: s.written });
+        out.push(Output::Preempted {
+            id,
+            written: s.written,
+        });
     }
 
     /// Pieces of prompts for the next step.
@@ -130,7 +160,9 @@
         let mut left = self.constants.read_tokens_a_step;
         let mut pieces = Vec::new();
         for (admitted, id) in &self.active {
-            let Some(s) = self.sequences.get(id).filter(|s| s.phase == Phase::Reading) else { continue };
+            let Some(s) = self.sequences.get(id).filter(|s| s.phase == Phase::Reading) else {
+                continue;
+            };
             let piece = s.tokens().saturating_sub(s.read).min(left);
             if pieces.len() >= self.constants.reads_a_step || (piece == 0 && left == 0) {
                 break;
@@ -144,12 +176,22 @@
     pub(crate) fn finish_step(&mut self, out: &mut Vec<Output>) {
         let Some(step) = self.step.take() else { return };
         for (id, admitted) in step.write {
-            if self.sequences.get(&id).is_some_and(|s| s.admitted == admitted) {
+            if self
+                .sequences
+                .get(&id)
+                .is_some_and(|s| s.admitted == admitted)
+            {
                 self.token(id, out);
             }
         }
         for (id, admitted, tokens) in step.read {
-            let Some(s) = self.sequences.get_mut(&id).filter(|s| s.admitted == admitted) else { continue };
+            let Some(s) = self
+                .sequences
+                .get_mut(&id)
+                .filter(|s| s.admitted == admitted)
+            else {
+                continue;
+            };
             s.read += tokens;
             if s.read < s.tokens() {
                 continue;
@@ -161,7 +203,10 @@
                 continue;
             }
             s.phase = Phase::Held;
-            out.push(Output::Read { id, cached: s.cached.unwrap_or(0) });
+            out.push(Output::Read {
+                id,
+                cached: s.cached.unwrap_or(0),
+            });
             self.active.remove(&admitted);
             if let Some(hold_s) = self.constants.hold_s {
                 self.timers.insert((key(self.now + hold_s), id), ());
@@ -170,10 +215,17 @@
     }
 
     pub(crate) fn token(&mut self, id: Id, out: &mut Vec<Output>) {
-        let Some(s) = self.sequences.get_mut(&id) else { return };
+        let Some(s) = self.sequences.get_mut(&id) else {
+            return;
+        };
         s.written = s.written.saturating_add(1);
         let last = s.written >= s.answer();
-        out.push(Output::Token { id, number: s.written, last, cached: s.cached.unwrap_or(0) });
+        out.push(Output::Token {
+            id,
+            number: s.written,
+            last,
+            cached: s.cached.unwrap_or(0),
+        });
         if last {
             self.end(id);
         }
--- a/crates/engine/src/constants.rs
+++ b/crates/engine/src/constants.rs
@@ -85,11 +85,20 @@
     /// # Errors
     /// Where an engine of these could not work: a time or rate that is no number, no slot, no block.
     pub fn check(&self) -> Result<(), EngineError> {
-        let times =
-            [self.write_step_s, self.read_step_s, self.sequence_s, self.hold_s.unwrap_or(0.0), self.spare];
+        let times = [
+            self.write_step_s,
+            self.read_step_s,
+            self.sequence_s,
+            self.hold_s.unwrap_or(0.0),
+            self.spare,
+        ];
         let rates = [self.read_tokens_per_s, self.transfer_tokens_per_s];
-        let counts =
-            [self.slots as u64, self.block_tokens, self.read_tokens_a_step, self.reads_a_step as u64];
+        let counts = [
+            self.slots as u64,
+            self.block_tokens,
+            self.read_tokens_a_step,
+            self.reads_a_step as u64,
+        ];
         let good = times.iter().all(|t| t.is_finite() && *t >= 0.0)
             && self.spare < 1.0
             && rates.iter().all(|r| r.is_finite() && *r > 0.0)
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -40,7 +40,10 @@
     /// As [`Constants::check`].
     pub fn new(constants: Constants) -> Result<Engine, EngineError> {
         constants.check()?;
-        let (blocks, kept) = (constants.memory_blocks(), constants.cache_tokens / constants.block_tokens);
+        let (blocks, kept) = (
+            constants.memory_blocks(),
+            constants.cache_tokens / constants.block_tokens,
+        );
         Ok(Engine {
             constants,
             now: 0.0,
@@ -77,10 +80,17 @@
             Input::Taken(id) => self.taken(id, out),
             Input::Flush => self.memory.flush(),
             Input::LoseStates => {
-                let held: Vec<Id> = self.sequences.keys().copied().filter(|id| self.holds(*id)).collect();
+                let held: Vec<Id> = self
+                    .sequences
+                    .keys()
+                    .copied()
+                    .filter(|id| self.holds(*id))
+                    .collect();
                 held.into_iter().for_each(|id| self.end(id));
             }
-            Input::PauseUntil(at) if at.is_finite() => self.paused_until = self.paused_until.max(at),
+            Input::PauseUntil(at) if at.is_finite() => {
+                self.paused_until = self.paused_until.max(at)
+            }
             Input::Slowness(factor) if factor.is_finite() && factor > 0.0 => self.slowness = factor,
             Input::FetchDelay(s) if s.is_finite() && s >= 0.0 => self.fetch_delay_s = s,
             Input::PauseUntil(_) | Input::Slowness(_) | Input::FetchDelay(_) => {}
@@ -91,8 +101,14 @@
 
     /// When it wants to be stepped again; none while nothing is due.
     pub fn next_at(&self) -> Option<f64> {
-        let timer = self.timers.first_key_value().map(|((at, _), ())| f64::from_bits(*at));
-        let next = [timer, self.step.as_ref().map(|s| s.ends)].into_iter().flatten().reduce(f64::min);
+        let timer = self
+            .timers
+            .first_key_value()
+            .map(|((at, _), ())| f64::from_bits(*at));
+        let next = [timer, self.step.as_ref().map(|s| s.ends)]
+            .into_iter()
+            .flatten()
+            .reduce(f64::min);
         match next {
             Some(at) => Some(at.max(self.paused_until)),
             // Something may wait for the end of a pause alone.
@@ -122,13 +138,17 @@
 
     /// It holds the state of this read.
     pub fn holds(&self, id: Id) -> bool {
-        self.sequences.get(&id).is_some_and(|s| s.phase == Phase::Held)
+        self.sequences
+            .get(&id)
+            .is_some_and(|s| s.phase == Phase::Held)
     }
 
     /// Tokens at the begin of a prompt that it would not read if it began now.
     pub fn known_tokens(&self, prompt: &Prompt) -> u64 {
         let known = self.memory.known(&prompt.marks) as u64;
-        known.saturating_mul(self.constants.block_tokens).min(prompt.tokens.saturating_sub(1))
+        known
+            .saturating_mul(self.constants.block_tokens)
+            .min(prompt.tokens.saturating_sub(1))
     }
 
     /// Nothing is here, not even a state.
@@ -141,14 +161,24 @@
     }
 
     pub(crate) fn slots_used(&self) -> usize {
-        self.active.values().filter(|id| self.sequences.get(id).is_some_and(Sequence::writes)).count()
+        self.active
+            .values()
+            .filter(|id| self.sequences.get(id).is_some_and(Sequence::writes))
+            .count()
     }
 
     fn advance(&mut self, now: f64, out: &mut Vec<Output>) {
-        let now = if now.is_finite() { now.max(self.now) } else { self.now };
+        let now = if now.is_finite() {
+            now.max(self.now)
+        } else {
+            self.now
+        };
         while let Some(at) = self.next_at().filter(|at| *at <= now) {
             self.now = at.max(self.now);
-            let timer = self.timers.first_key_value().map(|((at, id), ())| (f64::from_bits(*at), *id));
+            let timer = self
+                .timers
+                .first_key_value()
+                .map(|((at, id), ())| (f64::from_bits(*at), *id));
             match (timer, self.step.as_ref().map(|s| s.ends)) {
                 (Some((at, id)), ends) if ends.is_none_or(|ends| at <= ends) => self.timer(id, out),
                 (_, Some(_)) => self.finish_step(out),
@@ -185,7 +215,9 @@
         if self.sequences.contains_key(&id) {
             return Err(EngineError::Twice);
         }
-        if constants.blocks(prompt.saturating_add(u64::from(sequence.answer()))) > self.memory.capacity() {
+        if constants.blocks(prompt.saturating_add(u64::from(sequence.answer())))
+            > self.memory.capacity()
+        {
             return Err(EngineError::NeverFits);
         }
         if self.memory.used().saturating_add(constants.blocks(prompt)) > self.memory.capacity() {
@@ -204,7 +236,11 @@
     }
 
     fn taken(&mut self, id: Id, out: &mut Vec<Output>) {
-        if let Some(s) = self.sequences.get_mut(&id).filter(|s| s.phase == Phase::Arrived) {
+        if let Some(s) = self
+            .sequences
+            .get_mut(&id)
+            .filter(|s| s.phase == Phase::Arrived)
+        {
             // The read that made the state made the first token too.
             s.phase = Phase::Writing;
             self.token(id, out);
@@ -213,7 +249,9 @@
 
     /// Takes a request out, wherever it is.
     pub(crate) fn end(&mut self, id: Id) {
-        let Some(mut sequence) = self.sequences.remove(&id) else { return };
+        let Some(mut sequence) = self.sequences.remove(&id) else {
+            return;
+        };
         self.memory.let_go(&mut sequence.holding);
         self.timers.retain(|(_, of), ()| *of != id);
         if sequence.phase == Phase::Waiting {
--- a/crates/engine/src/memory.rs
+++ b/crates/engine/src/memory.rs
@@ -41,7 +41,15 @@
 impl Memory {
     pub(crate) fn new(capacity: usize, kept: usize) -> Memory {
         let (named, unused) = (BTreeMap::new(), BTreeMap::new());
-        Memory { capacity, kept, named, unused, own: 0, flushes: 0, serial: 0 }
+        Memory {
+            capacity,
+            kept,
+            named,
+            unused,
+            own: 0,
+            flushes: 0,
+            serial: 0,
+        }
     }
 
     pub(crate) fn used(&self) -> usize {
@@ -58,17 +66,38 @@
 
     /// Blocks at the begin of a prompt that are known.
     pub(crate) fn known(&self, marks: &[u64]) -> usize {
-        marks.iter().take_while(|m| self.named.contains_key(&(self.flushes, **m))).count()
+        marks
+            .iter()
+            .take_while(|m| self.named.contains_key(&(self.flushes, **m)))
+            .count()
     }
 
     /// Room for so many blocks, those of `marks` that are known among them; `spare` blocks stay free. Gives what is held and how many were
     /// known.
-    pub(crate) fn take(&mut self, marks: &[u64], blocks: usize, spare: usize) -> Option<(Holding, usize)> {
+    pub(crate) fn take(
+        &mut self,
+        marks: &[u64],
+        blocks: usize,
+        spare: usize,
+    ) -> Option<(Holding, usize)> {
         let known = self.known(marks).min(blocks);
-        let names: Vec<Name> = marks.iter().take(known).map(|m| (self.flushes, *m)).collect();
-        let woken = names.iter().filter(|n| self.named.get(n).is_some_and(|b| b.users == 0)).count();
+        let names: Vec<Name> = marks
+            .iter()
+            .take(known)
+            .map(|m| (self.flushes, *m))
+            .collect();
+        let woken = names
+            .iter()
+            .filter(|n| self.named.get(n).is_some_and(|b| b.users == 0))
+            .count();
         let own = blocks - known;
-        if self.used().saturating_add(woken).saturating_add(own).saturating_add(spare) > self.capacity {
+        if self
+            .used()
+            .saturating_add(woken)
+            .saturating_add(own)
+            .saturating_add(spare)
+            > self.capacity
+        {
             return None;
         }
         names.iter().for_each(|n| self.refer(*n));
@@ -108,7 +137,9 @@
         holding.own = 0;
         // The end of a prompt goes before its begin, which others may share.
         for name in holding.named.drain(..).rev() {
-            let Some(block) = self.named.get_mut(&name) else { continue };
+            let Some(block) = self.named.get_mut(&name) else {
+                continue;
+            };
             block.users -= 1;
             if block.users > 0 {
                 continue;
@@ -132,7 +163,10 @@
     }
 
     fn refer(&mut self, name: Name) {
-        let block = self.named.entry(name).or_insert(Block { users: 0, since: 0 });
+        let block = self
+            .named
+            .entry(name)
+            .or_insert(Block { users: 0, since: 0 });
         block.users += 1;
         // Zero stands for none: places are numbered from one.
         if block.users == 1 && block.since != 0 {
@@ -143,7 +177,9 @@
 
     fn evict(&mut self) {
         while self.named.len() + self.own > self.kept {
-            let Some((_, name)) = self.unused.pop_first() else { return };
+            let Some((_, name)) = self.unused.pop_first() else {
+                return;
+            };
             self.named.remove(&name);
         }
     }
--- a/crates/engine/src/properties.rs
+++ b/crates/engine/src/properties.rs
@@ -38,8 +38,15 @@
 }
 
 fn constants() -> impl Strategy<Value = Constants> {
-    (1usize..6, 1u64..9, 1usize..3, 0u64..400, 0.0f64..0.2, proptest::option::of(0.5f64..5.0)).prop_map(
-        |(slots, block, reads, cache, spare, hold_s)| Constants {
+    (
+        1usize..6,
+        1u64..9,
+        1usize..3,
+        0u64..400,
+        0.0f64..0.2,
+        proptest::option::of(0.5f64..5.0),
+    )
+        .prop_map(|(slots, block, reads, cache, spare, hold_s)| Constants {
             slots,
             queue: 8,
             memory_tokens: 200,
@@ -53,8 +60,7 @@
             sequence_s: 0.001,
             hold_s,
             ..Constants::default()
-        },
-    )
+        })
 }
 
 struct Played {
@@ -71,7 +77,9 @@
             match said {
                 Output::Token { id, last: true, .. }
                 | Output::Read { id, .. }
-                | Output::Refused { id, why: _ } => assert!(self.open.remove(&id), "ended twice: {id:?}"),
+                | Output::Refused { id, why: _ } => {
+                    assert!(self.open.remove(&id), "ended twice: {id:?}")
+                }
                 Output::Token { id, .. } => assert!(self.open.contains(&id)),
                 Output::Preempted { .. } => self.preempted += 1,
                 Output::Fetched { id } => fetched.push(id),
@@ -80,21 +88,34 @@
         }
         let (facts, engine) = (self.engine.facts(), &self.engine);
         let held = Memory::recount(engine.sequences.values().map(|s| &s.holding));
-        assert_eq!(facts.used_blocks, held, "blocks in use are those that somebody refers to");
+        assert_eq!(
+            facts.used_blocks, held,
+            "blocks in use are those that somebody refers to"
+        );
         assert!(facts.used_blocks <= facts.memory_blocks, "{facts:?}");
         let kept = (engine.constants.cache_tokens / engine.constants.block_tokens) as usize;
-        assert!(facts.cached_blocks <= kept.saturating_sub(facts.used_blocks), "{facts:?}");
+        assert!(
+            facts.cached_blocks <= kept.saturating_sub(facts.used_blocks),
+            "{facts:?}"
+        );
         assert!(facts.slots_used <= engine.constants.slots);
         assert!(engine.reading() <= engine.constants.reads_a_step);
         assert_eq!(facts.preemptions, self.preempted);
-        assert_eq!(facts.running + facts.waiting + facts.held, engine.sequences.len());
-        fetched.into_iter().for_each(|id| self.step(now, Input::Taken(id)));
+        assert_eq!(
+            facts.running + facts.waiting + facts.held,
+            engine.sequences.len()
+        );
+        fetched
+            .into_iter()
+            .for_each(|id| self.step(now, Input::Taken(id)));
     }
 
     /// Until nothing is due any more.
     fn drain(&mut self) {
         for _ in 0..200_000 {
-            let Some(at) = self.engine.next_at() else { return };
+            let Some(at) = self.engine.next_at() else {
+                return;
+            };
             self.step(at, Input::Time);
         }
         panic!("it does not come to an end: {:?}", self.engine.facts());
--- a/crates/engine/src/sequence.rs
+++ b/crates/engine/src/sequence.rs
@@ -34,8 +34,18 @@
 impl Sequence {
     pub(crate) fn new(request: Request) -> Sequence {
         let holding = Holding::default();
-        let (phase, admitted, written, read, cached, again) = (Phase::Waiting, 0, 0, 0, None, false);
-        Sequence { request, phase, holding, admitted, written, read, cached, again }
+        let (phase, admitted, written, read, cached, again) =
+            (Phase::Waiting, 0, 0, 0, None, false);
+        Sequence {
+            request,
+            phase,
+            holding,
+            admitted,
+            written,
+            read,
+            cached,
+            again,
+        }
     }
 
     /// Tokens of the answer.
@@ -59,7 +69,10 @@
 
     /// Tokens that it has in memory once it is read.
     pub(crate) fn tokens(&self) -> u64 {
-        self.request.prompt.tokens.saturating_add(u64::from(self.written))
+        self.request
+            .prompt
+            .tokens
+            .saturating_add(u64::from(self.written))
     }
 
     /// Blocks that it needs so that the next token finds room.
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -1,6 +1,8 @@
 //! An engine follows its formula, and does at its bounds what it says.
 
-use bitternlatch_engine::{Constants, Engine, EngineError, Id, Input, Output, Prompt, Request, Work};
+use bitternlatch_engine::{
+    Constants, Engine, EngineError, Id, Input, Output, Prompt, Request, Work,
+};
 
 /// What came, and when.
 struct Played {
@@ -9,15 +11,25 @@
 }
 
 fn played(constants: Constants) -> Played {
-    Played { engine: Engine::new(constants).expect("constants"), came: Vec::new() }
+    Played {
+        engine: Engine::new(constants).expect("constants"),
+        came: Vec::new(),
+    }
 }
 
 fn small() -> Constants {
-    Constants { sequence_s: 0.001, memory_tokens: 64_000, ..Constants::default() }
+    Constants {
+        sequence_s: 0.001,
+        memory_tokens: 64_000,
+        ..Constants::default()
+    }
 }
 
 fn prompt(id: u64, tokens: u64) -> Prompt {
-    Prompt { tokens, marks: (0..tokens / 64).map(|n| id * 1_000_000 + n).collect() }
+    Prompt {
+        tokens,
+        marks: (0..tokens / 64).map(|n| id * 1_000_000 + n).collect(),
+    }
 }
 
 impl Played {
@@ -33,7 +45,14 @@
     }
 
     fn submit(&mut self, at: f64, id: u64, tokens: u64, work: Work) {
-        self.tell(at, Input::Submit(Request { id: Id(id), prompt: prompt(id, tokens), work }));
+        self.tell(
+            at,
+            Input::Submit(Request {
+                id: Id(id),
+                prompt: prompt(id, tokens),
+                work,
+            }),
+        );
     }
 
     /// Steps it when it wants to be stepped, until a time.
@@ -44,7 +63,11 @@
     }
 
     fn at(&self, fits: impl Fn(&Output) -> bool) -> f64 {
-        self.came.iter().find(|(_, o)| fits(o)).expect("it never came").0
+        self.came
+            .iter()
+            .find(|(_, o)| fits(o))
+            .expect("it never came")
+            .0
     }
 
     fn done(&self, of: u64) -> f64 {
@@ -103,29 +126,47 @@
     all.until(20.0);
     // The first one to come begins a step alone.
     near(all.done(0), 1.0 + 0.021 + 9.0 * (0.02 + 16.0 * 0.001));
-    near(all.done(9), 1.0 + 0.021 + 9.0 * (0.02 + 16.0 * 0.001) + 0.02 + 15.0 * 0.001);
+    near(
+        all.done(9),
+        1.0 + 0.021 + 9.0 * (0.02 + 16.0 * 0.001) + 0.02 + 15.0 * 0.001,
+    );
 }
 
 #[test]
 fn a_full_batch_writes_as_fast_as_the_formula_and_no_faster() {
-    let mut full = played(Constants { slots: 8, queue: 1_000, ..small() });
+    let mut full = played(Constants {
+        slots: 8,
+        queue: 1_000,
+        ..small()
+    });
     (0..200).for_each(|id| full.submit(0.0, id, 64, Work::FetchAndWrite { answer: 101 }));
     full.until(100.0);
-    let tokens =
-        full.came.iter().filter(|(at, o)| *at > 5.0 && *at <= 45.0 && matches!(o, Output::Token { .. }));
+    let tokens = full
+        .came
+        .iter()
+        .filter(|(at, o)| *at > 5.0 && *at <= 45.0 && matches!(o, Output::Token { .. }));
     let (rate, says) = (tokens.count() as f64 / 40.0, 8.0 / (0.02 + 8.0 * 0.001));
     // Each of 101 tokens comes with a fetch and not from a step; between two answers a slot stands still for most of a step.
-    assert!((rate / says - 1.0).abs() < 0.02, "{rate} a second and not {says}");
+    assert!(
+        (rate / says - 1.0).abs() < 0.02,
+        "{rate} a second and not {says}"
+    );
 }
 
 #[test]
 fn reads_that_come_by_chance_wait_as_one_server_makes_them() {
-    let mut reader = played(Constants { queue: 10_000, memory_tokens: 6_400_000, ..small() });
+    let mut reader = played(Constants {
+        queue: 10_000,
+        memory_tokens: 6_400_000,
+        ..small()
+    });
     // 900 tokens are 50 ms; 14 a second come by chance: a load of 0.7.
     let (service, load, count) = (0.05, 0.7, 60_000);
     let (mut at, mut seed, mut came) = (0.0, 7u64, Vec::new());
     let mut next = || {
-        seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        seed = seed
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (seed >> 11) as f64 / (1u64 << 53) as f64
     };
     let mut waited = 0.0;
@@ -137,19 +178,27 @@
             at,
             Input::Submit(Request {
                 id: Id(id),
-                prompt: Prompt { tokens: 900, marks: vec![] },
+                prompt: Prompt {
+                    tokens: 900,
+                    marks: vec![],
+                },
                 work: Work::Read,
             }),
         );
         for (done, said) in std::mem::take(&mut reader.came) {
             if let Output::Read { id, .. } = said {
                 waited += done - came[id.0 as usize] - service;
-                reader.engine.step(done, Input::Release(id), &mut Vec::new());
+                reader
+                    .engine
+                    .step(done, Input::Release(id), &mut Vec::new());
             }
         }
     }
     let (mean, says) = (waited / count as f64, load * service / (2.0 * (1.0 - load)));
-    assert!((mean / says - 1.0).abs() < 0.05, "{mean} s in the mean and not {says}");
+    assert!(
+        (mean / says - 1.0).abs() < 0.05,
+        "{mean} s in the mean and not {says}"
+    );
 }
 
 #[test]
@@ -167,22 +216,52 @@
 
 #[test]
 fn the_latest_is_thrown_out_reads_again_and_ends() {
-    let tight = Constants { slots: 2, memory_tokens: 20 * 64, cache_tokens: 0, spare: 0.0, ..small() };
+    let tight = Constants {
+        slots: 2,
+        memory_tokens: 20 * 64,
+        cache_tokens: 0,
+        spare: 0.0,
+        ..small()
+    };
     let mut tight = played(tight);
     // 8 blocks each at first, 4 more each at the end, and 20 are there: the second is thrown out.
-    (1..=2).for_each(|id| tight.submit(0.0, id, 8 * 64 - 10, Work::FetchAndWrite { answer: 64 * 4 }));
+    (1..=2)
+        .for_each(|id| tight.submit(0.0, id, 8 * 64 - 10, Work::FetchAndWrite { answer: 64 * 4 }));
     tight.submit(0.0, 3, 100, Work::FetchAndWrite { answer: 9 });
     tight.until(60.0);
     assert_eq!(tight.preempted(), [2]);
-    assert!(tight.done(1) < tight.done(2), "the one that was let in first goes on");
-    let third = tight.at(|o| matches!(o, Output::Token { id: Id(3), number: 1, .. }));
-    assert!(third > tight.done(1), "a short one that waits does not pass one that was thrown out");
+    assert!(
+        tight.done(1) < tight.done(2),
+        "the one that was let in first goes on"
+    );
+    let third = tight.at(|o| {
+        matches!(
+            o,
+            Output::Token {
+                id: Id(3),
+                number: 1,
+                ..
+            }
+        )
+    });
+    assert!(
+        third > tight.done(1),
+        "a short one that waits does not pass one that was thrown out"
+    );
     let facts = tight.engine.facts();
-    assert_eq!((facts.preemptions, facts.used_blocks, facts.waiting), (1, 0, 0));
+    assert_eq!(
+        (facts.preemptions, facts.used_blocks, facts.waiting),
+        (1, 0, 0)
+    );
     let read_again = facts.read_again;
-    assert!((8 * 64..8 * 64 + 256).contains(&read_again), "prompt and answer so far: {read_again}");
+    assert!(
+        (8 * 64..8 * 64 + 256).contains(&read_again),
+        "prompt and answer so far: {read_again}"
+    );
     let numbers = tight.came.iter().filter_map(|(_, o)| match o {
-        Output::Token { id: Id(2), number, .. } => Some(*number),
+        Output::Token {
+            id: Id(2), number, ..
+        } => Some(*number),
         _ => None,
     });
     assert!(numbers.eq(1..=256), "each token is given once");
@@ -190,9 +269,20 @@
 
 #[test]
 fn prompts_that_begin_alike_are_read_once_and_the_longest_unused_goes_first() {
-    let mut one = played(Constants { memory_tokens: 10 * 64, cache_tokens: 10 * 64, ..small() });
+    let mut one = played(Constants {
+        memory_tokens: 10 * 64,
+        cache_tokens: 10 * 64,
+        ..small()
+    });
     let read = |one: &mut Played, at: f64, id: u64, of: u64, tokens: u64| {
-        one.tell(at, Input::Submit(Request { id: Id(id), prompt: prompt(of, tokens), work: Work::Read }));
+        one.tell(
+            at,
+            Input::Submit(Request {
+                id: Id(id),
+                prompt: prompt(of, tokens),
+                work: Work::Read,
+            }),
+        );
         one.until(at + 1.0);
         let cached = one.came.iter().find_map(|(_, o)| match o {
             Output::Read { id: of, cached } if *of == Id(id) => Some(*cached),
@@ -212,14 +302,30 @@
     assert_eq!(read(&mut one, 10.0, 6, 2, 320), 0);
     // Two at once that begin alike hold their common blocks once.
     one.submit(20.0, 7, 256, Work::Read);
-    one.tell(20.0, Input::Submit(Request { id: Id(8), prompt: prompt(7, 256), work: Work::Read }));
+    one.tell(
+        20.0,
+        Input::Submit(Request {
+            id: Id(8),
+            prompt: prompt(7, 256),
+            work: Work::Read,
+        }),
+    );
     one.until(22.0);
-    assert_eq!((one.engine.facts().held, one.engine.facts().used_blocks), (2, 4));
+    assert_eq!(
+        (one.engine.facts().held, one.engine.facts().used_blocks),
+        (2, 4)
+    );
 }
 
 #[test]
 fn what_does_not_fit_is_refused_with_its_cause() {
-    let mut one = played(Constants { slots: 1, queue: 1, memory_tokens: 640, hold_s: Some(3.0), ..small() });
+    let mut one = played(Constants {
+        slots: 1,
+        queue: 1,
+        memory_tokens: 640,
+        hold_s: Some(3.0),
+        ..small()
+    });
     one.submit(0.0, 1, 700, Work::Read);
     one.submit(0.0, 2, 100, Work::FetchAndWrite { answer: 600 });
     one.submit(0.0, 3, 400, Work::Read);
@@ -228,17 +334,41 @@
     one.submit(0.0, 5, 300, Work::FetchAndWrite { answer: 1 });
     let causes = [1, 2, 3, 4, 5].map(|id| one.refused(id));
     use EngineError::*;
-    assert_eq!(causes, [Some(NeverFits), Some(NeverFits), Some(Twice), Some(QueueFull), Some(MemoryFull)]);
+    assert_eq!(
+        causes,
+        [
+            Some(NeverFits),
+            Some(NeverFits),
+            Some(Twice),
+            Some(QueueFull),
+            Some(MemoryFull)
+        ]
+    );
     one.until(5.0);
-    near(one.at(|o| *o == Output::Expired { id: Id(3) }), 400.0 / 18_000.0 + 3.0);
+    near(
+        one.at(|o| *o == Output::Expired { id: Id(3) }),
+        400.0 / 18_000.0 + 3.0,
+    );
     one.submit(5.0, 6, 100, Work::FetchAndWrite { answer: 5 });
     one.tell(5.0, Input::Drain);
     one.submit(5.0, 7, 100, Work::Read);
     one.until(6.0);
     assert_eq!(one.refused(7), Some(Draining));
-    assert!(one.done(6) > 5.0 && one.engine.is_empty(), "what is here when it drains is ended");
-    assert_eq!(Engine::new(Constants { read_tokens_per_s: f64::NAN, ..small() }).err(), Some(Unworkable));
-    let all = [Unworkable, QueueFull, MemoryFull, NeverFits, Draining, Twice];
+    assert!(
+        one.done(6) > 5.0 && one.engine.is_empty(),
+        "what is here when it drains is ended"
+    );
+    assert_eq!(
+        Engine::new(Constants {
+            read_tokens_per_s: f64::NAN,
+            ..small()
+        })
+        .err(),
+        Some(Unworkable)
+    );
+    let all = [
+        Unworkable, QueueFull, MemoryFull, NeverFits, Draining, Twice,
+    ];
     let advice: std::collections::BTreeSet<&str> = all.iter().map(|e| e.advice()).collect();
     assert_eq!(advice.len(), all.len(), "each has advice of its own");
 }
@@ -266,7 +396,10 @@
     one.submit(9.01, 5, 360, Work::Read);
     one.until(10.0);
     near(one.read(5), 9.0 + 860.0 / 18_000.0);
-    assert!(!one.came.iter().any(|(_, o)| matches!(o, Output::Token { id: Id(4), .. })));
+    assert!(!one
+        .came
+        .iter()
+        .any(|(_, o)| matches!(o, Output::Token { id: Id(4), .. })));
     assert_eq!(one.engine.facts().held, 3);
     one.tell(10.0, Input::LoseStates);
     assert!(one.engine.is_empty());
--- a/crates/fault-shim/src/calls.rs
+++ b/crates/fault-shim/src/calls.rs
@@ -30,7 +30,13 @@
     let file = std::env::var("FAULT_SHIM_COUNTS").unwrap_or_default();
     let file = std::ffi::CString::new(file).unwrap_or_default();
     // SAFETY: `file` is a C string that lives through the call.
-    let counts = unsafe { libc::open(file.as_ptr(), libc::O_RDWR | libc::O_CREAT | libc::O_CLOEXEC, 0o600) };
+    let counts = unsafe {
+        libc::open(
+            file.as_ptr(),
+            libc::O_RDWR | libc::O_CREAT | libc::O_CLOEXEC,
+            0o600,
+        )
+    };
     Some(Shim { plan, counts })
 }
 
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -49,8 +49,9 @@
     fn from_str(text: &str) -> Result<Plan, String> {
         let mut plan = Plan::default();
         for pair in text.split(',').filter(|p| !p.is_empty()) {
-            let wrong =
-                || format!("FAULT_SHIM: '{pair}' is not NAME=FIGURE with a known name and a figure in range");
+            let wrong = || {
+                format!("FAULT_SHIM: '{pair}' is not NAME=FIGURE with a known name and a figure in range")
+            };
             let (name, figure) = pair.split_once('=').ok_or_else(wrong)?;
             match name {
                 "seed" => plan.seed = figure.parse().map_err(|_| wrong())?,
@@ -58,7 +59,9 @@
                 _ => {
                     let at = KINDS.iter().position(|k| k.0 == name).ok_or_else(wrong)?;
                     let share: f64 = figure.parse().map_err(|_| wrong())?;
-                    plan.shares[at] = Some(share).filter(|s| (0.0..=0.9).contains(s)).ok_or_else(wrong)?;
+                    plan.shares[at] = Some(share)
+                        .filter(|s| (0.0..=0.9).contains(s))
+                        .ok_or_else(wrong)?;
                 }
             }
         }
--- a/crates/identity/src/certificates.rs
+++ b/crates/identity/src/certificates.rs
@@ -57,7 +57,11 @@
 fn certificate_id(issuer: &[u8], serial: &[u8]) -> String {
     // Leading zeroes are a matter of encoding, not of the number.
     let from = serial.iter().position(|b| *b != 0).unwrap_or(serial.len());
-    format!("x509:{}:{}", &blake3::hash(issuer).to_hex()[..32], hex(&serial[from..]))
+    format!(
+        "x509:{}:{}",
+        &blake3::hash(issuer).to_hex()[..32],
+        hex(&serial[from..])
+    )
 }
 
 /// Whose a proven certificate is. The subject is its one URI name, else its one e-mail name, else its one DNS name, written
@@ -69,12 +73,16 @@
     if der.len() > CERTIFICATE_BYTES {
         return Err(BadCertificate::TooLong);
     }
-    let (rest, cert) = X509Certificate::from_der(der).map_err(|_| BadCertificate::Malformed("its form"))?;
+    let (rest, cert) =
+        X509Certificate::from_der(der).map_err(|_| BadCertificate::Malformed("its form"))?;
     if !rest.is_empty() {
         return Err(BadCertificate::Malformed("bytes after it"));
     }
     let validity = cert.validity();
-    let (begins, ends) = (validity.not_before.timestamp(), validity.not_after.timestamp());
+    let (begins, ends) = (
+        validity.not_before.timestamp(),
+        validity.not_after.timestamp(),
+    );
     let ends = u64::try_from(ends).map_err(|_| BadCertificate::NotNow)?;
     if now >= ends || i64::try_from(now).is_ok_and(|n| n < begins) {
         return Err(BadCertificate::NotNow);
@@ -90,8 +98,12 @@
 }
 
 fn subject(cert: &X509Certificate<'_>) -> Result<String, BadCertificate> {
-    let names = cert.subject_alternative_name().map_err(|_| BadCertificate::Malformed("its names"))?;
-    let names = names.map(|n| n.value.general_names.as_slice()).unwrap_or_default();
+    let names = cert
+        .subject_alternative_name()
+        .map_err(|_| BadCertificate::Malformed("its names"))?;
+    let names = names
+        .map(|n| n.value.general_names.as_slice())
+        .unwrap_or_default();
     let of_kind = |kind: &str| -> Vec<String> {
         let name = |n: &GeneralName<'_>| match (kind, n) {
             ("uri", GeneralName::URI(name)) => Some((*name).to_string()),
@@ -106,7 +118,9 @@
         match found.as_slice() {
             [] => {}
             [one]
-                if one.is_empty() || one.len() > NAME_BYTES || !one.bytes().all(|b| b.is_ascii_graphic()) =>
+                if one.is_empty()
+                    || one.len() > NAME_BYTES
+                    || !one.bytes().all(|b| b.is_ascii_graphic()) =>
             {
                 return Err(BadCertificate::Malformed("its name"));
             }
@@ -120,7 +134,9 @@
 fn groups(cert: &X509Certificate<'_>) -> Result<Vec<String>, BadCertificate> {
     let mut groups = Vec::new();
     for unit in cert.subject().iter_organizational_unit() {
-        let text = unit.as_str().map_err(|_| BadCertificate::Malformed("its units"))?;
+        let text = unit
+            .as_str()
+            .map_err(|_| BadCertificate::Malformed("its units"))?;
         if text.len() > NAME_BYTES || groups.len() >= GROUPS_MOST {
             return Err(BadCertificate::Malformed("its units"));
         }
@@ -155,7 +171,12 @@
     /// # Errors
     /// A list that is broken, too long, made in the future, signed by none of the authorities, or older than the one in force
     /// (an attacker who replays an old one would free whom it lacks). Then nothing changes.
-    pub fn with(&self, lists: &[Vec<u8>], authorities: &[Vec<u8>], now: u64) -> Result<Revocations, BadList> {
+    pub fn with(
+        &self,
+        lists: &[Vec<u8>],
+        authorities: &[Vec<u8>],
+        now: u64,
+    ) -> Result<Revocations, BadList> {
         let mut next = self.clone();
         let mut offered = BTreeSet::new();
         for der in lists {
@@ -164,17 +185,25 @@
                 return Err(BadList("two of one issuer".to_string()));
             }
             if i64::try_from(now).is_ok_and(|n| list.made > n.saturating_add(300)) {
-                return Err(BadList(format!("made at {}, which has not come", list.made)));
+                return Err(BadList(format!(
+                    "made at {}, which has not come",
+                    list.made
+                )));
             }
             if let Some(before) = self.lists.get(&issuer).filter(|b| b.made > list.made) {
-                let why = format!("made at {}, before the one in force ({})", list.made, before.made);
+                let why = format!(
+                    "made at {}, before the one in force ({})",
+                    list.made, before.made
+                );
                 return Err(BadList(why));
             }
             next.lists.insert(issuer, list);
         }
         let entries: usize = next.lists.values().map(|l| l.revoked.len()).sum();
         if entries > ENTRIES_MOST {
-            return Err(BadList(format!("{entries} entries, more than {ENTRIES_MOST}")));
+            return Err(BadList(format!(
+                "{entries} entries, more than {ENTRIES_MOST}"
+            )));
         }
         Ok(next)
     }
@@ -193,7 +222,10 @@
     /// How many lists should have been followed by a newer one by now. They still count: an issuer that is down
     /// must not shut all callers out.
     pub fn overdue(&self, now: u64) -> usize {
-        let late = |l: &&List| l.next.is_some_and(|n| i64::try_from(now).is_ok_and(|now| now > n));
+        let late = |l: &&List| {
+            l.next
+                .is_some_and(|n| i64::try_from(now).is_ok_and(|now| now > n))
+        };
         self.lists.values().filter(late).count()
     }
 }
@@ -201,22 +233,29 @@
 fn read_list(der: &[u8], authorities: &[Vec<u8>]) -> Result<(String, List), BadList> {
     let bad = |why: &str| BadList(why.to_string());
     if der.len() > LIST_BYTES {
-        return Err(BadList(format!("{} bytes, more than {LIST_BYTES}", der.len())));
+        return Err(BadList(format!(
+            "{} bytes, more than {LIST_BYTES}",
+            der.len()
+        )));
     }
-    let (rest, list) = CertificateRevocationList::from_der(der).map_err(|_| bad("cannot be read"))?;
+    let (rest, list) =
+        CertificateRevocationList::from_der(der).map_err(|_| bad("cannot be read"))?;
     if !rest.is_empty() {
         return Err(bad("bytes after it"));
     }
     let signed = authorities.iter().any(|authority| {
         X509Certificate::from_der(authority).is_ok_and(|(_, a)| {
-            a.subject().as_raw() == list.issuer().as_raw() && list.verify_signature(a.public_key()).is_ok()
+            a.subject().as_raw() == list.issuer().as_raw()
+                && list.verify_signature(a.public_key()).is_ok()
         })
     });
     if !signed {
         return Err(bad("signed by none of the authorities"));
     }
     let issuer = list.issuer().as_raw();
-    let revoked = list.iter_revoked_certificates().map(|r| certificate_id(issuer, r.raw_serial()));
+    let revoked = list
+        .iter_revoked_certificates()
+        .map(|r| certificate_id(issuer, r.raw_serial()));
     let found = List {
         made: list.last_update().timestamp(),
         next: list.next_update().map(|t| t.timestamp()),
--- a/crates/identity/src/keeper.rs
+++ b/crates/identity/src/keeper.rs
@@ -22,7 +22,12 @@
 
 impl Default for KeeperRules {
     fn default() -> Self {
-        KeeperRules { refresh_s: 60.0, keep_s: 24.0 * 3600.0, pause_s: (0.5, 60.0), unknown_every_s: 5.0 }
+        KeeperRules {
+            refresh_s: 60.0,
+            keep_s: 24.0 * 3600.0,
+            pause_s: (0.5, 60.0),
+            unknown_every_s: 5.0,
+        }
     }
 }
 
@@ -84,12 +89,16 @@
 
     /// The set in force; `None` before the first and once the last good one is too old.
     pub fn set(&self, now: f64) -> Option<&Arc<KeySet>> {
-        self.set.as_ref().filter(|_| now - self.fetched_at < self.rules.keep_s)
+        self.set
+            .as_ref()
+            .filter(|_| now - self.fetched_at < self.rules.keep_s)
     }
 
     /// The last good document and its age, to be kept on disk.
     pub fn document(&self, now: f64) -> Option<(&[u8], f64)> {
-        self.set.as_ref().map(|_| (self.document.as_slice(), now - self.fetched_at))
+        self.set
+            .as_ref()
+            .map(|_| (self.document.as_slice(), now - self.fetched_at))
     }
 
     /// Whether to fetch now; once told, it waits for [`Keeper::fetched`] or [`Keeper::failed`].
@@ -108,12 +117,23 @@
     /// A token named a key that the set does not hold. One fetch is set off for all who ask, at most one in
     /// `unknown_every_s`, and none for an id that a fetch since has not brought.
     pub fn unknown_key(&mut self, now: f64, id: &str) {
-        let asked = self.unknown.get(id).is_some_and(|at| now - at < self.rules.refresh_s);
-        if asked || self.fetching || now - self.unknown_at < self.rules.unknown_every_s || self.failures > 0 {
+        let asked = self
+            .unknown
+            .get(id)
+            .is_some_and(|at| now - at < self.rules.refresh_s);
+        if asked
+            || self.fetching
+            || now - self.unknown_at < self.rules.unknown_every_s
+            || self.failures > 0
+        {
             return;
         }
         if self.unknown.len() >= UNKNOWN_MOST {
-            let oldest = self.unknown.iter().min_by(|a, b| a.1.total_cmp(b.1)).map(|o| o.0.clone());
+            let oldest = self
+                .unknown
+                .iter()
+                .min_by(|a, b| a.1.total_cmp(b.1))
+                .map(|o| o.0.clone());
             oldest.map(|id| self.unknown.remove(&id));
         }
         self.unknown.insert(id.to_string(), now);
@@ -130,8 +150,12 @@
             }
         };
         let same = self.set.is_some() && self.document == document;
-        let gone =
-            |old: &Arc<KeySet>| old.ids().filter(|id| set.get(id).is_none()).map(str::to_string).collect();
+        let gone = |old: &Arc<KeySet>| {
+            old.ids()
+                .filter(|id| set.get(id).is_none())
+                .map(str::to_string)
+                .collect()
+        };
         let dropped = self.set.as_ref().map(gone).unwrap_or_default();
         self.unknown.retain(|id, _| set.get(id).is_none());
         (self.set, self.document, self.fetched_at) = (Some(Arc::new(set)), document.to_vec(), now);
--- a/crates/identity/src/keys.rs
+++ b/crates/identity/src/keys.rs
@@ -52,7 +52,11 @@
 
 impl std::fmt::Debug for Key {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{:?} key from {} to {}", self.algorithm, self.not_before, self.ends)
+        write!(
+            f,
+            "{:?} key from {} to {}",
+            self.algorithm, self.not_before, self.ends
+        )
     }
 }
 
@@ -92,7 +96,10 @@
     pub fn parse(document: &[u8]) -> Result<KeySet, BadKeySet> {
         let bad = |why: String| Err(BadKeySet(why));
         if document.len() > DOCUMENT_BYTES {
-            return bad(format!("{} bytes, more than {DOCUMENT_BYTES}", document.len()));
+            return bad(format!(
+                "{} bytes, more than {DOCUMENT_BYTES}",
+                document.len()
+            ));
         }
         strict::check(document).map_err(|e| BadKeySet(e.to_string()))?;
         let raw: RawSet = serde_json::from_slice(document).map_err(|e| BadKeySet(e.to_string()))?;
@@ -141,7 +148,11 @@
         }
         let live = self.keys.iter().filter(|(_, k)| k.counts(now, 0));
         let newest = live.max_by(|a, b| (a.1.not_before, a.0).cmp(&(b.1.not_before, b.0)));
-        Some(if newest.is_some_and(|n| n.0 == id) { KeyState::Signing } else { KeyState::Accepted })
+        Some(if newest.is_some_and(|n| n.0 == id) {
+            KeyState::Signing
+        } else {
+            KeyState::Accepted
+        })
     }
 }
 
@@ -160,7 +171,9 @@
         (Some("EC"), Some("P-256")) => Algorithm::ES256,
         _ => return Ok(None),
     };
-    let id = times.kid.filter(|k| !k.is_empty() && k.len() <= KEY_ID_BYTES);
+    let id = times
+        .kid
+        .filter(|k| !k.is_empty() && k.len() <= KEY_ID_BYTES);
     let id = id.ok_or(format!("has no id of 1 to {KEY_ID_BYTES} bytes"))?;
     let jwk: Jwk = serde_json::from_value(value).map_err(|e| format!("'{id}': {e}"))?;
     let verifies = DecodingKey::from_jwk(&jwk).map_err(|e| format!("'{id}': {e}"))?;
@@ -168,5 +181,14 @@
     if ends <= not_before {
         return Err(format!("'{id}' ends before it begins"));
     }
-    Ok(Some((id, Key { verifies, algorithm, not_before, ends, revoked: times.revoked.is_some() })))
+    Ok(Some((
+        id,
+        Key {
+            verifies,
+            algorithm,
+            not_before,
+            ends,
+            revoked: times.revoked.is_some(),
+        },
+    )))
 }
