--- a/crates/identity/src/reload.rs
+++ b/crates/identity/src/reload.rs
@@ -23,7 +23,11 @@
 impl Reload {
     /// With the set that is in force.
     pub fn new(in_force: u64) -> Reload {
-        Reload { in_force, seen: in_force, refused: None }
+        Reload {
+            in_force,
+            seen: in_force,
+            refused: None,
+        }
     }
 
     /// After a look.
@@ -60,13 +64,25 @@
     fn a_set_counts_when_seen_alike_twice_and_a_bad_one_is_tried_once() {
         let mut reload = Reload::new(1);
         assert_eq!(reload.look(1), Look::Nothing);
-        assert_eq!([reload.look(2), reload.look(3), reload.look(3)], [Look::Wait, Look::Wait, Look::Try]);
+        assert_eq!(
+            [reload.look(2), reload.look(3), reload.look(3)],
+            [Look::Wait, Look::Wait, Look::Try]
+        );
         reload.refused();
-        assert_eq!([reload.look(3), reload.look(4), reload.look(4)], [Look::Nothing, Look::Wait, Look::Try]);
+        assert_eq!(
+            [reload.look(3), reload.look(4), reload.look(4)],
+            [Look::Nothing, Look::Wait, Look::Try]
+        );
         reload.taken();
-        assert_eq!([reload.look(4), reload.look(3), reload.look(3)], [Look::Nothing, Look::Wait, Look::Try]);
+        assert_eq!(
+            [reload.look(4), reload.look(3), reload.look(3)],
+            [Look::Nothing, Look::Wait, Look::Try]
+        );
         // Back to what is in force: what was refused before may be tried again later.
         reload.refused();
-        assert_eq!([reload.look(4), reload.look(3), reload.look(3)], [Look::Nothing, Look::Wait, Look::Try]);
+        assert_eq!(
+            [reload.look(4), reload.look(3), reload.look(3)],
+            [Look::Nothing, Look::Wait, Look::Try]
+        );
     }
 }
--- a/crates/identity/src/rights.rs
+++ b/crates/identity/src/rights.rs
@@ -104,7 +104,9 @@
     /// twice, a ceiling of 0.
     pub fn parse(text: &str) -> Result<Rights, String> {
         let rights: Rights = toml::from_str(text).map_err(|e| {
-            let at = e.span().map_or(0, |s| text.get(..s.start).unwrap_or(text).matches('\n').count() + 1);
+            let at = e.span().map_or(0, |s| {
+                text.get(..s.start).unwrap_or(text).matches('\n').count() + 1
+            });
             format!("line {at}: {}", e.message().replace('\n', " "))
         })?;
         let mut names = BTreeSet::new();
@@ -125,7 +127,9 @@
 
     /// Classes that rules name, for a check against the settings.
     pub fn classes(&self) -> impl Iterator<Item = &str> {
-        self.rules.iter().flat_map(|r| r.classes.iter().map(String::as_str))
+        self.rules
+            .iter()
+            .flat_map(|r| r.classes.iter().map(String::as_str))
     }
 
     /// Tenants that rules name.
@@ -139,23 +143,40 @@
     /// The first [`Denial`] found.
     pub fn may(&self, caller: &Caller, wish: &Wish<'_>) -> Result<Grant, Denial> {
         let names = |r: &&Rule| {
-            r.subjects.contains(&caller.subject) || caller.groups.iter().any(|g| r.groups.contains(g))
+            r.subjects.contains(&caller.subject)
+                || caller.groups.iter().any(|g| r.groups.contains(g))
         };
         let Some(rule) = self.rules.iter().find(names) else {
-            return Err(Denial::NoRule { subject: caller.subject.clone() });
+            return Err(Denial::NoRule {
+                subject: caller.subject.clone(),
+            });
         };
         let name = || rule.name.clone();
         if let Some(claimed) = wish.tenant.filter(|t| *t != rule.tenant) {
-            return Err(Denial::Tenant { claimed: claimed.to_string() });
+            return Err(Denial::Tenant {
+                claimed: claimed.to_string(),
+            });
         }
         if !rule.classes.contains(wish.class) {
-            return Err(Denial::Class { rule: name(), class: wish.class.to_string() });
+            return Err(Denial::Class {
+                rule: name(),
+                class: wish.class.to_string(),
+            });
         }
         if !rule.models.contains("*") && !rule.models.contains(wish.model) {
-            return Err(Denial::Model { rule: name(), model: wish.model.to_string() });
+            return Err(Denial::Model {
+                rule: name(),
+                model: wish.model.to_string(),
+            });
         }
-        if wish.max_output_tokens.is_some_and(|n| n > rule.max_output_tokens) {
-            return Err(Denial::Output { rule: name(), most: rule.max_output_tokens });
+        if wish
+            .max_output_tokens
+            .is_some_and(|n| n > rule.max_output_tokens)
+        {
+            return Err(Denial::Output {
+                rule: name(),
+                most: rule.max_output_tokens,
+            });
         }
         Ok(Grant {
             tenant: rule.tenant.clone(),
--- a/crates/identity/src/time.rs
+++ b/crates/identity/src/time.rs
@@ -28,7 +28,10 @@
 impl JudgedTime {
     /// At the start the wall clock is believed.
     pub fn new(steady_s: f64, wall_s: f64) -> JudgedTime {
-        JudgedTime { offset_s: wall_s - steady_s, candidate: None }
+        JudgedTime {
+            offset_s: wall_s - steady_s,
+            candidate: None,
+        }
     }
 
     /// Unix seconds by which proofs are judged.
@@ -77,20 +80,31 @@
         assert!(time.doubts());
         assert_eq!(time.now(11.0), 1011.0, "judged as before meanwhile");
         assert_eq!(time.look(15.0, 111_015.0), None);
-        assert_eq!(time.look(16.0, 111_016.0), Some(Stepped { by_s: 110_000.0 }));
+        assert_eq!(
+            time.look(16.0, 111_016.0),
+            Some(Stepped { by_s: 110_000.0 })
+        );
         assert_eq!(time.now(16.0), 111_016.0);
     }
 
     #[test]
     fn a_jump_that_is_taken_back_was_never_there_and_one_that_wanders_waits_anew() {
         let mut time = JudgedTime::new(0.0, 1000.0);
-        assert_eq!(time.look(1.0, 5.0), None, "set back: ended tokens stay ended");
+        assert_eq!(
+            time.look(1.0, 5.0),
+            None,
+            "set back: ended tokens stay ended"
+        );
         assert_eq!(time.now(1.0), 1001.0);
         assert_eq!(time.look(2.0, 1002.0), None);
         assert!(!time.doubts());
         for i in 0..20 {
             let at = 3.0 + f64::from(i);
-            assert_eq!(time.look(at, at + 5000.0 + 100.0 * f64::from(i)), None, "never the same for long");
+            assert_eq!(
+                time.look(at, at + 5000.0 + 100.0 * f64::from(i)),
+                None,
+                "never the same for long"
+            );
         }
         assert_eq!(time.now(23.0), 1023.0);
     }
--- a/crates/identity/src/token.rs
+++ b/crates/identity/src/token.rs
@@ -100,17 +100,29 @@
 }
 
 fn part(encoded: &str, what: &'static str) -> Result<Vec<u8>, Refusal> {
-    let bytes = URL_SAFE_NO_PAD.decode(encoded).map_err(|_| Refusal::Malformed(what))?;
+    let bytes = URL_SAFE_NO_PAD
+        .decode(encoded)
+        .map_err(|_| Refusal::Malformed(what))?;
     strict::check(&bytes).map_err(|_| Refusal::Malformed(what))?;
     Ok(bytes)
 }
 
 fn header(encoded: &str) -> Result<RawHeader, Refusal> {
     const WRONG: Refusal = Refusal::Malformed("its header");
-    let header: RawHeader = serde_json::from_slice(&part(encoded, "its header")?).map_err(|_| WRONG)?;
-    let brings = [&header.crit, &header.jwk, &header.jku, &header.x5u, &header.x5c, &header.zip];
+    let header: RawHeader =
+        serde_json::from_slice(&part(encoded, "its header")?).map_err(|_| WRONG)?;
+    let brings = [
+        &header.crit,
+        &header.jwk,
+        &header.jku,
+        &header.x5u,
+        &header.x5c,
+        &header.zip,
+    ];
     if brings.iter().any(|b| b.is_some()) {
-        return Err(Refusal::Malformed("its header has members that are not taken"));
+        return Err(Refusal::Malformed(
+            "its header has members that are not taken",
+        ));
     }
     let kind = header.typ.as_deref().unwrap_or("JWT").to_ascii_lowercase();
     match kind.as_str() {
@@ -121,7 +133,9 @@
 
 /// Id of the key that a token names, where it is well formed; for a look whether the key is known.
 pub fn key_id(token: &str) -> Option<String> {
-    let head = token.get(..token.find('.')?).filter(|h| h.len() < TOKEN_BYTES)?;
+    let head = token
+        .get(..token.find('.')?)
+        .filter(|h| h.len() < TOKEN_BYTES)?;
     header(head).ok()?.kid
 }
 
@@ -134,13 +148,20 @@
         return Err(Refusal::TooLong);
     }
     let parts: Vec<&str> = token.split('.').collect();
-    let [head, claims, _] = parts[..] else { return Err(Refusal::Malformed("three parts are expected")) };
+    let [head, claims, _] = parts[..] else {
+        return Err(Refusal::Malformed("three parts are expected"));
+    };
     let header = header(head)?;
-    let id = header.kid.filter(|k| !k.is_empty()).ok_or(Refusal::Malformed("it names no key"))?;
+    let id = header
+        .kid
+        .filter(|k| !k.is_empty())
+        .ok_or(Refusal::Malformed("it names no key"))?;
     if id.len() > crate::keys::KEY_ID_BYTES || id.chars().any(char::is_control) {
         return Err(Refusal::Malformed("its key id"));
     }
-    let Some(key) = keys.get(&id) else { return Err(Refusal::UnknownKey(id)) };
+    let Some(key) = keys.get(&id) else {
+        return Err(Refusal::UnknownKey(id));
+    };
     let named = match key.algorithm {
         Algorithm::EdDSA => "EdDSA",
         _ => "ES256",
@@ -155,14 +176,23 @@
     let claims = serde_json::from_slice(&bytes).map_err(|_| Refusal::Malformed("its claims"))?;
     // Times are checked below against the given clock; the library would read its own.
     let mut validation = Validation::new(key.algorithm);
-    (validation.validate_exp, validation.validate_nbf, validation.validate_aud) = (false, false, false);
+    (
+        validation.validate_exp,
+        validation.validate_nbf,
+        validation.validate_aud,
+    ) = (false, false, false);
     validation.required_spec_claims.clear();
     let verified = jsonwebtoken::decode::<serde_json::Value>(token, &key.verifies, &validation);
     verified.map_err(|_| Refusal::Signature)?;
     judge(claims, id, rules, now)
 }
 
-fn judge(claims: RawClaims, key_id: String, rules: &TokenRules, now: u64) -> Result<Caller, Refusal> {
+fn judge(
+    claims: RawClaims,
+    key_id: String,
+    rules: &TokenRules,
+    now: u64,
+) -> Result<Caller, Refusal> {
     let for_us = match &claims.aud {
         Audience::One(a) => *a == rules.audience,
         Audience::Many(list) => list.contains(&rules.audience),
@@ -186,7 +216,10 @@
     if now >= claims.exp.saturating_add(rules.skew_s) {
         return Err(Refusal::Expired);
     }
-    if claims.nbf.is_some_and(|nbf| nbf > now.saturating_add(rules.skew_s)) {
+    if claims
+        .nbf
+        .is_some_and(|nbf| nbf > now.saturating_add(rules.skew_s))
+    {
         return Err(Refusal::NotYet);
     }
     Ok(Caller {
--- a/crates/identity/tests/certificates.rs
+++ b/crates/identity/tests/certificates.rs
@@ -7,8 +7,8 @@
 use bitternlatch_identity::Proof;
 use proptest::prelude::*;
 use rcgen::{
-    BasicConstraints, CertificateParams, CertificateRevocationListParams, DnType, IsCa, Issuer, KeyIdMethod,
-    KeyPair, KeyUsagePurpose, RevokedCertParams, SanType, SerialNumber,
+    BasicConstraints, CertificateParams, CertificateRevocationListParams, DnType, IsCa, Issuer,
+    KeyIdMethod, KeyPair, KeyUsagePurpose, RevokedCertParams, SanType, SerialNumber,
 };
 use rustls::pki_types::UnixTime;
 use rustls::server::WebPkiClientVerifier;
@@ -29,8 +29,15 @@
         params.distinguished_name.push(DnType::CommonName, name);
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
-        let der = params.self_signed(&key).expect("a certificate").der().to_vec();
-        Ca { issuer: Issuer::new(params, key), der }
+        let der = params
+            .self_signed(&key)
+            .expect("a certificate")
+            .der()
+            .to_vec();
+        Ca {
+            issuer: Issuer::new(params, key),
+            der,
+        }
     }
 
     fn issue(&self, serial: u8, names: Vec<SanType>, unit: Option<&str>) -> Vec<u8> {
@@ -39,12 +46,18 @@
         params.subject_alt_names = names;
         params.distinguished_name = rcgen::DistinguishedName::new();
         if let Some(unit) = unit {
-            params.distinguished_name.push(DnType::OrganizationalUnitName, unit);
+            params
+                .distinguished_name
+                .push(DnType::OrganizationalUnitName, unit);
         }
         params.serial_number = Some(SerialNumber::from_slice(&[serial, 0, 7]));
         params.not_before = at(NOW - 100);
         params.not_after = at(NOW + 100);
-        params.signed_by(&key, &self.issuer).expect("a certificate").der().to_vec()
+        params
+            .signed_by(&key, &self.issuer)
+            .expect("a certificate")
+            .der()
+            .to_vec()
     }
 
     fn list(&self, serials: &[u8], made: u64) -> Vec<u8> {
@@ -62,7 +75,11 @@
             revoked_certs: serials.iter().map(one).collect(),
             key_identifier_method: KeyIdMethod::Sha256,
         };
-        params.signed_by(&self.issuer).expect("a list").der().to_vec()
+        params
+            .signed_by(&self.issuer)
+            .expect("a list")
+            .der()
+            .to_vec()
     }
 }
 
@@ -81,7 +98,14 @@
 #[test]
 fn a_certificate_names_one_caller_or_none() {
     let ca = Ca::new("ca");
-    let both = caller_of(&ca.issue(1, vec![dns("A.example.org"), uri("urn:c:ann")], Some("desk")), NOW);
+    let both = caller_of(
+        &ca.issue(
+            1,
+            vec![dns("A.example.org"), uri("urn:c:ann")],
+            Some("desk"),
+        ),
+        NOW,
+    );
     let both = both.expect("a caller");
     assert_eq!(
         (both.subject.as_str(), both.groups.as_slice()),
@@ -96,12 +120,18 @@
     );
     let code = |der: &[u8], now| caller_of(der, now).expect_err("no caller").code();
     assert_eq!(code(&ca.issue(1, vec![], None), NOW), "certificate_name");
-    assert_eq!(code(&ca.issue(1, vec![uri("urn:a"), uri("urn:b")], None), NOW), "certificate_name");
+    assert_eq!(
+        code(&ca.issue(1, vec![uri("urn:a"), uri("urn:b")], None), NOW),
+        "certificate_name"
+    );
     let good = ca.issue(1, vec![uri("urn:a")], None);
     assert_eq!(code(&good, NOW + 100), "certificate_expired");
     assert_eq!(code(&good, NOW - 101), "certificate_expired", "not yet");
     assert_eq!(code(&good[..good.len() - 1], NOW), "certificate_malformed");
-    assert_eq!(code(&[good.as_slice(), &[0]].concat(), NOW), "certificate_malformed");
+    assert_eq!(
+        code(&[good.as_slice(), &[0]].concat(), NOW),
+        "certificate_malformed"
+    );
     assert_eq!(code(&vec![0x30; 20_000], NOW), "certificate_malformed");
 }
 
@@ -110,24 +140,52 @@
     let (ca, other) = (Ca::new("ca"), Ca::new("other"));
     let impostor = Ca::new("ca");
     let trusted = [ca.der.clone(), other.der.clone()];
-    let id =
-        |ca: &Ca, serial| caller_of(&ca.issue(serial, vec![uri("urn:a")], None), NOW).expect("one").key_id;
+    let id = |ca: &Ca, serial| {
+        caller_of(&ca.issue(serial, vec![uri("urn:a")], None), NOW)
+            .expect("one")
+            .key_id
+    };
     let none = Revocations::default();
-    let first = none.with(&[ca.list(&[1], NOW), other.list(&[2], NOW)], &trusted, NOW).expect("counts");
+    let first = none
+        .with(&[ca.list(&[1], NOW), other.list(&[2], NOW)], &trusted, NOW)
+        .expect("counts");
     assert!(first.revoked(&id(&ca, 1)) && first.revoked(&id(&other, 2)));
-    assert!(!first.revoked(&id(&ca, 2)) && !first.revoked(&id(&other, 1)), "each issuer's own serials");
+    assert!(
+        !first.revoked(&id(&ca, 2)) && !first.revoked(&id(&other, 1)),
+        "each issuer's own serials"
+    );
 
-    let second = first.with(&[ca.list(&[1, 3], NOW + 1)], &trusted, NOW + 1).expect("counts");
+    let second = first
+        .with(&[ca.list(&[1, 3], NOW + 1)], &trusted, NOW + 1)
+        .expect("counts");
     assert_eq!(second.since(&first), [id(&ca, 3)]);
-    assert!(second.revoked(&id(&other, 2)), "a list that is missing frees nobody");
-    let fault = |lists: &[Vec<u8>], now| second.with(lists, &trusted, now).expect_err("refused").to_string();
-    assert!(fault(&[ca.list(&[], NOW)], NOW + 2).contains("before the one in force"), "an old one replayed");
+    assert!(
+        second.revoked(&id(&other, 2)),
+        "a list that is missing frees nobody"
+    );
+    let fault = |lists: &[Vec<u8>], now| {
+        second
+            .with(lists, &trusted, now)
+            .expect_err("refused")
+            .to_string()
+    };
+    assert!(
+        fault(&[ca.list(&[], NOW)], NOW + 2).contains("before the one in force"),
+        "an old one replayed"
+    );
     assert!(fault(&[impostor.list(&[], NOW + 2)], NOW + 2).contains("none of the authorities"));
     assert!(fault(&[ca.list(&[], NOW + 900)], NOW + 2).contains("has not come"));
-    assert!(fault(&[ca.list(&[], NOW + 2), ca.list(&[9], NOW + 2)], NOW + 2).contains("two of one issuer"));
+    assert!(
+        fault(&[ca.list(&[], NOW + 2), ca.list(&[9], NOW + 2)], NOW + 2)
+            .contains("two of one issuer")
+    );
     let good = ca.list(&[4], NOW + 2);
     assert!(fault(&[good[..good.len() - 1].to_vec()], NOW + 2).contains("cannot be read"));
-    assert_eq!((second.overdue(NOW + 10), second.overdue(NOW + 52)), (0, 2), "late, and still counted");
+    assert_eq!(
+        (second.overdue(NOW + 10), second.overdue(NOW + 52)),
+        (0, 2),
+        "late, and still counted"
+    );
 }
 
 /// Cases of the property run; more by hand with `PROPTEST_CASES`.
@@ -137,11 +195,24 @@
 fn damaged_certificates_and_lists_neither_panic_nor_count() {
     let ca = Ca::new("ca");
     let trusted = [ca.der.clone()];
-    let good = ca.issue(1, vec![uri("urn:c:ann"), dns("a.example.org")], Some("desk"));
+    let good = ca.issue(
+        1,
+        vec![uri("urn:c:ann"), dns("a.example.org")],
+        Some("desk"),
+    );
     let list = ca.list(&[1, 2], NOW);
-    let known = Revocations::default().with(std::slice::from_ref(&list), &trusted, NOW).expect("counts");
-    let cases = std::env::var("PROPTEST_CASES").ok().and_then(|c| c.parse().ok()).unwrap_or(CASES);
-    let config = ProptestConfig { cases, failure_persistence: None, ..ProptestConfig::default() };
+    let known = Revocations::default()
+        .with(std::slice::from_ref(&list), &trusted, NOW)
+        .expect("counts");
+    let cases = std::env::var("PROPTEST_CASES")
+        .ok()
+        .and_then(|c| c.parse().ok())
+        .unwrap_or(CASES);
+    let config = ProptestConfig {
+        cases,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    };
     let mut runner = proptest::test_runner::TestRunner::new(config);
     let edits = prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0..3u8), 1..4);
     let read = std::cell::Cell::new(0u32);
@@ -152,7 +223,11 @@
     let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider).build();
     let verifier = verifier.expect("a verifier");
     let at_now = UnixTime::since_unix_epoch(Duration::from_secs(NOW));
-    let proven = |der: &[u8]| verifier.verify_client_cert(&der.to_vec().into(), &[], at_now).is_ok();
+    let proven = |der: &[u8]| {
+        verifier
+            .verify_client_cert(&der.to_vec().into(), &[], at_now)
+            .is_ok()
+    };
     assert!(proven(&good));
     runner
         .run(&(edits, any::<bool>()), |(edits, of_list)| {
@@ -168,7 +243,10 @@
             }
             if of_list {
                 let taken = known.with(std::slice::from_ref(&bytes), &trusted, NOW);
-                prop_assert!(taken.as_ref().is_err() || taken == Ok(known.clone()), "a damaged list counts");
+                prop_assert!(
+                    taken.as_ref().is_err() || taken == Ok(known.clone()),
+                    "a damaged list counts"
+                );
                 return Ok(());
             }
             if let Ok(caller) = caller_of(&bytes, NOW) {
@@ -179,5 +257,9 @@
             Ok(())
         })
         .expect("no case fails");
-    assert!(read.get() > 10, "some damaged ones can be read: {}", read.get());
+    assert!(
+        read.get() > 10,
+        "some damaged ones can be read: {}",
+        read.get()
+    );
 }
--- a/crates/identity/tests/tokens.rs
+++ b/crates/identity/tests/tokens.rs
@@ -27,14 +27,21 @@
 impl Signer {
     fn ed(id: &'static str) -> Signer {
         let made = Ed25519KeyPair::generate_pkcs8(&SystemRandom::new()).expect("a key");
-        Signer { id, pair: Pair::Ed(Ed25519KeyPair::from_pkcs8(made.as_ref()).expect("a key")) }
+        Signer {
+            id,
+            pair: Pair::Ed(Ed25519KeyPair::from_pkcs8(made.as_ref()).expect("a key")),
+        }
     }
 
     fn es(id: &'static str) -> Signer {
         let rng = SystemRandom::new();
-        let made = EcdsaKeyPair::generate_pkcs8(&ECDSA_P256_SHA256_FIXED_SIGNING, &rng).expect("a key");
+        let made =
+            EcdsaKeyPair::generate_pkcs8(&ECDSA_P256_SHA256_FIXED_SIGNING, &rng).expect("a key");
         let pair = EcdsaKeyPair::from_pkcs8(&ECDSA_P256_SHA256_FIXED_SIGNING, made.as_ref(), &rng);
-        Signer { id, pair: Pair::Es(pair.expect("a key")) }
+        Signer {
+            id,
+            pair: Pair::Es(pair.expect("a key")),
+        }
     }
 
     fn alg(&self) -> &'static str {
@@ -46,7 +53,9 @@
 
     fn public(&self, more: Value) -> Value {
         let mut value = match &self.pair {
-            Pair::Ed(p) => json!({ "kty": "OKP", "crv": "Ed25519", "x": B64.encode(p.public_key()) }),
+            Pair::Ed(p) => {
+                json!({ "kty": "OKP", "crv": "Ed25519", "x": B64.encode(p.public_key()) })
+            }
             Pair::Es(p) => {
                 let point = p.public_key().as_ref();
                 let (x, y) = point[1..].split_at(32);
@@ -70,9 +79,11 @@
         let message = format!("{}.{}", B64.encode(header), B64.encode(claims));
         let signature = match &self.pair {
             Pair::Ed(p) => p.sign(message.as_bytes()).as_ref().to_vec(),
-            Pair::Es(p) => {
-                p.sign(&SystemRandom::new(), message.as_bytes()).expect("signed").as_ref().to_vec()
-            }
+            Pair::Es(p) => p
+                .sign(&SystemRandom::new(), message.as_bytes())
+                .expect("signed")
+                .as_ref()
+                .to_vec(),
         };
         format!("{message}.{}", B64.encode(signature))
     }
@@ -83,7 +94,11 @@
 }
 
 fn rules() -> TokenRules {
-    TokenRules { issuer: "https://issuer".into(), audience: "bitternlatch".into(), skew_s: 30 }
+    TokenRules {
+        issuer: "https://issuer".into(),
+        audience: "bitternlatch".into(),
+        skew_s: 30,
+    }
 }
 
 fn claims() -> Value {
@@ -107,22 +122,39 @@
 fn a_table_of_tokens_and_what_becomes_of_each() {
     for signer in [Signer::ed("k1"), Signer::es("k1")] {
         let keys = set(&[signer.public(json!({}))]);
-        let says = |token: &str| check(token, &keys, &rules(), NOW).map(|c| c.subject).map_err(|r| r.code());
+        let says = |token: &str| {
+            check(token, &keys, &rules(), NOW)
+                .map(|c| c.subject)
+                .map_err(|r| r.code())
+        };
         let good = Ok("secretary".to_string());
         let signed = |c: Value| says(&signer.sign(&c));
         assert_eq!(signed(claims()), good);
         assert_eq!(signed(with("aud", json!(["other", "bitternlatch"]))), good);
         assert_eq!(signed(with("aud", json!("other"))), Err("token_audience"));
-        assert_eq!(signed(with("iss", json!("https://else"))), Err("token_issuer"));
-        assert_eq!(signed(with("exp", json!(NOW - 29))), good, "within the clocks' difference");
+        assert_eq!(
+            signed(with("iss", json!("https://else"))),
+            Err("token_issuer")
+        );
+        assert_eq!(
+            signed(with("exp", json!(NOW - 29))),
+            good,
+            "within the clocks' difference"
+        );
         assert_eq!(signed(with("exp", json!(NOW - 30))), Err("token_expired"));
         assert_eq!(signed(with("nbf", json!(NOW + 30))), good);
         assert_eq!(signed(with("nbf", json!(NOW + 31))), Err("token_not_yet"));
         assert_eq!(signed(with("exp", json!(-1))), Err("token_malformed"));
         assert_eq!(signed(with("exp", json!(u64::MAX))), good);
         assert_eq!(signed(with("sub", json!(""))), Err("token_malformed"));
-        assert_eq!(signed(with("sub", json!("line\nbreak"))), Err("token_malformed"));
-        assert_eq!(signed(with("groups", json!(vec!["g"; 65]))), Err("token_malformed"));
+        assert_eq!(
+            signed(with("sub", json!("line\nbreak"))),
+            Err("token_malformed")
+        );
+        assert_eq!(
+            signed(with("groups", json!(vec!["g"; 65]))),
+            Err("token_malformed")
+        );
         for name in ["iss", "aud", "exp", "sub"] {
             assert_eq!(signed(without(name)), Err("token_malformed"), "{name}");
         }
@@ -132,35 +164,84 @@
         let twice = text.replacen('{', "{\"sub\":\"director\",", 1);
         let head = |more: &str| format!("{{\"alg\":\"{alg}\",\"kid\":\"k1\"{more}}}");
         assert_eq!(raw(head(""), &text), good);
-        assert_eq!(raw(head(""), &twice), Err("token_malformed"), "a doubled claim");
-        assert_eq!(raw(head(",\"kid\":\"k1\""), &text), Err("token_malformed"), "a doubled header member");
-        assert_eq!(raw(head(",\"crit\":[\"exp\"]"), &text), Err("token_malformed"));
-        assert_eq!(raw(head(",\"jku\":\"http://127.0.0.1/\""), &text), Err("token_malformed"));
-        assert_eq!(raw(head(",\"typ\":\"secevent+jwt\""), &text), Err("token_malformed"));
-        assert_eq!(raw(format!("{{\"alg\":\"{alg}\"}}"), &text), Err("token_malformed"), "no key named");
-        assert_eq!(raw(format!("{{\"alg\":\"{alg}\",\"kid\":\"k2\"}}"), &text), Err("token_key_unknown"));
+        assert_eq!(
+            raw(head(""), &twice),
+            Err("token_malformed"),
+            "a doubled claim"
+        );
+        assert_eq!(
+            raw(head(",\"kid\":\"k1\""), &text),
+            Err("token_malformed"),
+            "a doubled header member"
+        );
+        assert_eq!(
+            raw(head(",\"crit\":[\"exp\"]"), &text),
+            Err("token_malformed")
+        );
+        assert_eq!(
+            raw(head(",\"jku\":\"http://127.0.0.1/\""), &text),
+            Err("token_malformed")
+        );
+        assert_eq!(
+            raw(head(",\"typ\":\"secevent+jwt\""), &text),
+            Err("token_malformed")
+        );
+        assert_eq!(
+            raw(format!("{{\"alg\":\"{alg}\"}}"), &text),
+            Err("token_malformed"),
+            "no key named"
+        );
+        assert_eq!(
+            raw(format!("{{\"alg\":\"{alg}\",\"kid\":\"k2\"}}"), &text),
+            Err("token_key_unknown")
+        );
         for alg in ["none", "None", "HS256", "RS256", "ES384", ""] {
             let header = format!("{{\"alg\":\"{alg}\",\"kid\":\"k1\"}}");
             assert_eq!(raw(header, &text), Err("token_algorithm"), "{alg}");
         }
-        let message = format!("{}.{}", B64.encode("{\"alg\":\"none\",\"kid\":\"k1\"}"), B64.encode(&text));
-        assert_eq!(says(&format!("{message}.")), Err("token_algorithm"), "alg none, unsigned");
+        let message = format!(
+            "{}.{}",
+            B64.encode("{\"alg\":\"none\",\"kid\":\"k1\"}"),
+            B64.encode(&text)
+        );
+        assert_eq!(
+            says(&format!("{message}.")),
+            Err("token_algorithm"),
+            "alg none, unsigned"
+        );
         // The public key taken as the secret of an HMAC.
         let public = signer.public(json!({})).to_string();
         let secret = EncodingKey::from_secret(public.as_bytes()).expect("a secret");
-        let header = Header { kid: Some("k1".into()), ..Header::new(Algorithm::HS256) };
+        let header = Header {
+            kid: Some("k1".into()),
+            ..Header::new(Algorithm::HS256)
+        };
         let hmac = jsonwebtoken::encode(&header, &claims(), &secret).expect("a token");
         assert_eq!(says(&hmac), Err("token_algorithm"));
         let token = signer.sign(&claims());
         let (body, signature) = token.rsplit_once('.').expect("a signature");
         let other = Signer::ed("k1").sign(&claims());
         assert_eq!(
-            says(&format!("{body}.{}", other.rsplit('.').next().expect("one"))),
+            says(&format!(
+                "{body}.{}",
+                other.rsplit('.').next().expect("one")
+            )),
+            Err("token_signature")
+        );
+        assert_eq!(
+            says(&format!("{body}.{}", &signature[1..])),
             Err("token_signature")
         );
-        assert_eq!(says(&format!("{body}.{}", &signature[1..])), Err("token_signature"));
         assert_eq!(says(&format!("{body}.")), Err("token_signature"));
-        for broken in ["", ".", "..", "a.b.c", "a.b.c.d", &format!("{token}.x"), &format!(" {token}")] {
+        for broken in [
+            "",
+            ".",
+            "..",
+            "a.b.c",
+            "a.b.c.d",
+            &format!("{token}.x"),
+            &format!(" {token}"),
+        ] {
             assert_eq!(says(broken), Err("token_malformed"), "{broken}");
         }
         assert_eq!(says(&"a".repeat(TOKEN_BYTES + 1)), Err("token_too_long"));
@@ -172,36 +253,70 @@
 fn the_old_key_counts_through_the_overlap_and_not_after() {
     let (old, new) = (Signer::ed("old"), Signer::ed("new"));
     let change = NOW + 100;
-    let keys = set(&[old.public(json!({ "exp": change + 60 })), new.public(json!({ "nbf": change }))]);
-    let rules = TokenRules { skew_s: 0, ..rules() };
+    let keys = set(&[
+        old.public(json!({ "exp": change + 60 })),
+        new.public(json!({ "nbf": change })),
+    ]);
+    let rules = TokenRules {
+        skew_s: 0,
+        ..rules()
+    };
     let at = |signer: &Signer, t: u64| {
         let mut claims = claims();
         claims["exp"] = (t + 10).into();
-        check(&signer.sign(&claims), &keys, &rules, t).map(|c| c.key_id).map_err(|r| r.code())
+        check(&signer.sign(&claims), &keys, &rules, t)
+            .map(|c| c.key_id)
+            .map_err(|r| r.code())
     };
     assert_eq!(at(&old, change - 1), Ok("old".into()));
-    assert_eq!(at(&new, change - 1), Err("token_key_withdrawn"), "announced, not yet counting");
-    assert_eq!(at(&old, change + 1), Ok("old".into()), "a second after the change");
+    assert_eq!(
+        at(&new, change - 1),
+        Err("token_key_withdrawn"),
+        "announced, not yet counting"
+    );
+    assert_eq!(
+        at(&old, change + 1),
+        Ok("old".into()),
+        "a second after the change"
+    );
     assert_eq!(at(&new, change + 1), Ok("new".into()));
     assert_eq!(at(&old, change + 60), Err("token_key_withdrawn"));
     let states = |t| [keys.state("old", t), keys.state("new", t)].map(|s| s.expect("in the set"));
     assert_eq!(states(change - 1), [KeyState::Signing, KeyState::Announced]);
     assert_eq!(states(change), [KeyState::Accepted, KeyState::Signing]);
-    assert_eq!(states(change + 60), [KeyState::Withdrawn, KeyState::Signing]);
-    let revoked = set(&[old.public(json!({ "revoked": { "revoked_at": NOW } })), new.public(json!({}))]);
+    assert_eq!(
+        states(change + 60),
+        [KeyState::Withdrawn, KeyState::Signing]
+    );
+    let revoked = set(&[
+        old.public(json!({ "revoked": { "revoked_at": NOW } })),
+        new.public(json!({})),
+    ]);
     let token = old.sign(&claims());
-    assert_eq!(check(&token, &revoked, &rules, NOW).map_err(|r| r.code()).err(), Some("token_key_withdrawn"));
+    assert_eq!(
+        check(&token, &revoked, &rules, NOW)
+            .map_err(|r| r.code())
+            .err(),
+        Some("token_key_withdrawn")
+    );
 }
 
 #[test]
 fn key_sets_that_are_wrong_are_refused_whole() {
     let (one, two) = (Signer::ed("k"), Signer::es("k"));
-    let fault = |document: String| KeySet::parse(document.as_bytes()).expect_err(&document).to_string();
+    let fault = |document: String| {
+        KeySet::parse(document.as_bytes())
+            .expect_err(&document)
+            .to_string()
+    };
     let document = |keys: &[Value]| json!({ "keys": keys }).to_string();
     let twice = document(&[one.public(json!({})), two.public(json!({}))]);
     assert!(fault(twice).contains("two keys have the id 'k'"));
     assert!(fault(document(&[one.public(json!({ "d": "AA" }))])).contains("private"));
-    assert!(fault(document(&[one.public(json!({ "nbf": 9, "exp": 9 }))])).contains("ends before it begins"));
+    assert!(
+        fault(document(&[one.public(json!({ "nbf": 9, "exp": 9 }))]))
+            .contains("ends before it begins")
+    );
     assert!(fault(document(&[one.public(json!({ "kid": "" }))])).contains("no id"));
     assert!(fault(document(&[])).contains("no Ed25519"));
     assert!(fault(document(&vec![one.public(json!({})); 33])).contains("33 keys"));
@@ -209,8 +324,16 @@
     assert!(fault("<html>".into()).contains("key set"));
     assert!(fault(" ".repeat(70_000)).contains("70000 bytes"));
     let oct = json!({ "kty": "oct", "kid": "h", "k": "AA" });
-    let mixed = set(&[oct, one.public(json!({ "use": "enc", "kid": "e" })), two.public(json!({}))]);
-    assert_eq!(mixed.ids().collect::<Vec<_>>(), ["k"], "kinds not used here are passed over");
+    let mixed = set(&[
+        oct,
+        one.public(json!({ "use": "enc", "kid": "e" })),
+        two.public(json!({})),
+    ]);
+    assert_eq!(
+        mixed.ids().collect::<Vec<_>>(),
+        ["k"],
+        "kinds not used here are passed over"
+    );
 }
 
 /// The library's own strict check with the key of the set, its time checks against the machine's clock left out.
@@ -235,12 +358,31 @@
     let keys = set(&publics);
     let jwk = |v: &Value| serde_json::from_value::<Jwk>(v.clone()).expect("a key");
     let library = [
-        ("ed", Algorithm::EdDSA, DecodingKey::from_jwk(&jwk(&publics[0])).expect("a key")),
-        ("es", Algorithm::ES256, DecodingKey::from_jwk(&jwk(&publics[1])).expect("a key")),
+        (
+            "ed",
+            Algorithm::EdDSA,
+            DecodingKey::from_jwk(&jwk(&publics[0])).expect("a key"),
+        ),
+        (
+            "es",
+            Algorithm::ES256,
+            DecodingKey::from_jwk(&jwk(&publics[1])).expect("a key"),
+        ),
     ];
-    let seeds = [ed.sign(&claims()), es.sign(&claims()), ed.sign(&with("aud", json!("other")))];
-    let cases = std::env::var("PROPTEST_CASES").ok().and_then(|c| c.parse().ok()).unwrap_or(CASES);
-    let config = ProptestConfig { cases, failure_persistence: None, ..ProptestConfig::default() };
+    let seeds = [
+        ed.sign(&claims()),
+        es.sign(&claims()),
+        ed.sign(&with("aud", json!("other"))),
+    ];
+    let cases = std::env::var("PROPTEST_CASES")
+        .ok()
+        .and_then(|c| c.parse().ok())
+        .unwrap_or(CASES);
+    let config = ProptestConfig {
+        cases,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    };
     let edits = prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0..4u8), 0..4);
     let (mut accepted, mut refused) = (0u64, 0u64);
     let mut runner = proptest::test_runner::TestRunner::new(config);
@@ -248,7 +390,9 @@
     let counts = std::cell::RefCell::new((&mut accepted, &mut refused));
     runner
         .run(&strategy, |(which, edits, noise)| {
-            let mut bytes = seeds.get(which).map_or(noise.into_bytes(), |s| s.clone().into_bytes());
+            let mut bytes = seeds
+                .get(which)
+                .map_or(noise.into_bytes(), |s| s.clone().into_bytes());
             for (at, value, kind) in edits {
                 if bytes.is_empty() {
                     break;
@@ -276,5 +420,8 @@
             Ok(())
         })
         .expect("no case fails");
-    assert!(accepted > 50 && refused > 50, "{accepted} accepted, {refused} refused");
+    assert!(
+        accepted > 50 && refused > 50,
+        "{accepted} accepted, {refused} refused"
+    );
 }
--- a/crates/inventory/src/ansible.rs
+++ b/crates/inventory/src/ansible.rs
@@ -61,7 +61,15 @@
     let fault = |e: serde_saphyr::Error| {
         let line = e.location().map_or(0, |l| l.line());
         let whole = e.to_string();
-        (line, whole.lines().next().unwrap_or("broken YAML").trim().to_string())
+        (
+            line,
+            whole
+                .lines()
+                .next()
+                .unwrap_or("broken YAML")
+                .trim()
+                .to_string(),
+        )
     };
     let top: BTreeMap<String, Option<Group>> = serde_saphyr::from_str(text).map_err(fault)?;
     let mut hosts: BTreeMap<String, Gathered> = BTreeMap::new();
@@ -75,7 +83,11 @@
         layers.sort_by(|a, b| (a.0, &a.1).cmp(&(b.0, &b.1)));
         let all = layers.into_iter().map(|l| l.2).chain([found.own]).flatten();
         let words = all.filter_map(|(k, v)| v.word().map(|w| (k, w))).collect();
-        RawHost { name, line: found.line, words }
+        RawHost {
+            name,
+            line: found.line,
+            words,
+        }
     });
     Ok(raw.collect())
 }
@@ -89,7 +101,10 @@
 ) -> Result<(), (u64, String)> {
     static NONE: Vars = Vars::new();
     if above.len() >= DEPTH_MOST {
-        return Err((line_of(text, name), format!("group '{name}' lies deeper than {DEPTH_MOST} groups")));
+        return Err((
+            line_of(text, name),
+            format!("group '{name}' lies deeper than {DEPTH_MOST} groups"),
+        ));
     }
     above.push((name, group.vars.as_ref().unwrap_or(&NONE)));
     for (pattern, own) in group.hosts.iter().flatten() {
@@ -99,9 +114,13 @@
             let found = hosts.entry(host).or_default();
             found.line = line;
             for (depth, (group, vars)) in above.iter().enumerate() {
-                found.layers.push((depth, group.to_string(), (*vars).clone()));
+                found
+                    .layers
+                    .push((depth, group.to_string(), (*vars).clone()));
             }
-            found.own.extend(own.iter().flatten().map(|(k, v)| (k.clone(), v.clone())));
+            found
+                .own
+                .extend(own.iter().flatten().map(|(k, v)| (k.clone(), v.clone())));
         }
     }
     for (child, inner) in group.children.iter().flatten() {
@@ -117,7 +136,8 @@
 fn line_of(text: &str, key: &str) -> u64 {
     let stands = |line: &str| {
         let line = line.trim_start().trim_start_matches(['"', '\'']);
-        line.strip_prefix(key).is_some_and(|rest| rest.trim_start_matches(['"', '\'']).starts_with(':'))
+        line.strip_prefix(key)
+            .is_some_and(|rest| rest.trim_start_matches(['"', '\'']).starts_with(':'))
     };
     text.lines().position(stands).map_or(0, |i| i as u64 + 1)
 }
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -126,14 +126,21 @@
 /// The first fault found: broken syntax, a field that is missing or has a value outside its bounds, a name given
 /// twice, or a list without any host. A list is taken whole or not at all.
 pub fn parse(file: &str, text: &str) -> Result<HostSet, ListError> {
-    let at = |line, cause: String| ListError { file: file.to_string(), line, cause };
+    let at = |line, cause: String| ListError {
+        file: file.to_string(),
+        line,
+        cause,
+    };
     let raw = match Form::of(file, text) {
         Form::Csv => table::read(text),
         Form::Yaml => ansible::read(text),
     };
     let raw = raw.map_err(|(line, cause)| at(line, cause))?;
     if raw.len() > HOSTS_MOST {
-        return Err(at(0, format!("{} hosts, more than {HOSTS_MOST}", raw.len())));
+        return Err(at(
+            0,
+            format!("{} hosts, more than {HOSTS_MOST}", raw.len()),
+        ));
     }
     let mut hosts = HostSet::new();
     let mut ids: BTreeMap<u32, String> = BTreeMap::new();
@@ -141,27 +148,43 @@
         let line = one.line;
         let host = host(one).map_err(|cause| at(line, cause))?;
         if let Some(other) = ids.insert(host.id(), host.name.clone()) {
-            let why = if other == host.name { "is listed twice" } else { "shares its id with another name" };
-            return Err(at(line, format!("host '{}' {why} ('{other}'); rename one", host.name)));
+            let why = if other == host.name {
+                "is listed twice"
+            } else {
+                "shares its id with another name"
+            };
+            return Err(at(
+                line,
+                format!("host '{}' {why} ('{other}'); rename one", host.name),
+            ));
         }
         hosts.insert(host.name.clone(), host);
     }
     match hosts.is_empty() {
-        true => Err(at(0, "names no host; an empty list is not taken".to_string())),
+        true => Err(at(
+            0,
+            "names no host; an empty list is not taken".to_string(),
+        )),
         false => Ok(hosts),
     }
 }
 
 /// Names that tools use for one field; the first that is given counts.
 fn word<'a>(raw: &'a RawHost, names: &[&str]) -> Option<&'a str> {
-    names.iter().find_map(|n| raw.words.get(*n)).map(|v| v.trim()).filter(|v| !v.is_empty())
+    names
+        .iter()
+        .find_map(|n| raw.words.get(*n))
+        .map(|v| v.trim())
+        .filter(|v| !v.is_empty())
 }
 
 fn host(raw: RawHost) -> Result<Host, String> {
     let name = raw.name.trim().to_string();
     let printable = |c: char| !c.is_control() && !c.is_whitespace();
     if name.is_empty() || name.len() > 255 || !name.chars().all(printable) {
-        return Err(format!("'{name}' is no host name: 1 to 255 characters without spaces are expected"));
+        return Err(format!(
+            "'{name}' is no host name: 1 to 255 characters without spaces are expected"
+        ));
     }
     let need = |names: &[&str]| {
         let missing = || format!("host '{name}' has no {}", names[0]);
@@ -170,25 +193,43 @@
     let port = need(&["port", "ansible_port"])?;
     let port = match port.parse::<u16>() {
         Ok(p) if p > 0 => p,
-        _ => return Err(format!("host '{name}': port '{port}' is not between 1 and 65535")),
+        _ => {
+            return Err(format!(
+                "host '{name}': port '{port}' is not between 1 and 65535"
+            ))
+        }
     };
     let weight = match word(&raw, &["weight"]).map(|w| (w, w.parse::<f64>())) {
         None => 1.0,
         Some((_, Ok(w))) if w > 0.0 && w <= 1000.0 => w,
-        Some((w, _)) => return Err(format!("host '{name}': weight '{w}' is not above 0 and up to 1000")),
+        Some((w, _)) => {
+            return Err(format!(
+                "host '{name}': weight '{w}' is not above 0 and up to 1000"
+            ))
+        }
     };
     let state = match word(&raw, &["state"]).unwrap_or("ready") {
         "ready" => HostState::Ready,
         "draining" => HostState::Draining,
         "gone" => HostState::Gone,
-        other => return Err(format!("host '{name}': state '{other}' is none of ready, draining, gone")),
+        other => {
+            return Err(format!(
+                "host '{name}': state '{other}' is none of ready, draining, gone"
+            ))
+        }
     };
     Ok(Host {
-        address: word(&raw, &["address", "ansible_host"]).unwrap_or(&name).to_string(),
+        address: word(&raw, &["address", "ansible_host"])
+            .unwrap_or(&name)
+            .to_string(),
         port,
         kind: need(&["kind"])?,
-        cell: word(&raw, &["cell", "rack"]).unwrap_or("default").to_string(),
-        zone: word(&raw, &["zone", "site"]).unwrap_or("default").to_string(),
+        cell: word(&raw, &["cell", "rack"])
+            .unwrap_or("default")
+            .to_string(),
+        zone: word(&raw, &["zone", "site"])
+            .unwrap_or("default")
+            .to_string(),
         weight,
         state,
         name,
--- a/crates/inventory/src/ranges.rs
+++ b/crates/inventory/src/ranges.rs
@@ -5,34 +5,59 @@
 /// # Errors
 /// A range that is not closed, runs backwards, mixes letters with digits, or gives more than `most` names.
 pub fn expand(pattern: &str, most: usize) -> Result<Vec<String>, String> {
-    let Some(open) = pattern.find('[') else { return Ok(vec![pattern.to_string()]) };
+    let Some(open) = pattern.find('[') else {
+        return Ok(vec![pattern.to_string()]);
+    };
     let wrong = |why: &str| format!("host range '{pattern}' {why}");
-    let close = pattern[open..].find(']').map(|i| i + open).ok_or_else(|| wrong("has no closing ']'"))?;
+    let close = pattern[open..]
+        .find(']')
+        .map(|i| i + open)
+        .ok_or_else(|| wrong("has no closing ']'"))?;
     let (head, tail) = (&pattern[..open], &pattern[close + 1..]);
     let parts: Vec<&str> = pattern[open + 1..close].split(':').collect();
     let (from, to, step) = match parts.as_slice() {
         [from, to] => (*from, *to, 1),
         [from, to, step] => {
             let step = step.parse::<u64>().ok().filter(|s| *s > 0);
-            (*from, *to, step.ok_or_else(|| wrong("has a step that is no whole number above 0"))?)
+            (
+                *from,
+                *to,
+                step.ok_or_else(|| wrong("has a step that is no whole number above 0"))?,
+            )
         }
         _ => return Err(wrong("is not of the form [from:to] or [from:to:step]")),
     };
     let middles = steps(from, to, step, most).map_err(|why| wrong(&why))?;
     let rest = expand(tail, most)?;
     if middles.len().saturating_mul(rest.len()) > most {
-        return Err(wrong(&format!("gives more names than the {most} that a list may still hold")));
+        return Err(wrong(&format!(
+            "gives more names than the {most} that a list may still hold"
+        )));
     }
-    Ok(middles.iter().flat_map(|m| rest.iter().map(move |r| format!("{head}{m}{r}"))).collect())
+    Ok(middles
+        .iter()
+        .flat_map(|m| rest.iter().map(move |r| format!("{head}{m}{r}")))
+        .collect())
 }
 
 fn steps(from: &str, to: &str, step: u64, most: usize) -> Result<Vec<String>, String> {
-    let letter = |s: &str| s.chars().next().filter(|c| s.len() == 1 && c.is_ascii_alphabetic());
+    let letter = |s: &str| {
+        s.chars()
+            .next()
+            .filter(|c| s.len() == 1 && c.is_ascii_alphabetic())
+    };
     if let (Some(a), Some(b)) = (letter(from), letter(to)) {
         let letters: Vec<String> = (a..=b).step_by(step as usize).map(String::from).collect();
-        return if letters.is_empty() { Err("runs backwards".into()) } else { Ok(letters) };
+        return if letters.is_empty() {
+            Err("runs backwards".into())
+        } else {
+            Ok(letters)
+        };
     }
-    let number = |s: &str| s.parse::<u64>().map_err(|_| format!("has '{s}' where a number is expected"));
+    let number = |s: &str| {
+        s.parse::<u64>()
+            .map_err(|_| format!("has '{s}' where a number is expected"))
+    };
     let (a, b) = (number(from)?, number(to)?);
     let padded = from.starts_with('0') && from.len() > 1;
     if padded && from.len() != to.len() {
@@ -42,8 +67,13 @@
         return Err("runs backwards".into());
     }
     if (b - a) / step >= most as u64 {
-        return Err(format!("gives more names than the {most} that a list may still hold"));
+        return Err(format!(
+            "gives more names than the {most} that a list may still hold"
+        ));
     }
     let width = if padded { from.len() } else { 0 };
-    Ok((a..=b).step_by(step as usize).map(|n| format!("{n:0width$}")).collect())
+    Ok((a..=b)
+        .step_by(step as usize)
+        .map(|n| format!("{n:0width$}"))
+        .collect())
 }
--- a/crates/inventory/src/table.rs
+++ b/crates/inventory/src/table.rs
@@ -3,11 +3,19 @@
 use crate::RawHost;
 
 pub(crate) fn read(text: &str) -> Result<Vec<RawHost>, (u64, String)> {
-    let mut reader = csv::ReaderBuilder::new().comment(Some(b'#')).from_reader(text.as_bytes());
+    let mut reader = csv::ReaderBuilder::new()
+        .comment(Some(b'#'))
+        .from_reader(text.as_bytes());
     let headers = reader.headers().map_err(fault)?.clone();
-    let headers: Vec<String> = headers.iter().map(|h| h.trim().to_ascii_lowercase()).collect();
+    let headers: Vec<String> = headers
+        .iter()
+        .map(|h| h.trim().to_ascii_lowercase())
+        .collect();
     let Some(name_at) = headers.iter().position(|h| h == "name" || h == "host") else {
-        return Err((1, "the header row has no column 'name' or 'host'".to_string()));
+        return Err((
+            1,
+            "the header row has no column 'name' or 'host'".to_string(),
+        ));
     };
     for (i, header) in headers.iter().enumerate() {
         if headers[..i].contains(header) && !header.is_empty() {
@@ -18,8 +26,16 @@
     for record in reader.records() {
         let record = record.map_err(fault)?;
         let line = record.position().map_or(0, |p| p.line());
-        let words = headers.iter().cloned().zip(record.iter().map(str::to_string)).collect();
-        hosts.push(RawHost { name: record.get(name_at).unwrap_or("").to_string(), line, words });
+        let words = headers
+            .iter()
+            .cloned()
+            .zip(record.iter().map(str::to_string))
+            .collect();
+        hosts.push(RawHost {
+            name: record.get(name_at).unwrap_or("").to_string(),
+            line,
+            words,
+        });
     }
     Ok(hosts)
 }
@@ -27,7 +43,9 @@
 fn fault(e: csv::Error) -> (u64, String) {
     let line = e.position().map_or(0, |p| p.line());
     let cause = match e.kind() {
-        csv::ErrorKind::UnequalLengths { expected_len, len, .. } => {
+        csv::ErrorKind::UnequalLengths {
+            expected_len, len, ..
+        } => {
             format!("this row has {len} fields, the header {expected_len}")
         }
         csv::ErrorKind::Utf8 { .. } => "this row is not UTF-8".to_string(),
--- a/crates/inventory/tests/lists.rs
+++ b/crates/inventory/tests/lists.rs
@@ -25,10 +25,16 @@
 
 #[test]
 fn both_forms_give_the_same_hosts() {
-    let (csv, yaml) = (parse("h.csv", CSV).expect("CSV"), parse("h.yml", YAML).expect("YAML"));
+    let (csv, yaml) = (
+        parse("h.csv", CSV).expect("CSV"),
+        parse("h.yml", YAML).expect("YAML"),
+    );
     assert_eq!(csv, yaml);
     let eight = &csv["box-8.example.org"];
-    assert_eq!((eight.cell.as_str(), eight.weight, eight.state), ("b", 2.0, HostState::Draining));
+    assert_eq!(
+        (eight.cell.as_str(), eight.weight, eight.state),
+        ("b", 2.0, HostState::Draining)
+    );
     assert_eq!(csv["box-7.example.org"].endpoint(), "127.0.0.1:9001");
 }
 
@@ -37,14 +43,20 @@
     assert_eq!(Form::of("x", CSV), Form::Csv);
     assert_eq!(Form::of("x", YAML), Form::Yaml);
     assert_eq!(Form::of("x.yaml", CSV), Form::Yaml);
-    assert_eq!(Form::of("hosts.inventory", "# all of them\n\nname,port\n"), Form::Csv);
+    assert_eq!(
+        Form::of("hosts.inventory", "# all of them\n\nname,port\n"),
+        Form::Csv
+    );
 }
 
 #[test]
 fn ranges_keep_their_width_step_and_order() {
     let names = |p: &str| expand(p, 100).expect(p);
     assert_eq!(names("box-[1:3]"), ["box-1", "box-2", "box-3"]);
-    assert_eq!(names("box-[08:12:2].org"), ["box-08.org", "box-10.org", "box-12.org"]);
+    assert_eq!(
+        names("box-[08:12:2].org"),
+        ["box-08.org", "box-10.org", "box-12.org"]
+    );
     assert_eq!(names("[a:b][1:2]"), ["a1", "a2", "b1", "b2"]);
     for bad in [
         "box-[1:",
@@ -64,16 +76,24 @@
 #[test]
 fn what_is_wrong_is_named_with_file_and_line() {
     let fault = |file: &str, text: &str| parse(file, text).expect_err(text).to_string();
-    let row =
-        |row: &str| fault("h.csv", &format!("name,port,kind,weight,state\nok,1,reader,1,ready\n{row}\n"));
-    assert_eq!(row("a,0,reader,1,ready"), "h.csv:3: host 'a': port '0' is not between 1 and 65535");
+    let row = |row: &str| {
+        fault(
+            "h.csv",
+            &format!("name,port,kind,weight,state\nok,1,reader,1,ready\n{row}\n"),
+        )
+    };
+    assert_eq!(
+        row("a,0,reader,1,ready"),
+        "h.csv:3: host 'a': port '0' is not between 1 and 65535"
+    );
     assert!(row("a,7,,1,ready").contains("h.csv:3: host 'a' has no kind"));
     assert!(row("a,7,reader,-1,ready").contains("h.csv:3: host 'a': weight '-1'"));
     assert!(row("a,7,reader,1,resting").contains("none of ready, draining, gone"));
     assert!(row("ok,7,reader,1,ready").contains("h.csv:3: host 'ok' is listed twice"));
     assert!(row("a,7,reader").contains("h.csv:3: this row has 3 fields, the header 5"));
     assert!(row("a b,7,reader,1,ready").contains("is no host name"));
-    assert!(fault("h.csv", "port,kind\n1,reader\n").starts_with("h.csv:1: the header row has no column"));
+    assert!(fault("h.csv", "port,kind\n1,reader\n")
+        .starts_with("h.csv:1: the header row has no column"));
     assert!(fault("h.csv", "name,port,port\n").contains("names column 'port' twice"));
     assert!(fault("h.csv", "name,port,kind\n").contains("names no host"));
     assert!(fault("h.yml", "").contains("h.yml"));
@@ -81,7 +101,8 @@
     assert!(fault("h.yml", "all:\n  hots:\n    a: {}\n").contains("hots"));
     let deep = "all:\n  vars: {kind: reader}\n  hosts:\n    box-[1:3]: { ansible_port: none }\n";
     assert!(fault("h.yml", deep).starts_with("h.yml:4: host 'box-1': port 'none'"));
-    assert!(fault("h.yml", "all:\n  hosts:\n    box-[1:99999]: {}\n").starts_with("h.yml:3: host range"));
+    assert!(fault("h.yml", "all:\n  hosts:\n    box-[1:99999]: {}\n")
+        .starts_with("h.yml:3: host range"));
 }
 
 #[test]
@@ -92,12 +113,18 @@
     // Every half of the new file: valid or not, none counts, as none is read alike twice.
     for cut in 1..second.len() {
         if second.is_char_boundary(cut) {
-            assert_eq!(good.offer("h.csv", &second[..cut]), Offer::Nothing, "cut at {cut}");
+            assert_eq!(
+                good.offer("h.csv", &second[..cut]),
+                Offer::Nothing,
+                "cut at {cut}"
+            );
         }
     }
     assert_eq!(good.hosts().len(), 2);
     assert_eq!(good.offer("h.csv", &second), Offer::Nothing, "seen once");
-    let Offer::Taken(change) = good.offer("h.csv", &second) else { panic!("seen twice alike") };
+    let Offer::Taken(change) = good.offer("h.csv", &second) else {
+        panic!("seen twice alike")
+    };
     let want = Difference {
         added: vec!["box-9".into()],
         removed: vec![],
@@ -108,7 +135,14 @@
     assert!(matches!(good.offer("h.csv", "name\n"), Offer::Broken(_)));
     assert_eq!(good.offer("h.csv", "name\n"), Offer::Nothing, "told once");
     assert_eq!(good.hosts().len(), 3, "the last good list stays");
-    assert_eq!(good.offer("h.csv", &second), Offer::Nothing, "back to what counts");
+    assert_eq!(
+        good.offer("h.csv", &second),
+        Offer::Nothing,
+        "back to what counts"
+    );
     good.offer("h.csv", "name\n");
-    assert!(matches!(good.offer("h.csv", "name\n"), Offer::Broken(_)), "told again after a good one");
+    assert!(
+        matches!(good.offer("h.csv", "name\n"), Offer::Broken(_)),
+        "told again after a good one"
+    );
 }
--- a/crates/journal/src/held.rs
+++ b/crates/journal/src/held.rs
@@ -16,7 +16,10 @@
 
 impl<K: Ord + Copy, T> Held<K, T> {
     pub fn new(most_s: f64) -> Held<K, T> {
-        Held { queues: BTreeMap::new(), most_s }
+        Held {
+            queues: BTreeMap::new(),
+            most_s,
+        }
     }
 
     /// Offers one thing for a receiver, behind a charge where there is one. Given back where it may leave at once.
@@ -27,7 +30,10 @@
             None if self.queues.contains_key(&to) => Charge(0),
             None => return Some(what),
         };
-        self.queues.entry(to).or_default().push_back((behind, now_s, what));
+        self.queues
+            .entry(to)
+            .or_default()
+            .push_back((behind, now_s, what));
         None
     }
 
@@ -45,7 +51,10 @@
     fn free(&mut self, may: impl Fn(Charge, f64) -> bool) -> Vec<T> {
         let mut out = Vec::new();
         self.queues.retain(|_, queue| {
-            while queue.front().is_some_and(|(charge, since, _)| may(*charge, *since)) {
+            while queue
+                .front()
+                .is_some_and(|(charge, since, _)| may(*charge, *since))
+            {
                 out.extend(queue.pop_front().map(|held| held.2));
             }
             !queue.is_empty()
@@ -55,8 +64,13 @@
 
     /// When [`Held::overdue`] has something, at the latest.
     pub fn next_s(&self) -> Option<f64> {
-        let first = self.queues.values().filter_map(|q| q.iter().find(|h| h.0 != Charge(0)).map(|h| h.1));
-        first.min_by(f64::total_cmp).map(|since| since + self.most_s)
+        let first = self
+            .queues
+            .values()
+            .filter_map(|q| q.iter().find(|h| h.0 != Charge(0)).map(|h| h.1));
+        first
+            .min_by(f64::total_cmp)
+            .map(|since| since + self.most_s)
     }
 
     /// A receiver has gone, and with it what was held for it.
@@ -79,7 +93,11 @@
         assert_eq!(held.offer(0.0, 1, None, "a"), Some("a"));
         assert_eq!(held.offer(0.0, 1, Some(Charge(4)), "answer"), None);
         assert_eq!(held.offer(0.1, 1, None, "after"), None);
-        assert_eq!(held.offer(0.1, 2, None, "other"), Some("other"), "another receiver does not wait");
+        assert_eq!(
+            held.offer(0.1, 2, None, "other"),
+            Some("other"),
+            "another receiver does not wait"
+        );
         assert_eq!(held.offer(0.1, 2, Some(Charge(5)), "its answer"), None);
         assert!(held.written(Charge(3)).is_empty());
         assert_eq!(held.written(Charge(4)), ["answer", "after"]);
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -59,8 +59,13 @@
     /// # Errors
     /// [`JournalError::Open`]: a file that is no journal, is damaged, open elsewhere, or cannot be made.
     pub fn open(path: &Path) -> Result<Journal, JournalError> {
-        let fault = |cause: String| JournalError::Open { file: path.display().to_string(), cause };
-        let db = Builder::new().create(path).map_err(|e| fault(e.to_string()))?;
+        let fault = |cause: String| JournalError::Open {
+            file: path.display().to_string(),
+            cause,
+        };
+        let db = Builder::new()
+            .create(path)
+            .map_err(|e| fault(e.to_string()))?;
         Journal::begin(db).map_err(|e| fault(e.to_string()))
     }
 
@@ -91,14 +96,22 @@
         {
             let mut entries = write.open_table(ENTRIES).map_err(store)?;
             let mut order = write.open_table(ORDER).map_err(store)?;
-            let mut next = order.last().map_err(store)?.map_or(1, |(place, _)| place.value() + 1);
+            let mut next = order
+                .last()
+                .map_err(store)?
+                .map_or(1, |(place, _)| place.value() + 1);
             for entry in batch {
                 let key = (entry.response.as_str(), entry.number);
                 let text = serde_json::to_vec(entry)?;
-                let known = entries.get(key).map_err(store)?.map(|kept| kept.value() == text);
+                let known = entries
+                    .get(key)
+                    .map_err(store)?
+                    .map(|kept| kept.value() == text);
                 match known {
                     Some(true) => done.repeats += 1,
-                    Some(false) => done.contradictions.push((entry.response.clone(), entry.number)),
+                    Some(false) => done
+                        .contradictions
+                        .push((entry.response.clone(), entry.number)),
                     None => {
                         entries.insert(key, text.as_slice()).map_err(store)?;
                         order.insert(next, key).map_err(store)?;
@@ -120,8 +133,10 @@
         let read = self.db.begin_read().map_err(store)?;
         let marks = read.open_table(MARKS).map_err(store)?;
         let from = marks.get(SHIPPED).map_err(store)?.map_or(0, |m| m.value()) + 1;
-        let (entries, order) =
-            (read.open_table(ENTRIES).map_err(store)?, read.open_table(ORDER).map_err(store)?);
+        let (entries, order) = (
+            read.open_table(ENTRIES).map_err(store)?,
+            read.open_table(ORDER).map_err(store)?,
+        );
         let mut found = Vec::new();
         for row in order.range(from..).map_err(store)?.take(most) {
             let (place, key) = row.map_err(store)?;
--- a/crates/journal/tests/crash.rs
+++ b/crates/journal/tests/crash.rs
@@ -42,7 +42,10 @@
 
 impl Disk {
     fn of(bytes: Vec<u8>) -> Disk {
-        Disk(Arc::new(Mutex::new(Inner { bytes, ..Inner::default() })))
+        Disk(Arc::new(Mutex::new(Inner {
+            bytes,
+            ..Inner::default()
+        })))
     }
 
     fn act(&self, op: Op) -> Result<(), std::io::Error> {
@@ -113,7 +116,10 @@
 /// What a disk holds after a crash before operation `at`: what was synced, and of the rest all, none, or every other one with
 /// the last cut in half.
 fn after(ops: &[Op], at: usize, kept: usize) -> Vec<u8> {
-    let synced = ops[..at].iter().rposition(|o| matches!(o, Op::Sync)).map_or(0, |i| i + 1);
+    let synced = ops[..at]
+        .iter()
+        .rposition(|o| matches!(o, Op::Sync))
+        .map_or(0, |i| i + 1);
     let mut bytes = Vec::new();
     ops[..synced].iter().for_each(|op| apply(&mut bytes, op));
     let rest = &ops[synced..at];
@@ -137,10 +143,18 @@
     let journal = Journal::over(disk.clone()).expect("a journal");
     let mut promised = vec![(disk.ops().len(), 0, 0)];
     for n in 0..BATCHES {
-        assert_eq!(journal.append(&batch(n)).expect("written").taken, batch(n).len());
+        assert_eq!(
+            journal.append(&batch(n)).expect("written").taken,
+            batch(n).len()
+        );
         promised.push((disk.ops().len(), n + 1, promised[promised.len() - 1].2));
         if n % 2 == 1 {
-            let place = journal.unshipped(100).expect("read").last().expect("some").0;
+            let place = journal
+                .unshipped(100)
+                .expect("read")
+                .last()
+                .expect("some")
+                .0;
             journal.shipped(place).expect("written");
             promised.push((disk.ops().len(), n + 1, place.0));
         }
@@ -151,13 +165,24 @@
     for at in first..=ops.len() {
         for kept in 0..3 {
             let (_, least, shipped) = *promised.iter().rfind(|p| p.0 <= at).expect("a promise");
-            let again =
-                Journal::over(Disk::of(after(&ops, at, kept))).unwrap_or_else(|e| panic!("{at} {kept}: {e}"));
+            let again = Journal::over(Disk::of(after(&ops, at, kept)))
+                .unwrap_or_else(|e| panic!("{at} {kept}: {e}"));
             let all = again.entries().expect("read");
-            let whole = |n: u32| batch(n).iter().all(|e| all.standing().any(|s| s.response == e.response));
+            let whole = |n: u32| {
+                batch(n)
+                    .iter()
+                    .all(|e| all.standing().any(|s| s.response == e.response))
+            };
             let there = (0..BATCHES).take_while(|n| whole(*n)).count() as u32;
-            assert!(there >= least, "{at} {kept}: {there} batches of {least} promised");
-            assert_eq!(all.standing().count() as u32, there * 3, "{at} {kept}: a batch in part");
+            assert!(
+                there >= least,
+                "{at} {kept}: {there} batches of {least} promised"
+            );
+            assert_eq!(
+                all.standing().count() as u32,
+                there * 3,
+                "{at} {kept}: a batch in part"
+            );
             let rest = again.unshipped(100).expect("read");
             assert!(
                 rest.first().is_none_or(|r| r.0 > Place(shipped)),
@@ -171,8 +196,13 @@
                     "{at} {kept} {n}: {done:?}"
                 );
             }
-            let line = again.entries().expect("read").bill(0, 9)[&("bands".to_string(), "query".to_string())];
-            assert_eq!((line.requests, line.output), (18, 13 + 5 * 5), "{at} {kept}: the bill adds up");
+            let line = again.entries().expect("read").bill(0, 9)
+                [&("bands".to_string(), "query".to_string())];
+            assert_eq!(
+                (line.requests, line.output),
+                (18, 13 + 5 * 5),
+                "{at} {kept}: the bill adds up"
+            );
             seen += 1;
         }
     }
@@ -207,7 +237,10 @@
     std::fs::write(&path, "a shopping list").expect("a file");
     let fault = Journal::open(&path).err().expect("refused").to_string();
     assert!(fault.contains("no.journal"), "{fault}");
-    assert_eq!(std::fs::read_to_string(&path).expect("it"), "a shopping list");
+    assert_eq!(
+        std::fs::read_to_string(&path).expect("it"),
+        "a shopping list"
+    );
     std::fs::remove_file(&path).expect("removed");
     let _open = Journal::open(&path).expect("made");
     assert!(Journal::open(&path).is_err(), "one process at a time");
@@ -218,7 +251,9 @@
 fn one_number_with_two_contents_is_told_and_the_first_stands() {
     let journal = Journal::over(Disk::default()).expect("a journal");
     journal.append(&[entry(1, 1, 7)]).expect("written");
-    let done = journal.append(&[entry(1, 1, 8), entry(1, 1, 7), entry(2, 1, 1)]).expect("written");
+    let done = journal
+        .append(&[entry(1, 1, 8), entry(1, 1, 7), entry(2, 1, 1)])
+        .expect("written");
     assert_eq!((done.taken, done.repeats), (1, 1));
     assert_eq!(done.contradictions, [("resp_1".to_string(), 1)]);
     assert_eq!(journal.unshipped(9).expect("read")[0].1, entry(1, 1, 7));
--- a/crates/membership/src/doubt.rs
+++ b/crates/membership/src/doubt.rs
@@ -52,7 +52,11 @@
 
 /// What question and denial hold: of which start, and under which incarnation.
 fn written(start: Start, incarnation: u16) -> Vec<u8> {
-    let words = [&start.process.to_le_bytes()[..], &start.comeback.to_le_bytes(), &incarnation.to_le_bytes()];
+    let words = [
+        &start.process.to_le_bytes()[..],
+        &start.comeback.to_le_bytes(),
+        &incarnation.to_le_bytes(),
+    ];
     words.concat()
 }
 
@@ -60,7 +64,10 @@
     if said.len() != 12 {
         return Err(Dropped::Unreadable);
     }
-    let start = Start { process: word(&said[..8]), comeback: word(&said[8..10]) as u16 };
+    let start = Start {
+        process: word(&said[..8]),
+        comeback: word(&said[8..10]) as u16,
+    };
     Ok((start, word(&said[10..]) as u16))
 }
 
@@ -68,11 +75,17 @@
     /// Asks those suspects whose turn it is.
     pub(crate) fn ask_suspects(&mut self, now: Duration, out: &mut Vec<Output>) {
         for name in self.doubts.take_due(now) {
-            let known = self.swim.iter_membership_state().find(|m| m.id().name == name);
+            let known = self
+                .swim
+                .iter_membership_state()
+                .find(|m| m.id().name == name);
             match known.map(|m| (*m.id(), m.incarnation())) {
                 Some((id, incarnation)) => {
                     let said = written(id.start, incarnation);
-                    out.push(Output::Send(id.address, self.sealer.seal(Kind::Doubted, &said)));
+                    out.push(Output::Send(
+                        id.address,
+                        self.sealer.seal(Kind::Doubted, &said),
+                    ));
                 }
                 None => self.doubts.end(name),
             }
@@ -80,7 +93,12 @@
     }
 
     /// This one is suspected: it denies, to all by the library's news, and to the one that asks at once.
-    pub(crate) fn deny(&mut self, by: NameKey, said: &[u8], out: &mut Vec<Output>) -> Result<(), Dropped> {
+    pub(crate) fn deny(
+        &mut self,
+        by: NameKey,
+        said: &[u8],
+        out: &mut Vec<Output>,
+    ) -> Result<(), Dropped> {
         let (start, incarnation) = read(said)?;
         let me = *self.swim.identity();
         // Of another start of this name: that one has gone, and a denial of this one says nothing of it.
@@ -88,7 +106,9 @@
             return Ok(());
         }
         let suspected = Member::new(me, incarnation, foca::State::Suspect);
-        let denied = self.swim.apply_many(std::iter::once(suspected), true, &mut self.runtime);
+        let denied = self
+            .swim
+            .apply_many(std::iter::once(suspected), true, &mut self.runtime);
         denied.map_err(|_| Dropped::Unreadable)?;
         // After it the own incarnation is one more than the suspected one, or higher still.
         if let Some(to) = self.roster_address(by) {
@@ -101,10 +121,17 @@
     /// A suspect's own word.
     pub(crate) fn denied(&mut self, name: NameKey, said: &[u8]) -> Result<(), Dropped> {
         let (start, incarnation) = read(said)?;
-        let known = self.swim.iter_membership_state().find(|m| m.id().name == name && m.id().start == start);
-        let Some(id) = known.map(|m| *m.id()) else { return Ok(()) };
+        let known = self
+            .swim
+            .iter_membership_state()
+            .find(|m| m.id().name == name && m.id().start == start);
+        let Some(id) = known.map(|m| *m.id()) else {
+            return Ok(());
+        };
         let alive = Member::new(id, incarnation, foca::State::Alive);
-        let taken = self.swim.apply_many(std::iter::once(alive), true, &mut self.runtime);
+        let taken = self
+            .swim
+            .apply_many(std::iter::once(alive), true, &mut self.runtime);
         taken.map_err(|_| Dropped::Unreadable)
     }
 }
@@ -115,7 +142,10 @@
 
     #[test]
     fn questions_are_written_and_read_and_suspects_have_a_bound() {
-        let start = Start { process: 1 << 50, comeback: 300 };
+        let start = Start {
+            process: 1 << 50,
+            comeback: 300,
+        };
         assert_eq!(read(&written(start, 65_000)), Ok((start, 65_000)));
         assert_eq!(read(&[0; 11]), Err(Dropped::Unreadable));
         let mut doubts = Doubts::default();
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -20,6 +20,8 @@
 pub use machine::{Event, Membership, Output};
 pub use member::{Id, NameKey, Start};
 pub use roster::{Peer, Roster, RosterError};
-pub use seal::{sender, Dropped, Kind, Opener, Sealer, Secret, Topic, DATAGRAM_MOST, SAID_MOST, SEAL_BYTES};
+pub use seal::{
+    sender, Dropped, Kind, Opener, Sealer, Secret, Topic, DATAGRAM_MOST, SAID_MOST, SEAL_BYTES,
+};
 pub use standing::{Duty, Share, Standing, Work};
 pub use view::{Dropping, MemberView, State, View};
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -114,7 +114,12 @@
 
 fn config() -> Config {
     let some = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
-    let often = |(frequency, n): (Duration, usize)| Some(PeriodicParams { frequency, num_members: some(n) });
+    let often = |(frequency, n): (Duration, usize)| {
+        Some(PeriodicParams {
+            frequency,
+            num_members: some(n),
+        })
+    };
     Config {
         probe_period: PROBE_EVERY,
         probe_rtt: PROBE_WAIT,
@@ -132,16 +137,43 @@
 
 impl Membership {
     /// A member under `name`, heard where the roster says; `process` tells this start from others.
-    pub fn new(name: &str, process: u64, roster: Roster, secret: Secret, seed: u64, now: Duration) -> Self {
+    pub fn new(
+        name: &str,
+        process: u64,
+        roster: Roster,
+        secret: Secret,
+        seed: u64,
+        now: Duration,
+    ) -> Self {
         let key = NameKey::of(name);
         let nowhere = SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0);
         let address = roster.0.get(&key).map_or(nowhere, |own| own.address);
-        let me = Id { name: key, address, start: Start { process, comeback: 0 } };
-        let unheard = || Row { id: None, state: State::Unheard, since: now, evidence: "never heard" };
-        let rows = roster.0.keys().filter(|k| **k != key).map(|k| (*k, unheard())).collect();
+        let me = Id {
+            name: key,
+            address,
+            start: Start {
+                process,
+                comeback: 0,
+            },
+        };
+        let unheard = || Row {
+            id: None,
+            state: State::Unheard,
+            since: now,
+            evidence: "never heard",
+        };
+        let rows = roster
+            .0
+            .keys()
+            .filter(|k| **k != key)
+            .map(|k| (*k, unheard()))
+            .collect();
         let standing = Standing::of(1, roster.0.len());
         let namesake = Arc::new(AtomicU64::new(0));
-        let codec = Watched { own: key, latest: Arc::clone(&namesake) };
+        let codec = Watched {
+            own: key,
+            latest: Arc::clone(&namesake),
+        };
         Membership {
             swim: Foca::new(me, config(), Xoshiro256PlusPlus::seed_from_u64(seed), codec),
             namesake,
@@ -178,11 +210,26 @@
         let settled = self.better.map(|(_, since)| since + SETTLE);
         let timer = self.timers.keys().next().map(|(at, _)| *at);
         let asked = self.doubts.next();
-        [Some(self.hail_at), timer, settled, self.suspect_until, asked].into_iter().flatten().min()
+        [
+            Some(self.hail_at),
+            timer,
+            settled,
+            self.suspect_until,
+            asked,
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
     /// Takes a datagram that came from an address.
-    pub fn datagram(&mut self, now: Duration, from: SocketAddrV4, bytes: &[u8], out: &mut Vec<Output>) {
+    pub fn datagram(
+        &mut self,
+        now: Duration,
+        from: SocketAddrV4,
+        bytes: &[u8],
+        out: &mut Vec<Output>,
+    ) {
         if self.silent() {
             return;
         }
@@ -205,14 +252,31 @@
         }
         let latest = self.namesake.load(Ordering::Relaxed);
         match latest > self.swim.identity().start.process {
-            true => self.fence(Start { process: latest, comeback: 0 }, out),
+            true => self.fence(
+                Start {
+                    process: latest,
+                    comeback: 0,
+                },
+                out,
+            ),
             false => self.settle(now, out),
         }
     }
 
     /// Tells a process that its name has a later start: where it spoke from, and where its name should be.
-    fn tell_replaced(&mut self, name: NameKey, later: u64, from: SocketAddrV4, out: &mut Vec<Output>) {
-        let listed = self.roster.0.get(&name).map(|peer| peer.address).filter(|at| *at != from);
+    fn tell_replaced(
+        &mut self,
+        name: NameKey,
+        later: u64,
+        from: SocketAddrV4,
+        out: &mut Vec<Output>,
+    ) {
+        let listed = self
+            .roster
+            .0
+            .get(&name)
+            .map(|peer| peer.address)
+            .filter(|at| *at != from);
         let said = [&name.0.to_le_bytes()[..], &later.to_le_bytes()].concat();
         for to in [Some(from), listed].into_iter().flatten() {
             out.push(Output::Send(to, self.sealer.seal(Kind::Replaced, &said)));
@@ -231,11 +295,19 @@
             Kind::Denied => return self.denied(sender.name, said),
             Kind::Of(topic) => {
                 let (name, start) = (sender.name, sender.process);
-                out.push(Output::Said { topic, name, start, said: said.to_vec() });
+                out.push(Output::Said {
+                    topic,
+                    name,
+                    start,
+                    said: said.to_vec(),
+                });
                 return Ok(());
             }
             Kind::Swim => {
-                return self.swim.handle_data(said, &mut self.runtime).map_err(|_| Dropped::Unreadable)
+                return self
+                    .swim
+                    .handle_data(said, &mut self.runtime)
+                    .map_err(|_| Dropped::Unreadable)
             }
         };
         self.namesake.fetch_max(later, Ordering::Relaxed);
@@ -265,7 +337,12 @@
         let from = out.len();
         self.settle(now, out);
         for told in &out[from..] {
-            if let Output::Event(Event::Member { name, state: State::Suspect, .. }) = told {
+            if let Output::Event(Event::Member {
+                name,
+                state: State::Suspect,
+                ..
+            }) = told
+            {
                 self.doubts.begin(now, *name);
             }
         }
@@ -284,12 +361,22 @@
     /// Where this process stood still, acknowledgements may lie unread in its socket: what is due is put off by
     /// what was lost, so that it doubts itself before others.
     fn give_back_lost_time(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let Some(late) = self.timers.keys().next().and_then(|(at, _)| now.checked_sub(*at)) else { return };
+        let Some(late) = self
+            .timers
+            .keys()
+            .next()
+            .and_then(|(at, _)| now.checked_sub(*at))
+        else {
+            return;
+        };
         if late < LATE {
             return;
         }
         let timers = std::mem::take(&mut self.timers);
-        self.timers = timers.into_iter().map(|((at, n), timer)| ((at + late + LATE, n), timer)).collect();
+        self.timers = timers
+            .into_iter()
+            .map(|((at, n), timer)| ((at + late + LATE, n), timer))
+            .collect();
         self.rows
             .values_mut()
             .filter(|row| row.state == State::Suspect)
@@ -303,22 +390,44 @@
 
     fn give_up_suspects(&mut self, now: Duration) {
         let due = |row: &&Row| row.state == State::Suspect && now >= row.since + SUSPECT_MOST;
-        let over: Vec<Id> = self.rows.values().filter(due).filter_map(|row| row.id).collect();
-        let members = self.swim.iter_membership_state().filter(|m| over.contains(m.id()));
-        let down: Vec<_> =
-            members.map(|m| Member::new(*m.id(), m.incarnation(), foca::State::Down)).collect();
-        let _ = self.swim.apply_many(down.into_iter(), true, &mut self.runtime);
+        let over: Vec<Id> = self
+            .rows
+            .values()
+            .filter(due)
+            .filter_map(|row| row.id)
+            .collect();
+        let members = self
+            .swim
+            .iter_membership_state()
+            .filter(|m| over.contains(m.id()));
+        let down: Vec<_> = members
+            .map(|m| Member::new(*m.id(), m.incarnation(), foca::State::Down))
+            .collect();
+        let _ = self
+            .swim
+            .apply_many(down.into_iter(), true, &mut self.runtime);
     }
 
     /// Calls the next one of the roster that is not there.
     fn hail(&mut self) {
         let absent = |key: &&NameKey| self.rows.get(key).is_some_and(|row| !row.state.is_there());
         let keys: Vec<NameKey> = self.roster.0.keys().filter(absent).copied().collect();
-        let next = keys.iter().find(|key| Some(**key) > self.hailed).or(keys.first()).copied();
+        let next = keys
+            .iter()
+            .find(|key| Some(**key) > self.hailed)
+            .or(keys.first())
+            .copied();
         self.hailed = next;
         if let Some(peer) = next.and_then(|key| self.roster.0.get(&key)) {
-            let start = Start { process: 0, comeback: 0 };
-            let id = Id { name: NameKey::of(&peer.name), address: peer.address, start };
+            let start = Start {
+                process: 0,
+                comeback: 0,
+            };
+            let id = Id {
+                name: NameKey::of(&peer.name),
+                address: peer.address,
+                start,
+            };
             let _ = self.swim.announce(id, &mut self.runtime);
         }
     }
@@ -352,10 +461,13 @@
     /// By those of the roster that are there; in doubt, that were heard since.
     fn judge(&mut self) -> Standing {
         let since = self.doubt;
-        let listed =
-            self.rows.iter().filter(|(key, row)| self.roster.0.contains_key(key) && row.state.is_there());
+        let listed = self
+            .rows
+            .iter()
+            .filter(|(key, row)| self.roster.0.contains_key(key) && row.state.is_there());
         let (there, heard) = listed.fold((1, 1), |(there, heard), (key, _)| {
-            let fresh = since.is_none_or(|since| self.heard.get(key).is_some_and(|at| *at >= since));
+            let fresh =
+                since.is_none_or(|since| self.heard.get(key).is_some_and(|at| *at >= since));
             (there + 1, heard + usize::from(fresh))
         });
         let standing = Standing::of(heard, self.roster.0.len());
@@ -376,7 +488,10 @@
         loop {
             let mut back = false;
             while let Some((to, said)) = self.runtime.to_send() {
-                out.push(Output::Send(to.address, self.sealer.seal(Kind::Swim, &said)));
+                out.push(Output::Send(
+                    to.address,
+                    self.sealer.seal(Kind::Swim, &said),
+                ));
             }
             while let Some((after, timer)) = self.runtime.to_schedule() {
                 self.set += 1;
@@ -393,7 +508,9 @@
             }
             // The library says and probes nothing after a comeback until it hears someone; two that came back together
             // would wait for each other without end. An update of nobody makes it begin.
-            let _ = self.swim.apply_many(std::iter::empty(), false, &mut self.runtime);
+            let _ = self
+                .swim
+                .apply_many(std::iter::empty(), false, &mut self.runtime);
         }
     }
 
@@ -416,18 +533,34 @@
                 State::Suspect => "a probe went unanswered",
                 _ => "suspected in vain, or left",
             };
-            let known = self.rows.get(&id.name).filter(|row| row.state == state && row.id == Some(id));
+            let known = self
+                .rows
+                .get(&id.name)
+                .filter(|row| row.state == state && row.id == Some(id));
             let since = known.map_or(now, |row| row.since);
             if known.is_none() {
-                self.rows.insert(id.name, Row { id: Some(id), state, since, evidence });
-                out.push(Output::Event(Event::Member { name: id.name, state, start: id.start }));
+                self.rows.insert(
+                    id.name,
+                    Row {
+                        id: Some(id),
+                        state,
+                        since,
+                        evidence,
+                    },
+                );
+                out.push(Output::Event(Event::Member {
+                    name: id.name,
+                    state,
+                    start: id.start,
+                }));
                 if state != State::Suspect {
                     self.doubts.end(id.name);
                 }
             }
             if state == State::Suspect {
                 let until = since + SUSPECT_MOST;
-                self.suspect_until = Some(self.suspect_until.map_or(until, |first| first.min(until)));
+                self.suspect_until =
+                    Some(self.suspect_until.map_or(until, |first| first.min(until)));
             }
         }
     }
@@ -449,7 +582,12 @@
     /// Where one of the roster is heard; its own word of that counts more.
     pub(crate) fn roster_address(&self, of: NameKey) -> Option<SocketAddrV4> {
         let listed = self.roster.0.get(&of)?.address;
-        Some(self.rows.get(&of).and_then(|row| row.id).map_or(listed, |id| id.address))
+        Some(
+            self.rows
+                .get(&of)
+                .and_then(|row| row.id)
+                .map_or(listed, |id| id.address),
+        )
     }
 
     /// This process, and all of the roster by their short names.
@@ -464,24 +602,35 @@
     /// Names of the roster that are there, as far as this one knows.
     pub fn there(&self) -> Vec<String> {
         let there = self.rows.iter().filter(|(_, row)| row.state.is_there());
-        there.filter_map(|(key, _)| self.roster.0.get(key).map(|peer| peer.name.clone())).collect()
+        there
+            .filter_map(|(key, _)| self.roster.0.get(key).map(|peer| peer.name.clone()))
+            .collect()
     }
 
     /// Where each of the roster is sent to.
     pub fn addresses(&self) -> BTreeMap<NameKey, SocketAddrV4> {
-        self.roster.0.iter().map(|(key, peer)| (*key, peer.address)).collect()
+        self.roster
+            .0
+            .iter()
+            .map(|(key, peer)| (*key, peer.address))
+            .collect()
     }
 
     /// Those of the roster that are there, by their short names.
     pub fn there_keys(&self) -> Vec<NameKey> {
-        let there =
-            self.rows.iter().filter(|(key, row)| row.state.is_there() && self.roster.0.contains_key(key));
+        let there = self
+            .rows
+            .iter()
+            .filter(|(key, row)| row.state.is_there() && self.roster.0.contains_key(key));
         there.map(|(key, _)| *key).collect()
     }
 
     /// A member's name, or its short form where the roster has none.
     pub fn name_of(&self, key: NameKey) -> String {
-        self.roster.0.get(&key).map_or_else(|| format!("{:08x}", key.0), |p| p.name.clone())
+        self.roster
+            .0
+            .get(&key)
+            .map_or_else(|| format!("{:08x}", key.0), |p| p.name.clone())
     }
 
     pub fn standing(&self) -> Standing {
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -42,7 +42,13 @@
     /// Given up by others though alive, as after a pause: it comes back under the same start of its process.
     fn renew(&self) -> Option<Id> {
         let comeback = self.start.comeback.checked_add(1)?;
-        Some(Id { start: Start { comeback, ..self.start }, ..*self })
+        Some(Id {
+            start: Start {
+                comeback,
+                ..self.start
+            },
+            ..*self
+        })
     }
 
     fn addr(&self) -> NameKey {
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -41,7 +41,9 @@
         let mut by_key: BTreeMap<NameKey, Peer> = BTreeMap::new();
         for peer in peers {
             match by_key.insert(NameKey::of(&peer.name), peer.clone()) {
-                Some(other) if other.name == peer.name => return Err(RosterError::Twice(other.name)),
+                Some(other) if other.name == peer.name => {
+                    return Err(RosterError::Twice(other.name))
+                }
                 Some(other) => return Err(RosterError::Alike(other.name, peer.name.clone())),
                 None => {}
             }
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -34,13 +34,22 @@
     /// From the cluster's name and the bytes of its secret's file.
     pub fn new(cluster: &str, secret: &[u8]) -> Secret {
         let key = blake3::derive_key("bitternlatch 2026-12 datagrams between dispatchers", secret);
-        Secret { cluster: NameKey::of(cluster).0, key }
+        Secret {
+            cluster: NameKey::of(cluster).0,
+            key,
+        }
     }
 
     /// The same for frames over links, so that no datagram can be passed off as one.
     pub fn for_links(&self) -> Secret {
-        let key = blake3::derive_key("bitternlatch 2026-12 frames over links between dispatchers", &self.key);
-        Secret { cluster: self.cluster, key }
+        let key = blake3::derive_key(
+            "bitternlatch 2026-12 frames over links between dispatchers",
+            &self.key,
+        );
+        Secret {
+            cluster: self.cluster,
+            key,
+        }
     }
 
     /// Proves a text, as an answer to a question that bore this number; no datagram's tag is one of these, as datagrams begin with
@@ -114,7 +123,12 @@
 }
 
 impl Topic {
-    pub const ALL: [Topic; 4] = [Topic::Agreement, Topic::Overload, Topic::Lengths, Topic::Workflows];
+    pub const ALL: [Topic; 4] = [
+        Topic::Agreement,
+        Topic::Overload,
+        Topic::Lengths,
+        Topic::Workflows,
+    ];
 
     /// Its number in datagrams and frames.
     pub fn byte(self) -> u8 {
@@ -178,7 +192,12 @@
 
 impl Sealer {
     pub fn new(secret: Secret, name: NameKey, process: u64) -> Sealer {
-        Sealer { secret, name, process, number: 0 }
+        Sealer {
+            secret,
+            name,
+            process,
+            number: 0,
+        }
     }
 
     /// One datagram; `said` holds at most [`SAID_MOST`] bytes.
@@ -225,7 +244,11 @@
     ///
     /// # Errors
     /// Where it is not to be taken; nothing is remembered of it then.
-    pub fn open<'a>(&mut self, secret: &Sealer, bytes: &'a [u8]) -> Result<(From, &'a [u8]), Dropped> {
+    pub fn open<'a>(
+        &mut self,
+        secret: &Sealer,
+        bytes: &'a [u8],
+    ) -> Result<(From, &'a [u8]), Dropped> {
         self.open_of(secret, bytes, DATAGRAM_MOST)
     }
 
@@ -257,7 +280,11 @@
             return Err(Dropped::Proof);
         }
         let kind = Kind::of(body[25]).ok_or(Dropped::Unreadable)?;
-        let from = From { name: NameKey(word(&body[5..9]) as u32), process: word(&body[9..17]), kind };
+        let from = From {
+            name: NameKey(word(&body[5..9]) as u32),
+            process: word(&body[9..17]),
+            kind,
+        };
         self.number(from, word(&body[17..25]))?;
         Ok((from, &body[HEAD..]))
     }
@@ -270,14 +297,25 @@
         }
         if known != Some(from.process) {
             self.make_room();
-            let fresh = Numbers { process: from.process, highest: 0, seen: 0, turn: 0 };
+            let fresh = Numbers {
+                process: from.process,
+                highest: 0,
+                seen: 0,
+                turn: 0,
+            };
             self.senders.insert(from.name, fresh);
         }
-        let Some(numbers) = self.senders.get_mut(&from.name) else { return Err(Dropped::Replay) };
+        let Some(numbers) = self.senders.get_mut(&from.name) else {
+            return Err(Dropped::Replay);
+        };
         numbers.turn = self.turn;
         if number > numbers.highest {
             let step = number - numbers.highest;
-            numbers.seen = if step >= WINDOW { 1 } else { numbers.seen << step | 1 };
+            numbers.seen = if step >= WINDOW {
+                1
+            } else {
+                numbers.seen << step | 1
+            };
             numbers.highest = number;
             return Ok(());
         }
@@ -291,14 +329,21 @@
 
     fn make_room(&mut self) {
         if self.senders.len() >= SENDERS_MOST {
-            let oldest = self.senders.iter().min_by_key(|(_, n)| n.turn).map(|(name, _)| *name);
+            let oldest = self
+                .senders
+                .iter()
+                .min_by_key(|(_, n)| n.turn)
+                .map(|(name, _)| *name);
             oldest.map(|name| self.senders.remove(&name));
         }
     }
 }
 
 pub(crate) fn word(bytes: &[u8]) -> u64 {
-    bytes.iter().rev().fold(0, |word, byte| word << 8 | u64::from(*byte))
+    bytes
+        .iter()
+        .rev()
+        .fold(0, |word, byte| word << 8 | u64::from(*byte))
 }
 
 #[cfg(test)]
@@ -332,16 +377,25 @@
         let (early, late) = (old.seal(Kind::Swim, b"a"), old.seal(Kind::Swim, b"b"));
         assert!(opener.open(&to, &early).is_ok());
         assert!(opener.open(&to, &new.seal(Kind::Swim, b"c")).is_ok());
-        assert_eq!(opener.open(&to, &late), Err(Dropped::OldStart(NameKey::of("d1"), 8)));
+        assert_eq!(
+            opener.open(&to, &late),
+            Err(Dropped::OldStart(NameKey::of("d1"), 8))
+        );
     }
 
     #[test]
     fn strangers_noise_and_every_changed_bit_are_dropped() {
         let to = sealer(b"s", 1);
         let mut opener = Opener::default();
-        assert_eq!(opener.open(&to, &sealer(b"t", 7).seal(Kind::Swim, b"x")), Err(Dropped::Proof));
+        assert_eq!(
+            opener.open(&to, &sealer(b"t", 7).seal(Kind::Swim, b"x")),
+            Err(Dropped::Proof)
+        );
         let mut other = Sealer::new(Secret::new("yard", b"s"), NameKey::of("d1"), 7);
-        assert_eq!(opener.open(&to, &other.seal(Kind::Swim, b"x")), Err(Dropped::Cluster));
+        assert_eq!(
+            opener.open(&to, &other.seal(Kind::Swim, b"x")),
+            Err(Dropped::Cluster)
+        );
         assert_eq!(opener.open(&to, &[1; 20]), Err(Dropped::Noise));
         assert_eq!(opener.open(&to, &[1; 257]), Err(Dropped::Noise));
         let good = sealer(b"s", 7).seal(Kind::Swim, b"hello");
--- a/crates/membership/src/simulated.rs
+++ b/crates/membership/src/simulated.rs
@@ -21,7 +21,12 @@
 
 /// The first so many.
 pub fn roster(of: usize) -> Vec<Peer> {
-    (0..of).map(|i| Peer { name: name(i), address: address(i) }).collect()
+    (0..of)
+        .map(|i| Peer {
+            name: name(i),
+            address: address(i),
+        })
+        .collect()
 }
 
 /// One member's place; empty while its process is not there.
@@ -46,7 +51,11 @@
 impl World {
     /// So many members, all started at once.
     pub fn new(of: usize, seed: u64) -> World {
-        let node = || Node { member: None, paused: false, inbox: vec![] };
+        let node = || Node {
+            member: None,
+            paused: false,
+            inbox: vec![],
+        };
         let mut world = World {
             net: Network::new(seed),
             nodes: (0..of).map(|_| node()).collect(),
@@ -72,10 +81,16 @@
         let mut peers = roster(self.nodes.len());
         peers[named].address = address(i);
         // Names are made to differ, and the own one is among them.
-        let Ok(all) = Roster::new(&name(named), &peers) else { return };
+        let Ok(all) = Roster::new(&name(named), &peers) else {
+            return;
+        };
         let secret = Secret::new("hall", b"secret");
         let member = Membership::new(&name(named), self.starts, all, secret, seed, self.net.now);
-        self.nodes[i] = Node { member: Some(member), paused: false, inbox: vec![] };
+        self.nodes[i] = Node {
+            member: Some(member),
+            paused: false,
+            inbox: vec![],
+        };
     }
 
     /// Ends a process between two instructions.
@@ -133,7 +148,9 @@
             let timers = awake.filter_map(|(i, n)| Some((n.member.as_ref()?.wake_at()?, i)));
             let timer = timers.min();
             let next = [datagram, timer.map(|t| t.0)].into_iter().flatten().min();
-            let Some(next) = next.filter(|at| *at <= until) else { break };
+            let Some(next) = next.filter(|at| *at <= until) else {
+                break;
+            };
             self.net.now = self.net.now.max(next);
             if datagram == Some(next) {
                 if let Some((from, to, bytes)) = self.net.arrive() {
@@ -159,19 +176,25 @@
     /// What one member holds of another.
     pub fn state(&self, of: usize, at: usize) -> Option<State> {
         let view = self.nodes[at].member.as_ref()?.view();
-        view.members.iter().find(|m| m.name == name(of)).map(|m| m.state)
+        view.members
+            .iter()
+            .find(|m| m.name == name(of))
+            .map(|m| m.state)
     }
 
     /// Whether all that are there know of the whole.
     pub fn all_whole(&self) -> bool {
         let alive = self.nodes.iter().filter_map(|n| n.member.as_ref());
-        alive.map(Membership::standing).all(|s| s == Standing::Whole)
+        alive
+            .map(Membership::standing)
+            .all(|s| s == Standing::Whole)
     }
 
     /// Times at which members were taken for down, by whom and since a moment.
     pub fn downs(&self, of: usize, since: Duration) -> Vec<(Duration, usize)> {
         let key = NameKey::of(&name(of));
-        let down = |e: &Event| matches!(e, Event::Member { name, state: State::Down, .. } if *name == key);
+        let down =
+            |e: &Event| matches!(e, Event::Member { name, state: State::Down, .. } if *name == key);
         self.events
             .iter()
             .filter(|(at, _, e)| *at >= since && down(e))
--- a/crates/membership/src/standing.rs
+++ b/crates/membership/src/standing.rs
@@ -64,7 +64,12 @@
     pub fn of(standing: Standing, hosts: bool, work: Work) -> Duty {
         use Standing::{Alone, CutOff, Majority, Whole};
         use Work::{Keyed, Safe, Unsafe};
-        let duty = |takes, share, ready, names_others| Duty { takes, share, ready, names_others };
+        let duty = |takes, share, ready, names_others| Duty {
+            takes,
+            share,
+            ready,
+            names_others,
+        };
         match (standing, work) {
             // Peers are heard and hosts are not: it is this one that is cut off from them, and others may do better.
             (Whole | Majority | CutOff, Safe | Keyed | Unsafe) if !hosts => {
@@ -90,8 +95,14 @@
     fn halves_are_never_both_a_majority() {
         for roster in 2..=300 {
             for there in 1..roster {
-                let (one, other) = (Standing::of(there, roster), Standing::of(roster - there, roster));
-                assert!(one < Standing::Majority || other < Standing::Majority, "{there} of {roster}");
+                let (one, other) = (
+                    Standing::of(there, roster),
+                    Standing::of(roster - there, roster),
+                );
+                assert!(
+                    one < Standing::Majority || other < Standing::Majority,
+                    "{there} of {roster}"
+                );
             }
         }
         assert_eq!(Standing::of(1, 1), Standing::Whole);
@@ -100,10 +111,18 @@
 
     #[test]
     fn who_cannot_know_takes_nothing_that_could_harm_and_goes_on_with_what_cannot() {
-        for standing in [Standing::Alone, Standing::CutOff, Standing::Majority, Standing::Whole] {
+        for standing in [
+            Standing::Alone,
+            Standing::CutOff,
+            Standing::Majority,
+            Standing::Whole,
+        ] {
             assert!(Duty::of(standing, true, Work::Safe).takes);
             // Alone it cannot tell whose fault it is, and a host may come in time.
-            assert_eq!(Duty::of(standing, false, Work::Safe).takes, standing == Standing::Alone);
+            assert_eq!(
+                Duty::of(standing, false, Work::Safe).takes,
+                standing == Standing::Alone
+            );
             assert!(
                 !Duty::of(standing, false, Work::Unsafe).takes
                     && !Duty::of(standing, false, Work::Safe).ready
--- a/crates/membership/tests/cluster.rs
+++ b/crates/membership/tests/cluster.rs
@@ -10,7 +10,10 @@
     world.kill(2);
     world.run(ms(8_000));
     for at in [0, 1] {
-        assert_eq!((world.standing(at), world.state(2, at)), (Some(Standing::Majority), Some(State::Down)));
+        assert_eq!(
+            (world.standing(at), world.state(2, at)),
+            (Some(Standing::Majority), Some(State::Down))
+        );
     }
     // Started again, with nothing kept, it is one more start of the same member.
     world.start(2);
@@ -29,10 +32,28 @@
     world.go_on(4);
     world.run(ms(20_000));
     assert!(world.all_whole());
-    let after = |of: usize| world.downs(of, woken).into_iter().filter(|(_, by)| *by == 4).count();
-    assert!((0..4).all(|of| after(of) == 0), "it took others for dead that it had not listened to");
-    let own: Vec<&Event> = world.events.iter().filter(|e| e.0 >= woken && e.1 == 4).map(|e| &e.2).collect();
-    assert!(own.iter().any(|e| matches!(e, Event::StoodStill(d) if *d > ms(5_000))), "{own:?}");
+    let after = |of: usize| {
+        world
+            .downs(of, woken)
+            .into_iter()
+            .filter(|(_, by)| *by == 4)
+            .count()
+    };
+    assert!(
+        (0..4).all(|of| after(of) == 0),
+        "it took others for dead that it had not listened to"
+    );
+    let own: Vec<&Event> = world
+        .events
+        .iter()
+        .filter(|e| e.0 >= woken && e.1 == 4)
+        .map(|e| &e.2)
+        .collect();
+    assert!(
+        own.iter()
+            .any(|e| matches!(e, Event::StoodStill(d) if *d > ms(5_000))),
+        "{own:?}"
+    );
 }
 
 #[test]
@@ -45,7 +66,11 @@
     assert!((2..6).all(|at| world.standing(at) == Some(Standing::Majority)));
     world.net.passes = Box::new(|_, _| true);
     world.run(ms(25_000));
-    assert!(world.all_whole(), "{:?}", (0..6).map(|i| world.standing(i)).collect::<Vec<_>>());
+    assert!(
+        world.all_whole(),
+        "{:?}",
+        (0..6).map(|i| world.standing(i)).collect::<Vec<_>>()
+    );
 }
 
 #[test]
@@ -73,11 +98,19 @@
         let apart = |i: usize| i == 0 || i == 4;
         world.net.passes = Box::new(move |from, to| apart(from) == apart(to));
         world.run(ms(16_407));
-        let came_back =
-            |who: usize| world.events.iter().any(|e| e.1 == who && matches!(e.2, Event::CameBack(_)));
+        let came_back = |who: usize| {
+            world
+                .events
+                .iter()
+                .any(|e| e.1 == who && matches!(e.2, Event::CameBack(_)))
+        };
         courses += usize::from(came_back(0) && came_back(4));
         let both = (world.standing(0), world.standing(4));
-        assert_eq!(both, (Some(Standing::CutOff), Some(Standing::CutOff)), "seed {seed}");
+        assert_eq!(
+            both,
+            (Some(Standing::CutOff), Some(Standing::CutOff)),
+            "seed {seed}"
+        );
     }
     assert!(courses > 0, "the course that it is about");
 }
@@ -140,7 +173,11 @@
     let mut world = World::new(5, 11);
     world.run(ms(3_000));
     let (now, mut out) = (world.net.now, vec![]);
-    world.nodes[1].member.as_mut().expect("alive").leave(now, &mut out);
+    world.nodes[1]
+        .member
+        .as_mut()
+        .expect("alive")
+        .leave(now, &mut out);
     world.carry(1, out);
     world.kill(1);
     world.run(ms(4_500));
@@ -155,10 +192,17 @@
     world.run(ms(3_000));
     world.start_as(4, 1);
     world.run(ms(12_000));
-    let fenced: Vec<_> = world.events.iter().filter(|e| matches!(e.2, Event::Fenced(_))).collect();
+    let fenced: Vec<_> = world
+        .events
+        .iter()
+        .filter(|e| matches!(e.2, Event::Fenced(_)))
+        .collect();
     assert_eq!(fenced.len(), 1, "{fenced:?}");
     let (_, by, event) = fenced[0];
-    assert!(*by == 1 && matches!(event, Event::Fenced(start) if start.process > 1), "{fenced:?}");
+    assert!(
+        *by == 1 && matches!(event, Event::Fenced(start) if start.process > 1),
+        "{fenced:?}"
+    );
     let first = world.nodes[1].member.as_ref().expect("alive");
     assert_eq!(first.wake_at(), None, "it speaks no more");
     assert_eq!(world.state(1, 0), Some(State::Alive));
@@ -169,5 +213,9 @@
     let mut world = World::new(60, 13);
     world.run(ms(10_000));
     assert!(world.all_whole());
-    assert!(world.longest <= DATAGRAM_MOST && world.longest > 200, "{}", world.longest);
+    assert!(
+        world.longest <= DATAGRAM_MOST && world.longest > 200,
+        "{}",
+        world.longest
+    );
 }
--- a/crates/net/src/accept.rs
+++ b/crates/net/src/accept.rs
@@ -54,7 +54,13 @@
 impl Door {
     /// Without TLS, and with no bound of its own on handshakes.
     pub fn plain(connections: usize, handshake: Duration, socket: Limits) -> Door {
-        Door { connections, handshake, handshakes: connections, tls: None, socket }
+        Door {
+            connections,
+            handshake,
+            handshakes: connections,
+            tls: None,
+            socket,
+        }
     }
 }
 
@@ -69,7 +75,11 @@
     ///
     /// # Errors
     /// Where the listener has no address or the system gives no thread.
-    pub fn start(listener: TcpListener, door: Door, handler: Arc<dyn Handler>) -> io::Result<Acceptor> {
+    pub fn start(
+        listener: TcpListener,
+        door: Door,
+        handler: Arc<dyn Handler>,
+    ) -> io::Result<Acceptor> {
         let address = listener.local_addr()?;
         let ending = Arc::new(AtomicBool::new(false));
         let flag = Arc::clone(&ending);
@@ -91,7 +101,12 @@
     }
 }
 
-fn accept_loop(listener: &TcpListener, door: &Door, handler: &Arc<dyn Handler>, ending: &AtomicBool) {
+fn accept_loop(
+    listener: &TcpListener,
+    door: &Door,
+    handler: &Arc<dyn Handler>,
+    ending: &AtomicBool,
+) {
     let count = Arc::new(AtomicUsize::new(0));
     let next = Arc::new(AtomicU64::new(1));
     let room = Arc::new(Room::new(door.handshakes));
@@ -111,7 +126,11 @@
         };
         if count.load(Ordering::SeqCst) >= door.connections {
             if door.tls.is_none() {
-                http::answer(&stream.into(), 503, "as many connections as there may be; come back later\n");
+                http::answer(
+                    &stream.into(),
+                    503,
+                    "as many connections as there may be; come back later\n",
+                );
             }
             continue;
         }
@@ -121,15 +140,21 @@
         };
         count.fetch_add(1, Ordering::SeqCst);
         let visitor = room.enter(address, handle);
-        let (door, handler, held, next) =
-            (door.clone(), Arc::clone(handler), Arc::clone(&count), Arc::clone(&next));
+        let (door, handler, held, next) = (
+            door.clone(),
+            Arc::clone(handler),
+            Arc::clone(&count),
+            Arc::clone(&next),
+        );
         let waits = Arc::clone(&room);
         let serve = move || {
             serve(stream, &door, &*handler, &next, &|| waits.leave(visitor));
             waits.leave(visitor);
             held.fetch_sub(1, Ordering::SeqCst);
         };
-        let thread = std::thread::Builder::new().stack_size(READER_STACK).name("ws-read".into());
+        let thread = std::thread::Builder::new()
+            .stack_size(READER_STACK)
+            .name("ws-read".into());
         if let Err(e) = thread.spawn(serve) {
             count.fetch_sub(1, Ordering::SeqCst);
             room.leave(visitor);
@@ -145,7 +170,9 @@
 
 impl Room {
     fn new(most: usize) -> Room {
-        Room { inside: Mutex::new((Handshakes::new(most), BTreeMap::new())) }
+        Room {
+            inside: Mutex::new((Handshakes::new(most), BTreeMap::new())),
+        }
     }
 
     fn enter(&self, address: SocketAddr, handle: TcpStream) -> Visitor {
@@ -170,7 +197,11 @@
 }
 
 /// The handshakes of one connection: TLS where it is asked for, then the upgrade. `None` where there is no session.
-fn greet(stream: TcpStream, door: &Door, handler: &dyn Handler) -> Option<(Wire, Vec<u8>, Option<Caller>)> {
+fn greet(
+    stream: TcpStream,
+    door: &Door,
+    handler: &dyn Handler,
+) -> Option<(Wire, Vec<u8>, Option<Caller>)> {
     let deadline = Instant::now() + door.handshake;
     let wire = match &door.tls {
         None => Wire::from(stream),
@@ -211,7 +242,10 @@
             return None;
         }
     };
-    let caller = match handler.admit(head.header("authorization"), wire.peer_certificate().as_deref()) {
+    let caller = match handler.admit(
+        head.header("authorization"),
+        wire.peer_certificate().as_deref(),
+    ) {
         Ok(caller) => caller,
         Err((status, why)) => {
             refuse(status, &format!("{why}\n"));
@@ -223,10 +257,20 @@
     Some((wire, head.left, caller))
 }
 
-fn serve(stream: TcpStream, door: &Door, handler: &dyn Handler, next: &AtomicU64, greeted: &dyn Fn()) {
-    let Some((wire, left, caller)) = greet(stream, door, handler) else { return };
+fn serve(
+    stream: TcpStream,
+    door: &Door,
+    handler: &dyn Handler,
+    next: &AtomicU64,
+    greeted: &dyn Fn(),
+) {
+    let Some((wire, left, caller)) = greet(stream, door, handler) else {
+        return;
+    };
     greeted();
-    let Ok((mut reader, outbox)) = socket::start(wire, left, Role::Server, door.socket.clone(), None) else {
+    let Ok((mut reader, outbox)) =
+        socket::start(wire, left, Role::Server, door.socket.clone(), None)
+    else {
         return tracing::warn!("no thread to write to a connection");
     };
     let connection = next.fetch_add(1, Ordering::SeqCst);
--- a/crates/net/src/charges.rs
+++ b/crates/net/src/charges.rs
@@ -39,7 +39,12 @@
             .name("charges".into())
             .spawn(move || write(&journal, &waiting, &told, &to))
             .map_err(|e| format!("no thread for charges: {e}"))?;
-        Ok(Charges { queue, thread, last: Charge(0), written })
+        Ok(Charges {
+            queue,
+            thread,
+            last: Charge(0),
+            written,
+        })
     }
 
     /// Queues an entry; `None` where the queue is full and the entry is in the log alone.
@@ -69,12 +74,19 @@
     }
 }
 
-fn write(journal: &Journal, waiting: &Receiver<(Charge, Entry)>, told: &AtomicU64, to: &Sender<Event>) {
+fn write(
+    journal: &Journal,
+    waiting: &Receiver<(Charge, Entry)>,
+    told: &AtomicU64,
+    to: &Sender<Event>,
+) {
     while let Ok(first) = waiting.recv() {
         let mut batch = vec![first.1];
         let mut last = first.0;
         while batch.len() < BATCH {
-            let Ok((number, entry)) = waiting.try_recv() else { break };
+            let Ok((number, entry)) = waiting.try_recv() else {
+                break;
+            };
             batch.push(entry);
             last = number;
         }
@@ -111,7 +123,9 @@
         // A sender that is gone shows in a queue that is empty and will stay so.
         let ending = tries >= 5
             && waiting.is_empty()
-            && waiting.recv_timeout(PAUSE.0).is_err_and(|e| e.is_disconnected());
+            && waiting
+                .recv_timeout(PAUSE.0)
+                .is_err_and(|e| e.is_disconnected());
         if ending {
             for entry in batch {
                 tracing::error!(
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -17,8 +17,13 @@
     pub fn start() -> Self {
         static FIRST: OnceLock<Clock> = OnceLock::new();
         *FIRST.get_or_init(|| {
-            let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-            Clock { base_us: unix.as_micros() as u64, start: Instant::now() }
+            let unix = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default();
+            Clock {
+                base_us: unix.as_micros() as u64,
+                start: Instant::now(),
+            }
         })
     }
 
--- a/crates/net/src/dial.rs
+++ b/crates/net/src/dial.rs
@@ -67,8 +67,18 @@
     Ok((wire, left))
 }
 
-fn connect(endpoint: &str, manner: &Manner, within: Duration, deadline: Instant) -> io::Result<Wire> {
-    let unknown = || io::Error::new(io::ErrorKind::NotFound, format!("'{endpoint}' has no address"));
+fn connect(
+    endpoint: &str,
+    manner: &Manner,
+    within: Duration,
+    deadline: Instant,
+) -> io::Result<Wire> {
+    let unknown = || {
+        io::Error::new(
+            io::ErrorKind::NotFound,
+            format!("'{endpoint}' has no address"),
+        )
+    };
     let address = endpoint.to_socket_addrs()?.next().ok_or_else(unknown)?;
     let stream = TcpStream::connect_timeout(&address, within)?;
     stream.set_nodelay(true)?;
@@ -90,5 +100,11 @@
     most: usize,
 ) -> io::Result<Vec<u8>> {
     let deadline = Instant::now() + within;
-    http::get(&connect(endpoint, manner, within, deadline)?, endpoint, path, deadline, most)
+    http::get(
+        &connect(endpoint, manner, within, deadline)?,
+        endpoint,
+        path,
+        deadline,
+        most,
+    )
 }
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -72,9 +72,13 @@
         authorization: Option<&str>,
         certificate: Option<&[u8]>,
     ) -> Result<Option<Caller>, (u16, String)> {
-        let Some(guard) = &self.guard else { return Ok(None) };
+        let Some(guard) = &self.guard else {
+            return Ok(None);
+        };
         let bearer = |a: &str| {
-            a.get(..7).filter(|s| s.eq_ignore_ascii_case("bearer ")).map(|_| a[7..].trim().to_string())
+            a.get(..7)
+                .filter(|s| s.eq_ignore_ascii_case("bearer "))
+                .map(|_| a[7..].trim().to_string())
         };
         let refused = |code: &str, why: String| {
             tracing::info!(code, why, "a caller is not let in");
@@ -82,10 +86,14 @@
         };
         // A token says who calls even where the connection is another's, as a gateway's is.
         match (authorization.and_then(bearer), certificate) {
-            (Some(token), _) => guard.check(&token).map(Some).map_err(|r| refused(r.code(), r.to_string())),
-            (None, Some(der)) => {
-                guard.check_certificate(der).map(Some).map_err(|r| refused(r.code(), r.to_string()))
-            }
+            (Some(token), _) => guard
+                .check(&token)
+                .map(Some)
+                .map_err(|r| refused(r.code(), r.to_string())),
+            (None, Some(der)) => guard
+                .check_certificate(der)
+                .map(Some)
+                .map_err(|r| refused(r.code(), r.to_string())),
             (None, None) => Err((401, "token_missing: a bearer token is expected".to_string())),
         }
     }
@@ -106,14 +114,22 @@
         // A token goes no further than here: what the loop is told may be recorded.
         let input = match (renewal(&text), &self.guard) {
             (Renewal::None, _) | (_, None) => Input::SessionText { session, text },
-            (Renewal::Broken, Some(_)) => {
-                Input::RenewalRefused { session, code: "token_malformed".to_string() }
-            }
+            (Renewal::Broken, Some(_)) => Input::RenewalRefused {
+                session,
+                code: "token_malformed".to_string(),
+            },
             (Renewal::Token(token), Some(guard)) => match guard.check(&token) {
                 Ok(caller) => Input::SessionRenewed { session, caller },
                 Err(refusal) => {
-                    tracing::info!(session = connection, code = refusal.code(), "a renewal is refused");
-                    Input::RenewalRefused { session, code: refusal.code().to_string() }
+                    tracing::info!(
+                        session = connection,
+                        code = refusal.code(),
+                        "a renewal is refused"
+                    );
+                    Input::RenewalRefused {
+                        session,
+                        code: refusal.code().to_string(),
+                    }
                 }
             },
         };
@@ -122,7 +138,9 @@
 
     fn closed(&self, connection: u64, why: String) {
         tracing::debug!(session = connection, why, "session closed");
-        self.tell(Event::Input(Input::SessionClosed { session: SessionId(connection) }));
+        self.tell(Event::Input(Input::SessionClosed {
+            session: SessionId(connection),
+        }));
     }
 
     fn plain(&self, path: &str) -> (u16, String) {
@@ -131,7 +149,8 @@
             ("/ready", false) => (503, "not ready\n".to_string()),
             _ => (
                 404,
-                "sessions are opened with a WebSocket upgrade; /ready tells whether to come\n".to_string(),
+                "sessions are opened with a WebSocket upgrade; /ready tells whether to come\n"
+                    .to_string(),
             ),
         }
     }
@@ -251,9 +270,17 @@
             tracing::error!("the time to stop is over with requests in hand");
             return None;
         }
-        let wait = self.machine.next_wake().map_or(Duration::from_secs(1), |at| self.clock.until(at));
-        let wait = stop_by.map_or(wait, |by| wait.min(by.saturating_duration_since(Instant::now())));
-        let held = self.held.next_s().map(|at| self.clock.until(Micros::at(at)));
+        let wait = self
+            .machine
+            .next_wake()
+            .map_or(Duration::from_secs(1), |at| self.clock.until(at));
+        let wait = stop_by.map_or(wait, |by| {
+            wait.min(by.saturating_duration_since(Instant::now()))
+        });
+        let held = self
+            .held
+            .next_s()
+            .map(|at| self.clock.until(Micros::at(at)));
         let wait = held.map_or(wait, |held| wait.min(held));
         match self.events.recv_timeout(wait) {
             Ok(Event::Input(input)) => Some(input),
@@ -285,19 +312,29 @@
         let mut outputs = Vec::new();
         self.machine.step(at, input, &mut outputs);
         if let (Some(recorder), Some(input)) = (&self.recorder, kept) {
-            if !recorder.put(record::Entry::Step { at, input, outputs: outputs.clone() }) {
+            if !recorder.put(record::Entry::Step {
+                at,
+                input,
+                outputs: outputs.clone(),
+            }) {
                 tracing::error!("the record ends here: it cannot be written as fast as it grows");
                 self.recorder = None;
             }
         }
-        self.ready.store(!self.stopping && self.machine.is_ready(at), Ordering::Relaxed);
+        self.ready.store(
+            !self.stopping && self.machine.is_ready(at),
+            Ordering::Relaxed,
+        );
         if let Some(charges) = &self.charges {
             let free = self.held.written(charges.written());
             self.carry_all(free);
         }
         let late = self.held.overdue(at.seconds());
         if !late.is_empty() {
-            tracing::error!(outputs = late.len(), "answers go before their charges are on disk");
+            tracing::error!(
+                outputs = late.len(),
+                "answers go before their charges are on disk"
+            );
             self.carry_all(late);
         }
         self.carry_in_order(at, outputs)
@@ -352,26 +389,45 @@
             Output::Say { session, text } => {
                 if let Some(outbox) = self.sessions.get(&session) {
                     if outbox.text(text).is_err() {
-                        tracing::warn!(session = session.0, "closed: it does not read what it is sent");
+                        tracing::warn!(
+                            session = session.0,
+                            "closed: it does not read what it is sent"
+                        );
                         outbox.cut();
                     }
                 }
             }
-            Output::CloseSession { session, code, reason } => {
+            Output::CloseSession {
+                session,
+                code,
+                reason,
+            } => {
                 if let Some(outbox) = self.sessions.remove(&session) {
                     outbox.close(code, &reason);
                 }
             }
-            Output::Dial { link, endpoint, name } => self.dial(link, endpoint, name),
+            Output::Dial {
+                link,
+                endpoint,
+                name,
+            } => self.dial(link, endpoint, name),
             Output::Tell { link, text, stale } => self.tell(link, text, stale),
             Output::Hang { link } => {
                 if let Some(outbox) = self.links.get(&link) {
                     outbox.cut();
                 }
             }
-            Output::AskLedger { holder, number, tenants } => {
+            Output::AskLedger {
+                holder,
+                number,
+                tenants,
+            } => {
                 if let Some(ledger) = &self.ledger {
-                    ledger.ask(&ToLedger::Ask { holder, number, tenants });
+                    ledger.ask(&ToLedger::Ask {
+                        holder,
+                        number,
+                        tenants,
+                    });
                 }
             }
             Output::Seen(seen) => {
@@ -404,7 +460,9 @@
     }
 
     fn tell(&mut self, link: LinkId, text: String, stale: Option<bitternlatch_core::Stale>) {
-        let Some(outbox) = self.links.get(&link) else { return };
+        let Some(outbox) = self.links.get(&link) else {
+            return;
+        };
         match stale {
             None => {
                 if outbox.text(text).is_err() {
@@ -413,8 +471,14 @@
             }
             Some(stale) => {
                 let within = Duration::from_secs_f64(stale.after_s);
-                if outbox.text_within(text, within, stale.attempt.clone()).is_err() {
-                    self.own.push_back(Input::LinkUnsent { link, attempt: stale.attempt });
+                if outbox
+                    .text_within(text, within, stale.attempt.clone())
+                    .is_err()
+                {
+                    self.own.push_back(Input::LinkUnsent {
+                        link,
+                        attempt: stale.attempt,
+                    });
                 }
             }
         }
@@ -425,9 +489,14 @@
         let tls = self.tls.as_ref().map(|tls| (tls.config(), name));
         let manner = Manner { token: None, tls };
         let (back, engines) = (self.back.clone(), self.engines.clone());
-        let thread = std::thread::Builder::new().stack_size(READER_STACK).name("link".into());
+        let thread = std::thread::Builder::new()
+            .stack_size(READER_STACK)
+            .name("link".into());
         if let Err(e) = thread.spawn(move || run_link(link, &endpoint, &manner, &engines, &back)) {
-            self.own.push_back(Input::LinkFailed { link, why: format!("no thread: {e}") });
+            self.own.push_back(Input::LinkFailed {
+                link,
+                why: format!("no thread: {e}"),
+            });
         }
     }
 
@@ -453,7 +522,13 @@
     }
 }
 
-fn run_link(link: LinkId, endpoint: &str, manner: &Manner, engines: &Engines, back: &Sender<Event>) {
+fn run_link(
+    link: LinkId,
+    endpoint: &str,
+    manner: &Manner,
+    engines: &Engines,
+    back: &Sender<Event>,
+) {
     let limits = Limits {
         message_bytes: engines.message_bytes,
         queue: engines.queue_messages,
@@ -474,7 +549,10 @@
             reader
         }
         Err(e) => {
-            tell(Input::LinkFailed { link, why: e.to_string() });
+            tell(Input::LinkFailed {
+                link,
+                why: e.to_string(),
+            });
             return;
         }
     };
@@ -526,7 +604,9 @@
                 return;
             }
         };
-        let thread = std::thread::Builder::new().name("record".into()).spawn(write)?;
+        let thread = std::thread::Builder::new()
+            .name("record".into())
+            .spawn(write)?;
         Ok(Recorder { queue, thread })
     }
 
--- a/crates/net/src/guard.rs
+++ b/crates/net/src/guard.rs
@@ -30,7 +30,10 @@
 
 /// The wall clock, Unix seconds.
 pub fn unix() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64()
 }
 
 /// A wall clock: Unix seconds. It may jump.
@@ -95,7 +98,10 @@
     /// Whether what proved a caller still counts.
     pub fn counts(&self, caller: &Caller) -> bool {
         match caller.proof {
-            Proof::Certificate => !self.certificates.as_ref().is_some_and(|s| s.revoked(&caller.key_id)),
+            Proof::Certificate => !self
+                .certificates
+                .as_ref()
+                .is_some_and(|s| s.revoked(&caller.key_id)),
             Proof::Token => {
                 let set = self.keeper().set(self.steady()).cloned();
                 set.is_some_and(|s| s.counts(&caller.key_id, self.now(), self.rules.skew_s))
@@ -119,9 +125,13 @@
     let beside = |file: &str| base.join(file);
     let rights_file = beside(&identity.rights);
     let rights = read_rights(&rights_file)?;
-    to.send(Event::Input(Input::Rights(rights.clone()))).map_err(|e| e.to_string())?;
-    let rules =
-        KeeperRules { refresh_s: identity.refresh_s, keep_s: identity.keep_s, ..KeeperRules::default() };
+    to.send(Event::Input(Input::Rights(rights.clone())))
+        .map_err(|e| e.to_string())?;
+    let rules = KeeperRules {
+        refresh_s: identity.refresh_s,
+        keep_s: identity.keep_s,
+        ..KeeperRules::default()
+    };
     let clock = Clock::start();
     let steady = clock.now().seconds();
     let mut keeper = Keeper::new(rules, steady);
@@ -141,13 +151,24 @@
         wall,
         certificates,
     });
-    let source = identity.keys.as_deref().map(|keys| match keys.strip_prefix("http://") {
-        Some(rest) => Source::Address(rest.to_string()),
-        None => Source::File(beside(keys)),
-    });
+    let source = identity
+        .keys
+        .as_deref()
+        .map(|keys| match keys.strip_prefix("http://") {
+            Some(rest) => Source::Address(rest.to_string()),
+            None => Source::File(beside(keys)),
+        });
     let (counted, told_us) = (Vec::new(), 0);
-    let mut watch =
-        Watch { guard: Arc::clone(&guard), source, kept, rights_file, rights, counted, told_us, to };
+    let mut watch = Watch {
+        guard: Arc::clone(&guard),
+        source,
+        kept,
+        rights_file,
+        rights,
+        counted,
+        told_us,
+        to,
+    };
     watch.look();
     let run = move || loop {
         std::thread::sleep(LOOK);
@@ -162,7 +183,9 @@
 
 fn read_rights(path: &Path) -> Result<String, String> {
     let shown = path.display();
-    let size = std::fs::metadata(path).map_err(|e| format!("{shown}: {e}"))?.len();
+    let size = std::fs::metadata(path)
+        .map_err(|e| format!("{shown}: {e}"))?
+        .len();
     if size > RIGHTS_BYTES {
         return Err(format!("{shown}: {size} bytes, more than {RIGHTS_BYTES}"));
     }
@@ -174,11 +197,18 @@
 /// The kept document counts by its file's age.
 fn restore(keeper: &mut Keeper, steady: f64, path: &Path) {
     let age = |m: std::fs::Metadata| m.modified().ok().and_then(|t| t.elapsed().ok());
-    let age_s = std::fs::metadata(path).ok().and_then(age).map_or(0.0, |a| a.as_secs_f64());
-    let Ok(document) = std::fs::read(path) else { return };
+    let age_s = std::fs::metadata(path)
+        .ok()
+        .and_then(age)
+        .map_or(0.0, |a| a.as_secs_f64());
+    let Ok(document) = std::fs::read(path) else {
+        return;
+    };
     match keeper.restore(steady, &document, age_s) {
         Ok(()) => tracing::info!(age_s, "the last good keys are taken from disk"),
-        Err(e) => tracing::error!(error = %e, file = %path.display(), "the kept keys cannot be used"),
+        Err(e) => {
+            tracing::error!(error = %e, file = %path.display(), "the kept keys cannot be used")
+        }
     }
 }
 
@@ -194,7 +224,13 @@
             Source::File(path) => std::fs::read(path),
             Source::Address(rest) => {
                 let (endpoint, path) = rest.split_once('/').unwrap_or((rest, ""));
-                get(endpoint, &format!("/{path}"), &Manner::default(), FETCH, DOCUMENT_BYTES)
+                get(
+                    endpoint,
+                    &format!("/{path}"),
+                    &Manner::default(),
+                    FETCH,
+                    DOCUMENT_BYTES,
+                )
             }
         }
     }
@@ -234,9 +270,14 @@
             let doubted = time.doubts();
             let stepped = time.look(steady, (self.guard.wall)());
             if let Some(stepped) = stepped {
-                tracing::warn!(by_s = stepped.by_s, "the clock has jumped and stayed; it is followed");
+                tracing::warn!(
+                    by_s = stepped.by_s,
+                    "the clock has jumped and stayed; it is followed"
+                );
             } else if time.doubts() && !doubted {
-                tracing::warn!("the clock has jumped; proofs are judged as before while it may jump back");
+                tracing::warn!(
+                    "the clock has jumped; proofs are judged as before while it may jump back"
+                );
             }
             time.now(steady) - steady
         };
@@ -285,10 +326,23 @@
         let now = self.guard.now();
         let skew_s = self.guard.rules.skew_s;
         let counts = |set: &Arc<KeySet>| -> Vec<String> {
-            set.ids().filter(|id| set.counts(id, now, skew_s)).map(str::to_string).collect()
+            set.ids()
+                .filter(|id| set.counts(id, now, skew_s))
+                .map(str::to_string)
+                .collect()
         };
-        let counting = self.guard.keeper().set(self.guard.steady()).map(counts).unwrap_or_default();
-        let gone: Vec<String> = self.counted.iter().filter(|id| !counting.contains(id)).cloned().collect();
+        let counting = self
+            .guard
+            .keeper()
+            .set(self.guard.steady())
+            .map(counts)
+            .unwrap_or_default();
+        let gone: Vec<String> = self
+            .counted
+            .iter()
+            .filter(|id| !counting.contains(id))
+            .cloned()
+            .collect();
         self.counted = counting;
         if !gone.is_empty() {
             tracing::warn!(keys = ?gone, "keys count no more");
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -24,16 +24,25 @@
 
 impl Head {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v.as_str())
     }
 
     fn lists(&self, name: &str, word: &str) -> bool {
-        self.header(name).is_some_and(|v| v.split(',').any(|w| w.trim().eq_ignore_ascii_case(word)))
+        self.header(name)
+            .is_some_and(|v| v.split(',').any(|w| w.trim().eq_ignore_ascii_case(word)))
     }
 
     /// What makes an upgrade one that two readers could understand in two ways (RFC 9112, 3.2 and 6.3; RFC 6455, 4.1).
     fn unclear(&self) -> Option<&'static str> {
-        let count = |name: &str| self.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name)).count();
+        let count = |name: &str| {
+            self.headers
+                .iter()
+                .filter(|(n, _)| n.eq_ignore_ascii_case(name))
+                .count()
+        };
         let once = |name: &str| count(name) == 1;
         if self.version != 1 {
             Some("an upgrade is asked for over HTTP/1.1")
@@ -43,7 +52,9 @@
             Some("a header Sec-WebSocket-Key or -Version stands twice")
         } else if count("authorization") > 1 {
             Some("the header Authorization stands twice")
-        } else if count("transfer-encoding") > 0 || self.header("content-length").is_some_and(|n| n != "0") {
+        } else if count("transfer-encoding") > 0
+            || self.header("content-length").is_some_and(|n| n != "0")
+        {
             Some("an upgrade has no body")
         } else {
             None
@@ -70,7 +81,10 @@
         }
         let key = self.header("sec-websocket-key").filter(|k| k.len() == 24);
         let Some(key) = key else {
-            return Some(Err((400, "the header Sec-WebSocket-Key is missing or not 16 bytes in base64")));
+            return Some(Err((
+                400,
+                "the header Sec-WebSocket-Key is missing or not 16 bytes in base64",
+            )));
         };
         let accept = derive_accept_key(key.as_bytes());
         Some(Ok(format!(
@@ -92,7 +106,9 @@
 ) -> io::Result<(T, Vec<u8>)> {
     let mut data = Vec::new();
     loop {
-        if let Some((head, used)) = parse(&data).map_err(|e| fault(format!("broken HTTP head: {e}")))? {
+        if let Some((head, used)) =
+            parse(&data).map_err(|e| fault(format!("broken HTTP head: {e}")))?
+        {
             return Ok((head, data.split_off(used)));
         }
         if data.len() >= HEAD_BYTES {
@@ -100,19 +116,34 @@
         }
         let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            return Err(io::Error::new(io::ErrorKind::TimedOut, "no whole HTTP head in time"));
+            return Err(io::Error::new(
+                io::ErrorKind::TimedOut,
+                "no whole HTTP head in time",
+            ));
         }
         stream.set_read_timeout(Some(left.max(Duration::from_millis(1))))?;
         let mut chunk = [0; 1024];
         match stream.receive(&mut chunk)? {
-            0 => return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "closed before a whole HTTP head")),
+            0 => {
+                return Err(io::Error::new(
+                    io::ErrorKind::UnexpectedEof,
+                    "closed before a whole HTTP head",
+                ))
+            }
             n => data.extend_from_slice(&chunk[..n]),
         }
     }
 }
 
 fn headers(list: &[httparse::Header<'_>]) -> Vec<(String, String)> {
-    list.iter().map(|h| (h.name.to_string(), String::from_utf8_lossy(h.value).trim().to_string())).collect()
+    list.iter()
+        .map(|h| {
+            (
+                h.name.to_string(),
+                String::from_utf8_lossy(h.value).trim().to_string(),
+            )
+        })
+        .collect()
 }
 
 /// Reads a request's head.
@@ -159,9 +190,13 @@
     if token.is_some_and(|t| !t.bytes().all(|b| b.is_ascii_graphic())) {
         return Err(fault("a token of printable ASCII is expected"));
     }
-    let proof = token.map(|t| format!("Authorization: Bearer {t}\r\n")).unwrap_or_default();
+    let proof = token
+        .map(|t| format!("Authorization: Bearer {t}\r\n"))
+        .unwrap_or_default();
     let key = tungstenite::handshake::client::generate_key();
-    let left = deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+    let left = deadline
+        .saturating_duration_since(Instant::now())
+        .max(Duration::from_millis(1));
     stream.set_write_timeout(Some(left))?;
     let ask = format!(
         "GET {path} HTTP/1.1\r\nHost: {host}\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n\
@@ -175,13 +210,17 @@
             httparse::Status::Partial => None,
             httparse::Status::Complete(used) => {
                 let accept = headers(response.headers);
-                let accept = accept.into_iter().find(|(n, _)| n.eq_ignore_ascii_case("sec-websocket-accept"));
+                let accept = accept
+                    .into_iter()
+                    .find(|(n, _)| n.eq_ignore_ascii_case("sec-websocket-accept"));
                 Some(((response.code.unwrap_or(0), accept.map(|a| a.1)), used))
             }
         })
     })?;
     if code != 101 || accept.as_deref() != Some(derive_accept_key(key.as_bytes()).as_str()) {
-        return Err(fault(format!("the upgrade was answered with status {code}")));
+        return Err(fault(format!(
+            "the upgrade was answered with status {code}"
+        )));
     }
     Ok(left)
 }
@@ -224,10 +263,14 @@
     deadline: Instant,
     most: usize,
 ) -> io::Result<Vec<u8>> {
-    let left = deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+    let left = deadline
+        .saturating_duration_since(Instant::now())
+        .max(Duration::from_millis(1));
     stream.set_write_timeout(Some(left))?;
     // In one write: a server that answers what it has read so far and hangs up would break a second one.
-    stream.send(format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\n\r\n").as_bytes())?;
+    stream.send(
+        format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\n\r\n").as_bytes(),
+    )?;
     let ((code, length), mut body) = read_head(stream, deadline, |data| {
         let mut slots = [httparse::EMPTY_HEADER; HEADERS];
         let mut response = httparse::Response::new(&mut slots);
@@ -235,7 +278,9 @@
             httparse::Status::Partial => None,
             httparse::Status::Complete(used) => {
                 let all = headers(response.headers);
-                let length = all.iter().find(|(n, _)| n.eq_ignore_ascii_case("content-length"));
+                let length = all
+                    .iter()
+                    .find(|(n, _)| n.eq_ignore_ascii_case("content-length"));
                 let length = length.and_then(|(_, v)| v.parse::<usize>().ok());
                 Some(((response.code.unwrap_or(0), length), used))
             }
@@ -248,7 +293,10 @@
     while length.is_none_or(|n| body.len() < n) {
         let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            return Err(io::Error::new(io::ErrorKind::TimedOut, "no whole body in time"));
+            return Err(io::Error::new(
+                io::ErrorKind::TimedOut,
+                "no whole body in time",
+            ));
         }
         stream.set_read_timeout(Some(left))?;
         match stream.receive(&mut chunk)? {
--- a/crates/net/src/ledger.rs
+++ b/crates/net/src/ledger.rs
@@ -35,7 +35,8 @@
 fn send(line: &Line, message: &ToLedger) -> bool {
     let line = lock(line);
     let text = serde_json::to_string(message).unwrap_or_default();
-    line.as_ref().is_some_and(|outbox| outbox.text(text).is_ok())
+    line.as_ref()
+        .is_some_and(|outbox| outbox.text(text).is_ok())
 }
 
 impl LedgerLink {
@@ -72,8 +73,12 @@
     let put = |outbox| *lock(line) = outbox;
     let mut pause = PAUSE.0;
     loop {
-        let limits =
-            Limits { message_bytes: MESSAGE_BYTES, queue: 64, ping: Duration::from_secs(2), idle: None };
+        let limits = Limits {
+            message_bytes: MESSAGE_BYTES,
+            queue: 64,
+            ping: Duration::from_secs(2),
+            idle: None,
+        };
         match dial(address, "/v1/ledger", CONNECT, limits, None) {
             Ok((mut reader, outbox)) => {
                 tracing::info!(address, "the ledger is there");
@@ -102,13 +107,18 @@
         };
         match serde_json::from_str(&text) {
             Ok(FromLedger::Lent { number, parts }) => {
-                if to.send(Event::Input(Input::Lent { number, parts })).is_err() {
+                if to
+                    .send(Event::Input(Input::Lent { number, parts }))
+                    .is_err()
+                {
                     return "the loop has ended".to_string();
                 }
             }
             // One that nobody waits for any more comes again with the shipment's repeat.
             Ok(FromLedger::Shipped { number }) => drop(shipped.try_send(number)),
-            Ok(FromLedger::Fault { message }) => tracing::error!(message, "the ledger cannot use a message"),
+            Ok(FromLedger::Fault { message }) => {
+                tracing::error!(message, "the ledger cannot use a message")
+            }
             Err(e) => tracing::error!(error = %e, "the ledger says what cannot be read"),
         }
     }
@@ -126,7 +136,9 @@
                 continue;
             }
         };
-        let Some(up_to) = rest.last().map(|r| r.0) else { continue };
+        let Some(up_to) = rest.last().map(|r| r.0) else {
+            continue;
+        };
         number += 1;
         let entries = rest.into_iter().map(|r| r.1).collect();
         if !send(line, &ToLedger::Ship { number, entries }) {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -20,5 +20,7 @@
 
 /// Locks; a thread that panicked must not take the others with it.
 pub fn lock<T>(shared: &std::sync::Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    shared.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    shared
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
--- a/crates/net/src/logs.rs
+++ b/crates/net/src/logs.rs
@@ -4,5 +4,9 @@
 pub fn start() {
     let filter = tracing_subscriber::EnvFilter::try_from_env("BITTERNLATCH_LOG")
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"));
-    tracing_subscriber::fmt().json().with_env_filter(filter).with_writer(std::io::stderr).init();
+    tracing_subscriber::fmt()
+        .json()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .init();
 }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -73,7 +73,9 @@
 
 impl Queue {
     fn put(&self, letter: Letter) -> Result<(), NotTaken> {
-        if self.waiting.fetch_add(1, Ordering::AcqRel) < self.most && self.letters.send(letter).is_ok() {
+        if self.waiting.fetch_add(1, Ordering::AcqRel) < self.most
+            && self.letters.send(letter).is_ok()
+        {
             return Ok(());
         }
         self.waiting.fetch_sub(1, Ordering::AcqRel);
@@ -107,18 +109,27 @@
     ///
     /// # Errors
     /// As for [`Outbox::text`].
-    pub fn text_within(&self, text: String, within: Duration, name: String) -> Result<(), NotTaken> {
+    pub fn text_within(
+        &self,
+        text: String,
+        within: Duration,
+        name: String,
+    ) -> Result<(), NotTaken> {
         self.put(Body::Text(text), Some((Instant::now(), within, name)))
     }
 
     fn put(&self, body: Body, stale: Option<(Instant, Duration, String)>) -> Result<(), NotTaken> {
-        self.last_ms.store(self.started.elapsed().as_millis() as u64, Ordering::Relaxed);
+        self.last_ms
+            .store(self.started.elapsed().as_millis() as u64, Ordering::Relaxed);
         self.queue.put(Letter { body, stale })
     }
 
     /// Closes the socket once all that is queued has been written.
     pub fn close(&self, code: u16, reason: &str) {
-        if self.put(Body::Close(code, reason.to_string()), None).is_err() {
+        if self
+            .put(Body::Close(code, reason.to_string()), None)
+            .is_err()
+        {
             self.cut();
         }
     }
@@ -149,7 +160,10 @@
         let got = self.wire.receive(buf);
         if self.wire.wants_write() {
             // Nothing to add: the writing thread takes along what the session has to say.
-            let nudge = Letter { body: Body::Raw(Vec::new()), stale: None };
+            let nudge = Letter {
+                body: Body::Raw(Vec::new()),
+                stale: None,
+            };
             let _ = self.queue.put(nudge);
         }
         got
@@ -167,8 +181,15 @@
             return Ok(());
         }
         let body = Body::Raw(std::mem::take(&mut self.pending));
-        let full = || io::Error::new(io::ErrorKind::BrokenPipe, "the peer does not drain its queue");
-        self.queue.put(Letter { body, stale: None }).map_err(|NotTaken| full())
+        let full = || {
+            io::Error::new(
+                io::ErrorKind::BrokenPipe,
+                "the peer does not drain its queue",
+            )
+        };
+        self.queue
+            .put(Letter { body, stale: None })
+            .map_err(|NotTaken| full())
     }
 }
 
@@ -198,7 +219,11 @@
     wire.set_write_timeout(None)?;
     let (letters_to, letters) = unbounded();
     let waiting = Arc::new(AtomicUsize::new(0));
-    let queue = Queue { letters: letters_to, waiting: Arc::clone(&waiting), most: limits.queue };
+    let queue = Queue {
+        letters: letters_to,
+        waiting: Arc::clone(&waiting),
+        most: limits.queue,
+    };
     let outbox = Outbox {
         queue: queue.clone(),
         wire: Arc::clone(&wire),
@@ -213,8 +238,10 @@
         unsent,
     };
     WRITERS.fetch_add(1, Ordering::Relaxed);
-    let spawned =
-        std::thread::Builder::new().stack_size(WRITER_STACK).name("ws-write".into()).spawn(move || {
+    let spawned = std::thread::Builder::new()
+        .stack_size(WRITER_STACK)
+        .name("ws-write".into())
+        .spawn(move || {
             writer.run();
             WRITERS.fetch_sub(1, Ordering::Relaxed);
         });
@@ -227,9 +254,22 @@
         .write_buffer_size(0)
         .max_message_size(Some(limits.message_bytes))
         .max_frame_size(Some(limits.message_bytes));
-    let duplex = Duplex { wire, queue, pending: Vec::new() };
+    let duplex = Duplex {
+        wire,
+        queue,
+        pending: Vec::new(),
+    };
     let socket = WebSocket::from_partially_read(duplex, left, role, Some(config));
-    Ok((Reader { socket, outbox: outbox.clone(), limits, heard: Instant::now(), silent: 0 }, outbox))
+    Ok((
+        Reader {
+            socket,
+            outbox: outbox.clone(),
+            limits,
+            heard: Instant::now(),
+            silent: 0,
+        },
+        outbox,
+    ))
 }
 
 impl Reader {
@@ -247,7 +287,10 @@
                     return Heard::Ended(format!("closed by the peer with code {code}"));
                 }
                 Ok(Message::Binary(_)) => {
-                    return self.end(1003, "binary messages are not served here; text is expected");
+                    return self.end(
+                        1003,
+                        "binary messages are not served here; text is expected",
+                    );
                 }
                 Ok(Message::Ping(_) | Message::Pong(_) | Message::Frame(_)) => self.silent = 0,
                 Err(Error::Io(e)) if is_wait(&e) => {
@@ -255,7 +298,9 @@
                         return ended;
                     }
                 }
-                Err(Error::Capacity(e)) => return self.end(1009, &format!("message too long: {e}")),
+                Err(Error::Capacity(e)) => {
+                    return self.end(1009, &format!("message too long: {e}"))
+                }
                 Err(Error::Utf8(_)) => return self.end(1007, "a text message is not UTF-8"),
                 Err(Error::Protocol(e)) => return self.end(1002, &format!("protocol fault: {e}")),
                 Err(e) => {
@@ -271,17 +316,27 @@
         self.silent += 1;
         if self.silent >= SILENT_LOOKS {
             self.outbox.cut();
-            return Some(Heard::Ended("the peer is silent, pings included".to_string()));
+            return Some(Heard::Ended(
+                "the peer is silent, pings included".to_string(),
+            ));
         }
         let said = Duration::from_millis(self.outbox.last_ms.load(Ordering::Relaxed));
-        let quiet = self.heard.elapsed().min(self.outbox.started.elapsed().saturating_sub(said));
+        let quiet = self
+            .heard
+            .elapsed()
+            .min(self.outbox.started.elapsed().saturating_sub(said));
         if self.limits.idle.is_some_and(|idle| quiet > idle) {
             return Some(self.end(1001, "idle for longer than it may be"));
         }
-        let ping = Letter { body: Body::Ping, stale: None };
+        let ping = Letter {
+            body: Body::Ping,
+            stale: None,
+        };
         if self.outbox.queue.put(ping).is_err() {
             self.outbox.cut();
-            return Some(Heard::Ended("the peer does not drain its queue".to_string()));
+            return Some(Heard::Ended(
+                "the peer does not drain its queue".to_string(),
+            ));
         }
         None
     }
@@ -320,7 +375,9 @@
             buffer.clear();
             closing = self.encode(first, &mut buffer);
             while !closing && buffer.len() < GATHER_BYTES {
-                let Ok(next) = self.letters.try_recv() else { break };
+                let Ok(next) = self.letters.try_recv() else {
+                    break;
+                };
                 closing = self.encode(next, &mut buffer);
             }
             if self.wire.send(&buffer).is_err() {
@@ -353,7 +410,13 @@
             Body::Ping => (Frame::ping(Vec::new()), false),
             Body::Close(code, reason) => {
                 let cut: String = reason.chars().take(40).collect();
-                (Frame::close(Some(CloseFrame { code: code.into(), reason: cut.into() })), true)
+                (
+                    Frame::close(Some(CloseFrame {
+                        code: code.into(),
+                        reason: cut.into(),
+                    })),
+                    true,
+                )
             }
         };
         self.frame(frame, buffer);
--- a/crates/net/src/tls.rs
+++ b/crates/net/src/tls.rs
@@ -43,7 +43,9 @@
         let read = |path: &PathBuf| -> Result<Vec<u8>, String> {
             let shown = path.display();
             let most = FILE_BYTES.max(2 * LIST_BYTES as u64);
-            let size = std::fs::metadata(path).map_err(|e| format!("{shown}: {e}"))?.len();
+            let size = std::fs::metadata(path)
+                .map_err(|e| format!("{shown}: {e}"))?
+                .len();
             if size > most {
                 return Err(format!("{shown}: {size} bytes, more than {most}"));
             }
@@ -90,7 +92,8 @@
     let key = PrivateKeyDer::from_pem_slice(&texts[1]).map_err(named(&files[1]))?;
     let chain = chain(&files[0], &texts[0])?;
     let pair = CertifiedKey::from_der(chain, key, &provider());
-    pair.map(Arc::new).map_err(|e| format!("{} with {}: {e}", files[0].display(), files[1].display()))
+    pair.map(Arc::new)
+        .map_err(|e| format!("{} with {}: {e}", files[0].display(), files[1].display()))
 }
 
 fn lists(path: &Path, text: &[u8]) -> Result<Vec<Vec<u8>>, String> {
@@ -140,7 +143,13 @@
         files.extend(settings.revoked.iter().map(beside));
         let texts = Texts::read(&files)?;
         let (authorities, required) = (settings.clients.is_some(), settings.clients_required);
-        let made = Server::make(&files, &texts.0, authorities, required, &Revocations::default())?;
+        let made = Server::make(
+            &files,
+            &texts.0,
+            authorities,
+            required,
+            &Revocations::default(),
+        )?;
         Ok(Server {
             files,
             authorities,
@@ -171,10 +180,11 @@
             }
             let offered = before.with(&revoked, &ders, unix() as u64);
             revocations = offered.map_err(|e| e.to_string())?;
-            let mut verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider())
-                .with_crls(revoked.into_iter().map(CertificateRevocationListDer::from))
-                .only_check_end_entity_revocation()
-                .allow_unknown_revocation_status();
+            let mut verifier =
+                WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider())
+                    .with_crls(revoked.into_iter().map(CertificateRevocationListDer::from))
+                    .only_check_end_entity_revocation()
+                    .allow_unknown_revocation_status();
             if !required {
                 verifier = verifier.allow_unauthenticated();
             }
@@ -185,7 +195,10 @@
         let mut config = builder.with_cert_resolver(Arc::new(Fixed(pair)));
         config.session_storage = Arc::new(NoServerSessionStorage {});
         config.send_tls13_tickets = 0;
-        Ok(Made { config: Arc::new(config), revocations })
+        Ok(Made {
+            config: Arc::new(config),
+            revocations,
+        })
     }
 
     /// What new connections are served with.
@@ -213,7 +226,13 @@
             return Vec::new();
         }
         let before = lock(&self.revocations).clone();
-        match Server::make(&self.files, &texts.0, self.authorities, self.required, &before) {
+        match Server::make(
+            &self.files,
+            &texts.0,
+            self.authorities,
+            self.required,
+            &before,
+        ) {
             Ok(made) => {
                 let news = made.revocations.since(&before);
                 *lock(&self.revocations) = made.revocations;
@@ -246,7 +265,10 @@
     /// As [`Server::load`].
     pub fn load(settings: &EnginesTls, base: &Path) -> Result<Client, String> {
         let own = settings.certificate.iter().chain(&settings.key);
-        let files = std::iter::once(&settings.authorities).chain(own).map(|f| base.join(f)).collect();
+        let files = std::iter::once(&settings.authorities)
+            .chain(own)
+            .map(|f| base.join(f))
+            .collect();
         Client::from_files(files)
     }
 
@@ -257,7 +279,11 @@
     pub fn from_files(files: Vec<PathBuf>) -> Result<Client, String> {
         let texts = Texts::read(&files)?;
         let config = RwLock::new(Client::make(&files, &texts.0)?);
-        Ok(Client { files, config, reload: Mutex::new(Reload::new(texts.hash())) })
+        Ok(Client {
+            files,
+            config,
+            reload: Mutex::new(Reload::new(texts.hash())),
+        })
     }
 
     fn make(files: &[PathBuf], texts: &[Vec<u8>]) -> Result<Arc<ClientConfig>, String> {
@@ -270,7 +296,8 @@
             1 => builder.with_no_client_auth(),
             _ => {
                 let pair = pair(&files[1..], &texts[1..])?;
-                builder.with_client_cert_resolver(Arc::new(rustls::sign::SingleCertAndKey::from(pair)))
+                builder
+                    .with_client_cert_resolver(Arc::new(rustls::sign::SingleCertAndKey::from(pair)))
             }
         };
         config.resumption = rustls::client::Resumption::disabled();
@@ -284,7 +311,9 @@
 
     /// As [`Server::look`].
     pub fn look(&self) {
-        let Ok(texts) = Texts::read(&self.files) else { return };
+        let Ok(texts) = Texts::read(&self.files) else {
+            return;
+        };
         if lock(&self.reload).look(texts.hash()) != Look::Try {
             return;
         }
@@ -296,7 +325,10 @@
             }
             Err(why) => {
                 lock(&self.reload).refused();
-                tracing::error!(why, "TLS files for host links are not taken; the last good ones stay");
+                tracing::error!(
+                    why,
+                    "TLS files for host links are not taken; the last good ones stay"
+                );
             }
         }
     }
@@ -307,19 +339,30 @@
 ///
 /// # Errors
 /// Where the system gives no thread.
-pub fn watch(server: Option<Arc<Server>>, client: Option<Arc<Client>>, to: Sender<Event>) -> io::Result<()> {
+pub fn watch(
+    server: Option<Arc<Server>>,
+    client: Option<Arc<Client>>,
+    to: Sender<Event>,
+) -> io::Result<()> {
     if server.is_none() && client.is_none() {
         return Ok(());
     }
     let run = move || loop {
         std::thread::sleep(LOOK);
         let revoked = server.as_ref().map(|s| s.look()).unwrap_or_default();
-        if !revoked.is_empty() && to.send(Event::Input(Input::KeysWithdrawn(revoked))).is_err() {
+        if !revoked.is_empty()
+            && to
+                .send(Event::Input(Input::KeysWithdrawn(revoked)))
+                .is_err()
+        {
             return;
         }
         if let Some(client) = &client {
             client.look();
         }
     };
-    std::thread::Builder::new().name("tls".into()).spawn(run).map(|_| ())
+    std::thread::Builder::new()
+        .name("tls".into())
+        .spawn(run)
+        .map(|_| ())
 }
--- a/crates/net/src/watch.rs
+++ b/crates/net/src/watch.rs
@@ -18,7 +18,9 @@
 /// Why not, as text: no such file, too long, not UTF-8.
 pub fn read_list(path: &PathBuf) -> Result<String, String> {
     let shown = path.display();
-    let size = std::fs::metadata(path).map_err(|e| format!("{shown}: {e}"))?.len();
+    let size = std::fs::metadata(path)
+        .map_err(|e| format!("{shown}: {e}"))?
+        .len();
     if size > FILE_BYTES {
         return Err(format!("{shown}: {size} bytes, more than {FILE_BYTES}"));
     }
@@ -30,7 +32,12 @@
 ///
 /// # Errors
 /// Where the system gives no thread.
-pub fn watch(path: PathBuf, every: Duration, mut good: LastGood, to: Sender<Event>) -> std::io::Result<()> {
+pub fn watch(
+    path: PathBuf,
+    every: Duration,
+    mut good: LastGood,
+    to: Sender<Event>,
+) -> std::io::Result<()> {
     let look = move || {
         let name = path.display().to_string();
         let mut told = String::new();
@@ -62,7 +69,10 @@
             }
         }
     };
-    std::thread::Builder::new().name("inventory".into()).spawn(look).map(|_| ())
+    std::thread::Builder::new()
+        .name("inventory".into())
+        .spawn(look)
+        .map(|_| ())
 }
 
 /// The list that counts from now on, if this text changes it.
--- a/crates/net/src/wire.rs
+++ b/crates/net/src/wire.rs
@@ -29,7 +29,10 @@
 
 impl From<TcpStream> for Wire {
     fn from(stream: TcpStream) -> Wire {
-        Wire { stream, session: None }
+        Wire {
+            stream,
+            session: None,
+        }
     }
 }
 
@@ -46,7 +49,11 @@
     ///
     /// # Errors
     /// A handshake that is broken, refused or late; the peer is told by an alert where there is one.
-    pub fn accept(stream: TcpStream, config: Arc<ServerConfig>, deadline: Instant) -> io::Result<Wire> {
+    pub fn accept(
+        stream: TcpStream,
+        config: Arc<ServerConfig>,
+        deadline: Instant,
+    ) -> io::Result<Wire> {
         let session = ServerConnection::new(config).map_err(broken)?;
         Wire::shake(stream, Connection::Server(session), deadline)
     }
@@ -61,13 +68,21 @@
         name: &str,
         deadline: Instant,
     ) -> io::Result<Wire> {
-        let name = ServerName::try_from(name.to_string())
-            .map_err(|_| io::Error::new(io::ErrorKind::InvalidInput, format!("'{name}' is no host name")))?;
+        let name = ServerName::try_from(name.to_string()).map_err(|_| {
+            io::Error::new(
+                io::ErrorKind::InvalidInput,
+                format!("'{name}' is no host name"),
+            )
+        })?;
         let session = ClientConnection::new(config, name).map_err(broken)?;
         Wire::shake(stream, Connection::Client(session), deadline)
     }
 
-    fn shake(mut stream: TcpStream, mut session: Connection, deadline: Instant) -> io::Result<Wire> {
+    fn shake(
+        mut stream: TcpStream,
+        mut session: Connection,
+        deadline: Instant,
+    ) -> io::Result<Wire> {
         session.set_buffer_limit(None);
         while session.is_handshaking() {
             let left = deadline.saturating_duration_since(Instant::now());
@@ -100,7 +115,13 @@
         while session.wants_write() {
             session.write_tls(&mut stream)?;
         }
-        Ok(Wire { stream, session: Some(Mutex::new(Session { tls: session, unread: Vec::new() })) })
+        Ok(Wire {
+            stream,
+            session: Some(Mutex::new(Session {
+                tls: session,
+                unread: Vec::new(),
+            })),
+        })
     }
 
     fn lock(session: &Mutex<Session>) -> MutexGuard<'_, Session> {
@@ -110,7 +131,11 @@
     /// The certificate that the peer has proven (DER).
     pub fn peer_certificate(&self) -> Option<Vec<u8>> {
         let session = Wire::lock(self.session.as_ref()?);
-        session.tls.peer_certificates().and_then(|c| c.first()).map(|c| c.as_ref().to_vec())
+        session
+            .tls
+            .peer_certificates()
+            .and_then(|c| c.first())
+            .map(|c| c.as_ref().to_vec())
     }
 
     /// Reads what the peer said. For the one thread that reads; it never writes to the socket.
@@ -118,7 +143,9 @@
     /// # Errors
     /// As the socket's; a stream that breaks the protocol.
     pub fn receive(&self, buf: &mut [u8]) -> io::Result<usize> {
-        let Some(session) = &self.session else { return read_on(&self.stream, buf) };
+        let Some(session) = &self.session else {
+            return read_on(&self.stream, buf);
+        };
         let mut raw = [0; CHUNK];
         loop {
             {
@@ -142,7 +169,9 @@
 
     /// Whether the session has something of its own to say.
     pub fn wants_write(&self) -> bool {
-        self.session.as_ref().is_some_and(|s| Wire::lock(s).tls.wants_write())
+        self.session
+            .as_ref()
+            .is_some_and(|s| Wire::lock(s).tls.wants_write())
     }
 
     /// Writes all, and whatever the session has to say. For the one thread that writes.
@@ -150,7 +179,9 @@
     /// # Errors
     /// As the socket's.
     pub fn send(&self, bytes: &[u8]) -> io::Result<()> {
-        let Some(session) = &self.session else { return (&self.stream).write_all(bytes) };
+        let Some(session) = &self.session else {
+            return (&self.stream).write_all(bytes);
+        };
         let records = {
             let mut session = Wire::lock(session);
             session.tls.writer().write_all(bytes)?;
@@ -235,5 +266,8 @@
 }
 
 pub(crate) fn is_wait(e: &io::Error) -> bool {
-    matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
+    matches!(
+        e.kind(),
+        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+    )
 }
--- a/crates/net/tests/clock.rs
+++ b/crates/net/tests/clock.rs
@@ -35,7 +35,8 @@
     std::fs::create_dir_all(&dir).expect("a folder");
     let mut ring = Ring::default();
     ring.announce(unix() as u64 - 10_000).expect("a key");
-    ring.write(&dir.join("ring.json"), &dir.join("jwks.json")).expect("files");
+    ring.write(&dir.join("ring.json"), &dir.join("jwks.json"))
+        .expect("files");
     std::fs::write(dir.join("rights.toml"), RIGHTS).expect("a file");
     let identity = Identity {
         issuer: "i".into(),
@@ -54,16 +55,25 @@
     let guard = guard::start(&identity, &dir, None, wall, to).expect("a guard");
     let token = |ends_in: i64| {
         let ends = (unix() as i64 + ends_in) as u64;
-        ring.sign(unix() as u64, &json!({ "iss": "i", "aud": "a", "sub": "ann", "exp": ends }))
-            .expect("a token")
+        ring.sign(
+            unix() as u64,
+            &json!({ "iss": "i", "aud": "a", "sub": "ann", "exp": ends }),
+        )
+        .expect("a token")
     };
     let (good, ended) = (token(1000), token(-1000));
-    assert_eq!((code(&guard, &good), code(&guard, &ended)), ("good", "token_expired"));
+    assert_eq!(
+        (code(&guard, &good), code(&guard, &ended)),
+        ("good", "token_expired")
+    );
 
     // Set back: what has ended does not come back while the jump may be an error.
     ahead.store(-5000, Ordering::SeqCst);
     std::thread::sleep(Duration::from_millis(600));
-    assert_eq!((code(&guard, &good), code(&guard, &ended)), ("good", "token_expired"));
+    assert_eq!(
+        (code(&guard, &good), code(&guard, &ended)),
+        ("good", "token_expired")
+    );
     // It was one: nothing is told, and a jump forward that stays is.
     ahead.store(0, Ordering::SeqCst);
     std::thread::sleep(Duration::from_millis(600));
--- a/crates/net/tests/sockets.rs
+++ b/crates/net/tests/sockets.rs
@@ -12,12 +12,18 @@
 use tungstenite::protocol::Role;
 
 fn limits(queue: usize) -> Limits {
-    Limits { message_bytes: 1 << 20, queue, ping: Duration::from_millis(200), idle: None }
+    Limits {
+        message_bytes: 1 << 20,
+        queue,
+        ping: Duration::from_millis(200),
+        idle: None,
+    }
 }
 
 fn pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let one = TcpStream::connect(listener.local_addr().expect("its address")).expect("a connection");
+    let one =
+        TcpStream::connect(listener.local_addr().expect("its address")).expect("a connection");
     (one, listener.accept().expect("the other end").0)
 }
 
@@ -27,35 +33,50 @@
     let unsent = Arc::new(Mutex::new(Vec::new()));
     let told = Arc::clone(&unsent);
     let note = Box::new(move |name| told.lock().expect("not poisoned").push(name));
-    let long = Limits { ping: Duration::from_secs(60), ..limits(100_000) };
-    let (_reader, outbox) = start(near, Vec::new(), Role::Client, long, Some(note)).expect("threads");
+    let long = Limits {
+        ping: Duration::from_secs(60),
+        ..limits(100_000)
+    };
+    let (_reader, outbox) =
+        start(near, Vec::new(), Role::Client, long, Some(note)).expect("threads");
     // Far more than the system's buffers hold: the writing thread is stuck in the middle of these.
     for _ in 0..1000 {
         outbox.text("x".repeat(64 * 1024)).expect("room");
     }
-    outbox.text_within("STALE".into(), Duration::from_millis(100), "a-1".into()).expect("room");
+    outbox
+        .text_within("STALE".into(), Duration::from_millis(100), "a-1".into())
+        .expect("room");
     outbox.text("fresh".into()).expect("room");
     std::thread::sleep(Duration::from_millis(400));
     let mut got = 0usize;
     let frame = 64 * 1024 + 14;
     let mut buffer = vec![0; 1 << 20];
-    far.set_read_timeout(Some(Duration::from_secs(20))).expect("an option");
+    far.set_read_timeout(Some(Duration::from_secs(20)))
+        .expect("an option");
     while got < 1000 * frame + 11 {
         got += far.read(&mut buffer).expect("bytes");
     }
-    assert_eq!(got, 1000 * frame + 11, "the long messages and the fresh one, nothing else");
+    assert_eq!(
+        got,
+        1000 * frame + 11,
+        "the long messages and the fresh one, nothing else"
+    );
     assert_eq!(*unsent.lock().expect("not poisoned"), ["a-1"]);
 }
 
 #[test]
 fn a_full_queue_takes_nothing_more_and_a_silent_peer_is_ended() {
     let (near, _far) = pair();
-    let (mut reader, outbox) = start(near, Vec::new(), Role::Server, limits(8), None).expect("threads");
+    let (mut reader, outbox) =
+        start(near, Vec::new(), Role::Server, limits(8), None).expect("threads");
     let text = "x".repeat(1 << 20);
     let refused = (0..100).any(|_| outbox.text(text.clone()) == Err(NotTaken));
     assert!(refused);
     let start = Instant::now();
-    assert!(matches!(reader.hear(), Heard::Ended(_)), "it neither answers pings nor drains");
+    assert!(
+        matches!(reader.hear(), Heard::Ended(_)),
+        "it neither answers pings nor drains"
+    );
     assert!(start.elapsed() < Duration::from_secs(10));
 }
 
@@ -70,28 +91,46 @@
         "accepted by the system, never answered"
     );
     let answer = std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().and_then(|_| listener.accept()).expect("a connection");
+        let (mut stream, _) = listener
+            .accept()
+            .and_then(|_| listener.accept())
+            .expect("a connection");
         let _ = stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\n\r\n");
         std::thread::sleep(Duration::from_millis(100));
     });
-    let refused = dial(&address, "/", Duration::from_secs(5), limits(8), None).err().expect("refused");
+    let refused = dial(&address, "/", Duration::from_secs(5), limits(8), None)
+        .err()
+        .expect("refused");
     assert!(refused.to_string().contains("503"), "{refused}");
     answer.join().expect("the server ends");
-    assert!(dial("no such host:1", "/", Duration::from_secs(1), limits(8), None).is_err());
+    assert!(dial(
+        "no such host:1",
+        "/",
+        Duration::from_secs(1),
+        limits(8),
+        None
+    )
+    .is_err());
     assert!(dial("127.0.0.1:1", "/", Duration::from_secs(1), limits(8), None).is_err());
 }
 
 #[test]
 fn a_message_over_the_bound_ends_its_socket_with_the_cause() {
     let (near, far) = pair();
-    let small = Limits { message_bytes: 1024, ..limits(8) };
+    let small = Limits {
+        message_bytes: 1024,
+        ..limits(8)
+    };
     let (mut reader, _) = start(near, Vec::new(), Role::Client, small, None).expect("threads");
     let (mut other, to) = start(far, Vec::new(), Role::Server, limits(8), None).expect("threads");
     to.text("short".into()).expect("room");
     to.text("x".repeat(1025)).expect("room");
     assert!(matches!(reader.hear(), Heard::Text(t) if t == "short"));
     assert!(matches!(reader.hear(), Heard::Ended(why) if why.contains("too long")));
-    assert!(matches!(other.hear(), Heard::Ended(why) if why.contains("1009")), "the sender is told");
+    assert!(
+        matches!(other.hear(), Heard::Ended(why) if why.contains("1009")),
+        "the sender is told"
+    );
 }
 
 #[test]
@@ -115,21 +154,32 @@
              Sec-WebSocket-Key: AAAAAAAAAAAAAAAAAAAAAA==\r\n{rest}\r\n"
         );
         stream.write_all(ask.as_bytes()).expect("sent");
-        stream.set_read_timeout(Some(Duration::from_secs(20))).expect("an option");
+        stream
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .expect("an option");
         let mut answer = [0; 12];
         stream.read_exact(&mut answer).expect("an answer");
         String::from_utf8_lossy(&answer[9..]).into_owned()
     };
     assert_eq!(status("HTTP/1.1", "Host: x\r\n"), "101");
-    assert_eq!(status("HTTP/1.1", "Host: x\r\nContent-Length: 0\r\n"), "101");
+    assert_eq!(
+        status("HTTP/1.1", "Host: x\r\nContent-Length: 0\r\n"),
+        "101"
+    );
     for (first, rest) in [
         ("HTTP/1.0", "Host: x\r\n"),
         ("HTTP/1.1", ""),
         ("HTTP/1.1", "Host: x\r\nHost: y\r\n"),
-        ("HTTP/1.1", "Host: x\r\nSec-WebSocket-Key: BAAAAAAAAAAAAAAAAAAAAA==\r\n"),
+        (
+            "HTTP/1.1",
+            "Host: x\r\nSec-WebSocket-Key: BAAAAAAAAAAAAAAAAAAAAA==\r\n",
+        ),
         ("HTTP/1.1", "Host: x\r\nContent-Length: 5\r\n"),
         ("HTTP/1.1", "Host: x\r\nTransfer-Encoding: chunked\r\n"),
-        ("HTTP/1.1", "Host: x\r\nAuthorization: Bearer a\r\nAuthorization: Bearer b\r\n"),
+        (
+            "HTTP/1.1",
+            "Host: x\r\nAuthorization: Bearer a\r\nAuthorization: Bearer b\r\n",
+        ),
     ] {
         assert_eq!(status(first, rest), "400", "{first} {rest}");
     }
--- a/crates/net/tests/wire.rs
+++ b/crates/net/tests/wire.rs
@@ -23,10 +23,23 @@
 fn ends(name: &str) -> Ends {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&dir);
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .expect("after 1970")
+        .as_secs();
     let authority = Authority::make(&dir, "ca", now).expect("an authority");
-    let wanted = Wanted { dns: vec!["box".into()], begins: now - 60, ends: now + 600, ..Wanted::default() };
-    Authority::write(&dir, "box", &authority.issue(&wanted).expect("a certificate")).expect("files");
+    let wanted = Wanted {
+        dns: vec!["box".into()],
+        begins: now - 60,
+        ends: now + 600,
+        ..Wanted::default()
+    };
+    Authority::write(
+        &dir,
+        "box",
+        &authority.issue(&wanted).expect("a certificate"),
+    )
+    .expect("files");
     let settings = ListenTls {
         certificate: "box.pem".into(),
         key: "box.key".into(),
@@ -41,7 +54,8 @@
 
 fn pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let one = TcpStream::connect(listener.local_addr().expect("its address")).expect("a connection");
+    let one =
+        TcpStream::connect(listener.local_addr().expect("its address")).expect("a connection");
     (one, listener.accept().expect("the other end").0)
 }
 
@@ -50,7 +64,12 @@
 }
 
 fn limits() -> Limits {
-    Limits { message_bytes: 1 << 20, queue: 100_000, ping: Duration::from_secs(10), idle: None }
+    Limits {
+        message_bytes: 1 << 20,
+        queue: 100_000,
+        ping: Duration::from_secs(10),
+        idle: None,
+    }
 }
 
 #[test]
@@ -59,11 +78,18 @@
     let ends = ends("duplex");
     let (near, far) = pair();
     let config = ends.server.config();
-    let served = std::thread::spawn(move || Wire::accept(far, config, soon()).expect("a handshake"));
+    let served =
+        std::thread::spawn(move || Wire::accept(far, config, soon()).expect("a handshake"));
     let near = Wire::connect(near, ends.client.config(), "box", soon()).expect("a handshake");
     let (a, to_b) = start(near, Vec::new(), Role::Client, limits(), None).expect("threads");
-    let (b, to_a) =
-        start(served.join().expect("it"), Vec::new(), Role::Server, limits(), None).expect("threads");
+    let (b, to_a) = start(
+        served.join().expect("it"),
+        Vec::new(),
+        Role::Server,
+        limits(),
+        None,
+    )
+    .expect("threads");
     let text = |who: &str, i: usize| format!("{who}{i} {}", "x".repeat(i % 977 * 20));
     let hear = |mut from: bitternlatch_net::socket::Reader, who: &'static str| {
         std::thread::spawn(move || {
@@ -81,9 +107,15 @@
         to_b.text(text("a", i)).expect("room");
         to_a.text(text("b", i)).expect("room");
     }
-    let (mut a, _b) = (at_a.join().expect("all heard"), at_b.join().expect("all heard"));
+    let (mut a, _b) = (
+        at_a.join().expect("all heard"),
+        at_b.join().expect("all heard"),
+    );
     to_a.close(1000, "enough");
-    assert!(matches!(a.hear(), Heard::Ended(why) if why.contains("1000")), "the farewell comes through");
+    assert!(
+        matches!(a.hear(), Heard::Ended(why) if why.contains("1000")),
+        "the farewell comes through"
+    );
 }
 
 #[test]
@@ -91,10 +123,12 @@
     let ends = ends("key-update");
     let (near, far) = pair();
     let config = ends.server.config();
-    let served = std::thread::spawn(move || Wire::accept(far, config, soon()).expect("a handshake"));
+    let served =
+        std::thread::spawn(move || Wire::accept(far, config, soon()).expect("a handshake"));
     let name = ServerName::try_from("box").expect("a name");
     let session = ClientConnection::new(ends.client.config(), name).expect("a session");
-    near.set_read_timeout(Some(Duration::from_secs(20))).expect("an option");
+    near.set_read_timeout(Some(Duration::from_secs(20)))
+        .expect("an option");
     let mut peer = StreamOwned::new(session, near);
     peer.flush().expect("a handshake");
     let wire = Arc::new(served.join().expect("it"));
@@ -107,7 +141,8 @@
         assert_eq!(&buffer[..n], b"ping", "round {round}");
         wire.send(b"pong").expect("sent");
         assert!(!wire.wants_write());
-        peer.read_exact(&mut buffer[..4]).expect("read with the new keys");
+        peer.read_exact(&mut buffer[..4])
+            .expect("read with the new keys");
         assert_eq!(&buffer[..4], b"pong");
     }
 }
@@ -120,7 +155,10 @@
         act(near);
         let start = Instant::now();
         let by = start + Duration::from_millis(within_ms);
-        let end = Wire::accept(far, ends.server.config(), by).err().expect("no handshake").kind();
+        let end = Wire::accept(far, ends.server.config(), by)
+            .err()
+            .expect("no handshake")
+            .kind();
         assert!(start.elapsed() < Duration::from_secs(10));
         end
     };
@@ -129,7 +167,8 @@
     assert_eq!(accept(200, &hold), std::io::ErrorKind::TimedOut);
     assert_eq!(accept(20_000, &drop), std::io::ErrorKind::UnexpectedEof);
     let plain = |mut s: TcpStream| {
-        s.write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n").expect("sent");
+        s.write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+            .expect("sent");
         hold(s);
     };
     assert_eq!(accept(20_000, &plain), std::io::ErrorKind::InvalidData);
--- a/crates/output-length/src/change.rs
+++ b/crates/output-length/src/change.rs
@@ -16,10 +16,12 @@
 
 /// The time by which the earlier ones ended to count, where there was a change.
 pub(crate) fn changed(windows: &Windows, cell: &Cell, now: Duration) -> Option<Duration> {
-    LATE.into_iter().map(|late| now.saturating_sub(late)).find(|at| {
-        let [before, after] = windows.split(cell, *at);
-        differ(&before, &after)
-    })
+    LATE.into_iter()
+        .map(|late| now.saturating_sub(late))
+        .find(|at| {
+            let [before, after] = windows.split(cell, *at);
+            differ(&before, &after)
+        })
 }
 
 fn differ(a: &Mass, b: &Mass) -> bool {
--- a/crates/output-length/src/coverage.rs
+++ b/crates/output-length/src/coverage.rs
@@ -41,7 +41,8 @@
         self.covered = self.covered * fade + f64::from(u8::from(covered));
         if self.misses.len() < KEPT || self.misses.contains_key(&(model, class)) {
             let miss = self.misses.entry((model, class)).or_insert(AIM);
-            *miss = (*miss + STEP * (AIM - f64::from(u8::from(!covered)))).clamp(WITHIN.0, WITHIN.1);
+            *miss =
+                (*miss + STEP * (AIM - f64::from(u8::from(!covered)))).clamp(WITHIN.0, WITHIN.1);
         }
     }
 
@@ -61,6 +62,10 @@
 
     /// Whether what a snapshot holds can have been made here.
     pub fn sound(&self) -> bool {
-        self.misses.len() <= KEPT && self.misses.values().all(|m| (WITHIN.0..=WITHIN.1).contains(m))
+        self.misses.len() <= KEPT
+            && self
+                .misses
+                .values()
+                .all(|m| (WITHIN.0..=WITHIN.1).contains(m))
     }
 }
--- a/crates/output-length/src/curve.rs
+++ b/crates/output-length/src/curve.rs
@@ -55,7 +55,12 @@
     /// Whether another one says the same, within three in a hundred.
     pub(crate) fn near(&self, other: &Curve) -> bool {
         let near = |a: u32, b: u32| a.abs_diff(b) <= 1 + a / 32;
-        near(self.high, other.high) && self.points.iter().zip(&other.points).all(|(a, b)| near(*a, *b))
+        near(self.high, other.high)
+            && self
+                .points
+                .iter()
+                .zip(&other.points)
+                .all(|(a, b)| near(*a, *b))
     }
 
     /// Of an answer that ends at its ceiling at the latest.
@@ -73,14 +78,26 @@
     /// Tokens to come of an answer that has so many and still runs, in the mean.
     pub fn rest(&self, so_far: u32, ceiling: u32) -> f64 {
         let ceiling = ceiling.max(so_far);
-        let longer: Vec<u32> = self.points.iter().copied().filter(|p| *p > so_far).collect();
+        let longer: Vec<u32> = self
+            .points
+            .iter()
+            .copied()
+            .filter(|p| *p > so_far)
+            .collect();
         let most = self.most.max(self.high);
         if longer.is_empty() {
             // Past all that was seen of nineteen in twenty: towards the longest, then by a tenth each time.
-            let to = if most > so_far { most } else { so_far.saturating_add(1 + so_far / 10) };
+            let to = if most > so_far {
+                most
+            } else {
+                so_far.saturating_add(1 + so_far / 10)
+            };
             return f64::from(to.min(ceiling) - so_far);
         }
-        let sum = longer.iter().map(|p| f64::from((*p).min(ceiling) - so_far)).sum::<f64>();
+        let sum = longer
+            .iter()
+            .map(|p| f64::from((*p).min(ceiling) - so_far))
+            .sum::<f64>();
         sum / longer.len() as f64
     }
 }
@@ -102,7 +119,10 @@
     }
 
     pub(crate) fn all(&self) -> Vec<(Cell, Curve)> {
-        self.0.iter().map(|(cell, curve)| (*cell, curve.clone())).collect()
+        self.0
+            .iter()
+            .map(|(cell, curve)| (*cell, curve.clone()))
+            .collect()
     }
 
     pub(crate) fn keep(&mut self, keeps: impl Fn(&Cell) -> bool) {
@@ -112,7 +132,9 @@
     /// By the cell, else by its class, else by all; none where nothing was told.
     pub fn find(&self, model: ModelKey, class: ClassKey, prompt_tokens: u32) -> Option<&Curve> {
         let cell = Cell::of(model, class, prompt_tokens);
-        [cell, cell.whole_class(), Cell::ALL].iter().find_map(|cell| self.0.get(cell))
+        [cell, cell.whole_class(), Cell::ALL]
+            .iter()
+            .find_map(|cell| self.0.get(cell))
     }
 
     pub fn len(&self) -> usize {
@@ -140,7 +162,10 @@
     #[test]
     fn estimates_stay_under_the_ceiling_and_the_rest_shrinks_as_an_answer_runs() {
         let (curve, free, tight) = (curve(), curve().expected(4000), curve().expected(200));
-        assert!((free.mean - 350.0).abs() < 15.0 && (free.p50 - 350.0).abs() < 25.0, "{free:?}");
+        assert!(
+            (free.mean - 350.0).abs() < 15.0 && (free.p50 - 350.0).abs() < 25.0,
+            "{free:?}"
+        );
         assert!((free.p90 - 550.0).abs() < 25.0 && free.p99 >= free.p90);
         assert!(tight.p99 <= 200.0 && tight.mean < 200.0);
         assert!((curve.rest(0, 4000) - 350.0).abs() < 15.0);
--- a/crates/output-length/src/ids.rs
+++ b/crates/output-length/src/ids.rs
@@ -38,15 +38,26 @@
 
 impl Cell {
     /// All answers.
-    pub const ALL: Cell = Cell { model: ModelKey(0), class: ClassKey(0), bin: PromptBin::ANY };
+    pub const ALL: Cell = Cell {
+        model: ModelKey(0),
+        class: ClassKey(0),
+        bin: PromptBin::ANY,
+    };
 
     pub fn of(model: ModelKey, class: ClassKey, prompt_tokens: u32) -> Cell {
-        Cell { model, class, bin: PromptBin::of(prompt_tokens) }
+        Cell {
+            model,
+            class,
+            bin: PromptBin::of(prompt_tokens),
+        }
     }
 
     /// The same with all prompts.
     pub fn whole_class(self) -> Cell {
-        Cell { bin: PromptBin::ANY, ..self }
+        Cell {
+            bin: PromptBin::ANY,
+            ..self
+        }
     }
 }
 
--- a/crates/output-length/src/learner.rs
+++ b/crates/output-length/src/learner.rs
@@ -63,13 +63,18 @@
         }
         let cell = Cell::of(ended.model, ended.class, ended.prompt_tokens);
         let counted = (ended.tokens, ended.end == End::Whole);
-        let counted = self.own.count(now, cell, ended.tenant, counted, &mut self.windows)?;
+        let counted = self
+            .own
+            .count(now, cell, ended.tenant, counted, &mut self.windows)?;
         self.dirty.insert(counted.cell);
         Some(counted)
     }
 
     /// A window of another origin, or of an earlier start; whether it brought anything.
-    pub(crate) fn merge(&mut self, (cell, origin, number, window): (Cell, Origin, Number, Window)) -> bool {
+    pub(crate) fn merge(
+        &mut self,
+        (cell, origin, number, window): (Cell, Origin, Number, Window),
+    ) -> bool {
         let news = self.windows.merge(cell, origin, number, window);
         if news {
             self.dirty.insert(cell);
@@ -79,8 +84,11 @@
 
     /// Reckons anew what has changed; gives the curves that say something else than before.
     pub fn refresh(&mut self, now: Duration) -> Vec<(Cell, Curve)> {
-        let faded =
-            self.known.iter().filter(|(_, k)| now.saturating_sub(k.at) >= AGAIN).map(|(cell, _)| *cell);
+        let faded = self
+            .known
+            .iter()
+            .filter(|(_, k)| now.saturating_sub(k.at) >= AGAIN)
+            .map(|(cell, _)| *cell);
         self.dirty.extend(faded.collect::<Vec<_>>());
         let dirty = std::mem::take(&mut self.dirty);
         if dirty.is_empty() {
@@ -92,7 +100,13 @@
                 self.own.begin_anew(cell, now);
                 self.changes += 1;
             }
-            self.known.insert(*cell, Known { mass: self.windows.mass(cell, now), at: now });
+            self.known.insert(
+                *cell,
+                Known {
+                    mass: self.windows.mass(cell, now),
+                    at: now,
+                },
+            );
         }
         let held: BTreeSet<Cell> = self.windows.cells().copied().collect();
         self.known.retain(|cell, _| held.contains(cell));
@@ -105,7 +119,10 @@
         for (cell, known) in &self.known {
             all.add(&known.mass, 1.0);
             if *cell != Cell::default() {
-                classes.entry(cell.whole_class()).or_default().add(&known.mass, 1.0);
+                classes
+                    .entry(cell.whole_class())
+                    .or_default()
+                    .add(&known.mass, 1.0);
             }
         }
         let mut told = Vec::new();
@@ -122,9 +139,13 @@
             let answers = mass.total();
             let mass = mass.towards(&all, TOWARDS.1);
             self.tell(class, &mass, answers, miss, &mut told);
-            let cells = self.known.iter().filter(|(cell, _)| cell.whole_class() == class);
-            let leaves: Vec<(Cell, Mass, f32)> =
-                cells.map(|(c, k)| (*c, k.mass.clone().towards(&mass, TOWARDS.0), k.mass.total())).collect();
+            let cells = self
+                .known
+                .iter()
+                .filter(|(cell, _)| cell.whole_class() == class);
+            let leaves: Vec<(Cell, Mass, f32)> = cells
+                .map(|(c, k)| (*c, k.mass.clone().towards(&mass, TOWARDS.0), k.mass.total()))
+                .collect();
             for (cell, mass, answers) in leaves {
                 self.tell(cell, &mass, answers, miss, &mut told);
             }
@@ -132,7 +153,14 @@
         told
     }
 
-    fn tell(&mut self, cell: Cell, mass: &Mass, answers: f32, miss: f64, told: &mut Vec<(Cell, Curve)>) {
+    fn tell(
+        &mut self,
+        cell: Cell,
+        mass: &Mass,
+        answers: f32,
+        miss: f64,
+        told: &mut Vec<(Cell, Curve)>,
+    ) {
         let curve = Curve::of(mass, answers, miss);
         if !self.curves.get(&cell).is_some_and(|last| last.near(&curve)) {
             self.curves.set(cell, curve.clone());
@@ -155,7 +183,11 @@
         prompt_tokens: u32,
         ceiling: u32,
     ) -> Option<Expected> {
-        Some(self.curves.find(model, class, prompt_tokens)?.expected(ceiling))
+        Some(
+            self.curves
+                .find(model, class, prompt_tokens)?
+                .expected(ceiling),
+        )
     }
 
     /// Lets go of what is a day old.
@@ -163,6 +195,7 @@
         self.windows.sweep(now);
         let held: BTreeSet<Cell> = self.windows.cells().copied().collect();
         let classes: BTreeSet<Cell> = held.iter().map(|cell| cell.whole_class()).collect();
-        self.curves.keep(|cell| held.contains(cell) || classes.contains(cell) || *cell == Cell::ALL);
+        self.curves
+            .keep(|cell| held.contains(cell) || classes.contains(cell) || *cell == Cell::ALL);
     }
 }
--- a/crates/output-length/src/local.rs
+++ b/crates/output-length/src/local.rs
@@ -20,8 +20,14 @@
 
 impl Default for Local {
     fn default() -> Self {
-        let origin = Origin { name: NameKey(0), generation: 0 };
-        Local { learner: Learner::new(origin), next: Duration::ZERO }
+        let origin = Origin {
+            name: NameKey(0),
+            generation: 0,
+        };
+        Local {
+            learner: Learner::new(origin),
+            next: Duration::ZERO,
+        }
     }
 }
 
--- a/crates/output-length/src/machine.rs
+++ b/crates/output-length/src/machine.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{Beside, Found, Given, KeepError, Process, Wanted, FRAME_MOST};
 use bitternlatch_membership::{NameKey, Topic, SAID_MOST};
+use bitternlatch_quota_lease::{Beside, Found, Given, KeepError, Process, Wanted, FRAME_MOST};
 
 use crate::error::LengthsError;
 use crate::ids::{Cell, Number, Origin};
@@ -79,8 +79,16 @@
 
 impl Lengths {
     pub fn new(own: Process, now: Duration) -> Lengths {
-        let origin = Origin { name: own.name, generation: own.start };
-        let next = [(Due::Tick, TICK), (Due::First, TICK), (Due::Ask, ASK_EVERY), (Due::Keep, KEEP_EVERY)];
+        let origin = Origin {
+            name: own.name,
+            generation: own.start,
+        };
+        let next = [
+            (Due::Tick, TICK),
+            (Due::First, TICK),
+            (Due::Ask, ASK_EVERY),
+            (Due::Keep, KEEP_EVERY),
+        ];
         let next = next.into_iter().chain([(Due::Log, LOG_EVERY)]);
         Lengths {
             learner: Learner::new(origin),
@@ -136,15 +144,21 @@
         }
         if self.due(Due::First, now, FIRST_EVERY) {
             let asked: Vec<NameKey> = match self.caught_up {
-                true => std::mem::take(&mut self.unasked).into_iter().take(FIRST_ASKED).collect(),
+                true => std::mem::take(&mut self.unasked)
+                    .into_iter()
+                    .take(FIRST_ASKED)
+                    .collect(),
                 false => self.some(FIRST_ASKED),
             };
             asked.into_iter().for_each(|peer| self.ask(peer, out));
         }
         if self.due(Due::Ask, now, ASK_EVERY) {
             self.learner.sweep(now);
-            self.said.retain(|_, at| now.saturating_sub(*at) < 60 * SAY_EVERY);
-            self.some(1).into_iter().for_each(|peer| self.ask(peer, out));
+            self.said
+                .retain(|_, at| now.saturating_sub(*at) < 60 * SAY_EVERY);
+            self.some(1)
+                .into_iter()
+                .for_each(|peer| self.ask(peer, out));
         }
         if self.due(Due::Keep, now, KEEP_EVERY) {
             self.keep(now, out);
@@ -162,7 +176,9 @@
         for _ in 0..AGAIN {
             let again = self.again.pop();
             // As told last: one that has changed since is among the new ones.
-            curves.extend(again.filter(|(cell, curve)| self.learner.curves().get(cell) == Some(curve)));
+            curves.extend(
+                again.filter(|(cell, curve)| self.learner.curves().get(cell) == Some(curve)),
+            );
         }
         if !curves.is_empty() {
             out.push(Wanted::Tell(Told::Curves(curves)));
@@ -174,13 +190,22 @@
         let n = self.there.len();
         let from = if n == 0 { 0 } else { self.turn % n };
         self.turn = self.turn.wrapping_add(most.min(n));
-        self.there.iter().cycle().skip(from).take(most.min(n)).copied().collect()
+        self.there
+            .iter()
+            .cycle()
+            .skip(from)
+            .take(most.min(n))
+            .copied()
+            .collect()
     }
 
     /// Own windows that have grown, in as few datagrams as hold them.
     fn say(&mut self, now: Duration, out: &mut Out) {
-        let due =
-            |w: &&(Cell, Number)| self.said.get(*w).is_none_or(|at| now.saturating_sub(*at) >= SAY_EVERY);
+        let due = |w: &&(Cell, Number)| {
+            self.said
+                .get(*w)
+                .is_none_or(|at| now.saturating_sub(*at) >= SAY_EVERY)
+        };
         let due: Vec<(Cell, Number)> = self.unsaid.iter().filter(due).copied().collect();
         if due.is_empty() || self.there.is_empty() {
             return;
@@ -211,15 +236,24 @@
             said.push(records);
         }
         for records in said {
-            let news = Message::News { generation: self.origin.generation, records }.encode();
-            to.iter().for_each(|peer| self.send(*peer, news.clone(), out));
+            let news = Message::News {
+                generation: self.origin.generation,
+                records,
+            }
+            .encode();
+            to.iter()
+                .for_each(|peer| self.send(*peer, news.clone(), out));
         }
     }
 
     /// By datagram where it fits, else by frame.
     fn send(&mut self, to: NameKey, said: Vec<u8>, out: &mut Out) {
         self.bytes += said.len() as u64;
-        out.push(if said.len() <= SAID_MOST { Wanted::Say(to, said) } else { Wanted::Send(to, said) });
+        out.push(if said.len() <= SAID_MOST {
+            Wanted::Say(to, said)
+        } else {
+            Wanted::Send(to, said)
+        });
     }
 
     fn ask(&mut self, peer: NameKey, out: &mut Out) {
@@ -242,16 +276,21 @@
             .digest()
             .into_iter()
             .filter_map(|(origin, digest)| {
-                (have.get(&origin) != Some(&digest) && origin.name != to || !have.contains_key(&origin))
-                    .then_some(origin)
+                (have.get(&origin) != Some(&digest) && origin.name != to
+                    || !have.contains_key(&origin))
+                .then_some(origin)
             })
             .collect();
-        let mut records: Vec<(Origin, Record)> = self.records(now, |origin| lacks.contains(&origin));
+        let mut records: Vec<(Origin, Record)> =
+            self.records(now, |origin| lacks.contains(&origin));
         records.sort_by_key(|(origin, record)| (record.last, *origin));
         let mut parts = pieces(records, FRAME_MOST - CALIBRATED);
         let last = parts.pop().unwrap_or_default();
         let calibrated = Some(self.learner.coverage.clone());
-        let frames = parts.into_iter().map(|told| (told, None)).chain([(last, calibrated)]);
+        let frames = parts
+            .into_iter()
+            .map(|told| (told, None))
+            .chain([(last, calibrated)]);
         for (told, last) in frames {
             let state = Message::State { told, last }.encode();
             self.bytes += state.len() as u64;
@@ -261,13 +300,20 @@
 
     fn records(&self, now: Duration, of: impl Fn(Origin) -> bool) -> Vec<(Origin, Record)> {
         let all = self.learner.windows.all().filter(|w| of(w.1));
-        all.map(|(cell, origin, number, window)| (origin, Record::of(now, cell, number, window))).collect()
+        all.map(|(cell, origin, number, window)| (origin, Record::of(now, cell, number, window)))
+            .collect()
     }
 
     fn hear(&mut self, now: Duration, from: NameKey, said: &[u8], out: &mut Out) {
         match Message::decode(said) {
-            Ok(Message::News { generation, records }) => {
-                let origin = Origin { name: from, generation };
+            Ok(Message::News {
+                generation,
+                records,
+            }) => {
+                let origin = Origin {
+                    name: from,
+                    generation,
+                };
                 self.learn(now, Duration::ZERO, vec![OfOrigin { origin, records }]);
             }
             Ok(Message::Want { have }) => self.answer(now, from, have, out),
@@ -283,7 +329,11 @@
             }
             Err(error) => {
                 if self.odd.peer(from, &error) {
-                    let text = format!("lengths: peer {} said {error}; {}", shown(from), error.advice());
+                    let text = format!(
+                        "lengths: peer {} said {error}; {}",
+                        shown(from),
+                        error.advice()
+                    );
                     out.push(Wanted::Log { warn: true, text });
                 }
             }
@@ -326,12 +376,23 @@
         if !self.disk || !std::mem::take(&mut self.changed) {
             return;
         }
-        let told = pieces(self.records(now, |_| true), usize::MAX).into_iter().flatten().collect();
+        let told = pieces(self.records(now, |_| true), usize::MAX)
+            .into_iter()
+            .flatten()
+            .collect();
         let saved = now.as_millis() as u64;
-        let snapshot = Snapshot { saved, coverage: self.learner.coverage.clone(), told };
+        let snapshot = Snapshot {
+            saved,
+            coverage: self.learner.coverage.clone(),
+            told,
+        };
         self.tickets += 1;
         let bytes = Some(snapshot.encode());
-        out.push(Wanted::Keep { ticket: self.tickets, name: KEPT_AS.to_vec(), bytes });
+        out.push(Wanted::Keep {
+            ticket: self.tickets,
+            name: KEPT_AS.to_vec(),
+            bytes,
+        });
     }
 
     fn on_found(&mut self, now: Duration, found: Result<Found, KeepError>, out: &mut Out) {
@@ -352,7 +413,10 @@
                 out.push(Wanted::Log { warn: false, text });
             }
             Err(error) => {
-                let text = format!("lengths: begins with nothing of its own: {error}; {}", error.advice());
+                let text = format!(
+                    "lengths: begins with nothing of its own: {error}; {}",
+                    error.advice()
+                );
                 out.push(Wanted::Log { warn: true, text });
             }
         }
@@ -360,7 +424,10 @@
 
     fn on_kept(&mut self, done: Result<(), KeepError>, out: &mut Out) {
         let fault = done.err();
-        if let Some(fault) = fault.as_ref().filter(|f| self.keep_fault.as_ref() != Some(f)) {
+        if let Some(fault) = fault
+            .as_ref()
+            .filter(|f| self.keep_fault.as_ref() != Some(f))
+        {
             let text = format!("lengths: not kept: {fault}; {}", fault.advice());
             out.push(Wanted::Log { warn: true, text });
         }
@@ -370,8 +437,16 @@
 
     fn log(&mut self, out: &mut Out) {
         let windows = &self.learner.windows;
-        let share = self.learner.coverage.share().map_or("none".to_string(), |s| format!("{s:.3}"));
-        let all = self.learner.curves().get(&Cell::ALL).map(|c| c.expected(u32::MAX));
+        let share = self
+            .learner
+            .coverage
+            .share()
+            .map_or("none".to_string(), |s| format!("{s:.3}"));
+        let all = self
+            .learner
+            .curves()
+            .get(&Cell::ALL)
+            .map(|c| c.expected(u32::MAX));
         let (p50, p90) = all.map_or((0.0, 0.0), |e| (e.p50, e.p90));
         let text = format!(
             "lengths: answers={} windows={} cells={} origins={} curves={} p50={p50:.0} p90={p90:.0} coverage={share} changes={} odd={} peers={}",
@@ -385,7 +460,10 @@
             self.there.len(),
         );
         if text != self.logged {
-            out.push(Wanted::Log { warn: false, text: text.clone() });
+            out.push(Wanted::Log {
+                warn: false,
+                text: text.clone(),
+            });
             self.logged = text;
         }
     }
@@ -403,7 +481,9 @@
     fn step(&mut self, now: Duration, given: Given<Ask>, out: &mut Out) {
         match given {
             Given::Wake => self.on_wake(now, out),
-            Given::Said { from, said } | Given::Frame { from, said } => self.hear(now, from.name, &said, out),
+            Given::Said { from, said } | Given::Frame { from, said } => {
+                self.hear(now, from.name, &said, out)
+            }
             Given::Peers(peers) => {
                 let there: BTreeSet<NameKey> = peers.there.into_iter().collect();
                 // Those that have come, or come back: each may know what was missed.
