--- a/crates/output-length/src/message.rs
+++ b/crates/output-length/src/message.rs
@@ -23,11 +23,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Message {
     /// The sender's own latest.
-    News { generation: u64, records: Vec<Record> },
+    News {
+        generation: u64,
+        records: Vec<Record>,
+    },
     /// All that differs from what the asker has.
     Want { have: Vec<(Origin, u64)> },
     /// An answer's part; the last one, after which no more follows, tells how its sender's estimates are calibrated.
-    State { told: Vec<Told>, last: Option<Coverage> },
+    State {
+        told: Vec<Told>,
+        last: Option<Coverage>,
+    },
 }
 
 /// On disk.
@@ -77,9 +83,15 @@
         if *version != VERSION {
             return Err(LengthsError::OtherVersion(*version));
         }
-        let snapshot: Snapshot = postcard::from_bytes(rest).map_err(|_| LengthsError::BrokenSnapshot)?;
-        let sound = snapshot.told.iter().all(|t| t.records.iter().all(Record::sound));
-        (sound && snapshot.coverage.sound()).then_some(snapshot).ok_or(LengthsError::BrokenSnapshot)
+        let snapshot: Snapshot =
+            postcard::from_bytes(rest).map_err(|_| LengthsError::BrokenSnapshot)?;
+        let sound = snapshot
+            .told
+            .iter()
+            .all(|t| t.records.iter().all(Record::sound));
+        (sound && snapshot.coverage.sound())
+            .then_some(snapshot)
+            .ok_or(LengthsError::BrokenSnapshot)
     }
 }
 
@@ -101,10 +113,15 @@
             used = 0;
         }
         used = used.saturating_add(needs);
-        let Some(piece) = pieces.last_mut() else { continue };
+        let Some(piece) = pieces.last_mut() else {
+            continue;
+        };
         match piece.last_mut().filter(|told| told.origin == origin) {
             Some(told) => told.records.push(record),
-            None => piece.push(Told { origin, records: vec![record] }),
+            None => piece.push(Told {
+                origin,
+                records: vec![record],
+            }),
         }
     }
     pieces
--- a/crates/output-length/src/own.rs
+++ b/crates/output-length/src/own.rs
@@ -59,7 +59,10 @@
 
 impl Own {
     pub fn new(origin: Origin) -> Own {
-        Own { origin, open: BTreeMap::new() }
+        Own {
+            origin,
+            open: BTreeMap::new(),
+        }
     }
 
     /// Counts an answer of so many tokens, or at least so many where it was cut short; none where its tenant has its part.
@@ -74,9 +77,17 @@
         let room = self.open.contains_key(&cell) || self.make_room(now);
         // What there is no room for is still told apart from nothing: it counts among all.
         let cell = if room { cell } else { Cell::default() };
-        let fresh = |number, before| Open { number, begun: now, last: now, tenants: [0; TENANTS], before };
+        let fresh = |number, before| Open {
+            number,
+            begun: now,
+            last: now,
+            tenants: [0; TENANTS],
+            before,
+        };
         let open = self.open.entry(cell).or_insert_with(|| fresh(Number(1), 0));
-        let answers = windows.get(&cell, self.origin, open.number).map_or(0, Window::answers);
+        let answers = windows
+            .get(&cell, self.origin, open.number)
+            .map_or(0, Window::answers);
         let age = now.saturating_sub(open.begun);
         let full = answers >= ANSWERS_MOST || age >= ENOUGH.0 && answers >= ENOUGH.1 || age >= OLD;
         if full && answers > 0 {
@@ -87,7 +98,10 @@
             return None;
         }
         let known = windows.get(&cell, self.origin, open.number);
-        let mut window = known.cloned().unwrap_or_else(|| Window { begun: now, ..Window::default() });
+        let mut window = known.cloned().unwrap_or_else(|| Window {
+            begun: now,
+            ..Window::default()
+        });
         if whole {
             window.ended.add(tokens);
         } else {
@@ -96,14 +110,18 @@
         window.last = now;
         windows
             .merge_own(cell, self.origin, open.number, window)
-            .then_some(Counted { cell, number: open.number })
+            .then_some(Counted {
+                cell,
+                number: open.number,
+            })
     }
 
     fn make_room(&mut self, now: Duration) -> bool {
         // The cell for all that find none is one of them, so that two whose cells are all taken fit beside each other.
         let most = CELLS_MOST / 2 - 1;
         if self.open.len() >= most {
-            self.open.retain(|_, open| now.saturating_sub(open.last) < IDLE);
+            self.open
+                .retain(|_, open| now.saturating_sub(open.last) < IDLE);
         }
         self.open.len() < most
     }
@@ -113,7 +131,13 @@
         if let Some(open) = self.open.get_mut(cell) {
             let before = open.seen();
             let number = Number(open.number.0.saturating_add(1));
-            *open = Open { number, begun: now, last: open.last, tenants: [0; TENANTS], before };
+            *open = Open {
+                number,
+                begun: now,
+                last: open.last,
+                tenants: [0; TENANTS],
+                before,
+            };
         }
     }
 }
--- a/crates/output-length/src/simulated.rs
+++ b/crates/output-length/src/simulated.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{Beside, Given, Part, Peers, Process, Wanted};
 use bitternlatch_membership::{NameKey, Standing};
+use bitternlatch_quota_lease::{Beside, Given, Part, Peers, Process, Wanted};
 use bitternlatch_simulation::{ms, Network, Node, Sent, World};
 
 use crate::{Ask, ClassKey, Curves, End, Ended, Lengths, ModelKey, TenantKey, Told};
@@ -34,7 +34,13 @@
     /// One of so many, at a place.
     pub fn new(i: usize, start: u64, of: usize, now: Duration) -> Member {
         Member {
-            machine: Lengths::new(Process { name: name(i), start }, now),
+            machine: Lengths::new(
+                Process {
+                    name: name(i),
+                    start,
+                },
+                now,
+            ),
             curves: Curves::default(),
             logs: vec![],
             kept: None,
@@ -55,9 +61,9 @@
                     out.push((to.0 as usize - 1, Said(false, said)));
                 }
                 Wanted::Send(to, said) => out.push((to.0 as usize - 1, Said(true, said))),
-                Wanted::Tell(Told::Curves(curves)) => {
-                    curves.into_iter().for_each(|(cell, curve)| self.curves.set(cell, curve))
-                }
+                Wanted::Tell(Told::Curves(curves)) => curves
+                    .into_iter()
+                    .for_each(|(cell, curve)| self.curves.set(cell, curve)),
                 Wanted::Keep { bytes, .. } => self.kept = bytes,
                 Wanted::Log { text, .. } => self.logs.push(text),
             }
@@ -74,7 +80,11 @@
     type Message = Said;
 
     fn wake_at(&self) -> Option<Duration> {
-        self.machine.wake_at().into_iter().chain([self.peers_at]).min()
+        self.machine
+            .wake_at()
+            .into_iter()
+            .chain([self.peers_at])
+            .min()
     }
 
     fn wake(&mut self, now: Duration, out: &mut Sent<Said>) {
@@ -82,15 +92,27 @@
             self.peers_at = now + ms(200);
             let there = self.there.iter().map(|i| name(*i)).collect();
             let part = Part::default();
-            let peers = Peers { standing: Standing::Whole, there, until: now + ms(900), part };
+            let peers = Peers {
+                standing: Standing::Whole,
+                there,
+                until: now + ms(900),
+                part,
+            };
             self.give(now, Given::Peers(peers), out);
         }
         self.give(now, Given::Wake, out);
     }
 
     fn take(&mut self, now: Duration, from: usize, Said(frame, said): Said, out: &mut Sent<Said>) {
-        let from = Process { name: name(from), start: 0 };
-        let given = if frame { Given::Frame { from, said } } else { Given::Said { from, said } };
+        let from = Process {
+            name: name(from),
+            start: 0,
+        };
+        let given = if frame {
+            Given::Frame { from, said }
+        } else {
+            Given::Said { from, said }
+        };
         self.give(now, given, out);
     }
 }
@@ -121,7 +143,9 @@
 /// An answer at a member, told what it was told at its arrival.
 pub fn end(world: &mut World<Member>, i: usize, mut ended: Ended) {
     world.act(i, |member, now, out| {
-        let known = member.curves.find(ended.model, ended.class, ended.prompt_tokens);
+        let known = member
+            .curves
+            .find(ended.model, ended.class, ended.prompt_tokens);
         ended.told = known.map(|c| c.expected(ended.ceiling).p90.round() as u32);
         member.give(now, Given::Ask(Ask::Ended(ended)), out)
     });
--- a/crates/output-length/src/sketch.rs
+++ b/crates/output-length/src/sketch.rs
@@ -57,7 +57,10 @@
 
 impl Default for Mass {
     fn default() -> Self {
-        Mass { ended: [0.0; BINS], cut: [0.0; BINS] }
+        Mass {
+            ended: [0.0; BINS],
+            cut: [0.0; BINS],
+        }
     }
 }
 
@@ -74,7 +77,9 @@
     }
 
     pub fn count(&mut self, ended: &Counts, cut: &Counts, weight: f32) {
-        ended.bins().for_each(|(bin, n)| self.ended[bin] += weight * n);
+        ended
+            .bins()
+            .for_each(|(bin, n)| self.ended[bin] += weight * n);
         cut.bins().for_each(|(bin, n)| self.cut[bin] += weight * n);
     }
 
@@ -108,8 +113,15 @@
 
 /// Tokens below which a share of answers stays, within a bin by a straight line.
 pub(crate) fn quantile(reached: &[f32; BINS], share: f64) -> f64 {
-    let bin = reached.iter().position(|r| f64::from(*r) >= share).unwrap_or(BINS - 1);
-    let before = if bin == 0 { 0.0 } else { f64::from(reached[bin - 1]) };
+    let bin = reached
+        .iter()
+        .position(|r| f64::from(*r) >= share)
+        .unwrap_or(BINS - 1);
+    let before = if bin == 0 {
+        0.0
+    } else {
+        f64::from(reached[bin - 1])
+    };
     let within = (share - before) / (f64::from(reached[bin]) - before).max(1e-9);
     edge(bin) + (edge(bin + 1) - edge(bin)) * within.clamp(0.0, 1.0)
 }
@@ -131,8 +143,14 @@
         mass.count(&counts, &Counts::default(), 1.0);
         let reached = mass.reached();
         for share in [0.1, 0.5, 0.9, 0.99] {
-            let (ours, theirs) = (quantile(&reached, share), other.quantile(share).unwrap().unwrap());
-            assert!((ours - theirs).abs() <= 0.07 * theirs + 1.0, "{share}: {ours} and {theirs}");
+            let (ours, theirs) = (
+                quantile(&reached, share),
+                other.quantile(share).unwrap().unwrap(),
+            );
+            assert!(
+                (ours - theirs).abs() <= 0.07 * theirs + 1.0,
+                "{share}: {ours} and {theirs}"
+            );
         }
     }
 
@@ -150,7 +168,10 @@
     fn bins_hold_their_values() {
         for tokens in [0, 1, 2, 9, 100, 4096, 1_000_000] {
             let bin = bin_of(tokens);
-            assert!(edge(bin) <= f64::from(tokens) + 1e-6 && f64::from(tokens) < edge(bin + 1), "{tokens}");
+            assert!(
+                edge(bin) <= f64::from(tokens) + 1e-6 && f64::from(tokens) < edge(bin + 1),
+                "{tokens}"
+            );
         }
         assert_eq!(bin_of(u32::MAX), BINS - 1);
         assert!(!Counts(vec![(3, 1), (3, 1)]).sound() && !Counts(vec![(200, 1)]).sound());
--- a/crates/output-length/src/timed.rs
+++ b/crates/output-length/src/timed.rs
@@ -43,7 +43,11 @@
 impl Timed {
     pub fn new(settings: &Settings) -> Timed {
         let gaps = settings.classes.iter().map(|c| c.token_gap_aim_s).collect();
-        Timed { local: Local::default(), gaps, followed: BTreeMap::new() }
+        Timed {
+            local: Local::default(),
+            gaps,
+            followed: BTreeMap::new(),
+        }
     }
 
     /// Takes an event before its router does; an arrival is given what is expected of it.
@@ -51,8 +55,13 @@
         match event {
             Event::Arrival(ask) => {
                 let (prompt, ceiling) = (whole(ask.prompt_tokens), whole(ask.max_output_tokens));
-                let known = self.local.expect(ModelKey(1), key(ask.class), prompt, ceiling);
-                ask.output_tokens = known.map(|e| interface::Expected { mean: e.mean, p90: e.p90 });
+                let known = self
+                    .local
+                    .expect(ModelKey(1), key(ask.class), prompt, ceiling);
+                ask.output_tokens = known.map(|e| interface::Expected {
+                    mean: e.mean,
+                    p90: e.p90,
+                });
                 if self.followed.len() >= FOLLOWED {
                     self.followed.pop_first();
                 }
@@ -67,7 +76,10 @@
                 self.followed.insert(ask.id, followed);
             }
             Event::FirstToken { request, .. } => {
-                self.followed.get_mut(request).into_iter().for_each(|f| f.first_s = Some(now_s));
+                self.followed
+                    .get_mut(request)
+                    .into_iter()
+                    .for_each(|f| f.first_s = Some(now_s));
             }
             Event::AttemptEnded(end) if end.finished || end.outcome == Outcome::Served => {
                 let followed = self.followed.remove(&end.request);
@@ -81,9 +93,17 @@
     }
 
     fn learn(&mut self, now_s: f64, f: &Followed) {
-        let gap = self.gaps.get(usize::from(f.class)).copied().filter(|gap| *gap > 0.0);
-        let (Some(gap), Some(first_s)) = (gap, f.first_s) else { return };
-        let tokens = whole((now_s - first_s).max(0.0) / gap).saturating_add(1).min(f.ceiling);
+        let gap = self
+            .gaps
+            .get(usize::from(f.class))
+            .copied()
+            .filter(|gap| *gap > 0.0);
+        let (Some(gap), Some(first_s)) = (gap, f.first_s) else {
+            return;
+        };
+        let tokens = whole((now_s - first_s).max(0.0) / gap)
+            .saturating_add(1)
+            .min(f.ceiling);
         let ended = Ended {
             model: ModelKey(1),
             class: key(f.class),
@@ -92,7 +112,11 @@
             ceiling: f.ceiling,
             tokens,
             bytes: tokens.saturating_mul(TOKEN_BYTES),
-            end: if tokens < f.ceiling { End::Whole } else { End::Ceiling },
+            end: if tokens < f.ceiling {
+                End::Whole
+            } else {
+                End::Ceiling
+            },
             told: f.told,
             host: String::new(),
         };
@@ -108,16 +132,35 @@
 
     #[test]
     fn an_arrival_is_told_what_those_before_it_took_and_one_that_left_teaches_nothing() {
-        let mut timed = Timed { local: Local::default(), gaps: vec![0.05], followed: BTreeMap::new() };
-        let ask = |id| Request { id, prompt_tokens: 900.0, max_output_tokens: 800.0, ..Request::default() };
+        let mut timed = Timed {
+            local: Local::default(),
+            gaps: vec![0.05],
+            followed: BTreeMap::new(),
+        };
+        let ask = |id| Request {
+            id,
+            prompt_tokens: 900.0,
+            max_output_tokens: 800.0,
+            ..Request::default()
+        };
         let mut told = None;
         for id in 0..200 {
             let at = f64::from(id) * 0.5;
             let mut arrival = Event::Arrival(ask(id));
             timed.see(at, &mut arrival);
-            let Event::Arrival(ask) = arrival else { unreachable!() };
+            let Event::Arrival(ask) = arrival else {
+                unreachable!()
+            };
             told = ask.output_tokens;
-            timed.see(at, &mut Event::FirstToken { request: id, attempt: 0, server: 1, elapsed_s: 0.1 });
+            timed.see(
+                at,
+                &mut Event::FirstToken {
+                    request: id,
+                    attempt: 0,
+                    server: 1,
+                    elapsed_s: 0.1,
+                },
+            );
             if id % 4 == 0 {
                 timed.see(at + 0.1, &mut Event::ClientGone { request: id });
             }
@@ -134,7 +177,10 @@
             timed.see(at + 5.0, &mut Event::AttemptEnded(end));
         }
         let told = told.expect("told");
-        assert!((told.mean - 100.0).abs() < 8.0 && told.p90 < 115.0, "{told:?}");
+        assert!(
+            (told.mean - 100.0).abs() < 8.0 && told.p90 < 115.0,
+            "{told:?}"
+        );
         assert!(timed.followed.is_empty());
     }
 }
--- a/crates/output-length/src/windows.rs
+++ b/crates/output-length/src/windows.rs
@@ -65,14 +65,30 @@
 impl Record {
     pub(crate) fn of(now: Duration, cell: Cell, number: Number, window: &Window) -> Record {
         let (ended, cut) = (window.ended.clone(), window.cut.clone());
-        Record { cell, number, begun: tenths(now, window.begun), last: tenths(now, window.last), ended, cut }
+        Record {
+            cell,
+            number,
+            begun: tenths(now, window.begun),
+            last: tenths(now, window.last),
+            ended,
+            cut,
+        }
     }
 
     /// `late`: by how much older it is than it says.
     pub(crate) fn window(self, now: Duration, late: Duration) -> (Cell, Number, Window) {
         let at = |t: u32| now.saturating_sub(late + Duration::from_millis(100 * u64::from(t)));
         let (begun, last) = (at(self.begun.max(self.last)), at(self.last));
-        (self.cell, self.number, Window { ended: self.ended, cut: self.cut, begun, last })
+        (
+            self.cell,
+            self.number,
+            Window {
+                ended: self.ended,
+                cut: self.cut,
+                begun,
+                last,
+            },
+        )
     }
 
     /// Whether an origin that works as this one does can have said it.
@@ -99,7 +115,13 @@
     }
 
     /// The same of this process's own, for whose cells there is room beside all peers'.
-    pub(crate) fn merge_own(&mut self, cell: Cell, origin: Origin, number: Number, window: Window) -> bool {
+    pub(crate) fn merge_own(
+        &mut self,
+        cell: Cell,
+        origin: Origin,
+        number: Number,
+        window: Window,
+    ) -> bool {
         self.merge_within(2 * CELLS_MOST, cell, (origin, number), window)
     }
 
@@ -111,7 +133,10 @@
         window: Window,
     ) -> bool {
         let room = self.cells.len() < cells || self.cells.contains_key(&cell);
-        let before = self.since.get(&cell).is_some_and(|since| window.last <= *since);
+        let before = self
+            .since
+            .get(&cell)
+            .is_some_and(|since| window.last <= *since);
         if !room || before {
             return false;
         }
@@ -155,7 +180,8 @@
     /// Lets go of what is a day old.
     pub fn sweep(&mut self, now: Duration) {
         self.retain(|_, _, w| now.saturating_sub(w.last) < GONE);
-        self.since.retain(|_, since| now.saturating_sub(*since) < GONE);
+        self.since
+            .retain(|_, since| now.saturating_sub(*since) < GONE);
     }
 
     /// What a cell's answers weigh now. One origin weighs at most twice the others' mean, so that one that counts wrong, or all
@@ -166,7 +192,10 @@
         for ((origin, _), w) in of_cell.into_iter().flatten() {
             *origins.entry(*origin).or_default() += w.weight(now) * w.answers() as f32;
         }
-        let (sum, others) = (origins.values().sum::<f32>(), origins.len().saturating_sub(1) as f32);
+        let (sum, others) = (
+            origins.values().sum::<f32>(),
+            origins.len().saturating_sub(1) as f32,
+        );
         let part = |origin: &Origin| {
             let own = origins.get(origin).copied().unwrap_or(0.0);
             let most = ORIGIN.0.max(ORIGIN.1 * (sum - own) / others.max(1.0));
@@ -194,7 +223,12 @@
 
     /// The behaviour has changed: nothing begun by then counts any more.
     pub(crate) fn drop_until(&mut self, cell: &Cell, at: Duration) {
-        let gone = self.cells.get(cell).into_iter().flat_map(BTreeMap::values).filter(|w| w.begun <= at);
+        let gone = self
+            .cells
+            .get(cell)
+            .into_iter()
+            .flat_map(BTreeMap::values)
+            .filter(|w| w.begun <= at);
         let latest = gone.map(|w| w.last).max();
         self.retain(|c, _, w| c != cell || w.begun > at);
         if let Some(latest) =
@@ -214,16 +248,26 @@
 
     /// All windows, in order.
     pub fn all(&self) -> impl Iterator<Item = (Cell, Origin, Number, &Window)> {
-        self.cells.iter().flat_map(|(cell, of)| of.iter().map(|((o, n), w)| (*cell, *o, *n, w)))
+        self.cells
+            .iter()
+            .flat_map(|(cell, of)| of.iter().map(|((o, n), w)| (*cell, *o, *n, w)))
     }
 
     /// Of each origin a number that differs where what is known of it differs.
     pub(crate) fn digest(&self) -> BTreeMap<Origin, u64> {
         let mut digest = BTreeMap::new();
         for (cell, origin, number, w) in self.all() {
-            let words = [cell.model.0, cell.class.0, u32::from(cell.bin.0), number.0, w.answers()];
+            let words = [
+                cell.model.0,
+                cell.class.0,
+                u32::from(cell.bin.0),
+                number.0,
+                w.answers(),
+            ];
             let hash = words.into_iter().fold(0xCBF2_9CE4_8422_2325u64, |h, word| {
-                (h ^ u64::from(word)).wrapping_mul(0x0000_0100_0000_01B3).rotate_left(23)
+                (h ^ u64::from(word))
+                    .wrapping_mul(0x0000_0100_0000_01B3)
+                    .rotate_left(23)
             });
             let sum: &mut u64 = digest.entry(origin).or_default();
             *sum = sum.wrapping_add(hash);
--- a/crates/output-length/tests/merging.rs
+++ b/crates/output-length/tests/merging.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use bitternlatch_output_length::*;
 use bitternlatch_membership::NameKey;
+use bitternlatch_output_length::*;
 use proptest::prelude::*;
 
 /// One window as it grows: each version holds all of the one before.
@@ -14,16 +14,24 @@
         .zip(cut)
         .enumerate()
         .map(|(i, (tokens, cut))| {
-            let counts = if *cut { &mut window.cut } else { &mut window.ended };
+            let counts = if *cut {
+                &mut window.cut
+            } else {
+                &mut window.ended
+            };
             counts.add(*tokens);
-            (window.begun, window.last) = (Duration::from_secs(1), Duration::from_secs(1 + i as u64));
+            (window.begun, window.last) =
+                (Duration::from_secs(1), Duration::from_secs(1 + i as u64));
             window.clone()
         })
         .collect()
 }
 
 fn origin(i: usize) -> Origin {
-    Origin { name: NameKey(i as u32 / 2), generation: i as u64 % 2 }
+    Origin {
+        name: NameKey(i as u32 / 2),
+        generation: i as u64 % 2,
+    }
 }
 
 proptest! {
@@ -85,8 +93,16 @@
     for i in 0..WINDOWS_MOST as u64 + 10 {
         let mut window = versions(&[5], &[false]).remove(0);
         window.last = Duration::from_secs(i);
-        let origin = Origin { name: NameKey(1), generation: i };
-        windows.merge(Cell::of(ModelKey(1), ClassKey(1), 9), origin, Number(1), window);
+        let origin = Origin {
+            name: NameKey(1),
+            generation: i,
+        };
+        windows.merge(
+            Cell::of(ModelKey(1), ClassKey(1), 9),
+            origin,
+            Number(1),
+            window,
+        );
     }
     assert!(windows.len() <= WINDOWS_MOST && windows.len() > WINDOWS_MOST / 2);
     let oldest = windows.all().map(|w| w.3.last).min();
--- a/crates/overload/src/capacity.rs
+++ b/crates/overload/src/capacity.rs
@@ -51,7 +51,9 @@
     /// One look at the sums. `wait_s`: seconds of work that may wait at hosts; `share`: of the hosts that is this side's.
     pub fn look(&mut self, now: Duration, sums: &Sums, wait_s: f64, share: f64) -> Takes {
         let hosts = (sums.hosts * share).max(0.01);
-        let passed = self.at.map_or(0.0, |at| now.saturating_sub(at).as_secs_f64().min(1.0));
+        let passed = self
+            .at
+            .map_or(0.0, |at| now.saturating_sub(at).as_secs_f64().min(1.0));
         if self.busy_s < LEARNT_S {
             self.work_per_s = self.work_per_s.max(hosts);
         }
@@ -61,7 +63,11 @@
         let at_work = hosts * sums.each;
         // Before anything is known of them a few requests a host find out, and no more than that is late.
         let unknown = self.busy_s < LEARNT_S;
-        let first = if sums.each > 0.0 { FIRST * at_work } else { 0.25 * wait_s * self.work_per_s };
+        let first = if sums.each > 0.0 {
+            FIRST * at_work
+        } else {
+            0.25 * wait_s * self.work_per_s
+        };
         let full = if unknown { 0.7 * first } else { f64::INFINITY };
         let busy = waiting > (at_work + 0.5 * wait_s * self.work_per_s).min(full);
         self.busy_s += if busy { passed } else { 0.0 };
@@ -75,11 +81,19 @@
             self.work_per_s += (sums.capacity - self.work_per_s) * step(1.0 / LEAN) * 0.5;
         }
         self.work_per_s = self.work_per_s.clamp(hosts * LEAST, hosts * MOST);
-        let late = if sums.delay > LATE { LATE / sums.delay } else { 1.0 };
+        let late = if sums.delay > LATE {
+            LATE / sums.delay
+        } else {
+            1.0
+        };
         let room = at_work + self.work_per_s * wait_s * late.max(0.25);
         let admits = self.work_per_s + (room - waiting) / MEND_S;
         let room = if unknown { room.min(first) } else { room };
-        Takes { capacity: self.work_per_s, admits: admits.max(0.05 * self.work_per_s), room }
+        Takes {
+            capacity: self.work_per_s,
+            admits: admits.max(0.05 * self.work_per_s),
+            room,
+        }
     }
 }
 
@@ -101,8 +115,14 @@
         lie: f64,
         steps: u32,
     ) -> (f64, f64) {
-        let (mut backlog, mut takes, mut worst) =
-            (0.0f64, Takes { admits: asked, ..Takes::default() }, 0.0f64);
+        let (mut backlog, mut takes, mut worst) = (
+            0.0f64,
+            Takes {
+                admits: asked,
+                ..Takes::default()
+            },
+            0.0f64,
+        );
         for _ in 0..steps {
             *at += 100;
             backlog += takes.admits.min(asked) * 0.1;
--- a/crates/overload/src/cut.rs
+++ b/crates/overload/src/cut.rs
@@ -17,7 +17,10 @@
 /// The share of what is asked that lies below a cut.
 pub fn below(demand: &[f64], rank: f64) -> f64 {
     let all: f64 = demand.iter().sum();
-    let under = demand.iter().enumerate().map(|(level, asked)| asked * (rank - level as f64).clamp(0.0, 1.0));
+    let under = demand
+        .iter()
+        .enumerate()
+        .map(|(level, asked)| asked * (rank - level as f64).clamp(0.0, 1.0));
     if all > 0.0 {
         under.sum::<f64>() / all
     } else {
--- a/crates/overload/src/error.rs
+++ b/crates/overload/src/error.rs
@@ -48,7 +48,8 @@
 
     #[test]
     fn each_error_says_something_of_its_own_to_do() {
-        let advice: std::collections::BTreeSet<_> = OverloadError::ALL.iter().map(|e| e.advice()).collect();
+        let advice: std::collections::BTreeSet<_> =
+            OverloadError::ALL.iter().map(|e| e.advice()).collect();
         assert_eq!(advice.len(), OverloadError::ALL.len());
         assert!(OverloadError::ALL.iter().all(|e| !e.to_string().is_empty()));
     }
--- a/crates/overload/src/gate.rs
+++ b/crates/overload/src/gate.rs
@@ -131,7 +131,10 @@
             counts: (0, 0, 0),
             returns: Returns::new(most_s, seed),
             repeats: Repeats::new(bitternlatch_quota_lease::base(roster)),
-            alone: Bucket { left: 0.0, at: Duration::ZERO },
+            alone: Bucket {
+                left: 0.0,
+                at: Duration::ZERO,
+            },
             tenants: BTreeMap::new(),
             prefixes: BTreeMap::new(),
             waits: BTreeMap::new(),
@@ -146,11 +149,25 @@
 
     /// Work of a request, seconds of a host.
     fn work(&mut self, now: Duration, asked: &Asked) -> f64 {
-        let number = |v: f64| if v.is_finite() { v.clamp(0.0, 1e9) } else { 0.0 };
+        let number = |v: f64| {
+            if v.is_finite() {
+                v.clamp(0.0, 1e9)
+            } else {
+                0.0
+            }
+        };
         let (prompt, answer) = (number(asked.prompt_tokens), number(asked.answer_tokens));
-        let read = self.prefixes.get(&asked.prefix).is_some_and(|at| now.saturating_sub(*at) < READ);
-        let spared = if read { number(asked.prefix_tokens).min(prompt) * (1.0 - READ_AGAIN) } else { 0.0 };
-        (prompt - spared) / self.settings.read_tokens_per_s + answer / self.settings.write_tokens_per_s
+        let read = self
+            .prefixes
+            .get(&asked.prefix)
+            .is_some_and(|at| now.saturating_sub(*at) < READ);
+        let spared = if read {
+            number(asked.prefix_tokens).min(prompt) * (1.0 - READ_AGAIN)
+        } else {
+            0.0
+        };
+        (prompt - spared) / self.settings.read_tokens_per_s
+            + answer / self.settings.write_tokens_per_s
     }
 
     /// Whether its tenant has more in hand than its share, at the act.
@@ -158,13 +175,20 @@
         if !asked.quota_rps.is_finite() {
             return false;
         }
-        let members = self.cut.as_ref().filter(|c| now < c.until).map_or(self.roster, |c| c.members as usize);
+        let members = self
+            .cut
+            .as_ref()
+            .filter(|c| now < c.until)
+            .map_or(self.roster, |c| c.members as usize);
         let rate = asked.quota_rps.max(0.0) / members.max(1) as f64;
         let burst = (rate * TENANT_BURST_S).max(1.0);
         if self.tenants.len() >= TENANTS && !self.tenants.contains_key(&asked.tenant) {
             return true;
         }
-        let bucket = self.tenants.entry(asked.tenant).or_insert(Bucket { left: burst, at: now });
+        let bucket = self.tenants.entry(asked.tenant).or_insert(Bucket {
+            left: burst,
+            at: now,
+        });
         !bucket.spend(now, 1.0, rate, burst)
     }
 
@@ -173,14 +197,20 @@
         let work = self.work(now, asked);
         let place = level(asked.worth, work, asked.spent);
         let over = self.over_share(now, asked);
-        let place = if over { place.saturating_sub(OVER_SHARE) } else { place };
+        let place = if over {
+            place.saturating_sub(OVER_SHARE)
+        } else {
+            place
+        };
         let rank = rank(place, asked.identity, now);
         let repeats = self.returns.is_return(now, asked.fingerprint);
         // What may not be taken whatever the cut says is no demand: it would raise the cut for the rest.
         if !repeats {
             self.demand[usize::from(place).min(LEVELS - 1)].add(now, work);
         }
-        if !self.passes(now, rank, work) || repeats && !self.repeats.may(now, work, self.cut.as_ref()) {
+        if !self.passes(now, rank, work)
+            || repeats && !self.repeats.may(now, work, self.cut.as_ref())
+        {
             return self.refuse(now, work, asked.fingerprint);
         }
         if repeats {
@@ -189,7 +219,8 @@
             self.repeats.fresh(now, work);
         }
         self.returns.taken(asked.fingerprint);
-        if asked.prefix != 0 && (self.prefixes.len() < PREFIXES || self.prefixes.contains_key(&asked.prefix))
+        if asked.prefix != 0
+            && (self.prefixes.len() < PREFIXES || self.prefixes.contains_key(&asked.prefix))
         {
             self.prefixes.insert(asked.prefix, now);
         }
@@ -197,7 +228,11 @@
         self.backlog += work;
         self.out += 1;
         self.counts.0 += 1;
-        Verdict::Take(Taken { work, aim_s: asked.aim_s, at: now })
+        Verdict::Take(Taken {
+            work,
+            aim_s: asked.aim_s,
+            at: now,
+        })
     }
 
     /// Whether this rank passes now: by what was told, while that counts, and stricter the more waits than may; else within a part
@@ -223,7 +258,9 @@
     /// Refuses and says when to come back.
     fn refuse(&mut self, now: Duration, work: f64, fingerprint: u64) -> Verdict {
         self.counts.1 += 1;
-        Verdict::Refuse { retry_after_s: self.refused(now, work, fingerprint) }
+        Verdict::Refuse {
+            retry_after_s: self.refused(now, work, fingerprint),
+        }
     }
 
     /// When one that is refused, by whomever, may come back; its return will be known.
@@ -251,14 +288,19 @@
         self.gone(taken);
         self.completed.add(now, taken.work);
         let waited = now.saturating_sub(taken.at).as_secs_f64();
-        self.delay.add(now, taken.work * waited / taken.aim_s.max(1e-3));
+        self.delay
+            .add(now, taken.work * waited / taken.aim_s.max(1e-3));
         self.begun.add(now, taken.work);
     }
 
     /// Something taken has ended without an answer.
     pub fn gone(&mut self, taken: Taken) {
         self.out = self.out.saturating_sub(1);
-        self.backlog = if self.out == 0 { 0.0 } else { (self.backlog - taken.work).max(0.0) };
+        self.backlog = if self.out == 0 {
+            0.0
+        } else {
+            (self.backlog - taken.work).max(0.0)
+        };
     }
 
     /// A host says how many requests wait at it.
@@ -275,21 +317,34 @@
             return None;
         }
         self.tell_at = now + TELL;
-        self.waits.retain(|_, (at, _)| now.saturating_sub(*at) < REPORT);
+        self.waits
+            .retain(|_, (at, _)| now.saturating_sub(*at) < REPORT);
         self.prefixes.retain(|_, at| now.saturating_sub(*at) < READ);
-        let each = if self.out == 0 { 0.0 } else { self.backlog / f64::from(self.out) };
+        let each = if self.out == 0 {
+            0.0
+        } else {
+            self.backlog / f64::from(self.out)
+        };
         let begun = self.begun.per_s(now);
         let (fresh, repeats) = self.repeats.sums(now);
         let (taken_count, refused_count, repeat_count) = std::mem::take(&mut self.counts);
         Some(Seen {
-            demand: self.demand.iter().map(|d| Millionths::of(d.per_s(now))).collect(),
+            demand: self
+                .demand
+                .iter()
+                .map(|d| Millionths::of(d.per_s(now)))
+                .collect(),
             taken: Millionths::of(self.taken.per_s(now)),
             completed: Millionths::of(self.completed.per_s(now)),
             backlog: Millionths::of(self.backlog),
             each: Millionths::of(each),
             waits: Millionths::of(self.waits.values().map(|(_, many)| many * each).sum()),
             hosts: Millionths::of(hosts),
-            delay: Millionths::of(if begun > 0.0 { self.delay.per_s(now) / begun } else { 0.0 }),
+            delay: Millionths::of(if begun > 0.0 {
+                self.delay.per_s(now) / begun
+            } else {
+                0.0
+            }),
             fresh: Millionths::of(fresh),
             repeats: Millionths::of(repeats),
             refused_count,
--- a/crates/overload/src/io.rs
+++ b/crates/overload/src/io.rs
@@ -20,7 +20,11 @@
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { read_tokens_per_s: 18_000.0, write_tokens_per_s: 3_200.0, wait_share: 0.2 }
+        Settings {
+            read_tokens_per_s: 18_000.0,
+            write_tokens_per_s: 3_200.0,
+            wait_share: 0.2,
+        }
     }
 }
 
@@ -30,7 +34,9 @@
     pub fn check(&self) -> Result<(), OverloadError> {
         let rate = |v: f64| v.is_finite() && (1.0..=1e9).contains(&v);
         match self {
-            s if !rate(s.read_tokens_per_s) || !rate(s.write_tokens_per_s) => Err(OverloadError::Rate),
+            s if !rate(s.read_tokens_per_s) || !rate(s.write_tokens_per_s) => {
+                Err(OverloadError::Rate)
+            }
             s if !(0.02..=1.0).contains(&s.wait_share) => Err(OverloadError::WaitShare),
             _ => Ok(()),
         }
--- a/crates/overload/src/machine.rs
+++ b/crates/overload/src/machine.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{Beside, Given, Part, Peers, Process, Wanted};
 use bitternlatch_membership::{NameKey, Standing, Topic};
+use bitternlatch_quota_lease::{Beside, Given, Part, Peers, Process, Wanted};
 
 use crate::capacity::{Capacity, Takes};
 use crate::cut::{below, cut};
@@ -72,7 +72,11 @@
             own,
             roster,
             settings,
-            aim_s: if aim_s.is_finite() { aim_s.clamp(0.05, 60.0) } else { 1.0 },
+            aim_s: if aim_s.is_finite() {
+                aim_s.clamp(0.05, 60.0)
+            } else {
+                1.0
+            },
             draws: seed,
             beat_at: now,
             beats: 0,
@@ -139,15 +143,24 @@
             Ask::Probe { host } => {
                 let others = self.peers(now).map(|p| p.there.clone());
                 let mut done = Vec::new();
-                self.probes.want(now, host, others.as_deref(), self.roster.len(), &mut done);
+                self.probes
+                    .want(now, host, others.as_deref(), self.roster.len(), &mut done);
                 carry(done, out);
             }
             Ask::Tried { host, well } => {
-                let saying = if well { self.trials.answered(host) } else { self.trials.failed(now, host) };
+                let saying = if well {
+                    self.trials.answered(host)
+                } else {
+                    self.trials.failed(now, host)
+                };
                 let to = self.peers(now).map(|p| p.there.clone()).unwrap_or_default();
                 // As many as hear a word at a time; of many members a sample, as the rest hear of it from their own attempts.
                 if let Some(bytes) = saying.map(|s| s.write()) {
-                    out.extend(to.into_iter().take(SAID_MOST).map(|n| Wanted::Say(n, bytes.clone())));
+                    out.extend(
+                        to.into_iter()
+                            .take(SAID_MOST)
+                            .map(|n| Wanted::Say(n, bytes.clone())),
+                    );
                 }
                 self.tell_trials(now, out);
             }
@@ -164,10 +177,19 @@
         let others = self.peers(now).map(|p| p.there.clone());
         let leaves = self.trials.leaves(now, others.as_deref());
         let hosts: BTreeSet<u32> = leaves.iter().map(|l| l.host).collect();
-        let well =
-            self.on_trial.difference(&hosts).map(|host| Told::Trial { host: *host, many: 0, until: now });
+        let well = self.on_trial.difference(&hosts).map(|host| Told::Trial {
+            host: *host,
+            many: 0,
+            until: now,
+        });
         out.extend(well.map(Wanted::Tell));
-        let trial = |l: Leave| Wanted::Tell(Told::Trial { host: l.host, many: l.many, until: l.until });
+        let trial = |l: Leave| {
+            Wanted::Tell(Told::Trial {
+                host: l.host,
+                many: l.many,
+                until: l.until,
+            })
+        };
         out.extend(leaves.into_iter().map(trial));
         self.on_trial = hosts;
     }
@@ -175,7 +197,10 @@
     /// The own word. What the dispatcher told too long ago is nothing: it stands still, and takes nothing.
     fn word(&mut self, now: Duration, capacity: f64) -> Word {
         self.number += 1;
-        let fresh = self.seen.as_ref().filter(|(at, _)| now.saturating_sub(*at) < COUNTS_FOR);
+        let fresh = self
+            .seen
+            .as_ref()
+            .filter(|(at, _)| now.saturating_sub(*at) < COUNTS_FOR);
         let seen = fresh.map(|(_, seen)| seen.clone()).unwrap_or_default();
         Word {
             number: self.number,
@@ -216,7 +241,9 @@
     fn beat(&mut self, now: Duration, out: &mut Vec<Wanted<Told>>) {
         self.beat_at = now + BEAT;
         self.beats = self.beats.wrapping_add(1);
-        let Some(known) = self.seen.as_ref() else { return };
+        let Some(known) = self.seen.as_ref() else {
+            return;
+        };
         let stale = now.saturating_sub(known.0) >= COUNTS_FOR;
         self.words.forget(now);
         self.probes.forget(now);
@@ -227,20 +254,38 @@
         let sampled = (there > TOLD_MOST).then_some(there + 1);
         let sums = self.words.sums(now, &word, sampled);
         // Cut off it goes by the part of the hosts that is its own whatever the others do.
-        let share = if together { 1.0 } else { sums.members / self.roster.len().max(1) as f64 };
+        let share = if together {
+            1.0
+        } else {
+            sums.members / self.roster.len().max(1) as f64
+        };
         let wait_s = self.settings.wait_share * self.aim_s;
         let takes = self.capacity.look(now, &sums, wait_s, share.min(1.0));
-        let admits = if together { takes.admits } else { takes.admits.min(takes.capacity) };
+        let admits = if together {
+            takes.admits
+        } else {
+            takes.admits.min(takes.capacity)
+        };
         let own = cut(&sums.demand, admits);
-        self.rank =
-            own + LEAN * (sums.cut.min(LEVELS as f64) - own) * f64::from(u8::from(sums.members > 1.0));
+        self.rank = own
+            + LEAN * (sums.cut.min(LEVELS as f64) - own) * f64::from(u8::from(sums.members > 1.0));
         if own == 0.0 && self.rank < 0.5 {
             self.rank = 0.0;
         }
-        let said = Word { cut: self.rank, capacity: takes.capacity, ..word };
+        let said = Word {
+            cut: self.rank,
+            capacity: takes.capacity,
+            ..word
+        };
         self.say(now, &said, out);
         if !stale {
-            out.push(Wanted::Tell(Told::Cut(self.told(now, &sums, &said, takes, there + 1))));
+            out.push(Wanted::Tell(Told::Cut(self.told(
+                now,
+                &sums,
+                &said,
+                takes,
+                there + 1,
+            ))));
         }
         self.name(&sums, out);
         self.log(now, &sums, takes, out);
@@ -250,7 +295,11 @@
         let part = self.peers(now).map_or(Part::default(), |p| p.part);
         // What may wait is divided as demand is, in part: a burst at one must not find it without room.
         let even = 1.0 / members as f64;
-        let asked = if sums.asked() > 0.0 { own.asked() / sums.asked() } else { even };
+        let asked = if sums.asked() > 0.0 {
+            own.asked() / sums.asked()
+        } else {
+            even
+        };
         Cut {
             until: now + COUNTS_FOR,
             rank: Millionths::of(self.rank),
@@ -269,7 +318,11 @@
     fn name(&mut self, sums: &Sums, out: &mut Vec<Wanted<Told>>) {
         for name in sums.nonsense.difference(&self.named) {
             let why = OverloadError::Nonsense;
-            let text = format!("overload: nonsense from={:08x} {why}; {}", name.0, why.advice());
+            let text = format!(
+                "overload: nonsense from={:08x} {why}; {}",
+                name.0,
+                why.advice()
+            );
             out.push(Wanted::Log { warn: true, text });
         }
         self.named = sums.nonsense.clone();
@@ -324,7 +377,11 @@
             Given::Said { from, said } => self.hear(now, from, &said, out),
             Given::Peers(peers) => self.peers = Some(peers),
             Given::Ask(ask) => self.asked(now, ask, out),
-            Given::Wake | Given::Frame { .. } | Given::Found(_) | Given::Kept { .. } | Given::Leave => {}
+            Given::Wake
+            | Given::Frame { .. }
+            | Given::Found(_)
+            | Given::Kept { .. }
+            | Given::Leave => {}
         }
         if now >= self.beat_at {
             self.beat(now, out);
--- a/crates/overload/src/order.rs
+++ b/crates/overload/src/order.rs
@@ -70,7 +70,10 @@
     #[test]
     fn all_versions_draw_alike() {
         // The first of SplitMix64 from 0 and from 1, as published.
-        assert_eq!((spread(0), spread(1)), (0xE220_A839_7B1D_CDAF, 0x910A_2DEC_8902_5CC1));
+        assert_eq!(
+            (spread(0), spread(1)),
+            (0xE220_A839_7B1D_CDAF, 0x910A_2DEC_8902_5CC1)
+        );
     }
 
     #[test]
@@ -79,14 +82,24 @@
         assert!(query > level(2.0, 0.2, Spent::Nothing));
         assert!(level(2.0, 0.2, Spent::Steps) > level(2.0, 0.2, Spent::Turns));
         assert!(level(2.0, 0.2, Spent::Turns) > level(2.0, 0.2, Spent::Nothing));
-        for (worth, work) in [(f64::NAN, 1.0), (0.0, 1.0), (-1.0, 1.0), (1.0, f64::INFINITY)] {
+        for (worth, work) in [
+            (f64::NAN, 1.0),
+            (0.0, 1.0),
+            (-1.0, 1.0),
+            (1.0, f64::INFINITY),
+        ] {
             assert_eq!(level(worth, work, Spent::Steps), 0);
         }
         assert_eq!(level(f64::MAX, 0.0, Spent::Steps), LEVELS as u8 - 1);
         let at = |s| rank(7, 99, Duration::from_secs(s));
         assert_eq!(at(60), at(119));
         assert_ne!(at(60), at(120));
-        let lucky = (0..200u64).filter(|m| rank(7, 5, Duration::from_secs(60 * m)) < 7.5).count();
-        assert!((70..130).contains(&lucky), "nobody is always the unlucky one: {lucky}");
+        let lucky = (0..200u64)
+            .filter(|m| rank(7, 5, Duration::from_secs(60 * m)) < 7.5)
+            .count();
+        assert!(
+            (70..130).contains(&lucky),
+            "nobody is always the unlucky one: {lucky}"
+        );
     }
 }
--- a/crates/overload/src/probes.rs
+++ b/crates/overload/src/probes.rs
@@ -44,9 +44,17 @@
             Saying::Want(host) => [&[WANT], &host.to_le_bytes()[..]].concat(),
             Saying::Failed(host) => [&[FAILED], &host.to_le_bytes()[..]].concat(),
             Saying::Well(host) => [&[WELL], &host.to_le_bytes()[..]].concat(),
-            Saying::Report { host, age_ms, report } => {
-                let mut bytes = [&[REPORT], &host.to_le_bytes()[..], &age_ms.to_le_bytes()].concat();
-                report.iter().take(FIGURES).for_each(|f| bytes.extend(f.raw().to_le_bytes()));
+            Saying::Report {
+                host,
+                age_ms,
+                report,
+            } => {
+                let mut bytes =
+                    [&[REPORT], &host.to_le_bytes()[..], &age_ms.to_le_bytes()].concat();
+                report
+                    .iter()
+                    .take(FIGURES)
+                    .for_each(|f| bytes.extend(f.raw().to_le_bytes()));
                 bytes
             }
         }
@@ -55,7 +63,12 @@
     /// # Errors
     /// Where it is neither.
     pub fn read(bytes: &[u8]) -> Result<Saying, OverloadError> {
-        let host = |bytes: &[u8]| bytes.get(1..5).and_then(|b| b.try_into().ok()).map(u32::from_le_bytes);
+        let host = |bytes: &[u8]| {
+            bytes
+                .get(1..5)
+                .and_then(|b| b.try_into().ok())
+                .map(u32::from_le_bytes)
+        };
         let host = host(bytes).ok_or(OverloadError::Unreadable)?;
         match (bytes[0], &bytes[5..]) {
             (WANT, []) => Ok(Saying::Want(host)),
@@ -68,7 +81,11 @@
                     Millionths::from_raw(u64::from_le_bytes(raw))
                 };
                 let report = rest.chunks_exact(8).map(figure).collect();
-                Ok(Saying::Report { host, age_ms: u16::from_le_bytes([*a, *b]), report })
+                Ok(Saying::Report {
+                    host,
+                    age_ms: u16::from_le_bytes([*a, *b]),
+                    report,
+                })
             }
             (WANT | REPORT | FAILED | WELL, _) => Err(OverloadError::Unreadable),
             _ => Err(OverloadError::OtherVersion),
@@ -114,7 +131,10 @@
 
 impl Probes {
     pub fn new(own: NameKey) -> Probes {
-        Probes { own, known: BTreeMap::new() }
+        Probes {
+            own,
+            known: BTreeMap::new(),
+        }
     }
 
     fn entry(&mut self, host: u32) -> Option<&mut Known> {
@@ -139,13 +159,18 @@
         out: &mut Vec<Do>,
     ) {
         let own = self.own;
-        let Some(known) = self.entry(host) else { return };
+        let Some(known) = self.entry(host) else {
+            return;
+        };
         if let Some((age, report)) = Self::fresh(known, now) {
             return out.push(Do::Tell { host, age, report });
         }
         known.wanted = Some(now);
         let every = others.map_or(PROBE_EVERY * roster.max(1) as u32, |_| PROBE_EVERY);
-        let who = asker(host, others.unwrap_or_default().iter().copied().chain([own]));
+        let who = asker(
+            host,
+            others.unwrap_or_default().iter().copied().chain([own]),
+        );
         match who.filter(|who| *who != own) {
             Some(who) => out.push(Do::Say(who, Saying::Want(host))),
             None => self.ask(now, host, every, out),
@@ -153,7 +178,9 @@
     }
 
     fn ask(&mut self, now: Duration, host: u32, every: Duration, out: &mut Vec<Do>) {
-        let Some(known) = self.entry(host) else { return };
+        let Some(known) = self.entry(host) else {
+            return;
+        };
         if known.asked.is_none_or(|at| now.saturating_sub(at) >= every) {
             known.asked = Some(now);
             out.push(Do::Probe(host));
@@ -164,10 +191,19 @@
     pub fn hear(&mut self, now: Duration, from: NameKey, saying: Saying, out: &mut Vec<Do>) {
         match saying {
             Saying::Want(host) => {
-                let Some(known) = self.entry(host) else { return };
+                let Some(known) = self.entry(host) else {
+                    return;
+                };
                 if let Some((age, report)) = Self::fresh(known, now) {
                     let age_ms = age.as_millis() as u16;
-                    return out.push(Do::Say(from, Saying::Report { host, age_ms, report }));
+                    return out.push(Do::Say(
+                        from,
+                        Saying::Report {
+                            host,
+                            age_ms,
+                            report,
+                        },
+                    ));
                 }
                 if known.wanters.len() < WANTERS {
                     known.wanters.insert(from);
@@ -175,9 +211,15 @@
                 self.ask(now, host, PROBE_EVERY, out);
             }
             Saying::Failed(_) | Saying::Well(_) => {}
-            Saying::Report { host, age_ms, report } => {
+            Saying::Report {
+                host,
+                age_ms,
+                report,
+            } => {
                 let age = Duration::from_millis(u64::from(age_ms));
-                let Some(known) = self.entry(host) else { return };
+                let Some(known) = self.entry(host) else {
+                    return;
+                };
                 // On its way it has become older than it says; who wanted it wants what comes after that.
                 known.report = Some((now.saturating_sub(age), report.clone()));
                 Self::give(known, now, host, age, report, out);
@@ -193,17 +235,36 @@
         report: Vec<Millionths>,
         out: &mut Vec<Do>,
     ) {
-        if known.wanted.take().is_some_and(|at| now.saturating_sub(at) < WAITS) {
+        if known
+            .wanted
+            .take()
+            .is_some_and(|at| now.saturating_sub(at) < WAITS)
+        {
             out.push(Do::Tell { host, age, report });
         }
     }
 
     /// A host answered the own dispatcher's probe.
-    pub fn answered(&mut self, now: Duration, host: u32, report: Vec<Millionths>, out: &mut Vec<Do>) {
-        let Some(known) = self.entry(host) else { return };
+    pub fn answered(
+        &mut self,
+        now: Duration,
+        host: u32,
+        report: Vec<Millionths>,
+        out: &mut Vec<Do>,
+    ) {
+        let Some(known) = self.entry(host) else {
+            return;
+        };
         known.report = Some((now, report.clone()));
         for to in std::mem::take(&mut known.wanters) {
-            out.push(Do::Say(to, Saying::Report { host, age_ms: 0, report: report.clone() }));
+            out.push(Do::Say(
+                to,
+                Saying::Report {
+                    host,
+                    age_ms: 0,
+                    report: report.clone(),
+                },
+            ));
         }
         Self::give(known, now, host, Duration::ZERO, report, out);
     }
@@ -211,7 +272,9 @@
     /// Lets go of hosts that nobody asked for lately.
     pub fn forget(&mut self, now: Duration) {
         let young = |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) < 8 * WAITS);
-        self.known.retain(|_, k| young(k.asked) || young(k.wanted) || young(k.report.as_ref().map(|r| r.0)));
+        self.known.retain(|_, k| {
+            young(k.asked) || young(k.wanted) || young(k.report.as_ref().map(|r| r.0))
+        });
     }
 }
 
@@ -231,7 +294,13 @@
             for (i, member) in members.iter_mut().enumerate() {
                 let others: Vec<NameKey> = all.iter().filter(|n| **n != all[i]).copied().collect();
                 let mut out = Vec::new();
-                member.want(now, 7, reachable.then_some(&others[..]), of as usize, &mut out);
+                member.want(
+                    now,
+                    7,
+                    reachable.then_some(&others[..]),
+                    of as usize,
+                    &mut out,
+                );
                 to_do.extend(out.into_iter().map(|d| (i, d)));
             }
             while let Some((i, what)) = to_do.pop() {
@@ -262,16 +331,27 @@
     #[test]
     fn a_host_is_asked_as_often_by_twelve_as_by_three_and_all_are_answered() {
         let (three, twelve) = (play(3, true), play(12, true));
-        assert!((three.0 - 4.0).abs() < 0.2 && (twelve.0 - three.0).abs() < 0.2, "{three:?} {twelve:?}");
-        assert!(three.1 > 0.95 * 60.0 && twelve.1 > 0.95 * 240.0, "{three:?} {twelve:?}");
-        assert!(play(12, false).0 <= 5.0, "cut off from each other they ask no more: {:?}", play(12, false));
+        assert!(
+            (three.0 - 4.0).abs() < 0.2 && (twelve.0 - three.0).abs() < 0.2,
+            "{three:?} {twelve:?}"
+        );
+        assert!(
+            three.1 > 0.95 * 60.0 && twelve.1 > 0.95 * 240.0,
+            "{three:?} {twelve:?}"
+        );
+        assert!(
+            play(12, false).0 <= 5.0,
+            "cut off from each other they ask no more: {:?}",
+            play(12, false)
+        );
     }
 
     #[test]
     fn a_dead_askers_hosts_move_to_others_and_no_others_do() {
         let all: Vec<NameKey> = (0..9).map(NameKey).collect();
-        let of =
-            |host, without| asker(host, all.iter().copied().filter(|n| Some(*n) != without)).expect("one");
+        let of = |host, without| {
+            asker(host, all.iter().copied().filter(|n| Some(*n) != without)).expect("one")
+        };
         for host in 0..500 {
             let (before, after) = (of(host, None), of(host, Some(NameKey(4))));
             assert!(before == after || before == NameKey(4));
--- a/crates/overload/src/repeats.rs
+++ b/crates/overload/src/repeats.rs
@@ -20,7 +20,11 @@
 impl Repeats {
     /// `careful`: the share of what all may repeat that this dispatcher spends whatever it knows.
     pub fn new(careful: f64) -> Repeats {
-        Repeats { careful, spent: Span::new(SPAN), fresh: Span::new(SPAN) }
+        Repeats {
+            careful,
+            spent: Span::new(SPAN),
+            fresh: Span::new(SPAN),
+        }
     }
 
     pub fn fresh(&mut self, now: Duration, work: f64) {
@@ -36,7 +40,9 @@
     /// was told of the others' fresh work counts until its own end. Where all fits, one at a time may be repeated whatever its size.
     pub fn may(&mut self, now: Duration, work: f64, cut: Option<&Cut>) -> bool {
         let told = cut.filter(|c| now < c.until);
-        let part = cut.filter(|c| now < c.part_until).map_or(0.0, |c| c.part.get().min(1.0));
+        let part = cut
+            .filter(|c| now < c.part_until)
+            .map_or(0.0, |c| c.part.get().min(1.0));
         let own = self.fresh.sum(now);
         let fresh = told.map_or(own, |c| c.fresh.get().max(own));
         let spent = self.spent.sum(now);
--- a/crates/overload/src/returns.rs
+++ b/crates/overload/src/returns.rs
@@ -24,7 +24,11 @@
 
 impl Returns {
     pub fn new(most_s: f64, seed: u64) -> Returns {
-        let most_s = if most_s.is_finite() { most_s.max(0.0) } else { 1.0 };
+        let most_s = if most_s.is_finite() {
+            most_s.max(0.0)
+        } else {
+            1.0
+        };
         Returns {
             most_s,
             draws: seed,
@@ -61,12 +65,12 @@
         if self.refused.insert(fingerprint, now).is_none() || self.order.len() < 2 * REFUSED_MOST {
             self.order.push_back((now, fingerprint));
         }
-        while self
-            .order
-            .front()
-            .is_some_and(|(at, _)| self.refused.len() > REFUSED_MOST || now.saturating_sub(*at) >= REMEMBERED)
-        {
-            let Some((at, old)) = self.order.pop_front() else { break };
+        while self.order.front().is_some_and(|(at, _)| {
+            self.refused.len() > REFUSED_MOST || now.saturating_sub(*at) >= REMEMBERED
+        }) {
+            let Some((at, old)) = self.order.pop_front() else {
+                break;
+            };
             if self.refused.get(&old) == Some(&at) {
                 self.refused.remove(&old);
             }
@@ -75,7 +79,9 @@
 
     /// Whether this was refused a while ago, so that it is a return.
     pub fn is_return(&self, now: Duration, fingerprint: u64) -> bool {
-        self.refused.get(&fingerprint).is_some_and(|at| now.saturating_sub(*at) < REMEMBERED)
+        self.refused
+            .get(&fingerprint)
+            .is_some_and(|at| now.saturating_sub(*at) < REMEMBERED)
     }
 
     /// It was taken: what comes with the same words is not a return of that refusal.
--- a/crates/overload/src/sums.rs
+++ b/crates/overload/src/sums.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use bitternlatch_quota_lease::Process;
 use bitternlatch_membership::NameKey;
+use bitternlatch_quota_lease::Process;
 
 use crate::order::LEVELS;
 use crate::Word;
@@ -71,7 +71,14 @@
     pub fn hear(&mut self, now: Duration, from: Process, word: Word) {
         let held = self.0.get(&from.name).map(|h| (h.start, h.word.number));
         if held.is_none_or(|held| held < (from.start, word.number)) {
-            self.0.insert(from.name, Heard { start: from.start, at: now, word });
+            self.0.insert(
+                from.name,
+                Heard {
+                    start: from.start,
+                    at: now,
+                    word,
+                },
+            );
         }
     }
 
@@ -89,17 +96,26 @@
     /// Of the own word and all that were heard. `all` is the number of members where words come from a sample of them: the others
     /// are taken to be like those heard.
     pub fn sums(&self, now: Duration, own: &Word, all: Option<usize>) -> Sums {
-        let heard: Vec<(NameKey, f64, &Word)> =
-            self.0.iter().map(|(n, h)| (*n, Self::weight(now, h.at), &h.word)).collect();
+        let heard: Vec<(NameKey, f64, &Word)> = self
+            .0
+            .iter()
+            .map(|(n, h)| (*n, Self::weight(now, h.at), &h.word))
+            .collect();
         let weights: f64 = heard.iter().map(|h| h.1).sum();
-        let scale = all.filter(|_| weights > 0.0).map_or(1.0, |all| (all as f64 - 1.0) / weights);
+        let scale = all
+            .filter(|_| weights > 0.0)
+            .map_or(1.0, |all| (all as f64 - 1.0) / weights);
         let whole = || std::iter::once(own).chain(heard.iter().filter(|h| h.1 > 0.5).map(|h| h.2));
         let of = |figure: fn(&Word) -> f64| median(whole().map(figure).collect());
         let judged = heard.len() + 1 >= JUDGES;
         let mut nonsense = BTreeSet::new();
         // A figure beyond all bounds counts as the bound.
         let mut sum = |figure: fn(&Word) -> f64| {
-            let most = if judged { NONSENSE * of(figure).max(LITTLE) } else { f64::INFINITY };
+            let most = if judged {
+                NONSENSE * of(figure).max(LITTLE)
+            } else {
+                f64::INFINITY
+            };
             let each = heard.iter().map(|(name, weight, word)| {
                 let value = figure(word);
                 if value > most {
@@ -109,18 +125,31 @@
             });
             figure(own) + scale * each.sum::<f64>()
         };
-        let (taken, completed, backlog) = (sum(|w| w.taken), sum(|w| w.completed), sum(|w| w.backlog));
+        let (taken, completed, backlog) =
+            (sum(|w| w.taken), sum(|w| w.completed), sum(|w| w.backlog));
         let (fresh, repeats) = (sum(|w| w.fresh), sum(|w| w.repeats));
         // Summed by level below; here for who is named.
         sum(Word::asked);
         let mut demand = vec![0.0; LEVELS];
-        let most = if judged { NONSENSE * of(Word::asked).max(LITTLE) } else { f64::INFINITY };
+        let most = if judged {
+            NONSENSE * of(Word::asked).max(LITTLE)
+        } else {
+            f64::INFINITY
+        };
         for (i, level) in demand.iter_mut().enumerate() {
             let part = |w: &Word| w.demand.get(i).copied().unwrap_or(0.0);
             let bounded = |w: &Word| part(w) * (most / w.asked().max(1e-9)).min(1.0);
-            *level = part(own) + scale * heard.iter().map(|(_, weight, w)| bounded(w) * weight).sum::<f64>();
+            *level = part(own)
+                + scale
+                    * heard
+                        .iter()
+                        .map(|(_, weight, w)| bounded(w) * weight)
+                        .sum::<f64>();
         }
-        let cuts = heard.iter().map(|(_, weight, w)| w.cut.min(LEVELS as f64) * weight).sum::<f64>();
+        let cuts = heard
+            .iter()
+            .map(|(_, weight, w)| w.cut.min(LEVELS as f64) * weight)
+            .sum::<f64>();
         Sums {
             demand,
             taken,
@@ -133,7 +162,11 @@
             hosts: of(|w| w.hosts),
             delay: of(|w| w.delay),
             capacity: of(|w| w.capacity),
-            cut: if weights > 0.0 { cuts / weights } else { own.cut },
+            cut: if weights > 0.0 {
+                cuts / weights
+            } else {
+                own.cut
+            },
             members: 1.0 + weights,
             nonsense,
         }
@@ -152,11 +185,19 @@
     fn word(number: u64, asked: f64) -> Word {
         let mut demand = vec![0.0; LEVELS];
         demand[(number % 40) as usize] = asked;
-        Word { number, demand, completed: asked / 2.0, ..Word::default() }
+        Word {
+            number,
+            demand,
+            completed: asked / 2.0,
+            ..Word::default()
+        }
     }
 
     fn process(name: u32, start: u64) -> Process {
-        Process { name: NameKey(name), start }
+        Process {
+            name: NameKey(name),
+            start,
+        }
     }
 
     #[test]
--- a/crates/overload/src/trials.rs
+++ b/crates/overload/src/trials.rs
@@ -42,7 +42,10 @@
 
 impl Trials {
     pub fn new(own: NameKey) -> Trials {
-        Trials { own, hosts: BTreeMap::new() }
+        Trials {
+            own,
+            hosts: BTreeMap::new(),
+        }
     }
 
     fn seen(&mut self, now: Duration, host: u32, by: NameKey) {
@@ -60,7 +63,9 @@
     pub fn failed(&mut self, now: Duration, host: u32) -> Option<Saying> {
         self.seen(now, host, self.own);
         let trial = self.hosts.get_mut(&host)?;
-        let due = trial.said.is_none_or(|at| now.saturating_sub(at) >= SAY_EVERY);
+        let due = trial
+            .said
+            .is_none_or(|at| now.saturating_sub(at) >= SAY_EVERY);
         due.then(|| {
             trial.said = Some(now);
             Saying::Failed(host)
@@ -94,11 +99,18 @@
             t.seen_by.retain(|_, at| now.saturating_sub(*at) < FAILED);
             !t.seen_by.is_empty()
         });
-        let mine = self.hosts.iter().filter(|(_, t)| t.seen_by.contains_key(&own));
+        let mine = self
+            .hosts
+            .iter()
+            .filter(|(_, t)| t.seen_by.contains_key(&own));
         let leave = |(host, t): (&u32, &Trial)| {
             let there = |n: &NameKey| *n == own || others.is_some_and(|o| o.contains(n));
             let holder = asker(*host, t.seen_by.keys().copied().filter(there));
-            Leave { host: *host, many: if holder == Some(own) { t.many } else { 0 }, until: now + LEAVE }
+            Leave {
+                host: *host,
+                many: if holder == Some(own) { t.many } else { 0 },
+                until: now + LEAVE,
+            }
         };
         mine.map(leave).collect()
     }
@@ -120,19 +132,33 @@
             let saying = members[i].failed(s(0), 7);
             assert_eq!(saying, Some(Saying::Failed(7)));
             assert_eq!(members[i].failed(s(0), 7), None, "said once");
-            (0..6).filter(|j| *j != i).for_each(|j| members[j].heard(s(0), all[i], 7, true));
+            (0..6)
+                .filter(|j| *j != i)
+                .for_each(|j| members[j].heard(s(0), all[i], 7, true));
         }
         let may = |members: &mut Vec<Trials>, at| -> Vec<u32> {
-            members.iter_mut().map(|m| m.leaves(at, Some(&all)).iter().map(|l| l.many).sum()).collect()
+            members
+                .iter_mut()
+                .map(|m| m.leaves(at, Some(&all)).iter().map(|l| l.many).sum())
+                .collect()
         };
         assert_eq!(may(&mut members, s(1)).iter().sum::<u32>(), 1);
-        assert!(members[5].leaves(s(1), Some(&all)).is_empty(), "it has not seen it fail");
-        let holder = may(&mut members, s(1)).iter().position(|m| *m == 1).expect("one");
+        assert!(
+            members[5].leaves(s(1), Some(&all)).is_empty(),
+            "it has not seen it fail"
+        );
+        let holder = may(&mut members, s(1))
+            .iter()
+            .position(|m| *m == 1)
+            .expect("one");
         assert_eq!(members[holder].answered(7), None);
         assert_eq!(may(&mut members, s(1)).iter().sum::<u32>(), 2);
         members[holder].failed(s(1), 7);
         assert_eq!(may(&mut members, s(1)).iter().sum::<u32>(), 1);
-        assert_eq!((members[holder].answered(7), members[holder].answered(7)), (None, None));
+        assert_eq!(
+            (members[holder].answered(7), members[holder].answered(7)),
+            (None, None)
+        );
         assert_eq!(members[holder].answered(7), Some(Saying::Well(7)));
         (0..6).for_each(|j| members[j].heard(s(1), all[holder], 7, false));
         assert!((0..6).all(|j| members[j].leaves(s(1), Some(&all)).is_empty()));
@@ -143,7 +169,10 @@
         let mut one = Trials::new(NameKey(1));
         one.heard(s(0), NameKey(2), 7, true);
         one.failed(s(0), 7);
-        assert_eq!(one.leaves(s(1), None).iter().map(|l| l.many).sum::<u32>(), 1);
+        assert_eq!(
+            one.leaves(s(1), None).iter().map(|l| l.many).sum::<u32>(),
+            1
+        );
         assert!(one.leaves(s(7), None).is_empty());
     }
 }
--- a/crates/overload/src/window.rs
+++ b/crates/overload/src/window.rs
@@ -14,7 +14,12 @@
 
 impl Rate {
     pub fn new(fades: Duration) -> Rate {
-        Rate { fades: fades.as_secs_f64(), sum: 0.0, at: Duration::ZERO, since: None }
+        Rate {
+            fades: fades.as_secs_f64(),
+            sum: 0.0,
+            at: Duration::ZERO,
+            since: None,
+        }
     }
 
     fn sum_at(&self, now: Duration) -> f64 {
@@ -51,7 +56,11 @@
 
 impl Span {
     pub fn new(whole: Duration) -> Span {
-        Span { part: whole / PARTS as u32, sums: [0.0; PARTS + 1], newest: 0 }
+        Span {
+            part: whole / PARTS as u32,
+            sums: [0.0; PARTS + 1],
+            newest: 0,
+        }
     }
 
     fn turn(&mut self, now: Duration) {
@@ -88,7 +97,11 @@
         for i in 0..500 {
             rate.add(ms(2 * i), 0.5);
         }
-        assert!((rate.per_s(ms(1000)) - 250.0).abs() < 3.0, "{}", rate.per_s(ms(1000)));
+        assert!(
+            (rate.per_s(ms(1000)) - 250.0).abs() < 3.0,
+            "{}",
+            rate.per_s(ms(1000))
+        );
         assert!(rate.per_s(ms(4000)) < 15.0);
         rate.add(ms(4000), f64::NAN);
         assert!(rate.per_s(ms(4000)).is_finite());
@@ -100,9 +113,17 @@
         for i in 0..100 {
             span.add(ms(100 * i), 1.0);
         }
-        assert!((50.0..=55.0).contains(&span.sum(ms(9_900))), "{}", span.sum(ms(9_900)));
+        assert!(
+            (50.0..=55.0).contains(&span.sum(ms(9_900))),
+            "{}",
+            span.sum(ms(9_900))
+        );
         assert_eq!(span.sum(ms(90_000)), 0.0);
         span.add(ms(10), 1.0);
-        assert_eq!(span.sum(ms(90_000)), 1.0, "a clock that seems to go back loses nothing");
+        assert_eq!(
+            span.sum(ms(90_000)),
+            1.0,
+            "a clock that seems to go back loses nothing"
+        );
     }
 }
--- a/crates/overload/src/word.rs
+++ b/crates/overload/src/word.rs
@@ -86,7 +86,9 @@
         }
         let mut number = [0; 8];
         number.copy_from_slice(&bytes[1..9]);
-        let mut all = bytes[9..].chunks_exact(2).map(|b| value(u16::from_le_bytes([b[0], b[1]])));
+        let mut all = bytes[9..]
+            .chunks_exact(2)
+            .map(|b| value(u16::from_le_bytes([b[0], b[1]])));
         let demand = all.by_ref().take(LEVELS).collect();
         let mut next = || all.next().unwrap_or(0.0);
         Ok(Word {
@@ -127,7 +129,11 @@
             ..Word::default()
         };
         let bytes = word.write();
-        assert!(bytes.len() <= bitternlatch_membership::SAID_MOST, "{}", bytes.len());
+        assert!(
+            bytes.len() <= bitternlatch_membership::SAID_MOST,
+            "{}",
+            bytes.len()
+        );
         let read = Word::read(&bytes).expect("a word");
         assert_eq!((read.number, read.capacity), (7, 0.0));
         assert!((read.cut - 31.25).abs() < 0.01 && (read.demand[40] - 148.0).abs() < 0.05);
--- a/crates/overload/tests/fleet.rs
+++ b/crates/overload/tests/fleet.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{Beside, Given, Part, Peers, Process, Wanted};
 use bitternlatch_membership::{NameKey, Standing};
 use bitternlatch_overload::{Ask, Asked, Gate, Overload, Settings, Taken, Told, Verdict};
+use bitternlatch_quota_lease::{Beside, Given, Part, Peers, Process, Wanted};
 use bitternlatch_simulation::{ms, Node, Sent, World};
 
 const AIM_S: f64 = 1.5;
@@ -22,11 +22,23 @@
 
 impl Member {
     fn new(i: usize, of: usize, start: u64, now: Duration) -> Member {
-        let own = Process { name: NameKey(i as u32), start };
+        let own = Process {
+            name: NameKey(i as u32),
+            start,
+        };
         let roster = (0..of as u32).map(NameKey).collect();
-        let settings = Settings { read_tokens_per_s: 1000.0, ..Settings::default() };
+        let settings = Settings {
+            read_tokens_per_s: 1000.0,
+            ..Settings::default()
+        };
         let machine = Overload::new(own, roster, settings.clone(), AIM_S, start ^ i as u64, now);
-        Member { machine, gate: Gate::new(settings, of, 5.0, i as u64), start, bytes: 0, warned: 0 }
+        Member {
+            machine,
+            gate: Gate::new(settings, of, 5.0, i as u64),
+            start,
+            bytes: 0,
+            warned: 0,
+        }
     }
 
     fn give(&mut self, now: Duration, given: Given<Ask>, sent: &mut Sent<(u64, Vec<u8>)>) {
@@ -65,7 +77,10 @@
         (start, said): (u64, Vec<u8>),
         out: &mut Sent<(u64, Vec<u8>)>,
     ) {
-        let from = Process { name: NameKey(from as u32), start };
+        let from = Process {
+            name: NameKey(from as u32),
+            start,
+        };
         self.give(now, Given::Said { from, said }, out);
     }
 }
@@ -108,12 +123,18 @@
 }
 
 fn spread<'a>(of: impl Iterator<Item = &'a (u32, u32)>) -> f64 {
-    let many = of.filter(|m| m.0 > 20).map(|m| (f64::from(m.1) / f64::from(m.0), f64::from(m.0)));
+    let many = of
+        .filter(|m| m.0 > 20)
+        .map(|m| (f64::from(m.1) / f64::from(m.0), f64::from(m.0)));
     let shares: Vec<(f64, f64)> = many.collect();
     let n = shares.len().max(1) as f64;
     let mean = shares.iter().map(|s| s.0).sum::<f64>() / n;
     let var = shares.iter().map(|s| (s.0 - mean).powi(2)).sum::<f64>() / n;
-    let chance = shares.iter().map(|s| mean * (1.0 - mean) / s.1).sum::<f64>() / n;
+    let chance = shares
+        .iter()
+        .map(|s| mean * (1.0 - mean) / s.1)
+        .sum::<f64>()
+        / n;
     (var - chance).max(0.0).sqrt()
 }
 
@@ -159,7 +180,9 @@
     }
 
     fn peers(&mut self) {
-        let alive: Vec<usize> = (0..self.of).filter(|i| self.world.places[*i].node.is_some()).collect();
+        let alive: Vec<usize> = (0..self.of)
+            .filter(|i| self.world.places[*i].node.is_some())
+            .collect();
         for i in alive.clone() {
             let off = self.cut_off.contains(&i);
             let there: Vec<NameKey> = match off {
@@ -176,10 +199,26 @@
                 1 => Standing::Alone,
                 _ => Standing::CutOff,
             };
-            let lent = if off || !self.lent { 0.0 } else { 0.9 / self.of as f64 };
+            let lent = if off || !self.lent {
+                0.0
+            } else {
+                0.9 / self.of as f64
+            };
             self.world.act(i, |node, now, out| {
-                let part = Part { lent, until: now + ms(1470) };
-                node.give(now, Given::Peers(Peers { standing, there, until: now + ms(900), part }), out);
+                let part = Part {
+                    lent,
+                    until: now + ms(1470),
+                };
+                node.give(
+                    now,
+                    Given::Peers(Peers {
+                        standing,
+                        there,
+                        until: now + ms(900),
+                        part,
+                    }),
+                    out,
+                );
             });
         }
     }
@@ -195,19 +234,26 @@
             aim_s: AIM_S,
             ..Asked::default()
         };
-        let verdict = self.world.act(t.member, |node, now, _| node.gate.judge(now, &asked));
+        let verdict = self
+            .world
+            .act(t.member, |node, now, _| node.gate.judge(now, &asked));
         let Some(verdict) = verdict else {
             // Nobody is there: at the next one, soon.
             let member = (t.member + 1) % self.of;
             self.next += 1;
-            self.back.insert((now + ms(50), self.next), Try { member, ..t });
+            self.back
+                .insert((now + ms(50), self.next), Try { member, ..t });
             return;
         };
         if t.tries == 0 {
             let by = self.figures.by_member.entry(t.member).or_default();
             by.0 += 1;
             by.1 += u32::from(matches!(verdict, Verdict::Refuse { .. }));
-            let by = self.figures.by_time.entry(now.as_millis() / 500).or_default();
+            let by = self
+                .figures
+                .by_time
+                .entry(now.as_millis() / 500)
+                .or_default();
             by.0 += 1;
             by.1 += u32::from(matches!(verdict, Verdict::Refuse { .. }));
         }
@@ -216,23 +262,40 @@
                 self.figures.taken_work += taken.work;
                 self.figures.again_work += if t.tries > 0 { taken.work } else { 0.0 };
                 let n = self.hosts.len();
-                let (a, b) =
-                    (self.world.net.draw_bits() as usize % n, self.world.net.draw_bits() as usize % n);
+                let (a, b) = (
+                    self.world.net.draw_bits() as usize % n,
+                    self.world.net.draw_bits() as usize % n,
+                );
                 let host = if self.hosts[a] <= self.hosts[b] { a } else { b };
-                let stall = self.stalled.filter(|(many, _)| host < *many).map_or(now, |(_, until)| until);
-                let ends =
-                    self.hosts[host].max(now).max(stall) + Duration::from_secs_f64(taken.work / self.speed);
+                let stall = self
+                    .stalled
+                    .filter(|(many, _)| host < *many)
+                    .map_or(now, |(_, until)| until);
+                let ends = self.hosts[host].max(now).max(stall)
+                    + Duration::from_secs_f64(taken.work / self.speed);
                 self.hosts[host] = ends;
                 self.next += 1;
-                let start = self.world.places[t.member].node.as_ref().map_or(0, |m| m.start);
-                self.begins.insert((ends, self.next), (t.member, start, taken, t));
+                let start = self.world.places[t.member]
+                    .node
+                    .as_ref()
+                    .map_or(0, |m| m.start);
+                self.begins
+                    .insert((ends, self.next), (t.member, start, taken, t));
             }
             Verdict::Refuse { retry_after_s } => {
-                let after = if self.honour { retry_after_s.min(2.0) } else { 0.05 };
+                let after = if self.honour {
+                    retry_after_s.min(2.0)
+                } else {
+                    0.05
+                };
                 if t.tries < 2 {
                     self.next += 1;
-                    let again = Try { tries: t.tries + 1, ..t };
-                    self.back.insert((now + Duration::from_secs_f64(after), self.next), again);
+                    let again = Try {
+                        tries: t.tries + 1,
+                        ..t
+                    };
+                    self.back
+                        .insert((now + Duration::from_secs_f64(after), self.next), again);
                 }
             }
         }
@@ -243,11 +306,15 @@
         while let Some(entry) = self.begins.first_entry().filter(|e| e.key().0 <= now) {
             let (member, start, taken, t) = entry.remove();
             let waited = now.saturating_sub(t.since).as_secs_f64();
-            let own = self.world.places[member].node.as_ref().is_some_and(|m| m.start == start);
+            let own = self.world.places[member]
+                .node
+                .as_ref()
+                .is_some_and(|m| m.start == start);
             if !own {
                 continue;
             }
-            self.world.act(member, |node, now, _| node.gate.begun(now, taken));
+            self.world
+                .act(member, |node, now, _| node.gate.begun(now, taken));
             // From the first try on, as the client counts; a return's wait is its own.
             let since_try = waited.min(now.saturating_sub(t.since).as_secs_f64());
             if since_try <= AIM_S + 4.0 * f64::from(t.tries) {
@@ -281,10 +348,21 @@
                 let member = self.world.net.draw_bits() as usize % self.of;
                 self.next += 1;
                 self.figures.asked += worth;
-                let t = Try { id: self.next, tries: 0, tokens, worth, member, since: self.world.now() };
+                let t = Try {
+                    id: self.next,
+                    tries: 0,
+                    tokens,
+                    worth,
+                    member,
+                    since: self.world.now(),
+                };
                 self.ask(t);
             }
-            while let Some(entry) = self.back.first_entry().filter(|e| e.key().0 <= self.world.now()) {
+            while let Some(entry) = self
+                .back
+                .first_entry()
+                .filter(|e| e.key().0 <= self.world.now())
+            {
                 let t = entry.remove();
                 self.ask(t);
             }
@@ -317,7 +395,12 @@
     }
 
     fn warned(&self) -> u32 {
-        self.world.places.iter().filter_map(|p| p.node.as_ref()).map(|m| m.warned).sum()
+        self.world
+            .places
+            .iter()
+            .filter_map(|p| p.node.as_ref())
+            .map(|m| m.warned)
+            .sum()
     }
 }
 
@@ -347,7 +430,12 @@
             assert!(f.good > 0.97 * f.asked, "{load}: {f:?}");
             at_capacity = f.good;
         } else {
-            assert!(f.good > 0.95 * at_capacity && f.late < 0.03 * f.good, "{load}: {} {}", f.good, f.late);
+            assert!(
+                f.good > 0.95 * at_capacity && f.late < 0.03 * f.good,
+                "{load}: {} {}",
+                f.good,
+                f.late
+            );
         }
         assert!(again <= 0.12, "{load}: {again}");
         assert!(f.swing() < 0.1, "{load}: {}", f.swing());
@@ -358,7 +446,13 @@
 #[test]
 fn three_hundred_shed_alike_by_samples() {
     let (fleet, f) = steady(300, 60, 2.5);
-    let bytes: u64 = fleet.world.places.iter().filter_map(|p| p.node.as_ref()).map(|m| m.bytes).sum();
+    let bytes: u64 = fleet
+        .world
+        .places
+        .iter()
+        .filter_map(|p| p.node.as_ref())
+        .map(|m| m.bytes)
+        .sum();
     let a_second = bytes as f64 / 300.0 / 10.0;
     println!(
         "300 members: asked {:.0} good {:.0} late {:.0} spread {:.3} bytes/s {a_second:.0}",
@@ -369,7 +463,12 @@
     );
     // 60 hosts do 60 a second for 6 s; by the order queries first, at 12.5 worth a second of work.
     assert!(f.good > 0.9 * 60.0 * 6.0 * 11.0, "{}", f.good);
-    assert!(f.late < 0.03 * f.good && f.spread() < 0.05, "{} {}", f.late, f.spread());
+    assert!(
+        f.late < 0.03 * f.good && f.spread() < 0.05,
+        "{} {}",
+        f.late,
+        f.spread()
+    );
     assert!(a_second < 4096.0, "{a_second}");
 }
 
@@ -382,14 +481,22 @@
     fleet.start(0..4, 2);
     fleet.play(5.0, 0.8 * 24.0);
     let after = fleet.play(4.0, 0.8 * 24.0);
-    println!("killed: before {:.3} after {:.3}", before.good / before.asked, after.good / after.asked);
+    println!(
+        "killed: before {:.3} after {:.3}",
+        before.good / before.asked,
+        after.good / after.asked
+    );
     assert!(after.good > 0.95 * after.asked, "{after:?}");
     fleet.stalled = Some((12, fleet.world.now() + ms(5000)));
     fleet.play(5.0, 0.8 * 24.0);
     fleet.stalled = None;
     fleet.play(5.0, 0.8 * 24.0);
     let after = fleet.play(4.0, 0.8 * 24.0);
-    println!("stalled: after {:.3} late {:.0}", after.good / after.asked, after.late);
+    println!(
+        "stalled: after {:.3} late {:.0}",
+        after.good / after.asked,
+        after.late
+    );
     assert!(after.good > 0.95 * after.asked, "{after:?}");
     assert_eq!(fleet.warned(), 0, "nobody is named who says what is so");
 }
@@ -407,8 +514,18 @@
     fleet.cut_off = vec![0, 1];
     fleet.world.net.passes = Box::new(|from, to| from > 1 && to > 1);
     let f = fleet.play(8.0, 2.0 * 24.0);
-    println!("cut off: good {:.0} late {:.0} again {:.3}", f.good, f.late, f.again_work / f.taken_work);
-    assert!(f.late < 0.1 * f.good && f.good > 0.75 * 24.0 * 8.0 * 11.0, "{} {}", f.late, f.good);
+    println!(
+        "cut off: good {:.0} late {:.0} again {:.3}",
+        f.good,
+        f.late,
+        f.again_work / f.taken_work
+    );
+    assert!(
+        f.late < 0.1 * f.good && f.good > 0.75 * 24.0 * 8.0 * 11.0,
+        "{} {}",
+        f.late,
+        f.good
+    );
     assert!(f.again_work < 0.1 * f.taken_work);
 }
 
@@ -425,22 +542,41 @@
         "half: whole {:.0} late {:.0}, half {:.0} late {:.0}",
         whole.good, whole.late, half.good, half.late
     );
-    assert!(whole.late < 0.03 * whole.good && half.late < 0.05 * half.good, "{} {}", whole.late, half.late);
-    assert!(half.good > 0.45 * whole.good, "{} {}", half.good, whole.good);
+    assert!(
+        whole.late < 0.03 * whole.good && half.late < 0.05 * half.good,
+        "{} {}",
+        whole.late,
+        half.late
+    );
+    assert!(
+        half.good > 0.45 * whole.good,
+        "{} {}",
+        half.good,
+        whole.good
+    );
 }
 
 #[test]
-fn hosts_three_times_slower_or_six_times_faster_than_they_were_taken_for_are_found_so_within_seconds() {
+fn hosts_three_times_slower_or_six_times_faster_than_they_were_taken_for_are_found_so_within_seconds(
+) {
     for speed in [1.0 / 3.0, 6.0] {
         let mut fleet = Fleet::new(3, 12, 9);
         fleet.speed = speed;
         let first = fleet.play(4.0, 3.0 * 12.0 * speed);
         let f = fleet.play(6.0, 3.0 * 12.0 * speed);
-        let (late, can) = (first.late / (first.good + first.late), 12.0 * speed * 6.0 * 10.0);
+        let (late, can) = (
+            first.late / (first.good + first.late),
+            12.0 * speed * 6.0 * 10.0,
+        );
         println!(
             "speed {speed:.2}: first late {late:.2}, then good {:.0} of {can:.0} late {:.0}",
             f.good, f.late
         );
-        assert!(f.good > 0.8 * can && f.late < 0.1 * f.good, "{} {}", f.good, f.late);
+        assert!(
+            f.good > 0.8 * can && f.late < 0.1 * f.good,
+            "{} {}",
+            f.good,
+            f.late
+        );
     }
 }
--- a/crates/platform-net/src/descriptors.rs
+++ b/crates/platform-net/src/descriptors.rs
@@ -15,7 +15,9 @@
 
 /// The limits as the process finds them. The system's is read, and left as it is.
 pub(crate) fn found(limits: Limits) -> Limits {
-    let allowed = getrlimit(Resource::Nofile).current.and_then(|n| usize::try_from(n).ok());
+    let allowed = getrlimit(Resource::Nofile)
+        .current
+        .and_then(|n| usize::try_from(n).ok());
     // The folder itself is open while it is read.
     let held = std::fs::read_dir("/proc/self/fd").map_or(0, |fds| fds.count().saturating_sub(1));
     let found = limits.within(allowed, held);
@@ -30,7 +32,8 @@
 
 /// The process has no descriptor left.
 pub(crate) fn exhausted(e: &io::Error) -> bool {
-    e.raw_os_error().is_some_and(|code| code == Errno::MFILE.raw_os_error())
+    e.raw_os_error()
+        .is_some_and(|code| code == Errno::MFILE.raw_os_error())
 }
 
 impl Driver {
@@ -59,7 +62,9 @@
     /// asked by now.
     pub(crate) fn displace_client(&mut self) -> bool {
         for _ in 0..MOST_HEARD_OUT {
-            let Some(conn) = self.node.first_client_to_go(self.clock.now()) else { break };
+            let Some(conn) = self.node.first_client_to_go(self.clock.now()) else {
+                break;
+            };
             if let Some(socket) = self.sockets.get_mut(&conn) {
                 socket.readable = true;
                 self.serve_socket(conn);
--- a/crates/platform-net/src/dial.rs
+++ b/crates/platform-net/src/dial.rs
@@ -56,7 +56,14 @@
             Err(e) if tries < MOST_TRIES && is_momentary(&e) => {
                 let pause_s = FIRST_PAUSE_S * f64::from(1u32 << tries);
                 let at = self.clock.now().after(pause_s);
-                self.redials.0.insert(conn, Redial { to, at, tries: tries + 1 });
+                self.redials.0.insert(
+                    conn,
+                    Redial {
+                        to,
+                        at,
+                        tries: tries + 1,
+                    },
+                );
             }
             Err(_) => self.told.push_back(Told::Ended(conn)),
         }
@@ -65,8 +72,13 @@
     /// Tries those again whose pause is over.
     pub(crate) fn redial(&mut self) {
         let now = self.clock.now();
-        let due: Vec<(ConnId, Redial)> =
-            self.redials.0.iter().filter(|(_, r)| r.at <= now).map(|(conn, r)| (*conn, *r)).collect();
+        let due: Vec<(ConnId, Redial)> = self
+            .redials
+            .0
+            .iter()
+            .filter(|(_, r)| r.at <= now)
+            .map(|(conn, r)| (*conn, *r))
+            .collect();
         for (conn, redial) in due {
             // What one of them brings may have closed another.
             if self.redials.0.remove(&conn).is_some() {
--- a/crates/platform-net/src/lib.rs
+++ b/crates/platform-net/src/lib.rs
@@ -80,7 +80,9 @@
 /// What kept it from starting, in one line; a poll that fails.
 pub fn serve(path: &Path, config: Config) -> Result<(), String> {
     let mut driver = Driver::start(path, config)?;
-    driver.run().map_err(|e| format!("waiting for sockets failed: {e}"))
+    driver
+        .run()
+        .map_err(|e| format!("waiting for sockets failed: {e}"))
 }
 
 struct Driver {
@@ -130,8 +132,9 @@
         };
         let poll = patient(Poll::new).map_err(fault("no readiness queue"))?;
         let address = config.listen;
-        let mut listener = listen::once_free(address, listen::listener)
-            .map_err(fault(&format!("field 'listen': cannot listen on {address}")))?;
+        let mut listener = listen::once_free(address, listen::listener).map_err(fault(
+            &format!("field 'listen': cannot listen on {address}"),
+        ))?;
         let registry = poll.registry();
         registry
             .register(&mut listener, LISTENER, Interest::READABLE)
@@ -144,22 +147,32 @@
             None => None,
         };
         if let Some(socket) = &mut peers {
-            registry.register(socket, PEERS, Interest::READABLE).map_err(fault("cannot wait for peers"))?;
+            registry
+                .register(socket, PEERS, Interest::READABLE)
+                .map_err(fault("cannot wait for peers"))?;
         }
-        let signals =
-            patient(|| Signals::start(registry, SIGNALS)).map_err(fault("cannot wait for signals"))?;
+        let signals = patient(|| Signals::start(registry, SIGNALS))
+            .map_err(fault("cannot wait for signals"))?;
         config.limits = descriptors::found(config.limits);
         let clock = Clock::start();
         let mut commands = Vec::new();
         tracing::info!(name = config.name, %address, discovery = %config.discovery, "listening");
         if let Some(cause) = &config.known_fault {
-            tracing::warn!("field 'known' is not taken, and the list comes from discovery alone: {cause}");
+            tracing::warn!(
+                "field 'known' is not taken, and the list comes from discovery alone: {cause}"
+            );
         }
-        let begin = if tracing::enabled!(tracing::Level::DEBUG) { Node::traced } else { Node::new };
+        let begin = if tracing::enabled!(tracing::Level::DEBUG) {
+            Node::traced
+        } else {
+            Node::new
+        };
         let explains = tracing::enabled!(target: EXPLAIN, tracing::Level::DEBUG);
         let explainer = explains.then(|| Explainer::new(&config.settings));
         let mut node = begin(clock.now(), config, &mut commands);
-        explainer.into_iter().for_each(|explainer| node.explain(explainer));
+        explainer
+            .into_iter()
+            .for_each(|explainer| node.explain(explainer));
         Ok(Driver {
             path: path.to_path_buf(),
             poll,
@@ -211,7 +224,13 @@
             return Duration::ZERO;
         }
         let reload = self.reload_at.map(|r| r.0);
-        let due = [self.node.next_due(), self.accept_at, reload, self.next_cut(), self.redials.next()];
+        let due = [
+            self.node.next_due(),
+            self.accept_at,
+            reload,
+            self.next_cut(),
+            self.redials.next(),
+        ];
         let due = due.into_iter().flatten().min();
         due.map_or(Duration::from_secs(1), |at| self.clock.until(at))
     }
@@ -290,7 +309,9 @@
                     SIGNALS => signals = true,
                     token => {
                         let conn = ConnId(token.0 as u64);
-                        let Some(socket) = self.sockets.get_mut(&conn) else { continue };
+                        let Some(socket) = self.sockets.get_mut(&conn) else {
+                            continue;
+                        };
                         socket.note(event);
                         if socket.gone() { &mut gone } else { &mut ready }.push(conn);
                     }
@@ -307,7 +328,8 @@
         for conn in gone {
             self.forget(conn);
             // No command is carried out in between: what comes of it may let timers act.
-            self.node.step(self.heard_at, Input::Ended { conn }, &mut self.commands);
+            self.node
+                .step(self.heard_at, Input::Ended { conn }, &mut self.commands);
         }
         self.carry_out();
         if peers {
@@ -343,7 +365,9 @@
             for command in std::mem::take(&mut self.commands) {
                 self.command(command);
             }
-            let Some(told) = self.told.pop_front() else { return };
+            let Some(told) = self.told.pop_front() else {
+                return;
+            };
             let input = match told {
                 Told::Wrote(conn, count) => Input::Wrote { conn, count },
                 Told::Ended(conn) => Input::Ended { conn },
@@ -382,14 +406,24 @@
             Command::StopListening => self.closing = true,
             Command::Stopped => self.stopped = true,
             Command::Explain { text } => tracing::debug!(target: EXPLAIN, "{text}"),
-            Command::Log { level: Level::Info, text } => tracing::info!("{text}"),
-            Command::Log { level: Level::Warn, text } => tracing::warn!("{text}"),
+            Command::Log {
+                level: Level::Info,
+                text,
+            } => tracing::info!("{text}"),
+            Command::Log {
+                level: Level::Warn,
+                text,
+            } => tracing::warn!("{text}"),
         }
     }
 
     fn put(&mut self, conn: ConnId, mut stream: TcpStream, accepted: bool) -> io::Result<()> {
         let token = Token(conn.0 as usize);
-        self.poll.registry().register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
+        self.poll.registry().register(
+            &mut stream,
+            token,
+            Interest::READABLE | Interest::WRITABLE,
+        )?;
         self.sockets.insert(conn, Socket::new(stream, accepted));
         Ok(())
     }
@@ -405,7 +439,9 @@
     /// Writes to a connection that stood idle, if it still does: what came on it since would be taken for the answer, and
     /// what is written behind its end may have run or not.
     fn reuse(&mut self, conn: ConnId, bytes: Vec<u8>) {
-        let Some(socket) = self.sockets.get_mut(&conn) else { return };
+        let Some(socket) = self.sockets.get_mut(&conn) else {
+            return;
+        };
         if socket.is_silent() {
             socket.queue(bytes);
             return self.write(conn);
@@ -415,7 +451,9 @@
     }
 
     fn write(&mut self, conn: ConnId) {
-        let Some(socket) = self.sockets.get_mut(&conn) else { return };
+        let Some(socket) = self.sockets.get_mut(&conn) else {
+            return;
+        };
         let (count, alive) = socket.write();
         let told = !socket.lingering();
         if count > 0 && !told {
@@ -439,7 +477,9 @@
 
     /// Reads and writes what a connection is ready for.
     fn serve_socket(&mut self, conn: ConnId) {
-        let Some(socket) = self.sockets.get_mut(&conn) else { return };
+        let Some(socket) = self.sockets.get_mut(&conn) else {
+            return;
+        };
         match socket.come_up() {
             Ok(None) => return,
             Ok(Some(false)) => {}
@@ -450,13 +490,18 @@
         self.carry_out();
         let mut left = TURN_BYTES;
         while left > 0 {
-            let Some(socket) = self.sockets.get_mut(&conn) else { return };
+            let Some(socket) = self.sockets.get_mut(&conn) else {
+                return;
+            };
             let mut buffer = std::mem::take(&mut self.buffer);
             let (n, then) = socket.read(&mut buffer);
             // What a client said just before it went begins nothing; what a host said is its answer.
             let is_dropped = socket.lingering() || socket.accepted && then == Then::Ended;
             if n > 0 && !is_dropped {
-                let input = Input::Received { conn, bytes: &buffer[..n] };
+                let input = Input::Received {
+                    conn,
+                    bytes: &buffer[..n],
+                };
                 self.node.step(self.heard_at, input, &mut self.commands);
             }
             self.buffer = buffer;
@@ -467,7 +512,11 @@
                 Then::More => left = left.saturating_sub(n),
             }
         }
-        if self.sockets.get(&conn).is_some_and(|s| s.readable && !s.paused) {
+        if self
+            .sockets
+            .get(&conn)
+            .is_some_and(|s| s.readable && !s.paused)
+        {
             self.more.insert(conn);
         }
     }
@@ -485,13 +534,18 @@
             return;
         }
         for _ in 0..TURN_ACCEPTS {
-            let Some(listener) = &self.listener else { return self.accept_at = None };
+            let Some(listener) = &self.listener else {
+                return self.accept_at = None;
+            };
             match listener.accept() {
                 Ok((stream, _)) => self.admit(stream),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return self.accept_at = None,
                 Err(e) if is_own_loss(&e) => {}
                 // As at the clients' bound: a newcomer displaces.
-                Err(e) if descriptors::exhausted(&e) && self.wants_again() && self.displace_client() => {}
+                Err(e)
+                    if descriptors::exhausted(&e)
+                        && self.wants_again()
+                        && self.displace_client() => {}
                 Err(e) => {
                     // Without descriptors an accept fails at once: asking again and again would spin.
                     self.log_not_taken(&e);
@@ -543,7 +597,10 @@
         for _ in 0..TURN_ACCEPTS {
             let Some(peers) = &self.peers else { return };
             match peers.recv_from(&mut data) {
-                Ok((n, from)) => self.tell(Input::Datagram { from, data: &data[..n] }),
+                Ok((n, from)) => self.tell(Input::Datagram {
+                    from,
+                    data: &data[..n],
+                }),
                 Err(_) => return,
             }
         }
@@ -560,7 +617,9 @@
 
     fn reload(&mut self) {
         let now = self.clock.now();
-        let Some((_, tries)) = self.reload_at.filter(|r| r.0 <= now) else { return };
+        let Some((_, tries)) = self.reload_at.filter(|r| r.0 <= now) else {
+            return;
+        };
         self.reload_at = None;
         // Not waited for here, as the loop would stand still: it is looked at again below.
         match parsed(&self.path, std::fs::read_to_string(&self.path)) {
@@ -581,5 +640,8 @@
 
 /// The connection that was to be taken has gone already.
 fn is_own_loss(e: &io::Error) -> bool {
-    matches!(e.kind(), io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted)
+    matches!(
+        e.kind(),
+        io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted
+    )
 }
--- a/crates/platform-net/src/lingering.rs
+++ b/crates/platform-net/src/lingering.rs
@@ -24,7 +24,9 @@
 impl Driver {
     pub(crate) fn finish(&mut self, conn: ConnId) {
         let now = self.clock.now();
-        let Some(socket) = self.sockets.get_mut(&conn) else { return };
+        let Some(socket) = self.sockets.get_mut(&conn) else {
+            return;
+        };
         socket.finish(now);
         self.more.insert(conn);
         self.lingering.push_back(conn);
@@ -41,13 +43,17 @@
 
     /// Connections that end and whose last answer has not left: each holds a client's place still.
     pub(crate) fn unwritten_answers(&self) -> usize {
-        self.lingering_sockets().filter(|s| !s.all_written()).count()
+        self.lingering_sockets()
+            .filter(|s| !s.all_written())
+            .count()
     }
 
     /// Cuts the one of those whose client has taken nothing for longest, if that is long; false where there is none.
     pub(crate) fn cut_stalled(&mut self) -> bool {
         let since = |c: &ConnId| Some((self.sockets.get(c)?.stalled_since()?, *c));
-        let Some((since, conn)) = self.lingering.iter().filter_map(since).min() else { return false };
+        let Some((since, conn)) = self.lingering.iter().filter_map(since).min() else {
+            return false;
+        };
         if self.clock.now().since(since) < SLOW_S {
             return false;
         }
@@ -59,15 +65,24 @@
     /// Cuts the oldest connection whose answer has left; false where none has.
     pub(crate) fn cut_written(&mut self) -> bool {
         let written = |c: &ConnId| self.sockets.get(c).is_some_and(Socket::all_written);
-        let Some(at) = self.lingering.iter().position(written) else { return false };
-        let Some(conn) = self.lingering.remove(at) else { return false };
+        let Some(at) = self.lingering.iter().position(written) else {
+            return false;
+        };
+        let Some(conn) = self.lingering.remove(at) else {
+            return false;
+        };
         self.cut(conn);
         true
     }
 
     pub(crate) fn cut_lingering(&mut self) {
         let now = self.clock.now();
-        let due = |c: &ConnId| self.sockets.get(c).and_then(Socket::cut_at).is_none_or(|at| at <= now);
+        let due = |c: &ConnId| {
+            self.sockets
+                .get(c)
+                .and_then(Socket::cut_at)
+                .is_none_or(|at| at <= now)
+        };
         let over: Vec<ConnId> = self.lingering.iter().copied().filter(due).collect();
         self.lingering.retain(|c| !over.contains(c));
         over.into_iter().for_each(|conn| self.cut(conn));
@@ -101,7 +116,11 @@
         let mut since = self.clock.now();
         let mut unwritten = self.unwritten();
         while !self.lingering.is_empty() {
-            let wait = if unwritten > 0 { FAREWELL_UNWRITTEN } else { FAREWELL };
+            let wait = if unwritten > 0 {
+                FAREWELL_UNWRITTEN
+            } else {
+                FAREWELL
+            };
             let until = since.after(wait.as_secs_f64());
             if self.clock.now() >= until {
                 break;
--- a/crates/platform-net/src/listen.rs
+++ b/crates/platform-net/src/listen.rs
@@ -35,7 +35,10 @@
 ///
 /// # Errors
 /// As the system's; that it is in use still.
-pub(crate) fn once_free<T>(at: SocketAddr, open: impl Fn(SocketAddr) -> io::Result<T>) -> io::Result<T> {
+pub(crate) fn once_free<T>(
+    at: SocketAddr,
+    open: impl Fn(SocketAddr) -> io::Result<T>,
+) -> io::Result<T> {
     let began = Instant::now();
     let mut said = false;
     loop {
@@ -43,7 +46,9 @@
             Err(e) if is_momentary(&e) && began.elapsed() < IN_USE => std::thread::sleep(PAUSE),
             Err(e) if e.kind() == io::ErrorKind::AddrInUse && began.elapsed() < IN_USE => {
                 if !std::mem::replace(&mut said, true) {
-                    tracing::warn!("{at} is in use, by the process before perhaps: tried for {IN_USE:?}");
+                    tracing::warn!(
+                        "{at} is in use, by the process before perhaps: tried for {IN_USE:?}"
+                    );
                 }
                 std::thread::sleep(PAUSE);
             }
--- a/crates/platform-net/src/momentary.rs
+++ b/crates/platform-net/src/momentary.rs
@@ -25,7 +25,9 @@
 
 /// An error of the machine's own that may have passed at the next try.
 pub(crate) fn is_momentary(error: &io::Error) -> bool {
-    error.raw_os_error().is_some_and(|code| MOMENTARY.iter().any(|known| known.raw_os_error() == code))
+    error
+        .raw_os_error()
+        .is_some_and(|code| MOMENTARY.iter().any(|known| known.raw_os_error() == code))
 }
 
 /// Makes a call at the start, again and again while it fails for a moment.
--- a/crates/platform-net/src/signals.rs
+++ b/crates/platform-net/src/signals.rs
@@ -29,7 +29,10 @@
         let (reader, writer) = std::os::unix::net::UnixStream::pair()?;
         reader.set_nonblocking(true)?;
         writer.set_nonblocking(true)?;
-        let (stop, reload) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+        let (stop, reload) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(AtomicBool::new(false)),
+        );
         for (signal, flag) in [(SIGTERM, &stop), (SIGINT, &stop), (SIGHUP, &reload)] {
             // The flag first: the loop must find it set once it wakes.
             signal_hook::flag::register(signal, Arc::clone(flag))?;
@@ -44,7 +47,14 @@
     pub(crate) fn take(&mut self) -> Vec<Signal> {
         let mut drop = [0; 64];
         while matches!(self.wake.read(&mut drop), Ok(n) if n > 0) {}
-        let asked = |flag: &AtomicBool, signal| flag.swap(false, Ordering::SeqCst).then_some(signal);
-        [asked(&self.stop, Signal::Stop), asked(&self.reload, Signal::Reload)].into_iter().flatten().collect()
+        let asked =
+            |flag: &AtomicBool, signal| flag.swap(false, Ordering::SeqCst).then_some(signal);
+        [
+            asked(&self.stop, Signal::Stop),
+            asked(&self.reload, Signal::Reload),
+        ]
+        .into_iter()
+        .flatten()
+        .collect()
     }
 }
--- a/crates/platform-net/src/socket.rs
+++ b/crates/platform-net/src/socket.rs
@@ -55,7 +55,11 @@
 
 impl Socket {
     pub(crate) fn new(stream: TcpStream, accepted: bool) -> Socket {
-        let stage = if accepted { Stage::Open } else { Stage::Connecting };
+        let stage = if accepted {
+            Stage::Open
+        } else {
+            Stage::Connecting
+        };
         Socket {
             stream,
             accepted,
@@ -117,7 +121,11 @@
 
     pub(crate) fn finish(&mut self, now: Micros) {
         self.paused = false;
-        self.stage = Stage::Lingering { since: now, left: LINGER_BYTES, shut: false };
+        self.stage = Stage::Lingering {
+            since: now,
+            left: LINGER_BYTES,
+            shut: false,
+        };
     }
 
     /// Something of its last answer has just left: waits for the other side once more.
@@ -142,9 +150,11 @@
     /// When it is cut, whatever is left.
     pub(crate) fn cut_at(&self) -> Option<Micros> {
         match self.stage {
-            Stage::Lingering { since, .. } => {
-                Some(since.after(if self.all_written() { LINGER_S } else { TAKES_NOTHING_S }))
-            }
+            Stage::Lingering { since, .. } => Some(since.after(if self.all_written() {
+                LINGER_S
+            } else {
+                TAKES_NOTHING_S
+            })),
             _ => None,
         }
     }
@@ -194,7 +204,9 @@
                 Ok(0) => return (taken, Then::Ended),
                 Ok(n) if self.drop_rest(n) => return (taken, Then::Ended),
                 Ok(n) => taken += n,
-                Err(e) if e.kind() == ErrorKind::WouldBlock && self.broken => return (taken, Then::Ended),
+                Err(e) if e.kind() == ErrorKind::WouldBlock && self.broken => {
+                    return (taken, Then::Ended)
+                }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => self.readable = false,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return (taken, Then::Ended),
@@ -222,7 +234,9 @@
 
     /// Counts bytes that are dropped before the end; true once they are too many.
     fn drop_rest(&mut self, n: usize) -> bool {
-        let Stage::Lingering { left, .. } = &mut self.stage else { return false };
+        let Stage::Lingering { left, .. } = &mut self.stage else {
+            return false;
+        };
         *left = left.saturating_sub(n);
         *left == 0
     }
--- a/crates/platform/src/answers.rs
+++ b/crates/platform/src/answers.rs
@@ -46,7 +46,10 @@
 impl Answer {
     /// The answer to an attempt, whose 200 brings a stream of events.
     pub fn to_attempt() -> Answer {
-        Answer { streams: true, ..Answer::default() }
+        Answer {
+            streams: true,
+            ..Answer::default()
+        }
     }
 
     /// Takes bytes as they come.
@@ -56,7 +59,9 @@
     pub fn take(&mut self, bytes: &[u8]) -> Result<Came, Bad> {
         self.unread.extend_from_slice(bytes);
         while self.head.is_none() {
-            let Some((head, taken)) = answer_head(&self.unread)? else { return Ok(Came::Events(Vec::new())) };
+            let Some((head, taken)) = answer_head(&self.unread)? else {
+                return Ok(Came::Events(Vec::new()));
+            };
             self.unread.drain(..taken);
             if (100..200).contains(&head.status) {
                 self.interim += 1;
@@ -68,7 +73,9 @@
             self.body = Some(Body::new(head.framing));
             self.head = Some(head);
         }
-        let (Some(head), Some(body)) = (&self.head, &mut self.body) else { return Err(Bad::Head) };
+        let (Some(head), Some(body)) = (&self.head, &mut self.body) else {
+            return Err(Bad::Head);
+        };
         let taken = body.take(&self.unread, &mut self.content)?;
         self.unread.drain(..taken);
         let (status, done) = (head.status, body.done());
@@ -92,7 +99,10 @@
         if !rest.trim_ascii().is_empty() && !rest.starts_with(b":") {
             events.extend_from_slice(rest);
         }
-        Ok(Came::End { events, whole: self.whole(true) })
+        Ok(Came::End {
+            events,
+            whole: self.whole(true),
+        })
     }
 
     /// A plain answer has its meaning from its head; a body too long or without an end is not waited for.
@@ -105,18 +115,27 @@
         if !done && !endless {
             return Ok(Came::Events(Vec::new()));
         }
-        Ok(Came::End { events: Vec::new(), whole: self.whole(done) })
+        Ok(Came::End {
+            events: Vec::new(),
+            whole: self.whole(done),
+        })
     }
 
     fn whole(&mut self, done: bool) -> Whole {
-        let Some(head) = &self.head else { return Whole::default() };
+        let Some(head) = &self.head else {
+            return Whole::default();
+        };
         let told = serde_json::from_slice::<serde_json::Value>(&self.content).ok();
         let told = told.and_then(|v| v.get("cached_tokens").and_then(serde_json::Value::as_f64));
         Whole {
             status: head.status,
             declined: head.fields.get("srv-declined") == Some("1"),
             cached_tokens: self.events.cached_tokens.or(told).unwrap_or(0.0),
-            load: self.events.load.take().or_else(|| head.fields.get("srv-load").map(str::to_string)),
+            load: self
+                .events
+                .load
+                .take()
+                .or_else(|| head.fields.get("srv-load").map(str::to_string)),
             reusable: done && head.keep_alive && self.unread.is_empty(),
         }
     }
@@ -141,12 +160,22 @@
 /// cannot be read or lacks a field.
 pub fn read_load(text: &str, names: &Names) -> Vec<f64> {
     let pairs: Option<Vec<(&str, f64)>> = text.split(',').map(pair).collect();
-    let Some(pairs) = pairs else { return Vec::new() };
+    let Some(pairs) = pairs else {
+        return Vec::new();
+    };
     let value = |field: &String| {
         let other = WORDS.iter().find(|w| w.0 == field).map(|w| w.1);
-        pairs.iter().find(|p| p.0 == field || Some(p.0) == other).map(|p| p.1)
+        pairs
+            .iter()
+            .find(|p| p.0 == field || Some(p.0) == other)
+            .map(|p| p.1)
     };
-    names.report_fields.iter().map(value).collect::<Option<Vec<f64>>>().unwrap_or_default()
+    names
+        .report_fields
+        .iter()
+        .map(value)
+        .collect::<Option<Vec<f64>>>()
+        .unwrap_or_default()
 }
 
 fn pair(text: &str) -> Option<(&str, f64)> {
--- a/crates/platform/src/attempts.rs
+++ b/crates/platform/src/attempts.rs
@@ -4,7 +4,9 @@
 use std::net::SocketAddr;
 
 use bitternlatch_core::Micros;
-use bitternlatch_policy::interface::{AttemptEnd, Event, Outcome, RequestId, Role, ServerId, Standing};
+use bitternlatch_policy::interface::{
+    AttemptEnd, Event, Outcome, RequestId, Role, ServerId, Standing,
+};
 
 use crate::answers::{read_load, Answer, Came, Whole};
 use crate::node::{Due, Node};
@@ -53,7 +55,8 @@
             }
         };
         if let Some(limit_s) = self.answer_limit_s(used_for) {
-            self.timers.set(now.after(limit_s), Due::Link { conn, since: now });
+            self.timers
+                .set(now.after(limit_s), Due::Link { conn, since: now });
         }
         Some(conn)
     }
@@ -120,7 +123,9 @@
 
     /// A connection that was to be used again is of no use: what was to go out on it takes another one.
     pub(crate) fn on_link_stale(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
-        let Some(link) = self.pool.remove(conn) else { return };
+        let Some(link) = self.pool.remove(conn) else {
+            return;
+        };
         let (to, used_for) = ((link.server, link.to), link.used_for);
         if !self.still_wanted(link.server, used_for) {
             return self.exchange_failed(now, used_for, Outcome::ConnectFailed, out);
@@ -138,13 +143,20 @@
     /// Whether what waits for a connection is to go out. The list may have changed meanwhile: what drains gets nothing
     /// new. An attempt begins with its last byte: none does once its request has its answer or its client has gone.
     fn still_wanted(&self, server: ServerId, used_for: Use) -> bool {
-        let Use::Attempt { request, .. } = used_for else { return true };
-        let ready = self.fleet.get(server).is_some_and(|t| t.standing == Standing::Ready);
+        let Use::Attempt { request, .. } = used_for else {
+            return true;
+        };
+        let ready = self
+            .fleet
+            .get(server)
+            .is_some_and(|t| t.standing == Standing::Ready);
         ready && self.requests.get(request).is_some_and(|open| !open.over)
     }
 
     pub(crate) fn on_link_up(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
-        let Some(link) = self.pool.get_mut(conn) else { return };
+        let Some(link) = self.pool.get_mut(conn) else {
+            return;
+        };
         link.up = true;
         let waiting = std::mem::take(&mut link.waiting);
         let (server, used_for) = (link.server, link.used_for);
@@ -162,9 +174,16 @@
     /// What goes out now: an attempt's request says how long its host has, which is no more than the client has left,
     /// however long a connection took to come up; anything else goes out as it was given.
     fn bytes_to_write(&self, now: Micros, used_for: Use, call: &[u8]) -> Vec<u8> {
-        let Use::Attempt { request, until, .. } = used_for else { return call.to_vec() };
-        let passed = self.requests.get(request).and_then(|open| open.passed.as_ref());
-        passed.map(|request| request.bytes(milliseconds_left(now, until))).unwrap_or_default()
+        let Use::Attempt { request, until, .. } = used_for else {
+            return call.to_vec();
+        };
+        let passed = self
+            .requests
+            .get(request)
+            .and_then(|open| open.passed.as_ref());
+        passed
+            .map(|request| request.bytes(milliseconds_left(now, until)))
+            .unwrap_or_default()
     }
 
     pub(crate) fn drop_link(&mut self, conn: ConnId, out: &mut Vec<Command>) {
@@ -174,8 +193,16 @@
     }
 
     /// A connection that has not come up in time, or an exchange other than an attempt without an answer.
-    pub(crate) fn on_link_late(&mut self, now: Micros, conn: ConnId, since: Micros, out: &mut Vec<Command>) {
-        let Some(link) = self.pool.get(conn).filter(|l| l.since == since) else { return };
+    pub(crate) fn on_link_late(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        since: Micros,
+        out: &mut Vec<Command>,
+    ) {
+        let Some(link) = self.pool.get(conn).filter(|l| l.since == since) else {
+            return;
+        };
         let used_for = link.used_for;
         let outcome = match used_for {
             Use::Idle => return,
@@ -188,12 +215,24 @@
     }
 
     pub(crate) fn on_link_ended(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
-        let Some(link) = self.pool.remove(conn) else { return };
-        let outcome = if link.written() { Outcome::Reset } else { Outcome::ConnectFailed };
+        let Some(link) = self.pool.remove(conn) else {
+            return;
+        };
+        let outcome = if link.written() {
+            Outcome::Reset
+        } else {
+            Outcome::ConnectFailed
+        };
         self.exchange_failed(now, link.used_for, outcome, out);
     }
 
-    fn exchange_failed(&mut self, now: Micros, used_for: Use, outcome: Outcome, out: &mut Vec<Command>) {
+    fn exchange_failed(
+        &mut self,
+        now: Micros,
+        used_for: Use,
+        outcome: Outcome,
+        out: &mut Vec<Command>,
+    ) {
         match used_for {
             Use::Idle => {}
             Use::Attempt { request, .. } => self.attempt_failed(now, request, outcome, out),
@@ -202,8 +241,16 @@
         }
     }
 
-    pub(crate) fn on_link_bytes(&mut self, now: Micros, conn: ConnId, bytes: &[u8], out: &mut Vec<Command>) {
-        let Some(link) = self.pool.get_mut(conn) else { return };
+    pub(crate) fn on_link_bytes(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        bytes: &[u8],
+        out: &mut Vec<Command>,
+    ) {
+        let Some(link) = self.pool.get_mut(conn) else {
+            return;
+        };
         link.heard = Some(now);
         let used_for = link.used_for;
         if used_for == Use::Idle {
@@ -230,30 +277,65 @@
     }
 
     fn on_events(&mut self, now: Micros, used_for: Use, events: &[u8], out: &mut Vec<Command>) {
-        let Use::Attempt { request, number, .. } = used_for else { return };
+        let Use::Attempt {
+            request, number, ..
+        } = used_for
+        else {
+            return;
+        };
         if events.is_empty() {
             return;
         }
-        let Some(open) = self.requests.get(request) else { return };
-        let Some(sent) = open.out.filter(|o| o.number == number) else { return };
+        let Some(open) = self.requests.get(request) else {
+            return;
+        };
+        let Some(sent) = open.out.filter(|o| o.number == number) else {
+            return;
+        };
         let first = open.streaming.is_none();
         self.pass_on(now, request, events, out);
         if first {
             let elapsed_s = now.since(sent.sent);
             let (attempt, server) = (number, sent.server);
-            self.events.push_back(Event::FirstToken { request, attempt, server, elapsed_s });
+            self.events.push_back(Event::FirstToken {
+                request,
+                attempt,
+                server,
+                elapsed_s,
+            });
         }
     }
 
-    fn on_whole(&mut self, now: Micros, used_for: Use, whole: Whole, content: &[u8], out: &mut Vec<Command>) {
-        let report = whole.load.as_deref().map(|l| read_load(l, &self.names)).unwrap_or_default();
+    fn on_whole(
+        &mut self,
+        now: Micros,
+        used_for: Use,
+        whole: Whole,
+        content: &[u8],
+        out: &mut Vec<Command>,
+    ) {
+        let report = whole
+            .load
+            .as_deref()
+            .map(|l| read_load(l, &self.names))
+            .unwrap_or_default();
         match used_for {
             Use::Idle => {}
-            Use::Attempt { request, .. } => self.attempt_answered(now, request, &whole, report, out),
+            Use::Attempt { request, .. } => {
+                self.attempt_answered(now, request, &whole, report, out)
+            }
             Use::Probe { server } => {
                 let body = std::str::from_utf8(content).unwrap_or_default();
-                let report = if report.is_empty() { read_load(body.trim(), &self.names) } else { report };
-                let outcome = if whole.status == 200 { Outcome::Served } else { Outcome::Error };
+                let report = if report.is_empty() {
+                    read_load(body.trim(), &self.names)
+                } else {
+                    report
+                };
+                let outcome = if whole.status == 200 {
+                    Outcome::Served
+                } else {
+                    Outcome::Error
+                };
                 self.probed(now, server, outcome, report);
             }
             Use::Release { id, server, begun } => {
@@ -272,24 +354,47 @@
         timeout_s: f64,
         out: &mut Vec<Command>,
     ) {
-        let Some(open) = self.requests.get_mut(request) else { return };
+        let Some(open) = self.requests.get_mut(request) else {
+            return;
+        };
         let number = open.attempts;
         open.attempts += 1;
-        let until = if timeout_s > 0.0 { now.after(timeout_s).min(open.deadline) } else { open.deadline };
-        let target = self.fleet.get(server).filter(|t| t.standing == Standing::Ready);
+        let until = if timeout_s > 0.0 {
+            now.after(timeout_s).min(open.deadline)
+        } else {
+            open.deadline
+        };
+        let target = self
+            .fleet
+            .get(server)
+            .filter(|t| t.standing == Standing::Ready);
         let sendable = !open.over && open.out.is_none() && now < open.deadline;
         let (Some(target), true) = (target, sendable && open.passed.is_some()) else {
             return self.not_sent(request, number, server);
         };
-        let role = self.roles.get(usize::from(target.kind)).copied().unwrap_or_default();
+        let role = self
+            .roles
+            .get(usize::from(target.kind))
+            .copied()
+            .unwrap_or_default();
         let host = (server, target.endpoint);
-        let used_for = Use::Attempt { request, number, until };
+        let used_for = Use::Attempt {
+            request,
+            number,
+            until,
+        };
         let Some(conn) = self.exchange(now, host, used_for, Vec::new(), out) else {
             return self.not_sent(request, number, server);
         };
         self.counts.attempts += 1;
         if let Some(open) = self.requests.get_mut(request) {
-            open.out = Some(Out { number, server, prefill: role == Role::Reader, conn, sent: now });
+            open.out = Some(Out {
+                number,
+                server,
+                prefill: role == Role::Reader,
+                conn,
+                sent: now,
+            });
         }
         self.timers.set(until, Due::Attempt { request, number });
     }
@@ -317,9 +422,14 @@
         hit: f64,
         report: Vec<f64>,
     ) {
-        let Some(open) = self.requests.get_mut(request) else { return };
+        let Some(open) = self.requests.get_mut(request) else {
+            return;
+        };
         let Some(was) = open.out.take() else { return };
-        if matches!(outcome, Outcome::Cancelled | Outcome::TimedOut | Outcome::Reset) {
+        if matches!(
+            outcome,
+            Outcome::Cancelled | Outcome::TimedOut | Outcome::Reset
+        ) {
             open.broke_at = Some(now);
         }
         self.touched.push(request);
@@ -343,7 +453,9 @@
         report: Vec<f64>,
         out: &mut Vec<Command>,
     ) {
-        let Some(open) = self.requests.get(request) else { return };
+        let Some(open) = self.requests.get(request) else {
+            return;
+        };
         let streaming = open.streaming.is_some();
         let prefill = open.out.is_some_and(|o| o.prefill);
         let outcome = match whole.status {
@@ -361,34 +473,76 @@
         self.attempt_over(now, request, outcome, whole.cached_tokens, report);
     }
 
-    fn attempt_failed(&mut self, now: Micros, request: RequestId, outcome: Outcome, out: &mut Vec<Command>) {
-        if self.requests.get(request).is_some_and(|o| o.streaming.is_some()) {
+    fn attempt_failed(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        outcome: Outcome,
+        out: &mut Vec<Command>,
+    ) {
+        if self
+            .requests
+            .get(request)
+            .is_some_and(|o| o.streaming.is_some())
+        {
             self.break_stream(request, out);
         }
         self.attempt_over(now, request, outcome, 0.0, Vec::new());
     }
 
     /// Gives an attempt up by closing its connection.
-    fn give_up(&mut self, now: Micros, request: RequestId, outcome: Outcome, out: &mut Vec<Command>) {
-        let Some(was) = self.requests.get(request).and_then(|o| o.out) else { return };
+    fn give_up(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        outcome: Outcome,
+        out: &mut Vec<Command>,
+    ) {
+        let Some(was) = self.requests.get(request).and_then(|o| o.out) else {
+            return;
+        };
         let unsent = self.pool.get(was.conn).is_some_and(|l| !l.written());
         self.drop_link(was.conn, out);
         // What never had its last byte written never ran, whoever gave it up.
-        let outcome = if unsent { Outcome::ConnectFailed } else { outcome };
+        let outcome = if unsent {
+            Outcome::ConnectFailed
+        } else {
+            outcome
+        };
         self.attempt_failed(now, request, outcome, out);
     }
 
     /// Ends an attempt that has not begun, as its request's last byte has not gone out. That calls nothing back from a
     /// host, so that it needs no leave to cancel.
-    pub(crate) fn end_unwritten(&mut self, now: Micros, request: RequestId, out: &mut Vec<Command>) {
-        let conn = self.requests.get(request).and_then(|o| o.out).map(|o| o.conn);
-        if conn.and_then(|c| self.pool.get(c)).is_some_and(|l| !l.written()) {
+    pub(crate) fn end_unwritten(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        out: &mut Vec<Command>,
+    ) {
+        let conn = self
+            .requests
+            .get(request)
+            .and_then(|o| o.out)
+            .map(|o| o.conn);
+        if conn
+            .and_then(|c| self.pool.get(c))
+            .is_some_and(|l| !l.written())
+        {
             self.give_up(now, request, Outcome::ConnectFailed, out);
         }
     }
 
-    pub(crate) fn cancel(&mut self, now: Micros, request: RequestId, attempt: u16, out: &mut Vec<Command>) {
-        let Some(open) = self.requests.get(request) else { return };
+    pub(crate) fn cancel(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        attempt: u16,
+        out: &mut Vec<Command>,
+    ) {
+        let Some(open) = self.requests.get(request) else {
+            return;
+        };
         if open.streaming.is_none() && open.out.is_some_and(|o| o.number == attempt) {
             self.give_up(now, request, Outcome::Cancelled, out);
         }
@@ -401,14 +555,21 @@
         number: u16,
         out: &mut Vec<Command>,
     ) {
-        let Some(open) = self.requests.get(request) else { return };
+        let Some(open) = self.requests.get(request) else {
+            return;
+        };
         if open.streaming.is_none() && open.out.is_some_and(|o| o.number == number) {
             self.give_up(now, request, Outcome::TimedOut, out);
         }
     }
 
     /// Nobody reads this stream any more.
-    pub(crate) fn end_unread_stream(&mut self, now: Micros, request: RequestId, out: &mut Vec<Command>) {
+    pub(crate) fn end_unread_stream(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        out: &mut Vec<Command>,
+    ) {
         if let Some(was) = self.requests.get(request).and_then(|o| o.out) {
             self.drop_link(was.conn, out);
             self.attempt_over(now, request, Outcome::Cancelled, 0.0, Vec::new());
@@ -417,7 +578,10 @@
 
     /// Ends all running streams, for their clients to ask for the rest elsewhere.
     pub(crate) fn end_streams(&mut self, now: Micros, out: &mut Vec<Command>) {
-        let running = self.requests.iter().filter(|(_, open)| open.streaming.is_some() && !open.over);
+        let running = self
+            .requests
+            .iter()
+            .filter(|(_, open)| open.streaming.is_some() && !open.over);
         let running: Vec<RequestId> = running.map(|(id, _)| id).collect();
         for id in running {
             self.break_stream(id, out);
@@ -445,11 +609,15 @@
         self.call_waiting_releases(now, out);
         let done = std::mem::take(&mut self.touched);
         for id in done {
-            let Some(open) = self.requests.get(id) else { continue };
+            let Some(open) = self.requests.get(id) else {
+                continue;
+            };
             if !open.over || open.out.is_some() {
                 continue;
             }
-            let Some(open) = self.requests.remove(id) else { continue };
+            let Some(open) = self.requests.remove(id) else {
+                continue;
+            };
             let bytes = open.passed.as_ref().map_or(0, |p| p.body_bytes());
             self.held_bytes = self.held_bytes.saturating_sub(bytes);
         }
@@ -462,14 +630,25 @@
             return self.probed(now, server, Outcome::ConnectFailed, Vec::new());
         };
         let call = b"GET /status/load HTTP/1.1\r\nHost: origin.svc\r\n\r\n".to_vec();
-        if self.exchange(now, to, Use::Probe { server }, call, out).is_none() {
+        if self
+            .exchange(now, to, Use::Probe { server }, call, out)
+            .is_none()
+        {
             return self.probed(now, server, Outcome::NotSent, Vec::new());
         }
         self.probes.insert(server, now);
     }
 
     fn probed(&mut self, now: Micros, server: ServerId, outcome: Outcome, report: Vec<f64>) {
-        let elapsed_s = self.probes.remove(&server).map_or(0.0, |sent| now.since(sent));
-        self.events.push_back(Event::ProbeEnded { server, outcome, elapsed_s, report });
+        let elapsed_s = self
+            .probes
+            .remove(&server)
+            .map_or(0.0, |sent| now.since(sent));
+        self.events.push_back(Event::ProbeEnded {
+            server,
+            outcome,
+            elapsed_s,
+            report,
+        });
     }
 }
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -147,7 +147,11 @@
     /// It may hold its connection between requests for as long as there is room; nobody may hold half a request.
     pub fn overdue(&self, now: Micros) -> bool {
         let waits = self.busy() || self.quiet() && self.served;
-        let most_s = if self.served { REQUEST_S } else { FIRST_REQUEST_S };
+        let most_s = if self.served {
+            REQUEST_S
+        } else {
+            FIRST_REQUEST_S
+        };
         let stopped = now.since(self.since.max(self.heard_at)) >= STOPPED_S;
         !waits && (stopped || now.since(self.since) >= most_s)
     }
@@ -202,14 +206,25 @@
     /// What cannot be read: the connection can be used no further.
     pub fn next_request(&mut self) -> Result<Option<WholeRequest>, Bad> {
         if matches!(self.stage, Stage::Head) {
-            let Some((head, taken)) = request_head(&self.unread)? else { return self.within_gap() };
+            let Some((head, taken)) = request_head(&self.unread)? else {
+                return self.within_gap();
+            };
             self.drop_read(taken);
             let body = Body::new(head.framing);
-            let asked = head.fields.get("expect").is_some_and(|e| e.eq_ignore_ascii_case("100-continue"));
+            let asked = head
+                .fields
+                .get("expect")
+                .is_some_and(|e| e.eq_ignore_ascii_case("100-continue"));
             self.expects = asked && !body.done();
-            self.stage = Stage::Body { head: Box::new(head), body, content: Vec::new() };
+            self.stage = Stage::Body {
+                head: Box::new(head),
+                body,
+                content: Vec::new(),
+            };
         }
-        let Stage::Body { body, content, .. } = &mut self.stage else { return Ok(None) };
+        let Stage::Body { body, content, .. } = &mut self.stage else {
+            return Ok(None);
+        };
         let taken = body.take(&self.unread, content)?;
         let (long, done) = (content.len() > MOST_BODY, body.done());
         self.drop_read(taken);
@@ -222,7 +237,11 @@
         match std::mem::replace(&mut self.stage, Stage::Busy) {
             Stage::Body { head, content, .. } => {
                 self.keep_alive = head.keep_alive;
-                Ok(Some(WholeRequest { head: *head, body: content, came: self.came }))
+                Ok(Some(WholeRequest {
+                    head: *head,
+                    body: content,
+                    came: self.came,
+                }))
             }
             _ => Ok(None),
         }
@@ -244,7 +263,11 @@
 
     /// Bytes of what is not a request in hand yet: a head or body that is not whole, or what was sent ahead.
     pub fn unfinished_bytes(&self) -> usize {
-        let body = if let Stage::Body { content, .. } = &self.stage { content.len() } else { 0 };
+        let body = if let Stage::Body { content, .. } = &self.stage {
+            content.len()
+        } else {
+            0
+        };
         self.unread.len() + body
     }
 
@@ -279,7 +302,10 @@
 
     /// The one that gives way first.
     pub fn first_to_go(&self, now: Micros) -> Option<ConnId> {
-        let ranked = self.open.iter().filter_map(|(id, c)| Some((c.rank(now)?, *id)));
+        let ranked = self
+            .open
+            .iter()
+            .filter_map(|(id, c)| Some((c.rank(now)?, *id)));
         ranked.min().map(|(_, id)| id)
     }
 
@@ -305,13 +331,21 @@
 
     /// Those that have taken too long over a request, or to say anything at all.
     pub fn overdue(&self, now: Micros) -> Vec<ConnId> {
-        self.open.iter().filter(|(_, c)| c.overdue(now)).map(|(id, _)| *id).collect()
+        self.open
+            .iter()
+            .filter(|(_, c)| c.overdue(now))
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// Those that take nothing of what waits for them.
     pub fn stuck(&self, now: Micros) -> Vec<ConnId> {
         let stuck = |c: &Client| c.unsent > 0 && now.since(c.took_at) >= TAKES_NOTHING_S;
-        self.open.iter().filter(|(_, c)| stuck(c)).map(|(id, _)| *id).collect()
+        self.open
+            .iter()
+            .filter(|(_, c)| stuck(c))
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// Bytes of all requests that are not in hand yet.
@@ -322,16 +356,23 @@
     /// The one to turn away, where this one has brought much and all unfinished requests together pass so many bytes:
     /// the one that holds most, as it costs most and none of them has been taken.
     pub fn over_memory(&self, conn: ConnId, most: usize) -> Option<ConnId> {
-        self.get(conn).filter(|c| c.unfinished_bytes() >= MUCH_HELD)?;
+        self.get(conn)
+            .filter(|c| c.unfinished_bytes() >= MUCH_HELD)?;
         if self.unfinished_bytes() <= most {
             return None;
         }
         let unfinished = self.open.iter().filter(|(_, c)| !c.busy());
-        unfinished.max_by_key(|(id, c)| (c.unfinished_bytes(), **id)).map(|(id, _)| *id)
+        unfinished
+            .max_by_key(|(id, c)| (c.unfinished_bytes(), **id))
+            .map(|(id, _)| *id)
     }
 
     /// Those that ask nothing at present.
     pub fn idle(&self) -> Vec<ConnId> {
-        self.open.iter().filter(|(_, c)| c.quiet()).map(|(id, _)| *id).collect()
+        self.open
+            .iter()
+            .filter(|(_, c)| c.quiet())
+            .map(|(id, _)| *id)
+            .collect()
     }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 
 use bitternlatch_policy::interface as policy;
-use bitternlatch_routing_settings::{read_bounds, read_names, read_settings, Bounds, Facts, Names, SettingsError};
+use bitternlatch_routing_settings::{
+    read_bounds, read_names, read_settings, Bounds, Facts, Names, SettingsError,
+};
 use serde::Deserialize;
 use serde_json::Value;
 use thiserror::Error;
@@ -22,7 +24,10 @@
 
 impl From<SettingsError> for ConfigError {
     fn from(e: SettingsError) -> Self {
-        ConfigError::Field { field: "settings", cause: e.to_string() }
+        ConfigError::Field {
+            field: "settings",
+            cause: e.to_string(),
+        }
     }
 }
 
@@ -61,7 +66,10 @@
     /// configuration says, and some of those may be taken by what was handed to the process.
     pub fn within(self, allowed: Option<usize>, held: usize) -> Limits {
         let free = allowed.map(|a| a.saturating_sub(held.saturating_sub(OWN)));
-        Limits { descriptors: free.map_or(self.descriptors, |f| f.min(self.descriptors)), ..self }
+        Limits {
+            descriptors: free.map_or(self.descriptors, |f| f.min(self.descriptors)),
+            ..self
+        }
     }
 }
 
@@ -88,14 +96,25 @@
 
 fn address(field: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
     let cause = || format!("'{text}' is no address with a port, such as 127.0.0.1:8081");
-    text.parse().map_err(|_| ConfigError::Field { field, cause: cause() })
+    text.parse().map_err(|_| ConfigError::Field {
+        field,
+        cause: cause(),
+    })
 }
 
-fn size(field: &'static str, value: f64, range: std::ops::RangeInclusive<f64>) -> Result<usize, ConfigError> {
+fn size(
+    field: &'static str,
+    value: f64,
+    range: std::ops::RangeInclusive<f64>,
+) -> Result<usize, ConfigError> {
     if range.contains(&value) {
         return Ok(value as usize);
     }
-    let cause = format!("{value} is not between {} and {}", range.start(), range.end());
+    let cause = format!(
+        "{value} is not between {} and {}",
+        range.start(),
+        range.end()
+    );
     Err(ConfigError::Field { field, cause })
 }
 
@@ -118,7 +137,11 @@
             Ok(known) => (known, None),
             Err(cause) => (None, Some(cause)),
         };
-        let peers = raw.peers.iter().map(|p| address("peers", p)).collect::<Result<_, _>>()?;
+        let peers = raw
+            .peers
+            .iter()
+            .map(|p| address("peers", p))
+            .collect::<Result<_, _>>()?;
         let optional = |field, text: Option<String>| text.map(|t| address(field, &t)).transpose();
         Ok(Config {
             name: raw.name,
@@ -135,7 +158,10 @@
             known,
             known_fault,
             // The platform's protocol says so of connections; no setting names it.
-            settings: policy::Settings { unseen_reads_run: true, ..read_settings(&facts)? },
+            settings: policy::Settings {
+                unseen_reads_run: true,
+                ..read_settings(&facts)?
+            },
             bounds: read_bounds(&facts)?,
             names,
         })
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -65,7 +65,9 @@
     /// What cannot be read: the JSON; an address, a kind, a zone or a state that is not known; a figure that is not
     /// finite or negative; a host that is named twice and differently.
     pub fn parse(line: &[u8], names: &Names) -> Result<List, String> {
-        serde_json::from_slice(line).map_err(|e| e.to_string()).and_then(|raw| List::read(raw, names))
+        serde_json::from_slice(line)
+            .map_err(|e| e.to_string())
+            .and_then(|raw| List::read(raw, names))
     }
 
     /// As [`List::parse`], from JSON that is read already.
@@ -73,24 +75,41 @@
     /// # Errors
     /// As [`List::parse`].
     pub fn from_value(value: Value, names: &Names) -> Result<List, String> {
-        serde_json::from_value(value).map_err(|e| e.to_string()).and_then(|raw| List::read(raw, names))
+        serde_json::from_value(value)
+            .map_err(|e| e.to_string())
+            .and_then(|raw| List::read(raw, names))
     }
 
     fn read(raw: RawList, names: &Names) -> Result<List, String> {
-        let targets = raw.targets.into_iter().map(|t| target(t, names)).collect::<Result<Vec<_>, _>>()?;
+        let targets = raw
+            .targets
+            .into_iter()
+            .map(|t| target(t, names))
+            .collect::<Result<Vec<_>, _>>()?;
         // Two hosts at one address are no contradiction: a process may have its predecessor's while that still drains.
         let mut named: BTreeMap<&str, &Target> = BTreeMap::new();
         for target in &targets {
-            if named.insert(&target.uid, target).is_some_and(|other| other != target) {
-                return Err(format!("host '{}' is named twice and differently", target.uid));
+            if named
+                .insert(&target.uid, target)
+                .is_some_and(|other| other != target)
+            {
+                return Err(format!(
+                    "host '{}' is named twice and differently",
+                    target.uid
+                ));
             }
         }
-        Ok(List { rev: raw.rev, all: raw.all, targets })
+        Ok(List {
+            rev: raw.rev,
+            all: raw.all,
+            targets,
+        })
     }
 }
 
 fn target(raw: RawTarget, names: &Names) -> Result<Target, String> {
-    let unknown = |what: &str, word: &str| format!("host '{}': {what} '{word}' is not known", raw.uid);
+    let unknown =
+        |what: &str, word: &str| format!("host '{}': {what} '{word}' is not known", raw.uid);
     let standing = match raw.state.as_str() {
         "in_service" => Standing::Ready,
         "terminating" => Standing::Draining,
@@ -103,10 +122,16 @@
         "" => 0,
         word => index(&names.zones, word).ok_or_else(|| unknown("az", word))?,
     };
-    let endpoint = raw.endpoint.parse().map_err(|_| unknown("endpoint", &raw.endpoint))?;
+    let endpoint = raw
+        .endpoint
+        .parse()
+        .map_err(|_| unknown("endpoint", &raw.endpoint))?;
     let figure = |what: &str, value: f64| match value.is_finite() && value >= 0.0 {
         true => Ok(value),
-        false => Err(format!("host '{}': {what} {value} is no figure from 0 on", raw.uid)),
+        false => Err(format!(
+            "host '{}': {what} {value} is no figure from 0 on",
+            raw.uid
+        )),
     };
     let booted_at = figure("boot_ms", raw.boot_ms)? / 1e3;
     let weight = figure("capacity_hint", raw.capacity_hint.unwrap_or(1.0))?;
@@ -166,17 +191,37 @@
     pub fn apply(&mut self, now: Micros, list: List) -> Applied {
         self.rev = list.rev;
         let names_long_ago = list.targets.iter().any(|t| t.booted_at <= 0.0);
-        let knowledge = Knowledge { now, heard_at: self.heard_at, names_long_ago };
-        let form = if list.all { ListForm::Full } else { ListForm::Delta };
+        let knowledge = Knowledge {
+            now,
+            heard_at: self.heard_at,
+            names_long_ago,
+        };
+        let form = if list.all {
+            ListForm::Full
+        } else {
+            ListForm::Delta
+        };
         if list.all {
             let listed = |uid: &String| list.targets.iter().any(|t| t.uid == *uid);
             self.ids.retain(|uid, _| listed(uid));
             let (ids, hosts) = (&self.ids, &mut self.hosts);
             hosts.retain(|id, t| ids.get(&t.uid) == Some(id));
         }
-        let restarted = list.targets.iter().filter_map(|t| self.restarted(t)).collect();
-        let entries = list.targets.into_iter().map(|t| self.put(t, knowledge)).collect();
-        Applied { form, entries, restarted }
+        let restarted = list
+            .targets
+            .iter()
+            .filter_map(|t| self.restarted(t))
+            .collect();
+        let entries = list
+            .targets
+            .into_iter()
+            .map(|t| self.put(t, knowledge))
+            .collect();
+        Applied {
+            form,
+            entries,
+            restarted,
+        }
     }
 
     /// The id of a host that is listed with another start than before.
@@ -188,9 +233,13 @@
 
     fn put(&mut self, mut target: Target, knowledge: Knowledge) -> ServerEntry {
         let id = self.id_of(&target.uid);
-        let before = self.hosts.get(&id).filter(|before| before.booted_at == target.booted_at);
+        let before = self
+            .hosts
+            .get(&id)
+            .filter(|before| before.booted_at == target.booted_at);
         // One start is reckoned once.
-        target.started_at = before.map_or_else(|| knowledge.started_s(target.booted_at), |b| b.started_at);
+        target.started_at =
+            before.map_or_else(|| knowledge.started_s(target.booted_at), |b| b.started_at);
         let entry = ServerEntry {
             id,
             standing: target.standing,
--- a/crates/platform/src/discovery_client.rs
+++ b/crates/platform/src/discovery_client.rs
@@ -16,7 +16,10 @@
         if self.watch.due(now) {
             let conn = self.next_conn();
             self.watch.begin(now, conn);
-            out.push(Command::Connect { conn, to: self.discovery });
+            out.push(Command::Connect {
+                conn,
+                to: self.discovery,
+            });
         }
         self.arm_watch(now);
     }
@@ -44,7 +47,11 @@
         let (at, rev) = (self.discovery, self.fleet.rev());
         let cause = format!("discovery at {at}, after version {rev}: {cause}");
         if let Some(text) = self.watch.to_log(now, &cause) {
-            self.log(out, Level::Warn, format!("{text}; the list stays and the watch is begun anew"));
+            self.log(
+                out,
+                Level::Warn,
+                format!("{text}; the list stays and the watch is begun anew"),
+            );
         }
         if let Some(conn) = self.watch.end(now) {
             out.push(Command::Close { conn });
@@ -64,9 +71,17 @@
     /// A version that goes back.
     fn on_list(&mut self, now: Micros, list: List, out: &mut Vec<Command>) -> Result<(), String> {
         if list.rev < self.fleet.rev() {
-            return Err(format!("version {} comes after {}", list.rev, self.fleet.rev()));
+            return Err(format!(
+                "version {} comes after {}",
+                list.rev,
+                self.fleet.rev()
+            ));
         }
-        let Applied { form, entries, restarted } = self.fleet.apply(now, list);
+        let Applied {
+            form,
+            entries,
+            restarted,
+        } = self.fleet.apply(now, list);
         self.listed = true;
         for server in restarted {
             for conn in self.pool.idle_at(server) {
--- a/crates/platform/src/events.rs
+++ b/crates/platform/src/events.rs
@@ -53,7 +53,9 @@
             own = false;
             // Few events tell of usage; the others are not worth reading.
             if line.contains("cached_tokens") {
-                let data = line.strip_prefix("data:").and_then(|d| serde_json::from_str::<Value>(d).ok());
+                let data = line
+                    .strip_prefix("data:")
+                    .and_then(|d| serde_json::from_str::<Value>(d).ok());
                 self.cached_tokens = data.as_ref().and_then(cached_tokens).or(self.cached_tokens);
             }
         }
@@ -62,7 +64,8 @@
 }
 
 fn cached_tokens(data: &Value) -> Option<f64> {
-    data.pointer("/usage/prompt_tokens_details/cached_tokens").and_then(Value::as_f64)
+    data.pointer("/usage/prompt_tokens_details/cached_tokens")
+        .and_then(Value::as_f64)
 }
 
 /// Bytes of the first event with the empty line that ends it.
--- a/crates/platform/src/explain.rs
+++ b/crates/platform/src/explain.rs
@@ -71,8 +71,14 @@
 
 impl Explainer {
     pub fn new(settings: &Settings) -> Explainer {
-        let aims = settings.classes.iter().map(|c| (c.ttft_aim_s, c.ttft_aim_per_token_s));
-        Explainer { aims: aims.collect(), open: BTreeMap::new() }
+        let aims = settings
+            .classes
+            .iter()
+            .map(|c| (c.ttft_aim_s, c.ttft_aim_per_token_s));
+        Explainer {
+            aims: aims.collect(),
+            open: BTreeMap::new(),
+        }
     }
 
     /// Requests in hand that are accounted for.
@@ -95,7 +101,11 @@
         let mut touched = Vec::new();
         match &traced.event {
             Event::Arrival(ask) if self.open.len() < MOST => {
-                let aim = self.aims.get(usize::from(ask.class)).copied().unwrap_or_default();
+                let aim = self
+                    .aims
+                    .get(usize::from(ask.class))
+                    .copied()
+                    .unwrap_or_default();
                 let account = Account {
                     id: id(ask.id),
                     ask: ask.clone(),
@@ -124,8 +134,12 @@
                     }
                     match end.outcome {
                         Outcome::ReadDone => a.state(traced.now_s, StateChange::HeldAt(end.server)),
-                        Outcome::Full { state_gone: true } => a.state(traced.now_s, StateChange::Missing),
-                        Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled if !a.holds_state() => {
+                        Outcome::Full { state_gone: true } => {
+                            a.state(traced.now_s, StateChange::Missing)
+                        }
+                        Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled
+                            if !a.holds_state() =>
+                        {
                             a.state(traced.now_s, StateChange::MayBeHeldAt(end.server));
                         }
                         _ => {}
@@ -146,19 +160,28 @@
         }
         for action in &traced.actions {
             match action {
-                Action::Send { request, server, .. } => {
+                Action::Send {
+                    request, server, ..
+                } => {
                     let told = reasons(*request).reckoned;
                     self.on(*request, |a| a.send(*server, traced.now_s, told));
                 }
                 Action::Refuse { request, .. } => {
                     let told = reasons(*request);
-                    self.on(*request, |a| (a.answer, a.ended_by) = (Some("refused"), told));
+                    self.on(*request, |a| {
+                        (a.answer, a.ended_by) = (Some("refused"), told)
+                    });
                     touched.push(*request);
                 }
                 Action::Fail { request } => {
                     let cause = reasons(*request).cause;
-                    let told = Reasons { reckoned: None, cause };
-                    self.on(*request, |a| (a.answer, a.ended_by) = (Some("failed"), told));
+                    let told = Reasons {
+                        reckoned: None,
+                        cause,
+                    };
+                    self.on(*request, |a| {
+                        (a.answer, a.ended_by) = (Some("failed"), told)
+                    });
                     touched.push(*request);
                 }
                 Action::Release { request } => {
@@ -167,7 +190,10 @@
                 _ => {}
             }
         }
-        touched.into_iter().filter_map(|request| self.end(request, traced.now_s)).collect()
+        touched
+            .into_iter()
+            .filter_map(|request| self.end(request, traced.now_s))
+            .collect()
     }
 
     fn on(&mut self, request: RequestId, change: impl Fn(&mut Account)) {
@@ -191,7 +217,12 @@
         self.made += 1;
         if self.attempts.len() < MOST_ATTEMPTS {
             let at_s = now_s - self.arrived_s;
-            self.attempts.push(Attempt { server, at_s, reckoned, ended: None });
+            self.attempts.push(Attempt {
+                server,
+                at_s,
+                reckoned,
+                ended: None,
+            });
         }
     }
 
@@ -202,7 +233,10 @@
     }
 
     fn holds_state(&self) -> bool {
-        matches!(self.states.last(), Some((_, StateChange::HeldAt(_) | StateChange::MayBeHeldAt(_))))
+        matches!(
+            self.states.last(),
+            Some((_, StateChange::HeldAt(_) | StateChange::MayBeHeldAt(_)))
+        )
     }
 
     fn late(&self) -> bool {
--- a/crates/platform/src/http1.rs
+++ b/crates/platform/src/http1.rs
@@ -57,7 +57,10 @@
     /// load report, does not spoil an answer.
     fn read(raw: &[httparse::Header]) -> Fields {
         let field = |h: &httparse::Header| {
-            (h.name.to_ascii_lowercase(), String::from_utf8_lossy(h.value).trim().to_string())
+            (
+                h.name.to_ascii_lowercase(),
+                String::from_utf8_lossy(h.value).trim().to_string(),
+            )
         };
         Fields(raw.iter().map(field).collect())
     }
@@ -69,17 +72,24 @@
 
     /// All fields of a name given in lower case.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
-        self.0.iter().filter(move |f| f.0 == name).map(|f| f.1.as_str())
+        self.0
+            .iter()
+            .filter(move |f| f.0 == name)
+            .map(|f| f.1.as_str())
     }
 
     /// Names and values in their order.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
-        self.0.iter().map(|(name, value)| (name.as_str(), value.as_str()))
+        self.0
+            .iter()
+            .map(|(name, value)| (name.as_str(), value.as_str()))
     }
 
     /// Whether `Connection` names a word.
     fn connection(&self, word: &str) -> bool {
-        self.all("connection").flat_map(|v| v.split(',')).any(|w| w.trim().eq_ignore_ascii_case(word))
+        self.all("connection")
+            .flat_map(|v| v.split(','))
+            .any(|w| w.trim().eq_ignore_ascii_case(word))
     }
 }
 
@@ -125,7 +135,9 @@
         ([one], _) => {
             let digits = !one.is_empty() && one.bytes().all(|b| b.is_ascii_digit());
             // A length past what a number holds is too long, not unreadable.
-            let length = digits.then(|| one.parse().unwrap_or(u64::MAX)).ok_or(Bad::Length)?;
+            let length = digits
+                .then(|| one.parse().unwrap_or(u64::MAX))
+                .ok_or(Bad::Length)?;
             Ok(Some(Framing::Length(length)))
         }
         _ => Err(Bad::Length),
@@ -134,11 +146,18 @@
 
 /// Empty lines before a request line are passed over, as servers should.
 fn leading_newlines(bytes: &[u8]) -> usize {
-    bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count()
+    bytes
+        .iter()
+        .take_while(|b| matches!(b, b'\r' | b'\n'))
+        .count()
 }
 
 /// The bytes of a head that has been parsed, `skipped` before it, of `come` in all; `None` while it is not whole.
-fn head_length(parsed: httparse::Result<usize>, skipped: usize, come: usize) -> Result<Option<usize>, Bad> {
+fn head_length(
+    parsed: httparse::Result<usize>,
+    skipped: usize,
+    come: usize,
+) -> Result<Option<usize>, Bad> {
     match parsed {
         Ok(httparse::Status::Complete(n)) if n + skipped <= MOST_HEAD => Ok(Some(n + skipped)),
         Ok(httparse::Status::Partial) if come <= MOST_HEAD => Ok(None),
@@ -156,17 +175,31 @@
     let mut raw = [httparse::EMPTY_HEADER; MOST_FIELDS];
     let mut head = httparse::Request::new(&mut raw);
     let parsed = head.parse(&bytes[skipped..]);
-    let Some(taken) = head_length(parsed, skipped, bytes.len())? else { return Ok(None) };
+    let Some(taken) = head_length(parsed, skipped, bytes.len())? else {
+        return Ok(None);
+    };
     let fields = Fields::read(head.headers);
     let framing = framing(&fields)?.unwrap_or(Framing::Length(0));
     if matches!(framing, Framing::Length(n) if n > MOST_BODY as u64) {
         return Err(Bad::BodyTooLong);
     }
     let modern = head.version == Some(1);
-    let keep_alive = if modern { !fields.connection("close") } else { fields.connection("keep-alive") };
-    let (method, target) = (head.method.unwrap_or_default(), head.path.unwrap_or_default());
-    let head =
-        RequestHead { method: method.to_string(), target: target.to_string(), fields, framing, keep_alive };
+    let keep_alive = if modern {
+        !fields.connection("close")
+    } else {
+        fields.connection("keep-alive")
+    };
+    let (method, target) = (
+        head.method.unwrap_or_default(),
+        head.path.unwrap_or_default(),
+    );
+    let head = RequestHead {
+        method: method.to_string(),
+        target: target.to_string(),
+        fields,
+        framing,
+        keep_alive,
+    };
     Ok(Some((head, taken)))
 }
 
@@ -177,7 +210,9 @@
 pub fn answer_head(bytes: &[u8]) -> Result<Option<(AnswerHead, usize)>, Bad> {
     let mut raw = [httparse::EMPTY_HEADER; MOST_FIELDS];
     let mut head = httparse::Response::new(&mut raw);
-    let Some(taken) = head_length(head.parse(bytes), 0, bytes.len())? else { return Ok(None) };
+    let Some(taken) = head_length(head.parse(bytes), 0, bytes.len())? else {
+        return Ok(None);
+    };
     let status = head.code.unwrap_or_default();
     let fields = Fields::read(head.headers);
     let empty = (100..200).contains(&status) || status == 204 || status == 304;
@@ -187,7 +222,15 @@
     };
     let modern = head.version == Some(1);
     let keep_alive = modern && !fields.connection("close") && framing != Framing::Close;
-    Ok(Some((AnswerHead { status, fields, framing, keep_alive }, taken)))
+    Ok(Some((
+        AnswerHead {
+            status,
+            fields,
+            framing,
+            keep_alive,
+        },
+        taken,
+    )))
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -257,13 +300,21 @@
             Step::Length(left) => {
                 let n = left.min(bytes.len() as u64);
                 out.extend_from_slice(&bytes[..n as usize]);
-                self.step = if n == left { Step::Done } else { Step::Length(left - n) };
+                self.step = if n == left {
+                    Step::Done
+                } else {
+                    Step::Length(left - n)
+                };
                 Ok(n as usize)
             }
             Step::ChunkData(left) => {
                 let n = left.min(bytes.len() as u64);
                 out.extend_from_slice(&bytes[..n as usize]);
-                self.step = if n == left { Step::ChunkEnd } else { Step::ChunkData(left - n) };
+                self.step = if n == left {
+                    Step::ChunkEnd
+                } else {
+                    Step::ChunkData(left - n)
+                };
                 Ok(n as usize)
             }
             Step::ChunkSize => self.chunk_size(bytes),
@@ -280,24 +331,44 @@
     }
 
     fn chunk_size(&mut self, bytes: &[u8]) -> Result<usize, Bad> {
-        let Some((line, taken)) = line(bytes, MOST_CHUNK_LINE)? else { return Ok(0) };
-        let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii_end();
-        let hex = !digits.is_empty() && digits.len() <= 16 && digits.iter().all(u8::is_ascii_hexdigit);
-        let text = std::str::from_utf8(digits).ok().filter(|_| hex).ok_or(Bad::Chunk)?;
+        let Some((line, taken)) = line(bytes, MOST_CHUNK_LINE)? else {
+            return Ok(0);
+        };
+        let digits = line
+            .split(|b| *b == b';')
+            .next()
+            .unwrap_or_default()
+            .trim_ascii_end();
+        let hex =
+            !digits.is_empty() && digits.len() <= 16 && digits.iter().all(u8::is_ascii_hexdigit);
+        let text = std::str::from_utf8(digits)
+            .ok()
+            .filter(|_| hex)
+            .ok_or(Bad::Chunk)?;
         let size = u64::from_str_radix(text, 16).map_err(|_| Bad::Chunk)?;
         if size > self.most_chunk {
             return Err(Bad::Chunk);
         }
-        self.step = if size == 0 { Step::Trailers(0) } else { Step::ChunkData(size) };
+        self.step = if size == 0 {
+            Step::Trailers(0)
+        } else {
+            Step::ChunkData(size)
+        };
         Ok(taken)
     }
 
     fn trailer(&mut self, bytes: &[u8], read: usize) -> Result<usize, Bad> {
-        let Some((line, taken)) = line(bytes, MOST_TRAILERS)? else { return Ok(0) };
+        let Some((line, taken)) = line(bytes, MOST_TRAILERS)? else {
+            return Ok(0);
+        };
         if read + taken > MOST_TRAILERS {
             return Err(Bad::Chunk);
         }
-        self.step = if line.is_empty() { Step::Done } else { Step::Trailers(read + taken) };
+        self.step = if line.is_empty() {
+            Step::Done
+        } else {
+            Step::Trailers(read + taken)
+        };
         Ok(taken)
     }
 }
@@ -337,7 +408,11 @@
 
 /// A whole answer with a short text; `more` holds further header lines, each with its end.
 pub fn plain_answer(status: u16, more: &str, keep_alive: bool, text: &str) -> Vec<u8> {
-    let close = if keep_alive { "" } else { "Connection: close\r\n" };
+    let close = if keep_alive {
+        ""
+    } else {
+        "Connection: close\r\n"
+    };
     let words = reason(status);
     let length = text.len();
     format!(
@@ -348,7 +423,11 @@
 
 /// The head of a stream of events to a client.
 pub fn stream_head(keep_alive: bool) -> Vec<u8> {
-    let close = if keep_alive { "" } else { "Connection: close\r\n" };
+    let close = if keep_alive {
+        ""
+    } else {
+        "Connection: close\r\n"
+    };
     format!(
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n\
          Transfer-Encoding: chunked\r\n{close}\r\n"
--- a/crates/platform/src/intake.rs
+++ b/crates/platform/src/intake.rs
@@ -27,7 +27,9 @@
         bytes: &[u8],
         out: &mut Vec<Command>,
     ) {
-        let Some(client) = self.clients.get_mut(conn) else { return };
+        let Some(client) = self.clients.get_mut(conn) else {
+            return;
+        };
         if client.take(now, bytes) && !client.paused {
             client.paused = true;
             out.push(Command::Pause { conn, paused: true });
@@ -44,7 +46,12 @@
             match client.next_request() {
                 Ok(None) => {
                     if client.take_expectation() {
-                        self.write_client(now, conn, b"HTTP/1.1 100 Continue\r\n\r\n".to_vec(), out);
+                        self.write_client(
+                            now,
+                            conn,
+                            b"HTTP/1.1 100 Continue\r\n\r\n".to_vec(),
+                            out,
+                        );
                     }
                     return;
                 }
@@ -54,10 +61,20 @@
         }
     }
 
-    fn on_request(&mut self, now: Micros, conn: ConnId, whole: WholeRequest, out: &mut Vec<Command>) {
+    fn on_request(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        whole: WholeRequest,
+        out: &mut Vec<Command>,
+    ) {
         let WholeRequest { head, body, came } = whole;
         if head.method == "GET" && head.target == "/ready" {
-            let (status, text) = if self.ready() { (200, "ready\n") } else { (503, "not ready\n") };
+            let (status, text) = if self.ready() {
+                (200, "ready\n")
+            } else {
+                (503, "not ready\n")
+            };
             return self.answer(now, conn, status, "", text, out);
         }
         let ask = match read_ask(&head, body.len(), &self.names) {
@@ -68,7 +85,8 @@
         if self.requests.knows(&ask.id) {
             return self.turn_away(conn, 409, "a request of this id is open", out);
         }
-        if self.requests.len() >= self.bounds.most_held || self.held_bytes > self.most_held_bytes() {
+        if self.requests.len() >= self.bounds.most_held || self.held_bytes > self.most_held_bytes()
+        {
             return self.answer(now, conn, 503, "", "too much in hand\n", out);
         }
         self.counts.arrived += 1;
@@ -104,7 +122,9 @@
         text: &str,
         out: &mut Vec<Command>,
     ) {
-        let Some(client) = self.clients.get_mut(conn) else { return };
+        let Some(client) = self.clients.get_mut(conn) else {
+            return;
+        };
         let keep_alive = client.serves_on(self.deaf);
         let bytes = plain_answer(status, more, keep_alive, text);
         self.write_client(now, conn, bytes, out);
@@ -112,7 +132,13 @@
     }
 
     /// An error for a client whose connection cannot be used any further.
-    pub(crate) fn turn_away(&mut self, conn: ConnId, status: u16, why: &str, out: &mut Vec<Command>) {
+    pub(crate) fn turn_away(
+        &mut self,
+        conn: ConnId,
+        status: u16,
+        why: &str,
+        out: &mut Vec<Command>,
+    ) {
         if self.clients.remove(conn).is_some() {
             self.counts.turned_away += 1;
             let bytes = plain_answer(status, "", false, &format!("{why}\n"));
@@ -139,25 +165,47 @@
 
     /// The client has its whole answer: the connection serves on, or ends in order.
     fn client_free(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
-        let Some(client) = self.clients.get_mut(conn) else { return };
+        let Some(client) = self.clients.get_mut(conn) else {
+            return;
+        };
         if !client.keep_alive {
             return self.finish_client(conn, out);
         }
         client.answered(now);
         if std::mem::take(&mut client.paused) {
-            out.push(Command::Pause { conn, paused: false });
+            out.push(Command::Pause {
+                conn,
+                paused: false,
+            });
         }
         // What was sent ahead is read now, but not from within this answer.
         self.ahead.push(conn);
     }
 
     /// The module refuses: trying again is harmless.
-    pub(crate) fn refuse(&mut self, now: Micros, id: RequestId, retry_after_s: f64, out: &mut Vec<Command>) {
+    pub(crate) fn refuse(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        retry_after_s: f64,
+        out: &mut Vec<Command>,
+    ) {
         let told = self.bounds.retry_after && retry_after_s > 0.0;
-        let more = if told { format!("Retry-After: {retry_after_s:.3}\r\n") } else { String::new() };
+        let more = if told {
+            format!("Retry-After: {retry_after_s:.3}\r\n")
+        } else {
+            String::new()
+        };
         if let Some(conn) = self.take_answer(id) {
             self.counts.refused += 1;
-            self.answer(now, conn, 503, &more, "refused: trying again is harmless\n", out);
+            self.answer(
+                now,
+                conn,
+                503,
+                &more,
+                "refused: trying again is harmless\n",
+                out,
+            );
         }
     }
 
@@ -171,7 +219,9 @@
 
     /// The one place from which an answer's right is taken: nobody gets two.
     fn take_answer(&mut self, id: RequestId) -> Option<ConnId> {
-        self.requests.get(id).filter(|o| !o.over && o.streaming.is_none())?;
+        self.requests
+            .get(id)
+            .filter(|o| !o.over && o.streaming.is_none())?;
         self.end_for_client(id)
     }
 
@@ -187,33 +237,57 @@
     }
 
     /// Passes events on; the first ones make the attempt the client's.
-    pub(crate) fn pass_on(&mut self, now: Micros, id: RequestId, events: &[u8], out: &mut Vec<Command>) {
-        let Some(open) = self.requests.get_mut(id) else { return };
+    pub(crate) fn pass_on(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        events: &[u8],
+        out: &mut Vec<Command>,
+    ) {
+        let Some(open) = self.requests.get_mut(id) else {
+            return;
+        };
         let Some(conn) = open.client else { return };
         let first = open.streaming.replace(now).is_none();
         let mut bytes = Vec::with_capacity(events.len() + 200);
         if first {
-            let keep_alive = self.clients.get(conn).is_some_and(|c| c.serves_on(self.deaf));
+            let keep_alive = self
+                .clients
+                .get(conn)
+                .is_some_and(|c| c.serves_on(self.deaf));
             bytes = stream_head(keep_alive);
             let passed = open.passed.take();
-            self.held_bytes = self.held_bytes.saturating_sub(passed.map_or(0, |p| p.body_bytes()));
+            self.held_bytes = self
+                .held_bytes
+                .saturating_sub(passed.map_or(0, |p| p.body_bytes()));
         }
         chunk(events, &mut bytes);
         let host = open.out.map(|o| o.conn);
         self.write_client(now, conn, bytes, out);
-        let Some(client) = self.clients.get(conn) else { return };
+        let Some(client) = self.clients.get(conn) else {
+            return;
+        };
         // A client that reads slowly holds up its own stream alone; one whose end has come holds up nothing, and its
         // connection may serve another request.
-        let streams = |host: &ConnId| self.pool.get(*host).is_some_and(|l| l.used_for != Use::Idle);
+        let streams = |host: &ConnId| {
+            self.pool
+                .get(*host)
+                .is_some_and(|l| l.used_for != Use::Idle)
+        };
         if let Some(host) = host.filter(|_| client.unsent > MOST_UNSENT).filter(streams) {
             self.held_up.insert(conn, host);
-            out.push(Command::Pause { conn: host, paused: true });
+            out.push(Command::Pause {
+                conn: host,
+                paused: true,
+            });
         }
     }
 
     /// A whole stream: its end is passed on at once.
     pub(crate) fn end_stream(&mut self, now: Micros, id: RequestId, out: &mut Vec<Command>) {
-        let Some(conn) = self.end_for_client(id) else { return };
+        let Some(conn) = self.end_for_client(id) else {
+            return;
+        };
         self.counts.served += 1;
         self.write_client(now, conn, LAST_CHUNK.to_vec(), out);
         self.client_free(now, conn, out);
@@ -221,7 +295,9 @@
 
     /// A stream that broke: the client's connection ends without the last chunk.
     pub(crate) fn break_stream(&mut self, id: RequestId, out: &mut Vec<Command>) {
-        let Some(conn) = self.end_for_client(id) else { return };
+        let Some(conn) = self.end_for_client(id) else {
+            return;
+        };
         self.counts.broken += 1;
         // What was passed on before the break still arrives; its end does not look like a whole one.
         self.finish_client(conn, out);
@@ -234,12 +310,17 @@
         count: usize,
         out: &mut Vec<Command>,
     ) {
-        let Some(client) = self.clients.get_mut(conn) else { return };
+        let Some(client) = self.clients.get_mut(conn) else {
+            return;
+        };
         client.took_at = now;
         client.unsent = client.unsent.saturating_sub(count);
         if client.unsent < MOST_UNSENT / 2 {
             if let Some(host) = self.held_up.remove(&conn) {
-                out.push(Command::Pause { conn: host, paused: false });
+                out.push(Command::Pause {
+                    conn: host,
+                    paused: false,
+                });
             }
         }
     }
@@ -248,8 +329,12 @@
     pub(crate) fn on_client_ended(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
         self.clients.remove(conn);
         self.held_up.remove(&conn);
-        let Some(id) = self.by_client.remove(&conn) else { return };
-        let Some(open) = self.requests.get_mut(id) else { return };
+        let Some(id) = self.by_client.remove(&conn) else {
+            return;
+        };
+        let Some(open) = self.requests.get_mut(id) else {
+            return;
+        };
         open.client = None;
         if !std::mem::replace(&mut open.over, true) {
             self.counts.gone += 1;
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -161,9 +161,19 @@
         Node::begin(now, config, Some(Vec::new()), out)
     }
 
-    fn begin(now: Micros, config: Config, trace: Option<Vec<Traced>>, out: &mut Vec<Command>) -> Node {
+    fn begin(
+        now: Micros,
+        config: Config,
+        trace: Option<Vec<Traced>>,
+        out: &mut Vec<Command>,
+    ) -> Node {
         let shares = Shares::of(&config.limits);
-        let longest_deadline_s = config.settings.classes.iter().map(|c| c.deadline_s).fold(0.0, f64::max);
+        let longest_deadline_s = config
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.deadline_s)
+            .fold(0.0, f64::max);
         let shutdown = Schedule::new(longest_deadline_s, config.bounds.resumes);
         let mut node = Node {
             roles: config.settings.kinds.iter().map(|k| k.role).collect(),
@@ -204,7 +214,10 @@
         if let Some(known) = config.known {
             let entries = node.fleet.apply(now, known).entries;
             node.listed = true;
-            node.events.push_back(Event::Servers { form: ListForm::Cached, entries });
+            node.events.push_back(Event::Servers {
+                form: ListForm::Cached,
+                entries,
+            });
         }
         node.timers.set(now, Due::Watch);
         node.timers.set(now.after(SWEEP_S), Due::Sweep);
@@ -292,7 +305,11 @@
             if let Some(conn) = self.watch.moved(now) {
                 out.push(Command::Close { conn });
             }
-            self.log(out, Level::Info, format!("discovery is at {} now", config.discovery));
+            self.log(
+                out,
+                Level::Info,
+                format!("discovery is at {} now", config.discovery),
+            );
             self.follow(now, out);
         }
         self.settle(now, out);
@@ -356,10 +373,26 @@
         }
     }
 
-    fn account_for(&mut self, now: Micros, event: Event, actions: &[Action], out: &mut Vec<Command>) {
-        let Some(explainer) = &mut self.explainer else { return };
-        let traced = Traced { now_s: now.seconds(), event, actions: actions.to_vec() };
-        let id = |request| self.requests.get(request).map_or_else(String::new, |open| open.id.clone());
+    fn account_for(
+        &mut self,
+        now: Micros,
+        event: Event,
+        actions: &[Action],
+        out: &mut Vec<Command>,
+    ) {
+        let Some(explainer) = &mut self.explainer else {
+            return;
+        };
+        let traced = Traced {
+            now_s: now.seconds(),
+            event,
+            actions: actions.to_vec(),
+        };
+        let id = |request| {
+            self.requests
+                .get(request)
+                .map_or_else(String::new, |open| open.id.clone())
+        };
         let (last, reckoned) = self.router.reckoned;
         let cause = self.router.cause;
         let reasons = |request| Reasons {
@@ -373,17 +406,30 @@
 
     fn act(&mut self, now: Micros, action: Action, out: &mut Vec<Command>) {
         match action {
-            Action::Send { request, server, timeout_s } => self.send(now, request, server, timeout_s, out),
+            Action::Send {
+                request,
+                server,
+                timeout_s,
+            } => self.send(now, request, server, timeout_s, out),
             Action::Cancel { request, attempt } => self.cancel(now, request, attempt, out),
-            Action::Refuse { request, retry_after_s } => self.refuse(now, request, retry_after_s, out),
+            Action::Refuse {
+                request,
+                retry_after_s,
+            } => self.refuse(now, request, retry_after_s, out),
             Action::Fail { request } => self.fail(now, request, out),
             Action::Release { request } => self.release(now, request, out),
             Action::Probe { server } => self.probe(now, server, out),
-            Action::SetTimer { at, label } => self.timers.set(Micros::at(at), Due::Router { label }),
+            Action::SetTimer { at, label } => {
+                self.timers.set(Micros::at(at), Due::Router { label })
+            }
             // The watch is always open; the whole list comes with it after a gap.
             Action::Subscribe | Action::Unsubscribe | Action::FetchList => {}
             Action::HoldPlace { .. } | Action::Migrate { .. } => {
-                self.log(out, Level::Warn, "the module asked for what the platform has no call for".into());
+                self.log(
+                    out,
+                    Level::Warn,
+                    "the module asked for what the platform has no call for".into(),
+                );
             }
             Action::CloseIdle { server } => {
                 for conn in self.pool.idle_at(server) {
@@ -392,7 +438,9 @@
             }
             Action::TellPeer { peer, data } => self.tell_peer(peer, data, out),
             Action::Log { text } => self.log(out, Level::Info, text),
-            Action::Fault { text } => self.log(out, Level::Warn, format!("the module failed: {text}")),
+            Action::Fault { text } => {
+                self.log(out, Level::Warn, format!("the module failed: {text}"))
+            }
         }
     }
 
@@ -409,15 +457,22 @@
     fn on_datagram(&mut self, from: SocketAddr, data: &[u8]) {
         let number = self.peers.iter().position(|p| *p == from);
         // What goes to all comes back to its sender too.
-        if let Some(number) = number.filter(|n| *n != self.bounds.me && data.len() <= MOST_DATAGRAM) {
-            self.events.push_back(Event::PeerMessage { from: number as u32, data: data.to_vec() });
+        if let Some(number) = number.filter(|n| *n != self.bounds.me && data.len() <= MOST_DATAGRAM)
+        {
+            self.events.push_back(Event::PeerMessage {
+                from: number as u32,
+                data: data.to_vec(),
+            });
         }
     }
 
     fn on_connected(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
         if self.watch.conn() == Some(conn) {
             let rev = self.fleet.rev();
-            return out.push(Command::Write { conn, bytes: call(rev) });
+            return out.push(Command::Write {
+                conn,
+                bytes: call(rev),
+            });
         }
         self.on_link_up(now, conn, out);
     }
@@ -459,7 +514,9 @@
             self.on_client_ended(now, conn, out);
         }
         let fleet = &self.fleet;
-        for conn in self.pool.stale(now, |l| fleet.get(l.server).is_some_and(|t| t.endpoint == l.to)) {
+        for conn in self.pool.stale(now, |l| {
+            fleet.get(l.server).is_some_and(|t| t.endpoint == l.to)
+        }) {
             self.drop_link(conn, out);
         }
         self.break_stalled(now, out);
@@ -481,10 +538,15 @@
         if self.last_answer.is_some() {
             return;
         }
-        self.log(out, Level::Info, format!("stopping with {} requests in hand", self.requests.len()));
+        self.log(
+            out,
+            Level::Info,
+            format!("stopping with {} requests in hand", self.requests.len()),
+        );
         let last_answer = now.after(self.shutdown.last_answer_s);
         self.last_answer = Some(last_answer);
-        self.timers.set(last_answer.after(LAST_RELEASES_S), Due::ReleasesEnd);
+        self.timers
+            .set(last_answer.after(LAST_RELEASES_S), Due::ReleasesEnd);
         self.timers.set(now.after(self.shutdown.deaf_s), Due::Deaf);
         if let Some(streams_end_s) = self.shutdown.streams_end_s {
             self.timers.set(now.after(streams_end_s), Due::StreamsEnd);
--- a/crates/platform/src/pool.rs
+++ b/crates/platform/src/pool.rs
@@ -101,7 +101,9 @@
     /// The host was asked a while ago, and has said nothing since on any connection.
     pub fn silent(&self, now: Micros, server: ServerId) -> bool {
         let contact = self.hosts.get(&server).copied().unwrap_or_default();
-        let waits = contact.unanswered.filter(|since| now.since(*since) >= SILENT_S);
+        let waits = contact
+            .unanswered
+            .filter(|since| now.since(*since) >= SILENT_S);
         waits.is_some_and(|since| contact.heard.is_none_or(|heard| heard < since))
     }
 
@@ -131,7 +133,12 @@
     /// With room for so many, kept below an idle limit in seconds.
     pub fn new(most: usize, idle_s: f64) -> Pool {
         let most = most.max(4);
-        Pool { links: BTreeMap::new(), most, reserved: Pool::reserved(most), kept_s: idle_s * KEPT_SHARE }
+        Pool {
+            links: BTreeMap::new(),
+            most,
+            reserved: Pool::reserved(most),
+            kept_s: idle_s * KEPT_SHARE,
+        }
     }
 
     /// How many of so many connections are kept free for releases.
@@ -150,9 +157,15 @@
     /// The idle and rested connection to an address that was used last: the likeliest to be alive.
     pub fn kept(&self, now: Micros, to: SocketAddr) -> Option<ConnId> {
         let fits = |l: &Link| {
-            l.to == to && l.used_for == Use::Idle && (REST_S..self.kept_s).contains(&now.since(l.since))
+            l.to == to
+                && l.used_for == Use::Idle
+                && (REST_S..self.kept_s).contains(&now.since(l.since))
         };
-        self.links.iter().filter(|(_, l)| fits(l)).max_by_key(|(_, l)| l.since).map(|(id, _)| *id)
+        self.links
+            .iter()
+            .filter(|(_, l)| fits(l))
+            .max_by_key(|(_, l)| l.since)
+            .map(|(id, _)| *id)
     }
 
     /// Where an exchange with a host can go out.
@@ -160,11 +173,17 @@
         if let Some(conn) = self.kept(now, to) {
             return Place::Kept(conn);
         }
-        let reserved = if matches!(used_for, Use::Release { .. }) { 0 } else { self.reserved };
+        let reserved = if matches!(used_for, Use::Release { .. }) {
+            0
+        } else {
+            self.reserved
+        };
         if self.links.len() < self.most - reserved {
             return Place::New { instead_of: None };
         }
-        self.idle_longest().map_or(Place::Full, |id| Place::New { instead_of: Some(id) })
+        self.idle_longest().map_or(Place::Full, |id| Place::New {
+            instead_of: Some(id),
+        })
     }
 
     /// The connection that has stood idle longest.
@@ -185,10 +204,17 @@
             let host = contacts.hosts.entry(link.server).or_default();
             host.heard = host.heard.max(link.heard);
             if link.used_for != Use::Idle && link.heard.is_none_or(|heard| heard < link.since) {
-                host.unanswered = Some(host.unanswered.map_or(link.since, |since| since.min(link.since)));
+                host.unanswered = Some(
+                    host.unanswered
+                        .map_or(link.since, |since| since.min(link.since)),
+                );
             }
-            if link.used_for == Use::Idle && (REST_S..self.kept_s).contains(&now.since(link.since)) {
-                let kept = contacts.kept.entry((link.server, link.to)).or_insert(link.since);
+            if link.used_for == Use::Idle && (REST_S..self.kept_s).contains(&now.since(link.since))
+            {
+                let kept = contacts
+                    .kept
+                    .entry((link.server, link.to))
+                    .or_insert(link.since);
                 *kept = link.since.max(*kept);
             }
         }
@@ -213,13 +239,22 @@
 
     /// Idle connections that stood so long that the other side may close them, or whose host is not listed.
     pub fn stale(&self, now: Micros, listed: impl Fn(&Link) -> bool) -> Vec<ConnId> {
-        let gone = |l: &Link| l.used_for == Use::Idle && (now.since(l.since) >= self.kept_s || !listed(l));
-        self.links.iter().filter(|(_, l)| gone(l)).map(|(id, _)| *id).collect()
+        let gone =
+            |l: &Link| l.used_for == Use::Idle && (now.since(l.since) >= self.kept_s || !listed(l));
+        self.links
+            .iter()
+            .filter(|(_, l)| gone(l))
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// Idle connections to one host.
     pub fn idle_at(&self, server: ServerId) -> Vec<ConnId> {
         let fits = |l: &Link| l.used_for == Use::Idle && l.server == server;
-        self.links.iter().filter(|(_, l)| fits(l)).map(|(id, _)| *id).collect()
+        self.links
+            .iter()
+            .filter(|(_, l)| fits(l))
+            .map(|(id, _)| *id)
+            .collect()
     }
 }
--- a/crates/platform/src/releases.rs
+++ b/crates/platform/src/releases.rs
@@ -66,21 +66,37 @@
 impl Release {
     fn new(now: Micros, valid_from: Micros, request: String) -> Release {
         let asked = BTreeSet::new();
-        Release { request, begun: now, valid_from, waits: false, asked, round: 0, hedges: 0, calls: 0 }
+        Release {
+            request,
+            begun: now,
+            valid_from,
+            waits: false,
+            asked,
+            round: 0,
+            hedges: 0,
+            calls: 0,
+        }
     }
 
     /// A line for the log once a host has confirmed it, where that took longer than the platform allows.
     fn late_line(&self, now: Micros, server: ServerId) -> Option<String> {
         let (took_s, calls) = (now.since(self.begun), self.calls);
-        let line =
-            || format!("state of {} released late: {took_s:.3} s, {calls} calls, by {server}", self.request);
+        let line = || {
+            format!(
+                "state of {} released late: {took_s:.3} s, {calls} calls, by {server}",
+                self.request
+            )
+        };
         (took_s > SLACK_S).then(line)
     }
 
     /// A line for the log where no host has confirmed it.
     fn unconfirmed_line(&self, now: Micros, why: &str) -> String {
         let (took_s, calls) = (now.since(self.begun), self.calls);
-        format!("state of {} may still be held: {why} after {took_s:.3} s and {calls} calls", self.request)
+        format!(
+            "state of {} may still be held: {why} after {took_s:.3} s and {calls} calls",
+            self.request
+        )
     }
 }
 
@@ -106,10 +122,20 @@
 
     /// Begins one, which a call proves that began at a time or later; gives its number, and the one that had to give
     /// way at the table's bound.
-    pub fn put(&mut self, now: Micros, valid_from: Micros, request: String) -> (u64, Option<Release>) {
-        let dropped = if self.open.len() >= MOST { self.open.pop_first() } else { None };
+    pub fn put(
+        &mut self,
+        now: Micros,
+        valid_from: Micros,
+        request: String,
+    ) -> (u64, Option<Release>) {
+        let dropped = if self.open.len() >= MOST {
+            self.open.pop_first()
+        } else {
+            None
+        };
         self.last += 1;
-        self.open.insert(self.last, Release::new(now, valid_from, request));
+        self.open
+            .insert(self.last, Release::new(now, valid_from, request));
         (self.last, dropped.map(|d| d.1))
     }
 
@@ -129,7 +155,11 @@
 
     /// How long a call waits for its answer, seconds.
     pub fn answer_limit_s(&self, id: u64) -> f64 {
-        doubled(ANSWER_S, self.open.get(&id).map_or(0, |r| r.round), MOST_ANSWER_S)
+        doubled(
+            ANSWER_S,
+            self.open.get(&id).map_or(0, |r| r.round),
+            MOST_ANSWER_S,
+        )
     }
 
     /// The next host to call, and what to say; `None` once enough were called in this round or none is left.
@@ -150,21 +180,41 @@
         fleet: &Fleet,
         contacts: &Contacts,
     ) -> Option<(ServerId, SocketAddr, Vec<u8>)> {
-        let failed = |server| self.failed.get(&server).is_some_and(|at| now.since(*at) < AVOIDED_S);
-        let release = self.open.get_mut(&id).filter(|r| r.asked.len() < MOST_CALLS)?;
+        let failed = |server| {
+            self.failed
+                .get(&server)
+                .is_some_and(|at| now.since(*at) < AVOIDED_S)
+        };
+        let release = self
+            .open
+            .get_mut(&id)
+            .filter(|r| r.asked.len() < MOST_CALLS)?;
         let rank = |(server, to, standing): (ServerId, SocketAddr, Standing)| {
             // A kept connection carries it at once, and a host that has answered of late is likeliest to answer.
             let silent = contacts.silent(now, server) || failed(server);
             let kept = contacts.kept(server, to);
-            (silent, Reverse(kept), Reverse(contacts.heard(server)), standing != Standing::Ready, server, to)
+            (
+                silent,
+                Reverse(kept),
+                Reverse(contacts.heard(server)),
+                standing != Standing::Ready,
+                server,
+                to,
+            )
         };
-        let fresh = fleet.iter().filter(|(server, _)| !release.asked.contains(server));
-        let best = fresh.map(|(server, t)| rank((server, t.endpoint, t.standing))).min()?;
+        let fresh = fleet
+            .iter()
+            .filter(|(server, _)| !release.asked.contains(server));
+        let best = fresh
+            .map(|(server, t)| rank((server, t.endpoint, t.standing)))
+            .min()?;
         let (_, _, _, _, server, to) = best;
         release.asked.insert(server);
         release.calls += 1;
-        let call =
-            format!("DELETE /bootstrap/rooms/{} HTTP/1.1\r\nHost: origin.svc\r\n\r\n", release.request);
+        let call = format!(
+            "DELETE /bootstrap/rooms/{} HTTP/1.1\r\nHost: origin.svc\r\n\r\n",
+            release.request
+        );
         Some((server, to, call.into_bytes()))
     }
 
@@ -175,7 +225,9 @@
 
     /// A confirmed call began too early to prove anything: it is made once more when it can.
     fn overtook(&mut self, id: u64, begun: Micros) -> bool {
-        let Some(release) = self.open.get_mut(&id).filter(|r| begun < r.valid_from) else { return false };
+        let Some(release) = self.open.get_mut(&id).filter(|r| begun < r.valid_from) else {
+            return false;
+        };
         (release.waits, release.hedges) = (true, 0);
         release.asked.clear();
         true
@@ -193,7 +245,9 @@
 
     /// Calls that a hedge makes, twice as many each time.
     fn hedge(&mut self, id: u64) -> usize {
-        let Some(release) = self.open.get_mut(&id) else { return 0 };
+        let Some(release) = self.open.get_mut(&id) else {
+            return 0;
+        };
         let calls = 1usize << release.hedges.min(MOST_DOUBLINGS);
         release.hedges += 1;
         calls.min(MOST_HEDGED)
@@ -201,7 +255,10 @@
 
     /// All hosts of a round were called: the next one begins after this pause, seconds. `None` where it is given up.
     fn next_round(&mut self, id: u64, now: Micros) -> Option<f64> {
-        let release = self.open.get_mut(&id).filter(|r| now.since(r.begun) < GIVE_UP_S)?;
+        let release = self
+            .open
+            .get_mut(&id)
+            .filter(|r| now.since(r.begun) < GIVE_UP_S)?;
         let pause_s = doubled(ROUND_S, release.round, MOST_ROUND_S);
         release.asked.clear();
         (release.round, release.hedges) = (release.round + 1, 0);
@@ -212,7 +269,9 @@
 impl Node {
     /// Releases what is held for a request. A hand-over that has not gone out would find nothing: it ends.
     pub(crate) fn release(&mut self, now: Micros, request: RequestId, out: &mut Vec<Command>) {
-        let Some(open) = self.requests.get(request) else { return };
+        let Some(open) = self.requests.get(request) else {
+            return;
+        };
         let valid_from = open.broke_at.map_or(now, |at| at.after(CLOSE_ARRIVES_S));
         let is_handed_over = open.out.is_some_and(|attempt| !attempt.prefill);
         let (release, dropped) = self.releases.put(now, valid_from, open.id.clone());
@@ -224,16 +283,31 @@
             self.end_unwritten(now, request, out);
         }
         self.call_release(now, release, out);
-        self.timers.set(now.after(HEDGE_S), Due::Release { id: release });
+        self.timers
+            .set(now.after(HEDGE_S), Due::Release { id: release });
     }
 
     /// Calls one more host. False where none is left in this round.
     fn call_release(&mut self, now: Micros, id: u64, out: &mut Vec<Command>) -> bool {
-        let Some((server, to, call)) = self.releases.next_call(id, now, &self.fleet, &self.pool) else {
+        let Some((server, to, call)) = self.releases.next_call(id, now, &self.fleet, &self.pool)
+        else {
             return false;
         };
         self.counts.release_calls += 1;
-        if self.exchange(now, (server, to), Use::Release { id, server, begun: now }, call, out).is_none() {
+        if self
+            .exchange(
+                now,
+                (server, to),
+                Use::Release {
+                    id,
+                    server,
+                    begun: now,
+                },
+                call,
+                out,
+            )
+            .is_none()
+        {
             // What is held stays held until somebody is told: the call goes out once a connection is free.
             self.counts.release_calls -= 1;
             self.releases.wait(id, server);
@@ -244,7 +318,9 @@
     /// Calls that found all connections in use go out as some are free, the oldest first.
     pub(crate) fn call_waiting_releases(&mut self, now: Micros, out: &mut Vec<Command>) {
         while self.pool.has_room() {
-            let Some(id) = self.releases.waiting.pop_first() else { return };
+            let Some(id) = self.releases.waiting.pop_first() else {
+                return;
+            };
             self.call_release(now, id, out);
         }
     }
@@ -291,7 +367,9 @@
         if self.releases.overtook(id, begun) {
             return;
         }
-        let Some(release) = self.releases.done(id) else { return };
+        let Some(release) = self.releases.done(id) else {
+            return;
+        };
         self.counts.releases_confirmed += 1;
         if let Some(line) = release.late_line(now, server) {
             self.counts.releases_late += 1;
--- a/crates/platform/src/requests.rs
+++ b/crates/platform/src/requests.rs
@@ -50,10 +50,17 @@
         return Err((400, "Req-Id cannot be used as an id"));
     }
     let kind = one(head, "req-kind")?.ok_or((400, "Req-Kind is missing"))?;
-    let class = names.classes.iter().position(|n| n == kind).ok_or((400, "Req-Kind is not known"))?;
+    let class = names
+        .classes
+        .iter()
+        .position(|n| n == kind)
+        .ok_or((400, "Req-Kind is not known"))?;
     let deadline = one(head, "req-deadline-ms")?.ok_or((400, "Req-Deadline-Ms is missing"))?;
     let left_ms = whole(deadline).filter(|ms| *ms <= MOST_DEADLINE_MS);
-    let left_ms = left_ms.ok_or((400, "Req-Deadline-Ms is no number of milliseconds up to an hour"))?;
+    let left_ms = left_ms.ok_or((
+        400,
+        "Req-Deadline-Ms is no number of milliseconds up to an hour",
+    ))?;
     let mut ask = policy::Request {
         class: class as u16,
         tenant: tenant(head, names)?,
@@ -63,7 +70,10 @@
         ..policy::Request::default()
     };
     read_extras(one(head, "req-extra")?.unwrap_or_default(), &mut ask)?;
-    Ok(Ask { id: id.to_string(), ask })
+    Ok(Ask {
+        id: id.to_string(),
+        ask,
+    })
 }
 
 /// A field that may stand once: of two, one side may believe the first and another the last.
@@ -77,7 +87,9 @@
 }
 
 fn whole(text: &str) -> Option<u64> {
-    Some(text).filter(|t| !t.is_empty() && t.bytes().all(|b| b.is_ascii_digit())).and_then(|t| t.parse().ok())
+    Some(text)
+        .filter(|t| !t.is_empty() && t.bytes().all(|b| b.is_ascii_digit()))
+        .and_then(|t| t.parse().ok())
 }
 
 /// A key: hexadecimal as the platform writes it; any other word stands for itself too.
@@ -143,7 +155,10 @@
 
 impl Passed {
     pub fn new(head: &RequestHead, id: &str, body: Vec<u8>) -> Passed {
-        let mut text = format!("{} {} HTTP/1.1\r\nReq-Id: {id}\r\n", head.method, head.target);
+        let mut text = format!(
+            "{} {} HTTP/1.1\r\nReq-Id: {id}\r\n",
+            head.method, head.target
+        );
         for (name, value) in head.fields.iter().filter(|f| !NOT_PASSED_ON.contains(&f.0)) {
             text.push_str(&format!("{name}: {value}\r\n"));
         }
--- a/crates/platform/src/resource_limits.rs
+++ b/crates/platform/src/resource_limits.rs
@@ -30,7 +30,10 @@
     pub fn of(limits: &Limits) -> Shares {
         let usable = limits.descriptors.saturating_sub(RESERVE);
         let clients = (usable * CLIENTS_PART.0 / CLIENTS_PART.1).max(FEWEST_CLIENTS);
-        Shares { clients, hosts: usable.saturating_sub(clients).max(FEWEST_HOSTS) }
+        Shares {
+            clients,
+            hosts: usable.saturating_sub(clients).max(FEWEST_HOSTS),
+        }
     }
 }
 
@@ -48,7 +51,9 @@
     /// Load shedding for want of descriptors: the client that gives way first is let go, though the table has room.
     /// False where all have a request or an answer in hand.
     pub fn shed_client(&mut self, now: Micros, out: &mut Vec<Command>) -> bool {
-        let Some(conn) = self.clients.first_to_go(now) else { return false };
+        let Some(conn) = self.clients.first_to_go(now) else {
+            return false;
+        };
         self.clients.remove(conn);
         out.push(Command::Close { conn });
         true
@@ -56,7 +61,9 @@
 
     /// The same with the connection to a host that has stood idle longest.
     pub fn shed_link(&mut self, out: &mut Vec<Command>) -> bool {
-        let Some(conn) = self.pool.idle_longest() else { return false };
+        let Some(conn) = self.pool.idle_longest() else {
+            return false;
+        };
         self.drop_link(conn, out);
         true
     }
