--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -107,7 +107,11 @@
         match (self.conn, self.whole_at) {
             (None, _) => self.again_at,
             (Some(_), None) => self.begun.after(HEAD_S),
-            (Some(_), Some(at)) => at.after(if self.lines.is_empty() { KEEP_ALIVE_S } else { LINE_S }),
+            (Some(_), Some(at)) => at.after(if self.lines.is_empty() {
+                KEEP_ALIVE_S
+            } else {
+                LINE_S
+            }),
         }
     }
 
@@ -170,15 +174,21 @@
                 Ok(None) => return taken,
                 Ok(Some((head, length))) if head.status == 200 => {
                     self.unread.drain(..length);
-                    (self.body, self.whole_at) =
-                        (Some(Body::with_chunks_up_to(head.framing, MOST_LINE as u64)), Some(now));
+                    (self.body, self.whole_at) = (
+                        Some(Body::with_chunks_up_to(head.framing, MOST_LINE as u64)),
+                        Some(now),
+                    );
                 }
                 // Its `Retry-After` does not count: what discovery has is told, whenever it would like to be asked.
-                Ok(Some((head, _))) => taken.broken = Some(format!("the answer is {}", head.status)),
+                Ok(Some((head, _))) => {
+                    taken.broken = Some(format!("the answer is {}", head.status))
+                }
                 Err(e) => taken.broken = Some(e.to_string()),
             }
         }
-        let Some(body) = &mut self.body else { return taken };
+        let Some(body) = &mut self.body else {
+            return taken;
+        };
         match body.take(&self.unread, self.lines.buffer()) {
             Ok(length) => drop(self.unread.drain(..length)),
             Err(e) => taken.broken = Some(e.to_string()),
@@ -235,7 +245,11 @@
         }
         self.lines += 1;
         let left_out = std::mem::take(&mut self.left_out);
-        let before = if left_out > 0 { format!(" ({left_out} before it not logged)") } else { String::new() };
+        let before = if left_out > 0 {
+            format!(" ({left_out} before it not logged)")
+        } else {
+            String::new()
+        };
         let text = format!("{cause}{before}");
         self.last = cause;
         Some(text)
--- a/crates/platform/tests/bad_clients.rs
+++ b/crates/platform/tests/bad_clients.rs
@@ -10,28 +10,67 @@
     let table = [
         ("noise", "\x00\x01\x02\x03\r\n\r\n".to_string()),
         ("no id", swap("Req-Id: x1\r\n", "")),
-        ("two ids", swap("Req-Id: x1\r\n", "Req-Id: x1\r\nReq-Id: x2\r\n")),
-        ("an id with a path in it", swap("Req-Id: x1", "Req-Id: ../../x")),
-        ("an endless id", swap("Req-Id: x1", &format!("Req-Id: {}", "x".repeat(300)))),
+        (
+            "two ids",
+            swap("Req-Id: x1\r\n", "Req-Id: x1\r\nReq-Id: x2\r\n"),
+        ),
+        (
+            "an id with a path in it",
+            swap("Req-Id: x1", "Req-Id: ../../x"),
+        ),
+        (
+            "an endless id",
+            swap("Req-Id: x1", &format!("Req-Id: {}", "x".repeat(300))),
+        ),
         ("no class", swap("Req-Kind: ask\r\n", "")),
         ("an unknown class", swap("Req-Kind: ask", "Req-Kind: asks")),
         ("a deadline that is no number", swap("Ms: 4800", "Ms: soon")),
         ("a negative deadline", swap("Ms: 4800", "Ms: -4800")),
-        ("a huge deadline", swap("Ms: 4800", "Ms: 99999999999999999999")),
-        ("a length and a coding", swap("Req-Key", "Transfer-Encoding: chunked\r\nReq-Key")),
-        ("lengths in Req-Extra", swap("prompt_len=1200", "prompt_len=-5")),
-        ("another path", swap("/v1/chat/completions", "/v1/endpoints")),
+        (
+            "a huge deadline",
+            swap("Ms: 4800", "Ms: 99999999999999999999"),
+        ),
+        (
+            "a length and a coding",
+            swap("Req-Key", "Transfer-Encoding: chunked\r\nReq-Key"),
+        ),
+        (
+            "lengths in Req-Extra",
+            swap("prompt_len=1200", "prompt_len=-5"),
+        ),
+        (
+            "another path",
+            swap("/v1/chat/completions", "/v1/endpoints"),
+        ),
         ("another method", swap("POST", "PUT")),
-        ("a huge length", swap("Content-Length: 30", "Content-Length: 62914560")),
-        ("a bad chunk", swap("Content-Length: 30\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nzz\r\n")),
+        (
+            "a huge length",
+            swap("Content-Length: 30", "Content-Length: 62914560"),
+        ),
+        (
+            "a bad chunk",
+            swap(
+                "Content-Length: 30\r\n\r\n",
+                "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
+            ),
+        ),
     ];
     for (name, bytes) in table {
         let mut rig = Rig::new();
         let client = rig.client();
         rig.text(client, &bytes);
-        let status: u16 = rig.status(client).parse().unwrap_or_else(|_| panic!("{name}: no answer"));
-        assert!((400..600).contains(&status) && status != 503, "{name}: {status}");
-        assert!(rig.finished.contains(&client), "{name}: what follows is not believed");
+        let status: u16 = rig
+            .status(client)
+            .parse()
+            .unwrap_or_else(|_| panic!("{name}: no answer"));
+        assert!(
+            (400..600).contains(&status) && status != 503,
+            "{name}: {status}"
+        );
+        assert!(
+            rig.finished.contains(&client),
+            "{name}: what follows is not believed"
+        );
         rig.pass(1.0);
         assert_eq!(rig.count(|c| c.line().starts_with("POST")), 0, "{name}");
     }
@@ -46,8 +85,15 @@
     assert_eq!(rig.count(Call::is_read), 1);
     rig.read_done();
     let writer = rig.last(Call::is_write).conn;
-    rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
-    assert_eq!(unchunk(rig.said(first)), event("one"), "the first is not disturbed");
+    rig.text(
+        writer,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    );
+    assert_eq!(
+        unchunk(rig.said(first)),
+        event("one"),
+        "the first is not disturbed"
+    );
 }
 
 #[test]
@@ -73,9 +119,16 @@
         for slow in [true, false] {
             let mut rig = Rig::new();
             let (client, writer) = rig.at_writer("h1", "ask");
-            rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+            rig.text(
+                writer,
+                &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+            );
             rig.pass(5.0);
-            for piece in half.as_bytes().chunks(half.len().div_ceil(3)).filter(|_| slow) {
+            for piece in half
+                .as_bytes()
+                .chunks(half.len().div_ceil(3))
+                .filter(|_| slow)
+            {
                 rig.pass(1.0);
                 rig.bytes(client, piece);
             }
@@ -101,7 +154,10 @@
     rig.pass(0.05);
     rig.read_done();
     let writer = rig.last(Call::is_write).conn;
-    rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+    rig.text(
+        writer,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    );
     rig.pass(60.0);
     assert!(!rig.finished.contains(&client) && !rig.closed.contains(&client));
 }
@@ -114,7 +170,10 @@
         let client = rig.ask(&format!("n{i}"), "ask");
         rig.read_done();
         let writer = rig.last(Call::is_write).conn;
-        rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+        rig.text(
+            writer,
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        );
         assert_eq!(unchunk(rig.said(client)), event("one"), "newcomer {i}");
         stayed.push(client);
     }
@@ -136,9 +195,15 @@
         rig.client();
     }
     let late = rig.ask("late", "ask");
-    rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+    rig.text(
+        writer,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    );
     assert_eq!(unchunk(rig.said(client)), event("one"));
-    assert!(!rig.closed.contains(&late), "one that asks at once is let in");
+    assert!(
+        !rig.closed.contains(&late),
+        "one that asks at once is let in"
+    );
     assert_eq!(rig.count(Call::is_read), 2);
 }
 
@@ -146,21 +211,42 @@
 fn bytes_sent_ahead_are_kept_and_bounded() {
     let mut rig = Rig::new();
     let client = rig.client();
-    rig.text(client, &format!("{}{}", request("a1", "ask", 4800), request("a2", "ask", 4800)));
+    rig.text(
+        client,
+        &format!(
+            "{}{}",
+            request("a1", "ask", 4800),
+            request("a2", "ask", 4800)
+        ),
+    );
     rig.pass(0.02);
     assert_eq!(rig.count(Call::is_read), 1, "one at a time");
     rig.read_done();
     let writer = rig.last(Call::is_write).conn;
-    rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+    rig.text(
+        writer,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    );
     rig.pass(0.02);
-    assert_eq!(rig.count(Call::is_read), 2, "the second follows the first's answer");
+    assert_eq!(
+        rig.count(Call::is_read),
+        2,
+        "the second follows the first's answer"
+    );
     // Past the bound nothing is kept: what comes is dropped, and its connection ends once the request has its answer.
     rig.text(client, &"x".repeat(30_000));
     rig.text(client, &request("a3", "ask", 4800));
     rig.read_done();
     let writer = rig.last(Call::is_write).conn;
-    rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+    rig.text(
+        writer,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    );
     rig.pass(0.02);
     assert!(rig.said(client).contains("HTTP/1.1 413") && rig.finished.contains(&client));
-    assert_eq!(rig.count(Call::is_read), 2, "nothing behind what was dropped is believed");
+    assert_eq!(
+        rig.count(Call::is_read),
+        2,
+        "nothing behind what was dropped is believed"
+    );
 }
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -32,7 +32,10 @@
 }
 
 pub fn list(rev: u64, all: bool, targets: &[String]) -> String {
-    format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, targets.join(","))
+    format!(
+        r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#,
+        targets.join(",")
+    )
 }
 
 pub fn settings_json() -> &'static str {
@@ -51,7 +54,10 @@
 }
 
 pub fn config_json(sockets: u32) -> String {
-    let targets: Vec<String> = hosts().iter().map(|h| target(h.0, h.1, h.2, "in_service")).collect();
+    let targets: Vec<String> = hosts()
+        .iter()
+        .map(|h| target(h.0, h.1, h.2, "in_service"))
+        .collect();
     format!(
         r#"{{"name":"d0","listen":"127.0.0.1:8081","discovery":"127.0.2.1:8500","seed":"1f",
         "limits":{{"cores":0.2,"memory_mb":64,"sockets":{sockets}}},
@@ -191,7 +197,9 @@
                     }
                 }
                 Command::Write { conn, bytes } => self.on_write(conn, bytes),
-                Command::Reuse { conn, .. } if self.stale.remove(&conn) => self.tell(Input::Stale { conn }),
+                Command::Reuse { conn, .. } if self.stale.remove(&conn) => {
+                    self.tell(Input::Stale { conn })
+                }
                 Command::Reuse { conn, bytes } => self.on_write(conn, bytes),
                 Command::Close { conn } => {
                     self.closed.insert(conn);
@@ -202,7 +210,10 @@
                 Command::Pause { conn, paused: true } => {
                     self.paused.insert(conn);
                 }
-                Command::Pause { conn, paused: false } => {
+                Command::Pause {
+                    conn,
+                    paused: false,
+                } => {
                     self.paused.remove(&conn);
                 }
                 Command::Log { text, .. } => self.logs.push(text),
@@ -224,22 +235,34 @@
         let Some(to) = self.peers.get(&conn).copied() else {
             self.said.entry(conn).or_default().push_str(&text);
             if !self.slow {
-                self.tell(Input::Wrote { conn, count: bytes.len() });
+                self.tell(Input::Wrote {
+                    conn,
+                    count: bytes.len(),
+                });
             }
             return;
         };
         if !self.stuck.contains(&to) {
-            self.tell(Input::Wrote { conn, count: bytes.len() });
+            self.tell(Input::Wrote {
+                conn,
+                count: bytes.len(),
+            });
         }
         let probe = text.starts_with("GET /status/load");
         let release = text.starts_with("DELETE ");
         self.calls.push(Call { conn, to, text });
         if probe && self.answers_probes {
             let body = plain("200 OK", "", self.load);
-            self.tell(Input::Received { conn, bytes: body.as_bytes() });
+            self.tell(Input::Received {
+                conn,
+                bytes: body.as_bytes(),
+            });
         }
         if release && self.answers_releases {
-            self.tell(Input::Received { conn, bytes: RELEASED.as_bytes() });
+            self.tell(Input::Received {
+                conn,
+                bytes: RELEASED.as_bytes(),
+            });
         }
     }
 
@@ -277,7 +300,12 @@
 
     /// The last call that fits.
     pub fn last(&self, fits: impl Fn(&Call) -> bool) -> Call {
-        self.calls.iter().rev().find(|c| fits(c)).cloned().expect("a call that fits")
+        self.calls
+            .iter()
+            .rev()
+            .find(|c| fits(c))
+            .cloned()
+            .expect("a call that fits")
     }
 
     pub fn count(&self, fits: impl Fn(&Call) -> bool) -> usize {
@@ -289,7 +317,11 @@
         let call = self.last(Call::is_read);
         self.text(
             call.conn,
-            &plain("202 Accepted", &format!("Srv-Load: {}\r\n", self.load), r#"{"cached_tokens":64}"#),
+            &plain(
+                "202 Accepted",
+                &format!("Srv-Load: {}\r\n", self.load),
+                r#"{"cached_tokens":64}"#,
+            ),
         );
     }
 
@@ -321,7 +353,10 @@
 }
 
 pub fn plain(status: &str, more: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 pub const RELEASED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -26,7 +26,13 @@
     let from_wire = read_settings(&Facts::from_lines(LINES).expect("lines")).expect("settings");
     // In one thing the platform is another place: a connection's end does not tell that a read has not ended.
     assert!(!from_wire.unseen_reads_run);
-    assert_eq!(Settings { unseen_reads_run: true, ..from_wire }, config().settings);
+    assert_eq!(
+        Settings {
+            unseen_reads_run: true,
+            ..from_wire
+        },
+        config().settings
+    );
 }
 
 #[test]
@@ -39,13 +45,23 @@
         (r#""sockets":256"#, r#""sockets":3"#, "limits.sockets"),
         (r#""memory_mb":64"#, r#""memory_mb":-1"#, "limits.memory_mb"),
         (r#""balancers":2,"#, "", "balancers"),
-        (r#""effect":"free""#, r#""effect":"cheap""#, "classes.0.effect"),
-        (r#""pinLimitS":1.0"#, r#""pinLimitS":"soon""#, "extra.pinLimitS"),
+        (
+            r#""effect":"free""#,
+            r#""effect":"cheap""#,
+            "classes.0.effect",
+        ),
+        (
+            r#""pinLimitS":1.0"#,
+            r#""pinLimitS":"soon""#,
+            "extra.pinLimitS",
+        ),
         (r#""balancers":2"#, r#""balancers":2,,"#, "line"),
     ];
     for (from, to, field) in table {
         assert!(good.contains(from), "{from}");
-        let why = Config::parse(&good.replace(from, to)).expect_err(field).to_string();
+        let why = Config::parse(&good.replace(from, to))
+            .expect_err(field)
+            .to_string();
         assert!(why.contains(field) && !why.contains('\n'), "{field}: {why}");
     }
 }
@@ -55,7 +71,11 @@
 fn a_known_list_that_cannot_be_taken_is_left_out_with_its_cause() {
     let good = config_json(256);
     for (from, to, cause) in [
-        (r#""model":"reads""#, r#""model":"thinks""#, "model 'thinks'"),
+        (
+            r#""model":"reads""#,
+            r#""model":"thinks""#,
+            "model 'thinks'",
+        ),
         (r#""uid":"h-r2""#, r#""uid":"h-r1""#, "named twice"),
         (r#""rev":7"#, r#""rev":-7"#, "rev"),
         (r#""boot_ms":0"#, r#""boot_ms":-1"#, "boot_ms"),
@@ -65,7 +85,10 @@
         let config = Config::parse(&good.replacen(from, to, 1)).expect(cause);
         assert_eq!(config.known, None);
         let why = config.known_fault.expect(cause);
-        assert!((why.contains(cause) || cause == "rev") && !why.contains('\n'), "{why}");
+        assert!(
+            (why.contains(cause) || cause == "rev") && !why.contains('\n'),
+            "{why}"
+        );
     }
     assert_eq!(config().known_fault, None);
 }
@@ -84,9 +107,14 @@
     let told = vec![0.61, 2.0, 0.3];
     assert_eq!(read_load("queue=2,util=0.61,x0=0.3,more=1", &names), told);
     assert_eq!(read_load("depth=2, load_share=0.61, x0=0.3", &names), told);
-    for bad in
-        ["", "queue=2", "queue=2,util=NaN,x0=1", "queue=2,util=-1,x0=1", "queue:2", "util=1e999,queue=1,x0=1"]
-    {
+    for bad in [
+        "",
+        "queue=2",
+        "queue=2,util=NaN,x0=1",
+        "queue=2,util=-1,x0=1",
+        "queue:2",
+        "util=1e999,queue=1,x0=1",
+    ] {
         assert_eq!(read_load(bad, &names), Vec::<f64>::new(), "{bad}");
     }
 }
@@ -94,7 +122,11 @@
 #[test]
 fn lines_of_discovery_that_cannot_be_read_say_why() {
     let names = config().names;
-    let good = list(3, false, &[target("h", "127.0.1.1:80", "reads", "in_service")]);
+    let good = list(
+        3,
+        false,
+        &[target("h", "127.0.1.1:80", "reads", "in_service")],
+    );
     assert!(List::parse(good.as_bytes(), &names).is_ok());
     for (from, to, word) in [
         ("in_service", "asleep", "state 'asleep'"),
@@ -107,6 +139,9 @@
         assert!(why.contains(word) || word == "rev", "{why}");
     }
     for at in 0..good.len() {
-        assert!(List::parse(&good.as_bytes()[..at], &names).is_err(), "cut at {at}");
+        assert!(
+            List::parse(&good.as_bytes()[..at], &names).is_err(),
+            "cut at {at}"
+        );
     }
 }
--- a/crates/platform/tests/cut_answers.rs
+++ b/crates/platform/tests/cut_answers.rs
@@ -5,7 +5,11 @@
 use common::*;
 
 fn answer() -> String {
-    format!("{STREAM_HEAD}{}{}0\r\n\r\n", chunk(&event("one")), chunk(&event("two")))
+    format!(
+        "{STREAM_HEAD}{}{}0\r\n\r\n",
+        chunk(&event("one")),
+        chunk(&event("two"))
+    )
 }
 
 /// Before the first whole event the request may go elsewhere, if its class allows that; after it the attempt is the
@@ -32,7 +36,11 @@
                 assert_eq!(rig.status(client), if safe { "" } else { "504" }, "{at}");
                 continue;
             }
-            let events = if cut < second_whole { first.clone() } else { first.clone() + &event("two") };
+            let events = if cut < second_whole {
+                first.clone()
+            } else {
+                first.clone() + &event("two")
+            };
             assert!(!again && rig.finished.contains(&client), "{at}");
             assert_eq!(unchunk(rig.said(client)), events, "{at}");
             assert!(!rig.said(client).ends_with("0\r\n\r\n"), "{at}");
@@ -53,7 +61,10 @@
     }
     assert_eq!(unchunk(rig.said(client)), event("one") + &event("two"));
     assert!(rig.said(client).ends_with("0\r\n\r\n"));
-    assert_eq!((rig.node.counts().served, rig.count(Call::is_write)), (1, 1));
+    assert_eq!(
+        (rig.node.counts().served, rig.count(Call::is_write)),
+        (1, 1)
+    );
 }
 
 /// A client that takes a byte a second is no one that takes nothing.
@@ -65,7 +76,10 @@
     rig.text(writer, &answer());
     for _ in 0..100 {
         rig.pass(1.0);
-        rig.tell(Input::Wrote { conn: client, count: 1 });
+        rig.tell(Input::Wrote {
+            conn: client,
+            count: 1,
+        });
     }
     assert!(!rig.closed.contains(&client) && !rig.finished.contains(&client));
     assert_eq!(rig.node.counts().served, 1);
--- a/crates/platform/tests/descriptors.rs
+++ b/crates/platform/tests/descriptors.rs
@@ -16,7 +16,10 @@
 const DISCOVERY: &str = "127.0.2.1:8500";
 
 fn limits(descriptors: usize) -> Limits {
-    Limits { memory_bytes: 64 << 20, descriptors }
+    Limits {
+        memory_bytes: 64 << 20,
+        descriptors,
+    }
 }
 
 /// A configuration of so many descriptors whose settings bound no requests in hand.
@@ -31,7 +34,10 @@
         let shares = Shares::of(&limits(descriptors));
         let all = shares.clients + shares.hosts + OWN + WATCH + FINISHING;
         assert!(all <= descriptors, "{descriptors}: {shares:?} make {all}");
-        assert!(shares.clients >= 8 && shares.hosts >= 4, "{descriptors}: {shares:?}");
+        assert!(
+            shares.clients >= 8 && shares.hosts >= 4,
+            "{descriptors}: {shares:?}"
+        );
         // A request in hand holds a connection of either kind: some clients' places are left for newcomers.
         assert!(shares.hosts < shares.clients, "{descriptors}: {shares:?}");
     }
@@ -41,7 +47,10 @@
         assert!(shares.hosts >= descriptors / 3, "{descriptors}: {shares:?}");
     }
     let few = Shares::of(&limits(0));
-    assert!(few.clients >= 8 && few.hosts >= 4, "the fewest places are there however few descriptors are");
+    assert!(
+        few.clients >= 8 && few.hosts >= 4,
+        "the fewest places are there however few descriptors are"
+    );
 }
 
 #[test]
@@ -58,7 +67,11 @@
         ("all handed to it", Some(256), 256 + OWN, 0),
     ];
     for (name, allowed, held, descriptors) in table {
-        assert_eq!(limits(256).within(allowed, held), limits(descriptors), "{name}");
+        assert_eq!(
+            limits(256).within(allowed, held),
+            limits(descriptors),
+            "{name}"
+        );
     }
 }
 
@@ -93,7 +106,10 @@
 /// A rig whose discovery takes the call and says nothing.
 fn rig(sockets: u32) -> Rig {
     let mut rig = Rig::with(config_of(sockets));
-    assert!(rig.connects.iter().any(|(_, to)| to.to_string() == DISCOVERY));
+    assert!(rig
+        .connects
+        .iter()
+        .any(|(_, to)| to.to_string() == DISCOVERY));
     rig.pass(0.1);
     rig
 }
@@ -104,7 +120,10 @@
 }
 
 fn watches(rig: &Rig) -> usize {
-    rig.connects.iter().filter(|(_, to)| to.to_string() == DISCOVERY).count()
+    rig.connects
+        .iter()
+        .filter(|(_, to)| to.to_string() == DISCOVERY)
+        .count()
 }
 
 fn stream_whole(rig: &mut Rig, writer: ConnId) {
@@ -124,9 +143,21 @@
             for i in 0..2 * sockets as usize {
                 join(&mut rig, crowd, i);
                 let holds = rig.node.holds();
-                assert!(holds.clients <= shares.clients, "{name}: {} clients", holds.clients);
-                assert!(holds.links <= shares.hosts, "{name}: {} connections to hosts", holds.links);
-                assert!(held_together(&rig) <= sockets as usize, "{name}: {}", held_together(&rig));
+                assert!(
+                    holds.clients <= shares.clients,
+                    "{name}: {} clients",
+                    holds.clients
+                );
+                assert!(
+                    holds.links <= shares.hosts,
+                    "{name}: {} connections to hosts",
+                    holds.links
+                );
+                assert!(
+                    held_together(&rig) <= sockets as usize,
+                    "{name}: {}",
+                    held_together(&rig)
+                );
             }
             // The front's call, and a request, among them.
             let front = rig.client();
@@ -136,12 +167,22 @@
             let late = rig.ask("late", "ask");
             let sent = rig.count(Call::is_read) > reads;
             let told = rig.status(late) == "503";
-            assert!(sent || told && crowd == Crowd::Busy, "{name}: a request is neither sent on nor refused");
+            assert!(
+                sent || told && crowd == Crowd::Busy,
+                "{name}: a request is neither sent on nor refused"
+            );
             // Events in hand go out while the table is full; the stream's host still writes.
             stream_whole(&mut rig, writer);
-            assert_eq!(unchunk(rig.said(good)), format!("{}{}", event("one"), event("two")), "{name}");
+            assert_eq!(
+                unchunk(rig.said(good)),
+                format!("{}{}", event("one"), event("two")),
+                "{name}"
+            );
             rig.pass(8.0);
-            assert!(watches(&rig) > watches_before, "{name}: the watch is not begun anew");
+            assert!(
+                watches(&rig) > watches_before,
+                "{name}: the watch is not begun anew"
+            );
         }
     }
 }
@@ -154,13 +195,21 @@
             let (model, at) = (["reads", "writes"][i % 2], format!("127.0.9.{}:80", i + 1));
             target(&format!("x{i}"), &at, model, "in_service")
         };
-        let few: Vec<String> = hosts().iter().map(|h| target(h.0, h.1, h.2, "in_service")).collect();
+        let few: Vec<String> = hosts()
+            .iter()
+            .map(|h| target(h.0, h.1, h.2, "in_service"))
+            .collect();
         let many: Vec<String> = (0..150).map(entry).collect();
         let text = config_json(sockets).replace(r#""mostHeld":100,"#, "");
         let text = text.replace(&list(7, true, &few), &list(7, true, &many));
         let mut rig = Rig::with(Config::parse(&text).expect("the test's configuration"));
-        let crowd: Vec<_> = (0..2 * sockets as usize).map(|i| join(&mut rig, Crowd::Busy, i)).collect();
-        let busy = crowd.iter().filter(|c| rig.said(**c).is_empty() && !rig.closed.contains(c)).count();
+        let crowd: Vec<_> = (0..2 * sockets as usize)
+            .map(|i| join(&mut rig, Crowd::Busy, i))
+            .collect();
+        let busy = crowd
+            .iter()
+            .filter(|c| rig.said(**c).is_empty() && !rig.closed.contains(c))
+            .count();
         let used = shares.hosts - Pool::reserved(shares.hosts);
         assert_eq!(
             (busy, rig.node.holds().links),
@@ -168,11 +217,17 @@
             "{sockets}: all but those for releases are in use"
         );
         let told = crowd.iter().filter(|c| rig.status(**c) == "503").count();
-        assert_eq!(busy + told, crowd.len(), "{sockets}: the others are refused, not cut off");
+        assert_eq!(
+            busy + told,
+            crowd.len(),
+            "{sockets}: the others are refused, not cut off"
+        );
         let front = rig.client();
         rig.text(front, READY);
         assert_eq!(rig.status(front), "200", "{sockets}: /ready");
-        assert!(rig.node.holds().clients <= shares.clients && held_together(&rig) <= sockets as usize);
+        assert!(
+            rig.node.holds().clients <= shares.clients && held_together(&rig) <= sockets as usize
+        );
     }
 }
 
@@ -187,7 +242,12 @@
         while watches(&rig) == before {
             rig.pass(0.1);
         }
-        let (watch, _) = *rig.connects.iter().rev().find(|c| c.1.to_string() == DISCOVERY).expect("a watch");
+        let (watch, _) = *rig
+            .connects
+            .iter()
+            .rev()
+            .find(|c| c.1.to_string() == DISCOVERY)
+            .expect("a watch");
         let hosts = hosts();
         let drains = [target(hosts[0].0, hosts[0].1, "reads", "terminating")];
         let line = list(8, false, &drains) + "\n";
@@ -197,9 +257,16 @@
         for i in 0..8 {
             rig.ask(&format!("after{i}"), "ask");
         }
-        let reads: Vec<_> = rig.calls[calls..].iter().filter(|c| c.is_read()).map(|c| c.to).collect();
+        let reads: Vec<_> = rig.calls[calls..]
+            .iter()
+            .filter(|c| c.is_read())
+            .map(|c| c.to)
+            .collect();
         assert!(!reads.is_empty(), "{crowd:?}: nothing is sent on");
-        assert!(reads.iter().all(|to| to.to_string() != hosts[0].1), "{crowd:?}: the drain is not acted on");
+        assert!(
+            reads.iter().all(|to| to.to_string() != hosts[0].1),
+            "{crowd:?}: the drain is not acted on"
+        );
     }
 }
 
@@ -219,12 +286,20 @@
             conn
         })
         .collect();
-    assert_eq!(rig.node.holds().clients, most, "the table is full of half requests");
+    assert_eq!(
+        rig.node.holds().clients,
+        most,
+        "the table is full of half requests"
+    );
     for i in 0..3 {
         let front = rig.client();
         assert!(!rig.closed.contains(&front), "newcomer {i} is not heard");
         rig.text(front, &request(&format!("n{i}"), "ask", 4800));
-        assert_eq!(rig.closed.iter().copied().collect::<Vec<_>>(), strangers[..=i], "the oldest goes first");
+        assert_eq!(
+            rig.closed.iter().copied().collect::<Vec<_>>(),
+            strangers[..=i],
+            "the oldest goes first"
+        );
     }
     assert!(!rig.closed.contains(&known));
 }
@@ -234,24 +309,39 @@
     let mut rig = rig(64);
     let (slow, writer) = rig.at_writer("slow", "ask");
     rig.slow = true;
-    rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+    rig.text(
+        writer,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    );
     rig.slow = false;
     for i in 0..200 {
         join(&mut rig, Crowd::Half, i);
     }
-    assert!(!rig.closed.contains(&slow), "its answer is whole at the node and not at the client");
-    rig.tell(Input::Wrote { conn: slow, count: rig.said(slow).len() });
+    assert!(
+        !rig.closed.contains(&slow),
+        "its answer is whole at the node and not at the client"
+    );
+    rig.tell(Input::Wrote {
+        conn: slow,
+        count: rig.said(slow).len(),
+    });
     for i in 200..400 {
         join(&mut rig, Crowd::Half, i);
     }
-    assert!(rig.closed.contains(&slow), "once all is taken it is as idle as any");
+    assert!(
+        rig.closed.contains(&slow),
+        "once all is taken it is as idle as any"
+    );
 }
 
 #[test]
 fn for_want_of_descriptors_idle_clients_then_idle_hosts_give_way_and_nothing_in_hand() {
     let mut rig = rig(256);
     let (_, writer) = rig.at_writer("done", "ask");
-    rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+    rig.text(
+        writer,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    );
     let (busy, streaming) = rig.at_writer("busy", "ask");
     rig.text(streaming, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
     let silent = rig.client();
@@ -261,11 +351,20 @@
     let (clients, links) = (rig.node.holds().clients, rig.node.holds().links);
     assert_eq!(clients, 1, "the busy one stays");
     assert_eq!(gone.len(), 2, "{gone:?}");
-    assert!(gone[0] == bitternlatch_platform::types::Command::Close { conn: silent }, "{gone:?}");
+    assert!(
+        gone[0] == bitternlatch_platform::types::Command::Close { conn: silent },
+        "{gone:?}"
+    );
     let mut dropped = Vec::new();
     while rig.node.shed_link(&mut dropped) {}
     assert_eq!(rig.node.holds().links, links - dropped.len());
-    assert!(!dropped.is_empty() && rig.node.holds().links >= 1, "the stream's stays");
+    assert!(
+        !dropped.is_empty() && rig.node.holds().links >= 1,
+        "the stream's stays"
+    );
     stream_whole(&mut rig, streaming);
-    assert_eq!(unchunk(rig.said(busy)), format!("{}{}", event("one"), event("two")));
+    assert_eq!(
+        unchunk(rig.said(busy)),
+        format!("{}{}", event("one"), event("two"))
+    );
 }
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -9,11 +9,19 @@
 
 fn watch(rig: &Rig) -> ConnId {
     let to = "127.0.2.1:8500".parse().expect("an address");
-    rig.connects.iter().rev().find(|c| c.1 == to).expect("a watch").0
+    rig.connects
+        .iter()
+        .rev()
+        .find(|c| c.1 == to)
+        .expect("a watch")
+        .0
 }
 
 fn watches(rig: &Rig) -> usize {
-    rig.calls.iter().filter(|c| c.line().contains("watch=1")).count()
+    rig.calls
+        .iter()
+        .filter(|c| c.line().contains("watch=1"))
+        .count()
 }
 
 fn line(rig: &mut Rig, text: &str) {
@@ -32,25 +40,56 @@
 #[test]
 fn the_watch_begins_at_the_version_known_and_follows_changes() {
     let mut rig = Rig::new();
-    assert_eq!(rig.calls[0].line(), "GET /v1/endpoints?watch=1&from=7 HTTP/1.1");
+    assert_eq!(
+        rig.calls[0].line(),
+        "GET /v1/endpoints?watch=1&from=7 HTTP/1.1"
+    );
     let conn = watch(&rig);
     rig.text(conn, HEAD);
-    line(&mut rig, &list(8, false, &[target("h-r1", "127.0.1.1:80", "reads", "terminating")]));
+    line(
+        &mut rig,
+        &list(
+            8,
+            false,
+            &[target("h-r1", "127.0.1.1:80", "reads", "terminating")],
+        ),
+    );
     line(&mut rig, "");
     for i in 0..6 {
-        assert_eq!(reads_at(&mut rig, &format!("a{i}")).as_deref(), Some("127.0.1.2:80"));
+        assert_eq!(
+            reads_at(&mut rig, &format!("a{i}")).as_deref(),
+            Some("127.0.1.2:80")
+        );
     }
-    line(&mut rig, &list(9, true, &[target("h-w1", "127.0.1.3:80", "writes", "in_service")]));
+    line(
+        &mut rig,
+        &list(
+            9,
+            true,
+            &[target("h-w1", "127.0.1.3:80", "writes", "in_service")],
+        ),
+    );
     let to = reads_at(&mut rig, "b").expect("the writer reads");
-    assert_eq!(to, "127.0.1.3:80", "what a whole list does not name is gone");
+    assert_eq!(
+        to, "127.0.1.3:80",
+        "what a whole list does not name is gone"
+    );
 }
 
 #[test]
 fn what_cannot_be_read_leaves_the_list_and_begins_the_watch_anew_from_it() {
     let bad = [
         "{\"rev\":8,\"all\":false,\"targ".to_string(),
-        list(8, false, &[target("h-r1", "127.0.1.1:80", "reads", "asleep")]),
-        list(8, true, &[target("h-r1", "127.0.1.1:80", "sings", "in_service")]),
+        list(
+            8,
+            false,
+            &[target("h-r1", "127.0.1.1:80", "reads", "asleep")],
+        ),
+        list(
+            8,
+            true,
+            &[target("h-r1", "127.0.1.1:80", "sings", "in_service")],
+        ),
         list(6, true, &[]),
         "noise".to_string(),
     ];
@@ -60,7 +99,12 @@
         rig.text(conn, HEAD);
         line(&mut rig, &text);
         assert!(rig.closed.contains(&conn), "{text}");
-        assert_eq!(rig.logs.iter().filter(|l| l.contains("discovery")).count(), 1, "{:?}", rig.logs);
+        assert_eq!(
+            rig.logs.iter().filter(|l| l.contains("discovery")).count(),
+            1,
+            "{:?}",
+            rig.logs
+        );
         rig.pass(0.3);
         assert_eq!(watches(&rig), 2, "{text}");
         assert!(rig
@@ -94,13 +138,17 @@
         line(&mut rig, "");
     }
     assert_eq!(watches(&rig), 1, "empty lines keep it open");
-    rig.dead.insert("127.0.2.1:8500".parse().expect("an address"));
+    rig.dead
+        .insert("127.0.2.1:8500".parse().expect("an address"));
     rig.pass(5.5);
     assert!(rig.closed.contains(&conn));
     let before = rig.connects.len();
     rig.pass(60.0);
     let dials = rig.connects.len() - before;
-    assert!((5..=30).contains(&dials), "{dials} calls in a minute without an answer");
+    assert!(
+        (5..=30).contains(&dials),
+        "{dials} calls in a minute without an answer"
+    );
 }
 
 #[test]
@@ -113,7 +161,10 @@
     let (conn, to) = *rig.connects.last().expect("a call");
     assert_eq!(to.to_string(), "127.0.2.7:8500");
     assert!(rig.closed.contains(&old) && rig.calls.iter().any(|c| c.conn == conn));
-    rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+    rig.text(
+        writer,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    );
     assert_eq!(unchunk(rig.said(client)), event("one"));
     assert!(reads_at(&mut rig, "k2").is_some());
     let dials = rig.connects.iter().filter(|c| c.1 == to).count();
@@ -138,7 +189,14 @@
     assert_eq!(ready(&mut rig), "503");
     let conn = watch(&rig);
     rig.text(conn, HEAD);
-    line(&mut rig, &list(8, true, &[target("h-r1", "127.0.1.1:80", "reads", "in_service")]));
+    line(
+        &mut rig,
+        &list(
+            8,
+            true,
+            &[target("h-r1", "127.0.1.1:80", "reads", "in_service")],
+        ),
+    );
     assert_eq!(ready(&mut rig), "200");
     rig.tell(Input::Stop);
     assert_eq!(ready(&mut rig), "503");
@@ -154,14 +212,23 @@
     let late = rig.ask("e2", "ask");
     assert!(!rig.deaf && !rig.closed.contains(&idle));
     rig.pass(0.4);
-    assert!(rig.deaf && rig.finished.contains(&idle), "idle connections end with the listener");
+    assert!(
+        rig.deaf && rig.finished.contains(&idle),
+        "idle connections end with the listener"
+    );
     assert!(!rig.finished.contains(&client) && !rig.finished.contains(&late) && !rig.stopped);
-    rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+    rig.text(
+        writer,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    );
     assert!(rig.said(client).ends_with("0\r\n\r\n") && rig.finished.contains(&client));
     rig.read_done();
     let writer = rig.last(Call::is_write).conn;
     assert!(!rig.stopped);
-    rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("two"))));
+    rig.text(
+        writer,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("two"))),
+    );
     assert_eq!(unchunk(rig.said(late)), event("two"));
     assert!(rig.stopped);
 }
@@ -178,8 +245,14 @@
     rig.text(writer, &chunk(&event("two")));
     rig.pass(0.2);
     assert!(rig.finished.contains(&client) && rig.closed.contains(&writer));
-    assert_eq!(unchunk(rig.said(client)), [event("one"), event("two")].concat());
-    assert!(!rig.said(client).ends_with("0\r\n\r\n"), "it does not look whole");
+    assert_eq!(
+        unchunk(rig.said(client)),
+        [event("one"), event("two")].concat()
+    );
+    assert!(
+        !rig.said(client).ends_with("0\r\n\r\n"),
+        "it does not look whole"
+    );
     assert!(rig.stopped, "before the kill");
 }
 
@@ -204,9 +277,17 @@
     let mut rig = Rig::tracing();
     rig.node.take_trace();
     for from in ["127.0.3.2:7946", "127.0.3.1:7946", "127.0.9.9:7946"] {
-        rig.tell(Input::Datagram { from: from.parse().expect("an address"), data: b"x" });
+        rig.tell(Input::Datagram {
+            from: from.parse().expect("an address"),
+            data: b"x",
+        });
     }
-    let told: Vec<String> = rig.node.take_trace().iter().map(|t| format!("{:?}", t.event)).collect();
+    let told: Vec<String> = rig
+        .node
+        .take_trace()
+        .iter()
+        .map(|t| format!("{:?}", t.event))
+        .collect();
     assert_eq!(told, ["PeerMessage { from: 1, data: [120] }"]);
 }
 
@@ -217,16 +298,28 @@
     rig.text(conn, HEAD);
     for i in 0..300u64 {
         let old = target(&format!("n{i}"), "127.0.1.1:80", "reads", "terminated");
-        let new = target(&format!("n{}", i + 1), "127.0.1.1:80", "reads", "in_service");
+        let new = target(
+            &format!("n{}", i + 1),
+            "127.0.1.1:80",
+            "reads",
+            "in_service",
+        );
         line(&mut rig, &list(8 + i, false, &[old, new]));
         let client = rig.ask(&format!("q{i}"), "ask");
         rig.read_done();
         let writer = rig.last(Call::is_write).conn;
-        rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+        rig.text(
+            writer,
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        );
         rig.tell(Input::Ended { conn: client });
         rig.pass(0.5);
     }
     let held = rig.node.holds();
-    assert_eq!((held.requests, held.clients, held.releases), (0, 0, 0), "{held:?}");
+    assert_eq!(
+        (held.requests, held.clients, held.releases),
+        (0, 0, 0),
+        "{held:?}"
+    );
     assert!(held.hosts <= 5 && held.links <= 20, "{held:?}");
 }
--- a/crates/platform/tests/explain.rs
+++ b/crates/platform/tests/explain.rs
@@ -12,7 +12,10 @@
 }
 
 fn answer(rig: &mut Rig, writer: bitternlatch_platform::types::ConnId) {
-    rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+    rig.text(
+        writer,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    );
 }
 
 #[test]
@@ -50,7 +53,13 @@
                 let (_, writer) = rig.at_writer("x1", "book");
                 rig.text(writer, &plain("500 Oops", "", ""));
             },
-            &["x1 failed", "because MayHaveRun", "Error after", "state HeldAt(", "state Released"],
+            &[
+                "x1 failed",
+                "because MayHaveRun",
+                "Error after",
+                "state HeldAt(",
+                "state Released",
+            ],
         ),
         (
             "again",
@@ -68,7 +77,11 @@
                 let client = rig.client();
                 rig.text(client, &request("x1", "ask", 10));
             },
-            &["x1 refused", "refused at queue 0.021 read 0.048", "of 0.010"],
+            &[
+                "x1 refused",
+                "refused at queue 0.021 read 0.048",
+                "of 0.010",
+            ],
         ),
         (
             "gone",
@@ -84,7 +97,11 @@
         act(&mut rig);
         assert_eq!(rig.explained.len(), 1, "{name}: {:?}", rig.explained);
         for word in words {
-            assert!(rig.explained[0].contains(word), "{name}: '{word}' in {}", rig.explained[0]);
+            assert!(
+                rig.explained[0].contains(word),
+                "{name}: '{word}' in {}",
+                rig.explained[0]
+            );
         }
     }
 }
--- a/crates/platform/tests/gone.rs
+++ b/crates/platform/tests/gone.rs
@@ -16,7 +16,10 @@
 /// The same, with a time for connections to come up, seconds.
 fn rig_that_waits(cancel: bool, connect_s: f64) -> Rig {
     let text = config_json(256).replace(r#""cancel":true"#, &format!(r#""cancel":{cancel}"#));
-    let text = text.replace(r#""connectTimeoutS":0.25"#, &format!(r#""connectTimeoutS":{connect_s}"#));
+    let text = text.replace(
+        r#""connectTimeoutS":0.25"#,
+        &format!(r#""connectTimeoutS":{connect_s}"#),
+    );
     Rig::with(Config::parse(&text).expect("the test's configuration"))
 }
 
@@ -137,7 +140,14 @@
 
 fn sent_ahead(rig: &mut Rig) -> ConnId {
     let client = rig.client();
-    rig.text(client, &format!("{}{}", request("g", "ask", 4800), request("g2", "ask", 4800)));
+    rig.text(
+        client,
+        &format!(
+            "{}{}",
+            request("g", "ask", 4800),
+            request("g2", "ask", 4800)
+        ),
+    );
     rig.pass(0.02);
     client
 }
@@ -153,39 +163,125 @@
 #[test]
 fn no_attempt_begins_once_its_client_has_gone_and_nothing_stays_held() {
     let nothing: fn(&mut Rig) = |_| {};
-    let read: fn(&mut Rig) = |rig| all_say(rig, &plain("202 Accepted", "", r#"{"cached_tokens":64}"#));
+    let read: fn(&mut Rig) =
+        |rig| all_say(rig, &plain("202 Accepted", "", r#"{"cached_tokens":64}"#));
     let decline: fn(&mut Rig) = |rig| all_say(rig, &declined());
     let fail: fn(&mut Rig) = |rig| all_say(rig, &plain("500 Oops", "", ""));
     let table = [
-        Case { name: "probes out", before: waits_for_probes, after: nothing, held: [false; 2] },
+        Case {
+            name: "probes out",
+            before: waits_for_probes,
+            after: nothing,
+            held: [false; 2],
+        },
         Case {
             name: "its time due with its end",
             before: due_with_its_end,
             after: nothing,
             held: [false; 2],
         },
-        Case { name: "at a reader that reads", before: at_reader, after: read, held: [true; 2] },
-        Case { name: "at a reader that declines", before: at_reader, after: decline, held: [true, false] },
-        Case { name: "at a reader that fails", before: at_reader, after: fail, held: [true, false] },
-        Case { name: "at a reader that breaks", before: at_reader, after: all_end, held: [true; 2] },
-        Case { name: "at a silent reader", before: at_reader, after: nothing, held: [true; 2] },
-        Case { name: "held", before: held_between, after: nothing, held: [true; 2] },
+        Case {
+            name: "at a reader that reads",
+            before: at_reader,
+            after: read,
+            held: [true; 2],
+        },
+        Case {
+            name: "at a reader that declines",
+            before: at_reader,
+            after: decline,
+            held: [true, false],
+        },
+        Case {
+            name: "at a reader that fails",
+            before: at_reader,
+            after: fail,
+            held: [true, false],
+        },
+        Case {
+            name: "at a reader that breaks",
+            before: at_reader,
+            after: all_end,
+            held: [true; 2],
+        },
+        Case {
+            name: "at a silent reader",
+            before: at_reader,
+            after: nothing,
+            held: [true; 2],
+        },
+        Case {
+            name: "held",
+            before: held_between,
+            after: nothing,
+            held: [true; 2],
+        },
         Case {
             name: "held, its time due with its end",
             before: held_and_due,
             after: nothing,
             held: [true; 2],
         },
-        Case { name: "at a writer that declines", before: at_writer, after: decline, held: [true; 2] },
-        Case { name: "at a writer that fails", before: at_writer, after: fail, held: [true; 2] },
-        Case { name: "at a writer that breaks", before: at_writer, after: all_end, held: [true; 2] },
-        Case { name: "at a silent writer", before: at_writer, after: nothing, held: [true; 2] },
-        Case { name: "a reader comes up", before: reader_comes_up, after: all_come_up, held: [false; 2] },
-        Case { name: "a reader never comes up", before: reader_comes_up, after: nothing, held: [false; 2] },
-        Case { name: "a writer comes up", before: writer_comes_up, after: all_come_up, held: [true; 2] },
-        Case { name: "a writer never comes up", before: writer_comes_up, after: nothing, held: [true; 2] },
-        Case { name: "more sent ahead", before: sent_ahead, after: read, held: [true; 2] },
-        Case { name: "much sent ahead", before: sent_much_ahead, after: read, held: [true; 2] },
+        Case {
+            name: "at a writer that declines",
+            before: at_writer,
+            after: decline,
+            held: [true; 2],
+        },
+        Case {
+            name: "at a writer that fails",
+            before: at_writer,
+            after: fail,
+            held: [true; 2],
+        },
+        Case {
+            name: "at a writer that breaks",
+            before: at_writer,
+            after: all_end,
+            held: [true; 2],
+        },
+        Case {
+            name: "at a silent writer",
+            before: at_writer,
+            after: nothing,
+            held: [true; 2],
+        },
+        Case {
+            name: "a reader comes up",
+            before: reader_comes_up,
+            after: all_come_up,
+            held: [false; 2],
+        },
+        Case {
+            name: "a reader never comes up",
+            before: reader_comes_up,
+            after: nothing,
+            held: [false; 2],
+        },
+        Case {
+            name: "a writer comes up",
+            before: writer_comes_up,
+            after: all_come_up,
+            held: [true; 2],
+        },
+        Case {
+            name: "a writer never comes up",
+            before: writer_comes_up,
+            after: nothing,
+            held: [true; 2],
+        },
+        Case {
+            name: "more sent ahead",
+            before: sent_ahead,
+            after: read,
+            held: [true; 2],
+        },
+        Case {
+            name: "much sent ahead",
+            before: sent_much_ahead,
+            after: read,
+            held: [true; 2],
+        },
     ];
     let mut faults = Vec::new();
     for case in &table {
@@ -203,13 +299,24 @@
             let holds = rig.node.holds();
             let left = (holds.requests, holds.clients, holds.links, holds.releases);
             let told = rig.said(client).to_string();
-            let got = (at_once, later, released, left, rig.node.counts().gone, told.as_str());
+            let got = (
+                at_once,
+                later,
+                released,
+                left,
+                rig.node.counts().gone,
+                told.as_str(),
+            );
             if got != (0, 0, case.held[usize::from(!cancel)], (0, 0, 0, 0), 1, "") {
                 faults.push(format!("{}, cancel {cancel}: {got:?}", case.name));
             }
         }
     }
-    assert!(faults.is_empty(), "sent at once, later, released, left, gone, told:\n{}", faults.join("\n"));
+    assert!(
+        faults.is_empty(),
+        "sent at once, later, released, left, gone, told:\n{}",
+        faults.join("\n")
+    );
 }
 
 #[test]
@@ -223,7 +330,9 @@
         }
         rig.now = rig.now.after(0.05);
         let posts = rig.count(is_post);
-        clients.iter().for_each(|conn| rig.tell(Input::Ended { conn: *conn }));
+        clients
+            .iter()
+            .for_each(|conn| rig.tell(Input::Ended { conn: *conn }));
         rig.pass(10.0);
         assert_eq!(rig.count(is_post), posts);
         assert_eq!(rig.node.holds().requests, 0);
@@ -236,20 +345,38 @@
     for cancel in [true, false] {
         let mut rig = rig(cancel);
         let (_, writer) = rig.at_writer("first", "ask");
-        rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+        rig.text(
+            writer,
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        );
         rig.stuck.extend(readers());
-        let dials = |rig: &Rig| rig.connects.iter().filter(|c| readers().contains(&c.1)).count();
+        let dials = |rig: &Rig| {
+            rig.connects
+                .iter()
+                .filter(|c| readers().contains(&c.1))
+                .count()
+        };
         rig.pass(REST_S);
         let before = dials(&rig);
         let client = rig.ask("g", "ask");
         let call = rig.last(Call::is_read);
-        assert!(call.text.contains("Req-Id: g\r\n") && dials(&rig) == before, "on a kept connection");
+        assert!(
+            call.text.contains("Req-Id: g\r\n") && dials(&rig) == before,
+            "on a kept connection"
+        );
         rig.tell(Input::Ended { conn: client });
-        assert!(rig.closed.contains(&call.conn), "cancel {cancel}: what is left of it stays unsent");
+        assert!(
+            rig.closed.contains(&call.conn),
+            "cancel {cancel}: what is left of it stays unsent"
+        );
         let posts = rig.count(is_post);
         rig.pass(10.0);
         assert_eq!(rig.count(is_post), posts);
-        assert_eq!(rig.count(|c| c.line().starts_with("DELETE")), 0, "it never ran");
+        assert_eq!(
+            rig.count(|c| c.line().starts_with("DELETE")),
+            0,
+            "it never ran"
+        );
     }
 }
 
@@ -290,17 +417,27 @@
     rig.tell(Input::Ended { conn: client });
     assert_eq!(deletes(&rig), 1, "on the one that is kept free for it");
     rig.pass(0.06);
-    assert_eq!((deletes(&rig), rig.node.holds().links), (1, 11), "there is no way out for a second call");
+    assert_eq!(
+        (deletes(&rig), rig.node.holds().links),
+        (1, 11),
+        "there is no way out for a second call"
+    );
     // A connection comes free whose own client has gone, so that no attempt takes its place.
     let read = rig.last(Call::is_read);
     let asks = |i: &usize| read.text.contains(&format!("Req-Id: o{i}\r\n"));
     let other = (0..others.len()).find(asks).expect("one of the others");
-    rig.tell(Input::Ended { conn: others[other] });
+    rig.tell(Input::Ended {
+        conn: others[other],
+    });
     rig.text(read.conn, &plain("500 Oops", "", ""));
     assert_eq!(deletes(&rig), 2, "at once");
     rig.pass(RELEASE_GIVEN_UP_S + LONGEST_ROUND_S);
     let holds = rig.node.holds();
-    assert_eq!((holds.requests, holds.links, holds.releases), (0, 0, 0), "{holds:?}");
+    assert_eq!(
+        (holds.requests, holds.links, holds.releases),
+        (0, 0, 0),
+        "{holds:?}"
+    );
 }
 
 /// What comes past the bound is read, as the client's end stands behind it, and dropped; a request behind the gap
@@ -314,14 +451,23 @@
     }
     assert!(!rig.paused.contains(&client), "its end is still heard");
     for id in ["g", "g2"] {
-        assert!(rig.last(Call::is_read).text.contains(&format!("Req-Id: {id}\r\n")));
+        assert!(rig
+            .last(Call::is_read)
+            .text
+            .contains(&format!("Req-Id: {id}\r\n")));
         rig.read_done();
         let writer = rig.last(Call::is_write).conn;
-        rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+        rig.text(
+            writer,
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        );
         rig.pass(0.02);
     }
     assert_eq!(rig.node.counts().served, 2);
-    assert!(rig.said(client).contains("HTTP/1.1 413"), "what follows is told to be too much");
+    assert!(
+        rig.said(client).contains("HTTP/1.1 413"),
+        "what follows is told to be too much"
+    );
     assert!(rig.finished.contains(&client));
     assert_eq!(rig.count(is_post), 4);
 }
@@ -337,7 +483,11 @@
     }
     assert!(rig.paused.contains(&client));
     rig.tell(Input::Ended { conn: client });
-    assert_eq!(rig.node.counts().gone, 1, "an end that is known all the same counts");
+    assert_eq!(
+        rig.node.counts().gone,
+        1,
+        "an end that is known all the same counts"
+    );
 }
 
 /// A timer that is due when it is told that a request has left whole must not take it for unsent.
@@ -349,7 +499,10 @@
         rig.ask("g", "ask");
         let read = rig.last(Call::is_read);
         rig.now = rig.now.after(4.9);
-        rig.tell(Input::Wrote { conn: read.conn, count: read.text.len() });
+        rig.tell(Input::Wrote {
+            conn: read.conn,
+            count: read.text.len(),
+        });
         rig.tell(Input::Tick);
         let deletes = rig.count(|c| c.line() == "DELETE /bootstrap/rooms/g HTTP/1.1");
         assert_eq!(deletes, 1, "cancel {cancel}: the reader may hold its state");
@@ -373,7 +526,10 @@
         }
         let posts = rig.count(is_post);
         rig.pass(2.0);
-        assert!(rig.closed.contains(&writer), "close first {close_first}: nobody reads it");
+        assert!(
+            rig.closed.contains(&writer),
+            "close first {close_first}: nobody reads it"
+        );
         assert_eq!(rig.count(is_post), posts);
         assert_eq!(rig.node.holds().requests, 0);
     }
--- a/crates/platform/tests/held.rs
+++ b/crates/platform/tests/held.rs
@@ -15,7 +15,11 @@
 
 fn deletes(rig: &Rig, id: &str) -> Vec<Call> {
     let line = format!("DELETE /bootstrap/rooms/{id} HTTP/1.1");
-    rig.calls.iter().filter(|c| c.line() == line).cloned().collect()
+    rig.calls
+        .iter()
+        .filter(|c| c.line() == line)
+        .cloned()
+        .collect()
 }
 
 #[test]
@@ -27,7 +31,11 @@
     assert_eq!(calls.len(), 1, "at once");
     rig.text(calls[0].conn, "HTTP/1.1 204 No Content\r\n\r\n");
     rig.pass(3.0);
-    assert_eq!(deletes(&rig, "p1").len(), 1, "once it has arrived it is not said again");
+    assert_eq!(
+        deletes(&rig, "p1").len(),
+        1,
+        "once it has arrived it is not said again"
+    );
 }
 
 #[test]
@@ -38,19 +46,50 @@
     rig.pass(0.2);
     let calls = deletes(&rig, "p2");
     assert!(calls.len() >= 4, "{}", calls.len());
-    let places = |calls: &[Call]| calls.iter().map(|c| c.to).collect::<std::collections::BTreeSet<_>>();
-    assert_eq!(places(&calls[..4]).len(), 4, "each to another host, until all have been called");
+    let places = |calls: &[Call]| {
+        calls
+            .iter()
+            .map(|c| c.to)
+            .collect::<std::collections::BTreeSet<_>>()
+    };
+    assert_eq!(
+        places(&calls[..4]).len(),
+        4,
+        "each to another host, until all have been called"
+    );
     rig.pass(RELEASE_GIVEN_UP_S - 2.0);
-    assert!(deletes(&rig, "p2").len() > 40, "for as long as nobody has confirmed it");
+    assert!(
+        deletes(&rig, "p2").len() > 40,
+        "for as long as nobody has confirmed it"
+    );
     rig.pass(2.0 + LONGEST_ROUND_S);
     let given_up = deletes(&rig, "p2").len();
-    assert!(given_up <= 4 * 40, "{given_up}: in rounds of all hosts, further and further apart");
+    assert!(
+        given_up <= 4 * 40,
+        "{given_up}: in rounds of all hosts, further and further apart"
+    );
     rig.pass(100.0);
     assert_eq!(deletes(&rig, "p2").len(), given_up, "not for ever");
     let counts = rig.node.counts();
-    assert_eq!((counts.releases, counts.releases_confirmed, counts.releases_unconfirmed), (1, 0, 1));
-    assert!(rig.logs.iter().any(|l| l.starts_with("state of p2 may still be held")), "{:?}", rig.logs);
-    assert!(rig.logs.iter().any(|l| l.starts_with("counts") && l.contains("releases_unconfirmed: 1")));
+    assert_eq!(
+        (
+            counts.releases,
+            counts.releases_confirmed,
+            counts.releases_unconfirmed
+        ),
+        (1, 0, 1)
+    );
+    assert!(
+        rig.logs
+            .iter()
+            .any(|l| l.starts_with("state of p2 may still be held")),
+        "{:?}",
+        rig.logs
+    );
+    assert!(rig
+        .logs
+        .iter()
+        .any(|l| l.starts_with("counts") && l.contains("releases_unconfirmed: 1")));
 }
 
 #[test]
@@ -63,7 +102,13 @@
     rig.text(last.conn, "HTTP/1.1 204 No Content\r\n\r\n");
     let counts = rig.node.counts();
     assert_eq!((counts.releases_confirmed, counts.releases_late), (1, 1));
-    assert!(rig.logs.iter().any(|l| l.starts_with("state of p9 released late")), "{:?}", rig.logs);
+    assert!(
+        rig.logs
+            .iter()
+            .any(|l| l.starts_with("state of p9 released late")),
+        "{:?}",
+        rig.logs
+    );
 }
 
 #[test]
@@ -94,14 +139,23 @@
     for order in [[0, 1, 2], [2, 1, 0], [1, 3, 0]] {
         let mut pool = Pool::new(64, 15.0);
         for (seconds, at) in order.into_iter().enumerate() {
-            pool.put(ConnId(at as u64), idle_link(all[at], START.after(seconds as f64)));
+            pool.put(
+                ConnId(at as u64),
+                idle_link(all[at], START.after(seconds as f64)),
+            );
         }
         let mut releases = Releases::default();
-        let without = (0..4).find(|i| !order.contains(i)).expect("one has no connection");
+        let without = (0..4)
+            .find(|i| !order.contains(i))
+            .expect("one has no connection");
         let now = START.after(5.0);
         let (id, _) = releases.put(now, now, "p7".into());
         let called: Vec<usize> = std::iter::from_fn(|| releases.next_call(id, now, &fleet, &pool))
-            .map(|call| all.iter().position(|host| host.0 == call.0).expect("a host of the list"))
+            .map(|call| {
+                all.iter()
+                    .position(|host| host.0 == call.0)
+                    .expect("a host of the list")
+            })
             .collect();
         assert_eq!(called, [order[2], order[1], order[0], without]);
     }
@@ -109,7 +163,17 @@
 
 fn idle_link((server, to): (ServerId, SocketAddr), since: Micros) -> Link {
     let (used_for, waiting, answer) = (Use::Idle, Vec::new(), Answer::default());
-    Link { to, server, up: true, used_for, since, waiting, unsent: 0, answer, heard: Some(since) }
+    Link {
+        to,
+        server,
+        up: true,
+        used_for,
+        since,
+        waiting,
+        unsent: 0,
+        answer,
+        heard: Some(since),
+    }
 }
 
 /// The read that was given up may have ended well all the same: its state is another than the one that a writer took.
@@ -123,7 +187,10 @@
     assert_ne!(rig.last(Call::is_read).to, first.to, "read elsewhere");
     let writer = rig.last(Call::is_write).conn;
     rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
-    assert!(deletes(&rig, "p8").is_empty(), "not while an attempt is out");
+    assert!(
+        deletes(&rig, "p8").is_empty(),
+        "not while an attempt is out"
+    );
     rig.text(writer, "0\r\n\r\n");
     assert!(rig.said(client).ends_with("0\r\n\r\n"));
     assert_eq!(deletes(&rig, "p8").len(), 1);
@@ -133,7 +200,10 @@
 fn a_state_that_was_taken_is_not_deleted() {
     let mut rig = Rig::new();
     let (_, writer) = rig.at_writer("p5", "ask");
-    rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+    rig.text(
+        writer,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    );
     rig.pass(2.0);
     assert!(deletes(&rig, "p5").is_empty());
 }
@@ -149,12 +219,23 @@
     rig.pass(0.02);
     rig.read_done();
     rig.pass(0.6);
-    assert_eq!(rig.status(client), "504", "its time is over while the hand-over is out");
+    assert_eq!(
+        rig.status(client),
+        "504",
+        "its time is over while the hand-over is out"
+    );
     assert_eq!(deletes(&rig, "c1").len(), 1, "at once");
     rig.pass(0.13);
-    assert_eq!(deletes(&rig, "c1").len(), 2, "and once the close has certainly arrived");
+    assert_eq!(
+        deletes(&rig, "c1").len(),
+        2,
+        "and once the close has certainly arrived"
+    );
     rig.pass(5.0);
-    assert_eq!((deletes(&rig, "c1").len(), rig.node.holds().releases), (2, 0));
+    assert_eq!(
+        (deletes(&rig, "c1").len(), rig.node.holds().releases),
+        (2, 0)
+    );
 }
 
 /// What an earlier prefill may have left is released; the further prefill, whose connection comes up late, goes on.
@@ -168,10 +249,17 @@
     rig.pass(0.02);
     let first = rig.last(Call::is_read);
     rig.dead.extend(
-        hosts().iter().map(|h| h.1.parse::<SocketAddr>().expect("an address")).filter(|a| *a != first.to),
+        hosts()
+            .iter()
+            .map(|h| h.1.parse::<SocketAddr>().expect("an address"))
+            .filter(|a| *a != first.to),
     );
     rig.tell(Input::Ended { conn: first.conn });
-    let (second, _) = rig.connects.last().copied().expect("the further prefill's connection");
+    let (second, _) = rig
+        .connects
+        .last()
+        .copied()
+        .expect("the further prefill's connection");
     rig.pass(0.95);
     assert_eq!(deletes(&rig, "f1").len(), 1, "what the first may have left");
     assert!(!rig.closed.contains(&second));
--- a/crates/platform/tests/http1.rs
+++ b/crates/platform/tests/http1.rs
@@ -22,14 +22,28 @@
         (Framing::Length(5), b"hello", b"hello", 0),
         (Framing::Length(5), b"helloGET ", b"hello", 4),
         (Framing::Chunked, b"5\r\nhello\r\n0\r\n\r\n", b"hello", 0),
-        (Framing::Chunked, b"2;x=y\r\nhe\r\n0003\r\nllo\r\n0\r\nA: b\r\n\r\nHTTP", b"hello", 4),
-        (Framing::Chunked, b"A\r\n0123456789\r\n0\r\n\r\n", b"0123456789", 0),
+        (
+            Framing::Chunked,
+            b"2;x=y\r\nhe\r\n0003\r\nllo\r\n0\r\nA: b\r\n\r\nHTTP",
+            b"hello",
+            4,
+        ),
+        (
+            Framing::Chunked,
+            b"A\r\n0123456789\r\n0\r\n\r\n",
+            b"0123456789",
+            0,
+        ),
         (Framing::Length(0), b"next", b"", 4),
     ];
     for (framing, bytes, content, left) in table {
         for at in 0..=bytes.len() {
             let got = body_in_two(framing, bytes, at).expect("a good body");
-            assert_eq!(got, (content.to_vec(), true, left), "{framing:?} cut at {at}");
+            assert_eq!(
+                got,
+                (content.to_vec(), true, left),
+                "{framing:?} cut at {at}"
+            );
         }
     }
 }
@@ -50,7 +64,12 @@
     for bytes in table {
         for at in 0..=bytes.len() {
             let got = body_in_two(Framing::Chunked, bytes, at);
-            assert_eq!(got, Err(Bad::Chunk), "{:?} cut at {at}", String::from_utf8_lossy(bytes));
+            assert_eq!(
+                got,
+                Err(Bad::Chunk),
+                "{:?} cut at {at}",
+                String::from_utf8_lossy(bytes)
+            );
         }
     }
 }
@@ -65,22 +84,38 @@
 fn heads_of_requests_that_can_be_read_in_two_ways_are_not_read() {
     let head = |fields: &str| format!("POST /x HTTP/1.1\r\nHost: a\r\n{fields}\r\n");
     let table = [
-        ("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", Bad::LengthAndCoding),
-        ("Transfer-Encoding: chunked\r\nContent-Length: 5\r\n", Bad::LengthAndCoding),
+        (
+            "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
+            Bad::LengthAndCoding,
+        ),
+        (
+            "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n",
+            Bad::LengthAndCoding,
+        ),
         ("Content-Length: 5\r\nContent-Length: 5\r\n", Bad::Length),
         ("Content-Length: 5, 5\r\n", Bad::Length),
         ("Content-Length: -5\r\n", Bad::Length),
         ("Content-Length: +5\r\n", Bad::Length),
         ("Content-Length: 0x5\r\n", Bad::Length),
         ("Content-Length:\r\n", Bad::Length),
-        ("Content-Length: 99999999999999999999999\r\n", Bad::BodyTooLong),
+        (
+            "Content-Length: 99999999999999999999999\r\n",
+            Bad::BodyTooLong,
+        ),
         ("Content-Length: 262145\r\n", Bad::BodyTooLong),
         ("Transfer-Encoding: gzip, chunked\r\n", Bad::Coding),
-        ("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", Bad::Coding),
+        (
+            "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
+            Bad::Coding,
+        ),
         ("Content Length: 5\r\n", Bad::Head),
     ];
     for (fields, bad) in table {
-        assert_eq!(request_head(head(fields).as_bytes()), Err(bad), "{fields:?}");
+        assert_eq!(
+            request_head(head(fields).as_bytes()),
+            Err(bad),
+            "{fields:?}"
+        );
         assert!((400..600).contains(&bad.status()));
     }
 }
@@ -89,11 +124,23 @@
 fn a_head_is_whole_at_its_last_byte_and_takes_no_more() {
     let text = "\r\nPOST /v1/x?y=1 HTTP/1.1\r\nReq-Id: 9b\r\nContent-Length: 3\r\n\r\n";
     for at in 0..text.len() {
-        assert_eq!(request_head(&text.as_bytes()[..at]), Ok(None), "cut at {at}");
+        assert_eq!(
+            request_head(&text.as_bytes()[..at]),
+            Ok(None),
+            "cut at {at}"
+        );
     }
-    let (head, taken) = request_head(format!("{text}abcGET").as_bytes()).unwrap().expect("whole");
-    assert_eq!((taken, head.target.as_str(), head.framing), (text.len(), "/v1/x?y=1", Framing::Length(3)));
-    assert_eq!((head.fields.get("req-id"), head.keep_alive), (Some("9b"), true));
+    let (head, taken) = request_head(format!("{text}abcGET").as_bytes())
+        .unwrap()
+        .expect("whole");
+    assert_eq!(
+        (taken, head.target.as_str(), head.framing),
+        (text.len(), "/v1/x?y=1", Framing::Length(3))
+    );
+    assert_eq!(
+        (head.fields.get("req-id"), head.keep_alive),
+        (Some("9b"), true)
+    );
 }
 
 #[test]
@@ -128,9 +175,16 @@
     for at in 0..=stream.len() {
         let (mut kept, mut out) = (Events::default(), Vec::new());
         assert!(kept.take(&stream.as_bytes()[..at], &mut out));
-        assert!(out.is_empty() || out.ends_with(b"\n\n"), "half an event went out");
+        assert!(
+            out.is_empty() || out.ends_with(b"\n\n"),
+            "half an event went out"
+        );
         assert!(kept.take(&stream.as_bytes()[at..], &mut out));
-        assert_eq!(String::from_utf8_lossy(&out).trim_start_matches('\n'), events, "cut at {at}");
+        assert_eq!(
+            String::from_utf8_lossy(&out).trim_start_matches('\n'),
+            events,
+            "cut at {at}"
+        );
         assert_eq!(kept.cached_tokens, Some(4096.0));
         assert_eq!(kept.load.as_deref(), Some("util=0.5,queue=1,x0=0.2"));
     }
@@ -145,12 +199,18 @@
         let mut taken = Answer::to_attempt();
         match taken.take(format!("{answer}{more}").as_bytes()) {
             Ok(Came::End { events, whole }) => {
-                assert_eq!((events.as_slice(), whole.status), (&b"data: a\n\n"[..], 200));
+                assert_eq!(
+                    (events.as_slice(), whole.status),
+                    (&b"data: a\n\n"[..], 200)
+                );
                 assert_eq!(whole.reusable, reusable);
             }
             other => panic!("{other:?}"),
         }
     }
     let endless = "HTTP/1.1 100 Continue\r\n\r\n".repeat(50);
-    assert_eq!(Answer::to_attempt().take(endless.as_bytes()), Err(Bad::Head));
+    assert_eq!(
+        Answer::to_attempt().take(endless.as_bytes()),
+        Err(Bad::Head)
+    );
 }
--- a/crates/platform/tests/lists.rs
+++ b/crates/platform/tests/lists.rs
@@ -11,14 +11,24 @@
 /// A drain and a new host in one change.
 fn news() -> String {
     let old = target("h-r1", "127.0.1.1:80", "reads", "terminating");
-    list(8, false, &[old, target("h-r3", "127.0.1.5:80", "reads", "in_service")])
+    list(
+        8,
+        false,
+        &[old, target("h-r3", "127.0.1.5:80", "reads", "in_service")],
+    )
 }
 
 /// A watch that is open, and what it says.
 fn watching() -> (Rig, ConnId) {
     let mut rig = Rig::new();
     let to = DISCOVERY.parse().expect("an address");
-    let conn = rig.connects.iter().rev().find(|c| c.1 == to).expect("a watch").0;
+    let conn = rig
+        .connects
+        .iter()
+        .rev()
+        .find(|c| c.1 == to)
+        .expect("a watch")
+        .0;
     rig.text(conn, HEAD);
     (rig, conn)
 }
@@ -31,21 +41,39 @@
 fn a_list_that_cannot_be_right_leaves_the_last_good_one_and_is_named_once() {
     let good = target("h-r3", "127.0.1.5:80", "reads", "in_service");
     let with = |from: &str, to: &str| list(8, false, &[good.replace(from, to)]);
-    let twice = |state: &str| list(8, true, &[good.clone(), target("h-r3", "127.0.1.5:80", "reads", state)]);
+    let twice = |state: &str| {
+        list(
+            8,
+            true,
+            &[good.clone(), target("h-r3", "127.0.1.5:80", "reads", state)],
+        )
+    };
     let weight = "\"capacity_hint\":1.0";
     let table = [
         (with(weight, "\"capacity_hint\":-1.0"), "h-r3"),
-        (with(weight, "\"capacity_hint\":1e999"), "number out of range"),
+        (
+            with(weight, "\"capacity_hint\":1e999"),
+            "number out of range",
+        ),
         (with(weight, "\"capacity_hint\":\"much\""), "column"),
         (with(weight, "\"capacity_hint\":NaN"), "column"),
         (with("\"boot_ms\":0", "\"boot_ms\":-5"), "h-r3"),
-        (with("\"boot_ms\":0", "\"boot_ms\":-1e999"), "number out of range"),
+        (
+            with("\"boot_ms\":0", "\"boot_ms\":-1e999"),
+            "number out of range",
+        ),
         (with("\"pod_group\":0", "\"pod_group\":-1"), "column"),
         (with("127.0.1.5:80", "127.0.1.5"), "h-r3"),
         (with("in_service", &"x".repeat(100_000)), "h-r3"),
         (twice("terminating"), "h-r3"),
-        (list(8, false, std::slice::from_ref(&good))[..90].to_string(), ""),
-        (list(8, false, std::slice::from_ref(&good)).replace("\"rev\":8", "\"rev\":-8"), "column"),
+        (
+            list(8, false, std::slice::from_ref(&good))[..90].to_string(),
+            "",
+        ),
+        (
+            list(8, false, std::slice::from_ref(&good)).replace("\"rev\":8", "\"rev\":-8"),
+            "column",
+        ),
         ("[]".to_string(), ""),
         ("}{".to_string(), "column"),
         ("\u{0}\u{1}\"".to_string(), "column"),
@@ -59,15 +87,33 @@
         let shown: String = text.chars().take(120).collect();
         assert!(rig.closed.contains(&conn), "{shown}");
         assert_eq!(hosts_known(&rig), 4, "{shown}");
-        let lines: Vec<&String> = rig.logs.iter().filter(|l| l.contains("discovery")).collect();
+        let lines: Vec<&String> = rig
+            .logs
+            .iter()
+            .filter(|l| l.contains("discovery"))
+            .collect();
         assert_eq!(lines.len(), 1, "{shown}: {lines:?}");
-        assert!(lines[0].contains(cause) && lines[0].contains(DISCOVERY), "{shown}: {}", lines[0]);
-        assert!(lines[0].chars().count() < 300, "{shown}: {}", lines[0].len());
+        assert!(
+            lines[0].contains(cause) && lines[0].contains(DISCOVERY),
+            "{shown}: {}",
+            lines[0]
+        );
+        assert!(
+            lines[0].chars().count() < 300,
+            "{shown}: {}",
+            lines[0].len()
+        );
         // What is right on the next call counts.
         rig.pass(0.5);
         let conn = rig.last(|c| c.line().contains("watch=1")).conn;
         rig.text(conn, HEAD);
-        rig.text(conn, &chunk(&format!("{}\n", list(8, false, std::slice::from_ref(&good)))));
+        rig.text(
+            conn,
+            &chunk(&format!(
+                "{}\n",
+                list(8, false, std::slice::from_ref(&good))
+            )),
+        );
         assert_eq!(hosts_known(&rig), 5, "{shown}");
     }
 }
@@ -77,7 +123,10 @@
     let old = target("h-r1", "127.0.1.1:80", "reads", "terminating");
     let new = target("h-r3", "127.0.1.1:80", "reads", "in_service");
     let (mut rig, conn) = watching();
-    rig.text(conn, &chunk(&format!("{}\n", list(8, false, &[old, new.clone(), new]))));
+    rig.text(
+        conn,
+        &chunk(&format!("{}\n", list(8, false, &[old, new.clone(), new]))),
+    );
     assert!(!rig.closed.contains(&conn), "{:?}", rig.logs);
     assert_eq!(hosts_known(&rig), 5);
 }
@@ -86,11 +135,19 @@
 fn a_list_counts_indented_in_pieces_and_before_what_breaks_the_watch() {
     let indented = news().replace(',', ",\r\n   ").replace('{', "{\n\t") + "\n";
     let ended = "0\r\n\r\n";
-    let length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", news().len(), news());
+    let length = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
+        news().len(),
+        news()
+    );
     let table = [
         format!("{HEAD}{}", chunk(&indented)),
         format!("{HEAD}{}{ended}", chunk(&format!("{}\n", news()))),
-        format!("{HEAD}{}{}", chunk(&format!("{}\n", news())), chunk("noise\n")),
+        format!(
+            "{HEAD}{}{}",
+            chunk(&format!("{}\n", news())),
+            chunk("noise\n")
+        ),
         format!("{HEAD}{}no chunk\r\n", chunk(&format!("{}\n", news()))),
         format!("{HEAD}{}{ended}", chunk(&news())),
         length,
@@ -117,14 +174,23 @@
         target(uid, endpoint, model, "in_service")
             .replace(r#""boot_ms":0"#, &format!(r#""boot_ms":{boot_ms}"#))
     };
-    for (boot_ms, all, closes) in
-        [(0, false, false), (0, true, false), (1_800_000_000_000, false, true), (5, true, true)]
-    {
+    for (boot_ms, all, closes) in [
+        (0, false, false),
+        (0, true, false),
+        (1_800_000_000_000, false, true),
+        (5, true, true),
+    ] {
         let (mut rig, watch) = watching();
         let (_, writer) = rig.at_writer("first", "ask");
         let read = rig.last(Call::is_read).conn;
-        rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
-        let entries: Vec<String> = hosts().iter().map(|h| again(boot_ms, h.0, h.1, h.2)).collect();
+        rig.text(
+            writer,
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        );
+        let entries: Vec<String> = hosts()
+            .iter()
+            .map(|h| again(boot_ms, h.0, h.1, h.2))
+            .collect();
         rig.text(watch, &chunk(&format!("{}\n", list(8, all, &entries))));
         let case = format!("boot {boot_ms}, all {all}");
         for conn in [read, writer] {
@@ -132,7 +198,10 @@
         }
         rig.pass(1.0);
         let (client, writer) = rig.at_writer("second", "book");
-        rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("two"))));
+        rig.text(
+            writer,
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("two"))),
+        );
         assert!(rig.said(client).ends_with("0\r\n\r\n"), "{case}");
     }
 }
@@ -155,15 +224,20 @@
     let indented = compact.replace('{', "{\n    ").replace(',', ",\n    ");
     assert!(compact.len() > 400_000 && indented.len() > 500_000);
     for text in [compact, indented] {
-        for (in_chunks_of, in_pieces_of) in
-            [(usize::MAX, 1 << 15), (usize::MAX, 1000), (100_000, 1 << 15), (1, 4096)]
-        {
+        for (in_chunks_of, in_pieces_of) in [
+            (usize::MAX, 1 << 15),
+            (usize::MAX, 1000),
+            (100_000, 1 << 15),
+            (1, 4096),
+        ] {
             let (mut rig, conn) = watching();
             let line = format!("{text}\n");
             let chunks = line.as_bytes().chunks(in_chunks_of);
-            let said: Vec<u8> =
-                chunks.flat_map(|c| chunk(std::str::from_utf8(c).expect("a text")).into_bytes()).collect();
-            said.chunks(in_pieces_of).for_each(|piece| rig.bytes(conn, piece));
+            let said: Vec<u8> = chunks
+                .flat_map(|c| chunk(std::str::from_utf8(c).expect("a text")).into_bytes())
+                .collect();
+            said.chunks(in_pieces_of)
+                .for_each(|piece| rig.bytes(conn, piece));
             let case = format!("{} bytes in chunks of {in_chunks_of}", text.len());
             assert_eq!(hosts_known(&rig), 3200, "{case}: {:?}", rig.logs);
             assert!(!rig.closed.contains(&conn), "{case}");
@@ -172,5 +246,8 @@
     let (mut rig, conn) = watching();
     rig.text(conn, &chunk(&"x".repeat(5 << 20)));
     assert!(rig.closed.contains(&conn) && hosts_known(&rig) == 4);
-    assert_eq!(rig.logs.iter().filter(|l| l.contains("discovery")).count(), 1);
+    assert_eq!(
+        rig.logs.iter().filter(|l| l.contains("discovery")).count(),
+        1
+    );
 }
--- a/crates/platform/tests/memory.rs
+++ b/crates/platform/tests/memory.rs
@@ -37,10 +37,19 @@
         })
         .collect();
     for _ in 0..7 {
-        for client in clients.iter().filter(|c| !rig.finished.contains(c)).copied().collect::<Vec<_>>() {
+        for client in clients
+            .iter()
+            .filter(|c| !rig.finished.contains(c))
+            .copied()
+            .collect::<Vec<_>>()
+        {
             rig.text(client, &if chunked { chunk(&body) } else { body.clone() });
         }
-        assert!(rig.node.holds().unfinished_bytes <= MOST, "{:?}", rig.node.holds());
+        assert!(
+            rig.node.holds().unfinished_bytes <= MOST,
+            "{:?}",
+            rig.node.holds()
+        );
     }
     clients
 }
@@ -50,13 +59,22 @@
     for chunked in [false, true] {
         let mut rig = roomy();
         let clients = half_bodies(&mut rig, 300, chunked);
-        let away: Vec<&ConnId> = clients.iter().filter(|c| rig.finished.contains(c)).collect();
+        let away: Vec<&ConnId> = clients
+            .iter()
+            .filter(|c| rig.finished.contains(c))
+            .collect();
         assert!(away.iter().all(|c| rig.status(**c) == "503"));
         let kept = clients.len() - away.len();
-        assert!(kept >= MOST / (256 * 1024) / 2, "{kept} still have their room");
+        assert!(
+            kept >= MOST / (256 * 1024) / 2,
+            "{kept} still have their room"
+        );
         // Whoever asks in the midst of it is served.
         let (client, writer) = rig.at_writer("good", "ask");
-        rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+        rig.text(
+            writer,
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        );
         assert_eq!(unchunk(rig.said(client)), event("one"));
     }
 }
@@ -80,7 +98,13 @@
     let mut rig = roomy();
     let (client, writer) = rig.at_writer("first", "ask");
     half_bodies(&mut rig, 300, false);
-    assert!(!rig.finished.contains(&client), "a request in hand is not turned away for others' halves");
-    rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+    assert!(
+        !rig.finished.contains(&client),
+        "a request in hand is not turned away for others' halves"
+    );
+    rig.text(
+        writer,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    );
     assert_eq!(unchunk(rig.said(client)), event("one"));
 }
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -22,11 +22,18 @@
     let events = [event("one"), event("two"), "data: [DONE]\n\n".to_string()];
     for (i, e) in events.iter().enumerate() {
         rig.text(writer, &chunk(e));
-        assert_eq!(unchunk(rig.said(client)), events[..=i].concat(), "passed on as it comes");
+        assert_eq!(
+            unchunk(rig.said(client)),
+            events[..=i].concat(),
+            "passed on as it comes"
+        );
     }
     assert!(!rig.said(client).ends_with("0\r\n\r\n"));
     rig.text(writer, "0\r\n\r\n");
-    assert!(rig.said(client).ends_with("0\r\n\r\n"), "the end is passed on at once");
+    assert!(
+        rig.said(client).ends_with("0\r\n\r\n"),
+        "the end is passed on at once"
+    );
     assert_eq!(rig.node.counts().served, 1);
     // Both connections serve on, once they have rested.
     rig.pass(REST_S);
@@ -34,12 +41,20 @@
     rig.text(client, &request("aa", "ask", 4800));
     rig.pass(0.02);
     rig.read_done();
-    assert_eq!(rig.connects.len() - before, 0, "no new connection was needed");
+    assert_eq!(
+        rig.connects.len() - before,
+        0,
+        "no new connection was needed"
+    );
 }
 
 /// Milliseconds that a host is told to have.
 fn told_ms(call: &Call) -> f64 {
-    let field = call.text.split("Req-Deadline-Ms: ").nth(1).and_then(|t| t.split("\r\n").next());
+    let field = call
+        .text
+        .split("Req-Deadline-Ms: ")
+        .nth(1)
+        .and_then(|t| t.split("\r\n").next());
     field.expect("a field").parse().expect("a number")
 }
 
@@ -57,10 +72,19 @@
 /// further attempts, whatever time the client began with.
 #[test]
 fn the_time_passed_on_is_what_is_left_once_the_connection_is_up() {
-    for (deadline_ms, late_s) in [(4800, 0.24), (4800, 0.0), (1000, 0.24), (99_999, 0.2), (10_100, 0.2)] {
+    for (deadline_ms, late_s) in [
+        (4800, 0.24),
+        (4800, 0.0),
+        (1000, 0.24),
+        (99_999, 0.2),
+        (10_100, 0.2),
+    ] {
         for further in [false, true] {
             let mut rig = Rig::new();
-            rig.dead = hosts().iter().map(|h| h.1.parse().expect("an address")).collect();
+            rig.dead = hosts()
+                .iter()
+                .map(|h| h.1.parse().expect("an address"))
+                .collect();
             let client = rig.client();
             rig.text(client, &request("late", "ask", deadline_ms));
             rig.pass(0.02);
@@ -72,8 +96,13 @@
             }
             rig.pass(late_s);
             passed_s += late_s;
-            let (conn, _) =
-                rig.connects.iter().rev().find(|c| !rig.closed.contains(&c.0)).copied().expect("dialled");
+            let (conn, _) = rig
+                .connects
+                .iter()
+                .rev()
+                .find(|c| !rig.closed.contains(&c.0))
+                .copied()
+                .expect("dialled");
             rig.tell(Input::Connected { conn });
             let left_ms = deadline_ms as f64 - passed_s * 1e3;
             let told = told_ms(&rig.last(Call::is_read));
@@ -89,20 +118,35 @@
 #[test]
 fn a_request_written_late_is_written_once_its_last_byte_has_left() {
     let mut rig = Rig::new();
-    rig.dead = hosts().iter().map(|h| h.1.parse().expect("an address")).collect();
+    rig.dead = hosts()
+        .iter()
+        .map(|h| h.1.parse().expect("an address"))
+        .collect();
     let client = rig.client();
     rig.text(client, &request("u", "book", 10_100));
     rig.pass(0.2);
-    let (conn, to) =
-        rig.connects.iter().rev().find(|c| !rig.closed.contains(&c.0)).copied().expect("dialled");
+    let (conn, to) = rig
+        .connects
+        .iter()
+        .rev()
+        .find(|c| !rig.closed.contains(&c.0))
+        .copied()
+        .expect("dialled");
     rig.stuck.insert(to);
     rig.tell(Input::Connected { conn });
     let length = rig.last(Call::is_read).text.len();
-    rig.tell(Input::Wrote { conn, count: length - 1 });
+    rig.tell(Input::Wrote {
+        conn,
+        count: length - 1,
+    });
     rig.stuck.clear();
     rig.dead.clear();
     rig.tell(Input::Ended { conn });
-    assert_eq!(rig.count(Call::is_read), 2, "a byte was missing: it never ran, and is read elsewhere");
+    assert_eq!(
+        rig.count(Call::is_read),
+        2,
+        "a byte was missing: it never ran, and is read elsewhere"
+    );
     let second = rig.last(Call::is_read).conn;
     rig.tell(Input::Ended { conn: second });
     assert_eq!(rig.count(Call::is_read), 2, "the last byte had left");
@@ -117,11 +161,27 @@
     let table: [(&str, &str, bool); 7] = [
         ("declined", &declined, true),
         ("state gone", &moved, true),
-        ("declined in time", "HTTP/1.1 504 Late\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", true),
-        ("error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false),
-        ("503 without the header", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false),
+        (
+            "declined in time",
+            "HTTP/1.1 504 Late\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n",
+            true,
+        ),
+        (
+            "error",
+            "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
+            false,
+        ),
+        (
+            "503 without the header",
+            "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+            false,
+        ),
         ("noise", "\x01\x02 what\r\n\r\n", false),
-        ("a stream without events", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", false),
+        (
+            "a stream without events",
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+            false,
+        ),
     ];
     for (name, answer, never_ran) in table {
         let mut rig = Rig::new();
@@ -129,9 +189,16 @@
         let before = rig.count(|c| c.line().starts_with("POST"));
         rig.text(writer, answer);
         let again = rig.count(|c| c.line().starts_with("POST")) > before;
-        assert_eq!(again, never_ran, "{name}: an unsafe request is sent again only if it never ran");
+        assert_eq!(
+            again, never_ran,
+            "{name}: an unsafe request is sent again only if it never ran"
+        );
         if !never_ran {
-            assert_eq!(rig.status(client), "504", "{name}: failed at once, not refused");
+            assert_eq!(
+                rig.status(client),
+                "504",
+                "{name}: failed at once, not refused"
+            );
             assert!(!rig.said(client).contains("Retry-After"), "{name}");
         }
     }
@@ -142,8 +209,10 @@
     for stuck in [true, false] {
         let mut rig = Rig::new();
         if stuck {
-            rig.stuck.extend(["127.0.1.3:80".parse().unwrap(), "127.0.1.4:80".parse().unwrap()]
-                as [std::net::SocketAddr; 2]);
+            rig.stuck.extend([
+                "127.0.1.3:80".parse().unwrap(),
+                "127.0.1.4:80".parse().unwrap(),
+            ] as [std::net::SocketAddr; 2]);
         }
         let (client, writer) = rig.at_writer("u2", "book");
         let before = rig.count(Call::is_write);
@@ -157,12 +226,18 @@
 fn a_connection_that_never_comes_up_ends_by_time_and_another_host_is_tried() {
     let mut rig = Rig::new();
     rig.answers_probes = false;
-    rig.dead.extend(
-        ["127.0.1.3:80".parse().unwrap(), "127.0.1.4:80".parse().unwrap()] as [std::net::SocketAddr; 2]
-    );
+    rig.dead.extend([
+        "127.0.1.3:80".parse().unwrap(),
+        "127.0.1.4:80".parse().unwrap(),
+    ] as [std::net::SocketAddr; 2]);
     rig.ask("c1", "book");
     rig.read_done();
-    let dials = |rig: &Rig| rig.connects.iter().filter(|c| rig.dead.contains(&c.1)).count();
+    let dials = |rig: &Rig| {
+        rig.connects
+            .iter()
+            .filter(|c| rig.dead.contains(&c.1))
+            .count()
+    };
     let first = dials(&rig);
     rig.pass(0.3);
     assert!(dials(&rig) > first, "the other writer, or the same again");
@@ -173,21 +248,41 @@
 fn a_drain_told_while_a_connection_comes_up_keeps_the_request_from_it() {
     let mut rig = Rig::new();
     rig.answers_probes = false;
-    rig.dead.extend(
-        ["127.0.1.3:80".parse().unwrap(), "127.0.1.4:80".parse().unwrap()] as [std::net::SocketAddr; 2]
-    );
+    rig.dead.extend([
+        "127.0.1.3:80".parse().unwrap(),
+        "127.0.1.4:80".parse().unwrap(),
+    ] as [std::net::SocketAddr; 2]);
     rig.ask("d1", "ask");
     rig.read_done();
-    let (conn, to) = *rig.connects.iter().rev().find(|c| rig.dead.contains(&c.1)).expect("a dial");
-    let uid = if to.ip().to_string() == "127.0.1.3" { "h-w1" } else { "h-w2" };
-    let drained = list(8, false, &[target(uid, &to.to_string(), "writes", "terminating")]);
+    let (conn, to) = *rig
+        .connects
+        .iter()
+        .rev()
+        .find(|c| rig.dead.contains(&c.1))
+        .expect("a dial");
+    let uid = if to.ip().to_string() == "127.0.1.3" {
+        "h-w1"
+    } else {
+        "h-w2"
+    };
+    let drained = list(
+        8,
+        false,
+        &[target(uid, &to.to_string(), "writes", "terminating")],
+    );
     let watch = rig.connects[0].0;
     rig.text(
         watch,
-        &format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(&format!("{drained}\n"))),
+        &format!(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
+            chunk(&format!("{drained}\n"))
+        ),
     );
     rig.tell(Input::Connected { conn });
-    assert!(!rig.calls.iter().any(|c| c.conn == conn), "nothing is written to a host that drains");
+    assert!(
+        !rig.calls.iter().any(|c| c.conn == conn),
+        "nothing is written to a host that drains"
+    );
     assert!(rig.closed.contains(&conn));
 }
 
@@ -212,8 +307,15 @@
         assert!(rig.finished.contains(&client), "{name}: at once");
         assert!(!rig.said(client).ends_with("0\r\n\r\n"), "{name}");
         assert_eq!(unchunk(rig.said(client)), event("one"), "{name}");
-        assert_eq!(rig.count(Call::is_write), writes, "{name}: nothing more is sent");
-        assert!(bytes.is_none() || rig.closed.contains(&writer), "{name}: not used again");
+        assert_eq!(
+            rig.count(Call::is_write),
+            writes,
+            "{name}: nothing more is sent"
+        );
+        assert!(
+            bytes.is_none() || rig.closed.contains(&writer),
+            "{name}: not used again"
+        );
     }
 }
 
@@ -234,7 +336,10 @@
 fn a_second_answer_behind_a_good_one_is_dropped_with_its_connection() {
     let mut rig = Rig::new();
     let (client, writer) = rig.at_writer("s3", "ask");
-    let all = format!("{STREAM_HEAD}{}0\r\n\r\nHTTP/1.1 200 OK\r\n\r\nmore", chunk(&event("one")));
+    let all = format!(
+        "{STREAM_HEAD}{}0\r\n\r\nHTTP/1.1 200 OK\r\n\r\nmore",
+        chunk(&event("one"))
+    );
     rig.text(writer, &all);
     assert_eq!(unchunk(rig.said(client)), event("one"));
     assert!(rig.said(client).ends_with("0\r\n\r\n"));
@@ -245,7 +350,10 @@
 fn what_comes_on_an_idle_connection_ends_it() {
     let mut rig = Rig::new();
     let (_, writer) = rig.at_writer("s4", "ask");
-    rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+    rig.text(
+        writer,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    );
     assert!(!rig.closed.contains(&writer));
     rig.text(writer, "HTTP/1.1 200 OK\r\n\r\n");
     assert!(rig.closed.contains(&writer));
@@ -261,13 +369,23 @@
         let reader = rig.last(Call::is_read);
         rig.text(reader.conn, &twice);
         // All that is asked meanwhile needs the same reader.
-        rig.dead = hosts().iter().map(|h| h.1.parse().expect("an address")).collect();
+        rig.dead = hosts()
+            .iter()
+            .map(|h| h.1.parse().expect("an address"))
+            .collect();
         let client = rig.client();
         rig.text(client, &request("second", "book", 4800));
         rig.pass(late_s);
-        assert_eq!(rig.count(|c| c.is_read() && c.text.contains("second")), 0, "it does not go out there");
+        assert_eq!(
+            rig.count(|c| c.is_read() && c.text.contains("second")),
+            0,
+            "it does not go out there"
+        );
         rig.text(reader.conn, &twice);
-        assert!(rig.closed.contains(&reader.conn), "{late_s}: nothing is sent on it any more");
+        assert!(
+            rig.closed.contains(&reader.conn),
+            "{late_s}: nothing is sent on it any more"
+        );
     }
 }
 
@@ -275,9 +393,17 @@
 fn all_stale() -> Rig {
     let mut rig = Rig::new();
     let (_, writer) = rig.at_writer("first", "ask");
-    rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+    rig.text(
+        writer,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    );
     rig.pass(REST_S);
-    rig.stale = rig.connects.iter().map(|c| c.0).filter(|c| !rig.closed.contains(c)).collect();
+    rig.stale = rig
+        .connects
+        .iter()
+        .map(|c| c.0)
+        .filter(|c| !rig.closed.contains(c))
+        .collect();
     assert!(rig.stale.len() >= 2);
     rig
 }
@@ -290,10 +416,25 @@
         let mut rig = all_stale();
         let stale = rig.stale.clone();
         let (client, writer) = rig.at_writer("second", kind);
-        assert!(rig.stale.len() < stale.len(), "{kind}: one was tried and found stale");
-        assert!(rig.calls.iter().rev().take(2).all(|c| !stale.contains(&c.conn)));
-        assert_eq!(rig.count(|c| c.text.contains("Req-Id: second")), 2, "{kind}: one read and one write");
-        rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("two"))));
+        assert!(
+            rig.stale.len() < stale.len(),
+            "{kind}: one was tried and found stale"
+        );
+        assert!(rig
+            .calls
+            .iter()
+            .rev()
+            .take(2)
+            .all(|c| !stale.contains(&c.conn)));
+        assert_eq!(
+            rig.count(|c| c.text.contains("Req-Id: second")),
+            2,
+            "{kind}: one read and one write"
+        );
+        rig.text(
+            writer,
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("two"))),
+        );
         assert!(rig.said(client).ends_with("0\r\n\r\n"));
         assert_eq!(rig.node.counts().attempts, 4, "as the module counts them");
     }
@@ -303,7 +444,10 @@
 #[test]
 fn a_stale_connection_is_replaced_for_what_is_still_wanted_alone() {
     let mut rig = all_stale();
-    rig.dead = hosts().iter().map(|h| h.1.parse().expect("an address")).collect();
+    rig.dead = hosts()
+        .iter()
+        .map(|h| h.1.parse().expect("an address"))
+        .collect();
     let client = rig.client();
     rig.text(client, &request("second", "ask", 4800));
     rig.pass(0.02);
@@ -324,7 +468,10 @@
     let client = rig.ask("l1", "ask");
     let read = rig.last(Call::is_read);
     let more = "Srv-Load: queue=\u{e9}NaN,,=\r\n";
-    rig.text(read.conn, &plain("202 Accepted", more, r#"{"cached_tokens":"many"}"#));
+    rig.text(
+        read.conn,
+        &plain("202 Accepted", more, r#"{"cached_tokens":"many"}"#),
+    );
     let writer = rig.last(Call::is_write).conn;
     rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
     rig.text(writer, &chunk(": Srv-Load: util=one\n\n"));
@@ -345,8 +492,14 @@
     }
     assert!(rig.paused.contains(&writer), "its host is read no further");
     rig.pass(6.0);
-    assert!(!rig.finished.contains(&client), "the host has not fallen silent: it is not read");
-    rig.tell(Input::Wrote { conn: client, count: 190_000 });
+    assert!(
+        !rig.finished.contains(&client),
+        "the host has not fallen silent: it is not read"
+    );
+    rig.tell(Input::Wrote {
+        conn: client,
+        count: 190_000,
+    });
     assert!(!rig.paused.contains(&writer));
 }
 
@@ -361,7 +514,11 @@
     rig.text(client, body);
     rig.pass(0.02);
     assert_eq!(rig.count(Call::is_read), 1);
-    assert!(!rig.last(Call::is_read).text.to_lowercase().contains("expect"));
+    assert!(!rig
+        .last(Call::is_read)
+        .text
+        .to_lowercase()
+        .contains("expect"));
 }
 
 #[test]
@@ -373,11 +530,17 @@
     rig.text(writer, &chunk(&event(&"x".repeat(150_000))));
     rig.pass(15.0);
     assert!(!rig.closed.contains(&client));
-    rig.tell(Input::Wrote { conn: client, count: 10 });
+    rig.tell(Input::Wrote {
+        conn: client,
+        count: 10,
+    });
     rig.pass(15.0);
     assert!(!rig.closed.contains(&client), "it takes a little");
     rig.pass(6.0);
-    assert!(rig.closed.contains(&client) && rig.closed.contains(&writer), "its host's slot is free again");
+    assert!(
+        rig.closed.contains(&client) && rig.closed.contains(&writer),
+        "its host's slot is free again"
+    );
 }
 
 #[test]
@@ -399,14 +562,21 @@
     rig.pass(4.9);
     assert_eq!(rig.status(client), "504");
     rig.pass(10.0);
-    assert_eq!(rig.said(client).matches("HTTP/1.1").count(), 1, "one final answer");
+    assert_eq!(
+        rig.said(client).matches("HTTP/1.1").count(),
+        1,
+        "one final answer"
+    );
 }
 
 #[test]
 fn refusals_leave_at_once_and_say_when_to_come_back() {
     let mut rig = Rig::new();
     let watch = rig.connects[0].0;
-    let drained: Vec<String> = hosts().iter().map(|h| target(h.0, h.1, h.2, "terminating")).collect();
+    let drained: Vec<String> = hosts()
+        .iter()
+        .map(|h| target(h.0, h.1, h.2, "terminating"))
+        .collect();
     rig.text(
         watch,
         &format!(
@@ -417,8 +587,16 @@
     let client = rig.client();
     rig.text(client, &request("r1", "book", 12_000));
     assert_eq!(rig.status(client), "503");
-    let told = rig.said(client).split("Retry-After: ").nth(1).expect("a time to come back");
-    let seconds: f64 = told.split("\r\n").next().and_then(|s| s.parse().ok()).expect("seconds");
+    let told = rig
+        .said(client)
+        .split("Retry-After: ")
+        .nth(1)
+        .expect("a time to come back");
+    let seconds: f64 = told
+        .split("\r\n")
+        .next()
+        .and_then(|s| s.parse().ok())
+        .expect("seconds");
     assert!(seconds > 0.0 && seconds <= 2.0);
 }
 
@@ -433,8 +611,14 @@
     rig.text(writer, &format!("{STREAM_HEAD}{long}"));
     assert!(!rig.paused.contains(&writer), "it is not much yet");
     rig.text(writer, &format!("{long}0\r\n\r\n"));
-    assert!(!rig.closed.contains(&writer) && !rig.paused.contains(&writer), "kept, and read");
-    rig.tell(Input::Wrote { conn: client, count: rig.said(client).len() });
+    assert!(
+        !rig.closed.contains(&writer) && !rig.paused.contains(&writer),
+        "kept, and read"
+    );
+    rig.tell(Input::Wrote {
+        conn: client,
+        count: rig.said(client).len(),
+    });
     assert!(!rig.paused.contains(&writer));
     assert!(rig.said(client).ends_with("0\r\n\r\n"));
 }
@@ -443,9 +627,12 @@
 /// told, it is answered within its own deadline, and one whose time is over by then is never sent on.
 #[test]
 fn the_time_of_a_request_sent_ahead_runs_from_its_own_last_byte() {
-    for (behind_s, cut, left_ms) in
-        [(1.0, false, Some(3800.0)), (1.0, true, Some(3900.0)), (4.7, false, Some(100.0)), (4.9, false, None)]
-    {
+    for (behind_s, cut, left_ms) in [
+        (1.0, false, Some(3800.0)),
+        (1.0, true, Some(3900.0)),
+        (4.7, false, Some(100.0)),
+        (4.9, false, None),
+    ] {
         let mut rig = Rig::new();
         let (client, writer) = rig.at_writer("first", "ask");
         rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
@@ -464,17 +651,32 @@
         }
         rig.text(writer, "0\r\n\r\n");
         rig.pass(0.001);
-        let sent = rig.calls.iter().rev().find(|c| c.is_read() && c.text.contains("second")).cloned();
+        let sent = rig
+            .calls
+            .iter()
+            .rev()
+            .find(|c| c.is_read() && c.text.contains("second"))
+            .cloned();
         let case = format!("{behind_s} s behind, cut {cut}");
         match (left_ms, sent) {
             (Some(left_ms), Some(call)) => {
                 let told = told_ms(&call);
-                assert!(told <= left_ms && told > left_ms - 10.0, "{case}: told {told}, left {left_ms}");
+                assert!(
+                    told <= left_ms && told > left_ms - 10.0,
+                    "{case}: told {told}, left {left_ms}"
+                );
             }
             // Too late for an aim it may be refused; what has no time left is.
             (left_ms, sent) => {
-                assert!(sent.is_none() && left_ms.is_none_or(|ms| ms < 1500.0), "{case}");
-                assert!(rig.said(client).contains("HTTP/1.1 503"), "{case}: {}", rig.said(client));
+                assert!(
+                    sent.is_none() && left_ms.is_none_or(|ms| ms < 1500.0),
+                    "{case}"
+                );
+                assert!(
+                    rig.said(client).contains("HTTP/1.1 503"),
+                    "{case}: {}",
+                    rig.said(client)
+                );
             }
         }
     }
@@ -491,12 +693,23 @@
         rig.now = rig.now.after(4.5);
         rig.read_done();
         rig.tell(Input::Tick);
-        assert_eq!((rig.count(Call::is_read), rig.count(Call::is_write)), (1, 1), "not read twice");
+        assert_eq!(
+            (rig.count(Call::is_read), rig.count(Call::is_write)),
+            (1, 1),
+            "not read twice"
+        );
         // The same of the first event and the client's deadline.
         let writer = rig.last(Call::is_write).conn;
         rig.now = rig.now.after(0.3);
-        rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+        rig.text(
+            writer,
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        );
         rig.tell(Input::Tick);
-        assert!(rig.said(client).ends_with("0\r\n\r\n"), "{}", rig.said(client));
+        assert!(
+            rig.said(client).ends_with("0\r\n\r\n"),
+            "{}",
+            rig.said(client)
+        );
     }
 }
--- a/crates/platform/tests/start_times.rs
+++ b/crates/platform/tests/start_times.rs
@@ -19,24 +19,39 @@
 
 fn call(rig: &Rig) -> bitternlatch_platform::types::ConnId {
     let to = DISCOVERY.parse().expect("an address");
-    rig.connects.iter().rev().find(|c| c.1 == to).expect("a watch").0
+    rig.connects
+        .iter()
+        .rev()
+        .find(|c| c.1 == to)
+        .expect("a watch")
+        .0
 }
 
 /// The age of the new host that the module was told last, seconds.
 fn told_age_s(rig: &mut Rig) -> f64 {
-    let mut told = rig.node.take_trace().into_iter().filter_map(|traced| match traced.event {
-        Event::Servers { entries, .. } => {
-            entries.into_iter().max_by(|a, b| a.booted_at.total_cmp(&b.booted_at))
-        }
-        _ => None,
-    });
+    let mut told = rig
+        .node
+        .take_trace()
+        .into_iter()
+        .filter_map(|traced| match traced.event {
+            Event::Servers { entries, .. } => entries
+                .into_iter()
+                .max_by(|a, b| a.booted_at.total_cmp(&b.booted_at)),
+            _ => None,
+        });
     rig.now.seconds() - told.next_back().expect("a list was told").booted_at
 }
 
 #[test]
 fn a_start_that_is_told_while_the_watch_runs_is_no_older_than_what_was_heard_before() {
     // What is listed, and what it is taken for: a start may be told some seconds late.
-    let table = [(0.5, 0.5), (8.0, 8.0), (HOUR_S, 0.0), (-HOUR_S, 0.0), (-7.0, 0.0)];
+    let table = [
+        (0.5, 0.5),
+        (8.0, 8.0),
+        (HOUR_S, 0.0),
+        (-HOUR_S, 0.0),
+        (-7.0, 0.0),
+    ];
     for (listed_s, taken_s) in table {
         let mut rig = Rig::tracing();
         let conn = call(&rig);
@@ -70,14 +85,17 @@
         let known = text.find(r#""known":"#).expect("what it knows");
         let settings = text.find(r#""settings":"#).expect("its settings");
         let text = format!("{}\"known\":null,{}", &text[..known], &text[settings..]);
-        let config = bitternlatch_platform::config::Config::parse(&text).expect("the test's configuration");
+        let config =
+            bitternlatch_platform::config::Config::parse(&text).expect("the test's configuration");
         let mut out = Vec::new();
         let node = Node::traced(START, config, &mut out);
         let mut rig = Rig::begun(node, out);
         let conn = call(&rig);
         rig.text(conn, HEAD);
         let others = hosts().into_iter().filter(|_| others_long_ago);
-        let mut all: Vec<String> = others.map(|h| target(h.0, h.1, h.2, "in_service")).collect();
+        let mut all: Vec<String> = others
+            .map(|h| target(h.0, h.1, h.2, "in_service"))
+            .collect();
         all.push(started(&rig, listed_s));
         rig.text(conn, &chunk(&format!("{}\n", list(8, true, &all))));
         let told_s = told_age_s(&mut rig);
@@ -101,8 +119,17 @@
             rig.pass(1.0);
             rig.text(conn, &chunk("\n"));
         }
-        rig.text(conn, &chunk(&format!("{}\n", list(rev, false, std::slice::from_ref(&new)))));
+        rig.text(
+            conn,
+            &chunk(&format!(
+                "{}\n",
+                list(rev, false, std::slice::from_ref(&new))
+            )),
+        );
         let told_s = told_age_s(&mut rig);
-        assert!((told_s - taken_s).abs() < 0.01, "version {rev}: {told_s:.3} for {taken_s}");
+        assert!(
+            (told_s - taken_s).abs() < 0.01,
+            "version {rev}: {told_s:.3} for {taken_s}"
+        );
     }
 }
--- a/crates/platform/tests/stop.rs
+++ b/crates/platform/tests/stop.rs
@@ -64,7 +64,11 @@
             assert!(!rig.finished.contains(&client) && !rig.stopped, "{case}");
             rig.pass(0.02);
             serve(&mut rig, "second", "two");
-            assert!(rig.said(client).contains("two"), "{case}: {}", rig.said(client));
+            assert!(
+                rig.said(client).contains("two"),
+                "{case}: {}",
+                rig.said(client)
+            );
             assert!(rig.finished.contains(&client), "{case}: then it ends");
             // What was held has been released by then: nothing is left to wait for.
             rig.pass(0.1);
@@ -86,7 +90,11 @@
     assert!(rig.said(client).ends_with("0\r\n\r\n"));
     assert!(rig.finished.contains(&client) && rig.stopped);
     rig.text(client, &ahead[ahead.len() - 1..]);
-    assert_eq!(rig.count(|c| c.text.contains("Req-Id: second")), 0, "never sent on");
+    assert_eq!(
+        rig.count(|c| c.text.contains("Req-Id: second")),
+        0,
+        "never sent on"
+    );
 }
 
 /// Those who wait to be accepted as listening ends are taken first, and what they have asked is answered.
@@ -96,7 +104,10 @@
     rig.holds_listening = true;
     rig.tell(Input::Stop);
     rig.pass(0.6);
-    assert!(rig.deaf && !rig.stopped, "it waits until nobody is left to be taken");
+    assert!(
+        rig.deaf && !rig.stopped,
+        "it waits until nobody is left to be taken"
+    );
     let client = rig.ask("queued", "ask");
     let quiet = rig.client();
     rig.tell(Input::NotListening);
@@ -109,17 +120,34 @@
 /// The kill comes as early as 0.7 s after the longest deadline, or 3.7 s after the signal.
 #[test]
 fn the_steps_of_a_stop_fit_before_the_earliest_kill() {
-    for (longest_deadline_s, kill_s) in
-        [(12.0, 3.7), (3.0, 3.7), (2.0, 2.7), (1.0, 1.7), (0.5, 1.2), (0.0, 0.7)]
-    {
+    for (longest_deadline_s, kill_s) in [
+        (12.0, 3.7),
+        (3.0, 3.7),
+        (2.0, 2.7),
+        (1.0, 1.7),
+        (0.5, 1.2),
+        (0.0, 0.7),
+    ] {
         for resumes in [true, false] {
-            let Schedule { deaf_s, last_answer_s, streams_end_s } =
-                Schedule::new(longest_deadline_s, resumes);
+            let Schedule {
+                deaf_s,
+                last_answer_s,
+                streams_end_s,
+            } = Schedule::new(longest_deadline_s, resumes);
             let case = format!("{longest_deadline_s} s, resumes {resumes}");
-            assert!((0.4..0.7).contains(&deaf_s), "{case}: new connections come for 0.4 s");
-            assert!((deaf_s..kill_s - 0.1).contains(&last_answer_s), "{case}: {last_answer_s}");
+            assert!(
+                (0.4..0.7).contains(&deaf_s),
+                "{case}: new connections come for 0.4 s"
+            );
+            assert!(
+                (deaf_s..kill_s - 0.1).contains(&last_answer_s),
+                "{case}: {last_answer_s}"
+            );
             assert_eq!(streams_end_s.is_some(), resumes, "{case}");
-            assert!(streams_end_s.is_none_or(|at| (deaf_s..kill_s - 0.1).contains(&at)), "{case}");
+            assert!(
+                streams_end_s.is_none_or(|at| (deaf_s..kill_s - 0.1).contains(&at)),
+                "{case}"
+            );
         }
     }
 }
@@ -138,7 +166,10 @@
     rig.pass(1.0);
     rig.text(client, &ahead[60..]);
     rig.pass(1.15);
-    assert!(!rig.said(client).is_empty(), "2.15 s after the signal, 0.05 s before the kill");
+    assert!(
+        !rig.said(client).is_empty(),
+        "2.15 s after the signal, 0.05 s before the kill"
+    );
 }
 
 /// Where clients do not ask for the rest, a stream that is cut while its events come is a lost request.
@@ -169,11 +200,17 @@
         rig.text(client, &whole[..at]);
         rig.tell(Input::Stop);
         rig.pass(0.7);
-        assert!(rig.deaf && !rig.stopped && !rig.finished.contains(&client), "cut at {at}: it is waited for");
+        assert!(
+            rig.deaf && !rig.stopped && !rig.finished.contains(&client),
+            "cut at {at}: it is waited for"
+        );
         rig.text(client, &whole[at..]);
         rig.pass(0.02);
         serve(&mut rig, "cut", "one");
-        assert!(rig.said(client).ends_with("0\r\n\r\n") && rig.finished.contains(&client), "cut at {at}");
+        assert!(
+            rig.said(client).ends_with("0\r\n\r\n") && rig.finished.contains(&client),
+            "cut at {at}"
+        );
         assert!(rig.stopped, "cut at {at}");
     }
 }
@@ -198,7 +235,10 @@
         }
         let before = rig.count(Call::is_write);
         rig.pass(0.4);
-        assert!(rig.count(Call::is_write) > before, "asked again, stop first {stop_first}");
+        assert!(
+            rig.count(Call::is_write) > before,
+            "asked again, stop first {stop_first}"
+        );
         let writer = rig.last(Call::is_write).conn;
         rig.text(writer, &stream("one"));
         assert!(rig.said(client).ends_with("0\r\n\r\n"));
@@ -212,8 +252,8 @@
     for stop_first in [true, false] {
         let mut rig = Rig::new();
         let client = rig.ask("moved", "ask");
-        let config =
-            Config::parse(&config_json(256).replace("127.0.2.1:8500", "127.0.2.2:8500")).expect("a file");
+        let config = Config::parse(&config_json(256).replace("127.0.2.1:8500", "127.0.2.2:8500"))
+            .expect("a file");
         if stop_first {
             rig.tell(Input::Stop);
             rig.reload(config);
@@ -223,11 +263,22 @@
         }
         let (watch, to) = *rig.connects.last().expect("a watch");
         assert_eq!(to.to_string(), "127.0.2.2:8500");
-        rig.text(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        let drains = list(8, false, &[target("h-w1", "127.0.1.3:80", "writes", "terminating")]);
+        rig.text(
+            watch,
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+        );
+        let drains = list(
+            8,
+            false,
+            &[target("h-w1", "127.0.1.3:80", "writes", "terminating")],
+        );
         rig.text(watch, &chunk(&format!("{drains}\n")));
         rig.read_done();
-        assert_eq!(rig.last(Call::is_write).to.to_string(), "127.0.1.4:80", "stop first {stop_first}");
+        assert_eq!(
+            rig.last(Call::is_write).to.to_string(),
+            "127.0.1.4:80",
+            "stop first {stop_first}"
+        );
         let writer = rig.last(Call::is_write).conn;
         rig.text(writer, &stream("one"));
         assert!(rig.said(client).ends_with("0\r\n\r\n"));
@@ -260,6 +311,9 @@
     rig.pass(3.67);
     assert_eq!(rig.status(client), "504");
     let releases = rig.count(|c| c.line() == "DELETE /bootstrap/rooms/late HTTP/1.1");
-    assert!(rig.stopped && releases >= 2, "{releases}: before the limit, and after the close");
+    assert!(
+        rig.stopped && releases >= 2,
+        "{releases}: before the limit, and after the close"
+    );
     assert_eq!(rig.node.holds().releases, 0, "confirmed");
 }
--- a/crates/platform/tests/told.rs
+++ b/crates/platform/tests/told.rs
@@ -68,7 +68,12 @@
     }
 
     fn new(at: &'static str, fault: Fault, ill: (f64, f64)) -> Place {
-        Place { at, fault, ill, refused_from: ill.0 }
+        Place {
+            at,
+            fault,
+            ill,
+            refused_from: ill.0,
+        }
     }
 
     fn fault_at(&self, t: f64) -> Option<Fault> {
@@ -104,7 +109,11 @@
 /// A drain and a new host in one change.
 fn news() -> String {
     let old = target("h-r1", "127.0.1.1:80", "reads", "terminating");
-    list(8, false, &[old, target("h-r3", "127.0.1.5:80", "reads", "in_service")])
+    list(
+        8,
+        false,
+        &[old, target("h-r3", "127.0.1.5:80", "reads", "in_service")],
+    )
 }
 
 impl Stand {
@@ -145,10 +154,17 @@
         let t = self.time();
         while let Some((conn, to)) = self.rig.connects.get(self.seen.0).copied() {
             self.seen.0 += 1;
-            let Some(place) = self.places.iter().position(|p| p.address() == to) else { continue };
+            let Some(place) = self.places.iter().position(|p| p.address() == to) else {
+                continue;
+            };
             self.dials.push(t);
-            let open =
-                Open { place, called: false, ill: self.places[place].fault_at(t), told: false, next_at: t };
+            let open = Open {
+                place,
+                called: false,
+                ill: self.places[place].fault_at(t),
+                told: false,
+                next_at: t,
+            };
             self.open.insert(conn, open);
             if open.ill == Some(Fault::Refused) {
                 self.end(conn);
@@ -157,14 +173,22 @@
         while let Some(call) = self.rig.calls.get(self.seen.1).cloned() {
             self.seen.1 += 1;
             if call.line().contains("watch=1") {
-                assert!(call.line().contains("from=7 ") || self.told(), "{}", call.line());
-                let Some(open) = self.open.get_mut(&call.conn) else { continue };
+                assert!(
+                    call.line().contains("from=7 ") || self.told(),
+                    "{}",
+                    call.line()
+                );
+                let Some(open) = self.open.get_mut(&call.conn) else {
+                    continue;
+                };
                 open.called = true;
                 let ill = open.ill;
                 match ill {
-                    Some(Fault::Silent | Fault::TrickledHead | Fault::Refused | Fault::NeverUp) => {}
+                    Some(Fault::Silent | Fault::TrickledHead | Fault::Refused | Fault::NeverUp) => {
+                    }
                     Some(Fault::Error500) => {
-                        let answer = "HTTP/1.1 500 No\r\nRetry-After: 3600\r\nContent-Length: 0\r\n\r\n";
+                        let answer =
+                            "HTTP/1.1 500 No\r\nRetry-After: 3600\r\nContent-Length: 0\r\n\r\n";
                         self.rig.text(call.conn, answer);
                     }
                     _ => self.rig.text(call.conn, HEAD),
@@ -193,7 +217,9 @@
         let half = &whole[..whole.len() - 60];
         match fault {
             Fault::HalfLine | Fault::HalfLineKeptAlive => self.rig.text(conn, &chunk(half)),
-            Fault::Trickle => self.rig.text(conn, &chunk("{\"rev\":8,\"all\":false,\"targets\":[")),
+            Fault::Trickle => self
+                .rig
+                .text(conn, &chunk("{\"rev\":8,\"all\":false,\"targets\":[")),
             Fault::TrickledHead => self.rig.text(conn, "HTTP/1.1 200 OK\r\nServer: "),
             Fault::Ended => self.rig.text(conn, "0\r\n\r\n"),
             Fault::Unreadable => self.rig.text(conn, &chunk("{\"rev\":8,\"all\":perhaps}\n")),
@@ -206,7 +232,9 @@
             self.open.remove(&conn);
             return;
         }
-        let Some(open) = self.open.get(&conn).copied().filter(|o| o.called) else { return };
+        let Some(open) = self.open.get(&conn).copied().filter(|o| o.called) else {
+            return;
+        };
         if let (None, Some(fault)) = (open.ill, self.places[open.place].fault_at(t)) {
             return match fault {
                 Fault::Refused | Fault::Error500 => self.end(conn),
@@ -221,9 +249,20 @@
             Some(Fault::TrickledHead) if due => "x".to_string(),
             _ => return,
         };
-        let pause = if matches!(open.ill, Some(Fault::Trickle | Fault::TrickledHead)) { 0.1 } else { 2.0 };
+        let pause = if matches!(open.ill, Some(Fault::Trickle | Fault::TrickledHead)) {
+            0.1
+        } else {
+            2.0
+        };
         let told = open.ill.is_none() && t >= self.change_at;
-        self.open.insert(conn, Open { told, next_at: t + pause, ..open });
+        self.open.insert(
+            conn,
+            Open {
+                told,
+                next_at: t + pause,
+                ..open
+            },
+        );
         self.rig.text(conn, &text);
     }
 
@@ -290,7 +329,11 @@
                 let seed = (change_at * 10.0).round() as u64 + 1;
                 let mut stand = Stand::new(seed, &[place], change_at);
                 // While it is well discovery tells at once; from the fault on it counts from its return.
-                let had_at = if change_at < FAULT_AT { change_at } else { change_at.max(well_at) };
+                let had_at = if change_at < FAULT_AT {
+                    change_at
+                } else {
+                    change_at.max(well_at)
+                };
                 let case = format!("{fault:?} for {lasts} s, change at {change_at:.1} s");
                 match stand.until_told(had_at + 20.0) {
                     Some(at) => worst.take(at - had_at, case.clone()),
@@ -317,11 +360,19 @@
         for ill_at in [6.0, 6.4, 6.8, 7.2, 7.6].map(|after| FAULT_AT + after) {
             for lasts in tenths(0.1, 6.0) {
                 let well_at = ill_at + lasts;
-                let place = Place { refused_from: FAULT_AT, ..Place::new(OLD, fault, (ill_at, well_at)) };
+                let place = Place {
+                    refused_from: FAULT_AT,
+                    ..Place::new(OLD, fault, (ill_at, well_at))
+                };
                 let seed = (ill_at * 100.0 + lasts) as u64;
                 let mut stand = Stand::new(seed, &[place], FAULT_AT + 1.0);
-                let waited = stand.until_told(well_at + 20.0).map_or(20.0, |at| at - well_at);
-                worst.take(waited, format!("{fault:?} from {ill_at:.1} s for {lasts:.1} s"));
+                let waited = stand
+                    .until_told(well_at + 20.0)
+                    .map_or(20.0, |at| at - well_at);
+                worst.take(
+                    waited,
+                    format!("{fault:?} from {ill_at:.1} s for {lasts:.1} s"),
+                );
             }
         }
         println!("{:.2} s at the most: {}", worst.0, worst.1);
@@ -350,7 +401,8 @@
                 }
                 stand.reload(NEW);
                 let had_at = change_at.max(reload_at).max(new_well_at);
-                let case = format!("{fault:?}, reload at {reload_at:.1} s, change at {change_at:.2} s");
+                let case =
+                    format!("{fault:?}, reload at {reload_at:.1} s, change at {change_at:.2} s");
                 match stand.until_told(had_at + 20.0) {
                     Some(at) => worst.take(at - had_at, case.clone()),
                     None => worst.take(20.0, case.clone()),
@@ -381,13 +433,21 @@
 }
 
 fn spread(times: &[f64]) -> f64 {
-    let ends = times.iter().fold((f64::MAX, f64::MIN), |m, t| (m.0.min(*t), m.1.max(*t)));
+    let ends = times
+        .iter()
+        .fold((f64::MAX, f64::MIN), |m, t| (m.0.min(*t), m.1.max(*t)));
     ends.1 - ends.0
 }
 
 #[test]
 fn nodes_that_lose_their_watch_in_one_instant_do_not_call_again_in_step() {
-    for fault in [Fault::Refused, Fault::Error500, Fault::Silent, Fault::NeverUp, Fault::HalfLine] {
+    for fault in [
+        Fault::Refused,
+        Fault::Error500,
+        Fault::Silent,
+        Fault::NeverUp,
+        Fault::HalfLine,
+    ] {
         let mut dials: Vec<Vec<f64>> = Vec::new();
         for seed in 1..=300 {
             let place = Place::new(OLD, fault, (FAULT_AT, 1e9));
@@ -398,12 +458,27 @@
             while stand.time() < FAULT_AT + 64.0 && (minute || calls(&stand) < 8) {
                 stand.turn();
             }
-            let mut after: Vec<f64> = stand.dials.iter().copied().filter(|t| *t > FAULT_AT).collect();
-            let most =
-                after.iter().map(|t| after.iter().filter(|u| (0.0..60.0).contains(&(*u - t))).count()).max();
+            let mut after: Vec<f64> = stand
+                .dials
+                .iter()
+                .copied()
+                .filter(|t| *t > FAULT_AT)
+                .collect();
+            let most = after
+                .iter()
+                .map(|t| {
+                    after
+                        .iter()
+                        .filter(|u| (0.0..60.0).contains(&(*u - t)))
+                        .count()
+                })
+                .max();
             // From one call's begin to the next it is half a second at least once the back-off has grown.
             let bounds = if minute { 12..=125 } else { 8..=125 };
-            assert!(most.is_some_and(|n| bounds.contains(&n)), "{fault:?}: {most:?} calls in a minute");
+            assert!(
+                most.is_some_and(|n| bounds.contains(&n)),
+                "{fault:?}: {most:?} calls in a minute"
+            );
             after.truncate(8);
             assert_eq!(after.len(), 8, "{fault:?}");
             dials.push(after);
@@ -437,12 +512,20 @@
     };
     let one = config_json(256);
     assert_eq!(dials(&one), dials(&one));
-    assert_ne!(dials(&one), dials(&one.replace("\"name\":\"d0\"", "\"name\":\"d1\"")));
+    assert_ne!(
+        dials(&one),
+        dials(&one.replace("\"name\":\"d0\"", "\"name\":\"d1\""))
+    );
 }
 
 #[test]
 fn an_hour_without_discovery_leaves_few_lines_and_few_timers() {
-    for fault in [Fault::Refused, Fault::Error500, Fault::Silent, Fault::Unreadable] {
+    for fault in [
+        Fault::Refused,
+        Fault::Error500,
+        Fault::Silent,
+        Fault::Unreadable,
+    ] {
         let place = Place::new(OLD, fault, (FAULT_AT, 1e9));
         let mut stand = Stand::new(3, &[place], 1e9);
         while stand.time() < 60.0 {
@@ -454,8 +537,23 @@
         }
         let grown = stand.rig.node.holds().timers.saturating_sub(timers);
         assert!(grown <= 10, "{fault:?}: {grown} more timers");
-        let lines: Vec<&String> = stand.rig.logs.iter().filter(|l| l.contains("discovery")).collect();
-        assert!((1..=180).contains(&lines.len()), "{fault:?}: {} lines in an hour", lines.len());
-        assert!(lines.iter().all(|l| l.contains(OLD) && l.chars().count() < 300), "{:?}", lines[0]);
+        let lines: Vec<&String> = stand
+            .rig
+            .logs
+            .iter()
+            .filter(|l| l.contains("discovery"))
+            .collect();
+        assert!(
+            (1..=180).contains(&lines.len()),
+            "{fault:?}: {} lines in an hour",
+            lines.len()
+        );
+        assert!(
+            lines
+                .iter()
+                .all(|l| l.contains(OLD) && l.chars().count() < 300),
+            "{:?}",
+            lines[0]
+        );
     }
 }
--- a/crates/policy/src/choice/admission.rs
+++ b/crates/policy/src/choice/admission.rs
@@ -19,25 +19,48 @@
 
 impl Router {
     pub(super) fn on_arrival(&mut self, now: f64, mut ask: Request, out: &mut Actions) {
-        ask.class = ask.class.min(self.set.classes.len().saturating_sub(1) as u16);
+        ask.class = ask
+            .class
+            .min(self.set.classes.len().saturating_sub(1) as u16);
         ask.prompt_tokens = sane(ask.prompt_tokens).max(1.0);
         ask.prefix_tokens = sane(ask.prefix_tokens).min(ask.prompt_tokens);
         ask.max_output_tokens = sane(ask.max_output_tokens).max(1.0);
-        let told = ask.output_tokens.map(|t| (0.5 * sane(t.mean), sane(t.p90 - 0.5 * sane(t.mean))));
+        let told = ask
+            .output_tokens
+            .map(|t| (0.5 * sane(t.mean), sane(t.p90 - 0.5 * sane(t.mean))));
         let (mean, more) = told.unwrap_or((OUTPUT_SHARE * ask.max_output_tokens, 0.0));
         let tokens = (ask.prompt_tokens + mean, more);
         let (id, left) = (ask.id, sane(ask.time_left_s));
         let aim = self.aim(&ask);
         let over = self.over_share(now, ask.tenant);
-        let late_s = (aim * if over { OVER_SHARE_REFUSE_AT } else { REFUSE_AT }).min(left);
-        let key = if ask.prefix != 0 { ask.prefix } else { ask.session };
+        let late_s = (aim
+            * if over {
+                OVER_SHARE_REFUSE_AT
+            } else {
+                REFUSE_AT
+            })
+        .min(left);
+        let key = if ask.prefix != 0 {
+            ask.prefix
+        } else {
+            ask.session
+        };
         self.count_choice(Role::Reader);
         let same = self.recent.iter().filter(|k| **k == key).count() as f64;
         let alike = same / self.recent.len().max(1) as f64;
         self.recent.push_front(key);
         self.recent.truncate(RECENT_KEYS);
         let (deadline, promised) = (now + left, now + aim);
-        let job = Job { ask, key, alike, tokens, deadline, late_s, promised, ..Job::default() };
+        let job = Job {
+            ask,
+            key,
+            alike,
+            tokens,
+            deadline,
+            late_s,
+            promised,
+            ..Job::default()
+        };
         self.retries = (self.retries + RETRIES_EARNED).min(RETRIES_MOST);
         let homes = self.homes(now, &job, &self.scene(now));
         self.jobs.insert(id, job);
@@ -47,21 +70,45 @@
             return self.place(now, id, out);
         }
         let until = now + ASK_WAIT_S;
-        self.jobs.entry(id).and_modify(|j| (j.stage, j.asked) = (Stage::Asking(until), asked));
+        self.jobs
+            .entry(id)
+            .and_modify(|j| (j.stage, j.asked) = (Stage::Asking(until), asked));
         wake(id, until, out);
     }
 
     pub(super) fn place(&mut self, now: f64, id: RequestId, out: &mut Actions) {
         self.jobs.entry(id).and_modify(|j| j.stage = Stage::Idle);
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         let Some(e) = self.best_reader(job, now) else {
             return self.give_up(id, 1.0, Cause::NoPrefillServer, out);
         };
-        let (total_s, late_s, slip_s) = (e.total_s, job.late_s, self.slip(now).min(SLIP_MOST * e.total_s));
-        self.reckoned = (id, Reckoned { queue_s: e.queue_s, read_s: e.read_s, total_s, slip_s, late_s });
-        self.jobs.entry(id).and_modify(|j| j.promised = now + e.total_s);
+        let (total_s, late_s, slip_s) = (
+            e.total_s,
+            job.late_s,
+            self.slip(now).min(SLIP_MOST * e.total_s),
+        );
+        self.reckoned = (
+            id,
+            Reckoned {
+                queue_s: e.queue_s,
+                read_s: e.read_s,
+                total_s,
+                slip_s,
+                late_s,
+            },
+        );
+        self.jobs
+            .entry(id)
+            .and_modify(|j| j.promised = now + e.total_s);
         if total_s + slip_s > late_s {
-            return self.give_up(id, (total_s + slip_s - late_s).max(0.2), Cause::ExpectedLate, out);
+            return self.give_up(
+                id,
+                (total_s + slip_s - late_s).max(0.2),
+                Cause::ExpectedLate,
+                out,
+            );
         }
         self.send_read(now, id, e, out);
     }
@@ -72,7 +119,9 @@
         let pays = self.set.report_mode != ReportMode::Off && self.set.limits.may_probe;
         let mut asked = Vec::new();
         for &id in of.iter().take(if pays { PROBES } else { 0 }) {
-            let Some(s) = self.servers.get_mut(&id) else { continue };
+            let Some(s) = self.servers.get_mut(&id) else {
+                continue;
+            };
             if now - s.seen_at.max(s.probed_at) > PROBE_EVERY_S {
                 (s.probed_at, s.probe_out) = (now, true);
                 out.push(Action::Probe { server: id });
@@ -83,12 +132,27 @@
     }
 
     /// Probes a few writers that a read's state may go to, its own cell's first, while it is read.
-    pub(super) fn probe_writers(&mut self, now: f64, id: RequestId, reader: ServerId, out: &mut Actions) {
-        let (Some(job), Some(from)) = (self.jobs.get(&id), self.servers.get(&reader)) else { return };
+    pub(super) fn probe_writers(
+        &mut self,
+        now: f64,
+        id: RequestId,
+        reader: ServerId,
+        out: &mut Actions,
+    ) {
+        let (Some(job), Some(from)) = (self.jobs.get(&id), self.servers.get(&reader)) else {
+            return;
+        };
         let writes = |s: &&Server| s.role == Role::Writer && s.ready() && from.role == Role::Reader;
-        let rank = |s: &Server| (s.entry.cell != from.entry.cell, self.draw(job, s), s.entry.id);
-        let before =
-            |a: &(bool, f64, ServerId), b: &(bool, f64, ServerId)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1));
+        let rank = |s: &Server| {
+            (
+                s.entry.cell != from.entry.cell,
+                self.draw(job, s),
+                s.entry.id,
+            )
+        };
+        let before = |a: &(bool, f64, ServerId), b: &(bool, f64, ServerId)| {
+            a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
+        };
         // The first few of them in order, without ordering the others.
         let mut few: Vec<_> = Vec::with_capacity(PROBES + 1);
         for ranked in self.servers.values().filter(writes).map(rank) {
@@ -103,8 +167,14 @@
     /// How late first tokens come against the estimate at admission, whatever the cause. Harm: over-refusal.
     fn slip(&self, now: f64) -> f64 {
         let waits = |j: &&Job| !j.over && matches!(j.stage, Stage::Out | Stage::Held);
-        let ages = || self.jobs.values().filter(waits).map(|j| (now - j.promised).max(0.0));
-        fade(self.lateness, now, FADE_HALF_S).max(ages().sum::<f64>() / ages().count().max(1) as f64)
+        let ages = || {
+            self.jobs
+                .values()
+                .filter(waits)
+                .map(|j| (now - j.promised).max(0.0))
+        };
+        fade(self.lateness, now, FADE_HALF_S)
+            .max(ages().sum::<f64>() / ages().count().max(1) as f64)
     }
 
     /// Another part of what all share, from a moment on that may lie back; until then the last one counts.
@@ -118,13 +188,18 @@
         let slot = self.allowance.get_mut(tenant as usize)?;
         let part = self.set.tenants[tenant as usize].quota_rps * self.part;
         let burst = SHARE_BURST_S * part + SHARE_BURST;
-        *slot = ((slot.0 + (now - slot.1).max(0.0) * part).min(burst), now.max(slot.1));
+        *slot = (
+            (slot.0 + (now - slot.1).max(0.0) * part).min(burst),
+            now.max(slot.1),
+        );
         Some(slot)
     }
 
     /// Whether a tenant's traffic here runs above this router's part of its share.
     fn over_share(&mut self, now: f64, tenant: u32) -> bool {
-        let Some(slot) = self.fill_share(tenant, now) else { return false };
+        let Some(slot) = self.fill_share(tenant, now) else {
+            return false;
+        };
         let left = slot.0;
         slot.0 = (left - 1.0).max(0.0);
         left < 1.0
--- a/crates/policy/src/choice/decode.rs
+++ b/crates/policy/src/choice/decode.rs
@@ -21,30 +21,49 @@
 
     /// Seconds that answers pushed out of memory stand for, by told lengths. Harm: refuses before it is full.
     pub(super) fn crowd(&self, s: &Server, job: &Job, now: f64) -> f64 {
-        let Some(_) = job.ask.output_tokens else { return 0.0 };
+        let Some(_) = job.ask.output_tokens else {
+            return 0.0;
+        };
         let peak = s.own(|t| t.1) + job.tokens.0 + job.tokens.1;
         (self.load(s, now) + peak / s.memory - 1.0).max(0.0) * PUSHED_OUT_S
     }
 
     pub(super) fn best_writer(&self, job: &Job, now: f64) -> Option<ServerId> {
-        let from =
-            job.held.known().and_then(|at| self.servers.get(&at.0)).map(|s| (s.entry.cell, s.entry.zone));
+        let from = job
+            .held
+            .known()
+            .and_then(|at| self.servers.get(&at.0))
+            .map(|s| (s.entry.cell, s.entry.zone));
         let scene = self.scene(now);
-        let link = from.and_then(|(cell, _)| scene.cells.get(&cell)).map_or(0.0, |c| c.link);
+        let link = from
+            .and_then(|(cell, _)| scene.cells.get(&cell))
+            .map_or(0.0, |c| c.link);
         let price = |s: &Server| {
             let apart = match from {
                 Some((cell, _)) if cell == s.entry.cell => 0.0,
                 Some((_, zone)) if zone != s.entry.zone => 2.0 * CELL_MARGIN + link,
                 _ => CELL_MARGIN + link,
             };
-            let mixed = self.crowd(s, job, now) + f64::from(s.role == Role::Mixed) * 2.0 * CELL_MARGIN;
+            let mixed =
+                self.crowd(s, job, now) + f64::from(s.role == Role::Mixed) * 2.0 * CELL_MARGIN;
             let delay = s.overdue(now) + s.excess(now) + self.risk_s(s, job, now);
-            self.load(s, now) + self.write_wait(s, now) + delay + apart + mixed + SPREAD * self.draw(job, s)
+            self.load(s, now)
+                + self.write_wait(s, now)
+                + delay
+                + apart
+                + mixed
+                + SPREAD * self.draw(job, s)
         };
         let may = |s: &&Server| {
-            s.role != Role::Reader && self.usable(s, job, now) && self.cold_turn(s, job, &scene, false, now)
+            s.role != Role::Reader
+                && self.usable(s, job, now)
+                && self.cold_turn(s, job, &scene, false, now)
         };
-        let priced = self.servers.values().filter(may).map(|s| (price(s), s.entry.id));
+        let priced = self
+            .servers
+            .values()
+            .filter(may)
+            .map(|s| (price(s), s.entry.id));
         priced.min_by(|a, b| a.0.total_cmp(&b.0)).map(|best| best.1)
     }
 }
--- a/crates/policy/src/choice/health.rs
+++ b/crates/policy/src/choice/health.rs
@@ -11,19 +11,26 @@
 
 impl Router {
     pub(super) fn on_first(&mut self, now: f64, id: RequestId, server: ServerId, elapsed: f64) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         (job.stage, job.first_after) = (Stage::Streaming, sane(elapsed));
         job.held.taken();
         let slip = (now - job.promised).max(0.0);
         let before = fade(self.lateness, now, FADE_HALF_S);
         self.lateness = (before + 0.5 * BLEND * (slip - before), now);
-        let Some(s) = self.servers.get_mut(&server) else { return };
+        let Some(s) = self.servers.get_mut(&server) else {
+            return;
+        };
         if let Some(p) = s.pending.remove(&id) {
             let (seen, half) = match p.link {
                 None => (&mut s.excess, EXCESS_HALF_S),
                 Some(cell) => (self.links.entry(cell).or_default(), FADE_HALF_S),
             };
-            *seen = (0.5 * fade(*seen, now, half) + 0.5 * (now - p.due).max(0.0), now);
+            *seen = (
+                0.5 * fade(*seen, now, half) + 0.5 * (now - p.due).max(0.0),
+                now,
+            );
             s.streams.insert(id, p.tokens);
         }
         s.mark(now, false, elapsed);
@@ -37,16 +44,27 @@
             s.pending.remove(&end.request).is_some()
         });
         self.take_report(now, end.server, &end.report);
-        let Some(job) = self.jobs.get(&end.request).filter(|j| j.at == end.server) else { return };
+        let Some(job) = self.jobs.get(&end.request).filter(|j| j.at == end.server) else {
+            return;
+        };
         let (id, job) = (end.request, job.clone());
         self.judge(now, &end, &job, waited);
         let ran = self.execution(&end) == Execution::MayHaveRun;
-        let at_prefill = self.servers.get(&end.server).is_some_and(|s| s.role == Role::Reader);
-        let Some(j) = self.jobs.get_mut(&id) else { return };
+        let at_prefill = self
+            .servers
+            .get(&end.server)
+            .is_some_and(|s| s.role == Role::Reader);
+        let Some(j) = self.jobs.get_mut(&id) else {
+            return;
+        };
         j.may_have_run = j.may_have_run.or(ran.then_some((end.server, j.sent)));
         let expired = j.held.is_released();
         j.held.attempt_ended(now, &end, at_prefill);
-        j.stage = if j.held.known().is_some() { Stage::Held } else { Stage::Idle };
+        j.stage = if j.held.known().is_some() {
+            Stage::Held
+        } else {
+            Stage::Idle
+        };
         if end.finished || j.over {
             j.over = true;
             return self.finish(id, None, out);
@@ -63,14 +81,19 @@
             Outcome::TimedOut | Outcome::Cancelled if !cut && !job.over && waited => Some(true),
             _ => None,
         };
-        let Some(s) = self.servers.get_mut(&end.server) else { return };
+        let Some(s) = self.servers.get_mut(&end.server) else {
+            return;
+        };
         let whole = s.role != Role::Reader && job.held.known().is_none();
-        mark.into_iter().for_each(|bad| s.mark(now, bad, end.elapsed_s));
+        mark.into_iter()
+            .for_each(|bad| s.mark(now, bad, end.elapsed_s));
         match end.outcome {
             Outcome::TimedOut | Outcome::Cancelled if waited => {
                 s.excess = (s.excess(now).max(sane(end.elapsed_s)), now);
             }
-            Outcome::Full { state_gone: false } => s.shut_until = s.shut_until.max(now + FULL_PAUSE_S),
+            Outcome::Full { state_gone: false } => {
+                s.shut_until = s.shut_until.max(now + FULL_PAUSE_S)
+            }
             Outcome::ReadDone => {
                 self.learn_read(now, end, job, sane(end.elapsed_s));
                 self.answers[Role::Reader as usize].0 += 1.0;
@@ -86,19 +109,31 @@
     /// Harm: where two are wrong together it is passed by for a while, by a price or for a second.
     pub(super) fn on_hearsay(&mut self, now: f64, id: ServerId, told: (Sight, u32, u32, f64)) {
         let (sight, voices, of, age_s) = told;
-        let Some(s) = self.servers.get_mut(&id).filter(|_| voices >= 2) else { return };
+        let Some(s) = self.servers.get_mut(&id).filter(|_| voices >= 2) else {
+            return;
+        };
         match sight {
             Sight::Failing if s.heard < now - age_s => {
                 let (role, loss) = (s.role, fade(s.loss, now, FADE_HALF_S).max(HEARSAY_LOSS_S));
                 s.told_failing = now;
                 // Where many of its like are told to fail it is the way to them.
-                let like = || self.servers.values().filter(|s| s.role == role && s.ready());
-                let failing = like().filter(|s| now - s.told_failing < TOLD_FAILING_S).count() as f64;
+                let like = || {
+                    self.servers
+                        .values()
+                        .filter(|s| s.role == role && s.ready())
+                };
+                let failing = like()
+                    .filter(|s| now - s.told_failing < TOLD_FAILING_S)
+                    .count() as f64;
                 let few = failing <= 1.0 || failing <= TOLD_FAILING_MOST * like().count() as f64;
-                self.servers.entry(id).and_modify(|s| s.loss = if few { (loss, now) } else { s.loss });
+                self.servers
+                    .entry(id)
+                    .and_modify(|s| s.loss = if few { (loss, now) } else { s.loss });
             }
             Sight::Cold if s.entry.booted_at <= 0.0 => s.entry.booted_at = now - age_s,
-            Sight::Draining if 2 * voices > of => s.shut_until = s.shut_until.max(now + HEARSAY_DRAIN_S),
+            Sight::Draining if 2 * voices > of => {
+                s.shut_until = s.shut_until.max(now + HEARSAY_DRAIN_S)
+            }
             _ => {}
         }
     }
@@ -109,9 +144,13 @@
         let total = job.ask.prompt_tokens;
         self.typical.0 += 2.0 * BLEND * (total - hit - self.typical.0);
         self.typical.1 += 2.0 * BLEND * (total - self.typical.1);
-        let Some(s) = self.servers.get(&end.server) else { return };
+        let Some(s) = self.servers.get(&end.server) else {
+            return;
+        };
         let (alone, capacity) = (self.read_s(s, total - hit, total), self.capacity(s, now));
-        let Some(s) = self.servers.get_mut(&end.server) else { return };
+        let Some(s) = self.servers.get_mut(&end.server) else {
+            return;
+        };
         if job.queue_s < 0.5 * alone {
             // A queue unseen is the excess's part, so that surprises upwards pull less.
             let ratio = ((took - job.queue_s) * capacity / alone * s.pace).clamp(0.3, 8.0);
@@ -124,7 +163,9 @@
 
     pub(super) fn take_report(&mut self, now: f64, id: ServerId, report: &[f64]) {
         let told = !report.is_empty() && report.iter().all(|v| v.is_finite());
-        let Some(s) = self.servers.get_mut(&id).filter(|_| told) else { return };
+        let Some(s) = self.servers.get_mut(&id).filter(|_| told) else {
+            return;
+        };
         let reads = s.role == Role::Reader;
         let own_held = (s.pending.len() + s.streams.len()) as f64;
         let mut told = Report::default();
@@ -132,19 +173,37 @@
             match field {
                 ReportField::SlotShare if !reads => told.load = told.load.max(value),
                 ReportField::MemoryShare => told.load = told.load.max(value),
-                ReportField::Concurrent if reads => told.others = (0.5 * (value - own_held)).max(0.0),
-                ReportField::Queue => told.others = if reads { (value - own_held).max(0.0) } else { value },
+                ReportField::Concurrent if reads => {
+                    told.others = (0.5 * (value - own_held)).max(0.0)
+                }
+                ReportField::Queue => {
+                    told.others = if reads {
+                        (value - own_held).max(0.0)
+                    } else {
+                        value
+                    }
+                }
                 _ => {}
             }
         }
         (s.report, s.seen_at, s.seen_tokens) = (told, now, s.own(|t| t.0));
         let kind = usize::from(s.entry.kind);
-        let cold = self.servers.get(&id).is_some_and(|s| self.capacity(s, now) < 1.0);
+        let cold = self
+            .servers
+            .get(&id)
+            .is_some_and(|s| self.capacity(s, now) < 1.0);
         let pool = &mut self.pools[kind][usize::from(cold)];
         *pool = (told.blend(pool.0, KIND_BLEND), now);
     }
 
-    pub(super) fn on_probe(&mut self, now: f64, id: ServerId, end: Outcome, took: f64, out: &mut Actions) {
+    pub(super) fn on_probe(
+        &mut self,
+        now: f64,
+        id: ServerId,
+        end: Outcome,
+        took: f64,
+        out: &mut Actions,
+    ) {
         if let Some(s) = self.servers.get_mut(&id) {
             s.probe_out = false;
             if matches!(end, Outcome::ConnectFailed | Outcome::Reset) {
--- a/crates/policy/src/choice/held_states.rs
+++ b/crates/policy/src/choice/held_states.rs
@@ -67,12 +67,16 @@
             }
             Outcome::Full { state_gone: true } => *self = HeldState::default(),
             Outcome::Served => self.taken(),
-            Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled if at_prefill => self.may_be_left(now),
+            Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled if at_prefill => {
+                self.may_be_left(now)
+            }
             // It may have arrived before the release, or counted as waiting on its way, and kept the state.
             _ if released => {
                 self.known = None;
-                self.waited_for |=
-                    matches!(end.outcome, Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled);
+                self.waited_for |= matches!(
+                    end.outcome,
+                    Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled
+                );
                 self.may_be_left(now);
             }
             // Its answer shows that it had arrived: nothing was left waiting until now.
@@ -93,7 +97,9 @@
     /// Releases what may be held for a request once that is due. Whether it goes on is left to the caller.
     pub(super) fn release_due(&mut self, now: f64, id: RequestId, out: &mut Actions) {
         let limit_s = self.set.pin_limit_s;
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         if job.held.release_at(limit_s).is_none_or(|at| now < at) {
             return;
         }
@@ -104,7 +110,10 @@
 
     /// Comes back to a request when what may be held for it has to be released.
     pub(super) fn watch_held(&self, id: RequestId, out: &mut Actions) {
-        let held = self.jobs.get(&id).and_then(|job| job.held.release_at(self.set.pin_limit_s));
+        let held = self
+            .jobs
+            .get(&id)
+            .and_then(|job| job.held.release_at(self.set.pin_limit_s));
         held.into_iter().for_each(|at| wake(id, at, out));
     }
 }
--- a/crates/policy/src/choice/mod.rs
+++ b/crates/policy/src/choice/mod.rs
@@ -25,9 +25,15 @@
 const TYPICAL_UNCACHED: f64 = 700.0;
 const TYPICAL_TOKENS: f64 = 2500.0; // All tokens of that read.
 const BLEND: f64 = 0.15; // Weight of the newest sample in speed ratios and other moving averages.
-const WARM_PRIOR: Report = Report { load: 0.4, others: 0.3 }; // Prior of a report of a warm server.
+const WARM_PRIOR: Report = Report {
+    load: 0.4,
+    others: 0.3,
+}; // Prior of a report of a warm server.
 /// The same of a cold one, which the guard keeps nearly empty.
-const COLD_PRIOR: Report = Report { load: 0.1, others: 0.0 };
+const COLD_PRIOR: Report = Report {
+    load: 0.1,
+    others: 0.0,
+};
 /// Seconds that an arrival waits for its probes: a few round trips with a handshake.
 const ASK_WAIT_S: f64 = 0.015;
 /// Load and seconds by which equals are spread over routers, and a key's next home must be quicker.
@@ -82,7 +88,10 @@
 }
 
 fn wake(id: RequestId, at: f64, out: &mut Actions) {
-    out.push(Action::SetTimer { at, label: u64::from(id) });
+    out.push(Action::SetTimer {
+        at,
+        label: u64::from(id),
+    });
 }
 
 fn sane(v: f64) -> f64 {
@@ -116,20 +125,34 @@
         match event {
             Event::Servers { form, entries } => self.on_list(now, form, entries, out),
             Event::Arrival(ask) => self.on_arrival(now, ask, out),
-            Event::FirstToken { request: id, server, elapsed_s: t, .. } => self.on_first(now, id, server, t),
+            Event::FirstToken {
+                request: id,
+                server,
+                elapsed_s: t,
+                ..
+            } => self.on_first(now, id, server, t),
             Event::AttemptEnded(end) => self.on_end(now, end, out),
             Event::ClientGone { request } => {
                 self.cancel(request, out);
                 self.finish(request, None, out);
             }
             Event::Timer { label } => self.on_timer(now, label, out),
-            Event::ProbeEnded { server, outcome, elapsed_s, report } => {
+            Event::ProbeEnded {
+                server,
+                outcome,
+                elapsed_s,
+                report,
+            } => {
                 self.take_report(now, server, &report);
                 self.on_probe(now, server, outcome, elapsed_s, out);
             }
-            Event::Hearsay { server, sight, voices, of, age_s } => {
-                self.on_hearsay(now, server, (sight, voices, of, sane(age_s)))
-            }
+            Event::Hearsay {
+                server,
+                sight,
+                voices,
+                of,
+                age_s,
+            } => self.on_hearsay(now, server, (sight, voices, of, sane(age_s))),
             Event::Share { part, since } => self.on_share(part, since),
             Event::PlaceAnswer { .. } | Event::PeerMessage { .. } => {}
         }
--- a/crates/policy/src/choice/prefix_index.rs
+++ b/crates/policy/src/choice/prefix_index.rs
@@ -15,15 +15,22 @@
 
 impl PrefixIndex {
     fn keys(ask: &Request) -> [(Key, f64); 2] {
-        [((true, ask.session), ask.prompt_tokens), ((false, ask.prefix), ask.prefix_tokens)]
+        [
+            ((true, ask.session), ask.prompt_tokens),
+            ((false, ask.prefix), ask.prefix_tokens),
+        ]
     }
 
     /// A server has read this prompt.
     pub fn note(&mut self, now: f64, server: ServerId, ask: &Request) {
-        for (key, tokens) in Self::keys(ask).into_iter().filter(|(key, n)| key.1 != 0 && *n > 0.0) {
+        for (key, tokens) in Self::keys(ask)
+            .into_iter()
+            .filter(|(key, n)| key.1 != 0 && *n > 0.0)
+        {
             self.0.entry(key).or_default().insert(server, (tokens, now));
         }
-        self.0.retain(|_, held| held.values().any(|h| now - h.1 < PREFIX_AGE_S));
+        self.0
+            .retain(|_, held| held.values().any(|h| now - h.1 < PREFIX_AGE_S));
     }
 
     /// What is known of a prompt's session and prefix, looked up once for all servers.
@@ -40,7 +47,8 @@
     pub fn hit(&self, s: &Server) -> f64 {
         let held = |(servers, most): &(Option<&Holders>, f64)| {
             let read = servers.and_then(|servers| servers.get(&s.entry.id));
-            read.filter(|h| h.1 > s.entry.booted_at).map_or(0.0, |h| h.0.min(*most))
+            read.filter(|h| h.1 > s.entry.booted_at)
+                .map_or(0.0, |h| h.0.min(*most))
         };
         self.0.iter().map(held).fold(0.0, f64::max)
     }
@@ -51,12 +59,25 @@
     /// routers. The session orders them, so that its next turn finds what it left.
     pub(super) fn homes(&self, now: f64, job: &Job, scene: &Scene) -> Vec<ServerId> {
         let mut best: Vec<(bool, f64, ServerId)> = Vec::new();
-        for s in self.servers.values().filter(|s| s.role != Role::Writer && s.ready()) {
+        for s in self
+            .servers
+            .values()
+            .filter(|s| s.role != Role::Writer && s.ready())
+        {
             let id = s.entry.id;
-            let weight = if s.role == Role::Mixed { MIXED_WEIGHT } else { 1.0 };
+            let weight = if s.role == Role::Mixed {
+                MIXED_WEIGHT
+            } else {
+                1.0
+            };
             let draw = (mix(job.key, u64::from(id)) >> 11) as f64 / (1u64 << 53) as f64;
-            let rank = (s.entry.zone != self.set.zone, -draw.max(1e-12).ln() / weight, id);
-            let at = best.partition_point(|b| b.0.cmp(&rank.0).then(b.1.total_cmp(&rank.1)).is_le());
+            let rank = (
+                s.entry.zone != self.set.zone,
+                -draw.max(1e-12).ln() / weight,
+                id,
+            );
+            let at =
+                best.partition_point(|b| b.0.cmp(&rank.0).then(b.1.total_cmp(&rank.1)).is_le());
             if at < scene.homes && self.cold_turn(s, job, scene, true, now) {
                 best.insert(at, rank);
                 best.truncate(scene.homes);
--- a/crates/policy/src/choice/requests.rs
+++ b/crates/policy/src/choice/requests.rs
@@ -70,21 +70,38 @@
     }
 
     pub(super) fn silence_s(&self, ask: &Request, s: &Server, sent: f64) -> f64 {
-        self.aim(ask) * if sent - s.heard < HEARD_LATE_S { SILENCE_HEARD } else { SILENCE_UNHEARD }
+        self.aim(ask)
+            * if sent - s.heard < HEARD_LATE_S {
+                SILENCE_HEARD
+            } else {
+                SILENCE_UNHEARD
+            }
     }
 
     pub(super) fn usable(&self, s: &Server, job: &Job, now: f64) -> bool {
         if !s.ready() || now < s.shut_until {
             return false;
         }
-        let Some((first, since)) = job.may_have_run else { return true };
+        let Some((first, since)) = job.may_have_run else {
+            return true;
+        };
         match self.class(job).effect {
             Effect::Safe => true,
             Effect::Unsafe => false,
             Effect::Keyed { scope, window_s } => {
-                let group = |e: &ServerEntry| if scope == KeyScope::Zone { e.zone } else { e.cell };
-                let same = self.servers.get(&first).is_some_and(|f| group(&f.entry) == group(&s.entry));
-                (same || scope == KeyScope::All) && now - since + self.arrival_s(window_s) < window_s
+                let group = |e: &ServerEntry| {
+                    if scope == KeyScope::Zone {
+                        e.zone
+                    } else {
+                        e.cell
+                    }
+                };
+                let same = self
+                    .servers
+                    .get(&first)
+                    .is_some_and(|f| group(&f.entry) == group(&s.entry));
+                (same || scope == KeyScope::All)
+                    && now - since + self.arrival_s(window_s) < window_s
             }
         }
     }
@@ -95,25 +112,44 @@
     }
 
     fn may_refuse(&self, job: &Job) -> bool {
-        let any = matches!(self.class(job).effect, Effect::Safe | Effect::Keyed { scope: KeyScope::All, .. });
+        let any = matches!(
+            self.class(job).effect,
+            Effect::Safe
+                | Effect::Keyed {
+                    scope: KeyScope::All,
+                    ..
+                }
+        );
         any || job.may_have_run.is_none() && job.stage != Stage::Out
     }
 
     pub(super) fn send_read(&mut self, now: f64, id: RequestId, e: Estimate, out: &mut Actions) {
-        self.jobs.entry(id).and_modify(|j| (j.queue_s, j.read_s) = (e.queue_s, e.read_s));
+        self.jobs
+            .entry(id)
+            .and_modify(|j| (j.queue_s, j.read_s) = (e.queue_s, e.read_s));
         self.probe_writers(now, id, e.server, out);
         self.launch(now, id, e.server, e.queue_s + e.read_s, out);
     }
 
     pub(super) fn send_write(&mut self, now: f64, id: RequestId, out: &mut Actions) {
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         match self.best_writer(job, now) {
             Some(to) => {
-                let expected_s = 0.15 + self.servers.get(&to).map_or(0.0, |s| self.write_wait(s, now));
+                let expected_s = 0.15
+                    + self
+                        .servers
+                        .get(&to)
+                        .map_or(0.0, |s| self.write_wait(s, now));
                 self.launch(now, id, to, expected_s, out);
             }
             // No writer can take the state now: it waits a little within the pin limit.
-            None if job.held.known().is_some_and(|at| now - at.1 <= self.set.pin_limit_s * HOLD_SHARE) => {
+            None if job
+                .held
+                .known()
+                .is_some_and(|at| now - at.1 <= self.set.pin_limit_s * HOLD_SHARE) =>
+            {
                 wake(id, now + 2.0 * ASK_WAIT_S, out);
             }
             None => self.give_up(id, 0.5, Cause::NoDecodeServer, out),
@@ -121,8 +157,17 @@
     }
 
     /// The one place that sends. Refuses what a rule forbids, whatever the caller chose.
-    fn launch(&mut self, now: f64, id: RequestId, to: ServerId, expected_s: f64, out: &mut Actions) {
-        let (Some(job), Some(s)) = (self.jobs.get(&id), self.servers.get(&to)) else { return };
+    fn launch(
+        &mut self,
+        now: f64,
+        id: RequestId,
+        to: ServerId,
+        expected_s: f64,
+        out: &mut Actions,
+    ) {
+        let (Some(job), Some(s)) = (self.jobs.get(&id), self.servers.get(&to)) else {
+            return;
+        };
         let allowed = !job.over
             && matches!(job.stage, Stage::Idle | Stage::Held)
             && job.attempts < self.set.limits.max_attempts
@@ -131,55 +176,109 @@
         if !allowed {
             return self.give_up(id, 0.5, Cause::Forbidden, out);
         }
-        let holder = job.held.known().and_then(|at| self.servers.get(&at.0)).map(|r| r.entry.cell);
+        let holder = job
+            .held
+            .known()
+            .and_then(|at| self.servers.get(&at.0))
+            .map(|r| r.entry.cell);
         let link = holder.filter(|cell| *cell != s.entry.cell);
         let silence_s = 2.0 * expected_s + self.silence_s(&job.ask, s, now);
-        let timeout_s = if self.once(job, s) || self.set.limits.may_cancel { 0.0 } else { silence_s };
-        let (Some(job), Some(s)) = (self.jobs.get_mut(&id), self.servers.get_mut(&to)) else { return };
+        let timeout_s = if self.once(job, s) || self.set.limits.may_cancel {
+            0.0
+        } else {
+            silence_s
+        };
+        let (Some(job), Some(s)) = (self.jobs.get_mut(&id), self.servers.get_mut(&to)) else {
+            return;
+        };
         (job.stage, job.at, job.sent, job.attempts) = (Stage::Out, to, now, job.attempts + 1);
-        let work_s = if job.held.known().is_none() { job.read_s } else { 0.0 };
-        s.pending.insert(id, Pending { work_s, due: now + expected_s, tokens: job.tokens, link });
-        out.push(Action::Send { request: id, server: to, timeout_s });
+        let work_s = if job.held.known().is_none() {
+            job.read_s
+        } else {
+            0.0
+        };
+        s.pending.insert(
+            id,
+            Pending {
+                work_s,
+                due: now + expected_s,
+                tokens: job.tokens,
+                link,
+            },
+        );
+        out.push(Action::Send {
+            request: id,
+            server: to,
+            timeout_s,
+        });
         wake(id, now + silence_s, out);
     }
 
-    pub(super) fn give_up(&mut self, id: RequestId, retry_after_s: f64, cause: Cause, out: &mut Actions) {
+    pub(super) fn give_up(
+        &mut self,
+        id: RequestId,
+        retry_after_s: f64,
+        cause: Cause,
+        out: &mut Actions,
+    ) {
         self.cause = Some((id, cause));
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         let retry_after_s = retry_after_s.min(self.set.limits.max_retry_after_s.max(0.0));
-        let refusal = Action::Refuse { request: id, retry_after_s };
-        let answer = if self.may_refuse(job) { refusal } else { Action::Fail { request: id } };
+        let refusal = Action::Refuse {
+            request: id,
+            retry_after_s,
+        };
+        let answer = if self.may_refuse(job) {
+            refusal
+        } else {
+            Action::Fail { request: id }
+        };
         self.finish(id, Some(answer), out);
     }
 
     /// The one place that ends a request: gives the final answer, if it is owed, and lets go of its state.
     pub(super) fn finish(&mut self, id: RequestId, answer: Option<Action>, out: &mut Actions) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         if !std::mem::replace(&mut job.over, true) {
             out.extend(answer);
         }
         if matches!(job.stage, Stage::Out | Stage::Streaming) {
             return;
         }
-        out.extend(job.held.needs_release().then_some(Action::Release { request: id }));
+        out.extend(
+            job.held
+                .needs_release()
+                .then_some(Action::Release { request: id }),
+        );
         self.jobs.remove(&id);
     }
 
     pub(super) fn cancel(&mut self, id: RequestId, out: &mut Actions) {
         let cancellable = |j: &&Job| j.stage == Stage::Out && !j.over && self.set.limits.may_cancel;
         let job = self.jobs.get(&id).filter(cancellable);
-        out.extend(job.map(|j| Action::Cancel { request: id, attempt: (j.attempts - 1) as u16 }));
+        out.extend(job.map(|j| Action::Cancel {
+            request: id,
+            attempt: (j.attempts - 1) as u16,
+        }));
     }
 
     /// The one place that says whether an attempt may have had an effect, by its outcome, which tells whether
     /// the request's last byte was written, and by its stage. A prefill has none once it has ended, which
     /// only an answer shows: one that was given up or broke may go on, or its answer may have been lost.
     pub(super) fn execution(&self, end: &AttemptEnd) -> Execution {
-        let prefill = self.servers.get(&end.server).is_some_and(|s| s.role == Role::Reader);
+        let prefill = self
+            .servers
+            .get(&end.server)
+            .is_some_and(|s| s.role == Role::Reader);
         match end.outcome {
-            Outcome::ReadDone | Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::NotSent => {
-                Execution::NeverRan
-            }
+            Outcome::ReadDone
+            | Outcome::Full { .. }
+            | Outcome::ConnectFailed
+            | Outcome::NotSent => Execution::NeverRan,
             Outcome::Error if prefill => Execution::NeverRan,
             _ if prefill && !self.set.unseen_reads_run => Execution::NeverRan,
             _ => Execution::MayHaveRun,
@@ -189,7 +288,9 @@
     /// After an attempt that has not served it; `expired`: its state was released while that was out.
     pub(super) fn go_on(&mut self, now: f64, end: &AttemptEnd, expired: bool, out: &mut Actions) {
         let (id, outcome) = (end.request, end.outcome);
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         let spent = self.class(job).effect == Effect::Unsafe && job.may_have_run.is_some();
         // Nobody has taken its state; it would be held too long, did another way there come up no sooner.
         let most_s = self.set.pin_limit_s + 3.0 * self.set.tick_s;
--- a/crates/policy/src/choice/slow_start.rs
+++ b/crates/policy/src/choice/slow_start.rs
@@ -22,14 +22,24 @@
     pub(super) fn count_choice(&mut self, role: Role) {
         for role in [role, Role::Mixed] {
             let (fresh, held) = &mut self.answers[role as usize];
-            (*fresh, *held) = (*fresh * (1.0 - BLEND), (*held * ANSWERS_KEPT).max(*fresh * (1.0 - BLEND)));
+            (*fresh, *held) = (
+                *fresh * (1.0 - BLEND),
+                (*held * ANSWERS_KEPT).max(*fresh * (1.0 - BLEND)),
+            );
         }
     }
 
     /// Whether it is this request's turn at a cold server: by chance, so that the sum over all routers keeps
     /// the told multiple. An even part of what its like are seen to answer, and of what is asked at most; for
     /// its keys mostly, at a reader, as often as they come. What it is sent warms it: more may follow.
-    pub(super) fn cold_turn(&self, s: &Server, job: &Job, scene: &Scene, home: bool, now: f64) -> bool {
+    pub(super) fn cold_turn(
+        &self,
+        s: &Server,
+        job: &Job,
+        scene: &Scene,
+        home: bool,
+        now: f64,
+    ) -> bool {
         if self.capacity(s, now) >= 1.0 {
             return true;
         }
@@ -39,7 +49,11 @@
         let answers = self.answers[s.role as usize].1 * BLEND / (1.0 - BLEND);
         let even = (answers / able).min(1.0 / ready);
         let often = job.alike + scene.homes as f64 / ready;
-        let keys = if home { COLD_KEYS_PART / often } else { 1.0 - COLD_KEYS_PART };
+        let keys = if home {
+            COLD_KEYS_PART / often
+        } else {
+            1.0 - COLD_KEYS_PART
+        };
         let part = even * if s.role == Role::Reader { keys } else { 1.0 };
         self.draw(job, s) < COLD_PART * cold.overload_factor * likely * part
     }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -418,7 +418,13 @@
 
 impl std::fmt::Display for Reckoned {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Reckoned { queue_s, read_s, total_s, slip_s, late_s } = self;
+        let Reckoned {
+            queue_s,
+            read_s,
+            total_s,
+            slip_s,
+            late_s,
+        } = self;
         write!(f, "queue {queue_s:.3} read {read_s:.3} in all {total_s:.3} slip {slip_s:.3} of {late_s:.3}")
     }
 }
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -6,20 +6,44 @@
 
 /// A warm writer whose queue lasts for seconds, and an idle one that has just started; another, perhaps.
 fn jammed_and_cold(more: &[ServerEntry]) -> Desk {
-    let cold = ServerEntry { booted_at: T0 - 0.1, ..server(11, 1, 0) };
-    let fleet = [&[server(1, 0, 0), server(2, 0, 0), cold, server(12, 1, 1)], more].concat();
+    let cold = ServerEntry {
+        booted_at: T0 - 0.1,
+        ..server(11, 1, 0)
+    };
+    let fleet = [
+        &[server(1, 0, 0), server(2, 0, 0), cold, server(12, 1, 1)],
+        more,
+    ]
+    .concat();
     let mut desk = Desk::with_fleet(settings(Effect::Safe), fleet);
     for id in 1..20 {
         desk.arrive(ask(id));
         desk.end(id, Outcome::ReadDone, 0.05, 0.0);
         let to = desk.last().1;
-        let report = if to == 12 { vec![1.0, 30.0, 1.0] } else { vec![0.0; 3] };
+        let report = if to == 12 {
+            vec![1.0, 30.0, 1.0]
+        } else {
+            vec![0.0; 3]
+        };
         let outcome = Outcome::Served;
         let (elapsed_s, prefix_hit_tokens, finished) = (0.1, 0.0, true);
         let (request, attempt, server) = (id, 1, to);
-        desk.tell(Event::FirstToken { request, attempt, server, elapsed_s });
-        let end =
-            AttemptEnd { request, attempt, server, outcome, elapsed_s, finished, prefix_hit_tokens, report };
+        desk.tell(Event::FirstToken {
+            request,
+            attempt,
+            server,
+            elapsed_s,
+        });
+        let end = AttemptEnd {
+            request,
+            attempt,
+            server,
+            outcome,
+            elapsed_s,
+            finished,
+            prefix_hit_tokens,
+            report,
+        };
         desk.tell(Event::AttemptEnded(end));
     }
     assert!(desk.sends.iter().any(|s| s.1 == 12), "its queue is known");
@@ -44,7 +68,10 @@
         desk.stream(id);
         desk.end(id, Outcome::Served, 0.1, 0.0);
     }
-    assert!(taken >= 5 && turned_away >= 50, "{taken} taken in, {turned_away} turned away");
+    assert!(
+        taken >= 5 && turned_away >= 50,
+        "{taken} taken in, {turned_away} turned away"
+    );
 }
 
 /// Beside a warm one that is idle nobody is turned away.
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -56,8 +56,23 @@
     fn new(routers: u32, skew: Skew, seed: u64, rate: f64, hosts: Vec<ServerEntry>) -> Scenario {
         let (cold, hot) = (vec![], (0, 0.0));
         let (plain, said_queued, comes_again) = (false, 8.0, 0);
-        let set = Settings { dispatchers: routers, ..settings(Effect::Safe) };
-        Scenario { routers, skew, seed, rate, hosts, cold, hot, plain, said_queued, comes_again, set }
+        let set = Settings {
+            dispatchers: routers,
+            ..settings(Effect::Safe)
+        };
+        Scenario {
+            routers,
+            skew,
+            seed,
+            rate,
+            hosts,
+            cold,
+            hot,
+            plain,
+            said_queued,
+            comes_again,
+            set,
+        }
     }
 
     /// All hosts are warm until some start anew. Each router is told of it at another time within 2 s, and every third router is
@@ -66,7 +81,10 @@
         let mut fleet = Fleet::new(self.set.clone(), T0);
         (fleet.said_queued, fleet.comes_again) = (self.said_queued, self.comes_again);
         let fresh = |e: &ServerEntry| match self.cold.contains(&e.id) {
-            true => ServerEntry { booted_at: COLD_FROM, ..e.clone() },
+            true => ServerEntry {
+                booted_at: COLD_FROM,
+                ..e.clone()
+            },
             false => e.clone(),
         };
         let now: Vec<ServerEntry> = self.hosts.iter().map(fresh).collect();
@@ -91,8 +109,17 @@
             let session = 1 + (400.0 * draw(self.seed, n + 4)) as u64;
             let prefix = if of_hot { self.hot.0 } else { other };
             let ask = match self.plain {
-                true => Request { prefix: 0, prefix_tokens: 0.0, session: u64::from(id), ..ask(id) },
-                false => Request { prefix, session, ..ask(id) },
+                true => Request {
+                    prefix: 0,
+                    prefix_tokens: 0.0,
+                    session: u64::from(id),
+                    ..ask(id)
+                },
+                false => Request {
+                    prefix,
+                    session,
+                    ..ask(id)
+                },
             };
             fleet.arrive(at, router, ask);
         }
@@ -105,7 +132,8 @@
 fn allowed(warm_rate: f64, came: &[f64], start: f64) -> f64 {
     let cold = settings(Effect::Safe).cold;
     let until = came.iter().filter(|t| **t < start).count() as f64;
-    let warmed = (until / (warm_rate * cold.warm_after_s)).min((start - COLD_FROM) / cold.warm_after_s);
+    let warmed =
+        (until / (warm_rate * cold.warm_after_s)).min((start - COLD_FROM) / cold.warm_after_s);
     let capacity = cold.start_capacity + (1.0 - cold.start_capacity) * warmed;
     cold.overload_factor * capacity * warm_rate * cold.window_s
 }
@@ -113,7 +141,9 @@
 /// Attempts within the window that begins there.
 fn within(came: &[f64], start: f64) -> f64 {
     let window_s = settings(Effect::Safe).cold.window_s;
-    came.iter().filter(|t| (start..start + window_s).contains(*t)).count() as f64
+    came.iter()
+        .filter(|t| (start..start + window_s).contains(*t))
+        .count() as f64
 }
 
 /// Holds each cold server's attempts against the budget; returns the means as shares of it.
@@ -128,9 +158,15 @@
             let starts: Vec<f64> = (0..36).map(|n| COLD_FROM + f64::from(n) / 4.0).collect();
             shares.push(starts.iter().map(|at| share(*at)).sum::<f64>() / starts.len() as f64);
             let most = |at: &f64| (within(came, *at), allowed(*warm_rate, came, *at));
-            let over = came.iter().map(most).find(|(count, n)| *count > n + 2.0 * n.sqrt() + 2.0);
+            let over = came
+                .iter()
+                .map(most)
+                .find(|(count, n)| *count > n + 2.0 * n.sqrt() + 2.0);
             if let Some((count, n)) = over {
-                broken.push(format!("{count} at {id}, {} routers, {:?}, N {n:.1}", s.routers, s.skew));
+                broken.push(format!(
+                    "{count} at {id}, {} routers, {:?}, N {n:.1}",
+                    s.routers, s.skew
+                ));
             }
         }
     }
@@ -141,12 +177,20 @@
         shares.len(),
         broken.len()
     );
-    assert!(broken.is_empty(), "{name}: mean {mean:.2} of N, most {most:.2}; {broken:#?}");
+    assert!(
+        broken.is_empty(),
+        "{name}: mean {mean:.2} of N, most {most:.2}; {broken:#?}"
+    );
     mean
 }
 
-const SIZES: [(u32, Skew); 5] =
-    [(20, Skew::Ranks), (30, Skew::Few), (300, Skew::Even), (300, Skew::Few), (300, Skew::Ranks)];
+const SIZES: [(u32, Skew); 5] = [
+    (20, Skew::Ranks),
+    (30, Skew::Few),
+    (300, Skew::Even),
+    (300, Skew::Few),
+    (300, Skew::Ranks),
+];
 
 fn readers(n: u32) -> impl Iterator<Item = ServerEntry> {
     (1..n + 1).map(|id| server(id, 0, (id % 2) as u16))
@@ -162,7 +206,9 @@
         let mut desk = Desk::with_fleet(settings(Effect::Safe), hosts.to_vec());
         desk.serve(Request { prefix, ..ask(1) }, 0.0)
     };
-    (1..200).find(|prefix| read_at(*prefix) == id).expect("a home")
+    (1..200)
+        .find(|prefix| read_at(*prefix) == id)
+        .expect("a home")
 }
 
 /// One prefix is a third of all traffic, at two homes, one of them cold: while the turn of those near was a set part of the
@@ -174,9 +220,23 @@
         let hosts: Vec<ServerEntry> = readers(8).chain(writers(12)).collect();
         let hot = (prefix_read_at(3, &hosts), 0.35);
         let new = Scenario::new(routers, skew, n as u64 + 1, rate, hosts);
-        (Scenario { cold: vec![3, 6], hot, ..new }, rate / 8.0)
+        (
+            Scenario {
+                cold: vec![3, 6],
+                hot,
+                ..new
+            },
+            rate / 8.0,
+        )
     };
-    keep_the_budget("hot prefix", &SIZES.into_iter().enumerate().map(scenario).collect::<Vec<_>>());
+    keep_the_budget(
+        "hot prefix",
+        &SIZES
+            .into_iter()
+            .enumerate()
+            .map(scenario)
+            .collect::<Vec<_>>(),
+    );
 }
 
 /// Twice what all servers could do if they were warm, and the refused come again: an even share of the demand is more than a server
@@ -188,9 +248,25 @@
         let hosts = readers(readers_of).chain(writers(20)).collect();
         let rate = 2.0 * f64::from(readers_of) * warm_rate;
         let new = Scenario::new(routers, skew, n as u64 + 11, rate, hosts);
-        (Scenario { cold: vec![2, 5, 9], plain: true, said_queued: 0.0, comes_again: 2, ..new }, warm_rate)
+        (
+            Scenario {
+                cold: vec![2, 5, 9],
+                plain: true,
+                said_queued: 0.0,
+                comes_again: 2,
+                ..new
+            },
+            warm_rate,
+        )
     };
-    keep_the_budget("overload", &SIZES.into_iter().enumerate().map(scenario).collect::<Vec<_>>());
+    keep_the_budget(
+        "overload",
+        &SIZES
+            .into_iter()
+            .enumerate()
+            .map(scenario)
+            .collect::<Vec<_>>(),
+    );
 }
 
 /// Half of the states are read beside the one cold writer of a cell.
@@ -198,12 +274,28 @@
 fn a_cold_writer_alone_in_its_cell_is_not_pushed_over() {
     let rate = 90.0;
     let scenario = |(n, (routers, skew)): (usize, (u32, Skew))| {
-        let cell = |e: ServerEntry| ServerEntry { cell: u16::from(e.id != 101), ..e };
+        let cell = |e: ServerEntry| ServerEntry {
+            cell: u16::from(e.id != 101),
+            ..e
+        };
         let hosts = readers(12).chain(writers(12).map(cell)).collect();
         let new = Scenario::new(routers, skew, n as u64 + 21, rate, hosts);
-        (Scenario { cold: vec![101], ..new }, rate / 12.0)
+        (
+            Scenario {
+                cold: vec![101],
+                ..new
+            },
+            rate / 12.0,
+        )
     };
-    keep_the_budget("lone writer", &SIZES.into_iter().enumerate().map(scenario).collect::<Vec<_>>());
+    keep_the_budget(
+        "lone writer",
+        &SIZES
+            .into_iter()
+            .enumerate()
+            .map(scenario)
+            .collect::<Vec<_>>(),
+    );
 }
 
 /// Servers that do both: there are no readers whose number could split the turns.
@@ -213,9 +305,22 @@
     let scenario = |(n, (routers, skew)): (usize, (u32, Skew))| {
         let hosts = (1..11).map(|id| server(id, 2, (id % 2) as u16)).collect();
         let new = Scenario::new(routers, skew, n as u64 + 31, rate, hosts);
-        (Scenario { cold: vec![2, 7], ..new }, rate / 10.0)
+        (
+            Scenario {
+                cold: vec![2, 7],
+                ..new
+            },
+            rate / 10.0,
+        )
     };
-    keep_the_budget("mixed", &SIZES.into_iter().enumerate().map(scenario).collect::<Vec<_>>());
+    keep_the_budget(
+        "mixed",
+        &SIZES
+            .into_iter()
+            .enumerate()
+            .map(scenario)
+            .collect::<Vec<_>>(),
+    );
 }
 
 /// The guard does not buy its bound by leaving servers idle: what it may give is mostly given.
@@ -223,10 +328,29 @@
 fn turns_are_not_withheld_from_cold_servers_in_ordinary_traffic() {
     let rate = 100.0;
     let scenario = |(n, (routers, skew)): (usize, (u32, Skew))| {
-        let new = Scenario::new(routers, skew, n as u64 + 41, rate, readers(12).chain(writers(12)).collect());
-        (Scenario { cold: vec![2, 5, 9, 103, 106], ..new }, rate / 12.0)
+        let new = Scenario::new(
+            routers,
+            skew,
+            n as u64 + 41,
+            rate,
+            readers(12).chain(writers(12)).collect(),
+        );
+        (
+            Scenario {
+                cold: vec![2, 5, 9, 103, 106],
+                ..new
+            },
+            rate / 12.0,
+        )
     };
-    let mean = keep_the_budget("ordinary", &SIZES.into_iter().enumerate().map(scenario).collect::<Vec<_>>());
+    let mean = keep_the_budget(
+        "ordinary",
+        &SIZES
+            .into_iter()
+            .enumerate()
+            .map(scenario)
+            .collect::<Vec<_>>(),
+    );
     assert!(mean > 0.5, "{mean:.2} of N in the mean");
 }
 
@@ -241,13 +365,17 @@
 
 /// Whether any window of a cold server's time held more than the rule allows.
 fn goes_over(came: &[f64], warm_rate: f64) -> bool {
-    came.iter().any(|at| within(came, *at) > most_by_the_rule(allowed(warm_rate, came, *at)))
+    came.iter()
+        .any(|at| within(came, *at) > most_by_the_rule(allowed(warm_rate, came, *at)))
 }
 
 /// How many seeds of each size are drawn: two in the suite; as many as `DRAWS` says to measure the probability, by
 /// `DRAWS=40 cargo test -p bitternlatch-policy --test cold -- --nocapture any_number`.
 fn draws() -> u64 {
-    std::env::var("DRAWS").ok().and_then(|n| n.parse().ok()).unwrap_or(2)
+    std::env::var("DRAWS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(2)
 }
 
 /// One dispatcher alone or hundreds: together they keep the rule, in ordinary traffic and with a hot prefix.
@@ -261,10 +389,18 @@
             let hosts: Vec<ServerEntry> = readers(12).chain(writers(12)).collect();
             let hot = (prefix_read_at(2, &hosts), 0.3 * (seed % 2) as f64);
             let new = Scenario::new(routers, Skew::Even, 1_000 + seed, rate, hosts);
-            let scenario = Scenario { cold: vec![2, 5, 9, 103, 106], hot, ..new };
+            let scenario = Scenario {
+                cold: vec![2, 5, 9, 103, 106],
+                hot,
+                ..new
+            };
             let mut fleet = scenario.fleet();
             fleet.run(END);
-            let out = scenario.cold.iter().filter(|id| goes_over(fleet.came(**id), rate / 12.0)).count();
+            let out = scenario
+                .cold
+                .iter()
+                .filter(|id| goes_over(fleet.came(**id), rate / 12.0))
+                .count();
             over_here += out;
             servers_here += scenario.cold.len();
         }
@@ -272,7 +408,10 @@
         (over, servers) = (over + over_here, servers + servers_here);
     }
     // Of so few draws none goes over; of many, fewer than one server in a hundred.
-    assert!(over * 100 <= if draws() > 2 { servers } else { 0 }, "{over} of {servers}");
+    assert!(
+        over * 100 <= if draws() > 2 { servers } else { 0 },
+        "{over} of {servers}"
+    );
 }
 
 /// Beside a change that is to change no decision, the printed figure of both (`--nocapture`) has to be the same.
@@ -281,13 +420,26 @@
     let effects = [
         Effect::Safe,
         Effect::Unsafe,
-        Effect::Keyed { scope: KeyScope::Cell, window_s: 4.0 },
-        Effect::Keyed { scope: KeyScope::Zone, window_s: 4.0 },
+        Effect::Keyed {
+            scope: KeyScope::Cell,
+            window_s: 4.0,
+        },
+        Effect::Keyed {
+            scope: KeyScope::Zone,
+            window_s: 4.0,
+        },
     ];
     let digest = |seed: usize| {
-        let zone = |e: ServerEntry| ServerEntry { zone: u16::from(e.id.is_multiple_of(3)), ..e };
+        let zone = |e: ServerEntry| ServerEntry {
+            zone: u16::from(e.id.is_multiple_of(3)),
+            ..e
+        };
         let mixed = (201..204).map(|id| server(id, 2, 0));
-        let hosts = readers(10).chain(writers(12)).chain(mixed).map(zone).collect();
+        let hosts = readers(10)
+            .chain(writers(12))
+            .chain(mixed)
+            .map(zone)
+            .collect();
         let skew = [Skew::Even, Skew::Few, Skew::Ranks][seed % 3];
         let new = Scenario::new(30, skew, seed as u64, 80.0, hosts);
         let tenants = vec![TenantSettings { quota_rps: 60.0 }];
@@ -299,7 +451,13 @@
             dispatchers: 30,
             ..settings(effects[seed % 4])
         };
-        let scenario = Scenario { cold: vec![2, 105, 202], comes_again: 1, said_queued: 1.0, set, ..new };
+        let scenario = Scenario {
+            cold: vec![2, 105, 202],
+            comes_again: 1,
+            said_queued: 1.0,
+            set,
+            ..new
+        };
         let mut fleet = scenario.fleet();
         fleet.digest = Some(DefaultHasher::new());
         fleet.run(T0 + 8.0);
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -82,7 +82,13 @@
 impl Fleet {
     /// So many requests a second for some time, each at any router, with a few prefixes much in use and many sessions; `ask` makes one
     /// of its number.
-    pub fn arrivals(&mut self, seed: u64, rate: f64, for_s: f64, ask: impl Fn(RequestId) -> Request) {
+    pub fn arrivals(
+        &mut self,
+        seed: u64,
+        rate: f64,
+        for_s: f64,
+        ask: impl Fn(RequestId) -> Request,
+    ) {
         let until = self.now + for_s;
         let (mut at, mut id) = (self.now + 0.1, 0u32);
         while at < until {
@@ -92,12 +98,21 @@
             let router = (draw(seed, n + 1) * f64::from(self.settings.dispatchers)) as usize;
             let prefix = 1 + (40.0 * draw(seed, n + 2).powi(2)) as u64;
             let session = 1 + (draw(seed, n + 3) * 400.0) as u64;
-            self.arrive(at, router, Request { prefix, session, ..ask(id) });
+            self.arrive(
+                at,
+                router,
+                Request {
+                    prefix,
+                    session,
+                    ..ask(id)
+                },
+            );
         }
     }
 
     pub fn new(settings: Settings, now: f64) -> Fleet {
-        let routers = (0..settings.dispatchers).map(|me| Router::new(settings.clone(), u64::from(me)));
+        let routers =
+            (0..settings.dispatchers).map(|me| Router::new(settings.clone(), u64::from(me)));
         let routers = routers.collect();
         let (servers, due, asks) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let (waits, failed, swallowed) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
@@ -131,20 +146,38 @@
             let kind = self.settings.kinds[usize::from(e.kind)].clone();
             let (waiting, running, kept) = (VecDeque::new(), BTreeMap::new(), BTreeSet::new());
             let (booted_at, taken, came, trouble) = (e.booted_at, 0, Vec::new(), None);
-            let model = Model { kind, booted_at, waiting, running, kept, taken, came, trouble };
+            let model = Model {
+                kind,
+                booted_at,
+                waiting,
+                running,
+                kept,
+                taken,
+                came,
+                trouble,
+            };
             self.servers.entry(e.id).or_insert(model).booted_at = booted_at;
         }
         for router in 0..self.routers.len() {
             self.plan(
                 at(router),
-                Happening::Tell(router, Event::Servers { form, entries: entries.to_vec() }),
+                Happening::Tell(
+                    router,
+                    Event::Servers {
+                        form,
+                        entries: entries.to_vec(),
+                    },
+                ),
             );
         }
     }
 
     /// A router dies and another comes in its place that knows a list and nothing else.
     pub fn restart(&mut self, at: f64, router: usize, seed: u64, entries: &[ServerEntry]) {
-        let list = Event::Servers { form: ListForm::Full, entries: entries.to_vec() };
+        let list = Event::Servers {
+            form: ListForm::Full,
+            entries: entries.to_vec(),
+        };
         self.plan(at, Happening::Restart(router, seed, list));
     }
 
@@ -156,11 +189,16 @@
 
     fn plan(&mut self, at: f64, what: Happening) {
         self.count += 1;
-        self.due.insert(((at.max(self.now) * 1e6) as u64, self.count), what);
+        self.due
+            .insert(((at.max(self.now) * 1e6) as u64, self.count), what);
     }
 
     pub fn run(&mut self, until: f64) {
-        while let Some(next) = self.due.first_entry().filter(|e| e.key().0 <= (until * 1e6) as u64) {
+        while let Some(next) = self
+            .due
+            .first_entry()
+            .filter(|e| e.key().0 <= (until * 1e6) as u64)
+        {
             self.now = next.key().0 as f64 / 1e6;
             match next.remove() {
                 Happening::Tell(router, event) => self.tell(router, event),
@@ -181,12 +219,20 @@
         let mut out = Vec::new();
         self.routers[me].handle(self.now, event, &mut out);
         for action in out {
-            self.digest.iter_mut().for_each(|digest| (me, format!("{action:?}")).hash(digest));
+            self.digest
+                .iter_mut()
+                .for_each(|digest| (me, format!("{action:?}")).hash(digest));
             match action {
                 Action::Refuse { request, .. } => self.come_again(me, request),
-                Action::SetTimer { at, label } => self.plan(at, Happening::Tell(me, Event::Timer { label })),
-                Action::Send { request, server, .. } => {
-                    let Some(ask) = self.asks.get_mut(&request) else { continue };
+                Action::SetTimer { at, label } => {
+                    self.plan(at, Happening::Tell(me, Event::Timer { label }))
+                }
+                Action::Send {
+                    request, server, ..
+                } => {
+                    let Some(ask) = self.asks.get_mut(&request) else {
+                        continue;
+                    };
                     ask.2 += 1;
                     let attempt = (me, request, ask.2 - 1);
                     self.plan(self.now + WAY_S, Happening::Come(server, attempt));
@@ -194,8 +240,12 @@
                 Action::Cancel { request, attempt } => self.cancel((me, request, attempt)),
                 Action::Probe { server } => {
                     let report = self.report(server);
-                    let ended =
-                        Event::ProbeEnded { server, outcome: Outcome::Served, elapsed_s: WAY_S, report };
+                    let ended = Event::ProbeEnded {
+                        server,
+                        outcome: Outcome::Served,
+                        elapsed_s: WAY_S,
+                        report,
+                    };
                     self.plan(self.now + 2.0 * WAY_S, Happening::Tell(me, ended));
                 }
                 _ => {}
@@ -206,7 +256,10 @@
     fn come_again(&mut self, me: usize, request: RequestId) {
         let tries = self.tries.get(&request).copied().unwrap_or(0);
         if tries < self.comes_again {
-            let ask = Request { id: request + 1_000_000, ..self.asks[&request].0.clone() };
+            let ask = Request {
+                id: request + 1_000_000,
+                ..self.asks[&request].0.clone()
+            };
             self.tries.insert(ask.id, tries + 1);
             self.arrive(self.now + 0.3, me, ask);
         }
@@ -225,7 +278,11 @@
     fn report(&self, server: ServerId) -> Vec<f64> {
         let s = &self.servers[&server];
         let held = s.running.values().sum::<f64>() / s.kind.memory_tokens / self.capacity(server);
-        let share = if s.kind.role == Role::Reader { s.running.len() as f64 } else { held };
+        let share = if s.kind.role == Role::Reader {
+            s.running.len() as f64
+        } else {
+            held
+        };
         match self.capacity(server) < 1.0 {
             true if self.said_queued > 0.0 => vec![0.0; 3],
             _ => vec![share, s.waiting.len() as f64 + self.said_queued, held],
@@ -259,19 +316,29 @@
         let (now, capacity) = (self.now, self.capacity(server));
         loop {
             let s = self.servers.get_mut(&server).expect("a known server");
-            let Some(&(attempt, came)) = s.waiting.front() else { return };
+            let Some(&(attempt, came)) = s.waiting.front() else {
+                return;
+            };
             let ask = &self.asks[&attempt.1].0;
             if s.kind.role == Role::Reader {
                 if !s.running.is_empty() {
                     return;
                 }
-                let hit = if s.kept.contains(&ask.prefix) { ask.prefix_tokens } else { 0.0 };
+                let hit = if s.kept.contains(&ask.prefix) {
+                    ask.prefix_tokens
+                } else {
+                    0.0
+                };
                 s.kept.insert(ask.prefix);
-                let read =
-                    0.02 + 0.06 * (ask.prompt_tokens - hit) / 1000.0 + 0.003 * ask.prompt_tokens / 1000.0;
+                let read = 0.02
+                    + 0.06 * (ask.prompt_tokens - hit) / 1000.0
+                    + 0.003 * ask.prompt_tokens / 1000.0;
                 s.waiting.pop_front();
                 s.running.insert(attempt, 0.0);
-                self.plan(now + read / capacity, Happening::Read(server, attempt, came, hit));
+                self.plan(
+                    now + read / capacity,
+                    Happening::Read(server, attempt, came, hit),
+                );
                 return;
             }
             let tokens = ask.prompt_tokens + 0.2 * ask.max_output_tokens;
@@ -280,12 +347,18 @@
             }
             s.waiting.pop_front();
             s.running.insert(attempt, tokens);
-            self.plan(now + FIRST_S / capacity, Happening::First(server, attempt, came));
+            self.plan(
+                now + FIRST_S / capacity,
+                Happening::First(server, attempt, came),
+            );
         }
     }
 
     fn read(&mut self, server: ServerId, attempt: Attempt, came: f64, hit: f64) {
-        let there = self.servers.get_mut(&server).is_some_and(|s| s.running.remove(&attempt).is_some());
+        let there = self
+            .servers
+            .get_mut(&server)
+            .is_some_and(|s| s.running.remove(&attempt).is_some());
         self.start(server);
         if there {
             self.answer(server, attempt, Outcome::ReadDone, came, hit);
@@ -293,26 +366,41 @@
     }
 
     fn first(&mut self, server: ServerId, (me, request, attempt): Attempt, came: f64) {
-        if !self.servers[&server].running.contains_key(&(me, request, attempt)) {
+        if !self.servers[&server]
+            .running
+            .contains_key(&(me, request, attempt))
+        {
             return;
         }
         let (arrived, elapsed_s) = (self.asks[&request].1, self.now - came);
         self.waits.insert(request, self.now - arrived);
-        let event = Event::FirstToken { request, attempt, server, elapsed_s };
+        let event = Event::FirstToken {
+            request,
+            attempt,
+            server,
+            elapsed_s,
+        };
         self.plan(self.now + WAY_S, Happening::Tell(me, event));
         let end = self.now + ANSWER_S;
         self.plan(end, Happening::End(server, (me, request, attempt), came));
     }
 
     fn end(&mut self, server: ServerId, attempt: Attempt, came: f64) {
-        self.servers.get_mut(&server).and_then(|s| s.running.remove(&attempt));
+        self.servers
+            .get_mut(&server)
+            .and_then(|s| s.running.remove(&attempt));
         self.start(server);
         self.answer(server, attempt, Outcome::Served, came, 0.0);
     }
 
     fn cancel(&mut self, attempt: Attempt) {
         let at = self.servers.iter_mut().find_map(|(id, s)| {
-            let waits = s.waiting.iter().position(|w| w.0 == attempt).map(|i| s.waiting.remove(i)).is_some();
+            let waits = s
+                .waiting
+                .iter()
+                .position(|w| w.0 == attempt)
+                .map(|i| s.waiting.remove(i))
+                .is_some();
             (waits || s.running.remove(&attempt).is_some()).then_some(*id)
         });
         if let Some(server) = at.or_else(|| self.swallowed.remove(&attempt)) {
@@ -321,7 +409,14 @@
         }
     }
 
-    fn answer(&mut self, server: ServerId, of: Attempt, outcome: Outcome, came: f64, prefix_hit_tokens: f64) {
+    fn answer(
+        &mut self,
+        server: ServerId,
+        of: Attempt,
+        outcome: Outcome,
+        came: f64,
+        prefix_hit_tokens: f64,
+    ) {
         let (me, request, attempt) = of;
         let (finished, elapsed_s) = (outcome == Outcome::Served, self.now - came);
         let report = self.report(server);
@@ -331,9 +426,20 @@
             }
             _ => self.failed.remove(&(server, me)),
         };
-        let end =
-            AttemptEnd { request, attempt, server, outcome, elapsed_s, finished, prefix_hit_tokens, report };
-        self.plan(self.now + WAY_S, Happening::Tell(me, Event::AttemptEnded(end)));
+        let end = AttemptEnd {
+            request,
+            attempt,
+            server,
+            outcome,
+            elapsed_s,
+            finished,
+            prefix_hit_tokens,
+            report,
+        };
+        self.plan(
+            self.now + WAY_S,
+            Happening::Tell(me, Event::AttemptEnded(end)),
+        );
     }
 
     pub fn trouble(&mut self, server: ServerId, trouble: Trouble) {
@@ -345,14 +451,31 @@
     /// Tells each router how many others have failed at a server of late, up to so many.
     pub fn hearsay(&mut self, server: ServerId, most: usize) {
         let lately = |(_, at): &(&(ServerId, usize), &f64)| self.now - **at < 3.0;
-        let failed = self.failed.range((server, 0)..(server + 1, 0)).filter(lately);
+        let failed = self
+            .failed
+            .range((server, 0)..(server + 1, 0))
+            .filter(lately);
         let failed: Vec<(usize, f64)> = failed.map(|((_, me), at)| (*me, *at)).collect();
         for me in 0..self.routers.len() {
             let others = || failed.iter().filter(|f| f.0 != me).map(|f| f.1);
-            let Some(last) = others().max_by(f64::total_cmp) else { continue };
-            let (voices, of) = (others().count().min(most) as u32, self.routers.len() as u32 - 1);
+            let Some(last) = others().max_by(f64::total_cmp) else {
+                continue;
+            };
+            let (voices, of) = (
+                others().count().min(most) as u32,
+                self.routers.len() as u32 - 1,
+            );
             let (sight, age_s) = (Sight::Failing, self.now - last);
-            self.tell(me, Event::Hearsay { server, sight, voices, of, age_s });
+            self.tell(
+                me,
+                Event::Hearsay {
+                    server,
+                    sight,
+                    voices,
+                    of,
+                    age_s,
+                },
+            );
         }
     }
 
@@ -363,6 +486,8 @@
 
     /// Requests that wait at a server, and those that it has been sent.
     pub fn waiting_and_taken(&self, server: ServerId) -> (usize, u32) {
-        self.servers.get(&server).map_or((0, 0), |s| (s.waiting.len(), s.taken))
+        self.servers
+            .get(&server)
+            .map_or((0, 0), |s| (s.waiting.len(), s.taken))
     }
 }
