--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -19,16 +19,28 @@
 }
 
 pub fn settings(effect: Effect) -> Settings {
-    let kind = |role| KindSettings { role, memory_tokens: 150_000.0 };
+    let kind = |role| KindSettings {
+        role,
+        memory_tokens: 150_000.0,
+    };
     Settings {
         dispatchers: 2,
         zone: 0,
         classes: vec![class(effect)],
         tenants: vec![],
         kinds: vec![kind(Role::Reader), kind(Role::Writer), kind(Role::Mixed)],
-        report_fields: vec![ReportField::SlotShare, ReportField::Queue, ReportField::MemoryShare],
+        report_fields: vec![
+            ReportField::SlotShare,
+            ReportField::Queue,
+            ReportField::MemoryShare,
+        ],
         report_mode: ReportMode::WithAnswers,
-        cold: ColdStart { start_capacity: 0.25, overload_factor: 2.5, window_s: 3.0, warm_after_s: 14.0 },
+        cold: ColdStart {
+            start_capacity: 0.25,
+            overload_factor: 2.5,
+            window_s: 3.0,
+            warm_after_s: 14.0,
+        },
         limits: Limits {
             max_attempts: 4,
             may_cancel: true,
@@ -46,7 +58,15 @@
 }
 
 pub fn server(id: ServerId, kind: u16, cell: u16) -> ServerEntry {
-    ServerEntry { id, standing: Standing::Ready, kind, cell, zone: 0, weight: 1.0, booted_at: 0.0 }
+    ServerEntry {
+        id,
+        standing: Standing::Ready,
+        kind,
+        cell,
+        zone: 0,
+        weight: 1.0,
+        booted_at: 0.0,
+    }
 }
 
 pub fn ask(id: RequestId) -> Request {
@@ -80,15 +100,29 @@
 impl Desk {
     /// Readers 1 and 2, writers 11 and 12; cells 0 and 1.
     pub fn new(settings: Settings) -> Self {
-        let fleet = vec![server(1, 0, 0), server(2, 0, 1), server(11, 1, 0), server(12, 1, 1)];
+        let fleet = vec![
+            server(1, 0, 0),
+            server(2, 0, 1),
+            server(11, 1, 0),
+            server(12, 1, 1),
+        ];
         Desk::with_fleet(settings, fleet)
     }
 
     pub fn with_fleet(settings: Settings, fleet: Vec<ServerEntry>) -> Self {
         let router = Router::new(settings, 7);
-        let mut desk =
-            Desk { router, now: T0, timers: vec![], sends: vec![], log: vec![], answers_probes: true };
-        desk.tell(Event::Servers { form: ListForm::Cached, entries: fleet });
+        let mut desk = Desk {
+            router,
+            now: T0,
+            timers: vec![],
+            sends: vec![],
+            log: vec![],
+            answers_probes: true,
+        };
+        desk.tell(Event::Servers {
+            form: ListForm::Cached,
+            entries: fleet,
+        });
         desk
     }
 
@@ -99,7 +133,11 @@
         for action in &out {
             match *action {
                 Action::SetTimer { at, label } => self.timers.push((at, label)),
-                Action::Send { request, server, timeout_s } => self.sends.push((request, server, timeout_s)),
+                Action::Send {
+                    request,
+                    server,
+                    timeout_s,
+                } => self.sends.push((request, server, timeout_s)),
                 _ => {}
             }
         }
@@ -107,14 +145,22 @@
         let answered = if self.answers_probes { probed } else { vec![] };
         for server in answered {
             let outcome = Outcome::Served;
-            let answer = Event::ProbeEnded { server, outcome, elapsed_s: 0.001, report: vec![] };
+            let answer = Event::ProbeEnded {
+                server,
+                outcome,
+                elapsed_s: 0.001,
+                report: vec![],
+            };
             out.extend(self.tell(answer));
         }
         out
     }
 
     pub fn change(&mut self, entry: ServerEntry) {
-        self.tell(Event::Servers { form: ListForm::Delta, entries: vec![entry] });
+        self.tell(Event::Servers {
+            form: ListForm::Delta,
+            entries: vec![entry],
+        });
     }
 
     pub fn arrive(&mut self, ask: Request) -> Vec<Action> {
@@ -141,11 +187,20 @@
     }
 
     pub fn last(&self) -> (RequestId, ServerId) {
-        self.sends.last().map(|s| (s.0, s.1)).expect("something was sent")
+        self.sends
+            .last()
+            .map(|s| (s.0, s.1))
+            .expect("something was sent")
     }
 
     /// Ends the newest attempt of a request.
-    pub fn end(&mut self, request: RequestId, outcome: Outcome, took: f64, hit: f64) -> Vec<Action> {
+    pub fn end(
+        &mut self,
+        request: RequestId,
+        outcome: Outcome,
+        took: f64,
+        hit: f64,
+    ) -> Vec<Action> {
         let sent: Vec<_> = self.sends.iter().filter(|s| s.0 == request).collect();
         if sent.is_empty() {
             return vec![]; // It was refused.
@@ -178,8 +233,21 @@
     }
 
     pub fn stream(&mut self, request: RequestId) {
-        let Some(server) = self.sends.iter().rev().find(|s| s.0 == request).map(|s| s.1) else { return };
-        self.tell(Event::FirstToken { request, attempt: 1, server, elapsed_s: 0.05 });
+        let Some(server) = self
+            .sends
+            .iter()
+            .rev()
+            .find(|s| s.0 == request)
+            .map(|s| s.1)
+        else {
+            return;
+        };
+        self.tell(Event::FirstToken {
+            request,
+            attempt: 1,
+            server,
+            elapsed_s: 0.05,
+        });
     }
 }
 
@@ -191,7 +259,9 @@
 }
 
 pub fn refused(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
 }
 
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
@@ -203,5 +273,7 @@
 }
 
 pub fn final_answers(log: &[Action], id: RequestId) -> usize {
-    log.iter().filter(|a| refused(std::slice::from_ref(a), id) || failed(std::slice::from_ref(a), id)).count()
+    log.iter()
+        .filter(|a| refused(std::slice::from_ref(a), id) || failed(std::slice::from_ref(a), id))
+        .count()
 }
--- a/crates/policy/tests/hearsay.rs
+++ b/crates/policy/tests/hearsay.rs
@@ -15,13 +15,25 @@
 /// Attempts at one reader, when it and maybe others have trouble after five seconds of twenty, and the share of all requests that
 /// waited a second or more; up to `most` voices are told to the others three times a second.
 fn day(seed: u64, trouble: Trouble, at_all: bool, most: usize) -> (u32, f64) {
-    let mut fleet = Fleet::new(Settings { dispatchers: ROUTERS, ..settings(Effect::Safe) }, T0);
+    let mut fleet = Fleet::new(
+        Settings {
+            dispatchers: ROUTERS,
+            ..settings(Effect::Safe)
+        },
+        T0,
+    );
     let readers = (1..READERS + 1).map(|id| server(id, 0, (id % 2) as u16));
-    let list: Vec<_> = readers.chain((101..131).map(|id| server(id, 1, (id % 2) as u16))).collect();
+    let list: Vec<_> = readers
+        .chain((101..131).map(|id| server(id, 1, (id % 2) as u16)))
+        .collect();
     fleet.list(T0, ListForm::Full, &list);
     fleet.arrivals(seed, RATE, 20.0, ask);
     fleet.run(T0 + 5.0);
-    let troubled: Vec<ServerId> = list.iter().map(|e| e.id).filter(|id| at_all || *id == BROKEN).collect();
+    let troubled: Vec<ServerId> = list
+        .iter()
+        .map(|e| e.id)
+        .filter(|id| at_all || *id == BROKEN)
+        .collect();
     troubled.iter().for_each(|id| fleet.trouble(*id, trouble));
     let before = fleet.waiting_and_taken(BROKEN).1;
     for tick in 0..50 {
@@ -32,7 +44,10 @@
     }
     fleet.run(T0 + 40.0);
     let late = fleet.waits.values().filter(|w| **w >= 1.0).count() as f64;
-    (fleet.waiting_and_taken(BROKEN).1 - before, late / fleet.waits.len() as f64)
+    (
+        fleet.waiting_and_taken(BROKEN).1 - before,
+        late / fleet.waits.len() as f64,
+    )
 }
 
 fn over_seeds(trouble: Trouble, most: usize) -> (u32, f64) {
@@ -42,14 +57,20 @@
 
 #[test]
 fn the_word_of_others_saves_attempts_and_late_answers_at_a_silent_reader() {
-    let (alone, told) = (over_seeds(Trouble::Silent, 0), over_seeds(Trouble::Silent, usize::MAX));
+    let (alone, told) = (
+        over_seeds(Trouble::Silent, 0),
+        over_seeds(Trouble::Silent, usize::MAX),
+    );
     assert!(2 * told.0 < alone.0, "{told:?} against {alone:?}");
     assert!(2.0 * told.1 < alone.1, "{told:?} against {alone:?}");
 }
 
 #[test]
 fn the_word_of_others_saves_attempts_at_a_reader_that_answers_with_errors() {
-    let (alone, told) = (over_seeds(Trouble::Errors, 0), over_seeds(Trouble::Errors, usize::MAX));
+    let (alone, told) = (
+        over_seeds(Trouble::Errors, 0),
+        over_seeds(Trouble::Errors, usize::MAX),
+    );
     assert!(2 * told.0 < alone.0, "{told:?} against {alone:?}");
 }
 
@@ -65,21 +86,43 @@
 
 #[test]
 fn one_voice_changes_nothing() {
-    assert_eq!(day(1, Trouble::Silent, false, 1), day(1, Trouble::Silent, false, 0));
+    assert_eq!(
+        day(1, Trouble::Silent, false, 1),
+        day(1, Trouble::Silent, false, 0)
+    );
 }
 
 /// How many of forty requests, a tenth of a second apart, go to the first of two readers, with something told of it before each but
 /// the first few.
 fn sent_to_first(said: Option<(Sight, u32, u32, f64)>) -> usize {
-    let list: Vec<_> = [1, 2].map(|id| server(id, 0, 0)).into_iter().chain([server(11, 1, 0)]).collect();
+    let list: Vec<_> = [1, 2]
+        .map(|id| server(id, 0, 0))
+        .into_iter()
+        .chain([server(11, 1, 0)])
+        .collect();
     let mut desk = Desk::with_fleet(settings(Effect::Safe), list);
     let mut first = 0;
     for id in 1..46 {
         if let Some((sight, voices, of, age_s)) = said.filter(|_| id > 5) {
-            desk.tell(Event::Hearsay { server: 1, sight, voices, of, age_s });
+            desk.tell(Event::Hearsay {
+                server: 1,
+                sight,
+                voices,
+                of,
+                age_s,
+            });
         }
         first += usize::from(id > 5)
-            * usize::from(desk.serve(Request { session: 0, prefix: 0, ..ask(id) }, 0.0) == 1);
+            * usize::from(
+                desk.serve(
+                    Request {
+                        session: 0,
+                        prefix: 0,
+                        ..ask(id)
+                    },
+                    0.0,
+                ) == 1,
+            );
         desk.pass(0.1);
     }
     first
--- a/crates/policy/tests/held_states.rs
+++ b/crates/policy/tests/held_states.rs
@@ -9,12 +9,19 @@
 const RELEASED_BY_S: f64 = 0.92;
 
 fn releases(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Release { .. })).count()
+    actions
+        .iter()
+        .filter(|a| matches!(a, Action::Release { .. }))
+        .count()
 }
 
 /// A request whose prefill has ended and whose hand-over is out; patient, so that nothing is called back.
 fn handed_over(effect: Effect, may_cancel: bool) -> Desk {
-    let mut set = Settings { pin_limit_s: LIMIT_S, unseen_reads_run: true, ..settings(effect) };
+    let mut set = Settings {
+        pin_limit_s: LIMIT_S,
+        unseen_reads_run: true,
+        ..settings(effect)
+    };
     set.classes[0].ttft_aim_s = 300.0;
     set.limits.may_cancel = may_cancel;
     let mut desk = Desk::new(set);
@@ -25,7 +32,10 @@
     desk
 }
 
-const KEYED: Effect = Effect::Keyed { scope: KeyScope::All, window_s: 5.0 };
+const KEYED: Effect = Effect::Keyed {
+    scope: KeyScope::All,
+    window_s: 5.0,
+};
 const EFFECTS: [Effect; 3] = [Effect::Safe, KEYED, Effect::Unsafe];
 
 #[test]
@@ -38,7 +48,11 @@
                 if client_gone {
                     desk.tell(Event::ClientGone { request: 1 });
                 }
-                assert_eq!(releases(&desk.pass(0.85)), 0, "{case}: not while it may well arrive");
+                assert_eq!(
+                    releases(&desk.pass(0.85)),
+                    0,
+                    "{case}: not while it may well arrive"
+                );
                 assert_eq!(releases(&desk.pass(RELEASED_BY_S - 0.85)), 1, "{case}");
                 assert_eq!(releases(&desk.pass(3.0)), 0, "{case}: once");
             }
@@ -67,7 +81,10 @@
             let before = desk.sends.len();
             let mut after = desk.end(1, outcome, RELEASED_BY_S, 0.0);
             let again = desk.sends.len() > before;
-            assert!(!again || desk.last().1 < 10, "{case}: a further attempt begins with its prefill");
+            assert!(
+                !again || desk.last().1 < 10,
+                "{case}: a further attempt begins with its prefill"
+            );
             // The further prefill does not arrive either.
             after.extend(desk.pass(RELEASED_BY_S));
             assert_eq!(releases(&after), usize::from(held_again), "{case}");
@@ -85,11 +102,19 @@
         desk.end(1, outcome, RELEASED_BY_S, 0.0);
         assert!(desk.last().1 < 10, "{outcome:?}: read again");
         let again = desk.pass(2.0 * RELEASED_BY_S);
-        assert_eq!(releases(&again), 2, "{outcome:?}: for as long as it may be waited for");
+        assert_eq!(
+            releases(&again),
+            2,
+            "{outcome:?}: for as long as it may be waited for"
+        );
         let before = desk.log.len();
         desk.tell(Event::ClientGone { request: 1 });
         desk.end(1, Outcome::Error, 2.0, 0.0);
-        assert_eq!(releases(&desk.log[before..]), 1, "{outcome:?}: with the end");
+        assert_eq!(
+            releases(&desk.log[before..]),
+            1,
+            "{outcome:?}: with the end"
+        );
     }
 }
 
@@ -110,25 +135,41 @@
     let mut desk = handed_over(Effect::Safe, true);
     desk.pass(0.3);
     desk.end(1, Outcome::Reset, 0.3, 0.0);
-    assert!(desk.sends.len() == 3 && desk.last().1 > 10, "handed over elsewhere");
+    assert!(
+        desk.sends.len() == 3 && desk.last().1 > 10,
+        "handed over elsewhere"
+    );
     assert_eq!(releases(&desk.pass(RELEASED_BY_S - 0.3)), 1);
 }
 
 #[test]
-fn what_a_prefill_without_an_answer_may_have_left_is_released_before_the_limit_or_with_the_answer() {
+fn what_a_prefill_without_an_answer_may_have_left_is_released_before_the_limit_or_with_the_answer()
+{
     for outcome in [Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled] {
         for served in [true, false] {
             let case = format!("{outcome:?} served {served}");
             let set = settings(Effect::Safe);
-            let mut desk = Desk::new(Settings { pin_limit_s: LIMIT_S, unseen_reads_run: true, ..set });
+            let mut desk = Desk::new(Settings {
+                pin_limit_s: LIMIT_S,
+                unseen_reads_run: true,
+                ..set
+            });
             desk.arrive(ask(1));
             desk.end(1, outcome, 0.0, 0.0);
             assert_eq!(desk.sends.len(), 2, "{case}: read elsewhere");
             if served {
                 desk.end(1, Outcome::ReadDone, 0.0, 0.0);
                 desk.stream(1);
-                assert_eq!(releases(&desk.pass(RELEASED_BY_S)), 0, "{case}: it begins, so nothing waits");
-                assert_eq!(releases(&desk.end(1, Outcome::Served, 1.0, 0.0)), 1, "{case}");
+                assert_eq!(
+                    releases(&desk.pass(RELEASED_BY_S)),
+                    0,
+                    "{case}: it begins, so nothing waits"
+                );
+                assert_eq!(
+                    releases(&desk.end(1, Outcome::Served, 1.0, 0.0)),
+                    1,
+                    "{case}"
+                );
             } else {
                 assert_eq!(releases(&desk.pass(RELEASED_BY_S)), 1, "{case}");
             }
--- a/crates/policy/tests/long_prompts.rs
+++ b/crates/policy/tests/long_prompts.rs
@@ -46,25 +46,51 @@
         }
         let router = (draw(seed, n + 1) * f64::from(ROUTERS)) as usize;
         let session = (draw(seed, n + 2) * SESSIONS as f64) as u64;
-        all.push(Asked { id, at, router, session, tokens: prompt_tokens(seed, id) });
+        all.push(Asked {
+            id,
+            at,
+            router,
+            session,
+            tokens: prompt_tokens(seed, id),
+        });
     }
     all
 }
 
 /// Whether each was answered, in time or late.
 fn answered(asked: &[Asked]) -> BTreeMap<RequestId, bool> {
-    let mut fleet = Fleet::new(Settings { dispatchers: ROUTERS, ..settings(Effect::Safe) }, T0);
+    let mut fleet = Fleet::new(
+        Settings {
+            dispatchers: ROUTERS,
+            ..settings(Effect::Safe)
+        },
+        T0,
+    );
     let readers = (1..=READERS).map(|id| server(id, 0, 0));
     let writers = (1..=WRITERS).map(|id| server(100 + id, 1, 0));
-    fleet.list(T0, ListForm::Full, &readers.chain(writers).collect::<Vec<_>>());
+    fleet.list(
+        T0,
+        ListForm::Full,
+        &readers.chain(writers).collect::<Vec<_>>(),
+    );
     for one in asked {
         let (session, prefix) = (one.session + 1, one.session + 1);
         let (prompt_tokens, prefix_tokens) = (one.tokens, one.tokens / 4.0);
-        let ask = Request { session, prefix, prompt_tokens, prefix_tokens, ..ask(one.id) };
+        let ask = Request {
+            session,
+            prefix,
+            prompt_tokens,
+            prefix_tokens,
+            ..ask(one.id)
+        };
         fleet.arrive(one.at, one.router, ask);
     }
     fleet.run(T0 + FOR_S + 20.0);
-    fleet.waits.iter().map(|(id, wait)| (*id, wait.is_finite())).collect()
+    fleet
+        .waits
+        .iter()
+        .map(|(id, wait)| (*id, wait.is_finite()))
+        .collect()
 }
 
 fn share<'a>(of: impl Iterator<Item = &'a Asked>, answered: &BTreeMap<RequestId, bool>) -> f64 {
@@ -78,8 +104,12 @@
 
 /// Loads, as a share of what the readers can do, and the part of their class's answered share that long prompts have at
 /// least: two thirds on a quiet day, half on others.
-const LOADS: [(&str, f64, f64); 4] =
-    [("quiet", 8.0, 2.0 / 3.0), ("busy", 16.0, 0.5), ("over", 28.0, 0.5), ("far over", 45.0, 0.5)];
+const LOADS: [(&str, f64, f64); 4] = [
+    ("quiet", 8.0, 2.0 / 3.0),
+    ("busy", 16.0, 0.5),
+    ("over", 28.0, 0.5),
+    ("far over", 45.0, 0.5),
+];
 
 #[test]
 fn the_longest_tenth_and_the_next_fifth_have_their_share_of_their_class() {
@@ -93,14 +123,22 @@
             let class = share(asked.iter(), &answered);
             let longest = share(by_length[..tenth].iter().copied(), &answered);
             let next = share(by_length[tenth..third].iter().copied(), &answered);
-            println!("{name} {seed}: class {class:.3}, longest tenth {longest:.3}, next fifth {next:.3}");
+            println!(
+                "{name} {seed}: class {class:.3}, longest tenth {longest:.3}, next fifth {next:.3}"
+            );
             assert!(
                 longest >= least * class,
                 "{name}, seed {seed}: longest tenth {longest:.3} of {class:.3}"
             );
-            assert!(next >= least * class, "{name}, seed {seed}: next fifth {next:.3} of {class:.3}");
+            assert!(
+                next >= least * class,
+                "{name}, seed {seed}: next fifth {next:.3} of {class:.3}"
+            );
             // Else a router that answers nobody would pass.
-            assert!(class >= if name == "quiet" { 0.99 } else { 0.3 }, "{name}, seed {seed}: {class:.3}");
+            assert!(
+                class >= if name == "quiet" { 0.99 } else { 0.3 },
+                "{name}, seed {seed}: {class:.3}"
+            );
         }
     }
 }
@@ -113,14 +151,21 @@
         let answered = answered(&asked);
         for session in 0..SESSIONS {
             let of = || asked.iter().filter(|a| a.session == session);
-            assert!(of().count() == 0 || share(of(), &answered) > 0.0, "seed {seed}: session {session}");
+            assert!(
+                of().count() == 0 || share(of(), &answered) > 0.0,
+                "seed {seed}: session {session}"
+            );
         }
         for router in 0..ROUTERS as usize {
             let at: Vec<&Asked> = asked.iter().filter(|a| a.router == router).collect();
             let turned_away = at.windows(ON_END).filter(|run| {
                 run[ON_END - 1].at - run[0].at <= ON_END_S && run.iter().all(|a| !answered[&a.id])
             });
-            assert_eq!(turned_away.count(), 0, "seed {seed}: router {router} turns away all");
+            assert_eq!(
+                turned_away.count(),
+                0,
+                "seed {seed}: router {router} turns away all"
+            );
         }
     }
 }
--- a/crates/policy/tests/many.rs
+++ b/crates/policy/tests/many.rs
@@ -24,21 +24,41 @@
 }
 
 fn replaced(seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(Settings { dispatchers: ROUTERS, ..settings(Effect::Safe) }, T0);
+    let mut fleet = Fleet::new(
+        Settings {
+            dispatchers: ROUTERS,
+            ..settings(Effect::Safe)
+        },
+        T0,
+    );
     let hosts = |ids: Range<u32>, kind: u16| ids.map(move |id| server(id, kind, (id % 2) as u16));
     let old: Vec<ServerEntry> = hosts(READERS, 0).chain(hosts(WRITERS, 1)).collect();
     let leaving = || old.iter().filter(|e| leaves(e.id)).cloned();
-    let gone: Vec<_> = leaving().map(|e| ServerEntry { standing: Standing::Draining, ..e }).collect();
-    let fresh = |e: ServerEntry| ServerEntry { id: e.id + COMES, booted_at: COLD_FROM - 2.0, ..e };
+    let gone: Vec<_> = leaving()
+        .map(|e| ServerEntry {
+            standing: Standing::Draining,
+            ..e
+        })
+        .collect();
+    let fresh = |e: ServerEntry| ServerEntry {
+        id: e.id + COMES,
+        booted_at: COLD_FROM - 2.0,
+        ..e
+    };
     fleet.list(T0, ListForm::Full, &old);
     fleet.list(COLD_FROM - 2.0, ListForm::Delta, &gone);
-    fleet.list(COLD_FROM, ListForm::Delta, &leaving().map(fresh).collect::<Vec<_>>());
+    fleet.list(
+        COLD_FROM,
+        ListForm::Delta,
+        &leaving().map(fresh).collect::<Vec<_>>(),
+    );
     fleet.arrivals(seed, RATE, 20.0, ask);
     fleet
 }
 
 fn waiting_and_taken(fleet: &Fleet, ids: impl Iterator<Item = ServerId>) -> (usize, u32) {
-    ids.map(|id| fleet.waiting_and_taken(id)).fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
+    ids.map(|id| fleet.waiting_and_taken(id))
+        .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
 }
 
 #[test]
@@ -57,10 +77,16 @@
     let mut fleet = replaced(1);
     fleet.run(COLD_FROM + 4.0);
     let warm = waiting_and_taken(&fleet, READERS.filter(|id| !leaves(*id)));
-    let cold = waiting_and_taken(&fleet, READERS.filter(|id| leaves(*id)).map(|id| id + COMES));
+    let cold = waiting_and_taken(
+        &fleet,
+        READERS.filter(|id| leaves(*id)).map(|id| id + COMES),
+    );
     // What the guard allows them is 0.3 of all: 18 of 30 readers at 0.5 of an even share.
     let arrived = RATE * 4.0;
-    assert!(f64::from(cold.1) > 0.1 * arrived, "{warm:?} at warm readers, {cold:?} at cold ones");
+    assert!(
+        f64::from(cold.1) > 0.1 * arrived,
+        "{warm:?} at warm readers, {cold:?} at cold ones"
+    );
 }
 
 #[test]
@@ -70,17 +96,29 @@
     // 2.5 times what it can do of an even share, with the noise of a few dozen draws: a quarter of its capacity, and more as it warms
     // up by what it was sent, or by time where that is less; a writer's is larger than its even share, as answers come after reads.
     for step in 1..5 {
-        let ids = || READERS.chain(WRITERS).filter(|id| leaves(*id)).map(|id| id + COMES);
+        let ids = || {
+            READERS
+                .chain(WRITERS)
+                .filter(|id| leaves(*id))
+                .map(|id| id + COMES)
+        };
         let before: Vec<u32> = ids().map(|id| fleet.waiting_and_taken(id).1).collect();
         fleet.run(COLD_FROM + 3.0 * f64::from(step));
         for (id, before) in ids().zip(before) {
-            let like = if id < COMES + 100 { READERS.len() } else { WRITERS.len() };
+            let like = if id < COMES + 100 {
+                READERS.len()
+            } else {
+                WRITERS.len()
+            };
             let even = RATE * 3.0 / like as f64;
             let taken = f64::from(fleet.waiting_and_taken(id).1 - before);
             let age_s = 3.0 * f64::from(step - 1);
             let warmed = (f64::from(before) / (even / 3.0)).min(age_s) / 14.0;
             let most = 2.5 * (0.25 + 0.75 * warmed) * even + 3.0 * even.sqrt();
-            assert!(taken <= most, "{taken} at {id} in step {step}, even {even}, most {most}");
+            assert!(
+                taken <= most,
+                "{taken} at {id} in step {step}, even {even}, most {most}"
+            );
         }
     }
 }
--- a/crates/policy/tests/routing.rs
+++ b/crates/policy/tests/routing.rs
@@ -8,7 +8,11 @@
     let mut a = Desk::new(settings(Effect::Safe));
     let mut b = Desk::new(settings(Effect::Safe));
     for prefix in 1..20u64 {
-        let one = Request { prefix, session: prefix + 500, ..ask(prefix as u32) };
+        let one = Request {
+            prefix,
+            session: prefix + 500,
+            ..ask(prefix as u32)
+        };
         assert_eq!(a.serve(one.clone(), 0.0), b.serve(one, 0.0));
         a.pass(1.0);
         b.pass(1.0);
@@ -54,7 +58,12 @@
     desk.arrive(ask(1));
     let near = desk.last().1 + 10;
     let report = vec![0.9, 3.0, 0.9];
-    desk.tell(Event::ProbeEnded { server: near, outcome: Outcome::Served, elapsed_s: 0.01, report });
+    desk.tell(Event::ProbeEnded {
+        server: near,
+        outcome: Outcome::Served,
+        elapsed_s: 0.01,
+        report,
+    });
     desk.end(1, Outcome::ReadDone, 0.1, 0.0);
     assert_ne!(desk.last().1, near);
 }
@@ -89,16 +98,27 @@
 
 #[test]
 fn a_long_answer_is_not_put_where_it_would_push_out_others() {
-    let long = Some(Expected { mean: 9_000.0, p90: 30_000.0 });
+    let long = Some(Expected {
+        mean: 9_000.0,
+        p90: 30_000.0,
+    });
     let chosen = |told: Option<Expected>| {
         let mut desk = Desk::new(settings(Effect::Safe));
-        desk.arrive(Request { output_tokens: told, ..ask(1) });
+        desk.arrive(Request {
+            output_tokens: told,
+            ..ask(1)
+        });
         let near = desk.last().1 + 10;
         let far = if near == 11 { 12 } else { 11 };
         // Nearly equal now; the far one has the room that the answer needs at its end.
         for (server, load) in [(near, 0.88), (far, 0.80)] {
             let report = vec![load, 0.0, load];
-            desk.tell(Event::ProbeEnded { server, outcome: Outcome::Served, elapsed_s: 0.01, report });
+            desk.tell(Event::ProbeEnded {
+                server,
+                outcome: Outcome::Served,
+                elapsed_s: 0.01,
+                report,
+            });
         }
         desk.end(1, Outcome::ReadDone, 0.1, 0.0);
         (desk.last().1 == near, desk)
@@ -106,5 +126,11 @@
     assert!(chosen(None).0);
     assert!(!chosen(long).0);
     // What nobody can mean changes nothing.
-    assert!(chosen(Some(Expected { mean: f64::NAN, p90: -5.0 })).0);
+    assert!(
+        chosen(Some(Expected {
+            mean: f64::NAN,
+            p90: -5.0
+        }))
+        .0
+    );
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -18,7 +18,9 @@
     desk.arrive(ask(1));
     desk.tell(Event::ClientGone { request: 1 });
     let after = desk.end(1, Outcome::Error, 0.1, 0.0);
-    assert!(!after.iter().any(|a| matches!(a, Action::Send { .. } | Action::Refuse { .. })));
+    assert!(!after
+        .iter()
+        .any(|a| matches!(a, Action::Send { .. } | Action::Refuse { .. })));
 }
 
 #[test]
@@ -55,12 +57,18 @@
 fn an_unsafe_read_without_an_answer_may_have_run_and_is_not_repeated() {
     for outcome in [Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled] {
         for after_s in [0.0, 0.002, 0.01, 0.04, 0.5, 3.0] {
-            let mut desk = Desk::new(Settings { unseen_reads_run: true, ..settings(Effect::Unsafe) });
+            let mut desk = Desk::new(Settings {
+                unseen_reads_run: true,
+                ..settings(Effect::Unsafe)
+            });
             desk.arrive(ask(1));
             desk.pass(after_s);
             let after = desk.end(1, outcome, after_s, 0.0);
             let case = format!("{outcome:?} after {after_s}");
-            assert!(failed(&after, 1), "{case}: not refused either, as that invites to ask again");
+            assert!(
+                failed(&after, 1),
+                "{case}: not refused either, as that invites to ask again"
+            );
             assert_eq!(desk.sends.len(), 1, "{case}");
         }
     }
@@ -69,7 +77,10 @@
 /// The same of an answer tells nothing: what a writer began it may have done.
 #[test]
 fn an_unsafe_answer_that_broke_at_once_is_not_repeated() {
-    let mut desk = Desk::new(Settings { unseen_reads_run: true, ..settings(Effect::Unsafe) });
+    let mut desk = Desk::new(Settings {
+        unseen_reads_run: true,
+        ..settings(Effect::Unsafe)
+    });
     desk.arrive(ask(1));
     desk.end(1, Outcome::ReadDone, 0.1, 0.0);
     assert!(failed(&desk.end(1, Outcome::Reset, 0.0, 0.0), 1));
@@ -79,7 +90,12 @@
 /// Where a connection's end tells that the read ended too.
 #[test]
 fn an_unsafe_read_that_certainly_ended_is_read_elsewhere_after_any_failure() {
-    for outcome in [Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled, Outcome::Error] {
+    for outcome in [
+        Outcome::Reset,
+        Outcome::TimedOut,
+        Outcome::Cancelled,
+        Outcome::Error,
+    ] {
         let mut desk = Desk::new(settings(Effect::Unsafe));
         desk.arrive(ask(1));
         desk.end(1, outcome, 0.5, 0.0);
@@ -90,7 +106,10 @@
 #[test]
 fn a_silent_unsafe_read_is_not_called_back_and_an_answer_still_counts() {
     for may_cancel in [true, false] {
-        let mut set = Settings { unseen_reads_run: true, ..settings(Effect::Unsafe) };
+        let mut set = Settings {
+            unseen_reads_run: true,
+            ..settings(Effect::Unsafe)
+        };
         set.limits.may_cancel = may_cancel;
         let mut desk = Desk::new(set);
         desk.arrive(ask(1));
@@ -104,8 +123,14 @@
 
 #[test]
 fn a_keyed_read_without_an_answer_counts_in_the_time_for_repeats() {
-    let effect = Effect::Keyed { scope: KeyScope::All, window_s: 0.5 };
-    let mut desk = Desk::new(Settings { unseen_reads_run: true, ..settings(effect) });
+    let effect = Effect::Keyed {
+        scope: KeyScope::All,
+        window_s: 0.5,
+    };
+    let mut desk = Desk::new(Settings {
+        unseen_reads_run: true,
+        ..settings(effect)
+    });
     desk.arrive(ask(1));
     desk.now += 0.46;
     let after = desk.end(1, Outcome::Reset, 0.46, 0.0);
@@ -124,7 +149,10 @@
         (1.0, 0.0, 0.85, true),
         (0.25, 0.25, 0.0, false),
     ] {
-        let mut set = settings(Effect::Keyed { scope: KeyScope::All, window_s });
+        let mut set = settings(Effect::Keyed {
+            scope: KeyScope::All,
+            window_s,
+        });
         (set.limits.connect_timeout_s, set.unseen_reads_run) = (connect_timeout_s, true);
         let mut desk = Desk::new(set);
         desk.arrive(ask(1));
@@ -146,7 +174,10 @@
 
 #[test]
 fn a_keyed_request_that_may_have_run_stays_in_its_cell() {
-    let effect = Effect::Keyed { scope: KeyScope::Cell, window_s: 5.0 };
+    let effect = Effect::Keyed {
+        scope: KeyScope::Cell,
+        window_s: 5.0,
+    };
     let mut desk = Desk::new(settings(effect));
     desk.arrive(ask(1));
     desk.end(1, Outcome::ReadDone, 0.1, 0.0);
@@ -162,7 +193,10 @@
 #[test]
 fn a_draining_server_gets_nothing_new() {
     let mut desk = Desk::new(settings(Effect::Safe));
-    desk.change(ServerEntry { standing: Standing::Draining, ..server(1, 0, 0) });
+    desk.change(ServerEntry {
+        standing: Standing::Draining,
+        ..server(1, 0, 0)
+    });
     for id in 1..20 {
         desk.serve(ask(id), 0.0);
     }
@@ -173,7 +207,10 @@
 fn a_server_left_out_of_a_full_list_gets_nothing_new() {
     let mut desk = Desk::new(settings(Effect::Safe));
     let entries = vec![server(2, 0, 1), server(11, 1, 0), server(12, 1, 1)];
-    desk.tell(Event::Servers { form: ListForm::Full, entries });
+    desk.tell(Event::Servers {
+        form: ListForm::Full,
+        entries,
+    });
     for id in 1..20 {
         desk.serve(ask(id), 0.0);
     }
@@ -184,12 +221,27 @@
 fn a_cold_server_gets_a_few_sends_a_window_however_many_ask() {
     let mut desk = Desk::new(settings(Effect::Safe));
     for id in 1..60 {
-        desk.serve(Request { prefix: 0, ..ask(id) }, 0.0);
+        desk.serve(
+            Request {
+                prefix: 0,
+                ..ask(id)
+            },
+            0.0,
+        );
     }
-    desk.change(ServerEntry { booted_at: desk.now, ..server(1, 0, 0) });
+    desk.change(ServerEntry {
+        booted_at: desk.now,
+        ..server(1, 0, 0)
+    });
     let before = desk.sends.len();
     for id in 60..120 {
-        desk.serve(Request { prefix: 0, ..ask(id) }, 0.0);
+        desk.serve(
+            Request {
+                prefix: 0,
+                ..ask(id)
+            },
+            0.0,
+        );
         desk.pass(0.02);
     }
     let (cold, warm) = desk.sends[before..].iter().fold((0, 0), |n, s| match s.1 {
@@ -212,13 +264,24 @@
 /// However many ways to writers fail to come up, the time runs on from the end of the read.
 #[test]
 fn a_state_is_let_go_within_the_pin_limit_while_connections_to_writers_fail() {
-    for (pin_limit_s, fails_after_s, writers_asked) in
-        [(0.5, 0.25, 2), (0.5, 0.251, 2), (0.5, 0.1, 3), (1.0, 0.4, 2), (0.2, 0.25, 1), (0.5, 0.002, 3)]
-    {
+    for (pin_limit_s, fails_after_s, writers_asked) in [
+        (0.5, 0.25, 2),
+        (0.5, 0.251, 2),
+        (0.5, 0.1, 3),
+        (1.0, 0.4, 2),
+        (0.2, 0.25, 1),
+        (0.5, 0.002, 3),
+    ] {
         for effect in [Effect::Safe, Effect::Unsafe] {
             let writers = (11..20).map(|id| server(id, 1, 0));
             let fleet = std::iter::once(server(1, 0, 0)).chain(writers).collect();
-            let mut desk = Desk::with_fleet(Settings { pin_limit_s, ..settings(effect) }, fleet);
+            let mut desk = Desk::with_fleet(
+                Settings {
+                    pin_limit_s,
+                    ..settings(effect)
+                },
+                fleet,
+            );
             desk.arrive(ask(1));
             desk.pass(0.1);
             desk.end(1, Outcome::ReadDone, 0.1, 0.0);
@@ -240,7 +303,9 @@
 fn an_empty_list_refuses_at_once_with_a_time_to_come_back() {
     let mut desk = Desk::with_fleet(settings(Effect::Safe), vec![]);
     let out = desk.arrive(ask(1));
-    assert!(out.iter().any(|a| matches!(a, Action::Refuse { retry_after_s, .. } if *retry_after_s > 0.0)));
+    assert!(out
+        .iter()
+        .any(|a| matches!(a, Action::Refuse { retry_after_s, .. } if *retry_after_s > 0.0)));
 }
 
 #[test]
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -55,11 +55,21 @@
     /// A fault of the caller (HTTP 400) in one field.
     pub fn field(param: &str, message: impl Into<String>) -> Self {
         let (message, param) = (message.into(), Some(param.to_string()));
-        BadRequest { status: 400, code: "invalid_value", message, param }
+        BadRequest {
+            status: 400,
+            code: "invalid_value",
+            message,
+            param,
+        }
     }
 
     fn json(message: String) -> Self {
-        BadRequest { status: 400, code: "invalid_json", message, param: None }
+        BadRequest {
+            status: 400,
+            code: "invalid_json",
+            message,
+            param: None,
+        }
     }
 }
 
@@ -124,7 +134,9 @@
 pub fn parse(text: &str) -> Result<ClientEvent, BadRequest> {
     // A sequence would be taken for the fields in their order.
     if !text.trim_start().starts_with('{') {
-        return Err(BadRequest::json("the message is not an event: a JSON object is expected".to_string()));
+        return Err(BadRequest::json(
+            "the message is not an event: a JSON object is expected".to_string(),
+        ));
     }
     let event: RawEvent = read(text)?;
     match event.kind.as_str() {
@@ -132,7 +144,9 @@
         "response.cancel" => {
             let raw: RawCancel = read(text)?;
             let missing = || BadRequest::field("response_id", "response.cancel needs response_id");
-            raw.response_id.map(|response_id| ClientEvent::Cancel { response_id }).ok_or_else(missing)
+            raw.response_id
+                .map(|response_id| ClientEvent::Cancel { response_id })
+                .ok_or_else(missing)
         }
         other => {
             let shown: String = other.chars().take(40).collect();
@@ -146,7 +160,11 @@
 
 /// What is left of a bound on tokens, in the published form of the Realtime API's event.
 pub fn rate_limits(limit: u64, remaining: u64, reset_s: f64) -> String {
-    let reset = if reset_s.is_finite() { serde_json::json!(reset_s) } else { serde_json::Value::Null };
+    let reset = if reset_s.is_finite() {
+        serde_json::json!(reset_s)
+    } else {
+        serde_json::Value::Null
+    };
     let one = serde_json::json!({ "name": "tokens", "limit": limit, "remaining": remaining, "reset_seconds": reset });
     serde_json::json!({ "type": "rate_limits.updated", "rate_limits": [one] }).to_string()
 }
@@ -168,7 +186,9 @@
             // The place is that of a byte in what the client has long forgotten; the field says more.
             let why = whole.split(" at line ").next().unwrap_or_default();
             // `serde` names a missing field in its text alone.
-            let missing = why.strip_prefix("missing field `").and_then(|w| w.strip_suffix('`'));
+            let missing = why
+                .strip_prefix("missing field `")
+                .and_then(|w| w.strip_suffix('`'));
             match missing {
                 Some(field) => BadRequest::field(field, "is missing"),
                 None => BadRequest::field(if path == "." { "input" } else { &path }, why),
@@ -178,13 +198,18 @@
 }
 
 fn create(raw: RawCreate) -> Result<ClientEvent, BadRequest> {
-    let model =
-        raw.model.filter(|m| !m.is_empty()).ok_or_else(|| BadRequest::field("model", "is missing"))?;
+    let model = raw
+        .model
+        .filter(|m| !m.is_empty())
+        .ok_or_else(|| BadRequest::field("model", "is missing"))?;
     short("model", &model)?;
     if let Some(key) = &raw.prompt_cache_key {
         short("prompt_cache_key", key)?;
     }
-    let input = input_text(raw.input.ok_or_else(|| BadRequest::field("input", "is missing"))?)?;
+    let input = input_text(
+        raw.input
+            .ok_or_else(|| BadRequest::field("input", "is missing"))?,
+    )?;
     if input.is_empty() {
         return Err(BadRequest::field("input", "is empty"));
     }
@@ -192,7 +217,12 @@
         None => None,
         Some(n) => match u32::try_from(n) {
             Ok(n) if n > 0 => Some(n),
-            _ => return Err(BadRequest::field("max_output_tokens", "must lie between 1 and 4294967295")),
+            _ => {
+                return Err(BadRequest::field(
+                    "max_output_tokens",
+                    "must lie between 1 and 4294967295",
+                ))
+            }
         },
     };
     Ok(ClientEvent::Create(Box::new(Create {
@@ -210,19 +240,29 @@
 
 fn short(param: &str, value: &str) -> Result<(), BadRequest> {
     if value.chars().count() > NAME_CHARS {
-        return Err(BadRequest::field(param, format!("is longer than {NAME_CHARS} characters")));
+        return Err(BadRequest::field(
+            param,
+            format!("is longer than {NAME_CHARS} characters"),
+        ));
     }
     Ok(())
 }
 
 fn metadata(pairs: BTreeMap<String, String>) -> Result<BTreeMap<String, String>, BadRequest> {
     if pairs.len() > METADATA_PAIRS {
-        return Err(BadRequest::field("metadata", format!("has more than {METADATA_PAIRS} pairs")));
+        return Err(BadRequest::field(
+            "metadata",
+            format!("has more than {METADATA_PAIRS} pairs"),
+        ));
     }
     for (key, value) in &pairs {
-        if key.chars().count() > METADATA_KEY_CHARS || value.chars().count() > METADATA_VALUE_CHARS {
+        if key.chars().count() > METADATA_KEY_CHARS || value.chars().count() > METADATA_VALUE_CHARS
+        {
             let most = format!("{METADATA_KEY_CHARS} or {METADATA_VALUE_CHARS} characters");
-            return Err(BadRequest::field("metadata", format!("has a key or value longer than {most}")));
+            return Err(BadRequest::field(
+                "metadata",
+                format!("has a key or value longer than {most}"),
+            ));
         }
     }
     Ok(pairs)
@@ -237,14 +277,20 @@
     for (i, item) in items.into_iter().enumerate() {
         let at = |part: &str| format!("input[{i}].{part}");
         if item.kind.as_deref().is_some_and(|k| k != "message") {
-            return Err(BadRequest::field(&at("type"), "only items of type message are served here"));
+            return Err(BadRequest::field(
+                &at("type"),
+                "only items of type message are served here",
+            ));
         }
         let text = match item.content {
             Some(RawContent::Text(text)) => text,
             Some(RawContent::Parts(parts)) => parts_text(&at("content"), parts)?,
             None => return Err(BadRequest::field(&at("content"), "is missing")),
         };
-        lines.push(format!("{}: {text}", item.role.as_deref().unwrap_or("user")));
+        lines.push(format!(
+            "{}: {text}",
+            item.role.as_deref().unwrap_or("user")
+        ));
     }
     Ok(lines.join("\n"))
 }
@@ -339,7 +385,11 @@
 impl Response {
     /// Puts the answer's text in as the one output message.
     pub fn with_text(mut self, text: &str) -> Self {
-        let part = OutputText { kind: "output_text".into(), text: text.to_string(), annotations: vec![] };
+        let part = OutputText {
+            kind: "output_text".into(),
+            text: text.to_string(),
+            annotations: vec![],
+        };
         self.output = vec![OutputItem {
             id: item_id(&self.id),
             kind: "message".into(),
@@ -353,7 +403,10 @@
 
 /// Id of a response's one output item.
 pub fn item_id(response_id: &str) -> String {
-    format!("msg_{}", response_id.strip_prefix("resp_").unwrap_or(response_id))
+    format!(
+        "msg_{}",
+        response_id.strip_prefix("resp_").unwrap_or(response_id)
+    )
 }
 
 #[derive(Serialize)]
@@ -405,7 +458,11 @@
 
 /// `response.created`.
 pub fn created(sequence: u64, response: &Response) -> String {
-    text(&ResponseEvent { kind: "response.created", sequence_number: sequence, response })
+    text(&ResponseEvent {
+        kind: "response.created",
+        sequence_number: sequence,
+        response,
+    })
 }
 
 /// The final event that fits the response's status.
@@ -415,7 +472,11 @@
         Status::Incomplete => "response.incomplete",
         Status::Failed | Status::InProgress => "response.failed",
     };
-    text(&ResponseEvent { kind, sequence_number: sequence, response })
+    text(&ResponseEvent {
+        kind,
+        sequence_number: sequence,
+        response,
+    })
 }
 
 /// `response.output_text.delta`; `response_id` is ours, so that answers may run side by side in one session.
@@ -448,8 +509,11 @@
     meta: Option<&BTreeMap<String, String>>,
     elsewhere: &[String],
 ) -> String {
-    let kind =
-        if bad.status == 429 || bad.status == 503 { "rate_limit_error" } else { "invalid_request_error" };
+    let kind = if bad.status == 429 || bad.status == 503 {
+        "rate_limit_error"
+    } else {
+        "invalid_request_error"
+    };
     let error = ErrorBody {
         kind,
         code: bad.code,
@@ -459,7 +523,11 @@
         metadata: meta,
         elsewhere,
     };
-    text(&ErrorEvent { kind: "error", status: bad.status, error })
+    text(&ErrorEvent {
+        kind: "error",
+        status: bad.status,
+        error,
+    })
 }
 
 #[derive(Serialize)]
@@ -471,7 +539,10 @@
 
 /// `session.renewed` (ours): the session's proof now ends at this Unix time, seconds.
 pub fn renewed(ends_at: u64) -> String {
-    text(&RenewedEvent { kind: "session.renewed", ends_at })
+    text(&RenewedEvent {
+        kind: "session.renewed",
+        ends_at,
+    })
 }
 
 #[derive(Deserialize)]
@@ -496,7 +567,10 @@
     if !message.contains("session.renew") {
         return Renewal::None;
     }
-    match (serde_json::from_str::<RawRenewal>(message), serde_json::from_str::<RawEvent>(message)) {
+    match (
+        serde_json::from_str::<RawRenewal>(message),
+        serde_json::from_str::<RawEvent>(message),
+    ) {
         (Ok(raw), _) if raw.kind == "session.renew" => Renewal::Token(raw.token),
         (_, Ok(event)) if event.kind != "session.renew" => Renewal::None,
         _ => Renewal::Broken,
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -52,21 +52,13 @@
         body: Box<CompletionRequest>,
     },
     /// Stop the work of one request.
-    Cancel {
-        id: String,
-    },
+    Cancel { id: String },
     /// Let go of the read state that this request left.
-    Release {
-        id: String,
-    },
+    Release { id: String },
     /// Ask for a load report.
-    Probe {
-        id: u64,
-    },
+    Probe { id: u64 },
     /// A message of the engine's could not be used; says why.
-    Fault {
-        message: String,
-    },
+    Fault { message: String },
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
--- a/crates/protocol/src/workflow.rs
+++ b/crates/protocol/src/workflow.rs
@@ -112,14 +112,30 @@
 /// # Errors
 /// The first key of `metadata` at fault.
 pub fn read(metadata: &BTreeMap<String, String>) -> Result<Option<About>, BadRequest> {
-    let Some(workflow) = metadata.get(META_WORKFLOW) else { return Ok(None) };
+    let Some(workflow) = metadata.get(META_WORKFLOW) else {
+        return Ok(None);
+    };
     let does = match metadata.get(META_DO).map_or("step", String::as_str) {
-        "claim" => Does::Claim { worker: named(metadata, META_WORKER)? },
-        "step" => Does::Step { epoch: number(metadata, META_EPOCH)?, step: number(metadata, META_STEP)? },
-        "carry" => Does::Carry { epoch: number(metadata, META_EPOCH)? },
-        "finish" => Does::Finish { epoch: number(metadata, META_EPOCH)? },
-        "cancel" => Does::Cancel { epoch: number(metadata, META_EPOCH)? },
-        "settle" => Does::Settle { step: number(metadata, META_STEP)?, fate: decided(metadata)? },
+        "claim" => Does::Claim {
+            worker: named(metadata, META_WORKER)?,
+        },
+        "step" => Does::Step {
+            epoch: number(metadata, META_EPOCH)?,
+            step: number(metadata, META_STEP)?,
+        },
+        "carry" => Does::Carry {
+            epoch: number(metadata, META_EPOCH)?,
+        },
+        "finish" => Does::Finish {
+            epoch: number(metadata, META_EPOCH)?,
+        },
+        "cancel" => Does::Cancel {
+            epoch: number(metadata, META_EPOCH)?,
+        },
+        "settle" => Does::Settle {
+            step: number(metadata, META_STEP)?,
+            fate: decided(metadata)?,
+        },
         _ => {
             let why = "claim, step, carry, finish, cancel or settle is expected";
             return Err(wrong(META_DO, why.to_string()));
@@ -134,7 +150,10 @@
         Some("done") => Ok(Decided::Done),
         Some("never_ran") => Ok(Decided::NeverRan),
         Some("left_out") => Ok(Decided::LeftOut),
-        _ => Err(wrong(META_FATE, "done, never_ran or left_out is expected".to_string())),
+        _ => Err(wrong(
+            META_FATE,
+            "done, never_ran or left_out is expected".to_string(),
+        )),
     }
 }
 
@@ -143,14 +162,19 @@
 }
 
 fn named(metadata: &BTreeMap<String, String>, key: &str) -> Result<String, BadRequest> {
-    let value = metadata.get(key).ok_or_else(|| wrong(key, "is missing".to_string()))?;
+    let value = metadata
+        .get(key)
+        .ok_or_else(|| wrong(key, "is missing".to_string()))?;
     short(key, value)
 }
 
 fn short(key: &str, value: &str) -> Result<String, BadRequest> {
     match value.chars().count() {
         1..=NAME_CHARS => Ok(value.to_string()),
-        _ => Err(wrong(key, format!("a name of 1 to {NAME_CHARS} characters is expected"))),
+        _ => Err(wrong(
+            key,
+            format!("a name of 1 to {NAME_CHARS} characters is expected"),
+        )),
     }
 }
 
@@ -159,7 +183,9 @@
 where
     T: std::str::FromStr + PartialOrd + From<u8>,
 {
-    let value = metadata.get(key).ok_or_else(|| wrong(key, "is missing".to_string()))?;
+    let value = metadata
+        .get(key)
+        .ok_or_else(|| wrong(key, "is missing".to_string()))?;
     let read = value.parse::<T>().ok().filter(|n| *n >= T::from(1));
     read.ok_or_else(|| wrong(key, "a whole number from 1 is expected".to_string()))
 }
@@ -169,24 +195,48 @@
     use super::*;
 
     fn meta(pairs: &[(&str, &str)]) -> BTreeMap<String, String> {
-        pairs.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect()
+        pairs
+            .iter()
+            .map(|(k, v)| (k.to_string(), v.to_string()))
+            .collect()
     }
 
     #[test]
     fn each_wish_needs_its_own_fields_and_no_others() {
         let of = |pairs: &[(&str, &str)]| read(&meta(pairs));
-        let about = |does| Ok(Some(About { workflow: "w".into(), does }));
-        assert_eq!(of(&[("workflow_do", "dance")]), Ok(None), "it is about no workflow");
-        let claim = of(&[("workflow", "w"), ("workflow_do", "claim"), ("workflow_worker", "a")]);
+        let about = |does| {
+            Ok(Some(About {
+                workflow: "w".into(),
+                does,
+            }))
+        };
+        assert_eq!(
+            of(&[("workflow_do", "dance")]),
+            Ok(None),
+            "it is about no workflow"
+        );
+        let claim = of(&[
+            ("workflow", "w"),
+            ("workflow_do", "claim"),
+            ("workflow_worker", "a"),
+        ]);
         assert_eq!(claim, about(Does::Claim { worker: "a".into() }));
-        let step = of(&[("workflow", "w"), ("workflow_epoch", "3"), ("workflow_step", "7")]);
+        let step = of(&[
+            ("workflow", "w"),
+            ("workflow_epoch", "3"),
+            ("workflow_step", "7"),
+        ]);
         assert_eq!(step, about(Does::Step { epoch: 3, step: 7 }));
         for (does, wanted) in [
             ("carry", Does::Carry { epoch: 2 }),
             ("finish", Does::Finish { epoch: 2 }),
             ("cancel", Does::Cancel { epoch: 2 }),
         ] {
-            let pairs = [("workflow", "w"), ("workflow_do", does), ("workflow_epoch", "2")];
+            let pairs = [
+                ("workflow", "w"),
+                ("workflow_do", does),
+                ("workflow_epoch", "2"),
+            ];
             assert_eq!(of(&pairs), about(wanted));
         }
         let mut settle = vec![
@@ -195,27 +245,60 @@
             ("workflow_step", "2"),
             ("workflow_fate", "done"),
         ];
-        assert_eq!(of(&settle), about(Does::Settle { step: 2, fate: Decided::Done }));
+        assert_eq!(
+            of(&settle),
+            about(Does::Settle {
+                step: 2,
+                fate: Decided::Done
+            })
+        );
         settle[3].1 = "perhaps";
-        assert_eq!(of(&settle).expect_err("refused").param.as_deref(), Some("metadata.workflow_fate"));
+        assert_eq!(
+            of(&settle).expect_err("refused").param.as_deref(),
+            Some("metadata.workflow_fate")
+        );
         let long = "é".repeat(65);
         for (pairs, param) in [
             (vec![("workflow", "")], "metadata.workflow_epoch"),
-            (vec![("workflow", "w"), ("workflow_do", "dance")], "metadata.workflow_do"),
-            (vec![("workflow", "w"), ("workflow_do", "claim")], "metadata.workflow_worker"),
-            (vec![("workflow", "w"), ("workflow_epoch", "0")], "metadata.workflow_epoch"),
-            (vec![("workflow", "w"), ("workflow_epoch", "1")], "metadata.workflow_step"),
             (
-                vec![("workflow", "w"), ("workflow_epoch", "1"), ("workflow_step", "-1")],
+                vec![("workflow", "w"), ("workflow_do", "dance")],
+                "metadata.workflow_do",
+            ),
+            (
+                vec![("workflow", "w"), ("workflow_do", "claim")],
+                "metadata.workflow_worker",
+            ),
+            (
+                vec![("workflow", "w"), ("workflow_epoch", "0")],
+                "metadata.workflow_epoch",
+            ),
+            (
+                vec![("workflow", "w"), ("workflow_epoch", "1")],
                 "metadata.workflow_step",
             ),
             (
-                vec![("workflow", &long), ("workflow_do", "carry"), ("workflow_epoch", "1")],
+                vec![
+                    ("workflow", "w"),
+                    ("workflow_epoch", "1"),
+                    ("workflow_step", "-1"),
+                ],
+                "metadata.workflow_step",
+            ),
+            (
+                vec![
+                    ("workflow", &long),
+                    ("workflow_do", "carry"),
+                    ("workflow_epoch", "1"),
+                ],
                 "metadata.workflow",
             ),
         ] {
             let bad = of(&pairs).expect_err("refused");
-            assert_eq!((bad.status, bad.param.as_deref()), (400, Some(param)), "{pairs:?}");
+            assert_eq!(
+                (bad.status, bad.param.as_deref()),
+                (400, Some(param)),
+                "{pairs:?}"
+            );
         }
     }
 
@@ -228,10 +311,21 @@
             fate,
             result: result.map(str::to_string),
         };
-        let steps = vec![step(1, StepFate::Done, Some("yes")), step(2, StepFate::MayHaveRun, None)];
-        let claimed = Claimed { epoch: 4, context: "c".into(), lease_ms: 3000, steps };
+        let steps = vec![
+            step(1, StepFate::Done, Some("yes")),
+            step(2, StepFate::MayHaveRun, None),
+        ];
+        let claimed = Claimed {
+            epoch: 4,
+            context: "c".into(),
+            lease_ms: 3000,
+            steps,
+        };
         let text = r#"{"epoch":4,"context":"c","lease_ms":3000,"steps":[{"number":1,"effect":"unsafe","key":"k","fate":"done","result":"yes"},{"number":2,"effect":"unsafe","key":"k","fate":"may_have_run"}]}"#;
         assert_eq!(serde_json::to_string(&claimed).expect("JSON"), text);
-        assert_eq!(serde_json::from_str::<Claimed>(text).expect("a claim"), claimed);
+        assert_eq!(
+            serde_json::from_str::<Claimed>(text).expect("a claim"),
+            claimed
+        );
     }
 }
--- a/crates/quota-lease/src/ballot.rs
+++ b/crates/quota-lease/src/ballot.rs
@@ -73,7 +73,10 @@
     }
 
     fn rank(&self) -> Option<u32> {
-        self.voters.iter().position(|v| *v == self.own.name).map(|rank| rank as u32)
+        self.voters
+            .iter()
+            .position(|v| *v == self.own.name)
+            .map(|rank| rank as u32)
     }
 
     fn promised(&self, now: Duration) -> Option<&Promise> {
@@ -103,14 +106,22 @@
         }
         // Room for its question to come again, and for others to be seen first.
         self.stands_at = now + LEASE + self.waits();
-        self.promise = Some(Promise { to: from, number, until: now + LEASE });
+        self.promise = Some(Promise {
+            to: from,
+            number,
+            until: now + LEASE,
+        });
         Verdict::Granted
     }
 
     /// As a voter: a promise is given back. It counts only for the question that was granted last, as one that was asked
     /// after it may be in use.
     pub fn on_released(&mut self, now: Duration, from: Process, number: Number) {
-        if let Some(promise) = self.promise.as_mut().filter(|p| p.to == from && p.number <= number) {
+        if let Some(promise) = self
+            .promise
+            .as_mut()
+            .filter(|p| p.to == from && p.number <= number)
+        {
             // Kept with its number, so that a question from before does not count when it comes late.
             promise.until = promise.until.min(now);
         }
@@ -134,7 +145,9 @@
 
     /// A voter has granted a question.
     pub fn on_granted(&mut self, now: Duration, voter: NameKey, number: Number) {
-        let Some((asked, at, by)) = &mut self.asked else { return };
+        let Some((asked, at, by)) = &mut self.asked else {
+            return;
+        };
         if *asked != number || !self.voters.contains(&voter) {
             return;
         }
@@ -179,18 +192,30 @@
     }
 
     fn process(name: u32, start: u64) -> Process {
-        Process { name: NameKey(name), start }
+        Process {
+            name: NameKey(name),
+            start,
+        }
     }
 
     #[test]
     fn a_voter_promises_one_process_at_a_time_and_nothing_right_after_its_start() {
         let mut voter = ballot(1);
-        let mut asks =
-            |at: u32, name, start, number| voter.on_vote(MS * at, process(name, start), Number(number));
-        assert_eq!(asks(1499, 2, 1, 1), Verdict::Refused(None), "it may have promised before it started");
+        let mut asks = |at: u32, name, start, number| {
+            voter.on_vote(MS * at, process(name, start), Number(number))
+        };
+        assert_eq!(
+            asks(1499, 2, 1, 1),
+            Verdict::Refused(None),
+            "it may have promised before it started"
+        );
         assert_eq!(asks(1500, 2, 1, 2), Verdict::Granted);
         assert_eq!(asks(2000, 3, 1, 1), Verdict::Refused(Some(NameKey(2))));
-        assert_eq!(asks(2000, 2, 2, 1), Verdict::Refused(Some(NameKey(2))), "started again it is another");
+        assert_eq!(
+            asks(2000, 2, 2, 1),
+            Verdict::Refused(Some(NameKey(2))),
+            "started again it is another"
+        );
         assert_eq!(asks(2500, 2, 1, 3), Verdict::Granted);
         assert_eq!(asks(3999, 3, 1, 2), Verdict::Refused(Some(NameKey(2))));
         assert_eq!(asks(4000, 3, 1, 3), Verdict::Granted);
@@ -203,10 +228,16 @@
         let (two, three) = (process(2, 1), process(3, 1));
         assert_eq!(voter.on_vote(MS * 2000, two, Number(5)), Verdict::Granted);
         voter.on_released(MS * 2001, two, Number(4));
-        assert_eq!(voter.on_vote(MS * 2002, three, Number(1)), Verdict::Refused(Some(NameKey(2))));
+        assert_eq!(
+            voter.on_vote(MS * 2002, three, Number(1)),
+            Verdict::Refused(Some(NameKey(2)))
+        );
         voter.on_released(MS * 2003, two, Number(5));
         assert_eq!(voter.on_vote(MS * 2004, three, Number(2)), Verdict::Granted);
-        assert_eq!(voter.on_vote(MS * 2005, three, Number(2)), Verdict::Refused(None));
+        assert_eq!(
+            voter.on_vote(MS * 2005, three, Number(2)),
+            Verdict::Refused(None)
+        );
     }
 
     #[test]
@@ -215,18 +246,34 @@
         candidate.ask(MS * 2000, Number(1));
         candidate.on_granted(MS * 2100, NameKey(1), Number(1));
         candidate.on_granted(MS * 2100, NameKey(1), Number(1));
-        assert_eq!(candidate.stewards_since(MS * 2100), None, "one voter of three, twice");
+        assert_eq!(
+            candidate.stewards_since(MS * 2100),
+            None,
+            "one voter of three, twice"
+        );
         candidate.ask(MS * 2200, Number(2));
         candidate.on_granted(MS * 2210, NameKey(2), Number(1));
         candidate.on_granted(MS * 2300, NameKey(3), Number(2));
-        assert_eq!(candidate.stewards_since(MS * 2300), None, "of two questions");
+        assert_eq!(
+            candidate.stewards_since(MS * 2300),
+            None,
+            "of two questions"
+        );
         candidate.on_granted(MS * 2900, NameKey(2), Number(2));
         assert_eq!(candidate.stewards_since(MS * 3669), Some(MS * 2900));
-        assert_eq!(candidate.stewards_since(MS * 3670), None, "2.2 s and 98 hundredths of 1.5 s");
+        assert_eq!(
+            candidate.stewards_since(MS * 3670),
+            None,
+            "2.2 s and 98 hundredths of 1.5 s"
+        );
         candidate.ask(MS * 4000, Number(3));
         candidate.on_granted(MS * 9000, NameKey(1), Number(3));
         candidate.on_granted(MS * 9000, NameKey(2), Number(3));
-        assert_eq!(candidate.stewards_since(MS * 9000), None, "answers that a pause has made worthless");
+        assert_eq!(
+            candidate.stewards_since(MS * 9000),
+            None,
+            "answers that a pause has made worthless"
+        );
     }
 
     #[test]
--- a/crates/quota-lease/src/beside.rs
+++ b/crates/quota-lease/src/beside.rs
@@ -65,7 +65,10 @@
     /// What was on disk at the start, whole; or why it cannot be read. The first input, where there is a disk.
     Found(Result<Found, KeepError>),
     /// What was wanted kept under this ticket is on disk, or is not.
-    Kept { ticket: u64, done: Result<(), KeepError> },
+    Kept {
+        ticket: u64,
+        done: Result<(), KeepError>,
+    },
     /// The process ends in order; the last input.
     Leave,
 }
@@ -82,7 +85,11 @@
     Tell(T),
     /// On disk, replacing what was under that name, or removed where there are no bytes; answered by [`Given::Kept`]. Those of one
     /// step become durable together or not at all.
-    Keep { ticket: u64, name: Vec<u8>, bytes: Option<Vec<u8>> },
+    Keep {
+        ticket: u64,
+        name: Vec<u8>,
+        bytes: Option<Vec<u8>>,
+    },
     /// For the log.
     Log { warn: bool, text: String },
 }
--- a/crates/quota-lease/src/hearsay.rs
+++ b/crates/quota-lease/src/hearsay.rs
@@ -78,7 +78,11 @@
     pub(crate) fn read(bytes: &[u8; 6]) -> Option<Sight> {
         let [a, b, c, d, what, age] = *bytes;
         let host = Host(u32::from_le_bytes([a, b, c, d]));
-        Some(Sight { host, what: Trait::of(what)?, age: AGE_STEP * u32::from(age) })
+        Some(Sight {
+            host,
+            what: Trait::of(what)?,
+            age: AGE_STEP * u32::from(age),
+        })
     }
 }
 
@@ -91,7 +95,12 @@
     pub(crate) fn read(bytes: &[u8; 7]) -> Option<Hearsay> {
         let [a, b, c, d, what, voices, age] = *bytes;
         let host = Host(u32::from_le_bytes([a, b, c, d]));
-        Some(Hearsay { host, what: Trait::of(what)?, voices, age: AGE_STEP * u32::from(age) })
+        Some(Hearsay {
+            host,
+            what: Trait::of(what)?,
+            voices,
+            age: AGE_STEP * u32::from(age),
+        })
     }
 }
 
@@ -115,7 +124,10 @@
     pub(crate) fn told(&mut self, now: Duration, by: Process, sights: &[Sight]) {
         self.forget(by);
         let room = HELD_MOST.saturating_sub(self.held);
-        let seen = sights.iter().take(room).map(|s| ((s.host, s.what), now.saturating_sub(s.age)));
+        let seen = sights
+            .iter()
+            .take(room)
+            .map(|s| ((s.host, s.what), now.saturating_sub(s.age)));
         let seen: BTreeMap<_, _> = seen.collect();
         self.held += seen.len();
         self.by.insert(by, seen);
@@ -144,7 +156,12 @@
         }
         let hearsay = said.into_iter().map(|((host, what), (voices, at))| {
             let age = now.saturating_sub(at);
-            Hearsay { host, what, voices, age }
+            Hearsay {
+                host,
+                what,
+                voices,
+                age,
+            }
         });
         let mut hearsay: Vec<Hearsay> = hearsay.collect();
         hearsay.sort_by_key(|h| (std::cmp::Reverse(h.voices), h.age));
@@ -161,11 +178,18 @@
     const MS: Duration = Duration::from_millis(1);
 
     fn sight(host: u32, what: Trait, age: u32) -> Sight {
-        Sight { host: Host(host), what, age: MS * age }
+        Sight {
+            host: Host(host),
+            what,
+            age: MS * age,
+        }
     }
 
     fn who(name: u32) -> Process {
-        Process { name: NameKey(name), start: 1 }
+        Process {
+            name: NameKey(name),
+            start: 1,
+        }
     }
 
     #[test]
@@ -177,22 +201,39 @@
         gathered.told(MS * 10_200, who(2), &failing(0));
         gathered.told(MS * 10_200, who(3), &[]);
         let heard = |by: u32| gathered.for_member(MS * 10_300, who(by));
-        let said = |voices, age| Hearsay { host: Host(7), what: Trait::Failing, voices, age: MS * age };
+        let said = |voices, age| Hearsay {
+            host: Host(7),
+            what: Trait::Failing,
+            voices,
+            age: MS * age,
+        };
         assert_eq!(heard(1), (2, vec![said(1, 100)]));
         assert_eq!(heard(2), (2, vec![said(1, 800)]));
         assert_eq!(heard(3), (2, vec![said(2, 100)]));
         // Started again it is the same member: its earlier word is not another voice.
         let again = Process { start: 2, ..who(1) };
-        assert_eq!(gathered.for_member(MS * 10_300, again).1, vec![said(1, 100)]);
+        assert_eq!(
+            gathered.for_member(MS * 10_300, again).1,
+            vec![said(1, 100)]
+        );
     }
 
     #[test]
     fn what_is_no_longer_seen_or_told_is_gone() {
         let mut gathered = Gathered::default();
-        gathered.told(MS * 1000, who(1), &[sight(7, Trait::Cold, 0), sight(8, Trait::Draining, 0)]);
+        gathered.told(
+            MS * 1000,
+            who(1),
+            &[sight(7, Trait::Cold, 0), sight(8, Trait::Draining, 0)],
+        );
         gathered.told(MS * 1300, who(1), &[sight(8, Trait::Draining, 300)]);
-        let hosts =
-            |g: &Gathered| g.for_member(MS * 1400, who(2)).1.iter().map(|h| h.host.0).collect::<Vec<_>>();
+        let hosts = |g: &Gathered| {
+            g.for_member(MS * 1400, who(2))
+                .1
+                .iter()
+                .map(|h| h.host.0)
+                .collect::<Vec<_>>()
+        };
         assert_eq!(hosts(&gathered), [8]);
         gathered.keep(|p| *p != who(1));
         assert!(hosts(&gathered).is_empty());
@@ -201,7 +242,11 @@
 
     #[test]
     fn tables_and_messages_have_bounds_and_the_latest_and_the_most_seen_are_kept() {
-        let many = |n: u32| (0..n).map(|i| sight(i, Trait::Failing, n - i)).collect::<Vec<_>>();
+        let many = |n: u32| {
+            (0..n)
+                .map(|i| sight(i, Trait::Failing, n - i))
+                .collect::<Vec<_>>()
+        };
         let told = latest(many(100));
         assert_eq!((told.len(), told[0].host), (SIGHTS_MOST, Host(99)));
         let mut gathered = Gathered::default();
@@ -210,6 +255,9 @@
         gathered.told(MS * 1000, who(0), &[sight(5, Trait::Cold, 0)]);
         assert_eq!(gathered.held, HELD_MOST - SIGHTS_MOST + 1);
         let (of, heard) = gathered.for_member(MS * 1000, who(1));
-        assert_eq!((of, heard.len(), heard[0].voices), (1999, HEARSAY_MOST, 255));
+        assert_eq!(
+            (of, heard.len(), heard[0].voices),
+            (1999, HEARSAY_MOST, 255)
+        );
     }
 }
--- a/crates/quota-lease/src/lender.rs
+++ b/crates/quota-lease/src/lender.rs
@@ -45,7 +45,11 @@
 impl Lender {
     /// For one that has been steward since `since`.
     pub fn new(whole: u32, since: Duration) -> Lender {
-        Lender { whole, from: since + LOAN, borrowers: BTreeMap::new() }
+        Lender {
+            whole,
+            from: since + LOAN,
+            borrowers: BTreeMap::new(),
+        }
     }
 
     /// How much is lent for this question, in millionths; `None` where nothing may be yet, or the question is an old one.
@@ -60,10 +64,18 @@
             return None;
         }
         borrower.latest = number;
-        let others: u32 = self.borrowers.iter().filter(|(who, _)| **who != to).map(|(_, b)| b.most()).sum();
+        let others: u32 = self
+            .borrowers
+            .iter()
+            .filter(|(who, _)| **who != to)
+            .map(|(_, b)| b.most())
+            .sum();
         let even = self.whole / self.borrowers.len() as u32;
         let millionths = even.min(self.whole.saturating_sub(others));
-        let part = Lent { millionths, until: now + LOAN };
+        let part = Lent {
+            millionths,
+            until: now + LOAN,
+        };
         self.borrowers.entry(to).or_default().parts.push(part);
         Some(millionths)
     }
@@ -103,7 +115,10 @@
     }
 
     fn who(name: u32) -> Process {
-        Process { name: NameKey(name), start: 1 }
+        Process {
+            name: NameKey(name),
+            start: 1,
+        }
     }
 
     #[test]
--- a/crates/quota-lease/src/message.rs
+++ b/crates/quota-lease/src/message.rs
@@ -74,14 +74,28 @@
             Message::Granted { number } => put(1, *number, &[]),
             Message::Refused { number, holder } => put(2, *number, &named(*holder).to_le_bytes()),
             Message::Released { number } => put(3, *number, &[]),
-            Message::Borrow { number, roster, seen } => {
+            Message::Borrow {
+                number,
+                roster,
+                seen,
+            } => {
                 let mut rest = roster.to_le_bytes().to_vec();
-                seen.iter().take(SIGHTS_MOST).for_each(|s| s.write(&mut rest));
+                seen.iter()
+                    .take(SIGHTS_MOST)
+                    .for_each(|s| s.write(&mut rest));
                 put(4, *number, &rest);
             }
-            Message::Lent { number, millionths, of, heard } => {
+            Message::Lent {
+                number,
+                millionths,
+                of,
+                heard,
+            } => {
                 let mut rest = [&millionths.to_le_bytes()[..], &of.to_le_bytes()].concat();
-                heard.iter().take(HEARSAY_MOST).for_each(|h| h.write(&mut rest));
+                heard
+                    .iter()
+                    .take(HEARSAY_MOST)
+                    .for_each(|h| h.write(&mut rest));
                 put(5, *number, &rest);
             }
             Message::NotHere { number, holder } => put(6, *number, &named(*holder).to_le_bytes()),
@@ -97,16 +111,26 @@
         let (number, rest) = rest.split_first_chunk::<8>().ok_or(Unreadable)?;
         let number = Number(u64::from_le_bytes(*number));
         match (kind, rest) {
-            (0, rest) => Ok(Message::Vote { number, roster: exactly(rest)? }),
+            (0, rest) => Ok(Message::Vote {
+                number,
+                roster: exactly(rest)?,
+            }),
             (1, []) => Ok(Message::Granted { number }),
-            (2, rest) => Ok(Message::Refused { number, holder: name(exactly(rest)?) }),
+            (2, rest) => Ok(Message::Refused {
+                number,
+                holder: name(exactly(rest)?),
+            }),
             (3, []) => Ok(Message::Released { number }),
             (4, rest) => {
                 let (roster, seen) = rest.split_first_chunk::<4>().ok_or(Unreadable)?;
                 let (seen, over) = seen.as_chunks::<6>();
                 let seen: Option<Vec<Sight>> = seen.iter().map(Sight::read).collect();
                 let seen = seen.filter(|_| over.is_empty()).ok_or(Unreadable)?;
-                Ok(Message::Borrow { number, roster: u32::from_le_bytes(*roster), seen })
+                Ok(Message::Borrow {
+                    number,
+                    roster: u32::from_le_bytes(*roster),
+                    seen,
+                })
             }
             (5, rest) => {
                 let (millionths, rest) = rest.split_first_chunk::<4>().ok_or(Unreadable)?;
@@ -115,9 +139,17 @@
                 let heard: Option<Vec<Hearsay>> = heard.iter().map(Hearsay::read).collect();
                 let heard = heard.filter(|_| over.is_empty()).ok_or(Unreadable)?;
                 let (millionths, of) = (u32::from_le_bytes(*millionths), u16::from_le_bytes(*of));
-                Ok(Message::Lent { number, millionths, of, heard })
+                Ok(Message::Lent {
+                    number,
+                    millionths,
+                    of,
+                    heard,
+                })
             }
-            (6, rest) => Ok(Message::NotHere { number, holder: name(exactly(rest)?) }),
+            (6, rest) => Ok(Message::NotHere {
+                number,
+                holder: name(exactly(rest)?),
+            }),
             (7, []) => Ok(Message::Done),
             _ => Err(Unreadable),
         }
@@ -125,7 +157,9 @@
 }
 
 fn exactly(bytes: &[u8]) -> Result<u32, Unreadable> {
-    Ok(u32::from_le_bytes(bytes.try_into().map_err(|_| Unreadable)?))
+    Ok(u32::from_le_bytes(
+        bytes.try_into().map_err(|_| Unreadable)?,
+    ))
 }
 
 #[cfg(test)]
@@ -139,17 +173,42 @@
     fn every_message_is_read_as_it_was_written_and_no_other_length_is() {
         let (number, holder) = (Number(1 << 40), Some(NameKey(7)));
         let (host, age) = (Host(1 << 31), Duration::from_millis(25_500));
-        let sight = Sight { host, what: Trait::Draining, age };
-        let heard = Hearsay { host, what: Trait::Cold, voices: 255, age };
+        let sight = Sight {
+            host,
+            what: Trait::Draining,
+            age,
+        };
+        let heard = Hearsay {
+            host,
+            what: Trait::Cold,
+            voices: 255,
+            age,
+        };
         let all = [
             Message::Vote { number, roster: 9 },
             Message::Granted { number },
             Message::Refused { number, holder },
-            Message::Refused { number, holder: None },
+            Message::Refused {
+                number,
+                holder: None,
+            },
             Message::Released { number },
-            Message::Borrow { number, roster: 9, seen: vec![] },
-            Message::Borrow { number, roster: 9, seen: vec![sight; SIGHTS_MOST] },
-            Message::Lent { number, millionths: 166_666, of: 299, heard: vec![heard; HEARSAY_MOST] },
+            Message::Borrow {
+                number,
+                roster: 9,
+                seen: vec![],
+            },
+            Message::Borrow {
+                number,
+                roster: 9,
+                seen: vec![sight; SIGHTS_MOST],
+            },
+            Message::Lent {
+                number,
+                millionths: 166_666,
+                of: 299,
+                heard: vec![heard; HEARSAY_MOST],
+            },
             Message::NotHere { number, holder },
             Message::Done,
         ];
--- a/crates/quota-lease/src/shares.rs
+++ b/crates/quota-lease/src/shares.rs
@@ -8,7 +8,9 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 use crate::hearsay::{latest, Gathered};
-use crate::{usable, Ballot, Hearsay, Host, Lender, Message, Number, Process, Sight, Trait, Verdict, LOAN};
+use crate::{
+    usable, Ballot, Hearsay, Host, Lender, Message, Number, Process, Sight, Trait, Verdict, LOAN,
+};
 
 /// Between two steps: a steward asks its voters anew, a borrower its steward. A part is asked for five times before it ends.
 const BEAT: Duration = Duration::from_millis(300);
@@ -73,10 +75,18 @@
 
 impl Shares {
     /// `start` tells this process from others under its name; the roster holds its own name too.
-    pub fn new(own: NameKey, start: u64, roster: BTreeSet<NameKey>, seed: u64, now: Duration) -> Shares {
+    pub fn new(
+        own: NameKey,
+        start: u64,
+        roster: BTreeSet<NameKey>,
+        seed: u64,
+        now: Duration,
+    ) -> Shares {
         let own = Process { name: own, start };
         // FNV-1a over the names in order.
-        let digest = roster.iter().fold(0x811C_9DC5u32, |sum, name| (sum ^ name.0).wrapping_mul(0x0100_0193));
+        let digest = roster.iter().fold(0x811C_9DC5u32, |sum, name| {
+            (sum ^ name.0).wrapping_mul(0x0100_0193)
+        });
         Shares {
             own,
             ballot: Ballot::new(own, &roster, now),
@@ -137,7 +147,14 @@
                 None => {
                     let number = self.number();
                     self.ballot.ask(now, number);
-                    self.say_voters(now, &Message::Vote { number, roster: self.digest }, out);
+                    self.say_voters(
+                        now,
+                        &Message::Vote {
+                            number,
+                            roster: self.digest,
+                        },
+                        out,
+                    );
                 }
             }
         }
@@ -147,7 +164,9 @@
 
     /// Takes what another process said, proven and in its name.
     pub fn heard(&mut self, now: Duration, from: Process, said: &[u8], out: &mut Vec<Told>) {
-        let Ok(message) = Message::read(said) else { return };
+        let Ok(message) = Message::read(said) else {
+            return;
+        };
         if !self.left && self.roster.contains(&from.name) {
             self.take(now, from, message, out);
             self.look(now, out);
@@ -185,17 +204,28 @@
             }
             Message::Granted { number } => self.ballot.on_granted(now, from.name, number),
             Message::Released { number } => self.ballot.on_released(now, from, number),
-            Message::Borrow { number, roster, seen } => {
+            Message::Borrow {
+                number,
+                roster,
+                seen,
+            } => {
                 let same = self.same_roster(from, roster, out);
                 let answer = self.lend(now, from, number, same.then_some(&seen), out);
                 self.say(now, from.name, answer, out);
             }
-            Message::Lent { number, millionths, of, heard } => {
+            Message::Lent {
+                number,
+                millionths,
+                of,
+                heard,
+            } => {
                 if self.on_lent(number, millionths) {
                     out.push(Told::Heard { of, heard });
                 }
             }
-            Message::Refused { holder, .. } | Message::NotHere { holder, .. } => self.on_elsewhere(holder),
+            Message::Refused { holder, .. } | Message::NotHere { holder, .. } => {
+                self.on_elsewhere(holder)
+            }
             Message::Done => {
                 if let Some((_, lender)) = &mut self.lender {
                     lender.done(from);
@@ -215,23 +245,40 @@
         out: &mut Vec<Told>,
     ) -> Message {
         self.look(now, out);
-        let not_here = Message::NotHere { number, holder: self.ballot.holder(now) };
-        let (Some((_, lender)), Some(seen)) = (&mut self.lender, seen) else { return not_here };
-        let Some(millionths) = lender.lend(now, to, number) else { return not_here };
+        let not_here = Message::NotHere {
+            number,
+            holder: self.ballot.holder(now),
+        };
+        let (Some((_, lender)), Some(seen)) = (&mut self.lender, seen) else {
+            return not_here;
+        };
+        let Some(millionths) = lender.lend(now, to, number) else {
+            return not_here;
+        };
         self.gathered.keep(|who| lender.counts(who));
         self.gathered.told(now, to, seen);
         let (of, heard) = self.gathered.for_member(now, to);
-        Message::Lent { number, millionths, of, heard }
+        Message::Lent {
+            number,
+            millionths,
+            of,
+            heard,
+        }
     }
 
     /// As borrower. The answer to the latest question counts: it tells of those that came since.
     fn on_lent(&mut self, number: Number, millionths: u32) -> bool {
-        let Some(asked) = self.asked.remove(&number) else { return false };
+        let Some(asked) = self.asked.remove(&number) else {
+            return false;
+        };
         self.misses = 0;
         if number > self.part_of {
             self.part_of = number;
             let lent = f64::from(millionths.min(WHOLE - CAREFUL)) / f64::from(WHOLE);
-            self.part = Part { lent, until: asked + usable(LOAN) };
+            self.part = Part {
+                lent,
+                until: asked + usable(LOAN),
+            };
         }
         number == self.part_of
     }
@@ -253,7 +300,10 @@
         self.misses += 1;
         // Without one, voters are asked in turn: each knows whom it has promised it.
         let voters = self.ballot.voters();
-        let Some(to) = self.steward.or_else(|| voters.get(self.turn % voters.len().max(1)).copied()) else {
+        let Some(to) = self
+            .steward
+            .or_else(|| voters.get(self.turn % voters.len().max(1)).copied())
+        else {
             return;
         };
         self.turn += 1;
@@ -267,7 +317,11 @@
             what: *what,
             age: now.saturating_sub(*since),
         });
-        let question = Message::Borrow { number, roster: self.digest, seen: latest(seen.collect()) };
+        let question = Message::Borrow {
+            number,
+            roster: self.digest,
+            seen: latest(seen.collect()),
+        };
         self.say(now, to, question, out);
     }
 
--- a/crates/quota-lease/src/together.rs
+++ b/crates/quota-lease/src/together.rs
@@ -31,7 +31,11 @@
     pub fn new(member: Membership, seed: u64, now: Duration) -> Together {
         let own = member.own();
         let shares = Shares::new(own.name, own.start.process, member.roster(), seed, now);
-        Together { member, shares, swim: Vec::new() }
+        Together {
+            member,
+            shares,
+            swim: Vec::new(),
+        }
     }
 
     pub fn wake_at(&self) -> Option<Duration> {
@@ -41,7 +45,13 @@
     }
 
     /// Takes a datagram that came from an address.
-    pub fn datagram(&mut self, now: Duration, from: SocketAddrV4, bytes: &[u8], out: &mut Vec<Output>) {
+    pub fn datagram(
+        &mut self,
+        now: Duration,
+        from: SocketAddrV4,
+        bytes: &[u8],
+        out: &mut Vec<Output>,
+    ) {
         self.member.datagram(now, from, bytes, &mut self.swim);
         self.carry(now, out);
     }
@@ -53,7 +63,12 @@
     }
 
     /// Says something of a machine beside this one to a member; `None` where it is not of the roster, or nothing is said any more.
-    pub fn say(&mut self, topic: Topic, to: NameKey, said: &[u8]) -> Option<(SocketAddrV4, Vec<u8>)> {
+    pub fn say(
+        &mut self,
+        topic: Topic,
+        to: NameKey,
+        said: &[u8],
+    ) -> Option<(SocketAddrV4, Vec<u8>)> {
         let mut swim = Vec::new();
         self.member.say(topic, to, said, &mut swim);
         swim.into_iter().find_map(|output| match output {
@@ -82,12 +97,24 @@
             match output {
                 Swim::Send(to, bytes) => out.push(Output::Send(to, bytes)),
                 Swim::Event(event) => out.push(Output::Member(event)),
-                Swim::Said { topic: Topic::Agreement, name, start, said } => {
-                    self.shares.heard(now, Process { name, start }, &said, &mut told)
-                }
-                Swim::Said { topic, name, start, said } => {
-                    out.push(Output::Said { topic, from: Process { name, start }, said })
-                }
+                Swim::Said {
+                    topic: Topic::Agreement,
+                    name,
+                    start,
+                    said,
+                } => self
+                    .shares
+                    .heard(now, Process { name, start }, &said, &mut told),
+                Swim::Said {
+                    topic,
+                    name,
+                    start,
+                    said,
+                } => out.push(Output::Said {
+                    topic,
+                    from: Process { name, start },
+                    said,
+                }),
             }
         }
         self.tell(told, out);
@@ -124,6 +151,10 @@
         for at in 0..500 {
             whole.datagram(ms(10 * at), address(1), b"noise", &mut Vec::new());
         }
-        assert!((whole.shares.part().lent - 0.9).abs() < 1e-9, "its own steward: {:?}", whole.shares.part());
+        assert!(
+            (whole.shares.part().lent - 0.9).abs() < 1e-9,
+            "its own steward: {:?}",
+            whole.shares.part()
+        );
     }
 }
--- a/crates/quota-lease/tests/shares.rs
+++ b/crates/quota-lease/tests/shares.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{base, Message, Number, Part, Process, Shares, Told};
 use bitternlatch_membership::NameKey;
+use bitternlatch_quota_lease::{base, Message, Number, Part, Process, Shares, Told};
 use proptest::prelude::*;
 
 /// Virtual time, microseconds.
@@ -75,8 +75,15 @@
         };
         for _ in 0..of {
             let (ahead, fast) = (world.draw(5_000_000), world.draw(20_001) as i64 - 10_000);
-            let member =
-                Member { shares: None, paused: false, inbox: vec![], had: vec![], start: 0, ahead, fast };
+            let member = Member {
+                shares: None,
+                paused: false,
+                inbox: vec![],
+                had: vec![],
+                start: 0,
+                ahead,
+                fast,
+            };
             world.members.push(member);
         }
         (0..of).for_each(|i| world.start(i));
@@ -84,8 +91,10 @@
     }
 
     fn draw(&mut self, below: u64) -> u64 {
-        self.draws =
-            self.draws.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.draws = self
+            .draws
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.draws >> 33) % below
     }
 
@@ -111,14 +120,20 @@
             return 0.0;
         }
         let now = member.clock(self.now);
-        let lent = member.had.iter().filter(|part| now < part.until).map(|part| part.lent);
+        let lent = member
+            .had
+            .iter()
+            .filter(|part| now < part.until)
+            .map(|part| part.lent);
         lent.fold(0.0, f64::max) + base(self.members.len())
     }
 
     /// Keeps what a member has been lent.
     fn note(&mut self, i: usize) {
         let member = &mut self.members[i];
-        let (now, Some(shares)) = (member.clock(self.now), &member.shares) else { return };
+        let (now, Some(shares)) = (member.clock(self.now), &member.shares) else {
+            return;
+        };
         if member.had.last() != Some(&shares.part()) {
             member.had.retain(|part| now < part.until);
             member.had.push(shares.part());
@@ -134,14 +149,18 @@
         for one in told {
             let Told::Say(to, said) = one else { continue };
             let to = (to.0 - 10) as usize;
-            let me = Process { name: name(from), start: self.members[from].start };
+            let me = Process {
+                name: name(from),
+                start: self.members[from].start,
+            };
             let copies = if self.draw(100) < self.twice { 2 } else { 1 };
             for _ in 0..copies {
                 let passes = self.side >> from & 1 == self.side >> to & 1;
                 let after = 200 + self.draw(self.slow);
                 if passes && self.draw(100) >= self.lost {
                     self.count += 1;
-                    self.way.insert((self.now + after, self.count), (to, me, said.clone()));
+                    self.way
+                        .insert((self.now + after, self.count), (to, me, said.clone()));
                 }
             }
         }
@@ -175,7 +194,9 @@
             let timers = awake.filter_map(|(i, m)| Some((m.at(m.shares.as_ref()?.wake_at()?), i)));
             let timer = timers.min();
             let next = [message, timer.map(|t| t.0)].into_iter().flatten().min();
-            let Some(next) = next.filter(|at| *at <= until) else { break };
+            let Some(next) = next.filter(|at| *at <= until) else {
+                break;
+            };
             self.now = self.now.max(next);
             if message == Some(next) {
                 if let Some((_, (to, from, said))) = self.way.pop_first() {
@@ -206,7 +227,11 @@
     }
 
     fn stewards(&self) -> usize {
-        let lends = |m: &&Member| m.shares.as_ref().is_some_and(|s| s.lends_to(m.clock(self.now)).is_some());
+        let lends = |m: &&Member| {
+            m.shares
+                .as_ref()
+                .is_some_and(|s| s.lends_to(m.clock(self.now)).is_some())
+        };
         self.members.iter().filter(lends).count()
     }
 }
@@ -219,18 +244,42 @@
     for seed in 0..50 {
         let mut world = World::new(5, seed);
         world.run(8_000 * MS);
-        (0..5).for_each(|i| assert!((world.spends(i) - 0.2).abs() < 1e-4, "{seed}: {}", world.spends(i)));
+        (0..5).for_each(|i| {
+            assert!(
+                (world.spends(i) - 0.2).abs() < 1e-4,
+                "{seed}: {}",
+                world.spends(i)
+            )
+        });
         let victim = (seed % 5) as usize;
         world.members[victim].shares = None;
         world.run(1_000 * MS);
         // It may be standing still and not be dead; what it has is spent until it ends.
-        let others = |w: &World| (0..5).filter(|i| *i != victim).map(|i| w.spends(i)).fold(0.0, f64::max);
-        assert!(others(&world) <= 0.2, "{seed}: grown while the other's part may be in use");
+        let others = |w: &World| {
+            (0..5)
+                .filter(|i| *i != victim)
+                .map(|i| w.spends(i))
+                .fold(0.0, f64::max)
+        };
+        assert!(
+            others(&world) <= 0.2,
+            "{seed}: grown while the other's part may be in use"
+        );
         world.run(5_000 * MS);
-        assert!((others(&world) - (0.9 / 4.0 + 0.02)).abs() < 1e-4, "{seed}: {}", others(&world));
+        assert!(
+            (others(&world) - (0.9 / 4.0 + 0.02)).abs() < 1e-4,
+            "{seed}: {}",
+            others(&world)
+        );
         world.start(victim);
         world.run(5_000 * MS);
-        (0..5).for_each(|i| assert!((world.spends(i) - 0.2).abs() < 1e-4, "{seed}: {}", world.spends(i)));
+        (0..5).for_each(|i| {
+            assert!(
+                (world.spends(i) - 0.2).abs() < 1e-4,
+                "{seed}: {}",
+                world.spends(i)
+            )
+        });
         assert!(world.worst <= WHOLE, "{seed}: {}", world.worst);
     }
 }
@@ -243,7 +292,13 @@
         world.side = 0b00011;
         world.run(8_000 * MS);
         (0..2).for_each(|i| assert!((world.spends(i) - 0.02).abs() < 1e-9));
-        (2..5).for_each(|i| assert!((world.spends(i) - 0.32).abs() < 1e-4, "{seed}: {}", world.spends(i)));
+        (2..5).for_each(|i| {
+            assert!(
+                (world.spends(i) - 0.32).abs() < 1e-4,
+                "{seed}: {}",
+                world.spends(i)
+            )
+        });
         assert!(world.worst <= WHOLE);
         assert_eq!(world.stewards(), 1);
     }
@@ -253,8 +308,12 @@
 fn a_farewell_frees_a_part_without_a_wait() {
     let mut world = World::new(3, 7);
     world.run(8_000 * MS);
-    let steward =
-        (0..3).find(|i| world.members[*i].shares.as_ref().is_some_and(|s| s.steward() == Some(name(*i))));
+    let steward = (0..3).find(|i| {
+        world.members[*i]
+            .shares
+            .as_ref()
+            .is_some_and(|s| s.steward() == Some(name(*i)))
+    });
     let leaver = (0..3).find(|i| Some(*i) != steward).expect("another");
     let (now, mut out) = (world.members[leaver].clock(world.now), vec![]);
     if let Some(shares) = &mut world.members[leaver].shares {
@@ -265,7 +324,10 @@
     world.members[leaver].shares = None;
     world.run(1_000 * MS);
     let others: f64 = world.all_spend();
-    assert!(others > 0.95, "within a second, and not after 1.5 s: {others}");
+    assert!(
+        others > 0.95,
+        "within a second, and not after 1.5 s: {others}"
+    );
     assert!(world.worst <= WHOLE);
 }
 
@@ -276,14 +338,34 @@
     world.start_with(2, four);
     world.run(10_000 * MS);
     assert!((world.spends(2) - base(3)).abs() < 1e-9);
-    assert!((world.spends(0) - 0.45 - base(3)).abs() < 1e-4, "{}", world.spends(0));
+    assert!(
+        (world.spends(0) - 0.45 - base(3)).abs() < 1e-4,
+        "{}",
+        world.spends(0)
+    );
     let mut told = vec![];
-    let (clock, from) = (world.members[0].clock(world.now), Process { name: name(2), start: 9 });
-    let question = Message::Borrow { number: Number(1), roster: 1, seen: vec![] };
+    let (clock, from) = (
+        world.members[0].clock(world.now),
+        Process {
+            name: name(2),
+            start: 9,
+        },
+    );
+    let question = Message::Borrow {
+        number: Number(1),
+        roster: 1,
+        seen: vec![],
+    };
     let mut fresh = Shares::new(name(0), 1, (0..3).map(name).collect(), 1, clock);
     fresh.heard(clock, from, &question.write(), &mut told);
     fresh.heard(clock, from, &question.write(), &mut told);
-    assert_eq!(told.iter().filter(|t| **t == Told::OtherRoster(name(2))).count(), 1, "once");
+    assert_eq!(
+        told.iter()
+            .filter(|t| **t == Told::OtherRoster(name(2)))
+            .count(),
+        1,
+        "once"
+    );
 }
 
 #[test]
@@ -304,18 +386,40 @@
             other => panic!("{other:?}"),
         }
     }
-    let from = Process { name: name(0), start: 1 };
-    let lent = |number, millionths| Message::Lent { number, millionths, of: 2, heard: vec![] }.write();
+    let from = Process {
+        name: name(0),
+        start: 1,
+    };
+    let lent = |number, millionths| {
+        Message::Lent {
+            number,
+            millionths,
+            of: 2,
+            heard: vec![],
+        }
+        .write()
+    };
     shares.heard(at(310), from, &lent(numbers[1], 100_000), &mut told);
     shares.heard(at(320), from, &lent(numbers[0], 900_000), &mut told);
-    assert_eq!(shares.part(), Part { lent: 0.1, until: at(300 + 1470) });
+    assert_eq!(
+        shares.part(),
+        Part {
+            lent: 0.1,
+            until: at(300 + 1470)
+        }
+    );
     shares.heard(at(330), from, &lent(Number(77), 900_000), &mut told);
     assert_eq!(shares.part().lent, 0.1, "an answer to no question");
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Network { side: u32, lost: u64, twice: u64, slow_ms: u64 },
+    Network {
+        side: u32,
+        lost: u64,
+        twice: u64,
+        slow_ms: u64,
+    },
     Kill(usize),
     Start(usize),
     Pause(usize),
@@ -327,8 +431,14 @@
     let member = 0..members;
     let slow = prop_oneof![Just(3u64), 1u64..2_000];
     prop_oneof![
-        (0u32..1 << members, 0u64..50, 0u64..50, slow)
-            .prop_map(|(side, lost, twice, slow_ms)| Step::Network { side, lost, twice, slow_ms }),
+        (0u32..1 << members, 0u64..50, 0u64..50, slow).prop_map(|(side, lost, twice, slow_ms)| {
+            Step::Network {
+                side,
+                lost,
+                twice,
+                slow_ms,
+            }
+        }),
         member.clone().prop_map(Step::Kill),
         member.clone().prop_map(Step::Start),
         member.clone().prop_map(Step::Pause),
@@ -340,7 +450,12 @@
 
 fn take(world: &mut World, step: &Step) {
     match *step {
-        Step::Network { side, lost, twice, slow_ms } => {
+        Step::Network {
+            side,
+            lost,
+            twice,
+            slow_ms,
+        } => {
             (world.side, world.lost, world.twice, world.slow) = (side, lost, twice, slow_ms * MS);
         }
         Step::Kill(i) => world.members[i].shares = None,
@@ -353,7 +468,10 @@
 
 /// More on request, as `PROPTEST_CASES`.
 fn cases() -> u32 {
-    std::env::var("PROPTEST_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(400)
+    std::env::var("PROPTEST_CASES")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(400)
 }
 
 proptest! {
--- a/crates/replicated-register/src/disk.rs
+++ b/crates/replicated-register/src/disk.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use bitternlatch_quota_lease::Found;
 use bitternlatch_membership::NameKey;
+use bitternlatch_quota_lease::Found;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
 use crate::memory::{Kind, Life};
@@ -66,21 +66,36 @@
 }
 
 pub fn register(key: RegisterKey, life: u64, count: u64, copy: &Copy) -> (Vec<u8>, Vec<u8>) {
-    (name(key), write(&Record { life, count, copy: copy.clone() }))
+    (
+        name(key),
+        write(&Record {
+            life,
+            count,
+            copy: copy.clone(),
+        }),
+    )
 }
 
 pub fn open(found: Found) -> Disk {
     if found.is_empty() {
         return Disk::Empty;
     }
-    let Some(mut meta) = found.iter().find(|(name, _)| name == META).and_then(|(_, b)| read::<Meta>(b))
+    let Some(mut meta) = found
+        .iter()
+        .find(|(name, _)| name == META)
+        .and_then(|(_, b)| read::<Meta>(b))
     else {
         return Disk::Torn;
     };
     let (mut registers, mut stale) = (Vec::new(), Vec::new());
     for (name, bytes) in found.into_iter().filter(|(name, _)| name != META) {
-        let key = name.split_first().filter(|(kind, _)| **kind == REGISTER).map(|(_, key)| key);
-        let Some(key) = key.and_then(|key| <[u8; 16]>::try_from(key).ok()) else { return Disk::Torn };
+        let key = name
+            .split_first()
+            .filter(|(kind, _)| **kind == REGISTER)
+            .map(|(_, key)| key);
+        let Some(key) = key.and_then(|key| <[u8; 16]>::try_from(key).ok()) else {
+            return Disk::Torn;
+        };
         match read::<Record>(&bytes) {
             None => return Disk::Torn,
             Some(record) if record.life != meta.life => stale.push(name),
@@ -90,5 +105,9 @@
             }
         }
     }
-    Disk::Whole { meta, registers, stale }
+    Disk::Whole {
+        meta,
+        registers,
+        stale,
+    }
 }
--- a/crates/replicated-register/src/error.rs
+++ b/crates/replicated-register/src/error.rs
@@ -24,7 +24,9 @@
     #[error("too many copies are still catching up")]
     CatchingUp,
     /// Certainly not written.
-    #[error("a majority of the copies has lost what it held; what the register held cannot be known")]
+    #[error(
+        "a majority of the copies has lost what it held; what the register held cannot be known"
+    )]
     Lost,
     /// May or may not be written, as with [`ReplicaError::TimedOut`].
     #[error("a majority of the copies cannot keep it: {0}")]
@@ -104,7 +106,10 @@
         ];
         let by = NameKey(1);
         let events = [
-            Event::CaughtUp { registers: 1, fetched: 1 },
+            Event::CaughtUp {
+                registers: 1,
+                fetched: 1,
+            },
             Event::OlderDisk { by },
             Event::Emptied { by },
             Event::Torn,
--- a/crates/replicated-register/src/io.rs
+++ b/crates/replicated-register/src/io.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{Found, KeepError, Peers, Process};
 use bitternlatch_membership::NameKey;
+use bitternlatch_quota_lease::{Found, KeepError, Peers, Process};
 
 use crate::{RegisterKey, ReplicaError, Version};
 
@@ -21,7 +21,10 @@
 
 impl Default for Settings {
     fn default() -> Settings {
-        Settings { copies: 3, durable: false }
+        Settings {
+            copies: 3,
+            durable: false,
+        }
     }
 }
 
--- a/crates/replicated-register/src/job.rs
+++ b/crates/replicated-register/src/job.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{KeepError, Process};
 use bitternlatch_membership::NameKey;
+use bitternlatch_quota_lease::{KeepError, Process};
 
 use crate::memory::majority;
 use crate::message::{Said, Stamp, Why};
@@ -26,12 +26,21 @@
 
 impl Mint {
     pub fn new(own: Process) -> Mint {
-        Mint { name: own.name, start: own.start, round: 0, count: 0 }
+        Mint {
+            name: own.name,
+            start: own.start,
+            round: 0,
+            count: 0,
+        }
     }
 
     pub fn ballot(&mut self) -> Ballot {
         self.round += 1;
-        Ballot { round: self.round, by: self.name, start: self.start }
+        Ballot {
+            round: self.round,
+            by: self.name,
+            start: self.start,
+        }
     }
 
     /// Another one is that far.
@@ -41,7 +50,12 @@
 
     fn version(&mut self, epoch: u64, on: Option<Version>) -> Version {
         self.count = self.count.max(on.map_or(0, |on| on.count)) + 1;
-        Version { epoch, count: self.count, writer: self.name, start: self.start }
+        Version {
+            epoch,
+            count: self.count,
+            writer: self.name,
+            start: self.start,
+        }
     }
 }
 
@@ -154,9 +168,10 @@
     /// The gap that it makes, once that is settled.
     pub fn gap(&self) -> Option<(Ballot, State)> {
         match &self.phase {
-            Phase::Accepting { state, answer: Answer::Written(_) } if state.body.is_none() => {
-                Some((self.ballot, state.clone()))
-            }
+            Phase::Accepting {
+                state,
+                answer: Answer::Written(_),
+            } if state.body.is_none() => Some((self.ballot, state.clone())),
             _ => None,
         }
     }
@@ -178,9 +193,16 @@
             let shown = lead.latest.filter(|_| !lead.gap);
             if *on == shown && lead.latest.is_none_or(|latest| latest.epoch <= *epoch) {
                 let version = mint.version(*epoch, lead.latest);
-                let state = State { version, before: lead.latest, body: body.clone() };
+                let state = State {
+                    version,
+                    before: lead.latest,
+                    body: body.clone(),
+                };
                 (self.ours, self.base, self.ballot) = (Some(version), lead.latest, lead.ballot);
-                self.phase = Phase::Accepting { state, answer: Answer::Written(version) };
+                self.phase = Phase::Accepting {
+                    state,
+                    answer: Answer::Written(version),
+                };
                 return;
             }
         }
@@ -194,9 +216,18 @@
             Phase::Waiting => return None,
             Phase::Looking => Said::Look { key, ballot },
             Phase::Preparing => Said::Prepare { key, ballot },
-            Phase::Accepting { state, .. } => Said::Accept { key, ballot, state: state.clone() },
+            Phase::Accepting { state, .. } => Said::Accept {
+                key,
+                ballot,
+                state: state.clone(),
+            },
         };
-        let to = self.copies.iter().copied().filter(|name| !self.answers.contains_key(name)).collect();
+        let to = self
+            .copies
+            .iter()
+            .copied()
+            .filter(|name| !self.answers.contains_key(name))
+            .collect();
         Some((said, to))
     }
 
@@ -212,9 +243,13 @@
 
     /// Nothing came of it for a while.
     pub fn stalled(&mut self) -> Next {
-        let passed = self.refused.values().any(|why| matches!(why, Why::Passed(_)));
+        let passed = self
+            .refused
+            .values()
+            .any(|why| matches!(why, Why::Passed(_)));
         self.refused.clear();
-        let apart = self.phase == Phase::Looking && self.answers.len() >= majority(self.copies.len());
+        let apart =
+            self.phase == Phase::Looking && self.answers.len() >= majority(self.copies.len());
         if passed || apart {
             Next::Again
         } else {
@@ -232,11 +267,16 @@
     ) -> Next {
         let looking = self.phase == Phase::Looking;
         // A late promise says nothing about whether the value was taken, which may go under the same ballot.
-        if !(looking || self.phase == Phase::Preparing) || !self.take(from, ballot, stamp, accepted) {
+        if !(looking || self.phase == Phase::Preparing) || !self.take(from, ballot, stamp, accepted)
+        {
             return Next::Wait;
         }
         let most = majority(self.copies.len());
-        let taken = || self.answers.values().filter_map(|(_, accepted)| accepted.as_ref());
+        let taken = || {
+            self.answers
+                .values()
+                .filter_map(|(_, accepted)| accepted.as_ref())
+        };
         // So that the next ballot is not refused.
         taken().for_each(|a| mint.seen(a.ballot.next()));
         if self.answers.len() < most {
@@ -271,10 +311,19 @@
         Next::Ask
     }
 
-    pub fn on_took(&mut self, from: NameKey, ballot: Ballot, stamp: Stamp, mint: &mut Mint) -> Next {
-        let Phase::Accepting { state, answer } = &self.phase else { return Next::Wait };
+    pub fn on_took(
+        &mut self,
+        from: NameKey,
+        ballot: Ballot,
+        stamp: Stamp,
+        mint: &mut Mint,
+    ) -> Next {
+        let Phase::Accepting { state, answer } = &self.phase else {
+            return Next::Wait;
+        };
         let (state, answer) = (state.clone(), answer.clone());
-        if !self.take(from, ballot, stamp, None) || self.answers.len() < majority(self.copies.len()) {
+        if !self.take(from, ballot, stamp, None) || self.answers.len() < majority(self.copies.len())
+        {
             return Next::Wait;
         }
         mint.seen(self.ballot.next());
@@ -295,7 +344,8 @@
         if count(&|why| *why == Why::Lost) > spare {
             return Next::Done(Answer::Failed(self.undone(ReplicaError::Lost)), None);
         }
-        let hard = |why: &Why| matches!(why, Why::Lost | Why::Full | Why::DiskFull | Why::DiskFault);
+        let hard =
+            |why: &Why| matches!(why, Why::Lost | Why::Full | Why::DiskFull | Why::DiskFault);
         if count(&hard) > spare {
             return Next::Done(Answer::Failed(self.failure()), None);
         }
@@ -329,20 +379,36 @@
 
     /// Takes an answer to the ballot under way. What a memory said that has ended since, as another copy knows, counts no more: that
     /// one may have caught up from a majority before this was taken there.
-    fn take(&mut self, from: NameKey, ballot: Ballot, stamp: Stamp, accepted: Option<Accepted>) -> bool {
+    fn take(
+        &mut self,
+        from: NameKey,
+        ballot: Ballot,
+        stamp: Stamp,
+        accepted: Option<Accepted>,
+    ) -> bool {
         if ballot != self.ballot || self.waits() || !self.copies.contains(&from) {
             return false;
         }
         self.refused.remove(&from);
         self.answers.insert(from, (stamp, accepted));
-        let lives: Vec<(NameKey, u64)> = self.answers.values().flat_map(|(s, _)| s.lives.clone()).collect();
-        let ended = |name: &NameKey, life: u64| lives.iter().any(|(of, known)| of == name && *known > life);
-        self.answers.retain(|name, (stamp, _)| !ended(name, stamp.life));
+        let lives: Vec<(NameKey, u64)> = self
+            .answers
+            .values()
+            .flat_map(|(s, _)| s.lives.clone())
+            .collect();
+        let ended =
+            |name: &NameKey, life: u64| lives.iter().any(|(of, known)| of == name && *known > life);
+        self.answers
+            .retain(|name, (stamp, _)| !ended(name, stamp.life));
         true
     }
 
     fn lead(&self, ballot: Ballot, latest: Option<&State>) -> Lead {
-        Lead { ballot, latest: latest.map(|s| s.version), gap: latest.is_some_and(|s| s.body.is_none()) }
+        Lead {
+            ballot,
+            latest: latest.map(|s| s.version),
+            gap: latest.is_some_and(|s| s.body.is_none()),
+        }
     }
 
     /// What is to be written on top of the latest, if anything, and the answer once that, or the latest, is settled.
@@ -359,7 +425,11 @@
             return match version {
                 _ if version == Some(ours) => (None, Answer::Written(ours)),
                 _ if version == self.base => {
-                    let state = State { version: ours, before: version, body: body.clone() };
+                    let state = State {
+                        version: ours,
+                        before: version,
+                        body: body.clone(),
+                    };
                     (Some(state), Answer::Written(ours))
                 }
                 _ if before == Some(ours) => (None, Answer::Written(ours)),
@@ -369,14 +439,23 @@
         }
         match latest {
             Some(state) if state.version.epoch > *epoch => {
-                return failed(ReplicaError::EpochPassed { epoch: state.version.epoch });
+                return failed(ReplicaError::EpochPassed {
+                    epoch: state.version.epoch,
+                });
             }
             _ if shown != *on => return failed(ReplicaError::Conflict { latest: shown }),
             _ => {}
         }
         let ours = mint.version(*epoch, version);
         (self.ours, self.base) = (Some(ours), version);
-        (Some(State { version: ours, before: version, body: body.clone() }), Answer::Written(ours))
+        (
+            Some(State {
+                version: ours,
+                before: version,
+                body: body.clone(),
+            }),
+            Answer::Written(ours),
+        )
     }
 }
 
@@ -384,32 +463,75 @@
 mod tests {
     use super::*;
 
-    const ON: Version = Version { epoch: 1, count: 1, writer: NameKey(9), start: 1 };
+    const ON: Version = Version {
+        epoch: 1,
+        count: 1,
+        writer: NameKey(9),
+        start: 1,
+    };
 
     fn job(ask: Ask) -> (Job, Mint) {
-        let mut mint = Mint::new(Process { name: NameKey(9), start: 1 });
+        let mut mint = Mint::new(Process {
+            name: NameKey(9),
+            start: 1,
+        });
         let copies = (1..=3).map(NameKey).collect();
-        let mut job = Job::new(Call(1), RegisterKey([0; 16]), copies, Duration::MAX, ask, &mut mint);
+        let mut job = Job::new(
+            Call(1),
+            RegisterKey([0; 16]),
+            copies,
+            Duration::MAX,
+            ask,
+            &mut mint,
+        );
         job.begin(None, &mut mint);
         (job, mint)
     }
 
     fn stamp(life: u64, other: u32, known: u64) -> Stamp {
-        Stamp { life, count: 1, lives: vec![(NameKey(other), known)] }
+        Stamp {
+            life,
+            count: 1,
+            lives: vec![(NameKey(other), known)],
+        }
     }
 
     fn accepted(round: u64, own: bool) -> Option<Accepted> {
-        let state = State { version: ON, before: None, body: Some(vec![1]) };
-        Some(Accepted { ballot: Ballot { round, by: NameKey(9), start: 1 }, state, own })
+        let state = State {
+            version: ON,
+            before: None,
+            body: Some(vec![1]),
+        };
+        Some(Accepted {
+            ballot: Ballot {
+                round,
+                by: NameKey(9),
+                start: 1,
+            },
+            state,
+            own,
+        })
     }
 
     #[test]
     fn what_a_copy_has_learnt_is_no_vote_and_is_settled_before_it_is_told() {
         let (mut job, mut mint) = job(Ask::Read);
         let look = job.ballot;
-        let next = job.on_promised(NameKey(1), look, stamp(1, 2, 1), accepted(1, true), &mut mint);
+        let next = job.on_promised(
+            NameKey(1),
+            look,
+            stamp(1, 2, 1),
+            accepted(1, true),
+            &mut mint,
+        );
         assert_eq!(next, Next::Wait);
-        let next = job.on_promised(NameKey(2), look, stamp(1, 1, 1), accepted(1, false), &mut mint);
+        let next = job.on_promised(
+            NameKey(2),
+            look,
+            stamp(1, 1, 1),
+            accepted(1, false),
+            &mut mint,
+        );
         assert_eq!(next, Next::Wait);
         let next = job.on_promised(NameKey(3), look, stamp(1, 1, 1), None, &mut mint);
         assert_eq!((next, &job.phase), (Next::Ask, &Phase::Preparing));
@@ -417,14 +539,24 @@
 
     #[test]
     fn a_vote_of_a_memory_that_has_ended_is_asked_for_again() {
-        let (mut job, mut mint) = job(Ask::Write { on: None, epoch: 1, body: Some(vec![1]) });
+        let (mut job, mut mint) = job(Ask::Write {
+            on: None,
+            epoch: 1,
+            body: Some(vec![1]),
+        });
         let ballot = job.ballot;
         job.on_promised(NameKey(1), ballot, stamp(1, 2, 1), None, &mut mint);
         let next = job.on_promised(NameKey(2), ballot, stamp(1, 1, 1), None, &mut mint);
         assert_eq!(next, Next::Ask);
-        assert_eq!(job.on_took(NameKey(1), ballot, stamp(1, 2, 1), &mut mint), Next::Wait);
+        assert_eq!(
+            job.on_took(NameKey(1), ballot, stamp(1, 2, 1), &mut mint),
+            Next::Wait
+        );
         // The second one has heard meanwhile that the first has begun anew, and may have told it what it held before this.
-        assert_eq!(job.on_took(NameKey(2), ballot, stamp(1, 1, 2), &mut mint), Next::Wait);
+        assert_eq!(
+            job.on_took(NameKey(2), ballot, stamp(1, 1, 2), &mut mint),
+            Next::Wait
+        );
         let asked: Vec<NameKey> = job.says().map(|(_, to)| to).unwrap_or_default();
         assert_eq!(asked, [NameKey(1), NameKey(3)]);
         let next = job.on_took(NameKey(1), ballot, stamp(2, 2, 1), &mut mint);
--- a/crates/replicated-register/src/memory.rs
+++ b/crates/replicated-register/src/memory.rs
@@ -34,9 +34,17 @@
 impl Life {
     /// The later of two words about one member.
     fn join(self, other: Life) -> Life {
-        let (early, late) = if self.life <= other.life { (self, other) } else { (other, self) };
+        let (early, late) = if self.life <= other.life {
+            (self, other)
+        } else {
+            (other, self)
+        };
         match early.life == late.life {
-            true => Life { count: early.count.max(late.count), lost: early.lost || late.lost, ..late },
+            true => Life {
+                count: early.count.max(late.count),
+                lost: early.lost || late.lost,
+                ..late
+            },
             // What was cut off may have held more than anybody heard of.
             false => Life { lost: true, ..late },
         }
@@ -72,10 +80,21 @@
 
 impl Memory {
     pub fn new(own: NameKey, roster: &BTreeSet<NameKey>, kind: Kind, life: u64) -> Memory {
-        let others: BTreeSet<NameKey> = roster.iter().copied().filter(|name| *name != own).collect();
+        let others: BTreeSet<NameKey> =
+            roster.iter().copied().filter(|name| *name != own).collect();
         let miss = others.clone();
         let (sources, latest) = (BTreeMap::new(), BTreeMap::new());
-        Memory { own, others, kind, life, count: 0, lives: BTreeMap::new(), sources, latest, miss }
+        Memory {
+            own,
+            others,
+            kind,
+            life,
+            count: 0,
+            lives: BTreeMap::new(),
+            sources,
+            latest,
+            miss,
+        }
     }
 
     /// From the disk.
@@ -109,7 +128,9 @@
     pub fn contradicted(&self, known: Life) -> bool {
         match known.life.cmp(&self.life) {
             std::cmp::Ordering::Greater => true,
-            std::cmp::Ordering::Equal => known.count > self.count || (known.lost && self.kind == Kind::Fresh),
+            std::cmp::Ordering::Equal => {
+                known.count > self.count || (known.lost && self.kind == Kind::Fresh)
+            }
             // Whoever is asked has noted this life first, and says so by `lost`.
             std::cmp::Ordering::Less => false,
         }
@@ -131,7 +152,11 @@
     pub fn fetched(&mut self, from: NameKey, source: Source) {
         self.latest.insert(from, source.clone());
         let lacks = self.lacks(from, &source);
-        if self.sources.get(&from).is_none_or(|known| lacks.is_subset(&self.lacks(from, known))) {
+        if self
+            .sources
+            .get(&from)
+            .is_none_or(|known| lacks.is_subset(&self.lacks(from, known)))
+        {
             self.sources.insert(from, source);
         }
         self.reckon();
@@ -153,7 +178,11 @@
             let source = self.sources.get(name).filter(|_| self.kind == Kind::Lost);
             source.is_some_and(|s| self.lacks(*name, s).iter().any(|x| !unheard(x)))
         };
-        self.others.iter().copied().filter(|name| unheard(name) || worth(name)).collect()
+        self.others
+            .iter()
+            .copied()
+            .filter(|name| unheard(name) || worth(name))
+            .collect()
     }
 
     /// What a source could not tell: whatever it shares with these.
@@ -162,17 +191,27 @@
             // From a disk, and not yet held against what anybody else knows.
             Kind::Whole if source.miss.len() >= self.others.len() => BTreeSet::from([name]),
             Kind::Whole => BTreeSet::new(),
-            Kind::Fresh | Kind::Lost => {
-                source.miss.iter().map(|x| if *x == self.own { name } else { *x }).collect()
-            }
+            Kind::Fresh | Kind::Lost => source
+                .miss
+                .iter()
+                .map(|x| if *x == self.own { name } else { *x })
+                .collect(),
         }
     }
 
     fn reckon(&mut self) {
-        let unheard = self.others.iter().copied().filter(|name| !self.sources.contains_key(name));
+        let unheard = self
+            .others
+            .iter()
+            .copied()
+            .filter(|name| !self.sources.contains_key(name));
         let mut miss: BTreeSet<NameKey> = unheard.collect();
         if self.kind == Kind::Lost {
-            miss.extend(self.sources.iter().flat_map(|(name, source)| self.lacks(*name, source)));
+            miss.extend(
+                self.sources
+                    .iter()
+                    .flat_map(|(name, source)| self.lacks(*name, source)),
+            );
         }
         self.miss = miss;
         if self.miss.is_empty() && !self.others.is_empty() {
@@ -183,7 +222,10 @@
     /// Whether this copy counts for a register with these copies. `waited`: long enough for others to have spoken.
     pub fn ready(&self, copies: &[NameKey], waited: bool) -> bool {
         let most = majority(copies.len());
-        let missing = copies.iter().filter(|name| self.miss.contains(name)).count();
+        let missing = copies
+            .iter()
+            .filter(|name| self.miss.contains(name))
+            .count();
         match self.kind {
             // Whether there ever was more can be told by any of the others, those without a copy too.
             Kind::Fresh => missing == 0 && (self.miss.is_empty() || waited),
@@ -200,8 +242,15 @@
         let most = majority(copies.len());
         let others = || copies.iter().filter(|name| **name != self.own);
         let lost = |name: &NameKey| {
-            let Some(source) = self.latest.get(name).filter(|s| s.kind == Kind::Lost) else { return false };
-            copies.iter().filter(|x| *x != name && source.miss.contains(x)).count() + 2 > most
+            let Some(source) = self.latest.get(name).filter(|s| s.kind == Kind::Lost) else {
+                return false;
+            };
+            copies
+                .iter()
+                .filter(|x| *x != name && source.miss.contains(x))
+                .count()
+                + 2
+                > most
         };
         self.kind == Kind::Lost
             && !self.ready(copies, true)
--- a/crates/replicated-register/src/message.rs
+++ b/crates/replicated-register/src/message.rs
@@ -119,7 +119,8 @@
     pub fn read(bytes: &[u8]) -> Result<Said, ReplicaError> {
         match bytes.split_first() {
             Some((&WORDS, rest)) => {
-                let said: Said = postcard::from_bytes(rest).map_err(|_| ReplicaError::Unreadable)?;
+                let said: Said =
+                    postcard::from_bytes(rest).map_err(|_| ReplicaError::Unreadable)?;
                 said.sound().then_some(said).ok_or(ReplicaError::Unreadable)
             }
             Some((&version, _)) => Err(ReplicaError::OtherVersion(version)),
@@ -130,17 +131,33 @@
     fn sound(&self) -> bool {
         let ballot = |b: &Ballot| b.round < NUMBER_MOST;
         let state = |s: &State| {
-            s.version.count < NUMBER_MOST && s.body.as_ref().is_none_or(|b| b.len() <= crate::VALUE_MOST)
+            s.version.count < NUMBER_MOST
+                && s.body.as_ref().is_none_or(|b| b.len() <= crate::VALUE_MOST)
         };
         match self {
-            Said::Look { ballot: b, .. } | Said::Prepare { ballot: b, .. } | Said::Took { ballot: b, .. } => {
+            Said::Look { ballot: b, .. }
+            | Said::Prepare { ballot: b, .. }
+            | Said::Took { ballot: b, .. } => ballot(b),
+            Said::Accept {
+                ballot: b,
+                state: s,
+                ..
+            } => ballot(b) && state(s),
+            Said::Promised {
+                ballot: b,
+                accepted,
+                ..
+            } => {
                 ballot(b)
+                    && accepted
+                        .as_ref()
+                        .is_none_or(|a| ballot(&a.ballot) && state(&a.state))
             }
-            Said::Accept { ballot: b, state: s, .. } => ballot(b) && state(s),
-            Said::Promised { ballot: b, accepted, .. } => {
-                ballot(b) && accepted.as_ref().is_none_or(|a| ballot(&a.ballot) && state(&a.state))
-            }
-            Said::Refused { ballot: b, why: Why::Passed(p), .. } => ballot(b) && ballot(p),
+            Said::Refused {
+                ballot: b,
+                why: Why::Passed(p),
+                ..
+            } => ballot(b) && ballot(p),
             Said::Refused { ballot: b, .. } => ballot(b),
             Said::Gone { .. } | Said::CatchUp { .. } | Said::Chunk(_) | Said::Beat { .. } => true,
         }
@@ -174,16 +191,32 @@
         let version = (any::<u64>(), 0..1u64 << 62, any::<u32>(), any::<u64>());
         let body = proptest::option::of(proptest::collection::vec(any::<u8>(), 0..300));
         (version, body).prop_map(|((epoch, count, writer, start), body)| {
-            let version = Version { epoch, count, writer: NameKey(writer), start };
-            State { version, before: (count % 2 == 0).then_some(version), body }
+            let version = Version {
+                epoch,
+                count,
+                writer: NameKey(writer),
+                start,
+            };
+            State {
+                version,
+                before: (count % 2 == 0).then_some(version),
+                body,
+            }
         })
     }
 
     fn said() -> impl Strategy<Value = Said> {
         let key = any::<[u8; 16]>().prop_map(RegisterKey);
         (0..8, key, ballots(), states(), any::<u64>()).prop_map(|(kind, key, ballot, state, n)| {
-            let stamp = Stamp { life: n, count: n / 2, lives: vec![(ballot.by, n)] };
-            let session = Session { start: n, number: n / 3 };
+            let stamp = Stamp {
+                life: n,
+                count: n / 2,
+                lives: vec![(ballot.by, n)],
+            };
+            let session = Session {
+                start: n,
+                number: n / 3,
+            };
             match kind {
                 0 => Said::Look { key, ballot },
                 1 => Said::Accept { key, ballot, state },
@@ -191,19 +224,42 @@
                     key,
                     ballot,
                     stamp,
-                    accepted: Some(Accepted { ballot, state, own: true }),
+                    accepted: Some(Accepted {
+                        ballot,
+                        state,
+                        own: true,
+                    }),
                 },
                 3 => Said::Took { key, ballot, stamp },
-                4 => Said::Refused { key, ballot, why: Why::Passed(ballot) },
-                5 => Said::CatchUp { session, life: n, count: n, after: Some(key) },
-                6 => Said::Gone { key, version: state.version },
+                4 => Said::Refused {
+                    key,
+                    ballot,
+                    why: Why::Passed(ballot),
+                },
+                5 => Said::CatchUp {
+                    session,
+                    life: n,
+                    count: n,
+                    after: Some(key),
+                },
+                6 => Said::Gone {
+                    key,
+                    version: state.version,
+                },
                 _ => Said::Chunk(Box::new(Chunk {
                     session,
                     after: None,
                     upto: Some(key),
                     kind: Kind::Lost,
                     miss: vec![ballot.by],
-                    lives: vec![(ballot.by, Life { life: n, count: n, lost: true })],
+                    lives: vec![(
+                        ballot.by,
+                        Life {
+                            life: n,
+                            count: n,
+                            lost: true,
+                        },
+                    )],
                     items: vec![1, 2, 3],
                     sum: 0,
                 })),
--- a/crates/replicated-register/src/model.rs
+++ b/crates/replicated-register/src/model.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use bitternlatch_quota_lease::Process;
 use bitternlatch_membership::NameKey;
+use bitternlatch_quota_lease::Process;
 use stateright::{Checker, Model, Property};
 
 use crate::job::{Answer, Ask, Job, Lead, Mint, Next};
@@ -70,10 +70,14 @@
 
 impl World {
     fn send(&self, state: &mut State, w: usize) {
-        let Some(job) = &state.writers[w].job else { return };
+        let Some(job) = &state.writers[w].job else {
+            return;
+        };
         let Some((said, to)) = job.says() else { return };
         let said = said.write();
-        state.way.extend(to.iter().map(|name| (10 + w as u32, name.0, said.clone())));
+        state
+            .way
+            .extend(to.iter().map(|name| (10 + w as u32, name.0, said.clone())));
     }
 
     fn go_on(&self, state: &mut State, w: usize, next: Next) {
@@ -100,19 +104,40 @@
     }
 
     fn at_copy(&self, held: &mut Held, said: Said) -> Option<Said> {
-        let lives = held.lives.iter().map(|(name, life)| (*name, *life)).collect();
-        let stamp = Stamp { life: held.life, count: 0, lives };
+        let lives = held
+            .lives
+            .iter()
+            .map(|(name, life)| (*name, *life))
+            .collect();
+        let stamp = Stamp {
+            life: held.life,
+            count: 0,
+            lives,
+        };
         if held.fetched.is_some() {
             return None;
         }
         match said {
             Said::Prepare { key, ballot } => Some(match held.copy.prepare(ballot) {
-                Ok(_) => Said::Promised { key, ballot, stamp, accepted: held.copy.accepted.clone() },
-                Err(passed) => Said::Refused { key, ballot, why: Why::Passed(passed) },
+                Ok(_) => Said::Promised {
+                    key,
+                    ballot,
+                    stamp,
+                    accepted: held.copy.accepted.clone(),
+                },
+                Err(passed) => Said::Refused {
+                    key,
+                    ballot,
+                    why: Why::Passed(passed),
+                },
             }),
             Said::Accept { key, ballot, state } => Some(match held.copy.accept(ballot, &state) {
                 Ok(_) => Said::Took { key, ballot, stamp },
-                Err(passed) => Said::Refused { key, ballot, why: Why::Passed(passed) },
+                Err(passed) => Said::Refused {
+                    key,
+                    ballot,
+                    why: Why::Passed(passed),
+                },
             }),
             _ => None,
         }
@@ -122,11 +147,16 @@
         let writer = &mut state.writers[w];
         let Some(job) = &mut writer.job else { return };
         let next = match said {
-            Said::Promised { ballot, stamp, accepted, .. } => {
-                job.on_promised(from, ballot, stamp, accepted, &mut writer.mint)
-            }
+            Said::Promised {
+                ballot,
+                stamp,
+                accepted,
+                ..
+            } => job.on_promised(from, ballot, stamp, accepted, &mut writer.mint),
             Said::Took { ballot, stamp, .. } => job.on_took(from, ballot, stamp, &mut writer.mint),
-            Said::Refused { ballot, why, .. } => job.on_refused(from, ballot, why, &mut writer.mint),
+            Said::Refused { ballot, why, .. } => {
+                job.on_refused(from, ballot, why, &mut writer.mint)
+            }
             _ => Next::Wait,
         };
         self.go_on(state, w, next);
@@ -139,7 +169,10 @@
 
     fn init_states(&self) -> Vec<State> {
         let writer = |i: u32| Writer {
-            mint: Mint::new(Process { name: NameKey(10 + i), start: 1 }),
+            mint: Mint::new(Process {
+                name: NameKey(10 + i),
+                start: 1,
+            }),
             job: None,
             lead: None,
             begun: 0,
@@ -164,7 +197,12 @@
                 _ => {}
             }
         }
-        acts.extend(state.way.iter().map(|(from, to, said)| Act::Arrive(*from, *to, said.clone())));
+        acts.extend(
+            state
+                .way
+                .iter()
+                .map(|(from, to, said)| Act::Arrive(*from, *to, said.clone())),
+        );
         for i in 0..COPIES {
             match &state.copies[i as usize].fetched {
                 None if state.losses < self.0.losses => acts.push(Act::Lose(i)),
@@ -181,15 +219,28 @@
         let mut state = last.clone();
         match act {
             Act::Begin(w) => {
-                let latest = state.writers.iter().flat_map(|w| w.seen.iter().copied()).max();
+                let latest = state
+                    .writers
+                    .iter()
+                    .flat_map(|w| w.seen.iter().copied())
+                    .max();
                 state.floor[w] = latest;
                 let writer = &mut state.writers[w];
                 writer.begun += 1;
-                let ask =
-                    Ask::Write { on: writer.on, epoch: 1, body: Some(vec![w as u8, writer.begun as u8]) };
+                let ask = Ask::Write {
+                    on: writer.on,
+                    epoch: 1,
+                    body: Some(vec![w as u8, writer.begun as u8]),
+                };
                 let copies = (0..COPIES).map(NameKey).collect();
-                let mut job =
-                    Job::new(Call(writer.begun as u64), KEY, copies, Duration::MAX, ask, &mut writer.mint);
+                let mut job = Job::new(
+                    Call(writer.begun as u64),
+                    KEY,
+                    copies,
+                    Duration::MAX,
+                    ask,
+                    &mut writer.mint,
+                );
                 job.begin(writer.lead.take(), &mut writer.mint);
                 writer.job = Some(job);
                 self.send(&mut state, w);
@@ -212,7 +263,11 @@
             Act::Lose(i) => {
                 state.losses += 1;
                 let life = state.copies[i as usize].life + 1;
-                state.copies[i as usize] = Held { life, fetched: Some(BTreeSet::new()), ..Held::default() };
+                state.copies[i as usize] = Held {
+                    life,
+                    fetched: Some(BTreeSet::new()),
+                    ..Held::default()
+                };
             }
             Act::Fetch(i, from) => {
                 let life = state.copies[i as usize].life;
@@ -224,10 +279,13 @@
                 let (copy, lives) = (teller.copy.clone(), teller.lives.clone());
                 let held = &mut state.copies[i as usize];
                 held.copy.learn(copy);
-                lives.into_iter().filter(|(name, _)| name.0 != i).for_each(|(name, life)| {
-                    let known = held.lives.entry(name).or_default();
-                    *known = life.max(*known);
-                });
+                lives
+                    .into_iter()
+                    .filter(|(name, _)| name.0 != i)
+                    .for_each(|(name, life)| {
+                        let known = held.lives.entry(name).or_default();
+                        *known = life.max(*known);
+                    });
                 let had = held.fetched.as_mut()?;
                 had.insert(from);
                 if had.len() == COPIES as usize - 1 {
@@ -248,11 +306,15 @@
             Property::always(
                 "what is seen is not earlier than what was seen before it began",
                 |_, state: &State| {
-                    state.writers.iter().zip(&state.floor).all(|(writer, floor)| {
-                        writer.job.is_some()
-                            || writer.seen.is_empty()
-                            || writer.seen.last().copied() >= *floor
-                    })
+                    state
+                        .writers
+                        .iter()
+                        .zip(&state.floor)
+                        .all(|(writer, floor)| {
+                            writer.job.is_some()
+                                || writer.seen.is_empty()
+                                || writer.seen.last().copied() >= *floor
+                        })
                 },
             ),
             Property::sometimes("both write", |_, state: &State| {
@@ -263,10 +325,16 @@
 }
 
 fn check(size: Size, states: usize) -> (usize, bool) {
-    let checker = World(size).checker().threads(2).target_state_count(states).spawn_bfs().join();
-    for found in
-        ["no version is followed by two", "what is seen is not earlier than what was seen before it began"]
-    {
+    let checker = World(size)
+        .checker()
+        .threads(2)
+        .target_state_count(states)
+        .spawn_bfs()
+        .join();
+    for found in [
+        "no version is followed by two",
+        "what is seen is not earlier than what was seen before it began",
+    ] {
         if let Some(path) = checker.discovery(found) {
             panic!("{found}: {:?}", path.into_actions());
         }
@@ -276,23 +344,47 @@
 
 /// `REPLICA_STATES` looks further than a test run has time for.
 fn states(most: usize) -> usize {
-    std::env::var("REPLICA_STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(most)
+    std::env::var("REPLICA_STATES")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(most)
 }
 
 #[test]
 fn two_writers_that_begin_anew_never_both_write_on_one_version() {
-    let (count, whole) = check(Size { writes: [1, 1], tries: 1, losses: 0 }, states(30_000));
+    let (count, whole) = check(
+        Size {
+            writes: [1, 1],
+            tries: 1,
+            losses: 0,
+        },
+        states(30_000),
+    );
     println!("two writers, a second try each: {count} states, whole {whole}");
 }
 
 #[test]
 fn a_writer_in_one_round_and_another_never_both_write_on_one_version() {
-    let (count, whole) = check(Size { writes: [2, 1], tries: 0, losses: 0 }, states(30_000));
+    let (count, whole) = check(
+        Size {
+            writes: [2, 1],
+            tries: 0,
+            losses: 0,
+        },
+        states(30_000),
+    );
     println!("two writes in a row beside another: {count} states, whole {whole}");
 }
 
 #[test]
 fn a_copy_that_forgets_and_catches_up_never_lets_both_write() {
-    let (count, whole) = check(Size { writes: [1, 1], tries: 0, losses: 1 }, states(30_000));
+    let (count, whole) = check(
+        Size {
+            writes: [1, 1],
+            tries: 0,
+            losses: 1,
+        },
+        states(30_000),
+    );
     println!("one loss of memory: {count} states, whole {whole}");
 }
--- a/crates/replicated-register/src/placement.rs
+++ b/crates/replicated-register/src/placement.rs
@@ -9,16 +9,24 @@
 
 /// The members of the roster with the highest scores for this key, the highest first.
 pub fn copies(roster: &BTreeSet<NameKey>, most: usize, key: RegisterKey) -> Vec<NameKey> {
-    let mut scored: Vec<(u64, NameKey)> = roster.iter().map(|name| (score(key, *name), *name)).collect();
+    let mut scored: Vec<(u64, NameKey)> = roster
+        .iter()
+        .map(|name| (score(key, *name), *name))
+        .collect();
     scored.sort_unstable_by(|a, b| b.cmp(a));
-    scored.into_iter().take(most.max(1)).map(|(_, name)| name).collect()
+    scored
+        .into_iter()
+        .take(most.max(1))
+        .map(|(_, name)| name)
+        .collect()
 }
 
 /// FNV-1a over key and name, mixed at the end as in SplitMix64 (Steele and others, 2014).
 fn score(key: RegisterKey, name: NameKey) -> u64 {
     let bytes = key.0.iter().copied().chain(name.0.to_le_bytes());
-    let sum =
-        bytes.fold(0xCBF2_9CE4_8422_2325u64, |sum, b| (sum ^ u64::from(b)).wrapping_mul(0x0100_0000_01B3));
+    let sum = bytes.fold(0xCBF2_9CE4_8422_2325u64, |sum, b| {
+        (sum ^ u64::from(b)).wrapping_mul(0x0100_0000_01B3)
+    });
     let z = (sum ^ (sum >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     let z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     z ^ (z >> 31)
@@ -37,7 +45,8 @@
             let key = RegisterKey(i.to_le_bytes());
             let (few, many) = (copies(&short, 3, key), copies(&long, 3, key));
             assert!(few.len() == 3 && few.iter().collect::<BTreeSet<_>>().len() == 3);
-            few.iter().for_each(|name| *held.entry(*name).or_insert(0) += 1);
+            few.iter()
+                .for_each(|name| *held.entry(*name).or_insert(0) += 1);
             moved += many.iter().filter(|name| !few.contains(name)).count();
         }
         assert!(held.values().all(|n| (2800..=3200).contains(n)), "{held:?}");
--- a/crates/replicated-register/src/register.rs
+++ b/crates/replicated-register/src/register.rs
@@ -29,7 +29,10 @@
 impl Ballot {
     /// The one that a copy promises along with taking this one, so that who wrote last writes again in one round.
     pub fn next(self) -> Ballot {
-        Ballot { round: self.round.saturating_add(1), ..self }
+        Ballot {
+            round: self.round.saturating_add(1),
+            ..self
+        }
     }
 }
 
@@ -86,14 +89,22 @@
     /// # Errors
     /// The ballot that was promised before.
     pub fn accept(&mut self, ballot: Ballot, state: &State) -> Result<bool, Ballot> {
-        if self.accepted.as_ref().is_some_and(|a| a.own && a.ballot == ballot) {
+        if self
+            .accepted
+            .as_ref()
+            .is_some_and(|a| a.own && a.ballot == ballot)
+        {
             return Ok(false); // It came twice.
         }
         if let Some(promised) = self.promised.filter(|promised| *promised > ballot) {
             return Err(promised);
         }
         self.promised = Some(ballot.next());
-        self.accepted = Some(Accepted { ballot, state: state.clone(), own: true });
+        self.accepted = Some(Accepted {
+            ballot,
+            state: state.clone(),
+            own: true,
+        });
         Ok(true)
     }
 
@@ -102,8 +113,15 @@
         let before = (self.promised, self.accepted.as_ref().map(|a| a.ballot));
         self.promised = self.promised.max(other.promised);
         if let Some(accepted) = other.accepted {
-            if self.accepted.as_ref().is_none_or(|a| a.ballot < accepted.ballot) {
-                self.accepted = Some(Accepted { own: false, ..accepted });
+            if self
+                .accepted
+                .as_ref()
+                .is_none_or(|a| a.ballot < accepted.ballot)
+            {
+                self.accepted = Some(Accepted {
+                    own: false,
+                    ..accepted
+                });
             }
         }
         before != (self.promised, self.accepted.as_ref().map(|a| a.ballot))
@@ -111,7 +129,10 @@
 
     /// Bytes of the value.
     pub fn bytes(&self) -> usize {
-        self.accepted.as_ref().and_then(|a| a.state.body.as_ref()).map_or(0, Vec::len)
+        self.accepted
+            .as_ref()
+            .and_then(|a| a.state.body.as_ref())
+            .map_or(0, Vec::len)
     }
 }
 
@@ -121,15 +142,31 @@
 
     #[test]
     fn what_is_learnt_raises_what_is_known_and_is_no_vote() {
-        let ballot = |round| Ballot { round, by: NameKey(1), start: 1 };
-        let version = Version { epoch: 1, count: 1, writer: NameKey(1), start: 1 };
-        let state = State { version, before: None, body: Some(vec![1]) };
+        let ballot = |round| Ballot {
+            round,
+            by: NameKey(1),
+            start: 1,
+        };
+        let version = Version {
+            epoch: 1,
+            count: 1,
+            writer: NameKey(1),
+            start: 1,
+        };
+        let state = State {
+            version,
+            before: None,
+            body: Some(vec![1]),
+        };
         let (mut one, mut other) = (Copy::default(), Copy::default());
         assert_eq!(other.prepare(ballot(7)), Ok(true));
         assert_eq!(one.accept(ballot(5), &state), Ok(true));
         assert!(other.learn(one.clone()) && !other.learn(one.clone()));
         assert_eq!(other.promised, Some(ballot(7)));
-        assert_eq!(other.accepted.as_ref().map(|a| (a.ballot, a.own)), Some((ballot(5), false)));
+        assert_eq!(
+            other.accepted.as_ref().map(|a| (a.ballot, a.own)),
+            Some((ballot(5), false))
+        );
         // The same one again from its proposer: taken by the one that took it, refused by the one that learnt it.
         assert_eq!(one.accept(ballot(5), &state), Ok(false));
         assert_eq!(other.accept(ballot(5), &state), Err(ballot(7)));
--- a/crates/replicated-register/src/replica/calls.rs
+++ b/crates/replicated-register/src/replica/calls.rs
@@ -45,7 +45,10 @@
     ) {
         match self.room(call) {
             true => self.enter(now, call, key, Ask::Read, until, out),
-            false => out.push(Output::Read { call, found: Err(ReplicaError::Busy) }),
+            false => out.push(Output::Read {
+                call,
+                found: Err(ReplicaError::Busy),
+            }),
         }
     }
 
@@ -60,11 +63,17 @@
     ) {
         let bytes = body.as_ref().map_or(0, Vec::len);
         let refused = match bytes > VALUE_MOST {
-            true => Some(ReplicaError::TooLong { bytes, most: VALUE_MOST }),
+            true => Some(ReplicaError::TooLong {
+                bytes,
+                most: VALUE_MOST,
+            }),
             false => (!self.room(call)).then_some(ReplicaError::Busy),
         };
         match refused {
-            Some(error) => out.push(Output::Written { call, done: Err(error) }),
+            Some(error) => out.push(Output::Written {
+                call,
+                done: Err(error),
+            }),
             None => self.enter(now, call, key, Ask::Write { on, epoch, body }, until, out),
         }
     }
@@ -96,22 +105,31 @@
     }
 
     fn begin(&mut self, now: Duration, call: Call, out: &mut Vec<Output>) {
-        let Some(job) = self.jobs.get_mut(&call) else { return };
+        let Some(job) = self.jobs.get_mut(&call) else {
+            return;
+        };
         let looks = job.reads() && job.tries == 0;
-        let lead = if looks { None } else { self.leads.remove(&job.key) };
+        let lead = if looks {
+            None
+        } else {
+            self.leads.remove(&job.key)
+        };
         job.begin(lead, &mut self.mint);
         self.ask(now, call, out);
     }
 
     /// Asks the copies that have not answered, and again after a while.
     fn ask(&mut self, now: Duration, call: Call, out: &mut Vec<Output>) {
-        let Some(job) = self.jobs.get_mut(&call) else { return };
+        let Some(job) = self.jobs.get_mut(&call) else {
+            return;
+        };
         let Some((said, to)) = job.says() else { return };
         let was = job.at.min(job.until);
         job.at = now + ASK_AGAIN;
         self.due.remove(&(was, call));
         self.due.insert((job.at.min(job.until), call));
-        to.into_iter().for_each(|name| self.send(name, said.clone(), out));
+        to.into_iter()
+            .for_each(|name| self.send(name, said.clone(), out));
     }
 
     /// The call that is under way for a register.
@@ -131,7 +149,9 @@
     ) {
         self.note(from, stamp.life, stamp.count, out);
         let mut mint = self.mint.clone();
-        let Some(job) = self.under_way(key) else { return };
+        let Some(job) = self.under_way(key) else {
+            return;
+        };
         let next = job.on_promised(from, ballot, stamp, accepted, &mut mint);
         self.mint = mint;
         self.go_on(now, key, next, out);
@@ -146,11 +166,17 @@
         out: &mut Vec<Output>,
     ) {
         self.note(from, stamp.life, stamp.count, out);
-        if self.trails.get(&key).is_some_and(|trail| trail.ballot == ballot) {
+        if self
+            .trails
+            .get(&key)
+            .is_some_and(|trail| trail.ballot == ballot)
+        {
             return self.on_trail(key, from, out);
         }
         let mut mint = self.mint.clone();
-        let Some(job) = self.under_way(key) else { return };
+        let Some(job) = self.under_way(key) else {
+            return;
+        };
         let next = job.on_took(from, ballot, stamp, &mut mint);
         self.mint = mint;
         self.go_on(now, key, next, out);
@@ -164,27 +190,39 @@
         why: Why,
         out: &mut Vec<Output>,
     ) {
-        if matches!(why, Why::Passed(_)) && self.trails.get(&key).is_some_and(|t| t.ballot == ballot) {
+        if matches!(why, Why::Passed(_))
+            && self.trails.get(&key).is_some_and(|t| t.ballot == ballot)
+        {
             self.trails.remove(&key); // Somebody has begun it anew.
             return;
         }
         let mut mint = self.mint.clone();
-        let Some(job) = self.under_way(key) else { return };
+        let Some(job) = self.under_way(key) else {
+            return;
+        };
         let next = job.on_refused(from, ballot, why, &mut mint);
         self.mint = mint;
         self.go_on(now, key, next, out);
     }
 
     fn go_on(&mut self, now: Duration, key: RegisterKey, next: Next, out: &mut Vec<Output>) {
-        let Some(call) = self.lines.get(&key).and_then(|line| line.front()).copied() else { return };
+        let Some(call) = self.lines.get(&key).and_then(|line| line.front()).copied() else {
+            return;
+        };
         match next {
             Next::Wait => {}
             Next::Ask => self.ask(now, call, out),
             Next::Again => {
                 let draw = self.draw();
-                let Some(job) = self.jobs.get_mut(&call) else { return };
+                let Some(job) = self.jobs.get_mut(&call) else {
+                    return;
+                };
                 // At once at first, as it may only have been behind; two that met part by chance, over a wider and wider span.
-                let span = if job.tries == 0 { 1 } else { 4000u64 << job.tries.min(7) };
+                let span = if job.tries == 0 {
+                    1
+                } else {
+                    4000u64 << job.tries.min(7)
+                };
                 self.due.remove(&(job.at.min(job.until), call));
                 job.wait(now + Duration::from_micros(draw % span));
                 self.due.insert((job.at.min(job.until), call));
@@ -202,19 +240,35 @@
     }
 
     fn finish(&mut self, now: Duration, call: Call, answer: Answer, out: &mut Vec<Output>) {
-        let Some(job) = self.jobs.remove(&call) else { return };
+        let Some(job) = self.jobs.remove(&call) else {
+            return;
+        };
         self.due.remove(&(job.at.min(job.until), call));
         self.due.remove(&(job.until, call));
         if matches!(answer, Answer::Written(_)) {
             self.trail(now, &job, out);
         }
         out.push(match answer {
-            Answer::Read(found) => Output::Read { call, found: Ok(found) },
-            Answer::Written(version) => Output::Written { call, done: Ok(version) },
-            Answer::Failed(error) if job.reads() => Output::Read { call, found: Err(error) },
-            Answer::Failed(error) => Output::Written { call, done: Err(error) },
+            Answer::Read(found) => Output::Read {
+                call,
+                found: Ok(found),
+            },
+            Answer::Written(version) => Output::Written {
+                call,
+                done: Ok(version),
+            },
+            Answer::Failed(error) if job.reads() => Output::Read {
+                call,
+                found: Err(error),
+            },
+            Answer::Failed(error) => Output::Written {
+                call,
+                done: Err(error),
+            },
         });
-        let Some(line) = self.lines.get_mut(&job.key) else { return };
+        let Some(line) = self.lines.get_mut(&job.key) else {
+            return;
+        };
         let first = line.front() == Some(&call);
         line.retain(|waiting| *waiting != call);
         match line.front().copied() {
@@ -227,10 +281,16 @@
     pub(super) fn do_due_calls(&mut self, now: Duration, out: &mut Vec<Output>) {
         while let Some((at, call)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
             self.due.remove(&(at, call));
-            let Some(job) = self.jobs.get_mut(&call) else { continue };
+            let Some(job) = self.jobs.get_mut(&call) else {
+                continue;
+            };
             let first = self.lines.get(&job.key).and_then(|line| line.front()) == Some(&call);
             if job.until <= now {
-                let error = if first { job.failure() } else { ReplicaError::Busy };
+                let error = if first {
+                    job.failure()
+                } else {
+                    ReplicaError::Busy
+                };
                 self.finish(now, call, Answer::Failed(error), out);
             } else if !first {
                 self.due.insert((job.until, call));
@@ -247,13 +307,21 @@
         let peers = self.peers.as_ref().filter(|peers| now < peers.until);
         let there: Option<BTreeSet<NameKey>> =
             peers.map(|peers| peers.there.iter().copied().chain([self.own.name]).collect());
-        let Some(job) = self.under_way(key) else { return };
+        let Some(job) = self.under_way(key) else {
+            return;
+        };
         let few = there.is_some_and(|there| {
-            job.copies.iter().filter(|name| there.contains(name)).count() < majority(job.copies.len())
+            job.copies
+                .iter()
+                .filter(|name| there.contains(name))
+                .count()
+                < majority(job.copies.len())
         });
         let next = match job.undone(ReplicaError::NoMajority) {
             // It has tried, and by all that is known there is nobody to try on.
-            ReplicaError::NoMajority if few => Next::Done(Answer::Failed(ReplicaError::NoMajority), None),
+            ReplicaError::NoMajority if few => {
+                Next::Done(Answer::Failed(ReplicaError::NoMajority), None)
+            }
             _ => job.stalled(),
         };
         self.go_on(now, key, next, out);
@@ -262,11 +330,23 @@
     /// Brings a gap to the copies that have not taken it, so that all may forget it soon.
     fn trail(&mut self, now: Duration, job: &Job, out: &mut Vec<Output>) {
         self.trails.remove(&job.key);
-        let Some((ballot, state)) = job.gap().filter(|_| self.trails.len() < TRAILS_MOST) else { return };
+        let Some((ballot, state)) = job.gap().filter(|_| self.trails.len() < TRAILS_MOST) else {
+            return;
+        };
         let took: BTreeSet<NameKey> = job.answered().copied().collect();
-        let missing: BTreeSet<NameKey> =
-            job.copies.iter().copied().filter(|name| !took.contains(name)).collect();
-        let trail = Trail { ballot, state, missing, at: now + ASK_AGAIN, until: now + TRAIL_LASTS };
+        let missing: BTreeSet<NameKey> = job
+            .copies
+            .iter()
+            .copied()
+            .filter(|name| !took.contains(name))
+            .collect();
+        let trail = Trail {
+            ballot,
+            state,
+            missing,
+            at: now + ASK_AGAIN,
+            until: now + TRAIL_LASTS,
+        };
         self.trails.insert(job.key, trail);
         self.look_gone(job.key, out);
     }
@@ -279,7 +359,13 @@
     }
 
     fn look_gone(&mut self, key: RegisterKey, out: &mut Vec<Output>) {
-        let Some(trail) = self.trails.get(&key).filter(|trail| trail.missing.is_empty()) else { return };
+        let Some(trail) = self
+            .trails
+            .get(&key)
+            .filter(|trail| trail.missing.is_empty())
+        else {
+            return;
+        };
         let version = trail.state.version;
         self.trails.remove(&key);
         for name in self.copies(key) {
@@ -288,18 +374,30 @@
     }
 
     pub(super) fn do_due_trails(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let due: Vec<RegisterKey> =
-            self.trails.iter().filter(|(_, trail)| trail.at <= now).map(|(key, _)| *key).collect();
+        let due: Vec<RegisterKey> = self
+            .trails
+            .iter()
+            .filter(|(_, trail)| trail.at <= now)
+            .map(|(key, _)| *key)
+            .collect();
         for key in due {
-            let Some(trail) = self.trails.get_mut(&key) else { continue };
+            let Some(trail) = self.trails.get_mut(&key) else {
+                continue;
+            };
             if trail.until <= now {
                 self.trails.remove(&key);
                 continue;
             }
             trail.at = now + ASK_AGAIN * 8;
-            let said = Said::Accept { key, ballot: trail.ballot, state: trail.state.clone() };
+            let said = Said::Accept {
+                key,
+                ballot: trail.ballot,
+                state: trail.state.clone(),
+            };
             let missing = trail.missing.clone();
-            missing.into_iter().for_each(|name| self.send(name, said.clone(), out));
+            missing
+                .into_iter()
+                .for_each(|name| self.send(name, said.clone(), out));
         }
     }
 }
--- a/crates/replicated-register/src/replica/catch_up.rs
+++ b/crates/replicated-register/src/replica/catch_up.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{Found, KeepError, Process};
 use bitternlatch_membership::NameKey;
+use bitternlatch_quota_lease::{Found, KeepError, Process};
 
 use super::{For, Replica, Unkept, GRACE};
 use crate::disk::{self, Disk};
@@ -39,7 +39,12 @@
 }
 
 impl Replica {
-    pub(super) fn found(&mut self, now: Duration, found: Result<Found, KeepError>, out: &mut Vec<Output>) {
+    pub(super) fn found(
+        &mut self,
+        now: Duration,
+        found: Result<Found, KeepError>,
+        out: &mut Vec<Output>,
+    ) {
         if self.memory.is_some() {
             return;
         }
@@ -62,7 +67,11 @@
                         out.push(Output::Event(Event::Torn));
                         new(Kind::Lost, start)
                     }
-                    Disk::Whole { meta, registers, stale: old } => {
+                    Disk::Whole {
+                        meta,
+                        registers,
+                        stale: old,
+                    } => {
                         stale = old;
                         for (key, copy) in registers {
                             // What does not fit now did not fit then.
@@ -97,11 +106,23 @@
         for (name, fetch) in self.fetches.iter_mut().filter(|(_, f)| f.at <= now) {
             fetch.at = now + ASK_AGAIN;
             if !fetch.ended {
-                let session = Session { start: self.own.start, number: fetch.number };
-                asks.push((*name, Said::CatchUp { session, life, count, after: fetch.after }));
+                let session = Session {
+                    start: self.own.start,
+                    number: fetch.number,
+                };
+                asks.push((
+                    *name,
+                    Said::CatchUp {
+                        session,
+                        life,
+                        count,
+                        after: fetch.after,
+                    },
+                ));
             }
         }
-        asks.into_iter().for_each(|(name, said)| self.send(name, said, out));
+        asks.into_iter()
+            .for_each(|(name, said)| self.send(name, said, out));
     }
 
     pub(super) fn on_catch_up(
@@ -135,28 +156,47 @@
             upto: upto.filter(|_| !end),
             kind: memory.kind,
             miss: memory.miss().iter().copied().collect(),
-            lives: memory.lives().iter().map(|(name, life)| (*name, *life)).collect(),
+            lives: memory
+                .lives()
+                .iter()
+                .map(|(name, life)| (*name, *life))
+                .collect(),
             sum: crc32fast::hash(&items),
             items,
         }));
         // From now on it says to all that the other's earlier life has ended; it must not forget that.
         match (self.settings.durable, self.meta) {
             (true, Some(Unkept::Ticket(ticket))) if !later => {
-                self.tickets.get_mut(&ticket).into_iter().for_each(|t| t.replies.push((from, said.clone())));
+                self.tickets
+                    .get_mut(&ticket)
+                    .into_iter()
+                    .for_each(|t| t.replies.push((from, said.clone())));
             }
             (true, meta) if later || meta.is_some() => self.keep_meta(vec![(from, said)], out),
             _ => self.send(from, said, out),
         }
     }
 
-    pub(super) fn on_chunk(&mut self, now: Duration, from: Process, chunk: &Chunk, out: &mut Vec<Output>) {
+    pub(super) fn on_chunk(
+        &mut self,
+        now: Duration,
+        from: Process,
+        chunk: &Chunk,
+        out: &mut Vec<Output>,
+    ) {
         let name = from.name;
         let ours = |f: &&mut Fetch| {
-            chunk.session == Session { start: self.own.start, number: f.number }
+            chunk.session
+                == Session {
+                    start: self.own.start,
+                    number: f.number,
+                }
                 && chunk.after == f.after
                 && !f.ended
         };
-        let Some(fetch) = self.fetches.get_mut(&name).filter(ours) else { return };
+        let Some(fetch) = self.fetches.get_mut(&name).filter(ours) else {
+            return;
+        };
         let Some(items) = chunk.open() else {
             self.counts.broken_chunks += 1;
             return;
@@ -180,16 +220,29 @@
         }
         for (key, copy) in items {
             if !self.learn(now, key, copy, (name, number), out) {
-                self.fetches.get_mut(&name).into_iter().for_each(|f| f.failed = true);
+                self.fetches
+                    .get_mut(&name)
+                    .into_iter()
+                    .for_each(|f| f.failed = true);
             }
         }
         self.look_fetched(now, name, out);
     }
 
     /// What another one knows of lives, this one's among them; tells whether that ends this life.
-    fn hear_lives(&mut self, by: NameKey, lives: &[(NameKey, Life)], out: &mut Vec<Output>) -> bool {
-        let Some(memory) = &mut self.memory else { return true };
-        let own = lives.iter().find(|(name, _)| *name == self.own.name).map(|(_, life)| *life);
+    fn hear_lives(
+        &mut self,
+        by: NameKey,
+        lives: &[(NameKey, Life)],
+        out: &mut Vec<Output>,
+    ) -> bool {
+        let Some(memory) = &mut self.memory else {
+            return true;
+        };
+        let own = lives
+            .iter()
+            .find(|(name, _)| *name == self.own.name)
+            .map(|(_, life)| *life);
         let contradicted = own.is_some_and(|known| memory.contradicted(known));
         if contradicted {
             if memory.kind == Kind::Fresh {
@@ -200,7 +253,9 @@
                 memory.lose(self.own.start);
                 self.shelf.clear();
                 self.unkept.clear();
-                self.tickets.values_mut().for_each(|ticket| ticket.replies.clear());
+                self.tickets
+                    .values_mut()
+                    .for_each(|ticket| ticket.replies.clear());
             } else {
                 return false;
             }
@@ -230,18 +285,26 @@
         if !self.copies(key).contains(&self.own.name) {
             return true;
         }
-        match self.shelf.change(now, key, copy.bytes(), |held| held.learn(copy)) {
+        match self
+            .shelf
+            .change(now, key, copy.bytes(), |held| held.learn(copy))
+        {
             Err(_) => return false,
             Ok(false) if !self.unkept.contains_key(&key) => return true,
             Ok(changed) => {
                 self.fetched += u64::from(changed);
-                self.memory.iter_mut().for_each(|m| m.count += u64::from(changed));
+                self.memory
+                    .iter_mut()
+                    .for_each(|m| m.count += u64::from(changed));
             }
         }
         match self.settings.durable {
             true => {
                 self.keep_register(key, For::Fetched(key, from, number), vec![], out);
-                self.fetches.get_mut(&from).into_iter().for_each(|f| f.waiting += 1);
+                self.fetches
+                    .get_mut(&from)
+                    .into_iter()
+                    .for_each(|f| f.waiting += 1);
             }
             false => self.kept = self.memory.as_ref().map_or(0, |m| m.count),
         }
@@ -256,28 +319,47 @@
         kept: bool,
         out: &mut Vec<Output>,
     ) {
-        let Some(fetch) = self.fetches.get_mut(&from).filter(|f| f.number == number) else { return };
+        let Some(fetch) = self.fetches.get_mut(&from).filter(|f| f.number == number) else {
+            return;
+        };
         fetch.waiting = fetch.waiting.saturating_sub(1);
         fetch.failed |= !kept;
         self.look_fetched(now, from, out);
     }
 
     fn look_fetched(&mut self, now: Duration, name: NameKey, out: &mut Vec<Output>) {
-        let Some(fetch) = self.fetches.get(&name).filter(|f| f.ended && f.waiting == 0) else { return };
-        let source = Source { kind: fetch.kind, miss: fetch.miss.clone() };
+        let Some(fetch) = self
+            .fetches
+            .get(&name)
+            .filter(|f| f.ended && f.waiting == 0)
+        else {
+            return;
+        };
+        let source = Source {
+            kind: fetch.kind,
+            miss: fetch.miss.clone(),
+        };
         let failed = fetch.failed;
         self.fetches.remove(&name);
-        let Some(memory) = self.memory.as_mut() else { return };
+        let Some(memory) = self.memory.as_mut() else {
+            return;
+        };
         let before = memory.kind;
         if !failed {
             memory.fetched(name, source);
         }
         let changed = memory.kind != before;
         // Whoever is still wanted is asked again in a while, not at once.
-        for name in self.memory.iter().flat_map(Memory::wanting).collect::<Vec<_>>() {
+        for name in self
+            .memory
+            .iter()
+            .flat_map(Memory::wanting)
+            .collect::<Vec<_>>()
+        {
             if !self.fetches.contains_key(&name) {
                 self.sessions += 1;
-                self.fetches.insert(name, Fetch::new(self.sessions, now + 2 * ASK_AGAIN));
+                self.fetches
+                    .insert(name, Fetch::new(self.sessions, now + 2 * ASK_AGAIN));
             }
         }
         if changed && self.settings.durable {
@@ -287,7 +369,9 @@
     }
 
     pub(super) fn look_caught_up(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let Some(memory) = self.memory.as_ref().filter(|_| !self.caught_up) else { return };
+        let Some(memory) = self.memory.as_ref().filter(|_| !self.caught_up) else {
+            return;
+        };
         let waited = memory.kind == Kind::Whole && now >= self.opened + GRACE && memory.heard() > 0;
         if memory.miss().is_empty() || waited {
             self.caught_up = true;
--- a/crates/replicated-register/src/replica/mod.rs
+++ b/crates/replicated-register/src/replica/mod.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{KeepError, Peers, Process};
 use bitternlatch_membership::NameKey;
+use bitternlatch_quota_lease::{KeepError, Peers, Process};
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::SplitMix64;
 
@@ -115,7 +115,8 @@
         seed: u64,
         now: Duration,
     ) -> Replica {
-        let memory = (!settings.durable).then(|| Memory::new(own.name, &roster, Kind::Fresh, own.start));
+        let memory =
+            (!settings.durable).then(|| Memory::new(own.name, &roster, Kind::Fresh, own.start));
         Replica {
             own,
             roster,
@@ -156,7 +157,10 @@
         let job = self.due.first().map(|(at, _)| *at);
         let trail = self.trails.values().map(|t| t.at).min();
         let fetch = self.fetches.values().map(|f| f.at).min();
-        [job, trail, fetch, self.shelf.next_end(), Some(self.beat_at)].into_iter().flatten().min()
+        [job, trail, fetch, self.shelf.next_end(), Some(self.beat_at)]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Takes one input at a clock time and appends what is to be done, in order.
@@ -168,10 +172,22 @@
             Input::Found(found) => self.found(now, found, out),
             Input::Kept { ticket, done } => self.on_kept(now, ticket, done, out),
             Input::Read { call, key, until } => self.read(now, call, key, until, out),
-            Input::Write { call, key, on, epoch, value, until } => {
+            Input::Write {
+                call,
+                key,
+                on,
+                epoch,
+                value,
+                until,
+            } => {
                 self.write(now, call, key, (on, epoch, Some(value)), until, out);
             }
-            Input::Drop { call, key, on, until } => {
+            Input::Drop {
+                call,
+                key,
+                on,
+                until,
+            } => {
                 self.write(now, call, key, (Some(on), on.epoch, None), until, out);
             }
         }
@@ -198,7 +214,11 @@
     pub fn counts_for(&self, now: Duration, key: RegisterKey) -> bool {
         let copies = self.copies(key);
         let waited = now >= self.opened + GRACE;
-        copies.contains(&self.own.name) && self.memory.as_ref().is_some_and(|m| m.ready(&copies, waited))
+        copies.contains(&self.own.name)
+            && self
+                .memory
+                .as_ref()
+                .is_some_and(|m| m.ready(&copies, waited))
     }
 
     pub fn counts(&self) -> Counts {
@@ -226,14 +246,28 @@
         match said {
             Said::Look { key, ballot } => self.on_look(now, name, key, ballot, out),
             Said::Prepare { key, ballot } => self.on_prepare(now, name, key, ballot, out),
-            Said::Accept { key, ballot, state } => self.on_accept(now, name, (key, ballot, &state), out),
-            Said::Promised { key, ballot, stamp, accepted } => {
+            Said::Accept { key, ballot, state } => {
+                self.on_accept(now, name, (key, ballot, &state), out)
+            }
+            Said::Promised {
+                key,
+                ballot,
+                stamp,
+                accepted,
+            } => {
                 self.on_promised(now, name, (key, ballot), stamp, accepted, out);
             }
             Said::Took { key, ballot, stamp } => self.on_took(now, name, (key, ballot), stamp, out),
-            Said::Refused { key, ballot, why } => self.on_refused(now, name, (key, ballot), why, out),
+            Said::Refused { key, ballot, why } => {
+                self.on_refused(now, name, (key, ballot), why, out)
+            }
             Said::Gone { key, version } => self.shelf.gone(now, key, version),
-            Said::CatchUp { session, life, count, after } => {
+            Said::CatchUp {
+                session,
+                life,
+                count,
+                after,
+            } => {
                 self.on_catch_up(name, (session, after), (life, count), out);
             }
             Said::Chunk(chunk) => self.on_chunk(now, from, &chunk, out),
@@ -273,8 +307,15 @@
             self.lost_since = None;
             self.memory.iter_mut().for_each(Memory::forgive);
         }
-        let Some((life, count)) = self.memory.as_ref().map(|m| (m.life, self.kept)) else { return };
-        let others: Vec<NameKey> = self.roster.iter().copied().filter(|n| *n != self.own.name).collect();
+        let Some((life, count)) = self.memory.as_ref().map(|m| (m.life, self.kept)) else {
+            return;
+        };
+        let others: Vec<NameKey> = self
+            .roster
+            .iter()
+            .copied()
+            .filter(|n| *n != self.own.name)
+            .collect();
         for name in others {
             if self.told.insert(name, (life, count)) != Some((life, count)) {
                 self.send(name, Said::Beat { life, count }, out);
@@ -284,8 +325,17 @@
 
     /// Takes word of how far another's memory goes.
     fn note(&mut self, name: NameKey, life: u64, count: u64, out: &mut Vec<Output>) -> bool {
-        let Some(memory) = &mut self.memory else { return false };
-        let (later, loss) = memory.note(name, crate::memory::Life { life, count, lost: false });
+        let Some(memory) = &mut self.memory else {
+            return false;
+        };
+        let (later, loss) = memory.note(
+            name,
+            crate::memory::Life {
+                life,
+                count,
+                lost: false,
+            },
+        );
         if loss {
             out.push(Output::Event(Event::CopyLost(name)));
         }
--- a/crates/replicated-register/src/replica/serve.rs
+++ b/crates/replicated-register/src/replica/serve.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use bitternlatch_quota_lease::KeepError;
 use bitternlatch_membership::NameKey;
+use bitternlatch_quota_lease::KeepError;
 
 use super::{For, Replica, Ticket, Unkept, GRACE, WAITING_MOST};
 use crate::disk::{self, Meta};
@@ -14,12 +14,19 @@
 
 impl Replica {
     /// Whether this copy counts for a register; none where it holds no copy of it.
-    fn may(&mut self, now: Duration, key: RegisterKey, out: &mut Vec<Output>) -> Option<Result<(), Why>> {
+    fn may(
+        &mut self,
+        now: Duration,
+        key: RegisterKey,
+        out: &mut Vec<Output>,
+    ) -> Option<Result<(), Why>> {
         let copies = self.copies(key);
         if !copies.contains(&self.own.name) {
             return None;
         }
-        let Some(memory) = &self.memory else { return Some(Err(Why::CatchingUp)) };
+        let Some(memory) = &self.memory else {
+            return Some(Err(Why::CatchingUp));
+        };
         if memory.ready(&copies, now >= self.opened + GRACE) {
             return Some(Ok(()));
         }
@@ -34,12 +41,17 @@
     }
 
     fn stamp(&self, key: RegisterKey) -> Stamp {
-        let others = self.copies(key).into_iter().filter(|name| *name != self.own.name);
+        let others = self
+            .copies(key)
+            .into_iter()
+            .filter(|name| *name != self.own.name);
         let memory = self.memory.as_ref();
         Stamp {
             life: memory.map_or(0, |m| m.life),
             count: self.kept,
-            lives: others.map(|name| (name, memory.map_or(0, |m| m.life_of(name)))).collect(),
+            lives: others
+                .map(|name| (name, memory.map_or(0, |m| m.life_of(name))))
+                .collect(),
         }
     }
 
@@ -56,7 +68,12 @@
             Some(Err(why)) => return self.send(from, Said::Refused { key, ballot, why }, out),
             Some(Ok(())) => {
                 let accepted = self.shelf.get(key).and_then(|copy| copy.accepted.clone());
-                Said::Promised { key, ballot, stamp: self.stamp(key), accepted }
+                Said::Promised {
+                    key,
+                    ballot,
+                    stamp: self.stamp(key),
+                    accepted,
+                }
             }
         };
         self.reply(from, key, reply, false, out);
@@ -81,7 +98,12 @@
             Ok(Err(passed)) => self.send(from, refused(Why::Passed(passed)), out),
             Ok(Ok(changed)) => {
                 let accepted = self.shelf.get(key).and_then(|copy| copy.accepted.clone());
-                let reply = Said::Promised { key, ballot, stamp: self.stamp(key), accepted };
+                let reply = Said::Promised {
+                    key,
+                    ballot,
+                    stamp: self.stamp(key),
+                    accepted,
+                };
                 self.reply(from, key, reply, changed, out);
             }
         }
@@ -104,7 +126,11 @@
             Err(NoRoom) => self.full(from, refused(Why::Full), out),
             Ok(Err(passed)) => self.send(from, refused(Why::Passed(passed)), out),
             Ok(Ok(changed)) => {
-                let reply = Said::Took { key, ballot, stamp: self.stamp(key) };
+                let reply = Said::Took {
+                    key,
+                    ballot,
+                    stamp: self.stamp(key),
+                };
                 self.reply(from, key, reply, changed, out);
             }
         }
@@ -116,7 +142,14 @@
     }
 
     /// Answers once all that the answer rests on is on disk.
-    fn reply(&mut self, to: NameKey, key: RegisterKey, said: Said, changed: bool, out: &mut Vec<Output>) {
+    fn reply(
+        &mut self,
+        to: NameKey,
+        key: RegisterKey,
+        said: Said,
+        changed: bool,
+        out: &mut Vec<Output>,
+    ) {
         if let Some(memory) = self.memory.as_mut().filter(|_| changed) {
             memory.count += 1;
         }
@@ -134,7 +167,10 @@
         }
         match self.unkept.get(&key) {
             Some(Unkept::Ticket(ticket)) if !changed => {
-                self.tickets.get_mut(ticket).into_iter().for_each(|t| t.replies.push((to, said.clone())));
+                self.tickets
+                    .get_mut(ticket)
+                    .into_iter()
+                    .for_each(|t| t.replies.push((to, said.clone())));
             }
             None if !changed => self.send(to, said, out),
             _ => self.keep_register(key, For::Register(key), vec![(to, said)], out),
@@ -148,7 +184,9 @@
         replies: Vec<(NameKey, Said)>,
         out: &mut Vec<Output>,
     ) {
-        let (Some(memory), Some(copy)) = (&self.memory, self.shelf.get(key)) else { return };
+        let (Some(memory), Some(copy)) = (&self.memory, self.shelf.get(key)) else {
+            return;
+        };
         let (name, bytes) = disk::register(key, memory.life, memory.count, copy);
         let ticket = self.keep(what, name, Some(bytes), replies, out);
         self.unkept.insert(key, Unkept::Ticket(ticket));
@@ -157,7 +195,12 @@
     pub(super) fn keep_meta(&mut self, replies: Vec<(NameKey, Said)>, out: &mut Vec<Output>) {
         let Some(memory) = &self.memory else { return };
         let (life, kind, count) = (memory.life, memory.kind, memory.count);
-        let (name, bytes) = disk::meta(&Meta { life, kind, count, lives: memory.lives().clone() });
+        let (name, bytes) = disk::meta(&Meta {
+            life,
+            kind,
+            count,
+            lives: memory.lives().clone(),
+        });
         let ticket = self.keep(For::Meta, name, Some(bytes), replies, out);
         self.meta = Some(Unkept::Ticket(ticket));
     }
@@ -171,9 +214,23 @@
         out: &mut Vec<Output>,
     ) -> u64 {
         self.next_ticket += 1;
-        let (ticket, count) = (self.next_ticket, self.memory.as_ref().map_or(0, |m| m.count));
-        self.tickets.insert(ticket, Ticket { what, count, replies });
-        out.push(Output::Keep { ticket, name, bytes });
+        let (ticket, count) = (
+            self.next_ticket,
+            self.memory.as_ref().map_or(0, |m| m.count),
+        );
+        self.tickets.insert(
+            ticket,
+            Ticket {
+                what,
+                count,
+                replies,
+            },
+        );
+        out.push(Output::Keep {
+            ticket,
+            name,
+            bytes,
+        });
         ticket
     }
 
@@ -184,7 +241,14 @@
         done: Result<(), KeepError>,
         out: &mut Vec<Output>,
     ) {
-        let Some(Ticket { what, count, replies }) = self.tickets.remove(&ticket) else { return };
+        let Some(Ticket {
+            what,
+            count,
+            replies,
+        }) = self.tickets.remove(&ticket)
+        else {
+            return;
+        };
         self.look_fault(done.as_ref().err(), out);
         let settled = |unkept: Option<&Unkept>| unkept == Some(&Unkept::Ticket(ticket));
         if let For::Register(key) | For::Fetched(key, ..) = what {
@@ -201,12 +265,20 @@
         match &done {
             Ok(()) => {
                 self.kept = self.kept.max(count);
-                replies.into_iter().for_each(|(to, said)| self.send(to, said, out));
+                replies
+                    .into_iter()
+                    .for_each(|(to, said)| self.send(to, said, out));
             }
             Err(fault) => {
-                let why = if *fault == KeepError::Full { Why::DiskFull } else { Why::DiskFault };
+                let why = if *fault == KeepError::Full {
+                    Why::DiskFull
+                } else {
+                    Why::DiskFault
+                };
                 for (to, said) in replies {
-                    if let Said::Promised { key, ballot, .. } | Said::Took { key, ballot, .. } = said {
+                    if let Said::Promised { key, ballot, .. } | Said::Took { key, ballot, .. } =
+                        said
+                    {
                         self.send(to, Said::Refused { key, ballot, why }, out);
                     }
                 }
@@ -222,6 +294,8 @@
             return;
         }
         self.fault = fault.cloned();
-        out.push(Output::Event(fault.cloned().map_or(Event::DiskWell, Event::DiskFault)));
+        out.push(Output::Event(
+            fault.cloned().map_or(Event::DiskWell, Event::DiskFault),
+        ));
     }
 }
--- a/crates/replicated-register/src/shelf.rs
+++ b/crates/replicated-register/src/shelf.rs
@@ -39,7 +39,8 @@
     /// All after a key, in order.
     pub fn after(&self, key: Option<RegisterKey>) -> impl Iterator<Item = (&RegisterKey, &Copy)> {
         use std::ops::Bound::{Excluded, Unbounded};
-        self.copies.range((key.map_or(Unbounded, Excluded), Unbounded))
+        self.copies
+            .range((key.map_or(Unbounded, Excluded), Unbounded))
     }
 
     pub fn clear(&mut self) {
@@ -69,7 +70,13 @@
             Some(accepted) if accepted.state.body.is_some() => None,
             Some(accepted) if before != Some(accepted.state.version) => Some(now + OPEN_GAP_LASTS),
             // A promise has to be remembered for as long as what it forbids may be under way.
-            _ => Some(self.ends.get(&key).copied().unwrap_or_default().max(now + GAP_LASTS)),
+            _ => Some(
+                self.ends
+                    .get(&key)
+                    .copied()
+                    .unwrap_or_default()
+                    .max(now + GAP_LASTS),
+            ),
         };
         match lasts {
             None => drop(self.ends.remove(&key)),
@@ -105,7 +112,11 @@
 
     /// All copies hold this gap.
     pub fn gone(&mut self, now: Duration, key: RegisterKey, version: Version) {
-        let state = self.copies.get(&key).and_then(|copy| copy.accepted.as_ref()).map(|a| &a.state);
+        let state = self
+            .copies
+            .get(&key)
+            .and_then(|copy| copy.accepted.as_ref())
+            .map(|a| &a.state);
         if state.is_some_and(|s| s.body.is_none() && s.version == version) {
             self.end(key, now + GAP_LASTS);
         }
@@ -120,8 +131,12 @@
         if self.next_end.is_none_or(|at| now < at) {
             return vec![];
         }
-        let ended: Vec<RegisterKey> =
-            self.ends.iter().filter(|(_, at)| **at <= now).map(|(k, _)| *k).collect();
+        let ended: Vec<RegisterKey> = self
+            .ends
+            .iter()
+            .filter(|(_, at)| **at <= now)
+            .map(|(k, _)| *k)
+            .collect();
         for key in &ended {
             self.ends.remove(key);
             self.copies.remove(key);
@@ -139,9 +154,22 @@
     #[test]
     fn room_is_bounded_gaps_end_and_values_stay() {
         let (mut shelf, now) = (Shelf::default(), Duration::ZERO);
-        let ballot = Ballot { round: 1, by: NameKey(1), start: 1 };
-        let version = Version { epoch: 1, count: 1, writer: NameKey(1), start: 1 };
-        let state = |body| State { version, before: None, body };
+        let ballot = Ballot {
+            round: 1,
+            by: NameKey(1),
+            start: 1,
+        };
+        let version = Version {
+            epoch: 1,
+            count: 1,
+            writer: NameKey(1),
+            start: 1,
+        };
+        let state = |body| State {
+            version,
+            before: None,
+            body,
+        };
         let key = |i: usize| RegisterKey((i as u128).to_le_bytes());
         for i in 0..REGISTERS_MOST {
             assert!(matches!(shelf.prepare(now, key(i), ballot), Ok(Ok(true))));
@@ -149,10 +177,27 @@
         assert!(shelf.prepare(now, key(REGISTERS_MOST), ballot).is_err());
         let long = BYTES_MOST / crate::VALUE_MOST;
         for i in 0..long {
-            assert!(shelf.accept(now, key(i), ballot, &state(Some(vec![0; crate::VALUE_MOST]))).is_ok());
+            assert!(shelf
+                .accept(
+                    now,
+                    key(i),
+                    ballot,
+                    &state(Some(vec![0; crate::VALUE_MOST]))
+                )
+                .is_ok());
         }
-        assert!(shelf.accept(now, key(long), ballot, &state(Some(vec![0; crate::VALUE_MOST]))).is_err());
-        assert!(matches!(shelf.accept(now, key(long), ballot, &state(None)), Ok(Ok(true))));
+        assert!(shelf
+            .accept(
+                now,
+                key(long),
+                ballot,
+                &state(Some(vec![0; crate::VALUE_MOST]))
+            )
+            .is_err());
+        assert!(matches!(
+            shelf.accept(now, key(long), ballot, &state(None)),
+            Ok(Ok(true))
+        ));
         assert_eq!(shelf.expire(GAP_LASTS).len(), REGISTERS_MOST - long - 1);
         shelf.gone(now, key(long), version);
         shelf.gone(now, key(0), version);
--- a/crates/replicated-register/tests/common/mod.rs
+++ b/crates/replicated-register/tests/common/mod.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{KeepError, Process};
 use bitternlatch_membership::NameKey;
+use bitternlatch_quota_lease::{KeepError, Process};
 use bitternlatch_replicated_register::{
     Call, Event, Input, Output, RegisterKey, Replica, ReplicaError, Settings, Version,
 };
@@ -48,7 +48,11 @@
                     self.bytes += said.len() as u64;
                     out.push((to.0 as usize - 10, (self.start, said)));
                 }
-                Output::Keep { ticket, name, bytes } => {
+                Output::Keep {
+                    ticket,
+                    name,
+                    bytes,
+                } => {
                     self.writes.push((now + self.sync, ticket, name, bytes));
                 }
                 Output::Event(event) => self.events.push(event),
@@ -91,7 +95,17 @@
     }
 
     fn take(&mut self, now: Duration, from: usize, (start, said): Frame, out: &mut Sent<Frame>) {
-        self.input(now, Input::Frame { from: Process { name: name(from), start }, said }, out);
+        self.input(
+            now,
+            Input::Frame {
+                from: Process {
+                    name: name(from),
+                    start,
+                },
+                said,
+            },
+            out,
+        );
     }
 }
 
@@ -148,16 +162,40 @@
         let (start, seed) = (1000 + self.starts, self.draw(1 << 60));
         let roster = (0..self.disks.len()).map(name).collect::<BTreeSet<_>>();
         let now = self.world.now_at(i);
-        let replica = Replica::new(Process { name: name(i), start }, roster, self.settings, seed, now);
+        let replica = Replica::new(
+            Process {
+                name: name(i),
+                start,
+            },
+            roster,
+            self.settings,
+            seed,
+            now,
+        );
         let disk = std::mem::take(&mut self.disks[i]);
-        let found = disk.iter().map(|(name, bytes)| (name.clone(), bytes.clone())).collect();
+        let found = disk
+            .iter()
+            .map(|(name, bytes)| (name.clone(), bytes.clone()))
+            .collect();
         let (answers, events, writes) = (vec![], vec![], vec![]);
         let sync = self.sync;
-        let host =
-            Host { replica, start, disk, full: false, sync, writes, answers, events, sent: 0, bytes: 0 };
+        let host = Host {
+            replica,
+            start,
+            disk,
+            full: false,
+            sync,
+            writes,
+            answers,
+            events,
+            sent: 0,
+            bytes: 0,
+        };
         self.world.start(i, host);
         if self.settings.durable {
-            self.world.act(i, |host, now, out| host.input(now, Input::Found(Ok(found)), out));
+            self.world.act(i, |host, now, out| {
+                host.input(now, Input::Found(Ok(found)), out)
+            });
         }
     }
 
@@ -179,22 +217,46 @@
 
     /// Registers for which a host's copy counts, of those it has.
     pub fn whole(&self, i: usize, keys: &[RegisterKey]) -> bool {
-        let Some(host) = &self.world.places[i].node else { return false };
+        let Some(host) = &self.world.places[i].node else {
+            return false;
+        };
         let own = |key: &&RegisterKey| host.replica.copies(**key).contains(&name(i));
-        keys.iter().filter(own).all(|key| host.replica.counts_for(self.world.now_at(i), *key))
+        keys.iter()
+            .filter(own)
+            .all(|key| host.replica.counts_for(self.world.now_at(i), *key))
     }
 
-    fn enter(&mut self, i: usize, op: Op, input: impl FnOnce(Call, Duration) -> Input) -> Option<Call> {
+    fn enter(
+        &mut self,
+        i: usize,
+        op: Op,
+        input: impl FnOnce(Call, Duration) -> Input,
+    ) -> Option<Call> {
         let call = Call(self.ops.len() as u64);
-        let op = Op { asked: self.world.now(), ..op };
-        self.world.act(i, |host, now, out| host.input(now, input(call, now), out))?;
+        let op = Op {
+            asked: self.world.now(),
+            ..op
+        };
+        self.world
+            .act(i, |host, now, out| host.input(now, input(call, now), out))?;
         self.ops.insert(call, (i, op));
         Some(call)
     }
 
     pub fn read(&mut self, i: usize, key: RegisterKey, patience: Duration) -> Option<Call> {
-        let op = Op { key, on: None, reads: true, drops: false, asked: Duration::ZERO, ended: None };
-        self.enter(i, op, |call, now| Input::Read { call, key, until: now + patience })
+        let op = Op {
+            key,
+            on: None,
+            reads: true,
+            drops: false,
+            asked: Duration::ZERO,
+            ended: None,
+        };
+        self.enter(i, op, |call, now| Input::Read {
+            call,
+            key,
+            until: now + patience,
+        })
     }
 
     /// The value is the call's number.
@@ -206,7 +268,14 @@
         epoch: u64,
         patience: Duration,
     ) -> Option<Call> {
-        let op = Op { key, on, reads: false, drops: false, asked: Duration::ZERO, ended: None };
+        let op = Op {
+            key,
+            on,
+            reads: false,
+            drops: false,
+            asked: Duration::ZERO,
+            ended: None,
+        };
         self.enter(i, op, |call, now| Input::Write {
             call,
             key,
@@ -217,9 +286,27 @@
         })
     }
 
-    pub fn drop(&mut self, i: usize, key: RegisterKey, on: Version, patience: Duration) -> Option<Call> {
-        let op = Op { key, on: Some(on), reads: false, drops: true, asked: Duration::ZERO, ended: None };
-        self.enter(i, op, |call, now| Input::Drop { call, key, on, until: now + patience })
+    pub fn drop(
+        &mut self,
+        i: usize,
+        key: RegisterKey,
+        on: Version,
+        patience: Duration,
+    ) -> Option<Call> {
+        let op = Op {
+            key,
+            on: Some(on),
+            reads: false,
+            drops: true,
+            asked: Duration::ZERO,
+            ended: None,
+        };
+        self.enter(i, op, |call, now| Input::Drop {
+            call,
+            key,
+            on,
+            until: now + patience,
+        })
     }
 
     pub fn run(&mut self, time: Duration) {
@@ -230,23 +317,34 @@
     pub fn collect(&mut self) {
         for i in 0..self.disks.len() {
             let ahead = self.world.places[i].ahead;
-            let Some(host) = &mut self.world.places[i].node else { continue };
-            self.events.extend(host.events.drain(..).map(|event| (i, event)));
+            let Some(host) = &mut self.world.places[i].node else {
+                continue;
+            };
+            self.events
+                .extend(host.events.drain(..).map(|event| (i, event)));
             for (at, answer) in std::mem::take(&mut host.answers) {
                 let (call, latest) = match &answer {
                     Output::Read { call, found } => {
                         (*call, found.as_ref().ok().map(|f| f.as_ref().map(|f| f.0)))
                     }
-                    Output::Written { call, done: Ok(version) } => (*call, Some(Some(*version))),
-                    Output::Written { call, done: Err(ReplicaError::Conflict { latest }) } => {
-                        (*call, Some(*latest))
-                    }
+                    Output::Written {
+                        call,
+                        done: Ok(version),
+                    } => (*call, Some(Some(*version))),
+                    Output::Written {
+                        call,
+                        done: Err(ReplicaError::Conflict { latest }),
+                    } => (*call, Some(*latest)),
                     Output::Written { call, .. } => (*call, None),
                     other => panic!("{other:?}"),
                 };
                 let (of, op) = self.ops.get_mut(&call).expect("it was asked");
                 assert!(*of == i && op.ended.is_none(), "two answers to {call:?}");
-                if let Output::Written { done: Err(ReplicaError::EpochPassed { epoch }), .. } = &answer {
+                if let Output::Written {
+                    done: Err(ReplicaError::EpochPassed { epoch }),
+                    ..
+                } = &answer
+                {
                     self.epochs.insert(op.key, *epoch);
                 }
                 if let Some(latest) = latest {
@@ -293,10 +391,16 @@
     }
 
     fn check_key(&self, key: RegisterKey) -> Result<(), String> {
-        let ops: Vec<(Call, &Op)> =
-            self.ops.iter().filter(|(_, (_, op))| op.key == key).map(|(c, (_, op))| (*c, op)).collect();
+        let ops: Vec<(Call, &Op)> = self
+            .ops
+            .iter()
+            .filter(|(_, (_, op))| op.key == key)
+            .map(|(c, (_, op))| (*c, op))
+            .collect();
         let not_written = |op: &Op| {
-            use ReplicaError::{Busy, CatchingUp, Conflict, EpochPassed, Lost, NoMajority, TooLong};
+            use ReplicaError::{
+                Busy, CatchingUp, Conflict, EpochPassed, Lost, NoMajority, TooLong,
+            };
             matches!(
                 &op.ended,
                 Some((
@@ -318,24 +422,41 @@
         let mut wrote: BTreeMap<Version, (Call, Option<Version>)> = BTreeMap::new();
         let mut sights: Vec<(Duration, Duration, Option<Version>, bool)> = vec![];
         for (call, op) in &ops {
-            let Some((at, answer)) = &op.ended else { continue };
+            let Some((at, answer)) = &op.ended else {
+                continue;
+            };
             match answer {
-                Output::Written { done: Ok(version), .. } => {
+                Output::Written {
+                    done: Ok(version), ..
+                } => {
                     if op.on.is_some_and(|on| on >= *version) {
-                        return Err(format!("{call:?}: {version:?} is not later than {:?}", op.on));
+                        return Err(format!(
+                            "{call:?}: {version:?} is not later than {:?}",
+                            op.on
+                        ));
                     }
-                    if wrote.insert(*version, (*call, op.on)).is_some_and(|(of, _)| of != *call) {
+                    if wrote
+                        .insert(*version, (*call, op.on))
+                        .is_some_and(|(of, _)| of != *call)
+                    {
                         return Err(format!("{version:?} was written twice"));
                     }
                     sights.push((op.asked, *at, Some(*version), op.drops));
                 }
-                Output::Written { done: Err(ReplicaError::Conflict { latest }), .. } => {
+                Output::Written {
+                    done: Err(ReplicaError::Conflict { latest }),
+                    ..
+                } => {
                     sights.push((op.asked, *at, *latest, false));
                 }
-                Output::Read { found: Ok(found), .. } => {
+                Output::Read {
+                    found: Ok(found), ..
+                } => {
                     sights.push((op.asked, *at, found.as_ref().map(|f| f.0), false));
                     if let Some((version, value)) = found {
-                        let of = Call(u64::from_le_bytes(value.as_slice().try_into().map_err(|_| "torn")?));
+                        let of = Call(u64::from_le_bytes(
+                            value.as_slice().try_into().map_err(|_| "torn")?,
+                        ));
                         let (_, writer) = &self.ops[&of];
                         if not_written(writer) || writer.asked > *at || writer.key != key {
                             return Err(format!(
@@ -343,7 +464,10 @@
                                 writer.ended
                             ));
                         }
-                        if wrote.insert(*version, (of, writer.on)).is_some_and(|(other, _)| other != of) {
+                        if wrote
+                            .insert(*version, (of, writer.on))
+                            .is_some_and(|(other, _)| other != of)
+                        {
                             return Err(format!("{version:?} has two values"));
                         }
                     }
@@ -352,10 +476,15 @@
             }
         }
         // No version has two that follow it.
-        let drops: Vec<(&Op, Option<Version>)> =
-            ops.iter().filter(|(_, op)| op.drops && !not_written(op)).map(|(_, op)| (*op, op.on)).collect();
+        let drops: Vec<(&Op, Option<Version>)> = ops
+            .iter()
+            .filter(|(_, op)| op.drops && !not_written(op))
+            .map(|(_, op)| (*op, op.on))
+            .collect();
         let mut follows: BTreeMap<Option<Version>, Vec<Call>> = BTreeMap::new();
-        wrote.values().for_each(|(call, on)| follows.entry(*on).or_default().push(*call));
+        wrote
+            .values()
+            .for_each(|(call, on)| follows.entry(*on).or_default().push(*call));
         for (on, calls) in &follows {
             let most = if on.is_none() { 1 + drops.len() } else { 1 };
             if calls.len() > most {
@@ -376,7 +505,9 @@
                 drops.iter().any(|(op, on)| op.asked < *until && (*on >= latest || matches!(&op.ended, Some((_, Output::Written { done: Ok(v), .. })) if Some(*v) >= latest)))
             };
             if *seen < latest && !(seen.is_none() && dropped()) {
-                return Err(format!("{key:?}: at {asked:?} to {until:?} {seen:?}, after {latest:?}"));
+                return Err(format!(
+                    "{key:?}: at {asked:?} to {until:?} {seen:?}, after {latest:?}"
+                ));
             }
         }
         Ok(())
