--- a/crates/replicated-register/tests/courses.rs
+++ b/crates/replicated-register/tests/courses.rs
@@ -37,15 +37,18 @@
 impl Player {
     fn call(&mut self) {
         let keys = keys();
-        let (i, key) = (self.fleet.draw(OF as u64) as usize, keys[self.fleet.draw(4) as usize]);
+        let (i, key) = (
+            self.fleet.draw(OF as u64) as usize,
+            keys[self.fleet.draw(4) as usize],
+        );
         let patience = ms(100 + self.fleet.draw(1500));
         let known = self.fleet.known.get(&(i, key)).copied();
         match (self.fleet.draw(100), known) {
             (0..=39, _) | (_, None) => drop(self.fleet.read(i, key, patience)),
             (40..=44, Some(Some(on))) if self.drops => drop(self.fleet.drop(i, key, on, patience)),
             (n, Some(on)) => {
-                let epoch =
-                    on.map_or(1, |on| on.epoch) + u64::from(n > 90) - u64::from(n == 90 && on.is_some());
+                let epoch = on.map_or(1, |on| on.epoch) + u64::from(n > 90)
+                    - u64::from(n == 90 && on.is_some());
                 // After a gap the epochs go on.
                 let epoch = epoch.max(self.fleet.epochs.remove(&key).unwrap_or(0));
                 self.fleet.write(i, key, on, epoch, patience);
@@ -116,7 +119,11 @@
             0 => self.fleet.disks[i].clear(),
             1 => {
                 let at = self.fleet.draw(self.fleet.disks[i].len().max(1) as u64) as usize;
-                self.fleet.disks[i].values_mut().nth(at).into_iter().for_each(|b| b.truncate(b.len() / 2));
+                self.fleet.disks[i]
+                    .values_mut()
+                    .nth(at)
+                    .into_iter()
+                    .for_each(|b| b.truncate(b.len() / 2));
             }
             _ => self.fleet.disks[i] = self.old[i].clone(),
         }
@@ -159,7 +166,10 @@
                     let call = self.fleet.write(i, key, on, 1000, ms(3000));
                     self.fleet.written(call)
                 });
-                if !matches!(done, Err(ReplicaError::Conflict { .. } | ReplicaError::TimedOut)) {
+                if !matches!(
+                    done,
+                    Err(ReplicaError::Conflict { .. } | ReplicaError::TimedOut)
+                ) {
                     break;
                 }
             }
@@ -180,7 +190,13 @@
     let mut fleet = Fleet::new(OF, course != Course::Memory, seed);
     fleet.run(ms(1000));
     let old = vec![Disk::new(); OF];
-    let mut player = Player { fleet, course, drops: seed.is_multiple_of(3), old, losses: 0 };
+    let mut player = Player {
+        fleet,
+        course,
+        drops: seed.is_multiple_of(3),
+        old,
+        losses: 0,
+    };
     player.play();
     if let Err(e) = player.fleet.check() {
         if std::env::var("DBG").is_ok() {
@@ -196,32 +212,49 @@
     player.settle()?;
     player.fleet.check()?;
     let done = player.fleet.ops.values().filter(|(_, op)| {
-        matches!(op.ended, Some((_, Output::Written { done: Ok(_), .. } | Output::Read { found: Ok(_), .. })))
+        matches!(
+            op.ended,
+            Some((
+                _,
+                Output::Written { done: Ok(_), .. } | Output::Read { found: Ok(_), .. }
+            ))
+        )
     });
     Ok((player.fleet.ops.len(), done.count()))
 }
 
 /// So many seeds, or as many as `REPLICA_SEEDS` says, on a few threads.
 fn play_all(course: Course, seeds: u64) {
-    let seeds = std::env::var("REPLICA_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(seeds);
-    let first = std::env::var("REPLICA_FIRST").ok().and_then(|n| n.parse().ok()).unwrap_or(0);
+    let seeds = std::env::var("REPLICA_SEEDS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(seeds);
+    let first = std::env::var("REPLICA_FIRST")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0);
     let threads: Vec<_> = (0..2)
         .map(|t| {
             std::thread::spawn(move || {
                 let (mut asked, mut done) = (0, 0);
                 for seed in (first..first + seeds).filter(|seed| seed % 2 == t) {
-                    let (a, d) =
-                        play(course, seed).unwrap_or_else(|e| panic!("{course:?}, seed {seed}: {e}"));
+                    let (a, d) = play(course, seed)
+                        .unwrap_or_else(|e| panic!("{course:?}, seed {seed}: {e}"));
                     (asked, done) = (asked + a, done + d);
                 }
                 (asked, done)
             })
         })
         .collect();
-    let sums = threads.into_iter().map(|t| t.join().expect("a seed failed"));
+    let sums = threads
+        .into_iter()
+        .map(|t| t.join().expect("a seed failed"));
     let (asked, done) = sums.fold((0, 0), |(a, d), (x, y)| (a + x, d + y));
     println!("{seeds} seeds: {asked} calls, {done} done");
-    assert!(done * 2 > asked, "{done} of {asked} calls came to something");
+    assert!(
+        done * 2 > asked,
+        "{done} of {asked} calls came to something"
+    );
 }
 
 #[test]
--- a/crates/replicated-register/tests/returns.rs
+++ b/crates/replicated-register/tests/returns.rs
@@ -5,9 +5,11 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{KeepError, Part, Peers, Process};
 use bitternlatch_membership::{NameKey, Standing};
-use bitternlatch_replicated_register::{Event, Input, RegisterKey, Replica, ReplicaError, Settings, Version};
+use bitternlatch_quota_lease::{KeepError, Part, Peers, Process};
+use bitternlatch_replicated_register::{
+    Event, Input, RegisterKey, Replica, ReplicaError, Settings, Version,
+};
 use bitternlatch_replicated_register::{GAP_LASTS, VALUE_MOST};
 use bitternlatch_simulation::ms;
 use common::{name, Fleet};
@@ -27,8 +29,13 @@
 
 /// The places of a register's copies, and one that is not among them.
 fn places(fleet: &Fleet, of: RegisterKey) -> (Vec<usize>, Option<usize>) {
-    let copies: Vec<usize> =
-        fleet.host(0).replica.copies(of).iter().map(|name| name.0 as usize - 10).collect();
+    let copies: Vec<usize> = fleet
+        .host(0)
+        .replica
+        .copies(of)
+        .iter()
+        .map(|name| name.0 as usize - 10)
+        .collect();
     let other = (0..fleet.disks.len()).find(|i| !copies.contains(i));
     (copies, other)
 }
@@ -53,7 +60,9 @@
 fn a_disk_set_back_is_named_and_counts_only_after_it_has_fetched_from_both_others() {
     let mut fleet = fleet(4, true, ms(1));
     let (copies, other) = places(&fleet, key(1));
-    let [a, b, c] = copies[..] else { panic!("three copies") };
+    let [a, b, c] = copies[..] else {
+        panic!("three copies")
+    };
     write(&mut fleet, b, key(1), 2);
     fleet.run(ms(2500));
     fleet.kill(a);
@@ -72,13 +81,19 @@
     fleet.run(ms(5000));
     // Without b nobody knows the last write: a and c do not answer for what they do not know.
     let read = fleet.read(c, key(1), ms(1000));
-    assert!(!fleet.host(a).replica.counts_for(fleet.world.now_at(a), key(1)));
+    assert!(!fleet
+        .host(a)
+        .replica
+        .counts_for(fleet.world.now_at(a), key(1)));
     assert_eq!(fleet.found(read), Err(ReplicaError::CatchingUp));
     fleet.world.net.passes = Box::new(|_, _| true);
     fleet.run(ms(2500));
     let read = fleet.read(other.expect("four members"), key(1), ms(1000));
     assert_eq!(fleet.found(read), Ok(Some(last)));
-    assert!(fleet.host(a).replica.counts_for(fleet.world.now_at(a), key(1)));
+    assert!(fleet
+        .host(a)
+        .replica
+        .counts_for(fleet.world.now_at(a), key(1)));
     assert_eq!(fleet.saw(|e| matches!(e, Event::OlderDisk { .. })), 1);
     assert!(fleet.saw(|e| *e == Event::CopyLost(name(a))) >= 1);
 }
@@ -93,20 +108,37 @@
     fleet.disks[a].clear();
     fleet.start(a);
     fleet.run(ms(2000));
-    assert!(fleet.host(a).replica.counts_for(fleet.world.now_at(a), key(1)));
-    assert!(fleet.host(a).replica.held().any(|(held, version, _)| *held == key(1) && version == last));
+    assert!(fleet
+        .host(a)
+        .replica
+        .counts_for(fleet.world.now_at(a), key(1)));
+    assert!(fleet
+        .host(a)
+        .replica
+        .held()
+        .any(|(held, version, _)| *held == key(1) && version == last));
     assert_eq!(fleet.saw(|e| matches!(e, Event::Emptied { .. })), 1);
     // Who told it remembers that it has forgotten, though killed at once.
     let c = copies[2];
     fleet.kill(c);
     fleet.start(c);
     fleet.run(ms(2000));
-    assert_eq!(fleet.events.iter().filter(|(i, e)| *i == c && *e == Event::CopyLost(name(a))).count(), 1);
+    assert_eq!(
+        fleet
+            .events
+            .iter()
+            .filter(|(i, e)| *i == c && *e == Event::CopyLost(name(a)))
+            .count(),
+        1
+    );
     fleet.kill(b);
     fleet.disks[b].values_mut().for_each(|bytes| bytes[2] ^= 1);
     fleet.start(b);
     fleet.run(ms(2000));
-    assert!(fleet.host(b).replica.counts_for(fleet.world.now_at(b), key(1)));
+    assert!(fleet
+        .host(b)
+        .replica
+        .counts_for(fleet.world.now_at(b), key(1)));
     assert_eq!(fleet.saw(|e| *e == Event::Torn), 1);
     let read = fleet.read(other, key(1), ms(1000));
     assert_eq!(fleet.found(read), Ok(Some(last)));
@@ -151,7 +183,10 @@
     (0..6).for_each(|i| fleet.kill(i));
     (0..6).for_each(|i| fleet.start(i));
     // Not even its own disk is believed before somebody was asked.
-    assert!((0..6).all(|i| !fleet.host(i).replica.counts_for(fleet.world.now_at(i), key(1))));
+    assert!((0..6).all(|i| !fleet
+        .host(i)
+        .replica
+        .counts_for(fleet.world.now_at(i), key(1))));
     let read = fleet.read(1, key(1), ms(3000));
     assert_eq!(fleet.found(read), Ok(Some(last)));
     assert!(fleet.world.now() < ms(2000), "{:?}", fleet.world.now());
@@ -204,7 +239,10 @@
     let on = write(&mut fleet, other, key(1), 2);
     fleet.world.act(b, |host, _, _| host.full = true);
     let call = fleet.write(other, key(1), Some(on), 1, ms(1000));
-    assert_eq!(fleet.written(call), Err(ReplicaError::NotKept(KeepError::Full)));
+    assert_eq!(
+        fleet.written(call),
+        Err(ReplicaError::NotKept(KeepError::Full))
+    );
     assert_eq!(fleet.saw(|e| *e == Event::DiskFault(KeepError::Full)), 2);
     for i in [a, b] {
         fleet.world.act(i, |host, _, _| host.full = false);
@@ -228,10 +266,24 @@
     let call = fleet.write(copies[0], key(1), Some(on), 1, ms(900));
     // It had the lead and has asked for it to be taken: what became of that it cannot know.
     let known = fleet.written(call);
-    assert!(matches!(known, Err(ReplicaError::TimedOut | ReplicaError::NoMajority)), "{known:?}");
+    assert!(
+        matches!(
+            known,
+            Err(ReplicaError::TimedOut | ReplicaError::NoMajority)
+        ),
+        "{known:?}"
+    );
     fleet.world.act(copies[0], |host, now, out| {
-        let part = Part { lent: 0.0, until: now };
-        let peers = Peers { standing: Standing::Alone, there: vec![], until: now + ms(900), part };
+        let part = Part {
+            lent: 0.0,
+            until: now,
+        };
+        let peers = Peers {
+            standing: Standing::Alone,
+            there: vec![],
+            until: now + ms(900),
+            part,
+        };
         host.input(now, Input::Peers(peers), out);
     });
     let asked = fleet.world.now();
@@ -251,12 +303,21 @@
     fleet.world.net.loss = 0.1;
     fleet.start(1);
     let started = fleet.world.now();
-    while !fleet.host(1).replica.counts_for(fleet.world.now_at(1), key(0)) {
+    while !fleet
+        .host(1)
+        .replica
+        .counts_for(fleet.world.now_at(1), key(0))
+    {
         fleet.run(ms(10));
         assert!(fleet.world.now() - started < Duration::from_secs(20));
     }
     let took = fleet.world.now() - started;
-    let held: BTreeSet<Version> = fleet.host(1).replica.held().map(|(_, version, _)| version).collect();
+    let held: BTreeSet<Version> = fleet
+        .host(1)
+        .replica
+        .held()
+        .map(|(_, version, _)| version)
+        .collect();
     assert!(last.iter().all(|version| held.contains(version)));
     println!("1000 registers in {took:?}");
 }
@@ -319,9 +380,15 @@
     assert_eq!(fleet.found(read), Ok(None));
     assert_eq!(fleet.host(0).replica.held().count(), 0);
     let call = fleet.write(2, key(1), Some(on), 1, ms(1000));
-    assert_eq!(fleet.written(call), Err(ReplicaError::Conflict { latest: None }));
+    assert_eq!(
+        fleet.written(call),
+        Err(ReplicaError::Conflict { latest: None })
+    );
     let call = fleet.write(2, key(1), None, 0, ms(1000));
-    assert_eq!(fleet.written(call), Err(ReplicaError::EpochPassed { epoch: gap.epoch }));
+    assert_eq!(
+        fleet.written(call),
+        Err(ReplicaError::EpochPassed { epoch: gap.epoch })
+    );
     fleet.run(GAP_LASTS + ms(2000));
     assert!(
         (0..3).all(|i| fleet.host(i).disk.keys().all(|name| name.len() == 1)),
@@ -332,7 +399,10 @@
 
 #[test]
 fn what_is_too_long_too_much_or_of_another_version_is_refused_and_counted() {
-    let own = Process { name: name(0), start: 1 };
+    let own = Process {
+        name: name(0),
+        start: 1,
+    };
     let roster: BTreeSet<NameKey> = (0..3).map(name).collect();
     let mut replica = Replica::new(own, roster, Settings::default(), 1, Duration::ZERO);
     let mut step = |input| {
@@ -343,18 +413,53 @@
     let call = |n| bitternlatch_replicated_register::Call(n);
     let until = ms(1000);
     let value = vec![0; VALUE_MOST + 1];
-    let (said, _) = step(Input::Write { call: call(0), key: key(1), on: None, epoch: 1, value, until });
+    let (said, _) = step(Input::Write {
+        call: call(0),
+        key: key(1),
+        on: None,
+        epoch: 1,
+        value,
+        until,
+    });
     assert!(said.contains("TooLong { bytes: 49153, most: 49152 }"));
-    (1..=4096).for_each(|n| drop(step(Input::Read { call: call(n), key: key(1), until })));
-    let (said, counts) = step(Input::Read { call: call(9999), key: key(1), until });
+    (1..=4096).for_each(|n| {
+        drop(step(Input::Read {
+            call: call(n),
+            key: key(1),
+            until,
+        }))
+    });
+    let (said, counts) = step(Input::Read {
+        call: call(9999),
+        key: key(1),
+        until,
+    });
     assert!(said.contains("Err(Busy)") && counts.turned_away == 1);
-    let from = Process { name: name(1), start: 1 };
-    let (said, _) = step(Input::Frame { from, said: vec![2, 3, 4] });
+    let from = Process {
+        name: name(1),
+        start: 1,
+    };
+    let (said, _) = step(Input::Frame {
+        from,
+        said: vec![2, 3, 4],
+    });
     assert!(said.contains("OtherVersion"));
-    let (said, _) = step(Input::Frame { from, said: vec![2] });
-    let (_, counts) = step(Input::Frame { from, said: vec![1, 99] });
+    let (said, _) = step(Input::Frame {
+        from,
+        said: vec![2],
+    });
+    let (_, counts) = step(Input::Frame {
+        from,
+        said: vec![1, 99],
+    });
     assert!(!said.contains("OtherVersion") && counts.other_version == 2 && counts.unreadable == 1);
-    let stranger = Process { name: NameKey(999), start: 1 };
-    let (said, counts) = step(Input::Frame { from: stranger, said: vec![1, 99] });
+    let stranger = Process {
+        name: NameKey(999),
+        start: 1,
+    };
+    let (said, counts) = step(Input::Frame {
+        from: stranger,
+        said: vec![1, 99],
+    });
     assert!(said == "[]" && counts.unreadable == 1);
 }
--- a/crates/routing-settings/src/facts.rs
+++ b/crates/routing-settings/src/facts.rs
@@ -27,7 +27,11 @@
     /// A line without `=`.
     pub fn from_lines(text: &str) -> Result<Self> {
         let mut map = BTreeMap::new();
-        for (i, line) in text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()) {
+        for (i, line) in text
+            .lines()
+            .enumerate()
+            .filter(|(_, l)| !l.trim().is_empty())
+        {
             match line.split_once('=') {
                 Some((k, v)) => map.insert(k.trim().to_string(), v.trim().to_string()),
                 None => return bad(format!("settings line {} has no '='", i + 1)),
@@ -42,7 +46,9 @@
     /// # Errors
     /// Settings that are no object.
     pub fn from_json(value: &Value) -> Result<Self> {
-        let Value::Object(fields) = value else { return bad("the settings are no object") };
+        let Value::Object(fields) = value else {
+            return bad("the settings are no object");
+        };
         let mut facts = Facts::default();
         for (key, value) in fields {
             facts.flatten(key, value);
@@ -54,11 +60,17 @@
         match value {
             Value::Null => {}
             Value::Object(fields) => {
-                fields.iter().for_each(|(key, v)| self.flatten(&format!("{path}.{key}"), v));
+                fields
+                    .iter()
+                    .for_each(|(key, v)| self.flatten(&format!("{path}.{key}"), v));
             }
             Value::Array(items) if items.iter().any(Value::is_object) => {
-                self.0.insert(format!("{path}.count"), items.len().to_string());
-                items.iter().enumerate().for_each(|(i, v)| self.flatten(&format!("{path}.{i}"), v));
+                self.0
+                    .insert(format!("{path}.count"), items.len().to_string());
+                items
+                    .iter()
+                    .enumerate()
+                    .for_each(|(i, v)| self.flatten(&format!("{path}.{i}"), v));
             }
             Value::Array(items) => {
                 let joined: Vec<String> = items.iter().map(plain).collect();
@@ -75,7 +87,8 @@
     }
 
     pub(crate) fn text(&self, key: &str) -> Result<&str> {
-        self.get(key).ok_or_else(|| SettingsError(format!("setting {key} is missing")))
+        self.get(key)
+            .ok_or_else(|| SettingsError(format!("setting {key} is missing")))
     }
 
     pub(crate) fn number_or(&self, key: &str, default: f64) -> Result<f64> {
@@ -105,7 +118,9 @@
     }
 
     pub(crate) fn list(&self, key: &str) -> Vec<&str> {
-        self.get(key).map(|v| v.split(',').filter(|s| !s.is_empty()).collect()).unwrap_or_default()
+        self.get(key)
+            .map(|v| v.split(',').filter(|s| !s.is_empty()).collect())
+            .unwrap_or_default()
     }
 
     pub(crate) fn numbers(&self, key: &str) -> Result<Vec<f64>> {
--- a/crates/routing-settings/src/read.rs
+++ b/crates/routing-settings/src/read.rs
@@ -15,7 +15,11 @@
         classes: parse_classes(f)?,
         tenants: parse_tenants(f)?,
         kinds: parse_kinds(f)?,
-        report_fields: f.list("report.fields").into_iter().map(|w| report_field(w, f)).collect(),
+        report_fields: f
+            .list("report.fields")
+            .into_iter()
+            .map(|w| report_field(w, f))
+            .collect(),
         report_mode: match f.text("report.how")? {
             "inline" => ReportMode::WithAnswers,
             "on_probe" => ReportMode::OnProbe,
@@ -53,8 +57,16 @@
         "concurrent" => ReportField::Concurrent,
         "depth" => ReportField::Queue,
         "load_share" => ReportField::SlotShare,
-        "x0" if f.get("extra.reportX0").is_some_and(|v| v.contains("memory")) => ReportField::MemoryShare,
-        "x1" if f.get("extra.reportX1").is_some_and(|v| v.contains("tokens")) => {
+        "x0" if f
+            .get("extra.reportX0")
+            .is_some_and(|v| v.contains("memory")) =>
+        {
+            ReportField::MemoryShare
+        }
+        "x1" if f
+            .get("extra.reportX1")
+            .is_some_and(|v| v.contains("tokens")) =>
+        {
             ReportField::WaitingKiloTokens
         }
         _ => ReportField::Other,
@@ -68,7 +80,9 @@
     if count == 0 {
         return bad("setting classes.count is 0");
     }
-    (0..count).map(|i| parse_class(f, i as usize, &per_k, &gaps)).collect()
+    (0..count)
+        .map(|i| parse_class(f, i as usize, &per_k, &gaps))
+        .collect()
 }
 
 fn parse_class(f: &Facts, i: usize, per_k: &[f64], gaps: &[f64]) -> Result<ClassSettings> {
@@ -97,8 +111,18 @@
 }
 
 fn parse_tenants(f: &Facts) -> Result<Vec<TenantSettings>> {
-    let n = if f.get("customers.count").is_some() { f.count("customers.count")? } else { 0 };
-    (0..n).map(|i| Ok(TenantSettings { quota_rps: f.number(&format!("customers.{i}.quotaRps"))? })).collect()
+    let n = if f.get("customers.count").is_some() {
+        f.count("customers.count")?
+    } else {
+        0
+    };
+    (0..n)
+        .map(|i| {
+            Ok(TenantSettings {
+                quota_rps: f.number(&format!("customers.{i}.quotaRps"))?,
+            })
+        })
+        .collect()
 }
 
 fn parse_kinds(f: &Facts) -> Result<Vec<KindSettings>> {
@@ -110,9 +134,16 @@
             "both" => Role::Mixed,
             v => return bad(format!("setting extra.kindRole is not known: {v}")),
         };
-        Ok(KindSettings { role, memory_tokens: memory.get(i).copied().unwrap_or(0.0) })
+        Ok(KindSettings {
+            role,
+            memory_tokens: memory.get(i).copied().unwrap_or(0.0),
+        })
     };
-    f.text("extra.kindRole")?.split(',').enumerate().map(role).collect()
+    f.text("extra.kindRole")?
+        .split(',')
+        .enumerate()
+        .map(role)
+        .collect()
 }
 
 /// The names behind the indexes that the module is given.
@@ -132,9 +163,15 @@
 pub fn read_names(f: &Facts) -> Result<Names> {
     let owned = |key: &str| f.list(key).into_iter().map(str::to_string).collect();
     let named = |list: &str, n: u32| -> Result<Vec<String>> {
-        (0..n).map(|i| Ok(f.text(&format!("{list}.{i}.name"))?.to_string())).collect()
+        (0..n)
+            .map(|i| Ok(f.text(&format!("{list}.{i}.name"))?.to_string()))
+            .collect()
+    };
+    let tenants = if f.get("customers.count").is_some() {
+        f.count("customers.count")?
+    } else {
+        0
     };
-    let tenants = if f.get("customers.count").is_some() { f.count("customers.count")? } else { 0 };
     Ok(Names {
         classes: named("classes", f.count("classes.count")?)?,
         kinds: owned("kinds"),
@@ -175,6 +212,10 @@
         retry_after: f.flag_or("limits.retryAfter", false)?,
         peers: f.flag_or("limits.peers", false)?,
         resumes: f.flag_or("extra.resume", false)?,
-        me: if f.get("me").is_some() { f.count("me")? as usize } else { 0 },
+        me: if f.get("me").is_some() {
+            f.count("me")? as usize
+        } else {
+            0
+        },
     })
 }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -52,9 +52,11 @@
         for _ in 0..copies {
             if (self.passes)(from, to) && self.draw() >= self.loss {
                 let (least, spread) = self.delay;
-                let after = least + Duration::from_micros((self.draw() * spread.as_micros() as f64) as u64);
+                let after =
+                    least + Duration::from_micros((self.draw() * spread.as_micros() as f64) as u64);
                 self.count += 1;
-                self.way.insert((self.now + after, self.count), (from, to, message.clone()));
+                self.way
+                    .insert((self.now + after, self.count), (from, to, message.clone()));
             }
         }
     }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -16,7 +16,13 @@
     /// Does what is due.
     fn wake(&mut self, now: Duration, out: &mut Sent<Self::Message>);
     /// Takes a message.
-    fn take(&mut self, now: Duration, from: usize, message: Self::Message, out: &mut Sent<Self::Message>);
+    fn take(
+        &mut self,
+        now: Duration,
+        from: usize,
+        message: Self::Message,
+        out: &mut Sent<Self::Message>,
+    );
 }
 
 /// One place: the process there, if there is one, and its clock.
@@ -37,8 +43,16 @@
 impl<N: Node> World<N> {
     /// So many empty places.
     pub fn new(of: usize, seed: u64) -> World<N> {
-        let place = || Place { node: None, paused: false, ahead: Duration::ZERO, inbox: vec![] };
-        World { net: Network::new(seed), places: (0..of).map(|_| place()).collect() }
+        let place = || Place {
+            node: None,
+            paused: false,
+            ahead: Duration::ZERO,
+            inbox: vec![],
+        };
+        World {
+            net: Network::new(seed),
+            places: (0..of).map(|_| place()).collect(),
+        }
     }
 
     pub fn now(&self) -> Duration {
@@ -53,7 +67,12 @@
     /// Starts a process at a place, with nothing of the last one.
     pub fn start(&mut self, i: usize, node: N) {
         let ahead = self.places[i].ahead;
-        self.places[i] = Place { node: Some(node), paused: false, ahead, inbox: vec![] };
+        self.places[i] = Place {
+            node: Some(node),
+            paused: false,
+            ahead,
+            inbox: vec![],
+        };
     }
 
     /// Ends a process between two instructions; gives what is left of it, as a disk would.
@@ -85,7 +104,8 @@
         let node = place.node.as_mut().filter(|_| !place.paused)?;
         let mut out = Vec::new();
         let done = act(node, now, &mut out);
-        out.into_iter().for_each(|(to, message)| self.net.send(i, to, message));
+        out.into_iter()
+            .for_each(|(to, message)| self.net.send(i, to, message));
         Some(done)
     }
 
@@ -101,7 +121,14 @@
     fn next_timer(&self) -> Option<(Duration, usize)> {
         let awake = self.places.iter().enumerate().filter(|(_, p)| !p.paused);
         let timers = awake.filter_map(|(i, p)| {
-            Some((p.node.as_ref()?.wake_at()?.saturating_sub(p.ahead).max(self.net.now), i))
+            Some((
+                p.node
+                    .as_ref()?
+                    .wake_at()?
+                    .saturating_sub(p.ahead)
+                    .max(self.net.now),
+                i,
+            ))
         });
         timers.min()
     }
@@ -111,7 +138,9 @@
         loop {
             let (message, timer) = (self.net.next_at(), self.next_timer());
             let next = [message, timer.map(|t| t.0)].into_iter().flatten().min();
-            let Some(next) = next.filter(|at| *at <= until) else { break };
+            let Some(next) = next.filter(|at| *at <= until) else {
+                break;
+            };
             self.net.now = self.net.now.max(next);
             if message == Some(next) {
                 if let Some((from, to, message)) = self.net.arrive() {
--- a/crates/workflow/src/attempts.rs
+++ b/crates/workflow/src/attempts.rs
@@ -35,11 +35,21 @@
 
 impl Attempts {
     pub(crate) fn new(own: Process) -> Attempts {
-        Attempts { own, count: 0, known: BTreeMap::new() }
+        Attempts {
+            own,
+            count: 0,
+            known: BTreeMap::new(),
+        }
     }
 
     /// A new attempt, which nobody was told to send yet; none where too many are known.
-    pub(crate) fn open(&mut self, now: Duration, key: RegisterKey, step: u32, epoch: u64) -> Option<Attempt> {
+    pub(crate) fn open(
+        &mut self,
+        now: Duration,
+        key: RegisterKey,
+        step: u32,
+        epoch: u64,
+    ) -> Option<Attempt> {
         if self.known.len() >= ATTEMPTS_MOST {
             self.known.retain(|_, local| now < local.until);
         }
@@ -47,8 +57,20 @@
             return None;
         }
         self.count += 1;
-        self.known.insert((key, self.count), Local { step, epoch, sent: false, until: now + KNOWN_LASTS });
-        Some(Attempt { name: self.own.name.0, start: self.own.start, number: self.count })
+        self.known.insert(
+            (key, self.count),
+            Local {
+                step,
+                epoch,
+                sent: false,
+                until: now + KNOWN_LASTS,
+            },
+        );
+        Some(Attempt {
+            name: self.own.name.0,
+            start: self.own.start,
+            number: self.count,
+        })
     }
 
     pub(crate) fn sent(&mut self, now: Duration, key: RegisterKey, attempt: Attempt) {
@@ -67,25 +89,36 @@
     }
 
     fn of(&self, key: RegisterKey) -> impl DoubleEndedIterator<Item = (u64, &Local)> {
-        self.known.range((key, 0)..=(key, u64::MAX)).map(|((_, number), local)| (*number, local))
+        self.known
+            .range((key, 0)..=(key, u64::MAX))
+            .map(|((_, number), local)| (*number, local))
     }
 
     /// The attempt whose end is told: the last one that left for this step under this epoch.
     pub(crate) fn ending(&self, key: RegisterKey, step: u32, epoch: u64) -> Option<Attempt> {
         let is = |l: &Local| l.sent && l.step == step && l.epoch == epoch;
         let (number, _) = self.of(key).rev().find(|(_, l)| is(l))?;
-        Some(Attempt { name: self.own.name.0, start: self.own.start, number })
+        Some(Attempt {
+            name: self.own.name.0,
+            start: self.own.start,
+            number,
+        })
     }
 
     /// The epoch under which the workflow is to be carried for an attempt that is under way.
     pub(crate) fn carrying(&self, now: Duration, key: RegisterKey) -> Option<u64> {
-        self.of(key).filter(|(_, l)| l.sent && now < l.until).map(|(_, l)| l.epoch).max()
+        self.of(key)
+            .filter(|(_, l)| l.sent && now < l.until)
+            .map(|(_, l)| l.epoch)
+            .max()
     }
 
     /// The workflow is not this one's to carry any more; the attempt's end is still of use.
     pub(crate) fn fenced(&mut self, key: RegisterKey, epoch: u64) {
         let known = self.known.range_mut((key, 0)..=(key, u64::MAX));
-        known.filter(|(_, l)| l.epoch == epoch).for_each(|(_, l)| l.until = Duration::ZERO);
+        known
+            .filter(|(_, l)| l.epoch == epoch)
+            .for_each(|(_, l)| l.until = Duration::ZERO);
     }
 
     /// It has ended, and the register says so, or nobody will ask any more.
--- a/crates/workflow/src/cache.rs
+++ b/crates/workflow/src/cache.rs
@@ -31,7 +31,9 @@
     }
 
     pub(crate) fn get(&self, key: RegisterKey) -> Option<(Version, Record)> {
-        self.records.get(&key).map(|(_, version, record)| (*version, record.clone()))
+        self.records
+            .get(&key)
+            .map(|(_, version, record)| (*version, record.clone()))
     }
 
     pub(crate) fn drop(&mut self, key: RegisterKey) {
--- a/crates/workflow/src/context.rs
+++ b/crates/workflow/src/context.rs
@@ -46,8 +46,10 @@
     fn line(&mut self, whole: &str) {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.digest).update(whole.as_bytes());
-        self.digest.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
-        self.lines.push_str(&cut(&whole.replace('\n', " "), LINE_MOST));
+        self.digest
+            .copy_from_slice(&hasher.finalize().as_bytes()[..16]);
+        self.lines
+            .push_str(&cut(&whole.replace('\n', " "), LINE_MOST));
         self.lines.push('\n');
         while self.lines.len() > CONTEXT_MOST {
             let end = self.lines.find('\n').map_or(self.lines.len(), |at| at + 1);
@@ -61,15 +63,23 @@
         if self.steps == 0 {
             return String::new();
         }
-        let digest = self.digest.iter().map(|b| format!("{b:02x}")).collect::<String>();
-        let head =
-            format!("{} steps done earlier, {} lines not shown, digest {digest}", self.steps, self.gone);
+        let digest = self
+            .digest
+            .iter()
+            .map(|b| format!("{b:02x}"))
+            .collect::<String>();
+        let head = format!(
+            "{} steps done earlier, {} lines not shown, digest {digest}",
+            self.steps, self.gone
+        );
         format!("{head}\n{}", self.lines)
     }
 
     /// The line of a step that is in it, if it is still there.
     pub(crate) fn find(&self, number: u32) -> Option<&str> {
         let head = format!("{number}: ");
-        self.lines.lines().find_map(|line| line.strip_prefix(head.as_str()))
+        self.lines
+            .lines()
+            .find_map(|line| line.strip_prefix(head.as_str()))
     }
 }
--- a/crates/workflow/src/desk.rs
+++ b/crates/workflow/src/desk.rs
@@ -108,7 +108,11 @@
         let (call, name, mut act, until_us) = Act::of(ask);
         let until = Duration::from_micros(until_us);
         let refuse = |why| Out::Tell(Told::Refused { call, why });
-        let worker = if let Act::Claim { worker } = &act { worker.as_str() } else { "-" };
+        let worker = if let Act::Claim { worker } = &act {
+            worker.as_str()
+        } else {
+            "-"
+        };
         if name.len() > NAME_MOST || worker.is_empty() || worker.len() > NAME_MOST {
             return out.push(refuse(Refusal::Limit));
         }
@@ -117,13 +121,23 @@
         }
         let key = key_of(&name);
         match &mut act {
-            Act::Intend { epoch, step, attempt, .. } => {
+            Act::Intend {
+                epoch,
+                step,
+                attempt,
+                ..
+            } => {
                 *attempt = self.attempts.open(now, key, *step, *epoch);
                 if attempt.is_none() {
                     return out.push(refuse(Refusal::Busy));
                 }
             }
-            Act::Ended { epoch, step, attempt, .. } => *attempt = self.attempts.ending(key, *step, *epoch),
+            Act::Ended {
+                epoch,
+                step,
+                attempt,
+                ..
+            } => *attempt = self.attempts.ending(key, *step, *epoch),
             _ => {}
         }
         // A twentieth of its time is left for the way back.
@@ -132,9 +146,26 @@
     }
 
     /// The holder of a copy saw that a record has not been written for long.
-    pub(crate) fn sweep(&mut self, now: Duration, key: RegisterKey, record: &Record, out: &mut Vec<Out>) {
+    pub(crate) fn sweep(
+        &mut self,
+        now: Duration,
+        key: RegisterKey,
+        record: &Record,
+        out: &mut Vec<Out>,
+    ) {
         if !self.queue.busy(key) {
-            self.take(now, new_job(now, key, record.name.clone(), None, Act::Sweep, now + OP_MOST), out);
+            self.take(
+                now,
+                new_job(
+                    now,
+                    key,
+                    record.name.clone(),
+                    None,
+                    Act::Sweep,
+                    now + OP_MOST,
+                ),
+                out,
+            );
         }
     }
 
@@ -165,16 +196,30 @@
 
     /// A question that is not taken, or no longer, as too many are in hand.
     fn full(&mut self, now: Duration, job: Job, out: &mut Vec<Out>) {
-        if let Act::Intend { attempt: Some(attempt), .. } = job.act {
+        if let Act::Intend {
+            attempt: Some(attempt),
+            ..
+        } = job.act
+        {
             self.attempts.close(job.key, attempt);
         }
-        if self.said_full.is_none_or(|at| now.saturating_sub(at) >= Duration::from_secs(10)) {
+        if self
+            .said_full
+            .is_none_or(|at| now.saturating_sub(at) >= Duration::from_secs(10))
+        {
             self.said_full = Some(now);
-            let text = "too many questions about workflows in hand: the later ones are refused as busy";
-            out.push(Out::Log { warn: true, text: text.to_string() });
+            let text =
+                "too many questions about workflows in hand: the later ones are refused as busy";
+            out.push(Out::Log {
+                warn: true,
+                text: text.to_string(),
+            });
         }
         if let Some(call) = job.call {
-            out.push(Out::Tell(Told::Refused { call, why: Refusal::Busy }));
+            out.push(Out::Tell(Told::Refused {
+                call,
+                why: Refusal::Busy,
+            }));
         }
     }
 
@@ -183,7 +228,9 @@
         if !self.queue.may_start(id) {
             return;
         }
-        let Some(job) = self.queue.jobs.get_mut(&id).filter(|job| job.op.is_none()) else { return };
+        let Some(job) = self.queue.jobs.get_mut(&id).filter(|job| job.op.is_none()) else {
+            return;
+        };
         job.fresh = false;
         match self.cache.get(job.key).filter(|_| !job.act.reads()) {
             Some(found) => self.decide(now, id, Some(found), out),
@@ -193,9 +240,15 @@
 
     fn read(&mut self, now: Duration, id: u64, out: &mut Vec<Out>) {
         let op = self.op(id);
-        let Some(job) = self.queue.jobs.get_mut(&id) else { return };
+        let Some(job) = self.queue.jobs.get_mut(&id) else {
+            return;
+        };
         (job.phase, job.op, job.fresh) = (Phase::Reads, Some(op.0), true);
-        out.push(Out::Register(Input::Read { call: op, key: job.key, until: job.until.min(now + OP_MOST) }));
+        out.push(Out::Register(Input::Read {
+            call: op,
+            key: job.key,
+            until: job.until.min(now + OP_MOST),
+        }));
     }
 
     fn op(&mut self, id: u64) -> Op {
@@ -207,7 +260,11 @@
     /// The question of the register that is answered, with its job, if anybody waits for it still.
     fn answered(&mut self, op: Op) -> Option<(u64, &mut Job)> {
         let id = self.ops.remove(&op.0)?;
-        let job = self.queue.jobs.get_mut(&id).filter(|job| job.op == Some(op.0))?;
+        let job = self
+            .queue
+            .jobs
+            .get_mut(&id)
+            .filter(|job| job.op == Some(op.0))?;
         job.op = None;
         Some((id, job))
     }
@@ -220,7 +277,9 @@
         found: Result<Option<(Version, Vec<u8>)>, ReplicaError>,
         out: &mut Vec<Out>,
     ) {
-        let Some((id, job)) = self.answered(op) else { return };
+        let Some((id, job)) = self.answered(op) else {
+            return;
+        };
         job.phase = Phase::Waits;
         let key = job.key;
         match found {
@@ -243,7 +302,9 @@
 
     /// By what is known of the record.
     fn decide(&mut self, now: Duration, id: u64, found: Found, out: &mut Vec<Out>) {
-        let Some(job) = self.queue.jobs.get(&id) else { return };
+        let Some(job) = self.queue.jobs.get(&id) else {
+            return;
+        };
         let (version, record, turn) = match found {
             None => {
                 let Act::Claim { worker } = &job.act else {
@@ -273,7 +334,13 @@
     }
 
     fn claimant<'a>(&self, worker: &'a str, dead: bool, mine: Mine) -> Claimant<'a> {
-        Claimant { worker, holder: self.own.name, lease_us: us(self.lease), dead, mine }
+        Claimant {
+            worker,
+            holder: self.own.name,
+            lease_us: us(self.lease),
+            dead,
+            mine,
+        }
     }
 
     /// The transition that a question asks for.
@@ -291,15 +358,33 @@
                 let mine = record.open_attempt().map_or(Mine::Unknown, mine);
                 record.claim(&self.claimant(worker, dead, mine))
             }
-            Act::Intend { epoch, step, effect, key, asks, attempt } => {
-                let Some(attempt) = *attempt else { return Turn::refused(Refusal::Busy) };
-                let intent =
-                    Intent { epoch: *epoch, step: *step, effect: *effect, key, asks: *asks, attempt };
+            Act::Intend {
+                epoch,
+                step,
+                effect,
+                key,
+                asks,
+                attempt,
+            } => {
+                let Some(attempt) = *attempt else {
+                    return Turn::refused(Refusal::Busy);
+                };
+                let intent = Intent {
+                    epoch: *epoch,
+                    step: *step,
+                    effect: *effect,
+                    key,
+                    asks: *asks,
+                    attempt,
+                };
                 record.intend(&intent, mine, &self.limits, self.guards)
             }
-            Act::Ended { epoch, step, fate, attempt } => {
-                record.ended(*epoch, *step, fate, *attempt, self.guards)
-            }
+            Act::Ended {
+                epoch,
+                step,
+                fate,
+                attempt,
+            } => record.ended(*epoch, *step, fate, *attempt, self.guards),
             Act::Carry { epoch } => record.carry(*epoch, self.guards),
             Act::Finish { epoch, cancelled } => record.finish(*epoch, *cancelled, self.guards),
             Act::Settle { step, fate } => record.settle(*step, fate, dead),
@@ -321,13 +406,30 @@
         };
         let op = self.op(id);
         let (epoch, lease) = (record.epoch(), self.lease_of(&record));
-        let Some(job) = self.queue.jobs.get_mut(&id) else { return };
+        let Some(job) = self.queue.jobs.get_mut(&id) else {
+            return;
+        };
         let early = turn.answer == Answer::Go && !self.guards.majority_first;
-        let longest = if turn.answer == Answer::Go { leaves(lease).min(OP_MOST) } else { OP_MOST };
+        let longest = if turn.answer == Answer::Go {
+            leaves(lease).min(OP_MOST)
+        } else {
+            OP_MOST
+        };
         job.op = Some(op.0);
-        job.phase = Phase::Writes { record: Box::new(record), turn, asked: now };
+        job.phase = Phase::Writes {
+            record: Box::new(record),
+            turn,
+            asked: now,
+        };
         let (key, until) = (job.key, job.until.min(now + longest));
-        out.push(Out::Register(Input::Write { call: op, key, on, epoch, value, until }));
+        out.push(Out::Register(Input::Write {
+            call: op,
+            key,
+            on,
+            epoch,
+            value,
+            until,
+        }));
         if early {
             self.go(now, (now, lease), id, out);
         }
@@ -340,9 +442,16 @@
 
     fn forget(&mut self, now: Duration, id: u64, on: Version, out: &mut Vec<Out>) {
         let op = self.op(id);
-        let Some(job) = self.queue.jobs.get_mut(&id) else { return };
+        let Some(job) = self.queue.jobs.get_mut(&id) else {
+            return;
+        };
         (job.op, job.phase) = (Some(op.0), Phase::Drops);
-        out.push(Out::Register(Input::Drop { call: op, key: job.key, on, until: now + OP_MOST }));
+        out.push(Out::Register(Input::Drop {
+            call: op,
+            key: job.key,
+            on,
+            until: now + OP_MOST,
+        }));
     }
 
     /// A write is held by a majority, or is not, or nobody knows.
@@ -353,7 +462,9 @@
         done: Result<Version, ReplicaError>,
         out: &mut Vec<Out>,
     ) {
-        let Some((id, job)) = self.answered(op) else { return };
+        let Some((id, job)) = self.answered(op) else {
+            return;
+        };
         let key = job.key;
         let phase = std::mem::replace(&mut job.phase, Phase::Waits);
         let version = match done {
@@ -364,7 +475,12 @@
                 return self.failed(now, id, failure, out);
             }
         };
-        let Phase::Writes { record, turn, asked } = phase else {
+        let Phase::Writes {
+            record,
+            turn,
+            asked,
+        } = phase
+        else {
             self.cache.drop(key);
             self.watches.forget(key);
             return self.end(now, id, Answer::Held, None, out);
@@ -384,7 +500,9 @@
 
     /// A try has failed.
     fn failed(&mut self, now: Duration, id: u64, failure: Failure, out: &mut Vec<Out>) {
-        let Some(job) = self.queue.jobs.get_mut(&id) else { return };
+        let Some(job) = self.queue.jobs.get_mut(&id) else {
+            return;
+        };
         self.cache.drop(job.key);
         job.tries += 1;
         match failure {
@@ -408,19 +526,24 @@
         let wait = step.min(AGAIN.1);
         // Spread by name and number, so that two that met do not meet again.
         let spread = (u64::from(self.own.name.0) ^ id.wrapping_mul(0x9E37_79B9)) % 64;
-        self.timers.set(Due::Again(id), now + wait + wait * spread as u32 / 64);
+        self.timers
+            .set(Due::Again(id), now + wait + wait * spread as u32 / 64);
     }
 
     /// A question's time is over.
     fn late(&mut self, now: Duration, id: u64, out: &mut Vec<Out>) {
-        let Some(job) = self.queue.jobs.get_mut(&id) else { return };
+        let Some(job) = self.queue.jobs.get_mut(&id) else {
+            return;
+        };
         // One that never came to its turn waited for others.
         let turned = job.tries > 0 || !matches!(job.phase, Phase::Waits);
         let why = if turned { job.why } else { Refusal::Busy };
         match job.act {
             Act::Intend { .. } => self.undo(now, id, why, out),
             Act::Ended { .. } if job.call.is_some() => {
-                let Some(job) = self.leave(now, id, out) else { return };
+                let Some(job) = self.leave(now, id, out) else {
+                    return;
+                };
                 let silent = new_job(now, job.key, job.name, None, job.act, now + SILENTLY);
                 self.refuse(job.call, why, out);
                 self.take(now, silent, out)
@@ -449,26 +572,45 @@
     }
 
     /// Answers a question.
-    fn end(&mut self, now: Duration, id: u64, answer: Answer, record: Option<Record>, out: &mut Vec<Out>) {
+    fn end(
+        &mut self,
+        now: Duration,
+        id: u64,
+        answer: Answer,
+        record: Option<Record>,
+        out: &mut Vec<Out>,
+    ) {
         if let (Answer::Refused(why), Some(job)) = (&answer, self.queue.jobs.get(&id)) {
             if job.doubt && matches!(job.act, Act::Intend { .. }) {
                 return self.undo(now, id, *why, out);
             }
         }
-        let Some(job) = self.leave(now, id, out) else { return };
+        let Some(job) = self.leave(now, id, out) else {
+            return;
+        };
         self.settle_attempts(now, &job, &answer, record.as_ref());
         let Some(call) = job.call else { return };
         let told = match answer {
             Answer::Claimed => {
-                let (epoch, lease_us) = record.as_ref().map_or((0, 0), |r| (r.epoch(), r.lease().1));
+                let (epoch, lease_us) =
+                    record.as_ref().map_or((0, 0), |r| (r.epoch(), r.lease().1));
                 let (context, steps) = record.as_ref().map(Record::shown).unwrap_or_default();
-                Told::Claimed { call, epoch, context, steps, lease_us }
+                Told::Claimed {
+                    call,
+                    epoch,
+                    context,
+                    steps,
+                    lease_us,
+                }
             }
             Answer::Known(result) => Told::Known { call, result },
             Answer::Held => Told::Held { call },
             Answer::Refused(why) => Told::Refused { call, why },
             // Told by `go` alone.
-            Answer::Go => Told::Refused { call, why: Refusal::Busy },
+            Answer::Go => Told::Refused {
+                call,
+                why: Refusal::Busy,
+            },
         };
         out.push(Out::Tell(told));
     }
@@ -483,25 +625,51 @@
     until: Duration,
 ) -> Job {
     let (phase, why) = (Phase::Waits, Refusal::NoMajority);
-    Job { key, name, call, act, began, until, phase, op: None, tries: 0, fresh: false, doubt: false, why }
+    Job {
+        key,
+        name,
+        call,
+        act,
+        began,
+        until,
+        phase,
+        op: None,
+        tries: 0,
+        fresh: false,
+        doubt: false,
+        why,
+    }
 }
 
 fn notice_text(name: &str, notice: &Notice) -> Out {
     let (warn, text) = match notice {
         Notice::Unsettled { step, key } => {
             let what = "may have run and nobody knows: decide whether it ran";
-            (true, format!("workflow {name} is unsettled: its unsafe step {step} (key '{key}') {what}"))
-        }
-        Notice::Parked { step } => {
-            (true, format!("workflow {name} is parked: three workers died over its step {step}"))
-        }
-        Notice::Known { step } => {
-            (false, format!("workflow {name}: what became of step {step} is known now"))
-        }
-        Notice::TwoResults { step } => {
-            (true, format!("workflow {name}: step {step} has two results; the first stands, both are kept"))
+            (
+                true,
+                format!(
+                    "workflow {name} is unsettled: its unsafe step {step} (key '{key}') {what}"
+                ),
+            )
         }
-        Notice::Expired => (true, format!("workflow {name} has ended unfinished: its time is over")),
+        Notice::Parked { step } => (
+            true,
+            format!("workflow {name} is parked: three workers died over its step {step}"),
+        ),
+        Notice::Known { step } => (
+            false,
+            format!("workflow {name}: what became of step {step} is known now"),
+        ),
+        Notice::TwoResults { step } => (
+            true,
+            format!(
+                "workflow {name}: step {step} has two results; the first stands, both are kept"
+            ),
+        ),
+        Notice::Expired => (
+            true,
+            format!("workflow {name} has ended unfinished: its time is over"),
+        ),
     };
     Out::Log { warn, text }
 }
--- a/crates/workflow/src/error.rs
+++ b/crates/workflow/src/error.rs
@@ -13,8 +13,11 @@
 
 impl WorkflowError {
     /// All of them.
-    pub const ALL: [WorkflowError; 3] =
-        [WorkflowError::Unreadable, WorkflowError::OtherVersion, WorkflowError::TooLong];
+    pub const ALL: [WorkflowError; 3] = [
+        WorkflowError::Unreadable,
+        WorkflowError::OtherVersion,
+        WorkflowError::TooLong,
+    ];
 
     /// What an operator can do.
     pub fn advice(&self) -> &'static str {
--- a/crates/workflow/src/io.rs
+++ b/crates/workflow/src/io.rs
@@ -72,7 +72,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Ask {
     /// A worker begins a workflow, or takes over one whose worker is silent, or comes back to its own.
-    Claim { call: Call, workflow: String, worker: String, until_us: u64 },
+    Claim {
+        call: Call,
+        workflow: String,
+        worker: String,
+        until_us: u64,
+    },
     /// Before a step's effect leaves. `asks` is a digest of the request: another request under the number of a step that is known
     /// is refused.
     Intend {
@@ -86,14 +91,38 @@
         until_us: u64,
     },
     /// How the attempt ended. The answer is held back until [`Told::Held`].
-    Ended { call: Call, workflow: String, epoch: u64, step: u32, fate: Fate, until_us: u64 },
+    Ended {
+        call: Call,
+        workflow: String,
+        epoch: u64,
+        step: u32,
+        fate: Fate,
+        until_us: u64,
+    },
     /// The worker is alive and goes on.
-    Carry { call: Call, workflow: String, epoch: u64, until_us: u64 },
+    Carry {
+        call: Call,
+        workflow: String,
+        epoch: u64,
+        until_us: u64,
+    },
     /// The workflow is finished, or cancelled: all is let go of but its result.
-    Finish { call: Call, workflow: String, epoch: u64, cancelled: bool, until_us: u64 },
+    Finish {
+        call: Call,
+        workflow: String,
+        epoch: u64,
+        cancelled: bool,
+        until_us: u64,
+    },
     /// A person has decided about an unsettled step: it ran with this result, it never ran, or ([`Fate::MayHaveRun`]) it is left
     /// out. Also lets a parked workflow go on, whatever step is named. Refused as carried until its last lease is over.
-    Settle { call: Call, workflow: String, step: u32, fate: Fate, until_us: u64 },
+    Settle {
+        call: Call,
+        workflow: String,
+        step: u32,
+        fate: Fate,
+        until_us: u64,
+    },
 }
 
 impl Ask {
@@ -114,7 +143,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Told {
     /// The worker holds it under this epoch; steps so far, the compacted ones as one context text.
-    Claimed { call: Call, epoch: u64, context: String, steps: Vec<Step>, lease_us: u64 },
+    Claimed {
+        call: Call,
+        epoch: u64,
+        context: String,
+        steps: Vec<Step>,
+        lease_us: u64,
+    },
     /// The intent is held by a majority: the effect may leave until then, checked at the act.
     Go { call: Call, until_us: u64 },
     /// The step is done already; this is its result, and nothing may be sent. In answer to [`Ask::Ended`]: another attempt's
--- a/crates/workflow/src/job.rs
+++ b/crates/workflow/src/job.rs
@@ -52,24 +52,72 @@
     /// Its call, workflow, what is to be done, and the end of its caller's patience.
     pub(crate) fn of(ask: Ask) -> (Call, String, Act, u64) {
         match ask {
-            Ask::Claim { call, workflow, worker, until_us } => {
-                (call, workflow, Act::Claim { worker }, until_us)
-            }
-            Ask::Intend { call, workflow, epoch, step, effect, key, asks, until_us } => {
-                (call, workflow, Act::Intend { epoch, step, effect, key, asks, attempt: None }, until_us)
-            }
-            Ask::Ended { call, workflow, epoch, step, fate, until_us } => {
-                (call, workflow, Act::Ended { epoch, step, fate, attempt: None }, until_us)
-            }
-            Ask::Carry { call, workflow, epoch, until_us } => {
-                (call, workflow, Act::Carry { epoch }, until_us)
-            }
-            Ask::Finish { call, workflow, epoch, cancelled, until_us } => {
-                (call, workflow, Act::Finish { epoch, cancelled }, until_us)
-            }
-            Ask::Settle { call, workflow, step, fate, until_us } => {
-                (call, workflow, Act::Settle { step, fate }, until_us)
-            }
+            Ask::Claim {
+                call,
+                workflow,
+                worker,
+                until_us,
+            } => (call, workflow, Act::Claim { worker }, until_us),
+            Ask::Intend {
+                call,
+                workflow,
+                epoch,
+                step,
+                effect,
+                key,
+                asks,
+                until_us,
+            } => (
+                call,
+                workflow,
+                Act::Intend {
+                    epoch,
+                    step,
+                    effect,
+                    key,
+                    asks,
+                    attempt: None,
+                },
+                until_us,
+            ),
+            Ask::Ended {
+                call,
+                workflow,
+                epoch,
+                step,
+                fate,
+                until_us,
+            } => (
+                call,
+                workflow,
+                Act::Ended {
+                    epoch,
+                    step,
+                    fate,
+                    attempt: None,
+                },
+                until_us,
+            ),
+            Ask::Carry {
+                call,
+                workflow,
+                epoch,
+                until_us,
+            } => (call, workflow, Act::Carry { epoch }, until_us),
+            Ask::Finish {
+                call,
+                workflow,
+                epoch,
+                cancelled,
+                until_us,
+            } => (call, workflow, Act::Finish { epoch, cancelled }, until_us),
+            Ask::Settle {
+                call,
+                workflow,
+                step,
+                fate,
+                until_us,
+            } => (call, workflow, Act::Settle { step, fate }, until_us),
         }
     }
 }
@@ -133,10 +181,14 @@
             ReplicaError::NotKept(_) => Failure::Doubt(Refusal::NotKept),
             ReplicaError::Full => Failure::Doubt(Refusal::Busy),
             ReplicaError::Busy => Failure::Later(Refusal::Busy),
-            ReplicaError::NoMajority | ReplicaError::CatchingUp => Failure::Later(Refusal::NoMajority),
+            ReplicaError::NoMajority | ReplicaError::CatchingUp => {
+                Failure::Later(Refusal::NoMajority)
+            }
             ReplicaError::Lost => Failure::Final(Refusal::Lost),
             ReplicaError::TooLong { .. } => Failure::Final(Refusal::Limit),
-            ReplicaError::Unreadable | ReplicaError::OtherVersion(_) => Failure::Later(Refusal::NoMajority),
+            ReplicaError::Unreadable | ReplicaError::OtherVersion(_) => {
+                Failure::Later(Refusal::NoMajority)
+            }
         }
     }
 }
--- a/crates/workflow/src/machine.rs
+++ b/crates/workflow/src/machine.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{Beside, Given, Process, Wanted};
 use bitternlatch_membership::{NameKey, Topic};
+use bitternlatch_quota_lease::{Beside, Given, Process, Wanted};
 use bitternlatch_replicated_register::{Input, Output, RegisterKey, Replica, Version};
 
 use crate::desk::{Desk, Out};
@@ -52,7 +52,10 @@
         now: Duration,
         guards: Guards,
     ) -> Workflows {
-        let below = bitternlatch_replicated_register::Settings { copies: COPIES, durable };
+        let below = bitternlatch_replicated_register::Settings {
+            copies: COPIES,
+            durable,
+        };
         Workflows {
             desk: Desk::new(own, settings, guards),
             replica: Replica::new(own, roster, below, seed, now),
@@ -71,15 +74,22 @@
         }
         self.sweep_at = now + SWEEP_EVERY;
         let after = self.swept.take();
-        let held = self.replica.held().filter(|(key, ..)| after.is_none_or(|last| **key > last));
-        let some: Vec<(RegisterKey, Version, Vec<u8>)> =
-            held.take(SWEEP_MOST).map(|(key, version, value)| (*key, version, value.to_vec())).collect();
+        let held = self
+            .replica
+            .held()
+            .filter(|(key, ..)| after.is_none_or(|last| **key > last));
+        let some: Vec<(RegisterKey, Version, Vec<u8>)> = held
+            .take(SWEEP_MOST)
+            .map(|(key, version, value)| (*key, version, value.to_vec()))
+            .collect();
         if some.len() == SWEEP_MOST {
             self.swept = some.last().map(|(key, ..)| *key);
         }
         for (key, version, value) in some {
             // One that cannot be read is named when somebody asks for it.
-            let Ok(record) = Record::decode(&value) else { continue };
+            let Ok(record) = Record::decode(&value) else {
+                continue;
+            };
             self.desk.watches.see(now, key, version, &record);
             let unchanged = self.desk.watches.unchanged(now, key, version);
             if self.desk.stale(&record, unchanged) {
@@ -99,17 +109,34 @@
                     Out::Log { warn, text } => out.push(Wanted::Log { warn, text }),
                 }
             }
-            let Some(input) = inputs.pop_front() else { return };
+            let Some(input) = inputs.pop_front() else {
+                return;
+            };
             self.replica.step(now, input, &mut self.done);
             for done in self.done.drain(..) {
                 match done {
                     Output::Send(to, said) => out.push(Wanted::Send(to, said)),
-                    Output::Keep { ticket, name, bytes } => out.push(Wanted::Keep { ticket, name, bytes }),
-                    Output::Read { call, found } => self.desk.found(now, call, found, &mut self.out),
-                    Output::Written { call, done } => self.desk.written(now, call, done, &mut self.out),
+                    Output::Keep {
+                        ticket,
+                        name,
+                        bytes,
+                    } => out.push(Wanted::Keep {
+                        ticket,
+                        name,
+                        bytes,
+                    }),
+                    Output::Read { call, found } => {
+                        self.desk.found(now, call, found, &mut self.out)
+                    }
+                    Output::Written { call, done } => {
+                        self.desk.written(now, call, done, &mut self.out)
+                    }
                     Output::Event(event) => {
                         let text = format!("workflows' copies: {event}; {}", event.advice());
-                        out.push(Wanted::Log { warn: event.warn(), text });
+                        out.push(Wanted::Log {
+                            warn: event.warn(),
+                            text,
+                        });
                     }
                 }
             }
@@ -123,7 +150,11 @@
     type Told = Told;
 
     fn wake_at(&self) -> Option<Duration> {
-        let due = [self.desk.wake_at(), self.replica.wake_at(), Some(self.sweep_at)];
+        let due = [
+            self.desk.wake_at(),
+            self.replica.wake_at(),
+            Some(self.sweep_at),
+        ];
         due.into_iter().flatten().min()
     }
 
--- a/crates/workflow/src/queue.rs
+++ b/crates/workflow/src/queue.rs
@@ -43,7 +43,11 @@
     pub(crate) fn take(&mut self, job: Job) -> Taken {
         let silent = job.call.is_none();
         let line = self.lines.get(&job.key).map_or(0, VecDeque::len);
-        let full = if silent { self.silent >= SILENT_MOST } else { line >= ONE_MOST };
+        let full = if silent {
+            self.silent >= SILENT_MOST
+        } else {
+            line >= ONE_MOST
+        };
         if full || self.jobs.len() >= JOBS_MOST {
             return Taken::No(Box::new(job));
         }
@@ -53,7 +57,9 @@
         if matches!(job.act, Act::Claim { .. }) {
             if self.waiting.len() >= CLAIMS_WAITING {
                 match self.waiting.last().copied() {
-                    Some((until, last)) if until > job.until => instead = self.end(last).map(Box::new),
+                    Some((until, last)) if until > job.until => {
+                        instead = self.end(last).map(Box::new)
+                    }
                     _ => return Taken::No(Box::new(job)),
                 }
             }
@@ -70,7 +76,9 @@
 
     /// Whether it is this one's turn: the first of its line, and, of claims, one of those that may ask at a time.
     pub(crate) fn may_start(&mut self, id: u64) -> bool {
-        let Some(job) = self.jobs.get(&id) else { return false };
+        let Some(job) = self.jobs.get(&id) else {
+            return false;
+        };
         if self.lines.get(&job.key).and_then(VecDeque::front) != Some(&id) {
             return false;
         }
@@ -105,7 +113,12 @@
         let free = CLAIMS_AT_ONCE.saturating_sub(self.claiming.len());
         let line = |id: &u64| self.jobs.get(id).and_then(|job| self.lines.get(&job.key));
         let front = |id: &u64| line(id).and_then(VecDeque::front) == Some(id);
-        let claims = self.waiting.iter().map(|(_, id)| *id).filter(front).take(free.min(1));
+        let claims = self
+            .waiting
+            .iter()
+            .map(|(_, id)| *id)
+            .filter(front)
+            .take(free.min(1));
         first.into_iter().chain(claims).collect()
     }
 
--- a/crates/workflow/src/record.rs
+++ b/crates/workflow/src/record.rs
@@ -124,11 +124,19 @@
 
 impl Turn {
     pub(crate) fn write(answer: Answer) -> Turn {
-        Turn { write: true, answer, notice: None }
+        Turn {
+            write: true,
+            answer,
+            notice: None,
+        }
     }
 
     pub(crate) fn as_it_is(answer: Answer) -> Turn {
-        Turn { write: false, answer, notice: None }
+        Turn {
+            write: false,
+            answer,
+            notice: None,
+        }
     }
 
     pub(crate) fn refused(why: Refusal) -> Turn {
@@ -136,7 +144,10 @@
     }
 
     pub(crate) fn noting(self, notice: Notice) -> Turn {
-        Turn { notice: Some(notice), ..self }
+        Turn {
+            notice: Some(notice),
+            ..self
+        }
     }
 }
 
@@ -217,7 +228,10 @@
 
     /// For who claims it: the compacted steps as one text, the others one by one.
     pub fn shown(&self) -> (String, Vec<Step>) {
-        (self.context.text(), self.steps.iter().map(Entry::shown).collect())
+        (
+            self.context.text(),
+            self.steps.iter().map(Entry::shown).collect(),
+        )
     }
 
     /// Adds what its writer saw go by since the word before. Gives whether its time is over.
@@ -293,10 +307,15 @@
     /// Stops where the open step is unsafe and may have run.
     pub(crate) fn unsettle(&mut self) -> Option<Notice> {
         let open = self.open_step()?;
-        if open.effect != crate::io::Effect::Unsafe || !matches!(open.stage, Stage::MayHaveRun { .. }) {
+        if open.effect != crate::io::Effect::Unsafe
+            || !matches!(open.stage, Stage::MayHaveRun { .. })
+        {
             return None;
         }
-        let notice = Notice::Unsettled { step: open.number, key: open.key.clone() };
+        let notice = Notice::Unsettled {
+            step: open.number,
+            key: open.key.clone(),
+        };
         self.state = State::Unsettled;
         Some(notice)
     }
@@ -316,7 +335,12 @@
     /// Done, or cancelled. A finished one has no step open that may have changed the world; a cancelled one may.
     pub fn finish(&mut self, epoch: u64, cancelled: bool, guards: Guards) -> Turn {
         if let State::Over(outcome) = self.state {
-            let same = outcome == if cancelled { Outcome::Cancelled } else { Outcome::Finished };
+            let same = outcome
+                == if cancelled {
+                    Outcome::Cancelled
+                } else {
+                    Outcome::Finished
+                };
             return match same && epoch == self.epoch {
                 true => Turn::as_it_is(Answer::Held),
                 false => Turn::refused(Refusal::Ended),
@@ -329,12 +353,17 @@
             if let Some(why) = self.closed_to() {
                 return Turn::refused(why);
             }
-            let changes = |e: &&mut Entry| e.attempt().is_some() && e.effect != crate::io::Effect::Safe;
+            let changes =
+                |e: &&mut Entry| e.attempt().is_some() && e.effect != crate::io::Effect::Safe;
             if self.open_step().filter(changes).is_some() {
                 return Turn::refused(Refusal::Unknown);
             }
         }
-        self.end(if cancelled { Outcome::Cancelled } else { Outcome::Finished });
+        self.end(if cancelled {
+            Outcome::Cancelled
+        } else {
+            Outcome::Finished
+        });
         Turn::write(Answer::Held)
     }
 
@@ -380,7 +409,8 @@
     /// # Errors
     /// [`WorkflowError::TooLong`] past [`RECORD_MOST`]: not reached by any record that these transitions make.
     pub fn encode(&self) -> Result<Vec<u8>, WorkflowError> {
-        let bytes = postcard::to_extend(self, vec![VERSION]).map_err(|_| WorkflowError::Unreadable)?;
+        let bytes =
+            postcard::to_extend(self, vec![VERSION]).map_err(|_| WorkflowError::Unreadable)?;
         match bytes.len() <= RECORD_MOST {
             true => Ok(bytes),
             false => Err(WorkflowError::TooLong),
--- a/crates/workflow/src/sends.rs
+++ b/crates/workflow/src/sends.rs
@@ -12,10 +12,24 @@
 
 impl Desk {
     /// An intent is held: its effect may leave for less than half of the lease that was asked for with it.
-    pub(crate) fn go(&mut self, now: Duration, asked: (Duration, Duration), id: u64, out: &mut Vec<Out>) {
+    pub(crate) fn go(
+        &mut self,
+        now: Duration,
+        asked: (Duration, Duration),
+        id: u64,
+        out: &mut Vec<Out>,
+    ) {
         let (asked, lease) = asked;
-        let Some(job) = self.queue.jobs.get_mut(&id) else { return };
-        let Act::Intend { attempt: Some(attempt), .. } = job.act else { return };
+        let Some(job) = self.queue.jobs.get_mut(&id) else {
+            return;
+        };
+        let Act::Intend {
+            attempt: Some(attempt),
+            ..
+        } = job.act
+        else {
+            return;
+        };
         let until = match self.guards.fencing {
             true => asked + leaves(lease),
             false => Duration::from_micros(u64::MAX),
@@ -28,20 +42,42 @@
         self.attempts.sent(now, key, attempt);
         self.timers.set(Due::Carry(key), asked + lease / 3);
         if let Some(call) = self.leave(now, id, out).and_then(|job| job.call) {
-            out.push(Out::Tell(Told::Go { call, until_us: us(until) }));
+            out.push(Out::Tell(Told::Go {
+                call,
+                until_us: us(until),
+            }));
         }
     }
 
     /// An intent that nobody was told to send, though the register may hold it: it is told so, silently.
     pub(crate) fn undo(&mut self, now: Duration, id: u64, why: Refusal, out: &mut Vec<Out>) {
-        let Some(job) = self.leave(now, id, out) else { return };
+        let Some(job) = self.leave(now, id, out) else {
+            return;
+        };
         self.refuse(job.call, why, out);
-        let Act::Intend { attempt: Some(attempt), step, epoch, .. } = job.act else { return };
+        let Act::Intend {
+            attempt: Some(attempt),
+            step,
+            epoch,
+            ..
+        } = job.act
+        else {
+            return;
+        };
         if !job.doubt && !matches!(job.phase, Phase::Writes { .. }) {
             return self.attempts.close(job.key, attempt);
         }
-        let act = Act::Ended { epoch, step, fate: Fate::NeverRan, attempt: Some(attempt) };
-        self.take(now, new_job(now, job.key, job.name, None, act, now + SILENTLY), out)
+        let act = Act::Ended {
+            epoch,
+            step,
+            fate: Fate::NeverRan,
+            attempt: Some(attempt),
+        };
+        self.take(
+            now,
+            new_job(now, job.key, job.name, None, act, now + SILENTLY),
+            out,
+        )
     }
 
     /// What this process remembers of its attempts when a question is answered.
@@ -61,8 +97,14 @@
             Answer::Refused(Refusal::NoMajority | Refusal::NotKept | Refusal::Busy | Refusal::Lost)
         );
         match &job.act {
-            Act::Ended { attempt: Some(attempt), .. } if !unheard => self.attempts.close(job.key, *attempt),
-            Act::Intend { attempt: Some(attempt), .. } => self.attempts.close(job.key, *attempt),
+            Act::Ended {
+                attempt: Some(attempt),
+                ..
+            } if !unheard => self.attempts.close(job.key, *attempt),
+            Act::Intend {
+                attempt: Some(attempt),
+                ..
+            } => self.attempts.close(job.key, *attempt),
             Act::Carry { epoch } if !unheard && *answer != Answer::Held => {
                 self.attempts.fenced(job.key, *epoch);
             }
@@ -76,13 +118,19 @@
 
     /// While an attempt is under way here its workflow is carried, so that nobody adopts it in the middle of a long call.
     pub(crate) fn carry(&mut self, now: Duration, key: RegisterKey, out: &mut Vec<Out>) {
-        let Some(epoch) = self.attempts.carrying(now, key) else { return };
+        let Some(epoch) = self.attempts.carrying(now, key) else {
+            return;
+        };
         let record = self.cache.get(key).map(|(_, record)| record);
         let lease = record.as_ref().map_or(self.lease, |r| self.lease_of(r));
         self.timers.set(Due::Carry(key), now + lease / 3);
         if !self.queue.busy(key) {
             let name = record.map(|r| r.name).unwrap_or_default();
-            self.take(now, new_job(now, key, name, None, Act::Carry { epoch }, now + lease / 2), out);
+            self.take(
+                now,
+                new_job(now, key, name, None, Act::Carry { epoch }, now + lease / 2),
+                out,
+            );
         }
     }
 }
--- a/crates/workflow/src/step.rs
+++ b/crates/workflow/src/step.rs
@@ -84,11 +84,22 @@
         let fate = match &self.stage {
             Stage::Planned => Some(Fate::NeverRan),
             Stage::Intended { .. } => None,
-            Stage::Done { result, tokens } => Some(Fate::Done { result: result.clone(), tokens: *tokens }),
+            Stage::Done { result, tokens } => Some(Fate::Done {
+                result: result.clone(),
+                tokens: *tokens,
+            }),
             Stage::MayHaveRun { .. } => Some(Fate::MayHaveRun),
-            Stage::Abandoned => Some(Fate::Done { result: LEFT_OUT.to_string(), tokens: 0 }),
+            Stage::Abandoned => Some(Fate::Done {
+                result: LEFT_OUT.to_string(),
+                tokens: 0,
+            }),
         };
-        Step { number: self.number, effect: self.effect, key: self.key.clone(), fate }
+        Step {
+            number: self.number,
+            effect: self.effect,
+            key: self.key.clone(),
+            fate,
+        }
     }
 }
 
@@ -112,7 +123,11 @@
     fn a_long_result_is_cut_between_characters_within_its_bound_and_says_so() {
         let long = "ä".repeat(RESULT_MOST);
         let kept = cut(&long, RESULT_MOST);
-        assert!(kept.len() <= RESULT_MOST && kept.ends_with("[cut, 8192 bytes in all]"), "{}", kept.len());
+        assert!(
+            kept.len() <= RESULT_MOST && kept.ends_with("[cut, 8192 bytes in all]"),
+            "{}",
+            kept.len()
+        );
         assert_eq!(cut("short", RESULT_MOST), "short");
     }
 }
--- a/crates/workflow/src/tests.rs
+++ b/crates/workflow/src/tests.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{KeepError, Process};
 use bitternlatch_membership::NameKey;
+use bitternlatch_quota_lease::{KeepError, Process};
 use bitternlatch_replicated_register::{Input, RegisterKey, ReplicaError, Version};
 
 use crate::desk::{key_of, Desk, Out};
@@ -41,11 +41,26 @@
 
 impl Office {
     fn new(of: usize) -> Office {
-        let own = |i: usize| Process { name: NameKey(i as u32 + 1), start: 1 };
-        let desks = (0..of).map(|i| Desk::new(own(i), &Settings::default(), Guards::BUILT)).collect();
+        let own = |i: usize| Process {
+            name: NameKey(i as u32 + 1),
+            start: 1,
+        };
+        let desks = (0..of)
+            .map(|i| Desk::new(own(i), &Settings::default(), Guards::BUILT))
+            .collect();
         let (held, now) = (Held::new(), ms(1000));
         let (told, logs) = (vec![], vec![]);
-        Office { now, desks, held, next: Next::Well, told, logs, calls: 0, writes: 0, reads: 0 }
+        Office {
+            now,
+            desks,
+            held,
+            next: Next::Well,
+            told,
+            logs,
+            calls: 0,
+            writes: 0,
+            reads: 0,
+        }
     }
 
     fn carry(&mut self, i: usize, out: Vec<Out>) {
@@ -57,12 +72,29 @@
                 Out::Log { text, .. } => self.logs.push(text),
                 Out::Register(Input::Read { call, key, .. }) => {
                     self.reads += 1;
-                    self.desks[i].found(self.now, call, Ok(self.held.get(&key).cloned()), &mut more);
+                    self.desks[i].found(
+                        self.now,
+                        call,
+                        Ok(self.held.get(&key).cloned()),
+                        &mut more,
+                    );
                 }
-                Out::Register(Input::Write { call, key, on, epoch, value, .. }) => {
+                Out::Register(Input::Write {
+                    call,
+                    key,
+                    on,
+                    epoch,
+                    value,
+                    ..
+                }) => {
                     self.writes += 1;
                     let latest = self.held.get(&key).map(|(version, _)| *version);
-                    let version = Version { epoch, count: self.writes, writer: NameKey(i as u32), start: 1 };
+                    let version = Version {
+                        epoch,
+                        count: self.writes,
+                        writer: NameKey(i as u32),
+                        start: 1,
+                    };
                     let done = match std::mem::replace(&mut self.next, Next::Well) {
                         Next::Silent => continue,
                         Next::Fails(error) => Err(error),
@@ -112,7 +144,12 @@
 
     fn claim(&mut self, i: usize, worker: &str) -> Option<Told> {
         let worker = worker.to_string();
-        self.ask(i, |call, workflow, until_us| Ask::Claim { call, workflow, worker, until_us })
+        self.ask(i, |call, workflow, until_us| Ask::Claim {
+            call,
+            workflow,
+            worker,
+            until_us,
+        })
     }
 
     fn intend(&mut self, i: usize, epoch: u64, step: u32) -> Option<Told> {
@@ -129,11 +166,26 @@
     }
 
     fn ended(&mut self, i: usize, epoch: u64, step: u32, fate: Fate) -> Option<Told> {
-        self.ask(i, |call, workflow, until_us| Ask::Ended { call, workflow, epoch, step, fate, until_us })
+        self.ask(i, |call, workflow, until_us| Ask::Ended {
+            call,
+            workflow,
+            epoch,
+            step,
+            fate,
+            until_us,
+        })
     }
 
     fn done(&mut self, i: usize, epoch: u64, step: u32) -> Option<Told> {
-        self.ended(i, epoch, step, Fate::Done { result: format!("r{step}"), tokens: 1 })
+        self.ended(
+            i,
+            epoch,
+            step,
+            Fate::Done {
+                result: format!("r{step}"),
+                tokens: 1,
+            },
+        )
     }
 
     fn record(&self) -> Record {
@@ -155,10 +207,15 @@
 #[test]
 fn a_step_costs_two_writes_and_no_read_and_what_leaves_ends_before_anybody_adopts() {
     let mut office = Office::new(2);
-    assert!(matches!(office.claim(0, "a"), Some(Told::Claimed { epoch: 1, .. })));
+    assert!(matches!(
+        office.claim(0, "a"),
+        Some(Told::Claimed { epoch: 1, .. })
+    ));
     let (reads, writes) = (office.reads, office.writes);
     for step in 1..=20 {
-        let Some(Told::Go { until_us, .. }) = office.intend(0, 1, step) else { panic!("step {step}") };
+        let Some(Told::Go { until_us, .. }) = office.intend(0, 1, step) else {
+            panic!("step {step}")
+        };
         assert!(until_us <= (office.now + ms(750)).as_micros() as u64);
         assert!(matches!(office.done(0, 1, step), Some(Told::Held { .. })));
     }
@@ -168,21 +225,38 @@
     office.pass(ms(1515));
     assert_eq!(why(&office.claim(1, "b")), Some(Refusal::Carried));
     office.pass(ms(50));
-    assert!(matches!(office.claim(1, "b"), Some(Told::Claimed { epoch: 2, .. })));
+    assert!(matches!(
+        office.claim(1, "b"),
+        Some(Told::Claimed { epoch: 2, .. })
+    ));
     assert_eq!(why(&office.intend(0, 1, 21)), Some(Refusal::Fenced));
 }
 
 #[test]
 fn a_dispatcher_with_a_longer_lease_goes_by_the_one_that_others_watch() {
     let mut office = Office::new(1);
-    let own = Process { name: NameKey(2), start: 1 };
-    let settings = Settings { lease_s: 30.0, ..Settings::default() };
+    let own = Process {
+        name: NameKey(2),
+        start: 1,
+    };
+    let settings = Settings {
+        lease_s: 30.0,
+        ..Settings::default()
+    };
     office.desks.push(Desk::new(own, &settings, Guards::BUILT));
     office.claim(0, "a");
-    let Some(Told::Go { until_us, .. }) = office.intend(1, 1, 1) else { panic!() };
+    let Some(Told::Go { until_us, .. }) = office.intend(1, 1, 1) else {
+        panic!()
+    };
     assert!(until_us <= (office.now + ms(1500)).as_micros() as u64);
     // Its own claim makes it the longer one.
-    assert!(matches!(office.claim(1, "a"), Some(Told::Claimed { lease_us: 30_000_000, .. })));
+    assert!(matches!(
+        office.claim(1, "a"),
+        Some(Told::Claimed {
+            lease_us: 30_000_000,
+            ..
+        })
+    ));
 }
 
 #[test]
@@ -247,7 +321,10 @@
     assert_eq!(why(&office.claim(1, "b")), Some(Refusal::Carried));
     assert_eq!(why(&office.intend(0, 1, 1)), Some(Refusal::Busy));
     // Its worker comes back to its own at once, and gets the result of the attempt that it left.
-    assert!(matches!(office.claim(0, "a"), Some(Told::Claimed { epoch: 2, .. })));
+    assert!(matches!(
+        office.claim(0, "a"),
+        Some(Told::Claimed { epoch: 2, .. })
+    ));
     assert_eq!(why(&office.done(0, 1, 1)), Some(Refusal::Fenced));
     assert!(matches!(office.intend(0, 2, 1), Some(Told::Known { .. })));
 }
@@ -263,9 +340,22 @@
     office.pass(ms(3200));
     assert_eq!(why(&office.claim(0, "b")), Some(Refusal::Unsettled));
     assert_eq!(why(&office.claim(0, "c")), Some(Refusal::Unsettled));
-    assert_eq!(office.logs.iter().filter(|l| l.contains("unsettled")).count(), 1);
+    assert_eq!(
+        office
+            .logs
+            .iter()
+            .filter(|l| l.contains("unsettled"))
+            .count(),
+        1
+    );
     let fate = Fate::NeverRan;
-    let settle = |call, workflow, until_us| Ask::Settle { call, workflow, step: 1, fate, until_us };
+    let settle = |call, workflow, until_us| Ask::Settle {
+        call,
+        workflow,
+        step: 1,
+        fate,
+        until_us,
+    };
     assert!(matches!(office.ask(0, settle), Some(Told::Held { .. })));
     assert!(matches!(office.claim(0, "c"), Some(Told::Claimed { .. })));
 }
@@ -278,32 +368,74 @@
     for i in 0..1500u64 {
         let until_us = (now + ms(10_000 - i)).as_micros() as u64;
         let (workflow, worker) = (format!("w{i}"), "a".to_string());
-        office.desks[0].ask(now, Ask::Claim { call: Call(i), workflow, worker, until_us }, &mut out);
+        office.desks[0].ask(
+            now,
+            Ask::Claim {
+                call: Call(i),
+                workflow,
+                worker,
+                until_us,
+            },
+            &mut out,
+        );
     }
     let reads = out.iter().filter(|o| matches!(o, Out::Register(_))).count();
-    let busy = out.iter().filter(|o| matches!(o, Out::Tell(Told::Refused { why: Refusal::Busy, .. })));
-    let busy: Vec<u64> =
-        busy.map(|o| if let Out::Tell(Told::Refused { call, .. }) = o { call.0 } else { 0 }).collect();
+    let busy = out.iter().filter(|o| {
+        matches!(
+            o,
+            Out::Tell(Told::Refused {
+                why: Refusal::Busy,
+                ..
+            })
+        )
+    });
+    let busy: Vec<u64> = busy
+        .map(|o| {
+            if let Out::Tell(Told::Refused { call, .. }) = o {
+                call.0
+            } else {
+                0
+            }
+        })
+        .collect();
     assert_eq!((reads, busy.len()), (32, 1500 - 32 - 1024));
     // Those with the most time left make room for the nearer ones.
-    assert!(busy.iter().all(|call| (32..1500 - 1024).contains(call)), "{busy:?}");
+    assert!(
+        busy.iter().all(|call| (32..1500 - 1024).contains(call)),
+        "{busy:?}"
+    );
     office.carry(0, out);
-    let claimed = office.told.iter().filter(|t| matches!(t, Told::Claimed { .. })).count();
+    let claimed = office
+        .told
+        .iter()
+        .filter(|t| matches!(t, Told::Claimed { .. }))
+        .count();
     assert_eq!((claimed, office.told.len()), (32 + 1024, 1500));
 }
 
 #[test]
 fn what_is_over_and_what_nobody_writes_any_more_goes_to_its_end() {
     let mut office = Office::new(1);
-    let settings = Settings { lasts_s: 10.0, ..Settings::default() };
-    let own = Process { name: NameKey(1), start: 1 };
+    let settings = Settings {
+        lasts_s: 10.0,
+        ..Settings::default()
+    };
+    let own = Process {
+        name: NameKey(1),
+        start: 1,
+    };
     office.desks = vec![Desk::new(own, &settings, Guards::BUILT)];
     office.claim(0, "a");
-    for (state, after) in [(State::Over(Outcome::Expired), 11_000), (State::Open, 601_000)] {
+    for (state, after) in [
+        (State::Over(Outcome::Expired), 11_000),
+        (State::Open, 601_000),
+    ] {
         let look = |office: &mut Office| {
             let (version, _) = office.held[&key_of("w")];
             let (record, now, mut out) = (office.record(), office.now, vec![]);
-            office.desks[0].watches.see(now, key_of("w"), version, &record);
+            office.desks[0]
+                .watches
+                .see(now, key_of("w"), version, &record);
             let unchanged = office.desks[0].watches.unchanged(now, key_of("w"), version);
             if office.desks[0].stale(&record, unchanged) {
                 office.desks[0].sweep(now, key_of("w"), &record, &mut out);
@@ -327,5 +459,9 @@
     office.claim(0, "a");
     office.held.get_mut(&key_of("w")).unwrap().1[0] = 9;
     assert_eq!(why(&office.claim(0, "a")), Some(Refusal::NoMajority));
-    assert!(office.logs[0].contains("another version"), "{:?}", office.logs);
+    assert!(
+        office.logs[0].contains("another version"),
+        "{:?}",
+        office.logs
+    );
 }
--- a/crates/workflow/src/timers.rs
+++ b/crates/workflow/src/timers.rs
@@ -12,7 +12,10 @@
 
 impl<T: Ord + Copy> Timers<T> {
     pub(crate) fn new() -> Timers<T> {
-        Timers { order: BTreeSet::new(), at: BTreeMap::new() }
+        Timers {
+            order: BTreeSet::new(),
+            at: BTreeMap::new(),
+        }
     }
 
     /// In place of the time that it had.
--- a/crates/workflow/src/turns.rs
+++ b/crates/workflow/src/turns.rs
@@ -63,7 +63,10 @@
         if !next {
             return Turn::refused(Refusal::Unknown);
         }
-        if self.closed() >= limits.steps || self.bytes >= limits.bytes || self.tokens >= limits.tokens {
+        if self.closed() >= limits.steps
+            || self.bytes >= limits.bytes
+            || self.tokens >= limits.tokens
+        {
             return Turn::refused(Refusal::Limit);
         }
         self.steps.push(Entry {
@@ -71,7 +74,10 @@
             effect: intent.effect,
             key: intent.key.to_string(),
             asks: intent.asks,
-            stage: Stage::Intended { epoch: intent.epoch, attempt: intent.attempt },
+            stage: Stage::Intended {
+                epoch: intent.epoch,
+                attempt: intent.attempt,
+            },
             earlier: false,
             late: vec![],
             late_lost: 0,
@@ -86,7 +92,10 @@
         if step >= first || first - step > self.context.steps() {
             return Turn::refused(Refusal::Unknown);
         }
-        let line = self.context.find(step).unwrap_or("done; its result is compacted");
+        let line = self
+            .context
+            .find(step)
+            .unwrap_or("done; its result is compacted");
         Turn::as_it_is(Answer::Known(line.to_string()))
     }
 
@@ -120,13 +129,19 @@
             Some((attempt, _)) => {
                 entry.stage = Stage::MayHaveRun { attempt };
                 let turn = Turn::write(Answer::Refused(Refusal::Unsettled));
-                return Turn { notice: self.unsettle(), ..turn };
+                return Turn {
+                    notice: self.unsettle(),
+                    ..turn
+                };
             }
         }
         entry.effect = intent.effect;
         entry.key = intent.key.to_string();
         entry.asks = intent.asks;
-        entry.stage = Stage::Intended { epoch: intent.epoch, attempt: intent.attempt };
+        entry.stage = Stage::Intended {
+            epoch: intent.epoch,
+            attempt: intent.attempt,
+        };
         self.word();
         Turn::write(Answer::Go)
     }
@@ -145,15 +160,20 @@
             return Turn::refused(Refusal::Ended);
         }
         let current = !guards.fencing || epoch == self.epoch;
-        let told = if current { Answer::Held } else { Answer::Refused(Refusal::Fenced) };
+        let told = if current {
+            Answer::Held
+        } else {
+            Answer::Refused(Refusal::Fenced)
+        };
         let Some(at) = self.steps.iter().position(|e| e.number == step) else {
             return self.ended_long_ago(step, fate, told);
         };
         let entry = &self.steps[at];
         let own = match entry.stage {
-            Stage::Intended { epoch: under, attempt: last } => {
-                attempt.map_or(current && under == epoch, |a| a == last) || !guards.fencing
-            }
+            Stage::Intended {
+                epoch: under,
+                attempt: last,
+            } => attempt.map_or(current && under == epoch, |a| a == last) || !guards.fencing,
             Stage::MayHaveRun { attempt: last } => attempt == Some(last) || !guards.fencing,
             Stage::Planned => attempt.is_some() || current,
             Stage::Done { .. } | Stage::Abandoned => false,
@@ -176,7 +196,10 @@
         self.tokens = self.tokens.saturating_add(tokens.into());
         let entry = &mut self.steps[at];
         let number = entry.number;
-        entry.stage = Stage::Done { result: kept, tokens };
+        entry.stage = Stage::Done {
+            result: kept,
+            tokens,
+        };
         let lifted = self.state == State::Unsettled;
         if lifted {
             self.state = State::Open;
@@ -214,7 +237,9 @@
         if !matches!(known, Answer::Known(_)) {
             return Turn::refused(Refusal::Unknown);
         }
-        let Fate::Done { result, .. } = fate else { return Turn::as_it_is(told) };
+        let Fate::Done { result, .. } = fate else {
+            return Turn::as_it_is(told);
+        };
         self.context.late(step, result);
         let told = if told == Answer::Held { known } else { told };
         Turn::write(told).noting(Notice::TwoResults { step })
@@ -222,19 +247,34 @@
 
     fn doubt(&mut self, at: usize, attempt: Option<Attempt>, told: Answer) -> Turn {
         let entry = &mut self.steps[at];
-        let Some(attempt) = entry.attempt().or(attempt) else { return Turn::as_it_is(told) };
+        let Some(attempt) = entry.attempt().or(attempt) else {
+            return Turn::as_it_is(told);
+        };
         entry.stage = Stage::MayHaveRun { attempt };
         let notice = self.unsettle();
-        let answer = if notice.is_some() { Answer::Refused(Refusal::Unsettled) } else { told };
-        Turn { notice, ..Turn::write(answer) }
+        let answer = if notice.is_some() {
+            Answer::Refused(Refusal::Unsettled)
+        } else {
+            told
+        };
+        Turn {
+            notice,
+            ..Turn::write(answer)
+        }
     }
 
     fn never(&mut self, at: usize, told: Answer) -> Turn {
         let entry = &mut self.steps[at];
-        let Some(attempt) = entry.attempt() else { return Turn::as_it_is(told) };
+        let Some(attempt) = entry.attempt() else {
+            return Turn::as_it_is(told);
+        };
         let number = entry.number;
         // The last attempt never ran; one before it may have.
-        entry.stage = if entry.earlier { Stage::MayHaveRun { attempt } } else { Stage::Planned };
+        entry.stage = if entry.earlier {
+            Stage::MayHaveRun { attempt }
+        } else {
+            Stage::Planned
+        };
         let lifted = self.state == State::Unsettled && self.steps[at].stage == Stage::Planned;
         if lifted {
             self.state = State::Open;
@@ -252,11 +292,17 @@
             _ if !quiet => return Turn::refused(Refusal::Carried),
             State::Parked => {}
             State::Unsettled => {
-                let Some(at) = self.steps.iter().position(|e| e.number == step && !e.closed()) else {
+                let Some(at) = self
+                    .steps
+                    .iter()
+                    .position(|e| e.number == step && !e.closed())
+                else {
                     return Turn::refused(Refusal::Unknown);
                 };
                 match fate {
-                    Fate::Done { result, tokens } => drop(self.stand(at, result, *tokens, Answer::Held)),
+                    Fate::Done { result, tokens } => {
+                        drop(self.stand(at, result, *tokens, Answer::Held))
+                    }
                     Fate::NeverRan => self.steps[at].stage = Stage::Planned,
                     Fate::MayHaveRun => self.steps[at].stage = Stage::Abandoned,
                 }
--- a/crates/workflow/src/watch.rs
+++ b/crates/workflow/src/watch.rs
@@ -43,9 +43,20 @@
 
 impl Watches {
     /// A record that some copy accepted was seen now.
-    pub(crate) fn see(&mut self, now: Duration, key: RegisterKey, version: Version, record: &Record) {
+    pub(crate) fn see(
+        &mut self,
+        now: Duration,
+        key: RegisterKey,
+        version: Version,
+        record: &Record,
+    ) {
         let lease = (record.epoch(), record.lease().0);
-        let new = Seen { lease, lease_at: now, version, version_at: now };
+        let new = Seen {
+            lease,
+            lease_at: now,
+            version,
+            version_at: now,
+        };
         match self.seen.get_mut(&key) {
             Some(seen) => {
                 if seen.lease != lease {
--- a/crates/workflow/tests/fleet/actors.rs
+++ b/crates/workflow/tests/fleet/actors.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{Beside, Given, Process, Wanted};
 use bitternlatch_membership::NameKey;
+use bitternlatch_quota_lease::{Beside, Given, Process, Wanted};
 use bitternlatch_simulation::{ms, Node, Sent};
 use bitternlatch_workflow::*;
 
@@ -31,10 +31,26 @@
 #[derive(Clone, Debug)]
 pub enum Message {
     Frame(Process, Vec<u8>),
-    Ask { id: u64, worker: String, workflow: u32, req: Req },
-    Answer { id: u64, workflow: u32, ans: Ans },
-    Call { call: Call, workflow: u32, step: u32 },
-    Result { call: Call, result: String },
+    Ask {
+        id: u64,
+        worker: String,
+        workflow: u32,
+        req: Req,
+    },
+    Answer {
+        id: u64,
+        workflow: u32,
+        ans: Ans,
+    },
+    Call {
+        call: Call,
+        workflow: u32,
+        step: u32,
+    },
+    Result {
+        call: Call,
+        result: String,
+    },
 }
 
 pub fn name(workflow: u32) -> String {
@@ -128,9 +144,18 @@
 }
 
 impl Dispatcher {
-    pub fn new(made: Made, now: Duration, disk: Disk, trap: Rc<Trap>, seen: Rc<RefCell<Seen>>) -> Dispatcher {
+    pub fn new(
+        made: Made,
+        now: Duration,
+        disk: Disk,
+        trap: Rc<Trap>,
+        seen: Rc<RefCell<Seen>>,
+    ) -> Dispatcher {
         let key = |i: usize| NameKey::of(&format!("d{i}"));
-        let own = Process { name: key(made.place), start: made.start };
+        let own = Process {
+            name: key(made.place),
+            start: made.start,
+        };
         let roster = (0..made.of).map(key).collect();
         let seed = made.seed ^ made.start << 8 ^ made.place as u64;
         let machine = Workflows::guarded(own, roster, &made.settings, true, seed, now, made.guards);
@@ -170,7 +195,9 @@
     fn work(&mut self, now: Duration, out: &mut Sent<Message>) {
         let (mut tickets, mut batch) = (vec![], vec![]);
         while !self.frozen {
-            let Some(wanted) = self.pending.pop_front() else { break };
+            let Some(wanted) = self.pending.pop_front() else {
+                break;
+            };
             if let Some(left) = self.trap.after.get() {
                 self.trap.after.set(left.checked_sub(1));
                 if left == 0 {
@@ -181,8 +208,14 @@
                 }
             }
             match wanted {
-                Wanted::Send(to, said) => out.push((self.places[&to], Message::Frame(self.own, said))),
-                Wanted::Keep { ticket, name, bytes } => {
+                Wanted::Send(to, said) => {
+                    out.push((self.places[&to], Message::Frame(self.own, said)))
+                }
+                Wanted::Keep {
+                    ticket,
+                    name,
+                    bytes,
+                } => {
                     tickets.push(ticket);
                     batch.push((name, bytes));
                 }
@@ -204,23 +237,65 @@
     fn call(&mut self, now: Duration, asked: Asked) -> (Call, u64) {
         self.calls += 1;
         let until_us = (now + ms(2500)).as_micros() as u64;
-        self.asked.insert(Call(self.calls), Asked { until_us, ..asked });
+        self.asked
+            .insert(Call(self.calls), Asked { until_us, ..asked });
         (Call(self.calls), until_us)
     }
 
-    fn ask(&mut self, now: Duration, from: usize, id: u64, worker: String, workflow: u32, req: Req) -> Ask {
-        let asked =
-            Asked { from, id, workflow, req: req.clone(), result: None, answered: false, until_us: 0 };
+    fn ask(
+        &mut self,
+        now: Duration,
+        from: usize,
+        id: u64,
+        worker: String,
+        workflow: u32,
+        req: Req,
+    ) -> Ask {
+        let asked = Asked {
+            from,
+            id,
+            workflow,
+            req: req.clone(),
+            result: None,
+            answered: false,
+            until_us: 0,
+        };
         let (call, until_us) = self.call(now, asked);
         let text = name(workflow);
         match req {
-            Req::Claim => Ask::Claim { call, workflow: text, worker, until_us },
+            Req::Claim => Ask::Claim {
+                call,
+                workflow: text,
+                worker,
+                until_us,
+            },
             Req::Step { epoch, step } => {
                 let (key, asks) = (format!("{workflow}-{step}"), u64::from(step));
-                Ask::Intend { call, workflow: text, epoch, step, effect: effect(step), key, asks, until_us }
+                Ask::Intend {
+                    call,
+                    workflow: text,
+                    epoch,
+                    step,
+                    effect: effect(step),
+                    key,
+                    asks,
+                    until_us,
+                }
             }
-            Req::Finish { epoch } => Ask::Finish { call, workflow: text, epoch, cancelled: false, until_us },
-            Req::Settle { step, fate } => Ask::Settle { call, workflow: text, step, fate, until_us },
+            Req::Finish { epoch } => Ask::Finish {
+                call,
+                workflow: text,
+                epoch,
+                cancelled: false,
+                until_us,
+            },
+            Req::Settle { step, fate } => Ask::Settle {
+                call,
+                workflow: text,
+                step,
+                fate,
+                until_us,
+            },
         }
     }
 
@@ -237,10 +312,17 @@
             return;
         }
         let Some(asked) = self.asked.remove(&call) else {
-            return self.seen.borrow_mut().wrong.push(format!("answered twice: {told:?}"));
+            return self
+                .seen
+                .borrow_mut()
+                .wrong
+                .push(format!("answered twice: {told:?}"));
         };
         if now.as_micros() as u64 > asked.until_us {
-            self.seen.borrow_mut().wrong.push(format!("answered late: {told:?}"));
+            self.seen
+                .borrow_mut()
+                .wrong
+                .push(format!("answered late: {told:?}"));
         }
         let ans = match told {
             Told::Claimed { epoch, steps, .. } => Ans::Claimed { epoch, steps },
@@ -254,23 +336,60 @@
             Told::Refused { why, .. } => Ans::Refused(why),
             Told::Go { .. } => return,
         };
-        out.push((asked.from, Message::Answer { id: asked.id, workflow: asked.workflow, ans }));
+        out.push((
+            asked.from,
+            Message::Answer {
+                id: asked.id,
+                workflow: asked.workflow,
+                ans,
+            },
+        ));
     }
 
     /// Tells how an attempt ended; its worker is answered when that is held.
     fn ended(&mut self, now: Duration, call: Call, fate: Fate, out: &mut Sent<Message>) {
-        let Some(before) = self.asked.remove(&call) else { return };
-        let Req::Step { epoch, step } = before.req else { return };
-        let result = if let Fate::Done { result, .. } = &fate { Some(result.clone()) } else { None };
+        let Some(before) = self.asked.remove(&call) else {
+            return;
+        };
+        let Req::Step { epoch, step } = before.req else {
+            return;
+        };
+        let result = if let Fate::Done { result, .. } = &fate {
+            Some(result.clone())
+        } else {
+            None
+        };
         let workflow = name(before.workflow);
-        let (call, until_us) = self.call(now, Asked { result, answered: false, ..before });
-        self.give(now, Given::Ask(Ask::Ended { call, workflow, epoch, step, fate, until_us }), out);
+        let (call, until_us) = self.call(
+            now,
+            Asked {
+                result,
+                answered: false,
+                ..before
+            },
+        );
+        self.give(
+            now,
+            Given::Ask(Ask::Ended {
+                call,
+                workflow,
+                epoch,
+                step,
+                fate,
+                until_us,
+            }),
+            out,
+        );
     }
 
     fn soon(&mut self, now: Duration, soon: Soon, out: &mut Sent<Message>) {
         match soon {
             Soon::Kept(tickets, batch) => {
-                let done = if self.disk_full { Err(bitternlatch_quota_lease::KeepError::Full) } else { Ok(()) };
+                let done = if self.disk_full {
+                    Err(bitternlatch_quota_lease::KeepError::Full)
+                } else {
+                    Ok(())
+                };
                 for (name, bytes) in batch.into_iter().filter(|_| !self.disk_full) {
                     match bytes {
                         Some(bytes) => drop(self.disk.insert(name, bytes)),
@@ -278,14 +397,32 @@
                     }
                 }
                 for ticket in tickets {
-                    self.give(now, Given::Kept { ticket, done: done.clone() }, out);
+                    self.give(
+                        now,
+                        Given::Kept {
+                            ticket,
+                            done: done.clone(),
+                        },
+                        out,
+                    );
                 }
             }
             // The permission is checked at the act, by time.
             Soon::Send { call, until_us } if (now.as_micros() as u64) < until_us => {
-                let Some(asked) = self.asked.get(&call) else { return };
-                let Req::Step { step, .. } = asked.req else { return };
-                out.push((self.tool, Message::Call { call, workflow: asked.workflow, step }));
+                let Some(asked) = self.asked.get(&call) else {
+                    return;
+                };
+                let Req::Step { step, .. } = asked.req else {
+                    return;
+                };
+                out.push((
+                    self.tool,
+                    Message::Call {
+                        call,
+                        workflow: asked.workflow,
+                        step,
+                    },
+                ));
                 self.later(now + ms(4000), 100, Soon::GiveUp(call));
             }
             Soon::Send { call, .. } => self.ended(now, call, Fate::NeverRan, out),
@@ -297,7 +434,9 @@
     pub fn thaw(&mut self, now: Duration, out: &mut Sent<Message>) {
         (self.frozen, self.disk_full) = (false, false);
         // What waited through its pause may be answered late.
-        self.asked.values_mut().for_each(|asked| asked.until_us = u64::MAX);
+        self.asked
+            .values_mut()
+            .for_each(|asked| asked.until_us = u64::MAX);
         self.work(now, out);
         for (from, message) in std::mem::take(&mut self.stash) {
             self.hear(now, from, message, out);
@@ -306,11 +445,21 @@
 
     pub fn wake_at(&self) -> Option<Duration> {
         let soon = self.soon.keys().next().map(|k| k.0);
-        [soon, self.machine.wake_at()].into_iter().flatten().min().filter(|_| !self.frozen)
+        [soon, self.machine.wake_at()]
+            .into_iter()
+            .flatten()
+            .min()
+            .filter(|_| !self.frozen)
     }
 
     fn wake(&mut self, now: Duration, out: &mut Sent<Message>) {
-        while let Some(key) = self.soon.keys().next().copied().filter(|k| k.0 <= now && !self.frozen) {
+        while let Some(key) = self
+            .soon
+            .keys()
+            .next()
+            .copied()
+            .filter(|k| k.0 <= now && !self.frozen)
+        {
             if let Some(soon) = self.soon.remove(&key) {
                 self.soon(now, soon, out);
             }
@@ -326,11 +475,18 @@
         }
         match message {
             Message::Frame(from, said) => self.give(now, Given::Frame { from, said }, out),
-            Message::Ask { id, worker, workflow, req } => {
+            Message::Ask {
+                id,
+                worker,
+                workflow,
+                req,
+            } => {
                 let ask = self.ask(now, from, id, worker, workflow, req);
                 self.give(now, Given::Ask(ask), out);
             }
-            Message::Result { call, result } => self.ended(now, call, Fate::Done { result, tokens: 1 }, out),
+            Message::Result { call, result } => {
+                self.ended(now, call, Fate::Done { result, tokens: 1 }, out)
+            }
             Message::Answer { .. } | Message::Call { .. } => {}
         }
     }
@@ -346,7 +502,14 @@
 
 impl Tool {
     fn take(&mut self, now: Duration, from: usize, message: Message) {
-        let Message::Call { call, workflow, step } = message else { return };
+        let Message::Call {
+            call,
+            workflow,
+            step,
+        } = message
+        else {
+            return;
+        };
         let mut seen = self.seen.borrow_mut();
         // A call comes once, as over a connection.
         if !seen.calls.insert((from, call)) {
@@ -360,7 +523,8 @@
         let slow = if self.chance.below(12) == 0 { 3000 } else { 40 };
         self.count += 1;
         let at = now + ms(1 + self.chance.below(slow));
-        self.soon.insert((at, self.count), (from, Message::Result { call, result }));
+        self.soon
+            .insert((at, self.count), (from, Message::Result { call, result }));
     }
 }
 
@@ -386,10 +550,22 @@
     fn ask(&mut self, now: Duration, workflow: u32, req: Req, out: &mut Sent<Message>) {
         self.id += 1;
         let seen = self.seen.borrow();
-        self.told_before = seen.told.keys().rfind(|(w, _)| *w == workflow).map_or(0, |(_, s)| *s);
+        self.told_before = seen
+            .told
+            .keys()
+            .rfind(|(w, _)| *w == workflow)
+            .map_or(0, |(_, s)| *s);
         drop(seen);
         (self.waits, self.at) = (true, now + ms(2600));
-        out.push((self.dispatcher, Message::Ask { id: self.id, worker: self.name.clone(), workflow, req }));
+        out.push((
+            self.dispatcher,
+            Message::Ask {
+                id: self.id,
+                worker: self.name.clone(),
+                workflow,
+                req,
+            },
+        ));
     }
 
     fn go_on(&mut self, now: Duration, out: &mut Sent<Message>) {
@@ -398,7 +574,9 @@
             Some((workflow, epoch, step)) if step > STEPS => {
                 self.ask(now, workflow, Req::Finish { epoch }, out)
             }
-            Some((workflow, epoch, step)) => self.ask(now, workflow, Req::Step { epoch, step }, out),
+            Some((workflow, epoch, step)) => {
+                self.ask(now, workflow, Req::Step { epoch, step }, out)
+            }
             None => {
                 let seen = self.seen.borrow();
                 let open = |w: &u32| !seen.finished.contains(w) && !seen.stopped.contains_key(w);
@@ -423,8 +601,12 @@
     }
 
     fn take(&mut self, now: Duration, message: Message) {
-        let Message::Answer { id, workflow, ans } = message else { return };
-        let Some((carried, epoch, step)) = self.carries.filter(|c| id == self.id && c.0 == workflow) else {
+        let Message::Answer { id, workflow, ans } = message else {
+            return;
+        };
+        let Some((carried, epoch, step)) =
+            self.carries.filter(|c| id == self.id && c.0 == workflow)
+        else {
             return;
         };
         // What comes twice is heard once.
@@ -444,7 +626,9 @@
                 }
                 let last = self.told_before;
                 if last >= next {
-                    seen.wrong.push(format!("{workflow}: told of {last}, claimed with {next} next"));
+                    seen.wrong.push(format!(
+                        "{workflow}: told of {last}, claimed with {next} next"
+                    ));
                 }
                 self.carries = Some((carried, epoch, next));
             }
@@ -465,7 +649,9 @@
                 self.carries = None;
             }
             Ans::Refused(Refusal::Carried) => self.carries = None,
-            Ans::Refused(Refusal::Fenced | Refusal::Unknown) => self.carries = Some((carried, 0, 1)),
+            Ans::Refused(Refusal::Fenced | Refusal::Unknown) => {
+                self.carries = Some((carried, 0, 1))
+            }
             // Not there: perhaps elsewhere.
             Ans::Refused(_) if self.chance.below(4) == 0 => {
                 self.dispatcher = self.chance.below(self.of as u64) as usize;
@@ -481,7 +667,8 @@
 fn check(seen: &mut Seen, workflow: u32, step: u32, result: &str, told: bool) {
     let before = seen.told.get(&(workflow, step)).cloned();
     if before.as_ref().is_some_and(|b| b != result) {
-        seen.wrong.push(format!("{workflow}.{step}: told {before:?}, now {result}"));
+        seen.wrong
+            .push(format!("{workflow}.{step}: told {before:?}, now {result}"));
     }
     if told {
         seen.told.insert((workflow, step), result.to_string());
@@ -506,12 +693,22 @@
             self.due.insert((now + ms(2600), workflow));
             let worker = format!("{}{workflow}", self.name);
             let to = self.at[workflow as usize % self.at.len()];
-            out.push((to, Message::Ask { id: 0, worker, workflow, req: Req::Claim }));
+            out.push((
+                to,
+                Message::Ask {
+                    id: 0,
+                    worker,
+                    workflow,
+                    req: Req::Claim,
+                },
+            ));
         }
     }
 
     fn take(&mut self, now: Duration, message: Message) {
-        let Message::Answer { workflow, ans, .. } = message else { return };
+        let Message::Answer { workflow, ans, .. } = message else {
+            return;
+        };
         if self.claimed.contains_key(&workflow) {
             return;
         }
--- a/crates/workflow/tests/fleet/course.rs
+++ b/crates/workflow/tests/fleet/course.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{Given, Part, Peers};
 use bitternlatch_membership::{NameKey, Standing};
+use bitternlatch_quota_lease::{Given, Part, Peers};
 use bitternlatch_simulation::{ms, World};
 use bitternlatch_workflow::*;
 
@@ -70,7 +70,9 @@
     }
     course.judge();
     drop(course.world);
-    Rc::try_unwrap(course.seen).map(RefCell::into_inner).unwrap_or_default()
+    Rc::try_unwrap(course.seen)
+        .map(RefCell::into_inner)
+        .unwrap_or_default()
 }
 
 /// Many workflows of one dispatcher, which is killed; others ask for all of them at once. Gives how long each one took from
@@ -101,7 +103,9 @@
     let now = course.world.now();
     [1, 2].into_iter().for_each(|i| course.kill(now, i));
     course.back.clear();
-    [1, 2].into_iter().for_each(|i| course.start(i, Disk::new()));
+    [1, 2]
+        .into_iter()
+        .for_each(|i| course.start(i, Disk::new()));
     course.crowd("second", vec![0, 1, 2]);
     let crowd = course.until_claimed();
     (crowd.claimed.len(), crowd.refused)
@@ -111,7 +115,14 @@
     /// Without workers, trouble, or anybody who decides.
     fn born(dispatchers: usize, workflows: u32) -> Course {
         let (guards, trouble) = (Guards::BUILT, ms(0));
-        let plan = Plan { dispatchers, workers: 0, workflows, trouble, guards, person: false };
+        let plan = Plan {
+            dispatchers,
+            workers: 0,
+            workflows,
+            trouble,
+            guards,
+            person: false,
+        };
         let mut course = Course::new(1, plan);
         while course.world.now() < ms(1500) {
             course.tick();
@@ -127,7 +138,13 @@
     fn crowd(&mut self, name: &'static str, at: Vec<usize>) {
         let now = self.world.now_at(self.ear());
         let due = (0..self.plan.workflows).map(|w| (now, w)).collect();
-        let crowd = Crowd { name, at, due, claimed: BTreeMap::new(), refused: BTreeMap::new() };
+        let crowd = Crowd {
+            name,
+            at,
+            due,
+            claimed: BTreeMap::new(),
+            refused: BTreeMap::new(),
+        };
         let ear = self.ear();
         self.world.start(ear, Actor::Crowd(crowd));
     }
@@ -136,11 +153,19 @@
         let end = self.world.now() + ms(30_000);
         loop {
             self.tick();
-            let Some(Actor::Crowd(crowd)) = &self.world.places[self.ear()].node else { unreachable!() };
+            let Some(Actor::Crowd(crowd)) = &self.world.places[self.ear()].node else {
+                unreachable!()
+            };
             if crowd.claimed.len() as u32 == self.plan.workflows || self.world.now() > end {
                 let (name, at, due) = (crowd.name, crowd.at.clone(), BTreeSet::new());
                 let (claimed, refused) = (crowd.claimed.clone(), crowd.refused.clone());
-                return Crowd { name, at, due, claimed, refused };
+                return Crowd {
+                    name,
+                    at,
+                    due,
+                    claimed,
+                    refused,
+                };
             }
         }
     }
@@ -171,7 +196,12 @@
         }
         (0..plan.dispatchers).for_each(|i| course.start(i, Disk::new()));
         let seen = Rc::clone(&course.seen);
-        let tool = Tool { seen, chance: Chance(seed), soon: BTreeMap::new(), count: 0 };
+        let tool = Tool {
+            seen,
+            chance: Chance(seed),
+            soon: BTreeMap::new(),
+            count: 0,
+        };
         course.world.start(plan.dispatchers, Actor::Tool(tool));
         (0..plan.workers).for_each(|i| course.worker(plan.dispatchers + 1 + i));
         course
@@ -179,11 +209,27 @@
 
     fn start(&mut self, i: usize, disk: Disk) {
         self.starts[i] += 1;
-        let settings = Settings { lease_s: 1.0, ..Settings::default() };
+        let settings = Settings {
+            lease_s: 1.0,
+            ..Settings::default()
+        };
         let (start, guards) = (self.starts[i], self.plan.guards);
-        let made = Made { place: i, of: self.plan.dispatchers, start, seed: self.seed, settings, guards };
+        let made = Made {
+            place: i,
+            of: self.plan.dispatchers,
+            start,
+            seed: self.seed,
+            settings,
+            guards,
+        };
         let now = self.world.now_at(i);
-        let made = Dispatcher::new(made, now, disk, Rc::clone(&self.trap), Rc::clone(&self.seen));
+        let made = Dispatcher::new(
+            made,
+            now,
+            disk,
+            Rc::clone(&self.trap),
+            Rc::clone(&self.seen),
+        );
         self.world.start(i, Actor::Dispatcher(Box::new(made)));
     }
 
@@ -232,7 +278,11 @@
                 self.cuts.borrow_mut().remove(&cut);
             }
         }
-        while let Some((key, _)) = self.back.first_key_value().filter(|((at, _), _)| *at <= now) {
+        while let Some((key, _)) = self
+            .back
+            .first_key_value()
+            .filter(|((at, _), _)| *at <= now)
+        {
             let (at, i) = *key;
             match self.back.remove(&(at, i)) {
                 Some(Back::Start(disk)) => self.start(i, disk),
@@ -268,14 +318,24 @@
 
     fn trouble(&mut self, now: Duration) {
         let of = self.plan.dispatchers;
-        if self.trap.after.get().is_none() && self.trap.frozen.get().is_none() && self.chance.below(10) == 0 {
+        if self.trap.after.get().is_none()
+            && self.trap.frozen.get().is_none()
+            && self.chance.below(10) == 0
+        {
             let after = self.chance.below(120) as u32;
             self.trap.after.set(Some(after));
         }
         if self.chance.below(40) == 0 {
-            let (a, b) = (self.chance.below(of as u64) as usize, self.chance.below(of as u64 + 1) as usize);
+            let (a, b) = (
+                self.chance.below(of as u64) as usize,
+                self.chance.below(of as u64 + 1) as usize,
+            );
             let both = self.chance.below(2) == 0;
-            let links = if both { vec![(a, b), (b, a)] } else { vec![(a, b)] };
+            let links = if both {
+                vec![(a, b), (b, a)]
+            } else {
+                vec![(a, b)]
+            };
             self.cut(now, links.into_iter().filter(|(a, b)| a != b).collect());
         }
         if self.chance.below(150) == 0 {
@@ -314,7 +374,11 @@
                 self.kill(now, i);
             }
         }
-        self.world.net.loss = if self.chance.below(50) == 0 { 0.03 } else { self.world.net.loss * 0.98 };
+        self.world.net.loss = if self.chance.below(50) == 0 {
+            0.03
+        } else {
+            self.world.net.loss * 0.98
+        };
         self.world.net.twice = 0.01;
     }
 
@@ -325,14 +389,18 @@
     }
 
     fn kill(&mut self, now: Duration, i: usize) {
-        let Some(Actor::Dispatcher(dead)) = self.world.kill(i) else { return };
+        let Some(Actor::Dispatcher(dead)) = self.world.kill(i) else {
+            return;
+        };
         let at = now + self.draw(200, 3000);
         self.back.insert((at, i), Back::Start(dead.disk));
     }
 
     /// A dispatcher was stopped before something: killed, or paused.
     fn caught(&mut self, now: Duration) {
-        let Some(i) = self.trap.frozen.take() else { return };
+        let Some(i) = self.trap.frozen.take() else {
+            return;
+        };
         if self.world.places[i].node.is_none() {
             // It was killed in the same moment, and is on its way back.
             return;
@@ -362,7 +430,10 @@
             }
         }
         for i in (0..of).filter(|i| up(*i)).collect::<Vec<_>>() {
-            let there: Vec<NameKey> = (0..of).filter(|b| self.heard.contains(&(i, *b))).map(key).collect();
+            let there: Vec<NameKey> = (0..of)
+                .filter(|b| self.heard.contains(&(i, *b)))
+                .map(key)
+                .collect();
             let standing = match there.len() + 1 {
                 1 => Standing::Alone,
                 n if n == of => Standing::Whole,
@@ -373,7 +444,12 @@
             let part = Part { lent: 0.0, until };
             let mut there = there;
             there.sort();
-            let peers = Peers { standing, there, until, part };
+            let peers = Peers {
+                standing,
+                there,
+                until,
+                part,
+            };
             self.at_dispatcher(i, |d, now, out| d.give(now, Given::Peers(peers), out));
         }
         self.heard = heard;
@@ -393,19 +469,31 @@
             self.stopped_at.remove(&workflow);
             let i = self.chance.below(self.plan.dispatchers as u64) as usize;
             let mut seen = self.seen.borrow_mut();
-            let asked: Vec<u32> = (1..=STEPS).filter(|s| effect(*s) == Effect::Unsafe).collect();
-            let runs: BTreeMap<u32, u32> =
-                asked.iter().map(|s| (*s, seen.effects.get(&(workflow, *s)).copied().unwrap_or(0))).collect();
+            let asked: Vec<u32> = (1..=STEPS)
+                .filter(|s| effect(*s) == Effect::Unsafe)
+                .collect();
+            let runs: BTreeMap<u32, u32> = asked
+                .iter()
+                .map(|s| (*s, seen.effects.get(&(workflow, *s)).copied().unwrap_or(0)))
+                .collect();
             seen.stopped.remove(&workflow);
             drop(seen);
             let person = self.plan.dispatchers + 1 + self.plan.workers;
             for (step, runs) in runs {
                 let fate = match runs {
                     0 => Fate::NeverRan,
-                    n => Fate::Done { result: format!("{workflow}.{step}#{n}"), tokens: 0 },
+                    n => Fate::Done {
+                        result: format!("{workflow}.{step}#{n}"),
+                        tokens: 0,
+                    },
                 };
                 let req = Req::Settle { step, fate };
-                let ask = Message::Ask { id: 0, worker: "person".into(), workflow, req };
+                let ask = Message::Ask {
+                    id: 0,
+                    worker: "person".into(),
+                    workflow,
+                    req,
+                };
                 self.at_dispatcher(i, |d, now, out| d.hear(now, person, ask, out));
             }
         }
@@ -421,15 +509,19 @@
             .collect();
         seen.wrong.extend(twice);
         for workflow in 0..self.plan.workflows {
-            let (finished, stopped) =
-                (seen.finished.contains(&workflow), seen.stopped.contains_key(&workflow));
+            let (finished, stopped) = (
+                seen.finished.contains(&workflow),
+                seen.stopped.contains_key(&workflow),
+            );
             if !finished && (self.plan.person || !stopped) {
                 let why = seen.refused.get(&workflow).copied();
-                seen.wrong.push(format!("{workflow} has neither ended nor stopped: {why:?}"));
+                seen.wrong
+                    .push(format!("{workflow} has neither ended nor stopped: {why:?}"));
             }
             let ran = |step: &u32| seen.effects.contains_key(&(workflow, *step));
             if finished && !(1..=STEPS).all(|step| ran(&step)) {
-                seen.wrong.push(format!("{workflow} has ended without all its effects"));
+                seen.wrong
+                    .push(format!("{workflow} has ended without all its effects"));
             }
         }
     }
--- a/crates/workflow/tests/model.rs
+++ b/crates/workflow/tests/model.rs
@@ -7,7 +7,12 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const COPIES: usize = 3;
-const LIMITS: Limits = Limits { steps: 9, bytes: 1 << 20, tokens: 1 << 20, lasts_us: u64::MAX };
+const LIMITS: Limits = Limits {
+    steps: 9,
+    bytes: 1 << 20,
+    tokens: 1 << 20,
+    lasts_us: u64::MAX,
+};
 
 type Ballot = (u8, u8);
 type Lease = (u64, u64);
@@ -30,7 +35,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     Idle,
-    Accept { op: Op, ballot: Ballot, at: u8, record: Record, answer: Told },
+    Accept {
+        op: Op,
+        ballot: Ballot,
+        at: u8,
+        record: Record,
+        answer: Told,
+    },
     May(Attempt),
     Sent(Attempt),
     Told,
@@ -90,7 +101,8 @@
 
     fn ballots(&mut self) -> Vec<&mut Ballot> {
         let copies = self.copies.iter_mut();
-        let held = copies.flat_map(|c| [Some(&mut c.promised), c.accepted.as_mut().map(|(b, _)| b)]);
+        let held =
+            copies.flat_map(|c| [Some(&mut c.promised), c.accepted.as_mut().map(|(b, _)| b)]);
         let asked = self.processes.iter_mut().map(|p| match &mut p.phase {
             Phase::Accept { ballot, .. } => Some(ballot),
             _ => None,
@@ -146,15 +158,29 @@
         if answer == Told::Go && !self.guards.majority_first {
             s.effects += 1;
         }
-        process.phase = Phase::Accept { op, ballot, at: 0, record, answer };
+        process.phase = Phase::Accept {
+            op,
+            ballot,
+            at: 0,
+            record,
+            answer,
+        };
         Some(())
     }
 
     /// The transition, by the crate.
-    fn decide(&self, s: &State, p: usize, op: &Op, found: Option<Record>) -> Option<(Record, Told)> {
+    fn decide(
+        &self,
+        s: &State,
+        p: usize,
+        op: &Op,
+        found: Option<Record>,
+    ) -> Option<(Record, Told)> {
         let process = &s.processes[p];
         let lease = |r: &Record| (r.epoch(), r.lease().0);
-        let dead = found.as_ref().is_some_and(|r| process.dead == Some(lease(r)));
+        let dead = found
+            .as_ref()
+            .is_some_and(|r| process.dead == Some(lease(r)));
         let running = match process.phase {
             Phase::May(a) | Phase::Sent(a) => Some(a),
             _ => None,
@@ -164,25 +190,53 @@
             () if process.never == Some(a) => Mine::NeverSent,
             () => Mine::Unknown,
         };
-        let by = |m| Claimant { worker: worker(p), holder: NameKey(p as u32), lease_us: 1, dead, mine: m };
+        let by = |m| Claimant {
+            worker: worker(p),
+            holder: NameKey(p as u32),
+            lease_us: 1,
+            dead,
+            mine: m,
+        };
         let Some(mut r) = found else {
-            return (*op == Op::Claim).then(|| (Record::begin("w", &by(Mine::Unknown)), Told::Claimed));
+            return (*op == Op::Claim)
+                .then(|| (Record::begin("w", &by(Mine::Unknown)), Told::Claimed));
         };
         let turn = match op {
             Op::Claim => r.claim(&by(r.open_attempt().map_or(Mine::Unknown, mine))),
             Op::Intend(attempt) => {
                 let (epoch, attempt) = (process.epoch, *attempt);
-                let intent = Intent { epoch, step: 1, effect: Effect::Unsafe, key: "", asks: 1, attempt };
+                let intent = Intent {
+                    epoch,
+                    step: 1,
+                    effect: Effect::Unsafe,
+                    key: "",
+                    asks: 1,
+                    attempt,
+                };
                 r.intend(&intent, mine, &LIMITS, self.guards)
             }
             Op::Ended(attempt, ran) => {
-                let done = Fate::Done { result: "r".into(), tokens: 0 };
+                let done = Fate::Done {
+                    result: "r".into(),
+                    tokens: 0,
+                };
                 let fate = if *ran { done } else { Fate::NeverRan };
                 r.ended(process.epoch, 1, &fate, Some(*attempt), self.guards)
             }
             Op::Settle => {
-                let done = Fate::Done { result: "r".into(), tokens: 0 };
-                r.settle(1, if s.effects > 0 { &done } else { &Fate::NeverRan }, dead)
+                let done = Fate::Done {
+                    result: "r".into(),
+                    tokens: 0,
+                };
+                r.settle(
+                    1,
+                    if s.effects > 0 {
+                        &done
+                    } else {
+                        &Fate::NeverRan
+                    },
+                    dead,
+                )
             }
         };
         let told = match turn.answer {
@@ -199,14 +253,31 @@
     fn message(&self, s: &mut State, p: usize, c: usize) -> Option<()> {
         let phase = s.processes[p].phase.clone();
         match phase {
-            Phase::Accept { op, ballot, at, record, answer }
-                if s.copies[c].promised <= ballot
-                    && s.copies[c].accepted.as_ref().is_none_or(|(b, _)| *b < ballot) =>
+            Phase::Accept {
+                op,
+                ballot,
+                at,
+                record,
+                answer,
+            } if s.copies[c].promised <= ballot
+                && s.copies[c]
+                    .accepted
+                    .as_ref()
+                    .is_none_or(|(b, _)| *b < ballot) =>
             {
-                s.copies[c] = Copy { promised: ballot, accepted: Some((ballot, record.clone())) };
+                s.copies[c] = Copy {
+                    promised: ballot,
+                    accepted: Some((ballot, record.clone())),
+                };
                 let at = at + 1;
                 if at < 2 {
-                    s.processes[p].phase = Phase::Accept { op, ballot, at, record, answer };
+                    s.processes[p].phase = Phase::Accept {
+                        op,
+                        ballot,
+                        at,
+                        record,
+                        answer,
+                    };
                 } else {
                     self.held(s, p, op, record, answer);
                 }
@@ -274,12 +345,23 @@
             never: None,
         };
         let processes = [process.clone(), process];
-        vec![State { copies: Default::default(), processes, effects: 0, lapses: 0, crashes: 0, given_up: 0 }]
+        vec![State {
+            copies: Default::default(),
+            processes,
+            effects: 0,
+            lapses: 0,
+            crashes: 0,
+            given_up: 0,
+        }]
     }
 
     fn actions(&self, s: &State, actions: &mut Vec<Action>) {
         for (p, process) in s.processes.iter().enumerate() {
-            let attempt = Attempt { name: p as u32, start: process.start, number: process.ops.into() };
+            let attempt = Attempt {
+                name: p as u32,
+                start: process.start,
+                number: process.ops.into(),
+            };
             let asked: u8 = s.processes.iter().map(|p| p.ops).sum();
             let free = process.ops < self.ops[p] && asked < self.both;
             let mut asked: Vec<Op> = vec![];
@@ -336,13 +418,18 @@
                 s.given_up += 1;
                 let process = &mut s.processes[p];
                 process.phase = match process.phase.clone() {
-                    Phase::Accept { op: Op::Ended(a, true), .. } => Phase::Sent(a),
-                    Phase::Accept { op: Op::Intend(a), answer: Told::Go, .. }
-                        if !self.guards.majority_first =>
-                    {
-                        Phase::Sent(a)
-                    }
-                    Phase::Accept { op: Op::Intend(a), .. } => {
+                    Phase::Accept {
+                        op: Op::Ended(a, true),
+                        ..
+                    } => Phase::Sent(a),
+                    Phase::Accept {
+                        op: Op::Intend(a),
+                        answer: Told::Go,
+                        ..
+                    } if !self.guards.majority_first => Phase::Sent(a),
+                    Phase::Accept {
+                        op: Op::Intend(a), ..
+                    } => {
                         process.never = Some(a);
                         Phase::Idle
                     }
@@ -351,7 +438,9 @@
             }
             Action::Send(p) => {
                 let process = &mut s.processes[p];
-                let Phase::May(a) = process.phase else { return None };
+                let Phase::May(a) = process.phase else {
+                    return None;
+                };
                 if process.stale && self.guards.fencing {
                     process.never = Some(a);
                     process.phase = Phase::Idle;
@@ -363,7 +452,11 @@
             Action::Crash(p) => {
                 let start = s.processes[p].start + 1;
                 let fresh = self.init_states().remove(0).processes[0].clone();
-                s.processes[p] = Process { start, ops: s.processes[p].ops, ..fresh };
+                s.processes[p] = Process {
+                    start,
+                    ops: s.processes[p].ops,
+                    ..fresh
+                };
                 s.crashes += 1;
             }
             Action::Lapse => {
@@ -385,25 +478,42 @@
                 s.effects > 0 || s.processes.iter().all(|p| p.phase != Phase::Told)
             }),
             Property::sometimes("another worker ends it", |_, s: &State| {
-                s.processes[1].phase == Phase::Told && s.processes[0].phase != Phase::Told && s.crashes > 0
+                s.processes[1].phase == Phase::Told
+                    && s.processes[0].phase != Phase::Told
+                    && s.crashes > 0
             }),
         ]
     }
 }
 
-const KEPT: Guards = Guards { fencing: true, majority_first: true };
+const KEPT: Guards = Guards {
+    fencing: true,
+    majority_first: true,
+};
 
 /// Where either worker may die by `MODEL=both`; and a question is given up between two copies by `MODEL=whole`.
 fn bounds(guards: Guards) -> Fleet {
     let model = std::env::var("MODEL").unwrap_or_default();
     let (both_die, given_up) = (!model.is_empty(), u8::from(model == "whole"));
-    Fleet { guards, ops: [2, 4], both: 6, lapses: 1, crashes: 1, given_up, both_die }
+    Fleet {
+        guards,
+        ops: [2, 4],
+        both: 6,
+        lapses: 1,
+        crashes: 1,
+        given_up,
+        both_die,
+    }
 }
 
 #[test]
 fn no_course_of_two_workers_three_copies_and_one_tool_runs_an_unsafe_step_twice() {
     let checker = bounds(KEPT).checker().threads(2).spawn_bfs().join();
-    println!("{} states, {} of them different", checker.state_count(), checker.unique_state_count());
+    println!(
+        "{} states, {} of them different",
+        checker.state_count(),
+        checker.unique_state_count()
+    );
     checker.assert_no_discovery("no unsafe effect twice");
     checker.assert_no_discovery("what is told has run");
     assert!(checker.is_done() && checker.unique_state_count() > 10_000);
@@ -412,9 +522,23 @@
 
 #[test]
 fn the_model_finds_the_course_where_a_rule_is_left_out() {
-    for guards in [Guards { fencing: false, ..KEPT }, Guards { majority_first: false, ..KEPT }] {
+    for guards in [
+        Guards {
+            fencing: false,
+            ..KEPT
+        },
+        Guards {
+            majority_first: false,
+            ..KEPT
+        },
+    ] {
         let found = HasDiscoveries::AnyFailures;
-        let checker = bounds(guards).checker().threads(2).finish_when(found).spawn_bfs().join();
+        let checker = bounds(guards)
+            .checker()
+            .threads(2)
+            .finish_when(found)
+            .spawn_bfs()
+            .join();
         checker.assert_any_discovery("no unsafe effect twice");
     }
 }
--- a/crates/workflow/tests/record.rs
+++ b/crates/workflow/tests/record.rs
@@ -3,15 +3,33 @@
 use bitternlatch_membership::NameKey;
 use bitternlatch_workflow::*;
 
-const LIMITS: Limits = Limits { steps: 2000, bytes: 1 << 30, tokens: 1 << 30, lasts_us: 1_000_000 };
-const KEPT: Guards = Guards { fencing: true, majority_first: true };
+const LIMITS: Limits = Limits {
+    steps: 2000,
+    bytes: 1 << 30,
+    tokens: 1 << 30,
+    lasts_us: 1_000_000,
+};
+const KEPT: Guards = Guards {
+    fencing: true,
+    majority_first: true,
+};
 
 fn by(worker: &str, dead: bool, mine: Mine) -> Claimant<'_> {
-    Claimant { worker, holder: NameKey(1), lease_us: 3_000_000, dead, mine }
+    Claimant {
+        worker,
+        holder: NameKey(1),
+        lease_us: 3_000_000,
+        dead,
+        mine,
+    }
 }
 
 fn attempt(number: u64) -> Attempt {
-    Attempt { name: 1, start: 1, number }
+    Attempt {
+        name: 1,
+        start: 1,
+        number,
+    }
 }
 
 fn begun() -> Record {
@@ -20,7 +38,19 @@
 
 fn intend_as(r: &mut Record, epoch: u64, step: u32, effect: Effect, asks: u64, mine: Mine) -> Turn {
     let attempt = attempt(100 * epoch + u64::from(step));
-    r.intend(&Intent { epoch, step, effect, key: "k", asks, attempt }, |_| mine, &LIMITS, KEPT)
+    r.intend(
+        &Intent {
+            epoch,
+            step,
+            effect,
+            key: "k",
+            asks,
+            attempt,
+        },
+        |_| mine,
+        &LIMITS,
+        KEPT,
+    )
 }
 
 fn intend(r: &mut Record, epoch: u64, step: u32, effect: Effect) -> Answer {
@@ -28,11 +58,21 @@
 }
 
 fn done(result: &str) -> Fate {
-    Fate::Done { result: result.to_string(), tokens: 1 }
+    Fate::Done {
+        result: result.to_string(),
+        tokens: 1,
+    }
 }
 
 fn end(r: &mut Record, epoch: u64, step: u32, fate: Fate) -> Answer {
-    r.ended(epoch, step, &fate, Some(attempt(100 * epoch + u64::from(step))), KEPT).answer
+    r.ended(
+        epoch,
+        step,
+        &fate,
+        Some(attempt(100 * epoch + u64::from(step))),
+        KEPT,
+    )
+    .answer
 }
 
 fn refused(why: Refusal) -> Answer {
@@ -42,23 +82,38 @@
 #[test]
 fn a_step_is_intended_once_done_once_and_known_ever_after() {
     let mut r = begun();
-    assert_eq!(intend(&mut r, 1, 2, Effect::Safe), refused(Refusal::Unknown));
+    assert_eq!(
+        intend(&mut r, 1, 2, Effect::Safe),
+        refused(Refusal::Unknown)
+    );
     assert_eq!(intend(&mut r, 1, 1, Effect::Unsafe), Answer::Go);
-    assert_eq!(intend(&mut r, 1, 2, Effect::Safe), refused(Refusal::Unknown));
+    assert_eq!(
+        intend(&mut r, 1, 2, Effect::Safe),
+        refused(Refusal::Unknown)
+    );
     assert_eq!(end(&mut r, 1, 1, done("booked")), Answer::Held);
-    assert_eq!(intend(&mut r, 1, 1, Effect::Unsafe), Answer::Known("booked".into()));
+    assert_eq!(
+        intend(&mut r, 1, 1, Effect::Unsafe),
+        Answer::Known("booked".into())
+    );
     let other = intend_as(&mut r, 1, 1, Effect::Unsafe, 8, Mine::Unknown);
     assert_eq!(other.answer, refused(Refusal::OtherRequest));
     // What never ran may be asked for in other words; what may have run may not.
     assert_eq!(intend(&mut r, 1, 2, Effect::Keyed), Answer::Go);
     assert_eq!(end(&mut r, 1, 2, Fate::NeverRan), Answer::Held);
-    assert_eq!(intend_as(&mut r, 1, 2, Effect::Keyed, 9, Mine::Unknown).answer, Answer::Go);
+    assert_eq!(
+        intend_as(&mut r, 1, 2, Effect::Keyed, 9, Mine::Unknown).answer,
+        Answer::Go
+    );
     assert_eq!(end(&mut r, 1, 2, Fate::MayHaveRun), Answer::Held);
     assert_eq!(
         intend_as(&mut r, 1, 2, Effect::Keyed, 8, Mine::Unknown).answer,
         refused(Refusal::OtherRequest)
     );
-    assert_eq!(intend_as(&mut r, 1, 2, Effect::Keyed, 9, Mine::Unknown).answer, Answer::Go);
+    assert_eq!(
+        intend_as(&mut r, 1, 2, Effect::Keyed, 9, Mine::Unknown).answer,
+        Answer::Go
+    );
     // An earlier attempt of it may have run, so that it is never again one that certainly did not.
     assert_eq!(end(&mut r, 1, 2, Fate::NeverRan), Answer::Held);
     assert_eq!(r.shown().1[1].fate, Some(Fate::MayHaveRun));
@@ -69,21 +124,46 @@
     let mut r = begun();
     for number in [1, 2] {
         let attempt = attempt(number);
-        let intent = Intent { epoch: 1, step: 1, effect: Effect::Keyed, key: "k", asks: 1, attempt };
-        assert_eq!(r.intend(&intent, |_| Mine::Running, &LIMITS, KEPT).answer, Answer::Go);
+        let intent = Intent {
+            epoch: 1,
+            step: 1,
+            effect: Effect::Keyed,
+            key: "k",
+            asks: 1,
+            attempt,
+        };
+        assert_eq!(
+            r.intend(&intent, |_| Mine::Running, &LIMITS, KEPT).answer,
+            Answer::Go
+        );
     }
-    assert_eq!(r.ended(1, 1, &done("x"), Some(attempt(1)), KEPT).answer, Answer::Held);
-    assert_eq!(r.ended(1, 1, &done("y"), Some(attempt(2)), KEPT).answer, Answer::Known("x".into()));
+    assert_eq!(
+        r.ended(1, 1, &done("x"), Some(attempt(1)), KEPT).answer,
+        Answer::Held
+    );
+    assert_eq!(
+        r.ended(1, 1, &done("y"), Some(attempt(2)), KEPT).answer,
+        Answer::Known("x".into())
+    );
     assert_eq!(r.shown().1[0].fate, Some(done("x")));
 }
 
 #[test]
 fn one_carries_it_and_each_claim_fences_those_before() {
     let mut r = begun();
-    assert_eq!(r.claim(&by("w2", false, Mine::Unknown)).answer, refused(Refusal::Carried));
-    assert_eq!(r.claim(&by("w1", false, Mine::Unknown)).answer, Answer::Claimed);
+    assert_eq!(
+        r.claim(&by("w2", false, Mine::Unknown)).answer,
+        refused(Refusal::Carried)
+    );
+    assert_eq!(
+        r.claim(&by("w1", false, Mine::Unknown)).answer,
+        Answer::Claimed
+    );
     assert_eq!(r.epoch(), 2);
-    assert_eq!(r.claim(&by("w2", true, Mine::Unknown)).answer, Answer::Claimed);
+    assert_eq!(
+        r.claim(&by("w2", true, Mine::Unknown)).answer,
+        Answer::Claimed
+    );
     assert_eq!(intend(&mut r, 2, 1, Effect::Safe), refused(Refusal::Fenced));
     assert_eq!(r.carry(2, KEPT).answer, refused(Refusal::Fenced));
     assert_eq!(r.finish(2, false, KEPT).answer, refused(Refusal::Fenced));
@@ -92,7 +172,10 @@
     assert_eq!(end(&mut r, 3, 1, done("here")), Answer::Held);
     assert_eq!(r.shown().1[0].fate, Some(done("here")));
     // Without fencing both go on: that is what it is there against.
-    let broken = Guards { fencing: false, ..KEPT };
+    let broken = Guards {
+        fencing: false,
+        ..KEPT
+    };
     assert_eq!(r.carry(2, broken).answer, Answer::Held);
 }
 
@@ -101,7 +184,10 @@
     for (fate, next) in [
         (done("looked up"), Answer::Known("looked up".into())),
         (Fate::NeverRan, Answer::Go),
-        (Fate::MayHaveRun, Answer::Known("left out: a person decided so; it may have run".into())),
+        (
+            Fate::MayHaveRun,
+            Answer::Known("left out: a person decided so; it may have run".into()),
+        ),
     ] {
         let mut r = begun();
         intend(&mut r, 1, 1, Effect::Unsafe);
@@ -110,13 +196,24 @@
         assert!(turn.write && matches!(turn.notice, Some(Notice::Unsettled { step: 1, .. })));
         // Told once: later ones are refused without a word for the log.
         let again = r.claim(&by("w3", true, Mine::Unknown));
-        assert!(again.answer == refused(Refusal::Unsettled) && !again.write && again.notice.is_none());
-        assert_eq!(intend(&mut r, 1, 1, Effect::Unsafe), refused(Refusal::Unsettled));
+        assert!(
+            again.answer == refused(Refusal::Unsettled) && !again.write && again.notice.is_none()
+        );
+        assert_eq!(
+            intend(&mut r, 1, 1, Effect::Unsafe),
+            refused(Refusal::Unsettled)
+        );
         assert_eq!(r.settle(1, &fate, false).answer, refused(Refusal::Carried));
         assert_eq!(r.settle(2, &fate, true).answer, refused(Refusal::Unknown));
         assert_eq!(r.settle(1, &fate, true).answer, Answer::Held);
-        assert_eq!(intend(&mut r, 1, 1, Effect::Unsafe), refused(Refusal::Fenced));
-        assert_eq!(r.claim(&by("w3", false, Mine::Unknown)).answer, Answer::Claimed);
+        assert_eq!(
+            intend(&mut r, 1, 1, Effect::Unsafe),
+            refused(Refusal::Fenced)
+        );
+        assert_eq!(
+            r.claim(&by("w3", false, Mine::Unknown)).answer,
+            Answer::Claimed
+        );
         let epoch = r.epoch();
         assert_eq!(intend(&mut r, epoch, 1, Effect::Unsafe), next);
     }
@@ -130,13 +227,22 @@
     assert_eq!(r.state(), State::Unsettled);
     // Another attempt's word settles nothing.
     let stranger = r.ended(0, 1, &done("other"), Some(attempt(5)), KEPT);
-    assert_eq!((stranger.answer, r.state()), (refused(Refusal::Fenced), State::Unsettled));
+    assert_eq!(
+        (stranger.answer, r.state()),
+        (refused(Refusal::Fenced), State::Unsettled)
+    );
     let turn = r.ended(1, 1, &done("booked"), Some(attempt(101)), KEPT);
     assert!(turn.write && turn.notice == Some(Notice::Known { step: 1 }));
     assert_eq!(r.state(), State::Open);
-    assert_eq!(intend(&mut r, 1, 1, Effect::Unsafe), Answer::Known("booked".into()));
+    assert_eq!(
+        intend(&mut r, 1, 1, Effect::Unsafe),
+        Answer::Known("booked".into())
+    );
     let second = r.ended(1, 1, &done("booked twice"), Some(attempt(101)), KEPT);
-    assert_eq!((second.write, second.notice), (true, Some(Notice::TwoResults { step: 1 })));
+    assert_eq!(
+        (second.write, second.notice),
+        (true, Some(Notice::TwoResults { step: 1 }))
+    );
     assert_eq!(r.shown().1[0].fate, Some(done("booked")));
 }
 
@@ -144,14 +250,29 @@
 fn an_attempt_that_runs_in_the_claimants_own_process_is_not_doubted() {
     let mut r = begun();
     intend(&mut r, 1, 1, Effect::Unsafe);
-    assert_eq!(r.claim(&by("w1", false, Mine::Running)).answer, Answer::Claimed);
-    assert_eq!(intend_as(&mut r, 2, 1, Effect::Unsafe, 7, Mine::Running).answer, refused(Refusal::Busy));
+    assert_eq!(
+        r.claim(&by("w1", false, Mine::Running)).answer,
+        Answer::Claimed
+    );
+    assert_eq!(
+        intend_as(&mut r, 2, 1, Effect::Unsafe, 7, Mine::Running).answer,
+        refused(Refusal::Busy)
+    );
     assert_eq!(end(&mut r, 1, 1, done("booked")), refused(Refusal::Fenced));
-    assert_eq!(intend(&mut r, 2, 1, Effect::Unsafe), Answer::Known("booked".into()));
+    assert_eq!(
+        intend(&mut r, 2, 1, Effect::Unsafe),
+        Answer::Known("booked".into())
+    );
     // One that it never told anybody to send is run as if nothing had been.
     intend(&mut r, 2, 2, Effect::Unsafe);
-    assert_eq!(intend_as(&mut r, 2, 2, Effect::Unsafe, 7, Mine::NeverSent).answer, Answer::Go);
-    assert_eq!(r.claim(&by("w1", false, Mine::NeverSent)).answer, Answer::Claimed);
+    assert_eq!(
+        intend_as(&mut r, 2, 2, Effect::Unsafe, 7, Mine::NeverSent).answer,
+        Answer::Go
+    );
+    assert_eq!(
+        r.claim(&by("w1", false, Mine::NeverSent)).answer,
+        Answer::Claimed
+    );
     assert_eq!(r.shown().1[1].fate, Some(Fate::NeverRan));
 }
 
@@ -160,17 +281,32 @@
     let mut r = begun();
     for (epoch, worker) in [(1, "w2"), (2, "w3")] {
         intend(&mut r, epoch, 1, Effect::Safe);
-        assert_eq!(r.claim(&by(worker, true, Mine::Unknown)).answer, Answer::Claimed);
+        assert_eq!(
+            r.claim(&by(worker, true, Mine::Unknown)).answer,
+            Answer::Claimed
+        );
     }
     let mut forgiven = r.clone();
     let turn = r.claim(&by("w4", true, Mine::Unknown));
-    assert_eq!((turn.answer, turn.notice), (refused(Refusal::Parked), Some(Notice::Parked { step: 1 })));
-    assert_eq!(r.claim(&by("w3", true, Mine::Unknown)).answer, refused(Refusal::Parked));
+    assert_eq!(
+        (turn.answer, turn.notice),
+        (refused(Refusal::Parked), Some(Notice::Parked { step: 1 }))
+    );
+    assert_eq!(
+        r.claim(&by("w3", true, Mine::Unknown)).answer,
+        refused(Refusal::Parked)
+    );
     assert_eq!(r.settle(1, &Fate::NeverRan, true).answer, Answer::Held);
-    assert_eq!(r.claim(&by("w5", false, Mine::Unknown)).answer, Answer::Claimed);
+    assert_eq!(
+        r.claim(&by("w5", false, Mine::Unknown)).answer,
+        Answer::Claimed
+    );
     intend(&mut forgiven, 3, 1, Effect::Safe);
     end(&mut forgiven, 3, 1, done("x"));
-    assert_eq!(forgiven.claim(&by("w4", true, Mine::Unknown)).answer, Answer::Claimed);
+    assert_eq!(
+        forgiven.claim(&by("w4", true, Mine::Unknown)).answer,
+        Answer::Claimed
+    );
 }
 
 #[test]
@@ -191,12 +327,25 @@
             1 => r.finish(1, true, KEPT).answer,
             _ => r.expire().answer,
         };
-        assert_eq!(answer, if which < 2 { Answer::Held } else { refused(Refusal::Limit) });
+        assert_eq!(
+            answer,
+            if which < 2 {
+                Answer::Held
+            } else {
+                refused(Refusal::Limit)
+            }
+        );
         assert!(r.encode().unwrap().len() < 1300);
         assert_eq!(intend(&mut r, 1, 22, Effect::Safe), refused(Refusal::Ended));
-        assert_eq!(r.claim(&by("w2", true, Mine::Unknown)).answer, refused(Refusal::Ended));
+        assert_eq!(
+            r.claim(&by("w2", true, Mine::Unknown)).answer,
+            refused(Refusal::Ended)
+        );
         // The same word again is answered alike.
-        assert_eq!(r.finish(1, which == 1, KEPT).answer == Answer::Held, which < 2);
+        assert_eq!(
+            r.finish(1, which == 1, KEPT).answer == Answer::Held,
+            which < 2
+        );
     }
 }
 
@@ -211,14 +360,28 @@
         sizes.push(r.encode().unwrap().len());
     }
     // Stated in the design note.
-    println!("bytes at step 10, 100, 1000: {} {} {}", sizes[9], sizes[99], sizes[999]);
-    assert!(sizes[999] <= sizes[99] + 200 && sizes[999] < 9_000, "{} {}", sizes[99], sizes[999]);
+    println!(
+        "bytes at step 10, 100, 1000: {} {} {}",
+        sizes[9], sizes[99], sizes[999]
+    );
+    assert!(
+        sizes[999] <= sizes[99] + 200 && sizes[999] < 9_000,
+        "{} {}",
+        sizes[99],
+        sizes[999]
+    );
     assert_eq!(r.closed(), 1000);
     for step in [1, 500, 990, 995, 1000] {
-        assert!(matches!(intend(&mut r, 1, step, Effect::Unsafe), Answer::Known(_)), "{step}");
+        assert!(
+            matches!(intend(&mut r, 1, step, Effect::Unsafe), Answer::Known(_)),
+            "{step}"
+        );
     }
     let (context, steps) = r.shown();
-    assert!(context.starts_with("994 steps done earlier") && steps.len() == WHOLE_MOST, "{context}");
+    assert!(
+        context.starts_with("994 steps done earlier") && steps.len() == WHOLE_MOST,
+        "{context}"
+    );
     // A late second result of a compacted one is noted, and changes nothing else.
     let turn = r.ended(0, 3, &done("late"), Some(attempt(9)), KEPT);
     assert_eq!((turn.write, turn.answer), (true, refused(Refusal::Fenced)));
@@ -227,12 +390,33 @@
 
 #[test]
 fn limits_hold() {
-    let limits = Limits { steps: 2, bytes: 10, tokens: 3, lasts_us: 100 };
-    let intent = |step, attempt| Intent { epoch: 1, step, effect: Effect::Safe, key: "", asks: 1, attempt };
+    let limits = Limits {
+        steps: 2,
+        bytes: 10,
+        tokens: 3,
+        lasts_us: 100,
+    };
+    let intent = |step, attempt| Intent {
+        epoch: 1,
+        step,
+        effect: Effect::Safe,
+        key: "",
+        asks: 1,
+        attempt,
+    };
     for (result, tokens) in [("eleven bytes", 0), ("", 3)] {
         let mut r = begun();
         r.intend(&intent(1, attempt(1)), |_| Mine::Unknown, &limits, KEPT);
-        r.ended(1, 1, &Fate::Done { result: result.into(), tokens }, Some(attempt(1)), KEPT);
+        r.ended(
+            1,
+            1,
+            &Fate::Done {
+                result: result.into(),
+                tokens,
+            },
+            Some(attempt(1)),
+            KEPT,
+        );
         let turn = r.intend(&intent(2, attempt(2)), |_| Mine::Unknown, &limits, KEPT);
         assert_eq!(turn.answer, refused(Refusal::Limit));
     }
@@ -253,14 +437,23 @@
     let mut other = bytes.clone();
     other[0] = 2;
     assert_eq!(Record::decode(&other), Err(WorkflowError::OtherVersion));
-    assert_eq!(Record::decode(&vec![1; RECORD_MOST + 1]), Err(WorkflowError::TooLong));
+    assert_eq!(
+        Record::decode(&vec![1; RECORD_MOST + 1]),
+        Err(WorkflowError::TooLong)
+    );
     let longer = [bytes.clone(), vec![0]].concat();
     assert_eq!(Record::decode(&longer), Err(WorkflowError::Unreadable));
     for end in 0..bytes.len() {
-        assert_eq!(Record::decode(&bytes[..end]), Err(WorkflowError::Unreadable), "{end}");
+        assert_eq!(
+            Record::decode(&bytes[..end]),
+            Err(WorkflowError::Unreadable),
+            "{end}"
+        );
     }
-    let said: std::collections::BTreeSet<String> =
-        WorkflowError::ALL.iter().map(|e| format!("{e}: {}", e.advice())).collect();
+    let said: std::collections::BTreeSet<String> = WorkflowError::ALL
+        .iter()
+        .map(|e| format!("{e}: {}", e.advice()))
+        .collect();
     assert_eq!(said.len(), WorkflowError::ALL.len());
 }
 
--- a/crates/workflow/tests/simulated.rs
+++ b/crates/workflow/tests/simulated.rs
@@ -34,9 +34,18 @@
 #[test]
 fn the_same_judge_fails_where_epochs_do_not_fence_and_where_effects_leave_before_a_majority() {
     for (fencing, majority_first) in [(false, true), (true, false)] {
-        let guards = Guards { fencing, majority_first };
+        let guards = Guards {
+            fencing,
+            majority_first,
+        };
         let broken = |seed: &u64| {
-            let seen = play(*seed, Plan { guards, ..Plan::of(*seed) });
+            let seen = play(
+                *seed,
+                Plan {
+                    guards,
+                    ..Plan::of(*seed)
+                },
+            );
             seen.wrong.iter().any(|w| w.contains("effects"))
         };
         let found = (0..40).filter(broken).count();
@@ -50,14 +59,24 @@
     let (took, refused) = adopt(1000);
     assert_eq!(took.len(), 1000, "{refused:?}");
     let (half, most) = (took[500], took[999]);
-    println!("adopted after {half:?} p50, {:?} p99, {most:?} at the most; {refused:?}", took[990]);
+    println!(
+        "adopted after {half:?} p50, {:?} p99, {most:?} at the most; {refused:?}",
+        took[990]
+    );
     // The lease is a second here; what is nearer would be a lease that was not seen through.
-    assert!(took[0] > ms(900) && most < ms(4000), "{:?} {most:?}", took[0]);
+    assert!(
+        took[0] > ms(900) && most < ms(4000),
+        "{:?} {most:?}",
+        took[0]
+    );
 }
 
 #[test]
 fn where_a_majority_of_the_copies_is_lost_it_is_said_and_nothing_begins_anew() {
     let (claimed, refused) = lost();
     assert_eq!(claimed, 0);
-    assert!(refused.get("Refused(Lost)").is_some_and(|n| *n >= 20), "{refused:?}");
+    assert!(
+        refused.get("Refused(Lost)").is_some_and(|n| *n >= 20),
+        "{refused:?}"
+    );
 }
--- a/programs/benchmark/src/beside.rs
+++ b/programs/benchmark/src/beside.rs
@@ -5,8 +5,8 @@
 
 use bitternlatch_chaos::client::Client;
 use bitternlatch_chaos::process::{own_address, Dispatcher};
-use bitternlatch_core::settings::{Cluster, Peer};
 use bitternlatch_cluster_net::ask as ask_view;
+use bitternlatch_core::settings::{Cluster, Peer};
 use bitternlatch_mock_engine::capture::Capture;
 
 use crate::latency::{ask, Times};
@@ -22,23 +22,35 @@
     let dir = folder();
     std::fs::create_dir_all(&dir).map_err(|e| e.to_string())?;
     let secret = dir.join("secret").display().to_string();
-    std::fs::write(&secret, "known to the members of this measurement\n").map_err(|e| e.to_string())?;
-    let peer =
-        |i: usize| Peer { name: format!("dispatch-{}", i + 1), address: own_address(7811), clients: None };
+    std::fs::write(&secret, "known to the members of this measurement\n")
+        .map_err(|e| e.to_string())?;
+    let peer = |i: usize| Peer {
+        name: format!("dispatch-{}", i + 1),
+        address: own_address(7811),
+        clients: None,
+    };
     let roster: Vec<Peer> = (0..MEMBERS).map(peer).collect();
     let name = format!("measured-{}", tables.len());
-    let cluster = Cluster { name, secret, roster: roster.clone(), ..Cluster::default() };
+    let cluster = Cluster {
+        name,
+        secret,
+        roster: roster.clone(),
+        ..Cluster::default()
+    };
     let mut table = toml::Table::try_from(&cluster).map_err(|e| e.to_string())?;
     for on in tables {
         table.insert((*on).to_string(), toml::Table::new().into());
     }
     let start = |number| {
-        dispatcher_of(list, number, |settings| drop(settings.insert("cluster".into(), table.clone().into())))
+        dispatcher_of(list, number, |settings| {
+            drop(settings.insert("cluster".into(), table.clone().into()))
+        })
     };
     let all = (1..=MEMBERS).map(start).collect::<Result<Vec<_>, _>>()?;
     let by = Instant::now() + Duration::from_secs(20);
     let whole = |p: &Peer| {
-        ask_view(SocketAddr::V4(p.address), Duration::from_secs(5)).is_ok_and(|v| v.standing == "whole")
+        ask_view(SocketAddr::V4(p.address), Duration::from_secs(5))
+            .is_ok_and(|v| v.standing == "whole")
     };
     while !roster.iter().all(whole) {
         if Instant::now() > by {
@@ -64,7 +76,10 @@
     let mut times = [Times::new()?, Times::new()?];
     for i in 0..requests + WARM {
         for (way, (client, times)) in clients.iter().zip(&mut times).enumerate() {
-            let text = format!("way {way}, {i} {} [len=10]", "words of a prompt ".repeat(60));
+            let text = format!(
+                "way {way}, {i} {} [len=10]",
+                "words of a prompt ".repeat(60)
+            );
             let took = ask(client, &text)?;
             if i >= WARM {
                 times.take(&took);
@@ -72,8 +87,14 @@
         }
     }
     println!("{MEMBERS} members; {requests} requests each by turns");
-    println!("{:<28} {:>12} {:>12} {:>14}", "", "first p50", "first p99", "resident KiB");
-    for (i, name) in ["none of the three", "overload, lengths, workflows"].into_iter().enumerate() {
+    println!(
+        "{:<28} {:>12} {:>12} {:>14}",
+        "", "first p50", "first p99", "resident KiB"
+    );
+    for (i, name) in ["none of the three", "overload, lengths, workflows"]
+        .into_iter()
+        .enumerate()
+    {
         let at = |q| times[i].first.value_at_quantile(q);
         println!(
             "{name:<28} {:>9} us {:>9} us {:>14}",
@@ -83,6 +104,10 @@
         );
     }
     let at = |i: usize, q| times[i].first.value_at_quantile(q) as f64;
-    println!("ratio: p50 {:.3}, p99 {:.3}", at(1, 0.5) / at(0, 0.5), at(1, 0.99) / at(0, 0.99));
+    println!(
+        "ratio: p50 {:.3}, p99 {:.3}",
+        at(1, 0.5) / at(0, 0.5),
+        at(1, 0.99) / at(0, 0.99)
+    );
     Ok(())
 }
--- a/programs/benchmark/src/charges.rs
+++ b/programs/benchmark/src/charges.rs
@@ -21,7 +21,10 @@
         owner: "caller:ann".into(),
         key: format!("key-{i}"),
         taken_us: 1_800_000_000_000_000 + i as u64,
-        used: Used::Known(Amount { prompt: 1000, output: 200 }),
+        used: Used::Known(Amount {
+            prompt: 1000,
+            output: 200,
+        }),
     }
 }
 
@@ -34,18 +37,21 @@
         let (mut bare, mut kept) = (Vec::new(), Vec::new());
         for round in 0..rounds {
             let batches = 200.min(8192 / batch);
-            let entries: Vec<Vec<Entry>> =
-                (0..batches).map(|b| (0..batch).map(|i| entry(b * batch + i)).collect()).collect();
+            let entries: Vec<Vec<Entry>> = (0..batches)
+                .map(|b| (0..batch).map(|i| entry(b * batch + i)).collect())
+                .collect();
             let mut file = File::create(dir.join(format!("bare-{batch}-{round}"))).map_err(text)?;
             let start = Instant::now();
             for some in &entries {
-                let lines: Result<Vec<String>, _> = some.iter().map(serde_json::to_string).collect();
-                file.write_all(lines.map_err(|e| e.to_string())?.join("\n").as_bytes()).map_err(text)?;
+                let lines: Result<Vec<String>, _> =
+                    some.iter().map(serde_json::to_string).collect();
+                file.write_all(lines.map_err(|e| e.to_string())?.join("\n").as_bytes())
+                    .map_err(text)?;
                 file.sync_data().map_err(text)?;
             }
             bare.push((batches * batch) as f64 / start.elapsed().as_secs_f64());
-            let journal =
-                Journal::open(&dir.join(format!("kept-{batch}-{round}"))).map_err(|e| e.to_string())?;
+            let journal = Journal::open(&dir.join(format!("kept-{batch}-{round}")))
+                .map_err(|e| e.to_string())?;
             let start = Instant::now();
             for some in &entries {
                 journal.append(some).map_err(|e| e.to_string())?;
@@ -87,7 +93,10 @@
         let journal = Journal::open(&copy).map_err(|e| e.to_string())?;
         let opened = start.elapsed();
         let start = Instant::now();
-        let bill = journal.entries().map_err(|e| e.to_string())?.bill(0, u64::MAX);
+        let bill = journal
+            .entries()
+            .map_err(|e| e.to_string())?
+            .bill(0, u64::MAX);
         println!(
             "{count} charges, {:.1} MiB: opened after a kill in {:.0} ms, billed ({} lines) in {:.0} ms",
             bytes as f64 / 1048576.0,
@@ -104,17 +113,33 @@
     const DECISIONS: u32 = 1_000_000;
     for tenants in [10, 10_000, 100_000] {
         let mut book = Book::default();
-        let rate = Some(Rate { tokens_per_s: 1e6, burst_tokens: 1e7 });
-        let budget = Budget { rate, period: None, reserve: Default::default() };
+        let rate = Some(Rate {
+            tokens_per_s: 1e6,
+            burst_tokens: 1e7,
+        });
+        let budget = Budget {
+            rate,
+            period: None,
+            reserve: Default::default(),
+        };
         (0..tenants).for_each(|t| book.open(0.0, t, &budget, 1.0, |_| None));
-        let most = Amount { prompt: 1000, output: 500 };
+        let most = Amount {
+            prompt: 1000,
+            output: 500,
+        };
         let start = Instant::now();
         let mut held = 0;
         for i in 0..DECISIONS {
             let tenant = i.wrapping_mul(2_654_435_761) % tenants;
             if let Ok(hold) = book.hold(f64::from(i) * 1e-5, tenant, 0, most) {
                 held += 1;
-                book.settle(hold, Amount { prompt: 1000, output: 100 });
+                book.settle(
+                    hold,
+                    Amount {
+                        prompt: 1000,
+                        output: 100,
+                    },
+                );
             }
         }
         let ns = start.elapsed().as_nanos() as f64 / f64::from(DECISIONS);
--- a/programs/benchmark/src/cluster.rs
+++ b/programs/benchmark/src/cluster.rs
@@ -6,8 +6,8 @@
 
 use bitternlatch_chaos::client::Client;
 use bitternlatch_chaos::process::{own_address, Dispatcher};
-use bitternlatch_core::settings::{Cluster, Peer};
 use bitternlatch_cluster_net::{ask as ask_view, Plane};
+use bitternlatch_core::settings::{Cluster, Peer};
 use bitternlatch_mock_engine::capture::Capture;
 
 use crate::latency::{ask, Times};
@@ -17,14 +17,23 @@
 const IDLE: Duration = Duration::from_secs(10);
 
 fn roster(members: usize) -> Vec<Peer> {
-    let peer = |n: usize| Peer { name: format!("dispatch-{n}"), address: own_address(7811), clients: None };
+    let peer = |n: usize| Peer {
+        name: format!("dispatch-{n}"),
+        address: own_address(7811),
+        clients: None,
+    };
     (1..=members).map(peer).collect()
 }
 
 /// What each of them is told.
 fn cluster(roster: &[Peer], secret: &str) -> Cluster {
     let (name, secret, roster) = ("measured".to_string(), secret.to_string(), roster.to_vec());
-    Cluster { name, secret, roster, ..Cluster::default() }
+    Cluster {
+        name,
+        secret,
+        roster,
+        ..Cluster::default()
+    }
 }
 
 /// The others; the first of the roster is the dispatcher that is measured.
@@ -37,7 +46,11 @@
 }
 
 fn until_whole(roster: &[Peer]) -> Result<(), String> {
-    let (began, at, members) = (Instant::now(), SocketAddr::V4(roster[0].address), roster.len());
+    let (began, at, members) = (
+        Instant::now(),
+        SocketAddr::V4(roster[0].address),
+        roster.len(),
+    );
     while began.elapsed() < JOINED_WITHIN {
         if ask_view(at, Duration::from_secs(5))
             .is_ok_and(|v| v.standing == "whole" && v.members.len() == members - 1)
@@ -66,14 +79,17 @@
     let dir = folder();
     std::fs::create_dir_all(&dir).map_err(|e| e.to_string())?;
     let secret = dir.join("secret").display().to_string();
-    std::fs::write(&secret, "known to the members of this measurement\n").map_err(|e| e.to_string())?;
+    std::fs::write(&secret, "known to the members of this measurement\n")
+        .map_err(|e| e.to_string())?;
     let (_hosts, list) = stand_ins(None)?;
     let roster = roster(members);
     let cluster = cluster(&roster, &secret);
     let planes = others(&cluster)?;
     let table = toml::Value::try_from(&cluster).map_err(|e| e.to_string())?;
     let alone = dispatcher(&list, |_| ())?;
-    let knows = dispatcher(&list, |settings| drop(settings.insert("cluster".into(), table.clone())))?;
+    let knows = dispatcher(&list, |settings| {
+        drop(settings.insert("cluster".into(), table.clone()))
+    })?;
     until_whole(&roster)?;
     println!("{members} members; {requests} requests each by turns");
     let connect = |one: &Dispatcher| {
@@ -83,8 +99,13 @@
     let mut times = [Times::new()?, Times::new()?];
     for i in 0..requests {
         for (way, (client, times)) in clients.iter().zip(&mut times).enumerate() {
-            times
-                .take(&ask(client, &format!("way {way}, {i} {} [len=10]", "words of a prompt ".repeat(60)))?);
+            times.take(&ask(
+                client,
+                &format!(
+                    "way {way}, {i} {} [len=10]",
+                    "words of a prompt ".repeat(60)
+                ),
+            )?);
         }
     }
     let busy = idle([&alone, &knows]);
@@ -92,10 +113,18 @@
         "{:<24} {:>12} {:>12} {:>14} {:>16}",
         "", "first p50", "first p99", "resident KiB", "of a core, idle"
     );
-    for (i, (name, one)) in [("knows of nobody", &alone), ("one of them", &knows)].into_iter().enumerate() {
+    for (i, (name, one)) in [("knows of nobody", &alone), ("one of them", &knows)]
+        .into_iter()
+        .enumerate()
+    {
         let at = |q| times[i].first.value_at_quantile(q);
         let kib = one.resident_kib().unwrap_or(0);
-        println!("{name:<24} {:>9} us {:>9} us {kib:>14} {:>16.4}", at(0.5), at(0.99), busy[i]);
+        println!(
+            "{name:<24} {:>9} us {:>9} us {kib:>14} {:>16.4}",
+            at(0.5),
+            at(0.99),
+            busy[i]
+        );
     }
     planes.into_iter().for_each(Plane::leave);
     Ok(())
--- a/programs/benchmark/src/decision.rs
+++ b/programs/benchmark/src/decision.rs
@@ -27,16 +27,28 @@
         worth: 1.0,
         late_worth: 0.3,
     };
-    let kind = |role| KindSettings { role, memory_tokens: 200_000.0 };
+    let kind = |role| KindSettings {
+        role,
+        memory_tokens: 200_000.0,
+    };
     Settings {
         dispatchers: 60,
         zone: 0,
         classes: vec![class],
         tenants: vec![],
         kinds: vec![kind(Role::Reader), kind(Role::Writer)],
-        report_fields: vec![ReportField::SlotShare, ReportField::Queue, ReportField::MemoryShare],
+        report_fields: vec![
+            ReportField::SlotShare,
+            ReportField::Queue,
+            ReportField::MemoryShare,
+        ],
         report_mode: ReportMode::WithAnswers,
-        cold: ColdStart { start_capacity: 0.25, overload_factor: 2.5, window_s: 3.0, warm_after_s: 14.0 },
+        cold: ColdStart {
+            start_capacity: 0.25,
+            overload_factor: 2.5,
+            window_s: 3.0,
+            warm_after_s: 14.0,
+        },
         limits: Limits {
             max_attempts: 4,
             may_cancel: true,
@@ -80,8 +92,19 @@
         booted_at: 0.0,
     };
     let entries = (0..hosts).map(entry).collect();
-    router.handle(1.0, Event::Servers { form: ListForm::Full, entries }, &mut out);
-    let requests = if hosts > SMALL_FLEET { REQUESTS_OF_LARGE } else { REQUESTS };
+    router.handle(
+        1.0,
+        Event::Servers {
+            form: ListForm::Full,
+            entries,
+        },
+        &mut out,
+    );
+    let requests = if hosts > SMALL_FLEET {
+        REQUESTS_OF_LARGE
+    } else {
+        REQUESTS
+    };
     let (mut arrival, mut read_end, mut total) = (Vec::new(), Vec::new(), 0.0);
     for id in 1..=requests {
         let now = 1.0 + f64::from(id) * 0.05;
@@ -110,7 +133,12 @@
         for server in probed {
             let report = REPORT.to_vec();
             total += timed(
-                Event::ProbeEnded { server, outcome: Outcome::Served, elapsed_s: 0.001, report },
+                Event::ProbeEnded {
+                    server,
+                    outcome: Outcome::Served,
+                    elapsed_s: 0.001,
+                    report,
+                },
                 &mut out,
             );
             sent = sent.or(sent_to(&out));
@@ -133,7 +161,12 @@
         total += took;
         if let Some(writer) = sent_to(&out) {
             total += timed(
-                Event::FirstToken { request: id, attempt: 1, server: writer, elapsed_s: 0.1 },
+                Event::FirstToken {
+                    request: id,
+                    attempt: 1,
+                    server: writer,
+                    elapsed_s: 0.1,
+                },
                 &mut out,
             );
             total += timed(end(writer, Outcome::Served, 1), &mut out);
@@ -156,10 +189,19 @@
 fn changes(router: &mut Router, hosts: u32, entry: impl Fn(u32) -> ServerEntry) -> Vec<f64> {
     let mut out = Vec::new();
     let one = |n: u32| {
-        let standing = if n.is_multiple_of(2) { Standing::Draining } else { Standing::Ready };
-        let changed = (0..CHANGED.min(hosts))
-            .map(|i| ServerEntry { standing, ..entry(i * hosts / CHANGED.min(hosts)) });
-        let event = Event::Servers { form: ListForm::Delta, entries: changed.collect() };
+        let standing = if n.is_multiple_of(2) {
+            Standing::Draining
+        } else {
+            Standing::Ready
+        };
+        let changed = (0..CHANGED.min(hosts)).map(|i| ServerEntry {
+            standing,
+            ..entry(i * hosts / CHANGED.min(hosts))
+        });
+        let event = Event::Servers {
+            form: ListForm::Delta,
+            entries: changed.collect(),
+        };
         let start = Instant::now();
         router.handle(1e6 + f64::from(n), event, &mut out);
         start.elapsed().as_secs_f64() * 1e6
--- a/programs/benchmark/src/engines.rs
+++ b/programs/benchmark/src/engines.rs
@@ -11,13 +11,13 @@
 
 use bitternlatch_chaos::client::{Came, Client};
 use bitternlatch_chaos::process::{own_address, Dispatcher};
+use bitternlatch_cluster_net::ask as ask_view;
 use bitternlatch_core::settings::{Cluster, Peer};
+use bitternlatch_mock_engine::capture::Capture;
+use bitternlatch_mock_engine::{Config, Standins};
 use bitternlatch_net::dial::dial;
 use bitternlatch_net::socket::{Heard, Limits};
-use bitternlatch_cluster_net::ask as ask_view;
 use bitternlatch_protocol::engine::{decode, encode, FromEngine, ToEngine};
-use bitternlatch_mock_engine::capture::Capture;
-use bitternlatch_mock_engine::{Config, Standins};
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
@@ -53,9 +53,27 @@
 
 /// Bookings are bimodal, told apart by the length of the prompt alone.
 pub const KINDS: [Kind; 3] = [
-    Kind { class: "slot-query", worth: 1.0, share: 0.5, prompt: [100, 300], answer: [20, 60] },
-    Kind { class: "season-booking", worth: 2.0, share: 0.25, prompt: [100, 300], answer: [40, 120] },
-    Kind { class: "season-booking", worth: 2.0, share: 0.25, prompt: [600, 1000], answer: [1200, 2000] },
+    Kind {
+        class: "slot-query",
+        worth: 1.0,
+        share: 0.5,
+        prompt: [100, 300],
+        answer: [20, 60],
+    },
+    Kind {
+        class: "season-booking",
+        worth: 2.0,
+        share: 0.25,
+        prompt: [100, 300],
+        answer: [40, 120],
+    },
+    Kind {
+        class: "season-booking",
+        worth: 2.0,
+        share: 0.25,
+        prompt: [600, 1000],
+        answer: [1200, 2000],
+    },
 ];
 
 pub struct Asked {
@@ -79,11 +97,17 @@
 pub fn fill(share: f64) -> Fill {
     let written: f64 = KINDS.iter().map(|k| k.share * mean(k.answer)).sum();
     // Of evenly drawn lengths; an answer holds half of its tokens in the mean of its run, and half a block more.
-    let square = |k: &Kind| mean(k.answer).powi(2) + ((k.answer[1] - k.answer[0]) as f64).powi(2) / 12.0;
-    let held = |k: &Kind| k.share * (mean(k.answer) * (mean(k.prompt) + BLOCK / 2.0) + square(k) / 2.0);
+    let square =
+        |k: &Kind| mean(k.answer).powi(2) + ((k.answer[1] - k.answer[0]) as f64).powi(2) / 12.0;
+    let held =
+        |k: &Kind| k.share * (mean(k.answer) * (mean(k.prompt) + BLOCK / 2.0) + square(k) / 2.0);
     let running = share * MEMORY as f64 / (KINDS.iter().map(held).sum::<f64>() / written);
     let step_s = STEP_S + SEQUENCE_S * running;
-    Fill { rate: WRITERS as f64 * running / (step_s * written), running, step_s }
+    Fill {
+        rate: WRITERS as f64 * running / (step_s * written),
+        running,
+        step_s,
+    }
 }
 
 pub fn plan(rate: f64, for_s: f64, seed: u64) -> Vec<Asked> {
@@ -103,7 +127,12 @@
         let kind = found.unwrap_or(0);
         let mut within = |[from, to]: [u64; 2]| from + (draw() * (to - from + 1) as f64) as u64;
         let (prompt, answer) = (within(KINDS[kind].prompt), within(KINDS[kind].answer));
-        all.push(Asked { at_s, kind, prompt, answer });
+        all.push(Asked {
+            at_s,
+            kind,
+            prompt,
+            answer,
+        });
     }
 }
 
@@ -152,7 +181,10 @@
         self.first_in_time += other.first_in_time;
         self.whole_in_time += other.whole_in_time;
         self.preempted += other.preempted;
-        other.unserved.into_iter().for_each(|(why, n)| *self.unserved.entry(why).or_default() += n);
+        other
+            .unserved
+            .into_iter()
+            .for_each(|(why, n)| *self.unserved.entry(why).or_default() += n);
         self.first_s.append(&mut other.first_s);
         self.long_gap_s.append(&mut other.long_gap_s);
         self.used.append(&mut other.used);
@@ -163,7 +195,11 @@
 /// A writer's engine, as the hosts have it.
 pub fn writer() -> Result<bitternlatch_engine::Constants, String> {
     let hosts = hosts()?.hosts;
-    hosts.iter().find(|h| h.name == "writer-1").map(|h| h.constants()).ok_or_else(|| "no writer".to_string())
+    hosts
+        .iter()
+        .find(|h| h.name == "writer-1")
+        .map(|h| h.constants())
+        .ok_or_else(|| "no writer".to_string())
 }
 
 fn hosts() -> Result<Config, String> {
@@ -184,31 +220,64 @@
 }
 
 /// Four processes that know each other, each with the same hosts.
-fn dispatchers(hosts: &Standins, dir: &Path, beside: &toml::Table) -> Result<Vec<Dispatcher>, String> {
+fn dispatchers(
+    hosts: &Standins,
+    dir: &Path,
+    beside: &toml::Table,
+) -> Result<Vec<Dispatcher>, String> {
     std::fs::create_dir_all(dir).map_err(|e| e.to_string())?;
-    std::fs::write(dir.join("secret"), "known to the members of this measurement\n")
-        .map_err(|e| e.to_string())?;
+    std::fs::write(
+        dir.join("secret"),
+        "known to the members of this measurement\n",
+    )
+    .map_err(|e| e.to_string())?;
     let mut list = String::from("name,address,port,kind,cell,zone\n");
     for (name, at) in hosts.addresses() {
-        let kind = if name.starts_with("reader") { "reader" } else { "writer" };
-        list.push_str(&format!("{name},{},{},{kind},rack-a,pos-site\n", at.ip(), at.port()));
+        let kind = if name.starts_with("reader") {
+            "reader"
+        } else {
+            "writer"
+        };
+        list.push_str(&format!(
+            "{name},{},{},{kind},rack-a,pos-site\n",
+            at.ip(),
+            at.port()
+        ));
     }
     std::fs::write(dir.join("hosts.csv"), list).map_err(|e| e.to_string())?;
     let mut settings: toml::Table = toml::from_str(SETTINGS).map_err(|e| e.to_string())?;
-    for kind in settings["kinds"].as_array_mut().into_iter().flatten().filter_map(|k| k.as_table_mut()) {
+    for kind in settings["kinds"]
+        .as_array_mut()
+        .into_iter()
+        .flatten()
+        .filter_map(|k| k.as_table_mut())
+    {
         if kind["name"].as_str() == Some("writer") {
             kind.insert("memory_tokens".into(), (MEMORY as i64).into());
         }
     }
     let one = |n| Dispatcher::new(dir, n, DISPATCHERS, &settings);
     let mut all: Vec<_> = (1..=DISPATCHERS).map(one).collect();
-    let peer = |d: &Dispatcher| Peer { name: d.name.clone(), address: own_address(7811), clients: None };
+    let peer = |d: &Dispatcher| Peer {
+        name: d.name.clone(),
+        address: own_address(7811),
+        clients: None,
+    };
     let roster: Vec<Peer> = all.iter().map(peer).collect();
     let image = std::env::current_exe().map_err(|e| e.to_string())?;
     for one in &mut all {
-        let (name, secret, kept) =
-            ("measured".to_string(), "secret".to_string(), Some(format!("{}.start", one.name)));
-        let cluster = Cluster { name, secret, kept, roster: roster.clone(), ..Cluster::default() };
+        let (name, secret, kept) = (
+            "measured".to_string(),
+            "secret".to_string(),
+            Some(format!("{}.start", one.name)),
+        );
+        let cluster = Cluster {
+            name,
+            secret,
+            kept,
+            roster: roster.clone(),
+            ..Cluster::default()
+        };
         let mut table = toml::Table::try_from(cluster).map_err(|e| e.to_string())?;
         table.extend(beside.clone());
         one.set("cluster", table.into());
@@ -216,7 +285,8 @@
         one.start(&image).map_err(|e| e.to_string())?;
     }
     let whole = |peer: &Peer| {
-        ask_view(SocketAddr::V4(peer.address), Duration::from_secs(5)).is_ok_and(|v| v.standing == "whole")
+        ask_view(SocketAddr::V4(peer.address), Duration::from_secs(5))
+            .is_ok_and(|v| v.standing == "whole")
     };
     let began = Instant::now();
     while !(all.iter().all(|d| d.ready(Duration::from_secs(5))) && roster.iter().all(whole)) {
@@ -256,7 +326,11 @@
             Came::Event(e) if e.is_final() => {
                 let error = e.response.as_ref().and_then(|r| r.error.as_ref());
                 let refused = error.is_some_and(|e| e.safe_to_repeat);
-                break Err(if refused { "refused".to_string() } else { e.kind });
+                break Err(if refused {
+                    "refused".to_string()
+                } else {
+                    e.kind
+                });
             }
             Came::Event(_) => {}
             Came::Closed(_) => break Err("closed".to_string()),
@@ -267,7 +341,11 @@
     done?;
     let first = first.ok_or("no token")?;
     let gap_s = (last - first).as_secs_f64() / f64::from(tokens.saturating_sub(1).max(1));
-    Ok(Got { kind: asked.kind, first_s: (first - start).as_secs_f64(), gap_s })
+    Ok(Got {
+        kind: asked.kind,
+        first_s: (first - start).as_secs_f64(),
+        gap_s,
+    })
 }
 
 /// Looks at the writers' memory until told to stop.
@@ -280,8 +358,12 @@
         .collect();
     let stop = Arc::clone(stop);
     std::thread::spawn(move || {
-        let limits =
-            || Limits { message_bytes: 1 << 20, queue: 64, ping: Duration::from_secs(10), idle: None };
+        let limits = || Limits {
+            message_bytes: 1 << 20,
+            queue: 64,
+            ping: Duration::from_secs(10),
+            idle: None,
+        };
         let mut links: Vec<_> = writers
             .iter()
             .filter_map(|at| dial(at, "/", Duration::from_secs(2), limits(), None).ok())
@@ -340,13 +422,19 @@
     let looks = looks.join().map_err(|_| "a look panicked")?;
     drop(dispatchers);
     hosts.stop();
-    let mut seen = Seen { preempted: counted.join().map_err(|_| "the count panicked")?, ..Seen::default() };
+    let mut seen = Seen {
+        preempted: counted.join().map_err(|_| "the count panicked")?,
+        ..Seen::default()
+    };
     // Looks come each 200 ms and a little; those of the end, when nobody asks any more, do not count.
-    let (end, each) =
-        (asked.last().map_or(0.0, |a| a.at_s), start.elapsed().as_secs_f64() / looks.len().max(1) as f64);
+    let (end, each) = (
+        asked.last().map_or(0.0, |a| a.at_s),
+        start.elapsed().as_secs_f64() / looks.len().max(1) as f64,
+    );
     for (i, used) in looks.into_iter().enumerate() {
         if (WARM_S..end).contains(&(i as f64 * each)) {
-            seen.most_used.push(used.iter().copied().fold(0.0, f64::max));
+            seen.most_used
+                .push(used.iter().copied().fold(0.0, f64::max));
             seen.used.extend(used);
         }
     }
@@ -372,10 +460,18 @@
         seen.long_gap_s.push(got.gap_s);
     }
     // The classes' aims in deploy/dispatch.toml.
-    let (aim, by_thousand) = if of.class == "slot-query" { (1.5, 0.04) } else { (2.5, 0.12) };
+    let (aim, by_thousand) = if of.class == "slot-query" {
+        (1.5, 0.04)
+    } else {
+        (2.5, 0.12)
+    };
     if got.first_s <= aim + by_thousand * mean(of.prompt) / 1000.0 {
         seen.first_in_time += of.worth;
-        seen.whole_in_time += if got.gap_s <= gap_aim_s { of.worth } else { 0.0 };
+        seen.whole_in_time += if got.gap_s <= gap_aim_s {
+            of.worth
+        } else {
+            0.0
+        };
     }
 }
 
@@ -400,7 +496,9 @@
 /// Both ways by turns, the same requests at the same times.
 pub fn measure(share: f64, seconds: f64, rounds: u64, ceiling: u32) -> Result<(), String> {
     if !(0.05..=2.0).contains(&share) || seconds <= WARM_S || rounds == 0 {
-        return Err(format!("a share of memory of 0.05 to 2 and more than {WARM_S} s are expected"));
+        return Err(format!(
+            "a share of memory of 0.05 to 2 and more than {WARM_S} s are expected"
+        ));
     }
     let fill = fill(share);
     let gap_aim_s = patience_s(&fill);
@@ -434,7 +532,11 @@
             let seen = way(on, &asked, gap_aim_s, ceiling)?;
             row(if on { "on" } else { "off" }, &seen);
             let sum = &mut sums[usize::from(on)];
-            *sum = (sum.0 + seen.preempted, sum.1 + seen.first_in_time, sum.2 + seen.whole_in_time);
+            *sum = (
+                sum.0 + seen.preempted,
+                sum.1 + seen.first_in_time,
+                sum.2 + seen.whole_in_time,
+            );
         }
     }
     let [off, on] = sums;
--- a/programs/benchmark/src/filled.rs
+++ b/programs/benchmark/src/filled.rs
@@ -8,8 +8,8 @@
 use bitternlatch_policy::interface::*;
 
 use crate::engines::{
-    fill, mean, patience_s, plan, row, take, writer, Asked, Got, Seen, DISPATCHERS, KINDS, MEMORY, READERS,
-    WARM_S, WRITERS,
+    fill, mean, patience_s, plan, row, take, writer, Asked, Got, Seen, DISPATCHERS, KINDS, MEMORY,
+    READERS, WARM_S, WRITERS,
 };
 
 const BOOKING: u16 = 1;
@@ -24,7 +24,10 @@
         worth,
         late_worth,
     };
-    let kind = |role, memory_tokens| KindSettings { role, memory_tokens };
+    let kind = |role, memory_tokens| KindSettings {
+        role,
+        memory_tokens,
+    };
     Settings {
         dispatchers: DISPATCHERS as u32,
         zone: 0,
@@ -33,10 +36,22 @@
             class(Effect::Unsafe, 2.5, 120.0, 0.08, 12.0, 2.0, 0.2),
         ],
         tenants: vec![],
-        kinds: vec![kind(Role::Reader, 200_000.0), kind(Role::Writer, MEMORY as f64)],
-        report_fields: vec![ReportField::SlotShare, ReportField::Queue, ReportField::MemoryShare],
+        kinds: vec![
+            kind(Role::Reader, 200_000.0),
+            kind(Role::Writer, MEMORY as f64),
+        ],
+        report_fields: vec![
+            ReportField::SlotShare,
+            ReportField::Queue,
+            ReportField::MemoryShare,
+        ],
         report_mode: ReportMode::WithAnswers,
-        cold: ColdStart { start_capacity: 0.25, overload_factor: 2.5, window_s: 3.0, warm_after_s: 14.0 },
+        cold: ColdStart {
+            start_capacity: 0.25,
+            overload_factor: 2.5,
+            window_s: 3.0,
+            warm_after_s: 14.0,
+        },
         limits: Limits {
             max_attempts: 4,
             may_cancel: true,
@@ -123,8 +138,15 @@
         let asked = &self.asked[n];
         let kind = &KINDS[asked.kind];
         let [from, to] = kind.answer.map(|t| t as f64);
-        let told = Expected { mean: mean(kind.answer), p90: from + 0.9 * (to - from) };
-        let class = if kind.class == "slot-query" { 0 } else { BOOKING };
+        let told = Expected {
+            mean: mean(kind.answer),
+            p90: from + 0.9 * (to - from),
+        };
+        let class = if kind.class == "slot-query" {
+            0
+        } else {
+            BOOKING
+        };
         let ask = Request {
             id: n as u32 + 1,
             class,
@@ -155,7 +177,9 @@
         self.routers[router].handle(now, event, &mut out);
         for action in out {
             match action {
-                Action::Send { request, server, .. } => self.send(now, request as usize - 1, server as usize),
+                Action::Send {
+                    request, server, ..
+                } => self.send(now, request as usize - 1, server as usize),
                 Action::Cancel { request, .. } => {
                     let out = self.asking[request as usize - 1].out.take();
                     if let Some((host, id)) = out {
@@ -163,7 +187,9 @@
                         self.ended(now, host, id, Outcome::Cancelled);
                     }
                 }
-                Action::Refuse { request, .. } => self.over(request as usize - 1, Err("refused".into())),
+                Action::Refuse { request, .. } => {
+                    self.over(request as usize - 1, Err("refused".into()))
+                }
                 Action::Fail { request } => self.over(request as usize - 1, Err("failed".into())),
                 // What an attempt waits for is not let go of.
                 Action::Release { request } if self.asking[request as usize - 1].out.is_some() => {}
@@ -172,7 +198,9 @@
                         self.tell(now, host, Input::Release(id));
                     }
                 }
-                Action::SetTimer { at, label } => drop(self.after(at.max(now), Due::Timer(router, label))),
+                Action::SetTimer { at, label } => {
+                    drop(self.after(at.max(now), Due::Timer(router, label)))
+                }
                 _ => {}
             }
         }
@@ -187,10 +215,27 @@
         let id = Id(self.serial);
         ask.out = Some((host, id));
         let answer = asked.answer as u32;
-        let work = if host < READERS { Work::Read } else { Work::FetchAndWrite { answer } };
-        let marks = (0..asked.prompt / 64).map(|b| (n as u64) << 16 | b).collect();
-        let prompt = Prompt { tokens: asked.prompt, marks };
-        self.attempts.insert(id, Attempt { request: n, number: ask.attempts - 1, host, sent: now });
+        let work = if host < READERS {
+            Work::Read
+        } else {
+            Work::FetchAndWrite { answer }
+        };
+        let marks = (0..asked.prompt / 64)
+            .map(|b| (n as u64) << 16 | b)
+            .collect();
+        let prompt = Prompt {
+            tokens: asked.prompt,
+            marks,
+        };
+        self.attempts.insert(
+            id,
+            Attempt {
+                request: n,
+                number: ask.attempts - 1,
+                host,
+                sent: now,
+            },
+        );
         self.tell(now, host, Input::Submit(Job { id, prompt, work }));
     }
 
@@ -209,7 +254,9 @@
 
     fn said(&mut self, now: f64, host: usize, what: Output) {
         match what {
-            Output::Refused { id, .. } => self.ended(now, host, id, Outcome::Full { state_gone: false }),
+            Output::Refused { id, .. } => {
+                self.ended(now, host, id, Outcome::Full { state_gone: false })
+            }
             Output::Read { id, .. } => {
                 if let Some(a) = self.attempts.get(&id) {
                     self.asking[a.request].state = Some((host, id));
@@ -217,7 +264,10 @@
                 self.ended(now, host, id, Outcome::ReadDone);
             }
             Output::Fetched { id } => {
-                let state = self.attempts.get(&id).and_then(|a| self.asking[a.request].state.take());
+                let state = self
+                    .attempts
+                    .get(&id)
+                    .and_then(|a| self.asking[a.request].state.take());
                 match state.filter(|(reader, state)| self.engines[*reader].holds(*state)) {
                     Some((reader, state)) => {
                         self.tell(now, reader, Input::Release(state));
@@ -229,32 +279,52 @@
                     }
                 }
             }
-            Output::Token { id, number, last, .. } => self.token(now, host, id, (number, last)),
+            Output::Token {
+                id, number, last, ..
+            } => self.token(now, host, id, (number, last)),
             Output::Preempted { .. } => self.seen.preempted += usize::from(now >= WARM_S),
             Output::Expired { .. } => {}
         }
     }
 
     fn token(&mut self, now: f64, host: usize, id: Id, (number, last): (u32, bool)) {
-        let Some(a) = self.attempts.get(&id) else { return };
+        let Some(a) = self.attempts.get(&id) else {
+            return;
+        };
         let (n, attempt, sent) = (a.request, a.number, a.sent);
         if number == 1 {
             self.asking[n].first = Some(now);
             let (request, server, elapsed_s) = (n as u32 + 1, host as u32 + 1, now - sent);
-            let event = Event::FirstToken { request, attempt, server, elapsed_s };
+            let event = Event::FirstToken {
+                request,
+                attempt,
+                server,
+                elapsed_s,
+            };
             self.after(now + WAY_S, Due::Told(n % DISPATCHERS, Box::new(event)));
         }
         if last {
             let first = self.asking[n].first.unwrap_or(now);
-            let (kind, gap_s) =
-                (self.asked[n].kind, (now - first) / f64::from(number.saturating_sub(1).max(1)));
-            self.over(n, Ok(Got { kind, first_s: first - self.asked[n].at_s, gap_s }));
+            let (kind, gap_s) = (
+                self.asked[n].kind,
+                (now - first) / f64::from(number.saturating_sub(1).max(1)),
+            );
+            self.over(
+                n,
+                Ok(Got {
+                    kind,
+                    first_s: first - self.asked[n].at_s,
+                    gap_s,
+                }),
+            );
             self.ended(now, host, id, Outcome::Served);
         }
     }
 
     fn ended(&mut self, now: f64, host: usize, id: Id, outcome: Outcome) {
-        let Some(a) = self.attempts.remove(&id) else { return };
+        let Some(a) = self.attempts.remove(&id) else {
+            return;
+        };
         self.asking[a.request].out = None;
         let facts = self.engines[host].facts();
         let report = vec![
@@ -272,7 +342,10 @@
             prefix_hit_tokens: 0.0,
             report,
         });
-        self.after(now + WAY_S, Due::Told(a.request % DISPATCHERS, Box::new(event)));
+        self.after(
+            now + WAY_S,
+            Due::Told(a.request % DISPATCHERS, Box::new(event)),
+        );
     }
 
     fn over(&mut self, n: usize, came: Result<Got, String>) {
@@ -282,17 +355,31 @@
     }
 }
 
-fn way(lengths: bool, asked: &[Asked], gap_aim_s: f64, ceiling: u32, seed: u64) -> Result<Seen, String> {
+fn way(
+    lengths: bool,
+    asked: &[Asked],
+    gap_aim_s: f64,
+    ceiling: u32,
+    seed: u64,
+) -> Result<Seen, String> {
     let engine = |i: usize| {
-        let constants = if i < READERS { Constants::default() } else { writer()? };
+        let constants = if i < READERS {
+            Constants::default()
+        } else {
+            writer()?
+        };
         Engine::new(constants).map_err(|e| e.to_string())
     };
-    let engines = (0..READERS + WRITERS).map(engine).collect::<Result<Vec<_>, String>>()?;
+    let engines = (0..READERS + WRITERS)
+        .map(engine)
+        .collect::<Result<Vec<_>, String>>()?;
     let mut play = Play {
         asked,
         lengths,
         ceiling,
-        routers: (0..DISPATCHERS as u64).map(|n| Router::new(settings(), seed * 100 + n)).collect(),
+        routers: (0..DISPATCHERS as u64)
+            .map(|n| Router::new(settings(), seed * 100 + n))
+            .collect(),
         wakes: vec![None; engines.len()],
         engines,
         due: BTreeMap::new(),
@@ -311,7 +398,10 @@
     };
     let entries: Vec<_> = (0..READERS + WRITERS).map(entry).collect();
     for router in 0..DISPATCHERS {
-        let event = Event::Servers { form: ListForm::Full, entries: entries.clone() };
+        let event = Event::Servers {
+            form: ListForm::Full,
+            entries: entries.clone(),
+        };
         play.handle(0.0, router, event);
     }
     for (n, one) in asked.iter().enumerate() {
