--- a/programs/benchmark/src/latency.rs
+++ b/programs/benchmark/src/latency.rs
@@ -3,12 +3,12 @@
 use std::time::{Duration, Instant};
 
 use bitternlatch_chaos::client::{Came, Client};
+use bitternlatch_mock_engine::capture::Capture;
 use bitternlatch_net::dial::dial;
 use bitternlatch_net::socket::{Heard, Limits, Outbox, Reader};
 use bitternlatch_protocol::engine::{
     decode, encode, CompletionRequest, FromEngine, KvTransferParams, ToEngine,
 };
-use bitternlatch_mock_engine::capture::Capture;
 use hdrhistogram::Histogram;
 
 use crate::rig::{dispatcher, stand_ins};
@@ -24,7 +24,10 @@
 impl Times {
     pub fn new() -> Result<Times, String> {
         let one = || Histogram::new_with_bounds(1, 60_000_000, 3).map_err(|e| e.to_string());
-        Ok(Times { first: one()?, between: one()? })
+        Ok(Times {
+            first: one()?,
+            between: one()?,
+        })
     }
 
     /// Takes the times at which an answer's tokens came, since it was asked for.
@@ -33,29 +36,48 @@
         if let Some(first) = tokens.first() {
             self.first.saturating_record(us(*first));
         }
-        tokens.windows(2).for_each(|w| self.between.saturating_record(us(w[1] - w[0])));
+        tokens
+            .windows(2)
+            .for_each(|w| self.between.saturating_record(us(w[1] - w[0])));
     }
 }
 
 /// Asks by turns through the dispatcher and of the hosts directly, so that both meet the same machine.
 pub fn measure(requests: usize) -> Result<(), String> {
     let (hosts, list) = stand_ins(None)?;
-    let address = |name: &str| hosts.addresses().get(name).map(ToString::to_string).unwrap_or_default();
+    let address = |name: &str| {
+        hosts
+            .addresses()
+            .get(name)
+            .map(ToString::to_string)
+            .unwrap_or_default()
+    };
     let dispatcher = dispatcher(&list, |_| {})?;
-    let client =
-        Client::connect(&dispatcher.address, "m", "d", Capture::none()).map_err(|e| e.to_string())?;
+    let client = Client::connect(&dispatcher.address, "m", "d", Capture::none())
+        .map_err(|e| e.to_string())?;
     let mut direct = Direct::connect(&address("reader-1"), &address("writer-1"))?;
     let (mut through, mut straight) = (Times::new()?, Times::new()?);
     for i in 0..requests {
         // Texts of their own, so that neither finds what the other's read has left.
-        let text = |way: &str| format!("{way} {i} {} [len={TOKENS}]", "words of a prompt ".repeat(60));
+        let text = |way: &str| {
+            format!(
+                "{way} {i} {} [len={TOKENS}]",
+                "words of a prompt ".repeat(60)
+            )
+        };
         through.take(&ask(&client, &text("through"))?);
         straight.take(&direct.ask(i, &text("straight"))?);
     }
     println!("{requests} requests each by turns, {TOKENS} tokens, one every 5 ms; microseconds");
-    println!("{:<24} {:>9} {:>9} {:>9} {:>9}", "", "p50", "p99", "p50", "p99");
+    println!(
+        "{:<24} {:>9} {:>9} {:>9} {:>9}",
+        "", "p50", "p99", "p50", "p99"
+    );
     println!("{:<24} {:>19} {:>19}", "", "first token", "between tokens");
-    for (name, t) in [("through the dispatcher", &through), ("hosts directly", &straight)] {
+    for (name, t) in [
+        ("through the dispatcher", &through),
+        ("hosts directly", &straight),
+    ] {
         let at = |h: &Histogram<u64>, q| h.value_at_quantile(q);
         println!(
             "{name:<24} {:>9} {:>9} {:>9} {:>9}",
@@ -109,14 +131,26 @@
 
 impl Direct {
     fn connect(reader: &str, writer: &str) -> Result<Direct, String> {
-        let limits =
-            || Limits { message_bytes: 1 << 20, queue: 64, ping: Duration::from_secs(10), idle: None };
-        let to = |at: &str| dial(at, "/", Duration::from_secs(2), limits(), None).map_err(|e| e.to_string());
-        Ok(Direct { reader: to(reader)?, writer: to(writer)? })
+        let limits = || Limits {
+            message_bytes: 1 << 20,
+            queue: 64,
+            ping: Duration::from_secs(10),
+            idle: None,
+        };
+        let to = |at: &str| {
+            dial(at, "/", Duration::from_secs(2), limits(), None).map_err(|e| e.to_string())
+        };
+        Ok(Direct {
+            reader: to(reader)?,
+            writer: to(writer)?,
+        })
     }
 
     fn ask(&mut self, i: usize, text: &str) -> Result<Vec<Duration>, String> {
-        let read = KvTransferParams { do_remote_decode: true, ..KvTransferParams::default() };
+        let read = KvTransferParams {
+            do_remote_decode: true,
+            ..KvTransferParams::default()
+        };
         let start = Instant::now();
         say(&self.reader.1, format!("r{i}"), text, 1, Some(read))?;
         let mut state = None;
@@ -131,7 +165,9 @@
         let mut tokens = Vec::new();
         loop {
             match hear(&mut self.writer.0)? {
-                FromEngine::Chunk { body, .. } if body.choices.iter().any(|c| !c.text.is_empty()) => {
+                FromEngine::Chunk { body, .. }
+                    if body.choices.iter().any(|c| !c.text.is_empty()) =>
+                {
                     tokens.push(start.elapsed());
                 }
                 FromEngine::Done { .. } => return Ok(tokens),
@@ -142,7 +178,13 @@
     }
 }
 
-fn say(to: &Outbox, id: String, text: &str, most: u32, kv: Option<KvTransferParams>) -> Result<(), String> {
+fn say(
+    to: &Outbox,
+    id: String,
+    text: &str,
+    most: u32,
+    kv: Option<KvTransferParams>,
+) -> Result<(), String> {
     let body = CompletionRequest {
         request_id: id.clone(),
         model: "m".into(),
@@ -152,8 +194,12 @@
         kv_transfer_params: kv,
         ..CompletionRequest::default()
     };
-    let message = ToEngine::Completion { id, body: Box::new(body) };
-    to.text(encode(&message)).map_err(|_| "a host does not read".to_string())
+    let message = ToEngine::Completion {
+        id,
+        body: Box::new(body),
+    };
+    to.text(encode(&message))
+        .map_err(|_| "a host does not read".to_string())
 }
 
 fn hear(from: &mut Reader) -> Result<FromEngine, String> {
--- a/programs/benchmark/src/lengths.rs
+++ b/programs/benchmark/src/lengths.rs
@@ -80,7 +80,9 @@
 
 fn told(world: &World<Member>, i: usize, class: u32) -> Option<(f64, f64)> {
     let curves = &world.places[i].node.as_ref()?.curves;
-    let known = curves.find(ModelKey(1), ClassKey(class), 500)?.expected(CEILING);
+    let known = curves
+        .find(ModelKey(1), ClassKey(class), 500)?
+        .expected(CEILING);
     Some((known.p50, known.p90))
 }
 
@@ -90,14 +92,22 @@
         for together in [true, false] {
             let mut world = world(members, seed);
             if !together {
-                world.places.iter_mut().flat_map(|p| &mut p.node).for_each(|n| n.there.clear());
+                world
+                    .places
+                    .iter_mut()
+                    .flat_map(|p| &mut p.node)
+                    .for_each(|n| n.there.clear());
             }
             let mut means: BTreeMap<(usize, u32), f64> = BTreeMap::new();
             while world.now() < RUN {
                 let now = world.now();
                 let (class, tokens) = draw(&mut world.net, shape, now);
                 // Half of the traffic comes to a quarter of the members.
-                let crowd = if world.net.draw() < 0.5 { members.div_ceil(4) } else { members };
+                let crowd = if world.net.draw() < 0.5 {
+                    members.div_ceil(4)
+                } else {
+                    members
+                };
                 let at = (world.net.draw() * crowd as f64) as usize;
                 let known = told(&world, at, class);
                 let fifth = 0.2 * f64::from(CEILING);
@@ -110,15 +120,25 @@
                     }
                 }
                 means.insert((at, class), mean + BLEND * (f64::from(tokens) - mean));
-                end(&mut world, at, Ended { ceiling: CEILING, ..answer(class, tokens) });
+                end(
+                    &mut world,
+                    at,
+                    Ended {
+                        ceiling: CEILING,
+                        ..answer(class, tokens)
+                    },
+                );
                 world.run(now + BETWEEN);
             }
         }
     }
     println!("{shape:?}: loss at p50, at p90 (tokens), answers within p90");
-    for (judged, what) in
-        judged.iter().zip(["together", "each alone", "running mean", "fifth of the ceiling"])
-    {
+    for (judged, what) in judged.iter().zip([
+        "together",
+        "each alone",
+        "running mean",
+        "fifth of the ceiling",
+    ]) {
         judged.show(what);
     }
 }
@@ -141,14 +161,23 @@
         let now = world.now();
         let (class, tokens) = draw(&mut world.net, Shape::Steady, now);
         let at = (world.net.draw() * members as f64) as usize;
-        end(world, at, Ended { ceiling: CEILING, ..answer(class, tokens) });
+        end(
+            world,
+            at,
+            Ended {
+                ceiling: CEILING,
+                ..answer(class, tokens)
+            },
+        );
         world.run(now + BETWEEN);
     };
     while world.now() < Duration::from_secs(200) {
         step(&mut world);
     }
     let mut net = Network::new(seed + 1000);
-    let answers: Vec<(u32, u32)> = (0..3000).map(|_| draw(&mut net, Shape::Steady, Duration::ZERO)).collect();
+    let answers: Vec<(u32, u32)> = (0..3000)
+        .map(|_| draw(&mut net, Shape::Steady, Duration::ZERO))
+        .collect();
     let before = loss(&world, &answers).unwrap_or_default();
     world.kill(0);
     let (began, at) = (world.now(), world.now_at(0));
@@ -184,7 +213,11 @@
         end(
             &mut world,
             at,
-            Ended { ceiling: CEILING, prompt_tokens: 40 << (2 * (tokens % 4)), ..answer(class, tokens) },
+            Ended {
+                ceiling: CEILING,
+                prompt_tokens: 40 << (2 * (tokens % 4)),
+                ..answer(class, tokens)
+            },
         );
         world.run(now + BETWEEN);
     }
@@ -193,7 +226,11 @@
 }
 
 fn said(world: &World<Member>) -> u64 {
-    world.places.iter().filter_map(|p| Some(p.node.as_ref()?.machine.bytes())).sum()
+    world
+        .places
+        .iter()
+        .filter_map(|p| Some(p.node.as_ref()?.machine.bytes()))
+        .sum()
 }
 
 fn cost() {
@@ -203,7 +240,13 @@
     let began = Instant::now();
     for n in 0..ANSWERS {
         let (class, tokens) = draw(&mut net, Shape::Steady, Duration::ZERO);
-        local.ended(f64::from(n) * 0.005, &Ended { ceiling: CEILING, ..answer(class, tokens) });
+        local.ended(
+            f64::from(n) * 0.005,
+            &Ended {
+                ceiling: CEILING,
+                ..answer(class, tokens)
+            },
+        );
     }
     let learnt = began.elapsed();
     let began = Instant::now();
@@ -223,7 +266,9 @@
         foretell(shape, members, seeds);
     }
     for peers in [true, false] {
-        let mut took: Vec<f64> = (0..10 * seeds).map(|seed| restart(members, seed, peers)).collect();
+        let mut took: Vec<f64> = (0..10 * seeds)
+            .map(|seed| restart(members, seed, peers))
+            .collect();
         took.sort_by(f64::total_cmp);
         let (p50, most) = (quantile(&took, 0.5), quantile(&took, 1.0));
         let with = if peers { "with peers" } else { "alone" };
--- a/programs/benchmark/src/main.rs
+++ b/programs/benchmark/src/main.rs
@@ -165,9 +165,17 @@
         true => relay::bare(words.get(2).and_then(|w| w.to_str()).unwrap_or_default()),
         false => match Args::parse().what {
             What::Latency { requests } => latency::measure(requests),
-            What::Relay { tokens, streams, rounds } => relay::measure(tokens, streams, rounds),
+            What::Relay {
+                tokens,
+                streams,
+                rounds,
+            } => relay::measure(tokens, streams, rounds),
             What::Sessions { count } => sessions::measure(count),
-            What::Secured { requests, sessions, rounds } => secured::measure(requests, sessions, rounds),
+            What::Secured {
+                requests,
+                sessions,
+                rounds,
+            } => secured::measure(requests, sessions, rounds),
             What::Charges { rounds } => charges::measure(rounds),
             What::Decision => {
                 decision::measure();
@@ -176,28 +184,54 @@
             What::Cluster { members, requests } => cluster::measure(members, requests),
             What::Workflows { steps, kills } => workflows::measure(steps, kills),
             What::Beside { requests } => beside::measure(requests),
-            What::Engines { cost: Some(engines), .. } => steps::cost(engines),
-            What::Engines { simulated: true, fill, seconds, rounds, ceiling, .. } => {
-                filled::measure(fill, seconds, rounds, ceiling)
-            }
-            What::Engines { fill, seconds, rounds, ceiling, .. } => {
-                engines::measure(fill, seconds, rounds, ceiling)
-            }
-            What::Overload { rates, for_s, dispatchers, waits_most_s, off_only } => {
-                overload::measure(&overload::Wanted {
-                    rates: &rates,
-                    for_s,
-                    dispatchers,
-                    waits_most_s,
-                    off_only,
-                })
-            }
+            What::Engines {
+                cost: Some(engines),
+                ..
+            } => steps::cost(engines),
+            What::Engines {
+                simulated: true,
+                fill,
+                seconds,
+                rounds,
+                ceiling,
+                ..
+            } => filled::measure(fill, seconds, rounds, ceiling),
+            What::Engines {
+                fill,
+                seconds,
+                rounds,
+                ceiling,
+                ..
+            } => engines::measure(fill, seconds, rounds, ceiling),
+            What::Overload {
+                rates,
+                for_s,
+                dispatchers,
+                waits_most_s,
+                off_only,
+            } => overload::measure(&overload::Wanted {
+                rates: &rates,
+                for_s,
+                dispatchers,
+                waits_most_s,
+                off_only,
+            }),
             What::Lengths { members, seeds } => {
                 lengths::measure(members, seeds);
                 Ok(())
             }
-            What::Members { sizes, seeds, lossy_s, light, svg } => {
-                let losses = if light { &members::LOSSES[..1] } else { &members::LOSSES };
+            What::Members {
+                sizes,
+                seeds,
+                lossy_s,
+                light,
+                svg,
+            } => {
+                let losses = if light {
+                    &members::LOSSES[..1]
+                } else {
+                    &members::LOSSES
+                };
                 members::measure(&sizes, seeds, (lossy_s, losses), svg.as_deref())
             }
         },
--- a/programs/benchmark/src/members.rs
+++ b/programs/benchmark/src/members.rs
@@ -45,7 +45,8 @@
     world.run(killed + KILLED);
     let downs = world.downs(size - 1, killed);
     seen.unmissed += (size - 1).saturating_sub(downs.len());
-    seen.missed_s.extend(downs.iter().map(|(at, _)| (*at - killed).as_secs_f64()));
+    seen.missed_s
+        .extend(downs.iter().map(|(at, _)| (*at - killed).as_secs_f64()));
     seen.longest = seen.longest.max(world.longest);
 }
 
@@ -72,7 +73,13 @@
     let began = world.net.now;
     world.run(began + Duration::from_secs(for_s));
     let down = |e: &&(Duration, usize, Event)| {
-        matches!(e.2, Event::Member { state: State::Down, .. }) && e.0 >= began
+        matches!(
+            e.2,
+            Event::Member {
+                state: State::Down,
+                ..
+            }
+        ) && e.0 >= began
     };
     world.events.iter().filter(down).count()
 }
@@ -119,32 +126,59 @@
                 failure(*size, seed, &mut seen);
                 parted(*size, 1000 + seed, &mut seen);
                 for (i, loss) in losses.iter().enumerate() {
-                    seen.removed[i] += lossy(*size, (2000 + 1000 * i as u64) + seed, *loss, lossy_s);
+                    seen.removed[i] +=
+                        lossy(*size, (2000 + 1000 * i as u64) + seed, *loss, lossy_s);
                 }
             }
             seen
         };
         let lanes: Vec<Seen> = std::thread::scope(|scope| {
-            let lanes: Vec<_> = (0..threads).map(|lane| scope.spawn(move || one(lane))).collect();
-            lanes.into_iter().filter_map(|lane| lane.join().ok()).collect()
+            let lanes: Vec<_> = (0..threads)
+                .map(|lane| scope.spawn(move || one(lane)))
+                .collect();
+            lanes
+                .into_iter()
+                .filter_map(|lane| lane.join().ok())
+                .collect()
         });
-        let all = |of: fn(&Seen) -> &Vec<f64>| lanes.iter().flat_map(|s| of(s).iter().copied()).collect();
-        missed.push((format!("{size} members"), shares(all(|s| &s.missed_s), POINTS)));
-        healed.push((format!("{size} members"), shares(all(|s| &s.healed_s), POINTS)));
+        let all =
+            |of: fn(&Seen) -> &Vec<f64>| lanes.iter().flat_map(|s| of(s).iter().copied()).collect();
+        missed.push((
+            format!("{size} members"),
+            shares(all(|s| &s.missed_s), POINTS),
+        ));
+        healed.push((
+            format!("{size} members"),
+            shares(all(|s| &s.healed_s), POINTS),
+        ));
         print_line(*size, seeds, lanes);
     }
     let Some(dir) = svg else { return Ok(()) };
     let title = format!("A killed member is missed (simulated, {seeds} seeds)");
-    let figure = Figure { title: &title, x: "seconds after the kill", y: "share of the others" };
+    let figure = Figure {
+        title: &title,
+        x: "seconds after the kill",
+        y: "share of the others",
+    };
     draw(&dir.join("members-missed.svg"), &figure, &missed)?;
     let title = format!("Halves apart for 10 s agree again (simulated, {seeds} seeds)");
-    let figure = Figure { title: &title, x: "seconds after healing", y: "share of the runs" };
+    let figure = Figure {
+        title: &title,
+        x: "seconds after healing",
+        y: "share of the runs",
+    };
     draw(&dir.join("members-healed.svg"), &figure, &healed)
 }
 
 fn print_line(size: usize, seeds: u64, lanes: Vec<Seen>) {
-    let mut missed: Vec<f64> = lanes.iter().flat_map(|s| s.missed_s.iter().copied()).collect();
-    let mut healed: Vec<f64> = lanes.iter().flat_map(|s| s.healed_s.iter().copied()).collect();
+    let mut missed: Vec<f64> = lanes
+        .iter()
+        .flat_map(|s| s.missed_s.iter().copied())
+        .collect();
+    let mut healed: Vec<f64> = lanes
+        .iter()
+        .flat_map(|s| s.healed_s.iter().copied())
+        .collect();
     let sum = |of: fn(&Seen) -> usize| lanes.iter().map(of).sum::<usize>();
     let bytes = lanes.iter().map(|s| s.bytes_s).sum::<f64>() / seeds as f64;
     let longest = lanes.iter().map(|s| s.longest).max().unwrap_or(0);
--- a/programs/benchmark/src/overload.rs
+++ b/programs/benchmark/src/overload.rs
@@ -3,9 +3,9 @@
 
 use std::path::Path;
 
-use bitternlatch_invariant_checker::quantile;
 use bitternlatch_chaos::day::Day;
 use bitternlatch_chaos::run::{run, Outcome};
+use bitternlatch_invariant_checker::quantile;
 
 use crate::rig::folder;
 
@@ -60,7 +60,11 @@
         "for_s = {:?}\nrate_rps = {rate_rps:?}\nclients = {{ waits_most_s = {:?} }}\n",
         wanted.for_s, wanted.waits_most_s
     );
-    let beside = if on { "beside = { overload = {} }\n" } else { "" };
+    let beside = if on {
+        "beside = { overload = {} }\n"
+    } else {
+        ""
+    };
     let dispatchers = format!("[dispatchers]\ncount = {}\n{beside}", wanted.dispatchers);
     Day::parse(&(head + &DAY.replace("[dispatchers]\n", &dispatchers)))
 }
@@ -107,7 +111,10 @@
     );
     println!("|{}", " --- |".repeat(16));
     for rate in wanted.rates {
-        for on in [false, true].into_iter().filter(|on| !on || !wanted.off_only) {
+        for on in [false, true]
+            .into_iter()
+            .filter(|on| !on || !wanted.off_only)
+        {
             let dir = folder();
             let outcome = run(&day(wanted, *rate, on)?, Path::new("deploy"), &dir, &image)?;
             line(*rate, on, &outcome);
@@ -123,11 +130,29 @@
 
     #[test]
     fn the_two_days_differ_by_the_control_alone() {
-        let wanted = Wanted { rates: &[], for_s: 15.0, dispatchers: 4, waits_most_s: 2.0, off_only: false };
-        let (off, on) =
-            (day(&wanted, 900.0, false).expect("a day"), day(&wanted, 900.0, true).expect("a day"));
-        assert!(off.dispatchers.beside.is_empty() && on.dispatchers.beside.contains_key("overload"));
-        assert_eq!((on.dispatchers.count, on.hosts.len(), on.retries, on.rate_rps), (4, 12, 2, 900.0));
+        let wanted = Wanted {
+            rates: &[],
+            for_s: 15.0,
+            dispatchers: 4,
+            waits_most_s: 2.0,
+            off_only: false,
+        };
+        let (off, on) = (
+            day(&wanted, 900.0, false).expect("a day"),
+            day(&wanted, 900.0, true).expect("a day"),
+        );
+        assert!(
+            off.dispatchers.beside.is_empty() && on.dispatchers.beside.contains_key("overload")
+        );
+        assert_eq!(
+            (
+                on.dispatchers.count,
+                on.hosts.len(),
+                on.retries,
+                on.rate_rps
+            ),
+            (4, 12, 2, 900.0)
+        );
         assert!(off.dispatchers.cluster && on.dispatchers.cluster && on.troubles().is_empty());
     }
 }
--- a/programs/benchmark/src/rig.rs
+++ b/programs/benchmark/src/rig.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use bitternlatch_chaos::process::Dispatcher;
-use bitternlatch_net::dial::Manner;
 use bitternlatch_mock_engine::capture::Capture;
 use bitternlatch_mock_engine::{Config, Standins};
+use bitternlatch_net::dial::Manner;
 
 const SETTINGS: &str = include_str!("../../../deploy/dispatch.toml");
 
@@ -33,10 +33,17 @@
 
 /// As [`stand_ins`], with what they hear.
 pub fn stand_ins_seen(tls: Option<PathBuf>, capture: Capture) -> Result<(Standins, Hosts), String> {
-    let config = Config { tls, ..Config::parse(HOSTS)? };
+    let config = Config {
+        tls,
+        ..Config::parse(HOSTS)?
+    };
     let running = Standins::start(config, capture).map_err(|e| e.to_string())?;
     let list = running.addresses().iter().map(|(name, at)| {
-        let kind = if name.starts_with("reader") { "reader" } else { "writer" };
+        let kind = if name.starts_with("reader") {
+            "reader"
+        } else {
+            "writer"
+        };
         (name.clone(), at.to_string(), kind)
     });
     let list = list.collect();
@@ -77,7 +84,9 @@
     std::fs::create_dir_all(&dir).map_err(|e| e.to_string())?;
     let mut list = String::from("name,address,port,kind,cell,zone\n");
     for (name, address, kind) in hosts {
-        let (ip, port) = address.rsplit_once(':').ok_or("an address without a port")?;
+        let (ip, port) = address
+            .rsplit_once(':')
+            .ok_or("an address without a port")?;
         list.push_str(&format!("{name},{ip},{port},{kind},rack-a,pos-site\n"));
     }
     std::fs::write(dir.join("hosts.csv"), list).map_err(|e| e.to_string())?;
@@ -86,7 +95,8 @@
     let mut one = Dispatcher::new(&dir, number, 1, &settings);
     one.without_record();
     one.secured(manner.clone());
-    one.start(&std::env::current_exe().map_err(|e| e.to_string())?).map_err(|e| e.to_string())?;
+    one.start(&std::env::current_exe().map_err(|e| e.to_string())?)
+        .map_err(|e| e.to_string())?;
     Ok(one)
 }
 
@@ -94,20 +104,29 @@
 pub fn ready(one: &Dispatcher) -> Result<(), String> {
     match one.ready(Duration::from_secs(20)) {
         true => Ok(()),
-        false => Err(format!("{} is not ready; see its log in the temporary folder", one.name)),
+        false => Err(format!(
+            "{} is not ready; see its log in the temporary folder",
+            one.name
+        )),
     }
 }
 
 /// A folder for this run's files; each dispatcher has one of its own in it.
 pub fn folder() -> PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
-    let name =
-        format!("bitternlatch-benchmark-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+    let name = format!(
+        "bitternlatch-benchmark-{}-{}",
+        std::process::id(),
+        NEXT.fetch_add(1, Ordering::Relaxed)
+    );
     std::env::temp_dir().join(name)
 }
 
 /// A value of a sorted list.
 pub fn quantile(sorted: &[f64], q: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
-    sorted.get((q * last as f64).round() as usize).copied().unwrap_or(0.0)
+    sorted
+        .get((q * last as f64).round() as usize)
+        .copied()
+        .unwrap_or(0.0)
 }
--- a/programs/benchmark/src/secured.rs
+++ b/programs/benchmark/src/secured.rs
@@ -8,9 +8,9 @@
 use bitternlatch_identity::keys::KeySet;
 use bitternlatch_identity::token::{check, TokenRules};
 use bitternlatch_keys::Ring;
-use bitternlatch_net::dial::{upgraded, Manner};
 use bitternlatch_mock_engine::capture::Capture;
 use bitternlatch_mock_engine::Standins;
+use bitternlatch_net::dial::{upgraded, Manner};
 use ring::rand::SystemRandom;
 use ring::signature::{Ed25519KeyPair, KeyPair, UnparsedPublicKey, ED25519};
 use serde_json::json;
@@ -46,8 +46,15 @@
             listen.insert("sessions".into(), (sessions as i64 + 10).into());
         }
     })?;
-    let manner = proofs.map(|p| p.manner(usize::from(by_token))).unwrap_or_default();
-    Ok(Side { name, dispatcher, manner, _hosts: hosts })
+    let manner = proofs
+        .map(|p| p.manner(usize::from(by_token)))
+        .unwrap_or_default();
+    Ok(Side {
+        name,
+        dispatcher,
+        manner,
+        _hosts: hosts,
+    })
 }
 
 /// Measures by turns, so that all sides meet the same machine.
@@ -81,7 +88,8 @@
             };
             std::thread::scope(|s| {
                 let all: Vec<_> = (0..4).map(|_| s.spawn(open)).collect();
-                all.into_iter().try_for_each(|t| t.join().map_err(|_| "a thread failed".to_string())?)
+                all.into_iter()
+                    .try_for_each(|t| t.join().map_err(|_| "a thread failed".to_string())?)
             })?;
             rates.push((4 * EACH) as f64 / start.elapsed().as_secs_f64());
         }
@@ -104,12 +112,21 @@
 fn first_token(sides: &[Side], requests: usize) -> Result<(), String> {
     let mut met = Vec::new();
     for side in sides {
-        let client = Client::connect_as(&side.dispatcher.address, "m", "d", Capture::none(), &side.manner);
+        let client = Client::connect_as(
+            &side.dispatcher.address,
+            "m",
+            "d",
+            Capture::none(),
+            &side.manner,
+        );
         met.push((client.map_err(|e| e.to_string())?, Times::new()?));
     }
     for i in 0..requests {
         for (client, times) in &mut met {
-            times.take(&ask(client, &format!("{i} {} [len=20]", "words of a prompt ".repeat(60)))?);
+            times.take(&ask(
+                client,
+                &format!("{i} {} [len=20]", "words of a prompt ".repeat(60)),
+            )?);
         }
     }
     let at = |t: &Times, q| t.first.value_at_quantile(q) as f64;
@@ -130,10 +147,16 @@
 fn memory(sides: &[Side], sessions: usize) -> Result<(), String> {
     let mut plain = 0.0;
     for side in sides {
-        let resident = || side.dispatcher.resident_kib().ok_or("the resident memory is not told");
+        let resident = || {
+            side.dispatcher
+                .resident_kib()
+                .ok_or("the resident memory is not told")
+        };
         let before = resident()?;
-        let open =
-            |_| upgraded(&side.dispatcher.address, PATH, &side.manner, WITHIN).map_err(|e| e.to_string());
+        let open = |_| {
+            upgraded(&side.dispatcher.address, PATH, &side.manner, WITHIN)
+                .map_err(|e| e.to_string())
+        };
         let open = (0..sessions).map(open).collect::<Result<Vec<_>, _>>()?;
         std::thread::sleep(Duration::from_secs(1));
         let each = resident()?.saturating_sub(before) as f64 / open.len().max(1) as f64;
@@ -150,16 +173,27 @@
 /// Tokens checked whole, against the bare verification of as long a message by `ring`.
 fn tokens(rounds: usize) -> Result<(), String> {
     const EACH: usize = 2000;
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs();
     let mut ring = Ring::default();
     ring.announce(now - 60)?;
-    let claims = json!({ "iss": "i", "aud": "a", "sub": "ann", "groups": ["members"], "exp": now + 600 });
+    let claims =
+        json!({ "iss": "i", "aud": "a", "sub": "ann", "groups": ["members"], "exp": now + 600 });
     let token = ring.sign(now, &claims)?;
     let keys = KeySet::parse(ring.document()?.as_bytes()).map_err(|e| e.to_string())?;
-    let rules = TokenRules { issuer: "i".into(), audience: "a".into(), skew_s: 0 };
+    let rules = TokenRules {
+        issuer: "i".into(),
+        audience: "a".into(),
+        skew_s: 0,
+    };
     let made = Ed25519KeyPair::generate_pkcs8(&SystemRandom::new()).map_err(|_| "no key")?;
     let pair = Ed25519KeyPair::from_pkcs8(made.as_ref()).map_err(|_| "no key")?;
-    let message = token.rsplit_once('.').map(|(m, _)| m.as_bytes().to_vec()).unwrap_or_default();
+    let message = token
+        .rsplit_once('.')
+        .map(|(m, _)| m.as_bytes().to_vec())
+        .unwrap_or_default();
     let signature = pair.sign(&message);
     let public = UnparsedPublicKey::new(&ED25519, pair.public_key().as_ref().to_vec());
     let (mut whole, mut bare) = (Vec::new(), Vec::new());
@@ -171,7 +205,9 @@
         whole.push(EACH as f64 / start.elapsed().as_secs_f64());
         let start = Instant::now();
         for _ in 0..EACH {
-            public.verify(&message, signature.as_ref()).map_err(|e| e.to_string())?;
+            public
+                .verify(&message, signature.as_ref())
+                .map_err(|e| e.to_string())?;
         }
         bare.push(EACH as f64 / start.elapsed().as_secs_f64());
     }
--- a/programs/benchmark/src/sessions.rs
+++ b/programs/benchmark/src/sessions.rs
@@ -17,15 +17,21 @@
             listen.insert("sessions".into(), (count as i64 + 10).into());
         }
     })?;
-    let before = dispatcher.resident_kib().ok_or("the resident memory is not told")?;
+    let before = dispatcher
+        .resident_kib()
+        .ok_or("the resident memory is not told")?;
     let start = Instant::now();
-    let open = (0..count).map(|_| upgraded(&dispatcher.address)).collect::<Result<Vec<_>, _>>();
+    let open = (0..count)
+        .map(|_| upgraded(&dispatcher.address))
+        .collect::<Result<Vec<_>, _>>();
     let open = open.map_err(|e| e.to_string())?;
     let took = start.elapsed();
     std::thread::sleep(Duration::from_secs(1));
-    let after = dispatcher.resident_kib().ok_or("the resident memory is not told")?;
-    let client =
-        Client::connect(&dispatcher.address, "m", "d", Capture::none()).map_err(|e| e.to_string())?;
+    let after = dispatcher
+        .resident_kib()
+        .ok_or("the resident memory is not told")?;
+    let client = Client::connect(&dispatcher.address, "m", "d", Capture::none())
+        .map_err(|e| e.to_string())?;
     let create = serde_json::json!({ "type": "response.create", "model": "m", "input": "a hall? [len=5]",
         "metadata": { "class": "slot-query" } });
     let start = Instant::now();
@@ -60,6 +66,8 @@
     let n = stream.read(&mut head)?;
     match head[..n].starts_with(b"HTTP/1.1 101") {
         true => Ok(stream),
-        false => Err(std::io::Error::other(String::from_utf8_lossy(&head[..n]).into_owned())),
+        false => Err(std::io::Error::other(
+            String::from_utf8_lossy(&head[..n]).into_owned(),
+        )),
     }
 }
--- a/programs/benchmark/src/steps.rs
+++ b/programs/benchmark/src/steps.rs
@@ -15,15 +15,35 @@
         "engines", "sequences", "steps", "ns a step", "ns a token", "of a core each"
     );
     for slots in [1, 8, 64, 256] {
-        let constants = Constants { slots, queue: 4, memory_tokens: 4_000_000, ..Constants::default() };
-        let made = (0..engines).map(|_| Engine::new(constants)).collect::<Result<Vec<_>, _>>();
+        let constants = Constants {
+            slots,
+            queue: 4,
+            memory_tokens: 4_000_000,
+            ..Constants::default()
+        };
+        let made = (0..engines)
+            .map(|_| Engine::new(constants))
+            .collect::<Result<Vec<_>, _>>();
         let mut all = made.map_err(|e| format!("{e}; {}", e.advice()))?;
         let (mut out, mut next, mut steps, mut tokens) = (Vec::new(), 0u64, 0u64, 0u64);
         let mut submit = |engine: &mut Engine, at: f64, out: &mut Vec<Output>| {
             next += 1;
-            let prompt = Prompt { tokens: 400, marks: (0..6).map(|n| next * 8 + n).collect() };
-            let work = Work::FetchAndWrite { answer: 100 + (next % 400) as u32 };
-            engine.step(at, Input::Submit(Request { id: Id(next), prompt, work }), out);
+            let prompt = Prompt {
+                tokens: 400,
+                marks: (0..6).map(|n| next * 8 + n).collect(),
+            };
+            let work = Work::FetchAndWrite {
+                answer: 100 + (next % 400) as u32,
+            };
+            engine.step(
+                at,
+                Input::Submit(Request {
+                    id: Id(next),
+                    prompt,
+                    work,
+                }),
+                out,
+            );
         };
         let mut due: BTreeSet<(u64, usize)> = BTreeSet::new();
         for (i, engine) in all.iter_mut().enumerate() {
--- a/programs/benchmark/src/workflows.rs
+++ b/programs/benchmark/src/workflows.rs
@@ -6,9 +6,9 @@
 use bitternlatch_chaos::client::{Came, Client};
 use bitternlatch_chaos::process::{own_address, Dispatcher};
 use bitternlatch_core::settings::{Cluster, Peer};
+use bitternlatch_mock_engine::capture::{unix_us, Capture, Line};
 use bitternlatch_protocol::engine::{decode, ToEngine};
 use bitternlatch_protocol::workflow::Claimed;
-use bitternlatch_mock_engine::capture::{unix_us, Capture, Line};
 use crossbeam_channel::Receiver;
 use serde_json::json;
 
@@ -34,14 +34,23 @@
         std::fs::create_dir_all(&dir).map_err(fail)?;
         let mut list = String::from("name,address,port,kind,cell,zone\n");
         for (name, address, kind) in hosts {
-            let (ip, port) = address.rsplit_once(':').ok_or("an address without a port")?;
+            let (ip, port) = address
+                .rsplit_once(':')
+                .ok_or("an address without a port")?;
             list.push_str(&format!("{name},{ip},{port},{kind},rack-a,pos-site\n"));
         }
         std::fs::write(dir.join("hosts.csv"), list).map_err(fail)?;
-        std::fs::write(dir.join("secret"), "known to the members of this measurement\n").map_err(fail)?;
+        std::fs::write(
+            dir.join("secret"),
+            "known to the members of this measurement\n",
+        )
+        .map_err(fail)?;
         let settings: toml::Table = toml::from_str(SETTINGS).map_err(|e| e.to_string())?;
-        let peer =
-            |n: usize| Peer { name: format!("dispatch-{n}"), address: own_address(7811), clients: None };
+        let peer = |n: usize| Peer {
+            name: format!("dispatch-{n}"),
+            address: own_address(7811),
+            clients: None,
+        };
         let roster: Vec<Peer> = (1..=count).map(peer).collect();
         let mut all = Vec::new();
         for number in 1..=count {
@@ -97,7 +106,11 @@
 
     fn worker(&self, at: usize, name: &str) -> Result<Worker, String> {
         let client = Client::connect(&self.all[at].address, name, "d", Capture::none());
-        Ok(Worker { client: client.map_err(|e| e.to_string())?, name: name.to_string(), epoch: 0 })
+        Ok(Worker {
+            client: client.map_err(|e| e.to_string())?,
+            name: name.to_string(),
+            epoch: 0,
+        })
     }
 }
 
@@ -133,7 +146,8 @@
 
     fn claim(&mut self, workflow: &str) -> Result<Claimed, String> {
         let meta = json!({ "class": "slot-query", "workflow": workflow, "workflow_do": "claim", "workflow_worker": self.name });
-        let claimed: Claimed = serde_json::from_str(&self.ask(meta, "claim")?).map_err(|e| e.to_string())?;
+        let claimed: Claimed =
+            serde_json::from_str(&self.ask(meta, "claim")?).map_err(|e| e.to_string())?;
         self.epoch = claimed.epoch;
         Ok(claimed)
     }
@@ -141,7 +155,10 @@
     fn step(&self, workflow: &str, step: usize) -> Result<String, String> {
         let meta = json!({ "class": "slot-query", "workflow": workflow, "workflow_epoch": self.epoch.to_string(),
             "workflow_step": step.to_string(), "idempotency_key": format!("k{workflow}.{step}") });
-        self.ask(meta, &format!("a hall in week {step}? [len=2][req={workflow}.{step}]"))
+        self.ask(
+            meta,
+            &format!("a hall in week {step}? [len=2][req={workflow}.{step}]"),
+        )
     }
 
     fn plain(&self, mark: &str) -> Result<String, String> {
@@ -153,9 +170,14 @@
 /// When hosts first got a completion of each mark, of what they heard until now.
 fn asked_at(heard: &Receiver<Line>, of: &mut BTreeMap<String, u64>) {
     for line in heard.try_iter().filter(|l| l.dir == "in") {
-        let Ok(ToEngine::Completion { body, .. }) = decode(&line.text) else { continue };
-        let mark =
-            body.prompt.rfind("[req=").map(|i| &body.prompt[i + 5..]).and_then(|m| m.split(']').next());
+        let Ok(ToEngine::Completion { body, .. }) = decode(&line.text) else {
+            continue;
+        };
+        let mark = body
+            .prompt
+            .rfind("[req=")
+            .map(|i| &body.prompt[i + 5..])
+            .and_then(|m| m.split(']').next());
         if let Some(mark) = mark {
             of.entry(mark.to_string()).or_insert(line.t);
         }
@@ -177,7 +199,12 @@
 }
 
 /// Plain requests and steps by turns at one dispatcher.
-fn beside(fleet: &Fleet, heard: &Receiver<Line>, steps: usize, run: &str) -> Result<[Times; 2], String> {
+fn beside(
+    fleet: &Fleet,
+    heard: &Receiver<Line>,
+    steps: usize,
+    run: &str,
+) -> Result<[Times; 2], String> {
     let mut times = [Times::default(), Times::default()];
     let mut worker = fleet.worker(0, "w")?;
     let mut arrived = BTreeMap::new();
@@ -196,7 +223,9 @@
             };
             times.whole.push(began.elapsed().as_secs_f64() * 1e3);
             asked_at(heard, &mut arrived);
-            let at = arrived.get(&mark).ok_or_else(|| format!("{mark} reached no host"))?;
+            let at = arrived
+                .get(&mark)
+                .ok_or_else(|| format!("{mark} reached no host"))?;
             times.left.push(at.saturating_sub(said) as f64 / 1e3);
         }
     }
@@ -215,7 +244,10 @@
         let said = unix_us();
         worker.step(&workflow, step)?;
         asked_at(heard, &mut arrived);
-        let at = arrived.get(&format!("{workflow}.{step}")).copied().unwrap_or(said);
+        let at = arrived
+            .get(&format!("{workflow}.{step}"))
+            .copied()
+            .unwrap_or(said);
         let took = at.saturating_sub(said) as f64 / 1e3;
         match step {
             2..=50 => parts[0].push(took),
@@ -223,7 +255,9 @@
             _ => {}
         }
     }
-    parts.iter_mut().for_each(|part| part.sort_by(f64::total_cmp));
+    parts
+        .iter_mut()
+        .for_each(|part| part.sort_by(f64::total_cmp));
     Ok(parts.map(|part| [quantile(&part, 0.5), quantile(&part, 0.99)]))
 }
 
@@ -253,9 +287,19 @@
     let one = &one;
     let done: Vec<Result<usize, String>> = std::thread::scope(|scope| {
         let hands: Vec<_> = (0..AT_ONCE).map(|n| scope.spawn(move || one(n))).collect();
-        hands.into_iter().map(|h| h.join().unwrap_or_else(|_| Err("a caller ended".to_string()))).collect()
+        hands
+            .into_iter()
+            .map(|h| {
+                h.join()
+                    .unwrap_or_else(|_| Err("a caller ended".to_string()))
+            })
+            .collect()
     });
-    let done: usize = done.into_iter().collect::<Result<Vec<_>, _>>()?.into_iter().sum();
+    let done: usize = done
+        .into_iter()
+        .collect::<Result<Vec<_>, _>>()?
+        .into_iter()
+        .sum();
     Ok(done as f64 / began.elapsed().as_secs_f64())
 }
 
@@ -303,7 +347,11 @@
 fn shown(name: &str, [plain, step]: &[Times; 2]) {
     let at = |of: &[f64]| format!("{:>7.2} {:>7.2}", quantile(of, 0.5), quantile(of, 0.99));
     let added = |of: fn(&Times) -> &Vec<f64>, q| quantile(of(step), q) - quantile(of(plain), q);
-    println!("{name:<14} plain {}  step {}", at(&plain.left), at(&step.left));
+    println!(
+        "{name:<14} plain {}  step {}",
+        at(&plain.left),
+        at(&step.left)
+    );
     println!(
         "{:<14} added before a step p50 {:.2} ms, p99 {:.2} ms; to its end p50 {:.2} ms, p99 {:.2} ms",
         "",
@@ -323,7 +371,10 @@
         let mut fleet = Fleet::start(count, &list, kept)?;
         let name = format!("{count}, {}", if kept { "on disk" } else { "in memory" });
         shown(&name, &beside(&fleet, &heard, steps, "a")?);
-        let [plain, step] = [a_second(&fleet, "plain", false)?, a_second(&fleet, "steps", true)?];
+        let [plain, step] = [
+            a_second(&fleet, "plain", false)?,
+            a_second(&fleet, "steps", true)?,
+        ];
         println!(
             "{:<14} {AT_ONCE} callers: {plain:.0} plain requests a second, {step:.0} steps a second",
             ""
@@ -339,7 +390,10 @@
             let [worker, dispatcher] = deaths(&mut fleet, kills)?;
             for (what, took) in [("worker dies", worker), ("dispatcher killed", dispatcher)] {
                 let (p50, p99) = (quantile(&took, 0.5), quantile(&took, 0.99));
-                println!("{:<14} {what}, {kills} times: resumed after p50 {p50:.2} s, p99 {p99:.2} s", "");
+                println!(
+                    "{:<14} {what}, {kills} times: resumed after p50 {p50:.2} s, p99 {p99:.2} s",
+                    ""
+                );
             }
         }
         fleet.all.iter_mut().for_each(Dispatcher::kill);
--- a/programs/billing/src/lib.rs
+++ b/programs/billing/src/lib.rs
@@ -23,7 +23,9 @@
             return Err(format!("{}: no such file", path.display()));
         }
         let journal = Journal::open(path).map_err(|e| e.to_string())?;
-        let entries = journal.entries().map_err(|e| format!("{}: {e}", path.display()))?;
+        let entries = journal
+            .entries()
+            .map_err(|e| format!("{}: {e}", path.display()))?;
         for entry in entries.standing() {
             if all.offer(entry.clone()) == Offered::Contradicts {
                 contradictions.push(format!("{} in {}", entry.response, path.display()));
@@ -40,7 +42,9 @@
 pub fn begin_of(day: &str, zone: &str) -> Result<u64, String> {
     let date: Date = day.parse().map_err(|e| format!("'{day}': {e}"))?;
     let zone = TimeZone::get(zone).map_err(|e| e.to_string())?;
-    let at = zone.to_timestamp(DateTime::from(date)).map_err(|e| e.to_string())?;
+    let at = zone
+        .to_timestamp(DateTime::from(date))
+        .map_err(|e| e.to_string())?;
     u64::try_from(at.as_microsecond()).map_err(|_| format!("'{day}' is before 1970"))
 }
 
@@ -79,7 +83,9 @@
     let text = std::fs::read_to_string(path).map_err(|e| format!("{shown}: {e}"))?;
     let mut counts = reconcile::Counts::default();
     for (i, line) in text.lines().enumerate() {
-        counts.take(line).map_err(|e| format!("{shown}:{}: {e}", i + 1))?;
+        counts
+            .take(line)
+            .map_err(|e| format!("{shown}:{}: {e}", i + 1))?;
     }
     Ok(counts)
 }
--- a/programs/billing/src/main.rs
+++ b/programs/billing/src/main.rs
@@ -58,12 +58,22 @@
 /// False where something does not add up.
 fn run(args: &Args) -> Result<bool, String> {
     let (entries, contradictions) = gather(&args.journals)?;
-    contradictions.iter().for_each(|c| eprintln!("bitternlatch-billing: entries contradict each other: {c}"));
-    let at = |day: &Option<String>, open: u64| day.as_ref().map_or(Ok(open), |d| begin_of(d, &args.zone));
+    contradictions
+        .iter()
+        .for_each(|c| eprintln!("bitternlatch-billing: entries contradict each other: {c}"));
+    let at = |day: &Option<String>, open: u64| {
+        day.as_ref().map_or(Ok(open), |d| begin_of(d, &args.zone))
+    };
     let (from, to) = (at(&args.from, 0)?, at(&args.to, u64::MAX)?);
     if args.entries {
-        for entry in entries.standing().filter(|e| (from..to).contains(&e.taken_us)) {
-            println!("{}", serde_json::to_string(entry).map_err(|e| e.to_string())?);
+        for entry in entries
+            .standing()
+            .filter(|e| (from..to).contains(&e.taken_us))
+        {
+            println!(
+                "{}",
+                serde_json::to_string(entry).map_err(|e| e.to_string())?
+            );
         }
     } else {
         print(&rows(&entries.bill(from, to)), args.format)?;
@@ -87,10 +97,15 @@
 
 fn print(rows: &[Row], format: Format) -> Result<(), String> {
     match format {
-        Format::Json => println!("{}", serde_json::to_string_pretty(rows).map_err(|e| e.to_string())?),
+        Format::Json => println!(
+            "{}",
+            serde_json::to_string_pretty(rows).map_err(|e| e.to_string())?
+        ),
         Format::Csv => {
             let mut writer = csv::Writer::from_writer(std::io::stdout());
-            rows.iter().try_for_each(|r| writer.serialize(r)).map_err(|e| e.to_string())?;
+            rows.iter()
+                .try_for_each(|r| writer.serialize(r))
+                .map_err(|e| e.to_string())?;
             writer.flush().map_err(|e| e.to_string())?;
         }
         Format::Table => {
--- a/programs/billing/src/reconcile.rs
+++ b/programs/billing/src/reconcile.rs
@@ -48,13 +48,24 @@
 
     /// Takes one message of a host.
     pub fn take_text(&mut self, text: &str) {
-        let Ok(FromEngine::Chunk { id, body }) = decode::<FromEngine>(text) else { return };
+        let Ok(FromEngine::Chunk { id, body }) = decode::<FromEngine>(text) else {
+            return;
+        };
         let ended = body.choices.iter().any(|c| c.finish_reason.is_some());
-        let (Some(usage), true, Some((request, _))) = (body.usage, ended, id.split_once('-')) else { return };
+        let (Some(usage), true, Some((request, _))) = (body.usage, ended, id.split_once('-'))
+        else {
+            return;
+        };
         // A reader's count of the prompt alone is no answer.
         if body.kv_transfer_params.is_none() {
-            let amount = Amount { prompt: usage.prompt_tokens, output: usage.completion_tokens };
-            self.by_request.entry(request.to_string()).or_default().push(amount);
+            let amount = Amount {
+                prompt: usage.prompt_tokens,
+                output: usage.completion_tokens,
+            };
+            self.by_request
+                .entry(request.to_string())
+                .or_default()
+                .push(amount);
         }
     }
 
@@ -64,9 +75,17 @@
         let mut charged = Vec::new();
         for entry in entries.standing() {
             // A response's id is its request's wire id with a tag behind it.
-            let request = entry.response.strip_prefix("resp_").and_then(|r| r.get(..24)).unwrap_or_default();
+            let request = entry
+                .response
+                .strip_prefix("resp_")
+                .and_then(|r| r.get(..24))
+                .unwrap_or_default();
             charged.push(request.to_string());
-            let counts = self.by_request.get(request).map(Vec::as_slice).unwrap_or_default();
+            let counts = self
+                .by_request
+                .get(request)
+                .map(Vec::as_slice)
+                .unwrap_or_default();
             let all: u64 = counts.iter().map(|c| c.total()).sum();
             match entry.used {
                 Used::Known(amount) if counts.contains(&amount) => {
@@ -89,7 +108,9 @@
         }
         for (request, counts) in &self.by_request {
             if !charged.contains(request) {
-                found.faults.push(format!("request {request}: hosts counted {counts:?}, nothing is charged"));
+                found.faults.push(format!(
+                    "request {request}: hosts counted {counts:?}, nothing is charged"
+                ));
             }
         }
         found
--- a/programs/chaos/src/agents/field.rs
+++ b/programs/chaos/src/agents/field.rs
@@ -9,8 +9,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use bitternlatch_net::lock;
 use bitternlatch_mock_engine::capture::{unix_us, Line};
+use bitternlatch_net::lock;
 use rustix::process::{kill_process, Pid, Signal};
 
 use super::{workflows, Agents, Brief, WorkerFault, AS_WORKER};
@@ -37,7 +37,12 @@
         std::fs::write(&path, serde_json::to_string(&self.brief)?)?;
         let log = File::create(self.dir.join(format!("{run}.log")))?;
         let mut command = Command::new(&self.image);
-        command.arg(AS_WORKER).arg(&path).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        command
+            .arg(AS_WORKER)
+            .arg(&path)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
         self.child = Some(command.spawn()?);
         Ok(())
     }
@@ -117,14 +122,24 @@
         let mut places: Vec<Place> = (0..agents.workers).map(place).collect();
         places.iter_mut().try_for_each(Place::start)?;
         let places = Arc::new(Mutex::new(places));
-        Ok(Field { places, agents: agents.clone(), seed, over, pauses: Arc::default() })
+        Ok(Field {
+            places,
+            agents: agents.clone(),
+            seed,
+            over,
+            pauses: Arc::default(),
+        })
     }
 
     /// Threads that play what happens to workers, from now on.
     pub fn scripts(&self, faults: &[WorkerFault]) -> Vec<JoinHandle<()>> {
         let start = Instant::now();
         let play = |fault: &WorkerFault| {
-            let (fault, places, pauses) = (fault.clone(), Arc::clone(&self.places), Arc::clone(&self.pauses));
+            let (fault, places, pauses) = (
+                fault.clone(),
+                Arc::clone(&self.places),
+                Arc::clone(&self.pauses),
+            );
             std::thread::spawn(move || {
                 wait_until(start, fault.at_s);
                 let from = unix_us();
@@ -151,8 +166,10 @@
     /// Waits until every workflow is over or the day's time for it is, and ends all workers.
     pub fn wait(&self) {
         let by = Instant::now() + Duration::from_secs_f64(self.agents.within_s);
-        let names: Vec<PathBuf> =
-            workflows(&self.agents, self.seed).iter().map(|w| self.over.join(&w.name)).collect();
+        let names: Vec<PathBuf> = workflows(&self.agents, self.seed)
+            .iter()
+            .map(|w| self.over.join(&w.name))
+            .collect();
         while Instant::now() < by && !names.iter().all(|name| name.exists()) {
             std::thread::sleep(LOOK_EVERY);
         }
@@ -180,7 +197,9 @@
         let mut out = OpenOptions::new().append(true).open(clients)?;
         for place in lock(&self.places).iter() {
             for start in 1..=place.brief.start {
-                let path = place.dir.join(format!("{}.{start}.jsonl", place.brief.name));
+                let path = place
+                    .dir
+                    .join(format!("{}.{start}.jsonl", place.brief.name));
                 // One that was killed before it began has none.
                 let Ok(file) = File::open(path) else { continue };
                 let killed = place.killed.get(&start).copied();
@@ -199,7 +218,9 @@
     let mut all: Vec<Line> = Vec::new();
     let mut open: BTreeMap<String, String> = BTreeMap::new();
     for text in lines.split(b'\n') {
-        let Ok(line) = serde_json::from_slice::<Line>(&text?) else { break };
+        let Ok(line) = serde_json::from_slice::<Line>(&text?) else {
+            break;
+        };
         match line.dir.as_str() {
             "open" => drop(open.insert(line.peer.clone(), line.who.clone())),
             "close" | "drop" | "bye" | "gave_up" => drop(open.remove(&line.peer)),
@@ -209,7 +230,13 @@
     }
     if let Some(killed) = killed {
         let t = all.last().map_or(killed, |l| l.t.max(killed));
-        let drop = |(peer, who)| Line { t, who, peer, dir: "drop".to_string(), text: String::new() };
+        let drop = |(peer, who)| Line {
+            t,
+            who,
+            peer,
+            dir: "drop".to_string(),
+            text: String::new(),
+        };
         all.extend(open.into_iter().map(drop));
     }
     Ok(all)
@@ -222,13 +249,21 @@
     #[test]
     fn a_killed_workers_torn_line_is_left_out_and_its_sessions_are_dropped() {
         let line = |t: u64, peer: &str, dir: &str| {
-            serde_json::json!({ "t": t, "who": "w", "peer": peer, "dir": dir, "text": "" }).to_string()
+            serde_json::json!({ "t": t, "who": "w", "peer": peer, "dir": dir, "text": "" })
+                .to_string()
         };
-        let lines = [line(1, "a", "open"), line(2, "b", "open"), line(3, "a", "bye"), "{\"t\":4,".into()];
+        let lines = [
+            line(1, "a", "open"),
+            line(2, "b", "open"),
+            line(3, "a", "bye"),
+            "{\"t\":4,".into(),
+        ];
         let text = lines.join("\n");
         let dirs = |killed| {
             let all = closed(text.as_bytes(), killed).expect("lines");
-            all.into_iter().map(|l| (l.t, l.peer, l.dir)).collect::<Vec<_>>()
+            all.into_iter()
+                .map(|l| (l.t, l.peer, l.dir))
+                .collect::<Vec<_>>()
         };
         assert_eq!(dirs(None).len(), 3);
         assert_eq!(dirs(Some(9))[3], (9, "b".to_string(), "drop".to_string()));
--- a/programs/chaos/src/agents/plan.rs
+++ b/programs/chaos/src/agents/plan.rs
@@ -73,8 +73,14 @@
     /// # Errors
     /// With its key.
     pub fn check(&self) -> Result<(), String> {
-        let counts = [("workers", self.workers, 64), ("workflows", self.workflows, 10_000)];
-        let more = [("steps", self.steps as usize, 10_000), ("at_once", self.at_once, 64)];
+        let counts = [
+            ("workers", self.workers, 64),
+            ("workflows", self.workflows, 10_000),
+        ];
+        let more = [
+            ("steps", self.steps as usize, 10_000),
+            ("at_once", self.at_once, 64),
+        ];
         for (key, value, most) in counts.into_iter().chain(more) {
             if !(1..=most).contains(&value) {
                 return Err(format!("agents.{key}: {value} is not between 1 and {most}"));
@@ -84,7 +90,10 @@
             return Err("agents: shares are 0 to 1 together".to_string());
         }
         if !(1.0..=600.0).contains(&self.within_s) {
-            return Err(format!("agents.within_s: {} is not between 1 and 600", self.within_s));
+            return Err(format!(
+                "agents.within_s: {} is not between 1 and 600",
+                self.within_s
+            ));
         }
         Ok(())
     }
@@ -94,7 +103,10 @@
     /// What the judge is told of it.
     pub fn facts(&self) -> WorkflowFacts {
         let effect = |step: &Step| EFFECTS[step.effect.min(2)].to_string();
-        WorkflowFacts { name: self.name.clone(), effects: self.steps.iter().map(effect).collect() }
+        WorkflowFacts {
+            name: self.name.clone(),
+            effects: self.steps.iter().map(effect).collect(),
+        }
     }
 }
 
@@ -115,12 +127,17 @@
             text.push_str(&format!("{:x} ", (share() * 1e15) as u64));
         }
         // The answer opens with who gave it, so that two runs of a step are told apart.
-        let text = format!("{text}[signed][len={}][req={of}.{number}]", agents.answer_tokens);
+        let text = format!(
+            "{text}[signed][len={}][req={of}.{number}]",
+            agents.answer_tokens
+        );
         Step { effect, text }
     };
     let one = |n: usize| {
         let name = format!("wf-{n}");
-        let steps = (1..=agents.steps).map(|number| step(&name, number)).collect();
+        let steps = (1..=agents.steps)
+            .map(|number| step(&name, number))
+            .collect();
         Planned { name, steps }
     };
     (1..=agents.workflows).map(one).collect()
--- a/programs/chaos/src/agents/troubles.rs
+++ b/programs/chaos/src/agents/troubles.rs
@@ -78,14 +78,19 @@
     (count, scripted): (usize, &[ProcessFault]),
 ) {
     let killed = chance.share() < 0.5;
-    let for_s = if killed { chance.within(0.1, 1.5) } else { chance.within(0.2, 4.0) };
+    let for_s = if killed {
+        chance.within(0.1, 1.5)
+    } else {
+        chance.within(0.2, 4.0)
+    };
     let fault = ProcessFault {
         at_s,
         for_s,
         dispatcher: chance.below(count) + 1,
         what: if killed { What::Kill } else { What::Pause },
     };
-    let near = |f: &&ProcessFault| f.at_s < at_s + for_s + REST_S && at_s < f.at_s + f.for_s + REST_S;
+    let near =
+        |f: &&ProcessFault| f.at_s < at_s + for_s + REST_S && at_s < f.at_s + f.for_s + REST_S;
     let most = AWAY_MOST.min(count.saturating_sub(1) / 2);
     let away = scripted.iter().chain(&drawn.process).filter(near);
     if away.clone().all(|f| f.dispatcher != fault.dispatcher) && away.count() < most {
@@ -96,11 +101,25 @@
 fn worker(drawn: &mut Drawn, chance: &mut Chance, at_s: f64, count: usize) {
     let killed = chance.share() < 0.6;
     // A pause outlasts the lease now and then, so that its worker comes back to what another one carries.
-    let for_s = if killed { chance.within(0.1, 2.0) } else { chance.within(0.2, 6.0) };
+    let for_s = if killed {
+        chance.within(0.1, 2.0)
+    } else {
+        chance.within(0.2, 6.0)
+    };
     let worker = chance.below(count);
     let apart = |f: &WorkerFault| at_s + for_s < f.at_s || f.at_s + f.for_s + 0.2 < at_s;
-    if drawn.workers.iter().filter(|f| f.worker == worker).all(apart) {
-        drawn.workers.push(WorkerFault { at_s, for_s, worker, killed });
+    if drawn
+        .workers
+        .iter()
+        .filter(|f| f.worker == worker)
+        .all(apart)
+    {
+        drawn.workers.push(WorkerFault {
+            at_s,
+            for_s,
+            worker,
+            killed,
+        });
     }
 }
 
@@ -108,7 +127,11 @@
     let one = chance.below(count) + 1;
     let other = (one + chance.below(count - 1)) % count + 1;
     // One from another, or one from all.
-    let with = if chance.share() < 0.6 { vec![other] } else { vec![] };
+    let with = if chance.share() < 0.6 {
+        vec![other]
+    } else {
+        vec![]
+    };
     let way = [Way::Both, Way::Both, Way::Out, Way::In][chance.below(4)];
     drawn.between.push(BetweenFault {
         at_s,
--- a/programs/chaos/src/agents/worker.rs
+++ b/programs/chaos/src/agents/worker.rs
@@ -6,12 +6,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+use bitternlatch_mock_engine::capture::Capture;
 use bitternlatch_net::lock;
 use bitternlatch_protocol::client::{META_CLASS, META_KEY};
 use bitternlatch_protocol::workflow::{
     Claimed, StepFate, META_DO, META_EPOCH, META_STEP, META_WORKER, META_WORKFLOW,
 };
-use bitternlatch_mock_engine::capture::Capture;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
@@ -87,12 +87,23 @@
     let own = |i: usize| i % brief.agents.workers == brief.number;
     let place = |(i, plan): (usize, Planned)| {
         // Its own first; others' once their workers have had the time to begin.
-        let wait = if own(i) { Duration::ZERO } else { 2 * LOOK_AGAIN };
-        Place { plan, next: Some(now + wait) }
+        let wait = if own(i) {
+            Duration::ZERO
+        } else {
+            2 * LOOK_AGAIN
+        };
+        Place {
+            plan,
+            next: Some(now + wait),
+        }
     };
     let plans = workflows(&brief.agents, brief.seed);
     let places = plans.into_iter().enumerate().map(place).collect();
-    let table = Arc::new(Table { places: Mutex::new(places), tries: 0.into(), connections: 0.into() });
+    let table = Arc::new(Table {
+        places: Mutex::new(places),
+        tries: 0.into(),
+        connections: 0.into(),
+    });
     std::thread::scope(|scope| {
         for hand in 0..brief.agents.at_once {
             let table = &table;
@@ -130,7 +141,13 @@
 
 impl<'a> Hand<'a> {
     fn new(brief: &'a Brief, capture: &'a Capture, table: &'a Table, hand: usize) -> Hand<'a> {
-        Hand { brief, capture, table, at: brief.number + hand, open: None }
+        Hand {
+            brief,
+            capture,
+            table,
+            at: brief.number + hand,
+            open: None,
+        }
     }
 
     fn run(mut self) {
@@ -168,7 +185,10 @@
             return None;
         }
         let now = Instant::now();
-        let due = places.iter().enumerate().filter(|(_, p)| p.next.is_some_and(|at| at <= now) && !over(p));
+        let due = places
+            .iter()
+            .enumerate()
+            .filter(|(_, p)| p.next.is_some_and(|at| at <= now) && !over(p));
         let first = due.min_by_key(|(_, p)| p.next).map(|(i, _)| i);
         if let Some(i) = first {
             places[i].next = None;
@@ -184,12 +204,15 @@
             Heard::Refused(code, after) => return self.refused(&code, after),
             Heard::Gone => return self.elsewhere(),
         };
-        let Ok(claimed) = granted else { return self.elsewhere() };
+        let Ok(claimed) = granted else {
+            return self.elsewhere();
+        };
         let epoch = claimed.epoch.to_string();
         let listed = |n: u32| claimed.steps.iter().find(|s| s.number == n);
         let first_listed = claimed.steps.iter().map(|s| s.number).min();
         // What is no longer listed is told by the context, and done.
-        let compacted = |n: u32| !claimed.context.is_empty() && first_listed.is_none_or(|first| n < first);
+        let compacted =
+            |n: u32| !claimed.context.is_empty() && first_listed.is_none_or(|first| n < first);
         for (n, step) in (1u32..).zip(&plan.steps) {
             let done = listed(n).map_or(compacted(n), |s| s.fate == StepFate::Done);
             if done {
@@ -197,8 +220,12 @@
             }
             let (number, key) = (n.to_string(), format!("k{}.{n}", plan.name));
             let class = &self.brief.agents.classes[step.effect.min(2)];
-            let meta =
-                [(META_CLASS, class.as_str()), (META_KEY, &key), (META_EPOCH, &epoch), (META_STEP, &number)];
+            let meta = [
+                (META_CLASS, class.as_str()),
+                (META_KEY, &key),
+                (META_EPOCH, &epoch),
+                (META_STEP, &number),
+            ];
             loop {
                 match self.ask(plan, &meta, &step.text, STEP_PATIENCE, Some(&epoch)) {
                     Heard::Done(_) => break,
@@ -222,7 +249,9 @@
     /// As an agent's model does before it asks for the next tool; drawn from what it is about.
     fn think(&self, plan: &Planned, step: u32) {
         let bytes = plan.name.bytes().chain(step.to_le_bytes());
-        let draw = bytes.fold(7u32, |sum, b| sum.wrapping_mul(31).wrapping_add(u32::from(b))) % 1000;
+        let draw = bytes.fold(7u32, |sum, b| {
+            sum.wrapping_mul(31).wrapping_add(u32::from(b))
+        }) % 1000;
         let think_s = self.brief.agents.think_s.max(0.0) * f64::from(draw) / 1000.0;
         std::thread::sleep(Duration::from_secs_f64(think_s));
     }
@@ -238,7 +267,11 @@
             _ => {
                 // Where this one cannot, another one may.
                 self.elsewhere();
-                Turn::Later(after.unwrap_or(BREATH).clamp(BREATH, Duration::from_secs(1)))
+                Turn::Later(
+                    after
+                        .unwrap_or(BREATH)
+                        .clamp(BREATH, Duration::from_secs(1)),
+                )
             }
         }
     }
@@ -263,13 +296,20 @@
         if !self.connect() {
             return Heard::Gone;
         }
-        let Some(client) = &self.open else { return Heard::Gone };
+        let Some(client) = &self.open else {
+            return Heard::Gone;
+        };
         let name = self.say(client, plan, meta, input);
         let (began, mut spoke) = (Instant::now(), Instant::now());
         while began.elapsed() < patience {
             if let Some(epoch) = carries.filter(|_| spoke.elapsed() >= CARRY_EVERY) {
                 spoke = Instant::now();
-                self.say(client, plan, &[(META_DO, "carry"), (META_EPOCH, epoch)], "carry");
+                self.say(
+                    client,
+                    plan,
+                    &[(META_DO, "carry"), (META_EPOCH, epoch)],
+                    "carry",
+                );
             }
             match client.next(CARRY_EVERY.min(patience.saturating_sub(began.elapsed()))) {
                 Came::Silence => {}
@@ -279,21 +319,30 @@
                 }
                 Came::Event(event) if event.is_final() => {
                     let response = event.response.as_ref();
-                    let of = response.and_then(|r| r.metadata.get("try")).map(String::as_str);
+                    let of = response
+                        .and_then(|r| r.metadata.get("try"))
+                        .map(String::as_str);
                     let error = event.error.as_ref();
                     let named = error.and_then(|e| e.get("metadata")?.get("try")?.as_str());
                     if of.or(named) != Some(name.as_str()) {
                         continue;
                     }
                     if let Some(error) = error {
-                        let after = error.get("retry_after_ms").and_then(serde_json::Value::as_u64);
-                        let code = error.get("code").and_then(|c| c.as_str()).unwrap_or_default();
+                        let after = error
+                            .get("retry_after_ms")
+                            .and_then(serde_json::Value::as_u64);
+                        let code = error
+                            .get("code")
+                            .and_then(|c| c.as_str())
+                            .unwrap_or_default();
                         return Heard::Refused(code.to_string(), after.map(Duration::from_millis));
                     }
                     return match response.and_then(|r| r.error.as_ref()) {
                         Some(e) => Heard::Refused(
                             e.code.clone(),
-                            e.retry_after_ms.filter(|_| e.safe_to_repeat).map(Duration::from_millis),
+                            e.retry_after_ms
+                                .filter(|_| e.safe_to_repeat)
+                                .map(Duration::from_millis),
                         ),
                         None => Heard::Done(text_of(response)),
                     };
@@ -344,6 +393,9 @@
 }
 
 fn text_of(response: Option<&bitternlatch_protocol::client::Response>) -> String {
-    let parts = response.into_iter().flat_map(|r| &r.output).flat_map(|item| &item.content);
+    let parts = response
+        .into_iter()
+        .flat_map(|r| &r.output)
+        .flat_map(|item| &item.content);
     parts.map(|part| part.text.as_str()).collect()
 }
--- a/programs/chaos/src/between.rs
+++ b/programs/chaos/src/between.rs
@@ -40,7 +40,11 @@
 impl Rule {
     /// How long a slow link is busy with so many bytes.
     pub(crate) fn busy_with(&self, bytes: usize) -> Duration {
-        let seconds = if self.bytes_s > 0.0 { bytes as f64 / self.bytes_s } else { 0.0 };
+        let seconds = if self.bytes_s > 0.0 {
+            bytes as f64 / self.bytes_s
+        } else {
+            0.0
+        };
         Duration::from_secs_f64(seconds.min(60.0))
     }
 }
@@ -76,9 +80,18 @@
     /// # Errors
     /// Where the system gives no socket or thread.
     pub fn start(members: &[(String, SocketAddrV4)], seed: u64) -> io::Result<Between> {
-        let names: BTreeMap<_, _> = members.iter().enumerate().map(|(i, m)| (NameKey::of(&m.0), i)).collect();
+        let names: BTreeMap<_, _> = members
+            .iter()
+            .enumerate()
+            .map(|(i, m)| (NameKey::of(&m.0), i))
+            .collect();
         let (stop, rules) = (Arc::<AtomicBool>::default(), Rules::default());
-        let mut between = Between { fronts: vec![], rules, stop, threads: vec![] };
+        let mut between = Between {
+            fronts: vec![],
+            rules,
+            stop,
+            threads: vec![],
+        };
         for (to, (_, address)) in members.iter().enumerate() {
             let front = own_address(7911);
             let socket = UdpSocket::bind(front)?;
@@ -104,7 +117,9 @@
                 stop: Arc::clone(&between.stop),
             };
             let thread = std::thread::Builder::new().name(format!("links to {to}"));
-            between.threads.push(thread.spawn(move || door.run(&listener))?);
+            between
+                .threads
+                .push(thread.spawn(move || door.run(&listener))?);
             let thread = std::thread::Builder::new().name(format!("before {to}"));
             between.threads.push(thread.spawn(move || relay.run())?);
         }
@@ -123,7 +138,9 @@
 
     /// Sets what is done between those inside a group and those outside, in both directions.
     pub fn part(&self, group: &[usize], rule: Rule) {
-        self.set_where(rule, |from, to| group.contains(&from) != group.contains(&to));
+        self.set_where(rule, |from, to| {
+            group.contains(&from) != group.contains(&to)
+        });
     }
 
     /// Sets what is done everywhere.
@@ -133,15 +150,21 @@
 
     fn set_where(&self, rule: Rule, fits: impl Fn(usize, usize) -> bool) {
         let all = 0..self.fronts.len();
-        let pairs = all.clone().flat_map(|from| all.clone().map(move |to| (from, to)));
-        pairs.filter(|(from, to)| fits(*from, *to)).for_each(|(from, to)| self.set(from, to, rule));
+        let pairs = all
+            .clone()
+            .flat_map(|from| all.clone().map(move |to| (from, to)));
+        pairs
+            .filter(|(from, to)| fits(*from, *to))
+            .for_each(|(from, to)| self.set(from, to, rule));
     }
 }
 
 impl Drop for Between {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
-        self.threads.drain(..).for_each(|thread| drop(thread.join()));
+        self.threads
+            .drain(..)
+            .for_each(|thread| drop(thread.join()));
     }
 }
 
@@ -149,10 +172,18 @@
     fn run(mut self) {
         let mut buffer = [0u8; LONGEST];
         while !self.stop.load(Ordering::SeqCst) {
-            let due = self.under_way.keys().next().map(|k| k.0.saturating_duration_since(Instant::now()));
-            let wait = due.unwrap_or(LOOK_EVERY).clamp(Duration::from_millis(1), LOOK_EVERY);
-            let heard =
-                self.socket.set_read_timeout(Some(wait)).and_then(|()| self.socket.recv_from(&mut buffer));
+            let due = self
+                .under_way
+                .keys()
+                .next()
+                .map(|k| k.0.saturating_duration_since(Instant::now()));
+            let wait = due
+                .unwrap_or(LOOK_EVERY)
+                .clamp(Duration::from_millis(1), LOOK_EVERY);
+            let heard = self
+                .socket
+                .set_read_timeout(Some(wait))
+                .and_then(|()| self.socket.recv_from(&mut buffer));
             match heard {
                 Ok((n, _)) => self.take(&buffer[..n]),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
@@ -170,8 +201,9 @@
     fn take(&mut self, datagram: &[u8]) {
         // Noise passes as it is: there is no rule for who cannot be named.
         let from = sender(datagram).and_then(|name| self.names.get(&name).copied());
-        let rule =
-            from.and_then(|from| lock(&self.rules).get(&(from, self.to.0)).copied()).unwrap_or_default();
+        let rule = from
+            .and_then(|from| lock(&self.rules).get(&(from, self.to.0)).copied())
+            .unwrap_or_default();
         let copies = if self.draw() < rule.twice { 2 } else { 1 };
         for _ in 0..copies {
             let (lost, late) = (self.draw() < rule.lost, self.draw() * rule.jitter_s);
@@ -189,7 +221,11 @@
     }
 
     fn forward(&mut self) {
-        while let Some(first) = self.under_way.first_entry().filter(|e| e.key().0 <= Instant::now()) {
+        while let Some(first) = self
+            .under_way
+            .first_entry()
+            .filter(|e| e.key().0 <= Instant::now())
+        {
             // A closed port is the receiver's affair.
             let _ = self.socket.send_to(&first.remove(), self.to.1);
         }
--- a/programs/chaos/src/client.rs
+++ b/programs/chaos/src/client.rs
@@ -3,10 +3,10 @@
 use std::io;
 use std::time::Duration;
 
+use bitternlatch_mock_engine::capture::Capture;
 use bitternlatch_net::dial::{dial_as, Manner};
 use bitternlatch_net::socket::{Heard, Limits, Outbox};
 use bitternlatch_protocol::client::ServerEvent;
-use bitternlatch_mock_engine::capture::Capture;
 use crossbeam_channel::{unbounded, Receiver};
 
 /// What came.
@@ -46,10 +46,20 @@
         capture: Capture,
         manner: &Manner,
     ) -> io::Result<Client> {
-        let limits =
-            Limits { message_bytes: 8 << 20, queue: 4096, ping: Duration::from_secs(10), idle: None };
-        let (mut reader, outbox) =
-            dial_as(endpoint, "/v1/responses", manner, Duration::from_secs(2), limits, None)?;
+        let limits = Limits {
+            message_bytes: 8 << 20,
+            queue: 4096,
+            ping: Duration::from_secs(10),
+            idle: None,
+        };
+        let (mut reader, outbox) = dial_as(
+            endpoint,
+            "/v1/responses",
+            manner,
+            Duration::from_secs(2),
+            limits,
+            None,
+        )?;
         let (to, heard) = unbounded();
         capture.put(who, peer, "open", "");
         let (name, other, lines) = (who.to_string(), peer.to_string(), capture.clone());
@@ -66,8 +76,16 @@
                 }
             }
         };
-        std::thread::Builder::new().stack_size(128 * 1024).spawn(read)?;
-        Ok(Client { outbox, heard, who: who.to_string(), peer: peer.to_string(), capture })
+        std::thread::Builder::new()
+            .stack_size(128 * 1024)
+            .spawn(read)?;
+        Ok(Client {
+            outbox,
+            heard,
+            who: who.to_string(),
+            peer: peer.to_string(),
+            capture,
+        })
     }
 
     /// Says one message; a session that has ended is heard of by [`Client::next`].
@@ -85,7 +103,9 @@
             },
             Ok(Err(why)) => Came::Closed(why),
             Err(crossbeam_channel::RecvTimeoutError::Timeout) => Came::Silence,
-            Err(crossbeam_channel::RecvTimeoutError::Disconnected) => Came::Closed("closed".to_string()),
+            Err(crossbeam_channel::RecvTimeoutError::Disconnected) => {
+                Came::Closed("closed".to_string())
+            }
         }
     }
 
--- a/programs/chaos/src/clients.rs
+++ b/programs/chaos/src/clients.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bitternlatch_net::dial::Manner;
 use bitternlatch_mock_engine::capture::Capture;
+use bitternlatch_net::dial::Manner;
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde_json::json;
@@ -101,19 +101,35 @@
     let m = &day.mix[mix];
     let shared = chance.share() < m.prefix_share && m.prefixes > 0;
     let which = chance.within([0, m.prefixes.saturating_sub(1)]);
-    let own = text(day.seed ^ (mix as u64) << 40 ^ u64::from(which) << 20, m.prefix_tokens);
+    let own = text(
+        day.seed ^ (mix as u64) << 40 ^ u64::from(which) << 20,
+        m.prefix_tokens,
+    );
     let instructions = if shared { own } else { String::new() };
     let turns = (0..chance.within(m.turns)).map(|_| {
         let tokens = chance.within(m.turn_tokens);
         let seed = chance.0.next_u64();
         let answer_tokens = chance.within(m.answer_tokens);
-        Turn { text: text(seed, tokens), answer_tokens, drops: chance.share() < day.drop_share }
+        Turn {
+            text: text(seed, tokens),
+            answer_tokens,
+            drops: chance.share() < day.drop_share,
+        }
     });
     let turns = turns.collect();
     // From a draw of its own, so that the same day with other manners asks the same.
-    let mut drawn = Chance(Xoshiro256PlusPlus::seed_from_u64(day.seed ^ (number as u64) << 16 ^ 0x6d61));
+    let mut drawn = Chance(Xoshiro256PlusPlus::seed_from_u64(
+        day.seed ^ (number as u64) << 16 ^ 0x6d61,
+    ));
     let own = day.clients.of(drawn.share(), drawn.share());
-    Plan { number, at_s, mix, turns, instructions, own }
+    Plan {
+        number,
+        at_s,
+        mix,
+        turns,
+        instructions,
+        own,
+    }
 }
 
 /// How one try ended.
@@ -155,7 +171,11 @@
         tries: 0,
         at: plan.number,
         connections: 0,
-        manner: service.proofs.as_ref().map(|p| p.manner(plan.number)).unwrap_or_default(),
+        manner: service
+            .proofs
+            .as_ref()
+            .map(|p| p.manner(plan.number))
+            .unwrap_or_default(),
     };
     for (i, turn) in plan.turns.iter().enumerate() {
         if !talk.turn(plan, i, turn) {
@@ -171,7 +191,12 @@
 impl Talk<'_> {
     /// One turn with its repeats; false ends the conversation.
     fn turn(&mut self, plan: &Plan, number: usize, turn: &Turn) -> bool {
-        let (safe, _) = self.service.classes.get(self.class).copied().unwrap_or((true, 5.0));
+        let (safe, _) = self
+            .service
+            .classes
+            .get(self.class)
+            .copied()
+            .unwrap_or((true, 5.0));
         let mark = format!("{}.{number}", plan.number);
         let mut drops = turn.drops && !safe;
         for _ in 0..=self.service.retries {
@@ -196,7 +221,11 @@
 
     /// Waits as its manners are, and goes elsewhere.
     fn refused(&mut self, own: Own, after_s: f64) {
-        let wait_s = if own.hasty { 0.0 } else { after_s.min(self.service.manners.waits_most_s) };
+        let wait_s = if own.hasty {
+            0.0
+        } else {
+            after_s.min(self.service.manners.waits_most_s)
+        };
         std::thread::sleep(Duration::from_secs_f64(wait_s));
         if own.roaming {
             if let Some((_, client)) = self.open.take() {
@@ -211,15 +240,21 @@
         if self.connect().is_none() {
             return End::Cut;
         }
-        let Some((at, client)) = &self.open else { return End::Cut };
+        let Some((at, client)) = &self.open else {
+            return End::Cut;
+        };
         let drops = drops && !self.service.killed.contains(at);
         self.tries += 1;
         let name = format!("{}-{}", self.who, self.tries);
         let input = match &self.previous {
             Some(_) => format!("{} [len={}][req={mark}]", turn.text, turn.answer_tokens),
-            None => format!("{}{} [len={}][req={mark}]", self.said, turn.text, turn.answer_tokens),
+            None => format!(
+                "{}{} [len={}][req={mark}]",
+                self.said, turn.text, turn.answer_tokens
+            ),
         };
-        let mut metadata = json!({ "class": self.class, "try": name, "idempotency_key": format!("k{mark}") });
+        let mut metadata =
+            json!({ "class": self.class, "try": name, "idempotency_key": format!("k{mark}") });
         if let Some(tenant) = self.tenant {
             metadata["tenant"] = tenant.into();
         }
@@ -241,8 +276,15 @@
     }
 
     fn listen(&self, drops: bool) -> End {
-        let Some((_, client)) = &self.open else { return End::Cut };
-        let (_, patience) = self.service.classes.get(self.class).copied().unwrap_or((true, 5.0));
+        let Some((_, client)) = &self.open else {
+            return End::Cut;
+        };
+        let (_, patience) = self
+            .service
+            .classes
+            .get(self.class)
+            .copied()
+            .unwrap_or((true, 5.0));
         let start = Instant::now();
         let mut by = start + Duration::from_secs_f64(patience + 1.0);
         let drop_at = drops.then(|| start + Duration::from_millis(300));
@@ -269,7 +311,9 @@
                 Came::Event(event) => {
                     // A running answer may take as long as it goes on.
                     by = Instant::now() + Duration::from_secs_f64(patience + 1.0);
-                    if let Some(response) = event.response.filter(|_| event.kind != "response.created") {
+                    if let Some(response) =
+                        event.response.filter(|_| event.kind != "response.created")
+                    {
                         return match response.error {
                             None => End::Served(response.id),
                             Some(e) if e.safe_to_repeat => {
--- a/programs/chaos/src/day.rs
+++ b/programs/chaos/src/day.rs
@@ -141,19 +141,32 @@
             day.hosts.extend(hosts(raw)?);
         }
         let known = |name: &String| day.hosts.iter().any(|h| h.config.name == *name);
-        let named = day.faults.iter().flat_map(|f| &f.hosts).chain(day.drains.iter().flat_map(|d| &d.hosts));
+        let named = day
+            .faults
+            .iter()
+            .flat_map(|f| &f.hosts)
+            .chain(day.drains.iter().flat_map(|d| &d.hosts));
         if let Some(unknown) = named.into_iter().find(|n| !known(n)) {
             return Err(format!("host '{unknown}' is not there"));
         }
-        let bounds = [("for_s", day.for_s, 600.0), ("rate_rps", day.rate_rps, 1000.0)];
+        let bounds = [
+            ("for_s", day.for_s, 600.0),
+            ("rate_rps", day.rate_rps, 1000.0),
+        ];
         for (name, value, most) in bounds {
             if !(0.1..=most).contains(&value) {
                 return Err(format!("{name}: {value} is not between 0.1 and {most}"));
             }
         }
         // Both are played by the cluster's scripts; without it they would be passed by in silence.
-        let parted = [("between", !day.between.is_empty()), ("process", !day.process.is_empty())];
-        if let Some((key, _)) = parted.iter().find(|(_, there)| *there && !day.dispatchers.cluster) {
+        let parted = [
+            ("between", !day.between.is_empty()),
+            ("process", !day.process.is_empty()),
+        ];
+        if let Some((key, _)) = parted
+            .iter()
+            .find(|(_, there)| *there && !day.dispatchers.cluster)
+        {
             return Err(format!("{key}: needs dispatchers.cluster = true"));
         }
         day.agents.as_ref().map_or(Ok(()), Agents::check)?;
@@ -181,13 +194,26 @@
 
     /// Names of the troubles that it holds.
     pub fn troubles(&self) -> Vec<String> {
-        let mut all: Vec<String> = self.faults.iter().map(|f| format!("{:?}", f.trouble)).collect();
-        all.extend(self.dispatchers.restarts.iter().map(|_| "DispatcherKilled".to_string()));
+        let mut all: Vec<String> = self
+            .faults
+            .iter()
+            .map(|f| format!("{:?}", f.trouble))
+            .collect();
+        all.extend(
+            self.dispatchers
+                .restarts
+                .iter()
+                .map(|_| "DispatcherKilled".to_string()),
+        );
         all.extend(self.drains.iter().map(|_| "ListDrain".to_string()));
         all.extend((!self.surge.is_empty()).then(|| "Surge".to_string()));
         all.extend((self.drop_share > 0.0).then(|| "ClientsDrop".to_string()));
         all.extend((!self.between.is_empty()).then(|| "BetweenDispatchers".to_string()));
-        all.extend(self.process.iter().map(|p| format!("Dispatcher{:?}", p.what)));
+        all.extend(
+            self.process
+                .iter()
+                .map(|p| format!("Dispatcher{:?}", p.what)),
+        );
         if self.agents.as_ref().is_some_and(|a| a.kills > 0) {
             all.push("DrawnKillsPausesCuts".to_string());
         }
@@ -206,8 +232,12 @@
             Trouble::Deploy => Some(f.at_s + f.for_s),
             _ => None,
         };
-        let each = self.faults.iter().filter_map(|f| at(f).map(|t| (t, &f.hosts)));
-        each.flat_map(|(t, hosts)| hosts.iter().map(move |h| (t, h.clone()))).collect()
+        let each = self
+            .faults
+            .iter()
+            .filter_map(|f| at(f).map(|t| (t, &f.hosts)));
+        each.flat_map(|(t, hosts)| hosts.iter().map(move |h| (t, h.clone())))
+            .collect()
     }
 
     pub fn standins(&self) -> bitternlatch_mock_engine::Config {
@@ -224,21 +254,30 @@
 /// The hosts of one entry: a range of names, spread over its cells.
 fn hosts(mut raw: toml::Table) -> Result<Vec<DayHost>, String> {
     let text = |v: Option<toml::Value>, key: &str| {
-        v.and_then(|v| v.as_str().map(str::to_string)).ok_or_else(|| format!("a host needs {key}, a text"))
+        v.and_then(|v| v.as_str().map(str::to_string))
+            .ok_or_else(|| format!("a host needs {key}, a text"))
     };
     let kind = text(raw.remove("kind"), "kind")?;
     let pattern = text(raw.remove("name"), "name")?;
     let cells = match raw.remove("cells") {
         None => vec!["default".to_string()],
-        Some(v) => v.try_into::<Vec<String>>().map_err(|e| format!("host '{pattern}': cells: {e}"))?,
+        Some(v) => v
+            .try_into::<Vec<String>>()
+            .map_err(|e| format!("host '{pattern}': cells: {e}"))?,
     };
     let names = expand(&pattern)?;
     let one = |(i, name): (usize, String)| {
         let mut table = raw.clone();
         table.insert("name".into(), name.clone().into());
         table.insert("listen".into(), "127.0.0.1:0".into());
-        let config = table.try_into::<HostConfig>().map_err(|e| format!("host '{name}': {e}"))?;
-        Ok(DayHost { kind: kind.clone(), cell: cells[i % cells.len().max(1)].clone(), config })
+        let config = table
+            .try_into::<HostConfig>()
+            .map_err(|e| format!("host '{name}': {e}"))?;
+        Ok(DayHost {
+            kind: kind.clone(),
+            cell: cells[i % cells.len().max(1)].clone(),
+            config,
+        })
     };
     names.into_iter().enumerate().map(one).collect()
 }
--- a/programs/chaos/src/links.rs
+++ b/programs/chaos/src/links.rs
@@ -61,13 +61,16 @@
             }
         }
         let text = String::from_utf8_lossy(&line);
-        let from =
-            text.split_whitespace().nth(2).and_then(|name| self.names.get(&NameKey::of(name)).copied());
+        let from = text
+            .split_whitespace()
+            .nth(2)
+            .and_then(|name| self.names.get(&NameKey::of(name)).copied());
         let (there, back) = ((from, Some(self.to.0)), (Some(self.to.0), from));
         if !self.passes(there, line.len()) {
             return Ok(());
         }
-        let mut member = TcpStream::connect_timeout(&SocketAddr::V4(self.to.1), Duration::from_secs(2))?;
+        let mut member =
+            TcpStream::connect_timeout(&SocketAddr::V4(self.to.1), Duration::from_secs(2))?;
         member.set_read_timeout(Some(LOOK_EVERY))?;
         member.write_all(&line)?;
         if text.starts_with("link ") {
@@ -104,7 +107,8 @@
 
     fn rule(&self, (from, to): (Option<usize>, Option<usize>)) -> Rule {
         let way = from.zip(to);
-        way.and_then(|way| lock(&self.rules).get(&way).copied()).unwrap_or_default()
+        way.and_then(|way| lock(&self.rules).get(&way).copied())
+            .unwrap_or_default()
     }
 
     /// Waits until so many bytes may pass; false where this program ends first. A cut link swallows them for as long as it
@@ -117,7 +121,9 @@
             std::thread::sleep(LOOK_EVERY);
         }
         let rule = self.rule(way);
-        std::thread::sleep(Duration::from_secs_f64(rule.delay_s.clamp(0.0, 60.0)) + rule.busy_with(bytes));
+        std::thread::sleep(
+            Duration::from_secs_f64(rule.delay_s.clamp(0.0, 60.0)) + rule.busy_with(bytes),
+        );
         !self.stop.load(Ordering::SeqCst)
     }
 }
--- a/programs/chaos/src/main.rs
+++ b/programs/chaos/src/main.rs
@@ -3,11 +3,11 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use bitternlatch_invariant_checker::quantile;
 use bitternlatch_chaos::agents::{work, AS_WORKER};
 use bitternlatch_chaos::day::Day;
 use bitternlatch_chaos::process::AS_DISPATCHER;
 use bitternlatch_chaos::run::{run, Outcome};
+use bitternlatch_invariant_checker::quantile;
 use clap::Parser;
 
 /// Starts hosts and dispatchers, plays clients and troubles, and judges the five rules from the sockets.
@@ -33,7 +33,10 @@
 
 fn main() -> ExitCode {
     let mut words = std::env::args_os();
-    if std::env::args_os().nth(1).is_some_and(|w| w == AS_DISPATCHER) {
+    if std::env::args_os()
+        .nth(1)
+        .is_some_and(|w| w == AS_DISPATCHER)
+    {
         let program = words.next().into_iter();
         return bitternlatch_dispatch::main_from(program.chain(words.skip(1)));
     }
@@ -60,9 +63,15 @@
     let base = args.day.parent().unwrap_or(Path::new("")).to_path_buf();
     let mut days = Vec::new();
     if !args.no_calm {
-        days.push(("calm", run(&day.calm(), &base, &args.out.join("calm"), &image)?));
+        days.push((
+            "calm",
+            run(&day.calm(), &base, &args.out.join("calm"), &image)?,
+        ));
     }
-    days.push(("trouble", run(&day, &base, &args.out.join("trouble"), &image)?));
+    days.push((
+        "trouble",
+        run(&day, &base, &args.out.join("trouble"), &image)?,
+    ));
     println!(
         "{} dispatchers, {} hosts, {} requests a second for {} s",
         day.dispatchers.count,
@@ -74,12 +83,23 @@
     print(&days);
     let secured = |o: &Outcome| o.secured.as_ref().is_none_or(|s| s.held());
     let held = days.iter().all(|(_, o)| {
-        o.verdict.breaches.is_empty() && o.records_alike == o.records && secured(o) && o.views.is_empty()
+        o.verdict.breaches.is_empty()
+            && o.records_alike == o.records
+            && secured(o)
+            && o.views.is_empty()
     });
     let report = report(&day, &days, held);
     let path = args.out.join("report.json");
-    std::fs::write(&path, format!("{report:#}\n")).map_err(|e| format!("{}: {e}", path.display()))?;
-    println!("{}", if held { "all rules held" } else { "NOT HELD: see report.json" });
+    std::fs::write(&path, format!("{report:#}\n"))
+        .map_err(|e| format!("{}: {e}", path.display()))?;
+    println!(
+        "{}",
+        if held {
+            "all rules held"
+        } else {
+            "NOT HELD: see report.json"
+        }
+    );
     Ok(held)
 }
 
@@ -117,7 +137,10 @@
         );
     }
     for (name, o) in days.iter().filter(|(_, o)| o.verdict.workflows.planned > 0) {
-        println!("{name}: {} troubles drawn, {:?}", o.drawn, o.verdict.workflows);
+        println!(
+            "{name}: {} troubles drawn, {:?}",
+            o.drawn, o.verdict.workflows
+        );
     }
     for (name, o) in days {
         for (rule, n) in o.verdict.by_rule().iter().filter(|r| *r.1 > 0) {
@@ -126,9 +149,17 @@
         if let Some(s) = &o.secured {
             println!("{name}: {s:?}");
         }
-        o.verdict.load.lines().iter().for_each(|line| println!("{name}: {line}"));
+        o.verdict
+            .load
+            .lines()
+            .iter()
+            .for_each(|line| println!("{name}: {line}"));
         o.views.iter().for_each(|view| println!("{name}: {view}"));
-        o.verdict.breaches.iter().take(10).for_each(|b| println!("  {}", b.what));
+        o.verdict
+            .breaches
+            .iter()
+            .take(10)
+            .for_each(|b| println!("  {}", b.what));
     }
 }
 
@@ -151,8 +182,10 @@
             "views": o.views,
         })
     };
-    let days: serde_json::Map<String, serde_json::Value> =
-        days.iter().map(|(name, o)| (name.to_string(), one(o))).collect();
+    let days: serde_json::Map<String, serde_json::Value> = days
+        .iter()
+        .map(|(name, o)| (name.to_string(), one(o)))
+        .collect();
     serde_json::json!({
         "held": held,
         "troubles": day.troubles(),
--- a/programs/chaos/src/parted.rs
+++ b/programs/chaos/src/parted.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use bitternlatch_core::settings::{Cluster, Peer};
-use bitternlatch_net::lock;
 use bitternlatch_mock_engine::capture::unix_us;
+use bitternlatch_net::lock;
 use serde::Deserialize;
 
 use crate::between::{Between, Rule};
@@ -114,23 +114,42 @@
 ///
 /// # Errors
 /// With its place and cause.
-pub(crate) fn check(between: &[BetweenFault], process: &[ProcessFault], count: usize) -> Result<(), String> {
+pub(crate) fn check(
+    between: &[BetweenFault],
+    process: &[ProcessFault],
+    count: usize,
+) -> Result<(), String> {
     for (i, b) in between.iter().enumerate() {
         if !b.bytes_s.is_finite() || b.bytes_s < 0.0 {
-            return Err(format!("between.{i}.bytes_s: {} is no number of bytes", b.bytes_s));
+            return Err(format!(
+                "between.{i}.bytes_s: {} is no number of bytes",
+                b.bytes_s
+            ));
         }
         let shares = [b.lost, b.twice].iter().all(|s| (0.0..=1.0).contains(s));
-        let times = [b.at_s, b.for_s, b.delay_s, b.jitter_s].iter().all(|t| (0.0..=600.0).contains(t));
+        let times = [b.at_s, b.for_s, b.delay_s, b.jitter_s]
+            .iter()
+            .all(|t| (0.0..=600.0).contains(t));
         if !shares || !times {
             return Err(format!("between.{i}: shares are 0 to 1, times 0 to 600 s"));
         }
-        if b.group.is_empty() || b.group.iter().chain(&b.with).any(|n| !(1..=count).contains(n)) {
-            return Err(format!("between.{i}.group: dispatchers 1 to {count} are expected"));
+        if b.group.is_empty()
+            || b.group
+                .iter()
+                .chain(&b.with)
+                .any(|n| !(1..=count).contains(n))
+        {
+            return Err(format!(
+                "between.{i}.group: dispatchers 1 to {count} are expected"
+            ));
         }
     }
     for (i, p) in process.iter().enumerate() {
         if !(1..=count).contains(&p.dispatcher) {
-            return Err(format!("process.{i}.dispatcher: {} is not between 1 and {count}", p.dispatcher));
+            return Err(format!(
+                "process.{i}.dispatcher: {} is not between 1 and {count}",
+                p.dispatcher
+            ));
         }
         if !(0.0..=600.0).contains(&p.at_s) || !(0.0..=600.0).contains(&p.for_s) {
             return Err(format!("process.{i}: times are 0 to 600 s"));
@@ -169,7 +188,10 @@
     /// Where the secret cannot be written or the system gives no socket.
     pub fn make(dir: &Path, count: usize, seed: u64) -> std::io::Result<Joined> {
         let addresses: Vec<SocketAddrV4> = (0..count).map(|_| own_address(7811)).collect();
-        let named = addresses.iter().enumerate().map(|(i, at)| (format!("dispatch-{}", i + 1), *at));
+        let named = addresses
+            .iter()
+            .enumerate()
+            .map(|(i, at)| (format!("dispatch-{}", i + 1), *at));
         let between = Between::start(&named.collect::<Vec<_>>(), seed)?;
         std::fs::write(dir.join("secret"), "known to the day's dispatchers alone\n")?;
         Ok(Joined {
@@ -184,13 +206,25 @@
     ///
     /// # Errors
     /// Where one has no relay before it.
-    pub fn settle(&self, dispatchers: &mut [Dispatcher], beside: &toml::Table) -> std::io::Result<()> {
+    pub fn settle(
+        &self,
+        dispatchers: &mut [Dispatcher],
+        beside: &toml::Table,
+    ) -> std::io::Result<()> {
         let no_relay = || std::io::Error::other("a dispatcher without a relay");
         let line = |(i, one): (usize, &Dispatcher)| {
             let (name, clients) = (one.name.clone(), Some(one.address.clone()));
-            Ok(Peer { name, address: self.between.front(i).ok_or_else(no_relay)?, clients })
+            Ok(Peer {
+                name,
+                address: self.between.front(i).ok_or_else(no_relay)?,
+                clients,
+            })
         };
-        let roster = dispatchers.iter().enumerate().map(line).collect::<std::io::Result<Vec<Peer>>>()?;
+        let roster = dispatchers
+            .iter()
+            .enumerate()
+            .map(line)
+            .collect::<std::io::Result<Vec<Peer>>>()?;
         for (one, address) in dispatchers.iter_mut().zip(&self.addresses) {
             let cluster = Cluster {
                 name: "day".to_string(),
@@ -228,18 +262,30 @@
         let mut threads = vec![self.between_script(between.to_vec(), start)];
         for fault in process {
             let fault = fault.clone();
-            let (all, image, dir) = (Arc::clone(dispatchers), image.to_path_buf(), self.dir.clone());
+            let (all, image, dir) = (
+                Arc::clone(dispatchers),
+                image.to_path_buf(),
+                self.dir.clone(),
+            );
             let truths = Arc::clone(&self.truths);
-            threads.push(std::thread::spawn(move || play(&fault, start, &all, &image, &dir, &truths)));
+            threads.push(std::thread::spawn(move || {
+                play(&fault, start, &all, &image, &dir, &truths)
+            }));
         }
         threads
     }
 
     /// Troubles may overlap: at each change the last that concerns a way and is on counts.
     fn between_script(&self, faults: Vec<BetweenFault>, start: Instant) -> JoinHandle<()> {
-        let (between, truths, count) =
-            (Arc::clone(&self.between), Arc::clone(&self.truths), self.addresses.len());
-        let mut times: Vec<f64> = faults.iter().flat_map(|f| [f.at_s, f.at_s + f.for_s]).collect();
+        let (between, truths, count) = (
+            Arc::clone(&self.between),
+            Arc::clone(&self.truths),
+            self.addresses.len(),
+        );
+        let mut times: Vec<f64> = faults
+            .iter()
+            .flat_map(|f| [f.at_s, f.at_s + f.for_s])
+            .collect();
         times.sort_by(f64::total_cmp);
         std::thread::spawn(move || {
             let mut since: Vec<Option<u64>> = vec![None; faults.len()];
@@ -247,7 +293,10 @@
                 wait_until(start, at_s);
                 let on = |f: &&BetweenFault| f.at_s <= at_s && at_s < f.at_s + f.for_s;
                 for (from, to) in (0..count).flat_map(|from| (0..count).map(move |to| (from, to))) {
-                    let last = faults.iter().filter(on).rfind(|f| f.concerns(from, to, count));
+                    let last = faults
+                        .iter()
+                        .filter(on)
+                        .rfind(|f| f.concerns(from, to, count));
                     between.set(from, to, last.map(BetweenFault::rule).unwrap_or_default());
                 }
                 for (fault, since) in faults.iter().zip(&mut since) {
@@ -270,7 +319,11 @@
 }
 
 fn note(truths: &Truths, from_us: u64, what: Happened) {
-    lock(truths).push(Truth { from_us, to_us: unix_us(), what });
+    lock(truths).push(Truth {
+        from_us,
+        to_us: unix_us(),
+        what,
+    });
 }
 
 /// Whether the last that a log says of it is that its process is the one that lends.
@@ -305,7 +358,9 @@
     truths: &Truths,
 ) {
     let mut i = fault.dispatcher - 1;
-    let kept = lock(all).get(i).map(|one| dir.join(format!("{}.start", one.name)));
+    let kept = lock(all)
+        .get(i)
+        .map(|one| dir.join(format!("{}.start", one.name)));
     let first = kept.and_then(|path| std::fs::read_to_string(path).ok());
     wait_until(start, fault.at_s);
     if fault.what == What::PauseSteward {
@@ -321,7 +376,11 @@
     }
     wait_until(start, fault.at_s + fault.for_s);
     if let Some(one) = lock(all).get_mut(i) {
-        change_kept(fault.what, &dir.join(format!("{}.start", one.name)), first.as_deref());
+        change_kept(
+            fault.what,
+            &dir.join(format!("{}.start", one.name)),
+            first.as_deref(),
+        );
         match fault.what {
             What::Pause | What::PauseSteward => one.go_on(),
             // Should it not start again, its clients find the others.
@@ -340,9 +399,11 @@
         let concerned = |text: &str| {
             let fault: super::BetweenFault =
                 toml::from_str(&format!("at_s = 1\nfor_s = 1\n{text}")).expect(text);
-            let ways =
-                (0..3).flat_map(|from| (0..3).map(move |to| (from, to))).filter(|(from, to)| from != to);
-            ways.filter(|(from, to)| fault.concerns(*from, *to, 3)).collect::<Vec<_>>()
+            let ways = (0..3)
+                .flat_map(|from| (0..3).map(move |to| (from, to)))
+                .filter(|(from, to)| from != to);
+            ways.filter(|(from, to)| fault.concerns(*from, *to, 3))
+                .collect::<Vec<_>>()
         };
         assert_eq!(concerned("group = [1]"), [(0, 1), (0, 2), (1, 0), (2, 0)]);
         assert_eq!(concerned("group = [1]\nwith = [3]"), [(0, 2), (2, 0)]);
@@ -361,17 +422,27 @@
     #[test]
     fn troubles_that_would_not_be_played_are_refused_with_their_place() {
         let fault = |cluster: bool, more: &str| {
-            let dispatchers = format!("dispatchers = {{ count = 2, settings = \"\", cluster = {cluster} }}");
-            let text = format!("for_s = 1\nrate_rps = 1\nmix = []\n{dispatchers}\nhosts = []\n{more}");
+            let dispatchers =
+                format!("dispatchers = {{ count = 2, settings = \"\", cluster = {cluster} }}");
+            let text =
+                format!("for_s = 1\nrate_rps = 1\nmix = []\n{dispatchers}\nhosts = []\n{more}");
             Day::parse(&text).err()
         };
-        let process =
-            |n: usize| format!("[[process]]\nat_s = 1\nfor_s = 1\ndispatcher = {n}\nwhat = \"pause\"");
-        let between = |n: usize| format!("[[between]]\nat_s = 1\nfor_s = 1\ngroup = [{n}]\ncut = true");
+        let process = |n: usize| {
+            format!("[[process]]\nat_s = 1\nfor_s = 1\ndispatcher = {n}\nwhat = \"pause\"")
+        };
+        let between =
+            |n: usize| format!("[[between]]\nat_s = 1\nfor_s = 1\ngroup = [{n}]\ncut = true");
         assert_eq!(fault(true, &process(2)), None);
         assert_eq!(fault(true, &between(2)), None);
-        assert_eq!(fault(false, &process(2)), Some("process: needs dispatchers.cluster = true".into()));
-        assert_eq!(fault(false, &between(2)), Some("between: needs dispatchers.cluster = true".into()));
+        assert_eq!(
+            fault(false, &process(2)),
+            Some("process: needs dispatchers.cluster = true".into())
+        );
+        assert_eq!(
+            fault(false, &between(2)),
+            Some("between: needs dispatchers.cluster = true".into())
+        );
         assert!(fault(true, &process(3)).is_some_and(|f| f.starts_with("process.0.dispatcher: 3")));
         assert!(fault(true, &between(3)).is_some_and(|f| f.starts_with("between.0.group:")));
     }
--- a/programs/chaos/src/process.rs
+++ b/programs/chaos/src/process.rs
@@ -52,13 +52,16 @@
         let address = free_address();
         settings.insert("name".into(), name.clone().into());
         settings.insert("dispatchers".into(), (count as i64).into());
-        let listen = settings.entry("listen").or_insert_with(|| toml::Table::new().into());
+        let listen = settings
+            .entry("listen")
+            .or_insert_with(|| toml::Table::new().into());
         if let Some(listen) = listen.as_table_mut() {
             listen.insert("address".into(), address.clone().into());
         }
         if settings.contains_key("charges") {
             // One journal a dispatcher, the same after a restart.
-            let file = toml::Table::from_iter([("file".to_string(), format!("{name}.charges").into())]);
+            let file =
+                toml::Table::from_iter([("file".to_string(), format!("{name}.charges").into())]);
             settings.insert("charges".into(), file.into());
         }
         let inventory = toml::Table::from_iter([("file".to_string(), "hosts.csv".into())]);
@@ -121,7 +124,15 @@
     pub fn ready(&self, within: Duration) -> bool {
         let by = Instant::now() + within;
         while Instant::now() < by {
-            if get(&self.address, "/ready", &self.manner, Duration::from_secs(2), 1024).is_ok() {
+            if get(
+                &self.address,
+                "/ready",
+                &self.manner,
+                Duration::from_secs(2),
+                1024,
+            )
+            .is_ok()
+            {
                 return true;
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -187,14 +198,22 @@
 
     /// Records of all its runs.
     pub fn records(&self) -> Vec<PathBuf> {
-        (1..=self.starts).map(|n| self.dir.join(format!("{}.{n}.rec", self.name))).collect()
+        (1..=self.starts)
+            .map(|n| self.dir.join(format!("{}.{n}.rec", self.name)))
+            .collect()
     }
 
     /// Seconds of processor time that its process has used; as the system tells it, in hundredths.
     pub fn cpu_s(&self) -> Option<f64> {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.as_ref()?.id())).ok()?;
+        let stat =
+            std::fs::read_to_string(format!("/proc/{}/stat", self.child.as_ref()?.id())).ok()?;
         let fields = stat.rsplit(')').next()?.split_whitespace().skip(11).take(2);
-        Some(fields.filter_map(|ticks| ticks.parse::<f64>().ok()).sum::<f64>() / 100.0)
+        Some(
+            fields
+                .filter_map(|ticks| ticks.parse::<f64>().ok())
+                .sum::<f64>()
+                / 100.0,
+        )
     }
 
     /// Resident memory of its process, KiB; as the system tells it.
--- a/programs/chaos/src/run.rs
+++ b/programs/chaos/src/run.rs
@@ -5,12 +5,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use bitternlatch_invariant_checker::{judge_dir, ClassFacts, ColdFacts, Facts, HostFacts, Verdict};
 use bitternlatch_core::record::{read, replay};
 use bitternlatch_core::settings::{Effect, Settings};
-use bitternlatch_net::lock;
+use bitternlatch_invariant_checker::{judge_dir, ClassFacts, ColdFacts, Facts, HostFacts, Verdict};
 use bitternlatch_mock_engine::capture::{unix_us, Capture};
 use bitternlatch_mock_engine::Standins;
+use bitternlatch_net::lock;
 
 use crate::agents::{draw, workflows, Drawn, Field};
 use crate::clients::{plan, play, Service};
@@ -61,7 +61,12 @@
     table.extend(day.dispatchers.over.clone());
     // With what the day puts over it: clients and judge go by the classes that dispatchers are told.
     let settings = Settings::parse(&shown, &table.to_string()).map_err(|e| e.to_string())?;
-    let proofs = day.secure.as_ref().map(|_| proofs(day, dir)).transpose()?.map(Arc::new);
+    let proofs = day
+        .secure
+        .as_ref()
+        .map(|_| proofs(day, dir))
+        .transpose()?
+        .map(Arc::new);
     let mut standins = day.standins();
     if let Some(proofs) = &proofs {
         proofs.settings(&mut table)?;
@@ -82,21 +87,39 @@
         dispatchers.push(one);
     }
     let joined = match day.dispatchers.cluster {
-        true => Some(Joined::make(dir, day.dispatchers.count, day.seed).map_err(fail("the cluster"))?),
+        true => {
+            Some(Joined::make(dir, day.dispatchers.count, day.seed).map_err(fail("the cluster"))?)
+        }
         false => None,
     };
     if let Some(joined) = joined.as_ref().filter(|_| !day.dispatchers.strangers) {
-        joined.settle(&mut dispatchers, &day.dispatchers.beside).map_err(fail("the cluster"))?;
+        joined
+            .settle(&mut dispatchers, &day.dispatchers.beside)
+            .map_err(fail("the cluster"))?;
     }
     for one in &mut dispatchers {
         one.start(image).map_err(fail("a dispatcher"))?;
     }
-    if let Some(late) = dispatchers.iter().find(|d| !d.ready(Duration::from_secs(20))) {
-        return Err(format!("{} is not ready; see its log in {}", late.name, dir.display()));
+    if let Some(late) = dispatchers
+        .iter()
+        .find(|d| !d.ready(Duration::from_secs(20)))
+    {
+        return Err(format!(
+            "{} is not ready; see its log in {}",
+            late.name,
+            dir.display()
+        ));
     }
     let mut service = service(day, &settings, &dispatchers, client_lines.clone());
     service.proofs.clone_from(&proofs);
-    let keys = keys_script(day, &proofs, dispatchers.first().map(|d| d.address.clone()).unwrap_or_default());
+    let keys = keys_script(
+        day,
+        &proofs,
+        dispatchers
+            .first()
+            .map(|d| d.address.clone())
+            .unwrap_or_default(),
+    );
     let dispatchers: Shared = Arc::new(Mutex::new(dispatchers));
     let noted = Arc::new(Mutex::new(Noted::default()));
     let draw = |a| draw(a, day.seed, day.dispatchers.count, &day.process);
@@ -112,9 +135,15 @@
     let scripts = scripts(day, dir, image, &settings, &hosts, &dispatchers, &noted);
     let scripts = match &joined {
         Some(joined) => {
-            let Drawn { process, between, workers } = &drawn;
-            let (between, process) =
-                ([&day.between[..], between].concat(), [&day.process[..], process].concat());
+            let Drawn {
+                process,
+                between,
+                workers,
+            } = &drawn;
+            let (between, process) = (
+                [&day.between[..], between].concat(),
+                [&day.process[..], process].concat(),
+            );
             let more = joined.scripts(&between, &process, image, &dispatchers);
             let workers = field.iter().flat_map(|field| field.scripts(workers));
             scripts.into_iter().chain(more).chain(workers).collect()
@@ -141,13 +170,20 @@
     host_lines.settle();
     client_lines.settle();
     if let Some(field) = &field {
-        field.collect(&dir.join("clients.jsonl")).map_err(fail("the workers' captures"))?;
+        field
+            .collect(&dir.join("clients.jsonl"))
+            .map_err(fail("the workers' captures"))?;
     }
-    let truths = joined.as_ref().map(|j| lock(&j.truths).clone()).unwrap_or_default();
+    let truths = joined
+        .as_ref()
+        .map(|j| lock(&j.truths).clone())
+        .unwrap_or_default();
     for truth in &truths {
         // One that was paused answers late, and is not asked for more than one that was killed.
         if let Happened::Away(i) = truth.what {
-            lock(&noted).kills.push((truth.from_us, format!("dispatch-{}", i + 1)));
+            lock(&noted)
+                .kills
+                .push((truth.from_us, format!("dispatch-{}", i + 1)));
         }
     }
     let views = match joined {
@@ -167,9 +203,16 @@
         Happened::Between(_) => None,
     });
     let troubles = troubles(day, began, scripted);
-    let mut facts = Facts { away: away.collect(), troubles, ..facts(day, &settings, began, &noted) };
+    let mut facts = Facts {
+        away: away.collect(),
+        troubles,
+        ..facts(day, &settings, began, &noted)
+    };
     if let (Some(field), Some(agents)) = (&field, &day.agents) {
-        facts.workflows = workflows(agents, day.seed).iter().map(|w| w.facts()).collect();
+        facts.workflows = workflows(agents, day.seed)
+            .iter()
+            .map(|w| w.facts())
+            .collect();
         facts.lease_s = bitternlatch_workflow::Settings::default().lease_s;
         facts.away.extend(field.pauses());
     }
@@ -181,8 +224,9 @@
     let verdict = judge_dir(dir)?;
     let (mut replayed_steps, mut records_alike) = (0, 0);
     for path in &records {
-        let recorded =
-            File::open(path).map_err(|e| e.to_string()).and_then(|f| read(f).map_err(|e| e.to_string()));
+        let recorded = File::open(path)
+            .map_err(|e| e.to_string())
+            .and_then(|f| read(f).map_err(|e| e.to_string()));
         let found = recorded.and_then(|r| replay(&r, false).map_err(|e| e.to_string()));
         if let Ok(found) = found {
             replayed_steps += found.steps;
@@ -190,7 +234,16 @@
         }
     }
     let (records, drawn) = (records.len(), drawn.count());
-    Ok(Outcome { verdict, replayed_steps, records, records_alike, orderly, secured, views, drawn })
+    Ok(Outcome {
+        verdict,
+        replayed_steps,
+        records,
+        records_alike,
+        orderly,
+        secured,
+        views,
+        drawn,
+    })
 }
 
 fn proofs(day: &Day, dir: &Path) -> Result<Proofs, String> {
@@ -207,7 +260,9 @@
 ) -> Option<std::thread::JoinHandle<SecuredFacts>> {
     let (script, proofs) = (day.secure.clone()?, Arc::clone(proofs.as_ref()?));
     let start = Instant::now();
-    Some(std::thread::spawn(move || proofs.play(&script, &address, start)))
+    Some(std::thread::spawn(move || {
+        proofs.play(&script, &address, start)
+    }))
 }
 
 /// Writes the hosts' list as the operators' tools would: whole, beside, and moved into place.
@@ -221,8 +276,14 @@
     let mut text = String::from("name,address,port,kind,cell,zone,state,note\n");
     for host in &day.hosts {
         let name = &host.config.name;
-        let Some(address) = hosts.addresses().get(name) else { continue };
-        let state = if draining.contains(name) { "draining" } else { "ready" };
+        let Some(address) = hosts.addresses().get(name) else {
+            continue;
+        };
+        let state = if draining.contains(name) {
+            "draining"
+        } else {
+            "ready"
+        };
         let (ip, port) = (address.ip(), address.port());
         text.push_str(&format!(
             "{name},{ip},{port},{},{},{zone},{state},\"stand-in, {name}\"\n",
@@ -234,11 +295,20 @@
     std::fs::rename(beside, dir.join("hosts.csv"))
 }
 
-fn service(day: &Day, settings: &Settings, dispatchers: &[Dispatcher], capture: Capture) -> Service {
-    let class =
-        |c: &bitternlatch_core::settings::Class| (c.name.clone(), (c.effect == Effect::Safe, c.deadline_s));
+fn service(
+    day: &Day,
+    settings: &Settings,
+    dispatchers: &[Dispatcher],
+    capture: Capture,
+) -> Service {
+    let class = |c: &bitternlatch_core::settings::Class| {
+        (c.name.clone(), (c.effect == Effect::Safe, c.deadline_s))
+    };
     Service {
-        dispatchers: dispatchers.iter().map(|d| (d.name.clone(), d.address.clone())).collect(),
+        dispatchers: dispatchers
+            .iter()
+            .map(|d| (d.name.clone(), d.address.clone()))
+            .collect(),
         capture,
         classes: settings.classes.iter().map(class).collect(),
         retries: day.retries,
@@ -250,7 +320,11 @@
             let steward = day.process.iter().any(|p| p.what == What::PauseSteward);
             // Nobody knows beforehand which one that will be.
             let any = (1..=day.dispatchers.count).filter(|_| steward);
-            restarted.chain(away).chain(any).map(|number| number.saturating_sub(1)).collect()
+            restarted
+                .chain(away)
+                .chain(any)
+                .map(|number| number.saturating_sub(1))
+                .collect()
         },
     }
 }
@@ -288,7 +362,11 @@
     let wait_until = move |at_s: f64| parted::wait_until(start, at_s);
     let mut threads = Vec::new();
     for restart in day.dispatchers.restarts.clone() {
-        let (all, noted, image) = (Arc::clone(dispatchers), Arc::clone(noted), image.to_path_buf());
+        let (all, noted, image) = (
+            Arc::clone(dispatchers),
+            Arc::clone(noted),
+            image.to_path_buf(),
+        );
         threads.push(std::thread::spawn(move || {
             wait_until(restart.at_s);
             let i = restart.dispatcher.saturating_sub(1);
@@ -305,7 +383,10 @@
     }
     let mut lists: Vec<(f64, Vec<String>, String)> = Vec::new();
     for drain in &day.drains {
-        let texts = [(drain.at_s, drain.hosts.clone()), (drain.at_s + drain.for_s, Vec::new())];
+        let texts = [
+            (drain.at_s, drain.hosts.clone()),
+            (drain.at_s + drain.for_s, Vec::new()),
+        ];
         for (at_s, names) in texts {
             // The text is made now, as the hosts' addresses stay.
             let made = write_list(dir, day, hosts, &settings.zone, &names)
@@ -328,7 +409,12 @@
             let _ = std::fs::write(&path, &text);
             let t = unix_us();
             let mut noted = lock(&noted);
-            noted.readies.extend(before.drain(..).filter(|n| !names.contains(n)).map(|n| (t, n)));
+            noted.readies.extend(
+                before
+                    .drain(..)
+                    .filter(|n| !names.contains(n))
+                    .map(|n| (t, n)),
+            );
             noted.drains.extend(names.iter().map(|n| (t, n.clone())));
             before = names;
         }
@@ -340,22 +426,50 @@
 fn stop(dispatchers: &Shared) -> (usize, Vec<PathBuf>) {
     let mut all = lock(dispatchers);
     all.iter().for_each(Dispatcher::terminate);
-    let orderly = all.iter_mut().map(|d| d.ended(Duration::from_secs(20))).filter(|ended| *ended).count();
+    let orderly = all
+        .iter_mut()
+        .map(|d| d.ended(Duration::from_secs(20)))
+        .filter(|ended| *ended)
+        .count();
     (orderly, all.iter().flat_map(Dispatcher::records).collect())
 }
 
 /// Troubles of the day's script: those of hosts from the hosts' start, the others from the scripts'.
 fn troubles(day: &Day, began: u64, scripted: u64) -> Vec<(u64, u64, String)> {
     let span = |from: u64, at_s: f64, for_s: f64, what: String| {
-        (from + (at_s * 1e6) as u64, from + ((at_s + for_s) * 1e6) as u64, what)
+        (
+            from + (at_s * 1e6) as u64,
+            from + ((at_s + for_s) * 1e6) as u64,
+            what,
+        )
     };
     let (of, by) = (&day.dispatchers, scripted);
-    let hosts = day.faults.iter().map(|f| span(began, f.at_s, f.for_s, format!("{:?} of hosts", f.trouble)));
-    let between = day.between.iter().map(|b| span(by, b.at_s, b.for_s, "between".into()));
-    let processes = day.process.iter().map(|p| span(by, p.at_s, p.for_s, format!("{:?}", p.what)));
-    let restarts = of.restarts.iter().map(|r| span(by, r.at_s, r.down_s, "restart".into()));
-    let surges = day.surge.iter().map(|s| span(by, s.at_s, s.for_s, format!("{} times", s.factor)));
-    let mut all: Vec<_> = hosts.chain(between).chain(processes).chain(restarts).chain(surges).collect();
+    let hosts = day
+        .faults
+        .iter()
+        .map(|f| span(began, f.at_s, f.for_s, format!("{:?} of hosts", f.trouble)));
+    let between = day
+        .between
+        .iter()
+        .map(|b| span(by, b.at_s, b.for_s, "between".into()));
+    let processes = day
+        .process
+        .iter()
+        .map(|p| span(by, p.at_s, p.for_s, format!("{:?}", p.what)));
+    let restarts = of
+        .restarts
+        .iter()
+        .map(|r| span(by, r.at_s, r.down_s, "restart".into()));
+    let surges = day
+        .surge
+        .iter()
+        .map(|s| span(by, s.at_s, s.for_s, format!("{} times", s.factor)));
+    let mut all: Vec<_> = hosts
+        .chain(between)
+        .chain(processes)
+        .chain(restarts)
+        .chain(surges)
+        .collect();
     all.sort();
     all
 }
@@ -400,7 +514,11 @@
         kills: noted.kills.clone(),
         list_drains: noted.drains.clone(),
         list_ready: noted.readies.clone(),
-        downs: day.downs().into_iter().map(|(s, h)| (began + (s * 1e6) as u64, h)).collect(),
+        downs: day
+            .downs()
+            .into_iter()
+            .map(|(s, h)| (began + (s * 1e6) as u64, h))
+            .collect(),
         ..Facts::default()
     }
 }
--- a/programs/chaos/src/secured.rs
+++ b/programs/chaos/src/secured.rs
@@ -7,9 +7,9 @@
 
 use bitternlatch_keys::authority::{Authority, Wanted};
 use bitternlatch_keys::Ring;
+use bitternlatch_mock_engine::capture::Capture;
 use bitternlatch_net::dial::Manner;
 use bitternlatch_net::tls;
-use bitternlatch_mock_engine::capture::Capture;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
@@ -58,7 +58,10 @@
 }
 
 fn now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs()
 }
 
 fn lock<T>(shared: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
@@ -75,15 +78,25 @@
         let _ = std::fs::remove_dir_all(&dir);
         let servers = Authority::make(&dir.join("servers"), "servers", now())?;
         let callers = Authority::make(&dir.join("callers"), "callers", now())?;
-        let until = |w: Wanted| Wanted { begins: now() - 60, ends: now() + 3600, ..w };
+        let until = |w: Wanted| Wanted {
+            begins: now() - 60,
+            ends: now() + 3600,
+            ..w
+        };
         for name in hosts.iter().chain([&"dispatch"]) {
-            let issued = servers.issue(&until(Wanted { dns: vec![(*name).into()], ..Wanted::default() }))?;
+            let issued = servers.issue(&until(Wanted {
+                dns: vec![(*name).into()],
+                ..Wanted::default()
+            }))?;
             Authority::write(&dir.join("servers"), name, &issued)?;
         }
         for name in ["desk", "leaver"] {
             let uri = Some(format!("urn:caller:{name}"));
-            let issued =
-                callers.issue(&until(Wanted { uri, groups: vec!["desk".into()], ..Wanted::default() }))?;
+            let issued = callers.issue(&until(Wanted {
+                uri,
+                groups: vec!["desk".into()],
+                ..Wanted::default()
+            }))?;
             Authority::write(&dir.join("callers"), name, &issued)?;
         }
         let rights = json!({ "rule": [{ "name": "desk", "groups": ["desk"], "tenant": "association",
@@ -109,10 +122,10 @@
     /// # Errors
     /// Settings without a `listen` table.
     pub fn settings(&self, table: &mut toml::Table) -> Result<(), String> {
-        let place = |file: &str| std::path::absolute(self.dir.join(file)).map(|p| p.display().to_string());
+        let place =
+            |file: &str| std::path::absolute(self.dir.join(file)).map(|p| p.display().to_string());
         let place = |file: &str| place(file).map_err(|e| e.to_string());
-        let own =
-            json!({ "certificate": place("servers/dispatch.pem")?, "key": place("servers/dispatch.key")? });
+        let own = json!({ "certificate": place("servers/dispatch.pem")?, "key": place("servers/dispatch.key")? });
         let (mut listen, mut links) = (own.clone(), own);
         listen["clients"] = place("callers/authority.pem")?.into();
         listen["revoked"] = json!([place("callers/revoked.pem")?]);
@@ -121,7 +134,10 @@
             "rights": place("rights.toml")?, "refresh_s": 0.5 });
         let tenants = json!([{ "name": "association", "quota_rps": 100_000.0 }]);
         let toml = |v| serde_json::from_value::<toml::Value>(v).map_err(|e| e.to_string());
-        let side = table.get_mut("listen").and_then(|l| l.as_table_mut()).ok_or("settings without listen")?;
+        let side = table
+            .get_mut("listen")
+            .and_then(|l| l.as_table_mut())
+            .ok_or("settings without listen")?;
         side.insert("tls".into(), toml(listen)?);
         table.insert("engines".into(), toml(json!({ "tls": links }))?);
         table.insert("identity".into(), toml(identity)?);
@@ -143,7 +159,10 @@
             "groups": ["desk"], "exp": now() + 120 });
         let token = lock(&self.ring).sign(now(), &claims).ok();
         lock(&self.issued).extend(token.clone());
-        Manner { token, ..self.bare.clone() }
+        Manner {
+            token,
+            ..self.bare.clone()
+        }
     }
 
     /// By certificate, for asking whether a dispatcher is ready.
@@ -172,7 +191,9 @@
         };
         facts.rotations = usize::from(rotated.is_ok());
         wait(script.revoke_at_s);
-        let Ok(leaver) = manner(&self.dir, Some("leaver")) else { return facts };
+        let Ok(leaver) = manner(&self.dir, Some("leaver")) else {
+            return facts;
+        };
         let open = || Client::connect_as(address, "leaver", "d", Capture::none(), &leaver);
         let Ok(session) = open() else { return facts };
         let path = self.dir.join("callers/leaver.pem");
@@ -182,7 +203,8 @@
         let began = Instant::now();
         if revoked.is_ok() {
             if let Came::Closed(why) = session.next(Duration::from_secs(10)) {
-                facts.revoked_closed_s = why.contains("4401").then(|| began.elapsed().as_secs_f64());
+                facts.revoked_closed_s =
+                    why.contains("4401").then(|| began.elapsed().as_secs_f64());
             }
         }
         facts.revoked_let_in_again = open().is_ok();
@@ -195,18 +217,24 @@
     /// Files that cannot be read.
     pub fn end(&self, facts: &mut SecuredFacts, dir: &Path) -> Result<(), String> {
         facts.wrongly_refused = self.refused.load(Ordering::Relaxed);
-        let mut secrets: Vec<String> =
-            lock(&self.issued).iter().filter_map(|t| t.rsplit('.').next()).map(str::to_string).collect();
+        let mut secrets: Vec<String> = lock(&self.issued)
+            .iter()
+            .filter_map(|t| t.rsplit('.').next())
+            .map(str::to_string)
+            .collect();
         secrets.push("PRIVATE KEY".to_string());
         for entry in std::fs::read_dir(dir).map_err(|e| e.to_string())? {
             let path = entry.map_err(|e| e.to_string())?.path();
             let text = match path.extension().and_then(|e| e.to_str()) {
                 Some("rec") => {
                     let file = std::fs::File::open(&path).map_err(|e| e.to_string())?;
-                    let recorded = bitternlatch_core::record::read(file).map_err(|e| e.to_string())?;
+                    let recorded =
+                        bitternlatch_core::record::read(file).map_err(|e| e.to_string())?;
                     serde_json::to_string(&recorded.entries).map_err(|e| e.to_string())?
                 }
-                Some("log" | "jsonl") => std::fs::read_to_string(&path).map_err(|e| e.to_string())?,
+                Some("log" | "jsonl") => {
+                    std::fs::read_to_string(&path).map_err(|e| e.to_string())?
+                }
                 _ => continue,
             };
             if secrets.iter().any(|s| text.contains(s.as_str())) {
@@ -224,5 +252,8 @@
         files.extend(["pem", "key"].map(|kind| dir.join("callers").join(format!("{own}.{kind}"))));
     }
     let client = tls::Client::from_files(files)?;
-    Ok(Manner { token: None, tls: Some((client.config(), "dispatch".to_string())) })
+    Ok(Manner {
+        token: None,
+        tls: Some((client.config(), "dispatch".to_string())),
+    })
 }
--- a/programs/chaos/src/views.rs
+++ b/programs/chaos/src/views.rs
@@ -58,7 +58,10 @@
 }
 
 fn number(name: &str) -> Option<usize> {
-    name.strip_prefix("dispatch-")?.parse::<usize>().ok()?.checked_sub(1)
+    name.strip_prefix("dispatch-")?
+        .parse::<usize>()
+        .ok()?
+        .checked_sub(1)
 }
 
 /// All that the logs of a day's folder say.
@@ -68,15 +71,22 @@
 pub(crate) fn read(dir: &Path) -> Result<Said, String> {
     let mut said = Said::default();
     let entries = std::fs::read_dir(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
-    for path in entries.flatten().map(|e| e.path()).filter(|p| p.extension().is_some_and(|e| e == "log")) {
-        let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
+    for path in entries
+        .flatten()
+        .map(|e| e.path())
+        .filter(|p| p.extension().is_some_and(|e| e == "log"))
+    {
+        let text =
+            std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         text.lines()
             .filter_map(|line| serde_json::from_str::<LogLine>(line).ok())
             .for_each(|l| said.take(l.fields));
     }
     said.downs.sort_unstable();
     said.standings.sort();
-    said.parts.values_mut().for_each(|parts| parts.sort_by_key(|p| p.at));
+    said.parts
+        .values_mut()
+        .for_each(|parts| parts.sort_by_key(|p| p.at));
     Ok(said)
 }
 
@@ -87,12 +97,21 @@
 
 impl Said {
     fn take(&mut self, line: Fields) {
-        let (Some(at), Some(me)) = (line.at_us, line.me.as_deref().and_then(number)) else { return };
+        let (Some(at), Some(me)) = (line.at_us, line.me.as_deref().and_then(number)) else {
+            return;
+        };
         if let Some(standing) = line.standing {
             self.standings.push((at, me, standing));
         }
-        if let (Some(run), Some(lent), Some(before_until)) = (line.run, line.lent, line.before_until_us) {
-            self.parts.entry(me).or_default().push(PartLine { at, run, lent, before_until });
+        if let (Some(run), Some(lent), Some(before_until)) =
+            (line.run, line.lent, line.before_until_us)
+        {
+            self.parts.entry(me).or_default().push(PartLine {
+                at,
+                run,
+                lent,
+                before_until,
+            });
         }
         let peer = line.peer.as_deref().and_then(number);
         if let (Some("Down"), Some(peer)) = (line.state.as_deref(), peer) {
@@ -124,7 +143,10 @@
 
     /// The standing that a member had at a time, by its own word.
     fn standing(&self, of: usize, at: u64) -> Option<&str> {
-        let mut before = self.standings.iter().filter(|(t, by, _)| *by == of && *t <= at);
+        let mut before = self
+            .standings
+            .iter()
+            .filter(|(t, by, _)| *by == of && *t <= at);
         before.next_back().map(|(_, _, standing)| standing.as_str())
     }
 }
@@ -145,9 +167,13 @@
         return next.at.min(next.before_until);
     }
     let between = part.at..next.at;
-    let killed =
-        |t: &&Truth| matches!(t.what, Happened::Away(i) if i == member) && between.contains(&t.from_us);
-    let killed = truths.iter().find(killed).map(|t| t.from_us + PART_US - ASKS_EVERY_US);
+    let killed = |t: &&Truth| {
+        matches!(t.what, Happened::Away(i) if i == member) && between.contains(&t.from_us)
+    };
+    let killed = truths
+        .iter()
+        .find(killed)
+        .map(|t| t.from_us + PART_US - ASKS_EVERY_US);
     killed.map_or(next.at, |end| end.min(next.at))
 }
 
@@ -164,18 +190,31 @@
             }
         };
         if !truths.iter().filter(near).any(cause) {
-            wrong.push(format!("dispatch-{} took dispatch-{} for dead without cause", by + 1, of + 1));
+            wrong.push(format!(
+                "dispatch-{} took dispatch-{} for dead without cause",
+                by + 1,
+                of + 1
+            ));
         }
     }
-    for truth in truths.iter().filter(|t| t.to_us > t.from_us + KNOWN_US && t.from_us + KNOWN_US < end) {
-        let Happened::Between(b) = &truth.what else { continue };
-        let apart =
-            |i: usize| (0..count).filter(|o| b.concerns(i, *o, count) && b.concerns(*o, i, count)).count();
-        for member in
-            (0..count).filter(|i| b.cut && b.group.len() < count && 2 * (count - apart(*i)) <= count)
+    for truth in truths
+        .iter()
+        .filter(|t| t.to_us > t.from_us + KNOWN_US && t.from_us + KNOWN_US < end)
+    {
+        let Happened::Between(b) = &truth.what else {
+            continue;
+        };
+        let apart = |i: usize| {
+            (0..count)
+                .filter(|o| b.concerns(i, *o, count) && b.concerns(*o, i, count))
+                .count()
+        };
+        for member in (0..count)
+            .filter(|i| b.cut && b.group.len() < count && 2 * (count - apart(*i)) <= count)
         {
-            let busy =
-                |t: &Truth| matches!(t.what, Happened::Away(i) if i == member) && t.to_us >= truth.from_us;
+            let busy = |t: &Truth| {
+                matches!(t.what, Happened::Away(i) if i == member) && t.to_us >= truth.from_us
+            };
             let standing = said.standing(member, truth.from_us + KNOWN_US);
             if !truths.iter().any(busy) && !matches!(standing, Some("CutOff" | "Alone")) {
                 wrong.push(format!(
@@ -187,11 +226,19 @@
     }
     let (lent, at) = said.most_lent(truths);
     if lent > MOST_LENT {
-        wrong.push(format!("at {at} us members were lent {lent:.4} of what all share, more than there is"));
+        wrong.push(format!(
+            "at {at} us members were lent {lent:.4} of what all share, more than there is"
+        ));
     }
-    let last: BTreeMap<usize, &str> = (0..count).filter_map(|i| Some((i, said.standing(i, end)?))).collect();
+    let last: BTreeMap<usize, &str> = (0..count)
+        .filter_map(|i| Some((i, said.standing(i, end)?)))
+        .collect();
     for i in (0..count).filter(|i| last.get(i) != Some(&"Whole")) {
-        wrong.push(format!("dispatch-{} ended the day as {:?} and not whole", i + 1, last.get(&i)));
+        wrong.push(format!(
+            "dispatch-{} ended the day as {:?} and not whole",
+            i + 1,
+            last.get(&i)
+        ));
     }
     wrong.sort();
     wrong.dedup();
@@ -207,42 +254,82 @@
 
     fn whole(count: usize) -> Said {
         let standings = (0..count).map(|i| (S, i, "Whole".to_string())).collect();
-        Said { standings, ..Said::default() }
+        Said {
+            standings,
+            ..Said::default()
+        }
     }
 
     fn cut(from: u64, to: u64) -> Truth {
         let text = "at_s = 1\nfor_s = 9\ngroup = [1]\ncut = true";
         let fault: BetweenFault = toml::from_str(text).expect("a fault");
-        Truth { from_us: from, to_us: to, what: Happened::Between(fault) }
+        Truth {
+            from_us: from,
+            to_us: to,
+            what: Happened::Between(fault),
+        }
     }
 
     #[test]
     fn a_removal_needs_its_cause() {
         let mut said = whole(3);
         said.downs.push((10 * S, 0, 2));
-        let away = |i, from| Truth { from_us: from, to_us: from + S, what: Happened::Away(i) };
+        let away = |i, from| Truth {
+            from_us: from,
+            to_us: from + S,
+            what: Happened::Away(i),
+        };
         assert!(judge(&said, &[away(2, 8 * S)], 3, 60 * S).is_empty());
-        for truths in [vec![], vec![away(1, 8 * S)], vec![away(2, 2 * S)], vec![away(2, 11 * S)]] {
+        for truths in [
+            vec![],
+            vec![away(1, 8 * S)],
+            vec![away(2, 2 * S)],
+            vec![away(2, 11 * S)],
+        ] {
             let wrong = judge(&said, &truths, 3, 60 * S);
-            assert_eq!(wrong, ["dispatch-1 took dispatch-3 for dead without cause"], "{truths:?}");
+            assert_eq!(
+                wrong,
+                ["dispatch-1 took dispatch-3 for dead without cause"],
+                "{truths:?}"
+            );
         }
     }
 
     #[test]
     fn parts_may_not_add_up_to_more_than_there_is() {
         let mut said = whole(2);
-        let line = |at, run, lent, before_until| PartLine { at, run, lent, before_until };
-        said.parts.insert(0, vec![line(2 * S, 1, 0.9, 0), line(5 * S, 1, 0.0, 4 * S)]);
+        let line = |at, run, lent, before_until| PartLine {
+            at,
+            run,
+            lent,
+            before_until,
+        };
+        said.parts
+            .insert(0, vec![line(2 * S, 1, 0.9, 0), line(5 * S, 1, 0.0, 4 * S)]);
         said.parts.insert(1, vec![line(4 * S, 1, 0.9, 0)]);
-        assert!(judge(&said, &[], 2, 60 * S).is_empty(), "the first one's had ended by its time");
+        assert!(
+            judge(&said, &[], 2, 60 * S).is_empty(),
+            "the first one's had ended by its time"
+        );
         said.parts.insert(1, vec![line(4 * S - 1, 1, 0.9, 0)]);
         let wrong = judge(&said, &[], 2, 60 * S);
-        assert!(wrong.len() == 1 && wrong[0].contains("lent 1.8000"), "{wrong:?}");
+        assert!(
+            wrong.len() == 1 && wrong[0].contains("lent 1.8000"),
+            "{wrong:?}"
+        );
         // Killed at the third second: no line tells of its end, and the next start had a part of nothing before.
-        said.parts.insert(0, vec![line(2 * S, 1, 0.9, 0), line(9 * S, 2, 0.5, 10 * S)]);
-        let killed = [Truth { from_us: 3 * S, to_us: 8 * S, what: Happened::Away(0) }];
+        said.parts
+            .insert(0, vec![line(2 * S, 1, 0.9, 0), line(9 * S, 2, 0.5, 10 * S)]);
+        let killed = [Truth {
+            from_us: 3 * S,
+            to_us: 8 * S,
+            what: Happened::Away(0),
+        }];
         assert!(!judge(&said, &killed, 2, 60 * S).is_empty());
-        said.parts.insert(1, vec![line(3 * S + PART_US, 1, 0.9, 0), line(9 * S, 1, 0.4, 9 * S)]);
+        said.parts.insert(
+            1,
+            vec![line(3 * S + PART_US, 1, 0.9, 0), line(9 * S, 1, 0.4, 9 * S)],
+        );
         assert!(judge(&said, &killed, 2, 60 * S).is_empty());
     }
 
@@ -255,7 +342,10 @@
         assert!(blind[0].contains("dispatch-1 was cut off"));
         said.standings.push((13 * S, 0, "Alone".to_string()));
         let lasting = judge(&said, &truths, 3, 60 * S);
-        assert!(lasting.len() == 1 && lasting[0].contains("ended the day"), "{lasting:?}");
+        assert!(
+            lasting.len() == 1 && lasting[0].contains("ended the day"),
+            "{lasting:?}"
+        );
         said.standings.push((22 * S, 0, "Whole".to_string()));
         assert!(judge(&said, &truths, 3, 60 * S).is_empty());
     }
--- a/programs/chaos/tests/agents.rs
+++ b/programs/chaos/tests/agents.rs
@@ -3,12 +3,12 @@
 
 use std::path::Path;
 
-use bitternlatch_invariant_checker::{judge, read_lines, Facts, Rule, Verdict};
 use bitternlatch_chaos::agents::workflows;
 use bitternlatch_chaos::day::Day;
 use bitternlatch_chaos::run::run;
-use bitternlatch_protocol::engine::{decode, ToEngine};
+use bitternlatch_invariant_checker::{judge, read_lines, Facts, Rule, Verdict};
 use bitternlatch_mock_engine::capture::Line;
+use bitternlatch_protocol::engine::{decode, ToEngine};
 use common::{folder, image};
 
 /// The day of `deploy/scenarios/worker-crashes.toml`, made short.
@@ -19,8 +19,18 @@
     day.for_s = 6.0;
     day.dispatchers.count = 4;
     let agents = day.agents.as_mut().expect("agents");
-    (agents.workers, agents.workflows, agents.steps, agents.at_once) = (3, 6, 8, 2);
-    (agents.think_s, agents.kills, agents.kills_within_s, agents.within_s) = (1.2, 12, 7.0, 60.0);
+    (
+        agents.workers,
+        agents.workflows,
+        agents.steps,
+        agents.at_once,
+    ) = (3, 6, 8, 2);
+    (
+        agents.think_s,
+        agents.kills,
+        agents.kills_within_s,
+        agents.within_s,
+    ) = (1.2, 12, 7.0, 60.0);
     (day, days)
 }
 
@@ -39,14 +49,23 @@
     let plans = workflows(agents, day.seed);
     let marks: Vec<String> = plans
         .iter()
-        .flat_map(|w| (1..).zip(&w.steps).map(|(n, s)| (format!("[req={}.{n}]", w.name), s.effect)))
+        .flat_map(|w| {
+            (1..)
+                .zip(&w.steps)
+                .map(|(n, s)| (format!("[req={}.{n}]", w.name), s.effect))
+        })
         .filter(|(_, e)| *e == effect)
         .map(|(mark, _)| mark)
         .collect();
     let runs = |line: &&Line| match decode::<ToEngine>(&line.text) {
         Ok(ToEngine::Completion { body, .. }) => {
-            let read_alone = body.kv_transfer_params.as_ref().is_some_and(|k| k.do_remote_decode);
-            line.dir == "in" && !read_alone && marks.iter().any(|m| body.prompt.ends_with(m.as_str()))
+            let read_alone = body
+                .kv_transfer_params
+                .as_ref()
+                .is_some_and(|k| k.do_remote_decode);
+            line.dir == "in"
+                && !read_alone
+                && marks.iter().any(|m| body.prompt.ends_with(m.as_str()))
         }
         _ => false,
     };
@@ -59,10 +78,20 @@
     let dir = folder("agents-short");
     let outcome = run(&day, &base, &dir, &image()).expect("the day runs");
     let tally = outcome.verdict.workflows;
-    assert!(outcome.verdict.breaches.is_empty(), "{tally:?} {:#?}", outcome.verdict.breaches);
-    assert_eq!(outcome.records, outcome.records_alike, "records replay alike");
+    assert!(
+        outcome.verdict.breaches.is_empty(),
+        "{tally:?} {:#?}",
+        outcome.verdict.breaches
+    );
+    assert_eq!(
+        outcome.records, outcome.records_alike,
+        "records replay alike"
+    );
     assert_eq!((outcome.drawn, tally.planned), (12, 6));
-    assert!(tally.finished + tally.unsettled + tally.parked >= 6 && tally.finished > 0, "{tally:?}");
+    assert!(
+        tally.finished + tally.unsettled + tally.parked >= 6 && tally.finished > 0,
+        "{tally:?}"
+    );
     assert!(tally.claims > 6, "some were claimed again: {tally:?}");
 
     // The same captures, made worse.
@@ -72,13 +101,26 @@
         line.text = line.text.replace("-0\"", "-9\"");
         hosts.push(line);
     });
-    assert!(twice.by_rule()[&Rule::NoEffectTwice] > 0, "an unsafe step that ran twice");
+    assert!(
+        twice.by_rule()[&Rule::NoEffectTwice] > 0,
+        "an unsafe step that ran twice"
+    );
     let lost = again(&dir, |_, clients, _| {
         clients.iter_mut().filter(|l| l.dir == "in").for_each(|l| {
-            l.text = l.text.replace("\\\"fate\\\":\\\"done\\\"", "\\\"fate\\\":\\\"open\\\"");
+            l.text = l
+                .text
+                .replace("\\\"fate\\\":\\\"done\\\"", "\\\"fate\\\":\\\"open\\\"");
         });
     });
-    assert!(lost.by_rule()[&Rule::NoResultLost] > 0, "claims that show nothing done");
-    let ended = again(&dir, |_, clients, _| clients.retain(|l| !l.text.contains("\"finish\"")));
-    assert!(ended.by_rule()[&Rule::WorkflowsEnd] > 0, "workflows that nobody finished");
+    assert!(
+        lost.by_rule()[&Rule::NoResultLost] > 0,
+        "claims that show nothing done"
+    );
+    let ended = again(&dir, |_, clients, _| {
+        clients.retain(|l| !l.text.contains("\"finish\""))
+    });
+    assert!(
+        ended.by_rule()[&Rule::WorkflowsEnd] > 0,
+        "workflows that nobody finished"
+    );
 }
--- a/programs/chaos/tests/alike.rs
+++ b/programs/chaos/tests/alike.rs
@@ -6,9 +6,9 @@
 
 use bitternlatch_core::record::{read, replay, Entry, Recorded};
 use bitternlatch_core::Machine;
+use bitternlatch_policy::interface::*;
 use bitternlatch_simulator_adapter::encode::{at, event_records, frame, start_record};
 use bitternlatch_simulator_adapter::wire::{encode_reply, Adapter};
-use bitternlatch_policy::interface::*;
 use common::{create, final_kind, rig, FOUR};
 
 const INSTANCE: u16 = 3;
@@ -26,7 +26,12 @@
         ));
         final_kind(&client);
         match i {
-            10 => rig.standins().trouble("writer-1", bitternlatch_mock_engine::config::Trouble::Crash, 1.0, 0.3),
+            10 => rig.standins().trouble(
+                "writer-1",
+                bitternlatch_mock_engine::config::Trouble::Crash,
+                1.0,
+                0.3,
+            ),
             15 => rig.write_list(&["reader-1"]),
             _ => {}
         }
@@ -41,21 +46,42 @@
 fn the_dispatcher_the_replay_and_the_drill_decide_alike() {
     let (path, recorded) = recorded();
     assert_eq!(recorded.torn_bytes, 0);
-    assert_eq!(bitternlatch_replay::one(&path, false), 0, "the replay program finds no difference");
+    assert_eq!(
+        bitternlatch_replay::one(&path, false),
+        0,
+        "the replay program finds no difference"
+    );
     let found = replay(&recorded, true).expect("replays");
-    assert!(found.difference.is_none() && found.trace.len() > 100, "{} events", found.trace.len());
+    assert!(
+        found.difference.is_none() && found.trace.len() > 100,
+        "{} events",
+        found.trace.len()
+    );
 
-    let Entry::Start { settings, seed } = &recorded.entries[0] else { panic!("a start") };
-    let settings = bitternlatch_core::Settings::parse("record", settings).expect("settings").policy();
+    let Entry::Start { settings, seed } = &recorded.entries[0] else {
+        panic!("a start")
+    };
+    let settings = bitternlatch_core::Settings::parse("record", settings)
+        .expect("settings")
+        .policy();
     let mut adapter = Adapter::default();
     let start = start_record(Machine::router_seed(*seed), &facts(&settings));
-    adapter.answer(&frame(1.0, &[at(INSTANCE), start])).expect("a start");
+    adapter
+        .answer(&frame(1.0, &[at(INSTANCE), start]))
+        .expect("a start");
     let mut actions = 0;
     for (i, one) in found.trace.iter().enumerate() {
         let (list, event) = event_records(&one.event).expect("the core tells nothing else");
         let records: Vec<Vec<u8>> = list.into_iter().chain([at(INSTANCE), event]).collect();
-        let reply = adapter.answer(&frame(one.now_s, &records)).expect("an answer");
-        assert_eq!(reply, encode_reply(INSTANCE, &one.actions), "event {i}: {:?}", one.event);
+        let reply = adapter
+            .answer(&frame(one.now_s, &records))
+            .expect("an answer");
+        assert_eq!(
+            reply,
+            encode_reply(INSTANCE, &one.actions),
+            "event {i}: {:?}",
+            one.event
+        );
         actions += one.actions.len();
     }
     assert!(actions > 100, "{actions} actions compared");
@@ -90,15 +116,33 @@
         "membershipMode=push".to_string(),
         "extra.kindRole=read,write".to_string(),
     ];
-    let memory: Vec<String> = s.kinds.iter().map(|k| k.memory_tokens.to_string()).collect();
+    let memory: Vec<String> = s
+        .kinds
+        .iter()
+        .map(|k| k.memory_tokens.to_string())
+        .collect();
     lines.push(format!("extra.kindMemoryTokens={}", memory.join(",")));
-    let per_k: Vec<String> =
-        s.classes.iter().map(|c| (c.ttft_aim_per_token_s * 1e9).round().to_string()).collect();
-    let gaps: Vec<String> = s.classes.iter().map(|c| c.token_gap_aim_s.to_string()).collect();
-    lines.push(format!("extra.aimUsPer1000PromptTokens={}", per_k.join(",")));
+    let per_k: Vec<String> = s
+        .classes
+        .iter()
+        .map(|c| (c.ttft_aim_per_token_s * 1e9).round().to_string())
+        .collect();
+    let gaps: Vec<String> = s
+        .classes
+        .iter()
+        .map(|c| c.token_gap_aim_s.to_string())
+        .collect();
+    lines.push(format!(
+        "extra.aimUsPer1000PromptTokens={}",
+        per_k.join(",")
+    ));
     lines.push(format!("extra.tokenAimS={}", gaps.join(",")));
     for (i, c) in s.classes.iter().enumerate() {
-        let effect = if c.effect == Effect::Safe { "free" } else { "single_shot" };
+        let effect = if c.effect == Effect::Safe {
+            "free"
+        } else {
+            "single_shot"
+        };
         lines.push(format!("classes.{i}.effect={effect}"));
         lines.push(format!("classes.{i}.aimS={}", c.ttft_aim_s));
         lines.push(format!("classes.{i}.deadlineS={}", c.deadline_s));
--- a/programs/chaos/tests/bills.rs
+++ b/programs/chaos/tests/bills.rs
@@ -3,10 +3,10 @@
 
 use std::time::Duration;
 
-use bitternlatch_chaos::client::Came;
 use bitternlatch_billing::reconcile::Counts;
 use bitternlatch_billing::{gather, rows};
 use bitternlatch_budget::charge::{Entries, Used};
+use bitternlatch_chaos::client::Came;
 use bitternlatch_mock_engine::config::Trouble;
 use common::{create, final_kind, image, rig, Rig, FOUR};
 
@@ -19,12 +19,18 @@
 
 /// Ends all, and gives the entries with what hosts have counted.
 fn settle(rig: Rig) -> (Entries, Counts) {
-    let journals: Vec<_> =
-        rig.dispatchers.iter().map(|d| rig.dir.join(format!("{}.charges", d.name))).collect();
+    let journals: Vec<_> = rig
+        .dispatchers
+        .iter()
+        .map(|d| rig.dir.join(format!("{}.charges", d.name)))
+        .collect();
     let lines = rig.lines.clone();
     rig.end();
     let mut counts = Counts::default();
-    lines.try_iter().filter(|l| l.dir == "out").for_each(|l| counts.take_text(&l.text));
+    lines
+        .try_iter()
+        .filter(|l| l.dir == "out")
+        .for_each(|l| counts.take_text(&l.text));
     let (entries, contradictions) = gather(&journals).expect("journals");
     assert!(contradictions.is_empty(), "{contradictions:?}");
     (entries, counts)
@@ -33,7 +39,8 @@
 #[test]
 fn bills_are_what_hosts_counted_through_repeats_errors_and_a_kill() {
     let mut rig = charged("bills");
-    rig.standins().trouble("writer-1", Trouble::FastErrors, 0.5, 60.0);
+    rig.standins()
+        .trouble("writer-1", Trouble::FastErrors, 0.5, 60.0);
     let mut served = 0;
     for i in 0..40 {
         if i == 25 {
@@ -44,8 +51,11 @@
         let at = i % 2;
         let (client, again) = (rig.client(at), rig.client(at));
         let class = ["slot-query", "season-booking"][i / 2 % 2];
-        let text =
-            create(class, &format!("k{i}"), &format!("{} [len={}]", "words ".repeat(10 + i), 3 + i % 7));
+        let text = create(
+            class,
+            &format!("k{i}"),
+            &format!("{} [len={}]", "words ".repeat(10 + i), 3 + i % 7),
+        );
         client.say(&text);
         again.say(&text);
         let ends = [final_kind(&client), final_kind(&again)];
@@ -54,8 +64,14 @@
     let (entries, counts) = settle(rig);
     let found = counts.reconcile(&entries);
     assert!(found.faults.is_empty(), "{:#?}", found.faults);
-    assert!(found.equal >= served && served > 25, "{found:?}, {served} served");
-    let known = entries.standing().filter(|e| matches!(e.used, Used::Known(_))).count();
+    assert!(
+        found.equal >= served && served > 25,
+        "{found:?}, {served} served"
+    );
+    let known = entries
+        .standing()
+        .filter(|e| matches!(e.used, Used::Known(_)))
+        .count();
     let sums = rows(&entries.bill(0, u64::MAX));
     assert_eq!(
         sums.iter().map(|r| r.requests).sum::<u64>(),
@@ -74,17 +90,24 @@
 fn a_booking_whose_answer_is_lost_is_possibly_charged_and_what_was_said_before_a_kill_is_on_disk() {
     let mut rig = charged("possibly");
     for writer in ["writer-1", "writer-2"] {
-        rig.standins().trouble(writer, Trouble::LostAnswers, 1.0, 60.0);
+        rig.standins()
+            .trouble(writer, Trouble::LostAnswers, 1.0, 60.0);
     }
     let client = rig.client(0);
     client.say(&create("season-booking", "k1", "the season [len=5]"));
     assert_eq!(final_kind(&client), "response.failed");
     // No orderly end: what was answered is in the journal already.
     rig.dispatchers[0].kill();
-    assert!(matches!(client.next(Duration::from_secs(20)), Came::Closed(_)));
+    assert!(matches!(
+        client.next(Duration::from_secs(20)),
+        Came::Closed(_)
+    ));
     let (entries, counts) = settle(rig);
     let all: Vec<_> = entries.standing().collect();
-    assert!(all.len() == 1 && matches!(all[0].used, Used::Possibly(_)), "{all:?}");
+    assert!(
+        all.len() == 1 && matches!(all[0].used, Used::Possibly(_)),
+        "{all:?}"
+    );
     let found = counts.reconcile(&entries);
     assert_eq!((found.within, found.faults.len()), (1, 0), "{found:?}");
 }
--- a/programs/chaos/tests/callers.rs
+++ b/programs/chaos/tests/callers.rs
@@ -10,8 +10,8 @@
 use base64::Engine;
 use bitternlatch_chaos::client::{Came, Client};
 use bitternlatch_keys::Ring;
-use bitternlatch_net::dial::Manner;
 use bitternlatch_mock_engine::capture::Capture;
+use bitternlatch_net::dial::Manner;
 use common::{closed, create, error_code, log_of, now, rig, to_the_end, wait_for, Rig, FOUR};
 use serde_json::{json, Value};
 
@@ -24,12 +24,19 @@
 /// Files of keys and rights beside the settings of a rig that asks callers who they are.
 fn guarded(name: &str, dispatchers: usize, ring: &Ring, keys: &str) -> Rig {
     let dir = common::folder(name);
-    ring.write(&dir.join("ring.json"), &dir.join("jwks.json")).expect("the keys");
+    ring.write(&dir.join("ring.json"), &dir.join("jwks.json"))
+        .expect("the keys");
     std::fs::write(dir.join("rights.toml"), RIGHTS).expect("the rights");
     let kept = dir.join("kept.json").display().to_string();
     let place = |file: &str| dir.join(file).display().to_string();
-    let (rights, keys) =
-        (place("rights.toml"), if keys.is_empty() { place("jwks.json") } else { keys.to_string() });
+    let (rights, keys) = (
+        place("rights.toml"),
+        if keys.is_empty() {
+            place("jwks.json")
+        } else {
+            keys.to_string()
+        },
+    );
     rig(&format!("{name}-run"), FOUR, dispatchers, |settings| {
         let identity = json!({ "issuer": "https://issuer", "audience": "bitternlatch", "skew_s": 0,
             "keys": keys, "kept": kept, "rights": rights, "refresh_s": 0.2 });
@@ -47,14 +54,20 @@
         "t",
         "d",
         Capture::none(),
-        &Manner { token: Some(token.to_string()), tls: None },
+        &Manner {
+            token: Some(token.to_string()),
+            tls: None,
+        },
     )
     .map_err(|e| e.to_string())
 }
 
 fn served(client: &Client, class: &str, key: &str) {
     client.say(&create(class, key, "words [len=3]"));
-    assert_eq!(to_the_end(client).last().map(|e| e.kind.clone()).as_deref(), Some("response.completed"));
+    assert_eq!(
+        to_the_end(client).last().map(|e| e.kind.clone()).as_deref(),
+        Some("response.completed")
+    );
 }
 
 #[test]
@@ -69,11 +82,18 @@
     // As a forger would write them: no signature at all, and a MAC made with what everybody knows.
     let forged = |alg: &str| {
         let header = part(&json!({ "alg": alg, "kid": signing }));
-        format!("{header}.{}.{}", part(&claims("ann", "members", 600)), B64.encode([7u8; 32]))
+        format!(
+            "{header}.{}.{}",
+            part(&claims("ann", "members", 600)),
+            B64.encode([7u8; 32])
+        )
     };
     let unknown = |t: &str| {
         let rest = t.split_once('.').expect("parts").1;
-        format!("{}.{rest}", part(&json!({ "alg": "EdDSA", "kid": "nobody" })))
+        format!(
+            "{}.{rest}",
+            part(&json!({ "alg": "EdDSA", "kid": "nobody" }))
+        )
     };
     let later = {
         let mut c = claims("ann", "members", 600);
@@ -81,16 +101,21 @@
         token(&c)
     };
     let twice = {
-        let text = claims("ann", "members", 600).to_string().replacen('{', "{\"sub\":\"root\",", 1);
+        let text = claims("ann", "members", 600)
+            .to_string()
+            .replacen('{', "{\"sub\":\"root\",", 1);
         let rest: Vec<&str> = good.split('.').collect();
         format!("{}.{}.{}", rest[0], B64.encode(text), rest[2])
     };
-    let issuer =
-        token(&json!({ "iss": "https://other", "aud": "bitternlatch", "sub": "ann", "exp": now() + 9 }));
+    let issuer = token(
+        &json!({ "iss": "https://other", "aud": "bitternlatch", "sub": "ann", "exp": now() + 9 }),
+    );
     for (bad, code) in [
         ("nonsense".to_string(), "token_malformed"),
         (
-            token(&json!({ "iss": "https://issuer", "aud": "other", "sub": "ann", "exp": now() + 9 })),
+            token(
+                &json!({ "iss": "https://issuer", "aud": "other", "sub": "ann", "exp": now() + 9 }),
+            ),
             "token_audience",
         ),
         (token(&claims("ann", "members", 0)), "token_expired"),
@@ -101,7 +126,10 @@
         (later, "token_not_yet"),
         (twice, "token_malformed"),
         (issuer, "token_issuer"),
-        (token(&claims("cert:uri:urn:x", "directors", 600)), "token_malformed"),
+        (
+            token(&claims("cert:uri:urn:x", "directors", 600)),
+            "token_malformed",
+        ),
         (format!("{good}.{}", "A".repeat(9000)), "token_too_long"),
     ] {
         let lines = log_of(&rig).matches(code).count();
@@ -109,30 +137,49 @@
         assert!(refused.contains("401"), "{refused}");
         wait_for(code, || log_of(&rig).matches(code).count() > lines);
     }
-    assert!(Client::connect(&rig.dispatchers[0].address, "t", "d", Capture::none()).is_err(), "no token");
+    assert!(
+        Client::connect(&rig.dispatchers[0].address, "t", "d", Capture::none()).is_err(),
+        "no token"
+    );
     let member = open(&rig, 0, &good).expect("let in");
     served(&member, "slot-query", "k1");
     rig.lines.try_iter().for_each(drop);
     member.say(&create("season-booking", "k2", "the season [len=3]"));
     assert_eq!(error_code(&member), "class_not_allowed");
-    let claimed = create("slot-query", "k3", "x").replace("\"class\"", "\"tenant\":\"bands\",\"class\"");
+    let claimed =
+        create("slot-query", "k3", "x").replace("\"class\"", "\"tenant\":\"bands\",\"class\"");
     member.say(&claimed);
     assert_eq!(error_code(&member), "tenant_mismatch");
     let lines: Vec<_> = rig.lines.try_iter().collect();
-    assert!(rig.completions(&lines).is_empty(), "a refusal reaches no host");
+    assert!(
+        rig.completions(&lines).is_empty(),
+        "a refusal reaches no host"
+    );
     let director = open(&rig, 0, &token(&claims("dee", "directors", 600))).expect("let in");
     served(&director, "season-booking", "k4");
 
     // Rights that are taken between two requests; a broken file changes nothing.
-    let rights = rig.dir.parent().expect("a folder").join("rights").join("rights.toml");
+    let rights = rig
+        .dir
+        .parent()
+        .expect("a folder")
+        .join("rights")
+        .join("rights.toml");
     std::fs::write(&rights, "[[rule]]\nname = \"half").expect("half a file");
     std::thread::sleep(Duration::from_millis(500));
     served(&director, "season-booking", "k5");
-    std::fs::write(&rights, RIGHTS.replace("[\"slot-query\", \"season-booking\"]", "[\"slot-query\"]"))
-        .expect("rights");
+    std::fs::write(
+        &rights,
+        RIGHTS.replace("[\"slot-query\", \"season-booking\"]", "[\"slot-query\"]"),
+    )
+    .expect("rights");
     wait_for("the new rights", || {
         log_of(&rig).contains("new rights are in force\"") && {
-            director.say(&create("season-booking", &format!("k6{}", now()), "the season [len=3]"));
+            director.say(&create(
+                "season-booking",
+                &format!("k6{}", now()),
+                "the season [len=3]",
+            ));
             error_code(&director) == "class_not_allowed"
         }
     });
@@ -146,7 +193,8 @@
         let path = entry.expect("a file").path();
         let data = match path.extension().and_then(|e| e.to_str()) {
             Some("rec") => {
-                let recorded = bitternlatch_core::record::read(std::fs::File::open(&path).expect("a record"));
+                let recorded =
+                    bitternlatch_core::record::read(std::fs::File::open(&path).expect("a record"));
                 serde_json::to_vec(&recorded.expect("a good record").entries).expect("JSON")
             }
             _ => std::fs::read(&path).expect("a file"),
@@ -154,7 +202,11 @@
         let text = String::from_utf8_lossy(&data);
         for token in tokens {
             let signature = token.rsplit('.').next().expect("a signature");
-            assert!(!text.contains(signature), "{} holds a token", path.display());
+            assert!(
+                !text.contains(signature),
+                "{} holds a token",
+                path.display()
+            );
         }
     }
 }
@@ -164,8 +216,10 @@
     let mut ring = Ring::default();
     ring.announce(now() - 10).expect("a key");
     let rig = guarded("renewal", 1, &ring, "");
-    let token =
-        |subject: &str, for_s| ring.sign(now(), &claims(subject, "directors", for_s)).expect("a token");
+    let token = |subject: &str, for_s| {
+        ring.sign(now(), &claims(subject, "directors", for_s))
+            .expect("a token")
+    };
     let short = open(&rig, 0, &token("dee", 3)).expect("let in");
     let renewed = open(&rig, 0, &token("dee", 3)).expect("let in");
     // Both run a booking of four seconds when their tokens end.
@@ -183,7 +237,9 @@
         match renewed.next(Duration::from_secs(20)) {
             Came::Event(e) if e.kind == "error" => {
                 codes.push(
-                    e.error.map(|e| e["code"].as_str().unwrap_or_default().to_string()).unwrap_or_default(),
+                    e.error
+                        .map(|e| e["code"].as_str().unwrap_or_default().to_string())
+                        .unwrap_or_default(),
                 );
             }
             Came::Event(e) if e.kind == "session.renewed" => ends += 1,
@@ -195,7 +251,11 @@
     assert_eq!(
         (codes, ends, last.as_str()),
         (
-            vec!["subject_mismatch".to_string(), "token_refused".into(), "token_refused".into()],
+            vec![
+                "subject_mismatch".to_string(),
+                "token_refused".into(),
+                "token_refused".into()
+            ],
             1,
             "response.completed"
         )
@@ -207,7 +267,10 @@
         Some("response.completed"),
         "what runs gets its final answer"
     );
-    assert!(closed(&short).contains("4401"), "and then the session is closed");
+    assert!(
+        closed(&short).contains("4401"),
+        "and then the session is closed"
+    );
     renewed.close();
     no_secret(&rig, &[&secret]);
     rig.end();
@@ -225,8 +288,14 @@
     let first = ring.keys[0].clone();
     let sessions: Vec<Client> = (0..3)
         .map(|at| {
-            open(&rig, at, &ring.sign(now(), &claims("dee", "directors", 600)).expect("a token"))
-                .expect("let in")
+            open(
+                &rig,
+                at,
+                &ring
+                    .sign(now(), &claims("dee", "directors", 600))
+                    .expect("a token"),
+            )
+            .expect("let in")
         })
         .collect();
     for round in 0..3 {
@@ -238,7 +307,9 @@
         while Instant::now() < until {
             for (at, session) in sessions.iter().enumerate() {
                 served(session, "slot-query", &format!("r{round}-{at}-{n}"));
-                let token = ring.sign(now(), &claims("ann", "members", 600)).expect("a token");
+                let token = ring
+                    .sign(now(), &claims("ann", "members", 600))
+                    .expect("a token");
                 let fresh = open(&rig, at, &token).unwrap_or_else(|e| panic!("round {round}: {e}"));
                 served(&fresh, "slot-query", &format!("f{round}-{at}-{n}"));
                 fresh.close();
@@ -251,9 +322,14 @@
             }
         }
     }
-    wait_for("the first key's end", || now() >= first.ends.unwrap_or(ring.keys[0].ends.expect("an end")));
+    wait_for("the first key's end", || {
+        now() >= first.ends.unwrap_or(ring.keys[0].ends.expect("an end"))
+    });
     let old = Ring::sign_with(&first, &claims("ann", "members", 600)).expect("a token");
-    assert!(open(&rig, 0, &old).err().expect("refused").contains("401"), "the old key counts no more");
+    assert!(
+        open(&rig, 0, &old).err().expect("refused").contains("401"),
+        "the old key counts no more"
+    );
     for (at, session) in sessions.iter().enumerate() {
         served(session, "slot-query", &format!("last-{at}"));
     }
@@ -266,7 +342,11 @@
     for session in &sessions {
         assert!(closed(session).contains("4401"));
     }
-    assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        start.elapsed()
+    );
     rig.end();
 }
 
@@ -283,7 +363,11 @@
             }
             match script(n) {
                 Some(body) => {
-                    let _ = write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+                    let _ = write!(
+                        stream,
+                        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                        body.len()
+                    );
                 }
                 // Says nothing until the other end gives up.
                 None => std::thread::sleep(Duration::from_secs(3)),
@@ -305,13 +389,19 @@
         _ => Some("{\"keys\":[]}".into()),
     });
     let mut rig = guarded("issuer", 1, &ring, &keys);
-    let token = ring.sign(now(), &claims("ann", "members", 600)).expect("a token");
+    let token = ring
+        .sign(now(), &claims("ann", "members", 600))
+        .expect("a token");
     let session = open(&rig, 0, &token).expect("let in");
-    wait_for("three bad answers", || log_of(&rig).matches("the last good ones stay").count() >= 3);
+    wait_for("three bad answers", || {
+        log_of(&rig).matches("the last good ones stay").count() >= 3
+    });
     served(&session, "slot-query", "k1");
     open(&rig, 0, &token).expect("still let in");
     rig.dispatchers[0].kill();
-    rig.dispatchers[0].start(&common::image()).expect("started again");
+    rig.dispatchers[0]
+        .start(&common::image())
+        .expect("started again");
     assert!(rig.dispatchers[0].ready(Duration::from_secs(20)));
     open(&rig, 0, &token).expect("let in by the keys kept on disk");
     let kept: &Path = &rig.dir.parent().expect("it").join("issuer/kept.json");
--- a/programs/chaos/tests/common/cluster.rs
+++ b/programs/chaos/tests/common/cluster.rs
@@ -10,7 +10,8 @@
 use super::{between, cluster_table, folder, free_for_peers, image, SETTINGS};
 
 /// One host, which is not there.
-pub const LIST: &str = "name,address,port,kind,cell,zone,state\nr1,127.0.0.1,1,reader,c,pos-site,ready\n";
+pub const LIST: &str =
+    "name,address,port,kind,cell,zone,state\nr1,127.0.0.1,1,reader,c,pos-site,ready\n";
 pub const SOON: Duration = Duration::from_secs(30);
 
 /// Dispatchers without hosts, whose datagrams to each other pass relays.
@@ -37,14 +38,24 @@
     for (me, own) in addresses.iter().enumerate() {
         let mut one = Dispatcher::new(&dir, me + 1, count, &settings);
         let kept = format!("dispatch-{}.start", me + 1);
-        let own_roster =
-            roster.iter().enumerate().filter(|(other, _)| lists(me, *other)).map(|(_, line)| line.clone());
-        one.set("cluster", cluster_table("secret", *own, &kept, &own_roster.collect::<Vec<_>>()));
+        let own_roster = roster
+            .iter()
+            .enumerate()
+            .filter(|(other, _)| lists(me, *other))
+            .map(|(_, line)| line.clone());
+        one.set(
+            "cluster",
+            cluster_table("secret", *own, &kept, &own_roster.collect::<Vec<_>>()),
+        );
         one.without_record();
         one.start(&image()).expect("a process");
         dispatchers.push(one);
     }
-    let cluster = Cluster { dispatchers, addresses, between };
+    let cluster = Cluster {
+        dispatchers,
+        addresses,
+        between,
+    };
     cluster.all_whole();
     cluster
 }
@@ -60,7 +71,9 @@
 
     pub fn state(&self, of: usize, at: usize) -> String {
         let name = &self.dispatchers[of].name;
-        let line = self.view(at).and_then(|v| v.members.into_iter().find(|m| m.name == *name));
+        let line = self
+            .view(at)
+            .and_then(|v| v.members.into_iter().find(|m| m.name == *name));
         line.map_or("not there".into(), |l| l.state)
     }
 
@@ -74,6 +87,8 @@
     }
 
     pub fn all_whole(&self) {
-        self.until("a whole", || (0..self.addresses.len()).all(|i| self.standing(i) == "whole"));
+        self.until("a whole", || {
+            (0..self.addresses.len()).all(|i| self.standing(i) == "whole")
+        });
     }
 }
--- a/programs/chaos/tests/common/lengths.rs
+++ b/programs/chaos/tests/common/lengths.rs
@@ -21,7 +21,10 @@
         }
         let mut table = cluster_table("secret", peers[i], &format!("{i}.start"), &roster);
         let lengths = toml::Table::from_iter([("kept".to_string(), format!("{i}.lengths").into())]);
-        table.as_table_mut().expect("a table").insert("lengths".into(), lengths.into());
+        table
+            .as_table_mut()
+            .expect("a table")
+            .insert("lengths".into(), lengths.into());
         one.set("cluster", table);
     });
     let whole = |at: &std::net::SocketAddrV4| {
@@ -51,17 +54,27 @@
     pub fn told(&self, of: usize, figure: &str) -> Vec<f64> {
         let log = self.log(of);
         let lines = log.lines().filter(|l| l.contains("lengths: "));
-        let value = |l: &str| l.split(&format!(" {figure}=")).nth(1)?.split([' ', '"']).next()?.parse().ok();
+        let value = |l: &str| {
+            l.split(&format!(" {figure}="))
+                .nth(1)?
+                .split([' ', '"'])
+                .next()?
+                .parse()
+                .ok()
+        };
         lines.filter_map(value).collect()
     }
 
     pub fn all_have(&self, answers: f64) {
         let all = 0..self.rig.dispatchers.len();
         wait_for(&format!("{answers} answers at all"), || {
-            all.clone().all(|i| self.told(i, "answers").last() == Some(&answers))
+            all.clone()
+                .all(|i| self.told(i, "answers").last() == Some(&answers))
         });
         // Nor has any of them ever counted more.
-        assert!(all.clone().all(|i| self.told(i, "answers").iter().all(|n| *n <= answers)));
+        assert!(all
+            .clone()
+            .all(|i| self.told(i, "answers").iter().all(|n| *n <= answers)));
     }
 
     pub fn kept(&self, of: usize) -> PathBuf {
--- a/programs/chaos/tests/common/mod.rs
+++ b/programs/chaos/tests/common/mod.rs
@@ -14,10 +14,10 @@
 use bitternlatch_chaos::client::{Came, Client};
 use bitternlatch_chaos::day::Day;
 use bitternlatch_chaos::process::{own_address, Dispatcher};
-use bitternlatch_net::dial::Manner;
-use bitternlatch_protocol::client::ServerEvent;
 use bitternlatch_mock_engine::capture::{Capture, Line};
 use bitternlatch_mock_engine::Standins;
+use bitternlatch_net::dial::Manner;
+use bitternlatch_protocol::client::ServerEvent;
 use crossbeam_channel::Receiver;
 
 pub const SETTINGS: &str = include_str!("../../../../deploy/dispatch.toml");
@@ -54,7 +54,12 @@
 }
 
 /// As [`rig`]; `each` may change one dispatcher's place before its start, by number from 0.
-pub fn rig_each(name: &str, hosts: &str, dispatchers: usize, each: impl Fn(usize, &mut Dispatcher)) -> Rig {
+pub fn rig_each(
+    name: &str,
+    hosts: &str,
+    dispatchers: usize,
+    each: impl Fn(usize, &mut Dispatcher),
+) -> Rig {
     rig_of(name, hosts, dispatchers, None, |_| (), each)
 }
 
@@ -85,7 +90,14 @@
     let mut config = day.standins();
     config.tls = tls.as_ref().map(|t| t.0.clone());
     let standins = Standins::start(config, capture).expect("stand-ins");
-    let mut rig = Rig { hosts: Some(standins), lines, dispatchers: vec![], dir, day, connections: 0.into() };
+    let mut rig = Rig {
+        hosts: Some(standins),
+        lines,
+        dispatchers: vec![],
+        dir,
+        day,
+        connections: 0.into(),
+    };
     rig.write_list(&[]);
     let mut settings: toml::Table = toml::from_str(SETTINGS).expect("settings");
     edit(&mut settings);
@@ -124,8 +136,15 @@
     pub fn write_list(&self, draining: &[&str]) {
         let mut text = String::from("name,address,port,kind,cell,zone,state\n");
         for host in &self.day.hosts {
-            let (name, address) = (&host.config.name, self.standins().addresses()[&host.config.name]);
-            let state = if draining.contains(&name.as_str()) { "draining" } else { "ready" };
+            let (name, address) = (
+                &host.config.name,
+                self.standins().addresses()[&host.config.name],
+            );
+            let state = if draining.contains(&name.as_str()) {
+                "draining"
+            } else {
+                "ready"
+            };
             text.push_str(&format!(
                 "{name},{},{},{},{},pos-site,{state}\n",
                 address.ip(),
@@ -138,14 +157,18 @@
     }
 
     pub fn client(&self, dispatcher: usize) -> Client {
-        let n = self.connections.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
+        let n = self
+            .connections
+            .fetch_add(1, std::sync::atomic::Ordering::SeqCst);
         let address = &self.dispatchers[dispatcher].address;
         Client::connect(address, &format!("t{n}"), "d", Capture::none()).expect("a session")
     }
 
     /// Completions that hosts got, as (host, text).
     pub fn completions(&self, of: &[Line]) -> Vec<(String, String)> {
-        let told = of.iter().filter(|l| l.dir == "in" && l.text.contains("\"op\":\"completion\""));
+        let told = of
+            .iter()
+            .filter(|l| l.dir == "in" && l.text.contains("\"op\":\"completion\""));
         told.map(|l| (l.who.clone(), l.text.clone())).collect()
     }
 
@@ -167,7 +190,11 @@
     pub fn end(mut self) {
         self.dispatchers.iter().for_each(Dispatcher::terminate);
         for one in &mut self.dispatchers {
-            assert!(one.ended(Duration::from_secs(20)), "{} ends in order", one.name);
+            assert!(
+                one.ended(Duration::from_secs(20)),
+                "{} ends in order",
+                one.name
+            );
         }
         if let Some(hosts) = self.hosts.take() {
             hosts.stop();
@@ -184,7 +211,14 @@
 }
 
 /// Nothing passes.
-pub const CUT: Rule = Rule { cut: true, lost: 0.0, twice: 0.0, delay_s: 0.0, jitter_s: 0.0, bytes_s: 0.0 };
+pub const CUT: Rule = Rule {
+    cut: true,
+    lost: 0.0,
+    twice: 0.0,
+    delay_s: 0.0,
+    jitter_s: 0.0,
+    bytes_s: 0.0,
+};
 
 /// Addresses for datagrams and connections both.
 pub fn free_for_peers(count: usize) -> Vec<SocketAddrV4> {
@@ -209,9 +243,19 @@
 /// Relays before so many members, and the roster that leads through them.
 pub fn between(addresses: &[SocketAddrV4]) -> (Between, Vec<(String, SocketAddrV4, String)>) {
     let name = |i: usize| format!("dispatch-{}", i + 1);
-    let members: Vec<_> = addresses.iter().enumerate().map(|(i, at)| (name(i), *at)).collect();
+    let members: Vec<_> = addresses
+        .iter()
+        .enumerate()
+        .map(|(i, at)| (name(i), *at))
+        .collect();
     let between = Between::start(&members, 7).expect("relays");
-    let line = |i: usize| (name(i), between.front(i).expect("a front"), format!("clients-of-{}", i + 1));
+    let line = |i: usize| {
+        (
+            name(i),
+            between.front(i).expect("a front"),
+            format!("clients-of-{}", i + 1),
+        )
+    };
     let roster = (0..addresses.len()).map(line).collect();
     (between, roster)
 }
@@ -234,12 +278,18 @@
 }
 
 pub fn final_kind(client: &Client) -> String {
-    to_the_end(client).last().map(|e| e.kind.clone()).unwrap_or_default()
+    to_the_end(client)
+        .last()
+        .map(|e| e.kind.clone())
+        .unwrap_or_default()
 }
 
 /// The wall clock, Unix seconds.
 pub fn now() -> u64 {
-    std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970").as_secs()
+    std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .expect("after 1970")
+        .as_secs()
 }
 
 /// Waits until something holds, or panics.
@@ -254,7 +304,9 @@
 /// The last event's kind, or the code of its error.
 pub fn error_code(client: &Client) -> String {
     let last = to_the_end(client).pop().expect("an event");
-    last.error.map_or(last.kind, |e| e["code"].as_str().unwrap_or_default().to_string())
+    last.error.map_or(last.kind, |e| {
+        e["code"].as_str().unwrap_or_default().to_string()
+    })
 }
 
 /// Waits for a session's end, and gives why.
--- a/programs/chaos/tests/common/surge.rs
+++ b/programs/chaos/tests/common/surge.rs
@@ -2,9 +2,9 @@
 
 use std::path::{Path, PathBuf};
 
-use bitternlatch_invariant_checker::{Load, Part, Recovery};
 use bitternlatch_chaos::day::Day;
 use bitternlatch_chaos::run::{run, Outcome};
+use bitternlatch_invariant_checker::{Load, Part, Recovery};
 
 use super::{folder, image};
 
@@ -94,7 +94,9 @@
         let beside = match (self.on, self.guessed) {
             (false, _) => "",
             (true, true) => "beside = { overload = {} }",
-            (true, false) => "beside = { overload = { read_tokens_per_s = 3000, write_tokens_per_s = 400 } }",
+            (true, false) => {
+                "beside = { overload = { read_tokens_per_s = 3000, write_tokens_per_s = 400 } }"
+            }
         };
         let rate = CAPACITY * self.load;
         let text = format!(
@@ -113,7 +115,11 @@
             load(&outcome).asked_by_s,
             load(&outcome).goodput_by_s
         );
-        Played { outcome, dir, shown }
+        Played {
+            outcome,
+            dir,
+            shown,
+        }
     }
 }
 
@@ -134,12 +140,19 @@
     }
 
     pub fn part(&self, name: &str) -> &Part {
-        self.load().parts.get(name).unwrap_or_else(|| panic!("{name} was asked for"))
+        self.load()
+            .parts
+            .get(name)
+            .unwrap_or_else(|| panic!("{name} was asked for"))
     }
 
     /// Of the trouble whose name begins so.
     pub fn recovery(&self, of: &str) -> &Recovery {
-        let found = self.load().recoveries.iter().find(|r| r.trouble.starts_with(of));
+        let found = self
+            .load()
+            .recoveries
+            .iter()
+            .find(|r| r.trouble.starts_with(of));
         found.unwrap_or_else(|| panic!("{of} was played"))
     }
 
@@ -153,8 +166,16 @@
     /// What holds on each day, whatever else: the five rules, records that replay alike, and an end in order.
     pub fn holds(&self) -> &Played {
         let verdict = &self.outcome.verdict;
-        assert!(verdict.breaches.is_empty(), "{:#?}\n{}", verdict.breaches, self.shown);
-        assert_eq!(self.outcome.records, self.outcome.records_alike, "records replay alike");
+        assert!(
+            verdict.breaches.is_empty(),
+            "{:#?}\n{}",
+            verdict.breaches,
+            self.shown
+        );
+        assert_eq!(
+            self.outcome.records, self.outcome.records_alike,
+            "records replay alike"
+        );
         assert!(verdict.service.served > 10, "{:?}", verdict.service);
         self
     }
--- a/programs/chaos/tests/common/workflows.rs
+++ b/programs/chaos/tests/common/workflows.rs
@@ -7,8 +7,8 @@
 use bitternlatch_chaos::between::Between;
 use bitternlatch_chaos::client::Client;
 use bitternlatch_cluster_net::ask;
-use bitternlatch_protocol::workflow::Claimed;
 use bitternlatch_mock_engine::capture::Line;
+use bitternlatch_protocol::workflow::Claimed;
 use serde_json::json;
 
 use super::*;
@@ -31,9 +31,14 @@
     let (between, roster) = between(&peers);
     let settings: toml::Table = toml::from_str(SETTINGS).expect("settings");
     let mut classes = settings["classes"].clone();
-    classes.as_array_mut().into_iter().flatten().filter_map(toml::Value::as_table_mut).for_each(|class| {
-        class.insert("deadline_s".into(), PATIENT_S.into());
-    });
+    classes
+        .as_array_mut()
+        .into_iter()
+        .flatten()
+        .filter_map(toml::Value::as_table_mut)
+        .for_each(|class| {
+            class.insert("deadline_s".into(), PATIENT_S.into());
+        });
     let mut hold = classes[0].as_table().expect("a class").clone();
     hold.extend([
         ("name".into(), HOLD.into()),
@@ -43,18 +48,27 @@
     classes.as_array_mut().expect("classes").push(hold.into());
     let rig = rig_each(name, FOUR, 3, |i, one| {
         if i == 0 {
-            std::fs::write(folder_of(name).join("secret"), "sixteen bytes or more").expect("a secret");
+            std::fs::write(folder_of(name).join("secret"), "sixteen bytes or more")
+                .expect("a secret");
         }
         let mut cluster = cluster_table("secret", peers[i], &format!("{i}.start"), &roster);
         let mut workflows = toml::Table::from_iter([("lease_s".to_string(), 1.5.into())]);
         if on_disk {
             workflows.insert("kept".into(), format!("{i}.workflows").into());
         }
-        cluster.as_table_mut().expect("a table").insert("workflows".into(), workflows.into());
+        cluster
+            .as_table_mut()
+            .expect("a table")
+            .insert("workflows".into(), workflows.into());
         one.set("cluster", cluster);
         one.set("classes", classes.clone());
     });
-    let three = Three { rig, between, peers, seen: Mutex::default() };
+    let three = Three {
+        rig,
+        between,
+        peers,
+        seen: Mutex::default(),
+    };
     (0..3).for_each(|i| three.until(i, "whole"));
     three
 }
@@ -68,29 +82,48 @@
 
 pub fn end(client: &Client) -> End {
     let last = to_the_end(client).pop().expect("an event");
-    let refused = last.error.as_ref().map(|e| e["code"].as_str().unwrap_or_default().to_string());
-    let failed = last.response.as_ref().and_then(|r| r.error.as_ref()).map(|e| e.code.clone());
-    let text = last.response.and_then(|r| Some(r.output.first()?.content.first()?.text.clone()));
-    End { code: refused.or(failed).unwrap_or("done".into()), text: text.unwrap_or_default() }
+    let refused = last
+        .error
+        .as_ref()
+        .map(|e| e["code"].as_str().unwrap_or_default().to_string());
+    let failed = last
+        .response
+        .as_ref()
+        .and_then(|r| r.error.as_ref())
+        .map(|e| e.code.clone());
+    let text = last
+        .response
+        .and_then(|r| Some(r.output.first()?.content.first()?.text.clone()));
+    End {
+        code: refused.or(failed).unwrap_or("done".into()),
+        text: text.unwrap_or_default(),
+    }
 }
 
 pub fn about(class: &str, does: &[(&str, &str)], input: &str) -> String {
     let mut meta = json!({ "class": class, "workflow": "season", "try": input });
-    does.iter().for_each(|(key, value)| meta[*key] = json!(value));
+    does.iter()
+        .for_each(|(key, value)| meta[*key] = json!(value));
     json!({ "type": "response.create", "model": "m", "input": input, "max_output_tokens": 2000, "metadata": meta })
         .to_string()
 }
 
 pub fn step_of(class: &str, epoch: u64, number: u32, input: &str) -> String {
     let (epoch, number) = (epoch.to_string(), number.to_string());
-    let does = [("workflow_epoch", epoch.as_str()), ("workflow_step", &number), ("idempotency_key", &number)];
+    let does = [
+        ("workflow_epoch", epoch.as_str()),
+        ("workflow_step", &number),
+        ("idempotency_key", &number),
+    ];
     about(class, &does, input)
 }
 
 impl Three {
     pub fn until(&self, of: usize, standing: &str) {
         let at = SocketAddr::V4(self.peers[of]);
-        wait_for(standing, || ask(at, Duration::from_secs(2)).is_ok_and(|v| v.standing == standing));
+        wait_for(standing, || {
+            ask(at, Duration::from_secs(2)).is_ok_and(|v| v.standing == standing)
+        });
     }
 
     pub fn asks(&self, at: usize, text: &str) -> End {
@@ -133,7 +166,15 @@
 
     pub fn does(&self, at: usize, does: &str, epoch: u64) -> String {
         let epoch = epoch.to_string();
-        self.asks(at, &about(QUERY, &[("workflow_do", does), ("workflow_epoch", &epoch)], "word")).code
+        self.asks(
+            at,
+            &about(
+                QUERY,
+                &[("workflow_do", does), ("workflow_epoch", &epoch)],
+                "word",
+            ),
+        )
+        .code
     }
 
     /// Times that a host was told to write the answer to this step.
@@ -141,8 +182,9 @@
         let mut seen = self.seen.lock().expect("not poisoned");
         seen.extend(self.rig.lines.try_iter());
         let told = self.rig.completions(&seen);
-        let written =
-            told.iter().filter(|(who, text)| who.starts_with("writer") && text.contains(&words(number)));
+        let written = told
+            .iter()
+            .filter(|(who, text)| who.starts_with("writer") && text.contains(&words(number)));
         written.count()
     }
 
--- a/programs/chaos/tests/evidence.rs
+++ b/programs/chaos/tests/evidence.rs
@@ -33,12 +33,27 @@
             ("reread_s".to_string(), 0.1.into()),
         ]);
         one.set("inventory", inventory.into());
-        one.set("cluster", cluster_table("secret", peers[i], &format!("{i}.start"), &roster));
+        one.set(
+            "cluster",
+            cluster_table("secret", peers[i], &format!("{i}.start"), &roster),
+        );
     });
-    let three = Three { rig, peers, keys: AtomicU32::new(0), _between: between };
+    let three = Three {
+        rig,
+        peers,
+        keys: AtomicU32::new(0),
+        _between: between,
+    };
     wait_for("a whole that lends", || {
-        let views = three.peers.iter().map(|at| ask(SocketAddr::V4(*at), Duration::from_secs(2)));
-        views.flatten().filter(|v| v.standing == "whole" && v.part > 0.3).count() == 3
+        let views = three
+            .peers
+            .iter()
+            .map(|at| ask(SocketAddr::V4(*at), Duration::from_secs(2)));
+        views
+            .flatten()
+            .filter(|v| v.standing == "whole" && v.part > 0.3)
+            .count()
+            == 3
     });
     three
 }
@@ -55,7 +70,8 @@
     }
 
     fn is_ready(&self, of: usize) -> bool {
-        get(&self.rig.dispatchers[of].address, "/ready").is_ok_and(|a| a.starts_with("HTTP/1.1 200"))
+        get(&self.rig.dispatchers[of].address, "/ready")
+            .is_ok_and(|a| a.starts_with("HTTP/1.1 200"))
     }
 
     /// How one ask at a dispatcher ended, and where else it was told to try.
@@ -64,9 +80,16 @@
         client.say(&create("slot-query", key, "a few words [len=3]"));
         let last = to_the_end(&client).pop().expect("an event");
         let error = last.error.unwrap_or_default();
-        let elsewhere = error["elsewhere"].as_array().into_iter().flatten().filter_map(|v| v.as_str());
+        let elsewhere = error["elsewhere"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .filter_map(|v| v.as_str());
         client.close();
-        (error["code"].as_str().unwrap_or(&last.kind).to_string(), elsewhere.map(str::to_string).collect())
+        (
+            error["code"].as_str().unwrap_or(&last.kind).to_string(),
+            elsewhere.map(str::to_string).collect(),
+        )
     }
 
     /// Whether any of so many asks at a dispatcher was read at this host.
@@ -78,7 +101,10 @@
             assert_eq!(self.asks(of, &key).0, "response.completed");
         }
         let lines: Vec<_> = self.rig.lines.try_iter().collect();
-        self.rig.completions(&lines).iter().any(|(who, _)| who == host)
+        self.rig
+            .completions(&lines)
+            .iter()
+            .any(|(who, _)| who == host)
     }
 }
 
@@ -122,9 +148,13 @@
     assert!(three.reads_at(2, "reader-1", 30), "it is used before");
     three.write(2, |_| "no list at all".to_string());
     let log = || three.rig.dispatchers[2].log().expect("a log");
-    wait_for("its word on the list", || log().contains("the host list is broken"));
+    wait_for("its word on the list", || {
+        log().contains("the host list is broken")
+    });
     three.write(0, draining);
-    wait_for("the drain", || log().contains("drains by the word of peers"));
+    wait_for("the drain", || {
+        log().contains("drains by the word of peers")
+    });
     assert!(!three.reads_at(2, "reader-1", 30));
     // Its list can be read again, and has the host ready: that counts, against one voice.
     three.write(2, str::to_string);
--- a/programs/chaos/tests/ledger.rs
+++ b/programs/chaos/tests/ledger.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use bitternlatch_chaos::process::free_address;
 use bitternlatch_billing::{gather, rows};
+use bitternlatch_chaos::process::free_address;
 use bitternlatch_quota_server::{Running, Settings, Tenant};
 use common::{create, final_kind, folder, rig, wait_for, Rig, FOUR};
 use serde_json::json;
@@ -14,8 +14,15 @@
 
 /// Starts one; the one before it may still be about to let go of its file and port.
 fn start(address: &str, file: &Path) -> Running {
-    let tenants = vec![Tenant { name: "association".into(), tokens_per_s: RATE }];
-    let settings = Settings { address: address.to_string(), file: file.to_path_buf(), tenants };
+    let tenants = vec![Tenant {
+        name: "association".into(),
+        tokens_per_s: RATE,
+    }];
+    let settings = Settings {
+        address: address.to_string(),
+        file: file.to_path_buf(),
+        tenants,
+    };
     let by = Instant::now() + Duration::from_secs(30);
     loop {
         match Running::start(&settings) {
@@ -29,7 +36,8 @@
 fn with_ledger(name: &str, address: &str) -> Rig {
     let address = address.to_string();
     rig(name, FOUR, 2, move |settings| {
-        let table = |v: serde_json::Value| serde_json::from_value::<toml::Value>(v).expect("a value");
+        let table =
+            |v: serde_json::Value| serde_json::from_value::<toml::Value>(v).expect("a value");
         settings.insert("charges".into(), table(json!({ "file": "any" })));
         settings.insert("ledger".into(), table(json!({ "address": address })));
         let budget = json!({ "rate": { "tokens_per_s": RATE, "burst_tokens": 200_000.0 } });
@@ -41,7 +49,11 @@
 fn serve(rig: &Rig, from: usize, to: usize) {
     for i in from..to {
         let client = rig.client(i % 2);
-        client.say(&create("slot-query", &format!("k{i}"), &format!("{} [len=3]", "words ".repeat(20))));
+        client.say(&create(
+            "slot-query",
+            &format!("k{i}"),
+            &format!("{} [len=3]", "words ".repeat(20)),
+        ));
         assert_eq!(final_kind(&client), "response.completed", "request {i}");
         client.close();
     }
@@ -66,12 +78,17 @@
     serve(&rig, 24, 36);
     // Parts of before may be out: nothing is lent for the time of one.
     assert_eq!(lent(&ledger), 0.0);
-    let ours: Vec<PathBuf> =
-        rig.dispatchers.iter().map(|d| rig.dir.join(format!("{}.charges", d.name))).collect();
+    let ours: Vec<PathBuf> = rig
+        .dispatchers
+        .iter()
+        .map(|d| rig.dir.join(format!("{}.charges", d.name)))
+        .collect();
     wait_for("the last shipment", || ledger.charged() == Ok(38));
     rig.end();
     ledger.stop();
-    wait_for("the ledger's journal", || bitternlatch_journal::Journal::open(&file).is_ok());
+    wait_for("the ledger's journal", || {
+        bitternlatch_journal::Journal::open(&file).is_ok()
+    });
     let (kept, wrong) = gather(&[file]).expect("the ledger's journal");
     let (own, _) = gather(&ours).expect("the dispatchers' journals");
     assert!(wrong.is_empty());
--- a/programs/chaos/tests/lengths.rs
+++ b/programs/chaos/tests/lengths.rs
@@ -36,7 +36,9 @@
     }
     let whole = std::fs::read(some.kept(0)).expect("kept");
     some.start(0);
-    wait_for("what was kept", || some.log(0).contains("lengths: read back answers=20 "));
+    wait_for("what was kept", || {
+        some.log(0).contains("lengths: read back answers=20 ")
+    });
     some.start(1);
     some.all_have(20.0);
     assert!(some.rig.dispatchers[1].ready(Duration::from_secs(20)));
@@ -57,7 +59,9 @@
         }
         some.start(0);
         wait_for(state, || some.told(0, "answers").last() == Some(&25.0));
-        let broken = some.log(0).contains("lengths: begins with nothing of its own");
+        let broken = some
+            .log(0)
+            .contains("lengths: begins with nothing of its own");
         assert_eq!(broken, matches!(state, "torn" | "emptied"), "{state}");
     }
     assert!(some.rig.dispatchers[0].ready(Duration::from_secs(20)));
@@ -73,24 +77,43 @@
     some.answers(1, "season-booking", 10, 30);
     for n in 0..12 {
         let client = some.rig.client(n % 2);
-        client.say(&create("slot-query", &format!("left{n}"), "words [len=150]"));
+        client.say(&create(
+            "slot-query",
+            &format!("left{n}"),
+            "words [len=150]",
+        ));
         // Until its first piece has come.
-        while !matches!(client.next(Duration::from_secs(20)), Came::Event(e) if e.kind.ends_with("delta")) {}
+        while !matches!(client.next(Duration::from_secs(20)), Came::Event(e) if e.kind.ends_with("delta"))
+        {
+        }
         client.close();
     }
     some.all_have(32.0);
     for i in 0..2 {
         let (p50, odd) = (some.told(i, "p50"), some.told(i, "odd"));
-        assert!(p50.last().is_some_and(|p| (27.0..36.0).contains(p)), "{p50:?}");
+        assert!(
+            p50.last().is_some_and(|p| (27.0..36.0).contains(p)),
+            "{p50:?}"
+        );
         assert_eq!(odd.last(), Some(&0.0));
     }
     // What was told of lengths is in the records: they replay alike.
-    let records: Vec<PathBuf> = some.rig.dispatchers.iter().flat_map(|one| one.records()).collect();
+    let records: Vec<PathBuf> = some
+        .rig
+        .dispatchers
+        .iter()
+        .flat_map(|one| one.records())
+        .collect();
     some.rig.end();
     for record in records {
-        let entries = read(File::open(&record).expect("a record")).expect("a good record").entries;
+        let entries = read(File::open(&record).expect("a record"))
+            .expect("a good record")
+            .entries;
         let text = format!("{entries:?}");
-        assert!(text.contains("Curves(") && text.contains("Ended("), "{record:?}");
+        assert!(
+            text.contains("Curves(") && text.contains("Ended("),
+            "{record:?}"
+        );
         assert_eq!(bitternlatch_replay::one(&record, false), 0, "{record:?}");
     }
 }
