--- a/programs/chaos/tests/lengths_hard.rs
+++ b/programs/chaos/tests/lengths_hard.rs
@@ -13,7 +13,13 @@
 const MOST: f64 = 1024.0;
 
 /// An answer of so many tokens of a model, served.
-fn served(client: &bitternlatch_chaos::client::Client, model: &str, class: &str, key: &str, tokens: usize) {
+fn served(
+    client: &bitternlatch_chaos::client::Client,
+    model: &str,
+    class: &str,
+    key: &str,
+    tokens: usize,
+) {
     let asked = create(class, key, &format!("words [len={tokens}]"));
     client.say(&asked.replace("\"model\":\"m\"", &format!("\"model\":\"{model}\"")));
     assert_eq!(final_kind(client), "response.completed", "{model} {key}");
@@ -33,7 +39,13 @@
             scope.spawn(move || {
                 let client = some.rig.client(s / sessions);
                 for n in 0..count {
-                    served(&client, &model(s, n), "slot-query", &format!("{tokens}-{s}-{n}"), tokens);
+                    served(
+                        &client,
+                        &model(s, n),
+                        "slot-query",
+                        &format!("{tokens}-{s}-{n}"),
+                        tokens,
+                    );
                 }
                 client.close();
             });
@@ -44,21 +56,39 @@
 fn p50_within(some: &Rigged, range: Range<f64>) {
     let all = 0..some.rig.dispatchers.len();
     wait_for(&format!("a p50 in {range:?} at all"), || {
-        all.clone().all(|i| some.told(i, "p50").last().is_some_and(|p| range.contains(p)))
+        all.clone().all(|i| {
+            some.told(i, "p50")
+                .last()
+                .is_some_and(|p| range.contains(p))
+        })
     });
 }
 
 /// Ends all; the last answer of each had been expected to be as the ones of 8 tokens.
 fn told_last_of_eight(some: Rigged) {
-    let records: Vec<_> = some.rig.dispatchers.iter().map(|one| one.records()).collect();
+    let records: Vec<_> = some
+        .rig
+        .dispatchers
+        .iter()
+        .map(|one| one.records())
+        .collect();
     some.rig.end();
     for of_one in records {
         let record = of_one.last().expect("a record");
-        let entries = read(File::open(record).expect("a record")).expect("a good record").entries;
+        let entries = read(File::open(record).expect("a record"))
+            .expect("a good record")
+            .entries;
         let text = format!("{entries:?}");
         let last = text.rsplit("Ended(Ended {").next().expect("an end");
-        let told = last.split("told: Some(").nth(1).and_then(|t| t.split(')').next()?.parse().ok());
-        assert!(told.is_some_and(|t: u32| (7..=10).contains(&t)), "{:?}", last.get(..300));
+        let told = last
+            .split("told: Some(")
+            .nth(1)
+            .and_then(|t| t.split(')').next()?.parse().ok());
+        assert!(
+            told.is_some_and(|t: u32| (7..=10).contains(&t)),
+            "{:?}",
+            last.get(..300)
+        );
     }
 }
 
@@ -106,7 +136,11 @@
         (0..2).all(|i| last(i, "answers") >= 12.0 + 560.0 && last(i, "cells") > 500.0)
     });
     for i in 0..2 {
-        assert!(some.told(i, "cells").iter().chain(&some.told(i, "curves")).all(|n| *n <= MOST));
+        assert!(some
+            .told(i, "cells")
+            .iter()
+            .chain(&some.told(i, "curves"))
+            .all(|n| *n <= MOST));
     }
     // What had a place before is told as before, whatever all together have become.
     p50_within(&some, 0.0..3.0);
@@ -120,10 +154,16 @@
     at_all(&some, 4, 3, 8, |_, _| "m".to_string());
     some.all_have(24.0);
     for told in [0.0, 1e9] {
-        some.rig.standins().trouble("writer-1", Trouble::OddUsage, told, 600.0);
+        some.rig
+            .standins()
+            .trouble("writer-1", Trouble::OddUsage, told, 600.0);
         let before = some.told(0, "odd").last().copied().unwrap_or_default();
         some.answers(0, "slot-query", 16, 8);
-        wait_for("odd ends", || some.told(0, "odd").last().is_some_and(|o| *o > before + 2.0));
+        wait_for("odd ends", || {
+            some.told(0, "odd")
+                .last()
+                .is_some_and(|o| *o > before + 2.0)
+        });
     }
     assert!(some.log(0).contains("lengths: host=writer-1 tokens="));
     assert!(!some.log(0).contains("lengths: host=writer-2 "));
--- a/programs/chaos/tests/overload.rs
+++ b/programs/chaos/tests/overload.rs
@@ -6,14 +6,21 @@
 
 fn holds_up(of: &Played, from_s: usize, to_s: usize) {
     let goodput = of.goodput(from_s, to_s);
-    assert!(goodput >= KEPT, "{goodput} a second in time; {KEPT} are to be kept\n{}", of.shown);
+    assert!(
+        goodput >= KEPT,
+        "{goodput} a second in time; {KEPT} are to be kept\n{}",
+        of.shown
+    );
 }
 
 /// What is served is served in time, and no work is done twice for it.
 fn well_served(of: &Played) {
     for class in ["slot-query", "season-booking"] {
         let part = of.part(class);
-        assert!(part.served == 0 || part.within_aim >= 0.85, "{class}: {part:?}");
+        assert!(
+            part.served == 0 || part.within_aim >= 0.85,
+            "{class}: {part:?}"
+        );
     }
     assert!(of.load().repeats <= 1.1, "{}", of.shown);
 }
@@ -27,13 +34,23 @@
     let with = Scene::new("six-times", 0.8, 8.0, surge).play();
     let without = without.join().expect("a day");
     without.holds();
-    assert!(without.goodput(3, 8) < KEPT, "the scene is no overload\n{}", without.shown);
+    assert!(
+        without.goodput(3, 8) < KEPT,
+        "the scene is no overload\n{}",
+        without.shown
+    );
     with.holds();
     holds_up(&with, 3, 8);
     well_served(&with);
-    assert!(with.load().refusal_p99_s < 1.0, "refused at once: {}", with.shown);
     assert!(
-        with.load().refused_spread_of_class.is_some_and(|s| s <= 0.2),
+        with.load().refusal_p99_s < 1.0,
+        "refused at once: {}",
+        with.shown
+    );
+    assert!(
+        with.load()
+            .refused_spread_of_class
+            .is_some_and(|s| s <= 0.2),
         "{:#?}",
         with.load().refused_share
     );
@@ -47,7 +64,11 @@
     holds_up(&day, 2, 8);
     well_served(&day);
     let (again, of) = (day.load().roamed_refused, day.load().roamed);
-    assert!(of >= 30 && again * 10 >= of * 8, "{again} of {of}\n{}", day.shown);
+    assert!(
+        of >= 30 && again * 10 >= of * 8,
+        "{again} of {of}\n{}",
+        day.shown
+    );
 }
 
 fn clients_that_ignore_what_they_are_told_take_nothing_from_the_others() {
@@ -77,12 +98,18 @@
     let mut scene = Scene::new("tenants", 0.45 * 10.8, 8.0, "");
     scene.over =
         format!("over = {{ tenants = [{{ name = \"north\", quota_rps = {quota:?} }}, {{ name = \"south\", quota_rps = {quota:?} }}] }}");
-    scene.mix = mix(&[("slot-query", Some("north"), 10.0), ("slot-query", Some("south"), 0.8)]);
+    scene.mix = mix(&[
+        ("slot-query", Some("north"), 10.0),
+        ("slot-query", Some("south"), 0.8),
+    ]);
     let day = scene.play();
     day.holds();
     let (north, south) = (day.part("tenant north"), day.part("tenant south"));
     assert!(south.worth >= 0.7, "{south:?}");
-    assert!(north.worth >= 0.05 && north.refused > north.served, "{north:?}");
+    assert!(
+        north.worth >= 0.05 && north.refused > north.served,
+        "{north:?}"
+    );
 }
 
 fn what_is_worth_all_is_served_before_what_is_worth_nothing() {
@@ -93,7 +120,11 @@
         )
     };
     let mut scene = Scene::new("all-or-none", 4.0, 8.0, "");
-    scene.over = format!("over = {{ classes = [{}, {}] }}", class("all", 1.0), class("none", 0.0));
+    scene.over = format!(
+        "over = {{ classes = [{}, {}] }}",
+        class("all", 1.0),
+        class("none", 0.0)
+    );
     // The one alone is six tenths of what can be served.
     scene.mix = mix(&[("all", None, 0.15), ("none", None, 0.85)]);
     let day = scene.play();
@@ -127,7 +158,11 @@
     let day = Scene::new("stalled", 0.9, 16.0, stall).play();
     day.holds();
     let during = day.goodput(4, 8);
-    assert!(during >= 5.0, "the other half serves on: {during}\n{}", day.shown);
+    assert!(
+        during >= 5.0,
+        "the other half serves on: {during}\n{}",
+        day.shown
+    );
     // Of 27 that are asked for, from 5 s after the end.
     let back = day.goodput(12, 16);
     assert!(back >= 16.0, "{back}\n{}", day.shown);
--- a/programs/chaos/tests/overload_faults.rs
+++ b/programs/chaos/tests/overload_faults.rs
@@ -42,7 +42,9 @@
 }
 
 fn all_restarted_one_after_another_at_twice_the_capacity_begin_carefully() {
-    let kills: String = (1..=3).map(|n| process("kill_and_empty", n, 1.0 + 2.0 * n as f64, 1.0)).collect();
+    let kills: String = (1..=3)
+        .map(|n| process("kill_and_empty", n, 1.0 + 2.0 * n as f64, 1.0))
+        .collect();
     let day = Scene::new("restarted", 2.0, 13.0, kills).play();
     day.holds();
     let back = day.goodput(9, 13);
@@ -67,8 +69,14 @@
     few.holds();
     many.holds();
     let (few, many) = (few.load().probes_most(), many.load().probes_most());
-    assert!(few > 0.0 && many > 0.0, "{few} a second by three, {many} by twelve");
-    assert!(few <= PROBES_MOST && many <= PROBES_MOST, "{few} a second by three, {many} by twelve");
+    assert!(
+        few > 0.0 && many > 0.0,
+        "{few} a second by three, {many} by twelve"
+    );
+    assert!(
+        few <= PROBES_MOST && many <= PROBES_MOST,
+        "{few} a second by three, {many} by twelve"
+    );
 }
 
 #[test]
--- a/programs/chaos/tests/secured.rs
+++ b/programs/chaos/tests/secured.rs
@@ -9,9 +9,9 @@
 
 use bitternlatch_chaos::client::{Came, Client};
 use bitternlatch_keys::authority::{Authority, Wanted};
+use bitternlatch_mock_engine::capture::Capture;
 use bitternlatch_net::dial::Manner;
 use bitternlatch_net::tls;
-use bitternlatch_mock_engine::capture::Capture;
 use common::{closed, create, error_code, folder, log_of, now, rig_with, wait_for, Rig, FOUR};
 use serde_json::json;
 
@@ -34,13 +34,24 @@
 
 fn server(names: &[&str]) -> Wanted {
     let dns = names.iter().map(|n| (*n).to_string()).collect();
-    Wanted { dns, begins: now() - 60, ends: now() + 600, ..Wanted::default() }
+    Wanted {
+        dns,
+        begins: now() - 60,
+        ends: now() + 600,
+        ..Wanted::default()
+    }
 }
 
 fn person(name: &str, group: Option<&str>) -> Wanted {
     let uri = Some(format!("urn:caller:{name}"));
     let groups = group.map(str::to_string).into_iter().collect();
-    Wanted { uri, groups, begins: now() - 60, ends: now() + 600, ..Wanted::default() }
+    Wanted {
+        uri,
+        groups,
+        begins: now() - 60,
+        ends: now() + 600,
+        ..Wanted::default()
+    }
 }
 
 struct Secured {
@@ -54,8 +65,10 @@
     /// settings.
     fn start(name: &str, listen: &serde_json::Value) -> Secured {
         let dir = folder(name);
-        let servers = Authority::make(&dir.join("servers"), "servers", now()).expect("an authority");
-        let callers = Authority::make(&dir.join("callers"), "callers", now()).expect("an authority");
+        let servers =
+            Authority::make(&dir.join("servers"), "servers", now()).expect("an authority");
+        let callers =
+            Authority::make(&dir.join("callers"), "callers", now()).expect("an authority");
         for name in ["reader-1", "reader-2", "writer-1", "writer-2", "dispatch"] {
             let issued = servers.issue(&server(&[name])).expect("a certificate");
             Authority::write(&dir.join("servers"), name, &issued).expect("files");
@@ -71,15 +84,26 @@
         let links = json!({ "tls": { "authorities": place("servers/authority.pem"), "certificate": certificate,
             "key": key } });
         let identity = json!({ "rights": place("rights.toml") });
-        let probe = callers.issue(&person("probe", None)).expect("a certificate");
+        let probe = callers
+            .issue(&person("probe", None))
+            .expect("a certificate");
         Authority::write(&dir.join("callers"), "probe", &probe).expect("files");
         let manner = Secured::manner(&dir, Some("probe"));
-        let rig =
-            rig_with(&format!("{name}-run"), FOUR, 1, Some((dir.join("servers"), manner)), |settings| {
+        let rig = rig_with(
+            &format!("{name}-run"),
+            FOUR,
+            1,
+            Some((dir.join("servers"), manner)),
+            |settings| {
                 let table = |v: &serde_json::Value| -> toml::Value {
-                    serde_json::from_value::<toml::Table>(v.clone()).expect("a table").into()
+                    serde_json::from_value::<toml::Table>(v.clone())
+                        .expect("a table")
+                        .into()
                 };
-                let side = settings.get_mut("listen").and_then(|l| l.as_table_mut()).expect("a table");
+                let side = settings
+                    .get_mut("listen")
+                    .and_then(|l| l.as_table_mut())
+                    .expect("a table");
                 side.insert("tls".into(), table(&tls));
                 side.insert("handshakes".into(), 64.into());
                 // Longer than any of these tests on a loaded machine.
@@ -89,7 +113,8 @@
                 let tenants = json!([{ "name": "association", "quota_rps": 1000.0 }]);
                 let tenants: toml::Value = serde_json::from_value(tenants).expect("a list");
                 settings.insert("tenants".into(), tenants);
-            });
+            },
+        );
         Secured { rig, dir, callers }
     }
 
@@ -97,10 +122,15 @@
     fn manner(dir: &Path, own: Option<&str>) -> Manner {
         let mut files = vec![dir.join("servers/authority.pem")];
         if let Some(own) = own {
-            files.extend([format!("{own}.pem"), format!("{own}.key")].map(|f| dir.join("callers").join(f)));
+            files.extend(
+                [format!("{own}.pem"), format!("{own}.key")].map(|f| dir.join("callers").join(f)),
+            );
         }
         let client = tls::Client::from_files(files).expect("a configuration");
-        Manner { token: None, tls: Some((client.config(), "dispatch".to_string())) }
+        Manner {
+            token: None,
+            tls: Some((client.config(), "dispatch".to_string())),
+        }
     }
 
     /// Certifies a caller and gives its manner.
@@ -144,17 +174,25 @@
     let clerk = s.open(&secretary).expect("let in");
     assert_eq!(ask(&clerk, "slot-query", "k1"), "response.completed");
     assert_eq!(ask(&clerk, "season-booking", "k2"), "class_not_allowed");
-    assert_eq!(ask(&s.open(&stranger).expect("proven"), "slot-query", "k1"), "caller_unknown");
+    assert_eq!(
+        ask(&s.open(&stranger).expect("proven"), "slot-query", "k1"),
+        "caller_unknown"
+    );
     let refused = s.open(&nameless).err().expect("two names");
     assert!(refused.contains("401"), "{refused}");
     s.logged("certificate_name");
-    let refused = s.open(&Secured::manner(&s.dir, None)).err().expect("no proof at all");
+    let refused = s
+        .open(&Secured::manner(&s.dir, None))
+        .err()
+        .expect("no proof at all");
     assert!(refused.contains("401"), "{refused}");
 
     // Revoked while a booking runs: the booking ends as it would, nothing new is taken, the session says why.
     dee.say(&create("season-booking", "k3", "the season [len=90]"));
     s.rig.until("the booking at a writer", |l| {
-        l.dir == "in" && l.text.contains("the season") && l.text.contains("\"do_remote_prefill\":true")
+        l.dir == "in"
+            && l.text.contains("the season")
+            && l.text.contains("\"do_remote_prefill\":true")
     });
     s.revoke("dee");
     s.logged("1 sessions end: their proof is withdrawn");
@@ -162,24 +200,36 @@
     let (mut codes, mut kinds) = (Vec::new(), Vec::new());
     let why = loop {
         match dee.next(Duration::from_secs(20)) {
-            Came::Event(e) if e.kind == "error" => codes.push(e.error.expect("one")["code"].to_string()),
+            Came::Event(e) if e.kind == "error" => {
+                codes.push(e.error.expect("one")["code"].to_string())
+            }
             Came::Event(e) => kinds.push(e.kind),
             Came::Closed(why) => break why,
             Came::Silence => panic!("it is not closed"),
         }
     };
     assert_eq!(codes, ["\"certificate_revoked\""]);
-    assert_eq!(kinds.last().map(String::as_str), Some("response.completed"), "the booking has its answer");
+    assert_eq!(
+        kinds.last().map(String::as_str),
+        Some("response.completed"),
+        "the booking has its answer"
+    );
     assert!(why.contains("4401"), "{why}");
     assert!(s.open(&director).is_err(), "nor is it let in again");
-    assert_eq!(ask(&clerk, "slot-query", "k5"), "response.completed", "others go on");
+    assert_eq!(
+        ask(&clerk, "slot-query", "k5"),
+        "response.completed",
+        "others go on"
+    );
     s.rig.end();
 }
 
 #[test]
 fn a_new_certificate_counts_without_a_restart_and_a_damaged_one_changes_nothing() {
     let s = Secured::start("reload", &json!({}));
-    let before = s.open(&s.certify("dee", &person("dee", Some("directors")))).expect("let in");
+    let before = s
+        .open(&s.certify("dee", &person("dee", Some("directors"))))
+        .expect("let in");
     let manner = Secured::manner(&s.dir, Some("dee"));
     let servers = Authority::open(&s.dir.join("servers")).expect("the authority");
     let path = s.dir.join("servers/dispatch.pem");
@@ -189,31 +239,53 @@
     std::fs::write(&path, &good[..good.len() / 2]).expect("half a file");
     s.logged("TLS files are not taken");
     assert_eq!(
-        ask(&s.open(&manner).expect("by the last good one"), "slot-query", "k1"),
+        ask(
+            &s.open(&manner).expect("by the last good one"),
+            "slot-query",
+            "k1"
+        ),
         "response.completed"
     );
-    let other = servers.issue(&server(&["dispatch"])).expect("a certificate");
+    let other = servers
+        .issue(&server(&["dispatch"]))
+        .expect("a certificate");
     std::fs::write(&path, &other.certificate).expect("a file");
     s.logged("dispatch.key");
     s.open(&manner).expect("by the last good one");
 
     // With its key it counts: a name that only the new one proves is proven.
-    let renewed = servers.issue(&server(&["dispatch", "renewed.example.org"])).expect("a certificate");
+    let renewed = servers
+        .issue(&server(&["dispatch", "renewed.example.org"]))
+        .expect("a certificate");
     Authority::write(&s.dir.join("servers"), "dispatch", &renewed).expect("files");
     s.logged("new TLS files count");
-    let Some((config, _)) = manner.tls.clone() else { panic!("a manner with TLS") };
-    let by_name = Manner { token: None, tls: Some((config, "renewed.example.org".to_string())) };
+    let Some((config, _)) = manner.tls.clone() else {
+        panic!("a manner with TLS")
+    };
+    let by_name = Manner {
+        token: None,
+        tls: Some((config, "renewed.example.org".to_string())),
+    };
     s.open(&by_name).expect("the new certificate");
-    assert_eq!(ask(&before, "slot-query", "k2"), "response.completed", "the open session goes on");
+    assert_eq!(
+        ask(&before, "slot-query", "k2"),
+        "response.completed",
+        "the open session goes on"
+    );
     s.rig.end();
 }
 
 #[test]
 fn hosts_must_prove_their_listed_names_and_dispatchers_theirs() {
     let s = Secured::start("hosts", &json!({ "clients_required": true }));
-    let dee = s.open(&s.certify("dee", &person("dee", Some("directors")))).expect("let in");
+    let dee = s
+        .open(&s.certify("dee", &person("dee", Some("directors"))))
+        .expect("let in");
     assert_eq!(ask(&dee, "slot-query", "k1"), "response.completed");
-    assert!(s.open(&Secured::manner(&s.dir, None)).is_err(), "no certificate, no handshake");
+    assert!(
+        s.open(&Secured::manner(&s.dir, None)).is_err(),
+        "no certificate, no handshake"
+    );
     // A caller's certificate opens no host, and another host's name is not this one's.
     let address = s.rig.standins().addresses()["reader-1"].to_string();
     let as_caller = Secured::manner(&s.dir, Some("dee"));
@@ -221,7 +293,9 @@
     // Plain bytes on a secured port are turned away, and so is TLS of another authority.
     let mut plain = TcpStream::connect(&s.rig.dispatchers[0].address).expect("a connection");
     std::io::Write::write_all(&mut plain, b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").expect("sent");
-    plain.set_read_timeout(Some(Duration::from_secs(20))).expect("an option");
+    plain
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .expect("an option");
     let mut answer = Vec::new();
     let _ = plain.read_to_end(&mut answer);
     assert!(!answer.starts_with(b"HTTP"), "{answer:?}");
@@ -250,7 +324,9 @@
     );
     s.logged("handshakes are cut");
     // All but the bound (64) have been cut by now: the first are at their end.
-    stalled[0].set_read_timeout(Some(Duration::from_secs(20))).expect("an option");
+    stalled[0]
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .expect("an option");
     let mut byte = [0; 1];
     assert!(matches!(stalled[0].read(&mut byte), Ok(0) | Err(_)));
     drop(stalled);
@@ -260,7 +336,10 @@
 #[test]
 fn a_certificate_that_ends_closes_its_session() {
     let s = Secured::start("ends", &json!({}));
-    let soon = Wanted { ends: now() + 6, ..person("dee", Some("directors")) };
+    let soon = Wanted {
+        ends: now() + 6,
+        ..person("dee", Some("directors"))
+    };
     let dee = s.open(&s.certify("dee", &soon)).expect("let in");
     assert_eq!(ask(&dee, "slot-query", "k1"), "response.completed");
     let why = closed(&dee);
--- a/programs/chaos/tests/seeds.rs
+++ b/programs/chaos/tests/seeds.rs
@@ -31,7 +31,9 @@
         let secret = if i == 2 { secret_of_third } else { "secret" };
         let mut table = cluster_table(secret, *own, &format!("{i}.start"), &roster);
         if i == 2 {
-            let fronts = (0..2).filter_map(|i| between.front(i)).map(|at| at.to_string().into());
+            let fronts = (0..2)
+                .filter_map(|i| between.front(i))
+                .map(|at| at.to_string().into());
             let table = table.as_table_mut().expect("a table");
             table.remove("roster");
             table.insert("seeds".into(), fronts.collect::<Vec<toml::Value>>().into());
@@ -40,7 +42,11 @@
         one.without_record();
         members.push(one);
     }
-    let mut seeded = Seeded { members, addresses, between };
+    let mut seeded = Seeded {
+        members,
+        addresses,
+        between,
+    };
     (0..2).for_each(|i| seeded.start(i));
     (0..2).for_each(|i| seeded.until(i, "majority"));
     seeded
@@ -53,7 +59,9 @@
 
     fn until(&self, of: usize, standing: &str) {
         let at = SocketAddr::V4(self.addresses[of]);
-        wait_for(standing, || ask(at, Duration::from_secs(2)).is_ok_and(|v| v.standing == standing));
+        wait_for(standing, || {
+            ask(at, Duration::from_secs(2)).is_ok_and(|v| v.standing == standing)
+        });
     }
 
     fn all_whole(&self) {
@@ -70,13 +78,20 @@
     let mut seeded = seeded("seeds-slow", "secret");
     // The first seed's link takes the question and never answers; the other's carries some 30 bytes in a tenth of a second.
     seeded.between.set(2, 0, CUT);
-    let slow = Rule { bytes_s: 3000.0, ..Rule::default() };
+    let slow = Rule {
+        bytes_s: 3000.0,
+        ..Rule::default()
+    };
     seeded.between.set(2, 1, slow);
     seeded.between.set(1, 2, slow);
     seeded.start(2);
-    wait_for("the roster", || seeded.log().contains("\"message\":\"the roster\""));
+    wait_for("the roster", || {
+        seeded.log().contains("\"message\":\"the roster\"")
+    });
     assert!(
-        seeded.log().contains(&seeded.between.front(1).expect("a front").to_string()),
+        seeded
+            .log()
+            .contains(&seeded.between.front(1).expect("a front").to_string()),
         "{}",
         seeded.log()
     );
@@ -90,7 +105,13 @@
     seeded.between.part(&[2], CUT);
     seeded.start(2);
     assert!(!seeded.members[2].ended(SOON), "it knows nobody");
-    assert!(seeded.log().contains("cluster.seeds: none tells the roster"), "{}", seeded.log());
+    assert!(
+        seeded
+            .log()
+            .contains("cluster.seeds: none tells the roster"),
+        "{}",
+        seeded.log()
+    );
     seeded.between.part(&[2], Rule::default());
     seeded.start(2);
     seeded.all_whole();
@@ -98,7 +119,11 @@
     seeded.between.part(&[2], CUT);
     seeded.start(2);
     seeded.until(2, "alone");
-    assert!(seeded.log().contains("the last one told counts"), "{}", seeded.log());
+    assert!(
+        seeded.log().contains("the last one told counts"),
+        "{}",
+        seeded.log()
+    );
     seeded.between.part(&[2], Rule::default());
     seeded.all_whole();
 }
@@ -108,5 +133,9 @@
     let mut seeded = seeded("seeds-stranger", "other");
     seeded.start(2);
     assert!(!seeded.members[2].ended(SOON));
-    assert!(seeded.log().contains("the proof does not fit"), "{}", seeded.log());
+    assert!(
+        seeded.log().contains("the proof does not fit"),
+        "{}",
+        seeded.log()
+    );
 }
--- a/programs/chaos/tests/shares.rs
+++ b/programs/chaos/tests/shares.rs
@@ -31,7 +31,10 @@
 
 fn steward(of: &Cluster) -> usize {
     let name = of.view(0).map(|v| v.steward).unwrap_or_default();
-    of.dispatchers.iter().position(|d| d.name == name).expect("a steward")
+    of.dispatchers
+        .iter()
+        .position(|d| d.name == name)
+        .expect("a steward")
 }
 
 #[test]
@@ -53,11 +56,16 @@
             break;
         }
         looks += 1;
-        assert!(most <= even(3, 3) + 1e-9, "{most} while what the other had may be in use");
+        assert!(
+            most <= even(3, 3) + 1e-9,
+            "{most} while what the other had may be in use"
+        );
     }
     assert!(looks > 0);
     until(&cluster, &stays, even(2, 3));
-    cluster.dispatchers[victim].start(&image()).expect("a process");
+    cluster.dispatchers[victim]
+        .start(&image())
+        .expect("a process");
     until(&cluster, &[0, 1, 2], even(3, 3));
 }
 
@@ -70,7 +78,9 @@
     let others: Vec<usize> = (0..5).filter(|i| *i != first).collect();
     until(&cluster, &others, even(4, 5));
     let name = cluster.dispatchers[first].name.clone();
-    assert!(others.iter().all(|i| cluster.view(*i).expect("a view").steward != name));
+    assert!(others
+        .iter()
+        .all(|i| cluster.view(*i).expect("a view").steward != name));
 }
 
 #[test]
@@ -101,7 +111,13 @@
         until(&cluster, &[0, 1, 2, 3, 4], even(5, 5));
     }
     // Lost, late and doubled, while one after the other is cut off.
-    let rough = Rule { lost: 0.3, twice: 0.3, delay_s: 0.002, jitter_s: 0.3, ..Rule::default() };
+    let rough = Rule {
+        lost: 0.3,
+        twice: 0.3,
+        delay_s: 0.002,
+        jitter_s: 0.3,
+        ..Rule::default()
+    };
     cluster.between.all(rough);
     for i in 0..5 {
         cluster.between.part(&[i], CUT);
@@ -122,7 +138,12 @@
     until(&cluster, &alike, even(3, 4));
     assert!((part(&cluster, 2) - 0.1 / 3.0).abs() < 1e-9);
     cluster.until("a word of it", || {
-        let says = |i: &usize| cluster.dispatchers[*i].log().expect("a log").contains("another roster");
+        let says = |i: &usize| {
+            cluster.dispatchers[*i]
+                .log()
+                .expect("a log")
+                .contains("another roster")
+        };
         alike.iter().any(says)
     });
 }
--- a/programs/chaos/tests/standing.rs
+++ b/programs/chaos/tests/standing.rs
@@ -24,11 +24,19 @@
     let rig = rig_each(name, FOUR, 3, |i, one| {
         // Once: one that starts meanwhile would find it empty.
         if i == 0 {
-            std::fs::write(folder_of(name).join("secret"), "sixteen bytes or more").expect("a secret");
+            std::fs::write(folder_of(name).join("secret"), "sixteen bytes or more")
+                .expect("a secret");
         }
-        one.set("cluster", cluster_table("secret", peers[i], &format!("{i}.start"), &roster));
+        one.set(
+            "cluster",
+            cluster_table("secret", peers[i], &format!("{i}.start"), &roster),
+        );
     });
-    let three = Three { rig, between, peers };
+    let three = Three {
+        rig,
+        between,
+        peers,
+    };
     (0..3).for_each(|i| three.until(i, "whole"));
     three
 }
@@ -36,7 +44,9 @@
 impl Three {
     fn until(&self, of: usize, standing: &str) {
         let at = SocketAddr::V4(self.peers[of]);
-        wait_for(standing, || ask(at, Duration::from_secs(2)).is_ok_and(|v| v.standing == standing));
+        wait_for(standing, || {
+            ask(at, Duration::from_secs(2)).is_ok_and(|v| v.standing == standing)
+        });
     }
 
     /// Asks one dispatcher for one answer; gives how it ended, and where else it said to try.
@@ -46,15 +56,22 @@
         client.say(&create(class, key, "a few words [len=3]"));
         let last = to_the_end(&client).pop().expect("an event");
         let error = last.error.unwrap_or_default();
-        let elsewhere = error["elsewhere"].as_array().into_iter().flatten().filter_map(|v| v.as_str());
-        let code = error["code"].as_str().map_or(last.kind.clone(), str::to_string);
+        let elsewhere = error["elsewhere"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .filter_map(|v| v.as_str());
+        let code = error["code"]
+            .as_str()
+            .map_or(last.kind.clone(), str::to_string);
         let elsewhere = elsewhere.map(str::to_string).collect();
         client.close();
         (code, elsewhere, began.elapsed().as_secs_f64())
     }
 
     fn is_ready(&self, of: usize) -> bool {
-        get(&self.rig.dispatchers[of].address, "/ready").is_ok_and(|a| a.starts_with("HTTP/1.1 200"))
+        get(&self.rig.dispatchers[of].address, "/ready")
+            .is_ok_and(|a| a.starts_with("HTTP/1.1 200"))
     }
 }
 
@@ -71,9 +88,17 @@
     assert_eq!(code, "cut_off");
     assert_eq!(elsewhere, ["clients-of-2", "clients-of-3"]);
     assert!(took < 1.0, "at once, and not after {took} s");
-    assert_eq!(three.asks(0, "slot-query", "a3").0, SERVED, "what harms nobody is served");
+    assert_eq!(
+        three.asks(0, "slot-query", "a3").0,
+        SERVED,
+        "what harms nobody is served"
+    );
     wait_for("its ready check", || !three.is_ready(0));
-    assert_eq!(three.asks(1, "season-booking", "a4").0, SERVED, "the majority goes on");
+    assert_eq!(
+        three.asks(1, "season-booking", "a4").0,
+        SERVED,
+        "the majority goes on"
+    );
     assert!(three.is_ready(1));
     three.between.part(&[0], Rule::default());
     three.until(0, "whole");
@@ -95,10 +120,16 @@
     client.say(&create("season-booking", "b2", "a few words [len=3]"));
     three.until(0, "majority");
     paused.go_on();
-    assert_eq!(error_code(&client), "cut_off", "on the session of before, which the pause has not ended");
+    assert_eq!(
+        error_code(&client),
+        "cut_off",
+        "on the session of before, which the pause has not ended"
+    );
     client.close();
     three.until(2, "whole");
-    wait_for("its word", || three.asks(2, "season-booking", "b3").0 == SERVED);
+    wait_for("its word", || {
+        three.asks(2, "season-booking", "b3").0 == SERVED
+    });
     let Three { rig, .. } = three;
     rig.end();
 }
@@ -115,7 +146,9 @@
         three.rig.dispatchers[i].start(&image()).expect("a process");
     }
     (0..3).for_each(|i| three.until(i, "whole"));
-    wait_for("its word", || three.asks(2, "season-booking", "c3").0 == SERVED);
+    wait_for("its word", || {
+        three.asks(2, "season-booking", "c3").0 == SERVED
+    });
     let Three { rig, .. } = three;
     rig.end();
 }
@@ -124,7 +157,12 @@
 fn all_restarted_within_seconds_under_load_lose_no_question_that_may_be_asked_again() {
     let mut three = three("standing-restarted");
     let stop = AtomicBool::new(false);
-    let addresses: Vec<String> = three.rig.dispatchers.iter().map(|d| d.address.clone()).collect();
+    let addresses: Vec<String> = three
+        .rig
+        .dispatchers
+        .iter()
+        .map(|d| d.address.clone())
+        .collect();
     let served = std::thread::scope(|scope| {
         let askers: Vec<_> = (0..4)
             .map(|asker| {
@@ -146,10 +184,15 @@
         }
         (0..3).for_each(|i| three.until(i, "whole"));
         stop.store(true, Ordering::SeqCst);
-        askers.into_iter().map(|a| a.join().expect("an asker")).sum::<usize>()
+        askers
+            .into_iter()
+            .map(|a| a.join().expect("an asker"))
+            .sum::<usize>()
     });
     assert!(served > 4, "{served}");
-    wait_for("its word", || three.asks(2, "season-booking", "e1").0 == SERVED);
+    wait_for("its word", || {
+        three.asks(2, "season-booking", "e1").0 == SERVED
+    });
     let Three { rig, .. } = three;
     rig.end();
 }
@@ -158,7 +201,10 @@
 fn ask_until_served(addresses: &[String], asker: usize, number: usize) {
     let by = Instant::now() + Duration::from_secs(30);
     for turn in asker + number.. {
-        assert!(Instant::now() < by, "question {number} of {asker} was never served");
+        assert!(
+            Instant::now() < by,
+            "question {number} of {asker} was never served"
+        );
         let address = &addresses[turn % addresses.len()];
         let who = format!("a{asker}-{number}-{turn}");
         let Ok(client) = Client::connect(address, &who, "d", Capture::none()) else {
--- a/programs/chaos/tests/workers.rs
+++ b/programs/chaos/tests/workers.rs
@@ -9,10 +9,12 @@
 
 use bitternlatch_chaos::agents::{carry_all, draw, workflows, Agents, Brief};
 use bitternlatch_chaos::parted::ProcessFault;
+use bitternlatch_mock_engine::capture::Capture;
 use bitternlatch_net::accept::{Acceptor, Door, Handler};
 use bitternlatch_net::socket::{Limits, Outbox};
-use bitternlatch_protocol::client::{error, finished, parse, BadRequest, ClientEvent, Response, Status};
-use bitternlatch_mock_engine::capture::Capture;
+use bitternlatch_protocol::client::{
+    error, finished, parse, BadRequest, ClientEvent, Response, Status,
+};
 use common::folder;
 use serde_json::json;
 
@@ -43,12 +45,24 @@
 }
 
 impl Kept {
-    fn answer(&mut self, at: usize, meta: &BTreeMap<String, String>) -> Result<Option<String>, &'static str> {
+    fn answer(
+        &mut self,
+        at: usize,
+        meta: &BTreeMap<String, String>,
+    ) -> Result<Option<String>, &'static str> {
         let said = |key: &str| meta.get(key).map(String::as_str).unwrap_or_default();
-        let (name, step) = (said("workflow").to_string(), said("workflow_step").parse().unwrap_or(0));
+        let (name, step) = (
+            said("workflow").to_string(),
+            said("workflow_step").parse().unwrap_or(0),
+        );
         let epoch: u64 = said("workflow_epoch").parse().unwrap_or(0);
         let mark = format!("{name}.{step}");
-        let once = |of: &mut Vec<&str>| of.iter().position(|m| *m == mark).map(|i| of.remove(i)).is_some();
+        let once = |of: &mut Vec<&str>| {
+            of.iter()
+                .position(|m| *m == mark)
+                .map(|i| of.remove(i))
+                .is_some()
+        };
         let (cut, taken) = (once(&mut self.cuts), once(&mut self.takes));
         let one = self.workflows.entry(name).or_default();
         one.epoch += u64::from(taken);
@@ -76,7 +90,11 @@
                 if !one.results.contains_key(&step) {
                     self.ran.push((at, mark));
                 }
-                let result = one.results.entry(step).or_insert_with(|| format!("r{step}")).clone();
+                let result = one
+                    .results
+                    .entry(step)
+                    .or_insert_with(|| format!("r{step}"))
+                    .clone();
                 Ok((!cut).then_some(result))
             }
         }
@@ -88,14 +106,27 @@
         self.open.lock().expect("open").insert(connection, outbox);
     }
     fn text(&self, connection: u64, text: String) {
-        let Ok(ClientEvent::Create(create)) = parse(&text) else { panic!("{text}") };
-        let answer = self.kept.lock().expect("kept").answer(self.number, &create.metadata);
+        let Ok(ClientEvent::Create(create)) = parse(&text) else {
+            panic!("{text}")
+        };
+        let answer = self
+            .kept
+            .lock()
+            .expect("kept")
+            .answer(self.number, &create.metadata);
         let open = self.open.lock().expect("open");
-        let Some(outbox) = open.get(&connection) else { return };
+        let Some(outbox) = open.get(&connection) else {
+            return;
+        };
         let text = match answer {
             Ok(None) => return outbox.cut(),
             Err(code) => {
-                let bad = BadRequest { status: 409, code, message: code.to_string(), param: None };
+                let bad = BadRequest {
+                    status: 409,
+                    code,
+                    message: code.to_string(),
+                    param: None,
+                };
                 error(&bad, None, Some(&create.metadata))
             }
             Ok(Some(text)) => {
@@ -140,16 +171,27 @@
     let kept: Arc<Mutex<Kept>> = Arc::default();
     kept.lock().expect("kept").cuts = cuts.to_vec();
     kept.lock().expect("kept").takes = takes.to_vec();
-    let socket = Limits { message_bytes: 1 << 20, queue: 1024, ping: Duration::from_secs(5), idle: None };
+    let socket = Limits {
+        message_bytes: 1 << 20,
+        queue: 1024,
+        ping: Duration::from_secs(5),
+        idle: None,
+    };
     let start = |number: usize| {
-        let small = Small { number, kept: Arc::clone(&kept), open: Mutex::default() };
+        let small = Small {
+            number,
+            kept: Arc::clone(&kept),
+            open: Mutex::default(),
+        };
         let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
         let door = Door::plain(64, Duration::from_secs(5), socket.clone());
         Acceptor::start(listener, door, Arc::new(small)).expect("an acceptor")
     };
     let doors = [start(0), start(1)];
-    let dispatchers =
-        doors.iter().enumerate().map(|(i, d)| (format!("dispatch-{}", i + 1), d.address().to_string()));
+    let dispatchers = doors
+        .iter()
+        .enumerate()
+        .map(|(i, d)| (format!("dispatch-{}", i + 1), d.address().to_string()));
     let brief = Brief {
         name: "worker-1".into(),
         number: 0,
@@ -172,7 +214,10 @@
 fn a_worker_whose_session_ends_claims_elsewhere_and_runs_no_step_again() {
     let (kept, ended) = play("workers-cut", &["wf-1.2", "wf-2.4"], &[]);
     assert_eq!(ended, 2);
-    assert!(kept.workflows.values().all(|w| w.ended && w.results.len() == 4 && w.epoch == 2));
+    assert!(kept
+        .workflows
+        .values()
+        .all(|w| w.ended && w.results.len() == 4 && w.epoch == 2));
     let mut ran: Vec<&String> = kept.ran.iter().map(|r| &r.1).collect();
     ran.sort();
     ran.dedup();
@@ -185,7 +230,10 @@
 fn a_worker_that_is_fenced_stops_and_comes_back_under_a_later_epoch() {
     let (kept, ended) = play("workers-fenced", &[], &["wf-1.3"]);
     assert_eq!((ended, kept.fenced), (2, 1));
-    assert_eq!(kept.workflows["wf-1"].epoch, 3, "its own, the other's, its own again");
+    assert_eq!(
+        kept.workflows["wf-1"].epoch, 3,
+        "its own, the other's, its own again"
+    );
     assert_eq!(kept.workflows["wf-2"].epoch, 1);
 }
 
@@ -197,15 +245,34 @@
     let plan = workflows(&agents, 9);
     assert_eq!(plan, workflows(&agents, 9));
     assert_ne!(plan, workflows(&agents, 10));
-    let effects: Vec<usize> = plan.iter().flat_map(|w| &w.steps).map(|s| s.effect).collect();
-    let share = |of: usize| effects.iter().filter(|e| **e == of).count() as f64 / effects.len() as f64;
+    let effects: Vec<usize> = plan
+        .iter()
+        .flat_map(|w| &w.steps)
+        .map(|s| s.effect)
+        .collect();
+    let share =
+        |of: usize| effects.iter().filter(|e| **e == of).count() as f64 / effects.len() as f64;
     assert!((share(1) - 0.3).abs() < 0.05 && (share(2) - 0.3).abs() < 0.05);
-    let scripted = toml::from_str("at_s = 30\nfor_s = 2\ndispatcher = 5\nwhat = \"kill\"").expect("a fault");
+    let scripted =
+        toml::from_str("at_s = 30\nfor_s = 2\ndispatcher = 5\nwhat = \"kill\"").expect("a fault");
     let drawn = draw(&agents, 9, 6, &[scripted]);
     assert_eq!(drawn.count(), 200);
-    let away = |at: f64| drawn.process.iter().filter(|f| f.at_s <= at && at < f.at_s + f.for_s).count();
-    assert!((0..900).all(|tenth| away(f64::from(tenth) / 10.0) <= 2), "a majority of six is there");
+    let away = |at: f64| {
+        drawn
+            .process
+            .iter()
+            .filter(|f| f.at_s <= at && at < f.at_s + f.for_s)
+            .count()
+    };
+    assert!(
+        (0..900).all(|tenth| away(f64::from(tenth) / 10.0) <= 2),
+        "a majority of six is there"
+    );
     let meets = |f: &&ProcessFault| f.dispatcher == 5 && f.at_s < 32.0 && f.at_s + f.for_s > 30.0;
-    assert_eq!(drawn.process.iter().filter(meets).count(), 0, "what is scripted for a process is its own");
+    assert_eq!(
+        drawn.process.iter().filter(meets).count(),
+        0,
+        "what is scripted for a process is its own"
+    );
     assert!(drawn.workers.iter().any(|f| f.killed) && drawn.workers.iter().any(|f| !f.killed));
 }
--- a/programs/cluster-status/src/lib.rs
+++ b/programs/cluster-status/src/lib.rs
@@ -11,7 +11,11 @@
 
 /// The first view, and those of all members that it names.
 pub fn gather(first: Shown, within: Duration) -> Vec<Told> {
-    let others = first.members.iter().map(|m| (m.name.clone(), m.address.clone())).collect::<Vec<_>>();
+    let others = first
+        .members
+        .iter()
+        .map(|m| (m.name.clone(), m.address.clone()))
+        .collect::<Vec<_>>();
     let askers = others.into_iter().map(|(name, address)| {
         let asked = move || match address.parse() {
             Ok(address) => ask(address, within).map_err(|e| e.to_string()),
@@ -23,22 +27,39 @@
     let askers: Vec<_> = askers.collect();
     let ended = |_| Err("the asker's thread ended".to_string());
     let mut views = vec![(first.name.clone(), Ok(first))];
-    views.extend(askers.into_iter().map(|(name, asker)| (name, asker.join().unwrap_or_else(ended))));
+    views.extend(
+        askers
+            .into_iter()
+            .map(|(name, asker)| (name, asker.join().unwrap_or_else(ended))),
+    );
     views
 }
 
 /// Where members say different things of one member, a line each.
 pub fn differences(views: &[Told]) -> Vec<String> {
     let mut said: BTreeMap<&str, BTreeMap<&str, Vec<&str>>> = BTreeMap::new();
-    for (by, view) in views.iter().filter_map(|(by, v)| v.as_ref().ok().map(|v| (by, v))) {
+    for (by, view) in views
+        .iter()
+        .filter_map(|(by, v)| v.as_ref().ok().map(|v| (by, v)))
+    {
         for member in &view.members {
-            said.entry(&member.name).or_default().entry(&member.state).or_default().push(by);
+            said.entry(&member.name)
+                .or_default()
+                .entry(&member.state)
+                .or_default()
+                .push(by);
         }
         // Each is alive to itself.
-        said.entry(by).or_default().entry("alive").or_default().push(by);
+        said.entry(by)
+            .or_default()
+            .entry("alive")
+            .or_default()
+            .push(by);
     }
     let line = |(name, states): (&&str, &BTreeMap<&str, Vec<&str>>)| {
-        let parts = states.iter().map(|(state, by)| format!("{state} to {}", by.join(", ")));
+        let parts = states
+            .iter()
+            .map(|(state, by)| format!("{state} to {}", by.join(", ")));
         (states.len() > 1).then(|| format!("{name} is {}", parts.collect::<Vec<_>>().join("; ")))
     };
     said.iter().filter_map(line).collect()
@@ -46,17 +67,35 @@
 
 /// One view as text.
 pub fn table(view: &Shown) -> String {
-    let mut text = format!("{} of {}, start {}: {}", view.name, view.cluster, view.start, view.standing);
+    let mut text = format!(
+        "{} of {}, start {}: {}",
+        view.name, view.cluster, view.start, view.standing
+    );
     if let Some(by) = view.fenced_by {
         let _ = write!(text, ", has given way to start {by}");
     }
-    let steward = if view.steward.is_empty() { "nobody known" } else { &view.steward };
-    let _ = writeln!(text, "\n  spends {:.3} of what all share, lent by {steward}", view.part);
-    let _ = writeln!(text, "  {:<20} {:<21} {:<8} {:>10}  evidence", "member", "address", "state", "for s");
+    let steward = if view.steward.is_empty() {
+        "nobody known"
+    } else {
+        &view.steward
+    };
+    let _ = writeln!(
+        text,
+        "\n  spends {:.3} of what all share, lent by {steward}",
+        view.part
+    );
+    let _ = writeln!(
+        text,
+        "  {:<20} {:<21} {:<8} {:>10}  evidence",
+        "member", "address", "state", "for s"
+    );
     for m in &view.members {
         let for_s = view.at_ms.saturating_sub(m.since_ms) as f64 / 1000.0;
-        let _ =
-            writeln!(text, "  {:<20} {:<21} {:<8} {for_s:>10.1}  {}", m.name, m.address, m.state, m.evidence);
+        let _ = writeln!(
+            text,
+            "  {:<20} {:<21} {:<8} {for_s:>10.1}  {}",
+            m.name, m.address, m.state, m.evidence
+        );
     }
     if !view.dropped.is_empty() {
         let parts = view.dropped.iter().map(|(why, n)| format!("{why} {n}"));
@@ -101,8 +140,11 @@
     fn views_that_differ_are_told_by_member() {
         let alike = [view("a", &[("b", "alive")]), view("b", &[("a", "alive")])];
         assert!(differences(&alike).is_empty());
-        let differ =
-            [view("a", &[("b", "down")]), view("b", &[("a", "alive")]), ("c".into(), Err("away".into()))];
+        let differ = [
+            view("a", &[("b", "down")]),
+            view("b", &[("a", "alive")]),
+            ("c".into(), Err("away".into())),
+        ];
         assert_eq!(differences(&differ), ["b is alive to b; down to a"]);
     }
 
@@ -111,7 +153,10 @@
         let (_, shown) = view("a", &[("b", "suspect")]);
         let text = table(&shown.expect("a view"));
         assert!(text.starts_with("a of hall, start 7: whole\n"), "{text}");
-        assert!(text.contains("spends 0.500 of what all share, lent by b\n"), "{text}");
+        assert!(
+            text.contains("spends 0.500 of what all share, lent by b\n"),
+            "{text}"
+        );
         assert!(
             text.contains("suspect") && text.contains("2.5") && text.contains("dropped: proof 2"),
             "{text}"
--- a/programs/cluster-status/src/main.rs
+++ b/programs/cluster-status/src/main.rs
@@ -4,8 +4,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use bitternlatch_cluster_status::{differences, gather, table};
 use bitternlatch_cluster_net::ask;
+use bitternlatch_cluster_status::{differences, gather, table};
 use clap::{Parser, Subcommand};
 
 /// Shows what dispatchers know of each other.
@@ -39,12 +39,22 @@
 }
 
 fn seconds(text: &str) -> Result<f64, String> {
-    let value: f64 = text.parse().map_err(|_| "a number of seconds is expected".to_string())?;
-    (0.01..=60.0).contains(&value).then_some(value).ok_or("0.01 to 60 are expected".to_string())
+    let value: f64 = text
+        .parse()
+        .map_err(|_| "a number of seconds is expected".to_string())?;
+    (0.01..=60.0)
+        .contains(&value)
+        .then_some(value)
+        .ok_or("0.01 to 60 are expected".to_string())
 }
 
 fn main() -> ExitCode {
-    let What::Members { peer, all, json, within_s } = Args::parse().what;
+    let What::Members {
+        peer,
+        all,
+        json,
+        within_s,
+    } = Args::parse().what;
     let within = Duration::from_secs_f64(within_s);
     let first = match ask(peer, within) {
         Ok(shown) => shown,
@@ -53,7 +63,11 @@
             return ExitCode::from(2);
         }
     };
-    let views = if all { gather(first, within) } else { vec![(first.name.clone(), Ok(first))] };
+    let views = if all {
+        gather(first, within)
+    } else {
+        vec![(first.name.clone(), Ok(first))]
+    };
     let differ = differences(&views);
     if json {
         let views = views.iter().map(|(name, view)| match view {
@@ -61,7 +75,10 @@
             Err(why) => (name.clone(), serde_json::json!({ "error": why })),
         });
         let views: serde_json::Map<String, serde_json::Value> = views.collect();
-        println!("{:#}", serde_json::json!({ "views": views, "differences": differ }));
+        println!(
+            "{:#}",
+            serde_json::json!({ "views": views, "differences": differ })
+        );
     } else {
         for (name, view) in &views {
             match view {
@@ -75,5 +92,7 @@
         Ok(shown) => shown.standing != "whole",
         Err(_) => true,
     };
-    ExitCode::from(u8::from(!differ.is_empty() || views.iter().any(|v| away(&v.1))))
+    ExitCode::from(u8::from(
+        !differ.is_empty() || views.iter().any(|v| away(&v.1)),
+    ))
 }
--- a/programs/dispatch/src/beside.rs
+++ b/programs/dispatch/src/beside.rs
@@ -3,12 +3,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-use bitternlatch_quota_lease::Beside as Machine;
+use bitternlatch_cluster_net::{Kept, Plane, Snapshot, Store};
 use bitternlatch_core::{Input, Settings};
-use bitternlatch_output_length::Lengths;
 use bitternlatch_net::driver::{Beside, Event};
+use bitternlatch_output_length::Lengths;
 use bitternlatch_overload::Overload;
-use bitternlatch_cluster_net::{Kept, Plane, Snapshot, Store};
+use bitternlatch_quota_lease::Beside as Machine;
 use bitternlatch_workflow::Workflows;
 use crossbeam_channel::Sender;
 
@@ -40,7 +40,10 @@
     {
         let to = self.to.clone();
         let told = move |told| drop(to.try_send(Event::Input(input(told))));
-        let asker = self.plane.beside(machine, store, told).map_err(|e| e.told())?;
+        let asker = self
+            .plane
+            .beside(machine, store, told)
+            .map_err(|e| e.told())?;
         Ok(Box::new(move |ask| asker.ask(ask).is_ok()))
     }
 }
@@ -52,7 +55,12 @@
     to: &Sender<Event>,
 ) -> Result<Beside, String> {
     let mut beside = Beside::default();
-    let mut place = Place { settings, base, plane, to };
+    let mut place = Place {
+        settings,
+        base,
+        plane,
+        to,
+    };
     overload(&mut place, &mut beside)?;
     lengths(&mut place, &mut beside)?;
     workflows(&mut place, &mut beside)?;
@@ -61,7 +69,9 @@
 
 fn overload(place: &mut Place, beside: &mut Beside) -> Result<(), String> {
     let cluster = place.settings.cluster.as_ref();
-    let Some(own) = cluster.and_then(|c| c.overload.clone()) else { return Ok(()) };
+    let Some(own) = cluster.and_then(|c| c.overload.clone()) else {
+        return Ok(());
+    };
     let (process, roster) = place.plane.own();
     let aims = place.settings.classes.iter().map(|c| c.ttft_aim_s);
     let aim_s = aims.fold(f64::INFINITY, f64::min);
@@ -73,11 +83,19 @@
 }
 
 fn lengths(place: &mut Place, beside: &mut Beside) -> Result<(), String> {
-    let Some(wanted) = place.settings.cluster.as_ref().and_then(|c| c.lengths.as_ref()) else {
+    let Some(wanted) = place
+        .settings
+        .cluster
+        .as_ref()
+        .and_then(|c| c.lengths.as_ref())
+    else {
         return Ok(());
     };
     let machine = Lengths::new(place.plane.own().0, place.plane.now());
-    let kept = wanted.kept.as_ref().map(|kept| Snapshot::at(place.base.join(kept)));
+    let kept = wanted
+        .kept
+        .as_ref()
+        .map(|kept| Snapshot::at(place.base.join(kept)));
     let store = kept.map(|kept| -> Box<dyn Store> { Box::new(kept) });
     // An answer that finds it busy is not counted.
     beside.lengths = Some(place.run(machine, store, Input::Lengths)?);
@@ -86,12 +104,25 @@
 
 /// The machine of workflows, with its copies on disk where a file is named.
 fn workflows(place: &mut Place, beside: &mut Beside) -> Result<(), String> {
-    let settings = place.settings.cluster.as_ref().and_then(|c| c.workflows.as_ref());
-    let Some(settings) = settings else { return Ok(()) };
+    let settings = place
+        .settings
+        .cluster
+        .as_ref()
+        .and_then(|c| c.workflows.as_ref());
+    let Some(settings) = settings else {
+        return Ok(());
+    };
     let kept = settings.kept.as_ref().map(|file| place.base.join(file));
     let (own, roster) = place.plane.own();
     let seed = getrandom::u64().map_err(|e| format!("no randomness: {e}"))?;
-    let machine = Workflows::new(own, roster, settings, kept.is_some(), seed, place.plane.now());
+    let machine = Workflows::new(
+        own,
+        roster,
+        settings,
+        kept.is_some(),
+        seed,
+        place.plane.now(),
+    );
     let store = kept.map(|path| -> Box<dyn Store> { Box::new(Kept::at(&path)) });
     // A question that hears nothing ends by its own time.
     beside.workflow = Some(place.run(machine, store, Input::Workflow)?);
--- a/programs/dispatch/src/lib.rs
+++ b/programs/dispatch/src/lib.rs
@@ -12,6 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use bitternlatch_cluster_net::{Plane, Told};
 use bitternlatch_core::{Input, Settings};
 use bitternlatch_identity::rights::Rights;
 use bitternlatch_inventory::{LastGood, Offer};
@@ -22,7 +23,6 @@
 use bitternlatch_net::ledger::LedgerLink;
 use bitternlatch_net::socket::Limits;
 use bitternlatch_net::{guard, logs, tls, watch};
-use bitternlatch_cluster_net::{Plane, Told};
 use clap::Parser;
 use crossbeam_channel::Sender;
 use signal_hook::consts::{SIGINT, SIGTERM};
@@ -54,7 +54,11 @@
 pub fn main_from(words: impl Iterator<Item = OsString>) -> ExitCode {
     let args = Args::parse_from(words);
     logs::start();
-    let done = if args.platform { run_on_platform(&args) } else { run(&args) };
+    let done = if args.platform {
+        run_on_platform(&args)
+    } else {
+        run(&args)
+    };
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
@@ -96,7 +100,11 @@
         Plane::check(cluster, &settings.name, base).map_err(|e| e.told())?;
     }
     if args.check {
-        println!("{shown}: good; {} hosts in {}", good.hosts().len(), list.display());
+        println!(
+            "{shown}: good; {} hosts in {}",
+            good.hosts().len(),
+            list.display()
+        );
         return Ok(());
     }
     let (settings, text) = with_roster(&args.config, settings, text)?;
@@ -104,12 +112,17 @@
 }
 
 /// With the roster in place of the seeds, asked for now: what is recorded has to say whom this dispatcher knew.
-fn with_roster(config: &Path, settings: Settings, text: String) -> Result<(Settings, String), String> {
+fn with_roster(
+    config: &Path,
+    settings: Settings,
+    text: String,
+) -> Result<(Settings, String), String> {
     let Some(cluster) = settings.cluster.as_ref().filter(|c| !c.seeds.is_empty()) else {
         return Ok((settings, text));
     };
     let base = config.parent().unwrap_or(Path::new(""));
-    let (roster, by) = bitternlatch_cluster_net::roster(cluster, &settings.name, base).map_err(|e| e.told())?;
+    let (roster, by) =
+        bitternlatch_cluster_net::roster(cluster, &settings.name, base).map_err(|e| e.told())?;
     let mut table: toml::Table = toml::from_str(&text).map_err(|e| e.to_string())?;
     let roster_value = toml::Value::try_from(&roster).map_err(|e| e.to_string())?;
     if let Some(cluster) = table.get_mut("cluster").and_then(toml::Value::as_table_mut) {
@@ -132,25 +145,48 @@
 impl Secured {
     fn load(config: &Path, settings: &Settings) -> Result<Secured, String> {
         let base = config.parent().unwrap_or(Path::new(""));
-        let server = settings.listen.tls.as_ref().map(|s| tls::Server::load(s, base)).transpose()?;
-        let client = settings.engines.tls.as_ref().map(|s| tls::Client::load(s, base)).transpose()?;
-        Ok(Secured { server: server.map(Arc::new), client: client.map(Arc::new) })
+        let server = settings
+            .listen
+            .tls
+            .as_ref()
+            .map(|s| tls::Server::load(s, base))
+            .transpose()?;
+        let client = settings
+            .engines
+            .tls
+            .as_ref()
+            .map(|s| tls::Client::load(s, base))
+            .transpose()?;
+        Ok(Secured {
+            server: server.map(Arc::new),
+            client: client.map(Arc::new),
+        })
     }
 }
 
 /// Rights must speak of classes and tenants that there are.
 fn check_rights(config: &Path, settings: &Settings) -> Result<(), String> {
-    let Some(identity) = &settings.identity else { return Ok(()) };
+    let Some(identity) = &settings.identity else {
+        return Ok(());
+    };
     let path = beside(config, &identity.rights);
     let shown = path.display();
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{shown}: {e}"))?;
     let rights = Rights::parse(&text).map_err(|e| format!("{shown}: {e}"))?;
-    if let Some(class) = rights.classes().find(|c| settings.classes.iter().all(|known| known.name != **c)) {
+    if let Some(class) = rights
+        .classes()
+        .find(|c| settings.classes.iter().all(|known| known.name != **c))
+    {
         return Err(format!("{shown}: class '{class}' is not in the settings"));
     }
     let unknown = |t: &&str| settings.tenants.iter().all(|known| known.name != **t);
-    let stray = rights.tenants().find(unknown).filter(|_| !settings.tenants.is_empty());
-    stray.map_or(Ok(()), |tenant| Err(format!("{shown}: tenant '{tenant}' is not in the settings")))
+    let stray = rights
+        .tenants()
+        .find(unknown)
+        .filter(|_| !settings.tenants.is_empty());
+    stray.map_or(Ok(()), |tenant| {
+        Err(format!("{shown}: tenant '{tenant}' is not in the settings"))
+    })
 }
 
 fn serve(
@@ -169,26 +205,43 @@
     let ready = Arc::new(AtomicBool::new(false));
     let (to, from) = events();
     let address = settings.listen.address.clone();
-    let listener = TcpListener::bind(&address).map_err(|e| format!("cannot listen on {address}: {e}"))?;
+    let listener =
+        TcpListener::bind(&address).map_err(|e| format!("cannot listen on {address}: {e}"))?;
     let base = args.config.parent().unwrap_or(Path::new(""));
     let guard = match &settings.identity {
         Some(identity) => {
             let wall = Arc::new(guard::unix);
-            Some(guard::start(identity, base, secured.server.clone(), wall, to.clone())?)
+            Some(guard::start(
+                identity,
+                base,
+                secured.server.clone(),
+                wall,
+                to.clone(),
+            )?)
         }
         None => None,
     };
-    let front = Arc::new(Front { events: to.clone(), ready: Arc::clone(&ready), guard });
+    let front = Arc::new(Front {
+        events: to.clone(),
+        ready: Arc::clone(&ready),
+        guard,
+    });
     let hosts = good.hosts().values().cloned().collect();
-    to.send(Event::Input(Input::Hosts(hosts))).map_err(|e| e.to_string())?;
+    to.send(Event::Input(Input::Hosts(hosts)))
+        .map_err(|e| e.to_string())?;
     let every = Duration::from_secs_f64(settings.inventory.reread_s);
-    watch::watch(list, every, good, to.clone()).map_err(|e| format!("no thread for the list: {e}"))?;
+    watch::watch(list, every, good, to.clone())
+        .map_err(|e| format!("no thread for the list: {e}"))?;
     tls::watch(secured.server.clone(), secured.client.clone(), to.clone())
         .map_err(|e| format!("no thread for TLS files: {e}"))?;
     let door = door(&settings, secured.server);
-    let acceptor = Acceptor::start(listener, door, front).map_err(|e| format!("cannot accept: {e}"))?;
+    let acceptor =
+        Acceptor::start(listener, door, front).map_err(|e| format!("cannot accept: {e}"))?;
     let within = Duration::from_secs_f64(settings.stop.within_s);
-    let record = settings.record.as_ref().map(|r| beside(&args.config, &r.file));
+    let record = settings
+        .record
+        .as_ref()
+        .map(|r| beside(&args.config, &r.file));
     tracing::info!(name = settings.name, address = %acceptor.address(), "listening");
     on_signal(to.clone(), acceptor)?;
     let journal = match &settings.charges {
@@ -198,9 +251,17 @@
         }
         None => None,
     };
-    let charges = journal.clone().map(|j| Charges::begin(j, to.clone())).transpose()?;
-    let ledger = settings.ledger.as_ref().map(|l| LedgerLink::start(l.address.clone(), journal, to.clone()));
-    let ledger = ledger.transpose().map_err(|e| format!("no thread for the ledger: {e}"))?;
+    let charges = journal
+        .clone()
+        .map(|j| Charges::begin(j, to.clone()))
+        .transpose()?;
+    let ledger = settings
+        .ledger
+        .as_ref()
+        .map(|l| LedgerLink::start(l.address.clone(), journal, to.clone()));
+    let ledger = ledger
+        .transpose()
+        .map_err(|e| format!("no thread for the ledger: {e}"))?;
     let fenced = Arc::new(AtomicBool::new(false));
     let mut plane = join(&settings, base, &to, &fenced)?;
     let beside = match &mut plane {
@@ -229,7 +290,9 @@
     plane.into_iter().for_each(Plane::leave);
     tracing::info!("stopped");
     match fenced.load(Ordering::SeqCst) {
-        true => Err("another process under this name started later; this one has stopped".to_string()),
+        true => {
+            Err("another process under this name started later; this one has stopped".to_string())
+        }
         false => Ok(()),
     }
 }
@@ -242,7 +305,9 @@
     to: &Sender<Event>,
     fenced: &Arc<AtomicBool>,
 ) -> Result<Option<Plane>, String> {
-    let Some(cluster) = &settings.cluster else { return Ok(None) };
+    let Some(cluster) = &settings.cluster else {
+        return Ok(None);
+    };
     let (to, fenced) = (to.clone(), Arc::clone(fenced));
     // Without a loop the process is ending.
     let told = move |told: Told| match told {
@@ -255,7 +320,9 @@
             let _ = to.send(Event::Input(Input::Stop));
         }
     };
-    Plane::join(cluster, &settings.name, base, told).map(Some).map_err(|e| e.told())
+    Plane::join(cluster, &settings.name, base, told)
+        .map(Some)
+        .map_err(|e| e.told())
 }
 
 fn door(settings: &Settings, tls: Option<Arc<tls::Server>>) -> Door {
@@ -291,6 +358,10 @@
             let _ = to.send(Event::Input(Input::Stop));
         }
     };
-    let thread = std::thread::Builder::new().name("signals".into()).spawn(wait);
-    thread.map(|_| ()).map_err(|e| format!("no thread for signals: {e}"))
+    let thread = std::thread::Builder::new()
+        .name("signals".into())
+        .spawn(wait);
+    thread
+        .map(|_| ())
+        .map_err(|e| format!("no thread for signals: {e}"))
 }
--- a/programs/dispatch/tests/cold.rs
+++ b/programs/dispatch/tests/cold.rs
@@ -44,7 +44,11 @@
     stream.set_nodelay(true).ok()?;
     let mut to = stream.try_clone().ok()?;
     let mut from = BufReader::new(stream);
-    let load = if busy { "util=0.5,queue=15,x0=0.5" } else { "util=0.0,queue=0,x0=0.0" };
+    let load = if busy {
+        "util=0.5,queue=15,x0=0.5"
+    } else {
+        "util=0.0,queue=0,x0=0.0"
+    };
     while let Some((first, _)) = message(&mut from) {
         let answer = match first.split(' ').next() {
             Some("POST") => {
@@ -80,12 +84,14 @@
             thread::spawn(move || {
                 let mut to = stream.try_clone().ok()?;
                 message(&mut BufReader::new(stream))?;
-                to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
+                to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                    .ok()?;
                 let (mut said, mut empty) = (false, Instant::now());
                 loop {
                     let line = told.read().expect("the line").clone();
                     if !said && !line.is_empty() {
-                        to.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).ok()?;
+                        to.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes())
+                            .ok()?;
                         said = true;
                     } else if empty.elapsed() > Duration::from_secs(1) {
                         to.write_all(b"1\r\n\n\r\n").ok()?;
@@ -128,7 +134,9 @@
             let entry = target(&format!("r{n}"), *at, "reads");
             match booted_ms {
                 _ if n != cold => targets.push(entry),
-                Some(ms) => targets.push(entry.replace("\"boot_ms\":0", &format!("\"boot_ms\":{ms}"))),
+                Some(ms) => {
+                    targets.push(entry.replace("\"boot_ms\":0", &format!("\"boot_ms\":{ms}")))
+                }
                 None => {}
             }
         }
@@ -138,17 +146,35 @@
     }
 }
 
-fn started(name: &str, listen: SocketAddr, at: SocketAddr, seed: usize, targets: &[String]) -> Dispatcher {
+fn started(
+    name: &str,
+    listen: SocketAddr,
+    at: SocketAddr,
+    seed: usize,
+    targets: &[String],
+) -> Dispatcher {
     let text = configuration_with(listen, at, targets)
         .replace("\"name\":\"d0\"", &format!("\"name\":\"{name}\""))
-        .replace("\"seed\":\"1f\"", &format!("\"seed\":\"{:x}\"", 7919 * (seed + 1)))
-        .replace("\"balancers\":1", &format!("\"balancers\":{}", CLIENTS.len()));
+        .replace(
+            "\"seed\":\"1f\"",
+            &format!("\"seed\":\"{:x}\"", 7919 * (seed + 1)),
+        )
+        .replace(
+            "\"balancers\":1",
+            &format!("\"balancers\":{}", CLIENTS.len()),
+        );
     Dispatcher::start_with(&format!("cold-{name}"), listen, text, program)
 }
 
 /// The reader that most requests of the hot prefix go to while all are warm and idle.
 fn home(hosts: &Hosts) -> usize {
-    let dispatcher = started("first", own_address(), scripted_discovery().0, 99, &hosts.list(READERS, None));
+    let dispatcher = started(
+        "first",
+        own_address(),
+        scripted_discovery().0,
+        99,
+        &hosts.list(READERS, None),
+    );
     (0..20).for_each(|n| assert!(ask(dispatcher.listen, 0xF000 + n, HOT).expect("an answer")));
     let count = |n: &usize| hosts.readers[*n].1.lock().expect("its times").len();
     (0..READERS).max_by_key(count).expect("a reader")
@@ -156,26 +182,51 @@
 
 #[test]
 fn many_dispatchers_keep_the_budget_of_a_cold_home_of_a_hot_prefix() {
-    let idle = |reads: bool, n: usize| (0..n).map(|_| counting_host(reads, false)).collect::<Vec<_>>();
-    let cold = home(&Hosts { readers: idle(true, READERS), writers: idle(false, 2) });
-    let readers = (0..READERS).map(|n| counting_host(true, n != cold)).collect();
-    let hosts = Hosts { readers, writers: idle(false, 4) };
+    let idle = |reads: bool, n: usize| {
+        (0..n)
+            .map(|_| counting_host(reads, false))
+            .collect::<Vec<_>>()
+    };
+    let cold = home(&Hosts {
+        readers: idle(true, READERS),
+        writers: idle(false, 2),
+    });
+    let readers = (0..READERS)
+        .map(|n| counting_host(true, n != cold))
+        .collect();
+    let hosts = Hosts {
+        readers,
+        writers: idle(false, 4),
+    };
 
     let before = hosts.list(cold, None);
     let agents: Vec<_> = CLIENTS.iter().map(|_| scripted_discovery()).collect();
     let start = |n: usize, again: usize, targets: &[String]| {
-        started(&format!("d{n}-{again}"), own_address(), agents[n].0, n + 100 * again, targets)
+        started(
+            &format!("d{n}-{again}"),
+            own_address(),
+            agents[n].0,
+            n + 100 * again,
+            targets,
+        )
     };
     let mut dispatchers: Vec<_> = (0..CLIENTS.len()).map(|n| start(n, 0, &before)).collect();
     let listen: Arc<Vec<_>> = Arc::new(dispatchers.iter().map(|d| Mutex::new(d.listen)).collect());
 
-    let (stop, count, answered) =
-        (Arc::<AtomicBool>::default(), Arc::<AtomicU64>::default(), Arc::<AtomicU64>::default());
+    let (stop, count, answered) = (
+        Arc::<AtomicBool>::default(),
+        Arc::<AtomicU64>::default(),
+        Arc::<AtomicU64>::default(),
+    );
     let mut clients = Vec::new();
     for (n, many) in CLIENTS.into_iter().enumerate() {
         for _ in 0..many {
-            let (stop, count, answered, listen) =
-                (stop.clone(), count.clone(), answered.clone(), listen.clone());
+            let (stop, count, answered, listen) = (
+                stop.clone(),
+                count.clone(),
+                answered.clone(),
+                listen.clone(),
+            );
             clients.push(thread::spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
                     let id = 1 + count.fetch_add(1, Ordering::Relaxed);
@@ -190,7 +241,10 @@
     }
     thread::sleep(Duration::from_secs(1));
     let from = Instant::now();
-    let booted_ms = SystemTime::now().duration_since(UNIX_EPOCH).expect("the time").as_millis();
+    let booted_ms = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .expect("the time")
+        .as_millis();
     let after = hosts.list(cold, Some(booted_ms));
     for (_, line) in &agents {
         *line.write().expect("the line") = list(8, false, &after[cold..cold + 1]);
@@ -204,13 +258,18 @@
     }
     thread::sleep(WATCHED.saturating_sub(from.elapsed()));
     stop.store(true, Ordering::Relaxed);
-    clients.into_iter().for_each(|c| c.join().expect("a client"));
+    clients
+        .into_iter()
+        .for_each(|c| c.join().expect("a client"));
 
     let came = |n: usize| hosts.readers[n].1.lock().expect("its times").clone();
     let at_cold = came(cold);
     let all: Vec<Instant> = (0..READERS).flat_map(came).filter(|t| *t >= from).collect();
     let within = |times: &[Instant], start: Instant| {
-        times.iter().filter(|t| **t >= start && t.duration_since(start) < WINDOW).count() as f64
+        times
+            .iter()
+            .filter(|t| **t >= start && t.duration_since(start) < WINDOW)
+            .count() as f64
     };
     // How a host warms up the settings do not tell: judged by the requests that came to it, as fast as by time at the most.
     let allowed = |start: Instant| {
@@ -225,7 +284,11 @@
     for start in at_cold.iter().filter(|t| **t + WINDOW <= from + WATCHED) {
         let (sent, n) = (within(&at_cold, *start), allowed(*start));
         let over = sent - (n + 2.0 * n.sqrt() + 2.0);
-        worst = if over > worst.0 { (over, sent, n) } else { worst };
+        worst = if over > worst.0 {
+            (over, sent, n)
+        } else {
+            worst
+        };
     }
     let answered = answered.load(Ordering::Relaxed);
     println!(
@@ -233,7 +296,16 @@
         all.len(),
         at_cold.len()
     );
-    assert!(answered > 100 && all.len() > 100, "{answered} answered, {} reads", all.len());
+    assert!(
+        answered > 100 && all.len() > 100,
+        "{answered} answered, {} reads",
+        all.len()
+    );
     assert!(!at_cold.is_empty(), "no read at the cold host");
-    assert!(worst.0 <= 0.0, "{} sent within the window where N is {}", worst.1, worst.2);
+    assert!(
+        worst.0 <= 0.0,
+        "{} sent within the window where N is {}",
+        worst.1,
+        worst.2
+    );
 }
--- a/programs/dispatch/tests/common/bench.rs
+++ b/programs/dispatch/tests/common/bench.rs
@@ -43,7 +43,11 @@
         let listen = own_address();
         let text = changed(configuration_with(listen, discovery().0, targets), changes);
         let dispatcher = Dispatcher::start_with(name, listen, text, program);
-        Bench { hosts, dispatcher, asked: std::cell::Cell::new(0) }
+        Bench {
+            hosts,
+            dispatcher,
+            asked: std::cell::Cell::new(0),
+        }
     }
 
     pub fn ask(&self, id: &str) -> TcpStream {
@@ -74,7 +78,8 @@
     /// A request asked now is served: what was ready before has been acted on.
     pub fn settled(&self) {
         self.asked.set(self.asked.get() + 1);
-        self.dispatcher.served(&format!("{AT_ONCE}{}", self.asked.get()));
+        self.dispatcher
+            .served(&format!("{AT_ONCE}{}", self.asked.get()));
     }
 }
 
@@ -83,8 +88,9 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     rustix::net::listen(&listener, 0).expect("a short queue");
     let to = listener.local_addr().expect("an address");
-    let fill =
-        (0..8).map_while(|_| TcpStream::connect_timeout(&to, Duration::from_millis(100)).ok()).collect();
+    let fill = (0..8)
+        .map_while(|_| TcpStream::connect_timeout(&to, Duration::from_millis(100)).ok())
+        .collect();
     (listener, fill)
 }
 
@@ -94,7 +100,10 @@
     loop {
         let text = String::from_utf8_lossy(&said).into_owned();
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
-            let length = head.split("Content-Length: ").nth(1).and_then(|rest| rest.lines().next());
+            let length = head
+                .split("Content-Length: ")
+                .nth(1)
+                .and_then(|rest| rest.lines().next());
             let whole = match length {
                 Some(length) => body.len() >= length.parse().expect("a length"),
                 None => body.ends_with("0\r\n\r\n"),
@@ -104,7 +113,11 @@
             }
         }
         let mut byte = [0];
-        assert_eq!(client.read(&mut byte).expect("an answer"), 1, "the end in an answer: {text}");
+        assert_eq!(
+            client.read(&mut byte).expect("an answer"),
+            1,
+            "the end in an answer: {text}"
+        );
         said.push(byte[0]);
     }
 }
@@ -113,14 +126,19 @@
 pub fn rest(mut client: TcpStream) -> String {
     let mut said = Vec::new();
     if let Err(e) = client.read_to_end(&mut said) {
-        assert!(e.kind() != ErrorKind::WouldBlock, "neither an answer nor an end");
+        assert!(
+            e.kind() != ErrorKind::WouldBlock,
+            "neither an answer nor an end"
+        );
     }
     String::from_utf8_lossy(&said).into_owned()
 }
 
 /// A client whose side of a connection takes little at once, so that most of an answer waits at the other side.
 pub fn narrow_client(to: SocketAddr) -> TcpStream {
-    use rustix::net::{connect, socket, sockopt::set_socket_recv_buffer_size, AddressFamily, SocketType};
+    use rustix::net::{
+        connect, socket, sockopt::set_socket_recv_buffer_size, AddressFamily, SocketType,
+    };
     let socket = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
     set_socket_recv_buffer_size(&socket, 4096).expect("an option");
     connect(&socket, &to).expect("a connection");
--- a/programs/dispatch/tests/common/crowd.rs
+++ b/programs/dispatch/tests/common/crowd.rs
@@ -47,7 +47,9 @@
     let mut said = Vec::new();
     let mut byte = [0];
     while !said.ends_with(b"\r\n\r\n") {
-        let left = until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+        let left = until
+            .saturating_duration_since(Instant::now())
+            .max(Duration::from_millis(1));
         if stream.set_read_timeout(Some(left)).is_err() {
             break;
         }
@@ -65,7 +67,10 @@
     let one = |i| {
         let mut stream = join(to, Kind::Idle, &format!("idle{i}")).expect("a connection");
         let said = head(&mut stream, Duration::from_secs(20));
-        assert!(said.starts_with("HTTP/1.1 200"), "idle client {i}: {said:?}");
+        assert!(
+            said.starts_with("HTTP/1.1 200"),
+            "idle client {i}: {said:?}"
+        );
         stream
     };
     (0..count).map(one).collect()
@@ -115,7 +120,10 @@
 pub fn host(reads: bool) -> Host {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("an address");
-    let (asked, holds) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicBool::new(false)));
+    let (asked, holds) = (
+        Arc::new(AtomicUsize::new(0)),
+        Arc::new(AtomicBool::new(false)),
+    );
     let shared = (Arc::clone(&asked), Arc::clone(&holds));
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -126,12 +134,19 @@
     Host { at, asked, holds }
 }
 
-fn serve(stream: TcpStream, reads: bool, (asked, holds): &(Arc<AtomicUsize>, Arc<AtomicBool>)) -> Option<()> {
+fn serve(
+    stream: TcpStream,
+    reads: bool,
+    (asked, holds): &(Arc<AtomicUsize>, Arc<AtomicBool>),
+) -> Option<()> {
     let mut to = stream.try_clone().ok()?;
     let mut from = BufReader::new(stream);
     while let Some((first, _)) = message(&mut from) {
         let plain = |status: &str, body: &str| {
-            format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+            format!(
+                "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            )
         };
         let held = || {
             while holds.load(Ordering::SeqCst) {
@@ -140,14 +155,18 @@
         };
         match first.split(' ').next() {
             Some("DELETE") => to.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").ok()?,
-            Some("GET") => to.write_all(plain("200 OK", "util=0.1,queue=0,x0=0.1").as_bytes()).ok()?,
+            Some("GET") => to
+                .write_all(plain("200 OK", "util=0.1,queue=0,x0=0.1").as_bytes())
+                .ok()?,
             _ => {
                 asked.fetch_add(1, Ordering::SeqCst);
                 if reads {
                     held();
-                    to.write_all(plain("202 Accepted", "{\"cached_tokens\":0}").as_bytes()).ok()?;
+                    to.write_all(plain("202 Accepted", "{\"cached_tokens\":0}").as_bytes())
+                        .ok()?;
                 } else {
-                    let opening = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: 1\n\n\r\n";
+                    let opening =
+                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: 1\n\n\r\n";
                     to.write_all(opening.as_bytes()).ok()?;
                     held();
                     to.write_all(b"9\r\ndata: 2\n\n\r\n0\r\n\r\n").ok()?;
@@ -225,9 +244,11 @@
 }
 
 fn watch(to: &mut TcpStream, line: &str) -> Option<()> {
-    to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
+    to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .ok()?;
     let text = format!("{line}\n");
-    to.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).ok()?;
+    to.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+        .ok()?;
     loop {
         thread::sleep(Duration::from_secs(1));
         to.write_all(b"1\r\n\n\r\n").ok()?;
@@ -236,29 +257,52 @@
 
 /// The program under a limit of descriptors; 0 leaves it as it is.
 pub fn limited<const N: u32>(file: &Path) -> Command {
-    let limit = if N > 0 { format!("ulimit -n {N}; ") } else { String::new() };
-    let run = format!("{limit}exec {} --platform", env!("CARGO_BIN_EXE_bitternlatch-dispatch"));
+    let limit = if N > 0 {
+        format!("ulimit -n {N}; ")
+    } else {
+        String::new()
+    };
+    let run = format!(
+        "{limit}exec {} --platform",
+        env!("CARGO_BIN_EXE_bitternlatch-dispatch")
+    );
     let mut command = Command::new("/bin/sh");
-    command.args(["-c", &run]).env("EDGE_CONFIG", file).stdout(Stdio::null()).stderr(Stdio::null());
+    command
+        .args(["-c", &run])
+        .env("EDGE_CONFIG", file)
+        .stdout(Stdio::null())
+        .stderr(Stdio::null());
     command
 }
 
 /// File descriptors that a process holds.
 pub fn descriptors(pid: u32) -> usize {
-    std::fs::read_dir(format!("/proc/{pid}/fd")).expect("its descriptors").count()
+    std::fs::read_dir(format!("/proc/{pid}/fd"))
+        .expect("its descriptors")
+        .count()
 }
 
 /// The lowest file descriptor that a process does not hold: under a limit of so many it can open none.
 pub fn first_free(pid: u32) -> u64 {
     let folder = std::fs::read_dir(format!("/proc/{pid}/fd")).expect("its descriptors");
-    let held: Vec<u64> = folder.flatten().filter_map(|f| f.file_name().to_str()?.parse().ok()).collect();
+    let held: Vec<u64> = folder
+        .flatten()
+        .filter_map(|f| f.file_name().to_str()?.parse().ok())
+        .collect();
     (0..).find(|n| !held.contains(n)).unwrap_or_default()
 }
 
 /// Memory that a process holds now, MB, its program's own pages not counted: a test's build has many.
 pub fn memory_mb(pid: u32) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("its state");
-    let line = status.lines().find(|l| l.starts_with("RssAnon:")).expect("its memory");
-    let kb: f64 = line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("a number");
+    let line = status
+        .lines()
+        .find(|l| l.starts_with("RssAnon:"))
+        .expect("its memory");
+    let kb: f64 = line
+        .split_whitespace()
+        .nth(1)
+        .and_then(|n| n.parse().ok())
+        .expect("a number");
     kb / 1024.0
 }
--- a/programs/dispatch/tests/common/gated.rs
+++ b/programs/dispatch/tests/common/gated.rs
@@ -81,7 +81,12 @@
     }
 
     fn note(&self, what: What, id: &str, host: usize) {
-        let seen = Seen { what, id: id.to_string(), host, at: Instant::now() };
+        let seen = Seen {
+            what,
+            id: id.to_string(),
+            host,
+            at: Instant::now(),
+        };
         self.lock().seen.push(seen);
         self.book.1.notify_all();
     }
@@ -90,7 +95,12 @@
         let mut to = stream.try_clone().ok()?;
         self.lock().taken.push((host, stream.try_clone().ok()?));
         let mut from = BufReader::new(stream);
-        while let Some(Message { first: line, fields, .. }) = whole_message(&mut from) {
+        while let Some(Message {
+            first: line,
+            fields,
+            ..
+        }) = whole_message(&mut from)
+        {
             if self.lock().silent.contains(&host) {
                 // The book holds the other handle of this connection, so that it stays open.
                 return None;
@@ -132,7 +142,9 @@
         mut ready: impl FnMut(&mut Book) -> Option<T>,
     ) -> Option<T> {
         let stream = from.get_ref();
-        stream.set_read_timeout(Some(Duration::from_millis(2))).ok()?;
+        stream
+            .set_read_timeout(Some(Duration::from_millis(2)))
+            .ok()?;
         loop {
             if let Some(found) = ready(&mut self.lock()) {
                 stream.set_read_timeout(None).ok()?;
@@ -149,7 +161,11 @@
     /// Lets one answer go and waits until it is written.
     pub fn let_go(&self, id: &str, answer: &str) {
         let before = self.count(What::Answered, id);
-        self.lock().answers.entry(id.to_string()).or_default().push(answer.to_string());
+        self.lock()
+            .answers
+            .entry(id.to_string())
+            .or_default()
+            .push(answer.to_string());
         self.wait(What::Answered, id, before + 1);
     }
 
@@ -175,7 +191,11 @@
 
     /// When this came first for a request.
     pub fn first(&self, what: What, id: &str) -> Option<Instant> {
-        self.lock().seen.iter().find(|s| s.what == what && s.id == id).map(|s| s.at)
+        self.lock()
+            .seen
+            .iter()
+            .find(|s| s.what == what && s.id == id)
+            .map(|s| s.at)
     }
 
     pub fn hold_probes(&self, hold: bool) {
@@ -183,27 +203,51 @@
     }
 
     pub fn count(&self, what: What, id: &str) -> usize {
-        self.lock().seen.iter().filter(|s| s.what == what && s.id == id).count()
+        self.lock()
+            .seen
+            .iter()
+            .filter(|s| s.what == what && s.id == id)
+            .count()
     }
 
     /// Waits until so many such things have come.
     pub fn wait(&self, what: What, id: &str, many: usize) {
         let until = Instant::now() + SOON;
         let mut book = self.lock();
-        while book.seen.iter().filter(|s| s.what == what && s.id == id).count() < many {
+        while book
+            .seen
+            .iter()
+            .filter(|s| s.what == what && s.id == id)
+            .count()
+            < many
+        {
             let left = until.saturating_duration_since(Instant::now());
-            assert!(!left.is_zero(), "{many} of {what:?} for '{id}' in time: {:?}", book.seen);
+            assert!(
+                !left.is_zero(),
+                "{many} of {what:?} for '{id}' in time: {:?}",
+                book.seen
+            );
             book = self.book.1.wait_timeout(book, left).expect("the book").0;
         }
     }
 
     /// The hosts to which a request has come, in order.
     pub fn asked(&self, id: &str) -> Vec<usize> {
-        self.lock().seen.iter().filter(|s| s.what == What::Post && s.id == id).map(|s| s.host).collect()
+        self.lock()
+            .seen
+            .iter()
+            .filter(|s| s.what == What::Post && s.id == id)
+            .map(|s| s.host)
+            .collect()
     }
 
     /// Ids of all requests that have come, each as often as it came.
     pub fn posts(&self) -> Vec<String> {
-        self.lock().seen.iter().filter(|s| s.what == What::Post).map(|s| s.id.clone()).collect()
+        self.lock()
+            .seen
+            .iter()
+            .filter(|s| s.what == What::Post)
+            .map(|s| s.id.clone())
+            .collect()
     }
 }
--- a/programs/dispatch/tests/common/mod.rs
+++ b/programs/dispatch/tests/common/mod.rs
@@ -38,10 +38,17 @@
             fields.insert(name.to_ascii_lowercase(), value.trim().to_string());
         }
     }
-    let length = fields.get("content-length").map_or(Ok(0), |n: &String| n.parse()).ok()?;
+    let length = fields
+        .get("content-length")
+        .map_or(Ok(0), |n: &String| n.parse())
+        .ok()?;
     let mut body = vec![0; length];
     from.read_exact(&mut body).ok()?;
-    Some(Message { first, fields, body })
+    Some(Message {
+        first,
+        fields,
+        body,
+    })
 }
 
 /// Reads one message: its first line and its body.
@@ -82,7 +89,10 @@
     let mut from = BufReader::new(stream);
     while let Some((first, _)) = message(&mut from) {
         let plain = |status: &str, body: &str| {
-            format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+            format!(
+                "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            )
         };
         let answer = match first.split(' ').next() {
             Some("DELETE") => "HTTP/1.1 204 No Content\r\n\r\n".to_string(),
@@ -108,7 +118,8 @@
                 let mut to = stream.try_clone().ok()?;
                 let mut from = BufReader::new(stream);
                 tell.send(message(&mut from)?.0).ok()?;
-                to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
+                to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                    .ok()?;
                 while to.write_all(b"1\r\n\n\r\n").is_ok() {
                     thread::sleep(Duration::from_secs(1));
                 }
@@ -150,7 +161,10 @@
 
 /// A list in discovery's form.
 pub fn list(rev: u64, all: bool, targets: &[String]) -> String {
-    format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, targets.join(","))
+    format!(
+        r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#,
+        targets.join(",")
+    )
 }
 
 /// A configuration that knows one host that reads and one that writes.
@@ -158,7 +172,10 @@
     configuration_with(
         listen,
         discovery,
-        &[target("a", host(true), "reads"), target("b", host(false), "writes")],
+        &[
+            target("a", host(true), "reads"),
+            target("b", host(false), "writes"),
+        ],
     )
 }
 
@@ -186,7 +203,8 @@
     pub fn start_by(name: &str, program: fn(&Path) -> Command) -> Dispatcher {
         let listen = own_address();
         let (at, calls) = discovery();
-        let mut dispatcher = Dispatcher::start_with(name, listen, configuration(listen, at), program);
+        let mut dispatcher =
+            Dispatcher::start_with(name, listen, configuration(listen, at), program);
         dispatcher.calls = calls;
         dispatcher
     }
@@ -201,7 +219,13 @@
         let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.json"));
         std::fs::write(&file, &text).expect("the configuration's file");
         let child = program(&file).spawn().expect("the program");
-        let dispatcher = Dispatcher { child, listen, file, text, calls: channel().1 };
+        let dispatcher = Dispatcher {
+            child,
+            listen,
+            file,
+            text,
+            calls: channel().1,
+        };
         dispatcher.until_ready();
         dispatcher
     }
@@ -246,12 +270,17 @@
 
     pub fn served(&self, id: &str) {
         let mut stream = self.connect();
-        stream.write_all(request(id, "Connection: close\r\n").as_bytes()).expect("asked");
+        stream
+            .write_all(request(id, "Connection: close\r\n").as_bytes())
+            .expect("asked");
         let mut answer = String::new();
         stream.read_to_string(&mut answer).expect("an answer");
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
         let (one, two) = (answer.find("data: 1\n\n"), answer.find("data: 2\n\n"));
-        assert!(one.is_some() && one < two && answer.ends_with("0\r\n\r\n"), "{answer}");
+        assert!(
+            one.is_some() && one < two && answer.ends_with("0\r\n\r\n"),
+            "{answer}"
+        );
     }
 }
 
@@ -264,7 +293,11 @@
 
 pub fn program(file: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_bitternlatch-dispatch"));
-    command.arg("--platform").env("EDGE_CONFIG", file).stdout(Stdio::null()).stderr(Stdio::piped());
+    command
+        .arg("--platform")
+        .env("EDGE_CONFIG", file)
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped());
     command
 }
 
--- a/programs/dispatch/tests/crossing.rs
+++ b/programs/dispatch/tests/crossing.rs
@@ -44,8 +44,14 @@
         bench.hosts.let_go(&id, STREAM);
         let said = answer(&mut client);
         assert!(said.starts_with("HTTP/1.1 200"), "{said}");
-        assert!(!said.contains("data: 0"), "another request's answer: {said}");
-        assert!(said.contains("data: 1") && said.contains("data: 2"), "{said}");
+        assert!(
+            !said.contains("data: 0"),
+            "another request's answer: {said}"
+        );
+        assert!(
+            said.contains("data: 1") && said.contains("data: 2"),
+            "{said}"
+        );
         assert_eq!(bench.hosts.asked(&id), [READER, WRITER]);
         bench.settled();
     }
@@ -85,7 +91,10 @@
         bench.hosts.wait(What::Post, id, 2);
         bench.hosts.let_go(id, STREAM);
         let said = answer(&mut client);
-        assert!(said.starts_with("HTTP/1.1 200") && said.contains("data: 2"), "{name}: {said}");
+        assert!(
+            said.starts_with("HTTP/1.1 200") && said.contains("data: 2"),
+            "{name}: {said}"
+        );
         assert_eq!(bench.hosts.asked(id), [READER, WRITER], "{name}: read once");
     }
 }
@@ -98,13 +107,18 @@
     // It takes connections for 0.55 s from here on; the process is held up beyond that.
     std::thread::sleep(Duration::from_millis(200));
     bench.stop();
-    let clients: Vec<TcpStream> = (0..150).map(|i| bench.ask(&format!("{AT_ONCE}queue-{i}"))).collect();
+    let clients: Vec<TcpStream> = (0..150)
+        .map(|i| bench.ask(&format!("{AT_ONCE}queue-{i}")))
+        .collect();
     std::thread::sleep(Duration::from_millis(500));
     bench.go_on();
     for (i, client) in clients.into_iter().enumerate() {
         let said = rest(client);
         let answered = said.starts_with("HTTP/1.1 200") && said.ends_with("0\r\n\r\n");
-        assert!(answered || said.starts_with("HTTP/1.1 503"), "{i}: {said:?}");
+        assert!(
+            answered || said.starts_with("HTTP/1.1 503"),
+            "{i}: {said:?}"
+        );
     }
     assert_eq!(bench.dispatcher.ended().and_then(|s| s.code()), Some(0));
 }
@@ -131,13 +145,17 @@
     let ask = |(i, more): (usize, &usize)| {
         let id = format!("taken-late-{i}");
         let mut client = narrow_client(bench.dispatcher.listen);
-        client.write_all(request(&id, "Connection: close\r\n").as_bytes()).expect("asked");
+        client
+            .write_all(request(&id, "Connection: close\r\n").as_bytes())
+            .expect("asked");
         bench.hosts.wait(What::Post, &id, 1);
         bench.hosts.let_go(&id, READ);
         bench.hosts.wait(What::Post, &id, 2);
         let many = (system + more) / event.len();
         let chunks = chunk(&event).repeat(many);
-        bench.hosts.let_go(&id, &format!("{STREAM_HEAD}{chunks}{LAST_CHUNK}"));
+        bench
+            .hosts
+            .let_go(&id, &format!("{STREAM_HEAD}{chunks}{LAST_CHUNK}"));
         (client, many)
     };
     let clients = more.iter().enumerate().map(ask).collect();
@@ -149,7 +167,11 @@
     for (client, many) in clients {
         let said = rest(client);
         let came = said.matches("data: ").count();
-        assert!(came == many && said.ends_with("0\r\n\r\n"), "{came} of {many} events, {} bytes", said.len());
+        assert!(
+            came == many && said.ends_with("0\r\n\r\n"),
+            "{came} of {many} events, {} bytes",
+            said.len()
+        );
     }
 }
 
@@ -209,8 +231,16 @@
     let idle: Vec<TcpStream> = (0..20).map(|_| bench.dispatcher.connect()).collect();
     until_descriptors(pid, |n| n >= without + idle.len());
     let most = first_free(pid);
-    let limit = Rlimit { current: Some(most), maximum: Some(most) };
-    prlimit(Some(Pid::from_child(&bench.dispatcher.child)), Resource::Nofile, limit).expect("a limit");
+    let limit = Rlimit {
+        current: Some(most),
+        maximum: Some(most),
+    };
+    prlimit(
+        Some(Pid::from_child(&bench.dispatcher.child)),
+        Resource::Nofile,
+        limit,
+    )
+    .expect("a limit");
     bench.settled();
     are_whole(clients);
     drop(idle);
@@ -226,8 +256,13 @@
     let (new, calls) = discovery();
     bench.stop();
     let text = bench.dispatcher.text.clone();
-    let old = text.split(r#""discovery":""#).nth(1).and_then(|t| t.split('"').next()).expect("an address");
-    std::fs::write(&bench.dispatcher.file, text.replace(old, &new.to_string())).expect("the new file");
+    let old = text
+        .split(r#""discovery":""#)
+        .nth(1)
+        .and_then(|t| t.split('"').next())
+        .expect("an address");
+    std::fs::write(&bench.dispatcher.file, text.replace(old, &new.to_string()))
+        .expect("the new file");
     bench.dispatcher.signal(Signal::HUP);
     bench.dispatcher.signal(Signal::TERM);
     bench.hosts.let_go("signals", READ);
@@ -237,7 +272,10 @@
     bench.hosts.wait(What::Post, "signals", 2);
     bench.hosts.let_go("signals", STREAM);
     let said = answer(&mut client);
-    assert!(said.starts_with("HTTP/1.1 200") && said.contains("data: 2"), "{said}");
+    assert!(
+        said.starts_with("HTTP/1.1 200") && said.contains("data: 2"),
+        "{said}"
+    );
     assert_eq!(bench.dispatcher.ended().and_then(|s| s.code()), Some(0));
 }
 
@@ -272,7 +310,11 @@
             assert!(said.starts_with("HTTP/1.1 200"), "{name}: {said}");
         } else {
             let said = answer(&mut client);
-            let status = if effect == keyed { "HTTP/1.1 503" } else { "HTTP/1.1 504" };
+            let status = if effect == keyed {
+                "HTTP/1.1 503"
+            } else {
+                "HTTP/1.1 504"
+            };
             assert!(said.starts_with(status), "{name}: {said}");
             bench.settled();
             assert_eq!(bench.hosts.asked(name), before, "{name}: sent nowhere else");
@@ -289,7 +331,12 @@
         target("h1", own_address(), "writes"),
     ];
     let patient = (r#""connectTimeoutS":1.0"#, r#""connectTimeoutS":30.0"#);
-    let bench = Bench::with("crossing-deadline", Gated::default(), &targets, &[patient, PATIENT]);
+    let bench = Bench::with(
+        "crossing-deadline",
+        Gated::default(),
+        &targets,
+        &[patient, PATIENT],
+    );
     let since = Instant::now();
     let client = bench.ask("late");
     std::thread::sleep(Duration::from_millis(500));
@@ -306,14 +353,20 @@
             }
             said.push_str(&String::from_utf8_lossy(&bytes[..n]));
         }
-        let field = said.split("Req-Deadline-Ms: ").nth(1).and_then(|rest| rest.split("\r\n").next());
+        let field = said
+            .split("Req-Deadline-Ms: ")
+            .nth(1)
+            .and_then(|rest| rest.split("\r\n").next());
         if let Some(told) = field {
             break told.parse::<f64>().expect("a number");
         }
     };
     let passed_ms = since.elapsed().as_secs_f64() * 1e3;
     assert!(passed_ms >= 500.0, "it was late");
-    assert!(told_ms + passed_ms <= 20_000.0 + 150.0, "told {told_ms} ms after {passed_ms} ms of 20 s");
+    assert!(
+        told_ms + passed_ms <= 20_000.0 + 150.0,
+        "told {told_ms} ms after {passed_ms} ms of 20 s"
+    );
     drop(client);
 }
 
@@ -327,7 +380,9 @@
 fn half_asked(bench: &Bench, number: usize) -> TcpStream {
     let mut client = bench.ask(&format!("{AT_ONCE}before-{number}"));
     answer(&mut client);
-    client.write_all(b"POST /v1/chat/completions HTTP/1.1\r\n").expect("half a head");
+    client
+        .write_all(b"POST /v1/chat/completions HTTP/1.1\r\n")
+        .expect("half a head");
     client
 }
 
@@ -347,11 +402,21 @@
     oldest.write_all(request.as_bytes()).expect("the rest");
     let mut newcomer = bench.ask("now-newcomer");
     bench.go_on();
-    assert!(answer(&mut newcomer).starts_with("HTTP/1.1 200"), "the newcomer is served");
-    assert!(answer(&mut oldest).starts_with("HTTP/1.1 200"), "the oldest is served");
+    assert!(
+        answer(&mut newcomer).starts_with("HTTP/1.1 200"),
+        "the newcomer is served"
+    );
+    assert!(
+        answer(&mut oldest).starts_with("HTTP/1.1 200"),
+        "the oldest is served"
+    );
     let ended = |client: &TcpStream| {
         client.set_nonblocking(true).expect("an option");
         !matches!(client.peek(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
     };
-    assert_eq!(others.iter().filter(|client| ended(client)).count(), 1, "one of the others has given way");
+    assert_eq!(
+        others.iter().filter(|client| ended(client)).count(),
+        1,
+        "one of the others has given way"
+    );
 }
--- a/programs/dispatch/tests/deadline.rs
+++ b/programs/dispatch/tests/deadline.rs
@@ -21,7 +21,10 @@
 const NO_CANCEL: (&str, &str) = (r#""cancel":true"#, r#""cancel":false"#);
 const EFFECTS: [(&str, &str); 3] = [
     ("safe", r#""effect":"free""#),
-    ("keyed", r#""effect":"guarded","keyScope":"all","repeatWindowS":2.0"#),
+    (
+        "keyed",
+        r#""effect":"guarded","keyScope":"all","repeatWindowS":2.0"#,
+    ),
     ("unsafe", r#""effect":"single_shot""#),
 ];
 
@@ -42,7 +45,10 @@
     let hosts = Gated::default();
     let reads = target("h0", listener.local_addr().expect("an address"), "reads");
     let writes = target("h1", hosts.host(1, false), "writes");
-    (Bench::with(name, hosts, &[reads, writes], changes), Some((listener, fill)))
+    (
+        Bench::with(name, hosts, &[reads, writes], changes),
+        Some((listener, fill)),
+    )
 }
 
 /// A request of each class, with attempts that may be called back and without.
@@ -54,8 +60,8 @@
             changes.extend((!cancel).then_some(NO_CANCEL));
             let (bench, _held) = bench(&name, hangs, &changes);
             let mut client = bench.dispatcher.connect();
-            let text =
-                request("hangs", "Connection: close\r\n").replace("20000", &DEADLINE.as_millis().to_string());
+            let text = request("hangs", "Connection: close\r\n")
+                .replace("20000", &DEADLINE.as_millis().to_string());
             let since = Instant::now();
             client.write_all(text.as_bytes()).expect("asked");
             if hangs == Hangs::AtWriter {
--- a/programs/dispatch/tests/deploy.rs
+++ b/programs/dispatch/tests/deploy.rs
@@ -11,40 +11,71 @@
 }
 
 fn deploy() -> toml::Table {
-    let text = std::fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file");
+    let text =
+        std::fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file");
     text.parse().expect("TOML")
 }
 
 fn text(table: &toml::Table, key: &str) -> String {
-    table.get(key).and_then(|v| v.as_str()).unwrap_or_else(|| panic!("{key} is no text")).to_string()
+    table
+        .get(key)
+        .and_then(|v| v.as_str())
+        .unwrap_or_else(|| panic!("{key} is no text"))
+        .to_string()
 }
 
 fn list(table: &toml::Table, key: &str) -> Vec<String> {
-    let items = table.get(key).and_then(|v| v.as_array()).unwrap_or_else(|| panic!("{key} is no list"));
-    items.iter().map(|v| v.as_str().expect("a text").to_string()).collect()
+    let items = table
+        .get(key)
+        .and_then(|v| v.as_array())
+        .unwrap_or_else(|| panic!("{key} is no list"));
+    items
+        .iter()
+        .map(|v| v.as_str().expect("a text").to_string())
+        .collect()
 }
 
 /// The packages of a build line.
 fn packages(build: &str) -> Vec<&str> {
     let words: Vec<&str> = build.split_whitespace().collect();
-    words.windows(2).filter(|w| w[0] == "-p").map(|w| w[1]).collect()
+    words
+        .windows(2)
+        .filter(|w| w[0] == "-p")
+        .map(|w| w[1])
+        .collect()
 }
 
 #[test]
 fn both_lines_end_in_one_process_which_the_build_makes() {
     let file = deploy();
     let build = text(&file, "build");
-    assert!(build.starts_with("cargo build --release --locked "), "{build}");
+    assert!(
+        build.starts_with("cargo build --release --locked "),
+        "{build}"
+    );
     for line in ["run", "sim"] {
         let command = text(&file, line);
-        let rest = command.strip_prefix("exec target/release/").expect("it ends by exec in a built program");
-        assert!(!rest.contains(['&', ';', '|', '$', '`', '<', '>', '(']), "more than one program: {rest}");
+        let rest = command
+            .strip_prefix("exec target/release/")
+            .expect("it ends by exec in a built program");
+        assert!(
+            !rest.contains(['&', ';', '|', '$', '`', '<', '>', '(']),
+            "more than one program: {rest}"
+        );
         let program = rest.split(' ').next().expect("a name");
-        assert!(packages(&build).contains(&program), "{build} does not make {program}");
-        let short = program.strip_prefix("bitternlatch-").expect("a program of ours");
+        assert!(
+            packages(&build).contains(&program),
+            "{build} does not make {program}"
+        );
+        let short = program
+            .strip_prefix("bitternlatch-")
+            .expect("a program of ours");
         let manifest = root().join("programs").join(short).join("Cargo.toml");
         let manifest = std::fs::read_to_string(&manifest).expect("the program's manifest");
-        assert!(manifest.contains(&format!("name = \"{program}\"")), "{manifest}");
+        assert!(
+            manifest.contains(&format!("name = \"{program}\"")),
+            "{manifest}"
+        );
     }
 }
 
@@ -65,7 +96,8 @@
 /// The files that `policy` names, with their texts.
 fn policy() -> BTreeMap<String, String> {
     let read = |name: String| {
-        let text = std::fs::read_to_string(root().join(&name)).unwrap_or_else(|e| panic!("{name}: {e}"));
+        let text =
+            std::fs::read_to_string(root().join(&name)).unwrap_or_else(|e| panic!("{name}: {e}"));
         (name, text)
     };
     list(&deploy(), "policy").into_iter().map(read).collect()
@@ -78,7 +110,11 @@
     let name = |entry: std::io::Result<std::fs::DirEntry>| entry.expect("an entry").file_name();
     let files = files.map(|entry| format!("{folder}/{}", name(entry).to_string_lossy()));
     let files: BTreeSet<String> = files.collect();
-    assert_eq!(policy().into_keys().collect::<BTreeSet<_>>(), files, "named in the deploy file, and there");
+    assert_eq!(
+        policy().into_keys().collect::<BTreeSet<_>>(),
+        files,
+        "named in the deploy file, and there"
+    );
 }
 
 #[test]
@@ -92,7 +128,10 @@
 #[test]
 fn its_lines_hold_110_characters_at_most() {
     for (name, text) in policy() {
-        let long = text.lines().filter(|l| l.chars().count() > MOST_CHARACTERS).count();
+        let long = text
+            .lines()
+            .filter(|l| l.chars().count() > MOST_CHARACTERS)
+            .count();
         assert_eq!(long, 0, "{name}");
     }
 }
@@ -128,12 +167,17 @@
     let bytes = std::fs::read(env!("CARGO_BIN_EXE_bitternlatch-dispatch")).expect("the program");
     let elf = object::File::parse(&*bytes).expect("an executable");
     let undefined = elf.dynamic_symbols().filter(|s| s.is_undefined());
-    let names: Vec<String> = undefined.filter_map(|s| s.name().ok().map(str::to_string)).collect();
+    let names: Vec<String> = undefined
+        .filter_map(|s| s.name().ok().map(str::to_string))
+        .collect();
     // The system calls that the bench leads elsewhere are taken from there, so it is linked dynamically.
     assert!(
         names.iter().any(|n| n == "epoll_wait") && names.iter().any(|n| n == "clock_gettime"),
         "{names:?}"
     );
-    let refused: Vec<&String> = names.iter().filter(|n| REFUSED.contains(&n.as_str())).collect();
+    let refused: Vec<&String> = names
+        .iter()
+        .filter(|n| REFUSED.contains(&n.as_str()))
+        .collect();
     assert!(refused.is_empty(), "{refused:?}");
 }
--- a/programs/dispatch/tests/descriptors.rs
+++ b/programs/dispatch/tests/descriptors.rs
@@ -13,8 +13,8 @@
 
 use common::*;
 use crowd::{
-    descriptors, first_free, head, idle, join, limited, memory_mb, open, ready_after, Discovery, Down, Host,
-    Kind,
+    descriptors, first_free, head, idle, join, limited, memory_mb, open, ready_after, Discovery,
+    Down, Host, Kind,
 };
 use rustix::process::{prlimit, Pid, Resource, Rlimit, Signal};
 
@@ -38,11 +38,20 @@
 fn site(name: &str, how: Down, program: fn(&Path) -> Command) -> Site {
     let (reader, writer, other) = (crowd::host(true), crowd::host(false), crowd::host(true));
     let discovery = Discovery::down(how);
-    let known = [target("a", reader.at, "reads"), target("b", writer.at, "writes")];
+    let known = [
+        target("a", reader.at, "reads"),
+        target("b", writer.at, "writes"),
+    ];
     let listen = own_address();
     let text = configuration_with(listen, discovery.at, &known);
     let dispatcher = Dispatcher::start_with(name, listen, text, program);
-    Site { reader, writer, other, discovery, dispatcher }
+    Site {
+        reader,
+        writer,
+        other,
+        discovery,
+        dispatcher,
+    }
 }
 
 impl Site {
@@ -57,7 +66,9 @@
 fn begin_stream(site: &Site) -> TcpStream {
     site.writer.holds.store(true, Ordering::SeqCst);
     let mut stream = site.dispatcher.connect();
-    stream.write_all(request("held", "Connection: close\r\n").as_bytes()).expect("asked");
+    stream
+        .write_all(request("held", "Connection: close\r\n").as_bytes())
+        .expect("asked");
     let head = head(&mut stream, SOON);
     assert!(head.starts_with("HTTP/1.1 200"), "{head:?}");
     stream
@@ -69,12 +80,22 @@
     let held = begin_stream(&site);
     let crowd = idle(site.dispatcher.listen, CROWD);
     let kept = open(&crowd);
-    assert!(kept > 0 && kept < limit, "{name}: {kept} idle clients have stayed");
-    assert!(descriptors(pid) <= limit, "{name}: {} descriptors", descriptors(pid));
+    assert!(
+        kept > 0 && kept < limit,
+        "{name}: {kept} idle clients have stayed"
+    );
+    assert!(
+        descriptors(pid) <= limit,
+        "{name}: {} descriptors",
+        descriptors(pid)
+    );
 
     // An answer in hand goes out, while the table is full.
     site.writer.holds.store(false, Ordering::SeqCst);
-    assert!(rest_of(held).ends_with("data: 2\n\n\r\n0\r\n\r\n"), "{name}: the stream in hand");
+    assert!(
+        rest_of(held).ends_with("data: 2\n\n\r\n0\r\n\r\n"),
+        "{name}: the stream in hand"
+    );
     // Hosts' connections still get theirs.
     site.dispatcher.served("one");
     assert_eq!(site.other.asked.load(Ordering::SeqCst), 0);
@@ -88,12 +109,19 @@
     }
     let after = acted_on(&site);
     let stayed = open(&crowd);
-    assert!(stayed > 0 && descriptors(pid) <= limit, "{name}: {stayed} are left");
+    assert!(
+        stayed > 0 && descriptors(pid) <= limit,
+        "{name}: {stayed} are left"
+    );
     assert!(after <= ACTED_ON, "{name}: acted on after {after:?}");
     println!("{name}: {kept} idle clients stayed; acted on after {after:?}");
     let before = site.reader.asked.load(Ordering::SeqCst);
     (0..5).for_each(|i| site.dispatcher.served(&format!("after{i}")));
-    assert_eq!(site.reader.asked.load(Ordering::SeqCst), before, "{name}: what drains gets nothing new");
+    assert_eq!(
+        site.reader.asked.load(Ordering::SeqCst),
+        before,
+        "{name}: what drains gets nothing new"
+    );
     drop(crowd);
 }
 
@@ -114,7 +142,9 @@
     use std::io::Read;
     let mut rest = String::new();
     stream.set_read_timeout(Some(SOON)).expect("a bound");
-    stream.read_to_string(&mut rest).expect("the rest and the end");
+    stream
+        .read_to_string(&mut rest)
+        .expect("the rest and the end");
     rest
 }
 
@@ -146,34 +176,56 @@
     let mut crowd = idle(site.dispatcher.listen, 100);
     assert_eq!(open(&crowd), 100);
     // No descriptor is left from here on.
-    let most = Rlimit { current: Some(first_free(pid)), maximum: Some(256) };
-    prlimit(Some(Pid::from_child(&site.dispatcher.child)), Resource::Nofile, most).expect("a lower limit");
+    let most = Rlimit {
+        current: Some(first_free(pid)),
+        maximum: Some(256),
+    };
+    prlimit(
+        Some(Pid::from_child(&site.dispatcher.child)),
+        Resource::Nofile,
+        most,
+    )
+    .expect("a lower limit");
     site.writer.holds.store(false, Ordering::SeqCst);
-    assert!(rest_of(held).ends_with("data: 2\n\n\r\n0\r\n\r\n"), "the stream in hand");
+    assert!(
+        rest_of(held).ends_with("data: 2\n\n\r\n0\r\n\r\n"),
+        "the stream in hand"
+    );
 
     // New connections to both hosts, on behalf of a client that is there already.
     let asking = crowd.last_mut().expect("a client");
-    asking.write_all(request("kept", "").as_bytes()).expect("asked");
+    asking
+        .write_all(request("kept", "").as_bytes())
+        .expect("asked");
     let said = head(asking, SOON);
     assert!(said.starts_with("HTTP/1.1 200"), "{said:?}");
     // New clients, and the watch.
     site.dispatcher.served("new");
     let after = acted_on(&site);
     assert!(after <= ACTED_ON, "acted on after {after:?}");
-    println!("taken: {} idle clients stayed; acted on after {after:?}", open(&crowd));
+    println!(
+        "taken: {} idle clients stayed; acted on after {after:?}",
+        open(&crowd)
+    );
 }
 
 #[test]
 fn a_restart_in_that_state_becomes_ready_while_the_old_clients_connections_exist() {
     for signal in [Signal::TERM, Signal::KILL] {
-        let name = if signal == Signal::TERM { "again-term" } else { "again-kill" };
+        let name = if signal == Signal::TERM {
+            "again-term"
+        } else {
+            "again-kill"
+        };
         let mut site = site(name, Down::Silent, limited::<256>);
         let held = begin_stream(&site);
         let crowd = idle(site.dispatcher.listen, CROWD);
         let since = Instant::now();
         site.dispatcher.signal(signal);
         // At once: after SIGTERM the one before still listens, and has a stream in hand.
-        let next = limited::<256>(&site.dispatcher.file).spawn().expect("the program");
+        let next = limited::<256>(&site.dispatcher.file)
+            .spawn()
+            .expect("the program");
         let mut before = std::mem::replace(&mut site.dispatcher.child, next);
         site.writer.holds.store(false, Ordering::SeqCst);
         // While the one before listens, it is the one that answers.
@@ -181,11 +233,27 @@
         while before.try_wait().expect("its state").is_none() && Instant::now() < by {
             thread::sleep(Duration::from_millis(5));
         }
-        assert!(before.try_wait().expect("its state").is_some(), "{name}: the one before has not ended");
+        assert!(
+            before.try_wait().expect("its state").is_some(),
+            "{name}: the one before has not ended"
+        );
         let after = ready_after(site.dispatcher.listen, since, READY_AGAIN);
-        assert!(after.is_some(), "{name}: not ready again within {READY_AGAIN:?}");
-        assert!(site.dispatcher.child.try_wait().expect("its state").is_none(), "{name}: it has ended");
-        println!("{name}: ready again after {:.2} s", after.unwrap_or_default());
+        assert!(
+            after.is_some(),
+            "{name}: not ready again within {READY_AGAIN:?}"
+        );
+        assert!(
+            site.dispatcher
+                .child
+                .try_wait()
+                .expect("its state")
+                .is_none(),
+            "{name}: it has ended"
+        );
+        println!(
+            "{name}: ready again after {:.2} s",
+            after.unwrap_or_default()
+        );
         let more = idle(site.dispatcher.listen, CROWD);
         site.dispatcher.served("again");
         drop((held, crowd, more));
@@ -222,8 +290,10 @@
             came
         }
     };
-    let floods: Vec<_> =
-        [Kind::Silent, Kind::Half, Kind::Idle].into_iter().map(|k| thread::spawn(flood(k))).collect();
+    let floods: Vec<_> = [Kind::Silent, Kind::Half, Kind::Idle]
+        .into_iter()
+        .map(|k| thread::spawn(flood(k)))
+        .collect();
     let pid = site.dispatcher.child.id();
     let before = memory_mb(pid);
     let (mut slowest, mut peak, mut count) = (Duration::ZERO, before, 0);
@@ -232,15 +302,23 @@
         let since = Instant::now();
         let mut stream = site.dispatcher.connect();
         let id = format!("good{count}");
-        stream.write_all(request(&id, "Connection: close\r\n").as_bytes()).expect("asked");
+        stream
+            .write_all(request(&id, "Connection: close\r\n").as_bytes())
+            .expect("asked");
         let head = head(&mut stream, SOON);
-        assert!(head.starts_with("HTTP/1.1 200"), "good client {count}: {head:?}");
+        assert!(
+            head.starts_with("HTTP/1.1 200"),
+            "good client {count}: {head:?}"
+        );
         slowest = slowest.max(since.elapsed());
         rest_of(stream);
         peak = peak.max(memory_mb(pid));
         thread::sleep(Duration::from_millis(10));
     }
-    let came: usize = floods.into_iter().map(|f| f.join().expect("no panic")).sum();
+    let came: usize = floods
+        .into_iter()
+        .map(|f| f.join().expect("no panic"))
+        .sum();
     println!(
         "flood: {came} connections; slowest of {count} first tokens {slowest:?}; {before:.1} to {peak:.1} MB"
     );
@@ -260,8 +338,11 @@
     let body = vec![b'x'; 250 * 1024];
     let ask = |i: usize| {
         let mut stream = TcpStream::connect(to).ok()?;
-        stream.set_write_timeout(Some(Duration::from_secs(2))).ok()?;
-        let text = request(&format!("half{i}"), "").replace("Content-Length: 2", "Content-Length: 262000");
+        stream
+            .set_write_timeout(Some(Duration::from_secs(2)))
+            .ok()?;
+        let text =
+            request(&format!("half{i}"), "").replace("Content-Length: 2", "Content-Length: 262000");
         let head = text.split("{}").next()?.to_string();
         stream.write_all(head.as_bytes()).ok()?;
         // Turned away in the midst of it, perhaps.
--- a/programs/dispatch/tests/gone.rs
+++ b/programs/dispatch/tests/gone.rs
@@ -31,7 +31,10 @@
     let until = Instant::now() + SOON;
     loop {
         let text = std::fs::read_to_string(TABLE).expect("the table");
-        let rows = text.lines().skip(1).map(|l| l.split_whitespace().collect::<Vec<_>>());
+        let rows = text
+            .lines()
+            .skip(1)
+            .map(|l| l.split_whitespace().collect::<Vec<_>>());
         let left = rows.filter(open).count();
         if left == 0 {
             return;
@@ -48,8 +51,14 @@
 
 /// An address as the table writes it. Dispatchers of other tests have the same port.
 fn in_table(address: SocketAddr) -> String {
-    let SocketAddr::V4(v4) = address else { panic!("{address} is no address over IPv4") };
-    format!("{:08X}:{:04X}", u32::from_ne_bytes(v4.ip().octets()), v4.port())
+    let SocketAddr::V4(v4) = address else {
+        panic!("{address} is no address over IPv4")
+    };
+    format!(
+        "{:08X}:{:04X}",
+        u32::from_ne_bytes(v4.ip().octets()),
+        v4.port()
+    )
 }
 
 /// How a client goes.
@@ -68,7 +77,10 @@
 impl Way {
     /// All go, and it is known at the dispatcher's side; what is given back has to be kept until the verdict.
     fn all_go(self, bench: &Bench, clients: Vec<TcpStream>) -> Vec<TcpStream> {
-        let ports: Vec<u16> = clients.iter().map(|c| c.local_addr().expect("an address").port()).collect();
+        let ports: Vec<u16> = clients
+            .iter()
+            .map(|c| c.local_addr().expect("an address").port())
+            .collect();
         let kept = clients.into_iter().filter_map(|c| self.go(c)).collect();
         ends_have_come(&bench.dispatcher, &ports);
         kept
@@ -106,10 +118,17 @@
         bench.go_on();
         bench.hosts.wait(What::Delete, &id, 1);
         bench.settled();
-        assert_eq!(bench.hosts.count(What::Post, &id), 1, "{way:?}: no writer is asked");
+        assert_eq!(
+            bench.hosts.count(What::Post, &id),
+            1,
+            "{way:?}: no writer is asked"
+        );
         drop(kept);
     }
-    assert!(!bench.hosts.posts().iter().any(|id| id.starts_with("ahead")), "nor for what was sent ahead");
+    assert!(
+        !bench.hosts.posts().iter().any(|id| id.starts_with("ahead")),
+        "nor for what was sent ahead"
+    );
 }
 
 #[test]
@@ -125,7 +144,11 @@
             let kept = way.all_go(&bench, vec![client]);
             bench.go_on();
             bench.settled();
-            assert_eq!(bench.hosts.count(What::Post, &id), 1, "{way:?}, {name}: no second reader");
+            assert_eq!(
+                bench.hosts.count(What::Post, &id),
+                1,
+                "{way:?}, {name}: no second reader"
+            );
             drop(kept);
         }
         let id = format!("writer-{i}");
@@ -139,7 +162,11 @@
         bench.go_on();
         bench.hosts.wait(What::Delete, &id, 1);
         bench.settled();
-        assert_eq!(bench.hosts.count(What::Post, &id), 2, "{way:?}: no second writer");
+        assert_eq!(
+            bench.hosts.count(What::Post, &id),
+            2,
+            "{way:?}: no second writer"
+        );
         drop(kept);
     }
 }
@@ -153,7 +180,10 @@
     client.write_all(long.as_bytes()).expect("asked");
     bench.hosts.wait(What::Post, "much", 1);
     client.set_write_timeout(Some(SOON)).expect("a bound");
-    let more = request("ahead", "").replace("Content-Length: 2\r\n\r\n{}", "Content-Length: 262144\r\n\r\n");
+    let more = request("ahead", "").replace(
+        "Content-Length: 2\r\n\r\n{}",
+        "Content-Length: 262144\r\n\r\n",
+    );
     client.write_all(more.as_bytes()).expect("a head");
     for _ in 0..64 {
         client.write_all(&[b'x'; 262_144]).expect("it is read on");
@@ -172,9 +202,16 @@
     let bench = Bench::start("gone-paused", 1, &[PATIENT]);
     let mut client = bench.ask("paused");
     bench.hosts.wait(What::Post, "paused", 1);
-    client.set_write_timeout(Some(Duration::from_millis(500))).expect("a bound");
-    let sent = (0..2048).take_while(|_| client.write_all(&[b'x'; 65_536]).is_ok()).count();
-    assert!((1280..2048).contains(&sent), "80 MiB are dropped, and not much more: {sent} times 64 KiB");
+    client
+        .set_write_timeout(Some(Duration::from_millis(500)))
+        .expect("a bound");
+    let sent = (0..2048)
+        .take_while(|_| client.write_all(&[b'x'; 65_536]).is_ok())
+        .count();
+    assert!(
+        (1280..2048).contains(&sent),
+        "80 MiB are dropped, and not much more: {sent} times 64 KiB"
+    );
     Way::Reset.all_go(&bench, vec![client]);
     bench.hosts.wait(What::Ended, "paused", 1);
     bench.hosts.wait(What::Delete, "paused", 1);
@@ -191,8 +228,12 @@
         let kept = way.all_go(&bench, clients);
         bench.go_on();
         bench.settled();
-        let sent: Vec<String> =
-            bench.hosts.posts().into_iter().filter(|id| id.starts_with("crowd")).collect();
+        let sent: Vec<String> = bench
+            .hosts
+            .posts()
+            .into_iter()
+            .filter(|id| id.starts_with("crowd"))
+            .collect();
         assert!(sent.is_empty(), "{way:?}: {sent:?}");
         drop(kept);
     }
@@ -207,14 +248,22 @@
     Way::Close.all_go(&bench, kept);
     bench.go_on();
     bench.settled();
-    let sent: Vec<String> = bench.hosts.posts().into_iter().filter(|id| id.starts_with("crowd")).collect();
+    let sent: Vec<String> = bench
+        .hosts
+        .posts()
+        .into_iter()
+        .filter(|id| id.starts_with("crowd"))
+        .collect();
     assert!(sent.is_empty(), "{sent:?}");
 }
 
 /// Its wait for a place is over at the very moment in which its end is known.
 #[test]
 fn gone_while_probes_are_out() {
-    let probing = [(r#""cancel":true"#, r#""cancel":true,"probing":true"#), PATIENT];
+    let probing = [
+        (r#""cancel":true"#, r#""cancel":true,"probing":true"#),
+        PATIENT,
+    ];
     let bench = Bench::start("gone-probes", 2, &probing);
     let mut in_time = 0;
     for i in 0..40 {
@@ -224,7 +273,9 @@
         let client = bench.ask(&id);
         // Probes go out for it, or it is sent at once where others' are fresh enough.
         let until = Instant::now() + SOON;
-        while bench.hosts.count(What::Probe, "") == probes && bench.hosts.count(What::Post, &id) == 0 {
+        while bench.hosts.count(What::Probe, "") == probes
+            && bench.hosts.count(What::Post, &id) == 0
+        {
             assert!(Instant::now() < until, "neither a probe nor a request");
             std::thread::yield_now();
         }
@@ -236,7 +287,11 @@
         Way::Close.all_go(&bench, vec![client]);
         bench.go_on();
         bench.settled();
-        assert_eq!(bench.hosts.count(What::Post, &id), before, "nothing is sent after it has gone");
+        assert_eq!(
+            bench.hosts.count(What::Post, &id),
+            before,
+            "nothing is sent after it has gone"
+        );
         in_time += usize::from(before == 0);
         if in_time == 3 {
             return;
@@ -251,8 +306,12 @@
 fn dialled(to: SocketAddr) -> usize {
     let text = std::fs::read_to_string(TABLE).expect("the table");
     let to = in_table(to);
-    let rows = text.lines().skip(1).map(|l| l.split_whitespace().collect::<Vec<_>>());
-    rows.filter(|r| r.get(2).is_some_and(|a| *a == to) && r.get(3) == Some(&DIALLED)).count()
+    let rows = text
+        .lines()
+        .skip(1)
+        .map(|l| l.split_whitespace().collect::<Vec<_>>());
+    rows.filter(|r| r.get(2).is_some_and(|a| *a == to) && r.get(3) == Some(&DIALLED))
+        .count()
 }
 
 #[test]
@@ -261,7 +320,10 @@
         let hosts = Gated::default();
         let (listener, fill) = full_listener();
         let to = listener.local_addr().expect("an address");
-        let targets = [target("h0", to, "reads"), target("h1", hosts.host(1, false), "writes")];
+        let targets = [
+            target("h0", to, "reads"),
+            target("h1", hosts.host(1, false), "writes"),
+        ];
         let cancels = format!(r#""cancel":{cancel}"#);
         let changes = [
             (r#""cancel":true"#, cancels.as_str()),
@@ -273,7 +335,10 @@
         let wait = |many: usize| {
             let until = Instant::now() + Duration::from_secs(10);
             while dialled(to) != many {
-                assert!(Instant::now() < until, "cancel {cancel}: {many} connections being dialled");
+                assert!(
+                    Instant::now() < until,
+                    "cancel {cancel}: {many} connections being dialled"
+                );
                 std::thread::sleep(Duration::from_millis(2));
             }
         };
@@ -298,7 +363,9 @@
     let ids: Vec<String> = (0..30).map(|i| format!("unread-{i}")).collect();
     let ask = |id: &String| {
         let mut client = narrow_client(bench.dispatcher.listen);
-        client.write_all(request(id, "Connection: close\r\n").as_bytes()).expect("asked");
+        client
+            .write_all(request(id, "Connection: close\r\n").as_bytes())
+            .expect("asked");
         bench.hosts.wait(What::Post, id, 1);
         bench.hosts.let_go(id, READ);
         bench.hosts.wait(What::Post, id, 2);
@@ -307,12 +374,19 @@
     let mut clients: Vec<TcpStream> = ids.iter().map(ask).collect();
     bench.stop();
     ids.iter().for_each(|id| bench.hosts.let_go(id, &stream));
-    clients.iter_mut().for_each(|c| c.write_all(b"x").expect("a byte"));
+    clients
+        .iter_mut()
+        .for_each(|c| c.write_all(b"x").expect("a byte"));
     bench.go_on();
     bench.settled();
     for (id, client) in ids.iter().zip(clients) {
         let said = rest(client);
-        assert_eq!(said.matches(&event).count(), 50, "{id}: {} bytes", said.len());
+        assert_eq!(
+            said.matches(&event).count(),
+            50,
+            "{id}: {} bytes",
+            said.len()
+        );
         assert!(said.ends_with("0\r\n\r\n"), "{id}");
     }
 }
@@ -325,7 +399,9 @@
         let mut clients: Vec<TcpStream> = (0..20).map(|_| bench.dispatcher.connect()).collect();
         for (i, client) in clients.iter().enumerate() {
             let mut client = client;
-            client.write_all(request(&format!("{AT_ONCE}first-{i}"), "").as_bytes()).expect("asked");
+            client
+                .write_all(request(&format!("{AT_ONCE}first-{i}"), "").as_bytes())
+                .expect("asked");
         }
         for client in &mut clients {
             assert!(answer(client).ends_with(LAST_CHUNK), "a whole stream");
@@ -342,7 +418,10 @@
         for (i, said) in said.iter().enumerate() {
             let sent = bench.hosts.count(What::Post, &format!("{AT_ONCE}last-{i}"));
             let whole = said.starts_with("HTTP/1.1 200") && said.ends_with("0\r\n\r\n");
-            assert!(whole && sent == 2 || said.is_empty() && sent == 0, "{after_s} s, {sent} sent: {said:?}");
+            assert!(
+                whole && sent == 2 || said.is_empty() && sent == 0,
+                "{after_s} s, {sent} sent: {said:?}"
+            );
         }
     }
 }
--- a/programs/dispatch/tests/held.rs
+++ b/programs/dispatch/tests/held.rs
@@ -44,9 +44,27 @@
 const FEW_SOCKETS: (&str, &str) = (r#""sockets":256"#, r#""sockets":64"#);
 
 const CASES: [Case; 8] = [
-    Case { name: "safe", fault: Fault::Silent, limit_ms: 1000, changes: &[], clients_go: false },
-    Case { name: "patient", fault: Fault::Silent, limit_ms: 1000, changes: &[PATIENT], clients_go: false },
-    Case { name: "unsafe", fault: Fault::Silent, limit_ms: 1000, changes: &[UNSAFE], clients_go: false },
+    Case {
+        name: "safe",
+        fault: Fault::Silent,
+        limit_ms: 1000,
+        changes: &[],
+        clients_go: false,
+    },
+    Case {
+        name: "patient",
+        fault: Fault::Silent,
+        limit_ms: 1000,
+        changes: &[PATIENT],
+        clients_go: false,
+    },
+    Case {
+        name: "unsafe",
+        fault: Fault::Silent,
+        limit_ms: 1000,
+        changes: &[UNSAFE],
+        clients_go: false,
+    },
     Case {
         name: "short-limit",
         fault: Fault::Silent,
@@ -87,17 +105,27 @@
 /// Two decode servers with this fault, and what keeps them so.
 fn decode_servers(fault: Fault) -> (Vec<SocketAddr>, Vec<(TcpListener, Vec<TcpStream>)>) {
     let one = || match fault {
-        Fault::Silent => (TcpListener::bind("127.0.0.1:0").expect("a port"), Vec::new()),
+        Fault::Silent => (
+            TcpListener::bind("127.0.0.1:0").expect("a port"),
+            Vec::new(),
+        ),
         Fault::NotComingUp => full_listener(),
     };
     let kept = vec![one(), one()];
-    (kept.iter().map(|k| k.0.local_addr().expect("an address")).collect(), kept)
+    (
+        kept.iter()
+            .map(|k| k.0.local_addr().expect("an address"))
+            .collect(),
+        kept,
+    )
 }
 
 fn ask(bench: &Bench, id: &str) -> TcpStream {
     use std::io::Write;
     let mut client = bench.dispatcher.connect();
-    client.write_all(changed(request(id, ""), &[DEADLINE]).as_bytes()).expect("asked");
+    client
+        .write_all(changed(request(id, ""), &[DEADLINE]).as_bytes())
+        .expect("asked");
     client
 }
 
@@ -114,12 +142,25 @@
     let hosts = Gated::default();
     let (decode, _kept) = decode_servers(case.fault);
     let prefill = (0..2).map(|i| target(&format!("p{i}"), hosts.host(i, true), model(true)));
-    let decode = decode.iter().enumerate().map(|(i, at)| target(&format!("d{i}"), *at, model(false)));
+    let decode = decode
+        .iter()
+        .enumerate()
+        .map(|(i, at)| target(&format!("d{i}"), *at, model(false)));
     let targets: Vec<String> = prefill.chain(decode).collect();
-    let bench = Bench::with(&format!("held-{}", case.name), hosts, &targets, case.changes);
-    let ids: Vec<String> = (0..REQUESTS).map(|i| format!("{AT_ONCE}{}-{i}", case.name)).collect();
+    let bench = Bench::with(
+        &format!("held-{}", case.name),
+        hosts,
+        &targets,
+        case.changes,
+    );
+    let ids: Vec<String> = (0..REQUESTS)
+        .map(|i| format!("{AT_ONCE}{}-{i}", case.name))
+        .collect();
     let mut clients: Vec<TcpStream> = ids.iter().map(|id| ask(&bench, id)).collect();
-    let read: Vec<&String> = ids.iter().filter(|id| read_in_time(&bench.hosts, id)).collect();
+    let read: Vec<&String> = ids
+        .iter()
+        .filter(|id| read_in_time(&bench.hosts, id))
+        .collect();
     assert!(!read.is_empty(), "{}: some prompts are read", case.name);
     if case.clients_go {
         clients.clear();
@@ -148,8 +189,14 @@
 #[test]
 fn a_state_is_released_within_its_limit_though_the_decode_send_has_not_arrived() {
     let late: Vec<(&str, Vec<String>)> = std::thread::scope(|scope| {
-        let plays = CASES.iter().map(|case| (case.name, scope.spawn(|| play(case)))).collect::<Vec<_>>();
-        plays.into_iter().map(|(name, play)| (name, play.join().expect("a play"))).collect()
+        let plays = CASES
+            .iter()
+            .map(|case| (case.name, scope.spawn(|| play(case))))
+            .collect::<Vec<_>>();
+        plays
+            .into_iter()
+            .map(|(name, play)| (name, play.join().expect("a play")))
+            .collect()
     });
     let late: Vec<_> = late.into_iter().filter(|l| !l.1.is_empty()).collect();
     assert!(late.is_empty(), "held too long: {late:#?}");
@@ -176,7 +223,8 @@
     const PAIRS: usize = 8;
     let bench = Bench::start("held-one", PAIRS, &[PATIENT]);
     for i in 0..2 * PAIRS {
-        let other = request(&format!("{AT_ONCE}one-{i}"), "").replace("Req-Key: 1", &format!("Req-Key: {i}"));
+        let other = request(&format!("{AT_ONCE}one-{i}"), "")
+            .replace("Req-Key: 1", &format!("Req-Key: {i}"));
         let mut client = bench.dispatcher.connect();
         std::io::Write::write_all(&mut client, other.as_bytes()).expect("asked");
         assert!(answer(&mut client).starts_with("HTTP/1.1 200"));
@@ -187,8 +235,13 @@
     bench.hosts.wait(What::Post, "one", 2);
     let since = bench.hosts.first(What::Answered, "one").expect("read");
     let asked = bench.hosts.asked("one");
-    let live = (PAIRS..2 * PAIRS).rev().find(|host| !asked.contains(host)).expect("another decode server");
-    (0..2 * PAIRS).filter(|host| *host != live).for_each(|host| bench.hosts.fall_silent(host));
+    let live = (PAIRS..2 * PAIRS)
+        .rev()
+        .find(|host| !asked.contains(host))
+        .expect("another decode server");
+    (0..2 * PAIRS)
+        .filter(|host| *host != live)
+        .for_each(|host| bench.hosts.fall_silent(host));
     bench.hosts.wait(What::Delete, "one", 1);
     let late = held_too_long(&bench.hosts, "one", since, Duration::from_secs(1));
     assert_eq!(late, None);
--- a/programs/dispatch/tests/long_prompts.rs
+++ b/programs/dispatch/tests/long_prompts.rs
@@ -41,7 +41,9 @@
     let mut to = stream.try_clone().ok()?;
     let mut from = BufReader::new(stream);
     while let Some(Message { fields, .. }) = whole_message(&mut from) {
-        let extra = fields.get("req-extra").and_then(|extra| extra.strip_prefix("prompt_len="));
+        let extra = fields
+            .get("req-extra")
+            .and_then(|extra| extra.strip_prefix("prompt_len="));
         let tokens = extra.and_then(|n| n.parse().ok());
         let answer = match tokens {
             Some(tokens) => {
@@ -72,23 +74,42 @@
     let targets: Vec<String> = reads.chain(writes).collect();
     let start = |i: usize| {
         let listen = own_address();
-        let class = (r#""aimS":1.5,"deadlineS":6.0"#, r#""aimS":0.8,"deadlineS":1.5"#);
+        let class = (
+            r#""aimS":1.5,"deadlineS":6.0"#,
+            r#""aimS":0.8,"deadlineS":1.5"#,
+        );
         let balancers = (r#""balancers":1"#, r#""balancers":3"#);
-        let text = changed(configuration_with(listen, discovery().0, &targets), &[class, balancers]);
+        let text = changed(
+            configuration_with(listen, discovery().0, &targets),
+            &[class, balancers],
+        );
         Dispatcher::start_with(&format!("long-{name}-{i}"), listen, text, program)
     };
     let dispatchers: Vec<Dispatcher> = (0..PROCESSES).map(start).collect();
     let until = Instant::now() + FOR;
     let client = |n: usize| {
         let (process, listen) = (n % PROCESSES, dispatchers[n % PROCESSES].listen);
-        thread::spawn(move || (0..).map_while(|i| ask(listen, process, n, i, until)).collect::<Vec<_>>())
+        thread::spawn(move || {
+            (0..)
+                .map_while(|i| ask(listen, process, n, i, until))
+                .collect::<Vec<_>>()
+        })
     };
     let clients: Vec<_> = (0..clients * PROCESSES).map(client).collect();
-    clients.into_iter().flat_map(|c| c.join().expect("a client")).collect()
+    clients
+        .into_iter()
+        .flat_map(|c| c.join().expect("a client"))
+        .collect()
 }
 
 /// One request of a client, whose lengths are spread evenly by their logarithm.
-fn ask(listen: SocketAddr, process: usize, client: usize, number: usize, until: Instant) -> Option<Asked> {
+fn ask(
+    listen: SocketAddr,
+    process: usize,
+    client: usize,
+    number: usize,
+    until: Instant,
+) -> Option<Asked> {
     if Instant::now() >= until {
         return None;
     }
@@ -111,7 +132,12 @@
     if !answered {
         thread::sleep(PAUSE);
     }
-    Some(Asked { tokens, process, session, answered })
+    Some(Asked {
+        tokens,
+        process,
+        session,
+        answered,
+    })
 }
 
 fn share<'a>(of: impl Iterator<Item = &'a Asked> + Clone) -> f64 {
@@ -126,21 +152,39 @@
     asked.sort_by(|a, b| b.tokens.total_cmp(&a.tokens));
     let first = asked.len() / if asked.len() < MANY { 4 } else { 10 };
     let second = first + asked.len() / 5;
-    let (class, longest, next) =
-        (share(asked.iter()), share(asked[..first].iter()), share(asked[first..second].iter()));
-    println!("{name}: {} asked, class {class:.3}, longest {longest:.3}, next {next:.3}", asked.len());
-    assert!(longest >= least * class, "{name}: longest {longest:.3} of {class:.3}");
-    assert!(next >= least * class, "{name}: next fifth {next:.3} of {class:.3}");
+    let (class, longest, next) = (
+        share(asked.iter()),
+        share(asked[..first].iter()),
+        share(asked[first..second].iter()),
+    );
+    println!(
+        "{name}: {} asked, class {class:.3}, longest {longest:.3}, next {next:.3}",
+        asked.len()
+    );
+    assert!(
+        longest >= least * class,
+        "{name}: longest {longest:.3} of {class:.3}"
+    );
+    assert!(
+        next >= least * class,
+        "{name}: next fifth {next:.3} of {class:.3}"
+    );
 }
 
 #[test]
 fn on_a_quiet_day_long_prompts_all_sessions_and_all_processes_are_served() {
     let asked = play("quiet", 1);
     for session in 0..SESSIONS {
-        assert!(share(asked.iter().filter(|a| a.session == session)) > 0.0, "session {session}");
+        assert!(
+            share(asked.iter().filter(|a| a.session == session)) > 0.0,
+            "session {session}"
+        );
     }
     for process in 0..PROCESSES {
-        assert!(share(asked.iter().filter(|a| a.process == process)) > 0.9, "process {process}");
+        assert!(
+            share(asked.iter().filter(|a| a.process == process)) > 0.9,
+            "process {process}"
+        );
     }
     assert_shares("quiet", asked, 2.0 / 3.0);
 }
@@ -149,6 +193,9 @@
 fn when_more_is_asked_than_can_be_read_long_prompts_have_half_of_the_share() {
     let asked = play("over", 7);
     let class = share(asked.iter());
-    assert!(class < 0.95, "more is asked than can be read: {class:.3} are answered");
+    assert!(
+        class < 0.95,
+        "more is asked than can be read: {class:.3} are answered"
+    );
     assert_shares("over", asked, 0.5);
 }
--- a/programs/dispatch/tests/platform.rs
+++ b/programs/dispatch/tests/platform.rs
@@ -23,8 +23,14 @@
     dispatcher.served("a2");
 
     let (moved, calls) = discovery();
-    let old = dispatcher.text.split("\"discovery\":\"").nth(1).and_then(|t| t.split('"').next());
-    let text = dispatcher.text.replace(old.expect("an address"), &moved.to_string());
+    let old = dispatcher
+        .text
+        .split("\"discovery\":\"")
+        .nth(1)
+        .and_then(|t| t.split('"').next());
+    let text = dispatcher
+        .text
+        .replace(old.expect("an address"), &moved.to_string());
     std::fs::write(&dispatcher.file, text).expect("the new file");
     dispatcher.signal(Signal::HUP);
     calls.recv_timeout(SOON).expect("the new address is called");
@@ -32,26 +38,35 @@
 
     // What is in hand when it is told to stop is answered.
     let mut kept = dispatcher.connect();
-    kept.write_all(&request("a4", "").as_bytes()[..40]).expect("half a request");
+    kept.write_all(&request("a4", "").as_bytes()[..40])
+        .expect("half a request");
     dispatcher.signal(Signal::TERM);
-    kept.write_all(&request("a4", "").as_bytes()[40..]).expect("the other half");
+    kept.write_all(&request("a4", "").as_bytes()[40..])
+        .expect("the other half");
     let mut answer = String::new();
-    kept.read_to_string(&mut answer).expect("an answer and the end");
-    assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("0\r\n\r\n"), "{answer}");
+    kept.read_to_string(&mut answer)
+        .expect("an answer and the end");
+    assert!(
+        answer.starts_with("HTTP/1.1 200") && answer.ends_with("0\r\n\r\n"),
+        "{answer}"
+    );
     assert_eq!(dispatcher.ended().and_then(|s| s.code()), Some(0));
 }
 
 #[test]
 fn a_configuration_that_cannot_be_used_ends_it_with_one_line() {
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("broken.json");
-    let text =
-        configuration(own_address(), own_address()).replace("\"pinLimitS\":1.0", "\"pinLimitS\":\"x\"");
+    let text = configuration(own_address(), own_address())
+        .replace("\"pinLimitS\":1.0", "\"pinLimitS\":\"x\"");
     std::fs::write(&file, text).expect("a file");
     let output = program(&file).output().expect("the program");
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(2), "{said}");
     assert_eq!(said.trim().lines().count(), 1, "{said}");
-    assert!(said.contains("extra.pinLimitS") && said.contains("broken.json"), "{said}");
+    assert!(
+        said.contains("extra.pinLimitS") && said.contains("broken.json"),
+        "{said}"
+    );
 }
 
 /// A list once known that names what the settings do not is no reason to refuse to start: it waits for discovery's.
@@ -69,7 +84,9 @@
     while answer.is_empty() && Instant::now() < until {
         assert_eq!(child.try_wait().expect("its state"), None, "it goes on");
         if let Ok(mut stream) = TcpStream::connect(listen) {
-            stream.write_all(b"GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n").expect("asked");
+            stream
+                .write_all(b"GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n")
+                .expect("asked");
             stream.read_to_string(&mut answer).expect("an answer");
         }
     }
@@ -88,7 +105,10 @@
     let mut answer = Vec::new();
     match stream.read_to_end(&mut answer) {
         Ok(_) => {}
-        Err(e) => assert!(e.kind() != ErrorKind::WouldBlock, "neither an answer nor an end"),
+        Err(e) => assert!(
+            e.kind() != ErrorKind::WouldBlock,
+            "neither an answer nor an end"
+        ),
     }
     let text = String::from_utf8_lossy(&answer).into_owned();
     text.split(' ').nth(1).and_then(|s| s.parse().ok())
@@ -105,7 +125,11 @@
     let table: [(&[u8], usize, Option<u16>); 4] = [
         (&noise, 1, Some(400)),
         (&half.as_bytes()[..half.len() - 1], 1, Some(408)),
-        (b"GET /ready HTTP/1.1\r\nX: aaaaaaaaaaaaaaaaaaaaaaaa", 1, Some(408)),
+        (
+            b"GET /ready HTTP/1.1\r\nX: aaaaaaaaaaaaaaaaaaaaaaaa",
+            1,
+            Some(408),
+        ),
         (b"a-head-that-never-ends", 4000, Some(431)),
     ];
     for (bytes, repeat, status) in table {
@@ -121,7 +145,10 @@
         let mut rest = Vec::new();
         // An error is a reset, which ends it as well as a close.
         if let Err(e) = stream.read_to_end(&mut rest) {
-            assert!(e.kind() != ErrorKind::WouldBlock, "a silent connection stays open");
+            assert!(
+                e.kind() != ErrorKind::WouldBlock,
+                "a silent connection stays open"
+            );
         }
     }
     dispatcher.served("b4");
@@ -131,15 +158,27 @@
 fn cpu_s(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("its state");
     let after = stat.rsplit(')').next().expect("fields");
-    let ticks: Vec<f64> = after.split_whitespace().skip(11).take(2).filter_map(|f| f.parse().ok()).collect();
+    let ticks: Vec<f64> = after
+        .split_whitespace()
+        .skip(11)
+        .take(2)
+        .filter_map(|f| f.parse().ok())
+        .collect();
     ticks.iter().sum::<f64>() / 100.0
 }
 
 /// The program with fewer descriptors than its configuration says.
 fn program_in_need(file: &std::path::Path) -> Command {
     let mut command = Command::new("/bin/sh");
-    let run = format!("ulimit -n 48; exec {} --platform", env!("CARGO_BIN_EXE_bitternlatch-dispatch"));
-    command.args(["-c", &run]).env("EDGE_CONFIG", file).stdout(Stdio::null()).stderr(Stdio::null());
+    let run = format!(
+        "ulimit -n 48; exec {} --platform",
+        env!("CARGO_BIN_EXE_bitternlatch-dispatch")
+    );
+    command
+        .args(["-c", &run])
+        .env("EDGE_CONFIG", file)
+        .stdout(Stdio::null())
+        .stderr(Stdio::null());
     command
 }
 
@@ -152,7 +191,10 @@
     for mut stream in silent {
         let mut rest = Vec::new();
         if let Err(e) = stream.read_to_end(&mut rest) {
-            assert!(e.kind() != ErrorKind::WouldBlock, "a silent connection stays open");
+            assert!(
+                e.kind() != ErrorKind::WouldBlock,
+                "a silent connection stays open"
+            );
         }
     }
     let used = cpu_s(dispatcher.child.id()) - before;
@@ -163,21 +205,34 @@
 /// Inodes in a table of sockets under `/proc`, by the position of their column.
 fn inodes(pid: u32, table: &str, column: usize) -> Vec<String> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/net/{table}")).unwrap_or_default();
-    let rows = text.lines().skip(1).map(|l| l.split_whitespace().collect::<Vec<_>>());
-    rows.filter_map(|row| row.get(column).map(|i| i.to_string())).collect()
+    let rows = text
+        .lines()
+        .skip(1)
+        .map(|l| l.split_whitespace().collect::<Vec<_>>());
+    rows.filter_map(|row| row.get(column).map(|i| i.to_string()))
+        .collect()
 }
 
 /// What each descriptor of a process leads to.
 fn descriptors(pid: u32) -> Vec<String> {
     let folder = std::fs::read_dir(format!("/proc/{pid}/fd")).expect("its descriptors");
-    let links = folder.flatten().filter_map(|f| std::fs::read_link(f.path()).ok());
+    let links = folder
+        .flatten()
+        .filter_map(|f| std::fs::read_link(f.path()).ok());
     links.map(|l| l.to_string_lossy().into_owned()).collect()
 }
 
 fn children(pid: u32) -> usize {
     let processes = std::fs::read_dir("/proc").expect("the processes").flatten();
     let stats = processes.filter_map(|p| std::fs::read_to_string(p.path().join("stat")).ok());
-    let parent = |stat: &String| stat.rsplit(')').next()?.split_whitespace().nth(1)?.parse::<u32>().ok();
+    let parent = |stat: &String| {
+        stat.rsplit(')')
+            .next()?
+            .split_whitespace()
+            .nth(1)?
+            .parse::<u32>()
+            .ok()
+    };
     stats.filter(|stat| parent(stat) == Some(pid)).count()
 }
 
@@ -187,7 +242,9 @@
     // Pairs that lead a signal to the loop have no name, so that nobody comes to them.
     let pairs: Vec<String> = inodes(pid, "unix", 6);
     let links = descriptors(pid);
-    let inodes = links.iter().filter_map(|l| l.strip_prefix("socket:[")?.strip_suffix(']'));
+    let inodes = links
+        .iter()
+        .filter_map(|l| l.strip_prefix("socket:[")?.strip_suffix(']'));
     let (mut own, mut other) = (0, vec![]);
     for inode in inodes {
         match inode {
@@ -208,7 +265,10 @@
     let pid = dispatcher.child.id();
     assert_eq!(children(pid), 0);
     let maps = std::fs::read_to_string(format!("/proc/{pid}/maps")).expect("its memory");
-    assert!(maps.contains("/libc.so.6") && maps.contains("/ld-linux"), "{maps}");
+    assert!(
+        maps.contains("/libc.so.6") && maps.contains("/ld-linux"),
+        "{maps}"
+    );
     // A socket that is about to be connected, or has just been closed by the other side, is in no table for a moment.
     let by = Instant::now() + Duration::from_secs(20);
     let (own, other, links) = loop {
--- a/programs/dispatch/tests/ready.rs
+++ b/programs/dispatch/tests/ready.rs
@@ -20,7 +20,10 @@
 fn ready_in_time(times: &[Option<f64>], name: &str) {
     let ready = times.iter().flatten().count();
     let slowest = times.iter().flatten().fold(0.0, |a: f64, b| a.max(*b));
-    println!("{name}: {ready} of {} ready, the slowest after {slowest:.2} s", times.len());
+    println!(
+        "{name}: {ready} of {} ready, the slowest after {slowest:.2} s",
+        times.len()
+    );
     assert!(10 * ready >= 9 * times.len(), "{name}: {times:?}");
 }
 
@@ -31,7 +34,9 @@
     }
     let since = Instant::now();
     for dispatcher in &mut *dispatchers {
-        let next = limited::<256>(&dispatcher.file).spawn().expect("the program");
+        let next = limited::<256>(&dispatcher.file)
+            .spawn()
+            .expect("the program");
         let mut before = std::mem::replace(&mut dispatcher.child, next);
         before.wait().expect("it has ended");
     }
@@ -40,13 +45,19 @@
         thread::spawn(move || ready_after(at, since, READY_AGAIN))
     };
     let asked: Vec<_> = dispatchers.iter().map(ask).collect();
-    asked.into_iter().map(|a| a.join().expect("no panic")).collect()
+    asked
+        .into_iter()
+        .map(|a| a.join().expect("no panic"))
+        .collect()
 }
 
 fn all_at_once(name: &str, how: Down) {
     let discovery = Discovery::down(how);
     let (reader, writer) = (crowd::host(true), crowd::host(false));
-    let known = [target("a", reader.at, "reads"), target("b", writer.at, "writes")];
+    let known = [
+        target("a", reader.at, "reads"),
+        target("b", writer.at, "writes"),
+    ];
     let start = |i| {
         let listen = own_address();
         let text = configuration_with(listen, discovery.at, &known);
@@ -56,7 +67,9 @@
     // Clients that the ones before had keep their ends open.
     let kept: Vec<_> = all.iter().flat_map(|d| crowd::idle(d.listen, 10)).collect();
     ready_in_time(&restart_all(&mut all), name);
-    all.iter().enumerate().for_each(|(i, d)| d.served(&format!("{name}-{i}")));
+    all.iter()
+        .enumerate()
+        .for_each(|(i, d)| d.served(&format!("{name}-{i}")));
     drop(kept);
 }
 
@@ -85,7 +98,10 @@
     let stream = join(to, kind, id).unwrap_or_else(|e| panic!("{name} {id}: {e}"));
     // A connection that finds the queue full is tried again by the system after a second.
     let took = since.elapsed();
-    assert!(took < Duration::from_millis(900), "{name} {id}: the accept queue was full for {took:?}");
+    assert!(
+        took < Duration::from_millis(900),
+        "{name} {id}: the accept queue was full for {took:?}"
+    );
     stream
 }
 
@@ -95,12 +111,17 @@
     let (reader, writer) = (crowd::host(true), crowd::host(false));
     // Whole requests stay in hand, so that they hold their places.
     reader.holds.store(true, Ordering::SeqCst);
-    let known = [target("a", reader.at, "reads"), target("b", writer.at, "writes")];
+    let known = [
+        target("a", reader.at, "reads"),
+        target("b", writer.at, "writes"),
+    ];
     let listen = own_address();
     let text = configuration_with(listen, Discovery::down(Down::Silent).at, &known);
     let mut dispatcher = Dispatcher::start_with(&name, listen, text, limited::<256>);
     dispatcher.signal(Signal::KILL);
-    let next = limited::<256>(&dispatcher.file).spawn().expect("the program");
+    let next = limited::<256>(&dispatcher.file)
+        .spawn()
+        .expect("the program");
     let since = Instant::now();
     let mut before = std::mem::replace(&mut dispatcher.child, next);
     before.wait().expect("it has ended");
@@ -113,26 +134,38 @@
         }
     };
     dispatcher.signal(Signal::STOP);
-    let ahead: Vec<_> = (0..AHEAD).map(|i| queue(listen, kind, &format!("a{i}"), &name)).collect();
+    let ahead: Vec<_> = (0..AHEAD)
+        .map(|i| queue(listen, kind, &format!("a{i}"), &name))
+        .collect();
     let mut front = queue(listen, Kind::Silent, "front", &name);
     front.write_all(READY.as_bytes()).expect("asked");
-    let behind: Vec<_> = (0..BEHIND).map(|i| queue(listen, kind, &format!("b{i}"), &name)).collect();
+    let behind: Vec<_> = (0..BEHIND)
+        .map(|i| queue(listen, kind, &format!("b{i}"), &name))
+        .collect();
     let since = Instant::now();
     dispatcher.signal(Signal::CONT);
     let said = head(&mut front, READY_AGAIN);
     let after = since.elapsed();
-    assert!(said.starts_with("HTTP/1.1 200"), "{name}: {said:?} after {after:?}");
+    assert!(
+        said.starts_with("HTTP/1.1 200"),
+        "{name}: {said:?} after {after:?}"
+    );
     // And once more, with all of them there.
     let again = ready_after(listen, Instant::now(), READY_AGAIN);
     assert!(again.is_some(), "{name}: not ready with the crowd there");
-    println!("{name}: answered after {after:?}, and again after {:.3} s", again.unwrap_or_default());
+    println!(
+        "{name}: answered after {after:?}, and again after {:.3} s",
+        again.unwrap_or_default()
+    );
     reader.holds.store(false, Ordering::SeqCst);
     drop((first, ahead, behind));
     // Once they have gone it serves as ever.
     let by = Instant::now() + SOON;
     loop {
         let mut stream = dispatcher.connect();
-        stream.write_all(request("last", "Connection: close\r\n").as_bytes()).expect("asked");
+        stream
+            .write_all(request("last", "Connection: close\r\n").as_bytes())
+            .expect("asked");
         let said = head(&mut stream, SOON);
         if said.starts_with("HTTP/1.1 200") {
             break;
@@ -173,16 +206,32 @@
     let held = TcpListener::bind(listen).expect("the address");
     let since = Instant::now();
     let output = program(&file).output().expect("the program");
-    let (said, took) = (String::from_utf8_lossy(&output.stderr).into_owned(), since.elapsed());
+    let (said, took) = (
+        String::from_utf8_lossy(&output.stderr).into_owned(),
+        since.elapsed(),
+    );
     assert_eq!(output.status.code(), Some(2), "{said}");
-    assert!(said.lines().last().is_some_and(|l| l.contains("'listen'")), "{said}");
-    assert_eq!(said.lines().filter(|l| l.contains("in use")).count(), 2, "once while it waits: {said}");
-    assert!(took >= Duration::from_secs(4) && took < READY_AGAIN, "{took:?}");
+    assert!(
+        said.lines().last().is_some_and(|l| l.contains("'listen'")),
+        "{said}"
+    );
+    assert_eq!(
+        said.lines().filter(|l| l.contains("in use")).count(),
+        2,
+        "once while it waits: {said}"
+    );
+    assert!(
+        took >= Duration::from_secs(4) && took < READY_AGAIN,
+        "{took:?}"
+    );
 
     // The one before goes while it is waited for.
     let mut child = limited::<256>(&file).spawn().expect("the program");
     thread::sleep(Duration::from_millis(300));
-    assert!(child.try_wait().expect("its state").is_none(), "it has not waited");
+    assert!(
+        child.try_wait().expect("its state").is_none(),
+        "it has not waited"
+    );
     drop(held);
     let after = ready_after(listen, Instant::now(), READY_AGAIN);
     let _ = child.kill();
--- a/programs/dispatch/tests/sites.rs
+++ b/programs/dispatch/tests/sites.rs
@@ -47,7 +47,10 @@
 
 fn make(folder: &Path) -> Output {
     Command::new("python3")
-        .arg(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/sites/make"))
+        .arg(concat!(
+            env!("CARGO_MANIFEST_DIR"),
+            "/../../deploy/sites/make"
+        ))
         .arg(folder.join("new.toml"))
         .arg("--kit")
         .arg(folder.join("kit"))
@@ -70,8 +73,13 @@
 "tier.0.kind.1.speed" = [0.5, 0.6]"#;
     let folder = folder("good", &overrides(set));
     let output = make(&folder);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let made = std::fs::read_to_string(folder.join("out/harbour/harbour.toml")).expect("the site file");
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
+    let made =
+        std::fs::read_to_string(folder.join("out/harbour/harbour.toml")).expect("the site file");
     let expected = BASE
         .replace(r#"name = "base""#, r#"name = "harbour""#)
         .replace(r#"effect = "unsafe""#, r#"effect = "keyed""#)
@@ -79,20 +87,51 @@
         .replace("idle_s = 15", "idle_s = [3, 4]")
         .replace("speed = [0.8, 1.0]", "speed = [0.5, 0.6]");
     assert_eq!(made, expected);
-    assert!(folder.join("out/harbour/wire.json").exists(), "with what stands beside it");
+    assert!(
+        folder.join("out/harbour/wire.json").exists(),
+        "with what stands beside it"
+    );
 }
 
 #[test]
 fn what_cannot_be_made_is_one_line_and_exit_code_2() {
     let table = [
-        ("no-place", overrides(r#""class.2.effect" = "keyed""#), "class.2.effect"),
-        ("no-table", overrides(r#""clas.1.effect" = "keyed""#), "clas.1.effect"),
-        ("text-for-number", overrides(r#""tier.0.conn.idle_s" = "soon""#), "tier.0.conn.idle_s"),
-        ("number-for-flag", overrides(r#""class.0.stream" = 1"#), "class.0.stream"),
+        (
+            "no-place",
+            overrides(r#""class.2.effect" = "keyed""#),
+            "class.2.effect",
+        ),
+        (
+            "no-table",
+            overrides(r#""clas.1.effect" = "keyed""#),
+            "clas.1.effect",
+        ),
+        (
+            "text-for-number",
+            overrides(r#""tier.0.conn.idle_s" = "soon""#),
+            "tier.0.conn.idle_s",
+        ),
+        (
+            "number-for-flag",
+            overrides(r#""class.0.stream" = 1"#),
+            "class.0.stream",
+        ),
         ("nothing", overrides(""), "[set]"),
-        ("no-name", "base = \"more/base.toml\"\n[set]\n\"stock\" = \"y\"\n".into(), "name"),
-        ("odd-name", overrides("\"stock\" = \"y\"").replace("harbour", "../harbour"), "name"),
-        ("no-kit", overrides("\"stock\" = \"y\"").replace("base.toml", "none.toml"), "--kit"),
+        (
+            "no-name",
+            "base = \"more/base.toml\"\n[set]\n\"stock\" = \"y\"\n".into(),
+            "name",
+        ),
+        (
+            "odd-name",
+            overrides("\"stock\" = \"y\"").replace("harbour", "../harbour"),
+            "name",
+        ),
+        (
+            "no-kit",
+            overrides("\"stock\" = \"y\"").replace("base.toml", "none.toml"),
+            "--kit",
+        ),
         ("no-toml", "name = ".into(), "new.toml"),
     ];
     for (name, overrides, word) in table {
@@ -100,7 +139,10 @@
         let output = make(&folder);
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{name}: {said}");
-        assert!(said.trim().lines().count() == 1 && said.contains(word), "{name}: {said}");
+        assert!(
+            said.trim().lines().count() == 1 && said.contains(word),
+            "{name}: {said}"
+        );
         assert!(!folder.join("out").exists(), "{name}: nothing is written");
     }
 }
@@ -114,7 +156,9 @@
         if entry.path().extension().is_some_and(|e| e == "toml") {
             let text = std::fs::read_to_string(entry.path()).expect("a variant");
             assert!(
-                text.contains("\nname = \"") && text.contains("\nbase = \"") && text.contains("\n[set]\n")
+                text.contains("\nname = \"")
+                    && text.contains("\nbase = \"")
+                    && text.contains("\n[set]\n")
             );
             seen += 1;
         }
--- a/programs/dispatch/tests/streams.rs
+++ b/programs/dispatch/tests/streams.rs
@@ -78,7 +78,13 @@
         bench.hosts.wait(What::Post, id, 2);
         bench.hosts.let_go(id, STREAM_HEAD);
     }
-    clients.into_iter().map(|stream| Reader { stream, got: String::new() }).collect()
+    clients
+        .into_iter()
+        .map(|stream| Reader {
+            stream,
+            got: String::new(),
+        })
+        .collect()
 }
 
 /// Writes one event on every stream and waits until all clients have it; gives how many got it late.
@@ -89,7 +95,9 @@
         if i > 0 {
             std::thread::sleep(BETWEEN_PIECES);
         }
-        WRITERS.iter().for_each(|host| bench.hosts.say(*host, piece));
+        WRITERS
+            .iter()
+            .for_each(|host| bench.hosts.say(*host, piece));
     }
     let written = Instant::now();
     let mut late = 0;
@@ -101,28 +109,42 @@
 }
 
 fn end(bench: &Bench, readers: Vec<Reader>, name: &str) {
-    WRITERS.iter().for_each(|host| bench.hosts.say(*host, LAST_CHUNK));
+    WRITERS
+        .iter()
+        .for_each(|host| bench.hosts.say(*host, LAST_CHUNK));
     for mut reader in readers {
         reader.until(LAST_CHUNK);
         let got = reader.got;
-        assert!(got.starts_with("HTTP/1.1 200") && got.ends_with(LAST_CHUNK), "{name}: {got:?}");
+        assert!(
+            got.starts_with("HTTP/1.1 200") && got.ends_with(LAST_CHUNK),
+            "{name}: {got:?}"
+        );
         assert_eq!(got.matches("data: ").count(), EVENTS, "{name}: {got:?}");
     }
 }
 
 /// The platform lets one stream in twenty be late: of a busy machine's, no more than that here.
 fn in_time(late: usize, name: &str) {
-    assert!(late * 20 <= STREAMS * EVENTS, "{name}: {late} of {} events late", STREAMS * EVENTS);
+    assert!(
+        late * 20 <= STREAMS * EVENTS,
+        "{name}: {late} of {} events late",
+        STREAMS * EVENTS
+    );
 }
 
 #[test]
 fn each_event_is_passed_on_before_the_next_is_written() {
-    let table: [(&str, Manner); 3] =
-        [("at-once", at_once), ("cut-chunk", cut_chunk), ("two-chunks", two_chunks)];
+    let table: [(&str, Manner); 3] = [
+        ("at-once", at_once),
+        ("cut-chunk", cut_chunk),
+        ("two-chunks", two_chunks),
+    ];
     for (name, manner) in table {
         let bench = Bench::start(&format!("streams-{name}"), 2, &[PATIENT]);
         let mut readers = begin(&bench);
-        let late = (0..EVENTS).map(|n| pass_on(&bench, &mut readers, manner, n)).sum();
+        let late = (0..EVENTS)
+            .map(|n| pass_on(&bench, &mut readers, manner, n))
+            .sum();
         in_time(late, name);
         end(&bench, readers, name);
     }
--- a/programs/dispatch/tests/told.rs
+++ b/programs/dispatch/tests/told.rs
@@ -45,7 +45,12 @@
     fn shut(news: String) -> Discovery {
         let (tell, calls) = channel();
         let script = Arc::new(Mutex::new((Manner::Well, news)));
-        Discovery { at: own_address(), script, calls, tell }
+        Discovery {
+            at: own_address(),
+            script,
+            calls,
+            tell,
+        }
     }
 
     fn open(&self) {
@@ -96,12 +101,14 @@
             return message(&mut from).map(|_| ());
         }
         Manner::Error500 => {
-            to.write_all(b"HTTP/1.1 500 No\r\nRetry-After: 3600\r\nContent-Length: 0\r\n\r\n").ok()?;
+            to.write_all(b"HTTP/1.1 500 No\r\nRetry-After: 3600\r\nContent-Length: 0\r\n\r\n")
+                .ok()?;
             return message(&mut from).map(|_| ());
         }
         Manner::HalfLine => {
             let half = &news[..news.len() / 2];
-            to.write_all(format!("{STREAM_HEAD}{}", chunk(half)).as_bytes()).ok()?;
+            to.write_all(format!("{STREAM_HEAD}{}", chunk(half)).as_bytes())
+                .ok()?;
             return message(&mut from).map(|_| ());
         }
         Manner::Trickle => {
@@ -109,11 +116,19 @@
             Duration::from_millis(100)
         }
         Manner::Well => {
-            to.write_all(format!("{STREAM_HEAD}{}", chunk(&format!("{news}\n"))).as_bytes()).ok()?;
+            to.write_all(format!("{STREAM_HEAD}{}", chunk(&format!("{news}\n"))).as_bytes())
+                .ok()?;
             Duration::from_secs(1)
         }
     };
-    while to.write_all(if manner == Manner::Well { b"1\r\n\n\r\n" } else { b"1\r\n[\r\n" }).is_ok() {
+    while to
+        .write_all(if manner == Manner::Well {
+            b"1\r\n\n\r\n"
+        } else {
+            b"1\r\n[\r\n"
+        })
+        .is_ok()
+    {
         thread::sleep(pause);
     }
     Some(())
@@ -143,7 +158,8 @@
                         0 => String::new(),
                         n => format!("Content-Length: {n}\r\n"),
                     };
-                    to.write_all(format!("HTTP/1.1 {status}\r\n{length}\r\n{body}").as_bytes()).ok()?;
+                    to.write_all(format!("HTTP/1.1 {status}\r\n{length}\r\n{body}").as_bytes())
+                        .ok()?;
                 }
                 Some(())
             });
@@ -169,7 +185,10 @@
         let drains = target("a", old_at, "reads").replace("in_service", "terminating");
         let news = list(8, false, &[drains, target("c", new_at, "reads")]);
         let discovery = Discovery::shut(news);
-        let known = [target("a", old_at, "reads"), target("b", host(false), "writes")];
+        let known = [
+            target("a", old_at, "reads"),
+            target("b", host(false), "writes"),
+        ];
         let listen = own_address();
         let text = configuration_with(listen, discovery.at, &known);
         let mut dispatcher = Dispatcher::start_with(name, listen, text, program);
@@ -182,8 +201,16 @@
             }
         });
         dispatcher.served("before");
-        old.recv_timeout(SOON).expect("the host of the configuration is asked");
-        Case { name, dispatcher, discovery, old, new, logs }
+        old.recv_timeout(SOON)
+            .expect("the host of the configuration is asked");
+        Case {
+            name,
+            dispatcher,
+            discovery,
+            old,
+            new,
+            logs,
+        }
     }
 
     /// Refuses, then answers 500, until the back-off has grown to its longest.
@@ -198,27 +225,50 @@
 
     /// The change was told in time, and requests go to the new host alone.
     fn assert_told(&self, discovery: &Discovery, from: Instant) {
-        let told = discovery.called(Manner::Well).saturating_duration_since(from);
-        assert!(told < TOLD, "{}: the call came {told:?} after discovery's return", self.name);
+        let told = discovery
+            .called(Manner::Well)
+            .saturating_duration_since(from);
+        assert!(
+            told < TOLD,
+            "{}: the call came {told:?} after discovery's return",
+            self.name
+        );
         let until = Instant::now() + SOON;
         let asked = (0..).find_map(|i| {
             self.dispatcher.served(&format!("w{i}"));
-            assert!(Instant::now() < until, "{}: the new host is not asked", self.name);
+            assert!(
+                Instant::now() < until,
+                "{}: the new host is not asked",
+                self.name
+            );
             self.new.try_recv().ok()
         });
-        println!("{}: called after {told:?}, asked after {:?}", self.name, asked.map(|at| at - from));
+        println!(
+            "{}: called after {told:?}, asked after {:?}",
+            self.name,
+            asked.map(|at| at - from)
+        );
         while self.old.try_recv().is_ok() {}
         for i in 0..5 {
             self.dispatcher.served(&format!("x{i}"));
             self.new.recv_timeout(SOON).expect("the new host is asked");
         }
-        assert!(self.old.try_recv().is_err(), "{}: the host that drains is asked", self.name);
+        assert!(
+            self.old.try_recv().is_err(),
+            "{}: the host that drains is asked",
+            self.name
+        );
     }
 
     /// Lines on discovery that name its address.
     fn lines_on_discovery(&self) -> usize {
         let place = format!("discovery at {}", self.discovery.at);
-        self.logs.lock().expect("no other has failed").iter().filter(|l| l.contains(&place)).count()
+        self.logs
+            .lock()
+            .expect("no other has failed")
+            .iter()
+            .filter(|l| l.contains(&place))
+            .count()
     }
 }
 
@@ -274,7 +324,13 @@
     case.discovery.set(manner);
     case.discovery.open();
     case.discovery.called(manner);
-    let news = case.discovery.script.lock().expect("no other has failed").1.clone();
+    let news = case
+        .discovery
+        .script
+        .lock()
+        .expect("no other has failed")
+        .1
+        .clone();
     let moved = Discovery::shut(news);
     moved.open();
     let (file, text) = (&case.dispatcher.file, &case.dispatcher.text);
--- a/programs/invariant-checker/src/answers.rs
+++ b/programs/invariant-checker/src/answers.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use bitternlatch_mock_engine::capture::Line;
 use bitternlatch_protocol::client::{parse, ClientEvent, Create, ServerEvent};
 use bitternlatch_protocol::tokens_of;
-use bitternlatch_mock_engine::capture::Line;
 
 use crate::hosts::{effects, Seen};
 use crate::{mark, us, Breach, ClassFacts, Facts, Rule, Verdict, WorkflowFacts, SLACK_S};
@@ -62,13 +62,22 @@
 
 /// The whole text of an answer, or the code of the error that ended it.
 fn said(event: &ServerEvent) -> String {
-    let code = event.error.as_ref().and_then(|e| e.get("code")).and_then(|c| c.as_str());
+    let code = event
+        .error
+        .as_ref()
+        .and_then(|e| e.get("code"))
+        .and_then(|c| c.as_str());
     let response = event.response.as_ref();
-    let failed = response.and_then(|r| r.error.as_ref()).map(|e| e.code.as_str());
+    let failed = response
+        .and_then(|r| r.error.as_ref())
+        .map(|e| e.code.as_str());
     if let Some(code) = code.or(failed) {
         return code.to_string();
     }
-    let parts = response.into_iter().flat_map(|r| &r.output).flat_map(|item| &item.content);
+    let parts = response
+        .into_iter()
+        .flat_map(|r| &r.output)
+        .flat_map(|item| &item.content);
     parts.map(|part| part.text.as_str()).collect()
 }
 
@@ -109,13 +118,22 @@
                 }
             }
             "in" => {
-                let Ok(event) = serde_json::from_str::<ServerEvent>(&line.text) else { continue };
+                let Ok(event) = serde_json::from_str::<ServerEvent>(&line.text) else {
+                    continue;
+                };
                 let response = event.response.as_ref();
-                let name =
-                    response.and_then(|r| r.metadata.get("try")).cloned().or_else(|| name_in_error(&event));
-                let id = response.map(|r| r.id.clone()).or(event.response_id.clone()).unwrap_or_default();
-                let known =
-                    name.and_then(|n| named.get(&key(&n))).or_else(|| by_response.get(&key(&id))).copied();
+                let name = response
+                    .and_then(|r| r.metadata.get("try"))
+                    .cloned()
+                    .or_else(|| name_in_error(&event));
+                let id = response
+                    .map(|r| r.id.clone())
+                    .or(event.response_id.clone())
+                    .unwrap_or_default();
+                let known = name
+                    .and_then(|n| named.get(&key(&n)))
+                    .or_else(|| by_response.get(&key(&id)))
+                    .copied();
                 let Some(i) = known else { continue };
                 if !id.is_empty() {
                     by_response.insert(key(&id), i);
@@ -131,7 +149,9 @@
                     _ => End::Unanswered,
                 };
                 let here = |t: &&mut Try| t.conn == conn && t.ended.is_none();
-                all.iter_mut().filter(here).for_each(|t| t.ended = Some((line.t, end)));
+                all.iter_mut()
+                    .filter(here)
+                    .for_each(|t| t.ended = Some((line.t, end)));
             }
             _ => {}
         }
@@ -144,7 +164,13 @@
 }
 
 fn name_in_error(event: &ServerEvent) -> Option<String> {
-    event.error.as_ref()?.get("metadata")?.get("try")?.as_str().map(str::to_string)
+    event
+        .error
+        .as_ref()?
+        .get("metadata")?
+        .get("try")?
+        .as_str()
+        .map(str::to_string)
 }
 
 fn try_of(conn: (String, String), t: u64, create: &Create) -> Try {
@@ -185,15 +211,23 @@
 pub(crate) fn judge(facts: &Facts, lines: &[Line], seen: &Seen, verdict: &mut Verdict) -> Vec<Try> {
     let all = tries(lines);
     let end = lines.last().map_or(0, |l| l.t);
-    let classes: BTreeMap<&str, &ClassFacts> = facts.classes.iter().map(|c| (c.name.as_str(), c)).collect();
+    let classes: BTreeMap<&str, &ClassFacts> =
+        facts.classes.iter().map(|c| (c.name.as_str(), c)).collect();
     for one in &all {
         if let Some(class) = classes.get(one.class.as_str()) {
             lost(facts, class, one, end, verdict);
         }
     }
-    let class_of: BTreeMap<&str, &str> = all.iter().map(|t| (t.mark.as_str(), t.class.as_str())).collect();
+    let class_of: BTreeMap<&str, &str> = all
+        .iter()
+        .map(|t| (t.mark.as_str(), t.class.as_str()))
+        .collect();
     // A worker may have died before its capture held what it asked: its plan is known all the same.
-    let planned: BTreeSet<String> = facts.workflows.iter().flat_map(WorkflowFacts::unsafe_marks).collect();
+    let planned: BTreeSet<String> = facts
+        .workflows
+        .iter()
+        .flat_map(WorkflowFacts::unsafe_marks)
+        .collect();
     let is_unsafe = |mark: &str| {
         let class = class_of.get(mark).and_then(|c| classes.get(c));
         class.is_some_and(|c| c.effect == "unsafe") || planned.contains(mark)
@@ -207,20 +241,40 @@
 /// The first rule, for one try.
 fn lost(facts: &Facts, class: &ClassFacts, one: &Try, end: u64, verdict: &mut Verdict) {
     let mut breach = |t: u64, what: String| {
-        let what = format!("request {} on {} {}: {what}", one.mark, one.conn.0, one.conn.1);
-        verdict.breaches.push(Breach { rule: Rule::NoRequestLost, t, what });
+        let what = format!(
+            "request {} on {} {}: {what}",
+            one.mark, one.conn.0, one.conn.1
+        );
+        verdict.breaches.push(Breach {
+            rule: Rule::NoRequestLost,
+            t,
+            what,
+        });
     };
     if one.finals.len() > 1 {
-        breach(one.finals[1].0, format!("{} final answers", one.finals.len()));
+        breach(
+            one.finals[1].0,
+            format!("{} final answers", one.finals.len()),
+        );
     }
     if one.after > 0 {
-        breach(one.finals[0].0, format!("{} events after the final answer", one.after));
+        breach(
+            one.finals[0].0,
+            format!("{} events after the final answer", one.after),
+        );
     }
     let due = one.t + us(class.deadline_s + SLACK_S);
     // One that stands still reads late, and dates from when it reads.
-    let due = due + away(facts, one, due).map(|(from, to)| to.min(due) - from.max(one.t)).sum::<u64>();
+    let due = due
+        + away(facts, one, due)
+            .map(|(from, to)| to.min(due) - from.max(one.t))
+            .sum::<u64>();
     let until = one.ended.map_or(end, |e| e.0);
-    let first = one.first.into_iter().chain(one.finals.first().map(|f| f.0)).min();
+    let first = one
+        .first
+        .into_iter()
+        .chain(one.finals.first().map(|f| f.0))
+        .min();
     if first.is_none_or(|t| t > due) && until > due {
         breach(due, "no answer begun within the client's time".to_string());
     } else if one.finals.is_empty() {
@@ -234,11 +288,14 @@
         match one.ended {
             Some((_, End::Dropped)) => {}
             Some((t, End::Closed)) if killed(t) => {}
-            Some((t, End::Closed)) => breach(t, "its session ended without a final answer".to_string()),
-            Some((t, End::Unanswered)) if away(facts, one, t).next().is_some() => {}
-            Some((t, End::Unanswered)) => {
-                breach(t, "its client waited for a final answer in vain".to_string())
+            Some((t, End::Closed)) => {
+                breach(t, "its session ended without a final answer".to_string())
             }
+            Some((t, End::Unanswered)) if away(facts, one, t).next().is_some() => {}
+            Some((t, End::Unanswered)) => breach(
+                t,
+                "its client waited for a final answer in vain".to_string(),
+            ),
             None => breach(end, "no final answer by the end".to_string()),
         }
     }
@@ -248,20 +305,35 @@
 fn away<'a>(facts: &'a Facts, one: &'a Try, until: u64) -> impl Iterator<Item = (u64, u64)> + 'a {
     let concerned = |who: &str| who == one.dispatcher() || who == one.conn.0;
     let here = move |a: &&(u64, u64, String)| concerned(&a.2) && a.0 < until && one.t < a.1;
-    facts.away.iter().filter(here).map(|(from, to, _)| (*from, *to))
+    facts
+        .away
+        .iter()
+        .filter(here)
+        .map(|(from, to, _)| (*from, *to))
 }
 
 /// A refusal says that asking again is harmless: it is none where an unsafe request may have run.
-fn refused_though_run(all: &[Try], seen: &Seen, is_unsafe: impl Fn(&str) -> bool, verdict: &mut Verdict) {
+fn refused_though_run(
+    all: &[Try],
+    seen: &Seen,
+    is_unsafe: impl Fn(&str) -> bool,
+    verdict: &mut Verdict,
+) {
     let by_mark = seen.by_mark();
     // Asking a step of a workflow again is harmless whatever was run: its log stands before it.
     let bare = |t: &&Try| is_unsafe(&t.mark) && !t.metadata.contains_key("workflow");
     for one in all.iter().filter(bare) {
-        let Some((t, _)) = one.finals.iter().find(|f| f.1 == Final::Refused) else { continue };
+        let Some((t, _)) = one.finals.iter().find(|f| f.1 == Final::Refused) else {
+            continue;
+        };
         let runs = by_mark.get(one.mark.as_str()).into_iter().flatten();
         if runs.filter(|a| a.runs() && a.told < *t).count() > 0 {
             let what = format!("request {} was refused though it may have run", one.mark);
-            verdict.breaches.push(Breach { rule: Rule::NoEffectTwice, t: *t, what });
+            verdict.breaches.push(Breach {
+                rule: Rule::NoEffectTwice,
+                t: *t,
+                what,
+            });
         }
     }
 }
@@ -269,17 +341,23 @@
 /// Worth answered in time over worth asked for; a client's repeats count with its first try.
 fn service(all: &[Try], classes: &BTreeMap<&str, &ClassFacts>, verdict: &mut Verdict) {
     let mut by_mark: BTreeMap<&str, Vec<&Try>> = BTreeMap::new();
-    all.iter().for_each(|t| by_mark.entry(&t.mark).or_default().push(t));
+    all.iter()
+        .for_each(|t| by_mark.entry(&t.mark).or_default().push(t));
     let (mut got, mut asked) = (0.0, 0.0);
     let s = &mut verdict.service;
     for (_, tries) in by_mark {
-        let Some(class) = classes.get(tries[0].class.as_str()) else { continue };
+        let Some(class) = classes.get(tries[0].class.as_str()) else {
+            continue;
+        };
         s.asked += 1;
         asked += class.worth;
-        let served = tries.iter().find(|t| t.finals.first().is_some_and(|f| f.1 == Final::Served));
+        let served = tries
+            .iter()
+            .find(|t| t.finals.first().is_some_and(|f| f.1 == Final::Served));
         if let Some(first) = served.and_then(|t| t.first) {
             let took = (first.saturating_sub(tries[0].t)) as f64 / 1e6;
-            let aim = class.ttft_aim_s + class.ttft_aim_ms_per_1000_tokens * f64::from(tries[0].tokens) / 1e6;
+            let aim = class.ttft_aim_s
+                + class.ttft_aim_ms_per_1000_tokens * f64::from(tries[0].tokens) / 1e6;
             got += class.worth * if took <= aim { 1.0 } else { class.late_worth };
             verdict.ttft_s.push(took);
         }
@@ -315,11 +393,17 @@
         };
         let create = json!({ "type": "response.create", "model": "m", "input": "[req=1.0]", "max_output_tokens": 9,
             "metadata": { "class": "q", "try": "c-1" } });
-        let error =
-            json!({ "type": "error", "error": { "retry_after_ms": 1, "metadata": { "try": "c-1" } } });
-        let end = if answered_s.is_some() { "bye" } else { "gave_up" };
+        let error = json!({ "type": "error", "error": { "retry_after_ms": 1, "metadata": { "try": "c-1" } } });
+        let end = if answered_s.is_some() {
+            "bye"
+        } else {
+            "gave_up"
+        };
         let answer = answered_s.map(|t_s| line(t_s, "in", error));
-        let lines = [line(0, "out", create)].into_iter().chain(answer).chain([line(over_s, end, json!(""))]);
+        let lines = [line(0, "out", create)]
+            .into_iter()
+            .chain(answer)
+            .chain([line(over_s, end, json!(""))]);
         let class = ClassFacts {
             name: "q".into(),
             effect: "safe".into(),
@@ -330,11 +414,21 @@
             ttft_aim_ms_per_1000_tokens: 0.0,
         };
         let at = |s: u64| 1_000_000 * (100 + s);
-        let away =
-            away_s.map(|(from, to)| (at(from), at(to), "dispatch-1".to_string())).into_iter().collect();
-        judge(&Facts { classes: vec![class], away, ..Facts::default() }, lines.collect(), Vec::new())
-            .breaches
-            .len()
+        let away = away_s
+            .map(|(from, to)| (at(from), at(to), "dispatch-1".to_string()))
+            .into_iter()
+            .collect();
+        judge(
+            &Facts {
+                classes: vec![class],
+                away,
+                ..Facts::default()
+            },
+            lines.collect(),
+            Vec::new(),
+        )
+        .breaches
+        .len()
     }
 
     #[test]
@@ -343,7 +437,11 @@
         assert_eq!(breaches(None, Some(8), 9), 1);
         assert_eq!(breaches(Some((1, 4)), Some(8), 9), 0);
         assert_eq!(breaches(Some((1, 4)), Some(10), 12), 1);
-        assert_eq!(breaches(Some((1, 9)), None, 7), 0, "its client waited in vain for one that stood still");
+        assert_eq!(
+            breaches(Some((1, 9)), None, 7),
+            0,
+            "its client waited in vain for one that stood still"
+        );
         assert_eq!(breaches(None, None, 7), 1);
     }
 }
--- a/programs/invariant-checker/src/hosts.rs
+++ b/programs/invariant-checker/src/hosts.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
+use bitternlatch_mock_engine::capture::Line;
 use bitternlatch_protocol::engine::{
     decode, CompletionRequest, EngineState, FromEngine, ToEngine, CODE_FULL, CODE_STATE_GONE,
 };
 use bitternlatch_protocol::tokens_of;
-use bitternlatch_mock_engine::capture::Line;
 
 use bitternlatch_mock_engine::answer_len;
 
@@ -71,7 +71,11 @@
         seen
     }
 
-    fn heard<'a>(&mut self, line: &'a Line, open: &mut BTreeMap<(&'a str, &'a str, String), usize>) {
+    fn heard<'a>(
+        &mut self,
+        line: &'a Line,
+        open: &mut BTreeMap<(&'a str, &'a str, String), usize>,
+    ) {
         let key = |id: &str| (line.who.as_str(), line.peer.as_str(), id.to_string());
         match decode::<ToEngine>(&line.text) {
             Ok(ToEngine::Completion { id, body }) => {
@@ -106,14 +110,18 @@
     }
 
     fn said<'a>(&mut self, line: &'a Line, open: &mut BTreeMap<(&'a str, &'a str, String), usize>) {
-        let Ok(message) = decode::<FromEngine>(&line.text) else { return };
+        let Ok(message) = decode::<FromEngine>(&line.text) else {
+            return;
+        };
         let id = match &message {
-            FromEngine::Chunk { id, .. } | FromEngine::Done { id, .. } | FromEngine::Error { id, .. } => {
-                id.clone()
-            }
+            FromEngine::Chunk { id, .. }
+            | FromEngine::Done { id, .. }
+            | FromEngine::Error { id, .. } => id.clone(),
             _ => return,
         };
-        let Some(i) = open.get(&(line.who.as_str(), line.peer.as_str(), id)) else { return };
+        let Some(i) = open.get(&(line.who.as_str(), line.peer.as_str(), id)) else {
+            return;
+        };
         let attempt = &mut self.attempts[*i];
         match message {
             FromEngine::Chunk { body, .. } => {
@@ -139,7 +147,11 @@
     /// A link or a host ended: what was out there is over, and its states are let go of.
     fn ended(&mut self, line: &Line) {
         let whole = line.dir == "down";
-        for a in self.attempts.iter_mut().filter(|a| a.host == line.who && (whole || a.peer == line.peer)) {
+        for a in self
+            .attempts
+            .iter_mut()
+            .filter(|a| a.host == line.who && (whole || a.peer == line.peer))
+        {
             a.ended.get_or_insert(line.t);
             a.let_go.get_or_insert(line.t);
         }
@@ -148,7 +160,9 @@
     /// Attempts by the mark of their request.
     pub(crate) fn by_mark(&self) -> BTreeMap<&str, Vec<&Attempt>> {
         let mut by = BTreeMap::<&str, Vec<&Attempt>>::new();
-        self.attempts.iter().for_each(|a| by.entry(a.mark()).or_default().push(a));
+        self.attempts
+            .iter()
+            .for_each(|a| by.entry(a.mark()).or_default().push(a));
         by
     }
 }
@@ -158,13 +172,22 @@
     cold(facts, lines, seen, verdict);
     let end = lines.last().map_or(0, |l| l.t);
     let mut pins = Vec::new();
-    seen.attempts.iter().for_each(|a| pin(facts, a, seen, end, &mut pins));
+    seen.attempts
+        .iter()
+        .for_each(|a| pin(facts, a, seen, end, &mut pins));
     pins.retain(|(a, from, to)| !stood_still(facts, lines, a, *from, *to));
-    verdict.breaches.extend(pins.into_iter().map(|(a, from, to)| Breach {
-        rule: Rule::NothingLeftPinned,
-        t: from,
-        what: format!("a state of {} at {} was held {} ms", a.mark(), a.host, (to - from) / 1000),
-    }));
+    verdict
+        .breaches
+        .extend(pins.into_iter().map(|(a, from, to)| Breach {
+            rule: Rule::NothingLeftPinned,
+            t: from,
+            what: format!(
+                "a state of {} at {} was held {} ms",
+                a.mark(),
+                a.host,
+                (to - from) / 1000
+            ),
+        }));
 }
 
 /// An unsafe request runs once at the most, whoever asked for it again.
@@ -173,14 +196,26 @@
         let runs: Vec<&&Attempt> = attempts.iter().filter(|a| a.runs()).collect();
         if runs.len() > 1 && is_unsafe(mark) {
             let hosts: Vec<&str> = runs.iter().map(|a| a.host.as_str()).collect();
-            let what = format!("request {mark} may have run {} times: at {}", runs.len(), hosts.join(", "));
-            verdict.breaches.push(Breach { rule: Rule::NoEffectTwice, t: runs[1].told, what });
+            let what = format!(
+                "request {mark} may have run {} times: at {}",
+                runs.len(),
+                hosts.join(", ")
+            );
+            verdict.breaches.push(Breach {
+                rule: Rule::NoEffectTwice,
+                t: runs[1].told,
+                what,
+            });
         }
     }
 }
 
 fn is_completion(line: &Line) -> bool {
-    line.dir == "in" && matches!(decode::<ToEngine>(&line.text), Ok(ToEngine::Completion { .. }))
+    line.dir == "in"
+        && matches!(
+            decode::<ToEngine>(&line.text),
+            Ok(ToEngine::Completion { .. })
+        )
 }
 
 /// Told by the host itself over a link, or by the list's file.
@@ -198,7 +233,9 @@
             listed.remove(host.as_str());
         }
         let key = (line.who.as_str(), line.peer.as_str());
-        let drains = FromEngine::State { state: EngineState::Draining };
+        let drains = FromEngine::State {
+            state: EngineState::Draining,
+        };
         match line.dir.as_str() {
             "out" if decode::<FromEngine>(&line.text).is_ok_and(|m| m == drains) => {
                 closed_from.insert(key, line.t + grace);
@@ -209,11 +246,21 @@
             }
             _ => {}
         }
-        let from = [closed_from.get(&key), listed.get(line.who.as_str())].into_iter().flatten().min();
+        let from = [closed_from.get(&key), listed.get(line.who.as_str())]
+            .into_iter()
+            .flatten()
+            .min();
         if from.is_some_and(|from| line.t > *from) && is_completion(line) {
             let late_ms = from.map_or(0, |f| (line.t - f) / 1000);
-            let what = format!("{} was sent new work {late_ms} ms past the grace of its drain", line.who);
-            verdict.breaches.push(Breach { rule: Rule::DrainsKept, t: line.t, what });
+            let what = format!(
+                "{} was sent new work {late_ms} ms past the grace of its drain",
+                line.who
+            );
+            verdict.breaches.push(Breach {
+                rule: Rule::DrainsKept,
+                t: line.t,
+                what,
+            });
         }
     }
 }
@@ -224,19 +271,35 @@
         let near = |d: &&(u64, String)| d.1 == line.who && d.0.abs_diff(line.t) < 2_000_000;
         if facts.downs.iter().find(near).is_none() {
             let what = format!("{} fell over", line.who);
-            verdict.breaches.push(Breach { rule: Rule::NoColdHostPushedOver, t: line.t, what });
+            verdict.breaches.push(Breach {
+                rule: Rule::NoColdHostPushedOver,
+                t: line.t,
+                what,
+            });
         }
     }
     for host in &facts.hosts {
-        let ups = lines.iter().filter(|l| l.dir == "up" && l.who == host.name).skip(1);
+        let ups = lines
+            .iter()
+            .filter(|l| l.dir == "up" && l.who == host.name)
+            .skip(1);
         for born in ups.map(|l| l.t) {
             let warm = born + us(facts.cold.warm_after_s);
-            let given =
-                seen.attempts.iter().filter(|a| a.host == host.name && (born..warm).contains(&a.told));
+            let given = seen
+                .attempts
+                .iter()
+                .filter(|a| a.host == host.name && (born..warm).contains(&a.told));
             let work: Vec<(u64, f64)> = given.map(|a| (a.told, work_s(a, host))).collect();
             if let Some((t, share)) = most_pushed(facts, born, &work) {
-                let what = format!("{} was cold and sent {share:.1} times what it could do", host.name);
-                verdict.breaches.push(Breach { rule: Rule::NoColdHostPushedOver, t, what });
+                let what = format!(
+                    "{} was cold and sent {share:.1} times what it could do",
+                    host.name
+                );
+                verdict.breaches.push(Breach {
+                    rule: Rule::NoColdHostPushedOver,
+                    t,
+                    what,
+                });
             }
         }
     }
@@ -245,8 +308,16 @@
 fn work_s(a: &Attempt, host: &HostFacts) -> f64 {
     let kv = a.kv();
     let tokens = tokens_of(a.body.prompt.len()).saturating_sub(a.cached);
-    let read = if kv.do_remote_prefill { 0.0 } else { f64::from(tokens) / host.read_tokens_per_s };
-    let out = if kv.do_remote_decode { 0 } else { answer_len(&a.body) };
+    let read = if kv.do_remote_prefill {
+        0.0
+    } else {
+        f64::from(tokens) / host.read_tokens_per_s
+    };
+    let out = if kv.do_remote_decode {
+        0
+    } else {
+        answer_len(&a.body)
+    };
     read + f64::from(out) * (host.token_gap_s / host.slots as f64 + host.sequence_step_s)
 }
 
@@ -263,7 +334,13 @@
 }
 
 /// A state is taken by a send or let go of within the limit whenever no attempt that wants it is out.
-fn pin<'a>(facts: &Facts, read: &'a Attempt, seen: &Seen, end: u64, pins: &mut Vec<(&'a Attempt, u64, u64)>) {
+fn pin<'a>(
+    facts: &Facts,
+    read: &'a Attempt,
+    seen: &Seen,
+    end: u64,
+    pins: &mut Vec<(&'a Attempt, u64, u64)>,
+) {
     let Some(mut free) = read.state else { return };
     let limit = us(facts.pin_limit_s + SLACK_S);
     let takes = |a: &&Attempt| a.kv().remote_request_id.as_deref() == Some(read.id.as_str());
@@ -298,7 +375,10 @@
         let here = |l: &Line| l.who == of.host && l.peer == of.peer && l.dir == "in";
         lines[begin..].iter().take_while(|l| l.t < to).any(here)
     };
-    let mut spans = facts.away.iter().filter(|(begin, end, _)| from < *end && *begin < to);
+    let mut spans = facts
+        .away
+        .iter()
+        .filter(|(begin, end, _)| from < *end && *begin < to);
     spans.any(|(begin, end, _)| {
         let late = us(facts.pin_limit_s + SLACK_S);
         begin.saturating_sub(from) <= late
@@ -309,10 +389,10 @@
 
 #[cfg(test)]
 mod tests {
+    use bitternlatch_mock_engine::capture::Line;
     use bitternlatch_protocol::engine::{
         encode, Chunk, CompletionRequest, FromEngine, KvTransferParams, ToEngine,
     };
-    use bitternlatch_mock_engine::capture::Line;
 
     use crate::{judge, Facts};
 
@@ -332,16 +412,41 @@
                 ..KvTransferParams::default()
             })
         };
-        let body = CompletionRequest { kv_transfer_params: kv(true), ..CompletionRequest::default() };
-        let state = Chunk { kv_transfer_params: kv(false), ..Chunk::default() };
+        let body = CompletionRequest {
+            kv_transfer_params: kv(true),
+            ..CompletionRequest::default()
+        };
+        let state = Chunk {
+            kv_transfer_params: kv(false),
+            ..Chunk::default()
+        };
         let lines = vec![
-            line(0, "in", encode(&ToEngine::Completion { id: "a".into(), body: Box::new(body) })),
-            line(1, "out", encode(&FromEngine::Chunk { id: "a".into(), body: state })),
+            line(
+                0,
+                "in",
+                encode(&ToEngine::Completion {
+                    id: "a".into(),
+                    body: Box::new(body),
+                }),
+            ),
+            line(
+                1,
+                "out",
+                encode(&FromEngine::Chunk {
+                    id: "a".into(),
+                    body: state,
+                }),
+            ),
             line(said_at_s, "in", encode(&ToEngine::Probe { id: 1 })),
             line(5, "in", encode(&ToEngine::Release { id: "a".into() })),
         ];
-        let away = pause_s.map(|(from, to)| (from * 1_000_000, to * 1_000_000, "dispatch-1".to_string()));
-        let facts = Facts { pin_limit_s: 1.0, away: away.into_iter().collect(), ..Facts::default() };
+        let away =
+            pause_s.map(|(from, to)| (from * 1_000_000, to * 1_000_000, "dispatch-1".to_string()));
+        let facts = Facts {
+            pin_limit_s: 1.0,
+            away: away.into_iter().collect(),
+            ..Facts::default()
+        };
         judge(&facts, Vec::new(), lines).breaches.len()
     }
 
@@ -349,8 +454,16 @@
     fn a_state_is_held_without_fault_by_a_dispatcher_that_stood_still_alone() {
         assert_eq!(breaches(None, 0), 1);
         assert_eq!(breaches(Some((1, 5)), 0), 0);
-        assert_eq!(breaches(Some((1, 5)), 3), 1, "its dispatcher did not stand still");
-        assert_eq!(breaches(Some((1, 3)), 0), 1, "it was held on after the pause");
+        assert_eq!(
+            breaches(Some((1, 5)), 3),
+            1,
+            "its dispatcher did not stand still"
+        );
+        assert_eq!(
+            breaches(Some((1, 3)), 0),
+            1,
+            "it was held on after the pause"
+        );
         assert_eq!(breaches(Some((3, 5)), 0), 1, "it was held before the pause");
     }
 }
--- a/programs/invariant-checker/src/lib.rs
+++ b/programs/invariant-checker/src/lib.rs
@@ -68,7 +68,11 @@
     }
 
     fn unsafe_marks(&self) -> impl Iterator<Item = String> + '_ {
-        let steps = self.effects.iter().enumerate().filter(|(_, effect)| *effect == "unsafe");
+        let steps = self
+            .effects
+            .iter()
+            .enumerate()
+            .filter(|(_, effect)| *effect == "unsafe");
         steps.map(|(i, _)| self.mark(i + 1))
     }
 }
@@ -179,10 +183,18 @@
     /// Number of breaches by rule, all rules named.
     pub fn by_rule(&self) -> BTreeMap<Rule, usize> {
         use Rule::*;
-        let five = [NoRequestLost, NoEffectTwice, DrainsKept, NoColdHostPushedOver, NothingLeftPinned];
+        let five = [
+            NoRequestLost,
+            NoEffectTwice,
+            DrainsKept,
+            NoColdHostPushedOver,
+            NothingLeftPinned,
+        ];
         let workflows = [WorkflowsEnd, NoResultLost, DoneOnce, FencedStays];
         let rules = five.into_iter().chain(workflows);
-        rules.map(|r| (r, self.breaches.iter().filter(|b| b.rule == r).count())).collect()
+        rules
+            .map(|r| (r, self.breaches.iter().filter(|b| b.rule == r).count()))
+            .collect()
     }
 }
 
@@ -190,7 +202,10 @@
 pub fn judge(facts: &Facts, mut clients: Vec<Line>, mut hosts: Vec<Line>) -> Verdict {
     clients.sort_by_key(|l| l.t);
     hosts.sort_by_key(|l| l.t);
-    let mut verdict = Verdict { frames: clients.len() + hosts.len(), ..Verdict::default() };
+    let mut verdict = Verdict {
+        frames: clients.len() + hosts.len(),
+        ..Verdict::default()
+    };
     let seen = hosts::Seen::of(&hosts);
     let tries = answers::judge(facts, &clients, &seen, &mut verdict);
     verdict.load = load::judge(facts, &tries, &hosts, &seen);
@@ -211,7 +226,11 @@
         let line = line.map_err(|e| format!("{shown}:{}: {e}", i + 1))?;
         serde_json::from_str(&line).map_err(|e| format!("{shown}:{}: {e}", i + 1))
     };
-    BufReader::new(file).lines().enumerate().map(parse).collect()
+    BufReader::new(file)
+        .lines()
+        .enumerate()
+        .map(parse)
+        .collect()
 }
 
 /// Judges a day's folder: `facts.json`, `clients.jsonl` and `hosts.jsonl`.
@@ -221,9 +240,14 @@
 pub fn judge_dir(dir: &Path) -> Result<Verdict, String> {
     let path = dir.join("facts.json");
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let facts: Facts = serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
+    let facts: Facts =
+        serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
     let clients = read_lines(&dir.join("clients.jsonl"))?;
-    Ok(judge(&facts, clients, read_lines(&dir.join("hosts.jsonl"))?))
+    Ok(judge(
+        &facts,
+        clients,
+        read_lines(&dir.join("hosts.jsonl"))?,
+    ))
 }
 
 /// The mark of the request that a prompt ends with.
