--- a/programs/invariant-checker/src/load.rs
+++ b/programs/invariant-checker/src/load.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bitternlatch_protocol::engine::{decode, ToEngine};
 use bitternlatch_mock_engine::capture::Line;
+use bitternlatch_protocol::engine::{decode, ToEngine};
 use serde::Serialize;
 
 use crate::answers::{Final, Try};
@@ -85,7 +85,10 @@
 /// A value of a sorted list; 0 of an empty one.
 pub fn quantile(sorted: &[f64], q: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
-    sorted.get((q * last as f64).round() as usize).copied().unwrap_or(0.0)
+    sorted
+        .get((q * last as f64).round() as usize)
+        .copied()
+        .unwrap_or(0.0)
 }
 
 fn seconds(from: u64, to: u64) -> f64 {
@@ -95,7 +98,9 @@
 pub(crate) fn judge(facts: &Facts, tries: &[Try], hosts: &[Line], seen: &Seen) -> Load {
     let mut load = Load::default();
     let mut by_mark: BTreeMap<&str, Vec<&Try>> = BTreeMap::new();
-    tries.iter().for_each(|t| by_mark.entry(&t.mark).or_default().push(t));
+    tries
+        .iter()
+        .for_each(|t| by_mark.entry(&t.mark).or_default().push(t));
     repeats(&mut load, seen, by_mark.len());
     probes(&mut load, hosts);
     parts(&mut load, facts, tries, &by_mark);
@@ -121,14 +126,19 @@
     }
     load.repeats = ratio(load.attempts, known.len());
     let of_five = |from: &u64| {
-        let (all, first) = by_s.range(*from..from + 5).fold((0, 0), |sum, (_, n)| (sum.0 + n.0, sum.1 + n.1));
+        let (all, first) = by_s
+            .range(*from..from + 5)
+            .fold((0, 0), |sum, (_, n)| (sum.0 + n.0, sum.1 + n.1));
         ratio(all, first)
     };
     load.repeats_worst = by_s.keys().map(of_five).fold(0.0, f64::max);
 }
 
 fn probes(load: &mut Load, hosts: &[Line]) {
-    let (first, last) = (hosts.first().map_or(0, |l| l.t), hosts.last().map_or(0, |l| l.t));
+    let (first, last) = (
+        hosts.first().map_or(0, |l| l.t),
+        hosts.last().map_or(0, |l| l.t),
+    );
     let mut by: BTreeMap<&str, BTreeMap<u64, usize>> = BTreeMap::new();
     let is_probe = |l: &&Line| {
         l.dir == "in"
@@ -136,12 +146,18 @@
             && matches!(decode::<ToEngine>(&l.text), Ok(ToEngine::Probe { .. }))
     };
     for line in hosts.iter().filter(is_probe) {
-        *by.entry(&line.who).or_default().entry(line.t / 1_000_000).or_default() += 1;
+        *by.entry(&line.who)
+            .or_default()
+            .entry(line.t / 1_000_000)
+            .or_default() += 1;
     }
     let day_s = seconds(first, last).max(1.0);
     for (host, by_s) in by {
         let mean = by_s.values().sum::<usize>() as f64 / day_s;
-        load.probes_per_s.insert(host.to_string(), (mean, by_s.values().copied().max().unwrap_or(0)));
+        load.probes_per_s.insert(
+            host.to_string(),
+            (mean, by_s.values().copied().max().unwrap_or(0)),
+        );
     }
 }
 
@@ -151,7 +167,9 @@
 
 /// The try of a request that was served, with its first token.
 fn served<'a>(tries: &[&'a Try]) -> Option<(&'a Try, u64)> {
-    let one = tries.iter().find(|t| t.finals.first().is_some_and(|f| f.1 == Final::Served))?;
+    let one = tries
+        .iter()
+        .find(|t| t.finals.first().is_some_and(|f| f.1 == Final::Served))?;
     Some((one, one.first?))
 }
 
@@ -159,27 +177,52 @@
 fn worth(class: &ClassFacts, tries: &[&Try]) -> (f64, f64) {
     let got = served(tries).map_or(0.0, |(_, first)| {
         let took = seconds(tries[0].t, first);
-        class.worth * if took <= aim_s(class, tries[0].tokens) { 1.0 } else { class.late_worth }
+        class.worth
+            * if took <= aim_s(class, tries[0].tokens) {
+                1.0
+            } else {
+                class.late_worth
+            }
     });
     (class.worth, got)
 }
 
 fn parts(load: &mut Load, facts: &Facts, tries: &[Try], by_mark: &BTreeMap<&str, Vec<&Try>>) {
-    let classes: BTreeMap<&str, &ClassFacts> = facts.classes.iter().map(|c| (c.name.as_str(), c)).collect();
-    let tenants: BTreeSet<&str> = tries.iter().map(|t| t.tenant.as_str()).filter(|t| !t.is_empty()).collect();
-    let names = tries.iter().map(|t| t.class.as_str()).collect::<BTreeSet<&str>>();
+    let classes: BTreeMap<&str, &ClassFacts> =
+        facts.classes.iter().map(|c| (c.name.as_str(), c)).collect();
+    let tenants: BTreeSet<&str> = tries
+        .iter()
+        .map(|t| t.tenant.as_str())
+        .filter(|t| !t.is_empty())
+        .collect();
+    let names = tries
+        .iter()
+        .map(|t| t.class.as_str())
+        .collect::<BTreeSet<&str>>();
     let of_class = names.into_iter().map(|c| (c.to_string(), true, c));
-    let of_tenant = tenants.into_iter().map(|t| (format!("tenant {t}"), false, t));
+    let of_tenant = tenants
+        .into_iter()
+        .map(|t| (format!("tenant {t}"), false, t));
     for (shown, by_class, name) in of_class.chain(of_tenant) {
-        let fits = |t: &Try| if by_class { t.class == name } else { t.tenant == name };
+        let fits = |t: &Try| {
+            if by_class {
+                t.class == name
+            } else {
+                t.tenant == name
+            }
+        };
         let mut part = Part::default();
         let (mut asked, mut got, mut took, mut whole, mut in_time) = (0.0, 0.0, vec![], vec![], 0);
         for tries in by_mark.values().filter(|tries| fits(tries[0])) {
-            let Some(class) = classes.get(tries[0].class.as_str()) else { continue };
+            let Some(class) = classes.get(tries[0].class.as_str()) else {
+                continue;
+            };
             part.asked += 1;
             let (worth, answered) = worth(class, tries);
             (asked, got) = (asked + worth, got + answered);
-            let Some((one, first)) = served(tries) else { continue };
+            let Some((one, first)) = served(tries) else {
+                continue;
+            };
             part.served += 1;
             took.push(seconds(one.t, first));
             whole.push(seconds(tries[0].t, first));
@@ -192,7 +235,8 @@
         took.sort_by(f64::total_cmp);
         whole.sort_by(f64::total_cmp);
         part.worth = if asked > 0.0 { got / asked } else { 0.0 };
-        (part.first_token_p50_s, part.first_token_p99_s) = (quantile(&took, 0.5), quantile(&took, 0.99));
+        (part.first_token_p50_s, part.first_token_p99_s) =
+            (quantile(&took, 0.5), quantile(&took, 0.99));
         part.from_first_try_p99_s = quantile(&whole, 0.99);
         part.within_aim = ratio(in_time, part.served);
         load.parts.insert(shown, part);
@@ -201,7 +245,11 @@
 
 fn level(one: &Try) -> String {
     let turn = if one.first_turn { "first" } else { "later" };
-    format!("{} {turn} {}", one.class, one.tokens.max(1).next_power_of_two())
+    format!(
+        "{} {turn} {}",
+        one.class,
+        one.tokens.max(1).next_power_of_two()
+    )
 }
 
 /// (refused, tries) by dispatcher, of tries that are alike by something.
@@ -210,7 +258,11 @@
 fn places<'a>(tries: &'a [Try], alike: impl Fn(&Try) -> String) -> Places<'a> {
     let mut at = Places::new();
     for one in tries {
-        let place = at.entry(alike(one)).or_default().entry(one.dispatcher()).or_default();
+        let place = at
+            .entry(alike(one))
+            .or_default()
+            .entry(one.dispatcher())
+            .or_default();
         *place = (place.0 + usize::from(one.is_refused()), place.1 + 1);
     }
     at
@@ -218,10 +270,15 @@
 
 fn spread(at: &Places) -> Option<f64> {
     let one = |by: &BTreeMap<&str, (usize, usize)>| {
-        let shares = by.values().filter(|n| n.1 >= COMPARED_FROM).map(|n| ratio(n.0, n.1));
+        let shares = by
+            .values()
+            .filter(|n| n.1 >= COMPARED_FROM)
+            .map(|n| ratio(n.0, n.1));
         let shares: Vec<f64> = shares.collect();
-        let (most, least) =
-            (shares.iter().copied().fold(0.0, f64::max), shares.iter().copied().fold(1.0, f64::min));
+        let (most, least) = (
+            shares.iter().copied().fold(0.0, f64::max),
+            shares.iter().copied().fold(1.0, f64::min),
+        );
         (shares.len() > 1).then_some(most - least)
     };
     at.values().filter_map(one).max_by(f64::total_cmp)
@@ -232,11 +289,17 @@
     load.refused_spread = spread(&by_level);
     load.refused_spread_of_class = spread(&places(tries, |t| t.class.clone()));
     for (level, by) in by_level {
-        let by = by.into_iter().map(|(name, n)| (name.to_string(), ratio(n.0, n.1))).collect();
+        let by = by
+            .into_iter()
+            .map(|(name, n)| (name.to_string(), ratio(n.0, n.1)))
+            .collect();
         load.refused_share.insert(level, by);
     }
-    let mut took: Vec<f64> =
-        tries.iter().filter(|t| t.is_refused()).map(|t| seconds(t.t, t.finals[0].0)).collect();
+    let mut took: Vec<f64> = tries
+        .iter()
+        .filter(|t| t.is_refused())
+        .map(|t| seconds(t.t, t.finals[0].0))
+        .collect();
     took.sort_by(f64::total_cmp);
     (load.refusal_p50_s, load.refusal_p99_s) = (quantile(&took, 0.5), quantile(&took, 0.99));
     for two in by_mark.values().flat_map(|tries| tries.windows(2)) {
@@ -249,10 +312,15 @@
 }
 
 fn goodput(load: &mut Load, facts: &Facts, by_mark: &BTreeMap<&str, Vec<&Try>>) {
-    let classes: BTreeMap<&str, &ClassFacts> = facts.classes.iter().map(|c| (c.name.as_str(), c)).collect();
-    let Some(begin) = by_mark.values().map(|tries| tries[0].t).min() else { return };
+    let classes: BTreeMap<&str, &ClassFacts> =
+        facts.classes.iter().map(|c| (c.name.as_str(), c)).collect();
+    let Some(begin) = by_mark.values().map(|tries| tries[0].t).min() else {
+        return;
+    };
     for tries in by_mark.values() {
-        let Some(class) = classes.get(tries[0].class.as_str()) else { continue };
+        let Some(class) = classes.get(tries[0].class.as_str()) else {
+            continue;
+        };
         let s = seconds(begin, tries[0].t) as usize;
         if load.asked_by_s.len() <= s {
             load.asked_by_s.resize(s + 1, 0.0);
@@ -263,7 +331,13 @@
         load.goodput_by_s[s] += got;
     }
     let recoveries = facts.troubles.iter().map(|(from, to, name)| {
-        recovery(&load.asked_by_s, &load.goodput_by_s, seconds(begin, *from), seconds(begin, *to), name)
+        recovery(
+            &load.asked_by_s,
+            &load.goodput_by_s,
+            seconds(begin, *from),
+            seconds(begin, *to),
+            name,
+        )
     });
     load.recoveries = recoveries.collect();
 }
@@ -275,7 +349,10 @@
 /// The last second of a day is part of one and does not count.
 fn recovery(asked: &[f64], got: &[f64], from_s: f64, to_s: f64, trouble: &str) -> Recovery {
     let last = got.len().saturating_sub(1);
-    let (from, to) = ((from_s as usize).min(last), (to_s.ceil() as usize).min(last));
+    let (from, to) = (
+        (from_s as usize).min(last),
+        (to_s.ceil() as usize).min(last),
+    );
     let before = mean(&got[from.saturating_sub(BEFORE_S)..from]);
     let back = (to..last.saturating_sub(WINDOW_S - 1)).find(|s| {
         let window = *s..s + WINDOW_S;
@@ -301,7 +378,9 @@
             "attempts {} ({:.2} a request asked), repeats {:.3} (worst five seconds {:.2}); probes a host {:.2}/s at the most",
             self.attempts, self.attempts_per_asked, self.repeats, self.repeats_worst, self.probes_most()
         )];
-        let shown = |spread: Option<f64>| spread.map_or("not comparable".to_string(), |s| format!("{s:.3}"));
+        let shown = |spread: Option<f64>| {
+            spread.map_or("not comparable".to_string(), |s| format!("{s:.3}"))
+        };
         lines.push(format!(
             "refusals after {:.0} ms p50, {:.0} ms p99; share differs between dispatchers by {} in a class, by {} in a level; \
              refused again elsewhere {} of {}",
@@ -328,8 +407,13 @@
             )
         }));
         lines.extend(self.recoveries.iter().map(|r| {
-            let back = r.back_after_s.map_or("not back".to_string(), |s| format!("back after {s:.1} s"));
-            format!("{:<20} goodput {:.1}/s before, {:.1}/s during, {back}", r.trouble, r.before, r.during)
+            let back = r
+                .back_after_s
+                .map_or("not back".to_string(), |s| format!("back after {s:.1} s"));
+            format!(
+                "{:<20} goodput {:.1}/s before, {:.1}/s during, {back}",
+                r.trouble, r.before, r.during
+            )
         }));
         lines
     }
@@ -337,15 +421,21 @@
 
 #[cfg(test)]
 mod tests {
-    use bitternlatch_protocol::engine::{encode, CompletionRequest, KvTransferParams, ToEngine};
     use bitternlatch_mock_engine::capture::Line;
+    use bitternlatch_protocol::engine::{encode, CompletionRequest, KvTransferParams, ToEngine};
     use serde_json::{json, Value};
 
     use super::recovery;
     use crate::{judge, ClassFacts, Facts};
 
     fn line(t_ms: u64, who: &str, peer: &str, dir: &str, text: String) -> Line {
-        Line { t: 1_000 * (100_000 + t_ms), who: who.into(), peer: peer.into(), dir: dir.into(), text }
+        Line {
+            t: 1_000 * (100_000 + t_ms),
+            who: who.into(),
+            peer: peer.into(),
+            dir: dir.into(),
+            text,
+        }
     }
 
     #[test]
@@ -385,13 +475,25 @@
             ),
         ];
         let run = |t_ms, id: &str, read: bool| {
-            let kv = KvTransferParams { do_remote_decode: read, ..KvTransferParams::default() };
+            let kv = KvTransferParams {
+                do_remote_decode: read,
+                ..KvTransferParams::default()
+            };
             let body = CompletionRequest {
                 prompt: "[req=1.0]".into(),
                 kv_transfer_params: Some(kv),
                 ..CompletionRequest::default()
             };
-            line(t_ms, "h", "1", "in", encode(&ToEngine::Completion { id: id.into(), body: Box::new(body) }))
+            line(
+                t_ms,
+                "h",
+                "1",
+                "in",
+                encode(&ToEngine::Completion {
+                    id: id.into(),
+                    body: Box::new(body),
+                }),
+            )
         };
         let probe = |t_ms| line(t_ms, "h", "1", "in", encode(&ToEngine::Probe { id: 1 }));
         let hosts = vec![
@@ -411,7 +513,15 @@
             ttft_aim_s: 1.0,
             ttft_aim_ms_per_1000_tokens: 0.0,
         };
-        let load = judge(&Facts { classes: vec![class], ..Facts::default() }, clients, hosts).load;
+        let load = judge(
+            &Facts {
+                classes: vec![class],
+                ..Facts::default()
+            },
+            clients,
+            hosts,
+        )
+        .load;
         assert_eq!(
             (load.attempts, load.attempts_per_asked, load.repeats),
             (3, 3.0, 1.5),
@@ -421,8 +531,18 @@
         assert_eq!((load.roamed, load.roamed_refused), (1, 0));
         assert_eq!(load.refusal_p99_s, 0.02);
         let part = &load.parts["q"];
-        assert_eq!((part.asked, part.served, part.tries, part.refused), (1, 1, 2, 1));
-        assert_eq!((part.first_token_p50_s, part.from_first_try_p99_s, part.within_aim), (0.3, 1.3, 1.0));
+        assert_eq!(
+            (part.asked, part.served, part.tries, part.refused),
+            (1, 1, 2, 1)
+        );
+        assert_eq!(
+            (
+                part.first_token_p50_s,
+                part.from_first_try_p99_s,
+                part.within_aim
+            ),
+            (0.3, 1.3, 1.0)
+        );
         assert_eq!(part.worth, 0.5, "late by its first try");
         assert_eq!(load.parts["tenant north"], *part);
         assert_eq!((load.asked_by_s, load.goodput_by_s), (vec![2.0], vec![1.0]));
--- a/programs/invariant-checker/src/main.rs
+++ b/programs/invariant-checker/src/main.rs
@@ -36,10 +36,21 @@
             serde_json::json!({ "breaches": verdict.breaches, "service": verdict.service, "load": verdict.load })
         );
     } else {
-        verdict.by_rule().iter().for_each(|(rule, n)| println!("{rule:?}: {n} breaches"));
-        verdict.breaches.iter().take(20).for_each(|b| println!("  {:?} at {} us: {}", b.rule, b.t, b.what));
+        verdict
+            .by_rule()
+            .iter()
+            .for_each(|(rule, n)| println!("{rule:?}: {n} breaches"));
+        verdict
+            .breaches
+            .iter()
+            .take(20)
+            .for_each(|b| println!("  {:?} at {} us: {}", b.rule, b.t, b.what));
         println!("{:?} from {} frames", verdict.service, verdict.frames);
-        verdict.load.lines().iter().for_each(|line| println!("{line}"));
+        verdict
+            .load
+            .lines()
+            .iter()
+            .for_each(|line| println!("{line}"));
     }
     ExitCode::from(u8::from(!verdict.breaches.is_empty()))
 }
--- a/programs/invariant-checker/tests/workflows.rs
+++ b/programs/invariant-checker/tests/workflows.rs
@@ -15,16 +15,32 @@
 }
 
 fn line(t: u64, who: &str, peer: &str, dir: &str, text: &Value) -> Line {
-    Line { t, who: who.into(), peer: peer.into(), dir: dir.into(), text: text.to_string() }
+    Line {
+        t,
+        who: who.into(),
+        peer: peer.into(),
+        dir: dir.into(),
+        text: text.to_string(),
+    }
 }
 
 impl Scene {
     /// A worker asks; the answer is heard 10 ms later, where there is one.
-    fn ask(&mut self, t: u64, who: &str, meta: Value, input: &str, answer: Option<Result<&str, &str>>) {
+    fn ask(
+        &mut self,
+        t: u64,
+        who: &str,
+        meta: Value,
+        input: &str,
+        answer: Option<Result<&str, &str>>,
+    ) {
         self.tries += 1;
         let name = format!("{who}-{}", self.tries);
         let mut metadata = json!({ "workflow": "w", "try": name, "class": "c" });
-        metadata.as_object_mut().expect("an object").extend(meta.as_object().expect("an object").clone());
+        metadata
+            .as_object_mut()
+            .expect("an object")
+            .extend(meta.as_object().expect("an object").clone());
         let peer = format!("dispatch-1#{who}");
         let create = json!({ "type": "response.create", "model": "m", "input": input, "metadata": metadata });
         self.clients.push(line(t, who, &peer, "out", &create));
@@ -35,28 +51,51 @@
                 "type": "message", "role": "assistant", "status": "completed", "content": [
                 { "type": "output_text", "text": text, "annotations": [] } ] } ] } })
         };
-        self.clients.push(line(t, who, &peer, "in", &response("response.created", "in_progress", "")));
+        self.clients.push(line(
+            t,
+            who,
+            &peer,
+            "in",
+            &response("response.created", "in_progress", ""),
+        ));
         let event = match answer {
             None => return,
             Some(Ok(text)) => response("response.completed", "completed", text),
             Some(Err(code)) => json!({ "type": "error", "status": 503, "error": { "code": code,
                 "retry_after_ms": 100, "metadata": metadata } }),
         };
-        self.clients.push(line(t + 10 * MS, who, &peer, "in", &event));
+        self.clients
+            .push(line(t + 10 * MS, who, &peer, "in", &event));
     }
 
     fn claim(&mut self, t: u64, who: &str, epoch: u64, steps: &[(u32, &str)]) {
-        let steps: Vec<Value> =
-            steps.iter().map(|(n, r)| json!({ "number": n, "fate": "done", "result": r })).collect();
+        let steps: Vec<Value> = steps
+            .iter()
+            .map(|(n, r)| json!({ "number": n, "fate": "done", "result": r }))
+            .collect();
         let granted = json!({ "epoch": epoch, "context": "", "steps": steps }).to_string();
-        self.ask(t, who, json!({ "workflow_do": "claim" }), "x", Some(Ok(&granted)));
+        self.ask(
+            t,
+            who,
+            json!({ "workflow_do": "claim" }),
+            "x",
+            Some(Ok(&granted)),
+        );
     }
 
     /// A step; `ran` sends it to the host 1 ms after it was asked.
-    fn step(&mut self, t: u64, who: &str, at: (u64, u32), ran: bool, answer: Option<Result<&str, &str>>) {
+    fn step(
+        &mut self,
+        t: u64,
+        who: &str,
+        at: (u64, u32),
+        ran: bool,
+        answer: Option<Result<&str, &str>>,
+    ) {
         let (epoch, step) = at;
         let input = format!("words [req=w.{step}]");
-        let meta = json!({ "workflow_step": step.to_string(), "workflow_epoch": epoch.to_string() });
+        let meta =
+            json!({ "workflow_step": step.to_string(), "workflow_epoch": epoch.to_string() });
         self.ask(t, who, meta, &input, answer);
         if ran {
             self.run(t + MS, self.tries, step, Some("k"));
@@ -90,7 +129,10 @@
         let effects = ["safe", "keyed", "unsafe"].map(str::to_string).to_vec();
         let facts = Facts {
             classes: vec![class],
-            workflows: vec![WorkflowFacts { name: "w".into(), effects }],
+            workflows: vec![WorkflowFacts {
+                name: "w".into(),
+                effects,
+            }],
             lease_s: 3.0,
             ..Facts::default()
         };
@@ -134,25 +176,59 @@
     lacks.end(100 * MS, "a", 1, Ok("{}"));
     assert_eq!(lacks.rules(), [Rule::WorkflowsEnd]);
     let mut parked = good();
-    parked.ask(5000 * MS, "a", json!({ "workflow_do": "claim" }), "x", Some(Err("workflow_parked")));
-    assert_eq!(parked.rules(), [Rule::WorkflowsEnd], "two workers alone had it");
+    parked.ask(
+        5000 * MS,
+        "a",
+        json!({ "workflow_do": "claim" }),
+        "x",
+        Some(Err("workflow_parked")),
+    );
+    assert_eq!(
+        parked.rules(),
+        [Rule::WorkflowsEnd],
+        "two workers alone had it"
+    );
     let mut lost_answer = good();
-    lost_answer.ask(4300 * MS, "b", json!({ "workflow_do": "finish", "workflow_epoch": "2" }), "x", None);
-    lost_answer.ask(4400 * MS, "a", json!({ "workflow_do": "claim" }), "x", Some(Err("workflow_ended")));
+    lost_answer.ask(
+        4300 * MS,
+        "b",
+        json!({ "workflow_do": "finish", "workflow_epoch": "2" }),
+        "x",
+        None,
+    );
+    lost_answer.ask(
+        4400 * MS,
+        "a",
+        json!({ "workflow_do": "claim" }),
+        "x",
+        Some(Err("workflow_ended")),
+    );
     assert!(!lost_answer.rules().contains(&Rule::WorkflowsEnd));
 }
 
 #[test]
 fn unsettled_is_honest_only_where_an_unsafe_step_may_have_run() {
     let told = |s: &mut Scene| {
-        s.ask(9000 * MS, "b", json!({ "workflow_do": "claim" }), "x", Some(Err("workflow_unsettled")));
+        s.ask(
+            9000 * MS,
+            "b",
+            json!({ "workflow_do": "claim" }),
+            "x",
+            Some(Err("workflow_unsettled")),
+        );
     };
     let mut dishonest = good();
     told(&mut dishonest);
     assert_eq!(dishonest.rules(), [Rule::WorkflowsEnd]);
     let mut honest = Scene::default();
     honest.claim(0, "a", 1, &[]);
-    honest.step(100 * MS, "a", (1, 3), true, Some(Err("workflow_no_majority")));
+    honest.step(
+        100 * MS,
+        "a",
+        (1, 3),
+        true,
+        Some(Err("workflow_no_majority")),
+    );
     told(&mut honest);
     assert_eq!(honest.judge(), []);
 }
@@ -167,7 +243,10 @@
     assert_eq!(again.judge(), [], "the same key may come again");
     let mut twice = finished();
     twice.run(4205 * MS, 90, 3, Some("k"));
-    assert!(twice.judge().iter().all(|b| b.rule == Rule::NoEffectTwice), "before its result was told");
+    assert!(
+        twice.judge().iter().all(|b| b.rule == Rule::NoEffectTwice),
+        "before its result was told"
+    );
     let mut twice = finished();
     twice.run(4205 * MS, 90, 3, Some("k"));
     assert!(!twice.judge().is_empty());
@@ -192,11 +271,20 @@
         let mut s = finished();
         let granted = json!({ "epoch": 3, "context": context, "steps": [{ "number": 3, "fate": "done",
             "result": "r3" }] });
-        s.ask(5000 * MS, "a", json!({ "workflow_do": "claim" }), "x", Some(Ok(&granted.to_string())));
+        s.ask(
+            5000 * MS,
+            "a",
+            json!({ "workflow_do": "claim" }),
+            "x",
+            Some(Ok(&granted.to_string())),
+        );
         s.rules()
     };
     assert_eq!(claim("2 steps done earlier\n1: r1\n2: r2\n"), []);
-    assert_eq!(claim("2 steps done earlier\n1: r1\n12: r2\n"), [Rule::NoResultLost]);
+    assert_eq!(
+        claim("2 steps done earlier\n1: r1\n12: r2\n"),
+        [Rule::NoResultLost]
+    );
 }
 
 #[test]
@@ -206,7 +294,11 @@
     assert_eq!(safe.rules(), [Rule::DoneOnce]);
     let mut under_way = finished();
     under_way.run(2000 * MS, 90, 1, Some("k"));
-    assert_eq!(under_way.judge(), [], "permitted before, and repeated at no cost");
+    assert_eq!(
+        under_way.judge(),
+        [],
+        "permitted before, and repeated at no cost"
+    );
     let mut unsafe_one = finished();
     unsafe_one.run(4300 * MS, 90, 3, Some("k"));
     assert!(unsafe_one.rules().contains(&Rule::DoneOnce));
--- a/programs/inventory-check/src/main.rs
+++ b/programs/inventory-check/src/main.rs
@@ -63,16 +63,24 @@
         true => None,
         false => Some(format!("{what} {}", names.join(", "))),
     };
-    let parts = [part("adds", &d.added), part("lacks", &d.removed), part("changes", &d.changed)];
+    let parts = [
+        part("adds", &d.added),
+        part("lacks", &d.removed),
+        part("changes", &d.changed),
+    ];
     parts.into_iter().flatten().collect::<Vec<_>>().join("; ")
 }
 
 fn print(hosts: &HostSet, json: bool) {
     if json {
-        let with_ids: BTreeMap<&str, (u32, &Host)> =
-            hosts.iter().map(|(n, h)| (n.as_str(), (h.id(), h))).collect();
-        let list: Vec<serde_json::Value> =
-            with_ids.values().map(|(id, host)| serde_json::json!({ "id": id, "host": host })).collect();
+        let with_ids: BTreeMap<&str, (u32, &Host)> = hosts
+            .iter()
+            .map(|(n, h)| (n.as_str(), (h.id(), h)))
+            .collect();
+        let list: Vec<serde_json::Value> = with_ids
+            .values()
+            .map(|(id, host)| serde_json::json!({ "id": id, "host": host }))
+            .collect();
         println!("{:#}", serde_json::Value::Array(list));
         return;
     }
--- a/programs/keys/src/authority.rs
+++ b/programs/keys/src/authority.rs
@@ -7,8 +7,9 @@
 use std::path::{Path, PathBuf};
 
 use rcgen::{
-    BasicConstraints, CertificateParams, CertificateRevocationListParams, DnType, ExtendedKeyUsagePurpose,
-    IsCa, Issuer, KeyIdMethod, KeyPair, KeyUsagePurpose, RevokedCertParams, SanType, SerialNumber,
+    BasicConstraints, CertificateParams, CertificateRevocationListParams, DnType,
+    ExtendedKeyUsagePurpose, IsCa, Issuer, KeyIdMethod, KeyPair, KeyUsagePurpose,
+    RevokedCertParams, SanType, SerialNumber,
 };
 use ring::rand::{SecureRandom, SystemRandom};
 use time::{Duration, OffsetDateTime};
@@ -73,7 +74,10 @@
         let certificate = params.self_signed(&key).map_err(fault)?;
         put(&dir.join("authority.key"), &key.serialize_pem(), true)?;
         put(&dir.join("authority.pem"), &certificate.pem(), false)?;
-        let made = Authority { dir: dir.to_path_buf(), issuer: Issuer::new(params, key) };
+        let made = Authority {
+            dir: dir.to_path_buf(),
+            issuer: Issuer::new(params, key),
+        };
         made.list(&BTreeMap::new(), now)?;
         Ok(made)
     }
@@ -89,7 +93,10 @@
         };
         let key = KeyPair::from_pem(&read("authority.key")?).map_err(fault)?;
         let issuer = Issuer::from_ca_cert_pem(&read("authority.pem")?, key).map_err(fault)?;
-        Ok(Authority { dir: dir.to_path_buf(), issuer })
+        Ok(Authority {
+            dir: dir.to_path_buf(),
+            issuer,
+        })
     }
 
     /// A new key with a certificate for it.
@@ -99,7 +106,9 @@
     pub fn issue(&self, wanted: &Wanted) -> Result<Issued, Fault> {
         let key = KeyPair::generate().map_err(fault)?;
         let mut params = CertificateParams::new(wanted.dns.clone()).map_err(fault)?;
-        params.subject_alt_names.extend(wanted.ips.iter().map(|ip| SanType::IpAddress(*ip)));
+        params
+            .subject_alt_names
+            .extend(wanted.ips.iter().map(|ip| SanType::IpAddress(*ip)));
         if let Some(uri) = &wanted.uri {
             let uri = uri.as_str().try_into().map_err(fault)?;
             params.subject_alt_names.push(SanType::URI(uri));
@@ -107,22 +116,31 @@
         params.distinguished_name = rcgen::DistinguishedName::new();
         // One unit a certificate is what the library writes; callers of several groups have a rule by name.
         if let Some(group) = wanted.groups.first() {
-            params.distinguished_name.push(DnType::OrganizationalUnitName, group.as_str());
+            params
+                .distinguished_name
+                .push(DnType::OrganizationalUnitName, group.as_str());
         }
         if wanted.groups.len() > 1 {
             return Err("a certificate holds one group".to_string());
         }
         let mut serial = [0; 16];
-        SystemRandom::new().fill(&mut serial).map_err(|_| "no randomness")?;
+        SystemRandom::new()
+            .fill(&mut serial)
+            .map_err(|_| "no randomness")?;
         // Positive, and never with a leading zero byte.
         serial[0] = serial[0] & 0x7f | 0x40;
         params.serial_number = Some(SerialNumber::from_slice(&serial));
         params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
-        params.extended_key_usages =
-            vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
+        params.extended_key_usages = vec![
+            ExtendedKeyUsagePurpose::ServerAuth,
+            ExtendedKeyUsagePurpose::ClientAuth,
+        ];
         (params.not_before, params.not_after) = (at(wanted.begins)?, at(wanted.ends)?);
         let certificate = params.signed_by(&key, &self.issuer).map_err(fault)?;
-        Ok(Issued { certificate: certificate.pem(), key: key.serialize_pem() })
+        Ok(Issued {
+            certificate: certificate.pem(),
+            key: key.serialize_pem(),
+        })
     }
 
     /// Writes what was issued as `NAME.pem` and, for its owner alone, `NAME.key`.
@@ -147,9 +165,14 @@
         if parsed.verify_signature(Some(own.public_key())).is_err() {
             return Err("the certificate is another authority's".to_string());
         }
-        let serial: String = parsed.raw_serial().iter().map(|b| format!("{b:02x}")).collect();
+        let serial: String = parsed
+            .raw_serial()
+            .iter()
+            .map(|b| format!("{b:02x}"))
+            .collect();
         let path = self.dir.join("revoked.json");
-        let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
+        let text =
+            std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         let mut revoked: BTreeMap<String, u64> =
             serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
         revoked.entry(serial).or_insert(now);
@@ -158,7 +181,11 @@
 
     fn list(&self, revoked: &BTreeMap<String, u64>, now: u64) -> Result<(), Fault> {
         let entry = |(serial, when): (&String, &u64)| -> Result<RevokedCertParams, Fault> {
-            let byte = |i: usize| serial.get(i..i + 2).and_then(|s| u8::from_str_radix(s, 16).ok());
+            let byte = |i: usize| {
+                serial
+                    .get(i..i + 2)
+                    .and_then(|s| u8::from_str_radix(s, 16).ok())
+            };
             let bytes: Option<Vec<u8>> = (0..serial.len()).step_by(2).map(byte).collect();
             Ok(RevokedCertParams {
                 serial_number: SerialNumber::from_slice(&bytes.ok_or("a damaged serial number")?),
@@ -178,6 +205,10 @@
         let list = params.signed_by(&self.issuer).map_err(fault)?;
         let text = serde_json::to_string_pretty(revoked).map_err(|e| e.to_string())?;
         put(&self.dir.join("revoked.json"), &text, false)?;
-        put(&self.dir.join("revoked.pem"), &list.pem().map_err(fault)?, false)
+        put(
+            &self.dir.join("revoked.pem"),
+            &list.pem().map_err(fault)?,
+            false,
+        )
     }
 }
--- a/programs/keys/src/lib.rs
+++ b/programs/keys/src/lib.rs
@@ -37,7 +37,9 @@
 
 impl RingKey {
     fn pair(&self) -> Result<Ed25519KeyPair, Fault> {
-        let der = B64.decode(&self.secret).map_err(|_| format!("key '{}' is damaged", self.id))?;
+        let der = B64
+            .decode(&self.secret)
+            .map_err(|_| format!("key '{}' is damaged", self.id))?;
         Ed25519KeyPair::from_pkcs8(&der).map_err(|_| format!("key '{}' is damaged", self.id))
     }
 }
@@ -77,7 +79,13 @@
         let made = Ed25519KeyPair::generate_pkcs8(&rng).map_err(|_| "no key could be made")?;
         let id = B64.encode(id);
         let secret = B64.encode(made.as_ref());
-        self.keys.push(RingKey { id: id.clone(), secret, not_before, ends: None, revoked_at: None });
+        self.keys.push(RingKey {
+            id: id.clone(),
+            secret,
+            not_before,
+            ends: None,
+            revoked_at: None,
+        });
         Ok(id)
     }
 
@@ -98,15 +106,20 @@
     /// # Errors
     /// A key that is not in the ring.
     pub fn withdraw(&mut self, id: &str, now: u64) -> Result<(), Fault> {
-        let key = self.keys.iter_mut().find(|k| k.id == id).ok_or(format!("no key has the id '{id}'"))?;
+        let key = self
+            .keys
+            .iter_mut()
+            .find(|k| k.id == id)
+            .ok_or(format!("no key has the id '{id}'"))?;
         key.revoked_at.get_or_insert(now);
         Ok(())
     }
 
     /// The key that signs at a time: the newest that counts.
     pub fn signing(&self, now: u64) -> Option<&RingKey> {
-        let live =
-            |k: &&RingKey| k.not_before <= now && k.ends.is_none_or(|e| now < e) && k.revoked_at.is_none();
+        let live = |k: &&RingKey| {
+            k.not_before <= now && k.ends.is_none_or(|e| now < e) && k.revoked_at.is_none()
+        };
         self.keys.iter().filter(live).max_by_key(|k| k.not_before)
     }
 
@@ -146,7 +159,11 @@
     /// A damaged key.
     pub fn sign_with(key: &RingKey, claims: &serde_json::Value) -> Result<String, Fault> {
         let header = json!({ "alg": "EdDSA", "kid": key.id, "typ": "JWT" });
-        let message = format!("{}.{}", B64.encode(header.to_string()), B64.encode(claims.to_string()));
+        let message = format!(
+            "{}.{}",
+            B64.encode(header.to_string()),
+            B64.encode(claims.to_string())
+        );
         let signature = key.pair()?.sign(message.as_bytes());
         Ok(format!("{message}.{}", B64.encode(signature)))
     }
@@ -159,8 +176,14 @@
     let beside = path.with_extension("new");
     let _ = std::fs::remove_file(&beside);
     let mode = if private { 0o600 } else { 0o644 };
-    let mut file =
-        std::fs::OpenOptions::new().write(true).create_new(true).mode(mode).open(&beside).map_err(fail)?;
-    file.write_all(text.as_bytes()).and_then(|()| file.sync_all()).map_err(fail)?;
+    let mut file = std::fs::OpenOptions::new()
+        .write(true)
+        .create_new(true)
+        .mode(mode)
+        .open(&beside)
+        .map_err(fail)?;
+    file.write_all(text.as_bytes())
+        .and_then(|()| file.sync_all())
+        .map_err(fail)?;
     std::fs::rename(&beside, path).map_err(fail)
 }
--- a/programs/keys/src/main.rs
+++ b/programs/keys/src/main.rs
@@ -113,8 +113,18 @@
 }
 
 fn run(args: &Args) -> Result<u8, String> {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
-    if let What::May { rights, caller, group, class, model } = &args.what {
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs();
+    if let What::May {
+        rights,
+        caller,
+        group,
+        class,
+        model,
+    } = &args.what
+    {
         return may(rights, caller, group, class, model);
     }
     if let Some(done) = certificates(&args.what, now) {
@@ -124,10 +134,19 @@
     match &args.what {
         What::Make => println!("{}", ring.announce(now)?),
         What::Announce { notice_s } => println!("{}", ring.announce(now + notice_s)?),
-        What::Rotate { notice_s, overlap_s } => println!("{}", ring.rotate(now, *notice_s, *overlap_s)?),
+        What::Rotate {
+            notice_s,
+            overlap_s,
+        } => println!("{}", ring.rotate(now, *notice_s, *overlap_s)?),
         What::Withdraw { id } => ring.withdraw(id, now)?,
         What::Show => return show(&ring, now),
-        What::Token { issuer, audience, caller, group, for_s } => {
+        What::Token {
+            issuer,
+            audience,
+            caller,
+            group,
+            for_s,
+        } => {
             let claims = serde_json::json!({ "iss": issuer, "aud": audience, "sub": caller, "groups": group,
                 "exp": now + for_s });
             println!("{}", ring.sign(now, &claims)?);
@@ -147,7 +166,15 @@
     };
     Some(match what {
         What::Authority { dir, name } => Authority::make(dir, name, now).map(|_| ()),
-        What::Certify { dir, name, dns, ip, caller, group, days } => {
+        What::Certify {
+            dir,
+            name,
+            dns,
+            ip,
+            caller,
+            group,
+            days,
+        } => {
             let wanted = Wanted {
                 dns: dns.clone(),
                 ips: ip.clone(),
@@ -170,7 +197,9 @@
 fn show(ring: &Ring, now: u64) -> Result<u8, String> {
     let set = KeySet::parse(ring.document()?.as_bytes()).map_err(|e| e.to_string())?;
     for key in &ring.keys {
-        let ends = key.ends.map_or("no end".to_string(), |e| format!("ends at {e}"));
+        let ends = key
+            .ends
+            .map_or("no end".to_string(), |e| format!("ends at {e}"));
         println!(
             "{} {:?}, signs from {}, {ends}",
             key.id,
@@ -181,7 +210,13 @@
     Ok(0)
 }
 
-fn may(rights: &PathBuf, caller: &str, groups: &[String], class: &str, model: &str) -> Result<u8, String> {
+fn may(
+    rights: &PathBuf,
+    caller: &str,
+    groups: &[String],
+    class: &str,
+    model: &str,
+) -> Result<u8, String> {
     let shown = rights.display();
     let text = std::fs::read_to_string(rights).map_err(|e| format!("{shown}: {e}"))?;
     let rights = Rights::parse(&text).map_err(|e| format!("{shown}: {e}"))?;
@@ -193,7 +228,15 @@
         ends: 0,
         proof: Proof::Token,
     };
-    match rights.may(&caller, &Wish { class, model, max_output_tokens: None, tenant: None }) {
+    match rights.may(
+        &caller,
+        &Wish {
+            class,
+            model,
+            max_output_tokens: None,
+            tenant: None,
+        },
+    ) {
         Ok(grant) => {
             println!(
                 "yes: rule '{}', tenant '{}', {} output tokens at the most",
--- a/programs/mock-engine/src/capture.rs
+++ b/programs/mock-engine/src/capture.rs
@@ -30,7 +30,10 @@
 }
 
 pub fn unix_us() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_micros() as u64
 }
 
 impl Capture {
@@ -61,7 +64,9 @@
             }
             file.flush()
         };
-        std::thread::Builder::new().name("capture".into()).spawn(write)?;
+        std::thread::Builder::new()
+            .name("capture".into())
+            .spawn(write)?;
         Ok(capture)
     }
 
@@ -80,7 +85,13 @@
     pub fn put(&self, who: &str, peer: impl ToString, dir: &str, text: &str) {
         if let Some(lines) = &self.lines {
             let (who, dir, text) = (who.to_string(), dir.to_string(), text.to_string());
-            let _ = lines.send(Line { t: unix_us(), who, peer: peer.to_string(), dir, text });
+            let _ = lines.send(Line {
+                t: unix_us(),
+                who,
+                peer: peer.to_string(),
+                dir,
+                text,
+            });
         }
     }
 }
--- a/programs/mock-engine/src/config.rs
+++ b/programs/mock-engine/src/config.rs
@@ -100,7 +100,12 @@
 
 impl Default for Cold {
     fn default() -> Self {
-        Cold { start_capacity: 0.25, warm_after_s: 14.0, overload_factor: 2.5, window_s: 3.0 }
+        Cold {
+            start_capacity: 0.25,
+            warm_after_s: 14.0,
+            overload_factor: 2.5,
+            window_s: 3.0,
+        }
     }
 }
 
@@ -180,8 +185,9 @@
     pub fn parse(text: &str) -> Result<Config, String> {
         let config: Config = toml::from_str(text).map_err(|e| e.to_string())?;
         for host in &config.hosts {
-            let advice =
-                |e: bitternlatch_engine::EngineError| format!("host '{}': {e}; {}", host.name, e.advice());
+            let advice = |e: bitternlatch_engine::EngineError| {
+                format!("host '{}': {e}; {}", host.name, e.advice())
+            };
             host.constants().check().map_err(advice)?;
         }
         for fault in &config.faults {
--- a/programs/mock-engine/src/host.rs
+++ b/programs/mock-engine/src/host.rs
@@ -70,7 +70,11 @@
         let (troubles, wakes) = (std::mem::take(&mut self.troubles), self.wakes);
         // These constants made an engine before.
         if let Ok(fresh) = Host::new(self.config.clone()) {
-            *self = Host { troubles, wakes, ..fresh };
+            *self = Host {
+                troubles,
+                wakes,
+                ..fresh
+            };
         }
     }
 
@@ -91,7 +95,11 @@
     /// Takes offered work into account; true when it is pushed over.
     pub(crate) fn pushed_over(&mut self, cold: &Cold, now: f64, seconds: f64) -> bool {
         self.offered.push_back((now, seconds));
-        while self.offered.front().is_some_and(|o| now - o.0 > cold.window_s) {
+        while self
+            .offered
+            .front()
+            .is_some_and(|o| now - o.0 > cold.window_s)
+        {
             self.offered.pop_front();
         }
         let sum: f64 = self.offered.iter().map(|o| o.1).sum();
@@ -114,12 +122,19 @@
 
     /// The read state that a dispatcher's request left here.
     pub(crate) fn state(&self, name: &str) -> Option<Id> {
-        self.names.get(name).copied().filter(|id| self.engine.holds(*id))
+        self.names
+            .get(name)
+            .copied()
+            .filter(|id| self.engine.holds(*id))
     }
 
     /// Seconds of a warm host with all slots in use that a request stands for.
     pub(crate) fn work_s(&self, prompt: &Prompt, reads: bool, out: u32) -> f64 {
-        let new = if reads { prompt.tokens - self.engine.known_tokens(prompt) } else { 0 };
+        let new = if reads {
+            prompt.tokens - self.engine.known_tokens(prompt)
+        } else {
+            0
+        };
         new as f64 / self.config.read_tokens_per_s + f64::from(out) * self.config.token_share_s()
     }
 
@@ -135,27 +150,45 @@
         let said = [
             ("num_requests_running", facts.running as f64),
             ("num_requests_waiting", facts.waiting as f64),
-            ("slots_used_perc", share(facts.slots_used, self.config.slots)),
-            ("kv_cache_usage_perc", share(facts.used_blocks, facts.memory_blocks)),
+            (
+                "slots_used_perc",
+                share(facts.slots_used, self.config.slots),
+            ),
+            (
+                "kv_cache_usage_perc",
+                share(facts.used_blocks, facts.memory_blocks),
+            ),
             ("num_preemptions", facts.preemptions as f64),
         ];
-        Some(said.into_iter().map(|(name, value)| (name.to_string(), sign * value)).collect())
+        Some(
+            said.into_iter()
+                .map(|(name, value)| (name.to_string(), sign * value))
+                .collect(),
+        )
     }
 }
 
 /// A prompt as its engine takes it: each whole block has a mark that stands for all before it too.
 pub(crate) fn prompt(text: &str) -> Prompt {
     let mut mark = 0;
-    let marks = text.as_bytes().chunks_exact(BLOCK_TOKENS as usize * 4).map(|block| {
-        mark = xxhash_rust::xxh3::xxh3_64_with_seed(block, mark);
-        mark
-    });
-    Prompt { tokens: u64::from(tokens_of(text.len())), marks: marks.collect() }
+    let marks = text
+        .as_bytes()
+        .chunks_exact(BLOCK_TOKENS as usize * 4)
+        .map(|block| {
+            mark = xxhash_rust::xxh3::xxh3_64_with_seed(block, mark);
+            mark
+        });
+    Prompt {
+        tokens: u64::from(tokens_of(text.len())),
+        marks: marks.collect(),
+    }
 }
 
 /// Length of the answer: what the prompt says in `[len=N]`, else 32, and the ceiling at the most.
 pub fn answer_len(body: &CompletionRequest) -> u32 {
     let said = body.prompt.rfind("[len=").map(|i| &body.prompt[i + 5..]);
-    let said = said.and_then(|s| s.split(']').next()).and_then(|s| s.parse().ok());
+    let said = said
+        .and_then(|s| s.split(']').next())
+        .and_then(|s| s.parse().ok());
     said.unwrap_or(32).min(body.max_tokens)
 }
--- a/programs/mock-engine/src/main.rs
+++ b/programs/mock-engine/src/main.rs
@@ -43,7 +43,8 @@
         None => Capture::none(),
         Some(path) => Capture::file(path).map_err(|e| format!("{}: {e}", path.display()))?,
     };
-    let mut signals = signal_hook::iterator::Signals::new([SIGTERM, SIGINT]).map_err(|e| e.to_string())?;
+    let mut signals =
+        signal_hook::iterator::Signals::new([SIGTERM, SIGINT]).map_err(|e| e.to_string())?;
     let hosts = Standins::start(config, capture.clone()).map_err(|e| e.to_string())?;
     for (name, address) in hosts.addresses() {
         println!("{name} {address}");
--- a/programs/mock-engine/src/serve.rs
+++ b/programs/mock-engine/src/serve.rs
@@ -2,8 +2,8 @@
 
 use bitternlatch_engine::{Id, Input, Output, Request, Work as Job};
 use bitternlatch_protocol::engine::{
-    Choice, Chunk, CompletionRequest, EngineUsage, FromEngine, KvTransferParams, PromptDetails, CODE_FULL,
-    CODE_STATE_GONE,
+    Choice, Chunk, CompletionRequest, EngineUsage, FromEngine, KvTransferParams, PromptDetails,
+    CODE_FULL, CODE_STATE_GONE,
 };
 
 use crate::config::{Role, Trouble};
@@ -24,7 +24,11 @@
         if reads && self.hosts[i].config.role == Role::Writer {
             return self.error(i, conn, &id, 409, Some(CODE_STATE_GONE));
         }
-        let out = if kv.do_remote_decode { 0 } else { answer_len(&body) };
+        let out = if kv.do_remote_decode {
+            0
+        } else {
+            answer_len(&body)
+        };
         let job = match (kv.do_remote_decode, reads) {
             (true, _) => Job::Read,
             (false, true) => Job::ReadAndWrite { answer: out },
@@ -35,8 +39,24 @@
         let engine_id = Id(self.serial);
         let host = &mut self.hosts[i];
         let work_s = host.work_s(&prompt, reads, out);
-        host.put(engine_id, Work { conn, id, body, tokens: prompt.tokens, out });
-        self.tell(i, Input::Submit(Request { id: engine_id, prompt, work: job }));
+        host.put(
+            engine_id,
+            Work {
+                conn,
+                id,
+                body,
+                tokens: prompt.tokens,
+                out,
+            },
+        );
+        self.tell(
+            i,
+            Input::Submit(Request {
+                id: engine_id,
+                prompt,
+                work: job,
+            }),
+        );
         let (now, host) = (self.now(), &mut self.hosts[i]);
         // What was refused is no work.
         if host.works.contains_key(&engine_id) && host.pushed_over(&self.config.cold, now, work_s) {
@@ -48,13 +68,18 @@
     pub(crate) fn tell(&mut self, i: usize, input: Input) {
         let now = self.now();
         let host = &mut self.hosts[i];
-        let late_s = if host.trouble(Trouble::HangFetch).is_some() { 3600.0 } else { 0.0 };
+        let late_s = if host.trouble(Trouble::HangFetch).is_some() {
+            3600.0
+        } else {
+            0.0
+        };
         let trouble = (host.slowness(&self.config.cold, now), late_s);
         let mut said = Vec::new();
         if host.told != trouble {
             host.told = trouble;
             host.engine.step(now, Input::Slowness(trouble.0), &mut said);
-            host.engine.step(now, Input::FetchDelay(trouble.1), &mut said);
+            host.engine
+                .step(now, Input::FetchDelay(trouble.1), &mut said);
         }
         host.engine.step(now, input, &mut said);
         said.into_iter().for_each(|what| self.said(i, what));
@@ -87,10 +112,16 @@
             }
             Output::Read { id, cached } => self.read_done(i, id, cached),
             Output::Fetched { id } => self.fetched(i, id),
-            Output::Token { id, number, last, cached } => self.token(i, id, (number, last), cached),
+            Output::Token {
+                id,
+                number,
+                last,
+                cached,
+            } => self.token(i, id, (number, last), cached),
             Output::Preempted { id, .. } => {
                 if let Some(work) = self.hosts[i].works.get(&id) {
-                    self.capture.put(&self.hosts[i].config.name, work.conn, "preempted", &work.id);
+                    self.capture
+                        .put(&self.hosts[i].config.name, work.conn, "preempted", &work.id);
                 }
             }
             Output::Expired { id } => drop(self.hosts[i].take(id)),
@@ -101,14 +132,30 @@
     fn garbage(&self, i: usize, conn: u64, id: &str) {
         self.say_text(i, conn, "{\"op\":\"chunk\",".to_string());
         self.say_text(i, conn, "{\"op\":\"sing\"}".to_string());
-        self.say(i, conn, &FromEngine::Done { id: format!("{:0>24}-0", "beef"), load: None });
-        self.say(i, conn, &FromEngine::Done { id: id.replace('-', "-9"), load: None });
+        self.say(
+            i,
+            conn,
+            &FromEngine::Done {
+                id: format!("{:0>24}-0", "beef"),
+                load: None,
+            },
+        );
+        self.say(
+            i,
+            conn,
+            &FromEngine::Done {
+                id: id.replace('-', "-9"),
+                load: None,
+            },
+        );
     }
 
     fn read_done(&mut self, i: usize, id: Id, cached: u64) {
         let lost = self.chance(self.hosts[i].trouble(Trouble::LostAnswers));
         let host = &self.hosts[i];
-        let Some(work) = host.works.get(&id).filter(|_| !lost) else { return };
+        let Some(work) = host.works.get(&id).filter(|_| !lost) else {
+            return;
+        };
         let params = KvTransferParams {
             do_remote_prefill: true,
             do_remote_decode: false,
@@ -118,19 +165,45 @@
             remote_port: host.acceptor.as_ref().map(|a| a.address().port()),
             remote_request_id: Some(work.id.clone()),
         };
-        let choice = Choice { finish_reason: Some("length".to_string()), ..Choice::default() };
+        let choice = Choice {
+            finish_reason: Some("length".to_string()),
+            ..Choice::default()
+        };
         let usage = Some(usage(work, 0, cached));
-        let body = Chunk { choices: vec![choice], usage, kv_transfer_params: Some(params) };
+        let body = Chunk {
+            choices: vec![choice],
+            usage,
+            kv_transfer_params: Some(params),
+        };
         let (conn, id) = (work.conn, work.id.clone());
-        self.say(i, conn, &FromEngine::Chunk { id: id.clone(), body });
-        self.say(i, conn, &FromEngine::Done { id, load: self.hosts[i].load() });
+        self.say(
+            i,
+            conn,
+            &FromEngine::Chunk {
+                id: id.clone(),
+                body,
+            },
+        );
+        self.say(
+            i,
+            conn,
+            &FromEngine::Done {
+                id,
+                load: self.hosts[i].load(),
+            },
+        );
     }
 
     /// A state has come: it is taken where it was read, should it still be there.
     fn fetched(&mut self, i: usize, id: Id) {
-        let Some(work) = self.hosts[i].works.get(&id) else { return };
+        let Some(work) = self.hosts[i].works.get(&id) else {
+            return;
+        };
         let kv = work.body.kv_transfer_params.clone().unwrap_or_default();
-        let reader = self.hosts.iter().position(|h| Some(&h.config.name) == kv.remote_engine_id.as_ref());
+        let reader = self
+            .hosts
+            .iter()
+            .position(|h| Some(&h.config.name) == kv.remote_engine_id.as_ref());
         let made_by = kv.remote_request_id.unwrap_or_default();
         let state = reader.and_then(|r| Some((r, self.hosts[r].state(&made_by)?)));
         if let Some((r, state)) = state {
@@ -148,15 +221,34 @@
         if number == 1 && self.chance(lost) {
             return self.end(i, id);
         }
-        let Some(work) = self.hosts[i].works.get(&id) else { return };
+        let Some(work) = self.hosts[i].works.get(&id) else {
+            return;
+        };
         let (conn, name) = (work.conn, work.id.clone());
-        let reason = if work.out == work.body.max_tokens { "length" } else { "stop" };
+        let reason = if work.out == work.body.max_tokens {
+            "length"
+        } else {
+            "stop"
+        };
         let odd = self.hosts[i].trouble(Trouble::OddUsage);
         let usage = usage(work, odd.map_or(number, |told| told as u32), cached);
         let text = word(&work.body.prompt, &self.hosts[i].config.name, &name, number);
-        let choice = Choice { text, ..Choice::default() };
-        let body = Chunk { choices: vec![choice], ..Chunk::default() };
-        self.say(i, conn, &FromEngine::Chunk { id: name.clone(), body });
+        let choice = Choice {
+            text,
+            ..Choice::default()
+        };
+        let body = Chunk {
+            choices: vec![choice],
+            ..Chunk::default()
+        };
+        self.say(
+            i,
+            conn,
+            &FromEngine::Chunk {
+                id: name.clone(),
+                body,
+            },
+        );
         if !last {
             return;
         }
@@ -167,10 +259,31 @@
             return;
         }
         self.hosts[i].take(id);
-        let choice = Choice { finish_reason: Some(reason.to_string()), ..Choice::default() };
-        let body = Chunk { choices: vec![choice], usage: Some(usage), kv_transfer_params: None };
-        self.say(i, conn, &FromEngine::Chunk { id: name.clone(), body });
-        self.say(i, conn, &FromEngine::Done { id: name, load: self.hosts[i].load() });
+        let choice = Choice {
+            finish_reason: Some(reason.to_string()),
+            ..Choice::default()
+        };
+        let body = Chunk {
+            choices: vec![choice],
+            usage: Some(usage),
+            kv_transfer_params: None,
+        };
+        self.say(
+            i,
+            conn,
+            &FromEngine::Chunk {
+                id: name.clone(),
+                body,
+            },
+        );
+        self.say(
+            i,
+            conn,
+            &FromEngine::Done {
+                id: name,
+                load: self.hosts[i].load(),
+            },
+        );
     }
 }
 
--- a/programs/mock-engine/src/world.rs
+++ b/programs/mock-engine/src/world.rs
@@ -11,7 +11,9 @@
 use bitternlatch_net::accept::{Acceptor, Door, Handler};
 use bitternlatch_net::socket::{Limits, Outbox};
 use bitternlatch_net::tls;
-use bitternlatch_protocol::engine::{decode, encode, EngineError as Said, EngineState, FromEngine, ToEngine};
+use bitternlatch_protocol::engine::{
+    decode, encode, EngineError as Said, EngineState, FromEngine, ToEngine,
+};
 use crossbeam_channel::{unbounded, Receiver, RecvTimeoutError, Sender};
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -59,8 +61,14 @@
             addresses.insert(world.hosts[i].config.name.clone(), address);
         }
         let run = move || world.run(&from);
-        let thread = std::thread::Builder::new().name("standins".into()).spawn(run)?;
-        Ok(Standins { to, thread: Some(thread), addresses })
+        let thread = std::thread::Builder::new()
+            .name("standins".into())
+            .spawn(run)?;
+        Ok(Standins {
+            to,
+            thread: Some(thread),
+            addresses,
+        })
     }
 
     /// Where each host listens.
@@ -70,7 +78,9 @@
 
     /// Begins a trouble at one host now, for tests.
     pub fn trouble(&self, host: &str, trouble: Trouble, strength: f64, for_s: f64) {
-        let _ = self.to.send(Message::Trouble(trouble, strength, for_s, host.to_string()));
+        let _ = self
+            .to
+            .send(Message::Trouble(trouble, strength, for_s, host.to_string()));
     }
 
     /// Ends all hosts.
@@ -121,7 +131,12 @@
 impl World {
     fn new(config: Config, capture: Capture, to: Sender<Message>) -> Result<World, EngineError> {
         let mut world = World {
-            hosts: config.hosts.iter().cloned().map(Host::new).collect::<Result<_, _>>()?,
+            hosts: config
+                .hosts
+                .iter()
+                .cloned()
+                .map(Host::new)
+                .collect::<Result<_, _>>()?,
             rng: Xoshiro256PlusPlus::seed_from_u64(config.seed),
             due: BTreeMap::new(),
             serial: 0,
@@ -144,7 +159,8 @@
 
     fn after(&mut self, seconds: f64, due: Due) {
         self.serial += 1;
-        self.due.insert((((self.now() + seconds) * 1e6) as u64, self.serial), due);
+        self.due
+            .insert((((self.now() + seconds) * 1e6) as u64, self.serial), due);
     }
 
     pub(crate) fn chance(&mut self, of: Option<f64>) -> bool {
@@ -156,13 +172,22 @@
         let tls = self.tls(i)?;
         let host = &mut self.hosts[i];
         let listener = TcpListener::bind(&host.config.listen)?;
-        let socket =
-            Limits { message_bytes: 8 << 20, queue: 65_536, ping: Duration::from_secs(5), idle: None };
+        let socket = Limits {
+            message_bytes: 8 << 20,
+            queue: 65_536,
+            ping: Duration::from_secs(5),
+            idle: None,
+        };
         let mut door = Door::plain(1024, Duration::from_secs(5), socket);
         door.tls = tls;
         let name = host.config.name.clone();
         self.capture.put(&name, "", "up", "");
-        let handler = HostDoor { host: i, name, to: self.to.clone(), capture: self.capture.clone() };
+        let handler = HostDoor {
+            host: i,
+            name,
+            to: self.to.clone(),
+            capture: self.capture.clone(),
+        };
         let acceptor = Acceptor::start(listener, door, Arc::new(handler))?;
         let address = acceptor.address();
         host.acceptor = Some(acceptor);
@@ -171,7 +196,9 @@
 
     /// The host's own certificate, from the folder that the config names.
     fn tls(&self, i: usize) -> std::io::Result<Option<Arc<tls::Server>>> {
-        let Some(dir) = &self.config.tls else { return Ok(None) };
+        let Some(dir) = &self.config.tls else {
+            return Ok(None);
+        };
         let name = &self.hosts[i].config.name;
         let settings = ListenTls {
             certificate: format!("{name}.pem"),
@@ -194,7 +221,9 @@
                 }
                 continue;
             }
-            let wait = next.map_or(Duration::from_secs(1), |k| Duration::from_micros(k.0 - now_us));
+            let wait = next.map_or(Duration::from_secs(1), |k| {
+                Duration::from_micros(k.0 - now_us)
+            });
             match from.recv_timeout(wait) {
                 Ok(Message::Stop) | Err(RecvTimeoutError::Disconnected) => break,
                 Ok(message) => self.on_message(message),
@@ -260,7 +289,9 @@
         let fault = self.config.faults[f].clone();
         let now = self.now();
         for name in &fault.hosts {
-            let Some(i) = self.hosts.iter().position(|h| h.config.name == *name) else { continue };
+            let Some(i) = self.hosts.iter().position(|h| h.config.name == *name) else {
+                continue;
+            };
             let host = &mut self.hosts[i];
             if !on {
                 host.troubles.remove(&f);
@@ -285,7 +316,12 @@
                 Trouble::Crash => self.down(i),
                 Trouble::Deploy => {
                     host.draining = true;
-                    self.say_all(i, &FromEngine::State { state: EngineState::Draining });
+                    self.say_all(
+                        i,
+                        &FromEngine::State {
+                            state: EngineState::Draining,
+                        },
+                    );
                 }
                 _ => {}
             }
@@ -326,7 +362,10 @@
     }
 
     fn say_all(&self, i: usize, message: &FromEngine) {
-        self.hosts[i].conns.keys().for_each(|conn| self.say(i, *conn, message));
+        self.hosts[i]
+            .conns
+            .keys()
+            .for_each(|conn| self.say(i, *conn, message));
     }
 
     fn greet(&mut self, i: usize, conn: u64) {
@@ -334,16 +373,33 @@
         if host.trouble(Trouble::Mute).is_some() {
             return;
         }
-        let state = if host.draining { EngineState::Draining } else { EngineState::Ready };
+        let state = if host.draining {
+            EngineState::Draining
+        } else {
+            EngineState::Ready
+        };
         let uptime_s = (self.now() - host.born).min(1e6);
-        self.say(i, conn, &FromEngine::Hello { engine_id: host.config.name.clone(), uptime_s, state });
+        self.say(
+            i,
+            conn,
+            &FromEngine::Hello {
+                engine_id: host.config.name.clone(),
+                uptime_s,
+                state,
+            },
+        );
     }
 
     /// A link's end ends what its dispatcher had here and lets go of its states.
     fn on_close(&mut self, i: usize, conn: u64) {
         let host = &mut self.hosts[i];
         host.conns.remove(&conn);
-        let its: Vec<Id> = host.works.iter().filter(|(_, w)| w.conn == conn).map(|(id, _)| *id).collect();
+        let its: Vec<Id> = host
+            .works
+            .iter()
+            .filter(|(_, w)| w.conn == conn)
+            .map(|(id, _)| *id)
+            .collect();
         its.into_iter().for_each(|id| self.end(i, id));
     }
 
@@ -360,7 +416,9 @@
                 // A state whose answer was lost goes with its request.
                 let host = &self.hosts[i];
                 let known = host.names.get(&id).copied();
-                let may = |k: &Id| host.engine.holds(*k) || host.works.get(k).is_some_and(|w| w.conn == conn);
+                let may = |k: &Id| {
+                    host.engine.holds(*k) || host.works.get(k).is_some_and(|w| w.conn == conn)
+                };
                 if let Some(known) = known.filter(may) {
                     self.end(i, known);
                 }
@@ -380,8 +438,20 @@
     }
 
     pub(crate) fn error(&self, i: usize, conn: u64, id: &str, status: u16, code: Option<&str>) {
-        let error = Said { message: "not served".to_string(), code: code.map(str::to_string) };
+        let error = Said {
+            message: "not served".to_string(),
+            code: code.map(str::to_string),
+        };
         let load = self.hosts[i].load();
-        self.say(i, conn, &FromEngine::Error { id: id.to_string(), status, error, load });
+        self.say(
+            i,
+            conn,
+            &FromEngine::Error {
+                id: id.to_string(),
+                status,
+                error,
+                load,
+            },
+        );
     }
 }
--- a/programs/mock-engine/tests/reports.rs
+++ b/programs/mock-engine/tests/reports.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
+use bitternlatch_mock_engine::capture::Capture;
+use bitternlatch_mock_engine::config::Trouble;
+use bitternlatch_mock_engine::{Config, Standins};
 use bitternlatch_net::dial::dial;
 use bitternlatch_net::socket::{Heard, Limits, Outbox, Reader};
 use bitternlatch_protocol::engine::{
     decode, encode, CompletionRequest, FromEngine, KvTransferParams, Load, ToEngine,
 };
-use bitternlatch_mock_engine::capture::Capture;
-use bitternlatch_mock_engine::config::Trouble;
-use bitternlatch_mock_engine::{Config, Standins};
 
 /// A reader that takes half a second for a read, a mixed host with one slot, and one whose memory two answers outgrow: 20 blocks.
 const HOSTS: &str = r#"
@@ -39,7 +39,12 @@
 
 impl Link {
     fn to(hosts: &Standins, name: &str) -> Link {
-        let limits = Limits { message_bytes: 1 << 20, queue: 64, ping: Duration::from_secs(10), idle: None };
+        let limits = Limits {
+            message_bytes: 1 << 20,
+            queue: 64,
+            ping: Duration::from_secs(10),
+            idle: None,
+        };
         let address = hosts.addresses()[name].to_string();
         let (reader, outbox) =
             dial(&address, "/v1/engine", Duration::from_secs(5), limits, None).expect("a link");
@@ -66,12 +71,17 @@
             kv_transfer_params: Some(kv),
             ..CompletionRequest::default()
         };
-        self.say(&ToEngine::Completion { id: id.into(), body: Box::new(body) });
+        self.say(&ToEngine::Completion {
+            id: id.into(),
+            body: Box::new(body),
+        });
     }
 
     fn until<T>(&mut self, mut fits: impl FnMut(FromEngine) -> Option<T>) -> T {
         loop {
-            let Heard::Text(text) = self.reader.hear() else { panic!("the link ended") };
+            let Heard::Text(text) = self.reader.hear() else {
+                panic!("the link ended")
+            };
             let message = decode(&text).expect("a message");
             assert!(!matches!(message, FromEngine::Error { .. }), "{text}");
             if let Some(found) = fits(message) {
@@ -102,30 +112,49 @@
 
 #[test]
 fn reads_that_have_not_begun_are_reported_as_waiting_and_states_as_memory() {
-    let hosts = Standins::start(Config::parse(HOSTS).expect("hosts"), Capture::none()).expect("stand-ins");
+    let hosts =
+        Standins::start(Config::parse(HOSTS).expect("hosts"), Capture::none()).expect("stand-ins");
     let mut link = Link::to(&hosts, "reader");
     assert_eq!(counts(&link.load()), (0.0, 0.0));
-    let read = KvTransferParams { do_remote_decode: true, ..KvTransferParams::default() };
+    let read = KvTransferParams {
+        do_remote_decode: true,
+        ..KvTransferParams::default()
+    };
     for id in ["a", "b", "c"] {
         link.ask(id, read.clone());
     }
     let busy = link.load();
     assert_eq!(counts(&busy), (1.0, 2.0), "one is read, two wait: {busy:?}");
-    assert_eq!(busy["kv_cache_usage_perc"], 0.1, "what is read has its memory");
-    assert_eq!(counts(&link.done()), (1.0, 1.0), "the report beside an answer says the same");
-    assert_eq!(link.load()["kv_cache_usage_perc"], 0.2, "a state waits in its memory beside the next read");
+    assert_eq!(
+        busy["kv_cache_usage_perc"], 0.1,
+        "what is read has its memory"
+    );
+    assert_eq!(
+        counts(&link.done()),
+        (1.0, 1.0),
+        "the report beside an answer says the same"
+    );
+    assert_eq!(
+        link.load()["kv_cache_usage_perc"],
+        0.2,
+        "a state waits in its memory beside the next read"
+    );
     link.done();
     link.done();
     let after = link.load();
     assert_eq!(counts(&after), (0.0, 0.0));
     link.say(&ToEngine::Release { id: "a".into() });
-    assert!(link.load()["kv_cache_usage_perc"] < after["kv_cache_usage_perc"], "the state is let go");
+    assert!(
+        link.load()["kv_cache_usage_perc"] < after["kv_cache_usage_perc"],
+        "the state is let go"
+    );
     hosts.stop();
 }
 
 #[test]
 fn a_host_that_writes_reports_its_slots_and_those_that_wait_for_one() {
-    let hosts = Standins::start(Config::parse(HOSTS).expect("hosts"), Capture::none()).expect("stand-ins");
+    let hosts =
+        Standins::start(Config::parse(HOSTS).expect("hosts"), Capture::none()).expect("stand-ins");
     let mut link = Link::to(&hosts, "mixed");
     link.ask("a", KvTransferParams::default());
     link.ask("b", KvTransferParams::default());
@@ -151,7 +180,10 @@
         link.until(|m| match m {
             FromEngine::Chunk { id, body } => {
                 words.extend(
-                    body.choices.into_iter().filter(|c| !c.text.is_empty()).map(|c| (id.clone(), c.text)),
+                    body.choices
+                        .into_iter()
+                        .filter(|c| !c.text.is_empty())
+                        .map(|c| (id.clone(), c.text)),
                 );
                 Some(())
             }
@@ -162,12 +194,30 @@
             _ => None,
         });
     }
-    assert_eq!(ends, [("a".to_string(), 1.0), ("b".to_string(), 1.0)], "the later one was thrown out once");
-    let of_b = words.iter().filter(|(id, _)| id == "b").map(|(_, word)| word.clone());
-    assert!(of_b.eq((1..=600).map(|n| format!("w{n} "))), "no word is said twice");
-    assert_eq!(link.load()["kv_cache_usage_perc"], 0.0, "unused prefixes do not count");
+    assert_eq!(
+        ends,
+        [("a".to_string(), 1.0), ("b".to_string(), 1.0)],
+        "the later one was thrown out once"
+    );
+    let of_b = words
+        .iter()
+        .filter(|(id, _)| id == "b")
+        .map(|(_, word)| word.clone());
+    assert!(
+        of_b.eq((1..=600).map(|n| format!("w{n} "))),
+        "no word is said twice"
+    );
+    assert_eq!(
+        link.load()["kv_cache_usage_perc"],
+        0.0,
+        "unused prefixes do not count"
+    );
     hosts.stop();
-    let captured: Vec<String> = lines.try_iter().filter(|l| l.dir == "preempted").map(|l| l.text).collect();
+    let captured: Vec<String> = lines
+        .try_iter()
+        .filter(|l| l.dir == "preempted")
+        .map(|l| l.text)
+        .collect();
     assert_eq!(captured, ["b"]);
 }
 
@@ -180,13 +230,21 @@
 
 #[test]
 fn a_host_that_reports_falsely_low_load_says_nothing_of_its_work() {
-    let hosts = Standins::start(Config::parse(HOSTS).expect("hosts"), Capture::none()).expect("stand-ins");
+    let hosts =
+        Standins::start(Config::parse(HOSTS).expect("hosts"), Capture::none()).expect("stand-ins");
     let mut link = Link::to(&hosts, "mixed");
     link.ask("a", KvTransferParams::default());
     link.ask("b", KvTransferParams::default());
     assert_eq!(counts(&link.load()), (1.0, 1.0));
     hosts.trouble("mixed", Trouble::LowLoad, 1.0, 60.0);
     let low = link.load();
-    assert_eq!((counts(&low), low["slots_used_perc"], low["kv_cache_usage_perc"]), ((0.0, 0.0), 0.0, 0.0));
+    assert_eq!(
+        (
+            counts(&low),
+            low["slots_used_perc"],
+            low["kv_cache_usage_perc"]
+        ),
+        ((0.0, 0.0), 0.0, 0.0)
+    );
     hosts.stop();
 }
--- a/programs/quota-server/src/lib.rs
+++ b/programs/quota-server/src/lib.rs
@@ -47,7 +47,9 @@
         let shown = path.display();
         let text = std::fs::read_to_string(path).map_err(|e| format!("{shown}: {e}"))?;
         let mut settings: Settings = toml::from_str(&text).map_err(|e| {
-            let at = e.span().map_or(0, |s| text.get(..s.start).unwrap_or(&text).matches('\n').count() + 1);
+            let at = e.span().map_or(0, |s| {
+                text.get(..s.start).unwrap_or(&text).matches('\n').count() + 1
+            });
             format!("{shown}:{at}: {}", e.message().replace('\n', " "))
         })?;
         let bad = |t: &&Tenant| !(t.tokens_per_s > 0.0 && t.tokens_per_s <= 1e12);
@@ -79,8 +81,11 @@
         let listener = TcpListener::bind(&settings.address)
             .map_err(|e| format!("cannot listen on {}: {e}", settings.address))?;
         let clock = Clock::start();
-        let rates: BTreeMap<String, f64> =
-            settings.tenants.iter().map(|t| (t.name.clone(), t.tokens_per_s)).collect();
+        let rates: BTreeMap<String, f64> = settings
+            .tenants
+            .iter()
+            .map(|t| (t.name.clone(), t.tokens_per_s))
+            .collect();
         let ledger = Ledger::new(&rates, &LeaseRules::default(), clock.now().seconds(), first);
         let desk = Arc::new(Desk {
             ledger: Mutex::new(ledger),
@@ -88,8 +93,12 @@
             clock,
             outboxes: Mutex::new(BTreeMap::new()),
         });
-        let socket =
-            Limits { message_bytes: MESSAGE_BYTES, queue: 256, ping: Duration::from_secs(5), idle: None };
+        let socket = Limits {
+            message_bytes: MESSAGE_BYTES,
+            queue: 256,
+            ping: Duration::from_secs(5),
+            idle: None,
+        };
         let door = Door::plain(CONNECTIONS, Duration::from_secs(5), socket);
         let handler: Arc<dyn Handler> = desk.clone();
         let acceptor = Acceptor::start(listener, door, handler).map_err(|e| e.to_string())?;
@@ -110,7 +119,11 @@
     /// # Errors
     /// A journal that cannot be read.
     pub fn charged(&self) -> Result<usize, String> {
-        self.desk.journal.entries().map(|e| e.standing().count()).map_err(|e| e.to_string())
+        self.desk
+            .journal
+            .entries()
+            .map(|e| e.standing().count())
+            .map_err(|e| e.to_string())
     }
 
     /// Ends at once, as a crash does: no farewell. The journal is closed when the last connection's thread has ended.
@@ -139,9 +152,16 @@
             Ok(ToLedger::Ask { tenants, .. }) if tenants.len() > TENANTS_MOST => {
                 fault(format!("more than {TENANTS_MOST} tenants in one question"))
             }
-            Ok(ToLedger::Ask { holder, number, tenants }) => {
+            Ok(ToLedger::Ask {
+                holder,
+                number,
+                tenants,
+            }) => {
                 let now_s = self.clock.now().seconds();
-                Some(FromLedger::Lent { number, parts: lock(&self.ledger).ask(now_s, holder, &tenants) })
+                Some(FromLedger::Lent {
+                    number,
+                    parts: lock(&self.ledger).ask(now_s, holder, &tenants),
+                })
             }
             Ok(ToLedger::Ship { entries, .. }) if entries.len() > ENTRIES_MOST => {
                 fault(format!("more than {ENTRIES_MOST} entries in one shipment"))
@@ -149,7 +169,11 @@
             Ok(ToLedger::Ship { number, entries }) => match self.journal.append(&entries) {
                 Ok(done) => {
                     for (response, number) in done.contradictions {
-                        tracing::error!(response, number, "a charge differs from the one that is kept");
+                        tracing::error!(
+                            response,
+                            number,
+                            "a charge differs from the one that is kept"
+                        );
                     }
                     Some(FromLedger::Shipped { number })
                 }
@@ -168,7 +192,9 @@
         lock(&self.outboxes).insert(connection, outbox);
     }
     fn text(&self, connection: u64, text: String) {
-        let Some(answer) = self.answer(&text) else { return };
+        let Some(answer) = self.answer(&text) else {
+            return;
+        };
         let text = serde_json::to_string(&answer).unwrap_or_default();
         if let Some(outbox) = lock(&self.outboxes).get(&connection) {
             if outbox.text(text).is_err() {
@@ -182,7 +208,10 @@
     fn plain(&self, path: &str) -> (u16, String) {
         match path {
             "/ready" => (200, "ready\n".to_string()),
-            _ => (404, "a ledger; dispatchers come with a WebSocket upgrade\n".to_string()),
+            _ => (
+                404,
+                "a ledger; dispatchers come with a WebSocket upgrade\n".to_string(),
+            ),
         }
     }
 }
--- a/programs/quota-server/src/main.rs
+++ b/programs/quota-server/src/main.rs
@@ -3,8 +3,8 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use bitternlatch_quota_server::{Running, Settings};
 use bitternlatch_net::logs;
+use bitternlatch_quota_server::{Running, Settings};
 use clap::Parser;
 use signal_hook::consts::{SIGINT, SIGTERM};
 
@@ -39,10 +39,15 @@
 fn run(args: &Args) -> Result<(), String> {
     let settings = Settings::read(&args.config)?;
     if args.check {
-        println!("{}: good; {} tenants", args.config.display(), settings.tenants.len());
+        println!(
+            "{}: good; {} tenants",
+            args.config.display(),
+            settings.tenants.len()
+        );
         return Ok(());
     }
-    let mut signals = signal_hook::iterator::Signals::new([SIGTERM, SIGINT]).map_err(|e| e.to_string())?;
+    let mut signals =
+        signal_hook::iterator::Signals::new([SIGTERM, SIGINT]).map_err(|e| e.to_string())?;
     let running = Running::start(&settings)?;
     tracing::info!(address = %running.address(), "lending");
     signals.forever().next();
--- a/programs/replay/src/lib.rs
+++ b/programs/replay/src/lib.rs
@@ -57,7 +57,10 @@
         one.actions.iter().for_each(|a| println!("    {a:?}"));
     }
     if recorded.torn_bytes > 0 {
-        println!("{shown}: the last {} bytes were torn and are left out", recorded.torn_bytes);
+        println!(
+            "{shown}: the last {} bytes were torn and are left out",
+            recorded.torn_bytes
+        );
     }
     if found.steps == 0 {
         eprintln!("bitternlatch-replay: {shown}: holds no whole step; nothing was compared");
@@ -65,7 +68,10 @@
     }
     match &found.difference {
         None => {
-            println!("{shown}: {} steps, {} outputs, all alike", found.steps, found.outputs);
+            println!(
+                "{shown}: {} steps, {} outputs, all alike",
+                found.steps, found.outputs
+            );
             0
         }
         Some(d) => {
@@ -76,7 +82,12 @@
 }
 
 fn print_difference(shown: &str, d: &Difference) {
-    println!("{shown}: step {} at {:.6} s, output {} differs", d.step, d.at.seconds(), d.output);
+    println!(
+        "{shown}: step {} at {:.6} s, output {} differs",
+        d.step,
+        d.at.seconds(),
+        d.output
+    );
     println!("  input:    {:?}", d.input);
     println!("  recorded: {:?}", d.recorded);
     println!("  replayed: {:?}", d.replayed);
--- a/programs/replay/tests/torn.rs
+++ b/programs/replay/tests/torn.rs
@@ -8,14 +8,21 @@
 #[test]
 fn a_record_without_a_whole_step_is_not_called_alike() {
     let settings = include_str!("../../../deploy/dispatch.toml").to_string();
-    let mut machine = Machine::new(Settings::parse("dispatch.toml", &settings).expect("settings"), 1);
+    let mut machine = Machine::new(
+        Settings::parse("dispatch.toml", &settings).expect("settings"),
+        1,
+    );
     let mut writer = Writer::begin(Vec::new()).expect("a record");
-    writer.put(&Entry::Start { settings, seed: 1 }).expect("room");
+    writer
+        .put(&Entry::Start { settings, seed: 1 })
+        .expect("room");
     writer.flush().expect("written");
     for i in 0..3u64 {
         let (at, input, mut outputs) = (Micros(i), Input::Tick, Vec::new());
         machine.step(at, input.clone(), &mut outputs);
-        writer.put(&Entry::Step { at, input, outputs }).expect("room");
+        writer
+            .put(&Entry::Step { at, input, outputs })
+            .expect("room");
     }
     writer.flush().expect("written");
     let data = writer.into_inner();
@@ -25,7 +32,11 @@
         bitternlatch_replay::one(&path, false)
     };
     assert_eq!(code(&data), 0);
-    assert_eq!(code(&data[..data.len() - 1]), 2, "the only block of steps is torn");
+    assert_eq!(
+        code(&data[..data.len() - 1]),
+        2,
+        "the only block of steps is torn"
+    );
     assert_eq!(code(&data[..8]), 2, "not even a start");
     assert_eq!(code(&data[..12]), 2, "the start is torn");
 }
--- a/programs/simulator-adapter/src/encode.rs
+++ b/programs/simulator-adapter/src/encode.rs
@@ -28,7 +28,9 @@
 
 fn report(out: &mut Vec<u8>, values: &[f64]) {
     out.push(values.len() as u8);
-    values.iter().for_each(|v| out.extend((*v as f32).to_le_bytes()));
+    values
+        .iter()
+        .for_each(|v| out.extend((*v as f32).to_le_bytes()));
 }
 
 fn outcome(o: Outcome) -> u8 {
@@ -98,7 +100,12 @@
             out.extend((r.prompt_tokens as f32).to_le_bytes());
             out.extend((r.prefix_tokens as f32).to_le_bytes());
         }
-        Event::FirstToken { request, attempt, server, elapsed_s } => {
+        Event::FirstToken {
+            request,
+            attempt,
+            server,
+            elapsed_s,
+        } => {
             out.push(4);
             out.extend(request.to_le_bytes());
             out.extend(attempt.to_le_bytes());
@@ -125,7 +132,12 @@
             out.push(7);
             out.extend(label.to_le_bytes());
         }
-        Event::ProbeEnded { server, outcome: o, elapsed_s, report: values } => {
+        Event::ProbeEnded {
+            server,
+            outcome: o,
+            elapsed_s,
+            report: values,
+        } => {
             out.push(8);
             out.extend(server.to_le_bytes());
             out.push(outcome(*o));
--- a/programs/simulator-adapter/src/wire.rs
+++ b/programs/simulator-adapter/src/wire.rs
@@ -47,12 +47,20 @@
 
 impl<'a> Cursor<'a> {
     fn take(&mut self, n: usize, what: &str) -> Result<&'a [u8]> {
-        match self.at.checked_add(n).and_then(|end| self.data.get(self.at..end)) {
+        match self
+            .at
+            .checked_add(n)
+            .and_then(|end| self.data.get(self.at..end))
+        {
             Some(bytes) => {
                 self.at += n;
                 Ok(bytes)
             }
-            None => bad(format!("frame ends at byte {} inside {what} at byte {}", self.data.len(), self.at)),
+            None => bad(format!(
+                "frame ends at byte {} inside {what} at byte {}",
+                self.data.len(),
+                self.at
+            )),
         }
     }
 
@@ -142,12 +150,21 @@
                 .map_err(|e| WireError(format!("record {i}: {e}")))?;
         }
         if c.at != frame.len() {
-            return bad(format!("{} bytes left after {count} records", frame.len() - c.at));
+            return bad(format!(
+                "{} bytes left after {count} records",
+                frame.len() - c.at
+            ));
         }
         Ok(reply.finish())
     }
 
-    fn record(&mut self, c: &mut Cursor, now: f64, who: &mut Option<u16>, reply: &mut Reply) -> Result<()> {
+    fn record(
+        &mut self,
+        c: &mut Cursor,
+        now: f64,
+        who: &mut Option<u16>,
+        reply: &mut Reply,
+    ) -> Result<()> {
         let at = c.at;
         let code = c.u8("a record code")?;
         match code {
@@ -159,7 +176,9 @@
             _ => {}
         }
         let Some(instance) = *who else {
-            return bad(format!("event {code} at byte {at} comes before any instance"));
+            return bad(format!(
+                "event {code} at byte {at} comes before any instance"
+            ));
         };
         match code {
             1 => return self.start(c, instance),
@@ -193,7 +212,8 @@
             .map_err(|e| WireError(format!("the settings are not UTF-8: {e}")))?;
         let settings = parse_settings(text)?;
         let lengths = Timed::new(&settings);
-        self.routers.insert(instance, (Router::new(settings, seed), lengths));
+        self.routers
+            .insert(instance, (Router::new(settings, seed), lengths));
         Ok(())
     }
 
@@ -223,8 +243,12 @@
                 elapsed_s: c.f64("begun")?,
             },
             5 => Event::AttemptEnded(read_end(c)?),
-            6 => Event::ClientGone { request: c.u32("hangup")? },
-            7 => Event::Timer { label: c.u64("alarm")? },
+            6 => Event::ClientGone {
+                request: c.u32("hangup")?,
+            },
+            7 => Event::Timer {
+                label: c.u64("alarm")?,
+            },
             8 => Event::ProbeEnded {
                 server: c.u32("probe_done")?,
                 outcome: c.outcome("probe_done")?,
@@ -234,13 +258,21 @@
             9 => {
                 let from = c.u32("inbox")?;
                 let n = c.u16("inbox")?;
-                Event::PeerMessage { from, data: c.take(usize::from(n), "inbox")?.to_vec() }
+                Event::PeerMessage {
+                    from,
+                    data: c.take(usize::from(n), "inbox")?.to_vec(),
+                }
             }
             11 => {
                 let (request, attempt) = (c.u32("reserved")?, c.u16("reserved")?);
                 let (server, held) = (c.u32("reserved")?, c.u8("reserved")? == 1);
                 c.f32("reserved")?;
-                Event::PlaceAnswer { request, attempt, server, held }
+                Event::PlaceAnswer {
+                    request,
+                    attempt,
+                    server,
+                    held,
+                }
             }
             _ => return bad(format!("unknown event code {code} at byte {at}")),
         })
@@ -260,7 +292,11 @@
         let entries = match (form, self.lists.get(&set)) {
             (ListForm::Failed, _) => Vec::new(),
             (_, Some(list)) => list.clone(),
-            (_, None) => return bad(format!("view at byte {at} names list {set}, which was never sent")),
+            (_, None) => {
+                return bad(format!(
+                    "view at byte {at} names list {set}, which was never sent"
+                ))
+            }
         };
         Ok(Event::Servers { form, entries })
     }
@@ -312,7 +348,9 @@
     let (outcome, elapsed_s) = (c.outcome(what)?, c.f64(what)?);
     let (finished, info) = (c.u8(what)? != 0, c.u32(what)?);
     let outcome = match outcome {
-        Outcome::Full { .. } => Outcome::Full { state_gone: info == 1 },
+        Outcome::Full { .. } => Outcome::Full {
+            state_gone: info == 1,
+        },
         other => other,
     };
     let prefix_hit_tokens = f64::from(info);
@@ -350,19 +388,31 @@
             self.record(14, &[&instance.to_le_bytes()]);
         }
         match *action {
-            Action::Send { request, server, timeout_s } => {
-                self.record(15, &[&request.to_le_bytes(), &timeout_s.to_le_bytes(), &server.to_le_bytes()])
-            }
+            Action::Send {
+                request,
+                server,
+                timeout_s,
+            } => self.record(
+                15,
+                &[
+                    &request.to_le_bytes(),
+                    &timeout_s.to_le_bytes(),
+                    &server.to_le_bytes(),
+                ],
+            ),
             Action::Cancel { request, attempt } => {
                 self.record(2, &[&request.to_le_bytes(), &attempt.to_le_bytes()])
             }
-            Action::Refuse { request, retry_after_s } => {
-                self.record(11, &[&request.to_le_bytes(), &retry_after_s.to_le_bytes()])
-            }
+            Action::Refuse {
+                request,
+                retry_after_s,
+            } => self.record(11, &[&request.to_le_bytes(), &retry_after_s.to_le_bytes()]),
             Action::Fail { request } => self.record(3, &[&request.to_le_bytes()]),
             Action::Release { request } => self.record(6, &[&request.to_le_bytes()]),
             Action::Probe { server } => self.record(7, &[&server.to_le_bytes()]),
-            Action::SetTimer { at, label } => self.record(9, &[&at.to_le_bytes(), &label.to_le_bytes()]),
+            Action::SetTimer { at, label } => {
+                self.record(9, &[&at.to_le_bytes(), &label.to_le_bytes()])
+            }
             Action::Subscribe => self.record(4, &[&[1]]),
             Action::Unsubscribe => self.record(4, &[&[0]]),
             Action::FetchList => self.record(5, &[]),
@@ -374,7 +424,14 @@
             Action::TellPeer { peer, ref data } => {
                 let data = &data[..data.len().min(PEER_BYTES)];
                 let whom = peer.unwrap_or(u16::MAX);
-                self.record(12, &[&whom.to_le_bytes(), &(data.len() as u16).to_le_bytes(), data])
+                self.record(
+                    12,
+                    &[
+                        &whom.to_le_bytes(),
+                        &(data.len() as u16).to_le_bytes(),
+                        data,
+                    ],
+                )
             }
             Action::Log { ref text } => self.text(1, text),
             Action::Fault { ref text } => self.text(10, text),
@@ -407,21 +464,34 @@
 /// Reads one frame; `None` at a clean end of input. The length field alone reserves no memory.
 fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>> {
     let mut frame = Vec::new();
-    input.by_ref().take(HEADER_BYTES as u64).read_to_end(&mut frame)?;
+    input
+        .by_ref()
+        .take(HEADER_BYTES as u64)
+        .read_to_end(&mut frame)?;
     if frame.is_empty() {
         return Ok(None);
     }
     if frame.len() < HEADER_BYTES {
-        return bad(format!("input ends after {} bytes of a frame's header", frame.len()));
+        return bad(format!(
+            "input ends after {} bytes of a frame's header",
+            frame.len()
+        ));
+    }
+    let size = Cursor {
+        data: &frame,
+        at: 4,
     }
-    let size = Cursor { data: &frame, at: 4 }.u32("the frame size")?;
+    .u32("the frame size")?;
     if (size as usize) < HEADER_BYTES {
         return bad(format!("frame size {size} is shorter than a header"));
     }
     let rest = u64::from(size) - HEADER_BYTES as u64;
     input.by_ref().take(rest).read_to_end(&mut frame)?;
     if frame.len() < size as usize {
-        return bad(format!("input ends after {} of a frame's {size} bytes", frame.len()));
+        return bad(format!(
+            "input ends after {} of a frame's {size} bytes",
+            frame.len()
+        ));
     }
     Ok(Some(frame))
 }
--- a/programs/simulator-adapter/tests/node.rs
+++ b/programs/simulator-adapter/tests/node.rs
@@ -2,9 +2,9 @@
 #[path = "../../../crates/platform/tests/common/mod.rs"]
 mod common;
 
+use bitternlatch_platform::types::Input;
 use bitternlatch_simulator_adapter::encode::{at, event_records, frame, start_record};
 use bitternlatch_simulator_adapter::wire::{encode_reply, Adapter};
-use bitternlatch_platform::types::Input;
 use common::*;
 
 /// The rig's settings as the wire writes them.
@@ -35,7 +35,10 @@
                     4 => rig.tell(Input::Ended { conn: writer }),
                     _ => {
                         rig.pass(0.25);
-                        rig.text(writer, &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))));
+                        rig.text(
+                            writer,
+                            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+                        );
                     }
                 }
             }
@@ -52,20 +55,32 @@
     assert!(trace.len() > 300, "{} events", trace.len());
     let mut adapter = Adapter::default();
     let start = start_record(0x1f, FACTS);
-    adapter.answer(&frame(1.0, &[at(3), start.clone()])).expect("a start");
+    adapter
+        .answer(&frame(1.0, &[at(3), start.clone()]))
+        .expect("a start");
     let mut other = Adapter::default();
     let other_start = start_record(0x20, FACTS);
-    other.answer(&frame(1.0, &[at(3), other_start])).expect("a start");
+    other
+        .answer(&frame(1.0, &[at(3), other_start]))
+        .expect("a start");
     let (mut actions, mut differ) = (0, 0);
     for (i, one) in trace.iter().enumerate() {
         let (list, event) = event_records(&one.event).expect("a word of the wire");
         let records: Vec<Vec<u8>> = list.into_iter().chain([at(3), event]).collect();
         let batch = frame(one.now_s, &records);
         let expected = encode_reply(3, &one.actions);
-        assert_eq!(adapter.answer(&batch).expect("an answer"), expected, "event {i}: {:?}", one.event);
+        assert_eq!(
+            adapter.answer(&batch).expect("an answer"),
+            expected,
+            "event {i}: {:?}",
+            one.event
+        );
         differ += usize::from(other.answer(&batch).is_ok_and(|reply| reply != expected));
         actions += one.actions.len();
     }
     assert!(actions > 300, "{actions} actions compared");
-    assert!(differ > 0, "with another seed some decision differs, so that the comparison can fail");
+    assert!(
+        differ > 0,
+        "with another seed some decision differs, so that the comparison can fail"
+    );
 }
--- a/programs/simulator-adapter/tests/wire.rs
+++ b/programs/simulator-adapter/tests/wire.rs
@@ -1,6 +1,6 @@
 //! Frames as the wire page lays them out, and what malformed ones get.
-use bitternlatch_simulator_adapter::wire::{encode_reply, parse_settings, serve, Adapter};
 use bitternlatch_policy::interface::Action;
+use bitternlatch_simulator_adapter::wire::{encode_reply, parse_settings, serve, Adapter};
 
 const FACTS: &str = "balancers=2\nclasses.count=1\nclasses.0.aimS=1.5\nclasses.0.deadlineS=6.0\n\
 classes.0.effect=free\nclasses.0.worth=1.0\ncontract.overloadFactor=2.5\ncontract.startCapacity=0.25\n\
@@ -37,14 +37,18 @@
 fn inventory_and_view(ids: &[(u32, u16)]) -> Vec<u8> {
     let mut body = vec![12, 0, 0, 0, 0];
     body.extend((ids.len() as u32).to_le_bytes());
-    ids.iter().for_each(|(id, kind)| body.extend(entry(*id, *kind)));
+    ids.iter()
+        .for_each(|(id, kind)| body.extend(entry(*id, *kind)));
     body.extend([2, 2, 1, 0, 0, 0, 0, 0, 0, 0]);
     body
 }
 
 fn unhex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
-    digits.chunks(2).map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap()).collect()
+    digits
+        .chunks(2)
+        .map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap())
+        .collect()
 }
 
 /// The wire page's own `accept` record.
@@ -52,7 +56,9 @@
 b81e85eb51b8ce3f 107cf3d901648e2b 0000e144 00009644";
 
 fn error_of(input: &[u8]) -> String {
-    serve(input, &mut Vec::new()).expect_err("malformed input").to_string()
+    serve(input, &mut Vec::new())
+        .expect_err("malformed input")
+        .to_string()
 }
 
 #[test]
@@ -69,7 +75,10 @@
     body.extend(unhex(ACCEPT));
     let reply = Adapter::default().answer(&frame(5, &body)).unwrap();
     let sent = unhex("0f c4913a5d");
-    let at = reply.windows(5).position(|w| w == sent).expect("a pass_on of the request");
+    let at = reply
+        .windows(5)
+        .position(|w| w == sent)
+        .expect("a pass_on of the request");
     assert_eq!(reply[at + 13..at + 17], 7u32.to_le_bytes());
     assert_eq!(reply[4..8], (reply.len() as u32).to_le_bytes());
 }
@@ -81,7 +90,10 @@
     body.extend(inventory_and_view(&[(9, 0), (8, 1)]));
     body.extend(unhex(ACCEPT));
     let reply = Adapter::default().answer(&frame(7, &body)).unwrap();
-    let at = reply.windows(5).position(|w| w == unhex("0f c4913a5d")).unwrap();
+    let at = reply
+        .windows(5)
+        .position(|w| w == unhex("0f c4913a5d"))
+        .unwrap();
     assert_eq!(reply[at + 13..at + 17], 9u32.to_le_bytes());
 }
 
@@ -92,17 +104,29 @@
     body.extend(&start(FACTS)[3..]);
     body.extend(inventory_and_view(&[(7, 0)]));
     assert!(Adapter::default().answer(&frame(6, &body)).is_ok());
-    assert!(Adapter::default().answer(&frame(5, &body)).is_err(), "bytes are left over");
-    assert!(Adapter::default().answer(&frame(7, &body)).is_err(), "a record is missing");
+    assert!(
+        Adapter::default().answer(&frame(5, &body)).is_err(),
+        "bytes are left over"
+    );
+    assert!(
+        Adapter::default().answer(&frame(7, &body)).is_err(),
+        "a record is missing"
+    );
 }
 
 #[test]
 fn unknown_settings_are_skipped_and_missing_ones_named() {
     assert!(parse_settings(FACTS).is_ok());
     let without = FACTS.replace("extra.pinLimitS=1.0\n", "");
-    assert!(parse_settings(&without).unwrap_err().to_string().contains("extra.pinLimitS"));
+    assert!(parse_settings(&without)
+        .unwrap_err()
+        .to_string()
+        .contains("extra.pinLimitS"));
     let odd = FACTS.replace("startCapacity=0.25", "startCapacity=NaN");
-    assert!(parse_settings(&odd).unwrap_err().to_string().contains("startCapacity"));
+    assert!(parse_settings(&odd)
+        .unwrap_err()
+        .to_string()
+        .contains("startCapacity"));
 }
 
 #[test]
@@ -129,16 +153,42 @@
 #[test]
 fn the_pages_action_examples_are_laid_out_to_the_byte() {
     let body = |action: Action| encode_reply(3, &[action])[11..].to_vec();
-    assert_eq!(encode_reply(3, &[Action::FetchList])[8..11], unhex("0e 0300"));
     assert_eq!(
-        body(Action::Log { text: "two servers known".into() }),
+        encode_reply(3, &[Action::FetchList])[8..11],
+        unhex("0e 0300")
+    );
+    assert_eq!(
+        body(Action::Log {
+            text: "two servers known".into()
+        }),
         unhex("01 1100 74776f2073657276657273206b6e6f776e")
     );
     let (request, server) = (0x5d3a_91c4, 0x2c90_11f2);
-    assert_eq!(body(Action::HoldPlace { request, server }), unhex("10 c4913a5d f211902c"));
-    assert_eq!(body(Action::Release { request: 0x0e6f_2b19 }), unhex("06 192b6f0e"));
-    assert_eq!(body(Action::TellPeer { peer: None, data: b"h7 ".to_vec() }), unhex("0c ffff 0300 683720"));
+    assert_eq!(
+        body(Action::HoldPlace { request, server }),
+        unhex("10 c4913a5d f211902c")
+    );
+    assert_eq!(
+        body(Action::Release {
+            request: 0x0e6f_2b19
+        }),
+        unhex("06 192b6f0e")
+    );
+    assert_eq!(
+        body(Action::TellPeer {
+            peer: None,
+            data: b"h7 ".to_vec()
+        }),
+        unhex("0c ffff 0300 683720")
+    );
     let (timeout_s, server) = (0.08, 0x1a1c_4a07);
-    let sent = body(Action::Send { request, server, timeout_s });
-    assert_eq!((sent[..5].to_vec(), sent[13..].to_vec()), (unhex("0f c4913a5d"), unhex("074a1c1a")));
+    let sent = body(Action::Send {
+        request,
+        server,
+        timeout_s,
+    });
+    assert_eq!(
+        (sent[..5].to_vec(), sent[13..].to_vec()),
+        (unhex("0f c4913a5d"), unhex("074a1c1a"))
+    );
 }
--- a/programs/soak/src/clients.rs
+++ b/programs/soak/src/clients.rs
@@ -53,9 +53,19 @@
 
 impl Clients {
     pub fn new(process: usize, to: SocketAddr, record: Record) -> Arc<Clients> {
-        let (reach, stop, kept) =
-            (AtomicU8::new(Reach::Open as u8), AtomicBool::new(false), Mutex::default());
-        Arc::new(Clients { process, to, record, reach, stop, kept })
+        let (reach, stop, kept) = (
+            AtomicU8::new(Reach::Open as u8),
+            AtomicBool::new(false),
+            Mutex::default(),
+        );
+        Arc::new(Clients {
+            process,
+            to,
+            record,
+            reach,
+            stop,
+            kept,
+        })
     }
 
     pub fn set_reach(&self, reach: Reach) {
@@ -68,11 +78,14 @@
 
     /// Asks until it is stopped, and waits for what is out then.
     pub fn ask(self: &Arc<Clients>, day: &Day) {
-        let mut chance = Chance::new(day.seed ^ (self.process as u64 + 1).wrapping_mul(0x5851_F42D));
+        let mut chance =
+            Chance::new(day.seed ^ (self.process as u64 + 1).wrapping_mul(0x5851_F42D));
         let mut out = Vec::new();
         let mut number = 0;
         while !self.stop.load(Ordering::SeqCst) {
-            thread::sleep(Duration::from_secs_f64(chance.between(0.2, 1.8) / day.deployment.rate));
+            thread::sleep(Duration::from_secs_f64(
+                chance.between(0.2, 1.8) / day.deployment.rate,
+            ));
             number += 1;
             let manner = match chance.below(12) {
                 0..=2 if day.has(Fault::Clients) => Manner::Leaves(chance.between(0.002, 0.6)),
@@ -81,10 +94,19 @@
                 _ => Manner::Plain,
             };
             let is_unsafe = chance.happens(0.4);
-            let deadline_s =
-                if is_unsafe { day.deployment.unsafe_deadline_s } else { day.deployment.safe_deadline_s };
+            let deadline_s = if is_unsafe {
+                day.deployment.unsafe_deadline_s
+            } else {
+                day.deployment.safe_deadline_s
+            };
             let id = format!("p{}-{number}", self.process);
-            let request = Request { id, is_unsafe, deadline_s, manner, session: chance.below(40) };
+            let request = Request {
+                id,
+                is_unsafe,
+                deadline_s,
+                manner,
+                session: chance.below(40),
+            };
             let clients = Arc::clone(self);
             out.push(thread::spawn(move || clients.play(&request)));
             out.retain(|t: &thread::JoinHandle<()>| !t.is_finished());
@@ -98,7 +120,9 @@
             None => return,
         };
         let mut stream = kept;
-        let Some(asked_at) = self.write(&mut stream, request) else { return };
+        let Some(asked_at) = self.write(&mut stream, request) else {
+            return;
+        };
         let mut end = self.hear(&mut stream, request, asked_at);
         // A close that crosses a request which was not read: it is sent once more on a new connection.
         if end == End::Closed && !is_new && self.reach() == Reach::Open {
@@ -109,7 +133,10 @@
                 }
             }
         }
-        self.record.note(Seen::Ended { id: request.id.clone(), end });
+        self.record.note(Seen::Ended {
+            id: request.id.clone(),
+            end,
+        });
         if matches!(end, End::Served | End::Refused | End::Failed) {
             let mut kept = self.kept.lock().unwrap_or_else(|e| e.into_inner());
             if kept.len() < MOST_KEPT {
@@ -140,7 +167,9 @@
         if reach == Reach::KeptOnly {
             return None;
         }
-        TcpStream::connect_timeout(&self.to, CONNECT).ok().map(|stream| (stream, true))
+        TcpStream::connect_timeout(&self.to, CONNECT)
+            .ok()
+            .map(|stream| (stream, true))
     }
 
     /// Writes a request as its client's manner is; gives when its last byte was written, if it was.
@@ -151,10 +180,17 @@
             stream.write_all(&text.as_bytes()[..text.len() / 2]).ok()?;
             let ended = is_ended_within(stream, HALF_REQUEST);
             // While the process is told to end its kill ends the connection as well.
-            self.record.note(Seen::HalfRequest { id: request.id.clone(), ended });
+            self.record.note(Seen::HalfRequest {
+                id: request.id.clone(),
+                ended,
+            });
             return None;
         }
-        let cut = if request.manner == Manner::InPieces { text.len() / 3 } else { 0 };
+        let cut = if request.manner == Manner::InPieces {
+            text.len() / 3
+        } else {
+            0
+        };
         stream.write_all(&text.as_bytes()[..cut]).ok()?;
         if cut > 0 {
             thread::sleep(Duration::from_millis(40));
@@ -165,7 +201,12 @@
             return None;
         }
         let (id, process, is_unsafe) = (request.id.clone(), self.process, request.is_unsafe);
-        self.record.note(Seen::Asked { id, process, deadline_s: request.deadline_s, is_unsafe });
+        self.record.note(Seen::Asked {
+            id,
+            process,
+            deadline_s: request.deadline_s,
+            is_unsafe,
+        });
         Some(asked_at)
     }
 
@@ -191,13 +232,25 @@
                 return End::Nothing;
             }
             match stream.read(&mut buffer) {
-                Ok(0) => return if said.is_empty() { End::Closed } else { End::Broken },
+                Ok(0) => {
+                    return if said.is_empty() {
+                        End::Closed
+                    } else {
+                        End::Broken
+                    }
+                }
                 Ok(n) => {
                     said.extend_from_slice(&buffer[..n]);
                     until = until.max(Instant::now() + STREAM_PATIENCE);
                 }
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-                Err(_) => return if said.is_empty() { End::Closed } else { End::Broken },
+                Err(_) => {
+                    return if said.is_empty() {
+                        End::Closed
+                    } else {
+                        End::Broken
+                    }
+                }
             }
         }
     }
@@ -227,7 +280,11 @@
 fn whole(said: &[u8]) -> Option<End> {
     let head_end = said.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
     let head = String::from_utf8_lossy(&said[..head_end]).to_ascii_lowercase();
-    let status: u16 = head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
+    let status: u16 = head
+        .split(' ')
+        .nth(1)
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(0);
     let length = head
         .split("content-length: ")
         .nth(1)
@@ -251,7 +308,9 @@
     while Instant::now() < until {
         match stream.read(&mut buffer) {
             Ok(0) => return true,
-            Err(e) if !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => return true,
+            Err(e) if !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
+                return true
+            }
             _ => {}
         }
     }
--- a/programs/soak/src/discovery.rs
+++ b/programs/soak/src/discovery.rs
@@ -32,13 +32,21 @@
         let all = since == 0;
         let targets = self.servers.iter().filter(|s| all || s.changed > since);
         let targets: Vec<String> = targets.map(|s| target(&s.server, s.draining)).collect();
-        format!(r#"{{"rev":{},"all":{all},"targets":[{}]}}"#, self.version, targets.join(","))
+        format!(
+            r#"{{"rev":{},"all":{all},"targets":[{}]}}"#,
+            self.version,
+            targets.join(",")
+        )
     }
 }
 
 fn target(server: &Server, draining: bool) -> String {
     let model = if server.decode { "writes" } else { "reads" };
-    let state = if draining { "terminating" } else { "in_service" };
+    let state = if draining {
+        "terminating"
+    } else {
+        "in_service"
+    };
     format!(
         r#"{{"uid":"{}","endpoint":"{}","az":"hall","model":"{model}","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":{}}}"#,
         server.uid, server.address, server.booted_ms
@@ -55,7 +63,11 @@
 
 impl Discovery {
     pub fn new(record: Record) -> Discovery {
-        Discovery { list: Arc::default(), down: Arc::default(), record }
+        Discovery {
+            list: Arc::default(),
+            down: Arc::default(),
+            record,
+        }
     }
 
     fn change(&self, change: impl FnOnce(&mut List)) {
@@ -68,7 +80,11 @@
     pub fn add(&self, server: Arc<Server>) {
         self.change(|list| {
             let changed = list.version;
-            list.servers.push(Listed { server, draining: false, changed });
+            list.servers.push(Listed {
+                server,
+                draining: false,
+                changed,
+            });
         });
     }
 
@@ -76,13 +92,18 @@
         self.change(|list| {
             let changed = list.version;
             let of = list.servers.iter_mut().find(|s| s.server.number == number);
-            of.into_iter().for_each(|s| (s.draining, s.changed) = (true, changed));
+            of.into_iter()
+                .for_each(|s| (s.draining, s.changed) = (true, changed));
         });
     }
 
     /// The whole list as a process may have known it.
     pub fn known(&self) -> String {
-        self.list.0.lock().unwrap_or_else(|e| e.into_inner()).line(0)
+        self.list
+            .0
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
+            .line(0)
     }
 
     /// Silent from now on, or not.
@@ -119,7 +140,10 @@
         let mut from = BufReader::new(stream);
         let mut first = String::new();
         from.read_line(&mut first)?;
-        let since = first.split("from=").nth(1).and_then(|rest| rest.split(' ').next());
+        let since = first
+            .split("from=")
+            .nth(1)
+            .and_then(|rest| rest.split(' ').next());
         let mut since: u64 = since.and_then(|n| n.parse().ok()).unwrap_or(0);
         self.until_up();
         to.write_all(HEAD.as_bytes())?;
@@ -128,12 +152,19 @@
             self.until_up();
             let line = {
                 let list = self.list.0.lock().unwrap_or_else(|e| e.into_inner());
-                let (list, _) = self.list.1.wait_timeout(list, LOOK).unwrap_or_else(|e| e.into_inner());
-                (list.version > since).then(|| (list.line(since), list.version, draining(&list, since)))
+                let (list, _) = self
+                    .list
+                    .1
+                    .wait_timeout(list, LOOK)
+                    .unwrap_or_else(|e| e.into_inner());
+                (list.version > since)
+                    .then(|| (list.line(since), list.version, draining(&list, since)))
             };
             if let Some((line, version, draining)) = line {
                 to.write_all(chunk(&format!("{line}\n")).as_bytes())?;
-                draining.into_iter().for_each(|server| self.record.note(Seen::Drained { process, server }));
+                draining
+                    .into_iter()
+                    .for_each(|server| self.record.note(Seen::Drained { process, server }));
                 (since, said) = (version, Some(Instant::now()));
             } else if said.is_none_or(|at| at.elapsed() >= KEEP_ALIVE) {
                 to.write_all(chunk("\n").as_bytes())?;
@@ -144,7 +175,10 @@
 }
 
 fn draining(list: &List, since: u64) -> Vec<usize> {
-    let news = list.servers.iter().filter(|s| s.draining && (since == 0 || s.changed > since));
+    let news = list
+        .servers
+        .iter()
+        .filter(|s| s.draining && (since == 0 || s.changed > since));
     news.map(|s| s.server.number).collect()
 }
 
--- a/programs/soak/src/draw.rs
+++ b/programs/soak/src/draw.rs
@@ -112,7 +112,11 @@
     /// The day of a seed; `faults` empty draws two classes.
     pub fn draw(seed: u64, processes: usize, length_s: f64, faults: &[Fault]) -> Day {
         let mut chance = Chance::new(seed);
-        let faults = if faults.is_empty() { drawn_faults(seed) } else { faults.to_vec() };
+        let faults = if faults.is_empty() {
+            drawn_faults(seed)
+        } else {
+            faults.to_vec()
+        };
         let deployment = Deployment {
             servers_by_role: 2 + chance.below(4),
             pin_limit_s: chance.one_of(&[0.3, 0.5, 1.0]),
@@ -132,7 +136,14 @@
             leave_one_running(&mut spells, deployment.servers_by_role);
         }
         spells.sort_by(|a, b| a.from_s.total_cmp(&b.from_s));
-        Day { seed, processes, length_s, faults, deployment, spells }
+        Day {
+            seed,
+            processes,
+            length_s,
+            faults,
+            deployment,
+            spells,
+        }
     }
 
     pub fn has(&self, fault: Fault) -> bool {
@@ -203,7 +214,8 @@
         let from_s = match fault {
             // One after the other: a process is held up for no longer than each says.
             Fault::Pause => {
-                QUIET_S.0 + (at as f64 + chance.between(0.0, 0.4)) * (last_s - QUIET_S.0) / times as f64
+                QUIET_S.0
+                    + (at as f64 + chance.between(0.0, 0.4)) * (last_s - QUIET_S.0) / times as f64
             }
             _ => chance.between(QUIET_S.0, last_s),
         };
@@ -211,18 +223,43 @@
         let most = (servers * 4).div_ceil(5);
         let process = chance.below(processes);
         let trouble = match fault {
-            Fault::SilentDecode => Trouble::Silence { decode: true, servers: most, kept_only: false },
-            Fault::SilentPrefill => Trouble::Silence { decode: false, servers: most, kept_only: false },
-            Fault::SilentKept => Trouble::Silence { decode: chance.happens(0.7), servers, kept_only: true },
-            Fault::Unreachable => Trouble::Unreachable { server: chance.below(2 * servers) },
-            Fault::Reset => Trouble::Reset { share: chance.between(0.1, 0.6) },
-            Fault::Drain => Trouble::Drain { server: chance.below(2 * servers) },
+            Fault::SilentDecode => Trouble::Silence {
+                decode: true,
+                servers: most,
+                kept_only: false,
+            },
+            Fault::SilentPrefill => Trouble::Silence {
+                decode: false,
+                servers: most,
+                kept_only: false,
+            },
+            Fault::SilentKept => Trouble::Silence {
+                decode: chance.happens(0.7),
+                servers,
+                kept_only: true,
+            },
+            Fault::Unreachable => Trouble::Unreachable {
+                server: chance.below(2 * servers),
+            },
+            Fault::Reset => Trouble::Reset {
+                share: chance.between(0.1, 0.6),
+            },
+            Fault::Drain => Trouble::Drain {
+                server: chance.below(2 * servers),
+            },
             Fault::Discovery => Trouble::DiscoveryDown,
             Fault::Restart => Trouble::Restart { process },
-            Fault::Reload => Trouble::Reload { process, whole: chance.happens(0.7) },
+            Fault::Reload => Trouble::Reload {
+                process,
+                whole: chance.happens(0.7),
+            },
             _ => Trouble::Pause { process },
         };
-        Spell { from_s, to_s, trouble }
+        Spell {
+            from_s,
+            to_s,
+            trouble,
+        }
     };
     (0..times).map(one).collect()
 }
--- a/programs/soak/src/faults.rs
+++ b/programs/soak/src/faults.rs
@@ -72,13 +72,18 @@
 
     fn from_str(word: &str) -> Result<Fault, UnknownFault> {
         let found = FAULTS.iter().find(|f| f.0 == word).map(|f| f.1);
-        found.ok_or_else(|| UnknownFault { word: word.to_string() })
+        found.ok_or_else(|| UnknownFault {
+            word: word.to_string(),
+        })
     }
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let name = FAULTS.iter().find(|known| known.1 == *self).map_or("", |known| known.0);
+        let name = FAULTS
+            .iter()
+            .find(|known| known.1 == *self)
+            .map_or("", |known| known.0);
         f.write_str(name)
     }
 }
--- a/programs/soak/src/judge.rs
+++ b/programs/soak/src/judge.rs
@@ -64,11 +64,16 @@
 
 /// All that the record shows to be broken.
 pub fn judge(record: &[Entry], terms: Terms) -> Vec<Break> {
-    let Some(last) = record.last() else { return Vec::new() };
+    let Some(last) = record.last() else {
+        return Vec::new();
+    };
     let mut breaks = processes(record);
     for asked in requests(record).values() {
         let of = |what: Option<(Rule, String)>| {
-            what.map(|(rule, what)| Break { rule, what: format!("{}: {what}", asked.id) })
+            what.map(|(rule, what)| Break {
+                rule,
+                what: format!("{}: {what}", asked.id),
+            })
         };
         let process = process_end(record, asked);
         breaks.extend(of(lost(asked, process, terms, last.at)));
@@ -102,7 +107,13 @@
 fn requests(record: &[Entry]) -> BTreeMap<&str, Asked<'_>> {
     let mut all = BTreeMap::new();
     for entry in record {
-        if let Seen::Asked { id, process, deadline_s, is_unsafe } = &entry.seen {
+        if let Seen::Asked {
+            id,
+            process,
+            deadline_s,
+            is_unsafe,
+        } = &entry.seen
+        {
             let deadline = Duration::from_secs_f64(*deadline_s);
             let asked = Asked {
                 id,
@@ -136,7 +147,9 @@
     for entry in record {
         match &entry.seen {
             Seen::Told { process } if *process == asked.process => end.told = Some(entry.at),
-            Seen::Gone { process, killed, .. } if *process == asked.process => {
+            Seen::Gone {
+                process, killed, ..
+            } if *process == asked.process => {
                 (end.gone, end.killed) = (Some(entry.at), *killed);
                 if entry.at >= asked.at {
                     return end;
@@ -152,8 +165,13 @@
 impl ProcessEnd {
     /// A request without an answer at this time is not owed one any more.
     fn excuses(&self, asked: &Asked, at: Instant) -> bool {
-        let came_late = self.told.is_some_and(|told| asked.at > told + TAKEN_AFTER_SIGNAL);
-        let was_read = asked.seen.iter().any(|e| matches!(e.seen, Seen::Arrived { .. }));
+        let came_late = self
+            .told
+            .is_some_and(|told| asked.at > told + TAKEN_AFTER_SIGNAL);
+        let was_read = asked
+            .seen
+            .iter()
+            .any(|e| matches!(e.seen, Seen::Arrived { .. }));
         // A request that crosses the close of its connection, and was not read, its client sends elsewhere.
         let crossed = self.told.is_some_and(|told| asked.at + SOCKETS >= told) && !was_read;
         let killed = self.killed && self.gone.is_some_and(|gone| gone <= at + SOCKETS);
@@ -161,7 +179,12 @@
     }
 }
 
-fn lost(asked: &Asked, process: ProcessEnd, terms: Terms, day_end: Instant) -> Option<(Rule, String)> {
+fn lost(
+    asked: &Asked,
+    process: ProcessEnd,
+    terms: Terms,
+    day_end: Instant,
+) -> Option<(Rule, String)> {
     let due = asked.at + asked.deadline + ANSWER_SLACK + SOCKETS;
     let ended = asked.seen.iter().find_map(|e| match &e.seen {
         Seen::Ended { end, .. } => Some((*end, e.at)),
@@ -171,8 +194,14 @@
         let owed = day_end > due && !process.excuses(asked, due);
         return owed.then(|| (Rule::Lost, "no answer".to_string()));
     };
-    let is_whole = asked.seen.iter().any(|e| matches!(e.seen, Seen::StreamWhole { .. }));
-    let begun = asked.seen.iter().any(|e| matches!(e.seen, Seen::Taken { .. }));
+    let is_whole = asked
+        .seen
+        .iter()
+        .any(|e| matches!(e.seen, Seen::StreamWhole { .. }));
+    let begun = asked
+        .seen
+        .iter()
+        .any(|e| matches!(e.seen, Seen::Taken { .. }));
     let what = match end {
         End::Left | End::Served => None,
         End::Refused | End::Failed => (at > due).then_some("its answer came after its time"),
@@ -200,10 +229,16 @@
                 }
                 out.push((*server, entry.at));
             }
-            Seen::Over { server, decode, declined, .. } => {
+            Seen::Over {
+                server,
+                decode,
+                declined,
+                ..
+            } => {
                 may_have_run |= *decode && !*declined;
                 out.retain(|o| o.0 != *server);
-                let overlaps = |o: &(usize, Instant)| entry.at.saturating_duration_since(o.1) > OVERLAP;
+                let overlaps =
+                    |o: &(usize, Instant)| entry.at.saturating_duration_since(o.1) > OVERLAP;
                 if out.iter().any(overlaps) {
                     return Some((Rule::Duplicate, "two attempts were out at once".into()));
                 }
@@ -214,14 +249,24 @@
     None
 }
 
-fn pinned(asked: &Asked, gone: Option<Instant>, terms: Terms, day_end: Instant) -> Option<(Rule, String)> {
+fn pinned(
+    asked: &Asked,
+    gone: Option<Instant>,
+    terms: Terms,
+    day_end: Instant,
+) -> Option<(Rule, String)> {
     let (mut out, mut held, mut since) = (0usize, false, None::<Instant>);
     let limit = terms.pin_limit + SOCKETS + HELD_SLACK;
     let too_long = |since: Option<Instant>, until: Instant| {
         let since = since?;
         let until = gone.map_or(until, |gone| gone.min(until));
         let took = until.saturating_duration_since(since);
-        (took > limit).then(|| (Rule::Pinned, format!("held for {:.2} s", took.as_secs_f64())))
+        (took > limit).then(|| {
+            (
+                Rule::Pinned,
+                format!("held for {:.2} s", took.as_secs_f64()),
+            )
+        })
     };
     for entry in &asked.seen {
         let was_held = held;
@@ -245,7 +290,9 @@
 
 fn told_too_much(asked: &Asked, record: &[Entry]) -> Option<(Rule, String)> {
     asked.seen.iter().find_map(|entry| {
-        let Seen::Arrived { told_ms, .. } = &entry.seen else { return None };
+        let Seen::Arrived { told_ms, .. } = &entry.seen else {
+            return None;
+        };
         let left = (asked.at + asked.deadline).saturating_duration_since(entry.at);
         let told = Duration::from_millis(*told_ms);
         let what = || format!("a server was told {told:?} with {left:?} left");
@@ -258,7 +305,9 @@
 fn held_up(record: &[Entry], from: Instant, to: Instant) -> Duration {
     let of = |e: &Entry| match e.seen {
         Seen::HeldUp { seconds } => {
-            let began = e.at.checked_sub(Duration::from_secs_f64(seconds)).unwrap_or(e.at);
+            let began =
+                e.at.checked_sub(Duration::from_secs_f64(seconds))
+                    .unwrap_or(e.at);
             e.at.min(to).saturating_duration_since(began.max(from))
         }
         _ => Duration::ZERO,
@@ -277,10 +326,15 @@
                 told.entry((*process, *server)).or_insert(entry.at);
             }
             Seen::Arrived { id, server, .. } => {
-                let known = process_of.get(id.as_str()).and_then(|p| told.get(&(*p, *server)));
+                let known = process_of
+                    .get(id.as_str())
+                    .and_then(|p| told.get(&(*p, *server)));
                 if known.is_some_and(|at| entry.at.saturating_duration_since(*at) > DRAIN_GRACE) {
                     let what = format!("{id}: sent to server {server}, which drains");
-                    breaks.push(Break { rule: Rule::Drain, what });
+                    breaks.push(Break {
+                        rule: Rule::Drain,
+                        what,
+                    });
                 }
             }
             _ => {}
@@ -291,15 +345,24 @@
 
 fn processes(record: &[Entry]) -> Vec<Break> {
     let broken = |entry: &Entry| match &entry.seen {
-        Seen::Gone { process, expected: false, .. } => Some(format!("process {process} ended by itself")),
+        Seen::Gone {
+            process,
+            expected: false,
+            ..
+        } => Some(format!("process {process} ended by itself")),
         Seen::Ready { process, after_s } if *after_s > READY_WITHIN_S => {
             Some(format!("process {process} was ready after {after_s:.1} s"))
         }
-        Seen::HalfRequest { id, ended: false } => {
-            Some(format!("{id}: half a request was neither answered nor ended"))
-        }
+        Seen::HalfRequest { id, ended: false } => Some(format!(
+            "{id}: half a request was neither answered nor ended"
+        )),
         _ => None,
     };
     let broken = record.iter().filter_map(broken);
-    broken.map(|what| Break { rule: Rule::Crash, what }).collect()
+    broken
+        .map(|what| Break {
+            rule: Rule::Crash,
+            what,
+        })
+        .collect()
 }
--- a/programs/soak/src/main.rs
+++ b/programs/soak/src/main.rs
@@ -44,7 +44,9 @@
 }
 
 fn length(text: &str) -> Result<f64, String> {
-    let length: f64 = text.parse().map_err(|_| format!("'{text}' is no number of seconds"))?;
+    let length: f64 = text
+        .parse()
+        .map_err(|_| format!("'{text}' is no number of seconds"))?;
     Some(length)
         .filter(|l| (5.0..=300.0).contains(l))
         .ok_or_else(|| format!("{length} is not from 5 to 300 s"))
@@ -52,7 +54,10 @@
 
 fn main() -> ExitCode {
     let mut words = std::env::args_os();
-    if std::env::args_os().nth(1).is_some_and(|w| w == AS_DISPATCHER) {
+    if std::env::args_os()
+        .nth(1)
+        .is_some_and(|w| w == AS_DISPATCHER)
+    {
         let program = words.next().into_iter();
         return bitternlatch_dispatch::main_from(program.chain(words.skip(1)));
     }
@@ -82,10 +87,16 @@
                 match play_in(&args.out, &day) {
                     Ok(played) => {
                         let bad = !played.breaks.is_empty() || !played.never_injected.is_empty();
-                        broken.lock().into_iter().for_each(|mut n| *n += usize::from(bad));
+                        broken
+                            .lock()
+                            .into_iter()
+                            .for_each(|mut n| *n += usize::from(bad));
                         report(&day, &played);
                     }
-                    Err(why) => fault.lock().into_iter().for_each(|mut f| *f = Some(why.clone())),
+                    Err(why) => fault
+                        .lock()
+                        .into_iter()
+                        .for_each(|mut f| *f = Some(why.clone())),
                 }
             });
         }
@@ -105,13 +116,21 @@
 }
 
 fn report(day: &Day, played: &Played) {
-    let verdict = if played.breaks.is_empty() { "held" } else { "BROKEN" };
+    let verdict = if played.breaks.is_empty() {
+        "held"
+    } else {
+        "BROKEN"
+    };
     let (requests, served, unserved) = (played.requests, played.served, played.unserved);
     println!(
         "{verdict}: {requests} requests, {served} served, {unserved} refused or failed: {}",
         day.command()
     );
-    played.breaks.iter().take(8).for_each(|b| println!("    {b}"));
+    played
+        .breaks
+        .iter()
+        .take(8)
+        .for_each(|b| println!("    {b}"));
     if played.breaks.len() > 8 {
         println!("    and {} more", played.breaks.len() - 8);
     }
--- a/programs/soak/src/play.rs
+++ b/programs/soak/src/play.rs
@@ -47,7 +47,10 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 /// Plays a day in a folder of its own, and judges it.
@@ -72,25 +75,57 @@
     let never_injected = world.end();
     let terms = Terms {
         pin_limit: Duration::from_secs_f64(day.deployment.pin_limit_s),
-        servers_break: [Fault::Reset, Fault::SilentDecode, Fault::SilentKept].iter().any(|f| day.has(*f)),
+        servers_break: [Fault::Reset, Fault::SilentDecode, Fault::SilentKept]
+            .iter()
+            .any(|f| day.has(*f)),
     };
     let entries = record.take();
     let count = |fits: fn(&Seen) -> bool| entries.iter().filter(|e| fits(&e.seen)).count();
     let requests = count(|s| matches!(s, Seen::Asked { .. }));
-    let served = count(|s| matches!(s, Seen::Ended { end: End::Served, .. }));
-    let unserved = count(|s| matches!(s, Seen::Ended { end: End::Refused | End::Failed, .. }));
+    let served = count(|s| {
+        matches!(
+            s,
+            Seen::Ended {
+                end: End::Served,
+                ..
+            }
+        )
+    });
+    let unserved = count(|s| {
+        matches!(
+            s,
+            Seen::Ended {
+                end: End::Refused | End::Failed,
+                ..
+            }
+        )
+    });
     let breaks = judge(&entries, terms);
     if !breaks.is_empty() {
         write_record(folder, &entries, world.began);
     }
-    Ok(Played { breaks, requests, served, unserved, never_injected })
+    Ok(Played {
+        breaks,
+        requests,
+        served,
+        unserved,
+        never_injected,
+    })
 }
 
 fn write_record(folder: &Path, entries: &[Entry], began: Instant) {
-    let line =
-        |e: &Entry| format!("{:.3} {:?}\n", e.at.saturating_duration_since(began).as_secs_f64(), e.seen);
+    let line = |e: &Entry| {
+        format!(
+            "{:.3} {:?}\n",
+            e.at.saturating_duration_since(began).as_secs_f64(),
+            e.seen
+        )
+    };
     // The verdict stands without it.
-    let _ = std::fs::write(folder.join("record.txt"), entries.iter().map(line).collect::<String>());
+    let _ = std::fs::write(
+        folder.join("record.txt"),
+        entries.iter().map(line).collect::<String>(),
+    );
 }
 
 impl World {
@@ -104,14 +139,31 @@
         let mut processes = Vec::new();
         for number in 0..day.processes {
             let agent = discovery.agent(number).map_err(fault)?;
-            processes.push(Process::new(day, number, folder, agent, &discovery.known(), record.clone())?);
+            processes.push(Process::new(
+                day,
+                number,
+                folder,
+                agent,
+                &discovery.known(),
+                record.clone(),
+            )?);
         }
         for process in &mut processes {
             process.start()?;
         }
-        let clients = processes.iter().map(|p| Clients::new(p.number, p.listen, record.clone())).collect();
+        let clients = processes
+            .iter()
+            .map(|p| Clients::new(p.number, p.listen, record.clone()))
+            .collect();
         let processes = processes.into_iter().map(Mutex::new).collect();
-        Ok(World { day: day.clone(), servers, discovery, processes, clients, began: Instant::now() })
+        Ok(World {
+            day: day.clone(),
+            servers,
+            discovery,
+            processes,
+            clients,
+            began: Instant::now(),
+        })
     }
 
     fn end(&self) -> Vec<&'static str> {
@@ -121,8 +173,9 @@
             process.end(false);
             let here = process.never_injected();
             // A kind counts as injected where any process has met it.
-            missing =
-                Some(missing.map_or(here.clone(), |m| m.into_iter().filter(|k| here.contains(k)).collect()));
+            missing = Some(missing.map_or(here.clone(), |m| {
+                m.into_iter().filter(|k| here.contains(k)).collect()
+            }));
         }
         missing.unwrap_or_default()
     }
@@ -139,21 +192,34 @@
             thread::sleep(NAP);
             let took = slept.elapsed();
             if took > HELD_UP {
-                record.note(Seen::HeldUp { seconds: took.as_secs_f64() });
+                record.note(Seen::HeldUp {
+                    seconds: took.as_secs_f64(),
+                });
             }
         }
     }
 
     fn process(&self, number: usize) -> MutexGuard<'_, Process> {
-        self.processes[number].lock().unwrap_or_else(|e| e.into_inner())
+        self.processes[number]
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
     }
 
     fn suffer(&self, spell: Spell) {
         self.sleep_until(spell.from_s);
         let over = || self.sleep_until(spell.to_s);
         match spell.trouble {
-            Trouble::Silence { decode, servers, kept_only } => {
-                let struck: Vec<_> = self.servers.of_role(decode).into_iter().take(servers).collect();
+            Trouble::Silence {
+                decode,
+                servers,
+                kept_only,
+            } => {
+                let struck: Vec<_> = self
+                    .servers
+                    .of_role(decode)
+                    .into_iter()
+                    .take(servers)
+                    .collect();
                 struck.iter().for_each(|s| s.fall_silent(kept_only));
                 over();
                 struck.iter().for_each(|s| s.return_from_silence());
@@ -194,7 +260,11 @@
     }
 
     fn restart(&self, number: usize) {
-        let longest_s = self.day.deployment.safe_deadline_s.max(self.day.deployment.unsafe_deadline_s);
+        let longest_s = self
+            .day
+            .deployment
+            .safe_deadline_s
+            .max(self.day.deployment.unsafe_deadline_s);
         let clients = &self.clients[number];
         let mut process = self.process(number);
         thread::scope(|scope| {
--- a/programs/soak/src/process.rs
+++ b/programs/soak/src/process.rs
@@ -54,9 +54,18 @@
     let image = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
     let beside = image.parent().unwrap_or(Path::new("."));
     let name = "libbitternlatch_fault_shim.so";
-    let places = [beside.join(name), beside.join("deps").join(name), beside.join("..").join(name)];
+    let places = [
+        beside.join(name),
+        beside.join("deps").join(name),
+        beside.join("..").join(name),
+    ];
     let found = places.iter().find(|p| p.exists()).cloned();
-    found.ok_or_else(|| format!("{name} is not beside {}: build the whole workspace", image.display()))
+    found.ok_or_else(|| {
+        format!(
+            "{name} is not beside {}: build the whole workspace",
+            image.display()
+        )
+    })
 }
 
 fn configuration(
@@ -88,7 +97,10 @@
 
 /// The shim's plan for one process of a day; none where the day has none of its faults.
 fn plan(day: &Day, process: usize) -> Option<String> {
-    let mut plan = format!("seed={}", day.seed.wrapping_mul(31).wrapping_add(process as u64));
+    let mut plan = format!(
+        "seed={}",
+        day.seed.wrapping_mul(31).wrapping_add(process as u64)
+    );
     let before = plan.len();
     if day.has(Fault::Calls) {
         plan.push_str(",accept=0.2,socket=0.25,connect=0.25");
@@ -118,9 +130,20 @@
     ) -> Result<Process, String> {
         let listen = own_address();
         let text = configuration(number, listen, discovery, known, &day.deployment);
-        let shim = plan(day, number).map(|plan| Ok::<_, String>((shim_library()?, plan))).transpose()?;
+        let shim = plan(day, number)
+            .map(|plan| Ok::<_, String>((shim_library()?, plan)))
+            .transpose()?;
         let folder = folder.to_path_buf();
-        Ok(Process { number, listen, record, folder, text, shim, starts: 0, child: None })
+        Ok(Process {
+            number,
+            listen,
+            record,
+            folder,
+            text,
+            shim,
+            starts: 0,
+            child: None,
+        })
     }
 
     fn file(&self, name: &str) -> PathBuf {
@@ -136,11 +159,15 @@
         let config = self.file("json");
         std::fs::write(&config, &self.text).map_err(|e| fault("a configuration", e))?;
         let image = std::env::current_exe().map_err(|e| fault("this program's own path", e))?;
-        let log = File::create(self.file(&format!("{}.log", self.starts))).map_err(|e| fault("a log", e))?;
+        let log = File::create(self.file(&format!("{}.log", self.starts)))
+            .map_err(|e| fault("a log", e))?;
         let out = log.try_clone().map_err(|e| fault("a log", e))?;
         self.starts += 1;
         let mut command = Command::new(image);
-        command.arg(AS_DISPATCHER).arg("--platform").env("EDGE_CONFIG", &config);
+        command
+            .arg(AS_DISPATCHER)
+            .arg("--platform")
+            .env("EDGE_CONFIG", &config);
         command.env("BITTERNLATCH_LOG", "info,explain=debug");
         if let Some((library, plan)) = &self.shim {
             command.env("LD_PRELOAD", library).env("FAULT_SHIM", plan);
@@ -152,15 +179,22 @@
         while began.elapsed() < READY && !self.is_ready() && !self.has_ended() {
             std::thread::sleep(Duration::from_millis(10));
         }
-        self.record.note(Seen::Ready { process: self.number, after_s: began.elapsed().as_secs_f64() });
+        self.record.note(Seen::Ready {
+            process: self.number,
+            after_s: began.elapsed().as_secs_f64(),
+        });
         Ok(())
     }
 
     fn is_ready(&self) -> bool {
-        let Ok(mut stream) = TcpStream::connect(self.listen) else { return false };
+        let Ok(mut stream) = TcpStream::connect(self.listen) else {
+            return false;
+        };
         let _ = stream.set_read_timeout(Some(Duration::from_millis(500)));
         let mut answer = [0; 12];
-        stream.write_all(b"GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n").is_ok()
+        stream
+            .write_all(b"GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n")
+            .is_ok()
             && stream.read_exact(&mut answer).is_ok()
             && answer.ends_with(b"200")
     }
@@ -178,16 +212,23 @@
 
     /// Writes its configuration, whole or half.
     pub fn write_configuration(&self, whole: bool) {
-        let text = if whole { &self.text[..] } else { &self.text[..self.text.len() / 2] };
+        let text = if whole {
+            &self.text[..]
+        } else {
+            &self.text[..self.text.len() / 2]
+        };
         // What a process reads meanwhile is part of the trouble.
         let _ = std::fs::write(self.file("json"), text);
     }
 
     /// Tells it to end, and kills it as early as the platform may.
     pub fn stop(&mut self, longest_deadline_s: f64) {
-        self.record.note(Seen::Told { process: self.number });
+        self.record.note(Seen::Told {
+            process: self.number,
+        });
         self.signal(Signal::TERM);
-        let kill = Duration::from_secs_f64(longest_deadline_s.min(LONGEST_DEADLINE_S) + KILL_AFTER_S);
+        let kill =
+            Duration::from_secs_f64(longest_deadline_s.min(LONGEST_DEADLINE_S) + KILL_AFTER_S);
         let began = Instant::now();
         while began.elapsed() < kill && !self.has_ended() {
             std::thread::sleep(Duration::from_millis(5));
@@ -197,22 +238,31 @@
 
     /// Kills it if it still runs; its end was expected or not.
     pub fn end(&mut self, expected: bool) {
-        let Some(mut child) = self.child.take() else { return };
+        let Some(mut child) = self.child.take() else {
+            return;
+        };
         let by_itself = matches!(child.try_wait(), Ok(Some(_)));
         let _ = child.kill();
         let status = child.wait();
         let crashed = by_itself && !status.is_ok_and(|s| s.success());
         let expected = expected && !crashed || !by_itself;
-        self.record.note(Seen::Gone { process: self.number, killed: !by_itself, expected });
+        self.record.note(Seen::Gone {
+            process: self.number,
+            killed: !by_itself,
+            expected,
+        });
     }
 
     /// Kinds of injections that this process's plan names and that none of its calls met.
     pub fn never_injected(&self) -> Vec<&'static str> {
-        let Some((_, plan)) = &self.shim else { return Vec::new() };
+        let Some((_, plan)) = &self.shim else {
+            return Vec::new();
+        };
         let marks = std::fs::read(self.file("injected")).unwrap_or_default();
         let kinds = bitternlatch_fault_shim::plan::KINDS.iter().enumerate();
-        let missing = kinds
-            .filter(|(at, kind)| plan.contains(&format!(",{}=", kind.0)) && marks.get(*at) != Some(&b'x'));
+        let missing = kinds.filter(|(at, kind)| {
+            plan.contains(&format!(",{}=", kind.0)) && marks.get(*at) != Some(&b'x')
+        });
         missing.map(|(_, kind)| kind.0).collect()
     }
 }
--- a/programs/soak/src/record.rs
+++ b/programs/soak/src/record.rs
@@ -111,7 +111,10 @@
     pub fn note(&self, seen: Seen) {
         // The time is taken under the lock, so that entries stand in order of time.
         let mut entries = self.0.lock().unwrap_or_else(|e| e.into_inner());
-        entries.push(Entry { at: Instant::now(), seen });
+        entries.push(Entry {
+            at: Instant::now(),
+            seen,
+        });
     }
 
     pub fn take(&self) -> Vec<Entry> {
--- a/programs/soak/src/servers.rs
+++ b/programs/soak/src/servers.rs
@@ -79,7 +79,11 @@
     ///
     /// # Errors
     /// Where there is no address for it.
-    pub fn start(self: &Arc<Servers>, decode: bool, booted_ms: u64) -> std::io::Result<Arc<Server>> {
+    pub fn start(
+        self: &Arc<Servers>,
+        decode: bool,
+        booted_ms: u64,
+    ) -> std::io::Result<Arc<Server>> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         rustix::net::listen(&listener, QUEUE)?;
         listener.set_nonblocking(true)?;
@@ -107,7 +111,11 @@
     }
 
     pub fn of_role(&self, decode: bool) -> Vec<Arc<Server>> {
-        lock(&self.all).iter().filter(|s| s.decode == decode).cloned().collect()
+        lock(&self.all)
+            .iter()
+            .filter(|s| s.decode == decode)
+            .cloned()
+            .collect()
     }
 
     /// So much of what arrives is reset from now on.
@@ -128,8 +136,14 @@
                         let number = servers.connections.fetch_add(1, Ordering::SeqCst);
                         let chance = Chance::new(servers.seed ^ number.wrapping_mul(0x9E37_79B9));
                         let spell = server.spells.load(Ordering::SeqCst);
-                        let connection =
-                            Connection { servers, server, stream, spell, chance, unread: Vec::new() };
+                        let connection = Connection {
+                            servers,
+                            server,
+                            stream,
+                            spell,
+                            chance,
+                            unread: Vec::new(),
+                        };
                         // A connection that breaks has nobody left to be told.
                         let _ = connection.serve();
                     });
@@ -159,7 +173,9 @@
         // A shorter queue counts from now on.
         let _ = rustix::net::listen(&self.listener, 0);
         let within = Duration::from_millis(30);
-        (0..FILLED_BY).map_while(|_| TcpStream::connect_timeout(&self.address, within).ok()).collect()
+        (0..FILLED_BY)
+            .map_while(|_| TcpStream::connect_timeout(&self.address, within).ok())
+            .collect()
     }
 
     pub fn be_reachable(&self, fill: Vec<TcpStream>) {
@@ -197,7 +213,9 @@
 impl Connection {
     fn serve(mut self) -> Result<(), Ended> {
         self.stream.set_nodelay(true).map_err(|_| Ended)?;
-        self.stream.set_read_timeout(Some(LOOK)).map_err(|_| Ended)?;
+        self.stream
+            .set_read_timeout(Some(LOOK))
+            .map_err(|_| Ended)?;
         loop {
             let call = self.next_call()?;
             match call.method.as_str() {
@@ -265,19 +283,31 @@
         let head_end = self.unread.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
         let head = String::from_utf8_lossy(&self.unread[..head_end]).into_owned();
         let field = |name: &str| {
-            let line = head.lines().find(|l| l.to_ascii_lowercase().starts_with(name))?;
+            let line = head
+                .lines()
+                .find(|l| l.to_ascii_lowercase().starts_with(name))?;
             line.split_once(':').map(|pair| pair.1.trim().to_string())
         };
-        let length: usize = field("content-length:").and_then(|n| n.parse().ok()).unwrap_or(0);
+        let length: usize = field("content-length:")
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(0);
         if self.unread.len() < head_end + length {
             return None;
         }
         self.unread.drain(..head_end + length);
         let mut words = head.split(' ');
         let (method, path) = (words.next()?.to_string(), words.next()?.to_string());
-        let id = field("req-id:").unwrap_or_else(|| path.rsplit('/').next().unwrap_or_default().to_string());
-        let told_ms = field("req-deadline-ms:").and_then(|ms| ms.parse().ok()).unwrap_or(0);
-        Some(Call { method, path, id, told_ms })
+        let id = field("req-id:")
+            .unwrap_or_else(|| path.rsplit('/').next().unwrap_or_default().to_string());
+        let told_ms = field("req-deadline-ms:")
+            .and_then(|ms| ms.parse().ok())
+            .unwrap_or(0);
+        Some(Call {
+            method,
+            path,
+            id,
+            told_ms,
+        })
     }
 
     fn say(&mut self, text: &str) -> Result<(), Ended> {
@@ -307,12 +337,22 @@
 
     fn arrived(&mut self, call: &Call) {
         let (id, server) = (call.id.clone(), self.server.number);
-        self.note(Seen::Arrived { id, server, decode: self.server.decode, told_ms: call.told_ms });
+        self.note(Seen::Arrived {
+            id,
+            server,
+            decode: self.server.decode,
+            told_ms: call.told_ms,
+        });
     }
 
     fn over(&self, call: &Call, declined: bool) {
         let (id, server) = (call.id.clone(), self.server.number);
-        self.note(Seen::Over { id, server, decode: self.server.decode, declined });
+        self.note(Seen::Over {
+            id,
+            server,
+            decode: self.server.decode,
+            declined,
+        });
     }
 
     fn is_reset(&mut self) -> bool {
@@ -328,7 +368,9 @@
             let mut states = lock(&self.servers.states);
             let waits = states.waiting.get(&call.id).is_some_and(|n| *n > 0);
             if !waits && states.held.remove(&call.id).is_some() {
-                self.note(Seen::Released { id: call.id.clone() });
+                self.note(Seen::Released {
+                    id: call.id.clone(),
+                });
             }
         }
         self.say(std::str::from_utf8(RELEASED).unwrap_or_default())
@@ -344,7 +386,9 @@
             // Under the lock, as a release may come in the same moment.
             let mut states = lock(&self.servers.states);
             states.held.insert(call.id.clone(), self.server.number);
-            self.note(Seen::Held { id: call.id.clone() });
+            self.note(Seen::Held {
+                id: call.id.clone(),
+            });
         }
         let said = match worked {
             Ok(()) if breaks => self.reset(),
@@ -357,17 +401,25 @@
     }
 
     fn decode(&mut self, call: &Call) -> Result<(), Ended> {
-        *lock(&self.servers.states).waiting.entry(call.id.clone()).or_default() += 1;
+        *lock(&self.servers.states)
+            .waiting
+            .entry(call.id.clone())
+            .or_default() += 1;
         self.arrived(call);
         let breaks = self.is_reset();
         let for_s = self.chance.between(0.005, 0.08);
         let worked = self.work(for_s);
         let is_taken = {
             let mut states = lock(&self.servers.states);
-            states.waiting.entry(call.id.clone()).and_modify(|n| *n -= 1);
+            states
+                .waiting
+                .entry(call.id.clone())
+                .and_modify(|n| *n -= 1);
             let is_taken = worked.is_ok() && states.held.remove(&call.id).is_some();
             if is_taken {
-                self.note(Seen::Taken { id: call.id.clone() });
+                self.note(Seen::Taken {
+                    id: call.id.clone(),
+                });
             }
             is_taken
         };
@@ -383,7 +435,11 @@
 
     fn stream_events(&mut self, call: &Call, breaks: bool) -> Result<(), Ended> {
         let events = 2 + self.chance.below(6);
-        let broken_at = if breaks { self.chance.below(events) } else { events };
+        let broken_at = if breaks {
+            self.chance.below(events)
+        } else {
+            events
+        };
         self.say("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")?;
         for event in 0..events {
             if event == broken_at {
@@ -395,7 +451,9 @@
             self.work(0.02)?;
         }
         self.say(&format!("{}0\r\n\r\n", chunk("data: [DONE]\n\n")))?;
-        self.note(Seen::StreamWhole { id: call.id.clone() });
+        self.note(Seen::StreamWhole {
+            id: call.id.clone(),
+        });
         Ok(())
     }
 }
@@ -411,5 +469,8 @@
 }
 
 fn plain(status: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\nSrv-Load: {REPORT}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status}\r\nSrv-Load: {REPORT}\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
--- a/programs/soak/tests/judge.rs
+++ b/programs/soak/tests/judge.rs
@@ -6,22 +6,40 @@
 use bitternlatch_soak::record::{End, Entry, Seen};
 
 const ID: &str = "p0-1";
-const TERMS: Terms = Terms { pin_limit: Duration::from_millis(1000), servers_break: false };
+const TERMS: Terms = Terms {
+    pin_limit: Duration::from_millis(1000),
+    servers_break: false,
+};
 
 fn id() -> String {
     ID.to_string()
 }
 
 fn asked() -> Seen {
-    Seen::Asked { id: id(), process: 0, deadline_s: 4.0, is_unsafe: true }
+    Seen::Asked {
+        id: id(),
+        process: 0,
+        deadline_s: 4.0,
+        is_unsafe: true,
+    }
 }
 
 fn arrived(server: usize, decode: bool) -> Seen {
-    Seen::Arrived { id: id(), server, decode, told_ms: 1000 }
+    Seen::Arrived {
+        id: id(),
+        server,
+        decode,
+        told_ms: 1000,
+    }
 }
 
 fn over(server: usize, decode: bool, declined: bool) -> Seen {
-    Seen::Over { id: id(), server, decode, declined }
+    Seen::Over {
+        id: id(),
+        server,
+        decode,
+        declined,
+    }
 }
 
 fn ended(end: End) -> Seen {
@@ -31,15 +49,22 @@
 /// The rules that a record breaks; times are in milliseconds.
 fn broken(record: &[(u64, Seen)]) -> Vec<Rule> {
     let began = Instant::now();
-    let entry =
-        |(at, seen): &(u64, Seen)| Entry { at: began + Duration::from_millis(*at), seen: seen.clone() };
+    let entry = |(at, seen): &(u64, Seen)| Entry {
+        at: began + Duration::from_millis(*at),
+        seen: seen.clone(),
+    };
     let record: Vec<Entry> = record.iter().map(entry).collect();
     judge(&record, TERMS).into_iter().map(|b| b.rule).collect()
 }
 
 /// A request whose prefill has ended after 100 ms.
 fn held() -> Vec<(u64, Seen)> {
-    vec![(0, asked()), (10, arrived(0, false)), (100, Seen::Held { id: id() }), (100, over(0, false, false))]
+    vec![
+        (0, asked()),
+        (10, arrived(0, false)),
+        (100, Seen::Held { id: id() }),
+        (100, over(0, false, false)),
+    ]
 }
 
 fn with(mut record: Vec<(u64, Seen)>, more: &[(u64, Seen)]) -> Vec<Rule> {
@@ -52,16 +77,42 @@
     let released = |at| (at, Seen::Released { id: id() });
     let refused = |at| (at, ended(End::Refused));
     assert_eq!(with(held(), &[released(1400), refused(1500)]), []);
-    assert_eq!(with(held(), &[released(1500), refused(1600)]), [Rule::Pinned]);
-    let turned_away = [(900, arrived(1, true)), (1000, over(1, true, true)), released(2300), refused(2400)];
-    assert_eq!(with(held(), &turned_away), [], "an attempt was out until then");
+    assert_eq!(
+        with(held(), &[released(1500), refused(1600)]),
+        [Rule::Pinned]
+    );
+    let turned_away = [
+        (900, arrived(1, true)),
+        (1000, over(1, true, true)),
+        released(2300),
+        refused(2400),
+    ];
+    assert_eq!(
+        with(held(), &turned_away),
+        [],
+        "an attempt was out until then"
+    );
     assert_eq!(
         with(held(), &[refused(300), (9000, Seen::Told { process: 0 })]),
         [Rule::Pinned],
         "never released"
     );
-    let gone = Seen::Gone { process: 0, killed: true, expected: true };
-    assert_eq!(with(held(), &[refused(300), (1000, gone), (9000, Seen::Told { process: 0 })]), []);
+    let gone = Seen::Gone {
+        process: 0,
+        killed: true,
+        expected: true,
+    };
+    assert_eq!(
+        with(
+            held(),
+            &[
+                refused(300),
+                (1000, gone),
+                (9000, Seen::Told { process: 0 })
+            ]
+        ),
+        []
+    );
 }
 
 #[test]
@@ -74,8 +125,19 @@
     for end in [End::Closed, End::Nothing, End::Broken] {
         assert_eq!(answered(3000, end), [Rule::Lost], "{end:?}");
     }
-    assert_eq!(broken(&[(0, asked()), (9000, Seen::Told { process: 0 })]), [Rule::Lost], "no end at all");
-    let killed = (1500, Seen::Gone { process: 0, killed: true, expected: true });
+    assert_eq!(
+        broken(&[(0, asked()), (9000, Seen::Told { process: 0 })]),
+        [Rule::Lost],
+        "no end at all"
+    );
+    let killed = (
+        1500,
+        Seen::Gone {
+            process: 0,
+            killed: true,
+            expected: true,
+        },
+    );
     let told = |at| (at, Seen::Told { process: 0 });
     let cut = |asked_at, told_at| {
         broken(&[
@@ -87,23 +149,52 @@
         ])
     };
     assert_eq!(cut(100, 200), [], "in hand at the kill");
-    let late =
-        [told(100), (1000, asked()), (1005, arrived(0, false)), killed.clone(), (1510, ended(End::Closed))];
-    assert_eq!(broken(&late), [Rule::Lost], "read long after the signal, and not answered");
-    let crossed = [told(100), (1000, asked()), killed, (1510, ended(End::Closed))];
+    let late = [
+        told(100),
+        (1000, asked()),
+        (1005, arrived(0, false)),
+        killed.clone(),
+        (1510, ended(End::Closed)),
+    ];
+    assert_eq!(
+        broken(&late),
+        [Rule::Lost],
+        "read long after the signal, and not answered"
+    );
+    let crossed = [
+        told(100),
+        (1000, asked()),
+        killed,
+        (1510, ended(End::Closed)),
+    ];
     assert_eq!(broken(&crossed), [], "never read");
 }
 
 #[test]
 fn no_unsafe_request_runs_twice_and_no_two_attempts_are_out_at_once() {
-    let served = [(300, Seen::Taken { id: id() }), (310, over(1, true, false)), (320, ended(End::Served))];
+    let served = [
+        (300, Seen::Taken { id: id() }),
+        (310, over(1, true, false)),
+        (320, ended(End::Served)),
+    ];
     let begin = [(200, arrived(1, true))];
     assert_eq!(with(held(), &[&begin[..], &served].concat()), []);
     let again = [(400, arrived(2, true)), (500, ended(End::Served))];
-    assert_eq!(with(held(), &[&begin[..], &served[..2], &again].concat()), [Rule::Duplicate]);
-    let declined = [(300, over(1, true, true)), (400, arrived(2, true)), (500, ended(End::Failed))];
+    assert_eq!(
+        with(held(), &[&begin[..], &served[..2], &again].concat()),
+        [Rule::Duplicate]
+    );
+    let declined = [
+        (300, over(1, true, true)),
+        (400, arrived(2, true)),
+        (500, ended(End::Failed)),
+    ];
     let released = [(600, Seen::Released { id: id() })];
-    assert_eq!(with(held(), &[&begin[..], &declined, &released].concat()), [], "the first never ran");
+    assert_eq!(
+        with(held(), &[&begin[..], &declined, &released].concat()),
+        [],
+        "the first never ran"
+    );
     let both = [
         (200, arrived(1, true)),
         (210, arrived(2, true)),
@@ -115,24 +206,97 @@
 
 #[test]
 fn nothing_goes_to_a_server_that_drains_and_servers_are_told_the_time_left() {
-    let drained = |at| (at, Seen::Drained { process: 0, server: 3 });
+    let drained = |at| {
+        (
+            at,
+            Seen::Drained {
+                process: 0,
+                server: 3,
+            },
+        )
+    };
     let done = (4000, ended(End::Failed));
-    assert_eq!(broken(&[drained(0), (500, asked()), (520, arrived(3, false)), done.clone()]), []);
-    assert_eq!(broken(&[drained(0), (500, asked()), (600, arrived(3, false)), done.clone()]), [Rule::Drain]);
-    assert_eq!(broken(&[(0, asked()), (3100, arrived(3, false)), done.clone()]), []);
-    assert_eq!(broken(&[(0, asked()), (3400, arrived(3, false)), done.clone()]), [Rule::Deadline]);
+    assert_eq!(
+        broken(&[
+            drained(0),
+            (500, asked()),
+            (520, arrived(3, false)),
+            done.clone()
+        ]),
+        []
+    );
+    assert_eq!(
+        broken(&[
+            drained(0),
+            (500, asked()),
+            (600, arrived(3, false)),
+            done.clone()
+        ]),
+        [Rule::Drain]
+    );
+    assert_eq!(
+        broken(&[(0, asked()), (3100, arrived(3, false)), done.clone()]),
+        []
+    );
+    assert_eq!(
+        broken(&[(0, asked()), (3400, arrived(3, false)), done.clone()]),
+        [Rule::Deadline]
+    );
     let held_up = (3395, Seen::HeldUp { seconds: 0.3 });
-    assert_eq!(broken(&[(0, asked()), held_up, (3400, arrived(3, false)), done.clone()]), [], "by the mock");
+    assert_eq!(
+        broken(&[
+            (0, asked()),
+            held_up,
+            (3400, arrived(3, false)),
+            done.clone()
+        ]),
+        [],
+        "by the mock"
+    );
     let before = (100, Seen::HeldUp { seconds: 0.3 });
-    assert_eq!(broken(&[before, (200, asked()), (3600, arrived(3, false)), done]), [Rule::Deadline]);
+    assert_eq!(
+        broken(&[before, (200, asked()), (3600, arrived(3, false)), done]),
+        [Rule::Deadline]
+    );
 }
 
 #[test]
 fn processes_stay_up_start_soon_and_hear_no_half_request_for_ever() {
-    let gone = |killed, expected| Seen::Gone { process: 0, killed, expected };
+    let gone = |killed, expected| Seen::Gone {
+        process: 0,
+        killed,
+        expected,
+    };
     assert_eq!(broken(&[(0, gone(true, true))]), []);
     assert_eq!(broken(&[(0, gone(false, false))]), [Rule::Crash]);
-    assert_eq!(broken(&[(0, Seen::Ready { process: 0, after_s: 9.0 })]), []);
-    assert_eq!(broken(&[(0, Seen::Ready { process: 0, after_s: 11.0 })]), [Rule::Crash]);
-    assert_eq!(broken(&[(0, Seen::HalfRequest { id: id(), ended: false })]), [Rule::Crash]);
+    assert_eq!(
+        broken(&[(
+            0,
+            Seen::Ready {
+                process: 0,
+                after_s: 9.0
+            }
+        )]),
+        []
+    );
+    assert_eq!(
+        broken(&[(
+            0,
+            Seen::Ready {
+                process: 0,
+                after_s: 11.0
+            }
+        )]),
+        [Rule::Crash]
+    );
+    assert_eq!(
+        broken(&[(
+            0,
+            Seen::HalfRequest {
+                id: id(),
+                ended: false
+            }
+        )]),
+        [Rule::Crash]
+    );
 }
--- a/programs/soak/tests/soak.rs
+++ b/programs/soak/tests/soak.rs
@@ -13,9 +13,17 @@
 fn soak(words: &[&str]) -> (String, Option<i32>) {
     let out = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(words.join("_"));
     let mut command = Command::new(env!("CARGO_BIN_EXE_bitternlatch-soak"));
-    let output = command.args(words).arg("--out").arg(&out).output().expect("the program");
+    let output = command
+        .args(words)
+        .arg("--out")
+        .arg(&out)
+        .output()
+        .expect("the program");
     let said = [output.stdout, output.stderr].concat();
-    (String::from_utf8_lossy(&said).into_owned(), output.status.code())
+    (
+        String::from_utf8_lossy(&said).into_owned(),
+        output.status.code(),
+    )
 }
 
 /// Plays each, some at a time; gives what was printed of those that did not hold.
@@ -23,9 +31,16 @@
     let mut broken = Vec::new();
     for some in days.chunks(AT_A_TIME) {
         thread::scope(|scope| {
-            let plays: Vec<_> = some.iter().map(|words| scope.spawn(|| soak(words))).collect();
+            let plays: Vec<_> = some
+                .iter()
+                .map(|words| scope.spawn(|| soak(words)))
+                .collect();
             let played = plays.into_iter().map(|play| play.join().expect("a day"));
-            broken.extend(played.filter(|(_, code)| *code != Some(0)).map(|(said, _)| said));
+            broken.extend(
+                played
+                    .filter(|(_, code)| *code != Some(0))
+                    .map(|(said, _)| said),
+            );
         });
     }
     broken
@@ -52,14 +67,20 @@
     const SEEDS: [&str; 4] = ["300", "301", "302", "303"];
     for seed in SEEDS {
         let (said, code) = soak(&["--faults", "calls", "--seed", seed, "--length", LENGTH_S]);
-        assert!(code == Some(0) && said.contains(" 0 refused or failed"), "{said}");
+        assert!(
+            code == Some(0) && said.contains(" 0 refused or failed"),
+            "{said}"
+        );
     }
 }
 
 #[test]
 fn what_is_unknown_or_out_of_range_is_told_with_a_remedy() {
     let table: [(&[&str], &str); 5] = [
-        (&["--faults", "quakes"], "'quakes' is not known; name some of silent-decode"),
+        (
+            &["--faults", "quakes"],
+            "'quakes' is not known; name some of silent-decode",
+        ),
         (&["--length", "2"], "2 is not from 5 to 300 s"),
         (&["--length", "long"], "'long' is no number of seconds"),
         (&["--processes", "0"], "not in 1..=12"),
