--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -5,8 +5,8 @@
 //!
 //! | | seconds |
 //! | --- | --- |
-//! | a useless call holds, from its last whole line ([`LINE_S`]; from its begin where none came: [`HEAD_S`], less) | 4.0 |
-//! | the pause before the next: half of the longest back-off ([`BACK_OFF_S`]), as that counts from the call's begin | 0.5 |
+//! | a useless call holds, from its last whole line (`LINE_S`; from its begin where none came: `HEAD_S`, less) | 4.0 |
+//! | the pause before the next: half of the longest back-off (`BACK_OFF_S`), as that counts from the call's begin | 0.5 |
 //! | a good exchange: the agent is on the same machine and answers at once | under 1.0 |
 //! | together | under 5.5 |
 //!
--- a/crates/replicated-register/src/lib.rs
+++ b/crates/replicated-register/src/lib.rs
@@ -1,9 +1,9 @@
 //! A register by quorum with epochs, without input or output: copies on a few members, compare-and-set, catch-up of a copy that
 //! returns. Messages, clock, disk's answers and a seed go in; messages, what is to be kept, and answers come out.
 //!
-//! - [`register`]: one copy of one register, an acceptor whose value may change (CASPaxos: Rystsov, 2018).
-//! - [`job`]: one call, the rounds of a proposer.
-//! - [`memory`]: how far a copy's memory can be trusted, and so whether it counts in a majority.
+//! - `register`: one copy of one register, an acceptor whose value may change (CASPaxos: Rystsov, 2018).
+//! - `job`: one call, the rounds of a proposer.
+//! - `memory`: how far a copy's memory can be trusted, and so whether it counts in a majority.
 //! - [`Replica`]: one member's part in all of it.
 
 mod disk;
--- a/programs/benchmark/src/filled.rs
+++ b/programs/benchmark/src/filled.rs
@@ -199,7 +199,7 @@
                     }
                 }
                 Action::SetTimer { at, label } => {
-                    drop(self.after(at.max(now), Due::Timer(router, label)))
+                    self.after(at.max(now), Due::Timer(router, label));
                 }
                 _ => {}
             }
--- a/programs/chaos/src/agents/plan.rs
+++ b/programs/chaos/src/agents/plan.rs
@@ -62,7 +62,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// Of [`EFFECTS`].
+    /// An index into `EFFECTS`.
     pub effect: usize,
     pub text: String,
 }
