--- a/programs/chaos/tests/agents.rs
+++ b/programs/chaos/tests/agents.rs
@@ -14,7 +14,7 @@
 /// The day of `deploy/scenarios/worker-crashes.toml`, made short.
 fn short() -> (Day, std::path::PathBuf) {
     let days = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/scenarios");
-    let mut day = Day::read(&days.join("agents.toml")).expect("a day");
+    let mut day = Day::read(&days.join("worker-crashes.toml")).expect("a day");
     (day.between, day.process) = (Vec::new(), Vec::new());
     day.for_s = 6.0;
     day.dispatchers.count = 4;
