--- a/crates/output-length/src/message.rs
+++ b/crates/output-length/src/message.rs
@@ -8,6 +8,9 @@
 use crate::ids::Origin;
 use crate::windows::Record;
 
+#[cfg(test)]
+mod tests;
+
 /// First byte of each message and snapshot.
 pub(crate) const VERSION: u8 = 1;
 /// Origins that a question may name.
