--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -4,10 +4,9 @@
 #[path = "common/fleet.rs"]
 mod fleet;
 
-use std::hash::{DefaultHasher, Hasher};
-
 use bitternlatch_policy::interface::*;
 use common::*;
+use fleet::digest::Digest;
 use fleet::{draw, gap_s, Fleet};
 
 const COLD_FROM: f64 = T0 + 6.0;
@@ -414,7 +413,14 @@
     );
 }
 
-/// Beside a change that is to change no decision, the printed figure of both (`--nocapture`) has to be the same.
+/// Digests of the actions of four days: a change that is to change no decision keeps them.
+const FOUR_DAYS: [u64; 4] = [
+    0x6D3A_9F4E_ED07_161D,
+    0x7BD5_789E_7017_277D,
+    0xAF88_2E95_A89C_7A1B,
+    0x33AE_E025_93CB_22EF,
+];
+
 #[test]
 fn the_same_events_give_the_same_actions() {
     let effects = [
@@ -459,7 +465,7 @@
             ..new
         };
         let mut fleet = scenario.fleet();
-        fleet.digest = Some(DefaultHasher::new());
+        fleet.digest = Some(Digest::new());
         fleet.run(T0 + 8.0);
         fleet.trouble(4, fleet::Trouble::Silent);
         fleet.trouble(5, fleet::Trouble::Errors);
@@ -469,10 +475,11 @@
             [4, 5, 108].into_iter().for_each(|id| fleet.hearsay(id, 5));
         });
         fleet.run(END);
-        fleet.digest.map(|d| d.finish())
+        fleet.digest.map(|d| d.value())
     };
     let digests: Vec<_> = (0..4).map(digest).collect();
     println!("actions of four days: {digests:x?}");
     assert_eq!(digest(1), digests[1]);
     assert_ne!(digests[0], digests[1]);
+    assert_eq!(digests, FOUR_DAYS.map(Some), "{digests:#018x?}");
 }
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -3,11 +3,14 @@
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::hash::{DefaultHasher, Hash};
 
 use bitternlatch_policy::choice::Router;
 use bitternlatch_policy::interface::*;
 
+#[path = "digest.rs"]
+pub mod digest;
+use digest::Digest;
+
 /// Seconds that a message takes, and an answer from its first token on, at a warm writer.
 const WAY_S: f64 = 0.001;
 const ANSWER_S: f64 = 4.0;
@@ -64,7 +67,7 @@
     /// takes it.
     pub said_queued: f64,
     /// Of all actions so far, where it is asked for.
-    pub digest: Option<DefaultHasher>,
+    pub digest: Option<Digest>,
 }
 
 /// A draw from 0 to 1.
@@ -219,9 +222,10 @@
         let mut out = Vec::new();
         self.routers[me].handle(self.now, event, &mut out);
         for action in out {
-            self.digest
-                .iter_mut()
-                .for_each(|digest| (me, format!("{action:?}")).hash(digest));
+            if let Some(digest) = &mut self.digest {
+                digest.number(me as u64);
+                digest.action(&action);
+            }
             match action {
                 Action::Refuse { request, .. } => self.come_again(me, request),
                 Action::SetTimer { at, label } => {
--- /dev/null
+++ b/crates/policy/tests/decisions.rs
@@ -0,0 +1,443 @@
+//! Digests of the actions for fleets and events that are drawn: a change that is to change no decision keeps them.
+mod common;
+#[path = "common/digest.rs"]
+mod digest;
+
+use bitternlatch_policy::choice::Router;
+use bitternlatch_policy::interface::*;
+use common::{server, settings, T0};
+use digest::Digest;
+
+/// By seed, of [`digest_of_drawn_events`].
+const DRAWN_EVENTS: [u64; 12] = [
+    0x21B9_1D53_EA09_39FA,
+    0xF8AF_19D5_D164_BB02,
+    0xF690_09EF_9FA2_43A5,
+    0xEF1D_7159_5AF3_38C0,
+    0x5F3A_A78B_2412_3D03,
+    0xDE5A_F4E5_EA7A_D64A,
+    0xB84F_5ADC_0B17_13A6,
+    0x0DEC_37EC_C39A_C5C7,
+    0x694D_7115_E945_586A,
+    0xE1AF_2890_6DCA_6533,
+    0x3513_3A97_AB69_8893,
+    0x8FCC_A042_77A3_CC5A,
+];
+
+/// By size of the fleet, of [`digest_of_measured_events`].
+const MEASURED_EVENTS: [u64; 5] = [
+    0x83D4_2871_DA95_5989,
+    0x51FA_E3AB_E6EE_6F6C,
+    0xE4F4_214A_56C4_588C,
+    0xFBAE_0301_1466_0D89,
+    0x1003_DE43_B87F_602A,
+];
+
+/// A pause after which less is known of what servers have cached.
+const LONG_PAUSE_S: f64 = 70.0;
+
+/// Memory of servers that a few requests fill.
+const SMALL_MEMORY_TOKENS: f64 = 8_000.0;
+
+/// A router that is driven by drawn events; every action and explanation goes into the digest.
+struct Driven {
+    router: Router,
+    digest: Digest,
+    draws: u64,
+    now: f64,
+    servers: u32,
+    requests: u32,
+    /// Attempts that are sent and have not ended: request, attempt, server.
+    attempts: Vec<(RequestId, u16, ServerId)>,
+    sent: Vec<u16>,
+    probed: Vec<ServerId>,
+    timers: Vec<(f64, u64)>,
+}
+
+impl Driven {
+    fn new(settings: Settings, seed: u64, servers: u32) -> Driven {
+        Driven {
+            router: Router::new(settings, seed),
+            digest: Digest::new(),
+            draws: seed << 32,
+            now: T0,
+            servers,
+            requests: 0,
+            attempts: vec![],
+            sent: vec![0],
+            probed: vec![],
+            timers: vec![],
+        }
+    }
+
+    /// A number below `below`.
+    fn draw(&mut self, below: u64) -> u64 {
+        self.draws = self.draws.wrapping_add(0x9E37_79B9_7F4A_7C15);
+        let mixed = (self.draws ^ (self.draws >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+        (mixed ^ (mixed >> 31)) % below
+    }
+
+    fn share(&mut self) -> f64 {
+        self.draw(1 << 20) as f64 / f64::from(1 << 20)
+    }
+
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.router.handle(self.now, event, &mut actions);
+        for action in &actions {
+            self.digest.action(action);
+            match *action {
+                Action::Send {
+                    request, server, ..
+                } => {
+                    let attempt = self.sent[request as usize];
+                    self.sent[request as usize] += 1;
+                    self.attempts.push((request, attempt, server));
+                }
+                Action::Probe { server } => self.probed.push(server),
+                Action::SetTimer { at, label } => self.timers.push((at, label)),
+                _ => {}
+            }
+        }
+        self.digest.explanations(&self.router);
+    }
+
+    fn entry(&mut self, id: ServerId) -> ServerEntry {
+        let kind = [0, 0, 0, 1, 1, 1, 1, 2][id as usize % 8];
+        let standing = match self.draw(12) {
+            0 => Standing::Draining,
+            1 => Standing::Gone,
+            _ => Standing::Ready,
+        };
+        let booted_at = match self.draw(6) {
+            0 => self.now - self.share() * 10.0,
+            _ => 0.0,
+        };
+        ServerEntry {
+            zone: u16::from(id.is_multiple_of(5)),
+            standing,
+            booted_at,
+            ..server(id, kind, (id / 6) as u16)
+        }
+    }
+
+    fn list(&mut self) {
+        let form = [
+            ListForm::Delta,
+            ListForm::Delta,
+            ListForm::Delta,
+            ListForm::Delta,
+            ListForm::Full,
+            ListForm::Cached,
+            ListForm::Failed,
+        ][self.draw(7) as usize];
+        let ids: Vec<ServerId> = match form {
+            ListForm::Delta => (0..3)
+                .map(|_| 1 + self.draw(self.servers.into()) as u32)
+                .collect(),
+            ListForm::Failed => vec![],
+            ListForm::Full | ListForm::Cached => (1..=self.servers).collect(),
+        };
+        let entries = ids.into_iter().map(|id| self.entry(id)).collect();
+        self.handle(Event::Servers { form, entries });
+    }
+
+    fn arrival(&mut self) {
+        self.requests += 1;
+        self.sent.push(0);
+        let prompt_tokens = 50.0 + (self.share() * 4.0).exp() * 100.0;
+        let expected = Expected {
+            mean: 40.0 + 200.0 * self.share(),
+            p90: 300.0,
+        };
+        let request = Request {
+            id: self.requests,
+            class: self.draw(3) as u16,
+            tenant: self.draw(3) as u32,
+            session: self.draw(50),
+            prefix: self.draw(12),
+            prompt_tokens,
+            prefix_tokens: prompt_tokens * self.share(),
+            max_output_tokens: 20.0 + 600.0 * self.share(),
+            output_tokens: Some(expected).filter(|_| self.draw(3) == 0),
+            output_hint_s: None,
+            time_left_s: 0.1 + 8.0 * self.share(),
+        };
+        self.handle(Event::Arrival(request));
+    }
+
+    fn report(&mut self) -> Vec<f64> {
+        if self.draw(5) == 0 {
+            return vec![];
+        }
+        let (slots, queue, memory) = (self.share(), self.draw(6) as f64, self.share());
+        vec![0.8 * slots, queue, 0.9 * memory]
+    }
+
+    fn attempt_end(&mut self) {
+        if self.attempts.is_empty() {
+            return;
+        }
+        let at = self.draw(self.attempts.len() as u64) as usize;
+        let (request, attempt, server) = self.attempts.swap_remove(at);
+        let prefill = server % 8 < 3;
+        let outcome = match self.draw(16) {
+            0 => Outcome::Error,
+            1 => Outcome::Full { state_gone: false },
+            2 => Outcome::Full { state_gone: true },
+            3 => Outcome::TimedOut,
+            4 => Outcome::ConnectFailed,
+            5 => Outcome::Reset,
+            6 => Outcome::Cancelled,
+            7 => Outcome::NotSent,
+            _ if prefill => Outcome::ReadDone,
+            _ => Outcome::Served,
+        };
+        if outcome == Outcome::Served && self.draw(8) > 0 {
+            let elapsed_s = self.share();
+            self.handle(Event::FirstToken {
+                request,
+                attempt,
+                server,
+                elapsed_s,
+            });
+            self.now += 0.01 * self.share();
+        }
+        let end = AttemptEnd {
+            request,
+            attempt,
+            server,
+            outcome,
+            elapsed_s: 1.5 * self.share(),
+            finished: outcome == Outcome::Served,
+            prefix_hit_tokens: 500.0 * self.share(),
+            report: self.report(),
+        };
+        self.handle(Event::AttemptEnded(end));
+    }
+
+    fn probe_end(&mut self) {
+        let Some(server) = self.probed.pop() else {
+            return;
+        };
+        let outcome = match self.draw(8) {
+            0 => Outcome::ConnectFailed,
+            1 => Outcome::TimedOut,
+            2 => Outcome::Reset,
+            _ => Outcome::Served,
+        };
+        let (elapsed_s, report) = (0.01 * self.share(), self.report());
+        self.handle(Event::ProbeEnded {
+            server,
+            outcome,
+            elapsed_s,
+            report,
+        });
+    }
+
+    fn peer_report(&mut self) {
+        let server = 1 + self.draw(self.servers.into()) as u32;
+        let sight = [Sight::Failing, Sight::Cold, Sight::Draining][self.draw(3) as usize];
+        let (voices, of) = (self.draw(6) as u32, 6);
+        let age_s = 4.0 * self.share() - 0.5;
+        self.handle(Event::Hearsay {
+            server,
+            sight,
+            voices,
+            of,
+            age_s,
+        });
+    }
+
+    fn due_timers(&mut self) {
+        let due: Vec<(f64, u64)> = self
+            .timers
+            .extract_if(.., |timer| timer.0 <= self.now)
+            .collect();
+        for (_, label) in due {
+            self.handle(Event::Timer { label });
+        }
+    }
+
+    fn step(&mut self) {
+        self.now += 0.02 * self.share();
+        if self.draw(1_500) == 0 {
+            self.now += LONG_PAUSE_S;
+        }
+        self.due_timers();
+        match self.draw(40) {
+            0 => self.list(),
+            1 => self.peer_report(),
+            2 => {
+                let request = self.draw(u64::from(self.requests) + 1) as u32;
+                self.handle(Event::ClientGone { request });
+            }
+            3 if self.draw(10) == 0 => {
+                let (part, since) = (self.share(), self.now - self.share());
+                self.handle(Event::Share { part, since });
+            }
+            4 => {
+                let (request, server) = (self.requests, 1);
+                self.handle(Event::PlaceAnswer {
+                    request,
+                    attempt: 0,
+                    server,
+                    held: true,
+                });
+            }
+            5 => self.handle(Event::PeerMessage {
+                from: 1,
+                data: vec![1, 2],
+            }),
+            6..=15 => self.arrival(),
+            16..=24 => self.probe_end(),
+            _ => self.attempt_end(),
+        }
+    }
+}
+
+fn drawn_settings(seed: u64) -> Settings {
+    let keyed = |scope| Effect::Keyed {
+        scope,
+        window_s: 3.0,
+    };
+    let scope = [KeyScope::All, KeyScope::Zone, KeyScope::Cell][seed as usize % 3];
+    let mut plain = settings(Effect::Safe);
+    if seed.is_multiple_of(2) {
+        plain
+            .kinds
+            .iter_mut()
+            .for_each(|kind| kind.memory_tokens = SMALL_MEMORY_TOKENS);
+    }
+    let classes = [Effect::Safe, Effect::Unsafe, keyed(scope)];
+    Settings {
+        dispatchers: [1, 3, 40][seed as usize % 3],
+        classes: classes.into_iter().map(common::class).collect(),
+        tenants: vec![
+            TenantSettings { quota_rps: 4.0 },
+            TenantSettings { quota_rps: 60.0 },
+        ],
+        report_mode: [
+            ReportMode::WithAnswers,
+            ReportMode::OnProbe,
+            ReportMode::WithAnswers,
+            ReportMode::Off,
+        ][seed as usize % 4],
+        report_fields: [
+            plain.report_fields.clone(),
+            vec![
+                ReportField::Concurrent,
+                ReportField::Other,
+                ReportField::MemoryShare,
+            ],
+        ][seed as usize % 2]
+            .clone(),
+        limits: Limits {
+            may_cancel: seed % 5 != 1,
+            ..plain.limits.clone()
+        },
+        must_subscribe: seed.is_multiple_of(2),
+        unseen_reads_run: seed % 4 == 1,
+        writers_read: seed % 3 == 2,
+        ..plain
+    }
+}
+
+/// The digest of 6,000 drawn events.
+fn digest_of_drawn_events(seed: u64) -> u64 {
+    let servers = [12, 30, 64, 4][seed as usize % 4];
+    let mut driven = Driven::new(drawn_settings(seed), seed, servers);
+    let entries = (1..=servers).map(|id| driven.entry(id)).collect();
+    driven.handle(Event::Servers {
+        form: ListForm::Full,
+        entries,
+    });
+    (0..6_000).for_each(|_| driven.step());
+    driven.digest.value()
+}
+
+#[test]
+fn drawn_events_give_the_same_actions_as_before() {
+    let digests: Vec<u64> = (0..12).map(digest_of_drawn_events).collect();
+    assert_eq!(digests, DRAWN_EVENTS, "{digests:#018x?}");
+}
+
+/// The events of `bitternlatch-benchmark decision`: an arrival, its prefill's end and its first token.
+fn digest_of_measured_events(servers: u32) -> u64 {
+    let plain = settings(Effect::Safe);
+    let measured = Settings {
+        dispatchers: 60,
+        ..plain
+    };
+    let mut driven = Driven::new(measured, 7, servers);
+    let entry = |id: u32| server(id, (id % 2) as u16, (id / 6) as u16);
+    let entries = (0..servers).map(entry).collect();
+    driven.handle(Event::Servers {
+        form: ListForm::Full,
+        entries,
+    });
+    for id in 1..=800 {
+        driven.now = T0 + f64::from(id) * 0.05;
+        driven.requests = id;
+        driven.sent.push(0);
+        let request = Request {
+            id,
+            session: u64::from(id / 3 + 1),
+            prefix: u64::from(id % 40 + 1),
+            prompt_tokens: 1800.0,
+            prefix_tokens: 1200.0,
+            max_output_tokens: 300.0,
+            time_left_s: 6.0,
+            ..Request::default()
+        };
+        driven.handle(Event::Arrival(request));
+        while let Some(server) = driven.probed.pop() {
+            let report = vec![0.2, 1.0, 0.3];
+            driven.handle(Event::ProbeEnded {
+                server,
+                outcome: Outcome::Served,
+                elapsed_s: 0.001,
+                report,
+            });
+        }
+        end_measured_attempts(&mut driven);
+    }
+    driven.digest.value()
+}
+
+/// Ends the prefill of the latest request, then its answer.
+fn end_measured_attempts(driven: &mut Driven) {
+    for outcome in [Outcome::ReadDone, Outcome::Served] {
+        let Some((request, attempt, server)) = driven.attempts.pop() else {
+            return;
+        };
+        if outcome == Outcome::Served {
+            driven.handle(Event::FirstToken {
+                request,
+                attempt,
+                server,
+                elapsed_s: 0.1,
+            });
+        }
+        driven.handle(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            server,
+            outcome,
+            elapsed_s: 0.1,
+            finished: outcome == Outcome::Served,
+            prefix_hit_tokens: 1000.0,
+            report: vec![0.2, 1.0, 0.3],
+        }));
+    }
+}
+
+#[test]
+fn measured_events_give_the_same_actions_as_before() {
+    let digests: Vec<u64> = [25, 57, 110, 200, 800]
+        .into_iter()
+        .map(digest_of_measured_events)
+        .collect();
+    assert_eq!(digests, MEASURED_EVENTS, "{digests:#018x?}");
+}
