--- a/programs/simulator-adapter/src/wire.rs
+++ b/programs/simulator-adapter/src/wire.rs
@@ -505,3 +505,6 @@
     }
     Ok(())
 }
+
+#[cfg(test)]
+mod tests;
