--- a/crates/replicated-register/src/lib.rs
+++ b/crates/replicated-register/src/lib.rs
@@ -8,6 +8,8 @@
 
 mod disk;
 mod error;
+#[cfg(test)]
+mod golden;
 mod io;
 mod job;
 mod memory;
--- /dev/null
+++ b/crates/replicated-register/tests/output_digest.rs
@@ -0,0 +1,413 @@
+//! A digest over the order of everything that replicas put out for seeded inputs. A change of it is a change of what a process
+//! sends, stores or answers.
+//!
+//! Each output is written down by hand, not by `Debug`, so that a renamed type does not move the digest.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::time::Duration;
+
+use bitternlatch_membership::NameKey;
+use bitternlatch_quota_lease::{KeepError, Process};
+use bitternlatch_replicated_register::{
+    Call, Event, Input, Output, RegisterKey, Replica, ReplicaError, Settings, Version,
+};
+use rand_core::{Rng, SeedableRng};
+use rand_xoshiro::SplitMix64;
+
+const MEMBERS: usize = 5;
+const STEPS: usize = 6000;
+const STEP: Duration = Duration::from_millis(5);
+
+type Stored = BTreeMap<Vec<u8>, Vec<u8>>;
+
+/// A length before each field, so that no two lists of fields have the same bytes.
+#[derive(Default)]
+struct Digest(blake3::Hasher);
+
+impl Digest {
+    fn bytes(&mut self, bytes: &[u8]) {
+        self.0.update(&(bytes.len() as u64).to_le_bytes());
+        self.0.update(bytes);
+    }
+
+    fn number(&mut self, number: u64) {
+        self.0.update(&number.to_le_bytes());
+    }
+
+    fn version(&mut self, version: Version) {
+        self.number(version.epoch);
+        self.number(version.count);
+        self.number(version.writer.0.into());
+        self.number(version.start);
+    }
+
+    fn fault(&mut self, fault: &KeepError) {
+        match fault {
+            KeepError::Full => self.number(0),
+            KeepError::Io(text) => {
+                self.number(1);
+                self.bytes(text.as_bytes());
+            }
+            KeepError::NoDisk => self.number(2),
+        }
+    }
+
+    fn error(&mut self, error: &ReplicaError) {
+        match error {
+            ReplicaError::Unreadable => self.number(0),
+            ReplicaError::OtherVersion(version) => self.bytes(&[1, *version]),
+            ReplicaError::Conflict { latest } => {
+                self.number(2);
+                latest.iter().for_each(|version| self.version(*version));
+            }
+            ReplicaError::EpochPassed { epoch } => {
+                self.number(3);
+                self.number(*epoch);
+            }
+            ReplicaError::NoMajority => self.number(4),
+            ReplicaError::CatchingUp => self.number(5),
+            ReplicaError::Lost => self.number(6),
+            ReplicaError::NotKept(fault) => {
+                self.number(7);
+                self.fault(fault);
+            }
+            ReplicaError::TooLong { bytes, most } => {
+                self.number(8);
+                self.number(*bytes as u64);
+                self.number(*most as u64);
+            }
+            ReplicaError::Busy => self.number(9),
+            ReplicaError::Full => self.number(10),
+            ReplicaError::TimedOut => self.number(11),
+        }
+    }
+
+    fn event(&mut self, event: &Event) {
+        match event {
+            Event::CaughtUp { registers, fetched } => {
+                self.number(0);
+                self.number(*registers as u64);
+                self.number(*fetched);
+            }
+            Event::OlderDisk { by } => self.named(1, *by),
+            Event::Emptied { by } => self.named(2, *by),
+            Event::Torn => self.number(3),
+            Event::DiskFault(fault) => {
+                self.number(4);
+                self.fault(fault);
+            }
+            Event::DiskWell => self.number(5),
+            Event::CopyLost(name) => self.named(6, *name),
+            Event::MajorityLost => self.number(7),
+            Event::OtherVersion(name) => self.named(8, *name),
+        }
+    }
+
+    fn named(&mut self, tag: u64, name: NameKey) {
+        self.number(tag);
+        self.number(name.0.into());
+    }
+
+    fn output(&mut self, member: usize, output: &Output) {
+        self.number(member as u64);
+        match output {
+            Output::Send(to, bytes) => {
+                self.named(0, *to);
+                self.bytes(bytes);
+            }
+            Output::Keep {
+                ticket,
+                name,
+                bytes,
+            } => {
+                self.number(1);
+                self.number(*ticket);
+                self.bytes(name);
+                self.number(u64::from(bytes.is_some()));
+                bytes.iter().for_each(|bytes| self.bytes(bytes));
+            }
+            Output::Read { call, found } => {
+                self.number(2);
+                self.number(call.0);
+                match found {
+                    Ok(None) => self.number(0),
+                    Ok(Some((version, value))) => {
+                        self.number(1);
+                        self.version(*version);
+                        self.bytes(value);
+                    }
+                    Err(error) => {
+                        self.number(2);
+                        self.error(error);
+                    }
+                }
+            }
+            Output::Written { call, done } => {
+                self.number(3);
+                self.number(call.0);
+                match done {
+                    Ok(version) => self.version(*version),
+                    Err(error) => self.error(error),
+                }
+            }
+            Output::Event(event) => {
+                self.number(4);
+                self.event(event);
+            }
+        }
+    }
+}
+
+/// Outputs by kind, so that a run that puts out little is noticed.
+#[derive(Debug, Default, PartialEq, Eq)]
+struct Totals {
+    sent: usize,
+    stored: usize,
+    read: usize,
+    written: usize,
+    failed: usize,
+    events: usize,
+}
+
+struct Run {
+    draws: SplitMix64,
+    durable: bool,
+    now: Duration,
+    members: Vec<Replica>,
+    disks: Vec<Stored>,
+    starts: u64,
+    /// Start number of each member's process.
+    started: Vec<u64>,
+    calls: u64,
+    /// Latest version that a member was told of, by member and key.
+    versions: BTreeMap<(usize, RegisterKey), Option<Version>>,
+    calling: BTreeMap<u64, (usize, RegisterKey)>,
+    pending: VecDeque<(usize, Input)>,
+    digest: Digest,
+    totals: Totals,
+}
+
+fn name(member: usize) -> NameKey {
+    NameKey(member as u32 + 10)
+}
+
+fn key(number: u64) -> RegisterKey {
+    RegisterKey([number as u8; 16])
+}
+
+impl Run {
+    fn new(seed: u64, durable: bool) -> Run {
+        let mut run = Run {
+            draws: SplitMix64::seed_from_u64(seed),
+            durable,
+            now: Duration::ZERO,
+            members: vec![],
+            disks: vec![Stored::new(); MEMBERS],
+            starts: 0,
+            started: vec![0; MEMBERS],
+            calls: 0,
+            versions: BTreeMap::new(),
+            calling: BTreeMap::new(),
+            pending: VecDeque::new(),
+            digest: Digest::default(),
+            totals: Totals::default(),
+        };
+        for member in 0..MEMBERS {
+            let replica = run.start(member);
+            run.members.push(replica);
+        }
+        run
+    }
+
+    fn draw(&mut self, below: u64) -> u64 {
+        self.draws.next_u64() % below
+    }
+
+    fn start(&mut self, member: usize) -> Replica {
+        self.starts += 1;
+        self.started[member] = self.starts;
+        let own = Process {
+            name: name(member),
+            start: self.starts,
+        };
+        let settings = Settings {
+            copies: 3,
+            durable: self.durable,
+        };
+        let roster: BTreeSet<NameKey> = (0..MEMBERS).map(name).collect();
+        let replica = Replica::new(own, roster, settings, self.starts, self.now);
+        if self.durable {
+            let stored = self.disks[member].clone().into_iter().collect();
+            self.pending.push_back((member, Input::Found(Ok(stored))));
+        }
+        replica
+    }
+
+    fn restart(&mut self, member: usize) {
+        self.pending.retain(|(to, _)| *to != member);
+        if self.draw(4) == 0 {
+            self.disks[member].clear();
+        }
+        self.members[member] = self.start(member);
+    }
+
+    fn call(&mut self) {
+        let member = self.draw(MEMBERS as u64) as usize;
+        let key = key(self.draw(6));
+        let until = self.now + Duration::from_millis(100 + self.draw(900));
+        self.calls += 1;
+        let call = Call(self.calls);
+        self.calling.insert(call.0, (member, key));
+        let on = self.versions.get(&(member, key)).copied();
+        let length = self.draw(40) as usize;
+        let input = match (self.draw(10), on) {
+            (0, Some(Some(on))) => Input::Drop {
+                call,
+                key,
+                on,
+                until,
+            },
+            (1..=6, Some(on)) => Input::Write {
+                call,
+                key,
+                on,
+                epoch: on.map_or(1, |on| on.epoch),
+                value: vec![call.0 as u8; length],
+                until,
+            },
+            _ => Input::Read { call, key, until },
+        };
+        self.pending.push_back((member, input));
+    }
+
+    fn step(&mut self, member: usize, input: Input) {
+        let mut out = vec![];
+        self.members[member].step(self.now, input, &mut out);
+        for output in out {
+            self.digest.output(member, &output);
+            self.on_output(member, output);
+        }
+    }
+
+    fn on_output(&mut self, member: usize, output: Output) {
+        match output {
+            Output::Send(to, said) => {
+                self.totals.sent += 1;
+                let from = Process {
+                    name: name(member),
+                    start: self.started[member],
+                };
+                let frame = Input::Frame { from, said };
+                if self.draw(20) > 0 {
+                    self.pending.push_back((to.0 as usize - 10, frame));
+                }
+            }
+            Output::Keep {
+                ticket,
+                name,
+                bytes,
+            } => {
+                self.totals.stored += 1;
+                let full = self.draw(60) == 0;
+                if !full {
+                    match bytes {
+                        Some(bytes) => drop(self.disks[member].insert(name, bytes)),
+                        None => drop(self.disks[member].remove(&name)),
+                    }
+                }
+                let done = if full { Err(KeepError::Full) } else { Ok(()) };
+                self.pending
+                    .push_back((member, Input::Kept { ticket, done }));
+            }
+            Output::Read { call, found } => {
+                self.totals.read += 1;
+                match found {
+                    Ok(found) => self.learn(call, found.map(|(version, _)| version)),
+                    Err(_) => self.totals.failed += 1,
+                }
+            }
+            Output::Written { call, done } => {
+                self.totals.written += 1;
+                match done {
+                    Ok(version) => self.learn(call, Some(version)),
+                    Err(ReplicaError::Conflict { latest }) => self.learn(call, latest),
+                    Err(_) => self.totals.failed += 1,
+                }
+            }
+            Output::Event(_) => self.totals.events += 1,
+        }
+    }
+
+    fn learn(&mut self, call: Call, version: Option<Version>) {
+        if let Some(at) = self.calling.remove(&call.0) {
+            self.versions.insert(at, version);
+        }
+    }
+
+    fn play(mut self) -> (String, Totals) {
+        for _ in 0..STEPS {
+            self.now += STEP;
+            if self.draw(3) == 0 {
+                self.call();
+            }
+            if self.draw(1500) == 0 {
+                let member = self.draw(MEMBERS as u64) as usize;
+                self.restart(member);
+            }
+            for _ in 0..self.pending.len() {
+                if let Some((member, input)) = self.pending.pop_front() {
+                    self.step(member, input);
+                }
+            }
+            for member in 0..MEMBERS {
+                if self.members[member]
+                    .wake_at()
+                    .is_some_and(|at| at <= self.now)
+                {
+                    self.step(member, Input::Wake);
+                }
+            }
+        }
+        let digest = self.digest.0.finalize().to_hex()[..32].to_string();
+        (digest, self.totals)
+    }
+}
+
+fn digests(durable: bool) -> Vec<String> {
+    (0..4)
+        .map(|seed| {
+            let (digest, totals) = Run::new(seed, durable).play();
+            println!("seed {seed}: {digest} {totals:?}");
+            assert!(totals.sent > 0 && totals.read > 0 && totals.written > 0);
+            assert!(totals.failed > 0 && totals.events > 0);
+            assert_eq!(totals.stored > 0, durable);
+            digest
+        })
+        .collect()
+}
+
+#[test]
+fn outputs_without_disks_are_as_found() {
+    assert_eq!(
+        digests(false),
+        [
+            "69e519cfec2d23e41503fefe891e2f23",
+            "77e83fccd229597f55cf0c279862bd90",
+            "e27251b842e651bfb1ad2b61a29e25d6",
+            "782bcbf7864dbd2ccd7e3f03ec2c6020",
+        ]
+    );
+}
+
+#[test]
+fn outputs_with_disks_are_as_found() {
+    assert_eq!(
+        digests(true),
+        [
+            "b77d99fd4f6609b38d40b2adde65765e",
+            "4f8333d683f830f94b37d720acb61c11",
+            "238102b0e91e95ae89e04d4bfa4da9bb",
+            "f7691bc7784be6e1c3a53eeb7b96bc88",
+        ]
+    );
+}
--- a/crates/workflow/src/lib.rs
+++ b/crates/workflow/src/lib.rs
@@ -10,6 +10,8 @@
 mod context;
 mod desk;
 mod error;
+#[cfg(test)]
+mod golden;
 mod io;
 mod job;
 mod machine;
--- /dev/null
+++ b/crates/workflow/tests/output_digest.rs
@@ -0,0 +1,418 @@
+//! A digest over the order of everything that the workflow machine puts out for seeded inputs: frames, records to store, answers to
+//! the core. A change of it is a change of what a process sends, stores or answers.
+//!
+//! Answers are written by postcard, the rest by hand, never by `Debug`, so that a renamed type does not move the digest. Of a line
+//! for the log only its level counts, as its words may change.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::time::Duration;
+
+use bitternlatch_membership::NameKey;
+use bitternlatch_quota_lease::{Beside, Given, KeepError, Process, Wanted};
+use bitternlatch_workflow::{Ask, Call, Effect, Fate, Settings, Told, Workflows};
+use rand_core::{Rng, SeedableRng};
+use rand_xoshiro::SplitMix64;
+
+const MEMBERS: usize = 4;
+const WORKFLOWS: usize = 8;
+const STEPS: usize = 6000;
+const STEP: Duration = Duration::from_millis(5);
+
+type Stored = BTreeMap<Vec<u8>, Vec<u8>>;
+
+/// A length before each field, so that no two lists of fields have the same bytes.
+#[derive(Default)]
+struct Digest(blake3::Hasher);
+
+impl Digest {
+    fn bytes(&mut self, bytes: &[u8]) {
+        self.0.update(&(bytes.len() as u64).to_le_bytes());
+        self.0.update(bytes);
+    }
+
+    fn number(&mut self, number: u64) {
+        self.0.update(&number.to_le_bytes());
+    }
+
+    fn output(&mut self, member: usize, output: &Wanted<Told>) {
+        self.number(member as u64);
+        match output {
+            Wanted::Say(to, bytes) => {
+                self.number(0);
+                self.number(to.0.into());
+                self.bytes(bytes);
+            }
+            Wanted::Send(to, bytes) => {
+                self.number(1);
+                self.number(to.0.into());
+                self.bytes(bytes);
+            }
+            Wanted::Tell(answer) => {
+                self.number(2);
+                self.bytes(&postcard::to_allocvec(answer).expect("plain data"));
+            }
+            Wanted::Keep {
+                ticket,
+                name,
+                bytes,
+            } => {
+                self.number(3);
+                self.number(*ticket);
+                self.bytes(name);
+                self.number(u64::from(bytes.is_some()));
+                bytes.iter().for_each(|bytes| self.bytes(bytes));
+            }
+            Wanted::Log { warn, .. } => {
+                self.number(4);
+                self.number(u64::from(*warn));
+            }
+        }
+    }
+}
+
+/// Outputs by kind, so that a run that puts out little is noticed.
+#[derive(Debug, Default, PartialEq, Eq)]
+struct Totals {
+    sent: usize,
+    stored: usize,
+    logged: usize,
+    claimed: usize,
+    allowed: usize,
+    known: usize,
+    held: usize,
+    refused: usize,
+}
+
+/// What a caller of one workflow believes.
+#[derive(Clone, Copy, Debug, Default)]
+struct Caller {
+    member: usize,
+    epoch: u64,
+    step: u32,
+    running: bool,
+    generation: u64,
+}
+
+struct Run {
+    draws: SplitMix64,
+    durable: bool,
+    now: Duration,
+    members: Vec<Workflows>,
+    disks: Vec<Stored>,
+    starts: u64,
+    /// Start number of each member's process.
+    started: Vec<u64>,
+    calls: u64,
+    callers: Vec<Caller>,
+    /// The workflow that a call is about.
+    calling: BTreeMap<u64, usize>,
+    pending: VecDeque<(usize, Given<Ask>)>,
+    digest: Digest,
+    totals: Totals,
+}
+
+fn name(member: usize) -> NameKey {
+    NameKey(member as u32 + 10)
+}
+
+impl Run {
+    fn new(seed: u64, durable: bool) -> Run {
+        let mut run = Run {
+            draws: SplitMix64::seed_from_u64(seed),
+            durable,
+            now: Duration::ZERO,
+            members: vec![],
+            disks: vec![Stored::new(); MEMBERS],
+            starts: 0,
+            started: vec![0; MEMBERS],
+            calls: 0,
+            callers: vec![Caller::default(); WORKFLOWS],
+            calling: BTreeMap::new(),
+            pending: VecDeque::new(),
+            digest: Digest::default(),
+            totals: Totals::default(),
+        };
+        for member in 0..MEMBERS {
+            let machine = run.start(member);
+            run.members.push(machine);
+        }
+        run
+    }
+
+    fn draw(&mut self, below: u64) -> u64 {
+        self.draws.next_u64() % below
+    }
+
+    fn start(&mut self, member: usize) -> Workflows {
+        self.starts += 1;
+        self.started[member] = self.starts;
+        let own = Process {
+            name: name(member),
+            start: self.starts,
+        };
+        let roster: BTreeSet<NameKey> = (0..MEMBERS).map(name).collect();
+        let settings = Settings {
+            steps: 12,
+            lease_s: 0.6,
+            ..Settings::default()
+        };
+        if self.durable {
+            let stored = self.disks[member].clone().into_iter().collect();
+            self.pending.push_back((member, Given::Found(Ok(stored))));
+        }
+        Workflows::new(own, roster, &settings, self.durable, self.starts, self.now)
+    }
+
+    fn restart(&mut self, member: usize) {
+        self.pending.retain(|(to, _)| *to != member);
+        self.members[member] = self.start(member);
+    }
+
+    fn fate(&mut self) -> Fate {
+        match self.draw(8) {
+            0 => Fate::MayHaveRun,
+            1 => Fate::NeverRan,
+            n => Fate::Done {
+                result: "r".repeat(n as usize * 20),
+                tokens: n as u32,
+            },
+        }
+    }
+
+    fn effect(&mut self) -> Effect {
+        match self.draw(8) {
+            0 => Effect::Unsafe,
+            1..=3 => Effect::Keyed,
+            _ => Effect::Safe,
+        }
+    }
+
+    /// The next question of one workflow's caller.
+    fn ask(&mut self, which: usize) {
+        self.calls += 1;
+        let call = Call(self.calls);
+        let caller = self.callers[which];
+        let workflow = format!("w{which}/{}", caller.generation);
+        let until_us = (self.now.as_micros() as u64) + 200_000 + self.draw(1_000_000);
+        let (epoch, step) = (caller.epoch, caller.step);
+        let ask = match self.draw(20) {
+            0 => Ask::Settle {
+                call,
+                workflow,
+                step,
+                fate: self.fate(),
+                until_us,
+            },
+            1 | 2 => Ask::Carry {
+                call,
+                workflow,
+                epoch,
+                until_us,
+            },
+            3 if step > 4 => Ask::Finish {
+                call,
+                workflow,
+                epoch,
+                cancelled: self.draw(2) == 0,
+                until_us,
+            },
+            4 => self.claim(which, call, workflow, until_us),
+            _ if epoch == 0 => self.claim(which, call, workflow, until_us),
+            _ if caller.running => {
+                let fate = self.fate();
+                self.callers[which].running = false;
+                Ask::Ended {
+                    call,
+                    workflow,
+                    epoch,
+                    step,
+                    fate,
+                    until_us,
+                }
+            }
+            _ => Ask::Intend {
+                call,
+                workflow,
+                epoch,
+                step,
+                effect: self.effect(),
+                key: format!("k{step}"),
+                asks: step.into(),
+                until_us,
+            },
+        };
+        self.calling.insert(call.0, which);
+        let member = self.callers[which].member;
+        self.pending.push_back((member, Given::Ask(ask)));
+    }
+
+    fn claim(&mut self, which: usize, call: Call, workflow: String, until_us: u64) -> Ask {
+        let member = self.draw(MEMBERS as u64) as usize;
+        self.callers[which].member = member;
+        Ask::Claim {
+            call,
+            workflow,
+            worker: format!("worker{member}"),
+            until_us,
+        }
+    }
+
+    fn step(&mut self, member: usize, input: Given<Ask>) {
+        let mut out = vec![];
+        self.members[member].step(self.now, input, &mut out);
+        for output in out {
+            self.digest.output(member, &output);
+            self.on_output(member, output);
+        }
+    }
+
+    fn on_output(&mut self, member: usize, output: Wanted<Told>) {
+        match output {
+            Wanted::Say(..) => {}
+            Wanted::Send(to, said) => {
+                self.totals.sent += 1;
+                let from = Process {
+                    name: name(member),
+                    start: self.started[member],
+                };
+                let frame = Given::Frame { from, said };
+                if self.draw(30) > 0 {
+                    self.pending.push_back((to.0 as usize - 10, frame));
+                }
+            }
+            Wanted::Keep {
+                ticket,
+                name,
+                bytes,
+            } => {
+                self.totals.stored += 1;
+                let full = self.draw(80) == 0;
+                if !full {
+                    match bytes {
+                        Some(bytes) => drop(self.disks[member].insert(name, bytes)),
+                        None => drop(self.disks[member].remove(&name)),
+                    }
+                }
+                let done = if full { Err(KeepError::Full) } else { Ok(()) };
+                self.pending
+                    .push_back((member, Given::Kept { ticket, done }));
+            }
+            Wanted::Log { .. } => self.totals.logged += 1,
+            Wanted::Tell(answer) => self.on_answer(answer),
+        }
+    }
+
+    fn on_answer(&mut self, answer: Told) {
+        match answer {
+            Told::Claimed {
+                call, epoch, steps, ..
+            } => {
+                self.totals.claimed += 1;
+                if let Some(caller) = self.caller(call) {
+                    caller.epoch = epoch;
+                    caller.step = steps.last().map_or(1, |step| step.number.max(1));
+                    caller.running = false;
+                }
+            }
+            Told::Go { call, .. } => {
+                self.totals.allowed += 1;
+                if let Some(caller) = self.caller(call) {
+                    caller.running = true;
+                }
+            }
+            Told::Known { call, .. } => {
+                self.totals.known += 1;
+                if let Some(caller) = self.caller(call) {
+                    caller.step += 1;
+                }
+            }
+            Told::Held { call } => {
+                self.totals.held += 1;
+                self.caller(call);
+            }
+            Told::Refused { call, .. } => {
+                self.totals.refused += 1;
+                let retired = self.draw(25) == 0;
+                if let Some(caller) = self.caller(call) {
+                    caller.epoch = 0;
+                    if retired {
+                        caller.generation += 1;
+                        caller.step = 1;
+                    }
+                }
+            }
+        }
+    }
+
+    fn caller(&mut self, call: Call) -> Option<&mut Caller> {
+        let which = self.calling.remove(&call.0)?;
+        self.callers.get_mut(which)
+    }
+
+    fn play(mut self) -> (String, Totals) {
+        for _ in 0..STEPS {
+            self.now += STEP;
+            if self.draw(2) == 0 {
+                let which = self.draw(WORKFLOWS as u64) as usize;
+                self.ask(which);
+            }
+            if self.draw(2000) == 0 {
+                let member = self.draw(MEMBERS as u64) as usize;
+                self.restart(member);
+            }
+            for _ in 0..self.pending.len() {
+                if let Some((member, input)) = self.pending.pop_front() {
+                    self.step(member, input);
+                }
+            }
+            for member in 0..MEMBERS {
+                if self.members[member]
+                    .wake_at()
+                    .is_some_and(|at| at <= self.now)
+                {
+                    self.step(member, Given::Wake);
+                }
+            }
+        }
+        let digest = self.digest.0.finalize().to_hex()[..32].to_string();
+        (digest, self.totals)
+    }
+}
+
+fn digests(durable: bool) -> Vec<String> {
+    (0..4)
+        .map(|seed| {
+            let (digest, totals) = Run::new(seed, durable).play();
+            println!("seed {seed}: {digest} {totals:?}");
+            assert!(totals.claimed > 0 && totals.allowed > 0 && totals.known > 0);
+            assert!(totals.held > 0 && totals.refused > 0 && totals.sent > 0);
+            digest
+        })
+        .collect()
+}
+
+#[test]
+fn outputs_without_disks_are_as_found() {
+    assert_eq!(
+        digests(false),
+        [
+            "43ac0efb38e0ed417716f8aa09bff33b",
+            "2f02fcfd2a4a422b60ea60ac30138fc0",
+            "30bb1b84d2a4d368df22b702a8c87803",
+            "14ba7eff4bff549171ddb5ef047558fb",
+        ]
+    );
+}
+
+#[test]
+fn outputs_with_disks_are_as_found() {
+    assert_eq!(
+        digests(true),
+        [
+            "d588d2428ad6c03d03cd3b78c6d167d2",
+            "279c3881a330fb7817aa0b018804ea7e",
+            "a251f1fc7973545b5034414ac4d5ca2b",
+            "80004662e62cbd8f58ac83ecc77258bb",
+        ]
+    );
+}
