--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -518,7 +518,8 @@
         self.abandon_step(now, id, out);
         self.charge_answer(id, &answer, out);
         self.close_key(now, id, answer);
-        self.events.push_back(Event::ClientGone { request: id });
+        self.events
+            .push_back(Event::ClientDisconnected { request: id });
         if streaming {
             self.learn(id, End::Left, out);
             self.tell_cancel(id, out);
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -408,7 +408,7 @@
         if let Some(request) = self.requests.get_mut(&id) {
             request.state = Some(state);
         }
-        self.end_attempt(now, id, Outcome::ReadDone, cached, report, out);
+        self.end_attempt(now, id, Outcome::PrefillDone, cached, report, out);
     }
 
     fn end_served(
@@ -458,17 +458,24 @@
         };
         let never_ran = matches!(
             outcome,
-            Outcome::ReadDone | Outcome::Full { .. } | Outcome::ConnectFailed
+            Outcome::PrefillDone | Outcome::Rejected { .. } | Outcome::ConnectFailed
         );
         if attempt.purpose != Purpose::Read && !never_ran {
             request.may_have_run = true;
         }
-        if outcome == (Outcome::Full { state_gone: true }) {
+        if outcome
+            == (Outcome::Rejected {
+                state_missing: true,
+            })
+        {
             request.state = None;
         }
         request.counted.repeats = match outcome {
-            Outcome::ReadDone | Outcome::Served | Outcome::NotSent => false,
-            Outcome::Full { state_gone: false } | Outcome::ConnectFailed => request.counted.repeats,
+            Outcome::PrefillDone | Outcome::Served | Outcome::NotSent => false,
+            Outcome::Rejected {
+                state_missing: false,
+            }
+            | Outcome::ConnectFailed => request.counted.repeats,
             // Of a read whose state is gone all is done again.
             _ => true,
         };
@@ -547,7 +554,8 @@
                 "not answered in time; it may have run",
                 out,
             );
-            self.events.push_back(Event::ClientGone { request: id });
+            self.events
+                .push_back(Event::ClientDisconnected { request: id });
         }
         if let Some(number) = number {
             self.on_attempt_time(now, id, number, out);
@@ -595,8 +603,12 @@
 
 fn outcome_of(error: &EngineError) -> Outcome {
     match error.code.as_deref() {
-        Some(CODE_FULL) => Outcome::Full { state_gone: false },
-        Some(CODE_STATE_GONE) => Outcome::Full { state_gone: true },
+        Some(CODE_FULL) => Outcome::Rejected {
+            state_missing: false,
+        },
+        Some(CODE_STATE_GONE) => Outcome::Rejected {
+            state_missing: true,
+        },
         _ => Outcome::Error,
     }
 }
--- a/crates/core/src/carry.rs
+++ b/crates/core/src/carry.rs
@@ -2,7 +2,7 @@
 
 use bitternlatch_overload::{Ask, Told};
 use bitternlatch_policy::interface::{
-    Action, AttemptEnd, Event, Outcome, RequestId, Role, ServerId, Sight,
+    Action, AttemptEnd, Event, Observation, Outcome, RequestId, Role, ServerId,
 };
 use bitternlatch_protocol::engine::{encode, CompletionRequest, KvTransferParams, ToEngine};
 
@@ -27,7 +27,7 @@
                 timeout_s,
             } => self.send(now, request, server, timeout_s, out),
             Action::Cancel { request, attempt } => self.cancel(now, request, attempt, out),
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after_s,
             } => {
@@ -65,10 +65,10 @@
             Action::Subscribe
             | Action::Unsubscribe
             | Action::FetchList
-            | Action::HoldPlace { .. }
+            | Action::ReserveSlot { .. }
             | Action::Migrate { .. }
             | Action::CloseIdle { .. }
-            | Action::TellPeer { .. } => {}
+            | Action::SendToPeer { .. } => {}
         }
     }
 
@@ -86,7 +86,7 @@
             .filter(|k| k.takes_work())
             .map(|k| k.role);
         // A step's effect leaves while it is permitted, and waits where it is not; a read has none.
-        if open != Some(Role::Reader) && !self.workflows.may_leave(now, id) {
+        if open != Some(Role::Prefill) && !self.workflows.may_leave(now, id) {
             return self.wait_to_send(now, id, Waits { host, timeout_s }, out);
         }
         let Some(request) = self
@@ -106,7 +106,14 @@
             let at = |r: &&Request| r.attempt.as_ref().is_some_and(|a| a.host == host);
             if self.requests.values().filter(at).count() >= most as usize {
                 // It is tried by one of all, a little at a time.
-                return self.not_sent(id, number, host, Outcome::Full { state_gone: false });
+                return self.not_sent(
+                    id,
+                    number,
+                    host,
+                    Outcome::Rejected {
+                        state_missing: false,
+                    },
+                );
             }
         }
         let Some(request) = self.requests.get_mut(&id) else {
@@ -120,7 +127,7 @@
             return self.not_sent(id, number, host, Outcome::ConnectFailed);
         };
         let purpose = match (role, &request.state) {
-            (Role::Reader, _) => Purpose::Read,
+            (Role::Prefill, _) => Purpose::Read,
             (_, Some(_)) => Purpose::Write,
             (_, None) => Purpose::Whole,
         };
@@ -213,7 +220,7 @@
         let reads = self
             .fleet
             .get(link.host)
-            .is_some_and(|k| k.role == Role::Reader);
+            .is_some_and(|k| k.role == Role::Prefill);
         let left_s = self.workflows.left_s(now, id).filter(|_| !reads);
         let after_s = left_s.map_or(after_s, |left_s| after_s.min(left_s));
         let stale = Stale { after_s, attempt };
@@ -372,12 +379,12 @@
                 self.shed.trial(host, many, until);
                 // The module does better to choose another one: several saw it fail, or this one did in a row.
                 if self.shed.most_out(now, host).is_some() {
-                    let sight = Sight::Failing;
-                    self.events.push_back(Event::Hearsay {
+                    let sight = Observation::Failing;
+                    self.events.push_back(Event::PeerReport {
                         server: host,
-                        sight,
-                        voices: 2,
-                        of: 2,
+                        observation: sight,
+                        reporters: 2,
+                        peers: 2,
                         age_s: 0.0,
                     });
                 }
@@ -412,7 +419,7 @@
     /// Tells what was seen of the load, for what all shed together.
     pub(crate) fn tell_load(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.timers.set(now.after(LOOK_S), Timer::Shed);
-        let reads = |role: Role| matches!(role, Role::Reader | Role::Mixed);
+        let reads = |role: Role| matches!(role, Role::Prefill | Role::Mixed);
         let open = |id: &ServerId| self.links.open(*id).is_some();
         let hosts = self
             .fleet
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bitternlatch_policy::interface::{Event, ListForm, Outcome, ServerId, Sight};
+use bitternlatch_policy::interface::{Event, ListForm, Observation, Outcome, ServerId};
 use bitternlatch_quota_lease::{Hearsay, Host, Trait};
 
 use crate::machine::{log, Machine};
@@ -38,11 +38,11 @@
     failing_elsewhere: BTreeMap<ServerId, Micros>,
 }
 
-fn sight(what: Trait) -> Sight {
+fn sight(what: Trait) -> Observation {
     match what {
-        Trait::Failing => Sight::Failing,
-        Trait::Cold => Sight::Cold,
-        Trait::Draining => Sight::Draining,
+        Trait::Failing => Observation::Failing,
+        Trait::Cold => Observation::WarmingUp,
+        Trait::Draining => Observation::Draining,
     }
 }
 
@@ -53,12 +53,12 @@
             return;
         }
         match outcome {
-            Outcome::Served | Outcome::ReadDone => drop(self.evidence.row.remove(&host)),
+            Outcome::Served | Outcome::PrefillDone => drop(self.evidence.row.remove(&host)),
             Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => {
                 let (many, last) = self.evidence.row.entry(host).or_default();
                 (*many, *last) = (many.saturating_add(1), now);
             }
-            Outcome::Full { .. } | Outcome::Cancelled | Outcome::NotSent => {}
+            Outcome::Rejected { .. } | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
@@ -144,11 +144,11 @@
             if one.what == Trait::Failing {
                 self.evidence.failing_elsewhere.insert(one.host.0, now);
             }
-            self.events.push_back(Event::Hearsay {
+            self.events.push_back(Event::PeerReport {
                 server: one.host.0,
-                sight: sight(one.what),
-                voices: u32::from(one.voices),
-                of: u32::from(of),
+                observation: sight(one.what),
+                reporters: u32::from(one.voices),
+                peers: u32::from(of),
                 age_s: one.age.as_secs_f64() + now.since(at),
             });
         }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bitternlatch_inventory::{Host, HostState};
-use bitternlatch_policy::interface::{Role, ServerEntry, ServerId, Standing};
+use bitternlatch_policy::interface::{Role, ServerEntry, ServerId, ServerStatus};
 use bitternlatch_protocol::engine::EngineState;
 
 use crate::settings::Settings;
@@ -27,17 +27,19 @@
 }
 
 impl Known {
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> ServerStatus {
         match (self.host.state, self.said) {
-            (HostState::Gone, _) => Standing::Gone,
-            (HostState::Ready, EngineState::Ready) if self.drained_elsewhere => Standing::Draining,
-            (HostState::Draining, _) | (_, EngineState::Draining) => Standing::Draining,
-            (HostState::Ready, EngineState::Ready) => Standing::Ready,
+            (HostState::Gone, _) => ServerStatus::Removed,
+            (HostState::Ready, EngineState::Ready) if self.drained_elsewhere => {
+                ServerStatus::Draining
+            }
+            (HostState::Draining, _) | (_, EngineState::Draining) => ServerStatus::Draining,
+            (HostState::Ready, EngineState::Ready) => ServerStatus::Ready,
         }
     }
 
     pub(crate) fn takes_work(&self) -> bool {
-        self.standing() == Standing::Ready
+        self.standing() == ServerStatus::Ready
     }
 
     /// By the list or its own word.
@@ -52,7 +54,7 @@
     fn entry(&self, id: ServerId) -> ServerEntry {
         ServerEntry {
             id,
-            standing: self.standing(),
+            status: self.standing(),
             kind: self.kind,
             cell: self.cell,
             zone: self.zone,
@@ -113,7 +115,7 @@
     pub(crate) fn listed(&self) -> impl Iterator<Item = (ServerId, &Known)> {
         self.hosts
             .iter()
-            .filter(|(_, k)| k.standing() != Standing::Gone)
+            .filter(|(_, k)| k.standing() != ServerStatus::Removed)
             .map(|(id, k)| (*id, k))
     }
 
--- a/crates/core/src/lengths.rs
+++ b/crates/core/src/lengths.rs
@@ -52,8 +52,8 @@
     }
 
     /// What the decision module is told of it.
-    pub(crate) fn for_module(expected: Option<Expected>) -> Option<interface::Expected> {
-        expected.map(|e| interface::Expected {
+    pub(crate) fn for_module(expected: Option<Expected>) -> Option<interface::ExpectedTokens> {
+        expected.map(|e| interface::ExpectedTokens {
             mean: e.mean,
             p90: e.p90,
         })
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -405,8 +405,8 @@
 impl From<RawKind> for Kind {
     fn from(raw: RawKind) -> Self {
         let role = match raw.role {
-            RoleName::Reader => policy::Role::Reader,
-            RoleName::Writer => policy::Role::Writer,
+            RoleName::Reader => policy::Role::Prefill,
+            RoleName::Writer => policy::Role::Decode,
             RoleName::Mixed => policy::Role::Mixed,
         };
         Kind {
--- a/crates/core/src/settings/module.rs
+++ b/crates/core/src/settings/module.rs
@@ -26,11 +26,11 @@
                 .map(|f| f.means.policy())
                 .collect(),
             report_mode: match self.reports.mode {
-                ReportMode::WithAnswers => policy::ReportMode::WithAnswers,
+                ReportMode::WithAnswers => policy::ReportMode::WithResponses,
                 ReportMode::OnProbe => policy::ReportMode::OnProbe,
                 ReportMode::Off => policy::ReportMode::Off,
             },
-            cold: policy::ColdStart {
+            slow_start: policy::SlowStart {
                 start_capacity: self.rules.cold.start_capacity,
                 overload_factor: self.rules.cold.overload_factor,
                 window_s: self.rules.cold.window_s,
@@ -44,11 +44,11 @@
                 // The sessions' links to servers stand open; nothing is sent on one that does not.
                 connect_timeout_s: 0.0,
             },
-            pin_limit_s: self.rules.pin_limit_s,
-            over_share_worth: 1.0,
+            kv_hold_limit_s: self.rules.pin_limit_s,
+            over_quota_weight_fraction: 1.0,
             must_subscribe: false,
-            unseen_reads_run: false,
-            writers_read: self.attempts.writers_read,
+            lost_prefill_may_have_run: false,
+            decode_servers_prefill: self.attempts.writers_read,
             tick_s: crate::machine::TICK_S,
         }
     }
@@ -63,19 +63,19 @@
         };
         policy::ClassSettings {
             effect: match self.effect {
-                Effect::Safe => policy::Effect::Safe,
-                Effect::Keyed => policy::Effect::Keyed {
+                Effect::Safe => policy::Effect::Idempotent,
+                Effect::Keyed => policy::Effect::IdempotencyKey {
                     scope,
                     window_s: self.key_window_s,
                 },
-                Effect::Unsafe => policy::Effect::Unsafe,
+                Effect::Unsafe => policy::Effect::NonIdempotent,
             },
-            ttft_aim_s: self.ttft_aim_s,
-            ttft_aim_per_token_s: self.ttft_aim_ms_per_1000_tokens / 1e6,
-            token_gap_aim_s: self.token_gap_aim_s,
+            ttft_objective_s: self.ttft_aim_s,
+            ttft_objective_per_token_s: self.ttft_aim_ms_per_1000_tokens / 1e6,
+            inter_token_objective_s: self.token_gap_aim_s,
             deadline_s: self.deadline_s,
-            worth: self.worth,
-            late_worth: self.late_worth,
+            priority_weight: self.worth,
+            late_weight_fraction: self.late_worth,
         }
     }
 }
@@ -94,9 +94,9 @@
         match self {
             Meaning::Concurrent => policy::ReportField::Concurrent,
             Meaning::Queue => policy::ReportField::Queue,
-            Meaning::SlotShare => policy::ReportField::SlotShare,
-            Meaning::MemoryShare => policy::ReportField::MemoryShare,
-            Meaning::WaitingKiloTokens => policy::ReportField::WaitingKiloTokens,
+            Meaning::SlotShare => policy::ReportField::SlotUtilization,
+            Meaning::MemoryShare => policy::ReportField::MemoryUtilization,
+            Meaning::WaitingKiloTokens => policy::ReportField::QueuedKiloTokens,
             Meaning::Other => policy::ReportField::Other,
         }
     }
--- a/crates/core/src/shares.rs
+++ b/crates/core/src/shares.rs
@@ -49,8 +49,8 @@
         }
         self.lent.spends = spends;
         let since = if ended { self.lent.until.min(now) } else { now };
-        self.events.push_back(Event::Share {
-            part: spends,
+        self.events.push_back(Event::QuotaFraction {
+            fraction: spends,
             since: since.seconds(),
         });
         if self.settings.ledger.is_some() {
--- a/crates/core/src/shed.rs
+++ b/crates/core/src/shed.rs
@@ -100,7 +100,7 @@
     pub(crate) fn tried(&mut self, host: u32, outcome: Outcome) -> Option<Ask> {
         self.gate.as_ref()?;
         match outcome {
-            Outcome::Served | Outcome::ReadDone => {
+            Outcome::Served | Outcome::PrefillDone => {
                 self.row.remove(&host);
                 self.trials
                     .contains_key(&host)
@@ -111,7 +111,7 @@
                 *row = row.saturating_add(1);
                 (*row >= ROW).then_some(Ask::Tried { host, well: false })
             }
-            Outcome::Full { .. } | Outcome::Cancelled | Outcome::NotSent => None,
+            Outcome::Rejected { .. } | Outcome::Cancelled | Outcome::NotSent => None,
         }
     }
 
--- a/crates/core/tests/evidence.rs
+++ b/crates/core/tests/evidence.rs
@@ -4,7 +4,7 @@
 use bitternlatch_core::{Input, Micros, Output, Settings};
 use bitternlatch_inventory::host_id;
 use bitternlatch_membership::Standing;
-use bitternlatch_policy::interface::{Event, Sight};
+use bitternlatch_policy::interface::{Event, Observation};
 use bitternlatch_quota_lease::{Hearsay, Host, Trait};
 use common::{four, hosts, Bench, SETTINGS};
 use std::time::Duration;
@@ -134,14 +134,14 @@
     let trace = bench.machine.take_trace();
     let heard: Vec<_> = trace
         .iter()
-        .filter(|t| matches!(t.event, Event::Hearsay { .. }))
+        .filter(|t| matches!(t.event, Event::PeerReport { .. }))
         .collect();
     assert_eq!(heard.len(), 1, "{heard:?}");
-    let Event::Hearsay {
+    let Event::PeerReport {
         server,
-        sight,
-        voices,
-        of,
+        observation: sight,
+        reporters: voices,
+        peers: of,
         age_s,
     } = heard[0].event
     else {
@@ -149,7 +149,7 @@
     };
     assert_eq!(
         (server, sight, voices, of),
-        (host_id("r1"), Sight::Failing, 2, 2)
+        (host_id("r1"), Observation::Failing, 2, 2)
     );
     assert!((age_s - 1.5).abs() < 1e-9, "{age_s}");
 }
--- a/crates/core/tests/trouble.rs
+++ b/crates/core/tests/trouble.rs
@@ -64,9 +64,11 @@
     assert_eq!(
         told[..3],
         [
-            Outcome::ReadDone,
+            Outcome::PrefillDone,
             Outcome::Reset,
-            Outcome::Full { state_gone: false }
+            Outcome::Rejected {
+                state_missing: false
+            }
         ]
     );
 }
@@ -101,7 +103,7 @@
     });
     assert_eq!(
         outcomes(&mut b),
-        [Outcome::ReadDone, Outcome::ConnectFailed]
+        [Outcome::PrefillDone, Outcome::ConnectFailed]
     );
     let second = b.take();
     assert!(
@@ -312,7 +314,7 @@
     b.read_done(&again);
     let write = b.take();
     b.done(&write);
-    assert_eq!(outcomes(&mut b), [Outcome::ReadDone, Outcome::Error]);
+    assert_eq!(outcomes(&mut b), [Outcome::PrefillDone, Outcome::Error]);
 }
 
 #[test]
--- a/crates/output-length/src/timed.rs
+++ b/crates/output-length/src/timed.rs
@@ -42,7 +42,11 @@
 
 impl Timed {
     pub fn new(settings: &Settings) -> Timed {
-        let gaps = settings.classes.iter().map(|c| c.token_gap_aim_s).collect();
+        let gaps = settings
+            .classes
+            .iter()
+            .map(|c| c.inter_token_objective_s)
+            .collect();
         Timed {
             local: Local::default(),
             gaps,
@@ -58,7 +62,7 @@
                 let known = self
                     .local
                     .expect(ModelKey(1), key(ask.class), prompt, ceiling);
-                ask.output_tokens = known.map(|e| interface::Expected {
+                ask.output_tokens = known.map(|e| interface::ExpectedTokens {
                     mean: e.mean,
                     p90: e.p90,
                 });
@@ -87,7 +91,7 @@
                     self.learn(now_s, &f);
                 }
             }
-            Event::ClientGone { request } => drop(self.followed.remove(request)),
+            Event::ClientDisconnected { request } => drop(self.followed.remove(request)),
             _ => {}
         }
     }
@@ -162,7 +166,7 @@
                 },
             );
             if id % 4 == 0 {
-                timed.see(at + 0.1, &mut Event::ClientGone { request: id });
+                timed.see(at + 0.1, &mut Event::ClientDisconnected { request: id });
             }
             let end = AttemptEnd {
                 request: id,
--- a/crates/platform/src/attempts.rs
+++ b/crates/platform/src/attempts.rs
@@ -5,7 +5,7 @@
 
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::{
-    AttemptEnd, Event, Outcome, RequestId, Role, ServerId, Standing,
+    AttemptEnd, Event, Outcome, RequestId, Role, ServerId, ServerStatus,
 };
 
 use crate::answers::{read_load, Answer, Came, Whole};
@@ -149,7 +149,7 @@
         let ready = self
             .fleet
             .get(server)
-            .is_some_and(|t| t.standing == Standing::Ready);
+            .is_some_and(|t| t.standing == ServerStatus::Ready);
         ready && self.requests.get(request).is_some_and(|open| !open.over)
     }
 
@@ -367,7 +367,7 @@
         let target = self
             .fleet
             .get(server)
-            .filter(|t| t.standing == Standing::Ready);
+            .filter(|t| t.standing == ServerStatus::Ready);
         let sendable = !open.over && open.out.is_none() && now < open.deadline;
         let (Some(target), true) = (target, sendable && open.passed.is_some()) else {
             return self.not_sent(request, number, server);
@@ -391,7 +391,7 @@
             open.out = Some(Out {
                 number,
                 server,
-                prefill: role == Role::Reader,
+                prefill: role == Role::Prefill,
                 conn,
                 sent: now,
             });
@@ -462,9 +462,13 @@
             200 if streaming => Outcome::Served,
             // A stream without an event gives the client nothing.
             200 => Outcome::Error,
-            202 if prefill => Outcome::ReadDone,
-            503 | 504 if whole.declined => Outcome::Full { state_gone: false },
-            410 if whole.declined => Outcome::Full { state_gone: true },
+            202 if prefill => Outcome::PrefillDone,
+            503 | 504 if whole.declined => Outcome::Rejected {
+                state_missing: false,
+            },
+            410 if whole.declined => Outcome::Rejected {
+                state_missing: true,
+            },
             _ => Outcome::Error,
         };
         if outcome == Outcome::Served {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -159,7 +159,7 @@
             known_fault,
             // The platform's protocol says so of connections; no setting names it.
             settings: policy::Settings {
-                unseen_reads_run: true,
+                lost_prefill_may_have_run: true,
                 ..read_settings(&facts)?
             },
             bounds: read_bounds(&facts)?,
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use bitternlatch_core::Micros;
-use bitternlatch_policy::interface::{ListForm, ServerEntry, ServerId, Standing};
+use bitternlatch_policy::interface::{ListForm, ServerEntry, ServerId, ServerStatus};
 use bitternlatch_routing_settings::Names;
 use serde::Deserialize;
 use serde_json::Value;
@@ -38,7 +38,7 @@
 pub struct Target {
     pub uid: String,
     pub endpoint: SocketAddr,
-    pub standing: Standing,
+    pub standing: ServerStatus,
     pub kind: u16,
     pub zone: u16,
     pub cell: u16,
@@ -111,9 +111,9 @@
     let unknown =
         |what: &str, word: &str| format!("host '{}': {what} '{word}' is not known", raw.uid);
     let standing = match raw.state.as_str() {
-        "in_service" => Standing::Ready,
-        "terminating" => Standing::Draining,
-        "terminated" => Standing::Gone,
+        "in_service" => ServerStatus::Ready,
+        "terminating" => ServerStatus::Draining,
+        "terminated" => ServerStatus::Removed,
         word => return Err(unknown("state", word)),
     };
     let index = |list: &[String], word: &str| list.iter().position(|n| n == word).map(|i| i as u16);
@@ -242,14 +242,14 @@
             before.map_or_else(|| knowledge.started_s(target.booted_at), |b| b.started_at);
         let entry = ServerEntry {
             id,
-            standing: target.standing,
+            status: target.standing,
             kind: target.kind,
             cell: target.cell,
             zone: target.zone,
             weight: target.weight,
             booted_at: target.started_at,
         };
-        if target.standing == Standing::Gone {
+        if target.standing == ServerStatus::Removed {
             // Ids are always new: what is gone must not stay for good.
             self.ids.remove(&target.uid);
             self.hosts.remove(&id);
--- a/crates/platform/src/explain.rs
+++ b/crates/platform/src/explain.rs
@@ -6,7 +6,7 @@
 
 use bitternlatch_core::Traced;
 use bitternlatch_policy::interface::{
-    Action, Cause, Event, Outcome, Reckoned, Request, RequestId, ServerId, Settings,
+    Action, Cause, ChoiceExplanation, Event, Outcome, Request, RequestId, ServerId, Settings,
 };
 
 /// Most requests accounted for at once; those that come on top are not.
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Reasons {
     /// What stood behind its last choice of a prefill server.
-    pub reckoned: Option<Reckoned>,
+    pub reckoned: Option<ChoiceExplanation>,
     /// Why it was ended without being served.
     pub cause: Option<Cause>,
 }
@@ -39,7 +39,7 @@
 struct Attempt {
     server: ServerId,
     at_s: f64,
-    reckoned: Option<Reckoned>,
+    reckoned: Option<ChoiceExplanation>,
     /// How it ended, after how long, and the prompt tokens found in the prefix cache.
     ended: Option<(Outcome, f64, f64)>,
 }
@@ -74,7 +74,7 @@
         let aims = settings
             .classes
             .iter()
-            .map(|c| (c.ttft_aim_s, c.ttft_aim_per_token_s));
+            .map(|c| (c.ttft_objective_s, c.ttft_objective_per_token_s));
         Explainer {
             aims: aims.collect(),
             open: BTreeMap::new(),
@@ -133,10 +133,12 @@
                         attempt.ended = Some((end.outcome, end.elapsed_s, end.prefix_hit_tokens));
                     }
                     match end.outcome {
-                        Outcome::ReadDone => a.state(traced.now_s, StateChange::HeldAt(end.server)),
-                        Outcome::Full { state_gone: true } => {
-                            a.state(traced.now_s, StateChange::Missing)
+                        Outcome::PrefillDone => {
+                            a.state(traced.now_s, StateChange::HeldAt(end.server))
                         }
+                        Outcome::Rejected {
+                            state_missing: true,
+                        } => a.state(traced.now_s, StateChange::Missing),
                         Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled
                             if !a.holds_state() =>
                         {
@@ -152,7 +154,7 @@
                 });
                 touched.push(end.request);
             }
-            Event::ClientGone { request } => {
+            Event::ClientDisconnected { request } => {
                 self.on(*request, |a| a.answer = Some(a.answer.unwrap_or("gone")));
                 touched.push(*request);
             }
@@ -166,7 +168,7 @@
                     let told = reasons(*request).reckoned;
                     self.on(*request, |a| a.send(*server, traced.now_s, told));
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let told = reasons(*request);
                     self.on(*request, |a| {
                         (a.answer, a.ended_by) = (Some("refused"), told)
@@ -213,7 +215,7 @@
 }
 
 impl Account {
-    fn send(&mut self, server: ServerId, now_s: f64, reckoned: Option<Reckoned>) {
+    fn send(&mut self, server: ServerId, now_s: f64, reckoned: Option<ChoiceExplanation>) {
         self.made += 1;
         if self.attempts.len() < MOST_ATTEMPTS {
             let at_s = now_s - self.arrived_s;
@@ -245,7 +247,8 @@
 
     /// An attempt that ended in anything but an answer or a read.
     fn repeated(&self) -> bool {
-        let good = |t: &Attempt| matches!(t.ended, Some((Outcome::Served | Outcome::ReadDone, ..)));
+        let good =
+            |t: &Attempt| matches!(t.ended, Some((Outcome::Served | Outcome::PrefillDone, ..)));
         self.attempts.iter().any(|t| !good(t)) || self.made > self.attempts.len()
     }
 
--- a/crates/platform/src/intake.rs
+++ b/crates/platform/src/intake.rs
@@ -340,7 +340,8 @@
             self.counts.gone += 1;
         }
         self.touched.push(id);
-        self.events.push_back(Event::ClientGone { request: id });
+        self.events
+            .push_back(Event::ClientDisconnected { request: id });
         if open.streaming.is_some() {
             self.end_unread_stream(now, id, out);
         } else {
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -412,7 +412,7 @@
                 timeout_s,
             } => self.send(now, request, server, timeout_s, out),
             Action::Cancel { request, attempt } => self.cancel(now, request, attempt, out),
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after_s,
             } => self.refuse(now, request, retry_after_s, out),
@@ -424,7 +424,7 @@
             }
             // The watch is always open; the whole list comes with it after a gap.
             Action::Subscribe | Action::Unsubscribe | Action::FetchList => {}
-            Action::HoldPlace { .. } | Action::Migrate { .. } => {
+            Action::ReserveSlot { .. } | Action::Migrate { .. } => {
                 self.log(
                     out,
                     Level::Warn,
@@ -436,7 +436,7 @@
                     self.drop_link(conn, out);
                 }
             }
-            Action::TellPeer { peer, data } => self.tell_peer(peer, data, out),
+            Action::SendToPeer { peer, data } => self.tell_peer(peer, data, out),
             Action::Log { text } => self.log(out, Level::Info, text),
             Action::Fault { text } => {
                 self.log(out, Level::Warn, format!("the module failed: {text}"))
--- a/crates/platform/src/releases.rs
+++ b/crates/platform/src/releases.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 use bitternlatch_core::Micros;
-use bitternlatch_policy::interface::{Outcome, RequestId, ServerId, Standing};
+use bitternlatch_policy::interface::{Outcome, RequestId, ServerId, ServerStatus};
 
 use crate::discovery::Fleet;
 use crate::node::{Due, Node};
@@ -189,7 +189,7 @@
             .open
             .get_mut(&id)
             .filter(|r| r.asked.len() < MOST_CALLS)?;
-        let rank = |(server, to, standing): (ServerId, SocketAddr, Standing)| {
+        let rank = |(server, to, standing): (ServerId, SocketAddr, ServerStatus)| {
             // A kept connection carries it at once, and a host that has answered of late is likeliest to answer.
             let silent = contacts.silent(now, server) || failed(server);
             let kept = contacts.kept(server, to);
@@ -197,7 +197,7 @@
                 silent,
                 Reverse(kept),
                 Reverse(contacts.heard(server)),
-                standing != Standing::Ready,
+                standing != ServerStatus::Ready,
                 server,
                 to,
             )
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -25,10 +25,10 @@
 fn both_readings_of_one_deployment_give_equal_settings() {
     let from_wire = read_settings(&Facts::from_lines(LINES).expect("lines")).expect("settings");
     // In one thing the platform is another place: a connection's end does not tell that a read has not ended.
-    assert!(!from_wire.unseen_reads_run);
+    assert!(!from_wire.lost_prefill_may_have_run);
     assert_eq!(
         Settings {
-            unseen_reads_run: true,
+            lost_prefill_may_have_run: true,
             ..from_wire
         },
         config().settings
--- a/crates/policy/src/choice/admission.rs
+++ b/crates/policy/src/choice/admission.rs
@@ -45,7 +45,7 @@
         } else {
             ask.session
         };
-        self.count_choice(Role::Reader);
+        self.count_choice(Role::Prefill);
         let same = self.recent.iter().filter(|k| **k == key).count() as f64;
         let alike = same / self.recent.len().max(1) as f64;
         self.recent.push_front(key);
@@ -91,12 +91,12 @@
         );
         self.reckoned = (
             id,
-            Reckoned {
+            ChoiceExplanation {
                 queue_s: e.queue_s,
-                read_s: e.read_s,
+                prefill_s: e.read_s,
                 total_s,
-                slip_s,
-                late_s,
+                lateness_s: slip_s,
+                limit_s: late_s,
             },
         );
         self.jobs
@@ -142,7 +142,8 @@
         let (Some(job), Some(from)) = (self.jobs.get(&id), self.servers.get(&reader)) else {
             return;
         };
-        let writes = |s: &&Server| s.role == Role::Writer && s.ready() && from.role == Role::Reader;
+        let writes =
+            |s: &&Server| s.role == Role::Decode && s.ready() && from.role == Role::Prefill;
         let rank = |s: &Server| {
             (
                 s.entry.cell != from.entry.cell,
--- a/crates/policy/src/choice/decode.rs
+++ b/crates/policy/src/choice/decode.rs
@@ -55,7 +55,7 @@
                 + SPREAD * self.draw(job, s)
         };
         let may = |s: &&Server| {
-            s.role != Role::Reader
+            s.role != Role::Prefill
                 && self.usable(s, job, now)
                 && self.cold_turn(s, job, &scene, false, now)
         };
--- a/crates/policy/src/choice/estimate.rs
+++ b/crates/policy/src/choice/estimate.rs
@@ -77,7 +77,7 @@
 
     /// Other dispatchers' reads at a server, in seconds; or delay lately seen beyond prediction, if larger.
     pub(super) fn others_s(&self, s: &Server, now: f64) -> f64 {
-        let reads = if s.role == Role::Reader {
+        let reads = if s.role == Role::Prefill {
             self.report(s, now).others
         } else {
             0.0
@@ -91,7 +91,7 @@
             READ_UNCACHED_S * uncached / 1000.0,
             READ_TOTAL_S * total / 1000.0,
         );
-        let slower = if s.role == Role::Writer {
+        let slower = if s.role == Role::Decode {
             WRITER_READS
         } else {
             1.0
@@ -151,8 +151,8 @@
             2.0 * CELL_MARGIN * WRITER_LOAD_S
         };
         let (write, dear) = match s.role {
-            Role::Reader => (Self::lightest_wait(scene, s), 0.0),
-            Role::Writer => (
+            Role::Prefill => (Self::lightest_wait(scene, s), 0.0),
+            Role::Decode => (
                 self.write_wait(s, now),
                 WRITER_READ_S + self.crowd(s, job, now),
             ),
@@ -203,7 +203,7 @@
             let live = f64::from(s.ready() && s.overdue(now).min(now - s.heard) < LIVE_SILENCE_S);
             (*ready, *able) = (*ready + live, *able + live * self.capacity(s, now));
             scene.homes +=
-                usize::from(s.ready() && s.role == Role::Reader && s.entry.zone == self.set.zone);
+                usize::from(s.ready() && s.role == Role::Prefill && s.entry.zone == self.set.zone);
         }
         scene.homes = FEWEST_HOMES.max((scene.homes as f64 * HOMES_SHARE).round() as usize);
         scene
@@ -217,7 +217,7 @@
             ready: scene.ready,
             ..Scene::default()
         };
-        let writes = |s: &&Server| s.role == Role::Writer && self.usable(s, job, now);
+        let writes = |s: &&Server| s.role == Role::Decode && self.usable(s, job, now);
         let turn = |s: &&Server| self.cold_turn(s, job, &counted, false, now);
         for s in self.servers.values().filter(writes).filter(turn) {
             let wait =
@@ -249,9 +249,10 @@
         let scene = self.scene_with_waits(job, now);
         let homes = self.homes(now, job, &scene);
         let known = self.prefixes.known(&job.ask);
-        let whole = self.set.writers_read && self.class(job).effect != Effect::Unsafe;
+        let whole =
+            self.set.decode_servers_prefill && self.class(job).effect != Effect::NonIdempotent;
         let may = |s: &&Server| {
-            (whole || s.role != Role::Writer)
+            (whole || s.role != Role::Decode)
                 && self.usable(s, job, now)
                 && self.cold_turn(s, job, &scene, homes.contains(&s.entry.id), now)
         };
--- a/crates/policy/src/choice/health.rs
+++ b/crates/policy/src/choice/health.rs
@@ -53,7 +53,7 @@
         let at_prefill = self
             .servers
             .get(&end.server)
-            .is_some_and(|s| s.role == Role::Reader);
+            .is_some_and(|s| s.role == Role::Prefill);
         let Some(j) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -76,7 +76,7 @@
     fn judge(&mut self, now: f64, end: &AttemptEnd, job: &Job, waited: bool) {
         let cut = now + 2.0 * self.set.tick_s >= job.deadline;
         let mark = match end.outcome {
-            Outcome::Served | Outcome::ReadDone => Some(false),
+            Outcome::Served | Outcome::PrefillDone => Some(false),
             Outcome::Error | Outcome::Reset | Outcome::ConnectFailed => Some(true),
             Outcome::TimedOut | Outcome::Cancelled if !cut && !job.over && waited => Some(true),
             _ => None,
@@ -84,20 +84,20 @@
         let Some(s) = self.servers.get_mut(&end.server) else {
             return;
         };
-        let whole = s.role != Role::Reader && job.held.known().is_none();
+        let whole = s.role != Role::Prefill && job.held.known().is_none();
         mark.into_iter()
             .for_each(|bad| s.mark(now, bad, end.elapsed_s));
         match end.outcome {
             Outcome::TimedOut | Outcome::Cancelled if waited => {
                 s.excess = (s.excess(now).max(sane(end.elapsed_s)), now);
             }
-            Outcome::Full { state_gone: false } => {
-                s.shut_until = s.shut_until.max(now + FULL_PAUSE_S)
-            }
-            Outcome::ReadDone => {
+            Outcome::Rejected {
+                state_missing: false,
+            } => s.shut_until = s.shut_until.max(now + FULL_PAUSE_S),
+            Outcome::PrefillDone => {
                 self.learn_read(now, end, job, sane(end.elapsed_s));
-                self.answers[Role::Reader as usize].0 += 1.0;
-                self.count_choice(Role::Writer);
+                self.answers[Role::Prefill as usize].0 += 1.0;
+                self.count_choice(Role::Decode);
             }
             Outcome::Served if whole => self.learn_read(now, end, job, job.first_after),
             _ => {}
@@ -107,13 +107,18 @@
     /// What others have seen. One voice condemns no server, and what was heard here since counts more.
     /// Failing costs time as an own failure does, young is as by the list, draining closes it while told.
     /// Harm: where two are wrong together it is passed by for a while, by a price or for a second.
-    pub(super) fn on_hearsay(&mut self, now: f64, id: ServerId, told: (Sight, u32, u32, f64)) {
+    pub(super) fn on_hearsay(
+        &mut self,
+        now: f64,
+        id: ServerId,
+        told: (Observation, u32, u32, f64),
+    ) {
         let (sight, voices, of, age_s) = told;
         let Some(s) = self.servers.get_mut(&id).filter(|_| voices >= 2) else {
             return;
         };
         match sight {
-            Sight::Failing if s.heard < now - age_s => {
+            Observation::Failing if s.heard < now - age_s => {
                 let (role, loss) = (s.role, fade(s.loss, now, FADE_HALF_S).max(HEARSAY_LOSS_S));
                 s.told_failing = now;
                 // Where many of its like are told to fail it is the way to them.
@@ -130,8 +135,8 @@
                     .entry(id)
                     .and_modify(|s| s.loss = if few { (loss, now) } else { s.loss });
             }
-            Sight::Cold if s.entry.booted_at <= 0.0 => s.entry.booted_at = now - age_s,
-            Sight::Draining if 2 * voices > of => {
+            Observation::WarmingUp if s.entry.booted_at <= 0.0 => s.entry.booted_at = now - age_s,
+            Observation::Draining if 2 * voices > of => {
                 s.shut_until = s.shut_until.max(now + HEARSAY_DRAIN_S)
             }
             _ => {}
@@ -166,13 +171,13 @@
         let Some(s) = self.servers.get_mut(&id).filter(|_| told) else {
             return;
         };
-        let reads = s.role == Role::Reader;
+        let reads = s.role == Role::Prefill;
         let own_held = (s.pending.len() + s.streams.len()) as f64;
         let mut told = Report::default();
         for (field, &value) in self.set.report_fields.iter().zip(report) {
             match field {
-                ReportField::SlotShare if !reads => told.load = told.load.max(value),
-                ReportField::MemoryShare => told.load = told.load.max(value),
+                ReportField::SlotUtilization if !reads => told.load = told.load.max(value),
+                ReportField::MemoryUtilization => told.load = told.load.max(value),
                 ReportField::Concurrent if reads => {
                     told.others = (0.5 * (value - own_held)).max(0.0)
                 }
--- a/crates/policy/src/choice/held_states.rs
+++ b/crates/policy/src/choice/held_states.rs
@@ -61,11 +61,13 @@
     pub fn attempt_ended(&mut self, now: f64, end: &AttemptEnd, at_prefill: bool) {
         let released = std::mem::take(&mut self.released);
         match end.outcome {
-            Outcome::ReadDone => {
+            Outcome::PrefillDone => {
                 self.known = Some((end.server, now));
                 self.since.get_or_insert(now);
             }
-            Outcome::Full { state_gone: true } => *self = HeldState::default(),
+            Outcome::Rejected {
+                state_missing: true,
+            } => *self = HeldState::default(),
             Outcome::Served => self.taken(),
             Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled if at_prefill => {
                 self.may_be_left(now)
@@ -80,7 +82,7 @@
                 self.may_be_left(now);
             }
             // Its answer shows that it had arrived: nothing was left waiting until now.
-            Outcome::Full { .. } | Outcome::Error if self.known.is_some() && !self.left => {
+            Outcome::Rejected { .. } | Outcome::Error if self.known.is_some() && !self.left => {
                 self.since = Some(now)
             }
             _ => {}
@@ -96,7 +98,7 @@
 impl Router {
     /// Releases what may be held for a request once that is due. Whether it goes on is left to the caller.
     pub(super) fn release_due(&mut self, now: f64, id: RequestId, out: &mut Actions) {
-        let limit_s = self.set.pin_limit_s;
+        let limit_s = self.set.kv_hold_limit_s;
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -113,7 +115,7 @@
         let held = self
             .jobs
             .get(&id)
-            .and_then(|job| job.held.release_at(self.set.pin_limit_s));
+            .and_then(|job| job.held.release_at(self.set.kv_hold_limit_s));
         held.into_iter().for_each(|at| wake(id, at, out));
     }
 }
--- a/crates/policy/src/choice/mod.rs
+++ b/crates/policy/src/choice/mod.rs
@@ -67,9 +67,9 @@
     part: f64,                  // This router's of what all share.
     lateness: (f64, f64),       // Mean first-token delay beyond promise, and when it was seen.
     retries: f64,
-    recent: VecDeque<u64>,                 // Keys of the latest requests.
+    recent: VecDeque<u64>,    // Keys of the latest requests.
     answers: [(f64, f64); 3], // By role: not drawn on yet, and the most held; choices draw on them.
-    pub reckoned: (RequestId, Reckoned), // What stood behind the last choice of a reader, for logs.
+    pub reckoned: (RequestId, ChoiceExplanation), // What stood behind the last choice of a reader, for logs.
     pub cause: Option<(RequestId, Cause)>, // Why the last request that was not served ended, for logs.
 }
 
@@ -132,7 +132,7 @@
                 ..
             } => self.on_first(now, id, server, t),
             Event::AttemptEnded(end) => self.on_end(now, end, out),
-            Event::ClientGone { request } => {
+            Event::ClientDisconnected { request } => {
                 self.cancel(request, out);
                 self.finish(request, None, out);
             }
@@ -146,15 +146,18 @@
                 self.take_report(now, server, &report);
                 self.on_probe(now, server, outcome, elapsed_s, out);
             }
-            Event::Hearsay {
+            Event::PeerReport {
                 server,
-                sight,
-                voices,
-                of,
+                observation: sight,
+                reporters: voices,
+                peers: of,
                 age_s,
             } => self.on_hearsay(now, server, (sight, voices, of, sane(age_s))),
-            Event::Share { part, since } => self.on_share(part, since),
-            Event::PlaceAnswer { .. } | Event::PeerMessage { .. } => {}
+            Event::QuotaFraction {
+                fraction: part,
+                since,
+            } => self.on_share(part, since),
+            Event::ReservationAnswer { .. } | Event::PeerMessage { .. } => {}
         }
     }
 }
--- a/crates/policy/src/choice/prefix_index.rs
+++ b/crates/policy/src/choice/prefix_index.rs
@@ -62,7 +62,7 @@
         for s in self
             .servers
             .values()
-            .filter(|s| s.role != Role::Writer && s.ready())
+            .filter(|s| s.role != Role::Decode && s.ready())
         {
             let id = s.entry.id;
             let weight = if s.role == Role::Mixed {
--- a/crates/policy/src/choice/requests.rs
+++ b/crates/policy/src/choice/requests.rs
@@ -60,13 +60,13 @@
 
     /// Whether an attempt there may not be followed by another unless it is known not to have run.
     pub(super) fn once(&self, job: &Job, s: &Server) -> bool {
-        let runs = s.role != Role::Reader || self.set.unseen_reads_run;
-        runs && self.class(job).effect == Effect::Unsafe
+        let runs = s.role != Role::Prefill || self.set.lost_prefill_may_have_run;
+        runs && self.class(job).effect == Effect::NonIdempotent
     }
 
     pub(super) fn aim(&self, ask: &Request) -> f64 {
         let class = &self.set.classes[usize::from(ask.class)];
-        class.ttft_aim_s + class.ttft_aim_per_token_s * ask.prompt_tokens
+        class.ttft_objective_s + class.ttft_objective_per_token_s * ask.prompt_tokens
     }
 
     pub(super) fn silence_s(&self, ask: &Request, s: &Server, sent: f64) -> f64 {
@@ -86,9 +86,9 @@
             return true;
         };
         match self.class(job).effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed { scope, window_s } => {
+            Effect::Idempotent => true,
+            Effect::NonIdempotent => false,
+            Effect::IdempotencyKey { scope, window_s } => {
                 let group = |e: &ServerEntry| {
                     if scope == KeyScope::Zone {
                         e.zone
@@ -114,8 +114,8 @@
     fn may_refuse(&self, job: &Job) -> bool {
         let any = matches!(
             self.class(job).effect,
-            Effect::Safe
-                | Effect::Keyed {
+            Effect::Idempotent
+                | Effect::IdempotencyKey {
                     scope: KeyScope::All,
                     ..
                 }
@@ -148,7 +148,7 @@
             None if job
                 .held
                 .known()
-                .is_some_and(|at| now - at.1 <= self.set.pin_limit_s * HOLD_SHARE) =>
+                .is_some_and(|at| now - at.1 <= self.set.kv_hold_limit_s * HOLD_SHARE) =>
             {
                 wake(id, now + 2.0 * ASK_WAIT_S, out);
             }
@@ -226,7 +226,7 @@
             return;
         };
         let retry_after_s = retry_after_s.min(self.set.limits.max_retry_after_s.max(0.0));
-        let refusal = Action::Refuse {
+        let refusal = Action::Reject {
             request: id,
             retry_after_s,
         };
@@ -273,14 +273,14 @@
         let prefill = self
             .servers
             .get(&end.server)
-            .is_some_and(|s| s.role == Role::Reader);
+            .is_some_and(|s| s.role == Role::Prefill);
         match end.outcome {
-            Outcome::ReadDone
-            | Outcome::Full { .. }
+            Outcome::PrefillDone
+            | Outcome::Rejected { .. }
             | Outcome::ConnectFailed
             | Outcome::NotSent => Execution::NeverRan,
             Outcome::Error if prefill => Execution::NeverRan,
-            _ if prefill && !self.set.unseen_reads_run => Execution::NeverRan,
+            _ if prefill && !self.set.lost_prefill_may_have_run => Execution::NeverRan,
             _ => Execution::MayHaveRun,
         }
     }
@@ -291,9 +291,9 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let spent = self.class(job).effect == Effect::Unsafe && job.may_have_run.is_some();
+        let spent = self.class(job).effect == Effect::NonIdempotent && job.may_have_run.is_some();
         // Nobody has taken its state; it would be held too long, did another way there come up no sooner.
-        let most_s = self.set.pin_limit_s + 3.0 * self.set.tick_s;
+        let most_s = self.set.kv_hold_limit_s + 3.0 * self.set.tick_s;
         let overdue = |at: (ServerId, f64)| now + sane(end.elapsed_s) > at.1 + most_s;
         let expired = expired || job.held.known().is_some_and(overdue);
         let held = outcome == Outcome::ConnectFailed && expired;
@@ -308,7 +308,7 @@
         if let Some(cause) = cause {
             return self.give_up(id, 0.2, cause, out);
         }
-        let left = self.retries - f64::from(outcome != Outcome::ReadDone);
+        let left = self.retries - f64::from(outcome != Outcome::PrefillDone);
         if left < 0.0 {
             return self.give_up(id, 0.5, Cause::NoRetryLeft, out);
         }
--- a/crates/policy/src/choice/server_table.rs
+++ b/crates/policy/src/choice/server_table.rs
@@ -92,7 +92,7 @@
     }
 
     pub(super) fn ready(&self) -> bool {
-        self.entry.standing == Standing::Ready
+        self.entry.status == ServerStatus::Ready
     }
 }
 
@@ -114,13 +114,13 @@
             self.servers
                 .values_mut()
                 .filter(missing)
-                .for_each(|s| s.entry.standing = Standing::Gone);
+                .for_each(|s| s.entry.status = ServerStatus::Removed);
         }
         entries
             .into_iter()
             .for_each(|entry| self.on_entry(now, entry));
         self.servers.retain(|_, s| {
-            s.entry.standing != Standing::Gone || s.pending.len() + s.streams.len() > 0
+            s.entry.status != ServerStatus::Removed || s.pending.len() + s.streams.len() > 0
         });
     }
 
--- a/crates/policy/src/choice/slow_start.rs
+++ b/crates/policy/src/choice/slow_start.rs
@@ -10,7 +10,7 @@
 impl Router {
     /// Share of its capacity that a server likely has: a straight line from the told start to the warm time.
     pub(super) fn capacity(&self, s: &Server, now: f64) -> f64 {
-        let cold = &self.set.cold;
+        let cold = &self.set.slow_start;
         if s.entry.booted_at <= 0.0 || now >= s.entry.booted_at + cold.warm_after_s {
             return 1.0;
         }
@@ -43,7 +43,7 @@
         if self.capacity(s, now) >= 1.0 {
             return true;
         }
-        let (cold, (ready, able)) = (&self.set.cold, scene.ready[s.role as usize]);
+        let (cold, (ready, able)) = (&self.set.slow_start, scene.ready[s.role as usize]);
         let age = ((now - s.told_at) / cold.warm_after_s.max(0.1)).clamp(0.0, 1.0);
         let likely = (cold.start_capacity * (COLD_GROWTH * age).exp()).min(1.0);
         let answers = self.answers[s.role as usize].1 * BLEND / (1.0 - BLEND);
@@ -54,7 +54,7 @@
         } else {
             1.0 - COLD_KEYS_PART
         };
-        let part = even * if s.role == Role::Reader { keys } else { 1.0 };
+        let part = even * if s.role == Role::Prefill { keys } else { 1.0 };
         self.draw(job, s) < COLD_PART * cold.overload_factor * likely * part
     }
 }
--- a/crates/policy/src/choice/timers.rs
+++ b/crates/policy/src/choice/timers.rs
@@ -40,7 +40,7 @@
         }
         let silence_s = self.silence_s(&job.ask, s, sent);
         let fresh = s.seen_at > due;
-        let wait = if s.role == Role::Reader {
+        let wait = if s.role == Role::Prefill {
             Self::others_s
         } else {
             Self::write_wait
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -14,9 +14,9 @@
 pub enum Role {
     /// Reads prompts (prefill).
     #[default]
-    Reader,
+    Prefill,
     /// Writes answers (decode).
-    Writer,
+    Decode,
     /// Does either.
     Mixed,
 }
@@ -25,11 +25,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
     /// Repeats are harmless.
-    Safe,
+    Idempotent,
     /// Repeats are dropped within a group of servers for a time.
-    Keyed { scope: KeyScope, window_s: f64 },
+    IdempotencyKey { scope: KeyScope, window_s: f64 },
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// The servers that drop repeats of one keyed request.
@@ -45,14 +45,14 @@
 pub struct ClassSettings {
     pub effect: Effect,
     /// TTFT that earns the full worth, before the part that grows with the prompt.
-    pub ttft_aim_s: f64,
-    pub ttft_aim_per_token_s: f64,
+    pub ttft_objective_s: f64,
+    pub ttft_objective_per_token_s: f64,
     /// Mean time between tokens that earns the full worth.
-    pub token_gap_aim_s: f64,
+    pub inter_token_objective_s: f64,
     pub deadline_s: f64,
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth earned by a late answer.
-    pub late_worth: f64,
+    pub late_weight_fraction: f64,
 }
 
 /// One tenant's share.
@@ -78,11 +78,11 @@
     /// Requests queued.
     Queue,
     /// Share of slots in use.
-    SlotShare,
+    SlotUtilization,
     /// Share of memory held.
-    MemoryShare,
+    MemoryUtilization,
     /// Thousands of prompt tokens waiting to be read or fetched.
-    WaitingKiloTokens,
+    QueuedKiloTokens,
     /// Anything the router makes no use of.
     Other,
 }
@@ -90,14 +90,14 @@
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportMode {
-    WithAnswers,
+    WithResponses,
     OnProbe,
     Off,
 }
 
 /// What the rules allow on a freshly started server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ColdStart {
+pub struct SlowStart {
     /// Share of capacity it starts with, at the least.
     pub start_capacity: f64,
     /// Multiple of its present capacity that makes it fall over...
@@ -131,36 +131,36 @@
     pub kinds: Vec<KindSettings>,
     pub report_fields: Vec<ReportField>,
     pub report_mode: ReportMode,
-    pub cold: ColdStart,
+    pub slow_start: SlowStart,
     pub limits: Limits,
     /// A held state must be taken or released within this time.
-    pub pin_limit_s: f64,
+    pub kv_hold_limit_s: f64,
     /// Share of the worth of a request over its tenant's share.
-    pub over_share_worth: f64,
+    pub over_quota_weight_fraction: f64,
     /// The server list must be subscribed to.
     pub must_subscribe: bool,
     /// A read whose answer never came may have ended well all the same, and counts as run.
-    pub unseen_reads_run: bool,
+    pub lost_prefill_may_have_run: bool,
     /// Writers read a prompt themselves when there is no state to fetch.
-    pub writers_read: bool,
+    pub decode_servers_prefill: bool,
     /// Shortest time between two batches of events.
     pub tick_s: f64,
 }
 
 /// What the list says of a server's process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServerStatus {
     Ready,
     Draining,
     #[default]
-    Gone,
+    Removed,
 }
 
 /// One line of the server list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerEntry {
     pub id: ServerId,
-    pub standing: Standing,
+    pub status: ServerStatus,
     /// Index in [`Settings::kinds`].
     pub kind: u16,
     pub cell: u16,
@@ -186,7 +186,7 @@
 
 /// How long an answer is expected to be, tokens, its ceiling regarded.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Expected {
+pub struct ExpectedTokens {
     pub mean: f64,
     /// Nine answers of ten are no longer.
     pub p90: f64,
@@ -208,7 +208,7 @@
     pub prefix_tokens: f64,
     pub max_output_tokens: f64,
     /// Where anything is known of its like; without it a share of the ceiling stands for it.
-    pub output_tokens: Option<Expected>,
+    pub output_tokens: Option<ExpectedTokens>,
     /// Rough guess of the time the answer takes at the class's token gap.
     pub output_hint_s: Option<f64>,
     /// Time until the client gives this try up.
@@ -221,11 +221,11 @@
     /// Answered.
     Served,
     /// The prompt is read; its state waits at the reader.
-    ReadDone,
+    PrefillDone,
     /// An error answer; it may have run.
     Error,
     /// Turned away; `state_gone` when there was no state to fetch. It never ran.
-    Full { state_gone: bool },
+    Rejected { state_missing: bool },
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection; it never ran.
@@ -256,11 +256,11 @@
 
 /// What other dispatchers have seen of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Sight {
+pub enum Observation {
     /// Its last attempts failed, or it cannot be reached.
     Failing,
     /// It was started lately.
-    Cold,
+    WarmingUp,
     /// Their list has it draining, or it said so itself.
     Draining,
 }
@@ -279,14 +279,14 @@
         server: ServerId,
         elapsed_s: f64,
     },
-    PlaceAnswer {
+    ReservationAnswer {
         request: RequestId,
         attempt: u16,
         server: ServerId,
         held: bool,
     },
     AttemptEnded(AttemptEnd),
-    ClientGone {
+    ClientDisconnected {
         request: RequestId,
     },
     Timer {
@@ -303,16 +303,16 @@
         data: Vec<u8>,
     },
     /// Seen by so many others of those that told anything, the latest of them so long ago.
-    Hearsay {
+    PeerReport {
         server: ServerId,
-        sight: Sight,
-        voices: u32,
-        of: u32,
+        observation: Observation,
+        reporters: u32,
+        peers: u32,
         age_s: f64,
     },
     /// This router's part of what all share, from 0 to 1, and since when; before the first, an even one.
-    Share {
-        part: f64,
+    QuotaFraction {
+        fraction: f64,
         since: f64,
     },
 }
@@ -331,7 +331,7 @@
         attempt: u16,
     },
     /// Final answer: trying again is harmless.
-    Refuse {
+    Reject {
         request: RequestId,
         retry_after_s: f64,
     },
@@ -356,7 +356,7 @@
     /// Ask for the complete list once.
     FetchList,
     /// Hold a slot and memory at a writer ahead of the read's end.
-    HoldPlace {
+    ReserveSlot {
         request: RequestId,
         server: ServerId,
     },
@@ -368,7 +368,7 @@
         server: ServerId,
     },
     /// At most 256 bytes to one peer, or to all (`None`).
-    TellPeer {
+    SendToPeer {
         peer: Option<u16>,
         data: Vec<u8>,
     },
@@ -406,25 +406,25 @@
 
 /// Seconds behind a choice of reader: its parts, and the latest first token that is taken. For logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Reckoned {
+pub struct ChoiceExplanation {
     pub queue_s: f64,
-    pub read_s: f64,
+    pub prefill_s: f64,
     /// With the wait for a writer and the risk of failure.
     pub total_s: f64,
     /// Lateness seen of late, on top.
-    pub slip_s: f64,
-    pub late_s: f64,
+    pub lateness_s: f64,
+    pub limit_s: f64,
 }
 
-impl std::fmt::Display for Reckoned {
+impl std::fmt::Display for ChoiceExplanation {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Reckoned {
+        let ChoiceExplanation {
             queue_s,
-            read_s,
+            prefill_s,
             total_s,
-            slip_s,
-            late_s,
+            lateness_s,
+            limit_s,
         } = self;
-        write!(f, "queue {queue_s:.3} read {read_s:.3} in all {total_s:.3} slip {slip_s:.3} of {late_s:.3}")
+        write!(f, "queue {queue_s:.3} read {prefill_s:.3} in all {total_s:.3} slip {lateness_s:.3} of {limit_s:.3}")
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -8,13 +8,13 @@
 //! use bitternlatch_policy::interface::*;
 //!
 //! let class = ClassSettings {
-//!     effect: Effect::Safe,
-//!     ttft_aim_s: 1.0,
-//!     ttft_aim_per_token_s: 4e-5,
-//!     token_gap_aim_s: 0.05,
+//!     effect: Effect::Idempotent,
+//!     ttft_objective_s: 1.0,
+//!     ttft_objective_per_token_s: 4e-5,
+//!     inter_token_objective_s: 0.05,
 //!     deadline_s: 5.0,
-//!     worth: 1.0,
-//!     late_worth: 0.3,
+//!     priority_weight: 1.0,
+//!     late_weight_fraction: 0.3,
 //! };
 //! let kind = |role| KindSettings { role, memory_tokens: 150_000.0 };
 //! let settings = Settings {
@@ -22,20 +22,20 @@
 //!     zone: 0,
 //!     classes: vec![class],
 //!     tenants: vec![],
-//!     kinds: vec![kind(Role::Reader), kind(Role::Writer)],
+//!     kinds: vec![kind(Role::Prefill), kind(Role::Decode)],
 //!     report_fields: vec![],
 //!     report_mode: ReportMode::Off,
-//!     cold: ColdStart { start_capacity: 0.25, overload_factor: 2.5, window_s: 3.0, warm_after_s: 14.0 },
+//!     slow_start: SlowStart { start_capacity: 0.25, overload_factor: 2.5, window_s: 3.0, warm_after_s: 14.0 },
 //!     limits: Limits { max_attempts: 4, may_cancel: true, may_probe: false, max_retry_after_s: 1.0, connect_timeout_s: 0.25 },
-//!     pin_limit_s: 1.0,
-//!     over_share_worth: 1.0,
+//!     kv_hold_limit_s: 1.0,
+//!     over_quota_weight_fraction: 1.0,
 //!     must_subscribe: false,
-//!     unseen_reads_run: false,
-//!     writers_read: false,
+//!     lost_prefill_may_have_run: false,
+//!     decode_servers_prefill: false,
 //!     tick_s: 0.001,
 //! };
 //! let server = |id, kind| ServerEntry {
-//!     id, standing: Standing::Ready, kind, cell: 0, zone: 0, weight: 1.0, booted_at: 0.0,
+//!     id, status: ServerStatus::Ready, kind, cell: 0, zone: 0, weight: 1.0, booted_at: 0.0,
 //! };
 //! let mut router = Router::new(settings, 42);
 //! let mut todo = Vec::new();
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -15,10 +15,10 @@
         more,
     ]
     .concat();
-    let mut desk = Desk::with_fleet(settings(Effect::Safe), fleet);
+    let mut desk = Desk::with_fleet(settings(Effect::Idempotent), fleet);
     for id in 1..20 {
         desk.arrive(ask(id));
-        desk.end(id, Outcome::ReadDone, 0.05, 0.0);
+        desk.end(id, Outcome::PrefillDone, 0.05, 0.0);
         let to = desk.last().1;
         let report = if to == 12 {
             vec![1.0, 30.0, 1.0]
@@ -63,7 +63,7 @@
             continue;
         }
         taken += 1;
-        desk.end(id, Outcome::ReadDone, 0.05, 0.0);
+        desk.end(id, Outcome::PrefillDone, 0.05, 0.0);
         assert_eq!(desk.last(), (id, 11));
         desk.stream(id);
         desk.end(id, Outcome::Served, 0.1, 0.0);
@@ -81,7 +81,7 @@
     for id in 1000..1020 {
         let out = desk.arrive(ask(id));
         assert!(!refused(&out, id));
-        desk.end(id, Outcome::ReadDone, 0.05, 0.0);
+        desk.end(id, Outcome::PrefillDone, 0.05, 0.0);
         assert_ne!(desk.last().1, 12);
         desk.stream(id);
         desk.end(id, Outcome::Served, 0.1, 0.0);
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -57,7 +57,7 @@
         let (plain, said_queued, comes_again) = (false, 8.0, 0);
         let set = Settings {
             dispatchers: routers,
-            ..settings(Effect::Safe)
+            ..settings(Effect::Idempotent)
         };
         Scenario {
             routers,
@@ -129,7 +129,7 @@
 /// What the settings allow a server in their window, at the capacity that it has when the window begins. How it warms up the settings
 /// do not tell; judged here by the requests that came to it until then, as fast as by time at the most.
 fn allowed(warm_rate: f64, came: &[f64], start: f64) -> f64 {
-    let cold = settings(Effect::Safe).cold;
+    let cold = settings(Effect::Idempotent).slow_start;
     let until = came.iter().filter(|t| **t < start).count() as f64;
     let warmed =
         (until / (warm_rate * cold.warm_after_s)).min((start - COLD_FROM) / cold.warm_after_s);
@@ -139,7 +139,7 @@
 
 /// Attempts within the window that begins there.
 fn within(came: &[f64], start: f64) -> f64 {
-    let window_s = settings(Effect::Safe).cold.window_s;
+    let window_s = settings(Effect::Idempotent).slow_start.window_s;
     came.iter()
         .filter(|t| (start..start + window_s).contains(*t))
         .count() as f64
@@ -202,7 +202,7 @@
 /// The first prefix, by number, that is read at this reader.
 fn prefix_read_at(id: ServerId, hosts: &[ServerEntry]) -> u64 {
     let read_at = |prefix: u64| {
-        let mut desk = Desk::with_fleet(settings(Effect::Safe), hosts.to_vec());
+        let mut desk = Desk::with_fleet(settings(Effect::Idempotent), hosts.to_vec());
         desk.serve(Request { prefix, ..ask(1) }, 0.0)
     };
     (1..200)
@@ -424,13 +424,13 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let effects = [
-        Effect::Safe,
-        Effect::Unsafe,
-        Effect::Keyed {
+        Effect::Idempotent,
+        Effect::NonIdempotent,
+        Effect::IdempotencyKey {
             scope: KeyScope::Cell,
             window_s: 4.0,
         },
-        Effect::Keyed {
+        Effect::IdempotencyKey {
             scope: KeyScope::Zone,
             window_s: 4.0,
         },
@@ -452,8 +452,8 @@
         let set = Settings {
             tenants,
             must_subscribe: true,
-            writers_read: true,
-            over_share_worth: 0.2,
+            decode_servers_prefill: true,
+            over_quota_weight_fraction: 0.2,
             dispatchers: 30,
             ..settings(effects[seed % 4])
         };
--- a/crates/policy/tests/common/digest.rs
+++ b/crates/policy/tests/common/digest.rs
@@ -57,7 +57,7 @@
             Action::Cancel { request, attempt } => {
                 self.coded(2, &[request.into(), attempt.into()]);
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after_s,
             } => {
@@ -70,12 +70,12 @@
             Action::Subscribe => self.coded(8, &[]),
             Action::Unsubscribe => self.coded(9, &[]),
             Action::FetchList => self.coded(10, &[]),
-            Action::HoldPlace { request, server } => {
+            Action::ReserveSlot { request, server } => {
                 self.coded(11, &[request.into(), server.into()]);
             }
             Action::Migrate { request } => self.coded(12, &[request.into()]),
             Action::CloseIdle { server } => self.coded(13, &[server.into()]),
-            Action::TellPeer { peer, ref data } => {
+            Action::SendToPeer { peer, ref data } => {
                 self.coded(14, &[peer.map_or(u64::MAX, u64::from)]);
                 self.text(data);
             }
@@ -95,10 +95,10 @@
         let (request, reckoned) = router.reckoned;
         self.number(request.into());
         self.seconds(reckoned.queue_s);
-        self.seconds(reckoned.read_s);
+        self.seconds(reckoned.prefill_s);
         self.seconds(reckoned.total_s);
-        self.seconds(reckoned.slip_s);
-        self.seconds(reckoned.late_s);
+        self.seconds(reckoned.lateness_s);
+        self.seconds(reckoned.limit_s);
         match router.cause {
             Some((request, cause)) => self.coded(cause_code(cause), &[request.into()]),
             None => self.coded(0, &[]),
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -227,7 +227,7 @@
                 digest.action(&action);
             }
             match action {
-                Action::Refuse { request, .. } => self.come_again(me, request),
+                Action::Reject { request, .. } => self.come_again(me, request),
                 Action::SetTimer { at, label } => {
                     self.plan(at, Happening::Tell(me, Event::Timer { label }))
                 }
@@ -270,7 +270,7 @@
     }
 
     fn capacity(&self, server: ServerId) -> f64 {
-        let (cold, booted) = (&self.settings.cold, self.servers[&server].booted_at);
+        let (cold, booted) = (&self.settings.slow_start, self.servers[&server].booted_at);
         let age = ((self.now - booted) / cold.warm_after_s).clamp(0.0, 1.0);
         if booted <= 0.0 {
             1.0
@@ -282,7 +282,7 @@
     fn report(&self, server: ServerId) -> Vec<f64> {
         let s = &self.servers[&server];
         let held = s.running.values().sum::<f64>() / s.kind.memory_tokens / self.capacity(server);
-        let share = if s.kind.role == Role::Reader {
+        let share = if s.kind.role == Role::Prefill {
             s.running.len() as f64
         } else {
             held
@@ -324,7 +324,7 @@
                 return;
             };
             let ask = &self.asks[&attempt.1].0;
-            if s.kind.role == Role::Reader {
+            if s.kind.role == Role::Prefill {
                 if !s.running.is_empty() {
                     return;
                 }
@@ -365,7 +365,7 @@
             .is_some_and(|s| s.running.remove(&attempt).is_some());
         self.start(server);
         if there {
-            self.answer(server, attempt, Outcome::ReadDone, came, hit);
+            self.answer(server, attempt, Outcome::PrefillDone, came, hit);
         }
     }
 
@@ -469,14 +469,14 @@
                 others().count().min(most) as u32,
                 self.routers.len() as u32 - 1,
             );
-            let (sight, age_s) = (Sight::Failing, self.now - last);
+            let (sight, age_s) = (Observation::Failing, self.now - last);
             self.tell(
                 me,
-                Event::Hearsay {
+                Event::PeerReport {
                     server,
-                    sight,
-                    voices,
-                    of,
+                    observation: sight,
+                    reporters: voices,
+                    peers: of,
                     age_s,
                 },
             );
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -9,12 +9,12 @@
 pub fn class(effect: Effect) -> ClassSettings {
     ClassSettings {
         effect,
-        ttft_aim_s: 1.5,
-        ttft_aim_per_token_s: 4e-5,
-        token_gap_aim_s: 0.07,
+        ttft_objective_s: 1.5,
+        ttft_objective_per_token_s: 4e-5,
+        inter_token_objective_s: 0.07,
         deadline_s: 6.0,
-        worth: 1.0,
-        late_worth: 0.3,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.3,
     }
 }
 
@@ -28,14 +28,14 @@
         zone: 0,
         classes: vec![class(effect)],
         tenants: vec![],
-        kinds: vec![kind(Role::Reader), kind(Role::Writer), kind(Role::Mixed)],
+        kinds: vec![kind(Role::Prefill), kind(Role::Decode), kind(Role::Mixed)],
         report_fields: vec![
-            ReportField::SlotShare,
+            ReportField::SlotUtilization,
             ReportField::Queue,
-            ReportField::MemoryShare,
+            ReportField::MemoryUtilization,
         ],
-        report_mode: ReportMode::WithAnswers,
-        cold: ColdStart {
+        report_mode: ReportMode::WithResponses,
+        slow_start: SlowStart {
             start_capacity: 0.25,
             overload_factor: 2.5,
             window_s: 3.0,
@@ -48,11 +48,11 @@
             max_retry_after_s: 2.0,
             connect_timeout_s: 0.25,
         },
-        pin_limit_s: 1.0,
-        over_share_worth: 1.0,
+        kv_hold_limit_s: 1.0,
+        over_quota_weight_fraction: 1.0,
         must_subscribe: false,
-        unseen_reads_run: false,
-        writers_read: false,
+        lost_prefill_may_have_run: false,
+        decode_servers_prefill: false,
         tick_s: 0.002,
     }
 }
@@ -60,7 +60,7 @@
 pub fn server(id: ServerId, kind: u16, cell: u16) -> ServerEntry {
     ServerEntry {
         id,
-        standing: Standing::Ready,
+        status: ServerStatus::Ready,
         kind,
         cell,
         zone: 0,
@@ -225,7 +225,7 @@
         self.arrive(ask);
         let reader = self.last().1;
         self.pass(0.05);
-        self.end(id, Outcome::ReadDone, 0.05, hit);
+        self.end(id, Outcome::PrefillDone, 0.05, hit);
         self.stream(id);
         self.pass(0.05);
         self.end(id, Outcome::Served, 0.1, 0.0);
@@ -261,7 +261,7 @@
 pub fn refused(actions: &[Action], id: RequestId) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+        .any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -106,9 +106,9 @@
     fn entry(&mut self, id: ServerId) -> ServerEntry {
         let kind = [0, 0, 0, 1, 1, 1, 1, 2][id as usize % 8];
         let standing = match self.draw(12) {
-            0 => Standing::Draining,
-            1 => Standing::Gone,
-            _ => Standing::Ready,
+            0 => ServerStatus::Draining,
+            1 => ServerStatus::Removed,
+            _ => ServerStatus::Ready,
         };
         let booted_at = match self.draw(6) {
             0 => self.now - self.share() * 10.0,
@@ -116,7 +116,7 @@
         };
         ServerEntry {
             zone: u16::from(id.is_multiple_of(5)),
-            standing,
+            status: standing,
             booted_at,
             ..server(id, kind, (id / 6) as u16)
         }
@@ -147,7 +147,7 @@
         self.requests += 1;
         self.sent.push(0);
         let prompt_tokens = 50.0 + (self.share() * 4.0).exp() * 100.0;
-        let expected = Expected {
+        let expected = ExpectedTokens {
             mean: 40.0 + 200.0 * self.share(),
             p90: 300.0,
         };
@@ -184,14 +184,18 @@
         let prefill = server % 8 < 3;
         let outcome = match self.draw(16) {
             0 => Outcome::Error,
-            1 => Outcome::Full { state_gone: false },
-            2 => Outcome::Full { state_gone: true },
+            1 => Outcome::Rejected {
+                state_missing: false,
+            },
+            2 => Outcome::Rejected {
+                state_missing: true,
+            },
             3 => Outcome::TimedOut,
             4 => Outcome::ConnectFailed,
             5 => Outcome::Reset,
             6 => Outcome::Cancelled,
             7 => Outcome::NotSent,
-            _ if prefill => Outcome::ReadDone,
+            _ if prefill => Outcome::PrefillDone,
             _ => Outcome::Served,
         };
         if outcome == Outcome::Served && self.draw(8) > 0 {
@@ -238,14 +242,18 @@
 
     fn peer_report(&mut self) {
         let server = 1 + self.draw(self.servers.into()) as u32;
-        let sight = [Sight::Failing, Sight::Cold, Sight::Draining][self.draw(3) as usize];
+        let sight = [
+            Observation::Failing,
+            Observation::WarmingUp,
+            Observation::Draining,
+        ][self.draw(3) as usize];
         let (voices, of) = (self.draw(6) as u32, 6);
         let age_s = 4.0 * self.share() - 0.5;
-        self.handle(Event::Hearsay {
+        self.handle(Event::PeerReport {
             server,
-            sight,
-            voices,
-            of,
+            observation: sight,
+            reporters: voices,
+            peers: of,
             age_s,
         });
     }
@@ -271,15 +279,18 @@
             1 => self.peer_report(),
             2 => {
                 let request = self.draw(u64::from(self.requests) + 1) as u32;
-                self.handle(Event::ClientGone { request });
+                self.handle(Event::ClientDisconnected { request });
             }
             3 if self.draw(10) == 0 => {
                 let (part, since) = (self.share(), self.now - self.share());
-                self.handle(Event::Share { part, since });
+                self.handle(Event::QuotaFraction {
+                    fraction: part,
+                    since,
+                });
             }
             4 => {
                 let (request, server) = (self.requests, 1);
-                self.handle(Event::PlaceAnswer {
+                self.handle(Event::ReservationAnswer {
                     request,
                     attempt: 0,
                     server,
@@ -298,19 +309,19 @@
 }
 
 fn drawn_settings(seed: u64) -> Settings {
-    let keyed = |scope| Effect::Keyed {
+    let keyed = |scope| Effect::IdempotencyKey {
         scope,
         window_s: 3.0,
     };
     let scope = [KeyScope::All, KeyScope::Zone, KeyScope::Cell][seed as usize % 3];
-    let mut plain = settings(Effect::Safe);
+    let mut plain = settings(Effect::Idempotent);
     if seed.is_multiple_of(2) {
         plain
             .kinds
             .iter_mut()
             .for_each(|kind| kind.memory_tokens = SMALL_MEMORY_TOKENS);
     }
-    let classes = [Effect::Safe, Effect::Unsafe, keyed(scope)];
+    let classes = [Effect::Idempotent, Effect::NonIdempotent, keyed(scope)];
     Settings {
         dispatchers: [1, 3, 40][seed as usize % 3],
         classes: classes.into_iter().map(common::class).collect(),
@@ -319,9 +330,9 @@
             TenantSettings { quota_rps: 60.0 },
         ],
         report_mode: [
-            ReportMode::WithAnswers,
+            ReportMode::WithResponses,
             ReportMode::OnProbe,
-            ReportMode::WithAnswers,
+            ReportMode::WithResponses,
             ReportMode::Off,
         ][seed as usize % 4],
         report_fields: [
@@ -329,7 +340,7 @@
             vec![
                 ReportField::Concurrent,
                 ReportField::Other,
-                ReportField::MemoryShare,
+                ReportField::MemoryUtilization,
             ],
         ][seed as usize % 2]
             .clone(),
@@ -338,8 +349,8 @@
             ..plain.limits.clone()
         },
         must_subscribe: seed.is_multiple_of(2),
-        unseen_reads_run: seed % 4 == 1,
-        writers_read: seed % 3 == 2,
+        lost_prefill_may_have_run: seed % 4 == 1,
+        decode_servers_prefill: seed % 3 == 2,
         ..plain
     }
 }
@@ -365,7 +376,7 @@
 
 /// The events of `bitternlatch-benchmark decision`: an arrival, its prefill's end and its first token.
 fn digest_of_measured_events(servers: u32) -> u64 {
-    let plain = settings(Effect::Safe);
+    let plain = settings(Effect::Idempotent);
     let measured = Settings {
         dispatchers: 60,
         ..plain
@@ -408,7 +419,7 @@
 
 /// Ends the prefill of the latest request, then its answer.
 fn end_measured_attempts(driven: &mut Driven) {
-    for outcome in [Outcome::ReadDone, Outcome::Served] {
+    for outcome in [Outcome::PrefillDone, Outcome::Served] {
         let Some((request, attempt, server)) = driven.attempts.pop() else {
             return;
         };
--- a/crates/policy/tests/defences.rs
+++ b/crates/policy/tests/defences.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn an_overdue_read_turns_its_homes_next_requests_away() {
-    let mut desk = Desk::new(settings(Effect::Safe));
+    let mut desk = Desk::new(settings(Effect::Idempotent));
     let home = desk.serve(same(1), 0.0);
     desk.arrive(same(2));
     assert_eq!(desk.last().1, home);
@@ -36,7 +36,7 @@
 
 #[test]
 fn one_evicted_text_does_not_turn_a_homes_requests_away() {
-    let mut desk = Desk::new(settings(Effect::Safe));
+    let mut desk = Desk::new(settings(Effect::Idempotent));
     let home = desk.serve(same(1), 1500.0);
     desk.pass(5.0);
     desk.serve(same(2), 0.0);
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_reader_that_fails_at_once_does_not_look_like_a_short_queue() {
-    let mut desk = Desk::new(settings(Effect::Safe));
+    let mut desk = Desk::new(settings(Effect::Idempotent));
     let mut from = 0;
     for id in 1..80 {
         from = if id == 40 { desk.sends.len() } else { from };
@@ -55,7 +55,7 @@
             desk.end(id, Outcome::Error, 0.002, 0.0);
         }
         desk.pass(0.05);
-        desk.end(id, Outcome::ReadDone, 0.05, 0.0);
+        desk.end(id, Outcome::PrefillDone, 0.05, 0.0);
         desk.stream(id);
         desk.end(id, Outcome::Served, 0.1, 0.0);
         desk.pass(0.3);
@@ -69,9 +69,9 @@
 
 /// When a read is called back whose reader was last heard of so long before.
 fn called_back_after(quiet_s: f64) -> Option<usize> {
-    let mut desk = Desk::new(settings(Effect::Safe));
+    let mut desk = Desk::new(settings(Effect::Idempotent));
     desk.change(ServerEntry {
-        standing: Standing::Draining,
+        status: ServerStatus::Draining,
         ..server(2, 0, 1)
     });
     desk.serve(same(1), 0.0);
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_silent_servers_read_is_called_back_and_read_elsewhere() {
-    let mut desk = Desk::new(settings(Effect::Safe));
+    let mut desk = Desk::new(settings(Effect::Idempotent));
     let silent = desk.serve(same(1), 0.0);
     desk.pass(1.0);
     desk.arrive(same(2));
@@ -111,16 +111,16 @@
 
 #[test]
 fn a_late_read_at_a_server_that_answers_others_is_left_alone() {
-    let mut desk = Desk::new(settings(Effect::Safe));
+    let mut desk = Desk::new(settings(Effect::Idempotent));
     desk.change(ServerEntry {
-        standing: Standing::Draining,
+        status: ServerStatus::Draining,
         ..server(2, 0, 1)
     });
     desk.arrive(same(1));
     desk.arrive(same(2));
     assert_eq!(desk.sends[0].1, desk.sends[1].1);
     desk.pass(1.0);
-    desk.end(2, Outcome::ReadDone, 1.0, 0.0);
+    desk.end(2, Outcome::PrefillDone, 1.0, 0.0);
     assert!(!desk
         .pass(1.5)
         .iter()
@@ -129,17 +129,17 @@
 
 #[test]
 fn a_server_shut_out_for_silence_gets_trials_and_comes_back() {
-    let mut desk = Desk::new(settings(Effect::Safe));
+    let mut desk = Desk::new(settings(Effect::Idempotent));
     for id in 1..4 {
         desk.change(ServerEntry {
-            standing: Standing::Draining,
+            status: ServerStatus::Draining,
             ..server(2, 0, 1)
         });
         desk.arrive(plain(id));
         desk.pass(2.0);
         desk.change(server(2, 0, 1));
         desk.end(id, Outcome::Reset, 2.0, 0.0);
-        desk.end(id, Outcome::ReadDone, 0.05, 0.0);
+        desk.end(id, Outcome::PrefillDone, 0.05, 0.0);
         desk.stream(id);
         desk.end(id, Outcome::Served, 0.1, 0.0);
     }
@@ -149,7 +149,7 @@
         group.iter().for_each(|id| drop(desk.arrive(plain(*id))));
         desk.pass(0.1);
         for id in group {
-            desk.end(id, Outcome::ReadDone, 0.1, 0.0);
+            desk.end(id, Outcome::PrefillDone, 0.1, 0.0);
             desk.stream(id);
             desk.end(id, Outcome::Served, 0.1, 0.0);
         }
@@ -163,7 +163,7 @@
 
 #[test]
 fn retries_have_a_budget() {
-    let mut desk = Desk::new(settings(Effect::Safe));
+    let mut desk = Desk::new(settings(Effect::Idempotent));
     let mut given_up = 0;
     for id in 1..200 {
         desk.arrive(plain(id));
@@ -179,7 +179,7 @@
 #[test]
 fn a_slow_cell_link_keeps_the_next_state_in_its_cell() {
     let fleet = vec![server(1, 0, 0), server(11, 1, 0), server(12, 1, 1)];
-    let mut desk = Desk::with_fleet(settings(Effect::Safe), fleet);
+    let mut desk = Desk::with_fleet(settings(Effect::Idempotent), fleet);
     let busy = |desk: &mut Desk, load: f64| {
         let report = vec![load, 0.0, load];
         desk.tell(Event::ProbeEnded {
@@ -191,19 +191,19 @@
     };
     busy(&mut desk, 0.8);
     desk.arrive(ask(1));
-    desk.end(1, Outcome::ReadDone, 0.1, 0.0);
+    desk.end(1, Outcome::PrefillDone, 0.1, 0.0);
     assert_eq!(desk.last().1, 12);
     desk.pass(1.2);
     desk.stream(1);
     busy(&mut desk, 0.8);
     desk.arrive(ask(2));
-    desk.end(2, Outcome::ReadDone, 0.1, 0.0);
+    desk.end(2, Outcome::PrefillDone, 0.1, 0.0);
     assert_eq!(desk.last().1, 11);
 }
 
 #[test]
 fn a_burst_beyond_the_aim_is_refused_at_once_with_a_time_to_come_back() {
-    let mut desk = Desk::new(settings(Effect::Safe));
+    let mut desk = Desk::new(settings(Effect::Idempotent));
     for id in 1..80 {
         desk.arrive(plain(id));
     }
@@ -211,7 +211,7 @@
         .log
         .iter()
         .filter_map(|a| match a {
-            Action::Refuse { retry_after_s, .. } => Some(*retry_after_s),
+            Action::Reject { retry_after_s, .. } => Some(*retry_after_s),
             _ => None,
         })
         .collect();
@@ -221,10 +221,10 @@
 #[test]
 fn lateness_seen_refuses_sooner_and_is_forgotten() {
     let sends = |late: bool, rest: f64| {
-        let mut desk = Desk::new(settings(Effect::Safe));
+        let mut desk = Desk::new(settings(Effect::Idempotent));
         for id in 1..20 {
             desk.arrive(plain(id));
-            desk.end(id, Outcome::ReadDone, 0.05, 0.0);
+            desk.end(id, Outcome::PrefillDone, 0.05, 0.0);
         }
         desk.now += if late { 2.5 } else { 0.1 };
         for id in 1..20 {
@@ -251,8 +251,8 @@
     ];
     let mut desk = Desk::new(Settings {
         tenants,
-        over_share_worth: 0.05,
-        ..settings(Effect::Safe)
+        over_quota_weight_fraction: 0.05,
+        ..settings(Effect::Idempotent)
     });
     for id in 1..30 {
         desk.arrive(Request {
@@ -276,13 +276,13 @@
         let set = Settings {
             tenants,
             dispatchers: 100,
-            over_share_worth: 0.0,
-            ..settings(Effect::Safe)
+            over_quota_weight_fraction: 0.0,
+            ..settings(Effect::Idempotent)
         };
         let mut desk = Desk::new(set);
         for (part, ago) in parts {
-            desk.tell(Event::Share {
-                part: *part,
+            desk.tell(Event::QuotaFraction {
+                fraction: *part,
                 since: desk.now - ago,
             });
             desk.pass(10.0);
@@ -301,7 +301,7 @@
 
 #[test]
 fn restarts_are_told_by_boot_time_and_clear_what_was_believed() {
-    let mut desk = Desk::new(settings(Effect::Safe));
+    let mut desk = Desk::new(settings(Effect::Idempotent));
     let home = desk.serve(ask(1), 0.0);
     desk.pass(1.0);
     desk.change(ServerEntry {
@@ -320,8 +320,8 @@
         server(3, 0, 0),
         server(11, 1, 0),
     ];
-    fleet[2].standing = Standing::Draining;
-    let mut desk = Desk::with_fleet(settings(Effect::Unsafe), fleet);
+    fleet[2].status = ServerStatus::Draining;
+    let mut desk = Desk::with_fleet(settings(Effect::NonIdempotent), fleet);
     desk.arrive(ask(1));
     let first = desk.last().1;
     desk.end(1, Outcome::Reset, 0.01, 0.0);
@@ -330,9 +330,9 @@
 
 #[test]
 fn odd_figures_and_unknown_ids_are_passed_over() {
-    let mut desk = Desk::new(settings(Effect::Safe));
+    let mut desk = Desk::new(settings(Effect::Idempotent));
     desk.tell(Event::Timer { label: 12345 });
-    desk.tell(Event::ClientGone { request: 999 });
+    desk.tell(Event::ClientDisconnected { request: 999 });
     desk.tell(Event::FirstToken {
         request: 999,
         attempt: 0,
@@ -353,7 +353,7 @@
         ..ask(1)
     };
     desk.arrive(odd);
-    desk.end(1, Outcome::ReadDone, f64::NAN, f64::NAN);
+    desk.end(1, Outcome::PrefillDone, f64::NAN, f64::NAN);
     desk.end(1, Outcome::Served, f64::NAN, 0.0);
     desk.serve(ask(2), 0.0);
     assert_eq!(desk.sends.iter().filter(|s| s.0 == 2).count(), 2);
@@ -367,13 +367,13 @@
             ..ask(id)
         });
         desk.pass(0.02);
-        desk.end(id, Outcome::ReadDone, 0.02, 0.0);
+        desk.end(id, Outcome::PrefillDone, 0.02, 0.0);
     };
-    let mut alone = Desk::new(settings(Effect::Safe));
+    let mut alone = Desk::new(settings(Effect::Idempotent));
     (1..40).for_each(|id| run(&mut alone, id));
     let (mut one, mut other) = (
-        Desk::new(settings(Effect::Safe)),
-        Desk::new(settings(Effect::Safe)),
+        Desk::new(settings(Effect::Idempotent)),
+        Desk::new(settings(Effect::Idempotent)),
     );
     for id in 1..40 {
         run(&mut one, id);
@@ -384,22 +384,22 @@
 
 #[test]
 fn the_writer_that_has_just_failed_a_request_is_not_asked_again_while_another_is_a_little_busier() {
-    let mut desk = Desk::new(settings(Effect::Safe));
+    let mut desk = Desk::new(settings(Effect::Idempotent));
     desk.change(ServerEntry {
-        standing: Standing::Draining,
+        status: ServerStatus::Draining,
         ..server(11, 1, 0)
     });
     for id in 1..51 {
         desk.arrive(plain(id));
         desk.pass(0.05);
-        desk.end(id, Outcome::ReadDone, 0.05, 0.0);
+        desk.end(id, Outcome::PrefillDone, 0.05, 0.0);
         desk.stream(id);
         desk.pass(0.3);
     }
     desk.change(server(11, 1, 0));
     desk.arrive(plain(99));
     desk.pass(0.05);
-    desk.end(99, Outcome::ReadDone, 0.05, 0.0);
+    desk.end(99, Outcome::PrefillDone, 0.05, 0.0);
     assert_eq!(desk.last(), (99, 11), "the empty one first");
     desk.end(99, Outcome::Error, 0.001, 0.0);
     assert_eq!(
--- a/crates/policy/tests/hearsay.rs
+++ b/crates/policy/tests/hearsay.rs
@@ -18,7 +18,7 @@
     let mut fleet = Fleet::new(
         Settings {
             dispatchers: ROUTERS,
-            ..settings(Effect::Safe)
+            ..settings(Effect::Idempotent)
         },
         T0,
     );
@@ -94,21 +94,21 @@
 
 /// How many of forty requests, a tenth of a second apart, go to the first of two readers, with something told of it before each but
 /// the first few.
-fn sent_to_first(said: Option<(Sight, u32, u32, f64)>) -> usize {
+fn sent_to_first(said: Option<(Observation, u32, u32, f64)>) -> usize {
     let list: Vec<_> = [1, 2]
         .map(|id| server(id, 0, 0))
         .into_iter()
         .chain([server(11, 1, 0)])
         .collect();
-    let mut desk = Desk::with_fleet(settings(Effect::Safe), list);
+    let mut desk = Desk::with_fleet(settings(Effect::Idempotent), list);
     let mut first = 0;
     for id in 1..46 {
         if let Some((sight, voices, of, age_s)) = said.filter(|_| id > 5) {
-            desk.tell(Event::Hearsay {
+            desk.tell(Event::PeerReport {
                 server: 1,
-                sight,
-                voices,
-                of,
+                observation: sight,
+                reporters: voices,
+                peers: of,
                 age_s,
             });
         }
@@ -132,7 +132,7 @@
 fn a_drain_that_most_others_tell_of_closes_a_server_and_that_of_a_few_does_not() {
     let usual = sent_to_first(None);
     assert!(usual > 5, "{usual}");
-    let told = |voices, of| sent_to_first(Some((Sight::Draining, voices, of, 0.0)));
+    let told = |voices, of| sent_to_first(Some((Observation::Draining, voices, of, 0.0)));
     assert_eq!(told(3, 5), 0);
     assert_eq!(told(2, 5), usual, "fewer than half");
     assert_eq!(told(1, 1), usual, "one voice");
@@ -141,14 +141,14 @@
 #[test]
 fn a_server_that_others_saw_start_is_taken_for_cold() {
     let usual = sent_to_first(None);
-    let cold = sent_to_first(Some((Sight::Cold, 2, 2, 1.0)));
+    let cold = sent_to_first(Some((Observation::WarmingUp, 2, 2, 1.0)));
     assert!(cold < usual, "{cold} against {usual}");
 }
 
 #[test]
 fn what_was_heard_of_a_server_since_counts_more_than_an_older_failure_elsewhere() {
-    let old = sent_to_first(Some((Sight::Failing, 5, 5, 30.0)));
-    let new = sent_to_first(Some((Sight::Failing, 5, 5, 0.0)));
+    let old = sent_to_first(Some((Observation::Failing, 5, 5, 30.0)));
+    let new = sent_to_first(Some((Observation::Failing, 5, 5, 0.0)));
     assert_eq!(old, sent_to_first(None));
     assert!(new < old, "{new} against {old}");
 }
--- a/crates/policy/tests/held_states.rs
+++ b/crates/policy/tests/held_states.rs
@@ -18,25 +18,25 @@
 /// A request whose prefill has ended and whose hand-over is out; patient, so that nothing is called back.
 fn handed_over(effect: Effect, may_cancel: bool) -> Desk {
     let mut set = Settings {
-        pin_limit_s: LIMIT_S,
-        unseen_reads_run: true,
+        kv_hold_limit_s: LIMIT_S,
+        lost_prefill_may_have_run: true,
         ..settings(effect)
     };
-    set.classes[0].ttft_aim_s = 300.0;
+    set.classes[0].ttft_objective_s = 300.0;
     set.limits.may_cancel = may_cancel;
     let mut desk = Desk::new(set);
     desk.arrive(ask(1));
     desk.pass(0.05);
-    desk.end(1, Outcome::ReadDone, 0.05, 0.0);
+    desk.end(1, Outcome::PrefillDone, 0.05, 0.0);
     assert!(desk.sends.len() == 2 && desk.last().1 > 10, "handed over");
     desk
 }
 
-const KEYED: Effect = Effect::Keyed {
+const KEYED: Effect = Effect::IdempotencyKey {
     scope: KeyScope::All,
     window_s: 5.0,
 };
-const EFFECTS: [Effect; 3] = [Effect::Safe, KEYED, Effect::Unsafe];
+const EFFECTS: [Effect; 3] = [Effect::Idempotent, KEYED, Effect::NonIdempotent];
 
 #[test]
 fn a_state_is_released_once_before_the_limit_though_its_hand_over_is_out() {
@@ -46,7 +46,7 @@
                 let case = format!("{effect:?} cancel {may_cancel} gone {client_gone}");
                 let mut desk = handed_over(effect, may_cancel);
                 if client_gone {
-                    desk.tell(Event::ClientGone { request: 1 });
+                    desk.tell(Event::ClientDisconnected { request: 1 });
                 }
                 assert_eq!(
                     releases(&desk.pass(0.85)),
@@ -64,11 +64,21 @@
 #[test]
 fn an_end_after_the_release_says_whether_something_may_be_held_again() {
     let ends = [
-        (Outcome::Full { state_gone: true }, false),
+        (
+            Outcome::Rejected {
+                state_missing: true,
+            },
+            false,
+        ),
         (Outcome::Served, false),
         // On its way it may count as waiting for the state.
         (Outcome::ConnectFailed, true),
-        (Outcome::Full { state_gone: false }, true),
+        (
+            Outcome::Rejected {
+                state_missing: false,
+            },
+            true,
+        ),
         (Outcome::Error, true),
         (Outcome::Reset, true),
         (Outcome::Cancelled, true),
@@ -97,7 +107,7 @@
 #[test]
 fn a_state_that_a_given_up_hand_over_may_wait_for_is_released_again_until_the_request_ends() {
     for outcome in [Outcome::Cancelled, Outcome::TimedOut, Outcome::Reset] {
-        let mut desk = handed_over(Effect::Safe, true);
+        let mut desk = handed_over(Effect::Idempotent, true);
         desk.pass(RELEASED_BY_S);
         desk.end(1, outcome, RELEASED_BY_S, 0.0);
         assert!(desk.last().1 < 10, "{outcome:?}: read again");
@@ -108,7 +118,7 @@
             "{outcome:?}: for as long as it may be waited for"
         );
         let before = desk.log.len();
-        desk.tell(Event::ClientGone { request: 1 });
+        desk.tell(Event::ClientDisconnected { request: 1 });
         desk.end(1, Outcome::Error, 2.0, 0.0);
         assert_eq!(
             releases(&desk.log[before..]),
@@ -121,9 +131,16 @@
 /// An answer shows that the hand-over had arrived: until then the state was waited for.
 #[test]
 fn a_hand_over_that_was_turned_away_starts_the_clock_anew() {
-    let mut desk = handed_over(Effect::Safe, true);
+    let mut desk = handed_over(Effect::Idempotent, true);
     desk.pass(0.3);
-    desk.end(1, Outcome::Full { state_gone: false }, 0.3, 0.0);
+    desk.end(
+        1,
+        Outcome::Rejected {
+            state_missing: false,
+        },
+        0.3,
+        0.0,
+    );
     assert!(desk.last().1 > 10, "handed over elsewhere");
     assert_eq!(releases(&desk.pass(0.85)), 0);
     assert_eq!(releases(&desk.pass(RELEASED_BY_S - 0.85)), 1);
@@ -132,7 +149,7 @@
 /// One that broke may never have arrived: the time runs on.
 #[test]
 fn a_hand_over_that_broke_does_not_stop_the_clock() {
-    let mut desk = handed_over(Effect::Safe, true);
+    let mut desk = handed_over(Effect::Idempotent, true);
     desk.pass(0.3);
     desk.end(1, Outcome::Reset, 0.3, 0.0);
     assert!(
@@ -148,17 +165,17 @@
     for outcome in [Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled] {
         for served in [true, false] {
             let case = format!("{outcome:?} served {served}");
-            let set = settings(Effect::Safe);
+            let set = settings(Effect::Idempotent);
             let mut desk = Desk::new(Settings {
-                pin_limit_s: LIMIT_S,
-                unseen_reads_run: true,
+                kv_hold_limit_s: LIMIT_S,
+                lost_prefill_may_have_run: true,
                 ..set
             });
             desk.arrive(ask(1));
             desk.end(1, outcome, 0.0, 0.0);
             assert_eq!(desk.sends.len(), 2, "{case}: read elsewhere");
             if served {
-                desk.end(1, Outcome::ReadDone, 0.0, 0.0);
+                desk.end(1, Outcome::PrefillDone, 0.0, 0.0);
                 desk.stream(1);
                 assert_eq!(
                     releases(&desk.pass(RELEASED_BY_S)),
--- a/crates/policy/tests/long_prompts.rs
+++ b/crates/policy/tests/long_prompts.rs
@@ -62,7 +62,7 @@
     let mut fleet = Fleet::new(
         Settings {
             dispatchers: ROUTERS,
-            ..settings(Effect::Safe)
+            ..settings(Effect::Idempotent)
         },
         T0,
     );
--- a/crates/policy/tests/many.rs
+++ b/crates/policy/tests/many.rs
@@ -27,7 +27,7 @@
     let mut fleet = Fleet::new(
         Settings {
             dispatchers: ROUTERS,
-            ..settings(Effect::Safe)
+            ..settings(Effect::Idempotent)
         },
         T0,
     );
@@ -36,7 +36,7 @@
     let leaving = || old.iter().filter(|e| leaves(e.id)).cloned();
     let gone: Vec<_> = leaving()
         .map(|e| ServerEntry {
-            standing: Standing::Draining,
+            status: ServerStatus::Draining,
             ..e
         })
         .collect();
--- a/crates/policy/tests/routing.rs
+++ b/crates/policy/tests/routing.rs
@@ -5,8 +5,8 @@
 
 #[test]
 fn a_session_finds_its_reader_again_at_another_router() {
-    let mut a = Desk::new(settings(Effect::Safe));
-    let mut b = Desk::new(settings(Effect::Safe));
+    let mut a = Desk::new(settings(Effect::Idempotent));
+    let mut b = Desk::new(settings(Effect::Idempotent));
     for prefix in 1..20u64 {
         let one = Request {
             prefix,
@@ -23,7 +23,7 @@
 fn one_prefix_is_read_at_few_homes() {
     let mut fleet: Vec<_> = (1..9).map(|id| server(id, 0, 0)).collect();
     fleet.push(server(11, 1, 0));
-    let mut desk = Desk::with_fleet(settings(Effect::Safe), fleet);
+    let mut desk = Desk::with_fleet(settings(Effect::Idempotent), fleet);
     let mut readers = std::collections::BTreeSet::new();
     for id in 1..30 {
         readers.insert(desk.serve(ask(id), 1500.0));
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_long_own_queue_sends_a_request_away_from_its_home() {
-    let mut desk = Desk::new(settings(Effect::Safe));
+    let mut desk = Desk::new(settings(Effect::Idempotent));
     for id in 1..12 {
         desk.arrive(ask(id));
     }
@@ -44,17 +44,17 @@
 
 #[test]
 fn the_writer_is_picked_after_the_read_and_in_the_readers_cell() {
-    let mut desk = Desk::new(settings(Effect::Safe));
+    let mut desk = Desk::new(settings(Effect::Idempotent));
     desk.arrive(ask(1));
     assert_eq!(desk.sends.len(), 1);
     let reader = desk.last().1;
-    desk.end(1, Outcome::ReadDone, 0.1, 0.0);
+    desk.end(1, Outcome::PrefillDone, 0.1, 0.0);
     assert_eq!(desk.last().1, reader + 10);
 }
 
 #[test]
 fn a_loaded_writer_loses_to_a_lighter_one_in_another_cell() {
-    let mut desk = Desk::new(settings(Effect::Safe));
+    let mut desk = Desk::new(settings(Effect::Idempotent));
     desk.arrive(ask(1));
     let near = desk.last().1 + 10;
     let report = vec![0.9, 3.0, 0.9];
@@ -64,13 +64,13 @@
         elapsed_s: 0.01,
         report,
     });
-    desk.end(1, Outcome::ReadDone, 0.1, 0.0);
+    desk.end(1, Outcome::PrefillDone, 0.1, 0.0);
     assert_ne!(desk.last().1, near);
 }
 
 #[test]
 fn a_mixed_server_takes_a_request_whole() {
-    let mut desk = Desk::with_fleet(settings(Effect::Safe), vec![server(1, 2, 0)]);
+    let mut desk = Desk::with_fleet(settings(Effect::Idempotent), vec![server(1, 2, 0)]);
     desk.arrive(ask(1));
     desk.stream(1);
     desk.end(1, Outcome::Served, 2.0, 0.0);
@@ -79,31 +79,45 @@
 
 #[test]
 fn a_full_writer_passes_the_state_to_the_next() {
-    let mut desk = Desk::new(settings(Effect::Unsafe));
+    let mut desk = Desk::new(settings(Effect::NonIdempotent));
     desk.arrive(ask(1));
-    desk.end(1, Outcome::ReadDone, 0.1, 0.0);
+    desk.end(1, Outcome::PrefillDone, 0.1, 0.0);
     let first = desk.last().1;
-    desk.end(1, Outcome::Full { state_gone: false }, 0.01, 0.0);
+    desk.end(
+        1,
+        Outcome::Rejected {
+            state_missing: false,
+        },
+        0.01,
+        0.0,
+    );
     assert!(desk.last().1 > 10 && desk.last().1 != first);
 }
 
 #[test]
 fn a_lost_state_is_read_again() {
-    let mut desk = Desk::new(settings(Effect::Safe));
+    let mut desk = Desk::new(settings(Effect::Idempotent));
     desk.arrive(ask(1));
-    desk.end(1, Outcome::ReadDone, 0.1, 0.0);
-    desk.end(1, Outcome::Full { state_gone: true }, 0.01, 0.0);
+    desk.end(1, Outcome::PrefillDone, 0.1, 0.0);
+    desk.end(
+        1,
+        Outcome::Rejected {
+            state_missing: true,
+        },
+        0.01,
+        0.0,
+    );
     assert!(desk.last().1 < 10);
 }
 
 #[test]
 fn a_long_answer_is_not_put_where_it_would_push_out_others() {
-    let long = Some(Expected {
+    let long = Some(ExpectedTokens {
         mean: 9_000.0,
         p90: 30_000.0,
     });
-    let chosen = |told: Option<Expected>| {
-        let mut desk = Desk::new(settings(Effect::Safe));
+    let chosen = |told: Option<ExpectedTokens>| {
+        let mut desk = Desk::new(settings(Effect::Idempotent));
         desk.arrive(Request {
             output_tokens: told,
             ..ask(1)
@@ -120,14 +134,14 @@
                 report,
             });
         }
-        desk.end(1, Outcome::ReadDone, 0.1, 0.0);
+        desk.end(1, Outcome::PrefillDone, 0.1, 0.0);
         (desk.last().1 == near, desk)
     };
     assert!(chosen(None).0);
     assert!(!chosen(long).0);
     // What nobody can mean changes nothing.
     assert!(
-        chosen(Some(Expected {
+        chosen(Some(ExpectedTokens {
             mean: f64::NAN,
             p90: -5.0
         }))
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -17,14 +17,14 @@
         let mut desk = Desk::with_fleet(
             Settings {
                 dispatchers: routers,
-                ..settings(Effect::Safe)
+                ..settings(Effect::Idempotent)
             },
             vec![],
         );
         desk.router = Router::new(
             Settings {
                 dispatchers: routers,
-                ..settings(Effect::Safe)
+                ..settings(Effect::Idempotent)
             },
             u64::from(me),
         );
@@ -105,7 +105,7 @@
     let mut desk = Desk::with_fleet(
         Settings {
             dispatchers: 100,
-            ..settings(Effect::Safe)
+            ..settings(Effect::Idempotent)
         },
         fleet(),
     );
@@ -120,7 +120,7 @@
 
 #[test]
 fn an_arrival_waits_for_its_probes_a_moment_only() {
-    let mut desk = Desk::with_fleet(settings(Effect::Safe), fleet());
+    let mut desk = Desk::with_fleet(settings(Effect::Idempotent), fleet());
     desk.answers_probes = false;
     desk.pass(1.0);
     desk.arrive(ask(1));
@@ -132,9 +132,9 @@
 #[test]
 fn a_read_whose_server_reports_a_queue_is_not_called_back() {
     let late = |queue: f64| {
-        let mut desk = Desk::new(settings(Effect::Safe));
+        let mut desk = Desk::new(settings(Effect::Idempotent));
         desk.change(ServerEntry {
-            standing: Standing::Draining,
+            status: ServerStatus::Draining,
             ..server(2, 0, 1)
         });
         desk.answers_probes = false;
@@ -173,7 +173,7 @@
             Desk::with_fleet(
                 Settings {
                     dispatchers,
-                    ..settings(Effect::Safe)
+                    ..settings(Effect::Idempotent)
                 },
                 fleet(),
             )
--- a/crates/routing-settings/src/read.rs
+++ b/crates/routing-settings/src/read.rs
@@ -21,12 +21,12 @@
             .map(|w| report_field(w, f))
             .collect(),
         report_mode: match f.text("report.how")? {
-            "inline" => ReportMode::WithAnswers,
+            "inline" => ReportMode::WithResponses,
             "on_probe" => ReportMode::OnProbe,
             "off" => ReportMode::Off,
             v => return bad(format!("setting report.how is not known: {v}")),
         },
-        cold: ColdStart {
+        slow_start: SlowStart {
             start_capacity: f.number("contract.startCapacity")?,
             overload_factor: f.number("contract.overloadFactor")?,
             window_s: f.number("contract.fallS")?,
@@ -39,11 +39,11 @@
             max_retry_after_s: f.number_or("limits.maxRetryAfterS", 0.0)?,
             connect_timeout_s: connect_timeout_s(f)?,
         },
-        pin_limit_s: f.number("extra.pinLimitS")?,
-        over_share_worth: f.number_or("overShareWorth", 1.0)?,
+        kv_hold_limit_s: f.number("extra.pinLimitS")?,
+        over_quota_weight_fraction: f.number_or("overShareWorth", 1.0)?,
         must_subscribe: f.text("membershipMode")? == "on_request",
-        unseen_reads_run: f.flag_or("extra.unseenReadsRun", false)?,
-        writers_read: f.flag_or("extra.localRead", false)?,
+        lost_prefill_may_have_run: f.flag_or("extra.unseenReadsRun", false)?,
+        decode_servers_prefill: f.flag_or("extra.localRead", false)?,
         tick_s: f.number_or("tickS", 0.001)?,
     })
 }
@@ -56,18 +56,18 @@
     match word {
         "concurrent" => ReportField::Concurrent,
         "depth" => ReportField::Queue,
-        "load_share" => ReportField::SlotShare,
+        "load_share" => ReportField::SlotUtilization,
         "x0" if f
             .get("extra.reportX0")
             .is_some_and(|v| v.contains("memory")) =>
         {
-            ReportField::MemoryShare
+            ReportField::MemoryUtilization
         }
         "x1" if f
             .get("extra.reportX1")
             .is_some_and(|v| v.contains("tokens")) =>
         {
-            ReportField::WaitingKiloTokens
+            ReportField::QueuedKiloTokens
         }
         _ => ReportField::Other,
     }
@@ -96,17 +96,17 @@
     };
     Ok(ClassSettings {
         effect: match f.text(&key("effect"))? {
-            "free" => Effect::Safe,
-            "guarded" => Effect::Keyed { scope, window_s },
-            "single_shot" => Effect::Unsafe,
+            "free" => Effect::Idempotent,
+            "guarded" => Effect::IdempotencyKey { scope, window_s },
+            "single_shot" => Effect::NonIdempotent,
             v => return bad(format!("setting {} is not known: {v}", key("effect"))),
         },
-        ttft_aim_s: f.number(&key("aimS"))?,
-        ttft_aim_per_token_s: per_k.get(i).copied().unwrap_or(0.0) / 1e9,
-        token_gap_aim_s: gaps.get(i).copied().unwrap_or(0.0),
+        ttft_objective_s: f.number(&key("aimS"))?,
+        ttft_objective_per_token_s: per_k.get(i).copied().unwrap_or(0.0) / 1e9,
+        inter_token_objective_s: gaps.get(i).copied().unwrap_or(0.0),
         deadline_s: f.number(&key("deadlineS"))?,
-        worth: f.number_or(&key("worth"), 1.0)?,
-        late_worth: f.number_or(&key("lateWorth"), 0.0)?,
+        priority_weight: f.number_or(&key("worth"), 1.0)?,
+        late_weight_fraction: f.number_or(&key("lateWorth"), 0.0)?,
     })
 }
 
@@ -129,8 +129,8 @@
     let memory = f.numbers("extra.kindMemoryTokens")?;
     let role = |(i, word): (usize, &str)| {
         let role = match word {
-            "read" => Role::Reader,
-            "write" => Role::Writer,
+            "read" => Role::Prefill,
+            "write" => Role::Decode,
             "both" => Role::Mixed,
             v => return bad(format!("setting extra.kindRole is not known: {v}")),
         };
--- a/programs/benchmark/src/decision.rs
+++ b/programs/benchmark/src/decision.rs
@@ -19,13 +19,13 @@
 
 fn settings() -> Settings {
     let class = ClassSettings {
-        effect: Effect::Safe,
-        ttft_aim_s: 1.5,
-        ttft_aim_per_token_s: 4e-5,
-        token_gap_aim_s: 0.07,
+        effect: Effect::Idempotent,
+        ttft_objective_s: 1.5,
+        ttft_objective_per_token_s: 4e-5,
+        inter_token_objective_s: 0.07,
         deadline_s: 6.0,
-        worth: 1.0,
-        late_worth: 0.3,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.3,
     };
     let kind = |role| KindSettings {
         role,
@@ -36,14 +36,14 @@
         zone: 0,
         classes: vec![class],
         tenants: vec![],
-        kinds: vec![kind(Role::Reader), kind(Role::Writer)],
+        kinds: vec![kind(Role::Prefill), kind(Role::Decode)],
         report_fields: vec![
-            ReportField::SlotShare,
+            ReportField::SlotUtilization,
             ReportField::Queue,
-            ReportField::MemoryShare,
+            ReportField::MemoryUtilization,
         ],
-        report_mode: ReportMode::WithAnswers,
-        cold: ColdStart {
+        report_mode: ReportMode::WithResponses,
+        slow_start: SlowStart {
             start_capacity: 0.25,
             overload_factor: 2.5,
             window_s: 3.0,
@@ -56,11 +56,11 @@
             max_retry_after_s: 1.0,
             connect_timeout_s: 0.25,
         },
-        pin_limit_s: 1.0,
-        over_share_worth: 1.0,
+        kv_hold_limit_s: 1.0,
+        over_quota_weight_fraction: 1.0,
         must_subscribe: false,
-        unseen_reads_run: false,
-        writers_read: false,
+        lost_prefill_may_have_run: false,
+        decode_servers_prefill: false,
         tick_s: 0.002,
     }
 }
@@ -84,7 +84,7 @@
     let mut out = Vec::new();
     let entry = |id: u32| ServerEntry {
         id,
-        standing: Standing::Ready,
+        status: ServerStatus::Ready,
         kind: (id % 2) as u16,
         cell: (id / 6) as u16,
         zone: 0,
@@ -156,7 +156,7 @@
                 report: REPORT.to_vec(),
             })
         };
-        let took = timed(end(reader, Outcome::ReadDone, 0), &mut out);
+        let took = timed(end(reader, Outcome::PrefillDone, 0), &mut out);
         read_end.push(took);
         total += took;
         if let Some(writer) = sent_to(&out) {
@@ -190,12 +190,12 @@
     let mut out = Vec::new();
     let one = |n: u32| {
         let standing = if n.is_multiple_of(2) {
-            Standing::Draining
+            ServerStatus::Draining
         } else {
-            Standing::Ready
+            ServerStatus::Ready
         };
         let changed = (0..CHANGED.min(hosts)).map(|i| ServerEntry {
-            standing,
+            status: standing,
             ..entry(i * hosts / CHANGED.min(hosts))
         });
         let event = Event::Servers {
--- a/programs/benchmark/src/filled.rs
+++ b/programs/benchmark/src/filled.rs
@@ -17,12 +17,12 @@
 fn settings() -> Settings {
     let class = |effect, aim, thousand, gap, deadline_s, worth, late_worth| ClassSettings {
         effect,
-        ttft_aim_s: aim,
-        ttft_aim_per_token_s: thousand * 1e-6,
-        token_gap_aim_s: gap,
+        ttft_objective_s: aim,
+        ttft_objective_per_token_s: thousand * 1e-6,
+        inter_token_objective_s: gap,
         deadline_s,
-        worth,
-        late_worth,
+        priority_weight: worth,
+        late_weight_fraction: late_worth,
     };
     let kind = |role, memory_tokens| KindSettings {
         role,
@@ -32,21 +32,21 @@
         dispatchers: DISPATCHERS as u32,
         zone: 0,
         classes: vec![
-            class(Effect::Safe, 1.5, 40.0, 0.07, 6.0, 1.0, 0.3),
-            class(Effect::Unsafe, 2.5, 120.0, 0.08, 12.0, 2.0, 0.2),
+            class(Effect::Idempotent, 1.5, 40.0, 0.07, 6.0, 1.0, 0.3),
+            class(Effect::NonIdempotent, 2.5, 120.0, 0.08, 12.0, 2.0, 0.2),
         ],
         tenants: vec![],
         kinds: vec![
-            kind(Role::Reader, 200_000.0),
-            kind(Role::Writer, MEMORY as f64),
+            kind(Role::Prefill, 200_000.0),
+            kind(Role::Decode, MEMORY as f64),
         ],
         report_fields: vec![
-            ReportField::SlotShare,
+            ReportField::SlotUtilization,
             ReportField::Queue,
-            ReportField::MemoryShare,
+            ReportField::MemoryUtilization,
         ],
-        report_mode: ReportMode::WithAnswers,
-        cold: ColdStart {
+        report_mode: ReportMode::WithResponses,
+        slow_start: SlowStart {
             start_capacity: 0.25,
             overload_factor: 2.5,
             window_s: 3.0,
@@ -59,11 +59,11 @@
             max_retry_after_s: 5.0,
             connect_timeout_s: 0.25,
         },
-        pin_limit_s: 1.0,
-        over_share_worth: 1.0,
+        kv_hold_limit_s: 1.0,
+        over_quota_weight_fraction: 1.0,
         must_subscribe: false,
-        unseen_reads_run: false,
-        writers_read: false,
+        lost_prefill_may_have_run: false,
+        decode_servers_prefill: false,
         tick_s: 0.002,
     }
 }
@@ -138,7 +138,7 @@
         let asked = &self.asked[n];
         let kind = &KINDS[asked.kind];
         let [from, to] = kind.answer.map(|t| t as f64);
-        let told = Expected {
+        let told = ExpectedTokens {
             mean: mean(kind.answer),
             p90: from + 0.9 * (to - from),
         };
@@ -187,7 +187,7 @@
                         self.ended(now, host, id, Outcome::Cancelled);
                     }
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     self.over(request as usize - 1, Err("refused".into()))
                 }
                 Action::Fail { request } => self.over(request as usize - 1, Err("failed".into())),
@@ -254,14 +254,19 @@
 
     fn said(&mut self, now: f64, host: usize, what: Output) {
         match what {
-            Output::Refused { id, .. } => {
-                self.ended(now, host, id, Outcome::Full { state_gone: false })
-            }
+            Output::Refused { id, .. } => self.ended(
+                now,
+                host,
+                id,
+                Outcome::Rejected {
+                    state_missing: false,
+                },
+            ),
             Output::Read { id, .. } => {
                 if let Some(a) = self.attempts.get(&id) {
                     self.asking[a.request].state = Some((host, id));
                 }
-                self.ended(now, host, id, Outcome::ReadDone);
+                self.ended(now, host, id, Outcome::PrefillDone);
             }
             Output::Fetched { id } => {
                 let state = self
@@ -275,7 +280,14 @@
                     }
                     None => {
                         self.tell(now, host, Input::Cancel(id));
-                        self.ended(now, host, id, Outcome::Full { state_gone: true });
+                        self.ended(
+                            now,
+                            host,
+                            id,
+                            Outcome::Rejected {
+                                state_missing: true,
+                            },
+                        );
                     }
                 }
             }
@@ -391,7 +403,7 @@
     };
     let entry = |i: usize| ServerEntry {
         id: i as u32 + 1,
-        standing: Standing::Ready,
+        status: ServerStatus::Ready,
         kind: u16::from(i >= READERS),
         weight: 1.0,
         ..ServerEntry::default()
--- a/programs/chaos/tests/alike.rs
+++ b/programs/chaos/tests/alike.rs
@@ -103,15 +103,15 @@
         "report.how=inline".to_string(),
         "report.fields=load_share,depth,x0".to_string(),
         "extra.reportX0=share of its memory held".to_string(),
-        format!("contract.startCapacity={}", s.cold.start_capacity),
-        format!("contract.overloadFactor={}", s.cold.overload_factor),
-        format!("contract.fallS={}", s.cold.window_s),
-        format!("contract.warmAfterS={}", s.cold.warm_after_s),
+        format!("contract.startCapacity={}", s.slow_start.start_capacity),
+        format!("contract.overloadFactor={}", s.slow_start.overload_factor),
+        format!("contract.fallS={}", s.slow_start.window_s),
+        format!("contract.warmAfterS={}", s.slow_start.warm_after_s),
         format!("limits.maxAttempts={}", s.limits.max_attempts),
         format!("limits.cancel={}", s.limits.may_cancel),
         format!("limits.probing={}", s.limits.may_probe),
         format!("limits.maxRetryAfterS={}", s.limits.max_retry_after_s),
-        format!("extra.pinLimitS={}", s.pin_limit_s),
+        format!("extra.pinLimitS={}", s.kv_hold_limit_s),
         format!("tickS={}", s.tick_s),
         "membershipMode=push".to_string(),
         "extra.kindRole=read,write".to_string(),
@@ -125,12 +125,12 @@
     let per_k: Vec<String> = s
         .classes
         .iter()
-        .map(|c| (c.ttft_aim_per_token_s * 1e9).round().to_string())
+        .map(|c| (c.ttft_objective_per_token_s * 1e9).round().to_string())
         .collect();
     let gaps: Vec<String> = s
         .classes
         .iter()
-        .map(|c| c.token_gap_aim_s.to_string())
+        .map(|c| c.inter_token_objective_s.to_string())
         .collect();
     lines.push(format!(
         "extra.aimUsPer1000PromptTokens={}",
@@ -138,16 +138,16 @@
     ));
     lines.push(format!("extra.tokenAimS={}", gaps.join(",")));
     for (i, c) in s.classes.iter().enumerate() {
-        let effect = if c.effect == Effect::Safe {
+        let effect = if c.effect == Effect::Idempotent {
             "free"
         } else {
             "single_shot"
         };
         lines.push(format!("classes.{i}.effect={effect}"));
-        lines.push(format!("classes.{i}.aimS={}", c.ttft_aim_s));
+        lines.push(format!("classes.{i}.aimS={}", c.ttft_objective_s));
         lines.push(format!("classes.{i}.deadlineS={}", c.deadline_s));
-        lines.push(format!("classes.{i}.worth={}", c.worth));
-        lines.push(format!("classes.{i}.lateWorth={}", c.late_worth));
+        lines.push(format!("classes.{i}.worth={}", c.priority_weight));
+        lines.push(format!("classes.{i}.lateWorth={}", c.late_weight_fraction));
     }
     lines.join("\n")
 }
--- a/programs/simulator-adapter/src/encode.rs
+++ b/programs/simulator-adapter/src/encode.rs
@@ -36,9 +36,9 @@
 fn outcome(o: Outcome) -> u8 {
     match o {
         Outcome::Served => 0,
-        Outcome::ReadDone => 202,
+        Outcome::PrefillDone => 202,
         Outcome::Error => 255,
-        Outcome::Full { .. } => 254,
+        Outcome::Rejected { .. } => 254,
         Outcome::TimedOut => 253,
         Outcome::ConnectFailed => 252,
         Outcome::Reset => 251,
@@ -51,10 +51,10 @@
     out.extend((e.weight as f32).to_le_bytes());
     out.extend(e.cell.to_le_bytes());
     out.extend(e.zone.to_le_bytes());
-    out.push(match e.standing {
-        Standing::Draining => 0,
-        Standing::Gone => 1,
-        Standing::Ready => 2,
+    out.push(match e.status {
+        ServerStatus::Draining => 0,
+        ServerStatus::Removed => 1,
+        ServerStatus::Ready => 2,
     });
     out.extend(e.id.to_le_bytes());
     out.extend(e.kind.to_le_bytes());
@@ -120,11 +120,14 @@
             out.push(outcome(e.outcome));
             out.extend(e.elapsed_s.to_le_bytes());
             out.push(u8::from(e.finished));
-            let gone = e.outcome == (Outcome::Full { state_gone: true });
+            let gone = e.outcome
+                == (Outcome::Rejected {
+                    state_missing: true,
+                });
             out.extend((if gone { 1 } else { e.prefix_hit_tokens as u32 }).to_le_bytes());
             report(&mut out, &e.report);
         }
-        Event::ClientGone { request } => {
+        Event::ClientDisconnected { request } => {
             out.push(6);
             out.extend(request.to_le_bytes());
         }
@@ -144,10 +147,10 @@
             out.extend(elapsed_s.to_le_bytes());
             report(&mut out, values);
         }
-        Event::PlaceAnswer { .. }
+        Event::ReservationAnswer { .. }
         | Event::PeerMessage { .. }
-        | Event::Share { .. }
-        | Event::Hearsay { .. } => return None,
+        | Event::QuotaFraction { .. }
+        | Event::PeerReport { .. } => return None,
     }
     Some((list, out))
 }
--- a/programs/simulator-adapter/src/wire.rs
+++ b/programs/simulator-adapter/src/wire.rs
@@ -103,9 +103,11 @@
         let at = self.at;
         Ok(match self.u8(what)? {
             0 => Outcome::Served,
-            202 => Outcome::ReadDone,
+            202 => Outcome::PrefillDone,
             255 => Outcome::Error,
-            254 => Outcome::Full { state_gone: false },
+            254 => Outcome::Rejected {
+                state_missing: false,
+            },
             253 => Outcome::TimedOut,
             252 => Outcome::ConnectFailed,
             251 => Outcome::Reset,
@@ -243,7 +245,7 @@
                 elapsed_s: c.f64("begun")?,
             },
             5 => Event::AttemptEnded(read_end(c)?),
-            6 => Event::ClientGone {
+            6 => Event::ClientDisconnected {
                 request: c.u32("hangup")?,
             },
             7 => Event::Timer {
@@ -267,7 +269,7 @@
                 let (request, attempt) = (c.u32("reserved")?, c.u16("reserved")?);
                 let (server, held) = (c.u32("reserved")?, c.u8("reserved")? == 1);
                 c.f32("reserved")?;
-                Event::PlaceAnswer {
+                Event::ReservationAnswer {
                     request,
                     attempt,
                     server,
@@ -307,14 +309,14 @@
     let (weight, cell, zone) = (c.f32(what)?, c.u16(what)?, c.u16(what)?);
     let at = c.at;
     let standing = match c.u8(what)? {
-        0 => Standing::Draining,
-        1 => Standing::Gone,
-        2 => Standing::Ready,
+        0 => ServerStatus::Draining,
+        1 => ServerStatus::Removed,
+        2 => ServerStatus::Ready,
         v => return bad(format!("unknown health {v} at byte {at}")),
     };
     Ok(ServerEntry {
         id: c.u32(what)?,
-        standing,
+        status: standing,
         kind: c.u16(what)?,
         cell,
         zone,
@@ -348,8 +350,8 @@
     let (outcome, elapsed_s) = (c.outcome(what)?, c.f64(what)?);
     let (finished, info) = (c.u8(what)? != 0, c.u32(what)?);
     let outcome = match outcome {
-        Outcome::Full { .. } => Outcome::Full {
-            state_gone: info == 1,
+        Outcome::Rejected { .. } => Outcome::Rejected {
+            state_missing: info == 1,
         },
         other => other,
     };
@@ -403,7 +405,7 @@
             Action::Cancel { request, attempt } => {
                 self.record(2, &[&request.to_le_bytes(), &attempt.to_le_bytes()])
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after_s,
             } => self.record(11, &[&request.to_le_bytes(), &retry_after_s.to_le_bytes()]),
@@ -416,12 +418,12 @@
             Action::Subscribe => self.record(4, &[&[1]]),
             Action::Unsubscribe => self.record(4, &[&[0]]),
             Action::FetchList => self.record(5, &[]),
-            Action::HoldPlace { request, server } => {
+            Action::ReserveSlot { request, server } => {
                 self.record(16, &[&request.to_le_bytes(), &server.to_le_bytes()])
             }
             Action::Migrate { request } => self.record(8, &[&request.to_le_bytes()]),
             Action::CloseIdle { server } => self.record(13, &[&server.to_le_bytes()]),
-            Action::TellPeer { peer, ref data } => {
+            Action::SendToPeer { peer, ref data } => {
                 let data = &data[..data.len().min(PEER_BYTES)];
                 let whom = peer.unwrap_or(u16::MAX);
                 self.record(
--- a/programs/simulator-adapter/src/wire/tests.rs
+++ b/programs/simulator-adapter/src/wire/tests.rs
@@ -31,7 +31,7 @@
     vec![
         ServerEntry {
             id: SERVER,
-            standing: Standing::Ready,
+            status: ServerStatus::Ready,
             kind: 3,
             cell: 1,
             zone: 2,
@@ -40,7 +40,7 @@
         },
         ServerEntry {
             id: 0x2c90_11f2,
-            standing: Standing::Draining,
+            status: ServerStatus::Draining,
             kind: 0,
             cell: 0,
             zone: 0,
@@ -49,7 +49,7 @@
         },
         ServerEntry {
             id: 1,
-            standing: Standing::Gone,
+            status: ServerStatus::Removed,
             kind: 1,
             cell: 5,
             zone: 1,
@@ -149,10 +149,24 @@
 fn the_end_of_an_attempt_matches_its_golden_bytes() {
     let ends = [
         (Outcome::Served, "00", "03000000", 3.0),
-        (Outcome::ReadDone, "ca", "03000000", 3.0),
+        (Outcome::PrefillDone, "ca", "03000000", 3.0),
         (Outcome::Error, "ff", "00000000", 0.0),
-        (Outcome::Full { state_gone: false }, "fe", "00000000", 0.0),
-        (Outcome::Full { state_gone: true }, "fe", "01000000", 1.0),
+        (
+            Outcome::Rejected {
+                state_missing: false,
+            },
+            "fe",
+            "00000000",
+            0.0,
+        ),
+        (
+            Outcome::Rejected {
+                state_missing: true,
+            },
+            "fe",
+            "01000000",
+            1.0,
+        ),
         (Outcome::TimedOut, "fd", "00000000", 0.0),
         (Outcome::ConnectFailed, "fc", "00000000", 0.0),
         (Outcome::Reset, "fb", "00000000", 0.0),
@@ -185,7 +199,7 @@
 #[test]
 fn a_cancelled_request_and_a_timer_match_their_golden_bytes() {
     let request = 0x0e6f_2b19;
-    assert_both_ways(Event::ClientGone { request }, "06 192b6f0e");
+    assert_both_ways(Event::ClientDisconnected { request }, "06 192b6f0e");
     assert_both_ways(Event::Timer { label: 77 }, "07 4d00000000000000");
 }
 
@@ -207,7 +221,7 @@
     assert_eq!(read("", "09 03000000 0200 6869"), event);
     assert_eq!(event_records(&event), None);
     for (topic, held) in [("01", true), ("02", false)] {
-        let event = Event::PlaceAnswer {
+        let event = Event::ReservationAnswer {
             request: REQUEST,
             attempt: 1,
             server: SERVER,
@@ -241,7 +255,7 @@
             "02 c4913a5d 0201",
         ),
         (
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after_s: 0.08,
             },
@@ -261,19 +275,19 @@
         (Action::Unsubscribe, "04 00"),
         (Action::FetchList, "05"),
         (
-            Action::HoldPlace { request, server },
+            Action::ReserveSlot { request, server },
             "10 c4913a5d 074a1203",
         ),
         (Action::Migrate { request }, "08 c4913a5d"),
         (Action::CloseIdle { server }, "0d 074a1203"),
         (
-            Action::TellPeer {
+            Action::SendToPeer {
                 peer: Some(5),
                 data: data.clone(),
             },
             "0c 0500 0200 6837",
         ),
-        (Action::TellPeer { peer: None, data }, "0c ffff 0200 6837"),
+        (Action::SendToPeer { peer: None, data }, "0c ffff 0200 6837"),
         (Action::Log { text: text() }, "01 0200 686d"),
         (Action::Fault { text: text() }, "0a 0200 686d"),
     ];
--- a/programs/simulator-adapter/tests/wire.rs
+++ b/programs/simulator-adapter/tests/wire.rs
@@ -165,7 +165,7 @@
     );
     let (request, server) = (0x5d3a_91c4, 0x2c90_11f2);
     assert_eq!(
-        body(Action::HoldPlace { request, server }),
+        body(Action::ReserveSlot { request, server }),
         unhex("10 c4913a5d f211902c")
     );
     assert_eq!(
@@ -175,7 +175,7 @@
         unhex("06 192b6f0e")
     );
     assert_eq!(
-        body(Action::TellPeer {
+        body(Action::SendToPeer {
             peer: None,
             data: b"h7 ".to_vec()
         }),
