--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -393,11 +393,10 @@
                 .get(request)
                 .map_or_else(String::new, |open| open.id.clone())
         };
-        let (last, reckoned) = self.router.reckoned;
-        let cause = self.router.cause;
+        let (choice, failure) = (self.router.last_choice(), self.router.last_failure());
         let reasons = |request| Reasons {
-            reckoned: (request == last).then_some(reckoned),
-            cause: cause.filter(|c| c.0 == request).map(|c| c.1),
+            reckoned: (request == choice.request).then_some(choice.explanation),
+            cause: failure.filter(|f| f.request == request).map(|f| f.cause),
         };
         for text in explainer.see(&traced, id, reasons) {
             out.push(Command::Explain { text });
--- a/crates/policy/src/choice/admission.rs
+++ b/crates/policy/src/choice/admission.rs
@@ -89,16 +89,16 @@
             job.late_s,
             self.slip(now).min(SLIP_MOST * e.total_s),
         );
-        self.reckoned = (
-            id,
-            ChoiceExplanation {
+        self.last_choice = ExplainedChoice {
+            request: id,
+            explanation: ChoiceExplanation {
                 queue_s: e.queue_s,
                 prefill_s: e.read_s,
                 total_s,
                 lateness_s: slip_s,
                 limit_s: late_s,
             },
-        );
+        };
         self.jobs
             .entry(id)
             .and_modify(|j| j.promised = now + e.total_s);
--- a/crates/policy/src/choice/mod.rs
+++ b/crates/policy/src/choice/mod.rs
@@ -69,8 +69,8 @@
     retries: f64,
     recent: VecDeque<u64>,    // Keys of the latest requests.
     answers: [(f64, f64); 3], // By role: not drawn on yet, and the most held; choices draw on them.
-    pub reckoned: (RequestId, ChoiceExplanation), // What stood behind the last choice of a reader, for logs.
-    pub cause: Option<(RequestId, Cause)>, // Why the last request that was not served ended, for logs.
+    last_choice: ExplainedChoice,
+    last_failure: Option<FailedRequest>,
 }
 
 fn mix(a: u64, b: u64) -> u64 {
@@ -115,11 +115,21 @@
             retries: RETRIES_MOST,
             recent: VecDeque::new(),
             answers: [(UNSEEN_ANSWERS / BLEND, UNSEEN_ANSWERS / BLEND); 3],
-            reckoned: Default::default(),
-            cause: None,
+            last_choice: ExplainedChoice::default(),
+            last_failure: None,
         }
     }
 
+    /// What stood behind the last choice of a prefill server; zeros for request 0 before the first.
+    pub fn last_choice(&self) -> ExplainedChoice {
+        self.last_choice
+    }
+
+    /// The last request that was ended without being served.
+    pub fn last_failure(&self) -> Option<FailedRequest> {
+        self.last_failure
+    }
+
     /// Takes one event at clock time `now` and appends what is to be done.
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Actions) {
         match event {
--- a/crates/policy/src/choice/requests.rs
+++ b/crates/policy/src/choice/requests.rs
@@ -221,7 +221,7 @@
         cause: Cause,
         out: &mut Actions,
     ) {
-        self.cause = Some((id, cause));
+        self.last_failure = Some(FailedRequest { request: id, cause });
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
--- a/crates/policy/src/choice/timers.rs
+++ b/crates/policy/src/choice/timers.rs
@@ -10,7 +10,10 @@
             return;
         };
         if now + 3.0 * self.set.tick_s >= job.deadline && job.stage != Stage::Streaming {
-            self.cause = Some((id, Cause::Deadline));
+            self.last_failure = Some(FailedRequest {
+                request: id,
+                cause: Cause::Deadline,
+            });
             self.cancel(id, out);
             return self.finish(id, Some(Action::Fail { request: id }), out);
         }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -416,6 +416,24 @@
     pub limit_s: f64,
 }
 
+/// What stood behind a router's last choice of a prefill server. For logs.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct ExplainedChoice {
+    /// The request that the choice was made for.
+    pub request: RequestId,
+    /// The estimate that the choice was made by.
+    pub explanation: ChoiceExplanation,
+}
+
+/// The last request that a router ended without serving it. For logs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FailedRequest {
+    /// The request that was rejected or failed.
+    pub request: RequestId,
+    /// Why it was.
+    pub cause: Cause,
+}
+
 impl std::fmt::Display for ChoiceExplanation {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let ChoiceExplanation {
--- a/crates/policy/tests/common/digest.rs
+++ b/crates/policy/tests/common/digest.rs
@@ -92,15 +92,15 @@
 
     /// What a router says of its last choice, and of the last request that it did not serve.
     pub fn explanations(&mut self, router: &Router) {
-        let (request, reckoned) = router.reckoned;
-        self.number(request.into());
-        self.seconds(reckoned.queue_s);
-        self.seconds(reckoned.prefill_s);
-        self.seconds(reckoned.total_s);
-        self.seconds(reckoned.lateness_s);
-        self.seconds(reckoned.limit_s);
-        match router.cause {
-            Some((request, cause)) => self.coded(cause_code(cause), &[request.into()]),
+        let last = router.last_choice();
+        self.number(last.request.into());
+        self.seconds(last.explanation.queue_s);
+        self.seconds(last.explanation.prefill_s);
+        self.seconds(last.explanation.total_s);
+        self.seconds(last.explanation.lateness_s);
+        self.seconds(last.explanation.limit_s);
+        match router.last_failure() {
+            Some(failed) => self.coded(cause_code(failed.cause), &[failed.request.into()]),
             None => self.coded(0, &[]),
         }
     }
