--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -393,11 +393,10 @@
                 .get(request)
                 .map_or_else(String::new, |open| open.id.clone())
         };
-        let (last, reckoned) = self.router.reckoned;
-        let cause = self.router.cause;
+        let (choice, failure) = (self.router.last_choice(), self.router.last_failure());
         let reasons = |request| Reasons {
-            reckoned: (request == last).then_some(reckoned),
-            cause: cause.filter(|c| c.0 == request).map(|c| c.1),
+            reckoned: (request == choice.request).then_some(choice.explanation),
+            cause: failure.filter(|f| f.request == request).map(|f| f.cause),
         };
         for text in explainer.see(&traced, id, reasons) {
             out.push(Command::Explain { text });
@@ -412,7 +411,7 @@
                 timeout_s,
             } => self.send(now, request, server, timeout_s, out),
             Action::Cancel { request, attempt } => self.cancel(now, request, attempt, out),
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after_s,
             } => self.refuse(now, request, retry_after_s, out),
@@ -424,7 +423,7 @@
             }
             // The watch is always open; the whole list comes with it after a gap.
             Action::Subscribe | Action::Unsubscribe | Action::FetchList => {}
-            Action::HoldPlace { .. } | Action::Migrate { .. } => {
+            Action::ReserveSlot { .. } | Action::Migrate { .. } => {
                 self.log(
                     out,
                     Level::Warn,
@@ -436,7 +435,7 @@
                     self.drop_link(conn, out);
                 }
             }
-            Action::TellPeer { peer, data } => self.tell_peer(peer, data, out),
+            Action::SendToPeer { peer, data } => self.tell_peer(peer, data, out),
             Action::Log { text } => self.log(out, Level::Info, text),
             Action::Fault { text } => {
                 self.log(out, Level::Warn, format!("the module failed: {text}"))
--- a/crates/policy/src/choice/timers.rs
+++ b/crates/policy/src/choice/timers.rs
@@ -10,7 +10,10 @@
             return;
         };
         if now + 3.0 * self.set.tick_s >= job.deadline && job.stage != Stage::Streaming {
-            self.cause = Some((id, Cause::Deadline));
+            self.last_failure = Some(FailedRequest {
+                request: id,
+                cause: Cause::Deadline,
+            });
             self.cancel(id, out);
             return self.finish(id, Some(Action::Fail { request: id }), out);
         }
@@ -40,7 +43,7 @@
         }
         let silence_s = self.silence_s(&job.ask, s, sent);
         let fresh = s.seen_at > due;
-        let wait = if s.role == Role::Reader {
+        let wait = if s.role == Role::Prefill {
             Self::others_s
         } else {
             Self::write_wait
