--- a/crates/net/src/guard.rs
+++ b/crates/net/src/guard.rs
@@ -129,13 +129,13 @@
         .map_err(|e| e.to_string())?;
     let rules = KeeperRules {
         refresh_s: identity.refresh_s,
-        keep_s: identity.keep_s,
+        keep_s: identity.cache_lifetime_s,
         ..KeeperRules::default()
     };
     let clock = Clock::start();
     let steady = clock.now().seconds();
     let mut keeper = Keeper::new(rules, steady);
-    let kept = identity.kept.as_deref().map(beside);
+    let kept = identity.cache_file.as_deref().map(beside);
     if let Some(path) = &kept {
         restore(&mut keeper, steady, path);
     }
@@ -285,7 +285,9 @@
         // Less than this is the time between two readings of the clocks.
         if (ahead_us - self.told_us).abs() >= 1_000_000 {
             self.told_us = ahead_us;
-            let _ = self.to.send(Event::Input(Input::ProofTime { ahead_us }));
+            let _ = self
+                .to
+                .send(Event::Input(Input::CredentialClockOffset { ahead_us }));
         }
     }
 
@@ -346,7 +348,7 @@
         self.counted = counting;
         if !gone.is_empty() {
             tracing::warn!(keys = ?gone, "keys count no more");
-            let _ = self.to.send(Event::Input(Input::KeysWithdrawn(gone)));
+            let _ = self.to.send(Event::Input(Input::CredentialsRevoked(gone)));
         }
     }
 
--- a/crates/net/tests/clock.rs
+++ b/crates/net/tests/clock.rs
@@ -18,7 +18,7 @@
 fn told(from: &Receiver<Event>) -> i64 {
     let by = Instant::now() + Duration::from_secs(20);
     while let Ok(event) = from.recv_deadline(by) {
-        if let Event::Input(Input::ProofTime { ahead_us }) = event {
+        if let Event::Input(Input::CredentialClockOffset { ahead_us }) = event {
             return (ahead_us as f64 / 1e6).round() as i64;
         }
     }
@@ -43,10 +43,10 @@
         audience: "a".into(),
         skew_s: 0,
         keys: Some("jwks.json".into()),
-        kept: None,
+        cache_file: None,
         rights: "rights.toml".into(),
         refresh_s: 60.0,
-        keep_s: 3600.0,
+        cache_lifetime_s: 3600.0,
     };
     let ahead = Arc::new(AtomicI64::new(0));
     let by = Arc::clone(&ahead);
--- a/programs/dispatch/src/beside.rs
+++ b/programs/dispatch/src/beside.rs
@@ -73,7 +73,7 @@
         return Ok(());
     };
     let (process, roster) = place.plane.own();
-    let aims = place.settings.classes.iter().map(|c| c.ttft_aim_s);
+    let aims = place.settings.classes.iter().map(|c| c.ttft_objective_s);
     let aim_s = aims.fold(f64::INFINITY, f64::min);
     let seed = getrandom::u64().map_err(|e| format!("no randomness: {e}"))?;
     let machine = Overload::new(process, roster, own, aim_s, seed, Duration::ZERO);
@@ -98,7 +98,7 @@
         .map(|kept| Snapshot::at(place.base.join(kept)));
     let store = kept.map(|kept| -> Box<dyn Store> { Box::new(kept) });
     // An answer that finds it busy is not counted.
-    beside.lengths = Some(place.run(machine, store, Input::Lengths)?);
+    beside.lengths = Some(place.run(machine, store, Input::OutputLength)?);
     Ok(())
 }
 
