--- a/crates/cluster-net/src/plane.rs
+++ b/crates/cluster-net/src/plane.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use bitternlatch_core::settings::Cluster;
-use bitternlatch_core::{Input, Micros, Seen};
+use bitternlatch_core::{Input, Micros, Observation};
 use bitternlatch_membership::{Event, Membership, NameKey, Peer, Roster, Secret, DATAGRAM_MOST};
 use bitternlatch_net::clock::Clock;
 use bitternlatch_net::lock;
@@ -200,7 +200,7 @@
     }
 
     /// Takes what the dispatcher sees of hosts, for its peers; from any thread.
-    pub fn ear(&self) -> impl Fn(Vec<Seen>) + 'static {
+    pub fn ear(&self) -> impl Fn(Vec<Observation>) + 'static {
         let whole = Arc::clone(&self.whole);
         move |seen| {
             let dated = seen
@@ -297,9 +297,9 @@
                 tell_at = at + TELL_EVERY;
                 let until = micros(at + COUNTS_FOR);
                 let (standing, there) = (whole.member.standing(), whole.member.there());
-                told(Told::Input(Input::Standing {
-                    standing,
-                    there,
+                told(Told::Input(Input::QuorumState {
+                    state: standing,
+                    present: there,
                     until,
                 }));
                 let (there, part) = (whole.member.there_keys(), whole.shares.part());
@@ -313,8 +313,8 @@
             let part = whole.shares.part();
             if part != told_part {
                 told_part = part;
-                told(Told::Input(Input::Part {
-                    lent: part.lent,
+                told(Told::Input(Input::QuotaLease {
+                    leased: part.lent,
                     until: micros(part.until),
                 }));
             }
@@ -356,11 +356,13 @@
             match output {
                 // A datagram that cannot be sent is as good as lost, which the protocol bears.
                 Output::Send(to, bytes) => drop(self.socket.send_to(&bytes, to)),
-                Output::Agreed(Agreed::Heard { of, heard }) => told(Told::Input(Input::Heard {
-                    at: self.clock.now(),
-                    of,
-                    heard,
-                })),
+                Output::Agreed(Agreed::Heard { of, heard }) => {
+                    told(Told::Input(Input::PeerReports {
+                        sent_at: self.clock.now(),
+                        reporters: of,
+                        reports: heard,
+                    }))
+                }
                 Output::Agreed(agreed) => self.log_agreed(&agreed),
                 Output::Said { topic, from, said } => {
                     self.routes.tell(topic, Heard::Said { from, said })
--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -33,7 +33,7 @@
             .iter_mut()
             .filter(|l| only.is_none_or(|o| o == l.session))
         {
-            out.push(Output::Say {
+            out.push(Output::SendToClient {
                 session: listener.session,
                 text: event(listener, self),
             });
@@ -128,11 +128,11 @@
             incomplete_details: None,
             ..answer.clone()
         };
-        out.push(Output::Say {
+        out.push(Output::SendToClient {
             session,
             text: client::created(0, &begun),
         });
-        out.push(Output::Say {
+        out.push(Output::SendToClient {
             session,
             text: client::finished(1, answer),
         });
@@ -232,7 +232,7 @@
             .and_then(|a| self.fleet.get(a.host))
             .map(|k| k.host.name.as_str());
         let class = &self.settings.classes[usize::from(request.class)].name;
-        out.push(Output::Lengths(Lengths::ended(
+        out.push(Output::OutputLength(Lengths::ended(
             request,
             class,
             host.unwrap_or("unknown"),
@@ -351,7 +351,7 @@
             Some(Act::Refuse { mut asked, why }) => {
                 self.shed.gone(&mut asked.counted);
                 let text = Denied::by_workflow(why).to_text(&asked.create);
-                out.push(Output::Say {
+                out.push(Output::SendToClient {
                     session: asked.session,
                     text,
                 });
@@ -409,7 +409,7 @@
             }
         };
         if let Err(denied) = taken {
-            out.push(Output::Say {
+            out.push(Output::SendToClient {
                 session: asked.session,
                 text: denied.to_text(&asked.create),
             });
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -19,7 +19,7 @@
 impl Machine {
     pub(crate) fn on_link_up(&mut self, link: LinkId, out: &mut Vec<Output>) {
         if !self.links.up(link) {
-            out.push(Output::Hang { link });
+            out.push(Output::CloseLink { link });
         }
     }
 
@@ -43,14 +43,14 @@
             self.timers.set(
                 at,
                 Timer::Link {
-                    host: link.host,
+                    host: link.server,
                     epoch: link.epoch,
                 },
             );
         }
         let name = self
             .fleet
-            .get(link.host)
+            .get(link.server)
             .map_or("a host that left the list", |k| k.host.name.as_str());
         log(out, Level::Warn, format!("link to {name} is down: {why}"));
     }
@@ -136,10 +136,10 @@
 
     pub(crate) fn on_link_time(&mut self, now: Micros, link: LinkId, out: &mut Vec<Output>) {
         if self.links.is_opening(link) {
-            out.push(Output::Hang { link });
+            out.push(Output::CloseLink { link });
             self.on_link_down(now, link, false, "it did not greet in time", out);
         } else if self.links.is_paused(link) {
-            self.dial(now, link.host, out);
+            self.dial(now, link.server, out);
         }
     }
 
@@ -183,16 +183,16 @@
     fn fault(&self, link: LinkId, why: &str, out: &mut Vec<Output>) {
         let name = self
             .fleet
-            .get(link.host)
+            .get(link.server)
             .map_or("a host that left the list", |k| k.host.name.as_str());
         log(out, Level::Warn, format!("{name}: {why}"));
         let text = encode(&ToEngine::Fault {
             message: why.to_string(),
         });
-        out.push(Output::Tell {
+        out.push(Output::SendToServer {
             link,
             text,
-            stale: None,
+            deadline: None,
         });
     }
 
@@ -208,9 +208,9 @@
             return;
         }
         let warm_after_s = self.settings.rules.cold.warm_after_s;
-        let Some((entry, anew)) = self
-            .fleet
-            .greeted(now, link.host, uptime_s, state, warm_after_s)
+        let Some((entry, anew)) =
+            self.fleet
+                .greeted(now, link.server, uptime_s, state, warm_after_s)
         else {
             return;
         };
@@ -251,14 +251,14 @@
         if !self.links.is_current(link) {
             return;
         }
-        if let Some(entry) = self.fleet.said(link.host, state) {
+        if let Some(entry) = self.fleet.said(link.server, state) {
             let form = bitternlatch_policy::interface::ListForm::Delta;
             self.events.push_back(Event::Servers {
                 form,
                 entries: vec![entry],
             });
             if state == EngineState::Draining {
-                self.hand_back_queued(now, link.host, out);
+                self.hand_back_queued(now, link.server, out);
             }
         }
     }
--- a/crates/core/src/budgets.rs
+++ b/crates/core/src/budgets.rs
@@ -140,7 +140,7 @@
     ) {
         if let Some(near) = self.book.near(now.seconds(), tenant) {
             let text = client::rate_limits(near.limit as u64, near.remaining as u64, near.reset_s);
-            out.push(Output::Say { session, text });
+            out.push(Output::SendToClient { session, text });
         }
     }
 
--- a/crates/core/src/callers.rs
+++ b/crates/core/src/callers.rs
@@ -13,7 +13,7 @@
 use crate::types::{Level, Micros, Output, SessionId};
 
 /// Close code of a session whose proof of its caller has ended (private use, RFC 6455, 7.4.2).
-pub const CLOSE_UNPROVEN: u16 = 4401;
+pub const CLOSE_CREDENTIAL_EXPIRED: u16 = 4401;
 
 /// Why a session takes nothing new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -157,14 +157,14 @@
         if before.subject != caller.subject {
             let why = "the token is another caller's; a session stays its caller's".to_string();
             let bad = refused(403, "subject_mismatch", why, Some("token"));
-            return out.push(Output::Say {
+            return out.push(Output::SendToClient {
                 session,
                 text: client::error(&bad, None, None),
             });
         }
         let ends = caller.ends;
         self.set_caller(session, caller);
-        out.push(Output::Say {
+        out.push(Output::SendToClient {
             session,
             text: client::renewed(ends),
         });
@@ -178,7 +178,7 @@
                 format!("the token is not taken: {code}"),
                 Some("token"),
             );
-            out.push(Output::Say {
+            out.push(Output::SendToClient {
                 session,
                 text: client::error(&bad, None, None),
             });
@@ -227,7 +227,7 @@
             self.sessions.close(session);
             out.push(Output::CloseSession {
                 session,
-                code: CLOSE_UNPROVEN,
+                code: CLOSE_CREDENTIAL_EXPIRED,
                 reason: ending.code().to_string(),
             });
         }
--- a/crates/core/src/carry.rs
+++ b/crates/core/src/carry.rs
@@ -12,7 +12,7 @@
 use crate::settings::Effect;
 use crate::shed::LOOK_S;
 use crate::timers::Timer;
-use crate::types::{Level, LinkId, Micros, Output, Stale};
+use crate::types::{Level, LinkId, Micros, Output, SendDeadline};
 use crate::workflows::Waits;
 
 /// Of the time for which a state may be pinned: how long a send that would fetch it waits for its permission.
@@ -219,15 +219,18 @@
         let after_s = self.settings.rules.drain_grace_s / 2.0;
         let reads = self
             .fleet
-            .get(link.host)
+            .get(link.server)
             .is_some_and(|k| k.role == Role::Prefill);
         let left_s = self.workflows.left_s(now, id).filter(|_| !reads);
         let after_s = left_s.map_or(after_s, |left_s| after_s.min(left_s));
-        let stale = Stale { after_s, attempt };
-        Output::Tell {
+        let stale = SendDeadline {
+            max_wait_s: after_s,
+            attempt,
+        };
+        Output::SendToServer {
             link,
             text,
-            stale: Some(stale),
+            deadline: Some(stale),
         }
     }
 
@@ -331,10 +334,10 @@
         let text = encode(&ToEngine::Cancel {
             id: wire_id(self.instance, id, attempt.number),
         });
-        out.push(Output::Tell {
+        out.push(Output::SendToServer {
             link: attempt.link,
             text,
-            stale: None,
+            deadline: None,
         });
     }
 
@@ -364,10 +367,10 @@
         let text = encode(&ToEngine::Release {
             id: made_by.to_string(),
         });
-        out.push(Output::Tell {
+        out.push(Output::SendToServer {
             link,
             text,
-            stale: None,
+            deadline: None,
         });
     }
 
@@ -396,17 +399,17 @@
                 let id = self.next_probe;
                 self.next_probe += 1;
                 self.shed.asks(now, id, host);
-                out.push(Output::Tell {
+                out.push(Output::SendToServer {
                     link,
                     text: encode(&ToEngine::Probe { id }),
-                    stale: None,
+                    deadline: None,
                 });
             }
             Told::Report { host, report, .. } => {
                 let mine = self
                     .probes
                     .iter()
-                    .filter(|(_, p)| p.link.host == host)
+                    .filter(|(_, p)| p.link.server == host)
                     .map(|(id, _)| *id);
                 let report: Vec<f64> = report.iter().map(|v| v.get()).collect();
                 for id in mine.collect::<Vec<u64>>() {
@@ -447,10 +450,10 @@
             // One of all asks; the answer, whoever is given it, ends this probe.
             return out.push(Output::Overload(Ask::Probe { host: server }));
         }
-        out.push(Output::Tell {
+        out.push(Output::SendToServer {
             link,
             text: encode(&ToEngine::Probe { id }),
-            stale: None,
+            deadline: None,
         });
     }
 
@@ -458,7 +461,7 @@
         let Some(probe) = self.probes.remove(&id) else {
             return;
         };
-        let (server, elapsed_s) = (probe.link.host, now.since(probe.sent));
+        let (server, elapsed_s) = (probe.link.server, now.since(probe.sent));
         self.events.push_back(Event::ProbeEnded {
             server,
             outcome,
--- a/crates/core/src/intake.rs
+++ b/crates/core/src/intake.rs
@@ -49,7 +49,7 @@
         if !self.sessions.is_open(session) {
             return;
         }
-        let say = |out: &mut Vec<Output>, text| out.push(Output::Say { session, text });
+        let say = |out: &mut Vec<Output>, text| out.push(Output::SendToClient { session, text });
         match client::parse(text) {
             Ok(ClientEvent::Create(create)) => {
                 if let Err(denied) = self.create(now, session, &create, out) {
--- a/crates/core/src/leases.rs
+++ b/crates/core/src/leases.rs
@@ -127,7 +127,7 @@
             self.leases.asked.pop_first();
         }
         self.follow_leases(now);
-        out.push(Output::AskLedger {
+        out.push(Output::RequestBudgetLeases {
             holder: self.instance,
             number,
             tenants,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -34,9 +34,9 @@
 mod wanted;
 mod workflows;
 
-pub use callers::CLOSE_UNPROVEN;
-pub use evidence::Seen;
+pub use callers::CLOSE_CREDENTIAL_EXPIRED;
+pub use evidence::Observation;
 pub use machine::{decide, Counts, Machine, Traced};
 pub use settings::{Settings, SettingsError};
 pub use timers::Timers;
-pub use types::{Input, Level, LinkId, Micros, Output, SessionId, Stale};
+pub use types::{Input, Level, LinkId, Micros, Output, SendDeadline, SessionId};
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -79,12 +79,15 @@
                 leaving: false,
             },
         );
-        LinkId { host, epoch }
+        LinkId {
+            server: host,
+            epoch,
+        }
     }
 
     fn current(&mut self, link: LinkId) -> Option<&mut Link> {
         self.links
-            .get_mut(&link.host)
+            .get_mut(&link.server)
             .filter(|l| l.epoch == link.epoch)
     }
 
@@ -110,7 +113,7 @@
         let l = self.current(link).filter(|l| l.stage != Stage::Paused)?;
         let queued = l.queue.drain(..).collect();
         if l.leaving {
-            self.links.remove(&link.host);
+            self.links.remove(&link.server);
             return Some((queued, f64::INFINITY));
         }
         let pause = (PAUSE_S.0 * f64::from(1u32 << l.failures.min(16))).min(PAUSE_S.1);
@@ -122,18 +125,18 @@
     pub(crate) fn is_opening(&self, link: LinkId) -> bool {
         let opening =
             |l: &&Link| l.epoch == link.epoch && matches!(l.stage, Stage::Dialled | Stage::Silent);
-        self.links.get(&link.host).filter(opening).is_some()
+        self.links.get(&link.server).filter(opening).is_some()
     }
 
     pub(crate) fn is_paused(&self, link: LinkId) -> bool {
         self.links
-            .get(&link.host)
+            .get(&link.server)
             .is_some_and(|l| l.epoch == link.epoch && l.stage == Stage::Paused)
     }
 
     pub(crate) fn is_current(&self, link: LinkId) -> bool {
         self.links
-            .get(&link.host)
+            .get(&link.server)
             .is_some_and(|l| l.epoch == link.epoch)
     }
 
@@ -141,7 +144,7 @@
     pub(crate) fn open(&self, host: ServerId) -> Option<LinkId> {
         let l = self.links.get(&host).filter(|l| l.stage == Stage::Open)?;
         Some(LinkId {
-            host,
+            server: host,
             epoch: l.epoch,
         })
     }
@@ -151,7 +154,7 @@
             return Given::NoWay;
         };
         let link = LinkId {
-            host,
+            server: host,
             epoch: l.epoch,
         };
         match l.stage {
@@ -187,7 +190,7 @@
         let l = self.links.get_mut(&host)?;
         l.leaving = true;
         let link = LinkId {
-            host,
+            server: host,
             epoch: l.epoch,
         };
         match (&l.stage, busy) {
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -74,7 +74,7 @@
 pub struct Counts {
     pub sessions: usize,
     pub requests: usize,
-    pub hosts: usize,
+    pub servers: usize,
     pub open_links: usize,
     pub keys: usize,
 }
@@ -164,7 +164,7 @@
     }
 
     /// Keeps from now on what the decision module is told and answers, for [`Machine::take_trace`].
-    pub fn keep_trace(&mut self) {
+    pub fn enable_trace(&mut self) {
         self.trace = Some(Vec::new());
     }
 
@@ -176,7 +176,7 @@
         Counts {
             sessions: self.sessions.len(),
             requests: self.requests.len(),
-            hosts: self.fleet.len(),
+            servers: self.fleet.len(),
             open_links: self.links.open_count(),
             keys: self.keys.len(),
         }
@@ -222,35 +222,51 @@
 
     fn on_input(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Hosts(list) => self.on_hosts(now, list, out),
+            Input::ServerList(list) => self.on_hosts(now, list, out),
             Input::SessionOpened { session, caller } => self.on_session(session, caller, out),
             Input::SessionRenewed { session, caller } => self.on_renewed(session, caller, out),
-            Input::RenewalRefused { session, code } => self.on_renewal_refused(session, &code, out),
-            Input::Lent { number, parts } => self.on_lent(now, number, &parts, out),
-            Input::KeysWithdrawn(ids) => self.on_keys_withdrawn(&ids, out),
-            Input::ProofTime { ahead_us } => self.on_proof_time(now, ahead_us, out),
+            Input::RenewalRejected { session, code } => {
+                self.on_renewal_refused(session, &code, out)
+            }
+            Input::BudgetLeases {
+                number,
+                leases: parts,
+            } => self.on_lent(now, number, &parts, out),
+            Input::CredentialsRevoked(ids) => self.on_keys_withdrawn(&ids, out),
+            Input::CredentialClockOffset { ahead_us } => self.on_proof_time(now, ahead_us, out),
             Input::Rights(text) => self.on_rights(&text, out),
             Input::SessionText { session, text } => self.on_client_text(now, session, &text, out),
             Input::SessionClosed { session } => self.on_session_closed(now, session, out),
             Input::LinkUp { link } => self.on_link_up(link, out),
-            Input::LinkFailed { link, why } => self.on_link_down(now, link, false, &why, out),
-            Input::LinkClosed { link, why } => self.on_link_down(now, link, true, &why, out),
+            Input::LinkFailed { link, reason: why } => {
+                self.on_link_down(now, link, false, &why, out)
+            }
+            Input::LinkClosed { link, reason: why } => {
+                self.on_link_down(now, link, true, &why, out)
+            }
             Input::LinkText { link, text } => self.on_engine_text(now, link, &text, out),
             Input::LinkUnsent { link, attempt } => self.on_unsent(now, link, &attempt, out),
-            Input::Standing {
-                standing,
-                there,
+            Input::QuorumState {
+                state: standing,
+                present: there,
                 until,
             } => self.on_standing(standing, there, until),
-            Input::Heard { at, of, heard } => self.on_heard(now, at, of, &heard, out),
+            Input::PeerReports {
+                sent_at: at,
+                reporters: of,
+                reports: heard,
+            } => self.on_heard(now, at, of, &heard, out),
             Input::Overload(told) => self.on_overload(now, told, out),
-            Input::Lengths(told) => self.lengths.told(now, told),
+            Input::OutputLength(told) => self.lengths.told(now, told),
             Input::Workflow(told) => {
                 let act = self.workflows.told(now, told);
                 self.on_workflow(now, act, out);
             }
-            Input::ListLost(lost) => self.on_list_lost(lost, out),
-            Input::Part { lent, until } => self.on_part(now, lent, until),
+            Input::ServerListUnreadable(lost) => self.on_list_lost(lost, out),
+            Input::QuotaLease {
+                leased: lent,
+                until,
+            } => self.on_part(now, lent, until),
             Input::Tick => {}
             Input::Stop => {
                 self.stopping = true;
@@ -304,7 +320,7 @@
             .values()
             .any(|r| r.attempt.as_ref().is_some_and(|a| a.host == host));
         if let Some(link) = self.links.leave(host, busy && !at_once) {
-            out.push(Output::Hang { link });
+            out.push(Output::CloseLink { link });
         }
     }
 
@@ -322,7 +338,7 @@
                 epoch: link.epoch,
             },
         );
-        out.push(Output::Dial {
+        out.push(Output::Connect {
             link,
             endpoint,
             name,
@@ -356,7 +372,14 @@
             Timer::Deadline { request } => self.on_deadline(now, request, out),
             Timer::Stall { request } => self.on_stall(now, request, out),
             Timer::Probe { id } => self.end_probe(now, id, Outcome::TimedOut, Vec::new()),
-            Timer::Link { host, epoch } => self.on_link_time(now, LinkId { host, epoch }, out),
+            Timer::Link { host, epoch } => self.on_link_time(
+                now,
+                LinkId {
+                    server: host,
+                    epoch,
+                },
+                out,
+            ),
             Timer::Caller { session } => self.on_caller_time(now, session),
             Timer::Sweep => self.sweep(now, out),
             Timer::Ledger => self.on_ledger_time(now, out),
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -214,7 +214,7 @@
     };
     let mut machine = Machine::new(Settings::parse("record", settings)?, *seed);
     if keep_trace {
-        machine.keep_trace();
+        machine.enable_trace();
     }
     let mut found = Replay::default();
     for entry in steps {
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -1,4 +1,4 @@
-//! Ids, the clock, and what goes into and comes out of the machine.
+//! Ids, the clock, and the inputs and outputs of the machine.
 
 use bitternlatch_budget::charge::Entry;
 use bitternlatch_budget::ledger::{Part, Want};
@@ -9,9 +9,9 @@
 use bitternlatch_quota_lease::Hearsay;
 use serde::{Deserialize, Serialize};
 
-use crate::evidence::Seen;
+use crate::evidence::Observation;
 
-/// Microseconds on a clock that never goes back; the programs start it at the Unix time.
+/// Microseconds on a monotonic clock; the programs start it at the Unix time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Micros(pub u64);
 
@@ -41,172 +41,262 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionId(pub u64);
 
-/// One connection to a host: a host's links are numbered, so that what an old one still says is told apart.
+/// One connection to a model server. The connections of a server are numbered, so that a late message of an earlier one
+/// is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LinkId {
-    pub host: ServerId,
+    /// The server that the link leads to.
+    #[serde(rename = "host")]
+    pub server: ServerId,
+    /// Number of the connection to this server, from 1.
     pub epoch: u32,
 }
 
-/// What the machine is told.
+/// One event for the machine. The serialized names are those of the record's format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Input {
-    /// The complete list of hosts that counts from now on.
-    Hosts(Vec<Host>),
+    /// The complete list of model servers that is in force from now on.
+    #[serde(rename = "Hosts")]
+    ServerList(Vec<Host>),
+    /// A client connected.
     SessionOpened {
+        /// Id of the new session.
         session: SessionId,
-        /// Whose it is, where callers are known.
+        /// The authenticated caller, where callers are known.
         #[serde(default)]
         caller: Option<Caller>,
     },
-    /// A session's caller has given a new proof, which was checked.
+    /// A session's caller presented a new credential, which was verified.
     SessionRenewed {
+        /// The session that it was presented in.
         session: SessionId,
+        /// The caller with the new expiry time.
         caller: Caller,
     },
-    /// A new proof did not count; the word for why.
-    RenewalRefused {
+    /// A session's new credential was rejected.
+    #[serde(rename = "RenewalRefused")]
+    RenewalRejected {
+        /// The session that it was presented in.
         session: SessionId,
+        /// Reason as a code for the client.
         code: String,
     },
-    /// Keys and certificates that counted and do so no more.
-    KeysWithdrawn(Vec<String>),
-    /// How far the time by which proofs are judged is ahead of the machine's clock, which never jumps.
-    ProofTime {
+    /// Ids of signing keys and certificates that were valid and are revoked.
+    #[serde(rename = "KeysWithdrawn")]
+    CredentialsRevoked(Vec<String>),
+    /// How far the wall clock that credentials are judged by is ahead of the machine's monotonic clock.
+    #[serde(rename = "ProofTime")]
+    CredentialClockOffset {
+        /// Microseconds; negative where it is behind.
         ahead_us: i64,
     },
-    /// The ledger's answer to a question for parts.
-    Lent {
+    /// The quota server's response to [`Output::RequestBudgetLeases`].
+    #[serde(rename = "Lent")]
+    BudgetLeases {
+        /// Number of the request.
         number: u64,
-        parts: Vec<Part>,
+        /// The leases granted; tenants without one are granted nothing now.
+        #[serde(rename = "parts")]
+        leases: Vec<Part>,
     },
-    /// The rights that count from now on (TOML).
+    /// The access rights that are in force from now on (TOML).
     Rights(String),
+    /// A text message of a client.
     SessionText {
+        /// The session that it came over.
         session: SessionId,
+        /// The message.
         text: String,
     },
+    /// A client disconnected.
     SessionClosed {
+        /// The session that ended.
         session: SessionId,
     },
-    /// A dialled link is up.
+    /// A requested connection is established.
     LinkUp {
+        /// The connection.
         link: LinkId,
     },
-    /// A dialled link never came up.
+    /// A requested connection could not be established.
     LinkFailed {
+        /// The connection.
         link: LinkId,
-        why: String,
+        /// Cause, for logs.
+        #[serde(rename = "why")]
+        reason: String,
     },
+    /// A text message of a model server.
     LinkText {
+        /// The connection that it came over.
         link: LinkId,
+        /// The message.
         text: String,
     },
-    /// A link that was up has ended; what was told over it may have arrived.
+    /// An established connection ended; messages sent over it may have arrived.
     LinkClosed {
+        /// The connection.
         link: LinkId,
-        why: String,
+        /// Cause, for logs.
+        #[serde(rename = "why")]
+        reason: String,
     },
-    /// A told message went stale before its first byte was written: it never arrived.
+    /// A message passed its [`SendDeadline`] before its first byte was written: it never arrived.
     LinkUnsent {
+        /// The connection that it was for.
         link: LinkId,
+        /// Wire id of the attempt.
         attempt: String,
     },
-    /// What is known of the peers, the names of those that are there, and until when that counts.
-    Standing {
-        standing: Standing,
-        there: Vec<String>,
+    /// The state of the cluster's quorum as membership sees it.
+    #[serde(rename = "Standing")]
+    QuorumState {
+        /// The state.
+        #[serde(rename = "standing")]
+        state: Standing,
+        /// Names of the peers that are reachable.
+        #[serde(rename = "there")]
+        present: Vec<String>,
+        /// When the state expires unless it is renewed.
         until: Micros,
     },
-    /// Lent to this dispatcher of what all share, from 0 to 1, beside its careful part; and until when.
-    Part {
-        lent: f64,
+    /// This dispatcher's lease on the quota that all dispatchers share, in addition to its unleased quota.
+    #[serde(rename = "Part")]
+    QuotaLease {
+        /// Leased fraction of the whole, from 0 to 1.
+        #[serde(rename = "lent")]
+        leased: f64,
+        /// When the lease expires.
         until: Micros,
     },
-    /// What peers see of hosts, told at a time, and how many of them tell anything.
-    Heard {
-        at: Micros,
-        of: u16,
-        heard: Vec<Hearsay>,
+    /// What peers observe of model servers.
+    #[serde(rename = "Heard")]
+    PeerReports {
+        /// When the reports were sent.
+        #[serde(rename = "at")]
+        sent_at: Micros,
+        /// How many peers report anything at all.
+        #[serde(rename = "of")]
+        reporters: u16,
+        /// The reports.
+        #[serde(rename = "heard")]
+        reports: Vec<Hearsay>,
     },
-    /// By the machines beside the plane.
+    /// From the cluster's load shedding.
     Overload(bitternlatch_overload::Told),
-    Lengths(bitternlatch_output_length::Told),
+    /// From the cluster's learning of output lengths.
+    #[serde(rename = "Lengths")]
+    OutputLength(bitternlatch_output_length::Told),
+    /// From the workflow coordinator.
     Workflow(bitternlatch_workflow::Told),
-    /// Whether the list of hosts cannot be read any more, or can again.
-    ListLost(bool),
+    /// Whether the server list has become unreadable (`true`) or readable again.
+    #[serde(rename = "ListLost")]
+    ServerListUnreadable(bool),
     /// The time alone.
     Tick,
-    /// Take nothing new, answer what is in hand, then say [`Output::Stopped`].
+    /// Take no new requests, finish those in flight, then emit [`Output::Stopped`].
     Stop,
 }
 
+/// Severity of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Level {
+    /// Normal operation.
     Info,
+    /// A fault of something else that the dispatcher copes with.
     Warn,
+    /// A fault that needs somebody's attention.
     Error,
 }
 
-/// What the machine wants done, in order.
+/// One action for the caller of [`crate::Machine::step`], to be carried out in order. The serialized names are those of
+/// the record's format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Output {
     /// One text message to a client.
-    Say {
+    #[serde(rename = "Say")]
+    SendToClient {
+        /// The session to send over.
         session: SessionId,
+        /// The message.
         text: String,
     },
-    /// Close a session with a WebSocket close code once what was said has gone out.
+    /// Close a session once all messages before have been written.
     CloseSession {
+        /// The session to close.
         session: SessionId,
+        /// WebSocket close code (RFC 6455, 7.4).
         code: u16,
+        /// Close reason.
         reason: String,
     },
-    /// Connect to a host.
-    Dial {
+    /// Establish a connection to a model server.
+    #[serde(rename = "Dial")]
+    Connect {
+        /// Id of the new connection.
         link: LinkId,
+        /// `address:port`.
         endpoint: String,
-        /// Its listed name, to be proven where links are secured.
+        /// Listed name of the server, which it has to prove where links use TLS.
         #[serde(default)]
         name: String,
     },
-    /// One text message to a host.
-    Tell {
+    /// One text message to a model server.
+    #[serde(rename = "Tell")]
+    SendToServer {
+        /// The connection to send over.
         link: LinkId,
+        /// The message.
         text: String,
-        stale: Option<Stale>,
+        /// Until when its first byte may be written; none for any time.
+        #[serde(rename = "stale")]
+        deadline: Option<SendDeadline>,
     },
-    /// Close a link.
-    Hang {
+    /// Close a connection to a model server.
+    #[serde(rename = "Hang")]
+    CloseLink {
+        /// The connection.
         link: LinkId,
     },
-    /// A question for parts of tenants' rates.
-    AskLedger {
+    /// Ask the quota server for leases on tenants' token rates.
+    #[serde(rename = "AskLedger")]
+    RequestBudgetLeases {
+        /// Number of this run, as the holder of the leases.
         holder: u64,
+        /// Number of the request, for its response.
         number: u64,
+        /// What is wanted for each tenant.
         tenants: Vec<Want>,
     },
-    /// All that this dispatcher sees of hosts, for its peers.
-    Seen(Vec<Seen>),
-    /// To the machines beside the plane.
+    /// All that this dispatcher observes of model servers, for its peers.
+    #[serde(rename = "Seen")]
+    Observations(Vec<Observation>),
+    /// To the cluster's load shedding.
     Overload(bitternlatch_overload::Ask),
-    Lengths(bitternlatch_output_length::Ask),
+    /// To the cluster's learning of output lengths.
+    #[serde(rename = "Lengths")]
+    OutputLength(bitternlatch_output_length::Ask),
+    /// To the workflow coordinator.
     Workflow(bitternlatch_workflow::Ask),
-    /// What a request was charged; before its final answer, and again when more is known.
+    /// The charge for a request: before its final answer, and again when more is known.
     Charge(Entry),
+    /// A log line.
     Log {
+        /// Severity.
         level: Level,
+        /// The line.
         text: String,
     },
-    /// Everything in hand is answered after [`Input::Stop`].
+    /// All requests in flight at [`Input::Stop`] are answered.
     Stopped,
 }
 
-/// When a message must no longer be written: it is handed back as [`Input::LinkUnsent`].
+/// The time limit of a message: past it the message must not be written and comes back as [`Input::LinkUnsent`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Stale {
+pub struct SendDeadline {
     /// Longest wait before its first byte is written, seconds.
-    pub after_s: f64,
+    #[serde(rename = "after_s")]
+    pub max_wait_s: f64,
     /// Wire id of the attempt.
     pub attempt: String,
 }
--- a/crates/core/tests/any_order.rs
+++ b/crates/core/tests/any_order.rs
@@ -77,12 +77,12 @@
             fates: BTreeMap::new(),
             permits: BTreeMap::new(),
         };
-        chaos.step(Input::Hosts(four()));
+        chaos.step(Input::ServerList(four()));
         if steps {
             let (standing, until) = (Standing::Whole, Micros(u64::MAX));
-            chaos.step(Input::Standing {
-                standing,
-                there: vec!["d2".into()],
+            chaos.step(Input::QuorumState {
+                state: standing,
+                present: vec!["d2".into()],
                 until,
             });
         }
@@ -98,10 +98,10 @@
         self.machine.step(self.now, input.clone(), &mut outputs);
         for output in outputs.clone() {
             match output {
-                Output::Say { session, text } => self.heard(session, &text),
-                Output::Dial { link, .. } => self.dialled.push(link),
-                Output::Hang { link } => self.end_link(link),
-                Output::Tell { link, text, .. } => self.told(link, &text),
+                Output::SendToClient { session, text } => self.heard(session, &text),
+                Output::Connect { link, .. } => self.dialled.push(link),
+                Output::CloseLink { link } => self.end_link(link),
+                Output::SendToServer { link, text, .. } => self.told(link, &text),
                 Output::Workflow(ask) => self.asks.push_back(ask),
                 _ => {}
             }
@@ -208,7 +208,7 @@
             match self.below(5) {
                 0 => self.step(Input::LinkFailed {
                     link,
-                    why: "refused".into(),
+                    reason: "refused".into(),
                 }),
                 1 => self.dialled.push(link),
                 _ => {
@@ -329,7 +329,7 @@
         self.end_link(link);
         self.step(Input::LinkClosed {
             link,
-            why: "reset".into(),
+            reason: "reset".into(),
         });
     }
 
--- a/crates/core/tests/budgets.rs
+++ b/crates/core/tests/budgets.rs
@@ -14,7 +14,7 @@
 fn budgeted() -> Bench {
     let settings = Settings::parse("test", &format!("{SETTINGS}{BUDGET}")).expect("settings");
     let mut bench = Bench::with(settings, 5);
-    bench.step(Input::Hosts(four()));
+    bench.step(Input::ServerList(four()));
     bench.open_all(1000.0);
     bench
 }
@@ -75,7 +75,9 @@
     let charged = at(&|o| matches!(o, Output::Charge(_)));
     assert!(
         charged
-            < at(&|o| matches!(o, Output::Say { text, .. } if text.contains("response.completed")))
+            < at(
+                &|o| matches!(o, Output::SendToClient { text, .. } if text.contains("response.completed"))
+            )
     );
     // 1000 less 127, and some tens earned meanwhile: 800 more can be held at once.
     ask(&mut bench, one, "query", "k2", 760);
@@ -124,7 +126,7 @@
     let write = begin(&mut bench, session, "booking", "k", 200);
     bench.step(Input::LinkClosed {
         link: write.link,
-        why: "reset".into(),
+        reason: "reset".into(),
     });
     bench.pass(20.0);
     let bound = Used::Possibly(Amount {
@@ -191,7 +193,7 @@
 
 fn asked(bench: &mut Bench) -> Option<(u64, Want)> {
     let ask = |o: &Output| match o {
-        Output::AskLedger {
+        Output::RequestBudgetLeases {
             number, tenants, ..
         } => Some((*number, tenants[0].clone())),
         _ => None,
@@ -217,7 +219,7 @@
     let settings =
         Settings::parse("test", &format!("{SETTINGS}{ledger}{budget}")).expect("settings");
     let mut bench = Bench::with(settings, 5);
-    bench.step(Input::Hosts(four()));
+    bench.step(Input::ServerList(four()));
     bench.open_all(1000.0);
     let session = bench.open(1);
     bench.pass(2.0);
@@ -240,13 +242,13 @@
     let (number, want) = asked(&mut bench).expect("a question");
     assert!(want.tokens_per_s >= 1.0 && want.holds == 0, "{want:?}");
     // An answer to a question that was never asked changes nothing; the right one does.
-    bench.step(Input::Lent {
+    bench.step(Input::BudgetLeases {
         number: number + 7,
-        parts: vec![part(9, 100.0)],
+        leases: vec![part(9, 100.0)],
     });
-    bench.step(Input::Lent {
+    bench.step(Input::BudgetLeases {
         number,
-        parts: vec![
+        leases: vec![
             part(1, 90.0),
             Part {
                 tokens_per_s: f64::NAN,
@@ -286,9 +288,9 @@
     ask(&mut bench, session, "query", "k1", 50);
     bench.pass(0.6);
     let (number, _) = asked(&mut bench).expect("a question");
-    bench.step(Input::Lent {
+    bench.step(Input::BudgetLeases {
         number,
-        parts: vec![part(4, 10.0)],
+        leases: vec![part(4, 10.0)],
     });
     bench.pass(5.0);
     let (_, back) = asked(&mut bench).expect("it goes back");
--- a/crates/core/tests/callers.rs
+++ b/crates/core/tests/callers.rs
@@ -32,7 +32,7 @@
     let text = SETTINGS.replace("[inventory]", IDENTITY);
     let mut bench = Bench::with(Settings::parse("test", &text).expect("settings"), 5);
     bench.step(Input::Rights(RIGHTS.into()));
-    bench.step(Input::Hosts(four()));
+    bench.step(Input::ServerList(four()));
     bench.open_all(1000.0);
     bench
 }
@@ -152,7 +152,7 @@
     let mut bench = guarded();
     let ann = open(&mut bench, 1, "ann", "members");
     let write = bench.begin_write(ann, "booking", "k", "the season");
-    bench.step(Input::KeysWithdrawn(vec!["k1".into()]));
+    bench.step(Input::CredentialsRevoked(vec!["k1".into()]));
     bench.ask(ann, "query", "k2", "another");
     assert_eq!(
         codes(&mut bench, ann),
@@ -179,7 +179,7 @@
 fn a_clock_that_is_set_ends_proofs_by_the_judged_time_and_the_record_tells() {
     let mut bench = guarded();
     let ann = open(&mut bench, 1, "ann", "members");
-    bench.step(Input::ProofTime {
+    bench.step(Input::CredentialClockOffset {
         ahead_us: 599_000_000,
     });
     bench.ask(ann, "query", "k", "one more");
@@ -188,14 +188,14 @@
         ["response.created"],
         "a second is left"
     );
-    bench.step(Input::ProofTime { ahead_us: 0 });
+    bench.step(Input::CredentialClockOffset { ahead_us: 0 });
     bench.pass(2.0);
     bench.ask(ann, "query", "k2", "and one");
     assert!(
         codes(&mut bench, ann).contains(&"response.created".to_string()),
         "the clock was put right again"
     );
-    bench.step(Input::ProofTime {
+    bench.step(Input::CredentialClockOffset {
         ahead_us: 598_500_000,
     });
     bench.ask(ann, "query", "k3", "too late");
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -134,7 +134,7 @@
     /// With four hosts, all linked and warm.
     pub fn ready(seed: u64) -> Bench {
         let mut bench = Bench::new(seed);
-        bench.step(Input::Hosts(four()));
+        bench.step(Input::ServerList(four()));
         bench.open_all(1000.0);
         bench
     }
@@ -165,12 +165,12 @@
         self.machine.step(self.now, input, &mut out);
         for output in out {
             match &output {
-                Output::Say { session, text } => {
+                Output::SendToClient { session, text } => {
                     let event = serde_json::from_str(text).expect("an event");
                     self.said.push((*session, event));
                 }
-                Output::Tell { link, text, .. } => self.on_tell(*link, text),
-                Output::Dial { link, .. } => self.dials.push(*link),
+                Output::SendToServer { link, text, .. } => self.on_tell(*link, text),
+                Output::Connect { link, .. } => self.dials.push(*link),
                 Output::Log { text, .. } => self.logs.push(text.clone()),
                 Output::Stopped => self.stopped = true,
                 _ => {}
@@ -383,7 +383,7 @@
     pub fn name_of(link: LinkId) -> &'static str {
         ["r1", "r2", "w1", "w2"]
             .into_iter()
-            .find(|n| host_id(n) == link.host)
+            .find(|n| host_id(n) == link.server)
             .unwrap_or("?")
     }
 }
--- a/crates/core/tests/evidence.rs
+++ b/crates/core/tests/evidence.rs
@@ -18,7 +18,7 @@
         );
     }
     let mut bench = Bench::with(Settings::parse("test", &text).expect("settings"), 5);
-    bench.step(Input::Hosts(four()));
+    bench.step(Input::ServerList(four()));
     bench.open_all(1000.0);
     stand(&mut bench, Standing::Whole);
     bench
@@ -26,9 +26,9 @@
 
 fn stand(bench: &mut Bench, standing: Standing) {
     let until = Micros(bench.now.0 + 3_600_000_000);
-    bench.step(Input::Standing {
-        standing,
-        there: vec!["d2".into()],
+    bench.step(Input::QuorumState {
+        state: standing,
+        present: vec!["d2".into()],
         until,
     });
 }
@@ -36,7 +36,9 @@
 /// What was told to peers last, without the times.
 fn told(bench: &Bench) -> Option<Vec<(u32, Trait)>> {
     let last = |o: &Output| match o {
-        Output::Seen(seen) => Some(seen.iter().map(|(host, what, _)| (host.0, *what)).collect()),
+        Output::Observations(seen) => {
+            Some(seen.iter().map(|(host, what, _)| (host.0, *what)).collect())
+        }
         _ => None,
     };
     bench.out.iter().rev().find_map(last)
@@ -49,7 +51,11 @@
         voices,
         age: Duration::from_millis(500),
     }];
-    bench.step(Input::Heard { at, of: 2, heard });
+    bench.step(Input::PeerReports {
+        sent_at: at,
+        reporters: 2,
+        reports: heard,
+    });
 }
 
 /// The end of an ask of this class that is refused: code, and where else to try.
@@ -74,27 +80,30 @@
     bench.pass(1.0);
     assert_eq!(told(&bench), None, "nothing to tell");
     let list = "r1,127.0.0.1,1,reader,\nr2,127.0.0.1,2,reader,draining\nw1,127.0.0.1,3,writer,\nw2,127.0.0.1,4,writer,\n";
-    bench.step(Input::Hosts(hosts(list)));
+    bench.step(Input::ServerList(hosts(list)));
     bench.pass(0.3);
     assert_eq!(told(&bench), Some(vec![(host_id("r2"), Trait::Draining)]));
-    bench.step(Input::Hosts(four()));
+    bench.step(Input::ServerList(four()));
     bench.pass(0.3);
     assert_eq!(told(&bench), Some(vec![]));
     let session = bench.open(1);
     let write = bench.begin_write(session, "booking", "k", "q");
     bench.step(Input::LinkClosed {
         link: write.link,
-        why: "reset".into(),
+        reason: "reset".into(),
     });
     bench.pass(0.3);
     assert_eq!(told(&bench), Some(vec![]), "a short break");
     bench.pass(0.7);
-    assert_eq!(told(&bench), Some(vec![(write.link.host, Trait::Failing)]));
+    assert_eq!(
+        told(&bench),
+        Some(vec![(write.link.server, Trait::Failing)])
+    );
     // It comes up anew, started a moment ago.
     bench.pass(3.0);
     bench.open_all(1.0);
     bench.pass(0.3);
-    assert_eq!(told(&bench), Some(vec![(write.link.host, Trait::Cold)]));
+    assert_eq!(told(&bench), Some(vec![(write.link.server, Trait::Cold)]));
     bench.pass(20.0);
     assert_eq!(told(&bench), Some(vec![]));
 }
@@ -123,7 +132,7 @@
 #[test]
 fn what_peers_tell_reaches_the_module_with_its_age_unless_it_is_old_or_of_a_stranger() {
     let mut bench = cluster();
-    bench.machine.keep_trace();
+    bench.machine.enable_trace();
     let sent = bench.now;
     bench.now = Micros(sent.0 + 1_000_000);
     hear(&mut bench, "r1", Trait::Failing, 2, sent);
@@ -160,12 +169,12 @@
     let links: Vec<_> = ["r1", "r2", "w1", "w2"].map(host_id).to_vec();
     for host in &links {
         let link = bitternlatch_core::LinkId {
-            host: *host,
+            server: *host,
             epoch: 1,
         };
         bench.step(Input::LinkClosed {
             link,
-            why: "no route".into(),
+            reason: "no route".into(),
         });
     }
     bench.pass(0.5);
@@ -211,7 +220,7 @@
         for n in 0..20 {
             bench.ask(session, "query", &format!("{from}/{n}"), "words");
             let read = bench.take();
-            first += usize::from(read.link.host == host_id("r1"));
+            first += usize::from(read.link.server == host_id("r1"));
             bench.read_done(&read);
             let write = bench.take();
             bench.end(&write, 10, 1);
@@ -224,9 +233,9 @@
         goes_to_r1(&mut bench, 1) > 0,
         "one voice against the own list"
     );
-    bench.step(Input::ListLost(true));
+    bench.step(Input::ServerListUnreadable(true));
     hear(&mut bench, "r1", Trait::Draining, 1, now);
     assert_eq!(goes_to_r1(&mut bench, 2), 0);
-    bench.step(Input::ListLost(false));
+    bench.step(Input::ServerListUnreadable(false));
     assert!(goes_to_r1(&mut bench, 3) > 0);
 }
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -19,12 +19,12 @@
     }
     let settings = Settings::parse("test", &text).expect("settings");
     let mut bench = Bench::with(settings, 5);
-    bench.step(Input::Hosts(four()));
+    bench.step(Input::ServerList(four()));
     bench.open_all(1000.0);
     let until = Micros(bench.now.0 + 60_000_000);
-    bench.step(Input::Standing {
-        standing: Standing::Whole,
-        there: vec![],
+    bench.step(Input::QuorumState {
+        state: Standing::Whole,
+        present: vec![],
         until,
     });
     bench
@@ -97,9 +97,9 @@
     // Without a wake in between, as after a pause.
     bench.now = Micros(bench.now.0 + 60_000_000);
     let until = Micros(bench.now.0 + 60_000_000);
-    bench.step(Input::Standing {
-        standing: Standing::Whole,
-        there: vec![],
+    bench.step(Input::QuorumState {
+        state: Standing::Whole,
+        present: vec![],
         until,
     });
     let refused = (10..90).filter(|n| asked(&mut bench, *n).is_some()).count();
--- a/crates/core/tests/path.rs
+++ b/crates/core/tests/path.rs
@@ -129,7 +129,7 @@
     let write = b.begin_write(s, "booking", "k1", "the season");
     b.step(Input::LinkClosed {
         link: write.link,
-        why: "reset".into(),
+        reason: "reset".into(),
     });
     for round in 0..2 {
         let heard = b.heard(s);
@@ -261,7 +261,7 @@
     let mut settings = common::settings();
     settings.requests.prompt_bytes_in_hand = 1024;
     let mut b = Bench::with(settings, 1);
-    b.step(Input::Hosts(common::four()));
+    b.step(Input::ServerList(common::four()));
     b.open_all(1000.0);
     let s = b.open(1);
     let long = "x".repeat(1000);
--- a/crates/core/tests/shares.rs
+++ b/crates/core/tests/shares.rs
@@ -19,19 +19,22 @@
     }
     let settings = Settings::parse("test", &text).expect("settings");
     let mut bench = Bench::with(settings, 5);
-    bench.step(Input::Hosts(four()));
+    bench.step(Input::ServerList(four()));
     bench.open_all(1000.0);
     bench
 }
 
 fn lend(bench: &mut Bench, lent: f64, for_s: f64) {
     let until = Micros(bench.now.0 + (for_s * 1e6) as u64);
-    bench.step(Input::Standing {
-        standing: Standing::Whole,
-        there: vec![],
+    bench.step(Input::QuorumState {
+        state: Standing::Whole,
+        present: vec![],
+        until,
+    });
+    bench.step(Input::QuotaLease {
+        leased: lent,
         until,
     });
-    bench.step(Input::Part { lent, until });
 }
 
 /// Whether a request of a hundred tokens' prompt and so many more is taken now.
@@ -100,9 +103,9 @@
     lend(&mut bench, 0.9, 100.0);
     bench.pass(20.0);
     let until = Micros(bench.now.0 + 80_000_000);
-    bench.step(Input::Standing {
-        standing: Standing::CutOff,
-        there: vec![],
+    bench.step(Input::QuorumState {
+        state: Standing::CutOff,
+        present: vec![],
         until,
     });
     // Of the 910 saved the careful part's 10 are left.
@@ -114,7 +117,7 @@
 fn nothing_is_lent_to_one_that_is_to_know_nobody() {
     let settings = Settings::parse("test", &format!("{SETTINGS}{BUDGET}")).expect("settings");
     let mut bench = Bench::with(settings, 5);
-    bench.step(Input::Hosts(four()));
+    bench.step(Input::ServerList(four()));
     bench.open_all(1000.0);
     lend(&mut bench, 0.0, 0.0);
     assert!(
--- a/crates/core/tests/trouble.rs
+++ b/crates/core/tests/trouble.rs
@@ -37,7 +37,7 @@
         b.piece(&write, "last token", finish);
         b.step(Input::LinkClosed {
             link: write.link,
-            why: "reset".into(),
+            reason: "reset".into(),
         });
         assert_eq!(final_status(&mut b, s).0, status);
     }
@@ -46,16 +46,16 @@
 #[test]
 fn a_query_goes_on_after_a_reset_an_error_and_a_full_host() {
     let mut b = Bench::ready(1);
-    b.machine.keep_trace();
+    b.machine.enable_trace();
     let s = b.open(1);
     let write = b.begin_write(s, "query", "", "q");
     b.step(Input::LinkClosed {
         link: write.link,
-        why: "reset".into(),
+        reason: "reset".into(),
     });
     let second = b.take();
     assert!(
-        second.link.host != write.link.host,
+        second.link.server != write.link.server,
         "not to the host whose link is down"
     );
     b.error(&second, 503, Some(CODE_FULL));
@@ -94,7 +94,7 @@
 #[test]
 fn a_message_that_never_left_is_told_as_not_run() {
     let mut b = Bench::ready(1);
-    b.machine.keep_trace();
+    b.machine.enable_trace();
     let s = b.open(1);
     let write = b.begin_write(s, "booking", "k", "q");
     b.step(Input::LinkUnsent {
@@ -115,7 +115,7 @@
 #[test]
 fn a_send_that_waits_for_its_link_is_handed_back_when_the_host_is_told_to_drain() {
     let mut b = Bench::new(1);
-    b.step(Input::Hosts(four()));
+    b.step(Input::ServerList(four()));
     let (reader, rest): (Vec<_>, Vec<_>) = b
         .dials
         .drain(..)
@@ -129,7 +129,7 @@
     b.ask(s, "query", "", "q");
     assert!(b.told.is_empty(), "both readers have not greeted yet");
     let rows = "r1,127.0.0.1,1,reader,draining\nr2,127.0.0.1,2,reader,draining\nw1,127.0.0.1,3,writer,\nw2,127.0.0.1,4,writer,\n";
-    b.step(Input::Hosts(hosts(rows)));
+    b.step(Input::ServerList(hosts(rows)));
     let readers_greet = |b: &mut Bench| reader.iter().for_each(|l| b.greet(*l, 1000.0));
     readers_greet(&mut b);
     b.pass(1.0);
@@ -150,7 +150,7 @@
     b.says(first.link, &FromEngine::State { state });
     for i in 1..4 {
         let write = b.begin_write(s, "query", "", &format!("q{i}"));
-        assert_ne!(write.link.host, first.link.host);
+        assert_ne!(write.link.server, first.link.server);
         b.piece(&write, "x", Some("stop"));
         b.done(&write);
     }
@@ -162,8 +162,8 @@
 #[test]
 fn what_was_queued_for_a_host_that_proves_cold_is_handed_back() {
     let mut b = Bench::new(1);
-    b.machine.keep_trace();
-    b.step(Input::Hosts(hosts(
+    b.machine.enable_trace();
+    b.step(Input::ServerList(hosts(
         "r1,127.0.0.1,1,reader,\nw1,127.0.0.1,3,writer,\n",
     )));
     let s = b.open(1);
@@ -182,7 +182,7 @@
 #[test]
 fn a_host_that_accepts_and_says_nothing_is_left_and_dialled_again() {
     let mut b = Bench::new(1);
-    b.step(Input::Hosts(four()));
+    b.step(Input::ServerList(four()));
     let links = std::mem::take(&mut b.dials);
     links
         .iter()
@@ -258,7 +258,9 @@
     }
     assert_eq!(b.faults.len(), 4);
     let other = b.out.iter().find_map(|o| match o {
-        bitternlatch_core::Output::Dial { link, .. } if link.host != write.link.host => Some(*link),
+        bitternlatch_core::Output::Connect { link, .. } if link.server != write.link.server => {
+            Some(*link)
+        }
         _ => None,
     });
     let foreign = FromEngine::Done {
@@ -297,7 +299,7 @@
 #[test]
 fn a_read_that_leaves_no_state_and_a_write_without_an_end_are_errors() {
     let mut b = Bench::ready(1);
-    b.machine.keep_trace();
+    b.machine.enable_trace();
     let s = b.open(1);
     b.ask(s, "query", "", "q");
     let read = b.take();
@@ -320,7 +322,7 @@
 #[test]
 fn loads_that_are_absent_negative_or_no_number_are_no_report() {
     let mut b = Bench::ready(1);
-    b.machine.keep_trace();
+    b.machine.enable_trace();
     let s = b.open(1);
     let loads = [
         r#"{}"#,
@@ -356,14 +358,14 @@
     let rows =
         "r1,127.0.0.1,1,reader,\nr2,127.0.0.1,2,reader,\nw1,127.0.0.1,33,writer,\nw2,127.0.0.1,44,writer,\n";
     b.out.clear();
-    b.step(Input::Hosts(hosts(rows)));
+    b.step(Input::ServerList(hosts(rows)));
     let hung = b
         .out
-        .contains(&bitternlatch_core::Output::Hang { link: write.link });
+        .contains(&bitternlatch_core::Output::CloseLink { link: write.link });
     assert!(hung && b.dials.len() == 2);
     b.step(Input::LinkClosed {
         link: write.link,
-        why: "hung up".into(),
+        reason: "hung up".into(),
     });
     b.open_all(1000.0);
     b.pass(8.0);
--- a/crates/core/tests/workflows.rs
+++ b/crates/core/tests/workflows.rs
@@ -22,12 +22,12 @@
 
 fn bench(on: bool) -> Bench {
     let mut bench = Bench::with(Settings::parse("test", &text(on)).expect("settings"), 5);
-    bench.step(Input::Hosts(four()));
+    bench.step(Input::ServerList(four()));
     bench.open_all(1000.0);
     let until = Micros(bench.now.0 + 3_600_000_000);
-    bench.step(Input::Standing {
-        standing: Standing::Whole,
-        there: vec!["d2".into()],
+    bench.step(Input::QuorumState {
+        state: Standing::Whole,
+        present: vec!["d2".into()],
         until,
     });
     bench
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -11,7 +11,9 @@
 use bitternlatch_budget::ledger::ToLedger;
 use bitternlatch_core::record::{self, Writer};
 use bitternlatch_core::settings::Engines;
-use bitternlatch_core::{Input, Level, LinkId, Machine, Micros, Output, Seen, SessionId, Settings};
+use bitternlatch_core::{
+    Input, Level, LinkId, Machine, Micros, Observation, Output, SessionId, Settings,
+};
 use bitternlatch_identity::Caller;
 use bitternlatch_journal::held::{Charge, Held};
 use bitternlatch_protocol::client::{renewal, Renewal};
@@ -104,7 +106,7 @@
         // What was withdrawn between the check and this moment was told before the session was known.
         if let (Some(guard), Some(caller)) = (&self.guard, proof) {
             if !guard.counts(&caller) {
-                self.tell(Event::Input(Input::KeysWithdrawn(vec![caller.key_id])));
+                self.tell(Event::Input(Input::CredentialsRevoked(vec![caller.key_id])));
             }
         }
     }
@@ -114,7 +116,7 @@
         // A token goes no further than here: what the loop is told may be recorded.
         let input = match (renewal(&text), &self.guard) {
             (Renewal::None, _) | (_, None) => Input::SessionText { session, text },
-            (Renewal::Broken, Some(_)) => Input::RenewalRefused {
+            (Renewal::Broken, Some(_)) => Input::RenewalRejected {
                 session,
                 code: "token_malformed".to_string(),
             },
@@ -126,7 +128,7 @@
                         code = refusal.code(),
                         "a renewal is refused"
                     );
-                    Input::RenewalRefused {
+                    Input::RenewalRejected {
                         session,
                         code: refusal.code().to_string(),
                     }
@@ -181,7 +183,7 @@
     charges: Option<Charges>,
     ledger: Option<LedgerLink>,
     /// Where what is seen of hosts is told.
-    peers: Option<Box<dyn Fn(Vec<Seen>)>>,
+    peers: Option<Box<dyn Fn(Vec<Observation>)>>,
     beside: Beside,
     /// Answers that wait for their charge.
     held: Held<SessionId, Output>,
@@ -232,7 +234,7 @@
     }
 
     /// Tells peers what is seen of hosts.
-    pub fn tell_peers(&mut self, tell: Box<dyn Fn(Vec<Seen>)>) {
+    pub fn tell_peers(&mut self, tell: Box<dyn Fn(Vec<Observation>)>) {
         self.peers = Some(tell);
     }
 
@@ -353,7 +355,9 @@
                 output => output,
             };
             let to = match &output {
-                Output::Say { session, .. } | Output::CloseSession { session, .. } => *session,
+                Output::SendToClient { session, .. } | Output::CloseSession { session, .. } => {
+                    *session
+                }
                 _ => {
                     stopped |= self.carry(output);
                     continue;
@@ -386,7 +390,7 @@
     /// Carries one output out; true for the last one.
     fn carry(&mut self, output: Output) -> bool {
         match output {
-            Output::Say { session, text } => {
+            Output::SendToClient { session, text } => {
                 if let Some(outbox) = self.sessions.get(&session) {
                     if outbox.text(text).is_err() {
                         tracing::warn!(
@@ -406,18 +410,22 @@
                     outbox.close(code, &reason);
                 }
             }
-            Output::Dial {
+            Output::Connect {
                 link,
                 endpoint,
                 name,
             } => self.dial(link, endpoint, name),
-            Output::Tell { link, text, stale } => self.tell(link, text, stale),
-            Output::Hang { link } => {
+            Output::SendToServer {
+                link,
+                text,
+                deadline: stale,
+            } => self.tell(link, text, stale),
+            Output::CloseLink { link } => {
                 if let Some(outbox) = self.links.get(&link) {
                     outbox.cut();
                 }
             }
-            Output::AskLedger {
+            Output::RequestBudgetLeases {
                 holder,
                 number,
                 tenants,
@@ -430,14 +438,14 @@
                     });
                 }
             }
-            Output::Seen(seen) => {
+            Output::Observations(seen) => {
                 if let Some(tell) = &self.peers {
                     tell(seen);
                 }
             }
             // What is not taken is as if it had been lost on the way to peers, which the machines and the core bear by time.
             Output::Overload(ask) => drop(self.beside.overload.as_ref().map(|to| to(ask))),
-            Output::Lengths(ask) => drop(self.beside.lengths.as_ref().map(|to| to(ask))),
+            Output::OutputLength(ask) => drop(self.beside.lengths.as_ref().map(|to| to(ask))),
             Output::Workflow(ask) => {
                 let call = ask.call();
                 if !self.beside.workflow.as_ref().is_some_and(|to| to(ask)) {
@@ -459,7 +467,7 @@
         false
     }
 
-    fn tell(&mut self, link: LinkId, text: String, stale: Option<bitternlatch_core::Stale>) {
+    fn tell(&mut self, link: LinkId, text: String, stale: Option<bitternlatch_core::SendDeadline>) {
         let Some(outbox) = self.links.get(&link) else {
             return;
         };
@@ -470,7 +478,7 @@
                 }
             }
             Some(stale) => {
-                let within = Duration::from_secs_f64(stale.after_s);
+                let within = Duration::from_secs_f64(stale.max_wait_s);
                 if outbox
                     .text_within(text, within, stale.attempt.clone())
                     .is_err()
@@ -495,7 +503,7 @@
         if let Err(e) = thread.spawn(move || run_link(link, &endpoint, &manner, &engines, &back)) {
             self.own.push_back(Input::LinkFailed {
                 link,
-                why: format!("no thread: {e}"),
+                reason: format!("no thread: {e}"),
             });
         }
     }
@@ -551,7 +559,7 @@
         Err(e) => {
             tell(Input::LinkFailed {
                 link,
-                why: e.to_string(),
+                reason: e.to_string(),
             });
             return;
         }
@@ -564,7 +572,7 @@
                 }
             }
             Heard::Ended(why) => {
-                tell(Input::LinkClosed { link, why });
+                tell(Input::LinkClosed { link, reason: why });
                 return;
             }
         }
--- a/crates/net/src/guard.rs
+++ b/crates/net/src/guard.rs
@@ -285,7 +285,9 @@
         // Less than this is the time between two readings of the clocks.
         if (ahead_us - self.told_us).abs() >= 1_000_000 {
             self.told_us = ahead_us;
-            let _ = self.to.send(Event::Input(Input::ProofTime { ahead_us }));
+            let _ = self
+                .to
+                .send(Event::Input(Input::CredentialClockOffset { ahead_us }));
         }
     }
 
@@ -346,7 +348,7 @@
         self.counted = counting;
         if !gone.is_empty() {
             tracing::warn!(keys = ?gone, "keys count no more");
-            let _ = self.to.send(Event::Input(Input::KeysWithdrawn(gone)));
+            let _ = self.to.send(Event::Input(Input::CredentialsRevoked(gone)));
         }
     }
 
--- a/crates/net/src/ledger.rs
+++ b/crates/net/src/ledger.rs
@@ -108,7 +108,10 @@
         match serde_json::from_str(&text) {
             Ok(FromLedger::Lent { number, parts }) => {
                 if to
-                    .send(Event::Input(Input::Lent { number, parts }))
+                    .send(Event::Input(Input::BudgetLeases {
+                        number,
+                        leases: parts,
+                    }))
                     .is_err()
                 {
                     return "the loop has ended".to_string();
--- a/crates/net/src/tls.rs
+++ b/crates/net/src/tls.rs
@@ -352,7 +352,7 @@
         let revoked = server.as_ref().map(|s| s.look()).unwrap_or_default();
         if !revoked.is_empty()
             && to
-                .send(Event::Input(Input::KeysWithdrawn(revoked)))
+                .send(Event::Input(Input::CredentialsRevoked(revoked)))
                 .is_err()
         {
             return;
--- a/crates/net/src/watch.rs
+++ b/crates/net/src/watch.rs
@@ -60,7 +60,7 @@
             let now_lost = !told.is_empty() || good.is_broken();
             if now_lost != lost {
                 lost = now_lost;
-                inputs.push(Input::ListLost(lost));
+                inputs.push(Input::ServerListUnreadable(lost));
             }
             for input in inputs {
                 if to.send(Event::Input(input)).is_err() {
@@ -86,7 +86,7 @@
         Offer::Taken(change) => {
             tracing::info!(added = ?change.added, removed = ?change.removed, changed = ?change.changed,
                 "a new host list counts");
-            Some(Input::Hosts(good.hosts().values().cloned().collect()))
+            Some(Input::ServerList(good.hosts().values().cloned().collect()))
         }
     }
 }
--- a/crates/net/tests/clock.rs
+++ b/crates/net/tests/clock.rs
@@ -18,7 +18,7 @@
 fn told(from: &Receiver<Event>) -> i64 {
     let by = Instant::now() + Duration::from_secs(20);
     while let Ok(event) = from.recv_deadline(by) {
-        if let Event::Input(Input::ProofTime { ahead_us }) = event {
+        if let Event::Input(Input::CredentialClockOffset { ahead_us }) = event {
             return (ahead_us as f64 / 1e6).round() as i64;
         }
     }
--- a/programs/dispatch/src/beside.rs
+++ b/programs/dispatch/src/beside.rs
@@ -98,7 +98,7 @@
         .map(|kept| Snapshot::at(place.base.join(kept)));
     let store = kept.map(|kept| -> Box<dyn Store> { Box::new(kept) });
     // An answer that finds it busy is not counted.
-    beside.lengths = Some(place.run(machine, store, Input::Lengths)?);
+    beside.lengths = Some(place.run(machine, store, Input::OutputLength)?);
     Ok(())
 }
 
--- a/programs/dispatch/src/lib.rs
+++ b/programs/dispatch/src/lib.rs
@@ -227,7 +227,7 @@
         guard,
     });
     let hosts = good.hosts().values().cloned().collect();
-    to.send(Event::Input(Input::Hosts(hosts)))
+    to.send(Event::Input(Input::ServerList(hosts)))
         .map_err(|e| e.to_string())?;
     let every = Duration::from_secs_f64(settings.inventory.reread_s);
     watch::watch(list, every, good, to.clone())
