--- a/crates/cluster-net/src/plane.rs
+++ b/crates/cluster-net/src/plane.rs
@@ -139,7 +139,7 @@
         let socket = UdpSocket::bind(address).map_err(bad(Opened::Datagrams))?;
         let listener = TcpListener::bind(address).map_err(bad(Opened::Connections))?;
         // Only now: a start that finds its address taken must not count.
-        let kept = cluster.kept.as_ref().map(|k| base.join(k));
+        let kept = cluster.incarnation_file.as_ref().map(|k| base.join(k));
         let process = start::number(kept.as_deref())?;
         let seed = getrandom::u64()?;
         let clock = Clock::start();
--- a/crates/cluster-net/src/seeds.rs
+++ b/crates/cluster-net/src/seeds.rs
@@ -70,7 +70,7 @@
 
 /// Beside the start's number.
 fn kept(cluster: &Cluster, base: &Path) -> Option<PathBuf> {
-    let path = base.join(cluster.kept.as_ref()?);
+    let path = base.join(cluster.incarnation_file.as_ref()?);
     let mut name = path.file_name()?.to_os_string();
     name.push(".roster");
     Some(path.with_file_name(name))
@@ -145,7 +145,7 @@
         let peer = |n: u16| Peer {
             name: format!("d{n}"),
             address: SocketAddrV4::new([127, 0, 0, 1].into(), 7000 + n),
-            clients: Some(format!("c{n}")),
+            client_address: Some(format!("c{n}")),
         };
         let roster = vec![peer(1), peer(2)];
         let (name, secret) = ("hall".to_string(), String::new());
--- a/crates/cluster-net/tests/beside.rs
+++ b/crates/cluster-net/tests/beside.rs
@@ -81,7 +81,7 @@
     let peer = |n| Peer {
         name: format!("d{n}"),
         address: address(n),
-        clients: None,
+        client_address: None,
     };
     let roster = vec![peer(1), peer(2)];
     let cluster = Cluster {
@@ -141,7 +141,7 @@
     let roster = vec![Peer {
         name: "d1".into(),
         address: address(1),
-        clients: None,
+        client_address: None,
     }];
     let cluster = Cluster {
         name: "hall".into(),
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -207,7 +207,7 @@
         if !self.links.is_current(link) {
             return;
         }
-        let warm_after_s = self.settings.rules.cold.warm_after_s;
+        let warm_after_s = self.settings.rules.slow_start.warm_after_s;
         let Some((entry, anew)) =
             self.fleet
                 .greeted(now, link.server, uptime_s, state, warm_after_s)
--- a/crates/core/src/carry.rs
+++ b/crates/core/src/carry.rs
@@ -155,7 +155,7 @@
             .get(&id)
             .filter(|r| !r.answered && r.attempt.is_none());
         // A state that waits to be fetched keeps its place for so long at the most, whatever time the request has left.
-        let pinned = now.after(self.settings.rules.pin_limit_s * PINNED_SHARE);
+        let pinned = now.after(self.settings.rules.max_kv_hold_s * PINNED_SHARE);
         let ends = |r: &Request| {
             if r.state.is_some() {
                 pinned
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -84,7 +84,7 @@
     }
 
     fn seen(&mut self, now: Micros) -> Vec<Observation> {
-        let warm_after_s = self.settings.rules.cold.warm_after_s;
+        let warm_after_s = self.settings.rules.slow_start.warm_after_s;
         let mut seen: BTreeMap<(Host, Trait), Micros> = BTreeMap::new();
         // What has no time of its own counts from the look at which it was first so.
         let mut so = BTreeSet::new();
--- a/crates/core/src/intake.rs
+++ b/crates/core/src/intake.rs
@@ -179,10 +179,10 @@
         if !self.may_take(now, wanted.class) {
             return Err(self.sent_elsewhere(now));
         }
-        if self.requests.len() >= self.settings.requests.in_hand {
+        if self.requests.len() >= self.settings.requests.max_requests {
             return Err(too_many("the dispatcher has as many requests in hand as it may").into());
         }
-        if self.prompt_bytes + wanted.prompt.len() > self.settings.requests.prompt_bytes_in_hand {
+        if self.prompt_bytes + wanted.prompt.len() > self.settings.requests.total_prompt_bytes {
             return Err(too_many("the prompts in hand take as much memory as they may").into());
         }
         Ok(())
--- a/crates/core/src/leases.rs
+++ b/crates/core/src/leases.rs
@@ -55,7 +55,7 @@
 impl Machine {
     /// Begins to borrow, where there is a ledger: at the careful rate until a part comes.
     pub(crate) fn open_leases(&mut self, now: Micros) {
-        if self.settings.ledger.is_none() {
+        if self.settings.quota_server.is_none() {
             return;
         }
         let rules = LeaseRules::default();
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -67,7 +67,7 @@
             .flat_map(|c| &c.roster)
             .filter(|p| p.name != self.settings.name);
         let all: Vec<_> = others
-            .filter_map(|p| Some((&p.name, p.clients.as_ref()?)))
+            .filter_map(|p| Some((&p.name, p.client_address.as_ref()?)))
             .collect();
         let there = |(name, _): &&(&String, &String)| self.peers.there.contains(name);
         let known: Vec<String> = all
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -47,11 +47,12 @@
     #[serde(default)]
     pub engines: Engines,
     pub inventory: Inventory,
-    pub record: Option<Record>,
+    pub record: Option<RecordFile>,
     /// Without it any caller may do anything.
     pub identity: Option<Identity>,
-    pub charges: Option<ChargeFile>,
-    pub ledger: Option<LedgerAt>,
+    pub charges: Option<ChargeJournal>,
+    #[serde(rename = "ledger")]
+    pub quota_server: Option<QuotaServer>,
     /// Without it this dispatcher knows of no other.
     pub cluster: Option<Cluster>,
     #[serde(default)]
@@ -176,33 +177,35 @@
     /// A JWKS document: a file, or an `http://` address. Without one no token counts, client certificates alone do.
     pub keys: Option<String>,
     /// Where the last good document is kept for a restart.
-    pub kept: Option<String>,
+    #[serde(rename = "kept")]
+    pub cache_file: Option<String>,
     pub rights: String,
     /// Seconds between two fetches, and for how long the last good document counts.
     #[serde(default = "defaults::refresh_s")]
     pub refresh_s: f64,
     #[serde(default = "defaults::keep_s")]
-    pub keep_s: f64,
+    #[serde(rename = "keep_s")]
+    pub cache_lifetime_s: f64,
 }
 
 /// The ledger that lends parts of tenants' rates and takes charges.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct LedgerAt {
+pub struct QuotaServer {
     pub address: String,
 }
 
 /// Where charges are kept.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ChargeFile {
+pub struct ChargeJournal {
     /// A journal of this dispatcher's own; relative to the settings file.
     pub file: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Record {
+pub struct RecordFile {
     /// Where inputs and outputs are recorded; written anew at each start.
     pub file: String,
 }
@@ -225,11 +228,13 @@
 #[serde(deny_unknown_fields, default)]
 pub struct RequestLimits {
     /// Requests in hand over all sessions.
-    pub in_hand: usize,
+    #[serde(rename = "in_hand")]
+    pub max_requests: usize,
     /// Longest prompt, with all that it goes on from.
     pub prompt_bytes: usize,
     /// Prompts of all requests in hand together.
-    pub prompt_bytes_in_hand: usize,
+    #[serde(rename = "prompt_bytes_in_hand")]
+    pub total_prompt_bytes: usize,
     /// Texts kept for `previous_response_id`: bytes over all, and seconds.
     pub context_bytes: usize,
     pub context_s: f64,
@@ -246,9 +251,9 @@
 impl Default for RequestLimits {
     fn default() -> Self {
         RequestLimits {
-            in_hand: 20_000,
+            max_requests: 20_000,
             prompt_bytes: 1 << 20,
-            prompt_bytes_in_hand: 256 << 20,
+            total_prompt_bytes: 256 << 20,
             context_bytes: 64 << 20,
             context_s: 3600.0,
             keys: 100_000,
@@ -265,15 +270,17 @@
 #[serde(deny_unknown_fields)]
 pub struct Rules {
     /// A held state is taken or let go within this many seconds.
-    pub pin_limit_s: f64,
+    #[serde(rename = "pin_limit_s")]
+    pub max_kv_hold_s: f64,
     /// Nothing new reaches a host later than this many seconds after it was told to drain.
     pub drain_grace_s: f64,
-    pub cold: Cold,
+    #[serde(rename = "cold")]
+    pub slow_start: SlowStart,
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Cold {
+pub struct SlowStart {
     pub start_capacity: f64,
     pub overload_factor: f64,
     pub window_s: f64,
@@ -284,7 +291,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Attempts {
     /// Attempts for one request.
-    pub most: u32,
+    #[serde(rename = "most")]
+    pub max_attempts: u32,
     #[serde(default = "defaults::yes")]
     pub may_cancel: bool,
     #[serde(default = "defaults::yes")]
@@ -292,7 +300,8 @@
     pub max_retry_after_s: f64,
     /// Writers read a prompt themselves when there is no state to fetch.
     #[serde(default)]
-    pub writers_read: bool,
+    #[serde(rename = "writers_read")]
+    pub decode_servers_prefill: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
@@ -328,7 +337,8 @@
 pub struct ReportField {
     /// Its name in the engines' load, as `num_requests_waiting`.
     pub name: String,
-    pub means: Meaning,
+    #[serde(rename = "means")]
+    pub meaning: Meaning,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
@@ -358,13 +368,18 @@
     pub key_scope: Scope,
     #[serde(default)]
     pub key_window_s: f64,
-    pub ttft_aim_s: f64,
+    #[serde(rename = "ttft_aim_s")]
+    pub ttft_objective_s: f64,
     #[serde(default)]
-    pub ttft_aim_ms_per_1000_tokens: f64,
-    pub token_gap_aim_s: f64,
+    #[serde(rename = "ttft_aim_ms_per_1000_tokens")]
+    pub ttft_objective_ms_per_1000_tokens: f64,
+    #[serde(rename = "token_gap_aim_s")]
+    pub token_gap_objective_s: f64,
     pub deadline_s: f64,
-    pub worth: f64,
-    pub late_worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
+    #[serde(rename = "late_worth")]
+    pub late_priority_weight: f64,
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -380,8 +395,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RoleName {
-    Reader,
-    Writer,
+    #[serde(rename = "reader")]
+    Prefill,
+    #[serde(rename = "writer")]
+    Decode,
     Mixed,
 }
 
@@ -405,8 +422,8 @@
 impl From<RawKind> for Kind {
     fn from(raw: RawKind) -> Self {
         let role = match raw.role {
-            RoleName::Reader => policy::Role::Prefill,
-            RoleName::Writer => policy::Role::Decode,
+            RoleName::Prefill => policy::Role::Prefill,
+            RoleName::Decode => policy::Role::Decode,
             RoleName::Mixed => policy::Role::Mixed,
         };
         Kind {
@@ -477,7 +494,7 @@
         let roster = |s: &Settings| s.cluster.as_ref().map(|c| c.roster.clone());
         assert!(all.iter().all(|s| roster(s) == roster(&all[0])));
         let clients = |s: &Settings| {
-            roster(s).and_then(|r| r.into_iter().find(|p| p.name == s.name)?.clients)
+            roster(s).and_then(|r| r.into_iter().find(|p| p.name == s.name)?.client_address)
         };
         assert!(all
             .iter()
--- a/crates/core/src/settings/check.rs
+++ b/crates/core/src/settings/check.rs
@@ -107,14 +107,14 @@
             }
             c.within("identity.skew_s", identity.skew_s as f64, 0.0, 600.0);
             c.within("identity.refresh_s", identity.refresh_s, 0.05, 86_400.0);
-            c.within("identity.keep_s", identity.keep_s, 1.0, 1e7);
+            c.within("identity.keep_s", identity.cache_lifetime_s, 1.0, 1e7);
         }
         c.within("stop.within_s", self.stop.within_s, 0.1, 3600.0);
-        c.within("requests.in_hand", r.in_hand as f64, 1.0, 1e7);
+        c.within("requests.in_hand", r.max_requests as f64, 1.0, 1e7);
         c.within("requests.prompt_bytes", r.prompt_bytes as f64, 1024.0, 1e9);
         c.within(
             "requests.prompt_bytes_in_hand",
-            r.prompt_bytes_in_hand as f64,
+            r.total_prompt_bytes as f64,
             1024.0,
             1e12,
         );
@@ -133,8 +133,8 @@
     }
 
     fn check_rules(&self, c: &mut Check) {
-        let (rules, cold, a) = (&self.rules, &self.rules.cold, &self.attempts);
-        c.within("rules.pin_limit_s", rules.pin_limit_s, 0.01, 3600.0);
+        let (rules, cold, a) = (&self.rules, &self.rules.slow_start, &self.attempts);
+        c.within("rules.pin_limit_s", rules.max_kv_hold_s, 0.01, 3600.0);
         c.within("rules.drain_grace_s", rules.drain_grace_s, 0.01, 3600.0);
         c.within("rules.cold.start_capacity", cold.start_capacity, 0.01, 1.0);
         c.within(
@@ -145,7 +145,7 @@
         );
         c.within("rules.cold.window_s", cold.window_s, 0.1, 600.0);
         c.within("rules.cold.warm_after_s", cold.warm_after_s, 0.1, 3600.0);
-        c.within("attempts.most", f64::from(a.most), 1.0, 100.0);
+        c.within("attempts.most", f64::from(a.max_attempts), 1.0, 100.0);
         c.within(
             "attempts.max_retry_after_s",
             a.max_retry_after_s,
@@ -162,17 +162,22 @@
         c.unique("kinds", self.kinds.iter().map(|x| x.name.as_str()));
         for (i, class) in self.classes.iter().enumerate() {
             let at = |key: &str| format!("classes.{i}.{key}");
-            c.within(&at("ttft_aim_s"), class.ttft_aim_s, 0.001, 3600.0);
+            c.within(&at("ttft_aim_s"), class.ttft_objective_s, 0.001, 3600.0);
             c.within(
                 &at("ttft_aim_ms_per_1000_tokens"),
-                class.ttft_aim_ms_per_1000_tokens,
+                class.ttft_objective_ms_per_1000_tokens,
                 0.0,
                 1e6,
             );
-            c.within(&at("token_gap_aim_s"), class.token_gap_aim_s, 0.0001, 60.0);
+            c.within(
+                &at("token_gap_aim_s"),
+                class.token_gap_objective_s,
+                0.0001,
+                60.0,
+            );
             c.within(&at("deadline_s"), class.deadline_s, 0.05, 86_400.0);
-            c.within(&at("worth"), class.worth, 0.0, 1e6);
-            c.within(&at("late_worth"), class.late_worth, 0.0, 1.0);
+            c.within(&at("worth"), class.priority_weight, 0.0, 1e6);
+            c.within(&at("late_worth"), class.late_priority_weight, 0.0, 1.0);
             c.within(&at("key_window_s"), class.key_window_s, 0.0, 1e7);
             if class.effect == Effect::Keyed && class.key_window_s <= 0.0 {
                 c.fail(
--- a/crates/core/src/settings/cluster.rs
+++ b/crates/core/src/settings/cluster.rs
@@ -19,7 +19,8 @@
     /// What proves that a peer belongs to it: a file of 16 to 4096 bytes, the same at all; relative to the settings file.
     pub secret: String,
     /// Where the latest start is kept, so that a restart counts as later whatever the clock says; relative likewise.
-    pub kept: Option<String>,
+    #[serde(rename = "kept")]
+    pub incarnation_file: Option<String>,
     /// Where this one listens, if not where the roster says that peers send: behind a forwarder.
     pub address: Option<SocketAddrV4>,
     /// All members, this one among them.
@@ -43,7 +44,8 @@
     /// For datagrams and TCP, IPv4.
     pub address: SocketAddrV4,
     /// Where its clients come, for refusals that name others to try.
-    pub clients: Option<String>,
+    #[serde(rename = "clients")]
+    pub client_address: Option<String>,
 }
 
 impl Cluster {
--- a/crates/core/src/settings/module.rs
+++ b/crates/core/src/settings/module.rs
@@ -23,7 +23,7 @@
                 .reports
                 .fields
                 .iter()
-                .map(|f| f.means.policy())
+                .map(|f| f.meaning.policy())
                 .collect(),
             report_mode: match self.reports.mode {
                 ReportMode::WithAnswers => policy::ReportMode::WithResponses,
@@ -31,24 +31,24 @@
                 ReportMode::Off => policy::ReportMode::Off,
             },
             slow_start: policy::SlowStart {
-                start_capacity: self.rules.cold.start_capacity,
-                overload_factor: self.rules.cold.overload_factor,
-                window_s: self.rules.cold.window_s,
-                warm_after_s: self.rules.cold.warm_after_s,
+                start_capacity: self.rules.slow_start.start_capacity,
+                overload_factor: self.rules.slow_start.overload_factor,
+                window_s: self.rules.slow_start.window_s,
+                warm_after_s: self.rules.slow_start.warm_after_s,
             },
             limits: policy::Limits {
-                max_attempts: self.attempts.most,
+                max_attempts: self.attempts.max_attempts,
                 may_cancel: self.attempts.may_cancel,
                 may_probe: self.attempts.may_probe,
                 max_retry_after_s: self.attempts.max_retry_after_s,
                 // The sessions' links to servers stand open; nothing is sent on one that does not.
                 connect_timeout_s: 0.0,
             },
-            kv_hold_limit_s: self.rules.pin_limit_s,
+            kv_hold_limit_s: self.rules.max_kv_hold_s,
             over_quota_weight_fraction: 1.0,
             must_subscribe: false,
             lost_prefill_may_have_run: false,
-            decode_servers_prefill: self.attempts.writers_read,
+            decode_servers_prefill: self.attempts.decode_servers_prefill,
             tick_s: crate::machine::TICK_S,
         }
     }
@@ -70,12 +70,12 @@
                 },
                 Effect::Unsafe => policy::Effect::NonIdempotent,
             },
-            ttft_objective_s: self.ttft_aim_s,
-            ttft_objective_per_token_s: self.ttft_aim_ms_per_1000_tokens / 1e6,
-            inter_token_objective_s: self.token_gap_aim_s,
+            ttft_objective_s: self.ttft_objective_s,
+            ttft_objective_per_token_s: self.ttft_objective_ms_per_1000_tokens / 1e6,
+            inter_token_objective_s: self.token_gap_objective_s,
             deadline_s: self.deadline_s,
-            priority_weight: self.worth,
-            late_weight_fraction: self.late_worth,
+            priority_weight: self.priority_weight,
+            late_weight_fraction: self.late_priority_weight,
         }
     }
 }
--- a/crates/core/src/shares.rs
+++ b/crates/core/src/shares.rs
@@ -53,7 +53,7 @@
             fraction: spends,
             since: since.seconds(),
         });
-        if self.settings.ledger.is_some() {
+        if self.settings.quota_server.is_some() {
             return;
         }
         let rates = self.settings.tenants.iter().enumerate();
--- a/crates/core/src/shed.rs
+++ b/crates/core/src/shed.rs
@@ -61,7 +61,7 @@
                 .reports
                 .fields
                 .iter()
-                .position(|f| f.means == Meaning::Queue),
+                .position(|f| f.meaning == Meaning::Queue),
             asked: BTreeMap::new(),
             trials: BTreeMap::new(),
             row: BTreeMap::new(),
--- a/crates/core/src/wanted.rs
+++ b/crates/core/src/wanted.rs
@@ -80,7 +80,7 @@
             None => (Spent::Turns, self.conversation),
         };
         Asked {
-            worth: class.worth,
+            worth: class.priority_weight,
             prompt_tokens,
             prefix: prefix(create),
             prefix_tokens: f64::from(tokens_of(create.instructions.len())),
@@ -90,7 +90,8 @@
             fingerprint,
             tenant: self.tenant,
             quota_rps,
-            aim_s: class.ttft_aim_s + class.ttft_aim_ms_per_1000_tokens * prompt_tokens / 1e6,
+            aim_s: class.ttft_objective_s
+                + class.ttft_objective_ms_per_1000_tokens * prompt_tokens / 1e6,
         }
     }
 }
--- a/crates/core/tests/path.rs
+++ b/crates/core/tests/path.rs
@@ -259,7 +259,7 @@
 #[test]
 fn prompts_in_hand_are_bounded_together_and_the_bound_is_given_back() {
     let mut settings = common::settings();
-    settings.requests.prompt_bytes_in_hand = 1024;
+    settings.requests.total_prompt_bytes = 1024;
     let mut b = Bench::with(settings, 1);
     b.step(Input::ServerList(common::four()));
     b.open_all(1000.0);
--- a/crates/net/src/guard.rs
+++ b/crates/net/src/guard.rs
@@ -129,13 +129,13 @@
         .map_err(|e| e.to_string())?;
     let rules = KeeperRules {
         refresh_s: identity.refresh_s,
-        keep_s: identity.keep_s,
+        keep_s: identity.cache_lifetime_s,
         ..KeeperRules::default()
     };
     let clock = Clock::start();
     let steady = clock.now().seconds();
     let mut keeper = Keeper::new(rules, steady);
-    let kept = identity.kept.as_deref().map(beside);
+    let kept = identity.cache_file.as_deref().map(beside);
     if let Some(path) = &kept {
         restore(&mut keeper, steady, path);
     }
--- a/crates/net/tests/clock.rs
+++ b/crates/net/tests/clock.rs
@@ -43,10 +43,10 @@
         audience: "a".into(),
         skew_s: 0,
         keys: Some("jwks.json".into()),
-        kept: None,
+        cache_file: None,
         rights: "rights.toml".into(),
         refresh_s: 60.0,
-        keep_s: 3600.0,
+        cache_lifetime_s: 3600.0,
     };
     let ahead = Arc::new(AtomicI64::new(0));
     let by = Arc::clone(&ahead);
--- a/programs/benchmark/src/beside.rs
+++ b/programs/benchmark/src/beside.rs
@@ -27,7 +27,7 @@
     let peer = |i: usize| Peer {
         name: format!("dispatch-{}", i + 1),
         address: own_address(7811),
-        clients: None,
+        client_address: None,
     };
     let roster: Vec<Peer> = (0..MEMBERS).map(peer).collect();
     let name = format!("measured-{}", tables.len());
--- a/programs/benchmark/src/cluster.rs
+++ b/programs/benchmark/src/cluster.rs
@@ -20,7 +20,7 @@
     let peer = |n: usize| Peer {
         name: format!("dispatch-{n}"),
         address: own_address(7811),
-        clients: None,
+        client_address: None,
     };
     (1..=members).map(peer).collect()
 }
--- a/programs/benchmark/src/engines.rs
+++ b/programs/benchmark/src/engines.rs
@@ -261,7 +261,7 @@
     let peer = |d: &Dispatcher| Peer {
         name: d.name.clone(),
         address: own_address(7811),
-        clients: None,
+        client_address: None,
     };
     let roster: Vec<Peer> = all.iter().map(peer).collect();
     let image = std::env::current_exe().map_err(|e| e.to_string())?;
@@ -274,7 +274,7 @@
         let cluster = Cluster {
             name,
             secret,
-            kept,
+            incarnation_file: kept,
             roster: roster.clone(),
             ..Cluster::default()
         };
--- a/programs/benchmark/src/workflows.rs
+++ b/programs/benchmark/src/workflows.rs
@@ -49,7 +49,7 @@
         let peer = |n: usize| Peer {
             name: format!("dispatch-{n}"),
             address: own_address(7811),
-            clients: None,
+            client_address: None,
         };
         let roster: Vec<Peer> = (1..=count).map(peer).collect();
         let mut all = Vec::new();
@@ -59,7 +59,7 @@
             let cluster = Cluster {
                 name: "measured".to_string(),
                 secret: "secret".to_string(),
-                kept: Some(start),
+                incarnation_file: Some(start),
                 roster: roster.clone(),
                 ..Cluster::default()
             };
--- a/programs/chaos/src/parted.rs
+++ b/programs/chaos/src/parted.rs
@@ -217,7 +217,7 @@
             Ok(Peer {
                 name,
                 address: self.between.front(i).ok_or_else(no_relay)?,
-                clients,
+                client_address: clients,
             })
         };
         let roster = dispatchers
@@ -229,7 +229,7 @@
             let cluster = Cluster {
                 name: "day".to_string(),
                 secret: "secret".to_string(),
-                kept: Some(format!("{}.start", one.name)),
+                incarnation_file: Some(format!("{}.start", one.name)),
                 address: Some(*address),
                 roster: roster.clone(),
                 ..Cluster::default()
--- a/programs/chaos/src/run.rs
+++ b/programs/chaos/src/run.rs
@@ -484,10 +484,10 @@
         name: c.name.clone(),
         effect: effect(c.effect).to_string(),
         deadline_s: c.deadline_s,
-        worth: c.worth,
-        late_worth: c.late_worth,
-        ttft_aim_s: c.ttft_aim_s,
-        ttft_aim_ms_per_1000_tokens: c.ttft_aim_ms_per_1000_tokens,
+        worth: c.priority_weight,
+        late_worth: c.late_priority_weight,
+        ttft_aim_s: c.ttft_objective_s,
+        ttft_aim_ms_per_1000_tokens: c.ttft_objective_ms_per_1000_tokens,
     };
     let host = |h: &crate::day::DayHost| HostFacts {
         name: h.config.name.clone(),
@@ -502,7 +502,7 @@
         classes: settings.classes.iter().map(class).collect(),
         hosts: day.hosts.iter().map(host).collect(),
         drain_grace_s: settings.rules.drain_grace_s,
-        pin_limit_s: settings.rules.pin_limit_s,
+        pin_limit_s: settings.rules.max_kv_hold_s,
         // Read alike twice, so at most three looks.
         list_s: 3.0 * settings.inventory.reread_s,
         cold: ColdFacts {
--- a/programs/dispatch/src/beside.rs
+++ b/programs/dispatch/src/beside.rs
@@ -73,7 +73,7 @@
         return Ok(());
     };
     let (process, roster) = place.plane.own();
-    let aims = place.settings.classes.iter().map(|c| c.ttft_aim_s);
+    let aims = place.settings.classes.iter().map(|c| c.ttft_objective_s);
     let aim_s = aims.fold(f64::INFINITY, f64::min);
     let seed = getrandom::u64().map_err(|e| format!("no randomness: {e}"))?;
     let machine = Overload::new(process, roster, own, aim_s, seed, Duration::ZERO);
--- a/programs/dispatch/src/lib.rs
+++ b/programs/dispatch/src/lib.rs
@@ -256,7 +256,7 @@
         .map(|j| Charges::begin(j, to.clone()))
         .transpose()?;
     let ledger = settings
-        .ledger
+        .quota_server
         .as_ref()
         .map(|l| LedgerLink::start(l.address.clone(), journal, to.clone()));
     let ledger = ledger
