--- a/crates/core/src/carry.rs
+++ b/crates/core/src/actions.rs
@@ -10,7 +10,7 @@
 use crate::machine::{log, Machine, Probe, PROBE_S};
 use crate::requests::{wire_id, Attempt, Purpose, Request, Stage};
 use crate::settings::Effect;
-use crate::shed::LOOK_S;
+use crate::load_shedding::LOOK_S;
 use crate::timers::Timer;
 use crate::types::{Level, LinkId, Micros, Output, SendDeadline};
 use crate::workflows::Waits;
--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -10,14 +10,14 @@
 
 use crate::budgets::Denied;
 use crate::contexts::Context;
-use crate::keys::Key;
-use crate::lengths::Lengths;
+use crate::idempotency::Key;
+use crate::output_lengths::Lengths;
 use crate::machine::{log, Machine};
 use crate::requests::{Listener, Purpose, Request, Stage};
 use crate::settings::Effect;
 use crate::timers::Timer;
 use crate::types::{Level, Micros, Output, SessionId};
-use crate::wanted::Wanted;
+use crate::validated_request::Wanted;
 use crate::workflows::{refused, Act, Asked, Intent, AGAIN_S, FAILED_WITHIN_S, HELD_WITHIN_S};
 
 impl Request {
--- a/crates/core/src/contexts.rs
+++ b/crates/core/src/contexts.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Context {
     pub tenant: u32,
-    /// Whose it is, as for [`crate::keys::Key`].
+    /// Whose it is, as for [`crate::idempotency::Key`].
     pub owner: String,
     /// Key of the conversation, the same for all its turns.
     pub conversation: u64,
--- a/crates/core/src/intake.rs
+++ b/crates/core/src/intake.rs
@@ -10,15 +10,15 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::budgets::{Charged, Denied, COME_BACK_S};
-use crate::keys::{Key, Known};
-use crate::lengths::Lengths;
+use crate::idempotency::{Key, Known};
+use crate::output_lengths::Lengths;
 use crate::machine::Machine;
 use crate::requests::{Listener, Request, LISTENERS_MOST};
 use crate::settings::Effect;
-use crate::shed::Counted;
+use crate::load_shedding::Counted;
 use crate::timers::Timer;
 use crate::types::{Micros, Output, SessionId};
-use crate::wanted::{fingerprint, Wanted};
+use crate::validated_request::{fingerprint, Wanted};
 use crate::workflows::{self, Question};
 
 /// With what a request begins.
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -12,19 +12,19 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 use crate::contexts::Contexts;
-use crate::evidence::{self, Evidence};
-use crate::fleet::Fleet;
-use crate::keys::Keys;
-use crate::leases::Leases;
-use crate::lengths::Lengths;
+use crate::observations::{self, Evidence};
+use crate::servers::Fleet;
+use crate::idempotency::Keys;
+use crate::budget_leases::Leases;
+use crate::output_lengths::Lengths;
 use crate::links::Links;
-use crate::names::Names;
-use crate::peers::Peers;
+use crate::response_ids::Names;
+use crate::cluster_mode::Peers;
 use crate::requests::Requests;
 use crate::sessions::Sessions;
 use crate::settings::Settings;
-use crate::shares::Lent;
-use crate::shed::{self, Shed};
+use crate::quota::Lent;
+use crate::load_shedding::{self, Shed};
 use crate::timers::{Timer, Timers};
 use crate::types::{Input, Level, LinkId, Micros, Output, SessionId};
 use crate::workflows::{Workflows, HELD_WITHIN_S};
@@ -196,10 +196,10 @@
             self.open_leases(now);
             if self.settings.cluster.is_some() {
                 self.timers
-                    .set(now.after(evidence::LOOK_S), Timer::Evidence);
+                    .set(now.after(observations::LOOK_S), Timer::Evidence);
             }
             if self.shed.is_on() {
-                self.timers.set(now.after(shed::LOOK_S), Timer::Shed);
+                self.timers.set(now.after(load_shedding::LOOK_S), Timer::Shed);
             }
         }
         self.follow_part(now);
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -10,8 +10,8 @@
 use bitternlatch_protocol::engine::{EngineUsage, KvTransferParams};
 
 use crate::budgets::Charged;
-use crate::keys::Key;
-use crate::shed::Counted;
+use crate::idempotency::Key;
+use crate::load_shedding::Counted;
 use crate::types::{LinkId, Micros, SessionId};
 
 /// Sessions that may listen to one request; a further one is told to come back.
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -9,7 +9,7 @@
 use bitternlatch_quota_lease::Hearsay;
 use serde::{Deserialize, Serialize};
 
-use crate::evidence::Observation;
+use crate::observations::Observation;
 
 /// Microseconds on a monotonic clock; the programs start it at the Unix time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
--- a/crates/core/src/wanted.rs
+++ b/crates/core/src/validated_request.rs
@@ -6,9 +6,9 @@
 use bitternlatch_protocol::tokens_of;
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
-use crate::keys::Key;
+use crate::idempotency::Key;
 use crate::settings::Class;
-use crate::shed::{Counted, ANSWER_SHARE};
+use crate::load_shedding::{Counted, ANSWER_SHARE};
 use crate::types::Micros;
 use crate::workflows::Intent;
 
--- a/crates/core/src/workflows.rs
+++ b/crates/core/src/workflows.rs
@@ -3,7 +3,7 @@
 //! Knows nothing of the machine: it is asked by it, and tells it what to do. Each question has an end in time, set by the machine
 //! as a timer, and there is a bound on their number.
 
-mod words;
+mod messages;
 
 use std::collections::BTreeMap;
 
@@ -12,10 +12,10 @@
 use bitternlatch_protocol::workflow::{Carried, Claimed};
 use bitternlatch_workflow::{Ask, Call, Effect, Fate, Refusal, Told};
 
-use crate::shed::Counted;
+use crate::load_shedding::Counted;
 use crate::types::{Micros, SessionId};
-use words::{json, shown};
-pub(crate) use words::{name, question, refused};
+use messages::{json, shown};
+pub(crate) use messages::{name, question, refused};
 
 /// Questions of sessions that may wait for an answer; one more is told to come back.
 const ASKED_MOST: usize = 4096;
