--- a/crates/cluster-net/src/plane.rs
+++ b/crates/cluster-net/src/plane.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use bitternlatch_core::settings::Cluster;
-use bitternlatch_core::{Input, Micros, Observation};
+use bitternlatch_core::{Input, Micros, ServerObservation};
 use bitternlatch_membership::{Event, Membership, NameKey, Peer, Roster, Secret, DATAGRAM_MOST};
 use bitternlatch_net::clock::Clock;
 use bitternlatch_net::lock;
@@ -200,7 +200,7 @@
     }
 
     /// Takes what the dispatcher sees of hosts, for its peers; from any thread.
-    pub fn ear(&self) -> impl Fn(Vec<Observation>) + 'static {
+    pub fn ear(&self) -> impl Fn(Vec<ServerObservation>) + 'static {
         let whole = Arc::clone(&self.whole);
         move |seen| {
             let dated = seen
--- a/crates/cluster-net/tests/golden.rs
+++ b/crates/cluster-net/tests/golden.rs
@@ -29,12 +29,12 @@
     let peer = |(n, port)| Peer {
         name: format!("d{n}"),
         address: address(port),
-        clients: None,
+        client_address: None,
     };
     Cluster {
         name: "hall".into(),
         secret: "secret".into(),
-        kept: Some("d1.start".into()),
+        incarnation_file: Some("d1.start".into()),
         roster: [(1, peers[0]), (2, peers[1])].map(peer).to_vec(),
         ..Cluster::default()
     }
@@ -178,7 +178,7 @@
     let peer = |n: u16, clients: Option<&str>| Peer {
         name: format!("d{n}"),
         address: SocketAddrV4::new([127, 0, 0, 1].into(), 7000 + n),
-        clients: clients.map(str::to_string),
+        client_address: clients.map(str::to_string),
     };
     vec![peer(1, Some("c1:80")), peer(2, None)]
 }
--- a/crates/core/src/actions.rs
+++ b/crates/core/src/actions.rs
@@ -7,10 +7,10 @@
 use bitternlatch_protocol::engine::{encode, CompletionRequest, KvTransferParams, ToEngine};
 
 use crate::links::{Given, Queued};
+use crate::load_shedding::LOOK_S;
 use crate::machine::{log, Machine, Probe, PROBE_S};
 use crate::requests::{wire_id, Attempt, Purpose, Request, Stage};
 use crate::settings::Effect;
-use crate::load_shedding::LOOK_S;
 use crate::timers::Timer;
 use crate::types::{Level, LinkId, Micros, Output, SendDeadline};
 use crate::workflows::Waits;
@@ -155,7 +155,7 @@
             .get(&id)
             .filter(|r| !r.answered && r.attempt.is_none());
         // A state that waits to be fetched keeps its place for so long at the most, whatever time the request has left.
-        let pinned = now.after(self.settings.rules.max_kv_hold_s * PINNED_SHARE);
+        let pinned = now.after(self.settings.rules.kv_hold_limit_s * PINNED_SHARE);
         let ends = |r: &Request| {
             if r.state.is_some() {
                 pinned
--- a/crates/core/src/intake.rs
+++ b/crates/core/src/intake.rs
@@ -11,11 +11,11 @@
 
 use crate::budgets::{Charged, Denied, COME_BACK_S};
 use crate::idempotency::{Key, Known};
-use crate::output_lengths::Lengths;
+use crate::load_shedding::Counted;
 use crate::machine::Machine;
+use crate::output_lengths::Lengths;
 use crate::requests::{Listener, Request, LISTENERS_MOST};
 use crate::settings::Effect;
-use crate::load_shedding::Counted;
 use crate::timers::Timer;
 use crate::types::{Micros, Output, SessionId};
 use crate::validated_request::{fingerprint, Wanted};
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,36 +7,36 @@
 //!
 //! The shape is that of sans-I/O libraries such as `quinn-proto` and `rustls`.
 
+mod actions;
 mod answers;
 mod attempts;
+mod budget_leases;
 mod budgets;
 mod callers;
-mod actions;
+mod cluster_mode;
 mod contexts;
-mod observations;
-mod servers;
-mod intake;
 mod idempotency;
-mod budget_leases;
-mod output_lengths;
+mod intake;
 mod links;
+mod load_shedding;
 mod machine;
-mod response_ids;
-mod cluster_mode;
+mod observations;
+mod output_lengths;
+mod quota;
 pub mod record;
 mod requests;
+mod response_ids;
+mod servers;
 mod sessions;
 pub mod settings;
-mod quota;
-mod load_shedding;
 mod timers;
 mod types;
 mod validated_request;
 mod workflows;
 
 pub use callers::CLOSE_CREDENTIAL_EXPIRED;
-pub use observations::Observation;
 pub use machine::{decide, Counts, Machine, Traced};
+pub use observations::ServerObservation;
 pub use settings::{Settings, SettingsError};
 pub use timers::Timers;
 pub use types::{Input, Level, LinkId, Micros, Output, SendDeadline, SessionId};
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -11,20 +11,20 @@
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
+use crate::budget_leases::Leases;
+use crate::cluster_mode::Peers;
 use crate::contexts::Contexts;
-use crate::observations::{self, Evidence};
-use crate::servers::Fleet;
 use crate::idempotency::Keys;
-use crate::budget_leases::Leases;
-use crate::output_lengths::Lengths;
 use crate::links::Links;
-use crate::response_ids::Names;
-use crate::cluster_mode::Peers;
+use crate::load_shedding::{self, Shed};
+use crate::observations::{self, Evidence};
+use crate::output_lengths::Lengths;
+use crate::quota::Lent;
 use crate::requests::Requests;
+use crate::response_ids::Names;
+use crate::servers::Fleet;
 use crate::sessions::Sessions;
 use crate::settings::Settings;
-use crate::quota::Lent;
-use crate::load_shedding::{self, Shed};
 use crate::timers::{Timer, Timers};
 use crate::types::{Input, Level, LinkId, Micros, Output, SessionId};
 use crate::workflows::{Workflows, HELD_WITHIN_S};
@@ -199,7 +199,8 @@
                     .set(now.after(observations::LOOK_S), Timer::Evidence);
             }
             if self.shed.is_on() {
-                self.timers.set(now.after(load_shedding::LOOK_S), Timer::Shed);
+                self.timers
+                    .set(now.after(load_shedding::LOOK_S), Timer::Shed);
             }
         }
         self.follow_part(now);
--- a/crates/core/src/observations.rs
+++ b/crates/core/src/observations.rs
@@ -22,7 +22,7 @@
 const NONE_REACHED_S: f64 = 1.0;
 
 /// Something seen of a host, and since when; the words that peers have for it.
-pub type Observation = (Host, Trait, Micros);
+pub type ServerObservation = (Host, Trait, Micros);
 
 #[derive(Default)]
 pub(crate) struct Evidence {
@@ -30,7 +30,7 @@
     row: BTreeMap<ServerId, (u32, Micros)>,
     /// Since when something that has no time of its own is so.
     since: BTreeMap<(Host, Trait), Micros>,
-    told: Vec<Observation>,
+    told: Vec<ServerObservation>,
     /// Since when no link has been open.
     none_open: Option<Micros>,
     list_lost: bool,
@@ -83,7 +83,7 @@
         }
     }
 
-    fn seen(&mut self, now: Micros) -> Vec<Observation> {
+    fn seen(&mut self, now: Micros) -> Vec<ServerObservation> {
         let warm_after_s = self.settings.rules.slow_start.warm_after_s;
         let mut seen: BTreeMap<(Host, Trait), Micros> = BTreeMap::new();
         // What has no time of its own counts from the look at which it was first so.
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -271,7 +271,7 @@
 pub struct Rules {
     /// A held state is taken or let go within this many seconds.
     #[serde(rename = "pin_limit_s")]
-    pub max_kv_hold_s: f64,
+    pub kv_hold_limit_s: f64,
     /// Nothing new reaches a host later than this many seconds after it was told to drain.
     pub drain_grace_s: f64,
     #[serde(rename = "cold")]
@@ -374,12 +374,12 @@
     #[serde(rename = "ttft_aim_ms_per_1000_tokens")]
     pub ttft_objective_ms_per_1000_tokens: f64,
     #[serde(rename = "token_gap_aim_s")]
-    pub token_gap_objective_s: f64,
+    pub inter_token_objective_s: f64,
     pub deadline_s: f64,
     #[serde(rename = "worth")]
     pub priority_weight: f64,
     #[serde(rename = "late_worth")]
-    pub late_priority_weight: f64,
+    pub late_weight_fraction: f64,
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
--- a/crates/core/src/settings/check.rs
+++ b/crates/core/src/settings/check.rs
@@ -134,7 +134,7 @@
 
     fn check_rules(&self, c: &mut Check) {
         let (rules, cold, a) = (&self.rules, &self.rules.slow_start, &self.attempts);
-        c.within("rules.pin_limit_s", rules.max_kv_hold_s, 0.01, 3600.0);
+        c.within("rules.pin_limit_s", rules.kv_hold_limit_s, 0.01, 3600.0);
         c.within("rules.drain_grace_s", rules.drain_grace_s, 0.01, 3600.0);
         c.within("rules.cold.start_capacity", cold.start_capacity, 0.01, 1.0);
         c.within(
@@ -171,13 +171,13 @@
             );
             c.within(
                 &at("token_gap_aim_s"),
-                class.token_gap_objective_s,
+                class.inter_token_objective_s,
                 0.0001,
                 60.0,
             );
             c.within(&at("deadline_s"), class.deadline_s, 0.05, 86_400.0);
             c.within(&at("worth"), class.priority_weight, 0.0, 1e6);
-            c.within(&at("late_worth"), class.late_priority_weight, 0.0, 1.0);
+            c.within(&at("late_worth"), class.late_weight_fraction, 0.0, 1.0);
             c.within(&at("key_window_s"), class.key_window_s, 0.0, 1e7);
             if class.effect == Effect::Keyed && class.key_window_s <= 0.0 {
                 c.fail(
--- a/crates/core/src/settings/module.rs
+++ b/crates/core/src/settings/module.rs
@@ -44,7 +44,7 @@
                 // The sessions' links to servers stand open; nothing is sent on one that does not.
                 connect_timeout_s: 0.0,
             },
-            kv_hold_limit_s: self.rules.max_kv_hold_s,
+            kv_hold_limit_s: self.rules.kv_hold_limit_s,
             over_quota_weight_fraction: 1.0,
             must_subscribe: false,
             lost_prefill_may_have_run: false,
@@ -72,10 +72,10 @@
             },
             ttft_objective_s: self.ttft_objective_s,
             ttft_objective_per_token_s: self.ttft_objective_ms_per_1000_tokens / 1e6,
-            inter_token_objective_s: self.token_gap_objective_s,
+            inter_token_objective_s: self.inter_token_objective_s,
             deadline_s: self.deadline_s,
             priority_weight: self.priority_weight,
-            late_weight_fraction: self.late_priority_weight,
+            late_weight_fraction: self.late_weight_fraction,
         }
     }
 }
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -9,7 +9,7 @@
 use bitternlatch_quota_lease::Hearsay;
 use serde::{Deserialize, Serialize};
 
-use crate::observations::Observation;
+use crate::observations::ServerObservation;
 
 /// Microseconds on a monotonic clock; the programs start it at the Unix time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -270,7 +270,7 @@
     },
     /// All that this dispatcher observes of model servers, for its peers.
     #[serde(rename = "Seen")]
-    Observations(Vec<Observation>),
+    Observations(Vec<ServerObservation>),
     /// To the cluster's load shedding.
     Overload(bitternlatch_overload::Ask),
     /// To the cluster's learning of output lengths.
--- a/crates/core/src/validated_request.rs
+++ b/crates/core/src/validated_request.rs
@@ -7,8 +7,8 @@
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
 use crate::idempotency::Key;
-use crate::settings::Class;
 use crate::load_shedding::{Counted, ANSWER_SHARE};
+use crate::settings::Class;
 use crate::types::Micros;
 use crate::workflows::Intent;
 
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -12,7 +12,7 @@
 use bitternlatch_core::record::{self, Writer};
 use bitternlatch_core::settings::Engines;
 use bitternlatch_core::{
-    Input, Level, LinkId, Machine, Micros, Observation, Output, SessionId, Settings,
+    Input, Level, LinkId, Machine, Micros, Output, ServerObservation, SessionId, Settings,
 };
 use bitternlatch_identity::Caller;
 use bitternlatch_journal::held::{Charge, Held};
@@ -183,7 +183,7 @@
     charges: Option<Charges>,
     ledger: Option<LedgerLink>,
     /// Where what is seen of hosts is told.
-    peers: Option<Box<dyn Fn(Vec<Observation>)>>,
+    peers: Option<Box<dyn Fn(Vec<ServerObservation>)>>,
     beside: Beside,
     /// Answers that wait for their charge.
     held: Held<SessionId, Output>,
@@ -234,7 +234,7 @@
     }
 
     /// Tells peers what is seen of hosts.
-    pub fn tell_peers(&mut self, tell: Box<dyn Fn(Vec<Observation>)>) {
+    pub fn tell_peers(&mut self, tell: Box<dyn Fn(Vec<ServerObservation>)>) {
         self.peers = Some(tell);
     }
 
--- a/programs/chaos/src/run.rs
+++ b/programs/chaos/src/run.rs
@@ -485,7 +485,7 @@
         effect: effect(c.effect).to_string(),
         deadline_s: c.deadline_s,
         worth: c.priority_weight,
-        late_worth: c.late_priority_weight,
+        late_worth: c.late_weight_fraction,
         ttft_aim_s: c.ttft_objective_s,
         ttft_aim_ms_per_1000_tokens: c.ttft_objective_ms_per_1000_tokens,
     };
@@ -502,7 +502,7 @@
         classes: settings.classes.iter().map(class).collect(),
         hosts: day.hosts.iter().map(host).collect(),
         drain_grace_s: settings.rules.drain_grace_s,
-        pin_limit_s: settings.rules.max_kv_hold_s,
+        pin_limit_s: settings.rules.kv_hold_limit_s,
         // Read alike twice, so at most three looks.
         list_s: 3.0 * settings.inventory.reread_s,
         cold: ColdFacts {
