--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,36 +7,36 @@
 //!
 //! The shape is that of sans-I/O libraries such as `quinn-proto` and `rustls`.
 
+mod actions;
 mod answers;
 mod attempts;
+mod budget_leases;
 mod budgets;
 mod callers;
-mod carry;
+mod cluster_mode;
 mod contexts;
-mod evidence;
-mod fleet;
+mod idempotency;
 mod intake;
-mod keys;
-mod leases;
-mod lengths;
 mod links;
+mod load_shedding;
 mod machine;
-mod names;
-mod peers;
+mod observations;
+mod output_lengths;
+mod quota;
 pub mod record;
 mod requests;
+mod response_ids;
+mod servers;
 mod sessions;
 pub mod settings;
-mod shares;
-mod shed;
 mod timers;
 mod types;
-mod wanted;
+mod validated_request;
 mod workflows;
 
 pub use callers::CLOSE_CREDENTIAL_EXPIRED;
-pub use evidence::Observation;
 pub use machine::{decide, Counts, Machine, Traced};
+pub use observations::ServerObservation;
 pub use settings::{Settings, SettingsError};
 pub use timers::Timers;
 pub use types::{Input, Level, LinkId, Micros, Output, SendDeadline, SessionId};
