--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -132,7 +132,7 @@
     /// By the machines beside the plane.
     Overload(bitternlatch_overload::Told),
     Lengths(bitternlatch_output_length::Told),
-    Workflow(bitternlatch_workflow::Told),
+    Workflow(bitternlatch_workflow::Event),
     /// Whether the list of hosts cannot be read any more, or can again.
     ListLost(bool),
     /// The time alone.
@@ -191,7 +191,7 @@
     /// To the machines beside the plane.
     Overload(bitternlatch_overload::Ask),
     Lengths(bitternlatch_output_length::Ask),
-    Workflow(bitternlatch_workflow::Ask),
+    Workflow(bitternlatch_workflow::Command),
     /// What a request was charged; before its final answer, and again when more is known.
     Charge(Entry),
     Log {
