--- a/crates/core/src/observations.rs
+++ b/crates/core/src/observations.rs
@@ -2,8 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bitternlatch_policy::interface as policy;
-use bitternlatch_policy::interface::{Event, ListForm, Outcome, ServerId};
+use bitternlatch_policy::interface::{Event, ListForm, Observation, Outcome, ServerId};
 use bitternlatch_quota_lease::{Hearsay, Host, Trait};
 
 use crate::machine::{log, Machine};
@@ -39,11 +38,11 @@
     failing_elsewhere: BTreeMap<ServerId, Micros>,
 }
 
-fn sight(what: Trait) -> policy::Observation {
+fn sight(what: Trait) -> Observation {
     match what {
-        Trait::Failing => policy::Observation::Failing,
-        Trait::Cold => policy::Observation::WarmingUp,
-        Trait::Draining => policy::Observation::Draining,
+        Trait::Failing => Observation::Failing,
+        Trait::Cold => Observation::WarmingUp,
+        Trait::Draining => Observation::Draining,
     }
 }
 
