--- a/crates/policy/src/choice/held_states.rs
+++ b/crates/policy/src/choice/held_states.rs
@@ -8,7 +8,7 @@
 use super::*;
 
 /// Share of the pin limit after which a state is released; the rest is for the release to arrive.
-const RELEASE_SHARE: f64 = 0.9;
+const RELEASE_FRACTION: f64 = 0.9;
 
 /// What may be held for one request. Every state that a prefill leaves ends here: taken, gone or released.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -43,7 +43,7 @@
 
     /// When it has to be released, whatever is out.
     pub fn release_at(&self, limit_s: f64) -> Option<f64> {
-        self.since.map(|since| since + limit_s * RELEASE_SHARE)
+        self.since.map(|since| since + limit_s * RELEASE_FRACTION)
     }
 
     /// The first token of an answer has come: its state was taken.
@@ -97,25 +97,27 @@
 
 impl Router {
     /// Releases what may be held for a request once that is due. Whether it goes on is left to the caller.
-    pub(super) fn release_due(&mut self, now: f64, id: RequestId, out: &mut Actions) {
-        let limit_s = self.set.kv_hold_limit_s;
-        let Some(job) = self.jobs.get_mut(&id) else {
+    pub(super) fn release_if_due(&mut self, now: f64, id: RequestId, actions: &mut Actions) {
+        let limit_s = self.settings.kv_hold_limit_s;
+        let Some(state) = self.requests.get_mut(&id) else {
             return;
         };
-        if job.held.release_at(limit_s).is_none_or(|at| now < at) {
+        if state.kv_state.release_at(limit_s).is_none_or(|at| now < at) {
             return;
         }
-        job.held.release(now);
-        out.push(Action::Release { request: id });
-        self.watch_held(id, out);
+        state.kv_state.release(now);
+        actions.push(Action::Release { request: id });
+        self.schedule_release(id, actions);
     }
 
     /// Comes back to a request when what may be held for it has to be released.
-    pub(super) fn watch_held(&self, id: RequestId, out: &mut Actions) {
-        let held = self
-            .jobs
+    pub(super) fn schedule_release(&self, id: RequestId, actions: &mut Actions) {
+        let kv_state = self
+            .requests
             .get(&id)
-            .and_then(|job| job.held.release_at(self.set.kv_hold_limit_s));
-        held.into_iter().for_each(|at| wake(id, at, out));
+            .and_then(|state| state.kv_state.release_at(self.settings.kv_hold_limit_s));
+        kv_state
+            .into_iter()
+            .for_each(|at| set_timer(id, at, actions));
     }
 }
--- a/crates/policy/src/choice/requests.rs
+++ b/crates/policy/src/choice/requests.rs
@@ -5,19 +5,19 @@
 /// Seconds that a written request may take to its server: a few ways there, or one turn of a busy process.
 const ARRIVAL_S: f64 = 0.02;
 /// Share of the time for repeats that is left unused at the least, as servers count from another moment.
-const REPEAT_MARGIN: f64 = 0.1;
-const HOLD_SHARE: f64 = 0.5; // Share of the pin limit for which a state may wait for a writer.
+const RETRY_WINDOW_MARGIN: f64 = 0.1;
+const DECODE_WAIT_FRACTION: f64 = 0.5; // Share of the pin limit for which a state may wait for a writer.
 /// Share of the aim past due after which a silent attempt is called back from a server heard of late.
-const SILENCE_HEARD: f64 = 0.3;
+const RECENT_SILENCE_RATIO: f64 = 0.3;
 /// The same elsewhere, as the silence of a server seldom heard of proves little.
-const SILENCE_UNHEARD: f64 = 1.5;
-const HEARD_LATE_S: f64 = 4.0; // Seconds within which a server was heard of late.
+const STALE_SILENCE_RATIO: f64 = 1.5;
+const RECENT_SUCCESS_S: f64 = 4.0; // Seconds within which a server was heard of late.
 
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(super) enum Stage {
-    Out,
-    Held,        // A state waits at a reader and no attempt is out.
-    Asking(f64), // Until then, probes are out for the choice of a reader.
+    InFlight,
+    AwaitingDecode, // A state waits at a reader and no attempt is out.
+    Probing(f64),   // Until then, probes are out for the choice of a reader.
     Streaming,
     #[default]
     Idle,
@@ -31,61 +31,61 @@
 }
 
 #[derive(Clone, Default)]
-pub(super) struct Job {
-    pub ask: Request,
+pub(super) struct RequestState {
+    pub request: Request,
     pub key: u64, // By which it has homes, and the share of the latest requests by the same.
-    pub alike: f64,
+    pub key_share: f64,
     pub tokens: (f64, f64), // Of memory that it holds in the mean of its run, and beyond that at its end.
     pub deadline: f64,
     pub stage: Stage,
     pub attempts: u32,
     pub at: ServerId, // Server of the attempt that is out, or that streams, and when it was sent.
     pub sent: f64,
-    pub held: HeldState,
+    pub kv_state: HeldState,
     pub queue_s: f64, // As estimated when it was sent to be read.
-    pub read_s: f64,
-    pub asked: Vec<ServerId>, // Servers whose probes it waits for.
+    pub prefill_s: f64,
+    pub probed: Vec<ServerId>, // Servers whose probes it waits for.
     /// The first attempt that may have had an effect: server and time of sending.
     pub may_have_run: Option<(ServerId, f64)>,
-    pub over: bool, // The final answer is given; only an outcome is waited for.
+    pub answered: bool, // The final answer is given; only an outcome is waited for.
     pub first_after: f64,
-    pub late_s: f64,   // Longest first-token time at which it is still taken.
-    pub promised: f64, // When its first token was expected, at admission.
+    pub max_first_token_s: f64, // Longest first-token time at which it is still taken.
+    pub expected_first_token_at: f64, // When its first token was expected, at admission.
 }
 
 impl Router {
-    pub(super) fn class(&self, job: &Job) -> &ClassSettings {
-        &self.set.classes[usize::from(job.ask.class)]
+    pub(super) fn class(&self, state: &RequestState) -> &ClassSettings {
+        &self.settings.classes[usize::from(state.request.class)]
     }
 
     /// Whether an attempt there may not be followed by another unless it is known not to have run.
-    pub(super) fn once(&self, job: &Job, s: &Server) -> bool {
-        let runs = s.role != Role::Prefill || self.set.lost_prefill_may_have_run;
-        runs && self.class(job).effect == Effect::NonIdempotent
+    pub(super) fn single_attempt(&self, state: &RequestState, server: &Server) -> bool {
+        let runs = server.role != Role::Prefill || self.settings.lost_prefill_may_have_run;
+        runs && self.class(state).effect == Effect::NonIdempotent
     }
 
-    pub(super) fn aim(&self, ask: &Request) -> f64 {
-        let class = &self.set.classes[usize::from(ask.class)];
-        class.ttft_objective_s + class.ttft_objective_per_token_s * ask.prompt_tokens
+    pub(super) fn latency_objective(&self, request: &Request) -> f64 {
+        let class = &self.settings.classes[usize::from(request.class)];
+        class.ttft_objective_s + class.ttft_objective_per_token_s * request.prompt_tokens
     }
 
-    pub(super) fn silence_s(&self, ask: &Request, s: &Server, sent: f64) -> f64 {
-        self.aim(ask)
-            * if sent - s.heard < HEARD_LATE_S {
-                SILENCE_HEARD
+    pub(super) fn silence_s(&self, request: &Request, server: &Server, sent: f64) -> f64 {
+        self.latency_objective(request)
+            * if sent - server.last_success_at < RECENT_SUCCESS_S {
+                RECENT_SILENCE_RATIO
             } else {
-                SILENCE_UNHEARD
+                STALE_SILENCE_RATIO
             }
     }
 
-    pub(super) fn usable(&self, s: &Server, job: &Job, now: f64) -> bool {
-        if !s.ready() || now < s.shut_until {
+    pub(super) fn usable(&self, server: &Server, state: &RequestState, now: f64) -> bool {
+        if !server.ready() || now < server.closed_until {
             return false;
         }
-        let Some((first, since)) = job.may_have_run else {
+        let Some((first, since)) = state.may_have_run else {
             return true;
         };
-        match self.class(job).effect {
+        match self.class(state).effect {
             Effect::Idempotent => true,
             Effect::NonIdempotent => false,
             Effect::IdempotencyKey { scope, window_s } => {
@@ -99,7 +99,7 @@
                 let same = self
                     .servers
                     .get(&first)
-                    .is_some_and(|f| group(&f.entry) == group(&s.entry));
+                    .is_some_and(|f| group(&f.entry) == group(&server.entry));
                 (same || scope == KeyScope::All)
                     && now - since + self.arrival_s(window_s) < window_s
             }
@@ -108,51 +108,56 @@
 
     /// Seconds until a repeat that is sent now has arrived: a connection may have to come up for it first.
     fn arrival_s(&self, window_s: f64) -> f64 {
-        (self.set.limits.connect_timeout_s + ARRIVAL_S).max(REPEAT_MARGIN * window_s)
+        (self.settings.limits.connect_timeout_s + ARRIVAL_S).max(RETRY_WINDOW_MARGIN * window_s)
     }
 
-    fn may_refuse(&self, job: &Job) -> bool {
+    fn may_reject(&self, state: &RequestState) -> bool {
         let any = matches!(
-            self.class(job).effect,
+            self.class(state).effect,
             Effect::Idempotent
                 | Effect::IdempotencyKey {
                     scope: KeyScope::All,
                     ..
                 }
         );
-        any || job.may_have_run.is_none() && job.stage != Stage::Out
+        any || state.may_have_run.is_none() && state.stage != Stage::InFlight
     }
 
-    pub(super) fn send_read(&mut self, now: f64, id: RequestId, e: Estimate, out: &mut Actions) {
-        self.jobs
+    pub(super) fn send_prefill(
+        &mut self,
+        now: f64,
+        id: RequestId,
+        e: Estimate,
+        actions: &mut Actions,
+    ) {
+        self.requests
             .entry(id)
-            .and_modify(|j| (j.queue_s, j.read_s) = (e.queue_s, e.read_s));
-        self.probe_writers(now, id, e.server, out);
-        self.launch(now, id, e.server, e.queue_s + e.read_s, out);
+            .and_modify(|state| (state.queue_s, state.prefill_s) = (e.queue_s, e.prefill_s));
+        self.probe_decode_servers(now, id, e.server, actions);
+        self.launch(now, id, e.server, e.queue_s + e.prefill_s, actions);
     }
 
-    pub(super) fn send_write(&mut self, now: f64, id: RequestId, out: &mut Actions) {
-        let Some(job) = self.jobs.get(&id) else {
+    pub(super) fn send_decode(&mut self, now: f64, id: RequestId, actions: &mut Actions) {
+        let Some(state) = self.requests.get(&id) else {
             return;
         };
-        match self.best_writer(job, now) {
+        match self.best_decode_server(state, now) {
             Some(to) => {
                 let expected_s = 0.15
                     + self
                         .servers
                         .get(&to)
-                        .map_or(0.0, |s| self.write_wait(s, now));
-                self.launch(now, id, to, expected_s, out);
+                        .map_or(0.0, |server| self.decode_wait_s(server, now));
+                self.launch(now, id, to, expected_s, actions);
             }
             // No writer can take the state now: it waits a little within the pin limit.
-            None if job
-                .held
-                .known()
-                .is_some_and(|at| now - at.1 <= self.set.kv_hold_limit_s * HOLD_SHARE) =>
+            None if state.kv_state.known().is_some_and(|at| {
+                now - at.1 <= self.settings.kv_hold_limit_s * DECODE_WAIT_FRACTION
+            }) =>
             {
-                wake(id, now + 2.0 * ASK_WAIT_S, out);
+                set_timer(id, now + 2.0 * PROBE_WAIT_S, actions);
             }
-            None => self.give_up(id, 0.5, Cause::NoDecodeServer, out),
+            None => self.reject_or_fail(id, 0.5, Cause::NoDecodeServer, actions),
         }
     }
 
@@ -163,106 +168,111 @@
         id: RequestId,
         to: ServerId,
         expected_s: f64,
-        out: &mut Actions,
+        actions: &mut Actions,
     ) {
-        let (Some(job), Some(s)) = (self.jobs.get(&id), self.servers.get(&to)) else {
+        let (Some(state), Some(server)) = (self.requests.get(&id), self.servers.get(&to)) else {
             return;
         };
-        let allowed = !job.over
-            && matches!(job.stage, Stage::Idle | Stage::Held)
-            && job.attempts < self.set.limits.max_attempts
-            && now < job.deadline
-            && self.usable(s, job, now);
+        let allowed = !state.answered
+            && matches!(state.stage, Stage::Idle | Stage::AwaitingDecode)
+            && state.attempts < self.settings.limits.max_attempts
+            && now < state.deadline
+            && self.usable(server, state, now);
         if !allowed {
-            return self.give_up(id, 0.5, Cause::Forbidden, out);
+            return self.reject_or_fail(id, 0.5, Cause::Forbidden, actions);
         }
-        let holder = job
-            .held
+        let holder = state
+            .kv_state
             .known()
             .and_then(|at| self.servers.get(&at.0))
             .map(|r| r.entry.cell);
-        let link = holder.filter(|cell| *cell != s.entry.cell);
-        let silence_s = 2.0 * expected_s + self.silence_s(&job.ask, s, now);
-        let timeout_s = if self.once(job, s) || self.set.limits.may_cancel {
+        let link = holder.filter(|cell| *cell != server.entry.cell);
+        let silence_s = 2.0 * expected_s + self.silence_s(&state.request, server, now);
+        let timeout_s = if self.single_attempt(state, server) || self.settings.limits.may_cancel {
             0.0
         } else {
             silence_s
         };
-        let (Some(job), Some(s)) = (self.jobs.get_mut(&id), self.servers.get_mut(&to)) else {
+        let (Some(state), Some(server)) = (self.requests.get_mut(&id), self.servers.get_mut(&to))
+        else {
             return;
         };
-        (job.stage, job.at, job.sent, job.attempts) = (Stage::Out, to, now, job.attempts + 1);
-        let work_s = if job.held.known().is_none() {
-            job.read_s
+        (state.stage, state.at, state.sent, state.attempts) =
+            (Stage::InFlight, to, now, state.attempts + 1);
+        let work_s = if state.kv_state.known().is_none() {
+            state.prefill_s
         } else {
             0.0
         };
-        s.pending.insert(
+        server.in_flight.insert(
             id,
-            Pending {
+            InFlightAttempt {
                 work_s,
                 due: now + expected_s,
-                tokens: job.tokens,
+                tokens: state.tokens,
                 link,
             },
         );
-        out.push(Action::Send {
+        actions.push(Action::Send {
             request: id,
             server: to,
             timeout_s,
         });
-        wake(id, now + silence_s, out);
+        set_timer(id, now + silence_s, actions);
     }
 
-    pub(super) fn give_up(
+    pub(super) fn reject_or_fail(
         &mut self,
         id: RequestId,
         retry_after_s: f64,
         cause: Cause,
-        out: &mut Actions,
+        actions: &mut Actions,
     ) {
         self.last_failure = Some(FailedRequest { request: id, cause });
-        let Some(job) = self.jobs.get(&id) else {
+        let Some(state) = self.requests.get(&id) else {
             return;
         };
-        let retry_after_s = retry_after_s.min(self.set.limits.max_retry_after_s.max(0.0));
+        let retry_after_s = retry_after_s.min(self.settings.limits.max_retry_after_s.max(0.0));
         let refusal = Action::Reject {
             request: id,
             retry_after_s,
         };
-        let answer = if self.may_refuse(job) {
+        let answer = if self.may_reject(state) {
             refusal
         } else {
             Action::Fail { request: id }
         };
-        self.finish(id, Some(answer), out);
+        self.finish(id, Some(answer), actions);
     }
 
     /// The one place that ends a request: gives the final answer, if it is owed, and lets go of its state.
-    pub(super) fn finish(&mut self, id: RequestId, answer: Option<Action>, out: &mut Actions) {
-        let Some(job) = self.jobs.get_mut(&id) else {
+    pub(super) fn finish(&mut self, id: RequestId, answer: Option<Action>, actions: &mut Actions) {
+        let Some(state) = self.requests.get_mut(&id) else {
             return;
         };
-        if !std::mem::replace(&mut job.over, true) {
-            out.extend(answer);
+        if !std::mem::replace(&mut state.answered, true) {
+            actions.extend(answer);
         }
-        if matches!(job.stage, Stage::Out | Stage::Streaming) {
+        if matches!(state.stage, Stage::InFlight | Stage::Streaming) {
             return;
         }
-        out.extend(
-            job.held
+        actions.extend(
+            state
+                .kv_state
                 .needs_release()
                 .then_some(Action::Release { request: id }),
         );
-        self.jobs.remove(&id);
+        self.requests.remove(&id);
     }
 
-    pub(super) fn cancel(&mut self, id: RequestId, out: &mut Actions) {
-        let cancellable = |j: &&Job| j.stage == Stage::Out && !j.over && self.set.limits.may_cancel;
-        let job = self.jobs.get(&id).filter(cancellable);
-        out.extend(job.map(|j| Action::Cancel {
+    pub(super) fn cancel(&mut self, id: RequestId, actions: &mut Actions) {
+        let cancellable = |state: &&RequestState| {
+            state.stage == Stage::InFlight && !state.answered && self.settings.limits.may_cancel
+        };
+        let state = self.requests.get(&id).filter(cancellable);
+        actions.extend(state.map(|state| Action::Cancel {
             request: id,
-            attempt: (j.attempts - 1) as u16,
+            attempt: (state.attempts - 1) as u16,
         }));
     }
 
@@ -273,53 +283,60 @@
         let prefill = self
             .servers
             .get(&end.server)
-            .is_some_and(|s| s.role == Role::Prefill);
+            .is_some_and(|server| server.role == Role::Prefill);
         match end.outcome {
             Outcome::PrefillDone
             | Outcome::Rejected { .. }
             | Outcome::ConnectFailed
             | Outcome::NotSent => Execution::NeverRan,
             Outcome::Error if prefill => Execution::NeverRan,
-            _ if prefill && !self.set.lost_prefill_may_have_run => Execution::NeverRan,
+            _ if prefill && !self.settings.lost_prefill_may_have_run => Execution::NeverRan,
             _ => Execution::MayHaveRun,
         }
     }
 
     /// After an attempt that has not served it; `expired`: its state was released while that was out.
-    pub(super) fn go_on(&mut self, now: f64, end: &AttemptEnd, expired: bool, out: &mut Actions) {
+    pub(super) fn continue_after(
+        &mut self,
+        now: f64,
+        end: &AttemptEnd,
+        expired: bool,
+        actions: &mut Actions,
+    ) {
         let (id, outcome) = (end.request, end.outcome);
-        let Some(job) = self.jobs.get(&id) else {
+        let Some(state) = self.requests.get(&id) else {
             return;
         };
-        let spent = self.class(job).effect == Effect::NonIdempotent && job.may_have_run.is_some();
+        let spent =
+            self.class(state).effect == Effect::NonIdempotent && state.may_have_run.is_some();
         // Nobody has taken its state; it would be held too long, did another way there come up no sooner.
-        let most_s = self.set.kv_hold_limit_s + 3.0 * self.set.tick_s;
-        let overdue = |at: (ServerId, f64)| now + sane(end.elapsed_s) > at.1 + most_s;
-        let expired = expired || job.held.known().is_some_and(overdue);
-        let held = outcome == Outcome::ConnectFailed && expired;
-        let late = now + 2.0 * self.set.tick_s >= job.deadline;
+        let most_s = self.settings.kv_hold_limit_s + 3.0 * self.settings.tick_s;
+        let overdue = |at: (ServerId, f64)| now + non_negative(end.elapsed_s) > at.1 + most_s;
+        let expired = expired || state.kv_state.known().is_some_and(overdue);
+        let kv_state = outcome == Outcome::ConnectFailed && expired;
+        let late = now + 2.0 * self.settings.tick_s >= state.deadline;
         let cause = match outcome {
             _ if spent => Some(Cause::MayHaveRun),
-            _ if held => Some(Cause::StateExpired),
+            _ if kv_state => Some(Cause::StateExpired),
             _ if late => Some(Cause::Deadline),
             Outcome::NotSent => Some(Cause::NotSent),
             _ => None,
         };
         if let Some(cause) = cause {
-            return self.give_up(id, 0.2, cause, out);
+            return self.reject_or_fail(id, 0.2, cause, actions);
         }
-        let left = self.retries - f64::from(outcome != Outcome::PrefillDone);
+        let left = self.retry_tokens - f64::from(outcome != Outcome::PrefillDone);
         if left < 0.0 {
-            return self.give_up(id, 0.5, Cause::NoRetryLeft, out);
+            return self.reject_or_fail(id, 0.5, Cause::NoRetryLeft, actions);
         }
-        self.retries = left;
-        if job.held.known().is_some() {
-            return self.send_write(now, id, out);
+        self.retry_tokens = left;
+        if state.kv_state.known().is_some() {
+            return self.send_decode(now, id, actions);
         }
-        match self.best_reader(job, now) {
-            Some(e) if now + e.total_s < job.deadline => self.send_read(now, id, e, out),
-            Some(_) => self.give_up(id, 0.5, Cause::Deadline, out),
-            None => self.give_up(id, 0.5, Cause::NoPrefillServer, out),
+        match self.best_prefill_server(state, now) {
+            Some(e) if now + e.total_s < state.deadline => self.send_prefill(now, id, e, actions),
+            Some(_) => self.reject_or_fail(id, 0.5, Cause::Deadline, actions),
+            None => self.reject_or_fail(id, 0.5, Cause::NoPrefillServer, actions),
         }
     }
 }
