--- /dev/null
+++ b/crates/policy/src/choice/arrivals.rs
@@ -0,0 +1,196 @@
+//! An arrival: its admission, its probes, and the choice of its prefill server.
+
+use super::admission::AdmissionController;
+use super::decay::non_negative;
+use super::request_state::{memory_use, placement_key, sanitize, RequestState, Stage};
+use super::server::Server;
+use super::{set_timer, Actions, Router, PROBE_WAIT_S};
+use crate::interface::{
+    Action, Cause, ChoiceExplanation, ExplainedChoice, ReportMode, Request, RequestId, Role,
+    ServerId,
+};
+
+/// Servers probed for one choice: power of two choices; each probe costs as much as 0.3% of a
+/// request.
+const PROBES_PER_CHOICE: usize = 2;
+/// Multiple of the wait for probes that a request must have left for them to be waited for.
+const MIN_PROBE_WAITS_LEFT: f64 = 10.0;
+/// Seconds that a client is told to stay away where no server may take its prompt.
+const NO_SERVER_RETRY_AFTER_S: f64 = 1.0;
+/// The same at the least where the first token is expected late.
+const MIN_LATE_RETRY_AFTER_S: f64 = 0.2;
+
+/// A decode server in the order in which they are probed.
+#[derive(Clone, Copy, Debug)]
+struct ProbeCandidate {
+    other_cell: bool,
+    draw: f64,
+    server: ServerId,
+}
+
+impl ProbeCandidate {
+    /// Not after another one.
+    fn precedes(&self, other: &ProbeCandidate) -> bool {
+        self.other_cell
+            .cmp(&other.other_cell)
+            .then(self.draw.total_cmp(&other.draw))
+            .is_le()
+    }
+}
+
+impl Router {
+    pub(super) fn on_arrival(&mut self, now: f64, mut request: Request, out: &mut Actions) {
+        sanitize(&mut request, self.settings.classes.len());
+        let (id, time_left_s) = (request.id, non_negative(request.time_left_s));
+        let state = self.admit(now, request, time_left_s);
+        self.retry_budget.record_arrival();
+        let selector = self.selector();
+        let replicas = selector.prefix_replicas(&state, &selector.context(now), now);
+        self.requests.insert(id, state);
+        let deadline_margin_s = 2.0 * self.settings.tick_s;
+        set_timer(id, now + (time_left_s - deadline_margin_s).max(0.0), out);
+        let probed = self.probe(now, &replicas, out);
+        if probed.is_empty() || time_left_s < MIN_PROBE_WAITS_LEFT * PROBE_WAIT_S {
+            return self.place(now, id, out);
+        }
+        let until = now + PROBE_WAIT_S;
+        if let Some(state) = self.requests.get_mut(&id) {
+            state.stage = Stage::Probing { until };
+            state.probed = probed;
+        }
+        set_timer(id, until, out);
+    }
+
+    /// Counts an arrival and makes its state.
+    fn admit(&mut self, now: f64, request: Request, time_left_s: f64) -> RequestState {
+        let objective_s = self.selector().latency_objective_s(&request);
+        let over_quota = self.admission.is_over_quota(now, request.tenant);
+        let key = placement_key(&request);
+        self.slow_start.record_choice(Role::Prefill);
+        RequestState {
+            key,
+            key_share: self.admission.record_key(key),
+            memory: memory_use(&request),
+            deadline: now + time_left_s,
+            max_first_token_s: AdmissionController::max_first_token_s(
+                objective_s,
+                over_quota,
+                time_left_s,
+            ),
+            first_token_due_at: now + objective_s,
+            request,
+            ..RequestState::default()
+        }
+    }
+
+    /// Chooses the prefill server of a new request, or rejects it where its first token is expected
+    /// too late.
+    pub(super) fn place(&mut self, now: f64, id: RequestId, out: &mut Actions) {
+        let Some(state) = self.requests.get_mut(&id) else {
+            return;
+        };
+        state.stage = Stage::Idle;
+        let Some(state) = self.requests.get(&id) else {
+            return;
+        };
+        let Some(estimate) = self.selector().best_prefill_server(state, now) else {
+            return self.reject(id, NO_SERVER_RETRY_AFTER_S, Cause::NoPrefillServer, out);
+        };
+        let limit_s = state.max_first_token_s;
+        let total_s = estimate.total_s;
+        let lateness_s = self.expected_lateness_s(now, total_s);
+        self.last_choice = ExplainedChoice {
+            request: id,
+            explanation: ChoiceExplanation {
+                queue_s: estimate.queue_s,
+                prefill_s: estimate.prefill_s,
+                total_s,
+                lateness_s,
+                limit_s,
+            },
+        };
+        if let Some(state) = self.requests.get_mut(&id) {
+            state.first_token_due_at = now + total_s;
+        }
+        if total_s + lateness_s > limit_s {
+            let retry_after_s = (total_s + lateness_s - limit_s).max(MIN_LATE_RETRY_AFTER_S);
+            return self.reject(id, retry_after_s, Cause::ExpectedLate, out);
+        }
+        self.send_prefill(now, id, estimate, out);
+    }
+
+    fn expected_lateness_s(&self, now: f64, estimate_s: f64) -> f64 {
+        let waiting_s = self
+            .requests
+            .values()
+            .filter(|state| state.awaits_first_token())
+            .map(|state| state.lateness_s(now));
+        self.admission
+            .expected_lateness_s(now, estimate_s, waiting_s)
+    }
+
+    /// Probes the first few of which nothing fresh is known; returns those probed. Tied to a choice
+    /// at hand: many routers probing by the clock would load the fleet for nothing.
+    pub(super) fn probe(
+        &mut self,
+        now: f64,
+        servers: &[ServerId],
+        out: &mut Actions,
+    ) -> Vec<ServerId> {
+        let mut probed = Vec::new();
+        if self.settings.report_mode == ReportMode::Off || !self.settings.limits.may_probe {
+            return probed;
+        }
+        for &id in servers.iter().take(PROBES_PER_CHOICE) {
+            let Some(server) = self.servers.get_mut(id) else {
+                continue;
+            };
+            if server.health.needs_probe(server.load.reported_at(), now) {
+                server.health.probe_sent(now);
+                out.push(Action::Probe { server: id });
+                probed.push(id);
+            }
+        }
+        probed
+    }
+
+    /// Probes a few decode servers that a KV state may go to, its own cell's first, during the
+    /// prefill.
+    pub(super) fn probe_decode_servers(
+        &mut self,
+        now: f64,
+        id: RequestId,
+        prefill_server: ServerId,
+        out: &mut Actions,
+    ) {
+        let (Some(state), Some(from)) = (self.requests.get(&id), self.servers.get(prefill_server))
+        else {
+            return;
+        };
+        if from.role != Role::Prefill {
+            return;
+        }
+        let few = self.decode_servers_to_probe(state, from);
+        self.probe(now, &few, out);
+    }
+
+    /// The first few of them in order, without ordering the others.
+    fn decode_servers_to_probe(&self, state: &RequestState, from: &Server) -> Vec<ServerId> {
+        let selector = self.selector();
+        let mut few: Vec<ProbeCandidate> = Vec::with_capacity(PROBES_PER_CHOICE + 1);
+        for server in self.servers.iter() {
+            if server.role != Role::Decode || !server.is_ready() {
+                continue;
+            }
+            let candidate = ProbeCandidate {
+                other_cell: server.entry.cell != from.entry.cell,
+                draw: selector.draw(server, state),
+                server: server.entry.id,
+            };
+            let at = few.partition_point(|known| known.precedes(&candidate));
+            few.insert(at, candidate);
+            few.truncate(PROBES_PER_CHOICE);
+        }
+        few.into_iter().map(|candidate| candidate.server).collect()
+    }
+}
--- /dev/null
+++ b/crates/policy/src/choice/attempts.rs
@@ -0,0 +1,213 @@
+//! Attempts in flight: `launch` alone sends; silent attempts are called back, held KV states
+//! released in time.
+
+use super::prefill_choice::PrefillEstimate;
+use super::request_state::{RequestState, Stage};
+use super::server::InFlightAttempt;
+use super::{set_timer, Actions, Router, PROBE_WAIT_S};
+use crate::interface::{Action, Cause, RequestId, Role, ServerId};
+
+/// Share of the hold limit for which a KV state may wait for a decode server.
+const DECODE_WAIT_FRACTION: f64 = 0.5;
+/// Seconds that a KV transfer and a first token take at an idle decode server.
+const DECODE_START_S: f64 = 0.15;
+/// Seconds that a client is told to stay away where an attempt may not be sent, or no decode server
+/// takes it.
+const RETRY_AFTER_S: f64 = 0.5;
+
+impl Router {
+    pub(super) fn send_prefill(
+        &mut self,
+        now: f64,
+        id: RequestId,
+        estimate: PrefillEstimate,
+        out: &mut Actions,
+    ) {
+        if let Some(state) = self.requests.get_mut(&id) {
+            state.queue_s = estimate.queue_s;
+            state.prefill_s = estimate.prefill_s;
+        }
+        self.probe_decode_servers(now, id, estimate.server, out);
+        let expected_s = estimate.queue_s + estimate.prefill_s;
+        self.launch(now, id, estimate.server, expected_s, out);
+    }
+
+    pub(super) fn send_decode(&mut self, now: f64, id: RequestId, out: &mut Actions) {
+        let Some(state) = self.requests.get(&id) else {
+            return;
+        };
+        let selector = self.selector();
+        if let Some(server) = selector.best_decode_server(state, now) {
+            let wait_s = self
+                .servers
+                .get(server)
+                .map_or(0.0, |server| selector.decode_wait_s(server, now));
+            return self.launch(now, id, server, DECODE_START_S + wait_s, out);
+        }
+        // No decode server can take the state now: it waits a little within the hold limit.
+        let max_wait_s = self.settings.kv_hold_limit_s * DECODE_WAIT_FRACTION;
+        let held = state.held.known();
+        if held.is_some_and(|held| now - held.since <= max_wait_s) {
+            set_timer(id, now + 2.0 * PROBE_WAIT_S, out);
+        } else {
+            self.reject(id, RETRY_AFTER_S, Cause::NoDecodeServer, out);
+        }
+    }
+
+    /// The one place that sends. Rejects what a rule forbids, whatever the caller chose.
+    fn launch(
+        &mut self,
+        now: f64,
+        id: RequestId,
+        to: ServerId,
+        expected_s: f64,
+        out: &mut Actions,
+    ) {
+        let (Some(state), Some(server)) = (self.requests.get(&id), self.servers.get(to)) else {
+            return;
+        };
+        let selector = self.selector();
+        if !self.may_launch(state, now) || !selector.is_usable(server, state, now) {
+            return self.reject(id, RETRY_AFTER_S, Cause::Forbidden, out);
+        }
+        let max_silence_s = selector.max_silence_s(&state.request, server, now);
+        let silence_s = 2.0 * expected_s + max_silence_s;
+        let waits_for_client =
+            selector.is_single_attempt(server, state) || self.settings.limits.may_cancel;
+        let timeout_s = if waits_for_client { 0.0 } else { silence_s };
+        let attempt = InFlightAttempt {
+            work_s: if state.held.known().is_none() {
+                state.prefill_s
+            } else {
+                0.0
+            },
+            due_at: now + expected_s,
+            memory: state.memory,
+            link: self
+                .holder_cell(state)
+                .filter(|cell| *cell != server.entry.cell),
+        };
+        if let Some(server) = self.servers.get_mut(to) {
+            server.in_flight.insert(id, attempt);
+        }
+        if let Some(state) = self.requests.get_mut(&id) {
+            state.stage = Stage::InFlight;
+            state.server = to;
+            state.sent_at = now;
+            state.attempts += 1;
+        }
+        out.push(Action::Send {
+            request: id,
+            server: to,
+            timeout_s,
+        });
+        set_timer(id, now + silence_s, out);
+    }
+
+    fn may_launch(&self, state: &RequestState, now: f64) -> bool {
+        !state.answered
+            && matches!(state.stage, Stage::Idle | Stage::AwaitingDecode)
+            && state.attempts < self.settings.limits.max_attempts
+            && now < state.deadline
+    }
+
+    /// The cell of the server that holds a request's KV state.
+    fn holder_cell(&self, state: &RequestState) -> Option<u16> {
+        let held = state.held.known()?;
+        Some(self.servers.get(held.server)?.entry.cell)
+    }
+
+    pub(super) fn cancel(&mut self, id: RequestId, out: &mut Actions) {
+        let Some(state) = self.requests.get(&id) else {
+            return;
+        };
+        let in_flight = state.stage == Stage::InFlight && !state.answered;
+        if in_flight && self.settings.limits.may_cancel {
+            out.push(Action::Cancel {
+                request: id,
+                attempt: (state.attempts - 1) as u16,
+            });
+        }
+    }
+
+    pub(super) fn on_timer(&mut self, now: f64, label: u64, out: &mut Actions) {
+        let id = label as RequestId;
+        self.release_if_due(now, id, out);
+        let Some(state) = self.requests.get(&id) else {
+            return;
+        };
+        let is_due = now + 3.0 * self.settings.tick_s >= state.deadline;
+        if is_due && state.stage != Stage::Streaming {
+            self.record_failed_request(id, Cause::Deadline);
+            self.cancel(id, out);
+            return self.finish(id, Some(Action::Fail { request: id }), out);
+        }
+        match state.stage {
+            Stage::Probing { until } if now >= until => self.place(now, id, out),
+            Stage::AwaitingDecode => self.send_decode(now, id, out),
+            Stage::InFlight => self.call_back_silent(now, id, out),
+            _ => {}
+        }
+    }
+
+    /// Calls an attempt back from a silent server: dead, cut off, hung, or its answer lost. A queue
+    /// is told apart by other answers, or by a probe whose report explains the wait: calling back
+    /// would add to it. Harm: where a report is too rosy a prompt is prefilled twice, within the
+    /// retry budget.
+    fn call_back_silent(&mut self, now: f64, id: RequestId, out: &mut Actions) {
+        let Some(state) = self.requests.get(&id) else {
+            return;
+        };
+        let (server_id, sent_at) = (state.server, state.sent_at);
+        let Some(server) = self.servers.get(server_id) else {
+            return;
+        };
+        let Some(attempt) = server.in_flight.get(&id) else {
+            return;
+        };
+        let selector = self.selector();
+        if selector.is_single_attempt(server, state) || !self.retry_budget.has_token() {
+            return;
+        }
+        let due_at = attempt.due_at;
+        let silence_s = selector.max_silence_s(&state.request, server, sent_at);
+        let is_reported = server.load.reported_at() > due_at;
+        let queue_s = match server.role {
+            _ if !is_reported => 0.0,
+            Role::Prefill => selector.other_dispatchers_s(server, now),
+            Role::Decode | Role::Mixed => selector.decode_wait_s(server, now),
+        };
+        let patient_until = sent_at + 2.0 * (queue_s + due_at - sent_at) + silence_s;
+        if now < patient_until || server.health.last_success_at() > sent_at {
+            set_timer(id, patient_until.max(now + silence_s), out);
+        } else if is_reported || self.probe(now, &[server_id], out).is_empty() {
+            self.cancel(id, out);
+        } else {
+            set_timer(id, now + 2.0 * PROBE_WAIT_S, out);
+        }
+    }
+
+    /// Releases what may be held for a request once that is due. Whether it goes on is left to the
+    /// caller.
+    fn release_if_due(&mut self, now: f64, id: RequestId, out: &mut Actions) {
+        let limit_s = self.settings.kv_hold_limit_s;
+        let Some(state) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let release_at = state.held.release_at(limit_s);
+        if release_at.is_some_and(|at| now >= at) {
+            state.held.record_release(now);
+            out.push(Action::Release { request: id });
+            self.schedule_release(id, out);
+        }
+    }
+
+    /// Comes back to a request when what may be held for it has to be released.
+    pub(super) fn schedule_release(&self, id: RequestId, out: &mut Actions) {
+        let limit_s = self.settings.kv_hold_limit_s;
+        let state = self.requests.get(&id);
+        if let Some(at) = state.and_then(|state| state.held.release_at(limit_s)) {
+            set_timer(id, at, out);
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/choice/completion.rs
@@ -0,0 +1,259 @@
+//! First tokens and the ends of attempts: what they teach, and whether the request goes on;
+//! `finish` alone ends.
+
+use super::decay::non_negative;
+use super::load::PrefillSample;
+use super::request_state::{PossibleExecution, RequestState, Stage};
+use super::retry_safety::Execution;
+use super::{Actions, Router};
+use crate::interface::{Action, AttemptEnd, Cause, Effect, Outcome, RequestId, Role, ServerId};
+
+/// Seconds that a client is told to stay away after an attempt that cannot be followed by another.
+const ENDED_RETRY_AFTER_S: f64 = 0.2;
+/// The same where the retry budget is used up or no server takes a retry.
+const NO_RETRY_RETRY_AFTER_S: f64 = 0.5;
+
+impl Router {
+    pub(super) fn on_first_token(
+        &mut self,
+        now: f64,
+        id: RequestId,
+        server_id: ServerId,
+        elapsed_s: f64,
+    ) {
+        let Some(state) = self.requests.get_mut(&id) else {
+            return;
+        };
+        state.stage = Stage::Streaming;
+        state.first_token_s = non_negative(elapsed_s);
+        state.held.record_taken();
+        self.admission.record_lateness(now, state.lateness_s(now));
+        let Some(server) = self.servers.get_mut(server_id) else {
+            return;
+        };
+        if let Some(attempt) = server.in_flight.remove(&id) {
+            let excess_s = (now - attempt.due_at).max(0.0);
+            match attempt.link {
+                None => server.health.record_excess_delay(excess_s, now),
+                Some(cell) => self.load.record_link_delay(now, cell, excess_s),
+            }
+            server.streaming.insert(id, attempt.memory);
+        }
+        server.health.record_success(now);
+        self.slow_start.record_response(server.role);
+    }
+
+    pub(super) fn on_attempt_end(&mut self, now: f64, end: AttemptEnd, out: &mut Actions) {
+        let was_waiting = self.remove_attempt(&end);
+        self.record_load_report(now, end.server, &end.report);
+        let id = end.request;
+        let Some(state) = self.requests.get(&id) else {
+            return;
+        };
+        if state.server != end.server {
+            return;
+        }
+        let state = state.clone();
+        self.record_outcome(now, &end, &state, was_waiting);
+        let at_prefill = self.servers.is_prefill(end.server);
+        let execution = self.safety.execution(end.outcome, at_prefill);
+        let Some(state) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if execution == Execution::MayHaveRun {
+            state.may_have_run.get_or_insert(PossibleExecution {
+                server: end.server,
+                sent_at: state.sent_at,
+            });
+        }
+        let was_released = state.held.is_released();
+        state.held.record_end(now, &end, at_prefill);
+        state.stage = if state.held.known().is_some() {
+            Stage::AwaitingDecode
+        } else {
+            Stage::Idle
+        };
+        if end.finished || state.answered {
+            state.answered = true;
+            return self.finish(id, None, out);
+        }
+        self.schedule_release(id, out);
+        self.continue_after(now, &end, was_released, out);
+    }
+
+    /// Takes an attempt from its server; `true` where it waited for its prefill or first token.
+    fn remove_attempt(&mut self, end: &AttemptEnd) -> bool {
+        let Some(server) = self.servers.get_mut(end.server) else {
+            return false;
+        };
+        server.streaming.remove(&end.request);
+        server.in_flight.remove(&end.request).is_some()
+    }
+
+    /// Takes in what an outcome shows of its server.
+    fn record_outcome(
+        &mut self,
+        now: f64,
+        end: &AttemptEnd,
+        state: &RequestState,
+        was_waiting: bool,
+    ) {
+        let cut_by_deadline = now + 2.0 * self.settings.tick_s >= state.deadline;
+        let Some(server) = self.servers.get_mut(end.server) else {
+            return;
+        };
+        match end.outcome {
+            Outcome::Served | Outcome::PrefillDone => server.health.record_success(now),
+            Outcome::Error | Outcome::Reset | Outcome::ConnectFailed => {
+                server.health.record_failure(end.elapsed_s, now);
+            }
+            Outcome::TimedOut | Outcome::Cancelled if was_waiting => {
+                if !cut_by_deadline && !state.answered {
+                    server.health.record_failure(end.elapsed_s, now);
+                }
+                let waited_s = non_negative(end.elapsed_s);
+                server.health.record_lost_wait(waited_s, now);
+            }
+            Outcome::Rejected {
+                state_missing: false,
+            } => server.health.record_rejection(now),
+            _ => {}
+        }
+        let prefilled_there = server.role != Role::Prefill && state.held.known().is_none();
+        match end.outcome {
+            Outcome::PrefillDone => {
+                self.record_prefill(now, end, state, non_negative(end.elapsed_s));
+                self.slow_start.record_response(Role::Prefill);
+                self.slow_start.record_choice(Role::Decode);
+            }
+            Outcome::Served if prefilled_there => {
+                self.record_prefill(now, end, state, state.first_token_s);
+            }
+            _ => {}
+        }
+    }
+
+    fn record_prefill(&mut self, now: f64, end: &AttemptEnd, state: &RequestState, elapsed_s: f64) {
+        let request = &state.request;
+        let total_tokens = request.prompt_tokens;
+        let cached_tokens = non_negative(end.prefix_hit_tokens).min(total_tokens);
+        let uncached_tokens = total_tokens - cached_tokens;
+        self.prefixes.record_prefill(now, end.server, request);
+        self.load.record_prompt(uncached_tokens, total_tokens);
+        let Some(server) = self.servers.get_mut(end.server) else {
+            return;
+        };
+        let sample = PrefillSample {
+            uncached_tokens,
+            total_tokens,
+            elapsed_s,
+            queue_s: state.queue_s,
+            capacity: self.slow_start.capacity(server.entry.booted_at, now),
+        };
+        self.load.record_prefill(now, server, sample);
+    }
+
+    /// After an attempt that has not served the request; `was_released`: its KV state was released
+    /// meanwhile.
+    fn continue_after(
+        &mut self,
+        now: f64,
+        end: &AttemptEnd,
+        was_released: bool,
+        out: &mut Actions,
+    ) {
+        let (id, outcome) = (end.request, end.outcome);
+        let Some(state) = self.requests.get(&id) else {
+            return;
+        };
+        if let Some(cause) = self.stop_cause(now, end, state, was_released) {
+            return self.reject(id, ENDED_RETRY_AFTER_S, cause, out);
+        }
+        let retries = f64::from(outcome != Outcome::PrefillDone);
+        if !self.retry_budget.try_spend(retries) {
+            return self.reject(id, NO_RETRY_RETRY_AFTER_S, Cause::NoRetryLeft, out);
+        }
+        if state.held.known().is_some() {
+            return self.send_decode(now, id, out);
+        }
+        let estimate = self.selector().best_prefill_server(state, now);
+        let cause = match estimate {
+            Some(estimate) if now + estimate.total_s < state.deadline => {
+                return self.send_prefill(now, id, estimate, out);
+            }
+            Some(_) => Cause::Deadline,
+            None => Cause::NoPrefillServer,
+        };
+        self.reject(id, NO_RETRY_RETRY_AFTER_S, cause, out);
+    }
+
+    /// Why a request goes on no further after an attempt.
+    fn stop_cause(
+        &self,
+        now: f64,
+        end: &AttemptEnd,
+        state: &RequestState,
+        was_released: bool,
+    ) -> Option<Cause> {
+        let effect = self.selector().effect(state);
+        if effect == Effect::NonIdempotent && state.may_have_run.is_some() {
+            return Some(Cause::MayHaveRun);
+        }
+        // Nobody has taken its state; it would be held too long, did another way there come up no
+        // sooner.
+        let max_held_s = self.settings.kv_hold_limit_s + 3.0 * self.settings.tick_s;
+        let retry_ends_at = now + non_negative(end.elapsed_s);
+        let held = state.held.known();
+        let expires = held.is_some_and(|held| retry_ends_at > held.since + max_held_s);
+        if end.outcome == Outcome::ConnectFailed && (was_released || expires) {
+            return Some(Cause::StateExpired);
+        }
+        if now + 2.0 * self.settings.tick_s >= state.deadline {
+            return Some(Cause::Deadline);
+        }
+        (end.outcome == Outcome::NotSent).then_some(Cause::NotSent)
+    }
+
+    /// Ends a request without serving it: rejects it where a retry is harmless, else fails it.
+    pub(super) fn reject(
+        &mut self,
+        id: RequestId,
+        retry_after_s: f64,
+        cause: Cause,
+        out: &mut Actions,
+    ) {
+        self.record_failed_request(id, cause);
+        let Some(state) = self.requests.get(&id) else {
+            return;
+        };
+        let effect = self.selector().effect(state);
+        let answer = if self.safety.may_reject(effect, state) {
+            let max_retry_after_s = self.settings.limits.max_retry_after_s.max(0.0);
+            Action::Reject {
+                request: id,
+                retry_after_s: retry_after_s.min(max_retry_after_s),
+            }
+        } else {
+            Action::Fail { request: id }
+        };
+        self.finish(id, Some(answer), out);
+    }
+
+    /// The one place that ends a request: gives the final answer, if it is owed, and releases its
+    /// KV state.
+    pub(super) fn finish(&mut self, id: RequestId, answer: Option<Action>, out: &mut Actions) {
+        let Some(state) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if !std::mem::replace(&mut state.answered, true) {
+            out.extend(answer);
+        }
+        if matches!(state.stage, Stage::InFlight | Stage::Streaming) {
+            return;
+        }
+        if state.held.needs_release() {
+            out.push(Action::Release { request: id });
+        }
+        self.requests.remove(&id);
+    }
+}
--- a/crates/policy/src/choice/health.rs
+++ b/crates/policy/src/choice/health.rs
@@ -1,259 +1,144 @@
-//! Outcomes of attempts: what they tell of health and speed, by own experience, reports and hearsay.
+//! Health of one server: time lost by its failures, delay beyond prediction, and what others report
+//! of it.
 
-use super::*;
+use super::decay::{non_negative, DecayingMean};
+use super::NEWEST_WEIGHT;
 
-const ROLE_LOAD_NEWEST_WEIGHT: f64 = 0.25; // Weight of the newest report in its kind's mean.
-const REPORTED_FAILURE_COST_S: f64 = 0.25; // Mean loss, in seconds, of a server that others have seen failing.
-const REPORTED_DRAIN_S: f64 = 1.0; // Seconds for which others' word of a drain counts.
-const REPORTED_FAILING_S: f64 = 3.0; // Seconds for which a server counts as told to fail.
-const MAX_REPORTED_FAILING_FRACTION: f64 = 0.25; // Share of its like that may be told to fail for it to be believed.
-const REJECTION_PAUSE_S: f64 = 0.2; // Seconds for which a server that said `full` is passed over.
+/// Multiple of its age that a probe which is not answered in time stands for.
+const UNANSWERED_PROBE_RATIO: f64 = 4.0;
+/// Seconds that a failure costs beyond its own time: the next attempt's way and wait.
+const FAILURE_EXTRA_COST_S: f64 = 0.1;
+/// Half-life, in seconds, of time lost by failures.
+const FAILURE_HALF_LIFE_S: f64 = 2.0;
+/// Half-life, in seconds, of delay beyond prediction: about the time in which a queue turns over.
+const EXCESS_HALF_LIFE_S: f64 = 0.7;
+/// Mean time lost, in seconds, by failures of a server that others have seen failing.
+const REPORTED_FAILURE_COST_S: f64 = 0.25;
+/// Seconds for which a server counts as reported to fail.
+const REPORTED_FAILING_S: f64 = 3.0;
+/// Seconds for which others' reports of a drain count.
+const REPORTED_DRAIN_S: f64 = 1.0;
+/// Seconds for which a server that has rejected an attempt is passed over.
+const REJECTION_PAUSE_S: f64 = 0.2;
+/// Seconds for which a load report or a probe in flight is fresh enough not to probe again.
+const MIN_PROBE_INTERVAL_S: f64 = 0.5;
 
-impl Router {
-    pub(super) fn on_first(&mut self, now: f64, id: RequestId, server: ServerId, elapsed: f64) {
-        let Some(state) = self.requests.get_mut(&id) else {
-            return;
-        };
-        (state.stage, state.first_after) = (Stage::Streaming, non_negative(elapsed));
-        state.kv_state.taken();
-        let expected_lateness = (now - state.expected_first_token_at).max(0.0);
-        let before = decayed(self.lateness, now, HALF_LIFE_S);
-        self.lateness = (
-            before + 0.5 * NEWEST_WEIGHT * (expected_lateness - before),
-            now,
-        );
-        let Some(server) = self.servers.get_mut(&server) else {
-            return;
-        };
-        if let Some(p) = server.in_flight.remove(&id) {
-            let (seen, half) = match p.link {
-                None => (&mut server.excess_delay, EXCESS_HALF_LIFE_S),
-                Some(cell) => (self.links.entry(cell).or_default(), HALF_LIFE_S),
-            };
-            *seen = (
-                0.5 * decayed(*seen, now, half) + 0.5 * (now - p.due).max(0.0),
-                now,
-            );
-            server.streaming.insert(id, p.tokens);
-        }
-        server.mark(now, false, elapsed);
-        self.response_rates[server.role as usize].0 += 1.0;
+/// What own attempts, probes and others' reports show of a server. Times are seconds of the clock.
+#[derive(Debug, Default)]
+pub(super) struct ServerHealth {
+    failure_cost: DecayingMean,
+    last_success_at: f64,
+    excess_delay: DecayingMean,
+    /// Until then it takes nothing: it has rejected an attempt, or others' lists have it draining.
+    closed_until: f64,
+    reported_failing_at: f64,
+    probe_sent_at: f64,
+    probe_in_flight: bool,
+}
+
+impl ServerHealth {
+    /// An attempt has been answered.
+    pub fn record_success(&mut self, now: f64) {
+        self.last_success_at = now;
+        self.record_cost(0.0, now);
     }
 
-    pub(super) fn on_end(&mut self, now: f64, end: AttemptEnd, actions: &mut Actions) {
-        let server = self.servers.get_mut(&end.server);
-        let waited = server.is_some_and(|server| {
-            server.streaming.remove(&end.request);
-            server.in_flight.remove(&end.request).is_some()
-        });
-        self.record_load_report(now, end.server, &end.report);
-        let Some(state) = self
-            .requests
-            .get(&end.request)
-            .filter(|state| state.at == end.server)
-        else {
-            return;
-        };
-        let (id, state) = (end.request, state.clone());
-        self.record_outcome(now, &end, &state, waited);
-        let ran = self.execution(&end) == Execution::MayHaveRun;
-        let at_prefill = self
-            .servers
-            .get(&end.server)
-            .is_some_and(|server| server.role == Role::Prefill);
-        let Some(state) = self.requests.get_mut(&id) else {
-            return;
-        };
-        state.may_have_run = state
-            .may_have_run
-            .or(ran.then_some((end.server, state.sent)));
-        let expired = state.kv_state.is_released();
-        state.kv_state.attempt_ended(now, &end, at_prefill);
-        state.stage = if state.kv_state.known().is_some() {
-            Stage::AwaitingDecode
-        } else {
-            Stage::Idle
-        };
-        if end.finished || state.answered {
-            state.answered = true;
-            return self.finish(id, None, actions);
-        }
-        self.schedule_release(id, actions);
-        self.continue_after(now, &end, expired, actions);
+    /// An attempt has failed. It is priced by the time that it has lost, as quick failures leave a
+    /// short queue.
+    pub fn record_failure(&mut self, elapsed_s: f64, now: f64) {
+        self.record_cost(non_negative(elapsed_s) + FAILURE_EXTRA_COST_S, now);
     }
 
-    fn record_outcome(&mut self, now: f64, end: &AttemptEnd, state: &RequestState, waited: bool) {
-        let cut = now + 2.0 * self.settings.tick_s >= state.deadline;
-        let mark = match end.outcome {
-            Outcome::Served | Outcome::PrefillDone => Some(false),
-            Outcome::Error | Outcome::Reset | Outcome::ConnectFailed => Some(true),
-            Outcome::TimedOut | Outcome::Cancelled if !cut && !state.answered && waited => {
-                Some(true)
-            }
-            _ => None,
-        };
-        let Some(server) = self.servers.get_mut(&end.server) else {
-            return;
-        };
-        let whole = server.role != Role::Prefill && state.kv_state.known().is_none();
-        mark.into_iter()
-            .for_each(|bad| server.mark(now, bad, end.elapsed_s));
-        match end.outcome {
-            Outcome::TimedOut | Outcome::Cancelled if waited => {
-                server.excess_delay = (
-                    server.excess_delay(now).max(non_negative(end.elapsed_s)),
-                    now,
-                );
-            }
-            Outcome::Rejected {
-                state_missing: false,
-            } => server.closed_until = server.closed_until.max(now + REJECTION_PAUSE_S),
-            Outcome::PrefillDone => {
-                self.learn_prefill_time(now, end, state, non_negative(end.elapsed_s));
-                self.response_rates[Role::Prefill as usize].0 += 1.0;
-                self.count_choice(Role::Decode);
-            }
-            Outcome::Served if whole => self.learn_prefill_time(now, end, state, state.first_after),
-            _ => {}
-        }
+    fn record_cost(&mut self, lost_s: f64, now: f64) {
+        self.failure_cost
+            .add(lost_s, 2.0 * NEWEST_WEIGHT, now, FAILURE_HALF_LIFE_S);
     }
 
-    /// What others have seen. One voice condemns no server, and what was heard here since counts more.
-    /// Failing costs time as an own failure does, young is as by the list, draining closes it while told.
-    /// Harm: where two are wrong together it is passed by for a while, by a price or for a second.
-    pub(super) fn on_peer_report(
-        &mut self,
-        now: f64,
-        id: ServerId,
-        told: (Observation, u32, u32, f64),
-    ) {
-        let (observation, reporters, of, age_s) = told;
-        let Some(server) = self.servers.get_mut(&id).filter(|_| reporters >= 2) else {
-            return;
-        };
-        match observation {
-            Observation::Failing if server.last_success_at < now - age_s => {
-                let (role, failure_cost) = (
-                    server.role,
-                    decayed(server.failure_cost, now, HALF_LIFE_S).max(REPORTED_FAILURE_COST_S),
-                );
-                server.reported_failing_at = now;
-                // Where many of its like are told to fail it is the way to them.
-                let like = || {
-                    self.servers
-                        .values()
-                        .filter(|server| server.role == role && server.ready())
-                };
-                let failing = like()
-                    .filter(|server| now - server.reported_failing_at < REPORTED_FAILING_S)
-                    .count() as f64;
-                let few = failing <= 1.0
-                    || failing <= MAX_REPORTED_FAILING_FRACTION * like().count() as f64;
-                self.servers.entry(id).and_modify(|server| {
-                    server.failure_cost = if few {
-                        (failure_cost, now)
-                    } else {
-                        server.failure_cost
-                    }
-                });
-            }
-            Observation::WarmingUp if server.entry.booted_at <= 0.0 => {
-                server.entry.booted_at = now - age_s
-            }
-            Observation::Draining if 2 * reporters > of => {
-                server.closed_until = server.closed_until.max(now + REPORTED_DRAIN_S)
-            }
-            _ => {}
-        }
+    /// Mean time lost of late by a failure, seconds.
+    pub fn failure_cost_s(&self, now: f64) -> f64 {
+        self.failure_cost.at(now, FAILURE_HALF_LIFE_S)
     }
 
-    fn learn_prefill_time(&mut self, now: f64, end: &AttemptEnd, state: &RequestState, took: f64) {
-        let hit = non_negative(end.prefix_hit_tokens).min(state.request.prompt_tokens);
-        self.prefixes.note(now, end.server, &state.request);
-        let total = state.request.prompt_tokens;
-        self.typical_prompt.0 += 2.0 * NEWEST_WEIGHT * (total - hit - self.typical_prompt.0);
-        self.typical_prompt.1 += 2.0 * NEWEST_WEIGHT * (total - self.typical_prompt.1);
-        let Some(server) = self.servers.get(&end.server) else {
-            return;
-        };
-        let (alone, capacity) = (
-            self.prefill_s(server, total - hit, total),
-            self.capacity(server, now),
-        );
-        let Some(server) = self.servers.get_mut(&end.server) else {
-            return;
-        };
-        if state.queue_s < 0.5 * alone {
-            // A queue unseen is the excess's part, so that surprises upwards pull less.
-            let ratio = ((took - state.queue_s) * capacity / alone * server.pace).clamp(0.3, 8.0);
-            let step = if ratio > server.pace {
-                0.5 * NEWEST_WEIGHT
-            } else {
-                NEWEST_WEIGHT
-            };
-            server.pace = (server.pace + step * (ratio - server.pace)).clamp(0.6, 8.0);
-        }
-        let surprise = (took - state.queue_s - alone / capacity).max(0.0);
-        server.excess_delay = (0.5 * server.excess_delay(now) + 0.5 * surprise, now);
+    /// When an attempt was last answered.
+    pub fn last_success_at(&self) -> f64 {
+        self.last_success_at
     }
 
-    pub(super) fn record_load_report(&mut self, now: f64, id: ServerId, report: &[f64]) {
-        let told = !report.is_empty() && report.iter().all(|v| v.is_finite());
-        let Some(server) = self.servers.get_mut(&id).filter(|_| told) else {
-            return;
-        };
-        let reads = server.role == Role::Prefill;
-        let own_held = (server.in_flight.len() + server.streaming.len()) as f64;
-        let mut told = Report::default();
-        for (field, &value) in self.settings.report_fields.iter().zip(report) {
-            match field {
-                ReportField::SlotUtilization if !reads => told.load = told.load.max(value),
-                ReportField::MemoryUtilization => told.load = told.load.max(value),
-                ReportField::Concurrent if reads => {
-                    told.others = (0.5 * (value - own_held)).max(0.0)
-                }
-                ReportField::Queue => {
-                    told.others = if reads {
-                        (value - own_held).max(0.0)
-                    } else {
-                        value
-                    }
-                }
-                _ => {}
-            }
-        }
-        (server.report, server.reported_at, server.tokens_at_report) =
-            (told, now, server.own(|t| t.0));
-        let kind = usize::from(server.entry.kind);
-        let cold = self
-            .servers
-            .get(&id)
-            .is_some_and(|server| self.capacity(server, now) < 1.0);
-        let similar_load = &mut self.role_load[kind][usize::from(cold)];
-        *similar_load = (told.blend(similar_load.0, ROLE_LOAD_NEWEST_WEIGHT), now);
+    /// Delay beyond prediction, seconds.
+    pub fn excess_delay_s(&self, now: f64) -> f64 {
+        self.excess_delay.at(now, EXCESS_HALF_LIFE_S)
     }
 
-    pub(super) fn on_probe(
-        &mut self,
-        now: f64,
-        id: ServerId,
-        end: Outcome,
-        took: f64,
-        actions: &mut Actions,
-    ) {
-        if let Some(server) = self.servers.get_mut(&id) {
-            server.probe_in_flight = false;
-            if matches!(end, Outcome::ConnectFailed | Outcome::Reset) {
-                server.mark(now, true, took);
-            }
-        }
-        let answered = |(request, state): (&RequestId, &mut RequestState)| {
-            state.probed.retain(|probed| *probed != id);
-            (state.probed.is_empty() && matches!(state.stage, Stage::Probing(_)))
-                .then_some(*request)
+    /// An answer came so much later than predicted.
+    pub fn record_excess_delay(&mut self, excess_s: f64, now: f64) {
+        self.excess_delay
+            .average_with(excess_s, now, EXCESS_HALF_LIFE_S);
+    }
+
+    /// An attempt was waited for in vain for as long.
+    pub fn record_lost_wait(&mut self, waited_s: f64, now: f64) {
+        self.excess_delay
+            .raise_to(waited_s, now, EXCESS_HALF_LIFE_S);
+    }
+
+    /// It has rejected an attempt as full.
+    pub fn record_rejection(&mut self, now: f64) {
+        self.closed_until = self.closed_until.max(now + REJECTION_PAUSE_S);
+    }
+
+    /// Others report that it drains.
+    pub fn record_reported_drain(&mut self, now: f64) {
+        self.closed_until = self.closed_until.max(now + REPORTED_DRAIN_S);
+    }
+
+    /// Others report that it fails.
+    pub fn record_reported_failing(&mut self, now: f64) {
+        self.reported_failing_at = now;
+    }
+
+    /// Others have reported lately that it fails.
+    pub fn is_reported_failing(&self, now: f64) -> bool {
+        now - self.reported_failing_at < REPORTED_FAILING_S
+    }
+
+    /// A report of failures is believed: it costs time as an own failure does.
+    pub fn believe_reported_failure(&mut self, now: f64) {
+        self.failure_cost
+            .raise_to(REPORTED_FAILURE_COST_S, now, FAILURE_HALF_LIFE_S);
+    }
+
+    /// It takes nothing for now.
+    pub fn is_closed(&self, now: f64) -> bool {
+        now < self.closed_until
+    }
+
+    /// Nothing fresh is known of it, and no probe is on its way.
+    pub fn needs_probe(&self, reported_at: f64, now: f64) -> bool {
+        now - reported_at.max(self.probe_sent_at) > MIN_PROBE_INTERVAL_S
+    }
+
+    /// A probe is sent.
+    pub fn probe_sent(&mut self, now: f64) {
+        self.probe_sent_at = now;
+        self.probe_in_flight = true;
+    }
+
+    /// A probe has ended.
+    pub fn probe_ended(&mut self) {
+        self.probe_in_flight = false;
+    }
+
+    /// Seconds that a probe stands for which has not been answered within `wait_s`.
+    pub fn unanswered_probe_s(&self, wait_s: f64, now: f64) -> f64 {
+        let age_s = if self.probe_in_flight {
+            now - self.probe_sent_at
+        } else {
+            0.0
         };
-        let done: Vec<RequestId> = self.requests.iter_mut().filter_map(answered).collect();
-        done.into_iter()
-            .for_each(|state| self.place(now, state, actions));
+        if age_s < 0.9 * wait_s {
+            0.0
+        } else {
+            UNANSWERED_PROBE_RATIO * age_s
+        }
     }
 }
--- a/crates/policy/src/choice/held_states.rs
+++ b/crates/policy/src/choice/held_states.rs
@@ -1,123 +1,114 @@
 //! What prefill servers may hold for a request, and when it is released.
 //!
-//! A hand-over that has not arrived does not stop the clock of a held state, and nothing says whether it has
-//! arrived until its answer comes. So the clock runs on while an attempt is out, and the state is released
-//! shortly before the limit: a decode server that waits for the state keeps it, and one that is reached later
-//! answers that it is gone.
+//! A KV transfer that has not arrived does not stop the clock of a held state, and nothing says
+//! whether it has arrived until its answer comes. So the clock runs on while an attempt is in
+//! flight, and the state is released shortly before the limit: a decode server that waits for the
+//! state keeps it, and one that is reached later answers that it is missing.
 
-use super::*;
+use crate::interface::{AttemptEnd, Outcome, ServerId};
 
-/// Share of the pin limit after which a state is released; the rest is for the release to arrive.
+/// Share of the hold limit after which a state is released; the rest is for the release to arrive.
 const RELEASE_FRACTION: f64 = 0.9;
 
-/// What may be held for one request. Every state that a prefill leaves ends here: taken, gone or released.
+/// A KV state that a prefill server has said to hold.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct HeldAt {
+    pub server: ServerId,
+    /// Clock time of the prefill's end, seconds.
+    pub since: f64,
+}
+
+/// What may be held for one request. Every state that a prefill leaves ends here: taken, missing or
+/// released.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct HeldState {
-    /// The prefill server that answered that it holds the state, and when.
-    known: Option<(ServerId, f64)>,
-    /// Since when the earliest of what may be held is held, with nothing out that is known to have arrived.
+    known: Option<HeldAt>,
+    /// Since when the earliest of what may be held is held, with nothing in flight that is known to
+    /// have arrived.
     since: Option<f64>,
-    /// A prefill or a hand-over ended without an answer, and may have left a state.
-    left: bool,
-    /// The known state was released while a hand-over was out that may have kept it.
+    /// A prefill or a KV transfer ended without an answer, and may have left a state.
+    may_be_left: bool,
+    /// The known state was released while a KV transfer was in flight that may have kept it.
     released: bool,
-    /// A given-up hand-over may go on waiting for the state: no release lets go of it until that ends.
-    waited_for: bool,
+    /// A transfer that was given up may go on waiting for the state: no release frees it until that
+    /// ends.
+    transfer_may_wait: bool,
 }
 
 impl HeldState {
-    /// The prefill server that holds the state for a hand-over, and since when.
-    pub fn known(&self) -> Option<(ServerId, f64)> {
+    /// Where the state is held for a KV transfer, and since when.
+    pub fn known(&self) -> Option<HeldAt> {
         self.known
     }
 
     /// A final answer leaves something to release.
     pub fn needs_release(&self) -> bool {
-        self.known.is_some_and(|_| !self.released) || self.left || self.waited_for
+        let is_held = self.known.is_some() && !self.released;
+        is_held || self.may_be_left || self.transfer_may_wait
     }
 
-    /// It was released while the hand-over was out.
+    /// It was released while the KV transfer was in flight.
     pub fn is_released(&self) -> bool {
         self.released
     }
 
-    /// When it has to be released, whatever is out.
+    /// When it has to be released, whatever is in flight.
     pub fn release_at(&self, limit_s: f64) -> Option<f64> {
         self.since.map(|since| since + limit_s * RELEASE_FRACTION)
     }
 
     /// The first token of an answer has come: its state was taken.
-    pub fn taken(&mut self) {
-        (self.known, self.since, self.released) = (None, None, false);
+    pub fn record_taken(&mut self) {
+        self.known = None;
+        self.since = None;
+        self.released = false;
     }
 
-    /// The state is released while the request goes on; once more after as long where it may be waited for.
-    fn release(&mut self, now: f64) {
-        (self.left, self.released) = (false, self.known.is_some());
-        self.since = self.waited_for.then_some(now);
+    /// The state is released while the request goes on; once more after as long where it may be
+    /// waited for.
+    pub fn record_release(&mut self, now: f64) {
+        self.may_be_left = false;
+        self.released = self.known.is_some();
+        self.since = self.transfer_may_wait.then_some(now);
     }
 
     /// An attempt has ended at a prefill server, or elsewhere.
-    pub fn attempt_ended(&mut self, now: f64, end: &AttemptEnd, at_prefill: bool) {
+    pub fn record_end(&mut self, now: f64, end: &AttemptEnd, at_prefill: bool) {
         let released = std::mem::take(&mut self.released);
+        let unanswered = matches!(
+            end.outcome,
+            Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled
+        );
         match end.outcome {
             Outcome::PrefillDone => {
-                self.known = Some((end.server, now));
+                let server = end.server;
+                self.known = Some(HeldAt { server, since: now });
                 self.since.get_or_insert(now);
             }
             Outcome::Rejected {
                 state_missing: true,
             } => *self = HeldState::default(),
-            Outcome::Served => self.taken(),
-            Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled if at_prefill => {
-                self.may_be_left(now)
-            }
-            // It may have arrived before the release, or counted as waiting on its way, and kept the state.
+            Outcome::Served => self.record_taken(),
+            _ if unanswered && at_prefill => self.record_possibly_left(now),
+            // It may have arrived before the release, or counted as waiting on its way, and kept
+            // the state.
             _ if released => {
                 self.known = None;
-                self.waited_for |= matches!(
-                    end.outcome,
-                    Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled
-                );
-                self.may_be_left(now);
+                self.transfer_may_wait |= unanswered;
+                self.record_possibly_left(now);
             }
             // Its answer shows that it had arrived: nothing was left waiting until now.
-            Outcome::Rejected { .. } | Outcome::Error if self.known.is_some() && !self.left => {
-                self.since = Some(now)
+            Outcome::Rejected { .. } | Outcome::Error
+                if self.known.is_some() && !self.may_be_left =>
+            {
+                self.since = Some(now);
             }
             _ => {}
         }
     }
 
-    fn may_be_left(&mut self, now: f64) {
-        self.left = true;
+    fn record_possibly_left(&mut self, now: f64) {
+        self.may_be_left = true;
         self.since.get_or_insert(now);
     }
 }
-
-impl Router {
-    /// Releases what may be held for a request once that is due. Whether it goes on is left to the caller.
-    pub(super) fn release_if_due(&mut self, now: f64, id: RequestId, actions: &mut Actions) {
-        let limit_s = self.settings.kv_hold_limit_s;
-        let Some(state) = self.requests.get_mut(&id) else {
-            return;
-        };
-        if state.kv_state.release_at(limit_s).is_none_or(|at| now < at) {
-            return;
-        }
-        state.kv_state.release(now);
-        actions.push(Action::Release { request: id });
-        self.schedule_release(id, actions);
-    }
-
-    /// Comes back to a request when what may be held for it has to be released.
-    pub(super) fn schedule_release(&self, id: RequestId, actions: &mut Actions) {
-        let kv_state = self
-            .requests
-            .get(&id)
-            .and_then(|state| state.kv_state.release_at(self.settings.kv_hold_limit_s));
-        kv_state
-            .into_iter()
-            .for_each(|at| set_timer(id, at, actions));
-    }
-}
--- a/crates/policy/src/choice/mod.rs
+++ b/crates/policy/src/choice/mod.rs
@@ -1,125 +1,87 @@
-//! The decision module: [`Router`] and its parts. Its types (settings, events, actions, ids) are in
-//! `interface.rs`.
+//! The decision module: [`Router`] passes events on to its parts and is the one place that emits
+//! actions.
+//!
+//! A part keeps its state to itself and answers with a value. Choices are made by
+//! `selection::Selector`, which reads the parts and changes none. The router's handlers stand in
+//! `arrivals`, `attempts` and `completion`.
 
 mod admission;
-mod decode;
-mod estimate;
+mod arrivals;
+mod attempts;
+mod completion;
+mod decay;
+mod decode_choice;
+mod hash;
 mod health;
 mod held_states;
-mod prefix_index;
-mod requests;
+mod load;
+mod prefill_choice;
+mod prefix_cache;
+mod request_state;
+mod retry_budget;
+mod retry_safety;
+mod selection;
+mod server;
 mod server_table;
 mod slow_start;
-mod timers;
-
-use std::collections::{BTreeMap, VecDeque};
-
-use self::estimate::{DecisionContext, Estimate};
-use self::held_states::HeldState;
-use self::prefix_index::{KnownPrefixes, PrefixIndex};
-use self::requests::{Execution, RequestState, Stage};
-use self::server_table::{InFlightAttempt, Report, Server};
-use crate::interface::*;
-
-/// Uncached tokens of the read that stands for one whose prompt is not known.
-const TYPICAL_UNCACHED: f64 = 700.0;
-const TYPICAL_TOKENS: f64 = 2500.0; // All tokens of that read.
-const NEWEST_WEIGHT: f64 = 0.15; // Weight of the newest sample in speed ratios and other moving averages.
-const WARM_PRIOR: Report = Report {
-    load: 0.4,
-    others: 0.3,
-}; // Prior of a report of a warm server.
-/// The same of a cold one, which the guard keeps nearly empty.
-const WARMING_PRIOR: Report = Report {
-    load: 0.1,
-    others: 0.0,
+
+use std::collections::BTreeMap;
+
+use self::admission::AdmissionController;
+use self::decay::non_negative;
+use self::load::LoadEstimator;
+use self::prefix_cache::PrefixCache;
+use self::request_state::RequestState;
+use self::retry_budget::RetryBudget;
+use self::retry_safety::RetrySafety;
+use self::selection::Selector;
+use self::server_table::{PeerObservation, ServerTable};
+use self::slow_start::SlowStartGuard;
+use crate::interface::{
+    Action, Cause, Event, ExplainedChoice, FailedRequest, ListForm, Outcome, RequestId,
+    ServerEntry, ServerId, Settings,
 };
+
+/// Weight of the newest sample in moving means.
+const NEWEST_WEIGHT: f64 = 0.15;
 /// Seconds that an arrival waits for its probes: a few round trips with a handshake.
 const PROBE_WAIT_S: f64 = 0.015;
-/// Load and seconds by which equals are spread over routers, and a key's next home must be quicker.
-const SPREAD: f64 = 0.05;
-/// Half-life, in seconds, of delay seen beyond prediction: about the time in which a queue turns over.
-const EXCESS_HALF_LIFE_S: f64 = 0.7;
-/// The same for a cell's link, for delay beyond what admission expected, and for loss by failures.
-const HALF_LIFE_S: f64 = 2.0;
-const DECODE_LOAD_S: f64 = 0.2; // Seconds of waiting that a full writer stands for, by share of its memory.
-/// Load by which another cell's writer must be lighter; twice for another zone's, or a mixed server.
-const CELL_MARGIN: f64 = 0.15;
-const MAX_RETRY_TOKENS: f64 = 4.0; // Further attempts that can be saved up.
-const INITIAL_RESPONSES_PER_CHOICE: f64 = 0.5; // Answers a choice before any is seen, as if twice too much were asked.
-
-/// What is to be done, in order.
+
+/// Actions in the order in which they are to be carried out.
 type Actions = Vec<Action>;
 
 /// Decides for one dispatcher: events in, actions out, with no clock, I/O or randomness of its own.
 pub struct Router {
     settings: Settings,
     seed: u64,
-    servers: BTreeMap<ServerId, Server>,
+    servers: ServerTable,
     requests: BTreeMap<RequestId, RequestState>,
-    prefixes: PrefixIndex,
-    /// Per kind, warm and cold apart: mean of its servers' reports, and when it was last told.
-    role_load: Vec<[(Report, f64); 2]>,
-    /// Per cell: delay of states over its link beyond prediction, and when it was seen.
-    links: BTreeMap<u16, (f64, f64)>,
-    typical_prompt: (f64, f64), // Mean uncached and total tokens of a read.
-    tenant_allowances: Vec<(f64, f64)>, // Per tenant: requests in hand within the share, and when counted.
-    quota_fraction: f64,                // This router's of what all share.
-    lateness: (f64, f64), // Mean first-token delay beyond promise, and when it was seen.
-    retry_tokens: f64,
-    recent_keys: VecDeque<u64>,      // Keys of the latest requests.
-    response_rates: [(f64, f64); 3], // By role: not drawn on yet, and the most held; choices draw on them.
+    prefixes: PrefixCache,
+    load: LoadEstimator,
+    slow_start: SlowStartGuard,
+    admission: AdmissionController,
+    retry_budget: RetryBudget,
+    safety: RetrySafety,
     last_choice: ExplainedChoice,
     last_failure: Option<FailedRequest>,
 }
 
-fn hash_pair(a: u64, b: u64) -> u64 {
-    let z = (a ^ b.wrapping_mul(0x9E37_79B9_7F4A_7C15)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-    let z = (z ^ (z >> 31)).wrapping_mul(0x94D0_49BB_1331_11EB);
-    z ^ (z >> 32)
-}
-
-fn decayed((value, at): (f64, f64), now: f64, half_s: f64) -> f64 {
-    // Most servers have nothing to fade, and powers are most of a decision's time over thousands of them.
-    if value == 0.0 {
-        return 0.0;
-    }
-    value * 0.5f64.powf((now - at).max(0.0) / half_s)
-}
-
-fn set_timer(id: RequestId, at: f64, actions: &mut Actions) {
-    actions.push(Action::SetTimer {
-        at,
-        label: u64::from(id),
-    });
-}
-
-fn non_negative(v: f64) -> f64 {
-    Some(v).filter(|v| v.is_finite() && *v > 0.0).unwrap_or(0.0)
-}
-
 impl Router {
+    /// A router without servers; the same seed and events give the same actions.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Router {
-            role_load: vec![[(WARM_PRIOR, 0.0), (WARMING_PRIOR, 0.0)]; settings.kinds.len()],
-            tenant_allowances: vec![(f64::INFINITY, 0.0); settings.tenants.len()],
-            quota_fraction: 1.0 / f64::from(settings.dispatchers),
-            settings: settings,
             seed,
-            servers: BTreeMap::new(),
+            servers: ServerTable::new(settings.kinds.clone()),
             requests: BTreeMap::new(),
-            prefixes: PrefixIndex::default(),
-            links: BTreeMap::new(),
-            typical_prompt: (TYPICAL_UNCACHED, TYPICAL_TOKENS),
-            lateness: (0.0, 0.0),
-            retry_tokens: MAX_RETRY_TOKENS,
-            recent_keys: VecDeque::new(),
-            response_rates: [(
-                INITIAL_RESPONSES_PER_CHOICE / NEWEST_WEIGHT,
-                INITIAL_RESPONSES_PER_CHOICE / NEWEST_WEIGHT,
-            ); 3],
+            prefixes: PrefixCache::default(),
+            load: LoadEstimator::new(&settings),
+            slow_start: SlowStartGuard::new(settings.slow_start.clone()),
+            admission: AdmissionController::new(settings.dispatchers, &settings.tenants),
+            retry_budget: RetryBudget::new(),
+            safety: RetrySafety::new(&settings),
             last_choice: ExplainedChoice::default(),
             last_failure: None,
+            settings,
         }
     }
 
@@ -133,23 +95,23 @@
         self.last_failure
     }
 
-    /// Takes one event at clock time `now` and appends what is to be done.
-    pub fn handle(&mut self, now: f64, event: Event, actions: &mut Actions) {
+    /// Takes one event at clock time `now`, in seconds, and appends what is to be done.
+    pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Servers { form, entries } => self.on_list(now, form, entries, actions),
-            Event::Arrival(request) => self.on_arrival(now, request, actions),
+            Event::Servers { form, entries } => self.on_list(now, form, entries, out),
+            Event::Arrival(request) => self.on_arrival(now, request, out),
             Event::FirstToken {
-                request: id,
+                request,
                 server,
-                elapsed_s: t,
+                elapsed_s,
                 ..
-            } => self.on_first(now, id, server, t),
-            Event::AttemptEnded(end) => self.on_end(now, end, actions),
+            } => self.on_first_token(now, request, server, elapsed_s),
+            Event::AttemptEnded(end) => self.on_attempt_end(now, end, out),
             Event::ClientDisconnected { request } => {
-                self.cancel(request, actions);
-                self.finish(request, None, actions);
+                self.cancel(request, out);
+                self.finish(request, None, out);
             }
-            Event::Timer { label } => self.on_timer(now, label, actions),
+            Event::Timer { label } => self.on_timer(now, label, out),
             Event::ProbeEnded {
                 server,
                 outcome,
@@ -157,24 +119,92 @@
                 report,
             } => {
                 self.record_load_report(now, server, &report);
-                self.on_probe(now, server, outcome, elapsed_s, actions);
+                self.on_probe_end(now, server, outcome, elapsed_s, out);
             }
             Event::PeerReport {
                 server,
                 observation,
                 reporters,
-                peers: of,
+                peers,
                 age_s,
-            } => self.on_peer_report(
-                now,
-                server,
-                (observation, reporters, of, non_negative(age_s)),
-            ),
-            Event::QuotaFraction {
-                fraction: quota_fraction,
-                since,
-            } => self.on_quota_fraction(quota_fraction, since),
+            } => {
+                let report = PeerObservation {
+                    observation,
+                    reporters,
+                    peers,
+                    age_s: non_negative(age_s),
+                };
+                self.servers.record_peer_report(now, server, report);
+            }
+            Event::QuotaFraction { fraction, since } => {
+                self.admission.set_quota_fraction(fraction, since);
+            }
             Event::ReservationAnswer { .. } | Event::PeerMessage { .. } => {}
         }
     }
+
+    fn on_list(&mut self, now: f64, form: ListForm, entries: Vec<ServerEntry>, out: &mut Actions) {
+        let subscription_lost = matches!(form, ListForm::Cached | ListForm::Failed);
+        if self.settings.must_subscribe && subscription_lost {
+            out.push(Action::Subscribe);
+        }
+        self.servers.apply_list(now, form, entries);
+    }
+
+    fn on_probe_end(
+        &mut self,
+        now: f64,
+        id: ServerId,
+        outcome: Outcome,
+        elapsed_s: f64,
+        out: &mut Actions,
+    ) {
+        if let Some(server) = self.servers.get_mut(id) {
+            server.health.probe_ended();
+            if matches!(outcome, Outcome::ConnectFailed | Outcome::Reset) {
+                server.health.record_failure(elapsed_s, now);
+            }
+        }
+        let mut probed = Vec::new();
+        for (request, state) in &mut self.requests {
+            state.probed.retain(|server| *server != id);
+            if state.probed.is_empty() && state.is_probing() {
+                probed.push(*request);
+            }
+        }
+        for request in probed {
+            self.place(now, request, out);
+        }
+    }
+
+    fn record_load_report(&mut self, now: f64, id: ServerId, values: &[f64]) {
+        if let Some(server) = self.servers.get_mut(id) {
+            let capacity = self.slow_start.capacity(server.entry.booted_at, now);
+            self.load.record_report(now, server, capacity, values);
+        }
+    }
+
+    fn selector(&self) -> Selector<'_> {
+        Selector {
+            settings: &self.settings,
+            seed: self.seed,
+            servers: &self.servers,
+            load: &self.load,
+            slow_start: &self.slow_start,
+            prefixes: &self.prefixes,
+            safety: self.safety,
+        }
+    }
+
+    fn record_failed_request(&mut self, request: RequestId, cause: Cause) {
+        self.last_failure = Some(FailedRequest { request, cause });
+    }
+}
+
+/// Comes back to a request at a time.
+fn set_timer(request: RequestId, at: f64, out: &mut Actions) {
+    out.push(Action::SetTimer {
+        at,
+        label: u64::from(request),
+    });
 }
--- /dev/null
+++ b/crates/policy/src/choice/prefill_choice.rs
@@ -0,0 +1,287 @@
+//! The choice of a prefill server: the lowest estimated time to the first token, and the prefix
+//! replicas of a key.
+
+use super::hash::{fine_unit, hash_pair};
+use super::load::DECODE_LOAD_S;
+use super::prefix_cache::CachedPrompt;
+use super::request_state::RequestState;
+use super::selection::{DecisionContext, Selector, CELL_MARGIN, SPREAD};
+use super::server::Server;
+use crate::interface::{Effect, Role, ServerId};
+
+/// Weight of a mixed server among the prefix replicas, as it also decodes.
+const MIXED_REPLICA_WEIGHT: f64 = 0.35;
+/// Least draw of which a logarithm is taken.
+const MIN_DRAW: f64 = 1e-12;
+/// Share of a prompt past its prefix that a session's first replica is taken to hold.
+const SESSION_CACHED_FRACTION: f64 = 0.6;
+/// Dispatchers that count as few: each knows the sessions that it has served.
+const FEW_DISPATCHERS: f64 = 4.0;
+/// Share of a prompt that its replica is taken to hold at the least.
+const MIN_CACHED_FRACTION: f64 = 0.1;
+/// Multiple of its own time that a prefill costs those behind it: spilled prefills, uncached, feed
+/// a jam.
+const CONGESTION_WEIGHT: f64 = 1.0;
+/// Seconds by which a decode server that prefills must be quicker: it slows its running answers.
+const DECODE_SERVER_PREFILL_PENALTY_S: f64 = 1.0;
+/// Rank, in steps of [`SPREAD`], of a server that is no replica of the key.
+const NO_REPLICA_RANK: f64 = 2.0;
+
+/// Seconds behind the choice of a prefill server.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct PrefillEstimate {
+    pub server: ServerId,
+    pub queue_s: f64,
+    pub prefill_s: f64,
+    /// Time to the first token.
+    pub total_s: f64,
+    /// The same with what it costs elsewhere.
+    price_s: f64,
+}
+
+/// A candidate in the order of a key's replicas.
+#[derive(Clone, Copy, Debug)]
+struct RankedReplica {
+    other_zone: bool,
+    rank: f64,
+    server: ServerId,
+}
+
+impl RankedReplica {
+    /// Not after another one.
+    fn precedes(&self, other: &RankedReplica) -> bool {
+        self.other_zone
+            .cmp(&other.other_zone)
+            .then(self.rank.total_cmp(&other.rank))
+            .is_le()
+    }
+}
+
+impl Selector<'_> {
+    /// The lowest price among the servers that may prefill the request.
+    pub fn best_prefill_server(&self, state: &RequestState, now: f64) -> Option<PrefillEstimate> {
+        let context = self.context_with_waits(state, now);
+        let replicas = self.prefix_replicas(state, &context, now);
+        let cached = self.prefixes.look_up(&state.request);
+        let decode_servers =
+            self.settings.decode_servers_prefill && self.effect(state) != Effect::NonIdempotent;
+        let may_prefill = |server: &&Server| {
+            (decode_servers || server.role != Role::Decode)
+                && self.is_usable(server, state, now)
+                && self.takes_turn(
+                    server,
+                    state,
+                    &context,
+                    replicas.contains(&server.entry.id),
+                    now,
+                )
+        };
+        self.servers
+            .iter()
+            .filter(may_prefill)
+            .map(|server| {
+                let rank = replicas.iter().position(|id| *id == server.entry.id);
+                self.estimate(server, state, rank, &cached, &context, now)
+            })
+            .min_by(|a, b| a.price_s.total_cmp(&b.price_s))
+    }
+
+    /// The context with the least waits at decode servers that a request may go to.
+    fn context_with_waits(&self, state: &RequestState, now: f64) -> DecisionContext {
+        let mut context = self.context(now);
+        let decode_capacity = context.roles[Role::Decode as usize];
+        for server in self.servers.iter() {
+            // Whoever may not go to an idle decode server that warms up waits for another.
+            let counts = server.role == Role::Decode
+                && self.is_usable(server, state, now)
+                && self.may_warm_up(server, state, decode_capacity, 0, false, now);
+            if !counts {
+                continue;
+            }
+            let wait_s = self.decode_wait_s(server, now)
+                + self.eviction_cost_s(server, state, now)
+                + server.overdue_s(now)
+                + server.health.excess_delay_s(now);
+            let cell = context.cells.entry(server.entry.cell).or_default();
+            for min_wait_s in [&mut context.min_wait_s, &mut cell.min_wait_s] {
+                *min_wait_s = Some(min_wait_s.map_or(wait_s, |least| least.min(wait_s)));
+            }
+        }
+        context
+    }
+
+    fn estimate(
+        &self,
+        server: &Server,
+        state: &RequestState,
+        replica_rank: Option<usize>,
+        cached: &CachedPrompt<'_>,
+        context: &DecisionContext,
+        now: f64,
+    ) -> PrefillEstimate {
+        let capacity = self.capacity(server, now);
+        let total_tokens = state.request.prompt_tokens;
+        let cached_tokens = self.cached_tokens(server, state, replica_rank, cached, capacity);
+        let uncached_tokens = total_tokens - cached_tokens;
+        let prefill_s = self.load.prefill_s(server, uncached_tokens, total_tokens) / capacity;
+        let own_s = server
+            .in_flight
+            .values()
+            .map(|attempt| attempt.work_s)
+            .sum::<f64>();
+        let others_s = self.load.other_dispatchers_s(server, capacity, now);
+        let queue_s = own_s + others_s + server.overdue_s(now);
+        let decode_s = self.expected_decode_wait_s(server, context, now);
+        let total_s = queue_s + prefill_s + decode_s + self.failure_risk_s(server, state, now);
+        // A slow prefill at a server that warms up delays no more than a quick one, as few are let
+        // in behind it.
+        let behind = self.load.similar_load(server, capacity, now).other_requests;
+        let congestion_s = (CONGESTION_WEIGHT + behind) * prefill_s * capacity;
+        let price_s = total_s
+            + congestion_s
+            + self.zone_price_s(server)
+            + self.decode_impact_s(server, state, now)
+            + self.rank_price_s(server, state, replica_rank);
+        PrefillEstimate {
+            server: server.entry.id,
+            queue_s,
+            prefill_s,
+            total_s,
+            price_s,
+        }
+    }
+
+    /// Tokens of the prompt that a server is known to hold, or as a replica of its key is taken to
+    /// hold.
+    fn cached_tokens(
+        &self,
+        server: &Server,
+        state: &RequestState,
+        replica_rank: Option<usize>,
+        cached: &CachedPrompt<'_>,
+        capacity: f64,
+    ) -> f64 {
+        let request = &state.request;
+        // Among many dispatchers a session unknown here has mostly had turns elsewhere; a few know
+        // their own.
+        let dispatchers = f64::from(self.settings.dispatchers);
+        let elsewhere = SESSION_CACHED_FRACTION * (1.0 - FEW_DISPATCHERS / dispatchers).max(0.0);
+        let past_prefix = if replica_rank == Some(0) {
+            request.prompt_tokens - request.prefix_tokens
+        } else {
+            0.0
+        };
+        let believed = (request.prefix_tokens + elsewhere * past_prefix)
+            .max(MIN_CACHED_FRACTION * request.prompt_tokens);
+        let at_replica = if replica_rank.is_some() && capacity >= 1.0 {
+            believed
+        } else {
+            0.0
+        };
+        cached
+            .tokens_at(server)
+            .max(at_replica)
+            .min((request.prompt_tokens - 1.0).max(0.0))
+    }
+
+    /// Seconds that the answer waits after a prefill there.
+    fn expected_decode_wait_s(&self, server: &Server, context: &DecisionContext, now: f64) -> f64 {
+        match server.role {
+            Role::Prefill => context.min_decode_wait_s(server),
+            Role::Decode | Role::Mixed => self.decode_wait_s(server, now),
+        }
+    }
+
+    /// Seconds that a prefill costs the answers that run at the same server.
+    fn decode_impact_s(&self, server: &Server, state: &RequestState, now: f64) -> f64 {
+        match server.role {
+            Role::Prefill => 0.0,
+            Role::Decode => {
+                DECODE_SERVER_PREFILL_PENALTY_S + self.eviction_cost_s(server, state, now)
+            }
+            Role::Mixed => self.eviction_cost_s(server, state, now),
+        }
+    }
+
+    /// Seconds by which a server of another zone must be quicker.
+    fn zone_price_s(&self, server: &Server) -> f64 {
+        if server.entry.zone == self.settings.zone {
+            0.0
+        } else {
+            2.0 * CELL_MARGIN * DECODE_LOAD_S
+        }
+    }
+
+    /// Seconds by which a later replica, or a server that is none, must be quicker.
+    fn rank_price_s(
+        &self,
+        server: &Server,
+        state: &RequestState,
+        replica_rank: Option<usize>,
+    ) -> f64 {
+        let rank = match replica_rank {
+            Some(rank) => rank as f64,
+            None => NO_REPLICA_RANK + self.draw(server, state),
+        };
+        rank * SPREAD
+    }
+
+    /// Prefix replicas of a request's key: the best ranks among the prefill servers of this zone,
+    /// else of all; the same at all routers. The session orders them, so that its next turn finds
+    /// what it left.
+    pub fn prefix_replicas(
+        &self,
+        state: &RequestState,
+        context: &DecisionContext,
+        now: f64,
+    ) -> Vec<ServerId> {
+        let mut best: Vec<RankedReplica> = Vec::new();
+        for server in self.servers.iter() {
+            if server.role == Role::Decode || !server.is_ready() {
+                continue;
+            }
+            let ranked = self.rank_replica(server, state.key);
+            let at = best.partition_point(|known| known.precedes(&ranked));
+            if at < context.replicas && self.takes_turn(server, state, context, true, now) {
+                best.insert(at, ranked);
+                best.truncate(context.replicas);
+            }
+        }
+        let session = state.request.session;
+        best.sort_by_key(|r| (r.other_zone, hash_pair(session, u64::from(r.server))));
+        best.into_iter().map(|ranked| ranked.server).collect()
+    }
+
+    /// Rendezvous hashing: the exponential draw of a key for a server, weighed.
+    fn rank_replica(&self, server: &Server, key: u64) -> RankedReplica {
+        let id = server.entry.id;
+        let weight = if server.role == Role::Mixed {
+            MIXED_REPLICA_WEIGHT
+        } else {
+            1.0
+        };
+        let draw = fine_unit(hash_pair(key, u64::from(id)));
+        RankedReplica {
+            other_zone: server.entry.zone != self.settings.zone,
+            rank: -draw.max(MIN_DRAW).ln() / weight,
+            server: id,
+        }
+    }
+}
+
+impl DecisionContext {
+    /// Least wait at decode servers for a KV state from a prefill server, seconds.
+    fn min_decode_wait_s(&self, from: &Server) -> f64 {
+        let Some(cell) = self.cells.get(&from.entry.cell) else {
+            return 0.0;
+        };
+        let far_s = self
+            .min_wait_s
+            .map(|wait_s| wait_s + cell.link_s + CELL_MARGIN * DECODE_LOAD_S);
+        [cell.min_wait_s, far_s]
+            .into_iter()
+            .flatten()
+            .min_by(f64::total_cmp)
+            .unwrap_or(0.0)
+    }
+}
--- a/crates/policy/src/choice/server_table.rs
+++ b/crates/policy/src/choice/server_table.rs
@@ -1,161 +1,161 @@
-//! What is known of each server, and the list that says which there are.
+//! The servers by id, as the endpoint list gives them.
 
-use super::*;
+use std::collections::btree_map::{BTreeMap, Values};
 
-const UNANSWERED_PROBE_RATIO: f64 = 4.0; // Multiple of its age that a probe unanswered after that time stands for.
-const FAILURE_EXTRA_COST_S: f64 = 0.1; // Seconds a failure costs beyond its time: the next attempt's way and wait.
+use super::decay::non_negative;
+use super::load::ServerLoad;
+use super::server::Server;
+use crate::interface::{
+    KindSettings, ListForm, Observation, Role, ServerEntry, ServerId, ServerStatus,
+};
 
-/// One of this router's attempts that waits for its read or first token.
-pub(super) struct InFlightAttempt {
-    pub work_s: f64,
-    pub due: f64,
-    pub tokens: (f64, f64),
-    pub link: Option<u16>, // The reader's cell, where the state crosses that cell's link.
+/// Share of a role's servers that may be reported to fail for such a report to be believed.
+const MAX_REPORTED_FAILING_FRACTION: f64 = 0.25;
+/// Reporters without whom no report is regarded.
+const MIN_REPORTERS: u32 = 2;
+
+/// What peers report of one server.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct PeerObservation {
+    pub observation: Observation,
+    /// Peers that report it.
+    pub reporters: u32,
+    /// Peers that report anything.
+    pub peers: u32,
+    /// Age of the latest of the reports, seconds.
+    pub age_s: f64,
 }
 
-#[derive(Clone, Copy, Default)]
-pub(super) struct Report {
-    pub load: f64,   // Share of memory or slots in use, the larger.
-    pub others: f64, // Requests of other dispatchers that wait or run.
+/// All servers that are listed or still hold something of this router's.
+#[derive(Debug)]
+pub(super) struct ServerTable {
+    kinds: Vec<KindSettings>,
+    servers: BTreeMap<ServerId, Server>,
 }
 
-impl Report {
-    pub(super) fn blend(self, old: Report, w: f64) -> Report {
-        let mean = |new: f64, old: f64| w * new + (1.0 - w) * old;
-        Report {
-            load: mean(self.load, old.load),
-            others: mean(self.others, old.others),
+impl ServerTable {
+    /// A table without servers.
+    pub fn new(kinds: Vec<KindSettings>) -> Self {
+        ServerTable {
+            kinds,
+            servers: BTreeMap::new(),
         }
     }
-}
-
-#[derive(Default)]
-pub(super) struct Server {
-    pub entry: ServerEntry,
-    pub role: Role,
-    pub memory: f64,
-    pub in_flight: BTreeMap<RequestId, InFlightAttempt>,
-    pub streaming: BTreeMap<RequestId, (f64, f64)>,
-    pub failure_cost: (f64, f64), // Mean time lost by failures of late, and when it was seen.
-    pub last_success_at: f64,     // When anything was last heard of it.
-    pub excess_delay: (f64, f64), // Delay beyond prediction, and when it was seen.
-    pub pace: f64,                // Time taken against the fit, over both stages' own samples.
-    pub report: Report,
-    pub reported_at: f64, // When that report came, and the tokens that this router held there then.
-    pub tokens_at_report: f64,
-    pub closed_until: f64, // It said that it is full, or others' lists have it draining.
-    pub reported_failing_at: f64, // When others told last that it fails.
-    pub probed_at: f64,
-    pub probe_in_flight: bool,
-    pub start_known_at: f64, // When its last start was told here.
-}
 
-impl Server {
-    /// One outcome. A failure is priced by the time it loses, as quick ones leave a short queue; it fades.
-    pub(super) fn mark(&mut self, now: f64, bad: bool, took: f64) {
-        self.last_success_at = if bad { self.last_success_at } else { now };
-        let lost = if bad {
-            non_negative(took) + FAILURE_EXTRA_COST_S
-        } else {
-            0.0
-        };
-        let before = decayed(self.failure_cost, now, HALF_LIFE_S);
-        self.failure_cost = (before + 2.0 * NEWEST_WEIGHT * (lost - before), now);
+    pub fn get(&self, id: ServerId) -> Option<&Server> {
+        self.servers.get(&id)
     }
 
-    pub(super) fn own(&self, quota_fraction: fn(&(f64, f64)) -> f64) -> f64 {
-        let waiting = self
-            .in_flight
-            .values()
-            .map(|p| quota_fraction(&p.tokens))
-            .sum::<f64>();
-        waiting + self.streaming.values().map(quota_fraction).sum::<f64>()
+    pub fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
+        self.servers.get_mut(&id)
     }
 
-    pub(super) fn excess_delay(&self, now: f64) -> f64 {
-        decayed(self.excess_delay, now, EXCESS_HALF_LIFE_S)
+    /// All servers in the order of their ids.
+    pub fn iter(&self) -> Values<'_, ServerId, Server> {
+        self.servers.values()
     }
 
-    /// Age past due of own attempts or probes: a paused, slow, dead or cut-off server shows first as this.
-    pub(super) fn overdue(&self, now: f64) -> f64 {
-        let age = if self.probe_in_flight {
-            now - self.probed_at
-        } else {
-            0.0
-        };
-        let unanswered = if age < 0.9 * PROBE_WAIT_S {
-            0.0
-        } else {
-            UNANSWERED_PROBE_RATIO * age
-        };
-        self.in_flight
-            .values()
-            .filter(|p| p.link.is_none())
-            .map(|p| now - p.due)
-            .fold(unanswered, f64::max)
+    /// A server is known and serves prefills alone.
+    pub fn is_prefill(&self, id: ServerId) -> bool {
+        self.get(id)
+            .is_some_and(|server| server.role == Role::Prefill)
     }
 
-    pub(super) fn ready(&self) -> bool {
-        self.entry.status == ServerStatus::Ready
-    }
-}
-
-impl Router {
-    pub(super) fn on_list(
-        &mut self,
-        now: f64,
-        form: ListForm,
-        entries: Vec<ServerEntry>,
-        actions: &mut Actions,
-    ) {
-        let lost =
-            self.settings.must_subscribe && matches!(form, ListForm::Cached | ListForm::Failed);
-        actions.extend(lost.then_some(Action::Subscribe));
+    /// Takes in a list; a failed one changes nothing.
+    pub fn apply_list(&mut self, now: f64, form: ListForm, entries: Vec<ServerEntry>) {
         if form == ListForm::Failed {
             return;
         }
         if form != ListForm::Delta {
-            let missing = |server: &&mut Server| !entries.iter().any(|e| e.id == server.entry.id);
-            self.servers
-                .values_mut()
-                .filter(missing)
-                .for_each(|server| server.entry.status = ServerStatus::Removed);
+            self.remove_missing(&entries);
+        }
+        for entry in entries {
+            self.apply_entry(now, entry);
         }
-        entries
-            .into_iter()
-            .for_each(|entry| self.on_entry(now, entry));
         self.servers.retain(|_, server| {
-            server.entry.status != ServerStatus::Removed
-                || server.in_flight.len() + server.streaming.len() > 0
+            server.entry.status != ServerStatus::Removed || server.own_requests() > 0
         });
     }
 
-    fn on_entry(&mut self, now: f64, mut entry: ServerEntry) {
-        let Some(kind) = self.settings.kinds.get(usize::from(entry.kind)) else {
+    fn remove_missing(&mut self, entries: &[ServerEntry]) {
+        for server in self.servers.values_mut() {
+            if !entries.iter().any(|entry| entry.id == server.entry.id) {
+                server.entry.status = ServerStatus::Removed;
+            }
+        }
+    }
+
+    fn apply_entry(&mut self, now: f64, mut entry: ServerEntry) {
+        let Some(kind) = self.kinds.get(usize::from(entry.kind)) else {
             return;
         };
         entry.booted_at = non_negative(entry.booted_at);
-        let (id, memory) = (entry.id, kind.memory_tokens.max(1.0));
-        let told = Server {
+        let id = entry.id;
+        let started = Server {
             entry: entry.clone(),
+            role: kind.role,
+            memory_tokens: kind.memory_tokens.max(1.0),
             start_known_at: now,
-            pace: 1.0,
+            load: ServerLoad::new(),
             ..Server::default()
         };
-        let fresh = Server {
-            role: kind.role,
-            memory,
-            ..told
-        };
         let server = match self.servers.remove(&id) {
             Some(old) if old.entry.booted_at == entry.booted_at => Server { entry, ..old },
+            // What is known of a process ends with it; its attempts are still to end.
             Some(old) => Server {
                 in_flight: old.in_flight,
                 streaming: old.streaming,
-                ..fresh
+                ..started
             },
-            None => fresh,
+            None => started,
         };
         self.servers.insert(id, server);
     }
+
+    /// Takes in what peers report. One reporter condemns no server, and a success seen here since
+    /// counts more. A failing server costs time as by an own failure, one that warms up does so as
+    /// by the list, and one that drains is closed while that is reported. Harm: where two are wrong
+    /// together it is passed by for a while.
+    pub fn record_peer_report(&mut self, now: f64, id: ServerId, report: PeerObservation) {
+        if report.reporters < MIN_REPORTERS {
+            return;
+        }
+        let Some(server) = self.servers.get_mut(&id) else {
+            return;
+        };
+        let reported_at = now - report.age_s;
+        match report.observation {
+            Observation::Failing if server.health.last_success_at() < reported_at => {
+                server.health.record_reported_failing(now);
+                self.believe_reported_outlier(now, id);
+            }
+            Observation::WarmingUp if server.entry.booted_at <= 0.0 => {
+                server.entry.booted_at = reported_at;
+            }
+            Observation::Draining if 2 * report.reporters > report.peers => {
+                server.health.record_reported_drain(now);
+            }
+            _ => {}
+        }
+    }
+
+    /// Believes a report of failures of an outlier: where many of its role fail it is the way to
+    /// them.
+    fn believe_reported_outlier(&mut self, now: f64, id: ServerId) {
+        let Some(role) = self.get(id).map(|server| server.role) else {
+            return;
+        };
+        let (mut ready, mut failing) = (0usize, 0usize);
+        for server in self.servers.values() {
+            if server.role == role && server.is_ready() {
+                ready += 1;
+                failing += usize::from(server.health.is_reported_failing(now));
+            }
+        }
+        let is_outlier =
+            failing <= 1 || failing as f64 <= MAX_REPORTED_FAILING_FRACTION * ready as f64;
+        if let Some(server) = self.servers.get_mut(&id).filter(|_| is_outlier) {
+            server.health.believe_reported_failure(now);
+        }
+    }
 }
--- a/crates/policy/src/choice/slow_start.rs
+++ b/crates/policy/src/choice/slow_start.rs
@@ -1,70 +1,137 @@
-//! What a cold server may be sent.
+//! Slow start: what a server that warms up may be sent.
 
-use super::*;
+use super::NEWEST_WEIGHT;
+use crate::interface::{Role, SlowStart};
 
-const OVERLOAD_BUDGET_FRACTION: f64 = 0.8; // Share of the fall-over multiple used on what a cold server likely has.
-const WARM_UP_GROWTH: f64 = 1.3; // Growth of what a cold server likely has, by what it is sent until it is warm.
-const REPLICA_KEYS_FRACTION: f64 = 0.6; // Part of a cold reader for the keys of which it is a home.
-const RESPONSES_KEPT: f64 = 0.9; // What a choice leaves of the most answers, for servers back from an outage.
+/// Share of the overload factor that is used on what a server likely has.
+const OVERLOAD_BUDGET_FRACTION: f64 = 0.8;
+/// Growth of what a server likely has, by what it is sent until it is warm.
+const WARM_UP_GROWTH: f64 = 1.3;
+/// Part of a prefill server for the keys of which it is a prefix replica.
+const REPLICA_KEYS_FRACTION: f64 = 0.6;
+/// What a choice leaves of the peak of responses, for servers back from an outage.
+const RESPONSES_KEPT: f64 = 0.9;
+/// Responses for each choice before any is seen, as if twice too much were asked.
+const INITIAL_RESPONSES_PER_CHOICE: f64 = 0.5;
+/// Shortest warm-up that is reckoned with, seconds.
+const MIN_WARM_UP_S: f64 = 0.1;
+/// Least share of capacity that a server is taken to have.
+const MIN_CAPACITY: f64 = 0.05;
 
-impl Router {
-    /// Share of its capacity that a server likely has: a straight line from the told start to the warm time.
-    pub(super) fn capacity(&self, server: &Server, now: f64) -> f64 {
-        let cold = &self.settings.slow_start;
-        if server.entry.booted_at <= 0.0 || now >= server.entry.booted_at + cold.warm_after_s {
+/// Responses seen at servers of a role, by choice.
+#[derive(Clone, Copy, Debug)]
+struct ResponseRate {
+    recent: f64,
+    peak: f64,
+}
+
+impl ResponseRate {
+    fn record_choice(&mut self) {
+        let recent = self.recent * (1.0 - NEWEST_WEIGHT);
+        self.peak = (self.peak * RESPONSES_KEPT).max(recent);
+        self.recent = recent;
+    }
+}
+
+/// The servers of one role that answer.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct RoleCapacity {
+    /// How many there are.
+    pub servers: f64,
+    /// How many warm ones could do as much.
+    pub warm_equivalents: f64,
+}
+
+/// A request's turn at a server that warms up.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Turn {
+    pub role: Role,
+    /// When the server's start became known.
+    pub start_known_at: f64,
+    pub role_capacity: RoleCapacity,
+    /// Prefix replicas that a key has.
+    pub replicas: usize,
+    /// Share of the latest requests by the same key.
+    pub key_share: f64,
+    /// The server is a prefix replica of the request's key.
+    pub is_replica: bool,
+    /// The request's draw for this server, from 0 to 1.
+    pub draw: f64,
+}
+
+/// Keeps the sum that all routers send a server which warms up within what it bears.
+#[derive(Debug)]
+pub(super) struct SlowStartGuard {
+    settings: SlowStart,
+    /// By role.
+    responses: [ResponseRate; 3],
+}
+
+impl SlowStartGuard {
+    pub fn new(settings: SlowStart) -> Self {
+        let initial = INITIAL_RESPONSES_PER_CHOICE / NEWEST_WEIGHT;
+        let rate = ResponseRate {
+            recent: initial,
+            peak: initial,
+        };
+        SlowStartGuard {
+            settings,
+            responses: [rate; 3],
+        }
+    }
+
+    /// Share of its capacity that a server likely has: a straight line from its start to the warm
+    /// time.
+    pub fn capacity(&self, booted_at: f64, now: f64) -> f64 {
+        let settings = &self.settings;
+        if booted_at <= 0.0 || now >= booted_at + settings.warm_after_s {
             return 1.0;
         }
-        let age = (now - server.entry.booted_at).max(0.0) / cold.warm_after_s.max(0.1);
-        (cold.start_capacity + (1.0 - cold.start_capacity) * age).clamp(0.05, 1.0)
+        let age = (now - booted_at).max(0.0) / settings.warm_after_s.max(MIN_WARM_UP_S);
+        let share = settings.start_capacity + (1.0 - settings.start_capacity) * age;
+        share.clamp(MIN_CAPACITY, 1.0)
     }
 
     /// Counts a choice among a role's servers and mixed ones.
-    pub(super) fn count_choice(&mut self, role: Role) {
+    pub fn record_choice(&mut self, role: Role) {
         for role in [role, Role::Mixed] {
-            let (fresh, kv_state) = &mut self.response_rates[role as usize];
-            (*fresh, *kv_state) = (
-                *fresh * (1.0 - NEWEST_WEIGHT),
-                (*kv_state * RESPONSES_KEPT).max(*fresh * (1.0 - NEWEST_WEIGHT)),
-            );
+            self.responses[role as usize].record_choice();
         }
     }
 
-    /// Whether it is this request's turn at a cold server: by chance, so that the sum over all routers keeps
-    /// the told multiple. An even part of what its like are seen to answer, and of what is asked at most; for
-    /// its keys mostly, at a reader, as often as they come. What it is sent warms it: more may follow.
-    pub(super) fn slow_start_admits(
-        &self,
-        server: &Server,
-        state: &RequestState,
-        context: &DecisionContext,
-        replica: bool,
-        now: f64,
-    ) -> bool {
-        if self.capacity(server, now) >= 1.0 {
-            return true;
-        }
-        let (cold, (ready, able)) = (
-            &self.settings.slow_start,
-            context.ready[server.role as usize],
+    /// Counts a response of a server of this role.
+    pub fn record_response(&mut self, role: Role) {
+        self.responses[role as usize].recent += 1.0;
+    }
+
+    /// Whether it is this request's turn at a server that warms up: by chance, so that the sum over
+    /// all routers keeps the overload factor. The server gets an even part of what its like are
+    /// seen to answer, and of what is asked at most; a prefill server mostly for its keys, as often
+    /// as they come. What it is sent warms it, so that more may follow.
+    pub fn admits(&self, turn: Turn, now: f64) -> bool {
+        let settings = &self.settings;
+        let (ready, able) = (
+            turn.role_capacity.servers,
+            turn.role_capacity.warm_equivalents,
         );
-        let age = ((now - server.start_known_at) / cold.warm_after_s.max(0.1)).clamp(0.0, 1.0);
-        let likely = (cold.start_capacity * (WARM_UP_GROWTH * age).exp()).min(1.0);
-        let response_rates =
-            self.response_rates[server.role as usize].1 * NEWEST_WEIGHT / (1.0 - NEWEST_WEIGHT);
-        let even = (response_rates / able).min(1.0 / ready);
-        let often = state.key_share + context.prefix_replicas as f64 / ready;
-        let keys = if replica {
-            REPLICA_KEYS_FRACTION / often
+        let warm_after_s = settings.warm_after_s.max(MIN_WARM_UP_S);
+        let age = ((now - turn.start_known_at) / warm_after_s).clamp(0.0, 1.0);
+        let likely = (settings.start_capacity * (WARM_UP_GROWTH * age).exp()).min(1.0);
+        let responses =
+            self.responses[turn.role as usize].peak * NEWEST_WEIGHT / (1.0 - NEWEST_WEIGHT);
+        let even = (responses / able).min(1.0 / ready);
+        let key_rate = turn.key_share + turn.replicas as f64 / ready;
+        let of_keys = if turn.is_replica {
+            REPLICA_KEYS_FRACTION / key_rate
         } else {
             1.0 - REPLICA_KEYS_FRACTION
         };
-        let quota_fraction = even
-            * if server.role == Role::Prefill {
-                keys
+        let part = even
+            * if turn.role == Role::Prefill {
+                of_keys
             } else {
                 1.0
             };
-        self.draw(state, server)
-            < OVERLOAD_BUDGET_FRACTION * cold.overload_factor * likely * quota_fraction
+        turn.draw < OVERLOAD_BUDGET_FRACTION * settings.overload_factor * likely * part
     }
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,8 +1,8 @@
 //! Settings, events, actions and ids of the decision module: types only.
 //!
 //! The words are the field's (prefill readers, decode writers, TTFT, prefix hit). An embedding
-//! dispatcher fills [`Settings`], feeds [`Event`]s with its clock and carries out [`Action`]s in order.
-//! Times are seconds.
+//! dispatcher fills [`Settings`], feeds [`Event`]s with its clock and carries out [`Action`]s in
+//! order. Times are seconds.
 
 /// A client request; never reused within one router's life.
 pub type RequestId = u32;
@@ -310,7 +310,8 @@
         peers: u32,
         age_s: f64,
     },
-    /// This router's part of what all share, from 0 to 1, and since when; before the first, an even one.
+    /// This router's part of what all share, from 0 to 1, and since when; before the first, an even
+    /// one.
     QuotaFraction {
         fraction: f64,
         since: f64,
@@ -404,7 +405,8 @@
     Forbidden,
 }
 
-/// Seconds behind a choice of reader: its parts, and the latest first token that is taken. For logs.
+/// Seconds behind a choice of reader: its parts, and the latest first token that is taken. For
+/// logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ChoiceExplanation {
     pub queue_s: f64,
