--- a/crates/platform/src/explain.rs
+++ b/crates/platform/src/explain.rs
@@ -284,7 +284,11 @@
                 let _ = write!(line, " reckoned {r}");
             }
             if let Some((outcome, took, hit)) = t.ended {
-                let _ = write!(line, " {outcome:?} after {took:.3} found {hit}");
+                let _ = write!(
+                    line,
+                    " {} after {took:.3} found {hit}",
+                    outcome_text(outcome)
+                );
             }
         }
         for (at_s, change) in &self.states {
@@ -293,3 +297,23 @@
         line
     }
 }
+
+/// The outcome's word in a line. Operators search for these words, so that names in the code do not change them.
+fn outcome_text(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Served => "Served",
+        Outcome::PrefillDone => "ReadDone",
+        Outcome::Error => "Error",
+        Outcome::Rejected {
+            state_missing: true,
+        } => "Full { state_gone: true }",
+        Outcome::Rejected {
+            state_missing: false,
+        } => "Full { state_gone: false }",
+        Outcome::TimedOut => "TimedOut",
+        Outcome::ConnectFailed => "ConnectFailed",
+        Outcome::Reset => "Reset",
+        Outcome::Cancelled => "Cancelled",
+        Outcome::NotSent => "NotSent",
+    }
+}
--- a/crates/platform/tests/explain.rs
+++ b/crates/platform/tests/explain.rs
@@ -42,7 +42,7 @@
                 "class 1",
                 "first token 3.5",
                 "reckoned queue",
-                "PrefillDone",
+                "ReadDone",
                 "found 64",
                 "Served after 3.5",
             ],
