--- a/crates/platform-net/src/descriptors.rs
+++ b/crates/platform-net/src/descriptors.rs
@@ -9,12 +9,12 @@
 use crate::Driver;
 
 /// Clients heard out at the most before one gives way.
-const MOST_HEARD_OUT: usize = 16;
+const MAX_CLIENTS_READ: usize = 16;
 /// Connections let go of at the most for one that needs a descriptor.
-const MOST_SHED: usize = 4;
+const MAX_EVICTIONS: usize = 4;
 
 /// The limits as the process finds them. The system's is read, and left as it is.
-pub(crate) fn found(limits: Limits) -> Limits {
+pub(crate) fn effective_limits(limits: Limits) -> Limits {
     let allowed = getrlimit(Resource::Nofile)
         .current
         .and_then(|n| usize::try_from(n).ok());
@@ -31,7 +31,7 @@
 }
 
 /// The process has no descriptor left.
-pub(crate) fn exhausted(e: &io::Error) -> bool {
+pub(crate) fn is_exhausted(e: &io::Error) -> bool {
     e.raw_os_error()
         .is_some_and(|code| code == Errno::MFILE.raw_os_error())
 }
@@ -39,10 +39,13 @@
 impl Driver {
     /// Opens a connection of the dispatcher's own, to discovery or a host; where there is no descriptor for it, those
     /// that need theirs least give way. The host has done nothing, so this must not look like its failure.
-    pub(crate) fn with_descriptor<T>(&mut self, open: impl Fn() -> io::Result<T>) -> io::Result<T> {
-        for _ in 0..MOST_SHED {
+    pub(crate) fn evicting_for_descriptor<T>(
+        &mut self,
+        open: impl Fn() -> io::Result<T>,
+    ) -> io::Result<T> {
+        for _ in 0..MAX_EVICTIONS {
             match open() {
-                Err(e) if exhausted(&e) && self.shed_any() => {}
+                Err(e) if is_exhausted(&e) && self.evict_any() => {}
                 other => return other,
             }
         }
@@ -50,19 +53,19 @@
     }
 
     /// Lets go of a client whose last answer has left, or that asks nothing, or of an idle connection to a host.
-    fn shed_any(&mut self) -> bool {
+    fn evict_any(&mut self) -> bool {
         self.lingering.retain(|c| self.sockets.contains_key(c));
         self.cut_written()
-            || self.shed_client()
+            || self.evict_client()
             || self.cut_stalled()
-            || self.shed_by(|driver, out| driver.node.shed_link(out))
+            || self.evict_with(|driver, out| driver.node.evict_idle_connection(out))
     }
 
     /// The same for a newcomer, between two inputs of the node: a client is heard out before it gives way, as it may have
     /// asked by now.
-    pub(crate) fn displace_client(&mut self) -> bool {
-        for _ in 0..MOST_HEARD_OUT {
-            let Some(conn) = self.node.first_client_to_go(self.clock.now()) else {
+    pub(crate) fn evict_for_new_client(&mut self) -> bool {
+        for _ in 0..MAX_CLIENTS_READ {
+            let Some(conn) = self.node.client_eviction_candidate(self.clock.now()) else {
                 break;
             };
             if let Some(socket) = self.sockets.get_mut(&conn) {
@@ -73,25 +76,25 @@
                 // It has gone by itself.
                 return true;
             }
-            if self.node.first_client_to_go(self.clock.now()) == Some(conn) {
+            if self.node.client_eviction_candidate(self.clock.now()) == Some(conn) {
                 break;
             }
         }
-        self.shed_client() || self.cut_stalled()
+        self.evict_client() || self.cut_stalled()
     }
 
     /// Lets go of the client that gives way first.
-    pub(crate) fn shed_client(&mut self) -> bool {
-        self.shed_by(|driver, out| driver.node.shed_client(driver.clock.now(), out))
+    pub(crate) fn evict_client(&mut self) -> bool {
+        self.evict_with(|driver, out| driver.node.evict_client(driver.clock.now(), out))
     }
 
-    fn shed_by(
+    fn evict_with(
         &mut self,
         shed: impl Fn(&mut Driver, &mut Vec<bitternlatch_platform::types::Command>) -> bool,
     ) -> bool {
         let mut closes = Vec::new();
         let found = shed(self, &mut closes);
-        closes.into_iter().for_each(|close| self.command(close));
+        closes.into_iter().for_each(|close| self.run_command(close));
         found
     }
 }
--- a/crates/platform-net/src/dial.rs
+++ b/crates/platform-net/src/dial.rs
@@ -8,18 +8,18 @@
 use bitternlatch_platform::types::ConnId;
 use mio::net::TcpStream;
 
-use crate::momentary::is_momentary;
-use crate::{Driver, Told};
+use crate::transient_errors::is_transient;
+use crate::{Driver, SocketEvent};
 
 /// Further tries, the first after a pause of so many seconds, each next one after twice as long: 60 ms together.
-const MOST_TRIES: u32 = 6;
-const FIRST_PAUSE_S: f64 = 0.001;
+const MAX_TRIES: u32 = 6;
+const FIRST_PAUSE_SECS: f64 = 0.001;
 /// Tries before others give way for the want of a descriptor: it may have been for a moment alone.
 const PATIENT_TRIES: u32 = 2;
 
 /// A connection that is to be tried again.
 #[derive(Clone, Copy, Debug)]
-struct Redial {
+struct ConnectRetry {
     to: SocketAddr,
     at: Micros,
     tries: u32,
@@ -27,9 +27,9 @@
 
 /// Connections that could not be opened yet.
 #[derive(Debug, Default)]
-pub(crate) struct Redials(BTreeMap<ConnId, Redial>);
+pub(crate) struct ConnectRetries(BTreeMap<ConnId, ConnectRetry>);
 
-impl Redials {
+impl ConnectRetries {
     pub(crate) fn next(&self) -> Option<Micros> {
         self.0.values().map(|r| r.at).min()
     }
@@ -49,41 +49,41 @@
         let opened = if tries < PATIENT_TRIES {
             TcpStream::connect(to)
         } else {
-            self.with_descriptor(|| TcpStream::connect(to))
+            self.evicting_for_descriptor(|| TcpStream::connect(to))
         };
         match opened.and_then(|stream| self.put(conn, stream, false)) {
             Ok(()) => {}
-            Err(e) if tries < MOST_TRIES && is_momentary(&e) => {
-                let pause_s = FIRST_PAUSE_S * f64::from(1u32 << tries);
+            Err(e) if tries < MAX_TRIES && is_transient(&e) => {
+                let pause_s = FIRST_PAUSE_SECS * f64::from(1u32 << tries);
                 let at = self.clock.now().after(pause_s);
-                self.redials.0.insert(
+                self.connect_retries.0.insert(
                     conn,
-                    Redial {
+                    ConnectRetry {
                         to,
                         at,
                         tries: tries + 1,
                     },
                 );
             }
-            Err(_) => self.told.push_back(Told::Ended(conn)),
+            Err(_) => self.socket_events.push_back(SocketEvent::Ended(conn)),
         }
     }
 
     /// Tries those again whose pause is over.
-    pub(crate) fn redial(&mut self) {
+    pub(crate) fn retry_connects(&mut self) {
         let now = self.clock.now();
-        let due: Vec<(ConnId, Redial)> = self
-            .redials
+        let due: Vec<(ConnId, ConnectRetry)> = self
+            .connect_retries
             .0
             .iter()
             .filter(|(_, r)| r.at <= now)
             .map(|(conn, r)| (*conn, *r))
             .collect();
-        for (conn, redial) in due {
+        for (conn, retry) in due {
             // What one of them brings may have closed another.
-            if self.redials.0.remove(&conn).is_some() {
-                self.dial(conn, redial.to, redial.tries);
-                self.carry_out();
+            if self.connect_retries.0.remove(&conn).is_some() {
+                self.dial(conn, retry.to, retry.tries);
+                self.run_commands();
             }
         }
     }
--- a/crates/platform-net/src/lib.rs
+++ b/crates/platform-net/src/lib.rs
@@ -5,9 +5,9 @@
 mod dial;
 mod lingering;
 mod listen;
-mod momentary;
 mod signals;
 mod socket;
+mod transient_errors;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
@@ -16,17 +16,17 @@
 
 use bitternlatch_core::Micros;
 use bitternlatch_net::clock::Clock;
+use bitternlatch_platform::access_log::AccessLog;
 use bitternlatch_platform::config::Config;
-use bitternlatch_platform::explain::Explainer;
 use bitternlatch_platform::node::Node;
 use bitternlatch_platform::types::{Command, ConnId, Input, Level};
 use mio::net::{TcpListener, TcpStream, UdpSocket};
 use mio::{Events, Interest, Poll, Token};
 
-use dial::Redials;
-use momentary::patient;
+use dial::ConnectRetries;
 use signals::{Signal, Signals};
-use socket::{Socket, Then};
+use socket::{ReadOutcome, Socket};
+use transient_errors::retry_transient;
 
 /// Tokens above those of connections, which count up from 1.
 const LISTENER: Token = Token(usize::MAX);
@@ -37,35 +37,35 @@
 const TURN_BYTES: usize = 4 * READ_BYTES;
 /// Events taken from the system at once, and how often in a row while there are as many.
 const BATCH: usize = 256;
-const MOST_BATCHES: usize = 8;
+const MAX_BATCHES: usize = 8;
 /// Within a turn the system is asked for further events after this, seconds: a client that goes meanwhile is heard.
-const HEAR_AGAIN_S: f64 = 0.005;
+const POLL_AGAIN_SECS: f64 = 0.005;
 /// Timers wait for what hosts and clients have said by the time at which they are due, but in a turn no longer than
 /// this, seconds.
-const TIMERS_WAIT_S: f64 = 0.01;
+const MAX_TIMER_DELAY_SECS: f64 = 0.01;
 /// Connections taken in one turn.
 const TURN_ACCEPTS: usize = 64;
 /// Turns of accepting before the listener is closed: more than its queue holds.
-const MOST_LAST_ACCEPTS: usize = 32;
+const MAX_LAST_ACCEPTS: usize = 32;
 /// Pause after a connection could not be taken.
-const ACCEPT_PAUSE_S: f64 = 0.02;
+const ACCEPT_PAUSE_SECS: f64 = 0.02;
 /// Descriptors that are wanting a second time within this, seconds, are not wanting for a moment alone.
-const WANTING_S: f64 = 0.1;
+const EXHAUSTED_AGAIN_SECS: f64 = 0.1;
 /// Connections that could not be taken are logged this often, seconds.
-const NOT_TAKEN_EVERY_S: f64 = 1.0;
+const ACCEPT_FAILURE_LOG_SECS: f64 = 1.0;
 /// A configuration that cannot be read is looked at again until it can be, as it may be half written and names where
 /// discovery is: so many times after the first pause, then after the second, seconds.
-const AGAIN_S: (f64, f64) = (0.1, 0.5);
-const AGAINS: u32 = 10;
+const RELOAD_RETRY_SECS: (f64, f64) = (0.1, 0.5);
+const FAST_RELOAD_RETRIES: u32 = 10;
 /// `BITTERNLATCH_LOG=info,explain=debug` says why requests were refused, failed, tried again or late.
-const EXPLAIN: &str = "explain";
+const ACCESS_LOG_TARGET: &str = "explain";
 
 /// Reads a configuration at the start, where a file that cannot be opened for a moment is waited for.
 ///
 /// # Errors
 /// One line that names the file, the field and the cause.
 pub fn read_config(path: &Path) -> Result<Config, String> {
-    parsed(path, patient(|| std::fs::read_to_string(path)))
+    parsed(path, retry_transient(|| std::fs::read_to_string(path)))
 }
 
 fn parsed(path: &Path, text: io::Result<String>) -> Result<Config, String> {
@@ -91,34 +91,34 @@
     clock: Clock,
     /// What the system had to tell by then is known; the node's time. Were it later, timers would act before the ends
     /// of clients that came while this process was held up.
-    heard_at: Micros,
+    observed_at: Micros,
     node: Node,
     listener: Option<TcpListener>,
     /// Connections wait to be taken, not before this time.
     accept_at: Option<Micros>,
     /// When there was no descriptor for a client last.
-    wanting_at: Option<Micros>,
+    exhausted_at: Option<Micros>,
     /// Failed tries to take a connection since they were logged, and when that was.
-    not_taken: (u64, Micros),
-    redials: Redials,
+    accept_failures: (u64, Micros),
+    connect_retries: ConnectRetries,
     peers: Option<UdpSocket>,
     signals: Signals,
     sockets: BTreeMap<ConnId, Socket>,
     /// Those that may be read on without a new event.
-    more: BTreeSet<ConnId>,
+    ready_again: BTreeSet<ConnId>,
     lingering: VecDeque<ConnId>,
     commands: Vec<Command>,
     /// What the sockets have told and the node has not heard yet.
-    told: VecDeque<Told>,
+    socket_events: VecDeque<SocketEvent>,
     buffer: Vec<u8>,
     reload_at: Option<(Micros, u32)>,
     /// The listener is to be closed at the end of this turn.
-    closing: bool,
+    stop_listening_requested: bool,
     stopped: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Told {
+enum SocketEvent {
     Wrote(ConnId, usize),
     Ended(ConnId),
     Stale(ConnId),
@@ -130,18 +130,18 @@
             let what = what.to_string();
             move |e: io::Error| format!("{what}: {e}")
         };
-        let poll = patient(Poll::new).map_err(fault("no readiness queue"))?;
+        let poll = retry_transient(Poll::new).map_err(fault("no readiness queue"))?;
         let address = config.listen;
-        let mut listener = listen::once_free(address, listen::listener).map_err(fault(
-            &format!("field 'listen': cannot listen on {address}"),
-        ))?;
+        let mut listener = listen::retry_address_in_use(address, listen::listener).map_err(
+            fault(&format!("field 'listen': cannot listen on {address}")),
+        )?;
         let registry = poll.registry();
         registry
             .register(&mut listener, LISTENER, Interest::READABLE)
             .map_err(fault("cannot wait for clients"))?;
         let mut peers = match config.peer_listen.filter(|_| config.bounds.peers) {
             Some(at) => Some(
-                listen::once_free(at, UdpSocket::bind)
+                listen::retry_address_in_use(at, UdpSocket::bind)
                     .map_err(fault(&format!("field 'peer_listen': {at}")))?,
             ),
             None => None,
@@ -151,9 +151,9 @@
                 .register(socket, PEERS, Interest::READABLE)
                 .map_err(fault("cannot wait for peers"))?;
         }
-        let signals = patient(|| Signals::start(registry, SIGNALS))
+        let signals = retry_transient(|| Signals::start(registry, SIGNALS))
             .map_err(fault("cannot wait for signals"))?;
-        config.limits = descriptors::found(config.limits);
+        config.limits = descriptors::effective_limits(config.limits);
         let clock = Clock::start();
         let mut commands = Vec::new();
         tracing::info!(name = config.name, %address, discovery = %config.discovery, "listening");
@@ -167,40 +167,40 @@
         } else {
             Node::new
         };
-        let explains = tracing::enabled!(target: EXPLAIN, tracing::Level::DEBUG);
-        let explainer = explains.then(|| Explainer::new(&config.settings));
+        let explains = tracing::enabled!(target: ACCESS_LOG_TARGET, tracing::Level::DEBUG);
+        let access_log = explains.then(|| AccessLog::new(&config.settings));
         let mut node = begin(clock.now(), config, &mut commands);
-        explainer
+        access_log
             .into_iter()
-            .for_each(|explainer| node.explain(explainer));
+            .for_each(|access_log| node.enable_access_log(access_log));
         Ok(Driver {
             path: path.to_path_buf(),
             poll,
-            heard_at: clock.now(),
+            observed_at: clock.now(),
             clock,
             node,
             listener: Some(listener),
             accept_at: None,
-            wanting_at: None,
-            not_taken: (0, Micros(0)),
-            redials: Redials::default(),
+            exhausted_at: None,
+            accept_failures: (0, Micros(0)),
+            connect_retries: ConnectRetries::default(),
             peers,
             signals,
             sockets: BTreeMap::new(),
-            more: BTreeSet::new(),
+            ready_again: BTreeSet::new(),
             lingering: VecDeque::new(),
             commands,
-            told: VecDeque::new(),
+            socket_events: VecDeque::new(),
             buffer: vec![0; READ_BYTES],
             reload_at: None,
-            closing: false,
+            stop_listening_requested: false,
             stopped: false,
         })
     }
 
     fn run(&mut self) -> io::Result<()> {
         let mut events = Events::with_capacity(BATCH);
-        self.carry_out();
+        self.run_commands();
         while !self.stopped {
             let mut wait = self.wait();
             // A signal ends the wait with nothing told, also one that stops the process for a while: due timers must not
@@ -213,14 +213,14 @@
             }
             self.turn(&mut events);
         }
-        self.farewell(&mut events);
+        self.drain_lingering(&mut events);
         tracing::info!(counts = ?self.node.counts(), "stopped");
         Ok(())
     }
 
     /// How long nothing has to be done without an event.
     fn wait(&self) -> Duration {
-        if !self.more.is_empty() {
+        if !self.ready_again.is_empty() {
             return Duration::ZERO;
         }
         let reload = self.reload_at.map(|r| r.0);
@@ -228,22 +228,22 @@
             self.node.next_due(),
             self.accept_at,
             reload,
-            self.next_cut(),
-            self.redials.next(),
+            self.next_linger_deadline(),
+            self.connect_retries.next(),
         ];
         let due = due.into_iter().flatten().min();
         due.map_or(Duration::from_secs(1), |at| self.clock.until(at))
     }
 
     fn turn(&mut self, events: &mut Events) {
-        let mut ready = self.hear(events);
-        ready.extend(std::mem::take(&mut self.more));
-        self.heed_signals();
+        let mut ready = self.poll_ready(events);
+        ready.extend(std::mem::take(&mut self.ready_again));
+        self.handle_signals();
         // Clients with a request open first: all that they can say is that they have gone, or what comes next. Then
         // hosts: a connection that has just ended must not be chosen for what a client has just asked.
         let rank = |conn: &ConnId| match self.sockets.get(conn) {
             Some(socket) if socket.accepted => {
-                if self.node.has_asked(*conn) {
+                if self.node.has_open_request(*conn) {
                     0
                 } else {
                     2
@@ -252,36 +252,40 @@
             _ => 1,
         };
         ready.sort_by_key(rank);
-        let began = self.heard_at;
+        let began = self.observed_at;
         for conn in ready {
-            self.hear_again(events);
-            if self.heard_at.since(began) >= TIMERS_WAIT_S {
+            self.poll_again(events);
+            if self.observed_at.since(began) >= MAX_TIMER_DELAY_SECS {
                 self.tick();
             }
             self.serve_socket(conn);
         }
-        self.hear_again(events);
-        self.redial();
+        self.poll_again(events);
+        self.retry_connects();
         self.accept();
         self.reload();
         self.cut_lingering();
-        self.hear_again(events);
+        self.poll_again(events);
         self.tick();
-        if std::mem::take(&mut self.closing) {
+        if std::mem::take(&mut self.stop_listening_requested) {
             self.stop_listening();
         }
     }
 
     /// Lets timers that are due act.
     fn tick(&mut self) {
-        if self.node.next_due().is_some_and(|at| at <= self.heard_at) {
-            self.tell(Input::Tick);
+        if self
+            .node
+            .next_due()
+            .is_some_and(|at| at <= self.observed_at)
+        {
+            self.input(Input::Tick);
         }
     }
 
     /// Takes whoever has connected by now, and nobody after that.
     fn stop_listening(&mut self) {
-        for _ in 0..MOST_LAST_ACCEPTS {
+        for _ in 0..MAX_LAST_ACCEPTS {
             self.accept_at = Some(Micros(0));
             self.accept();
             if self.accept_at.is_none() {
@@ -291,17 +295,17 @@
         if let Some(mut listener) = self.listener.take() {
             let _ = self.poll.registry().deregister(&mut listener);
         }
-        self.tell(Input::NotListening);
+        self.input(Input::NotListening);
     }
 
     /// Takes in what the system has told, and all else that it has to tell by now. Gives the connections that are ready.
     ///
     /// The node hears first of the clients that have gone, of all of them, and without what they said last: neither a
     /// host's answer nor a timer nor their own words may begin an attempt for them.
-    fn hear(&mut self, events: &mut Events) -> Vec<ConnId> {
-        let (mut ready, mut gone) = (Vec::new(), Vec::new());
+    fn poll_ready(&mut self, events: &mut Events) -> Vec<ConnId> {
+        let (mut ready, mut disconnected) = (Vec::new(), Vec::new());
         let (mut peers, mut signals) = (false, false);
-        for batch in 0..MOST_BATCHES {
+        for batch in 0..MAX_BATCHES {
             for event in events.iter() {
                 match event.token() {
                     LISTENER => self.accept_at = Some(Micros(0)),
@@ -312,72 +316,77 @@
                         let Some(socket) = self.sockets.get_mut(&conn) else {
                             continue;
                         };
-                        socket.note(event);
-                        if socket.gone() { &mut gone } else { &mut ready }.push(conn);
+                        socket.record_readiness(event);
+                        if socket.client_gone() {
+                            &mut disconnected
+                        } else {
+                            &mut ready
+                        }
+                        .push(conn);
                     }
                 }
             }
             if batch > 0 && events.iter().count() < BATCH {
                 break;
             }
-            self.heard_at = self.clock.now();
+            self.observed_at = self.clock.now();
             if self.poll.poll(events, Some(Duration::ZERO)).is_err() {
                 break;
             }
         }
-        for conn in gone {
+        for conn in disconnected {
             self.forget(conn);
             // No command is carried out in between: what comes of it may let timers act.
             self.node
-                .step(self.heard_at, Input::Ended { conn }, &mut self.commands);
+                .step(self.observed_at, Input::Ended { conn }, &mut self.commands);
         }
-        self.carry_out();
+        self.run_commands();
         if peers {
-            self.hear_peers();
+            self.read_datagrams();
         }
         if signals {
-            self.heed_signals();
+            self.handle_signals();
         }
         ready
     }
 
     /// In a long turn, asks the system again; connections that are ready are served in the next one.
-    fn hear_again(&mut self, events: &mut Events) {
-        if self.clock.now().since(self.heard_at) < HEAR_AGAIN_S {
+    fn poll_again(&mut self, events: &mut Events) {
+        if self.clock.now().since(self.observed_at) < POLL_AGAIN_SECS {
             return;
         }
         events.clear();
-        let ready = self.hear(events);
-        self.more.extend(ready);
+        let ready = self.poll_ready(events);
+        self.ready_again.extend(ready);
     }
 
-    fn tell(&mut self, input: Input) {
-        self.node.step(self.heard_at, input, &mut self.commands);
-        self.carry_out();
+    fn input(&mut self, input: Input) {
+        self.node.step(self.observed_at, input, &mut self.commands);
+        self.run_commands();
     }
 
     /// Carries out what the node says, and tells it what comes of it, until nothing is left.
-    fn carry_out(&mut self) {
+    fn run_commands(&mut self) {
         loop {
             for one in self.node.take_trace() {
                 tracing::debug!(actions = ?one.actions, "{:?}", one.event);
             }
             for command in std::mem::take(&mut self.commands) {
-                self.command(command);
+                self.run_command(command);
             }
-            let Some(told) = self.told.pop_front() else {
+            let Some(event) = self.socket_events.pop_front() else {
                 return;
             };
-            let input = match told {
-                Told::Wrote(conn, count) => Input::Wrote { conn, count },
-                Told::Ended(conn) => Input::Ended { conn },
-                Told::Stale(conn) => Input::Stale { conn },
+            let input = match event {
+                SocketEvent::Wrote(conn, count) => Input::Wrote { conn, count },
+                SocketEvent::Ended(conn) => Input::Ended { conn },
+                SocketEvent::Stale(conn) => Input::Stale { conn },
             };
-            self.node.step(self.heard_at, input, &mut self.commands);
+            self.node.step(self.observed_at, input, &mut self.commands);
         }
     }
 
-    fn command(&mut self, command: Command) {
+    fn run_command(&mut self, command: Command) {
         match command {
             Command::Connect { conn, to } => self.connect(conn, to),
             Command::Write { conn, bytes } => {
@@ -393,7 +402,7 @@
                 if let Some(socket) = self.sockets.get_mut(&conn) {
                     socket.paused = paused;
                     if !paused && socket.readable {
-                        self.more.insert(conn);
+                        self.ready_again.insert(conn);
                     }
                 }
             }
@@ -403,9 +412,9 @@
                     let _ = peers.send_to(&data, to);
                 }
             }
-            Command::StopListening => self.closing = true,
+            Command::StopListening => self.stop_listening_requested = true,
             Command::Stopped => self.stopped = true,
-            Command::Explain { text } => tracing::debug!(target: EXPLAIN, "{text}"),
+            Command::AccessLog { text } => tracing::debug!(target: ACCESS_LOG_TARGET, "{text}"),
             Command::Log {
                 level: Level::Info,
                 text,
@@ -432,8 +441,8 @@
         if let Some(mut socket) = self.sockets.remove(&conn) {
             let _ = self.poll.registry().deregister(&mut socket.stream);
         }
-        self.more.remove(&conn);
-        self.redials.forget(conn);
+        self.ready_again.remove(&conn);
+        self.connect_retries.forget(conn);
     }
 
     /// Writes to a connection that stood idle, if it still does: what came on it since would be taken for the answer, and
@@ -447,7 +456,7 @@
             return self.write(conn);
         }
         self.forget(conn);
-        self.told.push_back(Told::Stale(conn));
+        self.socket_events.push_back(SocketEvent::Stale(conn));
     }
 
     fn write(&mut self, conn: ConnId) {
@@ -455,23 +464,24 @@
             return;
         };
         let (count, alive) = socket.write();
-        let told = !socket.lingering();
-        if count > 0 && !told {
-            socket.wait_on(self.clock.now());
+        let is_serving = !socket.lingering();
+        if count > 0 && !is_serving {
+            socket.restart_linger(self.clock.now());
         }
-        if count > 0 && told {
-            self.told.push_back(Told::Wrote(conn, count));
+        if count > 0 && is_serving {
+            self.socket_events
+                .push_back(SocketEvent::Wrote(conn, count));
         }
         if alive {
             return;
         }
-        if socket.accepted && told {
+        if socket.accepted && is_serving {
             // A client that cannot be written to has gone, whatever it still had to say.
             self.forget(conn);
-            self.told.push_back(Told::Ended(conn));
+            self.socket_events.push_back(SocketEvent::Ended(conn));
         } else {
             // What the other side said before it went is still read.
-            self.more.insert(conn);
+            self.ready_again.insert(conn);
         }
     }
 
@@ -480,36 +490,36 @@
         let Some(socket) = self.sockets.get_mut(&conn) else {
             return;
         };
-        match socket.come_up() {
+        match socket.poll_connected() {
             Ok(None) => return,
             Ok(Some(false)) => {}
-            Ok(Some(true)) => self.tell(Input::Connected { conn }),
+            Ok(Some(true)) => self.input(Input::Connected { conn }),
             Err(_) => return self.ended(conn),
         }
         self.write(conn);
-        self.carry_out();
+        self.run_commands();
         let mut left = TURN_BYTES;
         while left > 0 {
             let Some(socket) = self.sockets.get_mut(&conn) else {
                 return;
             };
             let mut buffer = std::mem::take(&mut self.buffer);
-            let (n, then) = socket.read(&mut buffer);
+            let (n, outcome) = socket.read(&mut buffer);
             // What a client said just before it went begins nothing; what a host said is its answer.
-            let is_dropped = socket.lingering() || socket.accepted && then == Then::Ended;
+            let is_dropped = socket.lingering() || socket.accepted && outcome == ReadOutcome::Ended;
             if n > 0 && !is_dropped {
                 let input = Input::Received {
                     conn,
                     bytes: &buffer[..n],
                 };
-                self.node.step(self.heard_at, input, &mut self.commands);
+                self.node.step(self.observed_at, input, &mut self.commands);
             }
             self.buffer = buffer;
-            self.carry_out();
-            match then {
-                Then::Ended => return self.ended(conn),
-                Then::Nothing => return,
-                Then::More => left = left.saturating_sub(n),
+            self.run_commands();
+            match outcome {
+                ReadOutcome::Ended => return self.ended(conn),
+                ReadOutcome::Nothing => return,
+                ReadOutcome::More => left = left.saturating_sub(n),
             }
         }
         if self
@@ -517,7 +527,7 @@
             .get(&conn)
             .is_some_and(|s| s.readable && !s.paused)
         {
-            self.more.insert(conn);
+            self.ready_again.insert(conn);
         }
     }
 
@@ -525,7 +535,7 @@
         let lingering = self.sockets.get(&conn).is_none_or(Socket::lingering);
         self.forget(conn);
         if !lingering {
-            self.tell(Input::Ended { conn });
+            self.input(Input::Ended { conn });
         }
     }
 
@@ -540,26 +550,26 @@
             match listener.accept() {
                 Ok((stream, _)) => self.admit(stream),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return self.accept_at = None,
-                Err(e) if is_own_loss(&e) => {}
+                Err(e) if is_connection_lost(&e) => {}
                 // As at the clients' bound: a newcomer displaces.
                 Err(e)
-                    if descriptors::exhausted(&e)
-                        && self.wants_again()
-                        && self.displace_client() => {}
+                    if descriptors::is_exhausted(&e)
+                        && self.is_exhausted_again()
+                        && self.evict_for_new_client() => {}
                 Err(e) => {
                     // Without descriptors an accept fails at once: asking again and again would spin.
-                    self.log_not_taken(&e);
-                    return self.accept_at = Some(self.clock.now().after(ACCEPT_PAUSE_S));
+                    self.log_accept_failure(&e);
+                    return self.accept_at = Some(self.clock.now().after(ACCEPT_PAUSE_SECS));
                 }
             }
         }
     }
 
-    fn log_not_taken(&mut self, error: &io::Error) {
+    fn log_accept_failure(&mut self, error: &io::Error) {
         let now = self.clock.now();
-        let (count, logged_at) = &mut self.not_taken;
+        let (count, logged_at) = &mut self.accept_failures;
         *count += 1;
-        if now.since(*logged_at) >= NOT_TAKEN_EVERY_S {
+        if now.since(*logged_at) >= ACCEPT_FAILURE_LOG_SECS {
             tracing::warn!(
                 "a connection could not be taken: {error}; {count} tries since the last such line"
             );
@@ -568,10 +578,10 @@
     }
 
     /// There was no descriptor, as a moment ago: then it is no passing want.
-    fn wants_again(&mut self) -> bool {
+    fn is_exhausted_again(&mut self) -> bool {
         let now = self.clock.now();
-        let before = self.wanting_at.replace(now);
-        before.is_some_and(|at| now.since(at) < WANTING_S)
+        let before = self.exhausted_at.replace(now);
+        before.is_some_and(|at| now.since(at) < EXHAUSTED_AGAIN_SECS)
     }
 
     /// Takes a connection, and hears what it has said already before the next one, which may displace it: the front's
@@ -582,22 +592,22 @@
         if self.put(conn, stream, true).is_err() {
             return;
         }
-        if self.node.is_full_of_clients(self.unwritten_answers()) {
-            self.displace_client();
+        if self.node.client_limit_reached(self.unwritten_answers()) {
+            self.evict_for_new_client();
         }
-        self.tell(Input::Accepted { conn });
+        self.input(Input::Accepted { conn });
         if let Some(socket) = self.sockets.get_mut(&conn) {
             socket.readable = true;
             self.serve_socket(conn);
         }
     }
 
-    fn hear_peers(&mut self) {
+    fn read_datagrams(&mut self) {
         let mut data = [0; 512];
         for _ in 0..TURN_ACCEPTS {
             let Some(peers) = &self.peers else { return };
             match peers.recv_from(&mut data) {
-                Ok((n, from)) => self.tell(Input::Datagram {
+                Ok((n, from)) => self.input(Input::Datagram {
                     from,
                     data: &data[..n],
                 }),
@@ -606,10 +616,10 @@
         }
     }
 
-    fn heed_signals(&mut self) {
+    fn handle_signals(&mut self) {
         for signal in self.signals.take() {
             match signal {
-                Signal::Stop => self.tell(Input::Stop),
+                Signal::Stop => self.input(Input::Stop),
                 Signal::Reload => self.reload_at = Some((self.clock.now(), 0)),
             }
         }
@@ -625,13 +635,17 @@
         match parsed(&self.path, std::fs::read_to_string(&self.path)) {
             Ok(config) => {
                 self.node.reload(now, config, &mut self.commands);
-                self.carry_out();
+                self.run_commands();
             }
             Err(why) => {
                 if tries == 0 {
                     tracing::warn!("nothing is changed: {why}");
                 }
-                let pause_s = if tries < AGAINS { AGAIN_S.0 } else { AGAIN_S.1 };
+                let pause_s = if tries < FAST_RELOAD_RETRIES {
+                    RELOAD_RETRY_SECS.0
+                } else {
+                    RELOAD_RETRY_SECS.1
+                };
                 self.reload_at = Some((now.after(pause_s), tries.saturating_add(1)));
             }
         }
@@ -639,7 +653,7 @@
 }
 
 /// The connection that was to be taken has gone already.
-fn is_own_loss(e: &io::Error) -> bool {
+fn is_connection_lost(e: &io::Error) -> bool {
     matches!(
         e.kind(),
         io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted
--- a/crates/platform-net/src/lingering.rs
+++ b/crates/platform-net/src/lingering.rs
@@ -5,21 +5,21 @@
 use std::time::Duration;
 
 use bitternlatch_core::Micros;
-use bitternlatch_platform::clients::SLOW_S;
+use bitternlatch_platform::clients::SLOW_CLIENT_SECS;
 use bitternlatch_platform::types::ConnId;
 use mio::Events;
 
-use crate::socket::{Socket, Then};
+use crate::socket::{ReadOutcome, Socket};
 use crate::Driver;
 
 /// Connections that still have to see their last answer, which has left; past them one is cut.
-const MOST_LINGERING: usize = 16;
+const MAX_LINGERING: usize = 16;
 /// Reads of what has come on a connection that is cut: some MiB.
-const MOST_LAST_READS: u32 = 64;
+const MAX_LAST_READS: u32 = 64;
 /// At the end of the process, the other sides of answers that have left have this long to end theirs.
-const FAREWELL: Duration = Duration::from_millis(200);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 /// The same for answers that have not left whole, from when anything last left.
-const FAREWELL_UNWRITTEN: Duration = Duration::from_secs(2);
+const DRAIN_STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Driver {
     pub(crate) fn finish(&mut self, conn: ConnId) {
@@ -28,11 +28,11 @@
             return;
         };
         socket.finish(now);
-        self.more.insert(conn);
+        self.ready_again.insert(conn);
         self.lingering.push_back(conn);
         self.write(conn);
         self.lingering.retain(|c| self.sockets.contains_key(c));
-        if self.lingering.len() - self.unwritten_answers() > MOST_LINGERING {
+        if self.lingering.len() - self.unwritten_answers() > MAX_LINGERING {
             self.cut_written();
         }
     }
@@ -54,7 +54,7 @@
         let Some((since, conn)) = self.lingering.iter().filter_map(since).min() else {
             return false;
         };
-        if self.clock.now().since(since) < SLOW_S {
+        if self.clock.now().since(since) < SLOW_CLIENT_SECS {
             return false;
         }
         self.lingering.retain(|c| *c != conn);
@@ -89,7 +89,7 @@
     }
 
     /// When the next one is cut.
-    pub(crate) fn next_cut(&self) -> Option<Micros> {
+    pub(crate) fn next_linger_deadline(&self) -> Option<Micros> {
         self.lingering_sockets().filter_map(Socket::cut_at).min()
     }
 
@@ -98,8 +98,8 @@
     fn cut(&mut self, conn: ConnId) {
         if let Some(socket) = self.sockets.get_mut(&conn) {
             socket.readable = true;
-            let mut reads = MOST_LAST_READS;
-            while reads > 0 && socket.read(&mut self.buffer).1 == Then::More {
+            let mut reads = MAX_LAST_READS;
+            while reads > 0 && socket.read(&mut self.buffer).1 == ReadOutcome::More {
                 reads -= 1;
             }
         }
@@ -112,14 +112,14 @@
     }
 
     /// Lets the last answers leave: what a client has not taken yet goes with the process.
-    pub(crate) fn farewell(&mut self, events: &mut Events) {
+    pub(crate) fn drain_lingering(&mut self, events: &mut Events) {
         let mut since = self.clock.now();
         let mut unwritten = self.unwritten();
         while !self.lingering.is_empty() {
             let wait = if unwritten > 0 {
-                FAREWELL_UNWRITTEN
+                DRAIN_STALL_TIMEOUT
             } else {
-                FAREWELL
+                DRAIN_TIMEOUT
             };
             let until = since.after(wait.as_secs_f64());
             if self.clock.now() >= until {
@@ -133,7 +133,7 @@
             for event in events.iter() {
                 let conn = ConnId(event.token().0 as u64);
                 if let Some(socket) = self.sockets.get_mut(&conn) {
-                    socket.note(event);
+                    socket.record_readiness(event);
                     self.serve_socket(conn);
                 }
             }
--- a/crates/platform-net/src/listen.rs
+++ b/crates/platform-net/src/listen.rs
@@ -7,13 +7,13 @@
 use mio::net::TcpListener;
 use socket2::{Domain, Socket, Type};
 
-use crate::momentary::is_momentary;
+use crate::transient_errors::is_transient;
 
 /// The accept queue's length (the listener's backlog). What comes while the process starts or is held up waits there;
 /// past it connections are dropped, and tried again only after 1, 3 and 7 s. The system may cap it.
 const ACCEPT_QUEUE: i32 = 1024;
 /// A predecessor that was told to stop, or has just been killed, may hold its addresses for this long.
-const IN_USE: Duration = Duration::from_secs(5);
+const ADDRESS_WAIT: Duration = Duration::from_secs(5);
 /// Pause between tries.
 const PAUSE: Duration = Duration::from_millis(20);
 
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// As the system's; that it is in use still.
-pub(crate) fn once_free<T>(
+pub(crate) fn retry_address_in_use<T>(
     at: SocketAddr,
     open: impl Fn(SocketAddr) -> io::Result<T>,
 ) -> io::Result<T> {
@@ -43,11 +43,13 @@
     let mut said = false;
     loop {
         match open(at) {
-            Err(e) if is_momentary(&e) && began.elapsed() < IN_USE => std::thread::sleep(PAUSE),
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse && began.elapsed() < IN_USE => {
+            Err(e) if is_transient(&e) && began.elapsed() < ADDRESS_WAIT => {
+                std::thread::sleep(PAUSE)
+            }
+            Err(e) if e.kind() == io::ErrorKind::AddrInUse && began.elapsed() < ADDRESS_WAIT => {
                 if !std::mem::replace(&mut said, true) {
                     tracing::warn!(
-                        "{at} is in use, by the process before perhaps: tried for {IN_USE:?}"
+                        "{at} is in use, by the process before perhaps: tried for {ADDRESS_WAIT:?}"
                     );
                 }
                 std::thread::sleep(PAUSE);
--- a/crates/platform-net/src/socket.rs
+++ b/crates/platform-net/src/socket.rs
@@ -4,17 +4,17 @@
 use std::net::Shutdown;
 
 use bitternlatch_core::Micros;
-use bitternlatch_platform::clients::TAKES_NOTHING_S;
+use bitternlatch_platform::clients::CLIENT_STALL_SECS;
 use mio::event::Event;
 use mio::net::TcpStream;
 
 /// A connection that ends waits this long for the other side to have read its last answer, seconds, from when the last
 /// byte of it left; until then it waits for the other side to take more of it.
-const LINGER_S: f64 = 2.0;
+const LINGER_SECS: f64 = 2.0;
 /// Bytes that it takes in and drops meanwhile.
 const LINGER_BYTES: usize = 80 << 20;
 /// Room kept for the next writes once all is written.
-const KEPT_ROOM: usize = 8 * 1024;
+const RETAINED_CAPACITY: usize = 8 * 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
@@ -31,7 +31,7 @@
 
 /// What stands behind the bytes that a read has brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Then {
+pub(crate) enum ReadOutcome {
     /// There may be more than the buffer took.
     More,
     Nothing,
@@ -75,14 +75,14 @@
     }
 
     /// Takes a readiness event in.
-    pub(crate) fn note(&mut self, event: &Event) {
+    pub(crate) fn record_readiness(&mut self, event: &Event) {
         self.readable |= event.is_readable() || event.is_read_closed() || event.is_error();
         self.writable |= event.is_writable() || event.is_error();
         self.ended |= event.is_read_closed() || event.is_write_closed() || event.is_error();
     }
 
     /// A client that has gone. It need not be read for that: it may be paused, or have said much before its end.
-    pub(crate) fn gone(&self) -> bool {
+    pub(crate) fn client_gone(&self) -> bool {
         self.accepted && self.ended && !self.lingering()
     }
 
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     /// It never came up.
-    pub(crate) fn come_up(&mut self) -> std::io::Result<Option<bool>> {
+    pub(crate) fn poll_connected(&mut self) -> std::io::Result<Option<bool>> {
         if self.stage != Stage::Connecting {
             return Ok(Some(false));
         }
@@ -129,7 +129,7 @@
     }
 
     /// Something of its last answer has just left: waits for the other side once more.
-    pub(crate) fn wait_on(&mut self, now: Micros) {
+    pub(crate) fn restart_linger(&mut self, now: Micros) {
         if let Stage::Lingering { since, .. } = &mut self.stage {
             *since = now;
         }
@@ -151,9 +151,9 @@
     pub(crate) fn cut_at(&self) -> Option<Micros> {
         match self.stage {
             Stage::Lingering { since, .. } => Some(since.after(if self.all_written() {
-                LINGER_S
+                LINGER_SECS
             } else {
-                TAKES_NOTHING_S
+                CLIENT_STALL_SECS
             })),
             _ => None,
         }
@@ -177,7 +177,7 @@
         if self.at == self.queue.len() {
             self.at = 0;
             self.queue.clear();
-            if self.queue.capacity() > KEPT_ROOM {
+            if self.queue.capacity() > RETAINED_CAPACITY {
                 // Hundreds of connections that once carried much must not keep room for it.
                 self.queue = Vec::new();
             }
@@ -191,28 +191,28 @@
     }
 
     /// Reads as much as there is and the buffer takes: how much that was, and what stands behind it.
-    pub(crate) fn read(&mut self, buffer: &mut [u8]) -> (usize, Then) {
+    pub(crate) fn read(&mut self, buffer: &mut [u8]) -> (usize, ReadOutcome) {
         if self.paused && !self.broken {
-            return (0, Then::Nothing);
+            return (0, ReadOutcome::Nothing);
         }
         let mut taken = 0;
         while taken < buffer.len() {
             if !self.readable && !self.broken {
-                return (taken, Then::Nothing);
+                return (taken, ReadOutcome::Nothing);
             }
             match self.stream.read(&mut buffer[taken..]) {
-                Ok(0) => return (taken, Then::Ended),
-                Ok(n) if self.drop_rest(n) => return (taken, Then::Ended),
+                Ok(0) => return (taken, ReadOutcome::Ended),
+                Ok(n) if self.drop_rest(n) => return (taken, ReadOutcome::Ended),
                 Ok(n) => taken += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock && self.broken => {
-                    return (taken, Then::Ended)
+                    return (taken, ReadOutcome::Ended)
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => self.readable = false,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return (taken, Then::Ended),
+                Err(_) => return (taken, ReadOutcome::Ended),
             }
         }
-        (taken, Then::More)
+        (taken, ReadOutcome::More)
     }
 
     /// Nothing has come that was not read, its end included; asks the system, whatever it has told.
--- a/crates/platform-net/src/momentary.rs
+++ b/crates/platform-net/src/transient_errors.rs
@@ -7,11 +7,11 @@
 use rustix::io::Errno;
 
 /// At the start a call is tried for so long.
-const PATIENCE: Duration = Duration::from_secs(5);
+const RETRY_FOR: Duration = Duration::from_secs(5);
 const PAUSE: Duration = Duration::from_millis(20);
 
 /// What the system has too little of just now, or cannot do just now.
-const MOMENTARY: [Errno; 9] = [
+const TRANSIENT: [Errno; 9] = [
     Errno::MFILE,
     Errno::NFILE,
     Errno::NOBUFS,
@@ -24,21 +24,21 @@
 ];
 
 /// An error of the machine's own that may have passed at the next try.
-pub(crate) fn is_momentary(error: &io::Error) -> bool {
+pub(crate) fn is_transient(error: &io::Error) -> bool {
     error
         .raw_os_error()
-        .is_some_and(|code| MOMENTARY.iter().any(|known| known.raw_os_error() == code))
+        .is_some_and(|code| TRANSIENT.iter().any(|known| known.raw_os_error() == code))
 }
 
 /// Makes a call at the start, again and again while it fails for a moment.
 ///
 /// # Errors
 /// As the call's: one that does not pass, or has not passed in time.
-pub(crate) fn patient<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub(crate) fn retry_transient<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let began = Instant::now();
     loop {
         match call() {
-            Err(e) if is_momentary(&e) && began.elapsed() < PATIENCE => thread::sleep(PAUSE),
+            Err(e) if is_transient(&e) && began.elapsed() < RETRY_FOR => thread::sleep(PAUSE),
             other => return other,
         }
     }
--- a/crates/platform/src/explain.rs
+++ b/crates/platform/src/access_log.rs
@@ -12,13 +12,13 @@
 /// Most requests accounted for at once; those that come on top are not.
 const MOST: usize = 4096;
 /// Most attempts named in a line.
-const MOST_ATTEMPTS: usize = 8;
+const MAX_ATTEMPTS: usize = 8;
 /// Most changes of what is held that a line names.
-const MOST_CHANGES: usize = 8;
+const MAX_CHANGES: usize = 8;
 
 /// What became of the state that a prefill server holds for a request, as the module knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum StateChange {
+enum KvStateChange {
     HeldAt(ServerId),
     MayBeHeldAt(ServerId),
     Taken,
@@ -28,7 +28,7 @@
 
 /// What the module can say of its last decision on a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Reasons {
+pub struct DecisionReasons {
     /// What stood behind its last choice of a prefill server.
     pub reckoned: Option<ChoiceExplanation>,
     /// Why it was ended without being served.
@@ -46,37 +46,37 @@
 
 /// One request from its arrival to its end.
 #[derive(Debug)]
-struct Account {
+struct RequestRecord {
     id: String,
     ask: Request,
-    aim_s: f64,
+    latency_objective_s: f64,
     arrived_s: f64,
     attempts: Vec<Attempt>,
-    made: usize,
+    attempts_made: usize,
     first_token_s: Option<f64>,
     answer: Option<&'static str>,
     /// Why it was refused or failed.
-    ended_by: Reasons,
+    ended_by: DecisionReasons,
     /// What became of its state, and when, seconds from its arrival.
-    states: Vec<(f64, StateChange)>,
+    states: Vec<(f64, KvStateChange)>,
 }
 
 /// Accounts of the requests in hand.
 #[derive(Debug)]
-pub struct Explainer {
+pub struct AccessLog {
     /// By class: the aim of the time to first token, seconds, and what each prompt token adds.
-    aims: Vec<(f64, f64)>,
-    open: BTreeMap<RequestId, Account>,
+    latency_objectives: Vec<(f64, f64)>,
+    open: BTreeMap<RequestId, RequestRecord>,
 }
 
-impl Explainer {
-    pub fn new(settings: &Settings) -> Explainer {
-        let aims = settings
+impl AccessLog {
+    pub fn new(settings: &Settings) -> AccessLog {
+        let latency_objectives = settings
             .classes
             .iter()
             .map(|c| (c.ttft_objective_s, c.ttft_objective_per_token_s));
-        Explainer {
-            aims: aims.collect(),
+        AccessLog {
+            latency_objectives: latency_objectives.collect(),
             open: BTreeMap::new(),
         }
     }
@@ -92,30 +92,30 @@
 
     /// Takes in one event with the module's answer to it. `id` gives the client's id of a request, `reasons` what
     /// the module says of its last decision on it. Gives the lines of those that have ended and are worth one.
-    pub fn see(
+    pub fn record(
         &mut self,
         traced: &Traced,
         id: impl Fn(RequestId) -> String,
-        reasons: impl Fn(RequestId) -> Reasons,
+        reasons: impl Fn(RequestId) -> DecisionReasons,
     ) -> Vec<String> {
-        let mut touched = Vec::new();
+        let mut maybe_complete = Vec::new();
         match &traced.event {
             Event::Arrival(ask) if self.open.len() < MOST => {
                 let aim = self
-                    .aims
+                    .latency_objectives
                     .get(usize::from(ask.class))
                     .copied()
                     .unwrap_or_default();
-                let account = Account {
+                let account = RequestRecord {
                     id: id(ask.id),
                     ask: ask.clone(),
-                    aim_s: aim.0 + aim.1 * ask.prompt_tokens,
+                    latency_objective_s: aim.0 + aim.1 * ask.prompt_tokens,
                     arrived_s: traced.now_s,
                     attempts: Vec::new(),
-                    made: 0,
+                    attempts_made: 0,
                     first_token_s: None,
                     answer: None,
-                    ended_by: Reasons::default(),
+                    ended_by: DecisionReasons::default(),
                     states: Vec::new(),
                 };
                 self.open.insert(ask.id, account);
@@ -123,7 +123,7 @@
             Event::FirstToken { request, .. } => {
                 self.on(*request, |a| {
                     a.first_token_s = Some(traced.now_s - a.arrived_s);
-                    a.state(traced.now_s, StateChange::Taken);
+                    a.state(traced.now_s, KvStateChange::Taken);
                 });
             }
             Event::AttemptEnded(end) => {
@@ -134,15 +134,15 @@
                     }
                     match end.outcome {
                         Outcome::PrefillDone => {
-                            a.state(traced.now_s, StateChange::HeldAt(end.server))
+                            a.state(traced.now_s, KvStateChange::HeldAt(end.server))
                         }
                         Outcome::Rejected {
                             state_missing: true,
-                        } => a.state(traced.now_s, StateChange::Missing),
+                        } => a.state(traced.now_s, KvStateChange::Missing),
                         Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled
                             if !a.holds_state() =>
                         {
-                            a.state(traced.now_s, StateChange::MayBeHeldAt(end.server));
+                            a.state(traced.now_s, KvStateChange::MayBeHeldAt(end.server));
                         }
                         _ => {}
                     }
@@ -152,11 +152,11 @@
                         a.answer.get_or_insert("broken");
                     }
                 });
-                touched.push(end.request);
+                maybe_complete.push(end.request);
             }
             Event::ClientDisconnected { request } => {
                 self.on(*request, |a| a.answer = Some(a.answer.unwrap_or("gone")));
-                touched.push(*request);
+                maybe_complete.push(*request);
             }
             _ => {}
         }
@@ -165,40 +165,40 @@
                 Action::Send {
                     request, server, ..
                 } => {
-                    let told = reasons(*request).reckoned;
-                    self.on(*request, |a| a.send(*server, traced.now_s, told));
+                    let reasons = reasons(*request).reckoned;
+                    self.on(*request, |a| a.send(*server, traced.now_s, reasons));
                 }
                 Action::Reject { request, .. } => {
-                    let told = reasons(*request);
+                    let reasons = reasons(*request);
                     self.on(*request, |a| {
-                        (a.answer, a.ended_by) = (Some("refused"), told)
+                        (a.answer, a.ended_by) = (Some("refused"), reasons)
                     });
-                    touched.push(*request);
+                    maybe_complete.push(*request);
                 }
                 Action::Fail { request } => {
                     let cause = reasons(*request).cause;
-                    let told = Reasons {
+                    let reasons = DecisionReasons {
                         reckoned: None,
                         cause,
                     };
                     self.on(*request, |a| {
-                        (a.answer, a.ended_by) = (Some("failed"), told)
+                        (a.answer, a.ended_by) = (Some("failed"), reasons)
                     });
-                    touched.push(*request);
+                    maybe_complete.push(*request);
                 }
                 Action::Release { request } => {
-                    self.on(*request, |a| a.state(traced.now_s, StateChange::Released));
+                    self.on(*request, |a| a.state(traced.now_s, KvStateChange::Released));
                 }
                 _ => {}
             }
         }
-        touched
+        maybe_complete
             .into_iter()
             .filter_map(|request| self.end(request, traced.now_s))
             .collect()
     }
 
-    fn on(&mut self, request: RequestId, change: impl Fn(&mut Account)) {
+    fn on(&mut self, request: RequestId, change: impl Fn(&mut RequestRecord)) {
         self.open.get_mut(&request).into_iter().for_each(change);
     }
 
@@ -210,14 +210,14 @@
             return None;
         }
         let account = self.open.remove(&request)?;
-        account.worth_a_line().then(|| account.line(now_s))
+        account.is_reportable().then(|| account.line(now_s))
     }
 }
 
-impl Account {
+impl RequestRecord {
     fn send(&mut self, server: ServerId, now_s: f64, reckoned: Option<ChoiceExplanation>) {
-        self.made += 1;
-        if self.attempts.len() < MOST_ATTEMPTS {
+        self.attempts_made += 1;
+        if self.attempts.len() < MAX_ATTEMPTS {
             let at_s = now_s - self.arrived_s;
             self.attempts.push(Attempt {
                 server,
@@ -228,8 +228,8 @@
         }
     }
 
-    fn state(&mut self, now_s: f64, change: StateChange) {
-        if self.states.len() < MOST_CHANGES {
+    fn state(&mut self, now_s: f64, change: KvStateChange) {
+        if self.states.len() < MAX_CHANGES {
             self.states.push((now_s - self.arrived_s, change));
         }
     }
@@ -237,22 +237,23 @@
     fn holds_state(&self) -> bool {
         matches!(
             self.states.last(),
-            Some((_, StateChange::HeldAt(_) | StateChange::MayBeHeldAt(_)))
+            Some((_, KvStateChange::HeldAt(_) | KvStateChange::MayBeHeldAt(_)))
         )
     }
 
     fn late(&self) -> bool {
-        self.first_token_s.is_some_and(|s| s > self.aim_s)
+        self.first_token_s
+            .is_some_and(|s| s > self.latency_objective_s)
     }
 
     /// An attempt that ended in anything but an answer or a read.
     fn repeated(&self) -> bool {
         let good =
             |t: &Attempt| matches!(t.ended, Some((Outcome::Served | Outcome::PrefillDone, ..)));
-        self.attempts.iter().any(|t| !good(t)) || self.made > self.attempts.len()
+        self.attempts.iter().any(|t| !good(t)) || self.attempts_made > self.attempts.len()
     }
 
-    fn worth_a_line(&self) -> bool {
+    fn is_reportable(&self) -> bool {
         self.answer != Some("served") || self.repeated() || self.late()
     }
 
@@ -266,7 +267,7 @@
             ask.class,
             ask.prompt_tokens,
             ask.prefix_tokens,
-            self.aim_s,
+            self.latency_objective_s,
             now_s - self.arrived_s,
         );
         if let Some(first) = self.first_token_s {
--- a/crates/platform/src/attempts.rs
+++ b/crates/platform/src/attempts.rs
@@ -8,15 +8,15 @@
     AttemptEnd, Event, Outcome, RequestId, Role, ServerId, ServerStatus,
 };
 
-use crate::answers::{read_load, Answer, Came, Whole};
-use crate::node::{Due, Node};
-use crate::pool::{Link, Place, Use};
-use crate::requests::Out;
+use crate::node::{Node, Timer};
+use crate::pool::{ConnectionUse, Placement, ServerConnection};
+use crate::requests::InFlightAttempt;
+use crate::responses::{parse_load_report, BodyProgress, CompleteResponse, ResponseReader};
 use crate::types::{Command, ConnId};
 
 /// A stream whose host has said nothing for this long has broken, seconds. The platform counts a client left
 /// waiting for 5 s as lost.
-const STALL_S: f64 = 4.4;
+const STREAM_STALL_SECS: f64 = 4.4;
 
 /// Whole milliseconds from one time to a later one; none where it is not later.
 fn milliseconds_left(now: Micros, until: Micros) -> u64 {
@@ -24,10 +24,12 @@
 }
 
 /// What is expected on a connection that is used so.
-fn answer_to(used_for: Use) -> Answer {
-    match used_for {
-        Use::Attempt { .. } => Answer::to_attempt(),
-        Use::Idle | Use::Probe { .. } | Use::Release { .. } => Answer::default(),
+fn reader_for(usage: ConnectionUse) -> ResponseReader {
+    match usage {
+        ConnectionUse::Attempt { .. } => ResponseReader::to_attempt(),
+        ConnectionUse::Idle | ConnectionUse::HealthCheck { .. } | ConnectionUse::Release { .. } => {
+            ResponseReader::default()
+        }
     }
 }
 
@@ -36,105 +38,119 @@
 
     /// Begins an exchange with a host on a kept connection or a new one. `call` is what a probe or a release says; an
     /// attempt's request is made when it can be written.
-    pub(crate) fn exchange(
+    pub(crate) fn start_exchange(
         &mut self,
         now: Micros,
         host: (ServerId, SocketAddr),
-        used_for: Use,
+        usage: ConnectionUse,
         call: Vec<u8>,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) -> Option<ConnId> {
-        let conn = match self.pool.place(now, host.1, used_for) {
-            Place::Full => return None,
-            Place::Kept(conn) => self.reuse(now, conn, host.0, used_for, call, out),
-            Place::New { instead_of } => {
-                if let Some(idle) = instead_of {
-                    self.drop_link(idle, out);
+        let conn = match self.pool.place(now, host.1, usage) {
+            Placement::Full => return None,
+            Placement::Idle(conn) => {
+                self.reuse_connection(now, conn, host.0, usage, call, commands)
+            }
+            Placement::New { replaces } => {
+                if let Some(idle) = replaces {
+                    self.close_server_connection(idle, commands);
                 }
-                self.dial(now, host, used_for, call, out)
+                self.open_connection(now, host, usage, call, commands)
             }
         };
-        if let Some(limit_s) = self.answer_limit_s(used_for) {
-            self.timers
-                .set(now.after(limit_s), Due::Link { conn, since: now });
+        if let Some(limit_s) = self.response_timeout_s(usage) {
+            self.timers.set(
+                now.after(limit_s),
+                Timer::ServerConnection { conn, since: now },
+            );
         }
         Some(conn)
     }
 
     /// Writes on a kept connection, unless it proves stale.
-    fn reuse(
+    fn reuse_connection(
         &mut self,
         now: Micros,
         conn: ConnId,
         server: ServerId,
-        used_for: Use,
+        usage: ConnectionUse,
         call: Vec<u8>,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) -> ConnId {
-        let bytes = self.bytes_to_write(now, used_for, &call);
-        if let Some(link) = self.pool.get_mut(conn) {
-            (link.used_for, link.since, link.unsent) = (used_for, now, bytes.len());
-            (link.server, link.answer) = (server, answer_to(used_for));
+        let bytes = self.bytes_to_write(now, usage, &call);
+        if let Some(connection) = self.pool.get_mut(conn) {
+            (connection.usage, connection.since, connection.unsent) = (usage, now, bytes.len());
+            (connection.server, connection.response) = (server, reader_for(usage));
             // Kept until it is known to have been written: another connection may have to carry it.
-            link.waiting = call;
+            connection.waiting = call;
         }
-        out.push(Command::Reuse { conn, bytes });
+        commands.push(Command::Reuse { conn, bytes });
         conn
     }
 
     /// Opens a connection; what it is for is written once it is up.
-    fn dial(
+    fn open_connection(
         &mut self,
         now: Micros,
         (server, to): (ServerId, SocketAddr),
-        used_for: Use,
+        usage: ConnectionUse,
         call: Vec<u8>,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) -> ConnId {
         let conn = self.next_conn();
-        let answer = answer_to(used_for);
-        let link = Link {
+        let response = reader_for(usage);
+        let connection = ServerConnection {
             to,
             server,
             up: false,
-            used_for,
+            usage,
             since: now,
             waiting: call,
             unsent: 0,
-            answer,
-            heard: None,
+            response,
+            last_received: None,
         };
-        self.pool.put(conn, link);
-        out.push(Command::Connect { conn, to });
+        self.pool.put(conn, connection);
+        commands.push(Command::Connect { conn, to });
         let late = now.after(self.bounds.connect_timeout_s);
-        self.timers.set(late, Due::Link { conn, since: now });
+        self.timers
+            .set(late, Timer::ServerConnection { conn, since: now });
         conn
     }
 
     /// How long an exchange other than an attempt waits for its answer, seconds.
-    fn answer_limit_s(&self, used_for: Use) -> Option<f64> {
-        match used_for {
+    fn response_timeout_s(&self, usage: ConnectionUse) -> Option<f64> {
+        match usage {
             // As long as for a connection: a host that says nothing to a probe in that time is as good as silent.
-            Use::Probe { .. } => Some(self.bounds.connect_timeout_s),
-            Use::Release { id, .. } => Some(self.releases.answer_limit_s(id)),
-            Use::Attempt { .. } | Use::Idle => None,
+            ConnectionUse::HealthCheck { .. } => Some(self.bounds.connect_timeout_s),
+            ConnectionUse::Release { id, .. } => Some(self.releases.response_timeout_s(id)),
+            ConnectionUse::Attempt { .. } | ConnectionUse::Idle => None,
         }
     }
 
     /// A connection that was to be used again is of no use: what was to go out on it takes another one.
-    pub(crate) fn on_link_stale(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
-        let Some(link) = self.pool.remove(conn) else {
+    pub(crate) fn on_server_connection_stale(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(connection) = self.pool.remove(conn) else {
             return;
         };
-        let (to, used_for) = ((link.server, link.to), link.used_for);
-        if !self.still_wanted(link.server, used_for) {
-            return self.exchange_failed(now, used_for, Outcome::ConnectFailed, out);
+        let (to, usage) = ((connection.server, connection.to), connection.usage);
+        if !self.still_wanted(connection.server, usage) {
+            return self.on_exchange_failed(now, usage, Outcome::ConnectFailed, commands);
         }
-        let Some(other) = self.exchange(now, to, used_for, link.waiting, out) else {
-            return self.exchange_failed(now, used_for, Outcome::NotSent, out);
+        let Some(other) = self.start_exchange(now, to, usage, connection.waiting, commands) else {
+            return self.on_exchange_failed(now, usage, Outcome::NotSent, commands);
         };
-        if let Use::Attempt { request, .. } = used_for {
-            if let Some(attempt) = self.requests.get_mut(request).and_then(|o| o.out.as_mut()) {
+        if let ConnectionUse::Attempt { request, .. } = usage {
+            if let Some(attempt) = self
+                .requests
+                .get_mut(request)
+                .and_then(|o| o.in_flight.as_mut())
+            {
                 attempt.conn = other;
             }
         }
@@ -142,144 +158,171 @@
 
     /// Whether what waits for a connection is to go out. The list may have changed meanwhile: what drains gets nothing
     /// new. An attempt begins with its last byte: none does once its request has its answer or its client has gone.
-    fn still_wanted(&self, server: ServerId, used_for: Use) -> bool {
-        let Use::Attempt { request, .. } = used_for else {
+    fn still_wanted(&self, server: ServerId, usage: ConnectionUse) -> bool {
+        let ConnectionUse::Attempt { request, .. } = usage else {
             return true;
         };
         let ready = self
-            .fleet
+            .endpoints
             .get(server)
             .is_some_and(|t| t.standing == ServerStatus::Ready);
-        ready && self.requests.get(request).is_some_and(|open| !open.over)
+        ready
+            && self
+                .requests
+                .get(request)
+                .is_some_and(|open| !open.answered)
     }
 
-    pub(crate) fn on_link_up(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
-        let Some(link) = self.pool.get_mut(conn) else {
+    pub(crate) fn on_server_connected(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(connection) = self.pool.get_mut(conn) else {
             return;
         };
-        link.up = true;
-        let waiting = std::mem::take(&mut link.waiting);
-        let (server, used_for) = (link.server, link.used_for);
-        if !self.still_wanted(server, used_for) {
-            self.drop_link(conn, out);
-            return self.exchange_failed(now, used_for, Outcome::ConnectFailed, out);
+        connection.up = true;
+        let waiting = std::mem::take(&mut connection.waiting);
+        let (server, usage) = (connection.server, connection.usage);
+        if !self.still_wanted(server, usage) {
+            self.close_server_connection(conn, commands);
+            return self.on_exchange_failed(now, usage, Outcome::ConnectFailed, commands);
         }
-        let bytes = self.bytes_to_write(now, used_for, &waiting);
-        if let Some(link) = self.pool.get_mut(conn) {
-            link.unsent = bytes.len();
+        let bytes = self.bytes_to_write(now, usage, &waiting);
+        if let Some(connection) = self.pool.get_mut(conn) {
+            connection.unsent = bytes.len();
         }
-        out.push(Command::Write { conn, bytes });
+        commands.push(Command::Write { conn, bytes });
     }
 
     /// What goes out now: an attempt's request says how long its host has, which is no more than the client has left,
     /// however long a connection took to come up; anything else goes out as it was given.
-    fn bytes_to_write(&self, now: Micros, used_for: Use, call: &[u8]) -> Vec<u8> {
-        let Use::Attempt { request, until, .. } = used_for else {
+    fn bytes_to_write(&self, now: Micros, usage: ConnectionUse, call: &[u8]) -> Vec<u8> {
+        let ConnectionUse::Attempt { request, until, .. } = usage else {
             return call.to_vec();
         };
-        let passed = self
+        let forwarded = self
             .requests
             .get(request)
-            .and_then(|open| open.passed.as_ref());
-        passed
+            .and_then(|open| open.forwarded.as_ref());
+        forwarded
             .map(|request| request.bytes(milliseconds_left(now, until)))
             .unwrap_or_default()
     }
 
-    pub(crate) fn drop_link(&mut self, conn: ConnId, out: &mut Vec<Command>) {
+    pub(crate) fn close_server_connection(&mut self, conn: ConnId, commands: &mut Vec<Command>) {
         if self.pool.remove(conn).is_some() {
-            out.push(Command::Close { conn });
+            commands.push(Command::Close { conn });
         }
     }
 
     /// A connection that has not come up in time, or an exchange other than an attempt without an answer.
-    pub(crate) fn on_link_late(
+    pub(crate) fn on_server_timeout(
         &mut self,
         now: Micros,
         conn: ConnId,
         since: Micros,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
-        let Some(link) = self.pool.get(conn).filter(|l| l.since == since) else {
+        let Some(connection) = self.pool.get(conn).filter(|l| l.since == since) else {
             return;
         };
-        let used_for = link.used_for;
-        let outcome = match used_for {
-            Use::Idle => return,
-            Use::Attempt { .. } if link.up => return,
-            _ if !link.up => Outcome::ConnectFailed,
+        let usage = connection.usage;
+        let outcome = match usage {
+            ConnectionUse::Idle => return,
+            ConnectionUse::Attempt { .. } if connection.up => return,
+            _ if !connection.up => Outcome::ConnectFailed,
             _ => Outcome::TimedOut,
         };
-        self.drop_link(conn, out);
-        self.exchange_failed(now, used_for, outcome, out);
+        self.close_server_connection(conn, commands);
+        self.on_exchange_failed(now, usage, outcome, commands);
     }
 
-    pub(crate) fn on_link_ended(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
-        let Some(link) = self.pool.remove(conn) else {
+    pub(crate) fn on_server_ended(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(connection) = self.pool.remove(conn) else {
             return;
         };
-        let outcome = if link.written() {
+        let outcome = if connection.written() {
             Outcome::Reset
         } else {
             Outcome::ConnectFailed
         };
-        self.exchange_failed(now, link.used_for, outcome, out);
+        self.on_exchange_failed(now, connection.usage, outcome, commands);
     }
 
-    fn exchange_failed(
+    fn on_exchange_failed(
         &mut self,
         now: Micros,
-        used_for: Use,
+        usage: ConnectionUse,
         outcome: Outcome,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
-        match used_for {
-            Use::Idle => {}
-            Use::Attempt { request, .. } => self.attempt_failed(now, request, outcome, out),
-            Use::Probe { server } => self.probed(now, server, outcome, Vec::new()),
-            Use::Release { id, server, .. } => self.release_failed(now, id, server, outcome, out),
+        match usage {
+            ConnectionUse::Idle => {}
+            ConnectionUse::Attempt { request, .. } => {
+                self.fail_attempt(now, request, outcome, commands)
+            }
+            ConnectionUse::HealthCheck { server } => {
+                self.finish_health_check(now, server, outcome, Vec::new())
+            }
+            ConnectionUse::Release { id, server, .. } => {
+                self.release_failed(now, id, server, outcome, commands)
+            }
         }
     }
 
-    pub(crate) fn on_link_bytes(
+    pub(crate) fn on_server_bytes(
         &mut self,
         now: Micros,
         conn: ConnId,
         bytes: &[u8],
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
-        let Some(link) = self.pool.get_mut(conn) else {
+        let Some(connection) = self.pool.get_mut(conn) else {
             return;
         };
-        link.heard = Some(now);
-        let used_for = link.used_for;
-        if used_for == Use::Idle {
+        connection.last_received = Some(now);
+        let usage = connection.usage;
+        if usage == ConnectionUse::Idle {
             // Nothing was asked: whatever this is, the next answer could not be told from it.
-            return self.drop_link(conn, out);
+            return self.close_server_connection(conn, commands);
         }
-        match link.answer.take(bytes) {
-            Ok(Came::Events(events)) => self.on_events(now, used_for, &events, out),
-            Ok(Came::End { events, whole }) => {
-                let content = link.answer.content().to_vec();
-                if whole.reusable && link.unsent == 0 {
-                    (link.used_for, link.since, link.answer) = (Use::Idle, now, Answer::default());
+        match connection.response.take(bytes) {
+            Ok(BodyProgress::Events(events)) => self.on_events(now, usage, &events, commands),
+            Ok(BodyProgress::End { events, complete }) => {
+                let content = connection.response.content().to_vec();
+                if complete.reusable && connection.unsent == 0 {
+                    (connection.usage, connection.since, connection.response) =
+                        (ConnectionUse::Idle, now, ResponseReader::default());
                 } else {
-                    self.drop_link(conn, out);
+                    self.close_server_connection(conn, commands);
                 }
-                self.on_events(now, used_for, &events, out);
-                self.on_whole(now, used_for, whole, &content, out);
+                self.on_events(now, usage, &events, commands);
+                self.on_complete_response(now, usage, complete, &content, commands);
             }
             Err(_) => {
-                self.drop_link(conn, out);
-                self.exchange_failed(now, used_for, Outcome::Reset, out);
+                self.close_server_connection(conn, commands);
+                self.on_exchange_failed(now, usage, Outcome::Reset, commands);
             }
         }
     }
 
-    fn on_events(&mut self, now: Micros, used_for: Use, events: &[u8], out: &mut Vec<Command>) {
-        let Use::Attempt {
+    fn on_events(
+        &mut self,
+        now: Micros,
+        usage: ConnectionUse,
+        events: &[u8],
+        commands: &mut Vec<Command>,
+    ) {
+        let ConnectionUse::Attempt {
             request, number, ..
-        } = used_for
+        } = usage
         else {
             return;
         };
@@ -289,11 +332,11 @@
         let Some(open) = self.requests.get(request) else {
             return;
         };
-        let Some(sent) = open.out.filter(|o| o.number == number) else {
+        let Some(sent) = open.in_flight.filter(|o| o.number == number) else {
             return;
         };
-        let first = open.streaming.is_none();
-        self.pass_on(now, request, events, out);
+        let first = open.streaming_since.is_none();
+        self.forward_events(now, request, events, commands);
         if first {
             let elapsed_s = now.since(sent.sent);
             let (attempt, server) = (number, sent.server);
@@ -306,40 +349,40 @@
         }
     }
 
-    fn on_whole(
+    fn on_complete_response(
         &mut self,
         now: Micros,
-        used_for: Use,
-        whole: Whole,
+        usage: ConnectionUse,
+        complete: CompleteResponse,
         content: &[u8],
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
-        let report = whole
+        let report = complete
             .load
             .as_deref()
-            .map(|l| read_load(l, &self.names))
+            .map(|l| parse_load_report(l, &self.names))
             .unwrap_or_default();
-        match used_for {
-            Use::Idle => {}
-            Use::Attempt { request, .. } => {
-                self.attempt_answered(now, request, &whole, report, out)
+        match usage {
+            ConnectionUse::Idle => {}
+            ConnectionUse::Attempt { request, .. } => {
+                self.on_attempt_response(now, request, &complete, report, commands)
             }
-            Use::Probe { server } => {
+            ConnectionUse::HealthCheck { server } => {
                 let body = std::str::from_utf8(content).unwrap_or_default();
                 let report = if report.is_empty() {
-                    read_load(body.trim(), &self.names)
+                    parse_load_report(body.trim(), &self.names)
                 } else {
                     report
                 };
-                let outcome = if whole.status == 200 {
+                let outcome = if complete.status == 200 {
                     Outcome::Served
                 } else {
                     Outcome::Error
                 };
-                self.probed(now, server, outcome, report);
+                self.finish_health_check(now, server, outcome, report);
             }
-            Use::Release { id, server, begun } => {
-                self.release_answered(now, id, (server, begun), whole.status, out)
+            ConnectionUse::Release { id, server, begun } => {
+                self.release_answered(now, id, (server, begun), complete.status, commands)
             }
         }
     }
@@ -352,7 +395,7 @@
         request: RequestId,
         server: ServerId,
         timeout_s: f64,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         let Some(open) = self.requests.get_mut(request) else {
             return;
@@ -365,12 +408,12 @@
             open.deadline
         };
         let target = self
-            .fleet
+            .endpoints
             .get(server)
             .filter(|t| t.standing == ServerStatus::Ready);
-        let sendable = !open.over && open.out.is_none() && now < open.deadline;
-        let (Some(target), true) = (target, sendable && open.passed.is_some()) else {
-            return self.not_sent(request, number, server);
+        let sendable = !open.answered && open.in_flight.is_none() && now < open.deadline;
+        let (Some(target), true) = (target, sendable && open.forwarded.is_some()) else {
+            return self.report_not_sent(request, number, server);
         };
         let role = self
             .roles
@@ -378,17 +421,17 @@
             .copied()
             .unwrap_or_default();
         let host = (server, target.endpoint);
-        let used_for = Use::Attempt {
+        let usage = ConnectionUse::Attempt {
             request,
             number,
             until,
         };
-        let Some(conn) = self.exchange(now, host, used_for, Vec::new(), out) else {
-            return self.not_sent(request, number, server);
+        let Some(conn) = self.start_exchange(now, host, usage, Vec::new(), commands) else {
+            return self.report_not_sent(request, number, server);
         };
         self.counts.attempts += 1;
         if let Some(open) = self.requests.get_mut(request) {
-            open.out = Some(Out {
+            open.in_flight = Some(InFlightAttempt {
                 number,
                 server,
                 prefill: role == Role::Prefill,
@@ -396,11 +439,12 @@
                 sent: now,
             });
         }
-        self.timers.set(until, Due::Attempt { request, number });
+        self.timers
+            .set(until, Timer::AttemptTimeout { request, number });
     }
 
-    fn not_sent(&mut self, request: RequestId, attempt: u16, server: ServerId) {
-        let finished = self.requests.get(request).is_none_or(|o| o.over);
+    fn report_not_sent(&mut self, request: RequestId, attempt: u16, server: ServerId) {
+        let finished = self.requests.get(request).is_none_or(|o| o.answered);
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
@@ -414,7 +458,7 @@
     }
 
     /// The one place where an attempt ends: the module is told.
-    fn attempt_over(
+    fn finish_attempt(
         &mut self,
         now: Micros,
         request: RequestId,
@@ -425,115 +469,117 @@
         let Some(open) = self.requests.get_mut(request) else {
             return;
         };
-        let Some(was) = open.out.take() else { return };
+        let Some(was) = open.in_flight.take() else {
+            return;
+        };
         if matches!(
             outcome,
             Outcome::Cancelled | Outcome::TimedOut | Outcome::Reset
         ) {
-            open.broke_at = Some(now);
+            open.aborted_at = Some(now);
         }
-        self.touched.push(request);
+        self.maybe_complete.push(request);
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
             request,
             attempt: was.number,
             server: was.server,
             outcome,
             elapsed_s: now.since(was.sent),
-            finished: open.over,
+            finished: open.answered,
             prefix_hit_tokens: hit,
             report,
         }));
     }
 
-    fn attempt_answered(
+    fn on_attempt_response(
         &mut self,
         now: Micros,
         request: RequestId,
-        whole: &Whole,
+        complete: &CompleteResponse,
         report: Vec<f64>,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         let Some(open) = self.requests.get(request) else {
             return;
         };
-        let streaming = open.streaming.is_some();
-        let prefill = open.out.is_some_and(|o| o.prefill);
-        let outcome = match whole.status {
+        let streaming = open.streaming_since.is_some();
+        let prefill = open.in_flight.is_some_and(|o| o.prefill);
+        let outcome = match complete.status {
             200 if streaming => Outcome::Served,
             // A stream without an event gives the client nothing.
             200 => Outcome::Error,
             202 if prefill => Outcome::PrefillDone,
-            503 | 504 if whole.declined => Outcome::Rejected {
+            503 | 504 if complete.declined => Outcome::Rejected {
                 state_missing: false,
             },
-            410 if whole.declined => Outcome::Rejected {
+            410 if complete.declined => Outcome::Rejected {
                 state_missing: true,
             },
             _ => Outcome::Error,
         };
         if outcome == Outcome::Served {
-            self.end_stream(now, request, out);
+            self.end_stream(now, request, commands);
         }
-        self.attempt_over(now, request, outcome, whole.cached_tokens, report);
+        self.finish_attempt(now, request, outcome, complete.cached_tokens, report);
     }
 
-    fn attempt_failed(
+    fn fail_attempt(
         &mut self,
         now: Micros,
         request: RequestId,
         outcome: Outcome,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         if self
             .requests
             .get(request)
-            .is_some_and(|o| o.streaming.is_some())
+            .is_some_and(|o| o.streaming_since.is_some())
         {
-            self.break_stream(request, out);
+            self.break_stream(request, commands);
         }
-        self.attempt_over(now, request, outcome, 0.0, Vec::new());
+        self.finish_attempt(now, request, outcome, 0.0, Vec::new());
     }
 
     /// Gives an attempt up by closing its connection.
-    fn give_up(
+    fn abandon_attempt(
         &mut self,
         now: Micros,
         request: RequestId,
         outcome: Outcome,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
-        let Some(was) = self.requests.get(request).and_then(|o| o.out) else {
+        let Some(was) = self.requests.get(request).and_then(|o| o.in_flight) else {
             return;
         };
         let unsent = self.pool.get(was.conn).is_some_and(|l| !l.written());
-        self.drop_link(was.conn, out);
+        self.close_server_connection(was.conn, commands);
         // What never had its last byte written never ran, whoever gave it up.
         let outcome = if unsent {
             Outcome::ConnectFailed
         } else {
             outcome
         };
-        self.attempt_failed(now, request, outcome, out);
+        self.fail_attempt(now, request, outcome, commands);
     }
 
     /// Ends an attempt that has not begun, as its request's last byte has not gone out. That calls nothing back from a
     /// host, so that it needs no leave to cancel.
-    pub(crate) fn end_unwritten(
+    pub(crate) fn abandon_unsent_attempt(
         &mut self,
         now: Micros,
         request: RequestId,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         let conn = self
             .requests
             .get(request)
-            .and_then(|o| o.out)
+            .and_then(|o| o.in_flight)
             .map(|o| o.conn);
         if conn
             .and_then(|c| self.pool.get(c))
             .is_some_and(|l| !l.written())
         {
-            self.give_up(now, request, Outcome::ConnectFailed, out);
+            self.abandon_attempt(now, request, Outcome::ConnectFailed, commands);
         }
     }
 
@@ -542,13 +588,13 @@
         now: Micros,
         request: RequestId,
         attempt: u16,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         let Some(open) = self.requests.get(request) else {
             return;
         };
-        if open.streaming.is_none() && open.out.is_some_and(|o| o.number == attempt) {
-            self.give_up(now, request, Outcome::Cancelled, out);
+        if open.streaming_since.is_none() && open.in_flight.is_some_and(|o| o.number == attempt) {
+            self.abandon_attempt(now, request, Outcome::Cancelled, commands);
         }
     }
 
@@ -557,95 +603,115 @@
         now: Micros,
         request: RequestId,
         number: u16,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         let Some(open) = self.requests.get(request) else {
             return;
         };
-        if open.streaming.is_none() && open.out.is_some_and(|o| o.number == number) {
-            self.give_up(now, request, Outcome::TimedOut, out);
+        if open.streaming_since.is_none() && open.in_flight.is_some_and(|o| o.number == number) {
+            self.abandon_attempt(now, request, Outcome::TimedOut, commands);
         }
     }
 
     /// Nobody reads this stream any more.
-    pub(crate) fn end_unread_stream(
+    pub(crate) fn cancel_stream(
         &mut self,
         now: Micros,
         request: RequestId,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
-        if let Some(was) = self.requests.get(request).and_then(|o| o.out) {
-            self.drop_link(was.conn, out);
-            self.attempt_over(now, request, Outcome::Cancelled, 0.0, Vec::new());
+        if let Some(was) = self.requests.get(request).and_then(|o| o.in_flight) {
+            self.close_server_connection(was.conn, commands);
+            self.finish_attempt(now, request, Outcome::Cancelled, 0.0, Vec::new());
         }
     }
 
     /// Ends all running streams, for their clients to ask for the rest elsewhere.
-    pub(crate) fn end_streams(&mut self, now: Micros, out: &mut Vec<Command>) {
+    pub(crate) fn end_streams(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let running = self
             .requests
             .iter()
-            .filter(|(_, open)| open.streaming.is_some() && !open.over);
+            .filter(|(_, open)| open.streaming_since.is_some() && !open.answered);
         let running: Vec<RequestId> = running.map(|(id, _)| id).collect();
         for id in running {
-            self.break_stream(id, out);
-            self.end_unread_stream(now, id, out);
+            self.break_stream(id, commands);
+            self.cancel_stream(now, id, commands);
         }
     }
 
     /// Streams whose hosts have gone silent are ended, so that their clients can ask for the rest.
-    pub(crate) fn break_stalled(&mut self, now: Micros, out: &mut Vec<Command>) {
-        let held_up = |conn: Option<ConnId>| conn.is_some_and(|c| self.held_up.contains_key(&c));
+    pub(crate) fn break_stalled_streams(&mut self, now: Micros, commands: &mut Vec<Command>) {
+        let backpressured =
+            |conn: Option<ConnId>| conn.is_some_and(|c| self.backpressured.contains_key(&c));
         let stalled = self.requests.iter().filter(|(_, open)| {
-            open.streaming.is_some_and(|at| now.since(at) >= STALL_S) && !held_up(open.client)
+            open.streaming_since
+                .is_some_and(|at| now.since(at) >= STREAM_STALL_SECS)
+                && !backpressured(open.client)
         });
         let stalled: Vec<RequestId> = stalled.map(|(id, _)| id).collect();
         for id in stalled {
-            if let Some(was) = self.requests.get(id).and_then(|o| o.out) {
-                self.drop_link(was.conn, out);
-                self.attempt_failed(now, id, Outcome::TimedOut, out);
+            if let Some(was) = self.requests.get(id).and_then(|o| o.in_flight) {
+                self.close_server_connection(was.conn, commands);
+                self.fail_attempt(now, id, Outcome::TimedOut, commands);
             }
         }
     }
 
     /// Lets go of requests that have their answer and nothing out.
-    pub(crate) fn reap(&mut self, now: Micros, out: &mut Vec<Command>) {
-        self.call_waiting_releases(now, out);
-        let done = std::mem::take(&mut self.touched);
+    pub(crate) fn remove_complete_requests(&mut self, now: Micros, commands: &mut Vec<Command>) {
+        self.call_waiting_releases(now, commands);
+        let done = std::mem::take(&mut self.maybe_complete);
         for id in done {
             let Some(open) = self.requests.get(id) else {
                 continue;
             };
-            if !open.over || open.out.is_some() {
+            if !open.answered || open.in_flight.is_some() {
                 continue;
             }
             let Some(open) = self.requests.remove(id) else {
                 continue;
             };
-            let bytes = open.passed.as_ref().map_or(0, |p| p.body_bytes());
-            self.held_bytes = self.held_bytes.saturating_sub(bytes);
+            let bytes = open.forwarded.as_ref().map_or(0, |p| p.body_bytes());
+            self.prompt_bytes = self.prompt_bytes.saturating_sub(bytes);
         }
     }
 
     // ---- probes ----------------------------------------------------------------
 
-    pub(crate) fn probe(&mut self, now: Micros, server: ServerId, out: &mut Vec<Command>) {
-        let Some(to) = self.fleet.get(server).map(|t| (server, t.endpoint)) else {
-            return self.probed(now, server, Outcome::ConnectFailed, Vec::new());
+    pub(crate) fn start_health_check(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(to) = self.endpoints.get(server).map(|t| (server, t.endpoint)) else {
+            return self.finish_health_check(now, server, Outcome::ConnectFailed, Vec::new());
         };
         let call = b"GET /status/load HTTP/1.1\r\nHost: origin.svc\r\n\r\n".to_vec();
         if self
-            .exchange(now, to, Use::Probe { server }, call, out)
+            .start_exchange(
+                now,
+                to,
+                ConnectionUse::HealthCheck { server },
+                call,
+                commands,
+            )
             .is_none()
         {
-            return self.probed(now, server, Outcome::NotSent, Vec::new());
+            return self.finish_health_check(now, server, Outcome::NotSent, Vec::new());
         }
-        self.probes.insert(server, now);
+        self.health_checks.insert(server, now);
     }
 
-    fn probed(&mut self, now: Micros, server: ServerId, outcome: Outcome, report: Vec<f64>) {
+    fn finish_health_check(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        outcome: Outcome,
+        report: Vec<f64>,
+    ) {
         let elapsed_s = self
-            .probes
+            .health_checks
             .remove(&server)
             .map_or(0.0, |sent| now.since(sent));
         self.events.push_back(Event::ProbeEnded {
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -4,36 +4,36 @@
 
 use bitternlatch_core::Micros;
 
-use crate::http1::{request_head, Bad, Body, RequestHead, MOST_BODY, MOST_HEAD};
+use crate::http1::{request_head, Body, HttpError, RequestHead, MAX_BODY, MAX_HEAD};
 use crate::types::ConnId;
 
 /// The first request has to come whole within this of connecting, seconds: who says nothing, or a head without an end,
 /// is owed an error or a close within 3 s.
-pub const FIRST_REQUEST_S: f64 = 2.6;
+pub const FIRST_REQUEST_SECS: f64 = 2.6;
 /// A later one within this of its first byte, seconds; who has asked in order before may be slow.
-pub const REQUEST_S: f64 = 8.0;
+pub const REQUEST_SECS: f64 = 8.0;
 /// Who stops within a request and stays is owed an error or a close within 3 s, whoever it is: seconds without a byte.
-const STOPPED_S: f64 = 2.6;
+const STOPPED_SECS: f64 = 2.6;
 /// A newcomer that has said nothing for this long gives way before those that keep their connections, seconds.
-const SILENT_S: f64 = 0.5;
+const SILENT_SECS: f64 = 0.5;
 /// A client whose answer is whole but not all taken is let be, where places are short, unless it takes nothing for this
 /// long, seconds.
-pub const SLOW_S: f64 = 2.0;
+pub const SLOW_CLIENT_SECS: f64 = 2.0;
 /// A client that takes nothing of what waits for it for this long has gone, seconds: its stream holds a host's slot. The same
 /// holds for the last answer on a connection that ends.
-pub const TAKES_NOTHING_S: f64 = 20.0;
+pub const CLIENT_STALL_SECS: f64 = 20.0;
 /// Bytes kept of what a client says ahead while its request is open; what comes past them is dropped.
-pub const MOST_AHEAD: usize = MOST_HEAD + 4096;
+pub const MAX_AHEAD: usize = MAX_HEAD + 4096;
 /// Bytes dropped of one client; past them nothing is read from it.
-pub const MOST_DROPPED: usize = 80 << 20;
+pub const MAX_DROPPED: usize = 80 << 20;
 /// From this on a client's unfinished bytes are looked at beside everybody's.
-const MUCH_HELD: usize = MOST_HEAD;
+const MEMORY_CHECK_FROM: usize = MAX_HEAD;
 /// Times of arrival kept of what a client says ahead; past them the earlier one counts for both.
-const MOST_ARRIVALS: usize = 32;
+const MAX_ARRIVALS: usize = 32;
 /// Room kept for the next bytes of a client once it has its answer.
-const KEPT_ROOM: usize = 4 * 1024;
+const RETAINED_CAPACITY: usize = 4 * 1024;
 /// Bytes to a client not written yet at which its stream's host is read no further.
-pub const MOST_UNSENT: usize = 128 * 1024;
+pub const MAX_UNSENT: usize = 128 * 1024;
 
 #[derive(Debug)]
 enum Stage {
@@ -53,42 +53,50 @@
 #[derive(Debug, Default)]
 struct Arrivals {
     /// Where each lot ends, counted from the connection's first byte, and when it came.
-    lots: VecDeque<(u64, Micros)>,
-    come: u64,
+    batches: VecDeque<(u64, Micros)>,
+    received: u64,
     taken: u64,
 }
 
 impl Arrivals {
     fn add(&mut self, count: usize, now: Micros) {
-        self.come += count as u64;
-        let full = self.lots.len() >= MOST_ARRIVALS;
-        match self.lots.back_mut() {
-            Some(last) if full || last.1 == now => last.0 = self.come,
-            _ => self.lots.push_back((self.come, now)),
+        self.received += count as u64;
+        let full = self.batches.len() >= MAX_ARRIVALS;
+        match self.batches.back_mut() {
+            Some(last) if full || last.1 == now => last.0 = self.received,
+            _ => self.batches.push_back((self.received, now)),
         }
     }
 
     /// Counts bytes as made part of a request; gives when the last of them came.
     fn take(&mut self, count: usize) -> Option<Micros> {
         self.taken += count as u64;
-        while self.lots.front().is_some_and(|lot| lot.0 < self.taken) {
-            self.lots.pop_front();
+        while self
+            .batches
+            .front()
+            .is_some_and(|batch| batch.0 < self.taken)
+        {
+            self.batches.pop_front();
         }
-        let came = self.lots.front().map(|lot| lot.1);
-        if self.lots.front().is_some_and(|lot| lot.0 == self.taken) {
-            self.lots.pop_front();
+        let received_at = self.batches.front().map(|batch| batch.1);
+        if self
+            .batches
+            .front()
+            .is_some_and(|batch| batch.0 == self.taken)
+        {
+            self.batches.pop_front();
         }
-        came
+        received_at
     }
 }
 
 /// A whole request.
 #[derive(Debug)]
-pub struct WholeRequest {
+pub struct CompleteRequest {
     pub head: RequestHead,
     pub body: Vec<u8>,
     /// When its last byte came.
-    pub came: Micros,
+    pub received_at: Micros,
 }
 
 /// One client connection.
@@ -98,13 +106,13 @@
     unread: Vec<u8>,
     arrivals: Arrivals,
     /// When the last byte came that the request at hand has taken.
-    came: Micros,
+    received_at: Micros,
     /// Bytes that came past what is kept. They are read all the same, as its end stands behind them.
     dropped: usize,
     /// Since it has connected, had its last answer, or sent the first byte of what it is sending.
     since: Micros,
     /// When bytes came last.
-    heard_at: Micros,
+    last_received_at: Micros,
     /// It has had an answer.
     served: bool,
     /// It waits to be told to send its body.
@@ -112,7 +120,7 @@
     pub keep_alive: bool,
     pub unsent: usize,
     /// When it last took something, or was first owed something.
-    pub took_at: Micros,
+    pub last_progress_at: Micros,
     pub paused: bool,
 }
 
@@ -122,15 +130,15 @@
             stage: Stage::Head,
             unread: Vec::new(),
             arrivals: Arrivals::default(),
-            came: now,
+            received_at: now,
             dropped: 0,
             since: now,
-            heard_at: now,
+            last_received_at: now,
             served: false,
             expects: false,
             keep_alive: true,
             unsent: 0,
-            took_at: now,
+            last_progress_at: now,
             paused: false,
         }
     }
@@ -147,13 +155,13 @@
     /// It may hold its connection between requests for as long as there is room; nobody may hold half a request.
     pub fn overdue(&self, now: Micros) -> bool {
         let waits = self.busy() || self.quiet() && self.served;
-        let most_s = if self.served {
-            REQUEST_S
+        let max_s = if self.served {
+            REQUEST_SECS
         } else {
-            FIRST_REQUEST_S
+            FIRST_REQUEST_SECS
         };
-        let stopped = now.since(self.since.max(self.heard_at)) >= STOPPED_S;
-        !waits && (stopped || now.since(self.since) >= most_s)
+        let stopped = now.since(self.since.max(self.last_received_at)) >= STOPPED_SECS;
+        !waits && (stopped || now.since(self.since) >= max_s)
     }
 
     /// Rank by which room is made: those silent since they came go first, then kept connections, then those that
@@ -164,10 +172,11 @@
             return None;
         }
         if self.unsent > 0 {
-            return (now.since(self.took_at) >= SLOW_S).then_some((5, self.took_at));
+            return (now.since(self.last_progress_at) >= SLOW_CLIENT_SECS)
+                .then_some((5, self.last_progress_at));
         }
         let kind = match (self.quiet(), self.served) {
-            (true, false) if now.since(self.since) >= SILENT_S => 0,
+            (true, false) if now.since(self.since) >= SILENT_SECS => 0,
             (true, true) => 1,
             (true, false) => 2,
             (false, false) => 3,
@@ -178,14 +187,14 @@
 
     /// Takes bytes; true where enough has come and nothing more should be read for now.
     pub fn take(&mut self, now: Micros, bytes: &[u8]) -> bool {
-        self.heard_at = now;
+        self.last_received_at = now;
         if self.quiet() && self.served {
             self.since = now;
         }
         // Of what has a gap nothing further can be read; what came before the gap is still served.
-        if self.dropped > 0 || self.busy() && self.unread.len() + bytes.len() > MOST_AHEAD {
+        if self.dropped > 0 || self.busy() && self.unread.len() + bytes.len() > MAX_AHEAD {
             self.dropped = self.dropped.saturating_add(bytes.len());
-            return self.dropped > MOST_DROPPED;
+            return self.dropped > MAX_DROPPED;
         }
         self.unread.extend_from_slice(bytes);
         self.arrivals.add(bytes.len(), now);
@@ -196,7 +205,7 @@
     fn drop_read(&mut self, count: usize) {
         self.unread.drain(..count);
         if count > 0 {
-            self.came = self.arrivals.take(count).unwrap_or(self.came);
+            self.received_at = self.arrivals.take(count).unwrap_or(self.received_at);
         }
     }
 
@@ -204,7 +213,7 @@
     ///
     /// # Errors
     /// What cannot be read: the connection can be used no further.
-    pub fn next_request(&mut self) -> Result<Option<WholeRequest>, Bad> {
+    pub fn next_request(&mut self) -> Result<Option<CompleteRequest>, HttpError> {
         if matches!(self.stage, Stage::Head) {
             let Some((head, taken)) = request_head(&self.unread)? else {
                 return self.within_gap();
@@ -226,10 +235,10 @@
             return Ok(None);
         };
         let taken = body.take(&self.unread, content)?;
-        let (long, done) = (content.len() > MOST_BODY, body.done());
+        let (long, done) = (content.len() > MAX_BODY, body.done());
         self.drop_read(taken);
         if long {
-            return Err(Bad::BodyTooLong);
+            return Err(HttpError::BodyTooLong);
         }
         if !done {
             return self.within_gap();
@@ -237,10 +246,10 @@
         match std::mem::replace(&mut self.stage, Stage::Busy) {
             Stage::Body { head, content, .. } => {
                 self.keep_alive = head.keep_alive;
-                Ok(Some(WholeRequest {
+                Ok(Some(CompleteRequest {
                     head: *head,
                     body: content,
-                    came: self.came,
+                    received_at: self.received_at,
                 }))
             }
             _ => Ok(None),
@@ -248,9 +257,9 @@
     }
 
     /// No whole request yet; there will be none where bytes of it were dropped.
-    fn within_gap(&self) -> Result<Option<WholeRequest>, Bad> {
+    fn within_gap(&self) -> Result<Option<CompleteRequest>, HttpError> {
         if self.dropped > 0 {
-            Err(Bad::BodyTooLong)
+            Err(HttpError::BodyTooLong)
         } else {
             Ok(None)
         }
@@ -279,7 +288,7 @@
     /// Its request has been answered.
     pub fn answered(&mut self, now: Micros) {
         // Hundreds of connections that once brought much must not keep room for it.
-        self.unread.shrink_to(KEPT_ROOM);
+        self.unread.shrink_to(RETAINED_CAPACITY);
         (self.stage, self.since, self.served) = (Stage::Head, now, true);
     }
 }
@@ -293,15 +302,15 @@
 impl Clients {
     /// Lets one in; where there is no room, also gives the one that has to go for it: itself, where all others have a
     /// request or an answer in hand. Whoever comes is heard otherwise, also amid half requests.
-    pub fn enter(&mut self, now: Micros, conn: ConnId, most: usize) -> Option<ConnId> {
-        let full = self.open.len() >= most;
-        let gone = full.then(|| self.first_to_go(now).unwrap_or(conn));
+    pub fn accept(&mut self, now: Micros, conn: ConnId, limit: usize) -> Option<ConnId> {
+        let full = self.open.len() >= limit;
+        let evicted = full.then(|| self.eviction_candidate(now).unwrap_or(conn));
         self.open.insert(conn, Client::new(now));
-        gone
+        evicted
     }
 
     /// The one that gives way first.
-    pub fn first_to_go(&self, now: Micros) -> Option<ConnId> {
+    pub fn eviction_candidate(&self, now: Micros) -> Option<ConnId> {
         let ranked = self
             .open
             .iter()
@@ -340,7 +349,7 @@
 
     /// Those that take nothing of what waits for them.
     pub fn stuck(&self, now: Micros) -> Vec<ConnId> {
-        let stuck = |c: &Client| c.unsent > 0 && now.since(c.took_at) >= TAKES_NOTHING_S;
+        let stuck = |c: &Client| c.unsent > 0 && now.since(c.last_progress_at) >= CLIENT_STALL_SECS;
         self.open
             .iter()
             .filter(|(_, c)| stuck(c))
@@ -355,10 +364,10 @@
 
     /// The one to turn away, where this one has brought much and all unfinished requests together pass so many bytes:
     /// the one that holds most, as it costs most and none of them has been taken.
-    pub fn over_memory(&self, conn: ConnId, most: usize) -> Option<ConnId> {
+    pub fn largest_unfinished(&self, conn: ConnId, limit: usize) -> Option<ConnId> {
         self.get(conn)
-            .filter(|c| c.unfinished_bytes() >= MUCH_HELD)?;
-        if self.unfinished_bytes() <= most {
+            .filter(|c| c.unfinished_bytes() >= MEMORY_CHECK_FROM)?;
+        if self.unfinished_bytes() <= limit {
             return None;
         }
         let unfinished = self.open.iter().filter(|(_, c)| !c.busy());
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -10,8 +10,8 @@
 use serde_json::Value;
 use thiserror::Error;
 
-use crate::discovery::List;
-use crate::resource_limits::OWN;
+use crate::discovery::EndpointList;
+use crate::resource_limits::OWN_DESCRIPTORS;
 
 /// What is wrong with the configuration: the field and the cause.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -65,7 +65,7 @@
     /// As the process finds them before its first connection: the system may allow fewer descriptors than the
     /// configuration says, and some of those may be taken by what was handed to the process.
     pub fn within(self, allowed: Option<usize>, held: usize) -> Limits {
-        let free = allowed.map(|a| a.saturating_sub(held.saturating_sub(OWN)));
+        let free = allowed.map(|a| a.saturating_sub(held.saturating_sub(OWN_DESCRIPTORS)));
         Limits {
             descriptors: free.map_or(self.descriptors, |f| f.min(self.descriptors)),
             ..self
@@ -86,7 +86,7 @@
     pub peers: Vec<SocketAddr>,
     pub peers_all: Option<SocketAddr>,
     /// The list as last held; it may be old.
-    pub known: Option<List>,
+    pub known: Option<EndpointList>,
     /// Why the list that the file holds is not taken. It is a memory alone, so that the start goes on without it.
     pub known_fault: Option<String>,
     pub settings: policy::Settings,
@@ -133,7 +133,10 @@
         let facts = Facts::from_json(&raw.settings)?;
         let names = read_names(&facts)?;
         let known = raw.known.filter(|v| !v.is_null());
-        let (known, known_fault) = match known.map(|v| List::from_value(v, &names)).transpose() {
+        let (known, known_fault) = match known
+            .map(|v| EndpointList::from_value(v, &names))
+            .transpose()
+        {
             Ok(known) => (known, None),
             Err(cause) => (None, Some(cause)),
         };
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -9,17 +9,17 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::start_times::Knowledge;
+use crate::start_times::StartTimeContext;
 
 #[derive(Deserialize)]
 struct RawList {
     rev: u64,
     all: bool,
-    targets: Vec<RawTarget>,
+    targets: Vec<RawEndpoint>,
 }
 
 #[derive(Deserialize)]
-struct RawTarget {
+struct RawEndpoint {
     uid: String,
     endpoint: String,
     #[serde(default)]
@@ -35,7 +35,7 @@
 
 /// One model host as listed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Target {
+pub struct Endpoint {
     pub uid: String,
     pub endpoint: SocketAddr,
     pub standing: ServerStatus,
@@ -51,43 +51,43 @@
 
 /// One version of the list, or what changed since the one before.
 #[derive(Clone, Debug, PartialEq)]
-pub struct List {
+pub struct EndpointList {
     pub rev: u64,
     /// Complete; otherwise changes alone.
     pub all: bool,
-    pub targets: Vec<Target>,
+    pub targets: Vec<Endpoint>,
 }
 
-impl List {
+impl EndpointList {
     /// Reads one line.
     ///
     /// # Errors
     /// What cannot be read: the JSON; an address, a kind, a zone or a state that is not known; a figure that is not
     /// finite or negative; a host that is named twice and differently.
-    pub fn parse(line: &[u8], names: &Names) -> Result<List, String> {
+    pub fn parse(line: &[u8], names: &Names) -> Result<EndpointList, String> {
         serde_json::from_slice(line)
             .map_err(|e| e.to_string())
-            .and_then(|raw| List::read(raw, names))
+            .and_then(|raw| EndpointList::read(raw, names))
     }
 
-    /// As [`List::parse`], from JSON that is read already.
+    /// As [`EndpointList::parse`], from JSON that is read already.
     ///
     /// # Errors
-    /// As [`List::parse`].
-    pub fn from_value(value: Value, names: &Names) -> Result<List, String> {
+    /// As [`EndpointList::parse`].
+    pub fn from_value(value: Value, names: &Names) -> Result<EndpointList, String> {
         serde_json::from_value(value)
             .map_err(|e| e.to_string())
-            .and_then(|raw| List::read(raw, names))
+            .and_then(|raw| EndpointList::read(raw, names))
     }
 
-    fn read(raw: RawList, names: &Names) -> Result<List, String> {
+    fn read(raw: RawList, names: &Names) -> Result<EndpointList, String> {
         let targets = raw
             .targets
             .into_iter()
             .map(|t| target(t, names))
             .collect::<Result<Vec<_>, _>>()?;
         // Two hosts at one address are no contradiction: a process may have its predecessor's while that still drains.
-        let mut named: BTreeMap<&str, &Target> = BTreeMap::new();
+        let mut named: BTreeMap<&str, &Endpoint> = BTreeMap::new();
         for target in &targets {
             if named
                 .insert(&target.uid, target)
@@ -99,7 +99,7 @@
                 ));
             }
         }
-        Ok(List {
+        Ok(EndpointList {
             rev: raw.rev,
             all: raw.all,
             targets,
@@ -107,7 +107,7 @@
     }
 }
 
-fn target(raw: RawTarget, names: &Names) -> Result<Target, String> {
+fn target(raw: RawEndpoint, names: &Names) -> Result<Endpoint, String> {
     let unknown =
         |what: &str, word: &str| format!("host '{}': {what} '{word}' is not known", raw.uid);
     let standing = match raw.state.as_str() {
@@ -135,7 +135,7 @@
     };
     let booted_at = figure("boot_ms", raw.boot_ms)? / 1e3;
     let weight = figure("capacity_hint", raw.capacity_hint.unwrap_or(1.0))?;
-    Ok(Target {
+    Ok(Endpoint {
         uid: raw.uid,
         endpoint,
         standing,
@@ -150,7 +150,7 @@
 
 /// What a list has changed.
 #[derive(Debug)]
-pub struct Applied {
+pub struct AppliedList {
     /// For the module, as `entries` is.
     pub form: ListForm,
     pub entries: Vec<ServerEntry>,
@@ -160,40 +160,40 @@
 
 /// The hosts as they stand, by the module's ids.
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct Endpoints {
     ids: BTreeMap<String, ServerId>,
-    hosts: BTreeMap<ServerId, Target>,
+    servers: BTreeMap<ServerId, Endpoint>,
     rev: u64,
     /// When discovery said something whole last.
-    heard_at: Option<Micros>,
+    notified_at: Option<Micros>,
 }
 
-impl Fleet {
+impl Endpoints {
     /// The version that the list stands at.
     pub fn rev(&self) -> u64 {
         self.rev
     }
 
-    pub fn get(&self, id: ServerId) -> Option<&Target> {
-        self.hosts.get(&id)
+    pub fn get(&self, id: ServerId) -> Option<&Endpoint> {
+        self.servers.get(&id)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (ServerId, &Target)> {
-        self.hosts.iter().map(|(id, t)| (*id, t))
+    pub fn iter(&self) -> impl Iterator<Item = (ServerId, &Endpoint)> {
+        self.servers.iter().map(|(id, t)| (*id, t))
     }
 
     /// Discovery has said something whole, if only that nothing has changed.
-    pub fn heard(&mut self, now: Micros) {
-        self.heard_at = Some(now);
+    pub fn notified(&mut self, now: Micros) {
+        self.notified_at = Some(now);
     }
 
     /// Takes a list over.
-    pub fn apply(&mut self, now: Micros, list: List) -> Applied {
+    pub fn apply(&mut self, now: Micros, list: EndpointList) -> AppliedList {
         self.rev = list.rev;
         let names_long_ago = list.targets.iter().any(|t| t.booted_at <= 0.0);
-        let knowledge = Knowledge {
+        let knowledge = StartTimeContext {
             now,
-            heard_at: self.heard_at,
+            notified_at: self.notified_at,
             names_long_ago,
         };
         let form = if list.all {
@@ -204,8 +204,8 @@
         if list.all {
             let listed = |uid: &String| list.targets.iter().any(|t| t.uid == *uid);
             self.ids.retain(|uid, _| listed(uid));
-            let (ids, hosts) = (&self.ids, &mut self.hosts);
-            hosts.retain(|id, t| ids.get(&t.uid) == Some(id));
+            let (ids, servers) = (&self.ids, &mut self.servers);
+            servers.retain(|id, t| ids.get(&t.uid) == Some(id));
         }
         let restarted = list
             .targets
@@ -217,7 +217,7 @@
             .into_iter()
             .map(|t| self.put(t, knowledge))
             .collect();
-        Applied {
+        AppliedList {
             form,
             entries,
             restarted,
@@ -225,16 +225,16 @@
     }
 
     /// The id of a host that is listed with another start than before.
-    fn restarted(&self, target: &Target) -> Option<ServerId> {
+    fn restarted(&self, target: &Endpoint) -> Option<ServerId> {
         let id = *self.ids.get(&target.uid)?;
-        let before = self.hosts.get(&id)?;
+        let before = self.servers.get(&id)?;
         (before.booted_at != target.booted_at).then_some(id)
     }
 
-    fn put(&mut self, mut target: Target, knowledge: Knowledge) -> ServerEntry {
+    fn put(&mut self, mut target: Endpoint, knowledge: StartTimeContext) -> ServerEntry {
         let id = self.id_of(&target.uid);
         let before = self
-            .hosts
+            .servers
             .get(&id)
             .filter(|before| before.booted_at == target.booted_at);
         // One start is reckoned once.
@@ -252,10 +252,10 @@
         if target.standing == ServerStatus::Removed {
             // Ids are always new: what is gone must not stay for good.
             self.ids.remove(&target.uid);
-            self.hosts.remove(&id);
+            self.servers.remove(&id);
         } else {
             self.ids.insert(target.uid.clone(), id);
-            self.hosts.insert(id, target);
+            self.servers.insert(id, target);
         }
         entry
     }
@@ -266,7 +266,7 @@
             return *id;
         }
         let mut id = xxhash_rust::xxh3::xxh3_64(uid.as_bytes()) as ServerId;
-        while self.hosts.contains_key(&id) {
+        while self.servers.contains_key(&id) {
             id = id.wrapping_add(1);
         }
         id
--- a/crates/platform/src/discovery_client.rs
+++ b/crates/platform/src/discovery_client.rs
@@ -3,65 +3,65 @@
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::{Event, ListForm};
 
-use crate::discovery::{Applied, List};
-use crate::node::{Due, Node};
+use crate::discovery::{AppliedList, EndpointList};
+use crate::node::{Node, Timer};
 use crate::types::{Command, Level};
 
 impl Node {
     /// Begins the watch, or ends one that has brought nothing in time.
-    pub(crate) fn follow(&mut self, now: Micros, out: &mut Vec<Command>) {
+    pub(crate) fn drive_watch(&mut self, now: Micros, commands: &mut Vec<Command>) {
         if let Some(cause) = self.watch.overdue(now) {
-            self.break_watch(now, cause, out);
+            self.restart_watch(now, cause, commands);
         }
         if self.watch.due(now) {
             let conn = self.next_conn();
             self.watch.begin(now, conn);
-            out.push(Command::Connect {
+            commands.push(Command::Connect {
                 conn,
                 to: self.discovery,
             });
         }
-        self.arm_watch(now);
+        self.schedule_watch(now);
     }
 
-    pub(crate) fn on_discovery(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Command>) {
+    pub(crate) fn on_discovery(&mut self, now: Micros, bytes: &[u8], commands: &mut Vec<Command>) {
         let taken = self.watch.take(now, bytes);
         let read = taken.objects.iter().try_for_each(|o| {
-            let list = List::parse(o, &self.names)?;
-            self.on_list(now, list, out)
+            let list = EndpointList::parse(o, &self.names)?;
+            self.apply_list(now, list, commands)
         });
         if taken.any_line && read.is_ok() {
-            self.fleet.heard(now);
+            self.endpoints.notified(now);
         }
         if let Some(cause) = read.err().or(taken.broken) {
-            self.break_watch(now, &cause, out);
+            self.restart_watch(now, &cause, commands);
         }
     }
 
     /// The watch's connection never came up, was closed by the other side, or broke.
-    pub(crate) fn on_watch_ended(&mut self, now: Micros, out: &mut Vec<Command>) {
-        self.break_watch(now, "the connection was refused or has ended", out);
+    pub(crate) fn on_watch_ended(&mut self, now: Micros, commands: &mut Vec<Command>) {
+        self.restart_watch(now, "the connection was refused or has ended", commands);
     }
 
-    fn break_watch(&mut self, now: Micros, cause: &str, out: &mut Vec<Command>) {
-        let (at, rev) = (self.discovery, self.fleet.rev());
+    fn restart_watch(&mut self, now: Micros, cause: &str, commands: &mut Vec<Command>) {
+        let (at, rev) = (self.discovery, self.endpoints.rev());
         let cause = format!("discovery at {at}, after version {rev}: {cause}");
-        if let Some(text) = self.watch.to_log(now, &cause) {
+        if let Some(text) = self.watch.limited_log_line(now, &cause) {
             self.log(
-                out,
+                commands,
                 Level::Warn,
                 format!("{text}; the list stays and the watch is begun anew"),
             );
         }
         if let Some(conn) = self.watch.end(now) {
-            out.push(Command::Close { conn });
+            commands.push(Command::Close { conn });
         }
-        self.arm_watch(now);
+        self.schedule_watch(now);
     }
 
-    fn arm_watch(&mut self, now: Micros) {
+    fn schedule_watch(&mut self, now: Micros) {
         if let Some(at) = self.watch.arm(now) {
-            self.timers.set(at, Due::Watch);
+            self.timers.set(at, Timer::DiscoveryWatch);
         }
     }
 
@@ -69,23 +69,28 @@
     ///
     /// # Errors
     /// A version that goes back.
-    fn on_list(&mut self, now: Micros, list: List, out: &mut Vec<Command>) -> Result<(), String> {
-        if list.rev < self.fleet.rev() {
+    fn apply_list(
+        &mut self,
+        now: Micros,
+        list: EndpointList,
+        commands: &mut Vec<Command>,
+    ) -> Result<(), String> {
+        if list.rev < self.endpoints.rev() {
             return Err(format!(
                 "version {} comes after {}",
                 list.rev,
-                self.fleet.rev()
+                self.endpoints.rev()
             ));
         }
-        let Applied {
+        let AppliedList {
             form,
             entries,
             restarted,
-        } = self.fleet.apply(now, list);
-        self.listed = true;
+        } = self.endpoints.apply(now, list);
+        self.endpoints_known = true;
         for server in restarted {
             for conn in self.pool.idle_at(server) {
-                self.drop_link(conn, out);
+                self.close_server_connection(conn, commands);
             }
         }
         if form == ListForm::Full || !entries.is_empty() {
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/discovery_watch.rs
@@ -5,8 +5,8 @@
 //!
 //! | | seconds |
 //! | --- | --- |
-//! | a useless call holds, from its last whole line (`LINE_S`; from its begin where none came: `HEAD_S`, less) | 4.0 |
-//! | the pause before the next: half of the longest back-off (`BACK_OFF_S`), as that counts from the call's begin | 0.5 |
+//! | a useless call holds, from its last whole line (`LINE_TIMEOUT_SECS`; from its begin where none came: `HEAD_TIMEOUT_SECS`, less) | 4.0 |
+//! | the pause before the next: half of the longest back-off (`BACKOFF_SECS`), as that counts from the call's begin | 0.5 |
 //! | a good exchange: the agent is on the same machine and answers at once | under 1.0 |
 //! | together | under 5.5 |
 //!
@@ -16,55 +16,55 @@
 use bitternlatch_core::Micros;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::http1::{answer_head, Body};
-use crate::lines::Lines;
+use crate::http1::{response_head, Body};
+use crate::line_splitter::LineSplitter;
 use crate::types::ConnId;
 
 /// Longest line, and largest chunk, bytes: the whole list of 3,200 hosts, indented.
-const MOST_LINE: usize = 3 << 19;
+const MAX_LINE: usize = 3 << 19;
 /// From a call's begin until its answer's head is whole, seconds. The agent answers at once; a first packet that was
 /// lost is sent again after 1 s.
-const HEAD_S: f64 = 2.0;
+const HEAD_TIMEOUT_SECS: f64 = 2.0;
 /// From one whole line until the next begins, seconds: an empty one comes every 2 s, and a busy machine delays it.
-const KEEP_ALIVE_S: f64 = 3.2;
+const KEEP_ALIVE_TIMEOUT_SECS: f64 = 3.2;
 /// From one whole line until the next is whole, seconds. Bytes alone do not count: they may trickle without end.
-const LINE_S: f64 = 4.0;
+const LINE_TIMEOUT_SECS: f64 = 4.0;
 /// Back-off, from a call's begin to the next one's, seconds: doubles from the first to the last, and between half and
 /// the whole of it is drawn. After a call that held longer the pause is half of what was drawn.
-const BACK_OFF_S: (f64, f64) = (0.2, 1.0);
+const BACKOFF_SECS: (f64, f64) = (0.2, 1.0);
 /// So many lines are logged in this time, seconds, however often the watch breaks.
-const MOST_LOGGED: (u32, f64) = (3, 60.0);
+const MAX_LOGGED: (u32, f64) = (3, 60.0);
 /// Longest cause that is logged, characters: it may quote what discovery wrote.
-const MOST_CAUSE: usize = 200;
+const MAX_CAUSE: usize = 200;
 
 /// Where the watch stands.
 #[derive(Debug)]
-pub struct Watch {
+pub struct DiscoveryWatch {
     /// Of the jitter: another for each dispatcher.
     seed: u64,
     /// Calls that have ended; numbers the draws.
     ended: u64,
     conn: Option<ConnId>,
-    begun: Micros,
+    began_at: Micros,
     /// When the head or the last line was whole; `None` until the head is.
-    whole_at: Option<Micros>,
+    last_complete_at: Option<Micros>,
     /// A line was whole since it began.
-    has_line: bool,
+    has_complete_line: bool,
     /// No further call before then.
-    again_at: Micros,
+    retry_at: Micros,
     /// Calls in a row that were of no use.
     failures: u32,
     unread: Vec<u8>,
     body: Option<Body>,
-    lines: Lines,
+    lines: LineSplitter,
     /// The timer that is set.
-    armed: Option<Micros>,
-    logged: Logged,
+    timer_at: Option<Micros>,
+    logged: LogLimiter,
 }
 
 /// What bytes have brought.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Taken {
+pub struct WatchProgress {
     /// Whole lines that are not empty; they count also where the watch has broken after them.
     pub objects: Vec<Vec<u8>>,
     /// A line was whole, an empty one included.
@@ -73,23 +73,23 @@
     pub broken: Option<String>,
 }
 
-impl Watch {
+impl DiscoveryWatch {
     /// Chance needs no more than that dispatchers draw differently, whether or not their seeds are the same.
-    pub fn new(seed: u64, name: &str) -> Watch {
-        Watch {
+    pub fn new(seed: u64, name: &str) -> DiscoveryWatch {
+        DiscoveryWatch {
             seed: seed ^ xxh3_64(name.as_bytes()),
             ended: 0,
             conn: None,
-            begun: Micros(0),
-            whole_at: None,
-            has_line: false,
-            again_at: Micros(0),
+            began_at: Micros(0),
+            last_complete_at: None,
+            has_complete_line: false,
+            retry_at: Micros(0),
             failures: 0,
             unread: Vec::new(),
             body: None,
-            lines: Lines::default(),
-            armed: None,
-            logged: Logged::default(),
+            lines: LineSplitter::default(),
+            timer_at: None,
+            logged: LogLimiter::default(),
         }
     }
 
@@ -99,18 +99,18 @@
 
     /// Whether it is time to begin.
     pub fn due(&self, now: Micros) -> bool {
-        self.conn.is_none() && now >= self.again_at
+        self.conn.is_none() && now >= self.retry_at
     }
 
     /// When it has to be looked at again.
     pub fn next(&self) -> Micros {
-        match (self.conn, self.whole_at) {
-            (None, _) => self.again_at,
-            (Some(_), None) => self.begun.after(HEAD_S),
+        match (self.conn, self.last_complete_at) {
+            (None, _) => self.retry_at,
+            (Some(_), None) => self.began_at.after(HEAD_TIMEOUT_SECS),
             (Some(_), Some(at)) => at.after(if self.lines.is_empty() {
-                KEEP_ALIVE_S
+                KEEP_ALIVE_TIMEOUT_SECS
             } else {
-                LINE_S
+                LINE_TIMEOUT_SECS
             }),
         }
     }
@@ -118,11 +118,11 @@
     /// The time for which a timer has to be set, if none is set that is as early.
     pub fn arm(&mut self, now: Micros) -> Option<Micros> {
         let next = self.next().max(now);
-        if self.armed.is_some_and(|at| at > now && at <= next) {
+        if self.timer_at.is_some_and(|at| at > now && at <= next) {
             return None;
         }
-        self.armed = Some(next);
-        self.armed
+        self.timer_at = Some(next);
+        self.timer_at
     }
 
     /// What the call in hand has failed to bring in time.
@@ -130,7 +130,7 @@
         if self.conn.is_none() || now < self.next() {
             return None;
         }
-        Some(match (self.whole_at, self.lines.is_empty()) {
+        Some(match (self.last_complete_at, self.lines.is_empty()) {
             (None, _) => "no answer in time",
             (Some(_), true) => "it is silent",
             (Some(_), false) => "a line does not end",
@@ -139,43 +139,43 @@
 
     pub fn begin(&mut self, now: Micros, conn: ConnId) {
         self.forget_call();
-        (self.conn, self.begun) = (Some(conn), now);
+        (self.conn, self.began_at) = (Some(conn), now);
     }
 
     /// The connection has ended or is given up; gives it, to be closed.
     pub fn end(&mut self, now: Micros) -> Option<ConnId> {
-        let held_s = now.since(self.begun);
+        let held_s = now.since(self.began_at);
         // A watch that breaks right after its first line is no better than one that never came up.
-        if self.has_line && held_s >= BACK_OFF_S.1 {
+        if self.has_complete_line && held_s >= BACKOFF_SECS.1 {
             self.failures = 0;
         }
-        let most_s = (BACK_OFF_S.0 * f64::from(1u32 << self.failures.min(8))).min(BACK_OFF_S.1);
-        let drawn_s = most_s * (0.5 + 0.5 * self.chance());
+        let max_s = (BACKOFF_SECS.0 * f64::from(1u32 << self.failures.min(8))).min(BACKOFF_SECS.1);
+        let drawn_s = max_s * (0.5 + 0.5 * self.chance());
         self.failures = self.failures.saturating_add(1);
         self.ended += 1;
-        self.again_at = now.after((drawn_s - held_s).max(0.5 * drawn_s));
+        self.retry_at = now.after((drawn_s - held_s).max(0.5 * drawn_s));
         self.forget_call();
         self.conn.take()
     }
 
     /// Another address counts from now on: the call goes out at once.
     pub fn moved(&mut self, now: Micros) -> Option<ConnId> {
-        (self.again_at, self.failures) = (now, 0);
+        (self.retry_at, self.failures) = (now, 0);
         self.forget_call();
         self.conn.take()
     }
 
     /// Takes bytes of the answer.
-    pub fn take(&mut self, now: Micros, bytes: &[u8]) -> Taken {
+    pub fn take(&mut self, now: Micros, bytes: &[u8]) -> WatchProgress {
         self.unread.extend_from_slice(bytes);
-        let mut taken = Taken::default();
+        let mut taken = WatchProgress::default();
         if self.body.is_none() {
-            match answer_head(&self.unread) {
+            match response_head(&self.unread) {
                 Ok(None) => return taken,
                 Ok(Some((head, length))) if head.status == 200 => {
                     self.unread.drain(..length);
-                    (self.body, self.whole_at) = (
-                        Some(Body::with_chunks_up_to(head.framing, MOST_LINE as u64)),
+                    (self.body, self.last_complete_at) = (
+                        Some(Body::with_chunks_up_to(head.framing, MAX_LINE as u64)),
                         Some(now),
                     );
                 }
@@ -196,25 +196,25 @@
         let (objects, any) = self.lines.take();
         (taken.objects, taken.any_line) = (objects, any);
         if any {
-            (self.whole_at, self.has_line) = (Some(now), true);
+            (self.last_complete_at, self.has_complete_line) = (Some(now), true);
         }
         if body.done() {
             taken.objects.extend(self.lines.rest());
             taken.broken = Some("the answer has ended".into());
-        } else if self.lines.len() > MOST_LINE {
+        } else if self.lines.len() > MAX_LINE {
             taken.broken = Some("a line is too long".into());
         }
         taken
     }
 
     /// The cause to log, if this one is to be.
-    pub fn to_log(&mut self, now: Micros, cause: &str) -> Option<String> {
+    pub fn limited_log_line(&mut self, now: Micros, cause: &str) -> Option<String> {
         self.logged.take(now, cause)
     }
 
     fn forget_call(&mut self) {
-        (self.body, self.unread, self.lines) = (None, Vec::new(), Lines::default());
-        (self.whole_at, self.has_line) = (None, false);
+        (self.body, self.unread, self.lines) = (None, Vec::new(), LineSplitter::default());
+        (self.last_complete_at, self.has_complete_line) = (None, false);
     }
 
     /// Between 0 and 1, the same for the same dispatcher and number of calls.
@@ -226,20 +226,20 @@
 
 /// What has been logged of late: a watch that breaks for an hour does not write a line for each call.
 #[derive(Debug, Default)]
-struct Logged {
+struct LogLimiter {
     since: Micros,
     lines: u32,
     last: String,
     left_out: u64,
 }
 
-impl Logged {
+impl LogLimiter {
     fn take(&mut self, now: Micros, cause: &str) -> Option<String> {
-        if now.since(self.since) >= MOST_LOGGED.1 {
+        if now.since(self.since) >= MAX_LOGGED.1 {
             (self.since, self.lines) = (now, 0);
         }
-        let cause: String = cause.chars().take(MOST_CAUSE).collect();
-        if self.lines >= MOST_LOGGED.0 || (self.lines > 0 && self.last == cause) {
+        let cause: String = cause.chars().take(MAX_CAUSE).collect();
+        if self.lines >= MAX_LOGGED.0 || (self.lines > 0 && self.last == cause) {
             self.left_out += 1;
             return None;
         }
--- a/crates/platform/src/events.rs
+++ b/crates/platform/src/event_stream.rs
@@ -3,11 +3,11 @@
 
 use serde_json::Value;
 
-use crate::http1::MOST_BODY;
+use crate::http1::MAX_BODY;
 
 /// What has come of a stream and is not passed on yet.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventStream {
     rest: Vec<u8>,
     /// Prompt tokens that the host had kept, once told.
     pub cached_tokens: Option<f64>,
@@ -15,7 +15,7 @@
     pub load: Option<String>,
 }
 
-impl Events {
+impl EventStream {
     /// Takes bytes as they come and appends whole events, unchanged, to `out`.
     ///
     /// Gives false where an event does not end within the bound of a body.
@@ -30,7 +30,7 @@
             }
         }
         self.rest.drain(..from);
-        self.rest.len() <= MOST_BODY
+        self.rest.len() <= MAX_BODY
     }
 
     /// What came behind the last whole event.
@@ -44,8 +44,8 @@
         let mut own = true;
         for line in text.lines().filter(|l| !l.is_empty()) {
             if let Some(comment) = line.strip_prefix(':') {
-                let told = comment.trim_start().split_once(':');
-                if let Some((_, load)) = told.filter(|t| t.0.eq_ignore_ascii_case("srv-load")) {
+                let reported = comment.trim_start().split_once(':');
+                if let Some((_, load)) = reported.filter(|t| t.0.eq_ignore_ascii_case("srv-load")) {
                     self.load = Some(load.trim().to_string());
                 }
                 continue;
--- a/crates/platform/src/http1.rs
+++ b/crates/platform/src/http1.rs
@@ -6,20 +6,20 @@
 use thiserror::Error;
 
 /// Largest head of a message, bytes.
-pub const MOST_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD: usize = 16 * 1024;
 /// Most header fields in a head.
-pub const MOST_FIELDS: usize = 64;
+pub const MAX_FIELDS: usize = 64;
 /// Largest body of a request or of a plain answer, bytes.
-pub const MOST_BODY: usize = 256 * 1024;
+pub const MAX_BODY: usize = 256 * 1024;
 /// Largest chunk of a stream, bytes; no event is longer than a body.
-pub const MOST_CHUNK: u64 = MOST_BODY as u64;
+pub const MAX_CHUNK: u64 = MAX_BODY as u64;
 /// Longest line that names a chunk's size, and all trailers together, bytes.
-const MOST_CHUNK_LINE: usize = 256;
-const MOST_TRAILERS: usize = 4096;
+const MAX_CHUNK_LINE: usize = 256;
+const MAX_TRAILERS: usize = 4096;
 
 /// Why a message is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Bad {
+pub enum HttpError {
     #[error("the head cannot be read")]
     Head,
     #[error("the head is too long")]
@@ -36,14 +36,16 @@
     Chunk,
 }
 
-impl Bad {
+impl HttpError {
     /// The status that a client is told.
     pub fn status(self) -> u16 {
         match self {
-            Bad::HeadTooLong => 431,
-            Bad::BodyTooLong => 413,
-            Bad::Coding => 501,
-            Bad::Head | Bad::Length | Bad::LengthAndCoding | Bad::Chunk => 400,
+            HttpError::HeadTooLong => 431,
+            HttpError::BodyTooLong => 413,
+            HttpError::Coding => 501,
+            HttpError::Head | HttpError::Length | HttpError::LengthAndCoding | HttpError::Chunk => {
+                400
+            }
         }
     }
 }
@@ -115,32 +117,32 @@
 
 /// The head of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     pub status: u16,
     pub fields: Fields,
     pub framing: Framing,
     pub keep_alive: bool,
 }
 
-fn framing(fields: &Fields) -> Result<Option<Framing>, Bad> {
+fn framing(fields: &Fields) -> Result<Option<Framing>, HttpError> {
     let lengths: Vec<&str> = fields.all("content-length").collect();
     let codings: Vec<&str> = fields.all("transfer-encoding").collect();
     if !lengths.is_empty() && !codings.is_empty() {
-        return Err(Bad::LengthAndCoding);
+        return Err(HttpError::LengthAndCoding);
     }
     match (lengths.as_slice(), codings.as_slice()) {
         ([], []) => Ok(None),
         ([], [one]) if one.eq_ignore_ascii_case("chunked") => Ok(Some(Framing::Chunked)),
-        ([], _) => Err(Bad::Coding),
+        ([], _) => Err(HttpError::Coding),
         ([one], _) => {
             let digits = !one.is_empty() && one.bytes().all(|b| b.is_ascii_digit());
             // A length past what a number holds is too long, not unreadable.
             let length = digits
                 .then(|| one.parse().unwrap_or(u64::MAX))
-                .ok_or(Bad::Length)?;
+                .ok_or(HttpError::Length)?;
             Ok(Some(Framing::Length(length)))
         }
-        _ => Err(Bad::Length),
+        _ => Err(HttpError::Length),
     }
 }
 
@@ -157,12 +159,12 @@
     parsed: httparse::Result<usize>,
     skipped: usize,
     come: usize,
-) -> Result<Option<usize>, Bad> {
+) -> Result<Option<usize>, HttpError> {
     match parsed {
-        Ok(httparse::Status::Complete(n)) if n + skipped <= MOST_HEAD => Ok(Some(n + skipped)),
-        Ok(httparse::Status::Partial) if come <= MOST_HEAD => Ok(None),
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(Bad::HeadTooLong),
-        Err(_) => Err(Bad::Head),
+        Ok(httparse::Status::Complete(n)) if n + skipped <= MAX_HEAD => Ok(Some(n + skipped)),
+        Ok(httparse::Status::Partial) if come <= MAX_HEAD => Ok(None),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(HttpError::HeadTooLong),
+        Err(_) => Err(HttpError::Head),
     }
 }
 
@@ -170,9 +172,9 @@
 ///
 /// # Errors
 /// A head that cannot be read, is too long, or tells its body's length in more than one way.
-pub fn request_head(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, Bad> {
+pub fn request_head(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, HttpError> {
     let skipped = leading_newlines(bytes);
-    let mut raw = [httparse::EMPTY_HEADER; MOST_FIELDS];
+    let mut raw = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut head = httparse::Request::new(&mut raw);
     let parsed = head.parse(&bytes[skipped..]);
     let Some(taken) = head_length(parsed, skipped, bytes.len())? else {
@@ -180,8 +182,8 @@
     };
     let fields = Fields::read(head.headers);
     let framing = framing(&fields)?.unwrap_or(Framing::Length(0));
-    if matches!(framing, Framing::Length(n) if n > MOST_BODY as u64) {
-        return Err(Bad::BodyTooLong);
+    if matches!(framing, Framing::Length(n) if n > MAX_BODY as u64) {
+        return Err(HttpError::BodyTooLong);
     }
     let modern = head.version == Some(1);
     let keep_alive = if modern {
@@ -207,8 +209,8 @@
 ///
 /// # Errors
 /// As [`request_head`].
-pub fn answer_head(bytes: &[u8]) -> Result<Option<(AnswerHead, usize)>, Bad> {
-    let mut raw = [httparse::EMPTY_HEADER; MOST_FIELDS];
+pub fn response_head(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, HttpError> {
+    let mut raw = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut head = httparse::Response::new(&mut raw);
     let Some(taken) = head_length(head.parse(bytes), 0, bytes.len())? else {
         return Ok(None);
@@ -223,7 +225,7 @@
     let modern = head.version == Some(1);
     let keep_alive = modern && !fields.connection("close") && framing != Framing::Close;
     Ok(Some((
-        AnswerHead {
+        ResponseHead {
             status,
             fields,
             framing,
@@ -249,23 +251,23 @@
 #[derive(Clone, Debug)]
 pub struct Body {
     step: Step,
-    most_chunk: u64,
+    max_chunk: u64,
 }
 
 impl Body {
     pub fn new(framing: Framing) -> Body {
-        Body::with_chunks_up_to(framing, MOST_CHUNK)
+        Body::with_chunks_up_to(framing, MAX_CHUNK)
     }
 
     /// One whose chunks may be larger or have to be smaller, bytes.
-    pub fn with_chunks_up_to(framing: Framing, most_chunk: u64) -> Body {
+    pub fn with_chunks_up_to(framing: Framing, max_chunk: u64) -> Body {
         let step = match framing {
             Framing::Length(0) => Step::Done,
             Framing::Length(n) => Step::Length(n),
             Framing::Chunked => Step::ChunkSize,
             Framing::Close => Step::Close,
         };
-        Body { step, most_chunk }
+        Body { step, max_chunk }
     }
 
     /// The body's last byte has come.
@@ -278,7 +280,7 @@
     ///
     /// # Errors
     /// A chunk that cannot be read, does not fit or is larger than its bound.
-    pub fn take(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, Bad> {
+    pub fn take(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, HttpError> {
         let mut at = 0;
         while at < bytes.len() {
             let taken = self.step(&bytes[at..], out)?;
@@ -290,7 +292,7 @@
         Ok(at)
     }
 
-    fn step(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, Bad> {
+    fn step(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, HttpError> {
         match self.step {
             Step::Done => Ok(0),
             Step::Close => {
@@ -324,14 +326,14 @@
                     Ok(2)
                 }
                 [b'\r'] => Ok(0),
-                _ => Err(Bad::Chunk),
+                _ => Err(HttpError::Chunk),
             },
             Step::Trailers(read) => self.trailer(bytes, read),
         }
     }
 
-    fn chunk_size(&mut self, bytes: &[u8]) -> Result<usize, Bad> {
-        let Some((line, taken)) = line(bytes, MOST_CHUNK_LINE)? else {
+    fn chunk_size(&mut self, bytes: &[u8]) -> Result<usize, HttpError> {
+        let Some((line, taken)) = line(bytes, MAX_CHUNK_LINE)? else {
             return Ok(0);
         };
         let digits = line
@@ -344,10 +346,10 @@
         let text = std::str::from_utf8(digits)
             .ok()
             .filter(|_| hex)
-            .ok_or(Bad::Chunk)?;
-        let size = u64::from_str_radix(text, 16).map_err(|_| Bad::Chunk)?;
-        if size > self.most_chunk {
-            return Err(Bad::Chunk);
+            .ok_or(HttpError::Chunk)?;
+        let size = u64::from_str_radix(text, 16).map_err(|_| HttpError::Chunk)?;
+        if size > self.max_chunk {
+            return Err(HttpError::Chunk);
         }
         self.step = if size == 0 {
             Step::Trailers(0)
@@ -357,12 +359,12 @@
         Ok(taken)
     }
 
-    fn trailer(&mut self, bytes: &[u8], read: usize) -> Result<usize, Bad> {
-        let Some((line, taken)) = line(bytes, MOST_TRAILERS)? else {
+    fn trailer(&mut self, bytes: &[u8], read: usize) -> Result<usize, HttpError> {
+        let Some((line, taken)) = line(bytes, MAX_TRAILERS)? else {
             return Ok(0);
         };
-        if read + taken > MOST_TRAILERS {
-            return Err(Bad::Chunk);
+        if read + taken > MAX_TRAILERS {
+            return Err(HttpError::Chunk);
         }
         self.step = if line.is_empty() {
             Step::Done
@@ -374,13 +376,13 @@
 }
 
 /// The first line without its end, and the bytes it takes; a bare line feed ends none.
-fn line(bytes: &[u8], most: usize) -> Result<Option<(&[u8], usize)>, Bad> {
+fn line(bytes: &[u8], limit: usize) -> Result<Option<(&[u8], usize)>, HttpError> {
     match bytes.iter().position(|b| *b == b'\n') {
-        Some(end) if end > 0 && bytes[end - 1] == b'\r' && end < most => {
+        Some(end) if end > 0 && bytes[end - 1] == b'\r' && end < limit => {
             Ok(Some((&bytes[..end - 1], end + 1)))
         }
-        Some(_) => Err(Bad::Chunk),
-        None if bytes.len() >= most => Err(Bad::Chunk),
+        Some(_) => Err(HttpError::Chunk),
+        None if bytes.len() >= limit => Err(HttpError::Chunk),
         None => Ok(None),
     }
 }
@@ -407,7 +409,7 @@
 }
 
 /// A whole answer with a short text; `more` holds further header lines, each with its end.
-pub fn plain_answer(status: u16, more: &str, keep_alive: bool, text: &str) -> Vec<u8> {
+pub fn plain_response(status: u16, more: &str, keep_alive: bool, text: &str) -> Vec<u8> {
     let close = if keep_alive {
         ""
     } else {
--- a/crates/platform/src/lines.rs
+++ b/crates/platform/src/line_splitter.rs
@@ -5,7 +5,7 @@
 /// An object may come indented, so that a line feed ends it only outside its brackets. No object holds an empty line
 /// or a line feed within a text: either cuts one off that will not be whole any more, and its reader sees that.
 #[derive(Debug, Default)]
-pub struct Lines {
+pub struct LineSplitter {
     text: Vec<u8>,
     /// So many bytes of it have been looked at.
     seen: usize,
@@ -16,7 +16,7 @@
     filled: bool,
 }
 
-impl Lines {
+impl LineSplitter {
     /// Where more is appended.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.text
--- a/crates/platform/src/pool.rs
+++ b/crates/platform/src/pool.rs
@@ -7,28 +7,28 @@
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::{RequestId, ServerId};
 
-use crate::answers::Answer;
+use crate::responses::ResponseReader;
 use crate::types::ConnId;
 
 /// Share of the idle limit for which a connection is kept: the other side counts from earlier on.
-const KEPT_SHARE: f64 = 0.8;
+const IDLE_LIMIT_FRACTION: f64 = 0.8;
 
 /// A connection that has brought an answer rests for this long before it is used again, seconds: a host may send a
 /// second answer some milliseconds late, which would be taken for that of the next request. What comes while it rests
 /// closes it. Longer than that and a few turns of a busy process; few connections are asked for again so soon.
-pub const REST_S: f64 = 0.03;
+pub const SETTLE_SECS: f64 = 0.03;
 
 /// A host counts as silent once it has said nothing for so long after it was asked, seconds.
-const SILENT_S: f64 = 0.1;
+const SILENT_SECS: f64 = 0.1;
 
 /// Connections that releases of held states find free, whatever attempts wait: a share of all, within bounds.
-const RESERVED_SHARE: usize = 8;
-const FEWEST_RESERVED: usize = 1;
-const MOST_RESERVED: usize = 16;
+const RESERVED_DIVISOR: usize = 8;
+const MIN_RESERVED: usize = 1;
+const MAX_RESERVED: usize = 16;
 
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
+pub enum ConnectionUse {
     Idle,
     /// An attempt, which is waited for until then.
     Attempt {
@@ -36,7 +36,7 @@
         number: u16,
         until: Micros,
     },
-    Probe {
+    HealthCheck {
         server: ServerId,
     },
     /// A call that lets go of a held state.
@@ -49,11 +49,11 @@
 
 /// One connection to a model host.
 #[derive(Debug)]
-pub struct Link {
+pub struct ServerConnection {
     pub to: SocketAddr,
     pub server: ServerId,
     pub up: bool,
-    pub used_for: Use,
+    pub usage: ConnectionUse,
     /// Since this use began.
     pub since: Micros,
     /// What is to be written once it is up, or once more elsewhere if it proves stale; empty for an attempt, whose
@@ -61,12 +61,12 @@
     pub waiting: Vec<u8>,
     /// Bytes given to it that have not gone to the system.
     pub unsent: usize,
-    pub answer: Answer,
+    pub response: ResponseReader,
     /// When anything came on it last.
-    pub heard: Option<Micros>,
+    pub last_received: Option<Micros>,
 }
 
-impl Link {
+impl ServerConnection {
     /// The request's last byte has gone out.
     pub fn written(&self) -> bool {
         self.up && self.unsent == 0
@@ -75,93 +75,97 @@
 
 /// All connections to model hosts.
 #[derive(Debug)]
-pub struct Pool {
-    links: BTreeMap<ConnId, Link>,
-    most: usize,
+pub struct ConnectionPool {
+    server_connections: BTreeMap<ConnId, ServerConnection>,
+    limit: usize,
     /// Of those, kept free for releases.
     reserved: usize,
-    kept_s: f64,
+    max_idle_s: f64,
 }
 
 /// What the connections tell of hosts at one time.
 #[derive(Debug, Default)]
-pub struct Contacts {
-    hosts: BTreeMap<ServerId, Contact>,
-    kept: BTreeMap<(ServerId, SocketAddr), Micros>,
+pub struct ConnectionAges {
+    servers: BTreeMap<ServerId, ServerActivity>,
+    idle_since: BTreeMap<(ServerId, SocketAddr), Micros>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Contact {
-    heard: Option<Micros>,
+struct ServerActivity {
+    last_received: Option<Micros>,
     /// Since when the oldest exchange there has had no answer.
     unanswered: Option<Micros>,
 }
 
-impl Contacts {
+impl ConnectionAges {
     /// The host was asked a while ago, and has said nothing since on any connection.
     pub fn silent(&self, now: Micros, server: ServerId) -> bool {
-        let contact = self.hosts.get(&server).copied().unwrap_or_default();
-        let waits = contact
+        let activity = self.servers.get(&server).copied().unwrap_or_default();
+        let waits = activity
             .unanswered
-            .filter(|since| now.since(*since) >= SILENT_S);
-        waits.is_some_and(|since| contact.heard.is_none_or(|heard| heard < since))
+            .filter(|since| now.since(*since) >= SILENT_SECS);
+        waits.is_some_and(|since| {
+            activity
+                .last_received
+                .is_none_or(|last_received| last_received < since)
+        })
     }
 
     /// When it was heard of last.
-    pub fn heard(&self, server: ServerId) -> Option<Micros> {
-        self.hosts.get(&server).and_then(|c| c.heard)
+    pub fn last_received(&self, server: ServerId) -> Option<Micros> {
+        self.servers.get(&server).and_then(|c| c.last_received)
     }
 
     /// Since when the connection that may carry the next exchange has stood idle.
-    pub fn kept(&self, server: ServerId, to: SocketAddr) -> Option<Micros> {
-        self.kept.get(&(server, to)).copied()
+    pub fn idle_since(&self, server: ServerId, to: SocketAddr) -> Option<Micros> {
+        self.idle_since.get(&(server, to)).copied()
     }
 }
 
 /// Where an exchange can go out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Placement {
     /// On a connection that stood idle.
-    Kept(ConnId),
+    Idle(ConnId),
     /// On a new one; another has to be closed for it first, perhaps.
-    New { instead_of: Option<ConnId> },
+    New { replaces: Option<ConnId> },
     /// All connections are in use.
     Full,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// With room for so many, kept below an idle limit in seconds.
-    pub fn new(most: usize, idle_s: f64) -> Pool {
-        let most = most.max(4);
-        Pool {
-            links: BTreeMap::new(),
-            most,
-            reserved: Pool::reserved(most),
-            kept_s: idle_s * KEPT_SHARE,
+    pub fn new(limit: usize, idle_s: f64) -> ConnectionPool {
+        let limit = limit.max(4);
+        ConnectionPool {
+            server_connections: BTreeMap::new(),
+            limit,
+            reserved: ConnectionPool::reserved(limit),
+            max_idle_s: idle_s * IDLE_LIMIT_FRACTION,
         }
     }
 
     /// How many of so many connections are kept free for releases.
-    pub fn reserved(most: usize) -> usize {
-        (most / RESERVED_SHARE).clamp(FEWEST_RESERVED, MOST_RESERVED)
+    pub fn reserved(limit: usize) -> usize {
+        (limit / RESERVED_DIVISOR).clamp(MIN_RESERVED, MAX_RESERVED)
     }
 
     pub fn len(&self) -> usize {
-        self.links.len()
+        self.server_connections.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.links.is_empty()
+        self.server_connections.is_empty()
     }
 
     /// The idle and rested connection to an address that was used last: the likeliest to be alive.
-    pub fn kept(&self, now: Micros, to: SocketAddr) -> Option<ConnId> {
-        let fits = |l: &Link| {
+    pub fn idle_connection(&self, now: Micros, to: SocketAddr) -> Option<ConnId> {
+        let fits = |l: &ServerConnection| {
             l.to == to
-                && l.used_for == Use::Idle
-                && (REST_S..self.kept_s).contains(&now.since(l.since))
+                && l.usage == ConnectionUse::Idle
+                && (SETTLE_SECS..self.max_idle_s).contains(&now.since(l.since))
         };
-        self.links
+        self.server_connections
             .iter()
             .filter(|(_, l)| fits(l))
             .max_by_key(|(_, l)| l.since)
@@ -169,79 +173,96 @@
     }
 
     /// Where an exchange with a host can go out.
-    pub fn place(&self, now: Micros, to: SocketAddr, used_for: Use) -> Place {
-        if let Some(conn) = self.kept(now, to) {
-            return Place::Kept(conn);
+    pub fn place(&self, now: Micros, to: SocketAddr, usage: ConnectionUse) -> Placement {
+        if let Some(conn) = self.idle_connection(now, to) {
+            return Placement::Idle(conn);
         }
-        let reserved = if matches!(used_for, Use::Release { .. }) {
+        let reserved = if matches!(usage, ConnectionUse::Release { .. }) {
             0
         } else {
             self.reserved
         };
-        if self.links.len() < self.most - reserved {
-            return Place::New { instead_of: None };
+        if self.server_connections.len() < self.limit - reserved {
+            return Placement::New { replaces: None };
         }
-        self.idle_longest().map_or(Place::Full, |id| Place::New {
-            instead_of: Some(id),
-        })
+        self.idle_longest()
+            .map_or(Placement::Full, |id| Placement::New { replaces: Some(id) })
     }
 
     /// The connection that has stood idle longest.
     pub fn idle_longest(&self) -> Option<ConnId> {
-        let idle = self.links.iter().filter(|(_, l)| l.used_for == Use::Idle);
+        let idle = self
+            .server_connections
+            .iter()
+            .filter(|(_, l)| l.usage == ConnectionUse::Idle);
         idle.min_by_key(|(_, l)| l.since).map(|(id, _)| *id)
     }
 
     /// Whether a release can go out.
-    pub fn has_room(&self) -> bool {
-        self.links.len() < self.most || self.links.values().any(|l| l.used_for == Use::Idle)
+    pub fn has_capacity(&self) -> bool {
+        self.server_connections.len() < self.limit
+            || self
+                .server_connections
+                .values()
+                .any(|l| l.usage == ConnectionUse::Idle)
     }
 
     /// What they tell of hosts now.
-    pub fn contacts(&self, now: Micros) -> Contacts {
-        let mut contacts = Contacts::default();
-        for link in self.links.values() {
-            let host = contacts.hosts.entry(link.server).or_default();
-            host.heard = host.heard.max(link.heard);
-            if link.used_for != Use::Idle && link.heard.is_none_or(|heard| heard < link.since) {
-                host.unanswered = Some(
-                    host.unanswered
-                        .map_or(link.since, |since| since.min(link.since)),
+    pub fn connection_ages(&self, now: Micros) -> ConnectionAges {
+        let mut connection_ages = ConnectionAges::default();
+        for connection in self.server_connections.values() {
+            let server_activity = connection_ages
+                .servers
+                .entry(connection.server)
+                .or_default();
+            server_activity.last_received =
+                server_activity.last_received.max(connection.last_received);
+            if connection.usage != ConnectionUse::Idle
+                && connection
+                    .last_received
+                    .is_none_or(|last_received| last_received < connection.since)
+            {
+                server_activity.unanswered = Some(
+                    server_activity
+                        .unanswered
+                        .map_or(connection.since, |since| since.min(connection.since)),
                 );
             }
-            if link.used_for == Use::Idle && (REST_S..self.kept_s).contains(&now.since(link.since))
+            if connection.usage == ConnectionUse::Idle
+                && (SETTLE_SECS..self.max_idle_s).contains(&now.since(connection.since))
             {
-                let kept = contacts
-                    .kept
-                    .entry((link.server, link.to))
-                    .or_insert(link.since);
-                *kept = link.since.max(*kept);
+                let idle_since = connection_ages
+                    .idle_since
+                    .entry((connection.server, connection.to))
+                    .or_insert(connection.since);
+                *idle_since = connection.since.max(*idle_since);
             }
         }
-        contacts
+        connection_ages
     }
 
-    pub fn put(&mut self, conn: ConnId, link: Link) {
-        self.links.insert(conn, link);
+    pub fn put(&mut self, conn: ConnId, connection: ServerConnection) {
+        self.server_connections.insert(conn, connection);
     }
 
-    pub fn get(&self, conn: ConnId) -> Option<&Link> {
-        self.links.get(&conn)
+    pub fn get(&self, conn: ConnId) -> Option<&ServerConnection> {
+        self.server_connections.get(&conn)
     }
 
-    pub fn get_mut(&mut self, conn: ConnId) -> Option<&mut Link> {
-        self.links.get_mut(&conn)
+    pub fn get_mut(&mut self, conn: ConnId) -> Option<&mut ServerConnection> {
+        self.server_connections.get_mut(&conn)
     }
 
-    pub fn remove(&mut self, conn: ConnId) -> Option<Link> {
-        self.links.remove(&conn)
+    pub fn remove(&mut self, conn: ConnId) -> Option<ServerConnection> {
+        self.server_connections.remove(&conn)
     }
 
     /// Idle connections that stood so long that the other side may close them, or whose host is not listed.
-    pub fn stale(&self, now: Micros, listed: impl Fn(&Link) -> bool) -> Vec<ConnId> {
-        let gone =
-            |l: &Link| l.used_for == Use::Idle && (now.since(l.since) >= self.kept_s || !listed(l));
-        self.links
+    pub fn stale(&self, now: Micros, listed: impl Fn(&ServerConnection) -> bool) -> Vec<ConnId> {
+        let gone = |l: &ServerConnection| {
+            l.usage == ConnectionUse::Idle && (now.since(l.since) >= self.max_idle_s || !listed(l))
+        };
+        self.server_connections
             .iter()
             .filter(|(_, l)| gone(l))
             .map(|(id, _)| *id)
@@ -250,8 +271,8 @@
 
     /// Idle connections to one host.
     pub fn idle_at(&self, server: ServerId) -> Vec<ConnId> {
-        let fits = |l: &Link| l.used_for == Use::Idle && l.server == server;
-        self.links
+        let fits = |l: &ServerConnection| l.usage == ConnectionUse::Idle && l.server == server;
+        self.server_connections
             .iter()
             .filter(|(_, l)| fits(l))
             .map(|(id, _)| *id)
--- a/crates/platform/src/requests.rs
+++ b/crates/platform/src/requests.rs
@@ -13,20 +13,20 @@
 /// The one path on which clients ask.
 const PATH: &str = "/v1/chat/completions";
 /// Longest id of a request, characters.
-const MOST_ID: usize = 64;
+const MAX_ID: usize = 64;
 /// Longest deadline that is believed, milliseconds: an hour.
-const MOST_DEADLINE_MS: u64 = 3_600_000;
+const MAX_DEADLINE_MS: u64 = 3_600_000;
 /// Characters of a token, as the platform counts.
 const TOKEN_CHARS: f64 = 4.0;
 /// Most tokens that a length may name.
-const MOST_TOKENS: f64 = 1e7;
+const MAX_TOKENS: f64 = 1e7;
 
 /// A request that cannot be taken: the status and why.
-pub type Refusal = (u16, &'static str);
+pub type Rejection = (u16, &'static str);
 
 /// What a request's head says of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct ParsedRequest {
     /// `Req-Id`.
     pub id: String,
     /// For the module; its id is given later.
@@ -37,7 +37,11 @@
 ///
 /// # Errors
 /// What a client is told: the path or method is not served, or a field is missing or cannot be read.
-pub fn read_ask(head: &RequestHead, body_bytes: usize, names: &Names) -> Result<Ask, Refusal> {
+pub fn parse_request(
+    head: &RequestHead,
+    body_bytes: usize,
+    names: &Names,
+) -> Result<ParsedRequest, Rejection> {
     if head.target.split('?').next() != Some(PATH) {
         return Err((404, "no such path"));
     }
@@ -46,7 +50,7 @@
     }
     let id = one(head, "req-id")?.ok_or((400, "Req-Id is missing"))?;
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b'~');
-    if id.is_empty() || id.len() > MOST_ID || !id.bytes().all(plain) {
+    if id.is_empty() || id.len() > MAX_ID || !id.bytes().all(plain) {
         return Err((400, "Req-Id cannot be used as an id"));
     }
     let kind = one(head, "req-kind")?.ok_or((400, "Req-Kind is missing"))?;
@@ -56,7 +60,7 @@
         .position(|n| n == kind)
         .ok_or((400, "Req-Kind is not known"))?;
     let deadline = one(head, "req-deadline-ms")?.ok_or((400, "Req-Deadline-Ms is missing"))?;
-    let left_ms = whole(deadline).filter(|ms| *ms <= MOST_DEADLINE_MS);
+    let left_ms = whole_number(deadline).filter(|ms| *ms <= MAX_DEADLINE_MS);
     let left_ms = left_ms.ok_or((
         400,
         "Req-Deadline-Ms is no number of milliseconds up to an hour",
@@ -70,14 +74,14 @@
         ..policy::Request::default()
     };
     read_extras(one(head, "req-extra")?.unwrap_or_default(), &mut ask)?;
-    Ok(Ask {
+    Ok(ParsedRequest {
         id: id.to_string(),
         ask,
     })
 }
 
 /// A field that may stand once: of two, one side may believe the first and another the last.
-fn one<'a>(head: &'a RequestHead, name: &'static str) -> Result<Option<&'a str>, Refusal> {
+fn one<'a>(head: &'a RequestHead, name: &'static str) -> Result<Option<&'a str>, Rejection> {
     let mut all = head.fields.all(name);
     let first = all.next();
     match all.next() {
@@ -86,7 +90,7 @@
     }
 }
 
-fn whole(text: &str) -> Option<u64> {
+fn whole_number(text: &str) -> Option<u64> {
     Some(text)
         .filter(|t| !t.is_empty() && t.bytes().all(|b| b.is_ascii_digit()))
         .and_then(|t| t.parse().ok())
@@ -101,7 +105,7 @@
     }
 }
 
-fn tenant(head: &RequestHead, names: &Names) -> Result<u32, Refusal> {
+fn tenant(head: &RequestHead, names: &Names) -> Result<u32, Rejection> {
     if names.tenants.is_empty() {
         return Ok(0);
     }
@@ -110,12 +114,12 @@
     at.map(|i| i as u32).ok_or((400, "Req-Owner is not known"))
 }
 
-fn read_extras(text: &str, ask: &mut policy::Request) -> Result<(), Refusal> {
+fn read_extras(text: &str, ask: &mut policy::Request) -> Result<(), Rejection> {
     let unread = (400, "Req-Extra cannot be read");
     for pair in text.split(',').map(str::trim).filter(|p| !p.is_empty()) {
         let (name, value) = pair.split_once('=').ok_or(unread)?;
         let tokens = || match value.trim().parse::<f64>() {
-            Ok(n) if (0.0..=MOST_TOKENS).contains(&n) => Ok(n),
+            Ok(n) if (0.0..=MAX_TOKENS).contains(&n) => Ok(n),
             _ => Err(unread),
         };
         match name.trim() {
@@ -130,7 +134,7 @@
 }
 
 /// Fields between two neighbours, and those that the dispatcher writes itself.
-const NOT_PASSED_ON: [&str; 13] = [
+const HOP_BY_HOP_FIELDS: [&str; 13] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -148,21 +152,25 @@
 
 /// What is passed on to model hosts but for the time that is left, which each attempt says anew.
 #[derive(Debug)]
-pub struct Passed {
+pub struct ForwardedRequest {
     head: String,
     body: Vec<u8>,
 }
 
-impl Passed {
-    pub fn new(head: &RequestHead, id: &str, body: Vec<u8>) -> Passed {
+impl ForwardedRequest {
+    pub fn new(head: &RequestHead, id: &str, body: Vec<u8>) -> ForwardedRequest {
         let mut text = format!(
             "{} {} HTTP/1.1\r\nReq-Id: {id}\r\n",
             head.method, head.target
         );
-        for (name, value) in head.fields.iter().filter(|f| !NOT_PASSED_ON.contains(&f.0)) {
+        for (name, value) in head
+            .fields
+            .iter()
+            .filter(|f| !HOP_BY_HOP_FIELDS.contains(&f.0))
+        {
             text.push_str(&format!("{name}: {value}\r\n"));
         }
-        Passed { head: text, body }
+        ForwardedRequest { head: text, body }
     }
 
     pub fn body_bytes(&self) -> usize {
@@ -183,7 +191,7 @@
 
 /// The attempt that is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Out {
+pub struct InFlightAttempt {
     pub number: u16,
     pub server: ServerId,
     pub prefill: bool,
@@ -193,27 +201,27 @@
 
 /// One request, from its last byte until its answer is given and nothing is out for it.
 #[derive(Debug)]
-pub struct Open {
+pub struct OpenRequest {
     pub id: String,
     /// None once the client has its answer or has gone.
     pub client: Option<ConnId>,
     pub deadline: Micros,
     /// None once an attempt is the client's: nothing more is sent then.
-    pub passed: Option<Rc<Passed>>,
+    pub forwarded: Option<Rc<ForwardedRequest>>,
     pub attempts: u16,
-    pub out: Option<Out>,
+    pub in_flight: Option<InFlightAttempt>,
     /// When an attempt ended without its server's word: the server may see that a little later.
-    pub broke_at: Option<Micros>,
+    pub aborted_at: Option<Micros>,
     /// The client's, since this event came last.
-    pub streaming: Option<Micros>,
+    pub streaming_since: Option<Micros>,
     /// The final answer is given.
-    pub over: bool,
+    pub answered: bool,
 }
 
 /// The requests that are open, by the module's ids and by their own.
 #[derive(Debug, Default)]
 pub struct Requests {
-    open: std::collections::BTreeMap<RequestId, Open>,
+    open: std::collections::BTreeMap<RequestId, OpenRequest>,
     ids: std::collections::BTreeMap<String, RequestId>,
     last: RequestId,
 }
@@ -232,7 +240,7 @@
     }
 
     /// Takes one in under a new id of the module's.
-    pub fn put(&mut self, open: Open) -> RequestId {
+    pub fn put(&mut self, open: OpenRequest) -> RequestId {
         self.last = self.last.wrapping_add(1);
         while self.open.contains_key(&self.last) {
             self.last = self.last.wrapping_add(1);
@@ -242,21 +250,21 @@
         self.last
     }
 
-    pub fn get(&self, id: RequestId) -> Option<&Open> {
+    pub fn get(&self, id: RequestId) -> Option<&OpenRequest> {
         self.open.get(&id)
     }
 
-    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Open> {
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.open.get_mut(&id)
     }
 
-    pub fn remove(&mut self, id: RequestId) -> Option<Open> {
+    pub fn remove(&mut self, id: RequestId) -> Option<OpenRequest> {
         let open = self.open.remove(&id)?;
         self.ids.remove(&open.id);
         Some(open)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (RequestId, &Open)> {
+    pub fn iter(&self) -> impl Iterator<Item = (RequestId, &OpenRequest)> {
         self.open.iter().map(|(id, open)| (*id, open))
     }
 }
--- a/crates/platform/src/answers.rs
+++ b/crates/platform/src/responses.rs
@@ -2,37 +2,40 @@
 
 use bitternlatch_routing_settings::Names;
 
-use crate::events::Events;
-use crate::http1::{answer_head, AnswerHead, Bad, Body, Framing, MOST_BODY};
+use crate::event_stream::EventStream;
+use crate::http1::{response_head, Body, Framing, HttpError, ResponseHead, MAX_BODY};
 
 /// Most interim answers before the one that counts.
-const MOST_INTERIM: u32 = 16;
+const MAX_INTERIM: u32 = 16;
 
 /// An answer under way.
 #[derive(Debug, Default)]
-pub struct Answer {
+pub struct ResponseReader {
     /// A 200 brings a stream of events; otherwise a plain body.
     streams: bool,
     unread: Vec<u8>,
-    head: Option<AnswerHead>,
+    head: Option<ResponseHead>,
     body: Option<Body>,
     interim: u32,
-    events: Events,
+    events: EventStream,
     content: Vec<u8>,
 }
 
 /// What bytes have brought.
 #[derive(Debug, PartialEq)]
-pub enum Came {
+pub enum BodyProgress {
     /// Events to be passed on, perhaps none; the answer goes on.
     Events(Vec<u8>),
     /// The last events, perhaps none, and the end of the answer.
-    End { events: Vec<u8>, whole: Whole },
+    End {
+        events: Vec<u8>,
+        complete: CompleteResponse,
+    },
 }
 
 /// A whole answer.
 #[derive(Debug, Default, PartialEq)]
-pub struct Whole {
+pub struct CompleteResponse {
     pub status: u16,
     /// The host says that it never ran.
     pub declined: bool,
@@ -43,12 +46,12 @@
     pub reusable: bool,
 }
 
-impl Answer {
+impl ResponseReader {
     /// The answer to an attempt, whose 200 brings a stream of events.
-    pub fn to_attempt() -> Answer {
-        Answer {
+    pub fn to_attempt() -> ResponseReader {
+        ResponseReader {
             streams: true,
-            ..Answer::default()
+            ..ResponseReader::default()
         }
     }
 
@@ -56,17 +59,17 @@
     ///
     /// # Errors
     /// What cannot be read or breaks a bound: the connection can be used no further.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<Came, Bad> {
+    pub fn take(&mut self, bytes: &[u8]) -> Result<BodyProgress, HttpError> {
         self.unread.extend_from_slice(bytes);
         while self.head.is_none() {
-            let Some((head, taken)) = answer_head(&self.unread)? else {
-                return Ok(Came::Events(Vec::new()));
+            let Some((head, taken)) = response_head(&self.unread)? else {
+                return Ok(BodyProgress::Events(Vec::new()));
             };
             self.unread.drain(..taken);
             if (100..200).contains(&head.status) {
                 self.interim += 1;
-                if head.status == 101 || self.interim > MOST_INTERIM {
-                    return Err(Bad::Head);
+                if head.status == 101 || self.interim > MAX_INTERIM {
+                    return Err(HttpError::Head);
                 }
                 continue;
             }
@@ -74,7 +77,7 @@
             self.head = Some(head);
         }
         let (Some(head), Some(body)) = (&self.head, &mut self.body) else {
-            return Err(Bad::Head);
+            return Err(HttpError::Head);
         };
         let taken = body.take(&self.unread, &mut self.content)?;
         self.unread.drain(..taken);
@@ -84,53 +87,54 @@
         }
         // The end of a stream that ends with its connection cannot be told from its break.
         if head.framing == Framing::Close {
-            return Err(Bad::Length);
+            return Err(HttpError::Length);
         }
         let mut events = Vec::new();
         let fits = self.events.take(&self.content, &mut events);
         self.content.clear();
         if !fits {
-            return Err(Bad::Chunk);
+            return Err(HttpError::Chunk);
         }
         if !done {
-            return Ok(Came::Events(events));
+            return Ok(BodyProgress::Events(events));
         }
         let rest = self.events.rest();
         if !rest.trim_ascii().is_empty() && !rest.starts_with(b":") {
             events.extend_from_slice(rest);
         }
-        Ok(Came::End {
+        Ok(BodyProgress::End {
             events,
-            whole: self.whole(true),
+            complete: self.complete(true),
         })
     }
 
     /// A plain answer has its meaning from its head; a body too long or without an end is not waited for.
-    fn plain(&mut self, done: bool) -> Result<Came, Bad> {
+    fn plain(&mut self, done: bool) -> Result<BodyProgress, HttpError> {
         let endless = self.head.as_ref().is_some_and(|h| match h.framing {
             Framing::Close => true,
-            Framing::Length(n) => n > MOST_BODY as u64,
-            Framing::Chunked => self.content.len() > MOST_BODY,
+            Framing::Length(n) => n > MAX_BODY as u64,
+            Framing::Chunked => self.content.len() > MAX_BODY,
         });
         if !done && !endless {
-            return Ok(Came::Events(Vec::new()));
+            return Ok(BodyProgress::Events(Vec::new()));
         }
-        Ok(Came::End {
+        Ok(BodyProgress::End {
             events: Vec::new(),
-            whole: self.whole(done),
+            complete: self.complete(done),
         })
     }
 
-    fn whole(&mut self, done: bool) -> Whole {
+    fn complete(&mut self, done: bool) -> CompleteResponse {
         let Some(head) = &self.head else {
-            return Whole::default();
+            return CompleteResponse::default();
         };
-        let told = serde_json::from_slice::<serde_json::Value>(&self.content).ok();
-        let told = told.and_then(|v| v.get("cached_tokens").and_then(serde_json::Value::as_f64));
-        Whole {
+        let reported = serde_json::from_slice::<serde_json::Value>(&self.content).ok();
+        let reported =
+            reported.and_then(|v| v.get("cached_tokens").and_then(serde_json::Value::as_f64));
+        CompleteResponse {
             status: head.status,
             declined: head.fields.get("srv-declined") == Some("1"),
-            cached_tokens: self.events.cached_tokens.or(told).unwrap_or(0.0),
+            cached_tokens: self.events.cached_tokens.or(reported).unwrap_or(0.0),
             load: self
                 .events
                 .load
@@ -147,7 +151,7 @@
 }
 
 /// The simulator's words for report values, and those that hosts write on sockets.
-const WORDS: [(&str, &str); 6] = [
+const REPORT_FIELD_ALIASES: [(&str, &str); 6] = [
     ("concurrent", "inflight"),
     ("depth", "queue"),
     ("load_share", "util"),
@@ -158,13 +162,16 @@
 
 /// Reads a load report such as `inflight=7,queue=2,util=0.61` in the order of the settings' fields; empty where it
 /// cannot be read or lacks a field.
-pub fn read_load(text: &str, names: &Names) -> Vec<f64> {
+pub fn parse_load_report(text: &str, names: &Names) -> Vec<f64> {
     let pairs: Option<Vec<(&str, f64)>> = text.split(',').map(pair).collect();
     let Some(pairs) = pairs else {
         return Vec::new();
     };
     let value = |field: &String| {
-        let other = WORDS.iter().find(|w| w.0 == field).map(|w| w.1);
+        let other = REPORT_FIELD_ALIASES
+            .iter()
+            .find(|w| w.0 == field)
+            .map(|w| w.1);
         pairs
             .iter()
             .find(|p| p.0 == field || Some(p.0) == other)
--- a/crates/platform/src/start_times.rs
+++ b/crates/platform/src/start_times.rs
@@ -4,22 +4,22 @@
 use bitternlatch_core::Micros;
 
 /// How late discovery may tell of a start, seconds.
-const TOLD_LATE_S: f64 = 20.0;
+const MAX_NOTIFICATION_DELAY_SECS: f64 = 20.0;
 /// Where discovery says of some hosts that they started long ago, one for which it names a start that is older than
 /// this contradicts it, seconds.
-const LONG_AGO_S: f64 = 600.0;
+const LONG_AGO_SECS: f64 = 600.0;
 
 /// What is known when a list comes.
 #[derive(Clone, Copy, Debug)]
-pub struct Knowledge {
+pub struct StartTimeContext {
     pub now: Micros,
     /// When discovery said something last, before this list: by then it did not have what is new in it.
-    pub heard_at: Option<Micros>,
+    pub notified_at: Option<Micros>,
     /// It lists other hosts as started long ago.
     pub names_long_ago: bool,
 }
 
-impl Knowledge {
+impl StartTimeContext {
     /// A newly listed start by the node's clock, seconds; 0, for long ago, stays. One that cannot be, as it lies ahead
     /// or further back than discovery would be late, is taken for one of now: a host is better warmed up once more than
     /// pushed over.
@@ -28,9 +28,9 @@
             return listed_s;
         }
         let now_s = self.now.seconds();
-        let oldest_s = match self.heard_at {
-            Some(heard) => Some(heard.seconds() - TOLD_LATE_S),
-            None => self.names_long_ago.then_some(now_s - LONG_AGO_S),
+        let oldest_s = match self.notified_at {
+            Some(notified) => Some(notified.seconds() - MAX_NOTIFICATION_DELAY_SECS),
+            None => self.names_long_ago.then_some(now_s - LONG_AGO_SECS),
         };
         let impossible = listed_s > now_s || oldest_s.is_some_and(|oldest| listed_s < oldest);
         if impossible {
--- a/crates/platform/src/types.rs
+++ b/crates/platform/src/types.rs
@@ -94,7 +94,7 @@
     /// Everything in hand is answered after [`Input::Stop`].
     Stopped,
     /// Why a request fared as it did, where that was asked for.
-    Explain {
+    AccessLog {
         text: String,
     },
     Log {
--- a/crates/platform/tests/explain.rs
+++ b/crates/platform/tests/access_log.rs
@@ -1,13 +1,14 @@
 //! The line that says why a request fared as it did.
 mod common;
 
-use bitternlatch_platform::explain::{Explainer, Reasons};
+use bitternlatch_platform::access_log::{AccessLog, DecisionReasons};
 use bitternlatch_platform::types::Input;
 use common::*;
 
 fn explaining() -> Rig {
     let mut rig = Rig::new();
-    rig.node.explain(Explainer::new(&config().settings));
+    rig.node
+        .enable_access_log(AccessLog::new(&config().settings));
     rig
 }
 
@@ -108,15 +109,15 @@
 
 #[test]
 fn nothing_is_kept_of_requests_that_have_ended() {
-    let mut explainer = Explainer::new(&config().settings);
+    let mut access_log = AccessLog::new(&config().settings);
     let mut rig = Rig::tracing();
     for i in 0..50 {
         let (_, writer) = rig.at_writer(&format!("n{i}"), "ask");
         answer(&mut rig, writer);
     }
     for traced in rig.node.take_trace() {
-        explainer.see(&traced, |_| String::new(), |_| Reasons::default());
-        assert!(explainer.len() <= 2);
+        access_log.record(&traced, |_| String::new(), |_| DecisionReasons::default());
+        assert!(access_log.len() <= 2);
     }
-    assert!(explainer.is_empty());
+    assert!(access_log.is_empty());
 }
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -11,8 +11,8 @@
 
 pub const START: Micros = Micros(1_800_000_000_000_000);
 /// A release that no host confirms is given up after this, seconds, and its last round ends so much later at the most.
-pub const RELEASE_GIVEN_UP_S: f64 = 60.0;
-pub const LONGEST_ROUND_S: f64 = 4.0;
+pub const RELEASE_GIVEN_UP_SECS: f64 = 60.0;
+pub const LONGEST_ROUND_SECS: f64 = 4.0;
 pub const LOAD: &str = "util=0.10,queue=0,x0=0.05";
 
 /// Two readers and two writers of one cell.
@@ -217,7 +217,7 @@
                     self.paused.remove(&conn);
                 }
                 Command::Log { text, .. } => self.logs.push(text),
-                Command::Explain { text } => self.explained.push(text),
+                Command::AccessLog { text } => self.explained.push(text),
                 Command::StopListening => {
                     self.deaf = true;
                     if !self.holds_listening {
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -1,9 +1,9 @@
 //! The configuration, and that both readings of one deployment give equal settings.
 mod common;
 
-use bitternlatch_platform::answers::read_load;
 use bitternlatch_platform::config::Config;
-use bitternlatch_platform::discovery::List;
+use bitternlatch_platform::discovery::EndpointList;
+use bitternlatch_platform::responses::parse_load_report;
 use bitternlatch_policy::interface::Settings;
 use bitternlatch_routing_settings::{read_settings, Facts};
 use common::*;
@@ -105,8 +105,14 @@
 fn load_reports_are_read_by_the_settings_names_in_either_vocabulary() {
     let names = config().names;
     let told = vec![0.61, 2.0, 0.3];
-    assert_eq!(read_load("queue=2,util=0.61,x0=0.3,more=1", &names), told);
-    assert_eq!(read_load("depth=2, load_share=0.61, x0=0.3", &names), told);
+    assert_eq!(
+        parse_load_report("queue=2,util=0.61,x0=0.3,more=1", &names),
+        told
+    );
+    assert_eq!(
+        parse_load_report("depth=2, load_share=0.61, x0=0.3", &names),
+        told
+    );
     for bad in [
         "",
         "queue=2",
@@ -115,7 +121,7 @@
         "queue:2",
         "util=1e999,queue=1,x0=1",
     ] {
-        assert_eq!(read_load(bad, &names), Vec::<f64>::new(), "{bad}");
+        assert_eq!(parse_load_report(bad, &names), Vec::<f64>::new(), "{bad}");
     }
 }
 
@@ -127,7 +133,7 @@
         false,
         &[target("h", "127.0.1.1:80", "reads", "in_service")],
     );
-    assert!(List::parse(good.as_bytes(), &names).is_ok());
+    assert!(EndpointList::parse(good.as_bytes(), &names).is_ok());
     for (from, to, word) in [
         ("in_service", "asleep", "state 'asleep'"),
         ("reads", "sings", "model 'sings'"),
@@ -135,12 +141,12 @@
         ("127.0.1.1:80", "there", "endpoint 'there'"),
         ("\"rev\":3", "\"rev\":-3", "rev"),
     ] {
-        let why = List::parse(good.replace(from, to).as_bytes(), &names).expect_err(word);
+        let why = EndpointList::parse(good.replace(from, to).as_bytes(), &names).expect_err(word);
         assert!(why.contains(word) || word == "rev", "{why}");
     }
     for at in 0..good.len() {
         assert!(
-            List::parse(&good.as_bytes()[..at], &names).is_err(),
+            EndpointList::parse(&good.as_bytes()[..at], &names).is_err(),
             "cut at {at}"
         );
     }
--- a/crates/platform/tests/descriptors.rs
+++ b/crates/platform/tests/descriptors.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use bitternlatch_platform::config::{Config, Limits};
-use bitternlatch_platform::pool::Pool;
-use bitternlatch_platform::resource_limits::Shares;
+use bitternlatch_platform::pool::ConnectionPool;
+use bitternlatch_platform::resource_limits::ConnectionLimits;
 use bitternlatch_platform::types::{ConnId, Input};
 use common::*;
 
@@ -31,7 +31,7 @@
 #[test]
 fn all_shares_together_stay_within_what_the_process_may_hold() {
     for descriptors in [48, 49, 64, 128, 256, 300, 1024, 20_000] {
-        let shares = Shares::of(&limits(descriptors));
+        let shares = ConnectionLimits::of(&limits(descriptors));
         let all = shares.clients + shares.hosts + OWN + WATCH + FINISHING;
         assert!(all <= descriptors, "{descriptors}: {shares:?} make {all}");
         assert!(
@@ -43,10 +43,10 @@
     }
     // Clients hold a third of the descriptors for requests at the most: there is a place and a host's for each.
     for descriptors in [256, 512, 1024] {
-        let shares = Shares::of(&limits(descriptors));
+        let shares = ConnectionLimits::of(&limits(descriptors));
         assert!(shares.hosts >= descriptors / 3, "{descriptors}: {shares:?}");
     }
-    let few = Shares::of(&limits(0));
+    let few = ConnectionLimits::of(&limits(0));
     assert!(
         few.clients >= 8 && few.hosts >= 4,
         "the fewest places are there however few descriptors are"
@@ -115,8 +115,8 @@
 }
 
 fn held_together(rig: &Rig) -> usize {
-    let holds = rig.node.holds();
-    holds.clients + holds.links + OWN + WATCH + FINISHING
+    let resource_usage = rig.node.resource_usage();
+    resource_usage.clients + resource_usage.server_connections + OWN + WATCH + FINISHING
 }
 
 fn watches(rig: &Rig) -> usize {
@@ -133,7 +133,7 @@
 #[test]
 fn a_full_table_stays_within_its_bound_and_all_else_goes_on() {
     for sockets in [64, 256, 1024] {
-        let shares = Shares::of(&limits(sockets as usize));
+        let shares = ConnectionLimits::of(&limits(sockets as usize));
         for crowd in CROWDS {
             let name = format!("{sockets} {crowd:?}");
             let mut rig = rig(sockets);
@@ -142,16 +142,16 @@
             let watches_before = watches(&rig);
             for i in 0..2 * sockets as usize {
                 join(&mut rig, crowd, i);
-                let holds = rig.node.holds();
+                let resource_usage = rig.node.resource_usage();
                 assert!(
-                    holds.clients <= shares.clients,
+                    resource_usage.clients <= shares.clients,
                     "{name}: {} clients",
-                    holds.clients
+                    resource_usage.clients
                 );
                 assert!(
-                    holds.links <= shares.hosts,
+                    resource_usage.server_connections <= shares.hosts,
                     "{name}: {} connections to hosts",
-                    holds.links
+                    resource_usage.server_connections
                 );
                 assert!(
                     held_together(&rig) <= sockets as usize,
@@ -190,7 +190,7 @@
 #[test]
 fn requests_in_hand_fill_the_hosts_share_first_and_leave_places_for_newcomers() {
     for sockets in [64, 256] {
-        let shares = Shares::of(&limits(sockets as usize));
+        let shares = ConnectionLimits::of(&limits(sockets as usize));
         let entry = |i: usize| {
             let (model, at) = (["reads", "writes"][i % 2], format!("127.0.9.{}:80", i + 1));
             target(&format!("x{i}"), &at, model, "in_service")
@@ -210,9 +210,9 @@
             .iter()
             .filter(|c| rig.said(**c).is_empty() && !rig.closed.contains(c))
             .count();
-        let used = shares.hosts - Pool::reserved(shares.hosts);
+        let used = shares.hosts - ConnectionPool::reserved(shares.hosts);
         assert_eq!(
-            (busy, rig.node.holds().links),
+            (busy, rig.node.resource_usage().server_connections),
             (used, used),
             "{sockets}: all but those for releases are in use"
         );
@@ -226,7 +226,8 @@
         rig.text(front, READY);
         assert_eq!(rig.status(front), "200", "{sockets}: /ready");
         assert!(
-            rig.node.holds().clients <= shares.clients && held_together(&rig) <= sockets as usize
+            rig.node.resource_usage().clients <= shares.clients
+                && held_together(&rig) <= sockets as usize
         );
     }
 }
@@ -273,7 +274,7 @@
 #[test]
 fn half_requests_give_way_to_a_newcomer_and_those_of_strangers_first() {
     let mut rig = rig(64);
-    let most = Shares::of(&limits(64)).clients;
+    let most = ConnectionLimits::of(&limits(64)).clients;
     let half = &request("h", "ask", 4800)[..60];
     // One that has been answered before, and now sends its next request in pieces, before all others.
     let known = rig.client();
@@ -287,7 +288,7 @@
         })
         .collect();
     assert_eq!(
-        rig.node.holds().clients,
+        rig.node.resource_usage().clients,
         most,
         "the table is full of half requests"
     );
@@ -347,8 +348,11 @@
     let silent = rig.client();
     rig.pass(1.0);
     let mut gone = Vec::new();
-    while rig.node.shed_client(rig.now, &mut gone) {}
-    let (clients, links) = (rig.node.holds().clients, rig.node.holds().links);
+    while rig.node.evict_client(rig.now, &mut gone) {}
+    let (clients, links) = (
+        rig.node.resource_usage().clients,
+        rig.node.resource_usage().server_connections,
+    );
     assert_eq!(clients, 1, "the busy one stays");
     assert_eq!(gone.len(), 2, "{gone:?}");
     assert!(
@@ -356,10 +360,13 @@
         "{gone:?}"
     );
     let mut dropped = Vec::new();
-    while rig.node.shed_link(&mut dropped) {}
-    assert_eq!(rig.node.holds().links, links - dropped.len());
+    while rig.node.evict_idle_connection(&mut dropped) {}
+    assert_eq!(
+        rig.node.resource_usage().server_connections,
+        links - dropped.len()
+    );
     assert!(
-        !dropped.is_empty() && rig.node.holds().links >= 1,
+        !dropped.is_empty() && rig.node.resource_usage().server_connections >= 1,
         "the stream's stays"
     );
     stream_whole(&mut rig, streaming);
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -315,11 +315,14 @@
         rig.tell(Input::Ended { conn: client });
         rig.pass(0.5);
     }
-    let held = rig.node.holds();
+    let held = rig.node.resource_usage();
     assert_eq!(
         (held.requests, held.clients, held.releases),
         (0, 0, 0),
         "{held:?}"
     );
-    assert!(held.hosts <= 5 && held.links <= 20, "{held:?}");
+    assert!(
+        held.servers <= 5 && held.server_connections <= 20,
+        "{held:?}"
+    );
 }
--- a/crates/platform/tests/gone.rs
+++ b/crates/platform/tests/gone.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use bitternlatch_platform::config::Config;
-use bitternlatch_platform::pool::REST_S;
+use bitternlatch_platform::pool::SETTLE_SECS;
 use bitternlatch_platform::types::{ConnId, Input};
 use common::*;
 
@@ -293,18 +293,23 @@
             (case.after)(&mut rig);
             let at_once = rig.count(is_post) - posts;
             rig.pass(30.0);
-            rig.pass(RELEASE_GIVEN_UP_S + LONGEST_ROUND_S - 30.0);
+            rig.pass(RELEASE_GIVEN_UP_SECS + LONGEST_ROUND_SECS - 30.0);
             let later = rig.count(is_post) - posts - at_once;
             let released = rig.count(|c| c.line() == "DELETE /bootstrap/rooms/g HTTP/1.1") > 0;
-            let holds = rig.node.holds();
-            let left = (holds.requests, holds.clients, holds.links, holds.releases);
+            let resource_usage = rig.node.resource_usage();
+            let left = (
+                resource_usage.requests,
+                resource_usage.clients,
+                resource_usage.server_connections,
+                resource_usage.releases,
+            );
             let told = rig.said(client).to_string();
             let got = (
                 at_once,
                 later,
                 released,
                 left,
-                rig.node.counts().gone,
+                rig.node.counts().disconnected,
                 told.as_str(),
             );
             if got != (0, 0, case.held[usize::from(!cancel)], (0, 0, 0, 0), 1, "") {
@@ -335,7 +340,7 @@
             .for_each(|conn| rig.tell(Input::Ended { conn: *conn }));
         rig.pass(10.0);
         assert_eq!(rig.count(is_post), posts);
-        assert_eq!(rig.node.holds().requests, 0);
+        assert_eq!(rig.node.resource_usage().requests, 0);
     }
 }
 
@@ -356,7 +361,7 @@
                 .filter(|c| readers().contains(&c.1))
                 .count()
         };
-        rig.pass(REST_S);
+        rig.pass(SETTLE_SECS);
         let before = dials(&rig);
         let client = rig.ask("g", "ask");
         let call = rig.last(Call::is_read);
@@ -394,7 +399,7 @@
         all_come_up(&mut rig);
         rig.pass(10.0);
         assert_eq!(rig.count(is_post), 0, "cancel {cancel}");
-        assert_eq!(rig.node.holds().requests, 0);
+        assert_eq!(rig.node.resource_usage().requests, 0);
     }
 }
 
@@ -413,12 +418,16 @@
     rig.answers_probes = false;
     rig.now = rig.now.after(0.016);
     rig.tell(Input::Tick);
-    assert_eq!(rig.node.holds().links, 10, "all that attempts may use");
+    assert_eq!(
+        rig.node.resource_usage().server_connections,
+        10,
+        "all that attempts may use"
+    );
     rig.tell(Input::Ended { conn: client });
     assert_eq!(deletes(&rig), 1, "on the one that is kept free for it");
     rig.pass(0.06);
     assert_eq!(
-        (deletes(&rig), rig.node.holds().links),
+        (deletes(&rig), rig.node.resource_usage().server_connections),
         (1, 11),
         "there is no way out for a second call"
     );
@@ -431,12 +440,16 @@
     });
     rig.text(read.conn, &plain("500 Oops", "", ""));
     assert_eq!(deletes(&rig), 2, "at once");
-    rig.pass(RELEASE_GIVEN_UP_S + LONGEST_ROUND_S);
-    let holds = rig.node.holds();
+    rig.pass(RELEASE_GIVEN_UP_SECS + LONGEST_ROUND_SECS);
+    let resource_usage = rig.node.resource_usage();
     assert_eq!(
-        (holds.requests, holds.links, holds.releases),
+        (
+            resource_usage.requests,
+            resource_usage.server_connections,
+            resource_usage.releases
+        ),
         (0, 0, 0),
-        "{holds:?}"
+        "{resource_usage:?}"
     );
 }
 
@@ -484,7 +497,7 @@
     assert!(rig.paused.contains(&client));
     rig.tell(Input::Ended { conn: client });
     assert_eq!(
-        rig.node.counts().gone,
+        rig.node.counts().disconnected,
         1,
         "an end that is known all the same counts"
     );
@@ -531,6 +544,6 @@
             "close first {close_first}: nobody reads it"
         );
         assert_eq!(rig.count(is_post), posts);
-        assert_eq!(rig.node.holds().requests, 0);
+        assert_eq!(rig.node.resource_usage().requests, 0);
     }
 }
--- a/crates/platform/tests/held.rs
+++ b/crates/platform/tests/held.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddr;
 
 use bitternlatch_core::Micros;
-use bitternlatch_platform::answers::Answer;
 use bitternlatch_platform::config::Config;
-use bitternlatch_platform::discovery::Fleet;
-use bitternlatch_platform::pool::{Link, Pool, Use};
+use bitternlatch_platform::discovery::Endpoints;
+use bitternlatch_platform::pool::{ConnectionPool, ConnectionUse, ServerConnection};
 use bitternlatch_platform::releases::Releases;
+use bitternlatch_platform::responses::ResponseReader;
 use bitternlatch_platform::types::{ConnId, Input};
 use bitternlatch_policy::interface::ServerId;
 use common::*;
@@ -57,12 +57,12 @@
         4,
         "each to another host, until all have been called"
     );
-    rig.pass(RELEASE_GIVEN_UP_S - 2.0);
+    rig.pass(RELEASE_GIVEN_UP_SECS - 2.0);
     assert!(
         deletes(&rig, "p2").len() > 40,
         "for as long as nobody has confirmed it"
     );
-    rig.pass(2.0 + LONGEST_ROUND_S);
+    rig.pass(2.0 + LONGEST_ROUND_SECS);
     let given_up = deletes(&rig, "p2").len();
     assert!(
         given_up <= 4 * 40,
@@ -133,11 +133,11 @@
 /// first, and those without a connection last, wherever the state is believed to be.
 #[test]
 fn hosts_that_answered_last_are_called_first() {
-    let mut fleet = Fleet::default();
+    let mut fleet = Endpoints::default();
     fleet.apply(START, config().known.expect("the test's list"));
     let all: Vec<(ServerId, SocketAddr)> = fleet.iter().map(|(id, t)| (id, t.endpoint)).collect();
     for order in [[0, 1, 2], [2, 1, 0], [1, 3, 0]] {
-        let mut pool = Pool::new(64, 15.0);
+        let mut pool = ConnectionPool::new(64, 15.0);
         for (seconds, at) in order.into_iter().enumerate() {
             pool.put(
                 ConnId(at as u64),
@@ -149,7 +149,7 @@
             .find(|i| !order.contains(i))
             .expect("one has no connection");
         let now = START.after(5.0);
-        let (id, _) = releases.put(now, now, "p7".into());
+        let (id, _) = releases.begin(now, now, "p7".into());
         let called: Vec<usize> = std::iter::from_fn(|| releases.next_call(id, now, &fleet, &pool))
             .map(|call| {
                 all.iter()
@@ -161,18 +161,18 @@
     }
 }
 
-fn idle_link((server, to): (ServerId, SocketAddr), since: Micros) -> Link {
-    let (used_for, waiting, answer) = (Use::Idle, Vec::new(), Answer::default());
-    Link {
+fn idle_link((server, to): (ServerId, SocketAddr), since: Micros) -> ServerConnection {
+    let (usage, waiting, response) = (ConnectionUse::Idle, Vec::new(), ResponseReader::default());
+    ServerConnection {
         to,
         server,
         up: true,
-        used_for,
+        usage,
         since,
         waiting,
         unsent: 0,
-        answer,
-        heard: Some(since),
+        response,
+        last_received: Some(since),
     }
 }
 
@@ -233,7 +233,10 @@
     );
     rig.pass(5.0);
     assert_eq!(
-        (deletes(&rig, "c1").len(), rig.node.holds().releases),
+        (
+            deletes(&rig, "c1").len(),
+            rig.node.resource_usage().releases
+        ),
         (2, 0)
     );
 }
