--- a/crates/platform/tests/http1.rs
+++ b/crates/platform/tests/http1.rs
@@ -1,12 +1,16 @@
 //! Bytes in and bytes out of the codec, cut at every byte.
-use bitternlatch_platform::answers::{Answer, Came};
-use bitternlatch_platform::events::Events;
+use bitternlatch_platform::event_stream::EventStream;
 use bitternlatch_platform::http1::{
-    answer_head, chunk, request_head, Bad, Body, Framing, LAST_CHUNK, MOST_HEAD,
+    chunk, request_head, response_head, Body, Framing, HttpError, LAST_CHUNK, MAX_HEAD,
 };
+use bitternlatch_platform::responses::{BodyProgress, ResponseReader};
 
 /// Takes a body in two pieces cut at `at`, keeping what is not taken, as a connection does.
-fn body_in_two(framing: Framing, bytes: &[u8], at: usize) -> Result<(Vec<u8>, bool, usize), Bad> {
+fn body_in_two(
+    framing: Framing,
+    bytes: &[u8],
+    at: usize,
+) -> Result<(Vec<u8>, bool, usize), HttpError> {
     let (mut body, mut out, mut unread) = (Body::new(framing), Vec::new(), Vec::new());
     for piece in [&bytes[..at], &bytes[at..]] {
         unread.extend_from_slice(piece);
@@ -66,7 +70,7 @@
             let got = body_in_two(Framing::Chunked, bytes, at);
             assert_eq!(
                 got,
-                Err(Bad::Chunk),
+                Err(HttpError::Chunk),
                 "{:?} cut at {at}",
                 String::from_utf8_lossy(bytes)
             );
@@ -77,7 +81,10 @@
 #[test]
 fn a_size_line_without_an_end_is_not_kept_for_ever() {
     let long = vec![b'0'; 5000];
-    assert_eq!(body_in_two(Framing::Chunked, &long, 0), Err(Bad::Chunk));
+    assert_eq!(
+        body_in_two(Framing::Chunked, &long, 0),
+        Err(HttpError::Chunk)
+    );
 }
 
 #[test]
@@ -86,29 +93,32 @@
     let table = [
         (
             "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
-            Bad::LengthAndCoding,
+            HttpError::LengthAndCoding,
         ),
         (
             "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n",
-            Bad::LengthAndCoding,
+            HttpError::LengthAndCoding,
+        ),
+        (
+            "Content-Length: 5\r\nContent-Length: 5\r\n",
+            HttpError::Length,
         ),
-        ("Content-Length: 5\r\nContent-Length: 5\r\n", Bad::Length),
-        ("Content-Length: 5, 5\r\n", Bad::Length),
-        ("Content-Length: -5\r\n", Bad::Length),
-        ("Content-Length: +5\r\n", Bad::Length),
-        ("Content-Length: 0x5\r\n", Bad::Length),
-        ("Content-Length:\r\n", Bad::Length),
+        ("Content-Length: 5, 5\r\n", HttpError::Length),
+        ("Content-Length: -5\r\n", HttpError::Length),
+        ("Content-Length: +5\r\n", HttpError::Length),
+        ("Content-Length: 0x5\r\n", HttpError::Length),
+        ("Content-Length:\r\n", HttpError::Length),
         (
             "Content-Length: 99999999999999999999999\r\n",
-            Bad::BodyTooLong,
+            HttpError::BodyTooLong,
         ),
-        ("Content-Length: 262145\r\n", Bad::BodyTooLong),
-        ("Transfer-Encoding: gzip, chunked\r\n", Bad::Coding),
+        ("Content-Length: 262145\r\n", HttpError::BodyTooLong),
+        ("Transfer-Encoding: gzip, chunked\r\n", HttpError::Coding),
         (
             "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
-            Bad::Coding,
+            HttpError::Coding,
         ),
-        ("Content Length: 5\r\n", Bad::Head),
+        ("Content Length: 5\r\n", HttpError::Head),
     ];
     for (fields, bad) in table {
         assert_eq!(
@@ -145,14 +155,26 @@
 
 #[test]
 fn heads_without_end_and_noise_are_given_up() {
-    let endless = format!("GET / HTTP/1.1\r\nX: {}", "a".repeat(MOST_HEAD));
-    assert_eq!(request_head(endless.as_bytes()), Err(Bad::HeadTooLong));
+    let endless = format!("GET / HTTP/1.1\r\nX: {}", "a".repeat(MAX_HEAD));
+    assert_eq!(
+        request_head(endless.as_bytes()),
+        Err(HttpError::HeadTooLong)
+    );
     let many = format!("GET / HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(100));
-    assert_eq!(request_head(many.as_bytes()), Err(Bad::HeadTooLong));
-    assert_eq!(request_head(b"\x16\x03\x01\x02\x00\x01"), Err(Bad::Head));
-    assert_eq!(answer_head(b"\x00\x01noise\r\n\r\n"), Err(Bad::Head));
-    let endless = format!("HTTP/1.1 200 OK\r\nX: {}", "a".repeat(MOST_HEAD));
-    assert_eq!(answer_head(endless.as_bytes()), Err(Bad::HeadTooLong));
+    assert_eq!(request_head(many.as_bytes()), Err(HttpError::HeadTooLong));
+    assert_eq!(
+        request_head(b"\x16\x03\x01\x02\x00\x01"),
+        Err(HttpError::Head)
+    );
+    assert_eq!(
+        response_head(b"\x00\x01noise\r\n\r\n"),
+        Err(HttpError::Head)
+    );
+    let endless = format!("HTTP/1.1 200 OK\r\nX: {}", "a".repeat(MAX_HEAD));
+    assert_eq!(
+        response_head(endless.as_bytes()),
+        Err(HttpError::HeadTooLong)
+    );
 }
 
 #[test]
@@ -173,7 +195,7 @@
                   data: [DONE]\n\n: Srv-Load: util=0.5,queue=1,x0=0.2\n\n";
     let events = &stream[..stream.find(": Srv").expect("the comment")];
     for at in 0..=stream.len() {
-        let (mut kept, mut out) = (Events::default(), Vec::new());
+        let (mut kept, mut out) = (EventStream::default(), Vec::new());
         assert!(kept.take(&stream.as_bytes()[..at], &mut out));
         assert!(
             out.is_empty() || out.ends_with(b"\n\n"),
@@ -196,21 +218,21 @@
                   HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n0\r\n\r\n";
     let second = "HTTP/1.1 200 OK\r\n\r\n";
     for (more, reusable) in [("", true), (second, false)] {
-        let mut taken = Answer::to_attempt();
+        let mut taken = ResponseReader::to_attempt();
         match taken.take(format!("{answer}{more}").as_bytes()) {
-            Ok(Came::End { events, whole }) => {
+            Ok(BodyProgress::End { events, complete }) => {
                 assert_eq!(
-                    (events.as_slice(), whole.status),
+                    (events.as_slice(), complete.status),
                     (&b"data: a\n\n"[..], 200)
                 );
-                assert_eq!(whole.reusable, reusable);
+                assert_eq!(complete.reusable, reusable);
             }
             other => panic!("{other:?}"),
         }
     }
     let endless = "HTTP/1.1 100 Continue\r\n\r\n".repeat(50);
     assert_eq!(
-        Answer::to_attempt().take(endless.as_bytes()),
-        Err(Bad::Head)
+        ResponseReader::to_attempt().take(endless.as_bytes()),
+        Err(HttpError::Head)
     );
 }
--- a/crates/platform/tests/lists.rs
+++ b/crates/platform/tests/lists.rs
@@ -34,7 +34,7 @@
 }
 
 fn hosts_known(rig: &Rig) -> usize {
-    rig.node.holds().hosts
+    rig.node.resource_usage().servers
 }
 
 #[test]
--- a/crates/platform/tests/memory.rs
+++ b/crates/platform/tests/memory.rs
@@ -46,9 +46,9 @@
             rig.text(client, &if chunked { chunk(&body) } else { body.clone() });
         }
         assert!(
-            rig.node.holds().unfinished_bytes <= MOST,
+            rig.node.resource_usage().unfinished_bytes <= MOST,
             "{:?}",
-            rig.node.holds()
+            rig.node.resource_usage()
         );
     }
     clients
@@ -90,7 +90,7 @@
         rig.pass(0.02);
     }
     assert_eq!(rig.count(Call::is_read), 1);
-    assert_eq!(rig.node.holds().unfinished_bytes, 0);
+    assert_eq!(rig.node.resource_usage().unfinished_bytes, 0);
 }
 
 #[test]
--- a/crates/platform/tests/output_order.rs
+++ b/crates/platform/tests/output_order.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 
 use bitternlatch_core::Micros;
+use bitternlatch_platform::access_log::AccessLog;
 use bitternlatch_platform::config::Config;
-use bitternlatch_platform::explain::Explainer;
 use bitternlatch_platform::node::Node;
 use bitternlatch_platform::types::{Command, ConnId, Input, Level};
 use xxhash_rust::xxh3::Xxh3;
@@ -71,7 +71,7 @@
         let config = common::config();
         let discovery = config.discovery;
         let mut node = Node::new(common::START, config, &mut out);
-        node.explain(Explainer::new(&common::config().settings));
+        node.enable_access_log(AccessLog::new(&common::config().settings));
         let mut world = World {
             node,
             now: common::START,
@@ -146,7 +146,7 @@
                     self.encode(8, None, b"");
                     self.stopped = true;
                 }
-                Command::Explain { .. } => self.encode(9, None, b""),
+                Command::AccessLog { .. } => self.encode(9, None, b""),
                 Command::Log { level, .. } => {
                     self.encode(10, None, &[u8::from(level == Level::Warn)]);
                 }
@@ -456,28 +456,28 @@
     /// Counts and tables as they stand, in a fixed order.
     fn encode_totals(&mut self) {
         let counts = self.node.counts();
-        let holds = self.node.holds();
+        let resource_usage = self.node.resource_usage();
         let totals = [
             counts.arrived,
             counts.served,
-            counts.refused,
+            counts.shed,
             counts.failed,
             counts.broken,
-            counts.gone,
-            counts.turned_away,
+            counts.disconnected,
+            counts.rejected,
             counts.attempts,
             counts.releases,
             counts.release_calls,
             counts.releases_confirmed,
             counts.releases_late,
             counts.releases_unconfirmed,
-            holds.requests as u64,
-            holds.clients as u64,
-            holds.links as u64,
-            holds.hosts as u64,
-            holds.releases as u64,
-            holds.timers as u64,
-            holds.unfinished_bytes as u64,
+            resource_usage.requests as u64,
+            resource_usage.clients as u64,
+            resource_usage.server_connections as u64,
+            resource_usage.servers as u64,
+            resource_usage.releases as u64,
+            resource_usage.timers as u64,
+            resource_usage.unfinished_bytes as u64,
         ];
         totals.into_iter().for_each(|total| self.number(total));
     }
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use bitternlatch_platform::config::Config;
-use bitternlatch_platform::pool::REST_S;
+use bitternlatch_platform::pool::SETTLE_SECS;
 use bitternlatch_platform::types::Input;
 use common::*;
 
@@ -36,7 +36,7 @@
     );
     assert_eq!(rig.node.counts().served, 1);
     // Both connections serve on, once they have rested.
-    rig.pass(REST_S);
+    rig.pass(SETTLE_SECS);
     let before = rig.connects.len();
     rig.text(client, &request("aa", "ask", 4800));
     rig.pass(0.02);
@@ -49,7 +49,7 @@
 }
 
 /// Milliseconds that a host is told to have.
-fn told_ms(call: &Call) -> f64 {
+fn notified_ms(call: &Call) -> f64 {
     let field = call
         .text
         .split("Req-Deadline-Ms: ")
@@ -64,7 +64,7 @@
     rig.ask("t1", "ask");
     rig.pass(0.5);
     rig.read_done();
-    let left = told_ms(&rig.last(Call::is_write));
+    let left = notified_ms(&rig.last(Call::is_write));
     assert!((4200.0..4300.0).contains(&left), "{left}");
 }
 
@@ -105,7 +105,7 @@
                 .expect("dialled");
             rig.tell(Input::Connected { conn });
             let left_ms = deadline_ms as f64 - passed_s * 1e3;
-            let told = told_ms(&rig.last(Call::is_read));
+            let told = notified_ms(&rig.last(Call::is_read));
             let case = format!(
                 "{deadline_ms} ms, up after {late_s} s, further {further}: told {told}, left {left_ms}"
             );
@@ -397,7 +397,7 @@
         writer,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
     );
-    rig.pass(REST_S);
+    rig.pass(SETTLE_SECS);
     rig.stale = rig
         .connects
         .iter()
@@ -459,7 +459,7 @@
     }
     rig.pass(5.0);
     assert_eq!(rig.count(|c| c.text.contains("Req-Id: second")), 0);
-    assert_eq!(rig.node.holds().requests, 0);
+    assert_eq!(rig.node.resource_usage().requests, 0);
 }
 
 #[test]
@@ -550,7 +550,7 @@
     let read = rig.last(Call::is_read);
     rig.tell(Input::Ended { conn: client });
     assert!(rig.closed.contains(&read.conn));
-    assert_eq!(rig.node.counts().gone, 1);
+    assert_eq!(rig.node.counts().disconnected, 1);
     let deletes = rig.count(|c| c.line() == "DELETE /bootstrap/rooms/g1 HTTP/1.1");
     assert_eq!(deletes, 1, "the read may have ended well just then");
 }
@@ -660,7 +660,7 @@
         let case = format!("{behind_s} s behind, cut {cut}");
         match (left_ms, sent) {
             (Some(left_ms), Some(call)) => {
-                let told = told_ms(&call);
+                let told = notified_ms(&call);
                 assert!(
                     told <= left_ms && told > left_ms - 10.0,
                     "{case}: told {told}, left {left_ms}"
--- a/crates/platform/tests/start_times.rs
+++ b/crates/platform/tests/start_times.rs
@@ -8,7 +8,7 @@
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const DISCOVERY: &str = "127.0.2.1:8500";
 const NEW: &str = "h-r9";
-const HOUR_S: f64 = 3600.0;
+const HOUR_SECS: f64 = 3600.0;
 
 /// A new host that is listed with a start so long ago.
 fn started(rig: &Rig, age_s: f64) -> String {
@@ -48,8 +48,8 @@
     let table = [
         (0.5, 0.5),
         (8.0, 8.0),
-        (HOUR_S, 0.0),
-        (-HOUR_S, 0.0),
+        (HOUR_SECS, 0.0),
+        (-HOUR_SECS, 0.0),
         (-7.0, 0.0),
     ];
     for (listed_s, taken_s) in table {
@@ -75,10 +75,10 @@
     // Listed age, whether other hosts have started "long ago", and the age that it is taken for.
     let table = [
         (30.0, true, 30.0),
-        (-HOUR_S, true, 0.0),
+        (-HOUR_SECS, true, 0.0),
         // A host that started an hour ago is one of long ago, if others are.
-        (HOUR_S, true, 0.0),
-        (HOUR_S, false, HOUR_S),
+        (HOUR_SECS, true, 0.0),
+        (HOUR_SECS, false, HOUR_SECS),
     ];
     for (listed_s, others_long_ago, taken_s) in table {
         let text = config_json(256);
@@ -112,7 +112,7 @@
     let mut rig = Rig::tracing();
     let conn = call(&rig);
     rig.text(conn, HEAD);
-    let new = started(&rig, -HOUR_S);
+    let new = started(&rig, -HOUR_SECS);
     for (rev, passes_s, taken_s) in [(8, 0.0, 0.0), (9, 5.0, 5.0), (10, 5.0, 10.0)] {
         rig.text(conn, &chunk("\n"));
         for _ in 0..(passes_s as usize) {
--- a/crates/platform/tests/stop.rs
+++ b/crates/platform/tests/stop.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use bitternlatch_platform::config::Config;
-use bitternlatch_platform::shutdown::Schedule;
+use bitternlatch_platform::shutdown::ShutdownSchedule;
 use bitternlatch_platform::types::{ConnId, Input};
 use common::*;
 
@@ -129,23 +129,23 @@
         (0.0, 0.7),
     ] {
         for resumes in [true, false] {
-            let Schedule {
-                deaf_s,
-                last_answer_s,
+            let ShutdownSchedule {
+                stop_accepting_s,
+                answer_by_s,
                 streams_end_s,
-            } = Schedule::new(longest_deadline_s, resumes);
+            } = ShutdownSchedule::new(longest_deadline_s, resumes);
             let case = format!("{longest_deadline_s} s, resumes {resumes}");
             assert!(
-                (0.4..0.7).contains(&deaf_s),
+                (0.4..0.7).contains(&stop_accepting_s),
                 "{case}: new connections come for 0.4 s"
             );
             assert!(
-                (deaf_s..kill_s - 0.1).contains(&last_answer_s),
-                "{case}: {last_answer_s}"
+                (stop_accepting_s..kill_s - 0.1).contains(&answer_by_s),
+                "{case}: {answer_by_s}"
             );
             assert_eq!(streams_end_s.is_some(), resumes, "{case}");
             assert!(
-                streams_end_s.is_none_or(|at| (deaf_s..kill_s - 0.1).contains(&at)),
+                streams_end_s.is_none_or(|at| (stop_accepting_s..kill_s - 0.1).contains(&at)),
                 "{case}"
             );
         }
@@ -315,5 +315,5 @@
         rig.stopped && releases >= 2,
         "{releases}: before the limit, and after the close"
     );
-    assert_eq!(rig.node.holds().releases, 0, "confirmed");
+    assert_eq!(rig.node.resource_usage().releases, 0, "confirmed");
 }
--- a/crates/platform/tests/told.rs
+++ b/crates/platform/tests/told.rs
@@ -12,7 +12,7 @@
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 /// A change counts as told so long after discovery had it and could be reached, seconds.
-const TOLD_S: f64 = 6.0;
+const TOLD_SECS: f64 = 6.0;
 /// When the fault begins, seconds after the start: between two empty lines.
 const FAULT_AT: f64 = 4.7;
 const OLD: &str = "127.0.2.1:8500";
@@ -267,7 +267,7 @@
     }
 
     fn told(&self) -> bool {
-        self.rig.node.holds().hosts == 5
+        self.rig.node.resource_usage().servers == 5
     }
 
     /// Goes on until the change is acted on; gives the time, or `None` past the limit.
@@ -345,7 +345,7 @@
             }
         }
         println!("{:.2} s at the most: {}", worst.0, worst.1);
-        if worst.0 >= TOLD_S {
+        if worst.0 >= TOLD_SECS {
             late.push(format!("{:.2} s: {}", worst.0, worst.1));
         }
     }
@@ -376,7 +376,7 @@
             }
         }
         println!("{:.2} s at the most: {}", worst.0, worst.1);
-        if worst.0 >= TOLD_S {
+        if worst.0 >= TOLD_SECS {
             late.push(format!("{:.2} s: {}", worst.0, worst.1));
         }
     }
@@ -413,7 +413,7 @@
             }
         }
         println!("{:.2} s at the most: {}", worst.0, worst.1);
-        if worst.0 >= TOLD_S {
+        if worst.0 >= TOLD_SECS {
             late.push(format!("{:.2} s: {}", worst.0, worst.1));
         }
     }
@@ -531,11 +531,16 @@
         while stand.time() < 60.0 {
             stand.turn();
         }
-        let timers = stand.rig.node.holds().timers;
+        let timers = stand.rig.node.resource_usage().timers;
         while stand.time() < 3600.0 {
             stand.turn();
         }
-        let grown = stand.rig.node.holds().timers.saturating_sub(timers);
+        let grown = stand
+            .rig
+            .node
+            .resource_usage()
+            .timers
+            .saturating_sub(timers);
         assert!(grown <= 10, "{fault:?}: {grown} more timers");
         let lines: Vec<&String> = stand
             .rig
--- a/crates/platform/tests/wire_messages.rs
+++ b/crates/platform/tests/wire_messages.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bitternlatch_core::Traced;
-use bitternlatch_platform::explain::Explainer;
+use bitternlatch_platform::access_log::AccessLog;
 use bitternlatch_platform::types::{ConnId, Input};
 use bitternlatch_policy::interface::{AttemptEnd, Event, Outcome};
 use common::*;
@@ -169,7 +169,7 @@
         rig.text(client, &text);
         assert_eq!(rig.said(client), closing(status, why));
         assert!(rig.finished.contains(&client), "{why}");
-        assert_eq!(rig.node.counts().turned_away, 1, "{why}");
+        assert_eq!(rig.node.counts().rejected, 1, "{why}");
     }
 }
 
@@ -338,7 +338,8 @@
 #[test]
 fn access_log_lines() {
     let mut rig = Rig::new();
-    rig.node.explain(Explainer::new(&config().settings));
+    rig.node
+        .enable_access_log(AccessLog::new(&config().settings));
     let (_, writer) = rig.at_writer("e1", "book");
     rig.pass(0.5);
     rig.text(writer, &plain("500 Oops", "", ""));
