--- a/crates/platform/tests/wire_messages.rs
+++ b/crates/platform/tests/wire_messages.rs
@@ -370,3 +370,21 @@
     ];
     assert_eq!(text, expected.join("\n"));
 }
+
+#[test]
+fn access_log_line_of_late_request() {
+    let mut rig = Rig::new();
+    rig.node
+        .enable_access_log(AccessLog::new(&config().settings));
+    let (_, writer) = rig.at_writer("e4", "ask");
+    rig.pass(2.0);
+    let answer = format!("{STREAM_HEAD}{}0\r\n\r\n", chunk("data: 1\n\n"));
+    rig.text(writer, &answer);
+    let line = rig.explained.join("\n");
+    assert!(
+        line.starts_with("e4 served late class 0 prompt 1200"),
+        "{line}"
+    );
+    assert!(line.contains(" first token 2.0"), "{line}");
+    assert!(line.ends_with("state Taken"), "{line}");
+}
