--- a/crates/platform-net/src/descriptors.rs
+++ b/crates/platform-net/src/descriptors.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use bitternlatch_platform::config::Limits;
+use bitternlatch_platform::resource_limits::Limits;
 use rustix::io::Errno;
 use rustix::process::{getrlimit, Resource};
 
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -3,6 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use bitternlatch_core::Micros;
+use bitternlatch_policy::interface::RequestId;
 
 use crate::http1::{request_head, Body, HttpError, RequestHead, MAX_BODY, MAX_HEAD};
 use crate::types::ConnId;
@@ -117,11 +118,14 @@
     served: bool,
     /// It waits to be told to send its body.
     expects: bool,
-    pub keep_alive: bool,
-    pub unsent: usize,
+    /// Its connection may serve a further request.
+    keep_alive: bool,
+    /// Bytes given to it that have not gone to the system.
+    unsent: usize,
     /// When it last took something, or was first owed something.
-    pub last_progress_at: Micros,
-    pub paused: bool,
+    last_progress_at: Micros,
+    /// Nothing is read from it.
+    paused: bool,
 }
 
 impl Client {
@@ -285,6 +289,40 @@
         self.keep_alive && !(stopping && self.unread.is_empty())
     }
 
+    /// Whether the client, by its last request, keeps its connection.
+    pub fn keeps_alive(&self) -> bool {
+        self.keep_alive
+    }
+
+    /// Bytes given to it that have not gone to the system.
+    pub fn unsent(&self) -> usize {
+        self.unsent
+    }
+
+    /// Counts bytes that are to be written to it.
+    pub fn queued(&mut self, now: Micros, bytes: usize) {
+        if self.unsent == 0 {
+            self.last_progress_at = now;
+        }
+        self.unsent += bytes;
+    }
+
+    /// Counts bytes that have gone to the system.
+    pub fn written(&mut self, now: Micros, bytes: usize) {
+        self.last_progress_at = now;
+        self.unsent = self.unsent.saturating_sub(bytes);
+    }
+
+    /// Reads nothing from it for now; false where that was so already.
+    pub fn pause(&mut self) -> bool {
+        !std::mem::replace(&mut self.paused, true)
+    }
+
+    /// Reads from it again; false where nothing was paused.
+    pub fn resume(&mut self) -> bool {
+        std::mem::take(&mut self.paused)
+    }
+
     /// Its request has been answered.
     pub fn answered(&mut self, now: Micros) {
         // Hundreds of connections that once brought much must not keep room for it.
@@ -293,22 +331,94 @@
     }
 }
 
-/// All client connections.
-#[derive(Debug, Default)]
+/// All client connections, and what each has open.
+#[derive(Debug)]
 pub struct Clients {
     open: BTreeMap<ConnId, Client>,
+    limit: usize,
+    /// The request that each has open.
+    requests: BTreeMap<ConnId, RequestId>,
+    /// Clients that read slowly, and the server connections that are not read meanwhile.
+    backpressured: BTreeMap<ConnId, ConnId>,
+    /// Clients just answered, which may have sent further requests already.
+    pipelined: Vec<ConnId>,
 }
 
 impl Clients {
-    /// Lets one in; where there is no room, also gives the one that has to go for it: itself, where all others have a
-    /// request or an answer in hand. Whoever comes is heard otherwise, also amid half requests.
-    pub fn accept(&mut self, now: Micros, conn: ConnId, limit: usize) -> Option<ConnId> {
-        let full = self.open.len() >= limit;
+    /// With capacity for `limit` connections.
+    pub fn new(limit: usize) -> Clients {
+        Clients {
+            open: BTreeMap::new(),
+            limit,
+            requests: BTreeMap::new(),
+            backpressured: BTreeMap::new(),
+            pipelined: Vec::new(),
+        }
+    }
+
+    /// Takes a connection in. Where the table is full, also removes and gives the one that is evicted for it: itself,
+    /// where all others have a request or an answer in hand.
+    pub fn accept(&mut self, now: Micros, conn: ConnId) -> Option<ConnId> {
+        let full = self.open.len() >= self.limit;
         let evicted = full.then(|| self.eviction_candidate(now).unwrap_or(conn));
         self.open.insert(conn, Client::new(now));
+        if let Some(evicted) = evicted {
+            self.open.remove(&evicted);
+        }
         evicted
     }
 
+    /// Whether one more client would evict another; `lingering` connections that have left the table still count.
+    pub fn limit_reached(&self, lingering: usize) -> bool {
+        self.open.len() + lingering >= self.limit
+    }
+
+    /// A client has a request open.
+    pub fn begin_request(&mut self, conn: ConnId, request: RequestId) {
+        self.requests.insert(conn, request);
+    }
+
+    /// It has none any more: gives the one that it had.
+    pub fn end_request(&mut self, conn: ConnId) -> Option<RequestId> {
+        self.backpressured.remove(&conn);
+        self.requests.remove(&conn)
+    }
+
+    /// Whether a client has a request open.
+    pub fn has_open_request(&self, conn: ConnId) -> bool {
+        self.requests.contains_key(&conn)
+    }
+
+    /// A server connection is not read while this client takes nothing.
+    pub fn apply_backpressure(&mut self, conn: ConnId, server: ConnId) {
+        self.backpressured.insert(conn, server);
+    }
+
+    /// Gives the server connection that is to be read again.
+    pub fn release_backpressure(&mut self, conn: ConnId) -> Option<ConnId> {
+        self.backpressured.remove(&conn)
+    }
+
+    /// Whether a server connection is not read on account of this client.
+    pub fn is_backpressured(&self, conn: ConnId) -> bool {
+        self.backpressured.contains_key(&conn)
+    }
+
+    /// What a client has sent ahead is to be read.
+    pub fn queue_pipelined(&mut self, conn: ConnId) {
+        self.pipelined.push(conn);
+    }
+
+    /// Whether there are clients whose bytes sent ahead are to be read.
+    pub fn has_pipelined(&self) -> bool {
+        !self.pipelined.is_empty()
+    }
+
+    /// Those clients, in the order of their answers.
+    pub fn take_pipelined(&mut self) -> Vec<ConnId> {
+        std::mem::take(&mut self.pipelined)
+    }
+
     /// The one that gives way first.
     pub fn eviction_candidate(&self, now: Micros) -> Option<ConnId> {
         let ranked = self
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 
 use crate::discovery::EndpointList;
-use crate::resource_limits::OWN_DESCRIPTORS;
+use crate::resource_limits::Limits;
 
 /// What is wrong with the configuration: the field and the cause.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -53,26 +53,6 @@
     sockets: f64,
 }
 
-/// What the machine gives.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
-    pub memory_bytes: usize,
-    /// File descriptors that the process may hold.
-    pub descriptors: usize,
-}
-
-impl Limits {
-    /// As the process finds them before its first connection: the system may allow fewer descriptors than the
-    /// configuration says, and some of those may be taken by what was handed to the process.
-    pub fn within(self, allowed: Option<usize>, held: usize) -> Limits {
-        let free = allowed.map(|a| a.saturating_sub(held.saturating_sub(OWN_DESCRIPTORS)));
-        Limits {
-            descriptors: free.map_or(self.descriptors, |f| f.min(self.descriptors)),
-            ..self
-        }
-    }
-}
-
 /// All that a dispatcher is told at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
--- a/crates/platform/src/discovery_client.rs
+++ b/crates/platform/src/discovery_client.rs
@@ -1,80 +1,59 @@
-//! The discovery client: it keeps the watch open, reconnects it where it breaks, and takes its lists over.
+//! The discovery client: the address of discovery, the watch over it, and the endpoints that it lists.
+
+use std::net::SocketAddr;
 
 use bitternlatch_core::Micros;
-use bitternlatch_policy::interface::{Event, ListForm};
+use bitternlatch_policy::interface::ServerEntry;
 
-use crate::discovery::{AppliedList, EndpointList};
-use crate::node::{Node, Timer};
-use crate::types::{Command, Level};
+use crate::discovery::{AppliedList, EndpointList, Endpoints};
+use crate::discovery_watch::{call, DiscoveryWatch, WatchProgress};
+use crate::types::{Command, ConnId, Level};
 
-impl Node {
-    /// Begins the watch, or ends one that has brought nothing in time.
-    pub(crate) fn drive_watch(&mut self, now: Micros, commands: &mut Vec<Command>) {
-        if let Some(cause) = self.watch.overdue(now) {
-            self.restart_watch(now, cause, commands);
-        }
-        if self.watch.due(now) {
-            let conn = self.next_conn();
-            self.watch.begin(now, conn);
-            commands.push(Command::Connect {
-                conn,
-                to: self.discovery,
-            });
+/// Owner of the endpoint list.
+#[derive(Debug)]
+pub(crate) struct DiscoveryClient {
+    address: SocketAddr,
+    watch: DiscoveryWatch,
+    endpoints: Endpoints,
+    /// A list has been taken over, from the configuration or from discovery.
+    known: bool,
+}
+
+impl DiscoveryClient {
+    pub(crate) fn new(address: SocketAddr, watch: DiscoveryWatch) -> DiscoveryClient {
+        DiscoveryClient {
+            address,
+            watch,
+            endpoints: Endpoints::default(),
+            known: false,
         }
-        self.schedule_watch(now);
     }
 
-    pub(crate) fn on_discovery(&mut self, now: Micros, bytes: &[u8], commands: &mut Vec<Command>) {
-        let taken = self.watch.take(now, bytes);
-        let read = taken.objects.iter().try_for_each(|o| {
-            let list = EndpointList::parse(o, &self.names)?;
-            self.apply_list(now, list, commands)
-        });
-        if taken.any_line && read.is_ok() {
-            self.endpoints.notified(now);
-        }
-        if let Some(cause) = read.err().or(taken.broken) {
-            self.restart_watch(now, &cause, commands);
-        }
+    /// Whether there is a list.
+    pub(crate) fn is_known(&self) -> bool {
+        self.known
     }
 
-    /// The watch's connection never came up, was closed by the other side, or broke.
-    pub(crate) fn on_watch_ended(&mut self, now: Micros, commands: &mut Vec<Command>) {
-        self.restart_watch(now, "the connection was refused or has ended", commands);
+    pub(crate) fn endpoints(&self) -> &Endpoints {
+        &self.endpoints
     }
 
-    fn restart_watch(&mut self, now: Micros, cause: &str, commands: &mut Vec<Command>) {
-        let (at, rev) = (self.discovery, self.endpoints.rev());
-        let cause = format!("discovery at {at}, after version {rev}: {cause}");
-        if let Some(text) = self.watch.limited_log_line(now, &cause) {
-            self.log(
-                commands,
-                Level::Warn,
-                format!("{text}; the list stays and the watch is begun anew"),
-            );
-        }
-        if let Some(conn) = self.watch.end(now) {
-            commands.push(Command::Close { conn });
-        }
-        self.schedule_watch(now);
+    /// Whether a connection is that of the watch.
+    pub(crate) fn owns(&self, conn: ConnId) -> bool {
+        self.watch.conn() == Some(conn)
     }
 
-    fn schedule_watch(&mut self, now: Micros) {
-        if let Some(at) = self.watch.arm(now) {
-            self.timers.set(at, Timer::DiscoveryWatch);
-        }
+    /// Takes over the list that the configuration holds.
+    pub(crate) fn load(&mut self, now: Micros, list: EndpointList) -> Vec<ServerEntry> {
+        self.known = true;
+        self.endpoints.apply(now, list).entries
     }
 
-    /// Takes a list over.
+    /// Takes over a list from discovery.
     ///
     /// # Errors
     /// A version that goes back.
-    fn apply_list(
-        &mut self,
-        now: Micros,
-        list: EndpointList,
-        commands: &mut Vec<Command>,
-    ) -> Result<(), String> {
+    pub(crate) fn apply(&mut self, now: Micros, list: EndpointList) -> Result<AppliedList, String> {
         if list.rev < self.endpoints.rev() {
             return Err(format!(
                 "version {} comes after {}",
@@ -82,20 +61,82 @@
                 self.endpoints.rev()
             ));
         }
-        let AppliedList {
-            form,
-            entries,
-            restarted,
-        } = self.endpoints.apply(now, list);
-        self.endpoints_known = true;
-        for server in restarted {
-            for conn in self.pool.idle_at(server) {
-                self.close_server_connection(conn, commands);
-            }
+        self.known = true;
+        Ok(self.endpoints.apply(now, list))
+    }
+
+    /// The request of the watch, for changes since the version at hand.
+    pub(crate) fn request(&self) -> Vec<u8> {
+        call(self.endpoints.rev())
+    }
+
+    /// Takes bytes of the watch's response.
+    pub(crate) fn take(&mut self, now: Micros, bytes: &[u8]) -> WatchProgress {
+        self.watch.take(now, bytes)
+    }
+
+    /// Discovery has sent a complete line, if only an empty one.
+    pub(crate) fn notified(&mut self, now: Micros) {
+        self.endpoints.notified(now);
+    }
+
+    /// Why the watch has to be restarted, where it has brought nothing in time.
+    pub(crate) fn overdue(&self, now: Micros) -> Option<&'static str> {
+        self.watch.overdue(now)
+    }
+
+    /// Whether the watch is to be begun.
+    pub(crate) fn is_due(&self, now: Micros) -> bool {
+        self.watch.due(now)
+    }
+
+    /// Begins the watch on a new connection.
+    pub(crate) fn connect(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
+        self.watch.begin(now, conn);
+        commands.push(Command::Connect {
+            conn,
+            to: self.address,
+        });
+    }
+
+    /// Ends the watch, to be begun again after a backoff; the list stays.
+    pub(crate) fn restart(&mut self, now: Micros, cause: &str, commands: &mut Vec<Command>) {
+        let (at, rev) = (self.address, self.endpoints.rev());
+        let cause = format!("discovery at {at}, after version {rev}: {cause}");
+        if let Some(text) = self.watch.limited_log_line(now, &cause) {
+            commands.push(Command::Log {
+                level: Level::Warn,
+                text: format!("{text}; the list stays and the watch is begun anew"),
+            });
+        }
+        if let Some(conn) = self.watch.end(now) {
+            commands.push(Command::Close { conn });
+        }
+    }
+
+    /// Follows a new address; false where it is the same.
+    pub(crate) fn move_to(
+        &mut self,
+        now: Micros,
+        address: SocketAddr,
+        commands: &mut Vec<Command>,
+    ) -> bool {
+        if address == self.address {
+            return false;
         }
-        if form == ListForm::Full || !entries.is_empty() {
-            self.events.push_back(Event::Servers { form, entries });
+        self.address = address;
+        if let Some(conn) = self.watch.moved(now) {
+            commands.push(Command::Close { conn });
         }
-        Ok(())
+        commands.push(Command::Log {
+            level: Level::Info,
+            text: format!("discovery is at {address} now"),
+        });
+        true
+    }
+
+    /// The time for which a timer has to be set, if none is set that is as early.
+    pub(crate) fn next_timer(&mut self, now: Micros) -> Option<Micros> {
+        self.watch.arm(now)
     }
 }
--- /dev/null
+++ b/crates/platform/src/health_checks.rs
@@ -0,0 +1,27 @@
+//! Health checks that are in flight.
+
+use std::collections::BTreeMap;
+
+use bitternlatch_core::Micros;
+use bitternlatch_policy::interface::ServerId;
+
+/// The request of a health check, which also asks for the load report.
+pub(crate) const HEALTH_CHECK: &[u8] = b"GET /status/load HTTP/1.1\r\nHost: origin.svc\r\n\r\n";
+
+/// When the health check in flight to each model server was sent.
+#[derive(Debug, Default)]
+pub(crate) struct HealthChecks {
+    sent: BTreeMap<ServerId, Micros>,
+}
+
+impl HealthChecks {
+    pub(crate) fn begin(&mut self, now: Micros, server: ServerId) {
+        self.sent.insert(server, now);
+    }
+
+    /// Ends one; gives how long it took, seconds, or 0 where none was sent.
+    pub(crate) fn finish(&mut self, now: Micros, server: ServerId) -> f64 {
+        let sent = self.sent.remove(&server);
+        sent.map_or(0.0, |sent| now.since(sent))
+    }
+}
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -4,17 +4,19 @@
 //! `bitternlatch_core::Machine` does for sessions. The sockets are in `bitternlatch-platform-net`.
 
 pub mod access_log;
-mod attempts;
-mod client_requests;
 pub mod clients;
 pub mod config;
+pub mod counts;
+mod decisions;
 pub mod discovery;
 mod discovery_client;
 pub mod discovery_watch;
 pub mod event_stream;
+mod health_checks;
 pub mod http1;
 mod line_splitter;
 pub mod node;
+mod peers;
 pub mod pool;
 pub mod releases;
 pub mod requests;
@@ -22,4 +24,5 @@
 pub mod responses;
 pub mod shutdown;
 pub mod start_times;
+mod timer;
 pub mod types;
--- /dev/null
+++ b/crates/platform/src/node/attempts.rs
@@ -0,0 +1,241 @@
+//! Attempts: one request sent to one model server, and how it ends.
+
+use bitternlatch_core::Micros;
+use bitternlatch_policy::interface::{
+    AttemptEnd, Event, Outcome, RequestId, Role, ServerId, ServerStatus,
+};
+
+use super::Node;
+use crate::pool::ConnectionUse;
+use crate::requests::InFlightAttempt;
+use crate::responses::CompleteResponse;
+use crate::timer::Timer;
+use crate::types::Command;
+
+impl Node {
+    pub(super) fn send(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        server: ServerId,
+        timeout_s: f64,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(open) = self.requests.get_mut(request) else {
+            return;
+        };
+        let number = open.attempts;
+        open.attempts += 1;
+        let until = if timeout_s > 0.0 {
+            now.after(timeout_s).min(open.deadline)
+        } else {
+            open.deadline
+        };
+        let target = self
+            .discovery
+            .endpoints()
+            .get(server)
+            .filter(|t| t.standing == ServerStatus::Ready);
+        let sendable = !open.answered && open.in_flight.is_none() && now < open.deadline;
+        let (Some(target), true) = (target, sendable && open.forwarded.is_some()) else {
+            return self.report_not_sent(request, number, server);
+        };
+        let role = self
+            .roles
+            .get(usize::from(target.kind))
+            .copied()
+            .unwrap_or_default();
+        let host = (server, target.endpoint);
+        let usage = ConnectionUse::Attempt {
+            request,
+            number,
+            until,
+        };
+        let Some(conn) = self.start_exchange(now, host, usage, Vec::new(), commands) else {
+            return self.report_not_sent(request, number, server);
+        };
+        self.counts.attempts += 1;
+        if let Some(open) = self.requests.get_mut(request) {
+            open.in_flight = Some(InFlightAttempt {
+                number,
+                server,
+                prefill: role == Role::Prefill,
+                conn,
+                sent: now,
+            });
+        }
+        self.timers
+            .set(until, Timer::AttemptTimeout { request, number });
+    }
+
+    fn report_not_sent(&mut self, request: RequestId, attempt: u16, server: ServerId) {
+        let finished = self.requests.get(request).is_none_or(|o| o.answered);
+        self.events.push_back(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            server,
+            outcome: Outcome::NotSent,
+            elapsed_s: 0.0,
+            finished,
+            prefix_hit_tokens: 0.0,
+            report: Vec::new(),
+        }));
+    }
+
+    /// The one place where an attempt ends: the module is told.
+    pub(super) fn finish_attempt(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        outcome: Outcome,
+        hit: f64,
+        report: Vec<f64>,
+    ) {
+        let Some(open) = self.requests.get_mut(request) else {
+            return;
+        };
+        let Some(was) = open.in_flight.take() else {
+            return;
+        };
+        if matches!(
+            outcome,
+            Outcome::Cancelled | Outcome::TimedOut | Outcome::Reset
+        ) {
+            open.aborted_at = Some(now);
+        }
+        let finished = open.answered;
+        self.requests.mark_maybe_complete(request);
+        self.events.push_back(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt: was.number,
+            server: was.server,
+            outcome,
+            elapsed_s: now.since(was.sent),
+            finished,
+            prefix_hit_tokens: hit,
+            report,
+        }));
+    }
+
+    pub(super) fn on_attempt_response(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        complete: &CompleteResponse,
+        report: Vec<f64>,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(open) = self.requests.get(request) else {
+            return;
+        };
+        let streaming = open.streaming_since.is_some();
+        let prefill = open.in_flight.is_some_and(|o| o.prefill);
+        let outcome = match complete.status {
+            200 if streaming => Outcome::Served,
+            // A stream without an event gives the client nothing.
+            200 => Outcome::Error,
+            202 if prefill => Outcome::PrefillDone,
+            503 | 504 if complete.declined => Outcome::Rejected {
+                state_missing: false,
+            },
+            410 if complete.declined => Outcome::Rejected {
+                state_missing: true,
+            },
+            _ => Outcome::Error,
+        };
+        if outcome == Outcome::Served {
+            self.end_stream(now, request, commands);
+        }
+        self.finish_attempt(now, request, outcome, complete.cached_tokens, report);
+    }
+
+    pub(super) fn fail_attempt(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        outcome: Outcome,
+        commands: &mut Vec<Command>,
+    ) {
+        if self
+            .requests
+            .get(request)
+            .is_some_and(|o| o.streaming_since.is_some())
+        {
+            self.break_stream(request, commands);
+        }
+        self.finish_attempt(now, request, outcome, 0.0, Vec::new());
+    }
+
+    /// Gives an attempt up by closing its connection.
+    pub(super) fn abandon_attempt(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        outcome: Outcome,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(was) = self.requests.get(request).and_then(|o| o.in_flight) else {
+            return;
+        };
+        let unsent = self.pool.get(was.conn).is_some_and(|l| !l.written());
+        self.close_server_connection(was.conn, commands);
+        // What never had its last byte written never ran, whoever gave it up.
+        let outcome = if unsent {
+            Outcome::ConnectFailed
+        } else {
+            outcome
+        };
+        self.fail_attempt(now, request, outcome, commands);
+    }
+
+    /// Ends an attempt that has not begun, as its request's last byte has not gone out. That calls nothing back from a
+    /// host, so that it needs no leave to cancel.
+    pub(super) fn abandon_unsent_attempt(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        commands: &mut Vec<Command>,
+    ) {
+        let conn = self
+            .requests
+            .get(request)
+            .and_then(|o| o.in_flight)
+            .map(|o| o.conn);
+        if conn
+            .and_then(|c| self.pool.get(c))
+            .is_some_and(|l| !l.written())
+        {
+            self.abandon_attempt(now, request, Outcome::ConnectFailed, commands);
+        }
+    }
+
+    pub(super) fn cancel(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        attempt: u16,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(open) = self.requests.get(request) else {
+            return;
+        };
+        if open.streaming_since.is_none() && open.in_flight.is_some_and(|o| o.number == attempt) {
+            self.abandon_attempt(now, request, Outcome::Cancelled, commands);
+        }
+    }
+
+    pub(super) fn on_time_up(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        number: u16,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(open) = self.requests.get(request) else {
+            return;
+        };
+        if open.streaming_since.is_none() && open.in_flight.is_some_and(|o| o.number == number) {
+            self.abandon_attempt(now, request, Outcome::TimedOut, commands);
+        }
+    }
+}
--- a/crates/platform/src/client_requests.rs
+++ b/crates/platform/src/node/client_requests.rs
@@ -5,22 +5,24 @@
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::{Event, RequestId};
 
+use super::Node;
 use crate::clients::{CompleteRequest, MAX_UNSENT};
 use crate::http1::{chunk, plain_response, stream_head, LAST_CHUNK};
-use crate::node::Node;
 use crate::pool::ConnectionUse;
-use crate::requests::{parse_request, ForwardedRequest, OpenRequest};
+use crate::requests::{parse_request, ForwardedRequest, OpenRequest, ParsedRequest};
 use crate::types::{Command, ConnId};
 
+/// Bytes of a chunk besides its content, and of a stream's head, at the most.
+const CHUNK_OVERHEAD: usize = 200;
+
 impl Node {
-    pub(crate) fn on_accepted(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
-        if let Some(evicted) = self.clients.accept(now, conn, self.max_clients) {
-            self.clients.remove(evicted);
+    pub(super) fn on_accepted(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
+        if let Some(evicted) = self.clients.accept(now, conn) {
             commands.push(Command::Close { conn: evicted });
         }
     }
 
-    pub(crate) fn on_client_bytes(
+    pub(super) fn on_client_bytes(
         &mut self,
         now: Micros,
         conn: ConnId,
@@ -30,21 +32,18 @@
         let Some(client) = self.clients.get_mut(conn) else {
             return;
         };
-        if client.take(now, bytes) && !client.paused {
-            client.paused = true;
+        if client.take(now, bytes) && client.pause() {
             commands.push(Command::Pause { conn, paused: true });
         }
         self.read_requests(now, conn, commands);
-        while let Some(limit) = self
-            .clients
-            .largest_unfinished(conn, self.max_unfinished_bytes())
-        {
-            self.reject(limit, 503, "too much in hand", commands);
+        let limit = self.limits.max_unfinished_bytes();
+        while let Some(largest) = self.clients.largest_unfinished(conn, limit) {
+            self.reject(largest, 503, "too much in hand", commands);
         }
     }
 
     /// Takes the requests that are whole, one after the other's answer.
-    pub(crate) fn read_requests(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
+    pub(super) fn read_requests(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
         while let Some(client) = self.clients.get_mut(conn) {
             match client.next_request() {
                 Ok(None) => {
@@ -71,12 +70,7 @@
         request: CompleteRequest,
         commands: &mut Vec<Command>,
     ) {
-        let CompleteRequest {
-            head,
-            body,
-            received_at,
-        } = request;
-        if head.method == "GET" && head.target == "/ready" {
+        if request.head.method == "GET" && request.head.target == "/ready" {
             let (status, text) = if self.ready() {
                 (200, "ready\n")
             } else {
@@ -84,30 +78,43 @@
             };
             return self.respond(now, conn, status, "", text, commands);
         }
-        let ask = match parse_request(&head, body.len(), &self.names) {
-            Ok(ask) => ask,
+        let parsed = match parse_request(&request.head, request.body.len(), &self.names) {
+            Ok(parsed) => parsed,
             // Whoever sends what cannot be taken is not believed on what comes next either.
-            Err((status, why)) => return self.reject(conn, status, why, commands),
+            Err(rejection) => {
+                return self.reject(conn, rejection.status, rejection.reason, commands)
+            }
         };
-        if self.requests.knows(&ask.id) {
+        if self.requests.knows(&parsed.id) {
             return self.reject(conn, 409, "a request of this id is open", commands);
         }
         if self.requests.len() >= self.bounds.most_held
-            || self.prompt_bytes > self.max_prompt_bytes()
+            || self.requests.prompt_bytes() > self.limits.max_prompt_bytes()
         {
             return self.respond(now, conn, 503, "", "too much in hand\n", commands);
         }
+        self.open_request(now, conn, request, parsed);
+    }
+
+    /// Takes a request in hand and gives it to the decision module.
+    fn open_request(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        request: CompleteRequest,
+        parsed: ParsedRequest,
+    ) {
         self.counts.arrived += 1;
-        self.prompt_bytes += body.len();
-        let mut request = ask.ask;
-        let mut deadline = received_at.after(request.time_left_s);
-        if let Some(end) = self.answer_deadline {
+        let mut arrival = parsed.ask;
+        let mut deadline = request.received_at.after(arrival.time_left_s);
+        if let Some(end) = self.shutdown.answer_deadline() {
             deadline = deadline.min(end);
         }
-        request.time_left_s = deadline.since(now);
-        request.id = self.requests.put(OpenRequest {
-            forwarded: Some(Rc::new(ForwardedRequest::new(&head, &ask.id, body))),
-            id: ask.id,
+        arrival.time_left_s = deadline.since(now);
+        let forwarded = ForwardedRequest::new(&request.head, &parsed.id, request.body);
+        arrival.id = self.requests.put(OpenRequest {
+            forwarded: Some(Rc::new(forwarded)),
+            id: parsed.id,
             client: Some(conn),
             deadline,
             attempts: 0,
@@ -116,8 +123,8 @@
             streaming_since: None,
             answered: false,
         });
-        self.by_client.insert(conn, request.id);
-        self.events.push_back(Event::Arrival(request));
+        self.clients.begin_request(conn, arrival.id);
+        self.events.push_back(Event::Arrival(arrival));
     }
 
     /// Answers with a short text; the connection goes on as the client wishes.
@@ -133,14 +140,14 @@
         let Some(client) = self.clients.get_mut(conn) else {
             return;
         };
-        let keep_alive = client.serves_on(self.not_accepting);
+        let keep_alive = client.serves_on(!self.shutdown.is_accepting());
         let bytes = plain_response(status, more, keep_alive, text);
         self.write_client(now, conn, bytes, commands);
         self.client_free(now, conn, commands);
     }
 
     /// An error for a client whose connection cannot be used any further.
-    pub(crate) fn reject(
+    pub(super) fn reject(
         &mut self,
         conn: ConnId,
         status: u16,
@@ -163,16 +170,13 @@
         commands: &mut Vec<Command>,
     ) {
         if let Some(client) = self.clients.get_mut(conn) {
-            if client.unsent == 0 {
-                client.last_progress_at = now;
-            }
-            client.unsent += bytes.len();
+            client.queued(now, bytes.len());
             commands.push(Command::Write { conn, bytes });
         }
     }
 
     /// The client's connection ends in order.
-    pub(crate) fn finish_client(&mut self, conn: ConnId, commands: &mut Vec<Command>) {
+    pub(super) fn finish_client(&mut self, conn: ConnId, commands: &mut Vec<Command>) {
         self.clients.remove(conn);
         commands.push(Command::Finish { conn });
     }
@@ -182,22 +186,22 @@
         let Some(client) = self.clients.get_mut(conn) else {
             return;
         };
-        if !client.keep_alive {
+        if !client.keeps_alive() {
             return self.finish_client(conn, commands);
         }
         client.answered(now);
-        if std::mem::take(&mut client.paused) {
+        if client.resume() {
             commands.push(Command::Pause {
                 conn,
                 paused: false,
             });
         }
         // What was sent ahead is read now, but not from within this answer.
-        self.pipelined.push(conn);
+        self.clients.queue_pipelined(conn);
     }
 
     /// The module refuses: trying again is harmless.
-    pub(crate) fn refuse(
+    pub(super) fn refuse(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -224,7 +228,7 @@
     }
 
     /// The module fails it, which promises nothing.
-    pub(crate) fn fail(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
+    pub(super) fn fail(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
         if let Some(conn) = self.take_answer(id) {
             self.counts.failed += 1;
             self.respond(now, conn, 504, "", "failed: it may have run\n", commands);
@@ -243,15 +247,15 @@
     fn end_for_client(&mut self, id: RequestId) -> Option<ConnId> {
         let open = self.requests.get_mut(id)?;
         open.answered = true;
-        self.maybe_complete.push(id);
-        let conn = open.client.take()?;
-        self.by_client.remove(&conn);
-        self.backpressured.remove(&conn);
+        let conn = open.client.take();
+        self.requests.mark_maybe_complete(id);
+        let conn = conn?;
+        self.clients.end_request(conn);
         Some(conn)
     }
 
     /// Passes events on; the first ones make the attempt the client's.
-    pub(crate) fn forward_events(
+    pub(super) fn forward_events(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -262,43 +266,44 @@
             return;
         };
         let Some(conn) = open.client else { return };
-        let first = open.streaming_since.replace(now).is_none();
-        let mut bytes = Vec::with_capacity(events.len() + 200);
-        if first {
-            let keep_alive = self
-                .clients
-                .get(conn)
-                .is_some_and(|c| c.serves_on(self.not_accepting));
-            bytes = stream_head(keep_alive);
-            let forwarded = open.forwarded.take();
-            self.prompt_bytes = self
-                .prompt_bytes
-                .saturating_sub(forwarded.map_or(0, |p| p.body_bytes()));
+        let is_first = open.streaming_since.replace(now).is_none();
+        let server = open.in_flight.map(|attempt| attempt.conn);
+        let mut bytes = Vec::with_capacity(events.len() + CHUNK_OVERHEAD);
+        if is_first {
+            let stopping = !self.shutdown.is_accepting();
+            let client = self.clients.get(conn);
+            bytes = stream_head(client.is_some_and(|c| c.serves_on(stopping)));
+            self.requests.drop_prompt(id);
         }
         chunk(events, &mut bytes);
-        let host = open.in_flight.map(|o| o.conn);
         self.write_client(now, conn, bytes, commands);
-        let Some(client) = self.clients.get(conn) else {
-            return;
-        };
-        // A client that reads slowly holds up its own stream alone; one whose end has come holds up nothing, and its
-        // connection may serve another request.
-        let streams = |host: &ConnId| {
-            self.pool
-                .get(*host)
-                .is_some_and(|l| l.usage != ConnectionUse::Idle)
-        };
-        if let Some(host) = host.filter(|_| client.unsent > MAX_UNSENT).filter(streams) {
-            self.backpressured.insert(conn, host);
+        if let Some(server) = server {
+            self.apply_backpressure(conn, server, commands);
+        }
+    }
+
+    /// A client that reads slowly holds up its own stream alone. One whose stream has ended holds up nothing, as the
+    /// server connection may serve another request.
+    fn apply_backpressure(&mut self, conn: ConnId, server: ConnId, commands: &mut Vec<Command>) {
+        let is_slow = self
+            .clients
+            .get(conn)
+            .is_some_and(|client| client.unsent() > MAX_UNSENT);
+        let is_streaming = self
+            .pool
+            .get(server)
+            .is_some_and(|connection| connection.usage != ConnectionUse::Idle);
+        if is_slow && is_streaming {
+            self.clients.apply_backpressure(conn, server);
             commands.push(Command::Pause {
-                conn: host,
+                conn: server,
                 paused: true,
             });
         }
     }
 
     /// A whole stream: its end is passed on at once.
-    pub(crate) fn end_stream(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
+    pub(super) fn end_stream(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
         let Some(conn) = self.end_for_client(id) else {
             return;
         };
@@ -308,7 +313,7 @@
     }
 
     /// A stream that broke: the client's connection ends without the last chunk.
-    pub(crate) fn break_stream(&mut self, id: RequestId, commands: &mut Vec<Command>) {
+    pub(super) fn break_stream(&mut self, id: RequestId, commands: &mut Vec<Command>) {
         let Some(conn) = self.end_for_client(id) else {
             return;
         };
@@ -317,7 +322,7 @@
         self.finish_client(conn, commands);
     }
 
-    pub(crate) fn on_client_wrote(
+    pub(super) fn on_client_wrote(
         &mut self,
         now: Micros,
         conn: ConnId,
@@ -327,10 +332,9 @@
         let Some(client) = self.clients.get_mut(conn) else {
             return;
         };
-        client.last_progress_at = now;
-        client.unsent = client.unsent.saturating_sub(count);
-        if client.unsent < MAX_UNSENT / 2 {
-            if let Some(host) = self.backpressured.remove(&conn) {
+        client.written(now, count);
+        if client.unsent() < MAX_UNSENT / 2 {
+            if let Some(host) = self.clients.release_backpressure(conn) {
                 commands.push(Command::Pause {
                     conn: host,
                     paused: false,
@@ -340,28 +344,28 @@
     }
 
     /// The client has closed its connection: it has gone away.
-    pub(crate) fn on_client_ended(
+    pub(super) fn on_client_ended(
         &mut self,
         now: Micros,
         conn: ConnId,
         commands: &mut Vec<Command>,
     ) {
         self.clients.remove(conn);
-        self.backpressured.remove(&conn);
-        let Some(id) = self.by_client.remove(&conn) else {
+        let Some(id) = self.clients.end_request(conn) else {
             return;
         };
         let Some(open) = self.requests.get_mut(id) else {
             return;
         };
         open.client = None;
+        let is_streaming = open.streaming_since.is_some();
         if !std::mem::replace(&mut open.answered, true) {
             self.counts.disconnected += 1;
         }
-        self.maybe_complete.push(id);
+        self.requests.mark_maybe_complete(id);
         self.events
             .push_back(Event::ClientDisconnected { request: id });
-        if open.streaming_since.is_some() {
+        if is_streaming {
             self.cancel_stream(now, id, commands);
         } else {
             self.abandon_unsent_attempt(now, id, commands);
@@ -370,6 +374,6 @@
 
     /// Whether a client has a request open.
     pub fn has_open_request(&self, conn: ConnId) -> bool {
-        self.by_client.contains_key(&conn)
+        self.clients.has_open_request(conn)
     }
 }
--- a/crates/platform/src/attempts.rs
+++ b/crates/platform/src/node/exchanges.rs
@@ -1,23 +1,17 @@
-//! The node's side towards model hosts: attempts, probes and calls that let go, each on a connection of its own
-//! while it lasts; and what becomes of them.
+//! Exchanges with model servers: attempts, health checks and release calls, each on a connection of its own while it
+//! lasts.
 
 use std::net::SocketAddr;
 
 use bitternlatch_core::Micros;
-use bitternlatch_policy::interface::{
-    AttemptEnd, Event, Outcome, RequestId, Role, ServerId, ServerStatus,
-};
+use bitternlatch_policy::interface::{Event, Outcome, ServerId, ServerStatus};
 
-use crate::node::{Node, Timer};
+use super::Node;
 use crate::pool::{ConnectionUse, Placement, ServerConnection};
-use crate::requests::InFlightAttempt;
 use crate::responses::{parse_load_report, BodyProgress, CompleteResponse, ResponseReader};
+use crate::timer::Timer;
 use crate::types::{Command, ConnId};
 
-/// A stream whose host has said nothing for this long has broken, seconds. The platform counts a client left
-/// waiting for 5 s as lost.
-const STREAM_STALL_SECS: f64 = 4.4;
-
 /// Whole milliseconds from one time to a later one; none where it is not later.
 fn milliseconds_left(now: Micros, until: Micros) -> u64 {
     until.0.saturating_sub(now.0) / 1000
@@ -34,11 +28,9 @@
 }
 
 impl Node {
-    // ---- exchanges ----------------------------------------------------------------------------
-
     /// Begins an exchange with a host on a kept connection or a new one. `call` is what a probe or a release says; an
     /// attempt's request is made when it can be written.
-    pub(crate) fn start_exchange(
+    pub(super) fn start_exchange(
         &mut self,
         now: Micros,
         host: (ServerId, SocketAddr),
@@ -129,7 +121,7 @@
     }
 
     /// A connection that was to be used again is of no use: what was to go out on it takes another one.
-    pub(crate) fn on_server_connection_stale(
+    pub(super) fn on_server_connection_stale(
         &mut self,
         now: Micros,
         conn: ConnId,
@@ -163,7 +155,8 @@
             return true;
         };
         let ready = self
-            .endpoints
+            .discovery
+            .endpoints()
             .get(server)
             .is_some_and(|t| t.standing == ServerStatus::Ready);
         ready
@@ -173,7 +166,7 @@
                 .is_some_and(|open| !open.answered)
     }
 
-    pub(crate) fn on_server_connected(
+    pub(super) fn on_server_connected(
         &mut self,
         now: Micros,
         conn: ConnId,
@@ -211,14 +204,14 @@
             .unwrap_or_default()
     }
 
-    pub(crate) fn close_server_connection(&mut self, conn: ConnId, commands: &mut Vec<Command>) {
+    pub(super) fn close_server_connection(&mut self, conn: ConnId, commands: &mut Vec<Command>) {
         if self.pool.remove(conn).is_some() {
             commands.push(Command::Close { conn });
         }
     }
 
     /// A connection that has not come up in time, or an exchange other than an attempt without an answer.
-    pub(crate) fn on_server_timeout(
+    pub(super) fn on_server_timeout(
         &mut self,
         now: Micros,
         conn: ConnId,
@@ -239,7 +232,7 @@
         self.on_exchange_failed(now, usage, outcome, commands);
     }
 
-    pub(crate) fn on_server_ended(
+    pub(super) fn on_server_ended(
         &mut self,
         now: Micros,
         conn: ConnId,
@@ -277,7 +270,7 @@
         }
     }
 
-    pub(crate) fn on_server_bytes(
+    pub(super) fn on_server_bytes(
         &mut self,
         now: Micros,
         conn: ConnId,
@@ -313,6 +306,13 @@
         }
     }
 
+    /// Closes connections to a server that nothing is in flight on.
+    pub(super) fn close_idle_connections(&mut self, server: ServerId, commands: &mut Vec<Command>) {
+        for conn in self.pool.idle_at(server) {
+            self.close_server_connection(conn, commands);
+        }
+    }
+
     fn on_events(
         &mut self,
         now: Micros,
@@ -386,339 +386,4 @@
             }
         }
     }
-
-    // ---- attempts -----------------------------------------------------------------------------
-
-    pub(crate) fn send(
-        &mut self,
-        now: Micros,
-        request: RequestId,
-        server: ServerId,
-        timeout_s: f64,
-        commands: &mut Vec<Command>,
-    ) {
-        let Some(open) = self.requests.get_mut(request) else {
-            return;
-        };
-        let number = open.attempts;
-        open.attempts += 1;
-        let until = if timeout_s > 0.0 {
-            now.after(timeout_s).min(open.deadline)
-        } else {
-            open.deadline
-        };
-        let target = self
-            .endpoints
-            .get(server)
-            .filter(|t| t.standing == ServerStatus::Ready);
-        let sendable = !open.answered && open.in_flight.is_none() && now < open.deadline;
-        let (Some(target), true) = (target, sendable && open.forwarded.is_some()) else {
-            return self.report_not_sent(request, number, server);
-        };
-        let role = self
-            .roles
-            .get(usize::from(target.kind))
-            .copied()
-            .unwrap_or_default();
-        let host = (server, target.endpoint);
-        let usage = ConnectionUse::Attempt {
-            request,
-            number,
-            until,
-        };
-        let Some(conn) = self.start_exchange(now, host, usage, Vec::new(), commands) else {
-            return self.report_not_sent(request, number, server);
-        };
-        self.counts.attempts += 1;
-        if let Some(open) = self.requests.get_mut(request) {
-            open.in_flight = Some(InFlightAttempt {
-                number,
-                server,
-                prefill: role == Role::Prefill,
-                conn,
-                sent: now,
-            });
-        }
-        self.timers
-            .set(until, Timer::AttemptTimeout { request, number });
-    }
-
-    fn report_not_sent(&mut self, request: RequestId, attempt: u16, server: ServerId) {
-        let finished = self.requests.get(request).is_none_or(|o| o.answered);
-        self.events.push_back(Event::AttemptEnded(AttemptEnd {
-            request,
-            attempt,
-            server,
-            outcome: Outcome::NotSent,
-            elapsed_s: 0.0,
-            finished,
-            prefix_hit_tokens: 0.0,
-            report: Vec::new(),
-        }));
-    }
-
-    /// The one place where an attempt ends: the module is told.
-    fn finish_attempt(
-        &mut self,
-        now: Micros,
-        request: RequestId,
-        outcome: Outcome,
-        hit: f64,
-        report: Vec<f64>,
-    ) {
-        let Some(open) = self.requests.get_mut(request) else {
-            return;
-        };
-        let Some(was) = open.in_flight.take() else {
-            return;
-        };
-        if matches!(
-            outcome,
-            Outcome::Cancelled | Outcome::TimedOut | Outcome::Reset
-        ) {
-            open.aborted_at = Some(now);
-        }
-        self.maybe_complete.push(request);
-        self.events.push_back(Event::AttemptEnded(AttemptEnd {
-            request,
-            attempt: was.number,
-            server: was.server,
-            outcome,
-            elapsed_s: now.since(was.sent),
-            finished: open.answered,
-            prefix_hit_tokens: hit,
-            report,
-        }));
-    }
-
-    fn on_attempt_response(
-        &mut self,
-        now: Micros,
-        request: RequestId,
-        complete: &CompleteResponse,
-        report: Vec<f64>,
-        commands: &mut Vec<Command>,
-    ) {
-        let Some(open) = self.requests.get(request) else {
-            return;
-        };
-        let streaming = open.streaming_since.is_some();
-        let prefill = open.in_flight.is_some_and(|o| o.prefill);
-        let outcome = match complete.status {
-            200 if streaming => Outcome::Served,
-            // A stream without an event gives the client nothing.
-            200 => Outcome::Error,
-            202 if prefill => Outcome::PrefillDone,
-            503 | 504 if complete.declined => Outcome::Rejected {
-                state_missing: false,
-            },
-            410 if complete.declined => Outcome::Rejected {
-                state_missing: true,
-            },
-            _ => Outcome::Error,
-        };
-        if outcome == Outcome::Served {
-            self.end_stream(now, request, commands);
-        }
-        self.finish_attempt(now, request, outcome, complete.cached_tokens, report);
-    }
-
-    fn fail_attempt(
-        &mut self,
-        now: Micros,
-        request: RequestId,
-        outcome: Outcome,
-        commands: &mut Vec<Command>,
-    ) {
-        if self
-            .requests
-            .get(request)
-            .is_some_and(|o| o.streaming_since.is_some())
-        {
-            self.break_stream(request, commands);
-        }
-        self.finish_attempt(now, request, outcome, 0.0, Vec::new());
-    }
-
-    /// Gives an attempt up by closing its connection.
-    fn abandon_attempt(
-        &mut self,
-        now: Micros,
-        request: RequestId,
-        outcome: Outcome,
-        commands: &mut Vec<Command>,
-    ) {
-        let Some(was) = self.requests.get(request).and_then(|o| o.in_flight) else {
-            return;
-        };
-        let unsent = self.pool.get(was.conn).is_some_and(|l| !l.written());
-        self.close_server_connection(was.conn, commands);
-        // What never had its last byte written never ran, whoever gave it up.
-        let outcome = if unsent {
-            Outcome::ConnectFailed
-        } else {
-            outcome
-        };
-        self.fail_attempt(now, request, outcome, commands);
-    }
-
-    /// Ends an attempt that has not begun, as its request's last byte has not gone out. That calls nothing back from a
-    /// host, so that it needs no leave to cancel.
-    pub(crate) fn abandon_unsent_attempt(
-        &mut self,
-        now: Micros,
-        request: RequestId,
-        commands: &mut Vec<Command>,
-    ) {
-        let conn = self
-            .requests
-            .get(request)
-            .and_then(|o| o.in_flight)
-            .map(|o| o.conn);
-        if conn
-            .and_then(|c| self.pool.get(c))
-            .is_some_and(|l| !l.written())
-        {
-            self.abandon_attempt(now, request, Outcome::ConnectFailed, commands);
-        }
-    }
-
-    pub(crate) fn cancel(
-        &mut self,
-        now: Micros,
-        request: RequestId,
-        attempt: u16,
-        commands: &mut Vec<Command>,
-    ) {
-        let Some(open) = self.requests.get(request) else {
-            return;
-        };
-        if open.streaming_since.is_none() && open.in_flight.is_some_and(|o| o.number == attempt) {
-            self.abandon_attempt(now, request, Outcome::Cancelled, commands);
-        }
-    }
-
-    pub(crate) fn on_time_up(
-        &mut self,
-        now: Micros,
-        request: RequestId,
-        number: u16,
-        commands: &mut Vec<Command>,
-    ) {
-        let Some(open) = self.requests.get(request) else {
-            return;
-        };
-        if open.streaming_since.is_none() && open.in_flight.is_some_and(|o| o.number == number) {
-            self.abandon_attempt(now, request, Outcome::TimedOut, commands);
-        }
-    }
-
-    /// Nobody reads this stream any more.
-    pub(crate) fn cancel_stream(
-        &mut self,
-        now: Micros,
-        request: RequestId,
-        commands: &mut Vec<Command>,
-    ) {
-        if let Some(was) = self.requests.get(request).and_then(|o| o.in_flight) {
-            self.close_server_connection(was.conn, commands);
-            self.finish_attempt(now, request, Outcome::Cancelled, 0.0, Vec::new());
-        }
-    }
-
-    /// Ends all running streams, for their clients to ask for the rest elsewhere.
-    pub(crate) fn end_streams(&mut self, now: Micros, commands: &mut Vec<Command>) {
-        let running = self
-            .requests
-            .iter()
-            .filter(|(_, open)| open.streaming_since.is_some() && !open.answered);
-        let running: Vec<RequestId> = running.map(|(id, _)| id).collect();
-        for id in running {
-            self.break_stream(id, commands);
-            self.cancel_stream(now, id, commands);
-        }
-    }
-
-    /// Streams whose hosts have gone silent are ended, so that their clients can ask for the rest.
-    pub(crate) fn break_stalled_streams(&mut self, now: Micros, commands: &mut Vec<Command>) {
-        let backpressured =
-            |conn: Option<ConnId>| conn.is_some_and(|c| self.backpressured.contains_key(&c));
-        let stalled = self.requests.iter().filter(|(_, open)| {
-            open.streaming_since
-                .is_some_and(|at| now.since(at) >= STREAM_STALL_SECS)
-                && !backpressured(open.client)
-        });
-        let stalled: Vec<RequestId> = stalled.map(|(id, _)| id).collect();
-        for id in stalled {
-            if let Some(was) = self.requests.get(id).and_then(|o| o.in_flight) {
-                self.close_server_connection(was.conn, commands);
-                self.fail_attempt(now, id, Outcome::TimedOut, commands);
-            }
-        }
-    }
-
-    /// Lets go of requests that have their answer and nothing out.
-    pub(crate) fn remove_complete_requests(&mut self, now: Micros, commands: &mut Vec<Command>) {
-        self.call_waiting_releases(now, commands);
-        let done = std::mem::take(&mut self.maybe_complete);
-        for id in done {
-            let Some(open) = self.requests.get(id) else {
-                continue;
-            };
-            if !open.answered || open.in_flight.is_some() {
-                continue;
-            }
-            let Some(open) = self.requests.remove(id) else {
-                continue;
-            };
-            let bytes = open.forwarded.as_ref().map_or(0, |p| p.body_bytes());
-            self.prompt_bytes = self.prompt_bytes.saturating_sub(bytes);
-        }
-    }
-
-    // ---- probes ----------------------------------------------------------------
-
-    pub(crate) fn start_health_check(
-        &mut self,
-        now: Micros,
-        server: ServerId,
-        commands: &mut Vec<Command>,
-    ) {
-        let Some(to) = self.endpoints.get(server).map(|t| (server, t.endpoint)) else {
-            return self.finish_health_check(now, server, Outcome::ConnectFailed, Vec::new());
-        };
-        let call = b"GET /status/load HTTP/1.1\r\nHost: origin.svc\r\n\r\n".to_vec();
-        if self
-            .start_exchange(
-                now,
-                to,
-                ConnectionUse::HealthCheck { server },
-                call,
-                commands,
-            )
-            .is_none()
-        {
-            return self.finish_health_check(now, server, Outcome::NotSent, Vec::new());
-        }
-        self.health_checks.insert(server, now);
-    }
-
-    fn finish_health_check(
-        &mut self,
-        now: Micros,
-        server: ServerId,
-        outcome: Outcome,
-        report: Vec<f64>,
-    ) {
-        let elapsed_s = self
-            .health_checks
-            .remove(&server)
-            .map_or(0.0, |sent| now.since(sent));
-        self.events.push_back(Event::ProbeEnded {
-            server,
-            outcome,
-            elapsed_s,
-            report,
-        });
-    }
 }
--- /dev/null
+++ b/crates/platform/src/node/health_check_calls.rs
@@ -0,0 +1,57 @@
+//! Health checks of model servers, as the decision module asks for them.
+
+use bitternlatch_core::Micros;
+use bitternlatch_policy::interface::{Event, Outcome, ServerId};
+
+use super::Node;
+use crate::health_checks::HEALTH_CHECK;
+use crate::pool::ConnectionUse;
+use crate::types::Command;
+
+impl Node {
+    pub(super) fn start_health_check(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(to) = self
+            .discovery
+            .endpoints()
+            .get(server)
+            .map(|t| (server, t.endpoint))
+        else {
+            return self.finish_health_check(now, server, Outcome::ConnectFailed, Vec::new());
+        };
+        let call = HEALTH_CHECK.to_vec();
+        if self
+            .start_exchange(
+                now,
+                to,
+                ConnectionUse::HealthCheck { server },
+                call,
+                commands,
+            )
+            .is_none()
+        {
+            return self.finish_health_check(now, server, Outcome::NotSent, Vec::new());
+        }
+        self.health_checks.begin(now, server);
+    }
+
+    pub(super) fn finish_health_check(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        outcome: Outcome,
+        report: Vec<f64>,
+    ) {
+        let elapsed_s = self.health_checks.finish(now, server);
+        self.events.push_back(Event::ProbeEnded {
+            server,
+            outcome,
+            elapsed_s,
+            report,
+        });
+    }
+}
--- /dev/null
+++ b/crates/platform/src/node/mod.rs
@@ -0,0 +1,407 @@
+//! The node: it gives what happens on its connections to the decision module and performs the module's actions.
+//!
+//! Whether, where and when to send, refuse, check or cancel is decided by the module alone. Each part of the state has
+//! one owner, a field of [`Node`]; the modules below pass inputs and actions on to these parts.
+
+mod attempts;
+mod client_requests;
+mod discovery_updates;
+mod eviction;
+mod exchanges;
+mod health_check_calls;
+mod release_calls;
+mod streams;
+
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+
+use bitternlatch_core::{Micros, Timers, Traced};
+use bitternlatch_policy::interface::{Action, Event, ListForm, Role};
+use bitternlatch_routing_settings::{Bounds, Names};
+
+use crate::access_log::AccessLog;
+use crate::clients::Clients;
+use crate::config::Config;
+use crate::counts::{CountsLog, RequestCounts, ResourceUsage};
+use crate::decisions::Decisions;
+use crate::discovery_client::DiscoveryClient;
+use crate::discovery_watch::DiscoveryWatch;
+use crate::health_checks::HealthChecks;
+use crate::peers::Peers;
+use crate::pool::{ConnectionPool, ServerConnection};
+use crate::releases::Releases;
+use crate::requests::Requests;
+use crate::resource_limits::{ConnectionLimits, Limits};
+use crate::shutdown::{Shutdown, ShutdownSchedule};
+use crate::timer::Timer;
+use crate::types::{Command, ConnId, Input, Level};
+
+/// Connections and streams are looked over this often, seconds.
+const SWEEP_SECS: f64 = 0.2;
+fn log(commands: &mut Vec<Command>, level: Level, text: String) {
+    commands.push(Command::Log { level, text });
+}
+
+/// One dispatcher on the platform.
+pub struct Node {
+    decisions: Decisions,
+    discovery: DiscoveryClient,
+    clients: Clients,
+    requests: Requests,
+    /// Connections to model servers.
+    pool: ConnectionPool,
+    health_checks: HealthChecks,
+    releases: Releases,
+    peers: Peers,
+    shutdown: Shutdown,
+    timers: Timers<Timer>,
+    /// What the decision module has not been given yet.
+    events: VecDeque<Event>,
+    counts: RequestCounts,
+    counts_log: CountsLog,
+    last_conn: u64,
+    names: Names,
+    bounds: Bounds,
+    limits: Limits,
+    /// Roles of model servers, by the numbers of their kinds.
+    roles: Vec<Role>,
+}
+
+impl Node {
+    /// A node with nothing in hand; the configuration's list counts until discovery speaks.
+    pub fn new(now: Micros, config: Config, commands: &mut Vec<Command>) -> Node {
+        Node::begin(now, config, false, commands)
+    }
+
+    /// The same, keeping every event that the module is told with its answer, to be held against what passes on the
+    /// sockets; [`Node::take_trace`] has to be called now and then.
+    pub fn traced(now: Micros, config: Config, commands: &mut Vec<Command>) -> Node {
+        Node::begin(now, config, true, commands)
+    }
+
+    fn begin(now: Micros, config: Config, traced: bool, commands: &mut Vec<Command>) -> Node {
+        let connections = ConnectionLimits::of(&config.limits);
+        let deadlines = config.settings.classes.iter().map(|c| c.deadline_s);
+        let schedule = ShutdownSchedule::new(deadlines.fold(0.0, f64::max), config.bounds.resumes);
+        let (me, peers_allowed) = (config.bounds.me, config.bounds.peers);
+        let watch = DiscoveryWatch::new(config.seed, &config.name);
+        let mut node = Node {
+            roles: config.settings.kinds.iter().map(|k| k.role).collect(),
+            decisions: Decisions::new(config.settings, config.seed, traced),
+            discovery: DiscoveryClient::new(config.discovery, watch),
+            clients: Clients::new(connections.clients),
+            requests: Requests::default(),
+            pool: ConnectionPool::new(connections.servers, config.bounds.idle_s),
+            health_checks: HealthChecks::default(),
+            releases: Releases::default(),
+            peers: Peers::new(config.peers, config.peers_all, me, peers_allowed),
+            shutdown: Shutdown::new(schedule),
+            timers: Timers::default(),
+            events: VecDeque::new(),
+            counts: RequestCounts::default(),
+            counts_log: CountsLog::new(now),
+            last_conn: 0,
+            names: config.names,
+            bounds: config.bounds,
+            limits: config.limits,
+        };
+        if let Some(known) = config.known {
+            let entries = node.discovery.load(now, known);
+            node.events.push_back(Event::Servers {
+                form: ListForm::Cached,
+                entries,
+            });
+        }
+        node.timers.set(now, Timer::DiscoveryWatch);
+        node.timers.set(now.after(SWEEP_SECS), Timer::Sweep);
+        node.settle(now, commands);
+        node
+    }
+
+    /// From now on, each request that is refused, failed, tried again or late leaves a line that says why.
+    pub fn enable_access_log(&mut self, access_log: AccessLog) {
+        self.decisions.enable_access_log(access_log);
+    }
+
+    /// What was kept since the last call.
+    pub fn take_trace(&mut self) -> Vec<Traced> {
+        self.decisions.take_trace()
+    }
+
+    /// An id for a connection that a client opens.
+    pub fn next_conn(&mut self) -> ConnId {
+        self.last_conn += 1;
+        ConnId(self.last_conn)
+    }
+
+    /// When [`Input::Tick`] is due.
+    pub fn next_due(&self) -> Option<Micros> {
+        self.timers.next()
+    }
+
+    /// The list is known, from wherever it came.
+    pub fn ready(&self) -> bool {
+        self.discovery.is_known() && !self.shutdown.is_requested()
+    }
+
+    /// What the tables hold at present.
+    pub fn resource_usage(&self) -> ResourceUsage {
+        ResourceUsage {
+            requests: self.requests.len(),
+            clients: self.clients.len(),
+            server_connections: self.pool.len(),
+            servers: self.discovery.endpoints().iter().count(),
+            releases: self.releases.len(),
+            timers: self.timers.len(),
+            unfinished_bytes: self.clients.unfinished_bytes(),
+        }
+    }
+
+    pub fn counts(&self) -> RequestCounts {
+        self.counts
+    }
+
+    /// Takes one input at clock time `now` and appends what is to be done, in order. Timers act on [`Input::Tick`] alone:
+    /// what the system has told by a time is a fact, and a timer that is due by then decides on all of it. It must not
+    /// begin an attempt for a client that has gone, take for unsent what has left, or for silent a host that has answered.
+    pub fn step(&mut self, now: Micros, input: Input, commands: &mut Vec<Command>) {
+        match input {
+            Input::Accepted { conn } => self.on_accepted(now, conn, commands),
+            Input::Connected { conn } => self.on_connected(now, conn, commands),
+            Input::Received { conn, bytes } => self.on_received(now, conn, bytes, commands),
+            Input::Wrote { conn, count } => self.on_wrote(now, conn, count, commands),
+            Input::Ended { conn } => self.on_ended(now, conn, commands),
+            Input::Stale { conn } => self.on_server_connection_stale(now, conn, commands),
+            Input::Datagram { from, data } => self.on_datagram(from, data),
+            Input::Tick => self.run_due_timers(now, commands),
+            Input::Stop => self.stop(now, commands),
+            Input::NotListening => self.stop_accepting(commands),
+        }
+        self.settle(now, commands);
+    }
+
+    /// A new configuration: a new address of discovery is called at once; list and requests are kept.
+    pub fn reload(&mut self, now: Micros, config: Config, commands: &mut Vec<Command>) {
+        self.peers.replace(config.peers, config.peers_all);
+        if self.discovery.move_to(now, config.discovery, commands) {
+            self.drive_watch(now, commands);
+        }
+        self.settle(now, commands);
+    }
+
+    fn run_due_timers(&mut self, now: Micros, commands: &mut Vec<Command>) {
+        if self.timers.next().is_none_or(|at| at > now) {
+            return;
+        }
+        for due in self.timers.take_due(now) {
+            match due {
+                Timer::Router { label } => self.events.push_back(Event::Timer { label }),
+                Timer::AttemptTimeout { request, number } => {
+                    self.on_time_up(now, request, number, commands)
+                }
+                Timer::ServerConnection { conn, since } => {
+                    self.on_server_timeout(now, conn, since, commands)
+                }
+                Timer::Release { id } => self.hedge_release(now, id, commands),
+                Timer::Sweep => self.sweep(now, commands),
+                Timer::DiscoveryWatch => self.drive_watch(now, commands),
+                Timer::StopAccepting => commands.push(Command::StopListening),
+                Timer::StreamsEnd => self.end_streams(now, commands),
+                // What is left is looked at below.
+                Timer::ReleasesEnd => {}
+            }
+            self.settle(now, commands);
+        }
+    }
+
+    /// Gives the decision module what has happened and performs its actions, until nothing is left.
+    fn settle(&mut self, now: Micros, commands: &mut Vec<Command>) {
+        while !self.events.is_empty() || self.clients.has_pipelined() {
+            self.decide_all(now, commands);
+            for conn in self.clients.take_pipelined() {
+                self.read_requests(now, conn, commands);
+                self.finish_if_not_accepting(conn, commands);
+            }
+        }
+        self.call_waiting_releases(now, commands);
+        self.requests.remove_complete();
+        self.finish_shutdown(now, commands);
+    }
+
+    fn decide_all(&mut self, now: Micros, commands: &mut Vec<Command>) {
+        let mut actions = Vec::new();
+        while let Some(event) = self.events.pop_front() {
+            let requests = &self.requests;
+            let id = |request| {
+                let open = requests.get(request);
+                open.map_or_else(String::new, |open| open.id.clone())
+            };
+            for text in self.decisions.decide(now, event, id, &mut actions) {
+                commands.push(Command::AccessLog { text });
+            }
+            for action in actions.drain(..) {
+                self.perform(now, action, commands);
+            }
+        }
+    }
+
+    /// Ends a stop once nothing is in hand. Releases that no server confirms are waited for as long as a stop may take.
+    fn finish_shutdown(&mut self, now: Micros, commands: &mut Vec<Command>) {
+        let is_released = self.releases.is_empty() || self.shutdown.gives_up_releases(now);
+        let is_idle = self.clients.is_empty() && self.requests.is_empty() && is_released;
+        if self.shutdown.finish(is_idle) {
+            commands.push(Command::Stopped);
+        }
+    }
+
+    fn perform(&mut self, now: Micros, action: Action, commands: &mut Vec<Command>) {
+        match action {
+            Action::Send {
+                request,
+                server,
+                timeout_s,
+            } => self.send(now, request, server, timeout_s, commands),
+            Action::Cancel { request, attempt } => self.cancel(now, request, attempt, commands),
+            Action::Reject {
+                request,
+                retry_after_s,
+            } => self.refuse(now, request, retry_after_s, commands),
+            Action::Fail { request } => self.fail(now, request, commands),
+            Action::Release { request } => self.release(now, request, commands),
+            Action::Probe { server } => self.start_health_check(now, server, commands),
+            Action::SetTimer { at, label } => {
+                self.timers.set(Micros::at(at), Timer::Router { label })
+            }
+            // The watch is always open; the whole list comes with it after a gap.
+            Action::Subscribe | Action::Unsubscribe | Action::FetchList => {}
+            Action::ReserveSlot { .. } | Action::Migrate { .. } => {
+                log(
+                    commands,
+                    Level::Warn,
+                    "the module asked for what the platform has no call for".into(),
+                );
+            }
+            Action::CloseIdle { server } => self.close_idle_connections(server, commands),
+            Action::SendToPeer { peer, data } => self.send_to_peer(peer, data, commands),
+            Action::Log { text } => log(commands, Level::Info, text),
+            Action::Fault { text } => {
+                log(commands, Level::Warn, format!("the module failed: {text}"))
+            }
+        }
+    }
+
+    fn send_to_peer(&self, peer: Option<u16>, data: Vec<u8>, commands: &mut Vec<Command>) {
+        if let Some(to) = self.peers.destination(peer, data.len()) {
+            commands.push(Command::Datagram { to, data });
+        }
+    }
+
+    fn on_datagram(&mut self, from: SocketAddr, data: &[u8]) {
+        if let Some(number) = self.peers.sender(from, data.len()) {
+            self.events.push_back(Event::PeerMessage {
+                from: number as u32,
+                data: data.to_vec(),
+            });
+        }
+    }
+
+    fn on_connected(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
+        if self.discovery.owns(conn) {
+            let bytes = self.discovery.request();
+            return commands.push(Command::Write { conn, bytes });
+        }
+        self.on_server_connected(now, conn, commands);
+    }
+
+    fn on_received(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        bytes: &[u8],
+        commands: &mut Vec<Command>,
+    ) {
+        if self.discovery.owns(conn) {
+            self.on_discovery(now, bytes, commands);
+        } else if self.pool.get(conn).is_some() {
+            self.on_server_bytes(now, conn, bytes, commands);
+        } else {
+            self.on_client_bytes(now, conn, bytes, commands);
+        }
+    }
+
+    fn on_wrote(&mut self, now: Micros, conn: ConnId, count: usize, commands: &mut Vec<Command>) {
+        if let Some(connection) = self.pool.get_mut(conn) {
+            connection.unsent = connection.unsent.saturating_sub(count);
+        } else {
+            self.on_client_wrote(now, conn, count, commands);
+        }
+    }
+
+    fn on_ended(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
+        if self.discovery.owns(conn) {
+            self.on_watch_ended(now, commands);
+        } else if self.pool.get(conn).is_some() {
+            self.on_server_ended(now, conn, commands);
+        } else {
+            self.on_client_ended(now, conn, commands);
+        }
+    }
+
+    fn sweep(&mut self, now: Micros, commands: &mut Vec<Command>) {
+        for conn in self.clients.overdue(now) {
+            self.reject(conn, 408, "no whole request in time", commands);
+        }
+        for conn in self.clients.stuck(now) {
+            commands.push(Command::Close { conn });
+            self.on_client_ended(now, conn, commands);
+        }
+        let endpoints = self.discovery.endpoints();
+        let is_listed = |connection: &ServerConnection| {
+            let endpoint = endpoints.get(connection.server);
+            endpoint.is_some_and(|e| e.endpoint == connection.to)
+        };
+        for conn in self.pool.stale(now, is_listed) {
+            self.close_server_connection(conn, commands);
+        }
+        self.break_stalled_streams(now, commands);
+        if let Some(line) = self.counts_log.line(now, self.counts) {
+            log(commands, Level::Info, line);
+        }
+        self.timers.set(now.after(SWEEP_SECS), Timer::Sweep);
+    }
+
+    fn stop(&mut self, now: Micros, commands: &mut Vec<Command>) {
+        let Some(times) = self.shutdown.begin(now) else {
+            return;
+        };
+        let requests = self.requests.len();
+        log(
+            commands,
+            Level::Info,
+            format!("stopping with {requests} requests in hand"),
+        );
+        self.timers.set(times.releases_end, Timer::ReleasesEnd);
+        self.timers.set(times.stop_accepting, Timer::StopAccepting);
+        if let Some(streams_end) = times.streams_end {
+            self.timers.set(streams_end, Timer::StreamsEnd);
+        }
+    }
+
+    /// Takes nothing new from here on: idle clients go elsewhere; those with a request open are told with its answer.
+    fn stop_accepting(&mut self, commands: &mut Vec<Command>) {
+        self.shutdown.stop_accepting();
+        for conn in self.clients.idle() {
+            self.finish_client(conn, commands);
+        }
+    }
+
+    /// A client just answered while stopping goes elsewhere, unless a whole request of its that was sent ahead has been
+    /// read: that one has to have its answer as well.
+    fn finish_if_not_accepting(&mut self, conn: ConnId, commands: &mut Vec<Command>) {
+        if !self.shutdown.is_accepting()
+            && self.clients.get(conn).is_some_and(|client| !client.busy())
+        {
+            self.finish_client(conn, commands);
+        }
+    }
+}
--- a/crates/platform/src/requests.rs
+++ b/crates/platform/src/requests.rs
@@ -1,5 +1,6 @@
 //! A client's request as the platform writes it, and what is held for it while it is open.
 
+use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use bitternlatch_core::Micros;
@@ -21,8 +22,22 @@
 /// Most tokens that a length may name.
 const MAX_TOKENS: f64 = 1e7;
 
-/// A request that cannot be taken: the status and why.
-pub type Rejection = (u16, &'static str);
+/// Why a request cannot be taken.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Rejection {
+    /// HTTP status of the response.
+    pub status: u16,
+    /// Text of the response.
+    pub reason: &'static str,
+}
+
+/// A rejection of a request that is not well formed.
+fn bad_request(reason: &'static str) -> Rejection {
+    Rejection {
+        status: 400,
+        reason,
+    }
+}
 
 /// What a request's head says of it.
 #[derive(Clone, Debug, PartialEq)]
@@ -43,26 +58,32 @@
     names: &Names,
 ) -> Result<ParsedRequest, Rejection> {
     if head.target.split('?').next() != Some(PATH) {
-        return Err((404, "no such path"));
+        return Err(Rejection {
+            status: 404,
+            reason: "no such path",
+        });
     }
     if head.method != "POST" {
-        return Err((405, "ask with POST"));
+        return Err(Rejection {
+            status: 405,
+            reason: "ask with POST",
+        });
     }
-    let id = one(head, "req-id")?.ok_or((400, "Req-Id is missing"))?;
+    let id = one(head, "req-id")?.ok_or(bad_request("Req-Id is missing"))?;
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b'~');
     if id.is_empty() || id.len() > MAX_ID || !id.bytes().all(plain) {
-        return Err((400, "Req-Id cannot be used as an id"));
+        return Err(bad_request("Req-Id cannot be used as an id"));
     }
-    let kind = one(head, "req-kind")?.ok_or((400, "Req-Kind is missing"))?;
+    let kind = one(head, "req-kind")?.ok_or(bad_request("Req-Kind is missing"))?;
     let class = names
         .classes
         .iter()
         .position(|n| n == kind)
-        .ok_or((400, "Req-Kind is not known"))?;
-    let deadline = one(head, "req-deadline-ms")?.ok_or((400, "Req-Deadline-Ms is missing"))?;
+        .ok_or(bad_request("Req-Kind is not known"))?;
+    let deadline =
+        one(head, "req-deadline-ms")?.ok_or(bad_request("Req-Deadline-Ms is missing"))?;
     let left_ms = whole_number(deadline).filter(|ms| *ms <= MAX_DEADLINE_MS);
-    let left_ms = left_ms.ok_or((
-        400,
+    let left_ms = left_ms.ok_or(bad_request(
         "Req-Deadline-Ms is no number of milliseconds up to an hour",
     ))?;
     let mut ask = policy::Request {
@@ -86,7 +107,7 @@
     let first = all.next();
     match all.next() {
         None => Ok(first),
-        Some(_) => Err((400, "a field of the request stands twice")),
+        Some(_) => Err(bad_request("a field of the request stands twice")),
     }
 }
 
@@ -109,13 +130,14 @@
     if names.tenants.is_empty() {
         return Ok(0);
     }
-    let owner = one(head, "req-owner")?.ok_or((400, "Req-Owner is missing"))?;
+    let owner = one(head, "req-owner")?.ok_or(bad_request("Req-Owner is missing"))?;
     let at = names.tenants.iter().position(|n| n == owner);
-    at.map(|i| i as u32).ok_or((400, "Req-Owner is not known"))
+    at.map(|i| i as u32)
+        .ok_or(bad_request("Req-Owner is not known"))
 }
 
 fn read_extras(text: &str, ask: &mut policy::Request) -> Result<(), Rejection> {
-    let unread = (400, "Req-Extra cannot be read");
+    let unread = bad_request("Req-Extra cannot be read");
     for pair in text.split(',').map(str::trim).filter(|p| !p.is_empty()) {
         let (name, value) = pair.split_once('=').ok_or(unread)?;
         let tokens = || match value.trim().parse::<f64>() {
@@ -218,23 +240,48 @@
     pub answered: bool,
 }
 
+impl OpenRequest {
+    /// Bytes of its prompt, while it may still be sent.
+    fn prompt_bytes(&self) -> usize {
+        let forwarded = self.forwarded.as_ref();
+        forwarded.map_or(0, |request| request.body_bytes())
+    }
+
+    /// It has its answer, and nothing is in flight.
+    fn is_complete(&self) -> bool {
+        self.answered && self.in_flight.is_none()
+    }
+}
+
 /// The requests that are open, by the module's ids and by their own.
 #[derive(Debug, Default)]
 pub struct Requests {
-    open: std::collections::BTreeMap<RequestId, OpenRequest>,
-    ids: std::collections::BTreeMap<String, RequestId>,
+    open: BTreeMap<RequestId, OpenRequest>,
+    ids: BTreeMap<String, RequestId>,
     last: RequestId,
+    /// Bytes of their prompts.
+    prompt_bytes: usize,
+    /// Requests that may be complete.
+    maybe_complete: Vec<RequestId>,
 }
 
 impl Requests {
+    /// How many are open.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
+    /// Whether none is open.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
+    /// Bytes of the prompts in hand.
+    pub fn prompt_bytes(&self) -> usize {
+        self.prompt_bytes
+    }
+
+    /// Whether a request of this id of a client's is open.
     pub fn knows(&self, id: &str) -> bool {
         self.ids.contains_key(id)
     }
@@ -245,25 +292,54 @@
         while self.open.contains_key(&self.last) {
             self.last = self.last.wrapping_add(1);
         }
+        self.prompt_bytes += open.prompt_bytes();
         self.ids.insert(open.id.clone(), self.last);
         self.open.insert(self.last, open);
         self.last
     }
 
+    /// The request of the module's id.
     pub fn get(&self, id: RequestId) -> Option<&OpenRequest> {
         self.open.get(&id)
     }
 
+    /// The same, to be changed.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.open.get_mut(&id)
     }
 
-    pub fn remove(&mut self, id: RequestId) -> Option<OpenRequest> {
-        let open = self.open.remove(&id)?;
-        self.ids.remove(&open.id);
-        Some(open)
+    /// Drops the prompt of a request that is sent no further.
+    pub fn drop_prompt(&mut self, id: RequestId) {
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        let bytes = open.prompt_bytes();
+        open.forwarded = None;
+        self.prompt_bytes = self.prompt_bytes.saturating_sub(bytes);
+    }
+
+    /// A request that has had its answer, or the end of an attempt.
+    pub fn mark_maybe_complete(&mut self, id: RequestId) {
+        self.maybe_complete.push(id);
+    }
+
+    /// Removes requests that have their answer and nothing in flight.
+    pub fn remove_complete(&mut self) {
+        for id in std::mem::take(&mut self.maybe_complete) {
+            if self.get(id).is_some_and(OpenRequest::is_complete) {
+                self.remove(id);
+            }
+        }
+    }
+
+    fn remove(&mut self, id: RequestId) {
+        if let Some(open) = self.open.remove(&id) {
+            self.ids.remove(&open.id);
+            self.prompt_bytes = self.prompt_bytes.saturating_sub(open.prompt_bytes());
+        }
     }
 
+    /// All that are open, by the module's ids.
     pub fn iter(&self) -> impl Iterator<Item = (RequestId, &OpenRequest)> {
         self.open.iter().map(|(id, open)| (*id, open))
     }
--- a/crates/platform/src/resource_limits.rs
+++ b/crates/platform/src/resource_limits.rs
@@ -1,16 +1,10 @@
-//! Resource limits: how the process's file descriptors are shared out, and who gives way where none is left.
-
-use bitternlatch_core::Micros;
-
-use crate::config::Limits;
-use crate::node::Node;
-use crate::types::{Command, ConnId};
+//! Resource limits: what the machine gives the process, and how its file descriptors are divided.
 
 /// Descriptors kept back: the process's own, the watch, clients that still have to see their last answer, and spare
 /// ones for what is open for a moment only.
 const RESERVE: usize = 40;
 /// The process's own within the reserve: standard streams, readiness queue, listener, peers, signals.
-pub const OWN_DESCRIPTORS: usize = 10;
+const OWN_DESCRIPTORS: usize = 10;
 /// Clients' part of the rest, the other being model hosts'. The greater part: a request in hand holds a connection of
 /// either kind, so that hosts' run out first, and a newcomer finds a client's place that no request holds. It can
 /// be told that the dispatcher is ready, or that it takes no more.
@@ -19,52 +13,55 @@
 const MIN_CLIENTS: usize = 8;
 const MIN_SERVERS: usize = 4;
 
+/// What the machine gives.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Limits {
+    /// Memory of the process, bytes.
+    pub memory_bytes: usize,
+    /// File descriptors that the process may hold.
+    pub descriptors: usize,
+}
+
+impl Limits {
+    /// As the process finds them before its first connection: the system may allow fewer descriptors than the
+    /// configuration says, and some of those may be taken by what was handed to the process.
+    pub fn within(self, allowed: Option<usize>, held: usize) -> Limits {
+        let free = allowed.map(|a| a.saturating_sub(held.saturating_sub(OWN_DESCRIPTORS)));
+        Limits {
+            descriptors: free.map_or(self.descriptors, |f| f.min(self.descriptors)),
+            ..self
+        }
+    }
+
+    /// Bytes that prompts in hand may take together: a quarter of the memory.
+    pub(crate) fn max_prompt_bytes(&self) -> usize {
+        self.memory_bytes / 4
+    }
+
+    /// The same of requests that are not complete: an eighth, as their buffers may be twice as large as what they
+    /// hold.
+    pub(crate) fn max_unfinished_bytes(&self) -> usize {
+        self.memory_bytes / 8
+    }
+}
+
 /// How many connections there may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
+    /// Of clients.
     pub clients: usize,
-    pub hosts: usize,
+    /// To model servers.
+    pub servers: usize,
 }
 
 impl ConnectionLimits {
+    /// Divides the descriptors that are left after the reserve.
     pub fn of(limits: &Limits) -> ConnectionLimits {
         let usable = limits.descriptors.saturating_sub(RESERVE);
         let clients = (usable * CLIENT_FRACTION.0 / CLIENT_FRACTION.1).max(MIN_CLIENTS);
         ConnectionLimits {
             clients,
-            hosts: usable.saturating_sub(clients).max(MIN_SERVERS),
+            servers: usable.saturating_sub(clients).max(MIN_SERVERS),
         }
     }
 }
-
-impl Node {
-    /// One more client would displace another, where so many hold a place that the node has done with.
-    pub fn client_limit_reached(&self, ending: usize) -> bool {
-        self.clients.len() + ending >= self.max_clients
-    }
-
-    /// The client that gives way first; none where all have a request or an answer in hand.
-    pub fn client_eviction_candidate(&self, now: Micros) -> Option<ConnId> {
-        self.clients.eviction_candidate(now)
-    }
-
-    /// Load shedding for want of descriptors: the client that gives way first is let go, though the table has room.
-    /// False where all have a request or an answer in hand.
-    pub fn evict_client(&mut self, now: Micros, commands: &mut Vec<Command>) -> bool {
-        let Some(conn) = self.clients.eviction_candidate(now) else {
-            return false;
-        };
-        self.clients.remove(conn);
-        commands.push(Command::Close { conn });
-        true
-    }
-
-    /// The same with the connection to a host that has stood idle longest.
-    pub fn evict_idle_connection(&mut self, commands: &mut Vec<Command>) -> bool {
-        let Some(conn) = self.pool.idle_longest() else {
-            return false;
-        };
-        self.close_server_connection(conn, commands);
-        true
-    }
-}
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,4 +1,6 @@
-//! When the steps of a planned stop are taken, counted from the signal that asks for it.
+//! A planned stop: when its steps are taken, counted from the signal, and how far it has come.
+
+use bitternlatch_core::Micros;
 
 /// New connections are taken, and kept ones kept, for this long, seconds: they keep coming, and the next dispatcher may
 /// not be there yet. What comes later than 0.7 s after the signal may not be answered in time.
@@ -37,3 +39,82 @@
         }
     }
 }
+
+/// At a stop, releases that begin with the last answers have this long to be confirmed, seconds: the kill comes 0.3 s
+/// after those.
+const LAST_RELEASES_SECS: f64 = 0.22;
+
+/// When the steps of a stop that has begun are due.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct StopTimes {
+    pub(crate) releases_end: Micros,
+    pub(crate) stop_accepting: Micros,
+    pub(crate) streams_end: Option<Micros>,
+}
+
+/// How far a planned stop has come.
+#[derive(Debug)]
+pub(crate) struct Shutdown {
+    schedule: ShutdownSchedule,
+    /// Set while stopping: until then what still comes must have its answer.
+    answer_deadline: Option<Micros>,
+    accepting: bool,
+    stopped: bool,
+}
+
+impl Shutdown {
+    pub(crate) fn new(schedule: ShutdownSchedule) -> Shutdown {
+        Shutdown {
+            schedule,
+            answer_deadline: None,
+            accepting: true,
+            stopped: false,
+        }
+    }
+
+    /// Begins the stop; `None` where it has begun already.
+    pub(crate) fn begin(&mut self, now: Micros) -> Option<StopTimes> {
+        if self.is_requested() {
+            return None;
+        }
+        let answer_deadline = now.after(self.schedule.answer_by_s);
+        self.answer_deadline = Some(answer_deadline);
+        Some(StopTimes {
+            releases_end: answer_deadline.after(LAST_RELEASES_SECS),
+            stop_accepting: now.after(self.schedule.stop_accepting_s),
+            streams_end: self.schedule.streams_end_s.map(|s| now.after(s)),
+        })
+    }
+
+    pub(crate) fn is_requested(&self) -> bool {
+        self.answer_deadline.is_some()
+    }
+
+    /// While stopping, the time by which a request has its answer.
+    pub(crate) fn answer_deadline(&self) -> Option<Micros> {
+        self.answer_deadline
+    }
+
+    /// Whether new connections and requests are taken.
+    pub(crate) fn is_accepting(&self) -> bool {
+        self.accepting
+    }
+
+    pub(crate) fn stop_accepting(&mut self) {
+        self.accepting = false;
+    }
+
+    /// Whether releases are waited for no longer.
+    pub(crate) fn gives_up_releases(&self, now: Micros) -> bool {
+        self.answer_deadline
+            .is_some_and(|deadline| now >= deadline.after(LAST_RELEASES_SECS))
+    }
+
+    /// True once, when nothing is accepted any more and the node is idle.
+    pub(crate) fn finish(&mut self, is_idle: bool) -> bool {
+        if self.accepting || !is_idle {
+            return false;
+        }
+        !std::mem::replace(&mut self.stopped, true)
+    }
+}
--- a/crates/platform/tests/descriptors.rs
+++ b/crates/platform/tests/descriptors.rs
@@ -2,9 +2,10 @@
 //! newcomer is heard, whatever the clients are that fill the table.
 mod common;
 
-use bitternlatch_platform::config::{Config, Limits};
+use bitternlatch_platform::config::Config;
 use bitternlatch_platform::pool::ConnectionPool;
 use bitternlatch_platform::resource_limits::ConnectionLimits;
+use bitternlatch_platform::resource_limits::Limits;
 use bitternlatch_platform::types::{ConnId, Input};
 use common::*;
 
@@ -32,23 +33,26 @@
 fn all_shares_together_stay_within_what_the_process_may_hold() {
     for descriptors in [48, 49, 64, 128, 256, 300, 1024, 20_000] {
         let shares = ConnectionLimits::of(&limits(descriptors));
-        let all = shares.clients + shares.hosts + OWN + WATCH + FINISHING;
+        let all = shares.clients + shares.servers + OWN + WATCH + FINISHING;
         assert!(all <= descriptors, "{descriptors}: {shares:?} make {all}");
         assert!(
-            shares.clients >= 8 && shares.hosts >= 4,
+            shares.clients >= 8 && shares.servers >= 4,
             "{descriptors}: {shares:?}"
         );
         // A request in hand holds a connection of either kind: some clients' places are left for newcomers.
-        assert!(shares.hosts < shares.clients, "{descriptors}: {shares:?}");
+        assert!(shares.servers < shares.clients, "{descriptors}: {shares:?}");
     }
     // Clients hold a third of the descriptors for requests at the most: there is a place and a host's for each.
     for descriptors in [256, 512, 1024] {
         let shares = ConnectionLimits::of(&limits(descriptors));
-        assert!(shares.hosts >= descriptors / 3, "{descriptors}: {shares:?}");
+        assert!(
+            shares.servers >= descriptors / 3,
+            "{descriptors}: {shares:?}"
+        );
     }
     let few = ConnectionLimits::of(&limits(0));
     assert!(
-        few.clients >= 8 && few.hosts >= 4,
+        few.clients >= 8 && few.servers >= 4,
         "the fewest places are there however few descriptors are"
     );
 }
@@ -149,7 +153,7 @@
                     resource_usage.clients
                 );
                 assert!(
-                    resource_usage.server_connections <= shares.hosts,
+                    resource_usage.server_connections <= shares.servers,
                     "{name}: {} connections to hosts",
                     resource_usage.server_connections
                 );
@@ -210,7 +214,7 @@
             .iter()
             .filter(|c| rig.said(**c).is_empty() && !rig.closed.contains(c))
             .count();
-        let used = shares.hosts - ConnectionPool::reserved(shares.hosts);
+        let used = shares.servers - ConnectionPool::reserved(shares.servers);
         assert_eq!(
             (busy, rig.node.resource_usage().server_connections),
             (used, used),
--- a/crates/platform/tests/held.rs
+++ b/crates/platform/tests/held.rs
@@ -149,11 +149,11 @@
             .find(|i| !order.contains(i))
             .expect("one has no connection");
         let now = START.after(5.0);
-        let (id, _) = releases.begin(now, now, "p7".into());
+        let id = releases.begin(now, now, "p7".into()).id;
         let called: Vec<usize> = std::iter::from_fn(|| releases.next_call(id, now, &fleet, &pool))
             .map(|call| {
                 all.iter()
-                    .position(|host| host.0 == call.0)
+                    .position(|host| host.0 == call.server)
                     .expect("a host of the list")
             })
             .collect();
