--- /dev/null
+++ b/crates/platform/src/access_log/record.rs
@@ -0,0 +1,318 @@
+//! One access-log record: a request from its arrival to its end, and its line.
+
+use std::fmt;
+
+use bitternlatch_policy::interface::{Cause, ChoiceExplanation, Outcome, Request, ServerId};
+
+use super::DecisionReasons;
+
+/// Most attempts named in a line.
+const MAX_ATTEMPTS: usize = 8;
+/// Most changes of the held KV state that a line names.
+const MAX_CHANGES: usize = 8;
+
+/// How a request ended for its client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum FinalResponse {
+    Served,
+    Broken,
+    Disconnected,
+    Refused,
+    Failed,
+}
+
+impl fmt::Display for FinalResponse {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            FinalResponse::Served => "served",
+            FinalResponse::Broken => "broken",
+            FinalResponse::Disconnected => "gone",
+            FinalResponse::Refused => "refused",
+            FinalResponse::Failed => "failed",
+        })
+    }
+}
+
+/// What became of the KV state that a prefill server holds for a request, as the decision module knows it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum KvStateChange {
+    HeldAt(ServerId),
+    MayBeHeldAt(ServerId),
+    Taken,
+    Missing,
+    Released,
+}
+
+impl fmt::Display for KvStateChange {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            KvStateChange::HeldAt(server) => write!(f, "HeldAt({server})"),
+            KvStateChange::MayBeHeldAt(server) => write!(f, "MayBeHeldAt({server})"),
+            KvStateChange::Taken => f.write_str("Taken"),
+            KvStateChange::Missing => f.write_str("Missing"),
+            KvStateChange::Released => f.write_str("Released"),
+        }
+    }
+}
+
+/// A change of the held KV state, and when.
+#[derive(Clone, Copy, Debug)]
+struct KvStateEvent {
+    /// Seconds from the request's arrival.
+    at_s: f64,
+    change: KvStateChange,
+}
+
+/// The end of an attempt.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct AttemptResult {
+    pub(super) outcome: Outcome,
+    pub(super) elapsed_s: f64,
+    /// Prompt tokens found in the prefix cache.
+    pub(super) prefix_hit_tokens: f64,
+}
+
+/// One attempt.
+#[derive(Debug)]
+struct AttemptRecord {
+    server: ServerId,
+    /// Seconds from the request's arrival.
+    at_s: f64,
+    explanation: Option<ChoiceExplanation>,
+    /// `None` while it is in flight.
+    result: Option<AttemptResult>,
+}
+
+impl AttemptRecord {
+    fn has_succeeded(&self) -> bool {
+        let outcome = self.result.map(|result| result.outcome);
+        matches!(outcome, Some(Outcome::Served | Outcome::PrefillDone))
+    }
+}
+
+/// One request from its arrival to its end.
+#[derive(Debug)]
+pub(super) struct RequestRecord {
+    id: String,
+    request: Request,
+    /// Objective of the time to first token, seconds.
+    latency_objective_s: f64,
+    arrived_s: f64,
+    /// The first attempts; `attempts_made` counts all.
+    attempts: Vec<AttemptRecord>,
+    attempts_made: usize,
+    first_token_s: Option<f64>,
+    response: Option<FinalResponse>,
+    /// Why it was refused or failed.
+    ended_by: DecisionReasons,
+    states: Vec<KvStateEvent>,
+}
+
+impl RequestRecord {
+    pub(super) fn new(
+        id: String,
+        request: Request,
+        latency_objective_s: f64,
+        arrived_s: f64,
+    ) -> RequestRecord {
+        RequestRecord {
+            id,
+            request,
+            latency_objective_s,
+            arrived_s,
+            attempts: Vec::new(),
+            attempts_made: 0,
+            first_token_s: None,
+            response: None,
+            ended_by: DecisionReasons::default(),
+            states: Vec::new(),
+        }
+    }
+
+    pub(super) fn begin_attempt(
+        &mut self,
+        server: ServerId,
+        now_s: f64,
+        explanation: Option<ChoiceExplanation>,
+    ) {
+        self.attempts_made += 1;
+        if self.attempts.len() < MAX_ATTEMPTS {
+            self.attempts.push(AttemptRecord {
+                server,
+                at_s: now_s - self.arrived_s,
+                explanation,
+                result: None,
+            });
+        }
+    }
+
+    pub(super) fn end_attempt(&mut self, server: ServerId, now_s: f64, result: AttemptResult) {
+        let in_flight = |a: &&mut AttemptRecord| a.server == server && a.result.is_none();
+        if let Some(attempt) = self.attempts.iter_mut().rev().find(in_flight) {
+            attempt.result = Some(result);
+        }
+        self.note_state_after(server, now_s, result.outcome);
+        if result.outcome == Outcome::Served {
+            self.response.get_or_insert(FinalResponse::Served);
+        } else if self.first_token_s.is_some() {
+            self.response.get_or_insert(FinalResponse::Broken);
+        }
+    }
+
+    fn note_state_after(&mut self, server: ServerId, now_s: f64, outcome: Outcome) {
+        let change = match outcome {
+            Outcome::PrefillDone => KvStateChange::HeldAt(server),
+            Outcome::Rejected {
+                state_missing: true,
+            } => KvStateChange::Missing,
+            Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled if !self.holds_state() => {
+                KvStateChange::MayBeHeldAt(server)
+            }
+            _ => return,
+        };
+        self.change_state(now_s, change);
+    }
+
+    pub(super) fn first_token(&mut self, now_s: f64) {
+        self.first_token_s = Some(now_s - self.arrived_s);
+        self.change_state(now_s, KvStateChange::Taken);
+    }
+
+    pub(super) fn change_state(&mut self, now_s: f64, change: KvStateChange) {
+        if self.states.len() < MAX_CHANGES {
+            let at_s = now_s - self.arrived_s;
+            self.states.push(KvStateEvent { at_s, change });
+        }
+    }
+
+    pub(super) fn disconnect(&mut self) {
+        self.response.get_or_insert(FinalResponse::Disconnected);
+    }
+
+    /// The decision module has ended it.
+    pub(super) fn end(&mut self, response: FinalResponse, reasons: DecisionReasons) {
+        (self.response, self.ended_by) = (Some(response), reasons);
+    }
+
+    /// It has its response, and no attempt is in flight.
+    pub(super) fn is_complete(&self) -> bool {
+        self.response.is_some() && self.attempts.iter().all(|a| a.result.is_some())
+    }
+
+    /// Anything but a request that was served in time by its first attempts.
+    pub(super) fn is_reportable(&self) -> bool {
+        self.response != Some(FinalResponse::Served) || self.was_retried() || self.is_late()
+    }
+
+    fn holds_state(&self) -> bool {
+        let last = self.states.last().map(|event| event.change);
+        matches!(
+            last,
+            Some(KvStateChange::HeldAt(_) | KvStateChange::MayBeHeldAt(_))
+        )
+    }
+
+    fn is_late(&self) -> bool {
+        self.first_token_s
+            .is_some_and(|s| s > self.latency_objective_s)
+    }
+
+    /// An attempt ended in anything but a response or a prefill.
+    fn was_retried(&self) -> bool {
+        let all_succeeded = self.attempts.iter().all(AttemptRecord::has_succeeded);
+        !all_succeeded || self.attempts_made > self.attempts.len()
+    }
+
+    /// The line of a request that ends now.
+    pub(super) fn line(&self, now_s: f64) -> String {
+        let took_s = now_s - self.arrived_s;
+        let head = self.head(took_s);
+        let attempts: String = self.attempts.iter().map(AttemptRecord::to_string).collect();
+        let states: String = self.states.iter().map(KvStateEvent::to_string).collect();
+        format!("{head}{attempts}{states}")
+    }
+
+    fn head(&self, took_s: f64) -> String {
+        let response = self.response.map_or_else(String::new, |r| r.to_string());
+        let late = if self.is_late() { " late" } else { "" };
+        let request = &self.request;
+        let mut head = format!(
+            "{} {response}{late} class {} prompt {} of which shared {} aim {:.3} took {took_s:.3}",
+            self.id,
+            request.class,
+            request.prompt_tokens,
+            request.prefix_tokens,
+            self.latency_objective_s,
+        );
+        if let Some(first) = self.first_token_s {
+            head += &format!(" first token {first:.3}");
+        }
+        if let Some(cause) = self.ended_by.cause {
+            head += &format!(" because {}", cause_text(cause));
+        }
+        if let Some(explanation) = self.ended_by.explanation {
+            head += &format!(" refused at {explanation}");
+        }
+        head
+    }
+}
+
+impl fmt::Display for AttemptRecord {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "; {:.3} to {}", self.at_s, self.server)?;
+        if let Some(explanation) = self.explanation {
+            write!(f, " reckoned {explanation}")?;
+        }
+        let Some(result) = self.result else {
+            return Ok(());
+        };
+        write!(
+            f,
+            " {} after {:.3} found {}",
+            outcome_text(result.outcome),
+            result.elapsed_s,
+            result.prefix_hit_tokens
+        )
+    }
+}
+
+impl fmt::Display for KvStateEvent {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "; {:.3} state {}", self.at_s, self.change)
+    }
+}
+
+/// The outcome's word in a line. Operators search for these words, so that names in the code do not change them.
+fn outcome_text(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Served => "Served",
+        Outcome::PrefillDone => "ReadDone",
+        Outcome::Error => "Error",
+        Outcome::Rejected {
+            state_missing: true,
+        } => "Full { state_gone: true }",
+        Outcome::Rejected {
+            state_missing: false,
+        } => "Full { state_gone: false }",
+        Outcome::TimedOut => "TimedOut",
+        Outcome::ConnectFailed => "ConnectFailed",
+        Outcome::Reset => "Reset",
+        Outcome::Cancelled => "Cancelled",
+        Outcome::NotSent => "NotSent",
+    }
+}
+
+/// The cause's word in a line.
+fn cause_text(cause: Cause) -> &'static str {
+    match cause {
+        Cause::NoPrefillServer => "NoPrefillServer",
+        Cause::NoDecodeServer => "NoDecodeServer",
+        Cause::ExpectedLate => "ExpectedLate",
+        Cause::NoRetryLeft => "NoRetryLeft",
+        Cause::MayHaveRun => "MayHaveRun",
+        Cause::StateExpired => "StateExpired",
+        Cause::Deadline => "Deadline",
+        Cause::NotSent => "NotSent",
+        Cause::Forbidden => "Forbidden",
+    }
+}
--- a/crates/platform/src/decisions.rs
+++ b/crates/platform/src/decisions.rs
@@ -76,7 +76,7 @@
         };
         let (choice, failure) = (self.router.last_choice(), self.router.last_failure());
         let reasons = |request| DecisionReasons {
-            reckoned: (request == choice.request).then_some(choice.explanation),
+            explanation: (request == choice.request).then_some(choice.explanation),
             cause: failure.filter(|f| f.request == request).map(|f| f.cause),
         };
         access_log.record(&traced, request_id, reasons)
