--- a/crates/platform-net/src/lingering.rs
+++ b/crates/platform-net/src/lingering.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bitternlatch_core::Micros;
-use bitternlatch_platform::clients::SLOW_CLIENT_SECS;
+use bitternlatch_platform::client::SLOW_CLIENT_SECS;
 use bitternlatch_platform::types::ConnId;
 use mio::Events;
 
--- a/crates/platform-net/src/socket.rs
+++ b/crates/platform-net/src/socket.rs
@@ -4,7 +4,7 @@
 use std::net::Shutdown;
 
 use bitternlatch_core::Micros;
-use bitternlatch_platform::clients::CLIENT_STALL_SECS;
+use bitternlatch_platform::client::CLIENT_STALL_SECS;
 use mio::event::Event;
 use mio::net::TcpStream;
 
--- a/crates/platform/src/discovery_watch.rs
+++ b/crates/platform/src/discovery_watch.rs
@@ -6,7 +6,7 @@
 //! | | seconds |
 //! | --- | --- |
 //! | a useless call holds, from its last whole line (`LINE_TIMEOUT_SECS`; from its begin where none came: `HEAD_TIMEOUT_SECS`, less) | 4.0 |
-//! | the pause before the next: half of the longest back-off (`BACKOFF_SECS`), as that counts from the call's begin | 0.5 |
+//! | the pause before the next: half of the longest back-off (`MAX_BACKOFF_SECS`), as that counts from the call's begin | 0.5 |
 //! | a good exchange: the agent is on the same machine and answers at once | under 1.0 |
 //! | together | under 5.5 |
 //!
@@ -31,9 +31,11 @@
 const LINE_TIMEOUT_SECS: f64 = 4.0;
 /// Back-off, from a call's begin to the next one's, seconds: doubles from the first to the last, and between half and
 /// the whole of it is drawn. After a call that held longer the pause is half of what was drawn.
-const BACKOFF_SECS: (f64, f64) = (0.2, 1.0);
+const MIN_BACKOFF_SECS: f64 = 0.2;
+const MAX_BACKOFF_SECS: f64 = 1.0;
 /// So many lines are logged in this time, seconds, however often the watch breaks.
-const MAX_LOGGED: (u32, f64) = (3, 60.0);
+const MAX_LOGGED: u32 = 3;
+const LOG_WINDOW_SECS: f64 = 60.0;
 /// Longest cause that is logged, characters: it may quote what discovery wrote.
 const MAX_CAUSE: usize = 200;
 
@@ -146,10 +148,11 @@
     pub fn end(&mut self, now: Micros) -> Option<ConnId> {
         let held_s = now.since(self.began_at);
         // A watch that breaks right after its first line is no better than one that never came up.
-        if self.has_complete_line && held_s >= BACKOFF_SECS.1 {
+        if self.has_complete_line && held_s >= MAX_BACKOFF_SECS {
             self.failures = 0;
         }
-        let max_s = (BACKOFF_SECS.0 * f64::from(1u32 << self.failures.min(8))).min(BACKOFF_SECS.1);
+        let max_s =
+            (MIN_BACKOFF_SECS * f64::from(1u32 << self.failures.min(8))).min(MAX_BACKOFF_SECS);
         let drawn_s = max_s * (0.5 + 0.5 * self.chance());
         self.failures = self.failures.saturating_add(1);
         self.ended += 1;
@@ -235,11 +238,11 @@
 
 impl LogLimiter {
     fn take(&mut self, now: Micros, cause: &str) -> Option<String> {
-        if now.since(self.since) >= MAX_LOGGED.1 {
+        if now.since(self.since) >= LOG_WINDOW_SECS {
             (self.since, self.lines) = (now, 0);
         }
         let cause: String = cause.chars().take(MAX_CAUSE).collect();
-        if self.lines >= MAX_LOGGED.0 || (self.lines > 0 && self.last == cause) {
+        if self.lines >= MAX_LOGGED || (self.lines > 0 && self.last == cause) {
             self.left_out += 1;
             return None;
         }
--- /dev/null
+++ b/crates/platform/src/http1/body.rs
@@ -0,0 +1,159 @@
+//! Reads a body as its bytes come, by its length or in chunks.
+
+use super::{Framing, HttpError, MAX_CHUNK};
+
+/// Longest line that names a chunk's size, and all trailers together, bytes.
+const MAX_CHUNK_LINE: usize = 256;
+const MAX_TRAILERS: usize = 4096;
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Step {
+    /// Body bytes left of a length.
+    Length(u64),
+    ChunkSize,
+    ChunkData(u64),
+    ChunkEnd,
+    Trailers(usize),
+    Close,
+    Done,
+}
+
+/// Takes a body's bytes as they come and gives what they hold.
+#[derive(Clone, Debug)]
+pub struct Body {
+    step: Step,
+    max_chunk: u64,
+}
+
+impl Body {
+    pub fn new(framing: Framing) -> Body {
+        Body::with_chunks_up_to(framing, MAX_CHUNK)
+    }
+
+    /// One whose chunks may be larger or have to be smaller, bytes.
+    pub fn with_chunks_up_to(framing: Framing, max_chunk: u64) -> Body {
+        let step = match framing {
+            Framing::Length(0) => Step::Done,
+            Framing::Length(n) => Step::Length(n),
+            Framing::Chunked => Step::ChunkSize,
+            Framing::Close => Step::Close,
+        };
+        Body { step, max_chunk }
+    }
+
+    /// The body's last byte has come.
+    pub fn done(&self) -> bool {
+        self.step == Step::Done
+    }
+
+    /// Takes what it can from the front of `bytes`, appends the content to `out` and gives the number taken.
+    /// What is left belongs to a line that is not whole yet or, once [`Body::done`], to the next message.
+    ///
+    /// # Errors
+    /// A chunk that cannot be read, does not fit or is larger than its bound.
+    pub fn take(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, HttpError> {
+        let mut at = 0;
+        while at < bytes.len() {
+            let taken = self.step(&bytes[at..], out)?;
+            if taken == 0 {
+                break;
+            }
+            at += taken;
+        }
+        Ok(at)
+    }
+
+    fn step(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, HttpError> {
+        match self.step {
+            Step::Done => Ok(0),
+            Step::Close => {
+                out.extend_from_slice(bytes);
+                Ok(bytes.len())
+            }
+            Step::Length(left) => {
+                let n = left.min(bytes.len() as u64);
+                out.extend_from_slice(&bytes[..n as usize]);
+                self.step = if n == left {
+                    Step::Done
+                } else {
+                    Step::Length(left - n)
+                };
+                Ok(n as usize)
+            }
+            Step::ChunkData(left) => {
+                let n = left.min(bytes.len() as u64);
+                out.extend_from_slice(&bytes[..n as usize]);
+                self.step = if n == left {
+                    Step::ChunkEnd
+                } else {
+                    Step::ChunkData(left - n)
+                };
+                Ok(n as usize)
+            }
+            Step::ChunkSize => self.chunk_size(bytes),
+            Step::ChunkEnd => match bytes {
+                [b'\r', b'\n', ..] => {
+                    self.step = Step::ChunkSize;
+                    Ok(2)
+                }
+                [b'\r'] => Ok(0),
+                _ => Err(HttpError::Chunk),
+            },
+            Step::Trailers(read) => self.trailer(bytes, read),
+        }
+    }
+
+    fn chunk_size(&mut self, bytes: &[u8]) -> Result<usize, HttpError> {
+        let Some((line, taken)) = line(bytes, MAX_CHUNK_LINE)? else {
+            return Ok(0);
+        };
+        let digits = line
+            .split(|b| *b == b';')
+            .next()
+            .unwrap_or_default()
+            .trim_ascii_end();
+        let hex =
+            !digits.is_empty() && digits.len() <= 16 && digits.iter().all(u8::is_ascii_hexdigit);
+        let text = std::str::from_utf8(digits)
+            .ok()
+            .filter(|_| hex)
+            .ok_or(HttpError::Chunk)?;
+        let size = u64::from_str_radix(text, 16).map_err(|_| HttpError::Chunk)?;
+        if size > self.max_chunk {
+            return Err(HttpError::Chunk);
+        }
+        self.step = if size == 0 {
+            Step::Trailers(0)
+        } else {
+            Step::ChunkData(size)
+        };
+        Ok(taken)
+    }
+
+    fn trailer(&mut self, bytes: &[u8], read: usize) -> Result<usize, HttpError> {
+        let Some((line, taken)) = line(bytes, MAX_TRAILERS)? else {
+            return Ok(0);
+        };
+        if read + taken > MAX_TRAILERS {
+            return Err(HttpError::Chunk);
+        }
+        self.step = if line.is_empty() {
+            Step::Done
+        } else {
+            Step::Trailers(read + taken)
+        };
+        Ok(taken)
+    }
+}
+
+/// The first line without its end, and the bytes it takes; a bare line feed ends none.
+fn line(bytes: &[u8], limit: usize) -> Result<Option<(&[u8], usize)>, HttpError> {
+    match bytes.iter().position(|b| *b == b'\n') {
+        Some(end) if end > 0 && bytes[end - 1] == b'\r' && end < limit => {
+            Ok(Some((&bytes[..end - 1], end + 1)))
+        }
+        Some(_) => Err(HttpError::Chunk),
+        None if bytes.len() >= limit => Err(HttpError::Chunk),
+        None => Ok(None),
+    }
+}
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -4,6 +4,7 @@
 //! `bitternlatch_core::Machine` does for sessions. The sockets are in `bitternlatch-platform-net`.
 
 pub mod access_log;
+pub mod client;
 pub mod clients;
 pub mod config;
 pub mod counts;
--- a/crates/platform/src/node/attempts.rs
+++ b/crates/platform/src/node/attempts.rs
@@ -1,5 +1,7 @@
 //! Attempts: one request sent to one model server, and how it ends.
 
+use std::net::SocketAddr;
+
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::{
     AttemptEnd, Event, Outcome, RequestId, Role, ServerId, ServerStatus,
@@ -12,7 +14,14 @@
 use crate::timer::Timer;
 use crate::types::Command;
 
+/// The model server of an attempt.
+struct Target {
+    address: SocketAddr,
+    role: Role,
+}
+
 impl Node {
+    /// Sends a request to a server, as the decision module asks for it.
     pub(super) fn send(
         &mut self,
         now: Micros,
@@ -31,27 +40,16 @@
         } else {
             open.deadline
         };
-        let target = self
-            .discovery
-            .endpoints()
-            .get(server)
-            .filter(|t| t.standing == ServerStatus::Ready);
-        let sendable = !open.answered && open.in_flight.is_none() && now < open.deadline;
-        let (Some(target), true) = (target, sendable && open.forwarded.is_some()) else {
+        let Some(target) = self.target(now, request, server) else {
             return self.report_not_sent(request, number, server);
         };
-        let role = self
-            .roles
-            .get(usize::from(target.kind))
-            .copied()
-            .unwrap_or_default();
-        let host = (server, target.endpoint);
         let usage = ConnectionUse::Attempt {
             request,
             number,
             until,
         };
-        let Some(conn) = self.start_exchange(now, host, usage, Vec::new(), commands) else {
+        let to = (server, target.address);
+        let Some(conn) = self.start_exchange(now, to, usage, Vec::new(), commands) else {
             return self.report_not_sent(request, number, server);
         };
         self.counts.attempts += 1;
@@ -59,7 +57,7 @@
             open.in_flight = Some(InFlightAttempt {
                 number,
                 server,
-                prefill: role == Role::Prefill,
+                prefill: target.role == Role::Prefill,
                 conn,
                 sent: now,
             });
@@ -68,6 +66,24 @@
             .set(until, Timer::AttemptTimeout { request, number });
     }
 
+    /// Where an attempt goes; `None` where the server is not ready or the request may not be sent.
+    fn target(&self, now: Micros, request: RequestId, server: ServerId) -> Option<Target> {
+        let open = self.requests.get(request)?;
+        let endpoint = self.discovery.endpoints().get(server)?;
+        let is_sendable = !open.answered
+            && open.in_flight.is_none()
+            && open.forwarded.is_some()
+            && now < open.deadline;
+        if endpoint.standing != ServerStatus::Ready || !is_sendable {
+            return None;
+        }
+        let role = self.roles.get(usize::from(endpoint.kind));
+        Some(Target {
+            address: endpoint.endpoint,
+            role: role.copied().unwrap_or_default(),
+        })
+    }
+
     fn report_not_sent(&mut self, request: RequestId, attempt: u16, server: ServerId) {
         let finished = self.requests.get(request).is_none_or(|o| o.answered);
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
--- a/crates/platform/src/node/client_requests.rs
+++ b/crates/platform/src/node/client_requests.rs
@@ -6,7 +6,7 @@
 use bitternlatch_policy::interface::{Event, RequestId};
 
 use super::Node;
-use crate::clients::{CompleteRequest, MAX_UNSENT};
+use crate::client::{CompleteRequest, MAX_UNSENT};
 use crate::http1::{chunk, plain_response, stream_head, LAST_CHUNK};
 use crate::pool::ConnectionUse;
 use crate::requests::{parse_request, ForwardedRequest, OpenRequest, ParsedRequest};
@@ -105,7 +105,7 @@
         parsed: ParsedRequest,
     ) {
         self.counts.arrived += 1;
-        let mut arrival = parsed.ask;
+        let mut arrival = parsed.request;
         let mut deadline = request.received_at.after(arrival.time_left_s);
         if let Some(end) = self.shutdown.answer_deadline() {
             deadline = deadline.min(end);
--- a/crates/platform/src/requests.rs
+++ b/crates/platform/src/requests.rs
@@ -45,7 +45,7 @@
     /// `Req-Id`.
     pub id: String,
     /// For the module; its id is given later.
-    pub ask: policy::Request,
+    pub request: policy::Request,
 }
 
 /// Reads a request's head against the deployment's names.
@@ -69,24 +69,15 @@
             reason: "ask with POST",
         });
     }
-    let id = one(head, "req-id")?.ok_or(bad_request("Req-Id is missing"))?;
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b'~');
-    if id.is_empty() || id.len() > MAX_ID || !id.bytes().all(plain) {
-        return Err(bad_request("Req-Id cannot be used as an id"));
-    }
+    let id = request_id(head)?;
     let kind = one(head, "req-kind")?.ok_or(bad_request("Req-Kind is missing"))?;
     let class = names
         .classes
         .iter()
         .position(|n| n == kind)
         .ok_or(bad_request("Req-Kind is not known"))?;
-    let deadline =
-        one(head, "req-deadline-ms")?.ok_or(bad_request("Req-Deadline-Ms is missing"))?;
-    let left_ms = whole_number(deadline).filter(|ms| *ms <= MAX_DEADLINE_MS);
-    let left_ms = left_ms.ok_or(bad_request(
-        "Req-Deadline-Ms is no number of milliseconds up to an hour",
-    ))?;
-    let mut ask = policy::Request {
+    let left_ms = deadline_ms(head)?;
+    let mut request = policy::Request {
         class: class as u16,
         tenant: tenant(head, names)?,
         session: one(head, "req-key")?.map_or(0, key),
@@ -94,13 +85,31 @@
         time_left_s: left_ms as f64 / 1e3,
         ..policy::Request::default()
     };
-    read_extras(one(head, "req-extra")?.unwrap_or_default(), &mut ask)?;
+    read_extras(one(head, "req-extra")?.unwrap_or_default(), &mut request)?;
     Ok(ParsedRequest {
         id: id.to_string(),
-        ask,
+        request,
     })
 }
 
+fn request_id(head: &RequestHead) -> Result<&str, Rejection> {
+    let id = one(head, "req-id")?.ok_or(bad_request("Req-Id is missing"))?;
+    let is_plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b'~');
+    if id.is_empty() || id.len() > MAX_ID || !id.bytes().all(is_plain) {
+        return Err(bad_request("Req-Id cannot be used as an id"));
+    }
+    Ok(id)
+}
+
+fn deadline_ms(head: &RequestHead) -> Result<u64, Rejection> {
+    let text = one(head, "req-deadline-ms")?;
+    let text = text.ok_or(bad_request("Req-Deadline-Ms is missing"))?;
+    let deadline_ms = whole_number(text).filter(|ms| *ms <= MAX_DEADLINE_MS);
+    deadline_ms.ok_or(bad_request(
+        "Req-Deadline-Ms is no number of milliseconds up to an hour",
+    ))
+}
+
 /// A field that may stand once: of two, one side may believe the first and another the last.
 fn one<'a>(head: &'a RequestHead, name: &'static str) -> Result<Option<&'a str>, Rejection> {
     let mut all = head.fields.all(name);
@@ -136,7 +145,7 @@
         .ok_or(bad_request("Req-Owner is not known"))
 }
 
-fn read_extras(text: &str, ask: &mut policy::Request) -> Result<(), Rejection> {
+fn read_extras(text: &str, request: &mut policy::Request) -> Result<(), Rejection> {
     let unread = bad_request("Req-Extra cannot be read");
     for pair in text.split(',').map(str::trim).filter(|p| !p.is_empty()) {
         let (name, value) = pair.split_once('=').ok_or(unread)?;
@@ -145,10 +154,10 @@
             _ => Err(unread),
         };
         match name.trim() {
-            "prefix" => ask.prefix = key(value.trim()),
-            "prompt_len" => ask.prompt_tokens = tokens()?,
-            "prefix_len" => ask.prefix_tokens = tokens()?,
-            "max_out" => ask.max_output_tokens = tokens()?,
+            "prefix" => request.prefix = key(value.trim()),
+            "prompt_len" => request.prompt_tokens = tokens()?,
+            "prefix_len" => request.prefix_tokens = tokens()?,
+            "max_out" => request.max_output_tokens = tokens()?,
             _ => {}
         }
     }
--- a/crates/platform/src/resource_limits.rs
+++ b/crates/platform/src/resource_limits.rs
@@ -8,7 +8,7 @@
 /// Clients' part of the rest, the other being model hosts'. The greater part: a request in hand holds a connection of
 /// either kind, so that hosts' run out first, and a newcomer finds a client's place that no request holds. It can
 /// be told that the dispatcher is ready, or that it takes no more.
-const CLIENT_FRACTION: (usize, usize) = (11, 20);
+const CLIENT_TWENTIETHS: usize = 11;
 /// Fewest that clients and hosts get, however few descriptors there are.
 const MIN_CLIENTS: usize = 8;
 const MIN_SERVERS: usize = 4;
@@ -58,7 +58,7 @@
     /// Divides the descriptors that are left after the reserve.
     pub fn of(limits: &Limits) -> ConnectionLimits {
         let usable = limits.descriptors.saturating_sub(RESERVE);
-        let clients = (usable * CLIENT_FRACTION.0 / CLIENT_FRACTION.1).max(MIN_CLIENTS);
+        let clients = (usable * CLIENT_TWENTIETHS / 20).max(MIN_CLIENTS);
         ConnectionLimits {
             clients,
             servers: usable.saturating_sub(clients).max(MIN_SERVERS),
--- a/crates/platform/src/responses.rs
+++ b/crates/platform/src/responses.rs
@@ -61,9 +61,30 @@
     /// What cannot be read or breaks a bound: the connection can be used no further.
     pub fn take(&mut self, bytes: &[u8]) -> Result<BodyProgress, HttpError> {
         self.unread.extend_from_slice(bytes);
+        if !self.read_head()? {
+            return Ok(BodyProgress::Events(Vec::new()));
+        }
+        let (Some(head), Some(body)) = (&self.head, &mut self.body) else {
+            return Err(HttpError::Head);
+        };
+        let taken = body.take(&self.unread, &mut self.content)?;
+        self.unread.drain(..taken);
+        let (status, framing, done) = (head.status, head.framing, body.done());
+        if !self.streams || status != 200 {
+            return self.plain(done);
+        }
+        // The end of a stream that ends with its connection cannot be told from its break.
+        if framing == Framing::Close {
+            return Err(HttpError::Length);
+        }
+        self.take_events(done)
+    }
+
+    /// Reads the head, and interim responses before it; false while it is not complete.
+    fn read_head(&mut self) -> Result<bool, HttpError> {
         while self.head.is_none() {
             let Some((head, taken)) = response_head(&self.unread)? else {
-                return Ok(BodyProgress::Events(Vec::new()));
+                return Ok(false);
             };
             self.unread.drain(..taken);
             if (100..200).contains(&head.status) {
@@ -76,19 +97,11 @@
             self.body = Some(Body::new(head.framing));
             self.head = Some(head);
         }
-        let (Some(head), Some(body)) = (&self.head, &mut self.body) else {
-            return Err(HttpError::Head);
-        };
-        let taken = body.take(&self.unread, &mut self.content)?;
-        self.unread.drain(..taken);
-        let (status, done) = (head.status, body.done());
-        if !self.streams || status != 200 {
-            return self.plain(done);
-        }
-        // The end of a stream that ends with its connection cannot be told from its break.
-        if head.framing == Framing::Close {
-            return Err(HttpError::Length);
-        }
+        Ok(true)
+    }
+
+    /// Takes the complete events of the content; `done` at the end of the body.
+    fn take_events(&mut self, done: bool) -> Result<BodyProgress, HttpError> {
         let mut events = Vec::new();
         let fits = self.events.take(&self.content, &mut events);
         self.content.clear();
