--- a/crates/platform/src/discovery_client.rs
+++ b/crates/platform/src/discovery_client.rs
@@ -1,96 +1,142 @@
-//! The discovery client: it keeps the watch open, reconnects it where it breaks, and takes its lists over.
+//! The discovery client: the address of discovery, the watch over it, and the endpoints that it lists.
+
+use std::net::SocketAddr;
 
 use bitternlatch_core::Micros;
-use bitternlatch_policy::interface::{Event, ListForm};
+use bitternlatch_policy::interface::ServerEntry;
 
-use crate::discovery::{Applied, List};
-use crate::node::{Due, Node};
-use crate::types::{Command, Level};
+use crate::discovery::{AppliedList, EndpointList, Endpoints};
+use crate::discovery_watch::{call, DiscoveryWatch, WatchProgress};
+use crate::types::{Command, ConnId, Level};
 
-impl Node {
-    /// Begins the watch, or ends one that has brought nothing in time.
-    pub(crate) fn follow(&mut self, now: Micros, out: &mut Vec<Command>) {
-        if let Some(cause) = self.watch.overdue(now) {
-            self.break_watch(now, cause, out);
-        }
-        if self.watch.due(now) {
-            let conn = self.next_conn();
-            self.watch.begin(now, conn);
-            out.push(Command::Connect {
-                conn,
-                to: self.discovery,
-            });
+/// Owner of the endpoint list.
+#[derive(Debug)]
+pub(crate) struct DiscoveryClient {
+    address: SocketAddr,
+    watch: DiscoveryWatch,
+    endpoints: Endpoints,
+    /// A list has been taken over, from the configuration or from discovery.
+    known: bool,
+}
+
+impl DiscoveryClient {
+    pub(crate) fn new(address: SocketAddr, watch: DiscoveryWatch) -> DiscoveryClient {
+        DiscoveryClient {
+            address,
+            watch,
+            endpoints: Endpoints::default(),
+            known: false,
         }
-        self.arm_watch(now);
     }
 
-    pub(crate) fn on_discovery(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Command>) {
-        let taken = self.watch.take(now, bytes);
-        let read = taken.objects.iter().try_for_each(|o| {
-            let list = List::parse(o, &self.names)?;
-            self.on_list(now, list, out)
-        });
-        if taken.any_line && read.is_ok() {
-            self.fleet.heard(now);
-        }
-        if let Some(cause) = read.err().or(taken.broken) {
-            self.break_watch(now, &cause, out);
-        }
+    /// Whether there is a list.
+    pub(crate) fn is_known(&self) -> bool {
+        self.known
     }
 
-    /// The watch's connection never came up, was closed by the other side, or broke.
-    pub(crate) fn on_watch_ended(&mut self, now: Micros, out: &mut Vec<Command>) {
-        self.break_watch(now, "the connection was refused or has ended", out);
+    pub(crate) fn endpoints(&self) -> &Endpoints {
+        &self.endpoints
     }
 
-    fn break_watch(&mut self, now: Micros, cause: &str, out: &mut Vec<Command>) {
-        let (at, rev) = (self.discovery, self.fleet.rev());
-        let cause = format!("discovery at {at}, after version {rev}: {cause}");
-        if let Some(text) = self.watch.to_log(now, &cause) {
-            self.log(
-                out,
-                Level::Warn,
-                format!("{text}; the list stays and the watch is begun anew"),
-            );
-        }
-        if let Some(conn) = self.watch.end(now) {
-            out.push(Command::Close { conn });
-        }
-        self.arm_watch(now);
+    /// Whether a connection is that of the watch.
+    pub(crate) fn owns(&self, conn: ConnId) -> bool {
+        self.watch.conn() == Some(conn)
     }
 
-    fn arm_watch(&mut self, now: Micros) {
-        if let Some(at) = self.watch.arm(now) {
-            self.timers.set(at, Due::Watch);
-        }
+    /// Takes over the list that the configuration holds.
+    pub(crate) fn load(&mut self, now: Micros, list: EndpointList) -> Vec<ServerEntry> {
+        self.known = true;
+        self.endpoints.apply(now, list).entries
     }
 
-    /// Takes a list over.
+    /// Takes over a list from discovery.
     ///
     /// # Errors
     /// A version that goes back.
-    fn on_list(&mut self, now: Micros, list: List, out: &mut Vec<Command>) -> Result<(), String> {
-        if list.rev < self.fleet.rev() {
+    pub(crate) fn apply(&mut self, now: Micros, list: EndpointList) -> Result<AppliedList, String> {
+        if list.rev < self.endpoints.rev() {
             return Err(format!(
                 "version {} comes after {}",
                 list.rev,
-                self.fleet.rev()
+                self.endpoints.rev()
             ));
         }
-        let Applied {
-            form,
-            entries,
-            restarted,
-        } = self.fleet.apply(now, list);
-        self.listed = true;
-        for server in restarted {
-            for conn in self.pool.idle_at(server) {
-                self.drop_link(conn, out);
-            }
+        self.known = true;
+        Ok(self.endpoints.apply(now, list))
+    }
+
+    /// The request of the watch, for changes since the version at hand.
+    pub(crate) fn request(&self) -> Vec<u8> {
+        call(self.endpoints.rev())
+    }
+
+    /// Takes bytes of the watch's response.
+    pub(crate) fn take(&mut self, now: Micros, bytes: &[u8]) -> WatchProgress {
+        self.watch.take(now, bytes)
+    }
+
+    /// Discovery has sent a complete line, if only an empty one.
+    pub(crate) fn notified(&mut self, now: Micros) {
+        self.endpoints.notified(now);
+    }
+
+    /// Why the watch has to be restarted, where it has brought nothing in time.
+    pub(crate) fn overdue(&self, now: Micros) -> Option<&'static str> {
+        self.watch.overdue(now)
+    }
+
+    /// Whether the watch is to be begun.
+    pub(crate) fn is_due(&self, now: Micros) -> bool {
+        self.watch.due(now)
+    }
+
+    /// Begins the watch on a new connection.
+    pub(crate) fn connect(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
+        self.watch.begin(now, conn);
+        commands.push(Command::Connect {
+            conn,
+            to: self.address,
+        });
+    }
+
+    /// Ends the watch, to be begun again after a backoff; the list stays.
+    pub(crate) fn restart(&mut self, now: Micros, cause: &str, commands: &mut Vec<Command>) {
+        let (at, rev) = (self.address, self.endpoints.rev());
+        let cause = format!("discovery at {at}, after version {rev}: {cause}");
+        if let Some(text) = self.watch.limited_log_line(now, &cause) {
+            commands.push(Command::Log {
+                level: Level::Warn,
+                text: format!("{text}; the list stays and the watch is begun anew"),
+            });
+        }
+        if let Some(conn) = self.watch.end(now) {
+            commands.push(Command::Close { conn });
         }
-        if form == ListForm::Full || !entries.is_empty() {
-            self.events.push_back(Event::Servers { form, entries });
+    }
+
+    /// Follows a new address; false where it is the same.
+    pub(crate) fn move_to(
+        &mut self,
+        now: Micros,
+        address: SocketAddr,
+        commands: &mut Vec<Command>,
+    ) -> bool {
+        if address == self.address {
+            return false;
         }
-        Ok(())
+        self.address = address;
+        if let Some(conn) = self.watch.moved(now) {
+            commands.push(Command::Close { conn });
+        }
+        commands.push(Command::Log {
+            level: Level::Info,
+            text: format!("discovery is at {address} now"),
+        });
+        true
+    }
+
+    /// The time for which a timer has to be set, if none is set that is as early.
+    pub(crate) fn next_timer(&mut self, now: Micros) -> Option<Micros> {
+        self.watch.arm(now)
     }
 }
--- /dev/null
+++ b/crates/platform/src/node/client_requests.rs
@@ -0,0 +1,379 @@
+//! The node's side towards clients: requests taken, answers given, streams passed on.
+
+use std::rc::Rc;
+
+use bitternlatch_core::Micros;
+use bitternlatch_policy::interface::{Event, RequestId};
+
+use super::Node;
+use crate::client::{CompleteRequest, MAX_UNSENT};
+use crate::http1::{chunk, plain_response, stream_head, LAST_CHUNK};
+use crate::pool::ConnectionUse;
+use crate::requests::{parse_request, ForwardedRequest, OpenRequest, ParsedRequest};
+use crate::types::{Command, ConnId};
+
+/// Bytes of a chunk besides its content, and of a stream's head, at the most.
+const CHUNK_OVERHEAD: usize = 200;
+
+impl Node {
+    pub(super) fn on_accepted(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
+        if let Some(evicted) = self.clients.accept(now, conn) {
+            commands.push(Command::Close { conn: evicted });
+        }
+    }
+
+    pub(super) fn on_client_bytes(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        bytes: &[u8],
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(client) = self.clients.get_mut(conn) else {
+            return;
+        };
+        if client.take(now, bytes) && client.pause() {
+            commands.push(Command::Pause { conn, paused: true });
+        }
+        self.read_requests(now, conn, commands);
+        let limit = self.limits.max_unfinished_bytes();
+        while let Some(largest) = self.clients.largest_unfinished(conn, limit) {
+            self.reject(largest, 503, "too much in hand", commands);
+        }
+    }
+
+    /// Takes the requests that are whole, one after the other's answer.
+    pub(super) fn read_requests(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
+        while let Some(client) = self.clients.get_mut(conn) {
+            match client.next_request() {
+                Ok(None) => {
+                    if client.take_expectation() {
+                        self.write_client(
+                            now,
+                            conn,
+                            b"HTTP/1.1 100 Continue\r\n\r\n".to_vec(),
+                            commands,
+                        );
+                    }
+                    return;
+                }
+                Ok(Some(request)) => self.on_request(now, conn, request, commands),
+                Err(bad) => return self.reject(conn, bad.status(), &bad.to_string(), commands),
+            }
+        }
+    }
+
+    fn on_request(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        request: CompleteRequest,
+        commands: &mut Vec<Command>,
+    ) {
+        if request.head.method == "GET" && request.head.target == "/ready" {
+            let (status, text) = if self.ready() {
+                (200, "ready\n")
+            } else {
+                (503, "not ready\n")
+            };
+            return self.respond(now, conn, status, "", text, commands);
+        }
+        let parsed = match parse_request(&request.head, request.body.len(), &self.names) {
+            Ok(parsed) => parsed,
+            // Whoever sends what cannot be taken is not believed on what comes next either.
+            Err(rejection) => {
+                return self.reject(conn, rejection.status, rejection.reason, commands)
+            }
+        };
+        if self.requests.knows(&parsed.id) {
+            return self.reject(conn, 409, "a request of this id is open", commands);
+        }
+        if self.requests.len() >= self.bounds.most_held
+            || self.requests.prompt_bytes() > self.limits.max_prompt_bytes()
+        {
+            return self.respond(now, conn, 503, "", "too much in hand\n", commands);
+        }
+        self.open_request(now, conn, request, parsed);
+    }
+
+    /// Takes a request in hand and gives it to the decision module.
+    fn open_request(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        request: CompleteRequest,
+        parsed: ParsedRequest,
+    ) {
+        self.counts.arrived += 1;
+        let mut arrival = parsed.request;
+        let mut deadline = request.received_at.after(arrival.time_left_s);
+        if let Some(end) = self.shutdown.answer_deadline() {
+            deadline = deadline.min(end);
+        }
+        arrival.time_left_s = deadline.since(now);
+        let forwarded = ForwardedRequest::new(&request.head, &parsed.id, request.body);
+        arrival.id = self.requests.put(OpenRequest {
+            forwarded: Some(Rc::new(forwarded)),
+            id: parsed.id,
+            client: Some(conn),
+            deadline,
+            attempts: 0,
+            in_flight: None,
+            aborted_at: None,
+            streaming_since: None,
+            answered: false,
+        });
+        self.clients.begin_request(conn, arrival.id);
+        self.events.push_back(Event::Arrival(arrival));
+    }
+
+    /// Answers with a short text; the connection goes on as the client wishes.
+    fn respond(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        status: u16,
+        more: &str,
+        text: &str,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(client) = self.clients.get_mut(conn) else {
+            return;
+        };
+        let keep_alive = client.serves_on(!self.shutdown.is_accepting());
+        let bytes = plain_response(status, more, keep_alive, text);
+        self.write_client(now, conn, bytes, commands);
+        self.client_free(now, conn, commands);
+    }
+
+    /// An error for a client whose connection cannot be used any further.
+    pub(super) fn reject(
+        &mut self,
+        conn: ConnId,
+        status: u16,
+        why: &str,
+        commands: &mut Vec<Command>,
+    ) {
+        if self.clients.remove(conn).is_some() {
+            self.counts.rejected += 1;
+            let bytes = plain_response(status, "", false, &format!("{why}\n"));
+            commands.push(Command::Write { conn, bytes });
+            commands.push(Command::Finish { conn });
+        }
+    }
+
+    fn write_client(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        bytes: Vec<u8>,
+        commands: &mut Vec<Command>,
+    ) {
+        if let Some(client) = self.clients.get_mut(conn) {
+            client.queued(now, bytes.len());
+            commands.push(Command::Write { conn, bytes });
+        }
+    }
+
+    /// The client's connection ends in order.
+    pub(super) fn finish_client(&mut self, conn: ConnId, commands: &mut Vec<Command>) {
+        self.clients.remove(conn);
+        commands.push(Command::Finish { conn });
+    }
+
+    /// The client has its whole answer: the connection serves on, or ends in order.
+    fn client_free(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
+        let Some(client) = self.clients.get_mut(conn) else {
+            return;
+        };
+        if !client.keeps_alive() {
+            return self.finish_client(conn, commands);
+        }
+        client.answered(now);
+        if client.resume() {
+            commands.push(Command::Pause {
+                conn,
+                paused: false,
+            });
+        }
+        // What was sent ahead is read now, but not from within this answer.
+        self.clients.queue_pipelined(conn);
+    }
+
+    /// The module refuses: trying again is harmless.
+    pub(super) fn refuse(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        retry_after_s: f64,
+        commands: &mut Vec<Command>,
+    ) {
+        let told = self.bounds.retry_after && retry_after_s > 0.0;
+        let more = if told {
+            format!("Retry-After: {retry_after_s:.3}\r\n")
+        } else {
+            String::new()
+        };
+        if let Some(conn) = self.take_answer(id) {
+            self.counts.shed += 1;
+            self.respond(
+                now,
+                conn,
+                503,
+                &more,
+                "refused: trying again is harmless\n",
+                commands,
+            );
+        }
+    }
+
+    /// The module fails it, which promises nothing.
+    pub(super) fn fail(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
+        if let Some(conn) = self.take_answer(id) {
+            self.counts.failed += 1;
+            self.respond(now, conn, 504, "", "failed: it may have run\n", commands);
+        }
+    }
+
+    /// The one place from which an answer's right is taken: nobody gets two.
+    fn take_answer(&mut self, id: RequestId) -> Option<ConnId> {
+        self.requests
+            .get(id)
+            .filter(|o| !o.answered && o.streaming_since.is_none())?;
+        self.end_for_client(id)
+    }
+
+    /// A request has its final answer; gives the client's connection, if it still waits there.
+    fn end_for_client(&mut self, id: RequestId) -> Option<ConnId> {
+        let open = self.requests.get_mut(id)?;
+        open.answered = true;
+        let conn = open.client.take();
+        self.requests.mark_maybe_complete(id);
+        let conn = conn?;
+        self.clients.end_request(conn);
+        Some(conn)
+    }
+
+    /// Passes events on; the first ones make the attempt the client's.
+    pub(super) fn forward_events(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        events: &[u8],
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(open) = self.requests.get_mut(id) else {
+            return;
+        };
+        let Some(conn) = open.client else { return };
+        let is_first = open.streaming_since.replace(now).is_none();
+        let server = open.in_flight.map(|attempt| attempt.conn);
+        let mut bytes = Vec::with_capacity(events.len() + CHUNK_OVERHEAD);
+        if is_first {
+            let stopping = !self.shutdown.is_accepting();
+            let client = self.clients.get(conn);
+            bytes = stream_head(client.is_some_and(|c| c.serves_on(stopping)));
+            self.requests.drop_prompt(id);
+        }
+        chunk(events, &mut bytes);
+        self.write_client(now, conn, bytes, commands);
+        if let Some(server) = server {
+            self.apply_backpressure(conn, server, commands);
+        }
+    }
+
+    /// A client that reads slowly holds up its own stream alone. One whose stream has ended holds up nothing, as the
+    /// server connection may serve another request.
+    fn apply_backpressure(&mut self, conn: ConnId, server: ConnId, commands: &mut Vec<Command>) {
+        let is_slow = self
+            .clients
+            .get(conn)
+            .is_some_and(|client| client.unsent() > MAX_UNSENT);
+        let is_streaming = self
+            .pool
+            .get(server)
+            .is_some_and(|connection| connection.usage != ConnectionUse::Idle);
+        if is_slow && is_streaming {
+            self.clients.apply_backpressure(conn, server);
+            commands.push(Command::Pause {
+                conn: server,
+                paused: true,
+            });
+        }
+    }
+
+    /// A whole stream: its end is passed on at once.
+    pub(super) fn end_stream(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
+        let Some(conn) = self.end_for_client(id) else {
+            return;
+        };
+        self.counts.served += 1;
+        self.write_client(now, conn, LAST_CHUNK.to_vec(), commands);
+        self.client_free(now, conn, commands);
+    }
+
+    /// A stream that broke: the client's connection ends without the last chunk.
+    pub(super) fn break_stream(&mut self, id: RequestId, commands: &mut Vec<Command>) {
+        let Some(conn) = self.end_for_client(id) else {
+            return;
+        };
+        self.counts.broken += 1;
+        // What was passed on before the break still arrives; its end does not look like a whole one.
+        self.finish_client(conn, commands);
+    }
+
+    pub(super) fn on_client_wrote(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        count: usize,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(client) = self.clients.get_mut(conn) else {
+            return;
+        };
+        client.written(now, count);
+        if client.unsent() < MAX_UNSENT / 2 {
+            if let Some(host) = self.clients.release_backpressure(conn) {
+                commands.push(Command::Pause {
+                    conn: host,
+                    paused: false,
+                });
+            }
+        }
+    }
+
+    /// The client has closed its connection: it has gone away.
+    pub(super) fn on_client_ended(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        commands: &mut Vec<Command>,
+    ) {
+        self.clients.remove(conn);
+        let Some(id) = self.clients.end_request(conn) else {
+            return;
+        };
+        let Some(open) = self.requests.get_mut(id) else {
+            return;
+        };
+        open.client = None;
+        let is_streaming = open.streaming_since.is_some();
+        if !std::mem::replace(&mut open.answered, true) {
+            self.counts.disconnected += 1;
+        }
+        self.requests.mark_maybe_complete(id);
+        self.events
+            .push_back(Event::ClientDisconnected { request: id });
+        if is_streaming {
+            self.cancel_stream(now, id, commands);
+        } else {
+            self.abandon_unsent_attempt(now, id, commands);
+        }
+    }
+
+    /// Whether a client has a request open.
+    pub fn has_open_request(&self, conn: ConnId) -> bool {
+        self.clients.has_open_request(conn)
+    }
+}
--- a/crates/platform/src/releases.rs
+++ b/crates/platform/src/releases.rs
@@ -9,42 +9,35 @@
 use std::net::SocketAddr;
 
 use bitternlatch_core::Micros;
-use bitternlatch_policy::interface::{Outcome, RequestId, ServerId, ServerStatus};
+use bitternlatch_policy::interface::{ServerId, ServerStatus};
 
-use crate::discovery::Fleet;
-use crate::node::{Due, Node};
-use crate::pool::{Contacts, Pool, Use};
-use crate::types::{Command, Level};
+use crate::discovery::{Endpoint, Endpoints};
+use crate::pool::{ConnectionAges, ConnectionPool};
 
 /// Hosts called in one round.
-const MOST_CALLS: usize = 32;
-/// A release that is not confirmed by then is called for at further hosts, seconds.
-const HEDGE_S: f64 = 0.05;
+const MAX_CALLS_PER_ROUND: usize = 32;
 /// Calls of one hedge double up to this.
-const MOST_HEDGED: usize = 16;
+const MAX_HEDGED: usize = 16;
 /// A call waits for its answer for so long in the first round, twice as long in each further one, seconds.
-const ANSWER_S: f64 = 0.15;
-const MOST_ANSWER_S: f64 = 1.2;
+const ANSWER_SECS: f64 = 0.15;
+const MAX_ANSWER_SECS: f64 = 1.2;
 /// Pause before the second round, twice as long before each further one, seconds.
-const ROUND_S: f64 = 0.25;
-const MOST_ROUND_S: f64 = 2.0;
+const ROUND_SECS: f64 = 0.25;
+const MAX_ROUND_SECS: f64 = 2.0;
 /// Doublings that are told apart.
-const MOST_DOUBLINGS: u32 = 8;
+const MAX_DOUBLINGS: u32 = 8;
 /// A release that no host has confirmed by then is given up, seconds.
-const GIVE_UP_S: f64 = 60.0;
+const GIVE_UP_SECS: f64 = 60.0;
 /// Most requests whose states are being released at once; past them the oldest is given up.
 const MOST: usize = 1024;
 /// A host that has failed a call is called after the others for so long, seconds.
-const AVOIDED_S: f64 = 2.0;
-/// The close of an attempt that may wait for the state, or make it, has arrived everywhere by then, seconds. A release
-/// that overtakes it finds the state in use, or not made yet, and is confirmed all the same.
-const CLOSE_ARRIVES_S: f64 = 0.12;
+const AVOID_AFTER_FAILURE_SECS: f64 = 2.0;
 /// What the platform allows for a release beyond the limit of the settings, seconds.
-const SLACK_S: f64 = 0.3;
+const SLACK_SECS: f64 = 0.3;
 
 /// A time that doubles so often, and no further than to its bound.
-fn doubled(first_s: f64, times: u32, most_s: f64) -> f64 {
-    (first_s * f64::from(1u32 << times.min(MOST_DOUBLINGS))).min(most_s)
+fn doubled(first_s: f64, times: u32, max_s: f64) -> f64 {
+    (first_s * f64::from(1u32 << times.min(MAX_DOUBLINGS))).min(max_s)
 }
 
 /// One request's state that is to be released.
@@ -54,32 +47,85 @@
     begun: Micros,
     /// Calls that began earlier prove nothing.
     valid_from: Micros,
-    /// An earlier one was confirmed: no other before that time.
-    waits: bool,
-    /// Hosts called in this round.
-    asked: BTreeSet<ServerId>,
-    round: u32,
-    hedges: u32,
+    /// A call that began too early was confirmed: the next one is made at `valid_from`.
+    waits_until_valid: bool,
+    round: Round,
+    /// Calls made in all rounds.
     calls: u32,
 }
 
+/// One round of calls, each at another server.
+#[derive(Debug, Default)]
+struct Round {
+    /// Rounds before this one.
+    number: u32,
+    /// Hedges made, each of twice as many calls as the one before.
+    hedges: u32,
+    called: BTreeSet<ServerId>,
+}
+
+impl Round {
+    /// The same round from its begin: all servers may be called once more.
+    fn restart(&mut self) {
+        self.hedges = 0;
+        self.called.clear();
+    }
+
+    /// Calls of the next hedge.
+    fn hedge(&mut self) -> usize {
+        let calls = 1usize << self.hedges.min(MAX_DOUBLINGS);
+        self.hedges += 1;
+        calls.min(MAX_HEDGED)
+    }
+
+    /// Goes on to the next round; gives the pause before it, seconds.
+    fn advance(&mut self) -> f64 {
+        let pause_s = doubled(ROUND_SECS, self.number, MAX_ROUND_SECS);
+        self.number += 1;
+        self.restart();
+        pause_s
+    }
+
+    /// How long a call of this round waits for its response, seconds.
+    fn response_timeout_s(&self) -> f64 {
+        doubled(ANSWER_SECS, self.number, MAX_ANSWER_SECS)
+    }
+}
+
+/// The next call of a release.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReleaseCall {
+    /// The model server to call.
+    pub server: ServerId,
+    /// Its address.
+    pub to: SocketAddr,
+    /// The request to write.
+    pub bytes: Vec<u8>,
+}
+
+/// A release that has just begun.
+#[derive(Debug)]
+pub struct Begun {
+    /// Its number.
+    pub id: u64,
+    /// The oldest one, given up for it at the table's bound.
+    pub dropped: Option<Release>,
+}
+
 impl Release {
     fn new(now: Micros, valid_from: Micros, request: String) -> Release {
-        let asked = BTreeSet::new();
         Release {
             request,
             begun: now,
             valid_from,
-            waits: false,
-            asked,
-            round: 0,
-            hedges: 0,
+            waits_until_valid: false,
+            round: Round::default(),
             calls: 0,
         }
     }
 
     /// A line for the log once a host has confirmed it, where that took longer than the platform allows.
-    fn late_line(&self, now: Micros, server: ServerId) -> Option<String> {
+    pub(crate) fn late_line(&self, now: Micros, server: ServerId) -> Option<String> {
         let (took_s, calls) = (now.since(self.begun), self.calls);
         let line = || {
             format!(
@@ -87,11 +133,11 @@
                 self.request
             )
         };
-        (took_s > SLACK_S).then(line)
+        (took_s > SLACK_SECS).then(line)
     }
 
     /// A line for the log where no host has confirmed it.
-    fn unconfirmed_line(&self, now: Micros, why: &str) -> String {
+    pub(crate) fn unconfirmed_line(&self, now: Micros, why: &str) -> String {
         let (took_s, calls) = (now.since(self.begun), self.calls);
         format!(
             "state of {} may still be held: {why} after {took_s:.3} s and {calls} calls",
@@ -100,6 +146,18 @@
     }
 }
 
+/// Order in which servers are called: an idle connection carries a call at once, and a server that has responded of
+/// late is likeliest to respond. The fields are compared in their order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct CallRank {
+    is_silent: bool,
+    idle_since: Reverse<Option<Micros>>,
+    last_received: Reverse<Option<Micros>>,
+    is_not_ready: bool,
+    server: ServerId,
+    to: SocketAddr,
+}
+
 /// All that are under way.
 #[derive(Debug, Default)]
 pub struct Releases {
@@ -122,12 +180,7 @@
 
     /// Begins one, which a call proves that began at a time or later; gives its number, and the one that had to give
     /// way at the table's bound.
-    pub fn put(
-        &mut self,
-        now: Micros,
-        valid_from: Micros,
-        request: String,
-    ) -> (u64, Option<Release>) {
+    pub fn begin(&mut self, now: Micros, valid_from: Micros, request: String) -> Begun {
         let dropped = if self.open.len() >= MOST {
             self.open.pop_first()
         } else {
@@ -136,264 +189,141 @@
         self.last += 1;
         self.open
             .insert(self.last, Release::new(now, valid_from, request));
-        (self.last, dropped.map(|d| d.1))
+        Begun {
+            id: self.last,
+            dropped: dropped.map(|(_, release)| release),
+        }
     }
 
-    fn done(&mut self, id: u64) -> Option<Release> {
+    pub(crate) fn finish(&mut self, id: u64) -> Option<Release> {
         self.waiting.remove(&id);
         self.open.remove(&id)
     }
 
     /// A call could not go out: its host is not asked yet, and it waits for a connection.
-    fn wait(&mut self, id: u64, server: ServerId) {
+    pub(crate) fn defer(&mut self, id: u64, server: ServerId) {
         if let Some(release) = self.open.get_mut(&id) {
-            release.asked.remove(&server);
+            release.round.called.remove(&server);
             release.calls -= 1;
             self.waiting.insert(id);
         }
     }
 
     /// How long a call waits for its answer, seconds.
-    pub fn answer_limit_s(&self, id: u64) -> f64 {
-        doubled(
-            ANSWER_S,
-            self.open.get(&id).map_or(0, |r| r.round),
-            MOST_ANSWER_S,
-        )
+    pub fn response_timeout_s(&self, id: u64) -> f64 {
+        let first = Round::default();
+        let round = self.open.get(&id).map_or(&first, |release| &release.round);
+        round.response_timeout_s()
     }
 
-    /// The next host to call, and what to say; `None` once enough were called in this round or none is left.
+    /// The next call; `None` once enough servers were called in this round or none is left.
     pub fn next_call(
         &mut self,
         id: u64,
         now: Micros,
-        fleet: &Fleet,
-        pool: &Pool,
-    ) -> Option<(ServerId, SocketAddr, Vec<u8>)> {
-        self.call_after(id, now, fleet, &pool.contacts(now))
-    }
-
-    fn call_after(
-        &mut self,
-        id: u64,
-        now: Micros,
-        fleet: &Fleet,
-        contacts: &Contacts,
-    ) -> Option<(ServerId, SocketAddr, Vec<u8>)> {
-        let failed = |server| {
-            self.failed
-                .get(&server)
-                .is_some_and(|at| now.since(*at) < AVOIDED_S)
-        };
-        let release = self
-            .open
-            .get_mut(&id)
-            .filter(|r| r.asked.len() < MOST_CALLS)?;
-        let rank = |(server, to, standing): (ServerId, SocketAddr, ServerStatus)| {
-            // A kept connection carries it at once, and a host that has answered of late is likeliest to answer.
-            let silent = contacts.silent(now, server) || failed(server);
-            let kept = contacts.kept(server, to);
-            (
-                silent,
-                Reverse(kept),
-                Reverse(contacts.heard(server)),
-                standing != ServerStatus::Ready,
-                server,
-                to,
-            )
-        };
-        let fresh = fleet
+        endpoints: &Endpoints,
+        pool: &ConnectionPool,
+    ) -> Option<ReleaseCall> {
+        let release = self.open.get(&id)?;
+        if release.round.called.len() >= MAX_CALLS_PER_ROUND {
+            return None;
+        }
+        let ages = pool.connection_ages(now);
+        let uncalled = endpoints
             .iter()
-            .filter(|(server, _)| !release.asked.contains(server));
-        let best = fresh
-            .map(|(server, t)| rank((server, t.endpoint, t.standing)))
+            .filter(|(server, _)| !release.round.called.contains(server));
+        let best = uncalled
+            .map(|(server, endpoint)| self.rank(now, server, endpoint, &ages))
             .min()?;
-        let (_, _, _, _, server, to) = best;
-        release.asked.insert(server);
+        let release = self.open.get_mut(&id)?;
+        release.round.called.insert(best.server);
         release.calls += 1;
         let call = format!(
             "DELETE /bootstrap/rooms/{} HTTP/1.1\r\nHost: origin.svc\r\n\r\n",
             release.request
         );
-        Some((server, to, call.into_bytes()))
+        Some(ReleaseCall {
+            server: best.server,
+            to: best.to,
+            bytes: call.into_bytes(),
+        })
+    }
+
+    fn rank(
+        &self,
+        now: Micros,
+        server: ServerId,
+        endpoint: &Endpoint,
+        ages: &ConnectionAges,
+    ) -> CallRank {
+        let failed_at = self.failed.get(&server);
+        let failed = failed_at.is_some_and(|at| now.since(*at) < AVOID_AFTER_FAILURE_SECS);
+        CallRank {
+            is_silent: ages.silent(now, server) || failed,
+            idle_since: Reverse(ages.idle_since(server, endpoint.endpoint)),
+            last_received: Reverse(ages.last_received(server)),
+            is_not_ready: endpoint.standing != ServerStatus::Ready,
+            server,
+            to: endpoint.endpoint,
+        }
+    }
+
+    /// A release whose call found all connections in use, the oldest first; it waits no longer.
+    pub(crate) fn next_waiting(&mut self) -> Option<u64> {
+        self.waiting.pop_first()
+    }
+
+    pub(crate) fn is_waiting(&self, id: u64) -> bool {
+        self.waiting.contains(&id)
+    }
+
+    pub(crate) fn is_open(&self, id: u64) -> bool {
+        self.open.contains_key(&id)
+    }
+
+    /// A server has confirmed a call.
+    pub(crate) fn forget_failure(&mut self, server: ServerId) {
+        self.failed.remove(&server);
     }
 
-    fn call_failed(&mut self, now: Micros, server: ServerId) {
-        self.failed.retain(|_, at| now.since(*at) < AVOIDED_S);
+    pub(crate) fn record_failure(&mut self, now: Micros, server: ServerId) {
+        self.failed
+            .retain(|_, at| now.since(*at) < AVOID_AFTER_FAILURE_SECS);
         self.failed.insert(server, now);
     }
 
     /// A confirmed call began too early to prove anything: it is made once more when it can.
-    fn overtook(&mut self, id: u64, begun: Micros) -> bool {
+    pub(crate) fn retry_if_too_early(&mut self, id: u64, begun: Micros) -> bool {
         let Some(release) = self.open.get_mut(&id).filter(|r| begun < r.valid_from) else {
             return false;
         };
-        (release.waits, release.hedges) = (true, 0);
-        release.asked.clear();
+        release.waits_until_valid = true;
+        release.round.restart();
         true
     }
 
     /// When the next call is to be made, where that is later than now.
-    fn waits_until(&mut self, id: u64, now: Micros) -> Option<Micros> {
-        let release = self.open.get_mut(&id).filter(|r| r.waits)?;
+    pub(crate) fn delayed_until(&mut self, id: u64, now: Micros) -> Option<Micros> {
+        let release = self.open.get_mut(&id).filter(|r| r.waits_until_valid)?;
         if now < release.valid_from {
             return Some(release.valid_from);
         }
-        release.waits = false;
+        release.waits_until_valid = false;
         None
     }
 
     /// Calls that a hedge makes, twice as many each time.
-    fn hedge(&mut self, id: u64) -> usize {
-        let Some(release) = self.open.get_mut(&id) else {
-            return 0;
-        };
-        let calls = 1usize << release.hedges.min(MOST_DOUBLINGS);
-        release.hedges += 1;
-        calls.min(MOST_HEDGED)
+    pub(crate) fn hedge(&mut self, id: u64) -> usize {
+        let release = self.open.get_mut(&id);
+        release.map_or(0, |release| release.round.hedge())
     }
 
     /// All hosts of a round were called: the next one begins after this pause, seconds. `None` where it is given up.
-    fn next_round(&mut self, id: u64, now: Micros) -> Option<f64> {
+    pub(crate) fn next_round(&mut self, id: u64, now: Micros) -> Option<f64> {
         let release = self
             .open
             .get_mut(&id)
-            .filter(|r| now.since(r.begun) < GIVE_UP_S)?;
-        let pause_s = doubled(ROUND_S, release.round, MOST_ROUND_S);
-        release.asked.clear();
-        (release.round, release.hedges) = (release.round + 1, 0);
-        Some(pause_s)
-    }
-}
-
-impl Node {
-    /// Releases what is held for a request. A hand-over that has not gone out would find nothing: it ends.
-    pub(crate) fn release(&mut self, now: Micros, request: RequestId, out: &mut Vec<Command>) {
-        let Some(open) = self.requests.get(request) else {
-            return;
-        };
-        let valid_from = open.broke_at.map_or(now, |at| at.after(CLOSE_ARRIVES_S));
-        let is_handed_over = open.out.is_some_and(|attempt| !attempt.prefill);
-        let (release, dropped) = self.releases.put(now, valid_from, open.id.clone());
-        self.counts.releases += 1;
-        if let Some(dropped) = dropped {
-            self.unconfirmed(now, &dropped, "too many states are to be released", out);
-        }
-        if is_handed_over {
-            self.end_unwritten(now, request, out);
-        }
-        self.call_release(now, release, out);
-        self.timers
-            .set(now.after(HEDGE_S), Due::Release { id: release });
-    }
-
-    /// Calls one more host. False where none is left in this round.
-    fn call_release(&mut self, now: Micros, id: u64, out: &mut Vec<Command>) -> bool {
-        let Some((server, to, call)) = self.releases.next_call(id, now, &self.fleet, &self.pool)
-        else {
-            return false;
-        };
-        self.counts.release_calls += 1;
-        if self
-            .exchange(
-                now,
-                (server, to),
-                Use::Release {
-                    id,
-                    server,
-                    begun: now,
-                },
-                call,
-                out,
-            )
-            .is_none()
-        {
-            // What is held stays held until somebody is told: the call goes out once a connection is free.
-            self.counts.release_calls -= 1;
-            self.releases.wait(id, server);
-        }
-        true
-    }
-
-    /// Calls that found all connections in use go out as some are free, the oldest first.
-    pub(crate) fn call_waiting_releases(&mut self, now: Micros, out: &mut Vec<Command>) {
-        while self.pool.has_room() {
-            let Some(id) = self.releases.waiting.pop_first() else {
-                return;
-            };
-            self.call_release(now, id, out);
-        }
-    }
-
-    /// No host has confirmed it yet.
-    pub(crate) fn hedge_release(&mut self, now: Micros, id: u64, out: &mut Vec<Command>) {
-        if let Some(at) = self.releases.waits_until(id, now) {
-            return self.timers.set(at, Due::Release { id });
-        }
-        for _ in 0..self.releases.hedge(id) {
-            if self.releases.waiting.contains(&id) {
-                break;
-            }
-            if !self.call_release(now, id, out) {
-                return self.begin_round(now, id, out);
-            }
-        }
-        if self.releases.open.contains_key(&id) {
-            self.timers.set(now.after(HEDGE_S), Due::Release { id });
-        }
-    }
-
-    fn begin_round(&mut self, now: Micros, id: u64, out: &mut Vec<Command>) {
-        if let Some(pause_s) = self.releases.next_round(id, now) {
-            return self.timers.set(now.after(pause_s), Due::Release { id });
-        }
-        if let Some(release) = self.releases.done(id) {
-            self.unconfirmed(now, &release, "no model host has answered", out);
-        }
-    }
-
-    pub(crate) fn release_answered(
-        &mut self,
-        now: Micros,
-        id: u64,
-        (server, begun): (ServerId, Micros),
-        status: u16,
-        out: &mut Vec<Command>,
-    ) {
-        if !(200..300).contains(&status) {
-            return self.release_failed(now, id, server, Outcome::Error, out);
-        }
-        self.releases.failed.remove(&server);
-        if self.releases.overtook(id, begun) {
-            return;
-        }
-        let Some(release) = self.releases.done(id) else {
-            return;
-        };
-        self.counts.releases_confirmed += 1;
-        if let Some(line) = release.late_line(now, server) {
-            self.counts.releases_late += 1;
-            self.log(out, Level::Warn, line);
-        }
-    }
-
-    /// One call has failed: another host is called at once. One that has had no answer has been hedged by now.
-    pub(crate) fn release_failed(
-        &mut self,
-        now: Micros,
-        id: u64,
-        server: ServerId,
-        outcome: Outcome,
-        out: &mut Vec<Command>,
-    ) {
-        self.releases.call_failed(now, server);
-        if outcome != Outcome::TimedOut {
-            self.call_release(now, id, out);
-        }
-    }
-
-    fn unconfirmed(&mut self, now: Micros, release: &Release, why: &str, out: &mut Vec<Command>) {
-        self.counts.releases_unconfirmed += 1;
-        self.log(out, Level::Warn, release.unconfirmed_line(now, why));
+            .filter(|r| now.since(r.begun) < GIVE_UP_SECS)?;
+        Some(release.round.advance())
     }
 }
