--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -5,7 +5,7 @@
 use bitternlatch_protocol::client::{
     self, Create, IncompleteDetails, Response, ResponseError, Status,
 };
-use bitternlatch_workflow::{Fate, Refusal};
+use bitternlatch_workflow::{AttemptOutcome, RejectReason};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::budgets::Denied;
@@ -50,11 +50,11 @@
     }
 
     /// What became of a step whose answer is none.
-    fn unfinished(&self) -> Fate {
+    fn unfinished(&self) -> AttemptOutcome {
         if self.may_run() {
-            Fate::MayHaveRun
+            AttemptOutcome::MayHaveRun
         } else {
-            Fate::NeverRan
+            AttemptOutcome::NeverRan
         }
     }
 
@@ -295,7 +295,7 @@
             return Some(answer);
         };
         let fate = match answer.status {
-            Status::Completed | Status::Incomplete => Fate::Done {
+            Status::Completed | Status::Incomplete => AttemptOutcome::Done {
                 result: request.text.clone(),
                 tokens: request.usage.output_tokens,
             },
@@ -303,7 +303,7 @@
         };
         // A failure is told soon, held or not: it says enough as it is.
         let until = match &fate {
-            Fate::Done { .. } => request.deadline.max(now.after(HELD_WITHIN_S)),
+            AttemptOutcome::Done { .. } => request.deadline.max(now.after(HELD_WITHIN_S)),
             _ => now.after(FAILED_WITHIN_S),
         };
         self.drop_waiting(id);
@@ -471,7 +471,7 @@
         now: Micros,
         id: RequestId,
         answer: Response,
-        held: Result<(), Option<Refusal>>,
+        held: Result<(), Option<RejectReason>>,
         out: &mut Vec<Output>,
     ) {
         let Some(request) = self.requests.get(&id) else {
--- a/crates/core/src/budgets.rs
+++ b/crates/core/src/budgets.rs
@@ -7,7 +7,7 @@
 use bitternlatch_budget::Amount;
 use bitternlatch_policy::interface::RequestId;
 use bitternlatch_protocol::client::{self, BadRequest, Create, Response, Status};
-use bitternlatch_workflow::Refusal;
+use bitternlatch_workflow::RejectReason;
 
 use crate::machine::Machine;
 use crate::requests::Request;
@@ -47,7 +47,7 @@
         client::error_elsewhere(&self.bad, again, Some(&create.metadata), &self.elsewhere)
     }
 
-    pub(crate) fn by_workflow(why: Refusal) -> Denied {
+    pub(crate) fn by_workflow(why: RejectReason) -> Denied {
         let bad = refused(why);
         let retry_after_s = (bad.status == 503).then_some(COME_BACK_S);
         Denied {
--- a/crates/core/src/intake.rs
+++ b/crates/core/src/intake.rs
@@ -6,7 +6,7 @@
 use bitternlatch_protocol::client::{self, BadRequest, ClientEvent, Create, Response, Status};
 use bitternlatch_protocol::tokens_of;
 use bitternlatch_protocol::workflow::{self, About};
-use bitternlatch_workflow::Refusal;
+use bitternlatch_workflow::RejectReason;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::budgets::{Charged, Denied, COME_BACK_S};
@@ -491,7 +491,7 @@
         out: &mut Vec<Output>,
     ) -> Result<(), Denied> {
         if self.stopping {
-            return Err(Denied::by_workflow(Refusal::Busy));
+            return Err(Denied::by_workflow(RejectReason::Busy));
         }
         let tenant = self
             .settings
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -188,7 +188,7 @@
     #[serde(rename = "Lengths")]
     OutputLength(bitternlatch_output_length::Told),
     /// From the workflow coordinator.
-    Workflow(bitternlatch_workflow::Told),
+    Workflow(bitternlatch_workflow::Event),
     /// Whether the server list has become unreadable (`true`) or readable again.
     #[serde(rename = "ListLost")]
     ServerListUnreadable(bool),
@@ -277,7 +277,7 @@
     #[serde(rename = "Lengths")]
     OutputLength(bitternlatch_output_length::Ask),
     /// To the workflow coordinator.
-    Workflow(bitternlatch_workflow::Ask),
+    Workflow(bitternlatch_workflow::Command),
     /// The charge for a request: before its final answer, and again when more is known.
     Charge(Entry),
     /// A log line.
--- a/crates/core/src/workflows.rs
+++ b/crates/core/src/workflows.rs
@@ -10,7 +10,7 @@
 use bitternlatch_policy::interface::{RequestId, ServerId};
 use bitternlatch_protocol::client::{Create, Response};
 use bitternlatch_protocol::workflow::{Carried, Claimed};
-use bitternlatch_workflow::{Ask, Call, Effect, Fate, Refusal, Told};
+use bitternlatch_workflow::{AttemptOutcome, Call, Command, Effect, Event, RejectReason};
 
 use crate::load_shedding::Counted;
 use crate::types::{Micros, SessionId};
@@ -59,7 +59,7 @@
     Settle {
         workflow: String,
         step: u32,
-        fate: Fate,
+        fate: AttemptOutcome,
     },
     Step(Intent),
 }
@@ -89,7 +89,7 @@
     /// Its answer is there and waits, until then, for its result to be held.
     Ending {
         answer: Box<Response>,
-        fate: Fate,
+        fate: AttemptOutcome,
         until: Micros,
     },
 }
@@ -117,7 +117,7 @@
         known: bool,
     },
     /// Refuse a session's request.
-    Refuse { asked: Asked, why: Refusal },
+    Refuse { asked: Asked, why: RejectReason },
     /// Take a step's request as any other. Its intent is held, and it may leave until then.
     Go {
         asked: Asked,
@@ -136,10 +136,10 @@
     Give {
         request: RequestId,
         answer: Box<Response>,
-        held: Result<(), Option<Refusal>>,
+        held: Result<(), Option<RejectReason>>,
     },
     /// Tell what nobody waits for.
-    Tell(Ask),
+    Tell(Command),
 }
 
 #[derive(Debug, Default)]
@@ -160,7 +160,7 @@
     /// Takes a session's question; gives its number and what to tell.
     ///
     /// # Errors
-    /// [`Refusal::Busy`] at the bound.
+    /// [`RejectReason::Busy`] at the bound.
     pub(crate) fn ask(
         &mut self,
         now: Micros,
@@ -168,20 +168,20 @@
         question: Question,
         counted: Counted,
         until: Micros,
-    ) -> Result<(Call, Ask), Refusal> {
+    ) -> Result<(Call, Command), RejectReason> {
         if self.asked.len() >= ASKED_MOST {
-            return Err(Refusal::Busy);
+            return Err(RejectReason::Busy);
         }
         let call = self.call();
         let until_us = until.0;
         let ask = match question.clone() {
-            Question::Claim { workflow, worker } => Ask::Claim {
+            Question::Claim { workflow, worker } => Command::Claim {
                 call,
                 workflow,
                 worker,
                 until_us,
             },
-            Question::Carry { workflow, epoch } => Ask::Carry {
+            Question::Carry { workflow, epoch } => Command::RenewLease {
                 call,
                 workflow,
                 epoch,
@@ -191,7 +191,7 @@
                 workflow,
                 epoch,
                 cancelled,
-            } => Ask::Finish {
+            } => Command::Finish {
                 call,
                 workflow,
                 epoch,
@@ -202,11 +202,11 @@
                 workflow,
                 step,
                 fate,
-            } => Ask::Settle {
+            } => Command::Settle {
                 call,
                 workflow,
                 step,
-                fate,
+                outcome: fate,
                 until_us,
             },
             Question::Step(intent) => intend(call, intent, until),
@@ -227,7 +227,7 @@
     }
 
     /// Whether a step is in hand here: under way as a request, or not to be taken now.
-    pub(crate) fn in_hand(&self, wanted: &Intent) -> Option<Result<RequestId, Refusal>> {
+    pub(crate) fn in_hand(&self, wanted: &Intent) -> Option<Result<RequestId, RejectReason>> {
         let same = |i: &Intent| {
             (&i.workflow, i.epoch, i.step) == (&wanted.workflow, wanted.epoch, wanted.step)
         };
@@ -235,14 +235,14 @@
             return Some(if step.intent.asks == wanted.asks {
                 Ok(*id)
             } else {
-                Err(Refusal::OtherRequest)
+                Err(RejectReason::OtherRequest)
             });
         }
         let waits = |a: &Asked| matches!(&a.question, Question::Step(i) if same(i));
         self.asked
             .values()
             .any(|a| !a.gone && waits(a))
-            .then_some(Err(Refusal::Busy))
+            .then_some(Err(RejectReason::Busy))
     }
 
     /// Questions in hand for a session.
@@ -285,8 +285,8 @@
     }
 
     /// A step whose intent is held was not taken as a request after all.
-    pub(crate) fn never_ran(&mut self, intent: Intent, until: Micros) -> Ask {
-        ended(self.call(), intent, Fate::NeverRan, until)
+    pub(crate) fn never_ran(&mut self, intent: Intent, until: Micros) -> Command {
+        ended(self.call(), intent, AttemptOutcome::NeverRan, until)
     }
 
     /// Whether a request's effect may leave at this moment: checked at the act, as the process may have stood still since it was
@@ -319,7 +319,7 @@
         send: Waits,
         may_have_run: bool,
         ends: Micros,
-    ) -> Option<(Call, Vec<Ask>)> {
+    ) -> Option<(Call, Vec<Command>)> {
         let (first, call) = (self.call(), self.call());
         let step = self.steps.get_mut(&request)?;
         let Stage::Going {
@@ -332,7 +332,8 @@
         };
         let tells = !may_have_run && !*withdrawn;
         (*until, *waits, *withdrawn) = (Micros(0), Some(send), !may_have_run);
-        let never = tells.then(|| ended(first, step.intent.clone(), Fate::NeverRan, ends));
+        let never =
+            tells.then(|| ended(first, step.intent.clone(), AttemptOutcome::NeverRan, ends));
         let again = intend(call, step.intent.clone(), ends);
         self.of_steps.insert(call, request);
         Some((call, never.into_iter().chain([again]).collect()))
@@ -351,10 +352,10 @@
     pub(crate) fn end(
         &mut self,
         request: RequestId,
-        fate: Fate,
+        fate: AttemptOutcome,
         answer: Box<Response>,
         until: Micros,
-    ) -> Result<(Call, Ask), Box<Response>> {
+    ) -> Result<(Call, Command), Box<Response>> {
         if self.is_withdrawn(request, &fate) {
             self.forget(request);
             return Err(answer);
@@ -377,7 +378,7 @@
     }
 
     /// The end of a step that waits, told once more.
-    pub(crate) fn end_again(&mut self, request: RequestId) -> Option<(Call, Micros, Ask)> {
+    pub(crate) fn end_again(&mut self, request: RequestId) -> Option<(Call, Micros, Command)> {
         let call = self.call();
         let step = self.steps.get(&request)?;
         let Stage::Ending { fate, until, .. } = &step.stage else {
@@ -391,7 +392,7 @@
         Some((call, until, ask))
     }
 
-    fn is_withdrawn(&self, request: RequestId, fate: &Fate) -> bool {
+    fn is_withdrawn(&self, request: RequestId, fate: &AttemptOutcome) -> bool {
         let withdrawn = |s: &Step| {
             matches!(
                 s.stage,
@@ -401,7 +402,7 @@
                 }
             )
         };
-        *fate == Fate::NeverRan && self.steps.get(&request).is_some_and(withdrawn)
+        *fate == AttemptOutcome::NeverRan && self.steps.get(&request).is_some_and(withdrawn)
     }
 
     fn forget(&mut self, request: RequestId) -> Option<Step> {
@@ -416,7 +417,12 @@
     }
 
     /// Nobody waits for a step's answer any more; what became of it is told all the same.
-    pub(crate) fn abandon(&mut self, request: RequestId, fate: Fate, until: Micros) -> Option<Ask> {
+    pub(crate) fn abandon(
+        &mut self,
+        request: RequestId,
+        fate: AttemptOutcome,
+        until: Micros,
+    ) -> Option<Command> {
         if self.is_ending(request) {
             return None;
         }
@@ -426,13 +432,13 @@
     }
 
     /// An answer by the machine beside the plane; one to a question that is over says nothing.
-    pub(crate) fn told(&mut self, now: Micros, told: Told) -> Option<Act> {
+    pub(crate) fn told(&mut self, now: Micros, told: Event) -> Option<Act> {
         let call = match &told {
-            Told::Claimed { call, .. }
-            | Told::Go { call, .. }
-            | Told::Known { call, .. }
-            | Told::Held { call }
-            | Told::Refused { call, .. } => *call,
+            Event::Claimed { call, .. }
+            | Event::SendPermitted { call, .. }
+            | Event::AlreadyDone { call, .. }
+            | Event::Committed { call }
+            | Event::Rejected { call, .. } => *call,
         };
         match (self.asked.remove(&call), self.of_steps.remove(&call)) {
             (Some(asked), _) => self.answer(asked, told),
@@ -461,7 +467,7 @@
             asked.gone = true;
             return Some(Act::Refuse {
                 asked,
-                why: Refusal::NoMajority,
+                why: RejectReason::NoMajority,
             });
         }
         let request = self.of_steps.remove(&call)?;
@@ -479,13 +485,13 @@
         self.asked.contains_key(&call)
     }
 
-    fn answer(&mut self, asked: Asked, told: Told) -> Option<Act> {
+    fn answer(&mut self, asked: Asked, told: Event) -> Option<Act> {
         let epoch_of = |q: &Question| match q {
             Question::Carry { epoch, .. } | Question::Finish { epoch, .. } => Some(*epoch),
             Question::Claim { .. } | Question::Settle { .. } | Question::Step(_) => None,
         };
         match (&asked.question, told) {
-            (Question::Step(intent), Told::Go { until_us, .. }) => {
+            (Question::Step(intent), Event::SendPermitted { until_us, .. }) => {
                 let (intent, until) = (intent.clone(), Micros(until_us));
                 Some(match asked.gone {
                     true => Act::Tell(self.never_ran(intent, until)),
@@ -497,14 +503,14 @@
                 })
             }
             _ if asked.gone => None,
-            (Question::Step(_), Told::Known { result, .. }) => Some(Act::Answer {
+            (Question::Step(_), Event::AlreadyDone { result, .. }) => Some(Act::Answer {
                 asked,
                 text: result,
                 known: true,
             }),
             (
                 Question::Claim { .. },
-                Told::Claimed {
+                Event::Claimed {
                     epoch,
                     context,
                     steps,
@@ -529,7 +535,7 @@
                 question @ (Question::Carry { .. }
                 | Question::Finish { .. }
                 | Question::Settle { .. }),
-                Told::Held { .. },
+                Event::Committed { .. },
             ) => {
                 let text = json(&Carried {
                     epoch: epoch_of(question),
@@ -540,16 +546,16 @@
                     known: false,
                 })
             }
-            (_, Told::Refused { why, .. }) => Some(Act::Refuse { asked, why }),
+            (_, Event::Rejected { reason: why, .. }) => Some(Act::Refuse { asked, why }),
             // An answer to another question: nothing can be said for certain.
             _ => Some(Act::Refuse {
                 asked,
-                why: Refusal::Busy,
+                why: RejectReason::Busy,
             }),
         }
     }
 
-    fn answer_step(&mut self, now: Micros, request: RequestId, told: Told) -> Option<Act> {
+    fn answer_step(&mut self, now: Micros, request: RequestId, told: Event) -> Option<Act> {
         let step = self.steps.get_mut(&request)?;
         match (&mut step.stage, told) {
             (
@@ -562,7 +568,7 @@
             ) => {
                 let send = waits.take()?;
                 let may = match told {
-                    Told::Go { until_us, .. } => {
+                    Event::SendPermitted { until_us, .. } => {
                         (*until, *withdrawn) = (Micros(until_us), false);
                         true
                     }
@@ -570,18 +576,20 @@
                 };
                 Some(Act::Send { request, send, may })
             }
-            (Stage::Ending { .. }, Told::Held { .. }) => self.give(request, Ok(())),
-            (Stage::Ending { until, .. }, Told::Refused { why, .. })
+            (Stage::Ending { .. }, Event::Committed { .. }) => self.give(request, Ok(())),
+            (Stage::Ending { until, .. }, Event::Rejected { reason: why, .. })
                 if passing(why) && now < *until =>
             {
                 Some(Act::Again(request))
             }
-            (Stage::Ending { .. }, Told::Refused { why, .. }) => self.give(request, Err(Some(why))),
+            (Stage::Ending { .. }, Event::Rejected { reason: why, .. }) => {
+                self.give(request, Err(Some(why)))
+            }
             (Stage::Ending { .. }, _) => self.give(request, Err(None)),
         }
     }
 
-    fn give(&mut self, request: RequestId, held: Result<(), Option<Refusal>>) -> Option<Act> {
+    fn give(&mut self, request: RequestId, held: Result<(), Option<RejectReason>>) -> Option<Act> {
         if !self.is_ending(request) {
             return None;
         }
@@ -596,7 +604,7 @@
     }
 }
 
-fn intend(call: Call, intent: Intent, until: Micros) -> Ask {
+fn intend(call: Call, intent: Intent, until: Micros) -> Command {
     let Intent {
         workflow,
         epoch,
@@ -605,38 +613,41 @@
         key,
         asks,
     } = intent;
-    Ask::Intend {
+    Command::Intend {
         call,
         workflow,
         epoch,
         step,
         effect,
         key,
-        asks,
+        request_digest: asks,
         until_us: until.0,
     }
 }
 
-fn ended(call: Call, intent: Intent, fate: Fate, until: Micros) -> Ask {
+fn ended(call: Call, intent: Intent, fate: AttemptOutcome, until: Micros) -> Command {
     let Intent {
         workflow,
         epoch,
         step,
         ..
     } = intent;
-    Ask::Ended {
+    Command::ReportOutcome {
         call,
         workflow,
         epoch,
         step,
-        fate,
+        outcome: fate,
         until_us: until.0,
     }
 }
 
 /// Whether a refusal says nothing of the workflow itself.
-fn passing(why: Refusal) -> bool {
-    matches!(why, Refusal::NoMajority | Refusal::Busy | Refusal::NotKept)
+fn passing(why: RejectReason) -> bool {
+    matches!(
+        why,
+        RejectReason::NoMajority | RejectReason::Busy | RejectReason::NotStored
+    )
 }
 
 #[cfg(test)]
--- a/crates/core/src/workflows/messages.rs
+++ b/crates/core/src/workflows/messages.rs
@@ -2,18 +2,18 @@
 
 use bitternlatch_protocol::client::{BadRequest, Create};
 use bitternlatch_protocol::workflow::{ClaimedStep, Decided, Does, StepEffect, StepFate};
-use bitternlatch_workflow::{Effect, Fate, Refusal};
+use bitternlatch_workflow::{AttemptOutcome, Effect, RejectReason};
 use xxhash_rust::xxh3::Xxh3;
 
 use super::{Intent, Question};
 use crate::settings::{self, Class};
 
 pub(super) fn shown(step: bitternlatch_workflow::Step) -> ClaimedStep {
-    let (fate, result) = match step.fate {
+    let (fate, result) = match step.outcome {
         None => (StepFate::Open, None),
-        Some(Fate::MayHaveRun) => (StepFate::MayHaveRun, None),
-        Some(Fate::NeverRan) => (StepFate::NeverRan, None),
-        Some(Fate::Done { result, .. }) => (StepFate::Done, Some(result)),
+        Some(AttemptOutcome::MayHaveRun) => (StepFate::MayHaveRun, None),
+        Some(AttemptOutcome::NeverRan) => (StepFate::NeverRan, None),
+        Some(AttemptOutcome::Done { result, .. }) => (StepFate::Done, Some(result)),
     };
     let effect = match step.effect {
         Effect::Safe => StepEffect::Safe,
@@ -64,12 +64,12 @@
         },
         Does::Settle { step, fate } => {
             let fate = match fate {
-                Decided::Done => Fate::Done {
+                Decided::Done => AttemptOutcome::Done {
                     result: create.input.clone(),
                     tokens: 0,
                 },
-                Decided::NeverRan => Fate::NeverRan,
-                Decided::LeftOut => Fate::MayHaveRun,
+                Decided::NeverRan => AttemptOutcome::NeverRan,
+                Decided::LeftOut => AttemptOutcome::MayHaveRun,
             };
             Question::Settle {
                 workflow,
@@ -113,20 +113,20 @@
 }
 
 /// A refusal in the words of the protocol; those of status 503 are worth another try.
-pub(crate) fn refused(why: Refusal) -> BadRequest {
+pub(crate) fn refused(why: RejectReason) -> BadRequest {
     let (status, code) = match why {
-        Refusal::Fenced => (409, "workflow_fenced"),
-        Refusal::Carried => (409, "workflow_carried"),
-        Refusal::NoMajority => (503, "workflow_no_majority"),
-        Refusal::Lost => (409, "workflow_lost"),
-        Refusal::Unsettled => (409, "workflow_unsettled"),
-        Refusal::Parked => (409, "workflow_parked"),
-        Refusal::Ended => (409, "workflow_ended"),
-        Refusal::Limit => (409, "workflow_limit"),
-        Refusal::OtherRequest => (409, "workflow_other_request"),
-        Refusal::Unknown => (409, "workflow_unknown"),
-        Refusal::Busy => (503, "workflow_busy"),
-        Refusal::NotKept => (503, "workflow_not_kept"),
+        RejectReason::Fenced => (409, "workflow_fenced"),
+        RejectReason::LeaseHeld => (409, "workflow_carried"),
+        RejectReason::NoMajority => (503, "workflow_no_majority"),
+        RejectReason::Lost => (409, "workflow_lost"),
+        RejectReason::Unsettled => (409, "workflow_unsettled"),
+        RejectReason::Parked => (409, "workflow_parked"),
+        RejectReason::Ended => (409, "workflow_ended"),
+        RejectReason::Limit => (409, "workflow_limit"),
+        RejectReason::OtherRequest => (409, "workflow_other_request"),
+        RejectReason::Unknown => (409, "workflow_unknown"),
+        RejectReason::Busy => (503, "workflow_busy"),
+        RejectReason::NotStored => (503, "workflow_not_kept"),
     };
     BadRequest {
         status,
--- a/crates/core/src/workflows/tests.rs
+++ b/crates/core/src/workflows/tests.rs
@@ -34,7 +34,7 @@
     })
 }
 
-fn asks(w: &mut Workflows, question: Question) -> (Call, Ask) {
+fn asks(w: &mut Workflows, question: Question) -> (Call, Command) {
     w.ask(
         Micros(0),
         (S, &Create::default()),
@@ -45,8 +45,8 @@
     .expect("taken")
 }
 
-fn done() -> Fate {
-    Fate::Done {
+fn done() -> AttemptOutcome {
+    AttemptOutcome::Done {
         result: "yes".into(),
         tokens: 1,
     }
@@ -57,11 +57,11 @@
     let mut w = Workflows::default();
     let wanted = intent(3, 1, Effect::Unsafe);
     let (call, _) = asks(&mut w, Question::Step(wanted.clone()));
-    assert_eq!(w.in_hand(&wanted), Some(Err(Refusal::Busy)));
+    assert_eq!(w.in_hand(&wanted), Some(Err(RejectReason::Busy)));
     assert_eq!((w.asked_by(S), w.waits()), (1, true));
     let act = w.told(
         Micros(0),
-        Told::Go {
+        Event::SendPermitted {
             call,
             until_us: 500,
         },
@@ -79,7 +79,7 @@
     assert!(
         w.told(
             Micros(0),
-            Told::Go {
+            Event::SendPermitted {
                 call,
                 until_us: 900
             }
@@ -94,7 +94,7 @@
             asks: 8,
             ..wanted.clone()
         }),
-        Some(Err(Refusal::OtherRequest))
+        Some(Err(RejectReason::OtherRequest))
     );
     assert_eq!(
         w.in_hand(&intent(4, 1, Effect::Unsafe)),
@@ -106,10 +106,10 @@
     };
     assert!(matches!(
         ask,
-        Ask::Ended {
+        Command::ReportOutcome {
             epoch: 3,
             step: 1,
-            fate: Fate::Done { .. },
+            outcome: AttemptOutcome::Done { .. },
             ..
         }
     ));
@@ -119,7 +119,7 @@
         "it ends once"
     );
     assert!(matches!(
-        w.told(Micros(0), Told::Held { call }),
+        w.told(Micros(0), Event::Committed { call }),
         Some(Act::Give {
             request: 9,
             held: Ok(()),
@@ -147,11 +147,11 @@
     assert!(matches!(
         tell.as_slice(),
         [
-            Ask::Ended {
-                fate: Fate::NeverRan,
+            Command::ReportOutcome {
+                outcome: AttemptOutcome::NeverRan,
                 ..
             },
-            Ask::Intend {
+            Command::Intend {
                 until_us: 5_000,
                 ..
             }
@@ -159,7 +159,7 @@
     ));
     let go = w.told(
         Micros(600),
-        Told::Go {
+        Event::SendPermitted {
             call,
             until_us: 900,
         },
@@ -171,15 +171,15 @@
     assert!(w.may_leave(Micros(899), 1) && !w.may_leave(Micros(900), 1));
     let (call, tell) = w.wait(1, send, true, Micros(5_000)).expect("it waits");
     assert!(
-        matches!(tell.as_slice(), [Ask::Intend { .. }]),
+        matches!(tell.as_slice(), [Command::Intend { .. }]),
         "an earlier one may have run"
     );
     assert!(!w.may_leave(Micros(0), 1), "until it is permitted again");
     let no = w.told(
         Micros(700),
-        Told::Refused {
+        Event::Rejected {
             call,
-            why: Refusal::Fenced,
+            reason: RejectReason::Fenced,
         },
     );
     assert!(matches!(no, Some(Act::Send { may: false, .. })) && !w.may_leave(Micros(0), 1));
@@ -190,7 +190,7 @@
     assert!(w
         .told(
             Micros(0),
-            Told::Go {
+            Event::SendPermitted {
                 call,
                 until_us: 900
             }
@@ -198,7 +198,7 @@
         .is_none());
     w.go(3, intent(1, 3, Effect::Unsafe), Micros(500));
     assert!(w.wait(3, send, false, Micros(5_000)).is_some());
-    let end = w.end(3, Fate::NeverRan, answer(), Micros(9));
+    let end = w.end(3, AttemptOutcome::NeverRan, answer(), Micros(9));
     assert!(
         end.is_err() && w.in_hand(&intent(1, 3, Effect::Unsafe)).is_none(),
         "that is told already"
@@ -213,7 +213,7 @@
     assert_eq!((w.asked_by(S), w.waits()), (0, false));
     let act = w.told(
         Micros(0),
-        Told::Go {
+        Event::SendPermitted {
             call,
             until_us: 500,
         },
@@ -221,8 +221,8 @@
     assert!(
         matches!(
             act,
-            Some(Act::Tell(Ask::Ended {
-                fate: Fate::NeverRan,
+            Some(Act::Tell(Command::ReportOutcome {
+                outcome: AttemptOutcome::NeverRan,
                 ..
             }))
         ),
@@ -232,14 +232,14 @@
     assert!(matches!(
         w.late(call),
         Some(Act::Refuse {
-            why: Refusal::NoMajority,
+            why: RejectReason::NoMajority,
             ..
         })
     ));
     assert!(w.lingers(call) && !w.waits());
     let act = w.told(
         Micros(0),
-        Told::Go {
+        Event::SendPermitted {
             call,
             until_us: 500,
         },
@@ -247,9 +247,9 @@
     assert!(
         matches!(
             act,
-            Some(Act::Tell(Ask::Ended {
+            Some(Act::Tell(Command::ReportOutcome {
                 step: 2,
-                fate: Fate::NeverRan,
+                outcome: AttemptOutcome::NeverRan,
                 ..
             }))
         ),
@@ -261,23 +261,23 @@
         "once more, and no longer"
     );
     w.go(5, intent(1, 3, Effect::Keyed), Micros(500));
-    let told = w.abandon(5, Fate::MayHaveRun, Micros(900));
+    let told = w.abandon(5, AttemptOutcome::MayHaveRun, Micros(900));
     assert!(matches!(
         told,
-        Some(Ask::Ended {
+        Some(Command::ReportOutcome {
             step: 3,
-            fate: Fate::MayHaveRun,
+            outcome: AttemptOutcome::MayHaveRun,
             ..
         })
     ));
-    assert_eq!(w.abandon(5, Fate::MayHaveRun, Micros(900)), None);
+    assert_eq!(w.abandon(5, AttemptOutcome::MayHaveRun, Micros(900)), None);
     w.go(6, intent(1, 4, Effect::Keyed), Micros(500));
     let Ok((call, _)) = w.end(6, done(), answer(), Micros(2_000)) else {
         panic!("a step")
     };
-    let busy = |call| Told::Refused {
+    let busy = |call| Event::Rejected {
         call,
-        why: Refusal::Busy,
+        reason: RejectReason::Busy,
     };
     assert!(
         matches!(w.told(Micros(1), busy(call)), Some(Act::Again(6))),
@@ -301,7 +301,7 @@
     assert!(matches!(
         late,
         Some(Act::Give {
-            held: Err(Some(Refusal::Busy)),
+            held: Err(Some(RejectReason::Busy)),
             ..
         })
     ));
@@ -321,10 +321,10 @@
         number,
         effect: Effect::Keyed,
         key: "k".into(),
-        fate,
+        outcome: fate,
     };
     let steps = vec![step(1, Some(done())), step(2, None)];
-    let told = Told::Claimed {
+    let told = Event::Claimed {
         call,
         epoch: 2,
         context: "c".into(),
@@ -351,7 +351,7 @@
             epoch: 2,
         },
     );
-    let act = w.told(Micros(0), Told::Go { call, until_us: 1 });
+    let act = w.told(Micros(0), Event::SendPermitted { call, until_us: 1 });
     assert!(
         matches!(act, Some(Act::Refuse { .. })),
         "no answer to this question: {act:?}"
@@ -376,5 +376,5 @@
         Counted::default(),
         Micros(1),
     );
-    assert_eq!(more, Err(Refusal::Busy));
+    assert_eq!(more, Err(RejectReason::Busy));
 }
--- a/crates/core/tests/any_order.rs
+++ b/crates/core/tests/any_order.rs
@@ -11,7 +11,7 @@
     decode, encode, Choice, Chunk, EngineError, EngineState, FromEngine, KvTransferParams,
     ToEngine, CODE_FULL, CODE_STATE_GONE,
 };
-use bitternlatch_workflow::{Ask, Fate, Refusal, Told};
+use bitternlatch_workflow::{AttemptOutcome, Command, Event, RejectReason};
 use common::{four, SETTINGS, START_US};
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -38,9 +38,9 @@
     next: u64,
     /// Requests are steps of workflows, one step each; the machine beside the plane is played in order, with losses.
     steps: bool,
-    asks: VecDeque<Ask>,
+    asks: VecDeque<Command>,
     /// What is known of each step, and until when it may leave.
-    fates: BTreeMap<String, Option<Fate>>,
+    fates: BTreeMap<String, Option<AttemptOutcome>>,
     permits: BTreeMap<String, u64>,
 }
 
@@ -284,34 +284,45 @@
         let call = ask.call();
         let told = match ask {
             _ if self.below(12) == 0 => {
-                let why = [Refusal::NoMajority, Refusal::Busy, Refusal::NotKept][self.below(3)];
-                Told::Refused { call, why }
+                let why = [
+                    RejectReason::NoMajority,
+                    RejectReason::Busy,
+                    RejectReason::NotStored,
+                ][self.below(3)];
+                Event::Rejected { call, reason: why }
             }
-            Ask::Intend { workflow, .. } => {
+            Command::Intend { workflow, .. } => {
                 let name = workflow.trim_start_matches('/').to_string();
-                let refused = |why| Told::Refused { call, why };
+                let refused = |why| Event::Rejected { call, reason: why };
                 match self.fates.get(&name) {
-                    Some(None) => refused(Refusal::Busy),
-                    Some(Some(Fate::MayHaveRun)) => refused(Refusal::Unsettled),
-                    Some(Some(Fate::Done { result, .. })) => Told::Known {
+                    Some(None) => refused(RejectReason::Busy),
+                    Some(Some(AttemptOutcome::MayHaveRun)) => refused(RejectReason::Unsettled),
+                    Some(Some(AttemptOutcome::Done { result, .. })) => Event::AlreadyDone {
                         call,
                         result: result.clone(),
                     },
-                    None | Some(Some(Fate::NeverRan)) => {
+                    None | Some(Some(AttemptOutcome::NeverRan)) => {
                         let until_us = self.now.0 + self.rng.next_u64() % 2_000_000;
                         self.fates.insert(name.clone(), None);
                         self.permits.insert(name, until_us);
-                        Told::Go { call, until_us }
+                        Event::SendPermitted { call, until_us }
                     }
                 }
             }
-            Ask::Ended { workflow, fate, .. } => {
+            Command::ReportOutcome {
+                workflow,
+                outcome: fate,
+                ..
+            } => {
                 let name = workflow.trim_start_matches('/').to_string();
-                let done = matches!(self.fates.get(&name), Some(Some(Fate::Done { .. })));
+                let done = matches!(
+                    self.fates.get(&name),
+                    Some(Some(AttemptOutcome::Done { .. }))
+                );
                 if !done {
                     self.fates.insert(name, Some(fate));
                 }
-                Told::Held { call }
+                Event::Committed { call }
             }
             other => panic!("{other:?}"),
         };
@@ -507,7 +518,7 @@
         done += chaos
             .fates
             .values()
-            .filter(|f| matches!(f, Some(Fate::Done { .. })))
+            .filter(|f| matches!(f, Some(AttemptOutcome::Done { .. })))
             .count();
     }
     assert!(done > 150, "{done} steps done");
--- a/crates/core/tests/workflows.rs
+++ b/crates/core/tests/workflows.rs
@@ -5,7 +5,7 @@
 use bitternlatch_core::{Input, Micros, Output, SessionId, Settings};
 use bitternlatch_membership::Standing;
 use bitternlatch_protocol::client::ServerEvent;
-use bitternlatch_workflow::{Ask, Call, Effect, Fate, Refusal, Told};
+use bitternlatch_workflow::{AttemptOutcome, Call, Command, Effect, Event, RejectReason};
 use common::{four, Bench, Told as Sent, SETTINGS};
 use serde_json::json;
 
@@ -55,7 +55,7 @@
 }
 
 /// What the machine beside the plane was asked since the last call.
-fn asked(bench: &mut Bench) -> Vec<Ask> {
+fn asked(bench: &mut Bench) -> Vec<Command> {
     let all = std::mem::take(&mut bench.out);
     all.into_iter()
         .filter_map(|o| {
@@ -68,20 +68,20 @@
         .collect()
 }
 
-fn one(bench: &mut Bench) -> Ask {
+fn one(bench: &mut Bench) -> Command {
     let mut all = asked(bench);
     assert_eq!(all.len(), 1, "{all:?}");
     all.remove(0)
 }
 
-fn tell(bench: &mut Bench, told: Told) {
+fn tell(bench: &mut Bench, told: Event) {
     bench.step(Input::Workflow(told));
 }
 
 /// The question is answered with a permission of so many seconds.
 fn go(bench: &mut Bench, call: Call, seconds: f64) {
     let until_us = bench.now.after(seconds).0;
-    tell(bench, Told::Go { call, until_us });
+    tell(bench, Event::SendPermitted { call, until_us });
 }
 
 /// Begins a step and gives its write at a host; its intent is held.
@@ -128,7 +128,7 @@
     bench.pass(1.0);
     assert!(bench.told.is_empty() && bench.heard(s).is_empty());
     let intent = one(&mut bench);
-    let Ask::Intend {
+    let Command::Intend {
         call,
         workflow,
         epoch: 4,
@@ -160,11 +160,11 @@
             "response.output_text.delta"
         ]
     );
-    let Ask::Ended {
+    let Command::ReportOutcome {
         call,
         epoch: 4,
         step: 1,
-        fate,
+        outcome: fate,
         ..
     } = one(&mut bench)
     else {
@@ -172,16 +172,16 @@
     };
     assert_eq!(
         fate,
-        Fate::Done {
+        AttemptOutcome::Done {
             result: "yesyes".into(),
             tokens: 2
         }
     );
     tell(
         &mut bench,
-        Told::Refused {
+        Event::Rejected {
             call,
-            why: Refusal::Busy,
+            reason: RejectReason::Busy,
         },
     );
     bench.pass(0.2);
@@ -190,7 +190,7 @@
         "it is told again, and still waited for"
     );
     let call = one(&mut bench).call();
-    tell(&mut bench, Told::Held { call });
+    tell(&mut bench, Event::Committed { call });
     let end = last(&mut bench, s);
     assert_eq!(
         (end.kind.as_str(), answer_of(&end).as_str()),
@@ -207,7 +207,7 @@
     let call = one(&mut bench).call();
     tell(
         &mut bench,
-        Told::Known {
+        Event::AlreadyDone {
             call,
             result: "booked".into(),
         },
@@ -225,12 +225,12 @@
         "the conversation goes on from it"
     );
     for (why, wanted, again) in [
-        (Refusal::Fenced, "workflow_fenced", false),
-        (Refusal::NoMajority, "workflow_no_majority", true),
+        (RejectReason::Fenced, "workflow_fenced", false),
+        (RejectReason::NoMajority, "workflow_no_majority", true),
     ] {
         step(&mut bench, s, "booking", "4");
         let call = one(&mut bench).call();
-        tell(&mut bench, Told::Refused { call, why });
+        tell(&mut bench, Event::Rejected { call, reason: why });
         let end = last(&mut bench, s);
         assert_eq!((end.kind.as_str(), code(&end).as_str()), ("error", wanted));
         assert_eq!(
@@ -253,10 +253,10 @@
     );
     let claim = asked(&mut bench).pop().expect("a claim");
     assert!(
-        matches!(&claim, Ask::Claim { worker, .. } if worker == "a"),
+        matches!(&claim, Command::Claim { worker, .. } if worker == "a"),
         "{claim:?}"
     );
-    let told = Told::Claimed {
+    let told = Event::Claimed {
         call: claim.call(),
         epoch: 5,
         context: "".into(),
@@ -285,10 +285,10 @@
     bench.pass(0.1);
     assert!(bench.told.is_empty(), "no write");
     let told = asked(&mut bench);
-    let [Ask::Ended {
-        fate: Fate::NeverRan,
+    let [Command::ReportOutcome {
+        outcome: AttemptOutcome::NeverRan,
         ..
-    }, Ask::Intend {
+    }, Command::Intend {
         call,
         epoch: 4,
         step: 1,
@@ -299,9 +299,9 @@
     };
     tell(
         &mut bench,
-        Told::Refused {
+        Event::Rejected {
             call: *call,
-            why: Refusal::Fenced,
+            reason: RejectReason::Fenced,
         },
     );
     assert!(bench.told.is_empty(), "another has it");
@@ -332,14 +332,14 @@
     let mut bench = bench(true);
     for (s, told, wanted) in [
         (1, None, "server_error"),
-        (2, Some(Refusal::Fenced), "workflow_fenced"),
+        (2, Some(RejectReason::Fenced), "workflow_fenced"),
     ] {
         let s = bench.open(s);
         let write = written(&mut bench, s, "booking");
         bench.end(&write, 9, 2);
         let call = one(&mut bench).call();
         match told {
-            Some(why) => tell(&mut bench, Told::Refused { call, why }),
+            Some(why) => tell(&mut bench, Event::Rejected { call, reason: why }),
             None => bench.pass(13.0),
         }
         let end = last(&mut bench, s);
@@ -358,10 +358,14 @@
     let write = written(&mut bench, s, "booking");
     bench.error(&write, 500, None);
     bench.pass(0.1);
-    let Some(Ask::Ended { fate, .. }) = asked(&mut bench).pop() else {
+    let Some(Command::ReportOutcome { outcome: fate, .. }) = asked(&mut bench).pop() else {
         panic!("its end")
     };
-    assert_eq!(fate, Fate::MayHaveRun, "a host that failed may have booked");
+    assert_eq!(
+        fate,
+        AttemptOutcome::MayHaveRun,
+        "a host that failed may have booked"
+    );
 }
 
 #[test]
@@ -375,7 +379,7 @@
     assert!(asked(&mut bench).is_empty(), "it is the same step");
     bench.end(&write, 9, 2);
     let call = one(&mut bench).call();
-    tell(&mut bench, Told::Held { call });
+    tell(&mut bench, Event::Committed { call });
     assert_eq!(answer_of(&last(&mut bench, b)), "yesyes");
     // A safe one ends with its worker, and is told.
     let write = written(&mut bench, b, "query");
@@ -383,8 +387,8 @@
     assert_eq!(bench.cancels.len(), 1, "{write:?}");
     assert!(matches!(
         asked(&mut bench).as_slice(),
-        [Ask::Ended {
-            fate: Fate::MayHaveRun,
+        [Command::ReportOutcome {
+            outcome: AttemptOutcome::MayHaveRun,
             ..
         }]
     ));
@@ -396,8 +400,8 @@
     go(&mut bench, call, 3.0);
     assert!(matches!(
         one(&mut bench),
-        Ask::Ended {
-            fate: Fate::NeverRan,
+        Command::ReportOutcome {
+            outcome: AttemptOutcome::NeverRan,
             ..
         }
     ));
@@ -426,7 +430,7 @@
     let write = written(&mut bench, s, "booking");
     bench.end(&write, 9, 2);
     let call = one(&mut bench).call();
-    tell(&mut bench, Told::Held { call });
+    tell(&mut bench, Event::Committed { call });
     let mut again = Bench::with(Settings::parse("test", &settings).expect("settings"), 5);
     for (at, input) in std::mem::take(&mut bench.inputs) {
         let mut outputs = vec![];
@@ -451,7 +455,7 @@
         matches!(
             e,
             Entry::Step {
-                input: Input::Workflow(Told::Go { .. }),
+                input: Input::Workflow(Event::SendPermitted { .. }),
                 ..
             }
         )
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -163,7 +163,7 @@
 pub struct Beside {
     pub overload: Option<Box<dyn Fn(bitternlatch_overload::Ask) -> bool>>,
     pub lengths: Option<Box<dyn Fn(bitternlatch_output_length::Ask) -> bool>>,
-    pub workflow: Option<Box<dyn Fn(bitternlatch_workflow::Ask) -> bool>>,
+    pub workflow: Option<Box<dyn Fn(bitternlatch_workflow::Command) -> bool>>,
 }
 
 /// One dispatcher's loop.
@@ -450,8 +450,8 @@
                 let call = ask.call();
                 if !self.beside.workflow.as_ref().is_some_and(|to| to(ask)) {
                     // A step waits for its answer: it is told at once that there will be none.
-                    let why = bitternlatch_workflow::Refusal::Busy;
-                    let told = bitternlatch_workflow::Told::Refused { call, why };
+                    let why = bitternlatch_workflow::RejectReason::Busy;
+                    let told = bitternlatch_workflow::Event::Rejected { call, reason: why };
                     self.own.push_back(Input::Workflow(told));
                 }
             }
--- a/crates/workflow/src/attempts.rs
+++ b/crates/workflow/src/attempts.rs
@@ -8,15 +8,15 @@
 use bitternlatch_replicated_register::RegisterKey;
 
 use crate::step::Attempt;
-use crate::turns::Mine;
+use crate::step_transitions::LocalAttempt;
 
 /// Attempts known at a time; intents beyond are refused as busy.
-const ATTEMPTS_MOST: usize = 16 * 1024;
+const MAX_ATTEMPTS: usize = 16 * 1024;
 /// How long one is remembered for certain.
-const KNOWN_LASTS: Duration = Duration::from_secs(120);
+const ATTEMPT_RETENTION: Duration = Duration::from_secs(120);
 
 #[derive(Clone, Debug)]
-pub(crate) struct Local {
+pub(crate) struct TrackedAttempt {
     pub step: u32,
     pub epoch: u64,
     pub sent: bool,
@@ -30,7 +30,7 @@
 pub(crate) struct Attempts {
     own: Process,
     count: u64,
-    known: BTreeMap<(RegisterKey, u64), Local>,
+    known: BTreeMap<(RegisterKey, u64), TrackedAttempt>,
 }
 
 impl Attempts {
@@ -50,20 +50,20 @@
         step: u32,
         epoch: u64,
     ) -> Option<Attempt> {
-        if self.known.len() >= ATTEMPTS_MOST {
+        if self.known.len() >= MAX_ATTEMPTS {
             self.known.retain(|_, local| now < local.until);
         }
-        if self.known.len() >= ATTEMPTS_MOST {
+        if self.known.len() >= MAX_ATTEMPTS {
             return None;
         }
         self.count += 1;
         self.known.insert(
             (key, self.count),
-            Local {
+            TrackedAttempt {
                 step,
                 epoch,
                 sent: false,
-                until: now + KNOWN_LASTS,
+                until: now + ATTEMPT_RETENTION,
             },
         );
         Some(Attempt {
@@ -75,28 +75,28 @@
 
     pub(crate) fn sent(&mut self, now: Duration, key: RegisterKey, attempt: Attempt) {
         if let Some(local) = self.known.get_mut(&(key, attempt.number)) {
-            (local.sent, local.until) = (true, now + KNOWN_LASTS);
+            (local.sent, local.until) = (true, now + ATTEMPT_RETENTION);
         }
     }
 
-    pub(crate) fn mine(&self, key: RegisterKey, attempt: Attempt) -> Mine {
+    pub(crate) fn mine(&self, key: RegisterKey, attempt: Attempt) -> LocalAttempt {
         let own = attempt.name == self.own.name.0 && attempt.start == self.own.start;
         match self.known.get(&(key, attempt.number)).filter(|_| own) {
-            Some(Local { sent: true, .. }) => Mine::Running,
-            Some(_) => Mine::NeverSent,
-            None => Mine::Unknown,
+            Some(TrackedAttempt { sent: true, .. }) => LocalAttempt::Running,
+            Some(_) => LocalAttempt::NeverSent,
+            None => LocalAttempt::Unknown,
         }
     }
 
-    fn of(&self, key: RegisterKey) -> impl DoubleEndedIterator<Item = (u64, &Local)> {
+    fn of(&self, key: RegisterKey) -> impl DoubleEndedIterator<Item = (u64, &TrackedAttempt)> {
         self.known
             .range((key, 0)..=(key, u64::MAX))
             .map(|((_, number), local)| (*number, local))
     }
 
     /// The attempt whose end is told: the last one that left for this step under this epoch.
-    pub(crate) fn ending(&self, key: RegisterKey, step: u32, epoch: u64) -> Option<Attempt> {
-        let is = |l: &Local| l.sent && l.step == step && l.epoch == epoch;
+    pub(crate) fn latest_sent(&self, key: RegisterKey, step: u32, epoch: u64) -> Option<Attempt> {
+        let is = |l: &TrackedAttempt| l.sent && l.step == step && l.epoch == epoch;
         let (number, _) = self.of(key).rev().find(|(_, l)| is(l))?;
         Some(Attempt {
             name: self.own.name.0,
@@ -106,7 +106,7 @@
     }
 
     /// The epoch under which the workflow is to be carried for an attempt that is under way.
-    pub(crate) fn carrying(&self, now: Duration, key: RegisterKey) -> Option<u64> {
+    pub(crate) fn active_epoch(&self, now: Duration, key: RegisterKey) -> Option<u64> {
         self.of(key)
             .filter(|(_, l)| l.sent && now < l.until)
             .map(|(_, l)| l.epoch)
@@ -114,7 +114,7 @@
     }
 
     /// The workflow is not this one's to carry any more; the attempt's end is still of use.
-    pub(crate) fn fenced(&mut self, key: RegisterKey, epoch: u64) {
+    pub(crate) fn fence(&mut self, key: RegisterKey, epoch: u64) {
         let known = self.known.range_mut((key, 0)..=(key, u64::MAX));
         known
             .filter(|(_, l)| l.epoch == epoch)
--- a/crates/workflow/src/cache.rs
+++ b/crates/workflow/src/cache.rs
@@ -8,7 +8,7 @@
 use crate::record::Record;
 
 /// Records kept: some 48 MiB if each were as long as one may be.
-const CACHED_MOST: usize = 1024;
+const MAX_CACHED_RECORDS: usize = 1024;
 
 #[derive(Debug, Default)]
 pub(crate) struct Cache {
@@ -20,7 +20,7 @@
 impl Cache {
     pub(crate) fn put(&mut self, key: RegisterKey, version: Version, record: Record) {
         self.drop(key);
-        if self.records.len() >= CACHED_MOST {
+        if self.records.len() >= MAX_CACHED_RECORDS {
             if let Some((_, oldest)) = self.by_use.pop_first() {
                 self.records.remove(&oldest);
             }
--- a/crates/workflow/src/context.rs
+++ b/crates/workflow/src/context.rs
@@ -2,12 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::step::{cut, Entry, Stage};
+use crate::step::{cut, StepRecord, StepState};
 
 /// Bytes of all lines; the oldest go first. The digest goes on over those that are gone.
-pub const CONTEXT_MOST: usize = 2 * 1024;
+pub const MAX_CONTEXT_BYTES: usize = 2 * 1024;
 /// Bytes of one line.
-const LINE_MOST: usize = 128;
+const MAX_LINE_BYTES: usize = 128;
 
 /// The compacted steps of a workflow.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -26,11 +26,11 @@
     }
 
     /// Takes a closed step.
-    pub(crate) fn take(&mut self, entry: &Entry) {
+    pub(crate) fn append_step(&mut self, entry: &StepRecord) {
         self.steps = self.steps.saturating_add(1);
         let result = match &entry.stage {
-            Stage::Done { result, .. } => result.as_str(),
-            _ => crate::step::LEFT_OUT,
+            StepState::Done { result, .. } => result.as_str(),
+            _ => crate::step::ABANDONED_RESULT,
         };
         self.line(&format!("{}: {result}", entry.number));
         for late in &entry.late {
@@ -39,7 +39,7 @@
     }
 
     /// A later result of a step that is in it already.
-    pub(crate) fn late(&mut self, number: u32, result: &str) {
+    pub(crate) fn append_late_result(&mut self, number: u32, result: &str) {
         self.line(&format!("{number} again: {result}"));
     }
 
@@ -49,9 +49,9 @@
         self.digest
             .copy_from_slice(&hasher.finalize().as_bytes()[..16]);
         self.lines
-            .push_str(&cut(&whole.replace('\n', " "), LINE_MOST));
+            .push_str(&cut(&whole.replace('\n', " "), MAX_LINE_BYTES));
         self.lines.push('\n');
-        while self.lines.len() > CONTEXT_MOST {
+        while self.lines.len() > MAX_CONTEXT_BYTES {
             let end = self.lines.find('\n').map_or(self.lines.len(), |at| at + 1);
             self.lines.drain(..end);
             self.gone = self.gone.saturating_add(1);
--- a/crates/workflow/src/golden.rs
+++ b/crates/workflow/src/golden.rs
@@ -7,9 +7,9 @@
 use bitternlatch_membership::NameKey;
 
 use crate::context::Context;
-use crate::io::{Ask, Call, Effect, Fate, Refusal, Settings, Step, Told};
+use crate::io::{AttemptOutcome, Call, Command, Effect, Event, RejectReason, Settings, Step};
 use crate::record::{Outcome, Record, State};
-use crate::step::{Attempt, Entry, Stage};
+use crate::step::{Attempt, StepRecord, StepState};
 
 const RECORDS: &str = include_str!("../tests/fixtures/records.txt");
 const RECORDED: &str = include_str!("../tests/fixtures/recorded_messages.txt");
@@ -32,12 +32,12 @@
     }
 }
 
-fn entry(number: u32, effect: Effect, stage: Stage) -> Entry {
-    Entry {
+fn entry(number: u32, effect: Effect, stage: StepState) -> StepRecord {
+    StepRecord {
         number,
         effect,
         key: format!("key{number}"),
-        asks: 1000 + u64::from(number),
+        request_digest: 1000 + u64::from(number),
         stage,
         earlier: false,
         late: vec![],
@@ -45,8 +45,8 @@
     }
 }
 
-fn done(result: &str) -> Stage {
-    Stage::Done {
+fn done(result: &str) -> StepState {
+    StepState::Done {
         result: result.to_string(),
         tokens: 300,
     }
@@ -54,27 +54,27 @@
 
 fn context() -> Context {
     let mut context = Context::default();
-    context.take(&entry(1, Effect::Safe, done("first")));
-    context.take(&entry(2, Effect::Keyed, Stage::Abandoned));
-    context.late(1, "again");
+    context.append_step(&entry(1, Effect::Safe, done("first")));
+    context.append_step(&entry(2, Effect::Keyed, StepState::Abandoned));
+    context.append_late_result(1, "again");
     context
 }
 
-fn steps() -> Vec<Entry> {
+fn steps() -> Vec<StepRecord> {
     vec![
-        Entry {
+        StepRecord {
             late: vec!["second result".to_string()],
             late_lost: 4,
             ..entry(3, Effect::Safe, done("third"))
         },
-        entry(4, Effect::Keyed, Stage::Abandoned),
-        entry(5, Effect::Unsafe, Stage::Planned),
-        Entry {
+        entry(4, Effect::Keyed, StepState::Abandoned),
+        entry(5, Effect::Unsafe, StepState::Planned),
+        StepRecord {
             earlier: true,
             ..entry(
                 6,
                 Effect::Unsafe,
-                Stage::Intended {
+                StepState::Intended {
                     epoch: 5,
                     attempt: attempt(61),
                 },
@@ -83,7 +83,7 @@
         entry(
             7,
             Effect::Unsafe,
-            Stage::MayHaveRun {
+            StepState::MayHaveRun {
                 attempt: attempt(71),
             },
         ),
@@ -99,7 +99,7 @@
         holder: NameKey(9),
         lease: 600,
         lease_us: 1_500_000,
-        aged_us: 7_000_000,
+        age_us: 7_000_000,
         deaths: 2,
         bytes: 4096,
         tokens: 900,
@@ -113,9 +113,9 @@
         ("open", record(State::Open)),
         ("unsettled", record(State::Unsettled)),
         ("parked", record(State::Parked)),
-        ("finished", record(State::Over(Outcome::Finished))),
-        ("cancelled", record(State::Over(Outcome::Cancelled))),
-        ("expired", record(State::Over(Outcome::Expired))),
+        ("finished", record(State::Ended(Outcome::Finished))),
+        ("cancelled", record(State::Ended(Outcome::Cancelled))),
+        ("expired", record(State::Ended(Outcome::Expired))),
     ]
 }
 
@@ -134,9 +134,9 @@
         State::Open,
         State::Unsettled,
         State::Parked,
-        State::Over(Outcome::Finished),
-        State::Over(Outcome::Cancelled),
-        State::Over(Outcome::Expired),
+        State::Ended(Outcome::Finished),
+        State::Ended(Outcome::Cancelled),
+        State::Ended(Outcome::Expired),
     ];
     assert_eq!(RECORDS.lines().count(), states.len());
     for (line, state) in RECORDS.lines().zip(states) {
@@ -147,7 +147,7 @@
         assert_eq!((read.epoch, read.worker.as_str()), (5, "worker-1"));
         assert_eq!(read.holder, NameKey(9));
         assert_eq!((read.lease, read.lease_us), (600, 1_500_000));
-        assert_eq!((read.aged_us, read.deaths), (7_000_000, 2));
+        assert_eq!((read.age_us, read.deaths), (7_000_000, 2));
         assert_eq!((read.bytes, read.tokens), (4096, 900));
         assert_eq!(read.context, context());
         assert_eq!(read.context.steps(), 2);
@@ -155,7 +155,7 @@
         assert_eq!(read.steps, steps());
         let third = &read.steps[0];
         assert_eq!((third.number, third.effect), (3, Effect::Safe));
-        assert_eq!((third.key.as_str(), third.asks), ("key3", 1003));
+        assert_eq!((third.key.as_str(), third.request_digest), ("key3", 1003));
         assert_eq!(third.stage, done("third"));
         assert_eq!(third.late, ["second result"]);
         assert_eq!((third.late_lost, third.earlier), (4, false));
@@ -167,114 +167,120 @@
     [Effect::Safe, Effect::Keyed, Effect::Unsafe]
 }
 
-fn fates() -> [Fate; 3] {
+fn outcomes() -> [AttemptOutcome; 3] {
     [
-        Fate::Done {
+        AttemptOutcome::Done {
             result: "r".to_string(),
             tokens: 300,
         },
-        Fate::MayHaveRun,
-        Fate::NeverRan,
+        AttemptOutcome::MayHaveRun,
+        AttemptOutcome::NeverRan,
     ]
 }
 
-fn asks() -> Vec<Ask> {
+fn request_digest() -> Vec<Command> {
     let (call, workflow, until_us) = (Call(400), "w".to_string(), 5_000_000);
-    let intend = |effect| Ask::Intend {
+    let intend = |effect| Command::Intend {
         call,
         workflow: workflow.clone(),
         epoch: 5,
         step: 6,
         effect,
         key: "k".to_string(),
-        asks: 1000,
+        request_digest: 1000,
         until_us,
     };
-    let ended = |fate| Ask::Ended {
+    let ended = |outcome| Command::ReportOutcome {
         call,
         workflow: workflow.clone(),
         epoch: 5,
         step: 6,
-        fate,
+        outcome,
         until_us,
     };
-    let mut asks = vec![
-        Ask::Claim {
+    let mut request_digest = vec![
+        Command::Claim {
             call,
             workflow: workflow.clone(),
             worker: "a".to_string(),
             until_us,
         },
-        Ask::Carry {
+        Command::RenewLease {
             call,
             workflow: workflow.clone(),
             epoch: 5,
             until_us,
         },
-        Ask::Finish {
+        Command::Finish {
             call,
             workflow: workflow.clone(),
             epoch: 5,
             cancelled: true,
             until_us,
         },
-        Ask::Settle {
+        Command::Settle {
             call,
             workflow: workflow.clone(),
             step: 6,
-            fate: Fate::NeverRan,
+            outcome: AttemptOutcome::NeverRan,
             until_us,
         },
     ];
-    asks.extend(effects().map(intend));
-    asks.extend(fates().map(ended));
-    asks
+    request_digest.extend(effects().map(intend));
+    request_digest.extend(outcomes().map(ended));
+    request_digest
 }
 
-fn refusals() -> [Refusal; 12] {
+fn refusals() -> [RejectReason; 12] {
     [
-        Refusal::Fenced,
-        Refusal::Carried,
-        Refusal::NoMajority,
-        Refusal::Lost,
-        Refusal::Unsettled,
-        Refusal::Parked,
-        Refusal::Ended,
-        Refusal::Limit,
-        Refusal::OtherRequest,
-        Refusal::Unknown,
-        Refusal::Busy,
-        Refusal::NotKept,
+        RejectReason::Fenced,
+        RejectReason::LeaseHeld,
+        RejectReason::NoMajority,
+        RejectReason::Lost,
+        RejectReason::Unsettled,
+        RejectReason::Parked,
+        RejectReason::Ended,
+        RejectReason::Limit,
+        RejectReason::OtherRequest,
+        RejectReason::Unknown,
+        RejectReason::Busy,
+        RejectReason::NotStored,
     ]
 }
 
-fn answers() -> Vec<Told> {
+fn answers() -> Vec<Event> {
     let call = Call(400);
     let step = Step {
         number: 6,
         effect: Effect::Keyed,
         key: "k".to_string(),
-        fate: Some(Fate::MayHaveRun),
+        outcome: Some(AttemptOutcome::MayHaveRun),
     };
     let mut answers = vec![
-        Told::Claimed {
+        Event::Claimed {
             call,
             epoch: 5,
             context: "c".to_string(),
-            steps: vec![step.clone(), Step { fate: None, ..step }],
+            steps: vec![
+                step.clone(),
+                Step {
+                    outcome: None,
+                    ..step
+                },
+            ],
             lease_us: 1_500_000,
         },
-        Told::Go {
+        Event::SendPermitted {
             call,
             until_us: 5_000_000,
         },
-        Told::Known {
+        Event::AlreadyDone {
             call,
             result: "r".to_string(),
         },
-        Told::Held { call },
+        Event::Committed { call },
     ];
-    answers.extend(refusals().map(|why| Told::Refused { call, why }));
+    answers.extend(refusals().map(|why| Event::Rejected { call, reason: why }));
     answers
 }
 
@@ -306,7 +312,7 @@
 
 #[test]
 fn recorded_messages_are_as_in_the_fixture() {
-    let written: Vec<String> = asks()
+    let written: Vec<String> = request_digest()
         .iter()
         .map(line)
         .chain(answers().iter().map(line))
@@ -318,7 +324,7 @@
 #[test]
 fn recorded_messages_of_the_fixture_are_read() {
     let mut lines = RECORDED.lines();
-    for ask in asks() {
+    for ask in request_digest() {
         assert_eq!(read(lines.next().expect("a line")), (ask.clone(), ask));
     }
     for answer in answers() {
--- a/crates/workflow/src/io.rs
+++ b/crates/workflow/src/io.rs
@@ -47,7 +47,7 @@
 
 /// How an attempt at a step ended, as far as its dispatcher knows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Fate {
+pub enum AttemptOutcome {
     Done {
         result: String,
         tokens: u32,
@@ -64,13 +64,14 @@
     pub number: u32,
     pub effect: Effect,
     pub key: String,
-    pub fate: Option<Fate>,
+    #[serde(rename = "fate")]
+    pub outcome: Option<AttemptOutcome>,
 }
 
 /// By the core. A workflow goes by its tenant, its owner and the caller's name for it, in one text. `until_us` is the end of the
 /// caller's patience: past it the answer is of no use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum Command {
     /// A worker begins a workflow, or takes over one whose worker is silent, or comes back to its own.
     Claim {
         call: Call,
@@ -78,7 +79,7 @@
         worker: String,
         until_us: u64,
     },
-    /// Before a step's effect leaves. `asks` is a digest of the request: another request under the number of a step that is known
+    /// Before a step's effect leaves. `request_digest` is a digest of the request: another request under the number of a step that is known
     /// is refused.
     Intend {
         call: Call,
@@ -87,20 +88,24 @@
         step: u32,
         effect: Effect,
         key: String,
-        asks: u64,
+        #[serde(rename = "asks")]
+        request_digest: u64,
         until_us: u64,
     },
-    /// How the attempt ended. The answer is held back until [`Told::Held`].
-    Ended {
+    /// How the attempt ended. The answer is held back until [`Event::Committed`].
+    #[serde(rename = "Ended")]
+    ReportOutcome {
         call: Call,
         workflow: String,
         epoch: u64,
         step: u32,
-        fate: Fate,
+        #[serde(rename = "fate")]
+        outcome: AttemptOutcome,
         until_us: u64,
     },
     /// The worker is alive and goes on.
-    Carry {
+    #[serde(rename = "Carry")]
+    RenewLease {
         call: Call,
         workflow: String,
         epoch: u64,
@@ -114,34 +119,35 @@
         cancelled: bool,
         until_us: u64,
     },
-    /// A person has decided about an unsettled step: it ran with this result, it never ran, or ([`Fate::MayHaveRun`]) it is left
+    /// A person has decided about an unsettled step: it ran with this result, it never ran, or ([`AttemptOutcome::MayHaveRun`]) it is left
     /// out. Also lets a parked workflow go on, whatever step is named. Refused as carried until its last lease is over.
     Settle {
         call: Call,
         workflow: String,
         step: u32,
-        fate: Fate,
+        #[serde(rename = "fate")]
+        outcome: AttemptOutcome,
         until_us: u64,
     },
 }
 
-impl Ask {
+impl Command {
     /// Its number.
     pub fn call(&self) -> Call {
         match self {
-            Ask::Claim { call, .. }
-            | Ask::Intend { call, .. }
-            | Ask::Ended { call, .. }
-            | Ask::Carry { call, .. }
-            | Ask::Finish { call, .. }
-            | Ask::Settle { call, .. } => *call,
+            Command::Claim { call, .. }
+            | Command::Intend { call, .. }
+            | Command::ReportOutcome { call, .. }
+            | Command::RenewLease { call, .. }
+            | Command::Finish { call, .. }
+            | Command::Settle { call, .. } => *call,
         }
     }
 }
 
-/// To the core; one answer a call, but for [`Told::Go`] followed by the answer to [`Ask::Ended`], which has a call of its own.
+/// To the core; one answer a call, but for [`Event::SendPermitted`] followed by the answer to [`Command::ReportOutcome`], which has a call of its own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Told {
+pub enum Event {
     /// The worker holds it under this epoch; steps so far, the compacted ones as one context text.
     Claimed {
         call: Call,
@@ -151,23 +157,32 @@
         lease_us: u64,
     },
     /// The intent is held by a majority: the effect may leave until then, checked at the act.
-    Go { call: Call, until_us: u64 },
-    /// The step is done already; this is its result, and nothing may be sent. In answer to [`Ask::Ended`]: another attempt's
+    #[serde(rename = "Go")]
+    SendPermitted { call: Call, until_us: u64 },
+    /// The step is done already; this is its result, and nothing may be sent. In answer to [`Command::ReportOutcome`]: another attempt's
     /// result stands, and is what the worker is to be told.
-    Known { call: Call, result: String },
+    #[serde(rename = "Known")]
+    AlreadyDone { call: Call, result: String },
     /// What was told is held by a majority.
-    Held { call: Call },
+    #[serde(rename = "Held")]
+    Committed { call: Call },
     /// Refused, and why.
-    Refused { call: Call, why: Refusal },
+    #[serde(rename = "Refused")]
+    Rejected {
+        call: Call,
+        #[serde(rename = "why")]
+        reason: RejectReason,
+    },
 }
 
 /// Why a question is refused; each is told to the worker in these words.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum Refusal {
+pub enum RejectReason {
     #[error("another worker carries this workflow under a later epoch")]
     Fenced,
     #[error("another worker carries this workflow and is alive")]
-    Carried,
+    #[serde(rename = "Carried")]
+    LeaseHeld,
     #[error("a majority of its copies cannot be reached")]
     NoMajority,
     #[error("a majority of its copies is lost for good; what was done cannot be known")]
@@ -187,5 +202,6 @@
     #[error("too many questions in hand")]
     Busy,
     #[error("its copies cannot be written to disk")]
-    NotKept,
+    #[serde(rename = "NotKept")]
+    NotStored,
 }
--- a/crates/workflow/src/watch.rs
+++ b/crates/workflow/src/lease_observer.rs
@@ -9,7 +9,7 @@
 use crate::record::Record;
 
 /// Workflows whose leases are watched; one beyond takes the place of another, which is then seen as for the first time.
-const WATCHED_MOST: usize = 64 * 1024;
+const MAX_OBSERVED_LEASES: usize = 64 * 1024;
 
 /// How long the holder may use a lease of this length: clocks run apart by up to one in a hundred, either way.
 pub(crate) fn usable(lease: Duration) -> Duration {
@@ -22,7 +22,7 @@
 }
 
 /// How long an effect may still leave, from when its intent was asked for: adoption is then as far away again.
-pub(crate) fn leaves(lease: Duration) -> Duration {
+pub(crate) fn send_window(lease: Duration) -> Duration {
     usable(lease) / 2
 }
 
@@ -37,13 +37,13 @@
 
 /// What was seen of workflows, and when first.
 #[derive(Debug, Default)]
-pub(crate) struct Watches {
+pub(crate) struct LeaseObserver {
     seen: BTreeMap<RegisterKey, Seen>,
 }
 
-impl Watches {
+impl LeaseObserver {
     /// A record that some copy accepted was seen now.
-    pub(crate) fn see(
+    pub(crate) fn observe(
         &mut self,
         now: Duration,
         key: RegisterKey,
@@ -67,7 +67,7 @@
                 }
             }
             None => {
-                if self.seen.len() >= WATCHED_MOST {
+                if self.seen.len() >= MAX_OBSERVED_LEASES {
                     self.seen.pop_first();
                 }
                 self.seen.insert(key, new);
--- a/crates/workflow/src/machine.rs
+++ b/crates/workflow/src/machine.rs
@@ -7,24 +7,24 @@
 use bitternlatch_quota_lease::{Beside, Given, Process, Wanted};
 use bitternlatch_replicated_register::{Input, Output, RegisterKey, Replica, Version};
 
-use crate::desk::{Desk, Out};
-use crate::io::{Ask, Settings, Told};
-use crate::record::{Guards, Record};
+use crate::coordinator::{Coordinator, CoordinatorOutput};
+use crate::io::{Command, Event, Settings};
+use crate::record::{Record, SafetyChecks};
 
 /// Copies of a workflow.
 const COPIES: usize = 3;
 /// How often this member's copies are looked at, and how many at a time.
-const SWEEP_EVERY: Duration = Duration::from_millis(500);
-const SWEEP_MOST: usize = 256;
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+const MAX_SWEEP_RECORDS: usize = 256;
 
 /// Workflows at one dispatcher.
 pub struct Workflows {
-    desk: Desk,
+    coordinator: Coordinator,
     replica: Replica,
     /// The last copy that was looked at, and when the next ones are.
     swept: Option<RegisterKey>,
     sweep_at: Duration,
-    out: Vec<Out>,
+    out: Vec<CoordinatorOutput>,
     done: Vec<Output>,
 }
 
@@ -38,29 +38,37 @@
         seed: u64,
         now: Duration,
     ) -> Workflows {
-        Workflows::guarded(own, roster, settings, durable, seed, now, Guards::BUILT)
+        Workflows::with_safety_checks(
+            own,
+            roster,
+            settings,
+            durable,
+            seed,
+            now,
+            SafetyChecks::AS_BUILT,
+        )
     }
 
     /// With some of the rules left out, to show what they are for.
     #[doc(hidden)]
-    pub fn guarded(
+    pub fn with_safety_checks(
         own: Process,
         roster: BTreeSet<NameKey>,
         settings: &Settings,
         durable: bool,
         seed: u64,
         now: Duration,
-        guards: Guards,
+        safety_checks: SafetyChecks,
     ) -> Workflows {
         let below = bitternlatch_replicated_register::Settings {
             copies: COPIES,
             durable,
         };
         Workflows {
-            desk: Desk::new(own, settings, guards),
+            coordinator: Coordinator::new(own, settings, safety_checks),
             replica: Replica::new(own, roster, below, seed, now),
             swept: None,
-            sweep_at: now + SWEEP_EVERY,
+            sweep_at: now + SWEEP_INTERVAL,
             out: vec![],
             done: vec![],
         }
@@ -72,17 +80,17 @@
         if now < self.sweep_at {
             return;
         }
-        self.sweep_at = now + SWEEP_EVERY;
+        self.sweep_at = now + SWEEP_INTERVAL;
         let after = self.swept.take();
         let held = self
             .replica
             .held()
             .filter(|(key, ..)| after.is_none_or(|last| **key > last));
         let some: Vec<(RegisterKey, Version, Vec<u8>)> = held
-            .take(SWEEP_MOST)
+            .take(MAX_SWEEP_RECORDS)
             .map(|(key, version, value)| (*key, version, value.to_vec()))
             .collect();
-        if some.len() == SWEEP_MOST {
+        if some.len() == MAX_SWEEP_RECORDS {
             self.swept = some.last().map(|(key, ..)| *key);
         }
         for (key, version, value) in some {
@@ -90,23 +98,25 @@
             let Ok(record) = Record::decode(&value) else {
                 continue;
             };
-            self.desk.watches.see(now, key, version, &record);
-            let unchanged = self.desk.watches.unchanged(now, key, version);
-            if self.desk.stale(&record, unchanged) {
-                self.desk.sweep(now, key, &record, &mut self.out);
+            self.coordinator
+                .lease_observer
+                .observe(now, key, version, &record);
+            let unchanged = self.coordinator.lease_observer.unchanged(now, key, version);
+            if self.coordinator.stale(&record, unchanged) {
+                self.coordinator.sweep(now, key, &record, &mut self.out);
             }
         }
     }
 
     /// Carries words between desk and replica until both are still.
-    fn settle(&mut self, now: Duration, first: Option<Input>, out: &mut Vec<Wanted<Told>>) {
+    fn settle(&mut self, now: Duration, first: Option<Input>, out: &mut Vec<Wanted<Event>>) {
         let mut inputs: VecDeque<Input> = first.into_iter().collect();
         loop {
             for wanted in self.out.drain(..) {
                 match wanted {
-                    Out::Register(input) => inputs.push_back(input),
-                    Out::Tell(told) => out.push(Wanted::Tell(told)),
-                    Out::Log { warn, text } => out.push(Wanted::Log { warn, text }),
+                    CoordinatorOutput::Register(input) => inputs.push_back(input),
+                    CoordinatorOutput::Event(told) => out.push(Wanted::Tell(told)),
+                    CoordinatorOutput::Log { warn, text } => out.push(Wanted::Log { warn, text }),
                 }
             }
             let Some(input) = inputs.pop_front() else {
@@ -126,10 +136,10 @@
                         bytes,
                     }),
                     Output::Read { call, found } => {
-                        self.desk.found(now, call, found, &mut self.out)
+                        self.coordinator.found(now, call, found, &mut self.out)
                     }
                     Output::Written { call, done } => {
-                        self.desk.written(now, call, done, &mut self.out)
+                        self.coordinator.written(now, call, done, &mut self.out)
                     }
                     Output::Event(event) => {
                         let text = format!("workflows' copies: {event}; {}", event.advice());
@@ -146,21 +156,21 @@
 
 impl Beside for Workflows {
     const TOPIC: Topic = Topic::Workflows;
-    type Ask = Ask;
-    type Told = Told;
+    type Ask = Command;
+    type Told = Event;
 
     fn wake_at(&self) -> Option<Duration> {
         let due = [
-            self.desk.wake_at(),
+            self.coordinator.wake_at(),
             self.replica.wake_at(),
             Some(self.sweep_at),
         ];
         due.into_iter().flatten().min()
     }
 
-    fn step(&mut self, now: Duration, given: Given<Ask>, out: &mut Vec<Wanted<Told>>) {
+    fn step(&mut self, now: Duration, given: Given<Command>, out: &mut Vec<Wanted<Event>>) {
         // What is due is done first, so that nothing that waited is taken for in time after a pause.
-        self.desk.wake(now, &mut self.out);
+        self.coordinator.wake(now, &mut self.out);
         self.sweep(now);
         self.settle(now, None, out);
         let input = match given {
@@ -170,7 +180,7 @@
             Given::Found(found) => Input::Found(found),
             Given::Kept { ticket, done } => Input::Kept { ticket, done },
             Given::Ask(ask) => {
-                self.desk.ask(now, ask, &mut self.out);
+                self.coordinator.ask(now, ask, &mut self.out);
                 return self.settle(now, None, out);
             }
             Given::Said { .. } | Given::Leave => return,
--- a/crates/workflow/src/job.rs
+++ b/crates/workflow/src/operation.rs
@@ -4,13 +4,13 @@
 
 use bitternlatch_replicated_register::{RegisterKey, ReplicaError, Version};
 
-use crate::io::{Ask, Call, Effect, Fate, Refusal};
-use crate::record::{Record, Turn};
+use crate::io::{AttemptOutcome, Call, Command, Effect, RejectReason};
+use crate::record::{Record, Transition};
 use crate::step::Attempt;
 
 /// What is to be done with a workflow.
 #[derive(Clone, Debug)]
-pub(crate) enum Act {
+pub(crate) enum Operation {
     Claim {
         worker: String,
     },
@@ -19,16 +19,16 @@
         step: u32,
         effect: Effect,
         key: String,
-        asks: u64,
+        request_digest: u64,
         attempt: Option<Attempt>,
     },
-    Ended {
+    ReportOutcome {
         epoch: u64,
         step: u32,
-        fate: Fate,
+        outcome: AttemptOutcome,
         attempt: Option<Attempt>,
     },
-    Carry {
+    RenewLease {
         epoch: u64,
     },
     Finish {
@@ -37,87 +37,100 @@
     },
     Settle {
         step: u32,
-        fate: Fate,
+        outcome: AttemptOutcome,
     },
     /// Nobody has written it for as long as it may last; or it is over, and has been for long.
     Sweep,
 }
 
-impl Act {
+impl Operation {
     /// Whether the register itself is asked before anything is decided.
     pub(crate) fn reads(&self) -> bool {
-        matches!(self, Act::Claim { .. } | Act::Settle { .. } | Act::Sweep)
+        matches!(
+            self,
+            Operation::Claim { .. } | Operation::Settle { .. } | Operation::Sweep
+        )
     }
 
     /// Its call, workflow, what is to be done, and the end of its caller's patience.
-    pub(crate) fn of(ask: Ask) -> (Call, String, Act, u64) {
+    pub(crate) fn of(ask: Command) -> (Call, String, Operation, u64) {
         match ask {
-            Ask::Claim {
+            Command::Claim {
                 call,
                 workflow,
                 worker,
                 until_us,
-            } => (call, workflow, Act::Claim { worker }, until_us),
-            Ask::Intend {
+            } => (call, workflow, Operation::Claim { worker }, until_us),
+            Command::Intend {
                 call,
                 workflow,
                 epoch,
                 step,
                 effect,
                 key,
-                asks,
+                request_digest,
                 until_us,
             } => (
                 call,
                 workflow,
-                Act::Intend {
+                Operation::Intend {
                     epoch,
                     step,
                     effect,
                     key,
-                    asks,
+                    request_digest,
                     attempt: None,
                 },
                 until_us,
             ),
-            Ask::Ended {
+            Command::ReportOutcome {
                 call,
                 workflow,
                 epoch,
                 step,
-                fate,
+                outcome,
                 until_us,
             } => (
                 call,
                 workflow,
-                Act::Ended {
+                Operation::ReportOutcome {
                     epoch,
                     step,
-                    fate,
+                    outcome,
                     attempt: None,
                 },
                 until_us,
             ),
-            Ask::Carry {
+            Command::RenewLease {
                 call,
                 workflow,
                 epoch,
                 until_us,
-            } => (call, workflow, Act::Carry { epoch }, until_us),
-            Ask::Finish {
+            } => (call, workflow, Operation::RenewLease { epoch }, until_us),
+            Command::Finish {
                 call,
                 workflow,
                 epoch,
                 cancelled,
                 until_us,
-            } => (call, workflow, Act::Finish { epoch, cancelled }, until_us),
-            Ask::Settle {
+            } => (
+                call,
+                workflow,
+                Operation::Finish { epoch, cancelled },
+                until_us,
+            ),
+            Command::Settle {
                 call,
                 workflow,
                 step,
-                fate,
+                outcome,
                 until_us,
-            } => (call, workflow, Act::Settle { step, fate }, until_us),
+            } => (
+                call,
+                workflow,
+                Operation::Settle { step, outcome },
+                until_us,
+            ),
         }
     }
 }
@@ -126,25 +139,25 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
     /// Nothing: others are before it, or it waits to try again.
-    Waits,
-    Reads,
+    Idle,
+    Reading,
     /// Asked for at that time.
-    Writes {
+    Writing {
         record: Box<Record>,
-        turn: Turn,
+        turn: Transition,
         asked: Duration,
     },
-    Drops,
+    Deleting,
 }
 
 /// A question in hand.
 #[derive(Clone, Debug)]
-pub(crate) struct Job {
+pub(crate) struct PendingOperation {
     pub key: RegisterKey,
     pub name: String,
     /// None where nobody waits for the answer.
     pub call: Option<Call>,
-    pub act: Act,
+    pub operation: Operation,
     pub began: Duration,
     /// When it is answered at the latest.
     pub until: Duration,
@@ -157,37 +170,37 @@
     /// A write of it may have happened.
     pub doubt: bool,
     /// Why the last try failed.
-    pub why: Refusal,
+    pub why: RejectReason,
 }
 
 /// What a failed try of the register means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
     /// Another one wrote first: read and decide anew.
-    Again,
+    Conflict,
     /// Later, perhaps; certainly not written.
-    Later(Refusal),
+    Retryable(RejectReason),
     /// Later, perhaps; it may be written.
-    Doubt(Refusal),
+    Uncertain(RejectReason),
     /// There is no use in trying.
-    Final(Refusal),
+    Permanent(RejectReason),
 }
 
 impl Failure {
     pub(crate) fn of(error: &ReplicaError) -> Failure {
         match error {
-            ReplicaError::Conflict { .. } | ReplicaError::EpochPassed { .. } => Failure::Again,
-            ReplicaError::TimedOut => Failure::Doubt(Refusal::NoMajority),
-            ReplicaError::NotKept(_) => Failure::Doubt(Refusal::NotKept),
-            ReplicaError::Full => Failure::Doubt(Refusal::Busy),
-            ReplicaError::Busy => Failure::Later(Refusal::Busy),
+            ReplicaError::Conflict { .. } | ReplicaError::EpochPassed { .. } => Failure::Conflict,
+            ReplicaError::TimedOut => Failure::Uncertain(RejectReason::NoMajority),
+            ReplicaError::NotKept(_) => Failure::Uncertain(RejectReason::NotStored),
+            ReplicaError::Full => Failure::Uncertain(RejectReason::Busy),
+            ReplicaError::Busy => Failure::Retryable(RejectReason::Busy),
             ReplicaError::NoMajority | ReplicaError::CatchingUp => {
-                Failure::Later(Refusal::NoMajority)
+                Failure::Retryable(RejectReason::NoMajority)
             }
-            ReplicaError::Lost => Failure::Final(Refusal::Lost),
-            ReplicaError::TooLong { .. } => Failure::Final(Refusal::Limit),
+            ReplicaError::Lost => Failure::Permanent(RejectReason::Lost),
+            ReplicaError::TooLong { .. } => Failure::Permanent(RejectReason::Limit),
             ReplicaError::Unreadable | ReplicaError::OtherVersion(_) => {
-                Failure::Later(Refusal::NoMajority)
+                Failure::Retryable(RejectReason::NoMajority)
             }
         }
     }
--- a/crates/workflow/src/record.rs
+++ b/crates/workflow/src/record.rs
@@ -6,20 +6,20 @@
 
 use crate::context::Context;
 use crate::error::WorkflowError;
-use crate::io::{Refusal, Settings, Step};
-use crate::step::{cut, Attempt, Entry, Stage, NAME_MOST};
-use crate::turns::Mine;
+use crate::io::{RejectReason, Settings, Step};
+use crate::step::{cut, Attempt, StepRecord, StepState, MAX_NAME_BYTES};
+use crate::step_transitions::LocalAttempt;
 
 /// First byte of an encoded record.
 const VERSION: u8 = 1;
 /// Bytes of an encoded record at the most: far below what a frame carries.
-pub const RECORD_MOST: usize = 48 * 1024;
+pub const MAX_RECORD_BYTES: usize = 48 * 1024;
 /// Closed steps that are kept whole; older ones are compacted.
-pub const WHOLE_MOST: usize = 6;
+pub const MAX_UNCOMPACTED_STEPS: usize = 6;
 /// Workers that may die over one step.
-pub const DEATHS_MOST: u32 = 3;
+pub const MAX_WORKER_DEATHS: u32 = 3;
 /// Bytes of the last result that a finished workflow leaves behind.
-const LEFT_MOST: usize = 1024;
+const MAX_FINAL_RESULT_BYTES: usize = 1024;
 
 /// How a workflow ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -38,22 +38,22 @@
     Unsettled,
     /// It killed its workers; a person has to decide.
     Parked,
-    Over(Outcome),
+    Ended(Outcome),
 }
 
 /// What of the rules is kept. All of it, but where it is to be shown that the judge notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[doc(hidden)]
-pub struct Guards {
+pub struct SafetyChecks {
     /// Older epochs are refused, and a permission to send ends by time.
     pub fencing: bool,
     /// An effect leaves when a majority holds its intent, not before.
     pub majority_first: bool,
 }
 
-impl Guards {
+impl SafetyChecks {
     /// As this crate is built.
-    pub const BUILT: Guards = Guards {
+    pub const AS_BUILT: SafetyChecks = SafetyChecks {
         fencing: !cfg!(feature = "without-fencing"),
         majority_first: !cfg!(feature = "before-majority"),
     };
@@ -86,12 +86,12 @@
 
 /// What is answered once the record is written, or at once where nothing is to be written.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum Reply {
     Claimed,
-    Go,
-    Known(String),
-    Held,
-    Refused(Refusal),
+    SendPermitted,
+    AlreadyDone(String),
+    Committed,
+    Rejected(RejectReason),
 }
 
 /// What has to be said once, when the record that says so is held.
@@ -105,10 +105,10 @@
         step: u32,
     },
     /// A step that nobody knew the fate of is known now.
-    Known {
+    Resolved {
         step: u32,
     },
-    TwoResults {
+    DuplicateResult {
         step: u32,
     },
     Expired,
@@ -116,35 +116,35 @@
 
 /// One transition's end.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Turn {
+pub struct Transition {
     pub write: bool,
-    pub answer: Answer,
+    pub answer: Reply,
     pub notice: Option<Notice>,
 }
 
-impl Turn {
-    pub(crate) fn write(answer: Answer) -> Turn {
-        Turn {
+impl Transition {
+    pub(crate) fn write(answer: Reply) -> Transition {
+        Transition {
             write: true,
             answer,
             notice: None,
         }
     }
 
-    pub(crate) fn as_it_is(answer: Answer) -> Turn {
-        Turn {
+    pub(crate) fn without_write(answer: Reply) -> Transition {
+        Transition {
             write: false,
             answer,
             notice: None,
         }
     }
 
-    pub(crate) fn refused(why: Refusal) -> Turn {
-        Turn::as_it_is(Answer::Refused(why))
+    pub(crate) fn rejected(why: RejectReason) -> Transition {
+        Transition::without_write(Reply::Rejected(why))
     }
 
-    pub(crate) fn noting(self, notice: Notice) -> Turn {
-        Turn {
+    pub(crate) fn with_notice(self, notice: Notice) -> Transition {
+        Transition {
             notice: Some(notice),
             ..self
         }
@@ -153,14 +153,14 @@
 
 /// Who wants to carry a workflow, and what its dispatcher knows.
 #[derive(Clone, Debug)]
-pub struct Claimant<'a> {
+pub struct Claim<'a> {
     pub worker: &'a str,
     pub holder: NameKey,
     pub lease_us: u64,
     /// The lease in the record was seen here, without a word, for longer than it lasts.
     pub dead: bool,
     /// What this process knows of the open step's attempt.
-    pub mine: Mine,
+    pub mine: LocalAttempt,
 }
 
 /// One workflow.
@@ -175,27 +175,27 @@
     pub(crate) lease: u64,
     pub(crate) lease_us: u64,
     /// Time that those who wrote it saw go by: never more than its age.
-    pub(crate) aged_us: u64,
+    pub(crate) age_us: u64,
     /// Workers that died since a step was last done.
     pub(crate) deaths: u32,
     pub(crate) bytes: u64,
     pub(crate) tokens: u64,
     pub(crate) context: Context,
-    pub(crate) steps: Vec<Entry>,
+    pub(crate) steps: Vec<StepRecord>,
 }
 
 impl Record {
     /// A workflow that nobody has begun, under its first epoch.
-    pub fn begin(name: &str, by: &Claimant) -> Record {
+    pub fn begin(name: &str, by: &Claim) -> Record {
         Record {
-            name: cut(name, NAME_MOST),
+            name: cut(name, MAX_NAME_BYTES),
             state: State::Open,
             epoch: 1,
             worker: by.worker.to_string(),
             holder: by.holder,
             lease: 1,
             lease_us: by.lease_us,
-            aged_us: 0,
+            age_us: 0,
             deaths: 0,
             bytes: 0,
             tokens: 0,
@@ -227,88 +227,91 @@
     }
 
     /// For who claims it: the compacted steps as one text, the others one by one.
-    pub fn shown(&self) -> (String, Vec<Step>) {
+    pub fn summary(&self) -> (String, Vec<Step>) {
         (
             self.context.text(),
-            self.steps.iter().map(Entry::shown).collect(),
+            self.steps.iter().map(StepRecord::summary).collect(),
         )
     }
 
     /// Adds what its writer saw go by since the word before. Gives whether its time is over.
     pub fn age(&mut self, seen_us: u64, limits: &Limits) -> bool {
-        self.aged_us = self.aged_us.saturating_add(seen_us);
-        self.aged_us >= limits.lasts_us
+        self.age_us = self.age_us.saturating_add(seen_us);
+        self.age_us >= limits.lasts_us
     }
 
     /// Why nothing can be done with it now, if so.
-    pub(crate) fn closed_to(&self) -> Option<Refusal> {
+    pub(crate) fn reject_reason(&self) -> Option<RejectReason> {
         match self.state {
             State::Open => None,
-            State::Unsettled => Some(Refusal::Unsettled),
-            State::Parked => Some(Refusal::Parked),
-            State::Over(_) => Some(Refusal::Ended),
+            State::Unsettled => Some(RejectReason::Unsettled),
+            State::Parked => Some(RejectReason::Parked),
+            State::Ended(_) => Some(RejectReason::Ended),
         }
     }
 
     /// A word of who carries it: others begin to wait anew.
-    pub(crate) fn word(&mut self) {
+    pub(crate) fn advance_lease(&mut self) {
         self.lease = self.lease.wrapping_add(1);
     }
 
     /// The attempt at the open step that runs, or may have run.
     pub fn open_attempt(&self) -> Option<Attempt> {
-        self.steps.last().and_then(Entry::attempt)
+        self.steps.last().and_then(StepRecord::attempt)
     }
 
-    pub(crate) fn open_step(&mut self) -> Option<&mut Entry> {
+    pub(crate) fn open_step(&mut self) -> Option<&mut StepRecord> {
         self.steps.last_mut().filter(|e| !e.closed())
     }
 
     /// A worker takes it over, or comes back to its own. Each time the epoch rises.
-    pub fn claim(&mut self, by: &Claimant) -> Turn {
-        if let Some(why) = self.closed_to() {
-            return Turn::refused(why);
+    pub fn claim(&mut self, by: &Claim) -> Transition {
+        if let Some(why) = self.reject_reason() {
+            return Transition::rejected(why);
         }
         let own = self.worker == by.worker;
         if !own && !by.dead && !self.worker.is_empty() {
-            return Turn::refused(Refusal::Carried);
+            return Transition::rejected(RejectReason::LeaseHeld);
         }
         if !own && !self.worker.is_empty() {
             self.deaths += 1;
         }
-        if self.deaths >= DEATHS_MOST {
+        if self.deaths >= MAX_WORKER_DEATHS {
             self.state = State::Parked;
             let step = self.closed().saturating_add(1);
-            return Turn::write(Answer::Refused(Refusal::Parked)).noting(Notice::Parked { step });
+            return Transition::write(Reply::Rejected(RejectReason::Parked))
+                .with_notice(Notice::Parked { step });
         }
-        if let Some(notice) = self.orphan(by.mine) {
-            return Turn::write(Answer::Refused(Refusal::Unsettled)).noting(notice);
+        if let Some(notice) = self.release_attempt(by.mine) {
+            return Transition::write(Reply::Rejected(RejectReason::Unsettled)).with_notice(notice);
         }
         self.epoch += 1;
         self.worker = by.worker.to_string();
         self.holder = by.holder;
         self.lease_us = by.lease_us;
-        self.word();
-        Turn::write(Answer::Claimed)
+        self.advance_lease();
+        Transition::write(Reply::Claimed)
     }
 
     /// The open step's attempt belongs to nobody any more, but for one that this very process has under way: its end is heard.
-    fn orphan(&mut self, mine: Mine) -> Option<Notice> {
+    fn release_attempt(&mut self, mine: LocalAttempt) -> Option<Notice> {
         let open = self.open_step()?;
         let attempt = open.attempt()?;
         match mine {
-            Mine::Running => return None,
-            Mine::NeverSent if !open.earlier => open.stage = Stage::Planned,
-            Mine::NeverSent | Mine::Unknown => open.stage = Stage::MayHaveRun { attempt },
+            LocalAttempt::Running => return None,
+            LocalAttempt::NeverSent if !open.earlier => open.stage = StepState::Planned,
+            LocalAttempt::NeverSent | LocalAttempt::Unknown => {
+                open.stage = StepState::MayHaveRun { attempt }
+            }
         }
-        self.unsettle()
+        self.mark_unsettled()
     }
 
     /// Stops where the open step is unsafe and may have run.
-    pub(crate) fn unsettle(&mut self) -> Option<Notice> {
+    pub(crate) fn mark_unsettled(&mut self) -> Option<Notice> {
         let open = self.open_step()?;
         if open.effect != crate::io::Effect::Unsafe
-            || !matches!(open.stage, Stage::MayHaveRun { .. })
+            || !matches!(open.stage, StepState::MayHaveRun { .. })
         {
             return None;
         }
@@ -321,20 +324,25 @@
     }
 
     /// The worker is alive and goes on.
-    pub fn carry(&mut self, epoch: u64, guards: Guards) -> Turn {
-        if let Some(why) = self.closed_to() {
-            return Turn::refused(why);
+    pub fn renew_lease(&mut self, epoch: u64, safety_checks: SafetyChecks) -> Transition {
+        if let Some(why) = self.reject_reason() {
+            return Transition::rejected(why);
         }
-        if guards.fencing && epoch != self.epoch {
-            return Turn::refused(Refusal::Fenced);
+        if safety_checks.fencing && epoch != self.epoch {
+            return Transition::rejected(RejectReason::Fenced);
         }
-        self.word();
-        Turn::write(Answer::Held)
+        self.advance_lease();
+        Transition::write(Reply::Committed)
     }
 
     /// Done, or cancelled. A finished one has no step open that may have changed the world; a cancelled one may.
-    pub fn finish(&mut self, epoch: u64, cancelled: bool, guards: Guards) -> Turn {
-        if let State::Over(outcome) = self.state {
+    pub fn finish(
+        &mut self,
+        epoch: u64,
+        cancelled: bool,
+        safety_checks: SafetyChecks,
+    ) -> Transition {
+        if let State::Ended(outcome) = self.state {
             let same = outcome
                 == if cancelled {
                     Outcome::Cancelled
@@ -342,21 +350,21 @@
                     Outcome::Finished
                 };
             return match same && epoch == self.epoch {
-                true => Turn::as_it_is(Answer::Held),
-                false => Turn::refused(Refusal::Ended),
+                true => Transition::without_write(Reply::Committed),
+                false => Transition::rejected(RejectReason::Ended),
             };
         }
-        if guards.fencing && epoch != self.epoch {
-            return Turn::refused(Refusal::Fenced);
+        if safety_checks.fencing && epoch != self.epoch {
+            return Transition::rejected(RejectReason::Fenced);
         }
         if !cancelled {
-            if let Some(why) = self.closed_to() {
-                return Turn::refused(why);
+            if let Some(why) = self.reject_reason() {
+                return Transition::rejected(why);
             }
             let changes =
-                |e: &&mut Entry| e.attempt().is_some() && e.effect != crate::io::Effect::Safe;
+                |e: &&mut StepRecord| e.attempt().is_some() && e.effect != crate::io::Effect::Safe;
             if self.open_step().filter(changes).is_some() {
-                return Turn::refused(Refusal::Unknown);
+                return Transition::rejected(RejectReason::Unknown);
             }
         }
         self.end(if cancelled {
@@ -364,32 +372,32 @@
         } else {
             Outcome::Finished
         });
-        Turn::write(Answer::Held)
+        Transition::write(Reply::Committed)
     }
 
     /// Its time is over.
-    pub fn expire(&mut self) -> Turn {
-        if matches!(self.state, State::Over(_)) {
-            return Turn::refused(Refusal::Ended);
+    pub fn expire(&mut self) -> Transition {
+        if matches!(self.state, State::Ended(_)) {
+            return Transition::rejected(RejectReason::Ended);
         }
         self.end(Outcome::Expired);
-        Turn::write(Answer::Refused(Refusal::Limit)).noting(Notice::Expired)
+        Transition::write(Reply::Rejected(RejectReason::Limit)).with_notice(Notice::Expired)
     }
 
     /// All is let go of but how it ended, how many steps it had, and the end of its last result.
     fn end(&mut self, outcome: Outcome) {
         let last = self.steps.iter().rev().find_map(|e| match &e.stage {
-            Stage::Done { .. } => Some(e.clone()),
+            StepState::Done { .. } => Some(e.clone()),
             _ => None,
         });
-        self.state = State::Over(outcome);
+        self.state = State::Ended(outcome);
         self.context = Context::default();
         self.steps.clear();
         self.worker.clear();
-        self.word();
+        self.advance_lease();
         if let Some(mut last) = last {
-            if let Stage::Done { result, .. } = &mut last.stage {
-                *result = cut(result, LEFT_MOST);
+            if let StepState::Done { result, .. } = &mut last.stage {
+                *result = cut(result, MAX_FINAL_RESULT_BYTES);
             }
             last.late.clear();
             self.steps.push(last);
@@ -398,20 +406,20 @@
 
     /// Compacts what is long done.
     pub(crate) fn compact(&mut self) {
-        while self.steps.iter().filter(|e| e.closed()).count() > WHOLE_MOST {
+        while self.steps.iter().filter(|e| e.closed()).count() > MAX_UNCOMPACTED_STEPS {
             let oldest = self.steps.remove(0);
-            self.context.take(&oldest);
+            self.context.append_step(&oldest);
         }
     }
 
     /// As the register holds it.
     ///
     /// # Errors
-    /// [`WorkflowError::TooLong`] past [`RECORD_MOST`]: not reached by any record that these transitions make.
+    /// [`WorkflowError::TooLong`] past [`MAX_RECORD_BYTES`]: not reached by any record that these transitions make.
     pub fn encode(&self) -> Result<Vec<u8>, WorkflowError> {
         let bytes =
             postcard::to_extend(self, vec![VERSION]).map_err(|_| WorkflowError::Unreadable)?;
-        match bytes.len() <= RECORD_MOST {
+        match bytes.len() <= MAX_RECORD_BYTES {
             true => Ok(bytes),
             false => Err(WorkflowError::TooLong),
         }
@@ -422,7 +430,7 @@
     /// # Errors
     /// Where it is longer than any, of another version, or not a record.
     pub fn decode(bytes: &[u8]) -> Result<Record, WorkflowError> {
-        if bytes.len() > RECORD_MOST {
+        if bytes.len() > MAX_RECORD_BYTES {
             return Err(WorkflowError::TooLong);
         }
         let (version, rest) = bytes.split_first().ok_or(WorkflowError::Unreadable)?;
--- a/crates/workflow/src/step.rs
+++ b/crates/workflow/src/step.rs
@@ -2,21 +2,21 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::io::{Effect, Fate, Step};
+use crate::io::{AttemptOutcome, Effect, Step};
 
 /// Bytes of one result that are kept; a longer one is cut and says so.
-pub const RESULT_MOST: usize = 4 * 1024;
+pub const MAX_RESULT_BYTES: usize = 4 * 1024;
 /// Bytes of a step's key, of a worker's name and of a workflow's, at the most.
-pub const NAME_MOST: usize = 512;
+pub const MAX_NAME_BYTES: usize = 512;
 /// Later results of one step that are kept beside the one that stands; what comes past them is counted.
-pub const LATE_MOST: usize = 2;
+pub const MAX_LATE_RESULTS: usize = 2;
 /// Bytes of each of those.
-const LATE_BYTES: usize = 512;
+const MAX_LATE_RESULT_BYTES: usize = 512;
 /// Room for the words that say how much was cut.
-const CUT_WORDS: usize = 40;
+const TRUNCATION_NOTE_BYTES: usize = 40;
 
 /// What a worker is told of a step that a person left out.
-pub const LEFT_OUT: &str = "left out: a person decided so; it may have run";
+pub const ABANDONED_RESULT: &str = "left out: a person decided so; it may have run";
 
 /// One attempt at a step: which process, which start of it, its number there. Never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -28,7 +28,7 @@
 
 /// Where a step stands. One that is not in the log yet is the next one, or out of order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Stage {
+pub enum StepState {
     /// It is known that it never ran.
     Planned,
     /// Its effect may leave, or has left.
@@ -43,13 +43,13 @@
 
 /// A step and all that is known of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Entry {
+pub struct StepRecord {
     pub(crate) number: u32,
     pub(crate) effect: Effect,
     pub(crate) key: String,
     /// Digest of the request.
-    pub(crate) asks: u64,
-    pub(crate) stage: Stage,
+    pub(crate) request_digest: u64,
+    pub(crate) stage: StepState,
     /// An attempt before the last one may have run too.
     pub(crate) earlier: bool,
     /// Results that came after the one that stands.
@@ -57,40 +57,42 @@
     pub(crate) late_lost: u32,
 }
 
-impl Entry {
+impl StepRecord {
     /// Nothing of it is to be run any more.
     pub(crate) fn closed(&self) -> bool {
-        matches!(self.stage, Stage::Done { .. } | Stage::Abandoned)
+        matches!(self.stage, StepState::Done { .. } | StepState::Abandoned)
     }
 
     /// The attempt that runs, or may have run.
     pub(crate) fn attempt(&self) -> Option<Attempt> {
         match self.stage {
-            Stage::Intended { attempt, .. } | Stage::MayHaveRun { attempt } => Some(attempt),
+            StepState::Intended { attempt, .. } | StepState::MayHaveRun { attempt } => {
+                Some(attempt)
+            }
             _ => None,
         }
     }
 
     /// Keeps a result beside the one that stands.
-    pub(crate) fn keep_late(&mut self, result: &str) {
-        match self.late.len() < LATE_MOST {
-            true => self.late.push(cut(result, LATE_BYTES)),
+    pub(crate) fn add_late_result(&mut self, result: &str) {
+        match self.late.len() < MAX_LATE_RESULTS {
+            true => self.late.push(cut(result, MAX_LATE_RESULT_BYTES)),
             false => self.late_lost = self.late_lost.saturating_add(1),
         }
     }
 
     /// As it is shown to who claims the workflow.
-    pub(crate) fn shown(&self) -> Step {
-        let fate = match &self.stage {
-            Stage::Planned => Some(Fate::NeverRan),
-            Stage::Intended { .. } => None,
-            Stage::Done { result, tokens } => Some(Fate::Done {
+    pub(crate) fn summary(&self) -> Step {
+        let outcome = match &self.stage {
+            StepState::Planned => Some(AttemptOutcome::NeverRan),
+            StepState::Intended { .. } => None,
+            StepState::Done { result, tokens } => Some(AttemptOutcome::Done {
                 result: result.clone(),
                 tokens: *tokens,
             }),
-            Stage::MayHaveRun { .. } => Some(Fate::MayHaveRun),
-            Stage::Abandoned => Some(Fate::Done {
-                result: LEFT_OUT.to_string(),
+            StepState::MayHaveRun { .. } => Some(AttemptOutcome::MayHaveRun),
+            StepState::Abandoned => Some(AttemptOutcome::Done {
+                result: ABANDONED_RESULT.to_string(),
                 tokens: 0,
             }),
         };
@@ -98,7 +100,7 @@
             number: self.number,
             effect: self.effect,
             key: self.key.clone(),
-            fate,
+            outcome,
         }
     }
 }
@@ -108,7 +110,7 @@
     if text.len() <= most {
         return text.to_string();
     }
-    let mut end = most.saturating_sub(CUT_WORDS);
+    let mut end = most.saturating_sub(TRUNCATION_NOTE_BYTES);
     while !text.is_char_boundary(end) {
         end -= 1;
     }
@@ -121,13 +123,13 @@
 
     #[test]
     fn a_long_result_is_cut_between_characters_within_its_bound_and_says_so() {
-        let long = "ä".repeat(RESULT_MOST);
-        let kept = cut(&long, RESULT_MOST);
+        let long = "ä".repeat(MAX_RESULT_BYTES);
+        let kept = cut(&long, MAX_RESULT_BYTES);
         assert!(
-            kept.len() <= RESULT_MOST && kept.ends_with("[cut, 8192 bytes in all]"),
+            kept.len() <= MAX_RESULT_BYTES && kept.ends_with("[cut, 8192 bytes in all]"),
             "{}",
             kept.len()
         );
-        assert_eq!(cut("short", RESULT_MOST), "short");
+        assert_eq!(cut("short", MAX_RESULT_BYTES), "short");
     }
 }
--- a/crates/workflow/src/tests.rs
+++ b/crates/workflow/src/tests.rs
@@ -7,7 +7,7 @@
 use bitternlatch_quota_lease::{KeepError, Process};
 use bitternlatch_replicated_register::{Input, RegisterKey, ReplicaError, Version};
 
-use crate::desk::{key_of, Desk, Out};
+use crate::coordinator::{key_of, Coordinator, CoordinatorOutput};
 use crate::*;
 
 type Held = BTreeMap<RegisterKey, (Version, Vec<u8>)>;
@@ -25,10 +25,10 @@
 
 struct Office {
     now: Duration,
-    desks: Vec<Desk>,
+    coordinators: Vec<Coordinator>,
     held: Held,
     next: Next,
-    told: Vec<Told>,
+    told: Vec<Event>,
     logs: Vec<String>,
     calls: u64,
     writes: u64,
@@ -45,14 +45,14 @@
             name: NameKey(i as u32 + 1),
             start: 1,
         };
-        let desks = (0..of)
-            .map(|i| Desk::new(own(i), &Settings::default(), Guards::BUILT))
+        let coordinators = (0..of)
+            .map(|i| Coordinator::new(own(i), &Settings::default(), SafetyChecks::AS_BUILT))
             .collect();
         let (held, now) = (Held::new(), ms(1000));
         let (told, logs) = (vec![], vec![]);
         Office {
             now,
-            desks,
+            coordinators,
             held,
             next: Next::Well,
             told,
@@ -63,23 +63,23 @@
         }
     }
 
-    fn carry(&mut self, i: usize, out: Vec<Out>) {
-        let mut out: std::collections::VecDeque<Out> = out.into();
+    fn renew_lease(&mut self, i: usize, out: Vec<CoordinatorOutput>) {
+        let mut out: std::collections::VecDeque<CoordinatorOutput> = out.into();
         while let Some(wanted) = out.pop_front() {
             let mut more = vec![];
             match wanted {
-                Out::Tell(told) => self.told.push(told),
-                Out::Log { text, .. } => self.logs.push(text),
-                Out::Register(Input::Read { call, key, .. }) => {
+                CoordinatorOutput::Event(told) => self.told.push(told),
+                CoordinatorOutput::Log { text, .. } => self.logs.push(text),
+                CoordinatorOutput::Register(Input::Read { call, key, .. }) => {
                     self.reads += 1;
-                    self.desks[i].found(
+                    self.coordinators[i].found(
                         self.now,
                         call,
                         Ok(self.held.get(&key).cloned()),
                         &mut more,
                     );
                 }
-                Out::Register(Input::Write {
+                CoordinatorOutput::Register(Input::Write {
                     call,
                     key,
                     on,
@@ -108,25 +108,25 @@
                             }
                         }
                     };
-                    self.desks[i].written(self.now, call, done, &mut more);
+                    self.coordinators[i].written(self.now, call, done, &mut more);
                 }
-                Out::Register(Input::Drop { call, key, on, .. }) => {
+                CoordinatorOutput::Register(Input::Drop { call, key, on, .. }) => {
                     self.held.remove(&key);
-                    self.desks[i].written(self.now, call, Ok(on), &mut more);
+                    self.coordinators[i].written(self.now, call, Ok(on), &mut more);
                 }
-                Out::Register(_) => {}
+                CoordinatorOutput::Register(_) => {}
             }
             out.extend(more);
         }
     }
 
-    fn ask(&mut self, i: usize, ask: impl FnOnce(Call, String, u64) -> Ask) -> Option<Told> {
+    fn ask(&mut self, i: usize, ask: impl FnOnce(Call, String, u64) -> Command) -> Option<Event> {
         self.calls += 1;
         let until = (self.now + ms(1000)).as_micros() as u64;
         let mut out = vec![];
         let ask = ask(Call(self.calls), "w".to_string(), until);
-        self.desks[i].ask(self.now, ask, &mut out);
-        self.carry(i, out);
+        self.coordinators[i].ask(self.now, ask, &mut out);
+        self.renew_lease(i, out);
         self.told.pop()
     }
 
@@ -134,17 +134,17 @@
         let end = self.now + time;
         while self.now < end {
             self.now = (self.now + ms(5)).min(end);
-            for i in 0..self.desks.len() {
+            for i in 0..self.coordinators.len() {
                 let mut out = vec![];
-                self.desks[i].wake(self.now, &mut out);
-                self.carry(i, out);
+                self.coordinators[i].wake(self.now, &mut out);
+                self.renew_lease(i, out);
             }
         }
     }
 
-    fn claim(&mut self, i: usize, worker: &str) -> Option<Told> {
+    fn claim(&mut self, i: usize, worker: &str) -> Option<Event> {
         let worker = worker.to_string();
-        self.ask(i, |call, workflow, until_us| Ask::Claim {
+        self.ask(i, |call, workflow, until_us| Command::Claim {
             call,
             workflow,
             worker,
@@ -152,36 +152,42 @@
         })
     }
 
-    fn intend(&mut self, i: usize, epoch: u64, step: u32) -> Option<Told> {
-        self.ask(i, |call, workflow, until_us| Ask::Intend {
+    fn intend(&mut self, i: usize, epoch: u64, step: u32) -> Option<Event> {
+        self.ask(i, |call, workflow, until_us| Command::Intend {
             call,
             workflow,
             epoch,
             step,
             effect: Effect::Unsafe,
             key: String::new(),
-            asks: step.into(),
+            request_digest: step.into(),
             until_us,
         })
     }
 
-    fn ended(&mut self, i: usize, epoch: u64, step: u32, fate: Fate) -> Option<Told> {
-        self.ask(i, |call, workflow, until_us| Ask::Ended {
+    fn report_outcome(
+        &mut self,
+        i: usize,
+        epoch: u64,
+        step: u32,
+        outcome: AttemptOutcome,
+    ) -> Option<Event> {
+        self.ask(i, |call, workflow, until_us| Command::ReportOutcome {
             call,
             workflow,
             epoch,
             step,
-            fate,
+            outcome,
             until_us,
         })
     }
 
-    fn done(&mut self, i: usize, epoch: u64, step: u32) -> Option<Told> {
-        self.ended(
+    fn done(&mut self, i: usize, epoch: u64, step: u32) -> Option<Event> {
+        self.report_outcome(
             i,
             epoch,
             step,
-            Fate::Done {
+            AttemptOutcome::Done {
                 result: format!("r{step}"),
                 tokens: 1,
             },
@@ -193,15 +199,15 @@
     }
 }
 
-fn why(told: &Option<Told>) -> Option<Refusal> {
+fn why(told: &Option<Event>) -> Option<RejectReason> {
     match told {
-        Some(Told::Refused { why, .. }) => Some(*why),
+        Some(Event::Rejected { reason: why, .. }) => Some(*why),
         _ => None,
     }
 }
 
-fn is_go(told: &Option<Told>) -> bool {
-    matches!(told, Some(Told::Go { .. }))
+fn is_go(told: &Option<Event>) -> bool {
+    matches!(told, Some(Event::SendPermitted { .. }))
 }
 
 #[test]
@@ -209,27 +215,30 @@
     let mut office = Office::new(2);
     assert!(matches!(
         office.claim(0, "a"),
-        Some(Told::Claimed { epoch: 1, .. })
+        Some(Event::Claimed { epoch: 1, .. })
     ));
     let (reads, writes) = (office.reads, office.writes);
     for step in 1..=20 {
-        let Some(Told::Go { until_us, .. }) = office.intend(0, 1, step) else {
+        let Some(Event::SendPermitted { until_us, .. }) = office.intend(0, 1, step) else {
             panic!("step {step}")
         };
         assert!(until_us <= (office.now + ms(750)).as_micros() as u64);
-        assert!(matches!(office.done(0, 1, step), Some(Told::Held { .. })));
+        assert!(matches!(
+            office.done(0, 1, step),
+            Some(Event::Committed { .. })
+        ));
     }
     assert_eq!((office.reads - reads, office.writes - writes), (0, 40));
     // The other one sees the lease for the first time, and has to see it through.
-    assert_eq!(why(&office.claim(1, "b")), Some(Refusal::Carried));
+    assert_eq!(why(&office.claim(1, "b")), Some(RejectReason::LeaseHeld));
     office.pass(ms(1515));
-    assert_eq!(why(&office.claim(1, "b")), Some(Refusal::Carried));
+    assert_eq!(why(&office.claim(1, "b")), Some(RejectReason::LeaseHeld));
     office.pass(ms(50));
     assert!(matches!(
         office.claim(1, "b"),
-        Some(Told::Claimed { epoch: 2, .. })
+        Some(Event::Claimed { epoch: 2, .. })
     ));
-    assert_eq!(why(&office.intend(0, 1, 21)), Some(Refusal::Fenced));
+    assert_eq!(why(&office.intend(0, 1, 21)), Some(RejectReason::Fenced));
 }
 
 #[test]
@@ -243,16 +252,18 @@
         lease_s: 30.0,
         ..Settings::default()
     };
-    office.desks.push(Desk::new(own, &settings, Guards::BUILT));
+    office
+        .coordinators
+        .push(Coordinator::new(own, &settings, SafetyChecks::AS_BUILT));
     office.claim(0, "a");
-    let Some(Told::Go { until_us, .. }) = office.intend(1, 1, 1) else {
+    let Some(Event::SendPermitted { until_us, .. }) = office.intend(1, 1, 1) else {
         panic!()
     };
     assert!(until_us <= (office.now + ms(1500)).as_micros() as u64);
     // Its own claim makes it the longer one.
     assert!(matches!(
         office.claim(1, "a"),
-        Some(Told::Claimed {
+        Some(Event::Claimed {
             lease_us: 30_000_000,
             ..
         })
@@ -277,9 +288,12 @@
         assert_eq!(office.told.len(), 1, "{next:?} {:?}", office.told);
         let told = office.told.pop();
         match is_go(&told) {
-            true => assert!(matches!(office.done(0, 1, 1), Some(Told::Held { .. }))),
+            true => assert!(matches!(
+                office.done(0, 1, 1),
+                Some(Event::Committed { .. })
+            )),
             false => {
-                assert_eq!(why(&told), Some(Refusal::NoMajority));
+                assert_eq!(why(&told), Some(RejectReason::NoMajority));
                 assert_eq!(office.record().open_attempt(), None, "{next:?}");
                 assert!(is_go(&office.intend(0, 1, 1)));
             }
@@ -295,7 +309,7 @@
     office.next = Next::InDoubt(ReplicaError::TimedOut);
     assert_eq!(office.done(0, 1, 1), None);
     office.pass(ms(100));
-    assert!(matches!(office.told.pop(), Some(Told::Held { .. })));
+    assert!(matches!(office.told.pop(), Some(Event::Committed { .. })));
     office.intend(0, 1, 2);
     office.next = Next::Silent;
     office.done(0, 1, 2);
@@ -304,11 +318,13 @@
         office.pass(ms(5));
     }
     assert_eq!(office.told.len(), 1);
-    assert_eq!(why(&office.told.pop()), Some(Refusal::NoMajority));
+    assert_eq!(why(&office.told.pop()), Some(RejectReason::NoMajority));
     office.next = Next::Well;
     office.pass(ms(500));
     assert_eq!(office.record().open_attempt(), None);
-    assert!(matches!(office.intend(0, 1, 2), Some(Told::Known { result, .. }) if result == "r2"));
+    assert!(
+        matches!(office.intend(0, 1, 2), Some(Event::AlreadyDone { result, .. }) if result == "r2")
+    );
 }
 
 #[test]
@@ -316,17 +332,20 @@
     let mut office = Office::new(2);
     office.claim(0, "a");
     assert!(is_go(&office.intend(0, 1, 1)));
-    assert_eq!(why(&office.claim(1, "b")), Some(Refusal::Carried));
+    assert_eq!(why(&office.claim(1, "b")), Some(RejectReason::LeaseHeld));
     office.pass(ms(9000));
-    assert_eq!(why(&office.claim(1, "b")), Some(Refusal::Carried));
-    assert_eq!(why(&office.intend(0, 1, 1)), Some(Refusal::Busy));
+    assert_eq!(why(&office.claim(1, "b")), Some(RejectReason::LeaseHeld));
+    assert_eq!(why(&office.intend(0, 1, 1)), Some(RejectReason::Busy));
     // Its worker comes back to its own at once, and gets the result of the attempt that it left.
     assert!(matches!(
         office.claim(0, "a"),
-        Some(Told::Claimed { epoch: 2, .. })
+        Some(Event::Claimed { epoch: 2, .. })
+    ));
+    assert_eq!(why(&office.done(0, 1, 1)), Some(RejectReason::Fenced));
+    assert!(matches!(
+        office.intend(0, 2, 1),
+        Some(Event::AlreadyDone { .. })
     ));
-    assert_eq!(why(&office.done(0, 1, 1)), Some(Refusal::Fenced));
-    assert!(matches!(office.intend(0, 2, 1), Some(Told::Known { .. })));
 }
 
 #[test]
@@ -335,11 +354,11 @@
     office.claim(0, "a");
     office.intend(0, 1, 1);
     // Its dispatcher is no more.
-    office.desks.remove(0);
+    office.coordinators.remove(0);
     office.claim(0, "b");
     office.pass(ms(3200));
-    assert_eq!(why(&office.claim(0, "b")), Some(Refusal::Unsettled));
-    assert_eq!(why(&office.claim(0, "c")), Some(Refusal::Unsettled));
+    assert_eq!(why(&office.claim(0, "b")), Some(RejectReason::Unsettled));
+    assert_eq!(why(&office.claim(0, "c")), Some(RejectReason::Unsettled));
     assert_eq!(
         office
             .logs
@@ -348,16 +367,19 @@
             .count(),
         1
     );
-    let fate = Fate::NeverRan;
-    let settle = |call, workflow, until_us| Ask::Settle {
+    let outcome = AttemptOutcome::NeverRan;
+    let settle = |call, workflow, until_us| Command::Settle {
         call,
         workflow,
         step: 1,
-        fate,
+        outcome,
         until_us,
     };
-    assert!(matches!(office.ask(0, settle), Some(Told::Held { .. })));
-    assert!(matches!(office.claim(0, "c"), Some(Told::Claimed { .. })));
+    assert!(matches!(
+        office.ask(0, settle),
+        Some(Event::Committed { .. })
+    ));
+    assert!(matches!(office.claim(0, "c"), Some(Event::Claimed { .. })));
 }
 
 #[test]
@@ -368,9 +390,9 @@
     for i in 0..1500u64 {
         let until_us = (now + ms(10_000 - i)).as_micros() as u64;
         let (workflow, worker) = (format!("w{i}"), "a".to_string());
-        office.desks[0].ask(
+        office.coordinators[0].ask(
             now,
-            Ask::Claim {
+            Command::Claim {
                 call: Call(i),
                 workflow,
                 worker,
@@ -379,19 +401,22 @@
             &mut out,
         );
     }
-    let reads = out.iter().filter(|o| matches!(o, Out::Register(_))).count();
+    let reads = out
+        .iter()
+        .filter(|o| matches!(o, CoordinatorOutput::Register(_)))
+        .count();
     let busy = out.iter().filter(|o| {
         matches!(
             o,
-            Out::Tell(Told::Refused {
-                why: Refusal::Busy,
+            CoordinatorOutput::Event(Event::Rejected {
+                reason: RejectReason::Busy,
                 ..
             })
         )
     });
     let busy: Vec<u64> = busy
         .map(|o| {
-            if let Out::Tell(Told::Refused { call, .. }) = o {
+            if let CoordinatorOutput::Event(Event::Rejected { call, .. }) = o {
                 call.0
             } else {
                 0
@@ -404,11 +429,11 @@
         busy.iter().all(|call| (32..1500 - 1024).contains(call)),
         "{busy:?}"
     );
-    office.carry(0, out);
+    office.renew_lease(0, out);
     let claimed = office
         .told
         .iter()
-        .filter(|t| matches!(t, Told::Claimed { .. }))
+        .filter(|t| matches!(t, Event::Claimed { .. }))
         .count();
     assert_eq!((claimed, office.told.len()), (32 + 1024, 1500));
 }
@@ -424,23 +449,26 @@
         name: NameKey(1),
         start: 1,
     };
-    office.desks = vec![Desk::new(own, &settings, Guards::BUILT)];
+    office.coordinators = vec![Coordinator::new(own, &settings, SafetyChecks::AS_BUILT)];
     office.claim(0, "a");
     for (state, after) in [
-        (State::Over(Outcome::Expired), 11_000),
+        (State::Ended(Outcome::Expired), 11_000),
         (State::Open, 601_000),
     ] {
         let look = |office: &mut Office| {
             let (version, _) = office.held[&key_of("w")];
             let (record, now, mut out) = (office.record(), office.now, vec![]);
-            office.desks[0]
-                .watches
-                .see(now, key_of("w"), version, &record);
-            let unchanged = office.desks[0].watches.unchanged(now, key_of("w"), version);
-            if office.desks[0].stale(&record, unchanged) {
-                office.desks[0].sweep(now, key_of("w"), &record, &mut out);
+            office.coordinators[0]
+                .lease_observer
+                .observe(now, key_of("w"), version, &record);
+            let unchanged =
+                office.coordinators[0]
+                    .lease_observer
+                    .unchanged(now, key_of("w"), version);
+            if office.coordinators[0].stale(&record, unchanged) {
+                office.coordinators[0].sweep(now, key_of("w"), &record, &mut out);
             }
-            office.carry(0, out);
+            office.renew_lease(0, out);
         };
         look(&mut office);
         assert!(office.held.contains_key(&key_of("w")));
@@ -458,7 +486,7 @@
     let mut office = Office::new(1);
     office.claim(0, "a");
     office.held.get_mut(&key_of("w")).unwrap().1[0] = 9;
-    assert_eq!(why(&office.claim(0, "a")), Some(Refusal::NoMajority));
+    assert_eq!(why(&office.claim(0, "a")), Some(RejectReason::NoMajority));
     assert!(
         office.logs[0].contains("another version"),
         "{:?}",
--- a/crates/workflow/tests/fleet/actors.rs
+++ b/crates/workflow/tests/fleet/actors.rs
@@ -17,7 +17,7 @@
     Claim,
     Step { epoch: u64, step: u32 },
     Finish { epoch: u64 },
-    Settle { step: u32, fate: Fate },
+    Settle { step: u32, outcome: AttemptOutcome },
 }
 
 #[derive(Clone, Debug)]
@@ -25,19 +25,19 @@
     Claimed { epoch: u64, steps: Vec<Step> },
     Result(String),
     Held,
-    Refused(Refusal),
+    Refused(RejectReason),
 }
 
 #[derive(Clone, Debug)]
 pub enum Message {
     Frame(Process, Vec<u8>),
-    Ask {
+    Command {
         id: u64,
         worker: String,
         workflow: u32,
         req: Req,
     },
-    Answer {
+    Reply {
         id: u64,
         workflow: u32,
         ans: Ans,
@@ -71,10 +71,10 @@
     pub told: BTreeMap<(u32, u32), String>,
     pub finished: BTreeSet<u32>,
     /// Workflows that stopped, and which step a person is asked about.
-    pub stopped: BTreeMap<u32, Refusal>,
+    pub stopped: BTreeMap<u32, RejectReason>,
     pub wrong: Vec<String>,
     /// What workers were refused last, for who reads a failure.
-    pub refused: BTreeMap<u32, Refusal>,
+    pub refused: BTreeMap<u32, RejectReason>,
     calls: BTreeSet<(usize, Call)>,
 }
 
@@ -124,7 +124,7 @@
     pub frozen: bool,
     places: BTreeMap<NameKey, usize>,
     tool: usize,
-    pending: VecDeque<Wanted<Told>>,
+    pending: VecDeque<Wanted<Event>>,
     stash: Vec<(usize, Message)>,
     soon: BTreeMap<(Duration, u64), Soon>,
     asked: BTreeMap<Call, Asked>,
@@ -140,7 +140,7 @@
     pub start: u64,
     pub seed: u64,
     pub settings: Settings,
-    pub guards: Guards,
+    pub safety_checks: SafetyChecks,
 }
 
 impl Dispatcher {
@@ -158,7 +158,15 @@
         };
         let roster = (0..made.of).map(key).collect();
         let seed = made.seed ^ made.start << 8 ^ made.place as u64;
-        let machine = Workflows::guarded(own, roster, &made.settings, true, seed, now, made.guards);
+        let machine = Workflows::with_safety_checks(
+            own,
+            roster,
+            &made.settings,
+            true,
+            seed,
+            now,
+            made.safety_checks,
+        );
         let mut dispatcher = Dispatcher {
             place: made.place,
             own,
@@ -184,7 +192,7 @@
         dispatcher
     }
 
-    pub fn give(&mut self, now: Duration, given: Given<Ask>, out: &mut Sent<Message>) {
+    pub fn give(&mut self, now: Duration, given: Given<Command>, out: &mut Sent<Message>) {
         let mut wanted = vec![];
         self.machine.step(now, given, &mut wanted);
         self.pending.extend(wanted);
@@ -250,7 +258,7 @@
         worker: String,
         workflow: u32,
         req: Req,
-    ) -> Ask {
+    ) -> Command {
         let asked = Asked {
             from,
             id,
@@ -263,48 +271,50 @@
         let (call, until_us) = self.call(now, asked);
         let text = name(workflow);
         match req {
-            Req::Claim => Ask::Claim {
+            Req::Claim => Command::Claim {
                 call,
                 workflow: text,
                 worker,
                 until_us,
             },
             Req::Step { epoch, step } => {
-                let (key, asks) = (format!("{workflow}-{step}"), u64::from(step));
-                Ask::Intend {
+                let (key, request_digest) = (format!("{workflow}-{step}"), u64::from(step));
+                Command::Intend {
                     call,
                     workflow: text,
                     epoch,
                     step,
                     effect: effect(step),
                     key,
-                    asks,
+                    request_digest,
                     until_us,
                 }
             }
-            Req::Finish { epoch } => Ask::Finish {
+            Req::Finish { epoch } => Command::Finish {
                 call,
                 workflow: text,
                 epoch,
                 cancelled: false,
                 until_us,
             },
-            Req::Settle { step, fate } => Ask::Settle {
+            Req::Settle { step, outcome } => Command::Settle {
                 call,
                 workflow: text,
                 step,
-                fate,
+                outcome,
                 until_us,
             },
         }
     }
 
-    fn told(&mut self, now: Duration, told: Told, out: &mut Sent<Message>) {
+    fn told(&mut self, now: Duration, told: Event, out: &mut Sent<Message>) {
         let call = match &told {
-            Told::Claimed { call, .. } | Told::Go { call, .. } | Told::Known { call, .. } => *call,
-            Told::Held { call } | Told::Refused { call, .. } => *call,
+            Event::Claimed { call, .. }
+            | Event::SendPermitted { call, .. }
+            | Event::AlreadyDone { call, .. } => *call,
+            Event::Committed { call } | Event::Rejected { call, .. } => *call,
         };
-        if let Told::Go { until_us, .. } = told {
+        if let Event::SendPermitted { until_us, .. } = told {
             self.later(now, 1500, Soon::Send { call, until_us });
             if let Some(asked) = self.asked.get_mut(&call) {
                 asked.answered = true;
@@ -325,20 +335,20 @@
                 .push(format!("answered late: {told:?}"));
         }
         let ans = match told {
-            Told::Claimed { epoch, steps, .. } => Ans::Claimed { epoch, steps },
-            Told::Known { result, .. } => Ans::Result(result),
-            Told::Held { .. } => match (asked.result, &asked.req) {
+            Event::Claimed { epoch, steps, .. } => Ans::Claimed { epoch, steps },
+            Event::AlreadyDone { result, .. } => Ans::Result(result),
+            Event::Committed { .. } => match (asked.result, &asked.req) {
                 (Some(result), _) => Ans::Result(result),
                 // It never ran, or may have run: the worker asks again.
-                (None, Req::Step { .. }) => Ans::Refused(Refusal::Busy),
+                (None, Req::Step { .. }) => Ans::Refused(RejectReason::Busy),
                 (None, _) => Ans::Held,
             },
-            Told::Refused { why, .. } => Ans::Refused(why),
-            Told::Go { .. } => return,
+            Event::Rejected { reason: why, .. } => Ans::Refused(why),
+            Event::SendPermitted { .. } => return,
         };
         out.push((
             asked.from,
-            Message::Answer {
+            Message::Reply {
                 id: asked.id,
                 workflow: asked.workflow,
                 ans,
@@ -347,14 +357,20 @@
     }
 
     /// Tells how an attempt ended; its worker is answered when that is held.
-    fn ended(&mut self, now: Duration, call: Call, fate: Fate, out: &mut Sent<Message>) {
+    fn report_outcome(
+        &mut self,
+        now: Duration,
+        call: Call,
+        outcome: AttemptOutcome,
+        out: &mut Sent<Message>,
+    ) {
         let Some(before) = self.asked.remove(&call) else {
             return;
         };
         let Req::Step { epoch, step } = before.req else {
             return;
         };
-        let result = if let Fate::Done { result, .. } = &fate {
+        let result = if let AttemptOutcome::Done { result, .. } = &outcome {
             Some(result.clone())
         } else {
             None
@@ -370,12 +386,12 @@
         );
         self.give(
             now,
-            Given::Ask(Ask::Ended {
+            Given::Ask(Command::ReportOutcome {
                 call,
                 workflow,
                 epoch,
                 step,
-                fate,
+                outcome,
                 until_us,
             }),
             out,
@@ -425,8 +441,10 @@
                 ));
                 self.later(now + ms(4000), 100, Soon::GiveUp(call));
             }
-            Soon::Send { call, .. } => self.ended(now, call, Fate::NeverRan, out),
-            Soon::GiveUp(call) => self.ended(now, call, Fate::MayHaveRun, out),
+            Soon::Send { call, .. } => {
+                self.report_outcome(now, call, AttemptOutcome::NeverRan, out)
+            }
+            Soon::GiveUp(call) => self.report_outcome(now, call, AttemptOutcome::MayHaveRun, out),
         }
     }
 
@@ -475,7 +493,7 @@
         }
         match message {
             Message::Frame(from, said) => self.give(now, Given::Frame { from, said }, out),
-            Message::Ask {
+            Message::Command {
                 id,
                 worker,
                 workflow,
@@ -485,9 +503,9 @@
                 self.give(now, Given::Ask(ask), out);
             }
             Message::Result { call, result } => {
-                self.ended(now, call, Fate::Done { result, tokens: 1 }, out)
+                self.report_outcome(now, call, AttemptOutcome::Done { result, tokens: 1 }, out)
             }
-            Message::Answer { .. } | Message::Call { .. } => {}
+            Message::Reply { .. } | Message::Call { .. } => {}
         }
     }
 }
@@ -559,7 +577,7 @@
         (self.waits, self.at) = (true, now + ms(2600));
         out.push((
             self.dispatcher,
-            Message::Ask {
+            Message::Command {
                 id: self.id,
                 worker: self.name.clone(),
                 workflow,
@@ -601,7 +619,7 @@
     }
 
     fn take(&mut self, now: Duration, message: Message) {
-        let Message::Answer { id, workflow, ans } = message else {
+        let Message::Reply { id, workflow, ans } = message else {
             return;
         };
         let Some((carried, epoch, step)) =
@@ -619,7 +637,7 @@
                 let mut seen = self.seen.borrow_mut();
                 let mut next = 1;
                 for s in &steps {
-                    if let Some(Fate::Done { result, .. }) = &s.fate {
+                    if let Some(AttemptOutcome::Done { result, .. }) = &s.outcome {
                         next = s.number + 1;
                         check(&mut seen, workflow, s.number, result, false);
                     }
@@ -640,16 +658,16 @@
                 self.seen.borrow_mut().finished.insert(workflow);
                 self.carries = None;
             }
-            Ans::Refused(Refusal::Ended) => {
+            Ans::Refused(RejectReason::Ended) => {
                 self.seen.borrow_mut().finished.insert(workflow);
                 self.carries = None;
             }
-            Ans::Refused(why @ (Refusal::Unsettled | Refusal::Parked)) => {
+            Ans::Refused(why @ (RejectReason::Unsettled | RejectReason::Parked)) => {
                 self.seen.borrow_mut().stopped.insert(workflow, why);
                 self.carries = None;
             }
-            Ans::Refused(Refusal::Carried) => self.carries = None,
-            Ans::Refused(Refusal::Fenced | Refusal::Unknown) => {
+            Ans::Refused(RejectReason::LeaseHeld) => self.carries = None,
+            Ans::Refused(RejectReason::Fenced | RejectReason::Unknown) => {
                 self.carries = Some((carried, 0, 1))
             }
             // Not there: perhaps elsewhere.
@@ -695,7 +713,7 @@
             let to = self.at[workflow as usize % self.at.len()];
             out.push((
                 to,
-                Message::Ask {
+                Message::Command {
                     id: 0,
                     worker,
                     workflow,
@@ -706,7 +724,7 @@
     }
 
     fn take(&mut self, now: Duration, message: Message) {
-        let Message::Answer { workflow, ans, .. } = message else {
+        let Message::Reply { workflow, ans, .. } = message else {
             return;
         };
         if self.claimed.contains_key(&workflow) {
--- a/crates/workflow/tests/fleet/course.rs
+++ b/crates/workflow/tests/fleet/course.rs
@@ -19,7 +19,7 @@
     pub workflows: u32,
     /// Trouble goes on for so long; then all is mended.
     pub trouble: Duration,
-    pub guards: Guards,
+    pub safety_checks: SafetyChecks,
     /// Whether what stopped is decided by somebody who looks at the tool.
     pub person: bool,
 }
@@ -31,7 +31,7 @@
             workers: 2 + (seed % 2) as usize,
             workflows: 6,
             trouble: ms(15_000),
-            guards: Guards::BUILT,
+            safety_checks: SafetyChecks::AS_BUILT,
             person: !seed.is_multiple_of(8),
         }
     }
@@ -114,13 +114,13 @@
 impl Course {
     /// Without workers, trouble, or anybody who decides.
     fn born(dispatchers: usize, workflows: u32) -> Course {
-        let (guards, trouble) = (Guards::BUILT, ms(0));
+        let (safety_checks, trouble) = (SafetyChecks::AS_BUILT, ms(0));
         let plan = Plan {
             dispatchers,
             workers: 0,
             workflows,
             trouble,
-            guards,
+            safety_checks,
             person: false,
         };
         let mut course = Course::new(1, plan);
@@ -213,14 +213,14 @@
             lease_s: 1.0,
             ..Settings::default()
         };
-        let (start, guards) = (self.starts[i], self.plan.guards);
+        let (start, safety_checks) = (self.starts[i], self.plan.safety_checks);
         let made = Made {
             place: i,
             of: self.plan.dispatchers,
             start,
             seed: self.seed,
             settings,
-            guards,
+            safety_checks,
         };
         let now = self.world.now_at(i);
         let made = Dispatcher::new(
@@ -480,15 +480,15 @@
             drop(seen);
             let person = self.plan.dispatchers + 1 + self.plan.workers;
             for (step, runs) in runs {
-                let fate = match runs {
-                    0 => Fate::NeverRan,
-                    n => Fate::Done {
+                let outcome = match runs {
+                    0 => AttemptOutcome::NeverRan,
+                    n => AttemptOutcome::Done {
                         result: format!("{workflow}.{step}#{n}"),
                         tokens: 0,
                     },
                 };
-                let req = Req::Settle { step, fate };
-                let ask = Message::Ask {
+                let req = Req::Settle { step, outcome };
+                let ask = Message::Command {
                     id: 0,
                     worker: "person".into(),
                     workflow,
--- a/crates/workflow/tests/model.rs
+++ b/crates/workflow/tests/model.rs
@@ -27,7 +27,7 @@
 enum Op {
     Claim,
     Intend(Attempt),
-    Ended(Attempt, bool),
+    ReportOutcome(Attempt, bool),
     /// By a person, who looks at the tool.
     Settle,
 }
@@ -40,25 +40,25 @@
         ballot: Ballot,
         at: u8,
         record: Record,
-        answer: Told,
+        answer: Event,
     },
     May(Attempt),
     Sent(Attempt),
-    Told,
+    Answered,
 }
 
-/// [`Answer`], as far as it matters here.
+/// [`Reply`], as far as it matters here.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Told {
+enum Event {
     Claimed,
-    Go,
-    Held,
-    Known,
-    Refused(Refusal2),
+    SendPermitted,
+    Committed,
+    AlreadyDone,
+    Rejected(ModelRejection),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Refusal2 {
+enum ModelRejection {
     Fenced,
     Other,
 }
@@ -123,7 +123,7 @@
 }
 
 struct Fleet {
-    guards: Guards,
+    safety_checks: SafetyChecks,
     /// Questions of each to the register, and of both.
     ops: [u8; 2],
     both: u8,
@@ -155,7 +155,7 @@
         process.ops += 1;
         process.stale = false;
         process.seen = lease;
-        if answer == Told::Go && !self.guards.majority_first {
+        if answer == Event::SendPermitted && !self.safety_checks.majority_first {
             s.effects += 1;
         }
         process.phase = Phase::Accept {
@@ -175,7 +175,7 @@
         p: usize,
         op: &Op,
         found: Option<Record>,
-    ) -> Option<(Record, Told)> {
+    ) -> Option<(Record, Event)> {
         let process = &s.processes[p];
         let lease = |r: &Record| (r.epoch(), r.lease().0);
         let dead = found
@@ -186,11 +186,11 @@
             _ => None,
         };
         let mine = |a: Attempt| match () {
-            () if running == Some(a) => Mine::Running,
-            () if process.never == Some(a) => Mine::NeverSent,
-            () => Mine::Unknown,
+            () if running == Some(a) => LocalAttempt::Running,
+            () if process.never == Some(a) => LocalAttempt::NeverSent,
+            () => LocalAttempt::Unknown,
         };
-        let by = |m| Claimant {
+        let by = |m| Claim {
             worker: worker(p),
             holder: NameKey(p as u32),
             lease_us: 1,
@@ -198,11 +198,15 @@
             mine: m,
         };
         let Some(mut r) = found else {
-            return (*op == Op::Claim)
-                .then(|| (Record::begin("w", &by(Mine::Unknown)), Told::Claimed));
+            return (*op == Op::Claim).then(|| {
+                (
+                    Record::begin("w", &by(LocalAttempt::Unknown)),
+                    Event::Claimed,
+                )
+            });
         };
         let turn = match op {
-            Op::Claim => r.claim(&by(r.open_attempt().map_or(Mine::Unknown, mine))),
+            Op::Claim => r.claim(&by(r.open_attempt().map_or(LocalAttempt::Unknown, mine))),
             Op::Intend(attempt) => {
                 let (epoch, attempt) = (process.epoch, *attempt);
                 let intent = Intent {
@@ -210,21 +214,27 @@
                     step: 1,
                     effect: Effect::Unsafe,
                     key: "",
-                    asks: 1,
+                    request_digest: 1,
                     attempt,
                 };
-                r.intend(&intent, mine, &LIMITS, self.guards)
+                r.intend(&intent, mine, &LIMITS, self.safety_checks)
             }
-            Op::Ended(attempt, ran) => {
-                let done = Fate::Done {
+            Op::ReportOutcome(attempt, ran) => {
+                let done = AttemptOutcome::Done {
                     result: "r".into(),
                     tokens: 0,
                 };
-                let fate = if *ran { done } else { Fate::NeverRan };
-                r.ended(process.epoch, 1, &fate, Some(*attempt), self.guards)
+                let outcome = if *ran { done } else { AttemptOutcome::NeverRan };
+                r.report_outcome(
+                    process.epoch,
+                    1,
+                    &outcome,
+                    Some(*attempt),
+                    self.safety_checks,
+                )
             }
             Op::Settle => {
-                let done = Fate::Done {
+                let done = AttemptOutcome::Done {
                     result: "r".into(),
                     tokens: 0,
                 };
@@ -233,19 +243,19 @@
                     if s.effects > 0 {
                         &done
                     } else {
-                        &Fate::NeverRan
+                        &AttemptOutcome::NeverRan
                     },
                     dead,
                 )
             }
         };
         let told = match turn.answer {
-            Answer::Claimed => Told::Claimed,
-            Answer::Go => Told::Go,
-            Answer::Held => Told::Held,
-            Answer::Known(_) => Told::Known,
-            Answer::Refused(Refusal::Fenced) => Told::Refused(Refusal2::Fenced),
-            Answer::Refused(_) => Told::Refused(Refusal2::Other),
+            Reply::Claimed => Event::Claimed,
+            Reply::SendPermitted => Event::SendPermitted,
+            Reply::Committed => Event::Committed,
+            Reply::AlreadyDone(_) => Event::AlreadyDone,
+            Reply::Rejected(RejectReason::Fenced) => Event::Rejected(ModelRejection::Fenced),
+            Reply::Rejected(_) => Event::Rejected(ModelRejection::Other),
         };
         Some((r, told))
     }
@@ -287,25 +297,31 @@
         }
     }
 
-    fn held(&self, s: &mut State, p: usize, op: Op, record: Record, answer: Told) {
+    fn held(&self, s: &mut State, p: usize, op: Op, record: Record, answer: Event) {
         let process = &mut s.processes[p];
         process.seen = Some((record.epoch(), record.lease().0));
         process.phase = match (op, answer) {
-            (Op::Claim, Told::Claimed) => {
+            (Op::Claim, Event::Claimed) => {
                 process.epoch = record.epoch();
                 Phase::Idle
             }
-            (Op::Intend(a), Told::Go) if !self.guards.majority_first => Phase::Sent(a),
-            (Op::Intend(a), Told::Go) if process.stale && self.guards.fencing => {
+            (Op::Intend(a), Event::SendPermitted) if !self.safety_checks.majority_first => {
+                Phase::Sent(a)
+            }
+            (Op::Intend(a), Event::SendPermitted)
+                if process.stale && self.safety_checks.fencing =>
+            {
                 process.never = Some(a);
                 Phase::Idle
             }
-            (Op::Intend(a), Told::Go) => {
+            (Op::Intend(a), Event::SendPermitted) => {
                 process.never = None;
                 Phase::May(a)
             }
-            (Op::Intend(_), Told::Known) | (Op::Ended(_, true), _) => Phase::Told,
-            (_, Told::Refused(Refusal2::Fenced)) => {
+            (Op::Intend(_), Event::AlreadyDone) | (Op::ReportOutcome(_, true), _) => {
+                Phase::Answered
+            }
+            (_, Event::Rejected(ModelRejection::Fenced)) => {
                 process.epoch = 0;
                 Phase::Idle
             }
@@ -370,7 +386,7 @@
                 Phase::Idle if free => {
                     match (process.epoch, process.never) {
                         (0, _) => ask(Op::Claim),
-                        (_, Some(a)) => ask(Op::Ended(a, false)),
+                        (_, Some(a)) => ask(Op::ReportOutcome(a, false)),
                         _ => {}
                     }
                     if process.epoch > 0 {
@@ -392,7 +408,7 @@
                     }
                 }
                 Phase::May(_) => actions.push(Action::Send(p)),
-                Phase::Sent(a) if free => ask(Op::Ended(*a, true)),
+                Phase::Sent(a) if free => ask(Op::ReportOutcome(*a, true)),
                 _ => {}
             }
             for op in asked {
@@ -400,7 +416,7 @@
             }
             // The workers are alike; the second one's death is left to the whole model.
             let mortal = p == 0 || self.both_die;
-            if mortal && s.crashes < self.crashes && process.phase != Phase::Told {
+            if mortal && s.crashes < self.crashes && process.phase != Phase::Answered {
                 actions.push(Action::Crash(p));
             }
         }
@@ -419,14 +435,14 @@
                 let process = &mut s.processes[p];
                 process.phase = match process.phase.clone() {
                     Phase::Accept {
-                        op: Op::Ended(a, true),
+                        op: Op::ReportOutcome(a, true),
                         ..
                     } => Phase::Sent(a),
                     Phase::Accept {
                         op: Op::Intend(a),
-                        answer: Told::Go,
+                        answer: Event::SendPermitted,
                         ..
-                    } if !self.guards.majority_first => Phase::Sent(a),
+                    } if !self.safety_checks.majority_first => Phase::Sent(a),
                     Phase::Accept {
                         op: Op::Intend(a), ..
                     } => {
@@ -441,7 +457,7 @@
                 let Phase::May(a) = process.phase else {
                     return None;
                 };
-                if process.stale && self.guards.fencing {
+                if process.stale && self.safety_checks.fencing {
                     process.never = Some(a);
                     process.phase = Phase::Idle;
                 } else {
@@ -475,28 +491,28 @@
         vec![
             Property::always("no unsafe effect twice", |_, s: &State| s.effects <= 1),
             Property::always("what is told has run", |_, s: &State| {
-                s.effects > 0 || s.processes.iter().all(|p| p.phase != Phase::Told)
+                s.effects > 0 || s.processes.iter().all(|p| p.phase != Phase::Answered)
             }),
             Property::sometimes("another worker ends it", |_, s: &State| {
-                s.processes[1].phase == Phase::Told
-                    && s.processes[0].phase != Phase::Told
+                s.processes[1].phase == Phase::Answered
+                    && s.processes[0].phase != Phase::Answered
                     && s.crashes > 0
             }),
         ]
     }
 }
 
-const KEPT: Guards = Guards {
+const KEPT: SafetyChecks = SafetyChecks {
     fencing: true,
     majority_first: true,
 };
 
 /// Where either worker may die by `MODEL=both`; and a question is given up between two copies by `MODEL=whole`.
-fn bounds(guards: Guards) -> Fleet {
+fn bounds(safety_checks: SafetyChecks) -> Fleet {
     let model = std::env::var("MODEL").unwrap_or_default();
     let (both_die, given_up) = (!model.is_empty(), u8::from(model == "whole"));
     Fleet {
-        guards,
+        safety_checks,
         ops: [2, 4],
         both: 6,
         lapses: 1,
@@ -522,18 +538,18 @@
 
 #[test]
 fn the_model_finds_the_course_where_a_rule_is_left_out() {
-    for guards in [
-        Guards {
+    for safety_checks in [
+        SafetyChecks {
             fencing: false,
             ..KEPT
         },
-        Guards {
+        SafetyChecks {
             majority_first: false,
             ..KEPT
         },
     ] {
         let found = HasDiscoveries::AnyFailures;
-        let checker = bounds(guards)
+        let checker = bounds(safety_checks)
             .checker()
             .threads(2)
             .finish_when(found)
--- a/crates/workflow/tests/output_digest.rs
+++ b/crates/workflow/tests/output_digest.rs
@@ -9,7 +9,7 @@
 
 use bitternlatch_membership::NameKey;
 use bitternlatch_quota_lease::{Beside, Given, KeepError, Process, Wanted};
-use bitternlatch_workflow::{Ask, Call, Effect, Fate, Settings, Told, Workflows};
+use bitternlatch_workflow::{AttemptOutcome, Call, Command, Effect, Event, Settings, Workflows};
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::SplitMix64;
 
@@ -34,7 +34,7 @@
         self.0.update(&number.to_le_bytes());
     }
 
-    fn output(&mut self, member: usize, output: &Wanted<Told>) {
+    fn output(&mut self, member: usize, output: &Wanted<Event>) {
         self.number(member as u64);
         match output {
             Wanted::Say(to, bytes) => {
@@ -106,7 +106,7 @@
     callers: Vec<Caller>,
     /// The workflow that a call is about.
     calling: BTreeMap<u64, usize>,
-    pending: VecDeque<(usize, Given<Ask>)>,
+    pending: VecDeque<(usize, Given<Command>)>,
     digest: Digest,
     totals: Totals,
 }
@@ -168,11 +168,11 @@
         self.members[member] = self.start(member);
     }
 
-    fn fate(&mut self) -> Fate {
+    fn outcome(&mut self) -> AttemptOutcome {
         match self.draw(8) {
-            0 => Fate::MayHaveRun,
-            1 => Fate::NeverRan,
-            n => Fate::Done {
+            0 => AttemptOutcome::MayHaveRun,
+            1 => AttemptOutcome::NeverRan,
+            n => AttemptOutcome::Done {
                 result: "r".repeat(n as usize * 20),
                 tokens: n as u32,
             },
@@ -196,20 +196,20 @@
         let until_us = (self.now.as_micros() as u64) + 200_000 + self.draw(1_000_000);
         let (epoch, step) = (caller.epoch, caller.step);
         let ask = match self.draw(20) {
-            0 => Ask::Settle {
+            0 => Command::Settle {
                 call,
                 workflow,
                 step,
-                fate: self.fate(),
+                outcome: self.outcome(),
                 until_us,
             },
-            1 | 2 => Ask::Carry {
+            1 | 2 => Command::RenewLease {
                 call,
                 workflow,
                 epoch,
                 until_us,
             },
-            3 if step > 4 => Ask::Finish {
+            3 if step > 4 => Command::Finish {
                 call,
                 workflow,
                 epoch,
@@ -219,25 +219,25 @@
             4 => self.claim(which, call, workflow, until_us),
             _ if epoch == 0 => self.claim(which, call, workflow, until_us),
             _ if caller.running => {
-                let fate = self.fate();
+                let outcome = self.outcome();
                 self.callers[which].running = false;
-                Ask::Ended {
+                Command::ReportOutcome {
                     call,
                     workflow,
                     epoch,
                     step,
-                    fate,
+                    outcome,
                     until_us,
                 }
             }
-            _ => Ask::Intend {
+            _ => Command::Intend {
                 call,
                 workflow,
                 epoch,
                 step,
                 effect: self.effect(),
                 key: format!("k{step}"),
-                asks: step.into(),
+                request_digest: step.into(),
                 until_us,
             },
         };
@@ -246,10 +246,10 @@
         self.pending.push_back((member, Given::Ask(ask)));
     }
 
-    fn claim(&mut self, which: usize, call: Call, workflow: String, until_us: u64) -> Ask {
+    fn claim(&mut self, which: usize, call: Call, workflow: String, until_us: u64) -> Command {
         let member = self.draw(MEMBERS as u64) as usize;
         self.callers[which].member = member;
-        Ask::Claim {
+        Command::Claim {
             call,
             workflow,
             worker: format!("worker{member}"),
@@ -257,7 +257,7 @@
         }
     }
 
-    fn step(&mut self, member: usize, input: Given<Ask>) {
+    fn step(&mut self, member: usize, input: Given<Command>) {
         let mut out = vec![];
         self.members[member].step(self.now, input, &mut out);
         for output in out {
@@ -266,7 +266,7 @@
         }
     }
 
-    fn on_output(&mut self, member: usize, output: Wanted<Told>) {
+    fn on_output(&mut self, member: usize, output: Wanted<Event>) {
         match output {
             Wanted::Say(..) => {}
             Wanted::Send(to, said) => {
@@ -302,9 +302,9 @@
         }
     }
 
-    fn on_answer(&mut self, answer: Told) {
+    fn on_answer(&mut self, answer: Event) {
         match answer {
-            Told::Claimed {
+            Event::Claimed {
                 call, epoch, steps, ..
             } => {
                 self.totals.claimed += 1;
@@ -314,23 +314,23 @@
                     caller.running = false;
                 }
             }
-            Told::Go { call, .. } => {
+            Event::SendPermitted { call, .. } => {
                 self.totals.allowed += 1;
                 if let Some(caller) = self.caller(call) {
                     caller.running = true;
                 }
             }
-            Told::Known { call, .. } => {
+            Event::AlreadyDone { call, .. } => {
                 self.totals.known += 1;
                 if let Some(caller) = self.caller(call) {
                     caller.step += 1;
                 }
             }
-            Told::Held { call } => {
+            Event::Committed { call } => {
                 self.totals.held += 1;
                 self.caller(call);
             }
-            Told::Refused { call, .. } => {
+            Event::Rejected { call, .. } => {
                 self.totals.refused += 1;
                 let retired = self.draw(25) == 0;
                 if let Some(caller) = self.caller(call) {
--- a/crates/workflow/tests/record.rs
+++ b/crates/workflow/tests/record.rs
@@ -9,13 +9,13 @@
     tokens: 1 << 30,
     lasts_us: 1_000_000,
 };
-const KEPT: Guards = Guards {
+const KEPT: SafetyChecks = SafetyChecks {
     fencing: true,
     majority_first: true,
 };
 
-fn by(worker: &str, dead: bool, mine: Mine) -> Claimant<'_> {
-    Claimant {
+fn by(worker: &str, dead: bool, mine: LocalAttempt) -> Claim<'_> {
+    Claim {
         worker,
         holder: NameKey(1),
         lease_us: 3_000_000,
@@ -33,10 +33,17 @@
 }
 
 fn begun() -> Record {
-    Record::begin("band/season", &by("w1", false, Mine::Unknown))
+    Record::begin("band/season", &by("w1", false, LocalAttempt::Unknown))
 }
 
-fn intend_as(r: &mut Record, epoch: u64, step: u32, effect: Effect, asks: u64, mine: Mine) -> Turn {
+fn intend_as(
+    r: &mut Record,
+    epoch: u64,
+    step: u32,
+    effect: Effect,
+    request_digest: u64,
+    mine: LocalAttempt,
+) -> Transition {
     let attempt = attempt(100 * epoch + u64::from(step));
     r.intend(
         &Intent {
@@ -44,7 +51,7 @@
             step,
             effect,
             key: "k",
-            asks,
+            request_digest,
             attempt,
         },
         |_| mine,
@@ -53,30 +60,30 @@
     )
 }
 
-fn intend(r: &mut Record, epoch: u64, step: u32, effect: Effect) -> Answer {
-    intend_as(r, epoch, step, effect, 7, Mine::Unknown).answer
+fn intend(r: &mut Record, epoch: u64, step: u32, effect: Effect) -> Reply {
+    intend_as(r, epoch, step, effect, 7, LocalAttempt::Unknown).answer
 }
 
-fn done(result: &str) -> Fate {
-    Fate::Done {
+fn done(result: &str) -> AttemptOutcome {
+    AttemptOutcome::Done {
         result: result.to_string(),
         tokens: 1,
     }
 }
 
-fn end(r: &mut Record, epoch: u64, step: u32, fate: Fate) -> Answer {
-    r.ended(
+fn end(r: &mut Record, epoch: u64, step: u32, outcome: AttemptOutcome) -> Reply {
+    r.report_outcome(
         epoch,
         step,
-        &fate,
+        &outcome,
         Some(attempt(100 * epoch + u64::from(step))),
         KEPT,
     )
     .answer
 }
 
-fn refused(why: Refusal) -> Answer {
-    Answer::Refused(why)
+fn rejected(why: RejectReason) -> Reply {
+    Reply::Rejected(why)
 }
 
 #[test]
@@ -84,39 +91,48 @@
     let mut r = begun();
     assert_eq!(
         intend(&mut r, 1, 2, Effect::Safe),
-        refused(Refusal::Unknown)
+        rejected(RejectReason::Unknown)
     );
-    assert_eq!(intend(&mut r, 1, 1, Effect::Unsafe), Answer::Go);
+    assert_eq!(intend(&mut r, 1, 1, Effect::Unsafe), Reply::SendPermitted);
     assert_eq!(
         intend(&mut r, 1, 2, Effect::Safe),
-        refused(Refusal::Unknown)
+        rejected(RejectReason::Unknown)
     );
-    assert_eq!(end(&mut r, 1, 1, done("booked")), Answer::Held);
+    assert_eq!(end(&mut r, 1, 1, done("booked")), Reply::Committed);
     assert_eq!(
         intend(&mut r, 1, 1, Effect::Unsafe),
-        Answer::Known("booked".into())
+        Reply::AlreadyDone("booked".into())
     );
-    let other = intend_as(&mut r, 1, 1, Effect::Unsafe, 8, Mine::Unknown);
-    assert_eq!(other.answer, refused(Refusal::OtherRequest));
+    let other = intend_as(&mut r, 1, 1, Effect::Unsafe, 8, LocalAttempt::Unknown);
+    assert_eq!(other.answer, rejected(RejectReason::OtherRequest));
     // What never ran may be asked for in other words; what may have run may not.
-    assert_eq!(intend(&mut r, 1, 2, Effect::Keyed), Answer::Go);
-    assert_eq!(end(&mut r, 1, 2, Fate::NeverRan), Answer::Held);
+    assert_eq!(intend(&mut r, 1, 2, Effect::Keyed), Reply::SendPermitted);
     assert_eq!(
-        intend_as(&mut r, 1, 2, Effect::Keyed, 9, Mine::Unknown).answer,
-        Answer::Go
+        end(&mut r, 1, 2, AttemptOutcome::NeverRan),
+        Reply::Committed
     );
-    assert_eq!(end(&mut r, 1, 2, Fate::MayHaveRun), Answer::Held);
     assert_eq!(
-        intend_as(&mut r, 1, 2, Effect::Keyed, 8, Mine::Unknown).answer,
-        refused(Refusal::OtherRequest)
+        intend_as(&mut r, 1, 2, Effect::Keyed, 9, LocalAttempt::Unknown).answer,
+        Reply::SendPermitted
     );
     assert_eq!(
-        intend_as(&mut r, 1, 2, Effect::Keyed, 9, Mine::Unknown).answer,
-        Answer::Go
+        end(&mut r, 1, 2, AttemptOutcome::MayHaveRun),
+        Reply::Committed
+    );
+    assert_eq!(
+        intend_as(&mut r, 1, 2, Effect::Keyed, 8, LocalAttempt::Unknown).answer,
+        rejected(RejectReason::OtherRequest)
+    );
+    assert_eq!(
+        intend_as(&mut r, 1, 2, Effect::Keyed, 9, LocalAttempt::Unknown).answer,
+        Reply::SendPermitted
     );
     // An earlier attempt of it may have run, so that it is never again one that certainly did not.
-    assert_eq!(end(&mut r, 1, 2, Fate::NeverRan), Answer::Held);
-    assert_eq!(r.shown().1[1].fate, Some(Fate::MayHaveRun));
+    assert_eq!(
+        end(&mut r, 1, 2, AttemptOutcome::NeverRan),
+        Reply::Committed
+    );
+    assert_eq!(r.summary().1[1].outcome, Some(AttemptOutcome::MayHaveRun));
 }
 
 #[test]
@@ -129,90 +145,113 @@
             step: 1,
             effect: Effect::Keyed,
             key: "k",
-            asks: 1,
+            request_digest: 1,
             attempt,
         };
         assert_eq!(
-            r.intend(&intent, |_| Mine::Running, &LIMITS, KEPT).answer,
-            Answer::Go
+            r.intend(&intent, |_| LocalAttempt::Running, &LIMITS, KEPT)
+                .answer,
+            Reply::SendPermitted
         );
     }
     assert_eq!(
-        r.ended(1, 1, &done("x"), Some(attempt(1)), KEPT).answer,
-        Answer::Held
+        r.report_outcome(1, 1, &done("x"), Some(attempt(1)), KEPT)
+            .answer,
+        Reply::Committed
     );
     assert_eq!(
-        r.ended(1, 1, &done("y"), Some(attempt(2)), KEPT).answer,
-        Answer::Known("x".into())
+        r.report_outcome(1, 1, &done("y"), Some(attempt(2)), KEPT)
+            .answer,
+        Reply::AlreadyDone("x".into())
     );
-    assert_eq!(r.shown().1[0].fate, Some(done("x")));
+    assert_eq!(r.summary().1[0].outcome, Some(done("x")));
 }
 
 #[test]
 fn one_carries_it_and_each_claim_fences_those_before() {
     let mut r = begun();
     assert_eq!(
-        r.claim(&by("w2", false, Mine::Unknown)).answer,
-        refused(Refusal::Carried)
+        r.claim(&by("w2", false, LocalAttempt::Unknown)).answer,
+        rejected(RejectReason::LeaseHeld)
     );
     assert_eq!(
-        r.claim(&by("w1", false, Mine::Unknown)).answer,
-        Answer::Claimed
+        r.claim(&by("w1", false, LocalAttempt::Unknown)).answer,
+        Reply::Claimed
     );
     assert_eq!(r.epoch(), 2);
     assert_eq!(
-        r.claim(&by("w2", true, Mine::Unknown)).answer,
-        Answer::Claimed
+        r.claim(&by("w2", true, LocalAttempt::Unknown)).answer,
+        Reply::Claimed
+    );
+    assert_eq!(
+        intend(&mut r, 2, 1, Effect::Safe),
+        rejected(RejectReason::Fenced)
+    );
+    assert_eq!(
+        r.renew_lease(2, KEPT).answer,
+        rejected(RejectReason::Fenced)
     );
-    assert_eq!(intend(&mut r, 2, 1, Effect::Safe), refused(Refusal::Fenced));
-    assert_eq!(r.carry(2, KEPT).answer, refused(Refusal::Fenced));
-    assert_eq!(r.finish(2, false, KEPT).answer, refused(Refusal::Fenced));
-    assert_eq!(intend(&mut r, 3, 1, Effect::Safe), Answer::Go);
-    assert_eq!(end(&mut r, 2, 1, done("late")), refused(Refusal::Fenced));
-    assert_eq!(end(&mut r, 3, 1, done("here")), Answer::Held);
-    assert_eq!(r.shown().1[0].fate, Some(done("here")));
+    assert_eq!(
+        r.finish(2, false, KEPT).answer,
+        rejected(RejectReason::Fenced)
+    );
+    assert_eq!(intend(&mut r, 3, 1, Effect::Safe), Reply::SendPermitted);
+    assert_eq!(
+        end(&mut r, 2, 1, done("late")),
+        rejected(RejectReason::Fenced)
+    );
+    assert_eq!(end(&mut r, 3, 1, done("here")), Reply::Committed);
+    assert_eq!(r.summary().1[0].outcome, Some(done("here")));
     // Without fencing both go on: that is what it is there against.
-    let broken = Guards {
+    let broken = SafetyChecks {
         fencing: false,
         ..KEPT
     };
-    assert_eq!(r.carry(2, broken).answer, Answer::Held);
+    assert_eq!(r.renew_lease(2, broken).answer, Reply::Committed);
 }
 
 #[test]
 fn an_unsafe_step_that_may_have_run_stops_it_until_a_person_decides() {
-    for (fate, next) in [
-        (done("looked up"), Answer::Known("looked up".into())),
-        (Fate::NeverRan, Answer::Go),
+    for (outcome, next) in [
+        (done("looked up"), Reply::AlreadyDone("looked up".into())),
+        (AttemptOutcome::NeverRan, Reply::SendPermitted),
         (
-            Fate::MayHaveRun,
-            Answer::Known("left out: a person decided so; it may have run".into()),
+            AttemptOutcome::MayHaveRun,
+            Reply::AlreadyDone("left out: a person decided so; it may have run".into()),
         ),
     ] {
         let mut r = begun();
         intend(&mut r, 1, 1, Effect::Unsafe);
-        let turn = r.claim(&by("w2", true, Mine::Unknown));
-        assert_eq!(turn.answer, refused(Refusal::Unsettled));
+        let turn = r.claim(&by("w2", true, LocalAttempt::Unknown));
+        assert_eq!(turn.answer, rejected(RejectReason::Unsettled));
         assert!(turn.write && matches!(turn.notice, Some(Notice::Unsettled { step: 1, .. })));
         // Told once: later ones are refused without a word for the log.
-        let again = r.claim(&by("w3", true, Mine::Unknown));
+        let again = r.claim(&by("w3", true, LocalAttempt::Unknown));
         assert!(
-            again.answer == refused(Refusal::Unsettled) && !again.write && again.notice.is_none()
+            again.answer == rejected(RejectReason::Unsettled)
+                && !again.write
+                && again.notice.is_none()
         );
         assert_eq!(
             intend(&mut r, 1, 1, Effect::Unsafe),
-            refused(Refusal::Unsettled)
+            rejected(RejectReason::Unsettled)
+        );
+        assert_eq!(
+            r.settle(1, &outcome, false).answer,
+            rejected(RejectReason::LeaseHeld)
+        );
+        assert_eq!(
+            r.settle(2, &outcome, true).answer,
+            rejected(RejectReason::Unknown)
         );
-        assert_eq!(r.settle(1, &fate, false).answer, refused(Refusal::Carried));
-        assert_eq!(r.settle(2, &fate, true).answer, refused(Refusal::Unknown));
-        assert_eq!(r.settle(1, &fate, true).answer, Answer::Held);
+        assert_eq!(r.settle(1, &outcome, true).answer, Reply::Committed);
         assert_eq!(
             intend(&mut r, 1, 1, Effect::Unsafe),
-            refused(Refusal::Fenced)
+            rejected(RejectReason::Fenced)
         );
         assert_eq!(
-            r.claim(&by("w3", false, Mine::Unknown)).answer,
-            Answer::Claimed
+            r.claim(&by("w3", false, LocalAttempt::Unknown)).answer,
+            Reply::Claimed
         );
         let epoch = r.epoch();
         assert_eq!(intend(&mut r, epoch, 1, Effect::Unsafe), next);
@@ -223,27 +262,27 @@
 fn the_late_end_of_the_very_attempt_settles_it_and_a_second_result_is_kept_beside() {
     let mut r = begun();
     intend(&mut r, 1, 1, Effect::Unsafe);
-    r.claim(&by("w2", true, Mine::Unknown));
+    r.claim(&by("w2", true, LocalAttempt::Unknown));
     assert_eq!(r.state(), State::Unsettled);
     // Another attempt's word settles nothing.
-    let stranger = r.ended(0, 1, &done("other"), Some(attempt(5)), KEPT);
+    let stranger = r.report_outcome(0, 1, &done("other"), Some(attempt(5)), KEPT);
     assert_eq!(
         (stranger.answer, r.state()),
-        (refused(Refusal::Fenced), State::Unsettled)
+        (rejected(RejectReason::Fenced), State::Unsettled)
     );
-    let turn = r.ended(1, 1, &done("booked"), Some(attempt(101)), KEPT);
-    assert!(turn.write && turn.notice == Some(Notice::Known { step: 1 }));
+    let turn = r.report_outcome(1, 1, &done("booked"), Some(attempt(101)), KEPT);
+    assert!(turn.write && turn.notice == Some(Notice::Resolved { step: 1 }));
     assert_eq!(r.state(), State::Open);
     assert_eq!(
         intend(&mut r, 1, 1, Effect::Unsafe),
-        Answer::Known("booked".into())
+        Reply::AlreadyDone("booked".into())
     );
-    let second = r.ended(1, 1, &done("booked twice"), Some(attempt(101)), KEPT);
+    let second = r.report_outcome(1, 1, &done("booked twice"), Some(attempt(101)), KEPT);
     assert_eq!(
         (second.write, second.notice),
-        (true, Some(Notice::TwoResults { step: 1 }))
+        (true, Some(Notice::DuplicateResult { step: 1 }))
     );
-    assert_eq!(r.shown().1[0].fate, Some(done("booked")));
+    assert_eq!(r.summary().1[0].outcome, Some(done("booked")));
 }
 
 #[test]
@@ -251,29 +290,32 @@
     let mut r = begun();
     intend(&mut r, 1, 1, Effect::Unsafe);
     assert_eq!(
-        r.claim(&by("w1", false, Mine::Running)).answer,
-        Answer::Claimed
+        r.claim(&by("w1", false, LocalAttempt::Running)).answer,
+        Reply::Claimed
+    );
+    assert_eq!(
+        intend_as(&mut r, 2, 1, Effect::Unsafe, 7, LocalAttempt::Running).answer,
+        rejected(RejectReason::Busy)
     );
     assert_eq!(
-        intend_as(&mut r, 2, 1, Effect::Unsafe, 7, Mine::Running).answer,
-        refused(Refusal::Busy)
+        end(&mut r, 1, 1, done("booked")),
+        rejected(RejectReason::Fenced)
     );
-    assert_eq!(end(&mut r, 1, 1, done("booked")), refused(Refusal::Fenced));
     assert_eq!(
         intend(&mut r, 2, 1, Effect::Unsafe),
-        Answer::Known("booked".into())
+        Reply::AlreadyDone("booked".into())
     );
     // One that it never told anybody to send is run as if nothing had been.
     intend(&mut r, 2, 2, Effect::Unsafe);
     assert_eq!(
-        intend_as(&mut r, 2, 2, Effect::Unsafe, 7, Mine::NeverSent).answer,
-        Answer::Go
+        intend_as(&mut r, 2, 2, Effect::Unsafe, 7, LocalAttempt::NeverSent).answer,
+        Reply::SendPermitted
     );
     assert_eq!(
-        r.claim(&by("w1", false, Mine::NeverSent)).answer,
-        Answer::Claimed
+        r.claim(&by("w1", false, LocalAttempt::NeverSent)).answer,
+        Reply::Claimed
     );
-    assert_eq!(r.shown().1[1].fate, Some(Fate::NeverRan));
+    assert_eq!(r.summary().1[1].outcome, Some(AttemptOutcome::NeverRan));
 }
 
 #[test]
@@ -282,30 +324,38 @@
     for (epoch, worker) in [(1, "w2"), (2, "w3")] {
         intend(&mut r, epoch, 1, Effect::Safe);
         assert_eq!(
-            r.claim(&by(worker, true, Mine::Unknown)).answer,
-            Answer::Claimed
+            r.claim(&by(worker, true, LocalAttempt::Unknown)).answer,
+            Reply::Claimed
         );
     }
     let mut forgiven = r.clone();
-    let turn = r.claim(&by("w4", true, Mine::Unknown));
+    let turn = r.claim(&by("w4", true, LocalAttempt::Unknown));
     assert_eq!(
         (turn.answer, turn.notice),
-        (refused(Refusal::Parked), Some(Notice::Parked { step: 1 }))
+        (
+            rejected(RejectReason::Parked),
+            Some(Notice::Parked { step: 1 })
+        )
+    );
+    assert_eq!(
+        r.claim(&by("w3", true, LocalAttempt::Unknown)).answer,
+        rejected(RejectReason::Parked)
     );
     assert_eq!(
-        r.claim(&by("w3", true, Mine::Unknown)).answer,
-        refused(Refusal::Parked)
+        r.settle(1, &AttemptOutcome::NeverRan, true).answer,
+        Reply::Committed
     );
-    assert_eq!(r.settle(1, &Fate::NeverRan, true).answer, Answer::Held);
     assert_eq!(
-        r.claim(&by("w5", false, Mine::Unknown)).answer,
-        Answer::Claimed
+        r.claim(&by("w5", false, LocalAttempt::Unknown)).answer,
+        Reply::Claimed
     );
     intend(&mut forgiven, 3, 1, Effect::Safe);
     end(&mut forgiven, 3, 1, done("x"));
     assert_eq!(
-        forgiven.claim(&by("w4", true, Mine::Unknown)).answer,
-        Answer::Claimed
+        forgiven
+            .claim(&by("w4", true, LocalAttempt::Unknown))
+            .answer,
+        Reply::Claimed
     );
 }
 
@@ -315,10 +365,13 @@
         let mut r = begun();
         for step in 1..=20 {
             intend(&mut r, 1, step, Effect::Keyed);
-            end(&mut r, 1, step, done(&"x".repeat(RESULT_MOST)));
+            end(&mut r, 1, step, done(&"x".repeat(MAX_RESULT_BYTES)));
         }
         intend(&mut r, 1, 21, Effect::Keyed);
-        assert_eq!(r.finish(1, false, KEPT).answer, refused(Refusal::Unknown));
+        assert_eq!(
+            r.finish(1, false, KEPT).answer,
+            rejected(RejectReason::Unknown)
+        );
         let answer = match which {
             0 => {
                 end(&mut r, 1, 21, done("y"));
@@ -330,20 +383,23 @@
         assert_eq!(
             answer,
             if which < 2 {
-                Answer::Held
+                Reply::Committed
             } else {
-                refused(Refusal::Limit)
+                rejected(RejectReason::Limit)
             }
         );
         assert!(r.encode().unwrap().len() < 1300);
-        assert_eq!(intend(&mut r, 1, 22, Effect::Safe), refused(Refusal::Ended));
         assert_eq!(
-            r.claim(&by("w2", true, Mine::Unknown)).answer,
-            refused(Refusal::Ended)
+            intend(&mut r, 1, 22, Effect::Safe),
+            rejected(RejectReason::Ended)
+        );
+        assert_eq!(
+            r.claim(&by("w2", true, LocalAttempt::Unknown)).answer,
+            rejected(RejectReason::Ended)
         );
         // The same word again is answered alike.
         assert_eq!(
-            r.finish(1, which == 1, KEPT).answer == Answer::Held,
+            r.finish(1, which == 1, KEPT).answer == Reply::Committed,
             which < 2
         );
     }
@@ -354,9 +410,12 @@
     let mut r = begun();
     let mut sizes = vec![];
     for step in 1..=1000 {
-        assert_eq!(intend(&mut r, 1, step, Effect::Unsafe), Answer::Go);
+        assert_eq!(
+            intend(&mut r, 1, step, Effect::Unsafe),
+            Reply::SendPermitted
+        );
         let long = format!("result of step {step}, ").repeat(20);
-        assert_eq!(end(&mut r, 1, step, done(&long)), Answer::Held);
+        assert_eq!(end(&mut r, 1, step, done(&long)), Reply::Committed);
         sizes.push(r.encode().unwrap().len());
     }
     // Stated in the design note.
@@ -373,19 +432,25 @@
     assert_eq!(r.closed(), 1000);
     for step in [1, 500, 990, 995, 1000] {
         assert!(
-            matches!(intend(&mut r, 1, step, Effect::Unsafe), Answer::Known(_)),
+            matches!(
+                intend(&mut r, 1, step, Effect::Unsafe),
+                Reply::AlreadyDone(_)
+            ),
             "{step}"
         );
     }
-    let (context, steps) = r.shown();
+    let (context, steps) = r.summary();
     assert!(
-        context.starts_with("994 steps done earlier") && steps.len() == WHOLE_MOST,
+        context.starts_with("994 steps done earlier") && steps.len() == MAX_UNCOMPACTED_STEPS,
         "{context}"
     );
     // A late second result of a compacted one is noted, and changes nothing else.
-    let turn = r.ended(0, 3, &done("late"), Some(attempt(9)), KEPT);
-    assert_eq!((turn.write, turn.answer), (true, refused(Refusal::Fenced)));
-    assert!(r.shown().0.contains("3 again: late"));
+    let turn = r.report_outcome(0, 3, &done("late"), Some(attempt(9)), KEPT);
+    assert_eq!(
+        (turn.write, turn.answer),
+        (true, rejected(RejectReason::Fenced))
+    );
+    assert!(r.summary().0.contains("3 again: late"));
 }
 
 #[test]
@@ -401,32 +466,52 @@
         step,
         effect: Effect::Safe,
         key: "",
-        asks: 1,
+        request_digest: 1,
         attempt,
     };
     for (result, tokens) in [("eleven bytes", 0), ("", 3)] {
         let mut r = begun();
-        r.intend(&intent(1, attempt(1)), |_| Mine::Unknown, &limits, KEPT);
-        r.ended(
+        r.intend(
+            &intent(1, attempt(1)),
+            |_| LocalAttempt::Unknown,
+            &limits,
+            KEPT,
+        );
+        r.report_outcome(
             1,
             1,
-            &Fate::Done {
+            &AttemptOutcome::Done {
                 result: result.into(),
                 tokens,
             },
             Some(attempt(1)),
             KEPT,
         );
-        let turn = r.intend(&intent(2, attempt(2)), |_| Mine::Unknown, &limits, KEPT);
-        assert_eq!(turn.answer, refused(Refusal::Limit));
+        let turn = r.intend(
+            &intent(2, attempt(2)),
+            |_| LocalAttempt::Unknown,
+            &limits,
+            KEPT,
+        );
+        assert_eq!(turn.answer, rejected(RejectReason::Limit));
     }
     let mut r = begun();
     for step in 0..2 {
-        r.intend(&intent(step, attempt(1)), |_| Mine::Unknown, &limits, KEPT);
-        r.ended(1, step, &done(""), Some(attempt(1)), KEPT);
+        r.intend(
+            &intent(step, attempt(1)),
+            |_| LocalAttempt::Unknown,
+            &limits,
+            KEPT,
+        );
+        r.report_outcome(1, step, &done(""), Some(attempt(1)), KEPT);
     }
-    let turn = r.intend(&intent(2, attempt(2)), |_| Mine::Unknown, &limits, KEPT);
-    assert_eq!(turn.answer, refused(Refusal::Limit));
+    let turn = r.intend(
+        &intent(2, attempt(2)),
+        |_| LocalAttempt::Unknown,
+        &limits,
+        KEPT,
+    );
+    assert_eq!(turn.answer, rejected(RejectReason::Limit));
     assert!(!r.age(60, &limits) && r.age(60, &limits));
 }
 
@@ -438,7 +523,7 @@
     other[0] = 2;
     assert_eq!(Record::decode(&other), Err(WorkflowError::OtherVersion));
     assert_eq!(
-        Record::decode(&vec![1; RECORD_MOST + 1]),
+        Record::decode(&vec![1; MAX_RECORD_BYTES + 1]),
         Err(WorkflowError::TooLong)
     );
     let longer = [bytes.clone(), vec![0]].concat();
@@ -472,19 +557,19 @@
             let a = attempt(i as u64);
             let worker = if long % 2 == 0 { "w1" } else { "w2" };
             match what {
-                0 => drop(r.claim(&by(worker, long % 3 == 0, Mine::Unknown))),
+                0 => drop(r.claim(&by(worker, long % 3 == 0, LocalAttempt::Unknown))),
                 1 | 2 => {
-                    let intent = Intent { epoch, step, effect, key: "k", asks: 1, attempt: a };
-                    r.intend(&intent, |_| Mine::Unknown, &LIMITS, KEPT);
+                    let intent = Intent { epoch, step, effect, key: "k", request_digest: 1, attempt: a };
+                    r.intend(&intent, |_| LocalAttempt::Unknown, &LIMITS, KEPT);
                 }
-                3 | 4 => drop(r.ended(epoch, step, &done(&"ä".repeat(long)), r.open_attempt(), KEPT)),
-                5 => drop(r.ended(epoch, step, &Fate::MayHaveRun, r.open_attempt(), KEPT)),
-                _ => drop(r.settle(step, &Fate::NeverRan, true)),
+                3 | 4 => drop(r.report_outcome(epoch, step, &done(&"ä".repeat(long)), r.open_attempt(), KEPT)),
+                5 => drop(r.report_outcome(epoch, step, &AttemptOutcome::MayHaveRun, r.open_attempt(), KEPT)),
+                _ => drop(r.settle(step, &AttemptOutcome::NeverRan, true)),
             }
             proptest::prop_assert!(r.epoch() >= before && r.encode().is_ok());
             proptest::prop_assert!(Record::decode(&r.encode().unwrap()) == Ok(r.clone()));
-            for step in r.shown().1 {
-                if let Some(Fate::Done { result, .. }) = step.fate {
+            for step in r.summary().1 {
+                if let Some(AttemptOutcome::Done { result, .. }) = step.outcome {
                     let first = stood.entry(step.number).or_insert(result.clone());
                     proptest::prop_assert_eq!(&*first, &result);
                 }
--- a/crates/workflow/tests/simulated.rs
+++ b/crates/workflow/tests/simulated.rs
@@ -3,7 +3,7 @@
 mod fleet;
 
 use bitternlatch_simulation::ms;
-use bitternlatch_workflow::Guards;
+use bitternlatch_workflow::SafetyChecks;
 use fleet::course::{adopt, lost, play, Plan};
 
 fn many(seeds: std::ops::Range<u64>) {
@@ -34,7 +34,7 @@
 #[test]
 fn the_same_judge_fails_where_epochs_do_not_fence_and_where_effects_leave_before_a_majority() {
     for (fencing, majority_first) in [(false, true), (true, false)] {
-        let guards = Guards {
+        let safety_checks = SafetyChecks {
             fencing,
             majority_first,
         };
@@ -42,15 +42,15 @@
             let seen = play(
                 *seed,
                 Plan {
-                    guards,
+                    safety_checks,
                     ..Plan::of(*seed)
                 },
             );
             seen.wrong.iter().any(|w| w.contains("effects"))
         };
         let found = (0..40).filter(broken).count();
-        println!("{guards:?}: {found} of 40 seeds");
-        assert!(found > 0, "{guards:?} went unnoticed");
+        println!("{safety_checks:?}: {found} of 40 seeds");
+        assert!(found > 0, "{safety_checks:?} went unnoticed");
     }
 }
 
