--- a/crates/replicated-register/src/disk.rs
+++ b/crates/replicated-register/src/disk_records.rs
@@ -7,36 +7,36 @@
 use bitternlatch_quota_lease::Found;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
-use crate::memory::{Kind, Life};
-use crate::register::{Copy, RegisterKey};
+use crate::recovery::{Completeness, Incarnation};
+use crate::register::{Acceptor, RegisterKey};
 
-const RECORDS: u8 = 1;
+const RECORD_VERSION: u8 = 1;
 const META: &[u8] = b"m";
 const REGISTER: u8 = b'r';
 
 #[derive(Serialize, Deserialize)]
-pub struct Meta {
-    pub life: u64,
-    pub kind: Kind,
+pub struct ReplicaMetadata {
+    pub incarnation: u64,
+    pub completeness: Completeness,
     pub count: u64,
-    pub lives: BTreeMap<NameKey, Life>,
+    pub incarnations: BTreeMap<NameKey, Incarnation>,
 }
 
 #[derive(Serialize, Deserialize)]
 struct Record {
-    life: u64,
+    incarnation: u64,
     count: u64,
-    copy: Copy,
+    acceptor: Acceptor,
 }
 
 /// What was found.
-pub enum Disk {
+pub enum StoredState {
     /// Nothing at all.
     Empty,
-    Torn,
-    Whole {
-        meta: Meta,
-        registers: Vec<(RegisterKey, Copy)>,
+    Corrupt,
+    Intact {
+        meta: ReplicaMetadata,
+        registers: Vec<(RegisterKey, Acceptor)>,
         /// Names of an earlier life.
         stale: Vec<Vec<u8>>,
     },
@@ -44,7 +44,7 @@
 
 fn write(what: &impl Serialize) -> Vec<u8> {
     // Plain data cannot fail to be written; an empty record would be found torn.
-    let mut bytes = postcard::to_extend(what, vec![RECORDS]).unwrap_or_default();
+    let mut bytes = postcard::to_extend(what, vec![RECORD_VERSION]).unwrap_or_default();
     let sum = crc32fast::hash(&bytes);
     bytes.extend(sum.to_le_bytes());
     bytes
@@ -53,11 +53,11 @@
 fn read<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     let (body, sum) = bytes.split_last_chunk::<4>()?;
     let (version, rest) = body.split_first()?;
-    let whole = *version == RECORDS && crc32fast::hash(body) == u32::from_le_bytes(*sum);
+    let whole = *version == RECORD_VERSION && crc32fast::hash(body) == u32::from_le_bytes(*sum);
     whole.then(|| postcard::from_bytes(rest).ok()).flatten()
 }
 
-pub fn meta(meta: &Meta) -> (Vec<u8>, Vec<u8>) {
+pub fn meta(meta: &ReplicaMetadata) -> (Vec<u8>, Vec<u8>) {
     (META.to_vec(), write(meta))
 }
 
@@ -65,47 +65,52 @@
     [&[REGISTER][..], &key.0].concat()
 }
 
-pub fn register(key: RegisterKey, life: u64, count: u64, copy: &Copy) -> (Vec<u8>, Vec<u8>) {
+pub fn register(
+    key: RegisterKey,
+    incarnation: u64,
+    count: u64,
+    acceptor: &Acceptor,
+) -> (Vec<u8>, Vec<u8>) {
     (
         name(key),
         write(&Record {
-            life,
+            incarnation,
             count,
-            copy: copy.clone(),
+            acceptor: acceptor.clone(),
         }),
     )
 }
 
-pub fn open(found: Found) -> Disk {
+pub fn open(found: Found) -> StoredState {
     if found.is_empty() {
-        return Disk::Empty;
+        return StoredState::Empty;
     }
     let Some(mut meta) = found
         .iter()
         .find(|(name, _)| name == META)
-        .and_then(|(_, b)| read::<Meta>(b))
+        .and_then(|(_, b)| read::<ReplicaMetadata>(b))
     else {
-        return Disk::Torn;
+        return StoredState::Corrupt;
     };
     let (mut registers, mut stale) = (Vec::new(), Vec::new());
     for (name, bytes) in found.into_iter().filter(|(name, _)| name != META) {
         let key = name
             .split_first()
-            .filter(|(kind, _)| **kind == REGISTER)
+            .filter(|(completeness, _)| **completeness == REGISTER)
             .map(|(_, key)| key);
         let Some(key) = key.and_then(|key| <[u8; 16]>::try_from(key).ok()) else {
-            return Disk::Torn;
+            return StoredState::Corrupt;
         };
         match read::<Record>(&bytes) {
-            None => return Disk::Torn,
-            Some(record) if record.life != meta.life => stale.push(name),
+            None => return StoredState::Corrupt,
+            Some(record) if record.incarnation != meta.incarnation => stale.push(name),
             Some(record) => {
                 meta.count = meta.count.max(record.count);
-                registers.push((RegisterKey(key), record.copy));
+                registers.push((RegisterKey(key), record.acceptor));
             }
         }
     }
-    Disk::Whole {
+    StoredState::Intact {
         meta,
         registers,
         stale,
--- a/crates/replicated-register/src/error.rs
+++ b/crates/replicated-register/src/error.rs
@@ -6,17 +6,17 @@
 
 /// Errors of registers.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ReplicaError {
+pub enum RegisterError {
     #[error("not a message about registers")]
-    Unreadable,
+    Malformed,
     #[error("a message of another version: {0}")]
-    OtherVersion(u8),
+    UnsupportedVersion(u8),
     /// Certainly not written.
     #[error("the register holds another version")]
     Conflict { latest: Option<Version> },
     /// Certainly not written.
     #[error("the register is at epoch {epoch} already")]
-    EpochPassed { epoch: u64 },
+    StaleEpoch { epoch: u64 },
     /// Certainly not written.
     #[error("a majority of the copies cannot be reached")]
     NoMajority,
@@ -28,9 +28,9 @@
         "a majority of the copies has lost what it held; what the register held cannot be known"
     )]
     Lost,
-    /// May or may not be written, as with [`ReplicaError::TimedOut`].
+    /// May or may not be written, as with [`RegisterError::TimedOut`].
     #[error("a majority of the copies cannot keep it: {0}")]
-    NotKept(KeepError),
+    NotStored(KeepError),
     /// Certainly not written.
     #[error("a value of {bytes} bytes is longer than {most}")]
     TooLong { bytes: usize, most: usize },
@@ -46,37 +46,37 @@
 }
 
 /// Equal ones hash alike, which is all that is asked of it.
-impl std::hash::Hash for ReplicaError {
+impl std::hash::Hash for RegisterError {
     fn hash<H: std::hash::Hasher>(&self, state: &mut H) {
         std::mem::discriminant(self).hash(state);
     }
 }
 
-impl ReplicaError {
+impl RegisterError {
     /// What an operator can do.
     pub fn advice(&self) -> &'static str {
         match self {
-            ReplicaError::Unreadable => "find out who sends it: the link is proven, so it is one of the roster",
-            ReplicaError::OtherVersion(_) => {
+            RegisterError::Malformed => "find out who sends it: the link is proven, so it is one of the roster",
+            RegisterError::UnsupportedVersion(_) => {
                 "bring all dispatchers to one version; until then each counts the others it can read"
             }
-            ReplicaError::Conflict { .. } => "nothing: another one wrote first; the caller reads and decides anew",
-            ReplicaError::EpochPassed { .. } => "nothing: another one has taken over; the caller has to stop",
-            ReplicaError::NoMajority => {
+            RegisterError::Conflict { .. } => "nothing: another one wrote first; the caller reads and decides anew",
+            RegisterError::StaleEpoch { .. } => "nothing: another one has taken over; the caller has to stop",
+            RegisterError::NoMajority => {
                 "look at the view of members for who is away, and at the network between them"
             }
-            ReplicaError::CatchingUp => {
+            RegisterError::CatchingUp => {
                 "wait some seconds; if it stays so, start the copies that are away, as those that lost their memory need them"
             }
-            ReplicaError::Lost => {
+            RegisterError::Lost => {
                 "start the lost copies with the folders they had, if there are any; otherwise a person has to decide what \
                  was done"
             }
-            ReplicaError::NotKept(fault) => fault.advice(),
-            ReplicaError::TooLong { .. } => "lower the limit of bytes of whoever writes it",
-            ReplicaError::Busy => "give callers less at a time, or more dispatchers",
-            ReplicaError::Full => "let finished work be let go of, or run more dispatchers",
-            ReplicaError::TimedOut => "nothing: the caller reads the register, which tells whether it was written",
+            RegisterError::NotStored(fault) => fault.advice(),
+            RegisterError::TooLong { .. } => "lower the limit of bytes of whoever writes it",
+            RegisterError::Busy => "give callers less at a time, or more dispatchers",
+            RegisterError::Full => "let finished work be let go of, or run more dispatchers",
+            RegisterError::TimedOut => "nothing: the caller reads the register, which tells whether it was written",
         }
     }
 }
@@ -89,16 +89,16 @@
 
     #[test]
     fn every_error_and_event_says_what_to_do() {
-        use ReplicaError::*;
+        use RegisterError::*;
         let errors = [
-            Unreadable,
-            OtherVersion(9),
+            Malformed,
+            UnsupportedVersion(9),
             Conflict { latest: None },
-            EpochPassed { epoch: 1 },
+            StaleEpoch { epoch: 1 },
             NoMajority,
             CatchingUp,
             Lost,
-            NotKept(KeepError::Full),
+            NotStored(KeepError::Full),
             TooLong { bytes: 2, most: 1 },
             Busy,
             Full,
@@ -111,18 +111,18 @@
                 fetched: 1,
             },
             Event::OlderDisk { by },
-            Event::Emptied { by },
-            Event::Torn,
+            Event::DiskErased { by },
+            Event::DiskCorrupt,
             Event::DiskFault(KeepError::NoDisk),
-            Event::DiskWell,
-            Event::CopyLost(by),
+            Event::DiskRecovered,
+            Event::ReplicaLost(by),
             Event::MajorityLost,
-            Event::OtherVersion(by),
+            Event::UnsupportedVersion(by),
         ];
-        let said = errors.iter().map(|e| (e.to_string(), e.advice()));
-        let told = events.iter().map(|e| (e.to_string(), e.advice()));
-        let words: std::collections::BTreeSet<String> = said
-            .chain(told)
+        let message = errors.iter().map(|e| (e.to_string(), e.advice()));
+        let announced = events.iter().map(|e| (e.to_string(), e.advice()));
+        let words: std::collections::BTreeSet<String> = message
+            .chain(announced)
             .inspect(|(_, advice)| assert!(advice.len() >= 7))
             .map(|(text, _)| text)
             .collect();
--- a/crates/replicated-register/src/golden.rs
+++ b/crates/replicated-register/src/golden.rs
@@ -7,10 +7,10 @@
 
 use bitternlatch_membership::NameKey;
 
-use crate::disk::{self, Disk, Meta};
-use crate::memory::{Kind, Life};
-use crate::message::{Chunk, Said, Session, Stamp, Why};
-use crate::register::{Accepted, Ballot, Copy, RegisterKey, State, Version};
+use crate::disk_records::{self, ReplicaMetadata, StoredState};
+use crate::message::{Message, Provenance, RejectReason, StateChunk, TransferSession};
+use crate::recovery::{Completeness, Incarnation};
+use crate::register::{Accepted, Acceptor, Ballot, RegisterKey, State, Version};
 
 const MESSAGES: &str = include_str!("../tests/fixtures/messages.txt");
 const DISK_RECORDS: &str = include_str!("../tests/fixtures/disk_records.txt");
@@ -67,70 +67,70 @@
     }
 }
 
-fn stamp() -> Stamp {
-    Stamp {
-        life: 1000,
+fn provenance() -> Provenance {
+    Provenance {
+        incarnation: 1000,
         count: 200,
-        lives: vec![(NameKey(8), 2000), (NameKey(9), 3000)],
+        incarnations: vec![(NameKey(8), 2000), (NameKey(9), 3000)],
     }
 }
 
-fn session() -> Session {
-    Session {
+fn session() -> TransferSession {
+    TransferSession {
         start: 70_000,
         number: 5,
     }
 }
 
-fn life() -> Life {
-    Life {
-        life: 1000,
+fn incarnation() -> Incarnation {
+    Incarnation {
+        incarnation: 1000,
         count: 200,
         lost: true,
     }
 }
 
-fn copy() -> Copy {
-    Copy {
+fn acceptor() -> Acceptor {
+    Acceptor {
         promised: Some(ballot().next()),
         accepted: Some(accepted()),
     }
 }
 
-fn chunk(kind: Kind, upto: Option<RegisterKey>) -> Said {
+fn chunk(completeness: Completeness, up_to: Option<RegisterKey>) -> Message {
     let items = postcard::to_allocvec(&vec![
-        (KEY, copy()),
-        (RegisterKey([2; 16]), Copy::default()),
+        (KEY, acceptor()),
+        (RegisterKey([2; 16]), Acceptor::default()),
     ])
     .expect("plain data");
-    Said::Chunk(Box::new(Chunk {
+    Message::StateChunk(Box::new(StateChunk {
         session: session(),
         after: Some(RegisterKey([1; 16])),
-        upto,
-        kind,
-        miss: vec![NameKey(8)],
-        lives: vec![(NameKey(9), life())],
+        up_to,
+        completeness,
+        missing: vec![NameKey(8)],
+        incarnations: vec![(NameKey(9), incarnation())],
         sum: crc32fast::hash(&items),
         items,
     }))
 }
 
-fn refused(why: Why) -> Said {
-    Said::Refused {
+fn rejected(reason: RejectReason) -> Message {
+    Message::Rejected {
         key: KEY,
         ballot: ballot(),
-        why,
+        reason,
     }
 }
 
-fn messages() -> Vec<(&'static str, Said)> {
+fn messages() -> Vec<(&'static str, Message)> {
     let (key, ballot) = (KEY, ballot());
     vec![
-        ("look", Said::Look { key, ballot }),
-        ("prepare", Said::Prepare { key, ballot }),
+        ("look", Message::Read { key, ballot }),
+        ("prepare", Message::Prepare { key, ballot }),
         (
             "accept",
-            Said::Accept {
+            Message::Accept {
                 key,
                 ballot,
                 state: state(),
@@ -138,7 +138,7 @@
         ),
         (
             "accept-gap",
-            Said::Accept {
+            Message::Accept {
                 key,
                 ballot,
                 state: State {
@@ -150,59 +150,62 @@
         ),
         (
             "promised",
-            Said::Promised {
+            Message::Promise {
                 key,
                 ballot,
-                stamp: stamp(),
+                provenance: provenance(),
                 accepted: Some(accepted()),
             },
         ),
         (
             "promised-empty",
-            Said::Promised {
+            Message::Promise {
                 key,
                 ballot,
-                stamp: stamp(),
+                provenance: provenance(),
                 accepted: None,
             },
         ),
         (
             "took",
-            Said::Took {
+            Message::Accepted {
                 key,
                 ballot,
-                stamp: stamp(),
+                provenance: provenance(),
             },
         ),
-        ("refused-passed", refused(Why::Passed(ballot.next()))),
-        ("refused-catching-up", refused(Why::CatchingUp)),
-        ("refused-lost", refused(Why::Lost)),
-        ("refused-full", refused(Why::Full)),
-        ("refused-disk-full", refused(Why::DiskFull)),
-        ("refused-disk-fault", refused(Why::DiskFault)),
+        (
+            "refused-passed",
+            rejected(RejectReason::HigherBallot(ballot.next())),
+        ),
+        ("refused-catching-up", rejected(RejectReason::CatchingUp)),
+        ("refused-lost", rejected(RejectReason::Lost)),
+        ("refused-full", rejected(RejectReason::Full)),
+        ("refused-disk-full", rejected(RejectReason::DiskFull)),
+        ("refused-disk-fault", rejected(RejectReason::DiskFault)),
         (
             "gone",
-            Said::Gone {
+            Message::Forget {
                 key,
                 version: version(12),
             },
         ),
         (
             "catch-up",
-            Said::CatchUp {
+            Message::FetchState {
                 session: session(),
-                life: 1000,
+                incarnation: 1000,
                 count: 200,
                 after: Some(KEY),
             },
         ),
-        ("chunk-whole", chunk(Kind::Whole, Some(KEY))),
-        ("chunk-fresh", chunk(Kind::Fresh, None)),
-        ("chunk-lost", chunk(Kind::Lost, None)),
+        ("chunk-whole", chunk(Completeness::Complete, Some(KEY))),
+        ("chunk-fresh", chunk(Completeness::Fresh, None)),
+        ("chunk-lost", chunk(Completeness::Lost, None)),
         (
             "beat",
-            Said::Beat {
-                life: 1000,
+            Message::Heartbeat {
+                incarnation: 1000,
                 count: 200,
             },
         ),
@@ -216,40 +219,46 @@
     assert_eq!(fixture.len(), messages.len());
     for (line, (label, message)) in fixture.iter().zip(messages) {
         assert_eq!(line[..], [label, &hex(&message.write())]);
-        assert_eq!(Said::read(&bytes(line[1])), Ok(message), "{label}");
+        assert_eq!(Message::read(&bytes(line[1])), Ok(message), "{label}");
     }
 }
 
 #[test]
 fn chunks_of_the_fixture_open_to_the_same_registers() {
     for line in lines(MESSAGES) {
-        let Ok(Said::Chunk(chunk)) = Said::read(&bytes(line[1])) else {
+        let Ok(Message::StateChunk(chunk)) = Message::read(&bytes(line[1])) else {
             continue;
         };
         let registers = chunk.open().expect("the checksum is right");
         assert_eq!(
             registers,
-            [(KEY, copy()), (RegisterKey([2; 16]), Copy::default())]
+            [
+                (KEY, acceptor()),
+                (RegisterKey([2; 16]), Acceptor::default())
+            ]
         );
     }
 }
 
-fn metas() -> Vec<(&'static str, Meta)> {
-    let meta = |kind| Meta {
-        life: 1000,
-        kind,
+fn metas() -> Vec<(&'static str, ReplicaMetadata)> {
+    let meta = |completeness| ReplicaMetadata {
+        incarnation: 1000,
+        completeness,
         count: 200,
-        lives: BTreeMap::from([(NameKey(8), Life::default()), (NameKey(9), life())]),
+        incarnations: BTreeMap::from([
+            (NameKey(8), Incarnation::default()),
+            (NameKey(9), incarnation()),
+        ]),
     };
     vec![
-        ("meta-whole", meta(Kind::Whole)),
-        ("meta-fresh", meta(Kind::Fresh)),
-        ("meta-lost", meta(Kind::Lost)),
+        ("meta-whole", meta(Completeness::Complete)),
+        ("meta-fresh", meta(Completeness::Fresh)),
+        ("meta-lost", meta(Completeness::Lost)),
     ]
 }
 
-fn gap() -> Copy {
-    let mut gap = copy();
+fn gap() -> Acceptor {
+    let mut gap = acceptor();
     gap.promised = None;
     gap.accepted = Some(Accepted {
         own: false,
@@ -263,17 +272,17 @@
     gap
 }
 
-fn registers() -> Vec<(&'static str, RegisterKey, u64, Copy)> {
+fn registers() -> Vec<(&'static str, RegisterKey, u64, Acceptor)> {
     vec![
-        ("register", KEY, 1000, copy()),
+        ("register", KEY, 1000, acceptor()),
         ("register-gap", RegisterKey([2; 16]), 1000, gap()),
         (
             "register-empty",
             RegisterKey([3; 16]),
             1000,
-            Copy::default(),
+            Acceptor::default(),
         ),
-        ("register-stale", RegisterKey([4; 16]), 999, copy()),
+        ("register-stale", RegisterKey([4; 16]), 999, acceptor()),
     ]
 }
 
@@ -281,10 +290,15 @@
 fn records_are_written_to_disk_as_in_the_fixture() {
     let metas = metas()
         .into_iter()
-        .map(|(label, meta)| (label, disk::meta(&meta)));
+        .map(|(label, meta)| (label, disk_records::meta(&meta)));
     let registers = registers()
         .into_iter()
-        .map(|(label, key, life, copy)| (label, disk::register(key, life, 201, &copy)));
+        .map(|(label, key, incarnation, acceptor)| {
+            (
+                label,
+                disk_records::register(key, incarnation, 201, &acceptor),
+            )
+        });
     let written: Vec<String> = metas
         .chain(registers)
         .map(|(label, (name, bytes))| format!("{label} {} {}", hex(&name), hex(&bytes)))
@@ -310,34 +324,37 @@
         })
         .collect();
     let kinds = [
-        ("meta-whole", Kind::Whole),
-        ("meta-fresh", Kind::Fresh),
-        ("meta-lost", Kind::Lost),
+        ("meta-whole", Completeness::Complete),
+        ("meta-fresh", Completeness::Fresh),
+        ("meta-lost", Completeness::Lost),
     ];
-    for (label, kind) in kinds {
+    for (label, completeness) in kinds {
         let found = records
             .iter()
             .filter(|record| record.label == label || record.label.starts_with("register"))
             .map(|record| (record.name.clone(), record.bytes.clone()))
             .collect();
-        let Disk::Whole {
+        let StoredState::Intact {
             meta,
             registers,
             stale,
-        } = disk::open(found)
+        } = disk_records::open(found)
         else {
             panic!("{label}: the fixture is whole");
         };
-        assert_eq!((meta.life, meta.kind), (1000, kind));
+        assert_eq!((meta.incarnation, meta.completeness), (1000, completeness));
         // The register's record tells of one change more than the metadata.
         assert_eq!(meta.count, 201);
-        assert_eq!(meta.lives.len(), 2);
-        assert_eq!(meta.lives[&NameKey(8)], Life::default());
-        let known = meta.lives[&NameKey(9)];
-        assert_eq!((known.life, known.count, known.lost), (1000, 200, true));
+        assert_eq!(meta.incarnations.len(), 2);
+        assert_eq!(meta.incarnations[&NameKey(8)], Incarnation::default());
+        let known = meta.incarnations[&NameKey(9)];
+        assert_eq!(
+            (known.incarnation, known.count, known.lost),
+            (1000, 200, true)
+        );
         let keys: Vec<RegisterKey> = registers.iter().map(|(key, _)| *key).collect();
         assert_eq!(keys, [KEY, RegisterKey([2; 16]), RegisterKey([3; 16])]);
-        assert_eq!(stale, [disk::name(RegisterKey([4; 16]))]);
+        assert_eq!(stale, [disk_records::name(RegisterKey([4; 16]))]);
         let held = &registers[0].1;
         let promised = held.promised.expect("a promise");
         assert_eq!(
@@ -355,6 +372,6 @@
         assert_eq!(value.before, Some(version(11)));
         assert_eq!(value.body.as_deref(), Some(&b"value"[..]));
         assert_eq!(registers[1].1, gap());
-        assert_eq!(registers[2].1, Copy::default());
+        assert_eq!(registers[2].1, Acceptor::default());
     }
 }
--- a/crates/replicated-register/src/io.rs
+++ b/crates/replicated-register/src/io.rs
@@ -5,7 +5,7 @@
 use bitternlatch_membership::NameKey;
 use bitternlatch_quota_lease::{Found, KeepError, Peers, Process};
 
-use crate::{RegisterKey, ReplicaError, Version};
+use crate::{RegisterError, RegisterKey, Version};
 
 /// The caller's number for one question; never reused within a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Copies of a register; more than the roster has are as many as it has.
-    pub copies: usize,
+    pub replicas: usize,
     /// Whether there is a disk. Without one a copy lasts as long as its process.
     pub durable: bool,
 }
@@ -22,7 +22,7 @@
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            copies: 3,
+            replicas: 3,
             durable: false,
         }
     }
@@ -35,12 +35,12 @@
     /// A frame of another one's replica, proven.
     Frame {
         from: Process,
-        said: Vec<u8>,
+        payload: Vec<u8>,
     },
     Peers(Peers),
     /// What was on disk at the start, whole; the first input where there is a disk.
-    Found(Result<Found, KeepError>),
-    Kept {
+    Loaded(Result<Found, KeepError>),
+    Stored {
         ticket: u64,
         done: Result<(), KeepError>,
     },
@@ -50,21 +50,21 @@
         key: RegisterKey,
         until: Duration,
     },
-    /// Written only if the latest value that a majority knows is `on` (`None`: nothing yet); a compare-and-set.
+    /// Written only if the latest value that a majority knows is `expected` (`None`: nothing yet); a compare-and-set.
     /// Answered by [`Output::Written`].
     Write {
         call: Call,
         key: RegisterKey,
-        on: Option<Version>,
+        expected: Option<Version>,
         epoch: u64,
         value: Vec<u8>,
         until: Duration,
     },
     /// Lets go of a register on all copies. Answered by [`Output::Written`], with the version of the gap.
-    Drop {
+    Delete {
         call: Call,
         key: RegisterKey,
-        on: Version,
+        expected: Version,
         until: Duration,
     },
 }
@@ -73,19 +73,19 @@
 pub enum Output {
     /// A frame to the replica of another one.
     Send(NameKey, Vec<u8>),
-    /// On disk under that name, or removed from it; answered by [`Input::Kept`]. Those of one step together or not at all.
-    Keep {
+    /// On disk under that name, or removed from it; answered by [`Input::Stored`]. Those of one step together or not at all.
+    Store {
         ticket: u64,
         name: Vec<u8>,
         bytes: Option<Vec<u8>>,
     },
     Read {
         call: Call,
-        found: Result<Option<(Version, Vec<u8>)>, ReplicaError>,
+        found: Result<Option<(Version, Vec<u8>)>, RegisterError>,
     },
     Written {
         call: Call,
-        done: Result<Version, ReplicaError>,
+        done: Result<Version, RegisterError>,
     },
     Event(Event),
 }
@@ -98,19 +98,19 @@
     #[error("{by:?} knows later writes of this copy than its own disk: the disk is an older one")]
     OlderDisk { by: NameKey },
     #[error("{by:?} knows an earlier life of this copy, of which there is nothing here")]
-    Emptied { by: NameKey },
+    DiskErased { by: NameKey },
     #[error("what is on disk of this copy is torn; it is fetched anew from the other copies")]
-    Torn,
+    DiskCorrupt,
     #[error("this copy cannot keep what it is told: {0}")]
     DiskFault(KeepError),
     #[error("this copy keeps what it is told again")]
-    DiskWell,
+    DiskRecovered,
     #[error("the copy at {0:?} has lost what it held")]
-    CopyLost(NameKey),
+    ReplicaLost(NameKey),
     #[error("a majority of the copies of some registers has lost what it held")]
     MajorityLost,
     #[error("{0:?} speaks another version about registers; its words are dropped")]
-    OtherVersion(NameKey),
+    UnsupportedVersion(NameKey),
 }
 
 impl Event {
@@ -121,24 +121,24 @@
             Event::OlderDisk { .. } => {
                 "nothing at once, it is fetched anew; find out who set the folder back, as two at a time lose registers"
             }
-            Event::Emptied { .. } => {
+            Event::DiskErased { .. } => {
                 "nothing at once, it is fetched anew; name a folder that outlives the process under 'kept', and restart \
                  one process at a time"
             }
-            Event::Torn => "look at the disk; it is fetched anew, and two at a time lose registers",
+            Event::DiskCorrupt => "look at the disk; it is fetched anew, and two at a time lose registers",
             Event::DiskFault(fault) => fault.advice(),
-            Event::DiskWell => "nothing",
-            Event::CopyLost(_) => "keep the others up until that one has caught up",
+            Event::DiskRecovered => "nothing",
+            Event::ReplicaLost(_) => "keep the others up until that one has caught up",
             Event::MajorityLost => {
                 "start the lost copies with the folders they had, if there are any; otherwise what those registers held \
                  has to be decided by a person, and they serve again after a day"
             }
-            Event::OtherVersion(_) => "bring all dispatchers to one version",
+            Event::UnsupportedVersion(_) => "bring all dispatchers to one version",
         }
     }
 
     /// Whether an operator should look.
     pub fn warn(&self) -> bool {
-        !matches!(self, Event::CaughtUp { .. } | Event::DiskWell)
+        !matches!(self, Event::CaughtUp { .. } | Event::DiskRecovered)
     }
 }
--- a/crates/replicated-register/src/lib.rs
+++ b/crates/replicated-register/src/lib.rs
@@ -2,30 +2,32 @@
 //! returns. Messages, clock, disk's answers and a seed go in; messages, what is to be kept, and answers come out.
 //!
 //! - `register`: one copy of one register, an acceptor whose value may change (CASPaxos: Rystsov, 2018).
-//! - `job`: one call, the rounds of a proposer.
+//! - `proposal`: one call, the rounds of a proposer.
 //! - `memory`: how far a copy's memory can be trusted, and so whether it counts in a majority.
 //! - [`Replica`]: one member's part in all of it.
 
-mod disk;
+mod disk_records;
 mod error;
 #[cfg(test)]
 mod golden;
 mod io;
-mod job;
-mod memory;
 mod message;
 #[cfg(test)]
 mod model;
 mod placement;
+mod proposal;
+mod recovery;
 mod register;
 mod replica;
-mod shelf;
+mod store;
 
-pub use error::ReplicaError;
+pub use error::RegisterError;
 pub use io::{Call, Event, Input, Output, Settings};
 pub use register::{RegisterKey, Version};
-pub use replica::{Counts, Replica};
-pub use shelf::{BYTES_MOST, GAP_LASTS, OPEN_GAP_LASTS, REGISTERS_MOST};
+pub use replica::{Counters, Replica};
+pub use store::{
+    MAX_REGISTERS, MAX_STORED_BYTES, TOMBSTONE_RETENTION, UNSETTLED_TOMBSTONE_RETENTION,
+};
 
 /// Longest value, bytes: with all around it it fits into one frame.
-pub const VALUE_MOST: usize = 48 * 1024;
+pub const MAX_VALUE_BYTES: usize = 48 * 1024;
--- a/crates/replicated-register/src/message.rs
+++ b/crates/replicated-register/src/message.rs
@@ -3,27 +3,27 @@
 use bitternlatch_membership::NameKey;
 use serde::{Deserialize, Serialize};
 
-use crate::memory::{Kind, Life};
-use crate::register::{Accepted, Ballot, Copy, RegisterKey, State, Version};
-use crate::ReplicaError;
+use crate::recovery::{Completeness, Incarnation};
+use crate::register::{Accepted, Acceptor, Ballot, RegisterKey, State, Version};
+use crate::RegisterError;
 
 /// Of the messages; another one's are dropped and counted.
-pub const WORDS: u8 = 1;
+pub const MESSAGE_VERSION: u8 = 1;
 /// Rounds and counts beyond it are nonsense: nobody gets there by ones.
-const NUMBER_MOST: u64 = 1 << 62;
+const MAX_NUMBER: u64 = 1 << 62;
 
 /// Who says it: the life of its memory, and which lives of the key's other copies it knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Stamp {
-    pub life: u64,
+pub struct Provenance {
+    pub incarnation: u64,
     pub count: u64,
-    pub lives: Vec<(NameKey, u64)>,
+    pub incarnations: Vec<(NameKey, u64)>,
 }
 
 /// Why a copy does not do it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Why {
-    Passed(Ballot),
+pub enum RejectReason {
+    HigherBallot(Ballot),
     CatchingUp,
     Lost,
     Full,
@@ -33,22 +33,22 @@
 
 /// One fetching of all that another copy holds, by the asker's start and a number of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Session {
+pub struct TransferSession {
     pub start: u64,
     pub number: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Chunk {
-    pub session: Session,
+pub struct StateChunk {
+    pub session: TransferSession,
     /// What was asked for: all after this key.
     pub after: Option<RegisterKey>,
     /// Looked through up to there; none at the end.
-    pub upto: Option<RegisterKey>,
-    pub kind: Kind,
+    pub up_to: Option<RegisterKey>,
+    pub completeness: Completeness,
     /// Whom the teller itself has not caught up with.
-    pub miss: Vec<NameKey>,
-    pub lives: Vec<(NameKey, Life)>,
+    pub missing: Vec<NameKey>,
+    pub incarnations: Vec<(NameKey, Incarnation)>,
     /// Pairs of key and copy, by postcard.
     pub items: Vec<u8>,
     /// CRC-32 over the items.
@@ -56,9 +56,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Said {
+pub enum Message {
     /// Tell what you took; promise nothing.
-    Look {
+    Read {
         key: RegisterKey,
         ballot: Ballot,
     },
@@ -71,79 +71,84 @@
         ballot: Ballot,
         state: State,
     },
-    /// Answers `Look` and `Prepare`.
-    Promised {
+    /// Answers `Read` and `Prepare`.
+    Promise {
         key: RegisterKey,
         ballot: Ballot,
-        stamp: Stamp,
+        provenance: Provenance,
         accepted: Option<Accepted>,
     },
-    Took {
+    Accepted {
         key: RegisterKey,
         ballot: Ballot,
-        stamp: Stamp,
+        provenance: Provenance,
     },
-    Refused {
+    Rejected {
         key: RegisterKey,
         ballot: Ballot,
-        why: Why,
+        reason: RejectReason,
     },
     /// All copies hold this gap.
-    Gone {
+    Forget {
         key: RegisterKey,
         version: Version,
     },
     /// Tell what you hold of registers of which I hold copies.
-    CatchUp {
-        session: Session,
-        life: u64,
+    FetchState {
+        session: TransferSession,
+        incarnation: u64,
         count: u64,
         after: Option<RegisterKey>,
     },
-    Chunk(Box<Chunk>),
+    StateChunk(Box<StateChunk>),
     /// How far my memory goes, for others to remember.
-    Beat {
-        life: u64,
+    Heartbeat {
+        incarnation: u64,
         count: u64,
     },
 }
 
-impl Said {
+impl Message {
     pub fn write(&self) -> Vec<u8> {
         // A message of plain data cannot fail to be written; an empty frame would be dropped by whoever reads it.
-        postcard::to_extend(self, vec![WORDS]).unwrap_or_default()
+        postcard::to_extend(self, vec![MESSAGE_VERSION]).unwrap_or_default()
     }
 
     /// # Errors
     /// Where it is of another version, or none of these.
-    pub fn read(bytes: &[u8]) -> Result<Said, ReplicaError> {
+    pub fn read(bytes: &[u8]) -> Result<Message, RegisterError> {
         match bytes.split_first() {
-            Some((&WORDS, rest)) => {
-                let said: Said =
-                    postcard::from_bytes(rest).map_err(|_| ReplicaError::Unreadable)?;
-                said.sound().then_some(said).ok_or(ReplicaError::Unreadable)
+            Some((&MESSAGE_VERSION, rest)) => {
+                let message: Message =
+                    postcard::from_bytes(rest).map_err(|_| RegisterError::Malformed)?;
+                message
+                    .sound()
+                    .then_some(message)
+                    .ok_or(RegisterError::Malformed)
             }
-            Some((&version, _)) => Err(ReplicaError::OtherVersion(version)),
-            None => Err(ReplicaError::Unreadable),
+            Some((&version, _)) => Err(RegisterError::UnsupportedVersion(version)),
+            None => Err(RegisterError::Malformed),
         }
     }
 
     fn sound(&self) -> bool {
-        let ballot = |b: &Ballot| b.round < NUMBER_MOST;
+        let ballot = |b: &Ballot| b.round < MAX_NUMBER;
         let state = |s: &State| {
-            s.version.count < NUMBER_MOST
-                && s.body.as_ref().is_none_or(|b| b.len() <= crate::VALUE_MOST)
+            s.version.count < MAX_NUMBER
+                && s.body
+                    .as_ref()
+                    .is_none_or(|b| b.len() <= crate::MAX_VALUE_BYTES)
         };
         match self {
-            Said::Look { ballot: b, .. }
-            | Said::Prepare { ballot: b, .. }
-            | Said::Took { ballot: b, .. } => ballot(b),
-            Said::Accept {
+            Message::Read { ballot: b, .. }
+            | Message::Prepare { ballot: b, .. }
+            | Message::Accepted { ballot: b, .. } => ballot(b),
+            Message::Accept {
                 ballot: b,
                 state: s,
                 ..
             } => ballot(b) && state(s),
-            Said::Promised {
+            Message::Promise {
                 ballot: b,
                 accepted,
                 ..
@@ -153,20 +158,23 @@
                         .as_ref()
                         .is_none_or(|a| ballot(&a.ballot) && state(&a.state))
             }
-            Said::Refused {
+            Message::Rejected {
                 ballot: b,
-                why: Why::Passed(p),
+                reason: RejectReason::HigherBallot(p),
                 ..
             } => ballot(b) && ballot(p),
-            Said::Refused { ballot: b, .. } => ballot(b),
-            Said::Gone { .. } | Said::CatchUp { .. } | Said::Chunk(_) | Said::Beat { .. } => true,
+            Message::Rejected { ballot: b, .. } => ballot(b),
+            Message::Forget { .. }
+            | Message::FetchState { .. }
+            | Message::StateChunk(_)
+            | Message::Heartbeat { .. } => true,
         }
     }
 }
 
-impl Chunk {
+impl StateChunk {
     /// What it holds, if that arrived whole.
-    pub fn open(&self) -> Option<Vec<(RegisterKey, Copy)>> {
+    pub fn open(&self) -> Option<Vec<(RegisterKey, Acceptor)>> {
         if crc32fast::hash(&self.items) != self.sum {
             return None;
         }
@@ -205,82 +213,88 @@
         })
     }
 
-    fn said() -> impl Strategy<Value = Said> {
+    fn message() -> impl Strategy<Value = Message> {
         let key = any::<[u8; 16]>().prop_map(RegisterKey);
-        (0..8, key, ballots(), states(), any::<u64>()).prop_map(|(kind, key, ballot, state, n)| {
-            let stamp = Stamp {
-                life: n,
-                count: n / 2,
-                lives: vec![(ballot.by, n)],
-            };
-            let session = Session {
-                start: n,
-                number: n / 3,
-            };
-            match kind {
-                0 => Said::Look { key, ballot },
-                1 => Said::Accept { key, ballot, state },
-                2 => Said::Promised {
-                    key,
-                    ballot,
-                    stamp,
-                    accepted: Some(Accepted {
+        (0..8, key, ballots(), states(), any::<u64>()).prop_map(
+            |(completeness, key, ballot, state, n)| {
+                let provenance = Provenance {
+                    incarnation: n,
+                    count: n / 2,
+                    incarnations: vec![(ballot.by, n)],
+                };
+                let session = TransferSession {
+                    start: n,
+                    number: n / 3,
+                };
+                match completeness {
+                    0 => Message::Read { key, ballot },
+                    1 => Message::Accept { key, ballot, state },
+                    2 => Message::Promise {
+                        key,
                         ballot,
-                        state,
-                        own: true,
-                    }),
-                },
-                3 => Said::Took { key, ballot, stamp },
-                4 => Said::Refused {
-                    key,
-                    ballot,
-                    why: Why::Passed(ballot),
-                },
-                5 => Said::CatchUp {
-                    session,
-                    life: n,
-                    count: n,
-                    after: Some(key),
-                },
-                6 => Said::Gone {
-                    key,
-                    version: state.version,
-                },
-                _ => Said::Chunk(Box::new(Chunk {
-                    session,
-                    after: None,
-                    upto: Some(key),
-                    kind: Kind::Lost,
-                    miss: vec![ballot.by],
-                    lives: vec![(
-                        ballot.by,
-                        Life {
-                            life: n,
-                            count: n,
-                            lost: true,
-                        },
-                    )],
-                    items: vec![1, 2, 3],
-                    sum: 0,
-                })),
-            }
-        })
+                        provenance,
+                        accepted: Some(Accepted {
+                            ballot,
+                            state,
+                            own: true,
+                        }),
+                    },
+                    3 => Message::Accepted {
+                        key,
+                        ballot,
+                        provenance,
+                    },
+                    4 => Message::Rejected {
+                        key,
+                        ballot,
+                        reason: RejectReason::HigherBallot(ballot),
+                    },
+                    5 => Message::FetchState {
+                        session,
+                        incarnation: n,
+                        count: n,
+                        after: Some(key),
+                    },
+                    6 => Message::Forget {
+                        key,
+                        version: state.version,
+                    },
+                    _ => Message::StateChunk(Box::new(StateChunk {
+                        session,
+                        after: None,
+                        up_to: Some(key),
+                        completeness: Completeness::Lost,
+                        missing: vec![ballot.by],
+                        incarnations: vec![(
+                            ballot.by,
+                            Incarnation {
+                                incarnation: n,
+                                count: n,
+                                lost: true,
+                            },
+                        )],
+                        items: vec![1, 2, 3],
+                        sum: 0,
+                    })),
+                }
+            },
+        )
     }
 
     proptest! {
         #[test]
-        fn what_is_written_is_read_and_no_bytes_do_harm(said in said(), cut in 0usize..400, flip in any::<u8>()) {
-            let bytes = said.write();
-            prop_assert_eq!(Said::read(&bytes), Ok(said));
+        fn what_is_written_is_read_and_no_bytes_do_harm(message in message(), cut in 0usize..400, flip in any::<u8>()) {
+            let bytes = message.write();
+            prop_assert_eq!(Message::read(&bytes), Ok(message));
             let mut broken = bytes.clone();
             let at = cut % bytes.len();
             broken[at] ^= flip | 1;
             if at == 0 {
-                prop_assert_eq!(Said::read(&broken), Err(ReplicaError::OtherVersion(broken[0])));
-            } else if let Ok(Said::Chunk(chunk)) = Said::read(&broken) {
+                prop_assert_eq!(Message::read(&broken), Err(RegisterError::UnsupportedVersion(broken[0])));
+            } else if let Ok(Message::StateChunk(chunk)) = Message::read(&broken) {
                 prop_assert!(chunk.open().is_none());
             }
-            let _ = Said::read(&bytes[..at]);
+            let _ = Message::read(&bytes[..at]);
         }
     }
 }
--- a/crates/replicated-register/src/model.rs
+++ b/crates/replicated-register/src/model.rs
@@ -8,10 +8,10 @@
 use bitternlatch_quota_lease::Process;
 use stateright::{Checker, Model, Property};
 
-use crate::job::{Answer, Ask, Job, Lead, Mint, Next};
-use crate::message::{Said, Stamp, Why};
-use crate::register::{Copy, RegisterKey};
-use crate::{Call, ReplicaError, Version};
+use crate::message::{Message, Provenance, RejectReason};
+use crate::proposal::{IdAllocator, LeaderBallot, NextStep, Operation, Outcome, Proposal};
+use crate::register::{Acceptor, RegisterKey};
+use crate::{Call, RegisterError, Version};
 
 const KEY: RegisterKey = RegisterKey([7; 16]);
 const COPIES: u32 = 3;
@@ -20,18 +20,18 @@
 #[derive(Clone, Copy)]
 struct Size {
     writes: [usize; 2],
-    tries: u32,
+    attempts: u32,
     losses: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Writer {
-    mint: Mint,
-    job: Option<Job>,
-    lead: Option<Lead>,
+    ids: IdAllocator,
+    proposal: Option<Proposal>,
+    leader_ballot: Option<LeaderBallot>,
     begun: usize,
     /// What it writes on next.
-    on: Option<Version>,
+    expected: Option<Version>,
     done: Vec<(Option<Version>, Version)>,
     /// Versions that it was told are the latest, or were written.
     seen: Vec<Version>,
@@ -39,16 +39,16 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Held {
-    copy: Copy,
-    life: u64,
+    acceptor: Acceptor,
+    incarnation: u64,
     /// Lives of the others that it knows, and, while it catches up, those it has fetched from.
-    lives: BTreeMap<NameKey, u64>,
+    incarnations: BTreeMap<NameKey, u64>,
     fetched: Option<BTreeSet<u32>>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    copies: Vec<Held>,
+    replicas: Vec<Held>,
     writers: Vec<Writer>,
     /// From, to, what; whatever was ever sent may arrive, any number of times.
     way: BTreeSet<(u32, u32, Vec<u8>)>,
@@ -63,39 +63,42 @@
     Again(usize),
     Arrive(u32, u32, Vec<u8>),
     Lose(u32),
-    Fetch(u32, u32),
+    StateTransfer(u32, u32),
 }
 
 struct World(Size);
 
 impl World {
     fn send(&self, state: &mut State, w: usize) {
-        let Some(job) = &state.writers[w].job else {
+        let Some(proposal) = &state.writers[w].proposal else {
             return;
         };
-        let Some((said, to)) = job.says() else { return };
-        let said = said.write();
-        state
-            .way
-            .extend(to.iter().map(|name| (10 + w as u32, name.0, said.clone())));
+        let Some((message, to)) = proposal.says() else {
+            return;
+        };
+        let message = message.write();
+        state.way.extend(
+            to.iter()
+                .map(|name| (10 + w as u32, name.0, message.clone())),
+        );
     }
 
-    fn go_on(&self, state: &mut State, w: usize, next: Next) {
+    fn proceed(&self, state: &mut State, w: usize, next: NextStep) {
         match next {
-            Next::Wait | Next::Again => {}
-            Next::Ask => self.send(state, w),
-            Next::Done(answer, lead) => {
+            NextStep::Wait | NextStep::Restart => {}
+            NextStep::Send => self.send(state, w),
+            NextStep::Done(answer, leader_ballot) => {
                 let writer = &mut state.writers[w];
-                (writer.job, writer.lead) = (None, lead);
+                (writer.proposal, writer.leader_ballot) = (None, leader_ballot);
                 match answer {
-                    Answer::Written(version) => {
-                        writer.done.push((writer.on, version));
+                    Outcome::Written(version) => {
+                        writer.done.push((writer.expected, version));
                         writer.seen.push(version);
-                        writer.on = Some(version);
+                        writer.expected = Some(version);
                     }
-                    Answer::Failed(ReplicaError::Conflict { latest }) => {
+                    Outcome::Failed(RegisterError::Conflict { latest }) => {
                         writer.seen.extend(latest);
-                        writer.on = latest;
+                        writer.expected = latest;
                     }
                     _ => writer.begun = usize::MAX,
                 }
@@ -103,63 +106,73 @@
         }
     }
 
-    fn at_copy(&self, held: &mut Held, said: Said) -> Option<Said> {
-        let lives = held
-            .lives
+    fn at_copy(&self, held: &mut Held, message: Message) -> Option<Message> {
+        let incarnations = held
+            .incarnations
             .iter()
-            .map(|(name, life)| (*name, *life))
+            .map(|(name, incarnation)| (*name, *incarnation))
             .collect();
-        let stamp = Stamp {
-            life: held.life,
+        let provenance = Provenance {
+            incarnation: held.incarnation,
             count: 0,
-            lives,
+            incarnations,
         };
         if held.fetched.is_some() {
             return None;
         }
-        match said {
-            Said::Prepare { key, ballot } => Some(match held.copy.prepare(ballot) {
-                Ok(_) => Said::Promised {
-                    key,
-                    ballot,
-                    stamp,
-                    accepted: held.copy.accepted.clone(),
-                },
-                Err(passed) => Said::Refused {
+        match message {
+            Message::Prepare { key, ballot } => Some(match held.acceptor.prepare(ballot) {
+                Ok(_) => Message::Promise {
                     key,
                     ballot,
-                    why: Why::Passed(passed),
+                    provenance,
+                    accepted: held.acceptor.accepted.clone(),
                 },
-            }),
-            Said::Accept { key, ballot, state } => Some(match held.copy.accept(ballot, &state) {
-                Ok(_) => Said::Took { key, ballot, stamp },
-                Err(passed) => Said::Refused {
+                Err(passed) => Message::Rejected {
                     key,
                     ballot,
-                    why: Why::Passed(passed),
+                    reason: RejectReason::HigherBallot(passed),
                 },
             }),
+            Message::Accept { key, ballot, state } => {
+                Some(match held.acceptor.accept(ballot, &state) {
+                    Ok(_) => Message::Accepted {
+                        key,
+                        ballot,
+                        provenance,
+                    },
+                    Err(passed) => Message::Rejected {
+                        key,
+                        ballot,
+                        reason: RejectReason::HigherBallot(passed),
+                    },
+                })
+            }
             _ => None,
         }
     }
 
-    fn at_writer(&self, state: &mut State, w: usize, from: NameKey, said: Said) {
+    fn at_writer(&self, state: &mut State, w: usize, from: NameKey, message: Message) {
         let writer = &mut state.writers[w];
-        let Some(job) = &mut writer.job else { return };
-        let next = match said {
-            Said::Promised {
+        let Some(proposal) = &mut writer.proposal else {
+            return;
+        };
+        let next = match message {
+            Message::Promise {
                 ballot,
-                stamp,
+                provenance,
                 accepted,
                 ..
-            } => job.on_promised(from, ballot, stamp, accepted, &mut writer.mint),
-            Said::Took { ballot, stamp, .. } => job.on_took(from, ballot, stamp, &mut writer.mint),
-            Said::Refused { ballot, why, .. } => {
-                job.on_refused(from, ballot, why, &mut writer.mint)
+            } => proposal.on_promised(from, ballot, provenance, accepted, &mut writer.ids),
+            Message::Accepted {
+                ballot, provenance, ..
+            } => proposal.on_accepted(from, ballot, provenance, &mut writer.ids),
+            Message::Rejected { ballot, reason, .. } => {
+                proposal.on_rejected(from, ballot, reason, &mut writer.ids)
             }
-            _ => Next::Wait,
+            _ => NextStep::Wait,
         };
-        self.go_on(state, w, next);
+        self.proceed(state, w, next);
     }
 }
 
@@ -169,19 +182,19 @@
 
     fn init_states(&self) -> Vec<State> {
         let writer = |i: u32| Writer {
-            mint: Mint::new(Process {
+            ids: IdAllocator::new(Process {
                 name: NameKey(10 + i),
                 start: 1,
             }),
-            job: None,
-            lead: None,
+            proposal: None,
+            leader_ballot: None,
             begun: 0,
-            on: None,
+            expected: None,
             done: vec![],
             seen: vec![],
         };
         vec![State {
-            copies: vec![Held::default(); COPIES as usize],
+            replicas: vec![Held::default(); COPIES as usize],
             writers: (0..2).map(writer).collect(),
             way: BTreeSet::new(),
             losses: 0,
@@ -191,9 +204,9 @@
 
     fn actions(&self, state: &State, acts: &mut Vec<Act>) {
         for (w, writer) in state.writers.iter().enumerate() {
-            match &writer.job {
+            match &writer.proposal {
                 None if writer.begun < self.0.writes[w] => acts.push(Act::Begin(w)),
-                Some(job) if job.tries < self.0.tries => acts.push(Act::Again(w)),
+                Some(proposal) if proposal.attempts < self.0.attempts => acts.push(Act::Again(w)),
                 _ => {}
             }
         }
@@ -201,15 +214,15 @@
             state
                 .way
                 .iter()
-                .map(|(from, to, said)| Act::Arrive(*from, *to, said.clone())),
+                .map(|(from, to, message)| Act::Arrive(*from, *to, message.clone())),
         );
         for i in 0..COPIES {
-            match &state.copies[i as usize].fetched {
+            match &state.replicas[i as usize].fetched {
                 None if state.losses < self.0.losses => acts.push(Act::Lose(i)),
                 None => {}
                 Some(had) => {
                     let from = (0..COPIES).filter(|j| *j != i && !had.contains(j));
-                    acts.extend(from.map(|j| Act::Fetch(i, j)));
+                    acts.extend(from.map(|j| Act::StateTransfer(i, j)));
                 }
             }
         }
@@ -227,64 +240,66 @@
                 state.floor[w] = latest;
                 let writer = &mut state.writers[w];
                 writer.begun += 1;
-                let ask = Ask::Write {
-                    on: writer.on,
+                let ask = Operation::Write {
+                    expected: writer.expected,
                     epoch: 1,
                     body: Some(vec![w as u8, writer.begun as u8]),
                 };
-                let copies = (0..COPIES).map(NameKey).collect();
-                let mut job = Job::new(
+                let replicas = (0..COPIES).map(NameKey).collect();
+                let mut proposal = Proposal::new(
                     Call(writer.begun as u64),
                     KEY,
-                    copies,
+                    replicas,
                     Duration::MAX,
                     ask,
-                    &mut writer.mint,
+                    &mut writer.ids,
                 );
-                job.begin(writer.lead.take(), &mut writer.mint);
-                writer.job = Some(job);
+                proposal.begin(writer.leader_ballot.take(), &mut writer.ids);
+                writer.proposal = Some(proposal);
                 self.send(&mut state, w);
             }
             Act::Again(w) => {
                 let writer = &mut state.writers[w];
-                let job = writer.job.as_mut()?;
-                job.wait(Duration::ZERO);
-                job.begin(None, &mut writer.mint);
+                let proposal = writer.proposal.as_mut()?;
+                proposal.wait(Duration::ZERO);
+                proposal.begin(None, &mut writer.ids);
                 self.send(&mut state, w);
             }
-            Act::Arrive(from, to, said) => {
-                let said = Said::read(&said).ok()?;
+            Act::Arrive(from, to, message) => {
+                let message = Message::read(&message).ok()?;
                 if to >= 10 {
-                    self.at_writer(&mut state, to as usize - 10, NameKey(from), said);
-                } else if let Some(reply) = self.at_copy(&mut state.copies[to as usize], said) {
+                    self.at_writer(&mut state, to as usize - 10, NameKey(from), message);
+                } else if let Some(reply) = self.at_copy(&mut state.replicas[to as usize], message)
+                {
                     state.way.insert((to, from, reply.write()));
                 }
             }
             Act::Lose(i) => {
                 state.losses += 1;
-                let life = state.copies[i as usize].life + 1;
-                state.copies[i as usize] = Held {
-                    life,
+                let incarnation = state.replicas[i as usize].incarnation + 1;
+                state.replicas[i as usize] = Held {
+                    incarnation,
                     fetched: Some(BTreeSet::new()),
                     ..Held::default()
                 };
             }
-            Act::Fetch(i, from) => {
-                let life = state.copies[i as usize].life;
-                let teller = &mut state.copies[from as usize];
+            Act::StateTransfer(i, from) => {
+                let incarnation = state.replicas[i as usize].incarnation;
+                let teller = &mut state.replicas[from as usize];
                 if teller.fetched.is_some() {
                     return None;
                 }
-                teller.lives.insert(NameKey(i), life);
-                let (copy, lives) = (teller.copy.clone(), teller.lives.clone());
-                let held = &mut state.copies[i as usize];
-                held.copy.learn(copy);
-                lives
+                teller.incarnations.insert(NameKey(i), incarnation);
+                let (acceptor, incarnations) =
+                    (teller.acceptor.clone(), teller.incarnations.clone());
+                let held = &mut state.replicas[i as usize];
+                held.acceptor.learn(acceptor);
+                incarnations
                     .into_iter()
                     .filter(|(name, _)| name.0 != i)
-                    .for_each(|(name, life)| {
-                        let known = held.lives.entry(name).or_default();
-                        *known = life.max(*known);
+                    .for_each(|(name, incarnation)| {
+                        let known = held.incarnations.entry(name).or_default();
+                        *known = incarnation.max(*known);
                     });
                 let had = held.fetched.as_mut()?;
                 had.insert(from);
@@ -300,7 +315,8 @@
         vec![
             Property::always("no version is followed by two", |_, state: &State| {
                 let done = || state.writers.iter().flat_map(|w| &w.done);
-                let bases: BTreeSet<Option<Version>> = done().map(|(on, _)| *on).collect();
+                let bases: BTreeSet<Option<Version>> =
+                    done().map(|(expected, _)| *expected).collect();
                 bases.len() == done().count()
             }),
             Property::always(
@@ -311,7 +327,7 @@
                         .iter()
                         .zip(&state.floor)
                         .all(|(writer, floor)| {
-                            writer.job.is_some()
+                            writer.proposal.is_some()
                                 || writer.seen.is_empty()
                                 || writer.seen.last().copied() >= *floor
                         })
@@ -355,7 +371,7 @@
     let (count, whole) = check(
         Size {
             writes: [1, 1],
-            tries: 1,
+            attempts: 1,
             losses: 0,
         },
         states(30_000),
@@ -368,7 +384,7 @@
     let (count, whole) = check(
         Size {
             writes: [2, 1],
-            tries: 0,
+            attempts: 0,
             losses: 0,
         },
         states(30_000),
@@ -381,7 +397,7 @@
     let (count, whole) = check(
         Size {
             writes: [1, 1],
-            tries: 0,
+            attempts: 0,
             losses: 1,
         },
         states(30_000),
--- a/crates/replicated-register/src/placement.rs
+++ b/crates/replicated-register/src/placement.rs
@@ -8,7 +8,7 @@
 use crate::RegisterKey;
 
 /// The members of the roster with the highest scores for this key, the highest first.
-pub fn copies(roster: &BTreeSet<NameKey>, most: usize, key: RegisterKey) -> Vec<NameKey> {
+pub fn replicas(roster: &BTreeSet<NameKey>, most: usize, key: RegisterKey) -> Vec<NameKey> {
     let mut scored: Vec<(u64, NameKey)> = roster
         .iter()
         .map(|name| (score(key, *name), *name))
@@ -43,7 +43,7 @@
         let (mut held, mut moved) = (std::collections::BTreeMap::new(), 0);
         for i in 0..6000u128 {
             let key = RegisterKey(i.to_le_bytes());
-            let (few, many) = (copies(&short, 3, key), copies(&long, 3, key));
+            let (few, many) = (replicas(&short, 3, key), replicas(&long, 3, key));
             assert!(few.len() == 3 && few.iter().collect::<BTreeSet<_>>().len() == 3);
             few.iter()
                 .for_each(|name| *held.entry(*name).or_insert(0) += 1);
@@ -51,6 +51,6 @@
         }
         assert!(held.values().all(|n| (2800..=3200).contains(n)), "{held:?}");
         assert!((2350..=2800).contains(&moved), "{moved}");
-        assert_eq!(copies(&short, 9, RegisterKey([0; 16])).len(), 6);
+        assert_eq!(replicas(&short, 9, RegisterKey([0; 16])).len(), 6);
     }
 }
--- a/crates/replicated-register/src/register.rs
+++ b/crates/replicated-register/src/register.rs
@@ -64,12 +64,12 @@
 
 /// One copy of one register: an acceptor of single-decree Paxos whose value may change (CASPaxos).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Copy {
+pub struct Acceptor {
     pub promised: Option<Ballot>,
     pub accepted: Option<Accepted>,
 }
 
-impl Copy {
+impl Acceptor {
     /// Promises to take nothing below the ballot; tells whether anything changed.
     ///
     /// # Errors
@@ -109,7 +109,7 @@
     }
 
     /// Learns what another copy holds, while catching up; tells whether anything changed.
-    pub fn learn(&mut self, other: Copy) -> bool {
+    pub fn learn(&mut self, other: Acceptor) -> bool {
         let before = (self.promised, self.accepted.as_ref().map(|a| a.ballot));
         self.promised = self.promised.max(other.promised);
         if let Some(accepted) = other.accepted {
@@ -158,7 +158,7 @@
             before: None,
             body: Some(vec![1]),
         };
-        let (mut one, mut other) = (Copy::default(), Copy::default());
+        let (mut one, mut other) = (Acceptor::default(), Acceptor::default());
         assert_eq!(other.prepare(ballot(7)), Ok(true));
         assert_eq!(one.accept(ballot(5), &state), Ok(true));
         assert!(other.learn(one.clone()) && !other.learn(one.clone()));
--- a/crates/replicated-register/src/replica/mod.rs
+++ b/crates/replicated-register/src/replica/mod.rs
@@ -1,8 +1,8 @@
 //! One member's part: the copies that it holds, and the calls that it makes.
 
-mod calls;
-mod catch_up;
-mod serve;
+mod acceptor;
+mod proposer;
+mod state_transfer;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -12,59 +12,61 @@
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::SplitMix64;
 
-use crate::job::{Job, Lead, Mint};
-use crate::memory::{Kind, Memory};
-use crate::message::Said;
-use crate::shelf::Shelf;
-use crate::{disk, Call, Event, Input, Output, RegisterKey, ReplicaError, Settings, Version};
+use crate::message::Message;
+use crate::proposal::{IdAllocator, LeaderBallot, Proposal};
+use crate::recovery::{Completeness, RecoveryState};
+use crate::store::RegisterStore;
+use crate::{
+    disk_records, Call, Event, Input, Output, RegisterError, RegisterKey, Settings, Version,
+};
 
-use calls::Trail;
-use catch_up::Fetch;
+use proposer::TombstoneRepair;
+use state_transfer::StateTransfer;
 
 /// How long a copy with its disk waits for all others to have spoken, before one that did is enough.
-const GRACE: Duration = Duration::from_secs(3);
+const CATCH_UP_GRACE: Duration = Duration::from_secs(3);
 /// Between two tellings of how far its memory goes.
-const BEAT: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// After so many it is told again to all, as frames are lost, and what others told is kept on disk.
-const BEATS: u32 = 10;
+const HEARTBEATS_PER_REPEAT: u32 = 10;
 /// What is lost is taken to have ended by then: the longest life of a workflow.
-const LOST_FOR: Duration = Duration::from_secs(24 * 3600);
+const LOSS_RETENTION: Duration = Duration::from_secs(24 * 3600);
 /// Answers that may wait for the disk; beyond it a message counts as lost.
-const WAITING_MOST: usize = 16 * 1024;
+const MAX_PENDING_WRITES: usize = 16 * 1024;
 
 /// What is done once something is on disk.
-struct Ticket {
-    what: For,
+struct PendingWrite {
+    what: WritePurpose,
     /// Changes of this memory, this one included.
     count: u64,
-    replies: Vec<(NameKey, Said)>,
+    replies: Vec<(NameKey, Message)>,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum For {
+enum WritePurpose {
     Register(RegisterKey),
-    Meta,
-    Fetched(RegisterKey, NameKey, u64),
-    Nothing,
+    Metadata,
+    Transferred(RegisterKey, NameKey, u64),
+    Removal,
 }
 
 /// Whether what memory holds of a register is on disk.
 #[derive(Clone, Copy, PartialEq)]
-enum Unkept {
-    Ticket(u64),
+enum Unsynced {
+    Pending(u64),
     /// It could not be written.
     Failed,
 }
 
 /// What came to nothing, for whoever looks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct Counters {
     pub unreadable: u64,
     pub other_version: u64,
     /// Chunks whose checksum was wrong.
     pub broken_chunks: u64,
     /// Calls and messages refused at a bound.
-    pub turned_away: u64,
+    pub rejected: u64,
 }
 
 pub struct Replica {
@@ -72,37 +74,37 @@
     roster: BTreeSet<NameKey>,
     settings: Settings,
     /// None until the disk has been read.
-    memory: Option<Memory>,
+    memory: Option<RecoveryState>,
     opened: Duration,
-    shelf: Shelf,
-    mint: Mint,
-    jobs: BTreeMap<Call, Job>,
+    store: RegisterStore,
+    ids: IdAllocator,
+    proposals: BTreeMap<Call, Proposal>,
     /// Calls by register; the first of each is under way.
     lines: BTreeMap<RegisterKey, VecDeque<Call>>,
     due: BTreeSet<(Duration, Call)>,
-    leads: BTreeMap<RegisterKey, Lead>,
-    trails: BTreeMap<RegisterKey, Trail>,
-    fetches: BTreeMap<NameKey, Fetch>,
+    leader_ballots: BTreeMap<RegisterKey, LeaderBallot>,
+    tombstone_repairs: BTreeMap<RegisterKey, TombstoneRepair>,
+    transfers: BTreeMap<NameKey, StateTransfer>,
     sessions: u64,
     fetched: u64,
     caught_up: bool,
     lost_since: Option<Duration>,
-    tickets: BTreeMap<u64, Ticket>,
-    next_ticket: u64,
-    unkept: BTreeMap<RegisterKey, Unkept>,
+    pending_writes: BTreeMap<u64, PendingWrite>,
+    last_ticket: u64,
+    unsynced: BTreeMap<RegisterKey, Unsynced>,
     /// Of the changes, those that outlive this process.
     kept: u64,
-    meta: Option<Unkept>,
+    metadata_unsynced: Option<Unsynced>,
     fault: Option<KeepError>,
-    beat_at: Duration,
-    beats: u32,
-    told: BTreeMap<NameKey, (u64, u64)>,
+    heartbeat_at: Duration,
+    heartbeats: u32,
+    announced: BTreeMap<NameKey, (u64, u64)>,
     peers: Option<Peers>,
     /// To itself, within a step.
-    inbox: VecDeque<Said>,
-    odd: BTreeSet<NameKey>,
-    counts: Counts,
-    draws: SplitMix64,
+    loopback: VecDeque<Message>,
+    unsupported_versions: BTreeSet<NameKey>,
+    counters: Counters,
+    rng: SplitMix64,
 }
 
 impl Replica {
@@ -115,199 +117,238 @@
         seed: u64,
         now: Duration,
     ) -> Replica {
-        let memory =
-            (!settings.durable).then(|| Memory::new(own.name, &roster, Kind::Fresh, own.start));
+        let memory = (!settings.durable)
+            .then(|| RecoveryState::new(own.name, &roster, Completeness::Fresh, own.start));
         Replica {
             own,
             roster,
             settings,
             memory,
             opened: now,
-            shelf: Shelf::default(),
-            mint: Mint::new(own),
-            jobs: BTreeMap::new(),
+            store: RegisterStore::default(),
+            ids: IdAllocator::new(own),
+            proposals: BTreeMap::new(),
             lines: BTreeMap::new(),
             due: BTreeSet::new(),
-            leads: BTreeMap::new(),
-            trails: BTreeMap::new(),
-            fetches: BTreeMap::new(),
+            leader_ballots: BTreeMap::new(),
+            tombstone_repairs: BTreeMap::new(),
+            transfers: BTreeMap::new(),
             sessions: 0,
             fetched: 0,
             caught_up: false,
             lost_since: None,
-            tickets: BTreeMap::new(),
-            next_ticket: 0,
-            unkept: BTreeMap::new(),
+            pending_writes: BTreeMap::new(),
+            last_ticket: 0,
+            unsynced: BTreeMap::new(),
             kept: 0,
-            meta: None,
+            metadata_unsynced: None,
             fault: None,
-            beat_at: now,
-            beats: 0,
-            told: BTreeMap::new(),
+            heartbeat_at: now,
+            heartbeats: 0,
+            announced: BTreeMap::new(),
             peers: None,
-            inbox: VecDeque::new(),
-            odd: BTreeSet::new(),
-            counts: Counts::default(),
-            draws: SplitMix64::seed_from_u64(seed),
+            loopback: VecDeque::new(),
+            unsupported_versions: BTreeSet::new(),
+            counters: Counters::default(),
+            rng: SplitMix64::seed_from_u64(seed),
         }
     }
 
     /// When it wants [`Input::Wake`], at the latest.
     pub fn wake_at(&self) -> Option<Duration> {
-        let job = self.due.first().map(|(at, _)| *at);
-        let trail = self.trails.values().map(|t| t.at).min();
-        let fetch = self.fetches.values().map(|f| f.at).min();
-        [job, trail, fetch, self.shelf.next_end(), Some(self.beat_at)]
-            .into_iter()
-            .flatten()
-            .min()
+        let proposal = self.due.first().map(|(at, _)| *at);
+        let tombstone_repair = self.tombstone_repairs.values().map(|t| t.at).min();
+        let fetch = self.transfers.values().map(|f| f.at).min();
+        [
+            proposal,
+            tombstone_repair,
+            fetch,
+            self.store.next_end(),
+            Some(self.heartbeat_at),
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
     /// Takes one input at a clock time and appends what is to be done, in order.
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Wake => {}
-            Input::Frame { from, said } => self.frame(now, from, &said, out),
+            Input::Frame { from, payload } => self.on_frame(now, from, &payload, out),
             Input::Peers(peers) => self.peers = Some(peers),
-            Input::Found(found) => self.found(now, found, out),
-            Input::Kept { ticket, done } => self.on_kept(now, ticket, done, out),
+            Input::Loaded(found) => self.found(now, found, out),
+            Input::Stored { ticket, done } => self.on_stored(now, ticket, done, out),
             Input::Read { call, key, until } => self.read(now, call, key, until, out),
             Input::Write {
                 call,
                 key,
-                on,
+                expected,
                 epoch,
                 value,
                 until,
             } => {
-                self.write(now, call, key, (on, epoch, Some(value)), until, out);
+                self.write(now, call, key, (expected, epoch, Some(value)), until, out);
             }
-            Input::Drop {
+            Input::Delete {
                 call,
                 key,
-                on,
+                expected,
                 until,
             } => {
-                self.write(now, call, key, (Some(on), on.epoch, None), until, out);
+                self.write(
+                    now,
+                    call,
+                    key,
+                    (Some(expected), expected.epoch, None),
+                    until,
+                    out,
+                );
             }
         }
-        self.do_due(now, out);
-        while let Some(said) = self.inbox.pop_front() {
-            self.hear(now, self.own, said, out);
+        self.run_due(now, out);
+        while let Some(message) = self.loopback.pop_front() {
+            self.on_message(now, self.own, message, out);
         }
     }
 
     /// Keys held here with their latest accepted value, which may not be the latest of all.
     pub fn held(&self) -> impl Iterator<Item = (&RegisterKey, Version, &[u8])> {
-        self.shelf.after(None).filter_map(|(key, copy)| {
-            let state = &copy.accepted.as_ref()?.state;
+        self.store.after(None).filter_map(|(key, acceptor)| {
+            let state = &acceptor.accepted.as_ref()?.state;
             Some((key, state.version, state.body.as_deref()?))
         })
     }
 
     /// Who holds copies of a key: rendezvous hashing over the roster.
-    pub fn copies(&self, key: RegisterKey) -> Vec<NameKey> {
-        crate::placement::copies(&self.roster, self.settings.copies, key)
+    pub fn replicas(&self, key: RegisterKey) -> Vec<NameKey> {
+        crate::placement::replicas(&self.roster, self.settings.replicas, key)
     }
 
     /// Whether this copy counts for a register now.
     pub fn counts_for(&self, now: Duration, key: RegisterKey) -> bool {
-        let copies = self.copies(key);
-        let waited = now >= self.opened + GRACE;
-        copies.contains(&self.own.name)
+        let replicas = self.replicas(key);
+        let waited = now >= self.opened + CATCH_UP_GRACE;
+        replicas.contains(&self.own.name)
             && self
                 .memory
                 .as_ref()
-                .is_some_and(|m| m.ready(&copies, waited))
+                .is_some_and(|m| m.ready(&replicas, waited))
     }
 
-    pub fn counts(&self) -> Counts {
-        self.counts
+    pub fn counters(&self) -> Counters {
+        self.counters
     }
 
-    fn frame(&mut self, now: Duration, from: Process, said: &[u8], out: &mut Vec<Output>) {
+    fn on_frame(&mut self, now: Duration, from: Process, message: &[u8], out: &mut Vec<Output>) {
         if from.name == self.own.name || !self.roster.contains(&from.name) {
             return;
         }
-        match Said::read(said) {
-            Ok(said) => self.hear(now, from, said, out),
-            Err(ReplicaError::OtherVersion(_)) => {
-                self.counts.other_version += 1;
-                if self.odd.insert(from.name) {
-                    out.push(Output::Event(Event::OtherVersion(from.name)));
+        match Message::read(message) {
+            Ok(message) => self.on_message(now, from, message, out),
+            Err(RegisterError::UnsupportedVersion(_)) => {
+                self.counters.other_version += 1;
+                if self.unsupported_versions.insert(from.name) {
+                    out.push(Output::Event(Event::UnsupportedVersion(from.name)));
                 }
             }
-            Err(_) => self.counts.unreadable += 1,
+            Err(_) => self.counters.unreadable += 1,
         }
     }
 
-    fn hear(&mut self, now: Duration, from: Process, said: Said, out: &mut Vec<Output>) {
+    fn on_message(
+        &mut self,
+        now: Duration,
+        from: Process,
+        message: Message,
+        out: &mut Vec<Output>,
+    ) {
         let name = from.name;
-        match said {
-            Said::Look { key, ballot } => self.on_look(now, name, key, ballot, out),
-            Said::Prepare { key, ballot } => self.on_prepare(now, name, key, ballot, out),
-            Said::Accept { key, ballot, state } => {
+        match message {
+            Message::Read { key, ballot } => self.on_read(now, name, key, ballot, out),
+            Message::Prepare { key, ballot } => self.on_prepare(now, name, key, ballot, out),
+            Message::Accept { key, ballot, state } => {
                 self.on_accept(now, name, (key, ballot, &state), out)
             }
-            Said::Promised {
+            Message::Promise {
                 key,
                 ballot,
-                stamp,
+                provenance,
                 accepted,
             } => {
-                self.on_promised(now, name, (key, ballot), stamp, accepted, out);
-            }
-            Said::Took { key, ballot, stamp } => self.on_took(now, name, (key, ballot), stamp, out),
-            Said::Refused { key, ballot, why } => {
-                self.on_refused(now, name, (key, ballot), why, out)
+                self.on_promised(now, name, (key, ballot), provenance, accepted, out);
             }
-            Said::Gone { key, version } => self.shelf.gone(now, key, version),
-            Said::CatchUp {
+            Message::Accepted {
+                key,
+                ballot,
+                provenance,
+            } => self.on_accepted(now, name, (key, ballot), provenance, out),
+            Message::Rejected {
+                key,
+                ballot,
+                reason,
+            } => self.on_rejected(now, name, (key, ballot), reason, out),
+            Message::Forget { key, version } => self.store.gone(now, key, version),
+            Message::FetchState {
                 session,
-                life,
+                incarnation,
                 count,
                 after,
             } => {
-                self.on_catch_up(name, (session, after), (life, count), out);
+                self.on_fetch_state(name, (session, after), (incarnation, count), out);
+            }
+            Message::StateChunk(chunk) => self.on_state_chunk(now, from, &chunk, out),
+            Message::Heartbeat { incarnation, count } => {
+                self.note(name, incarnation, count, out);
             }
-            Said::Chunk(chunk) => self.on_chunk(now, from, &chunk, out),
-            Said::Beat { life, count } => drop(self.note(name, life, count, out)),
         }
     }
 
-    fn do_due(&mut self, now: Duration, out: &mut Vec<Output>) {
-        self.do_due_calls(now, out);
-        self.do_due_trails(now, out);
+    fn run_due(&mut self, now: Duration, out: &mut Vec<Output>) {
+        self.run_due_calls(now, out);
+        self.run_due_tombstone_repairs(now, out);
         self.fetch(now, out);
-        self.look_caught_up(now, out);
-        for key in self.shelf.expire(now) {
-            self.unkept.remove(&key);
+        self.check_caught_up(now, out);
+        for key in self.store.expire(now) {
+            self.unsynced.remove(&key);
             if self.settings.durable {
                 // The record that told how many changes there were may be the one that goes.
-                self.keep_meta(vec![], out);
-                self.keep(For::Nothing, disk::name(key), None, vec![], out);
+                self.store_metadata(vec![], out);
+                self.store_record(
+                    WritePurpose::Removal,
+                    disk_records::name(key),
+                    None,
+                    vec![],
+                    out,
+                );
             }
         }
-        if now >= self.beat_at {
-            self.beat_at = now + BEAT;
-            self.beat(now, out);
+        if now >= self.heartbeat_at {
+            self.heartbeat_at = now + HEARTBEAT_INTERVAL;
+            self.heartbeat(now, out);
         }
     }
 
-    fn beat(&mut self, now: Duration, out: &mut Vec<Output>) {
-        self.beats += 1;
-        if self.beats >= BEATS {
-            self.beats = 0;
-            self.told.clear();
+    fn heartbeat(&mut self, now: Duration, out: &mut Vec<Output>) {
+        self.heartbeats += 1;
+        if self.heartbeats >= HEARTBEATS_PER_REPEAT {
+            self.heartbeats = 0;
+            self.announced.clear();
             if self.settings.durable && self.memory.is_some() {
-                self.keep_meta(vec![], out);
+                self.store_metadata(vec![], out);
             }
         }
-        if self.lost_since.is_some_and(|since| now >= since + LOST_FOR) {
+        if self
+            .lost_since
+            .is_some_and(|since| now >= since + LOSS_RETENTION)
+        {
             self.lost_since = None;
-            self.memory.iter_mut().for_each(Memory::forgive);
+            self.memory
+                .iter_mut()
+                .for_each(RecoveryState::assume_complete);
         }
-        let Some((life, count)) = self.memory.as_ref().map(|m| (m.life, self.kept)) else {
+        let Some((incarnation, count)) = self.memory.as_ref().map(|m| (m.incarnation, self.kept))
+        else {
             return;
         };
         let others: Vec<NameKey> = self
@@ -317,40 +358,40 @@
             .filter(|n| *n != self.own.name)
             .collect();
         for name in others {
-            if self.told.insert(name, (life, count)) != Some((life, count)) {
-                self.send(name, Said::Beat { life, count }, out);
+            if self.announced.insert(name, (incarnation, count)) != Some((incarnation, count)) {
+                self.send(name, Message::Heartbeat { incarnation, count }, out);
             }
         }
     }
 
     /// Takes word of how far another's memory goes.
-    fn note(&mut self, name: NameKey, life: u64, count: u64, out: &mut Vec<Output>) -> bool {
+    fn note(&mut self, name: NameKey, incarnation: u64, count: u64, out: &mut Vec<Output>) -> bool {
         let Some(memory) = &mut self.memory else {
             return false;
         };
         let (later, loss) = memory.note(
             name,
-            crate::memory::Life {
-                life,
+            crate::recovery::Incarnation {
+                incarnation,
                 count,
                 lost: false,
             },
         );
         if loss {
-            out.push(Output::Event(Event::CopyLost(name)));
+            out.push(Output::Event(Event::ReplicaLost(name)));
         }
         later
     }
 
-    fn send(&mut self, to: NameKey, said: Said, out: &mut Vec<Output>) {
+    fn send(&mut self, to: NameKey, message: Message, out: &mut Vec<Output>) {
         match to == self.own.name {
-            true => self.inbox.push_back(said),
-            false => out.push(Output::Send(to, said.write())),
+            true => self.loopback.push_back(message),
+            false => out.push(Output::Send(to, message.write())),
         }
     }
 
     /// 64 bits of chance.
     fn draw(&mut self) -> u64 {
-        self.draws.next_u64()
+        self.rng.next_u64()
     }
 }
--- a/crates/replicated-register/src/replica/catch_up.rs
+++ b/crates/replicated-register/src/replica/state_transfer.rs
@@ -7,24 +7,24 @@
 use bitternlatch_membership::NameKey;
 use bitternlatch_quota_lease::{Found, KeepError, Process};
 
-use super::{For, Replica, Unkept, GRACE};
-use crate::disk::{self, Disk};
-use crate::memory::{Kind, Life, Memory, Source};
-use crate::message::{Chunk, Said, Session};
-use crate::register::{Copy, RegisterKey};
+use super::{Replica, Unsynced, WritePurpose, CATCH_UP_GRACE};
+use crate::disk_records::{self, StoredState};
+use crate::message::{Message, StateChunk, TransferSession};
+use crate::recovery::{Completeness, Incarnation, RecoveryState, Source};
+use crate::register::{Acceptor, RegisterKey};
 use crate::{Event, Output};
 
 /// A chunk that did not come is asked for again, and one who did not answer, or lacked something itself.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Bytes of values in a chunk; a single value always has room.
-const CHUNK_BYTES: usize = 50 * 1024;
+const MAX_CHUNK_BYTES: usize = 50 * 1024;
 /// Bytes of a register beside its value, at the most.
-const ITEM_BYTES: usize = 160;
+const REGISTER_OVERHEAD_BYTES: usize = 160;
 /// Registers looked through for one chunk.
-const LOOKED_MOST: usize = 4096;
+const MAX_SCANNED_REGISTERS: usize = 4096;
 
 /// The fetching of all that another copy holds.
-pub struct Fetch {
+pub struct StateTransfer {
     number: u64,
     /// The start of the process that tells.
     start: Option<u64>,
@@ -34,8 +34,8 @@
     /// Registers that are not on disk yet.
     waiting: usize,
     failed: bool,
-    kind: Kind,
-    miss: BTreeSet<NameKey>,
+    completeness: Completeness,
+    missing: BTreeSet<NameKey>,
 }
 
 impl Replica {
@@ -50,71 +50,74 @@
         }
         self.opened = now;
         let (own, start) = (self.own.name, self.own.start);
-        let new = |kind, life| Memory::new(own, &self.roster, kind, life);
+        let new = |completeness, incarnation| {
+            RecoveryState::new(own, &self.roster, completeness, incarnation)
+        };
         let mut stale = Vec::new();
         let memory = match found {
             Err(fault) => {
                 self.fault = Some(fault.clone());
                 out.push(Output::Event(Event::DiskFault(fault)));
-                new(Kind::Lost, start)
+                new(Completeness::Lost, start)
             }
             Ok(found) => {
                 let names: Vec<Vec<u8>> = found.iter().map(|(name, _)| name.clone()).collect();
-                match disk::open(found) {
-                    Disk::Empty => new(Kind::Fresh, start),
-                    Disk::Torn => {
+                match disk_records::open(found) {
+                    StoredState::Empty => new(Completeness::Fresh, start),
+                    StoredState::Corrupt => {
                         stale = names;
-                        out.push(Output::Event(Event::Torn));
-                        new(Kind::Lost, start)
+                        out.push(Output::Event(Event::DiskCorrupt));
+                        new(Completeness::Lost, start)
                     }
-                    Disk::Whole {
+                    StoredState::Intact {
                         meta,
                         registers,
                         stale: old,
                     } => {
                         stale = old;
-                        for (key, copy) in registers {
+                        for (key, acceptor) in registers {
                             // What does not fit now did not fit then.
-                            let bytes = copy.bytes();
-                            let _ = self.shelf.change(now, key, bytes, |held| *held = copy);
+                            let bytes = acceptor.bytes();
+                            let _ = self.store.change(now, key, bytes, |held| *held = acceptor);
                         }
                         self.kept = meta.count;
-                        new(meta.kind, meta.life).with(meta.count, meta.lives)
+                        new(meta.completeness, meta.incarnation).with(meta.count, meta.incarnations)
                     }
                 }
             }
         };
         self.memory = Some(memory);
         for name in stale {
-            self.keep(For::Nothing, name, None, vec![], out);
+            self.store_record(WritePurpose::Removal, name, None, vec![], out);
         }
-        self.keep_meta(vec![], out);
+        self.store_metadata(vec![], out);
     }
 
     /// Asks those it has not caught up with, one chunk at a time of each.
     pub(super) fn fetch(&mut self, now: Duration, out: &mut Vec<Output>) {
         let Some(memory) = &self.memory else { return };
-        let wanting = memory.wanting();
-        let (life, count) = (memory.life, self.kept);
-        for name in wanting {
-            if !self.fetches.contains_key(&name) {
+        let pending_sources = memory.pending_sources();
+        let (incarnation, count) = (memory.incarnation, self.kept);
+        for name in pending_sources {
+            if !self.transfers.contains_key(&name) {
                 self.sessions += 1;
-                self.fetches.insert(name, Fetch::new(self.sessions, now));
+                self.transfers
+                    .insert(name, StateTransfer::new(self.sessions, now));
             }
         }
         let mut asks = Vec::new();
-        for (name, fetch) in self.fetches.iter_mut().filter(|(_, f)| f.at <= now) {
-            fetch.at = now + ASK_AGAIN;
+        for (name, fetch) in self.transfers.iter_mut().filter(|(_, f)| f.at <= now) {
+            fetch.at = now + RETRY_INTERVAL;
             if !fetch.ended {
-                let session = Session {
+                let session = TransferSession {
                     start: self.own.start,
                     number: fetch.number,
                 };
                 asks.push((
                     *name,
-                    Said::CatchUp {
+                    Message::FetchState {
                         session,
-                        life,
+                        incarnation,
                         count,
                         after: fetch.after,
                     },
@@ -122,152 +125,156 @@
             }
         }
         asks.into_iter()
-            .for_each(|(name, said)| self.send(name, said, out));
+            .for_each(|(name, message)| self.send(name, message, out));
     }
 
-    pub(super) fn on_catch_up(
+    pub(super) fn on_fetch_state(
         &mut self,
         from: NameKey,
-        (session, after): (Session, Option<RegisterKey>),
-        (life, count): (u64, u64),
+        (session, after): (TransferSession, Option<RegisterKey>),
+        (incarnation, count): (u64, u64),
         out: &mut Vec<Output>,
     ) {
-        let later = self.note(from, life, count, out);
+        let later = self.note(from, incarnation, count, out);
         let Some(memory) = &self.memory else { return };
-        let (mut items, mut bytes, mut looked) = (Vec::<(RegisterKey, &Copy)>::new(), 0, 0);
-        let (mut upto, mut end) = (after, true);
-        for (key, copy) in self.shelf.after(after) {
-            if looked >= LOOKED_MOST || bytes + copy.bytes() + ITEM_BYTES > CHUNK_BYTES {
+        let (mut items, mut bytes, mut looked) = (Vec::<(RegisterKey, &Acceptor)>::new(), 0, 0);
+        let (mut up_to, mut end) = (after, true);
+        for (key, acceptor) in self.store.after(after) {
+            if looked >= MAX_SCANNED_REGISTERS
+                || bytes + acceptor.bytes() + REGISTER_OVERHEAD_BYTES > MAX_CHUNK_BYTES
+            {
                 end = false;
                 break;
             }
             looked += 1;
-            upto = Some(*key);
-            if self.copies(*key).contains(&from) {
-                bytes += copy.bytes() + ITEM_BYTES;
-                items.push((*key, copy));
+            up_to = Some(*key);
+            if self.replicas(*key).contains(&from) {
+                bytes += acceptor.bytes() + REGISTER_OVERHEAD_BYTES;
+                items.push((*key, acceptor));
             }
         }
         // Plain data cannot fail to be written; what does not open is asked for again.
         let items = postcard::to_stdvec(&items).unwrap_or_default();
-        let said = Said::Chunk(Box::new(Chunk {
+        let message = Message::StateChunk(Box::new(StateChunk {
             session,
             after,
-            upto: upto.filter(|_| !end),
-            kind: memory.kind,
-            miss: memory.miss().iter().copied().collect(),
-            lives: memory
-                .lives()
+            up_to: up_to.filter(|_| !end),
+            completeness: memory.completeness,
+            missing: memory.missing().iter().copied().collect(),
+            incarnations: memory
+                .incarnations()
                 .iter()
-                .map(|(name, life)| (*name, *life))
+                .map(|(name, incarnation)| (*name, *incarnation))
                 .collect(),
             sum: crc32fast::hash(&items),
             items,
         }));
         // From now on it says to all that the other's earlier life has ended; it must not forget that.
-        match (self.settings.durable, self.meta) {
-            (true, Some(Unkept::Ticket(ticket))) if !later => {
-                self.tickets
+        match (self.settings.durable, self.metadata_unsynced) {
+            (true, Some(Unsynced::Pending(ticket))) if !later => {
+                self.pending_writes
                     .get_mut(&ticket)
                     .into_iter()
-                    .for_each(|t| t.replies.push((from, said.clone())));
+                    .for_each(|t| t.replies.push((from, message.clone())));
+            }
+            (true, meta) if later || meta.is_some() => {
+                self.store_metadata(vec![(from, message)], out)
             }
-            (true, meta) if later || meta.is_some() => self.keep_meta(vec![(from, said)], out),
-            _ => self.send(from, said, out),
+            _ => self.send(from, message, out),
         }
     }
 
-    pub(super) fn on_chunk(
+    pub(super) fn on_state_chunk(
         &mut self,
         now: Duration,
         from: Process,
-        chunk: &Chunk,
+        chunk: &StateChunk,
         out: &mut Vec<Output>,
     ) {
         let name = from.name;
-        let ours = |f: &&mut Fetch| {
+        let own_version = |f: &&mut StateTransfer| {
             chunk.session
-                == Session {
+                == TransferSession {
                     start: self.own.start,
                     number: f.number,
                 }
                 && chunk.after == f.after
                 && !f.ended
         };
-        let Some(fetch) = self.fetches.get_mut(&name).filter(ours) else {
+        let Some(fetch) = self.transfers.get_mut(&name).filter(own_version) else {
             return;
         };
         let Some(items) = chunk.open() else {
-            self.counts.broken_chunks += 1;
+            self.counters.broken_chunks += 1;
             return;
         };
         if fetch.start.is_some_and(|start| start != from.start) {
             // Another process tells on: from the beginning, as its memory may be another one.
-            self.fetches.remove(&name);
+            self.transfers.remove(&name);
             return;
         }
         fetch.start = Some(from.start);
-        fetch.kind = fetch.kind.max(chunk.kind);
-        fetch.miss.extend(&chunk.miss);
+        fetch.completeness = fetch.completeness.max(chunk.completeness);
+        fetch.missing.extend(&chunk.missing);
         fetch.at = now;
-        match chunk.upto {
-            Some(upto) => fetch.after = Some(upto),
+        match chunk.up_to {
+            Some(up_to) => fetch.after = Some(up_to),
             None => fetch.ended = true,
         }
         let number = fetch.number;
-        if self.hear_lives(name, &chunk.lives, out) {
+        if self.on_incarnations(name, &chunk.incarnations, out) {
             return;
         }
-        for (key, copy) in items {
-            if !self.learn(now, key, copy, (name, number), out) {
-                self.fetches
+        for (key, acceptor) in items {
+            if !self.learn(now, key, acceptor, (name, number), out) {
+                self.transfers
                     .get_mut(&name)
                     .into_iter()
                     .for_each(|f| f.failed = true);
             }
         }
-        self.look_fetched(now, name, out);
+        self.finish_transfer(now, name, out);
     }
 
     /// What another one knows of lives, this one's among them; tells whether that ends this life.
-    fn hear_lives(
+    fn on_incarnations(
         &mut self,
         by: NameKey,
-        lives: &[(NameKey, Life)],
+        incarnations: &[(NameKey, Incarnation)],
         out: &mut Vec<Output>,
     ) -> bool {
         let Some(memory) = &mut self.memory else {
             return true;
         };
-        let own = lives
+        let own = incarnations
             .iter()
             .find(|(name, _)| *name == self.own.name)
-            .map(|(_, life)| *life);
+            .map(|(_, incarnation)| *incarnation);
         let contradicted = own.is_some_and(|known| memory.contradicted(known));
         if contradicted {
-            if memory.kind == Kind::Fresh {
-                out.push(Output::Event(Event::Emptied { by }));
-                memory.lose(memory.life);
-            } else if self.own.start > memory.life {
+            if memory.completeness == Completeness::Fresh {
+                out.push(Output::Event(Event::DiskErased { by }));
+                memory.lose(memory.incarnation);
+            } else if self.own.start > memory.incarnation {
                 out.push(Output::Event(Event::OlderDisk { by }));
                 memory.lose(self.own.start);
-                self.shelf.clear();
-                self.unkept.clear();
-                self.tickets
+                self.store.clear();
+                self.unsynced.clear();
+                self.pending_writes
                     .values_mut()
                     .for_each(|ticket| ticket.replies.clear());
             } else {
                 return false;
             }
-            self.fetches.clear();
+            self.transfers.clear();
             if self.settings.durable {
-                self.keep_meta(vec![], out);
+                self.store_metadata(vec![], out);
             }
             return true;
         }
-        for (name, life) in lives {
-            if memory.note(*name, *life).1 {
-                out.push(Output::Event(Event::CopyLost(*name)));
+        for (name, incarnation) in incarnations {
+            if memory.note(*name, *incarnation).1 {
+                out.push(Output::Event(Event::ReplicaLost(*name)));
             }
         }
         false
@@ -278,19 +285,19 @@
         &mut self,
         now: Duration,
         key: RegisterKey,
-        copy: Copy,
+        acceptor: Acceptor,
         (from, number): (NameKey, u64),
         out: &mut Vec<Output>,
     ) -> bool {
-        if !self.copies(key).contains(&self.own.name) {
+        if !self.replicas(key).contains(&self.own.name) {
             return true;
         }
         match self
-            .shelf
-            .change(now, key, copy.bytes(), |held| held.learn(copy))
+            .store
+            .change(now, key, acceptor.bytes(), |held| held.learn(acceptor))
         {
             Err(_) => return false,
-            Ok(false) if !self.unkept.contains_key(&key) => return true,
+            Ok(false) if !self.unsynced.contains_key(&key) => return true,
             Ok(changed) => {
                 self.fetched += u64::from(changed);
                 self.memory
@@ -300,8 +307,13 @@
         }
         match self.settings.durable {
             true => {
-                self.keep_register(key, For::Fetched(key, from, number), vec![], out);
-                self.fetches
+                self.store_register(
+                    key,
+                    WritePurpose::Transferred(key, from, number),
+                    vec![],
+                    out,
+                );
+                self.transfers
                     .get_mut(&from)
                     .into_iter()
                     .for_each(|f| f.waiting += 1);
@@ -311,7 +323,7 @@
         true
     }
 
-    pub(super) fn on_fetched_kept(
+    pub(super) fn on_transferred_stored(
         &mut self,
         now: Duration,
         from: NameKey,
@@ -319,71 +331,75 @@
         kept: bool,
         out: &mut Vec<Output>,
     ) {
-        let Some(fetch) = self.fetches.get_mut(&from).filter(|f| f.number == number) else {
+        let Some(fetch) = self.transfers.get_mut(&from).filter(|f| f.number == number) else {
             return;
         };
         fetch.waiting = fetch.waiting.saturating_sub(1);
         fetch.failed |= !kept;
-        self.look_fetched(now, from, out);
+        self.finish_transfer(now, from, out);
     }
 
-    fn look_fetched(&mut self, now: Duration, name: NameKey, out: &mut Vec<Output>) {
+    fn finish_transfer(&mut self, now: Duration, name: NameKey, out: &mut Vec<Output>) {
         let Some(fetch) = self
-            .fetches
+            .transfers
             .get(&name)
             .filter(|f| f.ended && f.waiting == 0)
         else {
             return;
         };
         let source = Source {
-            kind: fetch.kind,
-            miss: fetch.miss.clone(),
+            completeness: fetch.completeness,
+            missing: fetch.missing.clone(),
         };
         let failed = fetch.failed;
-        self.fetches.remove(&name);
+        self.transfers.remove(&name);
         let Some(memory) = self.memory.as_mut() else {
             return;
         };
-        let before = memory.kind;
+        let before = memory.completeness;
         if !failed {
             memory.fetched(name, source);
         }
-        let changed = memory.kind != before;
+        let changed = memory.completeness != before;
         // Whoever is still wanted is asked again in a while, not at once.
         for name in self
             .memory
             .iter()
-            .flat_map(Memory::wanting)
+            .flat_map(RecoveryState::pending_sources)
             .collect::<Vec<_>>()
         {
-            if !self.fetches.contains_key(&name) {
+            if !self.transfers.contains_key(&name) {
                 self.sessions += 1;
-                self.fetches
-                    .insert(name, Fetch::new(self.sessions, now + 2 * ASK_AGAIN));
+                self.transfers.insert(
+                    name,
+                    StateTransfer::new(self.sessions, now + 2 * RETRY_INTERVAL),
+                );
             }
         }
         if changed && self.settings.durable {
-            self.keep_meta(vec![], out);
+            self.store_metadata(vec![], out);
         }
-        self.look_caught_up(now, out);
+        self.check_caught_up(now, out);
     }
 
-    pub(super) fn look_caught_up(&mut self, now: Duration, out: &mut Vec<Output>) {
+    pub(super) fn check_caught_up(&mut self, now: Duration, out: &mut Vec<Output>) {
         let Some(memory) = self.memory.as_ref().filter(|_| !self.caught_up) else {
             return;
         };
-        let waited = memory.kind == Kind::Whole && now >= self.opened + GRACE && memory.heard() > 0;
-        if memory.miss().is_empty() || waited {
+        let waited = memory.completeness == Completeness::Complete
+            && now >= self.opened + CATCH_UP_GRACE
+            && memory.heard() > 0;
+        if memory.missing().is_empty() || waited {
             self.caught_up = true;
-            let (registers, fetched) = (self.shelf.len(), self.fetched);
+            let (registers, fetched) = (self.store.len(), self.fetched);
             out.push(Output::Event(Event::CaughtUp { registers, fetched }));
         }
     }
 }
 
-impl Fetch {
-    fn new(number: u64, at: Duration) -> Fetch {
-        Fetch {
+impl StateTransfer {
+    fn new(number: u64, at: Duration) -> StateTransfer {
+        StateTransfer {
             number,
             start: None,
             after: None,
@@ -391,8 +407,8 @@
             ended: false,
             waiting: 0,
             failed: false,
-            kind: Kind::Whole,
-            miss: BTreeSet::new(),
+            completeness: Completeness::Complete,
+            missing: BTreeSet::new(),
         }
     }
 }
--- a/crates/replicated-register/src/shelf.rs
+++ b/crates/replicated-register/src/store.rs
@@ -3,48 +3,51 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::register::{Ballot, Copy, RegisterKey, State, Version};
+use crate::register::{Acceptor, Ballot, RegisterKey, State, Version};
 
 /// Registers of which one member holds copies, at the most; beyond it new ones are refused.
-pub const REGISTERS_MOST: usize = 64 * 1024;
+pub const MAX_REGISTERS: usize = 64 * 1024;
 /// Bytes of their values at the most; beyond it longer values are refused.
-pub const BYTES_MOST: usize = 256 << 20;
+pub const MAX_STORED_BYTES: usize = 256 << 20;
 /// A gap that all copies hold, and a promise about a register that holds nothing, are forgotten after this: no message is older.
-pub const GAP_LASTS: Duration = Duration::from_secs(600);
+pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(600);
 /// A gap that some copy may not hold. What a copy away for longer brings back is taken for the latest again.
-pub const OPEN_GAP_LASTS: Duration = Duration::from_secs(24 * 3600);
+pub const UNSETTLED_TOMBSTONE_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
 /// There is no room.
 #[derive(Debug)]
-pub struct NoRoom;
+pub struct CapacityError;
 
 #[derive(Default)]
-pub struct Shelf {
-    copies: BTreeMap<RegisterKey, Copy>,
+pub struct RegisterStore {
+    replicas: BTreeMap<RegisterKey, Acceptor>,
     bytes: usize,
     ends: BTreeMap<RegisterKey, Duration>,
     /// The first of the ends.
     next_end: Option<Duration>,
 }
 
-impl Shelf {
+impl RegisterStore {
     pub fn len(&self) -> usize {
-        self.copies.len()
+        self.replicas.len()
     }
 
-    pub fn get(&self, key: RegisterKey) -> Option<&Copy> {
-        self.copies.get(&key)
+    pub fn get(&self, key: RegisterKey) -> Option<&Acceptor> {
+        self.replicas.get(&key)
     }
 
     /// All after a key, in order.
-    pub fn after(&self, key: Option<RegisterKey>) -> impl Iterator<Item = (&RegisterKey, &Copy)> {
+    pub fn after(
+        &self,
+        key: Option<RegisterKey>,
+    ) -> impl Iterator<Item = (&RegisterKey, &Acceptor)> {
         use std::ops::Bound::{Excluded, Unbounded};
-        self.copies
+        self.replicas
             .range((key.map_or(Unbounded, Excluded), Unbounded))
     }
 
     pub fn clear(&mut self) {
-        *self = Shelf::default();
+        *self = RegisterStore::default();
     }
 
     /// Changes one, or begins one, where there is room for a value of so many bytes.
@@ -53,29 +56,32 @@
         now: Duration,
         key: RegisterKey,
         bytes: usize,
-        change: impl FnOnce(&mut Copy) -> T,
-    ) -> Result<T, NoRoom> {
-        let had = self.copies.get(&key).map(Copy::bytes);
-        let version = |copy: &Copy| copy.accepted.as_ref().map(|a| a.state.version);
-        let before = self.copies.get(&key).and_then(version);
-        if (had.is_none() && self.copies.len() >= REGISTERS_MOST)
-            || (bytes > had.unwrap_or(0) && self.bytes - had.unwrap_or(0) + bytes > BYTES_MOST)
+        change: impl FnOnce(&mut Acceptor) -> T,
+    ) -> Result<T, CapacityError> {
+        let had = self.replicas.get(&key).map(Acceptor::bytes);
+        let version = |acceptor: &Acceptor| acceptor.accepted.as_ref().map(|a| a.state.version);
+        let before = self.replicas.get(&key).and_then(version);
+        if (had.is_none() && self.replicas.len() >= MAX_REGISTERS)
+            || (bytes > had.unwrap_or(0)
+                && self.bytes - had.unwrap_or(0) + bytes > MAX_STORED_BYTES)
         {
-            return Err(NoRoom);
+            return Err(CapacityError);
         }
-        let copy = self.copies.entry(key).or_default();
-        let done = change(copy);
-        self.bytes = self.bytes - had.unwrap_or(0) + copy.bytes();
-        let lasts = match &copy.accepted {
+        let acceptor = self.replicas.entry(key).or_default();
+        let done = change(acceptor);
+        self.bytes = self.bytes - had.unwrap_or(0) + acceptor.bytes();
+        let lasts = match &acceptor.accepted {
             Some(accepted) if accepted.state.body.is_some() => None,
-            Some(accepted) if before != Some(accepted.state.version) => Some(now + OPEN_GAP_LASTS),
+            Some(accepted) if before != Some(accepted.state.version) => {
+                Some(now + UNSETTLED_TOMBSTONE_RETENTION)
+            }
             // A promise has to be remembered for as long as what it forbids may be under way.
             _ => Some(
                 self.ends
                     .get(&key)
                     .copied()
                     .unwrap_or_default()
-                    .max(now + GAP_LASTS),
+                    .max(now + TOMBSTONE_RETENTION),
             ),
         };
         match lasts {
@@ -95,8 +101,8 @@
         now: Duration,
         key: RegisterKey,
         ballot: Ballot,
-    ) -> Result<Result<bool, Ballot>, NoRoom> {
-        self.change(now, key, 0, |copy| copy.prepare(ballot))
+    ) -> Result<Result<bool, Ballot>, CapacityError> {
+        self.change(now, key, 0, |acceptor| acceptor.prepare(ballot))
     }
 
     pub fn accept(
@@ -105,20 +111,20 @@
         key: RegisterKey,
         ballot: Ballot,
         state: &State,
-    ) -> Result<Result<bool, Ballot>, NoRoom> {
+    ) -> Result<Result<bool, Ballot>, CapacityError> {
         let bytes = state.body.as_ref().map_or(0, Vec::len);
-        self.change(now, key, bytes, |copy| copy.accept(ballot, state))
+        self.change(now, key, bytes, |acceptor| acceptor.accept(ballot, state))
     }
 
     /// All copies hold this gap.
     pub fn gone(&mut self, now: Duration, key: RegisterKey, version: Version) {
         let state = self
-            .copies
+            .replicas
             .get(&key)
-            .and_then(|copy| copy.accepted.as_ref())
+            .and_then(|acceptor| acceptor.accepted.as_ref())
             .map(|a| &a.state);
         if state.is_some_and(|s| s.body.is_none() && s.version == version) {
-            self.end(key, now + GAP_LASTS);
+            self.end(key, now + TOMBSTONE_RETENTION);
         }
     }
 
@@ -139,7 +145,7 @@
             .collect();
         for key in &ended {
             self.ends.remove(key);
-            self.copies.remove(key);
+            self.replicas.remove(key);
         }
         self.next_end = self.ends.values().min().copied();
         ended
@@ -153,7 +159,7 @@
 
     #[test]
     fn room_is_bounded_gaps_end_and_values_stay() {
-        let (mut shelf, now) = (Shelf::default(), Duration::ZERO);
+        let (mut store, now) = (RegisterStore::default(), Duration::ZERO);
         let ballot = Ballot {
             round: 1,
             by: NameKey(1),
@@ -171,37 +177,40 @@
             body,
         };
         let key = |i: usize| RegisterKey((i as u128).to_le_bytes());
-        for i in 0..REGISTERS_MOST {
-            assert!(matches!(shelf.prepare(now, key(i), ballot), Ok(Ok(true))));
+        for i in 0..MAX_REGISTERS {
+            assert!(matches!(store.prepare(now, key(i), ballot), Ok(Ok(true))));
         }
-        assert!(shelf.prepare(now, key(REGISTERS_MOST), ballot).is_err());
-        let long = BYTES_MOST / crate::VALUE_MOST;
+        assert!(store.prepare(now, key(MAX_REGISTERS), ballot).is_err());
+        let long = MAX_STORED_BYTES / crate::MAX_VALUE_BYTES;
         for i in 0..long {
-            assert!(shelf
+            assert!(store
                 .accept(
                     now,
                     key(i),
                     ballot,
-                    &state(Some(vec![0; crate::VALUE_MOST]))
+                    &state(Some(vec![0; crate::MAX_VALUE_BYTES]))
                 )
                 .is_ok());
         }
-        assert!(shelf
+        assert!(store
             .accept(
                 now,
                 key(long),
                 ballot,
-                &state(Some(vec![0; crate::VALUE_MOST]))
+                &state(Some(vec![0; crate::MAX_VALUE_BYTES]))
             )
             .is_err());
         assert!(matches!(
-            shelf.accept(now, key(long), ballot, &state(None)),
+            store.accept(now, key(long), ballot, &state(None)),
             Ok(Ok(true))
         ));
-        assert_eq!(shelf.expire(GAP_LASTS).len(), REGISTERS_MOST - long - 1);
-        shelf.gone(now, key(long), version);
-        shelf.gone(now, key(0), version);
-        assert_eq!(shelf.expire(GAP_LASTS), vec![key(long)]);
-        assert_eq!((shelf.len(), shelf.next_end()), (long, None));
+        assert_eq!(
+            store.expire(TOMBSTONE_RETENTION).len(),
+            MAX_REGISTERS - long - 1
+        );
+        store.gone(now, key(long), version);
+        store.gone(now, key(0), version);
+        assert_eq!(store.expire(TOMBSTONE_RETENTION), vec![key(long)]);
+        assert_eq!((store.len(), store.next_end()), (long, None));
     }
 }
--- a/crates/replicated-register/tests/common/mod.rs
+++ b/crates/replicated-register/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use bitternlatch_membership::NameKey;
 use bitternlatch_quota_lease::{KeepError, Process};
 use bitternlatch_replicated_register::{
-    Call, Event, Input, Output, RegisterKey, Replica, ReplicaError, Settings, Version,
+    Call, Event, Input, Output, RegisterError, RegisterKey, Replica, Settings, Version,
 };
 use bitternlatch_simulation::{ms, Node, Sent, World};
 
@@ -42,13 +42,17 @@
         self.replica.step(now, input, &mut wanted);
         for one in wanted {
             match one {
-                Output::Send(to, said) => {
-                    assert!(said.len() <= 64 * 1024, "a frame of {} bytes", said.len());
+                Output::Send(to, message) => {
+                    assert!(
+                        message.len() <= 64 * 1024,
+                        "a frame of {} bytes",
+                        message.len()
+                    );
                     self.sent += 1;
-                    self.bytes += said.len() as u64;
-                    out.push((to.0 as usize - 10, (self.start, said)));
+                    self.bytes += message.len() as u64;
+                    out.push((to.0 as usize - 10, (self.start, message)));
                 }
-                Output::Keep {
+                Output::Store {
                     ticket,
                     name,
                     bytes,
@@ -76,7 +80,7 @@
                     Ok(())
                 }
             };
-            self.input(now, Input::Kept { ticket, done }, out);
+            self.input(now, Input::Stored { ticket, done }, out);
         }
     }
 }
@@ -94,7 +98,7 @@
         self.input(now, Input::Wake, out);
     }
 
-    fn take(&mut self, now: Duration, from: usize, (start, said): Frame, out: &mut Sent<Frame>) {
+    fn take(&mut self, now: Duration, from: usize, (start, message): Frame, out: &mut Sent<Frame>) {
         self.input(
             now,
             Input::Frame {
@@ -102,7 +106,7 @@
                     name: name(from),
                     start,
                 },
-                said,
+                payload: message,
             },
             out,
         );
@@ -112,7 +116,7 @@
 #[derive(Clone, Debug)]
 pub struct Op {
     pub key: RegisterKey,
-    pub on: Option<Version>,
+    pub expected: Option<Version>,
     pub reads: bool,
     pub drops: bool,
     pub asked: Duration,
@@ -137,7 +141,10 @@
     pub fn new(of: usize, durable: bool, seed: u64) -> Fleet {
         let mut fleet = Fleet {
             world: World::new(of, seed),
-            settings: Settings { copies: 3, durable },
+            settings: Settings {
+                replicas: 3,
+                durable,
+            },
             disks: vec![Disk::new(); of],
             starts: 0,
             ops: BTreeMap::new(),
@@ -194,7 +201,7 @@
         self.world.start(i, host);
         if self.settings.durable {
             self.world.act(i, |host, now, out| {
-                host.input(now, Input::Found(Ok(found)), out)
+                host.input(now, Input::Loaded(Ok(found)), out)
             });
         }
     }
@@ -220,7 +227,7 @@
         let Some(host) = &self.world.places[i].node else {
             return false;
         };
-        let own = |key: &&RegisterKey| host.replica.copies(**key).contains(&name(i));
+        let own = |key: &&RegisterKey| host.replica.replicas(**key).contains(&name(i));
         keys.iter()
             .filter(own)
             .all(|key| host.replica.counts_for(self.world.now_at(i), *key))
@@ -246,7 +253,7 @@
     pub fn read(&mut self, i: usize, key: RegisterKey, patience: Duration) -> Option<Call> {
         let op = Op {
             key,
-            on: None,
+            expected: None,
             reads: true,
             drops: false,
             asked: Duration::ZERO,
@@ -264,13 +271,13 @@
         &mut self,
         i: usize,
         key: RegisterKey,
-        on: Option<Version>,
+        expected: Option<Version>,
         epoch: u64,
         patience: Duration,
     ) -> Option<Call> {
         let op = Op {
             key,
-            on,
+            expected,
             reads: false,
             drops: false,
             asked: Duration::ZERO,
@@ -279,7 +286,7 @@
         self.enter(i, op, |call, now| Input::Write {
             call,
             key,
-            on,
+            expected,
             epoch,
             value: call.0.to_le_bytes().to_vec(),
             until: now + patience,
@@ -290,21 +297,21 @@
         &mut self,
         i: usize,
         key: RegisterKey,
-        on: Version,
+        expected: Version,
         patience: Duration,
     ) -> Option<Call> {
         let op = Op {
             key,
-            on: Some(on),
+            expected: Some(expected),
             reads: false,
             drops: true,
             asked: Duration::ZERO,
             ended: None,
         };
-        self.enter(i, op, |call, now| Input::Drop {
+        self.enter(i, op, |call, now| Input::Delete {
             call,
             key,
-            on,
+            expected,
             until: now + patience,
         })
     }
@@ -333,7 +340,7 @@
                     } => (*call, Some(Some(*version))),
                     Output::Written {
                         call,
-                        done: Err(ReplicaError::Conflict { latest }),
+                        done: Err(RegisterError::Conflict { latest }),
                     } => (*call, Some(*latest)),
                     Output::Written { call, .. } => (*call, None),
                     other => panic!("{other:?}"),
@@ -341,7 +348,7 @@
                 let (of, op) = self.ops.get_mut(&call).expect("it was asked");
                 assert!(*of == i && op.ended.is_none(), "two answers to {call:?}");
                 if let Output::Written {
-                    done: Err(ReplicaError::EpochPassed { epoch }),
+                    done: Err(RegisterError::StaleEpoch { epoch }),
                     ..
                 } = &answer
                 {
@@ -366,14 +373,14 @@
         panic!("no answer to {call:?}");
     }
 
-    pub fn written(&mut self, call: Option<Call>) -> Result<Version, ReplicaError> {
+    pub fn written(&mut self, call: Option<Call>) -> Result<Version, RegisterError> {
         match self.answer(call.expect("it is up")) {
             Output::Written { done, .. } => done,
             other => panic!("{other:?}"),
         }
     }
 
-    pub fn found(&mut self, call: Option<Call>) -> Result<Option<Version>, ReplicaError> {
+    pub fn found(&mut self, call: Option<Call>) -> Result<Option<Version>, RegisterError> {
         match self.answer(call.expect("it is up")) {
             Output::Read { found, .. } => found.map(|f| f.map(|f| f.0)),
             other => panic!("{other:?}"),
@@ -398,8 +405,8 @@
             .map(|(c, (_, op))| (*c, op))
             .collect();
         let not_written = |op: &Op| {
-            use ReplicaError::{
-                Busy, CatchingUp, Conflict, EpochPassed, Lost, NoMajority, TooLong,
+            use RegisterError::{
+                Busy, CatchingUp, Conflict, Lost, NoMajority, StaleEpoch, TooLong,
             };
             matches!(
                 &op.ended,
@@ -407,7 +414,7 @@
                     _,
                     Output::Written {
                         done: Err(Conflict { .. }
-                            | EpochPassed { .. }
+                            | StaleEpoch { .. }
                             | NoMajority
                             | CatchingUp
                             | Lost
@@ -429,14 +436,14 @@
                 Output::Written {
                     done: Ok(version), ..
                 } => {
-                    if op.on.is_some_and(|on| on >= *version) {
+                    if op.expected.is_some_and(|expected| expected >= *version) {
                         return Err(format!(
                             "{call:?}: {version:?} is not later than {:?}",
-                            op.on
+                            op.expected
                         ));
                     }
                     if wrote
-                        .insert(*version, (*call, op.on))
+                        .insert(*version, (*call, op.expected))
                         .is_some_and(|(of, _)| of != *call)
                     {
                         return Err(format!("{version:?} was written twice"));
@@ -444,7 +451,7 @@
                     sights.push((op.asked, *at, Some(*version), op.drops));
                 }
                 Output::Written {
-                    done: Err(ReplicaError::Conflict { latest }),
+                    done: Err(RegisterError::Conflict { latest }),
                     ..
                 } => {
                     sights.push((op.asked, *at, *latest, false));
@@ -465,7 +472,7 @@
                             ));
                         }
                         if wrote
-                            .insert(*version, (of, writer.on))
+                            .insert(*version, (of, writer.expected))
                             .is_some_and(|(other, _)| other != of)
                         {
                             return Err(format!("{version:?} has two values"));
@@ -479,16 +486,20 @@
         let drops: Vec<(&Op, Option<Version>)> = ops
             .iter()
             .filter(|(_, op)| op.drops && !not_written(op))
-            .map(|(_, op)| (*op, op.on))
+            .map(|(_, op)| (*op, op.expected))
             .collect();
         let mut follows: BTreeMap<Option<Version>, Vec<Call>> = BTreeMap::new();
         wrote
             .values()
-            .for_each(|(call, on)| follows.entry(*on).or_default().push(*call));
-        for (on, calls) in &follows {
-            let most = if on.is_none() { 1 + drops.len() } else { 1 };
+            .for_each(|(call, expected)| follows.entry(*expected).or_default().push(*call));
+        for (expected, calls) in &follows {
+            let most = if expected.is_none() {
+                1 + drops.len()
+            } else {
+                1
+            };
             if calls.len() > most {
-                return Err(format!("{calls:?} all follow {on:?}"));
+                return Err(format!("{calls:?} all follow {expected:?}"));
             }
         }
         // What was seen before a call began is not later than what it sees.
@@ -502,7 +513,7 @@
                 ended += 1;
             }
             let dropped = || {
-                drops.iter().any(|(op, on)| op.asked < *until && (*on >= latest || matches!(&op.ended, Some((_, Output::Written { done: Ok(v), .. })) if Some(*v) >= latest)))
+                drops.iter().any(|(op, expected)| op.asked < *until && (*expected >= latest || matches!(&op.ended, Some((_, Output::Written { done: Ok(v), .. })) if Some(*v) >= latest)))
             };
             if *seen < latest && !(seen.is_none() && dropped()) {
                 return Err(format!(
--- a/crates/replicated-register/tests/courses.rs
+++ b/crates/replicated-register/tests/courses.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use bitternlatch_replicated_register::{Output, RegisterKey, ReplicaError};
+use bitternlatch_replicated_register::{Output, RegisterError, RegisterKey};
 use bitternlatch_simulation::ms;
 use common::{Disk, Fleet};
 
@@ -18,7 +18,7 @@
     /// Disks are also set back, emptied and filled.
     BadDisks,
     /// No disks: who is killed has forgotten all.
-    Memory,
+    RecoveryState,
 }
 
 fn keys() -> Vec<RegisterKey> {
@@ -45,13 +45,15 @@
         let known = self.fleet.known.get(&(i, key)).copied();
         match (self.fleet.draw(100), known) {
             (0..=39, _) | (_, None) => drop(self.fleet.read(i, key, patience)),
-            (40..=44, Some(Some(on))) if self.drops => drop(self.fleet.drop(i, key, on, patience)),
-            (n, Some(on)) => {
-                let epoch = on.map_or(1, |on| on.epoch) + u64::from(n > 90)
-                    - u64::from(n == 90 && on.is_some());
+            (40..=44, Some(Some(expected))) if self.drops => {
+                self.fleet.drop(i, key, expected, patience);
+            }
+            (n, Some(expected)) => {
+                let epoch = expected.map_or(1, |expected| expected.epoch) + u64::from(n > 90)
+                    - u64::from(n == 90 && expected.is_some());
                 // After a gap the epochs go on.
                 let epoch = epoch.max(self.fleet.epochs.remove(&key).unwrap_or(0));
-                self.fleet.write(i, key, on, epoch, patience);
+                self.fleet.write(i, key, expected, epoch, patience);
             }
         }
     }
@@ -65,8 +67,8 @@
         let i = self.fleet.draw(OF as u64) as usize;
         let side = self.fleet.draw(31);
         match self.fleet.draw(14) {
-            0 | 1 if self.course != Course::Memory || self.weak() <= 1 => self.fleet.kill(i),
-            2 if self.course != Course::Memory => (0..OF).for_each(|i| self.fleet.kill(i)),
+            0 | 1 if self.course != Course::RecoveryState || self.weak() <= 1 => self.fleet.kill(i),
+            2 if self.course != Course::RecoveryState => (0..OF).for_each(|i| self.fleet.kill(i)),
             3..=5 => {
                 for i in (0..OF).filter(|i| side >> i & 1 == 1) {
                     if !self.fleet.up(i) {
@@ -159,24 +161,24 @@
         self.fleet.run(Duration::from_secs(8));
         for (i, key) in (0..OF).flat_map(|i| keys().into_iter().map(move |key| (i, key))) {
             // What a killed writer left at one copy may come to light and win once.
-            let mut done = Err(ReplicaError::TimedOut);
+            let mut done = Err(RegisterError::TimedOut);
             for _ in 0..3 {
                 let call = self.fleet.read(i, key, ms(3000));
-                done = self.fleet.found(call).and_then(|on| {
-                    let call = self.fleet.write(i, key, on, 1000, ms(3000));
+                done = self.fleet.found(call).and_then(|expected| {
+                    let call = self.fleet.write(i, key, expected, 1000, ms(3000));
                     self.fleet.written(call)
                 });
                 if !matches!(
                     done,
-                    Err(ReplicaError::Conflict { .. } | ReplicaError::TimedOut)
+                    Err(RegisterError::Conflict { .. } | RegisterError::TimedOut)
                 ) {
                     break;
                 }
             }
             match done {
                 // Two or three at once had lost their memory: said, not guessed.
-                Err(ReplicaError::Lost | ReplicaError::CatchingUp)
-                    if self.losses > 1 || self.course == Course::Memory => {}
+                Err(RegisterError::Lost | RegisterError::CatchingUp)
+                    if self.losses > 1 || self.course == Course::RecoveryState => {}
                 done => {
                     done.map_err(|e| format!("{i} is told of {key:?}: {e}"))?;
                 }
@@ -187,7 +189,7 @@
 }
 
 fn play(course: Course, seed: u64) -> Result<(usize, usize), String> {
-    let mut fleet = Fleet::new(OF, course != Course::Memory, seed);
+    let mut fleet = Fleet::new(OF, course != Course::RecoveryState, seed);
     fleet.run(ms(1000));
     let old = vec![Disk::new(); OF];
     let mut player = Player {
@@ -269,5 +271,5 @@
 
 #[test]
 fn registers_stay_one_or_are_said_to_be_lost_without_disks() {
-    play_all(Course::Memory, 60);
+    play_all(Course::RecoveryState, 60);
 }
--- a/crates/replicated-register/tests/output_digest.rs
+++ b/crates/replicated-register/tests/output_digest.rs
@@ -9,7 +9,7 @@
 use bitternlatch_membership::NameKey;
 use bitternlatch_quota_lease::{KeepError, Process};
 use bitternlatch_replicated_register::{
-    Call, Event, Input, Output, RegisterKey, Replica, ReplicaError, Settings, Version,
+    Call, Event, Input, Output, RegisterError, RegisterKey, Replica, Settings, Version,
 };
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::SplitMix64;
@@ -52,33 +52,33 @@
         }
     }
 
-    fn error(&mut self, error: &ReplicaError) {
+    fn error(&mut self, error: &RegisterError) {
         match error {
-            ReplicaError::Unreadable => self.number(0),
-            ReplicaError::OtherVersion(version) => self.bytes(&[1, *version]),
-            ReplicaError::Conflict { latest } => {
+            RegisterError::Malformed => self.number(0),
+            RegisterError::UnsupportedVersion(version) => self.bytes(&[1, *version]),
+            RegisterError::Conflict { latest } => {
                 self.number(2);
                 latest.iter().for_each(|version| self.version(*version));
             }
-            ReplicaError::EpochPassed { epoch } => {
+            RegisterError::StaleEpoch { epoch } => {
                 self.number(3);
                 self.number(*epoch);
             }
-            ReplicaError::NoMajority => self.number(4),
-            ReplicaError::CatchingUp => self.number(5),
-            ReplicaError::Lost => self.number(6),
-            ReplicaError::NotKept(fault) => {
+            RegisterError::NoMajority => self.number(4),
+            RegisterError::CatchingUp => self.number(5),
+            RegisterError::Lost => self.number(6),
+            RegisterError::NotStored(fault) => {
                 self.number(7);
                 self.fault(fault);
             }
-            ReplicaError::TooLong { bytes, most } => {
+            RegisterError::TooLong { bytes, most } => {
                 self.number(8);
                 self.number(*bytes as u64);
                 self.number(*most as u64);
             }
-            ReplicaError::Busy => self.number(9),
-            ReplicaError::Full => self.number(10),
-            ReplicaError::TimedOut => self.number(11),
+            RegisterError::Busy => self.number(9),
+            RegisterError::Full => self.number(10),
+            RegisterError::TimedOut => self.number(11),
         }
     }
 
@@ -90,16 +90,16 @@
                 self.number(*fetched);
             }
             Event::OlderDisk { by } => self.named(1, *by),
-            Event::Emptied { by } => self.named(2, *by),
-            Event::Torn => self.number(3),
+            Event::DiskErased { by } => self.named(2, *by),
+            Event::DiskCorrupt => self.number(3),
             Event::DiskFault(fault) => {
                 self.number(4);
                 self.fault(fault);
             }
-            Event::DiskWell => self.number(5),
-            Event::CopyLost(name) => self.named(6, *name),
+            Event::DiskRecovered => self.number(5),
+            Event::ReplicaLost(name) => self.named(6, *name),
             Event::MajorityLost => self.number(7),
-            Event::OtherVersion(name) => self.named(8, *name),
+            Event::UnsupportedVersion(name) => self.named(8, *name),
         }
     }
 
@@ -115,7 +115,7 @@
                 self.named(0, *to);
                 self.bytes(bytes);
             }
-            Output::Keep {
+            Output::Store {
                 ticket,
                 name,
                 bytes,
@@ -170,7 +170,7 @@
 }
 
 struct Run {
-    draws: SplitMix64,
+    rng: SplitMix64,
     durable: bool,
     now: Duration,
     members: Vec<Replica>,
@@ -198,7 +198,7 @@
 impl Run {
     fn new(seed: u64, durable: bool) -> Run {
         let mut run = Run {
-            draws: SplitMix64::seed_from_u64(seed),
+            rng: SplitMix64::seed_from_u64(seed),
             durable,
             now: Duration::ZERO,
             members: vec![],
@@ -220,7 +220,7 @@
     }
 
     fn draw(&mut self, below: u64) -> u64 {
-        self.draws.next_u64() % below
+        self.rng.next_u64() % below
     }
 
     fn start(&mut self, member: usize) -> Replica {
@@ -231,14 +231,14 @@
             start: self.starts,
         };
         let settings = Settings {
-            copies: 3,
+            replicas: 3,
             durable: self.durable,
         };
         let roster: BTreeSet<NameKey> = (0..MEMBERS).map(name).collect();
         let replica = Replica::new(own, roster, settings, self.starts, self.now);
         if self.durable {
             let stored = self.disks[member].clone().into_iter().collect();
-            self.pending.push_back((member, Input::Found(Ok(stored))));
+            self.pending.push_back((member, Input::Loaded(Ok(stored))));
         }
         replica
     }
@@ -258,20 +258,20 @@
         self.calls += 1;
         let call = Call(self.calls);
         self.calling.insert(call.0, (member, key));
-        let on = self.versions.get(&(member, key)).copied();
+        let expected = self.versions.get(&(member, key)).copied();
         let length = self.draw(40) as usize;
-        let input = match (self.draw(10), on) {
-            (0, Some(Some(on))) => Input::Drop {
+        let input = match (self.draw(10), expected) {
+            (0, Some(Some(expected))) => Input::Delete {
                 call,
                 key,
-                on,
+                expected,
                 until,
             },
-            (1..=6, Some(on)) => Input::Write {
+            (1..=6, Some(expected)) => Input::Write {
                 call,
                 key,
-                on,
-                epoch: on.map_or(1, |on| on.epoch),
+                expected,
+                epoch: expected.map_or(1, |expected| expected.epoch),
                 value: vec![call.0 as u8; length],
                 until,
             },
@@ -291,18 +291,21 @@
 
     fn on_output(&mut self, member: usize, output: Output) {
         match output {
-            Output::Send(to, said) => {
+            Output::Send(to, message) => {
                 self.totals.sent += 1;
                 let from = Process {
                     name: name(member),
                     start: self.started[member],
                 };
-                let frame = Input::Frame { from, said };
+                let frame = Input::Frame {
+                    from,
+                    payload: message,
+                };
                 if self.draw(20) > 0 {
                     self.pending.push_back((to.0 as usize - 10, frame));
                 }
             }
-            Output::Keep {
+            Output::Store {
                 ticket,
                 name,
                 bytes,
@@ -317,7 +320,7 @@
                 }
                 let done = if full { Err(KeepError::Full) } else { Ok(()) };
                 self.pending
-                    .push_back((member, Input::Kept { ticket, done }));
+                    .push_back((member, Input::Stored { ticket, done }));
             }
             Output::Read { call, found } => {
                 self.totals.read += 1;
@@ -330,7 +333,7 @@
                 self.totals.written += 1;
                 match done {
                     Ok(version) => self.learn(call, Some(version)),
-                    Err(ReplicaError::Conflict { latest }) => self.learn(call, latest),
+                    Err(RegisterError::Conflict { latest }) => self.learn(call, latest),
                     Err(_) => self.totals.failed += 1,
                 }
             }
--- a/crates/replicated-register/tests/returns.rs
+++ b/crates/replicated-register/tests/returns.rs
@@ -8,9 +8,9 @@
 use bitternlatch_membership::{NameKey, Standing};
 use bitternlatch_quota_lease::{KeepError, Part, Peers, Process};
 use bitternlatch_replicated_register::{
-    Event, Input, RegisterKey, Replica, ReplicaError, Settings, Version,
+    Event, Input, RegisterError, RegisterKey, Replica, Settings, Version,
 };
-use bitternlatch_replicated_register::{GAP_LASTS, VALUE_MOST};
+use bitternlatch_replicated_register::{MAX_VALUE_BYTES, TOMBSTONE_RETENTION};
 use bitternlatch_simulation::ms;
 use common::{name, Fleet};
 
@@ -29,26 +29,26 @@
 
 /// The places of a register's copies, and one that is not among them.
 fn places(fleet: &Fleet, of: RegisterKey) -> (Vec<usize>, Option<usize>) {
-    let copies: Vec<usize> = fleet
+    let replicas: Vec<usize> = fleet
         .host(0)
         .replica
-        .copies(of)
+        .replicas(of)
         .iter()
         .map(|name| name.0 as usize - 10)
         .collect();
-    let other = (0..fleet.disks.len()).find(|i| !copies.contains(i));
-    (copies, other)
+    let other = (0..fleet.disks.len()).find(|i| !replicas.contains(i));
+    (replicas, other)
 }
 
 /// Writes so many times in a row.
 fn write(fleet: &mut Fleet, i: usize, of: RegisterKey, times: usize) -> Version {
     let read = fleet.read(i, of, ms(3000));
-    let mut on = fleet.found(read).expect("it is read");
+    let mut expected = fleet.found(read).expect("it is read");
     for _ in 0..times {
-        let call = fleet.write(i, of, on, 1, ms(3000));
-        on = Some(fleet.written(call).expect("it is written"));
+        let call = fleet.write(i, of, expected, 1, ms(3000));
+        expected = Some(fleet.written(call).expect("it is written"));
     }
-    on.expect("it was written")
+    expected.expect("it was written")
 }
 
 fn cut(fleet: &mut Fleet, off: &[usize]) {
@@ -59,8 +59,8 @@
 #[test]
 fn a_disk_set_back_is_named_and_counts_only_after_it_has_fetched_from_both_others() {
     let mut fleet = fleet(4, true, ms(1));
-    let (copies, other) = places(&fleet, key(1));
-    let [a, b, c] = copies[..] else {
+    let (replicas, other) = places(&fleet, key(1));
+    let [a, b, c] = replicas[..] else {
         panic!("three copies")
     };
     write(&mut fleet, b, key(1), 2);
@@ -68,10 +68,10 @@
     fleet.kill(a);
     let old = fleet.disks[a].clone();
     fleet.start(a);
-    let on = write(&mut fleet, b, key(1), 2);
+    let expected = write(&mut fleet, b, key(1), 2);
     // The last write is at a and b alone.
     cut(&mut fleet, &[c]);
-    let last = fleet.write(b, key(1), Some(on), 1, ms(3000));
+    let last = fleet.write(b, key(1), Some(expected), 1, ms(3000));
     let last = fleet.written(last).expect("two are a majority");
     fleet.run(ms(2500));
     fleet.kill(a);
@@ -85,7 +85,7 @@
         .host(a)
         .replica
         .counts_for(fleet.world.now_at(a), key(1)));
-    assert_eq!(fleet.found(read), Err(ReplicaError::CatchingUp));
+    assert_eq!(fleet.found(read), Err(RegisterError::CatchingUp));
     fleet.world.net.passes = Box::new(|_, _| true);
     fleet.run(ms(2500));
     let read = fleet.read(other.expect("four members"), key(1), ms(1000));
@@ -95,14 +95,14 @@
         .replica
         .counts_for(fleet.world.now_at(a), key(1)));
     assert_eq!(fleet.saw(|e| matches!(e, Event::OlderDisk { .. })), 1);
-    assert!(fleet.saw(|e| *e == Event::CopyLost(name(a))) >= 1);
+    assert!(fleet.saw(|e| *e == Event::ReplicaLost(name(a))) >= 1);
 }
 
 #[test]
 fn a_copy_that_is_emptied_or_torn_is_named_and_catches_up_and_two_at_once_are_said_to_be_lost() {
     let mut fleet = fleet(4, true, ms(1));
-    let (copies, other) = places(&fleet, key(1));
-    let (a, b, other) = (copies[0], copies[1], other.expect("four members"));
+    let (replicas, other) = places(&fleet, key(1));
+    let (a, b, other) = (replicas[0], replicas[1], other.expect("four members"));
     let last = write(&mut fleet, other, key(1), 3);
     fleet.kill(a);
     fleet.disks[a].clear();
@@ -117,9 +117,9 @@
         .replica
         .held()
         .any(|(held, version, _)| *held == key(1) && version == last));
-    assert_eq!(fleet.saw(|e| matches!(e, Event::Emptied { .. })), 1);
+    assert_eq!(fleet.saw(|e| matches!(e, Event::DiskErased { .. })), 1);
     // Who told it remembers that it has forgotten, though killed at once.
-    let c = copies[2];
+    let c = replicas[2];
     fleet.kill(c);
     fleet.start(c);
     fleet.run(ms(2000));
@@ -127,7 +127,7 @@
         fleet
             .events
             .iter()
-            .filter(|(i, e)| *i == c && *e == Event::CopyLost(name(a)))
+            .filter(|(i, e)| *i == c && *e == Event::ReplicaLost(name(a)))
             .count(),
         1
     );
@@ -139,7 +139,7 @@
         .host(b)
         .replica
         .counts_for(fleet.world.now_at(b), key(1)));
-    assert_eq!(fleet.saw(|e| *e == Event::Torn), 1);
+    assert_eq!(fleet.saw(|e| *e == Event::DiskCorrupt), 1);
     let read = fleet.read(other, key(1), ms(1000));
     assert_eq!(fleet.found(read), Ok(Some(last)));
     for i in [a, b] {
@@ -150,17 +150,17 @@
     fleet.start(b);
     fleet.run(ms(5000));
     let read = fleet.read(other, key(1), ms(1000));
-    assert_eq!(fleet.found(read), Err(ReplicaError::Lost));
+    assert_eq!(fleet.found(read), Err(RegisterError::Lost));
     let call = fleet.write(other, key(1), None, 9, ms(1000));
-    assert_eq!(fleet.written(call), Err(ReplicaError::Lost));
+    assert_eq!(fleet.written(call), Err(RegisterError::Lost));
     assert_eq!(fleet.saw(|e| *e == Event::MajorityLost), 2);
 }
 
 #[test]
 fn two_that_forgot_do_not_take_each_other_for_new_while_who_remembers_is_cut_off() {
     let mut fleet = fleet(4, false, ms(1));
-    let (copies, _) = places(&fleet, key(1));
-    let (a, b) = (copies[0], copies[1]);
+    let (replicas, _) = places(&fleet, key(1));
+    let (a, b) = (replicas[0], replicas[1]);
     write(&mut fleet, a, key(1), 1);
     cut(&mut fleet, &[a, b]);
     for i in [a, b] {
@@ -169,11 +169,11 @@
     }
     fleet.run(ms(5000));
     let read = fleet.read(a, key(1), ms(1000));
-    assert_eq!(fleet.found(read), Err(ReplicaError::CatchingUp));
+    assert_eq!(fleet.found(read), Err(RegisterError::CatchingUp));
     fleet.world.net.passes = Box::new(|_, _| true);
     fleet.run(ms(5000));
     let read = fleet.read(a, key(1), ms(1000));
-    assert_eq!(fleet.found(read), Err(ReplicaError::Lost));
+    assert_eq!(fleet.found(read), Err(RegisterError::Lost));
 }
 
 #[test]
@@ -195,12 +195,12 @@
 #[test]
 fn what_was_let_go_of_does_not_come_back_with_an_older_disk() {
     let mut fleet = fleet(3, true, ms(1));
-    let on = write(&mut fleet, 0, key(1), 1);
+    let expected = write(&mut fleet, 0, key(1), 1);
     fleet.run(ms(100));
     let old = fleet.host(1).disk.clone();
-    let call = fleet.drop(0, key(1), on, ms(1000));
+    let call = fleet.drop(0, key(1), expected, ms(1000));
     fleet.written(call).expect("let go of");
-    fleet.run(GAP_LASTS + ms(2000));
+    fleet.run(TOMBSTONE_RETENTION + ms(2000));
     fleet.kill(1);
     fleet.disks[1] = old;
     fleet.start(1);
@@ -214,34 +214,34 @@
 #[test]
 fn what_is_not_on_disk_yet_is_not_read() {
     let mut fleet = fleet(3, true, ms(1));
-    let on = write(&mut fleet, 0, key(1), 1);
+    let expected = write(&mut fleet, 0, key(1), 1);
     for i in 0..3 {
         fleet.world.act(i, |host, _, _| host.sync = ms(50));
     }
-    fleet.write(0, key(1), Some(on), 1, ms(3000));
+    fleet.write(0, key(1), Some(expected), 1, ms(3000));
     fleet.run(ms(10));
     fleet.read(1, key(1), ms(3000));
     fleet.run(ms(20));
     (0..3).for_each(|i| fleet.kill(i));
     (0..3).for_each(|i| fleet.start(i));
     let read = fleet.read(2, key(1), ms(3000));
-    assert_eq!(fleet.found(read), Ok(Some(on)));
+    assert_eq!(fleet.found(read), Ok(Some(expected)));
     fleet.check().expect("one register");
 }
 
 #[test]
 fn one_full_disk_does_not_matter_and_two_are_said() {
     let mut fleet = fleet(4, true, ms(1));
-    let (copies, other) = places(&fleet, key(1));
-    let (a, b, other) = (copies[0], copies[1], other.expect("four members"));
+    let (replicas, other) = places(&fleet, key(1));
+    let (a, b, other) = (replicas[0], replicas[1], other.expect("four members"));
     write(&mut fleet, other, key(1), 1);
     fleet.world.act(a, |host, _, _| host.full = true);
-    let on = write(&mut fleet, other, key(1), 2);
+    let expected = write(&mut fleet, other, key(1), 2);
     fleet.world.act(b, |host, _, _| host.full = true);
-    let call = fleet.write(other, key(1), Some(on), 1, ms(1000));
+    let call = fleet.write(other, key(1), Some(expected), 1, ms(1000));
     assert_eq!(
         fleet.written(call),
-        Err(ReplicaError::NotKept(KeepError::Full))
+        Err(RegisterError::NotStored(KeepError::Full))
     );
     assert_eq!(fleet.saw(|e| *e == Event::DiskFault(KeepError::Full)), 2);
     for i in [a, b] {
@@ -249,31 +249,31 @@
     }
     write(&mut fleet, other, key(1), 1);
     fleet.run(ms(1000));
-    assert_eq!(fleet.saw(|e| *e == Event::DiskWell), 2);
+    assert_eq!(fleet.saw(|e| *e == Event::DiskRecovered), 2);
     fleet.check().expect("one register");
 }
 
 #[test]
 fn a_minority_says_so_at_once_where_it_knows_and_at_the_end_of_patience_where_it_does_not() {
     let mut fleet = fleet(5, false, ms(1));
-    let (copies, _) = places(&fleet, key(1));
-    let on = write(&mut fleet, copies[0], key(1), 1);
-    cut(&mut fleet, &[copies[0]]);
+    let (replicas, _) = places(&fleet, key(1));
+    let expected = write(&mut fleet, replicas[0], key(1), 1);
+    cut(&mut fleet, &[replicas[0]]);
     let asked = fleet.world.now();
-    let call = fleet.write(copies[0], key(1), None, 1, ms(900));
-    assert_eq!(fleet.written(call), Err(ReplicaError::NoMajority));
+    let call = fleet.write(replicas[0], key(1), None, 1, ms(900));
+    assert_eq!(fleet.written(call), Err(RegisterError::NoMajority));
     assert!(fleet.world.now() - asked >= ms(900));
-    let call = fleet.write(copies[0], key(1), Some(on), 1, ms(900));
+    let call = fleet.write(replicas[0], key(1), Some(expected), 1, ms(900));
     // It had the lead and has asked for it to be taken: what became of that it cannot know.
     let known = fleet.written(call);
     assert!(
         matches!(
             known,
-            Err(ReplicaError::TimedOut | ReplicaError::NoMajority)
+            Err(RegisterError::TimedOut | RegisterError::NoMajority)
         ),
         "{known:?}"
     );
-    fleet.world.act(copies[0], |host, now, out| {
+    fleet.world.act(replicas[0], |host, now, out| {
         let part = Part {
             lent: 0.0,
             until: now,
@@ -287,8 +287,8 @@
         host.input(now, Input::Peers(peers), out);
     });
     let asked = fleet.world.now();
-    let read = fleet.read(copies[0], key(1), ms(5000));
-    assert_eq!(fleet.found(read), Err(ReplicaError::NoMajority));
+    let read = fleet.read(replicas[0], key(1), ms(5000));
+    assert_eq!(fleet.found(read), Err(RegisterError::NoMajority));
     assert!(fleet.world.now() - asked < ms(200));
 }
 
@@ -342,17 +342,17 @@
 #[test]
 fn who_wrote_last_writes_in_one_round_a_read_takes_one_and_another_writer_two() {
     let mut fleet = fleet(6, false, ms(5));
-    let (copies, other) = places(&fleet, key(1));
-    let (own, other) = (copies[0], other.expect("six members"));
-    let on = write(&mut fleet, own, key(1), 1);
-    let mut version = Some(on);
+    let (replicas, other) = places(&fleet, key(1));
+    let (own, other) = (replicas[0], other.expect("six members"));
+    let expected = write(&mut fleet, own, key(1), 1);
+    let mut version = Some(expected);
     let mut write_by = |fleet: &mut Fleet, i: usize| {
-        let mut on = version;
+        let mut expected = version;
         let costs = cost(fleet, |fleet| {
-            let call = fleet.write(i, key(1), on, 1, ms(1000));
-            on = Some(fleet.written(call).expect("it is written"));
+            let call = fleet.write(i, key(1), expected, 1, ms(1000));
+            expected = Some(fleet.written(call).expect("it is written"));
         });
-        version = on;
+        version = expected;
         costs
     };
     let again = write_by(&mut fleet, own);
@@ -373,23 +373,23 @@
 #[test]
 fn a_register_let_go_of_is_forgotten_by_all_copies_and_may_begin_anew() {
     let mut fleet = fleet(3, true, ms(1));
-    let on = write(&mut fleet, 0, key(1), 2);
-    let call = fleet.drop(1, key(1), on, ms(1000));
+    let expected = write(&mut fleet, 0, key(1), 2);
+    let call = fleet.drop(1, key(1), expected, ms(1000));
     let gap = fleet.written(call).expect("let go of");
     let read = fleet.read(2, key(1), ms(1000));
     assert_eq!(fleet.found(read), Ok(None));
     assert_eq!(fleet.host(0).replica.held().count(), 0);
-    let call = fleet.write(2, key(1), Some(on), 1, ms(1000));
+    let call = fleet.write(2, key(1), Some(expected), 1, ms(1000));
     assert_eq!(
         fleet.written(call),
-        Err(ReplicaError::Conflict { latest: None })
+        Err(RegisterError::Conflict { latest: None })
     );
     let call = fleet.write(2, key(1), None, 0, ms(1000));
     assert_eq!(
         fleet.written(call),
-        Err(ReplicaError::EpochPassed { epoch: gap.epoch })
+        Err(RegisterError::StaleEpoch { epoch: gap.epoch })
     );
-    fleet.run(GAP_LASTS + ms(2000));
+    fleet.run(TOMBSTONE_RETENTION + ms(2000));
     assert!(
         (0..3).all(|i| fleet.host(i).disk.keys().all(|name| name.len() == 1)),
         "only the record of the memory"
@@ -408,20 +408,20 @@
     let mut step = |input| {
         let mut out = vec![];
         replica.step(ms(1), input, &mut out);
-        (format!("{out:?}"), replica.counts())
+        (format!("{out:?}"), replica.counters())
     };
     let call = |n| bitternlatch_replicated_register::Call(n);
     let until = ms(1000);
-    let value = vec![0; VALUE_MOST + 1];
-    let (said, _) = step(Input::Write {
+    let value = vec![0; MAX_VALUE_BYTES + 1];
+    let (message, _) = step(Input::Write {
         call: call(0),
         key: key(1),
-        on: None,
+        expected: None,
         epoch: 1,
         value,
         until,
     });
-    assert!(said.contains("TooLong { bytes: 49153, most: 49152 }"));
+    assert!(message.contains("TooLong { bytes: 49153, most: 49152 }"));
     (1..=4096).for_each(|n| {
         drop(step(Input::Read {
             call: call(n),
@@ -429,37 +429,41 @@
             until,
         }))
     });
-    let (said, counts) = step(Input::Read {
+    let (message, counters) = step(Input::Read {
         call: call(9999),
         key: key(1),
         until,
     });
-    assert!(said.contains("Err(Busy)") && counts.turned_away == 1);
+    assert!(message.contains("Err(Busy)") && counters.rejected == 1);
     let from = Process {
         name: name(1),
         start: 1,
     };
-    let (said, _) = step(Input::Frame {
+    let (message, _) = step(Input::Frame {
         from,
-        said: vec![2, 3, 4],
+        payload: vec![2, 3, 4],
     });
-    assert!(said.contains("OtherVersion"));
-    let (said, _) = step(Input::Frame {
+    assert!(message.contains("UnsupportedVersion"));
+    let (message, _) = step(Input::Frame {
         from,
-        said: vec![2],
+        payload: vec![2],
     });
-    let (_, counts) = step(Input::Frame {
+    let (_, counters) = step(Input::Frame {
         from,
-        said: vec![1, 99],
+        payload: vec![1, 99],
     });
-    assert!(!said.contains("OtherVersion") && counts.other_version == 2 && counts.unreadable == 1);
+    assert!(
+        !message.contains("UnsupportedVersion")
+            && counters.other_version == 2
+            && counters.unreadable == 1
+    );
     let stranger = Process {
         name: NameKey(999),
         start: 1,
     };
-    let (said, counts) = step(Input::Frame {
+    let (message, counters) = step(Input::Frame {
         from: stranger,
-        said: vec![1, 99],
+        payload: vec![1, 99],
     });
-    assert!(said == "[]" && counts.unreadable == 1);
+    assert!(message == "[]" && counters.unreadable == 1);
 }
--- a/crates/workflow/src/coordinator.rs
+++ b/crates/workflow/src/coordinator.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bitternlatch_quota_lease::Process;
-use bitternlatch_replicated_register::{Call as Op, Input, RegisterKey, ReplicaError, Version};
+use bitternlatch_replicated_register::{Call as Op, Input, RegisterError, RegisterKey, Version};
 
 use crate::attempts::Attempts;
 use crate::cache::Cache;
@@ -298,7 +298,7 @@
         &mut self,
         now: Duration,
         op: Op,
-        found: Result<Option<(Version, Vec<u8>)>, ReplicaError>,
+        found: Result<Option<(Version, Vec<u8>)>, RegisterError>,
         out: &mut Vec<CoordinatorOutput>,
     ) {
         let Some((id, pending)) = self.answered(op) else {
@@ -444,7 +444,7 @@
         &mut self,
         now: Duration,
         id: u64,
-        on: Option<Version>,
+        expected: Option<Version>,
         record: Record,
         turn: Transition,
         out: &mut Vec<CoordinatorOutput>,
@@ -473,7 +473,7 @@
         out.push(CoordinatorOutput::Register(Input::Write {
             call: op,
             key,
-            on,
+            expected,
             epoch,
             value,
             until,
@@ -488,16 +488,22 @@
         self.lease.min(Duration::from_micros(record.lease().1))
     }
 
-    fn forget(&mut self, now: Duration, id: u64, on: Version, out: &mut Vec<CoordinatorOutput>) {
+    fn forget(
+        &mut self,
+        now: Duration,
+        id: u64,
+        expected: Version,
+        out: &mut Vec<CoordinatorOutput>,
+    ) {
         let op = self.op(id);
         let Some(pending) = self.queue.pending.get_mut(&id) else {
             return;
         };
         (pending.op, pending.phase) = (Some(op.0), Phase::Deleting);
-        out.push(CoordinatorOutput::Register(Input::Drop {
+        out.push(CoordinatorOutput::Register(Input::Delete {
             call: op,
             key: pending.key,
-            on,
+            expected,
             until: now + MAX_REGISTER_CALL,
         }));
     }
@@ -507,7 +513,7 @@
         &mut self,
         now: Duration,
         op: Op,
-        done: Result<Version, ReplicaError>,
+        done: Result<Version, RegisterError>,
         out: &mut Vec<CoordinatorOutput>,
     ) {
         let Some((id, pending)) = self.answered(op) else {
--- a/crates/workflow/src/machine.rs
+++ b/crates/workflow/src/machine.rs
@@ -12,7 +12,7 @@
 use crate::record::{Record, SafetyChecks};
 
 /// Copies of a workflow.
-const COPIES: usize = 3;
+const REPLICAS: usize = 3;
 /// How often this member's copies are looked at, and how many at a time.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 const MAX_SWEEP_RECORDS: usize = 256;
@@ -61,7 +61,7 @@
         safety_checks: SafetyChecks,
     ) -> Workflows {
         let below = bitternlatch_replicated_register::Settings {
-            copies: COPIES,
+            replicas: REPLICAS,
             durable,
         };
         Workflows {
@@ -126,7 +126,7 @@
             for done in self.done.drain(..) {
                 match done {
                     Output::Send(to, said) => out.push(Wanted::Send(to, said)),
-                    Output::Keep {
+                    Output::Store {
                         ticket,
                         name,
                         bytes,
@@ -175,10 +175,13 @@
         self.settle(now, None, out);
         let input = match given {
             Given::Wake => Input::Wake,
-            Given::Frame { from, said } => Input::Frame { from, said },
+            Given::Frame { from, said } => Input::Frame {
+                from,
+                payload: said,
+            },
             Given::Peers(peers) => Input::Peers(peers),
-            Given::Found(found) => Input::Found(found),
-            Given::Kept { ticket, done } => Input::Kept { ticket, done },
+            Given::Found(found) => Input::Loaded(found),
+            Given::Kept { ticket, done } => Input::Stored { ticket, done },
             Given::Ask(ask) => {
                 self.coordinator.ask(now, ask, &mut self.out);
                 return self.settle(now, None, out);
--- a/crates/workflow/src/operation.rs
+++ b/crates/workflow/src/operation.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bitternlatch_replicated_register::{RegisterKey, ReplicaError, Version};
+use bitternlatch_replicated_register::{RegisterError, RegisterKey, Version};
 
 use crate::io::{AttemptOutcome, Call, Command, Effect, RejectReason};
 use crate::record::{Record, Transition};
@@ -187,19 +187,19 @@
 }
 
 impl Failure {
-    pub(crate) fn of(error: &ReplicaError) -> Failure {
+    pub(crate) fn of(error: &RegisterError) -> Failure {
         match error {
-            ReplicaError::Conflict { .. } | ReplicaError::EpochPassed { .. } => Failure::Conflict,
-            ReplicaError::TimedOut => Failure::Uncertain(RejectReason::NoMajority),
-            ReplicaError::NotKept(_) => Failure::Uncertain(RejectReason::NotStored),
-            ReplicaError::Full => Failure::Uncertain(RejectReason::Busy),
-            ReplicaError::Busy => Failure::Retryable(RejectReason::Busy),
-            ReplicaError::NoMajority | ReplicaError::CatchingUp => {
+            RegisterError::Conflict { .. } | RegisterError::StaleEpoch { .. } => Failure::Conflict,
+            RegisterError::TimedOut => Failure::Uncertain(RejectReason::NoMajority),
+            RegisterError::NotStored(_) => Failure::Uncertain(RejectReason::NotStored),
+            RegisterError::Full => Failure::Uncertain(RejectReason::Busy),
+            RegisterError::Busy => Failure::Retryable(RejectReason::Busy),
+            RegisterError::NoMajority | RegisterError::CatchingUp => {
                 Failure::Retryable(RejectReason::NoMajority)
             }
-            ReplicaError::Lost => Failure::Permanent(RejectReason::Lost),
-            ReplicaError::TooLong { .. } => Failure::Permanent(RejectReason::Limit),
-            ReplicaError::Unreadable | ReplicaError::OtherVersion(_) => {
+            RegisterError::Lost => Failure::Permanent(RejectReason::Lost),
+            RegisterError::TooLong { .. } => Failure::Permanent(RejectReason::Limit),
+            RegisterError::Malformed | RegisterError::UnsupportedVersion(_) => {
                 Failure::Retryable(RejectReason::NoMajority)
             }
         }
--- a/crates/workflow/src/tests.rs
+++ b/crates/workflow/src/tests.rs
@@ -5,7 +5,7 @@
 
 use bitternlatch_membership::NameKey;
 use bitternlatch_quota_lease::{KeepError, Process};
-use bitternlatch_replicated_register::{Input, RegisterKey, ReplicaError, Version};
+use bitternlatch_replicated_register::{Input, RegisterError, RegisterKey, Version};
 
 use crate::coordinator::{key_of, Coordinator, CoordinatorOutput};
 use crate::*;
@@ -16,9 +16,9 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Next {
     Well,
-    Fails(ReplicaError),
+    Fails(RegisterError),
     /// Written, though nobody is told.
-    InDoubt(ReplicaError),
+    InDoubt(RegisterError),
     /// Never answered.
     Silent,
 }
@@ -82,7 +82,7 @@
                 CoordinatorOutput::Register(Input::Write {
                     call,
                     key,
-                    on,
+                    expected,
                     epoch,
                     value,
                     ..
@@ -98,7 +98,7 @@
                     let done = match std::mem::replace(&mut self.next, Next::Well) {
                         Next::Silent => continue,
                         Next::Fails(error) => Err(error),
-                        _ if latest != on => Err(ReplicaError::Conflict { latest }),
+                        _ if latest != expected => Err(RegisterError::Conflict { latest }),
                         next => {
                             self.held.insert(key, (version, value));
                             if let Next::InDoubt(error) = next {
@@ -110,9 +110,14 @@
                     };
                     self.coordinators[i].written(self.now, call, done, &mut more);
                 }
-                CoordinatorOutput::Register(Input::Drop { call, key, on, .. }) => {
+                CoordinatorOutput::Register(Input::Delete {
+                    call,
+                    key,
+                    expected,
+                    ..
+                }) => {
                     self.held.remove(&key);
-                    self.coordinators[i].written(self.now, call, Ok(on), &mut more);
+                    self.coordinators[i].written(self.now, call, Ok(expected), &mut more);
                 }
                 CoordinatorOutput::Register(_) => {}
             }
@@ -274,9 +279,9 @@
 fn an_intent_whose_write_may_have_happened_never_leads_to_a_send_and_is_undone() {
     for next in [
         Next::Silent,
-        Next::InDoubt(ReplicaError::TimedOut),
-        Next::InDoubt(ReplicaError::NotKept(KeepError::Full)),
-        Next::Fails(ReplicaError::TimedOut),
+        Next::InDoubt(RegisterError::TimedOut),
+        Next::InDoubt(RegisterError::NotStored(KeepError::Full)),
+        Next::Fails(RegisterError::TimedOut),
     ] {
         let mut office = Office::new(1);
         office.claim(0, "a");
@@ -306,7 +311,7 @@
     let mut office = Office::new(1);
     office.claim(0, "a");
     office.intend(0, 1, 1);
-    office.next = Next::InDoubt(ReplicaError::TimedOut);
+    office.next = Next::InDoubt(RegisterError::TimedOut);
     assert_eq!(office.done(0, 1, 1), None);
     office.pass(ms(100));
     assert!(matches!(office.told.pop(), Some(Event::Committed { .. })));
@@ -314,7 +319,7 @@
     office.next = Next::Silent;
     office.done(0, 1, 2);
     for _ in 0..400 {
-        office.next = Next::Fails(ReplicaError::NoMajority);
+        office.next = Next::Fails(RegisterError::NoMajority);
         office.pass(ms(5));
     }
     assert_eq!(office.told.len(), 1);
