--- a/crates/platform/tests/access_log.rs
+++ b/crates/platform/tests/access_log.rs
@@ -20,21 +20,21 @@
 }
 
 #[test]
-fn a_request_served_in_time_at_once_leaves_none() {
+fn request_served_in_time_has_no_line() {
     let mut rig = explaining();
-    let (_, writer) = rig.at_writer("x0", "ask");
+    let (_, writer) = rig.at_decode("x0", "ask");
     answer(&mut rig, writer);
     assert_eq!(rig.explained, Vec::<String>::new());
 }
 
 #[test]
-fn what_is_late_failed_tried_again_refused_or_gone_leaves_one_that_names_it() {
+fn line_names_why_request_was_not_served_in_time() {
     type Act = fn(&mut Rig);
     let table: [(&str, Act, &[&str]); 5] = [
         (
             "late",
             |rig| {
-                let (_, writer) = rig.at_writer("x1", "book");
+                let (_, writer) = rig.at_decode("x1", "book");
                 rig.pass(3.5);
                 answer(rig, writer);
             },
@@ -51,7 +51,7 @@
         (
             "failed",
             |rig| {
-                let (_, writer) = rig.at_writer("x1", "book");
+                let (_, writer) = rig.at_decode("x1", "book");
                 rig.text(writer, &plain("500 Oops", "", ""));
             },
             &[
@@ -65,9 +65,9 @@
         (
             "again",
             |rig| {
-                let (_, writer) = rig.at_writer("x1", "ask");
+                let (_, writer) = rig.at_decode("x1", "ask");
                 rig.text(writer, &plain("500 Oops", "", ""));
-                let writer = rig.last(Call::is_write).conn;
+                let writer = rig.last(Call::is_decode).conn;
                 answer(rig, writer);
             },
             &["x1 served class 0", "Error after", "Served after"],
@@ -108,11 +108,11 @@
 }
 
 #[test]
-fn nothing_is_kept_of_requests_that_have_ended() {
+fn records_of_ended_requests_are_dropped() {
     let mut access_log = AccessLog::new(&config().settings);
     let mut rig = Rig::tracing();
     for i in 0..50 {
-        let (_, writer) = rig.at_writer(&format!("n{i}"), "ask");
+        let (_, writer) = rig.at_decode(&format!("n{i}"), "ask");
         answer(&mut rig, writer);
     }
     for traced in rig.node.take_trace() {
--- a/crates/platform/tests/bad_clients.rs
+++ b/crates/platform/tests/bad_clients.rs
@@ -4,7 +4,7 @@
 use common::*;
 
 #[test]
-fn what_cannot_be_taken_is_told_and_reaches_no_host() {
+fn invalid_request_is_rejected_and_not_forwarded() {
     let good = request("x1", "ask", 4800);
     let swap = |from: &str, to: &str| good.replace(from, to);
     let table = [
@@ -77,14 +77,14 @@
 }
 
 #[test]
-fn the_id_of_an_open_request_is_not_taken_twice() {
+fn id_of_open_request_is_rejected() {
     let mut rig = Rig::new();
     let first = rig.ask("same", "ask");
     let second = rig.ask("same", "ask");
     assert_eq!(rig.status(second), "409");
-    assert_eq!(rig.count(Call::is_read), 1);
-    rig.read_done();
-    let writer = rig.last(Call::is_write).conn;
+    assert_eq!(rig.count(Call::is_prefill), 1);
+    rig.prefill_done();
+    let writer = rig.last(Call::is_decode).conn;
     rig.text(
         writer,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn silence_and_half_requests_end_within_three_seconds_of_connecting() {
+fn silent_and_partial_clients_end_within_three_seconds() {
     let good = request("h1", "ask", 4800);
     for half in ["", "POST /v1/chat", &good[..good.len() - 5]] {
         let mut rig = Rig::new();
@@ -113,12 +113,12 @@
 
 /// Whoever has asked in order before may be slow, but not stop within a request and stay.
 #[test]
-fn half_a_later_request_that_stops_is_ended_within_three_seconds() {
+fn stopped_later_request_ends_within_three_seconds() {
     let good = request("h2", "ask", 4800);
     for half in ["POST /v1/chat", &good[..good.len() - 5]] {
         for slow in [true, false] {
             let mut rig = Rig::new();
-            let (client, writer) = rig.at_writer("h1", "ask");
+            let (client, writer) = rig.at_decode("h1", "ask");
             rig.text(
                 writer,
                 &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn one_that_asks_piece_by_piece_is_served_and_one_that_has_asked_may_keep_its_connection() {
+fn slow_request_is_served_and_connection_kept() {
     let mut rig = Rig::new();
     let client = rig.client();
     for byte in request("slow", "ask", 4800).as_bytes() {
@@ -152,8 +152,8 @@
         rig.pass(0.005);
     }
     rig.pass(0.05);
-    rig.read_done();
-    let writer = rig.last(Call::is_write).conn;
+    rig.prefill_done();
+    let writer = rig.last(Call::is_decode).conn;
     rig.text(
         writer,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
@@ -163,13 +163,13 @@
 }
 
 #[test]
-fn at_the_bound_those_that_only_stay_make_room_and_newcomers_are_served() {
+fn idle_clients_are_evicted_for_new_ones() {
     let mut rig = Rig::new();
     let mut stayed = Vec::new();
     for i in 0..400 {
         let client = rig.ask(&format!("n{i}"), "ask");
-        rig.read_done();
-        let writer = rig.last(Call::is_write).conn;
+        rig.prefill_done();
+        let writer = rig.last(Call::is_decode).conn;
         rig.text(
             writer,
             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
@@ -184,9 +184,9 @@
 }
 
 #[test]
-fn a_crowd_that_says_nothing_displaces_its_own_and_no_request_in_hand() {
+fn silent_clients_evict_each_other_and_no_open_request() {
     let mut rig = Rig::new();
-    let (client, writer) = rig.at_writer("good", "ask");
+    let (client, writer) = rig.at_decode("good", "ask");
     for _ in 0..500 {
         rig.client();
     }
@@ -204,11 +204,11 @@
         !rig.closed.contains(&late),
         "one that asks at once is let in"
     );
-    assert_eq!(rig.count(Call::is_read), 2);
+    assert_eq!(rig.count(Call::is_prefill), 2);
 }
 
 #[test]
-fn bytes_sent_ahead_are_kept_and_bounded() {
+fn pipelined_bytes_are_bounded() {
     let mut rig = Rig::new();
     let client = rig.client();
     rig.text(
@@ -220,24 +220,24 @@
         ),
     );
     rig.pass(0.02);
-    assert_eq!(rig.count(Call::is_read), 1, "one at a time");
-    rig.read_done();
-    let writer = rig.last(Call::is_write).conn;
+    assert_eq!(rig.count(Call::is_prefill), 1, "one at a time");
+    rig.prefill_done();
+    let writer = rig.last(Call::is_decode).conn;
     rig.text(
         writer,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
     );
     rig.pass(0.02);
     assert_eq!(
-        rig.count(Call::is_read),
+        rig.count(Call::is_prefill),
         2,
         "the second follows the first's answer"
     );
     // Past the bound nothing is kept: what comes is dropped, and its connection ends once the request has its answer.
     rig.text(client, &"x".repeat(30_000));
     rig.text(client, &request("a3", "ask", 4800));
-    rig.read_done();
-    let writer = rig.last(Call::is_write).conn;
+    rig.prefill_done();
+    let writer = rig.last(Call::is_decode).conn;
     rig.text(
         writer,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
@@ -245,7 +245,7 @@
     rig.pass(0.02);
     assert!(rig.said(client).contains("HTTP/1.1 413") && rig.finished.contains(&client));
     assert_eq!(
-        rig.count(Call::is_read),
+        rig.count(Call::is_prefill),
         2,
         "nothing behind what was dropped is believed"
     );
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -85,13 +85,13 @@
         self.text.lines().next().unwrap_or_default()
     }
 
-    pub fn is_read(&self) -> bool {
+    pub fn is_prefill(&self) -> bool {
         self.line().starts_with("POST")
             && matches!(self.to.ip().to_string().as_str(), "127.0.1.1" | "127.0.1.2")
     }
 
-    pub fn is_write(&self) -> bool {
-        self.line().starts_with("POST") && !self.is_read()
+    pub fn is_decode(&self) -> bool {
+        self.line().starts_with("POST") && !self.is_prefill()
     }
 }
 
@@ -118,7 +118,7 @@
     pub stale: BTreeSet<ConnId>,
     /// Connections on which nothing that is written leaves.
     pub stuck: BTreeSet<SocketAddr>,
-    pub answers_probes: bool,
+    pub answers_health_checks: bool,
     pub answers_releases: bool,
     pub load: &'static str,
     /// Clients take nothing of what is written to them.
@@ -163,13 +163,13 @@
             dead: BTreeSet::new(),
             stale: BTreeSet::new(),
             stuck: BTreeSet::new(),
-            answers_probes: true,
+            answers_health_checks: true,
             answers_releases: false,
             load: LOAD,
             slow: false,
             peers: BTreeMap::new(),
         };
-        rig.carry_out(out);
+        rig.run_commands(out);
         rig.tell(Input::Tick);
         rig
     }
@@ -177,16 +177,16 @@
     pub fn tell(&mut self, input: Input) {
         let mut out = Vec::new();
         self.node.step(self.now, input, &mut out);
-        self.carry_out(out);
+        self.run_commands(out);
     }
 
     pub fn reload(&mut self, config: Config) {
         let mut out = Vec::new();
         self.node.reload(self.now, config, &mut out);
-        self.carry_out(out);
+        self.run_commands(out);
     }
 
-    fn carry_out(&mut self, commands: Vec<Command>) {
+    fn run_commands(&mut self, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::Connect { conn, to } => {
@@ -251,7 +251,7 @@
         let probe = text.starts_with("GET /status/load");
         let release = text.starts_with("DELETE ");
         self.calls.push(Call { conn, to, text });
-        if probe && self.answers_probes {
+        if probe && self.answers_health_checks {
             let body = plain("200 OK", "", self.load);
             self.tell(Input::Received {
                 conn,
@@ -313,8 +313,8 @@
     }
 
     /// The reader that was asked last has read the prompt.
-    pub fn read_done(&mut self) {
-        let call = self.last(Call::is_read);
+    pub fn prefill_done(&mut self) {
+        let call = self.last(Call::is_prefill);
         self.text(
             call.conn,
             &plain(
@@ -326,10 +326,10 @@
     }
 
     /// A request that has been read and stands before its writer; gives the client and the writer's connection.
-    pub fn at_writer(&mut self, id: &str, kind: &str) -> (ConnId, ConnId) {
+    pub fn at_decode(&mut self, id: &str, kind: &str) -> (ConnId, ConnId) {
         let client = self.ask(id, kind);
-        self.read_done();
-        (client, self.last(Call::is_write).conn)
+        self.prefill_done();
+        (client, self.last(Call::is_decode).conn)
     }
 
     pub fn said(&self, conn: ConnId) -> &str {
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -22,7 +22,7 @@
 report.fields=load_share,depth,x0\n";
 
 #[test]
-fn both_readings_of_one_deployment_give_equal_settings() {
+fn json_and_wire_settings_are_equal() {
     let from_wire = read_settings(&Facts::from_lines(LINES).expect("lines")).expect("settings");
     // In one thing the platform is another place: a connection's end does not tell that a read has not ended.
     assert!(!from_wire.lost_prefill_may_have_run);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_wrong_field_is_named_with_its_cause_in_one_line() {
+fn invalid_field_is_named_in_one_line() {
     let good = config_json(256);
     let table = [
         (r#""name":"d0","#, "", "name"),
@@ -68,7 +68,7 @@
 
 /// What a dispatcher once knew is a memory: where it cannot be read or contradicts itself, the start goes on without it.
 #[test]
-fn a_known_list_that_cannot_be_taken_is_left_out_with_its_cause() {
+fn invalid_known_list_is_left_out_with_its_cause() {
     let good = config_json(256);
     for (from, to, cause) in [
         (
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn unknown_keys_are_skipped_and_a_missing_list_is_none() {
+fn unknown_keys_are_skipped() {
     let more = config_json(256).replacen('{', r#"{"colour":"red","#, 1);
     assert_eq!(Config::parse(&more), Ok(config()));
     let without = config_json(256).replace(r#""known":"#, r#""once_known":"#);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn load_reports_are_read_by_the_settings_names_in_either_vocabulary() {
+fn load_report_fields_have_two_vocabularies() {
     let names = config().names;
     let told = vec![0.61, 2.0, 0.3];
     assert_eq!(
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn lines_of_discovery_that_cannot_be_read_say_why() {
+fn invalid_discovery_line_says_why() {
     let names = config().names;
     let good = list(
         3,
--- a/crates/platform/tests/descriptors.rs
+++ b/crates/platform/tests/descriptors.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn all_shares_together_stay_within_what_the_process_may_hold() {
+fn connection_limits_fit_descriptors() {
     for descriptors in [48, 49, 64, 128, 256, 300, 1024, 20_000] {
         let shares = ConnectionLimits::of(&limits(descriptors));
         let all = shares.clients + shares.servers + OWN + WATCH + FINISHING;
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_smaller_of_the_systems_limit_and_the_configurations_counts() {
+fn smaller_descriptor_limit_counts() {
     let table = [
         ("no limit", None, OWN, 256),
         ("a lower one", Some(48), OWN, 48),
@@ -135,13 +135,13 @@
 }
 
 #[test]
-fn a_full_table_stays_within_its_bound_and_all_else_goes_on() {
+fn full_client_table_keeps_its_bound() {
     for sockets in [64, 256, 1024] {
         let shares = ConnectionLimits::of(&limits(sockets as usize));
         for crowd in CROWDS {
             let name = format!("{sockets} {crowd:?}");
             let mut rig = rig(sockets);
-            let (good, writer) = rig.at_writer("good", "ask");
+            let (good, writer) = rig.at_decode("good", "ask");
             rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
             let watches_before = watches(&rig);
             for i in 0..2 * sockets as usize {
@@ -167,9 +167,9 @@
             let front = rig.client();
             rig.text(front, READY);
             assert_eq!(rig.status(front), "200", "{name}: /ready");
-            let reads = rig.count(Call::is_read);
+            let reads = rig.count(Call::is_prefill);
             let late = rig.ask("late", "ask");
-            let sent = rig.count(Call::is_read) > reads;
+            let sent = rig.count(Call::is_prefill) > reads;
             let told = rig.status(late) == "503";
             assert!(
                 sent || told && crowd == Crowd::Busy,
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn requests_in_hand_fill_the_hosts_share_first_and_leave_places_for_newcomers() {
+fn server_connections_run_out_before_client_places() {
     for sockets in [64, 256] {
         let shares = ConnectionLimits::of(&limits(sockets as usize));
         let entry = |i: usize| {
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn at_its_return_discovery_is_heard_while_the_table_is_full() {
+fn discovery_returns_while_client_table_is_full() {
     for crowd in CROWDS {
         let mut rig = rig(256);
         for i in 0..400 {
@@ -264,7 +264,7 @@
         }
         let reads: Vec<_> = rig.calls[calls..]
             .iter()
-            .filter(|c| c.is_read())
+            .filter(|c| c.is_prefill())
             .map(|c| c.to)
             .collect();
         assert!(!reads.is_empty(), "{crowd:?}: nothing is sent on");
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn half_requests_give_way_to_a_newcomer_and_those_of_strangers_first() {
+fn partial_requests_are_evicted_first_requests_first() {
     let mut rig = rig(64);
     let most = ConnectionLimits::of(&limits(64)).clients;
     let half = &request("h", "ask", 4800)[..60];
@@ -310,9 +310,9 @@
 }
 
 #[test]
-fn an_answer_that_is_still_being_taken_is_no_room_for_others() {
+fn client_still_reading_is_not_evicted() {
     let mut rig = rig(64);
-    let (slow, writer) = rig.at_writer("slow", "ask");
+    let (slow, writer) = rig.at_decode("slow", "ask");
     rig.slow = true;
     rig.text(
         writer,
@@ -340,14 +340,14 @@
 }
 
 #[test]
-fn for_want_of_descriptors_idle_clients_then_idle_hosts_give_way_and_nothing_in_hand() {
+fn idle_connections_are_evicted_for_descriptors() {
     let mut rig = rig(256);
-    let (_, writer) = rig.at_writer("done", "ask");
+    let (_, writer) = rig.at_decode("done", "ask");
     rig.text(
         writer,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
     );
-    let (busy, streaming) = rig.at_writer("busy", "ask");
+    let (busy, streaming) = rig.at_decode("busy", "ask");
     rig.text(streaming, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
     let silent = rig.client();
     rig.pass(1.0);
--- a/crates/platform/tests/gone.rs
+++ b/crates/platform/tests/disconnects.rs
@@ -10,11 +10,11 @@
 
 /// A node whose settings let it cancel attempts, or not.
 fn rig(cancel: bool) -> Rig {
-    rig_that_waits(cancel, 0.25)
+    rig_with_connect_timeout(cancel, 0.25)
 }
 
 /// The same, with a time for connections to come up, seconds.
-fn rig_that_waits(cancel: bool, connect_s: f64) -> Rig {
+fn rig_with_connect_timeout(cancel: bool, connect_s: f64) -> Rig {
     let text = config_json(256).replace(r#""cancel":true"#, &format!(r#""cancel":{cancel}"#));
     let text = text.replace(
         r#""connectTimeoutS":0.25"#,
@@ -27,11 +27,11 @@
     call.line().starts_with("POST")
 }
 
-fn readers() -> [SocketAddr; 2] {
+fn prefill_servers() -> [SocketAddr; 2] {
     ["127.0.1.1:80", "127.0.1.2:80"].map(|a| a.parse().expect("an address"))
 }
 
-fn writers() -> [SocketAddr; 2] {
+fn decode_servers() -> [SocketAddr; 2] {
     ["127.0.1.3:80", "127.0.1.4:80"].map(|a| a.parse().expect("an address"))
 }
 
@@ -58,7 +58,7 @@
 }
 
 /// Every host that still has a request does something with it.
-fn all_say(rig: &mut Rig, text: &str) {
+fn all_respond(rig: &mut Rig, text: &str) {
     for call in rig.calls.clone().iter().filter(|c| is_post(c)) {
         says(rig, call.conn, text);
     }
@@ -82,8 +82,8 @@
     held: [bool; 2],
 }
 
-fn waits_for_probes(rig: &mut Rig) -> ConnId {
-    rig.answers_probes = false;
+fn waiting_for_health_checks(rig: &mut Rig) -> ConnId {
+    rig.answers_health_checks = false;
     let client = rig.client();
     rig.text(client, &request("g", "ask", 4800));
     assert_eq!(rig.count(is_post), 0, "it waits for a place");
@@ -91,50 +91,53 @@
 }
 
 fn due_with_its_end(rig: &mut Rig) -> ConnId {
-    let client = waits_for_probes(rig);
+    let client = waiting_for_health_checks(rig);
     // Nobody has looked at the clock meanwhile.
     rig.now = rig.now.after(0.05);
     client
 }
 
-fn at_reader(rig: &mut Rig) -> ConnId {
+fn at_prefill(rig: &mut Rig) -> ConnId {
     rig.ask("g", "ask")
 }
 
-fn at_writer(rig: &mut Rig) -> ConnId {
-    rig.at_writer("g", "ask").0
+fn at_decode(rig: &mut Rig) -> ConnId {
+    rig.at_decode("g", "ask").0
 }
 
 /// Both writers have declined: the state waits at its reader until one can be asked again.
-fn held_between(rig: &mut Rig) -> ConnId {
-    let (client, writer) = rig.at_writer("g", "ask");
+fn between_prefill_and_decode(rig: &mut Rig) -> ConnId {
+    let (client, writer) = rig.at_decode("g", "ask");
     rig.text(writer, &declined());
-    let other = rig.last(Call::is_write).conn;
+    let other = rig.last(Call::is_decode).conn;
     assert_ne!(writer, other);
     rig.text(other, &declined());
     client
 }
 
 fn held_and_due(rig: &mut Rig) -> ConnId {
-    let client = held_between(rig);
+    let client = between_prefill_and_decode(rig);
     rig.now = rig.now.after(0.25);
     client
 }
 
-fn reader_comes_up(rig: &mut Rig) -> ConnId {
-    rig.answers_probes = false;
-    rig.dead.extend(readers());
+fn prefill_server_comes_up(rig: &mut Rig) -> ConnId {
+    rig.answers_health_checks = false;
+    rig.dead.extend(prefill_servers());
     let client = rig.ask("g", "ask");
-    assert!(rig.connects.iter().any(|c| readers().contains(&c.1)));
+    assert!(rig
+        .connects
+        .iter()
+        .any(|c| prefill_servers().contains(&c.1)));
     client
 }
 
-fn writer_comes_up(rig: &mut Rig) -> ConnId {
-    rig.answers_probes = false;
-    rig.dead.extend(writers());
+fn decode_server_comes_up(rig: &mut Rig) -> ConnId {
+    rig.answers_health_checks = false;
+    rig.dead.extend(decode_servers());
     let client = rig.ask("g", "ask");
-    rig.read_done();
-    assert_eq!(rig.count(Call::is_write), 0);
+    rig.prefill_done();
+    assert_eq!(rig.count(Call::is_decode), 0);
     client
 }
 
@@ -152,7 +155,7 @@
     client
 }
 
-fn sent_much_ahead(rig: &mut Rig) -> ConnId {
+fn much_pipelined(rig: &mut Rig) -> ConnId {
     let client = sent_ahead(rig);
     for _ in 0..40 {
         rig.text(client, &"x".repeat(30_000));
@@ -161,16 +164,16 @@
 }
 
 #[test]
-fn no_attempt_begins_once_its_client_has_gone_and_nothing_stays_held() {
+fn disconnect_begins_no_attempt_and_releases_state() {
     let nothing: fn(&mut Rig) = |_| {};
     let read: fn(&mut Rig) =
-        |rig| all_say(rig, &plain("202 Accepted", "", r#"{"cached_tokens":64}"#));
-    let decline: fn(&mut Rig) = |rig| all_say(rig, &declined());
-    let fail: fn(&mut Rig) = |rig| all_say(rig, &plain("500 Oops", "", ""));
+        |rig| all_respond(rig, &plain("202 Accepted", "", r#"{"cached_tokens":64}"#));
+    let decline: fn(&mut Rig) = |rig| all_respond(rig, &declined());
+    let fail: fn(&mut Rig) = |rig| all_respond(rig, &plain("500 Oops", "", ""));
     let table = [
         Case {
             name: "probes out",
-            before: waits_for_probes,
+            before: waiting_for_health_checks,
             after: nothing,
             held: [false; 2],
         },
@@ -182,37 +185,37 @@
         },
         Case {
             name: "at a reader that reads",
-            before: at_reader,
+            before: at_prefill,
             after: read,
             held: [true; 2],
         },
         Case {
             name: "at a reader that declines",
-            before: at_reader,
+            before: at_prefill,
             after: decline,
             held: [true, false],
         },
         Case {
             name: "at a reader that fails",
-            before: at_reader,
+            before: at_prefill,
             after: fail,
             held: [true, false],
         },
         Case {
             name: "at a reader that breaks",
-            before: at_reader,
+            before: at_prefill,
             after: all_end,
             held: [true; 2],
         },
         Case {
             name: "at a silent reader",
-            before: at_reader,
+            before: at_prefill,
             after: nothing,
             held: [true; 2],
         },
         Case {
             name: "held",
-            before: held_between,
+            before: between_prefill_and_decode,
             after: nothing,
             held: [true; 2],
         },
@@ -224,49 +227,49 @@
         },
         Case {
             name: "at a writer that declines",
-            before: at_writer,
+            before: at_decode,
             after: decline,
             held: [true; 2],
         },
         Case {
             name: "at a writer that fails",
-            before: at_writer,
+            before: at_decode,
             after: fail,
             held: [true; 2],
         },
         Case {
             name: "at a writer that breaks",
-            before: at_writer,
+            before: at_decode,
             after: all_end,
             held: [true; 2],
         },
         Case {
             name: "at a silent writer",
-            before: at_writer,
+            before: at_decode,
             after: nothing,
             held: [true; 2],
         },
         Case {
             name: "a reader comes up",
-            before: reader_comes_up,
+            before: prefill_server_comes_up,
             after: all_come_up,
             held: [false; 2],
         },
         Case {
             name: "a reader never comes up",
-            before: reader_comes_up,
+            before: prefill_server_comes_up,
             after: nothing,
             held: [false; 2],
         },
         Case {
             name: "a writer comes up",
-            before: writer_comes_up,
+            before: decode_server_comes_up,
             after: all_come_up,
             held: [true; 2],
         },
         Case {
             name: "a writer never comes up",
-            before: writer_comes_up,
+            before: decode_server_comes_up,
             after: nothing,
             held: [true; 2],
         },
@@ -278,7 +281,7 @@
         },
         Case {
             name: "much sent ahead",
-            before: sent_much_ahead,
+            before: much_pipelined,
             after: read,
             held: [true; 2],
         },
@@ -325,10 +328,10 @@
 }
 
 #[test]
-fn of_many_whose_ends_are_told_one_after_the_other_none_is_sent() {
+fn no_request_of_many_disconnected_clients_is_sent() {
     for cancel in [true, false] {
         let mut rig = rig(cancel);
-        rig.answers_probes = false;
+        rig.answers_health_checks = false;
         let clients: Vec<ConnId> = (0..20).map(|_| rig.client()).collect();
         for (i, client) in clients.iter().enumerate() {
             rig.text(*client, &request(&format!("m{i}"), "ask", 4800));
@@ -346,25 +349,25 @@
 
 /// An attempt begins with its last byte. Until then it is taken back, whether or not the settings allow to cancel.
 #[test]
-fn a_request_that_has_not_left_whole_on_a_kept_connection_is_taken_back() {
+fn unsent_request_on_idle_connection_is_cancelled() {
     for cancel in [true, false] {
         let mut rig = rig(cancel);
-        let (_, writer) = rig.at_writer("first", "ask");
+        let (_, writer) = rig.at_decode("first", "ask");
         rig.text(
             writer,
             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
         );
-        rig.stuck.extend(readers());
+        rig.stuck.extend(prefill_servers());
         let dials = |rig: &Rig| {
             rig.connects
                 .iter()
-                .filter(|c| readers().contains(&c.1))
+                .filter(|c| prefill_servers().contains(&c.1))
                 .count()
         };
         rig.pass(SETTLE_SECS);
         let before = dials(&rig);
         let client = rig.ask("g", "ask");
-        let call = rig.last(Call::is_read);
+        let call = rig.last(Call::is_prefill);
         assert!(
             call.text.contains("Req-Id: g\r\n") && dials(&rig) == before,
             "on a kept connection"
@@ -387,11 +390,11 @@
 
 /// The same where the module has answered while a connection comes up: nobody waits for what would come of it.
 #[test]
-fn a_request_that_has_its_answer_is_not_written_once_its_connection_is_up() {
+fn answered_request_is_not_written_after_connect() {
     for cancel in [true, false] {
-        let mut rig = rig_that_waits(cancel, 5.0);
-        rig.answers_probes = false;
-        rig.dead.extend(readers());
+        let mut rig = rig_with_connect_timeout(cancel, 5.0);
+        rig.answers_health_checks = false;
+        rig.dead.extend(prefill_servers());
         let client = rig.client();
         rig.text(client, &request("g", "ask", 1500));
         rig.pass(1.497);
@@ -405,17 +408,17 @@
 
 /// Where all connections to hosts are in use, a release has one of its own, and further calls wait for one.
 #[test]
-fn what_is_held_is_let_go_of_though_no_connection_was_free() {
+fn state_is_released_though_no_connection_was_free() {
     let text = config_json(64).replace(r#""cancel":true"#, r#""cancel":false"#);
     let mut rig = Rig::with(Config::parse(&text).expect("the test's configuration"));
-    let client = held_between(&mut rig);
+    let client = between_prefill_and_decode(&mut rig);
     let deletes = |rig: &Rig| rig.count(|c| c.line() == "DELETE /bootstrap/rooms/g HTTP/1.1");
     // Others are read at silent readers, until no connection is left.
     let others: Vec<ConnId> = (0..12).map(|_| rig.client()).collect();
     for (i, other) in others.iter().enumerate() {
         rig.text(*other, &request(&format!("o{i}"), "ask", 4800));
     }
-    rig.answers_probes = false;
+    rig.answers_health_checks = false;
     rig.now = rig.now.after(0.016);
     rig.tell(Input::Tick);
     assert_eq!(
@@ -432,7 +435,7 @@
         "there is no way out for a second call"
     );
     // A connection comes free whose own client has gone, so that no attempt takes its place.
-    let read = rig.last(Call::is_read);
+    let read = rig.last(Call::is_prefill);
     let asks = |i: &usize| read.text.contains(&format!("Req-Id: o{i}\r\n"));
     let other = (0..others.len()).find(asks).expect("one of the others");
     rig.tell(Input::Ended {
@@ -456,7 +459,7 @@
 /// What comes past the bound is read, as the client's end stands behind it, and dropped; a request behind the gap
 /// cannot be read, and one before it is served.
 #[test]
-fn what_is_sent_ahead_past_the_bound_is_dropped_and_ends_the_connection_in_order() {
+fn pipelined_bytes_past_bound_end_connection() {
     let mut rig = Rig::new();
     let client = sent_ahead(&mut rig);
     for _ in 0..100 {
@@ -465,11 +468,11 @@
     assert!(!rig.paused.contains(&client), "its end is still heard");
     for id in ["g", "g2"] {
         assert!(rig
-            .last(Call::is_read)
+            .last(Call::is_prefill)
             .text
             .contains(&format!("Req-Id: {id}\r\n")));
-        rig.read_done();
-        let writer = rig.last(Call::is_write).conn;
+        rig.prefill_done();
+        let writer = rig.last(Call::is_decode).conn;
         rig.text(
             writer,
             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
@@ -486,7 +489,7 @@
 }
 
 #[test]
-fn one_that_sends_ahead_without_end_is_read_no_further() {
+fn endless_pipelining_is_paused() {
     let mut rig = Rig::new();
     let client = sent_ahead(&mut rig);
     let much = vec![b'x'; 4 << 20];
@@ -505,12 +508,12 @@
 
 /// A timer that is due when it is told that a request has left whole must not take it for unsent.
 #[test]
-fn a_request_that_has_left_may_have_run_though_its_time_is_up_when_that_is_told() {
+fn sent_request_may_have_run_after_timeout() {
     for cancel in [true, false] {
         let mut rig = rig(cancel);
-        rig.stuck.extend(readers());
+        rig.stuck.extend(prefill_servers());
         rig.ask("g", "ask");
-        let read = rig.last(Call::is_read);
+        let read = rig.last(Call::is_prefill);
         rig.now = rig.now.after(4.9);
         rig.tell(Input::Wrote {
             conn: read.conn,
@@ -525,10 +528,10 @@
 /// A client's close and the first event of its stream in one turn, in either order: nothing further begins, its host's
 /// connection ends, and nothing stays in hand.
 #[test]
-fn a_close_that_crosses_the_first_event_ends_the_stream() {
+fn close_crossing_first_event_ends_stream() {
     for close_first in [true, false] {
         let mut rig = rig(true);
-        let (client, writer) = rig.at_writer("crossed", "book");
+        let (client, writer) = rig.at_decode("crossed", "book");
         let first = format!("{STREAM_HEAD}{}", chunk(&event("one")));
         if close_first {
             rig.tell(Input::Ended { conn: client });
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_watch_begins_at_the_version_known_and_follows_changes() {
+fn watch_begins_at_known_version() {
     let mut rig = Rig::new();
     assert_eq!(
         rig.calls[0].line(),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_leaves_the_list_and_begins_the_watch_anew_from_it() {
+fn unreadable_line_restarts_watch_and_keeps_list() {
     let bad = [
         "{\"rev\":8,\"all\":false,\"targ".to_string(),
         list(
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_line_without_an_end_is_not_kept_for_ever() {
+fn endless_discovery_line_is_dropped() {
     let mut rig = Rig::new();
     let conn = watch(&rig);
     rig.text(conn, HEAD);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn silence_is_a_break_and_calls_come_with_pauses() {
+fn silent_watch_is_restarted_with_backoff() {
     let mut rig = Rig::new();
     let conn = watch(&rig);
     rig.text(conn, HEAD);
@@ -152,9 +152,9 @@
 }
 
 #[test]
-fn a_new_configuration_is_followed_at_once_and_keeps_list_and_requests() {
+fn reload_keeps_list_and_requests() {
     let mut rig = Rig::new();
-    let (client, writer) = rig.at_writer("k1", "ask");
+    let (client, writer) = rig.at_decode("k1", "ask");
     let old = watch(&rig);
     let moved = config_json(256).replace("127.0.2.1:8500", "127.0.2.7:8500");
     rig.reload(Config::parse(&moved).expect("good"));
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn ready_says_whether_the_list_is_known() {
+fn readiness_follows_endpoint_list() {
     let ready = |rig: &mut Rig| {
         let client = rig.client();
         rig.text(client, "GET /ready HTTP/1.1\r\nHost: d\r\n\r\n");
@@ -203,10 +203,10 @@
 }
 
 #[test]
-fn a_stop_takes_what_still_comes_answers_it_and_ends() {
+fn stop_answers_late_requests_then_ends() {
     let mut rig = Rig::new();
     let idle = rig.client();
-    let (client, writer) = rig.at_writer("e1", "ask");
+    let (client, writer) = rig.at_decode("e1", "ask");
     rig.tell(Input::Stop);
     rig.pass(0.3);
     let late = rig.ask("e2", "ask");
@@ -222,8 +222,8 @@
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
     );
     assert!(rig.said(client).ends_with("0\r\n\r\n") && rig.finished.contains(&client));
-    rig.read_done();
-    let writer = rig.last(Call::is_write).conn;
+    rig.prefill_done();
+    let writer = rig.last(Call::is_decode).conn;
     assert!(!rig.stopped);
     rig.text(
         writer,
@@ -234,9 +234,9 @@
 }
 
 #[test]
-fn streams_that_outlive_a_stop_end_in_time_for_their_clients_to_go_elsewhere() {
+fn stop_ends_streams_before_kill() {
     let mut rig = Rig::new();
-    let (client, writer) = rig.at_writer("e3", "ask");
+    let (client, writer) = rig.at_decode("e3", "ask");
     rig.text(writer, STREAM_HEAD);
     rig.text(writer, &chunk(&event("one")));
     rig.tell(Input::Stop);
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn what_comes_whole_while_stopping_has_its_answer_before_the_kill() {
+fn request_completed_while_stopping_is_answered() {
     let mut rig = Rig::new();
     let client = rig.client();
     let text = request("e4", "book", 12_000);
@@ -266,14 +266,14 @@
     rig.pass(1.0);
     rig.text(client, &text[60..]);
     rig.pass(2.0);
-    assert_eq!(rig.count(Call::is_read), 1, "it is taken");
+    assert_eq!(rig.count(Call::is_prefill), 1, "it is taken");
     assert_eq!(rig.said(client), "");
     rig.pass(0.45);
     assert_eq!(rig.status(client), "504", "no reader has answered it");
 }
 
 #[test]
-fn messages_of_peers_are_told_by_their_number_and_ones_own_are_not() {
+fn peer_datagrams_carry_number_and_own_are_dropped() {
     let mut rig = Rig::tracing();
     rig.node.take_trace();
     for from in ["127.0.3.2:7946", "127.0.3.1:7946", "127.0.9.9:7946"] {
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn a_long_run_with_new_ids_leaves_nothing_behind() {
+fn long_run_with_new_ids_leaks_nothing() {
     let mut rig = Rig::new();
     let conn = watch(&rig);
     rig.text(conn, HEAD);
@@ -306,8 +306,8 @@
         );
         line(&mut rig, &list(8 + i, false, &[old, new]));
         let client = rig.ask(&format!("q{i}"), "ask");
-        rig.read_done();
-        let writer = rig.last(Call::is_write).conn;
+        rig.prefill_done();
+        let writer = rig.last(Call::is_decode).conn;
         rig.text(
             writer,
             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
--- a/crates/platform/tests/told.rs
+++ b/crates/platform/tests/discovery_faults.rs
@@ -199,7 +199,7 @@
             }
         }
         for conn in self.open.keys().copied().collect::<Vec<_>>() {
-            self.speak(conn, t);
+            self.send_line(conn, t);
         }
     }
 
@@ -227,7 +227,7 @@
         }
     }
 
-    fn speak(&mut self, conn: ConnId, t: f64) {
+    fn send_line(&mut self, conn: ConnId, t: f64) {
         if self.rig.closed.contains(&conn) {
             self.open.remove(&conn);
             return;
@@ -271,7 +271,7 @@
     }
 
     /// Goes on until the change is acted on; gives the time, or `None` past the limit.
-    fn until_told(&mut self, limit: f64) -> Option<f64> {
+    fn until_notified(&mut self, limit: f64) -> Option<f64> {
         while !self.told() {
             if self.time() > limit {
                 return None;
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn a_change_at_any_time_around_any_fault_is_acted_on_inside_the_bound() {
+fn change_around_any_fault_is_followed_in_time() {
     let mut late = Vec::new();
     for fault in FAULTS {
         let mut worst = Worst::default();
@@ -335,7 +335,7 @@
                     change_at.max(well_at)
                 };
                 let case = format!("{fault:?} for {lasts} s, change at {change_at:.1} s");
-                match stand.until_told(had_at + 20.0) {
+                match stand.until_notified(had_at + 20.0) {
                     Some(at) => worst.take(at - had_at, case.clone()),
                     None => worst.take(20.0, case.clone()),
                 }
@@ -353,7 +353,7 @@
 }
 
 #[test]
-fn a_fault_that_begins_when_the_back_off_is_longest_ends_inside_the_bound() {
+fn fault_at_longest_backoff_ends_in_time() {
     let mut late = Vec::new();
     for fault in FAULTS {
         let mut worst = Worst::default();
@@ -367,7 +367,7 @@
                 let seed = (ill_at * 100.0 + lasts) as u64;
                 let mut stand = Stand::new(seed, &[place], FAULT_AT + 1.0);
                 let waited = stand
-                    .until_told(well_at + 20.0)
+                    .until_notified(well_at + 20.0)
                     .map_or(20.0, |at| at - well_at);
                 worst.take(
                     waited,
@@ -384,7 +384,7 @@
 }
 
 #[test]
-fn a_new_address_during_any_fault_is_followed_inside_the_bound() {
+fn new_address_during_any_fault_is_followed_in_time() {
     let mut late = Vec::new();
     for fault in FAULTS {
         let mut worst = Worst::default();
@@ -403,7 +403,7 @@
                 let had_at = change_at.max(reload_at).max(new_well_at);
                 let case =
                     format!("{fault:?}, reload at {reload_at:.1} s, change at {change_at:.2} s");
-                match stand.until_told(had_at + 20.0) {
+                match stand.until_notified(had_at + 20.0) {
                     Some(at) => worst.take(at - had_at, case.clone()),
                     None => worst.take(20.0, case.clone()),
                 }
@@ -440,7 +440,7 @@
 }
 
 #[test]
-fn nodes_that_lose_their_watch_in_one_instant_do_not_call_again_in_step() {
+fn reconnects_of_many_nodes_are_spread() {
     for fault in [
         Fault::Refused,
         Fault::Error500,
@@ -500,7 +500,7 @@
 }
 
 #[test]
-fn the_same_seed_calls_alike_and_the_same_seed_under_another_name_does_not() {
+fn backoff_depends_on_seed_and_name() {
     let dials = |text: &str| {
         let place = Place::new(OLD, Fault::Refused, (0.0, 1e9));
         let mut stand = Stand::new(7, &[place], 1e9);
@@ -519,7 +519,7 @@
 }
 
 #[test]
-fn an_hour_without_discovery_leaves_few_lines_and_few_timers() {
+fn hour_without_discovery_leaves_few_lines_and_timers() {
     for fault in [
         Fault::Refused,
         Fault::Error500,
--- a/crates/platform/tests/http1.rs
+++ b/crates/platform/tests/http1.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn bodies_are_the_same_wherever_they_are_cut() {
+fn bodies_do_not_depend_on_cuts() {
     let table: [(Framing, &[u8], &[u8], usize); 6] = [
         (Framing::Length(5), b"hello", b"hello", 0),
         (Framing::Length(5), b"helloGET ", b"hello", 4),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn chunks_that_cannot_be_read_are_refused_wherever_they_are_cut() {
+fn invalid_chunks_are_rejected_at_any_cut() {
     let table: [&[u8]; 9] = [
         b"zz\r\nhello\r\n0\r\n\r\n",
         b"-5\r\nhello\r\n",
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_size_line_without_an_end_is_not_kept_for_ever() {
+fn endless_chunk_size_line_is_rejected() {
     let long = vec![b'0'; 5000];
     assert_eq!(
         body_in_two(Framing::Chunked, &long, 0),
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn heads_of_requests_that_can_be_read_in_two_ways_are_not_read() {
+fn ambiguous_request_heads_are_rejected() {
     let head = |fields: &str| format!("POST /x HTTP/1.1\r\nHost: a\r\n{fields}\r\n");
     let table = [
         (
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_head_is_whole_at_its_last_byte_and_takes_no_more() {
+fn head_ends_at_its_last_byte() {
     let text = "\r\nPOST /v1/x?y=1 HTTP/1.1\r\nReq-Id: 9b\r\nContent-Length: 3\r\n\r\n";
     for at in 0..text.len() {
         assert_eq!(
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn heads_without_end_and_noise_are_given_up() {
+fn endless_heads_and_noise_are_rejected() {
     let endless = format!("GET / HTTP/1.1\r\nX: {}", "a".repeat(MAX_HEAD));
     assert_eq!(
         request_head(endless.as_bytes()),
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn events_are_passed_on_whole_and_unchanged_and_comments_are_not() {
+fn events_are_forwarded_unchanged_without_comments() {
     let stream =
         "data: {\"a\":1}\n\ndata: {\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":4096}}}\n\n\
                   data: [DONE]\n\n: Srv-Load: util=0.5,queue=1,x0=0.2\n\n";
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn interim_answers_are_passed_over_and_what_follows_an_answer_is_left_over() {
+fn interim_responses_are_skipped() {
     let answer = "HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n\
                   HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n0\r\n\r\n";
     let second = "HTTP/1.1 200 OK\r\n\r\n";
--- a/crates/platform/tests/lists.rs
+++ b/crates/platform/tests/lists.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_list_that_cannot_be_right_leaves_the_last_good_one_and_is_named_once() {
+fn invalid_list_keeps_last_good_one() {
     let good = target("h-r3", "127.0.1.5:80", "reads", "in_service");
     let with = |from: &str, to: &str| list(8, false, &[good.replace(from, to)]);
     let twice = |state: &str| {
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn two_hosts_at_one_address_and_one_named_twice_alike_are_taken() {
+fn two_servers_may_share_an_address() {
     let old = target("h-r1", "127.0.1.1:80", "reads", "terminating");
     let new = target("h-r3", "127.0.1.1:80", "reads", "in_service");
     let (mut rig, conn) = watching();
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_list_counts_indented_in_pieces_and_before_what_breaks_the_watch() {
+fn list_counts_indented_and_in_pieces() {
     let indented = news().replace(',', ",\r\n   ").replace('{', "{\n\t") + "\n";
     let ended = "0\r\n\r\n";
     let length = format!(
@@ -169,7 +169,7 @@
 /// A host that has started anew knows nothing of connections to the process before: what is written to one may end as
 /// reset, which may have run as far as anybody can tell.
 #[test]
-fn kept_connections_to_a_host_that_has_started_anew_are_not_used_again() {
+fn idle_connections_to_restarted_server_are_closed() {
     let again = |boot_ms: u64, uid: &str, endpoint: &str, model: &str| {
         target(uid, endpoint, model, "in_service")
             .replace(r#""boot_ms":0"#, &format!(r#""boot_ms":{boot_ms}"#))
@@ -181,8 +181,8 @@
         (5, true, true),
     ] {
         let (mut rig, watch) = watching();
-        let (_, writer) = rig.at_writer("first", "ask");
-        let read = rig.last(Call::is_read).conn;
+        let (_, writer) = rig.at_decode("first", "ask");
+        let read = rig.last(Call::is_prefill).conn;
         rig.text(
             writer,
             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
@@ -197,7 +197,7 @@
             assert_eq!(rig.closed.contains(&conn), closes, "{case}");
         }
         rig.pass(1.0);
-        let (client, writer) = rig.at_writer("second", "book");
+        let (client, writer) = rig.at_decode("second", "book");
         rig.text(
             writer,
             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("two"))),
@@ -209,7 +209,7 @@
 /// The whole list of the largest fleet, in one chunk, in pieces, indented or not, is taken; one past the bound is refused
 /// by one line in the log, and the last good one stays.
 #[test]
-fn a_list_of_the_largest_fleet_is_taken_in_one_chunk() {
+fn largest_list_is_taken_in_one_chunk() {
     let hosts: Vec<String> = (0..3200)
         .map(|i| {
             target(
--- a/crates/platform/tests/memory.rs
+++ b/crates/platform/tests/memory.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn half_requests_together_stay_within_their_part_of_the_memory() {
+fn partial_requests_stay_within_memory_limit() {
     for chunked in [false, true] {
         let mut rig = roomy();
         let clients = half_bodies(&mut rig, 300, chunked);
@@ -70,7 +70,7 @@
             "{kept} still have their room"
         );
         // Whoever asks in the midst of it is served.
-        let (client, writer) = rig.at_writer("good", "ask");
+        let (client, writer) = rig.at_decode("good", "ask");
         rig.text(
             writer,
             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_long_request_that_comes_slowly_is_taken_where_there_is_room() {
+fn slow_long_request_is_served() {
     let mut rig = roomy();
     let length = 200 * 1024;
     let client = rig.client();
@@ -89,14 +89,14 @@
         rig.text(client, &"x".repeat(length / 50));
         rig.pass(0.02);
     }
-    assert_eq!(rig.count(Call::is_read), 1);
+    assert_eq!(rig.count(Call::is_prefill), 1);
     assert_eq!(rig.node.resource_usage().unfinished_bytes, 0);
 }
 
 #[test]
-fn requests_in_hand_and_their_answers_are_no_half_requests() {
+fn open_requests_do_not_count_as_partial() {
     let mut rig = roomy();
-    let (client, writer) = rig.at_writer("first", "ask");
+    let (client, writer) = rig.at_decode("first", "ask");
     half_bodies(&mut rig, 300, false);
     assert!(
         !rig.finished.contains(&client),
--- a/crates/platform/tests/held.rs
+++ b/crates/platform/tests/releases.rs
@@ -23,9 +23,9 @@
 }
 
 #[test]
-fn a_state_that_the_module_lets_go_of_is_deleted() {
+fn released_state_is_deleted() {
     let mut rig = Rig::new();
-    let (_, writer) = rig.at_writer("p1", "book");
+    let (_, writer) = rig.at_decode("p1", "book");
     rig.text(writer, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
     let calls = deletes(&rig, "p1");
     assert_eq!(calls.len(), 1, "at once");
@@ -39,9 +39,9 @@
 }
 
 #[test]
-fn a_call_without_an_answer_is_made_again_elsewhere_until_one_has_arrived() {
+fn unanswered_release_is_hedged_until_confirmed() {
     let mut rig = Rig::new();
-    let (_, writer) = rig.at_writer("p2", "book");
+    let (_, writer) = rig.at_decode("p2", "book");
     rig.text(writer, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
     rig.pass(0.2);
     let calls = deletes(&rig, "p2");
@@ -93,9 +93,9 @@
 }
 
 #[test]
-fn a_release_that_is_confirmed_late_is_logged_and_counted() {
+fn late_release_is_logged_and_counted() {
     let mut rig = Rig::new();
-    let (_, writer) = rig.at_writer("p9", "book");
+    let (_, writer) = rig.at_decode("p9", "book");
     rig.text(writer, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
     rig.pass(0.4);
     let last = deletes(&rig, "p9").pop().expect("called again");
@@ -112,9 +112,9 @@
 }
 
 #[test]
-fn a_host_that_breaks_the_call_is_not_the_last_one_called() {
+fn failed_release_call_is_retried_elsewhere() {
     let mut rig = Rig::new();
-    let (_, writer) = rig.at_writer("p3", "book");
+    let (_, writer) = rig.at_decode("p3", "book");
     rig.text(writer, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
     let first = deletes(&rig, "p3").remove(0);
     rig.tell(Input::Ended { conn: first.conn });
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_read_given_up_may_have_left_a_state() {
+fn cancelled_prefill_may_leave_state() {
     let mut rig = Rig::new();
     rig.ask("p4", "book");
     rig.pass(4.9);
@@ -132,7 +132,7 @@
 /// Hosts have fallen silent that were heard of before, while time runs on: those that have answered last are called
 /// first, and those without a connection last, wherever the state is believed to be.
 #[test]
-fn hosts_that_answered_last_are_called_first() {
+fn recently_responding_servers_are_called_first() {
     let mut fleet = Endpoints::default();
     fleet.apply(START, config().known.expect("the test's list"));
     let all: Vec<(ServerId, SocketAddr)> = fleet.iter().map(|(id, t)| (id, t.endpoint)).collect();
@@ -178,14 +178,14 @@
 
 /// The read that was given up may have ended well all the same: its state is another than the one that a writer took.
 #[test]
-fn what_a_read_given_up_may_have_left_is_let_go_of_after_an_answer_too() {
+fn cancelled_prefill_is_released_after_response() {
     let mut rig = Rig::new();
     let client = rig.ask("p8", "ask");
-    let first = rig.last(Call::is_read);
+    let first = rig.last(Call::is_prefill);
     rig.tell(Input::Ended { conn: first.conn });
-    rig.read_done();
-    assert_ne!(rig.last(Call::is_read).to, first.to, "read elsewhere");
-    let writer = rig.last(Call::is_write).conn;
+    rig.prefill_done();
+    assert_ne!(rig.last(Call::is_prefill).to, first.to, "read elsewhere");
+    let writer = rig.last(Call::is_decode).conn;
     rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
     assert!(
         deletes(&rig, "p8").is_empty(),
@@ -197,9 +197,9 @@
 }
 
 #[test]
-fn a_state_that_was_taken_is_not_deleted() {
+fn taken_state_is_not_deleted() {
     let mut rig = Rig::new();
-    let (_, writer) = rig.at_writer("p5", "ask");
+    let (_, writer) = rig.at_decode("p5", "ask");
     rig.text(
         writer,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
@@ -211,13 +211,13 @@
 /// A release may reach one host before the close of the hand-over has reached another, which still waits for the state:
 /// it is confirmed, and has let go of nothing.
 #[test]
-fn a_release_that_may_overtake_the_close_of_its_hand_over_is_made_again() {
+fn release_overtaking_close_is_repeated() {
     let mut rig = Rig::new();
     rig.answers_releases = true;
     let client = rig.client();
     rig.text(client, &request("c1", "ask", 600));
     rig.pass(0.02);
-    rig.read_done();
+    rig.prefill_done();
     rig.pass(0.6);
     assert_eq!(
         rig.status(client),
@@ -243,14 +243,14 @@
 
 /// What an earlier prefill may have left is released; the further prefill, whose connection comes up late, goes on.
 #[test]
-fn a_release_does_not_end_a_further_prefill_that_has_not_gone_out() {
+fn release_keeps_unsent_prefill() {
     let text = config_json(256).replace(r#""connectTimeoutS":0.25"#, r#""connectTimeoutS":3.0"#);
     let mut rig = Rig::with(Config::parse(&text).expect("the test's configuration"));
     rig.answers_releases = true;
     let client = rig.client();
     rig.text(client, &request("f1", "ask", 4800));
     rig.pass(0.02);
-    let first = rig.last(Call::is_read);
+    let first = rig.last(Call::is_prefill);
     rig.dead.extend(
         hosts()
             .iter()
@@ -267,5 +267,5 @@
     assert_eq!(deletes(&rig, "f1").len(), 1, "what the first may have left");
     assert!(!rig.closed.contains(&second));
     rig.tell(Input::Connected { conn: second });
-    assert_ne!(rig.last(Call::is_read).to, first.to, "read elsewhere");
+    assert_ne!(rig.last(Call::is_prefill).to, first.to, "read elsewhere");
 }
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -7,11 +7,11 @@
 use common::*;
 
 #[test]
-fn a_request_is_read_then_written_and_its_events_are_relayed_unchanged() {
+fn request_goes_through_prefill_and_decode() {
     let mut rig = Rig::new();
-    let (client, writer) = rig.at_writer("9b1f03aa5c7e2d41", "ask");
-    let read = rig.last(Call::is_read);
-    let write = rig.last(Call::is_write);
+    let (client, writer) = rig.at_decode("9b1f03aa5c7e2d41", "ask");
+    let read = rig.last(Call::is_prefill);
+    let write = rig.last(Call::is_decode);
     for call in [&read, &write] {
         assert_eq!(call.line(), "POST /v1/chat/completions HTTP/1.1");
         assert!(call.text.contains("Req-Id: 9b1f03aa5c7e2d41\r\n"));
@@ -40,7 +40,7 @@
     let before = rig.connects.len();
     rig.text(client, &request("aa", "ask", 4800));
     rig.pass(0.02);
-    rig.read_done();
+    rig.prefill_done();
     assert_eq!(
         rig.connects.len() - before,
         0,
@@ -59,19 +59,19 @@
 }
 
 #[test]
-fn the_time_that_is_left_is_passed_on() {
+fn remaining_time_is_forwarded() {
     let mut rig = Rig::new();
     rig.ask("t1", "ask");
     rig.pass(0.5);
-    rig.read_done();
-    let left = notified_ms(&rig.last(Call::is_write));
+    rig.prefill_done();
+    let left = notified_ms(&rig.last(Call::is_decode));
     assert!((4200.0..4300.0).contains(&left), "{left}");
 }
 
 /// The host is told what is left when its request leaves, also where the connection for it comes up late; first and
 /// further attempts, whatever time the client began with.
 #[test]
-fn the_time_passed_on_is_what_is_left_once_the_connection_is_up() {
+fn forwarded_time_counts_from_connect() {
     for (deadline_ms, late_s) in [
         (4800, 0.24),
         (4800, 0.0),
@@ -105,7 +105,7 @@
                 .expect("dialled");
             rig.tell(Input::Connected { conn });
             let left_ms = deadline_ms as f64 - passed_s * 1e3;
-            let told = notified_ms(&rig.last(Call::is_read));
+            let told = notified_ms(&rig.last(Call::is_prefill));
             let case = format!(
                 "{deadline_ms} ms, up after {late_s} s, further {further}: told {told}, left {left_ms}"
             );
@@ -116,7 +116,7 @@
 
 /// Its length may have changed on the way: all of the request has to be written before an attempt counts as begun.
 #[test]
-fn a_request_written_late_is_written_once_its_last_byte_has_left() {
+fn late_write_counts_at_its_last_byte() {
     let mut rig = Rig::new();
     rig.dead = hosts()
         .iter()
@@ -134,7 +134,7 @@
         .expect("dialled");
     rig.stuck.insert(to);
     rig.tell(Input::Connected { conn });
-    let length = rig.last(Call::is_read).text.len();
+    let length = rig.last(Call::is_prefill).text.len();
     rig.tell(Input::Wrote {
         conn,
         count: length - 1,
@@ -143,19 +143,19 @@
     rig.dead.clear();
     rig.tell(Input::Ended { conn });
     assert_eq!(
-        rig.count(Call::is_read),
+        rig.count(Call::is_prefill),
         2,
         "a byte was missing: it never ran, and is read elsewhere"
     );
-    let second = rig.last(Call::is_read).conn;
+    let second = rig.last(Call::is_prefill).conn;
     rig.tell(Input::Ended { conn: second });
-    assert_eq!(rig.count(Call::is_read), 2, "the last byte had left");
+    assert_eq!(rig.count(Call::is_prefill), 2, "the last byte had left");
     assert_eq!(rig.status(client), "504");
 }
 
 /// What the writer does, and what becomes of a safe and of an unsafe request.
 #[test]
-fn each_outcome_of_a_writer_leads_to_what_the_class_allows() {
+fn decode_outcome_leads_to_retry_or_failure_by_class() {
     let declined = plain("503 Service Unavailable", "Srv-Declined: 1\r\n", "");
     let moved = plain("410 Gone", "Srv-Declined: 1\r\n", "");
     let table: [(&str, &str, bool); 7] = [
@@ -185,7 +185,7 @@
     ];
     for (name, answer, never_ran) in table {
         let mut rig = Rig::new();
-        let (client, writer) = rig.at_writer("u1", "book");
+        let (client, writer) = rig.at_decode("u1", "book");
         let before = rig.count(|c| c.line().starts_with("POST"));
         rig.text(writer, answer);
         let again = rig.count(|c| c.line().starts_with("POST")) > before;
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_connection_that_breaks_before_the_last_byte_is_written_never_ran_and_after_it_may_have() {
+fn reset_may_have_run_only_after_last_byte() {
     for stuck in [true, false] {
         let mut rig = Rig::new();
         if stuck {
@@ -214,24 +214,24 @@
                 "127.0.1.4:80".parse().unwrap(),
             ] as [std::net::SocketAddr; 2]);
         }
-        let (client, writer) = rig.at_writer("u2", "book");
-        let before = rig.count(Call::is_write);
+        let (client, writer) = rig.at_decode("u2", "book");
+        let before = rig.count(Call::is_decode);
         rig.tell(Input::Ended { conn: writer });
-        assert_eq!(rig.count(Call::is_write) > before, stuck);
+        assert_eq!(rig.count(Call::is_decode) > before, stuck);
         assert_eq!(rig.status(client), if stuck { "" } else { "504" });
     }
 }
 
 #[test]
-fn a_connection_that_never_comes_up_ends_by_time_and_another_host_is_tried() {
+fn connect_timeout_is_retried_elsewhere() {
     let mut rig = Rig::new();
-    rig.answers_probes = false;
+    rig.answers_health_checks = false;
     rig.dead.extend([
         "127.0.1.3:80".parse().unwrap(),
         "127.0.1.4:80".parse().unwrap(),
     ] as [std::net::SocketAddr; 2]);
     rig.ask("c1", "book");
-    rig.read_done();
+    rig.prefill_done();
     let dials = |rig: &Rig| {
         rig.connects
             .iter()
@@ -241,19 +241,19 @@
     let first = dials(&rig);
     rig.pass(0.3);
     assert!(dials(&rig) > first, "the other writer, or the same again");
-    assert_eq!(rig.count(Call::is_write), 0);
+    assert_eq!(rig.count(Call::is_decode), 0);
 }
 
 #[test]
-fn a_drain_told_while_a_connection_comes_up_keeps_the_request_from_it() {
+fn drain_during_connect_keeps_request_away() {
     let mut rig = Rig::new();
-    rig.answers_probes = false;
+    rig.answers_health_checks = false;
     rig.dead.extend([
         "127.0.1.3:80".parse().unwrap(),
         "127.0.1.4:80".parse().unwrap(),
     ] as [std::net::SocketAddr; 2]);
     rig.ask("d1", "ask");
-    rig.read_done();
+    rig.prefill_done();
     let (conn, to) = *rig
         .connects
         .iter()
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn a_stream_that_breaks_ends_the_clients_connection_without_its_last_chunk() {
+fn broken_stream_has_no_last_chunk() {
     let breaks: [(&str, Option<&str>); 4] = [
         ("closed", None),
         ("bad size", Some("zz\r\n")),
@@ -296,10 +296,10 @@
     ];
     for (name, bytes) in breaks {
         let mut rig = Rig::new();
-        let (client, writer) = rig.at_writer("s1", "ask");
+        let (client, writer) = rig.at_decode("s1", "ask");
         rig.text(writer, STREAM_HEAD);
         rig.text(writer, &chunk(&event("one")));
-        let writes = rig.count(Call::is_write);
+        let writes = rig.count(Call::is_decode);
         match bytes {
             Some(bytes) => rig.text(writer, bytes),
             None => rig.tell(Input::Ended { conn: writer }),
@@ -308,7 +308,7 @@
         assert!(!rig.said(client).ends_with("0\r\n\r\n"), "{name}");
         assert_eq!(unchunk(rig.said(client)), event("one"), "{name}");
         assert_eq!(
-            rig.count(Call::is_write),
+            rig.count(Call::is_decode),
             writes,
             "{name}: nothing more is sent"
         );
@@ -320,9 +320,9 @@
 }
 
 #[test]
-fn a_stream_whose_host_falls_silent_is_ended_within_five_seconds() {
+fn stalled_stream_ends_within_five_seconds() {
     let mut rig = Rig::new();
-    let (client, writer) = rig.at_writer("s2", "ask");
+    let (client, writer) = rig.at_decode("s2", "ask");
     rig.text(writer, STREAM_HEAD);
     rig.text(writer, &chunk(&event("one")));
     rig.pass(4.0);
@@ -333,9 +333,9 @@
 }
 
 #[test]
-fn a_second_answer_behind_a_good_one_is_dropped_with_its_connection() {
+fn second_response_closes_connection() {
     let mut rig = Rig::new();
-    let (client, writer) = rig.at_writer("s3", "ask");
+    let (client, writer) = rig.at_decode("s3", "ask");
     let all = format!(
         "{STREAM_HEAD}{}0\r\n\r\nHTTP/1.1 200 OK\r\n\r\nmore",
         chunk(&event("one"))
@@ -347,9 +347,9 @@
 }
 
 #[test]
-fn what_comes_on_an_idle_connection_ends_it() {
+fn bytes_on_idle_connection_close_it() {
     let mut rig = Rig::new();
-    let (_, writer) = rig.at_writer("s4", "ask");
+    let (_, writer) = rig.at_decode("s4", "ask");
     rig.text(
         writer,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
@@ -361,12 +361,12 @@
 
 /// A second answer comes some milliseconds after the first: it must not be taken for the answer to the next request.
 #[test]
-fn a_late_second_answer_is_not_taken_for_that_of_the_next_request() {
+fn late_second_response_is_not_mistaken() {
     let twice = plain("202 Accepted", "", r#"{"cached_tokens":64}"#);
     for late_s in [0.0, 0.001, 0.01, 0.029] {
         let mut rig = Rig::new();
         rig.ask("first", "ask");
-        let reader = rig.last(Call::is_read);
+        let reader = rig.last(Call::is_prefill);
         rig.text(reader.conn, &twice);
         // All that is asked meanwhile needs the same reader.
         rig.dead = hosts()
@@ -377,7 +377,7 @@
         rig.text(client, &request("second", "book", 4800));
         rig.pass(late_s);
         assert_eq!(
-            rig.count(|c| c.is_read() && c.text.contains("second")),
+            rig.count(|c| c.is_prefill() && c.text.contains("second")),
             0,
             "it does not go out there"
         );
@@ -392,7 +392,7 @@
 /// A node that has served one request; each of its connections to hosts proves stale when it is used next.
 fn all_stale() -> Rig {
     let mut rig = Rig::new();
-    let (_, writer) = rig.at_writer("first", "ask");
+    let (_, writer) = rig.at_decode("first", "ask");
     rig.text(
         writer,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
@@ -411,11 +411,11 @@
 /// What a connection has brought, or its end, is seen as it is to be used again: the request goes out on another one,
 /// and no attempt is spent, as one may not be repeated.
 #[test]
-fn a_stale_connection_costs_no_attempt() {
+fn stale_connection_costs_no_attempt() {
     for kind in ["ask", "book"] {
         let mut rig = all_stale();
         let stale = rig.stale.clone();
-        let (client, writer) = rig.at_writer("second", kind);
+        let (client, writer) = rig.at_decode("second", kind);
         assert!(
             rig.stale.len() < stale.len(),
             "{kind}: one was tried and found stale"
@@ -442,7 +442,7 @@
 
 /// A client that has gone gets nothing by another way either.
 #[test]
-fn a_stale_connection_is_replaced_for_what_is_still_wanted_alone() {
+fn stale_connection_is_replaced_only_if_still_wanted() {
     let mut rig = all_stale();
     rig.dead = hosts()
         .iter()
@@ -463,16 +463,16 @@
 }
 
 #[test]
-fn load_reports_that_cannot_be_read_change_nothing() {
+fn unreadable_load_reports_change_nothing() {
     let mut rig = Rig::new();
     let client = rig.ask("l1", "ask");
-    let read = rig.last(Call::is_read);
+    let read = rig.last(Call::is_prefill);
     let more = "Srv-Load: queue=\u{e9}NaN,,=\r\n";
     rig.text(
         read.conn,
         &plain("202 Accepted", more, r#"{"cached_tokens":"many"}"#),
     );
-    let writer = rig.last(Call::is_write).conn;
+    let writer = rig.last(Call::is_decode).conn;
     rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
     rig.text(writer, &chunk(": Srv-Load: util=one\n\n"));
     rig.text(writer, "0\r\n\r\n");
@@ -481,10 +481,10 @@
 }
 
 #[test]
-fn a_slow_client_holds_up_its_own_stream_alone() {
+fn slow_client_pauses_its_own_stream() {
     let mut rig = Rig::new();
     rig.slow = true;
-    let (client, writer) = rig.at_writer("w1", "ask");
+    let (client, writer) = rig.at_decode("w1", "ask");
     rig.text(writer, STREAM_HEAD);
     let long = event(&"x".repeat(20_000));
     for _ in 0..10 {
@@ -504,7 +504,7 @@
 }
 
 #[test]
-fn a_client_that_asks_before_its_body_is_told_to_send_it() {
+fn expect_continue_is_answered() {
     let mut rig = Rig::new();
     let client = rig.client();
     let text = request("e1", "ask", 4800).replace("Req-Kind", "Expect: 100-continue\r\nReq-Kind");
@@ -513,19 +513,19 @@
     assert_eq!(rig.said(client), "HTTP/1.1 100 Continue\r\n\r\n");
     rig.text(client, body);
     rig.pass(0.02);
-    assert_eq!(rig.count(Call::is_read), 1);
+    assert_eq!(rig.count(Call::is_prefill), 1);
     assert!(!rig
-        .last(Call::is_read)
+        .last(Call::is_prefill)
         .text
         .to_lowercase()
         .contains("expect"));
 }
 
 #[test]
-fn a_client_that_takes_nothing_at_all_has_gone() {
+fn client_that_takes_nothing_is_disconnected() {
     let mut rig = Rig::new();
     rig.slow = true;
-    let (client, writer) = rig.at_writer("w2", "ask");
+    let (client, writer) = rig.at_decode("w2", "ask");
     rig.text(writer, STREAM_HEAD);
     rig.text(writer, &chunk(&event(&"x".repeat(150_000))));
     rig.pass(15.0);
@@ -544,10 +544,10 @@
 }
 
 #[test]
-fn a_client_that_goes_is_told_to_the_module_and_its_attempt_ends() {
+fn disconnect_ends_attempt() {
     let mut rig = Rig::new();
     let client = rig.ask("g1", "ask");
-    let read = rig.last(Call::is_read);
+    let read = rig.last(Call::is_prefill);
     rig.tell(Input::Ended { conn: client });
     assert!(rig.closed.contains(&read.conn));
     assert_eq!(rig.node.counts().disconnected, 1);
@@ -556,7 +556,7 @@
 }
 
 #[test]
-fn a_given_up_request_is_answered_at_its_deadline_and_never_later() {
+fn failed_request_is_answered_at_its_deadline() {
     let mut rig = Rig::new();
     let client = rig.ask("f1", "book");
     rig.pass(4.9);
@@ -570,7 +570,7 @@
 }
 
 #[test]
-fn refusals_leave_at_once_and_say_when_to_come_back() {
+fn refusals_carry_retry_after() {
     let mut rig = Rig::new();
     let watch = rig.connects[0].0;
     let drained: Vec<String> = hosts()
@@ -603,9 +603,9 @@
 /// The last events of a stream tip a slow client over what may wait for it, and the stream's end comes with them: its
 /// host's connection is kept, and what is asked there next is read.
 #[test]
-fn a_connection_is_not_left_paused_by_a_stream_that_has_ended() {
+fn ended_stream_leaves_connection_readable() {
     let mut rig = Rig::new();
-    let (client, writer) = rig.at_writer("big", "ask");
+    let (client, writer) = rig.at_decode("big", "ask");
     rig.slow = true;
     let long = chunk(&event(&"x".repeat(100_000)));
     rig.text(writer, &format!("{STREAM_HEAD}{long}"));
@@ -626,7 +626,7 @@
 /// A request sent ahead waits behind the one before it, and its time runs from its own last byte: what is left of it is
 /// told, it is answered within its own deadline, and one whose time is over by then is never sent on.
 #[test]
-fn the_time_of_a_request_sent_ahead_runs_from_its_own_last_byte() {
+fn pipelined_deadline_counts_from_own_last_byte() {
     for (behind_s, cut, left_ms) in [
         (1.0, false, Some(3800.0)),
         (1.0, true, Some(3900.0)),
@@ -634,7 +634,7 @@
         (4.9, false, None),
     ] {
         let mut rig = Rig::new();
-        let (client, writer) = rig.at_writer("first", "ask");
+        let (client, writer) = rig.at_decode("first", "ask");
         rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
         let ahead = request("second", "ask", 4800);
         if cut {
@@ -655,7 +655,7 @@
             .calls
             .iter()
             .rev()
-            .find(|c| c.is_read() && c.text.contains("second"))
+            .find(|c| c.is_prefill() && c.text.contains("second"))
             .cloned();
         let case = format!("{behind_s} s behind, cut {cut}");
         match (left_ms, sent) {
@@ -684,22 +684,22 @@
 
 /// An attempt's time is over, and its answer is there at the same moment: the answer counts, as it came first.
 #[test]
-fn an_answer_counts_that_is_told_at_the_moment_of_its_time_out() {
+fn response_at_moment_of_timeout_counts() {
     let no_cancel = config_json(256).replace(r#""cancel":true"#, r#""cancel":false"#);
     for text in [config_json(256), no_cancel] {
         let mut rig = Rig::with(Config::parse(&text).expect("the test's configuration"));
         let client = rig.ask("m1", "ask");
         // Nobody has looked at the clock meanwhile: the reader has been silent for far too long.
         rig.now = rig.now.after(4.5);
-        rig.read_done();
+        rig.prefill_done();
         rig.tell(Input::Tick);
         assert_eq!(
-            (rig.count(Call::is_read), rig.count(Call::is_write)),
+            (rig.count(Call::is_prefill), rig.count(Call::is_decode)),
             (1, 1),
             "not read twice"
         );
         // The same of the first event and the client's deadline.
-        let writer = rig.last(Call::is_write).conn;
+        let writer = rig.last(Call::is_decode).conn;
         rig.now = rig.now.after(0.3);
         rig.text(
             writer,
--- a/crates/platform/tests/stop.rs
+++ b/crates/platform/tests/shutdown.rs
@@ -15,9 +15,9 @@
 /// The request that was sent last is served.
 fn serve(rig: &mut Rig, id: &str, word: &str) {
     let sent = format!("Req-Id: {id}\r\n");
-    let read = rig.last(|c| c.is_read() && c.text.contains(&sent)).conn;
+    let read = rig.last(|c| c.is_prefill() && c.text.contains(&sent)).conn;
     rig.text(read, &plain("202 Accepted", "", r#"{"cached_tokens":0}"#));
-    let write = rig.last(|c| c.is_write() && c.text.contains(&sent)).conn;
+    let write = rig.last(|c| c.is_decode() && c.text.contains(&sent)).conn;
     rig.text(write, &stream(word));
 }
 
@@ -32,7 +32,7 @@
         }
         _ => {
             for _ in 0..2 {
-                let writer = rig.last(Call::is_write).conn;
+                let writer = rig.last(Call::is_decode).conn;
                 if !rig.closed.contains(&writer) {
                     rig.text(writer, REFUSAL);
                 }
@@ -43,12 +43,12 @@
 }
 
 #[test]
-fn a_request_sent_ahead_and_read_before_a_stop_has_its_answer_too() {
+fn pipelined_request_before_stop_is_answered() {
     for how in ["served", "a stream in hand", "refused"] {
         for before_stop in [true, false] {
             let mut rig = Rig::new();
             rig.answers_releases = true;
-            let (client, writer) = rig.at_writer("first", "ask");
+            let (client, writer) = rig.at_decode("first", "ask");
             if before_stop {
                 rig.text(client, &request("second", "ask", 4800));
                 rig.tell(Input::Stop);
@@ -79,9 +79,9 @@
 
 /// Half a request that was sent ahead has not been taken: its client sends it again elsewhere.
 #[test]
-fn half_a_request_sent_ahead_does_not_keep_a_connection_open_while_stopping() {
+fn partial_pipelined_request_does_not_delay_stop() {
     let mut rig = Rig::new();
-    let (client, writer) = rig.at_writer("first", "ask");
+    let (client, writer) = rig.at_decode("first", "ask");
     let ahead = request("second", "ask", 4800);
     rig.text(client, &ahead[..ahead.len() - 1]);
     rig.tell(Input::Stop);
@@ -99,7 +99,7 @@
 
 /// Those who wait to be accepted as listening ends are taken first, and what they have asked is answered.
 #[test]
-fn whoever_connects_until_listening_has_ended_is_served() {
+fn client_accepted_before_listener_closes_is_served() {
     let mut rig = Rig::new();
     rig.holds_listening = true;
     rig.tell(Input::Stop);
@@ -119,7 +119,7 @@
 
 /// The kill comes as early as 0.7 s after the longest deadline, or 3.7 s after the signal.
 #[test]
-fn the_steps_of_a_stop_fit_before_the_earliest_kill() {
+fn stop_steps_fit_before_kill() {
     for (longest_deadline_s, kill_s) in [
         (12.0, 3.7),
         (3.0, 3.7),
@@ -154,7 +154,7 @@
 
 /// A request that comes whole while stopping is answered before the kill, which short deadlines bring forward.
 #[test]
-fn what_comes_whole_late_is_answered_before_the_kill_also_where_deadlines_are_short() {
+fn late_request_is_answered_before_kill_with_short_deadlines() {
     let text = config_json(256)
         .replace(r#""deadlineS":6.0"#, r#""deadlineS":1.5"#)
         .replace(r#""deadlineS":12.0"#, r#""deadlineS":1.5"#);
@@ -174,10 +174,10 @@
 
 /// Where clients do not ask for the rest, a stream that is cut while its events come is a lost request.
 #[test]
-fn a_stream_is_not_cut_at_a_stop_where_its_client_does_not_ask_for_the_rest() {
+fn stream_is_not_cut_at_stop_without_resume() {
     let text = config_json(256).replace(r#""resume":true"#, r#""resume":false"#);
     let mut rig = Rig::with(Config::parse(&text).expect("the test's configuration"));
-    let (client, writer) = rig.at_writer("long", "ask");
+    let (client, writer) = rig.at_decode("long", "ask");
     rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
     rig.tell(Input::Stop);
     for _ in 0..6 {
@@ -191,7 +191,7 @@
 
 /// Cut anywhere, a request that comes whole in time is served, and one that never does ends with the process.
 #[test]
-fn a_request_cut_anywhere_as_a_stop_is_asked_for_is_served_once_it_is_whole() {
+fn request_cut_at_stop_is_served_once_complete() {
     let whole = request("cut", "ask", 4800);
     let body = whole.find("\r\n\r\n").expect("a head") + 4;
     for at in [1, 40, body - 1, body, body + 1, whole.len() - 1] {
@@ -218,37 +218,37 @@
 /// A state waits at its prefill server for a decode server that can be asked again; the stop does not take that retry
 /// away, nor what was read before and is handed over after.
 #[test]
-fn a_retry_that_is_due_after_a_stop_goes_out() {
+fn retry_due_after_stop_is_sent() {
     for stop_first in [true, false] {
         let mut rig = Rig::new();
         let client = rig.ask("retry", "book");
         if stop_first {
             rig.tell(Input::Stop);
         }
-        rig.read_done();
+        rig.prefill_done();
         for _ in 0..2 {
-            let writer = rig.last(Call::is_write).conn;
+            let writer = rig.last(Call::is_decode).conn;
             rig.text(writer, REFUSAL);
         }
         if !stop_first {
             rig.tell(Input::Stop);
         }
-        let before = rig.count(Call::is_write);
+        let before = rig.count(Call::is_decode);
         rig.pass(0.4);
         assert!(
-            rig.count(Call::is_write) > before,
+            rig.count(Call::is_decode) > before,
             "asked again, stop first {stop_first}"
         );
-        let writer = rig.last(Call::is_write).conn;
+        let writer = rig.last(Call::is_decode).conn;
         rig.text(writer, &stream("one"));
         assert!(rig.said(client).ends_with("0\r\n\r\n"));
-        assert_eq!(rig.count(Call::is_read), 1);
+        assert_eq!(rig.count(Call::is_prefill), 1);
     }
 }
 
 /// A new configuration and a stop in one instant: drains that the new discovery tells are kept to the end.
 #[test]
-fn a_drain_told_by_a_discovery_that_a_stopping_node_has_just_moved_to_is_kept() {
+fn drain_from_new_discovery_counts_while_stopping() {
     for stop_first in [true, false] {
         let mut rig = Rig::new();
         let client = rig.ask("moved", "ask");
@@ -273,13 +273,13 @@
             &[target("h-w1", "127.0.1.3:80", "writes", "terminating")],
         );
         rig.text(watch, &chunk(&format!("{drains}\n")));
-        rig.read_done();
+        rig.prefill_done();
         assert_eq!(
-            rig.last(Call::is_write).to.to_string(),
+            rig.last(Call::is_decode).to.to_string(),
             "127.0.1.4:80",
             "stop first {stop_first}"
         );
-        let writer = rig.last(Call::is_write).conn;
+        let writer = rig.last(Call::is_decode).conn;
         rig.text(writer, &stream("one"));
         assert!(rig.said(client).ends_with("0\r\n\r\n"));
     }
@@ -287,10 +287,10 @@
 
 /// A release that no host answers is called for as long as a stop may take, and no longer.
 #[test]
-fn a_stop_waits_for_releases_until_the_kill_is_near() {
+fn stop_waits_for_releases() {
     for answers in [true, false] {
         let mut rig = Rig::new();
-        let (_, writer) = rig.at_writer("held", "book");
+        let (_, writer) = rig.at_decode("held", "book");
         rig.text(writer, &plain("500 Oops", "", ""));
         rig.answers_releases = answers;
         rig.tell(Input::Stop);
@@ -303,11 +303,11 @@
 
 /// A request whose time ends with the stop is failed, and its state released, before the process ends.
 #[test]
-fn a_state_that_is_held_up_to_the_last_answer_of_a_stop_is_released() {
+fn state_held_until_last_response_of_stop_is_released() {
     let mut rig = Rig::new();
     rig.answers_releases = true;
     rig.tell(Input::Stop);
-    let (client, _) = rig.at_writer("late", "book");
+    let (client, _) = rig.at_decode("late", "book");
     rig.pass(3.67);
     assert_eq!(rig.status(client), "504");
     let releases = rig.count(|c| c.line() == "DELETE /bootstrap/rooms/late HTTP/1.1");
--- a/crates/platform/tests/start_times.rs
+++ b/crates/platform/tests/start_times.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_start_that_is_told_while_the_watch_runs_is_no_older_than_what_was_heard_before() {
+fn start_during_watch_is_not_older_than_last_line() {
     // What is listed, and what it is taken for: a start may be told some seconds late.
     let table = [
         (0.5, 0.5),
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_first_list_of_a_process_is_believed_where_it_does_not_contradict_itself() {
+fn first_list_is_believed_unless_contradictory() {
     // Listed age, whether other hosts have started "long ago", and the age that it is taken for.
     let table = [
         (30.0, true, 30.0),
@@ -108,7 +108,7 @@
 
 /// The same list once more, whole, changes nothing: a start is reckoned once.
 #[test]
-fn a_start_that_is_listed_again_stays_where_it_was() {
+fn start_time_listed_again_is_kept() {
     let mut rig = Rig::tracing();
     let conn = call(&rig);
     rig.text(conn, HEAD);
--- a/crates/platform/tests/cut_answers.rs
+++ b/crates/platform/tests/truncated_responses.rs
@@ -15,20 +15,20 @@
 /// Before the first whole event the request may go elsewhere, if its class allows that; after it the attempt is the
 /// client's, who gets whole events alone and no last chunk.
 #[test]
-fn an_answer_cut_at_any_byte_is_no_whole_one_and_half_an_event_goes_no_further() {
+fn truncated_response_is_never_complete() {
     let (text, first) = (answer(), event("one"));
     let first_whole = text.find(&first).expect("the first event") + first.len();
     let second_whole = text.find(&event("two")).expect("the second event") + event("two").len();
     for (kind, safe) in [("ask", true), ("book", false)] {
         for cut in 0..text.len() {
             let mut rig = Rig::new();
-            let (client, writer) = rig.at_writer("k1", kind);
-            let writes = rig.count(Call::is_write);
+            let (client, writer) = rig.at_decode("k1", kind);
+            let writes = rig.count(Call::is_decode);
             if cut > 0 {
                 rig.text(writer, &text[..cut]);
             }
             rig.tell(Input::Ended { conn: writer });
-            let again = rig.count(Call::is_write) > writes;
+            let again = rig.count(Call::is_decode) > writes;
             let at = format!("{kind}, cut at {cut}");
             assert_eq!(rig.node.counts().served, 0, "{at}");
             if cut < first_whole {
@@ -50,9 +50,9 @@
 
 /// As slow as the bound on silence between two events allows: a stream without a whole event for 4.4 s has broken.
 #[test]
-fn what_comes_byte_by_byte_is_served_like_anything_else() {
+fn response_may_come_byte_by_byte() {
     let mut rig = Rig::new();
-    let (client, writer) = rig.at_writer("k2", "ask");
+    let (client, writer) = rig.at_decode("k2", "ask");
     let text = answer();
     let first_whole = text.find(&event("one")).expect("the first event") + event("one").len();
     for (i, byte) in text.as_bytes().iter().enumerate() {
@@ -62,17 +62,17 @@
     assert_eq!(unchunk(rig.said(client)), event("one") + &event("two"));
     assert!(rig.said(client).ends_with("0\r\n\r\n"));
     assert_eq!(
-        (rig.node.counts().served, rig.count(Call::is_write)),
+        (rig.node.counts().served, rig.count(Call::is_decode)),
         (1, 1)
     );
 }
 
 /// A client that takes a byte a second is no one that takes nothing.
 #[test]
-fn a_client_that_takes_a_byte_a_second_keeps_its_answer() {
+fn slow_reader_keeps_its_response() {
     let mut rig = Rig::new();
     rig.slow = true;
-    let (client, writer) = rig.at_writer("k3", "ask");
+    let (client, writer) = rig.at_decode("k3", "ask");
     rig.text(writer, &answer());
     for _ in 0..100 {
         rig.pass(1.0);
--- a/crates/platform/tests/wire_messages.rs
+++ b/crates/platform/tests/wire_messages.rs
@@ -22,15 +22,15 @@
 #[test]
 fn forwarded_request_bytes() {
     let mut rig = Rig::new();
-    rig.at_writer("f1", "ask");
-    assert_eq!(rig.last(Call::is_read).text, forwarded("f1", 4800));
-    assert_eq!(rig.last(Call::is_write).text, forwarded("f1", 4780));
+    rig.at_decode("f1", "ask");
+    assert_eq!(rig.last(Call::is_prefill).text, forwarded("f1", 4800));
+    assert_eq!(rig.last(Call::is_decode).text, forwarded("f1", 4780));
 }
 
 #[test]
 fn stream_bytes_to_client() {
     let mut rig = Rig::new();
-    let (client, writer) = rig.at_writer("s1", "ask");
+    let (client, writer) = rig.at_decode("s1", "ask");
     rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
     rig.text(writer, "0\r\n\r\n");
     assert_eq!(
@@ -48,8 +48,8 @@
     let text = request("s2", "ask", 4800).replace("Req-Kind", "Connection: close\r\nReq-Kind");
     rig.text(client, &text);
     rig.pass(0.02);
-    rig.read_done();
-    let writer = rig.last(Call::is_write).conn;
+    rig.prefill_done();
+    let writer = rig.last(Call::is_decode).conn;
     rig.text(writer, &format!("{STREAM_HEAD}{}", chunk("data: 1\n\n")));
     assert_eq!(
         rig.said(client),
@@ -200,7 +200,7 @@
         "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 34\r\n\
          Retry-After: 0.200\r\n\r\nrefused: trying again is harmless\n"
     );
-    let (client, writer) = rig.at_writer("x2", "book");
+    let (client, writer) = rig.at_decode("x2", "book");
     rig.text(writer, &plain("500 Oops", "", ""));
     assert_eq!(
         rig.said(client),
@@ -260,7 +260,7 @@
 /// A request that stands before its decode server, with what was traced by then taken.
 fn traced_decode() -> (Rig, ConnId) {
     let mut rig = Rig::tracing();
-    let (_, writer) = rig.at_writer("t1", "ask");
+    let (_, writer) = rig.at_decode("t1", "ask");
     rig.node.take_trace();
     (rig, writer)
 }
@@ -327,7 +327,7 @@
     let mut rig = Rig::tracing();
     rig.ask("t2", "ask");
     rig.node.take_trace();
-    rig.read_done();
+    rig.prefill_done();
     let ends = attempt_ends(rig.node.take_trace());
     assert_eq!(ends.len(), 1);
     assert_eq!(ends[0].outcome, Outcome::PrefillDone);
@@ -340,12 +340,12 @@
     let mut rig = Rig::new();
     rig.node
         .enable_access_log(AccessLog::new(&config().settings));
-    let (_, writer) = rig.at_writer("e1", "book");
+    let (_, writer) = rig.at_decode("e1", "book");
     rig.pass(0.5);
     rig.text(writer, &plain("500 Oops", "", ""));
     let client = rig.client();
     rig.text(client, &request("e2", "ask", 10));
-    let (client, _) = rig.at_writer("e3", "ask");
+    let (client, _) = rig.at_decode("e3", "ask");
     rig.tell(Input::Ended { conn: client });
     let server = |uid: &str| xxhash_rust::xxh3::xxh3_64(uid.as_bytes()) as u32;
     let (r1, r2) = (server("h-r1"), server("h-r2"));
@@ -376,7 +376,7 @@
     let mut rig = Rig::new();
     rig.node
         .enable_access_log(AccessLog::new(&config().settings));
-    let (_, writer) = rig.at_writer("e4", "ask");
+    let (_, writer) = rig.at_decode("e4", "ask");
     rig.pass(2.0);
     let answer = format!("{STREAM_HEAD}{}0\r\n\r\n", chunk("data: 1\n\n"));
     rig.text(writer, &answer);
--- a/programs/simulator-adapter/tests/node.rs
+++ b/programs/simulator-adapter/tests/node.rs
@@ -28,8 +28,8 @@
             5 => rig.tell(Input::Ended { conn: client }),
             6 => rig.pass(5.0),
             _ => {
-                rig.read_done();
-                let writer = rig.last(Call::is_write).conn;
+                rig.prefill_done();
+                let writer = rig.last(Call::is_decode).conn;
                 match i % 8 {
                     3 => rig.text(writer, &plain("500 Oops", "", "")),
                     4 => rig.tell(Input::Ended { conn: writer }),
