--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,6 @@
-//! Routing decisions for a model service in which one set of servers reads prompts and another writes
-//! answers.
+//! Routing decisions for a model service with prefill servers and decode servers.
 //!
-//! A dispatcher owns one [`choice::Router`], tells it what happens and does what it says:
+//! A dispatcher owns one [`choice::Router`], passes events to it and carries out its actions:
 //!
 //! ```
 //! use bitternlatch_policy::choice::Router;
@@ -38,13 +37,13 @@
 //!     id, status: ServerStatus::Ready, kind, cell: 0, zone: 0, weight: 1.0, booted_at: 0.0,
 //! };
 //! let mut router = Router::new(settings, 42);
-//! let mut todo = Vec::new();
+//! let mut actions = Vec::new();
 //! let entries = vec![server(1, 0), server(2, 1)];
-//! router.handle(0.0, Event::Servers { form: ListForm::Full, entries }, &mut todo);
+//! router.handle(0.0, Event::Servers { form: ListForm::Full, entries }, &mut actions);
 //! let request = Request { id: 7, prompt_tokens: 900.0, max_output_tokens: 200.0, time_left_s: 5.0,
 //!     ..Request::default() };
-//! router.handle(0.1, Event::Arrival(request), &mut todo);
-//! assert!(todo.iter().any(|a| matches!(a, Action::Send { request: 7, server: 1, .. })));
+//! router.handle(0.1, Event::Arrival(request), &mut actions);
+//! assert!(actions.iter().any(|action| matches!(action, Action::Send { request: 7, server: 1, .. })));
 //! ```
 
 pub mod choice;
