--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -5,7 +5,7 @@
 use common::*;
 
 /// A warm writer whose queue lasts for seconds, and an idle one that has just started; another, perhaps.
-fn jammed_and_cold(more: &[ServerEntry]) -> Desk {
+fn jammed_and_cold(more: &[ServerEntry]) -> RouterHarness {
     let cold = ServerEntry {
         booted_at: T0 - 0.1,
         ..server(11, 1, 0)
@@ -15,11 +15,11 @@
         more,
     ]
     .concat();
-    let mut desk = Desk::with_fleet(settings(Effect::Idempotent), fleet);
+    let mut harness = RouterHarness::with_fleet(settings(Effect::Idempotent), fleet);
     for id in 1..20 {
-        desk.arrive(ask(id));
-        desk.end(id, Outcome::PrefillDone, 0.05, 0.0);
-        let to = desk.last().1;
+        harness.arrive(ask(id));
+        harness.end(id, Outcome::PrefillDone, 0.05, 0.0);
+        let to = harness.last().1;
         let report = if to == 12 {
             vec![1.0, 30.0, 1.0]
         } else {
@@ -28,7 +28,7 @@
         let outcome = Outcome::Served;
         let (elapsed_s, prefix_hit_tokens, finished) = (0.1, 0.0, true);
         let (request, attempt, server) = (id, 1, to);
-        desk.tell(Event::FirstToken {
+        harness.tell(Event::FirstToken {
             request,
             attempt,
             server,
@@ -44,29 +44,32 @@
             prefix_hit_tokens,
             report,
         };
-        desk.tell(Event::AttemptEnded(end));
+        harness.tell(Event::AttemptEnded(end));
     }
-    assert!(desk.sends.iter().any(|s| s.1 == 12), "its queue is known");
-    desk
+    assert!(
+        harness.sends.iter().any(|s| s.1 == 12),
+        "its queue is known"
+    );
+    harness
 }
 
 /// Whose turn at the idle cold writer it is not has to wait at the other one, however near the idle one is: it is refused at once, and
 /// not read first. Each of those that are taken in goes to the cold writer.
 #[test]
-fn a_request_that_may_not_go_to_an_idle_cold_writer_counts_the_wait_at_the_others() {
-    let mut desk = jammed_and_cold(&[]);
+fn request_without_a_turn_at_a_warming_server_counts_the_wait_at_others() {
+    let mut harness = jammed_and_cold(&[]);
     let (mut taken, mut turned_away) = (0, 0);
     for id in 1000..1100 {
-        let out = desk.arrive(ask(id));
+        let out = harness.arrive(ask(id));
         if refused(&out, id) {
             turned_away += 1;
             continue;
         }
         taken += 1;
-        desk.end(id, Outcome::PrefillDone, 0.05, 0.0);
-        assert_eq!(desk.last(), (id, 11));
-        desk.stream(id);
-        desk.end(id, Outcome::Served, 0.1, 0.0);
+        harness.end(id, Outcome::PrefillDone, 0.05, 0.0);
+        assert_eq!(harness.last(), (id, 11));
+        harness.stream(id);
+        harness.end(id, Outcome::Served, 0.1, 0.0);
     }
     assert!(
         taken >= 5 && turned_away >= 50,
@@ -76,14 +79,14 @@
 
 /// Beside a warm one that is idle nobody is turned away.
 #[test]
-fn an_idle_warm_writer_takes_all() {
-    let mut desk = jammed_and_cold(&[server(13, 1, 1)]);
+fn idle_warm_decode_server_takes_all() {
+    let mut harness = jammed_and_cold(&[server(13, 1, 1)]);
     for id in 1000..1020 {
-        let out = desk.arrive(ask(id));
+        let out = harness.arrive(ask(id));
         assert!(!refused(&out, id));
-        desk.end(id, Outcome::PrefillDone, 0.05, 0.0);
-        assert_ne!(desk.last().1, 12);
-        desk.stream(id);
-        desk.end(id, Outcome::Served, 0.1, 0.0);
+        harness.end(id, Outcome::PrefillDone, 0.05, 0.0);
+        assert_ne!(harness.last().1, 12);
+        harness.stream(id);
+        harness.end(id, Outcome::Served, 0.1, 0.0);
     }
 }
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -26,19 +26,19 @@
     kept: BTreeSet<u64>,
     taken: u32,
     came: Vec<f64>, // When each attempt came.
-    trouble: Option<Trouble>,
+    fault: Option<Fault>,
 }
 
 /// What goes wrong with a server: it takes requests and says nothing, or an error at once.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Trouble {
+pub enum Fault {
     Silent,
     Errors,
     /// One attempt in so many is reset.
     Resets(u64),
 }
 
-enum Happening {
+enum PlannedEvent {
     Tell(usize, Event),
     Restart(usize, u64, Event),
     Come(ServerId, Attempt),
@@ -52,7 +52,7 @@
     settings: Settings,
     routers: Vec<Router>,
     servers: BTreeMap<ServerId, Model>,
-    due: BTreeMap<(u64, u64), Happening>, // In microseconds, and in the order of asking.
+    due: BTreeMap<(u64, u64), PlannedEvent>, // In microseconds, and in the order of asking.
     count: u64,
     asks: BTreeMap<RequestId, (Request, f64, u16)>, // With the time of arrival and the attempts made.
     /// Waits for the first token; infinite where none came.
@@ -61,11 +61,11 @@
     failed: BTreeMap<(ServerId, usize), f64>,
     swallowed: BTreeMap<Attempt, ServerId>,
     /// How often a client comes again that was refused, a moment later, and the tries of those that did.
-    pub comes_again: u32,
-    tries: BTreeMap<RequestId, u32>,
+    pub client_retries: u32,
+    client_attempts: BTreeMap<RequestId, u32>,
     /// Requests that warm servers report queued beyond the truth, while cold ones say that they are empty: whoever has its turn at one
     /// takes it.
-    pub said_queued: f64,
+    pub extra_reported_queue: f64,
     /// Of all actions so far, where it is asked for.
     pub digest: Option<Digest>,
 }
@@ -119,7 +119,8 @@
         let routers = routers.collect();
         let (servers, due, asks) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let (waits, failed, swallowed) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        let (comes_again, tries, said_queued, digest) = (0, BTreeMap::new(), 0.0, None);
+        let (client_retries, client_attempts, extra_reported_queue, digest) =
+            (0, BTreeMap::new(), 0.0, None);
         Fleet {
             now,
             settings,
@@ -131,9 +132,9 @@
             waits,
             failed,
             swallowed,
-            comes_again,
-            tries,
-            said_queued,
+            client_retries,
+            client_attempts,
+            extra_reported_queue,
             digest,
         }
     }
@@ -148,7 +149,7 @@
         for e in entries {
             let kind = self.settings.kinds[usize::from(e.kind)].clone();
             let (waiting, running, kept) = (VecDeque::new(), BTreeMap::new(), BTreeSet::new());
-            let (booted_at, taken, came, trouble) = (e.booted_at, 0, Vec::new(), None);
+            let (booted_at, taken, came, fault) = (e.booted_at, 0, Vec::new(), None);
             let model = Model {
                 kind,
                 booted_at,
@@ -157,14 +158,14 @@
                 kept,
                 taken,
                 came,
-                trouble,
+                fault,
             };
             self.servers.entry(e.id).or_insert(model).booted_at = booted_at;
         }
         for router in 0..self.routers.len() {
             self.plan(
                 at(router),
-                Happening::Tell(
+                PlannedEvent::Tell(
                     router,
                     Event::Servers {
                         form,
@@ -181,16 +182,16 @@
             form: ListForm::Full,
             entries: entries.to_vec(),
         };
-        self.plan(at, Happening::Restart(router, seed, list));
+        self.plan(at, PlannedEvent::Restart(router, seed, list));
     }
 
     pub fn arrive(&mut self, at: f64, router: usize, ask: Request) {
         self.asks.insert(ask.id, (ask.clone(), at, 0));
         self.waits.insert(ask.id, f64::INFINITY);
-        self.plan(at, Happening::Tell(router, Event::Arrival(ask)));
+        self.plan(at, PlannedEvent::Tell(router, Event::Arrival(ask)));
     }
 
-    fn plan(&mut self, at: f64, what: Happening) {
+    fn plan(&mut self, at: f64, what: PlannedEvent) {
         self.count += 1;
         self.due
             .insert(((at.max(self.now) * 1e6) as u64, self.count), what);
@@ -204,15 +205,15 @@
         {
             self.now = next.key().0 as f64 / 1e6;
             match next.remove() {
-                Happening::Tell(router, event) => self.tell(router, event),
-                Happening::Restart(router, seed, list) => {
+                PlannedEvent::Tell(router, event) => self.tell(router, event),
+                PlannedEvent::Restart(router, seed, list) => {
                     self.routers[router] = Router::new(self.settings.clone(), seed);
                     self.tell(router, list);
                 }
-                Happening::Come(server, attempt) => self.come(server, attempt),
-                Happening::Read(server, a, came, hit) => self.read(server, a, came, hit),
-                Happening::First(server, a, came) => self.first(server, a, came),
-                Happening::End(server, a, came) => self.end(server, a, came),
+                PlannedEvent::Come(server, attempt) => self.come(server, attempt),
+                PlannedEvent::Read(server, a, came, hit) => self.read(server, a, came, hit),
+                PlannedEvent::First(server, a, came) => self.first(server, a, came),
+                PlannedEvent::End(server, a, came) => self.end(server, a, came),
             }
         }
         self.now = until;
@@ -227,9 +228,9 @@
                 digest.action(&action);
             }
             match action {
-                Action::Reject { request, .. } => self.come_again(me, request),
+                Action::Reject { request, .. } => self.retry_from_client(me, request),
                 Action::SetTimer { at, label } => {
-                    self.plan(at, Happening::Tell(me, Event::Timer { label }))
+                    self.plan(at, PlannedEvent::Tell(me, Event::Timer { label }))
                 }
                 Action::Send {
                     request, server, ..
@@ -239,7 +240,7 @@
                     };
                     ask.2 += 1;
                     let attempt = (me, request, ask.2 - 1);
-                    self.plan(self.now + WAY_S, Happening::Come(server, attempt));
+                    self.plan(self.now + WAY_S, PlannedEvent::Come(server, attempt));
                 }
                 Action::Cancel { request, attempt } => self.cancel((me, request, attempt)),
                 Action::Probe { server } => {
@@ -250,21 +251,21 @@
                         elapsed_s: WAY_S,
                         report,
                     };
-                    self.plan(self.now + 2.0 * WAY_S, Happening::Tell(me, ended));
+                    self.plan(self.now + 2.0 * WAY_S, PlannedEvent::Tell(me, ended));
                 }
                 _ => {}
             }
         }
     }
 
-    fn come_again(&mut self, me: usize, request: RequestId) {
-        let tries = self.tries.get(&request).copied().unwrap_or(0);
-        if tries < self.comes_again {
+    fn retry_from_client(&mut self, me: usize, request: RequestId) {
+        let client_attempts = self.client_attempts.get(&request).copied().unwrap_or(0);
+        if client_attempts < self.client_retries {
             let ask = Request {
                 id: request + 1_000_000,
                 ..self.asks[&request].0.clone()
             };
-            self.tries.insert(ask.id, tries + 1);
+            self.client_attempts.insert(ask.id, client_attempts + 1);
             self.arrive(self.now + 0.3, me, ask);
         }
     }
@@ -288,8 +289,12 @@
             held
         };
         match self.capacity(server) < 1.0 {
-            true if self.said_queued > 0.0 => vec![0.0; 3],
-            _ => vec![share, s.waiting.len() as f64 + self.said_queued, held],
+            true if self.extra_reported_queue > 0.0 => vec![0.0; 3],
+            _ => vec![
+                share,
+                s.waiting.len() as f64 + self.extra_reported_queue,
+                held,
+            ],
         }
     }
 
@@ -298,18 +303,18 @@
         let s = self.servers.get_mut(&server).expect("a known server");
         s.taken += 1;
         s.came.push(now);
-        match s.trouble {
-            Some(Trouble::Silent) => {
+        match s.fault {
+            Some(Fault::Silent) => {
                 self.swallowed.insert(attempt, server);
                 return;
             }
-            Some(Trouble::Errors) => return self.answer(server, attempt, Outcome::Error, now, 0.0),
-            Some(Trouble::Resets(one_in))
+            Some(Fault::Errors) => return self.answer(server, attempt, Outcome::Error, now, 0.0),
+            Some(Fault::Resets(one_in))
                 if (u64::from(attempt.1) * 7919 + u64::from(attempt.2) * 104_729) % one_in == 0 =>
             {
                 return self.answer(server, attempt, Outcome::Reset, now, 0.0);
             }
-            Some(Trouble::Resets(_)) | None => {}
+            Some(Fault::Resets(_)) | None => {}
         }
         s.waiting.push_back((attempt, now));
         self.start(server);
@@ -341,7 +346,7 @@
                 s.running.insert(attempt, 0.0);
                 self.plan(
                     now + read / capacity,
-                    Happening::Read(server, attempt, came, hit),
+                    PlannedEvent::Read(server, attempt, came, hit),
                 );
                 return;
             }
@@ -353,7 +358,7 @@
             s.running.insert(attempt, tokens);
             self.plan(
                 now + FIRST_S / capacity,
-                Happening::First(server, attempt, came),
+                PlannedEvent::First(server, attempt, came),
             );
         }
     }
@@ -384,9 +389,9 @@
             server,
             elapsed_s,
         };
-        self.plan(self.now + WAY_S, Happening::Tell(me, event));
+        self.plan(self.now + WAY_S, PlannedEvent::Tell(me, event));
         let end = self.now + ANSWER_S;
-        self.plan(end, Happening::End(server, (me, request, attempt), came));
+        self.plan(end, PlannedEvent::End(server, (me, request, attempt), came));
     }
 
     fn end(&mut self, server: ServerId, attempt: Attempt, came: f64) {
@@ -442,18 +447,18 @@
         };
         self.plan(
             self.now + WAY_S,
-            Happening::Tell(me, Event::AttemptEnded(end)),
+            PlannedEvent::Tell(me, Event::AttemptEnded(end)),
         );
     }
 
-    pub fn trouble(&mut self, server: ServerId, trouble: Trouble) {
+    pub fn set_fault(&mut self, server: ServerId, fault: Fault) {
         if let Some(s) = self.servers.get_mut(&server) {
-            s.trouble = Some(trouble);
+            s.fault = Some(fault);
         }
     }
 
     /// Tells each router how many others have failed at a server of late, up to so many.
-    pub fn hearsay(&mut self, server: ServerId, most: usize) {
+    pub fn peer_report(&mut self, server: ServerId, most: usize) {
         let lately = |(_, at): &(&(ServerId, usize), &f64)| self.now - **at < 3.0;
         let failed = self
             .failed
@@ -465,7 +470,7 @@
             let Some(last) = others().max_by(f64::total_cmp) else {
                 continue;
             };
-            let (voices, of) = (
+            let (reporters, of) = (
                 others().count().min(most) as u32,
                 self.routers.len() as u32 - 1,
             );
@@ -475,7 +480,7 @@
                 Event::PeerReport {
                     server,
                     observation: sight,
-                    reporters: voices,
+                    reporters,
                     peers: of,
                     age_s,
                 },
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -86,7 +86,7 @@
 }
 
 /// A router with its clock and what it last asked for.
-pub struct Desk {
+pub struct RouterHarness {
     pub router: Router,
     pub now: f64,
     pub timers: Vec<(f64, u64)>,
@@ -97,7 +97,7 @@
     pub answers_probes: bool,
 }
 
-impl Desk {
+impl RouterHarness {
     /// Readers 1 and 2, writers 11 and 12; cells 0 and 1.
     pub fn new(settings: Settings) -> Self {
         let fleet = vec![
@@ -106,12 +106,12 @@
             server(11, 1, 0),
             server(12, 1, 1),
         ];
-        Desk::with_fleet(settings, fleet)
+        RouterHarness::with_fleet(settings, fleet)
     }
 
     pub fn with_fleet(settings: Settings, fleet: Vec<ServerEntry>) -> Self {
         let router = Router::new(settings, 7);
-        let mut desk = Desk {
+        let mut harness = RouterHarness {
             router,
             now: T0,
             timers: vec![],
@@ -119,11 +119,11 @@
             log: vec![],
             answers_probes: true,
         };
-        desk.tell(Event::Servers {
+        harness.tell(Event::Servers {
             form: ListForm::Cached,
             entries: fleet,
         });
-        desk
+        harness
     }
 
     pub fn tell(&mut self, event: Event) -> Vec<Action> {
@@ -223,13 +223,13 @@
     pub fn serve(&mut self, ask: Request, hit: f64) -> ServerId {
         let id = ask.id;
         self.arrive(ask);
-        let reader = self.last().1;
+        let prefill_server = self.last().1;
         self.pass(0.05);
         self.end(id, Outcome::PrefillDone, 0.05, hit);
         self.stream(id);
         self.pass(0.05);
         self.end(id, Outcome::Served, 0.1, 0.0);
-        reader
+        prefill_server
     }
 
     pub fn stream(&mut self, request: RequestId) {
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -247,12 +247,12 @@
             Observation::WarmingUp,
             Observation::Draining,
         ][self.draw(3) as usize];
-        let (voices, of) = (self.draw(6) as u32, 6);
+        let (reporters, of) = (self.draw(6) as u32, 6);
         let age_s = 4.0 * self.share() - 0.5;
         self.handle(Event::PeerReport {
             server,
             observation: sight,
-            reporters: voices,
+            reporters,
             peers: of,
             age_s,
         });
--- a/crates/policy/tests/held_states.rs
+++ b/crates/policy/tests/held_states.rs
@@ -16,7 +16,7 @@
 }
 
 /// A request whose prefill has ended and whose hand-over is out; patient, so that nothing is called back.
-fn handed_over(effect: Effect, may_cancel: bool) -> Desk {
+fn handed_over(effect: Effect, may_cancel: bool) -> RouterHarness {
     let mut set = Settings {
         kv_hold_limit_s: LIMIT_S,
         lost_prefill_may_have_run: true,
@@ -24,12 +24,15 @@
     };
     set.classes[0].ttft_objective_s = 300.0;
     set.limits.may_cancel = may_cancel;
-    let mut desk = Desk::new(set);
-    desk.arrive(ask(1));
-    desk.pass(0.05);
-    desk.end(1, Outcome::PrefillDone, 0.05, 0.0);
-    assert!(desk.sends.len() == 2 && desk.last().1 > 10, "handed over");
-    desk
+    let mut harness = RouterHarness::new(set);
+    harness.arrive(ask(1));
+    harness.pass(0.05);
+    harness.end(1, Outcome::PrefillDone, 0.05, 0.0);
+    assert!(
+        harness.sends.len() == 2 && harness.last().1 > 10,
+        "handed over"
+    );
+    harness
 }
 
 const KEYED: Effect = Effect::IdempotencyKey {
@@ -39,22 +42,22 @@
 const EFFECTS: [Effect; 3] = [Effect::Idempotent, KEYED, Effect::NonIdempotent];
 
 #[test]
-fn a_state_is_released_once_before_the_limit_though_its_hand_over_is_out() {
+fn kv_state_is_released_once_before_the_limit_during_its_transfer() {
     for effect in EFFECTS {
         for may_cancel in [true, false] {
             for client_gone in [true, false] {
                 let case = format!("{effect:?} cancel {may_cancel} gone {client_gone}");
-                let mut desk = handed_over(effect, may_cancel);
+                let mut harness = handed_over(effect, may_cancel);
                 if client_gone {
-                    desk.tell(Event::ClientDisconnected { request: 1 });
+                    harness.tell(Event::ClientDisconnected { request: 1 });
                 }
                 assert_eq!(
-                    releases(&desk.pass(0.85)),
+                    releases(&harness.pass(0.85)),
                     0,
                     "{case}: not while it may well arrive"
                 );
-                assert_eq!(releases(&desk.pass(RELEASED_BY_S - 0.85)), 1, "{case}");
-                assert_eq!(releases(&desk.pass(3.0)), 0, "{case}: once");
+                assert_eq!(releases(&harness.pass(RELEASED_BY_S - 0.85)), 1, "{case}");
+                assert_eq!(releases(&harness.pass(3.0)), 0, "{case}: once");
             }
         }
     }
@@ -62,7 +65,7 @@
 
 /// What an attempt's end tells of a state that was released while it was out, and of one that was not.
 #[test]
-fn an_end_after_the_release_says_whether_something_may_be_held_again() {
+fn end_after_the_release_decides_whether_a_kv_state_may_be_held() {
     let ends = [
         (
             Outcome::Rejected {
@@ -86,17 +89,17 @@
     for effect in EFFECTS {
         for (outcome, held_again) in ends {
             let case = format!("{effect:?} {outcome:?}");
-            let mut desk = handed_over(effect, true);
-            assert_eq!(releases(&desk.pass(RELEASED_BY_S)), 1, "{case}");
-            let before = desk.sends.len();
-            let mut after = desk.end(1, outcome, RELEASED_BY_S, 0.0);
-            let again = desk.sends.len() > before;
+            let mut harness = handed_over(effect, true);
+            assert_eq!(releases(&harness.pass(RELEASED_BY_S)), 1, "{case}");
+            let before = harness.sends.len();
+            let mut after = harness.end(1, outcome, RELEASED_BY_S, 0.0);
+            let again = harness.sends.len() > before;
             assert!(
-                !again || desk.last().1 < 10,
+                !again || harness.last().1 < 10,
                 "{case}: a further attempt begins with its prefill"
             );
             // The further prefill does not arrive either.
-            after.extend(desk.pass(RELEASED_BY_S));
+            after.extend(harness.pass(RELEASED_BY_S));
             assert_eq!(releases(&after), usize::from(held_again), "{case}");
         }
     }
@@ -105,23 +108,23 @@
 /// Where cancelling stops nothing that waits, a hand-over that was given up goes on waiting for the state, and a release
 /// lets go of nothing until that has ended: it is made again while the request lives, and with its end.
 #[test]
-fn a_state_that_a_given_up_hand_over_may_wait_for_is_released_again_until_the_request_ends() {
+fn kv_state_is_released_again_while_a_cancelled_transfer_may_wait_for_it() {
     for outcome in [Outcome::Cancelled, Outcome::TimedOut, Outcome::Reset] {
-        let mut desk = handed_over(Effect::Idempotent, true);
-        desk.pass(RELEASED_BY_S);
-        desk.end(1, outcome, RELEASED_BY_S, 0.0);
-        assert!(desk.last().1 < 10, "{outcome:?}: read again");
-        let again = desk.pass(2.0 * RELEASED_BY_S);
+        let mut harness = handed_over(Effect::Idempotent, true);
+        harness.pass(RELEASED_BY_S);
+        harness.end(1, outcome, RELEASED_BY_S, 0.0);
+        assert!(harness.last().1 < 10, "{outcome:?}: read again");
+        let again = harness.pass(2.0 * RELEASED_BY_S);
         assert_eq!(
             releases(&again),
             2,
             "{outcome:?}: for as long as it may be waited for"
         );
-        let before = desk.log.len();
-        desk.tell(Event::ClientDisconnected { request: 1 });
-        desk.end(1, Outcome::Error, 2.0, 0.0);
+        let before = harness.log.len();
+        harness.tell(Event::ClientDisconnected { request: 1 });
+        harness.end(1, Outcome::Error, 2.0, 0.0);
         assert_eq!(
-            releases(&desk.log[before..]),
+            releases(&harness.log[before..]),
             1,
             "{outcome:?}: with the end"
         );
@@ -130,10 +133,10 @@
 
 /// An answer shows that the hand-over had arrived: until then the state was waited for.
 #[test]
-fn a_hand_over_that_was_turned_away_starts_the_clock_anew() {
-    let mut desk = handed_over(Effect::Idempotent, true);
-    desk.pass(0.3);
-    desk.end(
+fn rejected_transfer_restarts_the_hold_clock() {
+    let mut harness = handed_over(Effect::Idempotent, true);
+    harness.pass(0.3);
+    harness.end(
         1,
         Outcome::Rejected {
             state_missing: false,
@@ -141,22 +144,22 @@
         0.3,
         0.0,
     );
-    assert!(desk.last().1 > 10, "handed over elsewhere");
-    assert_eq!(releases(&desk.pass(0.85)), 0);
-    assert_eq!(releases(&desk.pass(RELEASED_BY_S - 0.85)), 1);
+    assert!(harness.last().1 > 10, "handed over elsewhere");
+    assert_eq!(releases(&harness.pass(0.85)), 0);
+    assert_eq!(releases(&harness.pass(RELEASED_BY_S - 0.85)), 1);
 }
 
 /// One that broke may never have arrived: the time runs on.
 #[test]
-fn a_hand_over_that_broke_does_not_stop_the_clock() {
-    let mut desk = handed_over(Effect::Idempotent, true);
-    desk.pass(0.3);
-    desk.end(1, Outcome::Reset, 0.3, 0.0);
+fn broken_transfer_does_not_stop_the_hold_clock() {
+    let mut harness = handed_over(Effect::Idempotent, true);
+    harness.pass(0.3);
+    harness.end(1, Outcome::Reset, 0.3, 0.0);
     assert!(
-        desk.sends.len() == 3 && desk.last().1 > 10,
+        harness.sends.len() == 3 && harness.last().1 > 10,
         "handed over elsewhere"
     );
-    assert_eq!(releases(&desk.pass(RELEASED_BY_S - 0.3)), 1);
+    assert_eq!(releases(&harness.pass(RELEASED_BY_S - 0.3)), 1);
 }
 
 #[test]
@@ -166,29 +169,29 @@
         for served in [true, false] {
             let case = format!("{outcome:?} served {served}");
             let set = settings(Effect::Idempotent);
-            let mut desk = Desk::new(Settings {
+            let mut harness = RouterHarness::new(Settings {
                 kv_hold_limit_s: LIMIT_S,
                 lost_prefill_may_have_run: true,
                 ..set
             });
-            desk.arrive(ask(1));
-            desk.end(1, outcome, 0.0, 0.0);
-            assert_eq!(desk.sends.len(), 2, "{case}: read elsewhere");
+            harness.arrive(ask(1));
+            harness.end(1, outcome, 0.0, 0.0);
+            assert_eq!(harness.sends.len(), 2, "{case}: read elsewhere");
             if served {
-                desk.end(1, Outcome::PrefillDone, 0.0, 0.0);
-                desk.stream(1);
+                harness.end(1, Outcome::PrefillDone, 0.0, 0.0);
+                harness.stream(1);
                 assert_eq!(
-                    releases(&desk.pass(RELEASED_BY_S)),
+                    releases(&harness.pass(RELEASED_BY_S)),
                     0,
                     "{case}: it begins, so nothing waits"
                 );
                 assert_eq!(
-                    releases(&desk.end(1, Outcome::Served, 1.0, 0.0)),
+                    releases(&harness.end(1, Outcome::Served, 1.0, 0.0)),
                     1,
                     "{case}"
                 );
             } else {
-                assert_eq!(releases(&desk.pass(RELEASED_BY_S)), 1, "{case}");
+                assert_eq!(releases(&harness.pass(RELEASED_BY_S)), 1, "{case}");
             }
         }
     }
--- a/crates/policy/tests/long_prompts.rs
+++ b/crates/policy/tests/long_prompts.rs
@@ -11,8 +11,8 @@
 use fleet::{draw, gap_s, Fleet};
 
 const ROUTERS: u32 = 10;
-const READERS: u32 = 6;
-const WRITERS: u32 = 8;
+const PREFILL_SERVERS: u32 = 6;
+const DECODE_SERVERS: u32 = 8;
 const SESSIONS: u64 = 60;
 const SHORTEST: f64 = 200.0;
 const LONGEST: f64 = 24_000.0;
@@ -66,12 +66,12 @@
         },
         T0,
     );
-    let readers = (1..=READERS).map(|id| server(id, 0, 0));
-    let writers = (1..=WRITERS).map(|id| server(100 + id, 1, 0));
+    let prefill_servers = (1..=PREFILL_SERVERS).map(|id| server(id, 0, 0));
+    let decode_servers = (1..=DECODE_SERVERS).map(|id| server(100 + id, 1, 0));
     fleet.list(
         T0,
         ListForm::Full,
-        &readers.chain(writers).collect::<Vec<_>>(),
+        &prefill_servers.chain(decode_servers).collect::<Vec<_>>(),
     );
     for one in asked {
         let (session, prefix) = (one.session + 1, one.session + 1);
@@ -112,7 +112,7 @@
 ];
 
 #[test]
-fn the_longest_tenth_and_the_next_fifth_have_their_share_of_their_class() {
+fn longest_prompts_are_served_like_the_rest_of_their_class() {
     for (name, rate, least) in LOADS {
         for seed in 1..4 {
             let asked = asked(seed, rate);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn where_there_is_room_no_session_and_no_router_goes_without() {
+fn with_capacity_left_no_session_or_router_starves() {
     let (_, rate, _) = LOADS[0];
     for seed in 1..4 {
         let asked = asked(seed, rate);
--- a/crates/policy/tests/hearsay.rs
+++ b/crates/policy/tests/peer_reports.rs
@@ -5,16 +5,16 @@
 
 use bitternlatch_policy::interface::*;
 use common::*;
-use fleet::{Fleet, Trouble};
+use fleet::{Fault, Fleet};
 
 const ROUTERS: u32 = 100;
 const RATE: f64 = 60.0;
-const READERS: u32 = 20;
+const PREFILL_SERVERS: u32 = 20;
 const BROKEN: ServerId = 4;
 
 /// Attempts at one reader, when it and maybe others have trouble after five seconds of twenty, and the share of all requests that
 /// waited a second or more; up to `most` voices are told to the others three times a second.
-fn day(seed: u64, trouble: Trouble, at_all: bool, most: usize) -> (u32, f64) {
+fn day(seed: u64, fault: Fault, at_all: bool, most: usize) -> (u32, f64) {
     let mut fleet = Fleet::new(
         Settings {
             dispatchers: ROUTERS,
@@ -22,24 +22,24 @@
         },
         T0,
     );
-    let readers = (1..READERS + 1).map(|id| server(id, 0, (id % 2) as u16));
-    let list: Vec<_> = readers
+    let prefill_servers = (1..PREFILL_SERVERS + 1).map(|id| server(id, 0, (id % 2) as u16));
+    let list: Vec<_> = prefill_servers
         .chain((101..131).map(|id| server(id, 1, (id % 2) as u16)))
         .collect();
     fleet.list(T0, ListForm::Full, &list);
     fleet.arrivals(seed, RATE, 20.0, ask);
     fleet.run(T0 + 5.0);
-    let troubled: Vec<ServerId> = list
+    let faulty: Vec<ServerId> = list
         .iter()
         .map(|e| e.id)
         .filter(|id| at_all || *id == BROKEN)
         .collect();
-    troubled.iter().for_each(|id| fleet.trouble(*id, trouble));
+    faulty.iter().for_each(|id| fleet.set_fault(*id, fault));
     let before = fleet.waiting_and_taken(BROKEN).1;
     for tick in 0..50 {
         fleet.run(T0 + 5.0 + 0.3 * f64::from(tick));
         if most > 0 {
-            troubled.iter().for_each(|id| fleet.hearsay(*id, most));
+            faulty.iter().for_each(|id| fleet.peer_report(*id, most));
         }
     }
     fleet.run(T0 + 40.0);
@@ -50,45 +50,45 @@
     )
 }
 
-fn over_seeds(trouble: Trouble, most: usize) -> (u32, f64) {
-    let days = (1..4).map(|seed| day(seed, trouble, false, most));
+fn over_seeds(fault: Fault, most: usize) -> (u32, f64) {
+    let days = (1..4).map(|seed| day(seed, fault, false, most));
     days.fold((0, 0.0), |sum, day| (sum.0 + day.0, sum.1 + day.1 / 3.0))
 }
 
 #[test]
-fn the_word_of_others_saves_attempts_and_late_answers_at_a_silent_reader() {
+fn peer_reports_save_attempts_and_late_answers_at_a_silent_server() {
     let (alone, told) = (
-        over_seeds(Trouble::Silent, 0),
-        over_seeds(Trouble::Silent, usize::MAX),
+        over_seeds(Fault::Silent, 0),
+        over_seeds(Fault::Silent, usize::MAX),
     );
     assert!(2 * told.0 < alone.0, "{told:?} against {alone:?}");
     assert!(2.0 * told.1 < alone.1, "{told:?} against {alone:?}");
 }
 
 #[test]
-fn the_word_of_others_saves_attempts_at_a_reader_that_answers_with_errors() {
+fn peer_reports_save_attempts_at_a_server_that_answers_with_errors() {
     let (alone, told) = (
-        over_seeds(Trouble::Errors, 0),
-        over_seeds(Trouble::Errors, usize::MAX),
+        over_seeds(Fault::Errors, 0),
+        over_seeds(Fault::Errors, usize::MAX),
     );
     assert!(2 * told.0 < alone.0, "{told:?} against {alone:?}");
 }
 
 /// It is the way to them then: while every word was believed, 2 to 3 in 100 came late here in place of 2 in 1,000.
 #[test]
-fn words_of_failures_at_most_servers_crowd_nobody() {
+fn reported_failures_at_most_servers_overload_no_server() {
     for seed in 1..4 {
-        let late = |most| day(seed, Trouble::Resets(5), true, most).1;
+        let late = |most| day(seed, Fault::Resets(5), true, most).1;
         let (alone, told) = (late(0), late(usize::MAX));
         assert!(told <= alone + 0.005, "seed {seed}: {told} against {alone}");
     }
 }
 
 #[test]
-fn one_voice_changes_nothing() {
+fn one_reporter_changes_nothing() {
     assert_eq!(
-        day(1, Trouble::Silent, false, 1),
-        day(1, Trouble::Silent, false, 0)
+        day(1, Fault::Silent, false, 1),
+        day(1, Fault::Silent, false, 0)
     );
 }
 
@@ -100,21 +100,21 @@
         .into_iter()
         .chain([server(11, 1, 0)])
         .collect();
-    let mut desk = Desk::with_fleet(settings(Effect::Idempotent), list);
+    let mut harness = RouterHarness::with_fleet(settings(Effect::Idempotent), list);
     let mut first = 0;
     for id in 1..46 {
-        if let Some((sight, voices, of, age_s)) = said.filter(|_| id > 5) {
-            desk.tell(Event::PeerReport {
+        if let Some((sight, reporters, of, age_s)) = said.filter(|_| id > 5) {
+            harness.tell(Event::PeerReport {
                 server: 1,
                 observation: sight,
-                reporters: voices,
+                reporters,
                 peers: of,
                 age_s,
             });
         }
         first += usize::from(id > 5)
             * usize::from(
-                desk.serve(
+                harness.serve(
                     Request {
                         session: 0,
                         prefix: 0,
@@ -123,30 +123,30 @@
                     0.0,
                 ) == 1,
             );
-        desk.pass(0.1);
+        harness.pass(0.1);
     }
     first
 }
 
 #[test]
-fn a_drain_that_most_others_tell_of_closes_a_server_and_that_of_a_few_does_not() {
+fn drain_closes_a_server_when_most_peers_report_it() {
     let usual = sent_to_first(None);
     assert!(usual > 5, "{usual}");
-    let told = |voices, of| sent_to_first(Some((Observation::Draining, voices, of, 0.0)));
+    let told = |reporters, of| sent_to_first(Some((Observation::Draining, reporters, of, 0.0)));
     assert_eq!(told(3, 5), 0);
     assert_eq!(told(2, 5), usual, "fewer than half");
     assert_eq!(told(1, 1), usual, "one voice");
 }
 
 #[test]
-fn a_server_that_others_saw_start_is_taken_for_cold() {
+fn server_that_peers_saw_start_is_in_slow_start() {
     let usual = sent_to_first(None);
     let cold = sent_to_first(Some((Observation::WarmingUp, 2, 2, 1.0)));
     assert!(cold < usual, "{cold} against {usual}");
 }
 
 #[test]
-fn what_was_heard_of_a_server_since_counts_more_than_an_older_failure_elsewhere() {
+fn own_success_outweighs_an_older_reported_failure() {
     let old = sent_to_first(Some((Observation::Failing, 5, 5, 30.0)));
     let new = sent_to_first(Some((Observation::Failing, 5, 5, 0.0)));
     assert_eq!(old, sent_to_first(None));
--- a/crates/policy/tests/many.rs
+++ b/crates/policy/tests/replaced_servers.rs
@@ -11,13 +11,13 @@
 use fleet::Fleet;
 
 const ROUTERS: u32 = 300;
-const READERS: Range<u32> = 1..31;
-const WRITERS: Range<u32> = 101..141;
+const PREFILL_SERVERS: Range<u32> = 1..31;
+const DECODE_SERVERS: Range<u32> = 101..141;
 /// Added to the id of a server that leaves, the id of the one that comes for it.
 const COMES: u32 = 1000;
 /// Requests a second: all that is left of the fleet, and what the cold ones can bear, are needed.
 const RATE: f64 = 250.0;
-const COLD_FROM: f64 = T0 + 7.0;
+const RESTARTED_AT: f64 = T0 + 7.0;
 
 fn leaves(id: ServerId) -> bool {
     id % 5 < 3
@@ -32,7 +32,9 @@
         T0,
     );
     let hosts = |ids: Range<u32>, kind: u16| ids.map(move |id| server(id, kind, (id % 2) as u16));
-    let old: Vec<ServerEntry> = hosts(READERS, 0).chain(hosts(WRITERS, 1)).collect();
+    let old: Vec<ServerEntry> = hosts(PREFILL_SERVERS, 0)
+        .chain(hosts(DECODE_SERVERS, 1))
+        .collect();
     let leaving = || old.iter().filter(|e| leaves(e.id)).cloned();
     let gone: Vec<_> = leaving()
         .map(|e| ServerEntry {
@@ -42,13 +44,13 @@
         .collect();
     let fresh = |e: ServerEntry| ServerEntry {
         id: e.id + COMES,
-        booted_at: COLD_FROM - 2.0,
+        booted_at: RESTARTED_AT - 2.0,
         ..e
     };
     fleet.list(T0, ListForm::Full, &old);
-    fleet.list(COLD_FROM - 2.0, ListForm::Delta, &gone);
+    fleet.list(RESTARTED_AT - 2.0, ListForm::Delta, &gone);
     fleet.list(
-        COLD_FROM,
+        RESTARTED_AT,
         ListForm::Delta,
         &leaving().map(fresh).collect::<Vec<_>>(),
     );
@@ -62,7 +64,7 @@
 }
 
 #[test]
-fn while_six_in_ten_are_replaced_most_first_tokens_come_in_time() {
+fn most_first_tokens_are_in_time_while_six_in_ten_servers_are_replaced() {
     for seed in 1..4 {
         let mut fleet = replaced(seed);
         fleet.run(T0 + 40.0);
@@ -73,13 +75,15 @@
 }
 
 #[test]
-fn cold_readers_take_their_part_while_warm_ones_queue() {
+fn warming_prefill_servers_take_their_part_while_warm_ones_queue() {
     let mut fleet = replaced(1);
-    fleet.run(COLD_FROM + 4.0);
-    let warm = waiting_and_taken(&fleet, READERS.filter(|id| !leaves(*id)));
+    fleet.run(RESTARTED_AT + 4.0);
+    let warm = waiting_and_taken(&fleet, PREFILL_SERVERS.filter(|id| !leaves(*id)));
     let cold = waiting_and_taken(
         &fleet,
-        READERS.filter(|id| leaves(*id)).map(|id| id + COMES),
+        PREFILL_SERVERS
+            .filter(|id| leaves(*id))
+            .map(|id| id + COMES),
     );
     // What the guard allows them is 0.3 of all: 18 of 30 readers at 0.5 of an even share.
     let arrived = RATE * 4.0;
@@ -90,25 +94,25 @@
 }
 
 #[test]
-fn together_they_keep_the_guard_of_every_cold_server() {
+fn routers_together_keep_slow_start_of_every_server() {
     let mut fleet = replaced(2);
-    fleet.run(COLD_FROM);
+    fleet.run(RESTARTED_AT);
     // 2.5 times what it can do of an even share, with the noise of a few dozen draws: a quarter of its capacity, and more as it warms
     // up by what it was sent, or by time where that is less; a writer's is larger than its even share, as answers come after reads.
     for step in 1..5 {
         let ids = || {
-            READERS
-                .chain(WRITERS)
+            PREFILL_SERVERS
+                .chain(DECODE_SERVERS)
                 .filter(|id| leaves(*id))
                 .map(|id| id + COMES)
         };
         let before: Vec<u32> = ids().map(|id| fleet.waiting_and_taken(id).1).collect();
-        fleet.run(COLD_FROM + 3.0 * f64::from(step));
+        fleet.run(RESTARTED_AT + 3.0 * f64::from(step));
         for (id, before) in ids().zip(before) {
             let like = if id < COMES + 100 {
-                READERS.len()
+                PREFILL_SERVERS.len()
             } else {
-                WRITERS.len()
+                DECODE_SERVERS.len()
             };
             let even = RATE * 3.0 / like as f64;
             let taken = f64::from(fleet.waiting_and_taken(id).1 - before);
--- a/crates/policy/tests/routing.rs
+++ b/crates/policy/tests/routing.rs
@@ -4,9 +4,9 @@
 use common::*;
 
 #[test]
-fn a_session_finds_its_reader_again_at_another_router() {
-    let mut a = Desk::new(settings(Effect::Idempotent));
-    let mut b = Desk::new(settings(Effect::Idempotent));
+fn session_finds_its_prefill_server_at_another_router() {
+    let mut a = RouterHarness::new(settings(Effect::Idempotent));
+    let mut b = RouterHarness::new(settings(Effect::Idempotent));
     for prefix in 1..20u64 {
         let one = Request {
             prefix,
@@ -20,70 +20,72 @@
 }
 
 #[test]
-fn one_prefix_is_read_at_few_homes() {
+fn one_prefix_has_few_replicas() {
     let mut fleet: Vec<_> = (1..9).map(|id| server(id, 0, 0)).collect();
     fleet.push(server(11, 1, 0));
-    let mut desk = Desk::with_fleet(settings(Effect::Idempotent), fleet);
-    let mut readers = std::collections::BTreeSet::new();
+    let mut harness = RouterHarness::with_fleet(settings(Effect::Idempotent), fleet);
+    let mut prefill_servers = std::collections::BTreeSet::new();
     for id in 1..30 {
-        readers.insert(desk.serve(ask(id), 1500.0));
-        desk.pass(3.0);
+        prefill_servers.insert(harness.serve(ask(id), 1500.0));
+        harness.pass(3.0);
     }
-    assert_eq!(readers.len(), 2);
+    assert_eq!(prefill_servers.len(), 2);
 }
 
 #[test]
-fn a_long_own_queue_sends_a_request_away_from_its_home() {
-    let mut desk = Desk::new(settings(Effect::Idempotent));
+fn long_own_queue_diverts_a_request_from_its_replica() {
+    let mut harness = RouterHarness::new(settings(Effect::Idempotent));
     for id in 1..12 {
-        desk.arrive(ask(id));
+        harness.arrive(ask(id));
     }
-    let readers: std::collections::BTreeSet<_> = desk.sends.iter().map(|s| s.1).collect();
-    assert_eq!(readers.len(), 2);
+    let prefill_servers: std::collections::BTreeSet<_> =
+        harness.sends.iter().map(|s| s.1).collect();
+    assert_eq!(prefill_servers.len(), 2);
 }
 
 #[test]
-fn the_writer_is_picked_after_the_read_and_in_the_readers_cell() {
-    let mut desk = Desk::new(settings(Effect::Idempotent));
-    desk.arrive(ask(1));
-    assert_eq!(desk.sends.len(), 1);
-    let reader = desk.last().1;
-    desk.end(1, Outcome::PrefillDone, 0.1, 0.0);
-    assert_eq!(desk.last().1, reader + 10);
+fn decode_server_is_chosen_after_the_prefill_in_its_cell() {
+    let mut harness = RouterHarness::new(settings(Effect::Idempotent));
+    harness.arrive(ask(1));
+    assert_eq!(harness.sends.len(), 1);
+    let prefill_server = harness.last().1;
+    harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
+    assert_eq!(harness.last().1, prefill_server + 10);
 }
 
 #[test]
-fn a_loaded_writer_loses_to_a_lighter_one_in_another_cell() {
-    let mut desk = Desk::new(settings(Effect::Idempotent));
-    desk.arrive(ask(1));
-    let near = desk.last().1 + 10;
+fn loaded_decode_server_loses_to_a_lighter_one_in_another_cell() {
+    let mut harness = RouterHarness::new(settings(Effect::Idempotent));
+    harness.arrive(ask(1));
+    let near = harness.last().1 + 10;
     let report = vec![0.9, 3.0, 0.9];
-    desk.tell(Event::ProbeEnded {
+    harness.tell(Event::ProbeEnded {
         server: near,
         outcome: Outcome::Served,
         elapsed_s: 0.01,
         report,
     });
-    desk.end(1, Outcome::PrefillDone, 0.1, 0.0);
-    assert_ne!(desk.last().1, near);
+    harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
+    assert_ne!(harness.last().1, near);
 }
 
 #[test]
-fn a_mixed_server_takes_a_request_whole() {
-    let mut desk = Desk::with_fleet(settings(Effect::Idempotent), vec![server(1, 2, 0)]);
-    desk.arrive(ask(1));
-    desk.stream(1);
-    desk.end(1, Outcome::Served, 2.0, 0.0);
-    assert_eq!(desk.sends.len(), 1);
+fn mixed_server_takes_prefill_and_decode() {
+    let mut harness =
+        RouterHarness::with_fleet(settings(Effect::Idempotent), vec![server(1, 2, 0)]);
+    harness.arrive(ask(1));
+    harness.stream(1);
+    harness.end(1, Outcome::Served, 2.0, 0.0);
+    assert_eq!(harness.sends.len(), 1);
 }
 
 #[test]
-fn a_full_writer_passes_the_state_to_the_next() {
-    let mut desk = Desk::new(settings(Effect::NonIdempotent));
-    desk.arrive(ask(1));
-    desk.end(1, Outcome::PrefillDone, 0.1, 0.0);
-    let first = desk.last().1;
-    desk.end(
+fn rejected_kv_state_goes_to_the_next_decode_server() {
+    let mut harness = RouterHarness::new(settings(Effect::NonIdempotent));
+    harness.arrive(ask(1));
+    harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
+    let first = harness.last().1;
+    harness.end(
         1,
         Outcome::Rejected {
             state_missing: false,
@@ -91,15 +93,15 @@
         0.01,
         0.0,
     );
-    assert!(desk.last().1 > 10 && desk.last().1 != first);
+    assert!(harness.last().1 > 10 && harness.last().1 != first);
 }
 
 #[test]
-fn a_lost_state_is_read_again() {
-    let mut desk = Desk::new(settings(Effect::Idempotent));
-    desk.arrive(ask(1));
-    desk.end(1, Outcome::PrefillDone, 0.1, 0.0);
-    desk.end(
+fn lost_kv_state_is_prefilled_again() {
+    let mut harness = RouterHarness::new(settings(Effect::Idempotent));
+    harness.arrive(ask(1));
+    harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
+    harness.end(
         1,
         Outcome::Rejected {
             state_missing: true,
@@ -107,35 +109,35 @@
         0.01,
         0.0,
     );
-    assert!(desk.last().1 < 10);
+    assert!(harness.last().1 < 10);
 }
 
 #[test]
-fn a_long_answer_is_not_put_where_it_would_push_out_others() {
+fn long_answer_avoids_servers_where_it_would_evict_others() {
     let long = Some(ExpectedTokens {
         mean: 9_000.0,
         p90: 30_000.0,
     });
     let chosen = |told: Option<ExpectedTokens>| {
-        let mut desk = Desk::new(settings(Effect::Idempotent));
-        desk.arrive(Request {
+        let mut harness = RouterHarness::new(settings(Effect::Idempotent));
+        harness.arrive(Request {
             output_tokens: told,
             ..ask(1)
         });
-        let near = desk.last().1 + 10;
+        let near = harness.last().1 + 10;
         let far = if near == 11 { 12 } else { 11 };
         // Nearly equal now; the far one has the room that the answer needs at its end.
         for (server, load) in [(near, 0.88), (far, 0.80)] {
             let report = vec![load, 0.0, load];
-            desk.tell(Event::ProbeEnded {
+            harness.tell(Event::ProbeEnded {
                 server,
                 outcome: Outcome::Served,
                 elapsed_s: 0.01,
                 report,
             });
         }
-        desk.end(1, Outcome::PrefillDone, 0.1, 0.0);
-        (desk.last().1 == near, desk)
+        harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
+        (harness.last().1 == near, harness)
     };
     assert!(chosen(None).0);
     assert!(!chosen(long).0);
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -14,26 +14,27 @@
 ) -> BTreeMap<ServerId, u32> {
     let mut counts = BTreeMap::new();
     for me in 0..routers {
-        let mut desk = Desk::with_fleet(
+        let mut harness = RouterHarness::with_fleet(
             Settings {
                 dispatchers: routers,
                 ..settings(Effect::Idempotent)
             },
             vec![],
         );
-        desk.router = Router::new(
+        harness.router = Router::new(
             Settings {
                 dispatchers: routers,
                 ..settings(Effect::Idempotent)
             },
             u64::from(me),
         );
-        desk.tell(Event::Servers {
+        harness.tell(Event::Servers {
             form: ListForm::Full,
             entries: fleet.to_vec(),
         });
-        desk.serve(one(me), 0.0);
-        desk.sends
+        harness.serve(one(me), 0.0);
+        harness
+            .sends
             .iter()
             .for_each(|s| *counts.entry(s.1).or_default() += 1);
     }
@@ -41,14 +42,14 @@
 }
 
 fn fleet() -> Vec<ServerEntry> {
-    let readers = (1..21).map(|id| server(id, 0, 0));
-    readers
+    let prefill_servers = (1..21).map(|id| server(id, 0, 0));
+    prefill_servers
         .chain((101..121).map(|id| server(id, 1, 0)))
         .collect()
 }
 
 #[test]
-fn a_hundred_routers_with_the_same_view_spread_their_reads_and_answers() {
+fn hundred_routers_with_one_view_spread_their_load() {
     let counts = sends_of(100, &fleet(), |me| Request {
         prefix: u64::from(me) + 1,
         ..ask(me + 1)
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn a_hundred_routers_read_one_prefix_at_its_homes() {
+fn hundred_routers_prefill_one_prefix_at_its_replicas() {
     let counts = sends_of(100, &fleet(), |me| Request {
         session: u64::from(me) + 1,
         ..ask(1)
@@ -73,7 +74,7 @@
 
 /// Each reader that has to read it once costs a whole read, and the memory that it takes there.
 #[test]
-fn one_prefix_is_read_at_a_tenth_of_many_readers() {
+fn one_prefix_has_replicas_at_a_tenth_of_many_prefill_servers() {
     let many: Vec<ServerEntry> = (1..81)
         .map(|id| server(id, 0, 0))
         .chain((101..121).map(|id| server(id, 1, 0)))
@@ -82,12 +83,15 @@
         session: u64::from(me) + 1,
         ..ask(1)
     });
-    let readers = counts.range(1..81).count();
-    assert!((4..=10).contains(&readers), "{readers} readers: {counts:?}");
+    let prefill_servers = counts.range(1..81).count();
+    assert!(
+        (4..=10).contains(&prefill_servers),
+        "{prefill_servers} readers: {counts:?}"
+    );
 }
 
 #[test]
-fn three_hundred_routers_together_keep_the_cold_rule() {
+fn three_hundred_routers_together_keep_slow_start() {
     // The told start capacity times the multiple is 0.625 of what a warm server of the same load takes.
     let mut cold = fleet();
     cold[20].booted_at = T0 - 0.5;
@@ -102,59 +106,59 @@
 
 #[test]
 fn probes_are_tied_to_arrivals_and_few() {
-    let mut desk = Desk::with_fleet(
+    let mut harness = RouterHarness::with_fleet(
         Settings {
             dispatchers: 100,
             ..settings(Effect::Idempotent)
         },
         fleet(),
     );
-    desk.pass(60.0);
-    assert!(desk.log.iter().filter_map(probe).next().is_none() && desk.timers.is_empty());
+    harness.pass(60.0);
+    assert!(harness.log.iter().filter_map(probe).next().is_none() && harness.timers.is_empty());
     for id in 1..50 {
-        desk.serve(ask(id), 0.0);
-        desk.pass(2.0);
+        harness.serve(ask(id), 0.0);
+        harness.pass(2.0);
     }
-    assert!(desk.log.iter().filter_map(probe).count() <= 4 * 49);
+    assert!(harness.log.iter().filter_map(probe).count() <= 4 * 49);
 }
 
 #[test]
-fn an_arrival_waits_for_its_probes_a_moment_only() {
-    let mut desk = Desk::with_fleet(settings(Effect::Idempotent), fleet());
-    desk.answers_probes = false;
-    desk.pass(1.0);
-    desk.arrive(ask(1));
-    assert!(desk.sends.is_empty());
-    desk.pass(0.02);
-    assert_eq!(desk.sends.len(), 1);
+fn arrival_waits_briefly_for_its_probes() {
+    let mut harness = RouterHarness::with_fleet(settings(Effect::Idempotent), fleet());
+    harness.answers_probes = false;
+    harness.pass(1.0);
+    harness.arrive(ask(1));
+    assert!(harness.sends.is_empty());
+    harness.pass(0.02);
+    assert_eq!(harness.sends.len(), 1);
 }
 
 #[test]
-fn a_read_whose_server_reports_a_queue_is_not_called_back() {
+fn prefill_is_not_cancelled_at_a_server_that_reports_a_queue() {
     let late = |queue: f64| {
-        let mut desk = Desk::new(settings(Effect::Idempotent));
-        desk.change(ServerEntry {
+        let mut harness = RouterHarness::new(settings(Effect::Idempotent));
+        harness.change(ServerEntry {
             status: ServerStatus::Draining,
             ..server(2, 0, 1)
         });
-        desk.answers_probes = false;
-        desk.arrive(Request {
+        harness.answers_probes = false;
+        harness.arrive(Request {
             time_left_s: 12.0,
             ..ask(1)
         });
-        desk.pass(0.02);
+        harness.pass(0.02);
         for _ in 0..60 {
             let report = vec![0.2, queue, 0.1];
             let outcome = Outcome::Served;
-            desk.tell(Event::ProbeEnded {
+            harness.tell(Event::ProbeEnded {
                 server: 1,
                 outcome,
                 elapsed_s: 0.001,
                 report,
             });
-            desk.pass(0.1);
+            harness.pass(0.1);
         }
-        desk.log.contains(&Action::Cancel {
+        harness.log.contains(&Action::Cancel {
             request: 1,
             attempt: 0,
         })
@@ -163,14 +167,14 @@
 }
 
 #[test]
-fn among_many_routers_a_long_session_stays_at_its_first_home_behind_a_short_queue() {
+fn long_session_stays_at_its_first_replica_behind_a_short_queue() {
     let stays = |dispatchers: u32| {
         let long = Request {
             prompt_tokens: 12_000.0,
             ..ask(1)
         };
         let new = || {
-            Desk::with_fleet(
+            RouterHarness::with_fleet(
                 Settings {
                     dispatchers,
                     ..settings(Effect::Idempotent)
@@ -180,16 +184,16 @@
         };
         let mut idle = new();
         let home = idle.serve(long.clone(), 0.0);
-        let mut desk = new();
+        let mut harness = new();
         let report = vec![0.1, 3.0, 0.1];
         let outcome = Outcome::Served;
-        desk.tell(Event::ProbeEnded {
+        harness.tell(Event::ProbeEnded {
             server: home,
             outcome,
             elapsed_s: 0.001,
             report,
         });
-        desk.serve(long, 0.0) == home
+        harness.serve(long, 0.0) == home
     };
     assert!(stays(100) && !stays(2));
 }
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -9,8 +9,8 @@
 use fleet::digest::Digest;
 use fleet::{draw, gap_s, Fleet};
 
-const COLD_FROM: f64 = T0 + 6.0;
-const END: f64 = COLD_FROM + 12.0;
+const RESTARTED_AT: f64 = T0 + 6.0;
+const END: f64 = RESTARTED_AT + 12.0;
 
 /// How the traffic is dealt out to the routers.
 #[derive(Clone, Copy, Debug)]
@@ -46,15 +46,15 @@
     /// A prefix and its share of the requests; 20 others share the rest.
     hot: (u64, f64),
     plain: bool,
-    said_queued: f64,
-    comes_again: u32,
+    extra_reported_queue: f64,
+    client_retries: u32,
     set: Settings,
 }
 
 impl Scenario {
     fn new(routers: u32, skew: Skew, seed: u64, rate: f64, hosts: Vec<ServerEntry>) -> Scenario {
         let (cold, hot) = (vec![], (0, 0.0));
-        let (plain, said_queued, comes_again) = (false, 8.0, 0);
+        let (plain, extra_reported_queue, client_retries) = (false, 8.0, 0);
         let set = Settings {
             dispatchers: routers,
             ..settings(Effect::Idempotent)
@@ -68,8 +68,8 @@
             cold,
             hot,
             plain,
-            said_queued,
-            comes_again,
+            extra_reported_queue,
+            client_retries,
             set,
         }
     }
@@ -78,10 +78,11 @@
     /// replaced within 8 s by one that knows nothing but the list.
     fn fleet(&self) -> Fleet {
         let mut fleet = Fleet::new(self.set.clone(), T0);
-        (fleet.said_queued, fleet.comes_again) = (self.said_queued, self.comes_again);
+        (fleet.extra_reported_queue, fleet.client_retries) =
+            (self.extra_reported_queue, self.client_retries);
         let fresh = |e: &ServerEntry| match self.cold.contains(&e.id) {
             true => ServerEntry {
-                booted_at: COLD_FROM,
+                booted_at: RESTARTED_AT,
                 ..e.clone()
             },
             false => e.clone(),
@@ -90,11 +91,11 @@
         let kept = |e: &&ServerEntry| !self.cold.contains(&e.id);
         let warm: Vec<ServerEntry> = self.hosts.iter().filter(kept).cloned().collect();
         let chance = |n: u64| draw(self.seed ^ 0xC01D, n);
-        let told = |router: usize| COLD_FROM + 2.0 * chance(router as u64);
+        let told = |router: usize| RESTARTED_AT + 2.0 * chance(router as u64);
         fleet.list(T0, ListForm::Full, &warm);
         fleet.list_at(told, ListForm::Full, &now);
         for router in (0..self.routers as usize).step_by(3) {
-            let at = COLD_FROM + 8.0 * chance(1_000 + router as u64);
+            let at = RESTARTED_AT + 8.0 * chance(1_000 + router as u64);
             fleet.restart(at, router, 10_000 + router as u64, &now);
         }
         let (mut at, mut id) = (T0 + 0.1, 0);
@@ -132,7 +133,7 @@
     let cold = settings(Effect::Idempotent).slow_start;
     let until = came.iter().filter(|t| **t < start).count() as f64;
     let warmed =
-        (until / (warm_rate * cold.warm_after_s)).min((start - COLD_FROM) / cold.warm_after_s);
+        (until / (warm_rate * cold.warm_after_s)).min((start - RESTARTED_AT) / cold.warm_after_s);
     let capacity = cold.start_capacity + (1.0 - cold.start_capacity) * warmed;
     cold.overload_factor * capacity * warm_rate * cold.window_s
 }
@@ -154,7 +155,7 @@
         for id in &s.cold {
             let came = fleet.came(*id);
             let share = |start: f64| within(came, start) / allowed(*warm_rate, came, start);
-            let starts: Vec<f64> = (0..36).map(|n| COLD_FROM + f64::from(n) / 4.0).collect();
+            let starts: Vec<f64> = (0..36).map(|n| RESTARTED_AT + f64::from(n) / 4.0).collect();
             shares.push(starts.iter().map(|at| share(*at)).sum::<f64>() / starts.len() as f64);
             let most = |at: &f64| (within(came, *at), allowed(*warm_rate, came, *at));
             let over = came
@@ -191,19 +192,19 @@
     (300, Skew::Ranks),
 ];
 
-fn readers(n: u32) -> impl Iterator<Item = ServerEntry> {
+fn prefill_servers(n: u32) -> impl Iterator<Item = ServerEntry> {
     (1..n + 1).map(|id| server(id, 0, (id % 2) as u16))
 }
 
-fn writers(n: u32) -> impl Iterator<Item = ServerEntry> {
+fn decode_servers(n: u32) -> impl Iterator<Item = ServerEntry> {
     (101..n + 101).map(|id| server(id, 1, (id % 2) as u16))
 }
 
 /// The first prefix, by number, that is read at this reader.
 fn prefix_read_at(id: ServerId, hosts: &[ServerEntry]) -> u64 {
     let read_at = |prefix: u64| {
-        let mut desk = Desk::with_fleet(settings(Effect::Idempotent), hosts.to_vec());
-        desk.serve(Request { prefix, ..ask(1) }, 0.0)
+        let mut harness = RouterHarness::with_fleet(settings(Effect::Idempotent), hosts.to_vec());
+        harness.serve(Request { prefix, ..ask(1) }, 0.0)
     };
     (1..200)
         .find(|prefix| read_at(*prefix) == id)
@@ -213,10 +214,10 @@
 /// One prefix is a third of all traffic, at two homes, one of them cold: while the turn of those near was a set part of the
 /// requests whatever their number, 1.4 N came in the mean.
 #[test]
-fn a_hot_prefix_does_not_push_its_cold_home_over() {
+fn hot_prefix_does_not_overload_its_warming_replica() {
     let rate = 100.0;
     let scenario = |(n, (routers, skew)): (usize, (u32, Skew))| {
-        let hosts: Vec<ServerEntry> = readers(8).chain(writers(12)).collect();
+        let hosts: Vec<ServerEntry> = prefill_servers(8).chain(decode_servers(12)).collect();
         let hot = (prefix_read_at(3, &hosts), 0.35);
         let new = Scenario::new(routers, skew, n as u64 + 1, rate, hosts);
         (
@@ -241,18 +242,20 @@
 /// Twice what all servers could do if they were warm, and the refused come again: an even share of the demand is more than a server
 /// can do, and the empty cold one would have taken its part of all of it.
 #[test]
-fn demand_beyond_the_fleet_does_not_push_cold_servers_over() {
+fn demand_beyond_capacity_does_not_overload_warming_servers() {
     let (warm_rate, readers_of) = (1.0 / 0.146, 10);
     let scenario = |(n, (routers, skew)): (usize, (u32, Skew))| {
-        let hosts = readers(readers_of).chain(writers(20)).collect();
+        let hosts = prefill_servers(readers_of)
+            .chain(decode_servers(20))
+            .collect();
         let rate = 2.0 * f64::from(readers_of) * warm_rate;
         let new = Scenario::new(routers, skew, n as u64 + 11, rate, hosts);
         (
             Scenario {
                 cold: vec![2, 5, 9],
                 plain: true,
-                said_queued: 0.0,
-                comes_again: 2,
+                extra_reported_queue: 0.0,
+                client_retries: 2,
                 ..new
             },
             warm_rate,
@@ -270,14 +273,16 @@
 
 /// Half of the states are read beside the one cold writer of a cell.
 #[test]
-fn a_cold_writer_alone_in_its_cell_is_not_pushed_over() {
+fn warming_decode_server_alone_in_its_cell_is_not_overloaded() {
     let rate = 90.0;
     let scenario = |(n, (routers, skew)): (usize, (u32, Skew))| {
         let cell = |e: ServerEntry| ServerEntry {
             cell: u16::from(e.id != 101),
             ..e
         };
-        let hosts = readers(12).chain(writers(12).map(cell)).collect();
+        let hosts = prefill_servers(12)
+            .chain(decode_servers(12).map(cell))
+            .collect();
         let new = Scenario::new(routers, skew, n as u64 + 21, rate, hosts);
         (
             Scenario {
@@ -299,7 +304,7 @@
 
 /// Servers that do both: there are no readers whose number could split the turns.
 #[test]
-fn cold_servers_of_a_mixed_fleet_are_not_pushed_over() {
+fn warming_servers_of_a_mixed_fleet_are_not_overloaded() {
     let rate = 100.0;
     let scenario = |(n, (routers, skew)): (usize, (u32, Skew))| {
         let hosts = (1..11).map(|id| server(id, 2, (id % 2) as u16)).collect();
@@ -324,7 +329,7 @@
 
 /// The guard does not buy its bound by leaving servers idle: what it may give is mostly given.
 #[test]
-fn turns_are_not_withheld_from_cold_servers_in_ordinary_traffic() {
+fn warming_servers_get_their_turns_in_ordinary_traffic() {
     let rate = 100.0;
     let scenario = |(n, (routers, skew)): (usize, (u32, Skew))| {
         let new = Scenario::new(
@@ -332,7 +337,7 @@
             skew,
             n as u64 + 41,
             rate,
-            readers(12).chain(writers(12)).collect(),
+            prefill_servers(12).chain(decode_servers(12)).collect(),
         );
         (
             Scenario {
@@ -379,13 +384,13 @@
 
 /// One dispatcher alone or hundreds: together they keep the rule, in ordinary traffic and with a hot prefix.
 #[test]
-fn any_number_of_dispatchers_keeps_the_rule() {
+fn any_number_of_dispatchers_keeps_slow_start() {
     let rate = 100.0;
     let (mut over, mut servers) = (0, 0);
     for routers in [1, 3, 10, 30, 300] {
         let (mut over_here, mut servers_here) = (0, 0);
         for seed in 0..draws() {
-            let hosts: Vec<ServerEntry> = readers(12).chain(writers(12)).collect();
+            let hosts: Vec<ServerEntry> = prefill_servers(12).chain(decode_servers(12)).collect();
             let hot = (prefix_read_at(2, &hosts), 0.3 * (seed % 2) as f64);
             let new = Scenario::new(routers, Skew::Even, 1_000 + seed, rate, hosts);
             let scenario = Scenario {
@@ -422,7 +427,7 @@
 ];
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_give_the_same_actions() {
     let effects = [
         Effect::Idempotent,
         Effect::NonIdempotent,
@@ -441,8 +446,8 @@
             ..e
         };
         let mixed = (201..204).map(|id| server(id, 2, 0));
-        let hosts = readers(10)
-            .chain(writers(12))
+        let hosts = prefill_servers(10)
+            .chain(decode_servers(12))
             .chain(mixed)
             .map(zone)
             .collect();
@@ -459,20 +464,22 @@
         };
         let scenario = Scenario {
             cold: vec![2, 105, 202],
-            comes_again: 1,
-            said_queued: 1.0,
+            client_retries: 1,
+            extra_reported_queue: 1.0,
             set,
             ..new
         };
         let mut fleet = scenario.fleet();
         fleet.digest = Some(Digest::new());
         fleet.run(T0 + 8.0);
-        fleet.trouble(4, fleet::Trouble::Silent);
-        fleet.trouble(5, fleet::Trouble::Errors);
-        fleet.trouble(108, fleet::Trouble::Resets(3));
+        fleet.set_fault(4, fleet::Fault::Silent);
+        fleet.set_fault(5, fleet::Fault::Errors);
+        fleet.set_fault(108, fleet::Fault::Resets(3));
         (0..20).for_each(|n| {
             fleet.run(T0 + 8.0 + 0.3 * f64::from(n));
-            [4, 5, 108].into_iter().for_each(|id| fleet.hearsay(id, 5));
+            [4, 5, 108]
+                .into_iter()
+                .for_each(|id| fleet.peer_report(id, 5));
         });
         fleet.run(END);
         fleet.digest.map(|d| d.value())
