--- a/crates/policy/src/choice/admission.rs
+++ b/crates/policy/src/choice/admission.rs
@@ -54,6 +54,7 @@
 }
 
 impl AdmissionController {
+    /// Tenants with full buckets and an even fraction of the quotas.
     pub fn new(dispatchers: u32, tenants: &[TenantSettings]) -> Self {
         let tenants = tenants.iter().map(|tenant| TenantQuota {
             requests_per_s: tenant.quota_rps,
--- a/crates/policy/src/choice/attempts.rs
+++ b/crates/policy/src/choice/attempts.rs
@@ -3,7 +3,7 @@
 
 use super::prefill_choice::PrefillEstimate;
 use super::request_state::{RequestState, Stage};
-use super::server::InFlightAttempt;
+use super::server::{InFlightAttempt, Server};
 use super::{set_timer, Actions, Router, PROBE_WAIT_S};
 use crate::interface::{Action, Cause, RequestId, Role, ServerId};
 
@@ -76,26 +76,12 @@
             selector.is_single_attempt(server, state) || self.settings.limits.may_cancel;
         let timeout_s = if waits_for_client { 0.0 } else { silence_s };
         let attempt = InFlightAttempt {
-            work_s: if state.held.known().is_none() {
-                state.prefill_s
-            } else {
-                0.0
-            },
+            work_s: queued_work_s(state),
             due_at: now + expected_s,
             memory: state.memory,
-            link: self
-                .holder_cell(state)
-                .filter(|cell| *cell != server.entry.cell),
+            link: self.crossed_link(state, server),
         };
-        if let Some(server) = self.servers.get_mut(to) {
-            server.in_flight.insert(id, attempt);
-        }
-        if let Some(state) = self.requests.get_mut(&id) {
-            state.stage = Stage::InFlight;
-            state.server = to;
-            state.sent_at = now;
-            state.attempts += 1;
-        }
+        self.record_launch(now, id, to, attempt);
         out.push(Action::Send {
             request: id,
             server: to,
@@ -111,10 +97,23 @@
             && now < state.deadline
     }
 
-    /// The cell of the server that holds a request's KV state.
-    fn holder_cell(&self, state: &RequestState) -> Option<u16> {
+    /// The cell of the server that holds a request's KV state, where the state has to cross its link.
+    fn crossed_link(&self, state: &RequestState, to: &Server) -> Option<u16> {
         let held = state.held.known()?;
-        Some(self.servers.get(held.server)?.entry.cell)
+        let cell = self.servers.get(held.server)?.entry.cell;
+        (cell != to.entry.cell).then_some(cell)
+    }
+
+    fn record_launch(&mut self, now: f64, id: RequestId, to: ServerId, attempt: InFlightAttempt) {
+        if let Some(server) = self.servers.get_mut(to) {
+            server.in_flight.insert(id, attempt);
+        }
+        if let Some(state) = self.requests.get_mut(&id) {
+            state.stage = Stage::InFlight;
+            state.server = to;
+            state.sent_at = now;
+            state.attempts += 1;
+        }
     }
 
     pub(super) fn cancel(&mut self, id: RequestId, out: &mut Actions) {
@@ -211,3 +210,12 @@
         }
     }
 }
+
+/// Seconds of prefill that the next attempt adds to its server's queue.
+fn queued_work_s(state: &RequestState) -> f64 {
+    if state.held.known().is_none() {
+        state.prefill_s
+    } else {
+        0.0
+    }
+}
--- a/crates/policy/src/choice/completion.rs
+++ b/crates/policy/src/choice/completion.rs
@@ -119,7 +119,12 @@
             } => server.health.record_rejection(now),
             _ => {}
         }
-        let prefilled_there = server.role != Role::Prefill && state.held.known().is_none();
+        self.record_prefill_end(now, end, state);
+    }
+
+    /// Takes in a prefill that has ended there, by itself or with its answer.
+    fn record_prefill_end(&mut self, now: f64, end: &AttemptEnd, state: &RequestState) {
+        let prefilled_there = state.held.known().is_none() && !self.servers.is_prefill(end.server);
         match end.outcome {
             Outcome::PrefillDone => {
                 self.record_prefill(now, end, state, non_negative(end.elapsed_s));
--- a/crates/policy/src/choice/load.rs
+++ b/crates/policy/src/choice/load.rs
@@ -189,6 +189,7 @@
 }
 
 impl LoadEstimator {
+    /// Nothing but priors.
     pub fn new(settings: &Settings) -> Self {
         let kind = KindReports {
             warm: MeanReport::prior(WARM_PRIOR),
--- a/crates/policy/src/choice/mod.rs
+++ b/crates/policy/src/choice/mod.rs
@@ -128,11 +128,12 @@
                 peers,
                 age_s,
             } => {
+                let age_s = non_negative(age_s);
                 let report = PeerObservation {
                     observation,
                     reporters,
                     peers,
-                    age_s: non_negative(age_s),
+                    age_s,
                 };
                 self.servers.record_peer_report(now, server, report);
             }
--- a/crates/policy/src/choice/retry_safety.rs
+++ b/crates/policy/src/choice/retry_safety.rs
@@ -26,6 +26,7 @@
 }
 
 impl RetrySafety {
+    /// The rules of these settings.
     pub fn new(settings: &Settings) -> Self {
         RetrySafety {
             connect_timeout_s: settings.limits.connect_timeout_s,
--- a/crates/policy/src/choice/server_table.rs
+++ b/crates/policy/src/choice/server_table.rs
@@ -42,10 +42,12 @@
         }
     }
 
+    /// A server that is known.
     pub fn get(&self, id: ServerId) -> Option<&Server> {
         self.servers.get(&id)
     }
 
+    /// The same, to be changed.
     pub fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
         self.servers.get_mut(&id)
     }
--- a/crates/policy/src/choice/slow_start.rs
+++ b/crates/policy/src/choice/slow_start.rs
@@ -68,6 +68,7 @@
 }
 
 impl SlowStartGuard {
+    /// No response has been seen.
     pub fn new(settings: SlowStart) -> Self {
         let initial = INITIAL_RESPONSES_PER_CHOICE / NEWEST_WEIGHT;
         let rate = ResponseRate {
