--- a/crates/policy/src/choice/admission.rs
+++ b/crates/policy/src/choice/admission.rs
@@ -131,3 +131,7 @@
             .min(MAX_LATENESS_RATIO * estimate_s)
     }
 }
+
+#[cfg(test)]
+#[path = "../part_tests/admission.rs"]
+mod tests;
--- a/crates/policy/src/choice/decay.rs
+++ b/crates/policy/src/choice/decay.rs
@@ -52,3 +52,7 @@
         0.0
     }
 }
+
+#[cfg(test)]
+#[path = "../part_tests/decay.rs"]
+mod tests;
--- a/crates/policy/src/choice/health.rs
+++ b/crates/policy/src/choice/health.rs
@@ -142,3 +142,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../part_tests/health.rs"]
+mod tests;
--- a/crates/policy/src/choice/held_states.rs
+++ b/crates/policy/src/choice/held_states.rs
@@ -112,3 +112,7 @@
         self.since.get_or_insert(now);
     }
 }
+
+#[cfg(test)]
+#[path = "../part_tests/held_states.rs"]
+mod tests;
--- a/crates/policy/src/choice/prefix_cache.rs
+++ b/crates/policy/src/choice/prefix_cache.rs
@@ -105,3 +105,7 @@
         self.0.iter().map(tokens).fold(0.0, f64::max)
     }
 }
+
+#[cfg(test)]
+#[path = "../part_tests/prefix_cache.rs"]
+mod tests;
--- a/crates/policy/src/choice/retry_budget.rs
+++ b/crates/policy/src/choice/retry_budget.rs
@@ -37,3 +37,7 @@
         true
     }
 }
+
+#[cfg(test)]
+#[path = "../part_tests/retry_budget.rs"]
+mod tests;
--- a/crates/policy/src/choice/retry_safety.rs
+++ b/crates/policy/src/choice/retry_safety.rs
@@ -103,3 +103,7 @@
         KeyScope::All | KeyScope::Cell => a.cell == b.cell,
     }
 }
+
+#[cfg(test)]
+#[path = "../part_tests/retry_safety.rs"]
+mod tests;
--- a/crates/policy/src/choice/slow_start.rs
+++ b/crates/policy/src/choice/slow_start.rs
@@ -136,3 +136,7 @@
         turn.draw < OVERLOAD_BUDGET_FRACTION * settings.overload_factor * likely * part
     }
 }
+
+#[cfg(test)]
+#[path = "../part_tests/slow_start.rs"]
+mod tests;
--- /dev/null
+++ b/crates/policy/src/part_tests/slow_start.rs
@@ -0,0 +1,53 @@
+//! Tests of `choice/slow_start.rs` by its methods.
+
+use super::*;
+
+const NOW: f64 = 1_000.0;
+
+fn guard() -> SlowStartGuard {
+    SlowStartGuard::new(SlowStart {
+        start_capacity: 0.25,
+        overload_factor: 2.5,
+        window_s: 3.0,
+        warm_after_s: 10.0,
+    })
+}
+
+fn turn(draw: f64) -> Turn {
+    Turn {
+        role: Role::Decode,
+        start_known_at: NOW,
+        role_capacity: RoleCapacity {
+            servers: 10.0,
+            warm_equivalents: 9.25,
+        },
+        replicas: 2,
+        key_share: 0.0,
+        is_replica: false,
+        draw,
+    }
+}
+
+#[test]
+fn capacity_grows_in_a_straight_line_from_the_start() {
+    let guard = guard();
+    assert_eq!(guard.capacity(0.0, NOW), 1.0, "started long ago");
+    assert_eq!(guard.capacity(NOW, NOW), 0.25);
+    assert_eq!(guard.capacity(NOW, NOW + 4.0), 0.55);
+    assert_eq!(guard.capacity(NOW, NOW + 10.0), 1.0);
+}
+
+#[test]
+fn share_of_requests_admitted_grows_with_the_age() {
+    let guard = guard();
+    let admitted = |age_s: f64| {
+        let draws = (0..1000).map(|draw| f64::from(draw) / 1000.0);
+        draws
+            .filter(|draw| guard.admits(turn(*draw), NOW + age_s))
+            .count()
+    };
+    // 0.588 responses a choice over 9.25 servers, times the overload budget of 2.5 * 0.8, times the
+    // start capacity of 0.25: 0.0318 of all requests.
+    assert_eq!(admitted(0.0), 32);
+    assert!(admitted(5.0) > admitted(0.0));
+}
