--- a/crates/platform-net/src/descriptors.rs
+++ b/crates/platform-net/src/descriptors.rs
@@ -8,9 +8,9 @@
 
 use crate::Driver;
 
-/// Clients heard out at the most before one gives way.
+/// Clients heard out at the most before one is evicted.
 const MAX_CLIENTS_READ: usize = 16;
-/// Connections let go of at the most for one that needs a descriptor.
+/// Connections evicted at the most for one that needs a descriptor.
 const MAX_EVICTIONS: usize = 4;
 
 /// The limits as the process finds them. The system's is read, and left as it is.
@@ -37,8 +37,8 @@
 }
 
 impl Driver {
-    /// Opens a connection of the dispatcher's own, to discovery or a host; where there is no descriptor for it, those
-    /// that need theirs least give way. The host has done nothing, so this must not look like its failure.
+    /// Opens a connection of the dispatcher's own, to discovery or a server; where there is no descriptor for it, those
+    /// that need theirs least are evicted. The server has done nothing, so this must not look like its failure.
     pub(crate) fn evicting_for_descriptor<T>(
         &mut self,
         open: impl Fn() -> io::Result<T>,
@@ -52,7 +52,7 @@
         open()
     }
 
-    /// Lets go of a client whose last answer has left, or that asks nothing, or of an idle connection to a host.
+    /// Lets go of a client whose last answer has left, or that asks nothing, or of an idle connection to a server.
     fn evict_any(&mut self) -> bool {
         self.lingering.retain(|c| self.sockets.contains_key(c));
         self.cut_written()
@@ -61,7 +61,7 @@
             || self.evict_with(|driver, out| driver.node.evict_idle_connection(out))
     }
 
-    /// The same for a newcomer, between two inputs of the node: a client is heard out before it gives way, as it may have
+    /// The same for a new client, between two inputs of the node: a client is heard out before it is evicted, as it may have
     /// asked by now.
     pub(crate) fn evict_for_new_client(&mut self) -> bool {
         for _ in 0..MAX_CLIENTS_READ {
@@ -83,7 +83,7 @@
         self.evict_client() || self.cut_stalled()
     }
 
-    /// Lets go of the client that gives way first.
+    /// Lets go of the client that is evicted first.
     pub(crate) fn evict_client(&mut self) -> bool {
         self.evict_with(|driver, out| driver.node.evict_client(driver.clock.now(), out))
     }
--- a/crates/platform-net/src/dial.rs
+++ b/crates/platform-net/src/dial.rs
@@ -1,4 +1,4 @@
-//! Connections of the dispatcher's own, to model hosts and discovery. One that cannot be opened for want of something
+//! Connections of the dispatcher's own, to model servers and discovery. One that cannot be opened for want of something
 //! on this machine is tried again soon: it must not look like the other side's failure.
 
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 /// Further tries, the first after a pause of so many seconds, each next one after twice as long: 60 ms together.
 const MAX_TRIES: u32 = 6;
 const FIRST_PAUSE_SECS: f64 = 0.001;
-/// Tries before others give way for the want of a descriptor: it may have been for a moment alone.
+/// Tries before others are evicted for want of a descriptor: it may have been for a moment alone.
 const PATIENT_TRIES: u32 = 2;
 
 /// A connection that is to be tried again.
--- a/crates/platform-net/src/lib.rs
+++ b/crates/platform-net/src/lib.rs
@@ -40,7 +40,7 @@
 const MAX_BATCHES: usize = 8;
 /// Within a turn the system is asked for further events after this, seconds: a client that goes meanwhile is heard.
 const POLL_AGAIN_SECS: f64 = 0.005;
-/// Timers wait for what hosts and clients have said by the time at which they are due, but in a turn no longer than
+/// Timers wait for what servers and clients have said by the time at which they are due, but in a turn no longer than
 /// this, seconds.
 const MAX_TIMER_DELAY_SECS: f64 = 0.01;
 /// Connections taken in one turn.
@@ -240,7 +240,7 @@
         ready.extend(std::mem::take(&mut self.ready_again));
         self.handle_signals();
         // Clients with a request open first: all that they can say is that they have gone, or what comes next. Then
-        // hosts: a connection that has just ended must not be chosen for what a client has just asked.
+        // servers: a connection that has just ended must not be chosen for what a client has just asked.
         let rank = |conn: &ConnId| match self.sockets.get(conn) {
             Some(socket) if socket.accepted => {
                 if self.node.has_open_request(*conn) {
@@ -301,7 +301,7 @@
     /// Takes in what the system has told, and all else that it has to tell by now. Gives the connections that are ready.
     ///
     /// The node hears first of the clients that have gone, of all of them, and without what they said last: neither a
-    /// host's answer nor a timer nor their own words may begin an attempt for them.
+    /// server's answer nor a timer nor their own words may begin an attempt for them.
     fn poll_ready(&mut self, events: &mut Events) -> Vec<ConnId> {
         let (mut ready, mut disconnected) = (Vec::new(), Vec::new());
         let (mut peers, mut signals) = (false, false);
@@ -505,7 +505,7 @@
             };
             let mut buffer = std::mem::take(&mut self.buffer);
             let (n, outcome) = socket.read(&mut buffer);
-            // What a client said just before it went begins nothing; what a host said is its answer.
+            // What a client said just before it went begins nothing; what a server said is its answer.
             let is_dropped = socket.lingering() || socket.accepted && outcome == ReadOutcome::Ended;
             if n > 0 && !is_dropped {
                 let input = Input::Received {
@@ -551,7 +551,7 @@
                 Ok((stream, _)) => self.admit(stream),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return self.accept_at = None,
                 Err(e) if is_connection_lost(&e) => {}
-                // As at the clients' bound: a newcomer displaces.
+                // As at the clients' bound: a new client displaces.
                 Err(e)
                     if descriptors::is_exhausted(&e)
                         && self.is_exhausted_again()
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! One client connection: one request at a time, bytes sent ahead kept, bounds on its size and pace.
+//! One client connection: one request at a time, pipelined bytes kept, bounds on its size and pace.
 
 use std::collections::VecDeque;
 
@@ -13,23 +13,23 @@
 pub const REQUEST_SECS: f64 = 8.0;
 /// Who stops within a request and stays is owed an error or a close within 3 s, whoever it is: seconds without a byte.
 const STOPPED_SECS: f64 = 2.6;
-/// A newcomer that has said nothing for this long gives way before those that keep their connections, seconds.
+/// A new client that has said nothing for this long is evicted before those that keep their connections, seconds.
 const SILENT_SECS: f64 = 0.5;
 /// A client whose answer is whole but not all taken is let be, where places are short, unless it takes nothing for this
 /// long, seconds.
 pub const SLOW_CLIENT_SECS: f64 = 2.0;
-/// A client that takes nothing of what waits for it for this long has gone, seconds: its stream holds a host's slot. The same
+/// A client that takes nothing of what waits for it for this long has gone, seconds: its stream holds a server's slot. The same
 /// holds for the last answer on a connection that ends.
 pub const CLIENT_STALL_SECS: f64 = 20.0;
-/// Bytes kept of what a client says ahead while its request is open; what comes past them is dropped.
+/// Bytes kept of what a client pipelines while its request is open; what comes past them is dropped.
 pub const MAX_AHEAD: usize = MAX_HEAD + 4096;
 /// Bytes dropped of one client; past them nothing is read from it.
 pub const MAX_DROPPED: usize = 80 << 20;
-/// Times of arrival kept of what a client says ahead; past them the earlier one counts for both.
+/// Times of arrival kept of what a client pipelines; past them the earlier one counts for both.
 const MAX_ARRIVALS: usize = 32;
 /// Room kept for the next bytes of a client once it has its answer.
 const RETAINED_CAPACITY: usize = 4 * 1024;
-/// Bytes to a client not written yet at which its stream's host is read no further.
+/// Bytes to a client not written yet at which its stream's server is read no further.
 pub const MAX_UNSENT: usize = 128 * 1024;
 
 #[derive(Debug)]
@@ -172,6 +172,7 @@
         }
     }
 
+    /// Whether it has a request open.
     pub fn busy(&self) -> bool {
         matches!(self.stage, Stage::Busy)
     }
@@ -298,7 +299,7 @@
         })
     }
 
-    /// No whole request yet; there will be none where bytes of it were dropped.
+    /// No complete request yet; there will be none where bytes of it were dropped.
     fn within_gap(&self) -> Result<Option<CompleteRequest>, HttpError> {
         if self.dropped > 0 {
             Err(HttpError::BodyTooLong)
@@ -312,7 +313,7 @@
         std::mem::take(&mut self.expects) && self.unread.is_empty()
     }
 
-    /// Bytes of what is not a request in hand yet: a head or body that is not whole, or what was sent ahead.
+    /// Bytes of what is not a request in hand yet: a head or body that is not whole, or what was pipelined.
     pub fn unfinished_bytes(&self) -> usize {
         let body = if let Stage::Body { content, .. } = &self.stage {
             content.len()
@@ -322,7 +323,7 @@
         self.unread.len() + body
     }
 
-    /// Whether its connection goes on after the answer in hand; while stopping only for what it has sent ahead.
+    /// Whether its connection goes on after the answer in hand; while stopping only for what it has pipelined.
     pub fn serves_on(&self, stopping: bool) -> bool {
         self.keep_alive && !(stopping && self.unread.is_empty())
     }
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -84,12 +84,12 @@
         self.backpressured.contains_key(&conn)
     }
 
-    /// What a client has sent ahead is to be read.
+    /// What a client has pipelined is to be read.
     pub fn queue_pipelined(&mut self, conn: ConnId) {
         self.pipelined.push(conn);
     }
 
-    /// Whether there are clients whose bytes sent ahead are to be read.
+    /// Whether there are clients whose pipelined bytes are to be read.
     pub fn has_pipelined(&self) -> bool {
         !self.pipelined.is_empty()
     }
@@ -99,7 +99,7 @@
         std::mem::take(&mut self.pipelined)
     }
 
-    /// The one that gives way first.
+    /// The one that is evicted first.
     pub fn eviction_candidate(&self, now: Micros) -> Option<ConnId> {
         let ranked = self
             .open
@@ -108,22 +108,27 @@
         ranked.min().map(|(_, id)| id)
     }
 
+    /// Number of connections.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
+    /// Whether there is none.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
+    /// A client by its connection.
     pub fn get(&self, conn: ConnId) -> Option<&Client> {
         self.open.get(&conn)
     }
 
+    /// The same, to be changed.
     pub fn get_mut(&mut self, conn: ConnId) -> Option<&mut Client> {
         self.open.get_mut(&conn)
     }
 
+    /// Removes a connection from the table; what it has open stays.
     pub fn remove(&mut self, conn: ConnId) -> Option<Client> {
         self.open.remove(&conn)
     }
@@ -151,7 +156,7 @@
         self.open.values().map(Client::unfinished_bytes).sum()
     }
 
-    /// The one to turn away, where this one has brought much and all unfinished requests together pass so many bytes:
+    /// The one to reject, where this one has brought much and all unfinished requests together pass so many bytes:
     /// the one that holds most, as it costs most and none of them has been taken.
     pub fn largest_unfinished(&self, conn: ConnId, limit: usize) -> Option<ConnId> {
         self.get(conn)
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -16,10 +16,17 @@
 /// What is wrong with the configuration: the field and the cause.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
+    /// The text is no such JSON; with line and column.
     #[error("{0}")]
     Json(String),
     #[error("field '{field}': {cause}")]
-    Field { field: &'static str, cause: String },
+    /// A field whose value cannot be used.
+    Field {
+        /// Its name.
+        field: &'static str,
+        /// What is wrong with it.
+        cause: String,
+    },
 }
 
 impl From<SettingsError> for ConfigError {
@@ -56,21 +63,31 @@
 /// All that a dispatcher is told at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
+    /// Name of this dispatcher.
     pub name: String,
+    /// Address on which clients connect.
     pub listen: SocketAddr,
+    /// Address of discovery.
     pub discovery: SocketAddr,
+    /// Seed of all random choices.
     pub seed: u64,
+    /// Limits of the machine.
     pub limits: Limits,
+    /// Address for datagrams of other dispatchers.
     pub peer_listen: Option<SocketAddr>,
     /// By their numbers in the settings.
     pub peers: Vec<SocketAddr>,
+    /// Address of a datagram to all other dispatchers.
     pub peers_all: Option<SocketAddr>,
     /// The list as last held; it may be old.
     pub known: Option<EndpointList>,
     /// Why the list that the file holds is not taken. It is a memory alone, so that the start goes on without it.
     pub known_fault: Option<String>,
+    /// Settings of the decision module.
     pub settings: policy::Settings,
+    /// Names of classes, kinds, zones and tenants.
     pub names: Names,
+    /// Limits of the deployment.
     pub bounds: Bounds,
 }
 
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of model hosts in discovery's form, and the hosts as they stand.
+//! The list of model servers in discovery's form, and the servers as they stand.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,15 +33,22 @@
     boot_ms: f64,
 }
 
-/// One model host as listed.
+/// One model server as listed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
+    /// Name; the same at every dispatcher.
     pub uid: String,
+    /// Address at which it listens.
     pub endpoint: SocketAddr,
+    /// Whether it takes requests.
     pub standing: ServerStatus,
+    /// Number of its kind in the settings.
     pub kind: u16,
+    /// Number of its zone in the settings.
     pub zone: u16,
+    /// Number of its cell.
     pub cell: u16,
+    /// Relative capacity.
     pub weight: f64,
     /// Its start as listed: Unix time, seconds; 0 for long ago.
     pub booted_at: f64,
@@ -52,9 +59,11 @@
 /// One version of the list, or what changed since the one before.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
+    /// Version of the list.
     pub rev: u64,
     /// Complete; otherwise changes alone.
     pub all: bool,
+    /// Servers listed or changed.
     pub targets: Vec<Endpoint>,
 }
 
@@ -63,7 +72,7 @@
     ///
     /// # Errors
     /// What cannot be read: the JSON; an address, a kind, a zone or a state that is not known; a figure that is not
-    /// finite or negative; a host that is named twice and differently.
+    /// finite or negative; a server that is named twice and differently.
     pub fn parse(line: &[u8], names: &Names) -> Result<EndpointList, String> {
         serde_json::from_slice(line)
             .map_err(|e| e.to_string())
@@ -86,7 +95,7 @@
             .into_iter()
             .map(|t| target(t, names))
             .collect::<Result<Vec<_>, _>>()?;
-        // Two hosts at one address are no contradiction: a process may have its predecessor's while that still drains.
+        // Two servers at one address are no contradiction: a process may have its predecessor's while that still drains.
         let mut named: BTreeMap<&str, &Endpoint> = BTreeMap::new();
         for target in &targets {
             if named
@@ -153,12 +162,13 @@
 pub struct AppliedList {
     /// For the module, as `entries` is.
     pub form: ListForm,
+    /// Servers listed or changed, for the decision module.
     pub entries: Vec<ServerEntry>,
-    /// Hosts that were listed already and have started anew: connections to them lead to the process before.
+    /// Servers that were listed already and have started anew: connections to them lead to the process before.
     pub restarted: Vec<ServerId>,
 }
 
-/// The hosts as they stand, by the module's ids.
+/// The servers as they stand, by the module's ids.
 #[derive(Debug, Default)]
 pub struct Endpoints {
     ids: BTreeMap<String, ServerId>,
@@ -174,10 +184,12 @@
         self.rev
     }
 
+    /// A server by the module's id.
     pub fn get(&self, id: ServerId) -> Option<&Endpoint> {
         self.servers.get(&id)
     }
 
+    /// All servers, by the module's ids.
     pub fn iter(&self) -> impl Iterator<Item = (ServerId, &Endpoint)> {
         self.servers.iter().map(|(id, t)| (*id, t))
     }
@@ -224,7 +236,7 @@
         }
     }
 
-    /// The id of a host that is listed with another start than before.
+    /// The id of a server that is listed with another start than before.
     fn restarted(&self, target: &Endpoint) -> Option<ServerId> {
         let id = *self.ids.get(&target.uid)?;
         let before = self.servers.get(&id)?;
--- a/crates/platform/src/discovery_watch.rs
+++ b/crates/platform/src/discovery_watch.rs
@@ -5,7 +5,7 @@
 //!
 //! | | seconds |
 //! | --- | --- |
-//! | a useless call holds, from its last whole line (`LINE_TIMEOUT_SECS`; from its begin where none came: `HEAD_TIMEOUT_SECS`, less) | 4.0 |
+//! | a useless call holds, from its last complete line (`LINE_TIMEOUT_SECS`; from its begin where none came: `HEAD_TIMEOUT_SECS`, less) | 4.0 |
 //! | the pause before the next: half of the longest back-off (`MAX_BACKOFF_SECS`), as that counts from the call's begin | 0.5 |
 //! | a good exchange: the agent is on the same machine and answers at once | under 1.0 |
 //! | together | under 5.5 |
@@ -20,14 +20,14 @@
 use crate::line_splitter::LineSplitter;
 use crate::types::ConnId;
 
-/// Longest line, and largest chunk, bytes: the whole list of 3,200 hosts, indented.
+/// Longest line, and largest chunk, bytes: the whole list of 3,200 servers, indented.
 const MAX_LINE: usize = 3 << 19;
 /// From a call's begin until its answer's head is whole, seconds. The agent answers at once; a first packet that was
 /// lost is sent again after 1 s.
 const HEAD_TIMEOUT_SECS: f64 = 2.0;
-/// From one whole line until the next begins, seconds: an empty one comes every 2 s, and a busy machine delays it.
+/// From one complete line until the next begins, seconds: an empty one comes every 2 s, and a busy machine delays it.
 const KEEP_ALIVE_TIMEOUT_SECS: f64 = 3.2;
-/// From one whole line until the next is whole, seconds. Bytes alone do not count: they may trickle without end.
+/// From one complete line until the next is whole, seconds. Bytes alone do not count: they may trickle without end.
 const LINE_TIMEOUT_SECS: f64 = 4.0;
 /// Back-off, from a call's begin to the next one's, seconds: doubles from the first to the last, and between half and
 /// the whole of it is drawn. After a call that held longer the pause is half of what was drawn.
@@ -95,6 +95,7 @@
         }
     }
 
+    /// Connection of the call in hand.
     pub fn conn(&self) -> Option<ConnId> {
         self.conn
     }
@@ -139,6 +140,7 @@
         })
     }
 
+    /// A call begins on a new connection.
     pub fn begin(&mut self, now: Micros, conn: ConnId) {
         self.forget_call();
         (self.conn, self.began_at) = (Some(conn), now);
--- a/crates/platform/src/event_stream.rs
+++ b/crates/platform/src/event_stream.rs
@@ -1,5 +1,5 @@
 //! The events of an answer's stream: split so that only whole ones are passed on, and read for what the model
-//! host counts. Comment lines are the platform's own and go no further.
+//! server counts. Comment lines are the platform's own and go no further.
 
 use serde_json::Value;
 
@@ -9,7 +9,7 @@
 #[derive(Debug, Default)]
 pub struct EventStream {
     rest: Vec<u8>,
-    /// Prompt tokens that the host had kept, once told.
+    /// Prompt tokens that the server had kept, once told.
     pub cached_tokens: Option<f64>,
     /// The last load report in a comment, unread.
     pub load: Option<String>,
--- a/crates/platform/src/http1/body.rs
+++ b/crates/platform/src/http1/body.rs
@@ -26,6 +26,7 @@
 }
 
 impl Body {
+    /// A body of which nothing has come.
     pub fn new(framing: Framing) -> Body {
         Body::with_chunks_up_to(framing, MAX_CHUNK)
     }
--- a/crates/platform/src/http1/mod.rs
+++ b/crates/platform/src/http1/mod.rs
@@ -22,18 +22,25 @@
 /// Why a message is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpError {
+    /// A head that cannot be parsed.
     #[error("the head cannot be read")]
     Head,
+    /// A head larger than [`MAX_HEAD`] or with more than [`MAX_FIELDS`] fields.
     #[error("the head is too long")]
     HeadTooLong,
+    /// A `Content-Length` that is no single whole number.
     #[error("the length is not a single whole number")]
     Length,
+    /// `Content-Length` beside `Transfer-Encoding`.
     #[error("a length and a transfer coding together")]
     LengthAndCoding,
+    /// A `Transfer-Encoding` other than `chunked`.
     #[error("the transfer coding is not known")]
     Coding,
+    /// A body larger than [`MAX_BODY`].
     #[error("the body is longer than 256 KiB")]
     BodyTooLong,
+    /// A chunk that cannot be read or is too large.
     #[error("a chunk cannot be read")]
     Chunk,
 }
@@ -100,7 +107,9 @@
 /// How a body's end is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
+    /// By its length, bytes.
     Length(u64),
+    /// In chunks.
     Chunked,
     /// By the end of the connection.
     Close,
@@ -109,20 +118,28 @@
 /// The head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
+    /// Method, such as `POST`.
     pub method: String,
     /// Path and query.
     pub target: String,
+    /// Header fields.
     pub fields: Fields,
+    /// How its body ends.
     pub framing: Framing,
+    /// Whether the connection may serve a further request.
     pub keep_alive: bool,
 }
 
 /// The head of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
+    /// Status code.
     pub status: u16,
+    /// Header fields.
     pub fields: Fields,
+    /// How its body ends.
     pub framing: Framing,
+    /// Whether the connection may serve a further request.
     pub keep_alive: bool,
 }
 
--- a/crates/platform/src/http1/write.rs
+++ b/crates/platform/src/http1/write.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// A whole answer with a short text; `more` holds further header lines, each with its end.
+/// A complete response with a short text; `more` holds further header lines, each with its end.
 pub fn plain_response(status: u16, more: &str, keep_alive: bool, text: &str) -> Vec<u8> {
     let close = if keep_alive {
         ""
--- a/crates/platform/src/line_splitter.rs
+++ b/crates/platform/src/line_splitter.rs
@@ -1,6 +1,6 @@
 //! Cuts what comes on a watch into lines: JSON objects, and the empty lines that keep it alive.
 
-/// What has come and is no whole line yet.
+/// What has come and is no complete line yet.
 ///
 /// An object may come indented, so that a line feed ends it only outside its brackets. No object holds an empty line
 /// or a line feed within a text: either cuts one off that will not be whole any more, and its reader sees that.
--- a/crates/platform/src/node/attempts.rs
+++ b/crates/platform/src/node/attempts.rs
@@ -98,7 +98,7 @@
         }));
     }
 
-    /// The one place where an attempt ends: the module is told.
+    /// The one place where an attempt ends: the decision module is given.
     pub(super) fn finish_attempt(
         &mut self,
         now: Micros,
@@ -205,7 +205,7 @@
     }
 
     /// Ends an attempt that has not begun, as its request's last byte has not gone out. That calls nothing back from a
-    /// host, so that it needs no leave to cancel.
+    /// server, so that it needs no leave to cancel.
     pub(super) fn abandon_unsent_attempt(
         &mut self,
         now: Micros,
--- a/crates/platform/src/node/client_requests.rs
+++ b/crates/platform/src/node/client_requests.rs
@@ -181,7 +181,7 @@
         commands.push(Command::Finish { conn });
     }
 
-    /// The client has its whole answer: the connection serves on, or ends in order.
+    /// The client has its complete response: the connection serves on, or ends in order.
     fn client_free(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
         let Some(client) = self.clients.get_mut(conn) else {
             return;
@@ -196,7 +196,7 @@
                 paused: false,
             });
         }
-        // What was sent ahead is read now, but not from within this answer.
+        // What was pipelined is read now, but not from within this answer.
         self.clients.queue_pipelined(conn);
     }
 
--- a/crates/platform/src/node/discovery_updates.rs
+++ b/crates/platform/src/node/discovery_updates.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes a list over; kept connections to a server that has started anew lead to the process before it.
+    /// Takes a list over; idle connections to a server that has started anew lead to the process before it.
     ///
     /// # Errors
     /// A version that goes back.
--- a/crates/platform/src/node/exchanges.rs
+++ b/crates/platform/src/node/exchanges.rs
@@ -28,7 +28,7 @@
 }
 
 impl Node {
-    /// Begins an exchange with a host on a kept connection or a new one. `call` is what a probe or a release says; an
+    /// Begins an exchange with a server on an idle connection or a new one. `call` is what a health check or a release says; an
     /// attempt's request is made when it can be written.
     pub(super) fn start_exchange(
         &mut self,
@@ -59,7 +59,7 @@
         Some(conn)
     }
 
-    /// Writes on a kept connection, unless it proves stale.
+    /// Writes on an idle connection, unless it proves stale.
     fn reuse_connection(
         &mut self,
         now: Micros,
@@ -113,7 +113,7 @@
     /// How long an exchange other than an attempt waits for its answer, seconds.
     fn response_timeout_s(&self, usage: ConnectionUse) -> Option<f64> {
         match usage {
-            // As long as for a connection: a host that says nothing to a probe in that time is as good as silent.
+            // As long as for a connection: a server that says nothing to a health check in that time is as good as silent.
             ConnectionUse::HealthCheck { .. } => Some(self.bounds.connect_timeout_s),
             ConnectionUse::Release { id, .. } => Some(self.releases.response_timeout_s(id)),
             ConnectionUse::Attempt { .. } | ConnectionUse::Idle => None,
@@ -189,7 +189,7 @@
         commands.push(Command::Write { conn, bytes });
     }
 
-    /// What goes out now: an attempt's request says how long its host has, which is no more than the client has left,
+    /// What goes out now: an attempt's request says how long its server has, which is no more than the client has left,
     /// however long a connection took to come up; anything else goes out as it was given.
     fn bytes_to_write(&self, now: Micros, usage: ConnectionUse, call: &[u8]) -> Vec<u8> {
         let ConnectionUse::Attempt { request, until, .. } = usage else {
--- a/crates/platform/src/node/mod.rs
+++ b/crates/platform/src/node/mod.rs
@@ -73,7 +73,7 @@
         Node::begin(now, config, false, commands)
     }
 
-    /// The same, keeping every event that the module is told with its answer, to be held against what passes on the
+    /// The same, keeping every event that the decision module is given with its answer, to be held against what passes on the
     /// sockets; [`Node::take_trace`] has to be called now and then.
     pub fn traced(now: Micros, config: Config, commands: &mut Vec<Command>) -> Node {
         Node::begin(now, config, true, commands)
@@ -157,13 +157,14 @@
         }
     }
 
+    /// What has happened since the start.
     pub fn counts(&self) -> RequestCounts {
         self.counts
     }
 
     /// Takes one input at clock time `now` and appends what is to be done, in order. Timers act on [`Input::Tick`] alone:
     /// what the system has told by a time is a fact, and a timer that is due by then decides on all of it. It must not
-    /// begin an attempt for a client that has gone, take for unsent what has left, or for silent a host that has answered.
+    /// begin an attempt for a client that has gone, take for unsent what has left, or for silent a server that has answered.
     pub fn step(&mut self, now: Micros, input: Input, commands: &mut Vec<Command>) {
         match input {
             Input::Accepted { conn } => self.on_accepted(now, conn, commands),
@@ -395,7 +396,7 @@
         }
     }
 
-    /// A client just answered while stopping goes elsewhere, unless a whole request of its that was sent ahead has been
+    /// A client just answered while stopping goes elsewhere, unless a complete request of its that was pipelined has been
     /// read: that one has to have its answer as well.
     fn finish_if_not_accepting(&mut self, conn: ConnId, commands: &mut Vec<Command>) {
         if !self.shutdown.is_accepting()
--- a/crates/platform/src/node/release_calls.rs
+++ b/crates/platform/src/node/release_calls.rs
@@ -16,7 +16,7 @@
 const CLOSE_PROPAGATION_SECS: f64 = 0.12;
 
 impl Node {
-    /// Releases what is held for a request. A hand-over that has not gone out would find nothing: it ends.
+    /// Releases what is held for a request. A transfer to a decode server that has not gone out would find nothing: it ends.
     pub(super) fn release(&mut self, now: Micros, request: RequestId, commands: &mut Vec<Command>) {
         let Some(open) = self.requests.get(request) else {
             return;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// No host has confirmed it yet.
+    /// No server has confirmed it yet.
     pub(super) fn hedge_release(&mut self, now: Micros, id: u64, commands: &mut Vec<Command>) {
         if let Some(at) = self.releases.delayed_until(id, now) {
             return self.timers.set(at, Timer::Release { id });
@@ -128,7 +128,7 @@
         }
     }
 
-    /// One call has failed: another host is called at once. One that has had no answer has been hedged by now.
+    /// One call has failed: another server is called at once. One that has had no answer has been hedged by now.
     pub(super) fn release_failed(
         &mut self,
         now: Micros,
--- a/crates/platform/src/node/streams.rs
+++ b/crates/platform/src/node/streams.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Streams whose hosts have gone silent are ended, so that their clients can ask for the rest.
+    /// Streams whose servers have gone silent are ended, so that their clients can ask for the rest.
     pub(super) fn break_stalled_streams(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let backpressured =
             |conn: Option<ConnId>| conn.is_some_and(|c| self.clients.is_backpressured(c));
--- a/crates/platform/src/pool.rs
+++ b/crates/platform/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to model hosts: one exchange at a time on each, kept between exchanges, never used again once
+//! Connections to model servers: one exchange at a time on each, kept between exchanges, never used again once
 //! anything is left over on them. Nothing is sent a second time here.
 
 use std::collections::BTreeMap;
@@ -13,12 +13,12 @@
 /// Share of the idle limit for which a connection is kept: the other side counts from earlier on.
 const IDLE_LIMIT_FRACTION: f64 = 0.8;
 
-/// A connection that has brought an answer rests for this long before it is used again, seconds: a host may send a
+/// A connection that has brought an answer rests for this long before it is used again, seconds: a server may send a
 /// second answer some milliseconds late, which would be taken for that of the next request. What comes while it rests
 /// closes it. Longer than that and a few turns of a busy process; few connections are asked for again so soon.
 pub const SETTLE_SECS: f64 = 0.03;
 
-/// A host counts as silent once it has said nothing for so long after it was asked, seconds.
+/// A server counts as silent once it has said nothing for so long after it was asked, seconds.
 const SILENT_SECS: f64 = 0.1;
 
 /// Connections that releases of held states find free, whatever attempts wait: a share of all, within bounds.
@@ -29,30 +29,43 @@
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionUse {
+    /// Nothing is in flight on it.
     Idle,
     /// An attempt, which is waited for until then.
     Attempt {
+        /// The request.
         request: RequestId,
+        /// Number of the attempt within the request.
         number: u16,
+        /// Time of its timeout.
         until: Micros,
     },
+    /// A health check.
     HealthCheck {
+        /// The server that is checked.
         server: ServerId,
     },
     /// A call that lets go of a held state.
     Release {
+        /// Number of the release.
         id: u64,
+        /// The server that is called.
         server: ServerId,
+        /// When the call began.
         begun: Micros,
     },
 }
 
-/// One connection to a model host.
+/// One connection to a model server.
 #[derive(Debug)]
 pub struct ServerConnection {
+    /// Address of the server.
     pub to: SocketAddr,
+    /// The server.
     pub server: ServerId,
+    /// Whether it is connected.
     pub up: bool,
+    /// What it is used for.
     pub usage: ConnectionUse,
     /// Since this use began.
     pub since: Micros,
@@ -61,6 +74,7 @@
     pub waiting: Vec<u8>,
     /// Bytes given to it that have not gone to the system.
     pub unsent: usize,
+    /// Reader of the response.
     pub response: ResponseReader,
     /// When anything came on it last.
     pub last_received: Option<Micros>,
@@ -73,7 +87,7 @@
     }
 }
 
-/// All connections to model hosts.
+/// All connections to model servers.
 #[derive(Debug)]
 pub struct ConnectionPool {
     server_connections: BTreeMap<ConnId, ServerConnection>,
@@ -83,7 +97,7 @@
     max_idle_s: f64,
 }
 
-/// What the connections tell of hosts at one time.
+/// What the connections tell of servers at one time.
 #[derive(Debug, Default)]
 pub struct ConnectionAges {
     servers: BTreeMap<ServerId, ServerActivity>,
@@ -98,7 +112,7 @@
 }
 
 impl ConnectionAges {
-    /// The host was asked a while ago, and has said nothing since on any connection.
+    /// The server was asked a while ago, and has said nothing since on any connection.
     pub fn silent(&self, now: Micros, server: ServerId) -> bool {
         let activity = self.servers.get(&server).copied().unwrap_or_default();
         let waits = activity
@@ -128,7 +142,10 @@
     /// On a connection that stood idle.
     Idle(ConnId),
     /// On a new one; another has to be closed for it first, perhaps.
-    New { replaces: Option<ConnId> },
+    New {
+        /// An idle connection that is closed for it.
+        replaces: Option<ConnId>,
+    },
     /// All connections are in use.
     Full,
 }
@@ -150,10 +167,12 @@
         (limit / RESERVED_DIVISOR).clamp(MIN_RESERVED, MAX_RESERVED)
     }
 
+    /// Number of connections.
     pub fn len(&self) -> usize {
         self.server_connections.len()
     }
 
+    /// Whether there is none.
     pub fn is_empty(&self) -> bool {
         self.server_connections.is_empty()
     }
@@ -172,7 +191,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// Where an exchange with a host can go out.
+    /// Where an exchange with a server can go out.
     pub fn place(&self, now: Micros, to: SocketAddr, usage: ConnectionUse) -> Placement {
         if let Some(conn) = self.idle_connection(now, to) {
             return Placement::Idle(conn);
@@ -207,7 +226,7 @@
                 .any(|l| l.usage == ConnectionUse::Idle)
     }
 
-    /// What they tell of hosts now.
+    /// What they tell of servers now.
     pub fn connection_ages(&self, now: Micros) -> ConnectionAges {
         let mut connection_ages = ConnectionAges::default();
         for connection in self.server_connections.values() {
@@ -241,23 +260,27 @@
         connection_ages
     }
 
+    /// Takes a connection in.
     pub fn put(&mut self, conn: ConnId, connection: ServerConnection) {
         self.server_connections.insert(conn, connection);
     }
 
+    /// A connection by its id.
     pub fn get(&self, conn: ConnId) -> Option<&ServerConnection> {
         self.server_connections.get(&conn)
     }
 
+    /// The same, to be changed.
     pub fn get_mut(&mut self, conn: ConnId) -> Option<&mut ServerConnection> {
         self.server_connections.get_mut(&conn)
     }
 
+    /// Removes a connection.
     pub fn remove(&mut self, conn: ConnId) -> Option<ServerConnection> {
         self.server_connections.remove(&conn)
     }
 
-    /// Idle connections that stood so long that the other side may close them, or whose host is not listed.
+    /// Idle connections that stood so long that the other side may close them, or whose server is not listed.
     pub fn stale(&self, now: Micros, listed: impl Fn(&ServerConnection) -> bool) -> Vec<ConnId> {
         let gone = |l: &ServerConnection| {
             l.usage == ConnectionUse::Idle && (now.since(l.since) >= self.max_idle_s || !listed(l))
@@ -269,7 +292,7 @@
             .collect()
     }
 
-    /// Idle connections to one host.
+    /// Idle connections to one server.
     pub fn idle_at(&self, server: ServerId) -> Vec<ConnId> {
         let fits = |l: &ServerConnection| l.usage == ConnectionUse::Idle && l.server == server;
         self.server_connections
--- a/crates/platform/src/releases.rs
+++ b/crates/platform/src/releases.rs
@@ -1,6 +1,6 @@
-//! Releases of held states: each is called for, at more and more model hosts, until one of them has confirmed it.
+//! Releases of held states: each is called for, at more and more model servers, until one of them has confirmed it.
 //!
-//! Any host takes a release, whoever holds the state. Which of them can be reached is not known while hosts fall silent
+//! Any server takes a release, whoever holds the state. Which of them can be reached is not known while servers fall silent
 //! with no error, so a call without an answer is hedged soon: by one more, then two, then four and so on, those first
 //! that nothing speaks against. Once enough have been called a new round begins, with more patience.
 
@@ -14,7 +14,7 @@
 use crate::discovery::{Endpoint, Endpoints};
 use crate::pool::{ConnectionAges, ConnectionPool};
 
-/// Hosts called in one round.
+/// Servers called in one round.
 const MAX_CALLS_PER_ROUND: usize = 32;
 /// Calls of one hedge double up to this.
 const MAX_HEDGED: usize = 16;
@@ -26,11 +26,11 @@
 const MAX_ROUND_SECS: f64 = 2.0;
 /// Doublings that are told apart.
 const MAX_DOUBLINGS: u32 = 8;
-/// A release that no host has confirmed by then is given up, seconds.
+/// A release that no server has confirmed by then is given up, seconds.
 const GIVE_UP_SECS: f64 = 60.0;
 /// Most requests whose states are being released at once; past them the oldest is given up.
 const MOST: usize = 1024;
-/// A host that has failed a call is called after the others for so long, seconds.
+/// A server that has failed a call is called after the others for so long, seconds.
 const AVOID_AFTER_FAILURE_SECS: f64 = 2.0;
 /// What the platform allows for a release beyond the limit of the settings, seconds.
 const SLACK_SECS: f64 = 0.3;
@@ -124,7 +124,7 @@
         }
     }
 
-    /// A line for the log once a host has confirmed it, where that took longer than the platform allows.
+    /// A line for the log once a server has confirmed it, where that took longer than the platform allows.
     pub(crate) fn late_line(&self, now: Micros, server: ServerId) -> Option<String> {
         let (took_s, calls) = (now.since(self.begun), self.calls);
         let line = || {
@@ -136,7 +136,7 @@
         (took_s > SLACK_SECS).then(line)
     }
 
-    /// A line for the log where no host has confirmed it.
+    /// A line for the log where no server has confirmed it.
     pub(crate) fn unconfirmed_line(&self, now: Micros, why: &str) -> String {
         let (took_s, calls) = (now.since(self.begun), self.calls);
         format!(
@@ -164,16 +164,18 @@
     open: BTreeMap<u64, Release>,
     /// Those whose call found all connections in use.
     waiting: BTreeSet<u64>,
-    /// Hosts that have failed a call, and when last.
+    /// Servers that have failed a call, and when last.
     failed: BTreeMap<ServerId, Micros>,
     last: u64,
 }
 
 impl Releases {
+    /// Whether none is under way.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
+    /// How many are under way.
     pub fn len(&self) -> usize {
         self.open.len()
     }
@@ -200,7 +202,7 @@
         self.open.remove(&id)
     }
 
-    /// A call could not go out: its host is not asked yet, and it waits for a connection.
+    /// A call could not go out: its server is not asked yet, and it waits for a connection.
     pub(crate) fn defer(&mut self, id: u64, server: ServerId) {
         if let Some(release) = self.open.get_mut(&id) {
             release.round.called.remove(&server);
@@ -318,7 +320,7 @@
         release.map_or(0, |release| release.round.hedge())
     }
 
-    /// All hosts of a round were called: the next one begins after this pause, seconds. `None` where it is given up.
+    /// All servers of a round were called: the next one begins after this pause, seconds. `None` where it is given up.
     pub(crate) fn next_round(&mut self, id: u64, now: Micros) -> Option<f64> {
         let release = self
             .open
--- a/crates/platform/src/requests.rs
+++ b/crates/platform/src/requests.rs
@@ -181,7 +181,7 @@
     "req-deadline-ms",
 ];
 
-/// What is passed on to model hosts but for the time that is left, which each attempt says anew.
+/// What is passed on to model servers but for the time that is left, which each attempt says anew.
 #[derive(Debug)]
 pub struct ForwardedRequest {
     head: String,
@@ -189,6 +189,7 @@
 }
 
 impl ForwardedRequest {
+    /// The request of a client as it is forwarded, without the fields that end at the dispatcher.
     pub fn new(head: &RequestHead, id: &str, body: Vec<u8>) -> ForwardedRequest {
         let mut text = format!(
             "{} {} HTTP/1.1\r\nReq-Id: {id}\r\n",
@@ -204,11 +205,12 @@
         ForwardedRequest { head: text, body }
     }
 
+    /// Bytes of its body.
     pub fn body_bytes(&self) -> usize {
         self.body.len()
     }
 
-    /// The whole request, saying how long the dispatcher will wait.
+    /// The complete request, saying how long the dispatcher will wait.
     pub fn bytes(&self, left_ms: u64) -> Vec<u8> {
         let length = self.body.len();
         let mut out = Vec::with_capacity(self.head.len() + length + 80);
@@ -223,23 +225,32 @@
 /// The attempt that is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InFlightAttempt {
+    /// Number of the attempt within the request.
     pub number: u16,
+    /// The model server.
     pub server: ServerId,
+    /// Whether the server has the prefill role.
     pub prefill: bool,
+    /// Connection that carries it.
     pub conn: ConnId,
+    /// When it was sent.
     pub sent: Micros,
 }
 
 /// One request, from its last byte until its answer is given and nothing is out for it.
 #[derive(Debug)]
 pub struct OpenRequest {
+    /// `Req-Id`.
     pub id: String,
     /// None once the client has its answer or has gone.
     pub client: Option<ConnId>,
+    /// Time by which the first token has to be passed on.
     pub deadline: Micros,
     /// None once an attempt is the client's: nothing more is sent then.
     pub forwarded: Option<Rc<ForwardedRequest>>,
+    /// Attempts made.
     pub attempts: u16,
+    /// The attempt in flight.
     pub in_flight: Option<InFlightAttempt>,
     /// When an attempt ended without its server's word: the server may see that a little later.
     pub aborted_at: Option<Micros>,
--- a/crates/platform/src/resource_limits.rs
+++ b/crates/platform/src/resource_limits.rs
@@ -5,11 +5,11 @@
 const RESERVE: usize = 40;
 /// The process's own within the reserve: standard streams, readiness queue, listener, peers, signals.
 const OWN_DESCRIPTORS: usize = 10;
-/// Clients' part of the rest, the other being model hosts'. The greater part: a request in hand holds a connection of
-/// either kind, so that hosts' run out first, and a newcomer finds a client's place that no request holds. It can
+/// Clients' part of the rest, the other being model servers'. The greater part: a request in hand holds a connection of
+/// either kind, so that servers' run out first, and a new client finds a client's place that no request holds. It can
 /// be told that the dispatcher is ready, or that it takes no more.
 const CLIENT_TWENTIETHS: usize = 11;
-/// Fewest that clients and hosts get, however few descriptors there are.
+/// Fewest that clients and servers get, however few descriptors there are.
 const MIN_CLIENTS: usize = 8;
 const MIN_SERVERS: usize = 4;
 
--- a/crates/platform/src/responses.rs
+++ b/crates/platform/src/responses.rs
@@ -1,4 +1,4 @@
-//! What a model host answers, read as it comes.
+//! What a model server answers, read as it comes.
 
 use bitternlatch_routing_settings::Names;
 
@@ -28,17 +28,21 @@
     Events(Vec<u8>),
     /// The last events, perhaps none, and the end of the answer.
     End {
+        /// Events that are complete.
         events: Vec<u8>,
+        /// The response.
         complete: CompleteResponse,
     },
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Default, PartialEq)]
 pub struct CompleteResponse {
+    /// Status code.
     pub status: u16,
-    /// The host says that it never ran.
+    /// The server says that it never ran.
     pub declined: bool,
+    /// Prompt tokens found in the prefix cache.
     pub cached_tokens: f64,
     /// As it came, unread.
     pub load: Option<String>,
@@ -163,7 +167,7 @@
     }
 }
 
-/// The simulator's words for report values, and those that hosts write on sockets.
+/// The simulator's words for report values, and those that servers write on sockets.
 const REPORT_FIELD_ALIASES: [(&str, &str); 6] = [
     ("concurrent", "inflight"),
     ("depth", "queue"),
--- a/crates/platform/src/types.rs
+++ b/crates/platform/src/types.rs
@@ -1,104 +1,138 @@
-//! What goes into and comes out of the node.
+//! Inputs and commands of the node.
 
 use std::net::SocketAddr;
 
-/// One connection, of a client, to a model host or to discovery; never reused.
+/// One connection: of a client, to a model server or to discovery. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// What the node is told.
+/// What has happened outside the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input<'a> {
-    /// A client has connected, under an id from [`crate::node::Node::next_conn`].
+    /// A client has connected.
     Accepted {
+        /// Id from [`crate::node::Node::next_conn`].
         conn: ConnId,
     },
-    /// A connection that was asked for is up.
+    /// A connection of [`Command::Connect`] is up.
     Connected {
+        /// The connection.
         conn: ConnId,
     },
+    /// Bytes have come.
     Received {
+        /// The connection.
         conn: ConnId,
+        /// What has come since the last such input.
         bytes: &'a [u8],
     },
-    /// So many bytes of what was to be written have gone to the system.
+    /// Bytes of what was to be written have gone to the system.
     Wrote {
+        /// The connection.
         conn: ConnId,
+        /// Number of bytes since the last such input.
         count: usize,
     },
     /// A connection never came up, was closed by the other side, or broke.
     Ended {
+        /// The connection.
         conn: ConnId,
     },
-    /// Something had come on a connection that was to be used again, or it had ended: nothing was written to it, and it
-    /// is closed.
+    /// The answer to [`Command::Reuse`] where bytes or the end had come on the connection: nothing was written to it,
+    /// and it is closed.
     Stale {
+        /// The connection.
         conn: ConnId,
     },
-    /// From another dispatcher.
+    /// A datagram has come from another dispatcher.
     Datagram {
+        /// Address of the sender.
         from: SocketAddr,
+        /// Content.
         data: &'a [u8],
     },
-    /// The time alone.
+    /// Time has passed; timers that are due act on this input alone.
     Tick,
-    /// Take nothing new before long, answer what is in hand, then say [`Command::Stopped`].
+    /// Shutdown is requested: take nothing new before long, answer what is in hand, then give [`Command::Stopped`].
     Stop,
-    /// The answer to [`Command::StopListening`]: whoever had connected by then has been told of, and nobody else will be.
+    /// The answer to [`Command::StopListening`]: every client that had connected by then has been accepted, and no other
+    /// will be.
     NotListening,
 }
 
+/// Severity of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
+    /// An ordinary event.
     Info,
+    /// A fault, or something that an operator should look at.
     Warn,
 }
 
 /// What the node wants done, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
+    /// Open a connection.
     Connect {
+        /// Its id.
         conn: ConnId,
+        /// Address to connect to.
         to: SocketAddr,
     },
+    /// Write bytes.
     Write {
+        /// The connection.
         conn: ConnId,
+        /// What to write.
         bytes: Vec<u8>,
     },
-    /// The same on a connection that stood idle, unless anything has come on it since, its end included: then it is
-    /// closed with nothing written, and [`Input::Stale`] told.
+    /// Write bytes on a connection that was idle, unless anything has come on it since, its end included: then close it
+    /// with nothing written, and give [`Input::Stale`].
     Reuse {
+        /// The connection.
         conn: ConnId,
+        /// What to write.
         bytes: Vec<u8>,
     },
-    /// End it now; what is not written is dropped. Nothing more is told of it.
+    /// Close a connection now and drop what is not written. No input follows for it.
     Close {
+        /// The connection.
         conn: ConnId,
     },
-    /// Write what is left, then end it, so that the other side sees all of it. Nothing more is told of it.
+    /// Write what is left, then close the connection, so that the other side sees all of it. No input follows for it.
     Finish {
+        /// The connection.
         conn: ConnId,
     },
-    /// Read nothing from it for now, or go on.
+    /// Read nothing from a connection for now, or go on.
     Pause {
+        /// The connection.
         conn: ConnId,
+        /// Whether it is paused from now on.
         paused: bool,
     },
+    /// Send a datagram to another dispatcher.
     Datagram {
+        /// Address of the receiver.
         to: SocketAddr,
+        /// Content.
         data: Vec<u8>,
     },
-    /// New connections are taken no more. Those that wait to be taken are taken first: what a client has written to
-    /// them counts as read. Then [`Input::NotListening`] is told.
+    /// Close the listener. Connections that wait in its queue are accepted first: what a client has written to them
+    /// counts as read. Then give [`Input::NotListening`].
     StopListening,
-    /// Everything in hand is answered after [`Input::Stop`].
+    /// Everything in hand is answered after [`Input::Stop`]: the process may end.
     Stopped,
-    /// Why a request fared as it did, where that was asked for.
+    /// Write a line of the access log.
     AccessLog {
+        /// The line.
         text: String,
     },
+    /// Write a log line.
     Log {
+        /// Its severity.
         level: Level,
+        /// The line.
         text: String,
     },
 }
