--- a/crates/replicated-register/src/golden.rs
+++ b/crates/replicated-register/src/golden.rs
@@ -37,7 +37,7 @@
 fn ballot() -> Ballot {
     Ballot {
         round: 300,
-        by: NameKey(7),
+        proposer: NameKey(7),
         start: 70_000,
     }
 }
@@ -358,7 +358,7 @@
         let held = &registers[0].1;
         let promised = held.promised.expect("a promise");
         assert_eq!(
-            (promised.round, promised.by, promised.start),
+            (promised.round, promised.proposer, promised.start),
             (301, NameKey(7), 70_000)
         );
         let taken = held.accepted.as_ref().expect("a value");
--- a/crates/replicated-register/src/lib.rs
+++ b/crates/replicated-register/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! - `register`: one copy of one register, an acceptor whose value may change (CASPaxos: Rystsov, 2018).
 //! - `proposal`: one call, the rounds of a proposer.
-//! - `memory`: how far a copy's memory can be trusted, and so whether it counts in a majority.
+//! - `recovery`: how far a copy's memory can be trusted, and so whether it counts in a majority.
 //! - [`Replica`]: one member's part in all of it.
 
 mod disk_records;
--- /dev/null
+++ b/crates/replicated-register/src/message/tests.rs
@@ -0,0 +1,113 @@
+use super::*;
+use proptest::prelude::*;
+
+fn ballots() -> impl Strategy<Value = Ballot> {
+    (0..1u64 << 62, any::<u32>(), any::<u64>()).prop_map(|(round, by, start)| Ballot {
+        round,
+        proposer: NameKey(by),
+        start,
+    })
+}
+
+fn states() -> impl Strategy<Value = State> {
+    let version = (any::<u64>(), 0..1u64 << 62, any::<u32>(), any::<u64>());
+    let body = proptest::option::of(proptest::collection::vec(any::<u8>(), 0..300));
+    (version, body).prop_map(|((epoch, count, writer, start), body)| {
+        let version = Version {
+            epoch,
+            count,
+            writer: NameKey(writer),
+            start,
+        };
+        State {
+            version,
+            before: (count % 2 == 0).then_some(version),
+            body,
+        }
+    })
+}
+
+fn message() -> impl Strategy<Value = Message> {
+    let key = any::<[u8; 16]>().prop_map(RegisterKey);
+    (0..8, key, ballots(), states(), any::<u64>()).prop_map(
+        |(completeness, key, ballot, state, n)| {
+            let provenance = Provenance {
+                incarnation: n,
+                count: n / 2,
+                incarnations: vec![(ballot.proposer, n)],
+            };
+            let session = TransferSession {
+                start: n,
+                number: n / 3,
+            };
+            match completeness {
+                0 => Message::Read { key, ballot },
+                1 => Message::Accept { key, ballot, state },
+                2 => Message::Promise {
+                    key,
+                    ballot,
+                    provenance,
+                    accepted: Some(Accepted {
+                        ballot,
+                        state,
+                        own: true,
+                    }),
+                },
+                3 => Message::Accepted {
+                    key,
+                    ballot,
+                    provenance,
+                },
+                4 => Message::Rejected {
+                    key,
+                    ballot,
+                    reason: RejectReason::HigherBallot(ballot),
+                },
+                5 => Message::FetchState {
+                    session,
+                    incarnation: n,
+                    count: n,
+                    after: Some(key),
+                },
+                6 => Message::Forget {
+                    key,
+                    version: state.version,
+                },
+                _ => Message::StateChunk(Box::new(StateChunk {
+                    session,
+                    after: None,
+                    up_to: Some(key),
+                    completeness: Completeness::Lost,
+                    missing: vec![ballot.proposer],
+                    incarnations: vec![(
+                        ballot.proposer,
+                        Incarnation {
+                            incarnation: n,
+                            count: n,
+                            lost: true,
+                        },
+                    )],
+                    items: vec![1, 2, 3],
+                    sum: 0,
+                })),
+            }
+        },
+    )
+}
+
+proptest! {
+    #[test]
+    fn what_is_written_is_read_and_no_bytes_do_harm(message in message(), cut in 0usize..400, flip in any::<u8>()) {
+        let bytes = message.write();
+        prop_assert_eq!(Message::read(&bytes), Ok(message));
+        let mut broken = bytes.clone();
+        let at = cut % bytes.len();
+        broken[at] ^= flip | 1;
+        if at == 0 {
+            prop_assert_eq!(Message::read(&broken), Err(RegisterError::UnsupportedVersion(broken[0])));
+        } else if let Ok(Message::StateChunk(chunk)) = Message::read(&broken) {
+            prop_assert!(chunk.open().is_none());
+        }
+        let _ = Message::read(&bytes[..at]);
+    }
+}
--- a/crates/replicated-register/src/model.rs
+++ b/crates/replicated-register/src/model.rs
@@ -73,7 +73,7 @@
         let Some(proposal) = &state.writers[w].proposal else {
             return;
         };
-        let Some((message, to)) = proposal.says() else {
+        let Some((message, to)) = proposal.message() else {
             return;
         };
         let message = message.write();
--- a/crates/replicated-register/src/proposal.rs
+++ b/crates/replicated-register/src/proposal.rs
@@ -38,13 +38,13 @@
         self.round += 1;
         Ballot {
             round: self.round,
-            by: self.name,
+            proposer: self.name,
             start: self.start,
         }
     }
 
     /// Another one is that far.
-    pub fn seen(&mut self, ballot: Ballot) {
+    pub fn observe(&mut self, ballot: Ballot) {
         self.round = self.round.max(ballot.round);
     }
 
@@ -122,7 +122,7 @@
     /// When it asks again, or begins anew.
     pub at: Duration,
     pub attempts: u32,
-    ask: Operation,
+    operation: Operation,
     ballot: Ballot,
     phase: Phase,
     answers: BTreeMap<NameKey, (Provenance, Option<Accepted>)>,
@@ -140,7 +140,7 @@
         key: RegisterKey,
         replicas: Vec<NameKey>,
         until: Duration,
-        ask: Operation,
+        operation: Operation,
         ids: &mut IdAllocator,
     ) -> Proposal {
         let (answers, rejected) = (BTreeMap::new(), BTreeMap::new());
@@ -153,7 +153,7 @@
             until,
             at,
             attempts: 0,
-            ask,
+            operation,
             ballot,
             phase,
             answers,
@@ -164,8 +164,8 @@
         }
     }
 
-    pub fn reads(&self) -> bool {
-        self.ask == Operation::Read
+    pub fn is_read(&self) -> bool {
+        self.operation == Operation::Read
     }
 
     /// The gap that it makes, once that is settled.
@@ -180,7 +180,7 @@
     }
 
     /// Who has done what it says.
-    pub fn answered(&self) -> impl Iterator<Item = &NameKey> {
+    pub fn responders(&self) -> impl Iterator<Item = &NameKey> {
         self.answers.keys()
     }
 
@@ -188,7 +188,7 @@
     pub fn begin(&mut self, leader_ballot: Option<LeaderBallot>, ids: &mut IdAllocator) {
         let (answers, rejected) = (BTreeMap::new(), BTreeMap::new());
         (self.answers, self.rejected) = (answers, rejected);
-        if self.reads() && self.attempts == 0 {
+        if self.is_read() && self.attempts == 0 {
             (self.ballot, self.phase) = (ids.ballot(), Phase::Reading);
             return;
         }
@@ -200,10 +200,10 @@
             },
             Some(leader_ballot),
             None,
-        ) = (&self.ask, leader_ballot, self.own_version)
+        ) = (&self.operation, leader_ballot, self.own_version)
         {
-            let shown = leader_ballot.latest.filter(|_| !leader_ballot.gap);
-            if *expected == shown
+            let visible_version = leader_ballot.latest.filter(|_| !leader_ballot.gap);
+            if *expected == visible_version
                 && leader_ballot
                     .latest
                     .is_none_or(|latest| latest.epoch <= *epoch)
@@ -227,7 +227,7 @@
     }
 
     /// What to say, and to whom.
-    pub fn says(&self) -> Option<(Message, Vec<NameKey>)> {
+    pub fn message(&self) -> Option<(Message, Vec<NameKey>)> {
         let (key, ballot) = (self.key, self.ballot);
         let message = match &self.phase {
             Phase::BackingOff => return None,
@@ -249,7 +249,7 @@
     }
 
     /// Whether it does nothing until its time.
-    pub fn waits(&self) -> bool {
+    pub fn is_backing_off(&self) -> bool {
         self.phase == Phase::BackingOff
     }
 
@@ -289,20 +289,20 @@
         {
             return NextStep::Wait;
         }
-        let most = majority(self.replicas.len());
+        let majority_size = majority(self.replicas.len());
         let taken = || {
             self.answers
                 .values()
                 .filter_map(|(_, accepted)| accepted.as_ref())
         };
         // So that the next ballot is not refused.
-        taken().for_each(|a| ids.seen(a.ballot.next()));
-        if self.answers.len() < most {
+        taken().for_each(|a| ids.observe(a.ballot.next()));
+        if self.answers.len() < majority_size {
             return NextStep::Wait;
         }
         let latest = taken().max_by_key(|a| a.ballot).cloned();
         let same = |a: &&Accepted| a.own && latest.as_ref().is_some_and(|l| l.ballot == a.ballot);
-        let settled = latest.is_none() || taken().filter(same).count() >= most;
+        let settled = latest.is_none() || taken().filter(same).count() >= majority_size;
         if looking && !settled {
             // The third answer may make it a majority; otherwise it has to be settled in rounds.
             if self.answers.len() + self.rejected.len() < self.replicas.len() {
@@ -313,7 +313,7 @@
             return NextStep::Send;
         }
         let latest = latest.map(|l| l.state);
-        let (state, answer) = match self.verdict(latest.as_ref(), ids) {
+        let (state, answer) = match self.decide(latest.as_ref(), ids) {
             (Some(state), answer) => (state, answer),
             (None, answer) => match latest.clone().filter(|_| !settled) {
                 Some(state) => (state, answer),
@@ -346,7 +346,7 @@
         {
             return NextStep::Wait;
         }
-        ids.seen(self.ballot.next());
+        ids.observe(self.ballot.next());
         NextStep::Done(
             answer,
             Some(self.leader_ballot(self.ballot.next(), Some(&state))),
@@ -360,11 +360,11 @@
         reason: RejectReason,
         ids: &mut IdAllocator,
     ) -> NextStep {
-        if ballot != self.ballot || self.waits() || !self.replicas.contains(&from) {
+        if ballot != self.ballot || self.is_backing_off() || !self.replicas.contains(&from) {
             return NextStep::Wait;
         }
         match reason {
-            RejectReason::HigherBallot(passed) => ids.seen(passed),
+            RejectReason::HigherBallot(passed) => ids.observe(passed),
             reason => self.reason = Some(reason),
         }
         self.rejected.insert(from, reason);
@@ -373,7 +373,10 @@
             self.rejected.values().filter(|reason| of(reason)).count()
         };
         if count(&|reason| *reason == RejectReason::Lost) > spare {
-            return NextStep::Done(Outcome::Failed(self.undone(RegisterError::Lost)), None);
+            return NextStep::Done(
+                Outcome::Failed(self.unless_written(RegisterError::Lost)),
+                None,
+            );
         }
         let hard = |reason: &RejectReason| {
             matches!(
@@ -403,14 +406,14 @@
             Some(RejectReason::DiskFault) => {
                 RegisterError::NotStored(KeepError::Io("at a majority of the copies".into()))
             }
-            Some(RejectReason::Lost) => self.undone(RegisterError::Lost),
-            Some(RejectReason::CatchingUp) => self.undone(RegisterError::CatchingUp),
-            _ => self.undone(RegisterError::NoMajority),
+            Some(RejectReason::Lost) => self.unless_written(RegisterError::Lost),
+            Some(RejectReason::CatchingUp) => self.unless_written(RegisterError::CatchingUp),
+            _ => self.unless_written(RegisterError::NoMajority),
         }
     }
 
     /// An error that says that nothing is written, unless something may be.
-    pub fn undone(&self, error: RegisterError) -> RegisterError {
+    pub fn unless_written(&self, error: RegisterError) -> RegisterError {
         match self.own_version {
             None => error,
             Some(_) => RegisterError::TimedOut,
@@ -426,7 +429,7 @@
         provenance: Provenance,
         accepted: Option<Accepted>,
     ) -> bool {
-        if ballot != self.ballot || self.waits() || !self.replicas.contains(&from) {
+        if ballot != self.ballot || self.is_backing_off() || !self.replicas.contains(&from) {
             return false;
         }
         self.rejected.remove(&from);
@@ -455,7 +458,7 @@
     }
 
     /// What is to be written on top of the latest, if anything, and the answer once that, or the latest, is settled.
-    fn verdict(
+    fn decide(
         &mut self,
         latest: Option<&State>,
         ids: &mut IdAllocator,
@@ -465,12 +468,15 @@
             expected,
             epoch,
             body,
-        } = &self.ask
+        } = &self.operation
         else {
             let found = latest.and_then(|s| Some((s.version, s.body.clone()?)));
             return (None, Outcome::Read(found));
         };
-        let (shown, version) = (latest.and_then(State::shown), latest.map(|s| s.version));
+        let (visible_version, version) = (
+            latest.and_then(State::visible_version),
+            latest.map(|s| s.version),
+        );
         if let Some(own_version) = self.own_version {
             // It may have been taken, and others may have gone on from it.
             let before = latest.and_then(|s| s.before);
@@ -485,7 +491,9 @@
                     (Some(state), Outcome::Written(own_version))
                 }
                 _ if before == Some(own_version) => (None, Outcome::Written(own_version)),
-                Some(_) if before == self.base => failed(RegisterError::Conflict { latest: shown }),
+                Some(_) if before == self.base => failed(RegisterError::Conflict {
+                    latest: visible_version,
+                }),
                 _ => failed(RegisterError::TimedOut),
             };
         }
@@ -495,7 +503,11 @@
                     epoch: state.version.epoch,
                 });
             }
-            _ if shown != *expected => return failed(RegisterError::Conflict { latest: shown }),
+            _ if visible_version != *expected => {
+                return failed(RegisterError::Conflict {
+                    latest: visible_version,
+                })
+            }
             _ => {}
         }
         let own_version = ids.version(*epoch, version);
@@ -512,106 +524,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const ON: Version = Version {
-        epoch: 1,
-        count: 1,
-        writer: NameKey(9),
-        start: 1,
-    };
-
-    fn proposal(ask: Operation) -> (Proposal, IdAllocator) {
-        let mut ids = IdAllocator::new(Process {
-            name: NameKey(9),
-            start: 1,
-        });
-        let replicas = (1..=3).map(NameKey).collect();
-        let mut proposal = Proposal::new(
-            Call(1),
-            RegisterKey([0; 16]),
-            replicas,
-            Duration::MAX,
-            ask,
-            &mut ids,
-        );
-        proposal.begin(None, &mut ids);
-        (proposal, ids)
-    }
-
-    fn provenance(incarnation: u64, other: u32, known: u64) -> Provenance {
-        Provenance {
-            incarnation,
-            count: 1,
-            incarnations: vec![(NameKey(other), known)],
-        }
-    }
-
-    fn accepted(round: u64, own: bool) -> Option<Accepted> {
-        let state = State {
-            version: ON,
-            before: None,
-            body: Some(vec![1]),
-        };
-        Some(Accepted {
-            ballot: Ballot {
-                round,
-                by: NameKey(9),
-                start: 1,
-            },
-            state,
-            own,
-        })
-    }
-
-    #[test]
-    fn what_a_copy_has_learnt_is_no_vote_and_is_settled_before_it_is_told() {
-        let (mut proposal, mut ids) = proposal(Operation::Read);
-        let look = proposal.ballot;
-        let next = proposal.on_promised(
-            NameKey(1),
-            look,
-            provenance(1, 2, 1),
-            accepted(1, true),
-            &mut ids,
-        );
-        assert_eq!(next, NextStep::Wait);
-        let next = proposal.on_promised(
-            NameKey(2),
-            look,
-            provenance(1, 1, 1),
-            accepted(1, false),
-            &mut ids,
-        );
-        assert_eq!(next, NextStep::Wait);
-        let next = proposal.on_promised(NameKey(3), look, provenance(1, 1, 1), None, &mut ids);
-        assert_eq!((next, &proposal.phase), (NextStep::Send, &Phase::Preparing));
-    }
-
-    #[test]
-    fn a_vote_of_a_memory_that_has_ended_is_asked_for_again() {
-        let (mut proposal, mut ids) = proposal(Operation::Write {
-            expected: None,
-            epoch: 1,
-            body: Some(vec![1]),
-        });
-        let ballot = proposal.ballot;
-        proposal.on_promised(NameKey(1), ballot, provenance(1, 2, 1), None, &mut ids);
-        let next = proposal.on_promised(NameKey(2), ballot, provenance(1, 1, 1), None, &mut ids);
-        assert_eq!(next, NextStep::Send);
-        assert_eq!(
-            proposal.on_accepted(NameKey(1), ballot, provenance(1, 2, 1), &mut ids),
-            NextStep::Wait
-        );
-        // The second one has heard meanwhile that the first has begun anew, and may have told it what it held before this.
-        assert_eq!(
-            proposal.on_accepted(NameKey(2), ballot, provenance(1, 1, 2), &mut ids),
-            NextStep::Wait
-        );
-        let asked: Vec<NameKey> = proposal.says().map(|(_, to)| to).unwrap_or_default();
-        assert_eq!(asked, [NameKey(1), NameKey(3)]);
-        let next = proposal.on_accepted(NameKey(1), ballot, provenance(2, 2, 1), &mut ids);
-        assert!(matches!(next, NextStep::Done(Outcome::Written(_), Some(_))));
-    }
-}
+mod tests;
--- a/crates/replicated-register/src/recovery.rs
+++ b/crates/replicated-register/src/recovery.rs
@@ -124,7 +124,7 @@
     }
 
     /// Takes a word about another's memory. Tells whether its life is a later one than was known, and whether that is a loss.
-    pub fn note(&mut self, name: NameKey, incarnation: Incarnation) -> (bool, bool) {
+    pub fn note_incarnation(&mut self, name: NameKey, incarnation: Incarnation) -> (bool, bool) {
         if !self.others.contains(&name) {
             return (false, false);
         }
@@ -179,7 +179,7 @@
         &self.missing
     }
 
-    pub fn heard(&self) -> usize {
+    pub fn source_count(&self) -> usize {
         self.sources.len()
     }
 
@@ -238,7 +238,7 @@
 
     /// Whether this copy counts for a register with these copies. `waited`: long enough for others to have spoken.
     pub fn ready(&self, replicas: &[NameKey], waited: bool) -> bool {
-        let most = majority(replicas.len());
+        let majority_size = majority(replicas.len());
         let missing = replicas
             .iter()
             .filter(|name| self.missing.contains(name))
@@ -247,16 +247,18 @@
             // Whether there ever was more can be told by any of the others, those without a copy too.
             Completeness::Fresh => missing == 0 && (self.missing.is_empty() || waited),
             // One of each majority that it was part of has to be among those it has heard.
-            Completeness::Lost => missing + 2 <= most,
+            Completeness::Lost => missing + 2 <= majority_size,
             // It knows all it ever took, unless somebody knows better: one has to have been asked.
-            Completeness::Complete => missing + most <= replicas.len() && (missing == 0 || waited),
+            Completeness::Complete => {
+                missing + majority_size <= replicas.len() && (missing == 0 || waited)
+            }
         }
     }
 
     /// Whether what a register with these copies held is lost for good: a majority has lost it, and none of them can get it
     /// back from the rest.
     pub fn lost(&self, replicas: &[NameKey]) -> bool {
-        let most = majority(replicas.len());
+        let majority_size = majority(replicas.len());
         let others = || replicas.iter().filter(|name| **name != self.own);
         let lost = |name: &NameKey| {
             let Some(source) = self
@@ -271,11 +273,11 @@
                 .filter(|x| *x != name && source.missing.contains(x))
                 .count()
                 + 2
-                > most
+                > majority_size
         };
         self.completeness == Completeness::Lost
             && !self.ready(replicas, true)
             && others().all(|name| self.sources.contains_key(name))
-            && others().filter(|name| lost(name)).count() + 1 >= most
+            && others().filter(|name| lost(name)).count() + 1 >= majority_size
     }
 }
--- a/crates/replicated-register/src/register.rs
+++ b/crates/replicated-register/src/register.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     pub round: u64,
-    pub by: NameKey,
+    pub proposer: NameKey,
     pub start: u64,
 }
 
@@ -48,7 +48,7 @@
 
 impl State {
     /// What callers know it by.
-    pub fn shown(&self) -> Option<Version> {
+    pub fn visible_version(&self) -> Option<Version> {
         self.body.is_some().then_some(self.version)
     }
 }
@@ -137,39 +137,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_learnt_raises_what_is_known_and_is_no_vote() {
-        let ballot = |round| Ballot {
-            round,
-            by: NameKey(1),
-            start: 1,
-        };
-        let version = Version {
-            epoch: 1,
-            count: 1,
-            writer: NameKey(1),
-            start: 1,
-        };
-        let state = State {
-            version,
-            before: None,
-            body: Some(vec![1]),
-        };
-        let (mut one, mut other) = (Acceptor::default(), Acceptor::default());
-        assert_eq!(other.prepare(ballot(7)), Ok(true));
-        assert_eq!(one.accept(ballot(5), &state), Ok(true));
-        assert!(other.learn(one.clone()) && !other.learn(one.clone()));
-        assert_eq!(other.promised, Some(ballot(7)));
-        assert_eq!(
-            other.accepted.as_ref().map(|a| (a.ballot, a.own)),
-            Some((ballot(5), false))
-        );
-        // The same one again from its proposer: taken by the one that took it, refused by the one that learnt it.
-        assert_eq!(one.accept(ballot(5), &state), Ok(false));
-        assert_eq!(other.accept(ballot(5), &state), Err(ballot(7)));
-        assert_eq!(one.prepare(ballot(5)), Err(ballot(6)));
-    }
-}
+mod tests;
--- a/crates/replicated-register/src/replica/acceptor.rs
+++ b/crates/replicated-register/src/replica/acceptor.rs
@@ -14,7 +14,7 @@
 
 impl Replica {
     /// Whether this copy counts for a register; none where it holds no copy of it.
-    fn may(
+    fn check_ready(
         &mut self,
         now: Duration,
         key: RegisterKey,
@@ -24,13 +24,13 @@
         if !replicas.contains(&self.own.name) {
             return None;
         }
-        let Some(memory) = &self.memory else {
+        let Some(recovery) = &self.recovery else {
             return Some(Err(RejectReason::CatchingUp));
         };
-        if memory.ready(&replicas, now >= self.opened + CATCH_UP_GRACE) {
+        if recovery.ready(&replicas, now >= self.opened + CATCH_UP_GRACE) {
             return Some(Ok(()));
         }
-        if !memory.lost(&replicas) {
+        if !recovery.lost(&replicas) {
             return Some(Err(RejectReason::CatchingUp));
         }
         if self.lost_since.is_none() {
@@ -45,12 +45,12 @@
             .replicas(key)
             .into_iter()
             .filter(|name| *name != self.own.name);
-        let memory = self.memory.as_ref();
+        let recovery = self.recovery.as_ref();
         Provenance {
-            incarnation: memory.map_or(0, |m| m.incarnation),
+            incarnation: recovery.map_or(0, |m| m.incarnation),
             count: self.kept,
             incarnations: others
-                .map(|name| (name, memory.map_or(0, |m| m.incarnation_of(name))))
+                .map(|name| (name, recovery.map_or(0, |m| m.incarnation_of(name))))
                 .collect(),
         }
     }
@@ -63,7 +63,7 @@
         ballot: Ballot,
         out: &mut Vec<Output>,
     ) {
-        let reply = match self.may(now, key, out) {
+        let reply = match self.check_ready(now, key, out) {
             None => return,
             Some(Err(reason)) => {
                 return self.send(
@@ -105,13 +105,13 @@
             ballot,
             reason,
         };
-        match self.may(now, key, out) {
+        match self.check_ready(now, key, out) {
             None => return,
             Some(Err(reason)) => return self.send(from, rejected(reason), out),
             Some(Ok(())) => {}
         }
         match self.store.prepare(now, key, ballot) {
-            Err(CapacityError) => self.full(from, rejected(RejectReason::Full), out),
+            Err(CapacityError) => self.reject_full(from, rejected(RejectReason::Full), out),
             Ok(Err(passed)) => self.send(from, rejected(RejectReason::HigherBallot(passed)), out),
             Ok(Ok(changed)) => {
                 let accepted = self
@@ -141,13 +141,13 @@
             ballot,
             reason,
         };
-        match self.may(now, key, out) {
+        match self.check_ready(now, key, out) {
             None => return,
             Some(Err(reason)) => return self.send(from, rejected(reason), out),
             Some(Ok(())) => {}
         }
         match self.store.accept(now, key, ballot, state) {
-            Err(CapacityError) => self.full(from, rejected(RejectReason::Full), out),
+            Err(CapacityError) => self.reject_full(from, rejected(RejectReason::Full), out),
             Ok(Err(passed)) => self.send(from, rejected(RejectReason::HigherBallot(passed)), out),
             Ok(Ok(changed)) => {
                 let reply = Message::Accepted {
@@ -160,7 +160,7 @@
         }
     }
 
-    fn full(&mut self, to: NameKey, message: Message, out: &mut Vec<Output>) {
+    fn reject_full(&mut self, to: NameKey, message: Message, out: &mut Vec<Output>) {
         self.counters.rejected += 1;
         self.send(to, message, out);
     }
@@ -174,11 +174,11 @@
         changed: bool,
         out: &mut Vec<Output>,
     ) {
-        if let Some(memory) = self.memory.as_mut().filter(|_| changed) {
-            memory.count += 1;
+        if let Some(recovery) = self.recovery.as_mut().filter(|_| changed) {
+            recovery.count += 1;
         }
         if !self.settings.durable {
-            self.kept = self.memory.as_ref().map_or(0, |m| m.count);
+            self.kept = self.recovery.as_ref().map_or(0, |m| m.count);
             return self.send(to, message, out);
         }
         if self.pending_writes.len() >= MAX_PENDING_WRITES {
@@ -208,10 +208,11 @@
         replies: Vec<(NameKey, Message)>,
         out: &mut Vec<Output>,
     ) {
-        let (Some(memory), Some(acceptor)) = (&self.memory, self.store.get(key)) else {
+        let (Some(recovery), Some(acceptor)) = (&self.recovery, self.store.get(key)) else {
             return;
         };
-        let (name, bytes) = disk_records::register(key, memory.incarnation, memory.count, acceptor);
+        let (name, bytes) =
+            disk_records::register(key, recovery.incarnation, recovery.count, acceptor);
         let ticket = self.store_record(what, name, Some(bytes), replies, out);
         self.unsynced.insert(key, Unsynced::Pending(ticket));
     }
@@ -221,14 +222,16 @@
         replies: Vec<(NameKey, Message)>,
         out: &mut Vec<Output>,
     ) {
-        let Some(memory) = &self.memory else { return };
+        let Some(recovery) = &self.recovery else {
+            return;
+        };
         let (incarnation, completeness, count) =
-            (memory.incarnation, memory.completeness, memory.count);
+            (recovery.incarnation, recovery.completeness, recovery.count);
         let (name, bytes) = disk_records::meta(&ReplicaMetadata {
             incarnation,
             completeness,
             count,
-            incarnations: memory.incarnations().clone(),
+            incarnations: recovery.incarnations().clone(),
         });
         let ticket = self.store_record(WritePurpose::Metadata, name, Some(bytes), replies, out);
         self.metadata_unsynced = Some(Unsynced::Pending(ticket));
@@ -245,7 +248,7 @@
         self.last_ticket += 1;
         let (ticket, count) = (
             self.last_ticket,
-            self.memory.as_ref().map_or(0, |m| m.count),
+            self.recovery.as_ref().map_or(0, |m| m.count),
         );
         self.pending_writes.insert(
             ticket,
--- a/crates/replicated-register/src/replica/mod.rs
+++ b/crates/replicated-register/src/replica/mod.rs
@@ -74,13 +74,13 @@
     roster: BTreeSet<NameKey>,
     settings: Settings,
     /// None until the disk has been read.
-    memory: Option<RecoveryState>,
+    recovery: Option<RecoveryState>,
     opened: Duration,
     store: RegisterStore,
     ids: IdAllocator,
     proposals: BTreeMap<Call, Proposal>,
     /// Calls by register; the first of each is under way.
-    lines: BTreeMap<RegisterKey, VecDeque<Call>>,
+    queues: BTreeMap<RegisterKey, VecDeque<Call>>,
     due: BTreeSet<(Duration, Call)>,
     leader_ballots: BTreeMap<RegisterKey, LeaderBallot>,
     tombstone_repairs: BTreeMap<RegisterKey, TombstoneRepair>,
@@ -117,18 +117,18 @@
         seed: u64,
         now: Duration,
     ) -> Replica {
-        let memory = (!settings.durable)
+        let recovery = (!settings.durable)
             .then(|| RecoveryState::new(own.name, &roster, Completeness::Fresh, own.start));
         Replica {
             own,
             roster,
             settings,
-            memory,
+            recovery,
             opened: now,
             store: RegisterStore::default(),
             ids: IdAllocator::new(own),
             proposals: BTreeMap::new(),
-            lines: BTreeMap::new(),
+            queues: BTreeMap::new(),
             due: BTreeSet::new(),
             leader_ballots: BTreeMap::new(),
             tombstone_repairs: BTreeMap::new(),
@@ -163,7 +163,7 @@
             proposal,
             tombstone_repair,
             fetch,
-            self.store.next_end(),
+            self.store.next_expiry(),
             Some(self.heartbeat_at),
         ]
         .into_iter()
@@ -177,7 +177,7 @@
             Input::Wake => {}
             Input::Frame { from, payload } => self.on_frame(now, from, &payload, out),
             Input::Peers(peers) => self.peers = Some(peers),
-            Input::Loaded(found) => self.found(now, found, out),
+            Input::Loaded(found) => self.on_loaded(now, found, out),
             Input::Stored { ticket, done } => self.on_stored(now, ticket, done, out),
             Input::Read { call, key, until } => self.read(now, call, key, until, out),
             Input::Write {
@@ -214,7 +214,7 @@
 
     /// Keys held here with their latest accepted value, which may not be the latest of all.
     pub fn held(&self) -> impl Iterator<Item = (&RegisterKey, Version, &[u8])> {
-        self.store.after(None).filter_map(|(key, acceptor)| {
+        self.store.iter_after(None).filter_map(|(key, acceptor)| {
             let state = &acceptor.accepted.as_ref()?.state;
             Some((key, state.version, state.body.as_deref()?))
         })
@@ -231,7 +231,7 @@
         let waited = now >= self.opened + CATCH_UP_GRACE;
         replicas.contains(&self.own.name)
             && self
-                .memory
+                .recovery
                 .as_ref()
                 .is_some_and(|m| m.ready(&replicas, waited))
     }
@@ -288,7 +288,7 @@
                 ballot,
                 reason,
             } => self.on_rejected(now, name, (key, ballot), reason, out),
-            Message::Forget { key, version } => self.store.gone(now, key, version),
+            Message::Forget { key, version } => self.store.settle_tombstone(now, key, version),
             Message::FetchState {
                 session,
                 incarnation,
@@ -299,7 +299,7 @@
             }
             Message::StateChunk(chunk) => self.on_state_chunk(now, from, &chunk, out),
             Message::Heartbeat { incarnation, count } => {
-                self.note(name, incarnation, count, out);
+                self.note_incarnation(name, incarnation, count, out);
             }
         }
     }
@@ -307,7 +307,7 @@
     fn run_due(&mut self, now: Duration, out: &mut Vec<Output>) {
         self.run_due_calls(now, out);
         self.run_due_tombstone_repairs(now, out);
-        self.fetch(now, out);
+        self.request_state(now, out);
         self.check_caught_up(now, out);
         for key in self.store.expire(now) {
             self.unsynced.remove(&key);
@@ -334,7 +334,7 @@
         if self.heartbeats >= HEARTBEATS_PER_REPEAT {
             self.heartbeats = 0;
             self.announced.clear();
-            if self.settings.durable && self.memory.is_some() {
+            if self.settings.durable && self.recovery.is_some() {
                 self.store_metadata(vec![], out);
             }
         }
@@ -343,11 +343,11 @@
             .is_some_and(|since| now >= since + LOSS_RETENTION)
         {
             self.lost_since = None;
-            self.memory
+            self.recovery
                 .iter_mut()
                 .for_each(RecoveryState::assume_complete);
         }
-        let Some((incarnation, count)) = self.memory.as_ref().map(|m| (m.incarnation, self.kept))
+        let Some((incarnation, count)) = self.recovery.as_ref().map(|m| (m.incarnation, self.kept))
         else {
             return;
         };
@@ -365,11 +365,17 @@
     }
 
     /// Takes word of how far another's memory goes.
-    fn note(&mut self, name: NameKey, incarnation: u64, count: u64, out: &mut Vec<Output>) -> bool {
-        let Some(memory) = &mut self.memory else {
+    fn note_incarnation(
+        &mut self,
+        name: NameKey,
+        incarnation: u64,
+        count: u64,
+        out: &mut Vec<Output>,
+    ) -> bool {
+        let Some(recovery) = &mut self.recovery else {
             return false;
         };
-        let (later, loss) = memory.note(
+        let (later, loss) = recovery.note_incarnation(
             name,
             crate::recovery::Incarnation {
                 incarnation,
--- a/crates/replicated-register/src/replica/proposer.rs
+++ b/crates/replicated-register/src/replica/proposer.rs
@@ -43,8 +43,8 @@
         until: Duration,
         out: &mut Vec<Output>,
     ) {
-        match self.room(call) {
-            true => self.enter(now, call, key, Operation::Read, until, out),
+        match self.has_capacity(call) {
+            true => self.enqueue(now, call, key, Operation::Read, until, out),
             false => out.push(Output::Read {
                 call,
                 found: Err(RegisterError::Busy),
@@ -67,14 +67,14 @@
                 bytes,
                 most: MAX_VALUE_BYTES,
             }),
-            false => (!self.room(call)).then_some(RegisterError::Busy),
+            false => (!self.has_capacity(call)).then_some(RegisterError::Busy),
         };
         match rejected {
             Some(error) => out.push(Output::Written {
                 call,
                 done: Err(error),
             }),
-            None => self.enter(
+            None => self.enqueue(
                 now,
                 call,
                 key,
@@ -90,25 +90,32 @@
     }
 
     /// Whether one more call may be taken, under a number that is not in use.
-    fn room(&mut self, call: Call) -> bool {
+    fn has_capacity(&mut self, call: Call) -> bool {
         let room = self.proposals.len() < MAX_CALLS && !self.proposals.contains_key(&call);
         self.counters.rejected += u64::from(!room);
         room
     }
 
-    fn enter(
+    fn enqueue(
         &mut self,
         now: Duration,
         call: Call,
         key: RegisterKey,
-        ask: Operation,
+        operation: Operation,
         until: Duration,
         out: &mut Vec<Output>,
     ) {
-        let proposal = Proposal::new(call, key, self.replicas(key), until, ask, &mut self.ids);
+        let proposal = Proposal::new(
+            call,
+            key,
+            self.replicas(key),
+            until,
+            operation,
+            &mut self.ids,
+        );
         self.due.insert((until, call));
         self.proposals.insert(call, proposal);
-        let line = self.lines.entry(key).or_default();
+        let line = self.queues.entry(key).or_default();
         line.push_back(call);
         if line.len() == 1 && now < until {
             self.begin(now, call, out);
@@ -119,22 +126,22 @@
         let Some(proposal) = self.proposals.get_mut(&call) else {
             return;
         };
-        let looks = proposal.reads() && proposal.attempts == 0;
+        let looks = proposal.is_read() && proposal.attempts == 0;
         let leader_ballot = if looks {
             None
         } else {
             self.leader_ballots.remove(&proposal.key)
         };
         proposal.begin(leader_ballot, &mut self.ids);
-        self.ask(now, call, out);
+        self.send_requests(now, call, out);
     }
 
     /// Asks the copies that have not answered, and again after a while.
-    fn ask(&mut self, now: Duration, call: Call, out: &mut Vec<Output>) {
+    fn send_requests(&mut self, now: Duration, call: Call, out: &mut Vec<Output>) {
         let Some(proposal) = self.proposals.get_mut(&call) else {
             return;
         };
-        let Some((message, to)) = proposal.says() else {
+        let Some((message, to)) = proposal.message() else {
             return;
         };
         let was = proposal.at.min(proposal.until);
@@ -146,8 +153,8 @@
     }
 
     /// The call that is under way for a register.
-    fn under_way(&mut self, key: RegisterKey) -> Option<&mut Proposal> {
-        let call = self.lines.get(&key)?.front()?;
+    fn active_proposal(&mut self, key: RegisterKey) -> Option<&mut Proposal> {
+        let call = self.queues.get(&key)?.front()?;
         self.proposals.get_mut(call)
     }
 
@@ -160,9 +167,9 @@
         accepted: Option<Accepted>,
         out: &mut Vec<Output>,
     ) {
-        self.note(from, provenance.incarnation, provenance.count, out);
+        self.note_incarnation(from, provenance.incarnation, provenance.count, out);
         let mut ids = self.ids.clone();
-        let Some(proposal) = self.under_way(key) else {
+        let Some(proposal) = self.active_proposal(key) else {
             return;
         };
         let next = proposal.on_promised(from, ballot, provenance, accepted, &mut ids);
@@ -178,7 +185,7 @@
         provenance: Provenance,
         out: &mut Vec<Output>,
     ) {
-        self.note(from, provenance.incarnation, provenance.count, out);
+        self.note_incarnation(from, provenance.incarnation, provenance.count, out);
         if self
             .tombstone_repairs
             .get(&key)
@@ -187,7 +194,7 @@
             return self.on_tombstone_accepted(key, from, out);
         }
         let mut ids = self.ids.clone();
-        let Some(proposal) = self.under_way(key) else {
+        let Some(proposal) = self.active_proposal(key) else {
             return;
         };
         let next = proposal.on_accepted(from, ballot, provenance, &mut ids);
@@ -213,7 +220,7 @@
             return;
         }
         let mut ids = self.ids.clone();
-        let Some(proposal) = self.under_way(key) else {
+        let Some(proposal) = self.active_proposal(key) else {
             return;
         };
         let next = proposal.on_rejected(from, ballot, reason, &mut ids);
@@ -222,12 +229,12 @@
     }
 
     fn proceed(&mut self, now: Duration, key: RegisterKey, next: NextStep, out: &mut Vec<Output>) {
-        let Some(call) = self.lines.get(&key).and_then(|line| line.front()).copied() else {
+        let Some(call) = self.queues.get(&key).and_then(|line| line.front()).copied() else {
             return;
         };
         match next {
             NextStep::Wait => {}
-            NextStep::Send => self.ask(now, call, out),
+            NextStep::Send => self.send_requests(now, call, out),
             NextStep::Restart => {
                 let draw = self.draw();
                 let Some(proposal) = self.proposals.get_mut(&call) else {
@@ -262,7 +269,7 @@
         self.due.remove(&(proposal.at.min(proposal.until), call));
         self.due.remove(&(proposal.until, call));
         if matches!(answer, Outcome::Written(_)) {
-            self.tombstone_repair(now, &proposal, out);
+            self.start_tombstone_repair(now, &proposal, out);
         }
         out.push(match answer {
             Outcome::Read(found) => Output::Read {
@@ -273,7 +280,7 @@
                 call,
                 done: Ok(version),
             },
-            Outcome::Failed(error) if proposal.reads() => Output::Read {
+            Outcome::Failed(error) if proposal.is_read() => Output::Read {
                 call,
                 found: Err(error),
             },
@@ -282,13 +289,13 @@
                 done: Err(error),
             },
         });
-        let Some(line) = self.lines.get_mut(&proposal.key) else {
+        let Some(line) = self.queues.get_mut(&proposal.key) else {
             return;
         };
         let first = line.front() == Some(&call);
         line.retain(|waiting| *waiting != call);
         match line.front().copied() {
-            None => drop(self.lines.remove(&proposal.key)),
+            None => drop(self.queues.remove(&proposal.key)),
             Some(next) if first => self.begin(now, next, out),
             Some(_) => {}
         }
@@ -300,7 +307,7 @@
             let Some(proposal) = self.proposals.get_mut(&call) else {
                 continue;
             };
-            let first = self.lines.get(&proposal.key).and_then(|line| line.front()) == Some(&call);
+            let first = self.queues.get(&proposal.key).and_then(|line| line.front()) == Some(&call);
             if proposal.until <= now {
                 let error = if first {
                     proposal.failure()
@@ -310,7 +317,7 @@
                 self.finish(now, call, Outcome::Failed(error), out);
             } else if !first {
                 self.due.insert((proposal.until, call));
-            } else if proposal.waits() {
+            } else if proposal.is_backing_off() {
                 self.begin(now, call, out);
             } else {
                 let key = proposal.key;
@@ -323,7 +330,7 @@
         let peers = self.peers.as_ref().filter(|peers| now < peers.until);
         let there: Option<BTreeSet<NameKey>> =
             peers.map(|peers| peers.there.iter().copied().chain([self.own.name]).collect());
-        let Some(proposal) = self.under_way(key) else {
+        let Some(proposal) = self.active_proposal(key) else {
             return;
         };
         let few = there.is_some_and(|there| {
@@ -334,7 +341,7 @@
                 .count()
                 < majority(proposal.replicas.len())
         });
-        let next = match proposal.undone(RegisterError::NoMajority) {
+        let next = match proposal.unless_written(RegisterError::NoMajority) {
             // It has tried, and by all that is known there is nobody to try on.
             RegisterError::NoMajority if few => {
                 NextStep::Done(Outcome::Failed(RegisterError::NoMajority), None)
@@ -345,7 +352,12 @@
     }
 
     /// Brings a gap to the copies that have not taken it, so that all may forget it soon.
-    fn tombstone_repair(&mut self, now: Duration, proposal: &Proposal, out: &mut Vec<Output>) {
+    fn start_tombstone_repair(
+        &mut self,
+        now: Duration,
+        proposal: &Proposal,
+        out: &mut Vec<Output>,
+    ) {
         self.tombstone_repairs.remove(&proposal.key);
         let Some((ballot, state)) = proposal
             .gap()
@@ -353,7 +365,7 @@
         else {
             return;
         };
-        let took: BTreeSet<NameKey> = proposal.answered().copied().collect();
+        let took: BTreeSet<NameKey> = proposal.responders().copied().collect();
         let missing: BTreeSet<NameKey> = proposal
             .replicas
             .iter()
--- a/crates/replicated-register/src/replica/state_transfer.rs
+++ b/crates/replicated-register/src/replica/state_transfer.rs
@@ -39,13 +39,13 @@
 }
 
 impl Replica {
-    pub(super) fn found(
+    pub(super) fn on_loaded(
         &mut self,
         now: Duration,
         found: Result<Found, KeepError>,
         out: &mut Vec<Output>,
     ) {
-        if self.memory.is_some() {
+        if self.recovery.is_some() {
             return;
         }
         self.opened = now;
@@ -54,7 +54,7 @@
             RecoveryState::new(own, &self.roster, completeness, incarnation)
         };
         let mut stale = Vec::new();
-        let memory = match found {
+        let recovery = match found {
             Err(fault) => {
                 self.fault = Some(fault.clone());
                 out.push(Output::Event(Event::DiskFault(fault)));
@@ -78,7 +78,7 @@
                         for (key, acceptor) in registers {
                             // What does not fit now did not fit then.
                             let bytes = acceptor.bytes();
-                            let _ = self.store.change(now, key, bytes, |held| *held = acceptor);
+                            let _ = self.store.update(now, key, bytes, |held| *held = acceptor);
                         }
                         self.kept = meta.count;
                         new(meta.completeness, meta.incarnation).with(meta.count, meta.incarnations)
@@ -86,7 +86,7 @@
                 }
             }
         };
-        self.memory = Some(memory);
+        self.recovery = Some(recovery);
         for name in stale {
             self.store_record(WritePurpose::Removal, name, None, vec![], out);
         }
@@ -94,10 +94,12 @@
     }
 
     /// Asks those it has not caught up with, one chunk at a time of each.
-    pub(super) fn fetch(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let Some(memory) = &self.memory else { return };
-        let pending_sources = memory.pending_sources();
-        let (incarnation, count) = (memory.incarnation, self.kept);
+    pub(super) fn request_state(&mut self, now: Duration, out: &mut Vec<Output>) {
+        let Some(recovery) = &self.recovery else {
+            return;
+        };
+        let pending_sources = recovery.pending_sources();
+        let (incarnation, count) = (recovery.incarnation, self.kept);
         for name in pending_sources {
             if !self.transfers.contains_key(&name) {
                 self.sessions += 1;
@@ -135,11 +137,13 @@
         (incarnation, count): (u64, u64),
         out: &mut Vec<Output>,
     ) {
-        let later = self.note(from, incarnation, count, out);
-        let Some(memory) = &self.memory else { return };
+        let later = self.note_incarnation(from, incarnation, count, out);
+        let Some(recovery) = &self.recovery else {
+            return;
+        };
         let (mut items, mut bytes, mut looked) = (Vec::<(RegisterKey, &Acceptor)>::new(), 0, 0);
         let (mut up_to, mut end) = (after, true);
-        for (key, acceptor) in self.store.after(after) {
+        for (key, acceptor) in self.store.iter_after(after) {
             if looked >= MAX_SCANNED_REGISTERS
                 || bytes + acceptor.bytes() + REGISTER_OVERHEAD_BYTES > MAX_CHUNK_BYTES
             {
@@ -159,9 +163,9 @@
             session,
             after,
             up_to: up_to.filter(|_| !end),
-            completeness: memory.completeness,
-            missing: memory.missing().iter().copied().collect(),
-            incarnations: memory
+            completeness: recovery.completeness,
+            missing: recovery.missing().iter().copied().collect(),
+            incarnations: recovery
                 .incarnations()
                 .iter()
                 .map(|(name, incarnation)| (*name, *incarnation))
@@ -243,21 +247,21 @@
         incarnations: &[(NameKey, Incarnation)],
         out: &mut Vec<Output>,
     ) -> bool {
-        let Some(memory) = &mut self.memory else {
+        let Some(recovery) = &mut self.recovery else {
             return true;
         };
         let own = incarnations
             .iter()
             .find(|(name, _)| *name == self.own.name)
             .map(|(_, incarnation)| *incarnation);
-        let contradicted = own.is_some_and(|known| memory.contradicted(known));
+        let contradicted = own.is_some_and(|known| recovery.contradicted(known));
         if contradicted {
-            if memory.completeness == Completeness::Fresh {
+            if recovery.completeness == Completeness::Fresh {
                 out.push(Output::Event(Event::DiskErased { by }));
-                memory.lose(memory.incarnation);
-            } else if self.own.start > memory.incarnation {
+                recovery.lose(recovery.incarnation);
+            } else if self.own.start > recovery.incarnation {
                 out.push(Output::Event(Event::OlderDisk { by }));
-                memory.lose(self.own.start);
+                recovery.lose(self.own.start);
                 self.store.clear();
                 self.unsynced.clear();
                 self.pending_writes
@@ -273,7 +277,7 @@
             return true;
         }
         for (name, incarnation) in incarnations {
-            if memory.note(*name, *incarnation).1 {
+            if recovery.note_incarnation(*name, *incarnation).1 {
                 out.push(Output::Event(Event::ReplicaLost(*name)));
             }
         }
@@ -294,13 +298,13 @@
         }
         match self
             .store
-            .change(now, key, acceptor.bytes(), |held| held.learn(acceptor))
+            .update(now, key, acceptor.bytes(), |held| held.learn(acceptor))
         {
             Err(_) => return false,
             Ok(false) if !self.unsynced.contains_key(&key) => return true,
             Ok(changed) => {
                 self.fetched += u64::from(changed);
-                self.memory
+                self.recovery
                     .iter_mut()
                     .for_each(|m| m.count += u64::from(changed));
             }
@@ -318,7 +322,7 @@
                     .into_iter()
                     .for_each(|f| f.waiting += 1);
             }
-            false => self.kept = self.memory.as_ref().map_or(0, |m| m.count),
+            false => self.kept = self.recovery.as_ref().map_or(0, |m| m.count),
         }
         true
     }
@@ -353,17 +357,17 @@
         };
         let failed = fetch.failed;
         self.transfers.remove(&name);
-        let Some(memory) = self.memory.as_mut() else {
+        let Some(recovery) = self.recovery.as_mut() else {
             return;
         };
-        let before = memory.completeness;
+        let before = recovery.completeness;
         if !failed {
-            memory.fetched(name, source);
+            recovery.fetched(name, source);
         }
-        let changed = memory.completeness != before;
+        let changed = recovery.completeness != before;
         // Whoever is still wanted is asked again in a while, not at once.
         for name in self
-            .memory
+            .recovery
             .iter()
             .flat_map(RecoveryState::pending_sources)
             .collect::<Vec<_>>()
@@ -383,13 +387,13 @@
     }
 
     pub(super) fn check_caught_up(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let Some(memory) = self.memory.as_ref().filter(|_| !self.caught_up) else {
+        let Some(recovery) = self.recovery.as_ref().filter(|_| !self.caught_up) else {
             return;
         };
-        let waited = memory.completeness == Completeness::Complete
+        let waited = recovery.completeness == Completeness::Complete
             && now >= self.opened + CATCH_UP_GRACE
-            && memory.heard() > 0;
-        if memory.missing().is_empty() || waited {
+            && recovery.source_count() > 0;
+        if recovery.missing().is_empty() || waited {
             self.caught_up = true;
             let (registers, fetched) = (self.store.len(), self.fetched);
             out.push(Output::Event(Event::CaughtUp { registers, fetched }));
--- a/crates/replicated-register/src/store.rs
+++ b/crates/replicated-register/src/store.rs
@@ -22,9 +22,9 @@
 pub struct RegisterStore {
     replicas: BTreeMap<RegisterKey, Acceptor>,
     bytes: usize,
-    ends: BTreeMap<RegisterKey, Duration>,
+    expiries: BTreeMap<RegisterKey, Duration>,
     /// The first of the ends.
-    next_end: Option<Duration>,
+    next_expiry: Option<Duration>,
 }
 
 impl RegisterStore {
@@ -37,7 +37,7 @@
     }
 
     /// All after a key, in order.
-    pub fn after(
+    pub fn iter_after(
         &self,
         key: Option<RegisterKey>,
     ) -> impl Iterator<Item = (&RegisterKey, &Acceptor)> {
@@ -51,7 +51,7 @@
     }
 
     /// Changes one, or begins one, where there is room for a value of so many bytes.
-    pub fn change<T>(
+    pub fn update<T>(
         &mut self,
         now: Duration,
         key: RegisterKey,
@@ -77,7 +77,7 @@
             }
             // A promise has to be remembered for as long as what it forbids may be under way.
             _ => Some(
-                self.ends
+                self.expiries
                     .get(&key)
                     .copied()
                     .unwrap_or_default()
@@ -85,15 +85,15 @@
             ),
         };
         match lasts {
-            None => drop(self.ends.remove(&key)),
-            Some(end) => self.end(key, end),
+            None => drop(self.expiries.remove(&key)),
+            Some(end) => self.set_expiry(key, end),
         }
         Ok(done)
     }
 
-    fn end(&mut self, key: RegisterKey, at: Duration) {
-        self.ends.insert(key, at);
-        self.next_end = Some(self.next_end.map_or(at, |next| next.min(at)));
+    fn set_expiry(&mut self, key: RegisterKey, at: Duration) {
+        self.expiries.insert(key, at);
+        self.next_expiry = Some(self.next_expiry.map_or(at, |next| next.min(at)));
     }
 
     pub fn prepare(
@@ -102,7 +102,7 @@
         key: RegisterKey,
         ballot: Ballot,
     ) -> Result<Result<bool, Ballot>, CapacityError> {
-        self.change(now, key, 0, |acceptor| acceptor.prepare(ballot))
+        self.update(now, key, 0, |acceptor| acceptor.prepare(ballot))
     }
 
     pub fn accept(
@@ -113,104 +113,44 @@
         state: &State,
     ) -> Result<Result<bool, Ballot>, CapacityError> {
         let bytes = state.body.as_ref().map_or(0, Vec::len);
-        self.change(now, key, bytes, |acceptor| acceptor.accept(ballot, state))
+        self.update(now, key, bytes, |acceptor| acceptor.accept(ballot, state))
     }
 
     /// All copies hold this gap.
-    pub fn gone(&mut self, now: Duration, key: RegisterKey, version: Version) {
+    pub fn settle_tombstone(&mut self, now: Duration, key: RegisterKey, version: Version) {
         let state = self
             .replicas
             .get(&key)
             .and_then(|acceptor| acceptor.accepted.as_ref())
             .map(|a| &a.state);
         if state.is_some_and(|s| s.body.is_none() && s.version == version) {
-            self.end(key, now + TOMBSTONE_RETENTION);
+            self.set_expiry(key, now + TOMBSTONE_RETENTION);
         }
     }
 
-    pub fn next_end(&self) -> Option<Duration> {
-        self.next_end
+    pub fn next_expiry(&self) -> Option<Duration> {
+        self.next_expiry
     }
 
     /// Forgets what has ended; those are gone from the disk too then.
     pub fn expire(&mut self, now: Duration) -> Vec<RegisterKey> {
-        if self.next_end.is_none_or(|at| now < at) {
+        if self.next_expiry.is_none_or(|at| now < at) {
             return vec![];
         }
         let ended: Vec<RegisterKey> = self
-            .ends
+            .expiries
             .iter()
             .filter(|(_, at)| **at <= now)
             .map(|(k, _)| *k)
             .collect();
         for key in &ended {
-            self.ends.remove(key);
+            self.expiries.remove(key);
             self.replicas.remove(key);
         }
-        self.next_end = self.ends.values().min().copied();
+        self.next_expiry = self.expiries.values().min().copied();
         ended
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use bitternlatch_membership::NameKey;
-
-    #[test]
-    fn room_is_bounded_gaps_end_and_values_stay() {
-        let (mut store, now) = (RegisterStore::default(), Duration::ZERO);
-        let ballot = Ballot {
-            round: 1,
-            by: NameKey(1),
-            start: 1,
-        };
-        let version = Version {
-            epoch: 1,
-            count: 1,
-            writer: NameKey(1),
-            start: 1,
-        };
-        let state = |body| State {
-            version,
-            before: None,
-            body,
-        };
-        let key = |i: usize| RegisterKey((i as u128).to_le_bytes());
-        for i in 0..MAX_REGISTERS {
-            assert!(matches!(store.prepare(now, key(i), ballot), Ok(Ok(true))));
-        }
-        assert!(store.prepare(now, key(MAX_REGISTERS), ballot).is_err());
-        let long = MAX_STORED_BYTES / crate::MAX_VALUE_BYTES;
-        for i in 0..long {
-            assert!(store
-                .accept(
-                    now,
-                    key(i),
-                    ballot,
-                    &state(Some(vec![0; crate::MAX_VALUE_BYTES]))
-                )
-                .is_ok());
-        }
-        assert!(store
-            .accept(
-                now,
-                key(long),
-                ballot,
-                &state(Some(vec![0; crate::MAX_VALUE_BYTES]))
-            )
-            .is_err());
-        assert!(matches!(
-            store.accept(now, key(long), ballot, &state(None)),
-            Ok(Ok(true))
-        ));
-        assert_eq!(
-            store.expire(TOMBSTONE_RETENTION).len(),
-            MAX_REGISTERS - long - 1
-        );
-        store.gone(now, key(long), version);
-        store.gone(now, key(0), version);
-        assert_eq!(store.expire(TOMBSTONE_RETENTION), vec![key(long)]);
-        assert_eq!((store.len(), store.next_end()), (long, None));
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/replicated-register/src/store/tests.rs
@@ -0,0 +1,59 @@
+use super::*;
+use bitternlatch_membership::NameKey;
+
+#[test]
+fn room_is_bounded_gaps_end_and_values_stay() {
+    let (mut store, now) = (RegisterStore::default(), Duration::ZERO);
+    let ballot = Ballot {
+        round: 1,
+        proposer: NameKey(1),
+        start: 1,
+    };
+    let version = Version {
+        epoch: 1,
+        count: 1,
+        writer: NameKey(1),
+        start: 1,
+    };
+    let state = |body| State {
+        version,
+        before: None,
+        body,
+    };
+    let key = |i: usize| RegisterKey((i as u128).to_le_bytes());
+    for i in 0..MAX_REGISTERS {
+        assert!(matches!(store.prepare(now, key(i), ballot), Ok(Ok(true))));
+    }
+    assert!(store.prepare(now, key(MAX_REGISTERS), ballot).is_err());
+    let long = MAX_STORED_BYTES / crate::MAX_VALUE_BYTES;
+    for i in 0..long {
+        assert!(store
+            .accept(
+                now,
+                key(i),
+                ballot,
+                &state(Some(vec![0; crate::MAX_VALUE_BYTES]))
+            )
+            .is_ok());
+    }
+    assert!(store
+        .accept(
+            now,
+            key(long),
+            ballot,
+            &state(Some(vec![0; crate::MAX_VALUE_BYTES]))
+        )
+        .is_err());
+    assert!(matches!(
+        store.accept(now, key(long), ballot, &state(None)),
+        Ok(Ok(true))
+    ));
+    assert_eq!(
+        store.expire(TOMBSTONE_RETENTION).len(),
+        MAX_REGISTERS - long - 1
+    );
+    store.settle_tombstone(now, key(long), version);
+    store.settle_tombstone(now, key(0), version);
+    assert_eq!(store.expire(TOMBSTONE_RETENTION), vec![key(long)]);
+    assert_eq!((store.len(), store.next_expiry()), (long, None));
+}
