--- a/crates/replicated-register/src/disk_records.rs
+++ b/crates/replicated-register/src/disk_records.rs
@@ -1,5 +1,5 @@
-//! What a copy keeps on disk: one record a register, and one about its memory. Each bears a checksum; those of an earlier life are
-//! worth nothing.
+//! Records on disk: one for each register, and one for the replica's metadata. Each has a version and a checksum; records of an
+//! earlier incarnation are of no use.
 
 use std::collections::BTreeMap;
 
@@ -10,109 +10,135 @@
 use crate::recovery::{Completeness, Incarnation};
 use crate::register::{Acceptor, RegisterKey};
 
+/// Version of the encoding: the first byte of each record.
 const RECORD_VERSION: u8 = 1;
-const META: &[u8] = b"m";
-const REGISTER: u8 = b'r';
+/// Name of the metadata's record.
+const METADATA_NAME: &[u8] = b"m";
+/// First byte of the name of a register's record; its key follows.
+const REGISTER_PREFIX: u8 = b'r';
 
+/// What a replica remembers beside its registers.
 #[derive(Serialize, Deserialize)]
 pub struct ReplicaMetadata {
+    /// Number of the current incarnation.
     pub incarnation: u64,
+    /// How much of what it once held it holds.
     pub completeness: Completeness,
+    /// Changes of the current incarnation.
     pub count: u64,
+    /// The latest known incarnation of each other member.
     pub incarnations: BTreeMap<NameKey, Incarnation>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Record {
+struct RegisterRecord {
     incarnation: u64,
     count: u64,
     acceptor: Acceptor,
 }
 
-/// What was found.
+/// A record as it is stored.
+pub struct DiskRecord {
+    /// Its name.
+    pub name: Vec<u8>,
+    /// Its content.
+    pub bytes: Vec<u8>,
+}
+
+/// What was on disk.
 pub enum StoredState {
-    /// Nothing at all.
+    /// Nothing.
     Empty,
+    /// Something that is not what was written.
     Corrupt,
+    /// All that was written.
     Intact {
-        meta: ReplicaMetadata,
+        /// The metadata; its count of changes is the highest of all records.
+        metadata: ReplicaMetadata,
+        /// The registers of the current incarnation.
         registers: Vec<(RegisterKey, Acceptor)>,
-        /// Names of an earlier life.
+        /// Names of records of an earlier incarnation.
         stale: Vec<Vec<u8>>,
     },
 }
 
-fn write(what: &impl Serialize) -> Vec<u8> {
-    // Plain data cannot fail to be written; an empty record would be found torn.
-    let mut bytes = postcard::to_extend(what, vec![RECORD_VERSION]).unwrap_or_default();
+fn encode(record: &impl Serialize) -> Vec<u8> {
+    // Plain data cannot fail to be encoded; an empty record would be found corrupt.
+    let mut bytes = postcard::to_extend(record, vec![RECORD_VERSION]).unwrap_or_default();
     let sum = crc32fast::hash(&bytes);
     bytes.extend(sum.to_le_bytes());
     bytes
 }
 
-fn read<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
+fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     let (body, sum) = bytes.split_last_chunk::<4>()?;
     let (version, rest) = body.split_first()?;
-    let whole = *version == RECORD_VERSION && crc32fast::hash(body) == u32::from_le_bytes(*sum);
-    whole.then(|| postcard::from_bytes(rest).ok()).flatten()
+    let is_intact = *version == RECORD_VERSION && crc32fast::hash(body) == u32::from_le_bytes(*sum);
+    is_intact.then(|| postcard::from_bytes(rest).ok()).flatten()
 }
 
-pub fn meta(meta: &ReplicaMetadata) -> (Vec<u8>, Vec<u8>) {
-    (META.to_vec(), write(meta))
+/// Record of the metadata.
+pub fn metadata(metadata: &ReplicaMetadata) -> DiskRecord {
+    DiskRecord {
+        name: METADATA_NAME.to_vec(),
+        bytes: encode(metadata),
+    }
 }
 
+/// Name of a register's record.
 pub fn name(key: RegisterKey) -> Vec<u8> {
-    [&[REGISTER][..], &key.0].concat()
+    [&[REGISTER_PREFIX][..], &key.0].concat()
 }
 
-pub fn register(
-    key: RegisterKey,
-    incarnation: u64,
-    count: u64,
-    acceptor: &Acceptor,
-) -> (Vec<u8>, Vec<u8>) {
-    (
-        name(key),
-        write(&Record {
-            incarnation,
-            count,
-            acceptor: acceptor.clone(),
-        }),
-    )
+/// Record of a register, with the incarnation that writes it and its changes so far.
+pub fn register(key: RegisterKey, incarnation: u64, count: u64, acceptor: &Acceptor) -> DiskRecord {
+    let record = RegisterRecord {
+        incarnation,
+        count,
+        acceptor: acceptor.clone(),
+    };
+    DiskRecord {
+        name: name(key),
+        bytes: encode(&record),
+    }
 }
 
+/// The key in the name of a register's record.
+fn key_of(name: &[u8]) -> Option<RegisterKey> {
+    let (prefix, key) = name.split_first()?;
+    let key = <[u8; 16]>::try_from(key).ok()?;
+    (*prefix == REGISTER_PREFIX).then_some(RegisterKey(key))
+}
+
+/// Decodes what was on disk.
 pub fn open(found: Found) -> StoredState {
     if found.is_empty() {
         return StoredState::Empty;
     }
-    let Some(mut meta) = found
-        .iter()
-        .find(|(name, _)| name == META)
-        .and_then(|(_, b)| read::<ReplicaMetadata>(b))
-    else {
-        return StoredState::Corrupt;
-    };
+    open_records(found).unwrap_or(StoredState::Corrupt)
+}
+
+/// None where any record is corrupt.
+fn open_records(found: Found) -> Option<StoredState> {
+    let (_, bytes) = found.iter().find(|(name, _)| name == METADATA_NAME)?;
+    let mut metadata: ReplicaMetadata = decode(bytes)?;
     let (mut registers, mut stale) = (Vec::new(), Vec::new());
-    for (name, bytes) in found.into_iter().filter(|(name, _)| name != META) {
-        let key = name
-            .split_first()
-            .filter(|(completeness, _)| **completeness == REGISTER)
-            .map(|(_, key)| key);
-        let Some(key) = key.and_then(|key| <[u8; 16]>::try_from(key).ok()) else {
-            return StoredState::Corrupt;
-        };
-        match read::<Record>(&bytes) {
-            None => return StoredState::Corrupt,
-            Some(record) if record.incarnation != meta.incarnation => stale.push(name),
-            Some(record) => {
-                meta.count = meta.count.max(record.count);
-                registers.push((RegisterKey(key), record.acceptor));
-            }
+    for (name, bytes) in found {
+        if name == METADATA_NAME {
+            continue;
+        }
+        let key = key_of(&name)?;
+        let record: RegisterRecord = decode(&bytes)?;
+        if record.incarnation != metadata.incarnation {
+            stale.push(name);
+            continue;
         }
+        metadata.count = metadata.count.max(record.count);
+        registers.push((key, record.acceptor));
     }
-    StoredState::Intact {
-        meta,
+    Some(StoredState::Intact {
+        metadata,
         registers,
         stale,
-    }
+    })
 }
--- a/crates/replicated-register/src/golden.rs
+++ b/crates/replicated-register/src/golden.rs
@@ -54,7 +54,7 @@
 fn state() -> State {
     State {
         version: version(12),
-        before: Some(version(11)),
+        replaces: Some(version(11)),
         body: Some(b"value".to_vec()),
     }
 }
@@ -63,7 +63,7 @@
     Accepted {
         ballot: ballot(),
         state: state(),
-        own: true,
+        voted: true,
     }
 }
 
@@ -84,7 +84,7 @@
 
 fn incarnation() -> Incarnation {
     Incarnation {
-        incarnation: 1000,
+        number: 1000,
         count: 200,
         lost: true,
     }
@@ -142,7 +142,7 @@
                 key,
                 ballot,
                 state: State {
-                    before: None,
+                    replaces: None,
                     body: None,
                     ..state()
                 },
@@ -218,15 +218,15 @@
     let messages = messages();
     assert_eq!(fixture.len(), messages.len());
     for (line, (label, message)) in fixture.iter().zip(messages) {
-        assert_eq!(line[..], [label, &hex(&message.write())]);
-        assert_eq!(Message::read(&bytes(line[1])), Ok(message), "{label}");
+        assert_eq!(line[..], [label, &hex(&message.encode())]);
+        assert_eq!(Message::decode(&bytes(line[1])), Ok(message), "{label}");
     }
 }
 
 #[test]
 fn chunks_of_the_fixture_open_to_the_same_registers() {
     for line in lines(MESSAGES) {
-        let Ok(Message::StateChunk(chunk)) = Message::read(&bytes(line[1])) else {
+        let Ok(Message::StateChunk(chunk)) = Message::decode(&bytes(line[1])) else {
             continue;
         };
         let registers = chunk.open().expect("the checksum is right");
@@ -261,9 +261,9 @@
     let mut gap = acceptor();
     gap.promised = None;
     gap.accepted = Some(Accepted {
-        own: false,
+        voted: false,
         state: State {
-            before: None,
+            replaces: None,
             body: None,
             ..state()
         },
@@ -290,7 +290,7 @@
 fn records_are_written_to_disk_as_in_the_fixture() {
     let metas = metas()
         .into_iter()
-        .map(|(label, meta)| (label, disk_records::meta(&meta)));
+        .map(|(label, meta)| (label, disk_records::metadata(&meta)));
     let registers = registers()
         .into_iter()
         .map(|(label, key, incarnation, acceptor)| {
@@ -301,7 +301,7 @@
         });
     let written: Vec<String> = metas
         .chain(registers)
-        .map(|(label, (name, bytes))| format!("{label} {} {}", hex(&name), hex(&bytes)))
+        .map(|(label, record)| format!("{label} {} {}", hex(&record.name), hex(&record.bytes)))
         .collect();
     assert_eq!(written.join("\n"), DISK_RECORDS.trim_end());
 }
@@ -335,23 +335,23 @@
             .map(|record| (record.name.clone(), record.bytes.clone()))
             .collect();
         let StoredState::Intact {
-            meta,
+            metadata,
             registers,
             stale,
         } = disk_records::open(found)
         else {
             panic!("{label}: the fixture is whole");
         };
-        assert_eq!((meta.incarnation, meta.completeness), (1000, completeness));
-        // The register's record tells of one change more than the metadata.
-        assert_eq!(meta.count, 201);
-        assert_eq!(meta.incarnations.len(), 2);
-        assert_eq!(meta.incarnations[&NameKey(8)], Incarnation::default());
-        let known = meta.incarnations[&NameKey(9)];
         assert_eq!(
-            (known.incarnation, known.count, known.lost),
-            (1000, 200, true)
+            (metadata.incarnation, metadata.completeness),
+            (1000, completeness)
         );
+        // The register's record tells of one change more than the metadata.
+        assert_eq!(metadata.count, 201);
+        assert_eq!(metadata.incarnations.len(), 2);
+        assert_eq!(metadata.incarnations[&NameKey(8)], Incarnation::default());
+        let known = metadata.incarnations[&NameKey(9)];
+        assert_eq!((known.number, known.count, known.lost), (1000, 200, true));
         let keys: Vec<RegisterKey> = registers.iter().map(|(key, _)| *key).collect();
         assert_eq!(keys, [KEY, RegisterKey([2; 16]), RegisterKey([3; 16])]);
         assert_eq!(stale, [disk_records::name(RegisterKey([4; 16]))]);
@@ -362,14 +362,14 @@
             (301, NameKey(7), 70_000)
         );
         let taken = held.accepted.as_ref().expect("a value");
-        assert_eq!((taken.ballot, taken.own), (ballot(), true));
+        assert_eq!((taken.ballot, taken.voted), (ballot(), true));
         let value = &taken.state;
         assert_eq!((value.version.epoch, value.version.count), (3, 12));
         assert_eq!(
             (value.version.writer, value.version.start),
             (NameKey(9), 90_000)
         );
-        assert_eq!(value.before, Some(version(11)));
+        assert_eq!(value.replaces, Some(version(11)));
         assert_eq!(value.body.as_deref(), Some(&b"value"[..]));
         assert_eq!(registers[1].1, gap());
         assert_eq!(registers[2].1, Acceptor::default());
--- a/crates/replicated-register/src/message.rs
+++ b/crates/replicated-register/src/message.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other: a version, then the message by postcard.
+//! Messages between replicas: a version byte, then the message by postcard.
 
 use bitternlatch_membership::NameKey;
 use serde::{Deserialize, Serialize};
@@ -7,163 +7,210 @@
 use crate::register::{Accepted, Acceptor, Ballot, RegisterKey, State, Version};
 use crate::RegisterError;
 
-/// Of the messages; another one's are dropped and counted.
+/// Version of the messages; those of another version are dropped and counted.
 pub const MESSAGE_VERSION: u8 = 1;
-/// Rounds and counts beyond it are nonsense: nobody gets there by ones.
+/// Rounds and counts from here on are invalid: no process gets there by counting.
 const MAX_NUMBER: u64 = 1 << 62;
 
-/// Who says it: the life of its memory, and which lives of the key's other copies it knows.
+/// The memory that a response rests on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Provenance {
+    /// The sender's incarnation.
     pub incarnation: u64,
+    /// Its changes that are durable.
     pub count: u64,
+    /// Incarnations that it knows of the register's other replicas.
     pub incarnations: Vec<(NameKey, u64)>,
 }
 
-/// Why a copy does not do it.
+/// Why a replica rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RejectReason {
+    /// It has promised this higher ballot.
     HigherBallot(Ballot),
+    /// It does not count for the register yet.
     CatchingUp,
+    /// A majority of the replicas has lost the register.
     Lost,
+    /// It holds too many registers or bytes.
     Full,
+    /// Its disk is full.
     DiskFull,
+    /// Its disk fails.
     DiskFault,
 }
 
-/// One fetching of all that another copy holds, by the asker's start and a number of its own.
+impl RejectReason {
+    /// Whether the same request will be rejected again soon.
+    pub fn is_permanent(&self) -> bool {
+        match self {
+            RejectReason::Lost
+            | RejectReason::Full
+            | RejectReason::DiskFull
+            | RejectReason::DiskFault => true,
+            RejectReason::HigherBallot(_) | RejectReason::CatchingUp => false,
+        }
+    }
+}
+
+/// Identifies one transfer of all that another replica holds, by the receiver's process and a number of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferSession {
+    /// Start number of the receiver's process.
     pub start: u64,
+    /// Number of the transfer at that process.
     pub number: u64,
 }
 
+/// A part of what a replica holds, in the order of keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateChunk {
+    /// The transfer.
     pub session: TransferSession,
-    /// What was asked for: all after this key.
+    /// The request: registers after this key.
     pub after: Option<RegisterKey>,
-    /// Looked through up to there; none at the end.
+    /// The last key that was looked at; none at the end.
     pub up_to: Option<RegisterKey>,
+    /// How much of what it once held the sender holds.
     pub completeness: Completeness,
-    /// Whom the teller itself has not caught up with.
+    /// Members that the sender has not caught up with.
     pub missing: Vec<NameKey>,
+    /// Incarnations that the sender knows.
     pub incarnations: Vec<(NameKey, Incarnation)>,
-    /// Pairs of key and copy, by postcard.
+    /// Pairs of key and acceptor, by postcard.
     pub items: Vec<u8>,
-    /// CRC-32 over the items.
+    /// CRC-32 of the items.
     pub sum: u32,
 }
 
+/// A message from one replica to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Tell what you took; promise nothing.
+    /// Asks for what was accepted, without a promise.
     Read {
+        /// The register.
         key: RegisterKey,
+        /// Identifies the request.
         ballot: Ballot,
     },
+    /// Asks for a promise to accept nothing below the ballot.
     Prepare {
+        /// The register.
         key: RegisterKey,
+        /// The ballot.
         ballot: Ballot,
     },
+    /// Asks to accept a state.
     Accept {
+        /// The register.
         key: RegisterKey,
+        /// The ballot.
         ballot: Ballot,
+        /// The state.
         state: State,
     },
-    /// Answers `Read` and `Prepare`.
+    /// Answers [`Message::Read`] and [`Message::Prepare`].
     Promise {
+        /// The register.
         key: RegisterKey,
+        /// The request's ballot.
         ballot: Ballot,
+        /// What the answer rests on.
         provenance: Provenance,
+        /// What the replica has accepted last.
         accepted: Option<Accepted>,
     },
+    /// Answers [`Message::Accept`].
     Accepted {
+        /// The register.
         key: RegisterKey,
+        /// The request's ballot.
         ballot: Ballot,
+        /// What the answer rests on.
         provenance: Provenance,
     },
+    /// Answers a request that the replica does not do.
     Rejected {
+        /// The register.
         key: RegisterKey,
+        /// The request's ballot.
         ballot: Ballot,
+        /// Why not.
         reason: RejectReason,
     },
-    /// All copies hold this gap.
+    /// All replicas hold this tombstone.
     Forget {
+        /// The register.
         key: RegisterKey,
+        /// The tombstone's version.
         version: Version,
     },
-    /// Tell what you hold of registers of which I hold copies.
+    /// Asks for the registers that both members hold.
     FetchState {
+        /// The transfer.
         session: TransferSession,
+        /// The sender's incarnation.
         incarnation: u64,
+        /// Its changes that are durable.
         count: u64,
+        /// Registers after this key.
         after: Option<RegisterKey>,
     },
+    /// Answers [`Message::FetchState`].
     StateChunk(Box<StateChunk>),
-    /// How far my memory goes, for others to remember.
+    /// Reports the sender's memory, for others to remember.
     Heartbeat {
+        /// Its incarnation.
         incarnation: u64,
+        /// Its changes that are durable.
         count: u64,
     },
 }
 
 impl Message {
-    pub fn write(&self) -> Vec<u8> {
-        // A message of plain data cannot fail to be written; an empty frame would be dropped by whoever reads it.
+    /// As a frame carries it.
+    pub fn encode(&self) -> Vec<u8> {
+        // A message of plain data cannot fail to be encoded; an empty frame would be dropped by its receiver.
         postcard::to_extend(self, vec![MESSAGE_VERSION]).unwrap_or_default()
     }
 
+    /// Decodes a frame.
+    ///
     /// # Errors
-    /// Where it is of another version, or none of these.
-    pub fn read(bytes: &[u8]) -> Result<Message, RegisterError> {
+    /// [`RegisterError::UnsupportedVersion`], or [`RegisterError::Malformed`] where it is no valid message.
+    pub fn decode(bytes: &[u8]) -> Result<Message, RegisterError> {
         match bytes.split_first() {
             Some((&MESSAGE_VERSION, rest)) => {
                 let message: Message =
                     postcard::from_bytes(rest).map_err(|_| RegisterError::Malformed)?;
-                message
-                    .sound()
-                    .then_some(message)
-                    .ok_or(RegisterError::Malformed)
+                match message.is_valid() {
+                    true => Ok(message),
+                    false => Err(RegisterError::Malformed),
+                }
             }
             Some((&version, _)) => Err(RegisterError::UnsupportedVersion(version)),
             None => Err(RegisterError::Malformed),
         }
     }
 
-    fn sound(&self) -> bool {
-        let ballot = |b: &Ballot| b.round < MAX_NUMBER;
-        let state = |s: &State| {
-            s.version.count < MAX_NUMBER
-                && s.body
-                    .as_ref()
-                    .is_none_or(|b| b.len() <= crate::MAX_VALUE_BYTES)
-        };
+    /// Whether numbers and values are within their bounds.
+    fn is_valid(&self) -> bool {
         match self {
-            Message::Read { ballot: b, .. }
-            | Message::Prepare { ballot: b, .. }
-            | Message::Accepted { ballot: b, .. } => ballot(b),
-            Message::Accept {
-                ballot: b,
-                state: s,
-                ..
-            } => ballot(b) && state(s),
-            Message::Promise {
-                ballot: b,
-                accepted,
-                ..
-            } => {
-                ballot(b)
-                    && accepted
-                        .as_ref()
-                        .is_none_or(|a| ballot(&a.ballot) && state(&a.state))
+            Message::Read { ballot, .. }
+            | Message::Prepare { ballot, .. }
+            | Message::Accepted { ballot, .. } => is_valid_ballot(ballot),
+            Message::Accept { ballot, state, .. } => {
+                is_valid_ballot(ballot) && is_valid_state(state)
             }
+            Message::Promise {
+                ballot, accepted, ..
+            } => is_valid_ballot(ballot) && accepted.as_ref().is_none_or(is_valid_accepted),
             Message::Rejected {
-                ballot: b,
-                reason: RejectReason::HigherBallot(p),
+                ballot,
+                reason: RejectReason::HigherBallot(promised),
                 ..
-            } => ballot(b) && ballot(p),
-            Message::Rejected { ballot: b, .. } => ballot(b),
+            } => is_valid_ballot(ballot) && is_valid_ballot(promised),
+            Message::Rejected { ballot, .. } => is_valid_ballot(ballot),
             Message::Forget { .. }
             | Message::FetchState { .. }
             | Message::StateChunk(_)
@@ -172,8 +219,21 @@
     }
 }
 
+fn is_valid_ballot(ballot: &Ballot) -> bool {
+    ballot.round < MAX_NUMBER
+}
+
+fn is_valid_state(state: &State) -> bool {
+    let is_short = |body: &Vec<u8>| body.len() <= crate::MAX_VALUE_BYTES;
+    state.version.count < MAX_NUMBER && state.body.as_ref().is_none_or(is_short)
+}
+
+fn is_valid_accepted(accepted: &Accepted) -> bool {
+    is_valid_ballot(&accepted.ballot) && is_valid_state(&accepted.state)
+}
+
 impl StateChunk {
-    /// What it holds, if that arrived whole.
+    /// The registers in it; none where the checksum is wrong.
     pub fn open(&self) -> Option<Vec<(RegisterKey, Acceptor)>> {
         if crc32fast::hash(&self.items) != self.sum {
             return None;
--- a/crates/replicated-register/src/message/tests.rs
+++ b/crates/replicated-register/src/message/tests.rs
@@ -21,7 +21,7 @@
         };
         State {
             version,
-            before: (count % 2 == 0).then_some(version),
+            replaces: (count % 2 == 0).then_some(version),
             body,
         }
     })
@@ -50,7 +50,7 @@
                     accepted: Some(Accepted {
                         ballot,
                         state,
-                        own: true,
+                        voted: true,
                     }),
                 },
                 3 => Message::Accepted {
@@ -82,7 +82,7 @@
                     incarnations: vec![(
                         ballot.proposer,
                         Incarnation {
-                            incarnation: n,
+                            number: n,
                             count: n,
                             lost: true,
                         },
@@ -98,16 +98,16 @@
 proptest! {
     #[test]
     fn what_is_written_is_read_and_no_bytes_do_harm(message in message(), cut in 0usize..400, flip in any::<u8>()) {
-        let bytes = message.write();
-        prop_assert_eq!(Message::read(&bytes), Ok(message));
+        let bytes = message.encode();
+        prop_assert_eq!(Message::decode(&bytes), Ok(message));
         let mut broken = bytes.clone();
         let at = cut % bytes.len();
         broken[at] ^= flip | 1;
         if at == 0 {
-            prop_assert_eq!(Message::read(&broken), Err(RegisterError::UnsupportedVersion(broken[0])));
-        } else if let Ok(Message::StateChunk(chunk)) = Message::read(&broken) {
+            prop_assert_eq!(Message::decode(&broken), Err(RegisterError::UnsupportedVersion(broken[0])));
+        } else if let Ok(Message::StateChunk(chunk)) = Message::decode(&broken) {
             prop_assert!(chunk.open().is_none());
         }
-        let _ = Message::read(&bytes[..at]);
+        let _ = Message::decode(&bytes[..at]);
     }
 }
--- a/crates/replicated-register/src/model.rs
+++ b/crates/replicated-register/src/model.rs
@@ -8,8 +8,9 @@
 use bitternlatch_quota_lease::Process;
 use stateright::{Checker, Model, Property};
 
+use crate::ids::IdAllocator;
 use crate::message::{Message, Provenance, RejectReason};
-use crate::proposal::{IdAllocator, LeaderBallot, NextStep, Operation, Outcome, Proposal};
+use crate::proposal::{LeaderBallot, NextStep, Operation, Outcome, Proposal, Write};
 use crate::register::{Acceptor, RegisterKey};
 use crate::{Call, RegisterError, Version};
 
@@ -76,7 +77,7 @@
         let Some((message, to)) = proposal.message() else {
             return;
         };
-        let message = message.write();
+        let message = message.encode();
         state.way.extend(
             to.iter()
                 .map(|name| (10 + w as u32, name.0, message.clone())),
@@ -163,7 +164,7 @@
                 provenance,
                 accepted,
                 ..
-            } => proposal.on_promised(from, ballot, provenance, accepted, &mut writer.ids),
+            } => proposal.on_promise(from, ballot, provenance, accepted, &mut writer.ids),
             Message::Accepted {
                 ballot, provenance, ..
             } => proposal.on_accepted(from, ballot, provenance, &mut writer.ids),
@@ -240,11 +241,11 @@
                 state.floor[w] = latest;
                 let writer = &mut state.writers[w];
                 writer.begun += 1;
-                let ask = Operation::Write {
+                let ask = Operation::Write(Write {
                     expected: writer.expected,
                     epoch: 1,
                     body: Some(vec![w as u8, writer.begun as u8]),
-                };
+                });
                 let replicas = (0..COPIES).map(NameKey).collect();
                 let mut proposal = Proposal::new(
                     Call(writer.begun as u64),
@@ -254,24 +255,24 @@
                     ask,
                     &mut writer.ids,
                 );
-                proposal.begin(writer.leader_ballot.take(), &mut writer.ids);
+                proposal.start(writer.leader_ballot.take(), &mut writer.ids);
                 writer.proposal = Some(proposal);
                 self.send(&mut state, w);
             }
             Act::Again(w) => {
                 let writer = &mut state.writers[w];
                 let proposal = writer.proposal.as_mut()?;
-                proposal.wait(Duration::ZERO);
-                proposal.begin(None, &mut writer.ids);
+                proposal.back_off(Duration::ZERO);
+                proposal.start(None, &mut writer.ids);
                 self.send(&mut state, w);
             }
             Act::Arrive(from, to, message) => {
-                let message = Message::read(&message).ok()?;
+                let message = Message::decode(&message).ok()?;
                 if to >= 10 {
                     self.at_writer(&mut state, to as usize - 10, NameKey(from), message);
                 } else if let Some(reply) = self.at_copy(&mut state.replicas[to as usize], message)
                 {
-                    state.way.insert((to, from, reply.write()));
+                    state.way.insert((to, from, reply.encode()));
                 }
             }
             Act::Lose(i) => {
--- a/crates/replicated-register/src/placement.rs
+++ b/crates/replicated-register/src/placement.rs
@@ -1,5 +1,5 @@
-//! Who holds copies: rendezvous hashing (Thaler and Ravishankar, 1998) over the roster, so that nothing moves when members come
-//! and go, and all that share a roster agree without a word.
+//! Which members hold a register: rendezvous hashing (Thaler and Ravishankar, 1998) over the roster, so that nothing moves when
+//! members come and go, and all that share a roster agree without messages.
 
 use std::collections::BTreeSet;
 
@@ -7,8 +7,8 @@
 
 use crate::RegisterKey;
 
-/// The members of the roster with the highest scores for this key, the highest first.
-pub fn replicas(roster: &BTreeSet<NameKey>, most: usize, key: RegisterKey) -> Vec<NameKey> {
+/// The members of the roster with the highest scores for this key, the highest first: `count` of them, or all.
+pub fn replicas(roster: &BTreeSet<NameKey>, count: usize, key: RegisterKey) -> Vec<NameKey> {
     let mut scored: Vec<(u64, NameKey)> = roster
         .iter()
         .map(|name| (score(key, *name), *name))
@@ -16,7 +16,7 @@
     scored.sort_unstable_by(|a, b| b.cmp(a));
     scored
         .into_iter()
-        .take(most.max(1))
+        .take(count.max(1))
         .map(|(_, name)| name)
         .collect()
 }
--- a/crates/replicated-register/src/proposal.rs
+++ b/crates/replicated-register/src/proposal.rs
@@ -1,232 +1,275 @@
-//! One call: the rounds of a proposer until a majority of the copies has settled it.
+//! A proposer's work on one call: the rounds of messages until a majority of the replicas has settled it.
 //!
-//! A read looks: where a majority has taken the same ballot, that is what the register holds, and nothing was written for it.
-//! Otherwise, and for a write, the proposer prepares a ballot and, with the promises of a majority, has the value accepted that the
-//! latest one asks for. An answer is given only for what a majority has taken.
+//! A read first collects what the replicas have accepted. Where a majority has accepted the same ballot, that is the value, and
+//! nothing is written. Otherwise, and for a write, the proposer prepares a ballot and, with the promises of a majority, has the
+//! value accepted that the operation derives from the latest one. An outcome is reported only for what a majority has accepted.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
-use bitternlatch_quota_lease::{KeepError, Process};
+use bitternlatch_quota_lease::KeepError;
 
+use crate::ids::IdAllocator;
 use crate::message::{Message, Provenance, RejectReason};
-use crate::recovery::majority;
+use crate::quorum::majority;
 use crate::register::{Accepted, Ballot, RegisterKey, State, Version};
 use crate::{Call, RegisterError};
 
-/// Numbers of one process that are never used twice.
+/// What a caller wants done with a register.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct IdAllocator {
-    name: NameKey,
-    start: u64,
-    round: u64,
-    count: u64,
-}
-
-impl IdAllocator {
-    pub fn new(own: Process) -> IdAllocator {
-        IdAllocator {
-            name: own.name,
-            start: own.start,
-            round: 0,
-            count: 0,
-        }
-    }
-
-    pub fn ballot(&mut self) -> Ballot {
-        self.round += 1;
-        Ballot {
-            round: self.round,
-            proposer: self.name,
-            start: self.start,
-        }
-    }
-
-    /// Another one is that far.
-    pub fn observe(&mut self, ballot: Ballot) {
-        self.round = self.round.max(ballot.round);
-    }
-
-    fn version(&mut self, epoch: u64, expected: Option<Version>) -> Version {
-        self.count = self
-            .count
-            .max(expected.map_or(0, |expected| expected.count))
-            + 1;
-        Version {
-            epoch,
-            count: self.count,
-            writer: self.name,
-            start: self.start,
-        }
-    }
+pub enum Operation {
+    /// Returns the value.
+    Read,
+    /// Replaces the value if its version is the expected one.
+    Write(Write),
 }
 
+/// A compare-and-set.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Operation {
-    Read,
-    /// No body: let go of it.
-    Write {
-        expected: Option<Version>,
-        epoch: u64,
-        body: Option<Vec<u8>>,
-    },
+pub struct Write {
+    /// Version that the register has to have; none for one without a value.
+    pub expected: Option<Version>,
+    /// Epoch of the new version; not below the one of the value that it replaces.
+    pub epoch: u64,
+    /// The new value; none deletes the register.
+    pub body: Option<Vec<u8>>,
 }
 
-/// What is told to who called.
+/// What the caller is answered.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
+    /// Version and value; none where the register holds no value.
     Read(Option<(Version, Vec<u8>)>),
+    /// The version that was written.
     Written(Version),
+    /// The call failed.
     Failed(RegisterError),
 }
 
+/// What the proposer waits for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// Until a moment, as another proposer may be under way.
+    /// Its backoff, as another proposer may be active.
     BackingOff,
+    /// What a majority has accepted.
     Reading,
+    /// Promises of a majority.
     Preparing,
-    Accepting {
-        state: State,
-        answer: Outcome,
-    },
+    /// Acceptance of a state by a majority, and what is answered then.
+    Accepting { state: State, outcome: Outcome },
 }
 
-/// A ballot that a majority has promised to this proposer, and what was taken before it.
+/// A ballot that a majority has promised to this proposer, with the state that precedes it. While nobody else prepares a higher
+/// ballot, the next write takes one round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaderBallot {
+    /// The promised ballot.
     pub ballot: Ballot,
+    /// Version of the state that was accepted last, if any.
     pub latest: Option<Version>,
-    /// It is a gap.
-    pub gap: bool,
+    /// Whether that state is a tombstone.
+    pub tombstone: bool,
+}
+
+impl LeaderBallot {
+    fn new(ballot: Ballot, latest: Option<&State>) -> LeaderBallot {
+        LeaderBallot {
+            ballot,
+            latest: latest.map(|state| state.version),
+            tombstone: latest.is_some_and(|state| state.body.is_none()),
+        }
+    }
+
+    /// Version that callers see.
+    fn visible_version(&self) -> Option<Version> {
+        self.latest.filter(|_| !self.tombstone)
+    }
 }
 
-/// What is to be done next.
+/// What the owner of a proposal has to do next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum NextStep {
+    /// Nothing until the next message or timer.
     Wait,
-    /// Ask the copies that have not answered.
+    /// Send the current message to the replicas that have not responded.
     Send,
-    /// Begin anew with a higher ballot, after a moment.
+    /// Back off, then start again with a higher ballot.
     Restart,
+    /// Answer the caller; keep the leader ballot for the next write, if there is one.
     Done(Outcome, Option<LeaderBallot>),
 }
 
+/// A replica's response to the current ballot.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Response {
+    provenance: Provenance,
+    accepted: Option<Accepted>,
+}
+
+/// What a call has asked replicas to accept. From then on it may be written, whoever answers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct OwnWrite {
+    version: Version,
+    /// Version that it was to replace.
+    base: Option<Version>,
+}
+
+/// A state to have accepted, if any, and the outcome once that, or the latest state, is settled.
+struct Decision {
+    state: Option<State>,
+    outcome: Outcome,
+}
+
+impl Decision {
+    fn write(state: State) -> Decision {
+        let outcome = Outcome::Written(state.version);
+        Decision {
+            state: Some(state),
+            outcome,
+        }
+    }
+
+    fn keep(outcome: Outcome) -> Decision {
+        Decision {
+            state: None,
+            outcome,
+        }
+    }
+
+    fn fail(error: RegisterError) -> Decision {
+        Decision::keep(Outcome::Failed(error))
+    }
+}
+
+/// One call of one register in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposal {
+    /// The caller's number.
     pub call: Call,
+    /// The register.
     pub key: RegisterKey,
+    /// Members that hold the register.
     pub replicas: Vec<NameKey>,
-    pub until: Duration,
-    /// When it asks again, or begins anew.
-    pub at: Duration,
+    /// When the caller is answered at the latest.
+    pub deadline: Duration,
+    /// When the message is sent again, or the backoff ends.
+    pub resume_at: Duration,
+    /// Times that it was started anew.
     pub attempts: u32,
     operation: Operation,
     ballot: Ballot,
     phase: Phase,
-    answers: BTreeMap<NameKey, (Provenance, Option<Accepted>)>,
-    rejected: BTreeMap<NameKey, RejectReason>,
-    /// The last refusal that was not for another proposer.
-    reason: Option<RejectReason>,
-    /// What this call has asked copies to take, and what that was to replace.
-    own_version: Option<Version>,
-    base: Option<Version>,
+    responses: BTreeMap<NameKey, Response>,
+    rejections: BTreeMap<NameKey, RejectReason>,
+    /// The last rejection for another reason than a competing proposer.
+    failure_reason: Option<RejectReason>,
+    own_write: Option<OwnWrite>,
 }
 
 impl Proposal {
+    /// A proposal that has not been started.
     pub fn new(
         call: Call,
         key: RegisterKey,
         replicas: Vec<NameKey>,
-        until: Duration,
+        deadline: Duration,
         operation: Operation,
         ids: &mut IdAllocator,
     ) -> Proposal {
-        let (answers, rejected) = (BTreeMap::new(), BTreeMap::new());
-        let (ballot, phase) = (ids.ballot(), Phase::BackingOff);
-        let at = Duration::ZERO;
         Proposal {
             call,
             key,
             replicas,
-            until,
-            at,
+            deadline,
+            resume_at: Duration::ZERO,
             attempts: 0,
             operation,
-            ballot,
-            phase,
-            answers,
-            rejected,
-            reason: None,
-            own_version: None,
-            base: None,
+            ballot: ids.ballot(),
+            phase: Phase::BackingOff,
+            responses: BTreeMap::new(),
+            rejections: BTreeMap::new(),
+            failure_reason: None,
+            own_write: None,
         }
     }
 
+    /// Whether the operation is a read.
     pub fn is_read(&self) -> bool {
         self.operation == Operation::Read
     }
 
-    /// The gap that it makes, once that is settled.
-    pub fn gap(&self) -> Option<(Ballot, State)> {
+    /// Whether it would read without a ballot of its own, so that a leader ballot is of no use to it.
+    pub fn starts_by_reading(&self) -> bool {
+        self.is_read() && self.attempts == 0
+    }
+
+    /// When its timer is due: at the next send or the end of the backoff, or at the deadline.
+    pub fn timer(&self) -> Duration {
+        self.resume_at.min(self.deadline)
+    }
+
+    /// The tombstone that this proposal had accepted, once its write is settled.
+    pub fn accepted_tombstone(&self) -> Option<(Ballot, State)> {
         match &self.phase {
             Phase::Accepting {
                 state,
-                answer: Outcome::Written(_),
+                outcome: Outcome::Written(_),
             } if state.body.is_none() => Some((self.ballot, state.clone())),
             _ => None,
         }
     }
 
-    /// Who has done what it says.
+    /// Replicas that have responded to the current message.
     pub fn responders(&self) -> impl Iterator<Item = &NameKey> {
-        self.answers.keys()
+        self.responses.keys()
     }
 
-    /// Begins: in one round where it has the lead and that fits.
-    pub fn begin(&mut self, leader_ballot: Option<LeaderBallot>, ids: &mut IdAllocator) {
-        let (answers, rejected) = (BTreeMap::new(), BTreeMap::new());
-        (self.answers, self.rejected) = (answers, rejected);
-        if self.is_read() && self.attempts == 0 {
-            (self.ballot, self.phase) = (ids.ballot(), Phase::Reading);
+    /// Starts, or starts anew: with one round where a leader ballot fits the operation.
+    pub fn start(&mut self, leader: Option<LeaderBallot>, ids: &mut IdAllocator) {
+        self.responses.clear();
+        self.rejections.clear();
+        if self.starts_by_reading() {
+            self.ballot = ids.ballot();
+            self.phase = Phase::Reading;
             return;
         }
-        if let (
-            Operation::Write {
-                expected,
-                epoch,
-                body,
-            },
-            Some(leader_ballot),
-            None,
-        ) = (&self.operation, leader_ballot, self.own_version)
-        {
-            let visible_version = leader_ballot.latest.filter(|_| !leader_ballot.gap);
-            if *expected == visible_version
-                && leader_ballot
-                    .latest
-                    .is_none_or(|latest| latest.epoch <= *epoch)
-            {
-                let version = ids.version(*epoch, leader_ballot.latest);
-                let state = State {
-                    version,
-                    before: leader_ballot.latest,
-                    body: body.clone(),
-                };
-                (self.own_version, self.base, self.ballot) =
-                    (Some(version), leader_ballot.latest, leader_ballot.ballot);
-                self.phase = Phase::Accepting {
-                    state,
-                    answer: Outcome::Written(version),
-                };
-                return;
-            }
+        if !leader.is_some_and(|leader| self.start_as_leader(leader, ids)) {
+            self.ballot = ids.ballot();
+            self.phase = Phase::Preparing;
         }
-        (self.ballot, self.phase) = (ids.ballot(), Phase::Preparing);
     }
 
-    /// What to say, and to whom.
+    /// Skips the first round under a ballot that is promised already; returns whether the operation allows it.
+    fn start_as_leader(&mut self, leader: LeaderBallot, ids: &mut IdAllocator) -> bool {
+        let (Operation::Write(write), None) = (&self.operation, self.own_write) else {
+            return false;
+        };
+        let epoch_allowed = leader
+            .latest
+            .is_none_or(|latest| latest.epoch <= write.epoch);
+        if write.expected != leader.visible_version() || !epoch_allowed {
+            return false;
+        }
+        let version = ids.version(write.epoch, leader.latest);
+        let state = State {
+            version,
+            replaces: leader.latest,
+            body: write.body.clone(),
+        };
+        self.own_write = Some(OwnWrite {
+            version,
+            base: leader.latest,
+        });
+        self.ballot = leader.ballot;
+        self.phase = Phase::Accepting {
+            state,
+            outcome: Outcome::Written(version),
+        };
+        true
+    }
+
+    /// The message of the current phase, and the replicas that have not responded to it.
     pub fn message(&self) -> Option<(Message, Vec<NameKey>)> {
         let (key, ballot) = (self.key, self.ballot);
         let message = match &self.phase {
@@ -239,42 +282,41 @@
                 state: state.clone(),
             },
         };
-        let to = self
+        let receivers = self
             .replicas
             .iter()
             .copied()
-            .filter(|name| !self.answers.contains_key(name))
+            .filter(|name| !self.responses.contains_key(name))
             .collect();
-        Some((message, to))
+        Some((message, receivers))
     }
 
-    /// Whether it does nothing until its time.
+    /// Whether it waits for the end of its backoff.
     pub fn is_backing_off(&self) -> bool {
         self.phase == Phase::BackingOff
     }
 
-    pub fn wait(&mut self, at: Duration) {
-        (self.phase, self.at) = (Phase::BackingOff, at);
+    /// Does nothing until a time.
+    pub fn back_off(&mut self, until: Duration) {
+        self.phase = Phase::BackingOff;
+        self.resume_at = until;
         self.attempts += 1;
     }
 
-    /// Nothing came of it for a while.
-    pub fn stalled(&mut self) -> NextStep {
-        let passed = self
-            .rejected
-            .values()
-            .any(|reason| matches!(reason, RejectReason::HigherBallot(_)));
-        self.rejected.clear();
-        let apart =
-            self.phase == Phase::Reading && self.answers.len() >= majority(self.replicas.len());
-        if passed || apart {
+    /// The replicas did not settle it in time.
+    pub fn on_timeout(&mut self) -> NextStep {
+        let outpaced = self.was_outpaced();
+        self.rejections.clear();
+        let undecided = self.phase == Phase::Reading && self.has_majority();
+        if outpaced || undecided {
             NextStep::Restart
         } else {
             NextStep::Send
         }
     }
 
-    pub fn on_promised(
+    /// A replica has promised the ballot, or reports what it accepted.
+    pub fn on_promise(
         &mut self,
         from: NameKey,
         ballot: Ballot,
@@ -282,54 +324,66 @@
         accepted: Option<Accepted>,
         ids: &mut IdAllocator,
     ) -> NextStep {
-        let looking = self.phase == Phase::Reading;
-        // A late promise says nothing about whether the value was taken, which may go under the same ballot.
-        if !(looking || self.phase == Phase::Preparing)
-            || !self.take(from, ballot, provenance, accepted)
-        {
+        // A late promise says nothing about acceptance, which may go under the same ballot.
+        if !matches!(self.phase, Phase::Reading | Phase::Preparing) {
             return NextStep::Wait;
         }
-        let majority_size = majority(self.replicas.len());
-        let taken = || {
-            self.answers
-                .values()
-                .filter_map(|(_, accepted)| accepted.as_ref())
+        let response = Response {
+            provenance,
+            accepted,
         };
-        // So that the next ballot is not refused.
-        taken().for_each(|a| ids.observe(a.ballot.next()));
-        if self.answers.len() < majority_size {
+        if !self.record_response(from, ballot, response) {
             return NextStep::Wait;
         }
-        let latest = taken().max_by_key(|a| a.ballot).cloned();
-        let same = |a: &&Accepted| a.own && latest.as_ref().is_some_and(|l| l.ballot == a.ballot);
-        let settled = latest.is_none() || taken().filter(same).count() >= majority_size;
-        if looking && !settled {
-            // The third answer may make it a majority; otherwise it has to be settled in rounds.
-            if self.answers.len() + self.rejected.len() < self.replicas.len() {
-                return NextStep::Wait;
-            }
-            self.attempts += 1;
-            self.begin(None, ids);
-            return NextStep::Send;
+        // The next ballot has to be above those that replicas have promised.
+        self.accepted_states()
+            .for_each(|accepted| ids.observe(accepted.ballot.next()));
+        if !self.has_majority() {
+            return NextStep::Wait;
         }
-        let latest = latest.map(|l| l.state);
-        let (state, answer) = match self.decide(latest.as_ref(), ids) {
-            (Some(state), answer) => (state, answer),
-            (None, answer) => match latest.clone().filter(|_| !settled) {
-                Some(state) => (state, answer),
-                None => {
-                    let leader_ballot =
-                        (!looking).then(|| self.leader_ballot(self.ballot, latest.as_ref()));
-                    return NextStep::Done(answer, leader_ballot);
-                }
-            },
+        let latest = self
+            .accepted_states()
+            .max_by_key(|accepted| accepted.ballot)
+            .cloned();
+        let settled = self.is_settled(latest.as_ref());
+        if self.phase == Phase::Reading && !settled {
+            return self.on_undecided_read(ids);
+        }
+        self.on_latest(latest.map(|accepted| accepted.state), settled, ids)
+    }
+
+    /// A majority has responded to a read, and no ballot has a majority.
+    fn on_undecided_read(&mut self, ids: &mut IdAllocator) -> NextStep {
+        // A response that is still to come may make it a majority.
+        if self.responses.len() + self.rejections.len() < self.replicas.len() {
+            return NextStep::Wait;
+        }
+        self.attempts += 1;
+        self.start(None, ids);
+        NextStep::Send
+    }
+
+    /// The latest state is known: proceeds to have the operation's state accepted, or the latest one where that is not settled.
+    fn on_latest(
+        &mut self,
+        latest: Option<State>,
+        settled: bool,
+        ids: &mut IdAllocator,
+    ) -> NextStep {
+        let Decision { state, outcome } = self.decide(latest.as_ref(), ids);
+        let unsettled = latest.clone().filter(|_| !settled);
+        let Some(state) = state.or(unsettled) else {
+            let prepared = self.phase == Phase::Preparing;
+            let leader = prepared.then(|| LeaderBallot::new(self.ballot, latest.as_ref()));
+            return NextStep::Done(outcome, leader);
         };
-        self.phase = Phase::Accepting { state, answer };
-        self.answers.clear();
-        self.rejected.clear();
+        self.phase = Phase::Accepting { state, outcome };
+        self.responses.clear();
+        self.rejections.clear();
         NextStep::Send
     }
 
+    /// A replica has accepted the state.
     pub fn on_accepted(
         &mut self,
         from: NameKey,
@@ -337,22 +391,23 @@
         provenance: Provenance,
         ids: &mut IdAllocator,
     ) -> NextStep {
-        let Phase::Accepting { state, answer } = &self.phase else {
+        let Phase::Accepting { state, outcome } = &self.phase else {
             return NextStep::Wait;
         };
-        let (state, answer) = (state.clone(), answer.clone());
-        if !self.take(from, ballot, provenance, None)
-            || self.answers.len() < majority(self.replicas.len())
-        {
+        let (state, outcome) = (state.clone(), outcome.clone());
+        let response = Response {
+            provenance,
+            accepted: None,
+        };
+        if !self.record_response(from, ballot, response) || !self.has_majority() {
             return NextStep::Wait;
         }
-        ids.observe(self.ballot.next());
-        NextStep::Done(
-            answer,
-            Some(self.leader_ballot(self.ballot.next(), Some(&state))),
-        )
+        let promised = self.ballot.next();
+        ids.observe(promised);
+        NextStep::Done(outcome, Some(LeaderBallot::new(promised, Some(&state))))
     }
 
+    /// A replica has rejected the message.
     pub fn on_rejected(
         &mut self,
         from: NameKey,
@@ -360,47 +415,31 @@
         reason: RejectReason,
         ids: &mut IdAllocator,
     ) -> NextStep {
-        if ballot != self.ballot || self.is_backing_off() || !self.replicas.contains(&from) {
+        if !self.is_current(from, ballot) {
             return NextStep::Wait;
         }
         match reason {
-            RejectReason::HigherBallot(passed) => ids.observe(passed),
-            reason => self.reason = Some(reason),
+            RejectReason::HigherBallot(promised) => ids.observe(promised),
+            reason => self.failure_reason = Some(reason),
         }
-        self.rejected.insert(from, reason);
-        let spare = self.replicas.len() - majority(self.replicas.len());
-        let count = |of: &dyn Fn(&RejectReason) -> bool| {
-            self.rejected.values().filter(|reason| of(reason)).count()
-        };
-        if count(&|reason| *reason == RejectReason::Lost) > spare {
-            return NextStep::Done(
-                Outcome::Failed(self.unless_written(RegisterError::Lost)),
-                None,
-            );
+        self.rejections.insert(from, reason);
+        let dispensable = self.replicas.len() - majority(self.replicas.len());
+        if self.count_rejections(|reason| *reason == RejectReason::Lost) > dispensable {
+            let error = self.unless_written(RegisterError::Lost);
+            return NextStep::Done(Outcome::Failed(error), None);
         }
-        let hard = |reason: &RejectReason| {
-            matches!(
-                reason,
-                RejectReason::Lost
-                    | RejectReason::Full
-                    | RejectReason::DiskFull
-                    | RejectReason::DiskFault
-            )
-        };
-        if count(&hard) > spare {
+        if self.count_rejections(RejectReason::is_permanent) > dispensable {
             return NextStep::Done(Outcome::Failed(self.failure()), None);
         }
-        if self.rejected.len() > spare
-            && count(&|reason| matches!(reason, RejectReason::HigherBallot(_))) > 0
-        {
+        if self.rejections.len() > dispensable && self.was_outpaced() {
             return NextStep::Restart;
         }
         NextStep::Wait
     }
 
-    /// Why it has come to nothing by its end.
+    /// The error of a proposal that has not succeeded by its deadline.
     pub fn failure(&self) -> RegisterError {
-        match self.reason {
+        match self.failure_reason {
             Some(RejectReason::Full) => RegisterError::Full,
             Some(RejectReason::DiskFull) => RegisterError::NotStored(KeepError::Full),
             Some(RejectReason::DiskFault) => {
@@ -412,115 +451,128 @@
         }
     }
 
-    /// An error that says that nothing is written, unless something may be.
+    /// An error that states that nothing is written, replaced where something may be.
     pub fn unless_written(&self, error: RegisterError) -> RegisterError {
-        match self.own_version {
+        match self.own_write {
             None => error,
             Some(_) => RegisterError::TimedOut,
         }
     }
 
-    /// Takes an answer to the ballot under way. What a memory said that has ended since, as another copy knows, counts no more: that
-    /// one may have caught up from a majority before this was taken there.
-    fn take(
-        &mut self,
-        from: NameKey,
-        ballot: Ballot,
-        provenance: Provenance,
-        accepted: Option<Accepted>,
-    ) -> bool {
-        if ballot != self.ballot || self.is_backing_off() || !self.replicas.contains(&from) {
+    fn is_current(&self, from: NameKey, ballot: Ballot) -> bool {
+        ballot == self.ballot && !self.is_backing_off() && self.replicas.contains(&from)
+    }
+
+    fn has_majority(&self) -> bool {
+        self.responses.len() >= majority(self.replicas.len())
+    }
+
+    fn was_outpaced(&self) -> bool {
+        self.count_rejections(|reason| matches!(reason, RejectReason::HigherBallot(_))) > 0
+    }
+
+    fn count_rejections(&self, matches: impl Fn(&RejectReason) -> bool) -> usize {
+        self.rejections
+            .values()
+            .filter(|reason| matches(reason))
+            .count()
+    }
+
+    fn accepted_states(&self) -> impl Iterator<Item = &Accepted> {
+        self.responses
+            .values()
+            .filter_map(|response| response.accepted.as_ref())
+    }
+
+    /// Whether a majority has voted for the latest state, or there is none.
+    fn is_settled(&self, latest: Option<&Accepted>) -> bool {
+        let Some(latest) = latest else {
+            return true;
+        };
+        let votes = self
+            .accepted_states()
+            .filter(|accepted| accepted.voted && accepted.ballot == latest.ballot)
+            .count();
+        votes >= majority(self.replicas.len())
+    }
+
+    /// Records a response to the current ballot; returns false for one to another ballot. Responses of an incarnation that has
+    /// ended since, as another replica knows, are discarded: that replica may have caught up from a majority before this state
+    /// was accepted there.
+    fn record_response(&mut self, from: NameKey, ballot: Ballot, response: Response) -> bool {
+        if !self.is_current(from, ballot) {
             return false;
         }
-        self.rejected.remove(&from);
-        self.answers.insert(from, (provenance, accepted));
-        let incarnations: Vec<(NameKey, u64)> = self
-            .answers
+        self.rejections.remove(&from);
+        self.responses.insert(from, response);
+        let known: Vec<(NameKey, u64)> = self
+            .responses
             .values()
-            .flat_map(|(s, _)| s.incarnations.clone())
+            .flat_map(|response| response.provenance.incarnations.clone())
             .collect();
-        let ended = |name: &NameKey, incarnation: u64| {
-            incarnations
+        let has_ended = |name: &NameKey, incarnation: u64| {
+            known
                 .iter()
-                .any(|(of, known)| of == name && *known > incarnation)
+                .any(|(of, latest)| of == name && *latest > incarnation)
         };
-        self.answers
-            .retain(|name, (provenance, _)| !ended(name, provenance.incarnation));
+        self.responses
+            .retain(|name, response| !has_ended(name, response.provenance.incarnation));
         true
     }
 
-    fn leader_ballot(&self, ballot: Ballot, latest: Option<&State>) -> LeaderBallot {
-        LeaderBallot {
-            ballot,
-            latest: latest.map(|s| s.version),
-            gap: latest.is_some_and(|s| s.body.is_none()),
-        }
-    }
-
-    /// What is to be written on top of the latest, if anything, and the answer once that, or the latest, is settled.
-    fn decide(
-        &mut self,
-        latest: Option<&State>,
-        ids: &mut IdAllocator,
-    ) -> (Option<State>, Outcome) {
-        let failed = |error| (None, Outcome::Failed(error));
-        let Operation::Write {
-            expected,
-            epoch,
-            body,
-        } = &self.operation
-        else {
-            let found = latest.and_then(|s| Some((s.version, s.body.clone()?)));
-            return (None, Outcome::Read(found));
+    /// What the operation makes of the latest state.
+    fn decide(&mut self, latest: Option<&State>, ids: &mut IdAllocator) -> Decision {
+        let Operation::Write(write) = &self.operation else {
+            let found = latest.and_then(|state| Some((state.version, state.body.clone()?)));
+            return Decision::keep(Outcome::Read(found));
         };
-        let (visible_version, version) = (
-            latest.and_then(State::visible_version),
-            latest.map(|s| s.version),
-        );
-        if let Some(own_version) = self.own_version {
-            // It may have been taken, and others may have gone on from it.
-            let before = latest.and_then(|s| s.before);
-            return match version {
-                _ if version == Some(own_version) => (None, Outcome::Written(own_version)),
-                _ if version == self.base => {
-                    let state = State {
-                        version: own_version,
-                        before: version,
-                        body: body.clone(),
-                    };
-                    (Some(state), Outcome::Written(own_version))
-                }
-                _ if before == Some(own_version) => (None, Outcome::Written(own_version)),
-                Some(_) if before == self.base => failed(RegisterError::Conflict {
-                    latest: visible_version,
-                }),
-                _ => failed(RegisterError::TimedOut),
-            };
+        if let Some(own) = self.own_write {
+            return decide_again(own, write, latest);
         }
-        match latest {
-            Some(state) if state.version.epoch > *epoch => {
-                return failed(RegisterError::StaleEpoch {
-                    epoch: state.version.epoch,
-                });
-            }
-            _ if visible_version != *expected => {
-                return failed(RegisterError::Conflict {
-                    latest: visible_version,
-                })
-            }
-            _ => {}
+        let visible = latest.and_then(State::visible_version);
+        let base = latest.map(|state| state.version);
+        if let Some(passed) = base.filter(|base| base.epoch > write.epoch) {
+            return Decision::fail(RegisterError::StaleEpoch {
+                epoch: passed.epoch,
+            });
+        }
+        if visible != write.expected {
+            return Decision::fail(RegisterError::Conflict { latest: visible });
         }
-        let own_version = ids.version(*epoch, version);
-        (self.own_version, self.base) = (Some(own_version), version);
-        (
-            Some(State {
-                version: own_version,
-                before: version,
-                body: body.clone(),
-            }),
-            Outcome::Written(own_version),
-        )
+        let version = ids.version(write.epoch, base);
+        let state = State {
+            version,
+            replaces: base,
+            body: write.body.clone(),
+        };
+        self.own_write = Some(OwnWrite { version, base });
+        Decision::write(state)
+    }
+}
+
+/// What becomes of a write that replicas were asked to accept before: it may have been accepted, and others may have written on
+/// top of it.
+fn decide_again(own: OwnWrite, write: &Write, latest: Option<&State>) -> Decision {
+    let version = latest.map(|state| state.version);
+    let replaces = latest.and_then(|state| state.replaces);
+    if version == Some(own.version) {
+        return Decision::keep(Outcome::Written(own.version));
+    }
+    if version == own.base {
+        return Decision::write(State {
+            version: own.version,
+            replaces: version,
+            body: write.body.clone(),
+        });
+    }
+    if replaces == Some(own.version) {
+        return Decision::keep(Outcome::Written(own.version));
+    }
+    if version.is_some() && replaces == own.base {
+        let latest = latest.and_then(State::visible_version);
+        return Decision::fail(RegisterError::Conflict { latest });
     }
+    Decision::fail(RegisterError::TimedOut)
 }
 
 #[cfg(test)]
--- a/crates/replicated-register/src/proposal/tests.rs
+++ b/crates/replicated-register/src/proposal/tests.rs
@@ -1,3 +1,5 @@
+use bitternlatch_quota_lease::Process;
+
 use super::*;
 
 const ON: Version = Version {
@@ -21,7 +23,7 @@
         operation,
         &mut ids,
     );
-    proposal.begin(None, &mut ids);
+    proposal.start(None, &mut ids);
     (proposal, ids)
 }
 
@@ -33,10 +35,10 @@
     }
 }
 
-fn accepted(round: u64, own: bool) -> Option<Accepted> {
+fn accepted(round: u64, voted: bool) -> Option<Accepted> {
     let state = State {
         version: ON,
-        before: None,
+        replaces: None,
         body: Some(vec![1]),
     };
     Some(Accepted {
@@ -46,7 +48,7 @@
             start: 1,
         },
         state,
-        own,
+        voted,
     })
 }
 
@@ -54,7 +56,7 @@
 fn what_a_copy_has_learnt_is_no_vote_and_is_settled_before_it_is_told() {
     let (mut proposal, mut ids) = proposal(Operation::Read);
     let look = proposal.ballot;
-    let next = proposal.on_promised(
+    let next = proposal.on_promise(
         NameKey(1),
         look,
         provenance(1, 2, 1),
@@ -62,7 +64,7 @@
         &mut ids,
     );
     assert_eq!(next, NextStep::Wait);
-    let next = proposal.on_promised(
+    let next = proposal.on_promise(
         NameKey(2),
         look,
         provenance(1, 1, 1),
@@ -70,20 +72,20 @@
         &mut ids,
     );
     assert_eq!(next, NextStep::Wait);
-    let next = proposal.on_promised(NameKey(3), look, provenance(1, 1, 1), None, &mut ids);
+    let next = proposal.on_promise(NameKey(3), look, provenance(1, 1, 1), None, &mut ids);
     assert_eq!((next, &proposal.phase), (NextStep::Send, &Phase::Preparing));
 }
 
 #[test]
 fn a_vote_of_a_memory_that_has_ended_is_asked_for_again() {
-    let (mut proposal, mut ids) = proposal(Operation::Write {
+    let (mut proposal, mut ids) = proposal(Operation::Write(Write {
         expected: None,
         epoch: 1,
         body: Some(vec![1]),
-    });
+    }));
     let ballot = proposal.ballot;
-    proposal.on_promised(NameKey(1), ballot, provenance(1, 2, 1), None, &mut ids);
-    let next = proposal.on_promised(NameKey(2), ballot, provenance(1, 1, 1), None, &mut ids);
+    proposal.on_promise(NameKey(1), ballot, provenance(1, 2, 1), None, &mut ids);
+    let next = proposal.on_promise(NameKey(2), ballot, provenance(1, 1, 1), None, &mut ids);
     assert_eq!(next, NextStep::Send);
     assert_eq!(
         proposal.on_accepted(NameKey(1), ballot, provenance(1, 2, 1), &mut ids),
--- a/crates/replicated-register/src/recovery.rs
+++ b/crates/replicated-register/src/recovery.rs
@@ -1,84 +1,100 @@
-//! How far a copy's memory can be trusted: which life of it this is, what others know of earlier ones, with whom it has caught up,
-//! and so for which registers it counts.
+//! How far a replica's memory can be trusted, and so for which registers it counts: its incarnation, what others know of earlier
+//! ones, and which members it has caught up with.
 //!
-//! A *life* is one unbroken memory: with a disk it goes on over restarts, without one it ends with the process, and it ends where the
-//! disk is torn or an older one. Others remember the latest life of each and how many changes it has told of, so that one whose
-//! memory is gone or set back is told so, by whoever it asks first.
+//! An *incarnation* is one unbroken memory. With a disk it goes on over restarts, without one it ends with the process; it also ends
+//! where the disk is corrupt or an older one. Other members remember the latest incarnation of each and how many changes it
+//! reported, so that a replica whose memory is gone or set back learns of it from whichever member it asks first.
 
+use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
 use bitternlatch_membership::NameKey;
 use serde::{Deserialize, Serialize};
 
-/// What this memory began with.
+use crate::quorum::majority;
+
+/// How much of what a replica once held it holds. The order goes from the best to the worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Completeness {
-    /// All that this copy was ever told.
+    /// All.
     Complete,
-    /// Nothing, and nobody has said yet that there ever was more.
+    /// Nothing, and no other member has reported yet that there was more.
     Fresh,
-    /// Less than this copy once held.
+    /// Less than all.
     Lost,
 }
 
-/// What is known of another one's memory.
+/// What is known of another member's latest incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Incarnation {
-    pub incarnation: u64,
-    /// Changes that it told of.
+    /// Start number of the process that began it.
+    pub number: u64,
+    /// Changes that it reported.
     pub count: u64,
-    /// It was not the first.
+    /// An earlier one has ended.
     pub lost: bool,
 }
 
 impl Incarnation {
-    /// The later of two words about one member.
+    /// The later of two reports about one member.
     fn join(self, other: Incarnation) -> Incarnation {
-        let (early, late) = if self.incarnation <= other.incarnation {
-            (self, other)
-        } else {
-            (other, self)
+        let (earlier, later) = match self.number <= other.number {
+            true => (self, other),
+            false => (other, self),
         };
-        match early.incarnation == late.incarnation {
-            true => Incarnation {
-                count: early.count.max(late.count),
-                lost: early.lost || late.lost,
-                ..late
-            },
-            // What was cut off may have held more than anybody heard of.
-            false => Incarnation { lost: true, ..late },
+        if earlier.number < later.number {
+            // The earlier one may have held more than was reported.
+            return Incarnation {
+                lost: true,
+                ..later
+            };
+        }
+        Incarnation {
+            number: later.number,
+            count: earlier.count.max(later.count),
+            lost: earlier.lost || later.lost,
         }
     }
 }
 
-/// What another one's memory was like when all that it holds had been fetched from it.
+/// What a report changed.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct IncarnationChange {
+    /// The incarnation is a later one than was known.
+    pub is_later: bool,
+    /// An earlier incarnation that was known has ended.
+    pub is_loss: bool,
+}
+
+/// State of another replica when all that it holds had been fetched from it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Source {
+    /// How much it held itself.
     pub completeness: Completeness,
+    /// Members that it had not caught up with.
     pub missing: BTreeSet<NameKey>,
 }
 
+/// What a replica knows of its own memory and of others'.
 pub struct RecoveryState {
     own: NameKey,
     others: BTreeSet<NameKey>,
+    /// How much of what it once held it holds.
     pub completeness: Completeness,
+    /// Number of the current incarnation.
     pub incarnation: u64,
-    /// Changes so far.
-    pub count: u64,
+    /// Changes of the current incarnation so far.
+    pub changes: u64,
     incarnations: BTreeMap<NameKey, Incarnation>,
-    /// The best that was fetched of each: what was missed is known then, whatever becomes of that one later.
+    /// The best state of each source; what it made known stays known, whatever becomes of the source.
     sources: BTreeMap<NameKey, Source>,
-    /// The latest word of each about its memory.
+    /// The latest state of each source.
     latest: BTreeMap<NameKey, Source>,
     missing: BTreeSet<NameKey>,
 }
 
-/// Of so many copies.
-pub fn majority(replicas: usize) -> usize {
-    replicas / 2 + 1
-}
-
 impl RecoveryState {
+    /// A replica that has not caught up with anybody.
     pub fn new(
         own: NameKey,
         roster: &BTreeSet<NameKey>,
@@ -87,123 +103,131 @@
     ) -> RecoveryState {
         let others: BTreeSet<NameKey> =
             roster.iter().copied().filter(|name| *name != own).collect();
-        let missing = others.clone();
-        let (sources, latest) = (BTreeMap::new(), BTreeMap::new());
         RecoveryState {
             own,
+            missing: others.clone(),
             others,
             completeness,
             incarnation,
-            count: 0,
+            changes: 0,
             incarnations: BTreeMap::new(),
-            sources,
-            latest,
-            missing,
+            sources: BTreeMap::new(),
+            latest: BTreeMap::new(),
         }
     }
 
-    /// From the disk.
-    pub fn with(
-        mut self,
-        count: u64,
-        incarnations: BTreeMap<NameKey, Incarnation>,
-    ) -> RecoveryState {
-        (self.count, self.incarnations) = (count, incarnations);
-        self
+    /// With what was on disk.
+    pub fn with(self, changes: u64, incarnations: BTreeMap<NameKey, Incarnation>) -> RecoveryState {
+        RecoveryState {
+            changes,
+            incarnations,
+            ..self
+        }
     }
 
+    /// The latest known incarnation of each other member.
     pub fn incarnations(&self) -> &BTreeMap<NameKey, Incarnation> {
         &self.incarnations
     }
 
-    /// Which life of that one is the latest known.
+    /// Number of a member's latest known incarnation; 0 where none is known.
     pub fn incarnation_of(&self, name: NameKey) -> u64 {
         self.incarnations
             .get(&name)
-            .map_or(0, |incarnation| incarnation.incarnation)
+            .map_or(0, |incarnation| incarnation.number)
     }
 
-    /// Takes a word about another's memory. Tells whether its life is a later one than was known, and whether that is a loss.
-    pub fn note_incarnation(&mut self, name: NameKey, incarnation: Incarnation) -> (bool, bool) {
+    /// Takes a report about another member.
+    pub fn note_incarnation(&mut self, name: NameKey, reported: Incarnation) -> IncarnationChange {
         if !self.others.contains(&name) {
-            return (false, false);
+            return IncarnationChange::default();
         }
         let known = self.incarnations.get(&name).copied();
-        let joined = known.map_or(incarnation, |known| known.join(incarnation));
+        let joined = known.map_or(reported, |known| known.join(reported));
         self.incarnations.insert(name, joined);
-        let later =
-            known.is_none_or(|k| k.incarnation < joined.incarnation || k.lost != joined.lost);
-        (later, later && joined.lost && known.is_some())
+        let is_later =
+            known.is_none_or(|known| known.number < joined.number || known.lost != joined.lost);
+        IncarnationChange {
+            is_later,
+            is_loss: is_later && joined.lost && known.is_some(),
+        }
     }
 
-    /// Whether what another one knows of this memory shows that it is not all there was.
-    pub fn contradicted(&self, known: Incarnation) -> bool {
-        match known.incarnation.cmp(&self.incarnation) {
-            std::cmp::Ordering::Greater => true,
-            std::cmp::Ordering::Equal => {
-                known.count > self.count || (known.lost && self.completeness == Completeness::Fresh)
+    /// Whether what another member knows of this replica shows that it once held more.
+    pub fn is_contradicted_by(&self, known: Incarnation) -> bool {
+        match known.number.cmp(&self.incarnation) {
+            Ordering::Greater => true,
+            Ordering::Equal => {
+                let was_lost = known.lost && self.completeness == Completeness::Fresh;
+                known.count > self.changes || was_lost
             }
-            // Whoever is asked has noted this life first, and says so by `lost`.
-            std::cmp::Ordering::Less => false,
+            // A member that is asked notes this incarnation first, and reports the end of the earlier one by `lost`.
+            Ordering::Less => false,
         }
     }
 
-    /// Begins a life that holds less than the last one.
-    pub fn lose(&mut self, incarnation: u64) {
-        (self.completeness, self.incarnation) = (Completeness::Lost, incarnation);
+    /// Begins an incarnation that holds less than the last one.
+    pub fn begin_incomplete(&mut self, incarnation: u64) {
+        self.completeness = Completeness::Lost;
+        self.incarnation = incarnation;
         self.sources.clear();
-        self.recompute_missing();
+        self.update_missing();
     }
 
-    /// So long after a loss that nothing of what was lost is of use any more.
+    /// What was lost does not matter any more, as it has ended since.
     pub fn assume_complete(&mut self) {
-        (self.completeness, self.missing) = (Completeness::Complete, BTreeSet::new());
+        self.completeness = Completeness::Complete;
+        self.missing.clear();
     }
 
-    /// All that another one holds has been fetched.
-    pub fn fetched(&mut self, from: NameKey, source: Source) {
+    /// All that another replica holds has been fetched.
+    pub fn add_source(&mut self, from: NameKey, source: Source) {
         self.latest.insert(from, source.clone());
-        let unknown_through = self.unknown_through(from, &source);
-        if self
+        let gaps = self.gaps(from, &source);
+        let is_better = self
             .sources
             .get(&from)
-            .is_none_or(|known| unknown_through.is_subset(&self.unknown_through(from, known)))
-        {
+            .is_none_or(|known| gaps.is_subset(&self.gaps(from, known)));
+        if is_better {
             self.sources.insert(from, source);
         }
-        self.recompute_missing();
+        self.update_missing();
     }
 
-    /// With whom it has not caught up.
+    /// Members that this replica has not caught up with.
     pub fn missing(&self) -> &BTreeSet<NameKey> {
         &self.missing
     }
 
+    /// Members that everything was fetched from.
     pub fn source_count(&self) -> usize {
         self.sources.len()
     }
 
-    /// Whom to fetch from: those that were not, and those that lacked something themselves that they may have by now.
+    /// Members to fetch from: those that nothing was fetched from, and those that lacked something which they may hold by now.
     pub fn pending_sources(&self) -> Vec<NameKey> {
-        let unheard = |name: &NameKey| !self.sources.contains_key(name);
-        let worth = |name: &NameKey| {
-            let source = self
-                .sources
-                .get(name)
-                .filter(|_| self.completeness == Completeness::Lost);
-            source.is_some_and(|s| self.unknown_through(*name, s).iter().any(|x| !unheard(x)))
-        };
         self.others
             .iter()
             .copied()
-            .filter(|name| unheard(name) || worth(name))
+            .filter(|name| !self.sources.contains_key(name) || self.may_have_gained(*name))
             .collect()
     }
 
-    /// What a source could not tell: whatever it shares with these.
-    fn unknown_through(&self, name: NameKey, source: &Source) -> BTreeSet<NameKey> {
+    fn may_have_gained(&self, name: NameKey) -> bool {
+        let Some(source) = self.sources.get(&name) else {
+            return false;
+        };
+        self.completeness == Completeness::Lost
+            && self
+                .gaps(name, source)
+                .iter()
+                .any(|member| self.sources.contains_key(member))
+    }
+
+    /// Members whose common registers with a source it could not vouch for.
+    fn gaps(&self, name: NameKey, source: &Source) -> BTreeSet<NameKey> {
         match source.completeness {
-            // From a disk, and not yet held against what anybody else knows.
+            // Restored from a disk, and not yet compared with what any other member knows.
             Completeness::Complete if source.missing.len() >= self.others.len() => {
                 BTreeSet::from([name])
             }
@@ -211,24 +235,24 @@
             Completeness::Fresh | Completeness::Lost => source
                 .missing
                 .iter()
-                .map(|x| if *x == self.own { name } else { *x })
+                .map(|member| if *member == self.own { name } else { *member })
                 .collect(),
         }
     }
 
-    fn recompute_missing(&mut self) {
-        let unheard = self
+    fn update_missing(&mut self) {
+        let mut missing: BTreeSet<NameKey> = self
             .others
             .iter()
             .copied()
-            .filter(|name| !self.sources.contains_key(name));
-        let mut missing: BTreeSet<NameKey> = unheard.collect();
+            .filter(|name| !self.sources.contains_key(name))
+            .collect();
         if self.completeness == Completeness::Lost {
-            missing.extend(
-                self.sources
-                    .iter()
-                    .flat_map(|(name, source)| self.unknown_through(*name, source)),
-            );
+            let gaps = self
+                .sources
+                .iter()
+                .flat_map(|(name, source)| self.gaps(*name, source));
+            missing.extend(gaps);
         }
         self.missing = missing;
         if self.missing.is_empty() && !self.others.is_empty() {
@@ -236,48 +260,47 @@
         }
     }
 
-    /// Whether this copy counts for a register with these copies. `waited`: long enough for others to have spoken.
-    pub fn ready(&self, replicas: &[NameKey], waited: bool) -> bool {
-        let majority_size = majority(replicas.len());
+    /// Whether this replica counts for a register with these replicas. `waited`: others have had the time to report.
+    pub fn counts_for(&self, replicas: &[NameKey], waited: bool) -> bool {
+        let quorum = majority(replicas.len());
         let missing = replicas
             .iter()
             .filter(|name| self.missing.contains(name))
             .count();
         match self.completeness {
-            // Whether there ever was more can be told by any of the others, those without a copy too.
+            // Any other member can report whether there was more, also one that does not hold the register.
             Completeness::Fresh => missing == 0 && (self.missing.is_empty() || waited),
-            // One of each majority that it was part of has to be among those it has heard.
-            Completeness::Lost => missing + 2 <= majority_size,
-            // It knows all it ever took, unless somebody knows better: one has to have been asked.
+            // Of each majority that it was part of it has to have caught up with one.
+            Completeness::Lost => missing + 2 <= quorum,
+            // It holds all that it accepted, unless a member knows better: one has to have been asked.
             Completeness::Complete => {
-                missing + majority_size <= replicas.len() && (missing == 0 || waited)
+                missing + quorum <= replicas.len() && (missing == 0 || waited)
             }
         }
     }
 
-    /// Whether what a register with these copies held is lost for good: a majority has lost it, and none of them can get it
-    /// back from the rest.
-    pub fn lost(&self, replicas: &[NameKey]) -> bool {
-        let majority_size = majority(replicas.len());
+    /// Whether what a register with these replicas held is lost for good: a majority has lost it, and none of them can fetch it
+    /// from the others.
+    pub fn is_lost(&self, replicas: &[NameKey]) -> bool {
         let others = || replicas.iter().filter(|name| **name != self.own);
-        let lost = |name: &NameKey| {
-            let Some(source) = self
-                .latest
-                .get(name)
-                .filter(|s| s.completeness == Completeness::Lost)
-            else {
-                return false;
-            };
-            replicas
-                .iter()
-                .filter(|x| *x != name && source.missing.contains(x))
-                .count()
-                + 2
-                > majority_size
-        };
+        let lost_by_others = others()
+            .filter(|name| self.is_lost_by(**name, replicas))
+            .count();
         self.completeness == Completeness::Lost
-            && !self.ready(replicas, true)
+            && !self.counts_for(replicas, true)
             && others().all(|name| self.sources.contains_key(name))
-            && others().filter(|name| lost(name)).count() + 1 >= majority_size
+            && lost_by_others + 1 >= majority(replicas.len())
+    }
+
+    /// Whether another replica has lost the register and cannot fetch it, by its latest state.
+    fn is_lost_by(&self, name: NameKey, replicas: &[NameKey]) -> bool {
+        let Some(source) = self.latest.get(&name) else {
+            return false;
+        };
+        let missing = replicas
+            .iter()
+            .filter(|replica| **replica != name && source.missing.contains(replica))
+            .count();
+        source.completeness == Completeness::Lost && missing + 2 > majority(replicas.len())
     }
 }
--- a/crates/replicated-register/src/register.rs
+++ b/crates/replicated-register/src/register.rs
@@ -1,33 +1,39 @@
-//! What a register is called and holds, and what one copy of it may promise and accept.
+//! A register's key, versions and ballots, and what one replica of it may promise and accept.
 
 use bitternlatch_membership::NameKey;
 use serde::{Deserialize, Serialize};
 
-/// 16-byte name of a register.
+/// 16-byte key of a register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RegisterKey(pub [u8; 16]);
 
-/// Total order: epoch first. `count` rises with each write, by one or more. No two writes ever have the same one: a
-/// process never uses a count twice, and `start` tells it from the earlier ones under its name.
+/// Version of a value, in total order, the epoch first. No two writes have the same one: a process never uses a count twice, and
+/// `start` tells it from earlier processes under the same name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
+    /// Chosen by the caller; never falls.
     pub epoch: u64,
+    /// Rises with each write, by one or more.
     pub count: u64,
+    /// Member that wrote it.
     pub writer: NameKey,
-    /// Of the writer's process.
+    /// Start number of the writer's process.
     pub start: u64,
 }
 
-/// Of one round of one proposer; never used for two values.
+/// Identifies one round of one proposer, in total order; never used for two states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
+    /// Number of the round.
     pub round: u64,
+    /// Member that proposes.
     pub proposer: NameKey,
+    /// Start number of the proposer's process.
     pub start: u64,
 }
 
 impl Ballot {
-    /// The one that a copy promises along with taking this one, so that who wrote last writes again in one round.
+    /// The ballot that an acceptor promises when it accepts this one, so that its proposer writes again in one round.
     pub fn next(self) -> Ballot {
         Ballot {
             round: self.round.saturating_add(1),
@@ -39,41 +45,47 @@
 /// What was written.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct State {
+    /// Its version.
     pub version: Version,
-    /// The version that it replaced: tells a writer whose answer was lost what became of its write.
-    pub before: Option<Version>,
-    /// None: a gap, where a register was let go of.
+    /// The version that it replaced. By it a writer whose answer was lost learns what became of its write.
+    pub replaces: Option<Version>,
+    /// The value; none for a tombstone, which marks a deleted register.
     pub body: Option<Vec<u8>>,
 }
 
 impl State {
-    /// What callers know it by.
+    /// Version that callers see; none for a tombstone.
     pub fn visible_version(&self) -> Option<Version> {
         self.body.is_some().then_some(self.version)
     }
 }
 
+/// A state that a replica has accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Accepted {
+    /// Ballot under which it was proposed.
     pub ballot: Ballot,
+    /// The state.
     pub state: State,
-    /// Taken by this copy itself, and not learnt from another one while it caught up. What is learnt may stand beside a promise
-    /// that would have forbidden to take it, so it is no evidence that a majority took it.
-    pub own: bool,
+    /// Accepted by this replica itself, and not learned from another one while it caught up. What is learned may contradict a
+    /// promise that this replica gave, so it is no evidence that a majority accepted it.
+    pub voted: bool,
 }
 
-/// One copy of one register: an acceptor of single-decree Paxos whose value may change (CASPaxos).
+/// One replica of one register: an acceptor of single-decree Paxos whose value may change (CASPaxos: Rystsov, 2018).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Acceptor {
+    /// The highest ballot that it has promised to honour; lower ones are rejected.
     pub promised: Option<Ballot>,
+    /// What it has accepted last.
     pub accepted: Option<Accepted>,
 }
 
 impl Acceptor {
-    /// Promises to take nothing below the ballot; tells whether anything changed.
+    /// Promises to accept nothing below the ballot; returns whether anything changed.
     ///
     /// # Errors
-    /// The ballot that was promised before.
+    /// The higher ballot that was promised before.
     pub fn prepare(&mut self, ballot: Ballot) -> Result<bool, Ballot> {
         match self.promised {
             Some(promised) if promised > ballot => Err(promised),
@@ -84,17 +96,17 @@
         }
     }
 
-    /// Takes a value; tells whether anything changed.
+    /// Accepts a state; returns whether anything changed.
     ///
     /// # Errors
-    /// The ballot that was promised before.
+    /// The higher ballot that was promised before.
     pub fn accept(&mut self, ballot: Ballot, state: &State) -> Result<bool, Ballot> {
-        if self
+        let is_duplicate = self
             .accepted
             .as_ref()
-            .is_some_and(|a| a.own && a.ballot == ballot)
-        {
-            return Ok(false); // It came twice.
+            .is_some_and(|accepted| accepted.voted && accepted.ballot == ballot);
+        if is_duplicate {
+            return Ok(false);
         }
         if let Some(promised) = self.promised.filter(|promised| *promised > ballot) {
             return Err(promised);
@@ -103,35 +115,43 @@
         self.accepted = Some(Accepted {
             ballot,
             state: state.clone(),
-            own: true,
+            voted: true,
         });
         Ok(true)
     }
 
-    /// Learns what another copy holds, while catching up; tells whether anything changed.
+    /// Learns what another replica holds, while catching up; returns whether anything changed.
     pub fn learn(&mut self, other: Acceptor) -> bool {
-        let before = (self.promised, self.accepted.as_ref().map(|a| a.ballot));
+        let before = self.ballots();
         self.promised = self.promised.max(other.promised);
         if let Some(accepted) = other.accepted {
-            if self
+            let is_later = self
                 .accepted
                 .as_ref()
-                .is_none_or(|a| a.ballot < accepted.ballot)
-            {
+                .is_none_or(|own| own.ballot < accepted.ballot);
+            if is_later {
                 self.accepted = Some(Accepted {
-                    own: false,
+                    voted: false,
                     ..accepted
                 });
             }
         }
-        before != (self.promised, self.accepted.as_ref().map(|a| a.ballot))
+        before != self.ballots()
+    }
+
+    /// The promised ballot and the accepted one.
+    fn ballots(&self) -> [Option<Ballot>; 2] {
+        [
+            self.promised,
+            self.accepted.as_ref().map(|accepted| accepted.ballot),
+        ]
     }
 
     /// Bytes of the value.
-    pub fn bytes(&self) -> usize {
+    pub fn value_bytes(&self) -> usize {
         self.accepted
             .as_ref()
-            .and_then(|a| a.state.body.as_ref())
+            .and_then(|accepted| accepted.state.body.as_ref())
             .map_or(0, Vec::len)
     }
 }
--- a/crates/replicated-register/src/register/tests.rs
+++ b/crates/replicated-register/src/register/tests.rs
@@ -15,7 +15,7 @@
     };
     let state = State {
         version,
-        before: None,
+        replaces: None,
         body: Some(vec![1]),
     };
     let (mut one, mut other) = (Acceptor::default(), Acceptor::default());
@@ -24,7 +24,7 @@
     assert!(other.learn(one.clone()) && !other.learn(one.clone()));
     assert_eq!(other.promised, Some(ballot(7)));
     assert_eq!(
-        other.accepted.as_ref().map(|a| (a.ballot, a.own)),
+        other.accepted.as_ref().map(|a| (a.ballot, a.voted)),
         Some((ballot(5), false))
     );
     // The same one again from its proposer: taken by the one that took it, refused by the one that learnt it.
--- a/crates/replicated-register/src/replica/mod.rs
+++ b/crates/replicated-register/src/replica/mod.rs
@@ -1,115 +1,79 @@
-//! One member's part: the copies that it holds, and the calls that it makes.
+//! One member's part: the registers that it holds replicas of, and the calls that it makes.
 
 mod acceptor;
+mod heartbeat;
+mod persistence;
 mod proposer;
 mod state_transfer;
+mod tombstone_repair;
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
-use bitternlatch_quota_lease::{KeepError, Peers, Process};
+use bitternlatch_quota_lease::{Peers, Process};
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::SplitMix64;
 
+use crate::ids::IdAllocator;
 use crate::message::Message;
-use crate::proposal::{IdAllocator, LeaderBallot, Proposal};
+use crate::proposal::Write;
 use crate::recovery::{Completeness, RecoveryState};
 use crate::store::RegisterStore;
-use crate::{
-    disk_records, Call, Event, Input, Output, RegisterError, RegisterKey, Settings, Version,
-};
+use crate::{Event, Input, Output, RegisterError, RegisterKey, Settings, Version};
 
-use proposer::TombstoneRepair;
-use state_transfer::StateTransfer;
+use heartbeat::Heartbeats;
+use persistence::Persistence;
+use proposer::{Proposer, Request};
+use state_transfer::Transfers;
+use tombstone_repair::TombstoneRepairs;
 
-/// How long a copy with its disk waits for all others to have spoken, before one that did is enough.
+/// How long a replica that restarted with its disk waits for all others to be heard, before one is enough.
 const CATCH_UP_GRACE: Duration = Duration::from_secs(3);
-/// Between two tellings of how far its memory goes.
-const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// After so many it is told again to all, as frames are lost, and what others told is kept on disk.
-const HEARTBEATS_PER_REPEAT: u32 = 10;
-/// What is lost is taken to have ended by then: the longest life of a workflow.
-const LOSS_RETENTION: Duration = Duration::from_secs(24 * 3600);
-/// Answers that may wait for the disk; beyond it a message counts as lost.
-const MAX_PENDING_WRITES: usize = 16 * 1024;
 
-/// What is done once something is on disk.
-struct PendingWrite {
-    what: WritePurpose,
-    /// Changes of this memory, this one included.
-    count: u64,
-    replies: Vec<(NameKey, Message)>,
-}
-
-#[derive(Clone, Copy, PartialEq)]
-enum WritePurpose {
-    Register(RegisterKey),
-    Metadata,
-    Transferred(RegisterKey, NameKey, u64),
-    Removal,
-}
-
-/// Whether what memory holds of a register is on disk.
-#[derive(Clone, Copy, PartialEq)]
-enum Unsynced {
-    Pending(u64),
-    /// It could not be written.
-    Failed,
-}
-
-/// What came to nothing, for whoever looks.
+/// Messages and calls that were dropped or refused, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
+    /// Frames that could not be decoded.
     pub unreadable: u64,
+    /// Frames of another protocol version.
     pub other_version: u64,
     /// Chunks whose checksum was wrong.
     pub broken_chunks: u64,
-    /// Calls and messages refused at a bound.
+    /// Calls and messages refused for lack of capacity.
     pub rejected: u64,
 }
 
+/// One member's replicas and calls: a pure machine that takes [`Input`] and appends [`Output`].
 pub struct Replica {
     own: Process,
     roster: BTreeSet<NameKey>,
     settings: Settings,
     /// None until the disk has been read.
     recovery: Option<RecoveryState>,
-    opened: Duration,
-    store: RegisterStore,
-    ids: IdAllocator,
-    proposals: BTreeMap<Call, Proposal>,
-    /// Calls by register; the first of each is under way.
-    queues: BTreeMap<RegisterKey, VecDeque<Call>>,
-    due: BTreeSet<(Duration, Call)>,
-    leader_ballots: BTreeMap<RegisterKey, LeaderBallot>,
-    tombstone_repairs: BTreeMap<RegisterKey, TombstoneRepair>,
-    transfers: BTreeMap<NameKey, StateTransfer>,
-    sessions: u64,
-    fetched: u64,
-    caught_up: bool,
+    /// When the replica began to catch up.
+    opened_at: Duration,
+    has_caught_up: bool,
+    /// When a majority was first found to have lost what it held.
     lost_since: Option<Duration>,
-    pending_writes: BTreeMap<u64, PendingWrite>,
-    last_ticket: u64,
-    unsynced: BTreeMap<RegisterKey, Unsynced>,
-    /// Of the changes, those that outlive this process.
-    kept: u64,
-    metadata_unsynced: Option<Unsynced>,
-    fault: Option<KeepError>,
-    heartbeat_at: Duration,
-    heartbeats: u32,
-    announced: BTreeMap<NameKey, (u64, u64)>,
+    store: RegisterStore,
+    persistence: Persistence,
+    proposer: Proposer,
+    repairs: TombstoneRepairs,
+    transfers: Transfers,
+    heartbeats: Heartbeats,
     peers: Option<Peers>,
-    /// To itself, within a step.
+    /// Messages to itself, within a step.
     loopback: VecDeque<Message>,
+    /// Members whose protocol version was reported as unsupported.
     unsupported_versions: BTreeSet<NameKey>,
     counters: Counters,
     rng: SplitMix64,
 }
 
 impl Replica {
-    /// `start` of `own` tells this process from the earlier ones under its name, and is later than theirs. The roster holds its own
-    /// name too and is the same at all; it is changed by restarts of all.
+    /// `start` of `own` tells this process from earlier ones under the same name, and is greater than theirs. The roster holds the
+    /// own name too and is the same at all members; it is changed by restarts of all. `seed` is for the random backoff.
     pub fn new(
         own: Process,
         roster: BTreeSet<NameKey>,
@@ -124,28 +88,15 @@
             roster,
             settings,
             recovery,
-            opened: now,
-            store: RegisterStore::default(),
-            ids: IdAllocator::new(own),
-            proposals: BTreeMap::new(),
-            queues: BTreeMap::new(),
-            due: BTreeSet::new(),
-            leader_ballots: BTreeMap::new(),
-            tombstone_repairs: BTreeMap::new(),
-            transfers: BTreeMap::new(),
-            sessions: 0,
-            fetched: 0,
-            caught_up: false,
+            opened_at: now,
+            has_caught_up: false,
             lost_since: None,
-            pending_writes: BTreeMap::new(),
-            last_ticket: 0,
-            unsynced: BTreeMap::new(),
-            kept: 0,
-            metadata_unsynced: None,
-            fault: None,
-            heartbeat_at: now,
-            heartbeats: 0,
-            announced: BTreeMap::new(),
+            store: RegisterStore::default(),
+            persistence: Persistence::default(),
+            proposer: Proposer::new(IdAllocator::new(own)),
+            repairs: TombstoneRepairs::default(),
+            transfers: Transfers::default(),
+            heartbeats: Heartbeats::new(now),
             peers: None,
             loopback: VecDeque::new(),
             unsupported_versions: BTreeSet::new(),
@@ -154,24 +105,21 @@
         }
     }
 
-    /// When it wants [`Input::Wake`], at the latest.
+    /// When it needs [`Input::Wake`] at the latest.
     pub fn wake_at(&self) -> Option<Duration> {
-        let proposal = self.due.first().map(|(at, _)| *at);
-        let tombstone_repair = self.tombstone_repairs.values().map(|t| t.at).min();
-        let fetch = self.transfers.values().map(|f| f.at).min();
         [
-            proposal,
-            tombstone_repair,
-            fetch,
+            self.proposer.wake_at(),
+            self.repairs.wake_at(),
+            self.transfers.wake_at(),
             self.store.next_expiry(),
-            Some(self.heartbeat_at),
+            Some(self.heartbeats.next_at()),
         ]
         .into_iter()
         .flatten()
         .min()
     }
 
-    /// Takes one input at a clock time and appends what is to be done, in order.
+    /// Takes one input at a time of the process's clock and appends the outputs, in order.
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Wake => {}
@@ -188,7 +136,12 @@
                 value,
                 until,
             } => {
-                self.write(now, call, key, (expected, epoch, Some(value)), until, out);
+                let write = Write {
+                    expected,
+                    epoch,
+                    body: Some(value),
+                };
+                self.write(now, call, key, write, until, out);
             }
             Input::Delete {
                 call,
@@ -196,14 +149,12 @@
                 expected,
                 until,
             } => {
-                self.write(
-                    now,
-                    call,
-                    key,
-                    (Some(expected), expected.epoch, None),
-                    until,
-                    out,
-                );
+                let write = Write {
+                    expected: Some(expected),
+                    epoch: expected.epoch,
+                    body: None,
+                };
+                self.write(now, call, key, write, until, out);
             }
         }
         self.run_due(now, out);
@@ -212,7 +163,7 @@
         }
     }
 
-    /// Keys held here with their latest accepted value, which may not be the latest of all.
+    /// Keys held here with their latest accepted value, which may not be the latest of all replicas.
     pub fn held(&self) -> impl Iterator<Item = (&RegisterKey, Version, &[u8])> {
         self.store.iter_after(None).filter_map(|(key, acceptor)| {
             let state = &acceptor.accepted.as_ref()?.state;
@@ -220,31 +171,32 @@
         })
     }
 
-    /// Who holds copies of a key: rendezvous hashing over the roster.
+    /// Members that hold replicas of a register: rendezvous hashing over the roster.
     pub fn replicas(&self, key: RegisterKey) -> Vec<NameKey> {
         crate::placement::replicas(&self.roster, self.settings.replicas, key)
     }
 
-    /// Whether this copy counts for a register now.
+    /// Whether this replica counts towards a majority of a register now.
     pub fn counts_for(&self, now: Duration, key: RegisterKey) -> bool {
         let replicas = self.replicas(key);
-        let waited = now >= self.opened + CATCH_UP_GRACE;
+        let waited = now >= self.opened_at + CATCH_UP_GRACE;
         replicas.contains(&self.own.name)
             && self
                 .recovery
                 .as_ref()
-                .is_some_and(|m| m.ready(&replicas, waited))
+                .is_some_and(|recovery| recovery.counts_for(&replicas, waited))
     }
 
+    /// What was dropped or refused so far.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    fn on_frame(&mut self, now: Duration, from: Process, message: &[u8], out: &mut Vec<Output>) {
+    fn on_frame(&mut self, now: Duration, from: Process, payload: &[u8], out: &mut Vec<Output>) {
         if from.name == self.own.name || !self.roster.contains(&from.name) {
             return;
         }
-        match Message::read(message) {
+        match Message::decode(payload) {
             Ok(message) => self.on_message(now, from, message, out),
             Err(RegisterError::UnsupportedVersion(_)) => {
                 self.counters.other_version += 1;
@@ -265,10 +217,12 @@
     ) {
         let name = from.name;
         match message {
-            Message::Read { key, ballot } => self.on_read(now, name, key, ballot, out),
-            Message::Prepare { key, ballot } => self.on_prepare(now, name, key, ballot, out),
+            Message::Read { key, ballot } => self.on_read(now, name, Request { key, ballot }, out),
+            Message::Prepare { key, ballot } => {
+                self.on_prepare(now, name, Request { key, ballot }, out);
+            }
             Message::Accept { key, ballot, state } => {
-                self.on_accept(now, name, (key, ballot, &state), out)
+                self.on_accept(now, name, Request { key, ballot }, &state, out);
             }
             Message::Promise {
                 key,
@@ -276,18 +230,19 @@
                 provenance,
                 accepted,
             } => {
-                self.on_promised(now, name, (key, ballot), provenance, accepted, out);
+                let request = Request { key, ballot };
+                self.on_promise(now, name, request, provenance, accepted, out);
             }
             Message::Accepted {
                 key,
                 ballot,
                 provenance,
-            } => self.on_accepted(now, name, (key, ballot), provenance, out),
+            } => self.on_accepted(now, name, Request { key, ballot }, provenance, out),
             Message::Rejected {
                 key,
                 ballot,
                 reason,
-            } => self.on_rejected(now, name, (key, ballot), reason, out),
+            } => self.on_rejected(now, name, Request { key, ballot }, reason, out),
             Message::Forget { key, version } => self.store.settle_tombstone(now, key, version),
             Message::FetchState {
                 session,
@@ -295,7 +250,8 @@
                 count,
                 after,
             } => {
-                self.on_fetch_state(name, (session, after), (incarnation, count), out);
+                let is_later = self.note_incarnation(name, incarnation, count, out);
+                self.on_fetch_state(name, session, after, is_later, out);
             }
             Message::StateChunk(chunk) => self.on_state_chunk(now, from, &chunk, out),
             Message::Heartbeat { incarnation, count } => {
@@ -309,62 +265,22 @@
         self.run_due_tombstone_repairs(now, out);
         self.request_state(now, out);
         self.check_caught_up(now, out);
-        for key in self.store.expire(now) {
-            self.unsynced.remove(&key);
-            if self.settings.durable {
-                // The record that told how many changes there were may be the one that goes.
-                self.store_metadata(vec![], out);
-                self.store_record(
-                    WritePurpose::Removal,
-                    disk_records::name(key),
-                    None,
-                    vec![],
-                    out,
-                );
-            }
-        }
-        if now >= self.heartbeat_at {
-            self.heartbeat_at = now + HEARTBEAT_INTERVAL;
-            self.heartbeat(now, out);
-        }
+        self.expire_registers(now, out);
+        self.run_due_heartbeat(now, out);
     }
 
-    fn heartbeat(&mut self, now: Duration, out: &mut Vec<Output>) {
-        self.heartbeats += 1;
-        if self.heartbeats >= HEARTBEATS_PER_REPEAT {
-            self.heartbeats = 0;
-            self.announced.clear();
-            if self.settings.durable && self.recovery.is_some() {
+    fn expire_registers(&mut self, now: Duration, out: &mut Vec<Output>) {
+        for key in self.store.expire(now) {
+            self.persistence.forget(key);
+            if self.settings.durable {
+                // The record with the highest number of changes may be the one that is removed.
                 self.store_metadata(vec![], out);
-            }
-        }
-        if self
-            .lost_since
-            .is_some_and(|since| now >= since + LOSS_RETENTION)
-        {
-            self.lost_since = None;
-            self.recovery
-                .iter_mut()
-                .for_each(RecoveryState::assume_complete);
-        }
-        let Some((incarnation, count)) = self.recovery.as_ref().map(|m| (m.incarnation, self.kept))
-        else {
-            return;
-        };
-        let others: Vec<NameKey> = self
-            .roster
-            .iter()
-            .copied()
-            .filter(|n| *n != self.own.name)
-            .collect();
-        for name in others {
-            if self.announced.insert(name, (incarnation, count)) != Some((incarnation, count)) {
-                self.send(name, Message::Heartbeat { incarnation, count }, out);
+                self.remove_record(crate::disk_records::name(key), out);
             }
         }
     }
 
-    /// Takes word of how far another's memory goes.
+    /// Takes a report of another member's incarnation and number of changes; returns whether the incarnation is a later one.
     fn note_incarnation(
         &mut self,
         name: NameKey,
@@ -375,28 +291,34 @@
         let Some(recovery) = &mut self.recovery else {
             return false;
         };
-        let (later, loss) = recovery.note_incarnation(
-            name,
-            crate::recovery::Incarnation {
-                incarnation,
-                count,
-                lost: false,
-            },
-        );
-        if loss {
+        let report = crate::recovery::Incarnation {
+            number: incarnation,
+            count,
+            lost: false,
+        };
+        let change = recovery.note_incarnation(name, report);
+        if change.is_loss {
             out.push(Output::Event(Event::ReplicaLost(name)));
         }
-        later
+        change.is_later
     }
 
     fn send(&mut self, to: NameKey, message: Message, out: &mut Vec<Output>) {
-        match to == self.own.name {
-            true => self.loopback.push_back(message),
-            false => out.push(Output::Send(to, message.write())),
+        if to == self.own.name {
+            self.loopback.push_back(message);
+        } else {
+            out.push(Output::Send(to, message.encode()));
         }
     }
 
-    /// 64 bits of chance.
+    /// Changes of this replica so far; none before its disk has been read.
+    fn changes(&self) -> u64 {
+        self.recovery
+            .as_ref()
+            .map_or(0, |recovery| recovery.changes)
+    }
+
+    /// 64 random bits.
     fn draw(&mut self) -> u64 {
         self.rng.next_u64()
     }
--- a/crates/replicated-register/src/replica/proposer.rs
+++ b/crates/replicated-register/src/replica/proposer.rs
@@ -1,38 +1,129 @@
-//! Calls of this process: in a line by register, each with an end.
+//! Calls of this process: queued by register, the first of each queue in progress, each answered by its deadline.
 
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
 
 use super::Replica;
-use crate::message::{Message, Provenance, RejectReason};
-use crate::proposal::{NextStep, Operation, Outcome, Proposal};
-use crate::recovery::majority;
-use crate::register::{Accepted, Ballot, RegisterKey, State};
-use crate::{Call, Output, RegisterError, Version, MAX_VALUE_BYTES};
+use crate::ids::IdAllocator;
+use crate::message::{Provenance, RejectReason};
+use crate::proposal::{LeaderBallot, NextStep, Operation, Outcome, Proposal, Write};
+use crate::quorum::majority;
+use crate::register::{Accepted, Ballot, RegisterKey};
+use crate::{Call, Output, RegisterError, MAX_VALUE_BYTES};
 
-/// Calls in hand at the most; beyond it they are refused as [`RegisterError::Busy`].
+/// Calls in progress and in queues; further ones fail as [`RegisterError::Busy`].
 pub const MAX_CALLS: usize = 4096;
-/// Leads that are remembered; beyond it a write takes two rounds.
+/// Leader ballots that are remembered; without one a write takes two rounds.
 const MAX_LEADER_BALLOTS: usize = 16 * 1024;
-/// Gaps that are brought to all copies; beyond it they last longer where a copy missed one.
-const MAX_TOMBSTONE_REPAIRS: usize = 4096;
-/// What was not answered by then is asked again.
-const RETRY_INTERVAL: Duration = Duration::from_millis(150);
-/// How long a gap is brought to copies that do not answer.
-const REPAIR_TIMEOUT: Duration = Duration::from_secs(60);
-
-/// A gap that not all copies have taken yet.
-pub struct TombstoneRepair {
-    ballot: Ballot,
-    state: State,
-    missing: BTreeSet<NameKey>,
-    pub at: Duration,
-    until: Duration,
+/// A message that was not answered is sent again after this.
+pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(150);
+/// First range of the random backoff; doubled with each attempt.
+const BACKOFF_MICROS: u64 = 4000;
+/// Times that the range of the backoff is doubled at most.
+const MAX_BACKOFF_DOUBLINGS: u32 = 7;
+
+/// The calls of one process.
+pub(super) struct Proposer {
+    ids: IdAllocator,
+    proposals: BTreeMap<Call, Proposal>,
+    /// Calls by register; the first of each is in progress.
+    queues: BTreeMap<RegisterKey, VecDeque<Call>>,
+    /// When calls are to be looked at.
+    timers: BTreeSet<(Duration, Call)>,
+    leader_ballots: BTreeMap<RegisterKey, LeaderBallot>,
 }
 
-type Change = (Option<Version>, u64, Option<Vec<u8>>);
+impl Proposer {
+    pub(super) fn new(ids: IdAllocator) -> Proposer {
+        Proposer {
+            ids,
+            proposals: BTreeMap::new(),
+            queues: BTreeMap::new(),
+            timers: BTreeSet::new(),
+            leader_ballots: BTreeMap::new(),
+        }
+    }
+
+    /// When the first timer is due.
+    pub(super) fn wake_at(&self) -> Option<Duration> {
+        self.timers.first().map(|(at, _)| *at)
+    }
+
+    /// Whether one more call may be taken, under a number that is not in use.
+    fn has_capacity(&self, call: Call) -> bool {
+        self.proposals.len() < MAX_CALLS && !self.proposals.contains_key(&call)
+    }
+
+    /// Appends a proposal to its register's queue; returns whether it is the first.
+    fn enqueue(&mut self, proposal: Proposal) -> bool {
+        let (call, key) = (proposal.call, proposal.key);
+        self.timers.insert((proposal.deadline, call));
+        self.proposals.insert(call, proposal);
+        let queue = self.queues.entry(key).or_default();
+        queue.push_back(call);
+        queue.len() == 1
+    }
+
+    /// The call in progress for a register.
+    fn active_call(&self, key: RegisterKey) -> Option<Call> {
+        self.queues.get(&key)?.front().copied()
+    }
+
+    /// The proposal in progress for a register, with the allocator for what it needs.
+    fn active(&mut self, key: RegisterKey) -> Option<(&mut Proposal, &mut IdAllocator)> {
+        let call = self.active_call(key)?;
+        Some((self.proposals.get_mut(&call)?, &mut self.ids))
+    }
+
+    fn start(&mut self, call: Call) {
+        let Some(proposal) = self.proposals.get_mut(&call) else {
+            return;
+        };
+        let leader = match proposal.starts_by_reading() {
+            true => None,
+            false => self.leader_ballots.remove(&proposal.key),
+        };
+        proposal.start(leader, &mut self.ids);
+    }
+
+    /// Moves a call's timer along with a change of the proposal.
+    fn reschedule(&mut self, call: Call, change: impl FnOnce(&mut Proposal)) {
+        if let Some(proposal) = self.proposals.get_mut(&call) {
+            self.timers.remove(&(proposal.timer(), call));
+            change(proposal);
+            self.timers.insert((proposal.timer(), call));
+        }
+    }
+
+    fn remember_leader(&mut self, key: RegisterKey, leader: LeaderBallot) {
+        if self.leader_ballots.len() >= MAX_LEADER_BALLOTS {
+            self.leader_ballots.pop_first();
+        }
+        self.leader_ballots.insert(key, leader);
+    }
+
+    /// Removes a call that is answered.
+    fn remove(&mut self, call: Call) -> Option<Proposal> {
+        let proposal = self.proposals.remove(&call)?;
+        self.timers.remove(&(proposal.timer(), call));
+        self.timers.remove(&(proposal.deadline, call));
+        Some(proposal)
+    }
+
+    /// Removes a call from its register's queue; returns the one that is in progress from now on, if that changes.
+    fn dequeue(&mut self, key: RegisterKey, call: Call) -> Option<Call> {
+        let queue = self.queues.get_mut(&key)?;
+        let was_active = queue.front() == Some(&call);
+        queue.retain(|waiting| *waiting != call);
+        let Some(next) = queue.front().copied() else {
+            self.queues.remove(&key);
+            return None;
+        };
+        was_active.then_some(next)
+    }
+}
 
 impl Replica {
     pub(super) fn read(
@@ -40,15 +131,16 @@
         now: Duration,
         call: Call,
         key: RegisterKey,
-        until: Duration,
+        deadline: Duration,
         out: &mut Vec<Output>,
     ) {
-        match self.has_capacity(call) {
-            true => self.enqueue(now, call, key, Operation::Read, until, out),
-            false => out.push(Output::Read {
+        if self.has_capacity(call) {
+            self.enqueue(now, call, key, Operation::Read, deadline, out);
+        } else {
+            out.push(Output::Read {
                 call,
                 found: Err(RegisterError::Busy),
-            }),
+            });
         }
     }
 
@@ -57,43 +149,32 @@
         now: Duration,
         call: Call,
         key: RegisterKey,
-        (expected, epoch, body): Change,
-        until: Duration,
+        write: Write,
+        deadline: Duration,
         out: &mut Vec<Output>,
     ) {
-        let bytes = body.as_ref().map_or(0, Vec::len);
-        let rejected = match bytes > MAX_VALUE_BYTES {
-            true => Some(RegisterError::TooLong {
+        let bytes = write.body.as_ref().map_or(0, Vec::len);
+        let error = if bytes > MAX_VALUE_BYTES {
+            Some(RegisterError::TooLong {
                 bytes,
                 most: MAX_VALUE_BYTES,
-            }),
-            false => (!self.has_capacity(call)).then_some(RegisterError::Busy),
+            })
+        } else {
+            (!self.has_capacity(call)).then_some(RegisterError::Busy)
         };
-        match rejected {
+        match error {
             Some(error) => out.push(Output::Written {
                 call,
                 done: Err(error),
             }),
-            None => self.enqueue(
-                now,
-                call,
-                key,
-                Operation::Write {
-                    expected,
-                    epoch,
-                    body,
-                },
-                until,
-                out,
-            ),
+            None => self.enqueue(now, call, key, Operation::Write(write), deadline, out),
         }
     }
 
-    /// Whether one more call may be taken, under a number that is not in use.
     fn has_capacity(&mut self, call: Call) -> bool {
-        let room = self.proposals.len() < MAX_CALLS && !self.proposals.contains_key(&call);
-        self.counters.rejected += u64::from(!room);
-        room
+        let has_capacity = self.proposer.has_capacity(call);
+        self.counters.rejected += u64::from(!has_capacity);
+        has_capacity
     }
 
     fn enqueue(
@@ -102,335 +183,223 @@
         call: Call,
         key: RegisterKey,
         operation: Operation,
-        until: Duration,
+        deadline: Duration,
         out: &mut Vec<Output>,
     ) {
-        let proposal = Proposal::new(
-            call,
-            key,
-            self.replicas(key),
-            until,
-            operation,
-            &mut self.ids,
-        );
-        self.due.insert((until, call));
-        self.proposals.insert(call, proposal);
-        let line = self.queues.entry(key).or_default();
-        line.push_back(call);
-        if line.len() == 1 && now < until {
-            self.begin(now, call, out);
+        let replicas = self.replicas(key);
+        let ids = &mut self.proposer.ids;
+        let proposal = Proposal::new(call, key, replicas, deadline, operation, ids);
+        let is_first = self.proposer.enqueue(proposal);
+        if is_first && now < deadline {
+            self.start(now, call, out);
         }
     }
 
-    fn begin(&mut self, now: Duration, call: Call, out: &mut Vec<Output>) {
-        let Some(proposal) = self.proposals.get_mut(&call) else {
-            return;
-        };
-        let looks = proposal.is_read() && proposal.attempts == 0;
-        let leader_ballot = if looks {
-            None
-        } else {
-            self.leader_ballots.remove(&proposal.key)
-        };
-        proposal.begin(leader_ballot, &mut self.ids);
+    fn start(&mut self, now: Duration, call: Call, out: &mut Vec<Output>) {
+        self.proposer.start(call);
         self.send_requests(now, call, out);
     }
 
-    /// Asks the copies that have not answered, and again after a while.
+    /// Sends the current message to the replicas that have not responded, and again after a while.
     fn send_requests(&mut self, now: Duration, call: Call, out: &mut Vec<Output>) {
-        let Some(proposal) = self.proposals.get_mut(&call) else {
+        let Some(proposal) = self.proposer.proposals.get(&call) else {
             return;
         };
-        let Some((message, to)) = proposal.message() else {
+        let Some((message, receivers)) = proposal.message() else {
             return;
         };
-        let was = proposal.at.min(proposal.until);
-        proposal.at = now + RETRY_INTERVAL;
-        self.due.remove(&(was, call));
-        self.due.insert((proposal.at.min(proposal.until), call));
-        to.into_iter()
-            .for_each(|name| self.send(name, message.clone(), out));
-    }
-
-    /// The call that is under way for a register.
-    fn active_proposal(&mut self, key: RegisterKey) -> Option<&mut Proposal> {
-        let call = self.queues.get(&key)?.front()?;
-        self.proposals.get_mut(call)
+        self.proposer.reschedule(call, |proposal| {
+            proposal.resume_at = now + RETRY_INTERVAL;
+        });
+        for name in receivers {
+            self.send(name, message.clone(), out);
+        }
     }
 
-    pub(super) fn on_promised(
+    pub(super) fn on_promise(
         &mut self,
         now: Duration,
         from: NameKey,
-        (key, ballot): (RegisterKey, Ballot),
+        request: Request,
         provenance: Provenance,
         accepted: Option<Accepted>,
         out: &mut Vec<Output>,
     ) {
         self.note_incarnation(from, provenance.incarnation, provenance.count, out);
-        let mut ids = self.ids.clone();
-        let Some(proposal) = self.active_proposal(key) else {
+        let Some((proposal, ids)) = self.proposer.active(request.key) else {
             return;
         };
-        let next = proposal.on_promised(from, ballot, provenance, accepted, &mut ids);
-        self.ids = ids;
-        self.proceed(now, key, next, out);
+        let next = proposal.on_promise(from, request.ballot, provenance, accepted, ids);
+        self.proceed(now, request.key, next, out);
     }
 
     pub(super) fn on_accepted(
         &mut self,
         now: Duration,
         from: NameKey,
-        (key, ballot): (RegisterKey, Ballot),
+        request: Request,
         provenance: Provenance,
         out: &mut Vec<Output>,
     ) {
         self.note_incarnation(from, provenance.incarnation, provenance.count, out);
-        if self
-            .tombstone_repairs
-            .get(&key)
-            .is_some_and(|tombstone_repair| tombstone_repair.ballot == ballot)
-        {
-            return self.on_tombstone_accepted(key, from, out);
+        if self.repairs.is_for(request) {
+            return self.on_tombstone_accepted(request.key, from, out);
         }
-        let mut ids = self.ids.clone();
-        let Some(proposal) = self.active_proposal(key) else {
+        let Some((proposal, ids)) = self.proposer.active(request.key) else {
             return;
         };
-        let next = proposal.on_accepted(from, ballot, provenance, &mut ids);
-        self.ids = ids;
-        self.proceed(now, key, next, out);
+        let next = proposal.on_accepted(from, request.ballot, provenance, ids);
+        self.proceed(now, request.key, next, out);
     }
 
     pub(super) fn on_rejected(
         &mut self,
         now: Duration,
         from: NameKey,
-        (key, ballot): (RegisterKey, Ballot),
+        request: Request,
         reason: RejectReason,
         out: &mut Vec<Output>,
     ) {
-        if matches!(reason, RejectReason::HigherBallot(_))
-            && self
-                .tombstone_repairs
-                .get(&key)
-                .is_some_and(|t| t.ballot == ballot)
-        {
-            self.tombstone_repairs.remove(&key); // Somebody has begun it anew.
+        if matches!(reason, RejectReason::HigherBallot(_)) && self.repairs.is_for(request) {
+            // Another proposer has begun to write the register anew.
+            self.repairs.remove(request.key);
             return;
         }
-        let mut ids = self.ids.clone();
-        let Some(proposal) = self.active_proposal(key) else {
+        let Some((proposal, ids)) = self.proposer.active(request.key) else {
             return;
         };
-        let next = proposal.on_rejected(from, ballot, reason, &mut ids);
-        self.ids = ids;
-        self.proceed(now, key, next, out);
+        let next = proposal.on_rejected(from, request.ballot, reason, ids);
+        self.proceed(now, request.key, next, out);
     }
 
     fn proceed(&mut self, now: Duration, key: RegisterKey, next: NextStep, out: &mut Vec<Output>) {
-        let Some(call) = self.queues.get(&key).and_then(|line| line.front()).copied() else {
+        let Some(call) = self.proposer.active_call(key) else {
             return;
         };
         match next {
             NextStep::Wait => {}
             NextStep::Send => self.send_requests(now, call, out),
-            NextStep::Restart => {
-                let draw = self.draw();
-                let Some(proposal) = self.proposals.get_mut(&call) else {
-                    return;
-                };
-                // At once at first, as it may only have been behind; two that met part by chance, over a wider and wider span.
-                let span = if proposal.attempts == 0 {
-                    1
-                } else {
-                    4000u64 << proposal.attempts.min(7)
-                };
-                self.due.remove(&(proposal.at.min(proposal.until), call));
-                proposal.wait(now + Duration::from_micros(draw % span));
-                self.due.insert((proposal.at.min(proposal.until), call));
-            }
-            NextStep::Done(answer, leader_ballot) => {
-                if let Some(leader_ballot) = leader_ballot {
-                    if self.leader_ballots.len() >= MAX_LEADER_BALLOTS {
-                        self.leader_ballots.pop_first();
-                    }
-                    self.leader_ballots.insert(key, leader_ballot);
+            NextStep::Restart => self.back_off(now, call),
+            NextStep::Done(outcome, leader) => {
+                if let Some(leader) = leader {
+                    self.proposer.remember_leader(key, leader);
                 }
-                self.finish(now, call, answer, out);
+                self.finish(now, call, outcome, out);
             }
         }
     }
 
-    fn finish(&mut self, now: Duration, call: Call, answer: Outcome, out: &mut Vec<Output>) {
-        let Some(proposal) = self.proposals.remove(&call) else {
+    /// The first restart is immediate, as the proposer may only have been behind. Later ones are spread at random over a growing
+    /// range, so that two competing proposers part.
+    fn back_off(&mut self, now: Duration, call: Call) {
+        let draw = self.draw();
+        self.proposer.reschedule(call, |proposal| {
+            let range = match proposal.attempts {
+                0 => 1,
+                attempts => BACKOFF_MICROS << attempts.min(MAX_BACKOFF_DOUBLINGS),
+            };
+            proposal.back_off(now + Duration::from_micros(draw % range));
+        });
+    }
+
+    fn finish(&mut self, now: Duration, call: Call, outcome: Outcome, out: &mut Vec<Output>) {
+        let Some(proposal) = self.proposer.remove(call) else {
             return;
         };
-        self.due.remove(&(proposal.at.min(proposal.until), call));
-        self.due.remove(&(proposal.until, call));
-        if matches!(answer, Outcome::Written(_)) {
+        if matches!(outcome, Outcome::Written(_)) {
             self.start_tombstone_repair(now, &proposal, out);
         }
-        out.push(match answer {
-            Outcome::Read(found) => Output::Read {
-                call,
-                found: Ok(found),
-            },
-            Outcome::Written(version) => Output::Written {
-                call,
-                done: Ok(version),
-            },
-            Outcome::Failed(error) if proposal.is_read() => Output::Read {
-                call,
-                found: Err(error),
-            },
-            Outcome::Failed(error) => Output::Written {
-                call,
-                done: Err(error),
-            },
-        });
-        let Some(line) = self.queues.get_mut(&proposal.key) else {
-            return;
-        };
-        let first = line.front() == Some(&call);
-        line.retain(|waiting| *waiting != call);
-        match line.front().copied() {
-            None => drop(self.queues.remove(&proposal.key)),
-            Some(next) if first => self.begin(now, next, out),
-            Some(_) => {}
+        out.push(answer(&proposal, outcome));
+        if let Some(next) = self.proposer.dequeue(proposal.key, call) {
+            self.start(now, next, out);
         }
     }
 
     pub(super) fn run_due_calls(&mut self, now: Duration, out: &mut Vec<Output>) {
-        while let Some((at, call)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
-            self.due.remove(&(at, call));
-            let Some(proposal) = self.proposals.get_mut(&call) else {
-                continue;
-            };
-            let first = self.queues.get(&proposal.key).and_then(|line| line.front()) == Some(&call);
-            if proposal.until <= now {
-                let error = if first {
-                    proposal.failure()
-                } else {
-                    RegisterError::Busy
-                };
-                self.finish(now, call, Outcome::Failed(error), out);
-            } else if !first {
-                self.due.insert((proposal.until, call));
-            } else if proposal.is_backing_off() {
-                self.begin(now, call, out);
-            } else {
-                let key = proposal.key;
-                self.stalled(now, key, out);
+        while let Some((at, call)) = self.proposer.timers.first().copied() {
+            if at > now {
+                return;
             }
+            self.proposer.timers.remove(&(at, call));
+            self.run_due_call(now, call, out);
         }
     }
 
-    fn stalled(&mut self, now: Duration, key: RegisterKey, out: &mut Vec<Output>) {
-        let peers = self.peers.as_ref().filter(|peers| now < peers.until);
-        let there: Option<BTreeSet<NameKey>> =
-            peers.map(|peers| peers.there.iter().copied().chain([self.own.name]).collect());
-        let Some(proposal) = self.active_proposal(key) else {
+    fn run_due_call(&mut self, now: Duration, call: Call, out: &mut Vec<Output>) {
+        let Some(proposal) = self.proposer.proposals.get(&call) else {
             return;
         };
-        let few = there.is_some_and(|there| {
-            proposal
-                .replicas
-                .iter()
-                .filter(|name| there.contains(name))
-                .count()
-                < majority(proposal.replicas.len())
-        });
-        let next = match proposal.unless_written(RegisterError::NoMajority) {
-            // It has tried, and by all that is known there is nobody to try on.
-            RegisterError::NoMajority if few => {
-                NextStep::Done(Outcome::Failed(RegisterError::NoMajority), None)
-            }
-            _ => proposal.stalled(),
-        };
-        self.proceed(now, key, next, out);
+        let key = proposal.key;
+        let is_active = self.proposer.active_call(key) == Some(call);
+        if proposal.deadline <= now {
+            let error = match is_active {
+                true => proposal.failure(),
+                false => RegisterError::Busy,
+            };
+            self.finish(now, call, Outcome::Failed(error), out);
+        } else if !is_active {
+            self.proposer.timers.insert((proposal.deadline, call));
+        } else if proposal.is_backing_off() {
+            self.start(now, call, out);
+        } else {
+            self.on_timeout(now, key, out);
+        }
     }
 
-    /// Brings a gap to the copies that have not taken it, so that all may forget it soon.
-    fn start_tombstone_repair(
-        &mut self,
-        now: Duration,
-        proposal: &Proposal,
-        out: &mut Vec<Output>,
-    ) {
-        self.tombstone_repairs.remove(&proposal.key);
-        let Some((ballot, state)) = proposal
-            .gap()
-            .filter(|_| self.tombstone_repairs.len() < MAX_TOMBSTONE_REPAIRS)
-        else {
+    /// A message was not answered in time. Where membership reports fewer than a majority of the replicas as reachable, the call
+    /// fails at once.
+    fn on_timeout(&mut self, now: Duration, key: RegisterKey, out: &mut Vec<Output>) {
+        let reachable = self.reachable(now);
+        let Some((proposal, _)) = self.proposer.active(key) else {
             return;
         };
-        let took: BTreeSet<NameKey> = proposal.responders().copied().collect();
-        let missing: BTreeSet<NameKey> = proposal
-            .replicas
-            .iter()
-            .copied()
-            .filter(|name| !took.contains(name))
-            .collect();
-        let tombstone_repair = TombstoneRepair {
-            ballot,
-            state,
-            missing,
-            at: now + RETRY_INTERVAL,
-            until: now + REPAIR_TIMEOUT,
+        let lacks_majority = reachable.is_some_and(|reachable| {
+            let replicas = &proposal.replicas;
+            let present = replicas.iter().filter(|name| reachable.contains(name));
+            present.count() < majority(replicas.len())
+        });
+        let no_majority = RegisterError::NoMajority;
+        let next = if lacks_majority && proposal.unless_written(no_majority.clone()) == no_majority
+        {
+            NextStep::Done(Outcome::Failed(no_majority), None)
+        } else {
+            proposal.on_timeout()
         };
-        self.tombstone_repairs
-            .insert(proposal.key, tombstone_repair);
-        self.finish_tombstone_repair(proposal.key, out);
+        self.proceed(now, key, next, out);
     }
 
-    fn on_tombstone_accepted(&mut self, key: RegisterKey, from: NameKey, out: &mut Vec<Output>) {
-        if let Some(tombstone_repair) = self.tombstone_repairs.get_mut(&key) {
-            tombstone_repair.missing.remove(&from);
-        }
-        self.finish_tombstone_repair(key, out);
+    /// Members that are reachable, this one among them; none while that is not known.
+    fn reachable(&self, now: Duration) -> Option<BTreeSet<NameKey>> {
+        let peers = self.peers.as_ref().filter(|peers| now < peers.until)?;
+        Some(peers.there.iter().copied().chain([self.own.name]).collect())
     }
+}
 
-    fn finish_tombstone_repair(&mut self, key: RegisterKey, out: &mut Vec<Output>) {
-        let Some(tombstone_repair) = self
-            .tombstone_repairs
-            .get(&key)
-            .filter(|tombstone_repair| tombstone_repair.missing.is_empty())
-        else {
-            return;
-        };
-        let version = tombstone_repair.state.version;
-        self.tombstone_repairs.remove(&key);
-        for name in self.replicas(key) {
-            self.send(name, Message::Forget { key, version }, out);
-        }
-    }
+/// The register and the ballot that a response is about.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Request {
+    pub(super) key: RegisterKey,
+    pub(super) ballot: Ballot,
+}
 
-    pub(super) fn run_due_tombstone_repairs(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let due: Vec<RegisterKey> = self
-            .tombstone_repairs
-            .iter()
-            .filter(|(_, tombstone_repair)| tombstone_repair.at <= now)
-            .map(|(key, _)| *key)
-            .collect();
-        for key in due {
-            let Some(tombstone_repair) = self.tombstone_repairs.get_mut(&key) else {
-                continue;
-            };
-            if tombstone_repair.until <= now {
-                self.tombstone_repairs.remove(&key);
-                continue;
-            }
-            tombstone_repair.at = now + RETRY_INTERVAL * 8;
-            let message = Message::Accept {
-                key,
-                ballot: tombstone_repair.ballot,
-                state: tombstone_repair.state.clone(),
-            };
-            let missing = tombstone_repair.missing.clone();
-            missing
-                .into_iter()
-                .for_each(|name| self.send(name, message.clone(), out));
-        }
+fn answer(proposal: &Proposal, outcome: Outcome) -> Output {
+    let call = proposal.call;
+    match outcome {
+        Outcome::Read(found) => Output::Read {
+            call,
+            found: Ok(found),
+        },
+        Outcome::Written(version) => Output::Written {
+            call,
+            done: Ok(version),
+        },
+        Outcome::Failed(error) if proposal.is_read() => Output::Read {
+            call,
+            found: Err(error),
+        },
+        Outcome::Failed(error) => Output::Written {
+            call,
+            done: Err(error),
+        },
     }
 }
--- a/crates/replicated-register/src/replica/state_transfer.rs
+++ b/crates/replicated-register/src/replica/state_transfer.rs
@@ -1,44 +1,130 @@
-//! A copy that returns: what its disk holds, what others know of it, and the fetching of what it missed, in chunks, each asked for by
-//! the last key that has arrived, so that a broken link or a lost frame costs one chunk.
+//! Catching up after a restart: what the own disk holds, what others know of earlier incarnations, and the transfer of all that
+//! other replicas hold. A transfer goes in chunks, each requested by the last key that has arrived, so that a lost frame costs one
+//! chunk.
 
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
 use bitternlatch_quota_lease::{Found, KeepError, Process};
 
-use super::{Replica, Unsynced, WritePurpose, CATCH_UP_GRACE};
+use super::persistence::{Reply, TransferId};
+use super::{Replica, CATCH_UP_GRACE};
 use crate::disk_records::{self, StoredState};
 use crate::message::{Message, StateChunk, TransferSession};
 use crate::recovery::{Completeness, Incarnation, RecoveryState, Source};
 use crate::register::{Acceptor, RegisterKey};
 use crate::{Event, Output};
 
-/// A chunk that did not come is asked for again, and one who did not answer, or lacked something itself.
+/// A chunk that did not arrive is requested again after this.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Bytes of values in a chunk; a single value always has room.
+/// A source that is still needed after its transfer is asked again after this.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(1000);
+/// Bytes of a chunk; a single register always fits.
 const MAX_CHUNK_BYTES: usize = 50 * 1024;
-/// Bytes of a register beside its value, at the most.
+/// Bytes of a register in a chunk beside its value, at most.
 const REGISTER_OVERHEAD_BYTES: usize = 160;
-/// Registers looked through for one chunk.
+/// Registers looked at for one chunk.
 const MAX_SCANNED_REGISTERS: usize = 4096;
 
-/// The fetching of all that another copy holds.
-pub struct StateTransfer {
+/// The transfer of all that another replica holds.
+struct StateTransfer {
     number: u64,
-    /// The start of the process that tells.
-    start: Option<u64>,
+    /// Start number of the process that it comes from.
+    source_start: Option<u64>,
+    /// The last key that has arrived.
     after: Option<RegisterKey>,
-    pub at: Duration,
+    next_request: Duration,
+    /// All chunks have arrived.
     ended: bool,
     /// Registers that are not on disk yet.
-    waiting: usize,
+    unsynced: usize,
+    /// Some register could not be stored.
     failed: bool,
+    /// The least that the source said of its own completeness.
     completeness: Completeness,
     missing: BTreeSet<NameKey>,
 }
 
+impl StateTransfer {
+    fn new(number: u64, next_request: Duration) -> StateTransfer {
+        StateTransfer {
+            number,
+            source_start: None,
+            after: None,
+            next_request,
+            ended: false,
+            unsynced: 0,
+            failed: false,
+            completeness: Completeness::Complete,
+            missing: BTreeSet::new(),
+        }
+    }
+
+    /// Takes the head of a chunk.
+    fn advance(&mut self, now: Duration, chunk: &StateChunk) {
+        self.completeness = self.completeness.max(chunk.completeness);
+        self.missing.extend(&chunk.missing);
+        self.next_request = now;
+        match chunk.up_to {
+            Some(up_to) => self.after = Some(up_to),
+            None => self.ended = true,
+        }
+    }
+}
+
+/// Transfers in progress, by source.
+#[derive(Default)]
+pub(super) struct Transfers {
+    active: BTreeMap<NameKey, StateTransfer>,
+    last_number: u64,
+    /// Registers that transfers have changed.
+    changed_registers: u64,
+}
+
+impl Transfers {
+    /// When the next request is due.
+    pub(super) fn wake_at(&self) -> Option<Duration> {
+        self.active
+            .values()
+            .map(|transfer| transfer.next_request)
+            .min()
+    }
+
+    /// Begins a transfer from each source that has none.
+    fn begin(&mut self, sources: Vec<NameKey>, first_request: Duration) {
+        for name in sources {
+            if !self.active.contains_key(&name) {
+                self.last_number += 1;
+                let transfer = StateTransfer::new(self.last_number, first_request);
+                self.active.insert(name, transfer);
+            }
+        }
+    }
+
+    /// Removes a transfer of which everything has arrived and is on disk.
+    fn take_finished(&mut self, name: NameKey) -> Option<StateTransfer> {
+        let transfer = self.active.get(&name)?;
+        let is_finished = transfer.ended && transfer.unsynced == 0;
+        is_finished.then(|| self.active.remove(&name)).flatten()
+    }
+
+    fn fail(&mut self, name: NameKey) {
+        if let Some(transfer) = self.active.get_mut(&name) {
+            transfer.failed = true;
+        }
+    }
+}
+
+/// Registers for one chunk.
+struct Scan<'a> {
+    items: Vec<(RegisterKey, &'a Acceptor)>,
+    /// The last key looked at; none at the end.
+    up_to: Option<RegisterKey>,
+}
+
 impl Replica {
+    /// What was on disk at the start.
     pub(super) fn on_loaded(
         &mut self,
         now: Duration,
@@ -48,121 +134,114 @@
         if self.recovery.is_some() {
             return;
         }
-        self.opened = now;
-        let (own, start) = (self.own.name, self.own.start);
-        let new = |completeness, incarnation| {
-            RecoveryState::new(own, &self.roster, completeness, incarnation)
-        };
-        let mut stale = Vec::new();
-        let recovery = match found {
+        self.opened_at = now;
+        let stale = match found {
             Err(fault) => {
-                self.fault = Some(fault.clone());
+                self.persistence.set_fault(fault.clone());
                 out.push(Output::Event(Event::DiskFault(fault)));
-                new(Completeness::Lost, start)
-            }
-            Ok(found) => {
-                let names: Vec<Vec<u8>> = found.iter().map(|(name, _)| name.clone()).collect();
-                match disk_records::open(found) {
-                    StoredState::Empty => new(Completeness::Fresh, start),
-                    StoredState::Corrupt => {
-                        stale = names;
-                        out.push(Output::Event(Event::DiskCorrupt));
-                        new(Completeness::Lost, start)
-                    }
-                    StoredState::Intact {
-                        meta,
-                        registers,
-                        stale: old,
-                    } => {
-                        stale = old;
-                        for (key, acceptor) in registers {
-                            // What does not fit now did not fit then.
-                            let bytes = acceptor.bytes();
-                            let _ = self.store.update(now, key, bytes, |held| *held = acceptor);
-                        }
-                        self.kept = meta.count;
-                        new(meta.completeness, meta.incarnation).with(meta.count, meta.incarnations)
-                    }
-                }
+                self.begin_incarnation(Completeness::Lost);
+                vec![]
             }
+            Ok(found) => self.restore(now, found, out),
         };
-        self.recovery = Some(recovery);
         for name in stale {
-            self.store_record(WritePurpose::Removal, name, None, vec![], out);
+            self.remove_record(name, out);
         }
         self.store_metadata(vec![], out);
     }
 
-    /// Asks those it has not caught up with, one chunk at a time of each.
+    fn begin_incarnation(&mut self, completeness: Completeness) {
+        let (own, start) = (self.own.name, self.own.start);
+        self.recovery = Some(RecoveryState::new(own, &self.roster, completeness, start));
+    }
+
+    /// Restores what is on disk; returns the names of records that are of no use.
+    fn restore(&mut self, now: Duration, found: Found, out: &mut Vec<Output>) -> Vec<Vec<u8>> {
+        let names: Vec<Vec<u8>> = found.iter().map(|(name, _)| name.clone()).collect();
+        match disk_records::open(found) {
+            StoredState::Empty => {
+                self.begin_incarnation(Completeness::Fresh);
+                vec![]
+            }
+            StoredState::Corrupt => {
+                out.push(Output::Event(Event::DiskCorrupt));
+                self.begin_incarnation(Completeness::Lost);
+                names
+            }
+            StoredState::Intact {
+                metadata,
+                registers,
+                stale,
+            } => {
+                for (key, acceptor) in registers {
+                    // What exceeds the capacity now exceeded it when it was written.
+                    let bytes = acceptor.value_bytes();
+                    let _ = self.store.update(now, key, bytes, |held| *held = acceptor);
+                }
+                self.persistence.set_durable_changes(metadata.count);
+                let recovery = RecoveryState::new(
+                    self.own.name,
+                    &self.roster,
+                    metadata.completeness,
+                    metadata.incarnation,
+                );
+                self.recovery = Some(recovery.with(metadata.count, metadata.incarnations));
+                stale
+            }
+        }
+    }
+
+    /// Requests what is missing, one chunk at a time of each source.
     pub(super) fn request_state(&mut self, now: Duration, out: &mut Vec<Output>) {
         let Some(recovery) = &self.recovery else {
             return;
         };
-        let pending_sources = recovery.pending_sources();
-        let (incarnation, count) = (recovery.incarnation, self.kept);
-        for name in pending_sources {
-            if !self.transfers.contains_key(&name) {
-                self.sessions += 1;
-                self.transfers
-                    .insert(name, StateTransfer::new(self.sessions, now));
+        let incarnation = recovery.incarnation;
+        self.transfers.begin(recovery.pending_sources(), now);
+        let mut requests = Vec::new();
+        for (name, transfer) in &mut self.transfers.active {
+            if transfer.next_request > now {
+                continue;
             }
-        }
-        let mut asks = Vec::new();
-        for (name, fetch) in self.transfers.iter_mut().filter(|(_, f)| f.at <= now) {
-            fetch.at = now + RETRY_INTERVAL;
-            if !fetch.ended {
-                let session = TransferSession {
-                    start: self.own.start,
-                    number: fetch.number,
-                };
-                asks.push((
-                    *name,
-                    Message::FetchState {
-                        session,
-                        incarnation,
-                        count,
-                        after: fetch.after,
-                    },
-                ));
+            transfer.next_request = now + RETRY_INTERVAL;
+            if transfer.ended {
+                continue;
             }
+            let message = Message::FetchState {
+                session: TransferSession {
+                    start: self.own.start,
+                    number: transfer.number,
+                },
+                incarnation,
+                count: self.persistence.durable_changes(),
+                after: transfer.after,
+            };
+            requests.push((*name, message));
+        }
+        for (name, message) in requests {
+            self.send(name, message, out);
         }
-        asks.into_iter()
-            .for_each(|(name, message)| self.send(name, message, out));
     }
 
+    /// Another replica asks for a chunk. `incarnation_is_later`: it was not known yet that its earlier one has ended.
     pub(super) fn on_fetch_state(
         &mut self,
         from: NameKey,
-        (session, after): (TransferSession, Option<RegisterKey>),
-        (incarnation, count): (u64, u64),
+        session: TransferSession,
+        after: Option<RegisterKey>,
+        incarnation_is_later: bool,
         out: &mut Vec<Output>,
     ) {
-        let later = self.note_incarnation(from, incarnation, count, out);
         let Some(recovery) = &self.recovery else {
             return;
         };
-        let (mut items, mut bytes, mut looked) = (Vec::<(RegisterKey, &Acceptor)>::new(), 0, 0);
-        let (mut up_to, mut end) = (after, true);
-        for (key, acceptor) in self.store.iter_after(after) {
-            if looked >= MAX_SCANNED_REGISTERS
-                || bytes + acceptor.bytes() + REGISTER_OVERHEAD_BYTES > MAX_CHUNK_BYTES
-            {
-                end = false;
-                break;
-            }
-            looked += 1;
-            up_to = Some(*key);
-            if self.replicas(*key).contains(&from) {
-                bytes += acceptor.bytes() + REGISTER_OVERHEAD_BYTES;
-                items.push((*key, acceptor));
-            }
-        }
-        // Plain data cannot fail to be written; what does not open is asked for again.
-        let items = postcard::to_stdvec(&items).unwrap_or_default();
-        let message = Message::StateChunk(Box::new(StateChunk {
+        let scan = self.scan(from, after);
+        // Plain data cannot fail to be encoded; a chunk that does not open is requested again.
+        let items = postcard::to_stdvec(&scan.items).unwrap_or_default();
+        let chunk = StateChunk {
             session,
             after,
-            up_to: up_to.filter(|_| !end),
+            up_to: scan.up_to,
             completeness: recovery.completeness,
             missing: recovery.missing().iter().copied().collect(),
             incarnations: recovery
@@ -172,20 +251,35 @@
                 .collect(),
             sum: crc32fast::hash(&items),
             items,
-        }));
-        // From now on it says to all that the other's earlier life has ended; it must not forget that.
-        match (self.settings.durable, self.metadata_unsynced) {
-            (true, Some(Unsynced::Pending(ticket))) if !later => {
-                self.pending_writes
-                    .get_mut(&ticket)
-                    .into_iter()
-                    .for_each(|t| t.replies.push((from, message.clone())));
+        };
+        let reply = Reply {
+            to: from,
+            message: Message::StateChunk(Box::new(chunk)),
+        };
+        // From now on this replica reports to all that the other's earlier incarnation has ended; it must not forget that.
+        self.send_when_metadata_durable(reply, incarnation_is_later, out);
+    }
+
+    /// Registers after a key that another member holds too, as many as fit into a chunk.
+    fn scan(&self, member: NameKey, after: Option<RegisterKey>) -> Scan<'_> {
+        let mut scan = Scan {
+            items: vec![],
+            up_to: after,
+        };
+        let mut bytes = 0;
+        for (scanned, (key, acceptor)) in self.store.iter_after(after).enumerate() {
+            let register_bytes = acceptor.value_bytes() + REGISTER_OVERHEAD_BYTES;
+            if scanned >= MAX_SCANNED_REGISTERS || bytes + register_bytes > MAX_CHUNK_BYTES {
+                return scan;
             }
-            (true, meta) if later || meta.is_some() => {
-                self.store_metadata(vec![(from, message)], out)
+            scan.up_to = Some(*key);
+            if self.replicas(*key).contains(&member) {
+                bytes += register_bytes;
+                scan.items.push((*key, acceptor));
             }
-            _ => self.send(from, message, out),
         }
+        scan.up_to = None;
+        scan
     }
 
     pub(super) fn on_state_chunk(
@@ -196,51 +290,45 @@
         out: &mut Vec<Output>,
     ) {
         let name = from.name;
-        let own_version = |f: &&mut StateTransfer| {
-            chunk.session
-                == TransferSession {
-                    start: self.own.start,
-                    number: f.number,
-                }
-                && chunk.after == f.after
-                && !f.ended
+        let own_start = self.own.start;
+        let is_awaited = |transfer: &&mut StateTransfer| {
+            let session = TransferSession {
+                start: own_start,
+                number: transfer.number,
+            };
+            chunk.session == session && chunk.after == transfer.after && !transfer.ended
         };
-        let Some(fetch) = self.transfers.get_mut(&name).filter(own_version) else {
+        let Some(transfer) = self.transfers.active.get_mut(&name).filter(is_awaited) else {
             return;
         };
         let Some(items) = chunk.open() else {
             self.counters.broken_chunks += 1;
             return;
         };
-        if fetch.start.is_some_and(|start| start != from.start) {
-            // Another process tells on: from the beginning, as its memory may be another one.
-            self.transfers.remove(&name);
+        if transfer
+            .source_start
+            .is_some_and(|start| start != from.start)
+        {
+            // Another process goes on with it, which may hold something else: it begins anew.
+            self.transfers.active.remove(&name);
             return;
         }
-        fetch.start = Some(from.start);
-        fetch.completeness = fetch.completeness.max(chunk.completeness);
-        fetch.missing.extend(&chunk.missing);
-        fetch.at = now;
-        match chunk.up_to {
-            Some(up_to) => fetch.after = Some(up_to),
-            None => fetch.ended = true,
-        }
-        let number = fetch.number;
+        transfer.source_start = Some(from.start);
+        transfer.advance(now, chunk);
+        let number = transfer.number;
         if self.on_incarnations(name, &chunk.incarnations, out) {
             return;
         }
+        let id = TransferId { from: name, number };
         for (key, acceptor) in items {
-            if !self.learn(now, key, acceptor, (name, number), out) {
-                self.transfers
-                    .get_mut(&name)
-                    .into_iter()
-                    .for_each(|f| f.failed = true);
+            if !self.learn(now, key, acceptor, id, out) {
+                self.transfers.fail(name);
             }
         }
         self.finish_transfer(now, name, out);
     }
 
-    /// What another one knows of lives, this one's among them; tells whether that ends this life.
+    /// What another replica knows of incarnations, this one's among them; returns whether transfers have to begin anew.
     fn on_incarnations(
         &mut self,
         by: NameKey,
@@ -254,165 +342,133 @@
             .iter()
             .find(|(name, _)| *name == self.own.name)
             .map(|(_, incarnation)| *incarnation);
-        let contradicted = own.is_some_and(|known| recovery.contradicted(known));
-        if contradicted {
-            if recovery.completeness == Completeness::Fresh {
-                out.push(Output::Event(Event::DiskErased { by }));
-                recovery.lose(recovery.incarnation);
-            } else if self.own.start > recovery.incarnation {
-                out.push(Output::Event(Event::OlderDisk { by }));
-                recovery.lose(self.own.start);
-                self.store.clear();
-                self.unsynced.clear();
-                self.pending_writes
-                    .values_mut()
-                    .for_each(|ticket| ticket.replies.clear());
-            } else {
-                return false;
-            }
-            self.transfers.clear();
-            if self.settings.durable {
-                self.store_metadata(vec![], out);
-            }
-            return true;
+        if own.is_some_and(|known| recovery.is_contradicted_by(known)) {
+            return self.end_incarnation(by, out);
         }
         for (name, incarnation) in incarnations {
-            if recovery.note_incarnation(*name, *incarnation).1 {
+            if recovery.note_incarnation(*name, *incarnation).is_loss {
                 out.push(Output::Event(Event::ReplicaLost(*name)));
             }
         }
         false
     }
 
-    /// Takes what another copy holds; tells whether there is room for it.
+    /// Another replica knows more of this one than it holds itself: begins an incarnation that is known to be incomplete. Returns
+    /// false where this process has begun one already.
+    fn end_incarnation(&mut self, by: NameKey, out: &mut Vec<Output>) -> bool {
+        let Some(recovery) = &mut self.recovery else {
+            return true;
+        };
+        if recovery.completeness == Completeness::Fresh {
+            out.push(Output::Event(Event::DiskErased { by }));
+            recovery.begin_incomplete(recovery.incarnation);
+        } else if self.own.start > recovery.incarnation {
+            out.push(Output::Event(Event::OlderDisk { by }));
+            recovery.begin_incomplete(self.own.start);
+            self.store.clear();
+            self.persistence.end_incarnation();
+        } else {
+            return false;
+        }
+        self.transfers.active.clear();
+        if self.settings.durable {
+            self.store_metadata(vec![], out);
+        }
+        true
+    }
+
+    /// Takes a register that another replica holds; returns whether there is capacity for it.
     fn learn(
         &mut self,
         now: Duration,
         key: RegisterKey,
         acceptor: Acceptor,
-        (from, number): (NameKey, u64),
+        transfer: TransferId,
         out: &mut Vec<Output>,
     ) -> bool {
         if !self.replicas(key).contains(&self.own.name) {
             return true;
         }
-        match self
+        let bytes = acceptor.value_bytes();
+        let learned = self
             .store
-            .update(now, key, acceptor.bytes(), |held| held.learn(acceptor))
-        {
-            Err(_) => return false,
-            Ok(false) if !self.unsynced.contains_key(&key) => return true,
-            Ok(changed) => {
-                self.fetched += u64::from(changed);
-                self.recovery
-                    .iter_mut()
-                    .for_each(|m| m.count += u64::from(changed));
-            }
+            .update(now, key, bytes, |held| held.learn(acceptor));
+        let Ok(changed) = learned else {
+            return false;
+        };
+        if !changed && !self.persistence.is_unsynced(key) {
+            return true;
         }
-        match self.settings.durable {
-            true => {
-                self.store_register(
-                    key,
-                    WritePurpose::Transferred(key, from, number),
-                    vec![],
-                    out,
-                );
-                self.transfers
-                    .get_mut(&from)
-                    .into_iter()
-                    .for_each(|f| f.waiting += 1);
+        self.transfers.changed_registers += u64::from(changed);
+        if let Some(recovery) = &mut self.recovery {
+            recovery.changes += u64::from(changed);
+        }
+        if self.settings.durable {
+            self.store_transferred(key, transfer, out);
+            if let Some(transfer) = self.transfers.active.get_mut(&transfer.from) {
+                transfer.unsynced += 1;
             }
-            false => self.kept = self.recovery.as_ref().map_or(0, |m| m.count),
+        } else {
+            self.persistence.set_durable_changes(self.changes());
         }
         true
     }
 
+    /// A register that was fetched is on disk, or could not be written.
     pub(super) fn on_transferred_stored(
         &mut self,
         now: Duration,
-        from: NameKey,
-        number: u64,
-        kept: bool,
+        id: TransferId,
+        stored: bool,
         out: &mut Vec<Output>,
     ) {
-        let Some(fetch) = self.transfers.get_mut(&from).filter(|f| f.number == number) else {
+        let is_current = |transfer: &&mut StateTransfer| transfer.number == id.number;
+        let Some(transfer) = self.transfers.active.get_mut(&id.from).filter(is_current) else {
             return;
         };
-        fetch.waiting = fetch.waiting.saturating_sub(1);
-        fetch.failed |= !kept;
-        self.finish_transfer(now, from, out);
+        transfer.unsynced = transfer.unsynced.saturating_sub(1);
+        transfer.failed |= !stored;
+        self.finish_transfer(now, id.from, out);
     }
 
     fn finish_transfer(&mut self, now: Duration, name: NameKey, out: &mut Vec<Output>) {
-        let Some(fetch) = self
-            .transfers
-            .get(&name)
-            .filter(|f| f.ended && f.waiting == 0)
-        else {
+        let Some(transfer) = self.transfers.take_finished(name) else {
             return;
         };
-        let source = Source {
-            completeness: fetch.completeness,
-            missing: fetch.missing.clone(),
-        };
-        let failed = fetch.failed;
-        self.transfers.remove(&name);
         let Some(recovery) = self.recovery.as_mut() else {
             return;
         };
         let before = recovery.completeness;
-        if !failed {
-            recovery.fetched(name, source);
-        }
-        let changed = recovery.completeness != before;
-        // Whoever is still wanted is asked again in a while, not at once.
-        for name in self
-            .recovery
-            .iter()
-            .flat_map(RecoveryState::pending_sources)
-            .collect::<Vec<_>>()
-        {
-            if !self.transfers.contains_key(&name) {
-                self.sessions += 1;
-                self.transfers.insert(
-                    name,
-                    StateTransfer::new(self.sessions, now + 2 * RETRY_INTERVAL),
-                );
-            }
+        if !transfer.failed {
+            let source = Source {
+                completeness: transfer.completeness,
+                missing: transfer.missing,
+            };
+            recovery.add_source(name, source);
         }
-        if changed && self.settings.durable {
+        let has_changed = recovery.completeness != before;
+        let pending = recovery.pending_sources();
+        self.transfers.begin(pending, now + REPEAT_INTERVAL);
+        if has_changed && self.settings.durable {
             self.store_metadata(vec![], out);
         }
         self.check_caught_up(now, out);
     }
 
+    /// Reports once that this replica has caught up.
     pub(super) fn check_caught_up(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let Some(recovery) = self.recovery.as_ref().filter(|_| !self.caught_up) else {
+        let Some(recovery) = self.recovery.as_ref().filter(|_| !self.has_caught_up) else {
             return;
         };
         let waited = recovery.completeness == Completeness::Complete
-            && now >= self.opened + CATCH_UP_GRACE
+            && now >= self.opened_at + CATCH_UP_GRACE
             && recovery.source_count() > 0;
         if recovery.missing().is_empty() || waited {
-            self.caught_up = true;
-            let (registers, fetched) = (self.store.len(), self.fetched);
-            out.push(Output::Event(Event::CaughtUp { registers, fetched }));
-        }
-    }
-}
-
-impl StateTransfer {
-    fn new(number: u64, at: Duration) -> StateTransfer {
-        StateTransfer {
-            number,
-            start: None,
-            after: None,
-            at,
-            ended: false,
-            waiting: 0,
-            failed: false,
-            completeness: Completeness::Complete,
-            missing: BTreeSet::new(),
+            self.has_caught_up = true;
+            out.push(Output::Event(Event::CaughtUp {
+                registers: self.store.len(),
+                fetched: self.transfers.changed_registers,
+            }));
         }
     }
 }
--- /dev/null
+++ b/crates/replicated-register/src/replica/tombstone_repair.rs
@@ -0,0 +1,143 @@
+//! Tombstones that not all replicas have accepted yet: sent to those until all hold them, so that all may forget them soon.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use bitternlatch_membership::NameKey;
+
+use super::proposer::{Request, RETRY_INTERVAL};
+use super::Replica;
+use crate::message::Message;
+use crate::proposal::Proposal;
+use crate::register::{Ballot, RegisterKey, State, Version};
+use crate::Output;
+
+/// Repairs at a time; a tombstone beyond them is kept longer where a replica missed it.
+const MAX_REPAIRS: usize = 4096;
+/// How long a tombstone is sent to replicas that do not respond.
+const REPAIR_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time between two sends of one tombstone.
+const REPAIR_INTERVAL: Duration = RETRY_INTERVAL.saturating_mul(8);
+
+/// A tombstone that some replicas have not accepted.
+struct TombstoneRepair {
+    ballot: Ballot,
+    state: State,
+    missing: BTreeSet<NameKey>,
+    next_send: Duration,
+    deadline: Duration,
+}
+
+/// Repairs by register.
+#[derive(Default)]
+pub(super) struct TombstoneRepairs(BTreeMap<RegisterKey, TombstoneRepair>);
+
+impl TombstoneRepairs {
+    /// When the first repair is due.
+    pub(super) fn wake_at(&self) -> Option<Duration> {
+        self.0.values().map(|repair| repair.next_send).min()
+    }
+
+    /// Whether a response belongs to a repair.
+    pub(super) fn is_for(&self, request: Request) -> bool {
+        self.0
+            .get(&request.key)
+            .is_some_and(|repair| repair.ballot == request.ballot)
+    }
+
+    pub(super) fn remove(&mut self, key: RegisterKey) {
+        self.0.remove(&key);
+    }
+
+    /// Removes a repair that is complete; returns the version of its tombstone.
+    fn take_complete(&mut self, key: RegisterKey) -> Option<Version> {
+        let is_complete = self.0.get(&key)?.missing.is_empty();
+        let repair = is_complete.then(|| self.0.remove(&key)).flatten()?;
+        Some(repair.state.version)
+    }
+
+    fn due(&self, now: Duration) -> Vec<RegisterKey> {
+        self.0
+            .iter()
+            .filter(|(_, repair)| repair.next_send <= now)
+            .map(|(key, _)| *key)
+            .collect()
+    }
+}
+
+impl Replica {
+    /// Begins a repair where a proposal wrote a tombstone.
+    pub(super) fn start_tombstone_repair(
+        &mut self,
+        now: Duration,
+        proposal: &Proposal,
+        out: &mut Vec<Output>,
+    ) {
+        let key = proposal.key;
+        self.repairs.remove(key);
+        let Some((ballot, state)) = proposal.accepted_tombstone() else {
+            return;
+        };
+        if self.repairs.0.len() >= MAX_REPAIRS {
+            return;
+        }
+        let accepted: BTreeSet<NameKey> = proposal.responders().copied().collect();
+        let replicas: BTreeSet<NameKey> = proposal.replicas.iter().copied().collect();
+        let repair = TombstoneRepair {
+            ballot,
+            state,
+            missing: &replicas - &accepted,
+            next_send: now + RETRY_INTERVAL,
+            deadline: now + REPAIR_TIMEOUT,
+        };
+        self.repairs.0.insert(key, repair);
+        self.finish_tombstone_repair(key, out);
+    }
+
+    pub(super) fn on_tombstone_accepted(
+        &mut self,
+        key: RegisterKey,
+        from: NameKey,
+        out: &mut Vec<Output>,
+    ) {
+        if let Some(repair) = self.repairs.0.get_mut(&key) {
+            repair.missing.remove(&from);
+        }
+        self.finish_tombstone_repair(key, out);
+    }
+
+    /// Once all replicas hold the tombstone, tells them to forget it soon.
+    fn finish_tombstone_repair(&mut self, key: RegisterKey, out: &mut Vec<Output>) {
+        let Some(version) = self.repairs.take_complete(key) else {
+            return;
+        };
+        for name in self.replicas(key) {
+            self.send(name, Message::Forget { key, version }, out);
+        }
+    }
+
+    pub(super) fn run_due_tombstone_repairs(&mut self, now: Duration, out: &mut Vec<Output>) {
+        for key in self.repairs.due(now) {
+            self.run_tombstone_repair(now, key, out);
+        }
+    }
+
+    fn run_tombstone_repair(&mut self, now: Duration, key: RegisterKey, out: &mut Vec<Output>) {
+        let Some(repair) = self.repairs.0.get_mut(&key) else {
+            return;
+        };
+        if repair.deadline <= now {
+            self.repairs.remove(key);
+            return;
+        }
+        repair.next_send = now + REPAIR_INTERVAL;
+        let message = Message::Accept {
+            key,
+            ballot: repair.ballot,
+            state: repair.state.clone(),
+        };
+        for name in repair.missing.clone() {
+            self.send(name, message.clone(), out);
+        }
+    }
+}
--- a/crates/replicated-register/src/store.rs
+++ b/crates/replicated-register/src/store.rs
@@ -1,56 +1,66 @@
-//! The registers of which this member holds copies, within bounds of number and bytes, and when what is let go of is forgotten.
+//! The registers that this member holds, within bounds of number and bytes, and when tombstones and promises are forgotten.
 
 use std::collections::BTreeMap;
+use std::ops::Bound::{Excluded, Unbounded};
 use std::time::Duration;
 
 use crate::register::{Acceptor, Ballot, RegisterKey, State, Version};
 
-/// Registers of which one member holds copies, at the most; beyond it new ones are refused.
+/// Registers that one member holds at most; further ones are refused.
 pub const MAX_REGISTERS: usize = 64 * 1024;
-/// Bytes of their values at the most; beyond it longer values are refused.
+/// Bytes of their values at most; longer values are refused beyond it.
 pub const MAX_STORED_BYTES: usize = 256 << 20;
-/// A gap that all copies hold, and a promise about a register that holds nothing, are forgotten after this: no message is older.
+/// A tombstone that all replicas hold, and a promise about a register without a state, are forgotten after this: no message is
+/// older.
 pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(600);
-/// A gap that some copy may not hold. What a copy away for longer brings back is taken for the latest again.
+/// A tombstone that some replica may not hold is forgotten after this. What a replica that was away for longer brings back is taken
+/// for the latest state again.
 pub const UNSETTLED_TOMBSTONE_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
-/// There is no room.
+/// The bound of registers or bytes is reached.
 #[derive(Debug)]
 pub struct CapacityError;
 
+/// Acceptors by register.
 #[derive(Default)]
 pub struct RegisterStore {
-    replicas: BTreeMap<RegisterKey, Acceptor>,
+    acceptors: BTreeMap<RegisterKey, Acceptor>,
+    /// Bytes of all values.
     bytes: usize,
     expiries: BTreeMap<RegisterKey, Duration>,
-    /// The first of the ends.
+    /// The first of the expiries, or an earlier time.
     next_expiry: Option<Duration>,
 }
 
 impl RegisterStore {
+    /// Number of registers.
     pub fn len(&self) -> usize {
-        self.replicas.len()
+        self.acceptors.len()
     }
 
+    /// The acceptor of a register, if it is held.
     pub fn get(&self, key: RegisterKey) -> Option<&Acceptor> {
-        self.replicas.get(&key)
+        self.acceptors.get(&key)
     }
 
-    /// All after a key, in order.
+    /// All registers after a key, in the order of keys.
     pub fn iter_after(
         &self,
         key: Option<RegisterKey>,
     ) -> impl Iterator<Item = (&RegisterKey, &Acceptor)> {
-        use std::ops::Bound::{Excluded, Unbounded};
-        self.replicas
-            .range((key.map_or(Unbounded, Excluded), Unbounded))
+        let from = key.map_or(Unbounded, Excluded);
+        self.acceptors.range((from, Unbounded))
     }
 
+    /// Removes all registers.
     pub fn clear(&mut self) {
         *self = RegisterStore::default();
     }
 
-    /// Changes one, or begins one, where there is room for a value of so many bytes.
+    /// Changes a register, or creates it first. `bytes` is the length of the value that it may hold then.
+    ///
+    /// # Errors
+    /// [`CapacityError`]: nothing is changed.
     pub fn update<T>(
         &mut self,
         now: Duration,
@@ -58,37 +68,32 @@
         bytes: usize,
         change: impl FnOnce(&mut Acceptor) -> T,
     ) -> Result<T, CapacityError> {
-        let had = self.replicas.get(&key).map(Acceptor::bytes);
-        let version = |acceptor: &Acceptor| acceptor.accepted.as_ref().map(|a| a.state.version);
-        let before = self.replicas.get(&key).and_then(version);
-        if (had.is_none() && self.replicas.len() >= MAX_REGISTERS)
-            || (bytes > had.unwrap_or(0)
-                && self.bytes - had.unwrap_or(0) + bytes > MAX_STORED_BYTES)
-        {
+        let before = self.acceptors.get(&key);
+        let old_bytes = before.map_or(0, Acceptor::value_bytes);
+        let old_version = before.and_then(version_of);
+        let exceeds_registers = before.is_none() && self.len() >= MAX_REGISTERS;
+        let exceeds_bytes = bytes > old_bytes && self.bytes - old_bytes + bytes > MAX_STORED_BYTES;
+        if exceeds_registers || exceeds_bytes {
             return Err(CapacityError);
         }
-        let acceptor = self.replicas.entry(key).or_default();
-        let done = change(acceptor);
-        self.bytes = self.bytes - had.unwrap_or(0) + acceptor.bytes();
-        let lasts = match &acceptor.accepted {
-            Some(accepted) if accepted.state.body.is_some() => None,
-            Some(accepted) if before != Some(accepted.state.version) => {
-                Some(now + UNSETTLED_TOMBSTONE_RETENTION)
-            }
-            // A promise has to be remembered for as long as what it forbids may be under way.
-            _ => Some(
-                self.expiries
-                    .get(&key)
-                    .copied()
-                    .unwrap_or_default()
-                    .max(now + TOMBSTONE_RETENTION),
-            ),
-        };
-        match lasts {
-            None => drop(self.expiries.remove(&key)),
-            Some(end) => self.set_expiry(key, end),
+        let acceptor = self.acceptors.entry(key).or_default();
+        let result = change(acceptor);
+        self.bytes = self.bytes - old_bytes + acceptor.value_bytes();
+        let has_value = acceptor
+            .accepted
+            .as_ref()
+            .is_some_and(|accepted| accepted.state.body.is_some());
+        let new_version = version_of(acceptor);
+        if has_value {
+            self.expiries.remove(&key);
+        } else if new_version.is_some() && new_version != old_version {
+            self.set_expiry(key, now + UNSETTLED_TOMBSTONE_RETENTION);
+        } else {
+            // A promise has to be remembered for as long as what it forbids may be on its way.
+            let current = self.expiries.get(&key).copied().unwrap_or_default();
+            self.set_expiry(key, current.max(now + TOMBSTONE_RETENTION));
         }
-        Ok(done)
+        Ok(result)
     }
 
     fn set_expiry(&mut self, key: RegisterKey, at: Duration) {
@@ -96,6 +101,10 @@
         self.next_expiry = Some(self.next_expiry.map_or(at, |next| next.min(at)));
     }
 
+    /// [`Acceptor::prepare`] of a register.
+    ///
+    /// # Errors
+    /// [`CapacityError`]: nothing is changed.
     pub fn prepare(
         &mut self,
         now: Duration,
@@ -105,6 +114,10 @@
         self.update(now, key, 0, |acceptor| acceptor.prepare(ballot))
     }
 
+    /// [`Acceptor::accept`] of a register.
+    ///
+    /// # Errors
+    /// [`CapacityError`]: nothing is changed.
     pub fn accept(
         &mut self,
         now: Duration,
@@ -116,41 +129,48 @@
         self.update(now, key, bytes, |acceptor| acceptor.accept(ballot, state))
     }
 
-    /// All copies hold this gap.
+    /// All replicas hold this tombstone: it is forgotten soon.
     pub fn settle_tombstone(&mut self, now: Duration, key: RegisterKey, version: Version) {
-        let state = self
-            .replicas
-            .get(&key)
-            .and_then(|acceptor| acceptor.accepted.as_ref())
-            .map(|a| &a.state);
-        if state.is_some_and(|s| s.body.is_none() && s.version == version) {
+        let accepted = self
+            .get(key)
+            .and_then(|acceptor| acceptor.accepted.as_ref());
+        let is_held = accepted.is_some_and(|accepted| {
+            accepted.state.body.is_none() && accepted.state.version == version
+        });
+        if is_held {
             self.set_expiry(key, now + TOMBSTONE_RETENTION);
         }
     }
 
+    /// When [`RegisterStore::expire`] is due.
     pub fn next_expiry(&self) -> Option<Duration> {
         self.next_expiry
     }
 
-    /// Forgets what has ended; those are gone from the disk too then.
+    /// Forgets registers that have expired, and returns them: their records have to be removed too.
     pub fn expire(&mut self, now: Duration) -> Vec<RegisterKey> {
         if self.next_expiry.is_none_or(|at| now < at) {
             return vec![];
         }
-        let ended: Vec<RegisterKey> = self
+        let expired: Vec<RegisterKey> = self
             .expiries
             .iter()
             .filter(|(_, at)| **at <= now)
-            .map(|(k, _)| *k)
+            .map(|(key, _)| *key)
             .collect();
-        for key in &ended {
+        for key in &expired {
             self.expiries.remove(key);
-            self.replicas.remove(key);
+            self.acceptors.remove(key);
         }
         self.next_expiry = self.expiries.values().min().copied();
-        ended
+        expired
     }
 }
 
+fn version_of(acceptor: &Acceptor) -> Option<Version> {
+    let accepted = acceptor.accepted.as_ref()?;
+    Some(accepted.state.version)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/replicated-register/src/store/tests.rs
+++ b/crates/replicated-register/src/store/tests.rs
@@ -17,7 +17,7 @@
     };
     let state = |body| State {
         version,
-        before: None,
+        replaces: None,
         body,
     };
     let key = |i: usize| RegisterKey((i as u128).to_le_bytes());
