--- a/crates/replicated-register/src/error/tests.rs
+++ b/crates/replicated-register/src/error/tests.rs
@@ -3,7 +3,7 @@
 use bitternlatch_membership::NameKey;
 
 #[test]
-fn every_error_and_event_says_what_to_do() {
+fn every_error_and_event_has_advice() {
     use RegisterError::*;
     let errors = [
         Malformed,
@@ -14,7 +14,7 @@
         CatchingUp,
         Lost,
         NotStored(KeepError::Full),
-        TooLong { bytes: 2, most: 1 },
+        TooLong { bytes: 2, max: 1 },
         Busy,
         Full,
         TimedOut,
--- a/crates/replicated-register/src/io.rs
+++ b/crates/replicated-register/src/io.rs
@@ -1,4 +1,4 @@
-//! What goes in and what comes out. Times are of the process's own clock.
+//! Inputs and outputs of the machine. Times are of the process's own clock.
 
 use std::time::Duration;
 
@@ -7,15 +7,16 @@
 
 use crate::{RegisterError, RegisterKey, Version};
 
-/// The caller's number for one question; never reused within a run.
+/// The caller's number for one call; never reused within a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Call(pub u64);
 
+/// Settings, the same at all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Copies of a register; more than the roster has are as many as it has.
+    /// Replicas of a register; all members of the roster where it has fewer.
     pub replicas: usize,
-    /// Whether there is a disk. Without one a copy lasts as long as its process.
+    /// Whether there is a disk. Without one a replica lasts as long as its process.
     pub durable: bool,
 }
 
@@ -28,88 +29,143 @@
     }
 }
 
+/// What the machine is given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// The time alone.
     Wake,
-    /// A frame of another one's replica, proven.
+    /// A frame of another member's replica; its sender is authenticated.
     Frame {
+        /// Its sender.
         from: Process,
+        /// The encoded message.
         payload: Vec<u8>,
     },
+    /// The members that are reachable.
     Peers(Peers),
-    /// What was on disk at the start, whole; the first input where there is a disk.
+    /// All that was on disk at the start; the first input where there is a disk.
     Loaded(Result<Found, KeepError>),
+    /// A write to disk has ended.
     Stored {
+        /// Of [`Output::Store`].
         ticket: u64,
+        /// Whether it is on disk.
         done: Result<(), KeepError>,
     },
-    /// What the register holds. Answered by [`Output::Read`] at `until` at the latest.
+    /// Reads a register. Answered by [`Output::Read`] at `until` at the latest.
     Read {
+        /// The caller's number.
         call: Call,
+        /// The register.
         key: RegisterKey,
+        /// The call's deadline.
         until: Duration,
     },
-    /// Written only if the latest value that a majority knows is `expected` (`None`: nothing yet); a compare-and-set.
-    /// Answered by [`Output::Written`].
+    /// Writes a register if the latest version that a majority holds is the expected one (compare-and-set). Answered by
+    /// [`Output::Written`].
     Write {
+        /// The caller's number.
         call: Call,
+        /// The register.
         key: RegisterKey,
+        /// The expected version; none where there is no value yet.
         expected: Option<Version>,
+        /// Epoch of the new version; not below the one of the value that it replaces.
         epoch: u64,
+        /// The new value.
         value: Vec<u8>,
+        /// The call's deadline.
         until: Duration,
     },
-    /// Lets go of a register on all copies. Answered by [`Output::Written`], with the version of the gap.
+    /// Deletes a register at all replicas. Answered by [`Output::Written`] with the version of the tombstone.
     Delete {
+        /// The caller's number.
         call: Call,
+        /// The register.
         key: RegisterKey,
+        /// The expected version.
         expected: Version,
+        /// The call's deadline.
         until: Duration,
     },
 }
 
+/// What the machine wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// A frame to the replica of another one.
+    /// Send a frame to another member's replica.
     Send(NameKey, Vec<u8>),
-    /// On disk under that name, or removed from it; answered by [`Input::Stored`]. Those of one step together or not at all.
+    /// Store a record, or remove it; answered by [`Input::Stored`]. Those of one step become durable together or not at all.
     Store {
+        /// Number of the write.
         ticket: u64,
+        /// Name of the record.
         name: Vec<u8>,
+        /// Its content; none removes it.
         bytes: Option<Vec<u8>>,
     },
+    /// Answers [`Input::Read`].
     Read {
+        /// The caller's number.
         call: Call,
+        /// Version and value; none where there is no value.
         found: Result<Option<(Version, Vec<u8>)>, RegisterError>,
     },
+    /// Answers [`Input::Write`] and [`Input::Delete`].
     Written {
+        /// The caller's number.
         call: Call,
+        /// The version that was written.
         done: Result<Version, RegisterError>,
     },
+    /// For the log.
     Event(Event),
 }
 
-/// For the log.
+/// What is logged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Event {
-    #[error("this copy has caught up: {registers} registers, {fetched} of them fetched")]
-    CaughtUp { registers: usize, fetched: u64 },
-    #[error("{by:?} knows later writes of this copy than its own disk: the disk is an older one")]
-    OlderDisk { by: NameKey },
-    #[error("{by:?} knows an earlier life of this copy, of which there is nothing here")]
-    DiskErased { by: NameKey },
-    #[error("what is on disk of this copy is torn; it is fetched anew from the other copies")]
+    /// The replica counts in majorities from now on.
+    #[error("this replica has caught up: {registers} registers, {fetched} of them fetched")]
+    CaughtUp {
+        /// Registers that it holds.
+        registers: usize,
+        /// Registers that were fetched from other replicas.
+        fetched: u64,
+    },
+    /// The disk holds an earlier state than this replica had.
+    #[error(
+        "{by:?} knows later writes of this replica than its own disk: the disk is an older one"
+    )]
+    OlderDisk {
+        /// Member that knows it.
+        by: NameKey,
+    },
+    /// The disk is empty, and this replica held something before.
+    #[error("{by:?} knows an earlier incarnation of this replica, of which there is nothing here")]
+    DiskErased {
+        /// Member that knows it.
+        by: NameKey,
+    },
+    /// The records on disk are not those that were written.
+    #[error(
+        "what is on disk of this replica is corrupt; it is fetched anew from the other replicas"
+    )]
     DiskCorrupt,
-    #[error("this copy cannot keep what it is told: {0}")]
+    /// The disk cannot be read or written.
+    #[error("this replica cannot store what it accepts: {0}")]
     DiskFault(KeepError),
-    #[error("this copy keeps what it is told again")]
+    /// The disk can be written again.
+    #[error("this replica stores what it accepts again")]
     DiskRecovered,
-    #[error("the copy at {0:?} has lost what it held")]
+    /// Another member's replica has lost what it held.
+    #[error("the replica at {0:?} has lost what it held")]
     ReplicaLost(NameKey),
-    #[error("a majority of the copies of some registers has lost what it held")]
+    /// Registers are lost for good.
+    #[error("a majority of the replicas of some registers has lost what it held")]
     MajorityLost,
-    #[error("{0:?} speaks another version about registers; its words are dropped")]
+    /// Another member uses another version of the protocol.
+    #[error("{0:?} uses another version of the register protocol; its messages are dropped")]
     UnsupportedVersion(NameKey),
 }
 
@@ -125,12 +181,14 @@
                 "nothing at once, it is fetched anew; name a folder that outlives the process under 'kept', and restart \
                  one process at a time"
             }
-            Event::DiskCorrupt => "look at the disk; it is fetched anew, and two at a time lose registers",
+            Event::DiskCorrupt => {
+                "look at the disk; it is fetched anew, and two at a time lose registers"
+            }
             Event::DiskFault(fault) => fault.advice(),
             Event::DiskRecovered => "nothing",
             Event::ReplicaLost(_) => "keep the others up until that one has caught up",
             Event::MajorityLost => {
-                "start the lost copies with the folders they had, if there are any; otherwise what those registers held \
+                "start the lost replicas with the folders they had, if there are any; otherwise what those registers held \
                  has to be decided by a person, and they serve again after a day"
             }
             Event::UnsupportedVersion(_) => "bring all dispatchers to one version",
--- a/crates/replicated-register/src/message/tests.rs
+++ b/crates/replicated-register/src/message/tests.rs
@@ -97,7 +97,7 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read_and_no_bytes_do_harm(message in message(), cut in 0usize..400, flip in any::<u8>()) {
+    fn messages_round_trip_and_bad_bytes_are_rejected(message in message(), cut in 0usize..400, flip in any::<u8>()) {
         let bytes = message.encode();
         prop_assert_eq!(Message::decode(&bytes), Ok(message));
         let mut broken = bytes.clone();
--- a/crates/replicated-register/src/model.rs
+++ b/crates/replicated-register/src/model.rs
@@ -368,7 +368,7 @@
 }
 
 #[test]
-fn two_writers_that_begin_anew_never_both_write_on_one_version() {
+fn restarted_proposals_never_both_replace_one_version() {
     let (count, whole) = check(
         Size {
             writes: [1, 1],
@@ -381,7 +381,7 @@
 }
 
 #[test]
-fn a_writer_in_one_round_and_another_never_both_write_on_one_version() {
+fn leader_and_competitor_never_both_replace_one_version() {
     let (count, whole) = check(
         Size {
             writes: [2, 1],
@@ -394,7 +394,7 @@
 }
 
 #[test]
-fn a_copy_that_forgets_and_catches_up_never_lets_both_write() {
+fn replica_that_lost_its_memory_never_lets_both_write() {
     let (count, whole) = check(
         Size {
             writes: [1, 1],
--- a/crates/replicated-register/src/placement/tests.rs
+++ b/crates/replicated-register/src/placement/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn copies_are_spread_evenly_and_a_longer_roster_moves_only_its_share() {
+fn replicas_are_spread_evenly_and_few_move_with_the_roster() {
     let short: BTreeSet<NameKey> = (1..=6).map(NameKey).collect();
     let long: BTreeSet<NameKey> = (1..=7).map(NameKey).collect();
     let (mut held, mut moved) = (std::collections::BTreeMap::new(), 0);
--- a/crates/replicated-register/src/proposal.rs
+++ b/crates/replicated-register/src/proposal.rs
@@ -443,7 +443,7 @@
             Some(RejectReason::Full) => RegisterError::Full,
             Some(RejectReason::DiskFull) => RegisterError::NotStored(KeepError::Full),
             Some(RejectReason::DiskFault) => {
-                RegisterError::NotStored(KeepError::Io("at a majority of the copies".into()))
+                RegisterError::NotStored(KeepError::Io("at a majority of the replicas".into()))
             }
             Some(RejectReason::Lost) => self.unless_written(RegisterError::Lost),
             Some(RejectReason::CatchingUp) => self.unless_written(RegisterError::CatchingUp),
--- a/crates/replicated-register/src/proposal/tests.rs
+++ b/crates/replicated-register/src/proposal/tests.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_a_copy_has_learnt_is_no_vote_and_is_settled_before_it_is_told() {
+fn learned_state_is_no_vote() {
     let (mut proposal, mut ids) = proposal(Operation::Read);
     let look = proposal.ballot;
     let next = proposal.on_promise(
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_vote_of_a_memory_that_has_ended_is_asked_for_again() {
+fn vote_of_an_ended_incarnation_is_requested_again() {
     let (mut proposal, mut ids) = proposal(Operation::Write(Write {
         expected: None,
         epoch: 1,
--- a/crates/replicated-register/src/register/tests.rs
+++ b/crates/replicated-register/src/register/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_learnt_raises_what_is_known_and_is_no_vote() {
+fn learning_raises_ballots_and_is_no_vote() {
     let ballot = |round| Ballot {
         round,
         proposer: NameKey(1),
--- a/crates/replicated-register/src/replica/mod.rs
+++ b/crates/replicated-register/src/replica/mod.rs
@@ -35,9 +35,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Frames that could not be decoded.
-    pub unreadable: u64,
+    pub malformed: u64,
     /// Frames of another protocol version.
-    pub other_version: u64,
+    pub unsupported_version: u64,
     /// Chunks whose checksum was wrong.
     pub broken_chunks: u64,
     /// Calls and messages refused for lack of capacity.
@@ -199,12 +199,12 @@
         match Message::decode(payload) {
             Ok(message) => self.on_message(now, from, message, out),
             Err(RegisterError::UnsupportedVersion(_)) => {
-                self.counters.other_version += 1;
+                self.counters.unsupported_version += 1;
                 if self.unsupported_versions.insert(from.name) {
                     out.push(Output::Event(Event::UnsupportedVersion(from.name)));
                 }
             }
-            Err(_) => self.counters.unreadable += 1,
+            Err(_) => self.counters.malformed += 1,
         }
     }
 
--- a/crates/replicated-register/src/replica/proposer.rs
+++ b/crates/replicated-register/src/replica/proposer.rs
@@ -157,7 +157,7 @@
         let error = if bytes > MAX_VALUE_BYTES {
             Some(RegisterError::TooLong {
                 bytes,
-                most: MAX_VALUE_BYTES,
+                max: MAX_VALUE_BYTES,
             })
         } else {
             (!self.has_capacity(call)).then_some(RegisterError::Busy)
--- a/crates/replicated-register/src/store/tests.rs
+++ b/crates/replicated-register/src/store/tests.rs
@@ -2,7 +2,7 @@
 use bitternlatch_membership::NameKey;
 
 #[test]
-fn room_is_bounded_gaps_end_and_values_stay() {
+fn capacity_is_bounded_and_only_tombstones_expire() {
     let (mut store, now) = (RegisterStore::default(), Duration::ZERO);
     let ballot = Ballot {
         round: 1,
--- a/crates/replicated-register/tests/courses.rs
+++ b/crates/replicated-register/tests/fault_schedules.rs
@@ -1,12 +1,12 @@
 //! Random courses of faults over five members: whatever happens, each register is one register that changes by compare-and-set.
 
-mod common;
+mod cluster_harness;
 
 use std::time::Duration;
 
 use bitternlatch_replicated_register::{Output, RegisterError, RegisterKey};
 use bitternlatch_simulation::ms;
-use common::{Disk, Fleet};
+use cluster_harness::{Disk, Fleet};
 
 const OF: usize = 5;
 
@@ -260,16 +260,16 @@
 }
 
 #[test]
-fn registers_stay_one_over_kills_cuts_pauses_loss_and_delays_with_disks() {
+fn registers_stay_consistent_over_process_and_network_faults() {
     play_all(Course::Disks, 60);
 }
 
 #[test]
-fn registers_stay_one_over_disks_that_are_set_back_emptied_torn_and_full() {
+fn registers_stay_consistent_over_disk_faults() {
     play_all(Course::BadDisks, 60);
 }
 
 #[test]
-fn registers_stay_one_or_are_said_to_be_lost_without_disks() {
+fn registers_stay_consistent_or_are_reported_lost_without_disks() {
     play_all(Course::RecoveryState, 60);
 }
--- a/crates/replicated-register/tests/output_digest.rs
+++ b/crates/replicated-register/tests/output_digest.rs
@@ -71,10 +71,10 @@
                 self.number(7);
                 self.fault(fault);
             }
-            RegisterError::TooLong { bytes, most } => {
+            RegisterError::TooLong { bytes, max } => {
                 self.number(8);
                 self.number(*bytes as u64);
-                self.number(*most as u64);
+                self.number(*max as u64);
             }
             RegisterError::Busy => self.number(9),
             RegisterError::Full => self.number(10),
--- a/crates/replicated-register/tests/returns.rs
+++ b/crates/replicated-register/tests/recovery.rs
@@ -1,6 +1,6 @@
 //! Copies that return, disks that fail, sides that are cut off: what is done, and what is said about it. And what a call costs.
 
-mod common;
+mod cluster_harness;
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 };
 use bitternlatch_replicated_register::{MAX_VALUE_BYTES, TOMBSTONE_RETENTION};
 use bitternlatch_simulation::ms;
-use common::{name, Fleet};
+use cluster_harness::{name, Fleet};
 
 fn key(i: u16) -> RegisterKey {
     let [a, b] = i.to_le_bytes();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_disk_set_back_is_named_and_counts_only_after_it_has_fetched_from_both_others() {
+fn older_disk_is_reported_and_counts_after_catching_up() {
     let mut fleet = fleet(4, true, ms(1));
     let (replicas, other) = places(&fleet, key(1));
     let [a, b, c] = replicas[..] else {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_copy_that_is_emptied_or_torn_is_named_and_catches_up_and_two_at_once_are_said_to_be_lost() {
+fn erased_or_corrupt_replica_catches_up_and_two_at_once_are_lost() {
     let mut fleet = fleet(4, true, ms(1));
     let (replicas, other) = places(&fleet, key(1));
     let (a, b, other) = (replicas[0], replicas[1], other.expect("four members"));
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn two_that_forgot_do_not_take_each_other_for_new_while_who_remembers_is_cut_off() {
+fn two_erased_replicas_wait_for_the_one_that_remembers() {
     let mut fleet = fleet(4, false, ms(1));
     let (replicas, _) = places(&fleet, key(1));
     let (a, b) = (replicas[0], replicas[1]);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn all_at_once_come_back_with_their_disks_and_go_on() {
+fn all_replicas_restart_with_their_disks() {
     let mut fleet = fleet(6, true, ms(1));
     let last = write(&mut fleet, 0, key(1), 3);
     (0..6).for_each(|i| fleet.kill(i));
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn what_was_let_go_of_does_not_come_back_with_an_older_disk() {
+fn deleted_register_does_not_return_with_an_older_disk() {
     let mut fleet = fleet(3, true, ms(1));
     let expected = write(&mut fleet, 0, key(1), 1);
     fleet.run(ms(100));
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn what_is_not_on_disk_yet_is_not_read() {
+fn unsynced_value_is_not_read() {
     let mut fleet = fleet(3, true, ms(1));
     let expected = write(&mut fleet, 0, key(1), 1);
     for i in 0..3 {
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn one_full_disk_does_not_matter_and_two_are_said() {
+fn one_full_disk_is_tolerated_and_two_are_reported() {
     let mut fleet = fleet(4, true, ms(1));
     let (replicas, other) = places(&fleet, key(1));
     let (a, b, other) = (replicas[0], replicas[1], other.expect("four members"));
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn a_minority_says_so_at_once_where_it_knows_and_at_the_end_of_patience_where_it_does_not() {
+fn minority_fails_at_once_where_known_and_at_the_deadline_otherwise() {
     let mut fleet = fleet(5, false, ms(1));
     let (replicas, _) = places(&fleet, key(1));
     let expected = write(&mut fleet, replicas[0], key(1), 1);
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_thousand_registers_are_fetched_over_a_link_that_loses_a_tenth() {
+fn thousand_registers_are_fetched_over_a_lossy_link() {
     let mut fleet = fleet(3, false, ms(1));
     let mut last = vec![];
     for i in 0..1000 {
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn who_wrote_last_writes_in_one_round_a_read_takes_one_and_another_writer_two() {
+fn last_writer_and_reads_take_one_round_another_writer_two() {
     let mut fleet = fleet(6, false, ms(5));
     let (replicas, other) = places(&fleet, key(1));
     let (own, other) = (replicas[0], other.expect("six members"));
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn a_register_let_go_of_is_forgotten_by_all_copies_and_may_begin_anew() {
+fn deleted_register_is_forgotten_and_can_be_created_again() {
     let mut fleet = fleet(3, true, ms(1));
     let expected = write(&mut fleet, 0, key(1), 2);
     let call = fleet.drop(1, key(1), expected, ms(1000));
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn what_is_too_long_too_much_or_of_another_version_is_refused_and_counted() {
+fn invalid_calls_and_messages_are_rejected_and_counted() {
     let own = Process {
         name: name(0),
         start: 1,
@@ -421,7 +421,7 @@
         value,
         until,
     });
-    assert!(message.contains("TooLong { bytes: 49153, most: 49152 }"));
+    assert!(message.contains("TooLong { bytes: 49153, max: 49152 }"));
     (1..=4096).for_each(|n| {
         drop(step(Input::Read {
             call: call(n),
@@ -454,8 +454,8 @@
     });
     assert!(
         !message.contains("UnsupportedVersion")
-            && counters.other_version == 2
-            && counters.unreadable == 1
+            && counters.unsupported_version == 2
+            && counters.malformed == 1
     );
     let stranger = Process {
         name: NameKey(999),
@@ -465,5 +465,5 @@
         from: stranger,
         payload: vec![1, 99],
     });
-    assert!(message == "[]" && counters.unreadable == 1);
+    assert!(message == "[]" && counters.malformed == 1);
 }
