--- a/crates/replicated-register/src/store.rs
+++ b/crates/replicated-register/src/store.rs
@@ -1,110 +1,123 @@
-//! The registers of which this member holds copies, within bounds of number and bytes, and when what is let go of is forgotten.
+//! The registers that this member holds, within bounds of number and bytes, and when tombstones and promises are forgotten.
 
 use std::collections::BTreeMap;
+use std::ops::Bound::{Excluded, Unbounded};
 use std::time::Duration;
 
 use crate::register::{Acceptor, Ballot, RegisterKey, State, Version};
 
-/// Registers of which one member holds copies, at the most; beyond it new ones are refused.
+/// Registers that one member holds at most; further ones are refused.
 pub const MAX_REGISTERS: usize = 64 * 1024;
-/// Bytes of their values at the most; beyond it longer values are refused.
+/// Bytes of their values at most; longer values are refused beyond it.
 pub const MAX_STORED_BYTES: usize = 256 << 20;
-/// A gap that all copies hold, and a promise about a register that holds nothing, are forgotten after this: no message is older.
+/// A tombstone that all replicas hold, and a promise about a register without a state, are forgotten after this: no message is
+/// older.
 pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(600);
-/// A gap that some copy may not hold. What a copy away for longer brings back is taken for the latest again.
+/// A tombstone that some replica may not hold is forgotten after this. What a replica that was away for longer brings back is taken
+/// for the latest state again.
 pub const UNSETTLED_TOMBSTONE_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
-/// There is no room.
+/// The bound of registers or bytes is reached.
 #[derive(Debug)]
 pub struct CapacityError;
 
+/// Acceptors by register.
 #[derive(Default)]
 pub struct RegisterStore {
-    replicas: BTreeMap<RegisterKey, Acceptor>,
+    acceptors: BTreeMap<RegisterKey, Acceptor>,
+    /// Bytes of all values.
     bytes: usize,
-    ends: BTreeMap<RegisterKey, Duration>,
-    /// The first of the ends.
-    next_end: Option<Duration>,
+    expiries: BTreeMap<RegisterKey, Duration>,
+    /// The first of the expiries, or an earlier time.
+    next_expiry: Option<Duration>,
 }
 
 impl RegisterStore {
+    /// Number of registers.
     pub fn len(&self) -> usize {
-        self.replicas.len()
+        self.acceptors.len()
     }
 
+    /// The acceptor of a register, if it is held.
     pub fn get(&self, key: RegisterKey) -> Option<&Acceptor> {
-        self.replicas.get(&key)
+        self.acceptors.get(&key)
     }
 
-    /// All after a key, in order.
-    pub fn after(
+    /// All registers after a key, in the order of keys.
+    pub fn iter_after(
         &self,
         key: Option<RegisterKey>,
     ) -> impl Iterator<Item = (&RegisterKey, &Acceptor)> {
-        use std::ops::Bound::{Excluded, Unbounded};
-        self.replicas
-            .range((key.map_or(Unbounded, Excluded), Unbounded))
+        let from = key.map_or(Unbounded, Excluded);
+        self.acceptors.range((from, Unbounded))
     }
 
+    /// Removes all registers.
     pub fn clear(&mut self) {
         *self = RegisterStore::default();
     }
 
-    /// Changes one, or begins one, where there is room for a value of so many bytes.
-    pub fn change<T>(
+    /// Changes a register, or creates it first. `bytes` is the length of the value that it may hold then.
+    ///
+    /// # Errors
+    /// [`CapacityError`]: nothing is changed.
+    pub fn update<T>(
         &mut self,
         now: Duration,
         key: RegisterKey,
         bytes: usize,
         change: impl FnOnce(&mut Acceptor) -> T,
     ) -> Result<T, CapacityError> {
-        let had = self.replicas.get(&key).map(Acceptor::bytes);
-        let version = |acceptor: &Acceptor| acceptor.accepted.as_ref().map(|a| a.state.version);
-        let before = self.replicas.get(&key).and_then(version);
-        if (had.is_none() && self.replicas.len() >= MAX_REGISTERS)
-            || (bytes > had.unwrap_or(0)
-                && self.bytes - had.unwrap_or(0) + bytes > MAX_STORED_BYTES)
-        {
+        let before = self.acceptors.get(&key);
+        let old_bytes = before.map_or(0, Acceptor::value_bytes);
+        let old_version = before.and_then(version_of);
+        let exceeds_registers = before.is_none() && self.len() >= MAX_REGISTERS;
+        let exceeds_bytes = bytes > old_bytes && self.bytes - old_bytes + bytes > MAX_STORED_BYTES;
+        if exceeds_registers || exceeds_bytes {
             return Err(CapacityError);
         }
-        let acceptor = self.replicas.entry(key).or_default();
-        let done = change(acceptor);
-        self.bytes = self.bytes - had.unwrap_or(0) + acceptor.bytes();
-        let lasts = match &acceptor.accepted {
-            Some(accepted) if accepted.state.body.is_some() => None,
-            Some(accepted) if before != Some(accepted.state.version) => {
-                Some(now + UNSETTLED_TOMBSTONE_RETENTION)
-            }
-            // A promise has to be remembered for as long as what it forbids may be under way.
-            _ => Some(
-                self.ends
-                    .get(&key)
-                    .copied()
-                    .unwrap_or_default()
-                    .max(now + TOMBSTONE_RETENTION),
-            ),
-        };
-        match lasts {
-            None => drop(self.ends.remove(&key)),
-            Some(end) => self.end(key, end),
+        let acceptor = self.acceptors.entry(key).or_default();
+        let result = change(acceptor);
+        self.bytes = self.bytes - old_bytes + acceptor.value_bytes();
+        let has_value = acceptor
+            .accepted
+            .as_ref()
+            .is_some_and(|accepted| accepted.state.body.is_some());
+        let new_version = version_of(acceptor);
+        if has_value {
+            self.expiries.remove(&key);
+        } else if new_version.is_some() && new_version != old_version {
+            self.set_expiry(key, now + UNSETTLED_TOMBSTONE_RETENTION);
+        } else {
+            // A promise has to be remembered for as long as what it forbids may be on its way.
+            let current = self.expiries.get(&key).copied().unwrap_or_default();
+            self.set_expiry(key, current.max(now + TOMBSTONE_RETENTION));
         }
-        Ok(done)
+        Ok(result)
     }
 
-    fn end(&mut self, key: RegisterKey, at: Duration) {
-        self.ends.insert(key, at);
-        self.next_end = Some(self.next_end.map_or(at, |next| next.min(at)));
+    fn set_expiry(&mut self, key: RegisterKey, at: Duration) {
+        self.expiries.insert(key, at);
+        self.next_expiry = Some(self.next_expiry.map_or(at, |next| next.min(at)));
     }
 
+    /// [`Acceptor::prepare`] of a register.
+    ///
+    /// # Errors
+    /// [`CapacityError`]: nothing is changed.
     pub fn prepare(
         &mut self,
         now: Duration,
         key: RegisterKey,
         ballot: Ballot,
     ) -> Result<Result<bool, Ballot>, CapacityError> {
-        self.change(now, key, 0, |acceptor| acceptor.prepare(ballot))
+        self.update(now, key, 0, |acceptor| acceptor.prepare(ballot))
     }
 
+    /// [`Acceptor::accept`] of a register.
+    ///
+    /// # Errors
+    /// [`CapacityError`]: nothing is changed.
     pub fn accept(
         &mut self,
         now: Duration,
@@ -113,104 +126,51 @@
         state: &State,
     ) -> Result<Result<bool, Ballot>, CapacityError> {
         let bytes = state.body.as_ref().map_or(0, Vec::len);
-        self.change(now, key, bytes, |acceptor| acceptor.accept(ballot, state))
+        self.update(now, key, bytes, |acceptor| acceptor.accept(ballot, state))
     }
 
-    /// All copies hold this gap.
-    pub fn gone(&mut self, now: Duration, key: RegisterKey, version: Version) {
-        let state = self
-            .replicas
-            .get(&key)
-            .and_then(|acceptor| acceptor.accepted.as_ref())
-            .map(|a| &a.state);
-        if state.is_some_and(|s| s.body.is_none() && s.version == version) {
-            self.end(key, now + TOMBSTONE_RETENTION);
+    /// All replicas hold this tombstone: it is forgotten soon.
+    pub fn settle_tombstone(&mut self, now: Duration, key: RegisterKey, version: Version) {
+        let accepted = self
+            .get(key)
+            .and_then(|acceptor| acceptor.accepted.as_ref());
+        let is_held = accepted.is_some_and(|accepted| {
+            accepted.state.body.is_none() && accepted.state.version == version
+        });
+        if is_held {
+            self.set_expiry(key, now + TOMBSTONE_RETENTION);
         }
     }
 
-    pub fn next_end(&self) -> Option<Duration> {
-        self.next_end
+    /// When [`RegisterStore::expire`] is due.
+    pub fn next_expiry(&self) -> Option<Duration> {
+        self.next_expiry
     }
 
-    /// Forgets what has ended; those are gone from the disk too then.
+    /// Forgets registers that have expired, and returns them: their records have to be removed too.
     pub fn expire(&mut self, now: Duration) -> Vec<RegisterKey> {
-        if self.next_end.is_none_or(|at| now < at) {
+        if self.next_expiry.is_none_or(|at| now < at) {
             return vec![];
         }
-        let ended: Vec<RegisterKey> = self
-            .ends
+        let expired: Vec<RegisterKey> = self
+            .expiries
             .iter()
             .filter(|(_, at)| **at <= now)
-            .map(|(k, _)| *k)
+            .map(|(key, _)| *key)
             .collect();
-        for key in &ended {
-            self.ends.remove(key);
-            self.replicas.remove(key);
+        for key in &expired {
+            self.expiries.remove(key);
+            self.acceptors.remove(key);
         }
-        self.next_end = self.ends.values().min().copied();
-        ended
+        self.next_expiry = self.expiries.values().min().copied();
+        expired
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use bitternlatch_membership::NameKey;
-
-    #[test]
-    fn room_is_bounded_gaps_end_and_values_stay() {
-        let (mut store, now) = (RegisterStore::default(), Duration::ZERO);
-        let ballot = Ballot {
-            round: 1,
-            by: NameKey(1),
-            start: 1,
-        };
-        let version = Version {
-            epoch: 1,
-            count: 1,
-            writer: NameKey(1),
-            start: 1,
-        };
-        let state = |body| State {
-            version,
-            before: None,
-            body,
-        };
-        let key = |i: usize| RegisterKey((i as u128).to_le_bytes());
-        for i in 0..MAX_REGISTERS {
-            assert!(matches!(store.prepare(now, key(i), ballot), Ok(Ok(true))));
-        }
-        assert!(store.prepare(now, key(MAX_REGISTERS), ballot).is_err());
-        let long = MAX_STORED_BYTES / crate::MAX_VALUE_BYTES;
-        for i in 0..long {
-            assert!(store
-                .accept(
-                    now,
-                    key(i),
-                    ballot,
-                    &state(Some(vec![0; crate::MAX_VALUE_BYTES]))
-                )
-                .is_ok());
-        }
-        assert!(store
-            .accept(
-                now,
-                key(long),
-                ballot,
-                &state(Some(vec![0; crate::MAX_VALUE_BYTES]))
-            )
-            .is_err());
-        assert!(matches!(
-            store.accept(now, key(long), ballot, &state(None)),
-            Ok(Ok(true))
-        ));
-        assert_eq!(
-            store.expire(TOMBSTONE_RETENTION).len(),
-            MAX_REGISTERS - long - 1
-        );
-        store.gone(now, key(long), version);
-        store.gone(now, key(0), version);
-        assert_eq!(store.expire(TOMBSTONE_RETENTION), vec![key(long)]);
-        assert_eq!((store.len(), store.next_end()), (long, None));
-    }
+fn version_of(acceptor: &Acceptor) -> Option<Version> {
+    let accepted = acceptor.accepted.as_ref()?;
+    Some(accepted.state.version)
 }
+
+#[cfg(test)]
+mod tests;
