--- a/crates/core/src/actions.rs
+++ b/crates/core/src/actions.rs
@@ -6,20 +6,20 @@
 };
 use bitternlatch_protocol::engine::{encode, CompletionRequest, KvTransferParams, ToEngine};
 
-use crate::links::{Given, Queued};
-use crate::load_shedding::LOOK_S;
+use crate::links::{EnqueueResult, Queued};
+use crate::load_shedding::REPORT_INTERVAL_S;
 use crate::machine::{log, Machine, Probe, PROBE_S};
 use crate::requests::{wire_id, Attempt, Purpose, Request, Stage};
 use crate::settings::Effect;
 use crate::timers::Timer;
 use crate::types::{Level, LinkId, Micros, Output, SendDeadline};
-use crate::workflows::Waits;
+use crate::workflows::BlockedSend;
 
 /// Of the time for which a state may be pinned: how long a send that would fetch it waits for its permission.
-const PINNED_SHARE: f64 = 0.5;
+const KV_HOLD_SHARE: f64 = 0.5;
 
 impl Machine {
-    pub(crate) fn carry_out(&mut self, now: Micros, action: Action, out: &mut Vec<Output>) {
+    pub(crate) fn apply_action(&mut self, now: Micros, action: Action, out: &mut Vec<Output>) {
         match action {
             Action::Send {
                 request,
@@ -31,13 +31,15 @@
                 request,
                 retry_after_s,
             } => {
-                let counted = self
+                let admitted = self
                     .requests
                     .get(&request)
-                    .map(|r| r.counted)
+                    .map(|r| r.admitted)
                     .unwrap_or_default();
-                let retry_after_s = self.shed.refused(now, &counted, retry_after_s);
-                self.refuse(
+                let retry_after_s = self
+                    .load_shedding
+                    .retry_after_s(now, &admitted, retry_after_s);
+                self.reject(
                     now,
                     request,
                     retry_after_s,
@@ -76,40 +78,40 @@
         &mut self,
         now: Micros,
         id: RequestId,
-        host: ServerId,
+        server: ServerId,
         timeout_s: f64,
         out: &mut Vec<Output>,
     ) {
         let open = self
-            .fleet
-            .get(host)
+            .servers
+            .get(server)
             .filter(|k| k.takes_work())
             .map(|k| k.role);
         // A step's effect leaves while it is permitted, and waits where it is not; a read has none.
         if open != Some(Role::Prefill) && !self.workflows.may_leave(now, id) {
-            return self.wait_to_send(now, id, Waits { host, timeout_s }, out);
+            return self.block_send(now, id, BlockedSend { server, timeout_s }, out);
         }
         let Some(request) = self
             .requests
             .get_mut(&id)
             .filter(|r| !r.answered && r.attempt.is_none())
         else {
-            return self.not_sent(id, 0, host, Outcome::NotSent);
+            return self.not_sent(id, 0, server, Outcome::NotSent);
         };
         let (number, class) = (request.attempts, request.class);
         request.attempts += 1;
         // Between admission and this act the process may have stood still, or lost its peers.
-        if number == 0 && !self.may_take(now, class) {
-            return self.not_sent(id, number, host, Outcome::NotSent);
+        if number == 0 && !self.may_admit(now, class) {
+            return self.not_sent(id, number, server, Outcome::NotSent);
         }
-        if let Some(most) = self.shed.most_out(now, host) {
-            let at = |r: &&Request| r.attempt.as_ref().is_some_and(|a| a.host == host);
+        if let Some(most) = self.load_shedding.max_in_flight(now, server) {
+            let at = |r: &&Request| r.attempt.as_ref().is_some_and(|a| a.server == server);
             if self.requests.values().filter(at).count() >= most as usize {
                 // It is tried by one of all, a little at a time.
                 return self.not_sent(
                     id,
                     number,
-                    host,
+                    server,
                     Outcome::Rejected {
                         state_missing: false,
                     },
@@ -120,42 +122,44 @@
             return;
         };
         // Work that would be done again goes by what all may repeat.
-        if open.is_some() && !self.shed.may_send(now, &request.counted) {
-            return self.not_sent(id, number, host, Outcome::NotSent);
+        if open.is_some() && !self.load_shedding.may_send(now, &request.admitted) {
+            return self.not_sent(id, number, server, Outcome::NotSent);
         }
         let Some(role) = open else {
-            return self.not_sent(id, number, host, Outcome::ConnectFailed);
+            return self.not_sent(id, number, server, Outcome::ConnectFailed);
         };
         let purpose = match (role, &request.state) {
-            (Role::Prefill, _) => Purpose::Read,
-            (_, Some(_)) => Purpose::Write,
-            (_, None) => Purpose::Whole,
+            (Role::Prefill, _) => Purpose::Prefill,
+            (_, Some(_)) => Purpose::Decode,
+            (_, None) => Purpose::Full,
         };
         let text = self.completion(id, number, purpose);
         let attempt = wire_id(self.instance, id, number);
-        let (link, stage) = match self.links.give(host, Queued { attempt, text }) {
-            Given::Tell(link, message) => {
-                out.push(self.tell_attempt(now, id, link, message));
-                (link, Stage::Out)
+        let (link, stage) = match self.links.enqueue(server, Queued { attempt, text }) {
+            EnqueueResult::SendNow(link, message) => {
+                out.push(self.attempt_message(now, id, link, message));
+                (link, Stage::InFlight)
+            }
+            EnqueueResult::Queued(link) => (link, Stage::Queued),
+            EnqueueResult::NotConnected => {
+                return self.not_sent(id, number, server, Outcome::ConnectFailed)
             }
-            Given::Queued(link) => (link, Stage::Queued),
-            Given::NoWay => return self.not_sent(id, number, host, Outcome::ConnectFailed),
         };
         self.begin_attempt(
             now,
             id,
-            Attempt::new(number, host, link, purpose, stage, now),
+            Attempt::new(number, server, link, purpose, stage, now),
             timeout_s,
         );
     }
 
-    fn wait_to_send(&mut self, now: Micros, id: RequestId, send: Waits, out: &mut Vec<Output>) {
+    fn block_send(&mut self, now: Micros, id: RequestId, send: BlockedSend, out: &mut Vec<Output>) {
         let live = self
             .requests
             .get(&id)
             .filter(|r| !r.answered && r.attempt.is_none());
         // A state that waits to be fetched keeps its place for so long at the most, whatever time the request has left.
-        let pinned = now.after(self.settings.rules.kv_hold_limit_s * PINNED_SHARE);
+        let pinned = now.after(self.settings.rules.kv_hold_limit_s * KV_HOLD_SHARE);
         let ends = |r: &Request| {
             if r.state.is_some() {
                 pinned
@@ -171,44 +175,44 @@
                     .map(|(call, tell)| (call, tell, ends))
             });
         let Some((call, tell, ends)) = asked else {
-            return self.send_not(id, send);
+            return self.abandon_send(id, send);
         };
-        self.timers.set(ends, Timer::Call { call });
+        self.timers.set(ends, Timer::WorkflowQuery { call });
         out.extend(tell.into_iter().map(Output::Workflow));
     }
 
     /// A send that waited for its permission has it, or is refused.
-    pub(crate) fn send_on(
+    pub(crate) fn resume_send(
         &mut self,
         now: Micros,
         id: RequestId,
-        send: Waits,
+        send: BlockedSend,
         may: bool,
         out: &mut Vec<Output>,
     ) {
         match may {
-            true => self.send(now, id, send.host, send.timeout_s, out),
-            false => self.send_not(id, send),
+            true => self.send(now, id, send.server, send.timeout_s, out),
+            false => self.abandon_send(id, send),
         }
     }
 
     /// A request ends while its send waits: the module is told that it never left.
-    pub(crate) fn drop_waiting(&mut self, id: RequestId) {
+    pub(crate) fn cancel_blocked_send(&mut self, id: RequestId) {
         if let Some(send) = self.workflows.unwait(id) {
-            self.send_not(id, send);
+            self.abandon_send(id, send);
         }
     }
 
-    fn send_not(&mut self, id: RequestId, send: Waits) {
+    fn abandon_send(&mut self, id: RequestId, send: BlockedSend) {
         let number = self.requests.get_mut(&id).map_or(0, |r| {
             r.attempts += 1;
             r.attempts - 1
         });
-        self.not_sent(id, number, send.host, Outcome::NotSent);
+        self.not_sent(id, number, send.server, Outcome::NotSent);
     }
 
-    /// An attempt's message on its way: it must not reach a host long after a drain was told, nor a step's past its permission.
-    pub(crate) fn tell_attempt(
+    /// An attempt's message on its way: it must not reach a server long after a drain was told, nor a step's past its permission.
+    pub(crate) fn attempt_message(
         &self,
         now: Micros,
         id: RequestId,
@@ -218,7 +222,7 @@
         let Queued { attempt, text } = message;
         let after_s = self.settings.rules.drain_grace_s / 2.0;
         let reads = self
-            .fleet
+            .servers
             .get(link.server)
             .is_some_and(|k| k.role == Role::Prefill);
         let left_s = self.workflows.left_s(now, id).filter(|_| !reads);
@@ -259,25 +263,25 @@
         };
         let wire = wire_id(self.instance, id, number);
         let kv = match purpose {
-            Purpose::Read => Some(KvTransferParams {
+            Purpose::Prefill => Some(KvTransferParams {
                 do_remote_decode: true,
                 ..Default::default()
             }),
-            Purpose::Write => request.state.as_ref().map(|s| s.params.clone()),
-            Purpose::Whole => None,
+            Purpose::Decode => request.state.as_ref().map(|s| s.params.clone()),
+            Purpose::Full => None,
         };
         let keyed = self.settings.classes[usize::from(request.class)].effect == Effect::Keyed;
         let key = request
             .key
             .as_ref()
-            .filter(|_| keyed && purpose != Purpose::Read);
+            .filter(|_| keyed && purpose != Purpose::Prefill);
         encode(&ToEngine::Completion {
             id: wire.clone(),
             body: Box::new(CompletionRequest {
                 request_id: wire,
                 model: request.response.model.clone(),
                 prompt: request.prompt.clone(),
-                max_tokens: if purpose == Purpose::Read {
+                max_tokens: if purpose == Purpose::Prefill {
                     1
                 } else {
                     request.max_tokens
@@ -311,12 +315,12 @@
         else {
             return;
         };
-        let (host, queued) = (attempt.host, attempt.stage == Stage::Queued);
+        let (server, queued) = (attempt.server, attempt.stage == Stage::Queued);
         if queued {
             self.links
-                .take_back(host, &wire_id(self.instance, id, number));
+                .remove_queued(server, &wire_id(self.instance, id, number));
         } else {
-            self.tell_cancel(id, out);
+            self.send_cancel(id, out);
         }
         let outcome = if queued {
             Outcome::ConnectFailed
@@ -326,8 +330,8 @@
         self.end_attempt(now, id, outcome, 0, Vec::new(), out);
     }
 
-    /// Tells the host of the current attempt that its work is not wanted.
-    pub(crate) fn tell_cancel(&mut self, id: RequestId, out: &mut Vec<Output>) {
+    /// Tells the server of the current attempt that its work is not wanted.
+    pub(crate) fn send_cancel(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(attempt) = self.requests.get(&id).and_then(|r| r.attempt.as_ref()) else {
             return;
         };
@@ -341,7 +345,7 @@
         });
     }
 
-    /// Lets go of the state held for a request, unless an attempt waits for it: then once that has ended. Without a link there is nothing to do: a host lets go of what a lost
+    /// Lets go of the state held for a request, unless an attempt waits for it: then once that has ended. Without a link there is nothing to do: a server releases what a lost
     /// link's dispatcher held there.
     pub(crate) fn release(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id) else {
@@ -357,15 +361,15 @@
         let Some(state) = request.state.take() else {
             return;
         };
-        if let Some(link) = self.links.open(state.host) {
-            self.tell_release(link, &state.made_by, out);
+        if let Some(link) = self.links.open(state.server) {
+            self.send_release(link, &state.created_by, out);
         }
-        self.tidy(id, out);
+        self.remove_if_done(id, out);
     }
 
-    pub(crate) fn tell_release(&self, link: LinkId, made_by: &str, out: &mut Vec<Output>) {
+    pub(crate) fn send_release(&self, link: LinkId, created_by: &str, out: &mut Vec<Output>) {
         let text = encode(&ToEngine::Release {
-            id: made_by.to_string(),
+            id: created_by.to_string(),
         });
         out.push(Output::SendToServer {
             link,
@@ -374,17 +378,21 @@
         });
     }
 
-    /// What all are to do together, and what was heard of hosts for this one.
+    /// What all are to do together, and what was heard of servers for this one.
     pub(crate) fn on_overload(&mut self, now: Micros, told: Told, out: &mut Vec<Output>) {
         match told {
-            Told::Cut(cut) => self.shed.cut(cut),
-            Told::Trial { host, many, until } => {
-                self.shed.trial(host, many, until);
+            Told::Cut(cut) => self.load_shedding.set_threshold(cut),
+            Told::Trial {
+                host: server,
+                many,
+                until,
+            } => {
+                self.load_shedding.trial(server, many, until);
                 // The module does better to choose another one: several saw it fail, or this one did in a row.
-                if self.shed.most_out(now, host).is_some() {
+                if self.load_shedding.max_in_flight(now, server).is_some() {
                     let sight = Observation::Failing;
                     self.events.push_back(Event::PeerReport {
-                        server: host,
+                        server: server,
                         observation: sight,
                         reporters: 2,
                         peers: 2,
@@ -392,24 +400,32 @@
                     });
                 }
             }
-            Told::Probe { host } => {
-                let Some(link) = self.links.open(host).filter(|_| self.shed.is_on()) else {
+            Told::Probe { host: server } => {
+                let Some(link) = self
+                    .links
+                    .open(server)
+                    .filter(|_| self.load_shedding.is_on())
+                else {
                     return;
                 };
                 let id = self.next_probe;
                 self.next_probe += 1;
-                self.shed.asks(now, id, host);
+                self.load_shedding.probe_sent(now, id, server);
                 out.push(Output::SendToServer {
                     link,
                     text: encode(&ToEngine::Probe { id }),
                     deadline: None,
                 });
             }
-            Told::Report { host, report, .. } => {
+            Told::Report {
+                host: server,
+                report,
+                ..
+            } => {
                 let mine = self
                     .probes
                     .iter()
-                    .filter(|(_, p)| p.link.server == host)
+                    .filter(|(_, p)| p.link.server == server)
                     .map(|(id, _)| *id);
                 let report: Vec<f64> = report.iter().map(|v| v.get()).collect();
                 for id in mine.collect::<Vec<u64>>() {
@@ -420,16 +436,17 @@
     }
 
     /// Tells what was seen of the load, for what all shed together.
-    pub(crate) fn tell_load(&mut self, now: Micros, out: &mut Vec<Output>) {
-        self.timers.set(now.after(LOOK_S), Timer::Shed);
+    pub(crate) fn report_load(&mut self, now: Micros, out: &mut Vec<Output>) {
+        self.timers
+            .set(now.after(REPORT_INTERVAL_S), Timer::LoadShedding);
         let reads = |role: Role| matches!(role, Role::Prefill | Role::Mixed);
         let open = |id: &ServerId| self.links.open(*id).is_some();
-        let hosts = self
-            .fleet
+        let servers = self
+            .servers
             .listed()
             .filter(|(id, k)| k.takes_work() && reads(k.role) && open(id));
-        let weight = hosts.map(|(_, known)| known.host.weight).sum();
-        out.extend(self.shed.tell(now, weight).map(Output::Overload));
+        let weight = servers.map(|(_, known)| known.server.weight).sum();
+        out.extend(self.load_shedding.tell(now, weight).map(Output::Overload));
     }
 
     fn probe(&mut self, now: Micros, server: ServerId, out: &mut Vec<Output>) {
@@ -446,7 +463,7 @@
         self.next_probe += 1;
         self.probes.insert(id, Probe { link, sent: now });
         self.timers.set(now.after(PROBE_S), Timer::Probe { id });
-        if self.shed.is_on() {
+        if self.load_shedding.is_on() {
             // One of all asks; the answer, whoever is given it, ends this probe.
             return out.push(Output::Overload(Ask::Probe { host: server }));
         }
@@ -474,7 +491,7 @@
 impl Attempt {
     fn new(
         number: u16,
-        host: ServerId,
+        server: ServerId,
         link: LinkId,
         purpose: Purpose,
         stage: Stage,
@@ -482,7 +499,7 @@
     ) -> Self {
         Attempt {
             number,
-            host,
+            server,
             link,
             purpose,
             stage,
--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -8,21 +8,24 @@
 use bitternlatch_workflow::{AttemptOutcome, RejectReason};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::budgets::Denied;
+use crate::budgets::Rejection;
 use crate::contexts::Context;
 use crate::idempotency::Key;
 use crate::machine::{log, Machine};
-use crate::output_lengths::Lengths;
+use crate::output_lengths::OutputLengths;
 use crate::requests::{Listener, Purpose, Request, Stage};
 use crate::settings::Effect;
 use crate::timers::Timer;
 use crate::types::{Level, Micros, Output, SessionId};
-use crate::validated_request::Wanted;
-use crate::workflows::{refused, Act, Asked, Intent, AGAIN_S, FAILED_WITHIN_S, HELD_WITHIN_S};
+use crate::validated_request::ValidatedRequest;
+use crate::workflows::{
+    refused, Intent, PendingQuery, WorkflowAction, FAILURE_DURABLE_WITHIN_S,
+    RESULT_DURABLE_WITHIN_S, STEP_END_RETRY_S,
+};
 
 impl Request {
     /// The events to its listeners, each with its own next sequence number.
-    fn say(
+    fn send_event(
         &mut self,
         out: &mut Vec<Output>,
         only: Option<SessionId>,
@@ -44,13 +47,14 @@
 
     /// Whether an attempt may have had the effect, the one that is out included.
     pub(crate) fn may_run(&self) -> bool {
-        let out =
-            |a: &crate::requests::Attempt| a.purpose != Purpose::Read && a.stage != Stage::Queued;
+        let out = |a: &crate::requests::Attempt| {
+            a.purpose != Purpose::Prefill && a.stage != Stage::Queued
+        };
         self.may_have_run || self.attempt.as_ref().is_some_and(out)
     }
 
     /// What became of a step whose answer is none.
-    fn unfinished(&self) -> AttemptOutcome {
+    fn unfinished_outcome(&self) -> AttemptOutcome {
         if self.may_run() {
             AttemptOutcome::MayHaveRun
         } else {
@@ -80,36 +84,46 @@
 }
 
 impl Machine {
-    pub(crate) fn say_created(&mut self, id: RequestId, session: SessionId, out: &mut Vec<Output>) {
+    pub(crate) fn send_created(
+        &mut self,
+        id: RequestId,
+        session: SessionId,
+        out: &mut Vec<Output>,
+    ) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.say(out, Some(session), |l, r| {
+        request.send_event(out, Some(session), |l, r| {
             client::created(l.sequence, &l.view(&r.response))
         });
     }
 
-    pub(crate) fn say_so_far(&mut self, id: RequestId, session: SessionId, out: &mut Vec<Output>) {
+    pub(crate) fn send_text_so_far(
+        &mut self,
+        id: RequestId,
+        session: SessionId,
+        out: &mut Vec<Output>,
+    ) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| !r.text.is_empty()) else {
             return;
         };
-        request.say(out, Some(session), |l, r| {
+        request.send_event(out, Some(session), |l, r| {
             client::delta(l.sequence, &r.response.id, &r.item_id, &r.text)
         });
     }
 
     /// Passes a piece of the answer on.
-    pub(crate) fn say_delta(&mut self, id: RequestId, piece: &str, out: &mut Vec<Output>) {
+    pub(crate) fn send_delta(&mut self, id: RequestId, piece: &str, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.say(out, None, |l, r| {
+        request.send_event(out, None, |l, r| {
             client::delta(l.sequence, &r.response.id, &r.item_id, piece)
         });
     }
 
     /// Gives the recorded answer to a client that asks again with its key.
-    pub(crate) fn say_again(
+    pub(crate) fn send_recorded_answer(
         &self,
         session: SessionId,
         answer: &Response,
@@ -138,7 +152,7 @@
         });
     }
 
-    pub(crate) fn refuse(
+    pub(crate) fn reject(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -179,14 +193,14 @@
     }
 
     /// The engine has ended the answer.
-    pub(crate) fn serve(
+    pub(crate) fn complete(
         &mut self,
         now: Micros,
         id: RequestId,
         reason: &str,
         out: &mut Vec<Output>,
     ) {
-        self.learn(
+        self.report_output_length(
             id,
             if reason == "length" {
                 End::Ceiling
@@ -216,8 +230,8 @@
         self.finish(now, id, answer, out);
     }
 
-    /// Tells of an answer's length, where lengths are learnt; before its attempt is let go of.
-    fn learn(&self, id: RequestId, end: End, out: &mut Vec<Output>) {
+    /// Tells of an answer's length, where lengths are learnt; before its attempt is release.
+    fn report_output_length(&self, id: RequestId, end: End, out: &mut Vec<Output>) {
         let learns = self
             .settings
             .cluster
@@ -226,16 +240,16 @@
         let Some(request) = self.requests.get(&id).filter(|_| learns) else {
             return;
         };
-        let host = request
+        let server = request
             .attempt
             .as_ref()
-            .and_then(|a| self.fleet.get(a.host))
-            .map(|k| k.host.name.as_str());
+            .and_then(|a| self.servers.get(a.server))
+            .map(|k| k.server.name.as_str());
         let class = &self.settings.classes[usize::from(request.class)].name;
-        out.push(Output::OutputLength(Lengths::ended(
+        out.push(Output::OutputLength(OutputLengths::ended(
             request,
             class,
-            host.unwrap_or("unknown"),
+            server.unwrap_or("unknown"),
             end,
         )));
     }
@@ -246,13 +260,13 @@
             return;
         };
         request.answered = true;
-        if let Some(answer) = self.hold_back(now, id, answer, out) {
-            self.give(now, id, answer, out);
+        if let Some(answer) = self.await_durable_result(now, id, answer, out) {
+            self.deliver(now, id, answer, out);
         }
     }
 
-    /// Says the final answer, and lets go of what was needed for it.
-    pub(crate) fn give(
+    /// Says the final answer, and releases what was needed for it.
+    pub(crate) fn deliver(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -263,7 +277,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.say(out, None, |l, _| {
+        request.send_event(out, None, |l, _| {
             client::finished(l.sequence, &l.view(&answer))
         });
         for listener in std::mem::take(&mut request.listeners) {
@@ -279,12 +293,12 @@
             };
             self.contexts.keep(&answer.id, context);
         }
-        self.close_key(now, id, answer);
-        self.tidy(id, out);
+        self.settle_key(now, id, answer);
+        self.remove_if_done(id, out);
     }
 
     /// A step's answer waits until what became of the step is held; gives back what is no step's.
-    fn hold_back(
+    fn await_durable_result(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -299,17 +313,17 @@
                 result: request.text.clone(),
                 tokens: request.usage.output_tokens,
             },
-            _ => request.unfinished(),
+            _ => request.unfinished_outcome(),
         };
         // A failure is told soon, held or not: it says enough as it is.
         let until = match &fate {
-            AttemptOutcome::Done { .. } => request.deadline.max(now.after(HELD_WITHIN_S)),
-            _ => now.after(FAILED_WITHIN_S),
+            AttemptOutcome::Done { .. } => request.deadline.max(now.after(RESULT_DURABLE_WITHIN_S)),
+            _ => now.after(FAILURE_DURABLE_WITHIN_S),
         };
-        self.drop_waiting(id);
+        self.cancel_blocked_send(id);
         match self.workflows.end(id, fate, Box::new(answer), until) {
             Ok((call, ask)) => {
-                self.timers.set(until, Timer::Call { call });
+                self.timers.set(until, Timer::WorkflowQuery { call });
                 out.push(Output::Workflow(ask));
                 None
             }
@@ -317,9 +331,9 @@
         }
     }
 
-    pub(crate) fn end_again(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        if let Some((call, until, ask)) = self.workflows.end_again(id) {
-            self.timers.set(until, Timer::Call { call });
+    pub(crate) fn resend_step_end(&mut self, id: RequestId, out: &mut Vec<Output>) {
+        if let Some((call, until, ask)) = self.workflows.resend_step_end(id) {
+            self.timers.set(until, Timer::WorkflowQuery { call });
             out.push(Output::Workflow(ask));
         }
     }
@@ -329,63 +343,70 @@
         let Some(request) = self.requests.get(&id).filter(|r| r.step) else {
             return;
         };
-        let until = request.deadline.max(now.after(HELD_WITHIN_S));
-        let fate = request.unfinished();
-        self.drop_waiting(id);
+        let until = request.deadline.max(now.after(RESULT_DURABLE_WITHIN_S));
+        let fate = request.unfinished_outcome();
+        self.cancel_blocked_send(id);
         let told = self.workflows.abandon(id, fate, until);
         out.extend(told.map(Output::Workflow));
     }
 
-    /// What the machine beside the plane has answered, or has not in time.
-    pub(crate) fn on_workflow(&mut self, now: Micros, act: Option<Act>, out: &mut Vec<Output>) {
+    /// What the workflow coordinator has answered, or has not in time.
+    pub(crate) fn on_workflow(
+        &mut self,
+        now: Micros,
+        act: Option<WorkflowAction>,
+        out: &mut Vec<Output>,
+    ) {
         match act {
             None => {}
-            Some(Act::Answer {
-                mut asked,
+            Some(WorkflowAction::Answer {
+                mut query,
                 text,
                 known,
             }) => {
-                self.shed.gone(&mut asked.counted);
-                self.answer_alone(now, &asked, &text, known, out);
+                self.load_shedding.request_ended(&mut query.admitted);
+                self.answer_without_server(now, &query, &text, known, out);
             }
-            Some(Act::Refuse { mut asked, why }) => {
-                self.shed.gone(&mut asked.counted);
-                let text = Denied::by_workflow(why).to_text(&asked.create);
+            Some(WorkflowAction::Refuse { mut query, why }) => {
+                self.load_shedding.request_ended(&mut query.admitted);
+                let text = Rejection::by_workflow(why).to_text(&query.create);
                 out.push(Output::SendToClient {
-                    session: asked.session,
+                    session: query.session,
                     text,
                 });
             }
-            Some(Act::Go {
-                asked,
+            Some(WorkflowAction::Go {
+                query,
                 intent,
                 until,
-            }) => self.take_step(now, asked, intent, until, out),
-            Some(Act::Send { request, send, may }) => self.send_on(now, request, send, may, out),
-            Some(Act::Again(id)) => self
+            }) => self.admit_step(now, query, intent, until, out),
+            Some(WorkflowAction::Send { request, send, may }) => {
+                self.resume_send(now, request, send, may, out)
+            }
+            Some(WorkflowAction::RetryStepEnd(id)) => self
                 .timers
-                .set(now.after(AGAIN_S), Timer::End { request: id }),
-            Some(Act::Give {
+                .set(now.after(STEP_END_RETRY_S), Timer::StepEnd { request: id }),
+            Some(WorkflowAction::Give {
                 request,
                 answer,
                 held,
-            }) => self.give_step(now, request, *answer, held, out),
-            Some(Act::Tell(ask)) => out.push(Output::Workflow(ask)),
+            }) => self.deliver_step(now, request, *answer, held, out),
+            Some(WorkflowAction::Tell(ask)) => out.push(Output::Workflow(ask)),
         }
     }
 
     /// A step's intent is held: it is taken as any other request, in the time that is left.
-    fn take_step(
+    fn admit_step(
         &mut self,
         now: Micros,
-        mut asked: Asked,
+        mut query: PendingQuery,
         intent: Intent,
         until: Micros,
         out: &mut Vec<Output>,
     ) {
-        let taken = match self.wanted(now, asked.session, &asked.create) {
+        let taken = match self.validate(now, query.session, &query.create) {
             Ok(w) => {
-                let time_left_s = w.time_left_s - now.since(asked.at);
+                let time_left_s = w.time_left_s - now.since(query.at);
                 let (tenant, class, owner) = (w.tenant, w.class, w.owner.clone());
                 let key = Some(Key {
                     tenant,
@@ -393,36 +414,38 @@
                     owner,
                     text: intent.key.clone(),
                 });
-                let (step, counted) = (Some((intent.clone(), until)), Some(asked.counted));
-                let wanted = Wanted {
+                let (step, admitted) = (Some((intent.clone(), until)), Some(query.admitted));
+                let validated = ValidatedRequest {
                     time_left_s,
                     key,
                     step,
-                    counted,
+                    admitted,
                     ..w
                 };
-                self.admit(now, asked.session, &asked.create, wanted, out)
+                self.admit(now, query.session, &query.create, validated, out)
             }
             Err(bad) => {
-                self.shed.gone(&mut asked.counted);
-                Err(Denied::from(bad))
+                self.load_shedding.request_ended(&mut query.admitted);
+                Err(Rejection::from(bad))
             }
         };
         if let Err(denied) = taken {
             out.push(Output::SendToClient {
-                session: asked.session,
-                text: denied.to_text(&asked.create),
+                session: query.session,
+                text: denied.to_text(&query.create),
             });
-            let ask = self.workflows.never_ran(intent, now.after(HELD_WITHIN_S));
+            let ask = self
+                .workflows
+                .never_ran(intent, now.after(RESULT_DURABLE_WITHIN_S));
             out.push(Output::Workflow(ask));
         }
     }
 
-    /// An answer that no host has given: of a workflow itself, or of a step that was done before.
-    fn answer_alone(
+    /// An answer that no server has given: of a workflow itself, or of a step that was done before.
+    fn answer_without_server(
         &mut self,
         now: Micros,
-        asked: &Asked,
+        query: &PendingQuery,
         text: &str,
         known: bool,
         out: &mut Vec<Output>,
@@ -433,18 +456,18 @@
         let answer = self.new_response(
             now,
             id,
-            &asked.create,
-            asked.create.max_output_tokens.unwrap_or(most),
+            &query.create,
+            query.create.max_output_tokens.unwrap_or(most),
         );
         let answer = Response {
             status: Status::Completed,
             ..answer
         }
         .with_text(text);
-        self.say_again(asked.session, &answer, &asked.create, out);
+        self.send_recorded_answer(query.session, &answer, &query.create, out);
         // The next turn may go on from it, as from the answer that it repeats.
         if let Some(w) = self
-            .wanted(now, asked.session, &asked.create)
+            .validate(now, query.session, &query.create)
             .ok()
             .filter(|_| known)
         {
@@ -466,7 +489,7 @@
     }
 
     /// A step's answer, or why it does not count. A failure says enough as it is.
-    fn give_step(
+    fn deliver_step(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -487,11 +510,11 @@
             },
             _ => answer,
         };
-        self.give(now, id, answer, out);
+        self.deliver(now, id, answer, out);
     }
 
     /// A key keeps the answer that stands; it is let go where asking again is harmless and may end better.
-    fn close_key(&mut self, now: Micros, id: RequestId, answer: Response) {
+    fn settle_key(&mut self, now: Micros, id: RequestId, answer: Response) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -517,19 +540,19 @@
         let streaming = request.streaming();
         self.abandon_step(now, id, out);
         self.charge_answer(id, &answer, out);
-        self.close_key(now, id, answer);
+        self.settle_key(now, id, answer);
         self.events
             .push_back(Event::ClientDisconnected { request: id });
         if streaming {
-            self.learn(id, End::Left, out);
-            self.tell_cancel(id, out);
+            self.report_output_length(id, End::Left, out);
+            self.send_cancel(id, out);
             self.end_attempt(now, id, Outcome::Cancelled, 0, Vec::new(), out);
         }
-        self.tidy(id, out);
+        self.remove_if_done(id, out);
     }
 
     /// One client cancels: it is given its final answer, and the request ends if no other waits for it.
-    pub(crate) fn give_up_by_client(
+    pub(crate) fn cancel_by_listener(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -542,7 +565,7 @@
         let safe = self.settings.classes[usize::from(request.class)].effect == Effect::Safe
             || !request.may_run();
         let answer = request.failed("cancelled", "cancelled by the client", safe, None);
-        request.say(out, Some(session), |l, _| {
+        request.send_event(out, Some(session), |l, _| {
             client::finished(l.sequence, &l.view(&answer))
         });
         request.listeners.retain(|l| l.session != session);
@@ -554,14 +577,14 @@
     }
 
     /// Lets go of an entry once it is answered, nothing is out and nothing is held.
-    pub(crate) fn tidy(&mut self, id: RequestId, out: &mut Vec<Output>) {
+    pub(crate) fn remove_if_done(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let over = |r: &Request| r.answered && r.attempt.is_none() && r.state.is_none();
         if self.requests.get(&id).is_some_and(over) && !self.workflows.is_ending(id) {
             self.settle(id, out);
             let Some(mut gone) = self.requests.remove(&id) else {
                 return;
             };
-            self.shed.gone(&mut gone.counted);
+            self.load_shedding.request_ended(&mut gone.admitted);
             self.prompt_bytes -= gone.prompt.len();
         }
     }
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -1,4 +1,4 @@
-//! What hosts and links say, told to the decision module truthfully: what may have run is never told as not run.
+//! What servers and links say, told to the decision module truthfully: what may have run is never told as not run.
 
 use bitternlatch_policy::interface::{AttemptEnd, Event, Outcome, RequestId, ServerId};
 use bitternlatch_protocol::client::{InputDetails, Usage};
@@ -7,9 +7,9 @@
     CODE_STATE_GONE,
 };
 
-use crate::links::{again, Queued};
+use crate::links::{retry_at, Queued};
 use crate::machine::{log, Machine};
-use crate::requests::{read_wire_id, wire_id, Attempt, HeldState, Purpose, Stage};
+use crate::requests::{read_wire_id, wire_id, Attempt, HeldKvCache, Purpose, Stage};
 use crate::timers::Timer;
 use crate::types::{Level, LinkId, Micros, Output};
 
@@ -38,20 +38,20 @@
         let Some((queued, pause_s)) = self.links.down(link, jitter) else {
             return;
         };
-        self.hand_back(now, queued, out);
-        if let Some(at) = again(now, pause_s) {
+        self.return_unsent(now, queued, out);
+        if let Some(at) = retry_at(now, pause_s) {
             self.timers.set(
                 at,
                 Timer::Link {
-                    host: link.server,
+                    server: link.server,
                     epoch: link.epoch,
                 },
             );
         }
         let name = self
-            .fleet
+            .servers
             .get(link.server)
-            .map_or("a host that left the list", |k| k.host.name.as_str());
+            .map_or("a host that left the list", |k| k.server.name.as_str());
         log(out, Level::Warn, format!("link to {name} is down: {why}"));
     }
 
@@ -86,11 +86,11 @@
         attempt
             .finish_reason
             .clone()
-            .filter(|_| attempt.purpose != Purpose::Read)
+            .filter(|_| attempt.purpose != Purpose::Prefill)
     }
 
     /// Attempts whose message never left are told as not connected.
-    fn hand_back(&mut self, now: Micros, queued: Vec<Queued>, out: &mut Vec<Output>) {
+    fn return_unsent(&mut self, now: Micros, queued: Vec<Queued>, out: &mut Vec<Output>) {
         for message in queued {
             if let Some((id, number)) = read_wire_id(self.instance, &message.attempt) {
                 self.end_unsent(now, id, number, out);
@@ -98,9 +98,9 @@
         }
     }
 
-    pub(crate) fn hand_back_queued(&mut self, now: Micros, host: ServerId, out: &mut Vec<Output>) {
-        let queued = self.links.take_queue(host);
-        self.hand_back(now, queued, out);
+    pub(crate) fn return_queued(&mut self, now: Micros, server: ServerId, out: &mut Vec<Output>) {
+        let queued = self.links.take_queue(server);
+        self.return_unsent(now, queued, out);
     }
 
     fn end_unsent(&mut self, now: Micros, id: RequestId, number: u16, out: &mut Vec<Output>) {
@@ -123,7 +123,7 @@
         let Some((id, number)) = read_wire_id(self.instance, attempt) else {
             return;
         };
-        let over = |a: &Attempt| a.link == link && a.stage == Stage::Out;
+        let over = |a: &Attempt| a.link == link && a.stage == Stage::InFlight;
         if self
             .requests
             .get(&id)
@@ -138,8 +138,8 @@
         if self.links.is_opening(link) {
             out.push(Output::CloseLink { link });
             self.on_link_down(now, link, false, "it did not greet in time", out);
-        } else if self.links.is_paused(link) {
-            self.dial(now, link.server, out);
+        } else if self.links.is_backing_off(link) {
+            self.connect(now, link.server, out);
         }
     }
 
@@ -152,7 +152,9 @@
     ) {
         let message: FromEngine = match decode(text) {
             Ok(message) => message,
-            Err(e) => return self.fault(link, &format!("not a message known here: {e}"), out),
+            Err(e) => {
+                return self.report_fault(link, &format!("not a message known here: {e}"), out)
+            }
         };
         match message {
             FromEngine::Hello {
@@ -161,7 +163,7 @@
             FromEngine::State { state } => self.on_state(now, link, state, out),
             FromEngine::Load { id, load } => {
                 let report = self.report(Some(&load));
-                match self.shed.probed(id, &report) {
+                match self.load_shedding.probe_answered(id, &report) {
                     Some(ask) => out.push(Output::Overload(ask)),
                     None => self.end_probe(now, id, Outcome::Served, report),
                 }
@@ -179,12 +181,12 @@
         }
     }
 
-    /// Tells a host what was wrong with a message of its, and the log.
-    fn fault(&self, link: LinkId, why: &str, out: &mut Vec<Output>) {
+    /// Tells a server what was wrong with a message of its, and the log.
+    fn report_fault(&self, link: LinkId, why: &str, out: &mut Vec<Output>) {
         let name = self
-            .fleet
+            .servers
             .get(link.server)
-            .map_or("a host that left the list", |k| k.host.name.as_str());
+            .map_or("a host that left the list", |k| k.server.name.as_str());
         log(out, Level::Warn, format!("{name}: {why}"));
         let text = encode(&ToEngine::Fault {
             message: why.to_string(),
@@ -208,8 +210,8 @@
             return;
         }
         let warm_after_s = self.settings.rules.slow_start.warm_after_s;
-        let Some((entry, anew)) =
-            self.fleet
+        let Some((entry, restarted)) =
+            self.servers
                 .greeted(now, link.server, uptime_s, state, warm_after_s)
         else {
             return;
@@ -220,29 +222,29 @@
             entries: vec![entry],
         });
         let queued = self.links.greeted(link);
-        if anew || state == EngineState::Draining {
-            // What was decided for the host before its restart was known does not hold: a cold host takes less.
-            return self.hand_back(now, queued, out);
+        if restarted || state == EngineState::Draining {
+            // What was decided for the server before its restart was known does not hold: a cold server takes less.
+            return self.return_unsent(now, queued, out);
         }
         for message in queued {
-            let Some(id) = self.told_late(now, link, &message.attempt) else {
+            let Some(id) = self.mark_sent(now, link, &message.attempt) else {
                 // Its permission has passed while it waited for the link.
-                self.hand_back(now, vec![message], out);
+                self.return_unsent(now, vec![message], out);
                 continue;
             };
-            out.push(self.tell_attempt(now, id, link, message));
+            out.push(self.attempt_message(now, id, link, message));
         }
     }
 
-    fn told_late(&mut self, now: Micros, link: LinkId, attempt: &str) -> Option<RequestId> {
+    fn mark_sent(&mut self, now: Micros, link: LinkId, attempt: &str) -> Option<RequestId> {
         let (id, number) = read_wire_id(self.instance, attempt)?;
         let may = self.workflows.may_leave(now, id);
         let current = self.requests.get_mut(&id).and_then(|r| r.attempt.as_mut());
         if let Some(a) = current.filter(|a| a.number == number) {
-            if a.purpose != Purpose::Read && !may {
+            if a.purpose != Purpose::Prefill && !may {
                 return None;
             }
-            (a.stage, a.link, a.heard) = (Stage::Out, link, now);
+            (a.stage, a.link, a.heard) = (Stage::InFlight, link, now);
         }
         Some(id)
     }
@@ -251,14 +253,14 @@
         if !self.links.is_current(link) {
             return;
         }
-        if let Some(entry) = self.fleet.said(link.server, state) {
+        if let Some(entry) = self.servers.reported(link.server, state) {
             let form = bitternlatch_policy::interface::ListForm::Delta;
             self.events.push_back(Event::Servers {
                 form,
                 entries: vec![entry],
             });
             if state == EngineState::Draining {
-                self.hand_back_queued(now, link.server, out);
+                self.return_queued(now, link.server, out);
             }
         }
     }
@@ -274,7 +276,7 @@
     ) -> Option<RequestId> {
         let Some((request, number)) = read_wire_id(self.instance, id) else {
             let shown: String = id.chars().take(60).collect();
-            self.fault(
+            self.report_fault(
                 link,
                 &format!("'{shown}' is no request of this dispatcher"),
                 out,
@@ -304,7 +306,7 @@
         let Some(id) = self.current(now, link, wire, out) else {
             if kept && read_wire_id(self.instance, wire).is_some() {
                 // A read that was given up on has ended after all: nobody will fetch its state.
-                self.tell_release(link, wire, out);
+                self.send_release(link, wire, out);
             }
             return;
         };
@@ -326,12 +328,12 @@
         if choice.finish_reason.is_some() {
             attempt.finish_reason = choice.finish_reason;
         }
-        if attempt.purpose != Purpose::Read && !choice.text.is_empty() {
-            self.on_piece(now, id, &choice.text, out);
+        if attempt.purpose != Purpose::Prefill && !choice.text.is_empty() {
+            self.on_text(now, id, &choice.text, out);
         }
     }
 
-    fn on_piece(&mut self, now: Micros, id: RequestId, piece: &str, out: &mut Vec<Output>) {
+    fn on_text(&mut self, now: Micros, id: RequestId, piece: &str, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -344,16 +346,20 @@
                 Level::Warn,
                 format!("{}: the engine sent more than it may", request.response.id),
             );
-            self.tell_cancel(id, out);
+            self.send_cancel(id, out);
             return self.end_attempt(now, id, Outcome::Error, 0, Vec::new(), out);
         }
         let stall_s = self.settings.classes[usize::from(request.class)].deadline_s;
         request.text.push_str(piece);
-        if let Some(attempt) = request.attempt.as_mut().filter(|a| a.stage == Stage::Out) {
+        if let Some(attempt) = request
+            .attempt
+            .as_mut()
+            .filter(|a| a.stage == Stage::InFlight)
+        {
             attempt.stage = Stage::Streaming;
-            self.shed.begun(now, &mut request.counted);
+            self.load_shedding.first_token(now, &mut request.admitted);
             let (number, server, elapsed_s) =
-                (attempt.number, attempt.host, now.since(attempt.sent));
+                (attempt.number, attempt.server, now.since(attempt.sent));
             // The state has been fetched: nothing of it is held any more.
             request.state = None;
             self.timers
@@ -365,7 +371,7 @@
                 elapsed_s,
             });
         }
-        self.say_delta(id, piece, out);
+        self.send_delta(id, piece, out);
     }
 
     fn on_done(
@@ -384,23 +390,23 @@
             return;
         };
         match (attempt.purpose, attempt.finish_reason.clone()) {
-            (Purpose::Read, _) => self.end_read(now, id, report, out),
+            (Purpose::Prefill, _) => self.end_prefill(now, id, report, out),
             (_, Some(reason)) => self.end_served(now, id, &reason, report, out),
             (_, None) => self.end_attempt(now, id, Outcome::Error, 0, report, out),
         }
     }
 
-    fn end_read(&mut self, now: Micros, id: RequestId, report: Vec<f64>, out: &mut Vec<Output>) {
-        let made_by = |a: &Attempt| wire_id(self.instance, id, a.number);
+    fn end_prefill(&mut self, now: Micros, id: RequestId, report: Vec<f64>, out: &mut Vec<Output>) {
+        let created_by = |a: &Attempt| wire_id(self.instance, id, a.number);
         let Some(attempt) = self.requests.get(&id).and_then(|r| r.attempt.as_ref()) else {
             return;
         };
         let Some(params) = attempt.state.clone() else {
             return self.end_attempt(now, id, Outcome::Error, 0, report, out);
         };
-        let state = HeldState {
-            host: attempt.host,
-            made_by: made_by(attempt),
+        let state = HeldKvCache {
+            server: attempt.server,
+            created_by: created_by(attempt),
             params,
             release: false,
         };
@@ -436,7 +442,7 @@
                 total_tokens: usage.total_tokens,
             };
         }
-        self.serve(now, id, reason, out);
+        self.complete(now, id, reason, out);
         self.end_attempt(now, id, Outcome::Served, cached, report, out);
     }
 
@@ -460,7 +466,7 @@
             outcome,
             Outcome::PrefillDone | Outcome::Rejected { .. } | Outcome::ConnectFailed
         );
-        if attempt.purpose != Purpose::Read && !never_ran {
+        if attempt.purpose != Purpose::Prefill && !never_ran {
             request.may_have_run = true;
         }
         if outcome
@@ -470,18 +476,23 @@
         {
             request.state = None;
         }
-        request.counted.repeats = match outcome {
+        request.admitted.repeats = match outcome {
             Outcome::PrefillDone | Outcome::Served | Outcome::NotSent => false,
             Outcome::Rejected {
                 state_missing: false,
             }
-            | Outcome::ConnectFailed => request.counted.repeats,
+            | Outcome::ConnectFailed => request.admitted.repeats,
             // Of a read whose state is gone all is done again.
             _ => true,
         };
-        self.shed.reported(now, attempt.host, &report);
-        self.note_outcome(now, attempt.host, outcome);
-        out.extend(self.shed.tried(attempt.host, outcome).map(Output::Overload));
+        self.load_shedding
+            .load_reported(now, attempt.server, &report);
+        self.note_outcome(now, attempt.server, outcome);
+        out.extend(
+            self.load_shedding
+                .attempt_ended(attempt.server, outcome)
+                .map(Output::Overload),
+        );
         if attempt.stage == Stage::Streaming && outcome != Outcome::Served {
             self.fail(
                 now,
@@ -503,14 +514,14 @@
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
             request: id,
             attempt: attempt.number,
-            server: attempt.host,
+            server: attempt.server,
             outcome,
             elapsed_s: now.since(attempt.sent),
             finished,
             prefix_hit_tokens: f64::from(prefix_hit),
             report,
         }));
-        self.tidy(id, out);
+        self.remove_if_done(id, out);
     }
 
     pub(crate) fn on_attempt_time(
@@ -526,12 +537,12 @@
             return;
         };
         if attempt.stage == Stage::Queued {
-            let host = attempt.host;
+            let server = attempt.server;
             self.links
-                .take_back(host, &wire_id(self.instance, id, number));
+                .remove_queued(server, &wire_id(self.instance, id, number));
             return self.end_unsent(now, id, number, out);
         }
-        self.tell_cancel(id, out);
+        self.send_cancel(id, out);
         self.end_attempt(now, id, Outcome::TimedOut, 0, Vec::new(), out);
     }
 
@@ -574,7 +585,7 @@
                 .timers
                 .set(heard.after(most_s), Timer::Stall { request: id });
         }
-        self.tell_cancel(id, out);
+        self.send_cancel(id, out);
         self.end_attempt(now, id, Outcome::TimedOut, 0, Vec::new(), out);
     }
 
--- a/crates/core/src/budgets.rs
+++ b/crates/core/src/budgets.rs
@@ -15,10 +15,10 @@
 use crate::workflows::refused;
 
 /// Seconds after which a client that met one of this machine's own bounds may come back.
-pub(crate) const COME_BACK_S: f64 = 1.0;
+pub(crate) const RETRY_AFTER_S: f64 = 1.0;
 
 /// Why a request is not taken, and when to come back.
-pub(crate) struct Denied {
+pub(crate) struct Rejection {
     pub bad: BadRequest,
     /// `None` is the machine's own time, for what has one at all.
     pub retry_after_s: Option<f64>,
@@ -26,9 +26,9 @@
     pub elsewhere: Vec<String>,
 }
 
-impl From<BadRequest> for Denied {
-    fn from(bad: BadRequest) -> Denied {
-        Denied {
+impl From<BadRequest> for Rejection {
+    fn from(bad: BadRequest) -> Rejection {
+        Rejection {
             bad,
             retry_after_s: None,
             elsewhere: vec![],
@@ -36,10 +36,10 @@
     }
 }
 
-impl Denied {
+impl Rejection {
     /// The event that says so.
     pub(crate) fn to_text(&self, create: &Create) -> String {
-        let own = (self.bad.status == 429).then_some(COME_BACK_S);
+        let own = (self.bad.status == 429).then_some(RETRY_AFTER_S);
         let again = self
             .retry_after_s
             .or(own)
@@ -47,10 +47,10 @@
         client::error_elsewhere(&self.bad, again, Some(&create.metadata), &self.elsewhere)
     }
 
-    pub(crate) fn by_workflow(why: RejectReason) -> Denied {
+    pub(crate) fn by_workflow(why: RejectReason) -> Rejection {
         let bad = refused(why);
-        let retry_after_s = (bad.status == 503).then_some(COME_BACK_S);
-        Denied {
+        let retry_after_s = (bad.status == 503).then_some(RETRY_AFTER_S);
+        Rejection {
             bad,
             retry_after_s,
             elsewhere: vec![],
@@ -58,7 +58,7 @@
     }
 
     /// Refused at once by what all shed together; asking again is harmless.
-    pub(crate) fn by_shedding(retry_after_s: f64) -> Denied {
+    pub(crate) fn by_shedding(retry_after_s: f64) -> Rejection {
         let message = "no place now for what it asks; asking again is harmless".to_string();
         let bad = BadRequest {
             status: 429,
@@ -66,14 +66,14 @@
             message,
             param: None,
         };
-        Denied {
+        Rejection {
             bad,
             retry_after_s: Some(retry_after_s),
             elsewhere: vec![],
         }
     }
 
-    pub(crate) fn by_budget(short: Short) -> Denied {
+    pub(crate) fn by_budget(short: Short) -> Rejection {
         let bad = |status, code, message: &str| BadRequest {
             status,
             code,
@@ -81,7 +81,7 @@
             param: None,
         };
         match short {
-            Short::For(seconds) => Denied {
+            Short::For(seconds) => Rejection {
                 bad: bad(
                     429,
                     "budget_spent",
@@ -110,7 +110,7 @@
 impl Request {
     /// What its host counted; `None` where none has, or what it says is no count. An output above the ceiling is the host's
     /// fault and not the tenant's.
-    fn counted(&self) -> Option<Amount> {
+    fn admitted(&self) -> Option<Amount> {
         let usage = (self.usage.total_tokens > 0).then_some(self.usage)?;
         Some(Amount {
             prompt: usage.input_tokens,
@@ -120,7 +120,7 @@
 
     /// What it is to be charged as things stand; nothing for what is known not to have run or is refused.
     fn used(&self, served: bool, refused: bool) -> Option<Used> {
-        match self.counted() {
+        match self.admitted() {
             _ if refused => None,
             Some(amount) => Some(Used::Known(amount)),
             None if served || self.may_run() => Some(Used::Possibly(self.hold.as_ref()?.bound())),
@@ -131,7 +131,7 @@
 
 impl Machine {
     /// Tells a session what is left, where its tenant is near a bound.
-    pub(crate) fn say_left(
+    pub(crate) fn send_rate_limits(
         &mut self,
         now: Micros,
         tenant: u32,
@@ -213,11 +213,11 @@
         }
     }
 
-    /// Opens the accounts of the settings. Without a ledger each dispatcher spends an even part; of rates, among
+    /// Opens the accounts of the settings. Without a quota server each dispatcher spends an even part; of rates, among
     /// peers that know each other, what it is lent. Amounts a period stay even parts: what one that failed has used of its own is
     /// not known to the others.
     pub(crate) fn open_accounts(&mut self, now: Micros) {
-        let share = 1.0 / self.sharers() as f64;
+        let share = 1.0 / self.quota_members() as f64;
         let classes = &self.settings.classes;
         let number = |name: &str| {
             classes
--- a/crates/core/src/callers.rs
+++ b/crates/core/src/callers.rs
@@ -18,18 +18,18 @@
 /// Why a session takes nothing new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Ending {
-    TokenEnded,
-    KeyWithdrawn,
-    CertificateEnded,
+    TokenExpired,
+    TokenKeyRevoked,
+    CertificateExpired,
     CertificateRevoked,
 }
 
 impl Ending {
     fn code(self) -> &'static str {
         match self {
-            Ending::TokenEnded => "token_expired",
-            Ending::KeyWithdrawn => "token_key_withdrawn",
-            Ending::CertificateEnded => "certificate_expired",
+            Ending::TokenExpired => "token_expired",
+            Ending::TokenKeyRevoked => "token_key_withdrawn",
+            Ending::CertificateExpired => "certificate_expired",
             Ending::CertificateRevoked => "certificate_revoked",
         }
     }
@@ -65,8 +65,8 @@
                 None,
             ));
         }
-        let proofs_s = self.proofs_s(now);
-        let Some(caller) = caller.filter(|c| proofs_s < c.ends) else {
+        let credential_time_s = self.credential_time_s(now);
+        let Some(caller) = caller.filter(|c| credential_time_s < c.ends) else {
             return Err(refused(
                 401,
                 "token_expired",
@@ -121,8 +121,8 @@
     }
 
     /// Unix seconds by which proofs are judged.
-    fn proofs_s(&self, now: Micros) -> u64 {
-        now.0.saturating_add_signed(self.proofs_ahead_us) / 1_000_000
+    fn credential_time_s(&self, now: Micros) -> u64 {
+        now.0.saturating_add_signed(self.credential_clock_offset_us) / 1_000_000
     }
 
     /// When the clock will show a time at which a proof ends.
@@ -130,23 +130,28 @@
         Micros(
             ends_s
                 .saturating_mul(1_000_000)
-                .saturating_sub_signed(self.proofs_ahead_us),
+                .saturating_sub_signed(self.credential_clock_offset_us),
         )
     }
 
     /// The judged time has moved against the clock: ends of proofs come sooner or later than they were to.
-    pub(crate) fn on_proof_time(&mut self, now: Micros, ahead_us: i64, out: &mut Vec<Output>) {
-        let by_s = ahead_us.saturating_sub(self.proofs_ahead_us) as f64 / 1e6;
+    pub(crate) fn on_credential_clock_offset(
+        &mut self,
+        now: Micros,
+        ahead_us: i64,
+        out: &mut Vec<Output>,
+    ) {
+        let by_s = ahead_us.saturating_sub(self.credential_clock_offset_us) as f64 / 1e6;
         log(
             out,
             Level::Warn,
             format!("the time of proofs moves by {by_s:.1} s"),
         );
-        self.proofs_ahead_us = ahead_us;
+        self.credential_clock_offset_us = ahead_us;
         for (session, ends_s) in self.sessions.ends() {
             self.timers
                 .set(self.clock_at(ends_s), Timer::Caller { session });
-            self.on_caller_time(now, session);
+            self.on_credential_expiry(now, session);
         }
     }
 
@@ -170,7 +175,12 @@
         });
     }
 
-    pub(crate) fn on_renewal_refused(&self, session: SessionId, code: &str, out: &mut Vec<Output>) {
+    pub(crate) fn on_renewal_rejected(
+        &self,
+        session: SessionId,
+        code: &str,
+        out: &mut Vec<Output>,
+    ) {
         if self.sessions.is_open(session) {
             let bad = refused(
                 401,
@@ -186,8 +196,8 @@
     }
 
     /// Keys that counted count no more: sessions proven by them end.
-    pub(crate) fn on_keys_withdrawn(&mut self, ids: &[String], out: &mut Vec<Output>) {
-        let hit = self.sessions.proven_by(ids);
+    pub(crate) fn on_credentials_revoked(&mut self, ids: &[String], out: &mut Vec<Output>) {
+        let hit = self.sessions.authenticated_by(ids);
         if !hit.is_empty() {
             log(
                 out,
@@ -203,27 +213,27 @@
             let why = if by_certificate {
                 Ending::CertificateRevoked
             } else {
-                Ending::KeyWithdrawn
+                Ending::TokenKeyRevoked
             };
             self.sessions.end(session, why);
         }
     }
 
-    pub(crate) fn on_caller_time(&mut self, now: Micros, session: SessionId) {
-        let proofs_s = self.proofs_s(now);
+    pub(crate) fn on_credential_expiry(&mut self, now: Micros, session: SessionId) {
+        let credential_time_s = self.credential_time_s(now);
         let why = match self.sessions.caller(session) {
-            Some(c) if c.ends <= proofs_s && c.proof == Proof::Certificate => {
-                Ending::CertificateEnded
+            Some(c) if c.ends <= credential_time_s && c.proof == Proof::Certificate => {
+                Ending::CertificateExpired
             }
-            Some(c) if c.ends <= proofs_s => Ending::TokenEnded,
+            Some(c) if c.ends <= credential_time_s => Ending::TokenExpired,
             _ => return,
         };
         self.sessions.end(session, why);
     }
 
-    /// Closes ending sessions that have nothing in hand any more.
-    pub(crate) fn close_ended(&mut self, out: &mut Vec<Output>) {
-        for (session, ending) in self.sessions.ended_and_idle() {
+    /// Closes ending sessions that have nothing in flight any more.
+    pub(crate) fn close_ending_sessions(&mut self, out: &mut Vec<Output>) {
+        for (session, ending) in self.sessions.ending_and_idle() {
             self.sessions.close(session);
             out.push(Output::CloseSession {
                 session,
--- a/crates/core/src/cluster_mode.rs
+++ b/crates/core/src/cluster_mode.rs
@@ -3,13 +3,13 @@
 use bitternlatch_membership::{Duty, Standing, Work};
 use bitternlatch_protocol::client::BadRequest;
 
-use crate::budgets::Denied;
+use crate::budgets::Rejection;
 use crate::machine::Machine;
 use crate::settings::Effect;
 use crate::types::Micros;
 
 /// Seconds after which one that is sent elsewhere may come back here: a standing takes about that long to mend.
-const COME_BACK_S: f64 = 2.0;
+const RETRY_AFTER_S: f64 = 2.0;
 
 /// What was told last, and until when it counts.
 #[derive(Debug, Default)]
@@ -28,7 +28,12 @@
 }
 
 impl Machine {
-    pub(crate) fn on_standing(&mut self, standing: Standing, there: Vec<String>, until: Micros) {
+    pub(crate) fn on_quorum_state(
+        &mut self,
+        standing: Standing,
+        there: Vec<String>,
+        until: Micros,
+    ) {
         self.peers = Peers {
             told: Some((standing, until)),
             there,
@@ -45,11 +50,15 @@
 
     /// What it does with such work now; `None` where it is to know of nobody.
     pub(crate) fn duty(&self, now: Micros, work: Work) -> Option<Duty> {
-        Some(Duty::of(self.standing(now)?, self.reaches_hosts(now), work))
+        Some(Duty::of(
+            self.standing(now)?,
+            self.reaches_servers(now),
+            work,
+        ))
     }
 
     /// Whether a request of this class may be begun, or sent for the first time, now.
-    pub(crate) fn may_take(&self, now: Micros, class: u16) -> bool {
+    pub(crate) fn may_admit(&self, now: Micros, class: u16) -> bool {
         let Some(class) = self.settings.classes.get(usize::from(class)) else {
             return false;
         };
@@ -59,7 +68,7 @@
 
     /// The refusal of what may not be taken, with where else to try: all others that are there, or, where none is
     /// known to be, all that there should be.
-    pub(crate) fn sent_elsewhere(&self, now: Micros) -> Denied {
+    pub(crate) fn redirect_to_peers(&self, now: Micros) -> Rejection {
         let others = self
             .settings
             .cluster
@@ -75,14 +84,14 @@
             .filter(there)
             .map(|(_, at)| (*at).clone())
             .collect();
-        // Where hosts fail for all there is nowhere to go.
-        let hosts = self.reaches_hosts(now);
+        // Where servers fail for all there is nowhere to go.
+        let servers = self.reaches_servers(now);
         let elsewhere = match known.is_empty() {
-            _ if !hosts && self.all_fail_elsewhere() => vec![],
+            _ if !servers && self.all_failing_at_peers() => vec![],
             true => all.iter().map(|(_, at)| (*at).clone()).collect(),
             false => known,
         };
-        let message = match hosts {
+        let message = match servers {
             true => "this dispatcher is cut off from its peers and takes nothing that must not run twice",
             false => "this dispatcher reaches no model host",
         };
@@ -92,14 +101,14 @@
             message: message.to_string(),
             param: None,
         };
-        Denied {
+        Rejection {
             bad,
-            retry_after_s: Some(COME_BACK_S),
+            retry_after_s: Some(RETRY_AFTER_S),
             elsewhere,
         }
     }
 
-    /// Whether callers should come, by what is known of peers and hosts.
+    /// Whether callers should come, by what is known of peers and servers.
     pub fn is_ready(&self, now: Micros) -> bool {
         let peers = self.duty(now, Work::Safe).is_none_or(|duty| duty.ready);
         peers && !self.stopping && self.counts().open_links > 0
--- a/crates/core/src/contexts.rs
+++ b/crates/core/src/contexts.rs
@@ -20,7 +20,7 @@
 /// Bounded by bytes and age; at the bound the oldest is let go, and a client that names it is told that it is not
 /// found.
 pub(crate) struct Contexts {
-    most_bytes: usize,
+    max_bytes: usize,
     bytes: usize,
     kept: BTreeMap<String, (u64, Context)>,
     order: BTreeMap<u64, String>,
@@ -28,9 +28,9 @@
 }
 
 impl Contexts {
-    pub(crate) fn new(most_bytes: usize) -> Self {
+    pub(crate) fn new(max_bytes: usize) -> Self {
         Contexts {
-            most_bytes,
+            max_bytes,
             bytes: 0,
             kept: BTreeMap::new(),
             order: BTreeMap::new(),
@@ -46,7 +46,7 @@
     }
 
     pub(crate) fn keep(&mut self, id: &str, context: Context) {
-        if context.text.len() > self.most_bytes {
+        if context.text.len() > self.max_bytes {
             return;
         }
         self.bytes += context.text.len();
@@ -56,7 +56,7 @@
             self.bytes -= old.text.len();
             self.order.remove(&turn);
         }
-        while self.bytes > self.most_bytes && self.drop_oldest() {}
+        while self.bytes > self.max_bytes && self.drop_oldest() {}
     }
 
     /// Lets go of what is older than a time.
--- a/crates/core/src/idempotency.rs
+++ b/crates/core/src/idempotency.rs
@@ -22,78 +22,78 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum Held {
+pub(crate) enum KeyState {
     Running(RequestId),
     /// The answer as it was given.
     Answered(Box<Response>),
     /// Answered, but the text is no longer kept.
-    Forgotten,
+    Evicted,
 }
 
-struct Entry {
+struct IdempotencyEntry {
     /// Hash of what was asked: a key used again for something else is an error.
-    asked: u64,
-    held: Held,
+    fingerprint: u64,
+    state: KeyState,
     ended: Option<Micros>,
     bytes: usize,
-    turn: u64,
+    ended_order: u64,
 }
 
 /// What a key stands for when a request comes with it.
 #[derive(Debug)]
-pub(crate) enum Known {
+pub(crate) enum KeyLookup {
     New,
     Attach(RequestId),
     Answer(Box<Response>),
-    Forgotten,
+    Evicted,
     OtherRequest,
-    NoRoom,
+    CapacityExceeded,
 }
 
-pub(crate) struct Keys {
-    most: usize,
-    most_bytes: usize,
-    kept_s: f64,
+pub(crate) struct IdempotencyKeys {
+    max_keys: usize,
+    max_bytes: usize,
+    lifetime_s: f64,
     bytes: usize,
-    entries: BTreeMap<Key, Entry>,
+    entries: BTreeMap<Key, IdempotencyEntry>,
     /// Ended keys by turn of ending.
     ended: BTreeMap<u64, Key>,
-    turns: u64,
+    last_order: u64,
 }
 
-impl Keys {
-    pub(crate) fn new(most: usize, most_bytes: usize, kept_s: f64) -> Self {
-        Keys {
-            most,
-            most_bytes,
-            kept_s,
+impl IdempotencyKeys {
+    pub(crate) fn new(max_keys: usize, max_bytes: usize, lifetime_s: f64) -> Self {
+        IdempotencyKeys {
+            max_keys,
+            max_bytes,
+            lifetime_s,
             bytes: 0,
             entries: BTreeMap::new(),
             ended: BTreeMap::new(),
-            turns: 0,
+            last_order: 0,
         }
     }
 
-    pub(crate) fn know(&self, key: &Key, asked: u64) -> Known {
+    pub(crate) fn lookup(&self, key: &Key, fingerprint: u64) -> KeyLookup {
         match self.entries.get(key) {
-            None if self.entries.len() >= self.most => Known::NoRoom,
-            None => Known::New,
-            Some(e) if e.asked != asked => Known::OtherRequest,
-            Some(e) => match &e.held {
-                Held::Running(id) => Known::Attach(*id),
-                Held::Answered(answer) => Known::Answer(answer.clone()),
-                Held::Forgotten => Known::Forgotten,
+            None if self.entries.len() >= self.max_keys => KeyLookup::CapacityExceeded,
+            None => KeyLookup::New,
+            Some(e) if e.fingerprint != fingerprint => KeyLookup::OtherRequest,
+            Some(e) => match &e.state {
+                KeyState::Running(id) => KeyLookup::Attach(*id),
+                KeyState::Answered(answer) => KeyLookup::Answer(answer.clone()),
+                KeyState::Evicted => KeyLookup::Evicted,
             },
         }
     }
 
-    pub(crate) fn begin(&mut self, key: Key, asked: u64, request: RequestId) {
-        let entry = Entry {
-            asked,
-            held: Held::Running(request),
+    pub(crate) fn begin(&mut self, key: Key, fingerprint: u64, request: RequestId) {
+        let entry = IdempotencyEntry {
+            fingerprint,
+            state: KeyState::Running(request),
             ended: None,
             bytes: 0,
-            turn: 0,
+            ended_order: 0,
         };
         self.entries.insert(key, entry);
     }
@@ -101,7 +101,7 @@
     /// Forgets a key whose request is known to be harmless to ask again.
     pub(crate) fn remove(&mut self, key: &Key) {
         if let Some(old) = self.entries.remove(key) {
-            self.ended.remove(&old.turn);
+            self.ended.remove(&old.ended_order);
             self.bytes -= old.bytes;
         }
     }
@@ -110,44 +110,44 @@
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
-        self.turns += 1;
-        self.ended.remove(&entry.turn);
+        self.last_order += 1;
+        self.ended.remove(&entry.ended_order);
         self.bytes = self.bytes + bytes - entry.bytes;
-        (entry.held, entry.ended, entry.bytes) =
-            (Held::Answered(Box::new(answer)), Some(now), bytes);
-        entry.turn = self.turns;
-        self.ended.insert(self.turns, key.clone());
-        self.forget_texts();
+        (entry.state, entry.ended, entry.bytes) =
+            (KeyState::Answered(Box::new(answer)), Some(now), bytes);
+        entry.ended_order = self.last_order;
+        self.ended.insert(self.last_order, key.clone());
+        self.evict_answers();
     }
 
-    fn forget_texts(&mut self) {
-        let oldest: Vec<Key> = match self.bytes > self.most_bytes {
+    fn evict_answers(&mut self) {
+        let oldest: Vec<Key> = match self.bytes > self.max_bytes {
             true => self.ended.values().cloned().collect(),
             false => return,
         };
         for key in oldest {
-            if self.bytes <= self.most_bytes {
+            if self.bytes <= self.max_bytes {
                 return;
             }
             if let Some(entry) = self.entries.get_mut(&key) {
                 self.bytes -= std::mem::take(&mut entry.bytes);
-                entry.held = Held::Forgotten;
+                entry.state = KeyState::Evicted;
             }
         }
     }
 
     /// Lets go of keys whose time is over.
     pub(crate) fn sweep(&mut self, now: Micros) {
-        while let Some((turn, key)) = self.ended.first_key_value() {
+        while let Some((ended_order, key)) = self.ended.first_key_value() {
             let entry = self.entries.get(key);
             if entry
                 .and_then(|e| e.ended)
-                .is_some_and(|at| now.since(at) < self.kept_s)
+                .is_some_and(|at| now.since(at) < self.lifetime_s)
             {
                 return;
             }
-            let (turn, key) = (*turn, key.clone());
-            self.ended.remove(&turn);
+            let (ended_order, key) = (*ended_order, key.clone());
+            self.ended.remove(&ended_order);
             if let Some(old) = self.entries.remove(&key) {
                 self.bytes -= old.bytes;
             }
@@ -192,31 +192,34 @@
 
     #[test]
     fn a_key_goes_from_running_to_answered_to_gone() {
-        let mut keys = Keys::new(2, 100, 60.0);
-        assert!(matches!(keys.know(&key("a"), 1), Known::New));
+        let mut keys = IdempotencyKeys::new(2, 100, 60.0);
+        assert!(matches!(keys.lookup(&key("a"), 1), KeyLookup::New));
         keys.begin(key("a"), 1, 9);
-        assert!(matches!(keys.know(&key("a"), 1), Known::Attach(9)));
-        assert!(matches!(keys.know(&key("a"), 2), Known::OtherRequest));
+        assert!(matches!(keys.lookup(&key("a"), 1), KeyLookup::Attach(9)));
+        assert!(matches!(keys.lookup(&key("a"), 2), KeyLookup::OtherRequest));
         keys.end(Micros(0), &key("a"), answer(), 50);
-        assert!(matches!(keys.know(&key("a"), 1), Known::Answer(_)));
+        assert!(matches!(keys.lookup(&key("a"), 1), KeyLookup::Answer(_)));
         keys.sweep(Micros(59_000_000));
-        assert!(matches!(keys.know(&key("a"), 1), Known::Answer(_)));
+        assert!(matches!(keys.lookup(&key("a"), 1), KeyLookup::Answer(_)));
         keys.sweep(Micros(60_000_000));
-        assert!(matches!(keys.know(&key("a"), 1), Known::New));
+        assert!(matches!(keys.lookup(&key("a"), 1), KeyLookup::New));
         assert_eq!((keys.bytes, keys.len()), (0, 0));
     }
 
     #[test]
     fn bytes_cost_the_text_but_never_the_key_and_a_full_table_takes_no_new_key() {
-        let mut keys = Keys::new(2, 60, 60.0);
+        let mut keys = IdempotencyKeys::new(2, 60, 60.0);
         for (i, name) in ["a", "b"].into_iter().enumerate() {
             keys.begin(key(name), 1, i as u32);
             keys.end(Micros(i as u64), &key(name), answer(), 50);
         }
-        assert!(matches!(keys.know(&key("a"), 1), Known::Forgotten));
-        assert!(matches!(keys.know(&key("b"), 1), Known::Answer(_)));
-        assert!(matches!(keys.know(&key("c"), 1), Known::NoRoom));
+        assert!(matches!(keys.lookup(&key("a"), 1), KeyLookup::Evicted));
+        assert!(matches!(keys.lookup(&key("b"), 1), KeyLookup::Answer(_)));
+        assert!(matches!(
+            keys.lookup(&key("c"), 1),
+            KeyLookup::CapacityExceeded
+        ));
         keys.remove(&key("a"));
-        assert!(matches!(keys.know(&key("c"), 1), Known::New));
+        assert!(matches!(keys.lookup(&key("c"), 1), KeyLookup::New));
     }
 }
--- a/crates/core/src/intake.rs
+++ b/crates/core/src/intake.rs
@@ -9,24 +9,24 @@
 use bitternlatch_workflow::RejectReason;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::budgets::{Charged, Denied, COME_BACK_S};
-use crate::idempotency::{Key, Known};
-use crate::load_shedding::Counted;
+use crate::budgets::{Charged, Rejection, RETRY_AFTER_S};
+use crate::idempotency::{Key, KeyLookup};
+use crate::load_shedding::AdmittedWork;
 use crate::machine::Machine;
-use crate::output_lengths::Lengths;
-use crate::requests::{Listener, Request, LISTENERS_MOST};
+use crate::output_lengths::OutputLengths;
+use crate::requests::{Listener, Request, MAX_LISTENERS};
 use crate::settings::Effect;
 use crate::timers::Timer;
 use crate::types::{Micros, Output, SessionId};
-use crate::validated_request::{fingerprint, Wanted};
-use crate::workflows::{self, Question};
+use crate::validated_request::{fingerprint, ValidatedRequest};
+use crate::workflows::{self, WorkflowQuery};
 
 /// With what a request begins.
-struct Leave {
+struct AdmissionDecision {
     /// Of its tenant's budget; none where it is refused.
     hold: Option<Hold>,
     /// Taken; or refused at once, and when it may come back.
-    judged: Result<Counted, f64>,
+    verdict: Result<AdmittedWork, f64>,
 }
 
 fn too_many(message: &str) -> BadRequest {
@@ -71,25 +71,25 @@
         session: SessionId,
         create: &Create,
         out: &mut Vec<Output>,
-    ) -> Result<(), Denied> {
-        let in_hand = self.sessions.in_hand(session) + self.workflows.asked_by(session);
-        if in_hand >= self.settings.listen.session_requests {
+    ) -> Result<(), Rejection> {
+        let in_flight = self.sessions.in_flight(session) + self.workflows.pending_queries(session);
+        if in_flight >= self.settings.listen.session_requests {
             return Err(too_many("this session has as many requests in hand as it may").into());
         }
-        let wanted = self.wanted(now, session, create)?;
-        if let Some(about) = self.about(create)? {
-            return self.ask_of_workflow(now, session, create, wanted, about, out);
+        let validated = self.validate(now, session, create)?;
+        if let Some(workflow_operation) = self.workflow_operation(create)? {
+            return self.query_workflow(now, session, create, validated, workflow_operation, out);
         }
-        if let Some(key) = &wanted.key {
+        if let Some(key) = &validated.key {
             let asked = fingerprint(create);
-            match self.keys.know(key, asked) {
-                Known::New => {}
-                Known::Attach(id) => return Ok(self.attach(session, id, create, out)?),
-                Known::Answer(answer) => {
-                    self.say_again(session, &answer, create, out);
+            match self.keys.lookup(key, asked) {
+                KeyLookup::New => {}
+                KeyLookup::Attach(id) => return Ok(self.attach(session, id, create, out)?),
+                KeyLookup::Answer(answer) => {
+                    self.send_recorded_answer(session, &answer, create, out);
                     return Ok(());
                 }
-                Known::Forgotten => {
+                KeyLookup::Evicted => {
                     let why =
                         "its request has ended and may have run; the answer is no longer kept";
                     let bad = BadRequest::field("metadata.idempotency_key", why);
@@ -100,7 +100,7 @@
                     }
                     .into());
                 }
-                Known::OtherRequest => {
+                KeyLookup::OtherRequest => {
                     let why = "this key was used for another request";
                     let bad = BadRequest::field("metadata.idempotency_key", why);
                     return Err(BadRequest {
@@ -110,10 +110,12 @@
                     }
                     .into());
                 }
-                Known::NoRoom => return Err(too_many("no room for another idempotency key").into()),
+                KeyLookup::CapacityExceeded => {
+                    return Err(too_many("no room for another idempotency key").into())
+                }
             }
         }
-        self.admit(now, session, create, wanted, out)
+        self.admit(now, session, create, validated, out)
     }
 
     /// What is neither known nor a bad request: the bounds, the budget, and on to the decision module.
@@ -122,103 +124,111 @@
         now: Micros,
         session: SessionId,
         create: &Create,
-        mut wanted: Wanted,
+        mut validated: ValidatedRequest,
         out: &mut Vec<Output>,
-    ) -> Result<(), Denied> {
-        if let Err(denied) = self.has_room(now, &wanted) {
-            wanted
-                .counted
+    ) -> Result<(), Rejection> {
+        if let Err(denied) = self.check_capacity(now, &validated) {
+            validated
+                .admitted
                 .iter_mut()
-                .for_each(|counted| self.shed.gone(counted));
+                .for_each(|admitted| self.load_shedding.request_ended(admitted));
             return Err(denied);
         }
-        let judged = wanted
-            .counted
-            .map_or_else(|| self.judge(now, create, &wanted), Ok);
-        let Ok(mut counted) = judged else {
+        let verdict = validated
+            .admitted
+            .map_or_else(|| self.evaluate_admission(now, create, &validated), Ok);
+        let Ok(mut admitted) = verdict else {
             self.begin(
                 now,
                 session,
                 create,
-                wanted,
-                Leave { hold: None, judged },
+                validated,
+                AdmissionDecision {
+                    hold: None,
+                    verdict,
+                },
                 out,
             );
             return Ok(());
         };
         let most = Amount {
-            prompt: tokens_of(wanted.prompt.len()),
-            output: wanted.max_tokens,
+            prompt: tokens_of(validated.prompt.len()),
+            output: validated.max_tokens,
         };
-        self.leases.wanted(now, wanted.tenant, most.total());
+        self.leases.wanted(now, validated.tenant, most.total());
         let hold = self
             .book
-            .hold(now.seconds(), wanted.tenant, wanted.class, most);
+            .hold(now.seconds(), validated.tenant, validated.class, most);
         let hold = hold.map_err(|short| {
-            self.shed.gone(&mut counted);
-            Denied::by_budget(short)
+            self.load_shedding.request_ended(&mut admitted);
+            Rejection::by_budget(short)
         })?;
-        let tenant = wanted.tenant;
+        let tenant = validated.tenant;
         self.begin(
             now,
             session,
             create,
-            wanted,
-            Leave {
+            validated,
+            AdmissionDecision {
                 hold: Some(hold),
-                judged,
+                verdict,
             },
             out,
         );
-        self.say_left(now, tenant, session, out);
+        self.send_rate_limits(now, tenant, session, out);
         Ok(())
     }
 
     /// The bounds that hold for each request.
-    fn has_room(&self, now: Micros, wanted: &Wanted) -> Result<(), Denied> {
-        if !self.may_take(now, wanted.class) {
-            return Err(self.sent_elsewhere(now));
+    fn check_capacity(&self, now: Micros, validated: &ValidatedRequest) -> Result<(), Rejection> {
+        if !self.may_admit(now, validated.class) {
+            return Err(self.redirect_to_peers(now));
         }
         if self.requests.len() >= self.settings.requests.max_requests {
             return Err(too_many("the dispatcher has as many requests in hand as it may").into());
         }
-        if self.prompt_bytes + wanted.prompt.len() > self.settings.requests.total_prompt_bytes {
+        if self.prompt_bytes + validated.prompt.len() > self.settings.requests.total_prompt_bytes {
             return Err(too_many("the prompts in hand take as much memory as they may").into());
         }
         Ok(())
     }
 
     /// What the fleet's shedding says of a request, and when one that it refuses may come back.
-    fn judge(&mut self, now: Micros, create: &Create, wanted: &Wanted) -> Result<Counted, f64> {
-        let class = &self.settings.classes[usize::from(wanted.class)];
-        let expected = self.lengths.expect(
+    fn evaluate_admission(
+        &mut self,
+        now: Micros,
+        create: &Create,
+        validated: &ValidatedRequest,
+    ) -> Result<AdmittedWork, f64> {
+        let class = &self.settings.classes[usize::from(validated.class)];
+        let expected = self.output_lengths.expect(
             &create.model,
             &class.name,
-            wanted.prompt_tokens(),
-            wanted.max_tokens,
+            validated.prompt_tokens(),
+            validated.max_tokens,
         );
         let quota = self
             .settings
             .tenants
-            .get(wanted.tenant as usize)
+            .get(validated.tenant as usize)
             .map(|t| t.quota_rps);
-        let asked = wanted.asked(
+        let asked = validated.asked(
             create,
             class,
             expected.map(|e| e.mean),
             quota.unwrap_or(f64::INFINITY),
         );
-        self.shed
-            .judge(now, &asked)
-            .unwrap_or(Ok(Counted::default()))
+        self.load_shedding
+            .evaluate_admission(now, &asked)
+            .unwrap_or(Ok(AdmittedWork::default()))
     }
 
-    pub(crate) fn wanted(
+    pub(crate) fn validate(
         &self,
         now: Micros,
         session: SessionId,
         create: &Create,
-    ) -> Result<Wanted, BadRequest> {
+    ) -> Result<ValidatedRequest, BadRequest> {
         let meta = |name: &str| create.metadata.get(name).map(String::as_str);
         let field = |name: &str, why: String| BadRequest::field(&format!("metadata.{name}"), why);
         let class = match meta(client::META_CLASS) {
@@ -268,14 +278,14 @@
         let most = self.settings.requests.max_output_tokens;
         let allowed = grant.map_or(most, |g| most.min(g.max_output_tokens));
         let max_tokens = create.max_output_tokens.unwrap_or(allowed);
-        Ok(Wanted {
+        Ok(ValidatedRequest {
             class,
             tenant,
             owner,
             time_left_s,
             key,
             step: None,
-            counted: None,
+            admitted: None,
             conversation,
             prompt,
             max_tokens,
@@ -320,41 +330,41 @@
         now: Micros,
         session: SessionId,
         create: &Create,
-        wanted: Wanted,
-        leave: Leave,
+        validated: ValidatedRequest,
+        decision: AdmissionDecision,
         out: &mut Vec<Output>,
     ) {
         let id = self.next_request;
         // Never reused: a dispatcher that has given out every id has to be started again.
         self.next_request = id.saturating_add(1);
-        let response = self.new_response(now, id, create, wanted.max_tokens);
-        let left_s = (wanted.time_left_s - self.settings.requests.answer_margin_s).max(0.0);
+        let response = self.new_response(now, id, create, validated.max_tokens);
+        let left_s = (validated.time_left_s - self.settings.requests.answer_margin_s).max(0.0);
         let deadline = now.after(left_s);
-        let conversation = match wanted.conversation {
+        let conversation = match validated.conversation {
             0 => xxh3_64(response.id.as_bytes()),
             known => known,
         };
-        let mut ask = wanted.ask(id, create, conversation, left_s);
-        let class = &self.settings.classes[usize::from(wanted.class)].name;
-        let prompt_tokens = tokens_of(wanted.prompt.len());
-        let expected = self
-            .lengths
-            .expect(&create.model, class, prompt_tokens, wanted.max_tokens);
-        ask.output_tokens = Lengths::for_module(expected);
-        if let Some(key) = wanted.key.as_ref().filter(|_| wanted.step.is_none()) {
+        let mut ask = validated.ask(id, create, conversation, left_s);
+        let class = &self.settings.classes[usize::from(validated.class)].name;
+        let prompt_tokens = tokens_of(validated.prompt.len());
+        let expected =
+            self.output_lengths
+                .expect(&create.model, class, prompt_tokens, validated.max_tokens);
+        ask.output_tokens = OutputLengths::for_module(expected);
+        if let Some(key) = validated.key.as_ref().filter(|_| validated.step.is_none()) {
             self.keys.begin(key.clone(), fingerprint(create), id);
         }
         let request = Request {
             item_id: client::item_id(&response.id),
             response,
-            class: wanted.class,
-            tenant: wanted.tenant,
-            owner: wanted.owner,
-            key: wanted.key,
-            step: wanted.step.is_some(),
+            class: validated.class,
+            tenant: validated.tenant,
+            owner: validated.owner,
+            key: validated.key,
+            step: validated.step.is_some(),
             conversation,
-            prompt: wanted.prompt,
-            max_tokens: wanted.max_tokens,
+            prompt: validated.prompt,
+            max_tokens: validated.max_tokens,
             expected,
             temperature: create.temperature,
             top_p: create.top_p,
@@ -369,23 +379,23 @@
             attempts: 0,
             attempt: None,
             state: None,
-            counted: leave.judged.unwrap_or_default(),
+            admitted: decision.verdict.unwrap_or_default(),
             may_have_run: false,
             taken: now,
-            hold: leave.hold,
+            hold: decision.hold,
             charged: Charged::default(),
             refused: false,
             answered: false,
         };
         self.prompt_bytes += request.prompt.len();
         self.requests.insert(id, request);
-        if let Some((intent, until)) = wanted.step {
+        if let Some((intent, until)) = validated.step {
             self.workflows.go(id, intent, until);
         }
         self.sessions.listen(session, id);
-        self.say_created(id, session, out);
-        if let Err(after_s) = leave.judged {
-            return self.refuse(
+        self.send_created(id, session, out);
+        if let Err(after_s) = decision.verdict {
+            return self.reject(
                 now,
                 id,
                 after_s,
@@ -394,13 +404,13 @@
             );
         }
         if self.stopping {
-            return self.refuse(now, id, COME_BACK_S, "this dispatcher is stopping", out);
+            return self.reject(now, id, RETRY_AFTER_S, "this dispatcher is stopping", out);
         }
         if id == u32::MAX {
-            return self.refuse(
+            return self.reject(
                 now,
                 id,
-                COME_BACK_S,
+                RETRY_AFTER_S,
                 "this dispatcher has to be started again",
                 out,
             );
@@ -417,7 +427,7 @@
         max_tokens: u32,
     ) -> Response {
         Response {
-            id: self.names.response(id),
+            id: self.response_ids.response(id),
             object: "response".to_string(),
             created_at: now.0 / 1_000_000,
             status: Status::InProgress,
@@ -452,7 +462,7 @@
                 ..bad
             });
         }
-        if request.listeners.len() >= LISTENERS_MOST {
+        if request.listeners.len() >= MAX_LISTENERS {
             return Err(too_many("too many sessions wait for this request"));
         }
         request.listeners.push(Listener {
@@ -461,13 +471,13 @@
             metadata: Some(create.metadata.clone()),
         });
         self.sessions.listen(session, id);
-        self.say_created(id, session, out);
-        self.say_so_far(id, session, out);
+        self.send_created(id, session, out);
+        self.send_text_so_far(id, session, out);
         Ok(())
     }
 
     /// What a request is about, where workflows are on.
-    fn about(&self, create: &Create) -> Result<Option<About>, BadRequest> {
+    fn workflow_operation(&self, create: &Create) -> Result<Option<About>, BadRequest> {
         let on = self
             .settings
             .cluster
@@ -480,53 +490,55 @@
         }
     }
 
-    /// Asks the machine beside the plane what becomes of a request about a workflow; what follows is its answer's.
-    fn ask_of_workflow(
+    /// Asks the workflow coordinator what becomes of a request about a workflow; what follows is its answer's.
+    fn query_workflow(
         &mut self,
         now: Micros,
         session: SessionId,
         create: &Create,
-        mut wanted: Wanted,
-        about: About,
+        mut validated: ValidatedRequest,
+        workflow_operation: About,
         out: &mut Vec<Output>,
-    ) -> Result<(), Denied> {
+    ) -> Result<(), Rejection> {
         if self.stopping {
-            return Err(Denied::by_workflow(RejectReason::Busy));
+            return Err(Rejection::by_workflow(RejectReason::Busy));
         }
         let tenant = self
             .settings
             .tenants
-            .get(wanted.tenant as usize)
+            .get(validated.tenant as usize)
             .map_or("", |t| t.name.as_str());
-        let workflow = workflows::name(tenant, &wanted.owner, &about.workflow);
-        let class = &self.settings.classes[usize::from(wanted.class)];
-        let key = wanted.key.as_ref().map_or("", |k| k.text.as_str());
-        let question = workflows::question(workflow, about.does, create, class, key);
-        let mut counted = Counted::default();
-        if let Question::Step(intent) = &question {
-            match self.workflows.in_hand(intent) {
+        let workflow = workflows::name(tenant, &validated.owner, &workflow_operation.workflow);
+        let class = &self.settings.classes[usize::from(validated.class)];
+        let key = validated.key.as_ref().map_or("", |k| k.text.as_str());
+        let question = workflows::question(workflow, workflow_operation.does, create, class, key);
+        let mut admitted = AdmittedWork::default();
+        if let WorkflowQuery::Step(intent) = &question {
+            match self.workflows.in_flight(intent) {
                 Some(Ok(id)) => return Ok(self.attach(session, id, create, out)?),
-                Some(Err(why)) => return Err(Denied::by_workflow(why)),
+                Some(Err(why)) => return Err(Rejection::by_workflow(why)),
                 // Asked again when it is admitted; what is refused for certain costs no majority's word.
-                None if !self.may_take(now, wanted.class) => return Err(self.sent_elsewhere(now)),
+                None if !self.may_admit(now, validated.class) => {
+                    return Err(self.redirect_to_peers(now))
+                }
                 None => {
-                    wanted.step = Some((intent.clone(), now));
-                    counted = self
-                        .judge(now, create, &wanted)
-                        .map_err(Denied::by_shedding)?;
+                    validated.step = Some((intent.clone(), now));
+                    admitted = self
+                        .evaluate_admission(now, create, &validated)
+                        .map_err(Rejection::by_shedding)?;
                 }
             }
         }
         let until =
-            now.after((wanted.time_left_s - self.settings.requests.answer_margin_s).max(0.0));
+            now.after((validated.time_left_s - self.settings.requests.answer_margin_s).max(0.0));
         let asked = self
             .workflows
-            .ask(now, (session, create), question, counted, until);
+            .ask(now, (session, create), question, admitted, until);
         let (call, ask) = asked.map_err(|why| {
-            self.shed.gone(&mut counted);
-            Denied::by_workflow(why)
+            self.load_shedding.request_ended(&mut admitted);
+            Rejection::by_workflow(why)
         })?;
-        self.timers.set(until, Timer::Call { call });
+        self.timers.set(until, Timer::WorkflowQuery { call });
         out.push(Output::Workflow(ask));
         Ok(())
     }
@@ -538,7 +550,7 @@
         response: &str,
         out: &mut Vec<Output>,
     ) -> Result<(), BadRequest> {
-        let id = self.names.read_response(response);
+        let id = self.response_ids.read_response(response);
         let heard = |id: &RequestId| {
             self.requests
                 .get(id)
@@ -546,7 +558,7 @@
         };
         match id.filter(heard) {
             Some(id) => {
-                self.give_up_by_client(now, id, session, out);
+                self.cancel_by_listener(now, id, session, out);
                 Ok(())
             }
             None => {
@@ -567,8 +579,8 @@
         session: SessionId,
         out: &mut Vec<Output>,
     ) {
-        for mut counted in self.workflows.session_closed(session) {
-            self.shed.gone(&mut counted);
+        for mut admitted in self.workflows.session_closed(session) {
+            self.load_shedding.request_ended(&mut admitted);
         }
         for id in self.sessions.close(session) {
             let Some(request) = self.requests.get_mut(&id) else {
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -1,4 +1,4 @@
-//! Links to hosts: one each, kept open, dialled again with growing pauses, with a bounded queue until it greets.
+//! Links to servers: one each, kept open, reconnected with growing pauses, with a bounded queue until it greets.
 //!
 //! The table says truthfully what became of a message: still queued (it never left), or told (it may have arrived).
 
@@ -8,20 +8,20 @@
 
 use crate::types::{LinkId, Micros};
 
-/// First pause before a link is dialled again, and the longest; each failure doubles it. Starting values of ours.
+/// First pause before a link is reconnected, and the longest; each failure doubles it. Starting values of ours.
 const PAUSE_S: (f64, f64) = (0.05, 2.0);
 /// Messages queued for a link that has not greeted; past it a send counts as not connected.
-const QUEUE_MOST: usize = 64;
+const MAX_QUEUED_MESSAGES: usize = 64;
 
 #[derive(Clone, Debug, PartialEq)]
 enum Stage {
     /// Dialled; the socket is not up yet.
-    Dialled,
-    /// Up, but the host has not greeted.
-    Silent,
+    Connecting,
+    /// Up, but the server has not greeted.
+    AwaitingGreeting,
     Open,
-    /// Waits to be dialled again.
-    Paused,
+    /// Waits to be reconnected.
+    BackingOff,
 }
 
 /// A message that waits for its link.
@@ -37,50 +37,50 @@
     failures: u32,
     queue: VecDeque<Queued>,
     /// To be closed once nothing is out over it.
-    leaving: bool,
+    closing: bool,
 }
 
 /// What became of a message given to a link.
 #[derive(Debug, PartialEq)]
-pub(crate) enum Given {
+pub(crate) enum EnqueueResult {
     /// To be told now over this link.
-    Tell(LinkId, Queued),
+    SendNow(LinkId, Queued),
     Queued(LinkId),
-    /// There is no way to the host now.
-    NoWay,
+    /// There is no way to the server now.
+    NotConnected,
 }
 
 #[derive(Default)]
 pub(crate) struct Links {
     links: BTreeMap<ServerId, Link>,
-    /// Epochs go on over a host's removal and return, so that no two links share an id.
+    /// Epochs go on over a server's removal and return, so that no two links share an id.
     epochs: BTreeMap<ServerId, u32>,
 }
 
 impl Links {
     /// Begins a link, or dials it again; the caller sends the dial.
-    pub(crate) fn dial(&mut self, host: ServerId) -> LinkId {
-        let epoch = self.epochs.entry(host).or_default();
+    pub(crate) fn connect(&mut self, server: ServerId) -> LinkId {
+        let epoch = self.epochs.entry(server).or_default();
         *epoch += 1;
         let epoch = *epoch;
-        let failures = self.links.get(&host).map_or(0, |l| l.failures);
+        let failures = self.links.get(&server).map_or(0, |l| l.failures);
         let queue = self
             .links
-            .remove(&host)
+            .remove(&server)
             .map(|l| l.queue)
             .unwrap_or_default();
         self.links.insert(
-            host,
+            server,
             Link {
                 epoch,
-                stage: Stage::Dialled,
+                stage: Stage::Connecting,
                 failures,
                 queue,
-                leaving: false,
+                closing: false,
             },
         );
         LinkId {
-            server: host,
+            server: server,
             epoch,
         }
     }
@@ -94,13 +94,16 @@
     /// The socket is up; false for a link that is no longer wanted.
     pub(crate) fn up(&mut self, link: LinkId) -> bool {
         self.current(link)
-            .map(|l| l.stage = Stage::Silent)
+            .map(|l| l.stage = Stage::AwaitingGreeting)
             .is_some()
     }
 
-    /// The host has greeted: gives what was queued, in order.
+    /// The server has greeted: gives what was queued, in order.
     pub(crate) fn greeted(&mut self, link: LinkId) -> Vec<Queued> {
-        let Some(l) = self.current(link).filter(|l| l.stage == Stage::Silent) else {
+        let Some(l) = self
+            .current(link)
+            .filter(|l| l.stage == Stage::AwaitingGreeting)
+        else {
             return Vec::new();
         };
         (l.stage, l.failures) = (Stage::Open, 0);
@@ -110,28 +113,31 @@
     /// The link failed or ended: gives what was still queued and the pause before it may be dialled again, or `None`
     /// where it was not wanted any more.
     pub(crate) fn down(&mut self, link: LinkId, jitter: f64) -> Option<(Vec<Queued>, f64)> {
-        let l = self.current(link).filter(|l| l.stage != Stage::Paused)?;
+        let l = self
+            .current(link)
+            .filter(|l| l.stage != Stage::BackingOff)?;
         let queued = l.queue.drain(..).collect();
-        if l.leaving {
+        if l.closing {
             self.links.remove(&link.server);
             return Some((queued, f64::INFINITY));
         }
         let pause = (PAUSE_S.0 * f64::from(1u32 << l.failures.min(16))).min(PAUSE_S.1);
-        (l.stage, l.failures) = (Stage::Paused, l.failures.saturating_add(1));
+        (l.stage, l.failures) = (Stage::BackingOff, l.failures.saturating_add(1));
         Some((queued, pause * (0.5 + 0.5 * jitter)))
     }
 
     /// Whether a link in this epoch has not yet greeted.
     pub(crate) fn is_opening(&self, link: LinkId) -> bool {
-        let opening =
-            |l: &&Link| l.epoch == link.epoch && matches!(l.stage, Stage::Dialled | Stage::Silent);
+        let opening = |l: &&Link| {
+            l.epoch == link.epoch && matches!(l.stage, Stage::Connecting | Stage::AwaitingGreeting)
+        };
         self.links.get(&link.server).filter(opening).is_some()
     }
 
-    pub(crate) fn is_paused(&self, link: LinkId) -> bool {
+    pub(crate) fn is_backing_off(&self, link: LinkId) -> bool {
         self.links
             .get(&link.server)
-            .is_some_and(|l| l.epoch == link.epoch && l.stage == Stage::Paused)
+            .is_some_and(|l| l.epoch == link.epoch && l.stage == Stage::BackingOff)
     }
 
     pub(crate) fn is_current(&self, link: LinkId) -> bool {
@@ -140,36 +146,38 @@
             .is_some_and(|l| l.epoch == link.epoch)
     }
 
-    /// The open link to a host.
-    pub(crate) fn open(&self, host: ServerId) -> Option<LinkId> {
-        let l = self.links.get(&host).filter(|l| l.stage == Stage::Open)?;
+    /// The open link to a server.
+    pub(crate) fn open(&self, server: ServerId) -> Option<LinkId> {
+        let l = self.links.get(&server).filter(|l| l.stage == Stage::Open)?;
         Some(LinkId {
-            server: host,
+            server: server,
             epoch: l.epoch,
         })
     }
 
-    pub(crate) fn give(&mut self, host: ServerId, message: Queued) -> Given {
-        let Some(l) = self.links.get_mut(&host) else {
-            return Given::NoWay;
+    pub(crate) fn enqueue(&mut self, server: ServerId, message: Queued) -> EnqueueResult {
+        let Some(l) = self.links.get_mut(&server) else {
+            return EnqueueResult::NotConnected;
         };
         let link = LinkId {
-            server: host,
+            server: server,
             epoch: l.epoch,
         };
         match l.stage {
-            Stage::Open => Given::Tell(link, message),
-            Stage::Dialled | Stage::Silent if l.queue.len() < QUEUE_MOST && !l.leaving => {
+            Stage::Open => EnqueueResult::SendNow(link, message),
+            Stage::Connecting | Stage::AwaitingGreeting
+                if l.queue.len() < MAX_QUEUED_MESSAGES && !l.closing =>
+            {
                 l.queue.push_back(message);
-                Given::Queued(link)
+                EnqueueResult::Queued(link)
             }
-            _ => Given::NoWay,
+            _ => EnqueueResult::NotConnected,
         }
     }
 
     /// Takes one attempt's message out of its queue; false if it is not there.
-    pub(crate) fn take_back(&mut self, host: ServerId, attempt: &str) -> bool {
-        let Some(l) = self.links.get_mut(&host) else {
+    pub(crate) fn remove_queued(&mut self, server: ServerId, attempt: &str) -> bool {
+        let Some(l) = self.links.get_mut(&server) else {
             return false;
         };
         let before = l.queue.len();
@@ -177,26 +185,26 @@
         l.queue.len() < before
     }
 
-    /// Takes all that is still queued for a host.
-    pub(crate) fn take_queue(&mut self, host: ServerId) -> Vec<Queued> {
+    /// Takes all that is still queued for a server.
+    pub(crate) fn take_queue(&mut self, server: ServerId) -> Vec<Queued> {
         self.links
-            .get_mut(&host)
+            .get_mut(&server)
             .map(|l| l.queue.drain(..).collect())
             .unwrap_or_default()
     }
 
     /// The link is not wanted any more; gives it where it is to be hung up at once.
-    pub(crate) fn leave(&mut self, host: ServerId, busy: bool) -> Option<LinkId> {
-        let l = self.links.get_mut(&host)?;
-        l.leaving = true;
+    pub(crate) fn close_when_idle(&mut self, server: ServerId, busy: bool) -> Option<LinkId> {
+        let l = self.links.get_mut(&server)?;
+        l.closing = true;
         let link = LinkId {
-            server: host,
+            server: server,
             epoch: l.epoch,
         };
         match (&l.stage, busy) {
             (Stage::Open, true) => None,
-            (Stage::Paused, _) => {
-                self.links.remove(&host);
+            (Stage::BackingOff, _) => {
+                self.links.remove(&server);
                 None
             }
             _ => Some(link),
@@ -204,10 +212,10 @@
     }
 
     /// Links that are to be left.
-    pub(crate) fn leaving(&self) -> Vec<ServerId> {
+    pub(crate) fn closing(&self) -> Vec<ServerId> {
         self.links
             .iter()
-            .filter(|(_, l)| l.leaving)
+            .filter(|(_, l)| l.closing)
             .map(|(id, _)| *id)
             .collect()
     }
@@ -220,8 +228,8 @@
     }
 }
 
-/// A time at which a paused link is dialled again.
-pub(crate) fn again(now: Micros, pause_s: f64) -> Option<Micros> {
+/// A time at which a paused link is reconnected.
+pub(crate) fn retry_at(now: Micros, pause_s: f64) -> Option<Micros> {
     pause_s.is_finite().then(|| now.after(pause_s))
 }
 
@@ -239,20 +247,20 @@
     #[test]
     fn messages_wait_for_the_greeting_and_a_late_word_of_an_old_link_counts_for_nothing() {
         let mut links = Links::default();
-        assert_eq!(links.give(1, message("a")), Given::NoWay);
-        let first = links.dial(1);
-        assert_eq!(links.give(1, message("a")), Given::Queued(first));
+        assert_eq!(links.enqueue(1, message("a")), EnqueueResult::NotConnected);
+        let first = links.connect(1);
+        assert_eq!(links.enqueue(1, message("a")), EnqueueResult::Queued(first));
         assert!(links.greeted(first).is_empty(), "not up yet");
         assert!(links.up(first));
         assert_eq!(links.greeted(first), vec![message("a")]);
         assert_eq!(
-            links.give(1, message("b")),
-            Given::Tell(first, message("b"))
+            links.enqueue(1, message("b")),
+            EnqueueResult::SendNow(first, message("b"))
         );
         let (queued, pause) = links.down(first, 0.0).expect("current");
         assert!(queued.is_empty() && pause > 0.0);
-        assert_eq!(links.give(1, message("c")), Given::NoWay);
-        let second = links.dial(1);
+        assert_eq!(links.enqueue(1, message("c")), EnqueueResult::NotConnected);
+        let second = links.connect(1);
         assert!(links.down(first, 0.0).is_none() && !links.up(first) && links.up(second));
     }
 
@@ -261,28 +269,28 @@
         let mut links = Links::default();
         let mut last = 0.0;
         for _ in 0..20 {
-            let link = links.dial(1);
+            let link = links.connect(1);
             let (_, pause) = links.down(link, 1.0).expect("current");
             assert!(pause >= last && pause <= PAUSE_S.1);
             last = pause;
         }
         assert_eq!(last, PAUSE_S.1);
-        links.dial(1);
+        links.connect(1);
         let taken = (0..100)
-            .filter(|_| links.give(1, message("a")) != Given::NoWay)
+            .filter(|_| links.enqueue(1, message("a")) != EnqueueResult::NotConnected)
             .count();
-        assert_eq!(taken, QUEUE_MOST);
+        assert_eq!(taken, MAX_QUEUED_MESSAGES);
     }
 
     #[test]
     fn a_busy_link_is_left_once_it_is_idle() {
         let mut links = Links::default();
-        let link = links.dial(1);
+        let link = links.connect(1);
         links.up(link);
         links.greeted(link);
-        assert_eq!(links.leave(1, true), None);
-        assert_eq!(links.leaving(), vec![1]);
-        assert_eq!(links.leave(1, false), Some(link));
+        assert_eq!(links.close_when_idle(1, true), None);
+        assert_eq!(links.closing(), vec![1]);
+        assert_eq!(links.close_when_idle(1, false), Some(link));
         assert_eq!(links.down(link, 0.0).map(|d| d.1), Some(f64::INFINITY));
         assert_eq!(links.open(1), None);
     }
--- a/crates/core/src/load_shedding.rs
+++ b/crates/core/src/load_shedding.rs
@@ -13,18 +13,18 @@
 use crate::types::Micros;
 
 /// Between two looks at what there is to tell.
-pub(crate) const LOOK_S: f64 = 0.1;
+pub(crate) const REPORT_INTERVAL_S: f64 = 0.1;
 /// Share of its ceiling that an answer is taken for where nothing tells more.
-pub(crate) const ANSWER_SHARE: f64 = 0.2;
+pub(crate) const EXPECTED_OUTPUT_SHARE: f64 = 0.2;
 
 /// Seconds after which a probe for all has no answer.
 const PROBE_S: f64 = 1.0;
-/// Failures in a row that make a host one that failed.
-const ROW: u32 = 2;
+/// Failures in a row that make a server one that failed.
+const FAILURE_STREAK: u32 = 2;
 
 /// What a request has of it.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Counted {
+pub(crate) struct AdmittedWork {
     /// Taken, and its answer has not begun.
     pub taken: Option<Taken>,
     /// Its work in seconds, and how its return is known.
@@ -35,27 +35,27 @@
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Shed {
+pub(crate) struct LoadShedding {
     gate: Option<Gate>,
     /// Where reports have what waits.
     queue: Option<usize>,
     /// Probes that are out for all.
     asked: BTreeMap<u64, (u32, Micros)>,
-    /// Hosts that failed here: attempts that may be out, and until when that counts; and failures in a row.
+    /// Servers that failed here: attempts that may be out, and until when that counts; and failures in a row.
     trials: BTreeMap<u32, (u32, Duration)>,
-    row: BTreeMap<u32, u32>,
+    failures: BTreeMap<u32, u32>,
 }
 
 fn clock(now: Micros) -> Duration {
     Duration::from_micros(now.0)
 }
 
-impl Shed {
-    pub(crate) fn new(settings: &Settings, seed: u64) -> Shed {
+impl LoadShedding {
+    pub(crate) fn new(settings: &Settings, seed: u64) -> LoadShedding {
         let cluster = settings.cluster.as_ref();
         let on = cluster.and_then(|c| Some((c.overload.clone()?, c.roster.len())));
         let most_s = settings.attempts.max_retry_after_s;
-        Shed {
+        LoadShedding {
             gate: on.map(|(own, roster)| Gate::new(own, roster, most_s, seed)),
             queue: settings
                 .reports
@@ -64,7 +64,7 @@
                 .position(|f| f.meaning == Meaning::Queue),
             asked: BTreeMap::new(),
             trials: BTreeMap::new(),
-            row: BTreeMap::new(),
+            failures: BTreeMap::new(),
         }
     }
 
@@ -73,68 +73,76 @@
     }
 
     /// Takes what counts from now on.
-    pub(crate) fn cut(&mut self, cut: Cut) {
+    pub(crate) fn set_threshold(&mut self, set_threshold: Cut) {
         if let Some(gate) = &mut self.gate {
-            gate.told(cut);
+            gate.told(set_threshold);
         }
     }
 
-    /// A host that failed here may have so many attempts out until then.
-    pub(crate) fn trial(&mut self, host: u32, many: u32, until: Duration) {
+    /// A server that failed here may have so many attempts out until then.
+    pub(crate) fn trial(&mut self, server: u32, many: u32, until: Duration) {
         if self.gate.is_some() {
-            self.trials.insert(host, (many, until));
+            self.trials.insert(server, (many, until));
         }
     }
 
     /// Attempts that may be out at a host; `None` for any number. What was told ends by time, at the act.
-    pub(crate) fn most_out(&mut self, now: Micros, host: u32) -> Option<u32> {
-        let (many, until) = *self.trials.get(&host)?;
+    pub(crate) fn max_in_flight(&mut self, now: Micros, server: u32) -> Option<u32> {
+        let (many, until) = *self.trials.get(&server)?;
         if clock(now) >= until {
-            self.trials.remove(&host);
+            self.trials.remove(&server);
             return None;
         }
         Some(many)
     }
 
-    /// An attempt at a host ended.
-    pub(crate) fn tried(&mut self, host: u32, outcome: Outcome) -> Option<Ask> {
+    /// An attempt at a server ended.
+    pub(crate) fn attempt_ended(&mut self, server: u32, outcome: Outcome) -> Option<Ask> {
         self.gate.as_ref()?;
         match outcome {
             Outcome::Served | Outcome::PrefillDone => {
-                self.row.remove(&host);
-                self.trials
-                    .contains_key(&host)
-                    .then_some(Ask::Tried { host, well: true })
+                self.failures.remove(&server);
+                self.trials.contains_key(&server).then_some(Ask::Tried {
+                    host: server,
+                    well: true,
+                })
             }
             Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => {
-                let row = self.row.entry(host).or_default();
-                *row = row.saturating_add(1);
-                (*row >= ROW).then_some(Ask::Tried { host, well: false })
+                let failures = self.failures.entry(server).or_default();
+                *failures = failures.saturating_add(1);
+                (*failures >= FAILURE_STREAK).then_some(Ask::Tried {
+                    host: server,
+                    well: false,
+                })
             }
             Outcome::Rejected { .. } | Outcome::Cancelled | Outcome::NotSent => None,
         }
     }
 
-    /// A probe with this id goes to a host, for all.
-    pub(crate) fn asks(&mut self, now: Micros, id: u64, host: u32) {
+    /// A probe with this id goes to a server, for all.
+    pub(crate) fn probe_sent(&mut self, now: Micros, id: u64, server: u32) {
         self.asked.retain(|_, (_, at)| now.since(*at) < PROBE_S);
-        self.asked.insert(id, (host, now));
+        self.asked.insert(id, (server, now));
     }
 
     /// What is to be passed on, where this answers a probe that went for all.
-    pub(crate) fn probed(&mut self, id: u64, report: &[f64]) -> Option<Ask> {
-        let (host, _) = self.asked.remove(&id)?;
+    pub(crate) fn probe_answered(&mut self, id: u64, report: &[f64]) -> Option<Ask> {
+        let (server, _) = self.asked.remove(&id)?;
         Some(Ask::Probed {
-            host,
+            host: server,
             report: report.iter().map(|v| Millionths::of(*v)).collect(),
         })
     }
 
     /// Judges a request that comes; `None` where it is off. A refusal says when to come back.
-    pub(crate) fn judge(&mut self, now: Micros, asked: &Asked) -> Option<Result<Counted, f64>> {
+    pub(crate) fn evaluate_admission(
+        &mut self,
+        now: Micros,
+        asked: &Asked,
+    ) -> Option<Result<AdmittedWork, f64>> {
         let fingerprint = asked.fingerprint;
         Some(match self.gate.as_mut()?.judge(clock(now), asked) {
-            Verdict::Take(t) => Ok(Counted {
+            Verdict::Take(t) => Ok(AdmittedWork {
                 taken: Some(t),
                 work: t.work,
                 fingerprint,
@@ -145,46 +153,51 @@
     }
 
     /// When a request that was taken and then refused may come back: not before the decision module says.
-    pub(crate) fn refused(&mut self, now: Micros, counted: &Counted, least_s: f64) -> f64 {
+    pub(crate) fn retry_after_s(
+        &mut self,
+        now: Micros,
+        admitted: &AdmittedWork,
+        least_s: f64,
+    ) -> f64 {
         let Some(gate) = &mut self.gate else {
             return least_s;
         };
-        gate.refused(clock(now), counted.work, counted.fingerprint)
+        gate.refused(clock(now), admitted.work, admitted.fingerprint)
             .max(least_s)
     }
 
     /// Whether an attempt may go: one that repeats work needs leave.
-    pub(crate) fn may_send(&mut self, now: Micros, counted: &Counted) -> bool {
-        let Some(gate) = self.gate.as_mut().filter(|_| counted.repeats) else {
+    pub(crate) fn may_send(&mut self, now: Micros, admitted: &AdmittedWork) -> bool {
+        let Some(gate) = self.gate.as_mut().filter(|_| admitted.repeats) else {
             return true;
         };
-        gate.may_repeat(clock(now), counted.work)
+        gate.may_repeat(clock(now), admitted.work)
     }
 
     /// The answer has begun.
-    pub(crate) fn begun(&mut self, now: Micros, counted: &mut Counted) {
-        if let (Some(gate), Some(taken)) = (&mut self.gate, counted.taken.take()) {
+    pub(crate) fn first_token(&mut self, now: Micros, admitted: &mut AdmittedWork) {
+        if let (Some(gate), Some(taken)) = (&mut self.gate, admitted.taken.take()) {
             gate.begun(clock(now), taken);
         }
     }
 
     /// The request has ended.
-    pub(crate) fn gone(&mut self, counted: &mut Counted) {
-        if let (Some(gate), Some(taken)) = (&mut self.gate, counted.taken.take()) {
+    pub(crate) fn request_ended(&mut self, admitted: &mut AdmittedWork) {
+        if let (Some(gate), Some(taken)) = (&mut self.gate, admitted.taken.take()) {
             gate.gone(taken);
         }
     }
 
-    /// A host's report came.
-    pub(crate) fn reported(&mut self, now: Micros, host: u32, report: &[f64]) {
+    /// A server's report came.
+    pub(crate) fn load_reported(&mut self, now: Micros, server: u32, report: &[f64]) {
         let waits = self.queue.and_then(|at| report.get(at));
         if let (Some(gate), Some(waits)) = (&mut self.gate, waits) {
-            gate.reported(clock(now), host, *waits);
+            gate.reported(clock(now), server, *waits);
         }
     }
 
     /// What there is to tell of what was seen; `hosts`: those that read and take work, by weight.
-    pub(crate) fn tell(&mut self, now: Micros, hosts: f64) -> Option<Ask> {
-        self.gate.as_mut()?.tell(clock(now), hosts).map(Ask::Seen)
+    pub(crate) fn tell(&mut self, now: Micros, servers: f64) -> Option<Ask> {
+        self.gate.as_mut()?.tell(clock(now), servers).map(Ask::Seen)
     }
 }
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -11,23 +11,23 @@
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use crate::budget_leases::Leases;
+use crate::budget_leases::BudgetLeases;
 use crate::cluster_mode::Peers;
 use crate::contexts::Contexts;
-use crate::idempotency::Keys;
+use crate::idempotency::IdempotencyKeys;
 use crate::links::Links;
-use crate::load_shedding::{self, Shed};
-use crate::observations::{self, Evidence};
-use crate::output_lengths::Lengths;
-use crate::quota::Lent;
+use crate::load_shedding::{self, LoadShedding};
+use crate::observations::{self, Observations};
+use crate::output_lengths::OutputLengths;
+use crate::quota::QuotaLease;
 use crate::requests::Requests;
-use crate::response_ids::Names;
-use crate::servers::Fleet;
+use crate::response_ids::ResponseIds;
+use crate::servers::ServerTable;
 use crate::sessions::Sessions;
 use crate::settings::Settings;
 use crate::timers::{Timer, Timers};
 use crate::types::{Input, Level, LinkId, Micros, Output, SessionId};
-use crate::workflows::{Workflows, HELD_WITHIN_S};
+use crate::workflows::{Workflows, RESULT_DURABLE_WITHIN_S};
 
 /// Shortest time between two steps that the decision module may count on, seconds.
 pub(crate) const TICK_S: f64 = 0.002;
@@ -84,7 +84,7 @@
     pub(crate) settings: Settings,
     /// Number of this run, part of every id that leaves it.
     pub(crate) instance: u64,
-    pub(crate) names: Names,
+    pub(crate) response_ids: ResponseIds,
     pub(crate) router: Router,
     pub(crate) requests: Requests,
     pub(crate) next_request: RequestId,
@@ -93,18 +93,18 @@
     pub(crate) sessions: Sessions,
     pub(crate) rights: Option<Rights>,
     /// How far the time by which proofs are judged is ahead of the clock.
-    pub(crate) proofs_ahead_us: i64,
+    pub(crate) credential_clock_offset_us: i64,
     pub(crate) links: Links,
-    pub(crate) fleet: Fleet,
-    pub(crate) keys: Keys,
+    pub(crate) servers: ServerTable,
+    pub(crate) keys: IdempotencyKeys,
     pub(crate) contexts: Contexts,
     pub(crate) book: Book,
-    pub(crate) leases: Leases,
+    pub(crate) leases: BudgetLeases,
     pub(crate) peers: Peers,
-    pub(crate) lent: Lent,
-    pub(crate) evidence: Evidence,
-    pub(crate) shed: Shed,
-    pub(crate) lengths: Lengths,
+    pub(crate) quota_lease: QuotaLease,
+    pub(crate) observations: Observations,
+    pub(crate) load_shedding: LoadShedding,
+    pub(crate) output_lengths: OutputLengths,
     pub(crate) workflows: Workflows,
     pub(crate) timers: Timers<Timer>,
     pub(crate) probes: BTreeMap<u64, Probe>,
@@ -122,28 +122,28 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let limits = &settings.requests;
-        let names = Names::new(&settings.name, seed);
+        let response_ids = ResponseIds::new(&settings.name, seed);
         Machine {
-            instance: names.instance(),
-            names,
+            instance: response_ids.instance(),
+            response_ids,
             router: Router::new(settings.policy(), rng.next_u64()),
             requests: Requests::new(),
             next_request: 1,
             prompt_bytes: 0,
             sessions: Sessions::default(),
             rights: None,
-            proofs_ahead_us: 0,
+            credential_clock_offset_us: 0,
             links: Links::default(),
-            fleet: Fleet::new(&settings.zone),
-            keys: Keys::new(limits.keys, limits.key_bytes, limits.key_s),
+            servers: ServerTable::new(&settings.zone),
+            keys: IdempotencyKeys::new(limits.keys, limits.key_bytes, limits.key_s),
             contexts: Contexts::new(limits.context_bytes),
             book: Book::default(),
-            leases: Leases::default(),
+            leases: BudgetLeases::default(),
             peers: Peers::default(),
-            lent: Lent::default(),
-            evidence: Evidence::default(),
-            shed: Shed::new(&settings, seed.rotate_left(17)),
-            lengths: Lengths::default(),
+            quota_lease: QuotaLease::default(),
+            observations: Observations::default(),
+            load_shedding: LoadShedding::new(&settings, seed.rotate_left(17)),
+            output_lengths: OutputLengths::default(),
             workflows: Workflows::default(),
             timers: Timers::default(),
             probes: BTreeMap::new(),
@@ -176,7 +176,7 @@
         Counts {
             sessions: self.sessions.len(),
             requests: self.requests.len(),
-            servers: self.fleet.len(),
+            servers: self.servers.len(),
             open_links: self.links.open_count(),
             keys: self.keys.len(),
         }
@@ -193,27 +193,31 @@
             self.sweeping = true;
             self.timers.set(now.after(SWEEP_S), Timer::Sweep);
             self.open_accounts(now);
-            self.open_leases(now);
+            self.open_budget_leases(now);
             if self.settings.cluster.is_some() {
-                self.timers
-                    .set(now.after(observations::LOOK_S), Timer::Evidence);
+                self.timers.set(
+                    now.after(observations::OBSERVE_INTERVAL_S),
+                    Timer::Observations,
+                );
             }
-            if self.shed.is_on() {
-                self.timers
-                    .set(now.after(load_shedding::LOOK_S), Timer::Shed);
+            if self.load_shedding.is_on() {
+                self.timers.set(
+                    now.after(load_shedding::REPORT_INTERVAL_S),
+                    Timer::LoadShedding,
+                );
             }
         }
-        self.follow_part(now);
+        self.apply_quota_lease(now);
         for timer in self.timers.take_due(now) {
             self.on_timer(now, timer, out);
             self.pump(now, out);
         }
         self.on_input(now, input, out);
         self.pump(now, out);
-        self.close_ended(out);
+        self.close_ending_sessions(out);
         if self.stopping
             && !self.stopped
-            && !self.workflows.waits()
+            && !self.workflows.has_pending()
             && self.requests.values().all(|r| r.answered)
         {
             self.stopped = true;
@@ -223,18 +227,20 @@
 
     fn on_input(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::ServerList(list) => self.on_hosts(now, list, out),
+            Input::ServerList(list) => self.on_server_list(now, list, out),
             Input::SessionOpened { session, caller } => self.on_session(session, caller, out),
             Input::SessionRenewed { session, caller } => self.on_renewed(session, caller, out),
             Input::RenewalRejected { session, code } => {
-                self.on_renewal_refused(session, &code, out)
+                self.on_renewal_rejected(session, &code, out)
             }
             Input::BudgetLeases {
                 number,
                 leases: parts,
-            } => self.on_lent(now, number, &parts, out),
-            Input::CredentialsRevoked(ids) => self.on_keys_withdrawn(&ids, out),
-            Input::CredentialClockOffset { ahead_us } => self.on_proof_time(now, ahead_us, out),
+            } => self.on_budget_leases(now, number, &parts, out),
+            Input::CredentialsRevoked(ids) => self.on_credentials_revoked(&ids, out),
+            Input::CredentialClockOffset { ahead_us } => {
+                self.on_credential_clock_offset(now, ahead_us, out)
+            }
             Input::Rights(text) => self.on_rights(&text, out),
             Input::SessionText { session, text } => self.on_client_text(now, session, &text, out),
             Input::SessionClosed { session } => self.on_session_closed(now, session, out),
@@ -251,23 +257,23 @@
                 state: standing,
                 present: there,
                 until,
-            } => self.on_standing(standing, there, until),
+            } => self.on_quorum_state(standing, there, until),
             Input::PeerReports {
                 sent_at: at,
                 reporters: of,
                 reports: heard,
-            } => self.on_heard(now, at, of, &heard, out),
+            } => self.on_peer_reports(now, at, of, &heard, out),
             Input::Overload(told) => self.on_overload(now, told, out),
-            Input::OutputLength(told) => self.lengths.told(now, told),
+            Input::OutputLength(told) => self.output_lengths.told(now, told),
             Input::Workflow(told) => {
                 let act = self.workflows.told(now, told);
                 self.on_workflow(now, act, out);
             }
-            Input::ServerListUnreadable(lost) => self.on_list_lost(lost, out),
+            Input::ServerListUnreadable(lost) => self.on_server_list_unreadable(lost, out),
             Input::QuotaLease {
-                leased: lent,
+                leased: quota_lease,
                 until,
-            } => self.on_part(now, lent, until),
+            } => self.on_quota_lease(now, quota_lease, until),
             Input::Tick => {}
             Input::Stop => {
                 self.stopping = true;
@@ -286,56 +292,56 @@
         while let Some(event) = self.events.pop_front() {
             decide(&mut self.router, now, event, &mut self.trace, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(now, action, out);
+                self.apply_action(now, action, out);
             }
         }
     }
 
-    fn on_hosts(&mut self, now: Micros, list: Vec<Host>, out: &mut Vec<Output>) {
-        let change = self.fleet.take_list(list, &self.settings);
+    fn on_server_list(&mut self, now: Micros, list: Vec<Host>, out: &mut Vec<Output>) {
+        let change = self.servers.take_list(list, &self.settings);
         change
-            .passed
+            .skipped
             .into_iter()
             .for_each(|why| log(out, Level::Error, why));
-        // The module is told first, so that what is handed back does not go to the same host again.
+        // The module is told first, so that what is handed back does not go to the same server again.
         self.events.push_back(Event::Servers {
             form: ListForm::Full,
             entries: change.entries,
         });
-        for host in change.closed {
-            self.hand_back_queued(now, host, out);
+        for server in change.closed {
+            self.return_queued(now, server, out);
         }
-        for host in change.leave {
-            let moved = change.dial.contains(&host);
-            self.leave(host, moved, out);
+        for server in change.disconnect {
+            let moved = change.connect.contains(&server);
+            self.close_link(server, moved, out);
         }
-        for host in change.dial {
-            self.dial(now, host, out);
+        for server in change.connect {
+            self.connect(now, server, out);
         }
     }
 
-    /// Closes a link once nothing is out over it, or at once where its host has moved.
-    fn leave(&mut self, host: ServerId, at_once: bool, out: &mut Vec<Output>) {
+    /// Closes a link once nothing is out over it, or at once where its server has moved.
+    fn close_link(&mut self, server: ServerId, at_once: bool, out: &mut Vec<Output>) {
         let busy = self
             .requests
             .values()
-            .any(|r| r.attempt.as_ref().is_some_and(|a| a.host == host));
-        if let Some(link) = self.links.leave(host, busy && !at_once) {
+            .any(|r| r.attempt.as_ref().is_some_and(|a| a.server == server));
+        if let Some(link) = self.links.close_when_idle(server, busy && !at_once) {
             out.push(Output::CloseLink { link });
         }
     }
 
-    pub(crate) fn dial(&mut self, now: Micros, host: ServerId, out: &mut Vec<Output>) {
-        let Some(known) = self.fleet.get(host) else {
+    pub(crate) fn connect(&mut self, now: Micros, server: ServerId, out: &mut Vec<Output>) {
+        let Some(known) = self.servers.get(server) else {
             return;
         };
-        let (endpoint, name) = (known.host.endpoint(), known.host.name.clone());
-        let link = self.links.dial(host);
+        let (endpoint, name) = (known.server.endpoint(), known.server.name.clone());
+        let link = self.links.connect(server);
         let within_s = self.settings.engines.connect_s + self.settings.engines.greet_s;
         self.timers.set(
             now.after(within_s),
             Timer::Link {
-                host,
+                server,
                 epoch: link.epoch,
             },
         );
@@ -373,28 +379,30 @@
             Timer::Deadline { request } => self.on_deadline(now, request, out),
             Timer::Stall { request } => self.on_stall(now, request, out),
             Timer::Probe { id } => self.end_probe(now, id, Outcome::TimedOut, Vec::new()),
-            Timer::Link { host, epoch } => self.on_link_time(
+            Timer::Link { server, epoch } => self.on_link_time(
                 now,
                 LinkId {
-                    server: host,
+                    server: server,
                     epoch,
                 },
                 out,
             ),
-            Timer::Caller { session } => self.on_caller_time(now, session),
+            Timer::Caller { session } => self.on_credential_expiry(now, session),
             Timer::Sweep => self.sweep(now, out),
-            Timer::Ledger => self.on_ledger_time(now, out),
-            Timer::Evidence => self.look_at_hosts(now, out),
-            Timer::Call { call } => {
+            Timer::BudgetLeases => self.request_budget_leases(now, out),
+            Timer::Observations => self.observe_servers(now, out),
+            Timer::WorkflowQuery { call } => {
                 let act = self.workflows.late(call);
                 if self.workflows.lingers(call) {
-                    self.timers
-                        .set(now.after(HELD_WITHIN_S), Timer::Call { call });
+                    self.timers.set(
+                        now.after(RESULT_DURABLE_WITHIN_S),
+                        Timer::WorkflowQuery { call },
+                    );
                 }
                 self.on_workflow(now, act, out);
             }
-            Timer::End { request } => self.end_again(request, out),
-            Timer::Shed => self.tell_load(now, out),
+            Timer::StepEnd { request } => self.resend_step_end(request, out),
+            Timer::LoadShedding => self.report_load(now, out),
         }
     }
 
@@ -403,8 +411,8 @@
         self.keys.sweep(now);
         let kept_us = (self.settings.requests.context_s * 1e6) as u64;
         self.contexts.sweep(Micros(now.0.saturating_sub(kept_us)));
-        for host in self.links.leaving() {
-            self.leave(host, false, out);
+        for server in self.links.closing() {
+            self.close_link(server, false, out);
         }
     }
 
--- a/crates/core/src/observations.rs
+++ b/crates/core/src/observations.rs
@@ -1,4 +1,4 @@
-//! What this dispatcher sees of hosts, for its peers, and what they tell of theirs.
+//! What this dispatcher sees of servers, for its peers, and what they tell of theirs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,32 +10,32 @@
 use crate::types::{Level, Micros, Output};
 
 /// Between two looks at what is seen.
-pub(crate) const LOOK_S: f64 = 0.25;
-/// Failed attempts in a row, and how long after the last of them a host counts as failing.
-const ROW: u32 = 2;
+pub(crate) const OBSERVE_INTERVAL_S: f64 = 0.25;
+/// Failed attempts in a row, and how long after the last of them a server counts as failing.
+const FAILURE_STREAK: u32 = 2;
 const FAILING_S: f64 = 3.0;
 /// A link that has not been open for so long is no start and no short break.
-const AWAY_S: f64 = 0.5;
-/// What peers told is old after this: the steward answers a few times a second.
-const OLD_S: f64 = 2.0;
-/// No host reached for so long, while peers are there, is taken for this dispatcher's own fault.
-const NONE_REACHED_S: f64 = 1.0;
+const MIN_LINK_DOWN_S: f64 = 0.5;
+/// What peers told is old after this: the leader answers a few times a second.
+const MAX_REPORT_AGE_S: f64 = 2.0;
+/// No server reached for so long, while peers are there, is taken for this dispatcher's own fault.
+const UNREACHABLE_AFTER_S: f64 = 1.0;
 
-/// Something seen of a host, and since when; the words that peers have for it.
+/// Something seen of a server, and since when; the words that peers have for it.
 pub type ServerObservation = (Host, Trait, Micros);
 
 #[derive(Default)]
-pub(crate) struct Evidence {
+pub(crate) struct Observations {
     /// Failed attempts in a row, and the last of them.
-    row: BTreeMap<ServerId, (u32, Micros)>,
+    failures: BTreeMap<ServerId, (u32, Micros)>,
     /// Since when something that has no time of its own is so.
     since: BTreeMap<(Host, Trait), Micros>,
-    told: Vec<ServerObservation>,
+    sent: Vec<ServerObservation>,
     /// Since when no link has been open.
-    none_open: Option<Micros>,
-    list_lost: bool,
-    /// Hosts that any peer has said to fail, and when.
-    failing_elsewhere: BTreeMap<ServerId, Micros>,
+    unreachable_since: Option<Micros>,
+    list_unreadable: bool,
+    /// Servers that any peer has said to fail, and when.
+    failing_at_peers: BTreeMap<ServerId, Micros>,
 }
 
 fn sight(what: Trait) -> Observation {
@@ -47,82 +47,88 @@
 }
 
 impl Machine {
-    /// Counts failures in a row. What never ran tells nothing of a host but where there was no way to it.
-    pub(crate) fn note_outcome(&mut self, now: Micros, host: ServerId, outcome: Outcome) {
+    /// Counts failures in a row. What never ran tells nothing of a server but where there was no way to it.
+    pub(crate) fn note_outcome(&mut self, now: Micros, server: ServerId, outcome: Outcome) {
         if self.settings.cluster.is_none() {
             return;
         }
         match outcome {
-            Outcome::Served | Outcome::PrefillDone => drop(self.evidence.row.remove(&host)),
+            Outcome::Served | Outcome::PrefillDone => {
+                self.observations.failures.remove(&server);
+            }
             Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => {
-                let (many, last) = self.evidence.row.entry(host).or_default();
+                let (many, last) = self.observations.failures.entry(server).or_default();
                 (*many, *last) = (many.saturating_add(1), now);
             }
             Outcome::Rejected { .. } | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
-    /// Looks at all hosts, and tells peers where something has changed.
-    pub(crate) fn look_at_hosts(&mut self, now: Micros, out: &mut Vec<Output>) {
-        self.timers.set(now.after(LOOK_S), Timer::Evidence);
-        let evidence = &mut self.evidence;
-        evidence.none_open = match self.links.open_count() {
-            0 if self.fleet.ready().next().is_some() => evidence.none_open.or(Some(now)),
+    /// Looks at all servers, and tells peers where something has changed.
+    pub(crate) fn observe_servers(&mut self, now: Micros, out: &mut Vec<Output>) {
+        self.timers
+            .set(now.after(OBSERVE_INTERVAL_S), Timer::Observations);
+        let observations = &mut self.observations;
+        observations.unreachable_since = match self.links.open_count() {
+            0 if self.servers.ready().next().is_some() => {
+                observations.unreachable_since.or(Some(now))
+            }
             _ => None,
         };
-        evidence.row.retain(|host, (_, last)| {
-            now.since(*last) < FAILING_S && self.fleet.get(*host).is_some()
+        observations.failures.retain(|server, (_, last)| {
+            now.since(*last) < FAILING_S && self.servers.get(*server).is_some()
         });
-        evidence
-            .failing_elsewhere
-            .retain(|_, at| now.since(*at) < OLD_S);
-        let seen = self.seen(now);
-        if self.evidence.told != seen {
-            self.evidence.told = seen.clone();
-            out.push(Output::Observations(seen));
+        observations
+            .failing_at_peers
+            .retain(|_, at| now.since(*at) < MAX_REPORT_AGE_S);
+        let observe = self.observe(now);
+        if self.observations.sent != observe {
+            self.observations.sent = observe.clone();
+            out.push(Output::Observations(observe));
         }
     }
 
-    fn seen(&mut self, now: Micros) -> Vec<ServerObservation> {
+    fn observe(&mut self, now: Micros) -> Vec<ServerObservation> {
         let warm_after_s = self.settings.rules.slow_start.warm_after_s;
-        let mut seen: BTreeMap<(Host, Trait), Micros> = BTreeMap::new();
+        let mut observe: BTreeMap<(Host, Trait), Micros> = BTreeMap::new();
         // What has no time of its own counts from the look at which it was first so.
         let mut so = BTreeSet::new();
-        for (id, known) in self.fleet.listed() {
-            let host = Host(id);
+        for (id, known) in self.servers.listed() {
+            let server = Host(id);
             if known.is_draining() {
-                so.insert((host, Trait::Draining));
+                so.insert((server, Trait::Draining));
             }
             if self.links.open(id).is_none() {
-                so.insert((host, Trait::Failing));
+                so.insert((server, Trait::Failing));
             }
             if let Some(at) = known.booted_at().filter(|at| now.since(*at) < warm_after_s) {
-                seen.insert((host, Trait::Cold), at);
+                observe.insert((server, Trait::Cold), at);
             }
         }
-        self.evidence.since.retain(|key, _| so.contains(key));
+        self.observations.since.retain(|key, _| so.contains(key));
         for key in so {
-            let at = *self.evidence.since.entry(key).or_insert(now);
-            if key.1 != Trait::Failing || now.since(at) >= AWAY_S {
-                seen.insert(key, at);
+            let at = *self.observations.since.entry(key).or_insert(now);
+            if key.1 != Trait::Failing || now.since(at) >= MIN_LINK_DOWN_S {
+                observe.insert(key, at);
             }
         }
         for (id, (_, last)) in self
-            .evidence
-            .row
+            .observations
+            .failures
             .iter()
-            .filter(|(_, (many, _))| *many >= ROW)
+            .filter(|(_, (many, _))| *many >= FAILURE_STREAK)
         {
-            let at = seen.entry((Host(*id), Trait::Failing)).or_insert(*last);
+            let at = observe.entry((Host(*id), Trait::Failing)).or_insert(*last);
             *at = (*at).max(*last);
         }
-        seen.into_iter()
-            .map(|((host, what), at)| (host, what, at))
+        observe
+            .into_iter()
+            .map(|((server, what), at)| (server, what, at))
             .collect()
     }
 
-    /// What peers see of hosts, as told at a time: told from before this process stood still it is no evidence.
-    pub(crate) fn on_heard(
+    /// What peers see of servers, as told at a time: told from before this process stood still it is no evidence.
+    pub(crate) fn on_peer_reports(
         &mut self,
         now: Micros,
         at: Micros,
@@ -130,19 +136,22 @@
         heard: &[Hearsay],
         out: &mut Vec<Output>,
     ) {
-        if self.settings.cluster.is_none() || now.since(at) > OLD_S {
+        if self.settings.cluster.is_none() || now.since(at) > MAX_REPORT_AGE_S {
             return;
         }
         let drained = heard
             .iter()
             .filter(|h| h.what == Trait::Draining)
             .map(|h| h.host.0);
-        if self.evidence.list_lost {
-            self.drain_by_hearsay(drained.collect(), out);
+        if self.observations.list_unreadable {
+            self.drain_by_peer_reports(drained.collect(), out);
         }
-        for one in heard.iter().filter(|h| self.fleet.get(h.host.0).is_some()) {
+        for one in heard
+            .iter()
+            .filter(|h| self.servers.get(h.host.0).is_some())
+        {
             if one.what == Trait::Failing {
-                self.evidence.failing_elsewhere.insert(one.host.0, now);
+                self.observations.failing_at_peers.insert(one.host.0, now);
             }
             self.events.push_back(Event::PeerReport {
                 server: one.host.0,
@@ -155,17 +164,17 @@
     }
 
     /// Whether the list can be read. One who cannot read it may miss a drain: until it can, the word of any peer counts.
-    pub(crate) fn on_list_lost(&mut self, lost: bool, out: &mut Vec<Output>) {
-        if self.settings.cluster.is_some() && self.evidence.list_lost != lost {
-            self.evidence.list_lost = lost;
+    pub(crate) fn on_server_list_unreadable(&mut self, lost: bool, out: &mut Vec<Output>) {
+        if self.settings.cluster.is_some() && self.observations.list_unreadable != lost {
+            self.observations.list_unreadable = lost;
             if !lost {
-                self.drain_by_hearsay(BTreeSet::new(), out);
+                self.drain_by_peer_reports(BTreeSet::new(), out);
             }
         }
     }
 
-    fn drain_by_hearsay(&mut self, hosts: BTreeSet<ServerId>, out: &mut Vec<Output>) {
-        let entries = self.fleet.drained_elsewhere(hosts);
+    fn drain_by_peer_reports(&mut self, servers: BTreeSet<ServerId>, out: &mut Vec<Output>) {
+        let entries = self.servers.drained_at_peers(servers);
         if !entries.is_empty() {
             let text = format!(
                 "drains by the word of peers, as the list cannot be read: {} changed",
@@ -179,17 +188,17 @@
         }
     }
 
-    /// Whether hosts are reached, as far as can be told.
-    pub(crate) fn reaches_hosts(&self, now: Micros) -> bool {
-        self.evidence
-            .none_open
-            .is_none_or(|since| now.since(since) < NONE_REACHED_S)
+    /// Whether servers are reached, as far as can be told.
+    pub(crate) fn reaches_servers(&self, now: Micros) -> bool {
+        self.observations
+            .unreachable_since
+            .is_none_or(|since| now.since(since) < UNREACHABLE_AFTER_S)
     }
 
-    /// Whether peers have said of every host that takes work that it fails for them too.
-    pub(crate) fn all_fail_elsewhere(&self) -> bool {
-        self.fleet
+    /// Whether peers have said of every server that takes work that it fails for them too.
+    pub(crate) fn all_failing_at_peers(&self) -> bool {
+        self.servers
             .ready()
-            .all(|id| self.evidence.failing_elsewhere.contains_key(&id))
+            .all(|id| self.observations.failing_at_peers.contains_key(&id))
     }
 }
--- a/crates/core/src/output_lengths.rs
+++ b/crates/core/src/output_lengths.rs
@@ -13,7 +13,7 @@
 use crate::types::Micros;
 
 #[derive(Debug, Default)]
-pub(crate) struct Lengths {
+pub(crate) struct OutputLengths {
     curves: Curves,
 }
 
@@ -22,7 +22,7 @@
     (xxh3_64(name.as_bytes()) as u32).max(1)
 }
 
-impl Lengths {
+impl OutputLengths {
     pub(crate) fn told(&mut self, _now: Micros, told: Told) {
         match told {
             // Bounded by `Curves`.
@@ -60,7 +60,7 @@
     }
 
     /// An answer that has ended, or that its client left while it ran.
-    pub(crate) fn ended(request: &Request, class: &str, host: &str, end: End) -> Ask {
+    pub(crate) fn ended(request: &Request, class: &str, server: &str, end: End) -> Ask {
         let tokens = match end {
             End::Left => tokens_of(request.text.len()),
             End::Whole | End::Ceiling => request.usage.output_tokens,
@@ -75,7 +75,7 @@
             bytes: u32::try_from(request.text.len()).unwrap_or(u32::MAX),
             end,
             told: request.expected.map(|e| e.p90.round() as u32),
-            host: host.to_string(),
+            host: server.to_string(),
         })
     }
 }
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -9,8 +9,8 @@
 
 /// What was lent last.
 #[derive(Debug, Default)]
-pub(crate) struct Lent {
-    lent: f64,
+pub(crate) struct QuotaLease {
+    quota_lease: f64,
     until: Micros,
     /// The part that budgets and the decision module go by.
     spends: f64,
@@ -18,37 +18,41 @@
 
 impl Machine {
     /// How many share even parts: all of the roster, or as many as the settings say.
-    pub(crate) fn sharers(&self) -> usize {
+    pub(crate) fn quota_members(&self) -> usize {
         let listed = self.settings.cluster.as_ref().map(|c| c.roster.len());
         listed.unwrap_or(self.settings.dispatchers as usize).max(1)
     }
 
-    pub(crate) fn on_part(&mut self, now: Micros, lent: f64, until: Micros) {
-        if self.settings.cluster.is_some() && (0.0..=1.0).contains(&lent) {
-            (self.lent.lent, self.lent.until) = (lent, until);
-            self.follow_part(now);
+    pub(crate) fn on_quota_lease(&mut self, now: Micros, quota_lease: f64, until: Micros) {
+        if self.settings.cluster.is_some() && (0.0..=1.0).contains(&quota_lease) {
+            (self.quota_lease.quota_lease, self.quota_lease.until) = (quota_lease, until);
+            self.apply_quota_lease(now);
         }
     }
 
     /// Lets a part that has ended end, at the moment at which it did, before anything is done: this process may have stood
-    /// still since. What others let go of counts from the step in which it is heard of.
-    pub(crate) fn follow_part(&mut self, now: Micros) {
+    /// still since. What others release counts from the step in which it is heard of.
+    pub(crate) fn apply_quota_lease(&mut self, now: Micros) {
         let Some(duty) = self.duty(now, Work::Safe) else {
             return;
         };
-        let careful = base(self.sharers());
-        let ended = now >= self.lent.until;
+        let careful = base(self.quota_members());
+        let ended = now >= self.quota_lease.until;
         let may = !ended && duty.share == Share::Lent;
         let spends = if may {
-            careful + self.lent.lent
+            careful + self.quota_lease.quota_lease
         } else {
             careful
         };
-        if spends == self.lent.spends {
+        if spends == self.quota_lease.spends {
             return;
         }
-        self.lent.spends = spends;
-        let since = if ended { self.lent.until.min(now) } else { now };
+        self.quota_lease.spends = spends;
+        let since = if ended {
+            self.quota_lease.until.min(now)
+        } else {
+            now
+        };
         self.events.push_back(Event::QuotaFraction {
             fraction: spends,
             since: since.seconds(),
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -17,7 +17,7 @@
 /// Bytes of entries gathered before a block is written.
 const BLOCK_BYTES: usize = 64 * 1024;
 /// Longest block that is read, compressed and whole.
-const BLOCK_MOST: u32 = 64 << 20;
+const MAX_BLOCK_BYTES: u32 = 64 << 20;
 const LEVEL: i32 = 1;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -157,8 +157,8 @@
     let (Some(size), Some(sum)) = (word(0), word(4)) else {
         return Block::Torn;
     };
-    if size > BLOCK_MOST {
-        return Block::Bad(format!("its length {size} is more than {BLOCK_MOST}"));
+    if size > MAX_BLOCK_BYTES {
+        return Block::Bad(format!("its length {size} is more than {MAX_BLOCK_BYTES}"));
     }
     let Some(packed) = data.get(8..8 + size as usize) else {
         return Block::Torn;
@@ -166,7 +166,7 @@
     if crc32fast::hash(packed) != sum {
         return Block::Bad("its checksum is wrong".to_string());
     }
-    let lines = match zstd::bulk::decompress(packed, BLOCK_MOST as usize) {
+    let lines = match zstd::bulk::decompress(packed, MAX_BLOCK_BYTES as usize) {
         Ok(lines) => lines,
         Err(e) => return Block::Bad(format!("it does not unpack: {e}")),
     };
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -11,29 +11,29 @@
 
 use crate::budgets::Charged;
 use crate::idempotency::Key;
-use crate::load_shedding::Counted;
+use crate::load_shedding::AdmittedWork;
 use crate::types::{LinkId, Micros, SessionId};
 
 /// Sessions that may listen to one request; a further one is told to come back.
-pub(crate) const LISTENERS_MOST: usize = 8;
+pub(crate) const MAX_LISTENERS: usize = 8;
 
-/// What an attempt asks of its host.
+/// What an attempt asks of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
     /// Read the prompt and keep the state.
-    Read,
+    Prefill,
     /// Fetch the state and write.
-    Write,
+    Decode,
     /// Do both.
-    Whole,
+    Full,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// In the link's queue: it has not left.
     Queued,
-    /// Told to the host: it may run.
-    Out,
+    /// Told to the server: it may run.
+    InFlight,
     /// Its first token has come.
     Streaming,
 }
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub number: u16,
-    pub host: ServerId,
+    pub server: ServerId,
     pub link: LinkId,
     pub purpose: Purpose,
     pub stage: Stage,
@@ -55,12 +55,12 @@
     pub state: Option<KvTransferParams>,
 }
 
-/// A read state that waits at a reader for this request.
+/// A KV cache that waits at a reader for this request.
 #[derive(Clone, Debug)]
-pub(crate) struct HeldState {
-    pub host: ServerId,
+pub(crate) struct HeldKvCache {
+    pub server: ServerId,
     /// Wire id of the attempt that made it.
-    pub made_by: String,
+    pub created_by: String,
     pub params: KvTransferParams,
     /// It is released once the attempt that waits for it ends without it.
     pub release: bool,
@@ -113,10 +113,10 @@
     pub usage: Usage,
     pub attempts: u16,
     pub attempt: Option<Attempt>,
-    pub state: Option<HeldState>,
+    pub state: Option<HeldKvCache>,
     /// What the fleet's shedding counts of it.
-    pub counted: Counted,
-    /// An attempt that could have had the effect was told to a host and not turned away.
+    pub admitted: AdmittedWork,
+    /// An attempt that could have had the effect was told to a server and not rejected.
     pub may_have_run: bool,
     /// When it was taken.
     pub taken: Micros,
--- a/crates/core/src/response_ids.rs
+++ b/crates/core/src/response_ids.rs
@@ -7,13 +7,13 @@
 
 /// Makes and reads the ids of one run. Its secret comes of the run's seed, which is no part of any id: the run's
 /// number and the tags are both keyed hashes (BLAKE3) of it.
-pub(crate) struct Names {
+pub(crate) struct ResponseIds {
     secret: [u8; 32],
     instance: u64,
 }
 
-impl Names {
-    pub(crate) fn new(name: &str, seed: u64) -> Names {
+impl ResponseIds {
+    pub(crate) fn new(name: &str, seed: u64) -> ResponseIds {
         let derive = |context| {
             let mut hash = blake3::Hasher::new_derive_key(context);
             hash.update(&seed.to_le_bytes()).update(name.as_bytes());
@@ -21,7 +21,7 @@
         };
         let number = derive("bitternlatch 2026 number of a run");
         let instance = u64::from_le_bytes(std::array::from_fn(|i| number[i]));
-        Names {
+        ResponseIds {
             secret: derive("bitternlatch 2026 ids of responses"),
             instance,
         }
@@ -56,24 +56,24 @@
 
     #[test]
     fn an_id_is_read_back_by_its_own_run_alone_and_its_neighbour_cannot_be_guessed() {
-        let names = Names::new("d1", 7);
-        let id = names.response(9);
-        assert_eq!(names.read_response(&id), Some(9));
-        assert_eq!(Names::new("d1", 8).read_response(&id), None);
-        assert_eq!(Names::new("d2", 7).read_response(&id), None);
-        let tag = |n| names.response(n)[29..].to_string();
+        let response_ids = ResponseIds::new("d1", 7);
+        let id = response_ids.response(9);
+        assert_eq!(response_ids.read_response(&id), Some(9));
+        assert_eq!(ResponseIds::new("d1", 8).read_response(&id), None);
+        assert_eq!(ResponseIds::new("d2", 7).read_response(&id), None);
+        let tag = |n| response_ids.response(n)[29..].to_string();
         assert_eq!(tag(9).len(), 32);
-        let counted = id.replace("00000009", "0000000a");
-        assert_ne!(counted, id);
+        let admitted = id.replace("00000009", "0000000a");
+        assert_ne!(admitted, id);
         for bad in [
             "resp_",
             "resp_\u{e9}",
-            &counted,
+            &admitted,
             &id[..29],
             &id.to_uppercase(),
             &format!("{id}0"),
         ] {
-            assert_eq!(names.read_response(bad), None, "{bad}");
+            assert_eq!(response_ids.read_response(bad), None, "{bad}");
         }
     }
 }
--- a/crates/core/src/servers.rs
+++ b/crates/core/src/servers.rs
@@ -1,4 +1,4 @@
-//! The hosts: what the list says, what each says of itself, and the entry that the decision module is given.
+//! The servers: what the list says, what each says of itself, and the entry that the decision module is given.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,24 +13,24 @@
 /// clocks' drift.
 const RESTART_SLACK_S: f64 = 1.0;
 
-pub(crate) struct Known {
-    pub host: Host,
+pub(crate) struct ModelServer {
+    pub server: Host,
     pub role: Role,
     kind: u16,
     cell: u16,
     zone: u16,
-    said: EngineState,
+    reported: EngineState,
     /// Clock seconds of the start that it told; 0 = not told.
     booted_at: f64,
     /// By the word of peers, while the own list cannot be read.
-    drained_elsewhere: bool,
+    drained_at_peers: bool,
 }
 
-impl Known {
+impl ModelServer {
     fn standing(&self) -> ServerStatus {
-        match (self.host.state, self.said) {
+        match (self.server.state, self.reported) {
             (HostState::Gone, _) => ServerStatus::Removed,
-            (HostState::Ready, EngineState::Ready) if self.drained_elsewhere => {
+            (HostState::Ready, EngineState::Ready) if self.drained_at_peers => {
                 ServerStatus::Draining
             }
             (HostState::Draining, _) | (_, EngineState::Draining) => ServerStatus::Draining,
@@ -44,7 +44,7 @@
 
     /// By the list or its own word.
     pub(crate) fn is_draining(&self) -> bool {
-        self.host.state == HostState::Draining || self.said == EngineState::Draining
+        self.server.state == HostState::Draining || self.reported == EngineState::Draining
     }
 
     pub(crate) fn booted_at(&self) -> Option<Micros> {
@@ -58,7 +58,7 @@
             kind: self.kind,
             cell: self.cell,
             zone: self.zone,
-            weight: self.host.weight,
+            weight: self.server.weight,
             booted_at: self.booted_at,
         }
     }
@@ -66,9 +66,9 @@
 
 /// Small numbers for names, in order of first sight.
 #[derive(Default)]
-struct Names(BTreeMap<String, u16>);
+struct NameNumbers(BTreeMap<String, u16>);
 
-impl Names {
+impl NameNumbers {
     fn number(&mut self, name: &str) -> u16 {
         let next = u16::try_from(self.0.len()).unwrap_or(u16::MAX);
         *self.0.entry(name.to_string()).or_insert(next)
@@ -79,41 +79,41 @@
 #[derive(Default)]
 pub(crate) struct ListChange {
     pub entries: Vec<ServerEntry>,
-    /// Hosts whose address is new or other than before.
-    pub dial: Vec<ServerId>,
-    /// Hosts that are gone, or no longer at the address that their link leads to.
-    pub leave: Vec<ServerId>,
-    /// Hosts that take no new work any more.
+    /// Servers whose address is new or other than before.
+    pub connect: Vec<ServerId>,
+    /// Servers that are gone, or no longer at the address that their link leads to.
+    pub disconnect: Vec<ServerId>,
+    /// Servers that take no new work any more.
     pub closed: Vec<ServerId>,
-    /// Hosts that were passed over, with the cause.
-    pub passed: Vec<String>,
+    /// Servers that were passed over, with the cause.
+    pub skipped: Vec<String>,
 }
 
-pub(crate) struct Fleet {
-    hosts: BTreeMap<ServerId, Known>,
-    zones: Names,
-    cells: Names,
+pub(crate) struct ServerTable {
+    servers: BTreeMap<ServerId, ModelServer>,
+    zones: NameNumbers,
+    cells: NameNumbers,
 }
 
-impl Fleet {
+impl ServerTable {
     /// The dispatcher's own zone is number 0.
     pub(crate) fn new(zone: &str) -> Self {
-        let mut zones = Names::default();
+        let mut zones = NameNumbers::default();
         zones.number(zone);
-        Fleet {
-            hosts: BTreeMap::new(),
+        ServerTable {
+            servers: BTreeMap::new(),
             zones,
-            cells: Names::default(),
+            cells: NameNumbers::default(),
         }
     }
 
-    pub(crate) fn get(&self, id: ServerId) -> Option<&Known> {
-        self.hosts.get(&id)
+    pub(crate) fn get(&self, id: ServerId) -> Option<&ModelServer> {
+        self.servers.get(&id)
     }
 
     /// All but those that are gone.
-    pub(crate) fn listed(&self) -> impl Iterator<Item = (ServerId, &Known)> {
-        self.hosts
+    pub(crate) fn listed(&self) -> impl Iterator<Item = (ServerId, &ModelServer)> {
+        self.servers
             .iter()
             .filter(|(_, k)| k.standing() != ServerStatus::Removed)
             .map(|(id, k)| (*id, k))
@@ -121,19 +121,19 @@
 
     /// Those that take work.
     pub(crate) fn ready(&self) -> impl Iterator<Item = ServerId> + '_ {
-        self.hosts
+        self.servers
             .iter()
             .filter(|(_, k)| k.takes_work())
             .map(|(id, _)| *id)
     }
 
     /// Holds these for draining by the word of others, and no more those that were before; gives what changed.
-    pub(crate) fn drained_elsewhere(&mut self, hosts: BTreeSet<ServerId>) -> Vec<ServerEntry> {
+    pub(crate) fn drained_at_peers(&mut self, servers: BTreeSet<ServerId>) -> Vec<ServerEntry> {
         let mut changed = Vec::new();
-        for (id, known) in &mut self.hosts {
-            let so = hosts.contains(id);
-            if known.drained_elsewhere != so {
-                known.drained_elsewhere = so;
+        for (id, known) in &mut self.servers {
+            let drained = servers.contains(id);
+            if known.drained_at_peers != drained {
+                known.drained_at_peers = drained;
                 changed.push(known.entry(*id));
             }
         }
@@ -141,51 +141,54 @@
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.hosts.len()
+        self.servers.len()
     }
 
-    /// Takes a complete list. A host whose kind the settings do not name is passed over and said so.
+    /// Takes a complete list. A server whose kind the settings do not name is passed over and said so.
     pub(crate) fn take_list(&mut self, list: Vec<Host>, settings: &Settings) -> ListChange {
         let mut change = ListChange::default();
         let mut seen = BTreeMap::new();
-        for host in list {
-            let id = host.id();
+        for server in list {
+            let id = server.id();
             let kinds = &settings.kinds;
-            let Some(kind) = kinds.iter().position(|k| k.name == host.kind) else {
-                change.passed.push(format!(
+            let Some(kind) = kinds.iter().position(|k| k.name == server.kind) else {
+                change.skipped.push(format!(
                     "host '{}' has kind '{}', unknown here",
-                    host.name, host.kind
+                    server.name, server.kind
                 ));
                 continue;
             };
-            let (cell, zone) = (self.cells.number(&host.cell), self.zones.number(&host.zone));
+            let (cell, zone) = (
+                self.cells.number(&server.cell),
+                self.zones.number(&server.zone),
+            );
             let role = kinds[kind].role;
-            let old = self.hosts.remove(&id);
-            let was_open = old.as_ref().is_some_and(Known::takes_work);
+            let old = self.servers.remove(&id);
+            let was_open = old.as_ref().is_some_and(ModelServer::takes_work);
             let moved = old
                 .as_ref()
-                .is_none_or(|o| o.host.endpoint() != host.endpoint());
-            let (said, booted_at) = match &old {
-                Some(o) if !moved => (o.said, o.booted_at),
+                .is_none_or(|o| o.server.endpoint() != server.endpoint());
+            let (reported, booted_at) = match &old {
+                Some(o) if !moved => (o.reported, o.booted_at),
                 _ => (EngineState::Ready, 0.0),
             };
-            let gone = host.state == HostState::Gone;
+            let gone = server.state == HostState::Gone;
             if old.is_some() && (moved || gone) {
-                change.leave.push(id);
+                change.disconnect.push(id);
             }
             if moved && !gone {
-                change.dial.push(id);
+                change.connect.push(id);
             }
             let kind = kind as u16;
-            let known = Known {
-                host,
+            let known = ModelServer {
+                server,
                 role,
                 kind,
                 cell,
                 zone,
-                said,
+                reported,
                 booted_at,
-                drained_elsewhere: false,
+                drained_at_peers: false,
             };
             if was_open && !known.takes_work() {
                 change.closed.push(id);
@@ -193,25 +196,25 @@
             change.entries.push(known.entry(id));
             seen.insert(id, known);
         }
-        for id in self.hosts.keys() {
-            change.leave.push(*id);
+        for id in self.servers.keys() {
+            change.disconnect.push(*id);
             change.closed.push(*id);
         }
-        self.hosts = seen;
+        self.servers = seen;
         change
     }
 
-    /// Takes a link's greeting. Gives the changed entry, and whether the host has been started anew since it was last
+    /// Takes a link's greeting. Gives the changed entry, and whether the server has been started anew since it was last
     /// heard, so that what was decided for it before no longer holds.
     pub(crate) fn greeted(
         &mut self,
         now: Micros,
         id: ServerId,
         uptime_s: f64,
-        said: EngineState,
+        reported: EngineState,
         warm_after_s: f64,
     ) -> Option<(ServerEntry, bool)> {
-        let known = self.hosts.get_mut(&id)?;
+        let known = self.servers.get_mut(&id)?;
         let warm = !uptime_s.is_finite() || uptime_s >= warm_after_s;
         let booted_at = if warm {
             0.0
@@ -219,18 +222,18 @@
             now.seconds() - uptime_s.max(0.0)
         };
         let same = (booted_at - known.booted_at).abs() <= RESTART_SLACK_S;
-        let anew = booted_at > 0.0 && !same;
+        let restarted = booted_at > 0.0 && !same;
         if !same {
             known.booted_at = booted_at;
         }
-        known.said = said;
-        Some((known.entry(id), anew))
+        known.reported = reported;
+        Some((known.entry(id), restarted))
     }
 
-    /// Takes a host's word on its own state.
-    pub(crate) fn said(&mut self, id: ServerId, said: EngineState) -> Option<ServerEntry> {
-        let known = self.hosts.get_mut(&id)?;
-        known.said = said;
+    /// Takes a server's word on its own state.
+    pub(crate) fn reported(&mut self, id: ServerId, reported: EngineState) -> Option<ServerEntry> {
+        let known = self.servers.get_mut(&id)?;
+        known.reported = reported;
         Some(known.entry(id))
     }
 }
@@ -240,7 +243,7 @@
     use super::*;
     use bitternlatch_inventory::parse;
 
-    fn hosts(text: &str) -> Vec<Host> {
+    fn list(text: &str) -> Vec<Host> {
         parse("hosts.csv", text)
             .expect("a good list")
             .into_values()
@@ -250,18 +253,22 @@
     #[test]
     fn a_list_tells_what_to_dial_to_leave_and_to_close() {
         let settings = crate::settings::tests::small();
-        let mut fleet = Fleet::new("z");
-        let first = fleet.take_list(
-            hosts("name,port,kind,address\na,1,reader,127.0.0.1\nb,2,writer,127.0.0.1\nc,3,odd,127.0.0.1\n"),
+        let mut servers = ServerTable::new("z");
+        let first = servers.take_list(
+            list("name,port,kind,address\na,1,reader,127.0.0.1\nb,2,writer,127.0.0.1\nc,3,odd,127.0.0.1\n"),
             &settings,
         );
         assert_eq!(
-            (first.entries.len(), first.dial.len(), first.leave.len()),
+            (
+                first.entries.len(),
+                first.connect.len(),
+                first.disconnect.len()
+            ),
             (2, 2, 0)
         );
-        assert!(first.passed[0].contains("'odd'"));
-        let second = fleet.take_list(
-            hosts(
+        assert!(first.skipped[0].contains("'odd'"));
+        let second = servers.take_list(
+            list(
                 "name,port,kind,address,state\na,9,reader,127.0.0.1,ready\nb,2,writer,127.0.0.1,draining\n",
             ),
             &settings,
@@ -271,34 +278,34 @@
             bitternlatch_inventory::host_id("b"),
         );
         assert_eq!(
-            (second.dial, second.leave, second.closed),
+            (second.connect, second.disconnect, second.closed),
             (vec![a], vec![a], vec![b])
         );
-        let third = fleet.take_list(
-            hosts("name,port,kind,address\na,9,reader,127.0.0.1\n"),
+        let third = servers.take_list(
+            list("name,port,kind,address\na,9,reader,127.0.0.1\n"),
             &settings,
         );
-        assert_eq!((third.leave, third.closed), (vec![b], vec![b]));
+        assert_eq!((third.disconnect, third.closed), (vec![b], vec![b]));
     }
 
     #[test]
     fn a_young_engine_is_cold_from_its_start_and_a_younger_one_has_restarted() {
         let settings = crate::settings::tests::small();
-        let mut fleet = Fleet::new("z");
-        fleet.take_list(hosts("name,port,kind\na,1,reader\n"), &settings);
+        let mut servers = ServerTable::new("z");
+        servers.take_list(list("name,port,kind\na,1,reader\n"), &settings);
         let a = bitternlatch_inventory::host_id("a");
         let at = |s: u64| Micros(s * 1_000_000);
-        let (entry, anew) = fleet
+        let (entry, restarted) = servers
             .greeted(at(100), a, 500.0, EngineState::Ready, 14.0)
             .expect("known");
-        assert_eq!((entry.booted_at, anew), (0.0, false));
-        let (entry, anew) = fleet
+        assert_eq!((entry.booted_at, restarted), (0.0, false));
+        let (entry, restarted) = servers
             .greeted(at(200), a, 2.0, EngineState::Ready, 14.0)
             .expect("known");
-        assert_eq!((entry.booted_at, anew), (198.0, true));
-        let (_, anew) = fleet
+        assert_eq!((entry.booted_at, restarted), (198.0, true));
+        let (_, restarted) = servers
             .greeted(at(203), a, 5.1, EngineState::Ready, 14.0)
             .expect("known");
-        assert!(!anew, "the same start seen over another link");
+        assert!(!restarted, "the same start seen over another link");
     }
 }
--- a/crates/core/src/sessions.rs
+++ b/crates/core/src/sessions.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    pub(crate) fn proven_by(&self, keys: &[String]) -> Vec<SessionId> {
+    pub(crate) fn authenticated_by(&self, keys: &[String]) -> Vec<SessionId> {
         let keys: BTreeSet<&str> = keys.iter().map(String::as_str).collect();
         let by = |o: &Open| {
             o.caller
@@ -83,16 +83,16 @@
         self.ending.get(&session).copied()
     }
 
-    pub(crate) fn ended_and_idle(&self) -> Vec<(SessionId, Ending)> {
+    pub(crate) fn ending_and_idle(&self) -> Vec<(SessionId, Ending)> {
         self.ending
             .iter()
-            .filter(|(s, _)| self.in_hand(**s) == 0)
+            .filter(|(s, _)| self.in_flight(**s) == 0)
             .map(|(s, e)| (*s, *e))
             .collect()
     }
 
-    /// Requests in hand for a session.
-    pub(crate) fn in_hand(&self, session: SessionId) -> usize {
+    /// Requests in flight for a session.
+    pub(crate) fn in_flight(&self, session: SessionId) -> usize {
         self.open.get(&session).map_or(0, |o| o.requests.len())
     }
 
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -41,7 +41,7 @@
     /// Name of this dispatcher in logs and ids; unique among the dispatchers.
     pub name: String,
     pub zone: String,
-    /// Dispatchers that share the hosts.
+    /// Dispatchers that share the servers.
     pub dispatchers: u32,
     pub listen: Listen,
     #[serde(default)]
@@ -76,7 +76,7 @@
     pub address: String,
     #[serde(default = "defaults::sessions")]
     pub sessions: usize,
-    /// Requests in hand a session.
+    /// Requests in flight a session.
     #[serde(default = "defaults::session_requests")]
     pub session_requests: usize,
     #[serde(default = "defaults::message_bytes")]
@@ -105,7 +105,7 @@
     pub key: String,
     /// Authorities of clients' certificates.
     pub clients: Option<String>,
-    /// Whether a client without a certificate is turned away in the handshake.
+    /// Whether a client without a certificate is rejected in the handshake.
     #[serde(default)]
     pub clients_required: bool,
     /// Lists of revoked client certificates (CRL).
@@ -113,18 +113,18 @@
     pub revoked: Vec<String>,
 }
 
-/// TLS for links to hosts, each of which has to prove its listed name.
+/// TLS for links to servers, each of which has to prove its listed name.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EnginesTls {
-    /// Authorities of the hosts' certificates.
+    /// Authorities of the servers' certificates.
     pub authorities: String,
     /// What the dispatcher shows of itself.
     pub certificate: Option<String>,
     pub key: Option<String>,
 }
 
-/// The hosts' side. Times in seconds.
+/// The servers' side. Times in seconds.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Engines {
@@ -133,7 +133,7 @@
     /// From the upgrade to the greeting.
     pub greet_s: f64,
     pub message_bytes: usize,
-    /// Messages that may wait to be written to one host; past it the link is closed.
+    /// Messages that may wait to be written to one server; past it the link is closed.
     pub queue_messages: usize,
     pub ping_s: f64,
     pub tls: Option<EnginesTls>,
@@ -227,12 +227,12 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RequestLimits {
-    /// Requests in hand over all sessions.
+    /// Requests in flight over all sessions.
     #[serde(rename = "in_hand")]
     pub max_requests: usize,
     /// Longest prompt, with all that it goes on from.
     pub prompt_bytes: usize,
-    /// Prompts of all requests in hand together.
+    /// Prompts of all requests in flight together.
     #[serde(rename = "prompt_bytes_in_hand")]
     pub total_prompt_bytes: usize,
     /// Texts kept for `previous_response_id`: bytes over all, and seconds.
@@ -272,7 +272,7 @@
     /// A held state is taken or let go within this many seconds.
     #[serde(rename = "pin_limit_s")]
     pub kv_hold_limit_s: f64,
-    /// Nothing new reaches a host later than this many seconds after it was told to drain.
+    /// Nothing new reaches a server later than this many seconds after it was told to drain.
     pub drain_grace_s: f64,
     #[serde(rename = "cold")]
     pub slow_start: SlowStart,
@@ -363,7 +363,7 @@
 pub struct Class {
     pub name: String,
     pub effect: Effect,
-    /// Hosts that drop repeats of one key, and for how many seconds; for keyed classes.
+    /// Servers that drop repeats of one key, and for how many seconds; for keyed classes.
     #[serde(default)]
     pub key_scope: Scope,
     #[serde(default)]
--- a/crates/core/src/settings/cluster.rs
+++ b/crates/core/src/settings/cluster.rs
@@ -8,7 +8,7 @@
 use super::check::Check;
 
 /// Seeds that are asked at a start.
-const SEEDS_MOST: usize = 16;
+const MAX_SEEDS: usize = 16;
 
 /// Off without this table. Peers speak datagrams and, for whole views, TCP at the same addresses.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -101,10 +101,10 @@
     }
 
     fn check_seeds(&self, c: &mut Check) {
-        if self.seeds.len() > SEEDS_MOST {
+        if self.seeds.len() > MAX_SEEDS {
             c.fail(
                 "cluster.seeds",
-                format!("{} of them; {SEEDS_MOST} at the most", self.seeds.len()),
+                format!("{} of them; {MAX_SEEDS} at the most", self.seeds.len()),
             );
         }
         for (i, seed) in self.seeds.iter().enumerate().filter(|(_, s)| s.port() == 0) {
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -20,22 +20,22 @@
     Stall { request: RequestId },
     /// A probe is overdue.
     Probe { id: u64 },
-    /// A link's next step is due: it has not come up, said nothing, or may be dialled again.
-    Link { host: ServerId, epoch: u32 },
+    /// A link's next step is due: it has not come up, said nothing, or may be reconnected.
+    Link { server: ServerId, epoch: u32 },
     /// A caller's proof ends.
     Caller { session: SessionId },
     /// Tables are swept.
     Sweep,
-    /// Looks at what to ask the ledger for.
-    Ledger,
-    /// Looks at what to tell peers of hosts.
-    Evidence,
+    /// Looks at what to ask the quota server for.
+    BudgetLeases,
+    /// Looks at what to tell peers of servers.
+    Observations,
     /// A question about a workflow is overdue.
-    Call { call: Call },
+    WorkflowQuery { call: Call },
     /// A step's end is to be told again.
-    End { request: RequestId },
+    StepEnd { request: RequestId },
     /// Tells what was seen of the load.
-    Shed,
+    LoadShedding,
 }
 
 /// What is due when; of what falls on one time, what was set first comes first.
--- a/crates/core/src/validated_request.rs
+++ b/crates/core/src/validated_request.rs
@@ -7,13 +7,13 @@
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
 use crate::idempotency::Key;
-use crate::load_shedding::{Counted, ANSWER_SHARE};
+use crate::load_shedding::{AdmittedWork, EXPECTED_OUTPUT_SHARE};
 use crate::settings::Class;
 use crate::types::Micros;
 use crate::workflows::Intent;
 
 /// What of a message has been settled before the request is made.
-pub(crate) struct Wanted {
+pub(crate) struct ValidatedRequest {
     pub class: u16,
     pub tenant: u32,
     pub owner: String,
@@ -22,13 +22,13 @@
     /// A step of a workflow whose intent is held, and until when it may leave.
     pub step: Option<(Intent, Micros)>,
     /// What the fleet's shedding has taken of it already.
-    pub counted: Option<Counted>,
+    pub admitted: Option<AdmittedWork>,
     pub conversation: u64,
     pub prompt: String,
     pub max_tokens: u32,
 }
 
-impl Wanted {
+impl ValidatedRequest {
     pub(crate) fn prompt_tokens(&self) -> u32 {
         tokens_of(self.prompt.len())
     }
@@ -84,7 +84,8 @@
             prompt_tokens,
             prefix: prefix(create),
             prefix_tokens: f64::from(tokens_of(create.instructions.len())),
-            answer_tokens: answer_tokens.unwrap_or(ANSWER_SHARE * f64::from(self.max_tokens)),
+            answer_tokens: answer_tokens
+                .unwrap_or(EXPECTED_OUTPUT_SHARE * f64::from(self.max_tokens)),
             spent,
             identity,
             fingerprint,
