--- a/crates/core/src/workflows.rs
+++ b/crates/core/src/workflows.rs
@@ -12,21 +12,21 @@
 use bitternlatch_protocol::workflow::{Carried, Claimed};
 use bitternlatch_workflow::{AttemptOutcome, Call, Command, Effect, Event, RejectReason};
 
-use crate::load_shedding::Counted;
+use crate::load_shedding::AdmittedWork;
 use crate::types::{Micros, SessionId};
 use messages::{json, shown};
 pub(crate) use messages::{name, question, refused};
 
 /// Questions of sessions that may wait for an answer; one more is told to come back.
-const ASKED_MOST: usize = 4096;
+const MAX_PENDING_QUERIES: usize = 4096;
 /// Longest that a final answer waits for its result to be held, seconds, where its request's own time is over: an answer that
 /// streams may outlast it.
-pub(crate) const HELD_WITHIN_S: f64 = 5.0;
+pub(crate) const RESULT_DURABLE_WITHIN_S: f64 = 5.0;
 
 /// Longest that a failure waits for what is known of its step to be held, seconds.
-pub(crate) const FAILED_WITHIN_S: f64 = 0.5;
+pub(crate) const FAILURE_DURABLE_WITHIN_S: f64 = 0.5;
 /// Seconds until the end of a step is told again that could not be held yet.
-pub(crate) const AGAIN_S: f64 = 0.1;
+pub(crate) const STEP_END_RETRY_S: f64 = 0.1;
 
 /// What a step means to do. The same under each epoch, but for the epoch.
 #[derive(Clone, Debug, PartialEq)]
@@ -42,7 +42,7 @@
 
 /// What a session asks before there is a request, or without one.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Question {
+pub(crate) enum WorkflowQuery {
     Claim {
         workflow: String,
         worker: String,
@@ -66,23 +66,23 @@
 
 /// Who asked, and what.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct PendingQuery {
     pub session: SessionId,
     pub create: Box<Create>,
     pub at: Micros,
     /// What the fleet's shedding has taken of it, until it is a request or over.
-    pub counted: Counted,
-    question: Question,
+    pub admitted: AdmittedWork,
+    question: WorkflowQuery,
     /// Its session has closed.
-    gone: bool,
+    abandoned: bool,
 }
 
 #[derive(Debug)]
 enum Stage {
     /// May leave until then. What was to leave later waits, with the question that would permit it again.
-    Going {
+    InFlight {
         until: Micros,
-        waits: Option<Waits>,
+        blocked: Option<BlockedSend>,
         /// That nothing of it ran is told already; it is not told twice, as another one may have it by then.
         withdrawn: bool,
     },
@@ -102,36 +102,39 @@
 
 /// A send that waits for its permission.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Waits {
-    pub host: ServerId,
+pub(crate) struct BlockedSend {
+    pub server: ServerId,
     pub timeout_s: f64,
 }
 
 /// What the machine is to do.
 #[derive(Debug)]
-pub(crate) enum Act {
-    /// Answer a session without a host.
+pub(crate) enum WorkflowAction {
+    /// Answer a session without a server.
     Answer {
-        asked: Asked,
+        query: PendingQuery,
         text: String,
         known: bool,
     },
     /// Refuse a session's request.
-    Refuse { asked: Asked, why: RejectReason },
+    Refuse {
+        query: PendingQuery,
+        why: RejectReason,
+    },
     /// Take a step's request as any other. Its intent is held, and it may leave until then.
     Go {
-        asked: Asked,
+        query: PendingQuery,
         intent: Intent,
         until: Micros,
     },
     /// A send that waited may go, or may not.
     Send {
         request: RequestId,
-        send: Waits,
+        send: BlockedSend,
         may: bool,
     },
     /// Tell how a step ended once more, after [`AGAIN_S`].
-    Again(RequestId),
+    RetryStepEnd(RequestId),
     /// Give a request's final answer, or one that says why not; without a cause it was not held in time.
     Give {
         request: RequestId,
@@ -145,10 +148,10 @@
 #[derive(Debug, Default)]
 pub(crate) struct Workflows {
     calls: u64,
-    asked: BTreeMap<Call, Asked>,
+    queries: BTreeMap<Call, PendingQuery>,
     steps: BTreeMap<RequestId, Step>,
     /// Questions about steps that go on.
-    of_steps: BTreeMap<Call, RequestId>,
+    step_queries: BTreeMap<Call, RequestId>,
 }
 
 impl Workflows {
@@ -165,29 +168,29 @@
         &mut self,
         now: Micros,
         (session, create): (SessionId, &Create),
-        question: Question,
-        counted: Counted,
+        question: WorkflowQuery,
+        admitted: AdmittedWork,
         until: Micros,
     ) -> Result<(Call, Command), RejectReason> {
-        if self.asked.len() >= ASKED_MOST {
+        if self.queries.len() >= MAX_PENDING_QUERIES {
             return Err(RejectReason::Busy);
         }
         let call = self.call();
         let until_us = until.0;
         let ask = match question.clone() {
-            Question::Claim { workflow, worker } => Command::Claim {
+            WorkflowQuery::Claim { workflow, worker } => Command::Claim {
                 call,
                 workflow,
                 worker,
                 until_us,
             },
-            Question::Carry { workflow, epoch } => Command::RenewLease {
+            WorkflowQuery::Carry { workflow, epoch } => Command::RenewLease {
                 call,
                 workflow,
                 epoch,
                 until_us,
             },
-            Question::Finish {
+            WorkflowQuery::Finish {
                 workflow,
                 epoch,
                 cancelled,
@@ -198,7 +201,7 @@
                 cancelled,
                 until_us,
             },
-            Question::Settle {
+            WorkflowQuery::Settle {
                 workflow,
                 step,
                 fate,
@@ -209,25 +212,25 @@
                 outcome: fate,
                 until_us,
             },
-            Question::Step(intent) => intend(call, intent, until),
+            WorkflowQuery::Step(intent) => intend(call, intent, until),
         };
         let create = Box::new(create.clone());
-        self.asked.insert(
+        self.queries.insert(
             call,
-            Asked {
+            PendingQuery {
                 session,
                 create,
                 at: now,
-                counted,
+                admitted,
                 question,
-                gone: false,
+                abandoned: false,
             },
         );
         Ok((call, ask))
     }
 
-    /// Whether a step is in hand here: under way as a request, or not to be taken now.
-    pub(crate) fn in_hand(&self, wanted: &Intent) -> Option<Result<RequestId, RejectReason>> {
+    /// Whether a step is in flight here: under way as a request, or not to be taken now.
+    pub(crate) fn in_flight(&self, wanted: &Intent) -> Option<Result<RequestId, RejectReason>> {
         let same = |i: &Intent| {
             (&i.workflow, i.epoch, i.step) == (&wanted.workflow, wanted.epoch, wanted.step)
         };
@@ -238,35 +241,35 @@
                 Err(RejectReason::OtherRequest)
             });
         }
-        let waits = |a: &Asked| matches!(&a.question, Question::Step(i) if same(i));
-        self.asked
+        let blocked = |a: &PendingQuery| matches!(&a.question, WorkflowQuery::Step(i) if same(i));
+        self.queries
             .values()
-            .any(|a| !a.gone && waits(a))
+            .any(|a| !a.abandoned && blocked(a))
             .then_some(Err(RejectReason::Busy))
     }
 
-    /// Questions in hand for a session.
-    pub(crate) fn asked_by(&self, session: SessionId) -> usize {
-        self.asked
+    /// Questions in flight for a session.
+    pub(crate) fn pending_queries(&self, session: SessionId) -> usize {
+        self.queries
             .values()
-            .filter(|a| a.session == session && !a.gone)
+            .filter(|a| a.session == session && !a.abandoned)
             .count()
     }
 
     /// Whether anything waits for an answer.
-    pub(crate) fn waits(&self) -> bool {
+    pub(crate) fn has_pending(&self) -> bool {
         let ending = |s: &Step| matches!(s.stage, Stage::Ending { .. });
-        self.asked.values().any(|a| !a.gone) || self.steps.values().any(ending)
+        self.queries.values().any(|a| !a.abandoned) || self.steps.values().any(ending)
     }
 
     /// Gives back what was taken of those that nobody waits for now.
-    pub(crate) fn session_closed(&mut self, session: SessionId) -> Vec<Counted> {
-        let of_session = self.asked.values_mut().filter(|a| a.session == session);
-        let gone = of_session.map(|asked| {
-            asked.gone = true;
-            std::mem::take(&mut asked.counted)
+    pub(crate) fn session_closed(&mut self, session: SessionId) -> Vec<AdmittedWork> {
+        let of_session = self.queries.values_mut().filter(|a| a.session == session);
+        let abandoned = of_session.map(|query| {
+            query.abandoned = true;
+            std::mem::take(&mut query.admitted)
         });
-        gone.collect()
+        abandoned.collect()
     }
 
     /// A step goes on as this request.
@@ -275,9 +278,9 @@
             request,
             Step {
                 intent,
-                stage: Stage::Going {
+                stage: Stage::InFlight {
                     until,
-                    waits: None,
+                    blocked: None,
                     withdrawn: false,
                 },
             },
@@ -295,7 +298,7 @@
         self.steps
             .get(&request)
             .is_none_or(|step| match step.stage {
-                Stage::Going { until, .. } => step.intent.effect == Effect::Safe || now < until,
+                Stage::InFlight { until, .. } => step.intent.effect == Effect::Safe || now < until,
                 Stage::Ending { .. } => false,
             })
     }
@@ -305,7 +308,7 @@
         match self.steps.get(&request)? {
             Step {
                 intent,
-                stage: Stage::Going { until, .. },
+                stage: Stage::InFlight { until, .. },
             } if intent.effect != Effect::Safe => Some(until.since(now)),
             _ => None,
         }
@@ -316,33 +319,33 @@
     pub(crate) fn wait(
         &mut self,
         request: RequestId,
-        send: Waits,
+        send: BlockedSend,
         may_have_run: bool,
         ends: Micros,
     ) -> Option<(Call, Vec<Command>)> {
         let (first, call) = (self.call(), self.call());
         let step = self.steps.get_mut(&request)?;
-        let Stage::Going {
+        let Stage::InFlight {
             until,
-            waits,
+            blocked,
             withdrawn,
         } = &mut step.stage
         else {
             return None;
         };
         let tells = !may_have_run && !*withdrawn;
-        (*until, *waits, *withdrawn) = (Micros(0), Some(send), !may_have_run);
+        (*until, *blocked, *withdrawn) = (Micros(0), Some(send), !may_have_run);
         let never =
             tells.then(|| ended(first, step.intent.clone(), AttemptOutcome::NeverRan, ends));
         let again = intend(call, step.intent.clone(), ends);
-        self.of_steps.insert(call, request);
+        self.step_queries.insert(call, request);
         Some((call, never.into_iter().chain([again]).collect()))
     }
 
     /// A send that waits is not to be any more.
-    pub(crate) fn unwait(&mut self, request: RequestId) -> Option<Waits> {
+    pub(crate) fn unwait(&mut self, request: RequestId) -> Option<BlockedSend> {
         match &mut self.steps.get_mut(&request)?.stage {
-            Stage::Going { waits, .. } => waits.take(),
+            Stage::InFlight { blocked, .. } => blocked.take(),
             Stage::Ending { .. } => None,
         }
     }
@@ -362,15 +365,15 @@
         }
         let call = self.call();
         match self.steps.get_mut(&request) {
-            Some(step) if matches!(step.stage, Stage::Going { .. }) => {
+            Some(step) if matches!(step.stage, Stage::InFlight { .. }) => {
                 step.stage = Stage::Ending {
                     answer,
                     fate: fate.clone(),
                     until,
                 };
                 let intent = step.intent.clone();
-                self.of_steps.retain(|_, of| *of != request);
-                self.of_steps.insert(call, request);
+                self.step_queries.retain(|_, of| *of != request);
+                self.step_queries.insert(call, request);
                 Ok((call, ended(call, intent, fate, until)))
             }
             _ => Err(answer),
@@ -378,7 +381,10 @@
     }
 
     /// The end of a step that waits, told once more.
-    pub(crate) fn end_again(&mut self, request: RequestId) -> Option<(Call, Micros, Command)> {
+    pub(crate) fn resend_step_end(
+        &mut self,
+        request: RequestId,
+    ) -> Option<(Call, Micros, Command)> {
         let call = self.call();
         let step = self.steps.get(&request)?;
         let Stage::Ending { fate, until, .. } = &step.stage else {
@@ -388,7 +394,7 @@
             *until,
             ended(call, step.intent.clone(), fate.clone(), *until),
         );
-        self.of_steps.insert(call, request);
+        self.step_queries.insert(call, request);
         Some((call, until, ask))
     }
 
@@ -396,7 +402,7 @@
         let withdrawn = |s: &Step| {
             matches!(
                 s.stage,
-                Stage::Going {
+                Stage::InFlight {
                     withdrawn: true,
                     ..
                 }
@@ -406,7 +412,7 @@
     }
 
     fn forget(&mut self, request: RequestId) -> Option<Step> {
-        self.of_steps.retain(|_, of| *of != request);
+        self.step_queries.retain(|_, of| *of != request);
         self.steps.remove(&request)
     }
 
@@ -431,8 +437,8 @@
         Some(ended(self.call(), step.intent, fate, until))
     }
 
-    /// An answer by the machine beside the plane; one to a question that is over says nothing.
-    pub(crate) fn told(&mut self, now: Micros, told: Event) -> Option<Act> {
+    /// An answer by the workflow coordinator; one to a question that is over says nothing.
+    pub(crate) fn told(&mut self, now: Micros, told: Event) -> Option<WorkflowAction> {
         let call = match &told {
             Event::Claimed { call, .. }
             | Event::SendPermitted { call, .. }
@@ -440,8 +446,8 @@
             | Event::Committed { call }
             | Event::Rejected { call, .. } => *call,
         };
-        match (self.asked.remove(&call), self.of_steps.remove(&call)) {
-            (Some(asked), _) => self.answer(asked, told),
+        match (self.queries.remove(&call), self.step_queries.remove(&call)) {
+            (Some(query), _) => self.answer(query, told),
             (None, Some(request)) => self.answer_step(now, request, told),
             (None, None) => None,
         }
@@ -449,30 +455,30 @@
 
     /// A question's time is over. A step's is kept once more for as long as [`Workflows::lingers`] says: where it turns out to be
     /// permitted after all, what is open has to be closed.
-    pub(crate) fn late(&mut self, call: Call) -> Option<Act> {
-        if let Some(mut asked) = self.asked.remove(&call) {
-            if asked.gone {
+    pub(crate) fn late(&mut self, call: Call) -> Option<WorkflowAction> {
+        if let Some(mut query) = self.queries.remove(&call) {
+            if query.abandoned {
                 return None;
             }
-            if matches!(asked.question, Question::Step(_)) {
-                self.asked.insert(
+            if matches!(query.question, WorkflowQuery::Step(_)) {
+                self.queries.insert(
                     call,
-                    Asked {
-                        gone: true,
-                        counted: Counted::default(),
-                        ..asked.clone()
+                    PendingQuery {
+                        abandoned: true,
+                        admitted: AdmittedWork::default(),
+                        ..query.clone()
                     },
                 );
             }
-            asked.gone = true;
-            return Some(Act::Refuse {
-                asked,
+            query.abandoned = true;
+            return Some(WorkflowAction::Refuse {
+                query,
                 why: RejectReason::NoMajority,
             });
         }
-        let request = self.of_steps.remove(&call)?;
+        let request = self.step_queries.remove(&call)?;
         match self.unwait(request) {
-            Some(send) => Some(Act::Send {
+            Some(send) => Some(WorkflowAction::Send {
                 request,
                 send,
                 may: false,
@@ -482,34 +488,40 @@
     }
 
     pub(crate) fn lingers(&self, call: Call) -> bool {
-        self.asked.contains_key(&call)
+        self.queries.contains_key(&call)
     }
 
-    fn answer(&mut self, asked: Asked, told: Event) -> Option<Act> {
-        let epoch_of = |q: &Question| match q {
-            Question::Carry { epoch, .. } | Question::Finish { epoch, .. } => Some(*epoch),
-            Question::Claim { .. } | Question::Settle { .. } | Question::Step(_) => None,
+    fn answer(&mut self, query: PendingQuery, told: Event) -> Option<WorkflowAction> {
+        let epoch_of = |q: &WorkflowQuery| match q {
+            WorkflowQuery::Carry { epoch, .. } | WorkflowQuery::Finish { epoch, .. } => {
+                Some(*epoch)
+            }
+            WorkflowQuery::Claim { .. } | WorkflowQuery::Settle { .. } | WorkflowQuery::Step(_) => {
+                None
+            }
         };
-        match (&asked.question, told) {
-            (Question::Step(intent), Event::SendPermitted { until_us, .. }) => {
+        match (&query.question, told) {
+            (WorkflowQuery::Step(intent), Event::SendPermitted { until_us, .. }) => {
                 let (intent, until) = (intent.clone(), Micros(until_us));
-                Some(match asked.gone {
-                    true => Act::Tell(self.never_ran(intent, until)),
-                    false => Act::Go {
-                        asked,
+                Some(match query.abandoned {
+                    true => WorkflowAction::Tell(self.never_ran(intent, until)),
+                    false => WorkflowAction::Go {
+                        query,
                         intent,
                         until,
                     },
                 })
             }
-            _ if asked.gone => None,
-            (Question::Step(_), Event::AlreadyDone { result, .. }) => Some(Act::Answer {
-                asked,
-                text: result,
-                known: true,
-            }),
+            _ if query.abandoned => None,
+            (WorkflowQuery::Step(_), Event::AlreadyDone { result, .. }) => {
+                Some(WorkflowAction::Answer {
+                    query,
+                    text: result,
+                    known: true,
+                })
+            }
             (
-                Question::Claim { .. },
+                WorkflowQuery::Claim { .. },
                 Event::Claimed {
                     epoch,
                     context,
@@ -525,48 +537,53 @@
                     lease_ms: lease_us / 1000,
                     steps,
                 });
-                Some(Act::Answer {
-                    asked,
+                Some(WorkflowAction::Answer {
+                    query,
                     text,
                     known: false,
                 })
             }
             (
-                question @ (Question::Carry { .. }
-                | Question::Finish { .. }
-                | Question::Settle { .. }),
+                question @ (WorkflowQuery::Carry { .. }
+                | WorkflowQuery::Finish { .. }
+                | WorkflowQuery::Settle { .. }),
                 Event::Committed { .. },
             ) => {
                 let text = json(&Carried {
                     epoch: epoch_of(question),
                 });
-                Some(Act::Answer {
-                    asked,
+                Some(WorkflowAction::Answer {
+                    query,
                     text,
                     known: false,
                 })
             }
-            (_, Event::Rejected { reason: why, .. }) => Some(Act::Refuse { asked, why }),
+            (_, Event::Rejected { reason: why, .. }) => Some(WorkflowAction::Refuse { query, why }),
             // An answer to another question: nothing can be said for certain.
-            _ => Some(Act::Refuse {
-                asked,
+            _ => Some(WorkflowAction::Refuse {
+                query,
                 why: RejectReason::Busy,
             }),
         }
     }
 
-    fn answer_step(&mut self, now: Micros, request: RequestId, told: Event) -> Option<Act> {
+    fn answer_step(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        told: Event,
+    ) -> Option<WorkflowAction> {
         let step = self.steps.get_mut(&request)?;
         match (&mut step.stage, told) {
             (
-                Stage::Going {
+                Stage::InFlight {
                     until,
-                    waits,
+                    blocked,
                     withdrawn,
                 },
                 told,
             ) => {
-                let send = waits.take()?;
+                let send = blocked.take()?;
                 let may = match told {
                     Event::SendPermitted { until_us, .. } => {
                         (*until, *withdrawn) = (Micros(until_us), false);
@@ -574,13 +591,13 @@
                     }
                     _ => false,
                 };
-                Some(Act::Send { request, send, may })
+                Some(WorkflowAction::Send { request, send, may })
             }
             (Stage::Ending { .. }, Event::Committed { .. }) => self.give(request, Ok(())),
             (Stage::Ending { until, .. }, Event::Rejected { reason: why, .. })
                 if passing(why) && now < *until =>
             {
-                Some(Act::Again(request))
+                Some(WorkflowAction::RetryStepEnd(request))
             }
             (Stage::Ending { .. }, Event::Rejected { reason: why, .. }) => {
                 self.give(request, Err(Some(why)))
@@ -589,17 +606,21 @@
         }
     }
 
-    fn give(&mut self, request: RequestId, held: Result<(), Option<RejectReason>>) -> Option<Act> {
+    fn give(
+        &mut self,
+        request: RequestId,
+        held: Result<(), Option<RejectReason>>,
+    ) -> Option<WorkflowAction> {
         if !self.is_ending(request) {
             return None;
         }
         match self.steps.remove(&request)?.stage {
-            Stage::Ending { answer, .. } => Some(Act::Give {
+            Stage::Ending { answer, .. } => Some(WorkflowAction::Give {
                 request,
                 answer,
                 held,
             }),
-            Stage::Going { .. } => None,
+            Stage::InFlight { .. } => None,
         }
     }
 }
--- a/crates/core/src/workflows/messages.rs
+++ b/crates/core/src/workflows/messages.rs
@@ -5,7 +5,7 @@
 use bitternlatch_workflow::{AttemptOutcome, Effect, RejectReason};
 use xxhash_rust::xxh3::Xxh3;
 
-use super::{Intent, Question};
+use super::{Intent, WorkflowQuery};
 use crate::settings::{self, Class};
 
 pub(super) fn shown(step: bitternlatch_workflow::Step) -> ClaimedStep {
@@ -48,16 +48,16 @@
     create: &Create,
     class: &Class,
     key: &str,
-) -> Question {
+) -> WorkflowQuery {
     match does {
-        Does::Claim { worker } => Question::Claim { workflow, worker },
-        Does::Carry { epoch } => Question::Carry { workflow, epoch },
-        Does::Finish { epoch } => Question::Finish {
+        Does::Claim { worker } => WorkflowQuery::Claim { workflow, worker },
+        Does::Carry { epoch } => WorkflowQuery::Carry { workflow, epoch },
+        Does::Finish { epoch } => WorkflowQuery::Finish {
             workflow,
             epoch,
             cancelled: false,
         },
-        Does::Cancel { epoch } => Question::Finish {
+        Does::Cancel { epoch } => WorkflowQuery::Finish {
             workflow,
             epoch,
             cancelled: true,
@@ -71,7 +71,7 @@
                 Decided::NeverRan => AttemptOutcome::NeverRan,
                 Decided::LeftOut => AttemptOutcome::MayHaveRun,
             };
-            Question::Settle {
+            WorkflowQuery::Settle {
                 workflow,
                 step,
                 fate,
@@ -90,7 +90,7 @@
             } else {
                 key.to_string()
             };
-            Question::Step(Intent {
+            WorkflowQuery::Step(Intent {
                 workflow,
                 epoch,
                 step,
--- a/crates/core/src/workflows/tests.rs
+++ b/crates/core/src/workflows/tests.rs
@@ -34,12 +34,12 @@
     })
 }
 
-fn asks(w: &mut Workflows, question: Question) -> (Call, Command) {
+fn asks(w: &mut Workflows, question: WorkflowQuery) -> (Call, Command) {
     w.ask(
         Micros(0),
         (S, &Create::default()),
         question,
-        Counted::default(),
+        AdmittedWork::default(),
         Micros(1_000),
     )
     .expect("taken")
@@ -56,9 +56,9 @@
 fn a_step_goes_from_its_intent_to_its_result_and_is_over() {
     let mut w = Workflows::default();
     let wanted = intent(3, 1, Effect::Unsafe);
-    let (call, _) = asks(&mut w, Question::Step(wanted.clone()));
-    assert_eq!(w.in_hand(&wanted), Some(Err(RejectReason::Busy)));
-    assert_eq!((w.asked_by(S), w.waits()), (1, true));
+    let (call, _) = asks(&mut w, WorkflowQuery::Step(wanted.clone()));
+    assert_eq!(w.in_flight(&wanted), Some(Err(RejectReason::Busy)));
+    assert_eq!((w.pending_queries(S), w.has_pending()), (1, true));
     let act = w.told(
         Micros(0),
         Event::SendPermitted {
@@ -69,7 +69,7 @@
     assert!(
         matches!(
             act,
-            Some(Act::Go {
+            Some(WorkflowAction::Go {
                 until: Micros(500),
                 ..
             })
@@ -88,16 +88,16 @@
         "told twice"
     );
     w.go(9, wanted.clone(), Micros(500));
-    assert_eq!(w.in_hand(&wanted), Some(Ok(9)));
+    assert_eq!(w.in_flight(&wanted), Some(Ok(9)));
     assert_eq!(
-        w.in_hand(&Intent {
+        w.in_flight(&Intent {
             asks: 8,
             ..wanted.clone()
         }),
         Some(Err(RejectReason::OtherRequest))
     );
     assert_eq!(
-        w.in_hand(&intent(4, 1, Effect::Unsafe)),
+        w.in_flight(&intent(4, 1, Effect::Unsafe)),
         None,
         "a later epoch asks for itself"
     );
@@ -113,20 +113,20 @@
             ..
         }
     ));
-    assert!(w.is_ending(9) && !w.may_leave(Micros(0), 9) && w.waits());
+    assert!(w.is_ending(9) && !w.may_leave(Micros(0), 9) && w.has_pending());
     assert!(
         w.end(9, done(), answer(), Micros(2_000)).is_err(),
         "it ends once"
     );
     assert!(matches!(
         w.told(Micros(0), Event::Committed { call }),
-        Some(Act::Give {
+        Some(WorkflowAction::Give {
             request: 9,
             held: Ok(()),
             ..
         })
     ));
-    assert!(w.late(call).is_none() && !w.waits() && w.in_hand(&wanted).is_none());
+    assert!(w.late(call).is_none() && !w.has_pending() && w.in_flight(&wanted).is_none());
 }
 
 #[test]
@@ -139,8 +139,8 @@
         w.may_leave(Micros(500), 2) && w.may_leave(Micros(500), 77),
         "safe, and no step"
     );
-    let send = Waits {
-        host: 7,
+    let send = BlockedSend {
+        server: 7,
         timeout_s: 1.0,
     };
     let (call, tell) = w.wait(1, send, false, Micros(5_000)).expect("it waits");
@@ -165,7 +165,7 @@
         },
     );
     assert!(
-        matches!(go, Some(Act::Send { request: 1, may: true, send: s }) if s == send),
+        matches!(go, Some(WorkflowAction::Send { request: 1, may: true, send: s }) if s == send),
         "{go:?}"
     );
     assert!(w.may_leave(Micros(899), 1) && !w.may_leave(Micros(900), 1));
@@ -182,9 +182,14 @@
             reason: RejectReason::Fenced,
         },
     );
-    assert!(matches!(no, Some(Act::Send { may: false, .. })) && !w.may_leave(Micros(0), 1));
+    assert!(
+        matches!(no, Some(WorkflowAction::Send { may: false, .. })) && !w.may_leave(Micros(0), 1)
+    );
     let (call, _) = w.wait(1, send, true, Micros(5_000)).expect("it waits");
-    assert!(matches!(w.late(call), Some(Act::Send { may: false, .. })));
+    assert!(matches!(
+        w.late(call),
+        Some(WorkflowAction::Send { may: false, .. })
+    ));
     let (call, _) = w.wait(1, send, true, Micros(5_000)).expect("it waits");
     assert_eq!(w.unwait(1), Some(send), "its request has ended");
     assert!(w
@@ -200,7 +205,7 @@
     assert!(w.wait(3, send, false, Micros(5_000)).is_some());
     let end = w.end(3, AttemptOutcome::NeverRan, answer(), Micros(9));
     assert!(
-        end.is_err() && w.in_hand(&intent(1, 3, Effect::Unsafe)).is_none(),
+        end.is_err() && w.in_flight(&intent(1, 3, Effect::Unsafe)).is_none(),
         "that is told already"
     );
 }
@@ -208,9 +213,9 @@
 #[test]
 fn who_is_gone_or_late_leaves_no_open_step_and_no_effect() {
     let mut w = Workflows::default();
-    let (call, _) = asks(&mut w, Question::Step(intent(1, 1, Effect::Keyed)));
+    let (call, _) = asks(&mut w, WorkflowQuery::Step(intent(1, 1, Effect::Keyed)));
     w.session_closed(S);
-    assert_eq!((w.asked_by(S), w.waits()), (0, false));
+    assert_eq!((w.pending_queries(S), w.has_pending()), (0, false));
     let act = w.told(
         Micros(0),
         Event::SendPermitted {
@@ -221,22 +226,22 @@
     assert!(
         matches!(
             act,
-            Some(Act::Tell(Command::ReportOutcome {
+            Some(WorkflowAction::Tell(Command::ReportOutcome {
                 outcome: AttemptOutcome::NeverRan,
                 ..
             }))
         ),
         "{act:?}"
     );
-    let (call, _) = asks(&mut w, Question::Step(intent(1, 2, Effect::Keyed)));
+    let (call, _) = asks(&mut w, WorkflowQuery::Step(intent(1, 2, Effect::Keyed)));
     assert!(matches!(
         w.late(call),
-        Some(Act::Refuse {
+        Some(WorkflowAction::Refuse {
             why: RejectReason::NoMajority,
             ..
         })
     ));
-    assert!(w.lingers(call) && !w.waits());
+    assert!(w.lingers(call) && !w.has_pending());
     let act = w.told(
         Micros(0),
         Event::SendPermitted {
@@ -247,7 +252,7 @@
     assert!(
         matches!(
             act,
-            Some(Act::Tell(Command::ReportOutcome {
+            Some(WorkflowAction::Tell(Command::ReportOutcome {
                 step: 2,
                 outcome: AttemptOutcome::NeverRan,
                 ..
@@ -255,7 +260,7 @@
         ),
         "{act:?}"
     );
-    let (call, _) = asks(&mut w, Question::Step(intent(1, 2, Effect::Keyed)));
+    let (call, _) = asks(&mut w, WorkflowQuery::Step(intent(1, 2, Effect::Keyed)));
     assert!(
         w.late(call).is_some() && w.late(call).is_none() && !w.lingers(call),
         "once more, and no longer"
@@ -280,15 +285,18 @@
         reason: RejectReason::Busy,
     };
     assert!(
-        matches!(w.told(Micros(1), busy(call)), Some(Act::Again(6))),
+        matches!(
+            w.told(Micros(1), busy(call)),
+            Some(WorkflowAction::RetryStepEnd(6))
+        ),
         "a result is not lost to a full queue"
     );
-    let Some((call, Micros(2_000), _)) = w.end_again(6) else {
+    let Some((call, Micros(2_000), _)) = w.resend_step_end(6) else {
         panic!("told again")
     };
     assert!(matches!(
         w.late(call),
-        Some(Act::Give {
+        Some(WorkflowAction::Give {
             held: Err(None),
             ..
         })
@@ -300,7 +308,7 @@
     let late = w.told(Micros(2_000), busy(call));
     assert!(matches!(
         late,
-        Some(Act::Give {
+        Some(WorkflowAction::Give {
             held: Err(Some(RejectReason::Busy)),
             ..
         })
@@ -312,7 +320,7 @@
     let mut w = Workflows::default();
     let (call, _) = asks(
         &mut w,
-        Question::Claim {
+        WorkflowQuery::Claim {
             workflow: "t//w".into(),
             worker: "a".into(),
         },
@@ -331,7 +339,7 @@
         steps,
         lease_us: 3_000_000,
     };
-    let Some(Act::Answer {
+    let Some(WorkflowAction::Answer {
         text, known: false, ..
     }) = w.told(Micros(0), told)
     else {
@@ -346,26 +354,26 @@
     assert_eq!(claimed.steps[1].fate, StepFate::Open);
     let (call, _) = asks(
         &mut w,
-        Question::Carry {
+        WorkflowQuery::Carry {
             workflow: "t//w".into(),
             epoch: 2,
         },
     );
     let act = w.told(Micros(0), Event::SendPermitted { call, until_us: 1 });
     assert!(
-        matches!(act, Some(Act::Refuse { .. })),
+        matches!(act, Some(WorkflowAction::Refuse { .. })),
         "no answer to this question: {act:?}"
     );
-    for _ in 0..ASKED_MOST {
+    for _ in 0..MAX_PENDING_QUERIES {
         asks(
             &mut w,
-            Question::Carry {
+            WorkflowQuery::Carry {
                 workflow: "t//w".into(),
                 epoch: 2,
             },
         );
     }
-    let carry = Question::Carry {
+    let carry = WorkflowQuery::Carry {
         workflow: "t//w".into(),
         epoch: 2,
     };
@@ -373,7 +381,7 @@
         Micros(0),
         (S, &Create::default()),
         carry,
-        Counted::default(),
+        AdmittedWork::default(),
         Micros(1),
     );
     assert_eq!(more, Err(RejectReason::Busy));
--- a/crates/core/tests/any_order.rs
+++ b/crates/core/tests/any_order.rs
@@ -1,4 +1,4 @@
-//! Hosts that answer, fail, fall silent and reset in any order: the rules hold for every seed.
+//! Servers that answer, fail, fall silent and reset in any order: the rules hold for every seed.
 mod common;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -24,9 +24,9 @@
     entries: Vec<Entry>,
     open: Vec<LinkId>,
     dialled: Vec<LinkId>,
-    /// Completions at hosts: link, id, whether it reads, the text asked.
+    /// Completions at servers: link, id, whether it reads, the text asked.
     out: Vec<(LinkId, String, bool, String)>,
-    /// Times that a booking was told to a writer and not turned away.
+    /// Times that a booking was told to a writer and not rejected.
     runs: BTreeMap<String, BTreeSet<String>>,
     states: BTreeMap<String, LinkId>,
     sessions: BTreeSet<SessionId>,
@@ -36,7 +36,7 @@
     by_response: BTreeMap<(SessionId, String), String>,
     after: u32,
     next: u64,
-    /// Requests are steps of workflows, one step each; the machine beside the plane is played in order, with losses.
+    /// Requests are steps of workflows, one step each; the workflow coordinator is played in order, with losses.
     steps: bool,
     asks: VecDeque<Command>,
     /// What is known of each step, and until when it may leave.
@@ -416,7 +416,7 @@
         }
     }
 
-    /// A host that has begun an answer does not turn it away any more.
+    /// A server that has begun an answer does not turn it away any more.
     fn turned_away(&mut self, prompt: &str, id: &str) {
         if let Some(runs) = self.runs.get_mut(prompt) {
             runs.remove(id);
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A machine with hosts played by hand: no socket, no clock.
+//! A machine with servers played by hand: no socket, no clock.
 #![allow(dead_code)]
 
 use bitternlatch_core::{Input, LinkId, Machine, Micros, Output, SessionId, Settings};
@@ -56,7 +56,7 @@
 
 pub const START_US: u64 = 1_000_000_000;
 
-/// A completion as its host got it.
+/// A completion as its server got it.
 #[derive(Clone, Debug)]
 pub struct Told {
     pub link: LinkId,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// With four hosts, all linked and warm.
+    /// With four servers, all linked and warm.
     pub fn ready(seed: u64) -> Bench {
         let mut bench = Bench::new(seed);
         bench.step(Input::ServerList(four()));
@@ -139,7 +139,7 @@
         bench
     }
 
-    /// Every dialled link comes up and its host greets.
+    /// Every connected link comes up and its server greets.
     pub fn open_all(&mut self, uptime_s: f64) {
         for link in std::mem::take(&mut self.dials) {
             self.step(Input::LinkUp { link });
@@ -247,7 +247,7 @@
         self.told.remove(0)
     }
 
-    /// The host has read the prompt.
+    /// The server has read the prompt.
     pub fn read_done(&mut self, told: &Told) {
         let params = KvTransferParams {
             do_remote_prefill: true,
@@ -311,7 +311,7 @@
         );
     }
 
-    /// The write's end, with what the host counted; without a prompt it counted nothing.
+    /// The write's end, with what the server counted; without a prompt it counted nothing.
     pub fn end(&mut self, told: &Told, prompt: u32, output: u32) {
         let choice = Choice {
             index: 0,
--- a/crates/core/tests/faults.rs
+++ b/crates/core/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Hosts and links in trouble: what may have run is never told as not run, and each request ends once.
+//! Servers and links in trouble: what may have run is never told as not run, and each request ends once.
 mod common;
 
 use bitternlatch_core::Input;
--- a/crates/core/tests/observations.rs
+++ b/crates/core/tests/observations.rs
@@ -1,4 +1,4 @@
-//! What is seen of hosts and told to peers, and what peers tell: in the machine.
+//! What is seen of servers and told to peers, and what peers tell: in the machine.
 mod common;
 
 use bitternlatch_core::{Input, Micros, Output, Settings};
--- a/crates/core/tests/workflows.rs
+++ b/crates/core/tests/workflows.rs
@@ -1,4 +1,4 @@
-//! Steps of workflows in the machine: the machine beside the plane is played by hand.
+//! Steps of workflows in the machine: the workflow coordinator is played by hand.
 mod common;
 
 use bitternlatch_core::record::{replay, Entry, Recorded};
@@ -54,7 +54,7 @@
     );
 }
 
-/// What the machine beside the plane was asked since the last call.
+/// What the workflow coordinator was asked since the last call.
 fn asked(bench: &mut Bench) -> Vec<Command> {
     let all = std::mem::take(&mut bench.out);
     all.into_iter()
@@ -84,7 +84,7 @@
     tell(bench, Event::SendPermitted { call, until_us });
 }
 
-/// Begins a step and gives its write at a host; its intent is held.
+/// Begins a step and gives its write at a server; its intent is held.
 fn written(bench: &mut Bench, session: SessionId, class: &str) -> Sent {
     step(bench, session, class, "4");
     let call = one(bench).call();
