--- /dev/null
+++ b/crates/core/src/links/tests.rs
@@ -0,0 +1,59 @@
+use super::*;
+
+fn message(attempt: &str) -> Queued {
+    Queued {
+        attempt: attempt.to_string(),
+        text: String::new(),
+    }
+}
+
+#[test]
+fn messages_wait_for_the_greeting_and_a_late_word_of_an_old_link_counts_for_nothing() {
+    let mut links = Links::default();
+    assert_eq!(links.enqueue(1, message("a")), EnqueueResult::NotConnected);
+    let first = links.connect(1);
+    assert_eq!(links.enqueue(1, message("a")), EnqueueResult::Queued(first));
+    assert!(links.greeted(first).is_empty(), "not up yet");
+    assert!(links.up(first));
+    assert_eq!(links.greeted(first), vec![message("a")]);
+    assert_eq!(
+        links.enqueue(1, message("b")),
+        EnqueueResult::SendNow(first, message("b"))
+    );
+    let (queued, pause) = links.down(first, 0.0).expect("current");
+    assert!(queued.is_empty() && pause > 0.0);
+    assert_eq!(links.enqueue(1, message("c")), EnqueueResult::NotConnected);
+    let second = links.connect(1);
+    assert!(links.down(first, 0.0).is_none() && !links.up(first) && links.up(second));
+}
+
+#[test]
+fn pauses_grow_to_their_bound_and_a_queue_has_one() {
+    let mut links = Links::default();
+    let mut last = 0.0;
+    for _ in 0..20 {
+        let link = links.connect(1);
+        let (_, pause) = links.down(link, 1.0).expect("current");
+        assert!(pause >= last && pause <= PAUSE_S.1);
+        last = pause;
+    }
+    assert_eq!(last, PAUSE_S.1);
+    links.connect(1);
+    let taken = (0..100)
+        .filter(|_| links.enqueue(1, message("a")) != EnqueueResult::NotConnected)
+        .count();
+    assert_eq!(taken, MAX_QUEUED_MESSAGES);
+}
+
+#[test]
+fn a_busy_link_is_left_once_it_is_idle() {
+    let mut links = Links::default();
+    let link = links.connect(1);
+    links.up(link);
+    links.greeted(link);
+    assert_eq!(links.close_when_idle(1, true), None);
+    assert_eq!(links.closing(), vec![1]);
+    assert_eq!(links.close_when_idle(1, false), Some(link));
+    assert_eq!(links.down(link, 0.0).map(|d| d.1), Some(f64::INFINITY));
+    assert_eq!(links.open(1), None);
+}
--- a/crates/core/src/response_ids.rs
+++ b/crates/core/src/response_ids.rs
@@ -51,29 +51,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn an_id_is_read_back_by_its_own_run_alone_and_its_neighbour_cannot_be_guessed() {
-        let response_ids = ResponseIds::new("d1", 7);
-        let id = response_ids.response(9);
-        assert_eq!(response_ids.read_response(&id), Some(9));
-        assert_eq!(ResponseIds::new("d1", 8).read_response(&id), None);
-        assert_eq!(ResponseIds::new("d2", 7).read_response(&id), None);
-        let tag = |n| response_ids.response(n)[29..].to_string();
-        assert_eq!(tag(9).len(), 32);
-        let admitted = id.replace("00000009", "0000000a");
-        assert_ne!(admitted, id);
-        for bad in [
-            "resp_",
-            "resp_\u{e9}",
-            &admitted,
-            &id[..29],
-            &id.to_uppercase(),
-            &format!("{id}0"),
-        ] {
-            assert_eq!(response_ids.read_response(bad), None, "{bad}");
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/protocol/src/workflow/tests.rs
@@ -0,0 +1,136 @@
+use super::*;
+
+fn meta(pairs: &[(&str, &str)]) -> BTreeMap<String, String> {
+    pairs
+        .iter()
+        .map(|(k, v)| (k.to_string(), v.to_string()))
+        .collect()
+}
+
+#[test]
+fn each_wish_needs_its_own_fields_and_no_others() {
+    let of = |pairs: &[(&str, &str)]| read(&meta(pairs));
+    let about = |does| {
+        Ok(Some(About {
+            workflow: "w".into(),
+            does,
+        }))
+    };
+    assert_eq!(
+        of(&[("workflow_do", "dance")]),
+        Ok(None),
+        "it is about no workflow"
+    );
+    let claim = of(&[
+        ("workflow", "w"),
+        ("workflow_do", "claim"),
+        ("workflow_worker", "a"),
+    ]);
+    assert_eq!(claim, about(Does::Claim { worker: "a".into() }));
+    let step = of(&[
+        ("workflow", "w"),
+        ("workflow_epoch", "3"),
+        ("workflow_step", "7"),
+    ]);
+    assert_eq!(step, about(Does::Step { epoch: 3, step: 7 }));
+    for (does, wanted) in [
+        ("carry", Does::Carry { epoch: 2 }),
+        ("finish", Does::Finish { epoch: 2 }),
+        ("cancel", Does::Cancel { epoch: 2 }),
+    ] {
+        let pairs = [
+            ("workflow", "w"),
+            ("workflow_do", does),
+            ("workflow_epoch", "2"),
+        ];
+        assert_eq!(of(&pairs), about(wanted));
+    }
+    let mut settle = vec![
+        ("workflow", "w"),
+        ("workflow_do", "settle"),
+        ("workflow_step", "2"),
+        ("workflow_fate", "done"),
+    ];
+    assert_eq!(
+        of(&settle),
+        about(Does::Settle {
+            step: 2,
+            fate: Decided::Done
+        })
+    );
+    settle[3].1 = "perhaps";
+    assert_eq!(
+        of(&settle).expect_err("refused").param.as_deref(),
+        Some("metadata.workflow_fate")
+    );
+    let long = "é".repeat(65);
+    for (pairs, param) in [
+        (vec![("workflow", "")], "metadata.workflow_epoch"),
+        (
+            vec![("workflow", "w"), ("workflow_do", "dance")],
+            "metadata.workflow_do",
+        ),
+        (
+            vec![("workflow", "w"), ("workflow_do", "claim")],
+            "metadata.workflow_worker",
+        ),
+        (
+            vec![("workflow", "w"), ("workflow_epoch", "0")],
+            "metadata.workflow_epoch",
+        ),
+        (
+            vec![("workflow", "w"), ("workflow_epoch", "1")],
+            "metadata.workflow_step",
+        ),
+        (
+            vec![
+                ("workflow", "w"),
+                ("workflow_epoch", "1"),
+                ("workflow_step", "-1"),
+            ],
+            "metadata.workflow_step",
+        ),
+        (
+            vec![
+                ("workflow", &long),
+                ("workflow_do", "carry"),
+                ("workflow_epoch", "1"),
+            ],
+            "metadata.workflow",
+        ),
+    ] {
+        let bad = of(&pairs).expect_err("refused");
+        assert_eq!(
+            (bad.status, bad.param.as_deref()),
+            (400, Some(param)),
+            "{pairs:?}"
+        );
+    }
+}
+
+#[test]
+fn a_claim_is_told_in_the_stated_form() {
+    let step = |number, fate, result: Option<&str>| ClaimedStep {
+        number,
+        effect: StepEffect::Unsafe,
+        key: "k".into(),
+        fate,
+        result: result.map(str::to_string),
+    };
+    let steps = vec![
+        step(1, StepFate::Done, Some("yes")),
+        step(2, StepFate::MayHaveRun, None),
+    ];
+    let claimed = Claimed {
+        epoch: 4,
+        context: "c".into(),
+        lease_ms: 3000,
+        steps,
+    };
+    let text = r#"{"epoch":4,"context":"c","lease_ms":3000,"steps":[{"number":1,"effect":"unsafe","key":"k","fate":"done","result":"yes"},{"number":2,"effect":"unsafe","key":"k","fate":"may_have_run"}]}"#;
+    assert_eq!(serde_json::to_string(&claimed).expect("JSON"), text);
+    assert_eq!(
+        serde_json::from_str::<Claimed>(text).expect("a claim"),
+        claimed
+    );
+}
