--- a/crates/connection-limits/src/tests.rs
+++ b/crates/connection-limits/src/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_crowd_displaces_its_own_oldest_and_nobody_elses() {
+fn crowded_address_evicts_its_own_oldest() {
     let mut room = Handshakes::new(4);
     let (quiet, _) = room.enter(ip(1));
     let crowd: Vec<Visitor> = (0..3).map(|_| room.enter(ip(2)).0).collect();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn nobody_goes_while_there_is_room_and_the_bound_holds() {
+fn nothing_is_evicted_below_capacity() {
     let mut room = Handshakes::new(100);
     for i in 0..1000u64 {
         let (_, gone) = room.enter(ip((i % 7) as u8));
--- a/crates/core/src/contexts/tests.rs
+++ b/crates/core/src/contexts/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_oldest_goes_at_the_bound_and_by_age() {
+fn oldest_context_is_evicted_by_size_and_age() {
     let mut kept = Contexts::new(10);
     kept.keep("a", context("12345", 1));
     kept.keep("b", context("12345", 2));
--- a/crates/core/src/idempotency/tests.rs
+++ b/crates/core/src/idempotency/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_key_goes_from_running_to_answered_to_gone() {
+fn key_goes_from_running_to_answered_to_expired() {
     let mut keys = IdempotencyKeys::new(2, 100, 60.0);
     assert!(matches!(keys.lookup(&key("a"), 1), KeyLookup::New));
     keys.begin(key("a"), 1, 9);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn bytes_cost_the_text_but_never_the_key_and_a_full_table_takes_no_new_key() {
+fn byte_limit_evicts_answers_but_never_keys() {
     let mut keys = IdempotencyKeys::new(2, 60, 60.0);
     for (i, name) in ["a", "b"].into_iter().enumerate() {
         keys.begin(key(name), 1, i as u32);
--- a/crates/core/src/links/tests.rs
+++ b/crates/core/src/links/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn messages_wait_for_the_greeting_and_a_late_word_of_an_old_link_counts_for_nothing() {
+fn messages_wait_for_greeting_and_old_epochs_are_ignored() {
     let mut links = Links::default();
     assert_eq!(links.enqueue(1, message("a")), EnqueueResult::NotConnected);
     let first = links.connect(1);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn pauses_grow_to_their_bound_and_a_queue_has_one() {
+fn reconnect_backoff_and_queue_are_bounded() {
     let mut links = Links::default();
     let mut last = 0.0;
     for _ in 0..20 {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_busy_link_is_left_once_it_is_idle() {
+fn busy_link_closes_when_idle() {
     let mut links = Links::default();
     let link = links.connect(1);
     links.up(link);
--- a/crates/core/src/requests/tests.rs
+++ b/crates/core/src/requests/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn ids_are_read_back_by_their_own_instance_alone() {
+fn wire_id_is_read_by_its_own_instance_only() {
     let id = wire_id(7, 9, 3);
     assert_eq!(read_wire_id(7, &id), Some((9, 3)));
     assert_eq!(read_wire_id(8, &id), None);
--- a/crates/core/src/response_ids/tests.rs
+++ b/crates/core/src/response_ids/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_id_is_read_back_by_its_own_run_alone_and_its_neighbour_cannot_be_guessed() {
+fn response_id_is_read_by_its_own_run_only() {
     let response_ids = ResponseIds::new("d1", 7);
     let id = response_ids.response(9);
     assert_eq!(response_ids.read_response(&id), Some(9));
--- a/crates/core/src/servers/tests.rs
+++ b/crates/core/src/servers/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_list_tells_what_to_dial_to_leave_and_to_close() {
+fn list_change_names_links_to_open_and_close() {
     let settings = crate::settings::tests::small();
     let mut servers = ServerTable::new("z");
     let first = servers.take_list(
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_young_engine_is_cold_from_its_start_and_a_younger_one_has_restarted() {
+fn young_server_warms_up_and_restart_is_detected() {
     let settings = crate::settings::tests::small();
     let mut servers = ServerTable::new("z");
     servers.take_list(list("name,port,kind\na,1,reader\n"), &settings);
--- a/crates/core/src/workflows/tests.rs
+++ b/crates/core/src/workflows/tests.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_step_goes_from_its_intent_to_its_result_and_is_over() {
+fn step_goes_from_intent_to_result() {
     let mut w = Workflows::default();
     let wanted = intent(3, 1, Effect::Unsafe);
     let (call, _) = asks(&mut w, WorkflowQuery::Step(wanted.clone()));
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn permission_to_leave_ends_by_time_and_a_later_send_waits_for_another() {
+fn send_permission_expires_and_is_requested_again() {
     let mut w = Workflows::default();
     w.go(1, intent(1, 1, Effect::Unsafe), Micros(500));
     w.go(2, intent(1, 2, Effect::Safe), Micros(500));
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn who_is_gone_or_late_leaves_no_open_step_and_no_effect() {
+fn abandoned_or_late_step_leaves_no_effect() {
     let mut w = Workflows::default();
     let (call, _) = asks(&mut w, WorkflowQuery::Step(intent(1, 1, Effect::Keyed)));
     w.session_closed(S);
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn claims_are_answered_in_words_and_the_table_is_bounded() {
+fn claims_are_answered_and_queries_bounded() {
     let mut w = Workflows::default();
     let (call, _) = asks(
         &mut w,
--- a/crates/core/tests/any_order.rs
+++ b/crates/core/tests/any_order.rs
@@ -492,7 +492,7 @@
 }
 
 #[test]
-fn each_taken_request_ends_once_no_booking_runs_twice_and_no_state_is_left() {
+fn random_order_keeps_request_invariants() {
     for seed in 0..300 {
         let chaos = run(seed);
         assert!(
@@ -505,7 +505,7 @@
 }
 
 #[test]
-fn steps_of_workflows_end_once_and_leave_only_while_permitted_whatever_is_lost() {
+fn random_order_keeps_workflow_invariants() {
     let mut done = 0;
     for seed in 0..150 {
         let chaos = run_with(seed, true);
@@ -538,7 +538,7 @@
 }
 
 #[test]
-fn a_record_replays_alike_and_a_changed_output_is_named() {
+fn replay_names_changed_output() {
     let chaos = run(7);
     let recorded = read(written(&chaos.entries).as_slice()).expect("a good record");
     assert_eq!(
@@ -567,7 +567,7 @@
 }
 
 #[test]
-fn a_torn_record_is_read_to_its_last_whole_block_and_a_damaged_one_is_named() {
+fn torn_record_is_cut_and_damaged_block_is_named() {
     let chaos = run(3);
     let many: Vec<Entry> = std::iter::repeat_n(&chaos.entries, 3)
         .flatten()
--- a/crates/core/tests/budgets.rs
+++ b/crates/core/tests/budgets.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_request_is_charged_once_what_its_host_counted_before_its_answer() {
+fn request_is_charged_once_before_its_answer() {
     let mut bench = budgeted();
     let (one, two) = (bench.open(1), bench.open(2));
     let write = begin(&mut bench, one, "query", "k", 800);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_refusal_says_when_enough_is_there_and_then_it_is() {
+fn budget_rejection_names_sufficient_retry_time() {
     let mut bench = budgeted();
     let session = bench.open(1);
     let write = begin(&mut bench, session, "query", "k", 890);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn what_failed_and_may_have_run_is_possibly_charged_with_its_bound() {
+fn failed_request_that_may_have_run_is_charged_its_bound() {
     let mut bench = budgeted();
     let session = bench.open(1);
     let write = begin(&mut bench, session, "booking", "k", 200);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn counts_that_are_absent_or_above_the_ceiling_are_bounded() {
+fn missing_or_excessive_usage_is_bounded() {
     let mut bench = budgeted();
     let session = bench.open(1);
     let write = begin(&mut bench, session, "query", "k", 200);
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn with_a_ledger_parts_are_asked_for_when_used_spent_to_their_end_and_given_back_when_idle() {
+fn budget_leases_are_requested_spent_and_returned() {
     let ledger = "\n[ledger]\naddress = \"127.0.0.1:1\"\n";
     let budget = BUDGET.replace("= 10,", "= 100,");
     let settings =
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn a_part_that_is_idle_goes_back_and_is_spent_no_more() {
+fn idle_budget_lease_is_returned() {
     let ledger = "\n[ledger]\naddress = \"127.0.0.1:1\"\n";
     let settings =
         Settings::parse("test", &format!("{SETTINGS}{ledger}{BUDGET}")).expect("settings");
--- a/crates/core/tests/callers.rs
+++ b/crates/core/tests/callers.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_key_is_its_callers_own_and_a_groups_where_the_rights_say_so() {
+fn idempotency_key_belongs_to_caller_or_shared_group() {
     let mut bench = guarded();
     let ann = open(&mut bench, 1, "ann", "members");
     let eve = open(&mut bench, 2, "eve", "members");
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_withdrawn_proof_takes_nothing_new_and_ends_its_session_after_the_answer() {
+fn revoked_credential_closes_session_after_answer() {
     let mut bench = guarded();
     let ann = open(&mut bench, 1, "ann", "members");
     let write = bench.begin_write(ann, "booking", "k", "the season");
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_clock_that_is_set_ends_proofs_by_the_judged_time_and_the_record_tells() {
+fn credential_expiry_follows_clock_offset() {
     let mut bench = guarded();
     let ann = open(&mut bench, 1, "ann", "members");
     bench.step(Input::CredentialClockOffset {
--- a/crates/core/tests/faults.rs
+++ b/crates/core/tests/faults.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_reset_after_the_engine_said_its_end_is_served_and_before_it_is_a_failure() {
+fn reset_after_finish_reason_completes_request() {
     for (finish, status) in [(Some("stop"), Status::Completed), (None, Status::Failed)] {
         let mut b = Bench::ready(1);
         let s = b.open(1);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_query_goes_on_after_a_reset_an_error_and_a_full_host() {
+fn safe_request_is_retried_after_failures() {
     let mut b = Bench::ready(1);
     b.machine.enable_trace();
     let s = b.open(1);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_state_that_is_gone_is_read_anew_even_for_a_booking() {
+fn lost_kv_cache_is_prefilled_again() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
     let write = b.begin_write(s, "booking", "k", "q");
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_message_that_never_left_is_told_as_not_run() {
+fn unsent_message_counts_as_not_run() {
     let mut b = Bench::ready(1);
     b.machine.enable_trace();
     let s = b.open(1);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_send_that_waits_for_its_link_is_handed_back_when_the_host_is_told_to_drain() {
+fn queued_send_returns_when_server_drains() {
     let mut b = Bench::new(1);
     b.step(Input::ServerList(four()));
     let (reader, rest): (Vec<_>, Vec<_>) = b
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_host_that_says_it_drains_gets_nothing_new() {
+fn draining_server_gets_no_new_requests() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
     let first = b.begin_write(s, "query", "", "q0");
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn what_was_queued_for_a_host_that_proves_cold_is_handed_back() {
+fn queued_send_returns_when_server_restarted() {
     let mut b = Bench::new(1);
     b.machine.enable_trace();
     b.step(Input::ServerList(hosts(
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_host_that_accepts_and_says_nothing_is_left_and_dialled_again() {
+fn silent_server_is_reconnected() {
     let mut b = Bench::new(1);
     b.step(Input::ServerList(four()));
     let links = std::mem::take(&mut b.dials);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn silence_ends_in_one_answer_before_the_client_gives_up() {
+fn silent_attempt_ends_before_client_deadline() {
     for class in ["query", "booking"] {
         let mut b = Bench::ready(1);
         let s = b.open(1);
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_stream_that_stalls_ends_in_a_failure() {
+fn stalled_stream_fails_request() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
     let write = b.begin_write(s, "query", "", "q");
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn nonsense_from_a_host_is_told_to_it_and_costs_the_request_nothing() {
+fn invalid_engine_message_is_reported_back() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
     let write = b.begin_write(s, "query", "", "q");
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn an_engine_that_sends_more_than_it_may_is_stopped() {
+fn oversized_answer_is_cancelled() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
     let write = b.begin_write(s, "query", "", "q");
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn a_read_that_leaves_no_state_and_a_write_without_an_end_are_errors() {
+fn incomplete_prefill_or_decode_is_error() {
     let mut b = Bench::ready(1);
     b.machine.enable_trace();
     let s = b.open(1);
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn loads_that_are_absent_negative_or_no_number_are_no_report() {
+fn invalid_load_is_no_report() {
     let mut b = Bench::ready(1);
     b.machine.enable_trace();
     let s = b.open(1);
@@ -351,7 +351,7 @@
 }
 
 #[test]
-fn a_host_that_moves_is_left_at_its_old_address() {
+fn moved_server_is_reconnected_at_new_address() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
     let write = b.begin_write(s, "query", "", "q");
--- a/crates/core/tests/observations.rs
+++ b/crates/core/tests/observations.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn failing_cold_and_draining_hosts_are_told_and_told_no_more_when_they_are_not() {
+fn server_observations_are_reported_and_withdrawn() {
     let mut bench = cluster();
     bench.pass(1.0);
     assert_eq!(told(&bench), None, "nothing to tell");
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn failures_in_a_row_are_told_and_a_success_ends_them() {
+fn failure_streak_is_reported_until_success() {
     let mut bench = cluster();
     let session = bench.open(1);
     for n in 0..6 {
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn what_peers_tell_reaches_the_module_with_its_age_unless_it_is_old_or_of_a_stranger() {
+fn fresh_peer_reports_reach_decision_module() {
     let mut bench = cluster();
     bench.machine.enable_trace();
     let sent = bench.now;
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn one_that_reaches_no_host_sends_callers_to_peers_at_once_and_is_not_ready() {
+fn unreachable_servers_redirect_callers_to_peers() {
     let mut bench = cluster();
     let links: Vec<_> = ["r1", "r2", "w1", "w2"].map(host_id).to_vec();
     for host in &links {
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn one_that_cannot_read_its_list_keeps_the_drains_that_any_peer_tells_of() {
+fn unreadable_list_drains_by_peer_reports() {
     let mut bench = cluster();
     let now = bench.now;
     let goes_to_r1 = |bench: &mut Bench, from: u32| {
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn below_the_cut_all_are_refused_at_once_and_nothing_is_sent() {
+fn requests_below_threshold_are_shed_unsent() {
     let mut bench = on();
     told(&mut bench, 48.0, 100.0, 1.0);
     let waits: Vec<f64> = (0..20)
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn what_was_told_ends_by_time_at_the_act_and_then_a_part_of_the_last_is_taken() {
+fn expired_threshold_admits_fraction_of_last_load() {
     let mut bench = on();
     told(&mut bench, 0.0, 100.0, 0.5);
     assert!((0..5).all(|n| asked(&mut bench, n).is_none()));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn an_attempt_that_repeats_work_needs_leave_and_a_write_after_its_read_does_not() {
+fn repeated_work_needs_retry_budget() {
     let mut bench = on();
     told(&mut bench, 0.1, 0.0, 1.0);
     assert!(
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn one_probes_for_all_and_passes_the_answer_on() {
+fn health_check_answer_is_shared_with_peers() {
     let mut bench = on();
     let host = bitternlatch_inventory::host_id("r1");
     bench.probes.clear();
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn without_the_table_nothing_is_told_or_refused() {
+fn load_shedding_is_off_without_its_table() {
     let mut bench = bench("");
     told(&mut bench, 48.0, 0.0, 60.0);
     bench.probes.clear();
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_host_on_trial_gets_as_many_as_its_leave_until_its_time_and_failures_in_a_row_are_told() {
+fn recovery_trial_bounds_attempts_until_expiry() {
     let bench = on_trial(1, 5);
     assert!(at(&bench, "r1").len() <= 1 && at(&bench, "r2").len() >= 4);
     assert!(at(&on_trial(0, 5), "r1").is_empty());
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_step_that_the_cut_refuses_costs_no_majority_s_word() {
+fn shed_step_sends_no_workflow_command() {
     let mut bench = bench("overload = {}\nworkflows = {}\n");
     let step = |bench: &mut Bench, number: u64, step: u32| {
         let session = bench.open(number);
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn without_a_word_of_its_peers_it_spends_carefully() {
+fn dispatcher_without_quorum_state_spends_unleased_quota() {
     let mut bench = cluster();
     // A tenth of a tenth: 10 tokens saved, one a second. A larger request is taken when that is full, and owed.
     spends(&mut bench, "a", 100);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn what_is_lent_is_spent_until_its_time_and_no_longer() {
+fn quota_lease_is_spent_until_expiry() {
     let mut bench = cluster();
     spends(&mut bench, "a", 101);
     // 191 owed. Half of the whole for two seconds, 51 a second, and then careful: 102 in all, and one a second after.
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_part_that_shrinks_does_so_at_once() {
+fn smaller_quota_lease_applies_at_once() {
     let mut bench = cluster();
     lend(&mut bench, 0.9, 100.0);
     bench.pass(20.0);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn one_that_is_cut_off_spends_carefully_though_its_part_would_count_for_a_while() {
+fn cut_off_dispatcher_spends_unleased_quota() {
     let mut bench = cluster();
     lend(&mut bench, 0.9, 100.0);
     bench.pass(20.0);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn nothing_is_lent_to_one_that_is_to_know_nobody() {
+fn quota_lease_without_cluster_is_ignored() {
     let settings = Settings::parse("test", &format!("{SETTINGS}{BUDGET}")).expect("settings");
     let mut bench = Bench::with(settings, 5);
     bench.step(Input::ServerList(four()));
--- a/crates/core/tests/request_path.rs
+++ b/crates/core/tests/request_path.rs
@@ -6,7 +6,7 @@
 use common::Bench;
 
 #[test]
-fn a_prompt_is_read_then_written_and_the_answer_streams_to_its_one_end() {
+fn prefill_then_decode_streams_one_final_answer() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
     let write = b.begin_write(s, "query", "", "a free Thursday hall?");
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_follow_up_goes_on_from_the_first_answer_and_an_unknown_one_is_an_error() {
+fn follow_up_continues_known_response() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
     let write = b.begin_write(s, "query", "", "first");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_dropped_client_is_attached_to_its_running_booking_which_runs_once() {
+fn reconnected_client_attaches_to_running_request() {
     let mut b = Bench::ready(1);
     let first = b.open(1);
     let write = b.begin_write(first, "booking", "k1", "the season");
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_booking_that_broke_is_a_failure_however_often_it_is_asked_for() {
+fn broken_unsafe_request_stays_failed_on_repeat() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
     let write = b.begin_write(s, "booking", "k1", "the season");
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_query_whose_client_left_is_cancelled_and_forgotten() {
+fn safe_request_is_cancelled_when_client_disconnects() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
     b.ask(s, "query", "k1", "a hall?");
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn bad_messages_cost_one_error_each_and_nothing_else() {
+fn each_bad_message_gets_one_error() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
     let write = b.begin_write(s, "query", "", "good");
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn bounds_on_requests_a_session_and_on_sessions() {
+fn requests_per_session_and_sessions_are_bounded() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
     for i in 0..5 {
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn prompts_in_hand_are_bounded_together_and_the_bound_is_given_back() {
+fn total_prompt_bytes_are_bounded_and_released() {
     let mut settings = common::settings();
     settings.requests.total_prompt_bytes = 1024;
     let mut b = Bench::with(settings, 1);
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn a_client_may_cancel_its_own_response_alone() {
+fn client_cancels_only_its_own_response() {
     let mut b = Bench::ready(1);
     let (s, other) = (b.open(1), b.open(2));
     b.ask(s, "query", "", "q");
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn a_stop_refuses_what_is_new_answers_what_is_in_hand_and_then_ends() {
+fn stop_rejects_new_and_finishes_in_flight() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
     let write = b.begin_write(s, "query", "", "in hand");
--- a/crates/core/tests/workflows.rs
+++ b/crates/core/tests/workflows.rs
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn nothing_leaves_before_the_intent_is_held_and_no_end_is_said_before_the_result_is() {
+fn step_is_sent_after_intent_and_answered_after_result() {
     let mut bench = bench(true);
     let s = bench.open(1);
     step(&mut bench, s, "booking", "4");
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_step_that_is_done_is_answered_and_no_host_is_asked_and_a_refusal_is_said_in_its_words() {
+fn completed_step_is_answered_without_server() {
     let mut bench = bench(true);
     let s = bench.open(1);
     step(&mut bench, s, "booking", "4");
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn one_that_stood_still_between_permission_and_act_sends_no_effect() {
+fn expired_send_permission_is_not_used() {
     let mut bench = bench(true);
     let s = bench.open(1);
     step(&mut bench, s, "booking", "4");
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn an_answer_whose_result_is_not_held_fails_honestly_and_a_fenced_one_says_so() {
+fn undurable_result_fails_request() {
     let mut bench = bench(true);
     for (s, told, wanted) in [
         (1, None, "server_error"),
@@ -369,7 +369,7 @@
 }
 
 #[test]
-fn a_step_goes_on_without_its_worker_and_who_asks_again_is_attached() {
+fn repeated_step_attaches_to_running_attempt() {
     let mut bench = bench(true);
     let (a, b) = (bench.open(1), bench.open(2));
     let write = written(&mut bench, a, "booking");
@@ -409,7 +409,7 @@
 }
 
 #[test]
-fn where_workflows_are_off_their_fields_are_echoed_and_nothing_more() {
+fn workflow_fields_are_echoed_where_disabled() {
     let mut bench = bench(false);
     let s = bench.open(1);
     say(&mut bench, s, "booking", &[("workflow_do", "dance")]);
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn a_record_with_steps_replays_alike() {
+fn record_with_workflow_steps_replays() {
     let (mut bench, mut entries) = (bench(true), vec![]);
     let settings = text(true);
     entries.push(Entry::Start {
--- a/crates/inventory/tests/lists.rs
+++ b/crates/inventory/tests/lists.rs
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_list_counts_when_it_is_whole_and_has_settled() {
+fn list_is_taken_once_complete_and_stable() {
     let mut good = LastGood::default();
     assert!(matches!(good.offer("h.csv", CSV), Offer::Taken(d) if d.added.len() == 2));
     let second = CSV.replace("9001", "9009") + "box-9,127.0.0.1,9003,reader,a,pos,1,ready,\n";
--- a/crates/protocol/src/workflow/tests.rs
+++ b/crates/protocol/src/workflow/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn each_wish_needs_its_own_fields_and_no_others() {
+fn each_operation_needs_its_own_fields() {
     let of = |pairs: &[(&str, &str)]| read(&meta(pairs));
     let about = |does| {
         Ok(Some(About {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_claim_is_told_in_the_stated_form() {
+fn claim_answer_keeps_its_json() {
     let step = |number, fate, result: Option<&str>| ClaimedStep {
         number,
         effect: StepEffect::Unsafe,
--- a/crates/protocol/tests/faults.rs
+++ b/crates/protocol/tests/faults.rs
@@ -3,7 +3,7 @@
 use bitternlatch_protocol::client::parse;
 
 #[test]
-fn a_wrong_value_is_told_by_its_field_and_broken_json_as_such() {
+fn bad_request_names_its_field() {
     let good = r#""type":"response.create","model":"m","input":"x""#;
     for (text, code, param) in [
         (
