--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -45,8 +45,11 @@
 /// One event that the decision module took and what it answered, for programs that check it elsewhere.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Traced {
+    /// Clock time, seconds.
     pub now_s: f64,
+    /// The event that the decision module was given.
     pub event: Event,
+    /// Its actions, in order.
     pub actions: Vec<Action>,
 }
 
@@ -69,13 +72,18 @@
     }
 }
 
-/// How full the machine is.
+/// Sizes of the machine's tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
+    /// Open client sessions.
     pub sessions: usize,
+    /// Requests in the table, answered ones included whose attempt has not ended.
     pub requests: usize,
+    /// Listed model servers.
     pub servers: usize,
+    /// Connections to model servers that have greeted.
     pub open_links: usize,
+    /// Idempotency keys known.
     pub keys: usize,
 }
 
@@ -118,7 +126,7 @@
 }
 
 impl Machine {
-    /// A dispatcher that knows nothing yet. The seed is the only source of chance, and names the run.
+    /// A dispatcher without servers, sessions or requests. The seed is the only source of randomness, and identifies the run.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let limits = &settings.requests;
@@ -163,15 +171,17 @@
         Xoshiro256PlusPlus::seed_from_u64(seed).next_u64()
     }
 
-    /// Keeps from now on what the decision module is told and answers, for [`Machine::take_trace`].
+    /// Keeps the decision module's events and actions from now on, for [`Machine::take_trace`].
     pub fn enable_trace(&mut self) {
         self.trace = Some(Vec::new());
     }
 
+    /// The trace since the last call; empty unless [`Machine::enable_trace`] was called.
     pub fn take_trace(&mut self) -> Vec<Traced> {
         self.trace.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
+    /// Sizes of the machine's tables now.
     pub fn counts(&self) -> Counts {
         Counts {
             sessions: self.sessions.len(),
@@ -182,12 +192,12 @@
         }
     }
 
-    /// When the next [`Input::Tick`] is due at the latest.
+    /// When the next [`Input::Tick`] is due at the latest; none where no timer is set.
     pub fn next_wake(&self) -> Option<Micros> {
         self.timers.next()
     }
 
-    /// Takes one input at clock time `now` and appends what is to be done, in order. Timers that are due act first.
+    /// Takes one input at clock time `now` and appends the actions that follow, in order. Timers that are due run first.
     pub fn step(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         if !self.sweeping {
             self.sweeping = true;
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -20,13 +20,23 @@
 const MAX_BLOCK_BYTES: u32 = 64 << 20;
 const LEVEL: i32 = 1;
 
+/// One entry of a record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
     /// The first entry: what the machine was made from.
-    Start { settings: String, seed: u64 },
+    Start {
+        /// The settings file (TOML).
+        settings: String,
+        /// Seed of the machine.
+        seed: u64,
+    },
+    /// One call of [`Machine::step`].
     Step {
+        /// Clock time of the step.
         at: Micros,
+        /// Its input.
         input: Input,
+        /// Its outputs, in order.
         outputs: Vec<Output>,
     },
 }
@@ -34,14 +44,24 @@
 /// Why a record cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
+    /// The file cannot be read or written: look at its path, permissions and disk.
     #[error("reading or writing failed: {0}")]
     Io(#[from] io::Error),
+    /// Another file, or a record of another version: replay it with the program that wrote it. Holds the first bytes.
     #[error("not a record of this version: it begins with {0:02x?}")]
     Magic(Vec<u8>),
+    /// A block in the middle is damaged: the file was changed or the disk is faulty.
     #[error("block at byte {at}: {cause}")]
-    Block { at: u64, cause: String },
+    Block {
+        /// Byte at which the block begins.
+        at: u64,
+        /// What is wrong with it.
+        cause: String,
+    },
+    /// An entry is missing or out of order: the file was put together from others.
     #[error("the record does not begin with its settings")]
     NoStart,
+    /// The settings in it are not those of this version.
     #[error("the record's settings: {0}")]
     Settings(#[from] SettingsError),
 }
@@ -65,6 +85,10 @@
         })
     }
 
+    /// Adds an entry; a block is written once enough entries are gathered.
+    ///
+    /// # Errors
+    /// Where the sink fails.
     pub fn put(&mut self, entry: &Entry) -> io::Result<()> {
         serde_json::to_writer(&mut self.lines, entry)?;
         self.lines.push(b'\n');
@@ -79,7 +103,10 @@
         self.sink
     }
 
-    /// Writes what is gathered as a block.
+    /// Writes the gathered entries as a block.
+    ///
+    /// # Errors
+    /// Where the sink fails.
     pub fn flush(&mut self) -> io::Result<()> {
         if self.lines.is_empty() {
             return Ok(());
@@ -99,6 +126,7 @@
 /// All entries of a record, and what was cut from its end.
 #[derive(Debug)]
 pub struct Recorded {
+    /// Every entry of the complete blocks, in order.
     pub entries: Vec<Entry>,
     /// Bytes of a torn last block.
     pub torn_bytes: u64,
@@ -186,21 +214,28 @@
 pub struct Difference {
     /// Number of the step, from 1, and its clock time.
     pub step: usize,
+    /// Clock time of the step.
     pub at: Micros,
+    /// Input of the step.
     pub input: Input,
     /// Number of the output within the step, from 1.
     pub output: usize,
+    /// The recorded output; none where the replay has more.
     pub recorded: Option<Output>,
+    /// The replayed output; none where the record has more.
     pub replayed: Option<Output>,
 }
 
 /// What a replay found.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Replay {
+    /// Steps replayed, the one that differs included.
     pub steps: usize,
+    /// Outputs of these steps.
     pub outputs: usize,
+    /// The first difference; none where the replay is equal.
     pub difference: Option<Difference>,
-    /// What the decision module was told and answered, where asked for.
+    /// The decision module's events and actions, where the trace was asked for.
     pub trace: Vec<Traced>,
 }
 
--- a/crates/core/src/settings/cluster.rs
+++ b/crates/core/src/settings/cluster.rs
@@ -37,9 +37,11 @@
     pub workflows: Option<bitternlatch_workflow::Settings>,
 }
 
+/// One dispatcher of the cluster.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
+    /// Its name in its own settings.
     pub name: String,
     /// For datagrams and TCP, IPv4.
     pub address: SocketAddrV4,
--- /dev/null
+++ b/crates/core/src/settings/endpoints.rs
@@ -0,0 +1,178 @@
+//! What a dispatcher connects to and listens at: clients, model servers, files, the quota server.
+
+use serde::Deserialize;
+
+use super::defaults;
+
+/// The clients' side. Times in seconds.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Listen {
+    /// `address:port` to listen at.
+    pub address: String,
+    /// Most sessions open at once.
+    #[serde(default = "defaults::sessions")]
+    pub sessions: usize,
+    /// Most requests in flight in one session.
+    #[serde(default = "defaults::session_requests")]
+    pub session_requests: usize,
+    /// Longest message of a client.
+    #[serde(default = "defaults::message_bytes")]
+    pub message_bytes: usize,
+    /// Time limit of a handshake.
+    #[serde(default = "defaults::handshake_s")]
+    pub handshake_s: f64,
+    /// A session without any message for so long is closed.
+    #[serde(default = "defaults::idle_s")]
+    pub idle_s: f64,
+    /// Interval between pings.
+    #[serde(default = "defaults::ping_s")]
+    pub ping_s: f64,
+    /// Messages that may wait to be written to one client; past it the session is closed.
+    #[serde(default = "defaults::client_queue")]
+    pub queue_messages: usize,
+    /// Most connections in their handshake; past it the oldest of the most crowded address is closed.
+    #[serde(default = "defaults::handshakes")]
+    pub handshakes: usize,
+    /// Without it clients connect in plain text.
+    pub tls: Option<ListenTls>,
+}
+
+/// TLS for clients. Files are PEM, relative to the settings file, and taken anew while serving.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct ListenTls {
+    /// The dispatcher's own chain, and its key.
+    pub certificate: String,
+    /// The private key of the certificate.
+    pub key: String,
+    /// Authorities of clients' certificates.
+    pub clients: Option<String>,
+    /// Whether a client without a certificate is rejected in the handshake.
+    #[serde(default)]
+    pub clients_required: bool,
+    /// Lists of revoked client certificates (CRL).
+    #[serde(default)]
+    pub revoked: Vec<String>,
+}
+
+/// TLS for connections to model servers, each of which has to prove its listed name.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct EnginesTls {
+    /// Authorities of the servers' certificates.
+    pub authorities: String,
+    /// The dispatcher's client certificate.
+    pub certificate: Option<String>,
+    /// Its private key.
+    pub key: Option<String>,
+}
+
+/// The model servers' side. Times in seconds.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct Engines {
+    /// Time limit to connect and upgrade.
+    pub connect_s: f64,
+    /// Time limit from the upgrade to the greeting.
+    pub greet_s: f64,
+    /// Longest message of a model server.
+    pub message_bytes: usize,
+    /// Messages that may wait to be written to one server; past it the link is closed.
+    pub queue_messages: usize,
+    /// Interval between pings.
+    pub ping_s: f64,
+    /// Without it connections are in plain text.
+    pub tls: Option<EnginesTls>,
+}
+
+impl Default for Engines {
+    fn default() -> Self {
+        Engines {
+            connect_s: 1.0,
+            greet_s: 1.0,
+            message_bytes: 1 << 20,
+            queue_messages: 4096,
+            ping_s: 2.0,
+            tls: None,
+        }
+    }
+}
+
+/// Where the list of model servers is read from.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Inventory {
+    /// CSV or Ansible YAML; relative to the settings file.
+    pub file: String,
+    /// Seconds between two reads.
+    #[serde(default = "defaults::reread_s")]
+    pub reread_s: f64,
+}
+
+/// Authentication of callers: tokens, the keys that sign them, and access rights. Files are relative to the settings file.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Identity {
+    /// Required issuer of tokens; not empty where `keys` is set.
+    #[serde(default)]
+    pub issuer: String,
+    /// Required audience of tokens; not empty where `keys` is set.
+    #[serde(default)]
+    pub audience: String,
+    /// Clock skew that is tolerated, seconds.
+    #[serde(default = "defaults::skew_s")]
+    pub skew_s: u64,
+    /// A JWKS document: a file, or an `http://` address. Without one no token counts, client certificates alone do.
+    pub keys: Option<String>,
+    /// Where the last good key set is cached for a restart.
+    #[serde(rename = "kept")]
+    pub cache_file: Option<String>,
+    /// File of the access rights.
+    pub rights: String,
+    /// Seconds between two fetches of the key set.
+    #[serde(default = "defaults::refresh_s")]
+    pub refresh_s: f64,
+    /// For how long the last good key set is valid, seconds.
+    #[serde(default = "defaults::keep_s")]
+    #[serde(rename = "keep_s")]
+    pub cache_lifetime_s: f64,
+}
+
+/// The quota server that leases tenants' rates and receives charges.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct QuotaServer {
+    /// Its `address:port`.
+    pub address: String,
+}
+
+/// The journal of charges.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct ChargeJournal {
+    /// A file of this dispatcher's own; relative to the settings file.
+    pub file: String,
+}
+
+/// The record for replay.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct RecordFile {
+    /// Where inputs and outputs are recorded; written anew at each start.
+    pub file: String,
+}
+
+/// Graceful shutdown.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct Stop {
+    /// Longest time from SIGTERM to the end of the process, seconds.
+    pub within_s: f64,
+}
+
+impl Default for Stop {
+    fn default() -> Self {
+        Stop { within_s: 30.0 }
+    }
+}
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -61,10 +61,12 @@
         self.due.insert((at, self.set), timer);
     }
 
+    /// Timers that are set.
     pub fn len(&self) -> usize {
         self.due.len()
     }
 
+    /// Whether no timer is set.
     pub fn is_empty(&self) -> bool {
         self.due.is_empty()
     }
