--- a/crates/connection-limits/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -1,93 +1,105 @@
-//! Decisions on connections that are not sessions yet. No I/O; ids and addresses are given.
+//! Which connections may be in their handshake at once. No I/O: the caller opens and closes the sockets.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
 /// One connection in its handshake; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Visitor(pub u64);
+pub struct HandshakeId(pub u64);
 
-/// Connections whose handshake is not done, within a bound.
+/// What became of a new connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Admission {
+    /// Id of the new connection.
+    pub admitted: HandshakeId,
+    /// The connection that the caller has to close for it.
+    pub evicted: Option<HandshakeId>,
+}
+
+/// Connections whose handshake is not complete, up to a capacity.
 ///
-/// When the bound is met, a new one is let in for another that is sent away: the one that has waited longest of the address that
-/// has the most here. So an address that opens many and says nothing displaces its own, and those of others get
-/// their time; where one address alone comes, the oldest, which has had the most time, goes.
+/// At the capacity a new connection evicts the oldest one of the address that has the most. So an address that opens
+/// many connections and sends nothing evicts its own, and other addresses get their time. Where all are of one
+/// address, the oldest goes, which has had the most time.
 #[derive(Debug)]
 pub struct Handshakes {
-    most: usize,
-    /// By order of coming.
-    inside: BTreeMap<Visitor, IpAddr>,
+    capacity: usize,
+    /// In order of arrival.
+    pending: BTreeMap<HandshakeId, IpAddr>,
     by_address: BTreeMap<IpAddr, usize>,
-    next: u64,
-    sent_away: u64,
+    next_id: u64,
+    evictions: u64,
 }
 
 impl Handshakes {
-    /// With room for so many; one at the least.
-    pub fn new(most: usize) -> Handshakes {
+    /// For up to this many at once; one at the least.
+    pub fn new(capacity: usize) -> Handshakes {
         Handshakes {
-            most: most.max(1),
-            inside: BTreeMap::new(),
+            capacity: capacity.max(1),
+            pending: BTreeMap::new(),
             by_address: BTreeMap::new(),
-            next: 0,
-            sent_away: 0,
+            next_id: 0,
+            evictions: 0,
         }
     }
 
-    /// Lets one in; also gives the one that has to go for it.
-    pub fn enter(&mut self, address: IpAddr) -> (Visitor, Option<Visitor>) {
-        let gone = if self.inside.len() >= self.most {
-            self.displaced(address)
+    /// Admits a new connection, which may evict another.
+    pub fn admit(&mut self, address: IpAddr) -> Admission {
+        let evicted = if self.pending.len() >= self.capacity {
+            self.eviction_candidate(address)
         } else {
             None
         };
-        if let Some(gone) = gone {
-            self.leave(gone);
-            self.sent_away += 1;
+        if let Some(evicted) = evicted {
+            self.remove(evicted);
+            self.evictions += 1;
         }
-        let visitor = Visitor(self.next);
-        self.next += 1;
-        self.inside.insert(visitor, address);
+        let admitted = HandshakeId(self.next_id);
+        self.next_id += 1;
+        self.pending.insert(admitted, address);
         *self.by_address.entry(address).or_default() += 1;
-        (visitor, gone)
+        Admission { admitted, evicted }
     }
 
-    /// The oldest of the address that would have the most, the newcomer counted.
-    fn displaced(&self, newcomer: IpAddr) -> Option<Visitor> {
-        let weight =
-            |(address, n): (&IpAddr, &usize)| (n + usize::from(*address == newcomer), *address);
-        let (_, crowd) = self.by_address.iter().map(weight).max()?;
-        self.inside
+    /// The oldest connection of the address that would have the most, the new one counted.
+    fn eviction_candidate(&self, newcomer: IpAddr) -> Option<HandshakeId> {
+        let weight = |(address, count): (&IpAddr, &usize)| {
+            (count + usize::from(*address == newcomer), *address)
+        };
+        let (_, crowded) = self.by_address.iter().map(weight).max()?;
+        self.pending
             .iter()
-            .find(|(_, a)| **a == crowd)
-            .map(|(v, _)| *v)
+            .find(|(_, address)| **address == crowded)
+            .map(|(id, _)| *id)
     }
 
-    /// Its handshake has ended, one way or another; false where it had been sent away before.
-    pub fn leave(&mut self, visitor: Visitor) -> bool {
-        let Some(address) = self.inside.remove(&visitor) else {
+    /// Removes a connection whose handshake is complete or has failed; false where it had been evicted before.
+    pub fn remove(&mut self, id: HandshakeId) -> bool {
+        let Some(address) = self.pending.remove(&id) else {
             return false;
         };
-        if let Some(n) = self.by_address.get_mut(&address) {
-            *n -= 1;
-            if *n == 0 {
+        if let Some(count) = self.by_address.get_mut(&address) {
+            *count -= 1;
+            if *count == 0 {
                 self.by_address.remove(&address);
             }
         }
         true
     }
 
+    /// Connections in their handshake now.
     pub fn len(&self) -> usize {
-        self.inside.len()
+        self.pending.len()
     }
 
+    /// Whether no connection is in its handshake.
     pub fn is_empty(&self) -> bool {
-        self.inside.is_empty()
+        self.pending.is_empty()
     }
 
-    /// Sent away since the start, for logs.
-    pub fn sent_away(&self) -> u64 {
-        self.sent_away
+    /// Connections evicted since the start, for logs.
+    pub fn evictions(&self) -> u64 {
+        self.evictions
     }
 }
 
--- a/crates/connection-limits/src/tests.rs
+++ b/crates/connection-limits/src/tests.rs
@@ -6,28 +6,29 @@
 
 #[test]
 fn crowded_address_evicts_its_own_oldest() {
-    let mut room = Handshakes::new(4);
-    let (quiet, _) = room.enter(ip(1));
-    let crowd: Vec<Visitor> = (0..3).map(|_| room.enter(ip(2)).0).collect();
+    let mut handshakes = Handshakes::new(4);
+    let quiet = handshakes.admit(ip(1)).admitted;
+    let crowd: Vec<HandshakeId> = (0..3).map(|_| handshakes.admit(ip(2)).admitted).collect();
     for oldest in &crowd {
-        assert_eq!(room.enter(ip(2)).1, Some(*oldest));
+        assert_eq!(handshakes.admit(ip(2)).evicted, Some(*oldest));
     }
     assert_eq!(
-        room.enter(ip(3)).1.map(|v| v > crowd[2]),
+        handshakes.admit(ip(3)).evicted.map(|id| id > crowd[2]),
         Some(true),
         "the crowd's own again"
     );
-    assert!(room.leave(quiet), "the quiet one was left alone");
-    assert!(!room.leave(crowd[0]), "one that was sent away has left");
-    assert_eq!((room.len(), room.sent_away()), (3, 4));
+    assert!(handshakes.remove(quiet), "the quiet one was left alone");
+    assert!(!handshakes.remove(crowd[0]), "an evicted one is gone");
+    assert_eq!((handshakes.len(), handshakes.evictions()), (3, 4));
 }
 
 #[test]
 fn nothing_is_evicted_below_capacity() {
-    let mut room = Handshakes::new(100);
+    let mut handshakes = Handshakes::new(100);
     for i in 0..1000u64 {
-        let (_, gone) = room.enter(ip((i % 7) as u8));
-        assert_eq!(gone.is_some(), i >= 100, "{i}");
-        assert!(room.len() <= 100 && room.by_address.values().sum::<usize>() == room.len());
+        let evicted = handshakes.admit(ip((i % 7) as u8)).evicted;
+        assert_eq!(evicted.is_some(), i >= 100, "{i}");
+        let by_address: usize = handshakes.by_address.values().sum();
+        assert!(handshakes.len() <= 100 && by_address == handshakes.len());
     }
 }
--- a/crates/net/src/accept.rs
+++ b/crates/net/src/accept.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use bitternlatch_connection_limits::{Handshakes, Visitor};
+use bitternlatch_connection_limits::{HandshakeId, Handshakes};
 use bitternlatch_identity::Caller;
 use tungstenite::protocol::Role;
 
@@ -165,7 +165,7 @@
 
 /// Connections in their handshake, and how to cut them.
 struct Room {
-    inside: Mutex<(Handshakes, BTreeMap<Visitor, TcpStream>)>,
+    inside: Mutex<(Handshakes, BTreeMap<HandshakeId, TcpStream>)>,
 }
 
 impl Room {
@@ -175,24 +175,24 @@
         }
     }
 
-    fn enter(&self, address: SocketAddr, handle: TcpStream) -> Visitor {
+    fn enter(&self, address: SocketAddr, handle: TcpStream) -> HandshakeId {
         let mut inside = lock(&self.inside);
-        let (visitor, gone) = inside.0.enter(address.ip());
-        if let Some(stream) = gone.and_then(|g| inside.1.remove(&g)) {
+        let admission = inside.0.admit(address.ip());
+        if let Some(stream) = admission.evicted.and_then(|id| inside.1.remove(&id)) {
             let _ = stream.shutdown(std::net::Shutdown::Both);
-            let sent_away = inside.0.sent_away();
+            let sent_away = inside.0.evictions();
             if sent_away.is_power_of_two() {
                 tracing::warn!(sent_away, "handshakes are cut: more at once than may be");
             }
         }
-        inside.1.insert(visitor, handle);
-        visitor
+        inside.1.insert(admission.admitted, handle);
+        admission.admitted
     }
 
-    fn leave(&self, visitor: Visitor) {
+    fn leave(&self, handshake: HandshakeId) {
         let mut inside = lock(&self.inside);
-        inside.0.leave(visitor);
-        inside.1.remove(&visitor);
+        inside.0.remove(handshake);
+        inside.1.remove(&handshake);
     }
 }
 
