--- a/crates/core/src/actions.rs
+++ b/crates/core/src/actions.rs
@@ -392,7 +392,7 @@
                 if self.load_shedding.max_in_flight(now, server).is_some() {
                     let sight = Observation::Failing;
                     self.events.push_back(Event::PeerReport {
-                        server: server,
+                        server,
                         observation: sight,
                         reporters: 2,
                         peers: 2,
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -79,10 +79,7 @@
                 closing: false,
             },
         );
-        LinkId {
-            server: server,
-            epoch,
-        }
+        LinkId { server, epoch }
     }
 
     fn current(&mut self, link: LinkId) -> Option<&mut Link> {
@@ -150,7 +147,7 @@
     pub(crate) fn open(&self, server: ServerId) -> Option<LinkId> {
         let l = self.links.get(&server).filter(|l| l.stage == Stage::Open)?;
         Some(LinkId {
-            server: server,
+            server,
             epoch: l.epoch,
         })
     }
@@ -160,7 +157,7 @@
             return EnqueueResult::NotConnected;
         };
         let link = LinkId {
-            server: server,
+            server,
             epoch: l.epoch,
         };
         match l.stage {
@@ -198,7 +195,7 @@
         let l = self.links.get_mut(&server)?;
         l.closing = true;
         let link = LinkId {
-            server: server,
+            server,
             epoch: l.epoch,
         };
         match (&l.stage, busy) {
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -389,14 +389,7 @@
             Timer::Deadline { request } => self.on_deadline(now, request, out),
             Timer::Stall { request } => self.on_stall(now, request, out),
             Timer::Probe { id } => self.end_probe(now, id, Outcome::TimedOut, Vec::new()),
-            Timer::Link { server, epoch } => self.on_link_time(
-                now,
-                LinkId {
-                    server: server,
-                    epoch,
-                },
-                out,
-            ),
+            Timer::Link { server, epoch } => self.on_link_time(now, LinkId { server, epoch }, out),
             Timer::Caller { session } => self.on_credential_expiry(now, session),
             Timer::Sweep => self.sweep(now, out),
             Timer::BudgetLeases => self.request_budget_leases(now, out),
