--- a/crates/core/src/contexts.rs
+++ b/crates/core/src/contexts.rs
@@ -20,7 +20,7 @@
 /// Bounded by bytes and age; at the bound the oldest is let go, and a client that names it is told that it is not
 /// found.
 pub(crate) struct Contexts {
-    most_bytes: usize,
+    max_bytes: usize,
     bytes: usize,
     kept: BTreeMap<String, (u64, Context)>,
     order: BTreeMap<u64, String>,
@@ -28,9 +28,9 @@
 }
 
 impl Contexts {
-    pub(crate) fn new(most_bytes: usize) -> Self {
+    pub(crate) fn new(max_bytes: usize) -> Self {
         Contexts {
-            most_bytes,
+            max_bytes,
             bytes: 0,
             kept: BTreeMap::new(),
             order: BTreeMap::new(),
@@ -46,7 +46,7 @@
     }
 
     pub(crate) fn keep(&mut self, id: &str, context: Context) {
-        if context.text.len() > self.most_bytes {
+        if context.text.len() > self.max_bytes {
             return;
         }
         self.bytes += context.text.len();
@@ -56,7 +56,7 @@
             self.bytes -= old.text.len();
             self.order.remove(&turn);
         }
-        while self.bytes > self.most_bytes && self.drop_oldest() {}
+        while self.bytes > self.max_bytes && self.drop_oldest() {}
     }
 
     /// Lets go of what is older than a time.
@@ -80,36 +80,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn context(text: &str, at: u64) -> Context {
-        Context {
-            tenant: 1,
-            owner: "ann".to_string(),
-            conversation: 7,
-            text: text.to_string(),
-            at: Micros(at),
-        }
-    }
-
-    #[test]
-    fn the_oldest_goes_at_the_bound_and_by_age() {
-        let mut kept = Contexts::new(10);
-        kept.keep("a", context("12345", 1));
-        kept.keep("b", context("12345", 2));
-        assert!(
-            kept.find("a", 1, "ann").is_some() && kept.find("a", 2, "ann").is_none(),
-            "its own tenant's alone"
-        );
-        assert!(
-            kept.find("a", 1, "eve").is_none(),
-            "found by its own caller alone"
-        );
-        kept.keep("c", context("1", 3));
-        assert!(kept.find("a", 1, "ann").is_none() && kept.find("b", 1, "ann").is_some());
-        kept.sweep(Micros(3));
-        assert!(kept.find("b", 1, "ann").is_none() && kept.find("c", 1, "ann").is_some());
-        assert_eq!(kept.bytes, 1);
-    }
-}
+mod tests;
--- a/crates/core/tests/any_order.rs
+++ b/crates/core/tests/any_order.rs
@@ -1,4 +1,4 @@
-//! Hosts that answer, fail, fall silent and reset in any order: the rules hold for every seed.
+//! Servers that answer, fail, fall silent and reset in any order: the rules hold for every seed.
 mod common;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -24,9 +24,9 @@
     entries: Vec<Entry>,
     open: Vec<LinkId>,
     dialled: Vec<LinkId>,
-    /// Completions at hosts: link, id, whether it reads, the text asked.
+    /// Completions at servers: link, id, whether it reads, the text asked.
     out: Vec<(LinkId, String, bool, String)>,
-    /// Times that a booking was told to a writer and not turned away.
+    /// Times that a booking was told to a writer and not rejected.
     runs: BTreeMap<String, BTreeSet<String>>,
     states: BTreeMap<String, LinkId>,
     sessions: BTreeSet<SessionId>,
@@ -36,7 +36,7 @@
     by_response: BTreeMap<(SessionId, String), String>,
     after: u32,
     next: u64,
-    /// Requests are steps of workflows, one step each; the machine beside the plane is played in order, with losses.
+    /// Requests are steps of workflows, one step each; the workflow coordinator is played in order, with losses.
     steps: bool,
     asks: VecDeque<Command>,
     /// What is known of each step, and until when it may leave.
@@ -416,7 +416,7 @@
         }
     }
 
-    /// A host that has begun an answer does not turn it away any more.
+    /// A server that has begun an answer does not turn it away any more.
     fn turned_away(&mut self, prompt: &str, id: &str) {
         if let Some(runs) = self.runs.get_mut(prompt) {
             runs.remove(id);
@@ -492,7 +492,7 @@
 }
 
 #[test]
-fn each_taken_request_ends_once_no_booking_runs_twice_and_no_state_is_left() {
+fn random_order_keeps_request_invariants() {
     for seed in 0..300 {
         let chaos = run(seed);
         assert!(
@@ -505,7 +505,7 @@
 }
 
 #[test]
-fn steps_of_workflows_end_once_and_leave_only_while_permitted_whatever_is_lost() {
+fn random_order_keeps_workflow_invariants() {
     let mut done = 0;
     for seed in 0..150 {
         let chaos = run_with(seed, true);
@@ -538,7 +538,7 @@
 }
 
 #[test]
-fn a_record_replays_alike_and_a_changed_output_is_named() {
+fn replay_names_changed_output() {
     let chaos = run(7);
     let recorded = read(written(&chaos.entries).as_slice()).expect("a good record");
     assert_eq!(
@@ -567,7 +567,7 @@
 }
 
 #[test]
-fn a_torn_record_is_read_to_its_last_whole_block_and_a_damaged_one_is_named() {
+fn torn_record_is_cut_and_damaged_block_is_named() {
     let chaos = run(3);
     let many: Vec<Entry> = std::iter::repeat_n(&chaos.entries, 3)
         .flatten()
