--- a/crates/routing-settings/src/facts.rs
+++ b/crates/routing-settings/src/facts.rs
@@ -1,22 +1,14 @@
-//! Settings as path=value pairs, whatever form they came in.
+//! Settings as pairs of a path and a value, whatever form they came in.
 
 use std::collections::BTreeMap;
 
+use crate::error::{Result, SettingsError};
 use serde_json::Value;
-use thiserror::Error;
 
-/// What is wrong with the settings, and where.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{0}")]
-pub struct SettingsError(pub String);
+/// Largest number that [`Facts::count`] takes.
+const MAX_COUNT: f64 = 65_535.0;
 
-pub(crate) type Result<T> = std::result::Result<T, SettingsError>;
-
-pub(crate) fn bad<T>(what: impl Into<String>) -> Result<T> {
-    Err(SettingsError(what.into()))
-}
-
-/// The start settings as path=value pairs.
+/// The start settings as pairs of a path and a value.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Facts(BTreeMap<String, String>);
 
@@ -26,18 +18,17 @@
     /// # Errors
     /// A line without `=`.
     pub fn from_lines(text: &str) -> Result<Self> {
-        let mut map = BTreeMap::new();
-        for (i, line) in text
-            .lines()
-            .enumerate()
-            .filter(|(_, l)| !l.trim().is_empty())
-        {
-            match line.split_once('=') {
-                Some((k, v)) => map.insert(k.trim().to_string(), v.trim().to_string()),
-                None => return bad(format!("settings line {} has no '='", i + 1)),
+        let mut values = BTreeMap::new();
+        for (index, line) in text.lines().enumerate() {
+            if line.trim().is_empty() {
+                continue;
+            }
+            let Some((key, value)) = line.split_once('=') else {
+                return Err(SettingsError::NoValue { line: index + 1 });
             };
+            values.insert(key.trim().to_string(), value.trim().to_string());
         }
-        Ok(Facts(map))
+        Ok(Facts(values))
     }
 
     /// From nested JSON, flattened to the names that the wire uses: lists of plain values are joined by commas,
@@ -47,7 +38,7 @@
     /// Settings that are no object.
     pub fn from_json(value: &Value) -> Result<Self> {
         let Value::Object(fields) = value else {
-            return bad("the settings are no object");
+            return Err(SettingsError::NotAnObject);
         };
         let mut facts = Facts::default();
         for (key, value) in fields {
@@ -60,85 +51,115 @@
         match value {
             Value::Null => {}
             Value::Object(fields) => {
-                fields
-                    .iter()
-                    .for_each(|(key, v)| self.flatten(&format!("{path}.{key}"), v));
+                for (key, value) in fields {
+                    self.flatten(&format!("{path}.{key}"), value);
+                }
             }
             Value::Array(items) if items.iter().any(Value::is_object) => {
-                self.0
-                    .insert(format!("{path}.count"), items.len().to_string());
-                items
-                    .iter()
-                    .enumerate()
-                    .for_each(|(i, v)| self.flatten(&format!("{path}.{i}"), v));
+                self.insert(format!("{path}.count"), items.len().to_string());
+                for (index, item) in items.iter().enumerate() {
+                    self.flatten(&format!("{path}.{index}"), item);
+                }
             }
             Value::Array(items) => {
-                let joined: Vec<String> = items.iter().map(plain).collect();
-                self.0.insert(path.to_string(), joined.join(","));
-            }
-            other => {
-                self.0.insert(path.to_string(), plain(other));
+                let joined: Vec<String> = items.iter().map(plain_value).collect();
+                self.insert(path.to_string(), joined.join(","));
             }
+            other => self.insert(path.to_string(), plain_value(other)),
         }
     }
 
+    fn insert(&mut self, key: String, value: String) {
+        self.0.insert(key, value);
+    }
+
+    /// The value of a key.
     pub(crate) fn get(&self, key: &str) -> Option<&str> {
         self.0.get(key).map(String::as_str)
     }
 
+    /// The value of a key that has no default.
     pub(crate) fn text(&self, key: &str) -> Result<&str> {
-        self.get(key)
-            .ok_or_else(|| SettingsError(format!("setting {key} is missing")))
+        self.get(key).ok_or_else(|| SettingsError::Missing {
+            key: key.to_string(),
+        })
     }
 
+    /// A finite number, or its default.
     pub(crate) fn number_or(&self, key: &str, default: f64) -> Result<f64> {
-        self.get(key).map_or(Ok(default), |v| number(key, v))
+        self.get(key)
+            .map_or(Ok(default), |value| parse_number(key, value))
     }
 
+    /// A finite number.
     pub(crate) fn number(&self, key: &str) -> Result<f64> {
-        number(key, self.text(key)?)
+        parse_number(key, self.text(key)?)
     }
 
+    /// A whole number from 0 to [`MAX_COUNT`].
     pub(crate) fn count(&self, key: &str) -> Result<u32> {
-        let v = self.number(key)?;
-        if (0.0..=65_535.0).contains(&v) && v.fract() == 0.0 {
-            Ok(v as u32)
+        let value = self.number(key)?;
+        if (0.0..=MAX_COUNT).contains(&value) && value.fract() == 0.0 {
+            Ok(value as u32)
         } else {
-            bad(format!("setting {key} is no small whole number: {v}"))
+            Err(SettingsError::NotACount {
+                key: key.to_string(),
+                value,
+            })
         }
     }
 
+    /// The same, or 0 where the key is missing.
+    pub(crate) fn count_or_zero(&self, key: &str) -> Result<u32> {
+        if self.get(key).is_some() {
+            self.count(key)
+        } else {
+            Ok(0)
+        }
+    }
+
+    /// `true` or `false`, or the default.
     pub(crate) fn flag_or(&self, key: &str, default: bool) -> Result<bool> {
         match self.get(key) {
             None => Ok(default),
             Some("true") => Ok(true),
             Some("false") => Ok(false),
-            Some(v) => bad(format!("setting {key} is neither true nor false: {v}")),
+            Some(value) => Err(SettingsError::NotAFlag {
+                key: key.to_string(),
+                value: value.to_string(),
+            }),
         }
     }
 
+    /// The values that commas separate; empty where the key is missing.
     pub(crate) fn list(&self, key: &str) -> Vec<&str> {
-        self.get(key)
-            .map(|v| v.split(',').filter(|s| !s.is_empty()).collect())
-            .unwrap_or_default()
+        let values = self.get(key).unwrap_or_default().split(',');
+        values.filter(|value| !value.is_empty()).collect()
     }
 
+    /// The same as finite numbers.
     pub(crate) fn numbers(&self, key: &str) -> Result<Vec<f64>> {
-        self.list(key).into_iter().map(|v| number(key, v)).collect()
+        self.list(key)
+            .into_iter()
+            .map(|value| parse_number(key, value))
+            .collect()
     }
 }
 
 /// One value as the wire writes it; spaces and commas in it become `_`.
-fn plain(value: &Value) -> String {
+fn plain_value(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace([' ', ','], "_"),
         other => other.to_string(),
     }
 }
 
-fn number(key: &str, value: &str) -> Result<f64> {
+fn parse_number(key: &str, value: &str) -> Result<f64> {
     match value.parse::<f64>() {
-        Ok(v) if v.is_finite() => Ok(v),
-        _ => bad(format!("setting {key} is no number: {value}")),
+        Ok(number) if number.is_finite() => Ok(number),
+        _ => Err(SettingsError::NotANumber {
+            key: key.to_string(),
+            value: value.to_string(),
+        }),
     }
 }
--- a/crates/routing-settings/src/lib.rs
+++ b/crates/routing-settings/src/lib.rs
@@ -1,8 +1,15 @@
-//! The start settings of a dispatcher. The simulator's wire gives them as path=value lines, the platform's
-//! configuration as nested JSON; both become the same [`Facts`], and one reader gives them their meaning.
+//! The start settings of a dispatcher. The simulator's wire gives them as `key=value` lines, the
+//! platform's configuration as nested JSON; both become the same [`Facts`], and one reader gives them
+//! their meaning.
 
+mod bounds;
+mod error;
 mod facts;
-mod read;
+mod names;
+mod router_settings;
 
-pub use facts::{Facts, SettingsError};
-pub use read::{read_bounds, read_names, read_settings, Bounds, Names};
+pub use self::bounds::{read_bounds, Bounds};
+pub use self::error::SettingsError;
+pub use self::facts::Facts;
+pub use self::names::{read_names, Names};
+pub use self::router_settings::read_settings;
