--- a/crates/cluster-net/src/kept.rs
+++ b/crates/cluster-net/src/durable_store.rs
@@ -7,13 +7,13 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::Path;
 
-use bitternlatch_quota_lease::{Found, KeepError};
+use bitternlatch_quota_lease::{StorageError, StoredEntries};
 use redb::{
     Builder, Database, DatabaseError, ReadableDatabase, ReadableTable, StorageBackend,
     TableDefinition, TableError, TableHandle,
 };
 
-use crate::beside::{Batch, Store};
+use crate::service::{Batch, Store};
 
 /// Names, and a CRC-32 of name and bytes before the bytes.
 const KEPT: TableDefinition<'_, &[u8], &[u8]> = TableDefinition::new("kept");
@@ -42,19 +42,19 @@
 type Open = Box<dyn FnMut() -> Result<Database, DatabaseError> + Send>;
 
 /// A file of names and bytes. After a fault it is opened anew, so that it goes on by itself once there is room again.
-pub struct Kept {
+pub struct DurableStore {
     /// Its path, for messages.
     shown: String,
     open: Open,
     db: Option<Database>,
 }
 
-impl Kept {
+impl DurableStore {
     /// Keeps in a file, made where there is none; it is opened by the thread that uses it.
-    pub fn at(path: &Path) -> Kept {
+    pub fn at(path: &Path) -> DurableStore {
         let own = path.to_path_buf();
         let open = move || Builder::new().create(&own);
-        Kept {
+        DurableStore {
             shown: path.display().to_string(),
             open: Box::new(open),
             db: None,
@@ -62,16 +62,21 @@
     }
 
     /// Keeps in storage of the caller's own, asked for at each opening.
-    pub fn over<B: StorageBackend>(mut storage: impl FnMut() -> B + Send + 'static) -> Kept {
+    pub fn over<B: StorageBackend>(
+        mut storage: impl FnMut() -> B + Send + 'static,
+    ) -> DurableStore {
         let open = move || Builder::new().create_with_backend(storage());
-        Kept {
+        DurableStore {
             shown: "storage".to_string(),
             open: Box::new(open),
             db: None,
         }
     }
 
-    fn with<T>(&mut self, act: impl FnOnce(&Database) -> Result<T, Fault>) -> Result<T, KeepError> {
+    fn with<T>(
+        &mut self,
+        act: impl FnOnce(&Database) -> Result<T, Fault>,
+    ) -> Result<T, StorageError> {
         let db = self.db.take();
         let open = &mut self.open;
         // The library asserts what its own writes make true; a file that others wrote to may break that, and a thread with it.
@@ -89,12 +94,12 @@
     }
 }
 
-impl Store for Kept {
-    fn load(&mut self) -> Result<Found, KeepError> {
+impl Store for DurableStore {
+    fn load(&mut self) -> Result<StoredEntries, StorageError> {
         self.with(|db| {
             let read = db.begin_read()?;
             let kept = read.open_table(KEPT)?;
-            let mut found = Found::new();
+            let mut found = StoredEntries::new();
             for row in kept.iter()? {
                 let (name, value) = row?;
                 let (name, value) = (name.value(), value.value());
@@ -108,7 +113,7 @@
         })
     }
 
-    fn put(&mut self, batch: Batch) -> Result<(), KeepError> {
+    fn put(&mut self, batch: Batch) -> Result<(), StorageError> {
         self.with(|db| {
             let write = db.begin_write()?;
             {
@@ -162,10 +167,10 @@
     Ok(db)
 }
 
-fn in_words(shown: &str, fault: &Fault) -> KeepError {
+fn in_words(shown: &str, fault: &Fault) -> StorageError {
     let away = "move it away to begin empty, and let the copies elsewhere fill it";
-    KeepError::Io(match fault {
-        Fault::Store(redb::Error::Io(e)) if is_full(e.kind()) => return KeepError::Full,
+    StorageError::Io(match fault {
+        Fault::Store(redb::Error::Io(e)) if is_full(e.kind()) => return StorageError::Full,
         Fault::Store(redb::Error::Io(e)) if e.kind() == ErrorKind::InvalidData => {
             format!("{shown} is no store, or is damaged ({e}); {away}")
         }
--- a/crates/cluster-net/src/error.rs
+++ b/crates/cluster-net/src/error.rs
@@ -8,14 +8,14 @@
 
 /// What of a member could not be opened at its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Opened {
+pub enum EndpointKind {
     Datagrams,
     Connections,
 }
 
 /// Why a roster that was told, or kept, is not taken.
 #[derive(Debug, thiserror::Error)]
-pub enum NoRoster {
+pub enum SeedError {
     #[error("this is no roster")]
     Shape,
     #[error("this is no roster: {0}")]
@@ -30,9 +30,9 @@
 
 /// Seeds that told no roster, each with its cause.
 #[derive(Debug)]
-pub struct SeedFaults(pub Vec<(SocketAddrV4, NoRoster)>);
+pub struct SeedErrors(pub Vec<(SocketAddrV4, SeedError)>);
 
-impl std::fmt::Display for SeedFaults {
+impl std::fmt::Display for SeedErrors {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for (i, (seed, why)) in self.0.iter().enumerate() {
             write!(f, "{}{seed}: {why}", if i == 0 { "" } else { "; " })?;
@@ -42,7 +42,7 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum PeerNetError {
+pub enum ClusterNetError {
     #[error("{}: {why}", path.display())]
     Secret { path: PathBuf, why: io::Error },
     #[error("{}: {bytes} bytes; a secret has {least} to {most}", path.display())]
@@ -58,7 +58,7 @@
     NoAddress,
     #[error("cluster: no {what:?} at {address}: {why}")]
     Address {
-        what: Opened,
+        what: EndpointKind,
         address: SocketAddrV4,
         why: io::Error,
     },
@@ -71,9 +71,9 @@
     #[error("cluster: no thread: {0}")]
     Thread(io::Error),
     #[error("cluster.seeds: none tells the roster: {0}")]
-    Seeds(SeedFaults),
+    Seeds(SeedErrors),
     #[error("cluster.seeds: {seeds}; and the kept roster: {kept}")]
-    KeptRoster { seeds: SeedFaults, kept: NoRoster },
+    KeptRoster { seeds: SeedErrors, kept: SeedError },
     #[error("{peer}: {why}")]
     NoAnswer { peer: SocketAddr, why: io::Error },
     #[error("{peer}: this is not a view: {why}")]
@@ -83,35 +83,35 @@
     },
 }
 
-impl PeerNetError {
+impl ClusterNetError {
     /// What an operator can do.
     pub fn advice(&self) -> &'static str {
         match self {
-            PeerNetError::Secret { why, .. } if why.kind() == io::ErrorKind::NotFound => {
+            ClusterNetError::Secret { why, .. } if why.kind() == io::ErrorKind::NotFound => {
                 "make it once with 'head -c 32 /dev/urandom | base64 > FILE' and give the same file to every member"
             }
-            PeerNetError::Secret { .. } => "let the process read the file that 'cluster.secret' names",
-            PeerNetError::SecretSize { .. } => {
+            ClusterNetError::Secret { .. } => "let the process read the file that 'cluster.secret' names",
+            ClusterNetError::SecretSize { .. } => {
                 "make it anew with 'head -c 32 /dev/urandom | base64 > FILE' and give the same file to every member"
             }
-            PeerNetError::Roster(_) => "give all members the same roster, this one in it, each name once",
-            PeerNetError::NoAddress => "name this dispatcher in 'cluster.roster', or set 'cluster.address'",
-            PeerNetError::Address { .. } => {
+            ClusterNetError::Roster(_) => "give all members the same roster, this one in it, each name once",
+            ClusterNetError::NoAddress => "name this dispatcher in 'cluster.roster', or set 'cluster.address'",
+            ClusterNetError::Address { .. } => {
                 "end the process that holds the address, or set 'cluster.address' to one of this machine"
             }
-            PeerNetError::Start { .. } => "let the process write the folder of the file that 'cluster.kept' names",
-            PeerNetError::NoNumber { .. } => "remove it to begin anew",
-            PeerNetError::Random(_) => "the system gives no random numbers; look at the machine",
-            PeerNetError::Thread(_) => "raise the bound on threads of this user, or end other processes",
-            PeerNetError::Seeds(_) => "start a member that has a roster first, or name others under 'cluster.seeds'",
-            PeerNetError::KeptRoster { .. } => "remove the kept roster once a seed can be reached",
-            PeerNetError::NoAnswer { .. } => "look whether the process runs, and at the network on the way to it",
-            PeerNetError::NoView { .. } => "ask a member's address of the cluster, of the same version as this program",
+            ClusterNetError::Start { .. } => "let the process write the folder of the file that 'cluster.kept' names",
+            ClusterNetError::NoNumber { .. } => "remove it to begin anew",
+            ClusterNetError::Random(_) => "the system gives no random numbers; look at the machine",
+            ClusterNetError::Thread(_) => "raise the bound on threads of this user, or end other processes",
+            ClusterNetError::Seeds(_) => "start a member that has a roster first, or name others under 'cluster.seeds'",
+            ClusterNetError::KeptRoster { .. } => "remove the kept roster once a seed can be reached",
+            ClusterNetError::NoAnswer { .. } => "look whether the process runs, and at the network on the way to it",
+            ClusterNetError::NoView { .. } => "ask a member's address of the cluster, of the same version as this program",
         }
     }
 
     /// The error and what to do, in one line.
-    pub fn told(&self) -> String {
+    pub fn with_advice(&self) -> String {
         format!("{self}; {}", self.advice())
     }
 }
@@ -128,51 +128,55 @@
             PathBuf::from("f"),
             SocketAddrV4::new([127, 0, 0, 1].into(), 1),
         );
-        let faults = || SeedFaults(vec![(address, NoRoster::Shape), (address, NoRoster::Proof)]);
+        let faults = || {
+            SeedErrors(vec![
+                (address, SeedError::Shape),
+                (address, SeedError::Proof),
+            ])
+        };
         let peer = SocketAddr::V4(address);
         let all = [
-            PeerNetError::Secret {
+            ClusterNetError::Secret {
                 path: path.clone(),
                 why: io::ErrorKind::NotFound.into(),
             },
-            PeerNetError::Secret {
+            ClusterNetError::Secret {
                 path: path.clone(),
                 why: io(),
             },
-            PeerNetError::SecretSize {
+            ClusterNetError::SecretSize {
                 path: path.clone(),
                 bytes: 1,
                 least: 16,
                 most: 4096,
             },
-            PeerNetError::Roster(RosterError::Size(0)),
-            PeerNetError::NoAddress,
-            PeerNetError::Address {
-                what: Opened::Datagrams,
+            ClusterNetError::Roster(RosterError::Size(0)),
+            ClusterNetError::NoAddress,
+            ClusterNetError::Address {
+                what: EndpointKind::Datagrams,
                 address,
                 why: io(),
             },
-            PeerNetError::Start {
+            ClusterNetError::Start {
                 path: path.clone(),
                 why: io(),
             },
-            PeerNetError::NoNumber { path },
-            PeerNetError::Random(getrandom::Error::UNSUPPORTED),
-            PeerNetError::Thread(io()),
-            PeerNetError::Seeds(faults()),
-            PeerNetError::KeptRoster {
+            ClusterNetError::NoNumber { path },
+            ClusterNetError::Random(getrandom::Error::UNSUPPORTED),
+            ClusterNetError::Thread(io()),
+            ClusterNetError::Seeds(faults()),
+            ClusterNetError::KeptRoster {
                 seeds: faults(),
-                kept: NoRoster::OtherCluster("x".into()),
+                kept: SeedError::OtherCluster("x".into()),
             },
-            PeerNetError::NoAnswer { peer, why: io() },
-            PeerNetError::NoView { peer, why: json() },
+            ClusterNetError::NoAnswer { peer, why: io() },
+            ClusterNetError::NoView { peer, why: json() },
         ];
         let advice: std::collections::BTreeSet<&str> =
-            all.iter().map(PeerNetError::advice).collect();
+            all.iter().map(ClusterNetError::advice).collect();
         assert_eq!(advice.len(), all.len());
-        assert!(all
-            .iter()
-            .all(|e| e.told().ends_with(e.advice()) && e.told().len() > e.advice().len() + 2));
+        assert!(all.iter().all(|e| e.with_advice().ends_with(e.advice())
+            && e.with_advice().len() > e.advice().len() + 2));
         assert!(faults().to_string().contains("; 127.0.0.1:1: the proof"));
     }
 }
--- a/crates/cluster-net/src/lib.rs
+++ b/crates/cluster-net/src/lib.rs
@@ -1,22 +1,22 @@
-//! The plane between dispatchers: one socket for datagrams, one for TCP at the same address, a thread each.
+//! The runtime between dispatchers: one socket for datagrams, one for TCP at the same address, a thread each.
 //!
 //! What is said and who is there is decided in `bitternlatch-membership`; here are sockets, the clock and files.
 
-mod beside;
+mod durable_store;
 mod error;
-mod kept;
 mod links;
-mod plane;
 mod routes;
+mod runtime;
 mod seeds;
+mod service;
 mod snapshot;
 mod start;
-mod views;
+mod status;
 
-pub use beside::{AskError, Asker, Batch, Store};
-pub use error::{NoRoster, Opened, PeerNetError, SeedFaults};
-pub use kept::Kept;
-pub use plane::{Plane, Told};
-pub use seeds::roster;
-pub use snapshot::Snapshot;
-pub use views::{ask, Line, Shown};
+pub use durable_store::DurableStore;
+pub use error::{ClusterNetError, EndpointKind, SeedError, SeedErrors};
+pub use runtime::{ClusterEvent, ClusterRuntime};
+pub use seeds::fetch_roster;
+pub use service::{Batch, RequestError, ServiceHandle, Store};
+pub use snapshot::SnapshotStore;
+pub use status::{fetch_status, ClusterStatus, MemberStatus};
--- a/crates/cluster-net/src/links.rs
+++ b/crates/cluster-net/src/links.rs
@@ -11,9 +11,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use bitternlatch_membership::{Kind, NameKey, Opener, Sealer, Secret, Topic, SEAL_BYTES};
+use bitternlatch_membership::{Kind, NameKey, Secret, Signer, Topic, Verifier, AUTH_BYTES};
 use bitternlatch_net::lock;
-use bitternlatch_quota_lease::{Process, FRAME_MOST};
+use bitternlatch_quota_lease::{Process, MAX_FRAME};
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
 
 use crate::routes::{Heard, Routes};
@@ -32,16 +32,16 @@
 const AGAIN: Duration = Duration::from_millis(200);
 const STACK: usize = 256 * 1024;
 const NAME_BYTES: usize = 4;
-const SEALED_MOST: usize = FRAME_MOST + NAME_BYTES + SEAL_BYTES;
+const SEALED_MOST: usize = MAX_FRAME + NAME_BYTES + AUTH_BYTES;
 
 /// All links of one process.
 pub(crate) struct Links {
     name: String,
     own: NameKey,
     addresses: BTreeMap<NameKey, SocketAddrV4>,
-    sealer: Mutex<Sealer>,
-    /// Opens what comes, for which a key is all that it takes of a sealer.
-    opener: Mutex<(Opener, Sealer)>,
+    signer: Mutex<Signer>,
+    /// Opens what comes, for which a key is all that it takes of a signer.
+    verifier: Mutex<(Verifier, Signer)>,
     out: Mutex<BTreeMap<NameKey, Sender<Vec<u8>>>>,
     incoming: AtomicUsize,
     routes: Arc<Routes>,
@@ -56,13 +56,13 @@
         routes: Arc<Routes>,
     ) -> Links {
         let own = NameKey::of(name);
-        let sealer = || Sealer::new(secret.for_links(), own, start);
+        let signer = || Signer::new(secret.for_links(), own, start);
         Links {
             name: name.to_string(),
             own,
             addresses,
-            sealer: Mutex::new(sealer()),
-            opener: Mutex::new((Opener::default(), sealer())),
+            signer: Mutex::new(signer()),
+            verifier: Mutex::new((Verifier::default(), signer())),
             out: Mutex::new(BTreeMap::new()),
             incoming: AtomicUsize::new(0),
             routes,
@@ -75,7 +75,7 @@
             .addresses
             .get(&to)
             .copied()
-            .filter(|_| said.len() <= FRAME_MOST)
+            .filter(|_| said.len() <= MAX_FRAME)
         else {
             return;
         };
@@ -105,7 +105,7 @@
 
     fn seal(&self, topic: Topic, to: NameKey, said: &[u8]) -> Vec<u8> {
         let addressed = [&to.0.to_le_bytes()[..], said].concat();
-        let sealed = lock(&self.sealer).seal(Kind::Of(topic), &addressed);
+        let sealed = lock(&self.signer).sign(Kind::Of(topic), &addressed);
         let mut framed = cobs::encode_vec(&sealed);
         framed.push(0);
         framed
@@ -153,9 +153,9 @@
 
     /// Frames that are not proven, came before, or are meant for another are dropped.
     fn take(&self, sealed: &[u8]) {
-        let mut opener = lock(&self.opener);
-        let (opener, secret) = &mut *opener;
-        let Ok((from, addressed)) = opener.open_of(secret, sealed, SEALED_MOST) else {
+        let mut verifier = lock(&self.verifier);
+        let (verifier, secret) = &mut *verifier;
+        let Ok((from, addressed)) = verifier.verify_up_to(secret, sealed, SEALED_MOST) else {
             return;
         };
         let Kind::Of(topic) = from.kind else { return };
--- a/crates/cluster-net/src/routes.rs
+++ b/crates/cluster-net/src/routes.rs
@@ -7,7 +7,7 @@
 use bitternlatch_net::lock;
 use bitternlatch_quota_lease::{Peers, Process};
 
-/// What a machine beside the plane hears.
+/// What a machine beside the runtime hears.
 #[derive(Clone, Debug)]
 pub(crate) enum Heard {
     Said { from: Process, said: Vec<u8> },
--- a/crates/cluster-net/src/plane.rs
+++ b/crates/cluster-net/src/runtime.rs
@@ -11,18 +11,20 @@
 
 use bitternlatch_core::settings::Cluster;
 use bitternlatch_core::{Input, Micros, ServerObservation};
-use bitternlatch_membership::{Event, Membership, NameKey, Peer, Roster, Secret, DATAGRAM_MOST};
+use bitternlatch_membership::{Event, Membership, NameKey, Peer, Roster, Secret, MAX_DATAGRAM};
 use bitternlatch_net::clock::Clock;
 use bitternlatch_net::lock;
-use bitternlatch_quota_lease::{Beside, Output, Part, Peers, Process, Together, Told as Agreed};
+use bitternlatch_quota_lease::{
+    Action, ClusterMember, ClusterService, Output, Peers, Process, QuotaLease,
+};
 
-use crate::beside::{Asker, End, Ground, Store};
-use crate::error::{Opened, PeerNetError};
+use crate::error::{ClusterNetError, EndpointKind};
 use crate::links::Links;
 use crate::routes::{Heard, Routes};
 use crate::seeds;
+use crate::service::{End, ServiceContext, ServiceHandle, Store};
 use crate::start;
-use crate::views::{self, Shown};
+use crate::status::{self, ClusterStatus};
 
 /// Longest wait for a datagram, so that a stop is seen.
 const LOOK_EVERY: Duration = Duration::from_millis(50);
@@ -35,7 +37,7 @@
 
 /// What the dispatcher is told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum ClusterEvent {
     /// Of standing, parts and hosts: one that is not taken in time is followed by another.
     Input(Input),
     /// Another process under this name started later.
@@ -43,11 +45,11 @@
 }
 
 /// One dispatcher's part in the cluster, running.
-pub struct Plane {
-    whole: Arc<Mutex<Together>>,
+pub struct ClusterRuntime {
+    whole: Arc<Mutex<ClusterMember>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
-    ground: Ground,
+    ground: ServiceContext,
     /// Machines beside it.
     beside: Vec<End>,
 }
@@ -55,7 +57,7 @@
 struct Loop {
     socket: UdpSocket,
     clock: Clock,
-    whole: Arc<Mutex<Together>>,
+    whole: Arc<Mutex<ClusterMember>>,
     stop: Arc<AtomicBool>,
     routes: Arc<Routes>,
     name: String,
@@ -64,8 +66,8 @@
     kept: Option<PathBuf>,
 }
 
-pub(crate) fn read_secret(path: &Path) -> Result<Vec<u8>, PeerNetError> {
-    let unread = |why| PeerNetError::Secret {
+pub(crate) fn read_secret(path: &Path) -> Result<Vec<u8>, ClusterNetError> {
+    let unread = |why| ClusterNetError::Secret {
         path: path.to_path_buf(),
         why,
     };
@@ -76,7 +78,7 @@
             *SECRET_BYTES.start(),
             *SECRET_BYTES.end(),
         );
-        return Err(PeerNetError::SecretSize {
+        return Err(ClusterNetError::SecretSize {
             path,
             bytes,
             least,
@@ -94,13 +96,15 @@
 }
 
 impl Papers {
-    fn read(cluster: &Cluster, name: &str, base: &Path) -> Result<Papers, PeerNetError> {
+    fn read(cluster: &Cluster, name: &str, base: &Path) -> Result<Papers, ClusterNetError> {
         let peers = cluster.roster.iter().map(|p| Peer {
             name: p.name.clone(),
             address: p.address,
         });
         let roster = Roster::new(name, &peers.collect::<Vec<_>>())?;
-        let address = cluster.own_address(name).ok_or(PeerNetError::NoAddress)?;
+        let address = cluster
+            .own_address(name)
+            .ok_or(ClusterNetError::NoAddress)?;
         let secret = Secret::new(&cluster.name, &read_secret(&base.join(&cluster.secret))?);
         Ok(Papers {
             roster,
@@ -110,16 +114,16 @@
     }
 }
 
-impl Plane {
-    /// Whether [`Plane::join`] could use these settings and the secret's file.
+impl ClusterRuntime {
+    /// Whether [`ClusterRuntime::join`] could use these settings and the secret's file.
     ///
     /// # Errors
     /// Where not, and why.
-    pub fn check(cluster: &Cluster, name: &str, base: &Path) -> Result<(), PeerNetError> {
+    pub fn check(cluster: &Cluster, name: &str, base: &Path) -> Result<(), ClusterNetError> {
         Papers::read(cluster, name, base).map(|_| ())
     }
 
-    /// Joins the cluster; paths are relative to `base`. `told` is called from the plane's thread, with the
+    /// Joins the cluster; paths are relative to `base`. `told` is called from the runtime's thread, with the
     /// standing several times a second.
     ///
     /// # Errors
@@ -128,16 +132,16 @@
         cluster: &Cluster,
         name: &str,
         base: &Path,
-        mut told: impl FnMut(Told) + Send + 'static,
-    ) -> Result<Plane, PeerNetError> {
+        mut told: impl FnMut(ClusterEvent) + Send + 'static,
+    ) -> Result<ClusterRuntime, ClusterNetError> {
         let Papers {
             roster,
             secret,
             address,
         } = Papers::read(cluster, name, base)?;
-        let bad = |what| move |why| PeerNetError::Address { what, address, why };
-        let socket = UdpSocket::bind(address).map_err(bad(Opened::Datagrams))?;
-        let listener = TcpListener::bind(address).map_err(bad(Opened::Connections))?;
+        let bad = |what| move |why| ClusterNetError::Address { what, address, why };
+        let socket = UdpSocket::bind(address).map_err(bad(EndpointKind::Datagrams))?;
+        let listener = TcpListener::bind(address).map_err(bad(EndpointKind::Connections))?;
         // Only now: a start that finds its address taken must not count.
         let kept = cluster.incarnation_file.as_ref().map(|k| base.join(k));
         let process = start::number(kept.as_deref())?;
@@ -152,22 +156,22 @@
             member.addresses(),
             Arc::clone(&routes),
         ));
-        let whole = Together::new(member, seed.rotate_left(32), now(&clock));
+        let whole = ClusterMember::new(member, seed.rotate_left(32), now(&clock));
         let whole = Arc::new(Mutex::new(whole));
         let thread = |what: &str| std::thread::Builder::new().name(what.into());
-        let no_thread = PeerNetError::Thread;
+        let no_thread = ClusterNetError::Thread;
         let (seen, cluster_name, own) =
             (Arc::clone(&whole), cluster.name.clone(), name.to_string());
-        let view = move || Shown::of(&cluster_name, &own, &lock(&seen), now(&clock));
+        let view = move || ClusterStatus::of(&cluster_name, &own, &lock(&seen), now(&clock));
         let (own_roster, proven) = (cluster.clone(), secret.clone());
         let other = move |question: &str| seeds::answer(&own_roster, &proven, question);
         let doors = Arc::clone(&links);
         let link = move |reader| doors.accept(reader);
         thread("views")
-            .spawn(move || views::serve(&listener, view, other, link))
+            .spawn(move || status::serve(&listener, view, other, link))
             .map_err(no_thread)?;
-        let own_socket = socket.try_clone().map_err(bad(Opened::Datagrams))?;
-        let ground = Ground {
+        let own_socket = socket.try_clone().map_err(bad(EndpointKind::Datagrams))?;
+        let ground = ServiceContext {
             whole: Arc::clone(&whole),
             socket: own_socket,
             links,
@@ -177,7 +181,7 @@
         let stop = Arc::new(AtomicBool::new(false));
         let ear = Arc::clone(&whole);
         let (ended, name) = (Arc::clone(&stop), name.to_string());
-        let plane = Loop {
+        let runtime = Loop {
             socket,
             clock,
             whole,
@@ -187,10 +191,10 @@
             run: process,
             kept,
         };
-        let run = move || plane.run(&mut told);
+        let run = move || runtime.run(&mut told);
         let thread = thread("peers").spawn(run).map_err(no_thread)?;
         tracing::info!(cluster = cluster.name, %address, start = process, "in the cluster");
-        Ok(Plane {
+        Ok(ClusterRuntime {
             whole: ear,
             stop,
             thread: Some(thread),
@@ -200,13 +204,13 @@
     }
 
     /// Takes what the dispatcher sees of hosts, for its peers; from any thread.
-    pub fn ear(&self) -> impl Fn(Vec<ServerObservation>) + 'static {
+    pub fn observation_sink(&self) -> impl Fn(Vec<ServerObservation>) + 'static {
         let whole = Arc::clone(&self.whole);
         move |seen| {
             let dated = seen
                 .into_iter()
                 .map(|(host, what, at)| ((host, what), Duration::from_micros(at.0)));
-            lock(&whole).shares.sees(dated.collect());
+            lock(&whole).quota.set_observations(dated.collect());
         }
     }
 
@@ -214,23 +218,23 @@
     ///
     /// # Errors
     /// Where there is no thread or socket for it.
-    pub fn beside<B>(
+    pub fn add_service<B>(
         &mut self,
         machine: B,
         store: Option<Box<dyn Store>>,
-        told: impl FnMut(B::Told) + Send + 'static,
-    ) -> Result<Asker<B::Ask>, PeerNetError>
+        told: impl FnMut(B::Event) + Send + 'static,
+    ) -> Result<ServiceHandle<B::Request>, ClusterNetError>
     where
-        B: Beside + Send + 'static,
-        B::Ask: Send + 'static,
-        B::Told: 'static,
+        B: ClusterService + Send + 'static,
+        B::Request: Send + 'static,
+        B::Event: 'static,
     {
-        let (asker, end) = self
+        let (handle, end) = self
             .ground
             .start(machine, store, told)
-            .map_err(PeerNetError::Thread)?;
+            .map_err(ClusterNetError::Thread)?;
         self.beside.push(end);
-        Ok(asker)
+        Ok(handle)
     }
 
     /// Who this process is among the members, and all that there should be.
@@ -270,12 +274,12 @@
 }
 
 impl Loop {
-    fn run(&self, told: &mut dyn FnMut(Told)) {
+    fn run(&self, told: &mut dyn FnMut(ClusterEvent)) {
         // One more than any datagram of ours, so that a longer one is seen to be longer.
-        let mut buffer = [0u8; DATAGRAM_MOST + 1];
+        let mut buffer = [0u8; MAX_DATAGRAM + 1];
         let mut out = Vec::new();
         let mut tell_at = Duration::ZERO;
-        let (mut told_part, mut said) = (Part::default(), Part::default());
+        let (mut told_part, mut said) = (QuotaLease::default(), QuotaLease::default());
         loop {
             let wake_at = lock(&self.whole).wake_at();
             let wait = wake_at.map_or(LOOK_EVERY, |at| {
@@ -285,35 +289,35 @@
             let mut whole = lock(&self.whole);
             match heard {
                 Some((SocketAddr::V4(from), n)) => {
-                    whole.datagram(now(&self.clock), from, &buffer[..n], &mut out)
+                    whole.handle_datagram(now(&self.clock), from, &buffer[..n], &mut out)
                 }
                 _ => whole.wake(now(&self.clock), &mut out),
             }
             let at = now(&self.clock);
             let news = out
                 .iter()
-                .any(|o| matches!(o, Output::Member(Event::Standing(_))));
+                .any(|o| matches!(o, Output::Member(Event::QuorumState(_))));
             if news || at >= tell_at {
                 tell_at = at + TELL_EVERY;
                 let until = micros(at + COUNTS_FOR);
                 let (standing, there) = (whole.member.standing(), whole.member.there());
-                told(Told::Input(Input::QuorumState {
+                told(ClusterEvent::Input(Input::QuorumState {
                     state: standing,
                     present: there,
                     until,
                 }));
-                let (there, part) = (whole.member.there_keys(), whole.shares.part());
+                let (there, part) = (whole.member.there_keys(), whole.quota.lease());
                 self.routes.tell_all(&Peers {
-                    standing,
-                    there,
-                    until: at + COUNTS_FOR,
-                    part,
+                    quorum: standing,
+                    present: there,
+                    valid_until: at + COUNTS_FOR,
+                    lease: part,
                 });
             }
-            let part = whole.shares.part();
+            let part = whole.quota.lease();
             if part != told_part {
                 told_part = part;
-                told(Told::Input(Input::QuotaLease {
+                told(ClusterEvent::Input(Input::QuotaLease {
                     leased: part.lent,
                     until: micros(part.until),
                 }));
@@ -351,27 +355,27 @@
         }
     }
 
-    fn carry(&self, out: &mut Vec<Output>, told: &mut dyn FnMut(Told)) {
+    fn carry(&self, out: &mut Vec<Output>, told: &mut dyn FnMut(ClusterEvent)) {
         for output in out.drain(..) {
             match output {
                 // A datagram that cannot be sent is as good as lost, which the protocol bears.
                 Output::Send(to, bytes) => drop(self.socket.send_to(&bytes, to)),
-                Output::Agreed(Agreed::Heard { of, heard }) => {
-                    told(Told::Input(Input::PeerReports {
+                Output::Quota(Action::PeerReports { of, heard }) => {
+                    told(ClusterEvent::Input(Input::PeerReports {
                         sent_at: self.clock.now(),
                         reporters: of,
                         reports: heard,
                     }))
                 }
-                Output::Agreed(agreed) => self.log_agreed(&agreed),
-                Output::Said { topic, from, said } => {
+                Output::Quota(agreed) => self.log_agreed(&agreed),
+                Output::Message { topic, from, said } => {
                     self.routes.tell(topic, Heard::Said { from, said })
                 }
                 Output::Member(event) => {
                     self.log(&event);
                     if let Event::Fenced(by) = event {
                         self.keep_later(by.process);
-                        told(Told::Fenced);
+                        told(ClusterEvent::Fenced);
                     }
                 }
             }
@@ -379,7 +383,7 @@
     }
 
     /// A line where what may be spent has changed, with the time until which the part before would have counted; renewals are none.
-    fn log_part(&self, at: Duration, part: Part, said: Part) -> Part {
+    fn log_part(&self, at: Duration, part: QuotaLease, said: QuotaLease) -> QuotaLease {
         let lent = if at < part.until { part.lent } else { 0.0 };
         if lent != said.lent {
             let before_until_us = micros(said.until).0;
@@ -392,7 +396,7 @@
                 "its part of what all share"
             );
         }
-        Part {
+        QuotaLease {
             lent,
             until: part.until,
         }
@@ -404,13 +408,13 @@
         }
     }
 
-    fn log_agreed(&self, agreed: &Agreed) {
+    fn log_agreed(&self, agreed: &Action) {
         let me = self.name.as_str();
         match agreed {
-            Agreed::Say(..) | Agreed::Heard { .. } => {}
-            Agreed::Steward(true) => tracing::info!(me, "lends parts of what all share"),
-            Agreed::Steward(false) => tracing::info!(me, "lends parts no more"),
-            Agreed::OtherRoster(name) => {
+            Action::Send(..) | Action::PeerReports { .. } => {}
+            Action::Leader(true) => tracing::info!(me, "lends parts of what all share"),
+            Action::Leader(false) => tracing::info!(me, "lends parts no more"),
+            Action::RosterMismatch(name) => {
                 let peer = lock(&self.whole).member.name_of(*name);
                 tracing::warn!(
                     me,
@@ -428,7 +432,7 @@
                 let named = lock(&self.whole).member.name_of(*name);
                 tracing::info!(me, at_us, peer = named, state = ?state, start = start.process, "a member");
             }
-            Event::Standing(standing) => {
+            Event::QuorumState(standing) => {
                 tracing::warn!(me, at_us, standing = ?standing, "standing")
             }
             Event::StoodStill(d) => {
--- a/crates/cluster-net/src/seeds.rs
+++ b/crates/cluster-net/src/seeds.rs
@@ -13,9 +13,9 @@
 use bitternlatch_membership::Secret;
 use serde::{Deserialize, Serialize};
 
-use crate::error::{NoRoster, PeerNetError, SeedFaults};
-use crate::plane::read_secret;
-use crate::views::put;
+use crate::error::{ClusterNetError, SeedError, SeedErrors};
+use crate::runtime::read_secret;
+use crate::status::put;
 
 /// How long seeds are asked, one after the other, again and again; and the wait for one.
 const ASK_FOR: Duration = Duration::from_secs(5);
@@ -52,18 +52,18 @@
 }
 
 /// What an answer says, if its proof fits.
-fn read(cluster: &str, secret: &Secret, nonce: &str, answer: &str) -> Result<Vec<Peer>, NoRoster> {
-    let (text, proof) = answer.trim_end().split_once('\n').ok_or(NoRoster::Shape)?;
+fn read(cluster: &str, secret: &Secret, nonce: &str, answer: &str) -> Result<Vec<Peer>, SeedError> {
+    let (text, proof) = answer.trim_end().split_once('\n').ok_or(SeedError::Shape)?;
     if proof != hex(&secret.proof(nonce.as_bytes(), text.as_bytes())) {
-        return Err(NoRoster::Proof);
+        return Err(SeedError::Proof);
     }
     parse(cluster, text)
 }
 
-fn parse(cluster: &str, text: &str) -> Result<Vec<Peer>, NoRoster> {
+fn parse(cluster: &str, text: &str) -> Result<Vec<Peer>, SeedError> {
     let told: Told = serde_json::from_str(text)?;
     if told.cluster != cluster {
-        return Err(NoRoster::OtherCluster(told.cluster));
+        return Err(SeedError::OtherCluster(told.cluster));
     }
     Ok(told.roster)
 }
@@ -91,11 +91,11 @@
 ///
 /// # Errors
 /// Where neither is to be had, with what each seed said.
-pub fn roster(
+pub fn fetch_roster(
     cluster: &Cluster,
     name: &str,
     base: &Path,
-) -> Result<(Vec<Peer>, String), PeerNetError> {
+) -> Result<(Vec<Peer>, String), ClusterNetError> {
     let secret = Secret::new(&cluster.name, &read_secret(&base.join(&cluster.secret))?);
     let kept = kept(cluster, base);
     let (began, mut faults) = (Instant::now(), Vec::new());
@@ -106,7 +106,7 @@
             getrandom::fill(&mut random)?;
             let nonce = hex(&random);
             let question = format!("roster 1 {name} {nonce}");
-            let told = put(SocketAddr::V4(*seed), &question, ONE_SEED).map_err(NoRoster::from);
+            let told = put(SocketAddr::V4(*seed), &question, ONE_SEED).map_err(SeedError::from);
             match told.and_then(|answer| read(&cluster.name, &secret, &nonce, &answer)) {
                 Ok(roster) => {
                     if let Some(Err(error)) =
@@ -121,7 +121,7 @@
         }
         std::thread::sleep(AGAIN);
     }
-    let seeds = SeedFaults(faults);
+    let seeds = SeedErrors(faults);
     let last = kept
         .as_ref()
         .and_then(|path| std::fs::read_to_string(path).ok());
@@ -130,8 +130,8 @@
             tracing::warn!(%seeds, "no seed tells the roster; the last one told counts");
             Ok((roster, "the last one told".to_string()))
         }
-        Some(Err(kept)) => Err(PeerNetError::KeptRoster { seeds, kept }),
-        None => Err(PeerNetError::Seeds(seeds)),
+        Some(Err(kept)) => Err(ClusterNetError::KeptRoster { seeds, kept }),
+        None => Err(ClusterNetError::Seeds(seeds)),
     }
 }
 
--- a/crates/cluster-net/src/beside.rs
+++ b/crates/cluster-net/src/service.rs
@@ -1,4 +1,4 @@
-//! Runs a machine beside the plane: a loop on a thread of its own, reached through a bounded channel, and a thread for its disk.
+//! Runs a machine beside the runtime: a loop on a thread of its own, reached through a bounded channel, and a thread for its disk.
 
 use std::net::UdpSocket;
 use std::sync::{Arc, Mutex};
@@ -7,12 +7,14 @@
 
 use bitternlatch_net::clock::Clock;
 use bitternlatch_net::lock;
-use bitternlatch_quota_lease::{Beside, Found, Given, KeepError, Together, Wanted};
+use bitternlatch_quota_lease::{
+    ClusterMember, ClusterService, ServiceInput, ServiceOutput, StorageError, StoredEntries,
+};
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
 
 use crate::links::Links;
-use crate::plane::now;
 use crate::routes::{Heard, Routes};
+use crate::runtime::now;
 
 /// Inputs that may wait for a machine: what peers say past it is lost, as in a full socket, and the core is told so.
 const INPUTS: usize = 8 * 1024;
@@ -31,63 +33,63 @@
     ///
     /// # Errors
     /// Where it cannot be read.
-    fn load(&mut self) -> Result<Found, KeepError>;
+    fn load(&mut self) -> Result<StoredEntries, StorageError>;
 
     /// Makes a batch durable, whole or not at all.
     ///
     /// # Errors
     /// Where it is not.
-    fn put(&mut self, batch: Batch) -> Result<(), KeepError>;
+    fn put(&mut self, batch: Batch) -> Result<(), StorageError>;
 }
 
 /// Why a question does not reach a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum AskError {
+pub enum RequestError {
     #[error("too many inputs wait for it")]
     Full,
     #[error("its loop has ended")]
     Ended,
 }
 
-impl AskError {
+impl RequestError {
     /// What an operator can do.
     pub fn advice(&self) -> &'static str {
         match self {
-            AskError::Full => {
+            RequestError::Full => {
                 "give the process more of a core, or its callers fewer requests; it goes on by itself"
             }
-            AskError::Ended => "start the process again; its log says why the loop ended",
+            RequestError::Ended => "start the process again; its log says why the loop ended",
         }
     }
 }
 
 /// Asks a machine, from any thread.
-pub struct Asker<A>(Sender<Given<A>>);
+pub struct ServiceHandle<A>(Sender<ServiceInput<A>>);
 
-impl<A> Clone for Asker<A> {
+impl<A> Clone for ServiceHandle<A> {
     fn clone(&self) -> Self {
-        Asker(self.0.clone())
+        ServiceHandle(self.0.clone())
     }
 }
 
-impl<A> Asker<A> {
+impl<A> ServiceHandle<A> {
     /// Puts a question; never waits.
     ///
     /// # Errors
     /// Where it is not taken.
-    pub fn ask(&self, ask: A) -> Result<(), AskError> {
+    pub fn request(&self, request: A) -> Result<(), RequestError> {
         self.0
-            .try_send(Given::Ask(ask))
+            .try_send(ServiceInput::Request(request))
             .map_err(|e| match e.is_full() {
-                true => AskError::Full,
-                false => AskError::Ended,
+                true => RequestError::Full,
+                false => RequestError::Ended,
             })
     }
 }
 
-/// What runs machines: the plane's sockets, clock and routes.
-pub(crate) struct Ground {
-    pub whole: Arc<Mutex<Together>>,
+/// What runs machines: the runtime's sockets, clock and routes.
+pub(crate) struct ServiceContext {
+    pub whole: Arc<Mutex<ClusterMember>>,
     pub socket: UdpSocket,
     pub links: Arc<Links>,
     pub clock: Clock,
@@ -97,27 +99,33 @@
 /// Ends a machine's loop: tells it to leave, and waits for it.
 pub(crate) type End = Box<dyn FnOnce() + Send>;
 
-impl Ground {
+impl ServiceContext {
     /// Starts a machine; `told` is called from its thread.
     pub(crate) fn start<B>(
         &self,
         machine: B,
         store: Option<Box<dyn Store>>,
-        told: impl FnMut(B::Told) + Send + 'static,
-    ) -> std::io::Result<(Asker<B::Ask>, End)>
+        told: impl FnMut(B::Event) + Send + 'static,
+    ) -> std::io::Result<(ServiceHandle<B::Request>, End)>
     where
-        B: Beside + Send + 'static,
-        B::Ask: Send + 'static,
-        B::Told: 'static,
+        B: ClusterService + Send + 'static,
+        B::Request: Send + 'static,
+        B::Event: 'static,
     {
         let (to, given) = bounded(INPUTS);
         let ears = to.clone();
         let route = move |heard: Heard| {
             // What does not fit is lost, as a datagram may be; what must arrive is sent again.
             let _ = ears.try_send(match heard {
-                Heard::Said { from, said } => Given::Said { from, said },
-                Heard::Frame { from, said } => Given::Frame { from, said },
-                Heard::Peers(peers) => Given::Peers(peers),
+                Heard::Said { from, said } => ServiceInput::Datagram {
+                    from,
+                    payload: said,
+                },
+                Heard::Frame { from, said } => ServiceInput::Frame {
+                    from,
+                    payload: said,
+                },
+                Heard::Peers(peers) => ServiceInput::Peers(peers),
             });
         };
         self.routes.add(B::TOPIC, Box::new(route));
@@ -136,10 +144,10 @@
         let thread: JoinHandle<()> = thread.spawn(move || run.run())?;
         let leave = to.clone();
         let end = move || {
-            let _ = leave.send(Given::Leave);
+            let _ = leave.send(ServiceInput::Leave);
             let _ = thread.join();
         };
-        Ok((Asker(to), Box::new(end)))
+        Ok((ServiceHandle(to), Box::new(end)))
     }
 }
 
@@ -151,11 +159,11 @@
 /// The thread of a machine's disk: gives what is there, then makes batches durable, several at once where several wait.
 fn disk<A: Send + 'static>(
     mut store: Box<dyn Store>,
-    to: Sender<Given<A>>,
+    to: Sender<ServiceInput<A>>,
 ) -> std::io::Result<Sender<Ticketed>> {
     let (wanted, batches) = bounded::<Ticketed>(BATCHES);
     let run = move || {
-        if to.send(Given::Found(store.load())).is_err() {
+        if to.send(ServiceInput::Loaded(store.load())).is_err() {
             return;
         }
         while let Ok(first) = batches.recv() {
@@ -168,7 +176,7 @@
             let done = store.put(batch);
             for ticket in tickets {
                 if to
-                    .send(Given::Kept {
+                    .send(ServiceInput::Persisted {
                         ticket,
                         done: done.clone(),
                     })
@@ -183,18 +191,18 @@
     Ok(wanted)
 }
 
-struct Loop<B: Beside> {
+struct Loop<B: ClusterService> {
     machine: B,
-    told: Box<dyn FnMut(B::Told) + Send>,
-    given: Receiver<Given<B::Ask>>,
+    told: Box<dyn FnMut(B::Event) + Send>,
+    given: Receiver<ServiceInput<B::Request>>,
     disk: Option<Sender<Ticketed>>,
-    whole: Arc<Mutex<Together>>,
+    whole: Arc<Mutex<ClusterMember>>,
     socket: UdpSocket,
     links: Arc<Links>,
     clock: Clock,
 }
 
-impl<B: Beside> Loop<B> {
+impl<B: ClusterService> Loop<B> {
     fn run(mut self) {
         let mut out = Vec::new();
         loop {
@@ -207,10 +215,10 @@
                 .recv_timeout(wait.unwrap_or(LOOK_EVERY).min(LOOK_EVERY))
             {
                 Ok(given) => given,
-                Err(RecvTimeoutError::Timeout) => Given::Wake,
+                Err(RecvTimeoutError::Timeout) => ServiceInput::Wake,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            let last = matches!(given, Given::Leave);
+            let last = matches!(given, ServiceInput::Leave);
             self.machine.step(now(&self.clock), given, &mut out);
             // Inputs may come so densely that nothing else wakes it.
             if !last
@@ -219,7 +227,8 @@
                     .wake_at()
                     .is_some_and(|at| at <= now(&self.clock))
             {
-                self.machine.step(now(&self.clock), Given::Wake, &mut out);
+                self.machine
+                    .step(now(&self.clock), ServiceInput::Wake, &mut out);
             }
             self.carry(&mut out);
             if last {
@@ -228,23 +237,23 @@
         }
     }
 
-    fn carry(&mut self, out: &mut Vec<Wanted<B::Told>>) {
+    fn carry(&mut self, out: &mut Vec<ServiceOutput<B::Event>>) {
         let mut kept = Ticketed {
             tickets: vec![],
             batch: vec![],
         };
         for wanted in out.drain(..) {
             match wanted {
-                Wanted::Say(to, said) => {
-                    let sealed = lock(&self.whole).say(B::TOPIC, to, &said);
+                ServiceOutput::SendDatagram(to, said) => {
+                    let sealed = lock(&self.whole).sign_message(B::TOPIC, to, &said);
                     // A datagram that cannot be sent is as good as lost.
                     sealed
                         .into_iter()
                         .for_each(|(at, bytes)| drop(self.socket.send_to(&bytes, at)));
                 }
-                Wanted::Send(to, said) => self.links.send(B::TOPIC, to, &said),
-                Wanted::Tell(told) => (self.told)(told),
-                Wanted::Keep {
+                ServiceOutput::SendFrame(to, said) => self.links.send(B::TOPIC, to, &said),
+                ServiceOutput::Event(told) => (self.told)(told),
+                ServiceOutput::Persist {
                     ticket,
                     name,
                     bytes,
@@ -252,8 +261,12 @@
                     kept.tickets.push(ticket);
                     kept.batch.push((name, bytes));
                 }
-                Wanted::Log { warn: true, text } => tracing::warn!(topic = ?B::TOPIC, "{text}"),
-                Wanted::Log { warn: false, text } => tracing::info!(topic = ?B::TOPIC, "{text}"),
+                ServiceOutput::Log { warn: true, text } => {
+                    tracing::warn!(topic = ?B::TOPIC, "{text}")
+                }
+                ServiceOutput::Log { warn: false, text } => {
+                    tracing::info!(topic = ?B::TOPIC, "{text}")
+                }
             }
         }
         if !kept.tickets.is_empty() {
@@ -264,20 +277,23 @@
     fn keep(&mut self, kept: Ticketed) {
         let tickets = kept.tickets.clone();
         let fault = match &self.disk {
-            None => KeepError::NoDisk,
+            None => StorageError::NoDisk,
             Some(disk) => match disk.try_send(kept) {
                 Ok(()) => return,
-                Err(_) => KeepError::Io("too much waits for the disk".to_string()),
+                Err(_) => StorageError::Io("too much waits for the disk".to_string()),
             },
         };
         let mut out = Vec::new();
         for ticket in tickets {
             let done = Err(fault.clone());
-            self.machine
-                .step(now(&self.clock), Given::Kept { ticket, done }, &mut out);
+            self.machine.step(
+                now(&self.clock),
+                ServiceInput::Persisted { ticket, done },
+                &mut out,
+            );
         }
         // What it wants kept in answer to that is its own affair: it would be refused likewise.
-        out.retain(|wanted| !matches!(wanted, Wanted::Keep { .. }));
+        out.retain(|wanted| !matches!(wanted, ServiceOutput::Persist { .. }));
         self.carry(&mut out);
     }
 }
--- a/crates/cluster-net/src/snapshot.rs
+++ b/crates/cluster-net/src/snapshot.rs
@@ -5,10 +5,10 @@
 use std::io::{ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-use bitternlatch_quota_lease::{Found, KeepError};
+use bitternlatch_quota_lease::{StorageError, StoredEntries};
 use crc32fast::hash;
 
-use crate::beside::{Batch, Store};
+use crate::service::{Batch, Store};
 
 /// What each file begins with: four letters and a version.
 const HEAD: &[u8] = b"bls1";
@@ -16,25 +16,25 @@
 const FILE_BYTES: u64 = 16 * 1024 * 1024;
 
 /// See the module's front.
-pub struct Snapshot {
+pub struct SnapshotStore {
     path: PathBuf,
-    kept: Found,
+    kept: StoredEntries,
 }
 
-impl Snapshot {
-    pub fn at(path: PathBuf) -> Snapshot {
-        Snapshot { path, kept: vec![] }
+impl SnapshotStore {
+    pub fn at(path: PathBuf) -> SnapshotStore {
+        SnapshotStore { path, kept: vec![] }
     }
 
-    fn failed(&self, e: &std::io::Error) -> KeepError {
+    fn failed(&self, e: &std::io::Error) -> StorageError {
         match e.kind() {
-            ErrorKind::StorageFull | ErrorKind::QuotaExceeded => KeepError::Full,
-            _ => KeepError::Io(format!("{}: {e}", self.path.display())),
+            ErrorKind::StorageFull | ErrorKind::QuotaExceeded => StorageError::Full,
+            _ => StorageError::Io(format!("{}: {e}", self.path.display())),
         }
     }
 }
 
-fn encode(kept: &Found) -> Vec<u8> {
+fn encode(kept: &StoredEntries) -> Vec<u8> {
     let mut body = vec![];
     for (name, bytes) in kept {
         for part in [name, bytes] {
@@ -45,7 +45,7 @@
     [HEAD, &hash(&body).to_le_bytes(), &body].concat()
 }
 
-fn decode(file: &[u8]) -> Option<Found> {
+fn decode(file: &[u8]) -> Option<StoredEntries> {
     let (sum, mut rest) = file.strip_prefix(HEAD)?.split_first_chunk::<4>()?;
     if hash(rest) != u32::from_le_bytes(*sum) {
         return None;
@@ -81,9 +81,9 @@
     File::open(folder)?.sync_all()
 }
 
-impl Store for Snapshot {
-    fn load(&mut self) -> Result<Found, KeepError> {
-        let bad = |why: &str| KeepError::Io(format!("{}: {why}", self.path.display()));
+impl Store for SnapshotStore {
+    fn load(&mut self) -> Result<StoredEntries, StorageError> {
+        let bad = |why: &str| StorageError::Io(format!("{}: {why}", self.path.display()));
         match std::fs::metadata(&self.path) {
             Err(e) if e.kind() == ErrorKind::NotFound => return Ok(vec![]),
             Err(e) => return Err(self.failed(&e)),
@@ -95,7 +95,7 @@
         Ok(self.kept.clone())
     }
 
-    fn put(&mut self, batch: Batch) -> Result<(), KeepError> {
+    fn put(&mut self, batch: Batch) -> Result<(), StorageError> {
         let mut kept = self.kept.clone();
         for (name, bytes) in batch {
             kept.retain(|known| known.0 != name);
@@ -103,7 +103,7 @@
         }
         let file = encode(&kept);
         if file.len() as u64 > FILE_BYTES {
-            return Err(KeepError::Io(
+            return Err(StorageError::Io(
                 "a snapshot too large to be read back".to_string(),
             ));
         }
@@ -121,7 +121,7 @@
     fn what_is_put_is_read_back_whole_or_refused() {
         let dir = tempfile::tempdir().unwrap();
         let path = dir.path().join("kept");
-        let mut store = Snapshot::at(path.clone());
+        let mut store = SnapshotStore::at(path.clone());
         assert_eq!(store.load(), Ok(vec![]));
         let put = |name: &[u8], bytes: Option<&[u8]>| (name.to_vec(), bytes.map(<[u8]>::to_vec));
         store
@@ -134,13 +134,17 @@
                 put(b"c", None),
             ])
             .unwrap();
-        let expected: Found = vec![(b"b".to_vec(), vec![]), (b"a".to_vec(), b"two".to_vec())];
-        assert_eq!(Snapshot::at(path.clone()).load(), Ok(expected));
+        let expected: StoredEntries =
+            vec![(b"b".to_vec(), vec![]), (b"a".to_vec(), b"two".to_vec())];
+        assert_eq!(SnapshotStore::at(path.clone()).load(), Ok(expected));
         let whole = std::fs::read(&path).unwrap();
         for length in 0..whole.len() {
             std::fs::write(&path, &whole[..length]).unwrap();
             assert!(
-                matches!(Snapshot::at(path.clone()).load(), Err(KeepError::Io(_))),
+                matches!(
+                    SnapshotStore::at(path.clone()).load(),
+                    Err(StorageError::Io(_))
+                ),
                 "{length}"
             );
         }
@@ -148,12 +152,12 @@
             let mut torn = whole.clone();
             torn[at] ^= 4;
             std::fs::write(&path, &torn).unwrap();
-            assert!(Snapshot::at(path.clone()).load().is_err(), "{at}");
+            assert!(SnapshotStore::at(path.clone()).load().is_err(), "{at}");
         }
         // A broken one is replaced.
         store.put(vec![]).unwrap();
-        assert!(Snapshot::at(path.clone()).load().is_ok());
-        assert!(Snapshot::at(dir.path().join("no/folder"))
+        assert!(SnapshotStore::at(path.clone()).load().is_ok());
+        assert!(SnapshotStore::at(dir.path().join("no/folder"))
             .put(vec![])
             .is_err());
     }
--- a/crates/cluster-net/src/start.rs
+++ b/crates/cluster-net/src/start.rs
@@ -8,24 +8,24 @@
 /// Longest file that is read, bytes.
 const FILE_BYTES: u64 = 64;
 
-use crate::error::PeerNetError;
+use crate::error::ClusterNetError;
 
 /// The clock's milliseconds, or one more than the start that the file tells of if that is later; written there
 /// before it is used, so that no two starts of one folder have one number.
 ///
 /// # Errors
 /// Where the file cannot be read or written, or holds no number; a start that could pass for an earlier one is none.
-pub(crate) fn number(kept: Option<&Path>) -> Result<u64, PeerNetError> {
+pub(crate) fn number(kept: Option<&Path>) -> Result<u64, ClusterNetError> {
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_millis() as u64;
     let Some(path) = kept else { return Ok(unix) };
-    let bad = |why| PeerNetError::Start {
+    let bad = |why| ClusterNetError::Start {
         path: path.to_path_buf(),
         why,
     };
-    let no_number = || PeerNetError::NoNumber {
+    let no_number = || ClusterNetError::NoNumber {
         path: path.to_path_buf(),
     };
     let last = match std::fs::metadata(path) {
@@ -89,7 +89,7 @@
         raise(&path, ahead + 9).expect("kept");
         assert_eq!(number(Some(&path)).ok(), Some(ahead + 10));
         std::fs::write(&path, "x7").expect("a file");
-        assert!(number(Some(&path)).is_err_and(|e| matches!(e, PeerNetError::NoNumber { .. })));
+        assert!(number(Some(&path)).is_err_and(|e| matches!(e, ClusterNetError::NoNumber { .. })));
         std::fs::remove_dir_all(&dir).expect("removed");
     }
 }
--- a/crates/cluster-net/src/views.rs
+++ b/crates/cluster-net/src/status.rs
@@ -5,10 +5,10 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-use bitternlatch_quota_lease::{base, Together};
+use bitternlatch_quota_lease::{unleased_quota, ClusterMember};
 use serde::{Deserialize, Serialize};
 
-use crate::error::PeerNetError;
+use crate::error::ClusterNetError;
 use crate::links;
 
 /// The question for a view.
@@ -16,12 +16,12 @@
 /// Longest question and longest answer, bytes: a thousand members take some 250 KB in a view, 150 in a roster.
 const QUESTION_BYTES: u64 = 256;
 const ANSWER_BYTES: u64 = 1 << 20;
-/// Longest that one asker is waited for; askers are served one after the other.
+/// Longest that one handle is waited for; askers are served one after the other.
 const ASKER: Duration = Duration::from_millis(500);
 
 /// A view as it is told. Times in Unix milliseconds of the member's own clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Shown {
+pub struct ClusterStatus {
     pub cluster: String,
     pub name: String,
     pub address: String,
@@ -38,13 +38,13 @@
     /// What it may spend of the whole now, from 0 to 1.
     #[serde(default)]
     pub part: f64,
-    pub members: Vec<Line>,
+    pub members: Vec<MemberStatus>,
     /// Datagrams not taken, by cause.
     pub dropped: BTreeMap<String, u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct MemberStatus {
     pub name: String,
     pub address: String,
     pub start: Option<u64>,
@@ -53,12 +53,17 @@
     pub evidence: String,
 }
 
-impl Shown {
-    pub(crate) fn of(cluster: &str, name: &str, whole: &Together, now: Duration) -> Shown {
+impl ClusterStatus {
+    pub(crate) fn of(
+        cluster: &str,
+        name: &str,
+        whole: &ClusterMember,
+        now: Duration,
+    ) -> ClusterStatus {
         let view = whole.member.view();
-        let part = whole.shares.part();
+        let part = whole.quota.lease();
         let lent = if now < part.until { part.lent } else { 0.0 };
-        let line = |m: &bitternlatch_membership::MemberView| Line {
+        let line = |m: &bitternlatch_membership::MemberView| MemberStatus {
             name: m.name.clone(),
             address: m.address.to_string(),
             start: m.start.map(|s| s.process),
@@ -66,7 +71,7 @@
             since_ms: m.since.as_millis() as u64,
             evidence: m.evidence.to_string(),
         };
-        Shown {
+        ClusterStatus {
             cluster: cluster.to_string(),
             name: name.to_string(),
             address: view.me.address.to_string(),
@@ -76,11 +81,11 @@
             fenced_by: view.fenced_by.map(|s| s.process),
             at_ms: now.as_millis() as u64,
             steward: whole
-                .shares
-                .steward()
+                .quota
+                .leader()
                 .map(|key| whole.member.name_of(key))
                 .unwrap_or_default(),
-            part: lent + base(whole.member.roster().len()),
+            part: lent + unleased_quota(whole.member.roster().len()),
             members: view.members.iter().map(line).collect(),
             dropped: view
                 .dropped
@@ -94,7 +99,7 @@
 /// Answers askers one after the other until the process ends; links that peers open go their own way.
 pub(crate) fn serve(
     listener: &TcpListener,
-    view: impl Fn() -> Shown,
+    view: impl Fn() -> ClusterStatus,
     other: impl Fn(&str) -> Option<String>,
     link: impl Fn(BufReader<TcpStream>),
 ) {
@@ -102,7 +107,7 @@
         match stream {
             Ok(stream) => {
                 if let Err(e) = answer(stream, &view, &other, &link) {
-                    tracing::debug!(error = %e, "an asker for the view was not answered");
+                    tracing::debug!(error = %e, "a status query was not answered");
                 }
             }
             // Without descriptors it would spin.
@@ -113,7 +118,7 @@
 
 fn answer(
     mut stream: TcpStream,
-    view: &impl Fn() -> Shown,
+    view: &impl Fn() -> ClusterStatus,
     other: &impl Fn(&str) -> Option<String>,
     link: &impl Fn(BufReader<TcpStream>),
 ) -> io::Result<()> {
@@ -152,7 +157,8 @@
 ///
 /// # Errors
 /// Where it cannot be reached within the time, or what it tells cannot be read.
-pub fn ask(peer: SocketAddr, within: Duration) -> Result<Shown, PeerNetError> {
-    let text = put(peer, QUESTION, within).map_err(|why| PeerNetError::NoAnswer { peer, why })?;
-    serde_json::from_str(&text).map_err(|why| PeerNetError::NoView { peer, why })
+pub fn fetch_status(peer: SocketAddr, within: Duration) -> Result<ClusterStatus, ClusterNetError> {
+    let text =
+        put(peer, QUESTION, within).map_err(|why| ClusterNetError::NoAnswer { peer, why })?;
+    serde_json::from_str(&text).map_err(|why| ClusterNetError::NoView { peer, why })
 }
--- a/crates/cluster-net/tests/kept.rs
+++ b/crates/cluster-net/tests/durable_store.rs
@@ -5,17 +5,17 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
-use bitternlatch_cluster_net::{Batch, Kept, Store};
-use bitternlatch_quota_lease::KeepError;
+use bitternlatch_cluster_net::{Batch, DurableStore, Store};
+use bitternlatch_quota_lease::StorageError;
 use redb::StorageBackend;
 
 fn some(name: &str, bytes: &[u8]) -> (Vec<u8>, Option<Vec<u8>>) {
     (name.as_bytes().to_vec(), Some(bytes.to_vec()))
 }
 
-fn words(error: KeepError) -> String {
+fn words(error: StorageError) -> String {
     match error {
-        KeepError::Io(words) => words,
+        StorageError::Io(words) => words,
         other => panic!("{other:?}"),
     }
 }
@@ -24,7 +24,7 @@
 fn what_was_put_survives_a_reopening_and_what_was_removed_does_not() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("copies.redb");
-    let mut kept = Kept::at(&path);
+    let mut kept = DurableStore::at(&path);
     assert_eq!(kept.load(), Ok(vec![]));
     let batch: Batch = vec![some("a", b"1"), some("b", &[7; 50_000]), some("c", b"")];
     kept.put(batch).expect("kept");
@@ -32,10 +32,10 @@
         .expect("kept");
     let whole = vec![(b"a".to_vec(), b"2".to_vec()), (b"c".to_vec(), vec![])];
     assert_eq!(kept.load(), Ok(whole.clone()));
-    let other = words(Kept::at(&path).load().expect_err("open already"));
+    let other = words(DurableStore::at(&path).load().expect_err("open already"));
     assert!(other.contains("another process"), "{other}");
     drop(kept);
-    assert_eq!(Kept::at(&path).load(), Ok(whole));
+    assert_eq!(DurableStore::at(&path).load(), Ok(whole));
 }
 
 #[test]
@@ -43,7 +43,7 @@
     let dir = tempfile::tempdir().expect("a folder");
     let at = |name: &str| dir.path().join(name);
     let good = at("good.redb");
-    let mut kept = Kept::at(&good);
+    let mut kept = DurableStore::at(&good);
     let batch = (0..200u32)
         .map(|i| some(&format!("name-{i}"), &[i as u8; 300]))
         .collect();
@@ -56,7 +56,7 @@
         let torn = at(&format!("torn-{part}"));
         fs::write(&torn, &bytes[..bytes.len() * part / 16]).expect("a file");
         // Whole it may be, as the end of the file is room; another content it never is.
-        match Kept::at(&torn).load() {
+        match DurableStore::at(&torn).load() {
             Ok(kept) => assert_eq!(kept, found, "{part}/16 of it"),
             Err(e) => {
                 refused += 1;
@@ -71,7 +71,7 @@
         let mut other = bytes.clone();
         other[i] ^= 0x10;
         fs::write(&flipped, other).expect("a file");
-        match Kept::at(&flipped).load() {
+        match DurableStore::at(&flipped).load() {
             Ok(kept) => assert_eq!(kept, found, "byte {i}"),
             Err(_) => noticed += 1,
         }
@@ -82,7 +82,9 @@
         "not a store at all, but some longer text".repeat(200),
     )
     .expect("a file");
-    assert!(words(Kept::at(&at("text")).load().expect_err("foreign")).contains("move it away"));
+    assert!(
+        words(DurableStore::at(&at("text")).load().expect_err("foreign")).contains("move it away")
+    );
     let make = |name: &str, table: redb::TableDefinition<'_, &str, u64>| {
         let db = redb::Database::create(at(name)).expect("a database");
         let write = db.begin_write().expect("a write");
@@ -94,9 +96,16 @@
         write.commit().expect("written");
     };
     make("foreign", redb::TableDefinition::new("others"));
-    assert!(words(Kept::at(&at("foreign")).load().expect_err("foreign")).contains("something else"));
+    assert!(words(
+        DurableStore::at(&at("foreign"))
+            .load()
+            .expect_err("foreign")
+    )
+    .contains("something else"));
     make("later", redb::TableDefinition::new("about"));
-    assert!(words(Kept::at(&at("later")).load().expect_err("later")).contains("of version 9"));
+    assert!(
+        words(DurableStore::at(&at("later")).load().expect_err("later")).contains("of version 9")
+    );
 }
 
 /// A disk in memory that holds so many bytes.
@@ -150,7 +159,7 @@
         room: Arc::new(AtomicU64::new(4 << 20)),
     };
     let own = disk.clone();
-    let mut kept = Kept::over(move || own.clone());
+    let mut kept = DurableStore::over(move || own.clone());
     kept.put(vec![some("first", b"1")]).expect("kept");
     let big = |i: u32| {
         vec![
@@ -160,9 +169,9 @@
     };
     let full = (0..100).find_map(|i| kept.put(big(i)).err().map(|e| (i, e)));
     let (at, error) = full.expect("it runs full");
-    assert_eq!(error, KeepError::Full);
+    assert_eq!(error, StorageError::Full);
     assert!(error.advice().contains("free space"));
-    assert_eq!(kept.put(big(at)), Err(KeepError::Full), "still");
+    assert_eq!(kept.put(big(at)), Err(StorageError::Full), "still");
     let found = kept.load().expect("what was kept is there");
     assert_eq!(found.len(), 2 + at as usize, "whole batches alone");
     assert!(found.contains(&(b"last".to_vec(), (at - 1).to_le_bytes().to_vec())));
--- a/crates/cluster-net/tests/golden.rs
+++ b/crates/cluster-net/tests/golden.rs
@@ -6,10 +6,13 @@
 use std::path::Path;
 use std::time::Duration;
 
-use bitternlatch_cluster_net::{roster, Asker, Kept, Line, Plane, Shown, Snapshot, Store};
+use bitternlatch_cluster_net::{
+    fetch_roster, ClusterRuntime, ClusterStatus, DurableStore, MemberStatus, ServiceHandle,
+    SnapshotStore, Store,
+};
 use bitternlatch_core::settings::{Cluster, Peer};
 use bitternlatch_membership::{NameKey, Secret, Topic};
-use bitternlatch_quota_lease::{Beside, Found, Given, Wanted};
+use bitternlatch_quota_lease::{ClusterService, ServiceInput, ServiceOutput, StoredEntries};
 
 const SECRET: &[u8] = b"sixteen bytes or more";
 const START: &str = "4000000000000000\n";
@@ -58,18 +61,23 @@
 /// Sends what it is asked to.
 struct Sends;
 
-impl Beside for Sends {
+impl ClusterService for Sends {
     const TOPIC: Topic = Topic::Workflows;
-    type Ask = Vec<u8>;
-    type Told = ();
+    type Request = Vec<u8>;
+    type Event = ();
 
     fn wake_at(&self) -> Option<Duration> {
         None
     }
 
-    fn step(&mut self, _: Duration, given: Given<Vec<u8>>, out: &mut Vec<Wanted<()>>) {
-        if let Given::Ask(said) = given {
-            out.push(Wanted::Send(NameKey::of("d2"), said));
+    fn step(
+        &mut self,
+        _: Duration,
+        given: ServiceInput<Vec<u8>>,
+        out: &mut Vec<ServiceOutput<()>>,
+    ) {
+        if let ServiceInput::Request(said) = given {
+            out.push(ServiceOutput::SendFrame(NameKey::of("d2"), said));
         }
     }
 }
@@ -78,7 +86,8 @@
 fn start_number_status_and_frames_keep_their_bytes() {
     let dir = folder();
     let peer = TcpListener::bind(address(2)).expect("a listener");
-    let mut plane = Plane::join(&cluster([1, 2]), "d1", dir.path(), |_| ()).expect("a plane");
+    let mut runtime =
+        ClusterRuntime::join(&cluster([1, 2]), "d1", dir.path(), |_| ()).expect("a runtime");
     let kept = std::fs::read_to_string(dir.path().join("d1.start")).expect("the start");
     assert_eq!(kept, "4000000000000001\n");
 
@@ -102,14 +111,16 @@
         "{\"error\":\"the question is 'members 1'\"}\n"
     );
 
-    let asker: Asker<Vec<u8>> = plane.beside(Sends, None, |()| ()).expect("a machine");
-    asker.ask(b"first".to_vec()).expect("asked");
+    let handle: ServiceHandle<Vec<u8>> = runtime
+        .add_service(Sends, None, |()| ())
+        .expect("a machine");
+    handle.request(b"first".to_vec()).expect("asked");
     let (link, _) = peer.accept().expect("a link");
     let mut link = BufReader::new(link);
     let mut opening = String::new();
     link.read_line(&mut opening).expect("a line");
     assert_eq!(opening, "link 1 d1\n");
-    asker.ask(vec![0, 1, 0]).expect("asked");
+    handle.request(vec![0, 1, 0]).expect("asked");
     let mut frames = String::new();
     for _ in 0..2 {
         let mut frame = Vec::new();
@@ -117,12 +128,12 @@
         frames += &format!("{}\n", hex(&frame));
     }
     assert_eq!(frames, include_str!("golden/frames.txt"));
-    plane.leave();
+    runtime.leave();
 }
 
 #[test]
 fn view_keeps_its_text() {
-    let line = |name: &str, start, state: &str| Line {
+    let line = |name: &str, start, state: &str| MemberStatus {
         name: name.into(),
         address: "127.0.0.1:7002".into(),
         start,
@@ -130,7 +141,7 @@
         since_ms: 17,
         evidence: "never heard".into(),
     };
-    let shown = Shown {
+    let shown = ClusterStatus {
         cluster: "hall".into(),
         name: "d1".into(),
         address: "127.0.0.1:7001".into(),
@@ -146,7 +157,10 @@
     };
     let text = include_str!("golden/view.json").trim_end();
     assert_eq!(serde_json::to_string(&shown).expect("text"), text);
-    assert_eq!(serde_json::from_str::<Shown>(text).expect("a view"), shown);
+    assert_eq!(
+        serde_json::from_str::<ClusterStatus>(text).expect("a view"),
+        shown
+    );
 }
 
 /// What a seed of this cluster answers, and what it was asked.
@@ -187,7 +201,7 @@
 fn roster_is_asked_for_told_and_kept_in_the_same_bytes() {
     let dir = folder();
     let (at, asked) = seed(3, ROSTER.to_string());
-    let (told, by) = roster(&with_seeds(vec![at]), "d2", dir.path()).expect("a roster");
+    let (told, by) = fetch_roster(&with_seeds(vec![at]), "d2", dir.path()).expect("a roster");
     assert_eq!((told, by), (golden_roster(), format!("seed {at}")));
     let question = asked.join().expect("a question");
     let (words, nonce) = question.trim_end().rsplit_once(' ').expect("words");
@@ -200,9 +214,9 @@
         address: Some(address(4)),
         ..cluster([0, 0])
     };
-    let plane = Plane::join(&telling, "d1", dir.path(), |_| ()).expect("a plane");
+    let runtime = ClusterRuntime::join(&telling, "d1", dir.path(), |_| ()).expect("a runtime");
     let answer = put(address(4), "roster 1 d2 000102030405060708090a0b0c0d0e0f\n");
-    plane.leave();
+    runtime.leave();
     assert_eq!(
         answer,
         format!("{ROSTER}\n593c7ff6312fc7e72f6747db9666582d\n")
@@ -213,11 +227,11 @@
 fn kept_roster_as_found_counts_where_no_seed_answers() {
     let dir = folder();
     std::fs::write(dir.path().join("d1.start.roster"), ROSTER).expect("a file");
-    let (told, by) = roster(&with_seeds(vec![]), "d2", dir.path()).expect("a roster");
+    let (told, by) = fetch_roster(&with_seeds(vec![]), "d2", dir.path()).expect("a roster");
     assert_eq!((told, by.as_str()), (golden_roster(), "the last one told"));
 }
 
-fn small_store() -> Found {
+fn small_store() -> StoredEntries {
     vec![
         (b"a".to_vec(), b"one".to_vec()),
         (b"b/2".to_vec(), vec![]),
@@ -225,7 +239,7 @@
     ]
 }
 
-fn as_batch(found: Found) -> Vec<(Vec<u8>, Option<Vec<u8>>)> {
+fn as_batch(found: StoredEntries) -> Vec<(Vec<u8>, Option<Vec<u8>>)> {
     found
         .into_iter()
         .map(|(name, bytes)| (name, Some(bytes)))
@@ -236,13 +250,13 @@
 fn snapshot_as_found_is_read_and_written_in_the_same_bytes() {
     let dir = folder();
     let path = dir.path().join("lengths");
-    Snapshot::at(path.clone())
+    SnapshotStore::at(path.clone())
         .put(as_batch(small_store()))
         .expect("written");
     let golden = include_bytes!("golden/snapshot.bin");
     assert_eq!(hex(&std::fs::read(&path).expect("the file")), hex(golden));
     std::fs::write(&path, golden).expect("the fixture");
-    assert_eq!(Snapshot::at(path).load(), Ok(small_store()));
+    assert_eq!(SnapshotStore::at(path).load(), Ok(small_store()));
 }
 
 /// The store's file as found, without the runs of zeros that it mostly consists of: offset, length, bytes.
@@ -265,5 +279,5 @@
     unpack(include_bytes!("golden/store.bin"), &path);
     let mut expected = small_store();
     expected.sort();
-    assert_eq!(Kept::at(&path).load(), Ok(expected));
+    assert_eq!(DurableStore::at(&path).load(), Ok(expected));
 }
--- a/crates/cluster-net/tests/beside.rs
+++ b/crates/cluster-net/tests/services.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use bitternlatch_cluster_net::{Asker, Batch, Plane, Store};
+use bitternlatch_cluster_net::{Batch, ClusterRuntime, ServiceHandle, Store};
 use bitternlatch_core::settings::{Cluster, Peer};
 use bitternlatch_membership::{NameKey, Topic};
-use bitternlatch_quota_lease::{Beside, Given, KeepError, Wanted};
+use bitternlatch_quota_lease::{ClusterService, ServiceInput, ServiceOutput, StorageError};
 use crossbeam_channel::{unbounded, Receiver};
 
 /// Passes on what it is asked, and tells all that it hears.
@@ -20,35 +20,49 @@
     Keep(u64, Vec<u8>),
 }
 
-impl Beside for Echo {
+impl ClusterService for Echo {
     const TOPIC: Topic = Topic::Lengths;
-    type Ask = Ask;
-    type Told = String;
+    type Request = Ask;
+    type Event = String;
 
     fn wake_at(&self) -> Option<Duration> {
         None
     }
 
-    fn step(&mut self, _: Duration, given: Given<Ask>, out: &mut Vec<Wanted<String>>) {
+    fn step(
+        &mut self,
+        _: Duration,
+        given: ServiceInput<Ask>,
+        out: &mut Vec<ServiceOutput<String>>,
+    ) {
         match given {
-            Given::Wake | Given::Peers(_) => {}
-            Given::Ask(Ask::Say(to, said)) => out.push(Wanted::Say(to, said)),
-            Given::Ask(Ask::Send(to, said)) => out.push(Wanted::Send(to, said)),
-            Given::Ask(Ask::Keep(ticket, name)) => out.push(Wanted::Keep {
+            ServiceInput::Wake | ServiceInput::Peers(_) => {}
+            ServiceInput::Request(Ask::Say(to, said)) => {
+                out.push(ServiceOutput::SendDatagram(to, said))
+            }
+            ServiceInput::Request(Ask::Send(to, said)) => {
+                out.push(ServiceOutput::SendFrame(to, said))
+            }
+            ServiceInput::Request(Ask::Keep(ticket, name)) => out.push(ServiceOutput::Persist {
                 ticket,
                 name,
                 bytes: Some(b"kept".to_vec()),
             }),
-            Given::Said { said, .. } => out.push(Wanted::Tell(format!("said {}", said.len()))),
-            Given::Frame { said, .. } => out.push(Wanted::Tell(format!("frame {}", said.len()))),
-            Given::Found(found) => out.push(Wanted::Tell(format!(
+            ServiceInput::Datagram { payload, .. } => {
+                out.push(ServiceOutput::Event(format!("said {}", payload.len())))
+            }
+            ServiceInput::Frame { payload, .. } => {
+                out.push(ServiceOutput::Event(format!("frame {}", payload.len())))
+            }
+            ServiceInput::Loaded(found) => out.push(ServiceOutput::Event(format!(
                 "found {}",
                 found.map_or(0, |f| f.len())
             ))),
-            Given::Kept { ticket, done } => {
-                out.push(Wanted::Tell(format!("kept {ticket} {}", done.is_ok())))
-            }
-            Given::Leave => out.push(Wanted::Tell("leaves".to_string())),
+            ServiceInput::Persisted { ticket, done } => out.push(ServiceOutput::Event(format!(
+                "kept {ticket} {}",
+                done.is_ok()
+            ))),
+            ServiceInput::Leave => out.push(ServiceOutput::Event("leaves".to_string())),
         }
     }
 }
@@ -56,13 +70,13 @@
 struct Shelf(usize);
 
 impl Store for Shelf {
-    fn load(&mut self) -> Result<Vec<(Vec<u8>, Vec<u8>)>, KeepError> {
+    fn load(&mut self) -> Result<Vec<(Vec<u8>, Vec<u8>)>, StorageError> {
         Ok(vec![(b"a".to_vec(), b"b".to_vec())])
     }
 
-    fn put(&mut self, batch: Batch) -> Result<(), KeepError> {
+    fn put(&mut self, batch: Batch) -> Result<(), StorageError> {
         let room = self.0.checked_sub(batch.len());
-        self.0 = room.ok_or(KeepError::Full)?;
+        self.0 = room.ok_or(StorageError::Full)?;
         Ok(())
     }
 }
@@ -77,7 +91,7 @@
     n: u16,
     store: Option<Box<dyn Store>>,
     dir: &Path,
-) -> (Plane, Asker<Ask>, Receiver<String>) {
+) -> (ClusterRuntime, ServiceHandle<Ask>, Receiver<String>) {
     let peer = |n| Peer {
         name: format!("d{n}"),
         address: address(n),
@@ -90,12 +104,13 @@
         roster,
         ..Cluster::default()
     };
-    let mut plane = Plane::join(&cluster, &format!("d{n}"), dir, |_| ()).expect("a plane");
+    let mut runtime =
+        ClusterRuntime::join(&cluster, &format!("d{n}"), dir, |_| ()).expect("a runtime");
     let (to, heard) = unbounded();
-    let asker = plane
-        .beside(Echo, store, move |told| drop(to.send(told)))
+    let handle = runtime
+        .add_service(Echo, store, move |told| drop(to.send(told)))
         .expect("a machine");
-    (plane, asker, heard)
+    (runtime, handle, heard)
 }
 
 fn until(heard: &Receiver<String>, what: &str) {
@@ -118,17 +133,17 @@
     let (two, other, heard) = start(2, None, dir.path());
     let d2 = NameKey::of("d2");
     until(&kept, "found 1");
-    asks.ask(Ask::Say(d2, vec![7; 200])).expect("asked");
+    asks.request(Ask::Say(d2, vec![7; 200])).expect("asked");
     until(&heard, "said 200");
     for size in [0, 60_000] {
-        asks.ask(Ask::Send(d2, vec![0; size])).expect("asked");
+        asks.request(Ask::Send(d2, vec![0; size])).expect("asked");
         until(&heard, &format!("frame {size}"));
     }
-    asks.ask(Ask::Keep(1, b"x".to_vec())).expect("asked");
+    asks.request(Ask::Keep(1, b"x".to_vec())).expect("asked");
     until(&kept, "kept 1 true");
-    asks.ask(Ask::Keep(2, b"y".to_vec())).expect("asked");
+    asks.request(Ask::Keep(2, b"y".to_vec())).expect("asked");
     until(&kept, "kept 2 false");
-    other.ask(Ask::Keep(3, b"z".to_vec())).expect("asked");
+    other.request(Ask::Keep(3, b"z".to_vec())).expect("asked");
     until(&heard, "kept 3 false");
     two.leave();
     until(&heard, "leaves");
@@ -149,16 +164,16 @@
         roster,
         ..Cluster::default()
     };
-    let why = Plane::check(&cluster, "d1", dir.path())
+    let why = ClusterRuntime::check(&cluster, "d1", dir.path())
         .expect_err("no secret")
-        .told();
+        .with_advice();
     assert!(
         why.contains("secret: No such file") && why.contains("head -c 32"),
         "{why}"
     );
     std::fs::write(dir.path().join("secret"), "short").expect("a file");
-    let why = Plane::check(&cluster, "d1", dir.path())
+    let why = ClusterRuntime::check(&cluster, "d1", dir.path())
         .expect_err("a short one")
-        .told();
+        .with_advice();
     assert!(why.contains("5 bytes; a secret has 16 to 4096"), "{why}");
 }
--- a/crates/core/src/cluster_mode.rs
+++ b/crates/core/src/cluster_mode.rs
@@ -1,6 +1,6 @@
 //! What this dispatcher may do by what it knows of its peers, checked at the act and by time.
 
-use bitternlatch_membership::{Duty, Standing, Work};
+use bitternlatch_membership::{AdmissionMode, EffectClass, QuorumState};
 use bitternlatch_protocol::client::BadRequest;
 
 use crate::budgets::Rejection;
@@ -14,23 +14,23 @@
 /// What was told last, and until when it counts.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
-    told: Option<(Standing, Micros)>,
+    told: Option<(QuorumState, Micros)>,
     /// Names of those that are there.
     there: Vec<String>,
 }
 
-fn work(effect: Effect) -> Work {
+fn work(effect: Effect) -> EffectClass {
     match effect {
-        Effect::Safe => Work::Safe,
-        Effect::Keyed => Work::Keyed,
-        Effect::Unsafe => Work::Unsafe,
+        Effect::Safe => EffectClass::Safe,
+        Effect::Keyed => EffectClass::Keyed,
+        Effect::Unsafe => EffectClass::Unsafe,
     }
 }
 
 impl Machine {
     pub(crate) fn on_quorum_state(
         &mut self,
-        standing: Standing,
+        standing: QuorumState,
         there: Vec<String>,
         until: Micros,
     ) {
@@ -42,15 +42,15 @@
 
     /// What it knows now; `None` where it is to know of nobody. What was told before this process stood still, or has
     /// not been told again in time, is no knowledge: it counts as alone.
-    pub(crate) fn standing(&self, now: Micros) -> Option<Standing> {
+    pub(crate) fn standing(&self, now: Micros) -> Option<QuorumState> {
         self.settings.cluster.as_ref()?;
         let fresh = self.peers.told.filter(|(_, until)| now < *until);
-        Some(fresh.map_or(Standing::Alone, |(standing, _)| standing))
+        Some(fresh.map_or(QuorumState::Alone, |(standing, _)| standing))
     }
 
     /// What it does with such work now; `None` where it is to know of nobody.
-    pub(crate) fn duty(&self, now: Micros, work: Work) -> Option<Duty> {
-        Some(Duty::of(
+    pub(crate) fn duty(&self, now: Micros, work: EffectClass) -> Option<AdmissionMode> {
+        Some(AdmissionMode::of(
             self.standing(now)?,
             self.reaches_servers(now),
             work,
@@ -110,7 +110,9 @@
 
     /// Whether callers should come, by what is known of peers and servers.
     pub fn is_ready(&self, now: Micros) -> bool {
-        let peers = self.duty(now, Work::Safe).is_none_or(|duty| duty.ready);
+        let peers = self
+            .duty(now, EffectClass::Safe)
+            .is_none_or(|duty| duty.ready);
         peers && !self.stopping && self.counts().open_links > 0
     }
 }
--- a/crates/core/src/observations.rs
+++ b/crates/core/src/observations.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bitternlatch_policy::interface::{Event, ListForm, Observation, Outcome, ServerId};
-use bitternlatch_quota_lease::{Hearsay, Host, Trait};
+use bitternlatch_quota_lease::{PeerReport, ServerCondition, ServerNumber};
 
 use crate::machine::{log, Machine};
 use crate::timers::Timer;
@@ -22,14 +22,14 @@
 const UNREACHABLE_AFTER_S: f64 = 1.0;
 
 /// Something seen of a server, and since when; the words that peers have for it.
-pub type ServerObservation = (Host, Trait, Micros);
+pub type ServerObservation = (ServerNumber, ServerCondition, Micros);
 
 #[derive(Default)]
 pub(crate) struct Observations {
     /// Failed attempts in a row, and the last of them.
     failures: BTreeMap<ServerId, (u32, Micros)>,
     /// Since when something that has no time of its own is so.
-    since: BTreeMap<(Host, Trait), Micros>,
+    since: BTreeMap<(ServerNumber, ServerCondition), Micros>,
     sent: Vec<ServerObservation>,
     /// Since when no link has been open.
     unreachable_since: Option<Micros>,
@@ -38,11 +38,11 @@
     failing_at_peers: BTreeMap<ServerId, Micros>,
 }
 
-fn sight(what: Trait) -> Observation {
+fn sight(what: ServerCondition) -> Observation {
     match what {
-        Trait::Failing => Observation::Failing,
-        Trait::Cold => Observation::WarmingUp,
-        Trait::Draining => Observation::Draining,
+        ServerCondition::Failing => Observation::Failing,
+        ServerCondition::WarmingUp => Observation::WarmingUp,
+        ServerCondition::Draining => Observation::Draining,
     }
 }
 
@@ -90,25 +90,25 @@
 
     fn observe(&mut self, now: Micros) -> Vec<ServerObservation> {
         let warm_after_s = self.settings.rules.slow_start.warm_after_s;
-        let mut observe: BTreeMap<(Host, Trait), Micros> = BTreeMap::new();
+        let mut observe: BTreeMap<(ServerNumber, ServerCondition), Micros> = BTreeMap::new();
         // What has no time of its own counts from the look at which it was first so.
         let mut so = BTreeSet::new();
         for (id, known) in self.servers.listed() {
-            let server = Host(id);
+            let server = ServerNumber(id);
             if known.is_draining() {
-                so.insert((server, Trait::Draining));
+                so.insert((server, ServerCondition::Draining));
             }
             if self.links.open(id).is_none() {
-                so.insert((server, Trait::Failing));
+                so.insert((server, ServerCondition::Failing));
             }
             if let Some(at) = known.booted_at().filter(|at| now.since(*at) < warm_after_s) {
-                observe.insert((server, Trait::Cold), at);
+                observe.insert((server, ServerCondition::WarmingUp), at);
             }
         }
         self.observations.since.retain(|key, _| so.contains(key));
         for key in so {
             let at = *self.observations.since.entry(key).or_insert(now);
-            if key.1 != Trait::Failing || now.since(at) >= MIN_LINK_DOWN_S {
+            if key.1 != ServerCondition::Failing || now.since(at) >= MIN_LINK_DOWN_S {
                 observe.insert(key, at);
             }
         }
@@ -118,7 +118,9 @@
             .iter()
             .filter(|(_, (many, _))| *many >= FAILURE_STREAK)
         {
-            let at = observe.entry((Host(*id), Trait::Failing)).or_insert(*last);
+            let at = observe
+                .entry((ServerNumber(*id), ServerCondition::Failing))
+                .or_insert(*last);
             *at = (*at).max(*last);
         }
         observe
@@ -133,7 +135,7 @@
         now: Micros,
         at: Micros,
         of: u16,
-        heard: &[Hearsay],
+        heard: &[PeerReport],
         out: &mut Vec<Output>,
     ) {
         if self.settings.cluster.is_none() || now.since(at) > MAX_REPORT_AGE_S {
@@ -141,22 +143,22 @@
         }
         let drained = heard
             .iter()
-            .filter(|h| h.what == Trait::Draining)
-            .map(|h| h.host.0);
+            .filter(|h| h.condition == ServerCondition::Draining)
+            .map(|h| h.server.0);
         if self.observations.list_unreadable {
             self.drain_by_peer_reports(drained.collect(), out);
         }
         for one in heard
             .iter()
-            .filter(|h| self.servers.get(h.host.0).is_some())
+            .filter(|h| self.servers.get(h.server.0).is_some())
         {
-            if one.what == Trait::Failing {
-                self.observations.failing_at_peers.insert(one.host.0, now);
+            if one.condition == ServerCondition::Failing {
+                self.observations.failing_at_peers.insert(one.server.0, now);
             }
             self.events.push_back(Event::PeerReport {
-                server: one.host.0,
-                observation: sight(one.what),
-                reporters: u32::from(one.voices),
+                server: one.server.0,
+                observation: sight(one.condition),
+                reporters: u32::from(one.reporters),
                 peers: u32::from(of),
                 age_s: one.age.as_secs_f64() + now.since(at),
             });
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -1,8 +1,8 @@
 //! This dispatcher's part of what all share, where it is lent one by its peers: checked at each step, by time.
 
-use bitternlatch_membership::{Share, Work};
+use bitternlatch_membership::{EffectClass, QuotaFraction};
 use bitternlatch_policy::interface::Event;
-use bitternlatch_quota_lease::base;
+use bitternlatch_quota_lease::unleased_quota;
 
 use crate::machine::Machine;
 use crate::types::Micros;
@@ -33,12 +33,12 @@
     /// Lets a part that has ended end, at the moment at which it did, before anything is done: this process may have stood
     /// still since. What others release counts from the step in which it is heard of.
     pub(crate) fn apply_quota_lease(&mut self, now: Micros) {
-        let Some(duty) = self.duty(now, Work::Safe) else {
+        let Some(duty) = self.duty(now, EffectClass::Safe) else {
             return;
         };
-        let careful = base(self.quota_members());
+        let careful = unleased_quota(self.quota_members());
         let ended = now >= self.quota_lease.until;
-        let may = !ended && duty.share == Share::Lent;
+        let may = !ended && duty.share == QuotaFraction::Leased;
         let spends = if may {
             careful + self.quota_lease.quota_lease
         } else {
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -4,9 +4,9 @@
 use bitternlatch_budget::ledger::{Part, Want};
 use bitternlatch_identity::Caller;
 use bitternlatch_inventory::Host;
-use bitternlatch_membership::Standing;
+use bitternlatch_membership::QuorumState;
 use bitternlatch_policy::interface::ServerId;
-use bitternlatch_quota_lease::Hearsay;
+use bitternlatch_quota_lease::PeerReport;
 use serde::{Deserialize, Serialize};
 
 use crate::observations::ServerObservation;
@@ -153,7 +153,7 @@
     QuorumState {
         /// The state.
         #[serde(rename = "standing")]
-        state: Standing,
+        state: QuorumState,
         /// Names of the peers that are reachable.
         #[serde(rename = "there")]
         present: Vec<String>,
@@ -180,7 +180,7 @@
         reporters: u16,
         /// The reports.
         #[serde(rename = "heard")]
-        reports: Vec<Hearsay>,
+        reports: Vec<PeerReport>,
     },
     /// From the cluster's load shedding.
     Overload(bitternlatch_overload::Told),
--- a/crates/core/tests/any_order.rs
+++ b/crates/core/tests/any_order.rs
@@ -5,7 +5,7 @@
 
 use bitternlatch_core::record::{read, replay, Entry, RecordError, Writer};
 use bitternlatch_core::{Input, LinkId, Machine, Micros, Output, SessionId, Settings};
-use bitternlatch_membership::Standing;
+use bitternlatch_membership::QuorumState;
 use bitternlatch_protocol::client::ServerEvent;
 use bitternlatch_protocol::engine::{
     decode, encode, Choice, Chunk, EngineError, EngineState, FromEngine, KvTransferParams,
@@ -79,7 +79,7 @@
         };
         chaos.step(Input::ServerList(four()));
         if steps {
-            let (standing, until) = (Standing::Whole, Micros(u64::MAX));
+            let (standing, until) = (QuorumState::Whole, Micros(u64::MAX));
             chaos.step(Input::QuorumState {
                 state: standing,
                 present: vec!["d2".into()],
--- a/crates/core/tests/observations.rs
+++ b/crates/core/tests/observations.rs
@@ -3,9 +3,9 @@
 
 use bitternlatch_core::{Input, Micros, Output, Settings};
 use bitternlatch_inventory::host_id;
-use bitternlatch_membership::Standing;
+use bitternlatch_membership::QuorumState;
 use bitternlatch_policy::interface::{Event, Observation};
-use bitternlatch_quota_lease::{Hearsay, Host, Trait};
+use bitternlatch_quota_lease::{PeerReport, ServerCondition, ServerNumber};
 use common::{four, hosts, Bench, SETTINGS};
 use std::time::Duration;
 
@@ -20,11 +20,11 @@
     let mut bench = Bench::with(Settings::parse("test", &text).expect("settings"), 5);
     bench.step(Input::ServerList(four()));
     bench.open_all(1000.0);
-    stand(&mut bench, Standing::Whole);
+    stand(&mut bench, QuorumState::Whole);
     bench
 }
 
-fn stand(bench: &mut Bench, standing: Standing) {
+fn stand(bench: &mut Bench, standing: QuorumState) {
     let until = Micros(bench.now.0 + 3_600_000_000);
     bench.step(Input::QuorumState {
         state: standing,
@@ -34,7 +34,7 @@
 }
 
 /// What was told to peers last, without the times.
-fn told(bench: &Bench) -> Option<Vec<(u32, Trait)>> {
+fn told(bench: &Bench) -> Option<Vec<(u32, ServerCondition)>> {
     let last = |o: &Output| match o {
         Output::Observations(seen) => {
             Some(seen.iter().map(|(host, what, _)| (host.0, *what)).collect())
@@ -44,11 +44,11 @@
     bench.out.iter().rev().find_map(last)
 }
 
-fn hear(bench: &mut Bench, host: &str, what: Trait, voices: u8, at: Micros) {
-    let heard = vec![Hearsay {
-        host: Host(host_id(host)),
-        what,
-        voices,
+fn hear(bench: &mut Bench, host: &str, what: ServerCondition, voices: u8, at: Micros) {
+    let heard = vec![PeerReport {
+        server: ServerNumber(host_id(host)),
+        condition: what,
+        reporters: voices,
         age: Duration::from_millis(500),
     }];
     bench.step(Input::PeerReports {
@@ -82,7 +82,10 @@
     let list = "r1,127.0.0.1,1,reader,\nr2,127.0.0.1,2,reader,draining\nw1,127.0.0.1,3,writer,\nw2,127.0.0.1,4,writer,\n";
     bench.step(Input::ServerList(hosts(list)));
     bench.pass(0.3);
-    assert_eq!(told(&bench), Some(vec![(host_id("r2"), Trait::Draining)]));
+    assert_eq!(
+        told(&bench),
+        Some(vec![(host_id("r2"), ServerCondition::Draining)])
+    );
     bench.step(Input::ServerList(four()));
     bench.pass(0.3);
     assert_eq!(told(&bench), Some(vec![]));
@@ -97,13 +100,16 @@
     bench.pass(0.7);
     assert_eq!(
         told(&bench),
-        Some(vec![(write.link.server, Trait::Failing)])
+        Some(vec![(write.link.server, ServerCondition::Failing)])
     );
     // It comes up anew, started a moment ago.
     bench.pass(3.0);
     bench.open_all(1.0);
     bench.pass(0.3);
-    assert_eq!(told(&bench), Some(vec![(write.link.server, Trait::Cold)]));
+    assert_eq!(
+        told(&bench),
+        Some(vec![(write.link.server, ServerCondition::WarmingUp)])
+    );
     bench.pass(20.0);
     assert_eq!(told(&bench), Some(vec![]));
 }
@@ -122,7 +128,10 @@
     bench.pass(0.3);
     let failing = told(&bench).expect("something seen");
     assert!(
-        !failing.is_empty() && failing.iter().all(|(_, what)| *what == Trait::Failing),
+        !failing.is_empty()
+            && failing
+                .iter()
+                .all(|(_, what)| *what == ServerCondition::Failing),
         "{failing:?}"
     );
     bench.pass(4.0);
@@ -135,11 +144,11 @@
     bench.machine.enable_trace();
     let sent = bench.now;
     bench.now = Micros(sent.0 + 1_000_000);
-    hear(&mut bench, "r1", Trait::Failing, 2, sent);
-    hear(&mut bench, "nobody", Trait::Failing, 2, sent);
+    hear(&mut bench, "r1", ServerCondition::Failing, 2, sent);
+    hear(&mut bench, "nobody", ServerCondition::Failing, 2, sent);
     // This process stood still for a minute with the message in its queue.
     bench.now = Micros(sent.0 + 60_000_000);
-    hear(&mut bench, "r1", Trait::Failing, 2, sent);
+    hear(&mut bench, "r1", ServerCondition::Failing, 2, sent);
     let trace = bench.machine.take_trace();
     let heard: Vec<_> = trace
         .iter()
@@ -190,19 +199,19 @@
     // Peers say that all of them fail there too: there is nowhere to go.
     for host in ["r1", "r2", "w1", "w2"] {
         let now = bench.now;
-        hear(&mut bench, host, Trait::Failing, 1, now);
+        hear(&mut bench, host, ServerCondition::Failing, 1, now);
     }
     assert_eq!(
         refused(&mut bench, "query", "c"),
         Some(("cut_off".to_string(), vec![]))
     );
     // Alone it cannot tell whose fault it is.
-    stand(&mut bench, Standing::Alone);
+    stand(&mut bench, QuorumState::Alone);
     assert_ne!(
         refused(&mut bench, "query", "d").map(|r| r.0),
         Some("cut_off".into())
     );
-    stand(&mut bench, Standing::Whole);
+    stand(&mut bench, QuorumState::Whole);
     bench.pass(3.0);
     bench.open_all(1000.0);
     bench.pass(0.3);
@@ -228,13 +237,13 @@
         }
         first
     };
-    hear(&mut bench, "r1", Trait::Draining, 1, now);
+    hear(&mut bench, "r1", ServerCondition::Draining, 1, now);
     assert!(
         goes_to_r1(&mut bench, 1) > 0,
         "one voice against the own list"
     );
     bench.step(Input::ServerListUnreadable(true));
-    hear(&mut bench, "r1", Trait::Draining, 1, now);
+    hear(&mut bench, "r1", ServerCondition::Draining, 1, now);
     assert_eq!(goes_to_r1(&mut bench, 2), 0);
     bench.step(Input::ServerListUnreadable(false));
     assert!(goes_to_r1(&mut bench, 3) > 0);
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bitternlatch_core::{Input, Micros, Output, SessionId, Settings};
-use bitternlatch_membership::Standing;
+use bitternlatch_membership::QuorumState;
 use bitternlatch_overload::{Ask, Cut, Millionths, Told as Word};
 use bitternlatch_protocol::engine::FromEngine;
 use common::{four, Bench, Told, SETTINGS};
@@ -23,7 +23,7 @@
     bench.open_all(1000.0);
     let until = Micros(bench.now.0 + 60_000_000);
     bench.step(Input::QuorumState {
-        state: Standing::Whole,
+        state: QuorumState::Whole,
         present: vec![],
         until,
     });
@@ -98,7 +98,7 @@
     bench.now = Micros(bench.now.0 + 60_000_000);
     let until = Micros(bench.now.0 + 60_000_000);
     bench.step(Input::QuorumState {
-        state: Standing::Whole,
+        state: QuorumState::Whole,
         present: vec![],
         until,
     });
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use bitternlatch_core::{Input, Micros, Settings};
-use bitternlatch_membership::Standing;
+use bitternlatch_membership::QuorumState;
 use common::{four, Bench, SETTINGS};
 
 /// 1,000 tokens saved, a hundred a second, over ten dispatchers; an amount a day beside it.
@@ -27,7 +27,7 @@
 fn lend(bench: &mut Bench, lent: f64, for_s: f64) {
     let until = Micros(bench.now.0 + (for_s * 1e6) as u64);
     bench.step(Input::QuorumState {
-        state: Standing::Whole,
+        state: QuorumState::Whole,
         present: vec![],
         until,
     });
@@ -104,7 +104,7 @@
     bench.pass(20.0);
     let until = Micros(bench.now.0 + 80_000_000);
     bench.step(Input::QuorumState {
-        state: Standing::CutOff,
+        state: QuorumState::CutOff,
         present: vec![],
         until,
     });
--- a/crates/core/tests/workflows.rs
+++ b/crates/core/tests/workflows.rs
@@ -3,7 +3,7 @@
 
 use bitternlatch_core::record::{replay, Entry, Recorded};
 use bitternlatch_core::{Input, Micros, Output, SessionId, Settings};
-use bitternlatch_membership::Standing;
+use bitternlatch_membership::QuorumState;
 use bitternlatch_protocol::client::ServerEvent;
 use bitternlatch_workflow::{AttemptOutcome, Call, Command, Effect, Event, RejectReason};
 use common::{four, Bench, Told as Sent, SETTINGS};
@@ -26,7 +26,7 @@
     bench.open_all(1000.0);
     let until = Micros(bench.now.0 + 3_600_000_000);
     bench.step(Input::QuorumState {
-        state: Standing::Whole,
+        state: QuorumState::Whole,
         present: vec!["d2".into()],
         until,
     });
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/datagram_auth.rs
@@ -12,14 +12,14 @@
 const HEAD: usize = 26;
 const TAG: usize = 16;
 /// What sealing adds, bytes.
-pub const SEAL_BYTES: usize = HEAD + TAG;
+pub const AUTH_BYTES: usize = HEAD + TAG;
 /// Longest datagram, bytes, as on the users' platform.
-pub const DATAGRAM_MOST: usize = 256;
+pub const MAX_DATAGRAM: usize = 256;
 /// Longest text within one.
-pub const SAID_MOST: usize = DATAGRAM_MOST - HEAD - TAG;
+pub const MAX_PAYLOAD: usize = MAX_DATAGRAM - HEAD - TAG;
 /// Senders whose numbers are remembered; past it the one heard longest ago is forgotten, and its old
 /// datagrams would be taken again until it is heard.
-pub const SENDERS_MOST: usize = 4096;
+pub const MAX_SENDERS: usize = 4096;
 /// Numbers before the highest that may still come, out of order.
 const WINDOW: u64 = 64;
 
@@ -69,7 +69,7 @@
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum Dropped {
+pub enum RejectReason {
     #[error("longer or shorter than any datagram of ours")]
     Noise,
     #[error("another version")]
@@ -86,11 +86,11 @@
     Unreadable,
 }
 
-impl Dropped {
+impl RejectReason {
     /// The same without what differs from one to the next, to be counted by.
-    pub(crate) fn alike(self) -> Dropped {
+    pub(crate) fn alike(self) -> RejectReason {
         match self {
-            Dropped::OldStart(..) => Dropped::OldStart(NameKey(0), 0),
+            RejectReason::OldStart(..) => RejectReason::OldStart(NameKey(0), 0),
             other => other,
         }
     }
@@ -98,13 +98,13 @@
     /// A short name for tables.
     pub fn name(self) -> &'static str {
         match self {
-            Dropped::Noise => "noise",
-            Dropped::Version => "version",
-            Dropped::Cluster => "cluster",
-            Dropped::Proof => "proof",
-            Dropped::Replay => "replay",
-            Dropped::OldStart(..) => "old_start",
-            Dropped::Unreadable => "unreadable",
+            RejectReason::Noise => "noise",
+            RejectReason::Version => "version",
+            RejectReason::Cluster => "cluster",
+            RejectReason::Proof => "proof",
+            RejectReason::Replay => "replay",
+            RejectReason::OldStart(..) => "old_start",
+            RejectReason::Unreadable => "unreadable",
         }
     }
 }
@@ -113,7 +113,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Topic {
     /// Stewards and parts.
-    Agreement,
+    QuotaLease,
     /// Who sheds what, repeats, probes.
     Overload,
     /// Lengths of answers.
@@ -124,7 +124,7 @@
 
 impl Topic {
     pub const ALL: [Topic; 4] = [
-        Topic::Agreement,
+        Topic::QuotaLease,
         Topic::Overload,
         Topic::Lengths,
         Topic::Workflows,
@@ -133,7 +133,7 @@
     /// Its number in datagrams and frames.
     pub fn byte(self) -> u8 {
         match self {
-            Topic::Agreement => 2,
+            Topic::QuotaLease => 2,
             Topic::Overload => 5,
             Topic::Lengths => 6,
             Topic::Workflows => 7,
@@ -183,16 +183,16 @@
 }
 
 /// Seals what one process sends.
-pub struct Sealer {
+pub struct Signer {
     secret: Secret,
     name: NameKey,
     process: u64,
     number: u64,
 }
 
-impl Sealer {
-    pub fn new(secret: Secret, name: NameKey, process: u64) -> Sealer {
-        Sealer {
+impl Signer {
+    pub fn new(secret: Secret, name: NameKey, process: u64) -> Signer {
+        Signer {
             secret,
             name,
             process,
@@ -200,8 +200,8 @@
         }
     }
 
-    /// One datagram; `said` holds at most [`SAID_MOST`] bytes.
-    pub fn seal(&mut self, kind: Kind, said: &[u8]) -> Vec<u8> {
+    /// One datagram; `said` holds at most [`MAX_PAYLOAD`] bytes.
+    pub fn sign(&mut self, kind: Kind, said: &[u8]) -> Vec<u8> {
         self.number += 1;
         let mut out = Vec::with_capacity(HEAD + said.len() + TAG);
         out.push(VERSION);
@@ -226,7 +226,7 @@
 
 /// Who sent a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct From {
+pub struct Sender {
     pub name: NameKey,
     pub process: u64,
     pub kind: Kind,
@@ -234,53 +234,53 @@
 
 /// Opens what comes in; remembers the numbers of each sender.
 #[derive(Default)]
-pub struct Opener {
+pub struct Verifier {
     senders: BTreeMap<NameKey, Numbers>,
     turn: u64,
 }
 
-impl Opener {
+impl Verifier {
     /// What a datagram says, and who says it.
     ///
     /// # Errors
     /// Where it is not to be taken; nothing is remembered of it then.
-    pub fn open<'a>(
+    pub fn verify<'a>(
         &mut self,
-        secret: &Sealer,
+        secret: &Signer,
         bytes: &'a [u8],
-    ) -> Result<(From, &'a [u8]), Dropped> {
-        self.open_of(secret, bytes, DATAGRAM_MOST)
+    ) -> Result<(Sender, &'a [u8]), RejectReason> {
+        self.verify_up_to(secret, bytes, MAX_DATAGRAM)
     }
 
     /// The same of anything sealed, up to so many bytes.
     ///
     /// # Errors
-    /// As [`Opener::open`].
-    pub fn open_of<'a>(
+    /// As [`Verifier::open`].
+    pub fn verify_up_to<'a>(
         &mut self,
-        secret: &Sealer,
+        secret: &Signer,
         bytes: &'a [u8],
         most: usize,
-    ) -> Result<(From, &'a [u8]), Dropped> {
+    ) -> Result<(Sender, &'a [u8]), RejectReason> {
         if bytes.len() < HEAD + TAG || bytes.len() > most {
-            return Err(Dropped::Noise);
+            return Err(RejectReason::Noise);
         }
         let (body, tag) = bytes.split_at(bytes.len() - TAG);
         if body[0] != VERSION {
-            return Err(Dropped::Version);
+            return Err(RejectReason::Version);
         }
         if word(&body[1..5]) != u64::from(secret.secret.cluster) {
-            return Err(Dropped::Cluster);
+            return Err(RejectReason::Cluster);
         }
         // Compared in constant time, by the hash's own equality.
         let mut whole = *secret.secret.tag(body).as_bytes();
         let ours = blake3::Hash::from_bytes(whole);
         whole[..TAG].copy_from_slice(tag);
         if ours != blake3::Hash::from_bytes(whole) {
-            return Err(Dropped::Proof);
+            return Err(RejectReason::Proof);
         }
-        let kind = Kind::of(body[25]).ok_or(Dropped::Unreadable)?;
-        let from = From {
+        let kind = Kind::of(body[25]).ok_or(RejectReason::Unreadable)?;
+        let from = Sender {
             name: NameKey(word(&body[5..9]) as u32),
             process: word(&body[9..17]),
             kind,
@@ -289,11 +289,11 @@
         Ok((from, &body[HEAD..]))
     }
 
-    fn number(&mut self, from: From, number: u64) -> Result<(), Dropped> {
+    fn number(&mut self, from: Sender, number: u64) -> Result<(), RejectReason> {
         self.turn += 1;
         let known = self.senders.get(&from.name).map(|n| n.process);
         if let Some(later) = known.filter(|process| from.process < *process) {
-            return Err(Dropped::OldStart(from.name, later));
+            return Err(RejectReason::OldStart(from.name, later));
         }
         if known != Some(from.process) {
             self.make_room();
@@ -306,7 +306,7 @@
             self.senders.insert(from.name, fresh);
         }
         let Some(numbers) = self.senders.get_mut(&from.name) else {
-            return Err(Dropped::Replay);
+            return Err(RejectReason::Replay);
         };
         numbers.turn = self.turn;
         if number > numbers.highest {
@@ -321,14 +321,14 @@
         }
         let back = numbers.highest - number;
         if back >= WINDOW || numbers.seen & (1 << back) != 0 {
-            return Err(Dropped::Replay);
+            return Err(RejectReason::Replay);
         }
         numbers.seen |= 1 << back;
         Ok(())
     }
 
     fn make_room(&mut self) {
-        if self.senders.len() >= SENDERS_MOST {
+        if self.senders.len() >= MAX_SENDERS {
             let oldest = self
                 .senders
                 .iter()
@@ -350,60 +350,64 @@
 mod tests {
     use super::*;
 
-    fn sealer(secret: &[u8], process: u64) -> Sealer {
-        Sealer::new(Secret::new("hall", secret), NameKey::of("d1"), process)
+    fn signer(secret: &[u8], process: u64) -> Signer {
+        Signer::new(Secret::new("hall", secret), NameKey::of("d1"), process)
     }
 
     #[test]
     fn a_datagram_is_taken_once_and_out_of_order_within_bounds() {
-        let (mut from, to) = (sealer(b"s", 7), sealer(b"s", 1));
-        let sent: Vec<Vec<u8>> = (0..100u8).map(|n| from.seal(Kind::Swim, &[n])).collect();
-        let mut opener = Opener::default();
-        let mut take = |i: usize| opener.open(&to, &sent[i]).map(|(_, said)| said.to_vec());
+        let (mut from, to) = (signer(b"s", 7), signer(b"s", 1));
+        let sent: Vec<Vec<u8>> = (0..100u8).map(|n| from.sign(Kind::Swim, &[n])).collect();
+        let mut verifier = Verifier::default();
+        let mut take = |i: usize| {
+            verifier
+                .verify(&to, &sent[i])
+                .map(|(_, said)| said.to_vec())
+        };
         assert_eq!(take(5), Ok(vec![5]));
         assert_eq!(take(3), Ok(vec![3]));
-        assert_eq!(take(3), Err(Dropped::Replay));
-        assert_eq!(take(5), Err(Dropped::Replay));
+        assert_eq!(take(3), Err(RejectReason::Replay));
+        assert_eq!(take(5), Err(RejectReason::Replay));
         assert_eq!(take(99), Ok(vec![99]));
         assert_eq!(take(36), Ok(vec![36]));
-        assert_eq!(take(35), Err(Dropped::Replay), "too far back to tell");
+        assert_eq!(take(35), Err(RejectReason::Replay), "too far back to tell");
         assert_eq!(take(98), Ok(vec![98]));
     }
 
     #[test]
     fn an_earlier_start_is_not_heard_again() {
-        let (mut old, mut new, to) = (sealer(b"s", 7), sealer(b"s", 8), sealer(b"s", 1));
-        let mut opener = Opener::default();
-        let (early, late) = (old.seal(Kind::Swim, b"a"), old.seal(Kind::Swim, b"b"));
-        assert!(opener.open(&to, &early).is_ok());
-        assert!(opener.open(&to, &new.seal(Kind::Swim, b"c")).is_ok());
+        let (mut old, mut new, to) = (signer(b"s", 7), signer(b"s", 8), signer(b"s", 1));
+        let mut verifier = Verifier::default();
+        let (early, late) = (old.sign(Kind::Swim, b"a"), old.sign(Kind::Swim, b"b"));
+        assert!(verifier.verify(&to, &early).is_ok());
+        assert!(verifier.verify(&to, &new.sign(Kind::Swim, b"c")).is_ok());
         assert_eq!(
-            opener.open(&to, &late),
-            Err(Dropped::OldStart(NameKey::of("d1"), 8))
+            verifier.verify(&to, &late),
+            Err(RejectReason::OldStart(NameKey::of("d1"), 8))
         );
     }
 
     #[test]
     fn strangers_noise_and_every_changed_bit_are_dropped() {
-        let to = sealer(b"s", 1);
-        let mut opener = Opener::default();
+        let to = signer(b"s", 1);
+        let mut verifier = Verifier::default();
         assert_eq!(
-            opener.open(&to, &sealer(b"t", 7).seal(Kind::Swim, b"x")),
-            Err(Dropped::Proof)
+            verifier.verify(&to, &signer(b"t", 7).sign(Kind::Swim, b"x")),
+            Err(RejectReason::Proof)
         );
-        let mut other = Sealer::new(Secret::new("yard", b"s"), NameKey::of("d1"), 7);
+        let mut other = Signer::new(Secret::new("yard", b"s"), NameKey::of("d1"), 7);
         assert_eq!(
-            opener.open(&to, &other.seal(Kind::Swim, b"x")),
-            Err(Dropped::Cluster)
+            verifier.verify(&to, &other.sign(Kind::Swim, b"x")),
+            Err(RejectReason::Cluster)
         );
-        assert_eq!(opener.open(&to, &[1; 20]), Err(Dropped::Noise));
-        assert_eq!(opener.open(&to, &[1; 257]), Err(Dropped::Noise));
-        let good = sealer(b"s", 7).seal(Kind::Swim, b"hello");
+        assert_eq!(verifier.verify(&to, &[1; 20]), Err(RejectReason::Noise));
+        assert_eq!(verifier.verify(&to, &[1; 257]), Err(RejectReason::Noise));
+        let good = signer(b"s", 7).sign(Kind::Swim, b"hello");
         for bit in 0..good.len() * 8 {
             let mut bad = good.clone();
             bad[bit / 8] ^= 1 << (bit % 8);
-            assert!(opener.open(&to, &bad).is_err(), "bit {bit}");
+            assert!(verifier.verify(&to, &bad).is_err(), "bit {bit}");
         }
-        assert!(opener.open(&to, &good).is_ok());
+        assert!(verifier.verify(&to, &good).is_ok());
     }
 }
--- a/crates/membership/src/watch.rs
+++ b/crates/membership/src/incarnation_watch.rs
@@ -10,13 +10,13 @@
 
 /// The library takes news of its own name for stale and declares the other one dead, which the other does too,
 /// without end. So they are seen here, where they come in.
-pub(crate) struct Watched {
+pub(crate) struct IncarnationWatch {
     pub own: NameKey,
     /// The latest start that was told to be alive under the own name.
     pub latest: Arc<AtomicU64>,
 }
 
-impl Watched {
+impl IncarnationWatch {
     fn saw(&self, id: &Id) {
         if id.name == self.own {
             self.latest.fetch_max(id.start.process, Ordering::Relaxed);
@@ -24,7 +24,7 @@
     }
 }
 
-impl Codec<Id> for Watched {
+impl Codec<Id> for IncarnationWatch {
     type Error = <PostcardCodec as Codec<Id>>::Error;
 
     fn encode_header(&mut self, header: &Header<Id>, buf: impl BufMut) -> Result<(), Self::Error> {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -5,23 +5,24 @@
 //!
 //! The protocol is SWIM with suspicion and incarnations (Das, Gupta, Motivala, 2002), by the library `foca`. Of
 //! Lifeguard (Dadgar, Phillips, Currey, 2018) there is self-awareness: a member that was itself paused or slow
-//! gives its peers the time that it lost before it doubts them.
+//! gives its peers the time that it lost before it confirmations them.
 
-mod doubt;
-mod machine;
+mod datagram_auth;
+mod incarnation_watch;
 mod member;
+mod protocol;
+mod quorum;
 mod roster;
-mod seal;
 pub mod simulated;
-mod standing;
+mod suspicion;
 mod view;
-mod watch;
 
-pub use machine::{Event, Membership, Output};
+pub use datagram_auth::{
+    sender, Kind, RejectReason, Secret, Signer, Topic, Verifier, AUTH_BYTES, MAX_DATAGRAM,
+    MAX_PAYLOAD,
+};
 pub use member::{Id, NameKey, Start};
+pub use protocol::{Event, Membership, Output};
+pub use quorum::{AdmissionMode, EffectClass, QuorumState, QuotaFraction};
 pub use roster::{Peer, Roster, RosterError};
-pub use seal::{
-    sender, Dropped, Kind, Opener, Sealer, Secret, Topic, DATAGRAM_MOST, SAID_MOST, SEAL_BYTES,
-};
-pub use standing::{Duty, Share, Standing, Work};
-pub use view::{Dropping, MemberView, State, View};
+pub use view::{MemberView, RejectCounts, State, View};
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/protocol.rs
@@ -11,13 +11,15 @@
 use rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use crate::doubt::Doubts;
+use crate::datagram_auth::{
+    word, Kind, RejectReason, Secret, Sender, Signer, Topic, Verifier, MAX_PAYLOAD,
+};
+use crate::incarnation_watch::IncarnationWatch;
 use crate::member::{Id, NameKey, Start};
+use crate::quorum::QuorumState;
 use crate::roster::Roster;
-use crate::seal::{word, Dropped, From, Kind, Opener, Sealer, Secret, Topic, SAID_MOST};
-use crate::standing::Standing;
-use crate::view::{Dropping, MemberView, State, View};
-use crate::watch::Watched;
+use crate::suspicion::SuspicionConfirmations;
+use crate::view::{MemberView, RejectCounts, State, View};
 
 /// Time between two probes, and within it until others are asked to probe too.
 const PROBE_EVERY: Duration = Duration::from_millis(250);
@@ -53,7 +55,7 @@
         state: State,
         start: Start,
     },
-    Standing(Standing),
+    QuorumState(QuorumState),
     /// This process stood still for so long; peers get that time before they are doubted.
     StoodStill(Duration),
     /// Others had given this one up; it is back.
@@ -67,7 +69,7 @@
     Send(SocketAddrV4, Vec<u8>),
     Event(Event),
     /// What a member said of something decided elsewhere: proven, once, and by the latest start under its name.
-    Said {
+    Message {
         topic: Topic,
         name: NameKey,
         start: u64,
@@ -75,34 +77,34 @@
     },
 }
 
-struct Row {
+struct MemberRecord {
     id: Option<Id>,
     state: State,
     since: Duration,
     evidence: &'static str,
 }
 
-pub(crate) type Swim = Foca<Id, Watched, Xoshiro256PlusPlus, NoCustomBroadcast>;
+pub(crate) type Swim = Foca<Id, IncarnationWatch, Xoshiro256PlusPlus, NoCustomBroadcast>;
 
 pub struct Membership {
     pub(crate) swim: Swim,
     pub(crate) runtime: AccumulatingRuntime<Id>,
     roster: Roster,
-    rows: BTreeMap<NameKey, Row>,
+    rows: BTreeMap<NameKey, MemberRecord>,
     timers: BTreeMap<(Duration, u64), Timer<Id>>,
     set: u64,
     /// When the oldest suspicion is over, if there is one.
     suspect_until: Option<Duration>,
     hail_at: Duration,
     hailed: Option<NameKey>,
-    pub(crate) sealer: Sealer,
+    pub(crate) signer: Signer,
     /// Suspects that are asked.
-    pub(crate) doubts: Doubts,
-    opener: Opener,
-    dropped: Dropping,
-    standing: Standing,
+    pub(crate) confirmations: SuspicionConfirmations,
+    verifier: Verifier,
+    dropped: RejectCounts,
+    standing: QuorumState,
     /// A better standing, and since when it has held.
-    better: Option<(Standing, Duration)>,
+    better: Option<(QuorumState, Duration)>,
     /// Since when nothing is known but by peers that were heard later.
     doubt: Option<Duration>,
     heard: BTreeMap<NameKey, Duration>,
@@ -127,7 +129,7 @@
         max_transmissions: NonZeroU8::new(10).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: SUSPECT_FOR,
         remove_down_after: Some(FORGET_AFTER),
-        max_packet_size: some(SAID_MOST),
+        max_packet_size: some(MAX_PAYLOAD),
         notify_down_members: true,
         periodic_announce: often((Duration::from_secs(10), 1)),
         periodic_announce_to_down_members: often(CALL_BACK),
@@ -156,7 +158,7 @@
                 comeback: 0,
             },
         };
-        let unheard = || Row {
+        let unheard = || MemberRecord {
             id: None,
             state: State::Unheard,
             since: now,
@@ -168,9 +170,9 @@
             .filter(|k| **k != key)
             .map(|k| (*k, unheard()))
             .collect();
-        let standing = Standing::of(1, roster.0.len());
+        let standing = QuorumState::of(1, roster.0.len());
         let namesake = Arc::new(AtomicU64::new(0));
-        let codec = Watched {
+        let codec = IncarnationWatch {
             own: key,
             latest: Arc::clone(&namesake),
         };
@@ -185,10 +187,10 @@
             suspect_until: None,
             hail_at: now,
             hailed: None,
-            sealer: Sealer::new(secret, key, process),
-            doubts: Doubts::default(),
-            opener: Opener::default(),
-            dropped: Dropping::new(),
+            signer: Signer::new(secret, key, process),
+            confirmations: SuspicionConfirmations::default(),
+            verifier: Verifier::default(),
+            dropped: RejectCounts::new(),
             standing,
             better: None,
             doubt: None,
@@ -209,7 +211,7 @@
         }
         let settled = self.better.map(|(_, since)| since + SETTLE);
         let timer = self.timers.keys().next().map(|(at, _)| *at);
-        let asked = self.doubts.next();
+        let asked = self.confirmations.next();
         [
             Some(self.hail_at),
             timer,
@@ -223,7 +225,7 @@
     }
 
     /// Takes a datagram that came from an address.
-    pub fn datagram(
+    pub fn handle_datagram(
         &mut self,
         now: Duration,
         from: SocketAddrV4,
@@ -237,7 +239,7 @@
         if self.wake_at().is_some_and(|at| at <= now) {
             self.wake(now, out);
         }
-        let opened = self.opener.open(&self.sealer, bytes);
+        let opened = self.verifier.verify(&self.signer, bytes);
         if let Ok((sender, _)) = &opened {
             // Only of the roster, which bounds what is kept.
             if self.roster.0.contains_key(&sender.name) {
@@ -245,7 +247,7 @@
             }
         }
         if let Err(why) = opened.and_then(|(sender, said)| self.take(sender, said, out)) {
-            if let Dropped::OldStart(name, later) = why {
+            if let RejectReason::OldStart(name, later) = why {
                 self.tell_replaced(name, later, from, out);
             }
             *self.dropped.entry(why.alike()).or_default() += 1;
@@ -279,23 +281,28 @@
             .filter(|at| *at != from);
         let said = [&name.0.to_le_bytes()[..], &later.to_le_bytes()].concat();
         for to in [Some(from), listed].into_iter().flatten() {
-            out.push(Output::Send(to, self.sealer.seal(Kind::Replaced, &said)));
+            out.push(Output::Send(to, self.signer.sign(Kind::Replaced, &said)));
         }
     }
 
-    fn take(&mut self, sender: From, said: &[u8], out: &mut Vec<Output>) -> Result<(), Dropped> {
+    fn take(
+        &mut self,
+        sender: Sender,
+        said: &[u8],
+        out: &mut Vec<Output>,
+    ) -> Result<(), RejectReason> {
         let own = self.swim.identity().name;
         let later = match sender.kind {
-            Kind::Replaced if said.len() != 12 => return Err(Dropped::Unreadable),
+            Kind::Replaced if said.len() != 12 => return Err(RejectReason::Unreadable),
             Kind::Replaced if word(&said[..4]) == u64::from(own.0) => word(&said[4..]),
             // Misled by a forwarder it may come to another than it is meant for.
-            Kind::Replaced => return Err(Dropped::Unreadable),
+            Kind::Replaced => return Err(RejectReason::Unreadable),
             _ if sender.name == own => sender.process,
             Kind::Doubted => return self.deny(sender.name, said, out),
             Kind::Denied => return self.denied(sender.name, said),
             Kind::Of(topic) => {
                 let (name, start) = (sender.name, sender.process);
-                out.push(Output::Said {
+                out.push(Output::Message {
                     topic,
                     name,
                     start,
@@ -307,7 +314,7 @@
                 return self
                     .swim
                     .handle_data(said, &mut self.runtime)
-                    .map_err(|_| Dropped::Unreadable)
+                    .map_err(|_| RejectReason::Unreadable)
             }
         };
         self.namesake.fetch_max(later, Ordering::Relaxed);
@@ -343,7 +350,7 @@
                 ..
             }) = told
             {
-                self.doubts.begin(now, *name);
+                self.confirmations.begin(now, *name);
             }
         }
         self.ask_suspects(now, out);
@@ -359,7 +366,7 @@
     }
 
     /// Where this process stood still, acknowledgements may lie unread in its socket: what is due is put off by
-    /// what was lost, so that it doubts itself before others.
+    /// what was lost, so that it confirmations itself before others.
     fn give_back_lost_time(&mut self, now: Duration, out: &mut Vec<Output>) {
         let Some(late) = self
             .timers
@@ -389,7 +396,8 @@
     }
 
     fn give_up_suspects(&mut self, now: Duration) {
-        let due = |row: &&Row| row.state == State::Suspect && now >= row.since + SUSPECT_MOST;
+        let due =
+            |row: &&MemberRecord| row.state == State::Suspect && now >= row.since + SUSPECT_MOST;
         let over: Vec<Id> = self
             .rows
             .values()
@@ -459,7 +467,7 @@
     }
 
     /// By those of the roster that are there; in doubt, that were heard since.
-    fn judge(&mut self) -> Standing {
+    fn judge(&mut self) -> QuorumState {
         let since = self.doubt;
         let listed = self
             .rows
@@ -470,17 +478,17 @@
                 since.is_none_or(|since| self.heard.get(key).is_some_and(|at| *at >= since));
             (there + 1, heard + usize::from(fresh))
         });
-        let standing = Standing::of(heard, self.roster.0.len());
-        if standing >= Standing::Majority || heard == there && heard > 1 {
+        let standing = QuorumState::of(heard, self.roster.0.len());
+        if standing >= QuorumState::Majority || heard == there && heard > 1 {
             self.doubt = None;
         }
         standing
     }
 
-    fn stand(&mut self, standing: Standing, out: &mut Vec<Output>) {
+    fn stand(&mut self, standing: QuorumState, out: &mut Vec<Output>) {
         if standing != self.standing {
             self.standing = standing;
-            out.push(Output::Event(Event::Standing(standing)));
+            out.push(Output::Event(Event::QuorumState(standing)));
         }
     }
 
@@ -490,7 +498,7 @@
             while let Some((to, said)) = self.runtime.to_send() {
                 out.push(Output::Send(
                     to.address,
-                    self.sealer.seal(Kind::Swim, &said),
+                    self.signer.sign(Kind::Swim, &said),
                 ));
             }
             while let Some((after, timer)) = self.runtime.to_schedule() {
@@ -541,7 +549,7 @@
             if known.is_none() {
                 self.rows.insert(
                     id.name,
-                    Row {
+                    MemberRecord {
                         id: Some(id),
                         state,
                         since,
@@ -554,7 +562,7 @@
                     start: id.start,
                 }));
                 if state != State::Suspect {
-                    self.doubts.end(id.name);
+                    self.confirmations.end(id.name);
                 }
             }
             if state == State::Suspect {
@@ -572,10 +580,10 @@
         out.push(Output::Event(Event::Fenced(by)));
     }
 
-    /// Says something to a member of the roster, at most [`SAID_MOST`] bytes.
-    pub fn say(&mut self, topic: Topic, to: NameKey, said: &[u8], out: &mut Vec<Output>) {
+    /// Says something to a member of the roster, at most [`MAX_PAYLOAD`] bytes.
+    pub fn send(&mut self, topic: Topic, to: NameKey, said: &[u8], out: &mut Vec<Output>) {
         if let Some(at) = self.roster_address(to).filter(|_| !self.silent()) {
-            out.push(Output::Send(at, self.sealer.seal(Kind::Of(topic), said)));
+            out.push(Output::Send(at, self.signer.sign(Kind::Of(topic), said)));
         }
     }
 
@@ -633,12 +641,12 @@
             .map_or_else(|| format!("{:08x}", key.0), |p| p.name.clone())
     }
 
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> QuorumState {
         self.standing
     }
 
     pub fn view(&self) -> View {
-        let line = |(key, row): (&NameKey, &Row)| {
+        let line = |(key, row): (&NameKey, &MemberRecord)| {
             let peer = self.roster.0.get(key);
             let name = self.name_of(*key);
             let address = row.id.map(|id| id.address).or(peer.map(|p| p.address));
--- a/crates/membership/src/simulated.rs
+++ b/crates/membership/src/simulated.rs
@@ -7,7 +7,7 @@
 pub use bitternlatch_simulation::ms;
 use bitternlatch_simulation::Network;
 
-use crate::{Event, Membership, NameKey, Output, Peer, Roster, Secret, Standing, State};
+use crate::{Event, Membership, NameKey, Output, Peer, QuorumState, Roster, Secret, State};
 
 /// Where a member is heard.
 pub fn address(i: usize) -> SocketAddrV4 {
@@ -105,7 +105,7 @@
             Some(_) if node.paused => node.inbox.push((from, bytes)),
             Some(member) => {
                 let mut out = vec![];
-                member.datagram(now, address(from), &bytes, &mut out);
+                member.handle_datagram(now, address(from), &bytes, &mut out);
                 self.carry(to, out);
             }
             None => {}
@@ -125,7 +125,7 @@
         for output in out {
             match output {
                 Output::Event(event) => self.events.push((self.net.now, me, event)),
-                Output::Said { .. } => {}
+                Output::Message { .. } => {}
                 Output::Send(to, bytes) => self.send(me, usize::from(to.port()) - 10_000, bytes),
             }
         }
@@ -169,7 +169,7 @@
     }
 
     /// None where its process is not there.
-    pub fn standing(&self, i: usize) -> Option<Standing> {
+    pub fn standing(&self, i: usize) -> Option<QuorumState> {
         self.nodes[i].member.as_ref().map(Membership::standing)
     }
 
@@ -187,7 +187,7 @@
         let alive = self.nodes.iter().filter_map(|n| n.member.as_ref());
         alive
             .map(Membership::standing)
-            .all(|s| s == Standing::Whole)
+            .all(|s| s == QuorumState::Whole)
     }
 
     /// Times at which members were taken for down, by whom and since a moment.
--- a/crates/membership/src/doubt.rs
+++ b/crates/membership/src/suspicion.rs
@@ -10,9 +10,9 @@
 
 use foca::Member;
 
-use crate::machine::{Membership, Output};
+use crate::datagram_auth::{word, Kind, RejectReason};
 use crate::member::{NameKey, Start};
-use crate::seal::{word, Dropped, Kind};
+use crate::protocol::{Membership, Output};
 
 /// Between two questions to one suspect.
 const ASK_EVERY: Duration = Duration::from_millis(150);
@@ -21,11 +21,11 @@
 
 /// Suspects found by own probes, and when each is asked next.
 #[derive(Default)]
-pub(crate) struct Doubts {
+pub(crate) struct SuspicionConfirmations {
     due: BTreeMap<NameKey, Duration>,
 }
 
-impl Doubts {
+impl SuspicionConfirmations {
     pub(crate) fn begin(&mut self, now: Duration, suspect: NameKey) {
         if self.due.len() < ASKED_MOST {
             self.due.entry(suspect).or_insert(now);
@@ -60,9 +60,9 @@
     words.concat()
 }
 
-fn read(said: &[u8]) -> Result<(Start, u16), Dropped> {
+fn read(said: &[u8]) -> Result<(Start, u16), RejectReason> {
     if said.len() != 12 {
-        return Err(Dropped::Unreadable);
+        return Err(RejectReason::Unreadable);
     }
     let start = Start {
         process: word(&said[..8]),
@@ -74,7 +74,7 @@
 impl Membership {
     /// Asks those suspects whose turn it is.
     pub(crate) fn ask_suspects(&mut self, now: Duration, out: &mut Vec<Output>) {
-        for name in self.doubts.take_due(now) {
+        for name in self.confirmations.take_due(now) {
             let known = self
                 .swim
                 .iter_membership_state()
@@ -84,10 +84,10 @@
                     let said = written(id.start, incarnation);
                     out.push(Output::Send(
                         id.address,
-                        self.sealer.seal(Kind::Doubted, &said),
+                        self.signer.sign(Kind::Doubted, &said),
                     ));
                 }
-                None => self.doubts.end(name),
+                None => self.confirmations.end(name),
             }
         }
     }
@@ -98,7 +98,7 @@
         by: NameKey,
         said: &[u8],
         out: &mut Vec<Output>,
-    ) -> Result<(), Dropped> {
+    ) -> Result<(), RejectReason> {
         let (start, incarnation) = read(said)?;
         let me = *self.swim.identity();
         // Of another start of this name: that one has gone, and a denial of this one says nothing of it.
@@ -109,17 +109,17 @@
         let denied = self
             .swim
             .apply_many(std::iter::once(suspected), true, &mut self.runtime);
-        denied.map_err(|_| Dropped::Unreadable)?;
+        denied.map_err(|_| RejectReason::Unreadable)?;
         // After it the own incarnation is one more than the suspected one, or higher still.
         if let Some(to) = self.roster_address(by) {
             let said = written(start, incarnation + 1);
-            out.push(Output::Send(to, self.sealer.seal(Kind::Denied, &said)));
+            out.push(Output::Send(to, self.signer.sign(Kind::Denied, &said)));
         }
         Ok(())
     }
 
     /// A suspect's own word.
-    pub(crate) fn denied(&mut self, name: NameKey, said: &[u8]) -> Result<(), Dropped> {
+    pub(crate) fn denied(&mut self, name: NameKey, said: &[u8]) -> Result<(), RejectReason> {
         let (start, incarnation) = read(said)?;
         let known = self
             .swim
@@ -132,7 +132,7 @@
         let taken = self
             .swim
             .apply_many(std::iter::once(alive), true, &mut self.runtime);
-        taken.map_err(|_| Dropped::Unreadable)
+        taken.map_err(|_| RejectReason::Unreadable)
     }
 }
 
@@ -147,14 +147,14 @@
             comeback: 300,
         };
         assert_eq!(read(&written(start, 65_000)), Ok((start, 65_000)));
-        assert_eq!(read(&[0; 11]), Err(Dropped::Unreadable));
-        let mut doubts = Doubts::default();
+        assert_eq!(read(&[0; 11]), Err(RejectReason::Unreadable));
+        let mut confirmations = SuspicionConfirmations::default();
         let at = Duration::from_millis;
-        (0..100).for_each(|n| doubts.begin(at(10), NameKey(n)));
-        assert_eq!(doubts.take_due(at(10)).len(), ASKED_MOST);
-        assert!(doubts.take_due(at(100)).is_empty());
-        assert_eq!(doubts.next(), Some(at(160)));
-        doubts.end(NameKey(0));
-        assert_eq!(doubts.take_due(at(160)).len(), ASKED_MOST - 1);
+        (0..100).for_each(|n| confirmations.begin(at(10), NameKey(n)));
+        assert_eq!(confirmations.take_due(at(10)).len(), ASKED_MOST);
+        assert!(confirmations.take_due(at(100)).is_empty());
+        assert_eq!(confirmations.next(), Some(at(160)));
+        confirmations.end(NameKey(0));
+        assert_eq!(confirmations.take_due(at(160)).len(), ASKED_MOST - 1);
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -4,12 +4,12 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
+use crate::datagram_auth::RejectReason;
 use crate::member::{Id, Start};
-use crate::seal::Dropped;
-use crate::standing::Standing;
+use crate::quorum::QuorumState;
 
 /// How many datagrams were dropped, by cause.
-pub type Dropping = BTreeMap<Dropped, u64>;
+pub type RejectCounts = BTreeMap<RejectReason, u64>;
 
 /// What is known of one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,9 +45,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
     pub me: Id,
-    pub standing: Standing,
+    pub standing: QuorumState,
     /// The later start under the same name to which this process has given way.
     pub fenced_by: Option<Start>,
     pub members: Vec<MemberView>,
-    pub dropped: Dropping,
+    pub dropped: RejectCounts,
 }
--- a/crates/membership/tests/cluster.rs
+++ b/crates/membership/tests/cluster.rs
@@ -12,7 +12,7 @@
     for at in [0, 1] {
         assert_eq!(
             (world.standing(at), world.state(2, at)),
-            (Some(Standing::Majority), Some(State::Down))
+            (Some(QuorumState::Majority), Some(State::Down))
         );
     }
     // Started again, with nothing kept, it is one more start of the same member.
@@ -62,8 +62,8 @@
     world.run(ms(3_000));
     world.net.passes = Box::new(|from, to| (from < 2) == (to < 2));
     world.run(ms(12_000));
-    assert!((0..2).all(|at| world.standing(at) == Some(Standing::CutOff)));
-    assert!((2..6).all(|at| world.standing(at) == Some(Standing::Majority)));
+    assert!((0..2).all(|at| world.standing(at) == Some(QuorumState::CutOff)));
+    assert!((2..6).all(|at| world.standing(at) == Some(QuorumState::Majority)));
     world.net.passes = Box::new(|_, _| true);
     world.run(ms(25_000));
     assert!(
@@ -79,8 +79,8 @@
     world.run(ms(3_000));
     world.net.passes = Box::new(|from, to| from != 0 && to != 0);
     world.run(ms(12_000));
-    assert_eq!(world.standing(0), Some(Standing::Alone));
-    assert!((1..4).all(|at| world.standing(at) == Some(Standing::Majority)));
+    assert_eq!(world.standing(0), Some(QuorumState::Alone));
+    assert!((1..4).all(|at| world.standing(at) == Some(QuorumState::Majority)));
 }
 
 #[test]
@@ -108,7 +108,7 @@
         let both = (world.standing(0), world.standing(4));
         assert_eq!(
             both,
-            (Some(Standing::CutOff), Some(Standing::CutOff)),
+            (Some(QuorumState::CutOff), Some(QuorumState::CutOff)),
             "seed {seed}"
         );
     }
@@ -214,7 +214,7 @@
     world.run(ms(10_000));
     assert!(world.all_whole());
     assert!(
-        world.longest <= DATAGRAM_MOST && world.longest > 200,
+        world.longest <= MAX_DATAGRAM && world.longest > 200,
         "{}",
         world.longest
     );
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -2,37 +2,37 @@
 
 use bitternlatch_membership::simulated::{ms, World};
 use bitternlatch_membership::{
-    Event, Kind, NameKey, Sealer, Secret, Standing, Start, State, Topic,
+    Event, Kind, NameKey, QuorumState, Secret, Signer, Start, State, Topic,
 };
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn sealer(secret: Secret) -> Sealer {
-    Sealer::new(secret, NameKey::of("d1"), 0x0102_0304_0506_0708)
+fn signer(secret: Secret) -> Signer {
+    Signer::new(secret, NameKey::of("d1"), 0x0102_0304_0506_0708)
 }
 
 #[test]
 fn envelopes_keep_their_bytes() {
     let secret = Secret::new("hall", b"a secret of the cluster");
-    let mut datagrams = sealer(secret.clone());
-    let mut frames = sealer(secret.for_links());
+    let mut datagrams = signer(secret.clone());
+    let mut frames = signer(secret.for_links());
     let mut golden = vec![];
     let kinds = [
         Kind::Swim,
         Kind::Replaced,
         Kind::Doubted,
         Kind::Denied,
-        Kind::Of(Topic::Agreement),
+        Kind::Of(Topic::QuotaLease),
         Kind::Of(Topic::Overload),
         Kind::Of(Topic::Lengths),
         Kind::Of(Topic::Workflows),
     ];
     for kind in kinds {
-        golden.push(hex(&datagrams.seal(kind, b"said")));
+        golden.push(hex(&datagrams.sign(kind, b"said")));
     }
-    golden.push(hex(&frames.seal(Kind::Of(Topic::Workflows), b"said")));
+    golden.push(hex(&frames.sign(Kind::Of(Topic::Workflows), b"said")));
     golden.push(hex(&secret.proof(b"number", b"text")));
     assert_eq!(
         golden.join("\n"),
@@ -97,13 +97,13 @@
                 });
                 self.start(*start);
             }
-            Event::Standing(standing) => {
+            Event::QuorumState(standing) => {
                 self.number(1);
                 self.number(match standing {
-                    Standing::Alone => 0,
-                    Standing::CutOff => 1,
-                    Standing::Majority => 2,
-                    Standing::Whole => 3,
+                    QuorumState::Alone => 0,
+                    QuorumState::CutOff => 1,
+                    QuorumState::Majority => 2,
+                    QuorumState::Whole => 3,
                 });
             }
             Event::StoodStill(late) => {
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -91,7 +91,7 @@
         heal(&mut world);
         world.net.passes = Box::new(move |from, to| side >> from & 1 == side >> to & 1);
         world.run(world.net.now + ms(10_000));
-        let majority = |i: &usize| world.standing(*i).is_some_and(|s| s >= Standing::Majority);
+        let majority = |i: &usize| world.standing(*i).is_some_and(|s| s >= QuorumState::Majority);
         let sides: std::collections::BTreeSet<u8> = (0..MEMBERS).filter(majority).map(|i| side >> i & 1).collect();
         prop_assert!(sides.len() <= 1, "{:?}", sides);
     }
--- a/crates/output-length/src/error.rs
+++ b/crates/output-length/src/error.rs
@@ -1,6 +1,6 @@
 //! What can be wrong, and what an operator can do.
 
-use bitternlatch_quota_lease::KeepError;
+use bitternlatch_quota_lease::StorageError;
 
 /// Errors of lengths.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
@@ -14,13 +14,13 @@
     #[error("what was kept of lengths is not readable")]
     BrokenSnapshot,
     #[error("what was kept of lengths cannot be read: {0:?}")]
-    Unread(KeepError),
+    Unread(StorageError),
     #[error("a host reports lengths that cannot be")]
     OddHost,
 }
 
 impl LengthsError {
-    pub(crate) fn unread(error: KeepError) -> LengthsError {
+    pub(crate) fn unread(error: StorageError) -> LengthsError {
         LengthsError::Unread(error)
     }
 
@@ -52,7 +52,7 @@
             LengthsError::OtherVersion(9),
             LengthsError::Unsound,
             LengthsError::BrokenSnapshot,
-            LengthsError::Unread(KeepError::Full),
+            LengthsError::Unread(StorageError::Full),
             LengthsError::OddHost,
         ];
         for error in all {
--- a/crates/output-length/src/machine.rs
+++ b/crates/output-length/src/machine.rs
@@ -3,8 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use bitternlatch_membership::{NameKey, Topic, SAID_MOST};
-use bitternlatch_quota_lease::{Beside, Found, Given, KeepError, Process, Wanted, FRAME_MOST};
+use bitternlatch_membership::{NameKey, Topic, MAX_PAYLOAD};
+use bitternlatch_quota_lease::{
+    ClusterService, Process, ServiceInput, ServiceOutput, StorageError, StoredEntries, MAX_FRAME,
+};
 
 use crate::error::LengthsError;
 use crate::ids::{Cell, Number, Origin};
@@ -58,7 +60,7 @@
     again: Vec<(Cell, crate::Curve)>,
     odd: Odd,
     disk: bool,
-    keep_fault: Option<KeepError>,
+    keep_fault: Option<StorageError>,
     changed: bool,
     tickets: u64,
     bytes: u64,
@@ -75,7 +77,7 @@
     Log,
 }
 
-type Out = Vec<Wanted<Told>>;
+type Out = Vec<ServiceOutput<Told>>;
 
 impl Lengths {
     pub fn new(own: Process, now: Duration) -> Lengths {
@@ -181,7 +183,7 @@
             );
         }
         if !curves.is_empty() {
-            out.push(Wanted::Tell(Told::Curves(curves)));
+            out.push(ServiceOutput::Event(Told::Curves(curves)));
         }
     }
 
@@ -220,7 +222,7 @@
             };
             let record = Record::of(now, cell, number, window);
             let needs = size(&record);
-            if used + needs > SAID_MOST && !records.is_empty() {
+            if used + needs > MAX_PAYLOAD && !records.is_empty() {
                 said.push(std::mem::take(&mut records));
                 (used, datagrams) = (HEAD, datagrams + 1);
                 if datagrams >= datagrams_most {
@@ -249,10 +251,10 @@
     /// By datagram where it fits, else by frame.
     fn send(&mut self, to: NameKey, said: Vec<u8>, out: &mut Out) {
         self.bytes += said.len() as u64;
-        out.push(if said.len() <= SAID_MOST {
-            Wanted::Say(to, said)
+        out.push(if said.len() <= MAX_PAYLOAD {
+            ServiceOutput::SendDatagram(to, said)
         } else {
-            Wanted::Send(to, said)
+            ServiceOutput::SendFrame(to, said)
         });
     }
 
@@ -260,7 +262,7 @@
         let have = self.learner.windows.digest().into_iter().collect();
         let want = Message::Want { have }.encode();
         self.bytes += want.len() as u64;
-        out.push(Wanted::Send(peer, want));
+        out.push(ServiceOutput::SendFrame(peer, want));
     }
 
     /// What an asker lacks, the latest first, as what does not fit its link's queue is lost.
@@ -284,7 +286,7 @@
         let mut records: Vec<(Origin, Record)> =
             self.records(now, |origin| lacks.contains(&origin));
         records.sort_by_key(|(origin, record)| (record.last, *origin));
-        let mut parts = pieces(records, FRAME_MOST - CALIBRATED);
+        let mut parts = pieces(records, MAX_FRAME - CALIBRATED);
         let last = parts.pop().unwrap_or_default();
         let calibrated = Some(self.learner.coverage.clone());
         let frames = parts
@@ -294,7 +296,7 @@
         for (told, last) in frames {
             let state = Message::State { told, last }.encode();
             self.bytes += state.len() as u64;
-            out.push(Wanted::Send(to, state));
+            out.push(ServiceOutput::SendFrame(to, state));
         }
     }
 
@@ -324,7 +326,7 @@
                 if !std::mem::replace(&mut self.caught_up, true) {
                     let answers = self.learner.windows.answers();
                     let text = format!("lengths: caught up answers={answers} by={}", shown(from));
-                    out.push(Wanted::Log { warn: false, text });
+                    out.push(ServiceOutput::Log { warn: false, text });
                 }
             }
             Err(error) => {
@@ -334,7 +336,7 @@
                         shown(from),
                         error.advice()
                     );
-                    out.push(Wanted::Log { warn: true, text });
+                    out.push(ServiceOutput::Log { warn: true, text });
                 }
             }
         }
@@ -362,7 +364,7 @@
                     "lengths: host={host} tokens={tokens} ceiling={ceiling}: {error}; {}",
                     error.advice()
                 );
-                out.push(Wanted::Log { warn: true, text });
+                out.push(ServiceOutput::Log { warn: true, text });
             }
             return;
         }
@@ -388,14 +390,19 @@
         };
         self.tickets += 1;
         let bytes = Some(snapshot.encode());
-        out.push(Wanted::Keep {
+        out.push(ServiceOutput::Persist {
             ticket: self.tickets,
             name: KEPT_AS.to_vec(),
             bytes,
         });
     }
 
-    fn on_found(&mut self, now: Duration, found: Result<Found, KeepError>, out: &mut Out) {
+    fn on_found(
+        &mut self,
+        now: Duration,
+        found: Result<StoredEntries, StorageError>,
+        out: &mut Out,
+    ) {
         self.disk = true;
         let read = found.map_err(LengthsError::unread).and_then(|found| {
             let kept = found.into_iter().find(|(name, _)| name == KEPT_AS);
@@ -410,26 +417,26 @@
                 self.learn(now, late, snapshot.told);
                 let (answers, age) = (self.learner.windows.answers(), late.as_secs());
                 let text = format!("lengths: read back answers={answers} age_s={age}");
-                out.push(Wanted::Log { warn: false, text });
+                out.push(ServiceOutput::Log { warn: false, text });
             }
             Err(error) => {
                 let text = format!(
                     "lengths: begins with nothing of its own: {error}; {}",
                     error.advice()
                 );
-                out.push(Wanted::Log { warn: true, text });
+                out.push(ServiceOutput::Log { warn: true, text });
             }
         }
     }
 
-    fn on_kept(&mut self, done: Result<(), KeepError>, out: &mut Out) {
+    fn on_kept(&mut self, done: Result<(), StorageError>, out: &mut Out) {
         let fault = done.err();
         if let Some(fault) = fault
             .as_ref()
             .filter(|f| self.keep_fault.as_ref() != Some(f))
         {
             let text = format!("lengths: not kept: {fault}; {}", fault.advice());
-            out.push(Wanted::Log { warn: true, text });
+            out.push(ServiceOutput::Log { warn: true, text });
         }
         self.changed |= fault.is_some();
         self.keep_fault = fault;
@@ -460,7 +467,7 @@
             self.there.len(),
         );
         if text != self.logged {
-            out.push(Wanted::Log {
+            out.push(ServiceOutput::Log {
                 warn: false,
                 text: text.clone(),
             });
@@ -469,32 +476,37 @@
     }
 }
 
-impl Beside for Lengths {
+impl ClusterService for Lengths {
     const TOPIC: Topic = Topic::Lengths;
-    type Ask = Ask;
-    type Told = Told;
+    type Request = Ask;
+    type Event = Told;
 
     fn wake_at(&self) -> Option<Duration> {
         self.next.values().min().copied()
     }
 
-    fn step(&mut self, now: Duration, given: Given<Ask>, out: &mut Out) {
+    fn step(&mut self, now: Duration, given: ServiceInput<Ask>, out: &mut Out) {
         match given {
-            Given::Wake => self.on_wake(now, out),
-            Given::Said { from, said } | Given::Frame { from, said } => {
-                self.hear(now, from.name, &said, out)
+            ServiceInput::Wake => self.on_wake(now, out),
+            ServiceInput::Datagram {
+                from,
+                payload: said,
             }
-            Given::Peers(peers) => {
-                let there: BTreeSet<NameKey> = peers.there.into_iter().collect();
+            | ServiceInput::Frame {
+                from,
+                payload: said,
+            } => self.hear(now, from.name, &said, out),
+            ServiceInput::Peers(peers) => {
+                let there: BTreeSet<NameKey> = peers.present.into_iter().collect();
                 // Those that have come, or come back: each may know what was missed.
                 self.unasked.extend(there.difference(&self.there));
                 self.unasked.retain(|peer| there.contains(peer));
                 self.there = there;
             }
-            Given::Ask(Ask::Ended(ended)) => self.on_ended(now, &ended, out),
-            Given::Found(found) => self.on_found(now, found, out),
-            Given::Kept { done, .. } => self.on_kept(done, out),
-            Given::Leave => self.keep(now, out),
+            ServiceInput::Request(Ask::Ended(ended)) => self.on_ended(now, &ended, out),
+            ServiceInput::Loaded(found) => self.on_found(now, found, out),
+            ServiceInput::Persisted { done, .. } => self.on_kept(done, out),
+            ServiceInput::Leave => self.keep(now, out),
         }
     }
 }
--- a/crates/output-length/src/simulated.rs
+++ b/crates/output-length/src/simulated.rs
@@ -3,8 +3,10 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use bitternlatch_membership::{NameKey, Standing};
-use bitternlatch_quota_lease::{Beside, Given, Part, Peers, Process, Wanted};
+use bitternlatch_membership::{NameKey, QuorumState};
+use bitternlatch_quota_lease::{
+    ClusterService, Peers, Process, QuotaLease, ServiceInput, ServiceOutput,
+};
 use bitternlatch_simulation::{ms, Network, Node, Sent, World};
 
 use crate::{Ask, ClassKey, Curves, End, Ended, Lengths, ModelKey, TenantKey, Told};
@@ -51,21 +53,23 @@
     }
 
     /// Steps it, and gathers what it wants.
-    pub fn give(&mut self, now: Duration, given: Given<Ask>, out: &mut Sent<Said>) {
+    pub fn give(&mut self, now: Duration, given: ServiceInput<Ask>, out: &mut Sent<Said>) {
         let mut wanted = vec![];
         self.machine.step(now, given, &mut wanted);
         for wanted in wanted {
             match wanted {
-                Wanted::Say(to, said) => {
+                ServiceOutput::SendDatagram(to, said) => {
                     self.longest = self.longest.max(said.len());
                     out.push((to.0 as usize - 1, Said(false, said)));
                 }
-                Wanted::Send(to, said) => out.push((to.0 as usize - 1, Said(true, said))),
-                Wanted::Tell(Told::Curves(curves)) => curves
+                ServiceOutput::SendFrame(to, said) => {
+                    out.push((to.0 as usize - 1, Said(true, said)))
+                }
+                ServiceOutput::Event(Told::Curves(curves)) => curves
                     .into_iter()
                     .for_each(|(cell, curve)| self.curves.set(cell, curve)),
-                Wanted::Keep { bytes, .. } => self.kept = bytes,
-                Wanted::Log { text, .. } => self.logs.push(text),
+                ServiceOutput::Persist { bytes, .. } => self.kept = bytes,
+                ServiceOutput::Log { text, .. } => self.logs.push(text),
             }
         }
     }
@@ -91,16 +95,16 @@
         if now >= self.peers_at {
             self.peers_at = now + ms(200);
             let there = self.there.iter().map(|i| name(*i)).collect();
-            let part = Part::default();
+            let part = QuotaLease::default();
             let peers = Peers {
-                standing: Standing::Whole,
-                there,
-                until: now + ms(900),
-                part,
+                quorum: QuorumState::Whole,
+                present: there,
+                valid_until: now + ms(900),
+                lease: part,
             };
-            self.give(now, Given::Peers(peers), out);
+            self.give(now, ServiceInput::Peers(peers), out);
         }
-        self.give(now, Given::Wake, out);
+        self.give(now, ServiceInput::Wake, out);
     }
 
     fn take(&mut self, now: Duration, from: usize, Said(frame, said): Said, out: &mut Sent<Said>) {
@@ -109,9 +113,15 @@
             start: 0,
         };
         let given = if frame {
-            Given::Frame { from, said }
+            ServiceInput::Frame {
+                from,
+                payload: said,
+            }
         } else {
-            Given::Said { from, said }
+            ServiceInput::Datagram {
+                from,
+                payload: said,
+            }
         };
         self.give(now, given, out);
     }
@@ -147,7 +157,7 @@
             .curves
             .find(ended.model, ended.class, ended.prompt_tokens);
         ended.told = known.map(|c| c.expected(ended.ceiling).p90.round() as u32);
-        member.give(now, Given::Ask(Ask::Ended(ended)), out)
+        member.give(now, ServiceInput::Request(Ask::Ended(ended)), out)
     });
 }
 
--- a/crates/output-length/tests/members.rs
+++ b/crates/output-length/tests/members.rs
@@ -3,7 +3,7 @@
 
 use bitternlatch_output_length::simulated::*;
 use bitternlatch_output_length::*;
-use bitternlatch_quota_lease::{Given, KeepError};
+use bitternlatch_quota_lease::{ServiceInput, StorageError};
 use bitternlatch_simulation::{ms, World};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -69,7 +69,7 @@
             .filter_map(|p| Some(p.node.as_ref()?.longest))
             .max();
         assert!(
-            longest <= Some(bitternlatch_membership::SAID_MOST),
+            longest <= Some(bitternlatch_membership::MAX_PAYLOAD),
             "{longest:?}"
         );
         assert_eq!(all, [600; 4], "seed {seed}");
@@ -106,14 +106,14 @@
     let give = |world: &mut World<Member>, given| {
         world.act(0, |m, now, out| m.give(now, given, out));
     };
-    give(&mut world, Given::Found(Ok(vec![])));
+    give(&mut world, ServiceInput::Loaded(Ok(vec![])));
     traffic(&mut world, &[0], 300, 1, 300.0);
-    give(&mut world, Given::Leave);
+    give(&mut world, ServiceInput::Leave);
     let kept = world.kill(0).and_then(|n| n.kept).expect("kept");
     let restart = |world: &mut World<Member>, found| {
         let now = world.now_at(0);
         world.start(0, Member::new(0, 1 + now.as_millis() as u64, 1, now));
-        give(world, Given::Found(found));
+        give(world, ServiceInput::Loaded(found));
         let_pass(world, 1);
         world.places[0]
             .node
@@ -143,7 +143,7 @@
             "{log}"
         );
     }
-    let log = restart(&mut world, Err(KeepError::Io("torn".into())));
+    let log = restart(&mut world, Err(StorageError::Io("torn".into())));
     assert!(log.contains("begins with nothing"), "{log}");
 }
 
--- a/crates/overload/src/gate.rs
+++ b/crates/overload/src/gate.rs
@@ -130,7 +130,7 @@
             out: 0,
             counts: (0, 0, 0),
             returns: Returns::new(most_s, seed),
-            repeats: Repeats::new(bitternlatch_quota_lease::base(roster)),
+            repeats: Repeats::new(bitternlatch_quota_lease::unleased_quota(roster)),
             alone: Bucket {
                 left: 0.0,
                 at: Duration::ZERO,
--- a/crates/overload/src/machine.rs
+++ b/crates/overload/src/machine.rs
@@ -3,8 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use bitternlatch_membership::{NameKey, Standing, Topic};
-use bitternlatch_quota_lease::{Beside, Given, Part, Peers, Process, Wanted};
+use bitternlatch_membership::{NameKey, QuorumState, Topic};
+use bitternlatch_quota_lease::{
+    ClusterService, Peers, Process, QuotaLease, ServiceInput, ServiceOutput,
+};
 
 use crate::capacity::{Capacity, Takes};
 use crate::cut::{below, cut};
@@ -23,7 +25,7 @@
 const TOLD_MOST: usize = 16;
 const SAMPLE_BEATS: u32 = 4;
 /// Others that are told of a failed host at once.
-const SAID_MOST: usize = 64;
+const MAX_PAYLOAD: usize = 64;
 /// Between two lines in the log.
 const LOG: Duration = Duration::from_secs(1);
 /// Weight of the others' mean cut.
@@ -98,11 +100,11 @@
 
     /// Who is there as far as that counts now.
     fn peers(&self, now: Duration) -> Option<&Peers> {
-        self.peers.as_ref().filter(|p| now < p.until)
+        self.peers.as_ref().filter(|p| now < p.valid_until)
     }
 
     fn together(&self, now: Duration) -> bool {
-        let majority = |p: &Peers| matches!(p.standing, Standing::Whole | Standing::Majority);
+        let majority = |p: &Peers| matches!(p.quorum, QuorumState::Whole | QuorumState::Majority);
         self.peers(now).is_some_and(majority)
     }
 
@@ -111,7 +113,13 @@
         *many = many.saturating_add(1);
     }
 
-    fn hear(&mut self, now: Duration, from: Process, said: &[u8], out: &mut Vec<Wanted<Told>>) {
+    fn hear(
+        &mut self,
+        now: Duration,
+        from: Process,
+        said: &[u8],
+        out: &mut Vec<ServiceOutput<Told>>,
+    ) {
         if from.name == self.own.name || !self.roster.contains(&from.name) {
             return;
         }
@@ -132,7 +140,7 @@
         }
     }
 
-    fn asked(&mut self, now: Duration, ask: Ask, out: &mut Vec<Wanted<Told>>) {
+    fn asked(&mut self, now: Duration, ask: Ask, out: &mut Vec<ServiceOutput<Told>>) {
         match ask {
             Ask::Seen(seen) => {
                 self.counts.0 = self.counts.0.saturating_add(seen.taken_count);
@@ -141,7 +149,7 @@
                 self.seen = Some((now, seen));
             }
             Ask::Probe { host } => {
-                let others = self.peers(now).map(|p| p.there.clone());
+                let others = self.peers(now).map(|p| p.present.clone());
                 let mut done = Vec::new();
                 self.probes
                     .want(now, host, others.as_deref(), self.roster.len(), &mut done);
@@ -153,13 +161,16 @@
                 } else {
                     self.trials.failed(now, host)
                 };
-                let to = self.peers(now).map(|p| p.there.clone()).unwrap_or_default();
+                let to = self
+                    .peers(now)
+                    .map(|p| p.present.clone())
+                    .unwrap_or_default();
                 // As many as hear a word at a time; of many members a sample, as the rest hear of it from their own attempts.
                 if let Some(bytes) = saying.map(|s| s.write()) {
                     out.extend(
                         to.into_iter()
-                            .take(SAID_MOST)
-                            .map(|n| Wanted::Say(n, bytes.clone())),
+                            .take(MAX_PAYLOAD)
+                            .map(|n| ServiceOutput::SendDatagram(n, bytes.clone())),
                     );
                 }
                 self.tell_trials(now, out);
@@ -173,8 +184,8 @@
     }
 
     /// Tells what may be tried, and of what is as any other again.
-    fn tell_trials(&mut self, now: Duration, out: &mut Vec<Wanted<Told>>) {
-        let others = self.peers(now).map(|p| p.there.clone());
+    fn tell_trials(&mut self, now: Duration, out: &mut Vec<ServiceOutput<Told>>) {
+        let others = self.peers(now).map(|p| p.present.clone());
         let leaves = self.trials.leaves(now, others.as_deref());
         let hosts: BTreeSet<u32> = leaves.iter().map(|l| l.host).collect();
         let well = self.on_trial.difference(&hosts).map(|host| Told::Trial {
@@ -182,9 +193,9 @@
             many: 0,
             until: now,
         });
-        out.extend(well.map(Wanted::Tell));
+        out.extend(well.map(ServiceOutput::Event));
         let trial = |l: Leave| {
-            Wanted::Tell(Told::Trial {
+            ServiceOutput::Event(Told::Trial {
                 host: l.host,
                 many: l.many,
                 until: l.until,
@@ -220,9 +231,9 @@
     }
 
     /// Says the own word to all, or to some drawn anew where they are many.
-    fn say(&mut self, now: Duration, word: &Word, out: &mut Vec<Wanted<Told>>) {
+    fn say(&mut self, now: Duration, word: &Word, out: &mut Vec<ServiceOutput<Told>>) {
         let Some(peers) = self.peers(now) else { return };
-        let mut to = peers.there.clone();
+        let mut to = peers.present.clone();
         if to.len() > TOLD_MOST {
             if !self.beats.is_multiple_of(SAMPLE_BEATS) {
                 return;
@@ -235,10 +246,13 @@
             to.truncate(TOLD_MOST);
         }
         let bytes = word.write();
-        out.extend(to.into_iter().map(|name| Wanted::Say(name, bytes.clone())));
+        out.extend(
+            to.into_iter()
+                .map(|name| ServiceOutput::SendDatagram(name, bytes.clone())),
+        );
     }
 
-    fn beat(&mut self, now: Duration, out: &mut Vec<Wanted<Told>>) {
+    fn beat(&mut self, now: Duration, out: &mut Vec<ServiceOutput<Told>>) {
         self.beat_at = now + BEAT;
         self.beats = self.beats.wrapping_add(1);
         let Some(known) = self.seen.as_ref() else {
@@ -248,7 +262,7 @@
         self.words.forget(now);
         self.probes.forget(now);
         self.tell_trials(now, out);
-        let there = self.peers(now).map_or(0, |p| p.there.len());
+        let there = self.peers(now).map_or(0, |p| p.present.len());
         let together = self.together(now);
         let word = self.word(now, self.capacity.per_s());
         let sampled = (there > TOLD_MOST).then_some(there + 1);
@@ -279,7 +293,7 @@
         };
         self.say(now, &said, out);
         if !stale {
-            out.push(Wanted::Tell(Told::Cut(self.told(
+            out.push(ServiceOutput::Event(Told::Cut(self.told(
                 now,
                 &sums,
                 &said,
@@ -292,7 +306,7 @@
     }
 
     fn told(&self, now: Duration, sums: &Sums, own: &Word, takes: Takes, members: usize) -> Cut {
-        let part = self.peers(now).map_or(Part::default(), |p| p.part);
+        let part = self.peers(now).map_or(QuotaLease::default(), |p| p.lease);
         // What may wait is divided as demand is, in part: a burst at one must not find it without room.
         let even = 1.0 / members as f64;
         let asked = if sums.asked() > 0.0 {
@@ -315,7 +329,7 @@
     }
 
     /// A line for each member whose figures are bounded, when it begins.
-    fn name(&mut self, sums: &Sums, out: &mut Vec<Wanted<Told>>) {
+    fn name(&mut self, sums: &Sums, out: &mut Vec<ServiceOutput<Told>>) {
         for name in sums.nonsense.difference(&self.named) {
             let why = OverloadError::Nonsense;
             let text = format!(
@@ -323,12 +337,18 @@
                 name.0,
                 why.advice()
             );
-            out.push(Wanted::Log { warn: true, text });
+            out.push(ServiceOutput::Log { warn: true, text });
         }
         self.named = sums.nonsense.clone();
     }
 
-    fn log(&mut self, now: Duration, sums: &Sums, takes: Takes, out: &mut Vec<Wanted<Told>>) {
+    fn log(
+        &mut self,
+        now: Duration,
+        sums: &Sums,
+        takes: Takes,
+        out: &mut Vec<ServiceOutput<Told>>,
+    ) {
         if now < self.log_at {
             return;
         }
@@ -346,42 +366,50 @@
             sums.members,
             self.together(now),
         );
-        out.push(Wanted::Log { warn: false, text });
+        out.push(ServiceOutput::Log { warn: false, text });
         for (why, many) in std::mem::take(&mut self.dropped) {
             let text = format!("overload: dropped={many} {why}; {}", why.advice());
-            out.push(Wanted::Log { warn: true, text });
+            out.push(ServiceOutput::Log { warn: true, text });
         }
     }
 }
 
 /// What is to be done for probes, as the loop is told it.
-fn carry(done: Vec<Do>, out: &mut Vec<Wanted<Told>>) {
+fn carry(done: Vec<Do>, out: &mut Vec<ServiceOutput<Told>>) {
     out.extend(done.into_iter().map(|what| match what {
-        Do::Probe(host) => Wanted::Tell(Told::Probe { host }),
-        Do::Tell { host, age, report } => Wanted::Tell(Told::Report { host, age, report }),
-        Do::Say(to, saying) => Wanted::Say(to, saying.write()),
+        Do::Probe(host) => ServiceOutput::Event(Told::Probe { host }),
+        Do::Tell { host, age, report } => ServiceOutput::Event(Told::Report { host, age, report }),
+        Do::Say(to, saying) => ServiceOutput::SendDatagram(to, saying.write()),
     }));
 }
 
-impl Beside for Overload {
+impl ClusterService for Overload {
     const TOPIC: Topic = Topic::Overload;
-    type Ask = Ask;
-    type Told = Told;
+    type Request = Ask;
+    type Event = Told;
 
     fn wake_at(&self) -> Option<Duration> {
         Some(self.beat_at)
     }
 
-    fn step(&mut self, now: Duration, given: Given<Ask>, out: &mut Vec<Wanted<Told>>) {
+    fn step(
+        &mut self,
+        now: Duration,
+        given: ServiceInput<Ask>,
+        out: &mut Vec<ServiceOutput<Told>>,
+    ) {
         match given {
-            Given::Said { from, said } => self.hear(now, from, &said, out),
-            Given::Peers(peers) => self.peers = Some(peers),
-            Given::Ask(ask) => self.asked(now, ask, out),
-            Given::Wake
-            | Given::Frame { .. }
-            | Given::Found(_)
-            | Given::Kept { .. }
-            | Given::Leave => {}
+            ServiceInput::Datagram {
+                from,
+                payload: said,
+            } => self.hear(now, from, &said, out),
+            ServiceInput::Peers(peers) => self.peers = Some(peers),
+            ServiceInput::Request(ask) => self.asked(now, ask, out),
+            ServiceInput::Wake
+            | ServiceInput::Frame { .. }
+            | ServiceInput::Loaded(_)
+            | ServiceInput::Persisted { .. }
+            | ServiceInput::Leave => {}
         }
         if now >= self.beat_at {
             self.beat(now, out);
--- a/crates/overload/src/word.rs
+++ b/crates/overload/src/word.rs
@@ -130,7 +130,7 @@
         };
         let bytes = word.write();
         assert!(
-            bytes.len() <= bitternlatch_membership::SAID_MOST,
+            bytes.len() <= bitternlatch_membership::MAX_PAYLOAD,
             "{}",
             bytes.len()
         );
--- a/crates/overload/tests/fleet.rs
+++ b/crates/overload/tests/fleet.rs
@@ -3,9 +3,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use bitternlatch_membership::{NameKey, Standing};
+use bitternlatch_membership::{NameKey, QuorumState};
 use bitternlatch_overload::{Ask, Asked, Gate, Overload, Settings, Taken, Told, Verdict};
-use bitternlatch_quota_lease::{Beside, Given, Part, Peers, Process, Wanted};
+use bitternlatch_quota_lease::{
+    ClusterService, Peers, Process, QuotaLease, ServiceInput, ServiceOutput,
+};
 use bitternlatch_simulation::{ms, Node, Sent, World};
 
 const AIM_S: f64 = 1.5;
@@ -41,18 +43,18 @@
         }
     }
 
-    fn give(&mut self, now: Duration, given: Given<Ask>, sent: &mut Sent<(u64, Vec<u8>)>) {
+    fn give(&mut self, now: Duration, given: ServiceInput<Ask>, sent: &mut Sent<(u64, Vec<u8>)>) {
         let mut out = Vec::new();
         self.machine.step(now, given, &mut out);
         for wanted in out {
             match wanted {
-                Wanted::Say(to, said) => {
+                ServiceOutput::SendDatagram(to, said) => {
                     // With the envelope's 42 bytes, and UDP's and IP's 28.
                     self.bytes += said.len() as u64 + 70;
                     sent.push((to.0 as usize, (self.start, said)));
                 }
-                Wanted::Tell(Told::Cut(cut)) => self.gate.told(cut),
-                Wanted::Log { warn: true, .. } => self.warned += 1,
+                ServiceOutput::Event(Told::Cut(cut)) => self.gate.told(cut),
+                ServiceOutput::Log { warn: true, .. } => self.warned += 1,
                 _ => {}
             }
         }
@@ -67,7 +69,7 @@
     }
 
     fn wake(&mut self, now: Duration, out: &mut Sent<(u64, Vec<u8>)>) {
-        self.give(now, Given::Wake, out);
+        self.give(now, ServiceInput::Wake, out);
     }
 
     fn take(
@@ -81,7 +83,14 @@
             name: NameKey(from as u32),
             start,
         };
-        self.give(now, Given::Said { from, said }, out);
+        self.give(
+            now,
+            ServiceInput::Datagram {
+                from,
+                payload: said,
+            },
+            out,
+        );
     }
 }
 
@@ -194,10 +203,10 @@
                     .collect(),
             };
             let standing = match there.len() + 1 {
-                n if n == self.of => Standing::Whole,
-                n if 2 * n > self.of => Standing::Majority,
-                1 => Standing::Alone,
-                _ => Standing::CutOff,
+                n if n == self.of => QuorumState::Whole,
+                n if 2 * n > self.of => QuorumState::Majority,
+                1 => QuorumState::Alone,
+                _ => QuorumState::CutOff,
             };
             let lent = if off || !self.lent {
                 0.0
@@ -205,17 +214,17 @@
                 0.9 / self.of as f64
             };
             self.world.act(i, |node, now, out| {
-                let part = Part {
+                let part = QuotaLease {
                     lent,
                     until: now + ms(1470),
                 };
                 node.give(
                     now,
-                    Given::Peers(Peers {
-                        standing,
-                        there,
-                        until: now + ms(900),
-                        part,
+                    ServiceInput::Peers(Peers {
+                        quorum: standing,
+                        present: there,
+                        valid_until: now + ms(900),
+                        lease: part,
                     }),
                     out,
                 );
@@ -371,7 +380,7 @@
                 for i in 0..self.of {
                     self.world.act(i, |node, now, out| {
                         if let Some(seen) = node.gate.tell(now, hosts) {
-                            node.give(now, Given::Ask(Ask::Seen(seen)), out);
+                            node.give(now, ServiceInput::Request(Ask::Seen(seen)), out);
                         }
                     });
                 }
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -1,32 +1,36 @@
 //! What dispatchers agree on, without input or output: messages and a clock go in, messages come out, and the time
 //! at which it wants to be woken. The same code runs in service, in tests and in simulated time.
 //!
-//! - [`Ballot`]: a few voters let one of themselves at a time be steward, by promises that end by the clock
+//! - [`LeaderElection`]: a few voters let one of themselves at a time be leader, by promises that end by the clock
 //!   (leases: Gray and Cheriton, 1989; by a majority and without a disk: PaxosLease, Trencseni and others, 2012).
-//! - [`Lender`]: the steward lends parts of what all share to those that ask; a part ends by the clock.
-//! - What members have seen of hosts goes to the steward with each question, and to the others with its answers.
-//! - [`Shares`]: one member's part in both.
-//! - [`Together`]: that and the membership, over one envelope.
+//! - [`QuotaLeases`]: the leader lends parts of what all share to those that ask; a part ends by the clock.
+//! - What members have seen of hosts goes to the leader with each question, and to the others with its answers.
+//! - [`QuotaMember`]: one member's part in both.
+//! - [`ClusterMember`]: that and the membership, over one envelope.
 //!
 //! Every time is judged by the clock of the process that acts; nothing is ever dated by another's clock. What a process
 //! may use is dated from the moment at which it *asked*, what it has promised from the moment at which it *answered*: an
 //! answer that comes late, after a pause of any length, is worth that much less.
 
-mod ballot;
-mod beside;
-mod hearsay;
-mod lender;
+mod cluster_member;
+mod cluster_service;
+mod leader_election;
 mod message;
-mod shares;
-mod together;
+mod peer_reports;
+mod quota_leases;
+mod quota_member;
 
-pub use ballot::{voters, Ballot, Verdict, LEASE};
-pub use beside::{Beside, Found, Given, KeepError, Peers, Wanted, FRAME_MOST};
-pub use hearsay::{Hearsay, Host, Sight, Trait, HEARSAY_MOST, SIGHTS_MOST};
-pub use lender::{Lender, LOAN};
-pub use message::{Message, Unreadable, MESSAGE_MOST};
-pub use shares::{base, Part, Shares, Told};
-pub use together::{Output, Together};
+pub use cluster_member::{ClusterMember, Output};
+pub use cluster_service::{
+    ClusterService, Peers, ServiceInput, ServiceOutput, StorageError, StoredEntries, MAX_FRAME,
+};
+pub use leader_election::{voters, LeaderElection, Verdict, LEASE};
+pub use message::{Message, Unreadable, MAX_MESSAGE};
+pub use peer_reports::{
+    Observation, PeerReport, ServerCondition, ServerNumber, MAX_OBSERVATIONS, MAX_REPORTS,
+};
+pub use quota_leases::{QuotaLeases, LEASE_COUNTED_FOR};
+pub use quota_member::{unleased_quota, Action, QuotaLease, QuotaMember};
 
 use bitternlatch_membership::NameKey;
 
--- a/crates/quota-lease/src/lender.rs
+++ b/crates/quota-lease/src/quota_leases.rs
@@ -1,6 +1,6 @@
-//! What a steward has lent, and to whom how much may be lent now.
+//! What a leader has lent, and to whom how much may be lent now.
 //!
-//! All that may be in use is counted: each part from the moment at which it was lent until it has certainly ended, [`LOAN`]
+//! All that may be in use is counted: each part from the moment at which it was lent until it has certainly ended, [`LEASE_COUNTED_FOR`]
 //! later, also where its borrower has got a smaller one since: a loop that is behind may go by the earlier one still. So
 //! one who falls silent is counted until then, and only then do the others grow; one who comes new makes the others shrink
 //! at their next questions, and grows itself when what they had has ended.
@@ -11,9 +11,9 @@
 use crate::{Number, Process};
 
 /// How long a part is counted after it was lent; its borrower uses it a little less, from its question on.
-pub const LOAN: Duration = Duration::from_millis(1500);
+pub const LEASE_COUNTED_FOR: Duration = Duration::from_millis(1500);
 /// Borrowers that are counted at once; further ones are lent nothing.
-const BORROWERS_MOST: usize = 4096;
+const MAX_LEASE_HOLDERS: usize = 4096;
 
 struct Lent {
     millionths: u32,
@@ -34,20 +34,20 @@
 }
 
 /// Parts of one whole, all bounds alike.
-pub struct Lender {
+pub struct QuotaLeases {
     /// All that may be lent, millionths.
     whole: u32,
-    /// Before it, what another steward has lent may be in use.
+    /// Before it, what another leader has lent may be in use.
     from: Duration,
     borrowers: BTreeMap<Process, Borrower>,
 }
 
-impl Lender {
-    /// For one that has been steward since `since`.
-    pub fn new(whole: u32, since: Duration) -> Lender {
-        Lender {
+impl QuotaLeases {
+    /// For one that has been leader since `since`.
+    pub fn new(whole: u32, since: Duration) -> QuotaLeases {
+        QuotaLeases {
             whole,
-            from: since + LOAN,
+            from: since + LEASE_COUNTED_FOR,
             borrowers: BTreeMap::new(),
         }
     }
@@ -55,7 +55,7 @@
     /// How much is lent for this question, in millionths; `None` where nothing may be yet, or the question is an old one.
     pub fn lend(&mut self, now: Duration, to: Process, number: Number) -> Option<u32> {
         self.forget(now);
-        let room = self.borrowers.len() < BORROWERS_MOST || self.borrowers.contains_key(&to);
+        let room = self.borrowers.len() < MAX_LEASE_HOLDERS || self.borrowers.contains_key(&to);
         if now < self.from || !room {
             return None;
         }
@@ -74,7 +74,7 @@
         let millionths = even.min(self.whole.saturating_sub(others));
         let part = Lent {
             millionths,
-            until: now + LOAN,
+            until: now + LEASE_COUNTED_FOR,
         };
         self.borrowers.entry(to).or_default().parts.push(part);
         Some(millionths)
@@ -110,8 +110,8 @@
 
     const MS: Duration = Duration::from_millis(1);
 
-    fn lender() -> Lender {
-        Lender::new(900_000, Duration::ZERO)
+    fn leases() -> QuotaLeases {
+        QuotaLeases::new(900_000, Duration::ZERO)
     }
 
     fn who(name: u32) -> Process {
@@ -123,15 +123,15 @@
 
     #[test]
     fn nothing_is_lent_while_what_another_steward_lent_may_be_in_use() {
-        let mut lender = lender();
-        assert_eq!(lender.lend(MS * 1499, who(1), Number(1)), None);
-        assert_eq!(lender.lend(MS * 1500, who(1), Number(2)), Some(900_000));
+        let mut leases = leases();
+        assert_eq!(leases.lend(MS * 1499, who(1), Number(1)), None);
+        assert_eq!(leases.lend(MS * 1500, who(1), Number(2)), Some(900_000));
     }
 
     #[test]
     fn one_that_comes_new_gets_what_others_have_certainly_let_go_of() {
-        let mut lender = lender();
-        let mut asks = |at: u32, name, number| lender.lend(MS * at, who(name), Number(number));
+        let mut leases = leases();
+        let mut asks = |at: u32, name, number| leases.lend(MS * at, who(name), Number(number));
         assert_eq!(asks(2000, 1, 1), Some(900_000));
         assert_eq!(asks(2100, 2, 1), Some(0), "the first may be using all");
         assert_eq!(asks(2300, 1, 2), Some(450_000));
@@ -141,8 +141,8 @@
 
     #[test]
     fn the_part_of_one_that_fell_silent_goes_to_others_when_it_has_ended() {
-        let mut lender = lender();
-        let mut asks = |at: u32, name, number| lender.lend(MS * at, who(name), Number(number));
+        let mut leases = leases();
+        let mut asks = |at: u32, name, number| leases.lend(MS * at, who(name), Number(number));
         assert_eq!(asks(2000, 1, 1), Some(900_000));
         assert_eq!(asks(2100, 1, 2), Some(900_000));
         assert_eq!(asks(2200, 2, 1), Some(0));
@@ -153,9 +153,9 @@
 
     #[test]
     fn a_farewell_frees_a_part_at_once() {
-        let mut lender = lender();
-        lender.lend(MS * 2000, who(1), Number(1));
-        lender.done(who(1));
-        assert_eq!(lender.lend(MS * 2010, who(2), Number(1)), Some(900_000));
+        let mut leases = leases();
+        leases.lend(MS * 2000, who(1), Number(1));
+        leases.done(who(1));
+        assert_eq!(leases.lend(MS * 2010, who(2), Number(1)), Some(900_000));
     }
 }
--- a/crates/quota-lease/tests/golden.rs
+++ b/crates/quota-lease/tests/golden.rs
@@ -5,10 +5,11 @@
 use std::time::Duration;
 
 use bitternlatch_membership::{
-    Event, Membership, NameKey, Peer, Roster, Secret, Standing, Start, State, Topic,
+    Event, Membership, NameKey, Peer, QuorumState, Roster, Secret, Start, State, Topic,
 };
 use bitternlatch_quota_lease::{
-    Hearsay, Host, Message, Number, Output, Sight, Together, Told, Trait,
+    Action, ClusterMember, Message, Number, Observation, Output, PeerReport, ServerCondition,
+    ServerNumber,
 };
 
 const MS: Duration = Duration::from_millis(1);
@@ -21,68 +22,68 @@
 fn messages_keep_their_bytes() {
     let number = Number(0x0102_0304_0506_0708);
     let holder = Some(NameKey(0xAABB_CCDD));
-    let sight = |what| Sight {
-        host: Host(0x1122_3344),
-        what,
+    let observation = |condition| Observation {
+        server: ServerNumber(0x1122_3344),
+        condition,
         age: MS * 1250,
     };
-    let hearsay = |what| Hearsay {
-        host: Host(0x1122_3344),
-        what,
-        voices: 3,
+    let report = |condition| PeerReport {
+        server: ServerNumber(0x1122_3344),
+        condition,
+        reporters: 3,
         age: MS * 60_000,
     };
     let golden = [
         (
-            Message::Vote {
+            Message::VoteRequest {
                 number,
                 roster: 0x0A0B_0C0D,
             },
             "0008070605040302010d0c0b0a",
         ),
-        (Message::Granted { number }, "010807060504030201"),
+        (Message::VoteGranted { number }, "010807060504030201"),
         (
-            Message::Refused { number, holder },
+            Message::VoteDenied { number, holder },
             "020807060504030201ddccbbaa",
         ),
         (
-            Message::Refused {
+            Message::VoteDenied {
                 number,
                 holder: None,
             },
             "02080706050403020100000000",
         ),
-        (Message::Released { number }, "030807060504030201"),
+        (Message::VoteReleased { number }, "030807060504030201"),
         (
-            Message::Borrow {
+            Message::LeaseRequest {
                 number,
                 roster: 0x0A0B_0C0D,
                 seen: vec![
-                    sight(Trait::Failing),
-                    sight(Trait::Cold),
-                    sight(Trait::Draining),
+                    observation(ServerCondition::Failing),
+                    observation(ServerCondition::WarmingUp),
+                    observation(ServerCondition::Draining),
                 ],
             },
             "0408070605040302010d0c0b0a44332211000c44332211010c44332211020c",
         ),
         (
-            Message::Lent {
+            Message::LeaseGranted {
                 number,
                 millionths: 166_666,
                 of: 299,
                 heard: vec![
-                    hearsay(Trait::Failing),
-                    hearsay(Trait::Cold),
-                    hearsay(Trait::Draining),
+                    report(ServerCondition::Failing),
+                    report(ServerCondition::WarmingUp),
+                    report(ServerCondition::Draining),
                 ],
             },
             "0508070605040302010a8b02002b01443322110003ff443322110103ff443322110203ff",
         ),
         (
-            Message::NotHere { number, holder },
+            Message::NotLeader { number, holder },
             "060807060504030201ddccbbaa",
         ),
-        (Message::Done, "070000000000000000"),
+        (Message::Leave, "070000000000000000"),
     ];
     for (message, bytes) in golden {
         assert_eq!(hex(&message.write()), bytes, "{message:?}");
@@ -124,13 +125,13 @@
                 });
                 self.start(*start);
             }
-            Event::Standing(standing) => {
+            Event::QuorumState(standing) => {
                 self.number(1);
                 self.number(match standing {
-                    Standing::Alone => 0,
-                    Standing::CutOff => 1,
-                    Standing::Majority => 2,
-                    Standing::Whole => 3,
+                    QuorumState::Alone => 0,
+                    QuorumState::CutOff => 1,
+                    QuorumState::Majority => 2,
+                    QuorumState::Whole => 3,
                 });
             }
             Event::StoodStill(late) => {
@@ -148,32 +149,32 @@
         }
     }
 
-    fn told(&mut self, told: &Told) {
+    fn told(&mut self, told: &Action) {
         match told {
-            Told::Say(to, said) => {
+            Action::Send(to, said) => {
                 self.number(0);
                 self.number(u64::from(to.0));
                 self.bytes(said);
             }
-            Told::Steward(is) => {
+            Action::Leader(is) => {
                 self.number(1);
                 self.number(u64::from(*is));
             }
-            Told::Heard { of, heard } => {
+            Action::PeerReports { of, heard } => {
                 self.number(2);
                 self.number(u64::from(*of));
-                for hearsay in heard {
-                    self.number(u64::from(hearsay.host.0));
-                    self.number(match hearsay.what {
-                        Trait::Failing => 0,
-                        Trait::Cold => 1,
-                        Trait::Draining => 2,
+                for report in heard {
+                    self.number(u64::from(report.server.0));
+                    self.number(match report.condition {
+                        ServerCondition::Failing => 0,
+                        ServerCondition::WarmingUp => 1,
+                        ServerCondition::Draining => 2,
                     });
-                    self.number(u64::from(hearsay.voices));
-                    self.number(hearsay.age.as_micros() as u64);
+                    self.number(u64::from(report.reporters));
+                    self.number(report.age.as_micros() as u64);
                 }
             }
-            Told::OtherRoster(name) => {
+            Action::RosterMismatch(name) => {
                 self.number(3);
                 self.number(u64::from(name.0));
             }
@@ -191,11 +192,11 @@
                 self.number(1);
                 self.event(event);
             }
-            Output::Agreed(told) => {
+            Output::Quota(told) => {
                 self.number(2);
                 self.told(told);
             }
-            Output::Said { topic, from, said } => {
+            Output::Message { topic, from, said } => {
                 self.number(3);
                 self.number(u64::from(topic.byte()));
                 self.number(u64::from(from.name.0));
@@ -215,7 +216,7 @@
 /// Members over a network that delays, loses and doubles datagrams, all drawn from one seed.
 struct Fleet {
     now: Duration,
-    members: Vec<Option<Together>>,
+    members: Vec<Option<ClusterMember>>,
     queue: BTreeMap<(Duration, u64), (usize, usize, Vec<u8>)>,
     queued: u64,
     starts: u64,
@@ -262,16 +263,20 @@
         let secret = Secret::new("hall", b"secret");
         let seed = self.draw(1 << 30);
         let member = Membership::new(&own, self.starts, roster, secret, seed, self.now);
-        let mut together = Together::new(member, seed + 1, self.now);
-        // What each sees of hosts differs, and some of it is seen by several.
-        let kinds = [Trait::Failing, Trait::Cold, Trait::Draining];
+        let mut together = ClusterMember::new(member, seed + 1, self.now);
+        // What each sees of servers differs, and some of it is seen by several.
+        let kinds = [
+            ServerCondition::Failing,
+            ServerCondition::WarmingUp,
+            ServerCondition::Draining,
+        ];
         let seen = (0..5u32).map(|n| {
             (
-                (Host(n / 2 * i as u32), kinds[n as usize % 3]),
+                (ServerNumber(n / 2 * i as u32), kinds[n as usize % 3]),
                 MS * 100 * n,
             )
         });
-        together.shares.sees(seen.collect());
+        together.quota.set_observations(seen.collect());
         self.members[i] = Some(together);
     }
 
@@ -286,8 +291,8 @@
                     self.send(me, usize::from(to.port()) - 20_000, bytes);
                 }
                 Output::Member(_) => self.outputs[1] += 1,
-                Output::Agreed(_) => self.outputs[2] += 1,
-                Output::Said { .. } => self.outputs[3] += 1,
+                Output::Quota(_) => self.outputs[2] += 1,
+                Output::Message { .. } => self.outputs[3] += 1,
             }
         }
     }
@@ -306,7 +311,11 @@
         }
     }
 
-    fn step(&mut self, me: usize, act: impl FnOnce(&mut Together, Duration, &mut Vec<Output>)) {
+    fn step(
+        &mut self,
+        me: usize,
+        act: impl FnOnce(&mut ClusterMember, Duration, &mut Vec<Output>),
+    ) {
         let mut out = Vec::new();
         if let Some(member) = &mut self.members[me] {
             act(member, self.now, &mut out);
@@ -332,7 +341,7 @@
                 };
                 if !paused.contains(&to) {
                     self.step(to, |m, now, out| {
-                        m.datagram(now, address(from), &bytes, out)
+                        m.handle_datagram(now, address(from), &bytes, out)
                     });
                 }
             } else if let Some((_, i)) = timer {
@@ -349,9 +358,11 @@
     // Of another machine, beside this one.
     let sent = fleet.members[0]
         .as_mut()
-        .and_then(|m| m.say(Topic::Overload, NameKey::of("d1"), b"of another machine"));
+        .and_then(|m| m.sign_message(Topic::Overload, NameKey::of("d1"), b"of another machine"));
     let (_, bytes) = sent.expect("a datagram");
-    fleet.step(1, |m, now, out| m.datagram(now, address(0), &bytes, out));
+    fleet.step(1, |m, now, out| {
+        m.handle_datagram(now, address(0), &bytes, out)
+    });
     fleet.members[0] = None;
     fleet.run(MS * 11_000, BTreeSet::new());
     fleet.start(0);
