--- a/crates/quota-lease/tests/shares.rs
+++ b/crates/quota-lease/tests/quota_member.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
-use bitternlatch_quota_lease::{base, Message, Number, Part, Process, Shares, Told};
+use bitternlatch_quota_lease::{
+    unleased_quota, Action, Message, Number, Process, QuotaLease, QuotaMember,
+};
 use proptest::prelude::*;
 
 /// Virtual time, microseconds.
@@ -13,10 +15,10 @@
 const MS: Us = 1000;
 
 struct Member {
-    shares: Option<Shares>,
+    quota: Option<QuotaMember>,
     paused: bool,
     inbox: Vec<(Process, Vec<u8>)>,
-    had: Vec<Part>,
+    had: Vec<QuotaLease>,
     start: u64,
     /// Its clock: what it shows at zero, and how many millionths it runs too fast (or, below zero, too slow).
     ahead: Us,
@@ -50,7 +52,7 @@
     count: u64,
     draws: u64,
     worst: f64,
-    /// The most processes that held themselves for steward at one moment.
+    /// The most processes that held themselves for leader at one moment.
     many: usize,
 }
 
@@ -76,7 +78,7 @@
         for _ in 0..of {
             let (ahead, fast) = (world.draw(5_000_000), world.draw(20_001) as i64 - 10_000);
             let member = Member {
-                shares: None,
+                quota: None,
                 paused: false,
                 inbox: vec![],
                 had: vec![],
@@ -108,15 +110,15 @@
         let member = &mut self.members[i];
         member.start += 1;
         (member.paused, member.inbox, member.had) = (false, vec![], vec![]);
-        let shares = Shares::new(name(i), member.start, roster, seed, member.clock(now));
-        member.shares = Some(shares);
+        let quota = QuotaMember::new(name(i), member.start, roster, seed, member.clock(now));
+        member.quota = Some(quota);
     }
 
     /// The most that one may spend now, by its own clock, which it looks at when it does. Its loop may be behind, and
     /// go by any part that has not ended.
     fn spends(&self, i: usize) -> f64 {
         let member = &self.members[i];
-        if member.shares.is_none() {
+        if member.quota.is_none() {
             return 0.0;
         }
         let now = member.clock(self.now);
@@ -125,18 +127,18 @@
             .iter()
             .filter(|part| now < part.until)
             .map(|part| part.lent);
-        lent.fold(0.0, f64::max) + base(self.members.len())
+        lent.fold(0.0, f64::max) + unleased_quota(self.members.len())
     }
 
     /// Keeps what a member has been lent.
     fn note(&mut self, i: usize) {
         let member = &mut self.members[i];
-        let (now, Some(shares)) = (member.clock(self.now), &member.shares) else {
+        let (now, Some(quota)) = (member.clock(self.now), &member.quota) else {
             return;
         };
-        if member.had.last() != Some(&shares.part()) {
+        if member.had.last() != Some(&quota.lease()) {
             member.had.retain(|part| now < part.until);
-            member.had.push(shares.part());
+            member.had.push(quota.lease());
         }
     }
 
@@ -144,10 +146,12 @@
         (0..self.members.len()).map(|i| self.spends(i)).sum()
     }
 
-    fn carry(&mut self, from: usize, told: Vec<Told>) {
+    fn carry(&mut self, from: usize, told: Vec<Action>) {
         self.note(from);
         for one in told {
-            let Told::Say(to, said) = one else { continue };
+            let Action::Send(to, said) = one else {
+                continue;
+            };
             let to = (to.0 - 10) as usize;
             let me = Process {
                 name: name(from),
@@ -173,8 +177,8 @@
             return member.inbox.push((from, said));
         }
         let mut out = vec![];
-        if let Some(shares) = &mut member.shares {
-            shares.heard(now, from, &said, &mut out);
+        if let Some(quota) = &mut member.quota {
+            quota.heard(now, from, &said, &mut out);
         }
         self.carry(to, out);
     }
@@ -191,7 +195,7 @@
         loop {
             let message = self.way.keys().next().map(|k| k.0);
             let awake = self.members.iter().enumerate().filter(|(_, m)| !m.paused);
-            let timers = awake.filter_map(|(i, m)| Some((m.at(m.shares.as_ref()?.wake_at()?), i)));
+            let timers = awake.filter_map(|(i, m)| Some((m.at(m.quota.as_ref()?.wake_at()?), i)));
             let timer = timers.min();
             let next = [message, timer.map(|t| t.0)].into_iter().flatten().min();
             let Some(next) = next.filter(|at| *at <= until) else {
@@ -204,14 +208,14 @@
                 }
             } else if let Some((_, i)) = timer {
                 let (now, mut out) = (self.members[i].clock(self.now), vec![]);
-                if let Some(shares) = &mut self.members[i].shares {
-                    shares.wake(now, &mut out);
+                if let Some(quota) = &mut self.members[i].quota {
+                    quota.wake(now, &mut out);
                 }
                 self.carry(i, out);
             }
             // Parts only grow when something is heard or done, so looking here sees every height.
             self.worst = self.worst.max(self.all_spend());
-            self.many = self.many.max(self.stewards());
+            self.many = self.many.max(self.leaders());
         }
         self.now = until;
     }
@@ -219,25 +223,25 @@
     fn heal(&mut self) {
         (self.side, self.lost, self.twice, self.slow) = (0, 0, 0, 3 * MS);
         for i in 0..self.members.len() {
-            match self.members[i].shares.is_some() {
+            match self.members[i].quota.is_some() {
                 true => self.go_on(i),
                 false => self.start(i),
             }
         }
     }
 
-    fn stewards(&self) -> usize {
+    fn leaders(&self) -> usize {
         let lends = |m: &&Member| {
-            m.shares
+            m.quota
                 .as_ref()
-                .is_some_and(|s| s.lends_to(m.clock(self.now)).is_some())
+                .is_some_and(|s| s.lease_holders(m.clock(self.now)).is_some())
         };
         self.members.iter().filter(lends).count()
     }
 }
 
 /// Sums of millionths.
-const WHOLE: f64 = 1.0 + 1e-9;
+const WHOLE_PPM: f64 = 1.0 + 1e-9;
 
 #[test]
 fn what_a_killed_one_had_goes_to_the_others_when_it_has_ended_and_comes_back_with_it() {
@@ -252,7 +256,7 @@
             )
         });
         let victim = (seed % 5) as usize;
-        world.members[victim].shares = None;
+        world.members[victim].quota = None;
         world.run(1_000 * MS);
         // It may be standing still and not be dead; what it has is spent until it ends.
         let others = |w: &World| {
@@ -280,7 +284,7 @@
                 world.spends(i)
             )
         });
-        assert!(world.worst <= WHOLE, "{seed}: {}", world.worst);
+        assert!(world.worst <= WHOLE_PPM, "{seed}: {}", world.worst);
     }
 }
 
@@ -299,8 +303,8 @@
                 world.spends(i)
             )
         });
-        assert!(world.worst <= WHOLE);
-        assert_eq!(world.stewards(), 1);
+        assert!(world.worst <= WHOLE_PPM);
+        assert_eq!(world.leaders(), 1);
     }
 }
 
@@ -308,27 +312,27 @@
 fn a_farewell_frees_a_part_without_a_wait() {
     let mut world = World::new(3, 7);
     world.run(8_000 * MS);
-    let steward = (0..3).find(|i| {
+    let leader = (0..3).find(|i| {
         world.members[*i]
-            .shares
+            .quota
             .as_ref()
-            .is_some_and(|s| s.steward() == Some(name(*i)))
+            .is_some_and(|s| s.leader() == Some(name(*i)))
     });
-    let leaver = (0..3).find(|i| Some(*i) != steward).expect("another");
+    let leaver = (0..3).find(|i| Some(*i) != leader).expect("another");
     let (now, mut out) = (world.members[leaver].clock(world.now), vec![]);
-    if let Some(shares) = &mut world.members[leaver].shares {
-        shares.leave(now, &mut out);
+    if let Some(quota) = &mut world.members[leaver].quota {
+        quota.leave(now, &mut out);
     }
     world.carry(leaver, out);
     world.run(20 * MS);
-    world.members[leaver].shares = None;
+    world.members[leaver].quota = None;
     world.run(1_000 * MS);
     let others: f64 = world.all_spend();
     assert!(
         others > 0.95,
         "within a second, and not after 1.5 s: {others}"
     );
-    assert!(world.worst <= WHOLE);
+    assert!(world.worst <= WHOLE_PPM);
 }
 
 #[test]
@@ -337,9 +341,9 @@
     let four: BTreeSet<NameKey> = (0..4).map(name).collect();
     world.start_with(2, four);
     world.run(10_000 * MS);
-    assert!((world.spends(2) - base(3)).abs() < 1e-9);
+    assert!((world.spends(2) - unleased_quota(3)).abs() < 1e-9);
     assert!(
-        (world.spends(0) - 0.45 - base(3)).abs() < 1e-4,
+        (world.spends(0) - 0.45 - unleased_quota(3)).abs() < 1e-4,
         "{}",
         world.spends(0)
     );
@@ -351,17 +355,17 @@
             start: 9,
         },
     );
-    let question = Message::Borrow {
+    let question = Message::LeaseRequest {
         number: Number(1),
         roster: 1,
         seen: vec![],
     };
-    let mut fresh = Shares::new(name(0), 1, (0..3).map(name).collect(), 1, clock);
+    let mut fresh = QuotaMember::new(name(0), 1, (0..3).map(name).collect(), 1, clock);
     fresh.heard(clock, from, &question.write(), &mut told);
     fresh.heard(clock, from, &question.write(), &mut told);
     assert_eq!(
         told.iter()
-            .filter(|t| **t == Told::OtherRoster(name(2)))
+            .filter(|t| **t == Action::RosterMismatch(name(2)))
             .count(),
         1,
         "once"
@@ -372,17 +376,17 @@
 fn an_answer_that_comes_after_a_later_one_counts_no_more() {
     let three: BTreeSet<NameKey> = (0..3).map(name).collect();
     let at = Duration::from_millis;
-    // The last of the three, which is no steward before it has voted.
-    let mut shares = Shares::new(name(2), 1, three, 0, at(0));
+    // The last of the three, which is no leader before it has voted.
+    let mut quota = QuotaMember::new(name(2), 1, three, 0, at(0));
     let (mut told, mut numbers) = (vec![], vec![]);
     for beat in 0..2 {
-        shares.wake(at(300 * beat), &mut told);
+        quota.wake(at(300 * beat), &mut told);
         let asked = told.drain(..).find_map(|t| match t {
-            Told::Say(to, said) => Message::read(&said).ok().map(|m| (to, m)),
+            Action::Send(to, said) => Message::read(&said).ok().map(|m| (to, m)),
             _ => None,
         });
         match asked {
-            Some((_, Message::Borrow { number, .. })) => numbers.push(number),
+            Some((_, Message::LeaseRequest { number, .. })) => numbers.push(number),
             other => panic!("{other:?}"),
         }
     }
@@ -391,7 +395,7 @@
         start: 1,
     };
     let lent = |number, millionths| {
-        Message::Lent {
+        Message::LeaseGranted {
             number,
             millionths,
             of: 2,
@@ -399,17 +403,17 @@
         }
         .write()
     };
-    shares.heard(at(310), from, &lent(numbers[1], 100_000), &mut told);
-    shares.heard(at(320), from, &lent(numbers[0], 900_000), &mut told);
+    quota.heard(at(310), from, &lent(numbers[1], 100_000), &mut told);
+    quota.heard(at(320), from, &lent(numbers[0], 900_000), &mut told);
     assert_eq!(
-        shares.part(),
-        Part {
+        quota.lease(),
+        QuotaLease {
             lent: 0.1,
             until: at(300 + 1470)
         }
     );
-    shares.heard(at(330), from, &lent(Number(77), 900_000), &mut told);
-    assert_eq!(shares.part().lent, 0.1, "an answer to no question");
+    quota.heard(at(330), from, &lent(Number(77), 900_000), &mut told);
+    assert_eq!(quota.lease().lent, 0.1, "an answer to no question");
 }
 
 #[derive(Clone, Debug)]
@@ -458,7 +462,7 @@
         } => {
             (world.side, world.lost, world.twice, world.slow) = (side, lost, twice, slow_ms * MS);
         }
-        Step::Kill(i) => world.members[i].shares = None,
+        Step::Kill(i) => world.members[i].quota = None,
         Step::Start(i) => world.start(i),
         Step::Pause(i) => world.members[i].paused = true,
         Step::GoOn(i) => world.go_on(i),
@@ -487,11 +491,11 @@
         let mut world = World::new(5, seed);
         world.run(4_000 * MS);
         steps.iter().for_each(|step| take(&mut world, step));
-        prop_assert!(world.worst <= WHOLE, "{} of the whole", world.worst);
+        prop_assert!(world.worst <= WHOLE_PPM, "{} of the whole", world.worst);
         world.heal();
         world.run(12_000 * MS);
-        prop_assert!(world.worst <= WHOLE, "{} of the whole", world.worst);
-        prop_assert!(world.many <= 1, "{} stewards at once", world.many);
+        prop_assert!(world.worst <= WHOLE_PPM, "{} of the whole", world.worst);
+        prop_assert!(world.many <= 1, "{} leaders at once", world.many);
         for i in 0..5 {
             prop_assert!((world.spends(i) - 0.2).abs() < 1e-4, "{} spends {} after all is well", i, world.spends(i));
         }
--- a/crates/replicated-register/src/disk_records.rs
+++ b/crates/replicated-register/src/disk_records.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use bitternlatch_membership::NameKey;
-use bitternlatch_quota_lease::Found;
+use bitternlatch_quota_lease::StoredEntries;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
 use crate::recovery::{Completeness, Incarnation};
@@ -111,7 +111,7 @@
 }
 
 /// Decodes what was on disk.
-pub fn open(found: Found) -> StoredState {
+pub fn open(found: StoredEntries) -> StoredState {
     if found.is_empty() {
         return StoredState::Empty;
     }
@@ -119,7 +119,7 @@
 }
 
 /// None where any record is corrupt.
-fn open_records(found: Found) -> Option<StoredState> {
+fn open_records(found: StoredEntries) -> Option<StoredState> {
     let (_, bytes) = found.iter().find(|(name, _)| name == METADATA_NAME)?;
     let mut metadata: ReplicaMetadata = decode(bytes)?;
     let (mut registers, mut stale) = (Vec::new(), Vec::new());
--- a/crates/replicated-register/src/error.rs
+++ b/crates/replicated-register/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of calls and messages, and what an operator can do about each.
 
-use bitternlatch_quota_lease::KeepError;
+use bitternlatch_quota_lease::StorageError;
 
 use crate::Version;
 
@@ -38,7 +38,7 @@
     Lost,
     /// May or may not be written, as with [`RegisterError::TimedOut`].
     #[error("a majority of the replicas cannot store it: {0}")]
-    NotStored(KeepError),
+    NotStored(StorageError),
     /// Certainly not written.
     #[error("a value of {bytes} bytes is longer than {max}")]
     TooLong {
--- a/crates/replicated-register/src/io.rs
+++ b/crates/replicated-register/src/io.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
-use bitternlatch_quota_lease::{Found, KeepError, Peers, Process};
+use bitternlatch_quota_lease::{Peers, Process, StorageError, StoredEntries};
 
 use crate::{RegisterError, RegisterKey, Version};
 
@@ -44,13 +44,13 @@
     /// The members that are reachable.
     Peers(Peers),
     /// All that was on disk at the start; the first input where there is a disk.
-    Loaded(Result<Found, KeepError>),
+    Loaded(Result<StoredEntries, StorageError>),
     /// A write to disk has ended.
     Stored {
         /// Of [`Output::Store`].
         ticket: u64,
         /// Whether it is on disk.
-        done: Result<(), KeepError>,
+        done: Result<(), StorageError>,
     },
     /// Reads a register. Answered by [`Output::Read`] at `until` at the latest.
     Read {
@@ -154,7 +154,7 @@
     DiskCorrupt,
     /// The disk cannot be read or written.
     #[error("this replica cannot store what it accepts: {0}")]
-    DiskFault(KeepError),
+    DiskFault(StorageError),
     /// The disk can be written again.
     #[error("this replica stores what it accepts again")]
     DiskRecovered,
--- a/crates/replicated-register/src/proposal.rs
+++ b/crates/replicated-register/src/proposal.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
-use bitternlatch_quota_lease::KeepError;
+use bitternlatch_quota_lease::StorageError;
 
 use crate::ids::IdAllocator;
 use crate::message::{Message, Provenance, RejectReason};
@@ -441,9 +441,9 @@
     pub fn failure(&self) -> RegisterError {
         match self.failure_reason {
             Some(RejectReason::Full) => RegisterError::Full,
-            Some(RejectReason::DiskFull) => RegisterError::NotStored(KeepError::Full),
+            Some(RejectReason::DiskFull) => RegisterError::NotStored(StorageError::Full),
             Some(RejectReason::DiskFault) => {
-                RegisterError::NotStored(KeepError::Io("at a majority of the replicas".into()))
+                RegisterError::NotStored(StorageError::Io("at a majority of the replicas".into()))
             }
             Some(RejectReason::Lost) => self.unless_written(RegisterError::Lost),
             Some(RejectReason::CatchingUp) => self.unless_written(RegisterError::CatchingUp),
--- a/crates/replicated-register/src/replica/persistence.rs
+++ b/crates/replicated-register/src/replica/persistence.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
-use bitternlatch_quota_lease::KeepError;
+use bitternlatch_quota_lease::StorageError;
 
 use super::Replica;
 use crate::disk_records::{self, ReplicaMetadata};
@@ -72,7 +72,7 @@
     metadata: Option<Unsynced>,
     /// Of the changes, those that outlive this process.
     durable_changes: u64,
-    fault: Option<KeepError>,
+    fault: Option<StorageError>,
 }
 
 impl Persistence {
@@ -86,7 +86,7 @@
     }
 
     /// The disk could not be read at the start.
-    pub(super) fn set_fault(&mut self, fault: KeepError) {
+    pub(super) fn set_fault(&mut self, fault: StorageError) {
         self.fault = Some(fault);
     }
 
@@ -265,7 +265,7 @@
         &mut self,
         now: Duration,
         ticket: u64,
-        done: Result<(), KeepError>,
+        done: Result<(), StorageError>,
         out: &mut Vec<Output>,
     ) {
         let Some(write) = self.persistence.pending.remove(&ticket) else {
@@ -289,9 +289,9 @@
         }
     }
 
-    fn reject_replies(&mut self, replies: Vec<Reply>, fault: &KeepError, out: &mut Vec<Output>) {
+    fn reject_replies(&mut self, replies: Vec<Reply>, fault: &StorageError, out: &mut Vec<Output>) {
         let reason = match fault {
-            KeepError::Full => RejectReason::DiskFull,
+            StorageError::Full => RejectReason::DiskFull,
             _ => RejectReason::DiskFault,
         };
         for reply in replies {
@@ -309,7 +309,7 @@
     }
 
     /// Reports a fault of the disk, or its end, once.
-    fn report_disk_fault(&mut self, fault: Option<&KeepError>, out: &mut Vec<Output>) {
+    fn report_disk_fault(&mut self, fault: Option<&StorageError>, out: &mut Vec<Output>) {
         if self.persistence.fault.as_ref() == fault {
             return;
         }
--- a/crates/replicated-register/src/replica/proposer.rs
+++ b/crates/replicated-register/src/replica/proposer.rs
@@ -370,8 +370,18 @@
 
     /// Members that are reachable, this one among them; none while that is not known.
     fn reachable(&self, now: Duration) -> Option<BTreeSet<NameKey>> {
-        let peers = self.peers.as_ref().filter(|peers| now < peers.until)?;
-        Some(peers.there.iter().copied().chain([self.own.name]).collect())
+        let peers = self
+            .peers
+            .as_ref()
+            .filter(|peers| now < peers.valid_until)?;
+        Some(
+            peers
+                .present
+                .iter()
+                .copied()
+                .chain([self.own.name])
+                .collect(),
+        )
     }
 }
 
--- a/crates/replicated-register/src/replica/state_transfer.rs
+++ b/crates/replicated-register/src/replica/state_transfer.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
-use bitternlatch_quota_lease::{Found, KeepError, Process};
+use bitternlatch_quota_lease::{Process, StorageError, StoredEntries};
 
 use super::persistence::{Reply, TransferId};
 use super::{Replica, CATCH_UP_GRACE};
@@ -128,7 +128,7 @@
     pub(super) fn on_loaded(
         &mut self,
         now: Duration,
-        found: Result<Found, KeepError>,
+        found: Result<StoredEntries, StorageError>,
         out: &mut Vec<Output>,
     ) {
         if self.recovery.is_some() {
@@ -156,7 +156,12 @@
     }
 
     /// Restores what is on disk; returns the names of records that are of no use.
-    fn restore(&mut self, now: Duration, found: Found, out: &mut Vec<Output>) -> Vec<Vec<u8>> {
+    fn restore(
+        &mut self,
+        now: Duration,
+        found: StoredEntries,
+        out: &mut Vec<Output>,
+    ) -> Vec<Vec<u8>> {
         let names: Vec<Vec<u8>> = found.iter().map(|(name, _)| name.clone()).collect();
         match disk_records::open(found) {
             StoredState::Empty => {
--- a/crates/replicated-register/tests/cluster_harness/mod.rs
+++ b/crates/replicated-register/tests/cluster_harness/mod.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
-use bitternlatch_quota_lease::{KeepError, Process};
+use bitternlatch_quota_lease::{Process, StorageError};
 use bitternlatch_replicated_register::{
     Call, Event, Input, Output, RegisterError, RegisterKey, Replica, Settings, Version,
 };
@@ -70,7 +70,7 @@
         self.writes.retain(|w| w.0 > now);
         for (_, ticket, name, bytes) in done {
             let done = match (self.full, bytes) {
-                (true, Some(_)) => Err(KeepError::Full),
+                (true, Some(_)) => Err(StorageError::Full),
                 (_, Some(bytes)) => {
                     self.disk.insert(name, bytes);
                     Ok(())
--- a/crates/replicated-register/tests/output_digest.rs
+++ b/crates/replicated-register/tests/output_digest.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
-use bitternlatch_quota_lease::{KeepError, Process};
+use bitternlatch_quota_lease::{Process, StorageError};
 use bitternlatch_replicated_register::{
     Call, Event, Input, Output, RegisterError, RegisterKey, Replica, Settings, Version,
 };
@@ -41,14 +41,14 @@
         self.number(version.start);
     }
 
-    fn fault(&mut self, fault: &KeepError) {
+    fn fault(&mut self, fault: &StorageError) {
         match fault {
-            KeepError::Full => self.number(0),
-            KeepError::Io(text) => {
+            StorageError::Full => self.number(0),
+            StorageError::Io(text) => {
                 self.number(1);
                 self.bytes(text.as_bytes());
             }
-            KeepError::NoDisk => self.number(2),
+            StorageError::NoDisk => self.number(2),
         }
     }
 
@@ -318,7 +318,11 @@
                         None => drop(self.disks[member].remove(&name)),
                     }
                 }
-                let done = if full { Err(KeepError::Full) } else { Ok(()) };
+                let done = if full {
+                    Err(StorageError::Full)
+                } else {
+                    Ok(())
+                };
                 self.pending
                     .push_back((member, Input::Stored { ticket, done }));
             }
--- a/crates/replicated-register/tests/recovery.rs
+++ b/crates/replicated-register/tests/recovery.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use bitternlatch_membership::{NameKey, Standing};
-use bitternlatch_quota_lease::{KeepError, Part, Peers, Process};
+use bitternlatch_membership::{NameKey, QuorumState};
+use bitternlatch_quota_lease::{Peers, Process, QuotaLease, StorageError};
 use bitternlatch_replicated_register::{
     Event, Input, RegisterError, RegisterKey, Replica, Settings, Version,
 };
@@ -241,9 +241,9 @@
     let call = fleet.write(other, key(1), Some(expected), 1, ms(1000));
     assert_eq!(
         fleet.written(call),
-        Err(RegisterError::NotStored(KeepError::Full))
+        Err(RegisterError::NotStored(StorageError::Full))
     );
-    assert_eq!(fleet.saw(|e| *e == Event::DiskFault(KeepError::Full)), 2);
+    assert_eq!(fleet.saw(|e| *e == Event::DiskFault(StorageError::Full)), 2);
     for i in [a, b] {
         fleet.world.act(i, |host, _, _| host.full = false);
     }
@@ -274,15 +274,15 @@
         "{known:?}"
     );
     fleet.world.act(replicas[0], |host, now, out| {
-        let part = Part {
+        let part = QuotaLease {
             lent: 0.0,
             until: now,
         };
         let peers = Peers {
-            standing: Standing::Alone,
-            there: vec![],
-            until: now + ms(900),
-            part,
+            quorum: QuorumState::Alone,
+            present: vec![],
+            valid_until: now + ms(900),
+            lease: part,
         };
         host.input(now, Input::Peers(peers), out);
     });
--- a/crates/workflow/src/machine.rs
+++ b/crates/workflow/src/machine.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bitternlatch_membership::{NameKey, Topic};
-use bitternlatch_quota_lease::{Beside, Given, Process, Wanted};
+use bitternlatch_quota_lease::{ClusterService, Process, ServiceInput, ServiceOutput};
 use bitternlatch_replicated_register::{Input, Output, RegisterKey, Replica, Version};
 
 use crate::coordinator::{Coordinator, CoordinatorOutput};
@@ -29,7 +29,7 @@
 }
 
 impl Workflows {
-    /// `roster`: all dispatchers, this one among them. `durable`: whether [`Wanted::Keep`] reaches a disk.
+    /// `roster`: all dispatchers, this one among them. `durable`: whether [`ServiceOutput::Persist`] reaches a disk.
     pub fn new(
         own: Process,
         roster: BTreeSet<NameKey>,
@@ -109,14 +109,16 @@
     }
 
     /// Carries words between desk and replica until both are still.
-    fn settle(&mut self, now: Duration, first: Option<Input>, out: &mut Vec<Wanted<Event>>) {
+    fn settle(&mut self, now: Duration, first: Option<Input>, out: &mut Vec<ServiceOutput<Event>>) {
         let mut inputs: VecDeque<Input> = first.into_iter().collect();
         loop {
             for wanted in self.out.drain(..) {
                 match wanted {
                     CoordinatorOutput::Register(input) => inputs.push_back(input),
-                    CoordinatorOutput::Event(told) => out.push(Wanted::Tell(told)),
-                    CoordinatorOutput::Log { warn, text } => out.push(Wanted::Log { warn, text }),
+                    CoordinatorOutput::Event(told) => out.push(ServiceOutput::Event(told)),
+                    CoordinatorOutput::Log { warn, text } => {
+                        out.push(ServiceOutput::Log { warn, text })
+                    }
                 }
             }
             let Some(input) = inputs.pop_front() else {
@@ -125,12 +127,12 @@
             self.replica.step(now, input, &mut self.done);
             for done in self.done.drain(..) {
                 match done {
-                    Output::Send(to, said) => out.push(Wanted::Send(to, said)),
+                    Output::Send(to, said) => out.push(ServiceOutput::SendFrame(to, said)),
                     Output::Store {
                         ticket,
                         name,
                         bytes,
-                    } => out.push(Wanted::Keep {
+                    } => out.push(ServiceOutput::Persist {
                         ticket,
                         name,
                         bytes,
@@ -143,7 +145,7 @@
                     }
                     Output::Event(event) => {
                         let text = format!("workflows' copies: {event}; {}", event.advice());
-                        out.push(Wanted::Log {
+                        out.push(ServiceOutput::Log {
                             warn: event.warn(),
                             text,
                         });
@@ -154,10 +156,10 @@
     }
 }
 
-impl Beside for Workflows {
+impl ClusterService for Workflows {
     const TOPIC: Topic = Topic::Workflows;
-    type Ask = Command;
-    type Told = Event;
+    type Request = Command;
+    type Event = Event;
 
     fn wake_at(&self) -> Option<Duration> {
         let due = [
@@ -168,25 +170,33 @@
         due.into_iter().flatten().min()
     }
 
-    fn step(&mut self, now: Duration, given: Given<Command>, out: &mut Vec<Wanted<Event>>) {
+    fn step(
+        &mut self,
+        now: Duration,
+        given: ServiceInput<Command>,
+        out: &mut Vec<ServiceOutput<Event>>,
+    ) {
         // What is due is done first, so that nothing that waited is taken for in time after a pause.
         self.coordinator.wake(now, &mut self.out);
         self.sweep(now);
         self.settle(now, None, out);
         let input = match given {
-            Given::Wake => Input::Wake,
-            Given::Frame { from, said } => Input::Frame {
+            ServiceInput::Wake => Input::Wake,
+            ServiceInput::Frame {
+                from,
+                payload: said,
+            } => Input::Frame {
                 from,
                 payload: said,
             },
-            Given::Peers(peers) => Input::Peers(peers),
-            Given::Found(found) => Input::Loaded(found),
-            Given::Kept { ticket, done } => Input::Stored { ticket, done },
-            Given::Ask(ask) => {
+            ServiceInput::Peers(peers) => Input::Peers(peers),
+            ServiceInput::Loaded(found) => Input::Loaded(found),
+            ServiceInput::Persisted { ticket, done } => Input::Stored { ticket, done },
+            ServiceInput::Request(ask) => {
                 self.coordinator.ask(now, ask, &mut self.out);
                 return self.settle(now, None, out);
             }
-            Given::Said { .. } | Given::Leave => return,
+            ServiceInput::Datagram { .. } | ServiceInput::Leave => return,
         };
         self.settle(now, Some(input), out);
     }
--- a/crates/workflow/src/tests.rs
+++ b/crates/workflow/src/tests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
-use bitternlatch_quota_lease::{KeepError, Process};
+use bitternlatch_quota_lease::{Process, StorageError};
 use bitternlatch_replicated_register::{Input, RegisterError, RegisterKey, Version};
 
 use crate::coordinator::{key_of, Coordinator, CoordinatorOutput};
@@ -280,7 +280,7 @@
     for next in [
         Next::Silent,
         Next::InDoubt(RegisterError::TimedOut),
-        Next::InDoubt(RegisterError::NotStored(KeepError::Full)),
+        Next::InDoubt(RegisterError::NotStored(StorageError::Full)),
         Next::Fails(RegisterError::TimedOut),
     ] {
         let mut office = Office::new(1);
--- a/crates/workflow/tests/fleet/actors.rs
+++ b/crates/workflow/tests/fleet/actors.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
-use bitternlatch_quota_lease::{Beside, Given, Process, Wanted};
+use bitternlatch_quota_lease::{ClusterService, Process, ServiceInput, ServiceOutput};
 use bitternlatch_simulation::{ms, Node, Sent};
 use bitternlatch_workflow::*;
 
@@ -124,7 +124,7 @@
     pub frozen: bool,
     places: BTreeMap<NameKey, usize>,
     tool: usize,
-    pending: VecDeque<Wanted<Event>>,
+    pending: VecDeque<ServiceOutput<Event>>,
     stash: Vec<(usize, Message)>,
     soon: BTreeMap<(Duration, u64), Soon>,
     asked: BTreeMap<Call, Asked>,
@@ -188,11 +188,11 @@
         let found = disk.clone().into_iter().collect();
         dispatcher.disk = disk;
         let mut out = vec![];
-        dispatcher.give(now, Given::Found(Ok(found)), &mut out);
+        dispatcher.give(now, ServiceInput::Loaded(Ok(found)), &mut out);
         dispatcher
     }
 
-    pub fn give(&mut self, now: Duration, given: Given<Command>, out: &mut Sent<Message>) {
+    pub fn give(&mut self, now: Duration, given: ServiceInput<Command>, out: &mut Sent<Message>) {
         let mut wanted = vec![];
         self.machine.step(now, given, &mut wanted);
         self.pending.extend(wanted);
@@ -216,10 +216,10 @@
                 }
             }
             match wanted {
-                Wanted::Send(to, said) => {
+                ServiceOutput::SendFrame(to, said) => {
                     out.push((self.places[&to], Message::Frame(self.own, said)))
                 }
-                Wanted::Keep {
+                ServiceOutput::Persist {
                     ticket,
                     name,
                     bytes,
@@ -227,8 +227,8 @@
                     tickets.push(ticket);
                     batch.push((name, bytes));
                 }
-                Wanted::Tell(told) => self.told(now, told, out),
-                Wanted::Say(..) | Wanted::Log { .. } => {}
+                ServiceOutput::Event(told) => self.told(now, told, out),
+                ServiceOutput::SendDatagram(..) | ServiceOutput::Log { .. } => {}
             }
         }
         if !tickets.is_empty() {
@@ -386,7 +386,7 @@
         );
         self.give(
             now,
-            Given::Ask(Command::ReportOutcome {
+            ServiceInput::Request(Command::ReportOutcome {
                 call,
                 workflow,
                 epoch,
@@ -402,7 +402,7 @@
         match soon {
             Soon::Kept(tickets, batch) => {
                 let done = if self.disk_full {
-                    Err(bitternlatch_quota_lease::KeepError::Full)
+                    Err(bitternlatch_quota_lease::StorageError::Full)
                 } else {
                     Ok(())
                 };
@@ -415,7 +415,7 @@
                 for ticket in tickets {
                     self.give(
                         now,
-                        Given::Kept {
+                        ServiceInput::Persisted {
                             ticket,
                             done: done.clone(),
                         },
@@ -483,7 +483,7 @@
             }
         }
         if !self.frozen {
-            self.give(now, Given::Wake, out);
+            self.give(now, ServiceInput::Wake, out);
         }
     }
 
@@ -492,7 +492,14 @@
             return self.stash.push((from, message));
         }
         match message {
-            Message::Frame(from, said) => self.give(now, Given::Frame { from, said }, out),
+            Message::Frame(from, said) => self.give(
+                now,
+                ServiceInput::Frame {
+                    from,
+                    payload: said,
+                },
+                out,
+            ),
             Message::Command {
                 id,
                 worker,
@@ -500,7 +507,7 @@
                 req,
             } => {
                 let ask = self.ask(now, from, id, worker, workflow, req);
-                self.give(now, Given::Ask(ask), out);
+                self.give(now, ServiceInput::Request(ask), out);
             }
             Message::Result { call, result } => {
                 self.report_outcome(now, call, AttemptOutcome::Done { result, tokens: 1 }, out)
--- a/crates/workflow/tests/fleet/course.rs
+++ b/crates/workflow/tests/fleet/course.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bitternlatch_membership::{NameKey, Standing};
-use bitternlatch_quota_lease::{Given, Part, Peers};
+use bitternlatch_membership::{NameKey, QuorumState};
+use bitternlatch_quota_lease::{Peers, QuotaLease, ServiceInput};
 use bitternlatch_simulation::{ms, World};
 use bitternlatch_workflow::*;
 
@@ -435,22 +435,24 @@
                 .map(key)
                 .collect();
             let standing = match there.len() + 1 {
-                1 => Standing::Alone,
-                n if n == of => Standing::Whole,
-                n if n * 2 > of => Standing::Majority,
-                _ => Standing::CutOff,
+                1 => QuorumState::Alone,
+                n if n == of => QuorumState::Whole,
+                n if n * 2 > of => QuorumState::Majority,
+                _ => QuorumState::CutOff,
             };
             let until = self.world.now_at(i) + ms(900);
-            let part = Part { lent: 0.0, until };
+            let part = QuotaLease { lent: 0.0, until };
             let mut there = there;
             there.sort();
             let peers = Peers {
-                standing,
-                there,
-                until,
-                part,
+                quorum: standing,
+                present: there,
+                valid_until: until,
+                lease: part,
             };
-            self.at_dispatcher(i, |d, now, out| d.give(now, Given::Peers(peers), out));
+            self.at_dispatcher(i, |d, now, out| {
+                d.give(now, ServiceInput::Peers(peers), out)
+            });
         }
         self.heard = heard;
     }
--- a/crates/workflow/tests/output_digest.rs
+++ b/crates/workflow/tests/output_digest.rs
@@ -8,7 +8,9 @@
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
-use bitternlatch_quota_lease::{Beside, Given, KeepError, Process, Wanted};
+use bitternlatch_quota_lease::{
+    ClusterService, Process, ServiceInput, ServiceOutput, StorageError,
+};
 use bitternlatch_workflow::{AttemptOutcome, Call, Command, Effect, Event, Settings, Workflows};
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::SplitMix64;
@@ -34,24 +36,24 @@
         self.0.update(&number.to_le_bytes());
     }
 
-    fn output(&mut self, member: usize, output: &Wanted<Event>) {
+    fn output(&mut self, member: usize, output: &ServiceOutput<Event>) {
         self.number(member as u64);
         match output {
-            Wanted::Say(to, bytes) => {
+            ServiceOutput::SendDatagram(to, bytes) => {
                 self.number(0);
                 self.number(to.0.into());
                 self.bytes(bytes);
             }
-            Wanted::Send(to, bytes) => {
+            ServiceOutput::SendFrame(to, bytes) => {
                 self.number(1);
                 self.number(to.0.into());
                 self.bytes(bytes);
             }
-            Wanted::Tell(answer) => {
+            ServiceOutput::Event(answer) => {
                 self.number(2);
                 self.bytes(&postcard::to_allocvec(answer).expect("plain data"));
             }
-            Wanted::Keep {
+            ServiceOutput::Persist {
                 ticket,
                 name,
                 bytes,
@@ -62,7 +64,7 @@
                 self.number(u64::from(bytes.is_some()));
                 bytes.iter().for_each(|bytes| self.bytes(bytes));
             }
-            Wanted::Log { warn, .. } => {
+            ServiceOutput::Log { warn, .. } => {
                 self.number(4);
                 self.number(u64::from(*warn));
             }
@@ -106,7 +108,7 @@
     callers: Vec<Caller>,
     /// The workflow that a call is about.
     calling: BTreeMap<u64, usize>,
-    pending: VecDeque<(usize, Given<Command>)>,
+    pending: VecDeque<(usize, ServiceInput<Command>)>,
     digest: Digest,
     totals: Totals,
 }
@@ -158,7 +160,8 @@
         };
         if self.durable {
             let stored = self.disks[member].clone().into_iter().collect();
-            self.pending.push_back((member, Given::Found(Ok(stored))));
+            self.pending
+                .push_back((member, ServiceInput::Loaded(Ok(stored))));
         }
         Workflows::new(own, roster, &settings, self.durable, self.starts, self.now)
     }
@@ -243,7 +246,7 @@
         };
         self.calling.insert(call.0, which);
         let member = self.callers[which].member;
-        self.pending.push_back((member, Given::Ask(ask)));
+        self.pending.push_back((member, ServiceInput::Request(ask)));
     }
 
     fn claim(&mut self, which: usize, call: Call, workflow: String, until_us: u64) -> Command {
@@ -257,7 +260,7 @@
         }
     }
 
-    fn step(&mut self, member: usize, input: Given<Command>) {
+    fn step(&mut self, member: usize, input: ServiceInput<Command>) {
         let mut out = vec![];
         self.members[member].step(self.now, input, &mut out);
         for output in out {
@@ -266,21 +269,24 @@
         }
     }
 
-    fn on_output(&mut self, member: usize, output: Wanted<Event>) {
+    fn on_output(&mut self, member: usize, output: ServiceOutput<Event>) {
         match output {
-            Wanted::Say(..) => {}
-            Wanted::Send(to, said) => {
+            ServiceOutput::SendDatagram(..) => {}
+            ServiceOutput::SendFrame(to, said) => {
                 self.totals.sent += 1;
                 let from = Process {
                     name: name(member),
                     start: self.started[member],
                 };
-                let frame = Given::Frame { from, said };
+                let frame = ServiceInput::Frame {
+                    from,
+                    payload: said,
+                };
                 if self.draw(30) > 0 {
                     self.pending.push_back((to.0 as usize - 10, frame));
                 }
             }
-            Wanted::Keep {
+            ServiceOutput::Persist {
                 ticket,
                 name,
                 bytes,
@@ -293,12 +299,16 @@
                         None => drop(self.disks[member].remove(&name)),
                     }
                 }
-                let done = if full { Err(KeepError::Full) } else { Ok(()) };
+                let done = if full {
+                    Err(StorageError::Full)
+                } else {
+                    Ok(())
+                };
                 self.pending
-                    .push_back((member, Given::Kept { ticket, done }));
+                    .push_back((member, ServiceInput::Persisted { ticket, done }));
             }
-            Wanted::Log { .. } => self.totals.logged += 1,
-            Wanted::Tell(answer) => self.on_answer(answer),
+            ServiceOutput::Log { .. } => self.totals.logged += 1,
+            ServiceOutput::Event(answer) => self.on_answer(answer),
         }
     }
 
@@ -370,7 +380,7 @@
                     .wake_at()
                     .is_some_and(|at| at <= self.now)
                 {
-                    self.step(member, Given::Wake);
+                    self.step(member, ServiceInput::Wake);
                 }
             }
         }
--- a/programs/benchmark/src/beside.rs
+++ b/programs/benchmark/src/beside.rs
@@ -5,7 +5,7 @@
 
 use bitternlatch_chaos::client::Client;
 use bitternlatch_chaos::process::{own_address, Dispatcher};
-use bitternlatch_cluster_net::ask as ask_view;
+use bitternlatch_cluster_net::fetch_status as ask_view;
 use bitternlatch_core::settings::{Cluster, Peer};
 use bitternlatch_mock_engine::capture::Capture;
 
--- a/programs/benchmark/src/cluster.rs
+++ b/programs/benchmark/src/cluster.rs
@@ -6,7 +6,7 @@
 
 use bitternlatch_chaos::client::Client;
 use bitternlatch_chaos::process::{own_address, Dispatcher};
-use bitternlatch_cluster_net::{ask as ask_view, Plane};
+use bitternlatch_cluster_net::{fetch_status as ask_view, ClusterRuntime};
 use bitternlatch_core::settings::{Cluster, Peer};
 use bitternlatch_mock_engine::capture::Capture;
 
@@ -37,10 +37,10 @@
 }
 
 /// The others; the first of the roster is the dispatcher that is measured.
-fn others(cluster: &Cluster) -> Result<Vec<Plane>, String> {
+fn others(cluster: &Cluster) -> Result<Vec<ClusterRuntime>, String> {
     let join = |peer: &Peer| {
-        let plane = Plane::join(cluster, &peer.name, std::path::Path::new(""), |_| ());
-        plane.map_err(|e| e.told())
+        let plane = ClusterRuntime::join(cluster, &peer.name, std::path::Path::new(""), |_| ());
+        plane.map_err(|e| e.with_advice())
     };
     cluster.roster.iter().skip(1).map(join).collect()
 }
@@ -126,6 +126,6 @@
             busy[i]
         );
     }
-    planes.into_iter().for_each(Plane::leave);
+    planes.into_iter().for_each(ClusterRuntime::leave);
     Ok(())
 }
--- a/programs/chaos/tests/cluster.rs
+++ b/programs/chaos/tests/cluster.rs
@@ -6,7 +6,7 @@
 
 use bitternlatch_chaos::between::Rule;
 use bitternlatch_chaos::process::Dispatcher;
-use bitternlatch_cluster_net::ask;
+use bitternlatch_cluster_net::fetch_status;
 use common::cluster::{cluster, cluster_but, LIST, SOON};
 use common::{cluster_table, folder, folder_of, free_for_peers, image, CUT, SETTINGS};
 
@@ -209,7 +209,7 @@
         ("whole", 1),
         "{view:?}"
     );
-    let alone = ask(SocketAddr::V4(own), SOON).expect("a view");
+    let alone = fetch_status(SocketAddr::V4(own), SOON).expect("a view");
     assert_eq!(alone.standing, "alone");
 }
 
@@ -250,7 +250,8 @@
         log.contains("another process under this name started later"),
         "{log}"
     );
-    let later = || ask(SocketAddr::V4(own), SOON).map_or("not there".into(), |v| v.standing);
+    let later =
+        || fetch_status(SocketAddr::V4(own), SOON).map_or("not there".into(), |v| v.standing);
     cluster.until("the later one", || {
         cluster.state(0, 1) == "alive" && later() == "whole"
     });
--- a/programs/chaos/tests/common/cluster.rs
+++ b/programs/chaos/tests/common/cluster.rs
@@ -5,7 +5,7 @@
 
 use bitternlatch_chaos::between::Between;
 use bitternlatch_chaos::process::Dispatcher;
-use bitternlatch_cluster_net::{ask, Shown};
+use bitternlatch_cluster_net::{fetch_status, ClusterStatus};
 
 use super::{between, cluster_table, folder, free_for_peers, image, SETTINGS};
 
@@ -61,8 +61,8 @@
 }
 
 impl Cluster {
-    pub fn view(&self, of: usize) -> Option<Shown> {
-        ask(SocketAddr::V4(self.addresses[of]), Duration::from_secs(5)).ok()
+    pub fn view(&self, of: usize) -> Option<ClusterStatus> {
+        fetch_status(SocketAddr::V4(self.addresses[of]), Duration::from_secs(5)).ok()
     }
 
     pub fn standing(&self, of: usize) -> String {
--- a/programs/chaos/tests/common/lengths.rs
+++ b/programs/chaos/tests/common/lengths.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use bitternlatch_cluster_net::ask;
+use bitternlatch_cluster_net::fetch_status;
 
 use super::*;
 
@@ -28,7 +28,8 @@
         one.set("cluster", table);
     });
     let whole = |at: &std::net::SocketAddrV4| {
-        ask(SocketAddr::V4(*at), Duration::from_secs(2)).is_ok_and(|v| v.standing == "whole")
+        fetch_status(SocketAddr::V4(*at), Duration::from_secs(2))
+            .is_ok_and(|v| v.standing == "whole")
     };
     wait_for("a whole", || peers.iter().all(whole));
     Some { rig, between }
--- a/programs/chaos/tests/common/workflows.rs
+++ b/programs/chaos/tests/common/workflows.rs
@@ -6,7 +6,7 @@
 
 use bitternlatch_chaos::between::Between;
 use bitternlatch_chaos::client::Client;
-use bitternlatch_cluster_net::ask;
+use bitternlatch_cluster_net::fetch_status;
 use bitternlatch_mock_engine::capture::Line;
 use bitternlatch_protocol::workflow::Claimed;
 use serde_json::json;
@@ -122,7 +122,7 @@
     pub fn until(&self, of: usize, standing: &str) {
         let at = SocketAddr::V4(self.peers[of]);
         wait_for(standing, || {
-            ask(at, Duration::from_secs(2)).is_ok_and(|v| v.standing == standing)
+            fetch_status(at, Duration::from_secs(2)).is_ok_and(|v| v.standing == standing)
         });
     }
 
--- a/programs/chaos/tests/evidence.rs
+++ b/programs/chaos/tests/evidence.rs
@@ -7,7 +7,7 @@
 
 use bitternlatch_chaos::between::Between;
 use bitternlatch_chaos::process::ask as get;
-use bitternlatch_cluster_net::ask;
+use bitternlatch_cluster_net::fetch_status;
 use common::*;
 
 struct Three {
@@ -48,7 +48,7 @@
         let views = three
             .peers
             .iter()
-            .map(|at| ask(SocketAddr::V4(*at), Duration::from_secs(2)));
+            .map(|at| fetch_status(SocketAddr::V4(*at), Duration::from_secs(2)));
         views
             .flatten()
             .filter(|v| v.standing == "whole" && v.part > 0.3)
--- a/programs/chaos/tests/seeds.rs
+++ b/programs/chaos/tests/seeds.rs
@@ -6,7 +6,7 @@
 
 use bitternlatch_chaos::between::{Between, Rule};
 use bitternlatch_chaos::process::{own_address, Dispatcher};
-use bitternlatch_cluster_net::ask;
+use bitternlatch_cluster_net::fetch_status;
 use common::cluster::{LIST, SOON};
 use common::{between, cluster_table, folder, image, wait_for, CUT, SETTINGS};
 
@@ -60,7 +60,7 @@
     fn until(&self, of: usize, standing: &str) {
         let at = SocketAddr::V4(self.addresses[of]);
         wait_for(standing, || {
-            ask(at, Duration::from_secs(2)).is_ok_and(|v| v.standing == standing)
+            fetch_status(at, Duration::from_secs(2)).is_ok_and(|v| v.standing == standing)
         });
     }
 
--- a/programs/chaos/tests/standing.rs
+++ b/programs/chaos/tests/standing.rs
@@ -8,7 +8,7 @@
 use bitternlatch_chaos::between::{Between, Rule};
 use bitternlatch_chaos::client::{Came, Client};
 use bitternlatch_chaos::process::ask as get;
-use bitternlatch_cluster_net::ask;
+use bitternlatch_cluster_net::fetch_status;
 use bitternlatch_mock_engine::capture::Capture;
 use common::*;
 
@@ -45,7 +45,7 @@
     fn until(&self, of: usize, standing: &str) {
         let at = SocketAddr::V4(self.peers[of]);
         wait_for(standing, || {
-            ask(at, Duration::from_secs(2)).is_ok_and(|v| v.standing == standing)
+            fetch_status(at, Duration::from_secs(2)).is_ok_and(|v| v.standing == standing)
         });
     }
 
--- a/programs/cluster-status/src/lib.rs
+++ b/programs/cluster-status/src/lib.rs
@@ -4,13 +4,13 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use bitternlatch_cluster_net::{ask, Shown};
+use bitternlatch_cluster_net::{fetch_status, ClusterStatus};
 
 /// A member's name and what it tells, or why it tells nothing.
-pub type Told = (String, Result<Shown, String>);
+pub type Told = (String, Result<ClusterStatus, String>);
 
 /// The first view, and those of all members that it names.
-pub fn gather(first: Shown, within: Duration) -> Vec<Told> {
+pub fn gather(first: ClusterStatus, within: Duration) -> Vec<Told> {
     let others = first
         .members
         .iter()
@@ -18,7 +18,7 @@
         .collect::<Vec<_>>();
     let askers = others.into_iter().map(|(name, address)| {
         let asked = move || match address.parse() {
-            Ok(address) => ask(address, within).map_err(|e| e.to_string()),
+            Ok(address) => fetch_status(address, within).map_err(|e| e.to_string()),
             Err(_) => Err(format!("'{address}' is no address")),
         };
         (name, std::thread::spawn(asked))
@@ -66,7 +66,7 @@
 }
 
 /// One view as text.
-pub fn table(view: &Shown) -> String {
+pub fn table(view: &ClusterStatus) -> String {
     let mut text = format!(
         "{} of {}, start {}: {}",
         view.name, view.cluster, view.start, view.standing
@@ -106,12 +106,12 @@
 
 #[cfg(test)]
 mod tests {
-    use bitternlatch_cluster_net::Line;
+    use bitternlatch_cluster_net::MemberStatus;
 
     use super::*;
 
     fn view(name: &str, others: &[(&str, &str)]) -> Told {
-        let line = |(name, state): &(&str, &str)| Line {
+        let line = |(name, state): &(&str, &str)| MemberStatus {
             name: name.to_string(),
             address: "127.0.0.1:1".into(),
             start: Some(1),
@@ -119,7 +119,7 @@
             since_ms: 1_000,
             evidence: "probe".into(),
         };
-        let shown = Shown {
+        let shown = ClusterStatus {
             cluster: "hall".into(),
             name: name.into(),
             address: "127.0.0.1:2".into(),
--- a/programs/cluster-status/src/main.rs
+++ b/programs/cluster-status/src/main.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use bitternlatch_cluster_net::ask;
+use bitternlatch_cluster_net::fetch_status;
 use bitternlatch_cluster_status::{differences, gather, table};
 use clap::{Parser, Subcommand};
 
@@ -56,7 +56,7 @@
         within_s,
     } = Args::parse().what;
     let within = Duration::from_secs_f64(within_s);
-    let first = match ask(peer, within) {
+    let first = match fetch_status(peer, within) {
         Ok(shown) => shown,
         Err(why) => {
             eprintln!("bitternlatch-cluster-status: {why}");
@@ -88,7 +88,7 @@
         }
         differ.iter().for_each(|line| println!("{line}"));
     }
-    let away = |view: &Result<bitternlatch_cluster_net::Shown, String>| match view {
+    let away = |view: &Result<bitternlatch_cluster_net::ClusterStatus, String>| match view {
         Ok(shown) => shown.standing != "whole",
         Err(_) => true,
     };
--- a/programs/dispatch/src/beside.rs
+++ b/programs/dispatch/src/beside.rs
@@ -3,12 +3,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-use bitternlatch_cluster_net::{Kept, Plane, Snapshot, Store};
+use bitternlatch_cluster_net::{ClusterRuntime, DurableStore, SnapshotStore, Store};
 use bitternlatch_core::{Input, Settings};
 use bitternlatch_net::driver::{Beside, Event};
 use bitternlatch_output_length::Lengths;
 use bitternlatch_overload::Overload;
-use bitternlatch_quota_lease::Beside as Machine;
+use bitternlatch_quota_lease::ClusterService;
 use bitternlatch_workflow::Workflows;
 use crossbeam_channel::Sender;
 
@@ -17,7 +17,7 @@
     settings: &'a Settings,
     /// Folder of the settings file.
     base: &'a Path,
-    plane: &'a mut Plane,
+    plane: &'a mut ClusterRuntime,
     /// The core's loop. A machine's word that finds it full is lost: what must be known is told again.
     to: &'a Sender<Event>,
 }
@@ -31,27 +31,27 @@
         &mut self,
         machine: B,
         store: Option<Box<dyn Store>>,
-        input: fn(B::Told) -> Input,
-    ) -> Result<Taker<B::Ask>, String>
+        input: fn(B::Event) -> Input,
+    ) -> Result<Taker<B::Request>, String>
     where
-        B: Machine + Send + 'static,
-        B::Ask: Send + 'static,
-        B::Told: 'static,
+        B: ClusterService + Send + 'static,
+        B::Request: Send + 'static,
+        B::Event: 'static,
     {
         let to = self.to.clone();
         let told = move |told| drop(to.try_send(Event::Input(input(told))));
         let asker = self
             .plane
-            .beside(machine, store, told)
-            .map_err(|e| e.told())?;
-        Ok(Box::new(move |ask| asker.ask(ask).is_ok()))
+            .add_service(machine, store, told)
+            .map_err(|e| e.with_advice())?;
+        Ok(Box::new(move |ask| asker.request(ask).is_ok()))
     }
 }
 
 pub(crate) fn start(
     settings: &Settings,
     base: &Path,
-    plane: &mut Plane,
+    plane: &mut ClusterRuntime,
     to: &Sender<Event>,
 ) -> Result<Beside, String> {
     let mut beside = Beside::default();
@@ -95,7 +95,7 @@
     let kept = wanted
         .kept
         .as_ref()
-        .map(|kept| Snapshot::at(place.base.join(kept)));
+        .map(|kept| SnapshotStore::at(place.base.join(kept)));
     let store = kept.map(|kept| -> Box<dyn Store> { Box::new(kept) });
     // An answer that finds it busy is not counted.
     beside.lengths = Some(place.run(machine, store, Input::OutputLength)?);
@@ -123,7 +123,7 @@
         seed,
         place.plane.now(),
     );
-    let store = kept.map(|path| -> Box<dyn Store> { Box::new(Kept::at(&path)) });
+    let store = kept.map(|path| -> Box<dyn Store> { Box::new(DurableStore::at(&path)) });
     // A question that hears nothing ends by its own time.
     beside.workflow = Some(place.run(machine, store, Input::Workflow)?);
     Ok(())
--- a/programs/dispatch/src/lib.rs
+++ b/programs/dispatch/src/lib.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bitternlatch_cluster_net::{Plane, Told};
+use bitternlatch_cluster_net::{ClusterEvent, ClusterRuntime};
 use bitternlatch_core::{Input, Settings};
 use bitternlatch_identity::rights::Rights;
 use bitternlatch_inventory::{LastGood, Offer};
@@ -97,7 +97,7 @@
     let secured = Secured::load(&args.config, &settings)?;
     if let Some(cluster) = settings.cluster.as_ref().filter(|c| c.seeds.is_empty()) {
         let base = args.config.parent().unwrap_or(Path::new(""));
-        Plane::check(cluster, &settings.name, base).map_err(|e| e.told())?;
+        ClusterRuntime::check(cluster, &settings.name, base).map_err(|e| e.with_advice())?;
     }
     if args.check {
         println!(
@@ -121,8 +121,8 @@
         return Ok((settings, text));
     };
     let base = config.parent().unwrap_or(Path::new(""));
-    let (roster, by) =
-        bitternlatch_cluster_net::roster(cluster, &settings.name, base).map_err(|e| e.told())?;
+    let (roster, by) = bitternlatch_cluster_net::fetch_roster(cluster, &settings.name, base)
+        .map_err(|e| e.with_advice())?;
     let mut table: toml::Table = toml::from_str(&text).map_err(|e| e.to_string())?;
     let roster_value = toml::Value::try_from(&roster).map_err(|e| e.to_string())?;
     if let Some(cluster) = table.get_mut("cluster").and_then(toml::Value::as_table_mut) {
@@ -270,7 +270,7 @@
     };
     let mut driver = Driver::new(settings, seed, (to, from), ready);
     if let Some(plane) = &plane {
-        driver.tell_peers(Box::new(plane.ear()));
+        driver.tell_peers(Box::new(plane.observation_sink()));
     }
     driver.tell_beside(beside);
     if let Some(ledger) = ledger {
@@ -287,7 +287,7 @@
         driver.record(recorder.map_err(|e| format!("cannot record to {}: {e}", path.display()))?);
     }
     driver.run(within);
-    plane.into_iter().for_each(Plane::leave);
+    plane.into_iter().for_each(ClusterRuntime::leave);
     tracing::info!("stopped");
     match fenced.load(Ordering::SeqCst) {
         true => {
@@ -304,25 +304,25 @@
     base: &Path,
     to: &Sender<Event>,
     fenced: &Arc<AtomicBool>,
-) -> Result<Option<Plane>, String> {
+) -> Result<Option<ClusterRuntime>, String> {
     let Some(cluster) = &settings.cluster else {
         return Ok(None);
     };
     let (to, fenced) = (to.clone(), Arc::clone(fenced));
     // Without a loop the process is ending.
-    let told = move |told: Told| match told {
-        Told::Input(input) => {
+    let told = move |event: ClusterEvent| match event {
+        ClusterEvent::Input(input) => {
             // A loop that is behind gets the next one; what it has is no longer believed then.
             let _ = to.try_send(Event::Input(input));
         }
-        Told::Fenced => {
+        ClusterEvent::Fenced => {
             fenced.store(true, Ordering::SeqCst);
             let _ = to.send(Event::Input(Input::Stop));
         }
     };
-    Plane::join(cluster, &settings.name, base, told)
+    ClusterRuntime::join(cluster, &settings.name, base, told)
         .map(Some)
-        .map_err(|e| e.told())
+        .map_err(|e| e.with_advice())
 }
 
 fn door(settings: &Settings, tls: Option<Arc<tls::Server>>) -> Door {
