--- a/programs/simulator-adapter/tests/wire.rs
+++ b/programs/simulator-adapter/tests/wire.rs
@@ -192,3 +192,87 @@
         (unhex("0f c4913a5d"), unhex("074a1c1a"))
     );
 }
+
+#[test]
+fn each_malformed_input_has_its_message() {
+    let at = |record: &str| format!("0d0300 {record}");
+    let started = |record: &str| {
+        let start = start(FACTS);
+        frame(3, &[start, unhex(record)].concat())
+    };
+    let of = |count: u32, body: &str| frame(count, &unhex(body));
+    let mut clock = of(0, "");
+    clock[8..].copy_from_slice(&f64::NAN.to_le_bytes());
+    let mut size = of(0, "");
+    size[4] = 8;
+    let mut cut = of(1, "");
+    cut[4] = 20;
+    let table = [
+        (
+            vec![1, 2, 3],
+            "input ends after 3 bytes of a frame's header",
+        ),
+        (size, "frame size 8 is shorter than a header"),
+        (cut, "input ends after 16 of a frame's 20 bytes"),
+        (clock, "the clock is not a finite number"),
+        (of(0, "0d0300"), "3 bytes left after 0 records"),
+        (
+            of(1, "63"),
+            "record 0: event 99 at byte 16 comes before any instance",
+        ),
+        (
+            of(1, "0d03"),
+            "record 0: frame ends at byte 18 inside at at byte 17",
+        ),
+        (
+            of(2, &at("63")),
+            "record 1: unknown event code 99 at byte 19",
+        ),
+        (
+            of(2, &at("06 01000000")),
+            "record 1: event 6 at byte 19 is for instance 3, which has not started",
+        ),
+        (
+            of(1, "0c 10000000 00000000"),
+            "record 0: list number 16 at byte 17 is out of range",
+        ),
+        (
+            of(1, "0c 00000000 01000000 0000803f 0000 0000 09"),
+            "record 0: unknown health 9 at byte 33",
+        ),
+        (
+            of(2, &at("02 04")),
+            "record 1: unknown list form 4 at byte 20",
+        ),
+        (
+            of(2, &at("02 00 00000000 05000000")),
+            "record 1: view at byte 20 names list 5, which was never sent",
+        ),
+        (
+            of(2, &at("08 01000000 07")),
+            "record 1: unknown outcome 7 in probe_done at byte 24",
+        ),
+        (
+            of(2, &at("01 0000000000000000 01000000 ff")),
+            "record 1: the settings are not UTF-8: \
+invalid utf-8 sequence of 1 bytes from index 0",
+        ),
+        (
+            of(2, &at("01 0000000000000000 01000000 78")),
+            "record 1: settings line 1 has no '='",
+        ),
+        (
+            of(2, &at("01 0000000000000000 03000000 783d31")),
+            "record 1: setting balancers is missing",
+        ),
+        (
+            started("07 00"),
+            "record 2: frame ends at byte 556 inside alarm at byte 555",
+        ),
+    ];
+    for (input, message) in table {
+        assert_eq!(error_of(&input), message);
+    }
+    let named = Adapter::default().answer(&[0; 16]).expect_err("no size");
+    assert_eq!(named.to_string(), "frame says 0 bytes but has 16");
+}
