--- a/programs/simulator-adapter/src/encode.rs
+++ b/programs/simulator-adapter/src/encode.rs
@@ -1,156 +1,167 @@
 //! Events as the simulator writes them, for programs and tests that play its part.
 
-use bitternlatch_policy::interface::*;
+use bitternlatch_policy::interface::{
+    AttemptEnd, Event, ListForm, Outcome, Request, ServerEntry, ServerId,
+};
+
+use crate::wire::codes::{self, event};
+
+/// Bytes of a batch's header.
+const HEADER_BYTES: usize = 16;
+/// The number that a written list has.
+const LIST_NUMBER: u32 = 0;
+/// The version that a written view has.
+const LIST_VERSION: u32 = 0;
 
 /// A batch of records at a clock time in seconds.
 pub fn frame(now: f64, records: &[Vec<u8>]) -> Vec<u8> {
     let body: Vec<u8> = records.concat();
-    let mut out = (records.len() as u32).to_le_bytes().to_vec();
-    out.extend((16 + body.len() as u32).to_le_bytes());
-    out.extend(now.to_le_bytes());
-    out.extend(body);
-    out
+    let mut frame = (records.len() as u32).to_le_bytes().to_vec();
+    frame.extend((HEADER_BYTES as u32 + body.len() as u32).to_le_bytes());
+    frame.extend(now.to_le_bytes());
+    frame.extend(body);
+    frame
 }
 
 /// What follows is for an instance.
 pub fn at(instance: u16) -> Vec<u8> {
-    [&[13][..], &instance.to_le_bytes()].concat()
+    [&[event::AT][..], &instance.to_le_bytes()].concat()
 }
 
 /// The start of an instance with its settings as path=value lines.
 pub fn start_record(seed: u64, facts: &str) -> Vec<u8> {
-    let mut out = vec![1];
-    out.extend(seed.to_le_bytes());
-    out.extend((facts.len() as u32).to_le_bytes());
-    out.extend(facts.as_bytes());
-    out
-}
-
-fn report(out: &mut Vec<u8>, values: &[f64]) {
-    out.push(values.len() as u8);
-    values
-        .iter()
-        .for_each(|v| out.extend((*v as f32).to_le_bytes()));
+    let mut record = vec![event::START];
+    record.extend(seed.to_le_bytes());
+    record.extend((facts.len() as u32).to_le_bytes());
+    record.extend(facts.as_bytes());
+    record
 }
 
-fn outcome(o: Outcome) -> u8 {
-    match o {
-        Outcome::Served => 0,
-        Outcome::PrefillDone => 202,
-        Outcome::Error => 255,
-        Outcome::Rejected { .. } => 254,
-        Outcome::TimedOut => 253,
-        Outcome::ConnectFailed => 252,
-        Outcome::Reset => 251,
-        Outcome::Cancelled => 250,
-        Outcome::NotSent => 249,
-    }
-}
-
-fn entry(out: &mut Vec<u8>, e: &ServerEntry) {
-    out.extend((e.weight as f32).to_le_bytes());
-    out.extend(e.cell.to_le_bytes());
-    out.extend(e.zone.to_le_bytes());
-    out.push(match e.status {
-        ServerStatus::Draining => 0,
-        ServerStatus::Removed => 1,
-        ServerStatus::Ready => 2,
-    });
-    out.extend(e.id.to_le_bytes());
-    out.extend(e.kind.to_le_bytes());
-    out.extend(e.booted_at.to_le_bytes());
-}
-
-/// The record of a list, where the event refers to one, and the event's own; `None` for what the wire has no word
-/// for.
+/// The record of a list, where the event refers to one, and the event's own; `None` for what the
+/// wire has no word for.
 pub fn event_records(event: &Event) -> Option<(Option<Vec<u8>>, Vec<u8>)> {
-    let mut out = Vec::new();
     let mut list = None;
-    match event {
+    let record = match event {
         Event::Servers { form, entries } => {
-            let mut lines = vec![12];
-            lines.extend(0u32.to_le_bytes());
-            lines.extend((entries.len() as u32).to_le_bytes());
-            entries.iter().for_each(|e| entry(&mut lines, e));
-            list = Some(lines);
-            out.extend([
-                2,
-                match form {
-                    ListForm::Delta => 0,
-                    ListForm::Full => 1,
-                    ListForm::Cached => 2,
-                    ListForm::Failed => 3,
-                },
-            ]);
-            out.extend(0u32.to_le_bytes());
-            out.extend(0u32.to_le_bytes());
-        }
-        // The wire has no word for what is expected of an answer: where that is learnt locally the other side learns it too.
-        Event::Arrival(r) => {
-            out.push(3);
-            out.extend(r.id.to_le_bytes());
-            out.extend((r.max_output_tokens as f32).to_le_bytes());
-            out.extend(r.tenant.to_le_bytes());
-            out.extend(0u16.to_le_bytes());
-            out.extend(r.session.to_le_bytes());
-            out.extend(0f64.to_le_bytes());
-            out.extend(r.class.to_le_bytes());
-            out.extend(r.time_left_s.to_le_bytes());
-            out.extend(r.prefix.to_le_bytes());
-            out.extend((r.prompt_tokens as f32).to_le_bytes());
-            out.extend((r.prefix_tokens as f32).to_le_bytes());
+            list = Some(inventory_record(entries));
+            view_record(*form)
         }
+        Event::Arrival(request) => accept_record(request),
         Event::FirstToken {
             request,
             attempt,
             server,
             elapsed_s,
         } => {
-            out.push(4);
-            out.extend(request.to_le_bytes());
-            out.extend(attempt.to_le_bytes());
-            out.extend(server.to_le_bytes());
-            out.extend(elapsed_s.to_le_bytes());
-        }
-        Event::AttemptEnded(e) => {
-            out.push(5);
-            out.extend(e.request.to_le_bytes());
-            out.extend(e.attempt.to_le_bytes());
-            out.extend(e.server.to_le_bytes());
-            out.push(outcome(e.outcome));
-            out.extend(e.elapsed_s.to_le_bytes());
-            out.push(u8::from(e.finished));
-            let gone = e.outcome
-                == (Outcome::Rejected {
-                    state_missing: true,
-                });
-            out.extend((if gone { 1 } else { e.prefix_hit_tokens as u32 }).to_le_bytes());
-            report(&mut out, &e.report);
+            let mut record = vec![event::BEGUN];
+            record.extend(request.to_le_bytes());
+            record.extend(attempt.to_le_bytes());
+            record.extend(server.to_le_bytes());
+            record.extend(elapsed_s.to_le_bytes());
+            record
         }
+        Event::AttemptEnded(end) => completed_record(end),
         Event::ClientDisconnected { request } => {
-            out.push(6);
-            out.extend(request.to_le_bytes());
-        }
-        Event::Timer { label } => {
-            out.push(7);
-            out.extend(label.to_le_bytes());
+            [&[event::HANGUP][..], &request.to_le_bytes()].concat()
         }
+        Event::Timer { label } => [&[event::ALARM][..], &label.to_le_bytes()].concat(),
         Event::ProbeEnded {
             server,
-            outcome: o,
+            outcome,
             elapsed_s,
-            report: values,
-        } => {
-            out.push(8);
-            out.extend(server.to_le_bytes());
-            out.push(outcome(*o));
-            out.extend(elapsed_s.to_le_bytes());
-            report(&mut out, values);
-        }
+            report,
+        } => probe_done_record(*server, *outcome, *elapsed_s, report),
         Event::ReservationAnswer { .. }
         | Event::PeerMessage { .. }
         | Event::QuotaFraction { .. }
         | Event::PeerReport { .. } => return None,
+    };
+    Some((list, record))
+}
+
+fn inventory_record(entries: &[ServerEntry]) -> Vec<u8> {
+    let mut record = vec![event::INVENTORY];
+    record.extend(LIST_NUMBER.to_le_bytes());
+    record.extend((entries.len() as u32).to_le_bytes());
+    for entry in entries {
+        push_entry(&mut record, entry);
+    }
+    record
+}
+
+fn push_entry(record: &mut Vec<u8>, entry: &ServerEntry) {
+    record.extend((entry.weight as f32).to_le_bytes());
+    record.extend(entry.cell.to_le_bytes());
+    record.extend(entry.zone.to_le_bytes());
+    record.push(codes::health_code(entry.status));
+    record.extend(entry.id.to_le_bytes());
+    record.extend(entry.kind.to_le_bytes());
+    record.extend(entry.booted_at.to_le_bytes());
+}
+
+fn view_record(form: ListForm) -> Vec<u8> {
+    let mut record = vec![event::VIEW, codes::list_form_code(form)];
+    record.extend(LIST_VERSION.to_le_bytes());
+    record.extend(LIST_NUMBER.to_le_bytes());
+    record
+}
+
+/// The wire has no word for what is expected of an answer: where that is learnt locally the other side
+/// learns it too.
+fn accept_record(request: &Request) -> Vec<u8> {
+    const NO_MARKS: u16 = 0;
+    const NO_HINT: f64 = 0.0;
+    let mut record = vec![event::ACCEPT];
+    record.extend(request.id.to_le_bytes());
+    record.extend((request.max_output_tokens as f32).to_le_bytes());
+    record.extend(request.tenant.to_le_bytes());
+    record.extend(NO_MARKS.to_le_bytes());
+    record.extend(request.session.to_le_bytes());
+    record.extend(NO_HINT.to_le_bytes());
+    record.extend(request.class.to_le_bytes());
+    record.extend(request.time_left_s.to_le_bytes());
+    record.extend(request.prefix.to_le_bytes());
+    record.extend((request.prompt_tokens as f32).to_le_bytes());
+    record.extend((request.prefix_tokens as f32).to_le_bytes());
+    record
+}
+
+fn completed_record(end: &AttemptEnd) -> Vec<u8> {
+    let info = match end.outcome {
+        Outcome::Rejected {
+            state_missing: true,
+        } => codes::INFO_STATE_MISSING,
+        _ => end.prefix_hit_tokens as u32,
+    };
+    let mut record = vec![event::COMPLETED];
+    record.extend(end.request.to_le_bytes());
+    record.extend(end.attempt.to_le_bytes());
+    record.extend(end.server.to_le_bytes());
+    record.push(codes::outcome_code(end.outcome));
+    record.extend(end.elapsed_s.to_le_bytes());
+    record.push(u8::from(end.finished));
+    record.extend(info.to_le_bytes());
+    push_report(&mut record, &end.report);
+    record
+}
+
+fn probe_done_record(
+    server: ServerId,
+    outcome: Outcome,
+    elapsed_s: f64,
+    report: &[f64],
+) -> Vec<u8> {
+    let mut record = vec![event::PROBE_DONE];
+    record.extend(server.to_le_bytes());
+    record.push(codes::outcome_code(outcome));
+    record.extend(elapsed_s.to_le_bytes());
+    push_report(&mut record, report);
+    record
+}
+
+fn push_report(record: &mut Vec<u8>, values: &[f64]) {
+    record.push(values.len() as u8);
+    for value in values {
+        record.extend((*value as f32).to_le_bytes());
     }
-    Some((list, out))
 }
--- a/programs/simulator-adapter/src/lib.rs
+++ b/programs/simulator-adapter/src/lib.rs
@@ -1,4 +1,5 @@
-//! The operators' simulator met on its wire: the same module as in service, many instances in one process.
+//! The decision module on the operators' simulator: the same module as in service, many instances in
+//! one process. [`wire`] answers the simulator; [`encode`] plays its part in tests and programs.
 
 pub mod encode;
 pub mod wire;
--- /dev/null
+++ b/programs/simulator-adapter/src/wire/adapter.rs
@@ -0,0 +1,150 @@
+//! The instances of one process, each a router of its own.
+
+use std::collections::BTreeMap;
+
+use bitternlatch_output_length::Timed;
+use bitternlatch_policy::choice::Router;
+use bitternlatch_policy::interface::{Action, Settings};
+use bitternlatch_routing_settings::{read_settings, Facts};
+
+use super::codes::event;
+use super::cursor::Cursor;
+use super::error::{Result, WireError};
+use super::lists::Lists;
+use super::records::read_event;
+use super::reply::Reply;
+
+/// Whether lengths of answers are learnt and passed to the module; the platform has the same switch.
+const LEARNS: bool = false;
+
+/// Reads the start settings as the wire carries them; keys that are not known are skipped.
+///
+/// # Errors
+/// A line without a value, a key that is missing, or a value that cannot be read.
+pub fn parse_settings(text: &str) -> Result<Settings> {
+    Ok(read_settings(&Facts::from_lines(text)?)?)
+}
+
+/// A router and what it learns of lengths.
+struct Instance {
+    router: Router,
+    lengths: Timed,
+}
+
+/// All instances of one process and the numbered lists that they refer to.
+#[derive(Default)]
+pub struct Adapter {
+    instances: BTreeMap<u16, Instance>,
+    lists: Lists,
+    actions: Vec<Action>,
+}
+
+/// Where the records of a batch stand.
+struct Batch<'a> {
+    cursor: Cursor<'a>,
+    /// Clock time, seconds.
+    now: f64,
+    /// The instance that the records are for, once an `at` record has come.
+    instance: Option<u16>,
+    reply: Reply,
+}
+
+impl Adapter {
+    /// Answers one whole batch frame with one whole reply frame.
+    ///
+    /// # Errors
+    /// A frame that is not as the wire's page has it.
+    pub fn answer(&mut self, frame: &[u8]) -> Result<Vec<u8>> {
+        let mut cursor = Cursor::new(frame, 0);
+        let records = cursor.u32("the record count")?;
+        let named = cursor.u32("the frame size")?;
+        if named as usize != frame.len() {
+            let found = frame.len();
+            return Err(WireError::FrameSize { named, found });
+        }
+        let now = cursor.f64("the clock")?;
+        if !now.is_finite() {
+            return Err(WireError::InvalidClock);
+        }
+        let mut batch = Batch {
+            cursor,
+            now,
+            instance: None,
+            reply: Reply::default(),
+        };
+        for index in 0..records {
+            self.record(&mut batch).map_err(|e| WireError::Record {
+                index,
+                source: Box::new(e),
+            })?;
+        }
+        let bytes = frame.len() - batch.cursor.position();
+        if bytes != 0 {
+            return Err(WireError::BytesLeft { bytes, records });
+        }
+        Ok(batch.reply.finish())
+    }
+
+    fn record(&mut self, batch: &mut Batch<'_>) -> Result<()> {
+        let at = batch.cursor.position();
+        let code = batch.cursor.u8("a record code")?;
+        match code {
+            event::AT => {
+                batch.instance = Some(batch.cursor.u16("at")?);
+                return Ok(());
+            }
+            event::INVENTORY => return self.lists.read(&mut batch.cursor),
+            _ => {}
+        }
+        let Some(instance) = batch.instance else {
+            return Err(WireError::NoInstance { code, at });
+        };
+        match code {
+            event::START => self.start(&mut batch.cursor, instance),
+            event::SHUTDOWN => {
+                self.instances.remove(&instance);
+                Ok(())
+            }
+            _ => self.handle(batch, instance, code, at),
+        }
+    }
+
+    fn handle(&mut self, batch: &mut Batch<'_>, number: u16, code: u8, at: usize) -> Result<()> {
+        let mut event = read_event(&mut batch.cursor, code, at, &self.lists)?;
+        let Some(instance) = self.instances.get_mut(&number) else {
+            return Err(WireError::NotStarted {
+                code,
+                at,
+                instance: number,
+            });
+        };
+        self.actions.clear();
+        if LEARNS {
+            instance.lengths.see(batch.now, &mut event);
+        }
+        instance.router.handle(batch.now, event, &mut self.actions);
+        for action in &self.actions {
+            batch.reply.put(number, action);
+        }
+        Ok(())
+    }
+
+    fn start(&mut self, cursor: &mut Cursor, number: u16) -> Result<()> {
+        let seed = cursor.u64("start")?;
+        let length = cursor.u32("start")? as usize;
+        let text = cursor.bytes(length, "the settings")?;
+        let text = std::str::from_utf8(text).map_err(WireError::SettingsNotUtf8)?;
+        let settings = parse_settings(text)?;
+        let instance = Instance {
+            lengths: Timed::new(&settings),
+            router: Router::new(settings, seed),
+        };
+        self.instances.insert(number, instance);
+        Ok(())
+    }
+
+    #[cfg(test)]
+    pub(super) fn lists(&mut self) -> &mut Lists {
+        &mut self.lists
+    }
+}
--- a/programs/simulator-adapter/src/wire/tests.rs
+++ b/programs/simulator-adapter/src/wire/tests.rs
@@ -8,7 +8,11 @@
 //! | `inbox`, `reserved` | yes | never written | |
 //! | all actions | never read | yes | tests/wire.rs (the page's examples) |
 
-use super::*;
+use bitternlatch_policy::interface::*;
+
+use super::cursor::Cursor;
+use super::records::read_event;
+use super::{encode_reply, Adapter};
 use crate::encode::event_records;
 
 fn unhex(text: &str) -> Vec<u8> {
@@ -64,16 +68,13 @@
     let (inventory, event) = (unhex(inventory), unhex(event));
     let mut adapter = Adapter::default();
     if let Some(list) = inventory.get(1..) {
-        let mut cursor = Cursor { data: list, at: 0 };
-        adapter.inventory(&mut cursor).expect("an inventory");
-        assert_eq!(cursor.at, list.len());
+        let mut cursor = Cursor::new(list, 0);
+        adapter.lists().read(&mut cursor).expect("an inventory");
+        assert_eq!(cursor.position(), list.len());
     }
-    let mut cursor = Cursor {
-        data: &event,
-        at: 1,
-    };
-    let read = adapter.event(&mut cursor, event[0], 0).expect("an event");
-    assert_eq!(cursor.at, event.len());
+    let mut cursor = Cursor::new(&event, 1);
+    let read = read_event(&mut cursor, event[0], 0, adapter.lists()).expect("an event");
+    assert_eq!(cursor.position(), event.len());
     read
 }
 
--- a/programs/simulator-adapter/tests/node.rs
+++ b/programs/simulator-adapter/tests/node.rs
@@ -1,4 +1,4 @@
-//! What the platform's node tells its router, told to the drill, gets the same decisions.
+//! What the platform's node passes to its router, passed to the adapter, gets the same decisions.
 #[path = "../../../crates/platform/tests/common/mod.rs"]
 mod common;
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_node_and_the_drill_decide_alike() {
+fn node_and_adapter_decide_alike() {
     let mut rig = day();
     let trace = rig.node.take_trace();
     assert!(trace.len() > 300, "{} events", trace.len());
--- a/programs/simulator-adapter/tests/wire.rs
+++ b/programs/simulator-adapter/tests/wire.rs
@@ -62,14 +62,14 @@
 }
 
 #[test]
-fn the_pages_empty_batch_gets_its_empty_reply() {
+fn empty_batch_of_the_page_gets_an_empty_reply() {
     let mut out = Vec::new();
     serve(&unhex("00000000 10000000 508d976e12d32040")[..], &mut out).unwrap();
     assert_eq!(out, unhex("00000000 08000000"));
 }
 
 #[test]
-fn the_pages_request_is_passed_on_to_the_reader() {
+fn request_of_the_page_is_sent_to_the_prefill_server() {
     let mut body = start(FACTS);
     body.extend(inventory_and_view(&[(7, 0), (8, 1)]));
     body.extend(unhex(ACCEPT));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_reused_list_number_means_its_newest_list() {
+fn reused_list_number_means_its_newest_list() {
     let mut body = start(FACTS);
     body.extend(inventory_and_view(&[(7, 0), (8, 1)]));
     body.extend(inventory_and_view(&[(9, 0), (8, 1)]));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_shutdown_and_a_start_may_share_a_batch() {
+fn shutdown_and_start_may_share_a_batch() {
     let mut body = start(FACTS);
     body.push(10);
     body.extend(&start(FACTS)[3..]);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_length_field_alone_reserves_no_memory() {
+fn length_field_alone_reserves_no_memory() {
     assert!(error_of(&unhex("00000000 ffffffff 508d976e12d32040")).contains("input ends"));
     let mut body = vec![12, 0, 0, 0, 0];
     body.extend(u32::MAX.to_le_bytes());
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn the_pages_action_examples_are_laid_out_to_the_byte() {
+fn action_examples_of_the_page_match_to_the_byte() {
     let body = |action: Action| encode_reply(3, &[action])[11..].to_vec();
     assert_eq!(
         encode_reply(3, &[Action::FetchList])[8..11],
