--- a/crates/core/src/actions.rs
+++ b/crates/core/src/actions.rs
@@ -1,23 +1,18 @@
 //! Carries out what the decision module decides.
 
-use bitternlatch_overload::{Ask, Told};
 use bitternlatch_policy::interface::{
-    Action, AttemptEnd, Event, Observation, Outcome, RequestId, Role, ServerId,
+    Action, AttemptEnd, Event, Outcome, RequestId, Role, ServerId,
 };
 use bitternlatch_protocol::engine::{encode, CompletionRequest, KvTransferParams, ToEngine};
 
 use crate::links::{EnqueueResult, Queued};
-use crate::load_shedding::REPORT_INTERVAL_S;
-use crate::machine::{log, Machine, Probe, PROBE_S};
+use crate::machine::{log, Machine};
 use crate::requests::{wire_id, Attempt, Purpose, Request, Stage};
 use crate::settings::Effect;
 use crate::timers::Timer;
 use crate::types::{Level, LinkId, Micros, Output, SendDeadline};
 use crate::workflows::BlockedSend;
 
-/// Of the time for which a state may be pinned: how long a send that would fetch it waits for its permission.
-const KV_HOLD_SHARE: f64 = 0.5;
-
 impl Machine {
     pub(crate) fn apply_action(&mut self, now: Micros, action: Action, out: &mut Vec<Output>) {
         match action {
@@ -74,7 +69,8 @@
         }
     }
 
-    fn send(
+    /// Sends an attempt to a server, or tells the decision module at once that it was not sent.
+    pub(crate) fn send(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -82,13 +78,13 @@
         timeout_s: f64,
         out: &mut Vec<Output>,
     ) {
-        let open = self
+        let role = self
             .servers
             .get(server)
             .filter(|k| k.takes_work())
             .map(|k| k.role);
-        // A step's effect leaves while it is permitted, and waits where it is not; a read has none.
-        if open != Some(Role::Prefill) && !self.workflows.may_leave(now, id) {
+        // A step's effect leaves while it is permitted, and waits where it is not; a prefill has none.
+        if role != Some(Role::Prefill) && !self.workflows.may_leave(now, id) {
             return self.block_send(now, id, BlockedSend { server, timeout_s }, out);
         }
         let Some(request) = self
@@ -98,40 +94,67 @@
         else {
             return self.not_sent(id, 0, server, Outcome::NotSent);
         };
-        let (number, class) = (request.attempts, request.class);
+        let number = request.attempts;
         request.attempts += 1;
+        let sent = self
+            .check_send(now, id, number, server, role)
+            .and_then(|role| self.enqueue_attempt(now, id, number, server, role, out));
+        match sent {
+            Ok(attempt) => self.begin_attempt(now, id, attempt, timeout_s),
+            Err(outcome) => self.not_sent(id, number, server, outcome),
+        }
+    }
+
+    /// What may have changed between the decision and this act; the error is the outcome of an attempt that may not go.
+    fn check_send(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        number: u16,
+        server: ServerId,
+        role: Option<Role>,
+    ) -> Result<Role, Outcome> {
+        let class = self.requests.get(&id).map_or(0, |r| r.class);
         // Between admission and this act the process may have stood still, or lost its peers.
         if number == 0 && !self.may_admit(now, class) {
-            return self.not_sent(id, number, server, Outcome::NotSent);
+            return Err(Outcome::NotSent);
         }
         if let Some(most) = self.load_shedding.max_in_flight(now, server) {
             let at = |r: &&Request| r.attempt.as_ref().is_some_and(|a| a.server == server);
             if self.requests.values().filter(at).count() >= most as usize {
-                // It is tried by one of all, a little at a time.
-                return self.not_sent(
-                    id,
-                    number,
-                    server,
-                    Outcome::Rejected {
-                        state_missing: false,
-                    },
-                );
+                // A recovering server is tried by one dispatcher of all, a little at a time.
+                return Err(Outcome::Rejected {
+                    state_missing: false,
+                });
             }
         }
-        let Some(request) = self.requests.get_mut(&id) else {
-            return;
-        };
-        // Work that would be done again goes by what all may repeat.
-        if open.is_some() && !self.load_shedding.may_send(now, &request.admitted) {
-            return self.not_sent(id, number, server, Outcome::NotSent);
+        let role = role.ok_or(Outcome::ConnectFailed)?;
+        let admitted = self.requests.get(&id).map(|r| r.admitted);
+        // Work that would be done again goes by the retry budget that all share.
+        if !self
+            .load_shedding
+            .may_send(now, &admitted.unwrap_or_default())
+        {
+            return Err(Outcome::NotSent);
         }
-        let Some(role) = open else {
-            return self.not_sent(id, number, server, Outcome::ConnectFailed);
-        };
-        let purpose = match (role, &request.state) {
+        Ok(role)
+    }
+
+    /// Hands an attempt's message to its link.
+    fn enqueue_attempt(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        number: u16,
+        server: ServerId,
+        role: Role,
+        out: &mut Vec<Output>,
+    ) -> Result<Attempt, Outcome> {
+        let holds_kv_cache = self.requests.get(&id).is_some_and(|r| r.state.is_some());
+        let purpose = match (role, holds_kv_cache) {
             (Role::Prefill, _) => Purpose::Prefill,
-            (_, Some(_)) => Purpose::Decode,
-            (_, None) => Purpose::Full,
+            (_, true) => Purpose::Decode,
+            (_, false) => Purpose::Full,
         };
         let text = self.completion(id, number, purpose);
         let attempt = wire_id(self.instance, id, number);
@@ -141,74 +164,9 @@
                 (link, Stage::InFlight)
             }
             EnqueueResult::Queued(link) => (link, Stage::Queued),
-            EnqueueResult::NotConnected => {
-                return self.not_sent(id, number, server, Outcome::ConnectFailed)
-            }
-        };
-        self.begin_attempt(
-            now,
-            id,
-            Attempt::new(number, server, link, purpose, stage, now),
-            timeout_s,
-        );
-    }
-
-    fn block_send(&mut self, now: Micros, id: RequestId, send: BlockedSend, out: &mut Vec<Output>) {
-        let live = self
-            .requests
-            .get(&id)
-            .filter(|r| !r.answered && r.attempt.is_none());
-        // A state that waits to be fetched keeps its place for so long at the most, whatever time the request has left.
-        let pinned = now.after(self.settings.rules.kv_hold_limit_s * KV_HOLD_SHARE);
-        let ends = |r: &Request| {
-            if r.state.is_some() {
-                pinned
-            } else {
-                r.deadline.max(now.after(PROBE_S))
-            }
+            EnqueueResult::NotConnected => return Err(Outcome::ConnectFailed),
         };
-        let asked = live
-            .map(|r| (r.may_run(), ends(r)))
-            .and_then(|(may_have_run, ends)| {
-                self.workflows
-                    .wait(id, send, may_have_run, ends)
-                    .map(|(call, tell)| (call, tell, ends))
-            });
-        let Some((call, tell, ends)) = asked else {
-            return self.abandon_send(id, send);
-        };
-        self.timers.set(ends, Timer::WorkflowQuery { call });
-        out.extend(tell.into_iter().map(Output::Workflow));
-    }
-
-    /// A send that waited for its permission has it, or is refused.
-    pub(crate) fn resume_send(
-        &mut self,
-        now: Micros,
-        id: RequestId,
-        send: BlockedSend,
-        may: bool,
-        out: &mut Vec<Output>,
-    ) {
-        match may {
-            true => self.send(now, id, send.server, send.timeout_s, out),
-            false => self.abandon_send(id, send),
-        }
-    }
-
-    /// A request ends while its send waits: the module is told that it never left.
-    pub(crate) fn cancel_blocked_send(&mut self, id: RequestId) {
-        if let Some(send) = self.workflows.unwait(id) {
-            self.abandon_send(id, send);
-        }
-    }
-
-    fn abandon_send(&mut self, id: RequestId, send: BlockedSend) {
-        let number = self.requests.get_mut(&id).map_or(0, |r| {
-            r.attempts += 1;
-            r.attempts - 1
-        });
-        self.not_sent(id, number, send.server, Outcome::NotSent);
+        Ok(Attempt::new(number, server, link, purpose, stage, now))
     }
 
     /// An attempt's message on its way: it must not reach a server long after a drain was told, nor a step's past its permission.
@@ -295,7 +253,13 @@
         })
     }
 
-    fn not_sent(&mut self, id: RequestId, attempt: u16, server: ServerId, outcome: Outcome) {
+    pub(crate) fn not_sent(
+        &mut self,
+        id: RequestId,
+        attempt: u16,
+        server: ServerId,
+        outcome: Outcome,
+    ) {
         let finished = self.requests.get(&id).is_none_or(|r| r.answered);
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
             request: id,
@@ -377,115 +341,6 @@
             deadline: None,
         });
     }
-
-    /// What all are to do together, and what was heard of servers for this one.
-    pub(crate) fn on_overload(&mut self, now: Micros, told: Told, out: &mut Vec<Output>) {
-        match told {
-            Told::Cut(cut) => self.load_shedding.set_threshold(cut),
-            Told::Trial {
-                host: server,
-                many,
-                until,
-            } => {
-                self.load_shedding.trial(server, many, until);
-                // The module does better to choose another one: several saw it fail, or this one did in a row.
-                if self.load_shedding.max_in_flight(now, server).is_some() {
-                    let sight = Observation::Failing;
-                    self.events.push_back(Event::PeerReport {
-                        server,
-                        observation: sight,
-                        reporters: 2,
-                        peers: 2,
-                        age_s: 0.0,
-                    });
-                }
-            }
-            Told::Probe { host: server } => {
-                let Some(link) = self
-                    .links
-                    .open(server)
-                    .filter(|_| self.load_shedding.is_on())
-                else {
-                    return;
-                };
-                let id = self.next_probe;
-                self.next_probe += 1;
-                self.load_shedding.probe_sent(now, id, server);
-                out.push(Output::SendToServer {
-                    link,
-                    text: encode(&ToEngine::Probe { id }),
-                    deadline: None,
-                });
-            }
-            Told::Report {
-                host: server,
-                report,
-                ..
-            } => {
-                let mine = self
-                    .probes
-                    .iter()
-                    .filter(|(_, p)| p.link.server == server)
-                    .map(|(id, _)| *id);
-                let report: Vec<f64> = report.iter().map(|v| v.get()).collect();
-                for id in mine.collect::<Vec<u64>>() {
-                    self.end_probe(now, id, Outcome::Served, report.clone());
-                }
-            }
-        }
-    }
-
-    /// Tells what was seen of the load, for what all shed together.
-    pub(crate) fn report_load(&mut self, now: Micros, out: &mut Vec<Output>) {
-        self.timers
-            .set(now.after(REPORT_INTERVAL_S), Timer::LoadShedding);
-        let reads = |role: Role| matches!(role, Role::Prefill | Role::Mixed);
-        let open = |id: &ServerId| self.links.open(*id).is_some();
-        let servers = self
-            .servers
-            .listed()
-            .filter(|(id, k)| k.takes_work() && reads(k.role) && open(id));
-        let weight = servers.map(|(_, known)| known.server.weight).sum();
-        out.extend(self.load_shedding.tell(now, weight).map(Output::Overload));
-    }
-
-    fn probe(&mut self, now: Micros, server: ServerId, out: &mut Vec<Output>) {
-        let Some(link) = self.links.open(server) else {
-            let outcome = Outcome::ConnectFailed;
-            return self.events.push_back(Event::ProbeEnded {
-                server,
-                outcome,
-                elapsed_s: 0.0,
-                report: vec![],
-            });
-        };
-        let id = self.next_probe;
-        self.next_probe += 1;
-        self.probes.insert(id, Probe { link, sent: now });
-        self.timers.set(now.after(PROBE_S), Timer::Probe { id });
-        if self.load_shedding.is_on() {
-            // One of all asks; the answer, whoever is given it, ends this probe.
-            return out.push(Output::Overload(Ask::Probe { host: server }));
-        }
-        out.push(Output::SendToServer {
-            link,
-            text: encode(&ToEngine::Probe { id }),
-            deadline: None,
-        });
-    }
-
-    pub(crate) fn end_probe(&mut self, now: Micros, id: u64, outcome: Outcome, report: Vec<f64>) {
-        let Some(probe) = self.probes.remove(&id) else {
-            return;
-        };
-        let (server, elapsed_s) = (probe.link.server, now.since(probe.sent));
-        self.events.push_back(Event::ProbeEnded {
-            server,
-            outcome,
-            elapsed_s,
-            report,
-        });
-    }
 }
 
 impl Attempt {
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -5,9 +5,8 @@
 use bitternlatch_budget::book::Book;
 use bitternlatch_identity::rights::Rights;
 use bitternlatch_identity::Caller;
-use bitternlatch_inventory::Host;
 use bitternlatch_policy::choice::Router;
-use bitternlatch_policy::interface::{Action, Event, ListForm, Outcome, RequestId, ServerId};
+use bitternlatch_policy::interface::{Action, Event, Outcome, RequestId};
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
@@ -307,61 +306,6 @@
         }
     }
 
-    fn on_server_list(&mut self, now: Micros, list: Vec<Host>, out: &mut Vec<Output>) {
-        let change = self.servers.take_list(list, &self.settings);
-        change
-            .skipped
-            .into_iter()
-            .for_each(|why| log(out, Level::Error, why));
-        // The module is told first, so that what is handed back does not go to the same server again.
-        self.events.push_back(Event::Servers {
-            form: ListForm::Full,
-            entries: change.entries,
-        });
-        for server in change.closed {
-            self.return_queued(now, server, out);
-        }
-        for server in change.disconnect {
-            let moved = change.connect.contains(&server);
-            self.close_link(server, moved, out);
-        }
-        for server in change.connect {
-            self.connect(now, server, out);
-        }
-    }
-
-    /// Closes a link once nothing is out over it, or at once where its server has moved.
-    fn close_link(&mut self, server: ServerId, at_once: bool, out: &mut Vec<Output>) {
-        let busy = self
-            .requests
-            .values()
-            .any(|r| r.attempt.as_ref().is_some_and(|a| a.server == server));
-        if let Some(link) = self.links.close_when_idle(server, busy && !at_once) {
-            out.push(Output::CloseLink { link });
-        }
-    }
-
-    pub(crate) fn connect(&mut self, now: Micros, server: ServerId, out: &mut Vec<Output>) {
-        let Some(known) = self.servers.get(server) else {
-            return;
-        };
-        let (endpoint, name) = (known.server.endpoint(), known.server.name.clone());
-        let link = self.links.connect(server);
-        let within_s = self.settings.engines.connect_s + self.settings.engines.greet_s;
-        self.timers.set(
-            now.after(within_s),
-            Timer::Link {
-                server,
-                epoch: link.epoch,
-            },
-        );
-        out.push(Output::Connect {
-            link,
-            endpoint,
-            name,
-        });
-    }
-
     fn on_session(&mut self, session: SessionId, caller: Option<Caller>, out: &mut Vec<Output>) {
         if self.stopping || self.sessions.len() >= self.settings.listen.sessions {
             let reason = if self.stopping {
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -76,6 +76,15 @@
 }
 
 impl Listener {
+    /// The session that sent the request.
+    pub(crate) fn new(session: SessionId) -> Listener {
+        Listener {
+            session,
+            sequence: 0,
+            metadata: None,
+        }
+    }
+
     /// The response as this listener is to see it.
     pub(crate) fn view<'a>(&self, response: &'a Response) -> Cow<'a, Response> {
         match &self.metadata {
--- a/crates/core/src/settings/check.rs
+++ b/crates/core/src/settings/check.rs
@@ -35,7 +35,12 @@
         c.name("name", &self.name);
         c.name("zone", &self.zone);
         c.within("dispatchers", f64::from(self.dispatchers), 1.0, 65_535.0);
-        self.check_sides(&mut c);
+        self.check_listen(&mut c);
+        self.check_engines(&mut c);
+        c.within("inventory.reread_s", self.inventory.reread_s, 0.01, 3600.0);
+        self.check_identity(&mut c);
+        c.within("stop.within_s", self.stop.within_s, 0.1, 3600.0);
+        self.check_requests(&mut c);
         if let Some(cluster) = &self.cluster {
             cluster.check(&self.name, &mut c);
         }
@@ -44,8 +49,8 @@
         c.0
     }
 
-    fn check_sides(&self, c: &mut Check) {
-        let (l, e, r) = (&self.listen, &self.engines, &self.requests);
+    fn check_listen(&self, c: &mut Check) {
+        let l = &self.listen;
         c.within("listen.sessions", l.sessions as f64, 1.0, 100_000.0);
         c.within(
             "listen.session_requests",
@@ -72,6 +77,10 @@
                 );
             }
         }
+    }
+
+    fn check_engines(&self, c: &mut Check) {
+        let e = &self.engines;
         if e.tls
             .as_ref()
             .is_some_and(|t| t.certificate.is_some() != t.key.is_some())
@@ -88,7 +97,10 @@
         );
         c.within("engines.queue_messages", e.queue_messages as f64, 8.0, 1e6);
         c.within("engines.ping_s", e.ping_s, 0.05, 3600.0);
-        c.within("inventory.reread_s", self.inventory.reread_s, 0.01, 3600.0);
+    }
+
+    fn check_identity(&self, c: &mut Check) {
+        let l = &self.listen;
         if let Some(identity) = &self.identity {
             if identity.keys.is_some()
                 && (identity.issuer.is_empty() || identity.audience.is_empty())
@@ -109,7 +121,10 @@
             c.within("identity.refresh_s", identity.refresh_s, 0.05, 86_400.0);
             c.within("identity.keep_s", identity.cache_lifetime_s, 1.0, 1e7);
         }
-        c.within("stop.within_s", self.stop.within_s, 0.1, 3600.0);
+    }
+
+    fn check_requests(&self, c: &mut Check) {
+        let r = &self.requests;
         c.within("requests.in_hand", r.max_requests as f64, 1.0, 1e7);
         c.within("requests.prompt_bytes", r.prompt_bytes as f64, 1024.0, 1e9);
         c.within(
--- a/crates/core/src/validated_request.rs
+++ b/crates/core/src/validated_request.rs
@@ -2,14 +2,15 @@
 
 use bitternlatch_overload::{Asked, Spent};
 use bitternlatch_policy::interface::{Request as Ask, RequestId};
-use bitternlatch_protocol::client::Create;
+use bitternlatch_protocol::client::{self, BadRequest, Create};
 use bitternlatch_protocol::tokens_of;
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
 use crate::idempotency::Key;
 use crate::load_shedding::{AdmittedWork, EXPECTED_OUTPUT_SHARE};
+use crate::machine::Machine;
 use crate::settings::Class;
-use crate::types::Micros;
+use crate::types::{Micros, SessionId};
 use crate::workflows::Intent;
 
 /// What of a message has been settled before the request is made.
@@ -121,3 +122,107 @@
     hash.update(&create.max_output_tokens.unwrap_or(0).to_le_bytes());
     hash.digest()
 }
+
+impl Machine {
+    pub(crate) fn validate(
+        &self,
+        now: Micros,
+        session: SessionId,
+        create: &Create,
+    ) -> Result<ValidatedRequest, BadRequest> {
+        let meta = |name: &str| create.metadata.get(name).map(String::as_str);
+        let field = |name: &str, why: String| BadRequest::field(&format!("metadata.{name}"), why);
+        let class = match meta(client::META_CLASS) {
+            None => 0,
+            Some(name) => {
+                let found = self.settings.classes.iter().position(|c| c.name == name);
+                found.ok_or_else(|| {
+                    field(client::META_CLASS, format!("'{name}' is no class here"))
+                })?
+            }
+        };
+        let grant = self.granted(now, session, create, &self.settings.classes[class].name)?;
+        // With callers known the tenant is the caller's; what the request claims has been held against it.
+        let tenant = match grant
+            .as_ref()
+            .map(|g| g.tenant.as_str())
+            .or(meta(client::META_TENANT))
+        {
+            None => 0,
+            Some(_) if self.settings.tenants.is_empty() => 0,
+            Some(name) => {
+                let found = self.settings.tenants.iter().position(|t| t.name == name);
+                found.ok_or_else(|| {
+                    field(client::META_TENANT, format!("'{name}' is no tenant here"))
+                })?
+            }
+        };
+        let full_s = self.settings.classes[class].deadline_s;
+        let time_left_s = match meta(client::META_DEADLINE_MS).map(str::parse::<f64>) {
+            None => full_s,
+            Some(Ok(ms)) if ms > 0.0 && ms.is_finite() => full_s.min(ms / 1000.0),
+            Some(_) => {
+                let why = "a number of milliseconds above 0 is expected";
+                return Err(field(client::META_DEADLINE_MS, why.to_string()));
+            }
+        };
+        let (class, tenant) = (class as u16, tenant as u32);
+        let text = meta(client::META_KEY).filter(|k| !k.is_empty());
+        let owner = grant.as_ref().map(|g| g.owner.clone()).unwrap_or_default();
+        let key = text.map(|text| Key {
+            tenant,
+            class,
+            owner: owner.clone(),
+            text: text.to_string(),
+        });
+        let (conversation, prompt) = self.prompt(create, tenant, &owner)?;
+        let most = self.settings.requests.max_output_tokens;
+        let allowed = grant.map_or(most, |g| most.min(g.max_output_tokens));
+        let max_tokens = create.max_output_tokens.unwrap_or(allowed);
+        Ok(ValidatedRequest {
+            class,
+            tenant,
+            owner,
+            time_left_s,
+            key,
+            step: None,
+            admitted: None,
+            conversation,
+            prompt,
+            max_tokens,
+        })
+    }
+
+    /// The whole prompt and the key of its conversation; 0 where it begins one.
+    fn prompt(
+        &self,
+        create: &Create,
+        tenant: u32,
+        owner: &str,
+    ) -> Result<(u64, String), BadRequest> {
+        let (conversation, head) = match &create.previous_response_id {
+            None => (0, create.instructions.as_str()),
+            Some(id) => match self.contexts.find(id, tenant, owner) {
+                Some(context) => (context.conversation, context.text.as_str()),
+                None => {
+                    let bad =
+                        BadRequest::field("previous_response_id", "is not known here any more");
+                    return Err(BadRequest {
+                        code: "previous_response_not_found",
+                        ..bad
+                    });
+                }
+            },
+        };
+        let bytes = head.len() + 1 + create.input.len();
+        let most = self.settings.requests.prompt_bytes;
+        if bytes > most {
+            return Err(BadRequest::field(
+                "input",
+                format!("makes a prompt of {bytes} bytes, more than {most}"),
+            ));
+        }
+        let separator = if head.is_empty() { "" } else { "\n" };
+        Ok((conversation, format!("{head}{separator}{}", create.input)))
+    }
+}
