--- a/crates/core/src/actions.rs
+++ b/crates/core/src/actions.rs
@@ -84,7 +84,7 @@
             .filter(|k| k.takes_work())
             .map(|k| k.role);
         // A step's effect leaves while it is permitted, and waits where it is not; a prefill has none.
-        if role != Some(Role::Prefill) && !self.workflows.may_leave(now, id) {
+        if role != Some(Role::Prefill) && !self.workflows.may_send(now, id) {
             return self.block_send(now, id, BlockedSend { server, timeout_s }, out);
         }
         let Some(request) = self
--- a/crates/core/src/blocked_sends.rs
+++ b/crates/core/src/blocked_sends.rs
@@ -63,7 +63,7 @@
 
     /// A request ends while its send waits: the module is told that it never left.
     pub(crate) fn cancel_blocked_send(&mut self, id: RequestId) {
-        if let Some(send) = self.workflows.unwait(id) {
+        if let Some(send) = self.workflows.unblock(id) {
             self.abandon_send(id, send);
         }
     }
--- a/crates/core/src/intake.rs
+++ b/crates/core/src/intake.rs
@@ -24,6 +24,24 @@
     }
 }
 
+fn answer_not_kept() -> BadRequest {
+    let why = "its request has ended and may have run; the answer is no longer kept";
+    BadRequest {
+        status: 410,
+        code: "answer_not_kept",
+        ..BadRequest::field("metadata.idempotency_key", why)
+    }
+}
+
+fn key_reused() -> BadRequest {
+    let why = "this key was used for another request";
+    BadRequest {
+        status: 409,
+        code: "idempotency_key_reused",
+        ..BadRequest::field("metadata.idempotency_key", why)
+    }
+}
+
 impl Machine {
     pub(crate) fn on_client_text(
         &mut self,
@@ -67,35 +85,15 @@
             return self.query_workflow(now, session, create, validated, workflow_operation, out);
         }
         if let Some(key) = &validated.key {
-            let asked = fingerprint(create);
-            match self.keys.lookup(key, asked) {
+            match self.keys.lookup(key, fingerprint(create)) {
                 KeyLookup::New => {}
                 KeyLookup::Attach(id) => return Ok(self.attach(session, id, create, out)?),
                 KeyLookup::Answer(answer) => {
                     self.send_recorded_answer(session, &answer, create, out);
                     return Ok(());
                 }
-                KeyLookup::Evicted => {
-                    let why =
-                        "its request has ended and may have run; the answer is no longer kept";
-                    let bad = BadRequest::field("metadata.idempotency_key", why);
-                    return Err(BadRequest {
-                        status: 410,
-                        code: "answer_not_kept",
-                        ..bad
-                    }
-                    .into());
-                }
-                KeyLookup::OtherRequest => {
-                    let why = "this key was used for another request";
-                    let bad = BadRequest::field("metadata.idempotency_key", why);
-                    return Err(BadRequest {
-                        status: 409,
-                        code: "idempotency_key_reused",
-                        ..bad
-                    }
-                    .into());
-                }
+                KeyLookup::Evicted => return Err(answer_not_kept().into()),
+                KeyLookup::OtherRequest => return Err(key_reused().into()),
                 KeyLookup::CapacityExceeded => {
                     return Err(too_many("no room for another idempotency key").into())
                 }
@@ -124,43 +122,31 @@
             .admitted
             .map_or_else(|| self.evaluate_admission(now, create, &validated), Ok);
         let Ok(mut admitted) = verdict else {
-            self.begin(
-                now,
-                session,
-                create,
-                validated,
-                AdmissionDecision {
-                    hold: None,
-                    verdict,
-                },
-                out,
-            );
+            let decision = AdmissionDecision {
+                hold: None,
+                verdict,
+            };
+            self.begin(now, session, create, validated, decision, out);
             return Ok(());
         };
         let most = Amount {
             prompt: tokens_of(validated.prompt.len()),
             output: validated.max_tokens,
         };
-        self.leases.wanted(now, validated.tenant, most.total());
+        let tenant = validated.tenant;
+        self.leases.wanted(now, tenant, most.total());
         let hold = self
             .book
-            .hold(now.seconds(), validated.tenant, validated.class, most);
-        let hold = hold.map_err(|short| {
-            self.load_shedding.request_ended(&mut admitted);
-            Rejection::by_budget(short)
-        })?;
-        let tenant = validated.tenant;
-        self.begin(
-            now,
-            session,
-            create,
-            validated,
-            AdmissionDecision {
-                hold: Some(hold),
-                verdict,
-            },
-            out,
-        );
+            .hold(now.seconds(), tenant, validated.class, most)
+            .map_err(|short| {
+                self.load_shedding.request_ended(&mut admitted);
+                Rejection::by_budget(short)
+            })?;
+        let decision = AdmissionDecision {
+            hold: Some(hold),
+            verdict,
+        };
+        self.begin(now, session, create, validated, decision, out);
         self.send_rate_limits(now, tenant, session, out);
         Ok(())
     }
--- a/crates/core/src/link_events.rs
+++ b/crates/core/src/link_events.rs
@@ -156,7 +156,7 @@
         attempt: &str,
     ) -> Option<RequestId> {
         let (id, number) = read_wire_id(self.instance, attempt)?;
-        let may = self.workflows.may_leave(now, id);
+        let may = self.workflows.may_send(now, id);
         let current = self.requests.get_mut(&id).and_then(|r| r.attempt.as_mut());
         if let Some(a) = current.filter(|a| a.number == number) {
             if a.purpose != Purpose::Prefill && !may {
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -275,7 +275,7 @@
             Input::Overload(told) => self.on_overload(now, told, out),
             Input::OutputLength(told) => self.output_lengths.told(now, told),
             Input::Workflow(told) => {
-                let act = self.workflows.told(now, told);
+                let act = self.workflows.on_event(now, told);
                 self.on_workflow(now, act, out);
             }
             Input::ServerListUnreadable(lost) => self.on_server_list_unreadable(lost, out),
@@ -339,8 +339,8 @@
             Timer::BudgetLeases => self.request_budget_leases(now, out),
             Timer::Observations => self.observe_servers(now, out),
             Timer::WorkflowQuery { call } => {
-                let act = self.workflows.late(call);
-                if self.workflows.lingers(call) {
+                let act = self.workflows.on_timeout(call);
+                if self.workflows.is_pending(call) {
                     self.timers.set(
                         now.after(RESULT_DURABLE_WITHIN_S),
                         Timer::WorkflowQuery { call },
--- a/crates/core/src/request_start.rs
+++ b/crates/core/src/request_start.rs
@@ -112,7 +112,7 @@
         self.prompt_bytes += request.prompt.len();
         self.requests.insert(id, request);
         if let Some((intent, until)) = step {
-            self.workflows.go(id, intent, until);
+            self.workflows.start(id, intent, until);
         }
         self.sessions.listen(session, id);
         self.send_created(id, session, out);
--- a/crates/core/src/settings/check.rs
+++ b/crates/core/src/settings/check.rs
@@ -169,12 +169,7 @@
         );
     }
 
-    fn check_tables(&self, c: &mut Check) {
-        c.some("classes", self.classes.len());
-        c.some("kinds", self.kinds.len());
-        c.unique("classes", self.classes.iter().map(|x| x.name.as_str()));
-        c.unique("tenants", self.tenants.iter().map(|x| x.name.as_str()));
-        c.unique("kinds", self.kinds.iter().map(|x| x.name.as_str()));
+    fn check_classes(&self, c: &mut Check) {
         for (i, class) in self.classes.iter().enumerate() {
             let at = |key: &str| format!("classes.{i}.{key}");
             c.within(&at("ttft_aim_s"), class.ttft_objective_s, 0.001, 3600.0);
@@ -201,6 +196,15 @@
                 );
             }
         }
+    }
+
+    fn check_tables(&self, c: &mut Check) {
+        c.some("classes", self.classes.len());
+        c.some("kinds", self.kinds.len());
+        c.unique("classes", self.classes.iter().map(|x| x.name.as_str()));
+        c.unique("tenants", self.tenants.iter().map(|x| x.name.as_str()));
+        c.unique("kinds", self.kinds.iter().map(|x| x.name.as_str()));
+        self.check_classes(c);
         for (i, tenant) in self.tenants.iter().enumerate() {
             c.within(
                 &format!("tenants.{i}.quota_rps"),
--- a/crates/core/src/validated_request.rs
+++ b/crates/core/src/validated_request.rs
@@ -123,62 +123,61 @@
     hash.digest()
 }
 
+/// A complete prompt.
+struct Prompt {
+    /// Key of the conversation that it continues; 0 where it begins one.
+    conversation: u64,
+    text: String,
+}
+
+fn metadata<'a>(create: &'a Create, name: &str) -> Option<&'a str> {
+    create.metadata.get(name).map(String::as_str)
+}
+
+fn bad_metadata(name: &str, why: String) -> BadRequest {
+    BadRequest::field(&format!("metadata.{name}"), why)
+}
+
+/// Seconds until the client's deadline; at most those of its class.
+fn time_left_s(create: &Create, class_s: f64) -> Result<f64, BadRequest> {
+    match metadata(create, client::META_DEADLINE_MS).map(str::parse::<f64>) {
+        None => Ok(class_s),
+        Some(Ok(ms)) if ms > 0.0 && ms.is_finite() => Ok(class_s.min(ms / 1000.0)),
+        Some(_) => {
+            let why = "a number of milliseconds above 0 is expected";
+            Err(bad_metadata(client::META_DEADLINE_MS, why.to_string()))
+        }
+    }
+}
+
 impl Machine {
+    /// Checks a request against the settings, its caller's rights and the conversation that it continues.
+    ///
+    /// # Errors
+    /// The first field at fault.
     pub(crate) fn validate(
         &self,
         now: Micros,
         session: SessionId,
         create: &Create,
     ) -> Result<ValidatedRequest, BadRequest> {
-        let meta = |name: &str| create.metadata.get(name).map(String::as_str);
-        let field = |name: &str, why: String| BadRequest::field(&format!("metadata.{name}"), why);
-        let class = match meta(client::META_CLASS) {
-            None => 0,
-            Some(name) => {
-                let found = self.settings.classes.iter().position(|c| c.name == name);
-                found.ok_or_else(|| {
-                    field(client::META_CLASS, format!("'{name}' is no class here"))
-                })?
-            }
-        };
+        let class = self.class_index(create)?;
         let grant = self.granted(now, session, create, &self.settings.classes[class].name)?;
         // With callers known the tenant is the caller's; what the request claims has been held against it.
-        let tenant = match grant
-            .as_ref()
-            .map(|g| g.tenant.as_str())
-            .or(meta(client::META_TENANT))
-        {
-            None => 0,
-            Some(_) if self.settings.tenants.is_empty() => 0,
-            Some(name) => {
-                let found = self.settings.tenants.iter().position(|t| t.name == name);
-                found.ok_or_else(|| {
-                    field(client::META_TENANT, format!("'{name}' is no tenant here"))
-                })?
-            }
-        };
-        let full_s = self.settings.classes[class].deadline_s;
-        let time_left_s = match meta(client::META_DEADLINE_MS).map(str::parse::<f64>) {
-            None => full_s,
-            Some(Ok(ms)) if ms > 0.0 && ms.is_finite() => full_s.min(ms / 1000.0),
-            Some(_) => {
-                let why = "a number of milliseconds above 0 is expected";
-                return Err(field(client::META_DEADLINE_MS, why.to_string()));
-            }
-        };
+        let tenant = self.tenant_index(create, grant.as_ref().map(|g| g.tenant.as_str()))?;
+        let time_left_s = time_left_s(create, self.settings.classes[class].deadline_s)?;
         let (class, tenant) = (class as u16, tenant as u32);
-        let text = meta(client::META_KEY).filter(|k| !k.is_empty());
         let owner = grant.as_ref().map(|g| g.owner.clone()).unwrap_or_default();
-        let key = text.map(|text| Key {
+        let key = metadata(create, client::META_KEY).filter(|k| !k.is_empty());
+        let key = key.map(|text| Key {
             tenant,
             class,
             owner: owner.clone(),
             text: text.to_string(),
         });
-        let (conversation, prompt) = self.prompt(create, tenant, &owner)?;
+        let Prompt { conversation, text } = self.prompt(create, tenant, &owner)?;
         let most = self.settings.requests.max_output_tokens;
         let allowed = grant.map_or(most, |g| most.min(g.max_output_tokens));
-        let max_tokens = create.max_output_tokens.unwrap_or(allowed);
         Ok(ValidatedRequest {
             class,
             tenant,
@@ -188,18 +187,36 @@
             step: None,
             admitted: None,
             conversation,
-            prompt,
-            max_tokens,
+            prompt: text,
+            max_tokens: create.max_output_tokens.unwrap_or(allowed),
         })
     }
 
-    /// The whole prompt and the key of its conversation; 0 where it begins one.
-    fn prompt(
-        &self,
-        create: &Create,
-        tenant: u32,
-        owner: &str,
-    ) -> Result<(u64, String), BadRequest> {
+    /// The class that a request names, else the first.
+    fn class_index(&self, create: &Create) -> Result<usize, BadRequest> {
+        let Some(name) = metadata(create, client::META_CLASS) else {
+            return Ok(0);
+        };
+        let found = self.settings.classes.iter().position(|c| c.name == name);
+        found.ok_or_else(|| bad_metadata(client::META_CLASS, format!("'{name}' is no class here")))
+    }
+
+    /// The caller's tenant, else the one that a request names, else the first.
+    fn tenant_index(&self, create: &Create, granted: Option<&str>) -> Result<usize, BadRequest> {
+        let tenants = &self.settings.tenants;
+        match granted.or(metadata(create, client::META_TENANT)) {
+            None => Ok(0),
+            Some(_) if tenants.is_empty() => Ok(0),
+            Some(name) => {
+                let found = tenants.iter().position(|t| t.name == name);
+                let why = || format!("'{name}' is no tenant here");
+                found.ok_or_else(|| bad_metadata(client::META_TENANT, why()))
+            }
+        }
+    }
+
+    /// The complete prompt, with the conversation that it continues.
+    fn prompt(&self, create: &Create, tenant: u32, owner: &str) -> Result<Prompt, BadRequest> {
         let (conversation, head) = match &create.previous_response_id {
             None => (0, create.instructions.as_str()),
             Some(id) => match self.contexts.find(id, tenant, owner) {
@@ -223,6 +240,9 @@
             ));
         }
         let separator = if head.is_empty() { "" } else { "\n" };
-        Ok((conversation, format!("{head}{separator}{}", create.input)))
+        Ok(Prompt {
+            conversation,
+            text: format!("{head}{separator}{}", create.input),
+        })
     }
 }
--- a/crates/core/src/workflow_steps.rs
+++ b/crates/core/src/workflow_steps.rs
@@ -90,7 +90,7 @@
                 self.load_shedding.request_ended(&mut query.admitted);
                 self.answer_without_server(now, &query, &text, known, out);
             }
-            Some(WorkflowAction::Refuse { mut query, why }) => {
+            Some(WorkflowAction::Reject { mut query, why }) => {
                 self.load_shedding.request_ended(&mut query.admitted);
                 let text = Rejection::by_workflow(why).to_text(&query.create);
                 out.push(Output::SendToClient {
@@ -98,7 +98,7 @@
                     text,
                 });
             }
-            Some(WorkflowAction::Go {
+            Some(WorkflowAction::Admit {
                 query,
                 intent,
                 until,
@@ -109,12 +109,12 @@
             Some(WorkflowAction::RetryStepEnd(id)) => self
                 .timers
                 .set(now.after(STEP_END_RETRY_S), Timer::StepEnd { request: id }),
-            Some(WorkflowAction::Give {
+            Some(WorkflowAction::Deliver {
                 request,
                 answer,
                 held,
             }) => self.deliver_step(now, request, *answer, held, out),
-            Some(WorkflowAction::Tell(ask)) => out.push(Output::Workflow(ask)),
+            Some(WorkflowAction::SendCommand(ask)) => out.push(Output::Workflow(ask)),
         }
     }
 
--- a/crates/core/src/workflows/messages.rs
+++ b/crates/core/src/workflows/messages.rs
@@ -51,7 +51,7 @@
 ) -> WorkflowQuery {
     match does {
         Does::Claim { worker } => WorkflowQuery::Claim { workflow, worker },
-        Does::Carry { epoch } => WorkflowQuery::Carry { workflow, epoch },
+        Does::Carry { epoch } => WorkflowQuery::RenewLease { workflow, epoch },
         Does::Finish { epoch } => WorkflowQuery::Finish {
             workflow,
             epoch,
--- a/crates/core/src/workflows/tests.rs
+++ b/crates/core/src/workflows/tests.rs
@@ -3,6 +3,8 @@
 use bitternlatch_protocol::workflow::StepFate;
 
 use super::*;
+use bitternlatch_protocol::workflow::Claimed;
+use bitternlatch_workflow::Event;
 
 const S: SessionId = SessionId(1);
 
@@ -59,7 +61,7 @@
     let (call, _) = asks(&mut w, WorkflowQuery::Step(wanted.clone()));
     assert_eq!(w.in_flight(&wanted), Some(Err(RejectReason::Busy)));
     assert_eq!((w.pending_queries(S), w.has_pending()), (1, true));
-    let act = w.told(
+    let act = w.on_event(
         Micros(0),
         Event::SendPermitted {
             call,
@@ -69,7 +71,7 @@
     assert!(
         matches!(
             act,
-            Some(WorkflowAction::Go {
+            Some(WorkflowAction::Admit {
                 until: Micros(500),
                 ..
             })
@@ -77,7 +79,7 @@
         "{act:?}"
     );
     assert!(
-        w.told(
+        w.on_event(
             Micros(0),
             Event::SendPermitted {
                 call,
@@ -87,7 +89,7 @@
         .is_none(),
         "told twice"
     );
-    w.go(9, wanted.clone(), Micros(500));
+    w.start(9, wanted.clone(), Micros(500));
     assert_eq!(w.in_flight(&wanted), Some(Ok(9)));
     assert_eq!(
         w.in_flight(&Intent {
@@ -113,30 +115,30 @@
             ..
         }
     ));
-    assert!(w.is_ending(9) && !w.may_leave(Micros(0), 9) && w.has_pending());
+    assert!(w.is_ending(9) && !w.may_send(Micros(0), 9) && w.has_pending());
     assert!(
         w.end(9, done(), answer(), Micros(2_000)).is_err(),
         "it ends once"
     );
     assert!(matches!(
-        w.told(Micros(0), Event::Committed { call }),
-        Some(WorkflowAction::Give {
+        w.on_event(Micros(0), Event::Committed { call }),
+        Some(WorkflowAction::Deliver {
             request: 9,
             held: Ok(()),
             ..
         })
     ));
-    assert!(w.late(call).is_none() && !w.has_pending() && w.in_flight(&wanted).is_none());
+    assert!(w.on_timeout(call).is_none() && !w.has_pending() && w.in_flight(&wanted).is_none());
 }
 
 #[test]
 fn send_permission_expires_and_is_requested_again() {
     let mut w = Workflows::default();
-    w.go(1, intent(1, 1, Effect::Unsafe), Micros(500));
-    w.go(2, intent(1, 2, Effect::Safe), Micros(500));
-    assert!(w.may_leave(Micros(499), 1) && !w.may_leave(Micros(500), 1));
+    w.start(1, intent(1, 1, Effect::Unsafe), Micros(500));
+    w.start(2, intent(1, 2, Effect::Safe), Micros(500));
+    assert!(w.may_send(Micros(499), 1) && !w.may_send(Micros(500), 1));
     assert!(
-        w.may_leave(Micros(500), 2) && w.may_leave(Micros(500), 77),
+        w.may_send(Micros(500), 2) && w.may_send(Micros(500), 77),
         "safe, and no step"
     );
     let send = BlockedSend {
@@ -157,7 +159,7 @@
             }
         ]
     ));
-    let go = w.told(
+    let go = w.on_event(
         Micros(600),
         Event::SendPermitted {
             call,
@@ -168,14 +170,14 @@
         matches!(go, Some(WorkflowAction::Send { request: 1, may: true, send: s }) if s == send),
         "{go:?}"
     );
-    assert!(w.may_leave(Micros(899), 1) && !w.may_leave(Micros(900), 1));
+    assert!(w.may_send(Micros(899), 1) && !w.may_send(Micros(900), 1));
     let (call, tell) = w.wait(1, send, true, Micros(5_000)).expect("it waits");
     assert!(
         matches!(tell.as_slice(), [Command::Intend { .. }]),
         "an earlier one may have run"
     );
-    assert!(!w.may_leave(Micros(0), 1), "until it is permitted again");
-    let no = w.told(
+    assert!(!w.may_send(Micros(0), 1), "until it is permitted again");
+    let no = w.on_event(
         Micros(700),
         Event::Rejected {
             call,
@@ -183,17 +185,17 @@
         },
     );
     assert!(
-        matches!(no, Some(WorkflowAction::Send { may: false, .. })) && !w.may_leave(Micros(0), 1)
+        matches!(no, Some(WorkflowAction::Send { may: false, .. })) && !w.may_send(Micros(0), 1)
     );
     let (call, _) = w.wait(1, send, true, Micros(5_000)).expect("it waits");
     assert!(matches!(
-        w.late(call),
+        w.on_timeout(call),
         Some(WorkflowAction::Send { may: false, .. })
     ));
     let (call, _) = w.wait(1, send, true, Micros(5_000)).expect("it waits");
-    assert_eq!(w.unwait(1), Some(send), "its request has ended");
+    assert_eq!(w.unblock(1), Some(send), "its request has ended");
     assert!(w
-        .told(
+        .on_event(
             Micros(0),
             Event::SendPermitted {
                 call,
@@ -201,7 +203,7 @@
             }
         )
         .is_none());
-    w.go(3, intent(1, 3, Effect::Unsafe), Micros(500));
+    w.start(3, intent(1, 3, Effect::Unsafe), Micros(500));
     assert!(w.wait(3, send, false, Micros(5_000)).is_some());
     let end = w.end(3, AttemptOutcome::NeverRan, answer(), Micros(9));
     assert!(
@@ -216,7 +218,7 @@
     let (call, _) = asks(&mut w, WorkflowQuery::Step(intent(1, 1, Effect::Keyed)));
     w.session_closed(S);
     assert_eq!((w.pending_queries(S), w.has_pending()), (0, false));
-    let act = w.told(
+    let act = w.on_event(
         Micros(0),
         Event::SendPermitted {
             call,
@@ -226,7 +228,7 @@
     assert!(
         matches!(
             act,
-            Some(WorkflowAction::Tell(Command::ReportOutcome {
+            Some(WorkflowAction::SendCommand(Command::ReportOutcome {
                 outcome: AttemptOutcome::NeverRan,
                 ..
             }))
@@ -235,14 +237,14 @@
     );
     let (call, _) = asks(&mut w, WorkflowQuery::Step(intent(1, 2, Effect::Keyed)));
     assert!(matches!(
-        w.late(call),
-        Some(WorkflowAction::Refuse {
+        w.on_timeout(call),
+        Some(WorkflowAction::Reject {
             why: RejectReason::NoMajority,
             ..
         })
     ));
-    assert!(w.lingers(call) && !w.has_pending());
-    let act = w.told(
+    assert!(w.is_pending(call) && !w.has_pending());
+    let act = w.on_event(
         Micros(0),
         Event::SendPermitted {
             call,
@@ -252,7 +254,7 @@
     assert!(
         matches!(
             act,
-            Some(WorkflowAction::Tell(Command::ReportOutcome {
+            Some(WorkflowAction::SendCommand(Command::ReportOutcome {
                 step: 2,
                 outcome: AttemptOutcome::NeverRan,
                 ..
@@ -262,10 +264,10 @@
     );
     let (call, _) = asks(&mut w, WorkflowQuery::Step(intent(1, 2, Effect::Keyed)));
     assert!(
-        w.late(call).is_some() && w.late(call).is_none() && !w.lingers(call),
+        w.on_timeout(call).is_some() && w.on_timeout(call).is_none() && !w.is_pending(call),
         "once more, and no longer"
     );
-    w.go(5, intent(1, 3, Effect::Keyed), Micros(500));
+    w.start(5, intent(1, 3, Effect::Keyed), Micros(500));
     let told = w.abandon(5, AttemptOutcome::MayHaveRun, Micros(900));
     assert!(matches!(
         told,
@@ -276,7 +278,7 @@
         })
     ));
     assert_eq!(w.abandon(5, AttemptOutcome::MayHaveRun, Micros(900)), None);
-    w.go(6, intent(1, 4, Effect::Keyed), Micros(500));
+    w.start(6, intent(1, 4, Effect::Keyed), Micros(500));
     let Ok((call, _)) = w.end(6, done(), answer(), Micros(2_000)) else {
         panic!("a step")
     };
@@ -286,7 +288,7 @@
     };
     assert!(
         matches!(
-            w.told(Micros(1), busy(call)),
+            w.on_event(Micros(1), busy(call)),
             Some(WorkflowAction::RetryStepEnd(6))
         ),
         "a result is not lost to a full queue"
@@ -295,20 +297,20 @@
         panic!("told again")
     };
     assert!(matches!(
-        w.late(call),
-        Some(WorkflowAction::Give {
+        w.on_timeout(call),
+        Some(WorkflowAction::Deliver {
             held: Err(None),
             ..
         })
     ));
-    w.go(7, intent(1, 5, Effect::Keyed), Micros(500));
+    w.start(7, intent(1, 5, Effect::Keyed), Micros(500));
     let Ok((call, _)) = w.end(7, done(), answer(), Micros(2_000)) else {
         panic!("a step")
     };
-    let late = w.told(Micros(2_000), busy(call));
+    let late = w.on_event(Micros(2_000), busy(call));
     assert!(matches!(
         late,
-        Some(WorkflowAction::Give {
+        Some(WorkflowAction::Deliver {
             held: Err(Some(RejectReason::Busy)),
             ..
         })
@@ -341,7 +343,7 @@
     };
     let Some(WorkflowAction::Answer {
         text, known: false, ..
-    }) = w.told(Micros(0), told)
+    }) = w.on_event(Micros(0), told)
     else {
         panic!("an answer")
     };
@@ -354,26 +356,26 @@
     assert_eq!(claimed.steps[1].fate, StepFate::Open);
     let (call, _) = asks(
         &mut w,
-        WorkflowQuery::Carry {
+        WorkflowQuery::RenewLease {
             workflow: "t//w".into(),
             epoch: 2,
         },
     );
-    let act = w.told(Micros(0), Event::SendPermitted { call, until_us: 1 });
+    let act = w.on_event(Micros(0), Event::SendPermitted { call, until_us: 1 });
     assert!(
-        matches!(act, Some(WorkflowAction::Refuse { .. })),
+        matches!(act, Some(WorkflowAction::Reject { .. })),
         "no answer to this question: {act:?}"
     );
     for _ in 0..MAX_PENDING_QUERIES {
         asks(
             &mut w,
-            WorkflowQuery::Carry {
+            WorkflowQuery::RenewLease {
                 workflow: "t//w".into(),
                 epoch: 2,
             },
         );
     }
-    let carry = WorkflowQuery::Carry {
+    let carry = WorkflowQuery::RenewLease {
         workflow: "t//w".into(),
         epoch: 2,
     };
