--- a/crates/core/src/validated_request.rs
+++ b/crates/core/src/validated_request.rs
@@ -2,14 +2,15 @@
 
 use bitternlatch_overload::{Asked, Spent};
 use bitternlatch_policy::interface::{Request as Ask, RequestId};
-use bitternlatch_protocol::client::Create;
+use bitternlatch_protocol::client::{self, BadRequest, Create};
 use bitternlatch_protocol::tokens_of;
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
 use crate::idempotency::Key;
 use crate::load_shedding::{AdmittedWork, EXPECTED_OUTPUT_SHARE};
+use crate::machine::Machine;
 use crate::settings::Class;
-use crate::types::Micros;
+use crate::types::{Micros, SessionId};
 use crate::workflows::Intent;
 
 /// What of a message has been settled before the request is made.
@@ -121,3 +122,127 @@
     hash.update(&create.max_output_tokens.unwrap_or(0).to_le_bytes());
     hash.digest()
 }
+
+/// A complete prompt.
+struct Prompt {
+    /// Key of the conversation that it continues; 0 where it begins one.
+    conversation: u64,
+    text: String,
+}
+
+fn metadata<'a>(create: &'a Create, name: &str) -> Option<&'a str> {
+    create.metadata.get(name).map(String::as_str)
+}
+
+fn bad_metadata(name: &str, why: String) -> BadRequest {
+    BadRequest::field(&format!("metadata.{name}"), why)
+}
+
+/// Seconds until the client's deadline; at most those of its class.
+fn time_left_s(create: &Create, class_s: f64) -> Result<f64, BadRequest> {
+    match metadata(create, client::META_DEADLINE_MS).map(str::parse::<f64>) {
+        None => Ok(class_s),
+        Some(Ok(ms)) if ms > 0.0 && ms.is_finite() => Ok(class_s.min(ms / 1000.0)),
+        Some(_) => {
+            let why = "a number of milliseconds above 0 is expected";
+            Err(bad_metadata(client::META_DEADLINE_MS, why.to_string()))
+        }
+    }
+}
+
+impl Machine {
+    /// Checks a request against the settings, its caller's rights and the conversation that it continues.
+    ///
+    /// # Errors
+    /// The first field at fault.
+    pub(crate) fn validate(
+        &self,
+        now: Micros,
+        session: SessionId,
+        create: &Create,
+    ) -> Result<ValidatedRequest, BadRequest> {
+        let class = self.class_index(create)?;
+        let grant = self.granted(now, session, create, &self.settings.classes[class].name)?;
+        // With callers known the tenant is the caller's; what the request claims has been held against it.
+        let tenant = self.tenant_index(create, grant.as_ref().map(|g| g.tenant.as_str()))?;
+        let time_left_s = time_left_s(create, self.settings.classes[class].deadline_s)?;
+        let (class, tenant) = (class as u16, tenant as u32);
+        let owner = grant.as_ref().map(|g| g.owner.clone()).unwrap_or_default();
+        let key = metadata(create, client::META_KEY).filter(|k| !k.is_empty());
+        let key = key.map(|text| Key {
+            tenant,
+            class,
+            owner: owner.clone(),
+            text: text.to_string(),
+        });
+        let Prompt { conversation, text } = self.prompt(create, tenant, &owner)?;
+        let most = self.settings.requests.max_output_tokens;
+        let allowed = grant.map_or(most, |g| most.min(g.max_output_tokens));
+        Ok(ValidatedRequest {
+            class,
+            tenant,
+            owner,
+            time_left_s,
+            key,
+            step: None,
+            admitted: None,
+            conversation,
+            prompt: text,
+            max_tokens: create.max_output_tokens.unwrap_or(allowed),
+        })
+    }
+
+    /// The class that a request names, else the first.
+    fn class_index(&self, create: &Create) -> Result<usize, BadRequest> {
+        let Some(name) = metadata(create, client::META_CLASS) else {
+            return Ok(0);
+        };
+        let found = self.settings.classes.iter().position(|c| c.name == name);
+        found.ok_or_else(|| bad_metadata(client::META_CLASS, format!("'{name}' is no class here")))
+    }
+
+    /// The caller's tenant, else the one that a request names, else the first.
+    fn tenant_index(&self, create: &Create, granted: Option<&str>) -> Result<usize, BadRequest> {
+        let tenants = &self.settings.tenants;
+        match granted.or(metadata(create, client::META_TENANT)) {
+            None => Ok(0),
+            Some(_) if tenants.is_empty() => Ok(0),
+            Some(name) => {
+                let found = tenants.iter().position(|t| t.name == name);
+                let why = || format!("'{name}' is no tenant here");
+                found.ok_or_else(|| bad_metadata(client::META_TENANT, why()))
+            }
+        }
+    }
+
+    /// The complete prompt, with the conversation that it continues.
+    fn prompt(&self, create: &Create, tenant: u32, owner: &str) -> Result<Prompt, BadRequest> {
+        let (conversation, head) = match &create.previous_response_id {
+            None => (0, create.instructions.as_str()),
+            Some(id) => match self.contexts.find(id, tenant, owner) {
+                Some(context) => (context.conversation, context.text.as_str()),
+                None => {
+                    let bad =
+                        BadRequest::field("previous_response_id", "is not known here any more");
+                    return Err(BadRequest {
+                        code: "previous_response_not_found",
+                        ..bad
+                    });
+                }
+            },
+        };
+        let bytes = head.len() + 1 + create.input.len();
+        let most = self.settings.requests.prompt_bytes;
+        if bytes > most {
+            return Err(BadRequest::field(
+                "input",
+                format!("makes a prompt of {bytes} bytes, more than {most}"),
+            ));
+        }
+        let separator = if head.is_empty() { "" } else { "\n" };
+        Ok(Prompt {
+            conversation,
+            text: format!("{head}{separator}{}", create.input),
+        })
+    }
+}
