--- a/crates/workflow/src/attempts.rs
+++ b/crates/workflow/src/attempts.rs
@@ -1,5 +1,5 @@
-//! What this process knows of its own attempts: those that it let leave and that have not ended, and those whose intent may be
-//! in a register though nobody was told to send it.
+//! This process's own attempts: those that it permitted to be sent and that have not ended, and those whose intent may be in a
+//! register though they were never sent.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,39 +10,47 @@
 use crate::step::Attempt;
 use crate::step_transitions::LocalAttempt;
 
-/// Attempts known at a time; intents beyond are refused as busy.
+/// Attempts known at a time; intents beyond them are rejected as busy.
 const MAX_ATTEMPTS: usize = 16 * 1024;
-/// How long one is remembered for certain.
+/// How long an attempt is known for certain.
 const ATTEMPT_RETENTION: Duration = Duration::from_secs(120);
 
 #[derive(Clone, Debug)]
-pub(crate) struct TrackedAttempt {
-    pub step: u32,
-    pub epoch: u64,
-    pub sent: bool,
-    /// Past it the attempt may be forgotten where there is no room. Until then one that was sent has its workflow carried for
-    /// it without a word of the worker.
-    pub until: Duration,
+struct TrackedAttempt {
+    step: u32,
+    epoch: u64,
+    sent: bool,
+    /// Past it the attempt may be forgotten where there is no capacity. Until then the lease of its workflow is renewed for one that
+    /// was sent.
+    retained_until: Duration,
 }
 
-/// By workflow and number, in order.
+/// Attempts by workflow and number, in order.
 #[derive(Debug)]
 pub(crate) struct Attempts {
     own: Process,
-    count: u64,
-    known: BTreeMap<(RegisterKey, u64), TrackedAttempt>,
+    last_number: u64,
+    tracked: BTreeMap<(RegisterKey, u64), TrackedAttempt>,
 }
 
 impl Attempts {
     pub(crate) fn new(own: Process) -> Attempts {
         Attempts {
             own,
-            count: 0,
-            known: BTreeMap::new(),
+            last_number: 0,
+            tracked: BTreeMap::new(),
         }
     }
 
-    /// A new attempt, which nobody was told to send yet; none where too many are known.
+    fn attempt(&self, number: u64) -> Attempt {
+        Attempt {
+            name: self.own.name.0,
+            start: self.own.start,
+            number,
+        }
+    }
+
+    /// A new attempt that was not sent; none where too many are known.
     pub(crate) fn open(
         &mut self,
         now: Duration,
@@ -50,87 +58,93 @@
         step: u32,
         epoch: u64,
     ) -> Option<Attempt> {
-        if self.known.len() >= MAX_ATTEMPTS {
-            self.known.retain(|_, local| now < local.until);
+        if self.tracked.len() >= MAX_ATTEMPTS {
+            self.tracked
+                .retain(|_, tracked| now < tracked.retained_until);
         }
-        if self.known.len() >= MAX_ATTEMPTS {
+        if self.tracked.len() >= MAX_ATTEMPTS {
             return None;
         }
-        self.count += 1;
-        self.known.insert(
-            (key, self.count),
-            TrackedAttempt {
-                step,
-                epoch,
-                sent: false,
-                until: now + ATTEMPT_RETENTION,
-            },
-        );
-        Some(Attempt {
-            name: self.own.name.0,
-            start: self.own.start,
-            number: self.count,
-        })
+        self.last_number += 1;
+        let tracked = TrackedAttempt {
+            step,
+            epoch,
+            sent: false,
+            retained_until: now + ATTEMPT_RETENTION,
+        };
+        self.tracked.insert((key, self.last_number), tracked);
+        Some(self.attempt(self.last_number))
     }
 
+    /// The attempt may be sent.
     pub(crate) fn sent(&mut self, now: Duration, key: RegisterKey, attempt: Attempt) {
-        if let Some(local) = self.known.get_mut(&(key, attempt.number)) {
-            (local.sent, local.until) = (true, now + ATTEMPT_RETENTION);
+        if let Some(tracked) = self.tracked.get_mut(&(key, attempt.number)) {
+            tracked.sent = true;
+            tracked.retained_until = now + ATTEMPT_RETENTION;
         }
     }
 
-    pub(crate) fn mine(&self, key: RegisterKey, attempt: Attempt) -> LocalAttempt {
-        let own = attempt.name == self.own.name.0 && attempt.start == self.own.start;
-        match self.known.get(&(key, attempt.number)).filter(|_| own) {
-            Some(TrackedAttempt { sent: true, .. }) => LocalAttempt::Running,
+    /// What this process knows of an attempt.
+    pub(crate) fn local_attempt(&self, key: RegisterKey, attempt: Attempt) -> LocalAttempt {
+        if attempt != self.attempt(attempt.number) {
+            return LocalAttempt::Unknown;
+        }
+        match self.tracked.get(&(key, attempt.number)) {
+            Some(tracked) if tracked.sent => LocalAttempt::Running,
             Some(_) => LocalAttempt::NeverSent,
             None => LocalAttempt::Unknown,
         }
     }
 
-    fn of(&self, key: RegisterKey) -> impl DoubleEndedIterator<Item = (u64, &TrackedAttempt)> {
-        self.known
+    fn of_workflow(
+        &self,
+        key: RegisterKey,
+    ) -> impl DoubleEndedIterator<Item = (u64, &TrackedAttempt)> {
+        self.tracked
             .range((key, 0)..=(key, u64::MAX))
-            .map(|((_, number), local)| (*number, local))
+            .map(|((_, number), tracked)| (*number, tracked))
     }
 
-    /// The attempt whose end is told: the last one that left for this step under this epoch.
+    /// The attempt whose outcome is reported: the last one that was sent for this step under this epoch.
     pub(crate) fn latest_sent(&self, key: RegisterKey, step: u32, epoch: u64) -> Option<Attempt> {
-        let is = |l: &TrackedAttempt| l.sent && l.step == step && l.epoch == epoch;
-        let (number, _) = self.of(key).rev().find(|(_, l)| is(l))?;
-        Some(Attempt {
-            name: self.own.name.0,
-            start: self.own.start,
-            number,
-        })
+        let is_reported = |tracked: &TrackedAttempt| {
+            tracked.sent && tracked.step == step && tracked.epoch == epoch
+        };
+        let (number, _) = self
+            .of_workflow(key)
+            .rev()
+            .find(|(_, tracked)| is_reported(tracked))?;
+        Some(self.attempt(number))
     }
 
-    /// The epoch under which the workflow is to be carried for an attempt that is under way.
+    /// The epoch under which the workflow's lease is to be renewed for an attempt in flight.
     pub(crate) fn active_epoch(&self, now: Duration, key: RegisterKey) -> Option<u64> {
-        self.of(key)
-            .filter(|(_, l)| l.sent && now < l.until)
-            .map(|(_, l)| l.epoch)
+        self.of_workflow(key)
+            .filter(|(_, tracked)| tracked.sent && now < tracked.retained_until)
+            .map(|(_, tracked)| tracked.epoch)
             .max()
     }
 
-    /// The workflow is not this one's to carry any more; the attempt's end is still of use.
+    /// The lease is not renewed any more; the attempt's outcome is still of use.
     pub(crate) fn fence(&mut self, key: RegisterKey, epoch: u64) {
-        let known = self.known.range_mut((key, 0)..=(key, u64::MAX));
-        known
-            .filter(|(_, l)| l.epoch == epoch)
-            .for_each(|(_, l)| l.until = Duration::ZERO);
+        let of_workflow = self.tracked.range_mut((key, 0)..=(key, u64::MAX));
+        for (_, tracked) in of_workflow {
+            if tracked.epoch == epoch {
+                tracked.retained_until = Duration::ZERO;
+            }
+        }
     }
 
-    /// It has ended, and the register says so, or nobody will ask any more.
+    /// The attempt has ended and the register states so, or nobody will ask for it any more.
     pub(crate) fn close(&mut self, key: RegisterKey, attempt: Attempt) {
-        self.known.remove(&(key, attempt.number));
+        self.tracked.remove(&(key, attempt.number));
     }
 
-    /// The workflow is over.
+    /// The workflow has ended.
     pub(crate) fn close_all(&mut self, key: RegisterKey) {
-        let numbers: Vec<u64> = self.of(key).map(|(number, _)| number).collect();
+        let numbers: Vec<u64> = self.of_workflow(key).map(|(number, _)| number).collect();
         for number in numbers {
-            self.known.remove(&(key, number));
+            self.tracked.remove(&(key, number));
         }
     }
 }
--- a/crates/workflow/src/context.rs
+++ b/crates/workflow/src/context.rs
@@ -1,73 +1,79 @@
-//! What is left of steps that are long done: a line each while there is room, and one digest over all of them.
+//! What is left of steps that were compacted: a line each while there is capacity, and one digest over all of them.
 
 use serde::{Deserialize, Serialize};
 
-use crate::step::{cut, StepRecord, StepState};
+use crate::step::{truncate, StepRecord, StepState, ABANDONED_RESULT};
 
-/// Bytes of all lines; the oldest go first. The digest goes on over those that are gone.
-pub const MAX_CONTEXT_BYTES: usize = 2 * 1024;
+/// Bytes of all lines; the oldest are removed first. The digest covers those too.
+const MAX_CONTEXT_BYTES: usize = 2 * 1024;
 /// Bytes of one line.
 const MAX_LINE_BYTES: usize = 128;
+/// Bytes of the digest that are kept.
+const DIGEST_BYTES: usize = 16;
 
 /// The compacted steps of a workflow.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Context {
     lines: String,
-    digest: [u8; 16],
+    digest: [u8; DIGEST_BYTES],
     steps: u32,
-    /// The steps whose lines are gone.
+    /// Lines that were removed.
     gone: u32,
 }
 
 impl Context {
-    /// Steps in it.
+    /// Number of steps in it.
     pub(crate) fn steps(&self) -> u32 {
         self.steps
     }
 
-    /// Takes a closed step.
-    pub(crate) fn append_step(&mut self, entry: &StepRecord) {
+    /// Appends a closed step.
+    pub(crate) fn append_step(&mut self, step: &StepRecord) {
         self.steps = self.steps.saturating_add(1);
-        let result = match &entry.stage {
+        let result = match &step.state {
             StepState::Done { result, .. } => result.as_str(),
-            _ => crate::step::ABANDONED_RESULT,
+            _ => ABANDONED_RESULT,
         };
-        self.line(&format!("{}: {result}", entry.number));
-        for late in &entry.late {
-            self.line(&format!("{} again: {late}", entry.number));
+        self.append_line(&format!("{}: {result}", step.number));
+        for late in &step.late {
+            self.append_late_result(step.number, late);
         }
     }
 
-    /// A later result of a step that is in it already.
+    /// Appends a later result of a step that is in it already.
     pub(crate) fn append_late_result(&mut self, number: u32, result: &str) {
-        self.line(&format!("{number} again: {result}"));
+        self.append_line(&format!("{number} again: {result}"));
     }
 
-    fn line(&mut self, whole: &str) {
+    fn append_line(&mut self, line: &str) {
         let mut hasher = blake3::Hasher::new();
-        hasher.update(&self.digest).update(whole.as_bytes());
+        hasher.update(&self.digest).update(line.as_bytes());
         self.digest
-            .copy_from_slice(&hasher.finalize().as_bytes()[..16]);
+            .copy_from_slice(&hasher.finalize().as_bytes()[..DIGEST_BYTES]);
         self.lines
-            .push_str(&cut(&whole.replace('\n', " "), MAX_LINE_BYTES));
+            .push_str(&truncate(&line.replace('\n', " "), MAX_LINE_BYTES));
         self.lines.push('\n');
         while self.lines.len() > MAX_CONTEXT_BYTES {
-            let end = self.lines.find('\n').map_or(self.lines.len(), |at| at + 1);
-            self.lines.drain(..end);
-            self.gone = self.gone.saturating_add(1);
+            self.remove_oldest_line();
         }
     }
 
-    /// For who claims the workflow; nothing where nothing is compacted.
+    fn remove_oldest_line(&mut self) {
+        let end = self.lines.find('\n').map_or(self.lines.len(), |at| at + 1);
+        self.lines.drain(..end);
+        self.gone = self.gone.saturating_add(1);
+    }
+
+    /// For the worker that claims the workflow; empty where nothing is compacted.
     pub(crate) fn text(&self) -> String {
         if self.steps == 0 {
             return String::new();
         }
-        let digest = self
+        let digest: String = self
             .digest
             .iter()
-            .map(|b| format!("{b:02x}"))
-            .collect::<String>();
+            .map(|byte| format!("{byte:02x}"))
+            .collect();
         let head = format!(
             "{} steps done earlier, {} lines not shown, digest {digest}",
             self.steps, self.gone
@@ -75,7 +81,7 @@
         format!("{head}\n{}", self.lines)
     }
 
-    /// The line of a step that is in it, if it is still there.
+    /// The result in the line of a step, if the line is still there.
     pub(crate) fn find(&self, number: u32) -> Option<&str> {
         let head = format!("{number}: ");
         self.lines
--- /dev/null
+++ b/crates/workflow/src/coordinator/notices.rs
@@ -0,0 +1,49 @@
+//! Log lines about workflows.
+
+use super::CoordinatorOutput;
+use crate::error::WorkflowError;
+use crate::transition::Notice;
+
+fn line(warn: bool, text: String) -> CoordinatorOutput {
+    CoordinatorOutput::Log { warn, text }
+}
+
+pub(super) fn queue_full() -> CoordinatorOutput {
+    let text = "too many workflow operations pending: further ones are rejected as busy";
+    line(true, text.to_string())
+}
+
+pub(super) fn unreadable(name: &str, error: WorkflowError) -> CoordinatorOutput {
+    line(
+        true,
+        format!("workflow {name}: {error}; {}", error.advice()),
+    )
+}
+
+pub(super) fn of_notice(name: &str, notice: &Notice) -> CoordinatorOutput {
+    match notice {
+        Notice::Unsettled { step, key } => line(
+            true,
+            format!(
+                "workflow {name} is unsettled: its unsafe step {step} (key '{key}') may have run and nobody knows: \
+                 decide whether it ran"
+            ),
+        ),
+        Notice::Parked { step } => line(
+            true,
+            format!("workflow {name} is parked: three workers died over its step {step}"),
+        ),
+        Notice::Resolved { step } => line(
+            false,
+            format!("workflow {name}: what became of step {step} is known now"),
+        ),
+        Notice::DuplicateResult { step } => line(
+            true,
+            format!("workflow {name}: step {step} has two results; the first stands, both are kept"),
+        ),
+        Notice::Expired => line(
+            true,
+            format!("workflow {name} has ended unfinished: its time is over"),
+        ),
+    }
+}
--- a/crates/workflow/src/error.rs
+++ b/crates/workflow/src/error.rs
@@ -1,12 +1,15 @@
-//! What can be wrong, and what an operator can do.
+//! Errors of stored records, and what an operator can do about each.
 
-/// Errors of workflows.
+/// Why a stored record cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WorkflowError {
+    /// It cannot be decoded.
     #[error("not a workflow's record")]
     Unreadable,
+    /// It was written by another version.
     #[error("a workflow's record of another version")]
     OtherVersion,
+    /// It exceeds [`crate::MAX_RECORD_BYTES`].
     #[error("a workflow's record is longer than any may be")]
     TooLong,
 }
@@ -23,12 +26,14 @@
     pub fn advice(&self) -> &'static str {
         match self {
             WorkflowError::Unreadable => {
-                "look at the disks of the dispatchers that hold its copies; the workflow is refused until it can be read"
+                "look at the disks of the dispatchers that hold its replicas; the workflow is rejected until it can be read"
             }
             WorkflowError::OtherVersion => {
-                "bring all dispatchers to one version; until then the older ones refuse this workflow"
+                "bring all dispatchers to one version; until then the older ones reject this workflow"
+            }
+            WorkflowError::TooLong => {
+                "cancel the workflow and report it: its results should have been truncated"
             }
-            WorkflowError::TooLong => "cancel the workflow and report it: its results should have been cut",
         }
     }
 }
--- a/crates/workflow/src/golden.rs
+++ b/crates/workflow/src/golden.rs
@@ -32,13 +32,13 @@
     }
 }
 
-fn entry(number: u32, effect: Effect, stage: StepState) -> StepRecord {
+fn entry(number: u32, effect: Effect, state: StepState) -> StepRecord {
     StepRecord {
         number,
         effect,
         key: format!("key{number}"),
         request_digest: 1000 + u64::from(number),
-        stage,
+        state,
         earlier: false,
         late: vec![],
         late_lost: 0,
@@ -156,7 +156,7 @@
         let third = &read.steps[0];
         assert_eq!((third.number, third.effect), (3, Effect::Safe));
         assert_eq!((third.key.as_str(), third.request_digest), ("key3", 1003));
-        assert_eq!(third.stage, done("third"));
+        assert_eq!(third.state, done("third"));
         assert_eq!(third.late, ["second result"]);
         assert_eq!((third.late_lost, third.earlier), (4, false));
         assert!(read.steps[3].earlier);
--- a/crates/workflow/src/machine.rs
+++ b/crates/workflow/src/machine.rs
@@ -1,4 +1,4 @@
-//! The machine beside the plane: the desk, and the replica that it stands on.
+//! The machine beside the core: the coordinator, and the replica of registers that it uses.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -9,23 +9,26 @@
 
 use crate::coordinator::{Coordinator, CoordinatorOutput};
 use crate::io::{Command, Event, Settings};
-use crate::record::{Record, SafetyChecks};
+use crate::record::Record;
+use crate::transition::SafetyChecks;
 
-/// Copies of a workflow.
+/// Replicas of a workflow's register.
 const REPLICAS: usize = 3;
-/// How often this member's copies are looked at, and how many at a time.
+/// How often records held by this member are swept, and how many at a time.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 const MAX_SWEEP_RECORDS: usize = 256;
 
-/// Workflows at one dispatcher.
+/// Workflows at one dispatcher: a pure machine over the coordinator and the member's replica of registers.
 pub struct Workflows {
     coordinator: Coordinator,
     replica: Replica,
-    /// The last copy that was looked at, and when the next ones are.
-    swept: Option<RegisterKey>,
-    sweep_at: Duration,
-    out: Vec<CoordinatorOutput>,
-    done: Vec<Output>,
+    /// The last register that was swept; none where the next sweep begins anew.
+    swept_up_to: Option<RegisterKey>,
+    next_sweep: Duration,
+    /// Outputs of the coordinator that are not passed on yet.
+    coordinator_out: Vec<CoordinatorOutput>,
+    /// Outputs of the replica that are not passed on yet.
+    replica_out: Vec<Output>,
 }
 
 impl Workflows {
@@ -60,62 +63,61 @@
         now: Duration,
         safety_checks: SafetyChecks,
     ) -> Workflows {
-        let below = bitternlatch_replicated_register::Settings {
+        let register_settings = bitternlatch_replicated_register::Settings {
             replicas: REPLICAS,
             durable,
         };
         Workflows {
             coordinator: Coordinator::new(own, settings, safety_checks),
-            replica: Replica::new(own, roster, below, seed, now),
-            swept: None,
-            sweep_at: now + SWEEP_INTERVAL,
-            out: vec![],
-            done: vec![],
+            replica: Replica::new(own, roster, register_settings, seed, now),
+            swept_up_to: None,
+            next_sweep: now + SWEEP_INTERVAL,
+            coordinator_out: vec![],
+            replica_out: vec![],
         }
     }
 
-    /// Looks at some of the copies held here: their leases are watched from now on, and what has not been written for as long
-    /// as it may last goes to its end.
+    /// Sweeps some of the records held here: their leases are observed from now on, and a record that has not been written for as
+    /// long as it may last is brought to its end.
     fn sweep(&mut self, now: Duration) {
-        if now < self.sweep_at {
+        if now < self.next_sweep {
             return;
         }
-        self.sweep_at = now + SWEEP_INTERVAL;
-        let after = self.swept.take();
-        let held = self
+        self.next_sweep = now + SWEEP_INTERVAL;
+        for (key, version, value) in self.next_swept() {
+            // A record that cannot be decoded is reported when an operation reads it.
+            let Ok(record) = Record::decode(&value) else {
+                continue;
+            };
+            self.coordinator
+                .sweep(now, key, version, &record, &mut self.coordinator_out);
+        }
+    }
+
+    /// The next registers of the sweep, in the order of keys.
+    fn next_swept(&mut self) -> Vec<(RegisterKey, Version, Vec<u8>)> {
+        let after = self.swept_up_to.take();
+        let registers: Vec<_> = self
             .replica
             .held()
-            .filter(|(key, ..)| after.is_none_or(|last| **key > last));
-        let some: Vec<(RegisterKey, Version, Vec<u8>)> = held
+            .filter(|(key, ..)| after.is_none_or(|last| **key > last))
             .take(MAX_SWEEP_RECORDS)
             .map(|(key, version, value)| (*key, version, value.to_vec()))
             .collect();
-        if some.len() == MAX_SWEEP_RECORDS {
-            self.swept = some.last().map(|(key, ..)| *key);
-        }
-        for (key, version, value) in some {
-            // One that cannot be read is named when somebody asks for it.
-            let Ok(record) = Record::decode(&value) else {
-                continue;
-            };
-            self.coordinator
-                .lease_observer
-                .observe(now, key, version, &record);
-            let unchanged = self.coordinator.lease_observer.unchanged(now, key, version);
-            if self.coordinator.stale(&record, unchanged) {
-                self.coordinator.sweep(now, key, &record, &mut self.out);
-            }
+        if registers.len() == MAX_SWEEP_RECORDS {
+            self.swept_up_to = registers.last().map(|(key, ..)| *key);
         }
+        registers
     }
 
-    /// Carries words between desk and replica until both are still.
+    /// Passes outputs of the coordinator to the replica and back until neither has any, beginning with an input of the replica.
     fn settle(&mut self, now: Duration, first: Option<Input>, out: &mut Vec<ServiceOutput<Event>>) {
         let mut inputs: VecDeque<Input> = first.into_iter().collect();
         loop {
-            for wanted in self.out.drain(..) {
-                match wanted {
+            for output in self.coordinator_out.drain(..) {
+                match output {
                     CoordinatorOutput::Register(input) => inputs.push_back(input),
-                    CoordinatorOutput::Event(told) => out.push(ServiceOutput::Event(told)),
+                    CoordinatorOutput::Event(event) => out.push(ServiceOutput::Event(event)),
                     CoordinatorOutput::Log { warn, text } => {
                         out.push(ServiceOutput::Log { warn, text })
                     }
@@ -124,33 +126,42 @@
             let Some(input) = inputs.pop_front() else {
                 return;
             };
-            self.replica.step(now, input, &mut self.done);
-            for done in self.done.drain(..) {
-                match done {
-                    Output::Send(to, said) => out.push(ServiceOutput::SendFrame(to, said)),
-                    Output::Store {
-                        ticket,
-                        name,
-                        bytes,
-                    } => out.push(ServiceOutput::Persist {
-                        ticket,
-                        name,
-                        bytes,
-                    }),
-                    Output::Read { call, found } => {
-                        self.coordinator.found(now, call, found, &mut self.out)
-                    }
-                    Output::Written { call, done } => {
-                        self.coordinator.written(now, call, done, &mut self.out)
-                    }
-                    Output::Event(event) => {
-                        let text = format!("workflows' copies: {event}; {}", event.advice());
-                        out.push(ServiceOutput::Log {
-                            warn: event.warn(),
-                            text,
-                        });
-                    }
-                }
+            self.replica.step(now, input, &mut self.replica_out);
+            for output in std::mem::take(&mut self.replica_out) {
+                self.on_replica_output(now, output, out);
+            }
+        }
+    }
+
+    fn on_replica_output(
+        &mut self,
+        now: Duration,
+        output: Output,
+        out: &mut Vec<ServiceOutput<Event>>,
+    ) {
+        match output {
+            Output::Send(to, frame) => out.push(ServiceOutput::SendFrame(to, frame)),
+            Output::Store {
+                ticket,
+                name,
+                bytes,
+            } => out.push(ServiceOutput::Persist {
+                ticket,
+                name,
+                bytes,
+            }),
+            Output::Read { call, found } => {
+                self.coordinator
+                    .on_read(now, call, found, &mut self.coordinator_out);
+            }
+            Output::Written { call, done } => {
+                self.coordinator
+                    .on_written(now, call, done, &mut self.coordinator_out);
+            }
+            Output::Event(event) => {
+                let text = format!("workflow replicas: {event}; {}", event.advice());
+                let warn = event.warn();
+                out.push(ServiceOutput::Log { warn, text });
             }
         }
     }
@@ -165,7 +176,7 @@
         let due = [
             self.coordinator.wake_at(),
             self.replica.wake_at(),
-            Some(self.sweep_at),
+            Some(self.next_sweep),
         ];
         due.into_iter().flatten().min()
     }
@@ -173,27 +184,22 @@
     fn step(
         &mut self,
         now: Duration,
-        given: ServiceInput<Command>,
+        input: ServiceInput<Command>,
         out: &mut Vec<ServiceOutput<Event>>,
     ) {
         // What is due is done first, so that nothing that waited is taken for in time after a pause.
-        self.coordinator.wake(now, &mut self.out);
+        self.coordinator.wake(now, &mut self.coordinator_out);
         self.sweep(now);
         self.settle(now, None, out);
-        let input = match given {
+        let input = match input {
             ServiceInput::Wake => Input::Wake,
-            ServiceInput::Frame {
-                from,
-                payload: said,
-            } => Input::Frame {
-                from,
-                payload: said,
-            },
+            ServiceInput::Frame { from, payload } => Input::Frame { from, payload },
             ServiceInput::Peers(peers) => Input::Peers(peers),
             ServiceInput::Loaded(found) => Input::Loaded(found),
             ServiceInput::Persisted { ticket, done } => Input::Stored { ticket, done },
-            ServiceInput::Request(ask) => {
-                self.coordinator.ask(now, ask, &mut self.out);
+            ServiceInput::Request(command) => {
+                self.coordinator
+                    .handle(now, command, &mut self.coordinator_out);
                 return self.settle(now, None, out);
             }
             ServiceInput::Datagram { .. } | ServiceInput::Leave => return,
--- a/crates/workflow/src/queue.rs
+++ b/crates/workflow/src/queue.rs
@@ -1,5 +1,5 @@
-//! Questions in hand: one after the other for each workflow, and a bounded number of claims at a time, the nearest deadline
-//! first, so that the workflows of a dead dispatcher are adopted without a storm.
+//! Pending operations: one after the other for each workflow, and a bounded number of claims at a time, the nearest deadline first,
+//! so that the workflows of a dead dispatcher are taken over without overloading the register.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -8,126 +8,158 @@
 
 use crate::operation::{Operation, PendingOperation};
 
-/// Questions in hand at a time.
+/// Pending operations at a time.
 const MAX_OPERATIONS: usize = 4096;
-/// Of them those that nobody waits for any more.
+/// Of them those that nobody waits for.
 const MAX_BACKGROUND_OPERATIONS: usize = 1024;
-/// Questions about one workflow at a time.
+/// Operations on one workflow that somebody waits for.
 const MAX_OPERATIONS_PER_WORKFLOW: usize = 8;
-/// Claims that ask the register at a time.
+/// Claims that use the register at a time.
 const MAX_CONCURRENT_CLAIMS: usize = 32;
 /// Claims that wait for that.
 const MAX_WAITING_CLAIMS: usize = 1024;
 
+/// All pending operations, by number.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
-    count: u64,
-    pub(crate) pending: BTreeMap<u64, PendingOperation>,
-    silent: usize,
-    lines: BTreeMap<RegisterKey, VecDeque<u64>>,
-    claiming: BTreeSet<u64>,
-    waiting: BTreeSet<(Duration, u64)>,
+    last_id: u64,
+    pending: BTreeMap<u64, PendingOperation>,
+    /// Operations that nobody waits for.
+    background: usize,
+    /// Numbers by workflow, in order; the first of each has its turn.
+    by_workflow: BTreeMap<RegisterKey, VecDeque<u64>>,
+    /// Claims that use the register.
+    active_claims: BTreeSet<u64>,
+    /// Claims that wait, by deadline.
+    waiting_claims: BTreeSet<(Duration, u64)>,
 }
 
-/// Whether a question was taken.
+/// Whether an operation was enqueued.
 #[derive(Debug)]
 pub(crate) enum Enqueued {
+    /// Under this number.
     Accepted(u64),
-    /// Taken in place of another one, which has more time left and is refused.
+    /// Under this number, in place of another one with a later deadline.
     Replaced(u64, Box<PendingOperation>),
+    /// Too many are pending.
     Rejected(Box<PendingOperation>),
 }
 
 impl Queue {
-    /// Puts a question at the end of its workflow's line.
-    pub(crate) fn take(&mut self, pending: PendingOperation) -> Enqueued {
-        let silent = pending.call.is_none();
-        let line = self.lines.get(&pending.key).map_or(0, VecDeque::len);
-        let full = if silent {
-            self.silent >= MAX_BACKGROUND_OPERATIONS
-        } else {
-            line >= MAX_OPERATIONS_PER_WORKFLOW
-        };
-        if full || self.pending.len() >= MAX_OPERATIONS {
+    pub(crate) fn get(&self, id: u64) -> Option<&PendingOperation> {
+        self.pending.get(&id)
+    }
+
+    pub(crate) fn get_mut(&mut self, id: u64) -> Option<&mut PendingOperation> {
+        self.pending.get_mut(&id)
+    }
+
+    /// Appends an operation to its workflow's queue.
+    pub(crate) fn enqueue(&mut self, pending: PendingOperation) -> Enqueued {
+        let is_claim = matches!(pending.operation, Operation::Claim { .. });
+        if self.is_full_for(&pending) {
             return Enqueued::Rejected(Box::new(pending));
         }
-        self.count += 1;
-        let id = self.count;
-        let mut instead = None;
-        if matches!(pending.operation, Operation::Claim { .. }) {
-            if self.waiting.len() >= MAX_WAITING_CLAIMS {
-                match self.waiting.last().copied() {
-                    Some((until, last)) if until > pending.until => {
-                        instead = self.end(last).map(Box::new)
-                    }
-                    _ => return Enqueued::Rejected(Box::new(pending)),
-                }
+        // A number is used up whether or not the operation is enqueued: the jitter of later ones depends on it.
+        self.last_id += 1;
+        let id = self.last_id;
+        let mut replaced = None;
+        if is_claim && self.waiting_claims.len() >= MAX_WAITING_CLAIMS {
+            replaced = self.remove_later_claim(pending.deadline);
+            if replaced.is_none() {
+                return Enqueued::Rejected(Box::new(pending));
             }
-            self.waiting.insert((pending.until, id));
         }
-        self.silent += usize::from(silent);
-        self.lines.entry(pending.key).or_default().push_back(id);
+        if is_claim {
+            self.waiting_claims.insert((pending.deadline, id));
+        }
+        self.background += usize::from(pending.call.is_none());
+        self.by_workflow
+            .entry(pending.key)
+            .or_default()
+            .push_back(id);
         self.pending.insert(id, pending);
-        match instead {
-            Some(other) => Enqueued::Replaced(id, other),
+        match replaced {
+            Some(other) => Enqueued::Replaced(id, Box::new(other)),
             None => Enqueued::Accepted(id),
         }
     }
 
-    /// Whether it is this one's turn: the first of its line, and, of claims, one of those that may ask at a time.
+    fn is_full_for(&self, pending: &PendingOperation) -> bool {
+        let is_share_full = match pending.call {
+            None => self.background >= MAX_BACKGROUND_OPERATIONS,
+            Some(_) => {
+                let queue = self.by_workflow.get(&pending.key);
+                queue.map_or(0, VecDeque::len) >= MAX_OPERATIONS_PER_WORKFLOW
+            }
+        };
+        is_share_full || self.pending.len() >= MAX_OPERATIONS
+    }
+
+    /// Removes the waiting claim with the latest deadline, if that is after the given one.
+    fn remove_later_claim(&mut self, deadline: Duration) -> Option<PendingOperation> {
+        let (latest, id) = self.waiting_claims.last().copied()?;
+        (latest > deadline).then(|| self.remove(id)).flatten()
+    }
+
+    /// Whether an operation has its turn: the first of its workflow, and, of claims, one of those that may use the register.
     pub(crate) fn may_start(&mut self, id: u64) -> bool {
         let Some(pending) = self.pending.get(&id) else {
             return false;
         };
-        if self.lines.get(&pending.key).and_then(VecDeque::front) != Some(&id) {
+        if !self.is_first(pending.key, id) {
             return false;
         }
-        if !matches!(pending.operation, Operation::Claim { .. }) || self.claiming.contains(&id) {
+        let is_claim = matches!(pending.operation, Operation::Claim { .. });
+        if !is_claim || self.active_claims.contains(&id) {
             return true;
         }
-        if self.claiming.len() >= MAX_CONCURRENT_CLAIMS {
+        if self.active_claims.len() >= MAX_CONCURRENT_CLAIMS {
             return false;
         }
-        self.waiting.remove(&(pending.until, id));
-        self.claiming.insert(id)
+        self.waiting_claims.remove(&(pending.deadline, id));
+        self.active_claims.insert(id)
+    }
+
+    fn is_first(&self, key: RegisterKey, id: u64) -> bool {
+        self.by_workflow.get(&key).and_then(VecDeque::front) == Some(&id)
     }
 
-    /// Takes one out.
-    pub(crate) fn end(&mut self, id: u64) -> Option<PendingOperation> {
+    /// Removes an operation.
+    pub(crate) fn remove(&mut self, id: u64) -> Option<PendingOperation> {
         let pending = self.pending.remove(&id)?;
-        self.silent -= usize::from(pending.call.is_none());
-        self.claiming.remove(&id);
-        self.waiting.remove(&(pending.until, id));
-        if let Some(line) = self.lines.get_mut(&pending.key) {
-            line.retain(|other| *other != id);
-            if line.is_empty() {
-                self.lines.remove(&pending.key);
+        self.background -= usize::from(pending.call.is_none());
+        self.active_claims.remove(&id);
+        self.waiting_claims.remove(&(pending.deadline, id));
+        if let Some(queue) = self.by_workflow.get_mut(&pending.key) {
+            queue.retain(|other| *other != id);
+            if queue.is_empty() {
+                self.by_workflow.remove(&pending.key);
             }
         }
         Some(pending)
     }
 
-    /// Those that may start after one of this workflow has ended.
+    /// Operations that may start after one of this workflow was removed: the workflow's next one, and a claim that waits.
     pub(crate) fn next(&self, key: RegisterKey) -> Vec<u64> {
-        let first = self.lines.get(&key).and_then(VecDeque::front).copied();
-        let free = MAX_CONCURRENT_CLAIMS.saturating_sub(self.claiming.len());
-        let line = |id: &u64| {
-            self.pending
-                .get(id)
-                .and_then(|pending| self.lines.get(&pending.key))
-        };
-        let front = |id: &u64| line(id).and_then(VecDeque::front) == Some(id);
-        let claims = self
-            .waiting
+        let first = self.by_workflow.get(&key).and_then(VecDeque::front);
+        let may_claim = self.active_claims.len() < MAX_CONCURRENT_CLAIMS;
+        let claim = self
+            .waiting_claims
             .iter()
             .map(|(_, id)| *id)
-            .filter(front)
-            .take(free.min(1));
-        first.into_iter().chain(claims).collect()
+            .find(|id| may_claim && self.is_first_of_its_workflow(*id));
+        first.copied().into_iter().chain(claim).collect()
+    }
+
+    fn is_first_of_its_workflow(&self, id: u64) -> bool {
+        self.pending
+            .get(&id)
+            .is_some_and(|pending| self.is_first(pending.key, id))
     }
 
-    /// Whether any question about a workflow is in hand.
-    pub(crate) fn busy(&self, key: RegisterKey) -> bool {
-        self.lines.contains_key(&key)
+    /// Whether any operation on a workflow is pending.
+    pub(crate) fn is_busy(&self, key: RegisterKey) -> bool {
+        self.by_workflow.contains_key(&key)
     }
 }
--- a/crates/workflow/src/step_transitions.rs
+++ b/crates/workflow/src/step_transitions.rs
@@ -1,39 +1,64 @@
-//! The transitions of steps: intended, ended, settled by a person.
+//! Transitions of steps: intended, outcome reported, settled by a person.
 
 use crate::io::{AttemptOutcome, Effect, RejectReason};
-use crate::record::{Limits, Notice, Record, Reply, SafetyChecks, State, Transition};
+use crate::record::{Limits, Record, State};
 use crate::step::{
-    cut, Attempt, StepRecord, StepState, ABANDONED_RESULT, MAX_NAME_BYTES, MAX_RESULT_BYTES,
+    truncate, Attempt, StepRecord, StepState, ABANDONED_RESULT, MAX_NAME_BYTES, MAX_RESULT_BYTES,
 };
+use crate::transition::{Notice, Reply, SafetyChecks, Transition};
 
-/// A step that is about to leave.
+/// What a worker is answered about a compacted step whose line is gone.
+const COMPACTED_RESULT: &str = "done; its result is compacted";
+
+/// A step whose effect is about to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Intent<'a> {
+    /// Epoch of the worker's claim.
     pub epoch: u64,
+    /// Number of the step.
     pub step: u32,
+    /// What it may do.
     pub effect: Effect,
+    /// Its idempotency key.
     pub key: &'a str,
+    /// Digest of the request.
     pub request_digest: u64,
+    /// The new attempt.
     pub attempt: Attempt,
 }
 
+impl Intent<'_> {
+    /// Whether a step was recorded for the same request.
+    fn matches(&self, step: &StepRecord) -> bool {
+        let same_key = step.effect != Effect::Keyed || step.key == self.key;
+        step.request_digest == self.request_digest && step.effect == self.effect && same_key
+    }
+
+    fn state(&self) -> StepState {
+        StepState::Intended {
+            epoch: self.epoch,
+            attempt: self.attempt,
+        }
+    }
+}
+
 /// What this process knows of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalAttempt {
-    /// It never told anybody to send it.
+    /// It was opened here, and nobody was permitted to send it.
     NeverSent,
-    /// It is under way here.
+    /// It is in flight here.
     Running,
-    /// Another process's, or one that it has forgotten.
+    /// Another process's, or one that was forgotten.
     Unknown,
 }
 
 impl Record {
-    /// Before an effect leaves.
+    /// Before an effect is sent.
     pub fn intend(
         &mut self,
         intent: &Intent,
-        mine: impl Fn(Attempt) -> LocalAttempt,
+        local_attempt: impl Fn(Attempt) -> LocalAttempt,
         limits: &Limits,
         safety_checks: SafetyChecks,
     ) -> Transition {
@@ -43,32 +68,34 @@
         if safety_checks.fencing && intent.epoch != self.epoch {
             return Transition::rejected(RejectReason::Fenced);
         }
-        if let Some(why) = self.reject_reason() {
-            return Transition::rejected(why);
+        if let Some(reason) = self.reject_reason() {
+            return Transition::rejected(reason);
         }
         if intent.key.len() > MAX_NAME_BYTES {
             return Transition::rejected(RejectReason::Limit);
         }
-        match self.steps.iter().position(|e| e.number == intent.step) {
-            Some(at) => self.intend_existing(at, intent, mine, safety_checks),
+        match self.position(intent.step) {
+            Some(at) => self.intend_existing(at, intent, local_attempt, safety_checks),
             None => self.intend_next(intent, limits),
         }
     }
 
+    /// Index of a step that is not compacted.
+    fn position(&self, number: u32) -> Option<usize> {
+        self.steps.iter().position(|step| step.number == number)
+    }
+
     fn intend_next(&mut self, intent: &Intent, limits: &Limits) -> Transition {
-        let next = match self.steps.last() {
+        let is_next = match self.steps.last() {
             Some(last) if intent.step < last.number => return self.compacted_result(intent.step),
-            // Callers count from nought or from one.
+            // Callers count from 0 or from 1.
             None => intent.step <= 1,
-            Some(last) => last.closed() && last.number.checked_add(1) == Some(intent.step),
+            Some(last) => last.is_closed() && last.number.checked_add(1) == Some(intent.step),
         };
-        if !next {
+        if !is_next {
             return Transition::rejected(RejectReason::Unknown);
         }
-        if self.closed() >= limits.steps
-            || self.bytes >= limits.bytes
-            || self.tokens >= limits.tokens
-        {
+        if self.is_at_limit(limits) {
             return Transition::rejected(RejectReason::Limit);
         }
         self.steps.push(StepRecord {
@@ -76,10 +103,7 @@
             effect: intent.effect,
             key: intent.key.to_string(),
             request_digest: intent.request_digest,
-            stage: StepState::Intended {
-                epoch: intent.epoch,
-                attempt: intent.attempt,
-            },
+            state: intent.state(),
             earlier: false,
             late: vec![],
             late_lost: 0,
@@ -88,74 +112,80 @@
         Transition::write(Reply::SendPermitted)
     }
 
+    fn is_at_limit(&self, limits: &Limits) -> bool {
+        self.closed() >= limits.steps || self.bytes >= limits.bytes || self.tokens >= limits.tokens
+    }
+
     /// A step that was compacted is done: it is never run again, whatever is left of its result.
     fn compacted_result(&self, step: u32) -> Transition {
-        let first = self.steps.first().map_or(0, |e| e.number);
+        let first = self.steps.first().map_or(0, |first| first.number);
         if step >= first || first - step > self.context.steps() {
             return Transition::rejected(RejectReason::Unknown);
         }
-        let line = self
-            .context
-            .find(step)
-            .unwrap_or("done; its result is compacted");
-        Transition::without_write(Reply::AlreadyDone(line.to_string()))
+        let result = self.context.find(step).unwrap_or(COMPACTED_RESULT);
+        Transition::without_write(Reply::AlreadyDone(result.to_string()))
     }
 
     fn intend_existing(
         &mut self,
         at: usize,
         intent: &Intent,
-        mine: impl Fn(Attempt) -> LocalAttempt,
+        local_attempt: impl Fn(Attempt) -> LocalAttempt,
         safety_checks: SafetyChecks,
     ) -> Transition {
-        let entry = &mut self.steps[at];
-        let same = entry.request_digest == intent.request_digest
-            && entry.effect == intent.effect
-            && (entry.effect != Effect::Keyed || entry.key == intent.key);
-        if !same && entry.stage != StepState::Planned {
+        let step = &mut self.steps[at];
+        if !intent.matches(step) && step.state != StepState::Planned {
             return Transition::rejected(RejectReason::OtherRequest);
         }
-        let before = match &entry.stage {
+        let earlier = match &step.state {
             StepState::Done { result, .. } => {
-                return Transition::without_write(Reply::AlreadyDone(result.clone()))
+                return Transition::without_write(Reply::AlreadyDone(result.clone()));
             }
             StepState::Abandoned => {
-                return Transition::without_write(Reply::AlreadyDone(ABANDONED_RESULT.to_string()))
+                let result = ABANDONED_RESULT.to_string();
+                return Transition::without_write(Reply::AlreadyDone(result));
             }
             StepState::Planned => None,
             StepState::Intended { attempt, .. } | StepState::MayHaveRun { attempt } => {
                 Some(*attempt)
             }
         };
-        let before = before.map(|attempt| (attempt, mine(attempt)));
-        match before {
+        match earlier.map(|attempt| (attempt, local_attempt(attempt))) {
             None | Some((_, LocalAttempt::NeverSent)) => {}
-            Some(_) if entry.effect != Effect::Unsafe => entry.earlier = true,
-            // Whoever comes is taken for who has it: this is what fencing is there against.
+            Some(_) if step.effect != Effect::Unsafe => step.earlier = true,
+            // Without fencing any caller is taken for the lease holder: this is what fencing prevents.
             Some(_) if !safety_checks.fencing => {}
-            Some((_, LocalAttempt::Running)) => return Transition::rejected(RejectReason::Busy),
-            Some((attempt, _)) => {
-                entry.stage = StepState::MayHaveRun { attempt };
-                let turn = Transition::write(Reply::Rejected(RejectReason::Unsettled));
-                return Transition {
-                    notice: self.mark_unsettled(),
-                    ..turn
-                };
+            Some((_, LocalAttempt::Running)) => {
+                return Transition::rejected(RejectReason::Busy);
+            }
+            Some((attempt, LocalAttempt::Unknown)) => {
+                return self.reject_as_unsettled(at, attempt);
             }
         }
-        entry.effect = intent.effect;
-        entry.key = intent.key.to_string();
-        entry.request_digest = intent.request_digest;
-        entry.stage = StepState::Intended {
-            epoch: intent.epoch,
-            attempt: intent.attempt,
-        };
+        self.open_attempt_of(at, intent)
+    }
+
+    /// An unsafe step may have run: it is not sent again.
+    fn reject_as_unsettled(&mut self, at: usize, attempt: Attempt) -> Transition {
+        self.steps[at].state = StepState::MayHaveRun { attempt };
+        Transition {
+            notice: self.mark_unsettled(),
+            ..Transition::write(Reply::Rejected(RejectReason::Unsettled))
+        }
+    }
+
+    fn open_attempt_of(&mut self, at: usize, intent: &Intent) -> Transition {
+        let step = &mut self.steps[at];
+        step.effect = intent.effect;
+        step.key = intent.key.to_string();
+        step.request_digest = intent.request_digest;
+        step.state = intent.state();
         self.advance_lease();
         Transition::write(Reply::SendPermitted)
     }
 
-    /// How an attempt ended. Its own result stands where none stands yet, also when it comes late and under an older epoch: it
-    /// is known then what happened, and nobody has to guess. The teller is refused all the same.
+    /// How an attempt ended. Its own result stands where none stands yet, also when it comes late and under an older epoch: it is
+    /// known then what happened. A reporter under an older epoch is rejected all the same.
     pub fn report_outcome(
         &mut self,
         epoch: u64,
@@ -167,167 +197,167 @@
         if matches!(self.state, State::Ended(_)) {
             return Transition::rejected(RejectReason::Ended);
         }
-        let current = !safety_checks.fencing || epoch == self.epoch;
-        let told = if current {
-            Reply::Committed
-        } else {
-            Reply::Rejected(RejectReason::Fenced)
+        let is_current = !safety_checks.fencing || epoch == self.epoch;
+        let reply = match is_current {
+            true => Reply::Committed,
+            false => Reply::Rejected(RejectReason::Fenced),
         };
-        let Some(at) = self.steps.iter().position(|e| e.number == step) else {
-            return self.report_compacted(step, outcome, told);
+        let Some(at) = self.position(step) else {
+            return self.report_compacted(step, outcome, reply);
         };
-        let entry = &self.steps[at];
-        let own = match entry.stage {
+        let recorded = &self.steps[at];
+        let is_own = match recorded.state {
             StepState::Intended {
-                epoch: under,
+                epoch: intended_epoch,
                 attempt: last,
-            } => attempt.map_or(current && under == epoch, |a| a == last) || !safety_checks.fencing,
+            } => {
+                let is_last = attempt.map_or(is_current && intended_epoch == epoch, |a| a == last);
+                is_last || !safety_checks.fencing
+            }
             StepState::MayHaveRun { attempt: last } => {
                 attempt == Some(last) || !safety_checks.fencing
             }
-            StepState::Planned => attempt.is_some() || current,
+            StepState::Planned => attempt.is_some() || is_current,
             StepState::Done { .. } | StepState::Abandoned => false,
         };
+        // Of two attempts under one epoch either may be the first to end.
+        let stands = is_own || is_current && !recorded.is_closed();
         match outcome {
-            // Of two attempts under one epoch either may be the first to end.
-            AttemptOutcome::Done { result, tokens } if own || current && !entry.closed() => {
-                self.accept_result(at, result, *tokens, told)
+            AttemptOutcome::Done { result, tokens } if stands => {
+                self.accept_result(at, result, *tokens, reply)
+            }
+            AttemptOutcome::Done { result, .. } => self.reject_second_result(at, result, reply),
+            AttemptOutcome::MayHaveRun if is_own && is_current => {
+                self.mark_uncertain(at, attempt, reply)
             }
-            AttemptOutcome::Done { result, .. } => self.reject_second_result(at, result, told),
-            AttemptOutcome::MayHaveRun if own && current => self.mark_uncertain(at, attempt, told),
-            AttemptOutcome::NeverRan if own => self.mark_never_ran(at, told),
+            AttemptOutcome::NeverRan if is_own => self.mark_never_ran(at, reply),
             AttemptOutcome::MayHaveRun | AttemptOutcome::NeverRan => {
-                Transition::without_write(told)
+                Transition::without_write(reply)
             }
         }
     }
 
-    fn accept_result(&mut self, at: usize, result: &str, tokens: u32, told: Reply) -> Transition {
-        let kept = cut(result, MAX_RESULT_BYTES);
-        self.bytes = self.bytes.saturating_add(kept.len() as u64);
+    fn accept_result(&mut self, at: usize, result: &str, tokens: u32, reply: Reply) -> Transition {
+        let result = truncate(result, MAX_RESULT_BYTES);
+        self.bytes = self.bytes.saturating_add(result.len() as u64);
         self.tokens = self.tokens.saturating_add(tokens.into());
-        let entry = &mut self.steps[at];
-        let number = entry.number;
-        entry.stage = StepState::Done {
-            result: kept,
-            tokens,
-        };
-        let lifted = self.state == State::Unsettled;
-        if lifted {
+        let step = &mut self.steps[at];
+        let number = step.number;
+        step.state = StepState::Done { result, tokens };
+        let was_unsettled = self.state == State::Unsettled;
+        if was_unsettled {
             self.state = State::Open;
         }
         self.deaths = 0;
-        if told == Reply::Committed {
+        if reply == Reply::Committed {
             self.advance_lease();
         }
         self.compact();
-        let turn = Transition::write(told);
-        if lifted {
-            turn.with_notice(Notice::Resolved { step: number })
-        } else {
-            turn
+        let transition = Transition::write(reply);
+        match was_unsettled {
+            true => transition.with_notice(Notice::Resolved { step: number }),
+            false => transition,
         }
     }
 
-    /// A second result: the one that a majority held first stands, and is what its teller is told; this one is kept beside it.
-    fn reject_second_result(&mut self, at: usize, result: &str, told: Reply) -> Transition {
-        let entry = &mut self.steps[at];
-        let kept = cut(result, MAX_RESULT_BYTES);
-        let told = match &entry.stage {
-            StepState::Done { result, .. } if *result == kept => {
-                return Transition::without_write(told)
-            }
-            StepState::Done { result, .. } if told == Reply::Committed => {
-                Reply::AlreadyDone(result.clone())
+    /// A second result: the one that a majority held first stands, and is what the reporter is answered; this one is kept beside it.
+    fn reject_second_result(&mut self, at: usize, result: &str, reply: Reply) -> Transition {
+        let step = &mut self.steps[at];
+        let truncated = truncate(result, MAX_RESULT_BYTES);
+        let is_committed = reply == Reply::Committed;
+        let reply = match &step.state {
+            StepState::Done { result, .. } if *result == truncated => {
+                return Transition::without_write(reply);
             }
-            StepState::Abandoned if told == Reply::Committed => {
+            StepState::Done { result, .. } if is_committed => Reply::AlreadyDone(result.clone()),
+            StepState::Abandoned if is_committed => {
                 Reply::AlreadyDone(ABANDONED_RESULT.to_string())
             }
-            _ => told,
+            _ => reply,
         };
-        let number = entry.number;
-        entry.add_late_result(result);
-        Transition::write(told).with_notice(Notice::DuplicateResult { step: number })
+        let number = step.number;
+        step.add_late_result(result);
+        Transition::write(reply).with_notice(Notice::DuplicateResult { step: number })
     }
 
-    fn report_compacted(&mut self, step: u32, outcome: &AttemptOutcome, told: Reply) -> Transition {
-        let known = self.compacted_result(step).answer;
+    fn report_compacted(
+        &mut self,
+        step: u32,
+        outcome: &AttemptOutcome,
+        reply: Reply,
+    ) -> Transition {
+        let known = self.compacted_result(step).reply;
         if !matches!(known, Reply::AlreadyDone(_)) {
             return Transition::rejected(RejectReason::Unknown);
         }
         let AttemptOutcome::Done { result, .. } = outcome else {
-            return Transition::without_write(told);
+            return Transition::without_write(reply);
         };
         self.context.append_late_result(step, result);
-        let told = if told == Reply::Committed {
-            known
-        } else {
-            told
+        let reply = match reply {
+            Reply::Committed => known,
+            other => other,
         };
-        Transition::write(told).with_notice(Notice::DuplicateResult { step })
+        Transition::write(reply).with_notice(Notice::DuplicateResult { step })
     }
 
-    fn mark_uncertain(&mut self, at: usize, attempt: Option<Attempt>, told: Reply) -> Transition {
-        let entry = &mut self.steps[at];
-        let Some(attempt) = entry.attempt().or(attempt) else {
-            return Transition::without_write(told);
+    fn mark_uncertain(&mut self, at: usize, attempt: Option<Attempt>, reply: Reply) -> Transition {
+        let step = &mut self.steps[at];
+        let Some(attempt) = step.attempt().or(attempt) else {
+            return Transition::without_write(reply);
         };
-        entry.stage = StepState::MayHaveRun { attempt };
+        step.state = StepState::MayHaveRun { attempt };
         let notice = self.mark_unsettled();
-        let answer = if notice.is_some() {
-            Reply::Rejected(RejectReason::Unsettled)
-        } else {
-            told
+        let reply = match notice {
+            Some(_) => Reply::Rejected(RejectReason::Unsettled),
+            None => reply,
         };
         Transition {
             notice,
-            ..Transition::write(answer)
+            ..Transition::write(reply)
         }
     }
 
-    fn mark_never_ran(&mut self, at: usize, told: Reply) -> Transition {
-        let entry = &mut self.steps[at];
-        let Some(attempt) = entry.attempt() else {
-            return Transition::without_write(told);
+    fn mark_never_ran(&mut self, at: usize, reply: Reply) -> Transition {
+        let step = &mut self.steps[at];
+        let Some(attempt) = step.attempt() else {
+            return Transition::without_write(reply);
         };
-        let number = entry.number;
+        let number = step.number;
         // The last attempt never ran; one before it may have.
-        entry.stage = if entry.earlier {
-            StepState::MayHaveRun { attempt }
-        } else {
-            StepState::Planned
+        step.state = match step.earlier {
+            true => StepState::MayHaveRun { attempt },
+            false => StepState::Planned,
         };
-        let lifted = self.state == State::Unsettled && self.steps[at].stage == StepState::Planned;
-        if lifted {
+        let is_resolved = self.state == State::Unsettled && step.state == StepState::Planned;
+        if is_resolved {
             self.state = State::Open;
-            return Transition::write(told).with_notice(Notice::Resolved { step: number });
+            return Transition::write(reply).with_notice(Notice::Resolved { step: number });
         }
-        Transition::write(told)
+        Transition::write(reply)
     }
 
-    /// A person decides: it ran with this result, it never ran, or it is left out. `quiet`: the lease in the record was seen
-    /// here, without a word, for longer than it lasts, so that no permission to send is left anywhere.
-    pub fn settle(&mut self, step: u32, outcome: &AttemptOutcome, quiet: bool) -> Transition {
+    /// A person decides: the step ran with this result, it never ran, or it is abandoned. `lease_expired`: the lease in the record
+    /// has been seen here, without a renewal, for longer than it lasts, so that no permission to send is left anywhere.
+    pub fn settle(
+        &mut self,
+        step: u32,
+        outcome: &AttemptOutcome,
+        lease_expired: bool,
+    ) -> Transition {
         match self.state {
             State::Ended(_) => return Transition::rejected(RejectReason::Ended),
             State::Open => return Transition::rejected(RejectReason::Unknown),
-            _ if !quiet => return Transition::rejected(RejectReason::LeaseHeld),
+            _ if !lease_expired => return Transition::rejected(RejectReason::LeaseHeld),
             State::Parked => {}
             State::Unsettled => {
-                let Some(at) = self
-                    .steps
-                    .iter()
-                    .position(|e| e.number == step && !e.closed())
-                else {
+                let open = self
+                    .position(step)
+                    .filter(|at| !self.steps[*at].is_closed());
+                let Some(at) = open else {
                     return Transition::rejected(RejectReason::Unknown);
                 };
-                match outcome {
-                    AttemptOutcome::Done { result, tokens } => {
-                        drop(self.accept_result(at, result, *tokens, Reply::Committed))
-                    }
-                    AttemptOutcome::NeverRan => self.steps[at].stage = StepState::Planned,
-                    AttemptOutcome::MayHaveRun => self.steps[at].stage = StepState::Abandoned,
-                }
+                self.settle_step(at, outcome);
             }
         }
         self.state = State::Open;
@@ -338,4 +368,14 @@
         self.compact();
         Transition::write(Reply::Committed)
     }
+
+    fn settle_step(&mut self, at: usize, outcome: &AttemptOutcome) {
+        match outcome {
+            AttemptOutcome::Done { result, tokens } => {
+                self.accept_result(at, result, *tokens, Reply::Committed);
+            }
+            AttemptOutcome::NeverRan => self.steps[at].state = StepState::Planned,
+            AttemptOutcome::MayHaveRun => self.steps[at].state = StepState::Abandoned,
+        }
+    }
 }
--- a/crates/workflow/src/tests.rs
+++ b/crates/workflow/src/tests.rs
@@ -23,7 +23,7 @@
     Silent,
 }
 
-struct Office {
+struct Cluster {
     now: Duration,
     coordinators: Vec<Coordinator>,
     held: Held,
@@ -39,8 +39,8 @@
     Duration::from_millis(n)
 }
 
-impl Office {
-    fn new(of: usize) -> Office {
+impl Cluster {
+    fn new(of: usize) -> Cluster {
         let own = |i: usize| Process {
             name: NameKey(i as u32 + 1),
             start: 1,
@@ -50,7 +50,7 @@
             .collect();
         let (held, now) = (Held::new(), ms(1000));
         let (told, logs) = (vec![], vec![]);
-        Office {
+        Cluster {
             now,
             coordinators,
             held,
@@ -63,7 +63,7 @@
         }
     }
 
-    fn renew_lease(&mut self, i: usize, out: Vec<CoordinatorOutput>) {
+    fn deliver(&mut self, i: usize, out: Vec<CoordinatorOutput>) {
         let mut out: std::collections::VecDeque<CoordinatorOutput> = out.into();
         while let Some(wanted) = out.pop_front() {
             let mut more = vec![];
@@ -72,7 +72,7 @@
                 CoordinatorOutput::Log { text, .. } => self.logs.push(text),
                 CoordinatorOutput::Register(Input::Read { call, key, .. }) => {
                     self.reads += 1;
-                    self.coordinators[i].found(
+                    self.coordinators[i].on_read(
                         self.now,
                         call,
                         Ok(self.held.get(&key).cloned()),
@@ -108,7 +108,7 @@
                             }
                         }
                     };
-                    self.coordinators[i].written(self.now, call, done, &mut more);
+                    self.coordinators[i].on_written(self.now, call, done, &mut more);
                 }
                 CoordinatorOutput::Register(Input::Delete {
                     call,
@@ -117,7 +117,7 @@
                     ..
                 }) => {
                     self.held.remove(&key);
-                    self.coordinators[i].written(self.now, call, Ok(expected), &mut more);
+                    self.coordinators[i].on_written(self.now, call, Ok(expected), &mut more);
                 }
                 CoordinatorOutput::Register(_) => {}
             }
@@ -130,8 +130,8 @@
         let until = (self.now + ms(1000)).as_micros() as u64;
         let mut out = vec![];
         let ask = ask(Call(self.calls), "w".to_string(), until);
-        self.coordinators[i].ask(self.now, ask, &mut out);
-        self.renew_lease(i, out);
+        self.coordinators[i].handle(self.now, ask, &mut out);
+        self.deliver(i, out);
         self.told.pop()
     }
 
@@ -142,7 +142,7 @@
             for i in 0..self.coordinators.len() {
                 let mut out = vec![];
                 self.coordinators[i].wake(self.now, &mut out);
-                self.renew_lease(i, out);
+                self.deliver(i, out);
             }
         }
     }
@@ -216,39 +216,39 @@
 }
 
 #[test]
-fn a_step_costs_two_writes_and_no_read_and_what_leaves_ends_before_anybody_adopts() {
-    let mut office = Office::new(2);
+fn step_costs_two_writes_and_permission_ends_before_a_takeover() {
+    let mut cluster = Cluster::new(2);
     assert!(matches!(
-        office.claim(0, "a"),
+        cluster.claim(0, "a"),
         Some(Event::Claimed { epoch: 1, .. })
     ));
-    let (reads, writes) = (office.reads, office.writes);
+    let (reads, writes) = (cluster.reads, cluster.writes);
     for step in 1..=20 {
-        let Some(Event::SendPermitted { until_us, .. }) = office.intend(0, 1, step) else {
+        let Some(Event::SendPermitted { until_us, .. }) = cluster.intend(0, 1, step) else {
             panic!("step {step}")
         };
-        assert!(until_us <= (office.now + ms(750)).as_micros() as u64);
+        assert!(until_us <= (cluster.now + ms(750)).as_micros() as u64);
         assert!(matches!(
-            office.done(0, 1, step),
+            cluster.done(0, 1, step),
             Some(Event::Committed { .. })
         ));
     }
-    assert_eq!((office.reads - reads, office.writes - writes), (0, 40));
+    assert_eq!((cluster.reads - reads, cluster.writes - writes), (0, 40));
     // The other one sees the lease for the first time, and has to see it through.
-    assert_eq!(why(&office.claim(1, "b")), Some(RejectReason::LeaseHeld));
-    office.pass(ms(1515));
-    assert_eq!(why(&office.claim(1, "b")), Some(RejectReason::LeaseHeld));
-    office.pass(ms(50));
+    assert_eq!(why(&cluster.claim(1, "b")), Some(RejectReason::LeaseHeld));
+    cluster.pass(ms(1515));
+    assert_eq!(why(&cluster.claim(1, "b")), Some(RejectReason::LeaseHeld));
+    cluster.pass(ms(50));
     assert!(matches!(
-        office.claim(1, "b"),
+        cluster.claim(1, "b"),
         Some(Event::Claimed { epoch: 2, .. })
     ));
-    assert_eq!(why(&office.intend(0, 1, 21)), Some(RejectReason::Fenced));
+    assert_eq!(why(&cluster.intend(0, 1, 21)), Some(RejectReason::Fenced));
 }
 
 #[test]
-fn a_dispatcher_with_a_longer_lease_goes_by_the_one_that_others_watch() {
-    let mut office = Office::new(1);
+fn longer_own_lease_does_not_extend_the_recorded_one() {
+    let mut cluster = Cluster::new(1);
     let own = Process {
         name: NameKey(2),
         start: 1,
@@ -257,17 +257,17 @@
         lease_s: 30.0,
         ..Settings::default()
     };
-    office
+    cluster
         .coordinators
         .push(Coordinator::new(own, &settings, SafetyChecks::AS_BUILT));
-    office.claim(0, "a");
-    let Some(Event::SendPermitted { until_us, .. }) = office.intend(1, 1, 1) else {
+    cluster.claim(0, "a");
+    let Some(Event::SendPermitted { until_us, .. }) = cluster.intend(1, 1, 1) else {
         panic!()
     };
-    assert!(until_us <= (office.now + ms(1500)).as_micros() as u64);
+    assert!(until_us <= (cluster.now + ms(1500)).as_micros() as u64);
     // Its own claim makes it the longer one.
     assert!(matches!(
-        office.claim(1, "a"),
+        cluster.claim(1, "a"),
         Some(Event::Claimed {
             lease_us: 30_000_000,
             ..
@@ -276,96 +276,96 @@
 }
 
 #[test]
-fn an_intent_whose_write_may_have_happened_never_leads_to_a_send_and_is_undone() {
+fn uncertain_intent_is_never_sent_and_is_undone() {
     for next in [
         Next::Silent,
         Next::InDoubt(RegisterError::TimedOut),
         Next::InDoubt(RegisterError::NotStored(StorageError::Full)),
         Next::Fails(RegisterError::TimedOut),
     ] {
-        let mut office = Office::new(1);
-        office.claim(0, "a");
-        office.next = next.clone();
-        let told = office.intend(0, 1, 1);
+        let mut cluster = Cluster::new(1);
+        cluster.claim(0, "a");
+        cluster.next = next.clone();
+        let told = cluster.intend(0, 1, 1);
         assert!(told.is_none(), "{next:?} {told:?}");
-        office.pass(ms(2000));
+        cluster.pass(ms(2000));
         // Answered once: sent under a write of its own, or refused and, in silence, undone.
-        assert_eq!(office.told.len(), 1, "{next:?} {:?}", office.told);
-        let told = office.told.pop();
+        assert_eq!(cluster.told.len(), 1, "{next:?} {:?}", cluster.told);
+        let told = cluster.told.pop();
         match is_go(&told) {
             true => assert!(matches!(
-                office.done(0, 1, 1),
+                cluster.done(0, 1, 1),
                 Some(Event::Committed { .. })
             )),
             false => {
                 assert_eq!(why(&told), Some(RejectReason::NoMajority));
-                assert_eq!(office.record().open_attempt(), None, "{next:?}");
-                assert!(is_go(&office.intend(0, 1, 1)));
+                assert_eq!(cluster.record().open_attempt(), None, "{next:?}");
+                assert!(is_go(&cluster.intend(0, 1, 1)));
             }
         }
     }
 }
 
 #[test]
-fn a_result_is_offered_until_its_deadline_and_on_in_silence() {
-    let mut office = Office::new(1);
-    office.claim(0, "a");
-    office.intend(0, 1, 1);
-    office.next = Next::InDoubt(RegisterError::TimedOut);
-    assert_eq!(office.done(0, 1, 1), None);
-    office.pass(ms(100));
-    assert!(matches!(office.told.pop(), Some(Event::Committed { .. })));
-    office.intend(0, 1, 2);
-    office.next = Next::Silent;
-    office.done(0, 1, 2);
+fn result_is_offered_until_its_deadline_and_then_in_background() {
+    let mut cluster = Cluster::new(1);
+    cluster.claim(0, "a");
+    cluster.intend(0, 1, 1);
+    cluster.next = Next::InDoubt(RegisterError::TimedOut);
+    assert_eq!(cluster.done(0, 1, 1), None);
+    cluster.pass(ms(100));
+    assert!(matches!(cluster.told.pop(), Some(Event::Committed { .. })));
+    cluster.intend(0, 1, 2);
+    cluster.next = Next::Silent;
+    cluster.done(0, 1, 2);
     for _ in 0..400 {
-        office.next = Next::Fails(RegisterError::NoMajority);
-        office.pass(ms(5));
+        cluster.next = Next::Fails(RegisterError::NoMajority);
+        cluster.pass(ms(5));
     }
-    assert_eq!(office.told.len(), 1);
-    assert_eq!(why(&office.told.pop()), Some(RejectReason::NoMajority));
-    office.next = Next::Well;
-    office.pass(ms(500));
-    assert_eq!(office.record().open_attempt(), None);
+    assert_eq!(cluster.told.len(), 1);
+    assert_eq!(why(&cluster.told.pop()), Some(RejectReason::NoMajority));
+    cluster.next = Next::Well;
+    cluster.pass(ms(500));
+    assert_eq!(cluster.record().open_attempt(), None);
     assert!(
-        matches!(office.intend(0, 1, 2), Some(Event::AlreadyDone { result, .. }) if result == "r2")
+        matches!(cluster.intend(0, 1, 2), Some(Event::AlreadyDone { result, .. }) if result == "r2")
     );
 }
 
 #[test]
-fn a_long_attempt_is_carried_and_one_that_is_under_way_is_not_sent_again() {
-    let mut office = Office::new(2);
-    office.claim(0, "a");
-    assert!(is_go(&office.intend(0, 1, 1)));
-    assert_eq!(why(&office.claim(1, "b")), Some(RejectReason::LeaseHeld));
-    office.pass(ms(9000));
-    assert_eq!(why(&office.claim(1, "b")), Some(RejectReason::LeaseHeld));
-    assert_eq!(why(&office.intend(0, 1, 1)), Some(RejectReason::Busy));
+fn lease_is_renewed_during_a_long_attempt_that_is_not_sent_again() {
+    let mut cluster = Cluster::new(2);
+    cluster.claim(0, "a");
+    assert!(is_go(&cluster.intend(0, 1, 1)));
+    assert_eq!(why(&cluster.claim(1, "b")), Some(RejectReason::LeaseHeld));
+    cluster.pass(ms(9000));
+    assert_eq!(why(&cluster.claim(1, "b")), Some(RejectReason::LeaseHeld));
+    assert_eq!(why(&cluster.intend(0, 1, 1)), Some(RejectReason::Busy));
     // Its worker comes back to its own at once, and gets the result of the attempt that it left.
     assert!(matches!(
-        office.claim(0, "a"),
+        cluster.claim(0, "a"),
         Some(Event::Claimed { epoch: 2, .. })
     ));
-    assert_eq!(why(&office.done(0, 1, 1)), Some(RejectReason::Fenced));
+    assert_eq!(why(&cluster.done(0, 1, 1)), Some(RejectReason::Fenced));
     assert!(matches!(
-        office.intend(0, 2, 1),
+        cluster.intend(0, 2, 1),
         Some(Event::AlreadyDone { .. })
     ));
 }
 
 #[test]
-fn an_unsettled_one_is_told_once_and_settled_by_a_person_after_its_lease() {
-    let mut office = Office::new(2);
-    office.claim(0, "a");
-    office.intend(0, 1, 1);
+fn unsettled_workflow_is_logged_once_and_settled_after_its_lease() {
+    let mut cluster = Cluster::new(2);
+    cluster.claim(0, "a");
+    cluster.intend(0, 1, 1);
     // Its dispatcher is no more.
-    office.coordinators.remove(0);
-    office.claim(0, "b");
-    office.pass(ms(3200));
-    assert_eq!(why(&office.claim(0, "b")), Some(RejectReason::Unsettled));
-    assert_eq!(why(&office.claim(0, "c")), Some(RejectReason::Unsettled));
+    cluster.coordinators.remove(0);
+    cluster.claim(0, "b");
+    cluster.pass(ms(3200));
+    assert_eq!(why(&cluster.claim(0, "b")), Some(RejectReason::Unsettled));
+    assert_eq!(why(&cluster.claim(0, "c")), Some(RejectReason::Unsettled));
     assert_eq!(
-        office
+        cluster
             .logs
             .iter()
             .filter(|l| l.contains("unsettled"))
@@ -381,21 +381,21 @@
         until_us,
     };
     assert!(matches!(
-        office.ask(0, settle),
+        cluster.ask(0, settle),
         Some(Event::Committed { .. })
     ));
-    assert!(matches!(office.claim(0, "c"), Some(Event::Claimed { .. })));
+    assert!(matches!(cluster.claim(0, "c"), Some(Event::Claimed { .. })));
 }
 
 #[test]
-fn claims_are_metered_the_nearest_deadline_first_and_all_are_answered() {
-    let mut office = Office::new(1);
+fn claims_are_limited_by_nearest_deadline_and_all_are_answered() {
+    let mut cluster = Cluster::new(1);
     let mut out = vec![];
-    let now = office.now;
+    let now = cluster.now;
     for i in 0..1500u64 {
         let until_us = (now + ms(10_000 - i)).as_micros() as u64;
         let (workflow, worker) = (format!("w{i}"), "a".to_string());
-        office.coordinators[0].ask(
+        cluster.coordinators[0].handle(
             now,
             Command::Claim {
                 call: Call(i),
@@ -434,18 +434,18 @@
         busy.iter().all(|call| (32..1500 - 1024).contains(call)),
         "{busy:?}"
     );
-    office.renew_lease(0, out);
-    let claimed = office
+    cluster.deliver(0, out);
+    let claimed = cluster
         .told
         .iter()
         .filter(|t| matches!(t, Event::Claimed { .. }))
         .count();
-    assert_eq!((claimed, office.told.len()), (32 + 1024, 1500));
+    assert_eq!((claimed, cluster.told.len()), (32 + 1024, 1500));
 }
 
 #[test]
-fn what_is_over_and_what_nobody_writes_any_more_goes_to_its_end() {
-    let mut office = Office::new(1);
+fn sweep_expires_old_workflows_and_deletes_ended_ones() {
+    let mut cluster = Cluster::new(1);
     let settings = Settings {
         lasts_s: 10.0,
         ..Settings::default()
@@ -454,47 +454,38 @@
         name: NameKey(1),
         start: 1,
     };
-    office.coordinators = vec![Coordinator::new(own, &settings, SafetyChecks::AS_BUILT)];
-    office.claim(0, "a");
+    cluster.coordinators = vec![Coordinator::new(own, &settings, SafetyChecks::AS_BUILT)];
+    cluster.claim(0, "a");
     for (state, after) in [
         (State::Ended(Outcome::Expired), 11_000),
         (State::Open, 601_000),
     ] {
-        let look = |office: &mut Office| {
-            let (version, _) = office.held[&key_of("w")];
-            let (record, now, mut out) = (office.record(), office.now, vec![]);
-            office.coordinators[0]
-                .lease_observer
-                .observe(now, key_of("w"), version, &record);
-            let unchanged =
-                office.coordinators[0]
-                    .lease_observer
-                    .unchanged(now, key_of("w"), version);
-            if office.coordinators[0].stale(&record, unchanged) {
-                office.coordinators[0].sweep(now, key_of("w"), &record, &mut out);
-            }
-            office.renew_lease(0, out);
+        let look = |cluster: &mut Cluster| {
+            let (version, _) = cluster.held[&key_of("w")];
+            let (record, now, mut out) = (cluster.record(), cluster.now, vec![]);
+            cluster.coordinators[0].sweep(now, key_of("w"), version, &record, &mut out);
+            cluster.deliver(0, out);
         };
-        look(&mut office);
-        assert!(office.held.contains_key(&key_of("w")));
-        office.pass(ms(after));
-        look(&mut office);
+        look(&mut cluster);
+        assert!(cluster.held.contains_key(&key_of("w")));
+        cluster.pass(ms(after));
+        look(&mut cluster);
         match state {
-            State::Open => assert!(office.held.is_empty()),
-            state => assert_eq!(office.record().state(), state),
+            State::Open => assert!(cluster.held.is_empty()),
+            state => assert_eq!(cluster.record().state(), state),
         }
     }
 }
 
 #[test]
-fn a_copy_of_another_version_is_refused_and_named() {
-    let mut office = Office::new(1);
-    office.claim(0, "a");
-    office.held.get_mut(&key_of("w")).unwrap().1[0] = 9;
-    assert_eq!(why(&office.claim(0, "a")), Some(RejectReason::NoMajority));
+fn record_of_another_version_is_rejected_and_logged() {
+    let mut cluster = Cluster::new(1);
+    cluster.claim(0, "a");
+    cluster.held.get_mut(&key_of("w")).unwrap().1[0] = 9;
+    assert_eq!(why(&cluster.claim(0, "a")), Some(RejectReason::NoMajority));
     assert!(
-        office.logs[0].contains("another version"),
+        cluster.logs[0].contains("another version"),
         "{:?}",
-        office.logs
+        cluster.logs
     );
 }
--- a/crates/workflow/src/timers.rs
+++ b/crates/workflow/src/timers.rs
@@ -1,9 +1,9 @@
-//! What is due when.
+//! Timers by what they are for.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// One time for each thing that may become due.
+/// At most one timer for each `T`.
 #[derive(Debug)]
 pub(crate) struct Timers<T> {
     order: BTreeSet<(Duration, T)>,
@@ -18,27 +18,31 @@
         }
     }
 
-    /// In place of the time that it had.
-    pub(crate) fn set(&mut self, what: T, at: Duration) {
-        self.clear(what);
-        self.order.insert((at, what));
-        self.at.insert(what, at);
+    /// Sets a timer, in place of the time that it had.
+    pub(crate) fn set(&mut self, timer: T, at: Duration) {
+        self.clear(timer);
+        self.order.insert((at, timer));
+        self.at.insert(timer, at);
     }
 
-    pub(crate) fn clear(&mut self, what: T) {
-        if let Some(at) = self.at.remove(&what) {
-            self.order.remove(&(at, what));
+    pub(crate) fn clear(&mut self, timer: T) {
+        if let Some(at) = self.at.remove(&timer) {
+            self.order.remove(&(at, timer));
         }
     }
 
+    /// When the first timer is due.
     pub(crate) fn next(&self) -> Option<Duration> {
         self.order.first().map(|(at, _)| *at)
     }
 
-    /// Takes the first that is due.
+    /// Removes and returns the first timer that is due.
     pub(crate) fn due(&mut self, now: Duration) -> Option<T> {
-        let (_, what) = self.order.first().filter(|(at, _)| *at <= now).copied()?;
-        self.clear(what);
-        Some(what)
+        let (at, timer) = self.order.first().copied()?;
+        if at > now {
+            return None;
+        }
+        self.clear(timer);
+        Some(timer)
     }
 }
--- a/crates/workflow/tests/model.rs
+++ b/crates/workflow/tests/model.rs
@@ -194,8 +194,8 @@
             worker: worker(p),
             holder: NameKey(p as u32),
             lease_us: 1,
-            dead,
-            mine: m,
+            lease_expired: dead,
+            local_attempt: m,
         };
         let Some(mut r) = found else {
             return (*op == Op::Claim).then(|| {
@@ -249,7 +249,7 @@
                 )
             }
         };
-        let told = match turn.answer {
+        let told = match turn.reply {
             Reply::Claimed => Event::Claimed,
             Reply::SendPermitted => Event::SendPermitted,
             Reply::Committed => Event::Committed,
@@ -523,7 +523,7 @@
 }
 
 #[test]
-fn no_course_of_two_workers_three_copies_and_one_tool_runs_an_unsafe_step_twice() {
+fn unsafe_step_never_runs_twice() {
     let checker = bounds(KEPT).checker().threads(2).spawn_bfs().join();
     println!(
         "{} states, {} of them different",
@@ -537,7 +537,7 @@
 }
 
 #[test]
-fn the_model_finds_the_course_where_a_rule_is_left_out() {
+fn model_finds_a_violation_where_a_safety_check_is_off() {
     for safety_checks in [
         SafetyChecks {
             fencing: false,
--- a/crates/workflow/tests/record.rs
+++ b/crates/workflow/tests/record.rs
@@ -14,13 +14,13 @@
     majority_first: true,
 };
 
-fn by(worker: &str, dead: bool, mine: LocalAttempt) -> Claim<'_> {
+fn by(worker: &str, dead: bool, local_attempt: LocalAttempt) -> Claim<'_> {
     Claim {
         worker,
         holder: NameKey(1),
         lease_us: 3_000_000,
-        dead,
-        mine,
+        lease_expired: dead,
+        local_attempt,
     }
 }
 
@@ -42,7 +42,7 @@
     step: u32,
     effect: Effect,
     request_digest: u64,
-    mine: LocalAttempt,
+    local_attempt: LocalAttempt,
 ) -> Transition {
     let attempt = attempt(100 * epoch + u64::from(step));
     r.intend(
@@ -54,14 +54,14 @@
             request_digest,
             attempt,
         },
-        |_| mine,
+        |_| local_attempt,
         &LIMITS,
         KEPT,
     )
 }
 
 fn intend(r: &mut Record, epoch: u64, step: u32, effect: Effect) -> Reply {
-    intend_as(r, epoch, step, effect, 7, LocalAttempt::Unknown).answer
+    intend_as(r, epoch, step, effect, 7, LocalAttempt::Unknown).reply
 }
 
 fn done(result: &str) -> AttemptOutcome {
@@ -79,7 +79,7 @@
         Some(attempt(100 * epoch + u64::from(step))),
         KEPT,
     )
-    .answer
+    .reply
 }
 
 fn rejected(why: RejectReason) -> Reply {
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_step_is_intended_once_done_once_and_known_ever_after() {
+fn step_is_done_once_and_its_result_stays_known() {
     let mut r = begun();
     assert_eq!(
         intend(&mut r, 1, 2, Effect::Safe),
@@ -104,7 +104,7 @@
         Reply::AlreadyDone("booked".into())
     );
     let other = intend_as(&mut r, 1, 1, Effect::Unsafe, 8, LocalAttempt::Unknown);
-    assert_eq!(other.answer, rejected(RejectReason::OtherRequest));
+    assert_eq!(other.reply, rejected(RejectReason::OtherRequest));
     // What never ran may be asked for in other words; what may have run may not.
     assert_eq!(intend(&mut r, 1, 2, Effect::Keyed), Reply::SendPermitted);
     assert_eq!(
@@ -112,7 +112,7 @@
         Reply::Committed
     );
     assert_eq!(
-        intend_as(&mut r, 1, 2, Effect::Keyed, 9, LocalAttempt::Unknown).answer,
+        intend_as(&mut r, 1, 2, Effect::Keyed, 9, LocalAttempt::Unknown).reply,
         Reply::SendPermitted
     );
     assert_eq!(
@@ -120,11 +120,11 @@
         Reply::Committed
     );
     assert_eq!(
-        intend_as(&mut r, 1, 2, Effect::Keyed, 8, LocalAttempt::Unknown).answer,
+        intend_as(&mut r, 1, 2, Effect::Keyed, 8, LocalAttempt::Unknown).reply,
         rejected(RejectReason::OtherRequest)
     );
     assert_eq!(
-        intend_as(&mut r, 1, 2, Effect::Keyed, 9, LocalAttempt::Unknown).answer,
+        intend_as(&mut r, 1, 2, Effect::Keyed, 9, LocalAttempt::Unknown).reply,
         Reply::SendPermitted
     );
     // An earlier attempt of it may have run, so that it is never again one that certainly did not.
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn of_two_attempts_under_one_epoch_the_first_to_end_stands() {
+fn first_result_of_two_attempts_in_one_epoch_stands() {
     let mut r = begun();
     for number in [1, 2] {
         let attempt = attempt(number);
@@ -150,49 +150,46 @@
         };
         assert_eq!(
             r.intend(&intent, |_| LocalAttempt::Running, &LIMITS, KEPT)
-                .answer,
+                .reply,
             Reply::SendPermitted
         );
     }
     assert_eq!(
         r.report_outcome(1, 1, &done("x"), Some(attempt(1)), KEPT)
-            .answer,
+            .reply,
         Reply::Committed
     );
     assert_eq!(
         r.report_outcome(1, 1, &done("y"), Some(attempt(2)), KEPT)
-            .answer,
+            .reply,
         Reply::AlreadyDone("x".into())
     );
     assert_eq!(r.summary().1[0].outcome, Some(done("x")));
 }
 
 #[test]
-fn one_carries_it_and_each_claim_fences_those_before() {
+fn each_claim_fences_the_earlier_ones() {
     let mut r = begun();
     assert_eq!(
-        r.claim(&by("w2", false, LocalAttempt::Unknown)).answer,
+        r.claim(&by("w2", false, LocalAttempt::Unknown)).reply,
         rejected(RejectReason::LeaseHeld)
     );
     assert_eq!(
-        r.claim(&by("w1", false, LocalAttempt::Unknown)).answer,
+        r.claim(&by("w1", false, LocalAttempt::Unknown)).reply,
         Reply::Claimed
     );
     assert_eq!(r.epoch(), 2);
     assert_eq!(
-        r.claim(&by("w2", true, LocalAttempt::Unknown)).answer,
+        r.claim(&by("w2", true, LocalAttempt::Unknown)).reply,
         Reply::Claimed
     );
     assert_eq!(
         intend(&mut r, 2, 1, Effect::Safe),
         rejected(RejectReason::Fenced)
     );
+    assert_eq!(r.renew_lease(2, KEPT).reply, rejected(RejectReason::Fenced));
     assert_eq!(
-        r.renew_lease(2, KEPT).answer,
-        rejected(RejectReason::Fenced)
-    );
-    assert_eq!(
-        r.finish(2, false, KEPT).answer,
+        r.finish(2, false, KEPT).reply,
         rejected(RejectReason::Fenced)
     );
     assert_eq!(intend(&mut r, 3, 1, Effect::Safe), Reply::SendPermitted);
@@ -207,11 +204,11 @@
         fencing: false,
         ..KEPT
     };
-    assert_eq!(r.renew_lease(2, broken).answer, Reply::Committed);
+    assert_eq!(r.renew_lease(2, broken).reply, Reply::Committed);
 }
 
 #[test]
-fn an_unsafe_step_that_may_have_run_stops_it_until_a_person_decides() {
+fn unsafe_step_that_may_have_run_needs_a_decision() {
     for (outcome, next) in [
         (done("looked up"), Reply::AlreadyDone("looked up".into())),
         (AttemptOutcome::NeverRan, Reply::SendPermitted),
@@ -222,13 +219,16 @@
     ] {
         let mut r = begun();
         intend(&mut r, 1, 1, Effect::Unsafe);
-        let turn = r.claim(&by("w2", true, LocalAttempt::Unknown));
-        assert_eq!(turn.answer, rejected(RejectReason::Unsettled));
-        assert!(turn.write && matches!(turn.notice, Some(Notice::Unsettled { step: 1, .. })));
+        let transition = r.claim(&by("w2", true, LocalAttempt::Unknown));
+        assert_eq!(transition.reply, rejected(RejectReason::Unsettled));
+        assert!(
+            transition.write
+                && matches!(transition.notice, Some(Notice::Unsettled { step: 1, .. }))
+        );
         // Told once: later ones are refused without a word for the log.
         let again = r.claim(&by("w3", true, LocalAttempt::Unknown));
         assert!(
-            again.answer == rejected(RejectReason::Unsettled)
+            again.reply == rejected(RejectReason::Unsettled)
                 && !again.write
                 && again.notice.is_none()
         );
@@ -237,20 +237,20 @@
             rejected(RejectReason::Unsettled)
         );
         assert_eq!(
-            r.settle(1, &outcome, false).answer,
+            r.settle(1, &outcome, false).reply,
             rejected(RejectReason::LeaseHeld)
         );
         assert_eq!(
-            r.settle(2, &outcome, true).answer,
+            r.settle(2, &outcome, true).reply,
             rejected(RejectReason::Unknown)
         );
-        assert_eq!(r.settle(1, &outcome, true).answer, Reply::Committed);
+        assert_eq!(r.settle(1, &outcome, true).reply, Reply::Committed);
         assert_eq!(
             intend(&mut r, 1, 1, Effect::Unsafe),
             rejected(RejectReason::Fenced)
         );
         assert_eq!(
-            r.claim(&by("w3", false, LocalAttempt::Unknown)).answer,
+            r.claim(&by("w3", false, LocalAttempt::Unknown)).reply,
             Reply::Claimed
         );
         let epoch = r.epoch();
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn the_late_end_of_the_very_attempt_settles_it_and_a_second_result_is_kept_beside() {
+fn late_outcome_settles_the_step_and_a_second_result_is_kept() {
     let mut r = begun();
     intend(&mut r, 1, 1, Effect::Unsafe);
     r.claim(&by("w2", true, LocalAttempt::Unknown));
@@ -267,11 +267,11 @@
     // Another attempt's word settles nothing.
     let stranger = r.report_outcome(0, 1, &done("other"), Some(attempt(5)), KEPT);
     assert_eq!(
-        (stranger.answer, r.state()),
+        (stranger.reply, r.state()),
         (rejected(RejectReason::Fenced), State::Unsettled)
     );
-    let turn = r.report_outcome(1, 1, &done("booked"), Some(attempt(101)), KEPT);
-    assert!(turn.write && turn.notice == Some(Notice::Resolved { step: 1 }));
+    let transition = r.report_outcome(1, 1, &done("booked"), Some(attempt(101)), KEPT);
+    assert!(transition.write && transition.notice == Some(Notice::Resolved { step: 1 }));
     assert_eq!(r.state(), State::Open);
     assert_eq!(
         intend(&mut r, 1, 1, Effect::Unsafe),
@@ -286,15 +286,15 @@
 }
 
 #[test]
-fn an_attempt_that_runs_in_the_claimants_own_process_is_not_doubted() {
+fn running_attempt_of_the_claiming_process_is_kept() {
     let mut r = begun();
     intend(&mut r, 1, 1, Effect::Unsafe);
     assert_eq!(
-        r.claim(&by("w1", false, LocalAttempt::Running)).answer,
+        r.claim(&by("w1", false, LocalAttempt::Running)).reply,
         Reply::Claimed
     );
     assert_eq!(
-        intend_as(&mut r, 2, 1, Effect::Unsafe, 7, LocalAttempt::Running).answer,
+        intend_as(&mut r, 2, 1, Effect::Unsafe, 7, LocalAttempt::Running).reply,
         rejected(RejectReason::Busy)
     );
     assert_eq!(
@@ -308,59 +308,57 @@
     // One that it never told anybody to send is run as if nothing had been.
     intend(&mut r, 2, 2, Effect::Unsafe);
     assert_eq!(
-        intend_as(&mut r, 2, 2, Effect::Unsafe, 7, LocalAttempt::NeverSent).answer,
+        intend_as(&mut r, 2, 2, Effect::Unsafe, 7, LocalAttempt::NeverSent).reply,
         Reply::SendPermitted
     );
     assert_eq!(
-        r.claim(&by("w1", false, LocalAttempt::NeverSent)).answer,
+        r.claim(&by("w1", false, LocalAttempt::NeverSent)).reply,
         Reply::Claimed
     );
     assert_eq!(r.summary().1[1].outcome, Some(AttemptOutcome::NeverRan));
 }
 
 #[test]
-fn what_killed_three_workers_over_one_step_is_parked_and_progress_forgives() {
+fn workflow_is_parked_after_three_deaths_without_progress() {
     let mut r = begun();
     for (epoch, worker) in [(1, "w2"), (2, "w3")] {
         intend(&mut r, epoch, 1, Effect::Safe);
         assert_eq!(
-            r.claim(&by(worker, true, LocalAttempt::Unknown)).answer,
+            r.claim(&by(worker, true, LocalAttempt::Unknown)).reply,
             Reply::Claimed
         );
     }
     let mut forgiven = r.clone();
-    let turn = r.claim(&by("w4", true, LocalAttempt::Unknown));
+    let transition = r.claim(&by("w4", true, LocalAttempt::Unknown));
     assert_eq!(
-        (turn.answer, turn.notice),
+        (transition.reply, transition.notice),
         (
             rejected(RejectReason::Parked),
             Some(Notice::Parked { step: 1 })
         )
     );
     assert_eq!(
-        r.claim(&by("w3", true, LocalAttempt::Unknown)).answer,
+        r.claim(&by("w3", true, LocalAttempt::Unknown)).reply,
         rejected(RejectReason::Parked)
     );
     assert_eq!(
-        r.settle(1, &AttemptOutcome::NeverRan, true).answer,
+        r.settle(1, &AttemptOutcome::NeverRan, true).reply,
         Reply::Committed
     );
     assert_eq!(
-        r.claim(&by("w5", false, LocalAttempt::Unknown)).answer,
+        r.claim(&by("w5", false, LocalAttempt::Unknown)).reply,
         Reply::Claimed
     );
     intend(&mut forgiven, 3, 1, Effect::Safe);
     end(&mut forgiven, 3, 1, done("x"));
     assert_eq!(
-        forgiven
-            .claim(&by("w4", true, LocalAttempt::Unknown))
-            .answer,
+        forgiven.claim(&by("w4", true, LocalAttempt::Unknown)).reply,
         Reply::Claimed
     );
 }
 
 #[test]
-fn finish_cancel_and_expiry_let_go_of_all_but_a_short_record() {
+fn ended_workflow_keeps_a_short_record() {
     for which in 0..3 {
         let mut r = begun();
         for step in 1..=20 {
@@ -369,16 +367,16 @@
         }
         intend(&mut r, 1, 21, Effect::Keyed);
         assert_eq!(
-            r.finish(1, false, KEPT).answer,
+            r.finish(1, false, KEPT).reply,
             rejected(RejectReason::Unknown)
         );
         let answer = match which {
             0 => {
                 end(&mut r, 1, 21, done("y"));
-                r.finish(1, false, KEPT).answer
+                r.finish(1, false, KEPT).reply
             }
-            1 => r.finish(1, true, KEPT).answer,
-            _ => r.expire().answer,
+            1 => r.finish(1, true, KEPT).reply,
+            _ => r.expire().reply,
         };
         assert_eq!(
             answer,
@@ -394,19 +392,19 @@
             rejected(RejectReason::Ended)
         );
         assert_eq!(
-            r.claim(&by("w2", true, LocalAttempt::Unknown)).answer,
+            r.claim(&by("w2", true, LocalAttempt::Unknown)).reply,
             rejected(RejectReason::Ended)
         );
         // The same word again is answered alike.
         assert_eq!(
-            r.finish(1, which == 1, KEPT).answer == Reply::Committed,
+            r.finish(1, which == 1, KEPT).reply == Reply::Committed,
             which < 2
         );
     }
 }
 
 #[test]
-fn the_thousandth_step_costs_as_the_hundredth_and_what_is_compacted_is_never_run_again() {
+fn record_size_is_bounded_and_compacted_steps_never_run_again() {
     let mut r = begun();
     let mut sizes = vec![];
     for step in 1..=1000 {
@@ -445,9 +443,9 @@
         "{context}"
     );
     // A late second result of a compacted one is noted, and changes nothing else.
-    let turn = r.report_outcome(0, 3, &done("late"), Some(attempt(9)), KEPT);
+    let transition = r.report_outcome(0, 3, &done("late"), Some(attempt(9)), KEPT);
     assert_eq!(
-        (turn.write, turn.answer),
+        (transition.write, transition.reply),
         (true, rejected(RejectReason::Fenced))
     );
     assert!(r.summary().0.contains("3 again: late"));
@@ -487,13 +485,13 @@
             Some(attempt(1)),
             KEPT,
         );
-        let turn = r.intend(
+        let transition = r.intend(
             &intent(2, attempt(2)),
             |_| LocalAttempt::Unknown,
             &limits,
             KEPT,
         );
-        assert_eq!(turn.answer, rejected(RejectReason::Limit));
+        assert_eq!(transition.reply, rejected(RejectReason::Limit));
     }
     let mut r = begun();
     for step in 0..2 {
@@ -505,18 +503,18 @@
         );
         r.report_outcome(1, step, &done(""), Some(attempt(1)), KEPT);
     }
-    let turn = r.intend(
+    let transition = r.intend(
         &intent(2, attempt(2)),
         |_| LocalAttempt::Unknown,
         &limits,
         KEPT,
     );
-    assert_eq!(turn.answer, rejected(RejectReason::Limit));
-    assert!(!r.age(60, &limits) && r.age(60, &limits));
+    assert_eq!(transition.reply, rejected(RejectReason::Limit));
+    assert!(!r.add_age(60, &limits) && r.add_age(60, &limits));
 }
 
 #[test]
-fn records_of_other_versions_torn_and_overlong_ones_are_told_apart() {
+fn invalid_records_are_distinguished() {
     let bytes = begun().encode().unwrap();
     assert_eq!(Record::decode(&bytes), Ok(begun()));
     let mut other = bytes.clone();
@@ -547,7 +545,7 @@
 
     /// Whatever is done, the record stays within its bound, its epoch never falls, and a result that stands stays.
     #[test]
-    fn any_course_is_bounded_and_forward_only(course in proptest::collection::vec((0u8..7, 0u32..5, 0u8..4, 0usize..9000), 1..120)) {
+    fn any_sequence_of_transitions_is_bounded_and_monotonic(course in proptest::collection::vec((0u8..7, 0u32..5, 0u8..4, 0usize..9000), 1..120)) {
         let mut r = begun();
         let mut stood = std::collections::BTreeMap::new();
         for (i, (what, step, effect, long)) in course.into_iter().enumerate() {
--- a/crates/workflow/tests/simulated.rs
+++ b/crates/workflow/tests/simulated.rs
@@ -27,12 +27,12 @@
 }
 
 #[test]
-fn no_unsafe_effect_twice_no_told_result_lost_every_workflow_ends_or_says_why_not() {
+fn faults_neither_repeat_unsafe_effects_nor_lose_results() {
     many(seeds());
 }
 
 #[test]
-fn the_same_judge_fails_where_epochs_do_not_fence_and_where_effects_leave_before_a_majority() {
+fn violations_are_noticed_without_fencing_or_majority_first() {
     for (fencing, majority_first) in [(false, true), (true, false)] {
         let safety_checks = SafetyChecks {
             fencing,
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_thousand_workflows_of_a_dead_dispatcher_are_adopted_soon_after_their_lease() {
+fn thousand_workflows_are_taken_over_soon_after_their_lease() {
     let (took, refused) = adopt(1000);
     assert_eq!(took.len(), 1000, "{refused:?}");
     let (half, most) = (took[500], took[999]);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn where_a_majority_of_the_copies_is_lost_it_is_said_and_nothing_begins_anew() {
+fn lost_majority_is_reported_and_nothing_begins_anew() {
     let (claimed, refused) = lost();
     assert_eq!(claimed, 0);
     assert!(
