--- a/crates/platform-net/src/dial.rs
+++ b/crates/platform-net/src/dial.rs
@@ -65,7 +65,7 @@
                     },
                 );
             }
-            Err(_) => self.socket_events.push_back(SocketEvent::Ended(conn)),
+            Err(_) => self.socket_events.push_back(SocketEvent::Ended { conn }),
         }
     }
 
--- a/crates/platform-net/src/listen.rs
+++ b/crates/platform-net/src/listen.rs
@@ -2,20 +2,18 @@
 
 use std::io;
 use std::net::SocketAddr;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 use mio::net::TcpListener;
 use socket2::{Domain, Socket, Type};
 
-use crate::transient_errors::is_transient;
+use crate::transient_errors::{is_transient, retry_while};
 
 /// The accept queue's length (the listener's backlog). What comes while the process starts or is held up waits there;
 /// past it connections are dropped, and tried again only after 1, 3 and 7 s. The system may cap it.
 const ACCEPT_QUEUE: i32 = 1024;
 /// A predecessor that was told to stop, or has just been killed, may hold its addresses for this long.
 const ADDRESS_WAIT: Duration = Duration::from_secs(5);
-/// Pause between tries.
-const PAUSE: Duration = Duration::from_millis(20);
 
 /// A listener whose accept queue holds hundreds. Connections of a predecessor that linger do not keep it from the
 /// address.
@@ -39,22 +37,16 @@
     at: SocketAddr,
     open: impl Fn(SocketAddr) -> io::Result<T>,
 ) -> io::Result<T> {
-    let began = Instant::now();
-    let mut said = false;
-    loop {
-        match open(at) {
-            Err(e) if is_transient(&e) && began.elapsed() < ADDRESS_WAIT => {
-                std::thread::sleep(PAUSE)
-            }
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse && began.elapsed() < ADDRESS_WAIT => {
-                if !std::mem::replace(&mut said, true) {
-                    tracing::warn!(
-                        "{at} is in use, by the process before perhaps: tried for {ADDRESS_WAIT:?}"
-                    );
-                }
-                std::thread::sleep(PAUSE);
-            }
-            other => return other,
+    let mut is_logged = false;
+    let is_retryable = |e: &io::Error| {
+        // An address in use is no transient error.
+        let in_use = e.kind() == io::ErrorKind::AddrInUse;
+        if in_use && !std::mem::replace(&mut is_logged, true) {
+            tracing::warn!(
+                "{at} is in use, by the process before perhaps: tried for {ADDRESS_WAIT:?}"
+            );
         }
-    }
+        in_use || is_transient(e)
+    };
+    retry_while(ADDRESS_WAIT, is_retryable, || open(at))
 }
--- a/crates/platform-net/src/signals.rs
+++ b/crates/platform-net/src/signals.rs
@@ -4,10 +4,13 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
+use bitternlatch_platform::types::Input;
 use mio::net::UnixStream;
 use mio::{Interest, Registry, Token};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
+use crate::Driver;
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Signal {
     Stop,
@@ -58,3 +61,14 @@
         .collect()
     }
 }
+
+impl Driver {
+    pub(crate) fn handle_signals(&mut self) {
+        for signal in self.signals.take() {
+            match signal {
+                Signal::Stop => self.input(Input::Stop),
+                Signal::Reload => self.reloads.request(self.clock.now()),
+            }
+        }
+    }
+}
--- a/crates/platform-net/src/transient_errors.rs
+++ b/crates/platform-net/src/transient_errors.rs
@@ -30,16 +30,28 @@
         .is_some_and(|code| TRANSIENT.iter().any(|known| known.raw_os_error() == code))
 }
 
-/// Makes a call at the start, again and again while it fails for a moment.
+/// Makes a call, again and again while it fails with an error that `is_retryable` and for no longer than `limit`.
 ///
 /// # Errors
-/// As the call's: one that does not pass, or has not passed in time.
-pub(crate) fn retry_transient<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+/// As the call's: one that is not retried, or has not passed in time.
+pub(crate) fn retry_while<T>(
+    limit: Duration,
+    mut is_retryable: impl FnMut(&io::Error) -> bool,
+    mut call: impl FnMut() -> io::Result<T>,
+) -> io::Result<T> {
     let began = Instant::now();
     loop {
         match call() {
-            Err(e) if is_transient(&e) && began.elapsed() < RETRY_FOR => thread::sleep(PAUSE),
+            Err(e) if began.elapsed() < limit && is_retryable(&e) => thread::sleep(PAUSE),
             other => return other,
         }
     }
 }
+
+/// Makes a call at the start, again and again while it fails for a moment.
+///
+/// # Errors
+/// As the call's: one that does not pass, or has not passed in time.
+pub(crate) fn retry_transient<T>(call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    retry_while(RETRY_FOR, is_transient, call)
+}
