--- a/crates/platform-net/src/commands.rs
+++ b/crates/platform-net/src/commands.rs
@@ -6,7 +6,7 @@
 use mio::net::TcpStream;
 use mio::{Interest, Token};
 
-use crate::socket::Socket;
+use crate::socket::{Socket, WriteResult};
 use crate::{Driver, SocketEvent, ACCESS_LOG_TARGET};
 
 impl Driver {
@@ -118,7 +118,10 @@
         let Some(socket) = self.sockets.get_mut(&conn) else {
             return;
         };
-        let (count, alive) = socket.write();
+        let WriteResult {
+            bytes: count,
+            is_open,
+        } = socket.write();
         let is_serving = !socket.lingering();
         if count > 0 && !is_serving {
             socket.restart_linger(self.clock.now());
@@ -127,7 +130,7 @@
             self.socket_events
                 .push_back(SocketEvent::Wrote { conn, count });
         }
-        if alive {
+        if is_open {
             return;
         }
         if socket.accepted && is_serving {
--- a/crates/platform-net/src/event_loop.rs
+++ b/crates/platform-net/src/event_loop.rs
@@ -4,6 +4,7 @@
 use std::time::Duration;
 
 use bitternlatch_platform::types::{ConnId, Input};
+use mio::event::Event;
 use mio::Events;
 
 use crate::{Driver, LISTENER, PEERS, SIGNALS};
@@ -17,6 +18,19 @@
 /// this, seconds.
 const MAX_TIMER_DELAY_SECS: f64 = 0.01;
 
+/// What the system has told in one poll.
+#[derive(Default)]
+struct Readiness {
+    /// Connections that may be read or written.
+    ready: Vec<ConnId>,
+    /// Clients that have disconnected.
+    disconnected: Vec<ConnId>,
+    /// Datagrams wait.
+    peers: bool,
+    /// Signals wait.
+    signals: bool,
+}
+
 impl Driver {
     pub(crate) fn run(&mut self) -> io::Result<()> {
         let mut events = Events::with_capacity(BATCH);
@@ -107,28 +121,29 @@
     /// The node hears first of the clients that have gone, of all of them, and without what they said last: neither a
     /// server's answer nor a timer nor their own words may begin an attempt for them.
     fn poll_ready(&mut self, events: &mut Events) -> Vec<ConnId> {
-        let (mut ready, mut disconnected) = (Vec::new(), Vec::new());
-        let (mut peers, mut signals) = (false, false);
+        let found = self.collect_readiness(events);
+        for conn in found.disconnected {
+            self.forget(conn);
+            // No command is carried out in between: what comes of it may let timers act.
+            self.node
+                .step(self.observed_at, Input::Ended { conn }, &mut self.commands);
+        }
+        self.run_commands();
+        if found.peers {
+            self.read_datagrams();
+        }
+        if found.signals {
+            self.handle_signals();
+        }
+        found.ready
+    }
+
+    /// Takes the events at hand and all that the system has by now.
+    fn collect_readiness(&mut self, events: &mut Events) -> Readiness {
+        let mut found = Readiness::default();
         for batch in 0..MAX_BATCHES {
             for event in events.iter() {
-                match event.token() {
-                    LISTENER => self.acceptor.set_ready(),
-                    PEERS => peers = true,
-                    SIGNALS => signals = true,
-                    token => {
-                        let conn = ConnId(token.0 as u64);
-                        let Some(socket) = self.sockets.get_mut(&conn) else {
-                            continue;
-                        };
-                        socket.record_readiness(event);
-                        if socket.client_gone() {
-                            &mut disconnected
-                        } else {
-                            &mut ready
-                        }
-                        .push(conn);
-                    }
-                }
+                self.record_readiness(event, &mut found);
             }
             if batch > 0 && events.iter().count() < BATCH {
                 break;
@@ -138,20 +153,27 @@
                 break;
             }
         }
-        for conn in disconnected {
-            self.forget(conn);
-            // No command is carried out in between: what comes of it may let timers act.
-            self.node
-                .step(self.observed_at, Input::Ended { conn }, &mut self.commands);
-        }
-        self.run_commands();
-        if peers {
-            self.read_datagrams();
-        }
-        if signals {
-            self.handle_signals();
+        found
+    }
+
+    fn record_readiness(&mut self, event: &Event, found: &mut Readiness) {
+        match event.token() {
+            LISTENER => self.acceptor.set_ready(),
+            PEERS => found.peers = true,
+            SIGNALS => found.signals = true,
+            token => {
+                let conn = ConnId(token.0 as u64);
+                let Some(socket) = self.sockets.get_mut(&conn) else {
+                    return;
+                };
+                socket.record_readiness(event);
+                if socket.client_gone() {
+                    found.disconnected.push(conn);
+                } else {
+                    found.ready.push(conn);
+                }
+            }
         }
-        ready
     }
 
     /// In a long turn, asks the system again; connections that are ready are served in the next one.
--- a/crates/platform-net/src/lingering.rs
+++ b/crates/platform-net/src/lingering.rs
@@ -99,7 +99,7 @@
         if let Some(socket) = self.sockets.get_mut(&conn) {
             socket.readable = true;
             let mut reads = MAX_LAST_READS;
-            while reads > 0 && socket.read(&mut self.buffer).1 == ReadOutcome::More {
+            while reads > 0 && socket.read(&mut self.buffer).outcome == ReadOutcome::More {
                 reads -= 1;
             }
         }
--- a/crates/platform-net/src/socket.rs
+++ b/crates/platform-net/src/socket.rs
@@ -38,6 +38,32 @@
     Ended,
 }
 
+/// What a read has brought.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ReadResult {
+    pub(crate) bytes: usize,
+    pub(crate) outcome: ReadOutcome,
+}
+
+/// What a write has done.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct WriteResult {
+    /// Bytes that have gone to the system.
+    pub(crate) bytes: usize,
+    /// Whether the connection still takes any.
+    pub(crate) is_open: bool,
+}
+
+/// How far a connect has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ConnectProgress {
+    Pending,
+    JustConnected,
+    /// It was up before.
+    Established,
+}
+
+/// One connection.
 pub(crate) struct Socket {
     pub(crate) stream: TcpStream,
     /// A client's; otherwise one that was dialled.
@@ -86,27 +112,27 @@
         self.accepted && self.ended && !self.lingering()
     }
 
-    /// Whether a dialled connection is up: `None` not yet, true just now, false for long.
+    /// Whether a dialled connection is up.
     ///
     /// # Errors
     /// It never came up.
-    pub(crate) fn poll_connected(&mut self) -> std::io::Result<Option<bool>> {
+    pub(crate) fn poll_connected(&mut self) -> std::io::Result<ConnectProgress> {
         if self.stage != Stage::Connecting {
-            return Ok(Some(false));
+            return Ok(ConnectProgress::Established);
         }
         if let Some(e) = self.stream.take_error()? {
             return Err(e);
         }
         if !self.writable {
-            return Ok(None);
+            return Ok(ConnectProgress::Pending);
         }
         match self.stream.peer_addr() {
             Ok(_) => {
                 self.stage = Stage::Open;
                 self.stream.set_nodelay(true)?;
-                Ok(Some(true))
+                Ok(ConnectProgress::JustConnected)
             }
-            Err(e) if e.kind() == ErrorKind::NotConnected => Ok(None),
+            Err(e) if e.kind() == ErrorKind::NotConnected => Ok(ConnectProgress::Pending),
             Err(e) => Err(e),
         }
     }
@@ -159,10 +185,13 @@
         }
     }
 
-    /// Writes what it can: the bytes that went, and whether the connection still takes any.
-    pub(crate) fn write(&mut self) -> (usize, bool) {
+    /// Writes what it can.
+    pub(crate) fn write(&mut self) -> WriteResult {
         if self.stage == Stage::Connecting {
-            return (0, true);
+            return WriteResult {
+                bytes: 0,
+                is_open: true,
+            };
         }
         let from = self.at;
         while self.writable && !self.broken && self.at < self.queue.len() {
@@ -187,32 +216,35 @@
                 }
             }
         }
-        (count, !self.broken)
+        WriteResult {
+            bytes: count,
+            is_open: !self.broken,
+        }
     }
 
-    /// Reads as much as there is and the buffer takes: how much that was, and what stands behind it.
-    pub(crate) fn read(&mut self, buffer: &mut [u8]) -> (usize, ReadOutcome) {
-        if self.paused && !self.broken {
-            return (0, ReadOutcome::Nothing);
-        }
-        let mut taken = 0;
-        while taken < buffer.len() {
-            if !self.readable && !self.broken {
-                return (taken, ReadOutcome::Nothing);
+    /// Reads as much as there is and the buffer takes.
+    pub(crate) fn read(&mut self, buffer: &mut [u8]) -> ReadResult {
+        let mut bytes = 0;
+        let outcome = loop {
+            if bytes == buffer.len() {
+                break ReadOutcome::More;
             }
-            match self.stream.read(&mut buffer[taken..]) {
-                Ok(0) => return (taken, ReadOutcome::Ended),
-                Ok(n) if self.drop_rest(n) => return (taken, ReadOutcome::Ended),
-                Ok(n) => taken += n,
+            if !self.broken && (self.paused || !self.readable) {
+                break ReadOutcome::Nothing;
+            }
+            match self.stream.read(&mut buffer[bytes..]) {
+                Ok(0) => break ReadOutcome::Ended,
+                Ok(n) if self.drop_rest(n) => break ReadOutcome::Ended,
+                Ok(n) => bytes += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock && self.broken => {
-                    return (taken, ReadOutcome::Ended)
+                    break ReadOutcome::Ended
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => self.readable = false,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return (taken, ReadOutcome::Ended),
+                Err(_) => break ReadOutcome::Ended,
             }
-        }
-        (taken, ReadOutcome::More)
+        };
+        ReadResult { bytes, outcome }
     }
 
     /// Nothing has come that was not read, its end included; asks the system, whatever it has told.
