--- a/crates/journal/tests/crash.rs
+++ b/crates/journal/tests/crash.rs
@@ -4,7 +4,7 @@
 
 use bitternlatch_budget::charge::{Entry, Used};
 use bitternlatch_budget::Amount;
-use bitternlatch_journal::{Journal, Place};
+use bitternlatch_journal::{Journal, SequenceNumber};
 use redb::StorageBackend;
 
 #[derive(Clone, Debug)]
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn after_a_crash_at_any_step_whole_batches_are_there_and_none_that_was_promised_is_missing() {
+fn crash_at_any_step_keeps_promised_batches_and_no_parts() {
     let disk = Disk::default();
     let journal = Journal::over(disk.clone()).expect("a journal");
     let mut promised = vec![(disk.ops().len(), 0, 0)];
@@ -185,7 +185,7 @@
             );
             let rest = again.unshipped(100).expect("read");
             assert!(
-                rest.first().is_none_or(|r| r.0 > Place(shipped)),
+                rest.first().is_none_or(|r| r.0 > SequenceNumber(shipped)),
                 "{at} {kept}: shipped is not forgotten"
             );
             // Whoever asks again finds repeats where they are there, and goes on.
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_disk_that_runs_full_at_any_step_loses_nothing_that_was_promised() {
+fn full_disk_at_any_step_loses_nothing_promised() {
     for left in 0..60 {
         let disk = Disk::default();
         let journal = Journal::over(disk.clone()).expect("a journal");
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn files_that_are_no_journal_or_open_elsewhere_are_named_and_stay() {
+fn invalid_or_locked_files_are_named_and_kept() {
     let path = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("no.journal");
     std::fs::write(&path, "a shopping list").expect("a file");
     let fault = Journal::open(&path).err().expect("refused").to_string();
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn one_number_with_two_contents_is_told_and_the_first_stands() {
+fn contradiction_is_reported_and_the_first_entry_stands() {
     let journal = Journal::over(Disk::default()).expect("a journal");
     journal.append(&[entry(1, 1, 7)]).expect("written");
     let done = journal
--- a/crates/journal/tests/stored_file.rs
+++ b/crates/journal/tests/stored_file.rs
@@ -7,7 +7,7 @@
 
 use bitternlatch_budget::charge::{Entry, Used};
 use bitternlatch_budget::Amount;
-use bitternlatch_journal::{Journal, Place};
+use bitternlatch_journal::{Journal, SequenceNumber};
 use redb::StorageBackend;
 
 const FIXTURE: &str = include_str!("fixtures/journal.txt");
@@ -99,8 +99,8 @@
 fn entries_of_the_fixture_are_read_in_order_from_the_shipped_mark() {
     let journal = Journal::over(stored_file()).expect("the file opens");
     let unshipped = journal.unshipped(10).expect("readable");
-    let places: Vec<Place> = unshipped.iter().map(|(place, _)| *place).collect();
-    assert_eq!(places, [Place(3), Place(4)]);
+    let places: Vec<SequenceNumber> = unshipped.iter().map(|(place, _)| *place).collect();
+    assert_eq!(places, [SequenceNumber(3), SequenceNumber(4)]);
     let entries: Vec<Entry> = unshipped.into_iter().map(|(_, entry)| entry).collect();
     assert_eq!(entries, written()[2..]);
 }
--- a/crates/net/src/charges.rs
+++ b/crates/net/src/charges.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bitternlatch_budget::charge::Entry;
-use bitternlatch_journal::held::Charge;
+use bitternlatch_journal::output_barrier::Charge;
 use bitternlatch_journal::Journal;
 use crossbeam_channel::{bounded, Receiver, Sender, TrySendError};
 
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -15,7 +15,7 @@
     Input, Level, LinkId, Machine, Micros, Output, ServerObservation, SessionId, Settings,
 };
 use bitternlatch_identity::Caller;
-use bitternlatch_journal::held::{Charge, Held};
+use bitternlatch_journal::output_barrier::{Charge, OutputBarrier};
 use bitternlatch_protocol::client::{renewal, Renewal};
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender, TrySendError};
 
@@ -186,7 +186,7 @@
     peers: Option<Box<dyn Fn(Vec<ServerObservation>)>>,
     beside: Beside,
     /// Answers that wait for their charge.
-    held: Held<SessionId, Output>,
+    held: OutputBarrier<SessionId, Output>,
     stopping: bool,
 }
 
@@ -213,7 +213,7 @@
             ledger: None,
             peers: None,
             beside: Beside::default(),
-            held: Held::new(CHARGE_WAIT_S),
+            held: OutputBarrier::new(CHARGE_WAIT_S),
             stopping: false,
         }
     }
