--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -5,19 +5,19 @@
 use common::*;
 
 /// A warm writer whose queue lasts for seconds, and an idle one that has just started; another, perhaps.
-fn jammed_and_cold(more: &[ServerEntry]) -> RouterHarness {
-    let cold = ServerEntry {
+fn jammed_and_warming(more: &[ServerEntry]) -> RouterHarness {
+    let warming = ServerEntry {
         booted_at: T0 - 0.1,
         ..server(11, 1, 0)
     };
     let fleet = [
-        &[server(1, 0, 0), server(2, 0, 0), cold, server(12, 1, 1)],
+        &[server(1, 0, 0), server(2, 0, 0), warming, server(12, 1, 1)],
         more,
     ]
     .concat();
     let mut harness = RouterHarness::with_fleet(settings(Effect::Idempotent), fleet);
     for id in 1..20 {
-        harness.arrive(ask(id));
+        harness.arrive(new_request(id));
         harness.end(id, Outcome::PrefillDone, 0.05, 0.0);
         let to = harness.last().1;
         let report = if to == 12 {
@@ -28,7 +28,7 @@
         let outcome = Outcome::Served;
         let (elapsed_s, prefix_hit_tokens, finished) = (0.1, 0.0, true);
         let (request, attempt, server) = (id, 1, to);
-        harness.tell(Event::FirstToken {
+        harness.handle(Event::FirstToken {
             request,
             attempt,
             server,
@@ -44,7 +44,7 @@
             prefix_hit_tokens,
             report,
         };
-        harness.tell(Event::AttemptEnded(end));
+        harness.handle(Event::AttemptEnded(end));
     }
     assert!(
         harness.sends.iter().any(|s| s.1 == 12),
@@ -57,33 +57,33 @@
 /// not read first. Each of those that are taken in goes to the cold writer.
 #[test]
 fn request_without_a_turn_at_a_warming_server_counts_the_wait_at_others() {
-    let mut harness = jammed_and_cold(&[]);
-    let (mut taken, mut turned_away) = (0, 0);
+    let mut harness = jammed_and_warming(&[]);
+    let (mut accepted, mut turned_away) = (0, 0);
     for id in 1000..1100 {
-        let out = harness.arrive(ask(id));
-        if refused(&out, id) {
+        let out = harness.arrive(new_request(id));
+        if rejected(&out, id) {
             turned_away += 1;
             continue;
         }
-        taken += 1;
+        accepted += 1;
         harness.end(id, Outcome::PrefillDone, 0.05, 0.0);
         assert_eq!(harness.last(), (id, 11));
         harness.stream(id);
         harness.end(id, Outcome::Served, 0.1, 0.0);
     }
     assert!(
-        taken >= 5 && turned_away >= 50,
-        "{taken} taken in, {turned_away} turned away"
+        accepted >= 5 && turned_away >= 50,
+        "{accepted} taken in, {turned_away} turned away"
     );
 }
 
 /// Beside a warm one that is idle nobody is turned away.
 #[test]
 fn idle_warm_decode_server_takes_all() {
-    let mut harness = jammed_and_cold(&[server(13, 1, 1)]);
+    let mut harness = jammed_and_warming(&[server(13, 1, 1)]);
     for id in 1000..1020 {
-        let out = harness.arrive(ask(id));
-        assert!(!refused(&out, id));
+        let out = harness.arrive(new_request(id));
+        assert!(!rejected(&out, id));
         harness.end(id, Outcome::PrefillDone, 0.05, 0.0);
         assert_ne!(harness.last().1, 12);
         harness.stream(id);
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -23,9 +23,9 @@
     booted_at: f64,
     waiting: VecDeque<(Attempt, f64)>, // With the time at which it came.
     running: BTreeMap<Attempt, f64>,   // With the tokens held.
-    kept: BTreeSet<u64>,
-    taken: u32,
-    came: Vec<f64>, // When each attempt came.
+    cached: BTreeSet<u64>,
+    accepted: u32,
+    arrived_at: Vec<f64>, // When each attempt came.
     fault: Option<Fault>,
 }
 
@@ -39,9 +39,9 @@
 }
 
 enum PlannedEvent {
-    Tell(usize, Event),
+    Handle(usize, Event),
     Restart(usize, u64, Event),
-    Come(ServerId, Attempt),
+    ArriveAtServer(ServerId, Attempt),
     Read(ServerId, Attempt, f64, f64),
     First(ServerId, Attempt, f64),
     End(ServerId, Attempt, f64),
@@ -54,7 +54,7 @@
     servers: BTreeMap<ServerId, Model>,
     due: BTreeMap<(u64, u64), PlannedEvent>, // In microseconds, and in the order of asking.
     count: u64,
-    asks: BTreeMap<RequestId, (Request, f64, u16)>, // With the time of arrival and the attempts made.
+    arrived: BTreeMap<RequestId, (Request, f64, u16)>, // With the time of arrival and the attempts made.
     /// Waits for the first token; infinite where none came.
     pub waits: BTreeMap<RequestId, f64>,
     /// Last failures at each server that no success has followed, by router.
@@ -90,7 +90,7 @@
         seed: u64,
         rate: f64,
         for_s: f64,
-        ask: impl Fn(RequestId) -> Request,
+        new_request: impl Fn(RequestId) -> Request,
     ) {
         let until = self.now + for_s;
         let (mut at, mut id) = (self.now + 0.1, 0u32);
@@ -107,7 +107,7 @@
                 Request {
                     prefix,
                     session,
-                    ..ask(id)
+                    ..new_request(id)
                 },
             );
         }
@@ -117,7 +117,7 @@
         let routers =
             (0..settings.dispatchers).map(|me| Router::new(settings.clone(), u64::from(me)));
         let routers = routers.collect();
-        let (servers, due, asks) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        let (servers, due, arrived) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let (waits, failed, swallowed) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let (client_retries, client_attempts, extra_reported_queue, digest) =
             (0, BTreeMap::new(), 0.0, None);
@@ -128,7 +128,7 @@
             servers,
             due,
             count: 0,
-            asks,
+            arrived,
             waits,
             failed,
             swallowed,
@@ -148,16 +148,16 @@
     pub fn list_at(&mut self, at: impl Fn(usize) -> f64, form: ListForm, entries: &[ServerEntry]) {
         for e in entries {
             let kind = self.settings.kinds[usize::from(e.kind)].clone();
-            let (waiting, running, kept) = (VecDeque::new(), BTreeMap::new(), BTreeSet::new());
-            let (booted_at, taken, came, fault) = (e.booted_at, 0, Vec::new(), None);
+            let (waiting, running, cached) = (VecDeque::new(), BTreeMap::new(), BTreeSet::new());
+            let (booted_at, accepted, arrived_at, fault) = (e.booted_at, 0, Vec::new(), None);
             let model = Model {
                 kind,
                 booted_at,
                 waiting,
                 running,
-                kept,
-                taken,
-                came,
+                cached,
+                accepted,
+                arrived_at,
                 fault,
             };
             self.servers.entry(e.id).or_insert(model).booted_at = booted_at;
@@ -165,7 +165,7 @@
         for router in 0..self.routers.len() {
             self.plan(
                 at(router),
-                PlannedEvent::Tell(
+                PlannedEvent::Handle(
                     router,
                     Event::Servers {
                         form,
@@ -185,10 +185,14 @@
         self.plan(at, PlannedEvent::Restart(router, seed, list));
     }
 
-    pub fn arrive(&mut self, at: f64, router: usize, ask: Request) {
-        self.asks.insert(ask.id, (ask.clone(), at, 0));
-        self.waits.insert(ask.id, f64::INFINITY);
-        self.plan(at, PlannedEvent::Tell(router, Event::Arrival(ask)));
+    pub fn arrive(&mut self, at: f64, router: usize, new_request: Request) {
+        self.arrived
+            .insert(new_request.id, (new_request.clone(), at, 0));
+        self.waits.insert(new_request.id, f64::INFINITY);
+        self.plan(
+            at,
+            PlannedEvent::Handle(router, Event::Arrival(new_request)),
+        );
     }
 
     fn plan(&mut self, at: f64, what: PlannedEvent) {
@@ -205,21 +209,25 @@
         {
             self.now = next.key().0 as f64 / 1e6;
             match next.remove() {
-                PlannedEvent::Tell(router, event) => self.tell(router, event),
+                PlannedEvent::Handle(router, event) => self.handle(router, event),
                 PlannedEvent::Restart(router, seed, list) => {
                     self.routers[router] = Router::new(self.settings.clone(), seed);
-                    self.tell(router, list);
+                    self.handle(router, list);
+                }
+                PlannedEvent::ArriveAtServer(server, attempt) => {
+                    self.arrive_at_server(server, attempt)
                 }
-                PlannedEvent::Come(server, attempt) => self.come(server, attempt),
-                PlannedEvent::Read(server, a, came, hit) => self.read(server, a, came, hit),
-                PlannedEvent::First(server, a, came) => self.first(server, a, came),
-                PlannedEvent::End(server, a, came) => self.end(server, a, came),
+                PlannedEvent::Read(server, a, arrived_at, hit) => {
+                    self.read(server, a, arrived_at, hit)
+                }
+                PlannedEvent::First(server, a, arrived_at) => self.first(server, a, arrived_at),
+                PlannedEvent::End(server, a, arrived_at) => self.end(server, a, arrived_at),
             }
         }
         self.now = until;
     }
 
-    fn tell(&mut self, me: usize, event: Event) {
+    fn handle(&mut self, me: usize, event: Event) {
         let mut out = Vec::new();
         self.routers[me].handle(self.now, event, &mut out);
         for action in out {
@@ -230,17 +238,20 @@
             match action {
                 Action::Reject { request, .. } => self.retry_from_client(me, request),
                 Action::SetTimer { at, label } => {
-                    self.plan(at, PlannedEvent::Tell(me, Event::Timer { label }))
+                    self.plan(at, PlannedEvent::Handle(me, Event::Timer { label }))
                 }
                 Action::Send {
                     request, server, ..
                 } => {
-                    let Some(ask) = self.asks.get_mut(&request) else {
+                    let Some(new_request) = self.arrived.get_mut(&request) else {
                         continue;
                     };
-                    ask.2 += 1;
-                    let attempt = (me, request, ask.2 - 1);
-                    self.plan(self.now + WAY_S, PlannedEvent::Come(server, attempt));
+                    new_request.2 += 1;
+                    let attempt = (me, request, new_request.2 - 1);
+                    self.plan(
+                        self.now + WAY_S,
+                        PlannedEvent::ArriveAtServer(server, attempt),
+                    );
                 }
                 Action::Cancel { request, attempt } => self.cancel((me, request, attempt)),
                 Action::Probe { server } => {
@@ -251,7 +262,7 @@
                         elapsed_s: WAY_S,
                         report,
                     };
-                    self.plan(self.now + 2.0 * WAY_S, PlannedEvent::Tell(me, ended));
+                    self.plan(self.now + 2.0 * WAY_S, PlannedEvent::Handle(me, ended));
                 }
                 _ => {}
             }
@@ -261,22 +272,23 @@
     fn retry_from_client(&mut self, me: usize, request: RequestId) {
         let client_attempts = self.client_attempts.get(&request).copied().unwrap_or(0);
         if client_attempts < self.client_retries {
-            let ask = Request {
+            let new_request = Request {
                 id: request + 1_000_000,
-                ..self.asks[&request].0.clone()
+                ..self.arrived[&request].0.clone()
             };
-            self.client_attempts.insert(ask.id, client_attempts + 1);
-            self.arrive(self.now + 0.3, me, ask);
+            self.client_attempts
+                .insert(new_request.id, client_attempts + 1);
+            self.arrive(self.now + 0.3, me, new_request);
         }
     }
 
     fn capacity(&self, server: ServerId) -> f64 {
-        let (cold, booted) = (&self.settings.slow_start, self.servers[&server].booted_at);
-        let age = ((self.now - booted) / cold.warm_after_s).clamp(0.0, 1.0);
+        let (warming, booted) = (&self.settings.slow_start, self.servers[&server].booted_at);
+        let age = ((self.now - booted) / warming.warm_after_s).clamp(0.0, 1.0);
         if booted <= 0.0 {
             1.0
         } else {
-            cold.start_capacity + (1.0 - cold.start_capacity) * age
+            warming.start_capacity + (1.0 - warming.start_capacity) * age
         }
     }
 
@@ -298,11 +310,11 @@
         }
     }
 
-    fn come(&mut self, server: ServerId, attempt: Attempt) {
+    fn arrive_at_server(&mut self, server: ServerId, attempt: Attempt) {
         let now = self.now;
         let s = self.servers.get_mut(&server).expect("a known server");
-        s.taken += 1;
-        s.came.push(now);
+        s.accepted += 1;
+        s.arrived_at.push(now);
         match s.fault {
             Some(Fault::Silent) => {
                 self.swallowed.insert(attempt, server);
@@ -325,32 +337,32 @@
         let (now, capacity) = (self.now, self.capacity(server));
         loop {
             let s = self.servers.get_mut(&server).expect("a known server");
-            let Some(&(attempt, came)) = s.waiting.front() else {
+            let Some(&(attempt, arrived_at)) = s.waiting.front() else {
                 return;
             };
-            let ask = &self.asks[&attempt.1].0;
+            let new_request = &self.arrived[&attempt.1].0;
             if s.kind.role == Role::Prefill {
                 if !s.running.is_empty() {
                     return;
                 }
-                let hit = if s.kept.contains(&ask.prefix) {
-                    ask.prefix_tokens
+                let hit = if s.cached.contains(&new_request.prefix) {
+                    new_request.prefix_tokens
                 } else {
                     0.0
                 };
-                s.kept.insert(ask.prefix);
+                s.cached.insert(new_request.prefix);
                 let read = 0.02
-                    + 0.06 * (ask.prompt_tokens - hit) / 1000.0
-                    + 0.003 * ask.prompt_tokens / 1000.0;
+                    + 0.06 * (new_request.prompt_tokens - hit) / 1000.0
+                    + 0.003 * new_request.prompt_tokens / 1000.0;
                 s.waiting.pop_front();
                 s.running.insert(attempt, 0.0);
                 self.plan(
                     now + read / capacity,
-                    PlannedEvent::Read(server, attempt, came, hit),
+                    PlannedEvent::Read(server, attempt, arrived_at, hit),
                 );
                 return;
             }
-            let tokens = ask.prompt_tokens + 0.2 * ask.max_output_tokens;
+            let tokens = new_request.prompt_tokens + 0.2 * new_request.max_output_tokens;
             if s.running.values().sum::<f64>() + tokens > s.kind.memory_tokens * capacity {
                 return;
             }
@@ -358,30 +370,30 @@
             s.running.insert(attempt, tokens);
             self.plan(
                 now + FIRST_S / capacity,
-                PlannedEvent::First(server, attempt, came),
+                PlannedEvent::First(server, attempt, arrived_at),
             );
         }
     }
 
-    fn read(&mut self, server: ServerId, attempt: Attempt, came: f64, hit: f64) {
+    fn read(&mut self, server: ServerId, attempt: Attempt, arrived_at: f64, hit: f64) {
         let there = self
             .servers
             .get_mut(&server)
             .is_some_and(|s| s.running.remove(&attempt).is_some());
         self.start(server);
         if there {
-            self.answer(server, attempt, Outcome::PrefillDone, came, hit);
+            self.answer(server, attempt, Outcome::PrefillDone, arrived_at, hit);
         }
     }
 
-    fn first(&mut self, server: ServerId, (me, request, attempt): Attempt, came: f64) {
+    fn first(&mut self, server: ServerId, (me, request, attempt): Attempt, arrived_at: f64) {
         if !self.servers[&server]
             .running
             .contains_key(&(me, request, attempt))
         {
             return;
         }
-        let (arrived, elapsed_s) = (self.asks[&request].1, self.now - came);
+        let (arrived, elapsed_s) = (self.arrived[&request].1, self.now - arrived_at);
         self.waits.insert(request, self.now - arrived);
         let event = Event::FirstToken {
             request,
@@ -389,17 +401,20 @@
             server,
             elapsed_s,
         };
-        self.plan(self.now + WAY_S, PlannedEvent::Tell(me, event));
+        self.plan(self.now + WAY_S, PlannedEvent::Handle(me, event));
         let end = self.now + ANSWER_S;
-        self.plan(end, PlannedEvent::End(server, (me, request, attempt), came));
+        self.plan(
+            end,
+            PlannedEvent::End(server, (me, request, attempt), arrived_at),
+        );
     }
 
-    fn end(&mut self, server: ServerId, attempt: Attempt, came: f64) {
+    fn end(&mut self, server: ServerId, attempt: Attempt, arrived_at: f64) {
         self.servers
             .get_mut(&server)
             .and_then(|s| s.running.remove(&attempt));
         self.start(server);
-        self.answer(server, attempt, Outcome::Served, came, 0.0);
+        self.answer(server, attempt, Outcome::Served, arrived_at, 0.0);
     }
 
     fn cancel(&mut self, attempt: Attempt) {
@@ -423,11 +438,11 @@
         server: ServerId,
         of: Attempt,
         outcome: Outcome,
-        came: f64,
+        arrived_at: f64,
         prefix_hit_tokens: f64,
     ) {
         let (me, request, attempt) = of;
-        let (finished, elapsed_s) = (outcome == Outcome::Served, self.now - came);
+        let (finished, elapsed_s) = (outcome == Outcome::Served, self.now - arrived_at);
         let report = self.report(server);
         match outcome {
             Outcome::Error | Outcome::Cancelled | Outcome::Reset => {
@@ -447,7 +462,7 @@
         };
         self.plan(
             self.now + WAY_S,
-            PlannedEvent::Tell(me, Event::AttemptEnded(end)),
+            PlannedEvent::Handle(me, Event::AttemptEnded(end)),
         );
     }
 
@@ -458,7 +473,7 @@
     }
 
     /// Tells each router how many others have failed at a server of late, up to so many.
-    pub fn peer_report(&mut self, server: ServerId, most: usize) {
+    pub fn peer_report(&mut self, server: ServerId, max_reporters: usize) {
         let lately = |(_, at): &(&(ServerId, usize), &f64)| self.now - **at < 3.0;
         let failed = self
             .failed
@@ -471,11 +486,11 @@
                 continue;
             };
             let (reporters, of) = (
-                others().count().min(most) as u32,
+                others().count().min(max_reporters) as u32,
                 self.routers.len() as u32 - 1,
             );
             let (sight, age_s) = (Observation::Failing, self.now - last);
-            self.tell(
+            self.handle(
                 me,
                 Event::PeerReport {
                     server,
@@ -489,14 +504,14 @@
     }
 
     /// When each attempt came to a server.
-    pub fn came(&self, server: ServerId) -> &[f64] {
-        self.servers.get(&server).map_or(&[], |s| &s.came)
+    pub fn arrived_at(&self, server: ServerId) -> &[f64] {
+        self.servers.get(&server).map_or(&[], |s| &s.arrived_at)
     }
 
     /// Requests that wait at a server, and those that it has been sent.
-    pub fn waiting_and_taken(&self, server: ServerId) -> (usize, u32) {
+    pub fn queued_and_accepted(&self, server: ServerId) -> (usize, u32) {
         self.servers
             .get(&server)
-            .map_or((0, 0), |s| (s.waiting.len(), s.taken))
+            .map_or((0, 0), |s| (s.waiting.len(), s.accepted))
     }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -69,7 +69,7 @@
     }
 }
 
-pub fn ask(id: RequestId) -> Request {
+pub fn new_request(id: RequestId) -> Request {
     Request {
         id,
         class: 0,
@@ -119,14 +119,14 @@
             log: vec![],
             answers_probes: true,
         };
-        harness.tell(Event::Servers {
+        harness.handle(Event::Servers {
             form: ListForm::Cached,
             entries: fleet,
         });
         harness
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.router.handle(self.now, event, &mut out);
         let probed: Vec<ServerId> = out.iter().filter_map(probe).collect();
@@ -151,20 +151,20 @@
                 elapsed_s: 0.001,
                 report: vec![],
             };
-            out.extend(self.tell(answer));
+            out.extend(self.handle(answer));
         }
         out
     }
 
     pub fn change(&mut self, entry: ServerEntry) {
-        self.tell(Event::Servers {
+        self.handle(Event::Servers {
             form: ListForm::Delta,
             entries: vec![entry],
         });
     }
 
-    pub fn arrive(&mut self, ask: Request) -> Vec<Action> {
-        self.tell(Event::Arrival(ask))
+    pub fn arrive(&mut self, new_request: Request) -> Vec<Action> {
+        self.handle(Event::Arrival(new_request))
     }
 
     /// Lets time pass, with the timers that come due.
@@ -177,7 +177,7 @@
                 Some((at, label)) if at <= end => {
                     self.timers.remove(0);
                     self.now = at.max(self.now);
-                    all.extend(self.tell(Event::Timer { label }));
+                    all.extend(self.handle(Event::Timer { label }));
                 }
                 _ => break,
             }
@@ -207,7 +207,7 @@
         }
         let (attempt, server) = ((sent.len() - 1) as u16, sent[sent.len() - 1].1);
         let finished = outcome == Outcome::Served;
-        self.tell(Event::AttemptEnded(AttemptEnd {
+        self.handle(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
             server,
@@ -220,9 +220,9 @@
     }
 
     /// Takes a request through read and answer; returns its reader.
-    pub fn serve(&mut self, ask: Request, hit: f64) -> ServerId {
-        let id = ask.id;
-        self.arrive(ask);
+    pub fn serve(&mut self, new_request: Request, hit: f64) -> ServerId {
+        let id = new_request.id;
+        self.arrive(new_request);
         let prefill_server = self.last().1;
         self.pass(0.05);
         self.end(id, Outcome::PrefillDone, 0.05, hit);
@@ -242,7 +242,7 @@
         else {
             return;
         };
-        self.tell(Event::FirstToken {
+        self.handle(Event::FirstToken {
             request,
             attempt: 1,
             server,
@@ -258,7 +258,7 @@
     }
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> bool {
+pub fn rejected(actions: &[Action], id: RequestId) -> bool {
     actions
         .iter()
         .any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
@@ -274,6 +274,6 @@
 
 pub fn final_answers(log: &[Action], id: RequestId) -> usize {
     log.iter()
-        .filter(|a| refused(std::slice::from_ref(a), id) || failed(std::slice::from_ref(a), id))
+        .filter(|a| rejected(std::slice::from_ref(a), id) || failed(std::slice::from_ref(a), id))
         .count()
 }
--- a/crates/policy/tests/defences.rs
+++ b/crates/policy/tests/defences.rs
@@ -7,7 +7,7 @@
     Request {
         prefix: 0,
         prefix_tokens: 0.0,
-        ..ask(id)
+        ..new_request(id)
     }
 }
 
@@ -15,7 +15,7 @@
 fn same(id: RequestId) -> Request {
     Request {
         session: 5,
-        ..ask(id)
+        ..new_request(id)
     }
 }
 
@@ -29,22 +29,22 @@
 #[test]
 fn overdue_prefill_diverts_requests_from_its_replica() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    let home = harness.serve(same(1), 0.0);
+    let replica = harness.serve(same(1), 0.0);
     harness.arrive(same(2));
-    assert_eq!(harness.last().1, home);
+    assert_eq!(harness.last().1, replica);
     harness.pass(0.8);
     harness.arrive(same(3));
-    assert_ne!(harness.last().1, home);
+    assert_ne!(harness.last().1, replica);
 }
 
 #[test]
 fn one_evicted_prefix_does_not_divert_requests_from_its_replica() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    let home = harness.serve(same(1), 1500.0);
+    let replica = harness.serve(same(1), 1500.0);
     harness.pass(5.0);
     harness.serve(same(2), 0.0);
     harness.pass(5.0);
-    assert_eq!(harness.serve(same(3), 1500.0), home);
+    assert_eq!(harness.serve(same(3), 1500.0), replica);
 }
 
 #[test]
@@ -189,7 +189,7 @@
     let mut harness = RouterHarness::with_fleet(settings(Effect::Idempotent), fleet);
     let busy = |harness: &mut RouterHarness, load: f64| {
         let report = vec![load, 0.0, load];
-        harness.tell(Event::ProbeEnded {
+        harness.handle(Event::ProbeEnded {
             server: 11,
             outcome: Outcome::Served,
             elapsed_s: 0.01,
@@ -197,13 +197,13 @@
         });
     };
     busy(&mut harness, 0.8);
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
     assert_eq!(harness.last().1, 12);
     harness.pass(1.2);
     harness.stream(1);
     busy(&mut harness, 0.8);
-    harness.arrive(ask(2));
+    harness.arrive(new_request(2));
     harness.end(2, Outcome::PrefillDone, 0.1, 0.0);
     assert_eq!(harness.last().1, 11);
 }
@@ -269,7 +269,7 @@
     }
     let refused_of = |tenant: u32| {
         (1..30)
-            .filter(|id| id % 2 == tenant && refused(&harness.log, *id))
+            .filter(|id| id % 2 == tenant && rejected(&harness.log, *id))
             .count()
     };
     assert!(refused_of(0) > refused_of(1));
@@ -288,14 +288,14 @@
         };
         let mut harness = RouterHarness::new(set);
         for (part, ago) in parts {
-            harness.tell(Event::QuotaFraction {
+            harness.handle(Event::QuotaFraction {
                 fraction: *part,
                 since: harness.now - ago,
             });
             harness.pass(10.0);
         }
         (1..60).for_each(|id| drop(harness.arrive(plain(id))));
-        (1..60).filter(|id| refused(&harness.log, *id)).count()
+        (1..60).filter(|id| rejected(&harness.log, *id)).count()
     };
     let alone = refused_with(&[]);
     assert!(alone > 40, "{alone}");
@@ -309,14 +309,14 @@
 #[test]
 fn restart_is_seen_by_boot_time_and_clears_the_prefix_cache() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    let home = harness.serve(ask(1), 0.0);
+    let replica = harness.serve(new_request(1), 0.0);
     harness.pass(1.0);
     harness.change(ServerEntry {
         booted_at: harness.now,
-        ..server(home, 0, (home - 1) as u16)
+        ..server(replica, 0, (replica - 1) as u16)
     });
-    harness.arrive(ask(2));
-    assert_ne!(harness.last().1, home);
+    harness.arrive(new_request(2));
+    assert_ne!(harness.last().1, replica);
 }
 
 #[test]
@@ -329,7 +329,7 @@
     ];
     fleet[2].status = ServerStatus::Draining;
     let mut harness = RouterHarness::with_fleet(settings(Effect::NonIdempotent), fleet);
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     let first = harness.last().1;
     harness.end(1, Outcome::Reset, 0.01, 0.0);
     assert!(harness.last().1 != first && harness.last().1 != 3);
@@ -338,16 +338,16 @@
 #[test]
 fn invalid_numbers_and_unknown_ids_are_ignored() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    harness.tell(Event::Timer { label: 12345 });
-    harness.tell(Event::ClientDisconnected { request: 999 });
-    harness.tell(Event::FirstToken {
+    harness.handle(Event::Timer { label: 12345 });
+    harness.handle(Event::ClientDisconnected { request: 999 });
+    harness.handle(Event::FirstToken {
         request: 999,
         attempt: 0,
         server: 5,
         elapsed_s: f64::NAN,
     });
     let report = vec![f64::NAN, -1.0, f64::INFINITY];
-    harness.tell(Event::ProbeEnded {
+    harness.handle(Event::ProbeEnded {
         server: 1,
         outcome: Outcome::Served,
         elapsed_s: f64::NAN,
@@ -357,12 +357,12 @@
         prompt_tokens: f64::NAN,
         prefix_tokens: f64::INFINITY,
         class: 60_000,
-        ..ask(1)
+        ..new_request(1)
     };
     harness.arrive(odd);
     harness.end(1, Outcome::PrefillDone, f64::NAN, f64::NAN);
     harness.end(1, Outcome::Served, f64::NAN, 0.0);
-    harness.serve(ask(2), 0.0);
+    harness.serve(new_request(2), 0.0);
     assert_eq!(harness.sends.iter().filter(|s| s.0 == 2).count(), 2);
 }
 
@@ -371,7 +371,7 @@
     let run = |harness: &mut RouterHarness, id: u32| {
         harness.arrive(Request {
             prefix: u64::from(id % 3) + 1,
-            ..ask(id)
+            ..new_request(id)
         });
         harness.pass(0.02);
         harness.end(id, Outcome::PrefillDone, 0.02, 0.0);
--- a/crates/policy/tests/held_states.rs
+++ b/crates/policy/tests/held_states.rs
@@ -25,7 +25,7 @@
     set.classes[0].ttft_objective_s = 300.0;
     set.limits.may_cancel = may_cancel;
     let mut harness = RouterHarness::new(set);
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     harness.pass(0.05);
     harness.end(1, Outcome::PrefillDone, 0.05, 0.0);
     assert!(
@@ -49,7 +49,7 @@
                 let case = format!("{effect:?} cancel {may_cancel} gone {client_gone}");
                 let mut harness = handed_over(effect, may_cancel);
                 if client_gone {
-                    harness.tell(Event::ClientDisconnected { request: 1 });
+                    harness.handle(Event::ClientDisconnected { request: 1 });
                 }
                 assert_eq!(
                     releases(&harness.pass(0.85)),
@@ -121,7 +121,7 @@
             "{outcome:?}: for as long as it may be waited for"
         );
         let before = harness.log.len();
-        harness.tell(Event::ClientDisconnected { request: 1 });
+        harness.handle(Event::ClientDisconnected { request: 1 });
         harness.end(1, Outcome::Error, 2.0, 0.0);
         assert_eq!(
             releases(&harness.log[before..]),
@@ -174,7 +174,7 @@
                 lost_prefill_may_have_run: true,
                 ..set
             });
-            harness.arrive(ask(1));
+            harness.arrive(new_request(1));
             harness.end(1, outcome, 0.0, 0.0);
             assert_eq!(harness.sends.len(), 2, "{case}: read elsewhere");
             if served {
--- a/crates/policy/tests/long_prompts.rs
+++ b/crates/policy/tests/long_prompts.rs
@@ -26,7 +26,7 @@
     SHORTEST * (LONGEST / SHORTEST).powf(draw(seed ^ 0xA11CE, u64::from(id)))
 }
 
-struct Asked {
+struct Arrived {
     id: RequestId,
     at: f64,
     router: usize,
@@ -35,7 +35,7 @@
 }
 
 /// Requests a second for `FOR_S`, each of any session at any router.
-fn asked(seed: u64, rate: f64) -> Vec<Asked> {
+fn arrivals(seed: u64, rate: f64) -> Vec<Arrived> {
     let mut at = T0 + 1.0;
     let mut all = Vec::new();
     for id in 1.. {
@@ -46,7 +46,7 @@
         }
         let router = (draw(seed, n + 1) * f64::from(ROUTERS)) as usize;
         let session = (draw(seed, n + 2) * SESSIONS as f64) as u64;
-        all.push(Asked {
+        all.push(Arrived {
             id,
             at,
             router,
@@ -58,7 +58,7 @@
 }
 
 /// Whether each was answered, in time or late.
-fn answered(asked: &[Asked]) -> BTreeMap<RequestId, bool> {
+fn answered(arrivals: &[Arrived]) -> BTreeMap<RequestId, bool> {
     let mut fleet = Fleet::new(
         Settings {
             dispatchers: ROUTERS,
@@ -73,17 +73,17 @@
         ListForm::Full,
         &prefill_servers.chain(decode_servers).collect::<Vec<_>>(),
     );
-    for one in asked {
+    for one in arrivals {
         let (session, prefix) = (one.session + 1, one.session + 1);
         let (prompt_tokens, prefix_tokens) = (one.tokens, one.tokens / 4.0);
-        let ask = Request {
+        let new_request = Request {
             session,
             prefix,
             prompt_tokens,
             prefix_tokens,
-            ..ask(one.id)
+            ..new_request(one.id)
         };
-        fleet.arrive(one.at, one.router, ask);
+        fleet.arrive(one.at, one.router, new_request);
     }
     fleet.run(T0 + FOR_S + 20.0);
     fleet
@@ -93,7 +93,7 @@
         .collect()
 }
 
-fn share<'a>(of: impl Iterator<Item = &'a Asked>, answered: &BTreeMap<RequestId, bool>) -> f64 {
+fn share<'a>(of: impl Iterator<Item = &'a Arrived>, answered: &BTreeMap<RequestId, bool>) -> f64 {
     let (mut all, mut served) = (0, 0);
     for one in of {
         all += 1;
@@ -115,12 +115,12 @@
 fn longest_prompts_are_served_like_the_rest_of_their_class() {
     for (name, rate, least) in LOADS {
         for seed in 1..4 {
-            let asked = asked(seed, rate);
-            let answered = answered(&asked);
-            let mut by_length: Vec<&Asked> = asked.iter().collect();
+            let arrivals = arrivals(seed, rate);
+            let answered = answered(&arrivals);
+            let mut by_length: Vec<&Arrived> = arrivals.iter().collect();
             by_length.sort_by(|a, b| b.tokens.total_cmp(&a.tokens));
-            let (tenth, third) = (asked.len() / 10, asked.len() * 3 / 10);
-            let class = share(asked.iter(), &answered);
+            let (tenth, third) = (arrivals.len() / 10, arrivals.len() * 3 / 10);
+            let class = share(arrivals.iter(), &answered);
             let longest = share(by_length[..tenth].iter().copied(), &answered);
             let next = share(by_length[tenth..third].iter().copied(), &answered);
             println!(
@@ -147,17 +147,17 @@
 fn with_capacity_left_no_session_or_router_starves() {
     let (_, rate, _) = LOADS[0];
     for seed in 1..4 {
-        let asked = asked(seed, rate);
-        let answered = answered(&asked);
+        let arrivals = arrivals(seed, rate);
+        let answered = answered(&arrivals);
         for session in 0..SESSIONS {
-            let of = || asked.iter().filter(|a| a.session == session);
+            let of = || arrivals.iter().filter(|a| a.session == session);
             assert!(
                 of().count() == 0 || share(of(), &answered) > 0.0,
                 "seed {seed}: session {session}"
             );
         }
         for router in 0..ROUTERS as usize {
-            let at: Vec<&Asked> = asked.iter().filter(|a| a.router == router).collect();
+            let at: Vec<&Arrived> = arrivals.iter().filter(|a| a.router == router).collect();
             let turned_away = at.windows(ON_END).filter(|run| {
                 run[ON_END - 1].at - run[0].at <= ON_END_S && run.iter().all(|a| !answered[&a.id])
             });
--- a/crates/policy/tests/peer_reports.rs
+++ b/crates/policy/tests/peer_reports.rs
@@ -14,7 +14,7 @@
 
 /// Attempts at one reader, when it and maybe others have trouble after five seconds of twenty, and the share of all requests that
 /// waited a second or more; up to `most` voices are told to the others three times a second.
-fn day(seed: u64, fault: Fault, at_all: bool, most: usize) -> (u32, f64) {
+fn day(seed: u64, fault: Fault, at_all: bool, max_reporters: usize) -> (u32, f64) {
     let mut fleet = Fleet::new(
         Settings {
             dispatchers: ROUTERS,
@@ -27,7 +27,7 @@
         .chain((101..131).map(|id| server(id, 1, (id % 2) as u16)))
         .collect();
     fleet.list(T0, ListForm::Full, &list);
-    fleet.arrivals(seed, RATE, 20.0, ask);
+    fleet.arrivals(seed, RATE, 20.0, new_request);
     fleet.run(T0 + 5.0);
     let faulty: Vec<ServerId> = list
         .iter()
@@ -35,52 +35,57 @@
         .filter(|id| at_all || *id == BROKEN)
         .collect();
     faulty.iter().for_each(|id| fleet.set_fault(*id, fault));
-    let before = fleet.waiting_and_taken(BROKEN).1;
+    let before = fleet.queued_and_accepted(BROKEN).1;
     for tick in 0..50 {
         fleet.run(T0 + 5.0 + 0.3 * f64::from(tick));
-        if most > 0 {
-            faulty.iter().for_each(|id| fleet.peer_report(*id, most));
+        if max_reporters > 0 {
+            faulty
+                .iter()
+                .for_each(|id| fleet.peer_report(*id, max_reporters));
         }
     }
     fleet.run(T0 + 40.0);
     let late = fleet.waits.values().filter(|w| **w >= 1.0).count() as f64;
     (
-        fleet.waiting_and_taken(BROKEN).1 - before,
+        fleet.queued_and_accepted(BROKEN).1 - before,
         late / fleet.waits.len() as f64,
     )
 }
 
-fn over_seeds(fault: Fault, most: usize) -> (u32, f64) {
-    let days = (1..4).map(|seed| day(seed, fault, false, most));
+fn over_seeds(fault: Fault, max_reporters: usize) -> (u32, f64) {
+    let days = (1..4).map(|seed| day(seed, fault, false, max_reporters));
     days.fold((0, 0.0), |sum, day| (sum.0 + day.0, sum.1 + day.1 / 3.0))
 }
 
 #[test]
 fn peer_reports_save_attempts_and_late_answers_at_a_silent_server() {
-    let (alone, told) = (
+    let (alone, reported) = (
         over_seeds(Fault::Silent, 0),
         over_seeds(Fault::Silent, usize::MAX),
     );
-    assert!(2 * told.0 < alone.0, "{told:?} against {alone:?}");
-    assert!(2.0 * told.1 < alone.1, "{told:?} against {alone:?}");
+    assert!(2 * reported.0 < alone.0, "{reported:?} against {alone:?}");
+    assert!(2.0 * reported.1 < alone.1, "{reported:?} against {alone:?}");
 }
 
 #[test]
 fn peer_reports_save_attempts_at_a_server_that_answers_with_errors() {
-    let (alone, told) = (
+    let (alone, reported) = (
         over_seeds(Fault::Errors, 0),
         over_seeds(Fault::Errors, usize::MAX),
     );
-    assert!(2 * told.0 < alone.0, "{told:?} against {alone:?}");
+    assert!(2 * reported.0 < alone.0, "{reported:?} against {alone:?}");
 }
 
 /// It is the way to them then: while every word was believed, 2 to 3 in 100 came late here in place of 2 in 1,000.
 #[test]
 fn reported_failures_at_most_servers_overload_no_server() {
     for seed in 1..4 {
-        let late = |most| day(seed, Fault::Resets(5), true, most).1;
-        let (alone, told) = (late(0), late(usize::MAX));
-        assert!(told <= alone + 0.005, "seed {seed}: {told} against {alone}");
+        let late = |max_reporters| day(seed, Fault::Resets(5), true, max_reporters).1;
+        let (alone, reported) = (late(0), late(usize::MAX));
+        assert!(
+            reported <= alone + 0.005,
+            "seed {seed}: {reported} against {alone}"
+        );
     }
 }
 
@@ -104,7 +109,7 @@
     let mut first = 0;
     for id in 1..46 {
         if let Some((sight, reporters, of, age_s)) = said.filter(|_| id > 5) {
-            harness.tell(Event::PeerReport {
+            harness.handle(Event::PeerReport {
                 server: 1,
                 observation: sight,
                 reporters,
@@ -118,7 +123,7 @@
                     Request {
                         session: 0,
                         prefix: 0,
-                        ..ask(id)
+                        ..new_request(id)
                     },
                     0.0,
                 ) == 1,
@@ -132,17 +137,17 @@
 fn drain_closes_a_server_when_most_peers_report_it() {
     let usual = sent_to_first(None);
     assert!(usual > 5, "{usual}");
-    let told = |reporters, of| sent_to_first(Some((Observation::Draining, reporters, of, 0.0)));
-    assert_eq!(told(3, 5), 0);
-    assert_eq!(told(2, 5), usual, "fewer than half");
-    assert_eq!(told(1, 1), usual, "one voice");
+    let reported = |reporters, of| sent_to_first(Some((Observation::Draining, reporters, of, 0.0)));
+    assert_eq!(reported(3, 5), 0);
+    assert_eq!(reported(2, 5), usual, "fewer than half");
+    assert_eq!(reported(1, 1), usual, "one voice");
 }
 
 #[test]
 fn server_that_peers_saw_start_is_in_slow_start() {
     let usual = sent_to_first(None);
-    let cold = sent_to_first(Some((Observation::WarmingUp, 2, 2, 1.0)));
-    assert!(cold < usual, "{cold} against {usual}");
+    let warming = sent_to_first(Some((Observation::WarmingUp, 2, 2, 1.0)));
+    assert!(warming < usual, "{warming} against {usual}");
 }
 
 #[test]
--- a/crates/policy/tests/replaced_servers.rs
+++ b/crates/policy/tests/replaced_servers.rs
@@ -54,12 +54,12 @@
         ListForm::Delta,
         &leaving().map(fresh).collect::<Vec<_>>(),
     );
-    fleet.arrivals(seed, RATE, 20.0, ask);
+    fleet.arrivals(seed, RATE, 20.0, new_request);
     fleet
 }
 
-fn waiting_and_taken(fleet: &Fleet, ids: impl Iterator<Item = ServerId>) -> (usize, u32) {
-    ids.map(|id| fleet.waiting_and_taken(id))
+fn queued_and_accepted(fleet: &Fleet, ids: impl Iterator<Item = ServerId>) -> (usize, u32) {
+    ids.map(|id| fleet.queued_and_accepted(id))
         .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
 }
 
@@ -78,8 +78,8 @@
 fn warming_prefill_servers_take_their_part_while_warm_ones_queue() {
     let mut fleet = replaced(1);
     fleet.run(RESTARTED_AT + 4.0);
-    let warm = waiting_and_taken(&fleet, PREFILL_SERVERS.filter(|id| !leaves(*id)));
-    let cold = waiting_and_taken(
+    let warm = queued_and_accepted(&fleet, PREFILL_SERVERS.filter(|id| !leaves(*id)));
+    let warming = queued_and_accepted(
         &fleet,
         PREFILL_SERVERS
             .filter(|id| leaves(*id))
@@ -88,8 +88,8 @@
     // What the guard allows them is 0.3 of all: 18 of 30 readers at 0.5 of an even share.
     let arrived = RATE * 4.0;
     assert!(
-        f64::from(cold.1) > 0.1 * arrived,
-        "{warm:?} at warm readers, {cold:?} at cold ones"
+        f64::from(warming.1) > 0.1 * arrived,
+        "{warm:?} at warm readers, {warming:?} at cold ones"
     );
 }
 
@@ -106,7 +106,7 @@
                 .filter(|id| leaves(*id))
                 .map(|id| id + COMES)
         };
-        let before: Vec<u32> = ids().map(|id| fleet.waiting_and_taken(id).1).collect();
+        let before: Vec<u32> = ids().map(|id| fleet.queued_and_accepted(id).1).collect();
         fleet.run(RESTARTED_AT + 3.0 * f64::from(step));
         for (id, before) in ids().zip(before) {
             let like = if id < COMES + 100 {
@@ -115,13 +115,13 @@
                 DECODE_SERVERS.len()
             };
             let even = RATE * 3.0 / like as f64;
-            let taken = f64::from(fleet.waiting_and_taken(id).1 - before);
+            let accepted = f64::from(fleet.queued_and_accepted(id).1 - before);
             let age_s = 3.0 * f64::from(step - 1);
             let warmed = (f64::from(before) / (even / 3.0)).min(age_s) / 14.0;
-            let most = 2.5 * (0.25 + 0.75 * warmed) * even + 3.0 * even.sqrt();
+            let limit = 2.5 * (0.25 + 0.75 * warmed) * even + 3.0 * even.sqrt();
             assert!(
-                taken <= most,
-                "{taken} at {id} in step {step}, even {even}, most {most}"
+                accepted <= limit,
+                "{accepted} at {id} in step {step}, even {even}, most {limit}"
             );
         }
     }
--- a/crates/policy/tests/routing.rs
+++ b/crates/policy/tests/routing.rs
@@ -11,7 +11,7 @@
         let one = Request {
             prefix,
             session: prefix + 500,
-            ..ask(prefix as u32)
+            ..new_request(prefix as u32)
         };
         assert_eq!(a.serve(one.clone(), 0.0), b.serve(one, 0.0));
         a.pass(1.0);
@@ -26,7 +26,7 @@
     let mut harness = RouterHarness::with_fleet(settings(Effect::Idempotent), fleet);
     let mut prefill_servers = std::collections::BTreeSet::new();
     for id in 1..30 {
-        prefill_servers.insert(harness.serve(ask(id), 1500.0));
+        prefill_servers.insert(harness.serve(new_request(id), 1500.0));
         harness.pass(3.0);
     }
     assert_eq!(prefill_servers.len(), 2);
@@ -36,7 +36,7 @@
 fn long_own_queue_diverts_a_request_from_its_replica() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
     for id in 1..12 {
-        harness.arrive(ask(id));
+        harness.arrive(new_request(id));
     }
     let prefill_servers: std::collections::BTreeSet<_> =
         harness.sends.iter().map(|s| s.1).collect();
@@ -46,7 +46,7 @@
 #[test]
 fn decode_server_is_chosen_after_the_prefill_in_its_cell() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     assert_eq!(harness.sends.len(), 1);
     let prefill_server = harness.last().1;
     harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
@@ -56,10 +56,10 @@
 #[test]
 fn loaded_decode_server_loses_to_a_lighter_one_in_another_cell() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     let near = harness.last().1 + 10;
     let report = vec![0.9, 3.0, 0.9];
-    harness.tell(Event::ProbeEnded {
+    harness.handle(Event::ProbeEnded {
         server: near,
         outcome: Outcome::Served,
         elapsed_s: 0.01,
@@ -73,7 +73,7 @@
 fn mixed_server_takes_prefill_and_decode() {
     let mut harness =
         RouterHarness::with_fleet(settings(Effect::Idempotent), vec![server(1, 2, 0)]);
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     harness.stream(1);
     harness.end(1, Outcome::Served, 2.0, 0.0);
     assert_eq!(harness.sends.len(), 1);
@@ -82,7 +82,7 @@
 #[test]
 fn rejected_kv_state_goes_to_the_next_decode_server() {
     let mut harness = RouterHarness::new(settings(Effect::NonIdempotent));
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
     let first = harness.last().1;
     harness.end(
@@ -99,7 +99,7 @@
 #[test]
 fn lost_kv_state_is_prefilled_again() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
     harness.end(
         1,
@@ -122,14 +122,14 @@
         let mut harness = RouterHarness::new(settings(Effect::Idempotent));
         harness.arrive(Request {
             output_tokens: told,
-            ..ask(1)
+            ..new_request(1)
         });
         let near = harness.last().1 + 10;
         let far = if near == 11 { 12 } else { 11 };
         // Nearly equal now; the far one has the room that the answer needs at its end.
         for (server, load) in [(near, 0.88), (far, 0.80)] {
             let report = vec![load, 0.0, load];
-            harness.tell(Event::ProbeEnded {
+            harness.handle(Event::ProbeEnded {
                 server,
                 outcome: Outcome::Served,
                 elapsed_s: 0.01,
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -6,7 +6,7 @@
 #[test]
 fn overdue_request_fails_once_before_its_deadline() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     let done = harness.pass(6.1);
     assert_eq!(final_answers(&done, 1), 1);
     assert_eq!(final_answers(&harness.log, 1), 1);
@@ -15,8 +15,8 @@
 #[test]
 fn nothing_is_sent_after_the_client_disconnects() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    harness.arrive(ask(1));
-    harness.tell(Event::ClientDisconnected { request: 1 });
+    harness.arrive(new_request(1));
+    harness.handle(Event::ClientDisconnected { request: 1 });
     let after = harness.end(1, Outcome::Error, 0.1, 0.0);
     assert!(!after
         .iter()
@@ -26,15 +26,15 @@
 #[test]
 fn prefill_that_ends_after_the_client_disconnects_is_released() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    harness.arrive(ask(1));
-    harness.tell(Event::ClientDisconnected { request: 1 });
+    harness.arrive(new_request(1));
+    harness.handle(Event::ClientDisconnected { request: 1 });
     assert!(released(&harness.end(1, Outcome::PrefillDone, 0.1, 0.0), 1));
 }
 
 #[test]
 fn unsafe_answer_that_may_have_run_is_not_retried() {
     let mut harness = RouterHarness::new(settings(Effect::NonIdempotent));
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
     let after = harness.end(1, Outcome::Error, 0.1, 0.0);
     assert!(failed(&after, 1) && released(&after, 1));
@@ -44,7 +44,7 @@
 #[test]
 fn unsafe_prefill_that_failed_is_retried_elsewhere() {
     let mut harness = RouterHarness::new(settings(Effect::NonIdempotent));
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     let first = harness.last().1;
     harness.end(1, Outcome::Error, 0.1, 0.0);
     assert_eq!(harness.sends.len(), 2);
@@ -61,7 +61,7 @@
                 lost_prefill_may_have_run: true,
                 ..settings(Effect::NonIdempotent)
             });
-            harness.arrive(ask(1));
+            harness.arrive(new_request(1));
             harness.pass(after_s);
             let after = harness.end(1, outcome, after_s, 0.0);
             let case = format!("{outcome:?} after {after_s}");
@@ -81,7 +81,7 @@
         lost_prefill_may_have_run: true,
         ..settings(Effect::NonIdempotent)
     });
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
     assert!(failed(&harness.end(1, Outcome::Reset, 0.0, 0.0), 1));
     assert_eq!(harness.sends.len(), 2);
@@ -97,7 +97,7 @@
         Outcome::Error,
     ] {
         let mut harness = RouterHarness::new(settings(Effect::NonIdempotent));
-        harness.arrive(ask(1));
+        harness.arrive(new_request(1));
         harness.end(1, outcome, 0.5, 0.0);
         assert_eq!(harness.sends.len(), 2, "{outcome:?}");
     }
@@ -112,7 +112,7 @@
         };
         set.limits.may_cancel = may_cancel;
         let mut harness = RouterHarness::new(set);
-        harness.arrive(ask(1));
+        harness.arrive(new_request(1));
         assert_eq!(harness.sends[0].2, 0.0, "no time-out but the client's");
         harness.pass(4.0);
         assert!(!harness
@@ -134,7 +134,7 @@
         lost_prefill_may_have_run: true,
         ..settings(effect)
     });
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     harness.now += 0.46;
     let after = harness.end(1, Outcome::Reset, 0.46, 0.0);
     assert_eq!(harness.sends.len(), 1, "{after:?}");
@@ -158,7 +158,7 @@
         });
         (set.limits.connect_timeout_s, set.lost_prefill_may_have_run) = (connect_timeout_s, true);
         let mut harness = RouterHarness::new(set);
-        harness.arrive(ask(1));
+        harness.arrive(new_request(1));
         harness.end(1, Outcome::PrefillDone, 0.0, 0.0);
         harness.now += after_s;
         harness.end(1, Outcome::Reset, after_s, 0.0);
@@ -170,7 +170,7 @@
 #[test]
 fn unsafe_answer_is_never_timed_out_by_the_router() {
     let mut harness = RouterHarness::new(settings(Effect::NonIdempotent));
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
     assert_eq!(harness.sends[1].2, 0.0);
 }
@@ -182,7 +182,7 @@
         window_s: 5.0,
     };
     let mut harness = RouterHarness::new(settings(effect));
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
     let cell = u16::from(harness.last().1 == 12);
     harness.end(1, Outcome::Error, 0.1, 0.0);
@@ -204,7 +204,7 @@
         ..server(1, 0, 0)
     });
     for id in 1..20 {
-        harness.serve(ask(id), 0.0);
+        harness.serve(new_request(id), 0.0);
     }
     assert!(harness.sends.iter().all(|s| s.1 != 1));
 }
@@ -213,12 +213,12 @@
 fn server_missing_from_a_full_list_gets_nothing_new() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
     let entries = vec![server(2, 0, 1), server(11, 1, 0), server(12, 1, 1)];
-    harness.tell(Event::Servers {
+    harness.handle(Event::Servers {
         form: ListForm::Full,
         entries,
     });
     for id in 1..20 {
-        harness.serve(ask(id), 0.0);
+        harness.serve(new_request(id), 0.0);
     }
     assert!(harness.sends.iter().all(|s| s.1 != 1));
 }
@@ -230,7 +230,7 @@
         harness.serve(
             Request {
                 prefix: 0,
-                ..ask(id)
+                ..new_request(id)
             },
             0.0,
         );
@@ -244,30 +244,33 @@
         harness.serve(
             Request {
                 prefix: 0,
-                ..ask(id)
+                ..new_request(id)
             },
             0.0,
         );
         harness.pass(0.02);
     }
-    let (cold, warm) = harness.sends[before..]
+    let (warming, warm) = harness.sends[before..]
         .iter()
         .fold((0, 0), |n, s| match s.1 {
             1 => (n.0 + 1, n.1),
             2 => (n.0, n.1 + 1),
             _ => n,
         });
-    assert!(warm > 30 && cold * 2 < warm, "cold {cold}, warm {warm}");
+    assert!(
+        warm > 30 && warming * 2 < warm,
+        "cold {warming}, warm {warm}"
+    );
 }
 
 #[test]
 fn kv_state_that_no_decode_server_takes_is_released_within_the_limit() {
     let mut harness =
         RouterHarness::with_fleet(settings(Effect::Idempotent), vec![server(1, 0, 0)]);
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
     let after = harness.pass(0.9);
-    assert!(released(&after, 1) && refused(&after, 1));
+    assert!(released(&after, 1) && rejected(&after, 1));
 }
 
 /// However many ways to writers fail to come up, the time runs on from the end of the read.
@@ -293,7 +296,7 @@
                 },
                 fleet,
             );
-            harness.arrive(ask(1));
+            harness.arrive(new_request(1));
             harness.pass(0.1);
             harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
             let held_since = harness.now;
@@ -304,7 +307,7 @@
                 assert!(harness.now - held_since <= most_s, "{case}");
                 harness.end(1, Outcome::ConnectFailed, fails_after_s, 0.0);
             }
-            assert!(refused(&harness.log, 1), "{case}: nothing ran");
+            assert!(rejected(&harness.log, 1), "{case}: nothing ran");
             assert_eq!(harness.sends.len(), 1 + writers_asked, "{case}");
         }
     }
@@ -313,7 +316,7 @@
 #[test]
 fn empty_endpoint_list_rejects_with_retry_after() {
     let mut harness = RouterHarness::with_fleet(settings(Effect::Idempotent), vec![]);
-    let out = harness.arrive(ask(1));
+    let out = harness.arrive(new_request(1));
     assert!(out
         .iter()
         .any(|a| matches!(a, Action::Reject { retry_after_s, .. } if *retry_after_s > 0.0)));
@@ -322,7 +325,7 @@
 #[test]
 fn attempt_not_sent_ends_the_request_with_one_answer() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     harness.end(1, Outcome::NotSent, 0.0, 0.0);
     harness.pass(7.0);
     assert_eq!(final_answers(&harness.log, 1), 1);
@@ -331,7 +334,7 @@
 #[test]
 fn timeout_at_the_deadline_gets_the_final_answer() {
     let mut harness = RouterHarness::new(settings(Effect::NonIdempotent));
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
     harness.now += 6.0;
     let out = harness.end(1, Outcome::TimedOut, 5.9, 0.0);
@@ -341,7 +344,7 @@
 #[test]
 fn unsafe_answer_that_never_connected_goes_to_the_next_decode_server() {
     let mut harness = RouterHarness::new(settings(Effect::NonIdempotent));
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
     let first = harness.last().1;
     harness.end(1, Outcome::ConnectFailed, 0.25, 0.0);
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -28,7 +28,7 @@
             },
             u64::from(me),
         );
-        harness.tell(Event::Servers {
+        harness.handle(Event::Servers {
             form: ListForm::Full,
             entries: fleet.to_vec(),
         });
@@ -52,14 +52,14 @@
 fn hundred_routers_with_one_view_spread_their_load() {
     let counts = sends_of(100, &fleet(), |me| Request {
         prefix: u64::from(me) + 1,
-        ..ask(me + 1)
+        ..new_request(me + 1)
     });
-    let most = |of: std::ops::Range<u32>| counts.range(of).map(|c| *c.1).max().unwrap_or(0);
-    assert!(most(1..21) <= 15, "{} reads at one reader", most(1..21));
+    let limit = |of: std::ops::Range<u32>| counts.range(of).map(|c| *c.1).max().unwrap_or(0);
+    assert!(limit(1..21) <= 15, "{} reads at one reader", limit(1..21));
     assert!(
-        most(101..121) <= 15,
+        limit(101..121) <= 15,
         "{} answers at one writer",
-        most(101..121)
+        limit(101..121)
     );
 }
 
@@ -67,7 +67,7 @@
 fn hundred_routers_prefill_one_prefix_at_its_replicas() {
     let counts = sends_of(100, &fleet(), |me| Request {
         session: u64::from(me) + 1,
-        ..ask(1)
+        ..new_request(1)
     });
     assert!(counts.range(1..21).count() <= 5, "{counts:?}");
 }
@@ -81,7 +81,7 @@
         .collect();
     let counts = sends_of(300, &many, |me| Request {
         session: u64::from(me) + 1,
-        ..ask(1)
+        ..new_request(1)
     });
     let prefill_servers = counts.range(1..81).count();
     assert!(
@@ -93,9 +93,9 @@
 #[test]
 fn three_hundred_routers_together_keep_slow_start() {
     // The told start capacity times the multiple is 0.625 of what a warm server of the same load takes.
-    let mut cold = fleet();
-    cold[20].booted_at = T0 - 0.5;
-    let counts = sends_of(300, &cold, |me| ask(me + 1));
+    let mut warming = fleet();
+    warming[20].booted_at = T0 - 0.5;
+    let counts = sends_of(300, &warming, |me| new_request(me + 1));
     let warm = counts.range(102..121).map(|c| *c.1).sum::<u32>() / 19;
     let at_cold = counts.get(&101).copied().unwrap_or(0);
     assert!(
@@ -116,7 +116,7 @@
     harness.pass(60.0);
     assert!(harness.log.iter().filter_map(probe).next().is_none() && harness.timers.is_empty());
     for id in 1..50 {
-        harness.serve(ask(id), 0.0);
+        harness.serve(new_request(id), 0.0);
         harness.pass(2.0);
     }
     assert!(harness.log.iter().filter_map(probe).count() <= 4 * 49);
@@ -127,7 +127,7 @@
     let mut harness = RouterHarness::with_fleet(settings(Effect::Idempotent), fleet());
     harness.answers_probes = false;
     harness.pass(1.0);
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     assert!(harness.sends.is_empty());
     harness.pass(0.02);
     assert_eq!(harness.sends.len(), 1);
@@ -144,13 +144,13 @@
         harness.answers_probes = false;
         harness.arrive(Request {
             time_left_s: 12.0,
-            ..ask(1)
+            ..new_request(1)
         });
         harness.pass(0.02);
         for _ in 0..60 {
             let report = vec![0.2, queue, 0.1];
             let outcome = Outcome::Served;
-            harness.tell(Event::ProbeEnded {
+            harness.handle(Event::ProbeEnded {
                 server: 1,
                 outcome,
                 elapsed_s: 0.001,
@@ -171,7 +171,7 @@
     let stays = |dispatchers: u32| {
         let long = Request {
             prompt_tokens: 12_000.0,
-            ..ask(1)
+            ..new_request(1)
         };
         let new = || {
             RouterHarness::with_fleet(
@@ -183,17 +183,17 @@
             )
         };
         let mut idle = new();
-        let home = idle.serve(long.clone(), 0.0);
+        let replica = idle.serve(long.clone(), 0.0);
         let mut harness = new();
         let report = vec![0.1, 3.0, 0.1];
         let outcome = Outcome::Served;
-        harness.tell(Event::ProbeEnded {
-            server: home,
+        harness.handle(Event::ProbeEnded {
+            server: replica,
             outcome,
             elapsed_s: 0.001,
             report,
         });
-        harness.serve(long, 0.0) == home
+        harness.serve(long, 0.0) == replica
     };
     assert!(stays(100) && !stays(2));
 }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -42,7 +42,7 @@
     /// Requests a second.
     rate: f64,
     hosts: Vec<ServerEntry>,
-    cold: Vec<ServerId>,
+    warming: Vec<ServerId>,
     /// A prefix and its share of the requests; 20 others share the rest.
     hot: (u64, f64),
     plain: bool,
@@ -53,7 +53,7 @@
 
 impl Scenario {
     fn new(routers: u32, skew: Skew, seed: u64, rate: f64, hosts: Vec<ServerEntry>) -> Scenario {
-        let (cold, hot) = (vec![], (0, 0.0));
+        let (warming, hot) = (vec![], (0, 0.0));
         let (plain, extra_reported_queue, client_retries) = (false, 8.0, 0);
         let set = Settings {
             dispatchers: routers,
@@ -65,7 +65,7 @@
             seed,
             rate,
             hosts,
-            cold,
+            warming,
             hot,
             plain,
             extra_reported_queue,
@@ -80,7 +80,7 @@
         let mut fleet = Fleet::new(self.set.clone(), T0);
         (fleet.extra_reported_queue, fleet.client_retries) =
             (self.extra_reported_queue, self.client_retries);
-        let fresh = |e: &ServerEntry| match self.cold.contains(&e.id) {
+        let fresh = |e: &ServerEntry| match self.warming.contains(&e.id) {
             true => ServerEntry {
                 booted_at: RESTARTED_AT,
                 ..e.clone()
@@ -88,12 +88,12 @@
             false => e.clone(),
         };
         let now: Vec<ServerEntry> = self.hosts.iter().map(fresh).collect();
-        let kept = |e: &&ServerEntry| !self.cold.contains(&e.id);
-        let warm: Vec<ServerEntry> = self.hosts.iter().filter(kept).cloned().collect();
+        let is_kept = |e: &&ServerEntry| !self.warming.contains(&e.id);
+        let warm: Vec<ServerEntry> = self.hosts.iter().filter(is_kept).cloned().collect();
         let chance = |n: u64| draw(self.seed ^ 0xC01D, n);
-        let told = |router: usize| RESTARTED_AT + 2.0 * chance(router as u64);
+        let notified_at = |router: usize| RESTARTED_AT + 2.0 * chance(router as u64);
         fleet.list(T0, ListForm::Full, &warm);
-        fleet.list_at(told, ListForm::Full, &now);
+        fleet.list_at(notified_at, ListForm::Full, &now);
         for router in (0..self.routers as usize).step_by(3) {
             let at = RESTARTED_AT + 8.0 * chance(1_000 + router as u64);
             fleet.restart(at, router, 10_000 + router as u64, &now);
@@ -108,20 +108,20 @@
             let other = 1_000 + (20.0 * draw(self.seed, n + 3)) as u64;
             let session = 1 + (400.0 * draw(self.seed, n + 4)) as u64;
             let prefix = if of_hot { self.hot.0 } else { other };
-            let ask = match self.plain {
+            let new_request = match self.plain {
                 true => Request {
                     prefix: 0,
                     prefix_tokens: 0.0,
                     session: u64::from(id),
-                    ..ask(id)
+                    ..new_request(id)
                 },
                 false => Request {
                     prefix,
                     session,
-                    ..ask(id)
+                    ..new_request(id)
                 },
             };
-            fleet.arrive(at, router, ask);
+            fleet.arrive(at, router, new_request);
         }
         fleet
     }
@@ -129,38 +129,45 @@
 
 /// What the settings allow a server in their window, at the capacity that it has when the window begins. How it warms up the settings
 /// do not tell; judged here by the requests that came to it until then, as fast as by time at the most.
-fn allowed(warm_rate: f64, came: &[f64], start: f64) -> f64 {
-    let cold = settings(Effect::Idempotent).slow_start;
-    let until = came.iter().filter(|t| **t < start).count() as f64;
-    let warmed =
-        (until / (warm_rate * cold.warm_after_s)).min((start - RESTARTED_AT) / cold.warm_after_s);
-    let capacity = cold.start_capacity + (1.0 - cold.start_capacity) * warmed;
-    cold.overload_factor * capacity * warm_rate * cold.window_s
+fn allowed(warm_rate: f64, arrived_at: &[f64], start: f64) -> f64 {
+    let warming = settings(Effect::Idempotent).slow_start;
+    let until = arrived_at.iter().filter(|t| **t < start).count() as f64;
+    let warmed = (until / (warm_rate * warming.warm_after_s))
+        .min((start - RESTARTED_AT) / warming.warm_after_s);
+    let capacity = warming.start_capacity + (1.0 - warming.start_capacity) * warmed;
+    warming.overload_factor * capacity * warm_rate * warming.window_s
 }
 
 /// Attempts within the window that begins there.
-fn within(came: &[f64], start: f64) -> f64 {
+fn within(arrived_at: &[f64], start: f64) -> f64 {
     let window_s = settings(Effect::Idempotent).slow_start.window_s;
-    came.iter()
+    arrived_at
+        .iter()
         .filter(|t| (start..start + window_s).contains(*t))
         .count() as f64
 }
 
 /// Holds each cold server's attempts against the budget; returns the means as shares of it.
-fn keep_the_budget(name: &str, scenarios: &[(Scenario, f64)]) -> f64 {
+fn assert_slow_start_is_kept(name: &str, scenarios: &[(Scenario, f64)]) -> f64 {
     let (mut shares, mut broken) = (vec![], vec![]);
     for (s, warm_rate) in scenarios {
         let mut fleet = s.fleet();
         fleet.run(END);
-        for id in &s.cold {
-            let came = fleet.came(*id);
-            let share = |start: f64| within(came, start) / allowed(*warm_rate, came, start);
+        for id in &s.warming {
+            let arrived_at = fleet.arrived_at(*id);
+            let share =
+                |start: f64| within(arrived_at, start) / allowed(*warm_rate, arrived_at, start);
             let starts: Vec<f64> = (0..36).map(|n| RESTARTED_AT + f64::from(n) / 4.0).collect();
             shares.push(starts.iter().map(|at| share(*at)).sum::<f64>() / starts.len() as f64);
-            let most = |at: &f64| (within(came, *at), allowed(*warm_rate, came, *at));
-            let over = came
+            let limit = |at: &f64| {
+                (
+                    within(arrived_at, *at),
+                    allowed(*warm_rate, arrived_at, *at),
+                )
+            };
+            let over = arrived_at
                 .iter()
-                .map(most)
+                .map(limit)
                 .find(|(count, n)| *count > n + 2.0 * n.sqrt() + 2.0);
             if let Some((count, n)) = over {
                 broken.push(format!(
@@ -171,15 +178,15 @@
         }
     }
     let mean = shares.iter().sum::<f64>() / shares.len() as f64;
-    let most = shares.iter().copied().fold(0.0, f64::max);
+    let limit = shares.iter().copied().fold(0.0, f64::max);
     println!(
-        "{name}: {} cold servers, mean {mean:.2} of N, most {most:.2}, broken {}",
+        "{name}: {} cold servers, mean {mean:.2} of N, most {limit:.2}, broken {}",
         shares.len(),
         broken.len()
     );
     assert!(
         broken.is_empty(),
-        "{name}: mean {mean:.2} of N, most {most:.2}; {broken:#?}"
+        "{name}: mean {mean:.2} of N, most {limit:.2}; {broken:#?}"
     );
     mean
 }
@@ -204,7 +211,13 @@
 fn prefix_read_at(id: ServerId, hosts: &[ServerEntry]) -> u64 {
     let read_at = |prefix: u64| {
         let mut harness = RouterHarness::with_fleet(settings(Effect::Idempotent), hosts.to_vec());
-        harness.serve(Request { prefix, ..ask(1) }, 0.0)
+        harness.serve(
+            Request {
+                prefix,
+                ..new_request(1)
+            },
+            0.0,
+        )
     };
     (1..200)
         .find(|prefix| read_at(*prefix) == id)
@@ -222,14 +235,14 @@
         let new = Scenario::new(routers, skew, n as u64 + 1, rate, hosts);
         (
             Scenario {
-                cold: vec![3, 6],
+                warming: vec![3, 6],
                 hot,
                 ..new
             },
             rate / 8.0,
         )
     };
-    keep_the_budget(
+    assert_slow_start_is_kept(
         "hot prefix",
         &SIZES
             .into_iter()
@@ -252,7 +265,7 @@
         let new = Scenario::new(routers, skew, n as u64 + 11, rate, hosts);
         (
             Scenario {
-                cold: vec![2, 5, 9],
+                warming: vec![2, 5, 9],
                 plain: true,
                 extra_reported_queue: 0.0,
                 client_retries: 2,
@@ -261,7 +274,7 @@
             warm_rate,
         )
     };
-    keep_the_budget(
+    assert_slow_start_is_kept(
         "overload",
         &SIZES
             .into_iter()
@@ -286,13 +299,13 @@
         let new = Scenario::new(routers, skew, n as u64 + 21, rate, hosts);
         (
             Scenario {
-                cold: vec![101],
+                warming: vec![101],
                 ..new
             },
             rate / 12.0,
         )
     };
-    keep_the_budget(
+    assert_slow_start_is_kept(
         "lone writer",
         &SIZES
             .into_iter()
@@ -311,13 +324,13 @@
         let new = Scenario::new(routers, skew, n as u64 + 31, rate, hosts);
         (
             Scenario {
-                cold: vec![2, 7],
+                warming: vec![2, 7],
                 ..new
             },
             rate / 10.0,
         )
     };
-    keep_the_budget(
+    assert_slow_start_is_kept(
         "mixed",
         &SIZES
             .into_iter()
@@ -341,13 +354,13 @@
         );
         (
             Scenario {
-                cold: vec![2, 5, 9, 103, 106],
+                warming: vec![2, 5, 9, 103, 106],
                 ..new
             },
             rate / 12.0,
         )
     };
-    let mean = keep_the_budget(
+    let mean = assert_slow_start_is_kept(
         "ordinary",
         &SIZES
             .into_iter()
@@ -368,9 +381,10 @@
 }
 
 /// Whether any window of a cold server's time held more than the rule allows.
-fn goes_over(came: &[f64], warm_rate: f64) -> bool {
-    came.iter()
-        .any(|at| within(came, *at) > most_by_the_rule(allowed(warm_rate, came, *at)))
+fn goes_over(arrived_at: &[f64], warm_rate: f64) -> bool {
+    arrived_at
+        .iter()
+        .any(|at| within(arrived_at, *at) > most_by_the_rule(allowed(warm_rate, arrived_at, *at)))
 }
 
 /// How many seeds of each size are drawn: two in the suite; as many as `DRAWS` says to measure the probability, by
@@ -394,19 +408,19 @@
             let hot = (prefix_read_at(2, &hosts), 0.3 * (seed % 2) as f64);
             let new = Scenario::new(routers, Skew::Even, 1_000 + seed, rate, hosts);
             let scenario = Scenario {
-                cold: vec![2, 5, 9, 103, 106],
+                warming: vec![2, 5, 9, 103, 106],
                 hot,
                 ..new
             };
             let mut fleet = scenario.fleet();
             fleet.run(END);
             let out = scenario
-                .cold
+                .warming
                 .iter()
-                .filter(|id| goes_over(fleet.came(**id), rate / 12.0))
+                .filter(|id| goes_over(fleet.arrived_at(**id), rate / 12.0))
                 .count();
             over_here += out;
-            servers_here += scenario.cold.len();
+            servers_here += scenario.warming.len();
         }
         println!("{routers} dispatchers: {over_here} of {servers_here} cold servers go over in some window");
         (over, servers) = (over + over_here, servers + servers_here);
@@ -463,7 +477,7 @@
             ..settings(effects[seed % 4])
         };
         let scenario = Scenario {
-            cold: vec![2, 105, 202],
+            warming: vec![2, 105, 202],
             client_retries: 1,
             extra_reported_queue: 1.0,
             set,
