--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -1,10 +1,11 @@
-//! What a request has to expect of the writers, when it is taken in.
+//! What a request has to expect of the decode servers, when it is taken in.
 mod common;
 
 use bitternlatch_policy::interface::*;
 use common::*;
 
-/// A warm writer whose queue lasts for seconds, and an idle one that has just started; another, perhaps.
+/// A warm decode server whose queue lasts for seconds, and an idle one that has just started;
+/// another, perhaps.
 fn jammed_and_warming(more: &[ServerEntry]) -> RouterHarness {
     let warming = ServerEntry {
         booted_at: T0 - 0.1,
@@ -53,8 +54,9 @@
     harness
 }
 
-/// Whose turn at the idle cold writer it is not has to wait at the other one, however near the idle one is: it is refused at once, and
-/// not read first. Each of those that are taken in goes to the cold writer.
+/// Whose turn at the idle warming decode server it is not has to wait at the other one, however
+/// near the idle one is: it is rejected at once, and not read first. Each of those that are taken
+/// in goes to the warming decode server.
 #[test]
 fn request_without_a_turn_at_a_warming_server_counts_the_wait_at_others() {
     let mut harness = jammed_and_warming(&[]);
@@ -77,7 +79,7 @@
     );
 }
 
-/// Beside a warm one that is idle nobody is turned away.
+/// Beside a warm one that is idle nobody is rejected.
 #[test]
 fn idle_warm_decode_server_takes_all() {
     let mut harness = jammed_and_warming(&[server(13, 1, 1)]);
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -1,5 +1,6 @@
-//! Many routers over one fleet in simulated time: readers that read one prompt after the other, writers whose
-//! answers hold memory and wait for it, all slower while cold; reports tell the truth, each as it is sent.
+//! Many routers over one fleet in simulated time: prefill servers that read one prompt after the
+//! other, decode servers whose answers hold memory and wait for it, all slower while warming;
+//! reports tell the truth, each as it is sent.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -11,7 +12,7 @@
 pub mod digest;
 use digest::Digest;
 
-/// Seconds that a message takes, and an answer from its first token on, at a warm writer.
+/// Seconds that a message takes, and an answer from its first token on, at a warm decode server.
 const WAY_S: f64 = 0.001;
 const ANSWER_S: f64 = 4.0;
 const FIRST_S: f64 = 0.03;
@@ -60,11 +61,12 @@
     /// Last failures at each server that no success has followed, by router.
     failed: BTreeMap<(ServerId, usize), f64>,
     swallowed: BTreeMap<Attempt, ServerId>,
-    /// How often a client comes again that was refused, a moment later, and the tries of those that did.
+    /// How often a client comes again that was rejected, a moment later, and the tries of those
+    /// that did.
     pub client_retries: u32,
     client_attempts: BTreeMap<RequestId, u32>,
-    /// Requests that warm servers report queued beyond the truth, while cold ones say that they are empty: whoever has its turn at one
-    /// takes it.
+    /// Requests that warm servers report queued beyond the truth, while warming ones say that they
+    /// are empty: whoever has its turn at one takes it.
     pub extra_reported_queue: f64,
     /// Of all actions so far, where it is asked for.
     pub digest: Option<Digest>,
@@ -83,8 +85,8 @@
 }
 
 impl Fleet {
-    /// So many requests a second for some time, each at any router, with a few prefixes much in use and many sessions; `ask` makes one
-    /// of its number.
+    /// So many requests a second for some time, each at any router, with a few prefixes much in use
+    /// and many sessions; `new_request` makes one of its number.
     pub fn arrivals(
         &mut self,
         seed: u64,
@@ -139,12 +141,12 @@
         }
     }
 
-    /// Tells all routers of these servers.
+    /// Notifies all routers of these servers.
     pub fn list(&mut self, at: f64, form: ListForm, entries: &[ServerEntry]) {
         self.list_at(|_| at, form, entries);
     }
 
-    /// Tells each router of these servers at a time of its own.
+    /// Notifies each router of these servers at a time of its own.
     pub fn list_at(&mut self, at: impl Fn(usize) -> f64, form: ListForm, entries: &[ServerEntry]) {
         for e in entries {
             let kind = self.settings.kinds[usize::from(e.kind)].clone();
@@ -472,7 +474,7 @@
         }
     }
 
-    /// Tells each router how many others have failed at a server of late, up to so many.
+    /// Notifies each router how many others have failed at a server of late, up to so many.
     pub fn peer_report(&mut self, server: ServerId, max_reporters: usize) {
         let lately = |(_, at): &(&(ServerId, usize), &f64)| self.now - **at < 3.0;
         let failed = self
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -98,7 +98,7 @@
 }
 
 impl RouterHarness {
-    /// Readers 1 and 2, writers 11 and 12; cells 0 and 1.
+    /// Prefill servers 1 and 2, decode servers 11 and 12; cells 0 and 1.
     pub fn new(settings: Settings) -> Self {
         let fleet = vec![
             server(1, 0, 0),
@@ -203,7 +203,7 @@
     ) -> Vec<Action> {
         let sent: Vec<_> = self.sends.iter().filter(|s| s.0 == request).collect();
         if sent.is_empty() {
-            return vec![]; // It was refused.
+            return vec![]; // It was rejected.
         }
         let (attempt, server) = ((sent.len() - 1) as u16, sent[sent.len() - 1].1);
         let finished = outcome == Outcome::Served;
@@ -219,7 +219,7 @@
         }))
     }
 
-    /// Takes a request through read and answer; returns its reader.
+    /// Takes a request through read and answer; returns its prefill server.
     pub fn serve(&mut self, new_request: Request, hit: f64) -> ServerId {
         let id = new_request.id;
         self.arrive(new_request);
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! Digests of the actions for fleets and events that are drawn: a change that is to change no decision keeps them.
+//! Digests of the actions for fleets and events that are drawn: a change that is to change no
+//! decision keeps them.
 mod common;
 #[path = "common/digest.rs"]
 mod digest;
--- a/crates/policy/tests/defences.rs
+++ b/crates/policy/tests/defences.rs
@@ -11,7 +11,7 @@
     }
 }
 
-/// A turn of one session, so that its homes stand in one order.
+/// A turn of one session, so that its replicas stand in one order.
 fn same(id: RequestId) -> Request {
     Request {
         session: 5,
@@ -70,7 +70,7 @@
     );
 }
 
-/// When a read is called back whose reader was last heard of so long before.
+/// When a read is called back whose prefill server was last heard of so long before.
 fn called_back_after(quiet_s: f64) -> Option<usize> {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
     harness.change(ServerEntry {
@@ -299,7 +299,7 @@
     };
     let alone = refused_with(&[]);
     assert!(alone > 40, "{alone}");
-    // What the fleet cannot bear is refused whatever the share.
+    // What the fleet cannot bear is rejected whatever the share.
     let whole = refused_with(&[(1.0, 0.0)]);
     assert!(whole < alone / 2, "{whole} against {alone}");
     assert_eq!(refused_with(&[(1.0, 0.0), (0.01, 0.0)]), alone, "shrunk");
--- a/crates/policy/tests/held_states.rs
+++ b/crates/policy/tests/held_states.rs
@@ -15,7 +15,8 @@
         .count()
 }
 
-/// A request whose prefill has ended and whose hand-over is out; patient, so that nothing is called back.
+/// A request whose prefill has ended and whose hand-over is out; patient, so that nothing is called
+/// back.
 fn handed_over(effect: Effect, may_cancel: bool) -> RouterHarness {
     let mut set = Settings {
         kv_hold_limit_s: LIMIT_S,
@@ -105,8 +106,9 @@
     }
 }
 
-/// Where cancelling stops nothing that waits, a hand-over that was given up goes on waiting for the state, and a release
-/// lets go of nothing until that has ended: it is made again while the request lives, and with its end.
+/// Where cancelling stops nothing that waits, a hand-over that was given up goes on waiting for the
+/// state, and a release lets go of nothing until that has ended: it is made again while the request
+/// lives, and with its end.
 #[test]
 fn kv_state_is_released_again_while_a_cancelled_transfer_may_wait_for_it() {
     for outcome in [Outcome::Cancelled, Outcome::TimedOut, Outcome::Reset] {
--- a/crates/policy/tests/long_prompts.rs
+++ b/crates/policy/tests/long_prompts.rs
@@ -1,5 +1,5 @@
-//! Who is answered where prompts differ in length a hundredfold: long prompts have their share of what their class is
-//! answered, and where there is room no session and no router goes without.
+//! Who is answered where prompts differ in length a hundredfold: long prompts have their share of
+//! what their class is answered, and where there is room no session and no router goes without.
 mod common;
 #[path = "common/fleet.rs"]
 mod fleet;
@@ -102,8 +102,8 @@
     f64::from(served) / f64::from(all.max(1))
 }
 
-/// Loads, as a share of what the readers can do, and the part of their class's answered share that long prompts have at
-/// least: two thirds on a quiet day, half on others.
+/// Loads, as a share of what the prefill servers can do, and the part of their class's answered
+/// share that long prompts have at least: two thirds on a quiet day, half on others.
 const LOADS: [(&str, f64, f64); 4] = [
     ("quiet", 8.0, 2.0 / 3.0),
     ("busy", 16.0, 0.5),
--- a/crates/policy/tests/peer_reports.rs
+++ b/crates/policy/tests/peer_reports.rs
@@ -1,4 +1,5 @@
-//! What others have seen of a server: it saves attempts and late answers, and one voice alone changes nothing.
+//! What others have seen of a server: it saves attempts and late answers, and one voice alone
+//! changes nothing.
 mod common;
 #[path = "common/fleet.rs"]
 mod fleet;
@@ -12,8 +13,9 @@
 const PREFILL_SERVERS: u32 = 20;
 const BROKEN: ServerId = 4;
 
-/// Attempts at one reader, when it and maybe others have trouble after five seconds of twenty, and the share of all requests that
-/// waited a second or more; up to `most` voices are told to the others three times a second.
+/// Attempts at one prefill server, when it and maybe others have faults after five seconds of
+/// twenty, and the share of all requests that waited a second or more; up to `max_reporters` are
+/// told to the others three times a second.
 fn day(seed: u64, fault: Fault, at_all: bool, max_reporters: usize) -> (u32, f64) {
     let mut fleet = Fleet::new(
         Settings {
@@ -76,7 +78,8 @@
     assert!(2 * reported.0 < alone.0, "{reported:?} against {alone:?}");
 }
 
-/// It is the way to them then: while every word was believed, 2 to 3 in 100 came late here in place of 2 in 1,000.
+/// It is the way to them then: while every word was believed, 2 to 3 in 100 came late here in place
+/// of 2 in 1,000.
 #[test]
 fn reported_failures_at_most_servers_overload_no_server() {
     for seed in 1..4 {
@@ -97,8 +100,8 @@
     );
 }
 
-/// How many of forty requests, a tenth of a second apart, go to the first of two readers, with something told of it before each but
-/// the first few.
+/// How many of forty requests, a tenth of a second apart, go to the first of two prefill servers,
+/// with something notified of it before each but the first few.
 fn sent_to_first(said: Option<(Observation, u32, u32, f64)>) -> usize {
     let list: Vec<_> = [1, 2]
         .map(|id| server(id, 0, 0))
--- a/crates/policy/tests/replaced_servers.rs
+++ b/crates/policy/tests/replaced_servers.rs
@@ -1,5 +1,6 @@
-//! Hundreds of routers over one fleet while six in ten of its servers are replaced at once. A router sees one
-//! request in two seconds, so that it judges most servers by what it knows of their like.
+//! Hundreds of routers over one fleet while six in ten of its servers are replaced at once. A
+//! router sees one request in two seconds, so that it judges most servers by what it knows of their
+//! like.
 mod common;
 #[path = "common/fleet.rs"]
 mod fleet;
@@ -15,7 +16,8 @@
 const DECODE_SERVERS: Range<u32> = 101..141;
 /// Added to the id of a server that leaves, the id of the one that comes for it.
 const COMES: u32 = 1000;
-/// Requests a second: all that is left of the fleet, and what the cold ones can bear, are needed.
+/// Requests a second: all that is left of the fleet, and what the warming ones can bear, are
+/// needed.
 const RATE: f64 = 250.0;
 const RESTARTED_AT: f64 = T0 + 7.0;
 
@@ -85,7 +87,7 @@
             .filter(|id| leaves(*id))
             .map(|id| id + COMES),
     );
-    // What the guard allows them is 0.3 of all: 18 of 30 readers at 0.5 of an even share.
+    // What the guard allows them is 0.3 of all: 18 of 30 prefill servers at 0.5 of an even share.
     let arrived = RATE * 4.0;
     assert!(
         f64::from(warming.1) > 0.1 * arrived,
@@ -97,8 +99,9 @@
 fn routers_together_keep_slow_start_of_every_server() {
     let mut fleet = replaced(2);
     fleet.run(RESTARTED_AT);
-    // 2.5 times what it can do of an even share, with the noise of a few dozen draws: a quarter of its capacity, and more as it warms
-    // up by what it was sent, or by time where that is less; a writer's is larger than its even share, as answers come after reads.
+    // 2.5 times what it can do of an even share, with the noise of a few dozen draws: a quarter of
+    // its capacity, and more as it warms up by what it was sent, or by time where that is less; a
+    // decode server's is larger than its even share, as answers come after reads.
     for step in 1..5 {
         let ids = || {
             PREFILL_SERVERS
--- a/crates/policy/tests/routing.rs
+++ b/crates/policy/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The ordinary path: lowest estimated first-token time, then the lightest writer.
+//! The ordinary path: lowest estimated first-token time, then the lightest decode server.
 mod common;
 use bitternlatch_policy::interface::*;
 use common::*;
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -51,8 +51,8 @@
     assert_ne!(harness.last().1, first);
 }
 
-/// Its answer may have been on its way when it was given up, or have got lost; or the read goes on unseen, however soon
-/// its connection broke.
+/// Its answer may have been on its way when it was given up, or have got lost; or the read goes on
+/// unseen, however soon its connection broke.
 #[test]
 fn unsafe_prefill_without_an_answer_is_not_retried() {
     for outcome in [Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled] {
@@ -74,7 +74,7 @@
     }
 }
 
-/// The same of an answer tells nothing: what a writer began it may have done.
+/// The same of an answer tells nothing: what a decode server began it may have done.
 #[test]
 fn unsafe_answer_is_not_retried_after_reset() {
     let mut harness = RouterHarness::new(Settings {
@@ -140,7 +140,8 @@
     assert_eq!(harness.sends.len(), 1, "{after:?}");
 }
 
-/// A repeat has to arrive within the time for repeats, which may be as late as a connection for it may come up.
+/// A repeat has to arrive within the time for repeats, which may be as late as a connection for it
+/// may come up.
 #[test]
 fn keyed_retry_is_sent_only_where_it_arrives_within_the_window() {
     for (window_s, connect_timeout_s, after_s, again) in [
@@ -273,7 +274,7 @@
     assert!(released(&after, 1) && rejected(&after, 1));
 }
 
-/// However many ways to writers fail to come up, the time runs on from the end of the read.
+/// However many ways to decode servers fail to come up, the time runs on from the end of the read.
 #[test]
 fn kv_state_is_released_within_the_limit_while_decode_connects_fail() {
     for (pin_limit_s, fails_after_s, writers_asked) in [
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -1,4 +1,4 @@
-//! What many routers do together, each alone: spreading, probes and the cold rule's sum.
+//! What many routers do together, each alone: spreading, probes and the warming rule's sum.
 mod common;
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use bitternlatch_policy::interface::*;
 use common::*;
 
-/// Sends of each server when each of many routers takes one request to its writer.
+/// Sends of each server when each of many routers takes one request to its decode server.
 fn sends_of(
     routers: u32,
     fleet: &[ServerEntry],
@@ -72,7 +72,8 @@
     assert!(counts.range(1..21).count() <= 5, "{counts:?}");
 }
 
-/// Each reader that has to read it once costs a whole read, and the memory that it takes there.
+/// Each prefill server that has to read it once costs a whole read, and the memory that it takes
+/// there.
 #[test]
 fn one_prefix_has_replicas_at_a_tenth_of_many_prefill_servers() {
     let many: Vec<ServerEntry> = (1..81)
@@ -92,7 +93,8 @@
 
 #[test]
 fn three_hundred_routers_together_keep_slow_start() {
-    // The told start capacity times the multiple is 0.625 of what a warm server of the same load takes.
+    // The told start capacity times the multiple is 0.625 of what a warm server of the same load
+    // takes.
     let mut warming = fleet();
     warming[20].booted_at = T0 - 0.5;
     let counts = sends_of(300, &warming, |me| new_request(me + 1));
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,5 +1,6 @@
-//! Cold servers under the sum of all: what every router sends them together keeps to the budget of the rule, N, but for
-//! chance, 2 roots of N and 2 more. Warm servers say here that they queue, so that every turn at a cold one is taken.
+//! Warming servers under the sum of all: what every router sends them together keeps to the budget
+//! of the rule, N, but for chance, 2 roots of N and 2 more. Warm servers say here that they queue,
+//! so that every turn at a warming one is taken.
 mod common;
 #[path = "common/fleet.rs"]
 mod fleet;
@@ -74,8 +75,9 @@
         }
     }
 
-    /// All hosts are warm until some start anew. Each router is told of it at another time within 2 s, and every third router is
-    /// replaced within 8 s by one that knows nothing but the list.
+    /// All servers are warm until some start anew. Each router is notified of it at another time
+    /// within 2 s, and every third router is replaced within 8 s by one that knows nothing but the
+    /// list.
     fn fleet(&self) -> Fleet {
         let mut fleet = Fleet::new(self.set.clone(), T0);
         (fleet.extra_reported_queue, fleet.client_retries) =
@@ -127,8 +129,9 @@
     }
 }
 
-/// What the settings allow a server in their window, at the capacity that it has when the window begins. How it warms up the settings
-/// do not tell; judged here by the requests that came to it until then, as fast as by time at the most.
+/// What the settings allow a server in their window, at the capacity that it has when the window
+/// begins. How it warms up the settings do not tell; judged here by the requests that came to it
+/// until then, as fast as by time at the most.
 fn allowed(warm_rate: f64, arrived_at: &[f64], start: f64) -> f64 {
     let warming = settings(Effect::Idempotent).slow_start;
     let until = arrived_at.iter().filter(|t| **t < start).count() as f64;
@@ -147,7 +150,7 @@
         .count() as f64
 }
 
-/// Holds each cold server's attempts against the budget; returns the means as shares of it.
+/// Holds each warming server's attempts against the budget; returns the means as shares of it.
 fn assert_slow_start_is_kept(name: &str, scenarios: &[(Scenario, f64)]) -> f64 {
     let (mut shares, mut broken) = (vec![], vec![]);
     for (s, warm_rate) in scenarios {
@@ -207,7 +210,7 @@
     (101..n + 101).map(|id| server(id, 1, (id % 2) as u16))
 }
 
-/// The first prefix, by number, that is read at this reader.
+/// The first prefix, by number, that is read at this prefill server.
 fn prefix_read_at(id: ServerId, hosts: &[ServerEntry]) -> u64 {
     let read_at = |prefix: u64| {
         let mut harness = RouterHarness::with_fleet(settings(Effect::Idempotent), hosts.to_vec());
@@ -224,8 +227,8 @@
         .expect("a home")
 }
 
-/// One prefix is a third of all traffic, at two homes, one of them cold: while the turn of those near was a set part of the
-/// requests whatever their number, 1.4 N came in the mean.
+/// One prefix is a third of all traffic, at two replicas, one of them warming: while the turn of
+/// those near was a set part of the requests whatever their number, 1.4 N came in the mean.
 #[test]
 fn hot_prefix_does_not_overload_its_warming_replica() {
     let rate = 100.0;
@@ -252,8 +255,9 @@
     );
 }
 
-/// Twice what all servers could do if they were warm, and the refused come again: an even share of the demand is more than a server
-/// can do, and the empty cold one would have taken its part of all of it.
+/// Twice what all servers could do if they were warm, and the rejected come again: an even share of
+/// the demand is more than a server can do, and the empty warming one would have taken its part of
+/// all of it.
 #[test]
 fn demand_beyond_capacity_does_not_overload_warming_servers() {
     let (warm_rate, readers_of) = (1.0 / 0.146, 10);
@@ -284,7 +288,7 @@
     );
 }
 
-/// Half of the states are read beside the one cold writer of a cell.
+/// Half of the states are read beside the one warming decode server of a cell.
 #[test]
 fn warming_decode_server_alone_in_its_cell_is_not_overloaded() {
     let rate = 90.0;
@@ -315,7 +319,7 @@
     );
 }
 
-/// Servers that do both: there are no readers whose number could split the turns.
+/// Servers that do both: there are no prefill servers whose number could split the turns.
 #[test]
 fn warming_servers_of_a_mixed_fleet_are_not_overloaded() {
     let rate = 100.0;
@@ -371,7 +375,8 @@
     assert!(mean > 0.5, "{mean:.2} of N in the mean");
 }
 
-/// The rule's own bound: beyond N, chance may bring 2 roots of N and 2 more, and where N is under 30 calls 3 roots and 3 more.
+/// The rule's own bound: beyond N, chance may bring 2 roots of N and 2 more, and where N is under
+/// 30 calls 3 roots and 3 more.
 fn most_by_the_rule(n: f64) -> f64 {
     if n < 30.0 {
         n + 3.0 * n.sqrt() + 3.0
@@ -380,15 +385,16 @@
     }
 }
 
-/// Whether any window of a cold server's time held more than the rule allows.
+/// Whether any window of a warming server's time held more than the rule allows.
 fn goes_over(arrived_at: &[f64], warm_rate: f64) -> bool {
     arrived_at
         .iter()
         .any(|at| within(arrived_at, *at) > most_by_the_rule(allowed(warm_rate, arrived_at, *at)))
 }
 
-/// How many seeds of each size are drawn: two in the suite; as many as `DRAWS` says to measure the probability, by
-/// `DRAWS=40 cargo test -p bitternlatch-policy --test cold -- --nocapture any_number`.
+/// How many seeds of each size are drawn: two in the suite; as many as `DRAWS` says to measure the
+/// probability, by `DRAWS=40 cargo test -p bitternlatch-policy --test warming -- --nocapture
+/// any_number`.
 fn draws() -> u64 {
     std::env::var("DRAWS")
         .ok()
@@ -396,7 +402,8 @@
         .unwrap_or(2)
 }
 
-/// One dispatcher alone or hundreds: together they keep the rule, in ordinary traffic and with a hot prefix.
+/// One dispatcher alone or hundreds: together they keep the rule, in ordinary traffic and with a
+/// hot prefix.
 #[test]
 fn any_number_of_dispatchers_keeps_slow_start() {
     let rate = 100.0;
