--- a/crates/policy/tests/held_states.rs
+++ b/crates/policy/tests/held_states.rs
@@ -15,7 +15,8 @@
         .count()
 }
 
-/// A request whose prefill has ended and whose hand-over is out; patient, so that nothing is called back.
+/// A request whose prefill has ended and whose hand-over is out; patient, so that nothing is called
+/// back.
 fn handed_over(effect: Effect, may_cancel: bool) -> RouterHarness {
     let mut set = Settings {
         kv_hold_limit_s: LIMIT_S,
@@ -25,7 +26,7 @@
     set.classes[0].ttft_objective_s = 300.0;
     set.limits.may_cancel = may_cancel;
     let mut harness = RouterHarness::new(set);
-    harness.arrive(ask(1));
+    harness.arrive(new_request(1));
     harness.pass(0.05);
     harness.end(1, Outcome::PrefillDone, 0.05, 0.0);
     assert!(
@@ -49,7 +50,7 @@
                 let case = format!("{effect:?} cancel {may_cancel} gone {client_gone}");
                 let mut harness = handed_over(effect, may_cancel);
                 if client_gone {
-                    harness.tell(Event::ClientDisconnected { request: 1 });
+                    harness.handle(Event::ClientDisconnected { request: 1 });
                 }
                 assert_eq!(
                     releases(&harness.pass(0.85)),
@@ -105,8 +106,9 @@
     }
 }
 
-/// Where cancelling stops nothing that waits, a hand-over that was given up goes on waiting for the state, and a release
-/// lets go of nothing until that has ended: it is made again while the request lives, and with its end.
+/// Where cancelling stops nothing that waits, a hand-over that was given up goes on waiting for the
+/// state, and a release lets go of nothing until that has ended: it is made again while the request
+/// lives, and with its end.
 #[test]
 fn kv_state_is_released_again_while_a_cancelled_transfer_may_wait_for_it() {
     for outcome in [Outcome::Cancelled, Outcome::TimedOut, Outcome::Reset] {
@@ -121,7 +123,7 @@
             "{outcome:?}: for as long as it may be waited for"
         );
         let before = harness.log.len();
-        harness.tell(Event::ClientDisconnected { request: 1 });
+        harness.handle(Event::ClientDisconnected { request: 1 });
         harness.end(1, Outcome::Error, 2.0, 0.0);
         assert_eq!(
             releases(&harness.log[before..]),
@@ -174,7 +176,7 @@
                 lost_prefill_may_have_run: true,
                 ..set
             });
-            harness.arrive(ask(1));
+            harness.arrive(new_request(1));
             harness.end(1, outcome, 0.0, 0.0);
             assert_eq!(harness.sends.len(), 2, "{case}: read elsewhere");
             if served {
