--- a/crates/cluster-net/src/runtime.rs
+++ b/crates/cluster-net/src/runtime.rs
@@ -15,7 +15,7 @@
 use bitternlatch_net::clock::Clock;
 use bitternlatch_net::lock;
 use bitternlatch_quota_lease::{
-    Action, ClusterMember, ClusterService, Output, Peers, Process, QuotaLease,
+    Action, ClusterMember, ClusterService, ObservationKey, Output, Peers, Process, QuotaLease,
 };
 
 use crate::error::{ClusterNetError, EndpointKind};
@@ -207,10 +207,11 @@
     pub fn observation_sink(&self) -> impl Fn(Vec<ServerObservation>) + 'static {
         let whole = Arc::clone(&self.whole);
         move |seen| {
-            let dated = seen
-                .into_iter()
-                .map(|(host, what, at)| ((host, what), Duration::from_micros(at.0)));
-            lock(&whole).quota.set_observations(dated.collect());
+            let dated = seen.into_iter().map(|(server, condition, at)| {
+                let key = ObservationKey { server, condition };
+                (key, Duration::from_micros(at.0))
+            });
+            lock(&whole).quota_mut().set_observations(dated.collect());
         }
     }
 
@@ -240,13 +241,13 @@
     /// Who this process is among the members, and all that there should be.
     pub fn own(&self) -> (Process, BTreeSet<NameKey>) {
         let whole = lock(&self.whole);
-        let own = whole.member.own();
+        let own = whole.membership().own();
         (
             Process {
                 name: own.name,
                 start: own.start.process,
             },
-            whole.member.roster(),
+            whole.membership().roster(),
         )
     }
 
@@ -300,13 +301,13 @@
             if news || at >= tell_at {
                 tell_at = at + TELL_EVERY;
                 let until = micros(at + COUNTS_FOR);
-                let (standing, there) = (whole.member.standing(), whole.member.there());
+                let (standing, there) = (whole.membership().standing(), whole.membership().there());
                 told(ClusterEvent::Input(Input::QuorumState {
                     state: standing,
                     present: there,
                     until,
                 }));
-                let (there, part) = (whole.member.there_keys(), whole.quota.lease());
+                let (there, part) = (whole.membership().there_keys(), whole.quota().lease());
                 self.routes.tell_all(&Peers {
                     quorum: standing,
                     present: there,
@@ -314,11 +315,11 @@
                     lease: part,
                 });
             }
-            let part = whole.quota.lease();
+            let part = whole.quota().lease();
             if part != told_part {
                 told_part = part;
                 told(ClusterEvent::Input(Input::QuotaLease {
-                    leased: part.lent,
+                    leased: part.leased,
                     until: micros(part.until),
                 }));
             }
@@ -360,17 +361,25 @@
             match output {
                 // A datagram that cannot be sent is as good as lost, which the protocol bears.
                 Output::Send(to, bytes) => drop(self.socket.send_to(&bytes, to)),
-                Output::Quota(Action::PeerReports { of, heard }) => {
+                Output::Quota(Action::PeerReports { members, reports }) => {
                     told(ClusterEvent::Input(Input::PeerReports {
                         sent_at: self.clock.now(),
-                        reporters: of,
-                        reports: heard,
+                        reporters: members,
+                        reports,
                     }))
                 }
                 Output::Quota(agreed) => self.log_agreed(&agreed),
-                Output::Message { topic, from, said } => {
-                    self.routes.tell(topic, Heard::Said { from, said })
-                }
+                Output::Message {
+                    topic,
+                    from,
+                    payload,
+                } => self.routes.tell(
+                    topic,
+                    Heard::Said {
+                        from,
+                        said: payload,
+                    },
+                ),
                 Output::Member(event) => {
                     self.log(&event);
                     if let Event::Fenced(by) = event {
@@ -384,8 +393,8 @@
 
     /// A line where what may be spent has changed, with the time until which the part before would have counted; renewals are none.
     fn log_part(&self, at: Duration, part: QuotaLease, said: QuotaLease) -> QuotaLease {
-        let lent = if at < part.until { part.lent } else { 0.0 };
-        if lent != said.lent {
+        let lent = if at < part.until { part.leased } else { 0.0 };
+        if lent != said.leased {
             let before_until_us = micros(said.until).0;
             tracing::info!(
                 me = self.name,
@@ -397,7 +406,7 @@
             );
         }
         QuotaLease {
-            lent,
+            leased: lent,
             until: part.until,
         }
     }
@@ -411,11 +420,11 @@
     fn log_agreed(&self, agreed: &Action) {
         let me = self.name.as_str();
         match agreed {
-            Action::Send(..) | Action::PeerReports { .. } => {}
+            Action::Send { .. } | Action::PeerReports { .. } => {}
             Action::Leader(true) => tracing::info!(me, "lends parts of what all share"),
             Action::Leader(false) => tracing::info!(me, "lends parts no more"),
             Action::RosterMismatch(name) => {
-                let peer = lock(&self.whole).member.name_of(*name);
+                let peer = lock(&self.whole).membership().name_of(*name);
                 tracing::warn!(
                     me,
                     peer,
@@ -429,7 +438,7 @@
         let (me, at_us) = (self.name.as_str(), self.clock.now().0);
         match event {
             Event::Member { name, state, start } => {
-                let named = lock(&self.whole).member.name_of(*name);
+                let named = lock(&self.whole).membership().name_of(*name);
                 tracing::info!(me, at_us, peer = named, state = ?state, start = start.process, "a member");
             }
             Event::QuorumState(standing) => {
--- a/crates/cluster-net/src/service.rs
+++ b/crates/cluster-net/src/service.rs
@@ -247,9 +247,9 @@
                 ServiceOutput::SendDatagram(to, said) => {
                     let sealed = lock(&self.whole).sign_message(B::TOPIC, to, &said);
                     // A datagram that cannot be sent is as good as lost.
-                    sealed
-                        .into_iter()
-                        .for_each(|(at, bytes)| drop(self.socket.send_to(&bytes, at)));
+                    sealed.into_iter().for_each(|datagram| {
+                        drop(self.socket.send_to(&datagram.bytes, datagram.to))
+                    });
                 }
                 ServiceOutput::SendFrame(to, said) => self.links.send(B::TOPIC, to, &said),
                 ServiceOutput::Event(told) => (self.told)(told),
--- a/crates/cluster-net/src/status.rs
+++ b/crates/cluster-net/src/status.rs
@@ -60,9 +60,9 @@
         whole: &ClusterMember,
         now: Duration,
     ) -> ClusterStatus {
-        let view = whole.member.view();
-        let part = whole.quota.lease();
-        let lent = if now < part.until { part.lent } else { 0.0 };
+        let view = whole.membership().view();
+        let part = whole.quota().lease();
+        let lent = if now < part.until { part.leased } else { 0.0 };
         let line = |m: &bitternlatch_membership::MemberView| MemberStatus {
             name: m.name.clone(),
             address: m.address.to_string(),
@@ -81,11 +81,11 @@
             fenced_by: view.fenced_by.map(|s| s.process),
             at_ms: now.as_millis() as u64,
             steward: whole
-                .quota
+                .quota()
                 .leader()
-                .map(|key| whole.member.name_of(key))
+                .map(|key| whole.membership().name_of(key))
                 .unwrap_or_default(),
-            part: lent + unleased_quota(whole.member.roster().len()),
+            part: lent + unleased_quota(whole.membership().roster().len()),
             members: view.members.iter().map(line).collect(),
             dropped: view
                 .dropped
--- a/crates/membership/src/protocol.rs
+++ b/crates/membership/src/protocol.rs
@@ -73,7 +73,7 @@
         topic: Topic,
         name: NameKey,
         start: u64,
-        said: Vec<u8>,
+        payload: Vec<u8>,
     },
 }
 
@@ -306,7 +306,7 @@
                     topic,
                     name,
                     start,
-                    said: said.to_vec(),
+                    payload: said.to_vec(),
                 });
                 return Ok(());
             }
--- a/crates/overload/src/machine.rs
+++ b/crates/overload/src/machine.rs
@@ -321,7 +321,7 @@
             free: Millionths::of(RETURNS * takes.capacity),
             room: Millionths::of(2.0 * takes.room * (0.5 * even + 0.5 * asked).max(0.5 * even)),
             fresh: Millionths::of(sums.fresh),
-            part: Millionths::of(part.lent),
+            part: Millionths::of(part.leased),
             part_until: part.until,
             members: members as u32,
             together: self.together(now),
--- a/crates/overload/tests/fleet.rs
+++ b/crates/overload/tests/fleet.rs
@@ -215,7 +215,7 @@
             };
             self.world.act(i, |node, now, out| {
                 let part = QuotaLease {
-                    lent,
+                    leased: lent,
                     until: now + ms(1470),
                 };
                 node.give(
--- a/crates/quota-lease/src/cluster_member.rs
+++ b/crates/quota-lease/src/cluster_member.rs
@@ -1,47 +1,82 @@
-//! One member whole: who is there, and what is agreed on, over one envelope.
+//! One member of the cluster: membership and quota leases over one datagram format.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use bitternlatch_membership::{Event, Membership, NameKey, Output as Swim, Topic};
+use bitternlatch_membership::{Event, Membership, NameKey, Output as MembershipOutput, Topic};
 
 use crate::{Action, Process, QuotaMember};
 
+/// An output of [`ClusterMember`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
+    /// Sends a datagram to an address.
     Send(SocketAddrV4, Vec<u8>),
+    /// What has changed in the membership.
     Member(Event),
-    /// All but [`Action::Send`], which is carried out here.
+    /// An action other than [`Action::Send`], which is carried out here.
     Quota(Action),
-    /// What a member said, for a machine that runs beside this one.
+    /// A message for a [`crate::ClusterService`].
     Message {
+        /// Which service it is for.
         topic: Topic,
+        /// Who sent it.
         from: Process,
-        said: Vec<u8>,
+        /// What it holds.
+        payload: Vec<u8>,
     },
 }
 
+/// A signed datagram and where it goes.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Datagram {
+    /// The receiver's address.
+    pub to: SocketAddrV4,
+    /// The signed bytes.
+    pub bytes: Vec<u8>,
+}
+
+/// Membership and quota state of one process.
 pub struct ClusterMember {
-    pub member: Membership,
-    pub quota: QuotaMember,
-    swim: Vec<Swim>,
+    membership: Membership,
+    quota: QuotaMember,
+    pending: Vec<MembershipOutput>,
 }
 
 impl ClusterMember {
-    pub fn new(member: Membership, seed: u64, now: Duration) -> ClusterMember {
-        let own = member.own();
-        let quota = QuotaMember::new(own.name, own.start.process, member.roster(), seed, now);
+    /// The state of a process that starts now, by its own clock.
+    pub fn new(membership: Membership, seed: u64, now: Duration) -> ClusterMember {
+        let own = membership.own();
+        let roster = membership.roster();
+        let quota = QuotaMember::new(own.name, own.start.process, roster, seed, now);
         ClusterMember {
-            member,
+            membership,
             quota,
-            swim: Vec::new(),
+            pending: Vec::new(),
         }
     }
 
+    /// Which members are present.
+    pub fn membership(&self) -> &Membership {
+        &self.membership
+    }
+
+    /// Leader and quota lease.
+    pub fn quota(&self) -> &QuotaMember {
+        &self.quota
+    }
+
+    /// Leader and quota lease, to set what this process observes.
+    pub fn quota_mut(&mut self) -> &mut QuotaMember {
+        &mut self.quota
+    }
+
+    /// When [`ClusterMember::wake`] is due at the latest; `None` once this member has left or was superseded by a later
+    /// start.
     pub fn wake_at(&self) -> Option<Duration> {
-        // One that has given way to a later start says nothing more, and need not be woken for it.
-        let member = self.member.wake_at()?;
-        Some(self.quota.wake_at().map_or(member, |at| at.min(member)))
+        let membership_at = self.membership.wake_at()?;
+        let quota_at = self.quota.wake_at();
+        Some(quota_at.map_or(membership_at, |at| at.min(membership_at)))
     }
 
     /// Takes a datagram that came from an address.
@@ -52,110 +87,83 @@
         bytes: &[u8],
         out: &mut Vec<Output>,
     ) {
-        self.member
-            .handle_datagram(now, from, bytes, &mut self.swim);
-        self.carry(now, out);
+        self.membership
+            .handle_datagram(now, from, bytes, &mut self.pending);
+        self.step(now, out);
     }
 
     /// Does what is due.
     pub fn wake(&mut self, now: Duration, out: &mut Vec<Output>) {
-        self.member.wake(now, &mut self.swim);
-        self.carry(now, out);
+        self.membership.wake(now, &mut self.pending);
+        self.step(now, out);
     }
 
-    /// Says something of a machine beside this one to a member; `None` where it is not of the roster, or nothing is said any more.
-    pub fn sign_message(
-        &mut self,
-        topic: Topic,
-        to: NameKey,
-        said: &[u8],
-    ) -> Option<(SocketAddrV4, Vec<u8>)> {
-        let mut swim = Vec::new();
-        self.member.send(topic, to, said, &mut swim);
-        swim.into_iter().find_map(|output| match output {
-            Swim::Send(at, bytes) => Some((at, bytes)),
-            Swim::Event(_) | Swim::Message { .. } => None,
+    /// Signs a message of a service to a member; `None` where that is not of the roster, or nothing is sent any more.
+    pub fn sign_message(&mut self, topic: Topic, to: NameKey, payload: &[u8]) -> Option<Datagram> {
+        let mut signed = Vec::new();
+        self.membership.send(topic, to, payload, &mut signed);
+        signed.into_iter().find_map(|output| match output {
+            MembershipOutput::Send(to, bytes) => Some(Datagram { to, bytes }),
+            MembershipOutput::Event(_) | MembershipOutput::Message { .. } => None,
         })
     }
 
-    /// Gives back what it has and says farewell, once nothing is used any more.
+    /// Releases vote and lease and announces that this member leaves, once it uses no quota any more.
     pub fn leave(&mut self, now: Duration, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
         self.quota.leave(now, &mut actions);
         self.apply(actions, out);
-        self.member.leave(now, &mut self.swim);
-        self.carry(now, out);
+        self.membership.leave(now, &mut self.pending);
+        self.step(now, out);
     }
 
-    /// Carries out what the member wants, and does what is due of agreement: with datagrams too, as they may come so densely that
-    /// nothing else wakes it. One that has given way to a later start agrees on nothing more.
-    fn carry(&mut self, now: Duration, out: &mut Vec<Output>) {
+    /// Carries out the membership's outputs, and wakes the quota member where that is due: with datagrams too, as they may
+    /// come so densely that nothing else wakes it. A process that was superseded by a later start takes no part any more.
+    fn step(&mut self, now: Duration, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
-        if self.member.wake_at().is_some() {
+        if self.membership.wake_at().is_some() {
             self.quota.wake(now, &mut actions);
         }
-        for output in std::mem::take(&mut self.swim) {
+        for output in std::mem::take(&mut self.pending) {
             match output {
-                Swim::Send(to, bytes) => out.push(Output::Send(to, bytes)),
-                Swim::Event(event) => out.push(Output::Member(event)),
-                Swim::Message {
-                    topic: Topic::QuotaLease,
-                    name,
-                    start,
-                    said,
-                } => self
-                    .quota
-                    .heard(now, Process { name, start }, &said, &mut actions),
-                Swim::Message {
+                MembershipOutput::Send(to, bytes) => out.push(Output::Send(to, bytes)),
+                MembershipOutput::Event(event) => out.push(Output::Member(event)),
+                MembershipOutput::Message {
                     topic,
                     name,
                     start,
-                    said,
-                } => out.push(Output::Message {
-                    topic,
-                    from: Process { name, start },
-                    said,
-                }),
+                    payload,
+                } => {
+                    let from = Process { name, start };
+                    if topic == Topic::QuotaLease {
+                        self.quota.handle_message(now, from, &payload, &mut actions);
+                    } else {
+                        out.push(Output::Message {
+                            topic,
+                            from,
+                            payload,
+                        });
+                    }
+                }
             }
         }
         self.apply(actions, out);
     }
 
     fn apply(&mut self, actions: Vec<Action>, out: &mut Vec<Output>) {
-        let mut swim = Vec::new();
+        let mut datagrams = Vec::new();
         for action in actions {
             match action {
-                Action::Send(to, said) => self.member.send(Topic::QuotaLease, to, &said, &mut swim),
+                Action::Send { to, payload } => {
+                    datagrams.extend(self.sign_message(Topic::QuotaLease, to, &payload));
+                }
                 other => out.push(Output::Quota(other)),
             }
         }
-        out.extend(swim.into_iter().filter_map(|output| match output {
-            Swim::Send(to, bytes) => Some(Output::Send(to, bytes)),
-            Swim::Event(_) | Swim::Message { .. } => None,
-        }));
+        let sent = datagrams.into_iter();
+        out.extend(sent.map(|datagram| Output::Send(datagram.to, datagram.bytes)));
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use bitternlatch_membership::simulated::{address, ms, name, roster};
-    use bitternlatch_membership::{Roster, Secret};
-
-    use super::*;
-
-    #[test]
-    fn datagrams_that_come_densely_keep_nothing_that_is_due_from_being_done() {
-        let all = Roster::new(&name(0), &roster(1)).expect("a roster");
-        let member = Membership::new(&name(0), 1, all, Secret::new("hall", b"secret"), 1, ms(0));
-        let mut whole = ClusterMember::new(member, 1, ms(0));
-        // Noise, and never a moment in which nothing is heard.
-        for at in 0..500 {
-            whole.handle_datagram(ms(10 * at), address(1), b"noise", &mut Vec::new());
-        }
-        assert!(
-            (whole.quota.lease().lent - 0.9).abs() < 1e-9,
-            "its own leader: {:?}",
-            whole.quota.lease()
-        );
-    }
-}
+mod tests;
--- a/crates/quota-lease/src/leader_election.rs
+++ b/crates/quota-lease/src/leader_election.rs
@@ -1,73 +1,87 @@
-//! One leader at a time: what a voter has promised, and what a candidate has been promised.
+//! Leader election: what a voter has promised, and what a candidate has been promised.
 //!
-//! A voter promises [`LEASE`] to one process and nothing to another until that has ended; a process that holds unexpired
-//! promises of more than half of the voters is leader. Two majorities meet in one voter, so there are never two. A voter
-//! keeps nothing on disk: one that has just started promises nothing for the length of a lease, as it may have promised
-//! that before.
+//! A voter promises [`LEASE`] to one process and nothing to another until that has expired; a process that holds
+//! unexpired promises of more than half of the voters is leader. Two majorities share a voter, so there are never two
+//! leaders. A voter keeps nothing on disk: one that has just started promises nothing for the length of a lease, because
+//! it may have made a promise before it restarted.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
 
-use crate::{usable, Number, Process};
+use crate::{usable, Process, RequestNumber};
 
 /// How long a promise lasts, by the voter's clock.
 pub const LEASE: Duration = Duration::from_millis(1500);
-/// Voters of a larger cluster: two may fail, and no one hears more than four others' votes.
+/// Voters of a larger cluster: two may fail, and a candidate waits for at most four other answers.
 const MAX_VOTERS: usize = 5;
-/// A voter that comes later in the order waits that much longer before it stands, so that they do not all stand at once.
+/// Added to a candidate's wait for each voter before it in the order, so that not all campaign at once.
 const STAGGER: Duration = Duration::from_millis(200);
 
-/// Who votes: the first of the roster in the order of their short names, as many as five and an odd number, since an even one
-/// bears no more failures.
+/// The voters of a roster: the first of its short names in order, an odd number of at most five, because one more voter
+/// than an odd number tolerates no more failures.
 pub fn voters(roster: &BTreeSet<NameKey>) -> Vec<NameKey> {
-    let many = roster.len().min(MAX_VOTERS);
-    roster.iter().take(many - (many + 1) % 2).copied().collect()
+    let count = roster.len().min(MAX_VOTERS);
+    roster
+        .iter()
+        .take(count - (count + 1) % 2)
+        .copied()
+        .collect()
 }
 
-/// A voter's answer.
+/// A voter's answer to a vote request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
+    /// The voter promises the lease to the candidate.
     Granted,
+    /// The voter promises nothing; it names the holder of its current promise, if there is one.
     Denied(Option<NameKey>),
 }
 
 struct Promise {
     to: Process,
-    number: Number,
+    number: RequestNumber,
     until: Duration,
 }
 
-/// One member's part: voter, where it is one, and candidate.
+/// A vote that this candidate has requested and that may still be granted.
+struct PendingVote {
+    number: RequestNumber,
+    requested_at: Duration,
+    granted_by: BTreeSet<NameKey>,
+}
+
+/// One member's state in the election: voter, where it is one, and candidate. All times are by its own clock.
 pub struct LeaderElection {
     voters: Vec<NameKey>,
     own: Process,
-    /// Before it nothing is promised.
-    quiet_until: Duration,
+    /// Before this time nothing is promised: an earlier start of this voter may have made promises.
+    abstains_until: Duration,
     promise: Option<Promise>,
-    /// The open question: when it was asked, and who has granted it.
-    asked: Option<(Number, Duration, BTreeSet<NameKey>)>,
-    holds_until: Duration,
-    /// Since when it is leader without a break.
-    since: Option<Duration>,
-    stands_at: Duration,
+    pending: Option<PendingVote>,
+    leader_until: Duration,
+    /// Since when this process has been leader without interruption.
+    leader_since: Option<Duration>,
+    campaign_at: Duration,
 }
 
 impl LeaderElection {
+    /// The election state of a process that starts now. Times are durations on the process's own clock.
     pub fn new(own: Process, roster: &BTreeSet<NameKey>, now: Duration) -> LeaderElection {
         LeaderElection {
             voters: voters(roster),
             own,
-            quiet_until: now + LEASE,
+            abstains_until: now + LEASE,
             promise: None,
-            asked: None,
-            holds_until: now,
-            since: None,
-            stands_at: now + LEASE,
+            pending: None,
+            leader_until: now,
+            leader_since: None,
+            campaign_at: now + LEASE,
         }
     }
 
+    /// All voters, in the order of their short names.
     pub fn voters(&self) -> &[NameKey] {
         &self.voters
     }
@@ -75,37 +89,43 @@
     fn rank(&self) -> Option<u32> {
         self.voters
             .iter()
-            .position(|v| *v == self.own.name)
+            .position(|voter| *voter == self.own.name)
             .map(|rank| rank as u32)
     }
 
-    fn promised(&self, now: Duration) -> Option<&Promise> {
-        self.promise.as_ref().filter(|p| now < p.until)
+    fn current_promise(&self, now: Duration) -> Option<&Promise> {
+        self.promise.as_ref().filter(|promise| now < promise.until)
     }
 
-    /// Who is leader as far as a voter knows: the one to whom it has promised it.
-    pub fn holder(&self, now: Duration) -> Option<NameKey> {
-        self.promised(now).map(|p| p.to.name)
+    /// The process to which this voter has promised the lease: the leader, as far as this voter knows.
+    pub fn promised_to(&self, now: Duration) -> Option<NameKey> {
+        self.current_promise(now).map(|promise| promise.to.name)
     }
 
-    /// Since when this process has been leader without a break; checked at the act, by its own clock.
+    /// Since when this process has been leader without interruption, or `None` where it is not leader at `now`.
     pub fn leader_since(&self, now: Duration) -> Option<Duration> {
-        self.since.filter(|_| now < self.holds_until)
-    }
-
-    /// As a voter: whether `from` may be leader.
-    pub fn on_vote(&mut self, now: Duration, from: Process, number: Number) -> Verdict {
-        if self.rank().is_none() || now < self.quiet_until || !self.voters.contains(&from.name) {
+        self.leader_since.filter(|_| now < self.leader_until)
+    }
+
+    /// As a voter: decides on a vote request of `from`.
+    pub fn on_vote_request(
+        &mut self,
+        now: Duration,
+        from: Process,
+        number: RequestNumber,
+    ) -> Verdict {
+        let votes = self.rank().is_some() && now >= self.abstains_until;
+        if !votes || !self.voters.contains(&from.name) {
             return Verdict::Denied(None);
         }
-        match self.promised(now) {
-            Some(p) if p.to != from => return Verdict::Denied(Some(p.to.name)),
-            // Late, from before one that it has taken back.
-            Some(p) if number <= p.number => return Verdict::Denied(None),
+        match self.current_promise(now) {
+            Some(promise) if promise.to != from => return Verdict::Denied(Some(promise.to.name)),
+            // A delayed request, sent before one that has been released.
+            Some(promise) if number <= promise.number => return Verdict::Denied(None),
             _ => {}
         }
-        // Room for its question to come again, and for others to be seen first.
-        self.stands_at = now + LEASE + self.waits();
+        // Leaves time for the leader to renew, and for other candidates to be seen first.
+        self.campaign_at = now + LEASE + self.stagger();
         self.promise = Some(Promise {
             to: from,
             number,
@@ -114,167 +134,76 @@
         Verdict::Granted
     }
 
-    /// As a voter: a promise is given back. It counts only for the question that was granted last, as one that was asked
-    /// after it may be in use.
-    pub fn on_released(&mut self, now: Duration, from: Process, number: Number) {
+    /// As a voter: a promise is given back. Only the promise that was granted last is released, because one that was
+    /// requested later may be in use.
+    pub fn on_vote_released(&mut self, now: Duration, from: Process, number: RequestNumber) {
         if let Some(promise) = self
             .promise
             .as_mut()
-            .filter(|p| p.to == from && p.number <= number)
+            .filter(|promise| promise.to == from && promise.number <= number)
         {
-            // Kept with its number, so that a question from before does not count when it comes late.
+            // The number is remembered, so that a delayed earlier request does not renew the promise.
             promise.until = promise.until.min(now);
         }
     }
 
-    fn waits(&self) -> Duration {
+    fn stagger(&self) -> Duration {
         STAGGER * self.rank().unwrap_or_default()
     }
 
-    /// As a candidate: whether it is time to ask (again), for one that is leader or could be.
-    pub fn stands(&self, now: Duration) -> bool {
-        let own = self.promised(now).is_some_and(|p| p.to == self.own);
-        let free = self.promised(now).is_none() && now >= self.stands_at;
-        self.rank().is_some() && now >= self.quiet_until && (own || free)
+    /// As a candidate: whether it is time to request votes, for the leader itself or where no promise is held.
+    pub fn should_campaign(&self, now: Duration) -> bool {
+        let promise = self.current_promise(now);
+        let own = promise.is_some_and(|promise| promise.to == self.own);
+        let free = promise.is_none() && now >= self.campaign_at;
+        self.rank().is_some() && now >= self.abstains_until && (own || free)
     }
 
-    /// It asks all voters under this number; what was granted for an earlier one counts no more.
-    pub fn ask(&mut self, now: Duration, number: Number) {
-        self.asked = Some((number, now, BTreeSet::new()));
+    /// Starts a vote under this number; grants of earlier votes no longer count.
+    pub fn start_vote(&mut self, now: Duration, number: RequestNumber) {
+        self.pending = Some(PendingVote {
+            number,
+            requested_at: now,
+            granted_by: BTreeSet::new(),
+        });
     }
 
-    /// A voter has granted a question.
-    pub fn on_granted(&mut self, now: Duration, voter: NameKey, number: Number) {
-        let Some((asked, at, by)) = &mut self.asked else {
+    /// As a candidate: a voter has granted a vote request.
+    pub fn on_vote_granted(&mut self, now: Duration, voter: NameKey, number: RequestNumber) {
+        let Some(vote) = &mut self.pending else {
             return;
         };
-        if *asked != number || !self.voters.contains(&voter) {
+        if vote.number != number || !self.voters.contains(&voter) {
             return;
         }
-        by.insert(voter);
-        let until = *at + usable(LEASE);
-        if 2 * by.len() > self.voters.len() && now < until {
-            // One whose time had run out was nobody's leader meanwhile; another may have been.
-            if now >= self.holds_until {
-                self.since = Some(now);
+        vote.granted_by.insert(voter);
+        let until = vote.requested_at + usable(LEASE);
+        if 2 * vote.granted_by.len() > self.voters.len() && now < until {
+            // Another process may have been leader since an expired lease of this one.
+            if now >= self.leader_until {
+                self.leader_since = Some(now);
             }
-            self.holds_until = self.holds_until.max(until);
+            self.leader_until = self.leader_until.max(until);
         }
     }
 
-    /// What a candidate without a majority must give back, if it has asked and waited: its promises keep others out.
-    /// It stands again when others have had their turn.
-    pub fn give_up(&mut self, now: Duration, wait: Duration) -> Option<Number> {
+    /// Abandons a vote that brought no majority, and returns the number to release: the promises keep others out. The
+    /// process campaigns again after `wait`, when others have had their turn.
+    pub fn abandon_vote(&mut self, now: Duration, wait: Duration) -> Option<RequestNumber> {
         if self.leader_since(now).is_some() {
             return None;
         }
-        let (number, ..) = self.asked.take()?;
-        self.stands_at = now + self.waits() + wait;
-        Some(number)
+        let vote = self.pending.take()?;
+        self.campaign_at = now + self.stagger() + wait;
+        Some(vote.number)
     }
 
-    /// It is leader no more, from now on, and wants not to be.
-    pub fn step_down(&mut self, now: Duration) -> Option<Number> {
-        self.holds_until = self.holds_until.min(now);
-        self.give_up(now, LEASE)
+    /// Gives up leadership at once, and returns the number of the vote to release.
+    pub fn step_down(&mut self, now: Duration) -> Option<RequestNumber> {
+        self.leader_until = self.leader_until.min(now);
+        self.abandon_vote(now, LEASE)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const MS: Duration = Duration::from_millis(1);
-
-    fn election(own: u32) -> LeaderElection {
-        let roster = (1..=3).map(NameKey).collect();
-        LeaderElection::new(process(own, 1), &roster, Duration::ZERO)
-    }
-
-    fn process(name: u32, start: u64) -> Process {
-        Process {
-            name: NameKey(name),
-            start,
-        }
-    }
-
-    #[test]
-    fn a_voter_promises_one_process_at_a_time_and_nothing_right_after_its_start() {
-        let mut voter = election(1);
-        let mut asks = |at: u32, name, start, number| {
-            voter.on_vote(MS * at, process(name, start), Number(number))
-        };
-        assert_eq!(
-            asks(1499, 2, 1, 1),
-            Verdict::Denied(None),
-            "it may have promised before it started"
-        );
-        assert_eq!(asks(1500, 2, 1, 2), Verdict::Granted);
-        assert_eq!(asks(2000, 3, 1, 1), Verdict::Denied(Some(NameKey(2))));
-        assert_eq!(
-            asks(2000, 2, 2, 1),
-            Verdict::Denied(Some(NameKey(2))),
-            "started again it is another"
-        );
-        assert_eq!(asks(2500, 2, 1, 3), Verdict::Granted);
-        assert_eq!(asks(3999, 3, 1, 2), Verdict::Denied(Some(NameKey(2))));
-        assert_eq!(asks(4000, 3, 1, 3), Verdict::Granted);
-        assert_eq!(asks(9000, 4, 1, 3), Verdict::Denied(None), "no voter");
-    }
-
-    #[test]
-    fn a_late_release_takes_back_no_later_promise_and_a_late_question_renews_none() {
-        let mut voter = election(1);
-        let (two, three) = (process(2, 1), process(3, 1));
-        assert_eq!(voter.on_vote(MS * 2000, two, Number(5)), Verdict::Granted);
-        voter.on_released(MS * 2001, two, Number(4));
-        assert_eq!(
-            voter.on_vote(MS * 2002, three, Number(1)),
-            Verdict::Denied(Some(NameKey(2)))
-        );
-        voter.on_released(MS * 2003, two, Number(5));
-        assert_eq!(voter.on_vote(MS * 2004, three, Number(2)), Verdict::Granted);
-        assert_eq!(
-            voter.on_vote(MS * 2005, three, Number(2)),
-            Verdict::Denied(None)
-        );
-    }
-
-    #[test]
-    fn promises_count_from_the_question_and_only_together() {
-        let mut candidate = election(1);
-        candidate.ask(MS * 2000, Number(1));
-        candidate.on_granted(MS * 2100, NameKey(1), Number(1));
-        candidate.on_granted(MS * 2100, NameKey(1), Number(1));
-        assert_eq!(
-            candidate.leader_since(MS * 2100),
-            None,
-            "one voter of three, twice"
-        );
-        candidate.ask(MS * 2200, Number(2));
-        candidate.on_granted(MS * 2210, NameKey(2), Number(1));
-        candidate.on_granted(MS * 2300, NameKey(3), Number(2));
-        assert_eq!(candidate.leader_since(MS * 2300), None, "of two questions");
-        candidate.on_granted(MS * 2900, NameKey(2), Number(2));
-        assert_eq!(candidate.leader_since(MS * 3669), Some(MS * 2900));
-        assert_eq!(
-            candidate.leader_since(MS * 3670),
-            None,
-            "2.2 s and 98 hundredths of 1.5 s"
-        );
-        candidate.ask(MS * 4000, Number(3));
-        candidate.on_granted(MS * 9000, NameKey(1), Number(3));
-        candidate.on_granted(MS * 9000, NameKey(2), Number(3));
-        assert_eq!(
-            candidate.leader_since(MS * 9000),
-            None,
-            "answers that a pause has made worthless"
-        );
-    }
-
-    #[test]
-    fn voters_are_odd_in_number() {
-        let many = |n: u32| voters(&(0..n).map(NameKey).collect()).len();
-        assert_eq!([1, 2, 3, 4, 5, 6, 300].map(many), [1, 1, 3, 3, 5, 5, 5]);
-    }
-}
+mod tests;
--- a/crates/quota-lease/src/message.rs
+++ b/crates/quota-lease/src/message.rs
@@ -1,228 +1,224 @@
-//! What members say about leaders and parts: a kind, then fixed fields, then a list where there is one; little-endian.
+//! Messages of leader election and quota leases: a kind, then fixed fields, then a list where there is one; little-endian.
 
 use bitternlatch_membership::{NameKey, MAX_PAYLOAD};
 
-use crate::{Number, Observation, PeerReport, MAX_OBSERVATIONS, MAX_REPORTS};
+use crate::{Observation, PeerReport, RequestNumber, MAX_OBSERVATIONS, MAX_REPORTS};
 
-/// Longest of all, bytes: what the membership's envelope has room for.
+/// Longest encoded message, bytes: the capacity of a datagram's payload.
 pub const MAX_MESSAGE: usize = MAX_PAYLOAD;
 
+const VOTE_REQUEST: u8 = 0;
+const VOTE_GRANTED: u8 = 1;
+const VOTE_DENIED: u8 = 2;
+const VOTE_RELEASED: u8 = 3;
+const LEASE_REQUEST: u8 = 4;
+const LEASE_GRANTED: u8 = 5;
+const NOT_LEADER: u8 = 6;
+const LEAVE: u8 = 7;
+
+/// One message between two members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Let me be leader, for [`crate::LEASE`] from now on. With a short form of the roster that the sender was given.
+    /// Asks a voter for its promise, for [`crate::LEASE`] from now on.
     VoteRequest {
-        number: Number,
+        /// Number of the request.
+        number: RequestNumber,
+        /// Digest of the roster that the sender was given.
         roster: u32,
     },
+    /// The voter has promised its vote.
     VoteGranted {
-        number: Number,
+        /// Number of the request.
+        number: RequestNumber,
     },
-    /// Another one has been promised it, or the voter must not promise yet (`None`).
+    /// Another process has the promise, or the voter must not promise yet (`None`).
     VoteDenied {
-        number: Number,
-        holder: Option<NameKey>,
+        /// Number of the request.
+        number: RequestNumber,
+        /// The process that has the promise.
+        leader: Option<NameKey>,
     },
-    /// What was granted for this number, or an earlier one, is not wanted.
+    /// The candidate gives back what was granted for this number or an earlier one.
     VoteReleased {
-        number: Number,
+        /// Number of the vote request.
+        number: RequestNumber,
     },
-    /// Lend me a part. With what the sender sees of servers, all of it.
+    /// Asks the leader for a lease, with all that the sender observes of servers.
     LeaseRequest {
-        number: Number,
+        /// Number of the request.
+        number: RequestNumber,
+        /// Digest of the roster that the sender was given.
         roster: u32,
-        seen: Vec<Observation>,
+        /// The sender's observations, at most [`MAX_OBSERVATIONS`].
+        observations: Vec<Observation>,
     },
-    /// Millionths of the whole. With what others see of servers, and how many of them tell anything.
+    /// A lease, with what others observe of servers.
     LeaseGranted {
-        number: Number,
-        millionths: u32,
-        of: u16,
-        heard: Vec<PeerReport>,
+        /// Number of the request.
+        number: RequestNumber,
+        /// Millionths of the quota.
+        leased_ppm: u32,
+        /// Members other than the receiver of which the leader has observations, or an empty list of them.
+        members: u16,
+        /// Their observations, at most [`MAX_REPORTS`].
+        reports: Vec<PeerReport>,
     },
-    /// The one asked is not the leader; it may know who is.
+    /// The receiver of a lease request is not the leader, or grants nothing yet; it may know who is leader.
     NotLeader {
-        number: Number,
-        holder: Option<NameKey>,
+        /// Number of the request.
+        number: RequestNumber,
+        /// The leader that it knows of.
+        leader: Option<NameKey>,
     },
-    /// Nothing that was lent to the sender is used any more.
+    /// The sender uses no lease any more.
     Leave,
 }
 
+/// Bytes that are no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a message about leader election or quota leases")]
-pub struct Unreadable;
+pub struct DecodeError;
+
+/// Zero stands for no name. One name in four thousand million hashes to zero; it would only not be found as leader.
+fn encode_leader(leader: Option<NameKey>) -> [u8; 4] {
+    leader.map_or(0, |name| name.0).to_le_bytes()
+}
+
+fn decode_leader(bytes: &[u8]) -> Result<Option<NameKey>, DecodeError> {
+    let word = decode_u32(bytes)?;
+    Ok((word != 0).then_some(NameKey(word)))
+}
+
+/// Every length but the exact one is refused.
+fn decode_u32(bytes: &[u8]) -> Result<u32, DecodeError> {
+    let bytes = bytes.try_into().map_err(|_| DecodeError)?;
+    Ok(u32::from_le_bytes(bytes))
+}
+
+fn decode_list<const BYTES: usize, T>(
+    bytes: &[u8],
+    decode: impl Fn(&[u8; BYTES]) -> Option<T>,
+) -> Result<Vec<T>, DecodeError> {
+    let (items, rest) = bytes.as_chunks::<BYTES>();
+    if !rest.is_empty() {
+        return Err(DecodeError);
+    }
+    let items: Option<Vec<T>> = items.iter().map(decode).collect();
+    items.ok_or(DecodeError)
+}
 
-/// No name has it but by a chance of one in four milliards; that one would be looked for in vain, no more.
-fn named(holder: Option<NameKey>) -> u32 {
-    holder.map_or(0, |name| name.0)
+fn decode_lease_request(number: RequestNumber, bytes: &[u8]) -> Result<Message, DecodeError> {
+    let (roster, observations) = bytes.split_first_chunk::<4>().ok_or(DecodeError)?;
+    Ok(Message::LeaseRequest {
+        number,
+        roster: u32::from_le_bytes(*roster),
+        observations: decode_list(observations, Observation::decode)?,
+    })
 }
 
-fn name(word: u32) -> Option<NameKey> {
-    (word != 0).then_some(NameKey(word))
+fn decode_lease_granted(number: RequestNumber, bytes: &[u8]) -> Result<Message, DecodeError> {
+    let (leased_ppm, rest) = bytes.split_first_chunk::<4>().ok_or(DecodeError)?;
+    let (members, reports) = rest.split_first_chunk::<2>().ok_or(DecodeError)?;
+    Ok(Message::LeaseGranted {
+        number,
+        leased_ppm: u32::from_le_bytes(*leased_ppm),
+        members: u16::from_le_bytes(*members),
+        reports: decode_list(reports, PeerReport::decode)?,
+    })
 }
 
 impl Message {
-    pub fn write(&self) -> Vec<u8> {
+    fn kind(&self) -> u8 {
+        match self {
+            Message::VoteRequest { .. } => VOTE_REQUEST,
+            Message::VoteGranted { .. } => VOTE_GRANTED,
+            Message::VoteDenied { .. } => VOTE_DENIED,
+            Message::VoteReleased { .. } => VOTE_RELEASED,
+            Message::LeaseRequest { .. } => LEASE_REQUEST,
+            Message::LeaseGranted { .. } => LEASE_GRANTED,
+            Message::NotLeader { .. } => NOT_LEADER,
+            Message::Leave => LEAVE,
+        }
+    }
+
+    fn number(&self) -> RequestNumber {
+        match self {
+            Message::VoteRequest { number, .. }
+            | Message::VoteGranted { number }
+            | Message::VoteDenied { number, .. }
+            | Message::VoteReleased { number }
+            | Message::LeaseRequest { number, .. }
+            | Message::LeaseGranted { number, .. }
+            | Message::NotLeader { number, .. } => *number,
+            Message::Leave => RequestNumber(0),
+        }
+    }
+
+    /// The message as bytes, at most [`MAX_MESSAGE`]; longer lists are cut.
+    pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(MAX_MESSAGE);
-        let mut put = |kind: u8, number: Number, rest: &[u8]| {
-            out.push(kind);
-            out.extend(number.0.to_le_bytes());
-            out.extend(rest);
-        };
+        out.push(self.kind());
+        out.extend(self.number().0.to_le_bytes());
         match self {
-            Message::VoteRequest { number, roster } => put(0, *number, &roster.to_le_bytes()),
-            Message::VoteGranted { number } => put(1, *number, &[]),
-            Message::VoteDenied { number, holder } => {
-                put(2, *number, &named(*holder).to_le_bytes())
+            Message::VoteRequest { roster, .. } => out.extend(roster.to_le_bytes()),
+            Message::VoteDenied { leader, .. } | Message::NotLeader { leader, .. } => {
+                out.extend(encode_leader(*leader));
             }
-            Message::VoteReleased { number } => put(3, *number, &[]),
             Message::LeaseRequest {
-                number,
                 roster,
-                seen,
+                observations,
+                ..
             } => {
-                let mut rest = roster.to_le_bytes().to_vec();
-                seen.iter()
-                    .take(MAX_OBSERVATIONS)
-                    .for_each(|s| s.write(&mut rest));
-                put(4, *number, &rest);
+                out.extend(roster.to_le_bytes());
+                let sent = observations.iter().take(MAX_OBSERVATIONS);
+                sent.for_each(|observation| observation.encode(&mut out));
             }
             Message::LeaseGranted {
-                number,
-                millionths,
-                of,
-                heard,
+                leased_ppm,
+                members,
+                reports,
+                ..
             } => {
-                let mut rest = [&millionths.to_le_bytes()[..], &of.to_le_bytes()].concat();
-                heard
-                    .iter()
-                    .take(MAX_REPORTS)
-                    .for_each(|h| h.write(&mut rest));
-                put(5, *number, &rest);
+                out.extend(leased_ppm.to_le_bytes());
+                out.extend(members.to_le_bytes());
+                let sent = reports.iter().take(MAX_REPORTS);
+                sent.for_each(|report| report.encode(&mut out));
             }
-            Message::NotLeader { number, holder } => put(6, *number, &named(*holder).to_le_bytes()),
-            Message::Leave => put(7, Number(0), &[]),
+            Message::VoteGranted { .. } | Message::VoteReleased { .. } | Message::Leave => {}
         }
         out
     }
 
+    /// Reads a message.
+    ///
     /// # Errors
-    /// Where the bytes are none of these; every length but the exact one is refused.
-    pub fn read(bytes: &[u8]) -> Result<Message, Unreadable> {
-        let (kind, rest) = bytes.split_first().ok_or(Unreadable)?;
-        let (number, rest) = rest.split_first_chunk::<8>().ok_or(Unreadable)?;
-        let number = Number(u64::from_le_bytes(*number));
-        match (kind, rest) {
-            (0, rest) => Ok(Message::VoteRequest {
+    /// Where the bytes are no message; every length but the exact one is refused.
+    pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
+        let (kind, rest) = bytes.split_first().ok_or(DecodeError)?;
+        let (number, rest) = rest.split_first_chunk::<8>().ok_or(DecodeError)?;
+        let number = RequestNumber(u64::from_le_bytes(*number));
+        match (*kind, rest) {
+            (VOTE_REQUEST, rest) => Ok(Message::VoteRequest {
                 number,
-                roster: exactly(rest)?,
+                roster: decode_u32(rest)?,
             }),
-            (1, []) => Ok(Message::VoteGranted { number }),
-            (2, rest) => Ok(Message::VoteDenied {
+            (VOTE_GRANTED, []) => Ok(Message::VoteGranted { number }),
+            (VOTE_DENIED, rest) => Ok(Message::VoteDenied {
                 number,
-                holder: name(exactly(rest)?),
+                leader: decode_leader(rest)?,
             }),
-            (3, []) => Ok(Message::VoteReleased { number }),
-            (4, rest) => {
-                let (roster, seen) = rest.split_first_chunk::<4>().ok_or(Unreadable)?;
-                let (seen, over) = seen.as_chunks::<6>();
-                let seen: Option<Vec<Observation>> = seen.iter().map(Observation::read).collect();
-                let seen = seen.filter(|_| over.is_empty()).ok_or(Unreadable)?;
-                Ok(Message::LeaseRequest {
-                    number,
-                    roster: u32::from_le_bytes(*roster),
-                    seen,
-                })
-            }
-            (5, rest) => {
-                let (millionths, rest) = rest.split_first_chunk::<4>().ok_or(Unreadable)?;
-                let (of, heard) = rest.split_first_chunk::<2>().ok_or(Unreadable)?;
-                let (heard, over) = heard.as_chunks::<7>();
-                let heard: Option<Vec<PeerReport>> = heard.iter().map(PeerReport::read).collect();
-                let heard = heard.filter(|_| over.is_empty()).ok_or(Unreadable)?;
-                let (millionths, of) = (u32::from_le_bytes(*millionths), u16::from_le_bytes(*of));
-                Ok(Message::LeaseGranted {
-                    number,
-                    millionths,
-                    of,
-                    heard,
-                })
-            }
-            (6, rest) => Ok(Message::NotLeader {
+            (VOTE_RELEASED, []) => Ok(Message::VoteReleased { number }),
+            (LEASE_REQUEST, rest) => decode_lease_request(number, rest),
+            (LEASE_GRANTED, rest) => decode_lease_granted(number, rest),
+            (NOT_LEADER, rest) => Ok(Message::NotLeader {
                 number,
-                holder: name(exactly(rest)?),
+                leader: decode_leader(rest)?,
             }),
-            (7, []) => Ok(Message::Leave),
-            _ => Err(Unreadable),
+            (LEAVE, []) => Ok(Message::Leave),
+            _ => Err(DecodeError),
         }
     }
 }
 
-fn exactly(bytes: &[u8]) -> Result<u32, Unreadable> {
-    Ok(u32::from_le_bytes(
-        bytes.try_into().map_err(|_| Unreadable)?,
-    ))
-}
-
 #[cfg(test)]
-mod tests {
-    use std::time::Duration;
-
-    use super::*;
-    use crate::{ServerCondition, ServerNumber};
-
-    #[test]
-    fn every_message_is_read_as_it_was_written_and_no_other_length_is() {
-        let (number, holder) = (Number(1 << 40), Some(NameKey(7)));
-        let (server, age) = (ServerNumber(1 << 31), Duration::from_millis(25_500));
-        let observation = Observation {
-            server,
-            condition: ServerCondition::Draining,
-            age,
-        };
-        let heard = PeerReport {
-            server,
-            condition: ServerCondition::WarmingUp,
-            reporters: 255,
-            age,
-        };
-        let all = [
-            Message::VoteRequest { number, roster: 9 },
-            Message::VoteGranted { number },
-            Message::VoteDenied { number, holder },
-            Message::VoteDenied {
-                number,
-                holder: None,
-            },
-            Message::VoteReleased { number },
-            Message::LeaseRequest {
-                number,
-                roster: 9,
-                seen: vec![],
-            },
-            Message::LeaseRequest {
-                number,
-                roster: 9,
-                seen: vec![observation; MAX_OBSERVATIONS],
-            },
-            Message::LeaseGranted {
-                number,
-                millionths: 166_666,
-                of: 299,
-                heard: vec![heard; MAX_REPORTS],
-            },
-            Message::NotLeader { number, holder },
-            Message::Leave,
-        ];
-        for message in all {
-            let bytes = message.write();
-            assert!(bytes.len() <= MAX_MESSAGE);
-            assert_eq!(Message::read(&bytes), Ok(message.clone()));
-            for n in 0..bytes.len() {
-                assert_ne!(Message::read(&bytes[..n]), Ok(message.clone()));
-            }
-            assert_eq!(Message::read(&[&bytes[..], &[0]].concat()), Err(Unreadable));
-        }
-        assert_eq!(Message::read(&[8; 9]), Err(Unreadable));
-    }
-}
+mod tests;
--- a/crates/quota-lease/src/peer_reports.rs
+++ b/crates/quota-lease/src/peer_reports.rs
@@ -1,9 +1,10 @@
-//! What members have seen of servers, gathered by the leader and told to the others: evidence with age and source.
+//! Gossip of observations: what members have observed of model servers, gathered by the leader and sent to the others.
 //!
-//! Each member tells the leader what it sees with every question for a part, and is told with the answer what others
-//! see: of how many it comes, how many told anything, and how old the latest of it is. Nobody is told his own word again,
-//! and nobody's word lives on without him: a member that fell silent is forgotten with its part.
+//! Each member sends the leader its observations with every lease request, and gets with the answer what others observe:
+//! how many members were counted, how many of them observed it, and how old the latest observation is. A member never gets
+//! its own observations back, and they are dropped with its lease when it falls silent.
 
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -11,27 +12,28 @@
 
 use crate::Process;
 
-/// Sights in one question, and in one answer, as many as fit into a datagram; past it the oldest stay untold.
+/// Observations in one lease request, as many as fit into a datagram; the oldest beyond it are not sent.
 pub const MAX_OBSERVATIONS: usize = 32;
+/// Reports in one answer, as many as fit into a datagram; those of the fewest reporters beyond it are not sent.
 pub const MAX_REPORTS: usize = 24;
-/// Sights that the leader holds over all members; past it those that come are not taken.
+/// Observations that the leader holds over all members; further ones are not taken.
 const MAX_TABLE_OBSERVATIONS: usize = 16_384;
-/// Ages are told in steps of this, up to 255 of them; an older observation is told as so old.
+/// Unit of an encoded age; up to 255 units are sent, and an older observation is sent as that old.
 const AGE_STEP: Duration = Duration::from_millis(100);
 
-/// A server, by the number that all dispatchers give it.
+/// A model server, by the number that all dispatchers give it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerNumber(pub u32);
 
-/// What can be seen of a server.
+/// A condition that can be observed of a model server. Encoded as the variant's position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ServerCondition {
     /// Its last attempts failed, or it cannot be reached.
     Failing,
-    /// It was started lately.
+    /// It was started recently.
     #[serde(rename = "Cold")]
     WarmingUp,
-    /// The member's list has it draining, or it said so itself.
+    /// The member's endpoint list has it draining, or the server said so itself.
     Draining,
 }
 
@@ -46,239 +48,177 @@
         self as u8
     }
 
-    fn of(byte: u8) -> Option<ServerCondition> {
-        ServerCondition::ALL.into_iter().find(|t| t.byte() == byte)
+    fn from_byte(byte: u8) -> Option<ServerCondition> {
+        ServerCondition::ALL
+            .into_iter()
+            .find(|condition| condition.byte() == byte)
     }
 }
 
-/// One member's own observation.
+/// What an observation is about.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ObservationKey {
+    /// The server that was observed.
+    pub server: ServerNumber,
+    /// What was observed of it.
+    pub condition: ServerCondition,
+}
+
+/// One member's own observation, with its age when it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observation {
+    /// The server that was observed.
     pub server: ServerNumber,
+    /// What was observed of it.
     pub condition: ServerCondition,
+    /// Time since the observation.
     pub age: Duration,
 }
 
-/// What others have seen.
+/// What other members have observed of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerReport {
+    /// The server that was observed.
     #[serde(rename = "host")]
     pub server: ServerNumber,
+    /// What was observed of it.
     #[serde(rename = "what")]
     pub condition: ServerCondition,
-    /// How many saw it, up to 255.
+    /// How many members observed it, up to 255.
     #[serde(rename = "voices")]
     pub reporters: u8,
     /// Age of the latest observation.
     pub age: Duration,
 }
 
-fn steps(age: Duration) -> u8 {
+fn age_steps(age: Duration) -> u8 {
     u8::try_from(age.as_millis() / AGE_STEP.as_millis()).unwrap_or(u8::MAX)
 }
 
 impl Observation {
-    pub(crate) fn write(&self, out: &mut Vec<u8>) {
+    pub(crate) fn encode(&self, out: &mut Vec<u8>) {
         out.extend(self.server.0.to_le_bytes());
-        out.extend([self.condition.byte(), steps(self.age)]);
+        out.extend([self.condition.byte(), age_steps(self.age)]);
     }
 
-    pub(crate) fn read(bytes: &[u8; 6]) -> Option<Observation> {
+    pub(crate) fn decode(bytes: &[u8; 6]) -> Option<Observation> {
         let [a, b, c, d, condition, age] = *bytes;
-        let server = ServerNumber(u32::from_le_bytes([a, b, c, d]));
         Some(Observation {
-            server,
-            condition: ServerCondition::of(condition)?,
+            server: ServerNumber(u32::from_le_bytes([a, b, c, d])),
+            condition: ServerCondition::from_byte(condition)?,
             age: AGE_STEP * u32::from(age),
         })
     }
 }
 
 impl PeerReport {
-    pub(crate) fn write(&self, out: &mut Vec<u8>) {
+    pub(crate) fn encode(&self, out: &mut Vec<u8>) {
         out.extend(self.server.0.to_le_bytes());
-        out.extend([self.condition.byte(), self.reporters, steps(self.age)]);
+        out.extend([self.condition.byte(), self.reporters, age_steps(self.age)]);
     }
 
-    pub(crate) fn read(bytes: &[u8; 7]) -> Option<PeerReport> {
+    pub(crate) fn decode(bytes: &[u8; 7]) -> Option<PeerReport> {
         let [a, b, c, d, condition, reporters, age] = *bytes;
-        let server = ServerNumber(u32::from_le_bytes([a, b, c, d]));
         Some(PeerReport {
-            server,
-            condition: ServerCondition::of(condition)?,
+            server: ServerNumber(u32::from_le_bytes([a, b, c, d])),
+            condition: ServerCondition::from_byte(condition)?,
             reporters,
             age: AGE_STEP * u32::from(age),
         })
     }
 }
 
-/// The latest observations of one's own, as many as one question holds.
+/// The latest observations, as many as one lease request holds.
 pub(crate) fn latest(mut observations: Vec<Observation>) -> Vec<Observation> {
-    observations.sort_by_key(|s| (s.age, s.server, s.condition));
+    observations.sort_by_key(|one| (one.age, one.server, one.condition));
     observations.truncate(MAX_OBSERVATIONS);
     observations
 }
 
-/// The leader's table: each member's observations as it told them last, dated by the leader's clock. An observation is younger there
-/// than it is, by the way that it came.
+/// The answer to one member: what the others have observed.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct ReportsForMember {
+    /// How many other members the leader has observations of, or an empty list of them.
+    pub members: u16,
+    /// Reports of the most reporters first, at most [`MAX_REPORTS`].
+    pub reports: Vec<PeerReport>,
+}
+
+#[derive(Default)]
+struct Tally {
+    reporters: u8,
+    latest: Duration,
+}
+
+/// The leader's table: each member's observations as it sent them last, dated by the leader's clock. An observation looks
+/// younger there than it is, by the time that its message took.
 #[derive(Default)]
 pub(crate) struct PeerReports {
-    by: BTreeMap<Process, BTreeMap<(ServerNumber, ServerCondition), Duration>>,
-    held: usize,
+    by_member: BTreeMap<Process, BTreeMap<ObservationKey, Duration>>,
+    observations: usize,
 }
 
 impl PeerReports {
-    /// Takes all that a member sees now in place of what it saw before.
-    pub(crate) fn told(&mut self, now: Duration, by: Process, observations: &[Observation]) {
-        self.forget(by);
-        let room = MAX_TABLE_OBSERVATIONS.saturating_sub(self.held);
-        let seen = observations
-            .iter()
-            .take(room)
-            .map(|s| ((s.server, s.condition), now.saturating_sub(s.age)));
-        let seen: BTreeMap<_, _> = seen.collect();
-        self.held += seen.len();
-        self.by.insert(by, seen);
+    /// Replaces a member's observations by its latest ones.
+    pub(crate) fn replace(&mut self, now: Duration, by: Process, observations: &[Observation]) {
+        self.remove(by);
+        let capacity = MAX_TABLE_OBSERVATIONS.saturating_sub(self.observations);
+        let dated = observations.iter().take(capacity).map(|one| {
+            let key = ObservationKey {
+                server: one.server,
+                condition: one.condition,
+            };
+            (key, now.saturating_sub(one.age))
+        });
+        let dated: BTreeMap<ObservationKey, Duration> = dated.collect();
+        self.observations += dated.len();
+        self.by_member.insert(by, dated);
     }
 
-    pub(crate) fn forget(&mut self, who: Process) {
-        self.held -= self.by.remove(&who).map_or(0, |seen| seen.len());
+    pub(crate) fn remove(&mut self, member: Process) {
+        let removed = self.by_member.remove(&member);
+        self.observations -= removed.map_or(0, |dated| dated.len());
     }
 
-    pub(crate) fn keep(&mut self, there: impl Fn(&Process) -> bool) {
-        let gone: Vec<Process> = self.by.keys().filter(|p| !there(p)).copied().collect();
-        gone.into_iter().for_each(|p| self.forget(p));
+    pub(crate) fn retain(&mut self, keeps: impl Fn(&Process) -> bool) {
+        let removed: Vec<Process> = self
+            .by_member
+            .keys()
+            .filter(|member| !keeps(member))
+            .copied()
+            .collect();
+        removed.into_iter().for_each(|member| self.remove(member));
     }
 
-    /// What others than this member have seen, that of the most reporters first; and how many others there are.
-    pub(crate) fn for_member(&self, now: Duration, who: Process) -> (u16, Vec<PeerReport>) {
-        let others = self.by.iter().filter(|(by, _)| by.name != who.name);
-        let mut of = 0u16;
-        let mut said: BTreeMap<(ServerNumber, ServerCondition), (u8, Duration)> = BTreeMap::new();
-        for (_, seen) in others {
-            of = of.saturating_add(1);
-            for (key, at) in seen {
-                let (reporters, latest) = said.entry(*key).or_default();
-                (*reporters, *latest) = (reporters.saturating_add(1), (*latest).max(*at));
+    /// What members under other names than this one's have observed.
+    pub(crate) fn for_member(&self, now: Duration, member: Process) -> ReportsForMember {
+        let mut members = 0u16;
+        let mut tallies: BTreeMap<ObservationKey, Tally> = BTreeMap::new();
+        for (by, dated) in &self.by_member {
+            if by.name == member.name {
+                continue;
+            }
+            members = members.saturating_add(1);
+            for (key, at) in dated {
+                let tally = tallies.entry(*key).or_default();
+                tally.reporters = tally.reporters.saturating_add(1);
+                tally.latest = tally.latest.max(*at);
             }
         }
-        let report = said
+        let mut reports: Vec<PeerReport> = tallies
             .into_iter()
-            .map(|((server, condition), (reporters, at))| {
-                let age = now.saturating_sub(at);
-                PeerReport {
-                    server,
-                    condition,
-                    reporters,
-                    age,
-                }
-            });
-        let mut report: Vec<PeerReport> = report.collect();
-        report.sort_by_key(|h| (std::cmp::Reverse(h.reporters), h.age));
-        report.truncate(MAX_REPORTS);
-        (of, report)
+            .map(|(key, tally)| PeerReport {
+                server: key.server,
+                condition: key.condition,
+                reporters: tally.reporters,
+                age: now.saturating_sub(tally.latest),
+            })
+            .collect();
+        reports.sort_by_key(|report| (Reverse(report.reporters), report.age));
+        reports.truncate(MAX_REPORTS);
+        ReportsForMember { members, reports }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use bitternlatch_membership::NameKey;
-
-    const MS: Duration = Duration::from_millis(1);
-
-    fn observation(server: u32, condition: ServerCondition, age: u32) -> Observation {
-        Observation {
-            server: ServerNumber(server),
-            condition,
-            age: MS * age,
-        }
-    }
-
-    fn who(name: u32) -> Process {
-        Process {
-            name: NameKey(name),
-            start: 1,
-        }
-    }
-
-    #[test]
-    fn nobody_hears_his_own_word_and_each_counts_once() {
-        let mut reports = PeerReports::default();
-        let failing = |age| [observation(7, ServerCondition::Failing, age)];
-        reports.told(MS * 10_000, who(1), &failing(500));
-        reports.told(MS * 10_100, who(1), &failing(600));
-        reports.told(MS * 10_200, who(2), &failing(0));
-        reports.told(MS * 10_200, who(3), &[]);
-        let heard = |by: u32| reports.for_member(MS * 10_300, who(by));
-        let said = |reporters, age| PeerReport {
-            server: ServerNumber(7),
-            condition: ServerCondition::Failing,
-            reporters,
-            age: MS * age,
-        };
-        assert_eq!(heard(1), (2, vec![said(1, 100)]));
-        assert_eq!(heard(2), (2, vec![said(1, 800)]));
-        assert_eq!(heard(3), (2, vec![said(2, 100)]));
-        // Started again it is the same member: its earlier word is not another voice.
-        let again = Process { start: 2, ..who(1) };
-        assert_eq!(reports.for_member(MS * 10_300, again).1, vec![said(1, 100)]);
-    }
-
-    #[test]
-    fn what_is_no_longer_seen_or_told_is_gone() {
-        let mut reports = PeerReports::default();
-        reports.told(
-            MS * 1000,
-            who(1),
-            &[
-                observation(7, ServerCondition::WarmingUp, 0),
-                observation(8, ServerCondition::Draining, 0),
-            ],
-        );
-        reports.told(
-            MS * 1300,
-            who(1),
-            &[observation(8, ServerCondition::Draining, 300)],
-        );
-        let servers = |g: &PeerReports| {
-            g.for_member(MS * 1400, who(2))
-                .1
-                .iter()
-                .map(|h| h.server.0)
-                .collect::<Vec<_>>()
-        };
-        assert_eq!(servers(&reports), [8]);
-        reports.keep(|p| *p != who(1));
-        assert!(servers(&reports).is_empty());
-        assert_eq!(reports.held, 0);
-    }
-
-    #[test]
-    fn tables_and_messages_have_bounds_and_the_latest_and_the_most_seen_are_kept() {
-        let many = |n: u32| {
-            (0..n)
-                .map(|i| observation(i, ServerCondition::Failing, n - i))
-                .collect::<Vec<_>>()
-        };
-        let told = latest(many(100));
-        assert_eq!(
-            (told.len(), told[0].server),
-            (MAX_OBSERVATIONS, ServerNumber(99))
-        );
-        let mut reports = PeerReports::default();
-        (0..2000).for_each(|name| reports.told(MS * 1000, who(name), &latest(many(100))));
-        assert_eq!(reports.held, MAX_TABLE_OBSERVATIONS);
-        reports.told(
-            MS * 1000,
-            who(0),
-            &[observation(5, ServerCondition::WarmingUp, 0)],
-        );
-        assert_eq!(reports.held, MAX_TABLE_OBSERVATIONS - MAX_OBSERVATIONS + 1);
-        let (of, heard) = reports.for_member(MS * 1000, who(1));
-        assert_eq!(
-            (of, heard.len(), heard[0].reporters),
-            (1999, MAX_REPORTS, 255)
-        );
-    }
-}
+mod tests;
--- a/crates/quota-lease/src/quota_member.rs
+++ b/crates/quota-lease/src/quota_member.rs
@@ -1,4 +1,4 @@
-//! One member's part: voter, leader where it is one, and borrower.
+//! One member of the cluster: voter, leader where it is one, and holder of a quota lease.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,75 +7,82 @@
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use crate::peer_reports::{latest, PeerReports};
+use crate::lease_client::LeaseClient;
+use crate::lease_issuer::{Granted, LeaseIssuer};
+use crate::peer_reports::latest;
 use crate::{
-    usable, LeaderElection, Message, Number, Observation, PeerReport, Process, QuotaLeases,
-    ServerCondition, ServerNumber, Verdict, LEASE_COUNTED_FOR,
+    LeaderElection, Message, Observation, ObservationKey, PeerReport, Process, QuotaLease,
+    RequestNumber, Verdict,
 };
 
-/// Between two steps: a leader asks its voters anew, a borrower its leader. A part is asked for five times before it ends.
+/// Time between two steps: a leader asks its voters anew, a lease holder its leader. A lease is renewed five times before
+/// it expires.
 const TICK: Duration = Duration::from_millis(300);
-/// Millionths of the whole that are never lent: each member of the roster spends an even part of them in any case, so
-/// that one that is cut off still lets something through.
+/// Millionths of the quota that are never leased: each member of the roster uses an even part of them in any case, so that
+/// one that is cut off still admits something.
 const UNLEASED_PPM: u32 = 100_000;
-const WHOLE_PPM: u32 = 1_000_000;
-/// Questions whose answers are waited for; older ones' parts would have ended.
-const MAX_PENDING: usize = 8;
+/// The complete quota, millionths.
+const TOTAL_PPM: u32 = 1_000_000;
+/// Longest random wait before a candidate without a majority campaigns again, milliseconds.
+const MAX_CAMPAIGN_WAIT_MS: u64 = 400;
+/// Voters are asked in turn from a random one of so many positions.
+const FIRST_VOTERS: usize = 1024;
 
-/// What each member of a roster may spend of the whole without asking anybody.
+/// The fraction of a quota that each member of a roster of so many may use without a lease.
 pub fn unleased_quota(roster: usize) -> f64 {
-    f64::from(UNLEASED_PPM) / f64::from(WHOLE_PPM) / roster.max(1) as f64
+    f64::from(UNLEASED_PPM) / f64::from(TOTAL_PPM) / roster.max(1) as f64
 }
 
-/// What is lent to this member, as a share of the whole, and until when, by its own clock. Beside [`unleased_quota`].
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct QuotaLease {
-    pub lent: f64,
-    pub until: Duration,
-}
-
-/// What there is to do and to know.
+/// An output of [`QuotaMember`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    Send(NameKey, Vec<u8>),
-    /// This process has become leader, or is it no more.
+    /// Sends an encoded [`Message`] to a member.
+    Send {
+        /// The receiver.
+        to: NameKey,
+        /// The encoded message.
+        payload: Vec<u8>,
+    },
+    /// Whether this process is leader has changed.
     Leader(bool),
-    /// What others see of servers, and how many of them tell anything.
+    /// What other members have observed of servers.
     PeerReports {
-        of: u16,
-        heard: Vec<PeerReport>,
+        /// Members that the leader knows observations of, this one not among them.
+        members: u16,
+        /// Their observations.
+        reports: Vec<PeerReport>,
     },
-    /// That member was started with another roster; neither helps the other, and both spend carefully.
+    /// That member was started with another roster. Neither counts on the other, and both use the unleased quota alone.
     RosterMismatch(NameKey),
 }
 
+/// 32-bit FNV-1a over the short names in order.
+fn digest(roster: &BTreeSet<NameKey>) -> u32 {
+    roster.iter().fold(0x811C_9DC5, |sum, name| {
+        (sum ^ name.0).wrapping_mul(0x0100_0193)
+    })
+}
+
+/// One member's state in leader election and quota leases.
 pub struct QuotaMember {
     own: Process,
     roster: BTreeSet<NameKey>,
-    /// Short form of the roster.
-    digest: u32,
+    roster_digest: u32,
+    /// Members that were started with another roster.
+    mismatched: BTreeSet<NameKey>,
     election: LeaderElection,
-    leases: Option<(Duration, QuotaLeases)>,
-    /// As leader: what members see.
-    reports: PeerReports,
-    seen: BTreeMap<(ServerNumber, ServerCondition), Duration>,
-    next: u64,
-    beat_at: Duration,
-    asked: BTreeMap<Number, Duration>,
-    part: QuotaLease,
-    /// The question that brought it.
-    part_of: Number,
-    /// Whom it takes for the leader, and questions to it in a row that brought nothing.
-    leader: Option<NameKey>,
-    misses: u32,
-    turn: usize,
+    issuer: LeaseIssuer,
+    client: LeaseClient,
+    /// What this member observes of servers, and since when.
+    observations: BTreeMap<ObservationKey, Duration>,
+    latest_request: RequestNumber,
+    tick_at: Duration,
     random: Xoshiro256PlusPlus,
-    others: BTreeSet<NameKey>,
     left: bool,
 }
 
 impl QuotaMember {
-    /// `start` tells this process from others under its name; the roster holds its own name too.
+    /// `start` distinguishes this process from others under its name; the roster holds its own name too.
     pub fn new(
         own: NameKey,
         start: u64,
@@ -84,293 +91,259 @@
         now: Duration,
     ) -> QuotaMember {
         let own = Process { name: own, start };
-        // FNV-1a over the names in order.
-        let digest = roster.iter().fold(0x811C_9DC5u32, |sum, name| {
-            (sum ^ name.0).wrapping_mul(0x0100_0193)
-        });
         QuotaMember {
             own,
             election: LeaderElection::new(own, &roster, now),
+            roster_digest: digest(&roster),
             roster,
-            digest,
-            leases: None,
-            reports: PeerReports::default(),
-            seen: BTreeMap::new(),
-            next: 0,
-            beat_at: now,
-            asked: BTreeMap::new(),
-            part: QuotaLease::default(),
-            part_of: Number::default(),
-            leader: None,
-            misses: 0,
-            turn: seed as usize % 1024,
+            mismatched: BTreeSet::new(),
+            issuer: LeaseIssuer::new(TOTAL_PPM - UNLEASED_PPM),
+            client: LeaseClient::new(own.name, seed as usize % FIRST_VOTERS),
+            observations: BTreeMap::new(),
+            latest_request: RequestNumber::default(),
+            tick_at: now,
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
-            others: BTreeSet::new(),
             left: false,
         }
     }
 
+    /// When [`QuotaMember::wake`] is due; `None` once this member has left.
     pub fn wake_at(&self) -> Option<Duration> {
-        (!self.left).then_some(self.beat_at)
+        (!self.left).then_some(self.tick_at)
     }
 
-    /// What it was lent last; whether that counts still is for the act to check.
+    /// The lease that this member got last; it may have expired.
     pub fn lease(&self) -> QuotaLease {
-        self.part
+        self.client.lease()
     }
 
-    /// All that this member sees of servers now, and since when, by its clock.
-    pub fn set_observations(&mut self, seen: BTreeMap<(ServerNumber, ServerCondition), Duration>) {
-        self.seen = seen;
+    /// Replaces all that this member observes of servers, and since when, by its clock.
+    pub fn set_observations(&mut self, observations: BTreeMap<ObservationKey, Duration>) {
+        self.observations = observations;
     }
 
-    /// Whom it asks.
+    /// The member that this one takes to be the leader.
     pub fn leader(&self) -> Option<NameKey> {
-        self.leader
+        self.client.leader()
     }
 
-    /// Those that may be using a part lent by this one, where it is leader.
+    /// How many processes may be using a lease that this one has granted; `None` where it is not leader.
     pub fn lease_holders(&self, now: Duration) -> Option<usize> {
         self.election.leader_since(now)?;
-        self.leases.as_ref().map(|(_, leases)| leases.borrowers())
+        self.issuer.holders()
     }
 
-    /// Does what is due.
+    /// Campaigns and renews the lease, where that is due.
     pub fn wake(&mut self, now: Duration, out: &mut Vec<Action>) {
-        if self.left || now < self.beat_at {
+        if self.left || now < self.tick_at {
             return;
         }
-        self.beat_at = now + TICK;
-        if self.election.stands(now) {
-            let wait = Duration::from_millis(self.random.next_u64() % 400);
-            match self.election.give_up(now, wait) {
-                Some(number) => self.say_voters(now, &Message::VoteReleased { number }, out),
-                None => {
-                    let number = self.number();
-                    self.election.ask(now, number);
-                    self.say_voters(
-                        now,
-                        &Message::VoteRequest {
-                            number,
-                            roster: self.digest,
-                        },
-                        out,
-                    );
-                }
-            }
+        self.tick_at = now + TICK;
+        if self.election.should_campaign(now) {
+            self.campaign(now, out);
         }
-        self.borrow(now, out);
-        self.look(now, out);
+        self.request_lease(now, out);
+        self.update_leadership(now, out);
     }
 
-    /// Takes what another process said, proven and in its name.
-    pub fn heard(&mut self, now: Duration, from: Process, said: &[u8], out: &mut Vec<Action>) {
-        let Ok(message) = Message::read(said) else {
+    /// Takes an authenticated message of another process; bytes that are no message are ignored.
+    pub fn handle_message(
+        &mut self,
+        now: Duration,
+        from: Process,
+        payload: &[u8],
+        out: &mut Vec<Action>,
+    ) {
+        let Ok(message) = Message::decode(payload) else {
             return;
         };
         if !self.left && self.roster.contains(&from.name) {
-            self.take(now, from, message, out);
-            self.look(now, out);
+            self.dispatch(now, from, message, out);
+            self.update_leadership(now, out);
         }
     }
 
-    /// Gives back all that it has; nothing is said or heard after it. Only for one that uses nothing any more.
+    /// Releases the vote and the lease; nothing is sent or taken afterwards. Only for a process that no longer uses any
+    /// quota.
     pub fn leave(&mut self, now: Duration, out: &mut Vec<Action>) {
         if self.left {
             return;
         }
         if let Some(number) = self.election.step_down(now) {
-            self.say_voters(now, &Message::VoteReleased { number }, out);
+            self.send_to_voters(now, &Message::VoteReleased { number }, out);
         }
-        self.part = QuotaLease::default();
-        if let Some(leader) = self.leader.filter(|s| *s != self.own.name) {
-            out.push(Action::Send(leader, Message::Leave.write()));
+        self.client.release();
+        let leader = self.client.leader();
+        if let Some(to) = leader.filter(|leader| *leader != self.own.name) {
+            let payload = Message::Leave.encode();
+            out.push(Action::Send { to, payload });
         }
-        self.look(now, out);
+        self.update_leadership(now, out);
         self.left = true;
     }
 
-    fn take(&mut self, now: Duration, from: Process, message: Message, out: &mut Vec<Action>) {
+    /// Requests votes, or releases those of a vote that brought no majority.
+    fn campaign(&mut self, now: Duration, out: &mut Vec<Action>) {
+        let wait_ms = self.random.next_u64() % MAX_CAMPAIGN_WAIT_MS;
+        let wait = Duration::from_millis(wait_ms);
+        let message = match self.election.abandon_vote(now, wait) {
+            Some(number) => Message::VoteReleased { number },
+            None => {
+                let number = self.next_request();
+                self.election.start_vote(now, number);
+                Message::VoteRequest {
+                    number,
+                    roster: self.roster_digest,
+                }
+            }
+        };
+        self.send_to_voters(now, &message, out);
+    }
+
+    fn request_lease(&mut self, now: Duration, out: &mut Vec<Action>) {
+        let is_leader = self.election.leader_since(now).is_some();
+        let voters = self.election.voters();
+        let Some(to) = self.client.next_receiver(is_leader, voters) else {
+            return;
+        };
+        let number = self.next_request();
+        self.client.on_request_sent(now, number);
+        let observations = self.observations.iter().map(|(key, since)| Observation {
+            server: key.server,
+            condition: key.condition,
+            age: now.saturating_sub(*since),
+        });
+        let request = Message::LeaseRequest {
+            number,
+            roster: self.roster_digest,
+            observations: latest(observations.collect()),
+        };
+        self.send(now, to, request, out);
+    }
+
+    fn dispatch(&mut self, now: Duration, from: Process, message: Message, out: &mut Vec<Action>) {
         match message {
             Message::VoteRequest { number, roster } => {
-                let verdict = match self.same_roster(from, roster, out) {
-                    true => self.election.on_vote(now, from, number),
-                    false => Verdict::Denied(None),
-                };
-                let answer = match verdict {
-                    Verdict::Granted => Message::VoteGranted { number },
-                    Verdict::Denied(holder) => Message::VoteDenied { number, holder },
-                };
-                self.say(now, from.name, answer, out);
+                let answer = self.answer_vote_request(now, from, number, roster, out);
+                self.send(now, from.name, answer, out);
             }
-            Message::VoteGranted { number } => self.election.on_granted(now, from.name, number),
-            Message::VoteReleased { number } => self.election.on_released(now, from, number),
+            Message::VoteGranted { number } => {
+                self.election.on_vote_granted(now, from.name, number);
+            }
+            Message::VoteReleased { number } => self.election.on_vote_released(now, from, number),
             Message::LeaseRequest {
                 number,
                 roster,
-                seen,
+                observations,
             } => {
-                let same = self.same_roster(from, roster, out);
-                let answer = self.lend(now, from, number, same.then_some(&seen), out);
-                self.say(now, from.name, answer, out);
+                let accepted = self.same_roster(from, roster, out);
+                let observations = accepted.then_some(observations.as_slice());
+                let answer = self.answer_lease_request(now, from, number, observations, out);
+                self.send(now, from.name, answer, out);
             }
             Message::LeaseGranted {
                 number,
-                millionths,
-                of,
-                heard,
+                leased_ppm,
+                members,
+                reports,
             } => {
-                if self.on_lent(number, millionths) {
-                    out.push(Action::PeerReports { of, heard });
+                let leased_ppm = leased_ppm.min(TOTAL_PPM - UNLEASED_PPM);
+                let leased = f64::from(leased_ppm) / f64::from(TOTAL_PPM);
+                if self.client.on_lease_granted(number, leased) {
+                    out.push(Action::PeerReports { members, reports });
                 }
             }
-            Message::VoteDenied { holder, .. } | Message::NotLeader { holder, .. } => {
-                self.on_elsewhere(holder)
-            }
-            Message::Leave => {
-                if let Some((_, leases)) = &mut self.leases {
-                    leases.done(from);
-                    self.reports.forget(from);
+            Message::VoteDenied { leader, .. } | Message::NotLeader { leader, .. } => {
+                if let Some(leader) = leader.filter(|leader| self.roster.contains(leader)) {
+                    self.client.on_leader_named(leader);
                 }
             }
+            Message::Leave => self.issuer.on_leave(from),
         }
     }
 
-    /// As leader; checked now, by this process's own clock, whatever it believed a moment ago.
-    fn lend(
+    fn answer_vote_request(
         &mut self,
         now: Duration,
-        to: Process,
-        number: Number,
-        seen: Option<&Vec<Observation>>,
+        from: Process,
+        number: RequestNumber,
+        roster: u32,
         out: &mut Vec<Action>,
     ) -> Message {
-        self.look(now, out);
-        let not_here = Message::NotLeader {
-            number,
-            holder: self.election.holder(now),
-        };
-        let (Some((_, leases)), Some(seen)) = (&mut self.leases, seen) else {
-            return not_here;
-        };
-        let Some(millionths) = leases.lend(now, to, number) else {
-            return not_here;
-        };
-        self.reports.keep(|who| leases.counts(who));
-        self.reports.told(now, to, seen);
-        let (of, heard) = self.reports.for_member(now, to);
-        Message::LeaseGranted {
-            number,
-            millionths,
-            of,
-            heard,
-        }
-    }
-
-    /// As borrower. The answer to the latest question counts: it tells of those that came since.
-    fn on_lent(&mut self, number: Number, millionths: u32) -> bool {
-        let Some(asked) = self.asked.remove(&number) else {
-            return false;
+        let verdict = match self.same_roster(from, roster, out) {
+            true => self.election.on_vote_request(now, from, number),
+            false => Verdict::Denied(None),
         };
-        self.misses = 0;
-        if number > self.part_of {
-            self.part_of = number;
-            let lent = f64::from(millionths.min(WHOLE_PPM - UNLEASED_PPM)) / f64::from(WHOLE_PPM);
-            self.part = QuotaLease {
-                lent,
-                until: asked + usable(LEASE_COUNTED_FOR),
-            };
+        match verdict {
+            Verdict::Granted => Message::VoteGranted { number },
+            Verdict::Denied(leader) => Message::VoteDenied { number, leader },
         }
-        number == self.part_of
     }
 
-    fn on_elsewhere(&mut self, holder: Option<NameKey>) {
-        if let Some(holder) = holder.filter(|h| self.roster.contains(h)) {
-            if self.leader != Some(holder) {
-                (self.leader, self.misses) = (Some(holder), 0);
-            }
-        }
-    }
-
-    fn borrow(&mut self, now: Duration, out: &mut Vec<Action>) {
-        if let Some(own) = self.election.leader_since(now).map(|_| self.own.name) {
-            self.leader = Some(own);
-        } else if self.misses >= 2 || self.leader == Some(self.own.name) {
-            self.leader = None;
-        }
-        self.misses += 1;
-        // Without one, voters are asked in turn: each knows whom it has promised it.
-        let voters = self.election.voters();
-        let Some(to) = self
-            .leader
-            .or_else(|| voters.get(self.turn % voters.len().max(1)).copied())
-        else {
-            return;
-        };
-        self.turn += 1;
-        let number = self.number();
-        self.asked.insert(number, now);
-        while self.asked.len() > MAX_PENDING {
-            self.asked.pop_first();
+    /// As leader, which is checked now by this process's own clock. `observations` is `None` where the rosters differ.
+    fn answer_lease_request(
+        &mut self,
+        now: Duration,
+        to: Process,
+        number: RequestNumber,
+        observations: Option<&[Observation]>,
+        out: &mut Vec<Action>,
+    ) -> Message {
+        self.update_leadership(now, out);
+        let granted = observations.and_then(|seen| self.issuer.grant(now, to, number, seen));
+        match granted {
+            Some(Granted {
+                leased_ppm,
+                reports,
+            }) => Message::LeaseGranted {
+                number,
+                leased_ppm,
+                members: reports.members,
+                reports: reports.reports,
+            },
+            None => Message::NotLeader {
+                number,
+                leader: self.election.promised_to(now),
+            },
         }
-        let seen = self
-            .seen
-            .iter()
-            .map(|((server, condition), since)| Observation {
-                server: *server,
-                condition: *condition,
-                age: now.saturating_sub(*since),
-            });
-        let question = Message::LeaseRequest {
-            number,
-            roster: self.digest,
-            seen: latest(seen.collect()),
-        };
-        self.say(now, to, question, out);
     }
 
-    /// What it says to itself it hears at once.
-    fn say(&mut self, now: Duration, to: NameKey, message: Message, out: &mut Vec<Action>) {
+    /// A message to this member itself is handled at once.
+    fn send(&mut self, now: Duration, to: NameKey, message: Message, out: &mut Vec<Action>) {
         match to == self.own.name {
-            true => self.take(now, self.own, message, out),
-            false => out.push(Action::Send(to, message.write())),
+            true => self.dispatch(now, self.own, message, out),
+            false => out.push(Action::Send {
+                to,
+                payload: message.encode(),
+            }),
         }
     }
 
-    fn say_voters(&mut self, now: Duration, message: &Message, out: &mut Vec<Action>) {
+    fn send_to_voters(&mut self, now: Duration, message: &Message, out: &mut Vec<Action>) {
         for voter in self.election.voters().to_vec() {
-            self.say(now, voter, message.clone(), out);
+            self.send(now, voter, message.clone(), out);
         }
     }
 
     fn same_roster(&mut self, from: Process, digest: u32, out: &mut Vec<Action>) -> bool {
-        let same = digest == self.digest;
+        let same = digest == self.roster_digest;
         if same {
-            self.others.remove(&from.name);
-        } else if self.others.insert(from.name) {
+            self.mismatched.remove(&from.name);
+        } else if self.mismatched.insert(from.name) {
             out.push(Action::RosterMismatch(from.name));
         }
         same
     }
 
-    /// Begins and ends lending with each leadership, and tells of it; what was lent under one that is over is forgotten, also
-    /// where another has begun since.
-    fn look(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let leaders = self.election.leader_since(now);
-        let lends = self.leases.as_ref().map(|(since, _)| *since);
-        if lends == leaders {
-            return;
-        }
-        self.leases =
-            leaders.map(|since| (since, QuotaLeases::new(WHOLE_PPM - UNLEASED_PPM, since)));
-        self.reports = PeerReports::default();
-        if lends.is_some() != leaders.is_some() {
-            out.push(Action::Leader(leaders.is_some()));
+    fn update_leadership(&mut self, now: Duration, out: &mut Vec<Action>) {
+        let leader_since = self.election.leader_since(now);
+        if let Some(is_leader) = self.issuer.set_leader_since(leader_since) {
+            out.push(Action::Leader(is_leader));
         }
     }
 
-    fn number(&mut self) -> Number {
-        self.next += 1;
-        Number(self.next)
+    fn next_request(&mut self) -> RequestNumber {
+        self.latest_request.0 += 1;
+        self.latest_request
     }
 }
--- a/crates/quota-lease/tests/golden.rs
+++ b/crates/quota-lease/tests/golden.rs
@@ -8,8 +8,8 @@
     Event, Membership, NameKey, Peer, QuorumState, Roster, Secret, Start, State, Topic,
 };
 use bitternlatch_quota_lease::{
-    Action, ClusterMember, Message, Number, Observation, Output, PeerReport, ServerCondition,
-    ServerNumber,
+    Action, ClusterMember, Message, Observation, ObservationKey, Output, PeerReport, RequestNumber,
+    ServerCondition, ServerNumber,
 };
 
 const MS: Duration = Duration::from_millis(1);
@@ -20,7 +20,7 @@
 
 #[test]
 fn messages_keep_their_bytes() {
-    let number = Number(0x0102_0304_0506_0708);
+    let number = RequestNumber(0x0102_0304_0506_0708);
     let holder = Some(NameKey(0xAABB_CCDD));
     let observation = |condition| Observation {
         server: ServerNumber(0x1122_3344),
@@ -43,13 +43,16 @@
         ),
         (Message::VoteGranted { number }, "010807060504030201"),
         (
-            Message::VoteDenied { number, holder },
+            Message::VoteDenied {
+                number,
+                leader: holder,
+            },
             "020807060504030201ddccbbaa",
         ),
         (
             Message::VoteDenied {
                 number,
-                holder: None,
+                leader: None,
             },
             "02080706050403020100000000",
         ),
@@ -58,7 +61,7 @@
             Message::LeaseRequest {
                 number,
                 roster: 0x0A0B_0C0D,
-                seen: vec![
+                observations: vec![
                     observation(ServerCondition::Failing),
                     observation(ServerCondition::WarmingUp),
                     observation(ServerCondition::Draining),
@@ -69,9 +72,9 @@
         (
             Message::LeaseGranted {
                 number,
-                millionths: 166_666,
-                of: 299,
-                heard: vec![
+                leased_ppm: 166_666,
+                members: 299,
+                reports: vec![
                     report(ServerCondition::Failing),
                     report(ServerCondition::WarmingUp),
                     report(ServerCondition::Draining),
@@ -80,13 +83,16 @@
             "0508070605040302010a8b02002b01443322110003ff443322110103ff443322110203ff",
         ),
         (
-            Message::NotLeader { number, holder },
+            Message::NotLeader {
+                number,
+                leader: holder,
+            },
             "060807060504030201ddccbbaa",
         ),
         (Message::Leave, "070000000000000000"),
     ];
     for (message, bytes) in golden {
-        assert_eq!(hex(&message.write()), bytes, "{message:?}");
+        assert_eq!(hex(&message.encode()), bytes, "{message:?}");
     }
 }
 
@@ -151,7 +157,7 @@
 
     fn told(&mut self, told: &Action) {
         match told {
-            Action::Send(to, said) => {
+            Action::Send { to, payload: said } => {
                 self.number(0);
                 self.number(u64::from(to.0));
                 self.bytes(said);
@@ -160,10 +166,10 @@
                 self.number(1);
                 self.number(u64::from(*is));
             }
-            Action::PeerReports { of, heard } => {
+            Action::PeerReports { members, reports } => {
                 self.number(2);
-                self.number(u64::from(*of));
-                for report in heard {
+                self.number(u64::from(*members));
+                for report in reports {
                     self.number(u64::from(report.server.0));
                     self.number(match report.condition {
                         ServerCondition::Failing => 0,
@@ -196,12 +202,16 @@
                 self.number(2);
                 self.told(told);
             }
-            Output::Message { topic, from, said } => {
+            Output::Message {
+                topic,
+                from,
+                payload,
+            } => {
                 self.number(3);
                 self.number(u64::from(topic.byte()));
                 self.number(u64::from(from.name.0));
                 self.number(from.start);
-                self.bytes(said);
+                self.bytes(payload);
             }
         }
     }
@@ -271,12 +281,11 @@
             ServerCondition::Draining,
         ];
         let seen = (0..5u32).map(|n| {
-            (
-                (ServerNumber(n / 2 * i as u32), kinds[n as usize % 3]),
-                MS * 100 * n,
-            )
+            let server = ServerNumber(n / 2 * i as u32);
+            let condition = kinds[n as usize % 3];
+            (ObservationKey { server, condition }, MS * 100 * n)
         });
-        together.quota.set_observations(seen.collect());
+        together.quota_mut().set_observations(seen.collect());
         self.members[i] = Some(together);
     }
 
@@ -359,7 +368,7 @@
     let sent = fleet.members[0]
         .as_mut()
         .and_then(|m| m.sign_message(Topic::Overload, NameKey::of("d1"), b"of another machine"));
-    let (_, bytes) = sent.expect("a datagram");
+    let bytes = sent.expect("a datagram").bytes;
     fleet.step(1, |m, now, out| {
         m.handle_datagram(now, address(0), &bytes, out)
     });
--- a/crates/quota-lease/tests/quota_member.rs
+++ b/crates/quota-lease/tests/quota_member.rs
@@ -6,7 +6,7 @@
 
 use bitternlatch_membership::NameKey;
 use bitternlatch_quota_lease::{
-    unleased_quota, Action, Message, Number, Process, QuotaLease, QuotaMember,
+    unleased_quota, Action, Message, Process, QuotaLease, QuotaMember, RequestNumber,
 };
 use proptest::prelude::*;
 
@@ -126,7 +126,7 @@
             .had
             .iter()
             .filter(|part| now < part.until)
-            .map(|part| part.lent);
+            .map(|part| part.leased);
         lent.fold(0.0, f64::max) + unleased_quota(self.members.len())
     }
 
@@ -149,7 +149,7 @@
     fn carry(&mut self, from: usize, told: Vec<Action>) {
         self.note(from);
         for one in told {
-            let Action::Send(to, said) = one else {
+            let Action::Send { to, payload: said } = one else {
                 continue;
             };
             let to = (to.0 - 10) as usize;
@@ -178,7 +178,7 @@
         }
         let mut out = vec![];
         if let Some(quota) = &mut member.quota {
-            quota.heard(now, from, &said, &mut out);
+            quota.handle_message(now, from, &said, &mut out);
         }
         self.carry(to, out);
     }
@@ -244,7 +244,7 @@
 const WHOLE_PPM: f64 = 1.0 + 1e-9;
 
 #[test]
-fn what_a_killed_one_had_goes_to_the_others_when_it_has_ended_and_comes_back_with_it() {
+fn killed_members_quota_goes_to_others_after_expiry() {
     for seed in 0..50 {
         let mut world = World::new(5, seed);
         world.run(8_000 * MS);
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn a_minority_is_left_with_the_careful_part_and_the_majority_takes_the_rest() {
+fn minority_uses_unleased_quota_and_majority_the_rest() {
     for seed in 0..20 {
         let mut world = World::new(5, seed);
         world.run(8_000 * MS);
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn a_farewell_frees_a_part_without_a_wait() {
+fn leave_frees_a_lease_without_a_wait() {
     let mut world = World::new(3, 7);
     world.run(8_000 * MS);
     let leader = (0..3).find(|i| {
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn members_with_another_roster_spend_carefully_and_say_so() {
+fn members_with_another_roster_use_the_unleased_quota() {
     let mut world = World::new(3, 1);
     let four: BTreeSet<NameKey> = (0..4).map(name).collect();
     world.start_with(2, four);
@@ -356,13 +356,13 @@
         },
     );
     let question = Message::LeaseRequest {
-        number: Number(1),
+        number: RequestNumber(1),
         roster: 1,
-        seen: vec![],
+        observations: vec![],
     };
     let mut fresh = QuotaMember::new(name(0), 1, (0..3).map(name).collect(), 1, clock);
-    fresh.heard(clock, from, &question.write(), &mut told);
-    fresh.heard(clock, from, &question.write(), &mut told);
+    fresh.handle_message(clock, from, &question.encode(), &mut told);
+    fresh.handle_message(clock, from, &question.encode(), &mut told);
     assert_eq!(
         told.iter()
             .filter(|t| **t == Action::RosterMismatch(name(2)))
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn an_answer_that_comes_after_a_later_one_counts_no_more() {
+fn delayed_grant_is_ignored() {
     let three: BTreeSet<NameKey> = (0..3).map(name).collect();
     let at = Duration::from_millis;
     // The last of the three, which is no leader before it has voted.
@@ -382,7 +382,7 @@
     for beat in 0..2 {
         quota.wake(at(300 * beat), &mut told);
         let asked = told.drain(..).find_map(|t| match t {
-            Action::Send(to, said) => Message::read(&said).ok().map(|m| (to, m)),
+            Action::Send { to, payload: said } => Message::decode(&said).ok().map(|m| (to, m)),
             _ => None,
         });
         match asked {
@@ -397,23 +397,23 @@
     let lent = |number, millionths| {
         Message::LeaseGranted {
             number,
-            millionths,
-            of: 2,
-            heard: vec![],
+            leased_ppm: millionths,
+            members: 2,
+            reports: vec![],
         }
-        .write()
+        .encode()
     };
-    quota.heard(at(310), from, &lent(numbers[1], 100_000), &mut told);
-    quota.heard(at(320), from, &lent(numbers[0], 900_000), &mut told);
+    quota.handle_message(at(310), from, &lent(numbers[1], 100_000), &mut told);
+    quota.handle_message(at(320), from, &lent(numbers[0], 900_000), &mut told);
     assert_eq!(
         quota.lease(),
         QuotaLease {
-            lent: 0.1,
+            leased: 0.1,
             until: at(300 + 1470)
         }
     );
-    quota.heard(at(330), from, &lent(Number(77), 900_000), &mut told);
-    assert_eq!(quota.lease().lent, 0.1, "an answer to no question");
+    quota.handle_message(at(330), from, &lent(RequestNumber(77), 900_000), &mut told);
+    assert_eq!(quota.lease().leased, 0.1, "an answer to no question");
 }
 
 #[derive(Clone, Debug)]
@@ -484,7 +484,7 @@
     /// Clocks run apart by a hundredth either way and show seconds' difference; messages come late by up to two seconds, twice,
     /// or never; processes stop between two instructions, or for good, and come back as others.
     #[test]
-    fn all_together_never_spend_more_than_the_whole(
+    fn quota_in_use_never_exceeds_the_total(
         seed in 0u64..1 << 40,
         steps in prop::collection::vec(step(5), 1..40),
     ) {
--- a/crates/replicated-register/tests/recovery.rs
+++ b/crates/replicated-register/tests/recovery.rs
@@ -275,7 +275,7 @@
     );
     fleet.world.act(replicas[0], |host, now, out| {
         let part = QuotaLease {
-            lent: 0.0,
+            leased: 0.0,
             until: now,
         };
         let peers = Peers {
--- a/crates/workflow/tests/fleet/course.rs
+++ b/crates/workflow/tests/fleet/course.rs
@@ -441,7 +441,7 @@
                 _ => QuorumState::CutOff,
             };
             let until = self.world.now_at(i) + ms(900);
-            let part = QuotaLease { lent: 0.0, until };
+            let part = QuotaLease { leased: 0.0, until };
             let mut there = there;
             there.sort();
             let peers = Peers {
