--- a/crates/replicated-register/src/model.rs
+++ b/crates/replicated-register/src/model.rs
@@ -1,5 +1,5 @@
-//! Every course of two writers and three copies of one register over a network that loses, doubles and reorders, where one copy may
-//! lose its memory and catch up: by `stateright`, over the transitions that run in service.
+//! Model check by `stateright` of two writers and three replicas of one register, over a network that loses, duplicates and reorders
+//! messages, where one replica may lose its memory and catch up. The transitions are those that run in service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,7 +15,9 @@
 use crate::{Call, RegisterError, Version};
 
 const KEY: RegisterKey = RegisterKey([7; 16]);
-const COPIES: u32 = 3;
+const REPLICAS: u32 = 3;
+/// Name of the first writer; replicas are named from 0.
+const FIRST_WRITER: u32 = 10;
 
 /// Writes in a row, tries of each, and losses of memory.
 #[derive(Clone, Copy)]
@@ -39,7 +41,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Held {
+struct ModelReplica {
     acceptor: Acceptor,
     incarnation: u64,
     /// Lives of the others that it knows, and, while it catches up, those it has fetched from.
@@ -49,27 +51,32 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    replicas: Vec<Held>,
+    replicas: Vec<ModelReplica>,
     writers: Vec<Writer>,
     /// From, to, what; whatever was ever sent may arrive, any number of times.
-    way: BTreeSet<(u32, u32, Vec<u8>)>,
+    in_flight: BTreeSet<(u32, u32, Vec<u8>)>,
     losses: u32,
     /// The latest that anybody was told of, at each beginning of a write.
     floor: Vec<Option<Version>>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
+enum Action {
+    /// A writer begins its next write.
     Begin(usize),
-    Again(usize),
-    Arrive(u32, u32, Vec<u8>),
+    /// A writer starts its proposal anew.
+    Restart(usize),
+    /// A message from one to another.
+    Deliver(u32, u32, Vec<u8>),
+    /// A replica loses its memory.
     Lose(u32),
-    StateTransfer(u32, u32),
+    /// A replica fetches all that another one holds.
+    Transfer(u32, u32),
 }
 
-struct World(Size);
+struct Network(Size);
 
-impl World {
+impl Network {
     fn send(&self, state: &mut State, w: usize) {
         let Some(proposal) = &state.writers[w].proposal else {
             return;
@@ -78,9 +85,9 @@
             return;
         };
         let message = message.encode();
-        state.way.extend(
+        state.in_flight.extend(
             to.iter()
-                .map(|name| (10 + w as u32, name.0, message.clone())),
+                .map(|name| (FIRST_WRITER + w as u32, name.0, message.clone())),
         );
     }
 
@@ -107,7 +114,7 @@
         }
     }
 
-    fn at_copy(&self, held: &mut Held, message: Message) -> Option<Message> {
+    fn at_replica(&self, held: &mut ModelReplica, message: Message) -> Option<Message> {
         let incarnations = held
             .incarnations
             .iter()
@@ -175,16 +182,89 @@
         };
         self.proceed(state, w, next);
     }
+
+    fn begin(&self, state: &mut State, w: usize) {
+        let seen = state.writers.iter().flat_map(|writer| &writer.seen);
+        state.floor[w] = seen.copied().max();
+        let writer = &mut state.writers[w];
+        writer.begun += 1;
+        let write = Operation::Write(Write {
+            expected: writer.expected,
+            epoch: 1,
+            body: Some(vec![w as u8, writer.begun as u8]),
+        });
+        let call = Call(writer.begun as u64);
+        let replicas = (0..REPLICAS).map(NameKey).collect();
+        let ids = &mut writer.ids;
+        let mut proposal = Proposal::new(call, KEY, replicas, Duration::MAX, write, ids);
+        proposal.start(writer.leader_ballot.take(), ids);
+        writer.proposal = Some(proposal);
+        self.send(state, w);
+    }
+
+    fn restart(&self, state: &mut State, w: usize) -> Option<()> {
+        let writer = &mut state.writers[w];
+        let proposal = writer.proposal.as_mut()?;
+        proposal.back_off(Duration::ZERO);
+        proposal.start(None, &mut writer.ids);
+        self.send(state, w);
+        Some(())
+    }
+
+    fn deliver(&self, state: &mut State, from: u32, to: u32, message: &[u8]) -> Option<()> {
+        let message = Message::decode(message).ok()?;
+        if to >= FIRST_WRITER {
+            let writer = (to - FIRST_WRITER) as usize;
+            self.at_writer(state, writer, NameKey(from), message);
+        } else if let Some(reply) = self.at_replica(&mut state.replicas[to as usize], message) {
+            state.in_flight.insert((to, from, reply.encode()));
+        }
+        Some(())
+    }
+
+    fn lose(&self, state: &mut State, replica: u32) {
+        state.losses += 1;
+        let lost = &mut state.replicas[replica as usize];
+        *lost = ModelReplica {
+            incarnation: lost.incarnation + 1,
+            fetched: Some(BTreeSet::new()),
+            ..ModelReplica::default()
+        };
+    }
+
+    fn transfer(&self, state: &mut State, replica: u32, from: u32) -> Option<()> {
+        let incarnation = state.replicas[replica as usize].incarnation;
+        let source = &mut state.replicas[from as usize];
+        if source.fetched.is_some() {
+            return None;
+        }
+        source.incarnations.insert(NameKey(replica), incarnation);
+        let (acceptor, incarnations) = (source.acceptor.clone(), source.incarnations.clone());
+        let receiver = &mut state.replicas[replica as usize];
+        receiver.acceptor.learn(acceptor);
+        for (name, incarnation) in incarnations {
+            if name.0 != replica {
+                let known = receiver.incarnations.entry(name).or_default();
+                *known = incarnation.max(*known);
+            }
+        }
+        let fetched = receiver.fetched.as_mut()?;
+        fetched.insert(from);
+        if fetched.len() == REPLICAS as usize - 1 {
+            receiver.fetched = None;
+        }
+        Some(())
+    }
 }
 
-impl Model for World {
+impl Model for Network {
     type State = State;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let writer = |i: u32| Writer {
             ids: IdAllocator::new(Process {
-                name: NameKey(10 + i),
+                name: NameKey(FIRST_WRITER + i),
                 start: 1,
             }),
             proposal: None,
@@ -195,119 +275,50 @@
             seen: vec![],
         };
         vec![State {
-            replicas: vec![Held::default(); COPIES as usize],
+            replicas: vec![ModelReplica::default(); REPLICAS as usize],
             writers: (0..2).map(writer).collect(),
-            way: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             losses: 0,
             floor: vec![None; 2],
         }]
     }
 
-    fn actions(&self, state: &State, acts: &mut Vec<Act>) {
+    fn actions(&self, state: &State, acts: &mut Vec<Action>) {
         for (w, writer) in state.writers.iter().enumerate() {
             match &writer.proposal {
-                None if writer.begun < self.0.writes[w] => acts.push(Act::Begin(w)),
-                Some(proposal) if proposal.attempts < self.0.attempts => acts.push(Act::Again(w)),
+                None if writer.begun < self.0.writes[w] => acts.push(Action::Begin(w)),
+                Some(proposal) if proposal.attempts < self.0.attempts => {
+                    acts.push(Action::Restart(w))
+                }
                 _ => {}
             }
         }
         acts.extend(
             state
-                .way
+                .in_flight
                 .iter()
-                .map(|(from, to, message)| Act::Arrive(*from, *to, message.clone())),
+                .map(|(from, to, message)| Action::Deliver(*from, *to, message.clone())),
         );
-        for i in 0..COPIES {
+        for i in 0..REPLICAS {
             match &state.replicas[i as usize].fetched {
-                None if state.losses < self.0.losses => acts.push(Act::Lose(i)),
+                None if state.losses < self.0.losses => acts.push(Action::Lose(i)),
                 None => {}
                 Some(had) => {
-                    let from = (0..COPIES).filter(|j| *j != i && !had.contains(j));
-                    acts.extend(from.map(|j| Act::StateTransfer(i, j)));
+                    let from = (0..REPLICAS).filter(|j| *j != i && !had.contains(j));
+                    acts.extend(from.map(|j| Action::Transfer(i, j)));
                 }
             }
         }
     }
 
-    fn next_state(&self, last: &State, act: Act) -> Option<State> {
+    fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
-        match act {
-            Act::Begin(w) => {
-                let latest = state
-                    .writers
-                    .iter()
-                    .flat_map(|w| w.seen.iter().copied())
-                    .max();
-                state.floor[w] = latest;
-                let writer = &mut state.writers[w];
-                writer.begun += 1;
-                let ask = Operation::Write(Write {
-                    expected: writer.expected,
-                    epoch: 1,
-                    body: Some(vec![w as u8, writer.begun as u8]),
-                });
-                let replicas = (0..COPIES).map(NameKey).collect();
-                let mut proposal = Proposal::new(
-                    Call(writer.begun as u64),
-                    KEY,
-                    replicas,
-                    Duration::MAX,
-                    ask,
-                    &mut writer.ids,
-                );
-                proposal.start(writer.leader_ballot.take(), &mut writer.ids);
-                writer.proposal = Some(proposal);
-                self.send(&mut state, w);
-            }
-            Act::Again(w) => {
-                let writer = &mut state.writers[w];
-                let proposal = writer.proposal.as_mut()?;
-                proposal.back_off(Duration::ZERO);
-                proposal.start(None, &mut writer.ids);
-                self.send(&mut state, w);
-            }
-            Act::Arrive(from, to, message) => {
-                let message = Message::decode(&message).ok()?;
-                if to >= 10 {
-                    self.at_writer(&mut state, to as usize - 10, NameKey(from), message);
-                } else if let Some(reply) = self.at_copy(&mut state.replicas[to as usize], message)
-                {
-                    state.way.insert((to, from, reply.encode()));
-                }
-            }
-            Act::Lose(i) => {
-                state.losses += 1;
-                let incarnation = state.replicas[i as usize].incarnation + 1;
-                state.replicas[i as usize] = Held {
-                    incarnation,
-                    fetched: Some(BTreeSet::new()),
-                    ..Held::default()
-                };
-            }
-            Act::StateTransfer(i, from) => {
-                let incarnation = state.replicas[i as usize].incarnation;
-                let teller = &mut state.replicas[from as usize];
-                if teller.fetched.is_some() {
-                    return None;
-                }
-                teller.incarnations.insert(NameKey(i), incarnation);
-                let (acceptor, incarnations) =
-                    (teller.acceptor.clone(), teller.incarnations.clone());
-                let held = &mut state.replicas[i as usize];
-                held.acceptor.learn(acceptor);
-                incarnations
-                    .into_iter()
-                    .filter(|(name, _)| name.0 != i)
-                    .for_each(|(name, incarnation)| {
-                        let known = held.incarnations.entry(name).or_default();
-                        *known = incarnation.max(*known);
-                    });
-                let had = held.fetched.as_mut()?;
-                had.insert(from);
-                if had.len() == COPIES as usize - 1 {
-                    held.fetched = None;
-                }
-            }
+        match action {
+            Action::Begin(writer) => self.begin(&mut state, writer),
+            Action::Restart(writer) => self.restart(&mut state, writer)?,
+            Action::Deliver(from, to, message) => self.deliver(&mut state, from, to, &message)?,
+            Action::Lose(replica) => self.lose(&mut state, replica),
+            Action::Transfer(replica, source) => self.transfer(&mut state, replica, source)?,
         }
         (state != *last).then_some(state)
     }
@@ -342,7 +353,7 @@
 }
 
 fn check(size: Size, states: usize) -> (usize, bool) {
-    let checker = World(size)
+    let checker = Network(size)
         .checker()
         .threads(2)
         .target_state_count(states)
--- a/crates/replicated-register/src/proposal.rs
+++ b/crates/replicated-register/src/proposal.rs
@@ -4,48 +4,25 @@
 //! nothing is written. Otherwise, and for a write, the proposer prepares a ballot and, with the promises of a majority, has the
 //! value accepted that the operation derives from the latest one. An outcome is reported only for what a majority has accepted.
 
+mod decision;
+mod failure;
+mod leader_ballot;
+mod operation;
+
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
-use bitternlatch_quota_lease::StorageError;
 
 use crate::ids::IdAllocator;
 use crate::message::{Message, Provenance, RejectReason};
 use crate::quorum::majority;
-use crate::register::{Accepted, Ballot, RegisterKey, State, Version};
-use crate::{Call, RegisterError};
-
-/// What a caller wants done with a register.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Operation {
-    /// Returns the value.
-    Read,
-    /// Replaces the value if its version is the expected one.
-    Write(Write),
-}
-
-/// A compare-and-set.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Write {
-    /// Version that the register has to have; none for one without a value.
-    pub expected: Option<Version>,
-    /// Epoch of the new version; not below the one of the value that it replaces.
-    pub epoch: u64,
-    /// The new value; none deletes the register.
-    pub body: Option<Vec<u8>>,
-}
+use crate::register::{Accepted, Ballot, RegisterKey, State};
+use crate::Call;
 
-/// What the caller is answered.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Outcome {
-    /// Version and value; none where the register holds no value.
-    Read(Option<(Version, Vec<u8>)>),
-    /// The version that was written.
-    Written(Version),
-    /// The call failed.
-    Failed(RegisterError),
-}
+use decision::{Decision, OwnWrite};
+pub use leader_ballot::LeaderBallot;
+pub use operation::{Operation, Outcome, Write};
 
 /// What the proposer waits for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -60,33 +37,6 @@
     Accepting { state: State, outcome: Outcome },
 }
 
-/// A ballot that a majority has promised to this proposer, with the state that precedes it. While nobody else prepares a higher
-/// ballot, the next write takes one round.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct LeaderBallot {
-    /// The promised ballot.
-    pub ballot: Ballot,
-    /// Version of the state that was accepted last, if any.
-    pub latest: Option<Version>,
-    /// Whether that state is a tombstone.
-    pub tombstone: bool,
-}
-
-impl LeaderBallot {
-    fn new(ballot: Ballot, latest: Option<&State>) -> LeaderBallot {
-        LeaderBallot {
-            ballot,
-            latest: latest.map(|state| state.version),
-            tombstone: latest.is_some_and(|state| state.body.is_none()),
-        }
-    }
-
-    /// Version that callers see.
-    fn visible_version(&self) -> Option<Version> {
-        self.latest.filter(|_| !self.tombstone)
-    }
-}
-
 /// What the owner of a proposal has to do next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum NextStep {
@@ -107,41 +57,6 @@
     accepted: Option<Accepted>,
 }
 
-/// What a call has asked replicas to accept. From then on it may be written, whoever answers.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct OwnWrite {
-    version: Version,
-    /// Version that it was to replace.
-    base: Option<Version>,
-}
-
-/// A state to have accepted, if any, and the outcome once that, or the latest state, is settled.
-struct Decision {
-    state: Option<State>,
-    outcome: Outcome,
-}
-
-impl Decision {
-    fn write(state: State) -> Decision {
-        let outcome = Outcome::Written(state.version);
-        Decision {
-            state: Some(state),
-            outcome,
-        }
-    }
-
-    fn keep(outcome: Outcome) -> Decision {
-        Decision {
-            state: None,
-            outcome,
-        }
-    }
-
-    fn fail(error: RegisterError) -> Decision {
-        Decision::keep(Outcome::Failed(error))
-    }
-}
-
 /// One call of one register in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposal {
@@ -407,58 +322,6 @@
         NextStep::Done(outcome, Some(LeaderBallot::new(promised, Some(&state))))
     }
 
-    /// A replica has rejected the message.
-    pub fn on_rejected(
-        &mut self,
-        from: NameKey,
-        ballot: Ballot,
-        reason: RejectReason,
-        ids: &mut IdAllocator,
-    ) -> NextStep {
-        if !self.is_current(from, ballot) {
-            return NextStep::Wait;
-        }
-        match reason {
-            RejectReason::HigherBallot(promised) => ids.observe(promised),
-            reason => self.failure_reason = Some(reason),
-        }
-        self.rejections.insert(from, reason);
-        let dispensable = self.replicas.len() - majority(self.replicas.len());
-        if self.count_rejections(|reason| *reason == RejectReason::Lost) > dispensable {
-            let error = self.unless_written(RegisterError::Lost);
-            return NextStep::Done(Outcome::Failed(error), None);
-        }
-        if self.count_rejections(RejectReason::is_permanent) > dispensable {
-            return NextStep::Done(Outcome::Failed(self.failure()), None);
-        }
-        if self.rejections.len() > dispensable && self.was_outpaced() {
-            return NextStep::Restart;
-        }
-        NextStep::Wait
-    }
-
-    /// The error of a proposal that has not succeeded by its deadline.
-    pub fn failure(&self) -> RegisterError {
-        match self.failure_reason {
-            Some(RejectReason::Full) => RegisterError::Full,
-            Some(RejectReason::DiskFull) => RegisterError::NotStored(StorageError::Full),
-            Some(RejectReason::DiskFault) => {
-                RegisterError::NotStored(StorageError::Io("at a majority of the replicas".into()))
-            }
-            Some(RejectReason::Lost) => self.unless_written(RegisterError::Lost),
-            Some(RejectReason::CatchingUp) => self.unless_written(RegisterError::CatchingUp),
-            _ => self.unless_written(RegisterError::NoMajority),
-        }
-    }
-
-    /// An error that states that nothing is written, replaced where something may be.
-    pub fn unless_written(&self, error: RegisterError) -> RegisterError {
-        match self.own_write {
-            None => error,
-            Some(_) => RegisterError::TimedOut,
-        }
-    }
-
     fn is_current(&self, from: NameKey, ballot: Ballot) -> bool {
         ballot == self.ballot && !self.is_backing_off() && self.replicas.contains(&from)
     }
@@ -467,17 +330,6 @@
         self.responses.len() >= majority(self.replicas.len())
     }
 
-    fn was_outpaced(&self) -> bool {
-        self.count_rejections(|reason| matches!(reason, RejectReason::HigherBallot(_))) > 0
-    }
-
-    fn count_rejections(&self, matches: impl Fn(&RejectReason) -> bool) -> usize {
-        self.rejections
-            .values()
-            .filter(|reason| matches(reason))
-            .count()
-    }
-
     fn accepted_states(&self) -> impl Iterator<Item = &Accepted> {
         self.responses
             .values()
@@ -519,60 +371,6 @@
             .retain(|name, response| !has_ended(name, response.provenance.incarnation));
         true
     }
-
-    /// What the operation makes of the latest state.
-    fn decide(&mut self, latest: Option<&State>, ids: &mut IdAllocator) -> Decision {
-        let Operation::Write(write) = &self.operation else {
-            let found = latest.and_then(|state| Some((state.version, state.body.clone()?)));
-            return Decision::keep(Outcome::Read(found));
-        };
-        if let Some(own) = self.own_write {
-            return decide_again(own, write, latest);
-        }
-        let visible = latest.and_then(State::visible_version);
-        let base = latest.map(|state| state.version);
-        if let Some(passed) = base.filter(|base| base.epoch > write.epoch) {
-            return Decision::fail(RegisterError::StaleEpoch {
-                epoch: passed.epoch,
-            });
-        }
-        if visible != write.expected {
-            return Decision::fail(RegisterError::Conflict { latest: visible });
-        }
-        let version = ids.version(write.epoch, base);
-        let state = State {
-            version,
-            replaces: base,
-            body: write.body.clone(),
-        };
-        self.own_write = Some(OwnWrite { version, base });
-        Decision::write(state)
-    }
-}
-
-/// What becomes of a write that replicas were asked to accept before: it may have been accepted, and others may have written on
-/// top of it.
-fn decide_again(own: OwnWrite, write: &Write, latest: Option<&State>) -> Decision {
-    let version = latest.map(|state| state.version);
-    let replaces = latest.and_then(|state| state.replaces);
-    if version == Some(own.version) {
-        return Decision::keep(Outcome::Written(own.version));
-    }
-    if version == own.base {
-        return Decision::write(State {
-            version: own.version,
-            replaces: version,
-            body: write.body.clone(),
-        });
-    }
-    if replaces == Some(own.version) {
-        return Decision::keep(Outcome::Written(own.version));
-    }
-    if version.is_some() && replaces == own.base {
-        let latest = latest.and_then(State::visible_version);
-        return Decision::fail(RegisterError::Conflict { latest });
-    }
-    Decision::fail(RegisterError::TimedOut)
 }
 
 #[cfg(test)]
--- a/crates/replicated-register/src/proposal/tests.rs
+++ b/crates/replicated-register/src/proposal/tests.rs
@@ -1,6 +1,7 @@
 use bitternlatch_quota_lease::Process;
 
 use super::*;
+use crate::register::Version;
 
 const ON: Version = Version {
     epoch: 1,
--- a/crates/replicated-register/src/replica/acceptor.rs
+++ b/crates/replicated-register/src/replica/acceptor.rs
@@ -5,7 +5,7 @@
 use bitternlatch_membership::NameKey;
 
 use super::persistence::Reply;
-use super::proposer::Request;
+use super::request::Request;
 use super::{Replica, CATCH_UP_GRACE};
 use crate::message::{Message, Provenance, RejectReason};
 use crate::register::{Ballot, RegisterKey, State};
--- a/crates/replicated-register/src/replica/mod.rs
+++ b/crates/replicated-register/src/replica/mod.rs
@@ -4,8 +4,11 @@
 mod heartbeat;
 mod persistence;
 mod proposer;
+mod request;
+mod restore;
 mod state_transfer;
 mod tombstone_repair;
+mod transfers;
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -24,9 +27,10 @@
 
 use heartbeat::Heartbeats;
 use persistence::Persistence;
-use proposer::{Proposer, Request};
-use state_transfer::Transfers;
+use proposer::Proposer;
+use request::Request;
 use tombstone_repair::TombstoneRepairs;
+use transfers::Transfers;
 
 /// How long a replica that restarted with its disk waits for all others to be heard, before one is enough.
 const CATCH_UP_GRACE: Duration = Duration::from_secs(3);
--- a/crates/replicated-register/src/replica/proposer.rs
+++ b/crates/replicated-register/src/replica/proposer.rs
@@ -5,12 +5,13 @@
 
 use bitternlatch_membership::NameKey;
 
+use super::request::{answer, Request};
 use super::Replica;
 use crate::ids::IdAllocator;
 use crate::message::{Provenance, RejectReason};
 use crate::proposal::{LeaderBallot, NextStep, Operation, Outcome, Proposal, Write};
 use crate::quorum::majority;
-use crate::register::{Accepted, Ballot, RegisterKey};
+use crate::register::{Accepted, RegisterKey};
 use crate::{Call, Output, RegisterError, MAX_VALUE_BYTES};
 
 /// Calls in progress and in queues; further ones fail as [`RegisterError::Busy`].
@@ -384,32 +385,3 @@
         )
     }
 }
-
-/// The register and the ballot that a response is about.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Request {
-    pub(super) key: RegisterKey,
-    pub(super) ballot: Ballot,
-}
-
-fn answer(proposal: &Proposal, outcome: Outcome) -> Output {
-    let call = proposal.call;
-    match outcome {
-        Outcome::Read(found) => Output::Read {
-            call,
-            found: Ok(found),
-        },
-        Outcome::Written(version) => Output::Written {
-            call,
-            done: Ok(version),
-        },
-        Outcome::Failed(error) if proposal.is_read() => Output::Read {
-            call,
-            found: Err(error),
-        },
-        Outcome::Failed(error) => Output::Written {
-            call,
-            done: Err(error),
-        },
-    }
-}
--- /dev/null
+++ b/crates/replicated-register/src/replica/request.rs
@@ -0,0 +1,35 @@
+//! Requests between replicas, and answers to callers.
+
+use crate::proposal::{Outcome, Proposal};
+use crate::register::{Ballot, RegisterKey};
+use crate::Output;
+
+/// The register and the ballot that a response is about.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Request {
+    pub(super) key: RegisterKey,
+    pub(super) ballot: Ballot,
+}
+
+/// The answer to the call of a proposal.
+pub(super) fn answer(proposal: &Proposal, outcome: Outcome) -> Output {
+    let call = proposal.call;
+    match outcome {
+        Outcome::Read(found) => Output::Read {
+            call,
+            found: Ok(found),
+        },
+        Outcome::Written(version) => Output::Written {
+            call,
+            done: Ok(version),
+        },
+        Outcome::Failed(error) if proposal.is_read() => Output::Read {
+            call,
+            found: Err(error),
+        },
+        Outcome::Failed(error) => Output::Written {
+            call,
+            done: Err(error),
+        },
+    }
+}
--- a/crates/replicated-register/src/replica/state_transfer.rs
+++ b/crates/replicated-register/src/replica/state_transfer.rs
@@ -1,18 +1,16 @@
-//! Catching up after a restart: what the own disk holds, what others know of earlier incarnations, and the transfer of all that
-//! other replicas hold. A transfer goes in chunks, each requested by the last key that has arrived, so that a lost frame costs one
-//! chunk.
+//! Catching up after a restart: the transfer of all that other replicas hold, and what they know of earlier incarnations. A transfer
+//! goes in chunks, each requested by the last key that has arrived, so that a lost frame costs one chunk.
 
-use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
-use bitternlatch_quota_lease::{Process, StorageError, StoredEntries};
+use bitternlatch_quota_lease::Process;
 
 use super::persistence::{Reply, TransferId};
+use super::transfers::StateTransfer;
 use super::{Replica, CATCH_UP_GRACE};
-use crate::disk_records::{self, StoredState};
 use crate::message::{Message, StateChunk, TransferSession};
-use crate::recovery::{Completeness, Incarnation, RecoveryState, Source};
+use crate::recovery::{Completeness, Incarnation, Source};
 use crate::register::{Acceptor, RegisterKey};
 use crate::{Event, Output};
 
@@ -27,95 +25,6 @@
 /// Registers looked at for one chunk.
 const MAX_SCANNED_REGISTERS: usize = 4096;
 
-/// The transfer of all that another replica holds.
-struct StateTransfer {
-    number: u64,
-    /// Start number of the process that it comes from.
-    source_start: Option<u64>,
-    /// The last key that has arrived.
-    after: Option<RegisterKey>,
-    next_request: Duration,
-    /// All chunks have arrived.
-    ended: bool,
-    /// Registers that are not on disk yet.
-    unsynced: usize,
-    /// Some register could not be stored.
-    failed: bool,
-    /// The least that the source said of its own completeness.
-    completeness: Completeness,
-    missing: BTreeSet<NameKey>,
-}
-
-impl StateTransfer {
-    fn new(number: u64, next_request: Duration) -> StateTransfer {
-        StateTransfer {
-            number,
-            source_start: None,
-            after: None,
-            next_request,
-            ended: false,
-            unsynced: 0,
-            failed: false,
-            completeness: Completeness::Complete,
-            missing: BTreeSet::new(),
-        }
-    }
-
-    /// Takes the head of a chunk.
-    fn advance(&mut self, now: Duration, chunk: &StateChunk) {
-        self.completeness = self.completeness.max(chunk.completeness);
-        self.missing.extend(&chunk.missing);
-        self.next_request = now;
-        match chunk.up_to {
-            Some(up_to) => self.after = Some(up_to),
-            None => self.ended = true,
-        }
-    }
-}
-
-/// Transfers in progress, by source.
-#[derive(Default)]
-pub(super) struct Transfers {
-    active: BTreeMap<NameKey, StateTransfer>,
-    last_number: u64,
-    /// Registers that transfers have changed.
-    changed_registers: u64,
-}
-
-impl Transfers {
-    /// When the next request is due.
-    pub(super) fn wake_at(&self) -> Option<Duration> {
-        self.active
-            .values()
-            .map(|transfer| transfer.next_request)
-            .min()
-    }
-
-    /// Begins a transfer from each source that has none.
-    fn begin(&mut self, sources: Vec<NameKey>, first_request: Duration) {
-        for name in sources {
-            if !self.active.contains_key(&name) {
-                self.last_number += 1;
-                let transfer = StateTransfer::new(self.last_number, first_request);
-                self.active.insert(name, transfer);
-            }
-        }
-    }
-
-    /// Removes a transfer of which everything has arrived and is on disk.
-    fn take_finished(&mut self, name: NameKey) -> Option<StateTransfer> {
-        let transfer = self.active.get(&name)?;
-        let is_finished = transfer.ended && transfer.unsynced == 0;
-        is_finished.then(|| self.active.remove(&name)).flatten()
-    }
-
-    fn fail(&mut self, name: NameKey) {
-        if let Some(transfer) = self.active.get_mut(&name) {
-            transfer.failed = true;
-        }
-    }
-}
-
 /// Registers for one chunk.
 struct Scan<'a> {
     items: Vec<(RegisterKey, &'a Acceptor)>,
@@ -124,78 +33,6 @@
 }
 
 impl Replica {
-    /// What was on disk at the start.
-    pub(super) fn on_loaded(
-        &mut self,
-        now: Duration,
-        found: Result<StoredEntries, StorageError>,
-        out: &mut Vec<Output>,
-    ) {
-        if self.recovery.is_some() {
-            return;
-        }
-        self.opened_at = now;
-        let stale = match found {
-            Err(fault) => {
-                self.persistence.set_fault(fault.clone());
-                out.push(Output::Event(Event::DiskFault(fault)));
-                self.begin_incarnation(Completeness::Lost);
-                vec![]
-            }
-            Ok(found) => self.restore(now, found, out),
-        };
-        for name in stale {
-            self.remove_record(name, out);
-        }
-        self.store_metadata(vec![], out);
-    }
-
-    fn begin_incarnation(&mut self, completeness: Completeness) {
-        let (own, start) = (self.own.name, self.own.start);
-        self.recovery = Some(RecoveryState::new(own, &self.roster, completeness, start));
-    }
-
-    /// Restores what is on disk; returns the names of records that are of no use.
-    fn restore(
-        &mut self,
-        now: Duration,
-        found: StoredEntries,
-        out: &mut Vec<Output>,
-    ) -> Vec<Vec<u8>> {
-        let names: Vec<Vec<u8>> = found.iter().map(|(name, _)| name.clone()).collect();
-        match disk_records::open(found) {
-            StoredState::Empty => {
-                self.begin_incarnation(Completeness::Fresh);
-                vec![]
-            }
-            StoredState::Corrupt => {
-                out.push(Output::Event(Event::DiskCorrupt));
-                self.begin_incarnation(Completeness::Lost);
-                names
-            }
-            StoredState::Intact {
-                metadata,
-                registers,
-                stale,
-            } => {
-                for (key, acceptor) in registers {
-                    // What exceeds the capacity now exceeded it when it was written.
-                    let bytes = acceptor.value_bytes();
-                    let _ = self.store.update(now, key, bytes, |held| *held = acceptor);
-                }
-                self.persistence.set_durable_changes(metadata.count);
-                let recovery = RecoveryState::new(
-                    self.own.name,
-                    &self.roster,
-                    metadata.completeness,
-                    metadata.incarnation,
-                );
-                self.recovery = Some(recovery.with(metadata.count, metadata.incarnations));
-                stale
-            }
-        }
-    }
-
     /// Requests what is missing, one chunk at a time of each source.
     pub(super) fn request_state(&mut self, now: Duration, out: &mut Vec<Output>) {
         let Some(recovery) = &self.recovery else {
--- a/crates/replicated-register/src/replica/tombstone_repair.rs
+++ b/crates/replicated-register/src/replica/tombstone_repair.rs
@@ -5,7 +5,8 @@
 
 use bitternlatch_membership::NameKey;
 
-use super::proposer::{Request, RETRY_INTERVAL};
+use super::proposer::RETRY_INTERVAL;
+use super::request::Request;
 use super::Replica;
 use crate::message::Message;
 use crate::proposal::Proposal;
