--- a/crates/platform/src/http1/mod.rs
+++ b/crates/platform/src/http1/mod.rs
@@ -239,7 +239,7 @@
     let empty = (100..200).contains(&status) || status == 204 || status == 304;
     let framing = match framing(&fields)? {
         _ if empty => Framing::Length(0),
-        told => told.unwrap_or(Framing::Close),
+        found => found.unwrap_or(Framing::Close),
     };
     let modern = head.version == Some(1);
     let keep_alive = modern && !fields.connection("close") && framing != Framing::Close;
--- a/crates/platform/src/node/attempts.rs
+++ b/crates/platform/src/node/attempts.rs
@@ -1,14 +1,12 @@
 //! Attempts: one request sent to one model server, and how it ends.
 
-use std::net::SocketAddr;
-
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::{
     AttemptEnd, Event, Outcome, RequestId, Role, ServerId, ServerStatus,
 };
 
 use super::Node;
-use crate::pool::ConnectionUse;
+use crate::pool::{ConnectionUse, ServerAddress};
 use crate::requests::InFlightAttempt;
 use crate::responses::CompleteResponse;
 use crate::timer::Timer;
@@ -16,7 +14,7 @@
 
 /// The model server of an attempt.
 struct Target {
-    address: SocketAddr,
+    address: ServerAddress,
     role: Role,
 }
 
@@ -48,8 +46,8 @@
             number,
             until,
         };
-        let to = (server, target.address);
-        let Some(conn) = self.start_exchange(now, to, usage, Vec::new(), commands) else {
+        let Some(conn) = self.start_exchange(now, target.address, usage, Vec::new(), commands)
+        else {
             return self.report_not_sent(request, number, server);
         };
         self.counts.attempts += 1;
@@ -79,7 +77,10 @@
         }
         let role = self.roles.get(usize::from(endpoint.kind));
         Some(Target {
-            address: endpoint.endpoint,
+            address: ServerAddress {
+                server,
+                to: endpoint.endpoint,
+            },
             role: role.copied().unwrap_or_default(),
         })
     }
--- a/crates/platform/src/node/client_requests.rs
+++ b/crates/platform/src/node/client_requests.rs
@@ -208,8 +208,8 @@
         retry_after_s: f64,
         commands: &mut Vec<Command>,
     ) {
-        let told = self.bounds.retry_after && retry_after_s > 0.0;
-        let more = if told {
+        let is_timed = self.bounds.retry_after && retry_after_s > 0.0;
+        let more = if is_timed {
             format!("Retry-After: {retry_after_s:.3}\r\n")
         } else {
             String::new()
@@ -334,9 +334,9 @@
         };
         client.written(now, count);
         if client.unsent() < MAX_UNSENT / 2 {
-            if let Some(host) = self.clients.release_backpressure(conn) {
+            if let Some(server) = self.clients.release_backpressure(conn) {
                 commands.push(Command::Pause {
-                    conn: host,
+                    conn: server,
                     paused: false,
                 });
             }
--- a/crates/platform/src/node/exchanges.rs
+++ b/crates/platform/src/node/exchanges.rs
@@ -1,13 +1,11 @@
 //! Exchanges with model servers: attempts, health checks and release calls, each on a connection of its own while it
 //! lasts.
 
-use std::net::SocketAddr;
-
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::{Event, Outcome, ServerId, ServerStatus};
 
 use super::Node;
-use crate::pool::{ConnectionUse, Placement, ServerConnection};
+use crate::pool::{ConnectionUse, Placement, ServerAddress, ServerConnection};
 use crate::responses::{parse_load_report, BodyProgress, CompleteResponse, ResponseReader};
 use crate::timer::Timer;
 use crate::types::{Command, ConnId};
@@ -33,21 +31,21 @@
     pub(super) fn start_exchange(
         &mut self,
         now: Micros,
-        host: (ServerId, SocketAddr),
+        target: ServerAddress,
         usage: ConnectionUse,
         call: Vec<u8>,
         commands: &mut Vec<Command>,
     ) -> Option<ConnId> {
-        let conn = match self.pool.place(now, host.1, usage) {
+        let conn = match self.pool.place(now, target.to, usage) {
             Placement::Full => return None,
             Placement::Idle(conn) => {
-                self.reuse_connection(now, conn, host.0, usage, call, commands)
+                self.reuse_connection(now, conn, target.server, usage, call, commands)
             }
             Placement::New { replaces } => {
                 if let Some(idle) = replaces {
                     self.close_server_connection(idle, commands);
                 }
-                self.open_connection(now, host, usage, call, commands)
+                self.open_connection(now, target, usage, call, commands)
             }
         };
         if let Some(limit_s) = self.response_timeout_s(usage) {
@@ -84,7 +82,7 @@
     fn open_connection(
         &mut self,
         now: Micros,
-        (server, to): (ServerId, SocketAddr),
+        ServerAddress { server, to }: ServerAddress,
         usage: ConnectionUse,
         call: Vec<u8>,
         commands: &mut Vec<Command>,
@@ -130,11 +128,16 @@
         let Some(connection) = self.pool.remove(conn) else {
             return;
         };
-        let (to, usage) = ((connection.server, connection.to), connection.usage);
+        let target = ServerAddress {
+            server: connection.server,
+            to: connection.to,
+        };
+        let usage = connection.usage;
         if !self.still_wanted(connection.server, usage) {
             return self.on_exchange_failed(now, usage, Outcome::ConnectFailed, commands);
         }
-        let Some(other) = self.start_exchange(now, to, usage, connection.waiting, commands) else {
+        let Some(other) = self.start_exchange(now, target, usage, connection.waiting, commands)
+        else {
             return self.on_exchange_failed(now, usage, Outcome::NotSent, commands);
         };
         if let ConnectionUse::Attempt { request, .. } = usage {
@@ -382,7 +385,7 @@
                 self.finish_health_check(now, server, outcome, report);
             }
             ConnectionUse::Release { id, server, begun } => {
-                self.release_answered(now, id, (server, begun), complete.status, commands)
+                self.release_answered(now, id, server, begun, complete.status, commands)
             }
         }
     }
--- a/crates/platform/src/node/health_check_calls.rs
+++ b/crates/platform/src/node/health_check_calls.rs
@@ -5,7 +5,7 @@
 
 use super::Node;
 use crate::health_checks::HEALTH_CHECK;
-use crate::pool::ConnectionUse;
+use crate::pool::{ConnectionUse, ServerAddress};
 use crate::types::Command;
 
 impl Node {
@@ -15,19 +15,18 @@
         server: ServerId,
         commands: &mut Vec<Command>,
     ) {
-        let Some(to) = self
-            .discovery
-            .endpoints()
-            .get(server)
-            .map(|t| (server, t.endpoint))
-        else {
+        let Some(endpoint) = self.discovery.endpoints().get(server) else {
             return self.finish_health_check(now, server, Outcome::ConnectFailed, Vec::new());
         };
+        let target = ServerAddress {
+            server,
+            to: endpoint.endpoint,
+        };
         let call = HEALTH_CHECK.to_vec();
         if self
             .start_exchange(
                 now,
-                to,
+                target,
                 ConnectionUse::HealthCheck { server },
                 call,
                 commands,
--- a/crates/platform/src/node/release_calls.rs
+++ b/crates/platform/src/node/release_calls.rs
@@ -4,7 +4,7 @@
 use bitternlatch_policy::interface::{Outcome, RequestId, ServerId};
 
 use super::{log, Node};
-use crate::pool::ConnectionUse;
+use crate::pool::{ConnectionUse, ServerAddress};
 use crate::releases::Release;
 use crate::timer::Timer;
 use crate::types::{Command, Level};
@@ -55,7 +55,11 @@
             server,
             begun: now,
         };
-        let conn = self.start_exchange(now, (server, call.to), usage, call.bytes, commands);
+        let target = ServerAddress {
+            server,
+            to: call.to,
+        };
+        let conn = self.start_exchange(now, target, usage, call.bytes, commands);
         if conn.is_some() {
             self.counts.release_calls += 1;
         } else {
@@ -107,7 +111,8 @@
         &mut self,
         now: Micros,
         id: u64,
-        (server, begun): (ServerId, Micros),
+        server: ServerId,
+        begun: Micros,
         status: u16,
         commands: &mut Vec<Command>,
     ) {
--- a/crates/platform/src/pool.rs
+++ b/crates/platform/src/pool.rs
@@ -136,6 +136,15 @@
     }
 }
 
+/// A model server and its address at one time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ServerAddress {
+    /// The server.
+    pub server: ServerId,
+    /// Where it listens.
+    pub to: SocketAddr,
+}
+
 /// Where an exchange can go out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
