--- a/crates/cluster-net/src/runtime.rs
+++ b/crates/cluster-net/src/runtime.rs
@@ -209,7 +209,7 @@
         move |seen| {
             let dated = seen
                 .into_iter()
-                .map(|(host, what, at)| ((host, what), Duration::from_micros(at.0)));
+                .map(|o| ((o.server, o.condition), Duration::from_micros(o.since.0)));
             lock(&whole).quota.set_observations(dated.collect());
         }
     }
