--- a/crates/cluster-net/src/runtime.rs
+++ b/crates/cluster-net/src/runtime.rs
@@ -207,9 +207,12 @@
     pub fn observation_sink(&self) -> impl Fn(Vec<ServerObservation>) + 'static {
         let whole = Arc::clone(&self.whole);
         move |seen| {
-            let dated = seen.into_iter().map(|(server, condition, at)| {
-                let key = ObservationKey { server, condition };
-                (key, Duration::from_micros(at.0))
+            let dated = seen.into_iter().map(|observation| {
+                let key = ObservationKey {
+                    server: observation.server,
+                    condition: observation.condition,
+                };
+                (key, Duration::from_micros(observation.since.0))
             });
             lock(&whole).quota_mut().set_observations(dated.collect());
         }
--- a/crates/core/src/cluster_mode.rs
+++ b/crates/core/src/cluster_mode.rs
@@ -11,12 +11,19 @@
 /// Seconds after which one that is sent elsewhere may come back here: a standing takes about that long to mend.
 const RETRY_AFTER_S: f64 = 2.0;
 
-/// What was told last, and until when it counts.
+/// The last state of the quorum, and who is present.
+/// The state of the quorum, and when it expires.
+#[derive(Clone, Copy, Debug)]
+struct ObservedQuorum {
+    state: QuorumState,
+    until: Micros,
+}
+
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
-    told: Option<(QuorumState, Micros)>,
+    quorum: Option<ObservedQuorum>,
     /// Names of those that are there.
-    there: Vec<String>,
+    present: Vec<String>,
 }
 
 fn work(effect: Effect) -> EffectClass {
@@ -35,8 +42,11 @@
         until: Micros,
     ) {
         self.peers = Peers {
-            told: Some((standing, until)),
-            there,
+            quorum: Some(ObservedQuorum {
+                state: standing,
+                until,
+            }),
+            present: there,
         };
     }
 
@@ -44,8 +54,8 @@
     /// not been told again in time, is no knowledge: it counts as alone.
     pub(crate) fn standing(&self, now: Micros) -> Option<QuorumState> {
         self.settings.cluster.as_ref()?;
-        let fresh = self.peers.told.filter(|(_, until)| now < *until);
-        Some(fresh.map_or(QuorumState::Alone, |(standing, _)| standing))
+        let fresh = self.peers.quorum.filter(|quorum| now < quorum.until);
+        Some(fresh.map_or(QuorumState::Alone, |quorum| quorum.state))
     }
 
     /// What it does with such work now; `None` where it is to know of nobody.
@@ -78,7 +88,7 @@
         let all: Vec<_> = others
             .filter_map(|p| Some((&p.name, p.client_address.as_ref()?)))
             .collect();
-        let there = |(name, _): &&(&String, &String)| self.peers.there.contains(name);
+        let there = |(name, _): &&(&String, &String)| self.peers.present.contains(name);
         let known: Vec<String> = all
             .iter()
             .filter(there)
--- a/crates/core/src/contexts.rs
+++ b/crates/core/src/contexts.rs
@@ -17,12 +17,18 @@
     pub at: Micros,
 }
 
+struct CachedContext {
+    /// Position in the order of insertion.
+    order: u64,
+    context: Context,
+}
+
 /// Bounded by bytes and age; at the bound the oldest is let go, and a client that names it is told that it is not
 /// found.
 pub(crate) struct Contexts {
     max_bytes: usize,
     bytes: usize,
-    kept: BTreeMap<String, (u64, Context)>,
+    cached: BTreeMap<String, CachedContext>,
     order: BTreeMap<u64, String>,
     next: u64,
 }
@@ -32,16 +38,16 @@
         Contexts {
             max_bytes,
             bytes: 0,
-            kept: BTreeMap::new(),
+            cached: BTreeMap::new(),
             order: BTreeMap::new(),
             next: 0,
         }
     }
 
     pub(crate) fn find(&self, id: &str, tenant: u32, owner: &str) -> Option<&Context> {
-        self.kept
+        self.cached
             .get(id)
-            .map(|(_, c)| c)
+            .map(|c| &c.context)
             .filter(|c| c.tenant == tenant && c.owner == owner)
     }
 
@@ -52,9 +58,13 @@
         self.bytes += context.text.len();
         self.next += 1;
         self.order.insert(self.next, id.to_string());
-        if let Some((turn, old)) = self.kept.insert(id.to_string(), (self.next, context)) {
-            self.bytes -= old.text.len();
-            self.order.remove(&turn);
+        let entry = CachedContext {
+            order: self.next,
+            context,
+        };
+        if let Some(old) = self.cached.insert(id.to_string(), entry) {
+            self.bytes -= old.context.text.len();
+            self.order.remove(&old.order);
         }
         while self.bytes > self.max_bytes && self.drop_oldest() {}
     }
@@ -62,8 +72,11 @@
     /// Lets go of what is older than a time.
     pub(crate) fn sweep(&mut self, before: Micros) {
         let old = |c: &Self| {
-            let first = c.order.first_key_value().and_then(|(_, id)| c.kept.get(id));
-            first.is_some_and(|(_, context)| context.at < before)
+            let first = c
+                .order
+                .first_key_value()
+                .and_then(|(_, id)| c.cached.get(id));
+            first.is_some_and(|entry| entry.context.at < before)
         };
         while old(self) && self.drop_oldest() {}
     }
@@ -72,8 +85,8 @@
         let Some((_, id)) = self.order.pop_first() else {
             return false;
         };
-        if let Some((_, old)) = self.kept.remove(&id) {
-            self.bytes -= old.text.len();
+        if let Some(old) = self.cached.remove(&id) {
+            self.bytes -= old.context.text.len();
         }
         true
     }
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -8,8 +8,10 @@
 
 use crate::types::{LinkId, Micros};
 
-/// First pause before a link is reconnected, and the longest; each failure doubles it. Starting values of ours.
-const PAUSE_S: (f64, f64) = (0.05, 2.0);
+/// First pause before a link is connected again, seconds; each failure doubles it. A starting value of ours.
+const MIN_RECONNECT_S: f64 = 0.05;
+/// Longest such pause, seconds.
+const MAX_RECONNECT_S: f64 = 2.0;
 /// Messages queued for a link that has not greeted; past it a send counts as not connected.
 const MAX_QUEUED_MESSAGES: usize = 64;
 
@@ -118,7 +120,7 @@
             self.links.remove(&link.server);
             return Some((queued, f64::INFINITY));
         }
-        let pause = (PAUSE_S.0 * f64::from(1u32 << l.failures.min(16))).min(PAUSE_S.1);
+        let pause = (MIN_RECONNECT_S * f64::from(1u32 << l.failures.min(16))).min(MAX_RECONNECT_S);
         (l.stage, l.failures) = (Stage::BackingOff, l.failures.saturating_add(1));
         Some((queued, pause * (0.5 + 0.5 * jitter)))
     }
--- a/crates/core/src/links/tests.rs
+++ b/crates/core/src/links/tests.rs
@@ -34,10 +34,10 @@
     for _ in 0..20 {
         let link = links.connect(1);
         let (_, pause) = links.down(link, 1.0).expect("current");
-        assert!(pause >= last && pause <= PAUSE_S.1);
+        assert!(pause >= last && pause <= MAX_RECONNECT_S);
         last = pause;
     }
-    assert_eq!(last, PAUSE_S.1);
+    assert_eq!(last, MAX_RECONNECT_S);
     links.connect(1);
     let taken = (0..100)
         .filter(|_| links.enqueue(1, message("a")) != EnqueueResult::NotConnected)
--- a/crates/core/src/load_shedding.rs
+++ b/crates/core/src/load_shedding.rs
@@ -34,15 +34,29 @@
     pub repeats: bool,
 }
 
+/// A probe sent for the whole cluster.
+#[derive(Clone, Copy, Debug)]
+struct PendingProbe {
+    server: u32,
+    sent_at: Micros,
+}
+
+/// How many attempts a recovering server may be sent, and until when.
+#[derive(Clone, Copy, Debug)]
+struct RecoveryTrial {
+    max_in_flight: u32,
+    until: Duration,
+}
+
 #[derive(Debug, Default)]
 pub(crate) struct LoadShedding {
     gate: Option<Gate>,
     /// Where reports have what waits.
     queue: Option<usize>,
     /// Probes that are out for all.
-    asked: BTreeMap<u64, (u32, Micros)>,
+    pending_probes: BTreeMap<u64, PendingProbe>,
     /// Servers that failed here: attempts that may be out, and until when that counts; and failures in a row.
-    trials: BTreeMap<u32, (u32, Duration)>,
+    trials: BTreeMap<u32, RecoveryTrial>,
     failures: BTreeMap<u32, u32>,
 }
 
@@ -62,7 +76,7 @@
                 .fields
                 .iter()
                 .position(|f| f.meaning == Meaning::Queue),
-            asked: BTreeMap::new(),
+            pending_probes: BTreeMap::new(),
             trials: BTreeMap::new(),
             failures: BTreeMap::new(),
         }
@@ -82,18 +96,22 @@
     /// A server that failed here may have so many attempts out until then.
     pub(crate) fn trial(&mut self, server: u32, many: u32, until: Duration) {
         if self.gate.is_some() {
-            self.trials.insert(server, (many, until));
+            let trial = RecoveryTrial {
+                max_in_flight: many,
+                until,
+            };
+            self.trials.insert(server, trial);
         }
     }
 
     /// Attempts that may be out at a host; `None` for any number. What was told ends by time, at the act.
     pub(crate) fn max_in_flight(&mut self, now: Micros, server: u32) -> Option<u32> {
-        let (many, until) = *self.trials.get(&server)?;
-        if clock(now) >= until {
+        let trial = *self.trials.get(&server)?;
+        if clock(now) >= trial.until {
             self.trials.remove(&server);
             return None;
         }
-        Some(many)
+        Some(trial.max_in_flight)
     }
 
     /// An attempt at a server ended.
@@ -121,13 +139,18 @@
 
     /// A probe with this id goes to a server, for all.
     pub(crate) fn probe_sent(&mut self, now: Micros, id: u64, server: u32) {
-        self.asked.retain(|_, (_, at)| now.since(*at) < PROBE_S);
-        self.asked.insert(id, (server, now));
+        self.pending_probes
+            .retain(|_, probe| now.since(probe.sent_at) < PROBE_S);
+        let probe = PendingProbe {
+            server,
+            sent_at: now,
+        };
+        self.pending_probes.insert(id, probe);
     }
 
     /// What is to be passed on, where this answers a probe that went for all.
     pub(crate) fn probe_answered(&mut self, id: u64, report: &[f64]) -> Option<Ask> {
-        let (server, _) = self.asked.remove(&id)?;
+        let server = self.pending_probes.remove(&id)?.server;
         Some(Ask::Probed {
             host: server,
             report: report.iter().map(|v| Millionths::of(*v)).collect(),
--- a/crates/core/src/observations.rs
+++ b/crates/core/src/observations.rs
@@ -4,6 +4,7 @@
 
 use bitternlatch_policy::interface::{Event, ListForm, Observation, Outcome, ServerId};
 use bitternlatch_quota_lease::{PeerReport, ServerCondition, ServerNumber};
+use serde::{Deserialize, Serialize};
 
 use crate::machine::{log, Machine};
 use crate::timers::Timer;
@@ -21,13 +22,48 @@
 /// No server reached for so long, while peers are there, is taken for this dispatcher's own fault.
 const UNREACHABLE_AFTER_S: f64 = 1.0;
 
-/// Something seen of a server, and since when; the words that peers have for it.
-pub type ServerObservation = (ServerNumber, ServerCondition, Micros);
+/// A condition of a model server, in the form that peers exchange. Serialized as a triple.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "Triple", into = "Triple")]
+pub struct ServerObservation {
+    /// The server.
+    pub server: ServerNumber,
+    /// What is observed of it.
+    pub condition: ServerCondition,
+    /// Since when.
+    pub since: Micros,
+}
+
+type Triple = (ServerNumber, ServerCondition, Micros);
+
+impl From<Triple> for ServerObservation {
+    fn from((server, condition, since): Triple) -> ServerObservation {
+        ServerObservation {
+            server,
+            condition,
+            since,
+        }
+    }
+}
+
+impl From<ServerObservation> for Triple {
+    fn from(observation: ServerObservation) -> Triple {
+        (observation.server, observation.condition, observation.since)
+    }
+}
+
+/// Failed attempts in a row at one server.
+#[derive(Default)]
+struct FailureStreak {
+    count: u32,
+    /// When the last of them ended.
+    last: Micros,
+}
 
 #[derive(Default)]
 pub(crate) struct Observations {
-    /// Failed attempts in a row, and the last of them.
-    failures: BTreeMap<ServerId, (u32, Micros)>,
+    /// Failed attempts in a row.
+    failures: BTreeMap<ServerId, FailureStreak>,
     /// Since when something that has no time of its own is so.
     since: BTreeMap<(ServerNumber, ServerCondition), Micros>,
     sent: Vec<ServerObservation>,
@@ -57,8 +93,9 @@
                 self.observations.failures.remove(&server);
             }
             Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => {
-                let (many, last) = self.observations.failures.entry(server).or_default();
-                (*many, *last) = (many.saturating_add(1), now);
+                let streak = self.observations.failures.entry(server).or_default();
+                streak.count = streak.count.saturating_add(1);
+                streak.last = now;
             }
             Outcome::Rejected { .. } | Outcome::Cancelled | Outcome::NotSent => {}
         }
@@ -75,8 +112,8 @@
             }
             _ => None,
         };
-        observations.failures.retain(|server, (_, last)| {
-            now.since(*last) < FAILING_S && self.servers.get(*server).is_some()
+        observations.failures.retain(|server, streak| {
+            now.since(streak.last) < FAILING_S && self.servers.get(*server).is_some()
         });
         observations
             .failing_at_peers
@@ -90,7 +127,7 @@
 
     fn observe(&mut self, now: Micros) -> Vec<ServerObservation> {
         let warm_after_s = self.settings.rules.slow_start.warm_after_s;
-        let mut observe: BTreeMap<(ServerNumber, ServerCondition), Micros> = BTreeMap::new();
+        let mut seen: BTreeMap<(ServerNumber, ServerCondition), Micros> = BTreeMap::new();
         // What has no time of its own counts from the look at which it was first so.
         let mut so = BTreeSet::new();
         for (id, known) in self.servers.listed() {
@@ -102,30 +139,33 @@
                 so.insert((server, ServerCondition::Failing));
             }
             if let Some(at) = known.booted_at().filter(|at| now.since(*at) < warm_after_s) {
-                observe.insert((server, ServerCondition::WarmingUp), at);
+                seen.insert((server, ServerCondition::WarmingUp), at);
             }
         }
         self.observations.since.retain(|key, _| so.contains(key));
         for key in so {
             let at = *self.observations.since.entry(key).or_insert(now);
             if key.1 != ServerCondition::Failing || now.since(at) >= MIN_LINK_DOWN_S {
-                observe.insert(key, at);
+                seen.insert(key, at);
             }
         }
-        for (id, (_, last)) in self
+        for (id, streak) in self
             .observations
             .failures
             .iter()
-            .filter(|(_, (many, _))| *many >= FAILURE_STREAK)
+            .filter(|(_, streak)| streak.count >= FAILURE_STREAK)
         {
-            let at = observe
+            let at = seen
                 .entry((ServerNumber(*id), ServerCondition::Failing))
-                .or_insert(*last);
-            *at = (*at).max(*last);
+                .or_insert(streak.last);
+            *at = (*at).max(streak.last);
         }
-        observe
-            .into_iter()
-            .map(|((server, what), at)| (server, what, at))
+        seen.into_iter()
+            .map(|((server, condition), since)| ServerObservation {
+                server,
+                condition,
+                since,
+            })
             .collect()
     }
 
--- a/crates/core/src/request_start.rs
+++ b/crates/core/src/request_start.rs
@@ -111,8 +111,8 @@
         let request = start.request(create, response, validated, decision);
         self.prompt_bytes += request.prompt.len();
         self.requests.insert(id, request);
-        if let Some((intent, until)) = step {
-            self.workflows.start(id, intent, until);
+        if let Some(step) = step {
+            self.workflows.start(id, step.intent, step.until);
         }
         self.sessions.listen(session, id);
         self.send_created(id, session, out);
--- a/crates/core/src/validated_request.rs
+++ b/crates/core/src/validated_request.rs
@@ -13,6 +13,13 @@
 use crate::types::{Micros, SessionId};
 use crate::workflows::Intent;
 
+/// A step of a workflow whose intent is durable.
+pub(crate) struct PermittedStep {
+    pub intent: Intent,
+    /// Until when it may be sent.
+    pub until: Micros,
+}
+
 /// What of a message has been settled before the request is made.
 pub(crate) struct ValidatedRequest {
     pub class: u16,
@@ -20,8 +27,8 @@
     pub owner: String,
     pub time_left_s: f64,
     pub key: Option<Key>,
-    /// A step of a workflow whose intent is held, and until when it may leave.
-    pub step: Option<(Intent, Micros)>,
+    /// The step of a workflow that it is.
+    pub step: Option<PermittedStep>,
     /// What the fleet's shedding has taken of it already.
     pub admitted: Option<AdmittedWork>,
     pub conversation: u64,
@@ -73,10 +80,12 @@
             .as_ref()
             .map_or(words, |k| xxh3_64(k.text.as_bytes()));
         let (spent, identity) = match &self.step {
-            Some((intent, _)) if intent.step > 1 => {
+            Some(PermittedStep { intent, .. }) if intent.step > 1 => {
                 (Spent::Steps, xxh3_64(intent.workflow.as_bytes()))
             }
-            Some((intent, _)) => (Spent::Nothing, xxh3_64(intent.workflow.as_bytes())),
+            Some(PermittedStep { intent, .. }) => {
+                (Spent::Nothing, xxh3_64(intent.workflow.as_bytes()))
+            }
             None if self.conversation == 0 => (Spent::Nothing, fingerprint),
             None => (Spent::Turns, self.conversation),
         };
--- a/crates/core/src/workflow_steps.rs
+++ b/crates/core/src/workflow_steps.rs
@@ -13,7 +13,7 @@
 use crate::machine::Machine;
 use crate::timers::Timer;
 use crate::types::{Micros, Output, SessionId};
-use crate::validated_request::ValidatedRequest;
+use crate::validated_request::{PermittedStep, ValidatedRequest};
 use crate::workflows::{
     self, refused, Intent, PendingQuery, WorkflowAction, WorkflowQuery, FAILURE_DURABLE_WITHIN_S,
     RESULT_DURABLE_WITHIN_S, STEP_END_RETRY_S,
@@ -137,7 +137,11 @@
                     owner,
                     text: intent.key.clone(),
                 });
-                let (step, admitted) = (Some((intent.clone(), until)), Some(query.admitted));
+                let step = PermittedStep {
+                    intent: intent.clone(),
+                    until,
+                };
+                let (step, admitted) = (Some(step), Some(query.admitted));
                 let validated = ValidatedRequest {
                     time_left_s,
                     key,
@@ -281,7 +285,10 @@
                     return Err(self.redirect_to_peers(now))
                 }
                 None => {
-                    validated.step = Some((intent.clone(), now));
+                    validated.step = Some(PermittedStep {
+                        intent: intent.clone(),
+                        until: now,
+                    });
                     admitted = self
                         .evaluate_admission(now, create, &validated)
                         .map_err(Rejection::by_shedding)?;
--- a/crates/core/tests/observations.rs
+++ b/crates/core/tests/observations.rs
@@ -37,7 +37,7 @@
 fn told(bench: &Bench) -> Option<Vec<(u32, ServerCondition)>> {
     let last = |o: &Output| match o {
         Output::Observations(seen) => {
-            Some(seen.iter().map(|(host, what, _)| (host.0, *what)).collect())
+            Some(seen.iter().map(|o| (o.server.0, o.condition)).collect())
         }
         _ => None,
     };
