--- a/crates/core/src/link_events.rs
+++ b/crates/core/src/link_events.rs
@@ -1,6 +1,6 @@
 //! Connections to model servers: opened and closed by the server list, and what follows where one comes up or ends.
 
-use bitternlatch_inventory::Host;
+use bitternlatch_inventory::ModelServer;
 use bitternlatch_policy::interface::{Event, ListForm, Outcome, RequestId, ServerId};
 use bitternlatch_protocol::engine::EngineState;
 
@@ -189,7 +189,12 @@
         }
     }
 
-    pub(crate) fn on_server_list(&mut self, now: Micros, list: Vec<Host>, out: &mut Vec<Output>) {
+    pub(crate) fn on_server_list(
+        &mut self,
+        now: Micros,
+        list: Vec<ModelServer>,
+        out: &mut Vec<Output>,
+    ) {
         let change = self.servers.take_list(list, &self.settings);
         change
             .skipped
--- a/crates/core/src/servers.rs
+++ b/crates/core/src/servers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bitternlatch_inventory::{Host, HostState};
+use bitternlatch_inventory::{ModelServer, ServerState};
 use bitternlatch_policy::interface::{Role, ServerEntry, ServerId, ServerStatus};
 use bitternlatch_protocol::engine::EngineState;
 
@@ -13,8 +13,8 @@
 /// clocks' drift.
 const RESTART_SLACK_S: f64 = 1.0;
 
-pub(crate) struct ModelServer {
-    pub server: Host,
+pub(crate) struct KnownServer {
+    pub server: ModelServer,
     pub role: Role,
     kind: u16,
     cell: u16,
@@ -26,15 +26,15 @@
     drained_at_peers: bool,
 }
 
-impl ModelServer {
+impl KnownServer {
     fn standing(&self) -> ServerStatus {
         match (self.server.state, self.reported) {
-            (HostState::Gone, _) => ServerStatus::Removed,
-            (HostState::Ready, EngineState::Ready) if self.drained_at_peers => {
+            (ServerState::Gone, _) => ServerStatus::Removed,
+            (ServerState::Ready, EngineState::Ready) if self.drained_at_peers => {
                 ServerStatus::Draining
             }
-            (HostState::Draining, _) | (_, EngineState::Draining) => ServerStatus::Draining,
-            (HostState::Ready, EngineState::Ready) => ServerStatus::Ready,
+            (ServerState::Draining, _) | (_, EngineState::Draining) => ServerStatus::Draining,
+            (ServerState::Ready, EngineState::Ready) => ServerStatus::Ready,
         }
     }
 
@@ -44,7 +44,7 @@
 
     /// By the list or its own word.
     pub(crate) fn is_draining(&self) -> bool {
-        self.server.state == HostState::Draining || self.reported == EngineState::Draining
+        self.server.state == ServerState::Draining || self.reported == EngineState::Draining
     }
 
     pub(crate) fn booted_at(&self) -> Option<Micros> {
@@ -90,7 +90,7 @@
 }
 
 pub(crate) struct ServerTable {
-    servers: BTreeMap<ServerId, ModelServer>,
+    servers: BTreeMap<ServerId, KnownServer>,
     zones: NameNumbers,
     cells: NameNumbers,
 }
@@ -107,12 +107,12 @@
         }
     }
 
-    pub(crate) fn get(&self, id: ServerId) -> Option<&ModelServer> {
+    pub(crate) fn get(&self, id: ServerId) -> Option<&KnownServer> {
         self.servers.get(&id)
     }
 
     /// All but those that are gone.
-    pub(crate) fn listed(&self) -> impl Iterator<Item = (ServerId, &ModelServer)> {
+    pub(crate) fn listed(&self) -> impl Iterator<Item = (ServerId, &KnownServer)> {
         self.servers
             .iter()
             .filter(|(_, k)| k.standing() != ServerStatus::Removed)
@@ -145,7 +145,7 @@
     }
 
     /// Takes a complete list. A server whose kind the settings do not name is passed over and said so.
-    pub(crate) fn take_list(&mut self, list: Vec<Host>, settings: &Settings) -> ListChange {
+    pub(crate) fn take_list(&mut self, list: Vec<ModelServer>, settings: &Settings) -> ListChange {
         let mut change = ListChange::default();
         let mut seen = BTreeMap::new();
         for server in list {
@@ -164,7 +164,7 @@
             );
             let role = kinds[kind].role;
             let old = self.servers.remove(&id);
-            let was_open = old.as_ref().is_some_and(ModelServer::takes_work);
+            let was_open = old.as_ref().is_some_and(KnownServer::takes_work);
             let moved = old
                 .as_ref()
                 .is_none_or(|o| o.server.endpoint() != server.endpoint());
@@ -172,7 +172,7 @@
                 Some(o) if !moved => (o.reported, o.booted_at),
                 _ => (EngineState::Ready, 0.0),
             };
-            let gone = server.state == HostState::Gone;
+            let gone = server.state == ServerState::Gone;
             if old.is_some() && (moved || gone) {
                 change.disconnect.push(id);
             }
@@ -180,7 +180,7 @@
                 change.connect.push(id);
             }
             let kind = kind as u16;
-            let known = ModelServer {
+            let known = KnownServer {
                 server,
                 role,
                 kind,
--- a/crates/core/src/servers/tests.rs
+++ b/crates/core/src/servers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use bitternlatch_inventory::parse;
 
-fn list(text: &str) -> Vec<Host> {
+fn list(text: &str) -> Vec<ModelServer> {
     parse("hosts.csv", text)
         .expect("a good list")
         .into_values()
@@ -32,8 +32,8 @@
         &settings,
     );
     let (a, b) = (
-        bitternlatch_inventory::host_id("a"),
-        bitternlatch_inventory::host_id("b"),
+        bitternlatch_inventory::server_id("a"),
+        bitternlatch_inventory::server_id("b"),
     );
     assert_eq!(
         (second.connect, second.disconnect, second.closed),
@@ -51,7 +51,7 @@
     let settings = crate::settings::tests::small();
     let mut servers = ServerTable::new("z");
     servers.take_list(list("name,port,kind\na,1,reader\n"), &settings);
-    let a = bitternlatch_inventory::host_id("a");
+    let a = bitternlatch_inventory::server_id("a");
     let at = |s: u64| Micros(s * 1_000_000);
     let (entry, restarted) = servers
         .greeted(at(100), a, 500.0, EngineState::Ready, 14.0)
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -3,7 +3,7 @@
 use bitternlatch_budget::charge::Entry;
 use bitternlatch_budget::ledger::{Part, Want};
 use bitternlatch_identity::Caller;
-use bitternlatch_inventory::Host;
+use bitternlatch_inventory::ModelServer;
 use bitternlatch_membership::QuorumState;
 use bitternlatch_policy::interface::ServerId;
 use bitternlatch_quota_lease::PeerReport;
@@ -57,7 +57,7 @@
 pub enum Input {
     /// The complete list of model servers that is in force from now on.
     #[serde(rename = "Hosts")]
-    ServerList(Vec<Host>),
+    ServerList(Vec<ModelServer>),
     /// A client connected.
     SessionOpened {
         /// Id of the new session.
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use bitternlatch_core::{Input, LinkId, Machine, Micros, Output, SessionId, Settings};
-use bitternlatch_inventory::{host_id, parse, Host};
+use bitternlatch_inventory::{parse, server_id, ModelServer};
 use bitternlatch_protocol::client::ServerEvent;
 use bitternlatch_protocol::engine::{
     decode, encode, Choice, Chunk, CompletionRequest, EngineError, EngineState, EngineUsage,
@@ -91,7 +91,7 @@
     pub stopped: bool,
 }
 
-pub fn hosts(rows: &str) -> Vec<Host> {
+pub fn hosts(rows: &str) -> Vec<ModelServer> {
     let text = format!("name,address,port,kind,state\n{rows}");
     parse("hosts.csv", &text)
         .expect("a good list")
@@ -100,7 +100,7 @@
 }
 
 /// Readers r1, r2 and writers w1, w2.
-pub fn four() -> Vec<Host> {
+pub fn four() -> Vec<ModelServer> {
     hosts("r1,127.0.0.1,1,reader,\nr2,127.0.0.1,2,reader,\nw1,127.0.0.1,3,writer,\nw2,127.0.0.1,4,writer,\n")
 }
 
@@ -383,7 +383,7 @@
     pub fn name_of(link: LinkId) -> &'static str {
         ["r1", "r2", "w1", "w2"]
             .into_iter()
-            .find(|n| host_id(n) == link.server)
+            .find(|n| server_id(n) == link.server)
             .unwrap_or("?")
     }
 }
--- a/crates/core/tests/observations.rs
+++ b/crates/core/tests/observations.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use bitternlatch_core::{Input, Micros, Output, Settings};
-use bitternlatch_inventory::host_id;
+use bitternlatch_inventory::server_id;
 use bitternlatch_membership::QuorumState;
 use bitternlatch_policy::interface::{Event, Observation};
 use bitternlatch_quota_lease::{PeerReport, ServerCondition, ServerNumber};
@@ -46,7 +46,7 @@
 
 fn hear(bench: &mut Bench, host: &str, what: ServerCondition, voices: u8, at: Micros) {
     let heard = vec![PeerReport {
-        server: ServerNumber(host_id(host)),
+        server: ServerNumber(server_id(host)),
         condition: what,
         reporters: voices,
         age: Duration::from_millis(500),
@@ -84,7 +84,7 @@
     bench.pass(0.3);
     assert_eq!(
         told(&bench),
-        Some(vec![(host_id("r2"), ServerCondition::Draining)])
+        Some(vec![(server_id("r2"), ServerCondition::Draining)])
     );
     bench.step(Input::ServerList(four()));
     bench.pass(0.3);
@@ -167,7 +167,7 @@
     };
     assert_eq!(
         (server, sight, voices, of),
-        (host_id("r1"), Observation::Failing, 2, 2)
+        (server_id("r1"), Observation::Failing, 2, 2)
     );
     assert!((age_s - 1.5).abs() < 1e-9, "{age_s}");
 }
@@ -175,7 +175,7 @@
 #[test]
 fn unreachable_servers_redirect_callers_to_peers() {
     let mut bench = cluster();
-    let links: Vec<_> = ["r1", "r2", "w1", "w2"].map(host_id).to_vec();
+    let links: Vec<_> = ["r1", "r2", "w1", "w2"].map(server_id).to_vec();
     for host in &links {
         let link = bitternlatch_core::LinkId {
             server: *host,
@@ -229,7 +229,7 @@
         for n in 0..20 {
             bench.ask(session, "query", &format!("{from}/{n}"), "words");
             let read = bench.take();
-            first += usize::from(read.link.server == host_id("r1"));
+            first += usize::from(read.link.server == server_id("r1"));
             bench.read_done(&read);
             let write = bench.take();
             bench.end(&write, 10, 1);
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -136,7 +136,7 @@
 #[test]
 fn health_check_answer_is_shared_with_peers() {
     let mut bench = on();
-    let host = bitternlatch_inventory::host_id("r1");
+    let host = bitternlatch_inventory::server_id("r1");
     bench.probes.clear();
     bench.step(Input::Overload(Word::Probe { host }));
     let (link, id) = bench.probes.pop().expect("a probe");
@@ -152,7 +152,7 @@
     told(&mut bench, 48.0, 0.0, 60.0);
     bench.probes.clear();
     bench.step(Input::Overload(Word::Probe {
-        host: bitternlatch_inventory::host_id("r1"),
+        host: bitternlatch_inventory::server_id("r1"),
     }));
     assert!(bench.probes.is_empty());
     assert!((0..50).all(|n| asked(&mut bench, n).is_none()));
@@ -178,7 +178,7 @@
 fn on_trial(many: u32, for_s: u64) -> Bench {
     let mut bench = on();
     told(&mut bench, 0.0, 100.0, 60.0);
-    let host = bitternlatch_inventory::host_id("r1");
+    let host = bitternlatch_inventory::server_id("r1");
     let until = Duration::from_micros(bench.now.0) + Duration::from_secs(for_s);
     bench.step(Input::Overload(Word::Trial { host, many, until }));
     for n in 0..8 {
@@ -200,7 +200,7 @@
         .iter()
         .take(3)
         .for_each(|t| bench.error(t, 500, None));
-    let r1 = bitternlatch_inventory::host_id("r1");
+    let r1 = bitternlatch_inventory::server_id("r1");
     let told = |o: &&Output| matches!(o, Output::Overload(Ask::Tried { host, well: false }) if *host == r1);
     assert_eq!(
         bench.out.iter().filter(told).count(),
--- a/crates/inventory/src/ansible.rs
+++ b/crates/inventory/src/ansible.rs
@@ -1,17 +1,17 @@
 //! Ansible's YAML inventory: groups with `hosts`, `children` and `vars`, and host ranges.
 //!
 //! Variables are merged as Ansible's documentation states: a child group's over its parent's, among groups of
-//! one depth the later name's over the earlier's, and a host's own over all.
+//! one depth the later name's over the earlier's, and a server's own over all.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 
 use crate::ranges::expand;
-use crate::{RawHost, HOSTS_MOST};
+use crate::{Fault, RawServer, MAX_SERVERS};
 
-/// Depth of groups within groups at the most.
-const DEPTH_MOST: usize = 16;
+/// Most levels of nested groups.
+const MAX_GROUP_DEPTH: usize = 16;
 
 type Vars = BTreeMap<String, Scalar>;
 
@@ -27,7 +27,7 @@
 }
 
 impl Scalar {
-    fn word(&self) -> Option<String> {
+    fn field(&self) -> Option<String> {
         match self {
             Scalar::Bool(b) => Some(b.to_string()),
             Scalar::Whole(n) => Some(n.to_string()),
@@ -49,74 +49,83 @@
     vars: Option<Vars>,
 }
 
-/// What is gathered of one host: variables with the depth and group they come from.
+/// The variables of one group.
+struct Layer {
+    depth: usize,
+    group: String,
+    vars: Vars,
+}
+
+/// The variables of one server, by the groups that they come from.
 #[derive(Default)]
-struct Gathered {
+struct CollectedServer {
     line: u64,
-    layers: Vec<(usize, String, Vars)>,
+    layers: Vec<Layer>,
     own: Vars,
 }
 
-pub(crate) fn read(text: &str) -> Result<Vec<RawHost>, (u64, String)> {
+pub(crate) fn read(text: &str) -> Result<Vec<RawServer>, Fault> {
     let fault = |e: serde_saphyr::Error| {
         let line = e.location().map_or(0, |l| l.line());
-        let whole = e.to_string();
-        (
+        let message = e.to_string();
+        let cause = message.lines().next().unwrap_or("broken YAML");
+        Fault {
             line,
-            whole
-                .lines()
-                .next()
-                .unwrap_or("broken YAML")
-                .trim()
-                .to_string(),
-        )
+            cause: cause.trim().to_string(),
+        }
     };
     let top: BTreeMap<String, Option<Group>> = serde_saphyr::from_str(text).map_err(fault)?;
-    let mut hosts: BTreeMap<String, Gathered> = BTreeMap::new();
+    let mut servers: BTreeMap<String, CollectedServer> = BTreeMap::new();
     for (name, group) in &top {
         if let Some(group) = group {
-            gather(text, name, group, &mut Vec::new(), &mut hosts)?;
+            collect_group(text, name, group, &mut Vec::new(), &mut servers)?;
         }
     }
-    let raw = hosts.into_iter().map(|(name, found)| {
+    let raw = servers.into_iter().map(|(name, found)| {
         let mut layers = found.layers;
-        layers.sort_by(|a, b| (a.0, &a.1).cmp(&(b.0, &b.1)));
-        let all = layers.into_iter().map(|l| l.2).chain([found.own]).flatten();
-        let words = all.filter_map(|(k, v)| v.word().map(|w| (k, w))).collect();
-        RawHost {
+        layers.sort_by(|a, b| (a.depth, &a.group).cmp(&(b.depth, &b.group)));
+        let all = layers
+            .into_iter()
+            .map(|l| l.vars)
+            .chain([found.own])
+            .flatten();
+        let fields = all.filter_map(|(k, v)| v.field().map(|w| (k, w))).collect();
+        RawServer {
             name,
             line: found.line,
-            words,
+            fields,
         }
     });
     Ok(raw.collect())
 }
 
-fn gather<'a>(
+fn collect_group<'a>(
     text: &str,
     name: &'a str,
     group: &'a Group,
-    above: &mut Vec<(&'a str, &'a Vars)>,
-    hosts: &mut BTreeMap<String, Gathered>,
-) -> Result<(), (u64, String)> {
+    ancestors: &mut Vec<(&'a str, &'a Vars)>,
+    servers: &mut BTreeMap<String, CollectedServer>,
+) -> Result<(), Fault> {
     static NONE: Vars = Vars::new();
-    if above.len() >= DEPTH_MOST {
-        return Err((
-            line_of(text, name),
-            format!("group '{name}' lies deeper than {DEPTH_MOST} groups"),
-        ));
+    if ancestors.len() >= MAX_GROUP_DEPTH {
+        return Err(Fault {
+            line: line_of(text, name),
+            cause: format!("group '{name}' lies deeper than {MAX_GROUP_DEPTH} groups"),
+        });
     }
-    above.push((name, group.vars.as_ref().unwrap_or(&NONE)));
+    ancestors.push((name, group.vars.as_ref().unwrap_or(&NONE)));
     for (pattern, own) in group.hosts.iter().flatten() {
         let line = line_of(text, pattern);
-        let room = HOSTS_MOST.saturating_sub(hosts.len());
-        for host in expand(pattern, room + 1).map_err(|cause| (line, cause))? {
-            let found = hosts.entry(host).or_default();
+        let remaining = MAX_SERVERS.saturating_sub(servers.len());
+        for server in expand(pattern, remaining + 1).map_err(|cause| Fault { line, cause })? {
+            let found = servers.entry(server).or_default();
             found.line = line;
-            for (depth, (group, vars)) in above.iter().enumerate() {
-                found
-                    .layers
-                    .push((depth, group.to_string(), (*vars).clone()));
+            for (depth, (group, vars)) in ancestors.iter().enumerate() {
+                found.layers.push(Layer {
+                    depth,
+                    group: group.to_string(),
+                    vars: (*vars).clone(),
+                });
             }
             found
                 .own
@@ -125,19 +134,21 @@
     }
     for (child, inner) in group.children.iter().flatten() {
         if let Some(inner) = inner {
-            gather(text, child, inner, above, hosts)?;
+            collect_group(text, child, inner, ancestors, servers)?;
         }
     }
-    above.pop();
+    ancestors.pop();
     Ok(())
 }
 
 /// The first line on which a key stands, plain or quoted; 0 if none does.
 fn line_of(text: &str, key: &str) -> u64 {
-    let stands = |line: &str| {
+    let is_key_line = |line: &str| {
         let line = line.trim_start().trim_start_matches(['"', '\'']);
         line.strip_prefix(key)
             .is_some_and(|rest| rest.trim_start_matches(['"', '\'']).starts_with(':'))
     };
-    text.lines().position(stands).map_or(0, |i| i as u64 + 1)
+    text.lines()
+        .position(is_key_line)
+        .map_or(0, |i| i as u64 + 1)
 }
--- a/crates/inventory/src/last_good.rs
+++ b/crates/inventory/src/last_good.rs
@@ -1,19 +1,22 @@
 //! When a list that is read again and again counts: the last good one stays until a whole new one has settled.
 
-use crate::{parse, HostSet, ListError};
+use crate::{parse, ListError, ServerSet};
 
-/// How a new list differs from the one before, by host name.
+/// How a new list differs from the one before, by server name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Difference {
+    /// Servers that are new.
     pub added: Vec<String>,
+    /// Servers that are no longer listed.
     pub removed: Vec<String>,
+    /// Servers with another value in any field.
     pub changed: Vec<String>,
 }
 
 impl Difference {
     /// From `old` to `new`.
-    pub fn between(old: &HostSet, new: &HostSet) -> Self {
-        let names = |keep: &dyn Fn(&String) -> bool, of: &HostSet| {
+    pub fn between(old: &ServerSet, new: &ServerSet) -> Self {
+        let names = |keep: &dyn Fn(&String) -> bool, of: &ServerSet| {
             of.keys().filter(|n| keep(n)).cloned().collect::<Vec<_>>()
         };
         Difference {
@@ -23,6 +26,7 @@
         }
     }
 
+    /// Whether the lists are equal.
     pub fn is_empty(&self) -> bool {
         self.added.is_empty() && self.removed.is_empty() && self.changed.is_empty()
     }
@@ -35,7 +39,7 @@
     Nothing,
     /// A new list counts from now on.
     Taken(Difference),
-    /// Broken, told once for each broken text; the last good list stays.
+    /// The text is broken, reported once for each broken text; the last good list stays in force.
     Broken(ListError),
 }
 
@@ -45,42 +49,42 @@
 /// and half new and valid all the same, is passed over. The first text counts at once.
 #[derive(Debug, Default)]
 pub struct LastGood {
-    hosts: HostSet,
-    taken: Option<u64>,
-    seen: Option<u64>,
-    told: Option<u64>,
+    servers: ServerSet,
+    in_force: Option<u64>,
+    last_read: Option<u64>,
+    reported_broken: Option<u64>,
 }
 
 impl LastGood {
     /// The list in force; empty before the first good one.
-    pub fn hosts(&self) -> &HostSet {
-        &self.hosts
+    pub fn servers(&self) -> &ServerSet {
+        &self.servers
     }
 
     /// Whether the file as it was offered last is broken, and an earlier one counts.
     pub fn is_broken(&self) -> bool {
-        self.told.is_some()
+        self.reported_broken.is_some()
     }
 
     /// Takes what the file holds now.
     pub fn offer(&mut self, file: &str, text: &str) -> Offer {
         let mark = xxhash_rust::xxh3::xxh3_64(text.as_bytes());
-        let settled = self.seen.replace(mark) == Some(mark) || self.taken.is_none();
-        if self.taken == Some(mark) {
-            self.told = None;
+        let settled = self.last_read.replace(mark) == Some(mark) || self.in_force.is_none();
+        if self.in_force == Some(mark) {
+            self.reported_broken = None;
             return Offer::Nothing;
         }
-        if !settled || self.told == Some(mark) {
+        if !settled || self.reported_broken == Some(mark) {
             return Offer::Nothing;
         }
         match parse(file, text) {
-            Ok(hosts) => {
-                let difference = Difference::between(&self.hosts, &hosts);
-                (self.hosts, self.taken, self.told) = (hosts, Some(mark), None);
+            Ok(servers) => {
+                let difference = Difference::between(&self.servers, &servers);
+                (self.servers, self.in_force, self.reported_broken) = (servers, Some(mark), None);
                 Offer::Taken(difference)
             }
             Err(e) => {
-                self.told = Some(mark);
+                self.reported_broken = Some(mark);
                 Offer::Broken(e)
             }
         }
--- a/crates/inventory/src/ranges.rs
+++ b/crates/inventory/src/ranges.rs
@@ -3,8 +3,8 @@
 /// The names that a pattern stands for, in order; a pattern may hold several ranges.
 ///
 /// # Errors
-/// A range that is not closed, runs backwards, mixes letters with digits, or gives more than `most` names.
-pub fn expand(pattern: &str, most: usize) -> Result<Vec<String>, String> {
+/// A range that is not closed, runs backwards, mixes letters with digits, or gives more than `max` names.
+pub fn expand(pattern: &str, max: usize) -> Result<Vec<String>, String> {
     let Some(open) = pattern.find('[') else {
         return Ok(vec![pattern.to_string()]);
     };
@@ -27,11 +27,11 @@
         }
         _ => return Err(wrong("is not of the form [from:to] or [from:to:step]")),
     };
-    let middles = steps(from, to, step, most).map_err(|why| wrong(&why))?;
-    let rest = expand(tail, most)?;
-    if middles.len().saturating_mul(rest.len()) > most {
+    let middles = steps(from, to, step, max).map_err(|why| wrong(&why))?;
+    let rest = expand(tail, max)?;
+    if middles.len().saturating_mul(rest.len()) > max {
         return Err(wrong(&format!(
-            "gives more names than the {most} that a list may still hold"
+            "gives more names than the {max} that a list may still hold"
         )));
     }
     Ok(middles
@@ -40,7 +40,7 @@
         .collect())
 }
 
-fn steps(from: &str, to: &str, step: u64, most: usize) -> Result<Vec<String>, String> {
+fn steps(from: &str, to: &str, step: u64, max: usize) -> Result<Vec<String>, String> {
     let letter = |s: &str| {
         s.chars()
             .next()
@@ -66,9 +66,9 @@
     if a > b {
         return Err("runs backwards".into());
     }
-    if (b - a) / step >= most as u64 {
+    if (b - a) / step >= max as u64 {
         return Err(format!(
-            "gives more names than the {most} that a list may still hold"
+            "gives more names than the {max} that a list may still hold"
         ));
     }
     let width = if padded { from.len() } else { 0 };
--- a/crates/inventory/src/table.rs
+++ b/crates/inventory/src/table.rs
@@ -1,8 +1,8 @@
 //! CSV with a header row; columns in any order, those not known are passed over.
 
-use crate::RawHost;
+use crate::{Fault, RawServer};
 
-pub(crate) fn read(text: &str) -> Result<Vec<RawHost>, (u64, String)> {
+pub(crate) fn read(text: &str) -> Result<Vec<RawServer>, Fault> {
     let mut reader = csv::ReaderBuilder::new()
         .comment(Some(b'#'))
         .from_reader(text.as_bytes());
@@ -12,35 +12,38 @@
         .map(|h| h.trim().to_ascii_lowercase())
         .collect();
     let Some(name_at) = headers.iter().position(|h| h == "name" || h == "host") else {
-        return Err((
-            1,
-            "the header row has no column 'name' or 'host'".to_string(),
-        ));
+        return Err(Fault {
+            line: 1,
+            cause: "the header row has no column 'name' or 'host'".to_string(),
+        });
     };
     for (i, header) in headers.iter().enumerate() {
         if headers[..i].contains(header) && !header.is_empty() {
-            return Err((1, format!("the header row names column '{header}' twice")));
+            return Err(Fault {
+                line: 1,
+                cause: format!("the header row names column '{header}' twice"),
+            });
         }
     }
-    let mut hosts = Vec::new();
+    let mut servers = Vec::new();
     for record in reader.records() {
         let record = record.map_err(fault)?;
         let line = record.position().map_or(0, |p| p.line());
-        let words = headers
+        let fields = headers
             .iter()
             .cloned()
             .zip(record.iter().map(str::to_string))
             .collect();
-        hosts.push(RawHost {
+        servers.push(RawServer {
             name: record.get(name_at).unwrap_or("").to_string(),
             line,
-            words,
+            fields,
         });
     }
-    Ok(hosts)
+    Ok(servers)
 }
 
-fn fault(e: csv::Error) -> (u64, String) {
+fn fault(e: csv::Error) -> Fault {
     let line = e.position().map_or(0, |p| p.line());
     let cause = match e.kind() {
         csv::ErrorKind::UnequalLengths {
@@ -51,5 +54,5 @@
         csv::ErrorKind::Utf8 { .. } => "this row is not UTF-8".to_string(),
         _ => e.to_string(),
     };
-    (line, cause)
+    Fault { line, cause }
 }
--- a/crates/inventory/tests/lists.rs
+++ b/crates/inventory/tests/lists.rs
@@ -1,6 +1,6 @@
-//! The same hosts from both forms, and lists that are broken in every way that was thought of.
+//! The same servers from both forms, and lists that are broken in every way that was thought of.
 
-use bitternlatch_inventory::{expand, parse, Difference, Form, HostState, LastGood, Offer};
+use bitternlatch_inventory::{expand, parse, Difference, Form, LastGood, Offer, ServerState};
 
 const CSV: &str = "host,ansible_host,port,kind,rack,site,weight,state,note\n\
     box-7.example.org,127.0.0.1,9001,reader,a,pos,,,\"Hall side, \"\"north\"\"\"\n\
@@ -33,7 +33,7 @@
     let eight = &csv["box-8.example.org"];
     assert_eq!(
         (eight.cell.as_str(), eight.weight, eight.state),
-        ("b", 2.0, HostState::Draining)
+        ("b", 2.0, ServerState::Draining)
     );
     assert_eq!(csv["box-7.example.org"].endpoint(), "127.0.0.1:9001");
 }
@@ -120,7 +120,7 @@
             );
         }
     }
-    assert_eq!(good.hosts().len(), 2);
+    assert_eq!(good.servers().len(), 2);
     assert_eq!(good.offer("h.csv", &second), Offer::Nothing, "seen once");
     let Offer::Taken(change) = good.offer("h.csv", &second) else {
         panic!("seen twice alike")
@@ -134,7 +134,7 @@
     assert_eq!(good.offer("h.csv", "name\n"), Offer::Nothing);
     assert!(matches!(good.offer("h.csv", "name\n"), Offer::Broken(_)));
     assert_eq!(good.offer("h.csv", "name\n"), Offer::Nothing, "told once");
-    assert_eq!(good.hosts().len(), 3, "the last good list stays");
+    assert_eq!(good.servers().len(), 3, "the last good list stays");
     assert_eq!(
         good.offer("h.csv", &second),
         Offer::Nothing,
--- a/crates/inventory/tests/stored_list.rs
+++ b/crates/inventory/tests/stored_list.rs
@@ -14,17 +14,17 @@
         let mut list = LastGood::default();
         list.offer(file, text);
         assert!(!list.is_broken());
-        let read = serde_json::to_value(list.hosts()).expect("JSON");
+        let read = serde_json::to_value(list.servers()).expect("JSON");
         assert_eq!(read, expected, "{file}");
     }
 }
 
 #[test]
 fn stored_json_is_read_and_written_alike() {
-    let hosts: bitternlatch_inventory::HostSet = serde_json::from_str(JSON).expect("a list");
-    let written = serde_json::to_string_pretty(&hosts).expect("JSON");
+    let servers: bitternlatch_inventory::ServerSet = serde_json::from_str(JSON).expect("a list");
+    let written = serde_json::to_string_pretty(&servers).expect("JSON");
     assert_eq!(written, JSON.trim_end());
-    let decode = &hosts["decode-1.example.org"];
+    let decode = &servers["decode-1.example.org"];
     assert_eq!(decode.endpoint(), "[fd00::7]:9002");
     assert_eq!(decode.id(), 3_870_502_576);
 }
--- a/crates/net/src/watch.rs
+++ b/crates/net/src/watch.rs
@@ -86,7 +86,9 @@
         Offer::Taken(change) => {
             tracing::info!(added = ?change.added, removed = ?change.removed, changed = ?change.changed,
                 "a new host list counts");
-            Some(Input::ServerList(good.hosts().values().cloned().collect()))
+            Some(Input::ServerList(
+                good.servers().values().cloned().collect(),
+            ))
         }
     }
 }
--- a/programs/dispatch/src/lib.rs
+++ b/programs/dispatch/src/lib.rs
@@ -102,7 +102,7 @@
     if args.check {
         println!(
             "{shown}: good; {} hosts in {}",
-            good.hosts().len(),
+            good.servers().len(),
             list.display()
         );
         return Ok(());
@@ -226,7 +226,7 @@
         ready: Arc::clone(&ready),
         guard,
     });
-    let hosts = good.hosts().values().cloned().collect();
+    let hosts = good.servers().values().cloned().collect();
     to.send(Event::Input(Input::ServerList(hosts)))
         .map_err(|e| e.to_string())?;
     let every = Duration::from_secs_f64(settings.inventory.reread_s);
--- a/programs/inventory-check/src/main.rs
+++ b/programs/inventory-check/src/main.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use bitternlatch_inventory::{parse, Difference, Host, HostSet};
+use bitternlatch_inventory::{parse, Difference, ModelServer, ServerSet};
 use clap::Parser;
 
 /// Checks lists of model hosts (CSV or Ansible YAML) and prints the hosts.
@@ -25,7 +25,7 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    let mut first: Option<(String, HostSet)> = None;
+    let mut first: Option<(String, ServerSet)> = None;
     let mut worst = 0;
     for file in &args.files {
         let shown = file.display().to_string();
@@ -71,9 +71,9 @@
     parts.into_iter().flatten().collect::<Vec<_>>().join("; ")
 }
 
-fn print(hosts: &HostSet, json: bool) {
+fn print(hosts: &ServerSet, json: bool) {
     if json {
-        let with_ids: BTreeMap<&str, (u32, &Host)> = hosts
+        let with_ids: BTreeMap<&str, (u32, &ModelServer)> = hosts
             .iter()
             .map(|(n, h)| (n.as_str(), (h.id(), h)))
             .collect();
