--- a/crates/cluster-net/src/runtime.rs
+++ b/crates/cluster-net/src/runtime.rs
@@ -304,13 +304,16 @@
             if news || at >= tell_at {
                 tell_at = at + TELL_EVERY;
                 let until = micros(at + COUNTS_FOR);
-                let (standing, there) = (whole.membership().standing(), whole.membership().there());
+                let (standing, there) = (
+                    whole.membership().quorum_state(),
+                    whole.membership().present_names(),
+                );
                 told(ClusterEvent::Input(Input::QuorumState {
                     state: standing,
                     present: there,
                     until,
                 }));
-                let (there, part) = (whole.membership().there_keys(), whole.quota().lease());
+                let (there, part) = (whole.membership().present(), whole.quota().lease());
                 self.routes.tell_all(&Peers {
                     quorum: standing,
                     present: there,
--- a/crates/membership/src/datagram_auth.rs
+++ b/crates/membership/src/datagram_auth.rs
@@ -1,6 +1,6 @@
-//! The envelope of a datagram: which cluster, from whom, a number against replays, and a proof.
+//! Authentication of datagrams: a header with cluster, sender and a number against replays, and a keyed tag.
 //!
-//! `version (1) | cluster (4) | sender's name (4) | start (8) | number (8) | kind (1) | what is said | tag (16)`; the
+//! `version (1) | cluster (4) | sender's name (4) | start (8) | number (8) | kind (1) | payload | tag (16)`; the
 //! tag is the first half of a BLAKE3 hash, keyed by the cluster's secret, over all that stands before it. It proves that
 //! the sender knows the secret; it hides nothing.
 
@@ -11,13 +11,13 @@
 const VERSION: u8 = 1;
 const HEAD: usize = 26;
 const TAG: usize = 16;
-/// What sealing adds, bytes.
+/// Header and tag, bytes.
 pub const AUTH_BYTES: usize = HEAD + TAG;
 /// Longest datagram, bytes, as on the users' platform.
 pub const MAX_DATAGRAM: usize = 256;
-/// Longest text within one.
+/// Longest payload of a datagram, bytes.
 pub const MAX_PAYLOAD: usize = MAX_DATAGRAM - HEAD - TAG;
-/// Senders whose numbers are remembered; past it the one heard longest ago is forgotten, and its old
+/// Senders whose numbers are remembered; beyond it the one heard longest ago is forgotten, and its old
 /// datagrams would be taken again until it is heard.
 pub const MAX_SENDERS: usize = 4096;
 /// Numbers before the highest that may still come, out of order.
@@ -67,21 +67,28 @@
     }
 }
 
-/// Why a datagram is dropped.
+/// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum RejectReason {
+    /// Shorter or longer than any datagram.
     #[error("longer or shorter than any datagram of ours")]
     Noise,
+    /// Of another version of the format.
     #[error("another version")]
     Version,
+    /// Of another cluster.
     #[error("another cluster")]
     Cluster,
+    /// The authentication tag does not match.
     #[error("the proof does not fit: a stranger, another secret, or damage")]
     Proof,
+    /// A replay: its number was accepted before, or is too old to tell.
     #[error("taken before, or too old")]
     Replay,
+    /// From a start of its sender that a later one has replaced: the name and that later start.
     #[error("from a start of its sender that has been replaced by start {1}")]
     OldStart(NameKey, u64),
+    /// Authenticated, but its content cannot be decoded.
     #[error("proven, and cannot be read")]
     Unreadable,
 }
@@ -109,20 +116,21 @@
     }
 }
 
-/// Whose affair it is what members say to each other, beside who is there.
+/// The part of the program that a message belongs to, other than membership itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Topic {
-    /// Stewards and parts.
+    /// Leader election and quota leases.
     QuotaLease,
-    /// Who sheds what, repeats, probes.
+    /// Load shedding, retries and health checks.
     Overload,
-    /// Lengths of answers.
+    /// Observed output lengths.
     Lengths,
     /// Steps of workflows and the registers below them.
     Workflows,
 }
 
 impl Topic {
+    /// All topics.
     pub const ALL: [Topic; 4] = [
         Topic::QuotaLease,
         Topic::Overload,
@@ -140,6 +148,7 @@
         }
     }
 
+    /// The topic of a number in datagrams and frames.
     pub fn of(byte: u8) -> Option<Topic> {
         Topic::ALL.into_iter().find(|topic| topic.byte() == byte)
     }
@@ -154,8 +163,9 @@
     Replaced,
     /// What is decided elsewhere.
     Of(Topic),
-    /// To a suspect, by the one whose probe it did not answer; and its denial.
+    /// To a suspect, by the member whose probe it did not answer.
     Doubted,
+    /// A suspect refutes the suspicion.
     Denied,
 }
 
@@ -182,7 +192,7 @@
     datagram.get(5..9).map(|name| NameKey(word(name) as u32))
 }
 
-/// Seals what one process sends.
+/// Signs what one process sends.
 pub struct Signer {
     secret: Secret,
     name: NameKey,
@@ -191,6 +201,7 @@
 }
 
 impl Signer {
+    /// Signs for one start of a process; its datagrams are numbered from 1.
     pub fn new(secret: Secret, name: NameKey, process: u64) -> Signer {
         Signer {
             secret,
@@ -232,7 +243,7 @@
     pub kind: Kind,
 }
 
-/// Opens what comes in; remembers the numbers of each sender.
+/// Verifies what comes in; remembers the numbers of each sender.
 #[derive(Default)]
 pub struct Verifier {
     senders: BTreeMap<NameKey, Numbers>,
@@ -347,67 +358,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn signer(secret: &[u8], process: u64) -> Signer {
-        Signer::new(Secret::new("hall", secret), NameKey::of("d1"), process)
-    }
-
-    #[test]
-    fn a_datagram_is_taken_once_and_out_of_order_within_bounds() {
-        let (mut from, to) = (signer(b"s", 7), signer(b"s", 1));
-        let sent: Vec<Vec<u8>> = (0..100u8).map(|n| from.sign(Kind::Swim, &[n])).collect();
-        let mut verifier = Verifier::default();
-        let mut take = |i: usize| {
-            verifier
-                .verify(&to, &sent[i])
-                .map(|(_, said)| said.to_vec())
-        };
-        assert_eq!(take(5), Ok(vec![5]));
-        assert_eq!(take(3), Ok(vec![3]));
-        assert_eq!(take(3), Err(RejectReason::Replay));
-        assert_eq!(take(5), Err(RejectReason::Replay));
-        assert_eq!(take(99), Ok(vec![99]));
-        assert_eq!(take(36), Ok(vec![36]));
-        assert_eq!(take(35), Err(RejectReason::Replay), "too far back to tell");
-        assert_eq!(take(98), Ok(vec![98]));
-    }
-
-    #[test]
-    fn an_earlier_start_is_not_heard_again() {
-        let (mut old, mut new, to) = (signer(b"s", 7), signer(b"s", 8), signer(b"s", 1));
-        let mut verifier = Verifier::default();
-        let (early, late) = (old.sign(Kind::Swim, b"a"), old.sign(Kind::Swim, b"b"));
-        assert!(verifier.verify(&to, &early).is_ok());
-        assert!(verifier.verify(&to, &new.sign(Kind::Swim, b"c")).is_ok());
-        assert_eq!(
-            verifier.verify(&to, &late),
-            Err(RejectReason::OldStart(NameKey::of("d1"), 8))
-        );
-    }
-
-    #[test]
-    fn strangers_noise_and_every_changed_bit_are_dropped() {
-        let to = signer(b"s", 1);
-        let mut verifier = Verifier::default();
-        assert_eq!(
-            verifier.verify(&to, &signer(b"t", 7).sign(Kind::Swim, b"x")),
-            Err(RejectReason::Proof)
-        );
-        let mut other = Signer::new(Secret::new("yard", b"s"), NameKey::of("d1"), 7);
-        assert_eq!(
-            verifier.verify(&to, &other.sign(Kind::Swim, b"x")),
-            Err(RejectReason::Cluster)
-        );
-        assert_eq!(verifier.verify(&to, &[1; 20]), Err(RejectReason::Noise));
-        assert_eq!(verifier.verify(&to, &[1; 257]), Err(RejectReason::Noise));
-        let good = signer(b"s", 7).sign(Kind::Swim, b"hello");
-        for bit in 0..good.len() * 8 {
-            let mut bad = good.clone();
-            bad[bit / 8] ^= 1 << (bit % 8);
-            assert!(verifier.verify(&to, &bad).is_err(), "bit {bit}");
-        }
-        assert!(verifier.verify(&to, &good).is_ok());
-    }
-}
+mod tests;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,4 +1,4 @@
-//! Who of the dispatchers is there, who has failed and who is leaving, as one of them knows it.
+//! Membership of the cluster: which dispatchers are present, have failed or are leaving, as one of them knows it.
 //!
 //! No input or output: datagrams, a clock and a seed go in; datagrams and events come out, and the time at which it
 //! wants to be woken. The same code runs in service, in tests and in simulated time.
@@ -8,13 +8,17 @@
 //! gives its peers the time that it lost before it confirmations them.
 
 mod datagram_auth;
+mod detector_config;
 mod incarnation_watch;
 mod member;
+mod member_table;
 mod protocol;
 mod quorum;
+mod quorum_tracker;
 mod roster;
 pub mod simulated;
 mod suspicion;
+mod timers;
 mod view;
 
 pub use datagram_auth::{
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! What a member is: a name, where it is heard, and one start of its process.
+//! Identity of a member: its name, its address, and one start of its process.
 
 use std::net::SocketAddrV4;
 
@@ -11,6 +11,7 @@
 pub struct NameKey(pub u32);
 
 impl NameKey {
+    /// The short form of a name.
     pub fn of(name: &str) -> NameKey {
         let hash = blake3::hash(name.as_bytes());
         let [a, b, c, d, ..] = *hash.as_bytes();
@@ -18,21 +19,26 @@
     }
 }
 
-/// One start of a process, and how often it has come back under it after others had given it up.
+/// One start of a process, and how often it has rejoined under it after others had given it up.
 ///
 /// Later starts are larger: Unix milliseconds of the start, or one more than the last start that the process's
 /// folder tells of, whichever is later, so that a clock set back does not make a restart look older.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Start {
+    /// Number of the start of the process.
     pub process: u64,
+    /// How often it has rejoined under this start.
     pub comeback: u16,
 }
 
 /// One member as peers know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id {
+    /// Short form of its name.
     pub name: NameKey,
+    /// Where it receives datagrams and connections.
     pub address: SocketAddrV4,
+    /// Which start of its process this is.
     pub start: Start,
 }
 
--- a/crates/membership/src/quorum.rs
+++ b/crates/membership/src/quorum.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher knows of the whole, and what it may do while it knows no more than that.
+//! How much of the roster is present, and which requests a dispatcher admits in that state.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,6 +11,7 @@
     CutOff,
     /// More than half, not all.
     Majority,
+    /// All members of the roster are present.
     Whole,
 }
 
@@ -29,12 +30,15 @@
 /// What a request may do to the world, as its class says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EffectClass {
+    /// Without an effect, or safe to repeat.
     Safe,
+    /// With an idempotency key.
     Keyed,
+    /// With an effect that must not be repeated.
     Unsafe,
 }
 
-/// Which part of a bound that all dispatchers share may be used.
+/// Which part of a quota that all dispatchers share may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaFraction {
     /// What each of the roster may spend whatever happens, at once and though what it was lent would count for a while yet.
@@ -90,53 +94,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn halves_are_never_both_a_majority() {
-        for roster in 2..=300 {
-            for there in 1..roster {
-                let (one, other) = (
-                    QuorumState::of(there, roster),
-                    QuorumState::of(roster - there, roster),
-                );
-                assert!(
-                    one < QuorumState::Majority || other < QuorumState::Majority,
-                    "{there} of {roster}"
-                );
-            }
-        }
-        assert_eq!(QuorumState::of(1, 1), QuorumState::Whole);
-        assert_eq!(QuorumState::of(1, 2), QuorumState::Alone);
-    }
-
-    #[test]
-    fn who_cannot_know_takes_nothing_that_could_harm_and_goes_on_with_what_cannot() {
-        for standing in [
-            QuorumState::Alone,
-            QuorumState::CutOff,
-            QuorumState::Majority,
-            QuorumState::Whole,
-        ] {
-            assert!(AdmissionMode::of(standing, true, EffectClass::Safe).takes);
-            // Alone it cannot tell whose fault it is, and a host may come in time.
-            assert_eq!(
-                AdmissionMode::of(standing, false, EffectClass::Safe).takes,
-                standing == QuorumState::Alone
-            );
-            assert!(
-                !AdmissionMode::of(standing, false, EffectClass::Unsafe).takes
-                    && !AdmissionMode::of(standing, false, EffectClass::Safe).ready
-            );
-            let knows = standing >= QuorumState::Majority;
-            for work in [EffectClass::Keyed, EffectClass::Unsafe] {
-                assert_eq!(AdmissionMode::of(standing, true, work).takes, knows);
-                assert_eq!(
-                    AdmissionMode::of(standing, true, work).share == QuotaFraction::Leased,
-                    knows
-                );
-            }
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/membership/src/quorum/tests.rs
@@ -0,0 +1,48 @@
+use super::*;
+
+#[test]
+fn two_sides_are_never_both_a_majority() {
+    for roster in 2..=300 {
+        for there in 1..roster {
+            let (one, other) = (
+                QuorumState::of(there, roster),
+                QuorumState::of(roster - there, roster),
+            );
+            assert!(
+                one < QuorumState::Majority || other < QuorumState::Majority,
+                "{there} of {roster}"
+            );
+        }
+    }
+    assert_eq!(QuorumState::of(1, 1), QuorumState::Whole);
+    assert_eq!(QuorumState::of(1, 2), QuorumState::Alone);
+}
+
+#[test]
+fn only_a_majority_admits_requests_with_effects() {
+    for standing in [
+        QuorumState::Alone,
+        QuorumState::CutOff,
+        QuorumState::Majority,
+        QuorumState::Whole,
+    ] {
+        assert!(AdmissionMode::of(standing, true, EffectClass::Safe).takes);
+        // Alone it cannot tell whose fault it is, and a host may come in time.
+        assert_eq!(
+            AdmissionMode::of(standing, false, EffectClass::Safe).takes,
+            standing == QuorumState::Alone
+        );
+        assert!(
+            !AdmissionMode::of(standing, false, EffectClass::Unsafe).takes
+                && !AdmissionMode::of(standing, false, EffectClass::Safe).ready
+        );
+        let knows = standing >= QuorumState::Majority;
+        for work in [EffectClass::Keyed, EffectClass::Unsafe] {
+            assert_eq!(AdmissionMode::of(standing, true, work).takes, knows);
+            assert_eq!(
+                AdmissionMode::of(standing, true, work).share == QuotaFraction::Leased,
+                knows
+            );
+        }
+    }
+}
--- a/crates/membership/src/simulated.rs
+++ b/crates/membership/src/simulated.rs
@@ -31,17 +31,24 @@
 
 /// One member's place; empty while its process is not there.
 pub struct Node {
+    /// The process; none while it does not run.
     pub member: Option<Membership>,
+    /// Whether the process is paused: datagrams wait in its socket.
     pub paused: bool,
     inbox: Vec<(usize, Vec<u8>)>, // What waits in the socket of one that is paused.
 }
 
 /// Members, what is under way between them, and what they told.
 pub struct World {
+    /// The network between members.
     pub net: Network<Vec<u8>>,
+    /// All members, by number.
     pub nodes: Vec<Node>,
+    /// Events with their time and the member that reported them.
     pub events: Vec<(Duration, usize, Event)>,
+    /// Longest datagram that was sent, bytes.
     pub longest: usize,
+    /// All that was sent, bytes.
     pub bytes: u64,
     /// Everything ever sent, where kept.
     pub kept: Option<Vec<(usize, usize, Vec<u8>)>>,
@@ -170,7 +177,7 @@
 
     /// None where its process is not there.
     pub fn standing(&self, i: usize) -> Option<QuorumState> {
-        self.nodes[i].member.as_ref().map(Membership::standing)
+        self.nodes[i].member.as_ref().map(Membership::quorum_state)
     }
 
     /// What one member holds of another.
@@ -186,7 +193,7 @@
     pub fn all_whole(&self) -> bool {
         let alive = self.nodes.iter().filter_map(|n| n.member.as_ref());
         alive
-            .map(Membership::standing)
+            .map(Membership::quorum_state)
             .all(|s| s == QuorumState::Whole)
     }
 
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -76,7 +76,7 @@
     pub(crate) fn ask_suspects(&mut self, now: Duration, out: &mut Vec<Output>) {
         for name in self.confirmations.take_due(now) {
             let known = self
-                .swim
+                .detector
                 .iter_membership_state()
                 .find(|m| m.id().name == name);
             match known.map(|m| (*m.id(), m.incarnation())) {
@@ -93,21 +93,21 @@
     }
 
     /// This one is suspected: it denies, to all by the library's news, and to the one that asks at once.
-    pub(crate) fn deny(
+    pub(crate) fn refute_suspicion(
         &mut self,
         by: NameKey,
         said: &[u8],
         out: &mut Vec<Output>,
     ) -> Result<(), RejectReason> {
         let (start, incarnation) = read(said)?;
-        let me = *self.swim.identity();
+        let me = *self.detector.identity();
         // Of another start of this name: that one has gone, and a denial of this one says nothing of it.
         if start != me.start || incarnation == u16::MAX {
             return Ok(());
         }
         let suspected = Member::new(me, incarnation, foca::State::Suspect);
         let denied = self
-            .swim
+            .detector
             .apply_many(std::iter::once(suspected), true, &mut self.runtime);
         denied.map_err(|_| RejectReason::Unreadable)?;
         // After it the own incarnation is one more than the suspected one, or higher still.
@@ -119,10 +119,14 @@
     }
 
     /// A suspect's own word.
-    pub(crate) fn denied(&mut self, name: NameKey, said: &[u8]) -> Result<(), RejectReason> {
+    pub(crate) fn on_suspicion_refuted(
+        &mut self,
+        name: NameKey,
+        said: &[u8],
+    ) -> Result<(), RejectReason> {
         let (start, incarnation) = read(said)?;
         let known = self
-            .swim
+            .detector
             .iter_membership_state()
             .find(|m| m.id().name == name && m.id().start == start);
         let Some(id) = known.map(|m| *m.id()) else {
@@ -130,31 +134,11 @@
         };
         let alive = Member::new(id, incarnation, foca::State::Alive);
         let taken = self
-            .swim
+            .detector
             .apply_many(std::iter::once(alive), true, &mut self.runtime);
         taken.map_err(|_| RejectReason::Unreadable)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn questions_are_written_and_read_and_suspects_have_a_bound() {
-        let start = Start {
-            process: 1 << 50,
-            comeback: 300,
-        };
-        assert_eq!(read(&written(start, 65_000)), Ok((start, 65_000)));
-        assert_eq!(read(&[0; 11]), Err(RejectReason::Unreadable));
-        let mut confirmations = SuspicionConfirmations::default();
-        let at = Duration::from_millis;
-        (0..100).for_each(|n| confirmations.begin(at(10), NameKey(n)));
-        assert_eq!(confirmations.take_due(at(10)).len(), ASKED_MOST);
-        assert!(confirmations.take_due(at(100)).is_empty());
-        assert_eq!(confirmations.next(), Some(at(160)));
-        confirmations.end(NameKey(0));
-        assert_eq!(confirmations.take_due(at(160)).len(), ASKED_MOST - 1);
-    }
-}
+mod tests;
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,4 @@
-//! What one member knows of the others, as it is shown.
+//! What one member knows of the others, for operators.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -16,6 +16,7 @@
 pub enum State {
     /// Nothing was ever heard of it.
     Unheard,
+    /// Heard of, and not suspected.
     Alive,
     /// A probe went unanswered, here or elsewhere; it still counts as there.
     Suspect,
@@ -24,6 +25,7 @@
 }
 
 impl State {
+    /// Whether it counts as present.
     pub fn is_there(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
@@ -32,22 +34,31 @@
 /// One line of a view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
+    /// Its name, or the short form in hexadecimal.
     pub name: String,
+    /// Its address.
     pub address: SocketAddrV4,
+    /// The start that is known of it.
     pub start: Option<Start>,
+    /// Its state.
     pub state: State,
     /// On the same clock as the calls.
     pub since: Duration,
+    /// What the state is based on.
     pub evidence: &'static str,
 }
 
 /// All that one member knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
+    /// This process.
     pub me: Id,
+    /// How much of the roster is present.
     pub standing: QuorumState,
     /// The later start under the same name to which this process has given way.
     pub fenced_by: Option<Start>,
+    /// All other members that are known.
     pub members: Vec<MemberView>,
+    /// Datagrams that were rejected, by reason.
     pub dropped: RejectCounts,
 }
--- a/crates/membership/tests/cluster.rs
+++ b/crates/membership/tests/cluster.rs
@@ -3,7 +3,7 @@
 use bitternlatch_membership::*;
 
 #[test]
-fn three_find_each_other_and_miss_one_that_is_killed() {
+fn killed_member_is_detected_and_rejoins() {
     let mut world = World::new(3, 1);
     world.run(ms(3_000));
     assert!(world.all_whole());
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn one_that_stands_still_is_given_up_doubts_itself_first_and_comes_back() {
+fn paused_member_suspects_no_others_and_rejoins() {
     let mut world = World::new(5, 2);
     world.run(ms(3_000));
     world.nodes[4].paused = true;
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn halves_know_that_they_are_no_majority_and_find_each_other_again() {
+fn partitioned_sides_know_their_quorum_and_merge() {
     let mut world = World::new(6, 3);
     world.run(ms(3_000));
     world.net.passes = Box::new(|from, to| (from < 2) == (to < 2));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn one_that_hears_nobody_is_alone_and_not_the_last_one_alive() {
+fn isolated_member_is_alone() {
     let mut world = World::new(4, 4);
     world.run(ms(3_000));
     world.net.passes = Box::new(|from, to| from != 0 && to != 0);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn two_that_came_back_together_go_on_probing() {
+fn two_members_that_rejoin_together_go_on_probing() {
     // Found by the property of two sides: much loss and one apart, then two of five apart from the rest. Not every seed
     // gives that course.
     let mut courses = 0;
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_third_that_hears_both_keeps_all_three_together() {
+fn indirect_probes_keep_members_with_a_cut_between_them() {
     let mut world = World::new(3, 5);
     world.run(ms(3_000));
     world.net.passes = Box::new(|from, to| from + to != 1); // Members 0 and 1 do not hear each other.
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn lost_and_doubled_datagrams_remove_nobody() {
+fn lost_and_duplicated_datagrams_remove_nobody() {
     for (loss, seed) in [(0.05, 6), (0.05, 7), (0.05, 8)] {
         let mut world = World::new(10, seed);
         (world.net.loss, world.net.twice) = (loss, 0.2);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn all_restarted_together_find_each_other() {
+fn members_restarted_in_turn_find_each_other() {
     let mut world = World::new(10, 10);
     world.run(ms(5_000));
     for i in 0..10 {
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_farewell_is_believed_at_once() {
+fn leave_announcement_counts_at_once() {
     let mut world = World::new(5, 11);
     world.run(ms(3_000));
     let (now, mut out) = (world.net.now, vec![]);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn of_two_under_one_name_the_later_goes_on_and_the_other_says_so() {
+fn later_start_under_one_name_fences_the_earlier() {
     // The later one has its sockets elsewhere, as two processes cannot share an address.
     let mut world = World::new(5, 12);
     world.run(ms(3_000));
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn no_datagram_is_longer_than_the_platform_takes() {
+fn no_datagram_exceeds_the_limit() {
     let mut world = World::new(60, 13);
     world.run(ms(10_000));
     assert!(world.all_whole());
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -61,7 +61,7 @@
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn all_agree_once_all_is_well(seed in any::<u64>(), steps in prop::collection::vec(step(), 1..25)) {
+    fn members_agree_after_faults_end(seed in any::<u64>(), steps in prop::collection::vec(step(), 1..25)) {
         let mut world = World::new(MEMBERS, seed);
         steps.iter().for_each(|s| take(&mut world, s));
         heal(&mut world);
@@ -81,7 +81,7 @@
     }
 
     #[test]
-    fn of_two_sides_that_stay_apart_at_most_one_holds_itself_for_a_majority(
+    fn at_most_one_partition_is_a_majority(
         seed in any::<u64>(),
         side in 1u8..31,
         steps in prop::collection::vec(step(), 0..10),
