--- /dev/null
+++ b/crates/cluster-net/src/error/tests.rs
@@ -0,0 +1,63 @@
+use super::*;
+
+#[test]
+fn each_says_what_to_do_and_no_two_the_same() {
+    let io = || io::Error::from(io::ErrorKind::PermissionDenied);
+    let json = || serde_json::from_str::<u8>("x").expect_err("no number");
+    let (path, address) = (
+        PathBuf::from("f"),
+        SocketAddrV4::new([127, 0, 0, 1].into(), 1),
+    );
+    let faults = || {
+        SeedErrors(vec![
+            (address, SeedError::Shape),
+            (address, SeedError::Proof),
+        ])
+    };
+    let peer = SocketAddr::V4(address);
+    let all = [
+        ClusterNetError::Secret {
+            path: path.clone(),
+            why: io::ErrorKind::NotFound.into(),
+        },
+        ClusterNetError::Secret {
+            path: path.clone(),
+            why: io(),
+        },
+        ClusterNetError::SecretSize {
+            path: path.clone(),
+            bytes: 1,
+            least: 16,
+            most: 4096,
+        },
+        ClusterNetError::Roster(RosterError::Size(0)),
+        ClusterNetError::NoAddress,
+        ClusterNetError::Address {
+            what: EndpointKind::Datagrams,
+            address,
+            why: io(),
+        },
+        ClusterNetError::Start {
+            path: path.clone(),
+            why: io(),
+        },
+        ClusterNetError::NoNumber { path },
+        ClusterNetError::Random(getrandom::Error::UNSUPPORTED),
+        ClusterNetError::Thread(io()),
+        ClusterNetError::Seeds(faults()),
+        ClusterNetError::KeptRoster {
+            seeds: faults(),
+            kept: SeedError::OtherCluster("x".into()),
+        },
+        ClusterNetError::NoAnswer { peer, why: io() },
+        ClusterNetError::NoView { peer, why: json() },
+    ];
+    let advice: std::collections::BTreeSet<&str> =
+        all.iter().map(ClusterNetError::advice).collect();
+    assert_eq!(advice.len(), all.len());
+    assert!(all
+        .iter()
+        .all(|e| e.with_advice().ends_with(e.advice())
+            && e.with_advice().len() > e.advice().len() + 2));
+    assert!(faults().to_string().contains("; 127.0.0.1:1: the proof"));
+}
--- a/crates/membership/src/datagram_auth.rs
+++ b/crates/membership/src/datagram_auth.rs
@@ -266,7 +266,7 @@
     /// The same of anything sealed, up to so many bytes.
     ///
     /// # Errors
-    /// As [`Verifier::open`].
+    /// As [`Verifier::verify`].
     pub fn verify_up_to<'a>(
         &mut self,
         secret: &Signer,
