--- a/crates/inventory/src/ansible.rs
+++ b/crates/inventory/src/ansible.rs
@@ -99,11 +99,17 @@
     Ok(raw.collect())
 }
 
+/// A group that the present one lies in, or itself.
+struct Ancestor<'a> {
+    name: &'a str,
+    vars: &'a Vars,
+}
+
 fn collect_group<'a>(
     text: &str,
     name: &'a str,
     group: &'a Group,
-    ancestors: &mut Vec<(&'a str, &'a Vars)>,
+    ancestors: &mut Vec<Ancestor<'a>>,
     servers: &mut BTreeMap<String, CollectedServer>,
 ) -> Result<(), Fault> {
     static NONE: Vars = Vars::new();
@@ -113,23 +119,15 @@
             cause: format!("group '{name}' lies deeper than {MAX_GROUP_DEPTH} groups"),
         });
     }
-    ancestors.push((name, group.vars.as_ref().unwrap_or(&NONE)));
+    let vars = group.vars.as_ref().unwrap_or(&NONE);
+    ancestors.push(Ancestor { name, vars });
     for (pattern, own) in group.hosts.iter().flatten() {
         let line = line_of(text, pattern);
         let remaining = MAX_SERVERS.saturating_sub(servers.len());
-        for server in expand(pattern, remaining + 1).map_err(|cause| Fault { line, cause })? {
-            let found = servers.entry(server).or_default();
-            found.line = line;
-            for (depth, (group, vars)) in ancestors.iter().enumerate() {
-                found.layers.push(Layer {
-                    depth,
-                    group: group.to_string(),
-                    vars: (*vars).clone(),
-                });
-            }
-            found
-                .own
-                .extend(own.iter().flatten().map(|(k, v)| (k.clone(), v.clone())));
+        let names = expand(pattern, remaining + 1).map_err(|cause| Fault { line, cause })?;
+        for server in names {
+            let collected = servers.entry(server).or_default();
+            collected.add(line, ancestors, own.as_ref());
         }
     }
     for (child, inner) in group.children.iter().flatten() {
@@ -141,6 +139,22 @@
     Ok(())
 }
 
+impl CollectedServer {
+    /// Adds what one mention of the server gives it.
+    fn add(&mut self, line: u64, ancestors: &[Ancestor], own: Option<&Vars>) {
+        self.line = line;
+        for (depth, ancestor) in ancestors.iter().enumerate() {
+            self.layers.push(Layer {
+                depth,
+                group: ancestor.name.to_string(),
+                vars: ancestor.vars.clone(),
+            });
+        }
+        let own = own.into_iter().flatten();
+        self.own.extend(own.map(|(k, v)| (k.clone(), v.clone())));
+    }
+}
+
 /// The first line on which a key stands, plain or quoted; 0 if none does.
 fn line_of(text: &str, key: &str) -> u64 {
     let is_key_line = |line: &str| {
