--- a/crates/core/src/cluster_mode.rs
+++ b/crates/core/src/cluster_mode.rs
@@ -1,4 +1,4 @@
-//! What this dispatcher may do by what it knows of its peers, checked at the act and by time.
+//! What this dispatcher admits in its present quorum state, judged at each request and expiring by time.
 
 use bitternlatch_membership::{AdmissionMode, EffectClass, QuorumState};
 use bitternlatch_protocol::client::BadRequest;
@@ -8,10 +8,9 @@
 use crate::settings::Effect;
 use crate::types::Micros;
 
-/// Seconds after which one that is sent elsewhere may come back here: a standing takes about that long to mend.
+/// Seconds after which a client that was redirected may come back: a lost quorum takes about that long to return.
 const RETRY_AFTER_S: f64 = 2.0;
 
-/// The last state of the quorum, and who is present.
 /// The state of the quorum, and when it expires.
 #[derive(Clone, Copy, Debug)]
 struct ObservedQuorum {
@@ -19,52 +18,47 @@
     until: Micros,
 }
 
+/// The last observed state of the quorum, and who is present.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     quorum: Option<ObservedQuorum>,
-    /// Names of those that are there.
+    /// Names of the members that are present.
     present: Vec<String>,
 }
 
-fn work(effect: Effect) -> EffectClass {
+fn effect_class(effect: Effect) -> EffectClass {
     match effect {
-        Effect::Safe => EffectClass::Safe,
-        Effect::Keyed => EffectClass::Keyed,
-        Effect::Unsafe => EffectClass::Unsafe,
+        Effect::Safe => EffectClass::Idempotent,
+        Effect::Keyed => EffectClass::IdempotencyKey,
+        Effect::Unsafe => EffectClass::NonIdempotent,
     }
 }
 
 impl Machine {
     pub(crate) fn on_quorum_state(
         &mut self,
-        standing: QuorumState,
-        there: Vec<String>,
+        state: QuorumState,
+        present: Vec<String>,
         until: Micros,
     ) {
         self.peers = Peers {
-            quorum: Some(ObservedQuorum {
-                state: standing,
-                until,
-            }),
-            present: there,
+            quorum: Some(ObservedQuorum { state, until }),
+            present,
         };
     }
 
-    /// What it knows now; `None` where it is to know of nobody. What was told before this process stood still, or has
-    /// not been told again in time, is no knowledge: it counts as alone.
-    pub(crate) fn standing(&self, now: Micros) -> Option<QuorumState> {
+    /// The quorum state that counts now; `None` without a cluster. An observation that has expired, also because this
+    /// process was paused, counts as [`QuorumState::Alone`].
+    pub(crate) fn quorum_state(&self, now: Micros) -> Option<QuorumState> {
         self.settings.cluster.as_ref()?;
         let fresh = self.peers.quorum.filter(|quorum| now < quorum.until);
         Some(fresh.map_or(QuorumState::Alone, |quorum| quorum.state))
     }
 
-    /// What it does with such work now; `None` where it is to know of nobody.
-    pub(crate) fn duty(&self, now: Micros, work: EffectClass) -> Option<AdmissionMode> {
-        Some(AdmissionMode::of(
-            self.standing(now)?,
-            self.reaches_servers(now),
-            work,
-        ))
+    /// What is done with requests of this effect now; `None` without a cluster.
+    pub(crate) fn admission_mode(&self, now: Micros, effect: EffectClass) -> Option<AdmissionMode> {
+        let quorum = self.quorum_state(now)?;
+        Some(AdmissionMode::of(quorum, self.reaches_servers(now), effect))
     }
 
     /// Whether a request of this class may be begun, or sent for the first time, now.
@@ -72,12 +66,12 @@
         let Some(class) = self.settings.classes.get(usize::from(class)) else {
             return false;
         };
-        self.duty(now, work(class.effect))
-            .is_none_or(|duty| duty.takes)
+        self.admission_mode(now, effect_class(class.effect))
+            .is_none_or(|mode| mode.admits)
     }
 
-    /// The refusal of what may not be taken, with where else to try: all others that are there, or, where none is
-    /// known to be, all that there should be.
+    /// The rejection of a request that may not be admitted, with where else to try: all other members that are present,
+    /// or, where none is known to be, all of the roster.
     pub(crate) fn redirect_to_peers(&self, now: Micros) -> Rejection {
         let others = self
             .settings
@@ -88,10 +82,10 @@
         let all: Vec<_> = others
             .filter_map(|p| Some((&p.name, p.client_address.as_ref()?)))
             .collect();
-        let there = |(name, _): &&(&String, &String)| self.peers.present.contains(name);
+        let is_present = |(name, _): &&(&String, &String)| self.peers.present.contains(name);
         let known: Vec<String> = all
             .iter()
-            .filter(there)
+            .filter(is_present)
             .map(|(_, at)| (*at).clone())
             .collect();
         // Where servers fail for all there is nowhere to go.
@@ -121,8 +115,8 @@
     /// Whether callers should come, by what is known of peers and servers.
     pub fn is_ready(&self, now: Micros) -> bool {
         let peers = self
-            .duty(now, EffectClass::Safe)
-            .is_none_or(|duty| duty.ready);
+            .admission_mode(now, EffectClass::Idempotent)
+            .is_none_or(|mode| mode.ready);
         peers && !self.stopping && self.counts().open_links > 0
     }
 }
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -64,11 +64,11 @@
     /// Puts the present fraction in force before anything else is done. What others release counts from the step in which
     /// it is heard of.
     pub(crate) fn apply_quota_lease(&mut self, now: Micros) {
-        let Some(duty) = self.duty(now, EffectClass::Safe) else {
+        let Some(mode) = self.admission_mode(now, EffectClass::Idempotent) else {
             return;
         };
         let unleased = unleased_quota(self.quota_members());
-        let may_spend = duty.share == QuotaFraction::Leased;
+        let may_spend = mode.quota == QuotaFraction::Leased;
         let Some(change) = self.quota_lease.update(now, unleased, may_spend) else {
             return;
         };
--- a/crates/membership/src/quorum.rs
+++ b/crates/membership/src/quorum.rs
@@ -2,12 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Judged against the roster, itself included; members under suspicion still count as there.
+/// How many members of the roster are present, this one included; members under suspicion still count as present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum QuorumState {
-    /// Nobody of the roster is heard: it is taken to be this one that is cut off, not all others that are dead.
+    /// No other member is received from: this one is taken to be cut off, rather than all others dead.
     Alone,
-    /// Some are heard, half of the roster or fewer.
+    /// Some members are present, half of the roster or fewer.
     CutOff,
     /// More than half, not all.
     Majority,
@@ -16,12 +16,12 @@
 }
 
 impl QuorumState {
-    /// By the number of members that are there, of a roster of so many. A roster of one is whole.
-    pub fn of(there: usize, roster: usize) -> QuorumState {
-        match there {
-            _ if there >= roster => QuorumState::Whole,
+    /// The state with so many members present, of a roster of so many. A roster of one is whole.
+    pub fn of(present: usize, roster: usize) -> QuorumState {
+        match present {
+            _ if present >= roster => QuorumState::Whole,
             0 | 1 => QuorumState::Alone,
-            _ if 2 * there > roster => QuorumState::Majority,
+            _ if 2 * present > roster => QuorumState::Majority,
             _ => QuorumState::CutOff,
         }
     }
@@ -31,64 +31,59 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EffectClass {
     /// Without an effect, or safe to repeat.
-    Safe,
+    Idempotent,
     /// With an idempotency key.
-    Keyed,
+    IdempotencyKey,
     /// With an effect that must not be repeated.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Which part of a quota that all dispatchers share may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaFraction {
-    /// What each of the roster may spend whatever happens, at once and though what it was lent would count for a while yet.
+    /// The part that each member of the roster may use without a lease, whatever happens.
     Unleased,
-    /// That, and what it was lent, while that counts.
+    /// That part, and the member's lease until it expires.
     Leased,
 }
 
-/// What a dispatcher does in one standing.
+/// What a dispatcher does with requests of one class in one quorum state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionMode {
-    /// Whether a request is taken on; one that is not is refused at once, with other addresses to try.
-    pub takes: bool,
-    /// Its part of even parts of budgets. The guard of cold hosts has no parts: it draws for each request by itself, so that its sum
-    /// follows the traffic whoever sends it.
-    pub share: QuotaFraction,
-    /// Whether the ready check says so.
+    /// Whether a request is admitted. One that is not is refused at once, with other addresses to try.
+    pub admits: bool,
+    /// The part of shared quotas that may be used. Slow start has no quota: each dispatcher draws for each request by
+    /// itself, so that the sum follows the traffic whoever sends it.
+    pub quota: QuotaFraction,
+    /// Whether the readiness check succeeds.
     pub ready: bool,
-    /// Whether a refusal names members to try: only those that may be better placed.
-    pub names_others: bool,
 }
 
 impl AdmissionMode {
-    /// The table of the design note. Drains are kept in every standing: the list that tells of them has its own way in,
-    /// and where it cannot be read the word of any peer counts. What has no effect is served wherever that harms nobody.
-    /// `hosts` tells whether any model host is reached.
-    pub fn of(standing: QuorumState, hosts: bool, work: EffectClass) -> AdmissionMode {
-        use EffectClass::{Keyed, Safe, Unsafe};
+    /// The table of the design note (`docs/design/membership.md`). Draining is honoured in every quorum state, as the
+    /// list that tells of it does not come from peers; where it cannot be read, any peer's report counts. Idempotent
+    /// requests are served wherever that harms nobody. `servers_reachable`: at least one model server is connected.
+    pub fn of(quorum: QuorumState, servers_reachable: bool, effect: EffectClass) -> AdmissionMode {
+        use EffectClass::{IdempotencyKey, Idempotent, NonIdempotent};
         use QuorumState::{Alone, CutOff, Majority, Whole};
-        let duty = |takes, share, ready, names_others| AdmissionMode {
-            takes,
-            share,
+        let mode = |admits, quota, ready| AdmissionMode {
+            admits,
+            quota,
             ready,
-            names_others,
         };
-        match (standing, work) {
-            // Peers are heard and hosts are not: it is this one that is cut off from them, and others may do better.
-            (Whole | Majority | CutOff, Safe | Keyed | Unsafe) if !hosts => {
-                duty(false, QuotaFraction::Unleased, false, true)
+        match (quorum, effect) {
+            // Peers are received from and no model server is: this dispatcher is cut off from them, others may do better.
+            (Whole | Majority | CutOff, _) if !servers_reachable => {
+                mode(false, QuotaFraction::Unleased, false)
             }
-            (Whole | Majority, Safe | Keyed | Unsafe) => {
-                duty(true, QuotaFraction::Leased, true, true)
-            }
-            (CutOff, Safe) => duty(true, QuotaFraction::Unleased, true, true),
-            // A key seen elsewhere may be running there: one that cannot ask does not run it again.
-            (CutOff, Keyed | Unsafe) => duty(false, QuotaFraction::Unleased, true, true),
-            // All others dead at once is judged as this one cut off: callers are sent away, what harms nobody
-            // is still served for those who can reach no other.
-            (Alone, Safe) => duty(true, QuotaFraction::Unleased, false, true),
-            (Alone, Keyed | Unsafe) => duty(false, QuotaFraction::Unleased, false, true),
+            (Whole | Majority, _) => mode(true, QuotaFraction::Leased, true),
+            (CutOff, Idempotent) => mode(true, QuotaFraction::Unleased, true),
+            // A key seen elsewhere may be running there: a dispatcher that cannot ask does not run it again.
+            (CutOff, IdempotencyKey | NonIdempotent) => mode(false, QuotaFraction::Unleased, true),
+            // All others dead at once is judged as this one cut off: callers are sent away, and idempotent requests are
+            // still served for those who can reach no other.
+            (Alone, Idempotent) => mode(true, QuotaFraction::Unleased, false),
+            (Alone, IdempotencyKey | NonIdempotent) => mode(false, QuotaFraction::Unleased, false),
         }
     }
 }
--- a/crates/membership/src/quorum/tests.rs
+++ b/crates/membership/src/quorum/tests.rs
@@ -26,21 +26,21 @@
         QuorumState::Majority,
         QuorumState::Whole,
     ] {
-        assert!(AdmissionMode::of(standing, true, EffectClass::Safe).takes);
+        assert!(AdmissionMode::of(standing, true, EffectClass::Idempotent).admits);
         // Alone it cannot tell whose fault it is, and a host may come in time.
         assert_eq!(
-            AdmissionMode::of(standing, false, EffectClass::Safe).takes,
+            AdmissionMode::of(standing, false, EffectClass::Idempotent).admits,
             standing == QuorumState::Alone
         );
         assert!(
-            !AdmissionMode::of(standing, false, EffectClass::Unsafe).takes
-                && !AdmissionMode::of(standing, false, EffectClass::Safe).ready
+            !AdmissionMode::of(standing, false, EffectClass::NonIdempotent).admits
+                && !AdmissionMode::of(standing, false, EffectClass::Idempotent).ready
         );
         let knows = standing >= QuorumState::Majority;
-        for work in [EffectClass::Keyed, EffectClass::Unsafe] {
-            assert_eq!(AdmissionMode::of(standing, true, work).takes, knows);
+        for work in [EffectClass::IdempotencyKey, EffectClass::NonIdempotent] {
+            assert_eq!(AdmissionMode::of(standing, true, work).admits, knows);
             assert_eq!(
-                AdmissionMode::of(standing, true, work).share == QuotaFraction::Leased,
+                AdmissionMode::of(standing, true, work).quota == QuotaFraction::Leased,
                 knows
             );
         }
