--- a/crates/platform/src/node/mod.rs
+++ b/crates/platform/src/node/mod.rs
@@ -36,8 +36,9 @@
 use crate::timer::Timer;
 use crate::types::{Command, ConnId, Input, Level};
 
-/// Connections and streams are looked over this often, seconds.
+/// Interval between two sweeps over connections and streams, seconds.
 const SWEEP_SECS: f64 = 0.2;
+
 fn log(commands: &mut Vec<Command>, level: Level, text: String) {
     commands.push(Command::Log { level, text });
 }
