--- a/crates/policy/src/choice/admission.rs
+++ b/crates/policy/src/choice/admission.rs
@@ -3,16 +3,16 @@
 use std::collections::VecDeque;
 
 use super::decay::DecayingMean;
-use super::NEWEST_WEIGHT;
+use super::EWMA_WEIGHT;
 use crate::interface::TenantSettings;
 
 /// Multiple of an estimate that the expected lateness may add, so that a place which looks free is
 /// still tried.
 const MAX_LATENESS_RATIO: f64 = 2.0;
 /// Multiple of its latency objective past which an expected first token is rejected.
-const REJECT_RATIO: f64 = 1.2;
+const MAX_TTFT_RATIO: f64 = 1.2;
 /// The same for what is over its tenant's quota.
-const OVER_QUOTA_REJECT_RATIO: f64 = 0.35;
+const OVER_QUOTA_MAX_TTFT_RATIO: f64 = 0.35;
 /// Seconds of a tenant's quota that may come at once.
 const QUOTA_BURST_S: f64 = 2.0;
 /// Requests beyond that, as few arrivals are a rough count.
@@ -27,7 +27,7 @@
 struct TenantQuota {
     /// Over all dispatchers.
     requests_per_s: f64,
-    allowance: f64,
+    available_requests: f64,
     refilled_at: f64,
 }
 
@@ -36,7 +36,7 @@
         let requests_per_s = self.requests_per_s * quota_fraction;
         let burst = QUOTA_BURST_S * requests_per_s + QUOTA_BURST_REQUESTS;
         let earned = (now - self.refilled_at).max(0.0) * requests_per_s;
-        self.allowance = (self.allowance + earned).min(burst);
+        self.available_requests = (self.available_requests + earned).min(burst);
         self.refilled_at = now.max(self.refilled_at);
     }
 }
@@ -58,7 +58,7 @@
     pub fn new(dispatchers: u32, tenants: &[TenantSettings]) -> Self {
         let tenants = tenants.iter().map(|tenant| TenantQuota {
             requests_per_s: tenant.quota_rps,
-            allowance: f64::INFINITY,
+            available_requests: f64::INFINITY,
             refilled_at: 0.0,
         });
         AdmissionController {
@@ -85,17 +85,17 @@
             return false;
         };
         tenant.refill(self.quota_fraction, now);
-        let left = tenant.allowance;
-        tenant.allowance = (left - 1.0).max(0.0);
+        let left = tenant.available_requests;
+        tenant.available_requests = (left - 1.0).max(0.0);
         left < 1.0
     }
 
     /// Longest time to the first token at which a request is taken, seconds.
-    pub fn max_first_token_s(objective_s: f64, over_quota: bool, time_left_s: f64) -> f64 {
+    pub fn max_ttft_s(objective_s: f64, over_quota: bool, time_left_s: f64) -> f64 {
         let ratio = if over_quota {
-            OVER_QUOTA_REJECT_RATIO
+            OVER_QUOTA_MAX_TTFT_RATIO
         } else {
-            REJECT_RATIO
+            MAX_TTFT_RATIO
         };
         (objective_s * ratio).min(time_left_s)
     }
@@ -112,7 +112,7 @@
     /// A first token has come so much later than expected.
     pub fn record_lateness(&mut self, now: f64, lateness_s: f64) {
         self.lateness
-            .add(lateness_s, 0.5 * NEWEST_WEIGHT, now, LATENESS_HALF_LIFE_S);
+            .add(lateness_s, 0.5 * EWMA_WEIGHT, now, LATENESS_HALF_LIFE_S);
     }
 
     /// How late first tokens come against the estimate at admission, whatever the cause;
--- a/crates/policy/src/choice/arrivals.rs
+++ b/crates/policy/src/choice/arrivals.rs
@@ -14,7 +14,7 @@
 /// request.
 const PROBES_PER_CHOICE: usize = 2;
 /// Multiple of the wait for probes that a request must have left for them to be waited for.
-const MIN_PROBE_WAITS_LEFT: f64 = 10.0;
+const MIN_TIME_LEFT_IN_PROBE_WAITS: f64 = 10.0;
 /// Seconds that a client is told to stay away where no server may take its prompt.
 const NO_SERVER_RETRY_AFTER_S: f64 = 1.0;
 /// The same at the least where the first token is expected late.
@@ -42,7 +42,7 @@
     pub(super) fn on_arrival(&mut self, now: f64, mut request: Request, out: &mut Actions) {
         sanitize(&mut request, self.settings.classes.len());
         let (id, time_left_s) = (request.id, non_negative(request.time_left_s));
-        let state = self.admit(now, request, time_left_s);
+        let state = self.register_arrival(now, request, time_left_s);
         self.retry_budget.record_arrival();
         let selector = self.selector();
         let replicas = selector.prefix_replicas(&state, &selector.context(now), now);
@@ -50,33 +50,29 @@
         let deadline_margin_s = 2.0 * self.settings.tick_s;
         set_timer(id, now + (time_left_s - deadline_margin_s).max(0.0), out);
         let probed = self.probe(now, &replicas, out);
-        if probed.is_empty() || time_left_s < MIN_PROBE_WAITS_LEFT * PROBE_WAIT_S {
-            return self.place(now, id, out);
+        if probed.is_empty() || time_left_s < MIN_TIME_LEFT_IN_PROBE_WAITS * PROBE_WAIT_S {
+            return self.route_new_request(now, id, out);
         }
         let until = now + PROBE_WAIT_S;
         if let Some(state) = self.requests.get_mut(&id) {
             state.stage = Stage::Probing { until };
-            state.probed = probed;
+            state.pending_probes = probed;
         }
         set_timer(id, until, out);
     }
 
     /// Counts an arrival and makes its state.
-    fn admit(&mut self, now: f64, request: Request, time_left_s: f64) -> RequestState {
+    fn register_arrival(&mut self, now: f64, request: Request, time_left_s: f64) -> RequestState {
         let objective_s = self.selector().latency_objective_s(&request);
         let over_quota = self.admission.is_over_quota(now, request.tenant);
         let key = placement_key(&request);
         self.slow_start.record_choice(Role::Prefill);
         RequestState {
-            key,
-            key_share: self.admission.record_key(key),
+            placement_key: key,
+            recent_key_fraction: self.admission.record_key(key),
             memory: memory_use(&request),
             deadline: now + time_left_s,
-            max_first_token_s: AdmissionController::max_first_token_s(
-                objective_s,
-                over_quota,
-                time_left_s,
-            ),
+            max_ttft_s: AdmissionController::max_ttft_s(objective_s, over_quota, time_left_s),
             first_token_due_at: now + objective_s,
             request,
             ..RequestState::default()
@@ -85,7 +81,7 @@
 
     /// Chooses the prefill server of a new request, or rejects it where its first token is expected
     /// too late.
-    pub(super) fn place(&mut self, now: f64, id: RequestId, out: &mut Actions) {
+    pub(super) fn route_new_request(&mut self, now: f64, id: RequestId, out: &mut Actions) {
         let Some(state) = self.requests.get_mut(&id) else {
             return;
         };
@@ -94,10 +90,10 @@
             return;
         };
         let Some(estimate) = self.selector().best_prefill_server(state, now) else {
-            return self.reject(id, NO_SERVER_RETRY_AFTER_S, Cause::NoPrefillServer, out);
+            return self.reject_or_fail(id, NO_SERVER_RETRY_AFTER_S, Cause::NoPrefillServer, out);
         };
-        let limit_s = state.max_first_token_s;
-        let total_s = estimate.total_s;
+        let limit_s = state.max_ttft_s;
+        let total_s = estimate.ttft_s;
         let lateness_s = self.expected_lateness_s(now, total_s);
         self.last_choice = ExplainedChoice {
             request: id,
@@ -114,7 +110,7 @@
         }
         if total_s + lateness_s > limit_s {
             let retry_after_s = (total_s + lateness_s - limit_s).max(MIN_LATE_RETRY_AFTER_S);
-            return self.reject(id, retry_after_s, Cause::ExpectedLate, out);
+            return self.reject_or_fail(id, retry_after_s, Cause::ExpectedLate, out);
         }
         self.send_prefill(now, id, estimate, out);
     }
@@ -160,37 +156,45 @@
         &mut self,
         now: f64,
         id: RequestId,
-        prefill_server: ServerId,
+        prefill_server_id: ServerId,
         out: &mut Actions,
     ) {
-        let (Some(state), Some(from)) = (self.requests.get(&id), self.servers.get(prefill_server))
+        let (Some(state), Some(prefill_server)) =
+            (self.requests.get(&id), self.servers.get(prefill_server_id))
         else {
             return;
         };
-        if from.role != Role::Prefill {
+        if prefill_server.role != Role::Prefill {
             return;
         }
-        let few = self.decode_servers_to_probe(state, from);
-        self.probe(now, &few, out);
+        let candidates = self.decode_servers_to_probe(state, prefill_server);
+        self.probe(now, &candidates, out);
     }
 
     /// The first few of them in order, without ordering the others.
-    fn decode_servers_to_probe(&self, state: &RequestState, from: &Server) -> Vec<ServerId> {
+    fn decode_servers_to_probe(
+        &self,
+        state: &RequestState,
+        prefill_server: &Server,
+    ) -> Vec<ServerId> {
         let selector = self.selector();
-        let mut few: Vec<ProbeCandidate> = Vec::with_capacity(PROBES_PER_CHOICE + 1);
+        let mut candidates: Vec<ProbeCandidate> = Vec::with_capacity(PROBES_PER_CHOICE + 1);
         for server in self.servers.iter() {
             if server.role != Role::Decode || !server.is_ready() {
                 continue;
             }
             let candidate = ProbeCandidate {
-                other_cell: server.entry.cell != from.entry.cell,
+                other_cell: server.entry.cell != prefill_server.entry.cell,
                 draw: selector.draw(server, state),
                 server: server.entry.id,
             };
-            let at = few.partition_point(|known| known.precedes(&candidate));
-            few.insert(at, candidate);
-            few.truncate(PROBES_PER_CHOICE);
+            let position = candidates.partition_point(|other| other.precedes(&candidate));
+            candidates.insert(position, candidate);
+            candidates.truncate(PROBES_PER_CHOICE);
         }
-        few.into_iter().map(|candidate| candidate.server).collect()
+        candidates
+            .into_iter()
+            .map(|candidate| candidate.server)
+            .collect()
     }
 }
--- a/crates/policy/src/choice/attempts.rs
+++ b/crates/policy/src/choice/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight: `launch` alone sends; silent attempts are called back, held KV states
+//! Attempts in flight: `send_attempt` alone sends; silent attempts are called back, held KV states
 //! released in time.
 
 use super::prefill_choice::PrefillEstimate;
@@ -8,12 +8,12 @@
 use crate::interface::{Action, Cause, RequestId, Role, ServerId};
 
 /// Share of the hold limit for which a KV state may wait for a decode server.
-const DECODE_WAIT_FRACTION: f64 = 0.5;
+const MAX_DECODE_WAIT_FRACTION: f64 = 0.5;
 /// Seconds that a KV transfer and a first token take at an idle decode server.
 const DECODE_START_S: f64 = 0.15;
 /// Seconds that a client is told to stay away where an attempt may not be sent, or no decode server
 /// takes it.
-const RETRY_AFTER_S: f64 = 0.5;
+const UNSENT_RETRY_AFTER_S: f64 = 0.5;
 
 impl Router {
     pub(super) fn send_prefill(
@@ -24,12 +24,12 @@
         out: &mut Actions,
     ) {
         if let Some(state) = self.requests.get_mut(&id) {
-            state.queue_s = estimate.queue_s;
-            state.prefill_s = estimate.prefill_s;
+            state.expected_queue_s = estimate.queue_s;
+            state.expected_prefill_s = estimate.prefill_s;
         }
         self.probe_decode_servers(now, id, estimate.server, out);
         let expected_s = estimate.queue_s + estimate.prefill_s;
-        self.launch(now, id, estimate.server, expected_s, out);
+        self.send_attempt(now, id, estimate.server, expected_s, out);
     }
 
     pub(super) fn send_decode(&mut self, now: f64, id: RequestId, out: &mut Actions) {
@@ -42,55 +42,56 @@
                 .servers
                 .get(server)
                 .map_or(0.0, |server| selector.decode_wait_s(server, now));
-            return self.launch(now, id, server, DECODE_START_S + wait_s, out);
+            return self.send_attempt(now, id, server, DECODE_START_S + wait_s, out);
         }
         // No decode server can take the state now: it waits a little within the hold limit.
-        let max_wait_s = self.settings.kv_hold_limit_s * DECODE_WAIT_FRACTION;
-        let held = state.held.known();
+        let max_wait_s = self.settings.kv_hold_limit_s * MAX_DECODE_WAIT_FRACTION;
+        let held = state.kv_holds.known_hold();
         if held.is_some_and(|held| now - held.since <= max_wait_s) {
             set_timer(id, now + 2.0 * PROBE_WAIT_S, out);
         } else {
-            self.reject(id, RETRY_AFTER_S, Cause::NoDecodeServer, out);
+            self.reject_or_fail(id, UNSENT_RETRY_AFTER_S, Cause::NoDecodeServer, out);
         }
     }
 
     /// The one place that sends. Rejects what a rule forbids, whatever the caller chose.
-    fn launch(
+    fn send_attempt(
         &mut self,
         now: f64,
         id: RequestId,
-        to: ServerId,
+        server_id: ServerId,
         expected_s: f64,
         out: &mut Actions,
     ) {
-        let (Some(state), Some(server)) = (self.requests.get(&id), self.servers.get(to)) else {
+        let (Some(state), Some(server)) = (self.requests.get(&id), self.servers.get(server_id))
+        else {
             return;
         };
         let selector = self.selector();
-        if !self.may_launch(state, now) || !selector.is_usable(server, state, now) {
-            return self.reject(id, RETRY_AFTER_S, Cause::Forbidden, out);
+        if !self.may_send_attempt(state, now) || !selector.is_usable(server, state, now) {
+            return self.reject_or_fail(id, UNSENT_RETRY_AFTER_S, Cause::Forbidden, out);
         }
-        let max_silence_s = selector.max_silence_s(&state.request, server, now);
-        let silence_s = 2.0 * expected_s + max_silence_s;
-        let waits_for_client =
-            selector.is_single_attempt(server, state) || self.settings.limits.may_cancel;
-        let timeout_s = if waits_for_client { 0.0 } else { silence_s };
+        let silence_threshold_s = selector.silence_threshold_s(&state.request, server, now);
+        let silent_after_s = 2.0 * expected_s + silence_threshold_s;
+        let has_no_timeout =
+            selector.is_at_most_once(server, state) || self.settings.limits.may_cancel;
+        let timeout_s = if has_no_timeout { 0.0 } else { silent_after_s };
         let attempt = InFlightAttempt {
-            work_s: queued_work_s(state),
+            queued_prefill_s: queued_prefill_s(state),
             due_at: now + expected_s,
             memory: state.memory,
-            link: self.crossed_link(state, server),
+            crossed_link_cell: self.crossed_link_cell(state, server),
         };
-        self.record_launch(now, id, to, attempt);
+        self.record_sent_attempt(now, id, server_id, attempt);
         out.push(Action::Send {
             request: id,
-            server: to,
+            server: server_id,
             timeout_s,
         });
-        set_timer(id, now + silence_s, out);
+        set_timer(id, now + silent_after_s, out);
     }
 
-    fn may_launch(&self, state: &RequestState, now: f64) -> bool {
+    fn may_send_attempt(&self, state: &RequestState, now: f64) -> bool {
         !state.answered
             && matches!(state.stage, Stage::Idle | Stage::AwaitingDecode)
             && state.attempts < self.settings.limits.max_attempts
@@ -98,19 +99,25 @@
     }
 
     /// The cell of the server that holds a request's KV state, where the state has to cross its link.
-    fn crossed_link(&self, state: &RequestState, to: &Server) -> Option<u16> {
-        let held = state.held.known()?;
+    fn crossed_link_cell(&self, state: &RequestState, server: &Server) -> Option<u16> {
+        let held = state.kv_holds.known_hold()?;
         let cell = self.servers.get(held.server)?.entry.cell;
-        (cell != to.entry.cell).then_some(cell)
+        (cell != server.entry.cell).then_some(cell)
     }
 
-    fn record_launch(&mut self, now: f64, id: RequestId, to: ServerId, attempt: InFlightAttempt) {
-        if let Some(server) = self.servers.get_mut(to) {
+    fn record_sent_attempt(
+        &mut self,
+        now: f64,
+        id: RequestId,
+        server_id: ServerId,
+        attempt: InFlightAttempt,
+    ) {
+        if let Some(server) = self.servers.get_mut(server_id) {
             server.in_flight.insert(id, attempt);
         }
         if let Some(state) = self.requests.get_mut(&id) {
             state.stage = Stage::InFlight;
-            state.server = to;
+            state.server = server_id;
             state.sent_at = now;
             state.attempts += 1;
         }
@@ -142,9 +149,9 @@
             return self.finish(id, Some(Action::Fail { request: id }), out);
         }
         match state.stage {
-            Stage::Probing { until } if now >= until => self.place(now, id, out),
+            Stage::Probing { until } if now >= until => self.route_new_request(now, id, out),
             Stage::AwaitingDecode => self.send_decode(now, id, out),
-            Stage::InFlight => self.call_back_silent(now, id, out),
+            Stage::InFlight => self.cancel_if_silent(now, id, out),
             _ => {}
         }
     }
@@ -153,7 +160,7 @@
     /// is told apart by other answers, or by a probe whose report explains the wait: calling back
     /// would add to it. Harm: where a report is too rosy a prompt is prefilled twice, within the
     /// retry budget.
-    fn call_back_silent(&mut self, now: f64, id: RequestId, out: &mut Actions) {
+    fn cancel_if_silent(&mut self, now: f64, id: RequestId, out: &mut Actions) {
         let Some(state) = self.requests.get(&id) else {
             return;
         };
@@ -165,20 +172,20 @@
             return;
         };
         let selector = self.selector();
-        if selector.is_single_attempt(server, state) || !self.retry_budget.has_token() {
+        if selector.is_at_most_once(server, state) || !self.retry_budget.has_token() {
             return;
         }
         let due_at = attempt.due_at;
-        let silence_s = selector.max_silence_s(&state.request, server, sent_at);
+        let silence_s = selector.silence_threshold_s(&state.request, server, sent_at);
         let is_reported = server.load.reported_at() > due_at;
         let queue_s = match server.role {
             _ if !is_reported => 0.0,
-            Role::Prefill => selector.other_dispatchers_s(server, now),
+            Role::Prefill => selector.other_dispatchers_queue_s(server, now),
             Role::Decode | Role::Mixed => selector.decode_wait_s(server, now),
         };
-        let patient_until = sent_at + 2.0 * (queue_s + due_at - sent_at) + silence_s;
-        if now < patient_until || server.health.last_success_at() > sent_at {
-            set_timer(id, patient_until.max(now + silence_s), out);
+        let cancel_not_before = sent_at + 2.0 * (queue_s + due_at - sent_at) + silence_s;
+        if now < cancel_not_before || server.health.last_success_at() > sent_at {
+            set_timer(id, cancel_not_before.max(now + silence_s), out);
         } else if is_reported || self.probe(now, &[server_id], out).is_empty() {
             self.cancel(id, out);
         } else {
@@ -193,9 +200,9 @@
         let Some(state) = self.requests.get_mut(&id) else {
             return;
         };
-        let release_at = state.held.release_at(limit_s);
+        let release_at = state.kv_holds.release_at(limit_s);
         if release_at.is_some_and(|at| now >= at) {
-            state.held.record_release(now);
+            state.kv_holds.record_release(now);
             out.push(Action::Release { request: id });
             self.schedule_release(id, out);
         }
@@ -205,16 +212,16 @@
     pub(super) fn schedule_release(&self, id: RequestId, out: &mut Actions) {
         let limit_s = self.settings.kv_hold_limit_s;
         let state = self.requests.get(&id);
-        if let Some(at) = state.and_then(|state| state.held.release_at(limit_s)) {
+        if let Some(at) = state.and_then(|state| state.kv_holds.release_at(limit_s)) {
             set_timer(id, at, out);
         }
     }
 }
 
 /// Seconds of prefill that the next attempt adds to its server's queue.
-fn queued_work_s(state: &RequestState) -> f64 {
-    if state.held.known().is_none() {
-        state.prefill_s
+fn queued_prefill_s(state: &RequestState) -> f64 {
+    if state.kv_holds.known_hold().is_none() {
+        state.expected_prefill_s
     } else {
         0.0
     }
--- a/crates/policy/src/choice/completion.rs
+++ b/crates/policy/src/choice/completion.rs
@@ -9,9 +9,9 @@
 use crate::interface::{Action, AttemptEnd, Cause, Effect, Outcome, RequestId, Role, ServerId};
 
 /// Seconds that a client is told to stay away after an attempt that cannot be followed by another.
-const ENDED_RETRY_AFTER_S: f64 = 0.2;
+const STOPPED_RETRY_AFTER_S: f64 = 0.2;
 /// The same where the retry budget is used up or no server takes a retry.
-const NO_RETRY_RETRY_AFTER_S: f64 = 0.5;
+const RETRY_UNAVAILABLE_RETRY_AFTER_S: f64 = 0.5;
 
 impl Router {
     pub(super) fn on_first_token(
@@ -25,15 +25,15 @@
             return;
         };
         state.stage = Stage::Streaming;
-        state.first_token_s = non_negative(elapsed_s);
-        state.held.record_taken();
+        state.attempt_ttft_s = non_negative(elapsed_s);
+        state.kv_holds.record_fetched();
         self.admission.record_lateness(now, state.lateness_s(now));
         let Some(server) = self.servers.get_mut(server_id) else {
             return;
         };
         if let Some(attempt) = server.in_flight.remove(&id) {
             let excess_s = (now - attempt.due_at).max(0.0);
-            match attempt.link {
+            match attempt.crossed_link_cell {
                 None => server.health.record_excess_delay(excess_s, now),
                 Some(cell) => self.load.record_link_delay(now, cell, excess_s),
             }
@@ -44,7 +44,7 @@
     }
 
     pub(super) fn on_attempt_end(&mut self, now: f64, end: AttemptEnd, out: &mut Actions) {
-        let was_waiting = self.remove_attempt(&end);
+        let was_in_flight = self.remove_attempt(&end);
         self.record_load_report(now, end.server, &end.report);
         let id = end.request;
         let Some(state) = self.requests.get(&id) else {
@@ -54,9 +54,9 @@
             return;
         }
         let state = state.clone();
-        self.record_outcome(now, &end, &state, was_waiting);
+        self.record_outcome(now, &end, &state, was_in_flight);
         let at_prefill = self.servers.is_prefill(end.server);
-        let execution = self.safety.execution(end.outcome, at_prefill);
+        let execution = self.retry_safety.execution(end.outcome, at_prefill);
         let Some(state) = self.requests.get_mut(&id) else {
             return;
         };
@@ -66,9 +66,9 @@
                 sent_at: state.sent_at,
             });
         }
-        let was_released = state.held.is_released();
-        state.held.record_end(now, &end, at_prefill);
-        state.stage = if state.held.known().is_some() {
+        let was_released = state.kv_holds.is_released();
+        state.kv_holds.record_attempt_end(now, &end, at_prefill);
+        state.stage = if state.kv_holds.known_hold().is_some() {
             Stage::AwaitingDecode
         } else {
             Stage::Idle
@@ -78,7 +78,7 @@
             return self.finish(id, None, out);
         }
         self.schedule_release(id, out);
-        self.continue_after(now, &end, was_released, out);
+        self.continue_after_attempt(now, &end, was_released, out);
     }
 
     /// Takes an attempt from its server; `true` where it waited for its prefill or first token.
@@ -96,7 +96,7 @@
         now: f64,
         end: &AttemptEnd,
         state: &RequestState,
-        was_waiting: bool,
+        was_in_flight: bool,
     ) {
         let cut_by_deadline = now + 2.0 * self.settings.tick_s >= state.deadline;
         let Some(server) = self.servers.get_mut(end.server) else {
@@ -107,12 +107,12 @@
             Outcome::Error | Outcome::Reset | Outcome::ConnectFailed => {
                 server.health.record_failure(end.elapsed_s, now);
             }
-            Outcome::TimedOut | Outcome::Cancelled if was_waiting => {
+            Outcome::TimedOut | Outcome::Cancelled if was_in_flight => {
                 if !cut_by_deadline && !state.answered {
                     server.health.record_failure(end.elapsed_s, now);
                 }
                 let waited_s = non_negative(end.elapsed_s);
-                server.health.record_lost_wait(waited_s, now);
+                server.health.record_abandoned_wait(waited_s, now);
             }
             Outcome::Rejected {
                 state_missing: false,
@@ -124,15 +124,16 @@
 
     /// Takes in a prefill that has ended there, by itself or with its answer.
     fn record_prefill_end(&mut self, now: f64, end: &AttemptEnd, state: &RequestState) {
-        let prefilled_there = state.held.known().is_none() && !self.servers.is_prefill(end.server);
+        let prefilled_by_same_server =
+            state.kv_holds.known_hold().is_none() && !self.servers.is_prefill(end.server);
         match end.outcome {
             Outcome::PrefillDone => {
                 self.record_prefill(now, end, state, non_negative(end.elapsed_s));
                 self.slow_start.record_response(Role::Prefill);
                 self.slow_start.record_choice(Role::Decode);
             }
-            Outcome::Served if prefilled_there => {
-                self.record_prefill(now, end, state, state.first_token_s);
+            Outcome::Served if prefilled_by_same_server => {
+                self.record_prefill(now, end, state, state.attempt_ttft_s);
             }
             _ => {}
         }
@@ -143,7 +144,8 @@
         let total_tokens = request.prompt_tokens;
         let cached_tokens = non_negative(end.prefix_hit_tokens).min(total_tokens);
         let uncached_tokens = total_tokens - cached_tokens;
-        self.prefixes.record_prefill(now, end.server, request);
+        self.prefix_cache_index
+            .record_prefill(now, end.server, request);
         self.load.record_prompt(uncached_tokens, total_tokens);
         let Some(server) = self.servers.get_mut(end.server) else {
             return;
@@ -152,7 +154,7 @@
             uncached_tokens,
             total_tokens,
             elapsed_s,
-            queue_s: state.queue_s,
+            queue_s: state.expected_queue_s,
             capacity: self.slow_start.capacity(server.entry.booted_at, now),
         };
         self.load.record_prefill(now, server, sample);
@@ -160,7 +162,7 @@
 
     /// After an attempt that has not served the request; `was_released`: its KV state was released
     /// meanwhile.
-    fn continue_after(
+    fn continue_after_attempt(
         &mut self,
         now: f64,
         end: &AttemptEnd,
@@ -172,24 +174,29 @@
             return;
         };
         if let Some(cause) = self.stop_cause(now, end, state, was_released) {
-            return self.reject(id, ENDED_RETRY_AFTER_S, cause, out);
+            return self.reject_or_fail(id, STOPPED_RETRY_AFTER_S, cause, out);
         }
         let retries = f64::from(outcome != Outcome::PrefillDone);
         if !self.retry_budget.try_spend(retries) {
-            return self.reject(id, NO_RETRY_RETRY_AFTER_S, Cause::NoRetryLeft, out);
+            return self.reject_or_fail(
+                id,
+                RETRY_UNAVAILABLE_RETRY_AFTER_S,
+                Cause::NoRetryLeft,
+                out,
+            );
         }
-        if state.held.known().is_some() {
+        if state.kv_holds.known_hold().is_some() {
             return self.send_decode(now, id, out);
         }
         let estimate = self.selector().best_prefill_server(state, now);
         let cause = match estimate {
-            Some(estimate) if now + estimate.total_s < state.deadline => {
+            Some(estimate) if now + estimate.ttft_s < state.deadline => {
                 return self.send_prefill(now, id, estimate, out);
             }
             Some(_) => Cause::Deadline,
             None => Cause::NoPrefillServer,
         };
-        self.reject(id, NO_RETRY_RETRY_AFTER_S, cause, out);
+        self.reject_or_fail(id, RETRY_UNAVAILABLE_RETRY_AFTER_S, cause, out);
     }
 
     /// Why a request goes on no further after an attempt.
@@ -208,9 +215,9 @@
         // sooner.
         let max_held_s = self.settings.kv_hold_limit_s + 3.0 * self.settings.tick_s;
         let retry_ends_at = now + non_negative(end.elapsed_s);
-        let held = state.held.known();
-        let expires = held.is_some_and(|held| retry_ends_at > held.since + max_held_s);
-        if end.outcome == Outcome::ConnectFailed && (was_released || expires) {
+        let held = state.kv_holds.known_hold();
+        let would_expire = held.is_some_and(|held| retry_ends_at > held.since + max_held_s);
+        if end.outcome == Outcome::ConnectFailed && (was_released || would_expire) {
             return Some(Cause::StateExpired);
         }
         if now + 2.0 * self.settings.tick_s >= state.deadline {
@@ -220,7 +227,7 @@
     }
 
     /// Ends a request without serving it: rejects it where a retry is harmless, else fails it.
-    pub(super) fn reject(
+    pub(super) fn reject_or_fail(
         &mut self,
         id: RequestId,
         retry_after_s: f64,
@@ -232,7 +239,7 @@
             return;
         };
         let effect = self.selector().effect(state);
-        let answer = if self.safety.may_reject(effect, state) {
+        let answer = if self.retry_safety.may_reject(effect, state) {
             let max_retry_after_s = self.settings.limits.max_retry_after_s.max(0.0);
             Action::Reject {
                 request: id,
@@ -256,7 +263,7 @@
         if matches!(state.stage, Stage::InFlight | Stage::Streaming) {
             return;
         }
-        if state.held.needs_release() {
+        if state.kv_holds.needs_release() {
             out.push(Action::Release { request: id });
         }
         self.requests.remove(&id);
--- a/crates/policy/src/choice/hash.rs
+++ b/crates/policy/src/choice/hash.rs
@@ -8,11 +8,11 @@
 }
 
 /// A hash as a number from 0 to 1 with 24 bits.
-pub(super) fn coarse_unit(hash: u64) -> f64 {
+pub(super) fn unit_interval_24_bits(hash: u64) -> f64 {
     (hash >> 40) as f64 / (1u64 << 24) as f64
 }
 
 /// A hash as a number from 0 to 1 with 53 bits.
-pub(super) fn fine_unit(hash: u64) -> f64 {
+pub(super) fn unit_interval_53_bits(hash: u64) -> f64 {
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/policy/src/choice/health.rs
+++ b/crates/policy/src/choice/health.rs
@@ -2,10 +2,10 @@
 //! of it.
 
 use super::decay::{non_negative, DecayingMean};
-use super::NEWEST_WEIGHT;
+use super::EWMA_WEIGHT;
 
 /// Multiple of its age that a probe which is not answered in time stands for.
-const UNANSWERED_PROBE_RATIO: f64 = 4.0;
+const UNANSWERED_PROBE_AGE_FACTOR: f64 = 4.0;
 /// Seconds that a failure costs beyond its own time: the next attempt's way and wait.
 const FAILURE_EXTRA_COST_S: f64 = 0.1;
 /// Half-life, in seconds, of time lost by failures.
@@ -15,9 +15,9 @@
 /// Mean time lost, in seconds, by failures of a server that others have seen failing.
 const REPORTED_FAILURE_COST_S: f64 = 0.25;
 /// Seconds for which a server counts as reported to fail.
-const REPORTED_FAILING_S: f64 = 3.0;
+const REPORTED_FAILING_WINDOW_S: f64 = 3.0;
 /// Seconds for which others' reports of a drain count.
-const REPORTED_DRAIN_S: f64 = 1.0;
+const REPORTED_DRAIN_WINDOW_S: f64 = 1.0;
 /// Seconds for which a server that has rejected an attempt is passed over.
 const REJECTION_PAUSE_S: f64 = 0.2;
 /// Seconds for which a load report or a probe in flight is fresh enough not to probe again.
@@ -30,7 +30,7 @@
     last_success_at: f64,
     excess_delay: DecayingMean,
     /// Until then it takes nothing: it has rejected an attempt, or others' lists have it draining.
-    closed_until: f64,
+    excluded_until: f64,
     reported_failing_at: f64,
     probe_sent_at: f64,
     probe_in_flight: bool,
@@ -51,7 +51,7 @@
 
     fn record_cost(&mut self, lost_s: f64, now: f64) {
         self.failure_cost
-            .add(lost_s, 2.0 * NEWEST_WEIGHT, now, FAILURE_HALF_LIFE_S);
+            .add(lost_s, 2.0 * EWMA_WEIGHT, now, FAILURE_HALF_LIFE_S);
     }
 
     /// Mean time lost of late by a failure, seconds.
@@ -76,19 +76,19 @@
     }
 
     /// An attempt was waited for in vain for as long.
-    pub fn record_lost_wait(&mut self, waited_s: f64, now: f64) {
+    pub fn record_abandoned_wait(&mut self, waited_s: f64, now: f64) {
         self.excess_delay
             .raise_to(waited_s, now, EXCESS_HALF_LIFE_S);
     }
 
     /// It has rejected an attempt as full.
     pub fn record_rejection(&mut self, now: f64) {
-        self.closed_until = self.closed_until.max(now + REJECTION_PAUSE_S);
+        self.excluded_until = self.excluded_until.max(now + REJECTION_PAUSE_S);
     }
 
     /// Others report that it drains.
     pub fn record_reported_drain(&mut self, now: f64) {
-        self.closed_until = self.closed_until.max(now + REPORTED_DRAIN_S);
+        self.excluded_until = self.excluded_until.max(now + REPORTED_DRAIN_WINDOW_S);
     }
 
     /// Others report that it fails.
@@ -98,18 +98,18 @@
 
     /// Others have reported lately that it fails.
     pub fn is_reported_failing(&self, now: f64) -> bool {
-        now - self.reported_failing_at < REPORTED_FAILING_S
+        now - self.reported_failing_at < REPORTED_FAILING_WINDOW_S
     }
 
     /// A report of failures is believed: it costs time as an own failure does.
-    pub fn believe_reported_failure(&mut self, now: f64) {
+    pub fn apply_reported_failure(&mut self, now: f64) {
         self.failure_cost
             .raise_to(REPORTED_FAILURE_COST_S, now, FAILURE_HALF_LIFE_S);
     }
 
     /// It takes nothing for now.
-    pub fn is_closed(&self, now: f64) -> bool {
-        now < self.closed_until
+    pub fn is_excluded(&self, now: f64) -> bool {
+        now < self.excluded_until
     }
 
     /// Nothing fresh is known of it, and no probe is on its way.
@@ -129,7 +129,7 @@
     }
 
     /// Seconds that a probe stands for which has not been answered within `wait_s`.
-    pub fn unanswered_probe_s(&self, wait_s: f64, now: f64) -> f64 {
+    pub fn unanswered_probe_delay_s(&self, wait_s: f64, now: f64) -> f64 {
         let age_s = if self.probe_in_flight {
             now - self.probe_sent_at
         } else {
@@ -138,7 +138,7 @@
         if age_s < 0.9 * wait_s {
             0.0
         } else {
-            UNANSWERED_PROBE_RATIO * age_s
+            UNANSWERED_PROBE_AGE_FACTOR * age_s
         }
     }
 }
--- a/crates/policy/src/choice/load.rs
+++ b/crates/policy/src/choice/load.rs
@@ -5,7 +5,7 @@
 
 use super::decay::{age_weight, DecayingMean};
 use super::server::{MemoryUse, Server};
-use super::NEWEST_WEIGHT;
+use super::EWMA_WEIGHT;
 use crate::interface::{ReportField, ReportMode, Role, Settings};
 
 /// Mean report of a warm server before any has come.
@@ -19,7 +19,7 @@
     other_requests: 0.0,
 };
 /// Weight of the newest report in the mean of its kind.
-const KIND_NEWEST_WEIGHT: f64 = 0.25;
+const KIND_EWMA_WEIGHT: f64 = 0.25;
 /// Half-life, in seconds, of a server's own report against the mean of its kind.
 const REPORT_HALF_LIFE_S: f64 = 1.5;
 /// Half-life, in seconds, of the mean of a kind against the prior.
@@ -33,23 +33,23 @@
 /// Prior of the prefill time at a mid-range server: seconds of any prefill.
 const PREFILL_BASE_S: f64 = 0.02;
 /// The same: seconds for 1,000 tokens that are not cached.
-const PREFILL_UNCACHED_S: f64 = 0.06;
+const PREFILL_S_PER_1000_UNCACHED_TOKENS: f64 = 0.06;
 /// The same: seconds for 1,000 tokens, cached or not.
-const PREFILL_TOTAL_S: f64 = 0.003;
+const PREFILL_S_PER_1000_TOKENS: f64 = 0.003;
 /// Times as long that a prefill takes at a decode server.
 const DECODE_SERVER_PREFILL_RATIO: f64 = 3.0;
 /// Seconds of waiting that a full decode server stands for, by share of its memory.
-pub(super) const DECODE_LOAD_S: f64 = 0.2;
+pub(super) const DECODE_WAIT_PER_UTILIZATION_S: f64 = 0.2;
 /// Utilization of a decode server at which answers wait for memory.
 const FULL_UTILIZATION: f64 = 0.9;
 /// Seconds in which a full decode server's memory turns over.
-const DECODE_TURNOVER_S: f64 = 5.0;
+const DECODE_MEMORY_TURNOVER_S: f64 = 5.0;
 /// Seconds that answers evicted from memory stand for, by share of that memory.
-const EVICTION_COST_S: f64 = 100.0;
+const FULL_EVICTION_COST_S: f64 = 100.0;
 /// Bounds of one sample of a server's pace, and of the pace.
-const MIN_PACE_SAMPLE: f64 = 0.3;
-const MIN_PACE: f64 = 0.6;
-const MAX_PACE: f64 = 8.0;
+const MIN_SLOWDOWN_SAMPLE: f64 = 0.3;
+const MIN_SLOWDOWN: f64 = 0.6;
+const MAX_SLOWDOWN: f64 = 8.0;
 
 /// The part of a load report that choices are made by.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -70,7 +70,12 @@
     }
 
     /// Reads the values of a report at a server that holds so many requests of this router.
-    fn read(fields: &[ReportField], values: &[f64], at_prefill: bool, own_requests: f64) -> Self {
+    fn from_values(
+        fields: &[ReportField],
+        values: &[f64],
+        at_prefill: bool,
+        own_requests: f64,
+    ) -> Self {
         let mut report = LoadReport::default();
         for (field, &value) in fields.iter().zip(values) {
             match field {
@@ -98,18 +103,18 @@
 #[derive(Debug, Default)]
 pub(super) struct ServerLoad {
     /// Time taken against the prior, over both stages' own samples.
-    pace: f64,
+    slowdown: f64,
     report: LoadReport,
     reported_at: f64,
     /// Tokens that this router held there when the report came.
-    tokens_at_report: f64,
+    own_tokens_at_report: f64,
 }
 
 impl ServerLoad {
     /// Of a server of which nothing is known.
     pub fn new() -> Self {
         ServerLoad {
-            pace: 1.0,
+            slowdown: 1.0,
             ..ServerLoad::default()
         }
     }
@@ -121,14 +126,15 @@
 
     /// Learns the pace from a prefill that took `ratio` times the prior's time. An unseen queue is
     /// the excess delay's part, so that surprises upwards pull less.
-    fn learn_pace(&mut self, ratio: f64) {
-        let ratio = ratio.clamp(MIN_PACE_SAMPLE, MAX_PACE);
-        let step = if ratio > self.pace {
-            0.5 * NEWEST_WEIGHT
+    fn update_slowdown(&mut self, ratio: f64) {
+        let ratio = ratio.clamp(MIN_SLOWDOWN_SAMPLE, MAX_SLOWDOWN);
+        let weight = if ratio > self.slowdown {
+            0.5 * EWMA_WEIGHT
         } else {
-            NEWEST_WEIGHT
+            EWMA_WEIGHT
         };
-        self.pace = (self.pace + step * (ratio - self.pace)).clamp(MIN_PACE, MAX_PACE);
+        self.slowdown =
+            (self.slowdown + weight * (ratio - self.slowdown)).clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
     }
 }
 
@@ -151,7 +157,7 @@
 /// Mean reports of one kind of server. One mean over both would make warm decode servers look
 /// empty, and prefill servers that warm up jammed, to routers that have not heard of them.
 #[derive(Clone, Copy, Debug)]
-struct KindReports {
+struct KindMeanReports {
     warm: MeanReport,
     warming: MeanReport,
 }
@@ -182,16 +188,16 @@
     dispatchers: f64,
     report_mode: ReportMode,
     report_fields: Vec<ReportField>,
-    kinds: Vec<KindReports>,
+    kinds: Vec<KindMeanReports>,
     typical: TypicalPrompt,
     /// By prefill servers' cell: delay of KV states over its link beyond prediction.
-    links: BTreeMap<u16, DecayingMean>,
+    link_delays: BTreeMap<u16, DecayingMean>,
 }
 
 impl LoadEstimator {
     /// Nothing but priors.
     pub fn new(settings: &Settings) -> Self {
-        let kind = KindReports {
+        let kind = KindMeanReports {
             warm: MeanReport::prior(WARM_PRIOR),
             warming: MeanReport::prior(WARMING_PRIOR),
         };
@@ -204,7 +210,7 @@
                 uncached_tokens: TYPICAL_UNCACHED_TOKENS,
                 total_tokens: TYPICAL_TOTAL_TOKENS,
             },
-            links: BTreeMap::new(),
+            link_delays: BTreeMap::new(),
         }
     }
 
@@ -215,22 +221,22 @@
         }
         let at_prefill = server.role == Role::Prefill;
         let own_requests = server.own_requests() as f64;
-        let report = LoadReport::read(&self.report_fields, values, at_prefill, own_requests);
+        let report = LoadReport::from_values(&self.report_fields, values, at_prefill, own_requests);
         server.load.report = report;
         server.load.reported_at = now;
-        server.load.tokens_at_report = server.own_tokens(|memory| memory.mean);
+        server.load.own_tokens_at_report = server.own_tokens(|memory| memory.mean);
         let kind = &mut self.kinds[usize::from(server.entry.kind)];
         let mean = if capacity < 1.0 {
             &mut kind.warming
         } else {
             &mut kind.warm
         };
-        mean.report = report.blend(mean.report, KIND_NEWEST_WEIGHT);
+        mean.report = report.blend(mean.report, KIND_EWMA_WEIGHT);
         mean.updated_at = now;
     }
 
     /// The mean of servers like this one.
-    pub fn similar_load(&self, server: &Server, capacity: f64, now: f64) -> LoadReport {
+    pub fn mean_load_of_kind(&self, server: &Server, capacity: f64, now: f64) -> LoadReport {
         let kind = &self.kinds[usize::from(server.entry.kind)];
         let (mean, prior) = if capacity < 1.0 {
             (kind.warming, WARMING_PRIOR)
@@ -243,45 +249,45 @@
 
     /// The last report, weighed by age against its kind's mean; without reports, the own part times
     /// dispatchers.
-    fn current_load(&self, server: &Server, capacity: f64, now: f64) -> LoadReport {
-        let own = server.own_tokens(|memory| memory.mean) / server.memory_tokens;
+    fn estimated_load(&self, server: &Server, capacity: f64, now: f64) -> LoadReport {
+        let own_utilization = server.own_tokens(|memory| memory.mean) / server.memory_tokens;
         if self.report_mode == ReportMode::Off {
             return LoadReport {
-                utilization: own * self.dispatchers,
+                utilization: own_utilization * self.dispatchers,
                 other_requests: server.in_flight.len() as f64 * (self.dispatchers - 1.0) * 0.5,
             };
         }
         let load = &server.load;
         let seen = LoadReport {
-            utilization: (load.report.utilization + own
-                - load.tokens_at_report / server.memory_tokens)
+            utilization: (load.report.utilization + own_utilization
+                - load.own_tokens_at_report / server.memory_tokens)
                 .max(0.0),
             ..load.report
         };
         seen.blend(
-            self.similar_load(server, capacity, now),
+            self.mean_load_of_kind(server, capacity, now),
             age_weight(load.reported_at, now, REPORT_HALF_LIFE_S),
         )
     }
 
     /// Share of the server's present capacity in use.
     pub fn utilization(&self, server: &Server, capacity: f64, now: f64) -> f64 {
-        let own = server.own_tokens(|memory| memory.mean) / server.memory_tokens;
-        self.current_load(server, capacity, now)
+        let own_utilization = server.own_tokens(|memory| memory.mean) / server.memory_tokens;
+        self.estimated_load(server, capacity, now)
             .utilization
-            .max(own)
+            .max(own_utilization)
             / capacity
     }
 
     /// Seconds that an answer waits: little until memory runs out, then for the queue's turnover.
     pub fn decode_wait_s(&self, server: &Server, capacity: f64, now: f64) -> f64 {
         let utilization = self.utilization(server, capacity, now);
-        let queued = self.current_load(server, capacity, now).other_requests
+        let queued = self.estimated_load(server, capacity, now).other_requests
             * self.typical.total_tokens
             / server.memory_tokens
             / capacity;
-        utilization * DECODE_LOAD_S
-            + ((utilization - FULL_UTILIZATION).max(0.0) + queued) * DECODE_TURNOVER_S
+        utilization * DECODE_WAIT_PER_UTILIZATION_S
+            + ((utilization - FULL_UTILIZATION).max(0.0) + queued) * DECODE_MEMORY_TURNOVER_S
     }
 
     /// Seconds that answers stand for which a request at its peak evicts from memory. Harm: rejects
@@ -295,14 +301,14 @@
     ) -> f64 {
         let peak = server.own_tokens(|held| held.growth) + memory.mean + memory.growth;
         (self.utilization(server, capacity, now) + peak / server.memory_tokens - 1.0).max(0.0)
-            * EVICTION_COST_S
+            * FULL_EVICTION_COST_S
     }
 
     /// Other dispatchers' prefills at a server, in seconds, or the delay seen beyond prediction, if
     /// larger.
-    pub fn other_dispatchers_s(&self, server: &Server, capacity: f64, now: f64) -> f64 {
+    pub fn other_dispatchers_queue_s(&self, server: &Server, capacity: f64, now: f64) -> f64 {
         let prefills = if server.role == Role::Prefill {
-            self.current_load(server, capacity, now).other_requests
+            self.estimated_load(server, capacity, now).other_requests
         } else {
             0.0
         };
@@ -314,41 +320,40 @@
     /// Prefill time at a warm server: the prior for uncached and all tokens, times the pace that it
     /// has shown.
     pub fn prefill_s(&self, server: &Server, uncached_tokens: f64, total_tokens: f64) -> f64 {
-        let uncached_s = PREFILL_UNCACHED_S * uncached_tokens / 1000.0;
-        let total_s = PREFILL_TOTAL_S * total_tokens / 1000.0;
-        let slower = if server.role == Role::Decode {
+        let uncached_s = PREFILL_S_PER_1000_UNCACHED_TOKENS * uncached_tokens / 1000.0;
+        let total_s = PREFILL_S_PER_1000_TOKENS * total_tokens / 1000.0;
+        let role_slowdown = if server.role == Role::Decode {
             DECODE_SERVER_PREFILL_RATIO
         } else {
             1.0
         };
-        (PREFILL_BASE_S + uncached_s + total_s) * slower * server.load.pace
+        (PREFILL_BASE_S + uncached_s + total_s) * role_slowdown * server.load.slowdown
     }
 
     /// Moves the typical prompt towards one that was prefilled.
     pub fn record_prompt(&mut self, uncached_tokens: f64, total_tokens: f64) {
         let typical = &mut self.typical;
-        typical.uncached_tokens +=
-            2.0 * NEWEST_WEIGHT * (uncached_tokens - typical.uncached_tokens);
-        typical.total_tokens += 2.0 * NEWEST_WEIGHT * (total_tokens - typical.total_tokens);
+        typical.uncached_tokens += 2.0 * EWMA_WEIGHT * (uncached_tokens - typical.uncached_tokens);
+        typical.total_tokens += 2.0 * EWMA_WEIGHT * (total_tokens - typical.total_tokens);
     }
 
     /// Learns a server's pace and its delay beyond prediction from a prefill.
     pub fn record_prefill(&self, now: f64, server: &mut Server, sample: PrefillSample) {
         let predicted_s = self.prefill_s(server, sample.uncached_tokens, sample.total_tokens);
-        let own_s = sample.elapsed_s - sample.queue_s;
+        let measured_s = sample.elapsed_s - sample.queue_s;
         if sample.queue_s < 0.5 * predicted_s {
-            let pace = server.load.pace;
+            let slowdown = server.load.slowdown;
             server
                 .load
-                .learn_pace(own_s * sample.capacity / predicted_s * pace);
+                .update_slowdown(measured_s * sample.capacity / predicted_s * slowdown);
         }
-        let surprise_s = (own_s - predicted_s / sample.capacity).max(0.0);
-        server.health.record_excess_delay(surprise_s, now);
+        let excess_s = (measured_s - predicted_s / sample.capacity).max(0.0);
+        server.health.record_excess_delay(excess_s, now);
     }
 
     /// A KV state came so much later than predicted over a cell's link.
     pub fn record_link_delay(&mut self, now: f64, cell: u16, excess_s: f64) {
-        self.links
+        self.link_delays
             .entry(cell)
             .or_default()
             .average_with(excess_s, now, LINK_HALF_LIFE_S);
@@ -356,7 +361,7 @@
 
     /// Delay over each cell's link as far as known, seconds.
     pub fn link_delays(&self, now: f64) -> impl Iterator<Item = (u16, f64)> + '_ {
-        self.links
+        self.link_delays
             .iter()
             .map(move |(cell, delay)| (*cell, delay.at(now, LINK_HALF_LIFE_S)))
     }
--- a/crates/policy/src/choice/mod.rs
+++ b/crates/policy/src/choice/mod.rs
@@ -30,20 +30,20 @@
 use self::admission::AdmissionController;
 use self::decay::non_negative;
 use self::load::LoadEstimator;
-use self::prefix_cache::PrefixCache;
+use self::prefix_cache::PrefixCacheIndex;
 use self::request_state::RequestState;
 use self::retry_budget::RetryBudget;
 use self::retry_safety::RetrySafety;
 use self::selection::Selector;
 use self::server_table::{PeerObservation, ServerTable};
-use self::slow_start::SlowStartGuard;
+use self::slow_start::SlowStartLimiter;
 use crate::interface::{
     Action, Cause, Event, ExplainedChoice, FailedRequest, ListForm, Outcome, RequestId,
     ServerEntry, ServerId, Settings,
 };
 
 /// Weight of the newest sample in moving means.
-const NEWEST_WEIGHT: f64 = 0.15;
+const EWMA_WEIGHT: f64 = 0.15;
 /// Seconds that an arrival waits for its probes: a few round trips with a handshake.
 const PROBE_WAIT_S: f64 = 0.015;
 
@@ -56,12 +56,12 @@
     seed: u64,
     servers: ServerTable,
     requests: BTreeMap<RequestId, RequestState>,
-    prefixes: PrefixCache,
+    prefix_cache_index: PrefixCacheIndex,
     load: LoadEstimator,
-    slow_start: SlowStartGuard,
+    slow_start: SlowStartLimiter,
     admission: AdmissionController,
     retry_budget: RetryBudget,
-    safety: RetrySafety,
+    retry_safety: RetrySafety,
     last_choice: ExplainedChoice,
     last_failure: Option<FailedRequest>,
 }
@@ -73,12 +73,12 @@
             seed,
             servers: ServerTable::new(settings.kinds.clone()),
             requests: BTreeMap::new(),
-            prefixes: PrefixCache::default(),
+            prefix_cache_index: PrefixCacheIndex::default(),
             load: LoadEstimator::new(&settings),
-            slow_start: SlowStartGuard::new(settings.slow_start.clone()),
+            slow_start: SlowStartLimiter::new(settings.slow_start.clone()),
             admission: AdmissionController::new(settings.dispatchers, &settings.tenants),
             retry_budget: RetryBudget::new(),
-            safety: RetrySafety::new(&settings),
+            retry_safety: RetrySafety::new(&settings),
             last_choice: ExplainedChoice::default(),
             last_failure: None,
             settings,
@@ -98,7 +98,7 @@
     /// Takes one event at clock time `now`, in seconds, and appends what is to be done.
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Servers { form, entries } => self.on_list(now, form, entries, out),
+            Event::Servers { form, entries } => self.on_endpoint_list(now, form, entries, out),
             Event::Arrival(request) => self.on_arrival(now, request, out),
             Event::FirstToken {
                 request,
@@ -144,12 +144,18 @@
         }
     }
 
-    fn on_list(&mut self, now: f64, form: ListForm, entries: Vec<ServerEntry>, out: &mut Actions) {
+    fn on_endpoint_list(
+        &mut self,
+        now: f64,
+        form: ListForm,
+        entries: Vec<ServerEntry>,
+        out: &mut Actions,
+    ) {
         let subscription_lost = matches!(form, ListForm::Cached | ListForm::Failed);
         if self.settings.must_subscribe && subscription_lost {
             out.push(Action::Subscribe);
         }
-        self.servers.apply_list(now, form, entries);
+        self.servers.apply_endpoint_list(now, form, entries);
     }
 
     fn on_probe_end(
@@ -166,15 +172,15 @@
                 server.health.record_failure(elapsed_s, now);
             }
         }
-        let mut probed = Vec::new();
+        let mut fully_probed = Vec::new();
         for (request, state) in &mut self.requests {
-            state.probed.retain(|server| *server != id);
-            if state.probed.is_empty() && state.is_probing() {
-                probed.push(*request);
+            state.pending_probes.retain(|server| *server != id);
+            if state.pending_probes.is_empty() && state.is_probing() {
+                fully_probed.push(*request);
             }
         }
-        for request in probed {
-            self.place(now, request, out);
+        for request in fully_probed {
+            self.route_new_request(now, request, out);
         }
     }
 
@@ -192,8 +198,8 @@
             servers: &self.servers,
             load: &self.load,
             slow_start: &self.slow_start,
-            prefixes: &self.prefixes,
-            safety: self.safety,
+            prefix_cache_index: &self.prefix_cache_index,
+            retry_safety: self.retry_safety,
         }
     }
 
--- a/crates/policy/src/choice/prefill_choice.rs
+++ b/crates/policy/src/choice/prefill_choice.rs
@@ -1,11 +1,11 @@
 //! The choice of a prefill server: the lowest estimated time to the first token, and the prefix
 //! replicas of a key.
 
-use super::hash::{fine_unit, hash_pair};
-use super::load::DECODE_LOAD_S;
+use super::hash::{hash_pair, unit_interval_53_bits};
+use super::load::DECODE_WAIT_PER_UTILIZATION_S;
 use super::prefix_cache::CachedPrompt;
 use super::request_state::RequestState;
-use super::selection::{DecisionContext, Selector, CELL_MARGIN, SPREAD};
+use super::selection::{DecisionContext, Selector, CROSS_CELL_COST, TIE_BREAK_COST};
 use super::server::Server;
 use crate::interface::{Effect, Role, ServerId};
 
@@ -24,8 +24,8 @@
 const CONGESTION_WEIGHT: f64 = 1.0;
 /// Seconds by which a decode server that prefills must be quicker: it slows its running answers.
 const DECODE_SERVER_PREFILL_PENALTY_S: f64 = 1.0;
-/// Rank, in steps of [`SPREAD`], of a server that is no replica of the key.
-const NO_REPLICA_RANK: f64 = 2.0;
+/// Rank, in steps of [`TIE_BREAK_COST`], of a server that is no replica of the key.
+const NON_REPLICA_RANK: f64 = 2.0;
 
 /// Seconds behind the choice of a prefill server.
 #[derive(Clone, Copy, Debug)]
@@ -34,9 +34,9 @@
     pub queue_s: f64,
     pub prefill_s: f64,
     /// Time to the first token.
-    pub total_s: f64,
+    pub ttft_s: f64,
     /// The same with what it costs elsewhere.
-    price_s: f64,
+    cost_s: f64,
 }
 
 /// A candidate in the order of a key's replicas.
@@ -60,15 +60,15 @@
 impl Selector<'_> {
     /// The lowest price among the servers that may prefill the request.
     pub fn best_prefill_server(&self, state: &RequestState, now: f64) -> Option<PrefillEstimate> {
-        let context = self.context_with_waits(state, now);
+        let context = self.context_with_decode_waits(state, now);
         let replicas = self.prefix_replicas(state, &context, now);
-        let cached = self.prefixes.look_up(&state.request);
-        let decode_servers =
+        let cached = self.prefix_cache_index.lookup(&state.request);
+        let include_decode_servers =
             self.settings.decode_servers_prefill && self.effect(state) != Effect::NonIdempotent;
         let may_prefill = |server: &&Server| {
-            (decode_servers || server.role != Role::Decode)
+            (include_decode_servers || server.role != Role::Decode)
                 && self.is_usable(server, state, now)
-                && self.takes_turn(
+                && self.slow_start_admits_in_context(
                     server,
                     state,
                     &context,
@@ -83,19 +83,19 @@
                 let rank = replicas.iter().position(|id| *id == server.entry.id);
                 self.estimate(server, state, rank, &cached, &context, now)
             })
-            .min_by(|a, b| a.price_s.total_cmp(&b.price_s))
+            .min_by(|a, b| a.cost_s.total_cmp(&b.cost_s))
     }
 
     /// The context with the least waits at decode servers that a request may go to.
-    fn context_with_waits(&self, state: &RequestState, now: f64) -> DecisionContext {
+    fn context_with_decode_waits(&self, state: &RequestState, now: f64) -> DecisionContext {
         let mut context = self.context(now);
-        let decode_capacity = context.roles[Role::Decode as usize];
+        let decode_capacity = context.role_capacities[Role::Decode as usize];
         for server in self.servers.iter() {
             // Whoever may not go to an idle decode server that warms up waits for another.
-            let counts = server.role == Role::Decode
+            let is_candidate = server.role == Role::Decode
                 && self.is_usable(server, state, now)
-                && self.may_warm_up(server, state, decode_capacity, 0, false, now);
-            if !counts {
+                && self.slow_start_admits(server, state, decode_capacity, 0, false, now);
+            if !is_candidate {
                 continue;
             }
             let wait_s = self.decode_wait_s(server, now)
@@ -124,30 +124,33 @@
         let cached_tokens = self.cached_tokens(server, state, replica_rank, cached, capacity);
         let uncached_tokens = total_tokens - cached_tokens;
         let prefill_s = self.load.prefill_s(server, uncached_tokens, total_tokens) / capacity;
-        let own_s = server
+        let own_queue_s = server
             .in_flight
             .values()
-            .map(|attempt| attempt.work_s)
+            .map(|attempt| attempt.queued_prefill_s)
             .sum::<f64>();
-        let others_s = self.load.other_dispatchers_s(server, capacity, now);
-        let queue_s = own_s + others_s + server.overdue_s(now);
+        let others_queue_s = self.load.other_dispatchers_queue_s(server, capacity, now);
+        let queue_s = own_queue_s + others_queue_s + server.overdue_s(now);
         let decode_s = self.expected_decode_wait_s(server, context, now);
-        let total_s = queue_s + prefill_s + decode_s + self.failure_risk_s(server, state, now);
+        let ttft_s = queue_s + prefill_s + decode_s + self.failure_risk_s(server, state, now);
         // A slow prefill at a server that warms up delays no more than a quick one, as few are let
         // in behind it.
-        let behind = self.load.similar_load(server, capacity, now).other_requests;
-        let congestion_s = (CONGESTION_WEIGHT + behind) * prefill_s * capacity;
-        let price_s = total_s
+        let queued_behind = self
+            .load
+            .mean_load_of_kind(server, capacity, now)
+            .other_requests;
+        let congestion_s = (CONGESTION_WEIGHT + queued_behind) * prefill_s * capacity;
+        let cost_s = ttft_s
             + congestion_s
-            + self.zone_price_s(server)
+            + self.zone_cost_s(server)
             + self.decode_impact_s(server, state, now)
-            + self.rank_price_s(server, state, replica_rank);
+            + self.replica_rank_cost_s(server, state, replica_rank);
         PrefillEstimate {
             server: server.entry.id,
             queue_s,
             prefill_s,
-            total_s,
-            price_s,
+            ttft_s,
+            cost_s,
         }
     }
 
@@ -165,22 +168,23 @@
         // Among many dispatchers a session unknown here has mostly had turns elsewhere; a few know
         // their own.
         let dispatchers = f64::from(self.settings.dispatchers);
-        let elsewhere = SESSION_CACHED_FRACTION * (1.0 - FEW_DISPATCHERS / dispatchers).max(0.0);
-        let past_prefix = if replica_rank == Some(0) {
+        let session_cached_fraction =
+            SESSION_CACHED_FRACTION * (1.0 - FEW_DISPATCHERS / dispatchers).max(0.0);
+        let tokens_past_prefix = if replica_rank == Some(0) {
             request.prompt_tokens - request.prefix_tokens
         } else {
             0.0
         };
-        let believed = (request.prefix_tokens + elsewhere * past_prefix)
+        let assumed_tokens = (request.prefix_tokens + session_cached_fraction * tokens_past_prefix)
             .max(MIN_CACHED_FRACTION * request.prompt_tokens);
-        let at_replica = if replica_rank.is_some() && capacity >= 1.0 {
-            believed
+        let assumed_at_server = if replica_rank.is_some() && capacity >= 1.0 {
+            assumed_tokens
         } else {
             0.0
         };
         cached
             .tokens_at(server)
-            .max(at_replica)
+            .max(assumed_at_server)
             .min((request.prompt_tokens - 1.0).max(0.0))
     }
 
@@ -204,16 +208,16 @@
     }
 
     /// Seconds by which a server of another zone must be quicker.
-    fn zone_price_s(&self, server: &Server) -> f64 {
+    fn zone_cost_s(&self, server: &Server) -> f64 {
         if server.entry.zone == self.settings.zone {
             0.0
         } else {
-            2.0 * CELL_MARGIN * DECODE_LOAD_S
+            2.0 * CROSS_CELL_COST * DECODE_WAIT_PER_UTILIZATION_S
         }
     }
 
     /// Seconds by which a later replica, or a server that is none, must be quicker.
-    fn rank_price_s(
+    fn replica_rank_cost_s(
         &self,
         server: &Server,
         state: &RequestState,
@@ -221,9 +225,9 @@
     ) -> f64 {
         let rank = match replica_rank {
             Some(rank) => rank as f64,
-            None => NO_REPLICA_RANK + self.draw(server, state),
+            None => NON_REPLICA_RANK + self.draw(server, state),
         };
-        rank * SPREAD
+        rank * TIE_BREAK_COST
     }
 
     /// Prefix replicas of a request's key: the best ranks among the prefill servers of this zone,
@@ -240,11 +244,13 @@
             if server.role == Role::Decode || !server.is_ready() {
                 continue;
             }
-            let ranked = self.rank_replica(server, state.key);
-            let at = best.partition_point(|known| known.precedes(&ranked));
-            if at < context.replicas && self.takes_turn(server, state, context, true, now) {
-                best.insert(at, ranked);
-                best.truncate(context.replicas);
+            let ranked = self.rank_replica(server, state.placement_key);
+            let position = best.partition_point(|other| other.precedes(&ranked));
+            if position < context.replicas_per_key
+                && self.slow_start_admits_in_context(server, state, context, true, now)
+            {
+                best.insert(position, ranked);
+                best.truncate(context.replicas_per_key);
             }
         }
         let session = state.request.session;
@@ -260,7 +266,7 @@
         } else {
             1.0
         };
-        let draw = fine_unit(hash_pair(key, u64::from(id)));
+        let draw = unit_interval_53_bits(hash_pair(key, u64::from(id)));
         RankedReplica {
             other_zone: server.entry.zone != self.settings.zone,
             rank: -draw.max(MIN_DRAW).ln() / weight,
@@ -271,14 +277,14 @@
 
 impl DecisionContext {
     /// Least wait at decode servers for a KV state from a prefill server, seconds.
-    fn min_decode_wait_s(&self, from: &Server) -> f64 {
-        let Some(cell) = self.cells.get(&from.entry.cell) else {
+    fn min_decode_wait_s(&self, prefill_server: &Server) -> f64 {
+        let Some(cell) = self.cells.get(&prefill_server.entry.cell) else {
             return 0.0;
         };
-        let far_s = self
+        let other_cell_wait_s = self
             .min_wait_s
-            .map(|wait_s| wait_s + cell.link_s + CELL_MARGIN * DECODE_LOAD_S);
-        [cell.min_wait_s, far_s]
+            .map(|wait_s| wait_s + cell.link_s + CROSS_CELL_COST * DECODE_WAIT_PER_UTILIZATION_S);
+        [cell.min_wait_s, other_cell_wait_s]
             .into_iter()
             .flatten()
             .min_by(f64::total_cmp)
--- a/crates/policy/src/choice/prefix_cache.rs
+++ b/crates/policy/src/choice/prefix_cache.rs
@@ -16,7 +16,7 @@
 }
 
 impl CacheKey {
-    fn is_given(self) -> bool {
+    fn is_present(self) -> bool {
         let (CacheKey::Prefix(key) | CacheKey::Session(key)) = self;
         key != 0
     }
@@ -53,13 +53,13 @@
 
 /// Which servers have prefilled a prefix or a session: how many tokens of it, and when.
 #[derive(Debug, Default)]
-pub(super) struct PrefixCache(BTreeMap<CacheKey, CachedByServer>);
+pub(super) struct PrefixCacheIndex(BTreeMap<CacheKey, CachedByServer>);
 
-impl PrefixCache {
+impl PrefixCacheIndex {
     /// A server has prefilled this prompt.
     pub fn record_prefill(&mut self, now: f64, server: ServerId, request: &Request) {
         for KeyedTokens { key, tokens } in keyed_tokens(request) {
-            if key.is_given() && tokens > 0.0 {
+            if key.is_present() && tokens > 0.0 {
                 let cached = CachedPrefix {
                     tokens,
                     prefilled_at: now,
@@ -75,7 +75,7 @@
     }
 
     /// What is known of a prompt's session and prefix, looked up once for all servers.
-    pub fn look_up(&self, request: &Request) -> CachedPrompt<'_> {
+    pub fn lookup(&self, request: &Request) -> CachedPrompt<'_> {
         CachedPrompt(keyed_tokens(request).map(|keyed| CachedKey {
             servers: self.0.get(&keyed.key),
             max_tokens: keyed.tokens,
--- a/crates/policy/src/choice/request_state.rs
+++ b/crates/policy/src/choice/request_state.rs
@@ -1,13 +1,13 @@
 //! The state of one request from its arrival to the end of its last attempt.
 
-use super::held_states::HeldState;
+use super::held_states::KvHolds;
 use super::server::MemoryUse;
 use crate::interface::{ExpectedTokens, Request, ServerId};
 
 use super::decay::non_negative;
 
 /// Share of the output limit that an answer holds of memory in the mean of its run.
-const MEAN_OUTPUT_FRACTION: f64 = 0.2;
+const MEAN_OUTPUT_MEMORY_FRACTION: f64 = 0.2;
 
 /// Where a request is in its course.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -40,9 +40,9 @@
 pub(super) struct RequestState {
     pub request: Request,
     /// The key by which it has prefix replicas.
-    pub key: u64,
+    pub placement_key: u64,
     /// Share of the latest requests by the same key.
-    pub key_share: f64,
+    pub recent_key_fraction: f64,
     pub memory: MemoryUse,
     pub deadline: f64,
     pub stage: Stage,
@@ -51,21 +51,21 @@
     pub server: ServerId,
     /// When that attempt was sent.
     pub sent_at: f64,
-    pub held: HeldState,
+    pub kv_holds: KvHolds,
     /// Seconds in the queue, as estimated when it was sent to be prefilled.
-    pub queue_s: f64,
+    pub expected_queue_s: f64,
     /// The same of the prefill.
-    pub prefill_s: f64,
+    pub expected_prefill_s: f64,
     /// Servers whose probes it waits for.
-    pub probed: Vec<ServerId>,
+    pub pending_probes: Vec<ServerId>,
     /// The first attempt that may have had an effect.
     pub may_have_run: Option<PossibleExecution>,
     /// The final answer is given; only an outcome is waited for.
     pub answered: bool,
     /// Seconds from the last attempt's sending to its first token.
-    pub first_token_s: f64,
+    pub attempt_ttft_s: f64,
     /// Longest time to the first token at which it is taken, seconds.
-    pub max_first_token_s: f64,
+    pub max_ttft_s: f64,
     /// When its first token was expected, at admission.
     pub first_token_due_at: f64,
 }
@@ -99,9 +99,9 @@
 /// Memory that a request holds at a decode server.
 pub(super) fn memory_use(request: &Request) -> MemoryUse {
     let output = match request.output_tokens {
-        Some(expected) => expected_output(expected),
+        Some(expected) => expected_output_memory(expected),
         None => MemoryUse {
-            mean: MEAN_OUTPUT_FRACTION * request.max_output_tokens,
+            mean: MEAN_OUTPUT_MEMORY_FRACTION * request.max_output_tokens,
             growth: 0.0,
         },
     };
@@ -111,7 +111,7 @@
     }
 }
 
-fn expected_output(expected: ExpectedTokens) -> MemoryUse {
+fn expected_output_memory(expected: ExpectedTokens) -> MemoryUse {
     let mean = 0.5 * non_negative(expected.mean);
     MemoryUse {
         mean,
--- a/crates/policy/src/choice/retry_safety.rs
+++ b/crates/policy/src/choice/retry_safety.rs
@@ -6,10 +6,10 @@
 
 /// Seconds that a written request may take to its server: a few ways there, or one turn of a busy
 /// process.
-const ARRIVAL_S: f64 = 0.02;
+const REQUEST_DELIVERY_S: f64 = 0.02;
 /// Share of a deduplication window that is left unused at the least, as servers count from another
 /// moment.
-const RETRY_WINDOW_MARGIN: f64 = 0.1;
+const RETRY_WINDOW_MARGIN_FRACTION: f64 = 0.1;
 
 /// Whether an attempt that has ended may have had an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,9 +51,9 @@
     }
 
     /// Whether an attempt there may not be followed by another unless it is known not to have run.
-    pub fn is_single_attempt(self, effect: Effect, server: &Server) -> bool {
-        let runs = server.role != Role::Prefill || self.lost_prefill_may_have_run;
-        runs && effect == Effect::NonIdempotent
+    pub fn is_at_most_once(self, effect: Effect, server: &Server) -> bool {
+        let may_execute = server.role != Role::Prefill || self.lost_prefill_may_have_run;
+        may_execute && effect == Effect::NonIdempotent
     }
 
     /// Whether another attempt may be sent to a server after one that may have run at `first`, an
@@ -71,7 +71,7 @@
             Effect::NonIdempotent => false,
             Effect::IdempotencyKey { scope, window_s } => {
                 let in_scope =
-                    scope == KeyScope::All || first.is_some_and(|f| same_group(scope, f, next));
+                    scope == KeyScope::All || first.is_some_and(|f| is_same_scope(scope, f, next));
                 in_scope && now - execution.sent_at + self.retry_arrival_s(window_s) < window_s
             }
         }
@@ -80,7 +80,7 @@
     /// Seconds until a retry that is sent now has arrived: a connection may have to come up for it
     /// first.
     fn retry_arrival_s(self, window_s: f64) -> f64 {
-        (self.connect_timeout_s + ARRIVAL_S).max(RETRY_WINDOW_MARGIN * window_s)
+        (self.connect_timeout_s + REQUEST_DELIVERY_S).max(RETRY_WINDOW_MARGIN_FRACTION * window_s)
     }
 
     /// Whether a client may be told that a retry is harmless.
@@ -97,7 +97,7 @@
     }
 }
 
-fn same_group(scope: KeyScope, a: &ServerEntry, b: &ServerEntry) -> bool {
+fn is_same_scope(scope: KeyScope, a: &ServerEntry, b: &ServerEntry) -> bool {
     match scope {
         KeyScope::Zone => a.zone == b.zone,
         KeyScope::All | KeyScope::Cell => a.cell == b.cell,
--- a/crates/policy/src/choice/selection.rs
+++ b/crates/policy/src/choice/selection.rs
@@ -3,22 +3,22 @@
 
 use std::collections::BTreeMap;
 
-use super::hash::{coarse_unit, hash_pair};
+use super::hash::{hash_pair, unit_interval_24_bits};
 use super::load::LoadEstimator;
-use super::prefix_cache::PrefixCache;
+use super::prefix_cache::PrefixCacheIndex;
 use super::request_state::RequestState;
 use super::retry_safety::RetrySafety;
 use super::server::Server;
 use super::server_table::ServerTable;
-use super::slow_start::{RoleCapacity, SlowStartGuard, Turn};
+use super::slow_start::{RoleCapacity, SlowStartInput, SlowStartLimiter};
 use crate::interface::{Effect, Request, Role, Settings};
 
 /// Load and seconds by which equals are spread over routers, and a key's next replica must be
 /// quicker.
-pub(super) const SPREAD: f64 = 0.05;
+pub(super) const TIE_BREAK_COST: f64 = 0.05;
 /// Load by which another cell's decode server must be lighter; twice for another zone's, or a mixed
 /// server.
-pub(super) const CELL_MARGIN: f64 = 0.15;
+pub(super) const CROSS_CELL_COST: f64 = 0.15;
 /// Prefix replicas of a key, each of which prefills it once, at least.
 const MIN_PREFIX_REPLICAS: usize = 2;
 /// The same as a share of prefill servers.
@@ -28,16 +28,16 @@
 /// What a server's mean time lost by failures counts, as failures come in spells.
 const FAILURE_COST_WEIGHT: f64 = 4.0;
 /// The same for what may not be retried.
-const SINGLE_ATTEMPT_FAILURE_COST_WEIGHT: f64 = 40.0;
+const AT_MOST_ONCE_FAILURE_COST_WEIGHT: f64 = 40.0;
 /// Seconds of silence past which a server does not count as live.
 const MAX_LIVE_SILENCE_S: f64 = 1.0;
 /// Share of the latency objective past due after which a silent attempt is called back from a
 /// server that was heard of lately.
-const RECENT_SILENCE_RATIO: f64 = 0.3;
+const ACTIVE_SERVER_SILENCE_RATIO: f64 = 0.3;
 /// The same elsewhere, as the silence of a server seldom heard of proves little.
-const STALE_SILENCE_RATIO: f64 = 1.5;
+const INACTIVE_SERVER_SILENCE_RATIO: f64 = 1.5;
 /// Seconds within which a server was heard of lately.
-const RECENT_SUCCESS_S: f64 = 4.0;
+const RECENT_SUCCESS_WINDOW_S: f64 = 4.0;
 
 /// Conditions at the decode servers of a cell, or of all.
 #[derive(Debug, Default)]
@@ -55,9 +55,9 @@
     /// Least wait at all decode servers that the request may go to, seconds.
     pub min_wait_s: Option<f64>,
     /// By role.
-    pub roles: [RoleCapacity; 3],
+    pub role_capacities: [RoleCapacity; 3],
     /// Number of prefix replicas that a key has.
-    pub replicas: usize,
+    pub replicas_per_key: usize,
 }
 
 /// The parts of a router, to choose by.
@@ -67,22 +67,22 @@
     pub seed: u64,
     pub servers: &'a ServerTable,
     pub load: &'a LoadEstimator,
-    pub slow_start: &'a SlowStartGuard,
-    pub prefixes: &'a PrefixCache,
-    pub safety: RetrySafety,
+    pub slow_start: &'a SlowStartLimiter,
+    pub prefix_cache_index: &'a PrefixCacheIndex,
+    pub retry_safety: RetrySafety,
 }
 
 impl Selector<'_> {
     /// Whether an attempt of a request may go to a server by the list and by the rules on retries.
     pub fn is_usable(&self, server: &Server, state: &RequestState, now: f64) -> bool {
-        if !server.is_ready() || server.health.is_closed(now) {
+        if !server.is_ready() || server.health.is_excluded(now) {
             return false;
         }
         let Some(execution) = state.may_have_run else {
             return true;
         };
         let first = self.servers.get(execution.server).map(|first| &first.entry);
-        self.safety
+        self.retry_safety
             .allows_retry(self.effect(state), execution, first, &server.entry, now)
     }
 
@@ -92,8 +92,9 @@
     }
 
     /// Whether an attempt there may not be followed by another unless it is known not to have run.
-    pub fn is_single_attempt(&self, server: &Server, state: &RequestState) -> bool {
-        self.safety.is_single_attempt(self.effect(state), server)
+    pub fn is_at_most_once(&self, server: &Server, state: &RequestState) -> bool {
+        self.retry_safety
+            .is_at_most_once(self.effect(state), server)
     }
 
     /// Time to the first token that earns the full weight, seconds.
@@ -103,11 +104,11 @@
     }
 
     /// Seconds past due after which an attempt sent at `sent_at` counts as silent.
-    pub fn max_silence_s(&self, request: &Request, server: &Server, sent_at: f64) -> f64 {
-        let ratio = if sent_at - server.health.last_success_at() < RECENT_SUCCESS_S {
-            RECENT_SILENCE_RATIO
+    pub fn silence_threshold_s(&self, request: &Request, server: &Server, sent_at: f64) -> f64 {
+        let ratio = if sent_at - server.health.last_success_at() < RECENT_SUCCESS_WINDOW_S {
+            ACTIVE_SERVER_SILENCE_RATIO
         } else {
-            STALE_SILENCE_RATIO
+            INACTIVE_SERVER_SILENCE_RATIO
         };
         self.latency_objective_s(request) * ratio
     }
@@ -124,44 +125,44 @@
     }
 
     /// Seconds that others' work takes at a server.
-    pub fn other_dispatchers_s(&self, server: &Server, now: f64) -> f64 {
+    pub fn other_dispatchers_queue_s(&self, server: &Server, now: f64) -> f64 {
         let capacity = self.capacity(server, now);
-        self.load.other_dispatchers_s(server, capacity, now)
+        self.load.other_dispatchers_queue_s(server, capacity, now)
     }
 
     /// The request's draw for a server, from 0 to 1.
     pub fn draw(&self, server: &Server, state: &RequestState) -> f64 {
-        let of_request = hash_pair(self.seed, u64::from(state.request.id));
-        coarse_unit(hash_pair(of_request, u64::from(server.entry.id)))
+        let request_hash = hash_pair(self.seed, u64::from(state.request.id));
+        unit_interval_24_bits(hash_pair(request_hash, u64::from(server.entry.id)))
     }
 
     /// Whether a server is warm, or it is this request's turn there.
-    pub fn may_warm_up(
+    pub fn slow_start_admits(
         &self,
         server: &Server,
         state: &RequestState,
         role_capacity: RoleCapacity,
-        replicas: usize,
+        replicas_per_key: usize,
         is_replica: bool,
         now: f64,
     ) -> bool {
         if self.capacity(server, now) >= 1.0 {
             return true;
         }
-        let turn = Turn {
+        let input = SlowStartInput {
             role: server.role,
-            start_known_at: server.start_known_at,
+            start_learned_at: server.start_learned_at,
             role_capacity,
-            replicas,
-            key_share: state.key_share,
+            replicas_per_key,
+            recent_key_fraction: state.recent_key_fraction,
             is_replica,
             draw: self.draw(server, state),
         };
-        self.slow_start.admits(turn, now)
+        self.slow_start.admits(input, now)
     }
 
     /// The same by the role capacities and the replicas of a decision.
-    pub fn takes_turn(
+    pub fn slow_start_admits_in_context(
         &self,
         server: &Server,
         state: &RequestState,
@@ -169,12 +170,12 @@
         is_replica: bool,
         now: f64,
     ) -> bool {
-        let role_capacity = context.roles[server.role as usize];
-        self.may_warm_up(
+        let role_capacity = context.role_capacities[server.role as usize];
+        self.slow_start_admits(
             server,
             state,
             role_capacity,
-            context.replicas,
+            context.replicas_per_key,
             is_replica,
             now,
         )
@@ -198,8 +199,8 @@
         } else {
             0.0
         };
-        let weight = if self.is_single_attempt(server, state) {
-            SINGLE_ATTEMPT_FAILURE_COST_WEIGHT
+        let weight = if self.is_at_most_once(server, state) {
+            AT_MOST_ONCE_FAILURE_COST_WEIGHT
         } else {
             FAILURE_COST_WEIGHT
         };
@@ -224,14 +225,14 @@
             let is_ready = server.is_ready();
             let is_live = is_ready && server.overdue_s(now).min(silence_s) < MAX_LIVE_SILENCE_S;
             let live = f64::from(is_live);
-            let role = &mut context.roles[server.role as usize];
-            role.servers += live;
+            let role = &mut context.role_capacities[server.role as usize];
+            role.live_servers += live;
             role.warm_equivalents += live * self.capacity(server, now);
             let in_zone = server.entry.zone == self.settings.zone;
             replica_candidates += usize::from(is_ready && server.role == Role::Prefill && in_zone);
         }
         let replicas = (replica_candidates as f64 * PREFIX_REPLICA_FRACTION).round() as usize;
-        context.replicas = MIN_PREFIX_REPLICAS.max(replicas);
+        context.replicas_per_key = MIN_PREFIX_REPLICAS.max(replicas);
         context
     }
 }
@@ -240,7 +241,7 @@
     /// KV states that are late at a server show the delay over their cell's link.
     fn raise_link_delays(&mut self, server: &Server, now: f64) {
         for attempt in server.in_flight.values() {
-            if let Some(cell) = attempt.link {
+            if let Some(cell) = attempt.crossed_link_cell {
                 let conditions = self.cells.entry(cell).or_default();
                 conditions.link_s = conditions.link_s.max(now - attempt.due_at);
             }
--- a/crates/policy/src/choice/server.rs
+++ b/crates/policy/src/choice/server.rs
@@ -20,12 +20,12 @@
 #[derive(Debug)]
 pub(super) struct InFlightAttempt {
     /// Expected prefill time, seconds.
-    pub work_s: f64,
+    pub queued_prefill_s: f64,
     /// When its answer is expected.
     pub due_at: f64,
     pub memory: MemoryUse,
     /// The prefill server's cell, where the KV state crosses that cell's link.
-    pub link: Option<u16>,
+    pub crossed_link_cell: Option<u16>,
 }
 
 /// What is known of a server.
@@ -40,7 +40,7 @@
     pub health: ServerHealth,
     pub load: ServerLoad,
     /// When its last start became known here.
-    pub start_known_at: f64,
+    pub start_learned_at: f64,
 }
 
 impl Server {
@@ -64,9 +64,12 @@
     pub fn overdue_s(&self, now: f64) -> f64 {
         self.in_flight
             .values()
-            .filter(|attempt| attempt.link.is_none())
+            .filter(|attempt| attempt.crossed_link_cell.is_none())
             .map(|attempt| now - attempt.due_at)
-            .fold(self.health.unanswered_probe_s(PROBE_WAIT_S, now), f64::max)
+            .fold(
+                self.health.unanswered_probe_delay_s(PROBE_WAIT_S, now),
+                f64::max,
+            )
     }
 
     /// The endpoint list says that it takes requests.
--- a/crates/policy/src/choice/server_table.rs
+++ b/crates/policy/src/choice/server_table.rs
@@ -64,12 +64,12 @@
     }
 
     /// Takes in a list; a failed one changes nothing.
-    pub fn apply_list(&mut self, now: f64, form: ListForm, entries: Vec<ServerEntry>) {
+    pub fn apply_endpoint_list(&mut self, now: f64, form: ListForm, entries: Vec<ServerEntry>) {
         if form == ListForm::Failed {
             return;
         }
         if form != ListForm::Delta {
-            self.remove_missing(&entries);
+            self.mark_missing_removed(&entries);
         }
         for entry in entries {
             self.apply_entry(now, entry);
@@ -79,7 +79,7 @@
         });
     }
 
-    fn remove_missing(&mut self, entries: &[ServerEntry]) {
+    fn mark_missing_removed(&mut self, entries: &[ServerEntry]) {
         for server in self.servers.values_mut() {
             if !entries.iter().any(|entry| entry.id == server.entry.id) {
                 server.entry.status = ServerStatus::Removed;
@@ -93,11 +93,11 @@
         };
         entry.booted_at = non_negative(entry.booted_at);
         let id = entry.id;
-        let started = Server {
+        let new_server = Server {
             entry: entry.clone(),
             role: kind.role,
             memory_tokens: kind.memory_tokens.max(1.0),
-            start_known_at: now,
+            start_learned_at: now,
             load: ServerLoad::new(),
             ..Server::default()
         };
@@ -107,9 +107,9 @@
             Some(old) => Server {
                 in_flight: old.in_flight,
                 streaming: old.streaming,
-                ..started
+                ..new_server
             },
-            None => started,
+            None => new_server,
         };
         self.servers.insert(id, server);
     }
@@ -129,7 +129,7 @@
         match report.observation {
             Observation::Failing if server.health.last_success_at() < reported_at => {
                 server.health.record_reported_failing(now);
-                self.believe_reported_outlier(now, id);
+                self.apply_failure_report_of_outlier(now, id);
             }
             Observation::WarmingUp if server.entry.booted_at <= 0.0 => {
                 server.entry.booted_at = reported_at;
@@ -143,7 +143,7 @@
 
     /// Believes a report of failures of an outlier: where many of its role fail it is the way to
     /// them.
-    fn believe_reported_outlier(&mut self, now: f64, id: ServerId) {
+    fn apply_failure_report_of_outlier(&mut self, now: f64, id: ServerId) {
         let Some(role) = self.get(id).map(|server| server.role) else {
             return;
         };
@@ -157,7 +157,7 @@
         let is_outlier =
             failing <= 1 || failing as f64 <= MAX_REPORTED_FAILING_FRACTION * ready as f64;
         if let Some(server) = self.servers.get_mut(&id).filter(|_| is_outlier) {
-            server.health.believe_reported_failure(now);
+            server.health.apply_reported_failure(now);
         }
     }
 }
--- a/crates/policy/src/choice/slow_start.rs
+++ b/crates/policy/src/choice/slow_start.rs
@@ -1,6 +1,6 @@
 //! Slow start: what a server that warms up may be sent.
 
-use super::NEWEST_WEIGHT;
+use super::EWMA_WEIGHT;
 use crate::interface::{Role, SlowStart};
 
 /// Share of the overload factor that is used on what a server likely has.
@@ -8,9 +8,9 @@
 /// Growth of what a server likely has, by what it is sent until it is warm.
 const WARM_UP_GROWTH: f64 = 1.3;
 /// Part of a prefill server for the keys of which it is a prefix replica.
-const REPLICA_KEYS_FRACTION: f64 = 0.6;
+const REPLICA_TRAFFIC_FRACTION: f64 = 0.6;
 /// What a choice leaves of the peak of responses, for servers back from an outage.
-const RESPONSES_KEPT: f64 = 0.9;
+const PEAK_RETAINED_PER_CHOICE: f64 = 0.9;
 /// Responses for each choice before any is seen, as if twice too much were asked.
 const INITIAL_RESPONSES_PER_CHOICE: f64 = 0.5;
 /// Shortest warm-up that is reckoned with, seconds.
@@ -27,8 +27,8 @@
 
 impl ResponseRate {
     fn record_choice(&mut self) {
-        let recent = self.recent * (1.0 - NEWEST_WEIGHT);
-        self.peak = (self.peak * RESPONSES_KEPT).max(recent);
+        let recent = self.recent * (1.0 - EWMA_WEIGHT);
+        self.peak = (self.peak * PEAK_RETAINED_PER_CHOICE).max(recent);
         self.recent = recent;
     }
 }
@@ -37,22 +37,22 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RoleCapacity {
     /// How many there are.
-    pub servers: f64,
+    pub live_servers: f64,
     /// How many warm ones could do as much.
     pub warm_equivalents: f64,
 }
 
 /// A request's turn at a server that warms up.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Turn {
+pub(super) struct SlowStartInput {
     pub role: Role,
     /// When the server's start became known.
-    pub start_known_at: f64,
+    pub start_learned_at: f64,
     pub role_capacity: RoleCapacity,
     /// Prefix replicas that a key has.
-    pub replicas: usize,
+    pub replicas_per_key: usize,
     /// Share of the latest requests by the same key.
-    pub key_share: f64,
+    pub recent_key_fraction: f64,
     /// The server is a prefix replica of the request's key.
     pub is_replica: bool,
     /// The request's draw for this server, from 0 to 1.
@@ -61,21 +61,21 @@
 
 /// Keeps the sum that all routers send a server which warms up within what it bears.
 #[derive(Debug)]
-pub(super) struct SlowStartGuard {
+pub(super) struct SlowStartLimiter {
     settings: SlowStart,
     /// By role.
     responses: [ResponseRate; 3],
 }
 
-impl SlowStartGuard {
+impl SlowStartLimiter {
     /// No response has been seen.
     pub fn new(settings: SlowStart) -> Self {
-        let initial = INITIAL_RESPONSES_PER_CHOICE / NEWEST_WEIGHT;
+        let initial = INITIAL_RESPONSES_PER_CHOICE / EWMA_WEIGHT;
         let rate = ResponseRate {
             recent: initial,
             peak: initial,
         };
-        SlowStartGuard {
+        SlowStartLimiter {
             settings,
             responses: [rate; 3],
         }
@@ -89,8 +89,8 @@
             return 1.0;
         }
         let age = (now - booted_at).max(0.0) / settings.warm_after_s.max(MIN_WARM_UP_S);
-        let share = settings.start_capacity + (1.0 - settings.start_capacity) * age;
-        share.clamp(MIN_CAPACITY, 1.0)
+        let capacity = settings.start_capacity + (1.0 - settings.start_capacity) * age;
+        capacity.clamp(MIN_CAPACITY, 1.0)
     }
 
     /// Counts a choice among a role's servers and mixed ones.
@@ -109,31 +109,35 @@
     /// all routers keeps the overload factor. The server gets an even part of what its like are
     /// seen to answer, and of what is asked at most; a prefill server mostly for its keys, as often
     /// as they come. What it is sent warms it, so that more may follow.
-    pub fn admits(&self, turn: Turn, now: f64) -> bool {
+    pub fn admits(&self, input: SlowStartInput, now: f64) -> bool {
         let settings = &self.settings;
-        let (ready, able) = (
-            turn.role_capacity.servers,
-            turn.role_capacity.warm_equivalents,
+        let (live_servers, warm_equivalents) = (
+            input.role_capacity.live_servers,
+            input.role_capacity.warm_equivalents,
         );
         let warm_after_s = settings.warm_after_s.max(MIN_WARM_UP_S);
-        let age = ((now - turn.start_known_at) / warm_after_s).clamp(0.0, 1.0);
-        let likely = (settings.start_capacity * (WARM_UP_GROWTH * age).exp()).min(1.0);
+        let age = ((now - input.start_learned_at) / warm_after_s).clamp(0.0, 1.0);
+        let likely_capacity = (settings.start_capacity * (WARM_UP_GROWTH * age).exp()).min(1.0);
         let responses =
-            self.responses[turn.role as usize].peak * NEWEST_WEIGHT / (1.0 - NEWEST_WEIGHT);
-        let even = (responses / able).min(1.0 / ready);
-        let key_rate = turn.key_share + turn.replicas as f64 / ready;
-        let of_keys = if turn.is_replica {
-            REPLICA_KEYS_FRACTION / key_rate
+            self.responses[input.role as usize].peak * EWMA_WEIGHT / (1.0 - EWMA_WEIGHT);
+        let even_fraction = (responses / warm_equivalents).min(1.0 / live_servers);
+        let key_rate = input.recent_key_fraction + input.replicas_per_key as f64 / live_servers;
+        let key_factor = if input.is_replica {
+            REPLICA_TRAFFIC_FRACTION / key_rate
         } else {
-            1.0 - REPLICA_KEYS_FRACTION
+            1.0 - REPLICA_TRAFFIC_FRACTION
         };
-        let part = even
-            * if turn.role == Role::Prefill {
-                of_keys
+        let server_fraction = even_fraction
+            * if input.role == Role::Prefill {
+                key_factor
             } else {
                 1.0
             };
-        turn.draw < OVERLOAD_BUDGET_FRACTION * settings.overload_factor * likely * part
+        input.draw
+            < OVERLOAD_BUDGET_FRACTION
+                * settings.overload_factor
+                * likely_capacity
+                * server_fraction
     }
 }
 
--- a/crates/policy/src/part_tests/admission.rs
+++ b/crates/policy/src/part_tests/admission.rs
@@ -39,7 +39,7 @@
 
 #[test]
 fn over_quota_requests_are_taken_within_a_shorter_time_only() {
-    assert_eq!(AdmissionController::max_first_token_s(1.0, false, 9.0), 1.2);
-    assert_eq!(AdmissionController::max_first_token_s(1.0, true, 9.0), 0.35);
-    assert_eq!(AdmissionController::max_first_token_s(1.0, false, 0.5), 0.5);
+    assert_eq!(AdmissionController::max_ttft_s(1.0, false, 9.0), 1.2);
+    assert_eq!(AdmissionController::max_ttft_s(1.0, true, 9.0), 0.35);
+    assert_eq!(AdmissionController::max_ttft_s(1.0, false, 0.5), 0.5);
 }
--- a/crates/policy/src/part_tests/health.rs
+++ b/crates/policy/src/part_tests/health.rs
@@ -15,7 +15,7 @@
     health.record_success(NOW);
     assert!(health.failure_cost_s(NOW) < failed);
     assert_eq!(health.last_success_at(), NOW);
-    health.believe_reported_failure(NOW);
+    health.apply_reported_failure(NOW);
     assert_eq!(health.failure_cost_s(NOW), REPORTED_FAILURE_COST_S);
 }
 
@@ -24,8 +24,8 @@
     let mut health = ServerHealth::default();
     health.record_reported_drain(NOW);
     health.record_rejection(NOW);
-    assert!(health.is_closed(NOW + 0.9));
-    assert!(!health.is_closed(NOW + 1.0));
+    assert!(health.is_excluded(NOW + 0.9));
+    assert!(!health.is_excluded(NOW + 1.0));
 }
 
 #[test]
@@ -34,10 +34,10 @@
     assert!(health.needs_probe(NOW - 1.0, NOW));
     health.probe_sent(NOW);
     assert!(!health.needs_probe(NOW - 1.0, NOW + 0.4));
-    assert_eq!(health.unanswered_probe_s(0.1, NOW + 0.05), 0.0);
-    assert_eq!(health.unanswered_probe_s(0.1, NOW + 0.5), 2.0);
+    assert_eq!(health.unanswered_probe_delay_s(0.1, NOW + 0.05), 0.0);
+    assert_eq!(health.unanswered_probe_delay_s(0.1, NOW + 0.5), 2.0);
     health.probe_ended();
-    assert_eq!(health.unanswered_probe_s(0.1, NOW + 0.5), 0.0);
+    assert_eq!(health.unanswered_probe_delay_s(0.1, NOW + 0.5), 0.0);
 }
 
 #[test]
--- a/crates/policy/src/part_tests/held_states.rs
+++ b/crates/policy/src/part_tests/held_states.rs
@@ -20,34 +20,34 @@
 
 #[test]
 fn prefill_leaves_a_state_that_is_released_before_the_limit() {
-    let mut held = HeldState::default();
-    held.record_end(NOW, &end(Outcome::PrefillDone), true);
+    let mut holds = KvHolds::default();
+    holds.record_attempt_end(NOW, &end(Outcome::PrefillDone), true);
     let (server, since) = (7, NOW);
-    assert_eq!(held.known(), Some(HeldAt { server, since }));
-    assert_eq!(held.release_at(LIMIT_S), Some(NOW + 0.9));
-    assert!(held.needs_release());
-    held.record_release(NOW + 0.9);
-    assert!(held.is_released() && !held.needs_release());
-    assert_eq!(held.release_at(LIMIT_S), None);
+    assert_eq!(holds.known_hold(), Some(KnownKvHold { server, since }));
+    assert_eq!(holds.release_at(LIMIT_S), Some(NOW + 0.9));
+    assert!(holds.needs_release());
+    holds.record_release(NOW + 0.9);
+    assert!(holds.is_released() && !holds.needs_release());
+    assert_eq!(holds.release_at(LIMIT_S), None);
 }
 
 #[test]
 fn prefill_without_an_answer_may_leave_a_state() {
-    let mut held = HeldState::default();
-    held.record_end(NOW, &end(Outcome::Reset), true);
-    assert_eq!(held.known(), None);
-    assert!(held.needs_release());
-    assert_eq!(held.release_at(LIMIT_S), Some(NOW + 0.9));
+    let mut holds = KvHolds::default();
+    holds.record_attempt_end(NOW, &end(Outcome::Reset), true);
+    assert_eq!(holds.known_hold(), None);
+    assert!(holds.needs_release());
+    assert_eq!(holds.release_at(LIMIT_S), Some(NOW + 0.9));
 }
 
 #[test]
 fn missing_or_taken_state_leaves_nothing_to_release() {
     let state_missing = true;
     for outcome in [Outcome::Served, Outcome::Rejected { state_missing }] {
-        let mut held = HeldState::default();
-        held.record_end(NOW, &end(Outcome::PrefillDone), true);
-        held.record_end(NOW + 0.2, &end(outcome), false);
-        assert!(!held.needs_release(), "{outcome:?}");
-        assert_eq!(held.release_at(LIMIT_S), None, "{outcome:?}");
+        let mut holds = KvHolds::default();
+        holds.record_attempt_end(NOW, &end(Outcome::PrefillDone), true);
+        holds.record_attempt_end(NOW + 0.2, &end(outcome), false);
+        assert!(!holds.needs_release(), "{outcome:?}");
+        assert_eq!(holds.release_at(LIMIT_S), None, "{outcome:?}");
     }
 }
--- a/crates/policy/src/part_tests/prefix_cache.rs
+++ b/crates/policy/src/part_tests/prefix_cache.rs
@@ -23,9 +23,9 @@
 
 #[test]
 fn session_counts_the_prompt_and_prefix_its_part() {
-    let mut cache = PrefixCache::default();
-    cache.record_prefill(NOW, 1, &request(5, 6));
-    let tokens = |request: &Request, id| cache.look_up(request).tokens_at(&server(id, 0.0));
+    let mut index = PrefixCacheIndex::default();
+    index.record_prefill(NOW, 1, &request(5, 6));
+    let tokens = |request: &Request, id| index.lookup(request).tokens_at(&server(id, 0.0));
     assert_eq!(tokens(&request(5, 6), 1), 900.0);
     assert_eq!(tokens(&request(8, 6), 1), 600.0);
     assert_eq!(tokens(&request(8, 9), 1), 0.0);
@@ -34,20 +34,20 @@
 
 #[test]
 fn restart_clears_what_was_prefilled() {
-    let mut cache = PrefixCache::default();
-    cache.record_prefill(NOW, 1, &request(5, 6));
-    let cached = cache
-        .look_up(&request(5, 6))
+    let mut index = PrefixCacheIndex::default();
+    index.record_prefill(NOW, 1, &request(5, 6));
+    let cached = index
+        .lookup(&request(5, 6))
         .tokens_at(&server(1, NOW + 1.0));
     assert_eq!(cached, 0.0);
 }
 
 #[test]
 fn unused_entries_are_forgotten() {
-    let mut cache = PrefixCache::default();
-    cache.record_prefill(NOW, 1, &request(5, 0));
-    cache.record_prefill(NOW + MAX_PREFIX_AGE_S, 1, &request(7, 0));
-    let cached = cache.look_up(&request(5, 0)).tokens_at(&server(1, 0.0));
+    let mut index = PrefixCacheIndex::default();
+    index.record_prefill(NOW, 1, &request(5, 0));
+    index.record_prefill(NOW + MAX_PREFIX_AGE_S, 1, &request(7, 0));
+    let cached = index.lookup(&request(5, 0)).tokens_at(&server(1, 0.0));
     assert_eq!(cached, 0.0);
-    assert_eq!(cache.0.len(), 1, "keys that are 0 are not kept");
+    assert_eq!(index.0.len(), 1, "keys that are 0 are not kept");
 }
--- a/crates/policy/src/part_tests/slow_start.rs
+++ b/crates/policy/src/part_tests/slow_start.rs
@@ -4,8 +4,8 @@
 
 const NOW: f64 = 1_000.0;
 
-fn guard() -> SlowStartGuard {
-    SlowStartGuard::new(SlowStart {
+fn limiter() -> SlowStartLimiter {
+    SlowStartLimiter::new(SlowStart {
         start_capacity: 0.25,
         overload_factor: 2.5,
         window_s: 3.0,
@@ -13,16 +13,16 @@
     })
 }
 
-fn turn(draw: f64) -> Turn {
-    Turn {
+fn input(draw: f64) -> SlowStartInput {
+    SlowStartInput {
         role: Role::Decode,
-        start_known_at: NOW,
+        start_learned_at: NOW,
         role_capacity: RoleCapacity {
-            servers: 10.0,
+            live_servers: 10.0,
             warm_equivalents: 9.25,
         },
-        replicas: 2,
-        key_share: 0.0,
+        replicas_per_key: 2,
+        recent_key_fraction: 0.0,
         is_replica: false,
         draw,
     }
@@ -30,20 +30,20 @@
 
 #[test]
 fn capacity_grows_in_a_straight_line_from_the_start() {
-    let guard = guard();
-    assert_eq!(guard.capacity(0.0, NOW), 1.0, "started long ago");
-    assert_eq!(guard.capacity(NOW, NOW), 0.25);
-    assert_eq!(guard.capacity(NOW, NOW + 4.0), 0.55);
-    assert_eq!(guard.capacity(NOW, NOW + 10.0), 1.0);
+    let limiter = limiter();
+    assert_eq!(limiter.capacity(0.0, NOW), 1.0, "started long ago");
+    assert_eq!(limiter.capacity(NOW, NOW), 0.25);
+    assert_eq!(limiter.capacity(NOW, NOW + 4.0), 0.55);
+    assert_eq!(limiter.capacity(NOW, NOW + 10.0), 1.0);
 }
 
 #[test]
 fn share_of_requests_admitted_grows_with_the_age() {
-    let guard = guard();
+    let limiter = limiter();
     let admitted = |age_s: f64| {
         let draws = (0..1000).map(|draw| f64::from(draw) / 1000.0);
         draws
-            .filter(|draw| guard.admits(turn(*draw), NOW + age_s))
+            .filter(|draw| limiter.admits(input(*draw), NOW + age_s))
             .count()
     };
     // 0.588 responses a choice over 9.25 servers, times the overload budget of 2.5 * 0.8, times the
