--- a/crates/policy/src/choice/arrivals.rs
+++ b/crates/policy/src/choice/arrivals.rs
@@ -1,4 +1,4 @@
-//! An arrival: its admission, its probes, and the choice of its prefill server.
+//! Handling of a new request: admission, load probes and the choice of its prefill server.
 
 use super::admission::AdmissionController;
 use super::decay::non_negative;
@@ -10,17 +10,19 @@
     ServerId,
 };
 
-/// Servers probed for one choice: power of two choices; each probe costs as much as 0.3% of a
-/// request.
+/// Number of servers probed per choice, as in the power of two choices. One probe costs about 0.3%
+/// of a request.
 const PROBES_PER_CHOICE: usize = 2;
-/// Multiple of the wait for probes that a request must have left for them to be waited for.
-const MIN_PROBE_WAITS_LEFT: f64 = 10.0;
-/// Seconds that a client is told to stay away where no server may take its prompt.
+/// A request waits for its probes only if the client's remaining time is at least this multiple of
+/// the probe wait.
+const MIN_TIME_LEFT_IN_PROBE_WAITS: f64 = 10.0;
+/// Retry-after, in seconds, when no server may take the prompt.
 const NO_SERVER_RETRY_AFTER_S: f64 = 1.0;
-/// The same at the least where the first token is expected late.
+/// Lowest retry-after, in seconds, when the first token is expected too late.
 const MIN_LATE_RETRY_AFTER_S: f64 = 0.2;
 
-/// A decode server in the order in which they are probed.
+/// A decode server that may be probed. Servers in the prefill server's cell sort first, then
+/// servers sort by their draw.
 #[derive(Clone, Copy, Debug)]
 struct ProbeCandidate {
     other_cell: bool,
@@ -29,7 +31,7 @@
 }
 
 impl ProbeCandidate {
-    /// Not after another one.
+    /// Returns whether this candidate sorts before `other` or equal to it.
     fn precedes(&self, other: &ProbeCandidate) -> bool {
         self.other_cell
             .cmp(&other.other_cell)
@@ -42,7 +44,7 @@
     pub(super) fn on_arrival(&mut self, now: f64, mut request: Request, out: &mut Actions) {
         sanitize(&mut request, self.settings.classes.len());
         let (id, time_left_s) = (request.id, non_negative(request.time_left_s));
-        let state = self.admit(now, request, time_left_s);
+        let state = self.register_arrival(now, request, time_left_s);
         self.retry_budget.record_arrival();
         let selector = self.selector();
         let replicas = selector.prefix_replicas(&state, &selector.context(now), now);
@@ -50,42 +52,38 @@
         let deadline_margin_s = 2.0 * self.settings.tick_s;
         set_timer(id, now + (time_left_s - deadline_margin_s).max(0.0), out);
         let probed = self.probe(now, &replicas, out);
-        if probed.is_empty() || time_left_s < MIN_PROBE_WAITS_LEFT * PROBE_WAIT_S {
-            return self.place(now, id, out);
+        if probed.is_empty() || time_left_s < MIN_TIME_LEFT_IN_PROBE_WAITS * PROBE_WAIT_S {
+            return self.route_new_request(now, id, out);
         }
         let until = now + PROBE_WAIT_S;
         if let Some(state) = self.requests.get_mut(&id) {
             state.stage = Stage::Probing { until };
-            state.probed = probed;
+            state.pending_probes = probed;
         }
         set_timer(id, until, out);
     }
 
-    /// Counts an arrival and makes its state.
-    fn admit(&mut self, now: f64, request: Request, time_left_s: f64) -> RequestState {
+    /// Counts a new request in the quota, key and slow-start statistics and creates its state.
+    fn register_arrival(&mut self, now: f64, request: Request, time_left_s: f64) -> RequestState {
         let objective_s = self.selector().latency_objective_s(&request);
         let over_quota = self.admission.is_over_quota(now, request.tenant);
         let key = placement_key(&request);
         self.slow_start.record_choice(Role::Prefill);
         RequestState {
-            key,
-            key_share: self.admission.record_key(key),
+            placement_key: key,
+            recent_key_fraction: self.admission.record_key(key),
             memory: memory_use(&request),
             deadline: now + time_left_s,
-            max_first_token_s: AdmissionController::max_first_token_s(
-                objective_s,
-                over_quota,
-                time_left_s,
-            ),
+            max_ttft_s: AdmissionController::max_ttft_s(objective_s, over_quota, time_left_s),
             first_token_due_at: now + objective_s,
             request,
             ..RequestState::default()
         }
     }
 
-    /// Chooses the prefill server of a new request, or rejects it where its first token is expected
-    /// too late.
-    pub(super) fn place(&mut self, now: f64, id: RequestId, out: &mut Actions) {
+    /// Chooses the prefill server of a new request, or rejects the request if its first token is
+    /// expected too late.
+    pub(super) fn route_new_request(&mut self, now: f64, id: RequestId, out: &mut Actions) {
         let Some(state) = self.requests.get_mut(&id) else {
             return;
         };
@@ -94,10 +92,10 @@
             return;
         };
         let Some(estimate) = self.selector().best_prefill_server(state, now) else {
-            return self.reject(id, NO_SERVER_RETRY_AFTER_S, Cause::NoPrefillServer, out);
+            return self.reject_or_fail(id, NO_SERVER_RETRY_AFTER_S, Cause::NoPrefillServer, out);
         };
-        let limit_s = state.max_first_token_s;
-        let total_s = estimate.total_s;
+        let limit_s = state.max_ttft_s;
+        let total_s = estimate.ttft_s;
         let lateness_s = self.expected_lateness_s(now, total_s);
         self.last_choice = ExplainedChoice {
             request: id,
@@ -114,7 +112,7 @@
         }
         if total_s + lateness_s > limit_s {
             let retry_after_s = (total_s + lateness_s - limit_s).max(MIN_LATE_RETRY_AFTER_S);
-            return self.reject(id, retry_after_s, Cause::ExpectedLate, out);
+            return self.reject_or_fail(id, retry_after_s, Cause::ExpectedLate, out);
         }
         self.send_prefill(now, id, estimate, out);
     }
@@ -129,8 +127,9 @@
             .expected_lateness_s(now, estimate_s, waiting_s)
     }
 
-    /// Probes the first few of which nothing fresh is known; returns those probed. Tied to a choice
-    /// at hand: many routers probing by the clock would load the fleet for nothing.
+    /// Probes those of the first few servers that have no recent load report or probe, and returns
+    /// the ones probed. Probes are sent only for a pending choice, because many routers that probe
+    /// periodically would load the servers to no purpose.
     pub(super) fn probe(
         &mut self,
         now: f64,
@@ -154,43 +153,51 @@
         probed
     }
 
-    /// Probes a few decode servers that a KV state may go to, its own cell's first, during the
-    /// prefill.
+    /// Probes a few decode servers that may take the KV state while the prefill runs, those in the
+    /// prefill server's cell first.
     pub(super) fn probe_decode_servers(
         &mut self,
         now: f64,
         id: RequestId,
-        prefill_server: ServerId,
+        prefill_server_id: ServerId,
         out: &mut Actions,
     ) {
-        let (Some(state), Some(from)) = (self.requests.get(&id), self.servers.get(prefill_server))
+        let (Some(state), Some(prefill_server)) =
+            (self.requests.get(&id), self.servers.get(prefill_server_id))
         else {
             return;
         };
-        if from.role != Role::Prefill {
+        if prefill_server.role != Role::Prefill {
             return;
         }
-        let few = self.decode_servers_to_probe(state, from);
-        self.probe(now, &few, out);
+        let candidates = self.decode_servers_to_probe(state, prefill_server);
+        self.probe(now, &candidates, out);
     }
 
-    /// The first few of them in order, without ordering the others.
-    fn decode_servers_to_probe(&self, state: &RequestState, from: &Server) -> Vec<ServerId> {
+    /// Returns the first few decode servers in probing order, without sorting all of them.
+    fn decode_servers_to_probe(
+        &self,
+        state: &RequestState,
+        prefill_server: &Server,
+    ) -> Vec<ServerId> {
         let selector = self.selector();
-        let mut few: Vec<ProbeCandidate> = Vec::with_capacity(PROBES_PER_CHOICE + 1);
+        let mut candidates: Vec<ProbeCandidate> = Vec::with_capacity(PROBES_PER_CHOICE + 1);
         for server in self.servers.iter() {
             if server.role != Role::Decode || !server.is_ready() {
                 continue;
             }
             let candidate = ProbeCandidate {
-                other_cell: server.entry.cell != from.entry.cell,
+                other_cell: server.entry.cell != prefill_server.entry.cell,
                 draw: selector.draw(server, state),
                 server: server.entry.id,
             };
-            let at = few.partition_point(|known| known.precedes(&candidate));
-            few.insert(at, candidate);
-            few.truncate(PROBES_PER_CHOICE);
+            let position = candidates.partition_point(|other| other.precedes(&candidate));
+            candidates.insert(position, candidate);
+            candidates.truncate(PROBES_PER_CHOICE);
         }
-        few.into_iter().map(|candidate| candidate.server).collect()
+        candidates
+            .into_iter()
+            .map(|candidate| candidate.server)
+            .collect()
     }
 }
--- a/crates/policy/src/choice/selection.rs
+++ b/crates/policy/src/choice/selection.rs
@@ -1,167 +1,174 @@
-//! Choices of servers, read from the parts and nothing else: what all candidates of a choice share
-//! is here.
+//! Selection of servers from the router's components, without modifying them. This module holds
+//! what all candidates of a choice share.
 
 use std::collections::BTreeMap;
 
-use super::hash::{coarse_unit, hash_pair};
+use super::hash::{hash_pair, unit_interval_24_bits};
 use super::load::LoadEstimator;
-use super::prefix_cache::PrefixCache;
+use super::prefix_cache::PrefixCacheIndex;
 use super::request_state::RequestState;
 use super::retry_safety::RetrySafety;
 use super::server::Server;
 use super::server_table::ServerTable;
-use super::slow_start::{RoleCapacity, SlowStartGuard, Turn};
+use super::slow_start::{RoleCapacity, SlowStartInput, SlowStartLimiter};
 use crate::interface::{Effect, Request, Role, Settings};
 
-/// Load and seconds by which equals are spread over routers, and a key's next replica must be
-/// quicker.
-pub(super) const SPREAD: f64 = 0.05;
-/// Load by which another cell's decode server must be lighter; twice for another zone's, or a mixed
-/// server.
-pub(super) const CELL_MARGIN: f64 = 0.15;
-/// Prefix replicas of a key, each of which prefills it once, at least.
+/// Scale of the random cost, in utilization or seconds, that spreads routers over servers of equal
+/// cost. It is also the cost, in seconds, of each later prefix replica.
+pub(super) const TIE_BREAK_COST: f64 = 0.05;
+/// Extra cost, in utilization, of a decode server in another cell; doubled for another zone and for
+/// a mixed server.
+pub(super) const CROSS_CELL_COST: f64 = 0.15;
+/// Minimum number of prefix replicas of a key. Each replica has to prefill the prefix once.
 const MIN_PREFIX_REPLICAS: usize = 2;
-/// The same as a share of prefill servers.
+/// Number of prefix replicas of a key, as a fraction of the ready prefill servers in the zone.
 const PREFIX_REPLICA_FRACTION: f64 = 0.1;
-/// Seconds that a server costs where it has failed this request.
+/// Cost, in seconds, of a server that already failed the same request.
 const SAME_SERVER_PENALTY_S: f64 = 1.0;
-/// What a server's mean time lost by failures counts, as failures come in spells.
+/// Weight of a server's mean time lost by failures. It is above 1 because failures come in bursts.
 const FAILURE_COST_WEIGHT: f64 = 4.0;
-/// The same for what may not be retried.
-const SINGLE_ATTEMPT_FAILURE_COST_WEIGHT: f64 = 40.0;
-/// Seconds of silence past which a server does not count as live.
+/// Weight of a server's mean time lost by failures for a request that may not be retried.
+const AT_MOST_ONCE_FAILURE_COST_WEIGHT: f64 = 40.0;
+/// A server no longer counts as live when an attempt there is this many seconds past due and it has
+/// not answered any attempt for as long.
 const MAX_LIVE_SILENCE_S: f64 = 1.0;
-/// Share of the latency objective past due after which a silent attempt is called back from a
-/// server that was heard of lately.
-const RECENT_SILENCE_RATIO: f64 = 0.3;
-/// The same elsewhere, as the silence of a server seldom heard of proves little.
-const STALE_SILENCE_RATIO: f64 = 1.5;
-/// Seconds within which a server was heard of lately.
-const RECENT_SUCCESS_S: f64 = 4.0;
+/// Time past due after which an attempt counts as silent, as a fraction of the latency objective,
+/// at a server that answered recently.
+const ACTIVE_SERVER_SILENCE_RATIO: f64 = 0.3;
+/// Time past due after which an attempt counts as silent, as a multiple of the latency objective,
+/// at a server that has not answered recently. The silence of a rarely used server proves little.
+const INACTIVE_SERVER_SILENCE_RATIO: f64 = 1.5;
+/// Seconds after its last answer for which a server counts as having answered recently.
+const RECENT_SUCCESS_WINDOW_S: f64 = 4.0;
 
-/// Conditions at the decode servers of a cell, or of all.
+/// Conditions of one cell: the wait at its decode servers and the delay of its link.
 #[derive(Debug, Default)]
 pub(super) struct DecodeConditions {
-    /// Least wait at those that the request may go to, seconds.
+    /// Shortest wait, in seconds, at the cell's decode servers that may take the request.
     pub min_wait_s: Option<f64>,
-    /// Delay of KV states over the cell's link, seconds.
+    /// Delay, in seconds, of KV transfers over the cell's link.
     pub link_s: f64,
 }
 
-/// What the candidates of one decision share, worked out once for it.
+/// Values that all candidates of one decision share, computed once per decision.
 #[derive(Debug, Default)]
 pub(super) struct DecisionContext {
     pub cells: BTreeMap<u16, DecodeConditions>,
-    /// Least wait at all decode servers that the request may go to, seconds.
+    /// Shortest wait, in seconds, at all decode servers that may take the request.
     pub min_wait_s: Option<f64>,
-    /// By role.
-    pub roles: [RoleCapacity; 3],
-    /// Number of prefix replicas that a key has.
-    pub replicas: usize,
+    /// Capacity of the live servers of each role, indexed by [`Role`].
+    pub role_capacities: [RoleCapacity; 3],
+    /// Number of prefix replicas of each placement key.
+    pub replicas_per_key: usize,
 }
 
-/// The parts of a router, to choose by.
+/// Read-only view of a router's components, for choosing servers.
 #[derive(Clone, Copy)]
 pub(super) struct Selector<'a> {
     pub settings: &'a Settings,
     pub seed: u64,
     pub servers: &'a ServerTable,
     pub load: &'a LoadEstimator,
-    pub slow_start: &'a SlowStartGuard,
-    pub prefixes: &'a PrefixCache,
-    pub safety: RetrySafety,
+    pub slow_start: &'a SlowStartLimiter,
+    pub prefix_cache_index: &'a PrefixCacheIndex,
+    pub retry_safety: RetrySafety,
 }
 
 impl Selector<'_> {
-    /// Whether an attempt of a request may go to a server by the list and by the rules on retries.
+    /// Returns whether a request's next attempt may go to a server: the server is ready, is not
+    /// excluded, and the retry rules allow it.
     pub fn is_usable(&self, server: &Server, state: &RequestState, now: f64) -> bool {
-        if !server.is_ready() || server.health.is_closed(now) {
+        if !server.is_ready() || server.health.is_excluded(now) {
             return false;
         }
         let Some(execution) = state.may_have_run else {
             return true;
         };
         let first = self.servers.get(execution.server).map(|first| &first.entry);
-        self.safety
+        self.retry_safety
             .allows_retry(self.effect(state), execution, first, &server.entry, now)
     }
 
-    /// What repeating a request may do.
+    /// Returns what a repeated execution of the request may cause, as set for its class.
     pub fn effect(&self, state: &RequestState) -> Effect {
         self.settings.classes[usize::from(state.request.class)].effect
     }
 
-    /// Whether an attempt there may not be followed by another unless it is known not to have run.
-    pub fn is_single_attempt(&self, server: &Server, state: &RequestState) -> bool {
-        self.safety.is_single_attempt(self.effect(state), server)
+    /// Returns whether an attempt of the request at this server may be followed by another only if
+    /// it is known not to have run.
+    pub fn is_at_most_once(&self, server: &Server, state: &RequestState) -> bool {
+        self.retry_safety
+            .is_at_most_once(self.effect(state), server)
     }
 
-    /// Time to the first token that earns the full weight, seconds.
+    /// Latency objective of a request: the time to first token, in seconds, up to which an answer
+    /// gets its full priority weight.
     pub fn latency_objective_s(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[usize::from(request.class)];
         class.ttft_objective_s + class.ttft_objective_per_token_s * request.prompt_tokens
     }
 
-    /// Seconds past due after which an attempt sent at `sent_at` counts as silent.
-    pub fn max_silence_s(&self, request: &Request, server: &Server, sent_at: f64) -> f64 {
-        let ratio = if sent_at - server.health.last_success_at() < RECENT_SUCCESS_S {
-            RECENT_SILENCE_RATIO
+    /// Seconds past due after which an attempt sent at clock time `sent_at` counts as silent.
+    pub fn silence_threshold_s(&self, request: &Request, server: &Server, sent_at: f64) -> f64 {
+        let ratio = if sent_at - server.health.last_success_at() < RECENT_SUCCESS_WINDOW_S {
+            ACTIVE_SERVER_SILENCE_RATIO
         } else {
-            STALE_SILENCE_RATIO
+            INACTIVE_SERVER_SILENCE_RATIO
         };
         self.latency_objective_s(request) * ratio
     }
 
-    /// Share of its capacity that a server likely has.
+    /// Fraction of its full capacity that a server is estimated to have; 1 when warm.
     pub fn capacity(&self, server: &Server, now: f64) -> f64 {
         self.slow_start.capacity(server.entry.booted_at, now)
     }
 
-    /// Seconds that an answer waits at a decode server.
+    /// Expected wait of an answer at a decode server, in seconds.
     pub fn decode_wait_s(&self, server: &Server, now: f64) -> f64 {
         let capacity = self.capacity(server, now);
         self.load.decode_wait_s(server, capacity, now)
     }
 
-    /// Seconds that others' work takes at a server.
-    pub fn other_dispatchers_s(&self, server: &Server, now: f64) -> f64 {
+    /// Time, in seconds, that the work of other dispatchers takes at a server.
+    pub fn other_dispatchers_queue_s(&self, server: &Server, now: f64) -> f64 {
         let capacity = self.capacity(server, now);
-        self.load.other_dispatchers_s(server, capacity, now)
+        self.load.other_dispatchers_queue_s(server, capacity, now)
     }
 
-    /// The request's draw for a server, from 0 to 1.
+    /// Pseudo-random number from 0 to 1, fixed for this router, request and server.
     pub fn draw(&self, server: &Server, state: &RequestState) -> f64 {
-        let of_request = hash_pair(self.seed, u64::from(state.request.id));
-        coarse_unit(hash_pair(of_request, u64::from(server.entry.id)))
+        let request_hash = hash_pair(self.seed, u64::from(state.request.id));
+        unit_interval_24_bits(hash_pair(request_hash, u64::from(server.entry.id)))
     }
 
-    /// Whether a server is warm, or it is this request's turn there.
-    pub fn may_warm_up(
+    /// Returns whether slow start lets the request go to a server; always true for a warm server.
+    pub fn slow_start_admits(
         &self,
         server: &Server,
         state: &RequestState,
         role_capacity: RoleCapacity,
-        replicas: usize,
+        replicas_per_key: usize,
         is_replica: bool,
         now: f64,
     ) -> bool {
         if self.capacity(server, now) >= 1.0 {
             return true;
         }
-        let turn = Turn {
+        let input = SlowStartInput {
             role: server.role,
-            start_known_at: server.start_known_at,
+            start_learned_at: server.start_learned_at,
             role_capacity,
-            replicas,
-            key_share: state.key_share,
+            replicas_per_key,
+            recent_key_fraction: state.recent_key_fraction,
             is_replica,
             draw: self.draw(server, state),
         };
-        self.slow_start.admits(turn, now)
+        self.slow_start.admits(input, now)
     }
 
-    /// The same by the role capacities and the replicas of a decision.
-    pub fn takes_turn(
+    /// Returns whether slow start lets the request go to a server, given the decision's role
+    /// capacities and number of replicas.
+    pub fn slow_start_admits_in_context(
         &self,
         server: &Server,
         state: &RequestState,
@@ -169,19 +176,19 @@
         is_replica: bool,
         now: f64,
     ) -> bool {
-        let role_capacity = context.roles[server.role as usize];
-        self.may_warm_up(
+        let role_capacity = context.role_capacities[server.role as usize];
+        self.slow_start_admits(
             server,
             state,
             role_capacity,
-            context.replicas,
+            context.replicas_per_key,
             is_replica,
             now,
         )
     }
 
-    /// Seconds that answers stand for which a request evicts from memory, where its length is
-    /// expected.
+    /// Cost, in seconds, of the answers that a request would evict from a server's memory; 0 if its
+    /// output length is not predicted.
     pub fn eviction_cost_s(&self, server: &Server, state: &RequestState, now: f64) -> f64 {
         if state.request.output_tokens.is_none() {
             return 0.0;
@@ -191,23 +198,23 @@
             .eviction_cost_s(server, capacity, state.memory, now)
     }
 
-    /// Seconds that the risk of failure stands for.
+    /// Cost, in seconds, of the risk that an attempt of the request fails at a server.
     pub fn failure_risk_s(&self, server: &Server, state: &RequestState, now: f64) -> f64 {
         let same_server_s = if state.attempts > 0 && state.server == server.entry.id {
             SAME_SERVER_PENALTY_S
         } else {
             0.0
         };
-        let weight = if self.is_single_attempt(server, state) {
-            SINGLE_ATTEMPT_FAILURE_COST_WEIGHT
+        let weight = if self.is_at_most_once(server, state) {
+            AT_MOST_ONCE_FAILURE_COST_WEIGHT
         } else {
             FAILURE_COST_WEIGHT
         };
         same_server_s + server.health.failure_cost_s(now) * weight
     }
 
-    /// What all candidates share, without the waits at decode servers: a choice of prefill server
-    /// alone needs those.
+    /// Computes the values that all candidates share, except the waits at decode servers, which
+    /// only the choice of a prefill server needs.
     pub fn context(&self, now: f64) -> DecisionContext {
         let mut context = DecisionContext::default();
         for (cell, link_s) in self.load.link_delays(now) {
@@ -224,30 +231,30 @@
             let is_ready = server.is_ready();
             let is_live = is_ready && server.overdue_s(now).min(silence_s) < MAX_LIVE_SILENCE_S;
             let live = f64::from(is_live);
-            let role = &mut context.roles[server.role as usize];
-            role.servers += live;
+            let role = &mut context.role_capacities[server.role as usize];
+            role.live_servers += live;
             role.warm_equivalents += live * self.capacity(server, now);
             let in_zone = server.entry.zone == self.settings.zone;
             replica_candidates += usize::from(is_ready && server.role == Role::Prefill && in_zone);
         }
         let replicas = (replica_candidates as f64 * PREFIX_REPLICA_FRACTION).round() as usize;
-        context.replicas = MIN_PREFIX_REPLICAS.max(replicas);
+        context.replicas_per_key = MIN_PREFIX_REPLICAS.max(replicas);
         context
     }
 }
 
 impl DecisionContext {
-    /// KV states that are late at a server show the delay over their cell's link.
+    /// Raises the delay of cell links by the overdue KV transfers to one server.
     fn raise_link_delays(&mut self, server: &Server, now: f64) {
         for attempt in server.in_flight.values() {
-            if let Some(cell) = attempt.link {
+            if let Some(cell) = attempt.crossed_link_cell {
                 let conditions = self.cells.entry(cell).or_default();
                 conditions.link_s = conditions.link_s.max(now - attempt.due_at);
             }
         }
     }
 
-    /// Delay of KV states over a cell's link, seconds.
+    /// Delay, in seconds, of KV transfers over a cell's link; 0 if unknown.
     pub fn link_s(&self, cell: u16) -> f64 {
         self.cells
             .get(&cell)
