--- a/crates/core/src/actions.rs
+++ b/crates/core/src/actions.rs
@@ -20,8 +20,8 @@
                 request,
                 server,
                 timeout_s,
-            } => self.send(now, request, server, timeout_s, out),
-            Action::Cancel { request, attempt } => self.cancel(now, request, attempt, out),
+            } => self.send_attempt(now, request, server, timeout_s, out),
+            Action::Cancel { request, attempt } => self.cancel_attempt(now, request, attempt, out),
             Action::Reject {
                 request,
                 retry_after_s,
@@ -29,7 +29,7 @@
                 let admitted = self
                     .requests
                     .get(&request)
-                    .map(|r| r.admitted)
+                    .map(|r| r.admitted_work)
                     .unwrap_or_default();
                 let retry_after_s = self
                     .load_shedding
@@ -51,7 +51,7 @@
                     out,
                 );
             }
-            Action::Release { request } => self.release(request, out),
+            Action::Release { request } => self.release_kv_cache(request, out),
             Action::Probe { server } => self.probe(now, server, out),
             Action::SetTimer { at, label } => {
                 self.timers.set(Micros::at(at), Timer::Router { label })
@@ -70,7 +70,7 @@
     }
 
     /// Sends an attempt to a server, or tells the decision module at once that it was not sent.
-    pub(crate) fn send(
+    pub(crate) fn send_attempt(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -92,16 +92,16 @@
             .get_mut(&id)
             .filter(|r| !r.answered && r.attempt.is_none())
         else {
-            return self.not_sent(id, 0, server, Outcome::NotSent);
+            return self.report_not_sent(id, 0, server, Outcome::NotSent);
         };
-        let number = request.attempts;
-        request.attempts += 1;
+        let number = request.attempt_count;
+        request.attempt_count += 1;
         let sent = self
             .check_send(now, id, number, server, role)
             .and_then(|role| self.enqueue_attempt(now, id, number, server, role, out));
         match sent {
             Ok(attempt) => self.begin_attempt(now, id, attempt, timeout_s),
-            Err(outcome) => self.not_sent(id, number, server, outcome),
+            Err(outcome) => self.report_not_sent(id, number, server, outcome),
         }
     }
 
@@ -129,7 +129,7 @@
             }
         }
         let role = role.ok_or(Outcome::ConnectFailed)?;
-        let admitted = self.requests.get(&id).map(|r| r.admitted);
+        let admitted = self.requests.get(&id).map(|r| r.admitted_work);
         // Work that would be done again goes by the retry budget that all share.
         if !self
             .load_shedding
@@ -150,13 +150,16 @@
         role: Role,
         out: &mut Vec<Output>,
     ) -> Result<Attempt, Outcome> {
-        let holds_kv_cache = self.requests.get(&id).is_some_and(|r| r.state.is_some());
+        let holds_kv_cache = self
+            .requests
+            .get(&id)
+            .is_some_and(|r| r.held_kv_cache.is_some());
         let purpose = match (role, holds_kv_cache) {
             (Role::Prefill, _) => Purpose::Prefill,
             (_, true) => Purpose::Decode,
             (_, false) => Purpose::Full,
         };
-        let text = self.completion(id, number, purpose);
+        let text = self.completion_message(id, number, purpose);
         let attempt = wire_id(self.instance, id, number);
         let (link, stage) = match self.links.enqueue(server, Queued { attempt, text }) {
             EnqueueResult::SendNow(link, message) => {
@@ -215,7 +218,7 @@
     }
 
     /// The message for an attempt, in vLLM's words.
-    fn completion(&self, id: RequestId, number: u16, purpose: Purpose) -> String {
+    fn completion_message(&self, id: RequestId, number: u16, purpose: Purpose) -> String {
         let Some(request) = self.requests.get(&id) else {
             return String::new();
         };
@@ -225,7 +228,7 @@
                 do_remote_decode: true,
                 ..Default::default()
             }),
-            Purpose::Decode => request.state.as_ref().map(|s| s.params.clone()),
+            Purpose::Decode => request.held_kv_cache.as_ref().map(|s| s.params.clone()),
             Purpose::Full => None,
         };
         let keyed = self.settings.classes[usize::from(request.class)].effect == Effect::Keyed;
@@ -253,7 +256,7 @@
         })
     }
 
-    pub(crate) fn not_sent(
+    pub(crate) fn report_not_sent(
         &mut self,
         id: RequestId,
         attempt: u16,
@@ -273,7 +276,7 @@
         }));
     }
 
-    fn cancel(&mut self, now: Micros, id: RequestId, number: u16, out: &mut Vec<Output>) {
+    fn cancel_attempt(&mut self, now: Micros, id: RequestId, number: u16, out: &mut Vec<Output>) {
         let current = self.requests.get(&id).and_then(|r| r.attempt.as_ref());
         let Some(attempt) = current.filter(|a| a.number == number && a.stage != Stage::Streaming)
         else {
@@ -311,18 +314,18 @@
 
     /// Lets go of the state held for a request, unless an attempt waits for it: then once that has ended. Without a link there is nothing to do: a server releases what a lost
     /// link's dispatcher held there.
-    pub(crate) fn release(&mut self, id: RequestId, out: &mut Vec<Output>) {
+    pub(crate) fn release_kv_cache(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         if request.attempt.is_some() {
             request
-                .state
+                .held_kv_cache
                 .iter_mut()
-                .for_each(|state| state.release = true);
+                .for_each(|state| state.release_after_attempt = true);
             return;
         }
-        let Some(state) = request.state.take() else {
+        let Some(state) = request.held_kv_cache.take() else {
             return;
         };
         if let Some(link) = self.links.open(state.server) {
@@ -358,11 +361,11 @@
             link,
             purpose,
             stage,
-            sent: now,
-            heard: now,
+            started_at: now,
+            last_received_at: now,
             finish_reason: None,
             usage: None,
-            state: None,
+            kv_transfer_params: None,
         }
     }
 }
--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -37,23 +37,23 @@
     }
 
     /// Whether an attempt may have had the effect, the one that is out included.
-    pub(crate) fn may_run(&self) -> bool {
+    pub(crate) fn may_have_run(&self) -> bool {
         let out = |a: &crate::requests::Attempt| {
             a.purpose != Purpose::Prefill && a.stage != Stage::Queued
         };
-        self.may_have_run || self.attempt.as_ref().is_some_and(out)
+        self.earlier_attempt_may_have_run || self.attempt.as_ref().is_some_and(out)
     }
 
     /// What became of a step whose answer is none.
     pub(crate) fn unfinished_outcome(&self) -> AttemptOutcome {
-        if self.may_run() {
+        if self.may_have_run() {
             AttemptOutcome::MayHaveRun
         } else {
             AttemptOutcome::NeverRan
         }
     }
 
-    pub(crate) fn failed(
+    pub(crate) fn failed_response(
         &self,
         code: &str,
         message: &str,
@@ -155,7 +155,7 @@
             return;
         };
         let class = &self.settings.classes[usize::from(request.class)];
-        if class.effect == Effect::Unsafe && request.may_run() {
+        if class.effect == Effect::Unsafe && request.may_have_run() {
             // The module never does this; a refusal here would invite a second effect.
             log(
                 out,
@@ -164,7 +164,7 @@
             );
             return self.fail(now, id, "server_error", "it may have run", out);
         }
-        let answer = request.failed("rate_limit_exceeded", why, true, Some(retry_after_s));
+        let answer = request.failed_response("rate_limit_exceeded", why, true, Some(retry_after_s));
         self.finish(now, id, answer, out);
     }
 
@@ -179,7 +179,7 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let answer = request.failed(code, why, false, None);
+        let answer = request.failed_response(code, why, false, None);
         self.finish(now, id, answer, out);
     }
 
@@ -280,25 +280,25 @@
                 owner: request.owner.clone(),
                 conversation: request.conversation,
                 text: format!("{}\nassistant: {}", request.prompt, request.text),
-                at: now,
+                created_at: now,
             };
-            self.contexts.keep(&answer.id, context);
+            self.contexts.insert(&answer.id, context);
         }
-        self.settle_key(now, id, answer);
+        self.record_key_outcome(now, id, answer);
         self.remove_if_done(id, out);
     }
 
     /// A key keeps the answer that stands; it is let go where asking again is harmless and may end better.
-    fn settle_key(&mut self, now: Micros, id: RequestId, answer: Response) {
+    fn record_key_outcome(&mut self, now: Micros, id: RequestId, answer: Response) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let Some(key) = request.key.as_ref().filter(|_| !request.step) else {
+        let Some(key) = request.key.as_ref().filter(|_| !request.is_workflow_step) else {
             return;
         };
         let safe = self.settings.classes[usize::from(request.class)].effect == Effect::Safe;
         let refused = answer.error.as_ref().is_some_and(|e| e.safe_to_repeat);
-        if refused || answer.status == Status::Failed && (safe || !request.may_run()) {
+        if refused || answer.status == Status::Failed && (safe || !request.may_have_run()) {
             return self.keys.remove(key);
         }
         let bytes = request.text.len() + answer.model.len() + 512;
@@ -311,11 +311,12 @@
             return;
         };
         request.answered = true;
-        let answer = request.failed("cancelled", "its client left; it may have run", false, None);
-        let streaming = request.streaming();
+        let answer =
+            request.failed_response("cancelled", "its client left; it may have run", false, None);
+        let streaming = request.is_streaming();
         self.abandon_step(now, id, out);
         self.charge_answer(id, &answer, out);
-        self.settle_key(now, id, answer);
+        self.record_key_outcome(now, id, answer);
         self.events
             .push_back(Event::ClientDisconnected { request: id });
         if streaming {
@@ -338,8 +339,8 @@
             return;
         };
         let safe = self.settings.classes[usize::from(request.class)].effect == Effect::Safe
-            || !request.may_run();
-        let answer = request.failed("cancelled", "cancelled by the client", safe, None);
+            || !request.may_have_run();
+        let answer = request.failed_response("cancelled", "cancelled by the client", safe, None);
         request.send_event(out, Some(session), |l, _| {
             client::finished(l.sequence, &l.view(&answer))
         });
@@ -353,13 +354,13 @@
 
     /// Lets go of an entry once it is answered, nothing is out and nothing is held.
     pub(crate) fn remove_if_done(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let over = |r: &Request| r.answered && r.attempt.is_none() && r.state.is_none();
+        let over = |r: &Request| r.answered && r.attempt.is_none() && r.held_kv_cache.is_none();
         if self.requests.get(&id).is_some_and(over) && !self.workflows.is_ending(id) {
             self.settle(id, out);
             let Some(mut gone) = self.requests.remove(&id) else {
                 return;
             };
-            self.load_shedding.request_ended(&mut gone.admitted);
+            self.load_shedding.request_ended(&mut gone.admitted_work);
             self.prompt_bytes -= gone.prompt.len();
         }
     }
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -4,32 +4,32 @@
 use bitternlatch_protocol::client::{InputDetails, Usage};
 
 use crate::machine::{log, Machine};
-use crate::requests::{read_wire_id, wire_id, Attempt, HeldKvCache, Purpose, Request, Stage};
+use crate::requests::{parse_wire_id, wire_id, Attempt, HeldKvCache, Purpose, Request, Stage};
 use crate::timers::Timer;
 use crate::types::{Level, LinkId, Micros, Output};
 
 impl Request {
     /// Notes what the end of an attempt says of the request.
-    fn note_end(&mut self, attempt: &Attempt, outcome: Outcome) {
+    fn record_attempt_end(&mut self, attempt: &Attempt, outcome: Outcome) {
         let never_ran = matches!(
             outcome,
             Outcome::PrefillDone | Outcome::Rejected { .. } | Outcome::ConnectFailed
         );
         if attempt.purpose != Purpose::Prefill && !never_ran {
-            self.may_have_run = true;
+            self.earlier_attempt_may_have_run = true;
         }
         let lost_kv_cache = Outcome::Rejected {
             state_missing: true,
         };
         if outcome == lost_kv_cache {
-            self.state = None;
+            self.held_kv_cache = None;
         }
-        self.admitted.repeats = match outcome {
+        self.admitted_work.repeats = match outcome {
             Outcome::PrefillDone | Outcome::Served | Outcome::NotSent => false,
             Outcome::Rejected {
                 state_missing: false,
             }
-            | Outcome::ConnectFailed => self.admitted.repeats,
+            | Outcome::ConnectFailed => self.admitted_work.repeats,
             // Where the KV cache is gone, its prefill is done again.
             _ => true,
         };
@@ -60,7 +60,7 @@
         attempt: &str,
         out: &mut Vec<Output>,
     ) {
-        let Some((id, number)) = read_wire_id(self.instance, attempt) else {
+        let Some((id, number)) = parse_wire_id(self.instance, attempt) else {
             return;
         };
         let over = |a: &Attempt| a.link == link && a.stage == Stage::InFlight;
@@ -85,18 +85,18 @@
         let Some(attempt) = self.requests.get(&id).and_then(|r| r.attempt.as_ref()) else {
             return;
         };
-        let Some(params) = attempt.state.clone() else {
+        let Some(params) = attempt.kv_transfer_params.clone() else {
             return self.end_attempt(now, id, Outcome::Error, 0, report, out);
         };
         let state = HeldKvCache {
             server: attempt.server,
             created_by: created_by(attempt),
             params,
-            release: false,
+            release_after_attempt: false,
         };
         let cached = cached_tokens(attempt);
         if let Some(request) = self.requests.get_mut(&id) {
-            request.state = Some(state);
+            request.held_kv_cache = Some(state);
         }
         self.end_attempt(now, id, Outcome::PrefillDone, cached, report, out);
     }
@@ -146,7 +146,7 @@
         let Some(attempt) = request.attempt.take() else {
             return;
         };
-        request.note_end(&attempt, outcome);
+        request.record_attempt_end(&attempt, outcome);
         self.load_shedding
             .load_reported(now, attempt.server, &report);
         self.note_outcome(now, attempt.server, outcome);
@@ -159,9 +159,12 @@
             let why = "the answer broke off; it may have run";
             self.fail(now, id, "server_error", why, out);
         }
-        let held = self.requests.get(&id).and_then(|r| r.state.as_ref());
-        if held.is_some_and(|state| state.release) {
-            self.release(id, out);
+        let held = self
+            .requests
+            .get(&id)
+            .and_then(|r| r.held_kv_cache.as_ref());
+        if held.is_some_and(|state| state.release_after_attempt) {
+            self.release_kv_cache(id, out);
         }
         let finished = self.requests.get(&id).is_none_or(|r| r.answered);
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
@@ -169,7 +172,7 @@
             attempt: attempt.number,
             server: attempt.server,
             outcome,
-            elapsed_s: now.since(attempt.sent),
+            elapsed_s: now.since(attempt.started_at),
             finished,
             prefix_hit_tokens: f64::from(prefix_hit),
             report,
@@ -177,7 +180,7 @@
         self.remove_if_done(id, out);
     }
 
-    pub(crate) fn on_attempt_time(
+    pub(crate) fn on_attempt_timeout(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -201,7 +204,7 @@
 
     /// The client's time is up. The module has answered by now; should it not have, the rule is kept here.
     pub(crate) fn on_deadline(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id).filter(|r| !r.streaming()) else {
+        let Some(request) = self.requests.get(&id).filter(|r| !r.is_streaming()) else {
             return;
         };
         let number = request.attempt.as_ref().map(|a| a.number);
@@ -222,17 +225,17 @@
                 .push_back(Event::ClientDisconnected { request: id });
         }
         if let Some(number) = number {
-            self.on_attempt_time(now, id, number, out);
+            self.on_attempt_timeout(now, id, number, out);
         }
     }
 
     /// A stream that has said nothing for as long as a first token may take has stalled.
     pub(crate) fn on_stall(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id).filter(|r| r.streaming()) else {
+        let Some(request) = self.requests.get(&id).filter(|r| r.is_streaming()) else {
             return;
         };
         let most_s = self.settings.classes[usize::from(request.class)].deadline_s;
-        let heard = request.attempt.as_ref().map_or(now, |a| a.heard);
+        let heard = request.attempt.as_ref().map_or(now, |a| a.last_received_at);
         if now.since(heard) < most_s {
             return self
                 .timers
--- a/crates/core/src/blocked_sends.rs
+++ b/crates/core/src/blocked_sends.rs
@@ -26,14 +26,14 @@
         // A state that waits to be fetched keeps its place for so long at the most, whatever time the request has left.
         let pinned = now.after(self.settings.rules.kv_hold_limit_s * KV_HOLD_SHARE);
         let ends = |r: &Request| {
-            if r.state.is_some() {
+            if r.held_kv_cache.is_some() {
                 pinned
             } else {
                 r.deadline.max(now.after(PROBE_S))
             }
         };
         let asked = live
-            .map(|r| (r.may_run(), ends(r)))
+            .map(|r| (r.may_have_run(), ends(r)))
             .and_then(|(may_have_run, ends)| {
                 self.workflows
                     .wait(id, send, may_have_run, ends)
@@ -56,7 +56,7 @@
         out: &mut Vec<Output>,
     ) {
         match may {
-            true => self.send(now, id, send.server, send.timeout_s, out),
+            true => self.send_attempt(now, id, send.server, send.timeout_s, out),
             false => self.abandon_send(id, send),
         }
     }
@@ -70,9 +70,9 @@
 
     pub(crate) fn abandon_send(&mut self, id: RequestId, send: BlockedSend) {
         let number = self.requests.get_mut(&id).map_or(0, |r| {
-            r.attempts += 1;
-            r.attempts - 1
+            r.attempt_count += 1;
+            r.attempt_count - 1
         });
-        self.not_sent(id, number, send.server, Outcome::NotSent);
+        self.report_not_sent(id, number, send.server, Outcome::NotSent);
     }
 }
--- a/crates/core/src/budgets.rs
+++ b/crates/core/src/budgets.rs
@@ -123,7 +123,9 @@
         match self.admitted() {
             _ if refused => None,
             Some(amount) => Some(Used::Known(amount)),
-            None if served || self.may_run() => Some(Used::Possibly(self.hold.as_ref()?.bound())),
+            None if served || self.may_have_run() => {
+                Some(Used::Possibly(self.budget_hold.as_ref()?.bound()))
+            }
             None => None,
         }
     }
@@ -156,7 +158,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.refused = refused;
+        request.rejected = refused;
         let used = request.used(served, refused);
         self.charge(id, used, out);
     }
@@ -188,7 +190,7 @@
                 .as_ref()
                 .map(|k| k.text.clone())
                 .unwrap_or_default(),
-            taken_us: request.taken.0,
+            taken_us: request.created_at.0,
             used,
         }));
     }
@@ -199,7 +201,7 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let used = request.used(false, request.refused);
+        let used = request.used(false, request.rejected);
         self.charge(id, used, out);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -208,7 +210,7 @@
             Some(Used::Known(amount) | Used::Possibly(amount)) => amount,
             None => Amount::default(),
         };
-        if let Some(hold) = request.hold.take() {
+        if let Some(hold) = request.budget_hold.take() {
             self.book.settle(hold, used);
         }
     }
--- a/crates/core/src/callers.rs
+++ b/crates/core/src/callers.rs
@@ -17,25 +17,30 @@
 
 /// Why a session takes nothing new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Ending {
+pub(crate) enum EndReason {
     TokenExpired,
     TokenKeyRevoked,
     CertificateExpired,
     CertificateRevoked,
 }
 
-impl Ending {
+impl EndReason {
     fn code(self) -> &'static str {
         match self {
-            Ending::TokenExpired => "token_expired",
-            Ending::TokenKeyRevoked => "token_key_withdrawn",
-            Ending::CertificateExpired => "certificate_expired",
-            Ending::CertificateRevoked => "certificate_revoked",
+            EndReason::TokenExpired => "token_expired",
+            EndReason::TokenKeyRevoked => "token_key_withdrawn",
+            EndReason::CertificateExpired => "certificate_expired",
+            EndReason::CertificateRevoked => "certificate_revoked",
         }
     }
 }
 
-fn refused(status: u16, code: &'static str, message: String, param: Option<&str>) -> BadRequest {
+fn caller_error(
+    status: u16,
+    code: &'static str,
+    message: String,
+    param: Option<&str>,
+) -> BadRequest {
     BadRequest {
         status,
         code,
@@ -46,7 +51,7 @@
 
 impl Machine {
     /// What a session's caller is granted for a request; `None` where the installation knows no callers.
-    pub(crate) fn granted(
+    pub(crate) fn check_rights(
         &self,
         now: Micros,
         session: SessionId,
@@ -57,8 +62,8 @@
             return Ok(None);
         }
         let caller = self.sessions.caller(session);
-        if let Some(ending) = self.sessions.ending(session) {
-            return Err(refused(
+        if let Some(ending) = self.sessions.end_reason(session) {
+            return Err(caller_error(
                 401,
                 ending.code(),
                 "the proof of the caller no longer counts".into(),
@@ -67,7 +72,7 @@
         }
         let credential_time_s = self.credential_time_s(now);
         let Some(caller) = caller.filter(|c| credential_time_s < c.ends) else {
-            return Err(refused(
+            return Err(caller_error(
                 401,
                 "token_expired",
                 "the proof of the caller has ended".into(),
@@ -81,7 +86,7 @@
             tenant: create.metadata.get(client::META_TENANT).map(String::as_str),
         };
         let Some(rights) = &self.rights else {
-            return Err(refused(
+            return Err(caller_error(
                 403,
                 "caller_unknown",
                 "no rights are in force".into(),
@@ -90,7 +95,7 @@
         };
         match rights.may(caller, &wish) {
             Ok(grant) => Ok(Some(grant)),
-            Err(denial) => Err(refused(
+            Err(denial) => Err(caller_error(
                 403,
                 denial.code(),
                 denial.to_string(),
@@ -115,7 +120,7 @@
 
     /// A session's caller is known, or has renewed its proof.
     pub(crate) fn set_caller(&mut self, session: SessionId, caller: Caller) {
-        let ends = self.clock_at(caller.ends);
+        let ends = self.credential_expiry_time(caller.ends);
         self.sessions.set_caller(session, caller);
         self.timers.set(ends, Timer::Caller { session });
     }
@@ -126,7 +131,7 @@
     }
 
     /// When the clock will show a time at which a proof ends.
-    fn clock_at(&self, ends_s: u64) -> Micros {
+    fn credential_expiry_time(&self, ends_s: u64) -> Micros {
         Micros(
             ends_s
                 .saturating_mul(1_000_000)
@@ -148,20 +153,27 @@
             format!("the time of proofs moves by {by_s:.1} s"),
         );
         self.credential_clock_offset_us = ahead_us;
-        for (session, ends_s) in self.sessions.ends() {
-            self.timers
-                .set(self.clock_at(ends_s), Timer::Caller { session });
+        for (session, ends_s) in self.sessions.credential_expiries() {
+            self.timers.set(
+                self.credential_expiry_time(ends_s),
+                Timer::Caller { session },
+            );
             self.on_credential_expiry(now, session);
         }
     }
 
-    pub(crate) fn on_renewed(&mut self, session: SessionId, caller: Caller, out: &mut Vec<Output>) {
+    pub(crate) fn on_session_renewed(
+        &mut self,
+        session: SessionId,
+        caller: Caller,
+        out: &mut Vec<Output>,
+    ) {
         let Some(before) = self.sessions.caller(session) else {
             return;
         };
         if before.subject != caller.subject {
             let why = "the token is another caller's; a session stays its caller's".to_string();
-            let bad = refused(403, "subject_mismatch", why, Some("token"));
+            let bad = caller_error(403, "subject_mismatch", why, Some("token"));
             return out.push(Output::SendToClient {
                 session,
                 text: client::error(&bad, None, None),
@@ -182,7 +194,7 @@
         out: &mut Vec<Output>,
     ) {
         if self.sessions.is_open(session) {
-            let bad = refused(
+            let bad = caller_error(
                 401,
                 "token_refused",
                 format!("the token is not taken: {code}"),
@@ -211,11 +223,11 @@
                 .caller(session)
                 .is_some_and(|c| c.proof == Proof::Certificate);
             let why = if by_certificate {
-                Ending::CertificateRevoked
+                EndReason::CertificateRevoked
             } else {
-                Ending::TokenKeyRevoked
+                EndReason::TokenKeyRevoked
             };
-            self.sessions.end(session, why);
+            self.sessions.begin_ending(session, why);
         }
     }
 
@@ -223,17 +235,17 @@
         let credential_time_s = self.credential_time_s(now);
         let why = match self.sessions.caller(session) {
             Some(c) if c.ends <= credential_time_s && c.proof == Proof::Certificate => {
-                Ending::CertificateExpired
+                EndReason::CertificateExpired
             }
-            Some(c) if c.ends <= credential_time_s => Ending::TokenExpired,
+            Some(c) if c.ends <= credential_time_s => EndReason::TokenExpired,
             _ => return,
         };
-        self.sessions.end(session, why);
+        self.sessions.begin_ending(session, why);
     }
 
     /// Closes ending sessions that have nothing in flight any more.
     pub(crate) fn close_ending_sessions(&mut self, out: &mut Vec<Output>) {
-        for (session, ending) in self.sessions.ending_and_idle() {
+        for (session, ending) in self.sessions.idle_ending_sessions() {
             self.sessions.close(session);
             out.push(Output::CloseSession {
                 session,
--- a/crates/core/src/contexts.rs
+++ b/crates/core/src/contexts.rs
@@ -14,12 +14,12 @@
     pub conversation: u64,
     /// Prompt and answer so far.
     pub text: String,
-    pub at: Micros,
+    pub created_at: Micros,
 }
 
 struct CachedContext {
     /// Position in the order of insertion.
-    order: u64,
+    insertion_order: u64,
     context: Context,
 }
 
@@ -29,8 +29,8 @@
     max_bytes: usize,
     bytes: usize,
     cached: BTreeMap<String, CachedContext>,
-    order: BTreeMap<u64, String>,
-    next: u64,
+    by_insertion_order: BTreeMap<u64, String>,
+    last_order: u64,
 }
 
 impl Contexts {
@@ -39,8 +39,8 @@
             max_bytes,
             bytes: 0,
             cached: BTreeMap::new(),
-            order: BTreeMap::new(),
-            next: 0,
+            by_insertion_order: BTreeMap::new(),
+            last_order: 0,
         }
     }
 
@@ -51,38 +51,39 @@
             .filter(|c| c.tenant == tenant && c.owner == owner)
     }
 
-    pub(crate) fn keep(&mut self, id: &str, context: Context) {
+    pub(crate) fn insert(&mut self, id: &str, context: Context) {
         if context.text.len() > self.max_bytes {
             return;
         }
         self.bytes += context.text.len();
-        self.next += 1;
-        self.order.insert(self.next, id.to_string());
+        self.last_order += 1;
+        self.by_insertion_order
+            .insert(self.last_order, id.to_string());
         let entry = CachedContext {
-            order: self.next,
+            insertion_order: self.last_order,
             context,
         };
         if let Some(old) = self.cached.insert(id.to_string(), entry) {
             self.bytes -= old.context.text.len();
-            self.order.remove(&old.order);
+            self.by_insertion_order.remove(&old.insertion_order);
         }
-        while self.bytes > self.max_bytes && self.drop_oldest() {}
+        while self.bytes > self.max_bytes && self.evict_oldest() {}
     }
 
     /// Lets go of what is older than a time.
     pub(crate) fn sweep(&mut self, before: Micros) {
         let old = |c: &Self| {
             let first = c
-                .order
+                .by_insertion_order
                 .first_key_value()
                 .and_then(|(_, id)| c.cached.get(id));
-            first.is_some_and(|entry| entry.context.at < before)
+            first.is_some_and(|entry| entry.context.created_at < before)
         };
-        while old(self) && self.drop_oldest() {}
+        while old(self) && self.evict_oldest() {}
     }
 
-    fn drop_oldest(&mut self) -> bool {
-        let Some((_, id)) = self.order.pop_first() else {
+    fn evict_oldest(&mut self) -> bool {
+        let Some((_, id)) = self.by_insertion_order.pop_first() else {
             return false;
         };
         if let Some(old) = self.cached.remove(&id) {
--- a/crates/core/src/engine_messages.rs
+++ b/crates/core/src/engine_messages.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::machine::{log, Machine};
-use crate::requests::{read_wire_id, Purpose, Stage};
+use crate::requests::{parse_wire_id, Purpose, Stage};
 use crate::timers::Timer;
 use crate::types::{Level, LinkId, Micros, Output};
 
@@ -35,7 +35,7 @@
             } => self.on_hello(now, link, uptime_s, state, out),
             FromEngine::State { state } => self.on_state(now, link, state, out),
             FromEngine::Load { id, load } => {
-                let report = self.report(Some(&load));
+                let report = self.load_report_values(Some(&load));
                 match self.load_shedding.probe_answered(id, &report) {
                     Some(ask) => out.push(Output::Overload(ask)),
                     None => self.end_probe(now, id, Outcome::Served, report),
@@ -46,8 +46,8 @@
             FromEngine::Error {
                 id, error, load, ..
             } => {
-                if let Some(request) = self.current(now, link, &id, out) {
-                    let report = self.report(load.as_ref());
+                if let Some(request) = self.current_request(now, link, &id, out) {
+                    let report = self.load_report_values(load.as_ref());
                     self.end_attempt(now, request, outcome_of(&error), 0, report, out);
                 }
             }
@@ -73,14 +73,14 @@
 
     /// The request whose current attempt a message is about; a word on an attempt that is over is passed over, and one
     /// with an id never given out is a fault.
-    pub(crate) fn current(
+    pub(crate) fn current_request(
         &mut self,
         now: Micros,
         link: LinkId,
         id: &str,
         out: &mut Vec<Output>,
     ) -> Option<RequestId> {
-        let Some((request, number)) = read_wire_id(self.instance, id) else {
+        let Some((request, number)) = parse_wire_id(self.instance, id) else {
             let shown: String = id.chars().take(60).collect();
             self.report_fault(
                 link,
@@ -93,7 +93,7 @@
         if attempt.number != number || attempt.link != link || attempt.stage == Stage::Queued {
             return None;
         }
-        attempt.heard = now;
+        attempt.last_received_at = now;
         Some(request)
     }
 
@@ -109,8 +109,8 @@
             .kv_transfer_params
             .as_ref()
             .is_some_and(|p| p.do_remote_prefill);
-        let Some(id) = self.current(now, link, wire, out) else {
-            if kept && read_wire_id(self.instance, wire).is_some() {
+        let Some(id) = self.current_request(now, link, wire, out) else {
+            if kept && parse_wire_id(self.instance, wire).is_some() {
                 // A read that was given up on has ended after all: nobody will fetch its state.
                 self.send_release(link, wire, out);
             }
@@ -126,7 +126,7 @@
             attempt.usage = Some(usage);
         }
         if kept {
-            attempt.state = body.kv_transfer_params;
+            attempt.kv_transfer_params = body.kv_transfer_params;
         }
         let Some(choice) = body.choices.into_iter().next() else {
             return;
@@ -169,11 +169,15 @@
             .filter(|a| a.stage == Stage::InFlight)
         {
             attempt.stage = Stage::Streaming;
-            self.load_shedding.first_token(now, &mut request.admitted);
-            let (number, server, elapsed_s) =
-                (attempt.number, attempt.server, now.since(attempt.sent));
+            self.load_shedding
+                .first_token(now, &mut request.admitted_work);
+            let (number, server, elapsed_s) = (
+                attempt.number,
+                attempt.server,
+                now.since(attempt.started_at),
+            );
             // The state has been fetched: nothing of it is held any more.
-            request.state = None;
+            request.held_kv_cache = None;
             self.timers
                 .set(now.after(stall_s), Timer::Stall { request: id });
             self.events.push_back(Event::FirstToken {
@@ -194,10 +198,10 @@
         load: Option<&Load>,
         out: &mut Vec<Output>,
     ) {
-        let Some(id) = self.current(now, link, wire, out) else {
+        let Some(id) = self.current_request(now, link, wire, out) else {
             return;
         };
-        let report = self.report(load);
+        let report = self.load_report_values(load);
         let Some(attempt) = self.requests.get(&id).and_then(|r| r.attempt.as_ref()) else {
             return;
         };
@@ -210,7 +214,7 @@
 
     /// A load report in the order of the settings; empty where a value is missing, negative or no number. Values are
     /// kept at the precision of the simulator's wire, so that the module is told the same over both.
-    pub(crate) fn report(&self, load: Option<&Load>) -> Vec<f64> {
+    pub(crate) fn load_report_values(&self, load: Option<&Load>) -> Vec<f64> {
         let Some(load) = load else { return Vec::new() };
         let value = |f: &crate::settings::ReportField| {
             let value = load.get(&f.name).copied().map(|v| f64::from(v as f32));
--- a/crates/core/src/idempotency.rs
+++ b/crates/core/src/idempotency.rs
@@ -34,7 +34,7 @@
     /// Hash of what was asked: a key used again for something else is an error.
     fingerprint: u64,
     state: KeyState,
-    ended: Option<Micros>,
+    ended_at: Option<Micros>,
     bytes: usize,
     ended_order: u64,
 }
@@ -91,7 +91,7 @@
         let entry = IdempotencyEntry {
             fingerprint,
             state: KeyState::Running(request),
-            ended: None,
+            ended_at: None,
             bytes: 0,
             ended_order: 0,
         };
@@ -113,7 +113,7 @@
         self.last_order += 1;
         self.ended.remove(&entry.ended_order);
         self.bytes = self.bytes + bytes - entry.bytes;
-        (entry.state, entry.ended, entry.bytes) =
+        (entry.state, entry.ended_at, entry.bytes) =
             (KeyState::Answered(Box::new(answer)), Some(now), bytes);
         entry.ended_order = self.last_order;
         self.ended.insert(self.last_order, key.clone());
@@ -141,7 +141,7 @@
         while let Some((ended_order, key)) = self.ended.first_key_value() {
             let entry = self.entries.get(key);
             if entry
-                .and_then(|e| e.ended)
+                .and_then(|e| e.ended_at)
                 .is_some_and(|at| now.since(at) < self.lifetime_s)
             {
                 return;
--- a/crates/core/src/intake.rs
+++ b/crates/core/src/intake.rs
@@ -56,7 +56,7 @@
         let say = |out: &mut Vec<Output>, text| out.push(Output::SendToClient { session, text });
         match client::parse(text) {
             Ok(ClientEvent::Create(create)) => {
-                if let Err(denied) = self.create(now, session, &create, out) {
+                if let Err(denied) = self.on_create(now, session, &create, out) {
                     say(out, denied.to_text(&create));
                 }
             }
@@ -69,7 +69,7 @@
         }
     }
 
-    fn create(
+    fn on_create(
         &mut self,
         now: Micros,
         session: SessionId,
@@ -113,20 +113,20 @@
     ) -> Result<(), Rejection> {
         if let Err(denied) = self.check_capacity(now, &validated) {
             validated
-                .admitted
+                .admitted_work
                 .iter_mut()
                 .for_each(|admitted| self.load_shedding.request_ended(admitted));
             return Err(denied);
         }
         let verdict = validated
-            .admitted
+            .admitted_work
             .map_or_else(|| self.evaluate_admission(now, create, &validated), Ok);
         let Ok(mut admitted) = verdict else {
             let decision = AdmissionDecision {
-                hold: None,
+                budget_hold: None,
                 verdict,
             };
-            self.begin(now, session, create, validated, decision, out);
+            self.start_request(now, session, create, validated, decision, out);
             return Ok(());
         };
         let most = Amount {
@@ -143,10 +143,10 @@
                 Rejection::by_budget(short)
             })?;
         let decision = AdmissionDecision {
-            hold: Some(hold),
+            budget_hold: Some(hold),
             verdict,
         };
-        self.begin(now, session, create, validated, decision, out);
+        self.start_request(now, session, create, validated, decision, out);
         self.send_rate_limits(now, tenant, session, out);
         Ok(())
     }
@@ -184,7 +184,7 @@
             .tenants
             .get(validated.tenant as usize)
             .map(|t| t.quota_rps);
-        let asked = validated.asked(
+        let asked = validated.to_load_shedding_request(
             create,
             class,
             expected.map(|e| e.mean),
@@ -236,7 +236,7 @@
         response: &str,
         out: &mut Vec<Output>,
     ) -> Result<(), BadRequest> {
-        let id = self.response_ids.read_response(response);
+        let id = self.response_ids.parse_response_id(response);
         let heard = |id: &RequestId| {
             self.requests
                 .get(id)
@@ -274,7 +274,7 @@
             };
             request.listeners.retain(|l| l.session != session);
             // A keyed request with an effect goes on: its client may come back for the one answer that it has.
-            let lingers = (request.key.is_some() || request.step)
+            let lingers = (request.key.is_some() || request.is_workflow_step)
                 && self.settings.classes[usize::from(request.class)].effect != Effect::Safe;
             if request.listeners.is_empty() && !lingers {
                 self.abandon(now, id, out);
--- a/crates/core/src/link_events.rs
+++ b/crates/core/src/link_events.rs
@@ -6,7 +6,7 @@
 
 use crate::links::{retry_at, Queued};
 use crate::machine::{log, Machine};
-use crate::requests::{read_wire_id, Attempt, Purpose, Stage};
+use crate::requests::{parse_wire_id, Attempt, Purpose, Stage};
 use crate::timers::Timer;
 use crate::types::{Level, LinkId, Micros, Output};
 
@@ -91,7 +91,7 @@
         out: &mut Vec<Output>,
     ) {
         for message in queued {
-            if let Some((id, number)) = read_wire_id(self.instance, &message.attempt) {
+            if let Some((id, number)) = parse_wire_id(self.instance, &message.attempt) {
                 self.end_unsent(now, id, number, out);
             }
         }
@@ -155,14 +155,14 @@
         link: LinkId,
         attempt: &str,
     ) -> Option<RequestId> {
-        let (id, number) = read_wire_id(self.instance, attempt)?;
+        let (id, number) = parse_wire_id(self.instance, attempt)?;
         let may = self.workflows.may_send(now, id);
         let current = self.requests.get_mut(&id).and_then(|r| r.attempt.as_mut());
         if let Some(a) = current.filter(|a| a.number == number) {
             if a.purpose != Purpose::Prefill && !may {
                 return None;
             }
-            (a.stage, a.link, a.heard) = (Stage::InFlight, link, now);
+            (a.stage, a.link, a.last_received_at) = (Stage::InFlight, link, now);
         }
         Some(id)
     }
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -238,7 +238,9 @@
         match input {
             Input::ServerList(list) => self.on_server_list(now, list, out),
             Input::SessionOpened { session, caller } => self.on_session(session, caller, out),
-            Input::SessionRenewed { session, caller } => self.on_renewed(session, caller, out),
+            Input::SessionRenewed { session, caller } => {
+                self.on_session_renewed(session, caller, out)
+            }
             Input::RenewalRejected { session, code } => {
                 self.on_renewal_rejected(session, &code, out)
             }
@@ -329,7 +331,9 @@
     fn on_timer(&mut self, now: Micros, timer: Timer, out: &mut Vec<Output>) {
         match timer {
             Timer::Router { label } => self.events.push_back(Event::Timer { label }),
-            Timer::Attempt { request, attempt } => self.on_attempt_time(now, request, attempt, out),
+            Timer::Attempt { request, attempt } => {
+                self.on_attempt_timeout(now, request, attempt, out)
+            }
             Timer::Deadline { request } => self.on_deadline(now, request, out),
             Timer::Stall { request } => self.on_stall(now, request, out),
             Timer::Probe { id } => self.end_probe(now, id, Outcome::TimedOut, Vec::new()),
--- a/crates/core/src/output_lengths.rs
+++ b/crates/core/src/output_lengths.rs
@@ -74,7 +74,7 @@
             tokens,
             bytes: u32::try_from(request.text.len()).unwrap_or(u32::MAX),
             end,
-            told: request.expected.map(|e| e.p90.round() as u32),
+            told: request.expected_output.map(|e| e.p90.round() as u32),
             host: server.to_string(),
         })
     }
--- a/crates/core/src/request_start.rs
+++ b/crates/core/src/request_start.rs
@@ -19,7 +19,7 @@
 /// With what a request begins.
 pub(crate) struct AdmissionDecision {
     /// Of its tenant's budget; none where it is refused.
-    pub hold: Option<Hold>,
+    pub budget_hold: Option<Hold>,
     /// Taken; or refused at once, and when it may come back.
     pub verdict: Result<AdmittedWork, f64>,
 }
@@ -30,14 +30,14 @@
     now: Micros,
     deadline: Micros,
     /// Whether it is a step of a workflow.
-    is_step: bool,
+    is_workflow_step: bool,
     /// Key of its conversation.
     conversation: u64,
-    expected: Option<Expected>,
+    expected_output: Option<Expected>,
 }
 
 impl RequestStart {
-    fn request(
+    fn into_request(
         self,
         create: &Create,
         response: Response,
@@ -51,26 +51,26 @@
             tenant: validated.tenant,
             owner: validated.owner,
             key: validated.key,
-            step: self.is_step,
+            is_workflow_step: self.is_workflow_step,
             conversation: self.conversation,
             prompt: validated.prompt,
             max_tokens: validated.max_tokens,
-            expected: self.expected,
+            expected_output: self.expected_output,
             temperature: create.temperature,
             top_p: create.top_p,
             deadline: self.deadline,
             listeners: vec![Listener::new(self.session)],
             text: String::new(),
             usage: Usage::default(),
-            attempts: 0,
+            attempt_count: 0,
             attempt: None,
-            state: None,
-            admitted: decision.verdict.unwrap_or_default(),
-            may_have_run: false,
-            taken: self.now,
-            hold: decision.hold,
+            held_kv_cache: None,
+            admitted_work: decision.verdict.unwrap_or_default(),
+            earlier_attempt_may_have_run: false,
+            created_at: self.now,
+            budget_hold: decision.budget_hold,
             charged: Charged::default(),
-            refused: false,
+            rejected: false,
             answered: false,
         }
     }
@@ -78,7 +78,7 @@
 
 impl Machine {
     /// Enters a request into the table, tells its client so, and passes it to the decision module or rejects it at once.
-    pub(crate) fn begin(
+    pub(crate) fn start_request(
         &mut self,
         now: Micros,
         session: SessionId,
@@ -94,25 +94,29 @@
             session,
             now,
             deadline: now.after(left_s),
-            is_step: validated.step.is_some(),
+            is_workflow_step: validated.workflow_step.is_some(),
             conversation: match validated.conversation {
                 0 => xxh3_64(response.id.as_bytes()),
                 known => known,
             },
-            expected: self.expected_output(create, &validated),
+            expected_output: self.expected_output(create, &validated),
         };
-        let mut arrival = validated.ask(id, create, start.conversation, left_s);
-        arrival.output_tokens = OutputLengths::for_module(start.expected);
-        if let Some(key) = validated.key.as_ref().filter(|_| validated.step.is_none()) {
+        let mut arrival = validated.to_policy_request(id, create, start.conversation, left_s);
+        arrival.output_tokens = OutputLengths::for_module(start.expected_output);
+        if let Some(key) = validated
+            .key
+            .as_ref()
+            .filter(|_| validated.workflow_step.is_none())
+        {
             self.keys.begin(key.clone(), fingerprint(create), id);
         }
         let (verdict, deadline) = (decision.verdict, start.deadline);
-        let step = validated.step.take();
-        let request = start.request(create, response, validated, decision);
+        let step = validated.workflow_step.take();
+        let request = start.into_request(create, response, validated, decision);
         self.prompt_bytes += request.prompt.len();
         self.requests.insert(id, request);
         if let Some(step) = step {
-            self.workflows.start(id, step.intent, step.until);
+            self.workflows.start(id, step.intent, step.permitted_until);
         }
         self.sessions.listen(session, id);
         self.send_created(id, session, out);
@@ -164,7 +168,7 @@
         max_tokens: u32,
     ) -> Response {
         Response {
-            id: self.response_ids.response(id),
+            id: self.response_ids.response_id(id),
             object: "response".to_string(),
             created_at: now.0 / 1_000_000,
             status: Status::InProgress,
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -46,13 +46,13 @@
     pub link: LinkId,
     pub purpose: Purpose,
     pub stage: Stage,
-    pub sent: Micros,
-    pub heard: Micros,
+    pub started_at: Micros,
+    pub last_received_at: Micros,
     /// What the chunks so far say of the end.
     pub finish_reason: Option<String>,
     pub usage: Option<EngineUsage>,
     /// Where the state waits, as a reader said.
-    pub state: Option<KvTransferParams>,
+    pub kv_transfer_params: Option<KvTransferParams>,
 }
 
 /// A KV cache that waits at a reader for this request.
@@ -63,7 +63,7 @@
     pub created_by: String,
     pub params: KvTransferParams,
     /// It is released once the attempt that waits for it ends without it.
-    pub release: bool,
+    pub release_after_attempt: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -108,38 +108,38 @@
     pub owner: String,
     pub key: Option<Key>,
     /// A step of a workflow: its key holds for the step, whose workflow remembers its answer.
-    pub step: bool,
+    pub is_workflow_step: bool,
     pub conversation: u64,
     pub prompt: String,
     pub max_tokens: u32,
     /// Of its answer's length, as known when it came.
-    pub expected: Option<Expected>,
+    pub expected_output: Option<Expected>,
     pub temperature: Option<f64>,
     pub top_p: Option<f64>,
     pub deadline: Micros,
     pub listeners: Vec<Listener>,
     pub text: String,
     pub usage: Usage,
-    pub attempts: u16,
+    pub attempt_count: u16,
     pub attempt: Option<Attempt>,
-    pub state: Option<HeldKvCache>,
+    pub held_kv_cache: Option<HeldKvCache>,
     /// What the fleet's shedding counts of it.
-    pub admitted: AdmittedWork,
+    pub admitted_work: AdmittedWork,
     /// An attempt that could have had the effect was told to a server and not rejected.
-    pub may_have_run: bool,
+    pub earlier_attempt_may_have_run: bool,
     /// When it was taken.
-    pub taken: Micros,
+    pub created_at: Micros,
     /// What it holds of its tenant's budget, until it is settled.
-    pub hold: Option<Hold>,
+    pub budget_hold: Option<Hold>,
     pub charged: Charged,
     /// Its final answer was a refusal.
-    pub refused: bool,
+    pub rejected: bool,
     /// The final answer is given; what is left is to hear the attempt's end.
     pub answered: bool,
 }
 
 impl Request {
-    pub(crate) fn streaming(&self) -> bool {
+    pub(crate) fn is_streaming(&self) -> bool {
         self.attempt
             .as_ref()
             .is_some_and(|a| a.stage == Stage::Streaming)
@@ -152,7 +152,7 @@
 }
 
 /// Reads an id made by [`wire_id`] of the same instance.
-pub(crate) fn read_wire_id(instance: u64, id: &str) -> Option<(RequestId, u16)> {
+pub(crate) fn parse_wire_id(instance: u64, id: &str) -> Option<(RequestId, u16)> {
     let (whole, attempt) = id.split_once('-')?;
     let (head, tail) = (whole.get(..16)?, whole.get(16..)?);
     if u64::from_str_radix(head, 16).ok()? != instance || tail.len() != 8 {
--- a/crates/core/src/response_ids.rs
+++ b/crates/core/src/response_ids.rs
@@ -33,7 +33,7 @@
     }
 
     /// Id of a response, as clients see it.
-    pub(crate) fn response(&self, request: RequestId) -> String {
+    pub(crate) fn response_id(&self, request: RequestId) -> String {
         let tag = blake3::keyed_hash(&self.secret, &request.to_le_bytes()).to_hex();
         format!(
             "resp_{:016x}{request:08x}{}",
@@ -43,10 +43,10 @@
     }
 
     /// The request of an id that this run made; `None` for any other text.
-    pub(crate) fn read_response(&self, id: &str) -> Option<RequestId> {
+    pub(crate) fn parse_response_id(&self, id: &str) -> Option<RequestId> {
         let number = id.strip_prefix("resp_")?.get(16..24)?;
         let request = u32::from_str_radix(number, 16).ok()?;
-        (self.response(request) == id).then_some(request)
+        (self.response_id(request) == id).then_some(request)
     }
 }
 
--- a/crates/core/src/response_ids/tests.rs
+++ b/crates/core/src/response_ids/tests.rs
@@ -3,11 +3,11 @@
 #[test]
 fn response_id_is_read_by_its_own_run_only() {
     let response_ids = ResponseIds::new("d1", 7);
-    let id = response_ids.response(9);
-    assert_eq!(response_ids.read_response(&id), Some(9));
-    assert_eq!(ResponseIds::new("d1", 8).read_response(&id), None);
-    assert_eq!(ResponseIds::new("d2", 7).read_response(&id), None);
-    let tag = |n| response_ids.response(n)[29..].to_string();
+    let id = response_ids.response_id(9);
+    assert_eq!(response_ids.parse_response_id(&id), Some(9));
+    assert_eq!(ResponseIds::new("d1", 8).parse_response_id(&id), None);
+    assert_eq!(ResponseIds::new("d2", 7).parse_response_id(&id), None);
+    let tag = |n| response_ids.response_id(n)[29..].to_string();
     assert_eq!(tag(9).len(), 32);
     let admitted = id.replace("00000009", "0000000a");
     assert_ne!(admitted, id);
@@ -19,6 +19,6 @@
         &id.to_uppercase(),
         &format!("{id}0"),
     ] {
-        assert_eq!(response_ids.read_response(bad), None, "{bad}");
+        assert_eq!(response_ids.parse_response_id(bad), None, "{bad}");
     }
 }
--- a/crates/core/src/sessions.rs
+++ b/crates/core/src/sessions.rs
@@ -5,20 +5,20 @@
 use bitternlatch_identity::Caller;
 use bitternlatch_policy::interface::RequestId;
 
-use crate::callers::Ending;
+use crate::callers::EndReason;
 use crate::types::SessionId;
 
 #[derive(Default)]
-struct Open {
+struct OpenSession {
     requests: BTreeSet<RequestId>,
     caller: Option<Caller>,
 }
 
 #[derive(Default)]
 pub(crate) struct Sessions {
-    open: BTreeMap<SessionId, Open>,
+    open: BTreeMap<SessionId, OpenSession>,
     /// Sessions that take nothing new and are closed once they are idle.
-    ending: BTreeMap<SessionId, Ending>,
+    ending: BTreeMap<SessionId, EndReason>,
 }
 
 impl Sessions {
@@ -53,7 +53,7 @@
 
     pub(crate) fn authenticated_by(&self, keys: &[String]) -> Vec<SessionId> {
         let keys: BTreeSet<&str> = keys.iter().map(String::as_str).collect();
-        let by = |o: &Open| {
+        let by = |o: &OpenSession| {
             o.caller
                 .as_ref()
                 .is_some_and(|c| keys.contains(c.key_id.as_str()))
@@ -66,24 +66,24 @@
     }
 
     /// When the proof of each session's caller ends, Unix seconds.
-    pub(crate) fn ends(&self) -> Vec<(SessionId, u64)> {
+    pub(crate) fn credential_expiries(&self) -> Vec<(SessionId, u64)> {
         self.open
             .iter()
             .filter_map(|(id, o)| Some((*id, o.caller.as_ref()?.ends)))
             .collect()
     }
 
-    pub(crate) fn end(&mut self, session: SessionId, why: Ending) {
+    pub(crate) fn begin_ending(&mut self, session: SessionId, why: EndReason) {
         if self.open.contains_key(&session) {
             self.ending.entry(session).or_insert(why);
         }
     }
 
-    pub(crate) fn ending(&self, session: SessionId) -> Option<Ending> {
+    pub(crate) fn end_reason(&self, session: SessionId) -> Option<EndReason> {
         self.ending.get(&session).copied()
     }
 
-    pub(crate) fn ending_and_idle(&self) -> Vec<(SessionId, Ending)> {
+    pub(crate) fn idle_ending_sessions(&self) -> Vec<(SessionId, EndReason)> {
         self.ending
             .iter()
             .filter(|(s, _)| self.in_flight(**s) == 0)
--- a/crates/core/src/validated_request.rs
+++ b/crates/core/src/validated_request.rs
@@ -1,7 +1,7 @@
 //! What a client's message comes to before it is a request, and how others are told of it.
 
 use bitternlatch_overload::{Asked, Spent};
-use bitternlatch_policy::interface::{Request as Ask, RequestId};
+use bitternlatch_policy::interface::{Request as PolicyRequest, RequestId};
 use bitternlatch_protocol::client::{self, BadRequest, Create};
 use bitternlatch_protocol::tokens_of;
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
@@ -17,7 +17,7 @@
 pub(crate) struct PermittedStep {
     pub intent: Intent,
     /// Until when it may be sent.
-    pub until: Micros,
+    pub permitted_until: Micros,
 }
 
 /// What of a message has been settled before the request is made.
@@ -28,9 +28,9 @@
     pub time_left_s: f64,
     pub key: Option<Key>,
     /// The step of a workflow that it is.
-    pub step: Option<PermittedStep>,
+    pub workflow_step: Option<PermittedStep>,
     /// What the fleet's shedding has taken of it already.
-    pub admitted: Option<AdmittedWork>,
+    pub admitted_work: Option<AdmittedWork>,
     pub conversation: u64,
     pub prompt: String,
     pub max_tokens: u32,
@@ -43,19 +43,19 @@
 
     /// What the decision module is told of a request. The shared prefix goes by the caller's own key where it gives one,
     /// else by the instructions; token counts are the text's bytes over four.
-    pub(crate) fn ask(
+    pub(crate) fn to_policy_request(
         &self,
         id: RequestId,
         create: &Create,
         conversation: u64,
         left_s: f64,
-    ) -> Ask {
-        Ask {
+    ) -> PolicyRequest {
+        PolicyRequest {
             id,
             class: self.class,
             tenant: self.tenant,
             session: conversation,
-            prefix: prefix(create),
+            prefix: prefix_key(create),
             prompt_tokens: f64::from(self.prompt_tokens()),
             prefix_tokens: f64::from(tokens_of(create.instructions.len())),
             max_output_tokens: f64::from(self.max_tokens),
@@ -66,7 +66,7 @@
     }
 
     /// What the fleet's shedding is told, with its answer's mean length where that is known, and its tenant's requests a second.
-    pub(crate) fn asked(
+    pub(crate) fn to_load_shedding_request(
         &self,
         create: &Create,
         class: &Class,
@@ -79,7 +79,7 @@
             .key
             .as_ref()
             .map_or(words, |k| xxh3_64(k.text.as_bytes()));
-        let (spent, identity) = match &self.step {
+        let (spent, identity) = match &self.workflow_step {
             Some(PermittedStep { intent, .. }) if intent.step > 1 => {
                 (Spent::Steps, xxh3_64(intent.workflow.as_bytes()))
             }
@@ -92,7 +92,7 @@
         Asked {
             worth: class.priority_weight,
             prompt_tokens,
-            prefix: prefix(create),
+            prefix: prefix_key(create),
             prefix_tokens: f64::from(tokens_of(create.instructions.len())),
             answer_tokens: answer_tokens
                 .unwrap_or(EXPECTED_OUTPUT_SHARE * f64::from(self.max_tokens)),
@@ -107,7 +107,7 @@
     }
 }
 
-fn prefix(create: &Create) -> u64 {
+fn prefix_key(create: &Create) -> u64 {
     match (&create.prompt_cache_key, create.instructions.is_empty()) {
         (Some(key), _) => xxh3_64(key.as_bytes()),
         (None, false) => xxh3_64(create.instructions.as_bytes()),
@@ -171,7 +171,7 @@
         create: &Create,
     ) -> Result<ValidatedRequest, BadRequest> {
         let class = self.class_index(create)?;
-        let grant = self.granted(now, session, create, &self.settings.classes[class].name)?;
+        let grant = self.check_rights(now, session, create, &self.settings.classes[class].name)?;
         // With callers known the tenant is the caller's; what the request claims has been held against it.
         let tenant = self.tenant_index(create, grant.as_ref().map(|g| g.tenant.as_str()))?;
         let time_left_s = time_left_s(create, self.settings.classes[class].deadline_s)?;
@@ -184,7 +184,7 @@
             owner: owner.clone(),
             text: text.to_string(),
         });
-        let Prompt { conversation, text } = self.prompt(create, tenant, &owner)?;
+        let Prompt { conversation, text } = self.build_prompt(create, tenant, &owner)?;
         let most = self.settings.requests.max_output_tokens;
         let allowed = grant.map_or(most, |g| most.min(g.max_output_tokens));
         Ok(ValidatedRequest {
@@ -193,8 +193,8 @@
             owner,
             time_left_s,
             key,
-            step: None,
-            admitted: None,
+            workflow_step: None,
+            admitted_work: None,
             conversation,
             prompt: text,
             max_tokens: create.max_output_tokens.unwrap_or(allowed),
@@ -225,7 +225,12 @@
     }
 
     /// The complete prompt, with the conversation that it continues.
-    fn prompt(&self, create: &Create, tenant: u32, owner: &str) -> Result<Prompt, BadRequest> {
+    fn build_prompt(
+        &self,
+        create: &Create,
+        tenant: u32,
+        owner: &str,
+    ) -> Result<Prompt, BadRequest> {
         let (conversation, head) = match &create.previous_response_id {
             None => (0, create.instructions.as_str()),
             Some(id) => match self.contexts.find(id, tenant, owner) {
--- a/crates/core/src/workflow_steps.rs
+++ b/crates/core/src/workflow_steps.rs
@@ -28,7 +28,7 @@
         answer: Response,
         out: &mut Vec<Output>,
     ) -> Option<Response> {
-        let Some(request) = self.requests.get(&id).filter(|r| r.step) else {
+        let Some(request) = self.requests.get(&id).filter(|r| r.is_workflow_step) else {
             return Some(answer);
         };
         let fate = match answer.status {
@@ -63,7 +63,7 @@
 
     /// What became of a step that nobody waits for.
     pub(crate) fn abandon_step(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
-        let Some(request) = self.requests.get(&id).filter(|r| r.step) else {
+        let Some(request) = self.requests.get(&id).filter(|r| r.is_workflow_step) else {
             return;
         };
         let until = request.deadline.max(now.after(RESULT_DURABLE_WITHIN_S));
@@ -139,14 +139,14 @@
                 });
                 let step = PermittedStep {
                     intent: intent.clone(),
-                    until,
+                    permitted_until: until,
                 };
                 let (step, admitted) = (Some(step), Some(query.admitted));
                 let validated = ValidatedRequest {
                     time_left_s,
                     key,
-                    step,
-                    admitted,
+                    workflow_step: step,
+                    admitted_work: admitted,
                     ..w
                 };
                 self.admit(now, query.session, &query.create, validated, out)
@@ -208,9 +208,9 @@
                 owner: w.owner,
                 conversation,
                 text,
-                at: now,
+                created_at: now,
             };
-            self.contexts.keep(&answer.id, context);
+            self.contexts.insert(&answer.id, context);
         }
     }
 
@@ -228,10 +228,10 @@
         };
         let answer = match held {
             Err(why) if answer.status != Status::Failed => match why.map(refused) {
-                Some(bad) => request.failed(bad.code, &bad.message, false, None),
+                Some(bad) => request.failed_response(bad.code, &bad.message, false, None),
                 None => {
                     let why = "its result was not held in time; it may have run";
-                    request.failed("server_error", why, false, None)
+                    request.failed_response("server_error", why, false, None)
                 }
             },
             _ => answer,
@@ -285,9 +285,9 @@
                     return Err(self.redirect_to_peers(now))
                 }
                 None => {
-                    validated.step = Some(PermittedStep {
+                    validated.workflow_step = Some(PermittedStep {
                         intent: intent.clone(),
-                        until: now,
+                        permitted_until: now,
                     });
                     admitted = self
                         .evaluate_admission(now, create, &validated)
