--- a/crates/core/src/actions.rs
+++ b/crates/core/src/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the decision module decides.
+//! Carries out the actions of the decision module: sends, cancels and rejects attempts, and releases KV caches.
 
 use bitternlatch_policy::interface::{
     Action, AttemptEnd, Event, Outcome, RequestId, Role, ServerId,
@@ -14,6 +14,7 @@
 use crate::workflows::BlockedSend;
 
 impl Machine {
+    /// Carries out one action of the decision module.
     pub(crate) fn apply_action(&mut self, now: Micros, action: Action, out: &mut Vec<Output>) {
         match action {
             Action::Send {
@@ -58,7 +59,8 @@
             }
             Action::Log { text } => log(out, Level::Info, text),
             Action::Fault { text } => log(out, Level::Error, format!("decision module: {text}")),
-            // The list is pushed, places are not held ahead, and peers are not spoken with yet.
+            // Not supported here: the server list is pushed as an input, slots are not reserved in advance, links stay
+            // open, and the decision module's own messages to peers are not carried yet.
             Action::Subscribe
             | Action::Unsubscribe
             | Action::FetchList
@@ -69,7 +71,8 @@
         }
     }
 
-    /// Sends an attempt to a server, or tells the decision module at once that it was not sent.
+    /// Sends an attempt to a server, holds it back where the permission of its workflow step has expired, or notifies
+    /// the decision module at once that it was not sent.
     pub(crate) fn send_attempt(
         &mut self,
         now: Micros,
@@ -83,7 +86,8 @@
             .get(server)
             .filter(|k| k.takes_work())
             .map(|k| k.role);
-        // A step's effect leaves while it is permitted, and waits where it is not; a prefill has none.
+        // A workflow step may be sent only while its permission is valid, and waits for a new one otherwise. A prefill
+        // has no effect and needs no permission.
         if role != Some(Role::Prefill) && !self.workflows.may_send(now, id) {
             return self.block_send(now, id, BlockedSend { server, timeout_s }, out);
         }
@@ -105,7 +109,10 @@
         }
     }
 
-    /// What may have changed between the decision and this act; the error is the outcome of an attempt that may not go.
+    /// Checks what may have changed since the decision, and returns the server's role.
+    ///
+    /// # Errors
+    /// The outcome of an attempt that may not be sent.
     fn check_send(
         &mut self,
         now: Micros,
@@ -115,14 +122,14 @@
         role: Option<Role>,
     ) -> Result<Role, Outcome> {
         let class = self.requests.get(&id).map_or(0, |r| r.class);
-        // Between admission and this act the process may have stood still, or lost its peers.
+        // The process may have been paused or have lost its peers since it admitted the request.
         if number == 0 && !self.may_admit(now, class) {
             return Err(Outcome::NotSent);
         }
-        if let Some(most) = self.load_shedding.max_in_flight(now, server) {
-            let at = |r: &&Request| r.attempt.as_ref().is_some_and(|a| a.server == server);
-            if self.requests.values().filter(at).count() >= most as usize {
-                // A recovering server is tried by one dispatcher of all, a little at a time.
+        if let Some(max_in_flight) = self.load_shedding.max_in_flight(now, server) {
+            let at_server = |r: &&Request| r.attempt.as_ref().is_some_and(|a| a.server == server);
+            if self.requests.values().filter(at_server).count() >= max_in_flight as usize {
+                // A recovering server is tried by a single dispatcher, with a limited number of attempts in flight.
                 return Err(Outcome::Rejected {
                     state_missing: false,
                 });
@@ -130,7 +137,7 @@
         }
         let role = role.ok_or(Outcome::ConnectFailed)?;
         let admitted = self.requests.get(&id).map(|r| r.admitted_work);
-        // Work that would be done again goes by the retry budget that all share.
+        // An attempt that repeats work needs the retry budget that all dispatchers share.
         if !self
             .load_shedding
             .may_send(now, &admitted.unwrap_or_default())
@@ -140,7 +147,10 @@
         Ok(role)
     }
 
-    /// Hands an attempt's message to its link.
+    /// Gives an attempt's message to the server's link, which sends it now or queues it until the server has greeted.
+    ///
+    /// # Errors
+    /// [`Outcome::ConnectFailed`] without a usable link.
     fn enqueue_attempt(
         &mut self,
         now: Micros,
@@ -172,7 +182,8 @@
         Ok(Attempt::new(number, server, link, purpose, stage, now))
     }
 
-    /// An attempt's message on its way: it must not reach a server long after a drain was told, nor a step's past its permission.
+    /// The output that sends an attempt's message, with a deadline for its first byte: half the drain grace period, so
+    /// that it does not reach a draining server late, and for a workflow step no later than its permission expires.
     pub(crate) fn attempt_message(
         &self,
         now: Micros,
@@ -181,24 +192,28 @@
         message: Queued,
     ) -> Output {
         let Queued { attempt, text } = message;
-        let after_s = self.settings.rules.drain_grace_s / 2.0;
-        let reads = self
+        let max_wait_s = self.settings.rules.drain_grace_s / 2.0;
+        let is_prefill_server = self
             .servers
             .get(link.server)
             .is_some_and(|k| k.role == Role::Prefill);
-        let left_s = self.workflows.left_s(now, id).filter(|_| !reads);
-        let after_s = left_s.map_or(after_s, |left_s| after_s.min(left_s));
-        let stale = SendDeadline {
-            max_wait_s: after_s,
+        let permitted_s = self
+            .workflows
+            .left_s(now, id)
+            .filter(|_| !is_prefill_server);
+        let max_wait_s = permitted_s.map_or(max_wait_s, |left_s| max_wait_s.min(left_s));
+        let deadline = SendDeadline {
+            max_wait_s,
             attempt,
         };
         Output::SendToServer {
             link,
             text,
-            deadline: Some(stale),
+            deadline: Some(deadline),
         }
     }
 
+    /// Records an attempt as the current one and sets its timeout; a timeout of 0 means none.
     fn begin_attempt(&mut self, now: Micros, id: RequestId, attempt: Attempt, timeout_s: f64) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -217,13 +232,13 @@
         }
     }
 
-    /// The message for an attempt, in vLLM's words.
+    /// The message for an attempt: a completion request with the field names of vLLM's API.
     fn completion_message(&self, id: RequestId, number: u16, purpose: Purpose) -> String {
         let Some(request) = self.requests.get(&id) else {
             return String::new();
         };
-        let wire = wire_id(self.instance, id, number);
-        let kv = match purpose {
+        let attempt_id = wire_id(self.instance, id, number);
+        let kv_transfer_params = match purpose {
             Purpose::Prefill => Some(KvTransferParams {
                 do_remote_decode: true,
                 ..Default::default()
@@ -231,15 +246,15 @@
             Purpose::Decode => request.held_kv_cache.as_ref().map(|s| s.params.clone()),
             Purpose::Full => None,
         };
-        let keyed = self.settings.classes[usize::from(request.class)].effect == Effect::Keyed;
+        let is_keyed = self.settings.classes[usize::from(request.class)].effect == Effect::Keyed;
         let key = request
             .key
             .as_ref()
-            .filter(|_| keyed && purpose != Purpose::Prefill);
+            .filter(|_| is_keyed && purpose != Purpose::Prefill);
         encode(&ToEngine::Completion {
-            id: wire.clone(),
+            id: attempt_id.clone(),
             body: Box::new(CompletionRequest {
-                request_id: wire,
+                request_id: attempt_id,
                 model: request.response.model.clone(),
                 prompt: request.prompt.clone(),
                 max_tokens: if purpose == Purpose::Prefill {
@@ -250,12 +265,13 @@
                 stream: true,
                 temperature: request.temperature,
                 top_p: request.top_p,
-                kv_transfer_params: kv,
+                kv_transfer_params,
                 idempotency_key: key.map(|k| format!("{}/{}/{}", k.tenant, k.class, k.text)),
             }),
         })
     }
 
+    /// Notifies the decision module of an attempt that ended without being sent.
     pub(crate) fn report_not_sent(
         &mut self,
         id: RequestId,
@@ -276,6 +292,8 @@
         }));
     }
 
+    /// Ends an attempt that has produced no output: removed from the queue if it was not sent, cancelled at its server
+    /// otherwise.
     fn cancel_attempt(&mut self, now: Micros, id: RequestId, number: u16, out: &mut Vec<Output>) {
         let current = self.requests.get(&id).and_then(|r| r.attempt.as_ref());
         let Some(attempt) = current.filter(|a| a.number == number && a.stage != Stage::Streaming)
@@ -297,7 +315,7 @@
         self.end_attempt(now, id, outcome, 0, Vec::new(), out);
     }
 
-    /// Tells the server of the current attempt that its work is not wanted.
+    /// Sends a cancel message for the current attempt to its server.
     pub(crate) fn send_cancel(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(attempt) = self.requests.get(&id).and_then(|r| r.attempt.as_ref()) else {
             return;
@@ -312,8 +330,9 @@
         });
     }
 
-    /// Lets go of the state held for a request, unless an attempt waits for it: then once that has ended. Without a link there is nothing to do: a server releases what a lost
-    /// link's dispatcher held there.
+    /// Releases the KV cache held for a request, or marks it for release when the current attempt, which may still
+    /// fetch it, has ended. Without a link to the server no message is needed: a server releases what it held for a
+    /// dispatcher whose link is lost.
     pub(crate) fn release_kv_cache(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -322,18 +341,19 @@
             request
                 .held_kv_cache
                 .iter_mut()
-                .for_each(|state| state.release_after_attempt = true);
+                .for_each(|held| held.release_after_attempt = true);
             return;
         }
-        let Some(state) = request.held_kv_cache.take() else {
+        let Some(held) = request.held_kv_cache.take() else {
             return;
         };
-        if let Some(link) = self.links.open(state.server) {
-            self.send_release(link, &state.created_by, out);
+        if let Some(link) = self.links.open(held.server) {
+            self.send_release(link, &held.created_by, out);
         }
         self.remove_if_done(id, out);
     }
 
+    /// Sends a server the message to release the KV cache of a prefill attempt, which is given by its wire id.
     pub(crate) fn send_release(&self, link: LinkId, created_by: &str, out: &mut Vec<Output>) {
         let text = encode(&ToEngine::Release {
             id: created_by.to_string(),
--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -1,4 +1,4 @@
-//! What clients are told: each listener is given exactly one final event, and nothing after it.
+//! Events to clients. Each listener of a request receives exactly one final event and none after it.
 
 use bitternlatch_output_length::End;
 use bitternlatch_policy::interface::{Event, Outcome, RequestId};
@@ -14,8 +14,11 @@
 use crate::settings::Effect;
 use crate::types::{Level, Micros, Output, SessionId};
 
+/// Bytes that a stored answer counts for in the table of idempotency keys, in addition to its text and model name.
+const STORED_ANSWER_OVERHEAD_BYTES: usize = 512;
+
 impl Request {
-    /// The events to its listeners, each with its own next sequence number.
+    /// Sends an event to all listeners, or to one session only, each with its own next sequence number.
     fn send_event(
         &mut self,
         out: &mut Vec<Output>,
@@ -36,15 +39,15 @@
         self.listeners = listeners;
     }
 
-    /// Whether an attempt may have had the effect, the one that is out included.
+    /// Whether any attempt may have run and had the request's effect, the current one included.
     pub(crate) fn may_have_run(&self) -> bool {
-        let out = |a: &crate::requests::Attempt| {
+        let was_sent = |a: &crate::requests::Attempt| {
             a.purpose != Purpose::Prefill && a.stage != Stage::Queued
         };
-        self.earlier_attempt_may_have_run || self.attempt.as_ref().is_some_and(out)
+        self.earlier_attempt_may_have_run || self.attempt.as_ref().is_some_and(was_sent)
     }
 
-    /// What became of a step whose answer is none.
+    /// The outcome to record for a workflow step that ends without output.
     pub(crate) fn unfinished_outcome(&self) -> AttemptOutcome {
         if self.may_have_run() {
             AttemptOutcome::MayHaveRun
@@ -53,17 +56,18 @@
         }
     }
 
+    /// A failed response object. `safe_to_repeat` tells the client whether repeating the request is harmless.
     pub(crate) fn failed_response(
         &self,
         code: &str,
         message: &str,
-        safe: bool,
+        safe_to_repeat: bool,
         retry_after_s: Option<f64>,
     ) -> Response {
         let error = ResponseError {
             code: code.to_string(),
             message: message.to_string(),
-            safe_to_repeat: safe,
+            safe_to_repeat,
             retry_after_ms: retry_after_s.map(|s| (s.max(0.0) * 1000.0).ceil() as u64),
         };
         Response {
@@ -75,6 +79,7 @@
 }
 
 impl Machine {
+    /// Sends `response.created` to one listener.
     pub(crate) fn send_created(
         &mut self,
         id: RequestId,
@@ -89,6 +94,7 @@
         });
     }
 
+    /// Sends one listener all output text received so far, as one delta.
     pub(crate) fn send_text_so_far(
         &mut self,
         id: RequestId,
@@ -103,17 +109,17 @@
         });
     }
 
-    /// Passes a piece of the answer on.
-    pub(crate) fn send_delta(&mut self, id: RequestId, piece: &str, out: &mut Vec<Output>) {
+    /// Sends new output text to all listeners.
+    pub(crate) fn send_delta(&mut self, id: RequestId, text: &str, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         request.send_event(out, None, |l, r| {
-            client::delta(l.sequence, &r.response.id, &r.item_id, piece)
+            client::delta(l.sequence, &r.response.id, &r.item_id, text)
         });
     }
 
-    /// Gives the recorded answer to a client that asks again with its key.
+    /// Sends a recorded answer to a client that repeats an answered request.
     pub(crate) fn send_recorded_answer(
         &self,
         session: SessionId,
@@ -125,7 +131,7 @@
             metadata: create.metadata.clone(),
             ..answer.clone()
         };
-        let begun = Response {
+        let in_progress = Response {
             status: Status::InProgress,
             output: Vec::new(),
             usage: None,
@@ -135,7 +141,7 @@
         };
         out.push(Output::SendToClient {
             session,
-            text: client::created(0, &begun),
+            text: client::created(0, &in_progress),
         });
         out.push(Output::SendToClient {
             session,
@@ -143,12 +149,14 @@
         });
     }
 
+    /// Answers a request with a rejection, which tells the client that repeating it is harmless. A request with a
+    /// non-idempotent effect that may have run fails instead.
     pub(crate) fn reject(
         &mut self,
         now: Micros,
         id: RequestId,
         retry_after_s: f64,
-        why: &str,
+        message: &str,
         out: &mut Vec<Output>,
     ) {
         let Some(request) = self.requests.get(&id) else {
@@ -156,7 +164,8 @@
         };
         let class = &self.settings.classes[usize::from(request.class)];
         if class.effect == Effect::Unsafe && request.may_have_run() {
-            // The module never does this; a refusal here would invite a second effect.
+            // The decision module does not reject such a request; if it did, the client's retry could cause the effect
+            // twice.
             log(
                 out,
                 Level::Error,
@@ -164,26 +173,28 @@
             );
             return self.fail(now, id, "server_error", "it may have run", out);
         }
-        let answer = request.failed_response("rate_limit_exceeded", why, true, Some(retry_after_s));
+        let answer =
+            request.failed_response("rate_limit_exceeded", message, true, Some(retry_after_s));
         self.finish(now, id, answer, out);
     }
 
+    /// Answers a request with a failure that the client must not take as safe to repeat.
     pub(crate) fn fail(
         &mut self,
         now: Micros,
         id: RequestId,
         code: &str,
-        why: &str,
+        message: &str,
         out: &mut Vec<Output>,
     ) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let answer = request.failed_response(code, why, false, None);
+        let answer = request.failed_response(code, message, false, None);
         self.finish(now, id, answer, out);
     }
 
-    /// The engine has ended the answer.
+    /// Answers a request whose output is complete, with the engine's finish reason.
     pub(crate) fn complete(
         &mut self,
         now: Micros,
@@ -221,14 +232,15 @@
         self.finish(now, id, answer, out);
     }
 
-    /// Tells of an answer's length, where lengths are learnt; before its attempt is release.
+    /// Reports the output length of a request, where the cluster learns output lengths. Has to run while the request
+    /// still has its attempt, which names the server.
     fn report_output_length(&self, id: RequestId, end: End, out: &mut Vec<Output>) {
-        let learns = self
+        let learning = self
             .settings
             .cluster
             .as_ref()
             .is_some_and(|c| c.lengths.is_some());
-        let Some(request) = self.requests.get(&id).filter(|_| learns) else {
+        let Some(request) = self.requests.get(&id).filter(|_| learning) else {
             return;
         };
         let server = request
@@ -245,7 +257,8 @@
         )));
     }
 
-    /// The one place that gives final answers.
+    /// Settles the final answer of a request, the first time it is called for it. The answer of a workflow step is
+    /// delivered only once the coordinator has stored the step's outcome, or the wait for that has ended.
     fn finish(&mut self, now: Micros, id: RequestId, answer: Response, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| !r.answered) else {
             return;
@@ -256,7 +269,8 @@
         }
     }
 
-    /// Says the final answer, and releases what was needed for it.
+    /// Sends the final answer to all listeners, charges it, and stores it for its idempotency key and for follow-up
+    /// requests.
     pub(crate) fn deliver(
         &mut self,
         now: Micros,
@@ -288,7 +302,8 @@
         self.remove_if_done(id, out);
     }
 
-    /// A key keeps the answer that stands; it is let go where asking again is harmless and may end better.
+    /// Stores the final answer under the request's idempotency key, or removes the key where repeating the request is
+    /// harmless and may succeed: after a rejection, or a failure of an idempotent request or of one that never ran.
     fn record_key_outcome(&mut self, now: Micros, id: RequestId, answer: Response) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -296,16 +311,20 @@
         let Some(key) = request.key.as_ref().filter(|_| !request.is_workflow_step) else {
             return;
         };
-        let safe = self.settings.classes[usize::from(request.class)].effect == Effect::Safe;
-        let refused = answer.error.as_ref().is_some_and(|e| e.safe_to_repeat);
-        if refused || answer.status == Status::Failed && (safe || !request.may_have_run()) {
+        let is_idempotent =
+            self.settings.classes[usize::from(request.class)].effect == Effect::Safe;
+        let safe_to_repeat = answer.error.as_ref().is_some_and(|e| e.safe_to_repeat);
+        if safe_to_repeat
+            || answer.status == Status::Failed && (is_idempotent || !request.may_have_run())
+        {
             return self.keys.remove(key);
         }
-        let bytes = request.text.len() + answer.model.len() + 512;
+        let bytes = request.text.len() + answer.model.len() + STORED_ANSWER_OVERHEAD_BYTES;
         self.keys.end(now, key, answer, bytes);
     }
 
-    /// Nobody waits for the request any more.
+    /// Ends a request that has no listeners any more. A streaming attempt is cancelled here; any other is left to the
+    /// decision module, which is notified of the disconnect.
     pub(crate) fn abandon(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| !r.answered) else {
             return;
@@ -327,7 +346,8 @@
         self.remove_if_done(id, out);
     }
 
-    /// One client cancels: it is given its final answer, and the request ends if no other waits for it.
+    /// Cancels a request for one listener, which receives its final answer; the request ends if no other session
+    /// listens to it.
     pub(crate) fn cancel_by_listener(
         &mut self,
         now: Micros,
@@ -338,30 +358,33 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let safe = self.settings.classes[usize::from(request.class)].effect == Effect::Safe
+        let safe_to_repeat = self.settings.classes[usize::from(request.class)].effect
+            == Effect::Safe
             || !request.may_have_run();
-        let answer = request.failed_response("cancelled", "cancelled by the client", safe, None);
+        let answer =
+            request.failed_response("cancelled", "cancelled by the client", safe_to_repeat, None);
         request.send_event(out, Some(session), |l, _| {
             client::finished(l.sequence, &l.view(&answer))
         });
         request.listeners.retain(|l| l.session != session);
-        let last = request.listeners.is_empty();
+        let was_last = request.listeners.is_empty();
         self.sessions.unlisten(session, id);
-        if last {
+        if was_last {
             self.abandon(now, id, out);
         }
     }
 
-    /// Lets go of an entry once it is answered, nothing is out and nothing is held.
+    /// Removes a request from the table once it is answered, has no attempt and no held KV cache, and no workflow step
+    /// waits for its outcome to be stored.
     pub(crate) fn remove_if_done(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let over = |r: &Request| r.answered && r.attempt.is_none() && r.held_kv_cache.is_none();
-        if self.requests.get(&id).is_some_and(over) && !self.workflows.is_ending(id) {
+        let done = |r: &Request| r.answered && r.attempt.is_none() && r.held_kv_cache.is_none();
+        if self.requests.get(&id).is_some_and(done) && !self.workflows.is_ending(id) {
             self.settle(id, out);
-            let Some(mut gone) = self.requests.remove(&id) else {
+            let Some(mut removed) = self.requests.remove(&id) else {
                 return;
             };
-            self.load_shedding.request_ended(&mut gone.admitted_work);
-            self.prompt_bytes -= gone.prompt.len();
+            self.load_shedding.request_ended(&mut removed.admitted_work);
+            self.prompt_bytes -= removed.prompt.len();
         }
     }
 }
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -1,4 +1,5 @@
-//! What servers and links say, told to the decision module truthfully: what may have run is never told as not run.
+//! Ends of attempts as reported by servers, links and timers. The decision module is notified of each end once, and an
+//! attempt that may have run is never reported as not run.
 
 use bitternlatch_policy::interface::{AttemptEnd, Event, Outcome, RequestId};
 use bitternlatch_protocol::client::{InputDetails, Usage};
@@ -9,7 +10,8 @@
 use crate::types::{Level, LinkId, Micros, Output};
 
 impl Request {
-    /// Notes what the end of an attempt says of the request.
+    /// Updates the request for the end of one of its attempts: whether it may have run, whether its KV cache is lost,
+    /// and whether the next attempt repeats work.
     fn record_attempt_end(&mut self, attempt: &Attempt, outcome: Outcome) {
         let never_ran = matches!(
             outcome,
@@ -30,13 +32,14 @@
                 state_missing: false,
             }
             | Outcome::ConnectFailed => self.admitted_work.repeats,
-            // Where the KV cache is gone, its prefill is done again.
+            // Includes a rejection because the KV cache is lost, after which the prefill is repeated.
             _ => true,
         };
     }
 }
 
 impl Machine {
+    /// Ends an attempt whose message was never sent; it cannot have run.
     pub(crate) fn end_unsent(
         &mut self,
         now: Micros,
@@ -53,6 +56,7 @@
         }
     }
 
+    /// Handles a message that the link dropped because its send deadline had passed.
     pub(crate) fn on_unsent(
         &mut self,
         now: Micros,
@@ -63,17 +67,18 @@
         let Some((id, number)) = parse_wire_id(self.instance, attempt) else {
             return;
         };
-        let over = |a: &Attempt| a.link == link && a.stage == Stage::InFlight;
+        let sent_over_link = |a: &Attempt| a.link == link && a.stage == Stage::InFlight;
         if self
             .requests
             .get(&id)
             .and_then(|r| r.attempt.as_ref())
-            .is_some_and(over)
+            .is_some_and(sent_over_link)
         {
             self.end_unsent(now, id, number, out);
         }
     }
 
+    /// Ends a completed prefill attempt; one that reported no KV cache to fetch is an error.
     pub(crate) fn end_prefill(
         &mut self,
         now: Micros,
@@ -88,7 +93,7 @@
         let Some(params) = attempt.kv_transfer_params.clone() else {
             return self.end_attempt(now, id, Outcome::Error, 0, report, out);
         };
-        let state = HeldKvCache {
+        let held = HeldKvCache {
             server: attempt.server,
             created_by: created_by(attempt),
             params,
@@ -96,11 +101,12 @@
         };
         let cached = cached_tokens(attempt);
         if let Some(request) = self.requests.get_mut(&id) {
-            request.held_kv_cache = Some(state);
+            request.held_kv_cache = Some(held);
         }
         self.end_attempt(now, id, Outcome::PrefillDone, cached, report, out);
     }
 
+    /// Completes a request whose engine has delivered the whole answer, and ends its attempt.
     pub(crate) fn end_served(
         &mut self,
         now: Micros,
@@ -130,13 +136,14 @@
         self.end_attempt(now, id, Outcome::Served, cached, report, out);
     }
 
-    /// The one place where an attempt ends: the module is told, and a stream that broke is answered.
+    /// Ends the current attempt of a request and notifies the decision module. All ends of sent attempts pass through
+    /// here. A request whose output had begun without completing fails, as it cannot be retried.
     pub(crate) fn end_attempt(
         &mut self,
         now: Micros,
         id: RequestId,
         outcome: Outcome,
-        prefix_hit: u32,
+        prefix_hit_tokens: u32,
         report: Vec<f64>,
         out: &mut Vec<Output>,
     ) {
@@ -156,14 +163,14 @@
                 .map(Output::Overload),
         );
         if attempt.stage == Stage::Streaming && outcome != Outcome::Served {
-            let why = "the answer broke off; it may have run";
-            self.fail(now, id, "server_error", why, out);
+            let message = "the answer broke off; it may have run";
+            self.fail(now, id, "server_error", message, out);
         }
         let held = self
             .requests
             .get(&id)
             .and_then(|r| r.held_kv_cache.as_ref());
-        if held.is_some_and(|state| state.release_after_attempt) {
+        if held.is_some_and(|held| held.release_after_attempt) {
             self.release_kv_cache(id, out);
         }
         let finished = self.requests.get(&id).is_none_or(|r| r.answered);
@@ -174,12 +181,14 @@
             outcome,
             elapsed_s: now.since(attempt.started_at),
             finished,
-            prefix_hit_tokens: f64::from(prefix_hit),
+            prefix_hit_tokens: f64::from(prefix_hit_tokens),
             report,
         }));
         self.remove_if_done(id, out);
     }
 
+    /// Ends an attempt that has produced no output by its timeout: removed from the queue if it was not sent, cancelled
+    /// at its server otherwise.
     pub(crate) fn on_attempt_timeout(
         &mut self,
         now: Micros,
@@ -202,7 +211,8 @@
         self.end_attempt(now, id, Outcome::TimedOut, 0, Vec::new(), out);
     }
 
-    /// The client's time is up. The module has answered by now; should it not have, the rule is kept here.
+    /// Handles a request's deadline. The decision module has normally answered by then; if it has not, the request
+    /// fails here. A request that is streaming continues past its deadline.
     pub(crate) fn on_deadline(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&id).filter(|r| !r.is_streaming()) else {
             return;
@@ -229,23 +239,26 @@
         }
     }
 
-    /// A stream that has said nothing for as long as a first token may take has stalled.
+    /// Ends a streaming attempt that has sent nothing for as long as its class's deadline; otherwise checks again when
+    /// that time has passed since its last message.
     pub(crate) fn on_stall(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&id).filter(|r| r.is_streaming()) else {
             return;
         };
-        let most_s = self.settings.classes[usize::from(request.class)].deadline_s;
-        let heard = request.attempt.as_ref().map_or(now, |a| a.last_received_at);
-        if now.since(heard) < most_s {
-            return self
-                .timers
-                .set(heard.after(most_s), Timer::Stall { request: id });
+        let max_silence_s = self.settings.classes[usize::from(request.class)].deadline_s;
+        let last_received_at = request.attempt.as_ref().map_or(now, |a| a.last_received_at);
+        if now.since(last_received_at) < max_silence_s {
+            return self.timers.set(
+                last_received_at.after(max_silence_s),
+                Timer::Stall { request: id },
+            );
         }
         self.send_cancel(id, out);
         self.end_attempt(now, id, Outcome::TimedOut, 0, Vec::new(), out);
     }
 }
 
+/// Prompt tokens that the server found in its prefix cache; 0 where it reported none.
 fn cached_tokens(attempt: &Attempt) -> u32 {
     let details = attempt.usage.and_then(|u| u.prompt_tokens_details);
     details.map_or(0, |d| d.cached_tokens)
--- a/crates/core/src/blocked_sends.rs
+++ b/crates/core/src/blocked_sends.rs
@@ -1,4 +1,4 @@
-//! Sends of workflow steps that wait for their permission.
+//! Sends of workflow steps that wait for the coordinator's permission because the previous one has expired.
 
 use bitternlatch_policy::interface::{Outcome, RequestId};
 
@@ -8,10 +8,13 @@
 use crate::types::{Micros, Output};
 use crate::workflows::BlockedSend;
 
-/// Fraction of the longest time that a KV cache is held, for which a send that would fetch it waits for its permission.
-const KV_HOLD_SHARE: f64 = 0.5;
+/// Longest wait of a blocked send that would fetch a held KV cache, as a fraction of the limit on holding one
+/// (`rules.pin_limit_s`).
+const BLOCKED_SEND_KV_HOLD_FRACTION: f64 = 0.5;
 
 impl Machine {
+    /// Holds a send back and asks the coordinator to permit the step again. A send that cannot wait, as its request is
+    /// answered or is no step in flight, is reported as not sent.
     pub(crate) fn block_send(
         &mut self,
         now: Micros,
@@ -23,51 +26,55 @@
             .requests
             .get(&id)
             .filter(|r| !r.answered && r.attempt.is_none());
-        // A state that waits to be fetched keeps its place for so long at the most, whatever time the request has left.
-        let pinned = now.after(self.settings.rules.kv_hold_limit_s * KV_HOLD_SHARE);
-        let ends = |r: &Request| {
+        // A held KV cache occupies memory at its prefill server, so it limits the wait whatever time the request has
+        // left.
+        let kv_hold_ends =
+            now.after(self.settings.rules.kv_hold_limit_s * BLOCKED_SEND_KV_HOLD_FRACTION);
+        let wait_ends = |r: &Request| {
             if r.held_kv_cache.is_some() {
-                pinned
+                kv_hold_ends
             } else {
                 r.deadline.max(now.after(PROBE_S))
             }
         };
-        let asked = live
-            .map(|r| (r.may_have_run(), ends(r)))
-            .and_then(|(may_have_run, ends)| {
-                self.workflows
-                    .wait(id, send, may_have_run, ends)
-                    .map(|(call, tell)| (call, tell, ends))
-            });
-        let Some((call, tell, ends)) = asked else {
+        let waiting =
+            live.map(|r| (r.may_have_run(), wait_ends(r)))
+                .and_then(|(may_have_run, ends)| {
+                    self.workflows
+                        .wait(id, send, may_have_run, ends)
+                        .map(|(call, commands)| (call, commands, ends))
+                });
+        let Some((call, commands, ends)) = waiting else {
             return self.abandon_send(id, send);
         };
         self.timers.set(ends, Timer::WorkflowQuery { call });
-        out.extend(tell.into_iter().map(Output::Workflow));
+        out.extend(commands.into_iter().map(Output::Workflow));
     }
 
-    /// A send that waited for its permission has it, or is refused.
+    /// Carries out a blocked send once its step is permitted again, or reports it as not sent where the permission is
+    /// denied or did not come in time.
     pub(crate) fn resume_send(
         &mut self,
         now: Micros,
         id: RequestId,
         send: BlockedSend,
-        may: bool,
+        permitted: bool,
         out: &mut Vec<Output>,
     ) {
-        match may {
+        match permitted {
             true => self.send_attempt(now, id, send.server, send.timeout_s, out),
             false => self.abandon_send(id, send),
         }
     }
 
-    /// A request ends while its send waits: the module is told that it never left.
+    /// Drops the blocked send of a request that has ended, and reports it as not sent.
     pub(crate) fn cancel_blocked_send(&mut self, id: RequestId) {
         if let Some(send) = self.workflows.unblock(id) {
             self.abandon_send(id, send);
         }
     }
 
+    /// Notifies the decision module that a send was not carried out; it counts as an attempt all the same.
     pub(crate) fn abandon_send(&mut self, id: RequestId, send: BlockedSend) {
         let number = self.requests.get_mut(&id).map_or(0, |r| {
             r.attempt_count += 1;
--- a/crates/core/src/callers.rs
+++ b/crates/core/src/callers.rs
@@ -1,8 +1,8 @@
-//! Callers of sessions: rights looked at for each request, proofs that end, keys that are withdrawn.
+//! Callers of sessions: access rights, checked for each request, and credentials that expire or are revoked.
 //!
-//! A session whose proof no longer counts takes nothing new; what runs gets its final answer, and then the session is
-//! closed with a code that says why. Checking signatures is not done here: the machine is told of callers whose proof
-//! was checked, so that a record holds no token.
+//! A session whose credential is no longer valid accepts no new requests. Its requests in flight get their final
+//! answers, and then the session is closed with a reason code. Signatures are verified outside the machine, which
+//! receives only authenticated callers, so that a record contains no token.
 
 use bitternlatch_identity::rights::{Grant, Rights, Wish};
 use bitternlatch_identity::{Caller, Proof};
@@ -12,10 +12,11 @@
 use crate::timers::Timer;
 use crate::types::{Level, Micros, Output, SessionId};
 
-/// Close code of a session whose proof of its caller has ended (private use, RFC 6455, 7.4.2).
+/// WebSocket close code of a session whose caller's credential has expired or is revoked (in the range for private use,
+/// RFC 6455, 7.4.2).
 pub const CLOSE_CREDENTIAL_EXPIRED: u16 = 4401;
 
-/// Why a session takes nothing new.
+/// Why a session accepts no new requests and is about to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EndReason {
     TokenExpired,
@@ -25,6 +26,7 @@
 }
 
 impl EndReason {
+    /// The reason as a code for the client.
     fn code(self) -> &'static str {
         match self {
             EndReason::TokenExpired => "token_expired",
@@ -35,6 +37,7 @@
     }
 }
 
+/// An error for a request or message that the session's caller may not make.
 fn caller_error(
     status: u16,
     code: &'static str,
@@ -50,7 +53,11 @@
 }
 
 impl Machine {
-    /// What a session's caller is granted for a request; `None` where the installation knows no callers.
+    /// What the rights grant a session's caller for a request; `None` where the settings have no `identity` table, so
+    /// that callers are not authenticated.
+    ///
+    /// # Errors
+    /// Status 401 for a credential that is not valid, 403 for a right that the caller lacks.
     pub(crate) fn check_rights(
         &self,
         now: Micros,
@@ -62,10 +69,10 @@
             return Ok(None);
         }
         let caller = self.sessions.caller(session);
-        if let Some(ending) = self.sessions.end_reason(session) {
+        if let Some(reason) = self.sessions.end_reason(session) {
             return Err(caller_error(
                 401,
-                ending.code(),
+                reason.code(),
                 "the proof of the caller no longer counts".into(),
                 None,
             ));
@@ -104,89 +111,95 @@
         }
     }
 
+    /// Puts new access rights in force; rights that do not parse leave the previous ones in force.
     pub(crate) fn on_rights(&mut self, text: &str, out: &mut Vec<Output>) {
         match Rights::parse(text) {
             Ok(rights) => {
                 self.rights = Some(rights);
                 log(out, Level::Info, "new rights are in force");
             }
-            Err(why) => log(
+            Err(error) => log(
                 out,
                 Level::Error,
-                format!("rights are not taken, the last good ones stay: {why}"),
+                format!("rights are not taken, the last good ones stay: {error}"),
             ),
         }
     }
 
-    /// A session's caller is known, or has renewed its proof.
+    /// Sets the caller of a new session, or its renewed credential, and a timer for when the credential expires.
     pub(crate) fn set_caller(&mut self, session: SessionId, caller: Caller) {
-        let ends = self.credential_expiry_time(caller.ends);
+        let expires_at = self.credential_expiry_time(caller.ends);
         self.sessions.set_caller(session, caller);
-        self.timers.set(ends, Timer::Caller { session });
+        self.timers.set(expires_at, Timer::Caller { session });
     }
 
-    /// Unix seconds by which proofs are judged.
+    /// The Unix time, in seconds, that credentials are checked against: the machine's clock plus the credential clock
+    /// offset.
     fn credential_time_s(&self, now: Micros) -> u64 {
         now.0.saturating_add_signed(self.credential_clock_offset_us) / 1_000_000
     }
 
-    /// When the clock will show a time at which a proof ends.
-    fn credential_expiry_time(&self, ends_s: u64) -> Micros {
+    /// The time on the machine's clock at which a credential expires, given its expiry in Unix seconds.
+    fn credential_expiry_time(&self, expiry_s: u64) -> Micros {
         Micros(
-            ends_s
+            expiry_s
                 .saturating_mul(1_000_000)
                 .saturating_sub_signed(self.credential_clock_offset_us),
         )
     }
 
-    /// The judged time has moved against the clock: ends of proofs come sooner or later than they were to.
+    /// Handles a change of the offset between the clock that credentials are checked against and the machine's clock:
+    /// all credentials expire sooner or later on the machine's clock, so their timers are set again.
     pub(crate) fn on_credential_clock_offset(
         &mut self,
         now: Micros,
         ahead_us: i64,
         out: &mut Vec<Output>,
     ) {
-        let by_s = ahead_us.saturating_sub(self.credential_clock_offset_us) as f64 / 1e6;
+        let change_s = ahead_us.saturating_sub(self.credential_clock_offset_us) as f64 / 1e6;
         log(
             out,
             Level::Warn,
-            format!("the time of proofs moves by {by_s:.1} s"),
+            format!("the time of proofs moves by {change_s:.1} s"),
         );
         self.credential_clock_offset_us = ahead_us;
-        for (session, ends_s) in self.sessions.credential_expiries() {
+        for (session, expiry_s) in self.sessions.credential_expiries() {
             self.timers.set(
-                self.credential_expiry_time(ends_s),
+                self.credential_expiry_time(expiry_s),
                 Timer::Caller { session },
             );
             self.on_credential_expiry(now, session);
         }
     }
 
+    /// Handles a new credential that a client presented in its session. It must be the same caller's: a session never
+    /// changes its caller.
     pub(crate) fn on_session_renewed(
         &mut self,
         session: SessionId,
         caller: Caller,
         out: &mut Vec<Output>,
     ) {
-        let Some(before) = self.sessions.caller(session) else {
+        let Some(current) = self.sessions.caller(session) else {
             return;
         };
-        if before.subject != caller.subject {
-            let why = "the token is another caller's; a session stays its caller's".to_string();
-            let bad = caller_error(403, "subject_mismatch", why, Some("token"));
+        if current.subject != caller.subject {
+            let message = "the token is another caller's; a session stays its caller's".to_string();
+            let error = caller_error(403, "subject_mismatch", message, Some("token"));
             return out.push(Output::SendToClient {
                 session,
-                text: client::error(&bad, None, None),
+                text: client::error(&error, None, None),
             });
         }
-        let ends = caller.ends;
+        let expiry_s = caller.ends;
         self.set_caller(session, caller);
         out.push(Output::SendToClient {
             session,
-            text: client::renewed(ends),
+            text: client::renewed(expiry_s),
         });
     }
 
+    /// Reports to a client that its new credential was rejected; the session keeps its previous one.
     pub(crate) fn on_renewal_rejected(
         &self,
         session: SessionId,
@@ -194,7 +207,7 @@
         out: &mut Vec<Output>,
     ) {
         if self.sessions.is_open(session) {
-            let bad = caller_error(
+            let error = caller_error(
                 401,
                 "token_refused",
                 format!("the token is not taken: {code}"),
@@ -202,55 +215,56 @@
             );
             out.push(Output::SendToClient {
                 session,
-                text: client::error(&bad, None, None),
+                text: client::error(&error, None, None),
             });
         }
     }
 
-    /// Keys that counted count no more: sessions proven by them end.
+    /// Ends the sessions that were authenticated by signing keys or certificates that are now revoked.
     pub(crate) fn on_credentials_revoked(&mut self, ids: &[String], out: &mut Vec<Output>) {
-        let hit = self.sessions.authenticated_by(ids);
-        if !hit.is_empty() {
+        let affected = self.sessions.authenticated_by(ids);
+        if !affected.is_empty() {
             log(
                 out,
                 Level::Warn,
-                format!("{} sessions end: their proof is withdrawn", hit.len()),
+                format!("{} sessions end: their proof is withdrawn", affected.len()),
             );
         }
-        for session in hit {
+        for session in affected {
             let by_certificate = self
                 .sessions
                 .caller(session)
                 .is_some_and(|c| c.proof == Proof::Certificate);
-            let why = if by_certificate {
+            let reason = if by_certificate {
                 EndReason::CertificateRevoked
             } else {
                 EndReason::TokenKeyRevoked
             };
-            self.sessions.begin_ending(session, why);
+            self.sessions.begin_ending(session, reason);
         }
     }
 
+    /// Ends a session if its caller's credential has expired by now.
     pub(crate) fn on_credential_expiry(&mut self, now: Micros, session: SessionId) {
         let credential_time_s = self.credential_time_s(now);
-        let why = match self.sessions.caller(session) {
+        let reason = match self.sessions.caller(session) {
             Some(c) if c.ends <= credential_time_s && c.proof == Proof::Certificate => {
                 EndReason::CertificateExpired
             }
             Some(c) if c.ends <= credential_time_s => EndReason::TokenExpired,
             _ => return,
         };
-        self.sessions.begin_ending(session, why);
+        self.sessions.begin_ending(session, reason);
     }
 
-    /// Closes ending sessions that have nothing in flight any more.
+    /// Closes the sessions that are ending and have no requests in flight.
     pub(crate) fn close_ending_sessions(&mut self, out: &mut Vec<Output>) {
-        for (session, ending) in self.sessions.idle_ending_sessions() {
+        for (session, reason) in self.sessions.idle_ending_sessions() {
             self.sessions.close(session);
             out.push(Output::CloseSession {
                 session,
                 code: CLOSE_CREDENTIAL_EXPIRED,
-                reason: ending.code().to_string(),
+                reason: reason.code().to_string(),
             });
         }
     }
--- a/crates/core/src/contexts.rs
+++ b/crates/core/src/contexts.rs
@@ -1,30 +1,30 @@
-//! What `previous_response_id` goes on from: the last responses' texts, within a bound of bytes.
+//! The recent conversations that a request may continue with `previous_response_id`, limited in bytes and age.
 
 use std::collections::BTreeMap;
 
 use crate::types::Micros;
 
-/// A finished response that another may follow.
+/// A finished response that a later request may continue.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Context {
     pub tenant: u32,
-    /// Whose it is, as for [`crate::idempotency::Key`].
+    /// Who may continue it, as for [`crate::idempotency::Key`].
     pub owner: String,
     /// Key of the conversation, the same for all its turns.
     pub conversation: u64,
-    /// Prompt and answer so far.
+    /// The prompt, which contains all earlier turns, and the answer.
     pub text: String,
     pub created_at: Micros,
 }
 
 struct CachedContext {
-    /// Position in the order of insertion.
+    /// Position of the context in the order of insertion.
     insertion_order: u64,
     context: Context,
 }
 
-/// Bounded by bytes and age; at the bound the oldest is let go, and a client that names it is told that it is not
-/// found.
+/// Contexts by response id, limited in bytes and age. The oldest is evicted first; a request that continues an evicted
+/// one gets the error `previous_response_not_found`.
 pub(crate) struct Contexts {
     max_bytes: usize,
     bytes: usize,
@@ -44,6 +44,7 @@
         }
     }
 
+    /// The context of a response, if it belongs to this tenant and owner.
     pub(crate) fn find(&self, id: &str, tenant: u32, owner: &str) -> Option<&Context> {
         self.cached
             .get(id)
@@ -51,6 +52,8 @@
             .filter(|c| c.tenant == tenant && c.owner == owner)
     }
 
+    /// Stores a context and evicts the oldest ones beyond the byte limit. A context larger than the limit is not
+    /// stored.
     pub(crate) fn insert(&mut self, id: &str, context: Context) {
         if context.text.len() > self.max_bytes {
             return;
@@ -70,18 +73,19 @@
         while self.bytes > self.max_bytes && self.evict_oldest() {}
     }
 
-    /// Lets go of what is older than a time.
+    /// Evicts the contexts that were created before a time.
     pub(crate) fn sweep(&mut self, before: Micros) {
-        let old = |c: &Self| {
-            let first = c
+        let has_expired = |c: &Self| {
+            let oldest = c
                 .by_insertion_order
                 .first_key_value()
                 .and_then(|(_, id)| c.cached.get(id));
-            first.is_some_and(|entry| entry.context.created_at < before)
+            oldest.is_some_and(|entry| entry.context.created_at < before)
         };
-        while old(self) && self.evict_oldest() {}
+        while has_expired(self) && self.evict_oldest() {}
     }
 
+    /// Evicts the oldest context; false where there is none.
     fn evict_oldest(&mut self) -> bool {
         let Some((_, id)) = self.by_insertion_order.pop_first() else {
             return false;
--- a/crates/core/src/contexts/tests.rs
+++ b/crates/core/src/contexts/tests.rs
@@ -12,20 +12,20 @@
 
 #[test]
 fn oldest_context_is_evicted_by_size_and_age() {
-    let mut kept = Contexts::new(10);
-    kept.insert("a", context("12345", 1));
-    kept.insert("b", context("12345", 2));
+    let mut contexts = Contexts::new(10);
+    contexts.insert("a", context("12345", 1));
+    contexts.insert("b", context("12345", 2));
     assert!(
-        kept.find("a", 1, "ann").is_some() && kept.find("a", 2, "ann").is_none(),
-        "its own tenant's alone"
+        contexts.find("a", 1, "ann").is_some() && contexts.find("a", 2, "ann").is_none(),
+        "found only for its own tenant"
     );
     assert!(
-        kept.find("a", 1, "eve").is_none(),
-        "found by its own caller alone"
+        contexts.find("a", 1, "eve").is_none(),
+        "found only for its own caller"
     );
-    kept.insert("c", context("1", 3));
-    assert!(kept.find("a", 1, "ann").is_none() && kept.find("b", 1, "ann").is_some());
-    kept.sweep(Micros(3));
-    assert!(kept.find("b", 1, "ann").is_none() && kept.find("c", 1, "ann").is_some());
-    assert_eq!(kept.bytes, 1);
+    contexts.insert("c", context("1", 3));
+    assert!(contexts.find("a", 1, "ann").is_none() && contexts.find("b", 1, "ann").is_some());
+    contexts.sweep(Micros(3));
+    assert!(contexts.find("b", 1, "ann").is_none() && contexts.find("c", 1, "ann").is_some());
+    assert_eq!(contexts.bytes, 1);
 }
--- a/crates/core/src/engine_messages.rs
+++ b/crates/core/src/engine_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of model servers about attempts: pieces of answers, ends, errors and load reports.
+//! Messages of model servers: output chunks, ends and errors of attempts, and load reports.
 
 use bitternlatch_policy::interface::{Event, Outcome, RequestId};
 use bitternlatch_protocol::engine::{
@@ -10,12 +10,16 @@
 use crate::timers::Timer;
 use crate::types::{Level, LinkId, Micros, Output};
 
-/// Bytes of answer that an engine may send for each token of the ceiling; more is a fault of the engine.
+/// Bytes of output that an engine may send per token of the request's output limit. An engine that exceeds this and
+/// [`MAX_ANSWER_EXTRA_BYTES`] is faulty, and its attempt is cancelled.
 const MAX_ANSWER_BYTES_PER_TOKEN: usize = 32;
-/// Bytes of answer that an engine may send beyond that.
+/// Bytes of output that an engine may send on top of [`MAX_ANSWER_BYTES_PER_TOKEN`] for each token.
 const MAX_ANSWER_EXTRA_BYTES: usize = 4096;
+/// Characters of an unknown attempt id that are quoted in the error about it.
+const MAX_QUOTED_ID_CHARS: usize = 60;
 
 impl Machine {
+    /// Handles one text message of a model server; a message that does not parse is reported back to the server.
     pub(crate) fn on_engine_text(
         &mut self,
         now: Micros,
@@ -54,15 +58,15 @@
         }
     }
 
-    /// Tells a server what was wrong with a message of its, and the log.
-    pub(crate) fn report_fault(&self, link: LinkId, why: &str, out: &mut Vec<Output>) {
+    /// Logs an invalid message of a server and reports the error back to it.
+    pub(crate) fn report_fault(&self, link: LinkId, message: &str, out: &mut Vec<Output>) {
         let name = self
             .servers
             .get(link.server)
             .map_or("a host that left the list", |k| k.server.name.as_str());
-        log(out, Level::Warn, format!("{name}: {why}"));
+        log(out, Level::Warn, format!("{name}: {message}"));
         let text = encode(&ToEngine::Fault {
-            message: why.to_string(),
+            message: message.to_string(),
         });
         out.push(Output::SendToServer {
             link,
@@ -71,8 +75,9 @@
         });
     }
 
-    /// The request whose current attempt a message is about; a word on an attempt that is over is passed over, and one
-    /// with an id never given out is a fault.
+    /// Finds the request whose current attempt a server's message is about, and records when the message was received.
+    /// `None` for an attempt that has ended or belongs to another link, and for an id that this dispatcher never
+    /// assigned, which is reported back to the server.
     pub(crate) fn current_request(
         &mut self,
         now: Micros,
@@ -81,10 +86,10 @@
         out: &mut Vec<Output>,
     ) -> Option<RequestId> {
         let Some((request, number)) = parse_wire_id(self.instance, id) else {
-            let shown: String = id.chars().take(60).collect();
+            let quoted: String = id.chars().take(MAX_QUOTED_ID_CHARS).collect();
             self.report_fault(
                 link,
-                &format!("'{shown}' is no request of this dispatcher"),
+                &format!("'{quoted}' is no request of this dispatcher"),
                 out,
             );
             return None;
@@ -97,22 +102,23 @@
         Some(request)
     }
 
+    /// Handles a chunk of an attempt's output: text, token counts, finish reason, or where to fetch the KV cache.
     pub(crate) fn on_chunk(
         &mut self,
         now: Micros,
         link: LinkId,
-        wire: &str,
+        attempt_id: &str,
         body: Chunk,
         out: &mut Vec<Output>,
     ) {
-        let kept = body
+        let holds_kv_cache = body
             .kv_transfer_params
             .as_ref()
             .is_some_and(|p| p.do_remote_prefill);
-        let Some(id) = self.current_request(now, link, wire, out) else {
-            if kept && parse_wire_id(self.instance, wire).is_some() {
-                // A read that was given up on has ended after all: nobody will fetch its state.
-                self.send_release(link, wire, out);
+        let Some(id) = self.current_request(now, link, attempt_id, out) else {
+            if holds_kv_cache && parse_wire_id(self.instance, attempt_id).is_some() {
+                // An abandoned prefill has completed after all; no decode server will fetch its KV cache.
+                self.send_release(link, attempt_id, out);
             }
             return;
         };
@@ -125,7 +131,7 @@
         if let Some(usage) = body.usage {
             attempt.usage = Some(usage);
         }
-        if kept {
+        if holds_kv_cache {
             attempt.kv_transfer_params = body.kv_transfer_params;
         }
         let Some(choice) = body.choices.into_iter().next() else {
@@ -139,20 +145,22 @@
         }
     }
 
+    /// Handles output text of a request's current attempt. The first text of an attempt ends its KV transfer and starts
+    /// the check for a stalled stream.
     pub(crate) fn on_text(
         &mut self,
         now: Micros,
         id: RequestId,
-        piece: &str,
+        text: &str,
         out: &mut Vec<Output>,
     ) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let most = (request.max_tokens as usize)
+        let max_bytes = (request.max_tokens as usize)
             .saturating_mul(MAX_ANSWER_BYTES_PER_TOKEN)
             .saturating_add(MAX_ANSWER_EXTRA_BYTES);
-        if request.text.len() + piece.len() > most {
+        if request.text.len() + text.len() > max_bytes {
             log(
                 out,
                 Level::Warn,
@@ -162,7 +170,7 @@
             return self.end_attempt(now, id, Outcome::Error, 0, Vec::new(), out);
         }
         let stall_s = self.settings.classes[usize::from(request.class)].deadline_s;
-        request.text.push_str(piece);
+        request.text.push_str(text);
         if let Some(attempt) = request
             .attempt
             .as_mut()
@@ -176,7 +184,7 @@
                 attempt.server,
                 now.since(attempt.started_at),
             );
-            // The state has been fetched: nothing of it is held any more.
+            // Output shows that the decode server has fetched the KV cache, so the prefill server no longer holds it.
             request.held_kv_cache = None;
             self.timers
                 .set(now.after(stall_s), Timer::Stall { request: id });
@@ -187,18 +195,20 @@
                 elapsed_s,
             });
         }
-        self.send_delta(id, piece, out);
+        self.send_delta(id, text, out);
     }
 
+    /// Handles the end of an attempt as reported by its server. An attempt without a finish reason, other than a
+    /// prefill, is an error.
     pub(crate) fn on_done(
         &mut self,
         now: Micros,
         link: LinkId,
-        wire: &str,
+        attempt_id: &str,
         load: Option<&Load>,
         out: &mut Vec<Output>,
     ) {
-        let Some(id) = self.current_request(now, link, wire, out) else {
+        let Some(id) = self.current_request(now, link, attempt_id, out) else {
             return;
         };
         let report = self.load_report_values(load);
@@ -212,8 +222,9 @@
         }
     }
 
-    /// A load report in the order of the settings; empty where a value is missing, negative or no number. Values are
-    /// kept at the precision of the simulator's wire, so that the module is told the same over both.
+    /// The values of a load report in the order of `reports.fields` in the settings; empty where a value is missing,
+    /// negative or not finite. Values are rounded to `f32`, the precision of the simulator's protocol, so that the
+    /// decision module sees equal values over both.
     pub(crate) fn load_report_values(&self, load: Option<&Load>) -> Vec<f64> {
         let Some(load) = load else { return Vec::new() };
         let value = |f: &crate::settings::ReportField| {
@@ -230,6 +241,7 @@
     }
 }
 
+/// The outcome of an attempt that its server ended with an error message.
 fn outcome_of(error: &EngineError) -> Outcome {
     match error.code.as_deref() {
         Some(CODE_FULL) => Outcome::Rejected {
--- a/crates/core/src/idempotency.rs
+++ b/crates/core/src/idempotency.rs
@@ -1,8 +1,8 @@
-//! Idempotency keys: one run for one key, however often the client asks.
+//! Idempotency keys: a request is run once for each key, however often the client repeats it.
 //!
-//! A key stands for a request while it runs and for its answer afterwards, for a stated time. The answer's text is
-//! let go first when bytes run out; the key itself stays for its time, so that an effect is not caused again. When the
-//! table is full of keys that may not be let go, a new keyed request is refused.
+//! A key refers to its request while that runs, and to the answer afterwards for a fixed lifetime. Stored answers are
+//! evicted when they exceed their byte limit, but a key stays for its whole lifetime, so that a repeated request never
+//! has its effect again. While the table is full of keys that have not expired, requests with a new key are rejected.
 
 use std::collections::BTreeMap;
 
@@ -11,52 +11,70 @@
 
 use crate::types::Micros;
 
-/// A key belongs to a tenant and a class, and to its caller where callers are known.
+/// An idempotency key in its scope: the tenant and class of the request, and its caller where callers are
+/// authenticated.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Key {
     pub tenant: u32,
     pub class: u16,
-    /// Whose it is, as the caller's grant says; empty where callers are not known.
+    /// Who may use the key, from the caller's grant: one caller, or all whom a rule with shared keys names. Empty where
+    /// callers are not authenticated.
     pub owner: String,
+    /// The key as the client sent it.
     pub text: String,
 }
 
+/// The state of a known key.
 #[derive(Clone, Debug)]
 pub(crate) enum KeyState {
+    /// The key's request is in flight.
     Running(RequestId),
-    /// The answer as it was given.
+    /// The key's request was answered with this response.
     Answered(Box<Response>),
-    /// Answered, but the text is no longer kept.
+    /// The key's request was answered, but the response was evicted to stay within the byte limit.
     Evicted,
 }
 
 struct IdempotencyEntry {
-    /// Hash of what was asked: a key used again for something else is an error.
+    /// Hash of the request's content; a request with the same key and other content is an error.
     fingerprint: u64,
     state: KeyState,
+    /// When the key's request was answered; `None` while it runs.
     ended_at: Option<Micros>,
+    /// Bytes that the stored answer counts for; 0 where none is stored.
     bytes: usize,
+    /// Position of the key in the order in which requests ended; 0 while its request runs.
     ended_order: u64,
 }
 
-/// What a key stands for when a request comes with it.
+/// How to handle a request, by the state of its idempotency key.
 #[derive(Debug)]
 pub(crate) enum KeyLookup {
+    /// The key is unknown: start the request.
     New,
+    /// The key's request is running: attach the session to it.
     Attach(RequestId),
+    /// The key's request was answered: repeat the stored answer.
     Answer(Box<Response>),
+    /// The key's request was answered, but the answer is no longer stored.
     Evicted,
+    /// The key was used for a request with other content.
     OtherRequest,
+    /// The key is unknown and the table is full.
     CapacityExceeded,
 }
 
+/// The table of idempotency keys, limited in keys and in bytes of stored answers.
 pub(crate) struct IdempotencyKeys {
     max_keys: usize,
+    /// Limit on bytes of stored answers.
     max_bytes: usize,
+    /// How long a key is kept after its request has ended, seconds.
     lifetime_s: f64,
+    /// Bytes of stored answers now.
     bytes: usize,
     entries: BTreeMap<Key, IdempotencyEntry>,
-    /// Ended keys by turn of ending.
+    /// Keys whose requests have ended, in the order of ending.
     ended: BTreeMap<u64, Key>,
     last_order: u64,
 }
@@ -74,6 +92,7 @@
         }
     }
 
+    /// How to handle a request with this key and content hash.
     pub(crate) fn lookup(&self, key: &Key, fingerprint: u64) -> KeyLookup {
         match self.entries.get(key) {
             None if self.entries.len() >= self.max_keys => KeyLookup::CapacityExceeded,
@@ -87,6 +106,7 @@
         }
     }
 
+    /// Adds a new key, whose request is running.
     pub(crate) fn begin(&mut self, key: Key, fingerprint: u64, request: RequestId) {
         let entry = IdempotencyEntry {
             fingerprint,
@@ -98,7 +118,7 @@
         self.entries.insert(key, entry);
     }
 
-    /// Forgets a key whose request is known to be harmless to ask again.
+    /// Removes a key whose request is harmless to repeat.
     pub(crate) fn remove(&mut self, key: &Key) {
         if let Some(old) = self.entries.remove(key) {
             self.ended.remove(&old.ended_order);
@@ -106,6 +126,7 @@
         }
     }
 
+    /// Stores the answer of a key's request, which counts as `bytes` toward the byte limit.
     pub(crate) fn end(&mut self, now: Micros, key: &Key, answer: Response, bytes: usize) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
@@ -120,6 +141,7 @@
         self.evict_answers();
     }
 
+    /// Evicts the oldest answers until the rest fit the byte limit; their keys stay.
     fn evict_answers(&mut self) {
         let oldest: Vec<Key> = match self.bytes > self.max_bytes {
             true => self.ended.values().cloned().collect(),
@@ -136,7 +158,7 @@
         }
     }
 
-    /// Lets go of keys whose time is over.
+    /// Removes keys whose lifetime has passed.
     pub(crate) fn sweep(&mut self, now: Micros) {
         while let Some((ended_order, key)) = self.ended.first_key_value() {
             let entry = self.entries.get(key);
--- a/crates/core/src/request_start.rs
+++ b/crates/core/src/request_start.rs
@@ -1,4 +1,4 @@
-//! An admitted request enters the request table and is passed to the decision module.
+//! Starts a request: enters it into the request table and passes it to the decision module.
 
 use bitternlatch_budget::book::Hold;
 use bitternlatch_output_length::Expected;
@@ -16,23 +16,25 @@
 use crate::types::{Micros, Output, SessionId};
 use crate::validated_request::{fingerprint, ValidatedRequest};
 
-/// With what a request begins.
+/// What admission decided about a request.
 pub(crate) struct AdmissionDecision {
-    /// Of its tenant's budget; none where it is refused.
+    /// Tokens reserved from the tenant's budget; `None` where load shedding rejected the request.
     pub budget_hold: Option<Hold>,
-    /// Taken; or refused at once, and when it may come back.
-    pub verdict: Result<AdmittedWork, f64>,
+    /// The work that load shedding admitted, or for a rejected request the seconds until it may be repeated.
+    pub admission: Result<AdmittedWork, f64>,
 }
 
-/// What is settled of a request as it enters the table.
+/// What is known of a request when it enters the request table, apart from the client's message.
 struct RequestStart {
     session: SessionId,
     now: Micros,
+    /// When the final answer is due: the client's deadline less the margin for delivering the answer.
     deadline: Micros,
-    /// Whether it is a step of a workflow.
+    /// Whether the request is a step of a workflow.
     is_workflow_step: bool,
-    /// Key of its conversation.
+    /// Key of the conversation that the request belongs to.
     conversation: u64,
+    /// Expected output length; `None` without an estimate.
     expected_output: Option<Expected>,
 }
 
@@ -65,7 +67,7 @@
             attempt_count: 0,
             attempt: None,
             held_kv_cache: None,
-            admitted_work: decision.verdict.unwrap_or_default(),
+            admitted_work: decision.admission.unwrap_or_default(),
             earlier_attempt_may_have_run: false,
             created_at: self.now,
             budget_hold: decision.budget_hold,
@@ -77,7 +79,8 @@
 }
 
 impl Machine {
-    /// Enters a request into the table, tells its client so, and passes it to the decision module or rejects it at once.
+    /// Enters a request into the request table, sends `response.created` to its client, and passes it to the decision
+    /// module or rejects it at once.
     pub(crate) fn start_request(
         &mut self,
         now: Micros,
@@ -89,11 +92,11 @@
     ) {
         let id = self.next_request_id();
         let response = self.new_response(now, id, create, validated.max_tokens);
-        let left_s = (validated.time_left_s - self.settings.requests.answer_margin_s).max(0.0);
+        let time_left_s = (validated.time_left_s - self.settings.requests.answer_margin_s).max(0.0);
         let start = RequestStart {
             session,
             now,
-            deadline: now.after(left_s),
+            deadline: now.after(time_left_s),
             is_workflow_step: validated.workflow_step.is_some(),
             conversation: match validated.conversation {
                 0 => xxh3_64(response.id.as_bytes()),
@@ -101,7 +104,7 @@
             },
             expected_output: self.expected_output(create, &validated),
         };
-        let mut arrival = validated.to_policy_request(id, create, start.conversation, left_s);
+        let mut arrival = validated.to_policy_request(id, create, start.conversation, time_left_s);
         arrival.output_tokens = OutputLengths::for_module(start.expected_output);
         if let Some(key) = validated
             .key
@@ -110,7 +113,7 @@
         {
             self.keys.begin(key.clone(), fingerprint(create), id);
         }
-        let (verdict, deadline) = (decision.verdict, start.deadline);
+        let (admission, deadline) = (decision.admission, start.deadline);
         let step = validated.workflow_step.take();
         let request = start.into_request(create, response, validated, decision);
         self.prompt_bytes += request.prompt.len();
@@ -120,14 +123,15 @@
         }
         self.sessions.listen(session, id);
         self.send_created(id, session, out);
-        if let Some((after_s, why)) = self.rejection_at_start(id, verdict) {
-            return self.reject(now, id, after_s, why, out);
+        if let Some((after_s, message)) = self.rejection_at_start(id, admission) {
+            return self.reject(now, id, after_s, message, out);
         }
         self.timers.set(deadline, Timer::Deadline { request: id });
         self.events.push_back(Event::Arrival(arrival));
     }
 
-    /// The next id; never reused: a dispatcher that has given out every id has to be started again.
+    /// Returns a new request id. Ids are never reused: once all are used up, new requests are rejected until the
+    /// dispatcher is restarted.
     pub(crate) fn next_request_id(&mut self) -> RequestId {
         let id = self.next_request;
         self.next_request = id.saturating_add(1);
@@ -141,15 +145,16 @@
             .expect(&create.model, class, prompt_tokens, validated.max_tokens)
     }
 
-    /// Why a request is rejected without the decision module, and when it may be repeated.
+    /// The seconds until a retry and the reason where a request is rejected without asking the decision module; `None`
+    /// where it is not.
     fn rejection_at_start(
         &self,
         id: RequestId,
-        verdict: Result<AdmittedWork, f64>,
+        admission: Result<AdmittedWork, f64>,
     ) -> Option<(f64, &'static str)> {
-        if let Err(after_s) = verdict {
-            let why = "no place now for what it asks; asking again is harmless";
-            return Some((after_s, why));
+        if let Err(after_s) = admission {
+            let message = "no place now for what it asks; asking again is harmless";
+            return Some((after_s, message));
         }
         if self.stopping {
             return Some((RETRY_AFTER_S, "this dispatcher is stopping"));
@@ -160,6 +165,7 @@
         None
     }
 
+    /// Creates the response object of a new request: in progress, without output.
     pub(crate) fn new_response(
         &self,
         now: Micros,
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -1,4 +1,5 @@
-//! The request table: one entry a request that this dispatcher has taken, until nothing of it is out.
+//! The request table: one entry for each request of this dispatcher, from its start until it is answered, its last
+//! attempt has ended and no server holds a KV cache for it.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -14,31 +15,33 @@
 use crate::load_shedding::AdmittedWork;
 use crate::types::{LinkId, Micros, SessionId};
 
-/// Sessions that may listen to one request; a further one is told to come back.
+/// Maximum number of sessions that may receive the events of one request; a further session gets a `too_many_requests`
+/// error.
 pub(crate) const MAX_LISTENERS: usize = 8;
 
-/// What an attempt asks of its server.
+/// The work that an attempt requests from its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// Read the prompt and keep the state.
+    /// Compute the prompt's KV cache and hold it for a decode server.
     Prefill,
-    /// Fetch the state and write.
+    /// Fetch the KV cache from the prefill server and generate the output.
     Decode,
-    /// Do both.
+    /// Prefill and decode on one server, without a KV transfer.
     Full,
 }
 
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// In the link's queue: it has not left.
+    /// The attempt's message waits in the link's queue: the server cannot have run it.
     Queued,
-    /// Told to the server: it may run.
+    /// The attempt was sent to its server, which may be running it; no output token has arrived.
     InFlight,
-    /// Its first token has come.
+    /// The attempt's first output token has arrived.
     Streaming,
 }
 
-/// The attempt that is out; there is never more than one.
+/// The current attempt of a request; a request never has more than one.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub number: u16,
@@ -46,37 +49,44 @@
     pub link: LinkId,
     pub purpose: Purpose,
     pub stage: Stage,
+    /// When the attempt's message was given to the link, which may have queued it before sending.
     pub started_at: Micros,
+    /// When the last message about this attempt was received from its server; before the first one, when the attempt
+    /// was sent.
     pub last_received_at: Micros,
-    /// What the chunks so far say of the end.
+    /// The engine's finish reason, once a chunk has contained one, for example `stop` or `length`.
     pub finish_reason: Option<String>,
+    /// The engine's token counts, once a chunk has contained them.
     pub usage: Option<EngineUsage>,
-    /// Where the state waits, as a reader said.
+    /// Where a decode server can fetch the KV cache, as reported by the prefill server.
     pub kv_transfer_params: Option<KvTransferParams>,
 }
 
-/// A KV cache that waits at a reader for this request.
+/// A KV cache that a prefill server holds for a request until a decode server fetches it or it is released.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldKvCache {
     pub server: ServerId,
-    /// Wire id of the attempt that made it.
+    /// Wire id of the prefill attempt that computed the KV cache.
     pub created_by: String,
     pub params: KvTransferParams,
-    /// It is released once the attempt that waits for it ends without it.
+    /// The decision module asked for its release while an attempt was in flight: it is released when that attempt ends
+    /// without having fetched it.
     pub release_after_attempt: bool,
 }
 
+/// A session that receives a request's events.
 #[derive(Clone, Debug)]
 pub(crate) struct Listener {
     pub session: SessionId,
-    /// Sequence number of its next event.
+    /// Sequence number of the next event sent to this session, from 0.
     pub sequence: u64,
-    /// What its own request carried, where that was a repeat of the first; echoed to it.
+    /// Metadata of this session's own message, echoed to it; `None` for the session that started the request, whose
+    /// metadata the response object already has.
     pub metadata: Option<BTreeMap<String, String>>,
 }
 
 impl Listener {
-    /// The session that sent the request.
+    /// A listener for the session that started the request.
     pub(crate) fn new(session: SessionId) -> Listener {
         Listener {
             session,
@@ -85,60 +95,72 @@
         }
     }
 
-    /// The response as this listener is to see it.
+    /// The response with the metadata of this listener's own message.
     pub(crate) fn view<'a>(&self, response: &'a Response) -> Cow<'a, Response> {
         match &self.metadata {
             None => Cow::Borrowed(response),
-            Some(own) => Cow::Owned(Response {
-                metadata: own.clone(),
+            Some(metadata) => Cow::Owned(Response {
+                metadata: metadata.clone(),
                 ..response.clone()
             }),
         }
     }
 }
 
+/// A request in the request table, with its listeners, its output so far and its current attempt.
 #[derive(Debug)]
 pub(crate) struct Request {
-    /// The response object without text, as it is in progress.
+    /// The response object with status `in_progress` and without text.
     pub response: Response,
+    /// Id of the response's output item in events.
     pub item_id: String,
     pub class: u16,
     pub tenant: u32,
-    /// Whose it is, as for [`Key`].
+    /// Who may use the request's idempotency key and conversation, as for [`Key`].
     pub owner: String,
     pub key: Option<Key>,
-    /// A step of a workflow: its key holds for the step, whose workflow remembers its answer.
+    /// Whether the request is a step of a workflow. A step's key and answer are stored with the workflow and not in the
+    /// table of idempotency keys.
     pub is_workflow_step: bool,
+    /// Key of the request's conversation, the same for all turns.
     pub conversation: u64,
     pub prompt: String,
+    /// Limit on the output tokens of the request.
     pub max_tokens: u32,
-    /// Of its answer's length, as known when it came.
+    /// Expected output length as estimated when the request started; `None` without an estimate.
     pub expected_output: Option<Expected>,
     pub temperature: Option<f64>,
     pub top_p: Option<f64>,
+    /// When the final answer is due, unless output is streaming by then.
     pub deadline: Micros,
     pub listeners: Vec<Listener>,
+    /// The output text received so far.
     pub text: String,
     pub usage: Usage,
+    /// Number of attempts so far, including those that were not sent; also the number of the next attempt.
     pub attempt_count: u16,
     pub attempt: Option<Attempt>,
     pub held_kv_cache: Option<HeldKvCache>,
-    /// What the fleet's shedding counts of it.
+    /// The request's work as counted by the cluster's load shedding.
     pub admitted_work: AdmittedWork,
-    /// An attempt that could have had the effect was told to a server and not rejected.
+    /// Whether an ended attempt may have run and had the request's effect: it was sent to a server, was no prefill and
+    /// was not rejected.
     pub earlier_attempt_may_have_run: bool,
-    /// When it was taken.
+    /// When the request started; billing records it.
     pub created_at: Micros,
-    /// What it holds of its tenant's budget, until it is settled.
+    /// Tokens reserved from the tenant's budget until the final charge is known.
     pub budget_hold: Option<Hold>,
+    /// What the tenant has been charged for the request so far.
     pub charged: Charged,
-    /// Its final answer was a refusal.
+    /// Whether the request's final answer was a rejection that is safe to repeat, for which nothing is charged.
     pub rejected: bool,
-    /// The final answer is given; what is left is to hear the attempt's end.
+    /// Whether the request's final answer is settled. The entry stays until the current attempt has ended and the KV
+    /// cache is released.
     pub answered: bool,
 }
 
 impl Request {
+    /// Whether the request's current attempt has delivered output.
     pub(crate) fn is_streaming(&self) -> bool {
         self.attempt
             .as_ref()
@@ -146,22 +168,26 @@
     }
 }
 
-/// Ids that engines see: the instance, the request and the attempt's number.
+/// The id of an attempt in messages to and from engines: the number of this run of the dispatcher, the request's id and
+/// the attempt's number.
 pub(crate) fn wire_id(instance: u64, request: RequestId, attempt: u16) -> String {
     format!("{instance:016x}{request:08x}-{attempt}")
 }
 
-/// Reads an id made by [`wire_id`] of the same instance.
+/// Parses an id that [`wire_id`] made in this run of the dispatcher; `None` for any other text.
 pub(crate) fn parse_wire_id(instance: u64, id: &str) -> Option<(RequestId, u16)> {
-    let (whole, attempt) = id.split_once('-')?;
-    let (head, tail) = (whole.get(..16)?, whole.get(16..)?);
-    if u64::from_str_radix(head, 16).ok()? != instance || tail.len() != 8 {
+    let (prefix, attempt) = id.split_once('-')?;
+    let (instance_hex, request_hex) = (prefix.get(..16)?, prefix.get(16..)?);
+    if u64::from_str_radix(instance_hex, 16).ok()? != instance || request_hex.len() != 8 {
         return None;
     }
-    Some((u32::from_str_radix(tail, 16).ok()?, attempt.parse().ok()?))
+    Some((
+        u32::from_str_radix(request_hex, 16).ok()?,
+        attempt.parse().ok()?,
+    ))
 }
 
-/// Requests by id, in order of arrival.
+/// The request table: requests by id, which is their order of arrival.
 pub(crate) type Requests = BTreeMap<RequestId, Request>;
 
 #[cfg(test)]
--- a/crates/core/src/requests/tests.rs
+++ b/crates/core/src/requests/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn wire_id_is_read_by_its_own_instance_only() {
+fn wire_id_is_parsed_only_by_its_own_instance() {
     let id = wire_id(7, 9, 3);
     assert_eq!(parse_wire_id(7, &id), Some((9, 3)));
     assert_eq!(parse_wire_id(8, &id), None);
-    for bad in [
+    for invalid in [
         "",
         "-",
         "7-1",
@@ -13,6 +13,6 @@
         "é000000000000007-1",
         &format!("{id}x"),
     ] {
-        assert_eq!(parse_wire_id(7, bad), None, "{bad}");
+        assert_eq!(parse_wire_id(7, invalid), None, "{invalid}");
     }
 }
--- a/crates/core/src/response_ids.rs
+++ b/crates/core/src/response_ids.rs
@@ -1,12 +1,13 @@
-//! Ids that clients see: they tell their run and request to this dispatcher, and cannot be made by anybody else.
+//! Response ids. They contain the number of the dispatcher's run and of the request, and an authentication tag, so that
+//! clients can neither forge nor guess one.
 
 use bitternlatch_policy::interface::RequestId;
 
-/// Bytes of the tag that makes an id's guess hopeless.
+/// Bytes of the authentication tag in a response id; 16 bytes cannot be guessed.
 const TAG_BYTES: usize = 16;
 
-/// Makes and reads the ids of one run. Its secret comes of the run's seed, which is no part of any id: the run's
-/// number and the tags are both keyed hashes (BLAKE3) of it.
+/// Makes and verifies the response ids of one run of a dispatcher, from its start to its end. The secret is derived
+/// from the run's seed, which no id reveals: the run's number and the tags are keyed BLAKE3 hashes.
 pub(crate) struct ResponseIds {
     secret: [u8; 32],
     instance: u64,
@@ -27,12 +28,12 @@
         }
     }
 
-    /// Number of the run.
+    /// Number of this run of the dispatcher, as it appears in ids.
     pub(crate) fn instance(&self) -> u64 {
         self.instance
     }
 
-    /// Id of a response, as clients see it.
+    /// The id of a request's response, as clients see it.
     pub(crate) fn response_id(&self, request: RequestId) -> String {
         let tag = blake3::keyed_hash(&self.secret, &request.to_le_bytes()).to_hex();
         format!(
@@ -42,7 +43,7 @@
         )
     }
 
-    /// The request of an id that this run made; `None` for any other text.
+    /// The request that a response id of this run belongs to; `None` for any other text.
     pub(crate) fn parse_response_id(&self, id: &str) -> Option<RequestId> {
         let number = id.strip_prefix("resp_")?.get(16..24)?;
         let request = u32::from_str_radix(number, 16).ok()?;
--- a/crates/core/src/sessions.rs
+++ b/crates/core/src/sessions.rs
@@ -1,4 +1,4 @@
-//! Client sessions: which are open, whose they are, and which requests each listens to.
+//! Open client sessions, their callers, and the requests whose events each receives.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,14 +10,16 @@
 
 #[derive(Default)]
 struct OpenSession {
+    /// Requests that the session listens to and that are not answered.
     requests: BTreeSet<RequestId>,
+    /// The authenticated caller; `None` where callers are not authenticated.
     caller: Option<Caller>,
 }
 
 #[derive(Default)]
 pub(crate) struct Sessions {
     open: BTreeMap<SessionId, OpenSession>,
-    /// Sessions that take nothing new and are closed once they are idle.
+    /// Sessions that accept no new requests and are closed once none of theirs are in flight.
     ending: BTreeMap<SessionId, EndReason>,
 }
 
@@ -26,7 +28,7 @@
         self.open.entry(session).or_default();
     }
 
-    /// Ends a session and gives the requests that it still listened to.
+    /// Removes a session and returns the requests that it still listened to.
     pub(crate) fn close(&mut self, session: SessionId) -> BTreeSet<RequestId> {
         self.ending.remove(&session);
         self.open
@@ -43,7 +45,7 @@
         self.open.get(&session)?.caller.as_ref()
     }
 
-    /// Sets whose a session is; a proof that counts again takes back its ending.
+    /// Sets the caller of an open session. A session that was ending stays open, as its renewed credential is valid.
     pub(crate) fn set_caller(&mut self, session: SessionId, caller: Caller) {
         if let Some(open) = self.open.get_mut(&session) {
             open.caller = Some(caller);
@@ -51,21 +53,22 @@
         }
     }
 
-    pub(crate) fn authenticated_by(&self, keys: &[String]) -> Vec<SessionId> {
-        let keys: BTreeSet<&str> = keys.iter().map(String::as_str).collect();
-        let by = |o: &OpenSession| {
+    /// The sessions whose callers were authenticated by one of these signing keys or certificates.
+    pub(crate) fn authenticated_by(&self, key_ids: &[String]) -> Vec<SessionId> {
+        let key_ids: BTreeSet<&str> = key_ids.iter().map(String::as_str).collect();
+        let is_authenticated_by = |o: &OpenSession| {
             o.caller
                 .as_ref()
-                .is_some_and(|c| keys.contains(c.key_id.as_str()))
+                .is_some_and(|c| key_ids.contains(c.key_id.as_str()))
         };
         self.open
             .iter()
-            .filter(|(_, o)| by(o))
+            .filter(|(_, o)| is_authenticated_by(o))
             .map(|(id, _)| *id)
             .collect()
     }
 
-    /// When the proof of each session's caller ends, Unix seconds.
+    /// When the credential of each session's caller expires, Unix seconds.
     pub(crate) fn credential_expiries(&self) -> Vec<(SessionId, u64)> {
         self.open
             .iter()
@@ -73,16 +76,19 @@
             .collect()
     }
 
-    pub(crate) fn begin_ending(&mut self, session: SessionId, why: EndReason) {
+    /// Marks an open session as ending; a session that is ending already keeps its first reason.
+    pub(crate) fn begin_ending(&mut self, session: SessionId, reason: EndReason) {
         if self.open.contains_key(&session) {
-            self.ending.entry(session).or_insert(why);
+            self.ending.entry(session).or_insert(reason);
         }
     }
 
+    /// Why a session is ending; `None` where it is not.
     pub(crate) fn end_reason(&self, session: SessionId) -> Option<EndReason> {
         self.ending.get(&session).copied()
     }
 
+    /// The ending sessions that have no requests in flight, each with its reason.
     pub(crate) fn idle_ending_sessions(&self) -> Vec<(SessionId, EndReason)> {
         self.ending
             .iter()
@@ -91,17 +97,19 @@
             .collect()
     }
 
-    /// Requests in flight for a session.
+    /// Number of requests in flight that a session listens to.
     pub(crate) fn in_flight(&self, session: SessionId) -> usize {
         self.open.get(&session).map_or(0, |o| o.requests.len())
     }
 
+    /// Adds a request to those that a session listens to.
     pub(crate) fn listen(&mut self, session: SessionId, request: RequestId) {
         if let Some(open) = self.open.get_mut(&session) {
             open.requests.insert(request);
         }
     }
 
+    /// Removes a request from those that a session listens to.
     pub(crate) fn unlisten(&mut self, session: SessionId, request: RequestId) {
         if let Some(open) = self.open.get_mut(&session) {
             open.requests.remove(&request);
--- a/crates/core/src/validated_request.rs
+++ b/crates/core/src/validated_request.rs
@@ -1,4 +1,5 @@
-//! What a client's message comes to before it is a request, and how others are told of it.
+//! Validates a client's request against the settings, its caller's rights and its conversation, and converts it for the
+//! decision module and for load shedding.
 
 use bitternlatch_overload::{Asked, Spent};
 use bitternlatch_policy::interface::{Request as PolicyRequest, RequestId};
@@ -13,42 +14,48 @@
 use crate::types::{Micros, SessionId};
 use crate::workflows::Intent;
 
-/// A step of a workflow whose intent is durable.
+/// A workflow step whose intent is durably stored, so that it may be sent to a server.
 pub(crate) struct PermittedStep {
     pub intent: Intent,
-    /// Until when it may be sent.
+    /// When the permission to send the workflow step expires.
     pub permitted_until: Micros,
 }
 
-/// What of a message has been settled before the request is made.
+/// A client's request that passed validation and is not yet in the request table.
 pub(crate) struct ValidatedRequest {
     pub class: u16,
     pub tenant: u32,
+    /// Who may use the request's idempotency key and conversation, as for [`Key`].
     pub owner: String,
+    /// Seconds until the client's deadline.
     pub time_left_s: f64,
     pub key: Option<Key>,
-    /// The step of a workflow that it is.
+    /// The workflow step that the request carries out; `None` outside workflows.
     pub workflow_step: Option<PermittedStep>,
-    /// What the fleet's shedding has taken of it already.
+    /// The work that load shedding has already admitted, as it does for a step before its intent is stored; `None`
+    /// where admission is still to be evaluated.
     pub admitted_work: Option<AdmittedWork>,
+    /// Key of the conversation that the request continues; 0 where it begins one.
     pub conversation: u64,
     pub prompt: String,
+    /// Limit on the output tokens of the request.
     pub max_tokens: u32,
 }
 
 impl ValidatedRequest {
+    /// Estimated prompt length: one token for each four bytes of text.
     pub(crate) fn prompt_tokens(&self) -> u32 {
         tokens_of(self.prompt.len())
     }
 
-    /// What the decision module is told of a request. The shared prefix goes by the caller's own key where it gives one,
-    /// else by the instructions; token counts are the text's bytes over four.
+    /// Converts the request for the decision module. The shared prefix is identified by the client's `prompt_cache_key`
+    /// where it sets one, else by its instructions; token counts are estimated as one for each four bytes.
     pub(crate) fn to_policy_request(
         &self,
         id: RequestId,
         create: &Create,
         conversation: u64,
-        left_s: f64,
+        time_left_s: f64,
     ) -> PolicyRequest {
         PolicyRequest {
             id,
@@ -61,11 +68,12 @@
             max_output_tokens: f64::from(self.max_tokens),
             output_tokens: None,
             output_hint_s: None,
-            time_left_s: left_s,
+            time_left_s,
         }
     }
 
-    /// What the fleet's shedding is told, with its answer's mean length where that is known, and its tenant's requests a second.
+    /// Converts the request for load shedding. `answer_tokens` is the expected output length where it is known, and
+    /// `quota_rps` the tenant's quota in requests per second.
     pub(crate) fn to_load_shedding_request(
         &self,
         create: &Create,
@@ -74,11 +82,11 @@
         quota_rps: f64,
     ) -> Asked {
         let prompt_tokens = f64::from(self.prompt_tokens());
-        let words = fingerprint(create);
+        let content_hash = fingerprint(create);
         let fingerprint = self
             .key
             .as_ref()
-            .map_or(words, |k| xxh3_64(k.text.as_bytes()));
+            .map_or(content_hash, |k| xxh3_64(k.text.as_bytes()));
         let (spent, identity) = match &self.workflow_step {
             Some(PermittedStep { intent, .. }) if intent.step > 1 => {
                 (Spent::Steps, xxh3_64(intent.workflow.as_bytes()))
@@ -107,6 +115,8 @@
     }
 }
 
+/// Hash that identifies a request's shared prompt prefix: of the client's `prompt_cache_key`, else of the instructions;
+/// 0 without either.
 fn prefix_key(create: &Create) -> u64 {
     match (&create.prompt_cache_key, create.instructions.is_empty()) {
         (Some(key), _) => xxh3_64(key.as_bytes()),
@@ -115,26 +125,27 @@
     }
 }
 
-/// Hash of what is asked, without what may differ between a first try and its repeat.
+/// Hash of a request's model, texts and output limit, without the metadata, which may differ when a client repeats the
+/// request.
 pub(crate) fn fingerprint(create: &Create) -> u64 {
     let mut hash = Xxh3::new();
     let previous = create.previous_response_id.as_deref().unwrap_or("");
-    for part in [
+    for field in [
         create.model.as_str(),
         &create.instructions,
         &create.input,
         previous,
     ] {
-        hash.update(&(part.len() as u64).to_le_bytes());
-        hash.update(part.as_bytes());
+        hash.update(&(field.len() as u64).to_le_bytes());
+        hash.update(field.as_bytes());
     }
     hash.update(&create.max_output_tokens.unwrap_or(0).to_le_bytes());
     hash.digest()
 }
 
-/// A complete prompt.
+/// A prompt with the text of the conversation that it continues.
 struct Prompt {
-    /// Key of the conversation that it continues; 0 where it begins one.
+    /// Key of the conversation that the prompt continues; 0 where it begins one.
     conversation: u64,
     text: String,
 }
@@ -143,27 +154,30 @@
     create.metadata.get(name).map(String::as_str)
 }
 
-fn bad_metadata(name: &str, why: String) -> BadRequest {
-    BadRequest::field(&format!("metadata.{name}"), why)
+fn invalid_metadata(name: &str, message: String) -> BadRequest {
+    BadRequest::field(&format!("metadata.{name}"), message)
 }
 
-/// Seconds until the client's deadline; at most those of its class.
-fn time_left_s(create: &Create, class_s: f64) -> Result<f64, BadRequest> {
+/// Seconds until the client's deadline, at most the deadline of the request's class (`class_deadline_s`).
+fn time_left_s(create: &Create, class_deadline_s: f64) -> Result<f64, BadRequest> {
     match metadata(create, client::META_DEADLINE_MS).map(str::parse::<f64>) {
-        None => Ok(class_s),
-        Some(Ok(ms)) if ms > 0.0 && ms.is_finite() => Ok(class_s.min(ms / 1000.0)),
+        None => Ok(class_deadline_s),
+        Some(Ok(ms)) if ms > 0.0 && ms.is_finite() => Ok(class_deadline_s.min(ms / 1000.0)),
         Some(_) => {
-            let why = "a number of milliseconds above 0 is expected";
-            Err(bad_metadata(client::META_DEADLINE_MS, why.to_string()))
+            let message = "a number of milliseconds above 0 is expected";
+            Err(invalid_metadata(
+                client::META_DEADLINE_MS,
+                message.to_string(),
+            ))
         }
     }
 }
 
 impl Machine {
-    /// Checks a request against the settings, its caller's rights and the conversation that it continues.
+    /// Validates a request against the settings, its caller's rights and the conversation that it continues.
     ///
     /// # Errors
-    /// The first field at fault.
+    /// The first invalid field, or the right that the caller lacks.
     pub(crate) fn validate(
         &self,
         now: Micros,
@@ -172,7 +186,8 @@
     ) -> Result<ValidatedRequest, BadRequest> {
         let class = self.class_index(create)?;
         let grant = self.check_rights(now, session, create, &self.settings.classes[class].name)?;
-        // With callers known the tenant is the caller's; what the request claims has been held against it.
+        // For an authenticated caller the tenant comes from its rights, which reject a request that names another
+        // tenant.
         let tenant = self.tenant_index(create, grant.as_ref().map(|g| g.tenant.as_str()))?;
         let time_left_s = time_left_s(create, self.settings.classes[class].deadline_s)?;
         let (class, tenant) = (class as u16, tenant as u32);
@@ -185,8 +200,8 @@
             text: text.to_string(),
         });
         let Prompt { conversation, text } = self.build_prompt(create, tenant, &owner)?;
-        let most = self.settings.requests.max_output_tokens;
-        let allowed = grant.map_or(most, |g| most.min(g.max_output_tokens));
+        let max_tokens = self.settings.requests.max_output_tokens;
+        let allowed = grant.map_or(max_tokens, |g| max_tokens.min(g.max_output_tokens));
         Ok(ValidatedRequest {
             class,
             tenant,
@@ -201,16 +216,18 @@
         })
     }
 
-    /// The class that a request names, else the first.
+    /// Index of the class that the request names, or of the first class where it names none.
     fn class_index(&self, create: &Create) -> Result<usize, BadRequest> {
         let Some(name) = metadata(create, client::META_CLASS) else {
             return Ok(0);
         };
         let found = self.settings.classes.iter().position(|c| c.name == name);
-        found.ok_or_else(|| bad_metadata(client::META_CLASS, format!("'{name}' is no class here")))
+        found.ok_or_else(|| {
+            invalid_metadata(client::META_CLASS, format!("'{name}' is no class here"))
+        })
     }
 
-    /// The caller's tenant, else the one that a request names, else the first.
+    /// Index of the caller's tenant, else of the tenant that the request names, else of the first tenant.
     fn tenant_index(&self, create: &Create, granted: Option<&str>) -> Result<usize, BadRequest> {
         let tenants = &self.settings.tenants;
         match granted.or(metadata(create, client::META_TENANT)) {
@@ -218,45 +235,46 @@
             Some(_) if tenants.is_empty() => Ok(0),
             Some(name) => {
                 let found = tenants.iter().position(|t| t.name == name);
-                let why = || format!("'{name}' is no tenant here");
-                found.ok_or_else(|| bad_metadata(client::META_TENANT, why()))
+                let message = || format!("'{name}' is no tenant here");
+                found.ok_or_else(|| invalid_metadata(client::META_TENANT, message()))
             }
         }
     }
 
-    /// The complete prompt, with the conversation that it continues.
+    /// Builds the complete prompt: the text of the conversation that the request continues, or its instructions,
+    /// followed by its input.
     fn build_prompt(
         &self,
         create: &Create,
         tenant: u32,
         owner: &str,
     ) -> Result<Prompt, BadRequest> {
-        let (conversation, head) = match &create.previous_response_id {
+        let (conversation, preceding) = match &create.previous_response_id {
             None => (0, create.instructions.as_str()),
             Some(id) => match self.contexts.find(id, tenant, owner) {
                 Some(context) => (context.conversation, context.text.as_str()),
                 None => {
-                    let bad =
+                    let error =
                         BadRequest::field("previous_response_id", "is not known here any more");
                     return Err(BadRequest {
                         code: "previous_response_not_found",
-                        ..bad
+                        ..error
                     });
                 }
             },
         };
-        let bytes = head.len() + 1 + create.input.len();
-        let most = self.settings.requests.prompt_bytes;
-        if bytes > most {
+        let bytes = preceding.len() + 1 + create.input.len();
+        let max_bytes = self.settings.requests.prompt_bytes;
+        if bytes > max_bytes {
             return Err(BadRequest::field(
                 "input",
-                format!("makes a prompt of {bytes} bytes, more than {most}"),
+                format!("makes a prompt of {bytes} bytes, more than {max_bytes}"),
             ));
         }
-        let separator = if head.is_empty() { "" } else { "\n" };
+        let separator = if preceding.is_empty() { "" } else { "\n" };
         Ok(Prompt {
             conversation,
-            text: format!("{head}{separator}{}", create.input),
+            text: format!("{preceding}{separator}{}", create.input),
         })
     }
 }
