--- a/crates/core/tests/callers.rs
+++ b/crates/core/tests/callers.rs
@@ -1,4 +1,4 @@
-//! Callers in the machine: whose keys and conversations are, proofs that end or are withdrawn, rights that change.
+//! Authenticated callers: ownership of idempotency keys and conversations, and credentials that expire or are revoked.
 mod common;
 
 use bitternlatch_core::{Input, Output, SessionId, Settings};
@@ -28,7 +28,8 @@
     "[identity]\nissuer = \"i\"\naudience = \"a\"\nkeys = \"k\"\nrights = \"r\"\n[inventory]";
 const NOW_S: u64 = START_US / 1_000_000;
 
-fn guarded() -> Bench {
+/// A machine that authenticates callers, with access rights and four servers.
+fn bench_with_identity() -> Bench {
     let text = SETTINGS.replace("[inventory]", IDENTITY);
     let mut bench = Bench::with(Settings::parse("test", &text).expect("settings"), 5);
     bench.step(Input::Rights(RIGHTS.into()));
@@ -49,6 +50,7 @@
     }
 }
 
+/// Opens a session whose caller's credential expires after 600 s.
 fn open(bench: &mut Bench, session: u64, subject: &str, group: &str) -> SessionId {
     let caller = Some(caller(subject, group, "k1", NOW_S + 600));
     bench.step(Input::SessionOpened {
@@ -58,6 +60,7 @@
     SessionId(session)
 }
 
+/// Error codes and event types sent to a session since the last call.
 fn codes(bench: &mut Bench, session: SessionId) -> Vec<String> {
     let code = |e: serde_json::Value| e["code"].as_str().unwrap_or_default().to_string();
     bench
@@ -69,18 +72,18 @@
 
 #[test]
 fn idempotency_key_belongs_to_caller_or_shared_group() {
-    let mut bench = guarded();
+    let mut bench = bench_with_identity();
     let ann = open(&mut bench, 1, "ann", "members");
     let eve = open(&mut bench, 2, "eve", "members");
-    let again = open(&mut bench, 3, "ann", "members");
-    for session in [ann, eve, again] {
+    let ann_again = open(&mut bench, 3, "ann", "members");
+    for session in [ann, eve, ann_again] {
         bench.ask(session, "booking", "one", "the season");
         bench.pass(0.02);
     }
     assert_eq!(
         bench.told.len(),
         2,
-        "eve's runs for itself; ann's second session is attached to its first"
+        "eve's request runs separately; ann's second session attaches to her first"
     );
     let id = |bench: &mut Bench, session| {
         bench.heard(session)[0]
@@ -90,12 +93,15 @@
             .id
             .clone()
     };
-    let (a, e, b) = (
+    let (first_id, eve_id, repeat_id) = (
         id(&mut bench, ann),
         id(&mut bench, eve),
-        id(&mut bench, again),
+        id(&mut bench, ann_again),
+    );
+    assert!(
+        first_id == repeat_id && first_id != eve_id,
+        "{first_id} {repeat_id} {eve_id}"
     );
-    assert!(a == b && a != e, "{a} {b} {e}");
 
     let (one, two) = (
         open(&mut bench, 4, "dee", "desk"),
@@ -106,21 +112,21 @@
     assert_eq!(
         id(&mut bench, one),
         id(&mut bench, two),
-        "the desk shares its keys"
+        "the rule for the desk shares idempotency keys"
     );
 }
 
 #[test]
-fn a_conversation_goes_on_for_its_caller_alone() {
-    let mut bench = guarded();
+fn conversation_continues_only_for_its_caller() {
+    let mut bench = bench_with_identity();
     let ann = open(&mut bench, 1, "ann", "members");
     let eve = open(&mut bench, 2, "eve", "members");
-    let write = bench.begin_write(ann, "query", "k", "a secret hall");
-    bench.piece(&write, "it is free", Some("stop"));
-    bench.done(&write);
+    let decode = bench.begin_write(ann, "query", "k", "a secret hall");
+    bench.piece(&decode, "it is free", Some("stop"));
+    bench.done(&decode);
     let last = bench.heard(ann).pop().expect("an answer");
     let id = last.response.expect("a response").id;
-    let follow = json!({ "type": "response.create", "model": "m", "input": "and then?",
+    let follow_up = json!({ "type": "response.create", "model": "m", "input": "and then?",
         "previous_response_id": id, "metadata": { "class": "query" } });
     for (session, code) in [
         (eve, "previous_response_not_found"),
@@ -128,18 +134,18 @@
     ] {
         bench.step(Input::SessionText {
             session,
-            text: follow.to_string(),
+            text: follow_up.to_string(),
         });
         assert_eq!(codes(&mut bench, session), [code]);
     }
     assert!(
         bench.take().body.prompt.contains("a secret hall"),
-        "its own caller goes on from it"
+        "its own caller continues it"
     );
-    // Counting on from an id that was seen finds nothing, running or ended.
-    let running = id.replacen("00000001", "00000002", 1);
-    assert_ne!(running, id);
-    let cancel = json!({ "type": "response.cancel", "response_id": running });
+    // An id made by incrementing the request number in a known one is rejected, as its authentication tag is wrong.
+    let forged = id.replacen("00000001", "00000002", 1);
+    assert_ne!(forged, id);
+    let cancel = json!({ "type": "response.cancel", "response_id": forged });
     bench.step(Input::SessionText {
         session: ann,
         text: cancel.to_string(),
@@ -149,9 +155,9 @@
 
 #[test]
 fn revoked_credential_closes_session_after_answer() {
-    let mut bench = guarded();
+    let mut bench = bench_with_identity();
     let ann = open(&mut bench, 1, "ann", "members");
-    let write = bench.begin_write(ann, "booking", "k", "the season");
+    let decode = bench.begin_write(ann, "booking", "k", "the season");
     bench.step(Input::CredentialsRevoked(vec!["k1".into()]));
     bench.ask(ann, "query", "k2", "another");
     assert_eq!(
@@ -163,21 +169,21 @@
             .out
             .iter()
             .any(|o| matches!(o, Output::CloseSession { .. })),
-        "the booking still runs"
+        "the booking is still in flight"
     );
-    bench.piece(&write, "booked", Some("stop"));
-    bench.done(&write);
+    bench.piece(&decode, "booked", Some("stop"));
+    bench.done(&decode);
     assert_eq!(
         codes(&mut bench, ann).last().map(String::as_str),
         Some("response.completed")
     );
-    let closes = |o: &Output| matches!(o, Output::CloseSession { session, code: 4401, .. } if *session == ann);
-    assert!(bench.out.iter().any(closes));
+    let closes_ann = |o: &Output| matches!(o, Output::CloseSession { session, code: 4401, .. } if *session == ann);
+    assert!(bench.out.iter().any(closes_ann));
 }
 
 #[test]
 fn credential_expiry_follows_clock_offset() {
-    let mut bench = guarded();
+    let mut bench = bench_with_identity();
     let ann = open(&mut bench, 1, "ann", "members");
     bench.step(Input::CredentialClockOffset {
         ahead_us: 599_000_000,
@@ -186,14 +192,14 @@
     assert_eq!(
         codes(&mut bench, ann),
         ["response.created"],
-        "a second is left"
+        "the credential is valid for another second"
     );
     bench.step(Input::CredentialClockOffset { ahead_us: 0 });
     bench.pass(2.0);
     bench.ask(ann, "query", "k2", "and one");
     assert!(
         codes(&mut bench, ann).contains(&"response.created".to_string()),
-        "the clock was put right again"
+        "the clock offset was corrected to 0"
     );
     bench.step(Input::CredentialClockOffset {
         ahead_us: 598_500_000,
@@ -203,10 +209,10 @@
         codes(&mut bench, ann).last().map(String::as_str),
         Some("token_expired")
     );
-    let late = Some(caller("bob", "members", "k1", NOW_S + 600));
+    let expired = Some(caller("bob", "members", "k1", NOW_S + 600));
     bench.step(Input::SessionOpened {
         session: SessionId(9),
-        caller: late,
+        caller: expired,
     });
     bench.ask(SessionId(9), "query", "k", "late");
     assert_eq!(codes(&mut bench, SessionId(9)), ["token_expired"]);
--- a/crates/core/tests/faults.rs
+++ b/crates/core/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Servers and links in trouble: what may have run is never told as not run, and each request ends once.
+//! Failures of servers and links: an attempt that may have run is never reported as not run, and each request gets one
+//! final answer.
 mod common;
 
 use bitternlatch_core::Input;
@@ -7,7 +8,7 @@
 use bitternlatch_protocol::engine::{Chunk, FromEngine, CODE_FULL, CODE_STATE_GONE};
 use common::{four, hosts, Bench};
 
-/// Outcomes that the decision module was told since the trace began.
+/// Attempt outcomes reported to the decision module since the last call.
 fn outcomes(b: &mut Bench) -> Vec<Outcome> {
     let ended = |e: Event| match e {
         Event::AttemptEnded(end) => Some(end.outcome),
@@ -20,9 +21,10 @@
         .collect()
 }
 
+/// Status of a session's only final event, and for a failure whether it is safe to repeat.
 fn final_status(b: &mut Bench, s: bitternlatch_core::SessionId) -> (Status, Option<bool>) {
-    let heard = b.heard(s);
-    let finals: Vec<_> = heard.iter().filter(|e| e.is_final()).collect();
+    let events = b.heard(s);
+    let finals: Vec<_> = events.iter().filter(|e| e.is_final()).collect();
     assert_eq!(finals.len(), 1, "one final answer");
     let response = finals[0].response.clone().expect("a response");
     (response.status, response.error.map(|e| e.safe_to_repeat))
@@ -33,10 +35,10 @@
     for (finish, status) in [(Some("stop"), Status::Completed), (None, Status::Failed)] {
         let mut b = Bench::ready(1);
         let s = b.open(1);
-        let write = b.begin_write(s, "booking", "k", "q");
-        b.piece(&write, "last token", finish);
+        let decode = b.begin_write(s, "booking", "k", "q");
+        b.piece(&decode, "last token", finish);
         b.step(Input::LinkClosed {
-            link: write.link,
+            link: decode.link,
             reason: "reset".into(),
         });
         assert_eq!(final_status(&mut b, s).0, status);
@@ -48,21 +50,21 @@
     let mut b = Bench::ready(1);
     b.machine.enable_trace();
     let s = b.open(1);
-    let write = b.begin_write(s, "query", "", "q");
+    let decode = b.begin_write(s, "query", "", "q");
     b.step(Input::LinkClosed {
-        link: write.link,
+        link: decode.link,
         reason: "reset".into(),
     });
     let second = b.take();
     assert!(
-        second.link.server != write.link.server,
-        "not to the host whose link is down"
+        second.link.server != decode.link.server,
+        "not to the server whose link is down"
     );
     b.error(&second, 503, Some(CODE_FULL));
     b.pass(0.5);
-    let told = outcomes(&mut b);
+    let reported = outcomes(&mut b);
     assert_eq!(
-        told[..3],
+        reported[..3],
         [
             Outcome::PrefillDone,
             Outcome::Reset,
@@ -77,17 +79,17 @@
 fn lost_kv_cache_is_prefilled_again() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
-    let write = b.begin_write(s, "booking", "k", "q");
-    b.error(&write, 409, Some(CODE_STATE_GONE));
+    let decode = b.begin_write(s, "booking", "k", "q");
+    b.error(&decode, 409, Some(CODE_STATE_GONE));
     let again = b.take();
     assert!(
         again.is_read(),
-        "it never ran, so that it may be read again"
+        "the decode never ran, so the prefill may be repeated"
     );
     b.read_done(&again);
-    let write = b.take();
-    b.piece(&write, "ok", Some("stop"));
-    b.done(&write);
+    let decode = b.take();
+    b.piece(&decode, "ok", Some("stop"));
+    b.done(&decode);
     assert_eq!(final_status(&mut b, s).0, Status::Completed);
 }
 
@@ -96,10 +98,10 @@
     let mut b = Bench::ready(1);
     b.machine.enable_trace();
     let s = b.open(1);
-    let write = b.begin_write(s, "booking", "k", "q");
+    let decode = b.begin_write(s, "booking", "k", "q");
     b.step(Input::LinkUnsent {
-        link: write.link,
-        attempt: write.id.clone(),
+        link: decode.link,
+        attempt: decode.id.clone(),
     });
     assert_eq!(
         outcomes(&mut b),
@@ -108,7 +110,7 @@
     let second = b.take();
     assert!(
         !second.is_read(),
-        "a booking that never left is sent again with the same state"
+        "a booking that was not sent is sent again with the same KV cache"
     );
 }
 
@@ -116,28 +118,29 @@
 fn queued_send_returns_when_server_drains() {
     let mut b = Bench::new(1);
     b.step(Input::ServerList(four()));
-    let (reader, rest): (Vec<_>, Vec<_>) = b
+    let (prefill_links, rest): (Vec<_>, Vec<_>) = b
         .dials
         .drain(..)
         .partition(|l| Bench::name_of(*l).starts_with('r'));
     b.dials = rest;
     b.open_all(1000.0);
-    for link in &reader {
+    for link in &prefill_links {
         b.step(Input::LinkUp { link: *link });
     }
     let s = b.open(1);
     b.ask(s, "query", "", "q");
-    assert!(b.told.is_empty(), "both readers have not greeted yet");
+    assert!(b.told.is_empty(), "no prefill server has greeted yet");
     let rows = "r1,127.0.0.1,1,reader,draining\nr2,127.0.0.1,2,reader,draining\nw1,127.0.0.1,3,writer,\nw2,127.0.0.1,4,writer,\n";
     b.step(Input::ServerList(hosts(rows)));
-    let readers_greet = |b: &mut Bench| reader.iter().for_each(|l| b.greet(*l, 1000.0));
-    readers_greet(&mut b);
+    let prefill_servers_greet =
+        |b: &mut Bench| prefill_links.iter().for_each(|l| b.greet(*l, 1000.0));
+    prefill_servers_greet(&mut b);
     b.pass(1.0);
-    assert!(b.told.is_empty(), "nothing reaches a host that drains");
+    assert!(b.told.is_empty(), "nothing is sent to a draining server");
     assert_eq!(
         final_status(&mut b, s),
         (Status::Failed, Some(true)),
-        "refused: asking again is harmless"
+        "rejected as safe to repeat"
     );
 }
 
@@ -149,10 +152,10 @@
     let state = bitternlatch_protocol::engine::EngineState::Draining;
     b.says(first.link, &FromEngine::State { state });
     for i in 1..4 {
-        let write = b.begin_write(s, "query", "", &format!("q{i}"));
-        assert_ne!(write.link.server, first.link.server);
-        b.piece(&write, "x", Some("stop"));
-        b.done(&write);
+        let decode = b.begin_write(s, "query", "", &format!("q{i}"));
+        assert_ne!(decode.link.server, first.link.server);
+        b.piece(&decode, "x", Some("stop"));
+        b.done(&decode);
     }
     b.piece(&first, "running work goes on", Some("stop"));
     b.done(&first);
@@ -169,13 +172,13 @@
     let s = b.open(1);
     b.ask(s, "query", "", "q");
     let links = std::mem::take(&mut b.dials);
-    let reader = links
+    let prefill_link = links
         .iter()
         .find(|l| Bench::name_of(**l) == "r1")
         .copied()
-        .expect("dialled");
-    b.step(Input::LinkUp { link: reader });
-    b.greet(reader, 0.5);
+        .expect("a connection to r1");
+    b.step(Input::LinkUp { link: prefill_link });
+    b.greet(prefill_link, 0.5);
     assert!(outcomes(&mut b).contains(&Outcome::ConnectFailed));
 }
 
@@ -191,7 +194,7 @@
     b.ask(s, "query", "", "q");
     b.pass(2.5);
     assert!(b.told.is_empty());
-    assert!(b.dials.len() >= 4, "all four are dialled again");
+    assert!(b.dials.len() >= 4, "all four servers are reconnected");
     assert!(b.logs.iter().any(|l| l.contains("did not greet in time")));
     b.pass(6.0);
     assert!(matches!(
@@ -208,17 +211,20 @@
         let start = b.now;
         b.ask(s, class, "k", "q");
         let deadline_s = if class == "query" { 6.0 } else { 12.0 };
-        let mut answered = None;
+        let mut answered_after = None;
         while b.now.since(start) < deadline_s + 1.0 {
             b.pass(0.01);
-            if answered.is_none() && b.heard(s).iter().any(|e| e.is_final()) {
-                answered = Some(b.now.since(start));
+            if answered_after.is_none() && b.heard(s).iter().any(|e| e.is_final()) {
+                answered_after = Some(b.now.since(start));
             }
         }
-        let after = answered.expect("an answer");
+        let after = answered_after.expect("an answer");
         assert!(after < deadline_s, "{class}: after {after} s");
         assert_eq!(b.machine.counts().requests, 0, "{class}");
-        assert!(!b.cancels.is_empty(), "the hosts are told to stop");
+        assert!(
+            !b.cancels.is_empty(),
+            "the server receives a cancel message"
+        );
     }
 }
 
@@ -226,25 +232,25 @@
 fn stalled_stream_fails_request() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
-    let write = b.begin_write(s, "query", "", "q");
-    b.piece(&write, "one", None);
+    let decode = b.begin_write(s, "query", "", "q");
+    b.piece(&decode, "one", None);
     b.pass(5.0);
-    b.piece(&write, "two", None);
+    b.piece(&decode, "two", None);
     b.pass(5.0);
     assert!(
         b.heard(s).iter().all(|e| !e.is_final()),
-        "it has not been silent for its deadline"
+        "the stream has not been silent for as long as the deadline"
     );
     b.pass(1.5);
     assert_eq!(final_status(&mut b, s), (Status::Failed, Some(false)));
-    assert_eq!(b.cancels, [(write.link, write.id)]);
+    assert_eq!(b.cancels, [(decode.link, decode.id)]);
 }
 
 #[test]
 fn invalid_engine_message_is_reported_back() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
-    let write = b.begin_write(s, "query", "", "q");
+    let decode = b.begin_write(s, "query", "", "q");
     for text in [
         "{\"op\":\"chunk\",",
         "{\"op\":\"sing\"}",
@@ -252,35 +258,35 @@
         "{\"op\":\"done\",\"id\":\"no-such\"}",
     ] {
         b.step(Input::LinkText {
-            link: write.link,
+            link: decode.link,
             text: text.to_string(),
         });
     }
     assert_eq!(b.faults.len(), 4);
     let other = b.out.iter().find_map(|o| match o {
-        bitternlatch_core::Output::Connect { link, .. } if link.server != write.link.server => {
+        bitternlatch_core::Output::Connect { link, .. } if link.server != decode.link.server => {
             Some(*link)
         }
         _ => None,
     });
-    let foreign = FromEngine::Done {
-        id: write.id.clone(),
+    let from_other_server = FromEngine::Done {
+        id: decode.id.clone(),
         load: None,
     };
-    b.says(other.expect("another host"), &foreign);
+    b.says(other.expect("a link to another server"), &from_other_server);
     b.says(
-        write.link,
+        decode.link,
         &FromEngine::Done {
-            id: write.id.replace('-', "-9"),
+            id: decode.id.replace('-', "-9"),
             load: None,
         },
     );
     assert!(
         b.heard(s).iter().all(|e| !e.is_final()),
-        "neither word counts"
+        "neither message has an effect"
     );
-    b.piece(&write, "fine", Some("stop"));
-    b.done(&write);
+    b.piece(&decode, "fine", Some("stop"));
+    b.done(&decode);
     assert_eq!(final_status(&mut b, s).0, Status::Completed);
 }
 
@@ -288,12 +294,12 @@
 fn oversized_answer_is_cancelled() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
-    let write = b.begin_write(s, "query", "", "q");
-    b.piece(&write, "x", None);
-    let much = "x".repeat(40_000);
-    b.piece(&write, &much, None);
+    let decode = b.begin_write(s, "query", "", "q");
+    b.piece(&decode, "x", None);
+    let oversized = "x".repeat(40_000);
+    b.piece(&decode, &oversized, None);
     assert_eq!(final_status(&mut b, s), (Status::Failed, Some(false)));
-    assert_eq!(b.cancels, [(write.link, write.id)]);
+    assert_eq!(b.cancels, [(decode.link, decode.id)]);
 }
 
 #[test]
@@ -302,20 +308,20 @@
     b.machine.enable_trace();
     let s = b.open(1);
     b.ask(s, "query", "", "q");
-    let read = b.take();
+    let prefill = b.take();
     b.says(
-        read.link,
+        prefill.link,
         &FromEngine::Chunk {
-            id: read.id.clone(),
+            id: prefill.id.clone(),
             body: Chunk::default(),
         },
     );
-    b.done(&read);
+    b.done(&prefill);
     assert_eq!(outcomes(&mut b), [Outcome::Error]);
     let again = b.take();
     b.read_done(&again);
-    let write = b.take();
-    b.done(&write);
+    let decode = b.take();
+    b.done(&decode);
     assert_eq!(outcomes(&mut b), [Outcome::PrefillDone, Outcome::Error]);
 }
 
@@ -332,11 +338,11 @@
     ];
     let mut reports = Vec::new();
     for (i, load) in loads.iter().enumerate() {
-        let write = b.begin_write(s, "query", "", &format!("q{i}"));
-        b.piece(&write, "x", Some("stop"));
-        let text = format!(r#"{{"op":"done","id":"{}","load":{load}}}"#, write.id);
+        let decode = b.begin_write(s, "query", "", &format!("q{i}"));
+        b.piece(&decode, "x", Some("stop"));
+        let text = format!(r#"{{"op":"done","id":"{}","load":{load}}}"#, decode.id);
         b.step(Input::LinkText {
-            link: write.link,
+            link: decode.link,
             text,
         });
         for t in b.machine.take_trace() {
@@ -354,17 +360,17 @@
 fn moved_server_is_reconnected_at_new_address() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
-    let write = b.begin_write(s, "query", "", "q");
+    let decode = b.begin_write(s, "query", "", "q");
     let rows =
         "r1,127.0.0.1,1,reader,\nr2,127.0.0.1,2,reader,\nw1,127.0.0.1,33,writer,\nw2,127.0.0.1,44,writer,\n";
     b.out.clear();
     b.step(Input::ServerList(hosts(rows)));
-    let hung = b
+    let closed = b
         .out
-        .contains(&bitternlatch_core::Output::CloseLink { link: write.link });
-    assert!(hung && b.dials.len() == 2);
+        .contains(&bitternlatch_core::Output::CloseLink { link: decode.link });
+    assert!(closed && b.dials.len() == 2);
     b.step(Input::LinkClosed {
-        link: write.link,
+        link: decode.link,
         reason: "hung up".into(),
     });
     b.open_all(1000.0);
--- a/crates/core/tests/request_path.rs
+++ b/crates/core/tests/request_path.rs
@@ -1,4 +1,4 @@
-//! The ordinary path, and what returning clients are given.
+//! The path of a request from client to server and back, and what a client gets that reconnects or repeats a request.
 mod common;
 
 use bitternlatch_core::{Input, Output};
@@ -9,64 +9,64 @@
 fn prefill_then_decode_streams_one_final_answer() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
-    let write = b.begin_write(s, "query", "", "a free Thursday hall?");
-    assert!(Bench::name_of(write.link).starts_with('w'));
-    assert_eq!(write.body.prompt, "a free Thursday hall?");
-    assert!(write
+    let decode = b.begin_write(s, "query", "", "a free Thursday hall?");
+    assert!(Bench::name_of(decode.link).starts_with('w'));
+    assert_eq!(decode.body.prompt, "a free Thursday hall?");
+    assert!(decode
         .body
         .kv_transfer_params
         .as_ref()
         .is_some_and(|k| k.do_remote_prefill));
-    b.piece(&write, "the small", None);
-    b.piece(&write, " one", None);
-    b.piece(&write, "", Some("stop"));
-    b.done(&write);
-    let heard = b.heard(s);
-    let kinds: Vec<&str> = heard.iter().map(|e| e.kind.as_str()).collect();
+    b.piece(&decode, "the small", None);
+    b.piece(&decode, " one", None);
+    b.piece(&decode, "", Some("stop"));
+    b.done(&decode);
+    let events = b.heard(s);
+    let kinds: Vec<&str> = events.iter().map(|e| e.kind.as_str()).collect();
     let delta = "response.output_text.delta";
     assert_eq!(
         kinds,
         ["response.created", delta, delta, "response.completed"]
     );
-    let last = heard[3].response.as_ref().expect("a response");
+    let last = events[3].response.as_ref().expect("a response");
     assert_eq!(last.status, Status::Completed);
     assert_eq!(last.output[0].content[0].text, "the small one");
     assert_eq!(last.usage.expect("usage").total_tokens, 11);
     b.pass(20.0);
     assert!(b.heard(s).is_empty(), "nothing after the final answer");
-    assert_eq!(b.machine.counts().requests, 0, "nothing is left of it");
+    assert_eq!(b.machine.counts().requests, 0, "its entry is removed");
 }
 
 #[test]
 fn follow_up_continues_known_response() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
-    let write = b.begin_write(s, "query", "", "first");
-    b.piece(&write, "yes", Some("length"));
-    b.done(&write);
-    let heard = b.heard(s);
-    let last = heard
+    let decode = b.begin_write(s, "query", "", "first");
+    b.piece(&decode, "yes", Some("length"));
+    b.done(&decode);
+    let events = b.heard(s);
+    let last = events
         .last()
         .and_then(|e| e.response.clone())
         .expect("a response");
     assert_eq!(last.status, Status::Incomplete);
-    let follow = |id: &str| {
+    let follow_up = |id: &str| {
         let create = serde_json::json!({ "type": "response.create", "model": "m", "input": "and then?",
             "previous_response_id": id });
         create.to_string()
     };
     b.step(Input::SessionText {
         session: s,
-        text: follow(&last.id),
+        text: follow_up(&last.id),
     });
     assert_eq!(b.take().body.prompt, "first\nassistant: yes\nand then?");
     b.heard(s);
     b.step(Input::SessionText {
         session: s,
-        text: follow("resp_00"),
+        text: follow_up("resp_00"),
     });
-    let heard = b.heard(s);
-    let error = heard[0].error.as_ref().expect("an error");
+    let events = b.heard(s);
+    let error = events[0].error.as_ref().expect("an error");
     assert_eq!(error["code"], "previous_response_not_found");
     assert_eq!(error["param"], "previous_response_id");
 }
@@ -75,32 +75,32 @@
 fn reconnected_client_attaches_to_running_request() {
     let mut b = Bench::ready(1);
     let first = b.open(1);
-    let write = b.begin_write(first, "booking", "k1", "the season");
-    b.piece(&write, "book", None);
+    let decode = b.begin_write(first, "booking", "k1", "the season");
+    b.piece(&decode, "book", None);
     b.step(Input::SessionClosed { session: first });
     b.pass(0.5);
     assert!(
         b.cancels.is_empty(),
-        "a keyed booking goes on without its client"
+        "a booking with an idempotency key continues without its client"
     );
     let second = b.open(2);
     b.ask(second, "booking", "k1", "the season");
-    let heard = b.heard(second);
-    assert_eq!(heard[0].kind, "response.created");
+    let events = b.heard(second);
+    assert_eq!(events[0].kind, "response.created");
     assert_eq!(
-        heard[1].delta.as_deref(),
+        events[1].delta.as_deref(),
         Some("book"),
-        "what came before is given at once"
+        "the output so far is sent at once"
     );
-    b.piece(&write, "ed", Some("stop"));
-    b.done(&write);
-    let heard = b.heard(second);
-    assert_eq!(heard.iter().filter(|e| e.is_final()).count(), 1);
+    b.piece(&decode, "ed", Some("stop"));
+    b.done(&decode);
+    let events = b.heard(second);
+    assert_eq!(events.iter().filter(|e| e.is_final()).count(), 1);
     assert_eq!(
-        heard
+        events
             .last()
             .and_then(|e| e.response.clone())
-            .expect("it")
+            .expect("a response")
             .output[0]
             .content[0]
             .text,
@@ -109,12 +109,15 @@
     assert!(b.told.is_empty(), "nothing was sent again");
     let third = b.open(3);
     b.ask(third, "booking", "k1", "the season");
-    let heard = b.heard(third);
+    let events = b.heard(third);
     assert_eq!(
-        heard.iter().map(|e| e.kind.as_str()).collect::<Vec<_>>(),
+        events.iter().map(|e| e.kind.as_str()).collect::<Vec<_>>(),
         ["response.created", "response.completed"]
     );
-    assert!(b.told.is_empty(), "the recorded answer is given");
+    assert!(
+        b.told.is_empty(),
+        "the recorded answer is sent without another attempt"
+    );
     b.ask(third, "booking", "k1", "another season");
     assert_eq!(
         b.heard(third)[0].error.as_ref().expect("an error")["code"],
@@ -126,14 +129,14 @@
 fn broken_unsafe_request_stays_failed_on_repeat() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
-    let write = b.begin_write(s, "booking", "k1", "the season");
+    let decode = b.begin_write(s, "booking", "k1", "the season");
     b.step(Input::LinkClosed {
-        link: write.link,
+        link: decode.link,
         reason: "reset".into(),
     });
     for round in 0..2 {
-        let heard = b.heard(s);
-        let last = heard
+        let events = b.heard(s);
+        let last = events
             .last()
             .and_then(|e| e.response.clone())
             .expect("a final answer");
@@ -149,14 +152,14 @@
     let mut b = Bench::ready(1);
     let s = b.open(1);
     b.ask(s, "query", "k1", "a hall?");
-    let read = b.take();
+    let prefill = b.take();
     b.step(Input::SessionClosed { session: s });
-    assert_eq!(b.cancels, [(read.link, read.id.clone())]);
-    b.read_done(&read);
+    assert_eq!(b.cancels, [(prefill.link, prefill.id.clone())]);
+    b.read_done(&prefill);
     assert_eq!(
         b.releases,
-        [(read.link, read.id.clone())],
-        "a late read state is let go of"
+        [(prefill.link, prefill.id.clone())],
+        "the KV cache of an abandoned prefill is released"
     );
     assert_eq!(
         (b.machine.counts().requests, b.machine.counts().keys),
@@ -168,9 +171,9 @@
 fn each_bad_message_gets_one_error() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
-    let write = b.begin_write(s, "query", "", "good");
+    let decode = b.begin_write(s, "query", "", "good");
     b.heard(s);
-    let meta = |pairs: &str| {
+    let with_metadata = |pairs: &str| {
         format!(r#"{{"type":"response.create","model":"m","input":"x","metadata":{{{pairs}}}}}"#)
     };
     let cases = [
@@ -197,12 +200,12 @@
             Some("input[0].content"),
         ),
         (
-            &meta(r#""class":"odd""#),
+            &with_metadata(r#""class":"odd""#),
             "invalid_value",
             Some("metadata.class"),
         ),
         (
-            &meta(r#""deadline_ms":"soon""#),
+            &with_metadata(r#""deadline_ms":"soon""#),
             "invalid_value",
             Some("metadata.deadline_ms"),
         ),
@@ -217,17 +220,17 @@
             session: s,
             text: text.to_string(),
         });
-        let heard = b.heard(s);
-        assert_eq!(heard.len(), 1, "{text}");
-        let error = heard[0].error.as_ref().expect("an error");
+        let events = b.heard(s);
+        assert_eq!(events.len(), 1, "{text}");
+        let error = events[0].error.as_ref().expect("an error");
         assert_eq!(
             (error["code"].as_str(), error["param"].as_str()),
             (Some(code), param),
             "{text}"
         );
     }
-    b.piece(&write, "still here", Some("stop"));
-    b.done(&write);
+    b.piece(&decode, "still here", Some("stop"));
+    b.done(&decode);
     assert!(b.kinds(s).contains(&"response.completed".to_string()));
 }
 
@@ -238,11 +241,11 @@
     for i in 0..5 {
         b.ask(s, "query", "", &format!("q{i}"));
     }
-    let heard = b.heard(s);
-    let error = heard
+    let events = b.heard(s);
+    let error = events
         .last()
         .and_then(|e| e.error.clone())
-        .expect("the fifth is over the bound");
+        .expect("the fifth request exceeds the limit");
     assert_eq!(
         (error["code"].as_str(), error["metadata"]["try"].as_str()),
         (Some("too_many_requests"), Some("q4"))
@@ -267,8 +270,8 @@
     let long = "x".repeat(1000);
     b.ask(s, "query", "", &long);
     b.ask(s, "query", "", "y".repeat(100).as_str());
-    let heard = b.heard(s);
-    assert!(heard
+    let events = b.heard(s);
+    assert!(events
         .last()
         .and_then(|e| e.error.clone())
         .expect("an error")["message"]
@@ -280,7 +283,7 @@
     assert_eq!(
         b.heard(s)[0].kind,
         "response.created",
-        "the first has ended and given its part back"
+        "the first request has ended and its bytes are released"
     );
 }
 
@@ -289,7 +292,7 @@
     let mut b = Bench::ready(1);
     let (s, other) = (b.open(1), b.open(2));
     b.ask(s, "query", "", "q");
-    let read = b.take();
+    let prefill = b.take();
     let id = b.heard(s)[0].response.as_ref().expect("created").id.clone();
     let cancel = serde_json::json!({ "type": "response.cancel", "response_id": id }).to_string();
     b.step(Input::SessionText {
@@ -305,31 +308,31 @@
         text: cancel,
     });
     assert_eq!(b.kinds(s), ["response.failed"]);
-    assert_eq!(b.cancels, [(read.link, read.id)]);
+    assert_eq!(b.cancels, [(prefill.link, prefill.id)]);
 }
 
 #[test]
 fn stop_rejects_new_and_finishes_in_flight() {
     let mut b = Bench::ready(1);
     let s = b.open(1);
-    let write = b.begin_write(s, "query", "", "in hand");
+    let decode = b.begin_write(s, "query", "", "in flight");
     b.step(Input::Stop);
     assert!(!b.stopped);
     b.heard(s);
     b.ask(s, "query", "", "new");
-    let heard = b.heard(s);
-    let error = heard
+    let events = b.heard(s);
+    let error = events
         .last()
         .and_then(|e| e.response.clone())
         .and_then(|r| r.error)
-        .expect("refused");
+        .expect("a rejection");
     assert!(error.safe_to_repeat && error.retry_after_ms.is_some());
     b.open(9);
     assert!(b
         .out
         .iter()
         .any(|o| matches!(o, Output::CloseSession { code: 1001, .. })));
-    b.piece(&write, "done", Some("stop"));
-    b.done(&write);
+    b.piece(&decode, "done", Some("stop"));
+    b.done(&decode);
     assert!(b.kinds(s).contains(&"response.completed".to_string()) && b.stopped);
 }
