--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -137,7 +137,8 @@
     }
 
     /// Ends the current attempt of a request and notifies the decision module. All ends of sent attempts pass through
-    /// here. A request whose output had begun without completing fails, as it cannot be retried.
+    /// here. A request whose output had begun without completing fails instead of being retried, as its clients have
+    /// received a part of it.
     pub(crate) fn end_attempt(
         &mut self,
         now: Micros,
--- a/crates/core/src/contexts.rs
+++ b/crates/core/src/contexts.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Context {
     pub tenant: u32,
-    /// Who may continue it, as for [`crate::idempotency::Key`].
+    /// Who may continue the conversation, as for [`crate::idempotency::Key`].
     pub owner: String,
     /// Key of the conversation, the same for all its turns.
     pub conversation: u64,
@@ -17,6 +17,7 @@
     pub created_at: Micros,
 }
 
+/// A stored context with its place in the order of eviction.
 struct CachedContext {
     /// Position of the context in the order of insertion.
     insertion_order: u64,
@@ -26,9 +27,12 @@
 /// Contexts by response id, limited in bytes and age. The oldest is evicted first; a request that continues an evicted
 /// one gets the error `previous_response_not_found`.
 pub(crate) struct Contexts {
+    /// Limit on bytes of stored conversation text.
     max_bytes: usize,
+    /// Bytes of stored conversation text now.
     bytes: usize,
     cached: BTreeMap<String, CachedContext>,
+    /// Response ids, oldest first.
     by_insertion_order: BTreeMap<u64, String>,
     last_order: u64,
 }
