--- a/crates/platform-net/src/startup.rs
+++ b/crates/platform-net/src/startup.rs
@@ -39,7 +39,10 @@
 }
 
 fn open_peers(registry: &Registry, config: &Config) -> Result<Option<UdpSocket>, String> {
-    let Some(address) = config.peer_listen.filter(|_| config.bounds.peers) else {
+    let Some(address) = config
+        .peer_listen
+        .filter(|_| config.bounds.allows_peer_messages)
+    else {
         return Ok(None);
     };
     let mut socket = listen::retry_address_in_use(address, UdpSocket::bind)
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -4,7 +4,7 @@
 
 use bitternlatch_policy::interface as policy;
 use bitternlatch_routing_settings::{
-    read_bounds, read_names, read_settings, Bounds, Facts, Names, SettingsError,
+    read_bounds, read_names, read_settings, Bounds, Names, RawSettings, SettingsError,
 };
 use serde::Deserialize;
 use serde_json::Value;
@@ -127,7 +127,7 @@
     /// Text that is no such JSON, with line and column; a field whose value cannot be used.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let raw: Raw = serde_json::from_str(text).map_err(|e| ConfigError::Json(e.to_string()))?;
-        let facts = Facts::from_json(&raw.settings)?;
+        let facts = RawSettings::from_json(&raw.settings)?;
         let names = read_names(&facts)?;
         let known = raw.known.filter(|v| !v.is_null());
         let (known, known_fault) = match known
--- a/crates/platform/src/node/client_requests.rs
+++ b/crates/platform/src/node/client_requests.rs
@@ -88,7 +88,7 @@
         if self.requests.knows(&parsed.id) {
             return self.reject(conn, 409, "a request of this id is open", commands);
         }
-        if self.requests.len() >= self.bounds.most_held
+        if self.requests.len() >= self.bounds.max_open_requests
             || self.requests.prompt_bytes() > self.limits.max_prompt_bytes()
         {
             return self.respond(now, conn, 503, "", "too much in hand\n", commands);
@@ -208,7 +208,7 @@
         retry_after_s: f64,
         commands: &mut Vec<Command>,
     ) {
-        let is_timed = self.bounds.retry_after && retry_after_s > 0.0;
+        let is_timed = self.bounds.sends_retry_after && retry_after_s > 0.0;
         let more = if is_timed {
             format!("Retry-After: {retry_after_s:.3}\r\n")
         } else {
--- a/crates/platform/src/node/mod.rs
+++ b/crates/platform/src/node/mod.rs
@@ -83,8 +83,12 @@
     fn begin(now: Micros, config: Config, traced: bool, commands: &mut Vec<Command>) -> Node {
         let connections = ConnectionLimits::of(&config.limits);
         let deadlines = config.settings.classes.iter().map(|c| c.deadline_s);
-        let schedule = ShutdownSchedule::new(deadlines.fold(0.0, f64::max), config.bounds.resumes);
-        let (me, peers_allowed) = (config.bounds.me, config.bounds.peers);
+        let schedule =
+            ShutdownSchedule::new(deadlines.fold(0.0, f64::max), config.bounds.clients_resume);
+        let (me, peers_allowed) = (
+            config.bounds.dispatcher_index,
+            config.bounds.allows_peer_messages,
+        );
         let watch = DiscoveryWatch::new(config.seed, &config.name);
         let mut node = Node {
             roles: config.settings.kinds.iter().map(|k| k.role).collect(),
@@ -92,7 +96,7 @@
             discovery: DiscoveryClient::new(config.discovery, watch),
             clients: Clients::new(connections.clients),
             requests: Requests::default(),
-            pool: ConnectionPool::new(connections.servers, config.bounds.idle_s),
+            pool: ConnectionPool::new(connections.servers, config.bounds.idle_timeout_s),
             health_checks: HealthChecks::default(),
             releases: Releases::default(),
             peers: Peers::new(config.peers, config.peers_all, me, peers_allowed),
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -5,7 +5,7 @@
 use bitternlatch_platform::discovery::EndpointList;
 use bitternlatch_platform::responses::parse_load_report;
 use bitternlatch_policy::interface::Settings;
-use bitternlatch_routing_settings::{read_settings, Facts};
+use bitternlatch_routing_settings::{read_settings, RawSettings};
 use common::*;
 
 /// The same deployment as the simulator's wire writes it.
@@ -23,7 +23,8 @@
 
 #[test]
 fn json_and_wire_settings_are_equal() {
-    let from_wire = read_settings(&Facts::from_lines(LINES).expect("lines")).expect("settings");
+    let from_wire =
+        read_settings(&RawSettings::from_lines(LINES).expect("lines")).expect("settings");
     // In one thing the platform is another place: a connection's end does not tell that a read has not ended.
     assert!(!from_wire.lost_prefill_may_have_run);
     assert_eq!(
--- a/crates/routing-settings/src/bounds.rs
+++ b/crates/routing-settings/src/bounds.rs
@@ -1,7 +1,7 @@
 //! Bounds and permissions that the sockets' side keeps.
 
 use crate::error::Result;
-use crate::facts::Facts;
+use crate::facts::RawSettings;
 
 /// Seconds after which a connection that has not come up never does, where the settings do not say.
 const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.25;
@@ -18,40 +18,40 @@
     /// A connection that has not come up after this never does, seconds.
     pub connect_timeout_s: f64,
     /// A connection idle for this is closed by the other side, seconds.
-    pub idle_s: f64,
+    pub idle_timeout_s: f64,
     /// Requests open at once.
-    pub most_held: usize,
+    pub max_open_requests: usize,
     /// Clients may be given a time to stay away.
-    pub retry_after: bool,
+    pub sends_retry_after: bool,
     /// Dispatchers may send each other messages.
-    pub peers: bool,
+    pub allows_peer_messages: bool,
     /// Clients ask for the rest of a stream that broke.
-    pub resumes: bool,
+    pub clients_resume: bool,
     /// This dispatcher's number among them.
-    pub me: usize,
+    pub dispatcher_index: usize,
 }
 
 /// The bounds of the sockets' side.
 ///
 /// # Errors
 /// A value that cannot be read.
-pub fn read_bounds(facts: &Facts) -> Result<Bounds> {
+pub fn read_bounds(facts: &RawSettings) -> Result<Bounds> {
     Ok(Bounds {
         connect_timeout_s: connect_timeout_s(facts)?,
-        idle_s: facts.number_or("limits.connIdleS", DEFAULT_IDLE_S)?,
-        most_held: open_requests(facts)?,
-        retry_after: facts.flag_or("limits.retryAfter", false)?,
-        peers: facts.flag_or("limits.peers", false)?,
-        resumes: facts.flag_or("extra.resume", false)?,
-        me: facts.count_or_zero("me")? as usize,
+        idle_timeout_s: facts.number_or("limits.connIdleS", DEFAULT_IDLE_S)?,
+        max_open_requests: open_requests(facts)?,
+        sends_retry_after: facts.flag_or("limits.retryAfter", false)?,
+        allows_peer_messages: facts.flag_or("limits.peers", false)?,
+        clients_resume: facts.flag_or("extra.resume", false)?,
+        dispatcher_index: facts.count_or_zero("me")? as usize,
     })
 }
 
-fn open_requests(facts: &Facts) -> Result<usize> {
+fn open_requests(facts: &RawSettings) -> Result<usize> {
     let requests = facts.number_or("limits.mostHeld", DEFAULT_OPEN_REQUESTS)?;
     Ok(requests.clamp(1.0, MAX_OPEN_REQUESTS) as usize)
 }
 
-pub(crate) fn connect_timeout_s(facts: &Facts) -> Result<f64> {
+pub(crate) fn connect_timeout_s(facts: &RawSettings) -> Result<f64> {
     facts.number_or("limits.connectTimeoutS", DEFAULT_CONNECT_TIMEOUT_S)
 }
--- a/crates/routing-settings/src/facts.rs
+++ b/crates/routing-settings/src/facts.rs
@@ -5,14 +5,14 @@
 use crate::error::{Result, SettingsError};
 use serde_json::Value;
 
-/// Largest number that [`Facts::count`] takes.
+/// Largest number that [`RawSettings::count`] takes.
 const MAX_COUNT: f64 = 65_535.0;
 
 /// The start settings as pairs of a path and a value.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Facts(BTreeMap<String, String>);
+pub struct RawSettings(BTreeMap<String, String>);
 
-impl Facts {
+impl RawSettings {
     /// From lines of `path=value`; empty lines are skipped.
     ///
     /// # Errors
@@ -28,7 +28,7 @@
             };
             values.insert(key.trim().to_string(), value.trim().to_string());
         }
-        Ok(Facts(values))
+        Ok(RawSettings(values))
     }
 
     /// From nested JSON, flattened to the names that the wire uses: lists of plain values are joined by commas,
@@ -40,7 +40,7 @@
         let Value::Object(fields) = value else {
             return Err(SettingsError::NotAnObject);
         };
-        let mut facts = Facts::default();
+        let mut facts = RawSettings::default();
         for (key, value) in fields {
             facts.flatten(key, value);
         }
--- a/crates/routing-settings/src/lib.rs
+++ b/crates/routing-settings/src/lib.rs
@@ -1,5 +1,5 @@
 //! The start settings of a dispatcher. The simulator's wire gives them as `key=value` lines, the
-//! platform's configuration as nested JSON; both become the same [`Facts`], and one reader gives them
+//! platform's configuration as nested JSON; both become the same [`RawSettings`], and one reader gives them
 //! their meaning.
 
 mod bounds;
@@ -10,6 +10,6 @@
 
 pub use self::bounds::{read_bounds, Bounds};
 pub use self::error::SettingsError;
-pub use self::facts::Facts;
+pub use self::facts::RawSettings;
 pub use self::names::{read_names, Names};
 pub use self::router_settings::read_settings;
--- a/crates/routing-settings/src/names.rs
+++ b/crates/routing-settings/src/names.rs
@@ -1,7 +1,7 @@
 //! The names behind the indexes that the decision module is given.
 
 use crate::error::Result;
-use crate::facts::Facts;
+use crate::facts::RawSettings;
 
 /// The names of what the settings count, each in the order of its index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 /// A class or a tenant without a name, or a count that cannot be read.
-pub fn read_names(facts: &Facts) -> Result<Names> {
+pub fn read_names(facts: &RawSettings) -> Result<Names> {
     let tenant_count = facts.count_or_zero("customers.count")?;
     let class_count = facts.count("classes.count")?;
     Ok(Names {
@@ -34,11 +34,11 @@
     })
 }
 
-fn names_in_list(facts: &Facts, key: &str) -> Vec<String> {
+fn names_in_list(facts: &RawSettings, key: &str) -> Vec<String> {
     facts.list(key).into_iter().map(str::to_string).collect()
 }
 
-fn names_of_items(facts: &Facts, list: &str, count: u32) -> Result<Vec<String>> {
+fn names_of_items(facts: &RawSettings, list: &str, count: u32) -> Result<Vec<String>> {
     let name = |index| Ok(facts.text(&format!("{list}.{index}.name"))?.to_string());
     (0..count).map(name).collect()
 }
--- a/crates/routing-settings/src/router_settings.rs
+++ b/crates/routing-settings/src/router_settings.rs
@@ -7,7 +7,7 @@
 
 use crate::bounds::connect_timeout_s;
 use crate::error::{Result, SettingsError};
-use crate::facts::Facts;
+use crate::facts::RawSettings;
 
 /// The settings give what 1,000 prompt tokens add to an objective in microseconds.
 const MICROSECONDS_PER_1000_TOKENS: f64 = 1e9;
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 /// A key that is missing, or a value that cannot be read.
-pub fn read_settings(facts: &Facts) -> Result<Settings> {
+pub fn read_settings(facts: &RawSettings) -> Result<Settings> {
     Ok(Settings {
         dispatchers: facts.count("balancers")?.max(1),
         zone: facts.count("locality")? as u16,
@@ -36,7 +36,7 @@
     })
 }
 
-fn read_slow_start(facts: &Facts) -> Result<SlowStart> {
+fn read_slow_start(facts: &RawSettings) -> Result<SlowStart> {
     Ok(SlowStart {
         start_capacity: facts.number("contract.startCapacity")?,
         overload_factor: facts.number("contract.overloadFactor")?,
@@ -45,7 +45,7 @@
     })
 }
 
-fn read_limits(facts: &Facts) -> Result<Limits> {
+fn read_limits(facts: &RawSettings) -> Result<Limits> {
     Ok(Limits {
         max_attempts: facts.count("limits.maxAttempts")?,
         may_cancel: facts.flag_or("limits.cancel", false)?,
@@ -55,7 +55,7 @@
     })
 }
 
-fn read_report_mode(facts: &Facts) -> Result<ReportMode> {
+fn read_report_mode(facts: &RawSettings) -> Result<ReportMode> {
     const KEY: &str = "report.how";
     match facts.text(KEY)? {
         "inline" => Ok(ReportMode::WithResponses),
@@ -65,13 +65,13 @@
     }
 }
 
-fn read_report_fields(facts: &Facts) -> Vec<ReportField> {
+fn read_report_fields(facts: &RawSettings) -> Vec<ReportField> {
     let names = facts.list("report.fields").into_iter();
     names.map(|name| report_field(name, facts)).collect()
 }
 
 /// The meaning of the site's own fields is in the text that describes them.
-fn report_field(name: &str, facts: &Facts) -> ReportField {
+fn report_field(name: &str, facts: &RawSettings) -> ReportField {
     let described_by = |key: &str, word: &str| facts.get(key).is_some_and(|v| v.contains(word));
     match name {
         "concurrent" => ReportField::Concurrent,
@@ -83,7 +83,7 @@
     }
 }
 
-fn read_classes(facts: &Facts) -> Result<Vec<ClassSettings>> {
+fn read_classes(facts: &RawSettings) -> Result<Vec<ClassSettings>> {
     const KEY: &str = "classes.count";
     let objectives_us = facts.numbers("extra.aimUsPer1000PromptTokens")?;
     let token_gaps_s = facts.numbers("extra.tokenAimS")?;
@@ -110,7 +110,7 @@
     Ok(classes)
 }
 
-fn read_effect(facts: &Facts, class: usize) -> Result<Effect> {
+fn read_effect(facts: &RawSettings, class: usize) -> Result<Effect> {
     let key = |name: &str| format!("classes.{class}.{name}");
     let window_s = facts.number_or(&key("repeatWindowS"), 0.0)?;
     let scope = match facts.get(&key("keyScope")) {
@@ -127,7 +127,7 @@
     }
 }
 
-fn read_tenants(facts: &Facts) -> Result<Vec<TenantSettings>> {
+fn read_tenants(facts: &RawSettings) -> Result<Vec<TenantSettings>> {
     let count = facts.count_or_zero("customers.count")?;
     let tenant = |index: u32| {
         let quota_rps = facts.number(&format!("customers.{index}.quotaRps"))?;
@@ -136,7 +136,7 @@
     (0..count).map(tenant).collect()
 }
 
-fn read_kinds(facts: &Facts) -> Result<Vec<KindSettings>> {
+fn read_kinds(facts: &RawSettings) -> Result<Vec<KindSettings>> {
     const KEY: &str = "extra.kindRole";
     let memory_tokens = facts.numbers("extra.kindMemoryTokens")?;
     let mut kinds = Vec::new();
--- a/crates/routing-settings/tests/settings.rs
+++ b/crates/routing-settings/tests/settings.rs
@@ -4,7 +4,9 @@
     ClassSettings, Effect, KeyScope, KindSettings, Limits, ReportField, ReportMode, Role, Settings,
     SlowStart, TenantSettings,
 };
-use bitternlatch_routing_settings::{read_bounds, read_names, read_settings, Bounds, Facts, Names};
+use bitternlatch_routing_settings::{
+    read_bounds, read_names, read_settings, Bounds, Names, RawSettings,
+};
 use serde_json::json;
 
 const REQUIRED: &str = "balancers=2\nlocality=1\nclasses.count=1\nclasses.0.name=chat\n\
@@ -30,8 +32,8 @@
 limits.connectTimeoutS=0.5\nlimits.connIdleS=20.0\nlimits.mostHeld=500\nlimits.retryAfter=true\n\
 limits.peers=true\nme=7\nkinds=reader,writer,mixed\nzones=north,south\n";
 
-fn facts(text: &str) -> Facts {
-    Facts::from_lines(text).expect("lines of path=value")
+fn facts(text: &str) -> RawSettings {
+    RawSettings::from_lines(text).expect("lines of path=value")
 }
 
 fn class(effect: Effect) -> ClassSettings {
@@ -124,12 +126,12 @@
     assert_eq!(read_settings(&facts), Ok(all_settings()));
     let bounds = Bounds {
         connect_timeout_s: 0.5,
-        idle_s: 20.0,
-        most_held: 500,
-        retry_after: true,
-        peers: true,
-        resumes: true,
-        me: 7,
+        idle_timeout_s: 20.0,
+        max_open_requests: 500,
+        sends_retry_after: true,
+        allows_peer_messages: true,
+        clients_resume: true,
+        dispatcher_index: 7,
     };
     assert_eq!(read_bounds(&facts), Ok(bounds));
     let owned = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
@@ -170,12 +172,12 @@
     assert_eq!(read_settings(&facts), Ok(settings));
     let bounds = Bounds {
         connect_timeout_s: 0.25,
-        idle_s: 15.0,
-        most_held: 20_000,
-        retry_after: false,
-        peers: false,
-        resumes: false,
-        me: 0,
+        idle_timeout_s: 15.0,
+        max_open_requests: 20_000,
+        sends_retry_after: false,
+        allows_peer_messages: false,
+        clients_resume: false,
+        dispatcher_index: 0,
     };
     assert_eq!(read_bounds(&facts), Ok(bounds));
 }
@@ -190,10 +192,10 @@
     });
     let lines = "balancers=2\nclasses.count=1\nclasses.0.name=a_b_c\nclasses.0.aimS=1.5\n\n\
 report.fields=depth,x0\nlimits.cancel = true\n";
-    assert_eq!(Facts::from_json(&value), Ok(facts(lines)));
-    let list = Facts::from_json(&json!([1])).expect_err("a list");
+    assert_eq!(RawSettings::from_json(&value), Ok(facts(lines)));
+    let list = RawSettings::from_json(&json!([1])).expect_err("a list");
     assert_eq!(list.to_string(), "the settings are no object");
-    let bare = Facts::from_lines("balancers=2\nbare").expect_err("no value");
+    let bare = RawSettings::from_lines("balancers=2\nbare").expect_err("no value");
     assert_eq!(bare.to_string(), "settings line 2 has no '='");
 }
 
--- a/programs/simulator-adapter/src/wire/adapter.rs
+++ b/programs/simulator-adapter/src/wire/adapter.rs
@@ -5,7 +5,7 @@
 use bitternlatch_output_length::Timed;
 use bitternlatch_policy::choice::Router;
 use bitternlatch_policy::interface::{Action, Settings};
-use bitternlatch_routing_settings::{read_settings, Facts};
+use bitternlatch_routing_settings::{read_settings, RawSettings};
 
 use super::codes::event;
 use super::cursor::Cursor;
@@ -22,7 +22,7 @@
 /// # Errors
 /// A line without a value, a key that is missing, or a value that cannot be read.
 pub fn parse_settings(text: &str) -> Result<Settings> {
-    Ok(read_settings(&Facts::from_lines(text)?)?)
+    Ok(read_settings(&RawSettings::from_lines(text)?)?)
 }
 
 /// A router and what it learns of lengths.
