--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,7 +1,7 @@
-//! What goes in and out of the decision module: settings, events, actions and explanations.
+//! Input and output types of the decision module: settings, events, actions and explanations.
 //!
-//! A dispatcher fills [`Settings`], feeds [`Event`]s with its clock and carries out [`Action`]s in
-//! order. Times are seconds.
+//! A dispatcher creates a router from [`Settings`], passes it each [`Event`] with the current clock
+//! time and carries out the resulting [`Action`]s in order. All times are in seconds.
 
 mod action;
 mod event;
@@ -18,7 +18,7 @@
     SlowStart, TenantSettings,
 };
 
-/// A client request; never reused within one router's lifetime.
+/// Identifies a client request; an id is never reused within one router's lifetime.
 pub type RequestId = u32;
-/// A model server; stable over restarts of its process.
+/// Identifies a model server; the id stays the same when the server's process restarts.
 pub type ServerId = u32;
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -1,93 +1,95 @@
-//! The actions that a router gives.
+//! Actions that a router asks its dispatcher to carry out.
 
 use super::{RequestId, ServerId};
 
-/// What is to be done, in order.
+/// One action for the dispatcher; the actions of one event are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start the request's next attempt.
+    /// Send the request's next attempt to a server.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// The server that it goes to.
+        /// The server that receives the attempt.
         server: ServerId,
-        /// Time-out of the attempt, seconds; 0 = until the client gives up.
+        /// Timeout of the attempt in seconds; 0 means that only the client's deadline ends it.
         timeout_s: f64,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt's number, from 0.
+        /// Index of the attempt among those of its request, from 0.
         attempt: u16,
     },
-    /// Final answer: a retry is harmless.
+    /// Answer the client with a rejection, which tells it that a retry is harmless; this ends the
+    /// request.
     Reject {
-        /// The request.
+        /// The rejected request.
         request: RequestId,
-        /// How long the client should stay away, seconds.
+        /// Time that the client should wait before it retries, seconds.
         retry_after_s: f64,
     },
-    /// Final answer that promises nothing.
+    /// Answer the client with an error that doesn't say whether the request has run; this ends the
+    /// request.
     Fail {
-        /// The request.
+        /// The failed request.
         request: RequestId,
     },
-    /// Release every KV state and slot held for the request.
+    /// Release all KV cache states and slots that servers hold for a request.
     Release {
-        /// The request.
+        /// The request whose states and slots are released.
         request: RequestId,
     },
-    /// Probe a server.
+    /// Send a probe to a server.
     Probe {
-        /// The server.
+        /// The server to probe.
         server: ServerId,
     },
-    /// Give an [`Event::Timer`](super::Event::Timer) at a time.
+    /// Pass an [`Event::Timer`](super::Event::Timer) to the router at a given time.
     SetTimer {
-        /// Clock time, seconds.
+        /// Clock time at which the timer fires, seconds.
         at: f64,
-        /// The label to give back.
+        /// Label to return in the timer event.
         label: u64,
     },
-    /// Follow changes of the endpoint list.
+    /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// Follow them no longer.
+    /// Cancel the subscription to changes of the endpoint list.
     Unsubscribe,
-    /// Ask for the complete endpoint list once.
+    /// Fetch the complete endpoint list once.
     FetchList,
-    /// Reserve a slot and memory at a decode server ahead of the prefill's end.
+    /// Reserve a slot and memory for a request at a decode server before its prefill has ended.
     ReserveSlot {
-        /// The request.
+        /// The request that the slot is for.
         request: RequestId,
-        /// The decode server.
+        /// The decode server that is asked for the slot.
         server: ServerId,
     },
-    /// End a running stream in order, to go on elsewhere.
+    /// Stop a running stream cleanly, so that it can continue at another server.
     Migrate {
-        /// The request.
+        /// The request whose stream is moved.
         request: RequestId,
     },
-    /// Close idle connections to a server.
+    /// Close the idle connections to a server.
     CloseIdle {
-        /// The server.
+        /// The server whose idle connections are closed.
         server: ServerId,
     },
     /// Send a message to other dispatchers.
     SendToPeer {
-        /// One of them, or all (`None`).
+        /// Index of the receiving dispatcher; `None` sends to all others.
         peer: Option<u16>,
-        /// At most 256 bytes.
+        /// Payload of the message, at most 256 bytes.
         data: Vec<u8>,
     },
     /// Write a log line.
     Log {
-        /// The line.
+        /// Text of the log line.
         text: String,
     },
-    /// The decision code has failed; the dispatcher should stop.
+    /// Report an internal error of the decision module, after which the dispatcher should stop.
     Fault {
-        /// What has failed.
+        /// Description of the error.
         text: String,
     },
 }
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -1,184 +1,188 @@
-//! The events that a router takes.
+//! Events that a dispatcher passes to its router.
 
 use super::{ListForm, RequestId, ServerEntry, ServerId};
 
-/// How long an answer is expected to be, tokens, its limit regarded.
+/// Expected length of an answer in tokens, capped by the request's output limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ExpectedTokens {
-    /// The mean.
+    /// Mean of the expected length, tokens.
     pub mean: f64,
-    /// Nine answers of ten are no longer.
+    /// 90th percentile of the expected length, tokens.
     pub p90: f64,
 }
 
-/// A client request as it arrives.
+/// A client request as it arrives at the dispatcher.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// Its id, never used before.
+    /// Identifier of the request, which no earlier request had.
     pub id: RequestId,
-    /// Index in [`Settings::classes`](super::Settings::classes).
+    /// Index of its class in [`Settings::classes`](super::Settings::classes).
     pub class: u16,
-    /// Index in [`Settings::tenants`](super::Settings::tenants).
+    /// Index of its tenant in [`Settings::tenants`](super::Settings::tenants).
     pub tenant: u32,
-    /// Session key; 0 = none.
+    /// Key of the session that the request belongs to; 0 means none.
     pub session: u64,
-    /// Key of the shared prefix; 0 = none.
+    /// Key of the prompt prefix that the request shares with others; 0 means none.
     pub prefix: u64,
-    /// Tokens of the prompt.
+    /// Length of the prompt, tokens.
     pub prompt_tokens: f64,
-    /// Those of them in the shared prefix.
+    /// Length of the shared prefix at the start of the prompt, tokens.
     pub prefix_tokens: f64,
-    /// Limit on the answer's tokens.
+    /// Limit on the length of the answer, tokens.
     pub max_output_tokens: f64,
-    /// Where anything is known of its like; without it a share of the limit stands for it.
+    /// Expected length of the answer, learned from similar requests; if `None`, the router assumes a
+    /// fraction of `max_output_tokens`.
     pub output_tokens: Option<ExpectedTokens>,
-    /// Rough guess of the time that the answer takes at the class's time between tokens, seconds.
+    /// Rough estimate of the time that generating the answer takes at the class's inter-token
+    /// objective, seconds.
     pub output_hint_s: Option<f64>,
-    /// Time until the client gives this attempt of its own up, seconds.
+    /// Time from the arrival until the client gives up waiting, seconds.
     pub time_left_s: f64,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered.
+    /// The server answered the request in full.
     Served,
-    /// The prompt is prefilled; its KV state waits at the prefill server.
+    /// The prompt is prefilled, and the prefill server holds its KV cache state.
     PrefillDone,
-    /// An error answer; it may have run.
+    /// The server answered with an error; the attempt may have run.
     Error,
-    /// Rejected. It never ran.
+    /// The server rejected the attempt, which therefore didn't run.
     Rejected {
-        /// There was no KV state to fetch.
+        /// The reason was that the server found no KV cache state to fetch.
         state_missing: bool,
     },
-    /// No answer in time; it may have run.
+    /// No answer came within the timeout; the attempt may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// The connection to the server could not be established, so the attempt didn't run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The dispatcher cancelled the attempt, which may have run.
     Cancelled,
-    /// Never sent.
+    /// The dispatcher could not send the attempt.
     NotSent,
 }
 
-/// The end of one attempt.
+/// The end of one attempt, as the dispatcher observed it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The attempt's number, from 0.
+    /// Index of the attempt among those of its request, from 0.
     pub attempt: u16,
-    /// The server that it was sent to.
+    /// The server that the attempt was sent to.
     pub server: ServerId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since it was sent, seconds.
+    /// Time from the sending of the attempt to its end, seconds.
     pub elapsed_s: f64,
-    /// The request has its final answer.
+    /// Whether the client has received the final answer to the request.
     pub finished: bool,
-    /// Prompt tokens that the server had cached (with `Served` and `PrefillDone`).
+    /// Prompt tokens that the server found in its prefix cache; set with `Served` and `PrefillDone`.
     pub prefix_hit_tokens: f64,
-    /// Values in the order of [`Settings::report_fields`](super::Settings::report_fields); empty =
-    /// none.
+    /// Load report that came with the response, with its values in the order of
+    /// [`Settings::report_fields`](super::Settings::report_fields); empty if there was none.
     pub report: Vec<f64>,
 }
 
-/// What other dispatchers have seen of a server.
+/// A condition of a server that other dispatchers have observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Observation {
-    /// Its last attempts failed, or it cannot be reached.
+    /// The latest attempts at the server failed, or it cannot be reached.
     Failing,
-    /// It was started lately.
+    /// The server started recently and is still in slow start.
     WarmingUp,
-    /// Their list has it draining, or it said so itself.
+    /// The server is draining, by the other dispatchers' endpoint lists or its own response.
     Draining,
 }
 
-/// What has happened.
+/// One event that a router reacts to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list, or a change of it.
+    /// The endpoint list was received, changed, or could not be fetched.
     Servers {
-        /// How it relates to the one before.
+        /// How the entries relate to the endpoint list known so far.
         form: ListForm,
-        /// Its entries.
+        /// The entries of the list, or of the change.
         entries: Vec<ServerEntry>,
     },
-    /// A client request, which is owed one final answer.
+    /// A client request has arrived; it must get exactly one final answer.
     Arrival(Request),
-    /// An answer has begun; it belongs to the client from now on.
+    /// The first token of an answer was passed to the client, so that the request can't be retried
+    /// from here on.
     FirstToken {
-        /// The request.
+        /// The request that is being answered.
         request: RequestId,
-        /// The attempt's number, from 0.
+        /// Index of the answered attempt among those of its request, from 0.
         attempt: u16,
-        /// The server that answers.
+        /// The server that generates the answer.
         server: ServerId,
-        /// Time since the attempt was sent, seconds.
+        /// Time from the sending of the attempt to its first token, seconds.
         elapsed_s: f64,
     },
     /// The answer to an [`Action::ReserveSlot`](super::Action::ReserveSlot).
     ReservationAnswer {
-        /// The request.
+        /// The request that the slot was requested for.
         request: RequestId,
-        /// The number of the attempt in flight.
+        /// Index of the request's attempt in flight, from 0.
         attempt: u16,
-        /// The server that was asked.
+        /// The decode server that was asked for the slot.
         server: ServerId,
-        /// The slot is reserved.
+        /// Whether the server holds the slot for the request.
         held: bool,
     },
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
-    /// The client has left; nothing more is owed.
+    /// The client has disconnected, so that its request needs no answer any more.
     ClientDisconnected {
-        /// The request.
+        /// The request of the client.
         request: RequestId,
     },
-    /// A timer has come due.
+    /// A timer set by [`Action::SetTimer`](super::Action::SetTimer) has fired.
     Timer {
-        /// The label that it was set with.
+        /// The label that the timer was set with.
         label: u64,
     },
-    /// A probe has ended.
+    /// A probe of a server has ended.
     ProbeEnded {
         /// The server that was probed.
         server: ServerId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
-        /// Time since it was sent, seconds.
+        /// Time from the sending of the probe to its end, seconds.
         elapsed_s: f64,
-        /// As in [`AttemptEnd::report`].
+        /// Load report in the probe's response, in the form of [`AttemptEnd::report`].
         report: Vec<f64>,
     },
-    /// A message of another dispatcher.
+    /// A message of another dispatcher was received.
     PeerMessage {
-        /// Its number.
+        /// Index of the sending dispatcher.
         from: u32,
-        /// The payload.
+        /// Payload of the message.
         data: Vec<u8>,
     },
-    /// What other dispatchers have seen of a server.
+    /// Summary of what other dispatchers currently report about a server.
     PeerReport {
-        /// The server.
+        /// The server that the report is about.
         server: ServerId,
-        /// What they have seen.
+        /// The condition that the other dispatchers observed.
         observation: Observation,
-        /// How many have seen it.
+        /// Number of other dispatchers that report this condition.
         reporters: u32,
-        /// How many report anything.
+        /// Number of other dispatchers that send reports at all.
         peers: u32,
-        /// Age of the latest of the reports, seconds.
+        /// Age of the newest report of this condition, seconds.
         age_s: f64,
     },
-    /// This router's fraction of the quotas that all dispatchers share; before the first, an even one.
+    /// Sets this router's fraction of the tenant quotas that all dispatchers share. Until the first
+    /// such event the quotas are split evenly.
     QuotaFraction {
-        /// From 0 to 1.
+        /// Fraction of each quota, from 0 to 1.
         fraction: f64,
-        /// Clock time from which it counts, seconds.
+        /// Clock time from which the fraction applies, seconds; it may lie in the past.
         since: f64,
     },
 }
--- a/crates/policy/src/interface/explanation.rs
+++ b/crates/policy/src/interface/explanation.rs
@@ -1,44 +1,46 @@
-//! Explanations of decisions, for logs.
+//! Explanations of routing decisions, for logs.
 
 use std::fmt;
 
 use super::RequestId;
 
-/// Why the module ended a request without serving it.
+/// Why a router ended a request without serving it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// No server that may take the prompt.
+    /// No prefill server was available for the prompt.
     NoPrefillServer,
-    /// No server that may take the KV state in the time for which it may wait.
+    /// No decode server became available in the time that the KV cache state may wait for one.
     NoDecodeServer,
-    /// The first token was expected too late.
+    /// The estimated time to the first token exceeded the limit for admission.
     ExpectedLate,
-    /// The retry budget is used up.
+    /// The retry budget was exhausted.
     NoRetryLeft,
-    /// An attempt may have run, and the class allows no other.
+    /// An attempt may have run, and requests of the class must not run twice.
     MayHaveRun,
-    /// Its KV state waited as long as it may.
+    /// The KV cache state was released, or would exceed its hold limit during another attempt.
     StateExpired,
-    /// The client's deadline is near.
+    /// The client's deadline had come, or no further attempt could meet it.
     Deadline,
-    /// The attempt could not be sent.
+    /// The dispatcher could not send the attempt.
     NotSent,
-    /// A rule forbids the attempt that was chosen.
+    /// A final check before sending forbade the chosen attempt.
     Forbidden,
 }
 
-/// Seconds behind a choice of prefill server.
+/// Time estimates, in seconds, behind a choice of prefill server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ChoiceExplanation {
-    /// Expected in the queue.
+    /// Estimated time in the prefill server's queue, seconds.
     pub queue_s: f64,
-    /// Expected for the prefill.
+    /// Estimated time that the prefill itself takes, seconds.
     pub prefill_s: f64,
-    /// Both, with the wait at a decode server and the risk of failure.
+    /// Estimated time to the first token, seconds: queue, prefill, wait at a decode server and an
+    /// allowance for the risk of failure.
     pub total_s: f64,
-    /// Lateness of first tokens seen of late, on top.
+    /// How much later than estimated first tokens are currently expected to come, seconds; added to
+    /// `total_s` before the comparison with `limit_s`.
     pub lateness_s: f64,
-    /// The latest first token at which the request is taken.
+    /// Longest expected time to the first token at which the request is admitted, seconds.
     pub limit_s: f64,
 }
 
@@ -52,20 +54,20 @@
     }
 }
 
-/// What stood behind a router's last choice of a prefill server.
+/// A router's latest choice of a prefill server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ExplainedChoice {
     /// The request that the choice was made for.
     pub request: RequestId,
-    /// The estimate that the choice was made by.
+    /// The time estimates that the choice was based on.
     pub explanation: ChoiceExplanation,
 }
 
-/// The last request that a router ended without serving it.
+/// The latest request that a router ended without serving it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedRequest {
     /// The request that was rejected or failed.
     pub request: RequestId,
-    /// Why it was.
+    /// Why the request was rejected or failed.
     pub cause: Cause,
 }
--- a/crates/policy/src/interface/server.rs
+++ b/crates/policy/src/interface/server.rs
@@ -1,15 +1,15 @@
-//! The endpoint list.
+//! Entries of the endpoint list, which names the servers of the service.
 
 use super::ServerId;
 
-/// What the endpoint list says of a server's process.
+/// State of a server's process according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerStatus {
-    /// It takes requests.
+    /// The server accepts requests.
     Ready,
-    /// It completes what it has and takes nothing new.
+    /// The server completes its running requests and accepts no new ones.
     Draining,
-    /// It is not there.
+    /// The server is not, or no longer, part of the service.
     #[default]
     Removed,
 }
@@ -17,31 +17,31 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerEntry {
-    /// The server.
+    /// Identifier of the server.
     pub id: ServerId,
-    /// What its process does.
+    /// State of the server's process.
     pub status: ServerStatus,
-    /// Index in [`Settings::kinds`](super::Settings::kinds).
+    /// Index of the server's kind in [`Settings::kinds`](super::Settings::kinds).
     pub kind: u16,
-    /// Servers of a cell have a link of their own to the other cells.
+    /// The server's cell: the servers of one cell share a network link to the other cells.
     pub cell: u16,
-    /// Its zone.
+    /// The server's zone; a router prefers servers in its own zone.
     pub zone: u16,
-    /// Size against servers of the same role; 1 where it is not known.
+    /// Relative size among the servers of the same role; 1 if unknown.
     pub weight: f64,
-    /// Clock time of the latest start, seconds; 0 = long ago.
+    /// Clock time of the latest start of the server's process, seconds; 0 means long ago.
     pub booted_at: f64,
 }
 
-/// How a list relates to the one before it.
+/// How a received endpoint list relates to the one known so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListForm {
-    /// Changed entries only.
+    /// Only the entries that have changed.
     Delta,
-    /// The complete list; servers not in it are removed.
+    /// The complete list; servers that it doesn't contain are removed.
     Full,
-    /// The complete list as last held before a restart; may be stale.
+    /// The complete list as saved before the dispatcher restarted; it may be stale.
     Cached,
-    /// A call for the list failed; the old list stays.
+    /// A fetch of the list failed; the list known so far stays in use.
     Failed,
 }
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -1,167 +1,171 @@
-//! The settings that a router is made with.
+//! Settings that a router is created with.
 
-/// What a kind of server does.
+/// Which stages of a request a kind of server handles.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// Prefills prompts.
+    /// Prefills prompts and holds their KV cache state for a decode server.
     #[default]
     Prefill,
-    /// Decodes answers.
+    /// Decodes answers from a transferred KV cache state.
     Decode,
-    /// Does either.
+    /// Prefills prompts and decodes answers.
     Mixed,
 }
 
-/// What repeating a request of a class may do.
+/// Whether executing a request of a class more than once is safe.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// Repeats are harmless.
+    /// Repeated execution is harmless.
     Idempotent,
-    /// Repeats are dropped, by their idempotency key, within a group of servers for a time.
+    /// Requests carry an idempotency key, by which a group of servers drops repeats for a limited
+    /// time.
     IdempotencyKey {
-        /// The servers that drop repeats of one request.
+        /// The group of servers that drops repeats of one request.
         scope: KeyScope,
-        /// How long they do, seconds from the first attempt.
+        /// Time for which repeats are dropped, seconds from the first attempt.
         window_s: f64,
     },
-    /// Must never run twice.
+    /// The request must never be executed twice.
     NonIdempotent,
 }
 
-/// The servers that drop repeats of one request with an idempotency key.
+/// The group of servers that recognizes repeats of one request by its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All servers.
+    /// All servers of the service.
     All,
-    /// Those of the first attempt's zone.
+    /// The servers in the zone of the first attempt's server.
     Zone,
-    /// Those of the first attempt's cell.
+    /// The servers in the cell of the first attempt's server.
     Cell,
 }
 
-/// One class of requests.
+/// Settings of one request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// What repeating a request may do.
+    /// Whether executing a request of the class more than once is safe.
     pub effect: Effect,
-    /// Time to the first token that earns the full weight, before the part that grows with the
-    /// prompt, seconds.
+    /// Latency objective for the first token of an empty prompt, seconds; answers that meet their
+    /// objectives count with the full priority weight.
     pub ttft_objective_s: f64,
-    /// What each prompt token adds to it, seconds.
+    /// Time that each prompt token adds to the objective for the first token, seconds.
     pub ttft_objective_per_token_s: f64,
-    /// Mean time between tokens that earns the full weight, seconds.
+    /// Latency objective for the mean time between two tokens of an answer, seconds.
     pub inter_token_objective_s: f64,
-    /// Longest time to the first token that a client waits, seconds.
+    /// Longest time that a client waits for the first token, seconds.
     pub deadline_s: f64,
-    /// What an answer within its objectives counts.
+    /// Weight of an answer that meets its latency objectives, relative to other classes.
     pub priority_weight: f64,
-    /// Fraction of that weight that a late answer counts.
+    /// Fraction of the priority weight with which an answer counts that misses an objective.
     pub late_weight_fraction: f64,
 }
 
-/// One tenant's quota.
+/// Settings of one tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// Requests a second within the quota, over all dispatchers.
+    /// Quota of the tenant in requests per second, over all dispatchers.
     pub quota_rps: f64,
 }
 
-/// One kind of server.
+/// Settings of one kind of server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KindSettings {
-    /// What its servers do.
+    /// Which stages of a request servers of this kind handle.
     pub role: Role,
-    /// Memory for KV states in tokens; 0 where it is not known.
+    /// Memory of one server for KV cache states, tokens; 0 if unknown.
     pub memory_tokens: f64,
 }
 
-/// The value that stands at one place of a load report.
+/// Meaning of one value in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Requests held, waiting KV states included.
+    /// Requests at the server, including those whose KV cache state waits there.
     Concurrent,
-    /// Requests queued.
+    /// Requests in the server's queue.
     Queue,
-    /// Share of slots in use.
+    /// Fraction of the server's slots in use.
     SlotUtilization,
-    /// Share of memory held.
+    /// Fraction of the server's memory in use.
     MemoryUtilization,
-    /// Thousands of prompt tokens waiting to be prefilled or transferred.
+    /// Prompt tokens that wait to be prefilled or transferred, in thousands.
     QueuedKiloTokens,
-    /// Anything that the router makes no use of.
+    /// A value that the router doesn't use.
     Other,
 }
 
-/// Where load reports come from.
+/// How load reports reach the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportMode {
-    /// Each response brings one.
+    /// Each response of a server carries a load report.
     WithResponses,
-    /// The answers of probes bring them.
+    /// Only the responses to probes carry load reports.
     OnProbe,
-    /// There are none.
+    /// Servers send no load reports.
     Off,
 }
 
-/// What a freshly started server bears.
+/// Capacity of a server after its start, and the overload that makes it fail.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlowStart {
-    /// Share of capacity that it starts with, at the least.
+    /// Least fraction of its full capacity that a server has right after its start.
     pub start_capacity: f64,
-    /// Multiple of its present capacity that makes it fail when kept up for the window.
+    /// Multiple of its current capacity at which a server fails when it is sent that much over one
+    /// window.
     pub overload_factor: f64,
-    /// Length of the window, seconds.
+    /// Length of the window over which the overload of a server counts, seconds.
     pub window_s: f64,
-    /// It is warm no later than this after its start, seconds.
+    /// Longest time after its start until a server has its full capacity, seconds.
     pub warm_after_s: f64,
 }
 
-/// What the dispatcher may do, and the bounds on it.
+/// Limits and permissions of a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Attempts of one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether the dispatcher may cancel attempts in flight.
     pub may_cancel: bool,
-    /// Servers may be probed.
+    /// Whether the dispatcher may probe servers.
     pub may_probe: bool,
-    /// Longest time to stay away that clients honour, seconds.
+    /// Longest retry-after time that clients honour, seconds.
     pub max_retry_after_s: f64,
-    /// A connection that has not come up after this never does, seconds.
+    /// Time after which a connection that is not established counts as failed, seconds.
     pub connect_timeout_s: f64,
 }
 
-/// All that a router is given at its start.
+/// All settings of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Number of dispatchers that share the servers.
+    /// Number of dispatchers that send requests to the same servers.
     pub dispatchers: u32,
-    /// The dispatcher's own zone.
+    /// Zone of the dispatcher that runs the router.
     pub zone: u16,
-    /// Classes of requests, at least one, by index.
+    /// Request classes by their index; at least one.
     pub classes: Vec<ClassSettings>,
-    /// Tenants by index; empty where there are none.
+    /// Tenants by their index; empty if requests have no tenants.
     pub tenants: Vec<TenantSettings>,
-    /// Kinds of servers by index.
+    /// Kinds of servers by their index.
     pub kinds: Vec<KindSettings>,
-    /// What the values of a load report mean, in their order.
+    /// Meaning of each value of a load report, in the order of the values.
     pub report_fields: Vec<ReportField>,
-    /// Where load reports come from.
+    /// How load reports reach the dispatcher.
     pub report_mode: ReportMode,
-    /// What a freshly started server bears.
+    /// Capacity of servers after their start.
     pub slow_start: SlowStart,
-    /// What the dispatcher may do.
+    /// Limits and permissions of the dispatcher.
     pub limits: Limits,
-    /// A KV state that a prefill server holds must be taken or released within this time, seconds.
+    /// Longest time for which a prefill server may hold a KV cache state before it is transferred or
+    /// released, seconds.
     pub kv_hold_limit_s: f64,
-    /// Fraction of the weight of a request that is over its tenant's quota.
+    /// Fraction of the priority weight with which a request counts that exceeds its tenant's quota.
     pub over_quota_weight_fraction: f64,
-    /// The endpoint list must be subscribed to.
+    /// Whether changes of the endpoint list are sent only to dispatchers that have subscribed.
     pub must_subscribe: bool,
-    /// A prefill whose answer never came may have ended well all the same, and counts as run.
+    /// Whether a prefill whose answer was lost may still have completed; if so, it counts as an
+    /// attempt that may have run.
     pub lost_prefill_may_have_run: bool,
-    /// Decode servers prefill a prompt themselves when there is no KV state to fetch.
+    /// Whether decode servers can prefill a prompt themselves if there is no KV cache state to fetch.
     pub decode_servers_prefill: bool,
-    /// Shortest time between two batches of events, seconds.
+    /// Shortest time between two batches of events that the router receives, seconds.
     pub tick_s: f64,
 }
--- a/crates/routing-settings/src/bounds.rs
+++ b/crates/routing-settings/src/bounds.rs
@@ -1,57 +1,58 @@
-//! Bounds and permissions that the sockets' side keeps.
+//! Connection limits and permissions, which apply outside the decision module.
 
 use crate::error::Result;
 use crate::facts::RawSettings;
 
-/// Seconds after which a connection that has not come up never does, where the settings do not say.
+/// Seconds after which a connection that is not established counts as failed, unless configured.
 const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.25;
-/// Seconds after which an idle connection is closed, where the settings do not say.
+/// Seconds after which the server closes an idle connection, unless configured.
 const DEFAULT_IDLE_S: f64 = 15.0;
-/// Requests open at once, where the settings do not say.
+/// Maximum number of concurrently open requests, unless configured.
 const DEFAULT_OPEN_REQUESTS: f64 = 20_000.0;
-/// The most requests open at once that the settings may ask for.
+/// Largest configurable maximum of concurrently open requests; larger values are reduced to it.
 const MAX_OPEN_REQUESTS: f64 = 1e6;
 
-/// Bounds and permissions that the sockets' side keeps.
+/// Connection limits and permissions of a dispatcher, as opposed to the settings of its routing
+/// decisions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// A connection that has not come up after this never does, seconds.
+    /// Time after which a connection that is not established counts as failed, seconds.
     pub connect_timeout_s: f64,
-    /// A connection idle for this is closed by the other side, seconds.
+    /// Time after which a server closes an idle connection, seconds.
     pub idle_timeout_s: f64,
-    /// Requests open at once.
+    /// Maximum number of concurrently open requests; further ones are rejected.
     pub max_open_requests: usize,
-    /// Clients may be given a time to stay away.
+    /// Whether rejections may tell clients how long to wait before a retry.
     pub sends_retry_after: bool,
-    /// Dispatchers may send each other messages.
+    /// Whether dispatchers may send each other messages.
     pub allows_peer_messages: bool,
-    /// Clients ask for the rest of a stream that broke.
+    /// Whether clients resume a stream that broke by requesting the rest of it.
     pub clients_resume: bool,
-    /// This dispatcher's number among them.
+    /// Index of this dispatcher among all dispatchers, from 0.
     pub dispatcher_index: usize,
 }
 
-/// The bounds of the sockets' side.
+/// Reads the connection limits and permissions of a dispatcher.
 ///
 /// # Errors
-/// A value that cannot be read.
-pub fn read_bounds(facts: &RawSettings) -> Result<Bounds> {
+/// Fails on a value that cannot be parsed.
+pub fn read_bounds(settings: &RawSettings) -> Result<Bounds> {
     Ok(Bounds {
-        connect_timeout_s: connect_timeout_s(facts)?,
-        idle_timeout_s: facts.number_or("limits.connIdleS", DEFAULT_IDLE_S)?,
-        max_open_requests: open_requests(facts)?,
-        sends_retry_after: facts.flag_or("limits.retryAfter", false)?,
-        allows_peer_messages: facts.flag_or("limits.peers", false)?,
-        clients_resume: facts.flag_or("extra.resume", false)?,
-        dispatcher_index: facts.count_or_zero("me")? as usize,
+        connect_timeout_s: connect_timeout_s(settings)?,
+        idle_timeout_s: settings.number_or("limits.connIdleS", DEFAULT_IDLE_S)?,
+        max_open_requests: max_open_requests(settings)?,
+        sends_retry_after: settings.flag_or("limits.retryAfter", false)?,
+        allows_peer_messages: settings.flag_or("limits.peers", false)?,
+        clients_resume: settings.flag_or("extra.resume", false)?,
+        dispatcher_index: settings.count_or_zero("me")? as usize,
     })
 }
 
-fn open_requests(facts: &RawSettings) -> Result<usize> {
-    let requests = facts.number_or("limits.mostHeld", DEFAULT_OPEN_REQUESTS)?;
+fn max_open_requests(settings: &RawSettings) -> Result<usize> {
+    let requests = settings.number_or("limits.mostHeld", DEFAULT_OPEN_REQUESTS)?;
     Ok(requests.clamp(1.0, MAX_OPEN_REQUESTS) as usize)
 }
 
-pub(crate) fn connect_timeout_s(facts: &RawSettings) -> Result<f64> {
-    facts.number_or("limits.connectTimeoutS", DEFAULT_CONNECT_TIMEOUT_S)
+pub(crate) fn connect_timeout_s(settings: &RawSettings) -> Result<f64> {
+    settings.number_or("limits.connectTimeoutS", DEFAULT_CONNECT_TIMEOUT_S)
 }
--- a/crates/routing-settings/src/error.rs
+++ b/crates/routing-settings/src/error.rs
@@ -1,61 +1,61 @@
-//! What is wrong with the start settings.
+//! Errors in the start settings.
 
 use thiserror::Error;
 
-/// What is wrong with the settings, and at which key: to be mended where the settings are written.
+/// An error in the start settings, with the key or line that has to be corrected at their source.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
-    /// A line is not of the form `key=value`.
+    /// A line of the settings is not of the form `key=value`.
     #[error("settings line {line} has no '='")]
     NoValue {
-        /// The line's number, from 1.
+        /// Line number, from 1.
         line: usize,
     },
-    /// The JSON of the settings is a list or a plain value.
+    /// The settings are a JSON list or plain value instead of an object.
     #[error("the settings are no object")]
     NotAnObject,
-    /// A key without a default is missing: add it.
+    /// A required key is missing.
     #[error("setting {key} is missing")]
     Missing {
-        /// The key.
+        /// The missing key.
         key: String,
     },
-    /// The value has to be a finite number.
+    /// The value of a key is not a finite number.
     #[error("setting {key} is no number: {value}")]
     NotANumber {
-        /// The key.
+        /// The key whose value is invalid.
         key: String,
-        /// Its value.
+        /// The invalid value.
         value: String,
     },
-    /// The value has to be a whole number from 0 to 65,535.
+    /// The value of a key is not a whole number from 0 to 65,535.
     #[error("setting {key} is no small whole number: {value}")]
     NotACount {
-        /// The key.
+        /// The key whose value is invalid.
         key: String,
-        /// Its value.
+        /// The invalid value.
         value: f64,
     },
-    /// The value has to be `true` or `false`.
+    /// The value of a key is neither `true` nor `false`.
     #[error("setting {key} is neither true nor false: {value}")]
     NotAFlag {
-        /// The key.
+        /// The key whose value is invalid.
         key: String,
-        /// Its value.
+        /// The invalid value.
         value: String,
     },
-    /// The value is none of those that the key may have.
+    /// The value of a key is none of the values that it can have.
     #[error("setting {key} is not known: {value}")]
     UnknownValue {
-        /// The key.
+        /// The key whose value is invalid.
         key: String,
-        /// Its value.
+        /// The invalid value.
         value: String,
     },
-    /// There has to be at least one.
+    /// A count that must be at least 1 is 0.
     #[error("setting {key} is 0")]
     Zero {
-        /// The key.
+        /// The key of the count.
         key: String,
     },
 }
--- a/crates/routing-settings/src/facts.rs
+++ b/crates/routing-settings/src/facts.rs
@@ -1,22 +1,22 @@
-//! Settings as pairs of a path and a value, whatever form they came in.
+//! Start settings as a flat map from key to text value, whichever format they were read from.
 
 use std::collections::BTreeMap;
 
 use crate::error::{Result, SettingsError};
 use serde_json::Value;
 
-/// Largest number that [`RawSettings::count`] takes.
+/// Largest value that [`RawSettings::count`] accepts.
 const MAX_COUNT: f64 = 65_535.0;
 
-/// The start settings as pairs of a path and a value.
+/// Start settings as a flat map from a dotted key, such as `limits.cancel`, to its text value.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RawSettings(BTreeMap<String, String>);
 
 impl RawSettings {
-    /// From lines of `path=value`; empty lines are skipped.
+    /// Parses lines of the form `key=value`; empty lines are skipped.
     ///
     /// # Errors
-    /// A line without `=`.
+    /// Fails on a line without `=`.
     pub fn from_lines(text: &str) -> Result<Self> {
         let mut values = BTreeMap::new();
         for (index, line) in text.lines().enumerate() {
@@ -31,20 +31,21 @@
         Ok(RawSettings(values))
     }
 
-    /// From nested JSON, flattened to the names that the wire uses: lists of plain values are joined by commas,
-    /// lists of objects give their length under `.count` and their items under `.0`, `.1` and on.
+    /// Flattens nested JSON to the keys of the line format. Lists of plain values are joined by
+    /// commas; a list of objects is stored as its length under `.count` and its items under `.0`,
+    /// `.1` and so on.
     ///
     /// # Errors
-    /// Settings that are no object.
+    /// Fails if the value is not a JSON object.
     pub fn from_json(value: &Value) -> Result<Self> {
         let Value::Object(fields) = value else {
             return Err(SettingsError::NotAnObject);
         };
-        let mut facts = RawSettings::default();
+        let mut settings = RawSettings::default();
         for (key, value) in fields {
-            facts.flatten(key, value);
+            settings.flatten(key, value);
         }
-        Ok(facts)
+        Ok(settings)
     }
 
     fn flatten(&mut self, path: &str, value: &Value) {
@@ -62,10 +63,10 @@
                 }
             }
             Value::Array(items) => {
-                let joined: Vec<String> = items.iter().map(plain_value).collect();
+                let joined: Vec<String> = items.iter().map(format_plain_value).collect();
                 self.insert(path.to_string(), joined.join(","));
             }
-            other => self.insert(path.to_string(), plain_value(other)),
+            other => self.insert(path.to_string(), format_plain_value(other)),
         }
     }
 
@@ -73,30 +74,30 @@
         self.0.insert(key, value);
     }
 
-    /// The value of a key.
+    /// Returns the value of a key, or `None` if the key is missing.
     pub(crate) fn get(&self, key: &str) -> Option<&str> {
         self.0.get(key).map(String::as_str)
     }
 
-    /// The value of a key that has no default.
+    /// Returns the value of a required key.
     pub(crate) fn text(&self, key: &str) -> Result<&str> {
         self.get(key).ok_or_else(|| SettingsError::Missing {
             key: key.to_string(),
         })
     }
 
-    /// A finite number, or its default.
+    /// Returns a key's value as a finite number, or the default if the key is missing.
     pub(crate) fn number_or(&self, key: &str, default: f64) -> Result<f64> {
         self.get(key)
             .map_or(Ok(default), |value| parse_number(key, value))
     }
 
-    /// A finite number.
+    /// Returns the value of a required key as a finite number.
     pub(crate) fn number(&self, key: &str) -> Result<f64> {
         parse_number(key, self.text(key)?)
     }
 
-    /// A whole number from 0 to [`MAX_COUNT`].
+    /// Returns the value of a required key as a whole number from 0 to [`MAX_COUNT`].
     pub(crate) fn count(&self, key: &str) -> Result<u32> {
         let value = self.number(key)?;
         if (0.0..=MAX_COUNT).contains(&value) && value.fract() == 0.0 {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// The same, or 0 where the key is missing.
+    /// Returns a key's value as a whole number from 0 to [`MAX_COUNT`], or 0 if the key is missing.
     pub(crate) fn count_or_zero(&self, key: &str) -> Result<u32> {
         if self.get(key).is_some() {
             self.count(key)
@@ -118,7 +119,7 @@
         }
     }
 
-    /// `true` or `false`, or the default.
+    /// Returns a key's value as a boolean, or the default if the key is missing.
     pub(crate) fn flag_or(&self, key: &str, default: bool) -> Result<bool> {
         match self.get(key) {
             None => Ok(default),
@@ -131,13 +132,13 @@
         }
     }
 
-    /// The values that commas separate; empty where the key is missing.
+    /// Returns the comma-separated values of a key; empty if the key is missing.
     pub(crate) fn list(&self, key: &str) -> Vec<&str> {
         let values = self.get(key).unwrap_or_default().split(',');
         values.filter(|value| !value.is_empty()).collect()
     }
 
-    /// The same as finite numbers.
+    /// Returns the comma-separated values of a key as finite numbers; empty if the key is missing.
     pub(crate) fn numbers(&self, key: &str) -> Result<Vec<f64>> {
         self.list(key)
             .into_iter()
@@ -146,8 +147,8 @@
     }
 }
 
-/// One value as the wire writes it; spaces and commas in it become `_`.
-fn plain_value(value: &Value) -> String {
+/// Writes one JSON value as in the line format, where spaces and commas in a text become `_`.
+fn format_plain_value(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace([' ', ','], "_"),
         other => other.to_string(),
--- a/crates/routing-settings/src/lib.rs
+++ b/crates/routing-settings/src/lib.rs
@@ -1,6 +1,8 @@
-//! The start settings of a dispatcher. The simulator's wire gives them as `key=value` lines, the
-//! platform's configuration as nested JSON; both become the same [`RawSettings`], and one reader gives them
-//! their meaning.
+//! Reads the start settings of a dispatcher.
+//!
+//! The simulator's protocol carries the settings as `key=value` lines, the platform's configuration
+//! as nested JSON. Both are converted to the same [`RawSettings`], which the `read_*` functions
+//! interpret.
 
 mod bounds;
 mod error;
--- a/crates/routing-settings/src/names.rs
+++ b/crates/routing-settings/src/names.rs
@@ -1,44 +1,44 @@
-//! The names behind the indexes that the decision module is given.
+//! Names of the classes, kinds, zones and tenants that the decision module knows only by index.
 
 use crate::error::Result;
 use crate::facts::RawSettings;
 
-/// The names of what the settings count, each in the order of its index.
+/// Names of the items in the settings; each list is in the order of the items' indexes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
-    /// Classes of requests.
+    /// Names of the request classes.
     pub classes: Vec<String>,
-    /// Kinds of servers.
+    /// Names of the kinds of servers.
     pub kinds: Vec<String>,
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Fields of a load report.
+    /// Names of the fields of a load report.
     pub report_fields: Vec<String>,
-    /// Tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
 }
 
-/// The names of classes, kinds of servers, zones, report fields and tenants.
+/// Reads the names of classes, kinds of servers, zones, report fields and tenants.
 ///
 /// # Errors
-/// A class or a tenant without a name, or a count that cannot be read.
-pub fn read_names(facts: &RawSettings) -> Result<Names> {
-    let tenant_count = facts.count_or_zero("customers.count")?;
-    let class_count = facts.count("classes.count")?;
+/// Fails on a class or tenant without a name, and on a count that cannot be parsed.
+pub fn read_names(settings: &RawSettings) -> Result<Names> {
+    let tenant_count = settings.count_or_zero("customers.count")?;
+    let class_count = settings.count("classes.count")?;
     Ok(Names {
-        classes: names_of_items(facts, "classes", class_count)?,
-        kinds: names_in_list(facts, "kinds"),
-        zones: names_in_list(facts, "zones"),
-        report_fields: names_in_list(facts, "report.fields"),
-        tenants: names_of_items(facts, "customers", tenant_count)?,
+        classes: item_names(settings, "classes", class_count)?,
+        kinds: listed_names(settings, "kinds"),
+        zones: listed_names(settings, "zones"),
+        report_fields: listed_names(settings, "report.fields"),
+        tenants: item_names(settings, "customers", tenant_count)?,
     })
 }
 
-fn names_in_list(facts: &RawSettings, key: &str) -> Vec<String> {
-    facts.list(key).into_iter().map(str::to_string).collect()
+fn listed_names(settings: &RawSettings, key: &str) -> Vec<String> {
+    settings.list(key).into_iter().map(str::to_string).collect()
 }
 
-fn names_of_items(facts: &RawSettings, list: &str, count: u32) -> Result<Vec<String>> {
-    let name = |index| Ok(facts.text(&format!("{list}.{index}.name"))?.to_string());
+fn item_names(settings: &RawSettings, list: &str, count: u32) -> Result<Vec<String>> {
+    let name = |index| Ok(settings.text(&format!("{list}.{index}.name"))?.to_string());
     (0..count).map(name).collect()
 }
--- a/crates/routing-settings/tests/settings.rs
+++ b/crates/routing-settings/tests/settings.rs
@@ -1,4 +1,5 @@
-//! What each key of the start settings means, its default, and the message where it cannot be read.
+//! Checks the meaning and default of each key of the start settings, and the error message for values
+//! that cannot be parsed.
 
 use bitternlatch_policy::interface::{
     ClassSettings, Effect, KeyScope, KindSettings, Limits, ReportField, ReportMode, Role, Settings,
@@ -9,13 +10,15 @@
 };
 use serde_json::json;
 
-const REQUIRED: &str = "balancers=2\nlocality=1\nclasses.count=1\nclasses.0.name=chat\n\
+/// The smallest complete settings: every required key and no other.
+const REQUIRED_LINES: &str = "balancers=2\nlocality=1\nclasses.count=1\nclasses.0.name=chat\n\
 classes.0.aimS=1.5\nclasses.0.deadlineS=6.0\nclasses.0.effect=free\nreport.how=off\n\
 contract.overloadFactor=2.5\ncontract.startCapacity=0.25\ncontract.fallS=3.0\n\
 contract.warmAfterS=14.0\nextra.kindRole=read\nextra.pinLimitS=0.5\nlimits.maxAttempts=4\n\
 membershipMode=pushed\n";
 
-const ALL: &str = "balancers=60\nlocality=1\nclasses.count=3\nclasses.0.name=chat\n\
+/// Settings that contain every key.
+const ALL_LINES: &str = "balancers=60\nlocality=1\nclasses.count=3\nclasses.0.name=chat\n\
 classes.0.aimS=1.5\nclasses.0.deadlineS=6.0\nclasses.0.effect=free\nclasses.0.worth=2.0\n\
 classes.0.lateWorth=0.3\nclasses.1.name=book\nclasses.1.aimS=2.5\nclasses.1.deadlineS=12.0\n\
 classes.1.effect=guarded\nclasses.1.keyScope=zone\nclasses.1.repeatWindowS=5.0\n\
@@ -32,8 +35,8 @@
 limits.connectTimeoutS=0.5\nlimits.connIdleS=20.0\nlimits.mostHeld=500\nlimits.retryAfter=true\n\
 limits.peers=true\nme=7\nkinds=reader,writer,mixed\nzones=north,south\n";
 
-fn facts(text: &str) -> RawSettings {
-    RawSettings::from_lines(text).expect("lines of path=value")
+fn raw_settings(text: &str) -> RawSettings {
+    RawSettings::from_lines(text).expect("lines of key=value")
 }
 
 fn class(effect: Effect) -> ClassSettings {
@@ -121,9 +124,9 @@
 }
 
 #[test]
-fn every_key_is_read() {
-    let facts = facts(ALL);
-    assert_eq!(read_settings(&facts), Ok(all_settings()));
+fn every_key_is_parsed() {
+    let raw = raw_settings(ALL_LINES);
+    assert_eq!(read_settings(&raw), Ok(all_settings()));
     let bounds = Bounds {
         connect_timeout_s: 0.5,
         idle_timeout_s: 20.0,
@@ -133,7 +136,7 @@
         clients_resume: true,
         dispatcher_index: 7,
     };
-    assert_eq!(read_bounds(&facts), Ok(bounds));
+    assert_eq!(read_bounds(&raw), Ok(bounds));
     let owned = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
     let names = Names {
         classes: owned(&["chat", "book", "pay"]),
@@ -142,12 +145,12 @@
         report_fields: owned(&["concurrent", "depth", "load_share", "x0", "x1", "x2"]),
         tenants: owned(&["a", "b"]),
     };
-    assert_eq!(read_names(&facts), Ok(names));
+    assert_eq!(read_names(&raw), Ok(names));
 }
 
 #[test]
-fn keys_that_are_missing_have_their_defaults() {
-    let facts = facts(REQUIRED);
+fn missing_optional_keys_have_defaults() {
+    let raw = raw_settings(REQUIRED_LINES);
     let settings = Settings {
         dispatchers: 2,
         classes: vec![class(Effect::Idempotent)],
@@ -169,7 +172,7 @@
         tick_s: 0.001,
         ..all_settings()
     };
-    assert_eq!(read_settings(&facts), Ok(settings));
+    assert_eq!(read_settings(&raw), Ok(settings));
     let bounds = Bounds {
         connect_timeout_s: 0.25,
         idle_timeout_s: 15.0,
@@ -179,11 +182,11 @@
         clients_resume: false,
         dispatcher_index: 0,
     };
-    assert_eq!(read_bounds(&facts), Ok(bounds));
+    assert_eq!(read_bounds(&raw), Ok(bounds));
 }
 
 #[test]
-fn nested_json_means_the_same_as_lines() {
+fn nested_json_and_lines_give_equal_settings() {
     let value = json!({
         "balancers": 2,
         "classes": [{"name": "a b,c", "aimS": 1.5, "none": null}],
@@ -192,15 +195,16 @@
     });
     let lines = "balancers=2\nclasses.count=1\nclasses.0.name=a_b_c\nclasses.0.aimS=1.5\n\n\
 report.fields=depth,x0\nlimits.cancel = true\n";
-    assert_eq!(RawSettings::from_json(&value), Ok(facts(lines)));
-    let list = RawSettings::from_json(&json!([1])).expect_err("a list");
+    assert_eq!(RawSettings::from_json(&value), Ok(raw_settings(lines)));
+    let list = RawSettings::from_json(&json!([1])).expect_err("a list is not an object");
     assert_eq!(list.to_string(), "the settings are no object");
-    let bare = RawSettings::from_lines("balancers=2\nbare").expect_err("no value");
-    assert_eq!(bare.to_string(), "settings line 2 has no '='");
+    let no_value =
+        RawSettings::from_lines("balancers=2\nbare").expect_err("a line without a value");
+    assert_eq!(no_value.to_string(), "settings line 2 has no '='");
 }
 
 #[test]
-fn what_cannot_be_read_is_named() {
+fn errors_name_the_key_and_value() {
     let table = [
         ("balancers=2", "", "setting balancers is missing"),
         (
@@ -251,13 +255,14 @@
         ),
     ];
     for (from, to, message) in table {
-        let error = read_settings(&facts(&REQUIRED.replace(from, to))).expect_err(message);
+        let error =
+            read_settings(&raw_settings(&REQUIRED_LINES.replace(from, to))).expect_err(message);
         assert_eq!(error.to_string(), message);
     }
-    let nameless = facts(&REQUIRED.replace("classes.0.name=chat\n", ""));
-    let error = read_names(&nameless).expect_err("no name");
+    let unnamed_class = raw_settings(&REQUIRED_LINES.replace("classes.0.name=chat\n", ""));
+    let error = read_names(&unnamed_class).expect_err("a class without a name");
     assert_eq!(error.to_string(), "setting classes.0.name is missing");
-    let odd_me = facts(&format!("{REQUIRED}me=-1\n"));
-    let error = read_bounds(&odd_me).expect_err("a negative number");
+    let negative_index = raw_settings(&format!("{REQUIRED_LINES}me=-1\n"));
+    let error = read_bounds(&negative_index).expect_err("a negative index");
     assert_eq!(error.to_string(), "setting me is no small whole number: -1");
 }
