--- a/crates/policy/tests/common/digest.rs
+++ b/crates/policy/tests/common/digest.rs
@@ -1,4 +1,5 @@
-//! A digest of decisions over an explicit encoding, so that neither a renamed type nor another hasher moves it.
+//! A digest of a router's actions. Each action is encoded explicitly, so that neither the name of a
+//! type nor the choice of a hasher changes the digest.
 #![allow(dead_code)]
 
 use bitternlatch_policy::choice::Router;
@@ -7,7 +8,7 @@
 const FNV_OFFSET: u64 = 0xCBF2_9CE4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01B3;
 
-/// FNV-1a of 64 bits over what is added to it, in order.
+/// A 64-bit FNV-1a hash over the values added so far, in order.
 #[derive(Clone, Copy)]
 pub struct Digest(u64);
 
@@ -34,17 +35,19 @@
         self.number(seconds.to_bits());
     }
 
+    /// Adds a byte string, preceded by its length.
     fn text(&mut self, text: &[u8]) {
         self.number(text.len() as u64);
         self.bytes(text);
     }
 
+    /// Adds the code of a variant and its fields as numbers.
     fn coded(&mut self, code: u8, numbers: &[u64]) {
         self.bytes(&[code]);
         numbers.iter().for_each(|number| self.number(*number));
     }
 
-    /// An action: a code number of its own here, then its fields in order.
+    /// Adds an action: a code for its variant, used only here, then its fields in order.
     pub fn action(&mut self, action: &Action) {
         match *action {
             Action::Send {
@@ -90,7 +93,8 @@
         }
     }
 
-    /// What a router says of its last choice, and of the last request that it did not serve.
+    /// Adds a router's explanations of its latest choice and of the latest request that it ended
+    /// without serving it.
     pub fn explanations(&mut self, router: &Router) {
         let last = router.last_choice();
         self.number(last.request.into());
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,9 +1,11 @@
-//! A small fleet and short ways to drive a router through its public interface.
+//! A test harness that drives one router through its public interface, with default settings and
+//! requests.
 #![allow(dead_code)]
 
 use bitternlatch_policy::choice::Router;
 use bitternlatch_policy::interface::*;
 
+/// Clock time at which a test starts, seconds.
 pub const T0: f64 = 1000.0;
 
 pub fn class(effect: Effect) -> ClassSettings {
@@ -85,20 +87,23 @@
     }
 }
 
-/// A router with its clock and what it last asked for.
+/// Drives one router with a simulated clock and records the actions that it returns.
 pub struct RouterHarness {
     pub router: Router,
     pub now: f64,
+    /// Timers that have not fired: clock time and label.
     pub timers: Vec<(f64, u64)>,
-    /// Attempts sent so far: request, server, time-out.
+    /// Attempts sent so far: request, server and timeout in seconds.
     pub sends: Vec<(RequestId, ServerId, f64)>,
+    /// All actions so far, in order.
     pub log: Vec<Action>,
-    /// Probes are answered at once, with no report.
+    /// Whether each probe is answered at once, without a load report.
     pub answers_probes: bool,
 }
 
 impl RouterHarness {
-    /// Prefill servers 1 and 2, decode servers 11 and 12; cells 0 and 1.
+    /// Creates a router for prefill servers 1 and 2 and decode servers 11 and 12; servers 1 and 11 are
+    /// in cell 0, servers 2 and 12 in cell 1.
     pub fn new(settings: Settings) -> Self {
         let fleet = vec![
             server(1, 0, 0),
@@ -126,6 +131,7 @@
         harness
     }
 
+    /// Passes an event to the router, answers its probes if that is enabled, and returns the actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.router.handle(self.now, event, &mut out);
@@ -156,19 +162,20 @@
         out
     }
 
-    pub fn change(&mut self, entry: ServerEntry) {
+    /// Notifies the router of a changed entry of the endpoint list.
+    pub fn update_server(&mut self, entry: ServerEntry) {
         self.handle(Event::Servers {
             form: ListForm::Delta,
             entries: vec![entry],
         });
     }
 
-    pub fn arrive(&mut self, new_request: Request) -> Vec<Action> {
-        self.handle(Event::Arrival(new_request))
+    pub fn arrive(&mut self, request: Request) -> Vec<Action> {
+        self.handle(Event::Arrival(request))
     }
 
-    /// Lets time pass, with the timers that come due.
-    pub fn pass(&mut self, seconds: f64) -> Vec<Action> {
+    /// Advances the clock, fires the timers that come due and returns their actions.
+    pub fn advance(&mut self, seconds: f64) -> Vec<Action> {
         let end = self.now + seconds;
         let mut all = Vec::new();
         loop {
@@ -186,24 +193,25 @@
         all
     }
 
-    pub fn last(&self) -> (RequestId, ServerId) {
+    /// Returns the request and the server of the latest attempt.
+    pub fn last_send(&self) -> (RequestId, ServerId) {
         self.sends
             .last()
             .map(|s| (s.0, s.1))
             .expect("something was sent")
     }
 
-    /// Ends the newest attempt of a request.
-    pub fn end(
+    /// Ends the latest attempt of a request and returns the router's actions.
+    pub fn end_attempt(
         &mut self,
         request: RequestId,
         outcome: Outcome,
-        took: f64,
-        hit: f64,
+        elapsed_s: f64,
+        prefix_hit_tokens: f64,
     ) -> Vec<Action> {
         let sent: Vec<_> = self.sends.iter().filter(|s| s.0 == request).collect();
         if sent.is_empty() {
-            return vec![]; // It was rejected.
+            return vec![]; // The request was rejected.
         }
         let (attempt, server) = ((sent.len() - 1) as u16, sent[sent.len() - 1].1);
         let finished = outcome == Outcome::Served;
@@ -212,27 +220,28 @@
             attempt,
             server,
             outcome,
-            elapsed_s: took,
+            elapsed_s,
             finished,
-            prefix_hit_tokens: hit,
+            prefix_hit_tokens,
             report: vec![],
         }))
     }
 
-    /// Takes a request through read and answer; returns its prefill server.
-    pub fn serve(&mut self, new_request: Request, hit: f64) -> ServerId {
-        let id = new_request.id;
-        self.arrive(new_request);
-        let prefill_server = self.last().1;
-        self.pass(0.05);
-        self.end(id, Outcome::PrefillDone, 0.05, hit);
-        self.stream(id);
-        self.pass(0.05);
-        self.end(id, Outcome::Served, 0.1, 0.0);
+    /// Serves a request from its arrival to the end of its answer and returns its prefill server.
+    pub fn serve(&mut self, request: Request, prefix_hit_tokens: f64) -> ServerId {
+        let id = request.id;
+        self.arrive(request);
+        let prefill_server = self.last_send().1;
+        self.advance(0.05);
+        self.end_attempt(id, Outcome::PrefillDone, 0.05, prefix_hit_tokens);
+        self.start_stream(id);
+        self.advance(0.05);
+        self.end_attempt(id, Outcome::Served, 0.1, 0.0);
         prefill_server
     }
 
-    pub fn stream(&mut self, request: RequestId) {
+    /// Reports the first token of a request's answer from the server of its latest attempt.
+    pub fn start_stream(&mut self, request: RequestId) {
         let Some(server) = self
             .sends
             .iter()
@@ -251,6 +260,7 @@
     }
 }
 
+/// Returns the probed server if the action is a probe.
 pub fn probe(action: &Action) -> Option<ServerId> {
     match action {
         Action::Probe { server } => Some(*server),
@@ -272,6 +282,7 @@
     actions.contains(&Action::Release { request: id })
 }
 
+/// Counts the rejections and failures of a request, of which there may be at most one.
 pub fn final_answers(log: &[Action], id: RequestId) -> usize {
     log.iter()
         .filter(|a| rejected(std::slice::from_ref(a), id) || failed(std::slice::from_ref(a), id))
--- a/crates/policy/tests/defences.rs
+++ b/crates/policy/tests/defences.rs
@@ -1,9 +1,10 @@
-//! Each defence against a kind of symptom, alone and two together.
+//! Each of the router's mechanisms against failure symptoms, such as silence, fast errors, late answers
+//! and overload; one test combines a failing and a draining server.
 mod common;
 use bitternlatch_policy::interface::*;
 use common::*;
 
-fn plain(id: RequestId) -> Request {
+fn without_prefix(id: RequestId) -> Request {
     Request {
         prefix: 0,
         prefix_tokens: 0.0,
@@ -11,15 +12,16 @@
     }
 }
 
-/// A turn of one session, so that its replicas stand in one order.
-fn same(id: RequestId) -> Request {
+/// Creates a request of session 5. Requests of one session see the replicas of a prefix in the same
+/// order.
+fn same_session(id: RequestId) -> Request {
     Request {
         session: 5,
         ..new_request(id)
     }
 }
 
-fn reads_at(harness: &RouterHarness, from: usize, server: ServerId) -> usize {
+fn prefills_at(harness: &RouterHarness, from: usize, server: ServerId) -> usize {
     harness.sends[from..]
         .iter()
         .filter(|s| s.1 == server)
@@ -29,22 +31,22 @@
 #[test]
 fn overdue_prefill_diverts_requests_from_its_replica() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    let replica = harness.serve(same(1), 0.0);
-    harness.arrive(same(2));
-    assert_eq!(harness.last().1, replica);
-    harness.pass(0.8);
-    harness.arrive(same(3));
-    assert_ne!(harness.last().1, replica);
+    let replica = harness.serve(same_session(1), 0.0);
+    harness.arrive(same_session(2));
+    assert_eq!(harness.last_send().1, replica);
+    harness.advance(0.8);
+    harness.arrive(same_session(3));
+    assert_ne!(harness.last_send().1, replica);
 }
 
 #[test]
 fn one_evicted_prefix_does_not_divert_requests_from_its_replica() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    let replica = harness.serve(same(1), 1500.0);
-    harness.pass(5.0);
-    harness.serve(same(2), 0.0);
-    harness.pass(5.0);
-    assert_eq!(harness.serve(same(3), 1500.0), replica);
+    let replica = harness.serve(same_session(1), 1500.0);
+    harness.advance(5.0);
+    harness.serve(same_session(2), 0.0);
+    harness.advance(5.0);
+    assert_eq!(harness.serve(same_session(3), 1500.0), replica);
 }
 
 #[test]
@@ -53,35 +55,36 @@
     let mut from = 0;
     for id in 1..80 {
         from = if id == 40 { harness.sends.len() } else { from };
-        harness.arrive(plain(id));
-        if harness.last().1 == 1 {
-            harness.end(id, Outcome::Error, 0.002, 0.0);
+        harness.arrive(without_prefix(id));
+        if harness.last_send().1 == 1 {
+            harness.end_attempt(id, Outcome::Error, 0.002, 0.0);
         }
-        harness.pass(0.05);
-        harness.end(id, Outcome::PrefillDone, 0.05, 0.0);
-        harness.stream(id);
-        harness.end(id, Outcome::Served, 0.1, 0.0);
-        harness.pass(0.3);
+        harness.advance(0.05);
+        harness.end_attempt(id, Outcome::PrefillDone, 0.05, 0.0);
+        harness.start_stream(id);
+        harness.end_attempt(id, Outcome::Served, 0.1, 0.0);
+        harness.advance(0.3);
     }
     assert!(
-        reads_at(&harness, from, 1) <= 5,
-        "{} reads at the failing server",
-        reads_at(&harness, from, 1)
+        prefills_at(&harness, from, 1) <= 5,
+        "{} prefills at the failing server",
+        prefills_at(&harness, from, 1)
     );
 }
 
-/// When a read is called back whose prefill server was last heard of so long before.
-fn called_back_after(quiet_s: f64) -> Option<usize> {
+/// Returns after how many tenths of a second an unanswered prefill is cancelled, if its server's last
+/// response came `quiet_s` before the request; `None` if it is not cancelled within 6 s.
+fn cancelled_after(quiet_s: f64) -> Option<usize> {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    harness.change(ServerEntry {
+    harness.update_server(ServerEntry {
         status: ServerStatus::Draining,
         ..server(2, 0, 1)
     });
-    harness.serve(same(1), 0.0);
-    harness.pass(quiet_s);
-    harness.arrive(same(2));
+    harness.serve(same_session(1), 0.0);
+    harness.advance(quiet_s);
+    harness.arrive(same_session(2));
     (1..60).find(|_| {
-        harness.pass(0.1).contains(&Action::Cancel {
+        harness.advance(0.1).contains(&Action::Cancel {
             request: 2,
             attempt: 0,
         })
@@ -91,41 +94,41 @@
 #[test]
 fn prefill_at_a_silent_server_is_cancelled_and_retried_elsewhere() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    let silent = harness.serve(same(1), 0.0);
-    harness.pass(1.0);
-    harness.arrive(same(2));
-    assert_eq!(harness.last(), (2, silent));
-    assert!(harness.pass(2.5).contains(&Action::Cancel {
+    let silent = harness.serve(same_session(1), 0.0);
+    harness.advance(1.0);
+    harness.arrive(same_session(2));
+    assert_eq!(harness.last_send(), (2, silent));
+    assert!(harness.advance(2.5).contains(&Action::Cancel {
         request: 2,
         attempt: 0
     }));
-    harness.end(2, Outcome::Cancelled, 2.5, 0.0);
-    assert_ne!(harness.last().1, silent);
+    harness.end_attempt(2, Outcome::Cancelled, 2.5, 0.0);
+    assert_ne!(harness.last_send().1, silent);
 }
 
 #[test]
-fn silence_counts_less_at_a_server_not_heard_of_lately() {
-    let (often, seldom) = (called_back_after(1.0), called_back_after(20.0));
+fn silence_counts_less_at_a_server_without_recent_responses() {
+    let (recent, stale) = (cancelled_after(1.0), cancelled_after(20.0));
     assert!(
-        often.is_some() && seldom > often,
-        "{often:?} against {seldom:?}"
+        recent.is_some() && stale > recent,
+        "{recent:?} against {stale:?}"
     );
 }
 
 #[test]
 fn late_prefill_at_a_server_that_answers_others_is_not_cancelled() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    harness.change(ServerEntry {
+    harness.update_server(ServerEntry {
         status: ServerStatus::Draining,
         ..server(2, 0, 1)
     });
-    harness.arrive(same(1));
-    harness.arrive(same(2));
+    harness.arrive(same_session(1));
+    harness.arrive(same_session(2));
     assert_eq!(harness.sends[0].1, harness.sends[1].1);
-    harness.pass(1.0);
-    harness.end(2, Outcome::PrefillDone, 1.0, 0.0);
+    harness.advance(1.0);
+    harness.end_attempt(2, Outcome::PrefillDone, 1.0, 0.0);
     assert!(!harness
-        .pass(1.5)
+        .advance(1.5)
         .iter()
         .any(|a| matches!(a, Action::Cancel { request: 1, .. })));
 }
@@ -134,48 +137,50 @@
 fn silent_server_gets_trials_and_recovers() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
     for id in 1..4 {
-        harness.change(ServerEntry {
+        harness.update_server(ServerEntry {
             status: ServerStatus::Draining,
             ..server(2, 0, 1)
         });
-        harness.arrive(plain(id));
-        harness.pass(2.0);
-        harness.change(server(2, 0, 1));
-        harness.end(id, Outcome::Reset, 2.0, 0.0);
-        harness.end(id, Outcome::PrefillDone, 0.05, 0.0);
-        harness.stream(id);
-        harness.end(id, Outcome::Served, 0.1, 0.0);
+        harness.arrive(without_prefix(id));
+        harness.advance(2.0);
+        harness.update_server(server(2, 0, 1));
+        harness.end_attempt(id, Outcome::Reset, 2.0, 0.0);
+        harness.end_attempt(id, Outcome::PrefillDone, 0.05, 0.0);
+        harness.start_stream(id);
+        harness.end_attempt(id, Outcome::Served, 0.1, 0.0);
     }
     let from = harness.sends.len();
     for id in 200..400 {
         let group = [id, id + 1000, id + 2000];
-        group.iter().for_each(|id| drop(harness.arrive(plain(*id))));
-        harness.pass(0.1);
+        group
+            .iter()
+            .for_each(|id| drop(harness.arrive(without_prefix(*id))));
+        harness.advance(0.1);
         for id in group {
-            harness.end(id, Outcome::PrefillDone, 0.1, 0.0);
-            harness.stream(id);
-            harness.end(id, Outcome::Served, 0.1, 0.0);
+            harness.end_attempt(id, Outcome::PrefillDone, 0.1, 0.0);
+            harness.start_stream(id);
+            harness.end_attempt(id, Outcome::Served, 0.1, 0.0);
         }
     }
     assert!(
-        reads_at(&harness, from, 1) > 100,
-        "{} reads",
-        reads_at(&harness, from, 1)
+        prefills_at(&harness, from, 1) > 100,
+        "{} prefills",
+        prefills_at(&harness, from, 1)
     );
 }
 
 #[test]
 fn retries_have_a_budget() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    let mut given_up = 0;
+    let mut answered = 0;
     for id in 1..200 {
-        harness.arrive(plain(id));
+        harness.arrive(without_prefix(id));
         while final_answers(&harness.log, id) == 0 {
-            harness.end(id, Outcome::Error, 0.002, 0.0);
+            harness.end_attempt(id, Outcome::Error, 0.002, 0.0);
         }
-        given_up += final_answers(&harness.log, id);
+        answered += final_answers(&harness.log, id);
     }
-    assert_eq!(given_up, 199);
+    assert_eq!(answered, 199);
     assert!(
         harness.sends.len() < 199 * 3 / 2,
         "{} sends",
@@ -198,23 +203,23 @@
     };
     busy(&mut harness, 0.8);
     harness.arrive(new_request(1));
-    harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
-    assert_eq!(harness.last().1, 12);
-    harness.pass(1.2);
-    harness.stream(1);
+    harness.end_attempt(1, Outcome::PrefillDone, 0.1, 0.0);
+    assert_eq!(harness.last_send().1, 12);
+    harness.advance(1.2);
+    harness.start_stream(1);
     busy(&mut harness, 0.8);
     harness.arrive(new_request(2));
-    harness.end(2, Outcome::PrefillDone, 0.1, 0.0);
-    assert_eq!(harness.last().1, 11);
+    harness.end_attempt(2, Outcome::PrefillDone, 0.1, 0.0);
+    assert_eq!(harness.last_send().1, 11);
 }
 
 #[test]
 fn burst_beyond_the_latency_objective_is_rejected_with_retry_after() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
     for id in 1..80 {
-        harness.arrive(plain(id));
+        harness.arrive(without_prefix(id));
     }
-    let refusals: Vec<f64> = harness
+    let retry_after_s: Vec<f64> = harness
         .log
         .iter()
         .filter_map(|a| match a {
@@ -222,7 +227,7 @@
             _ => None,
         })
         .collect();
-    assert!(!refusals.is_empty() && refusals.iter().all(|t| *t > 0.0 && *t <= 2.0));
+    assert!(!retry_after_s.is_empty() && retry_after_s.iter().all(|t| *t > 0.0 && *t <= 2.0));
 }
 
 #[test]
@@ -230,18 +235,18 @@
     let sends = |late: bool, rest: f64| {
         let mut harness = RouterHarness::new(settings(Effect::Idempotent));
         for id in 1..20 {
-            harness.arrive(plain(id));
-            harness.end(id, Outcome::PrefillDone, 0.05, 0.0);
+            harness.arrive(without_prefix(id));
+            harness.end_attempt(id, Outcome::PrefillDone, 0.05, 0.0);
         }
         harness.now += if late { 2.5 } else { 0.1 };
         for id in 1..20 {
-            harness.stream(id);
-            harness.end(id, Outcome::Served, 0.1, 0.0);
+            harness.start_stream(id);
+            harness.end_attempt(id, Outcome::Served, 0.1, 0.0);
         }
-        harness.pass(rest);
+        harness.advance(rest);
         let from = harness.sends.len();
         for id in 100..180 {
-            harness.arrive(plain(id));
+            harness.arrive(without_prefix(id));
         }
         harness.sends.len() - from
     };
@@ -264,21 +269,22 @@
     for id in 1..30 {
         harness.arrive(Request {
             tenant: id % 2,
-            ..plain(id)
+            ..without_prefix(id)
         });
     }
-    let refused_of = |tenant: u32| {
+    let rejected_of = |tenant: u32| {
         (1..30)
             .filter(|id| id % 2 == tenant && rejected(&harness.log, *id))
             .count()
     };
-    assert!(refused_of(0) > refused_of(1));
+    assert!(rejected_of(0) > rejected_of(1));
 }
 
 #[test]
-fn quota_fraction_counts_from_its_time_and_shrinks_at_once() {
-    // Of 200 requests a second a router of a hundred has two; with the whole, a burst of 400.
-    let refused_with = |parts: &[(f64, f64)]| {
+fn quota_fraction_applies_from_its_start_and_is_reduced_at_once() {
+    // Of a quota of 200 requests per second, one of a hundred routers has 2; with the whole quota it
+    // may admit a burst of 400.
+    let rejected_with = |fractions: &[(f64, f64)]| {
         let tenants = vec![TenantSettings { quota_rps: 200.0 }];
         let set = Settings {
             tenants,
@@ -287,36 +293,36 @@
             ..settings(Effect::Idempotent)
         };
         let mut harness = RouterHarness::new(set);
-        for (part, ago) in parts {
+        for (fraction, ago_s) in fractions {
             harness.handle(Event::QuotaFraction {
-                fraction: *part,
-                since: harness.now - ago,
+                fraction: *fraction,
+                since: harness.now - ago_s,
             });
-            harness.pass(10.0);
+            harness.advance(10.0);
         }
-        (1..60).for_each(|id| drop(harness.arrive(plain(id))));
+        (1..60).for_each(|id| drop(harness.arrive(without_prefix(id))));
         (1..60).filter(|id| rejected(&harness.log, *id)).count()
     };
-    let alone = refused_with(&[]);
+    let alone = rejected_with(&[]);
     assert!(alone > 40, "{alone}");
-    // What the fleet cannot bear is rejected whatever the share.
-    let whole = refused_with(&[(1.0, 0.0)]);
+    // Requests beyond the capacity of the servers are rejected whatever the quota fraction.
+    let whole = rejected_with(&[(1.0, 0.0)]);
     assert!(whole < alone / 2, "{whole} against {alone}");
-    assert_eq!(refused_with(&[(1.0, 0.0), (0.01, 0.0)]), alone, "shrunk");
-    assert!(refused_with(&[(0.0, 20.0), (0.0, 0.0)]) >= alone);
+    assert_eq!(rejected_with(&[(1.0, 0.0), (0.01, 0.0)]), alone, "reduced");
+    assert!(rejected_with(&[(0.0, 20.0), (0.0, 0.0)]) >= alone);
 }
 
 #[test]
 fn restart_is_seen_by_boot_time_and_clears_the_prefix_cache() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
     let replica = harness.serve(new_request(1), 0.0);
-    harness.pass(1.0);
-    harness.change(ServerEntry {
+    harness.advance(1.0);
+    harness.update_server(ServerEntry {
         booted_at: harness.now,
         ..server(replica, 0, (replica - 1) as u16)
     });
     harness.arrive(new_request(2));
-    assert_ne!(harness.last().1, replica);
+    assert_ne!(harness.last_send().1, replica);
 }
 
 #[test]
@@ -330,9 +336,9 @@
     fleet[2].status = ServerStatus::Draining;
     let mut harness = RouterHarness::with_fleet(settings(Effect::NonIdempotent), fleet);
     harness.arrive(new_request(1));
-    let first = harness.last().1;
-    harness.end(1, Outcome::Reset, 0.01, 0.0);
-    assert!(harness.last().1 != first && harness.last().1 != 3);
+    let first = harness.last_send().1;
+    harness.end_attempt(1, Outcome::Reset, 0.01, 0.0);
+    assert!(harness.last_send().1 != first && harness.last_send().1 != 3);
 }
 
 #[test]
@@ -353,15 +359,15 @@
         elapsed_s: f64::NAN,
         report,
     });
-    let odd = Request {
+    let invalid = Request {
         prompt_tokens: f64::NAN,
         prefix_tokens: f64::INFINITY,
         class: 60_000,
         ..new_request(1)
     };
-    harness.arrive(odd);
-    harness.end(1, Outcome::PrefillDone, f64::NAN, f64::NAN);
-    harness.end(1, Outcome::Served, f64::NAN, 0.0);
+    harness.arrive(invalid);
+    harness.end_attempt(1, Outcome::PrefillDone, f64::NAN, f64::NAN);
+    harness.end_attempt(1, Outcome::Served, f64::NAN, 0.0);
     harness.serve(new_request(2), 0.0);
     assert_eq!(harness.sends.iter().filter(|s| s.0 == 2).count(), 2);
 }
@@ -373,8 +379,8 @@
             prefix: u64::from(id % 3) + 1,
             ..new_request(id)
         });
-        harness.pass(0.02);
-        harness.end(id, Outcome::PrefillDone, 0.02, 0.0);
+        harness.advance(0.02);
+        harness.end_attempt(id, Outcome::PrefillDone, 0.02, 0.0);
     };
     let mut alone = RouterHarness::new(settings(Effect::Idempotent));
     (1..40).for_each(|id| run(&mut alone, id));
@@ -392,26 +398,30 @@
 #[test]
 fn decode_server_that_failed_a_request_is_not_retried_beside_a_slightly_busier_one() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-    harness.change(ServerEntry {
+    harness.update_server(ServerEntry {
         status: ServerStatus::Draining,
         ..server(11, 1, 0)
     });
     for id in 1..51 {
-        harness.arrive(plain(id));
-        harness.pass(0.05);
-        harness.end(id, Outcome::PrefillDone, 0.05, 0.0);
-        harness.stream(id);
-        harness.pass(0.3);
+        harness.arrive(without_prefix(id));
+        harness.advance(0.05);
+        harness.end_attempt(id, Outcome::PrefillDone, 0.05, 0.0);
+        harness.start_stream(id);
+        harness.advance(0.3);
     }
-    harness.change(server(11, 1, 0));
-    harness.arrive(plain(99));
-    harness.pass(0.05);
-    harness.end(99, Outcome::PrefillDone, 0.05, 0.0);
-    assert_eq!(harness.last(), (99, 11), "the empty one first");
-    harness.end(99, Outcome::Error, 0.001, 0.0);
+    harness.update_server(server(11, 1, 0));
+    harness.arrive(without_prefix(99));
+    harness.advance(0.05);
+    harness.end_attempt(99, Outcome::PrefillDone, 0.05, 0.0);
     assert_eq!(
-        harness.last(),
+        harness.last_send(),
+        (99, 11),
+        "the idle server is chosen first"
+    );
+    harness.end_attempt(99, Outcome::Error, 0.001, 0.0);
+    assert_eq!(
+        harness.last_send(),
         (99, 12),
-        "and not again, as it fails at once and stays empty"
+        "the idle server is not retried, although its immediate failure leaves it idle"
     );
 }
--- a/crates/policy/tests/held_states.rs
+++ b/crates/policy/tests/held_states.rs
@@ -1,13 +1,17 @@
-//! What prefill servers may hold for a request is released within the pin limit, whatever is out.
+//! KV cache state that prefill servers may hold for a request is released within the hold limit,
+//! whatever is in flight.
 mod common;
 
 use bitternlatch_policy::interface::*;
 use common::*;
 
+/// Hold limit of KV cache state in these tests, seconds.
 const LIMIT_S: f64 = 1.0;
-/// The module releases before the limit, so that the release arrives by then.
+/// Time after which the router must have released a state, seconds; it is less than the limit, so that
+/// the release arrives in time.
 const RELEASED_BY_S: f64 = 0.92;
 
+/// Counts the releases among the actions.
 fn releases(actions: &[Action]) -> usize {
     actions
         .iter()
@@ -15,23 +19,23 @@
         .count()
 }
 
-/// A request whose prefill has ended and whose hand-over is out; patient, so that nothing is called
-/// back.
-fn handed_over(effect: Effect, may_cancel: bool) -> RouterHarness {
-    let mut set = Settings {
+/// Returns a router with one request whose prefill has ended and whose KV transfer is in flight. The
+/// long latency objective keeps the router from cancelling the transfer as silent.
+fn during_transfer(effect: Effect, may_cancel: bool) -> RouterHarness {
+    let mut adjusted = Settings {
         kv_hold_limit_s: LIMIT_S,
         lost_prefill_may_have_run: true,
         ..settings(effect)
     };
-    set.classes[0].ttft_objective_s = 300.0;
-    set.limits.may_cancel = may_cancel;
-    let mut harness = RouterHarness::new(set);
+    adjusted.classes[0].ttft_objective_s = 300.0;
+    adjusted.limits.may_cancel = may_cancel;
+    let mut harness = RouterHarness::new(adjusted);
     harness.arrive(new_request(1));
-    harness.pass(0.05);
-    harness.end(1, Outcome::PrefillDone, 0.05, 0.0);
+    harness.advance(0.05);
+    harness.end_attempt(1, Outcome::PrefillDone, 0.05, 0.0);
     assert!(
-        harness.sends.len() == 2 && harness.last().1 > 10,
-        "handed over"
+        harness.sends.len() == 2 && harness.last_send().1 > 10,
+        "KV transfer sent"
     );
     harness
 }
@@ -46,25 +50,30 @@
 fn kv_state_is_released_once_before_the_limit_during_its_transfer() {
     for effect in EFFECTS {
         for may_cancel in [true, false] {
-            for client_gone in [true, false] {
-                let case = format!("{effect:?} cancel {may_cancel} gone {client_gone}");
-                let mut harness = handed_over(effect, may_cancel);
-                if client_gone {
+            for disconnected in [true, false] {
+                let case = format!("{effect:?} cancel {may_cancel} disconnected {disconnected}");
+                let mut harness = during_transfer(effect, may_cancel);
+                if disconnected {
                     harness.handle(Event::ClientDisconnected { request: 1 });
                 }
                 assert_eq!(
-                    releases(&harness.pass(0.85)),
+                    releases(&harness.advance(0.85)),
                     0,
-                    "{case}: not while it may well arrive"
+                    "{case}: not while the transfer may still arrive"
                 );
-                assert_eq!(releases(&harness.pass(RELEASED_BY_S - 0.85)), 1, "{case}");
-                assert_eq!(releases(&harness.pass(3.0)), 0, "{case}: once");
+                assert_eq!(
+                    releases(&harness.advance(RELEASED_BY_S - 0.85)),
+                    1,
+                    "{case}"
+                );
+                assert_eq!(releases(&harness.advance(3.0)), 0, "{case}: once");
             }
         }
     }
 }
 
-/// What an attempt's end tells of a state that was released while it was out, and of one that was not.
+/// After a release during a KV transfer, the end of the transfer shows whether a state may still be
+/// held; if so, it is released again.
 #[test]
 fn end_after_the_release_decides_whether_a_kv_state_may_be_held() {
     let ends = [
@@ -75,7 +84,7 @@
             false,
         ),
         (Outcome::Served, false),
-        // On its way it may count as waiting for the state.
+        // A transfer in transit may already count as waiting for the state.
         (Outcome::ConnectFailed, true),
         (
             Outcome::Rejected {
@@ -90,55 +99,56 @@
     for effect in EFFECTS {
         for (outcome, held_again) in ends {
             let case = format!("{effect:?} {outcome:?}");
-            let mut harness = handed_over(effect, true);
-            assert_eq!(releases(&harness.pass(RELEASED_BY_S)), 1, "{case}");
+            let mut harness = during_transfer(effect, true);
+            assert_eq!(releases(&harness.advance(RELEASED_BY_S)), 1, "{case}");
             let before = harness.sends.len();
-            let mut after = harness.end(1, outcome, RELEASED_BY_S, 0.0);
+            let mut after = harness.end_attempt(1, outcome, RELEASED_BY_S, 0.0);
             let again = harness.sends.len() > before;
             assert!(
-                !again || harness.last().1 < 10,
-                "{case}: a further attempt begins with its prefill"
+                !again || harness.last_send().1 < 10,
+                "{case}: a further attempt starts with a new prefill"
             );
-            // The further prefill does not arrive either.
-            after.extend(harness.pass(RELEASED_BY_S));
+            // The second prefill gets no answer either.
+            after.extend(harness.advance(RELEASED_BY_S));
             assert_eq!(releases(&after), usize::from(held_again), "{case}");
         }
     }
 }
 
-/// Where cancelling stops nothing that waits, a hand-over that was given up goes on waiting for the
-/// state, and a release lets go of nothing until that has ended: it is made again while the request
-/// lives, and with its end.
+/// A cancelled KV transfer may go on waiting for the state at servers where cancelling doesn't stop
+/// it, and a release frees nothing until that wait has ended. The release is therefore repeated while
+/// the request lives, and once more when it ends.
 #[test]
 fn kv_state_is_released_again_while_a_cancelled_transfer_may_wait_for_it() {
     for outcome in [Outcome::Cancelled, Outcome::TimedOut, Outcome::Reset] {
-        let mut harness = handed_over(Effect::Idempotent, true);
-        harness.pass(RELEASED_BY_S);
-        harness.end(1, outcome, RELEASED_BY_S, 0.0);
-        assert!(harness.last().1 < 10, "{outcome:?}: read again");
-        let again = harness.pass(2.0 * RELEASED_BY_S);
+        let mut harness = during_transfer(Effect::Idempotent, true);
+        harness.advance(RELEASED_BY_S);
+        harness.end_attempt(1, outcome, RELEASED_BY_S, 0.0);
+        assert!(harness.last_send().1 < 10, "{outcome:?}: prefilled again");
+        let again = harness.advance(2.0 * RELEASED_BY_S);
         assert_eq!(
             releases(&again),
             2,
-            "{outcome:?}: for as long as it may be waited for"
+            "{outcome:?}: repeated while the transfer may wait"
         );
         let before = harness.log.len();
         harness.handle(Event::ClientDisconnected { request: 1 });
-        harness.end(1, Outcome::Error, 2.0, 0.0);
+        harness.end_attempt(1, Outcome::Error, 2.0, 0.0);
         assert_eq!(
             releases(&harness.log[before..]),
             1,
-            "{outcome:?}: with the end"
+            "{outcome:?}: once more at the end of the request"
         );
     }
 }
 
-/// An answer shows that the hand-over had arrived: until then the state was waited for.
+/// A rejection shows that the KV transfer had arrived, so that until then a decode server was waiting
+/// for the state. The hold time starts again from the rejection.
 #[test]
 fn rejected_transfer_restarts_the_hold_clock() {
-    let mut harness = handed_over(Effect::Idempotent, true);
-    harness.pass(0.3);
-    harness.end(
+    let mut harness = during_transfer(Effect::Idempotent, true);
+    harness.advance(0.3);
+    harness.end_attempt(
         1,
         Outcome::Rejected {
             state_missing: false,
@@ -146,54 +156,57 @@
         0.3,
         0.0,
     );
-    assert!(harness.last().1 > 10, "handed over elsewhere");
-    assert_eq!(releases(&harness.pass(0.85)), 0);
-    assert_eq!(releases(&harness.pass(RELEASED_BY_S - 0.85)), 1);
+    assert!(
+        harness.last_send().1 > 10,
+        "transferred to another decode server"
+    );
+    assert_eq!(releases(&harness.advance(0.85)), 0);
+    assert_eq!(releases(&harness.advance(RELEASED_BY_S - 0.85)), 1);
 }
 
-/// One that broke may never have arrived: the time runs on.
+/// A KV transfer whose connection broke may never have arrived, so the hold time still counts from the
+/// end of the prefill.
 #[test]
 fn broken_transfer_does_not_stop_the_hold_clock() {
-    let mut harness = handed_over(Effect::Idempotent, true);
-    harness.pass(0.3);
-    harness.end(1, Outcome::Reset, 0.3, 0.0);
+    let mut harness = during_transfer(Effect::Idempotent, true);
+    harness.advance(0.3);
+    harness.end_attempt(1, Outcome::Reset, 0.3, 0.0);
     assert!(
-        harness.sends.len() == 3 && harness.last().1 > 10,
-        "handed over elsewhere"
+        harness.sends.len() == 3 && harness.last_send().1 > 10,
+        "transferred to another decode server"
     );
-    assert_eq!(releases(&harness.pass(RELEASED_BY_S - 0.3)), 1);
+    assert_eq!(releases(&harness.advance(RELEASED_BY_S - 0.3)), 1);
 }
 
 #[test]
-fn what_a_prefill_without_an_answer_may_have_left_is_released_before_the_limit_or_with_the_answer()
-{
+fn state_that_an_unanswered_prefill_may_have_left_is_released_by_the_limit_or_with_the_answer() {
     for outcome in [Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled] {
         for served in [true, false] {
             let case = format!("{outcome:?} served {served}");
-            let set = settings(Effect::Idempotent);
+            let adjusted = settings(Effect::Idempotent);
             let mut harness = RouterHarness::new(Settings {
                 kv_hold_limit_s: LIMIT_S,
                 lost_prefill_may_have_run: true,
-                ..set
+                ..adjusted
             });
             harness.arrive(new_request(1));
-            harness.end(1, outcome, 0.0, 0.0);
-            assert_eq!(harness.sends.len(), 2, "{case}: read elsewhere");
+            harness.end_attempt(1, outcome, 0.0, 0.0);
+            assert_eq!(harness.sends.len(), 2, "{case}: prefilled elsewhere");
             if served {
-                harness.end(1, Outcome::PrefillDone, 0.0, 0.0);
-                harness.stream(1);
+                harness.end_attempt(1, Outcome::PrefillDone, 0.0, 0.0);
+                harness.start_stream(1);
                 assert_eq!(
-                    releases(&harness.pass(RELEASED_BY_S)),
+                    releases(&harness.advance(RELEASED_BY_S)),
                     0,
-                    "{case}: it begins, so nothing waits"
+                    "{case}: the answer has begun, so no release is due"
                 );
                 assert_eq!(
-                    releases(&harness.end(1, Outcome::Served, 1.0, 0.0)),
+                    releases(&harness.end_attempt(1, Outcome::Served, 1.0, 0.0)),
                     1,
                     "{case}"
                 );
             } else {
-                assert_eq!(releases(&harness.pass(RELEASED_BY_S)), 1, "{case}");
+                assert_eq!(releases(&harness.advance(RELEASED_BY_S)), 1, "{case}");
             }
         }
     }
--- a/crates/policy/tests/long_prompts.rs
+++ b/crates/policy/tests/long_prompts.rs
@@ -8,7 +8,7 @@
 
 use bitternlatch_policy::interface::*;
 use common::*;
-use fleet::{draw, gap_s, Fleet};
+use fleet::{draw, interarrival_s, Fleet};
 
 const ROUTERS: u32 = 10;
 const PREFILL_SERVERS: u32 = 6;
@@ -40,7 +40,7 @@
     let mut all = Vec::new();
     for id in 1.. {
         let n = u64::from(id) * 8;
-        at += gap_s(seed, n, rate);
+        at += interarrival_s(seed, n, rate);
         if at > T0 + FOR_S {
             break;
         }
@@ -68,7 +68,7 @@
     );
     let prefill_servers = (1..=PREFILL_SERVERS).map(|id| server(id, 0, 0));
     let decode_servers = (1..=DECODE_SERVERS).map(|id| server(100 + id, 1, 0));
-    fleet.list(
+    fleet.notify_all(
         T0,
         ListForm::Full,
         &prefill_servers.chain(decode_servers).collect::<Vec<_>>(),
@@ -85,9 +85,9 @@
         };
         fleet.arrive(one.at, one.router, new_request);
     }
-    fleet.run(T0 + FOR_S + 20.0);
+    fleet.run_until(T0 + FOR_S + 20.0);
     fleet
-        .waits
+        .first_token_s
         .iter()
         .map(|(id, wait)| (*id, wait.is_finite()))
         .collect()
--- a/crates/policy/tests/peer_reports.rs
+++ b/crates/policy/tests/peer_reports.rs
@@ -28,9 +28,9 @@
     let list: Vec<_> = prefill_servers
         .chain((101..131).map(|id| server(id, 1, (id % 2) as u16)))
         .collect();
-    fleet.list(T0, ListForm::Full, &list);
+    fleet.notify_all(T0, ListForm::Full, &list);
     fleet.arrivals(seed, RATE, 20.0, new_request);
-    fleet.run(T0 + 5.0);
+    fleet.run_until(T0 + 5.0);
     let faulty: Vec<ServerId> = list
         .iter()
         .map(|e| e.id)
@@ -39,18 +39,18 @@
     faulty.iter().for_each(|id| fleet.set_fault(*id, fault));
     let before = fleet.queued_and_accepted(BROKEN).1;
     for tick in 0..50 {
-        fleet.run(T0 + 5.0 + 0.3 * f64::from(tick));
+        fleet.run_until(T0 + 5.0 + 0.3 * f64::from(tick));
         if max_reporters > 0 {
             faulty
                 .iter()
-                .for_each(|id| fleet.peer_report(*id, max_reporters));
+                .for_each(|id| fleet.send_peer_reports(*id, max_reporters));
         }
     }
-    fleet.run(T0 + 40.0);
-    let late = fleet.waits.values().filter(|w| **w >= 1.0).count() as f64;
+    fleet.run_until(T0 + 40.0);
+    let late = fleet.first_token_s.values().filter(|w| **w >= 1.0).count() as f64;
     (
         fleet.queued_and_accepted(BROKEN).1 - before,
-        late / fleet.waits.len() as f64,
+        late / fleet.first_token_s.len() as f64,
     )
 }
 
@@ -131,7 +131,7 @@
                     0.0,
                 ) == 1,
             );
-        harness.pass(0.1);
+        harness.advance(0.1);
     }
     first
 }
--- a/crates/policy/tests/replaced_servers.rs
+++ b/crates/policy/tests/replaced_servers.rs
@@ -49,9 +49,9 @@
         booted_at: RESTARTED_AT - 2.0,
         ..e
     };
-    fleet.list(T0, ListForm::Full, &old);
-    fleet.list(RESTARTED_AT - 2.0, ListForm::Delta, &gone);
-    fleet.list(
+    fleet.notify_all(T0, ListForm::Full, &old);
+    fleet.notify_all(RESTARTED_AT - 2.0, ListForm::Delta, &gone);
+    fleet.notify_all(
         RESTARTED_AT,
         ListForm::Delta,
         &leaving().map(fresh).collect::<Vec<_>>(),
@@ -69,9 +69,9 @@
 fn most_first_tokens_are_in_time_while_six_in_ten_servers_are_replaced() {
     for seed in 1..4 {
         let mut fleet = replaced(seed);
-        fleet.run(T0 + 40.0);
-        let in_time = fleet.waits.values().filter(|w| **w < 1.0).count() as f64;
-        let share = in_time / fleet.waits.len() as f64;
+        fleet.run_until(T0 + 40.0);
+        let in_time = fleet.first_token_s.values().filter(|w| **w < 1.0).count() as f64;
+        let share = in_time / fleet.first_token_s.len() as f64;
         assert!(share > 0.8, "seed {seed}: {share:.3} in time");
     }
 }
@@ -79,7 +79,7 @@
 #[test]
 fn warming_prefill_servers_take_their_part_while_warm_ones_queue() {
     let mut fleet = replaced(1);
-    fleet.run(RESTARTED_AT + 4.0);
+    fleet.run_until(RESTARTED_AT + 4.0);
     let warm = queued_and_accepted(&fleet, PREFILL_SERVERS.filter(|id| !leaves(*id)));
     let warming = queued_and_accepted(
         &fleet,
@@ -98,7 +98,7 @@
 #[test]
 fn routers_together_keep_slow_start_of_every_server() {
     let mut fleet = replaced(2);
-    fleet.run(RESTARTED_AT);
+    fleet.run_until(RESTARTED_AT);
     // 2.5 times what it can do of an even share, with the noise of a few dozen draws: a quarter of
     // its capacity, and more as it warms up by what it was sent, or by time where that is less; a
     // decode server's is larger than its even share, as answers come after reads.
@@ -110,7 +110,7 @@
                 .map(|id| id + COMES)
         };
         let before: Vec<u32> = ids().map(|id| fleet.queued_and_accepted(id).1).collect();
-        fleet.run(RESTARTED_AT + 3.0 * f64::from(step));
+        fleet.run_until(RESTARTED_AT + 3.0 * f64::from(step));
         for (id, before) in ids().zip(before) {
             let like = if id < COMES + 100 {
                 PREFILL_SERVERS.len()
--- a/crates/policy/tests/routing.rs
+++ b/crates/policy/tests/routing.rs
@@ -1,21 +1,22 @@
-//! The ordinary path: lowest estimated first-token time, then the lightest decode server.
+//! Routing without faults: a request goes to the prefill server with the lowest estimated time to the
+//! first token, then to the least loaded decode server.
 mod common;
 use bitternlatch_policy::interface::*;
 use common::*;
 
 #[test]
-fn session_finds_its_prefill_server_at_another_router() {
+fn routers_agree_on_the_prefill_server_of_a_session() {
     let mut a = RouterHarness::new(settings(Effect::Idempotent));
     let mut b = RouterHarness::new(settings(Effect::Idempotent));
     for prefix in 1..20u64 {
-        let one = Request {
+        let request = Request {
             prefix,
             session: prefix + 500,
             ..new_request(prefix as u32)
         };
-        assert_eq!(a.serve(one.clone(), 0.0), b.serve(one, 0.0));
-        a.pass(1.0);
-        b.pass(1.0);
+        assert_eq!(a.serve(request.clone(), 0.0), b.serve(request, 0.0));
+        a.advance(1.0);
+        b.advance(1.0);
     }
 }
 
@@ -27,7 +28,7 @@
     let mut prefill_servers = std::collections::BTreeSet::new();
     for id in 1..30 {
         prefill_servers.insert(harness.serve(new_request(id), 1500.0));
-        harness.pass(3.0);
+        harness.advance(3.0);
     }
     assert_eq!(prefill_servers.len(), 2);
 }
@@ -48,16 +49,16 @@
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
     harness.arrive(new_request(1));
     assert_eq!(harness.sends.len(), 1);
-    let prefill_server = harness.last().1;
-    harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
-    assert_eq!(harness.last().1, prefill_server + 10);
+    let prefill_server = harness.last_send().1;
+    harness.end_attempt(1, Outcome::PrefillDone, 0.1, 0.0);
+    assert_eq!(harness.last_send().1, prefill_server + 10);
 }
 
 #[test]
 fn loaded_decode_server_loses_to_a_lighter_one_in_another_cell() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
     harness.arrive(new_request(1));
-    let near = harness.last().1 + 10;
+    let near = harness.last_send().1 + 10;
     let report = vec![0.9, 3.0, 0.9];
     harness.handle(Event::ProbeEnded {
         server: near,
@@ -65,8 +66,8 @@
         elapsed_s: 0.01,
         report,
     });
-    harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
-    assert_ne!(harness.last().1, near);
+    harness.end_attempt(1, Outcome::PrefillDone, 0.1, 0.0);
+    assert_ne!(harness.last_send().1, near);
 }
 
 #[test]
@@ -74,8 +75,8 @@
     let mut harness =
         RouterHarness::with_fleet(settings(Effect::Idempotent), vec![server(1, 2, 0)]);
     harness.arrive(new_request(1));
-    harness.stream(1);
-    harness.end(1, Outcome::Served, 2.0, 0.0);
+    harness.start_stream(1);
+    harness.end_attempt(1, Outcome::Served, 2.0, 0.0);
     assert_eq!(harness.sends.len(), 1);
 }
 
@@ -83,9 +84,9 @@
 fn rejected_kv_state_goes_to_the_next_decode_server() {
     let mut harness = RouterHarness::new(settings(Effect::NonIdempotent));
     harness.arrive(new_request(1));
-    harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
-    let first = harness.last().1;
-    harness.end(
+    harness.end_attempt(1, Outcome::PrefillDone, 0.1, 0.0);
+    let first = harness.last_send().1;
+    harness.end_attempt(
         1,
         Outcome::Rejected {
             state_missing: false,
@@ -93,15 +94,15 @@
         0.01,
         0.0,
     );
-    assert!(harness.last().1 > 10 && harness.last().1 != first);
+    assert!(harness.last_send().1 > 10 && harness.last_send().1 != first);
 }
 
 #[test]
 fn lost_kv_state_is_prefilled_again() {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
     harness.arrive(new_request(1));
-    harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
-    harness.end(
+    harness.end_attempt(1, Outcome::PrefillDone, 0.1, 0.0);
+    harness.end_attempt(
         1,
         Outcome::Rejected {
             state_missing: true,
@@ -109,7 +110,7 @@
         0.01,
         0.0,
     );
-    assert!(harness.last().1 < 10);
+    assert!(harness.last_send().1 < 10);
 }
 
 #[test]
@@ -118,15 +119,16 @@
         mean: 9_000.0,
         p90: 30_000.0,
     });
-    let chosen = |told: Option<ExpectedTokens>| {
+    let stays_near = |expected: Option<ExpectedTokens>| {
         let mut harness = RouterHarness::new(settings(Effect::Idempotent));
         harness.arrive(Request {
-            output_tokens: told,
+            output_tokens: expected,
             ..new_request(1)
         });
-        let near = harness.last().1 + 10;
+        let near = harness.last_send().1 + 10;
         let far = if near == 11 { 12 } else { 11 };
-        // Nearly equal now; the far one has the room that the answer needs at its end.
+        // Both servers have almost the same load now, but only the far one has the memory that a
+        // long answer needs at its end.
         for (server, load) in [(near, 0.88), (far, 0.80)] {
             let report = vec![load, 0.0, load];
             harness.handle(Event::ProbeEnded {
@@ -136,14 +138,14 @@
                 report,
             });
         }
-        harness.end(1, Outcome::PrefillDone, 0.1, 0.0);
-        (harness.last().1 == near, harness)
+        harness.end_attempt(1, Outcome::PrefillDone, 0.1, 0.0);
+        (harness.last_send().1 == near, harness)
     };
-    assert!(chosen(None).0);
-    assert!(!chosen(long).0);
-    // What nobody can mean changes nothing.
+    assert!(stays_near(None).0);
+    assert!(!stays_near(long).0);
+    // Invalid expected lengths are ignored.
     assert!(
-        chosen(Some(ExpectedTokens {
+        stays_near(Some(ExpectedTokens {
             mean: f64::NAN,
             p90: -5.0
         }))
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -115,11 +115,11 @@
         },
         fleet(),
     );
-    harness.pass(60.0);
+    harness.advance(60.0);
     assert!(harness.log.iter().filter_map(probe).next().is_none() && harness.timers.is_empty());
     for id in 1..50 {
         harness.serve(new_request(id), 0.0);
-        harness.pass(2.0);
+        harness.advance(2.0);
     }
     assert!(harness.log.iter().filter_map(probe).count() <= 4 * 49);
 }
@@ -128,10 +128,10 @@
 fn arrival_waits_briefly_for_its_probes() {
     let mut harness = RouterHarness::with_fleet(settings(Effect::Idempotent), fleet());
     harness.answers_probes = false;
-    harness.pass(1.0);
+    harness.advance(1.0);
     harness.arrive(new_request(1));
     assert!(harness.sends.is_empty());
-    harness.pass(0.02);
+    harness.advance(0.02);
     assert_eq!(harness.sends.len(), 1);
 }
 
@@ -139,7 +139,7 @@
 fn prefill_is_not_cancelled_at_a_server_that_reports_a_queue() {
     let late = |queue: f64| {
         let mut harness = RouterHarness::new(settings(Effect::Idempotent));
-        harness.change(ServerEntry {
+        harness.update_server(ServerEntry {
             status: ServerStatus::Draining,
             ..server(2, 0, 1)
         });
@@ -148,7 +148,7 @@
             time_left_s: 12.0,
             ..new_request(1)
         });
-        harness.pass(0.02);
+        harness.advance(0.02);
         for _ in 0..60 {
             let report = vec![0.2, queue, 0.1];
             let outcome = Outcome::Served;
@@ -158,7 +158,7 @@
                 elapsed_s: 0.001,
                 report,
             });
-            harness.pass(0.1);
+            harness.advance(0.1);
         }
         harness.log.contains(&Action::Cancel {
             request: 1,
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -8,7 +8,7 @@
 use bitternlatch_policy::interface::*;
 use common::*;
 use fleet::digest::Digest;
-use fleet::{draw, gap_s, Fleet};
+use fleet::{draw, interarrival_s, Fleet};
 
 const RESTARTED_AT: f64 = T0 + 6.0;
 const END: f64 = RESTARTED_AT + 12.0;
@@ -94,17 +94,17 @@
         let warm: Vec<ServerEntry> = self.hosts.iter().filter(is_kept).cloned().collect();
         let chance = |n: u64| draw(self.seed ^ 0xC01D, n);
         let notified_at = |router: usize| RESTARTED_AT + 2.0 * chance(router as u64);
-        fleet.list(T0, ListForm::Full, &warm);
-        fleet.list_at(notified_at, ListForm::Full, &now);
+        fleet.notify_all(T0, ListForm::Full, &warm);
+        fleet.notify_each(notified_at, ListForm::Full, &now);
         for router in (0..self.routers as usize).step_by(3) {
             let at = RESTARTED_AT + 8.0 * chance(1_000 + router as u64);
-            fleet.restart(at, router, 10_000 + router as u64, &now);
+            fleet.restart_router(at, router, 10_000 + router as u64, &now);
         }
         let (mut at, mut id) = (T0 + 0.1, 0);
         while at < END {
             id += 1;
             let n = u64::from(id) * 8;
-            at += gap_s(self.seed, n, self.rate);
+            at += interarrival_s(self.seed, n, self.rate);
             let router = self.skew.router(draw(self.seed, n + 1), self.routers);
             let of_hot = draw(self.seed, n + 2) < self.hot.1;
             let other = 1_000 + (20.0 * draw(self.seed, n + 3)) as u64;
@@ -155,7 +155,7 @@
     let (mut shares, mut broken) = (vec![], vec![]);
     for (s, warm_rate) in scenarios {
         let mut fleet = s.fleet();
-        fleet.run(END);
+        fleet.run_until(END);
         for id in &s.warming {
             let arrived_at = fleet.arrived_at(*id);
             let share =
@@ -420,7 +420,7 @@
                 ..new
             };
             let mut fleet = scenario.fleet();
-            fleet.run(END);
+            fleet.run_until(END);
             let out = scenario
                 .warming
                 .iter()
@@ -492,17 +492,17 @@
         };
         let mut fleet = scenario.fleet();
         fleet.digest = Some(Digest::new());
-        fleet.run(T0 + 8.0);
+        fleet.run_until(T0 + 8.0);
         fleet.set_fault(4, fleet::Fault::Silent);
         fleet.set_fault(5, fleet::Fault::Errors);
         fleet.set_fault(108, fleet::Fault::Resets(3));
         (0..20).for_each(|n| {
-            fleet.run(T0 + 8.0 + 0.3 * f64::from(n));
+            fleet.run_until(T0 + 8.0 + 0.3 * f64::from(n));
             [4, 5, 108]
                 .into_iter()
-                .for_each(|id| fleet.peer_report(id, 5));
+                .for_each(|id| fleet.send_peer_reports(id, 5));
         });
-        fleet.run(END);
+        fleet.run_until(END);
         fleet.digest.map(|d| d.value())
     };
     let digests: Vec<_> = (0..4).map(digest).collect();
