--- a/crates/routing-settings/src/lib.rs
+++ b/crates/routing-settings/src/lib.rs
@@ -1,6 +1,8 @@
-//! The start settings of a dispatcher. The simulator's wire gives them as `key=value` lines, the
-//! platform's configuration as nested JSON; both become the same [`Facts`], and one reader gives them
-//! their meaning.
+//! Reads the start settings of a dispatcher.
+//!
+//! The simulator's protocol carries the settings as `key=value` lines, the platform's configuration
+//! as nested JSON. Both are converted to the same [`RawSettings`], which the `read_*` functions
+//! interpret.
 
 mod bounds;
 mod error;
@@ -10,6 +12,6 @@
 
 pub use self::bounds::{read_bounds, Bounds};
 pub use self::error::SettingsError;
-pub use self::facts::Facts;
+pub use self::facts::RawSettings;
 pub use self::names::{read_names, Names};
 pub use self::router_settings::read_settings;
