--- a/crates/platform-net/src/lingering.rs
+++ b/crates/platform-net/src/lingering.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bitternlatch_core::Micros;
-use bitternlatch_platform::client::SLOW_CLIENT_SECS;
+use bitternlatch_platform::client::SLOW_READER_SECS;
 use bitternlatch_platform::types::ConnId;
 use mio::Events;
 
@@ -54,7 +54,7 @@
         let Some((since, conn)) = self.lingering.iter().filter_map(since).min() else {
             return false;
         };
-        if self.clock.now().since(since) < SLOW_CLIENT_SECS {
+        if self.clock.now().since(since) < SLOW_READER_SECS {
             return false;
         }
         self.lingering.retain(|c| *c != conn);
--- a/crates/platform-net/src/socket.rs
+++ b/crates/platform-net/src/socket.rs
@@ -4,7 +4,7 @@
 use std::net::Shutdown;
 
 use bitternlatch_core::Micros;
-use bitternlatch_platform::client::CLIENT_STALL_SECS;
+use bitternlatch_platform::client::CLIENT_STALL_TIMEOUT_SECS;
 use mio::event::Event;
 use mio::net::TcpStream;
 
@@ -179,7 +179,7 @@
             Stage::Lingering { since, .. } => Some(since.after(if self.all_written() {
                 LINGER_SECS
             } else {
-                CLIENT_STALL_SECS
+                CLIENT_STALL_TIMEOUT_SECS
             })),
             _ => None,
         }
--- a/crates/platform-net/src/startup.rs
+++ b/crates/platform-net/src/startup.rs
@@ -81,7 +81,7 @@
         let clock = Clock::start();
         let (address, discovery) = (config.listen, config.discovery);
         tracing::info!(name = config.name, %address, %discovery, "listening");
-        if let Some(cause) = &config.known_fault {
+        if let Some(cause) = &config.cached_list_error {
             tracing::warn!(
                 "field 'known' is not taken, and the list comes from discovery alone: {cause}"
             );
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -4,33 +4,33 @@
 
 use bitternlatch_core::Micros;
 
-use crate::http1::{request_head, Body, HttpError, RequestHead, MAX_BODY, MAX_HEAD};
+use crate::http1::{request_head, Body, HttpError, RequestHead, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
 /// The first request has to come whole within this of connecting, seconds: who says nothing, or a head without an end,
 /// is owed an error or a close within 3 s.
-pub const FIRST_REQUEST_SECS: f64 = 2.6;
+pub const FIRST_REQUEST_TIMEOUT_SECS: f64 = 2.6;
 /// A later one within this of its first byte, seconds; who has asked in order before may be slow.
-pub const REQUEST_SECS: f64 = 8.0;
+pub const REQUEST_TIMEOUT_SECS: f64 = 8.0;
 /// Who stops within a request and stays is owed an error or a close within 3 s, whoever it is: seconds without a byte.
 const STOPPED_SECS: f64 = 2.6;
 /// A new client that has said nothing for this long is evicted before those that keep their connections, seconds.
 const SILENT_SECS: f64 = 0.5;
 /// A client whose answer is whole but not all taken is let be, where places are short, unless it takes nothing for this
 /// long, seconds.
-pub const SLOW_CLIENT_SECS: f64 = 2.0;
+pub const SLOW_READER_SECS: f64 = 2.0;
 /// A client that takes nothing of what waits for it for this long has gone, seconds: its stream holds a server's slot. The same
 /// holds for the last answer on a connection that ends.
-pub const CLIENT_STALL_SECS: f64 = 20.0;
+pub const CLIENT_STALL_TIMEOUT_SECS: f64 = 20.0;
 /// Bytes kept of what a client pipelines while its request is open; what comes past them is dropped.
-pub const MAX_AHEAD: usize = MAX_HEAD + 4096;
+pub const MAX_PIPELINED_BYTES: usize = MAX_HEAD_BYTES + 4096;
 /// Bytes dropped of one client; past them nothing is read from it.
-pub const MAX_DROPPED: usize = 80 << 20;
+pub const MAX_DISCARDED_BYTES: usize = 80 << 20;
 /// Times of arrival kept of what a client pipelines; past them the earlier one counts for both.
 const MAX_ARRIVALS: usize = 32;
 /// Room kept for the next bytes of a client once it has its answer.
 const RETAINED_CAPACITY: usize = 4 * 1024;
 /// Bytes to a client not written yet at which its stream's server is read no further.
-pub const MAX_UNSENT: usize = 128 * 1024;
+pub const MAX_UNSENT_BYTES: usize = 128 * 1024;
 
 #[derive(Debug)]
 enum Stage {
@@ -173,22 +173,22 @@
     }
 
     /// Whether it has a request open.
-    pub fn busy(&self) -> bool {
+    pub fn has_open_request(&self) -> bool {
         matches!(self.stage, Stage::Busy)
     }
 
     /// It has said nothing since its last answer, or at all.
-    pub fn quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         matches!(self.stage, Stage::Head) && self.unread.is_empty()
     }
 
     /// It may hold its connection between requests for as long as there is room; nobody may hold half a request.
-    pub fn overdue(&self, now: Micros) -> bool {
-        let waits = self.busy() || self.quiet() && self.served;
+    pub fn is_overdue(&self, now: Micros) -> bool {
+        let waits = self.has_open_request() || self.is_idle() && self.served;
         let max_s = if self.served {
-            REQUEST_SECS
+            REQUEST_TIMEOUT_SECS
         } else {
-            FIRST_REQUEST_SECS
+            FIRST_REQUEST_TIMEOUT_SECS
         };
         let stopped = now.since(self.since.max(self.last_received_at)) >= STOPPED_SECS;
         !waits && (stopped || now.since(self.since) >= max_s)
@@ -197,17 +197,17 @@
     /// Rank by which connections are evicted, the lowest first. None for one with a request in hand, or with an answer
     /// that it is still taking.
     pub(crate) fn eviction_rank(&self, now: Micros) -> Option<EvictionRank> {
-        if self.busy() {
+        if self.has_open_request() {
             return None;
         }
         if self.unsent > 0 {
-            let is_slow = now.since(self.last_progress_at) >= SLOW_CLIENT_SECS;
+            let is_slow = now.since(self.last_progress_at) >= SLOW_READER_SECS;
             return is_slow.then_some(EvictionRank {
                 kind: EvictionKind::SlowReader,
                 since: self.last_progress_at,
             });
         }
-        let kind = match (self.quiet(), self.served) {
+        let kind = match (self.is_idle(), self.served) {
             (true, false) if now.since(self.since) >= SILENT_SECS => EvictionKind::Silent,
             (true, true) => EvictionKind::Idle,
             (true, false) => EvictionKind::New,
@@ -221,15 +221,17 @@
     }
 
     /// Takes bytes; true where enough has come and nothing more should be read for now.
-    pub fn take(&mut self, now: Micros, bytes: &[u8]) -> bool {
+    pub fn receive(&mut self, now: Micros, bytes: &[u8]) -> bool {
         self.last_received_at = now;
-        if self.quiet() && self.served {
+        if self.is_idle() && self.served {
             self.since = now;
         }
         // Of what has a gap nothing further can be read; what came before the gap is still served.
-        if self.dropped > 0 || self.busy() && self.unread.len() + bytes.len() > MAX_AHEAD {
+        if self.dropped > 0
+            || self.has_open_request() && self.unread.len() + bytes.len() > MAX_PIPELINED_BYTES
+        {
             self.dropped = self.dropped.saturating_add(bytes.len());
-            return self.dropped > MAX_DROPPED;
+            return self.dropped > MAX_DISCARDED_BYTES;
         }
         self.unread.extend_from_slice(bytes);
         self.arrivals.add(bytes.len(), now);
@@ -255,8 +257,8 @@
         let Stage::Body { body, content, .. } = &mut self.stage else {
             return Ok(None);
         };
-        let taken = body.take(&self.unread, content)?;
-        let (long, done) = (content.len() > MAX_BODY, body.done());
+        let taken = body.decode(&self.unread, content)?;
+        let (long, done) = (content.len() > MAX_BODY_BYTES, body.is_complete());
         self.drop_read(taken);
         if long {
             return Err(HttpError::BodyTooLong);
@@ -276,7 +278,7 @@
         let body = Body::new(head.framing);
         let expectation = head.fields.get("expect");
         let asked = expectation.is_some_and(|e| e.eq_ignore_ascii_case("100-continue"));
-        self.expects = asked && !body.done();
+        self.expects = asked && !body.is_complete();
         self.stage = Stage::Body {
             head: Box::new(head),
             body,
@@ -309,7 +311,7 @@
     }
 
     /// Whether it waits to be told to send its body; asked once.
-    pub fn take_expectation(&mut self) -> bool {
+    pub fn take_continue_expectation(&mut self) -> bool {
         std::mem::take(&mut self.expects) && self.unread.is_empty()
     }
 
@@ -324,27 +326,27 @@
     }
 
     /// Whether its connection goes on after the answer in hand; while stopping only for what it has pipelined.
-    pub fn serves_on(&self, stopping: bool) -> bool {
+    pub fn keeps_alive_after_response(&self, stopping: bool) -> bool {
         self.keep_alive && !(stopping && self.unread.is_empty())
     }
 
     /// It takes nothing of what waits for it: it has gone.
     pub(crate) fn is_stuck(&self, now: Micros) -> bool {
-        self.unsent > 0 && now.since(self.last_progress_at) >= CLIENT_STALL_SECS
+        self.unsent > 0 && now.since(self.last_progress_at) >= CLIENT_STALL_TIMEOUT_SECS
     }
 
     /// Whether the client, by its last request, keeps its connection.
-    pub fn keeps_alive(&self) -> bool {
+    pub fn keep_alive(&self) -> bool {
         self.keep_alive
     }
 
     /// Bytes given to it that have not gone to the system.
-    pub fn unsent(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         self.unsent
     }
 
     /// Counts bytes that are to be written to it.
-    pub fn queued(&mut self, now: Micros, bytes: usize) {
+    pub fn add_unsent(&mut self, now: Micros, bytes: usize) {
         if self.unsent == 0 {
             self.last_progress_at = now;
         }
@@ -352,7 +354,7 @@
     }
 
     /// Counts bytes that have gone to the system.
-    pub fn written(&mut self, now: Micros, bytes: usize) {
+    pub fn record_written(&mut self, now: Micros, bytes: usize) {
         self.last_progress_at = now;
         self.unsent = self.unsent.saturating_sub(bytes);
     }
@@ -368,7 +370,7 @@
     }
 
     /// Its request has been answered.
-    pub fn answered(&mut self, now: Micros) {
+    pub fn finish_response(&mut self, now: Micros) {
         // Hundreds of connections that once brought much must not keep room for it.
         self.unread.shrink_to(RETAINED_CAPACITY);
         (self.stage, self.since, self.served) = (Stage::Head, now, true);
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -6,11 +6,11 @@
 use bitternlatch_policy::interface::RequestId;
 
 use crate::client::Client;
-use crate::http1::MAX_HEAD;
+use crate::http1::MAX_HEAD_BYTES;
 use crate::types::ConnId;
 
 /// From this on a client's unfinished bytes are looked at beside everybody's.
-const MEMORY_CHECK_FROM: usize = MAX_HEAD;
+const MEMORY_CHECK_FROM: usize = MAX_HEAD_BYTES;
 /// All client connections, and what each has open.
 #[derive(Debug)]
 pub struct Clients {
@@ -137,7 +137,7 @@
     pub fn overdue(&self, now: Micros) -> Vec<ConnId> {
         self.open
             .iter()
-            .filter(|(_, c)| c.overdue(now))
+            .filter(|(_, c)| c.is_overdue(now))
             .map(|(id, _)| *id)
             .collect()
     }
@@ -164,7 +164,7 @@
         if self.unfinished_bytes() <= limit {
             return None;
         }
-        let unfinished = self.open.iter().filter(|(_, c)| !c.busy());
+        let unfinished = self.open.iter().filter(|(_, c)| !c.has_open_request());
         unfinished
             .max_by_key(|(id, c)| (c.unfinished_bytes(), **id))
             .map(|(id, _)| *id)
@@ -174,7 +174,7 @@
     pub fn idle(&self) -> Vec<ConnId> {
         self.open
             .iter()
-            .filter(|(_, c)| c.quiet())
+            .filter(|(_, c)| c.is_idle())
             .map(|(id, _)| *id)
             .collect()
     }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -78,11 +78,11 @@
     /// By their numbers in the settings.
     pub peers: Vec<SocketAddr>,
     /// Address of a datagram to all other dispatchers.
-    pub peers_all: Option<SocketAddr>,
+    pub broadcast_address: Option<SocketAddr>,
     /// The list as last held; it may be old.
-    pub known: Option<EndpointList>,
+    pub cached_list: Option<EndpointList>,
     /// Why the list that the file holds is not taken. It is a memory alone, so that the start goes on without it.
-    pub known_fault: Option<String>,
+    pub cached_list_error: Option<String>,
     /// Settings of the decision module.
     pub settings: policy::Settings,
     /// Names of classes, kinds, zones and tenants.
@@ -154,9 +154,9 @@
             },
             peer_listen: optional("peer_listen", raw.peer_listen)?,
             peers,
-            peers_all: optional("peers_all", raw.peers_all)?,
-            known,
-            known_fault,
+            broadcast_address: optional("peers_all", raw.peers_all)?,
+            cached_list: known,
+            cached_list_error: known_fault,
             // The platform's protocol says so of connections; no setting names it.
             settings: policy::Settings {
                 lost_prefill_may_have_run: true,
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -39,9 +39,9 @@
     /// Name; the same at every dispatcher.
     pub uid: String,
     /// Address at which it listens.
-    pub endpoint: SocketAddr,
+    pub address: SocketAddr,
     /// Whether it takes requests.
-    pub standing: ServerStatus,
+    pub status: ServerStatus,
     /// Number of its kind in the settings.
     pub kind: u16,
     /// Number of its zone in the settings.
@@ -51,20 +51,20 @@
     /// Relative capacity.
     pub weight: f64,
     /// Its start as listed: Unix time, seconds; 0 for long ago.
-    pub booted_at: f64,
+    pub listed_start_s: f64,
     /// The same by the node's own clock; as listed until the fleet has taken it over.
-    pub started_at: f64,
+    pub start_s: f64,
 }
 
 /// One version of the list, or what changed since the one before.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
     /// Version of the list.
-    pub rev: u64,
+    pub version: u64,
     /// Complete; otherwise changes alone.
-    pub all: bool,
+    pub is_full: bool,
     /// Servers listed or changed.
-    pub targets: Vec<Endpoint>,
+    pub endpoints: Vec<Endpoint>,
 }
 
 impl EndpointList {
@@ -109,9 +109,9 @@
             }
         }
         Ok(EndpointList {
-            rev: raw.rev,
-            all: raw.all,
-            targets,
+            version: raw.rev,
+            is_full: raw.all,
+            endpoints: targets,
         })
     }
 }
@@ -146,14 +146,14 @@
     let weight = figure("capacity_hint", raw.capacity_hint.unwrap_or(1.0))?;
     Ok(Endpoint {
         uid: raw.uid,
-        endpoint,
-        standing,
+        address: endpoint,
+        status: standing,
         kind,
         zone,
         cell: raw.pod_group,
         weight,
-        booted_at,
-        started_at: booted_at,
+        listed_start_s: booted_at,
+        start_s: booted_at,
     })
 }
 
@@ -173,15 +173,15 @@
 pub struct Endpoints {
     ids: BTreeMap<String, ServerId>,
     servers: BTreeMap<ServerId, Endpoint>,
-    rev: u64,
+    version: u64,
     /// When discovery said something whole last.
     notified_at: Option<Micros>,
 }
 
 impl Endpoints {
     /// The version that the list stands at.
-    pub fn rev(&self) -> u64 {
-        self.rev
+    pub fn version(&self) -> u64 {
+        self.version
     }
 
     /// A server by the module's id.
@@ -195,37 +195,37 @@
     }
 
     /// Discovery has said something whole, if only that nothing has changed.
-    pub fn notified(&mut self, now: Micros) {
+    pub fn record_notification(&mut self, now: Micros) {
         self.notified_at = Some(now);
     }
 
     /// Takes a list over.
     pub fn apply(&mut self, now: Micros, list: EndpointList) -> AppliedList {
-        self.rev = list.rev;
-        let names_long_ago = list.targets.iter().any(|t| t.booted_at <= 0.0);
+        self.version = list.version;
+        let names_long_ago = list.endpoints.iter().any(|t| t.listed_start_s <= 0.0);
         let knowledge = StartTimeContext {
-            now,
+            received_at: now,
             notified_at: self.notified_at,
-            names_long_ago,
+            lists_unknown_starts: names_long_ago,
         };
-        let form = if list.all {
+        let form = if list.is_full {
             ListForm::Full
         } else {
             ListForm::Delta
         };
-        if list.all {
-            let listed = |uid: &String| list.targets.iter().any(|t| t.uid == *uid);
+        if list.is_full {
+            let listed = |uid: &String| list.endpoints.iter().any(|t| t.uid == *uid);
             self.ids.retain(|uid, _| listed(uid));
             let (ids, servers) = (&self.ids, &mut self.servers);
             servers.retain(|id, t| ids.get(&t.uid) == Some(id));
         }
         let restarted = list
-            .targets
+            .endpoints
             .iter()
             .filter_map(|t| self.restarted(t))
             .collect();
         let entries = list
-            .targets
+            .endpoints
             .into_iter()
             .map(|t| self.put(t, knowledge))
             .collect();
@@ -240,7 +240,7 @@
     fn restarted(&self, target: &Endpoint) -> Option<ServerId> {
         let id = *self.ids.get(&target.uid)?;
         let before = self.servers.get(&id)?;
-        (before.booted_at != target.booted_at).then_some(id)
+        (before.listed_start_s != target.listed_start_s).then_some(id)
     }
 
     fn put(&mut self, mut target: Endpoint, knowledge: StartTimeContext) -> ServerEntry {
@@ -248,20 +248,20 @@
         let before = self
             .servers
             .get(&id)
-            .filter(|before| before.booted_at == target.booted_at);
+            .filter(|before| before.listed_start_s == target.listed_start_s);
         // One start is reckoned once.
-        target.started_at =
-            before.map_or_else(|| knowledge.started_s(target.booted_at), |b| b.started_at);
+        target.start_s =
+            before.map_or_else(|| knowledge.start_s(target.listed_start_s), |b| b.start_s);
         let entry = ServerEntry {
             id,
-            status: target.standing,
+            status: target.status,
             kind: target.kind,
             cell: target.cell,
             zone: target.zone,
             weight: target.weight,
-            booted_at: target.started_at,
+            booted_at: target.start_s,
         };
-        if target.standing == ServerStatus::Removed {
+        if target.status == ServerStatus::Removed {
             // Ids are always new: what is gone must not stay for good.
             self.ids.remove(&target.uid);
             self.servers.remove(&id);
--- a/crates/platform/src/discovery_client.rs
+++ b/crates/platform/src/discovery_client.rs
@@ -39,7 +39,7 @@
     }
 
     /// Whether a connection is that of the watch.
-    pub(crate) fn owns(&self, conn: ConnId) -> bool {
+    pub(crate) fn owns_connection(&self, conn: ConnId) -> bool {
         self.watch.conn() == Some(conn)
     }
 
@@ -54,11 +54,11 @@
     /// # Errors
     /// A version that goes back.
     pub(crate) fn apply(&mut self, now: Micros, list: EndpointList) -> Result<AppliedList, String> {
-        if list.rev < self.endpoints.rev() {
+        if list.version < self.endpoints.version() {
             return Err(format!(
                 "version {} comes after {}",
-                list.rev,
-                self.endpoints.rev()
+                list.version,
+                self.endpoints.version()
             ));
         }
         self.known = true;
@@ -66,33 +66,33 @@
     }
 
     /// The request of the watch, for changes since the version at hand.
-    pub(crate) fn request(&self) -> Vec<u8> {
-        call(self.endpoints.rev())
+    pub(crate) fn watch_request(&self) -> Vec<u8> {
+        call(self.endpoints.version())
     }
 
     /// Takes bytes of the watch's response.
-    pub(crate) fn take(&mut self, now: Micros, bytes: &[u8]) -> WatchProgress {
-        self.watch.take(now, bytes)
+    pub(crate) fn receive(&mut self, now: Micros, bytes: &[u8]) -> WatchProgress {
+        self.watch.receive(now, bytes)
     }
 
     /// Discovery has sent a complete line, if only an empty one.
-    pub(crate) fn notified(&mut self, now: Micros) {
-        self.endpoints.notified(now);
+    pub(crate) fn record_notification(&mut self, now: Micros) {
+        self.endpoints.record_notification(now);
     }
 
     /// Why the watch has to be restarted, where it has brought nothing in time.
-    pub(crate) fn overdue(&self, now: Micros) -> Option<&'static str> {
-        self.watch.overdue(now)
+    pub(crate) fn overdue_cause(&self, now: Micros) -> Option<&'static str> {
+        self.watch.overdue_cause(now)
     }
 
     /// Whether the watch is to be begun.
     pub(crate) fn is_due(&self, now: Micros) -> bool {
-        self.watch.due(now)
+        self.watch.is_due(now)
     }
 
     /// Begins the watch on a new connection.
-    pub(crate) fn connect(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
-        self.watch.begin(now, conn);
+    pub(crate) fn start_watch(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
+        self.watch.start(now, conn);
         commands.push(Command::Connect {
             conn,
             to: self.address,
@@ -100,10 +100,10 @@
     }
 
     /// Ends the watch, to be begun again after a backoff; the list stays.
-    pub(crate) fn restart(&mut self, now: Micros, cause: &str, commands: &mut Vec<Command>) {
-        let (at, rev) = (self.address, self.endpoints.rev());
+    pub(crate) fn restart_watch(&mut self, now: Micros, cause: &str, commands: &mut Vec<Command>) {
+        let (at, rev) = (self.address, self.endpoints.version());
         let cause = format!("discovery at {at}, after version {rev}: {cause}");
-        if let Some(text) = self.watch.limited_log_line(now, &cause) {
+        if let Some(text) = self.watch.rate_limited_log_line(now, &cause) {
             commands.push(Command::Log {
                 level: Level::Warn,
                 text: format!("{text}; the list stays and the watch is begun anew"),
@@ -115,7 +115,7 @@
     }
 
     /// Follows a new address; false where it is the same.
-    pub(crate) fn move_to(
+    pub(crate) fn set_address(
         &mut self,
         now: Micros,
         address: SocketAddr,
@@ -125,7 +125,7 @@
             return false;
         }
         self.address = address;
-        if let Some(conn) = self.watch.moved(now) {
+        if let Some(conn) = self.watch.address_changed(now) {
             commands.push(Command::Close { conn });
         }
         commands.push(Command::Log {
@@ -137,6 +137,6 @@
 
     /// The time for which a timer has to be set, if none is set that is as early.
     pub(crate) fn next_timer(&mut self, now: Micros) -> Option<Micros> {
-        self.watch.arm(now)
+        self.watch.schedule_timer(now)
     }
 }
--- a/crates/platform/src/discovery_watch.rs
+++ b/crates/platform/src/discovery_watch.rs
@@ -51,7 +51,7 @@
     /// When the head or the last line was whole; `None` until the head is.
     last_complete_at: Option<Micros>,
     /// A line was whole since it began.
-    has_complete_line: bool,
+    received_line: bool,
     /// No further call before then.
     retry_at: Micros,
     /// Calls in a row that were of no use.
@@ -70,9 +70,9 @@
     /// Whole lines that are not empty; they count also where the watch has broken after them.
     pub objects: Vec<Vec<u8>>,
     /// A line was whole, an empty one included.
-    pub any_line: bool,
+    pub received_line: bool,
     /// Why the watch has to be begun anew.
-    pub broken: Option<String>,
+    pub failure: Option<String>,
 }
 
 impl DiscoveryWatch {
@@ -84,7 +84,7 @@
             conn: None,
             began_at: Micros(0),
             last_complete_at: None,
-            has_complete_line: false,
+            received_line: false,
             retry_at: Micros(0),
             failures: 0,
             unread: Vec::new(),
@@ -101,12 +101,12 @@
     }
 
     /// Whether it is time to begin.
-    pub fn due(&self, now: Micros) -> bool {
+    pub fn is_due(&self, now: Micros) -> bool {
         self.conn.is_none() && now >= self.retry_at
     }
 
     /// When it has to be looked at again.
-    pub fn next(&self) -> Micros {
+    pub fn next_check(&self) -> Micros {
         match (self.conn, self.last_complete_at) {
             (None, _) => self.retry_at,
             (Some(_), None) => self.began_at.after(HEAD_TIMEOUT_SECS),
@@ -119,8 +119,8 @@
     }
 
     /// The time for which a timer has to be set, if none is set that is as early.
-    pub fn arm(&mut self, now: Micros) -> Option<Micros> {
-        let next = self.next().max(now);
+    pub fn schedule_timer(&mut self, now: Micros) -> Option<Micros> {
+        let next = self.next_check().max(now);
         if self.timer_at.is_some_and(|at| at > now && at <= next) {
             return None;
         }
@@ -129,8 +129,8 @@
     }
 
     /// What the call in hand has failed to bring in time.
-    pub fn overdue(&self, now: Micros) -> Option<&'static str> {
-        if self.conn.is_none() || now < self.next() {
+    pub fn overdue_cause(&self, now: Micros) -> Option<&'static str> {
+        if self.conn.is_none() || now < self.next_check() {
             return None;
         }
         Some(match (self.last_complete_at, self.lines.is_empty()) {
@@ -141,7 +141,7 @@
     }
 
     /// A call begins on a new connection.
-    pub fn begin(&mut self, now: Micros, conn: ConnId) {
+    pub fn start(&mut self, now: Micros, conn: ConnId) {
         self.forget_call();
         (self.conn, self.began_at) = (Some(conn), now);
     }
@@ -150,7 +150,7 @@
     pub fn end(&mut self, now: Micros) -> Option<ConnId> {
         let held_s = now.since(self.began_at);
         // A watch that breaks right after its first line is no better than one that never came up.
-        if self.has_complete_line && held_s >= MAX_BACKOFF_SECS {
+        if self.received_line && held_s >= MAX_BACKOFF_SECS {
             self.failures = 0;
         }
         let max_s =
@@ -164,14 +164,14 @@
     }
 
     /// Another address counts from now on: the call goes out at once.
-    pub fn moved(&mut self, now: Micros) -> Option<ConnId> {
+    pub fn address_changed(&mut self, now: Micros) -> Option<ConnId> {
         (self.retry_at, self.failures) = (now, 0);
         self.forget_call();
         self.conn.take()
     }
 
     /// Takes bytes of the answer.
-    pub fn take(&mut self, now: Micros, bytes: &[u8]) -> WatchProgress {
+    pub fn receive(&mut self, now: Micros, bytes: &[u8]) -> WatchProgress {
         self.unread.extend_from_slice(bytes);
         let mut taken = WatchProgress::default();
         if self.body.is_none() {
@@ -180,46 +180,46 @@
                 Ok(Some((head, length))) if head.status == 200 => {
                     self.unread.drain(..length);
                     (self.body, self.last_complete_at) = (
-                        Some(Body::with_chunks_up_to(head.framing, MAX_LINE as u64)),
+                        Some(Body::with_max_chunk(head.framing, MAX_LINE as u64)),
                         Some(now),
                     );
                 }
                 // Its `Retry-After` does not count: what discovery has is told, whenever it would like to be asked.
                 Ok(Some((head, _))) => {
-                    taken.broken = Some(format!("the answer is {}", head.status))
+                    taken.failure = Some(format!("the answer is {}", head.status))
                 }
-                Err(e) => taken.broken = Some(e.to_string()),
+                Err(e) => taken.failure = Some(e.to_string()),
             }
         }
         let Some(body) = &mut self.body else {
             return taken;
         };
-        match body.take(&self.unread, self.lines.buffer()) {
+        match body.decode(&self.unread, self.lines.buffer()) {
             Ok(length) => drop(self.unread.drain(..length)),
-            Err(e) => taken.broken = Some(e.to_string()),
+            Err(e) => taken.failure = Some(e.to_string()),
         }
-        let (objects, any) = self.lines.take();
-        (taken.objects, taken.any_line) = (objects, any);
+        let (objects, any) = self.lines.take_complete();
+        (taken.objects, taken.received_line) = (objects, any);
         if any {
-            (self.last_complete_at, self.has_complete_line) = (Some(now), true);
+            (self.last_complete_at, self.received_line) = (Some(now), true);
         }
-        if body.done() {
-            taken.objects.extend(self.lines.rest());
-            taken.broken = Some("the answer has ended".into());
+        if body.is_complete() {
+            taken.objects.extend(self.lines.take_remainder());
+            taken.failure = Some("the answer has ended".into());
         } else if self.lines.len() > MAX_LINE {
-            taken.broken = Some("a line is too long".into());
+            taken.failure = Some("a line is too long".into());
         }
         taken
     }
 
     /// The cause to log, if this one is to be.
-    pub fn limited_log_line(&mut self, now: Micros, cause: &str) -> Option<String> {
+    pub fn rate_limited_log_line(&mut self, now: Micros, cause: &str) -> Option<String> {
         self.logged.take(now, cause)
     }
 
     fn forget_call(&mut self) {
         (self.body, self.unread, self.lines) = (None, Vec::new(), LineSplitter::default());
-        (self.last_complete_at, self.has_complete_line) = (None, false);
+        (self.last_complete_at, self.received_line) = (None, false);
     }
 
     /// Between 0 and 1, the same for the same dispatcher and number of calls.
--- a/crates/platform/src/event_stream.rs
+++ b/crates/platform/src/event_stream.rs
@@ -3,7 +3,7 @@
 
 use serde_json::Value;
 
-use crate::http1::MAX_BODY;
+use crate::http1::MAX_BODY_BYTES;
 
 /// What has come of a stream and is not passed on yet.
 #[derive(Debug, Default)]
@@ -12,14 +12,14 @@
     /// Prompt tokens that the server had kept, once told.
     pub cached_tokens: Option<f64>,
     /// The last load report in a comment, unread.
-    pub load: Option<String>,
+    pub load_report: Option<String>,
 }
 
 impl EventStream {
     /// Takes bytes as they come and appends whole events, unchanged, to `out`.
     ///
     /// Gives false where an event does not end within the bound of a body.
-    pub fn take(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> bool {
+    pub fn push(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> bool {
         self.rest.extend_from_slice(bytes);
         let mut from = 0;
         while let Some(len) = event_length(&self.rest[from..]) {
@@ -30,11 +30,11 @@
             }
         }
         self.rest.drain(..from);
-        self.rest.len() <= MAX_BODY
+        self.rest.len() <= MAX_BODY_BYTES
     }
 
     /// What came behind the last whole event.
-    pub fn rest(&self) -> &[u8] {
+    pub fn remainder(&self) -> &[u8] {
         &self.rest
     }
 
@@ -46,7 +46,7 @@
             if let Some(comment) = line.strip_prefix(':') {
                 let reported = comment.trim_start().split_once(':');
                 if let Some((_, load)) = reported.filter(|t| t.0.eq_ignore_ascii_case("srv-load")) {
-                    self.load = Some(load.trim().to_string());
+                    self.load_report = Some(load.trim().to_string());
                 }
                 continue;
             }
--- a/crates/platform/src/http1/body.rs
+++ b/crates/platform/src/http1/body.rs
@@ -1,6 +1,6 @@
 //! Reads a body as its bytes come, by its length or in chunks.
 
-use super::{Framing, HttpError, MAX_CHUNK};
+use super::{Framing, HttpError, MAX_CHUNK_BYTES};
 
 /// Longest line that names a chunk's size, and all trailers together, bytes.
 const MAX_CHUNK_LINE: usize = 256;
@@ -28,11 +28,11 @@
 impl Body {
     /// A body of which nothing has come.
     pub fn new(framing: Framing) -> Body {
-        Body::with_chunks_up_to(framing, MAX_CHUNK)
+        Body::with_max_chunk(framing, MAX_CHUNK_BYTES)
     }
 
     /// One whose chunks may be larger or have to be smaller, bytes.
-    pub fn with_chunks_up_to(framing: Framing, max_chunk: u64) -> Body {
+    pub fn with_max_chunk(framing: Framing, max_chunk: u64) -> Body {
         let step = match framing {
             Framing::Length(0) => Step::Done,
             Framing::Length(n) => Step::Length(n),
@@ -43,7 +43,7 @@
     }
 
     /// The body's last byte has come.
-    pub fn done(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.step == Step::Done
     }
 
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     /// A chunk that cannot be read, does not fit or is larger than its bound.
-    pub fn take(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, HttpError> {
+    pub fn decode(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, HttpError> {
         let mut at = 0;
         while at < bytes.len() {
             let taken = self.step(&bytes[at..], out)?;
@@ -98,7 +98,7 @@
                     Ok(2)
                 }
                 [b'\r'] => Ok(0),
-                _ => Err(HttpError::Chunk),
+                _ => Err(HttpError::InvalidChunk),
             },
             Step::Trailers(read) => self.trailer(bytes, read),
         }
@@ -118,10 +118,10 @@
         let text = std::str::from_utf8(digits)
             .ok()
             .filter(|_| hex)
-            .ok_or(HttpError::Chunk)?;
-        let size = u64::from_str_radix(text, 16).map_err(|_| HttpError::Chunk)?;
+            .ok_or(HttpError::InvalidChunk)?;
+        let size = u64::from_str_radix(text, 16).map_err(|_| HttpError::InvalidChunk)?;
         if size > self.max_chunk {
-            return Err(HttpError::Chunk);
+            return Err(HttpError::InvalidChunk);
         }
         self.step = if size == 0 {
             Step::Trailers(0)
@@ -136,7 +136,7 @@
             return Ok(0);
         };
         if read + taken > MAX_TRAILERS {
-            return Err(HttpError::Chunk);
+            return Err(HttpError::InvalidChunk);
         }
         self.step = if line.is_empty() {
             Step::Done
@@ -153,8 +153,8 @@
         Some(end) if end > 0 && bytes[end - 1] == b'\r' && end < limit => {
             Ok(Some((&bytes[..end - 1], end + 1)))
         }
-        Some(_) => Err(HttpError::Chunk),
-        None if bytes.len() >= limit => Err(HttpError::Chunk),
+        Some(_) => Err(HttpError::InvalidChunk),
+        None if bytes.len() >= limit => Err(HttpError::InvalidChunk),
         None => Ok(None),
     }
 }
--- a/crates/platform/src/http1/mod.rs
+++ b/crates/platform/src/http1/mod.rs
@@ -12,37 +12,37 @@
 use thiserror::Error;
 
 /// Largest head of a message, bytes.
-pub const MAX_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Most header fields in a head.
-pub const MAX_FIELDS: usize = 64;
+pub const MAX_HEADER_FIELDS: usize = 64;
 /// Largest body of a request or of a plain answer, bytes.
-pub const MAX_BODY: usize = 256 * 1024;
+pub const MAX_BODY_BYTES: usize = 256 * 1024;
 /// Largest chunk of a stream, bytes; no event is longer than a body.
-pub const MAX_CHUNK: u64 = MAX_BODY as u64;
+pub const MAX_CHUNK_BYTES: u64 = MAX_BODY_BYTES as u64;
 /// Why a message is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpError {
     /// A head that cannot be parsed.
     #[error("the head cannot be read")]
-    Head,
-    /// A head larger than [`MAX_HEAD`] or with more than [`MAX_FIELDS`] fields.
+    MalformedHead,
+    /// A head larger than [`MAX_HEAD_BYTES`] or with more than [`MAX_HEADER_FIELDS`] fields.
     #[error("the head is too long")]
     HeadTooLong,
     /// A `Content-Length` that is no single whole number.
     #[error("the length is not a single whole number")]
-    Length,
+    InvalidLength,
     /// `Content-Length` beside `Transfer-Encoding`.
     #[error("a length and a transfer coding together")]
-    LengthAndCoding,
+    LengthWithTransferCoding,
     /// A `Transfer-Encoding` other than `chunked`.
     #[error("the transfer coding is not known")]
-    Coding,
-    /// A body larger than [`MAX_BODY`].
+    UnsupportedTransferCoding,
+    /// A body larger than [`MAX_BODY_BYTES`].
     #[error("the body is longer than 256 KiB")]
     BodyTooLong,
     /// A chunk that cannot be read or is too large.
     #[error("a chunk cannot be read")]
-    Chunk,
+    InvalidChunk,
 }
 
 impl HttpError {
@@ -51,10 +51,11 @@
         match self {
             HttpError::HeadTooLong => 431,
             HttpError::BodyTooLong => 413,
-            HttpError::Coding => 501,
-            HttpError::Head | HttpError::Length | HttpError::LengthAndCoding | HttpError::Chunk => {
-                400
-            }
+            HttpError::UnsupportedTransferCoding => 501,
+            HttpError::MalformedHead
+            | HttpError::InvalidLength
+            | HttpError::LengthWithTransferCoding
+            | HttpError::InvalidChunk => 400,
         }
     }
 }
@@ -147,21 +148,21 @@
     let lengths: Vec<&str> = fields.all("content-length").collect();
     let codings: Vec<&str> = fields.all("transfer-encoding").collect();
     if !lengths.is_empty() && !codings.is_empty() {
-        return Err(HttpError::LengthAndCoding);
+        return Err(HttpError::LengthWithTransferCoding);
     }
     match (lengths.as_slice(), codings.as_slice()) {
         ([], []) => Ok(None),
         ([], [one]) if one.eq_ignore_ascii_case("chunked") => Ok(Some(Framing::Chunked)),
-        ([], _) => Err(HttpError::Coding),
+        ([], _) => Err(HttpError::UnsupportedTransferCoding),
         ([one], _) => {
             let digits = !one.is_empty() && one.bytes().all(|b| b.is_ascii_digit());
             // A length past what a number holds is too long, not unreadable.
             let length = digits
                 .then(|| one.parse().unwrap_or(u64::MAX))
-                .ok_or(HttpError::Length)?;
+                .ok_or(HttpError::InvalidLength)?;
             Ok(Some(Framing::Length(length)))
         }
-        _ => Err(HttpError::Length),
+        _ => Err(HttpError::InvalidLength),
     }
 }
 
@@ -180,10 +181,10 @@
     come: usize,
 ) -> Result<Option<usize>, HttpError> {
     match parsed {
-        Ok(httparse::Status::Complete(n)) if n + skipped <= MAX_HEAD => Ok(Some(n + skipped)),
-        Ok(httparse::Status::Partial) if come <= MAX_HEAD => Ok(None),
+        Ok(httparse::Status::Complete(n)) if n + skipped <= MAX_HEAD_BYTES => Ok(Some(n + skipped)),
+        Ok(httparse::Status::Partial) if come <= MAX_HEAD_BYTES => Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(HttpError::HeadTooLong),
-        Err(_) => Err(HttpError::Head),
+        Err(_) => Err(HttpError::MalformedHead),
     }
 }
 
@@ -193,7 +194,7 @@
 /// A head that cannot be read, is too long, or tells its body's length in more than one way.
 pub fn request_head(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, HttpError> {
     let skipped = leading_newlines(bytes);
-    let mut raw = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    let mut raw = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut head = httparse::Request::new(&mut raw);
     let parsed = head.parse(&bytes[skipped..]);
     let Some(taken) = head_length(parsed, skipped, bytes.len())? else {
@@ -201,7 +202,7 @@
     };
     let fields = Fields::read(head.headers);
     let framing = framing(&fields)?.unwrap_or(Framing::Length(0));
-    if matches!(framing, Framing::Length(n) if n > MAX_BODY as u64) {
+    if matches!(framing, Framing::Length(n) if n > MAX_BODY_BYTES as u64) {
         return Err(HttpError::BodyTooLong);
     }
     let modern = head.version == Some(1);
@@ -229,7 +230,7 @@
 /// # Errors
 /// As [`request_head`].
 pub fn response_head(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, HttpError> {
-    let mut raw = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    let mut raw = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut head = httparse::Response::new(&mut raw);
     let Some(taken) = head_length(head.parse(bytes), 0, bytes.len())? else {
         return Ok(None);
--- a/crates/platform/src/line_splitter.rs
+++ b/crates/platform/src/line_splitter.rs
@@ -32,7 +32,7 @@
     }
 
     /// Gives the objects that are whole, and whether any line was, an empty one included.
-    pub fn take(&mut self) -> (Vec<Vec<u8>>, bool) {
+    pub fn take_complete(&mut self) -> (Vec<Vec<u8>>, bool) {
         let (mut objects, mut from) = (Vec::new(), 0);
         while self.seen < self.text.len() {
             let byte = self.text[self.seen];
@@ -58,7 +58,7 @@
     }
 
     /// What is left where an answer has ended in order: its last line may lack the line feed.
-    pub fn rest(&mut self) -> Option<Vec<u8>> {
+    pub fn take_remainder(&mut self) -> Option<Vec<u8>> {
         let rest = std::mem::take(self).text.trim_ascii().to_vec();
         (!rest.is_empty()).then_some(rest)
     }
--- a/crates/platform/src/node/attempts.rs
+++ b/crates/platform/src/node/attempts.rs
@@ -44,7 +44,7 @@
         let usage = ConnectionUse::Attempt {
             request,
             number,
-            until,
+            times_out_at: until,
         };
         let Some(conn) = self.start_exchange(now, target.address, usage, Vec::new(), commands)
         else {
@@ -55,9 +55,9 @@
             open.in_flight = Some(InFlightAttempt {
                 number,
                 server,
-                prefill: target.role == Role::Prefill,
+                is_prefill: target.role == Role::Prefill,
                 conn,
-                sent: now,
+                sent_at: now,
             });
         }
         self.timers
@@ -72,14 +72,14 @@
             && open.in_flight.is_none()
             && open.forwarded.is_some()
             && now < open.deadline;
-        if endpoint.standing != ServerStatus::Ready || !is_sendable {
+        if endpoint.status != ServerStatus::Ready || !is_sendable {
             return None;
         }
         let role = self.roles.get(usize::from(endpoint.kind));
         Some(Target {
             address: ServerAddress {
                 server,
-                to: endpoint.endpoint,
+                address: endpoint.address,
             },
             role: role.copied().unwrap_or_default(),
         })
@@ -127,7 +127,7 @@
             attempt: was.number,
             server: was.server,
             outcome,
-            elapsed_s: now.since(was.sent),
+            elapsed_s: now.since(was.sent_at),
             finished,
             prefix_hit_tokens: hit,
             report,
@@ -145,8 +145,8 @@
         let Some(open) = self.requests.get(request) else {
             return;
         };
-        let streaming = open.streaming_since.is_some();
-        let prefill = open.in_flight.is_some_and(|o| o.prefill);
+        let streaming = open.last_event_at.is_some();
+        let prefill = open.in_flight.is_some_and(|o| o.is_prefill);
         let outcome = match complete.status {
             200 if streaming => Outcome::Served,
             // A stream without an event gives the client nothing.
@@ -176,7 +176,7 @@
         if self
             .requests
             .get(request)
-            .is_some_and(|o| o.streaming_since.is_some())
+            .is_some_and(|o| o.last_event_at.is_some())
         {
             self.break_stream(request, commands);
         }
@@ -236,7 +236,7 @@
         let Some(open) = self.requests.get(request) else {
             return;
         };
-        if open.streaming_since.is_none() && open.in_flight.is_some_and(|o| o.number == attempt) {
+        if open.last_event_at.is_none() && open.in_flight.is_some_and(|o| o.number == attempt) {
             self.abandon_attempt(now, request, Outcome::Cancelled, commands);
         }
     }
@@ -251,7 +251,7 @@
         let Some(open) = self.requests.get(request) else {
             return;
         };
-        if open.streaming_since.is_none() && open.in_flight.is_some_and(|o| o.number == number) {
+        if open.last_event_at.is_none() && open.in_flight.is_some_and(|o| o.number == number) {
             self.abandon_attempt(now, request, Outcome::TimedOut, commands);
         }
     }
--- a/crates/platform/src/node/client_requests.rs
+++ b/crates/platform/src/node/client_requests.rs
@@ -6,7 +6,7 @@
 use bitternlatch_policy::interface::{Event, RequestId};
 
 use super::Node;
-use crate::client::{CompleteRequest, MAX_UNSENT};
+use crate::client::{CompleteRequest, MAX_UNSENT_BYTES};
 use crate::http1::{chunk, plain_response, stream_head, LAST_CHUNK};
 use crate::pool::ConnectionUse;
 use crate::requests::{parse_request, ForwardedRequest, OpenRequest, ParsedRequest};
@@ -32,7 +32,7 @@
         let Some(client) = self.clients.get_mut(conn) else {
             return;
         };
-        if client.take(now, bytes) && client.pause() {
+        if client.receive(now, bytes) && client.pause() {
             commands.push(Command::Pause { conn, paused: true });
         }
         self.read_requests(now, conn, commands);
@@ -47,7 +47,7 @@
         while let Some(client) = self.clients.get_mut(conn) {
             match client.next_request() {
                 Ok(None) => {
-                    if client.take_expectation() {
+                    if client.take_continue_expectation() {
                         self.write_client(
                             now,
                             conn,
@@ -85,7 +85,7 @@
                 return self.reject(conn, rejection.status, rejection.reason, commands)
             }
         };
-        if self.requests.knows(&parsed.id) {
+        if self.requests.contains_id(&parsed.id) {
             return self.reject(conn, 409, "a request of this id is open", commands);
         }
         if self.requests.len() >= self.bounds.most_held
@@ -112,7 +112,7 @@
         }
         arrival.time_left_s = deadline.since(now);
         let forwarded = ForwardedRequest::new(&request.head, &parsed.id, request.body);
-        arrival.id = self.requests.put(OpenRequest {
+        arrival.id = self.requests.insert(OpenRequest {
             forwarded: Some(Rc::new(forwarded)),
             id: parsed.id,
             client: Some(conn),
@@ -120,7 +120,7 @@
             attempts: 0,
             in_flight: None,
             aborted_at: None,
-            streaming_since: None,
+            last_event_at: None,
             answered: false,
         });
         self.clients.begin_request(conn, arrival.id);
@@ -140,7 +140,7 @@
         let Some(client) = self.clients.get_mut(conn) else {
             return;
         };
-        let keep_alive = client.serves_on(!self.shutdown.is_accepting());
+        let keep_alive = client.keeps_alive_after_response(!self.shutdown.is_accepting());
         let bytes = plain_response(status, more, keep_alive, text);
         self.write_client(now, conn, bytes, commands);
         self.client_free(now, conn, commands);
@@ -170,7 +170,7 @@
         commands: &mut Vec<Command>,
     ) {
         if let Some(client) = self.clients.get_mut(conn) {
-            client.queued(now, bytes.len());
+            client.add_unsent(now, bytes.len());
             commands.push(Command::Write { conn, bytes });
         }
     }
@@ -186,10 +186,10 @@
         let Some(client) = self.clients.get_mut(conn) else {
             return;
         };
-        if !client.keeps_alive() {
+        if !client.keep_alive() {
             return self.finish_client(conn, commands);
         }
-        client.answered(now);
+        client.finish_response(now);
         if client.resume() {
             commands.push(Command::Pause {
                 conn,
@@ -239,7 +239,7 @@
     fn take_answer(&mut self, id: RequestId) -> Option<ConnId> {
         self.requests
             .get(id)
-            .filter(|o| !o.answered && o.streaming_since.is_none())?;
+            .filter(|o| !o.answered && o.last_event_at.is_none())?;
         self.end_for_client(id)
     }
 
@@ -266,13 +266,13 @@
             return;
         };
         let Some(conn) = open.client else { return };
-        let is_first = open.streaming_since.replace(now).is_none();
+        let is_first = open.last_event_at.replace(now).is_none();
         let server = open.in_flight.map(|attempt| attempt.conn);
         let mut bytes = Vec::with_capacity(events.len() + CHUNK_OVERHEAD);
         if is_first {
             let stopping = !self.shutdown.is_accepting();
             let client = self.clients.get(conn);
-            bytes = stream_head(client.is_some_and(|c| c.serves_on(stopping)));
+            bytes = stream_head(client.is_some_and(|c| c.keeps_alive_after_response(stopping)));
             self.requests.drop_prompt(id);
         }
         chunk(events, &mut bytes);
@@ -288,7 +288,7 @@
         let is_slow = self
             .clients
             .get(conn)
-            .is_some_and(|client| client.unsent() > MAX_UNSENT);
+            .is_some_and(|client| client.unsent_bytes() > MAX_UNSENT_BYTES);
         let is_streaming = self
             .pool
             .get(server)
@@ -332,8 +332,8 @@
         let Some(client) = self.clients.get_mut(conn) else {
             return;
         };
-        client.written(now, count);
-        if client.unsent() < MAX_UNSENT / 2 {
+        client.record_written(now, count);
+        if client.unsent_bytes() < MAX_UNSENT_BYTES / 2 {
             if let Some(server) = self.clients.release_backpressure(conn) {
                 commands.push(Command::Pause {
                     conn: server,
@@ -358,7 +358,7 @@
             return;
         };
         open.client = None;
-        let is_streaming = open.streaming_since.is_some();
+        let is_streaming = open.last_event_at.is_some();
         if !std::mem::replace(&mut open.answered, true) {
             self.counts.disconnected += 1;
         }
--- a/crates/platform/src/node/discovery_updates.rs
+++ b/crates/platform/src/node/discovery_updates.rs
@@ -11,26 +11,26 @@
 impl Node {
     /// Begins the watch, or restarts one that has brought nothing in time.
     pub(super) fn drive_watch(&mut self, now: Micros, commands: &mut Vec<Command>) {
-        if let Some(cause) = self.discovery.overdue(now) {
+        if let Some(cause) = self.discovery.overdue_cause(now) {
             self.restart_watch(now, cause, commands);
         }
         if self.discovery.is_due(now) {
             let conn = self.next_conn();
-            self.discovery.connect(now, conn, commands);
+            self.discovery.start_watch(now, conn, commands);
         }
         self.schedule_watch(now);
     }
 
     pub(super) fn on_discovery(&mut self, now: Micros, bytes: &[u8], commands: &mut Vec<Command>) {
-        let progress = self.discovery.take(now, bytes);
+        let progress = self.discovery.receive(now, bytes);
         let read = progress.objects.iter().try_for_each(|object| {
             let list = EndpointList::parse(object, &self.names)?;
             self.apply_list(now, list, commands)
         });
-        if progress.any_line && read.is_ok() {
-            self.discovery.notified(now);
+        if progress.received_line && read.is_ok() {
+            self.discovery.record_notification(now);
         }
-        if let Some(cause) = read.err().or(progress.broken) {
+        if let Some(cause) = read.err().or(progress.failure) {
             self.restart_watch(now, &cause, commands);
         }
     }
@@ -41,7 +41,7 @@
     }
 
     fn restart_watch(&mut self, now: Micros, cause: &str, commands: &mut Vec<Command>) {
-        self.discovery.restart(now, cause, commands);
+        self.discovery.restart_watch(now, cause, commands);
         self.schedule_watch(now);
     }
 
--- a/crates/platform/src/node/eviction.rs
+++ b/crates/platform/src/node/eviction.rs
@@ -29,7 +29,7 @@
 
     /// Evicts the connection to a model server that has been idle longest. False where none is idle.
     pub fn evict_idle_connection(&mut self, commands: &mut Vec<Command>) -> bool {
-        let Some(conn) = self.pool.idle_longest() else {
+        let Some(conn) = self.pool.longest_idle() else {
             return false;
         };
         self.close_server_connection(conn, commands);
--- a/crates/platform/src/node/exchanges.rs
+++ b/crates/platform/src/node/exchanges.rs
@@ -18,7 +18,7 @@
 /// What is expected on a connection that is used so.
 fn reader_for(usage: ConnectionUse) -> ResponseReader {
     match usage {
-        ConnectionUse::Attempt { .. } => ResponseReader::to_attempt(),
+        ConnectionUse::Attempt { .. } => ResponseReader::for_attempt(),
         ConnectionUse::Idle | ConnectionUse::HealthCheck { .. } | ConnectionUse::Release { .. } => {
             ResponseReader::default()
         }
@@ -36,7 +36,7 @@
         call: Vec<u8>,
         commands: &mut Vec<Command>,
     ) -> Option<ConnId> {
-        let conn = match self.pool.place(now, target.to, usage) {
+        let conn = match self.pool.place(now, target.address, usage) {
             Placement::Full => return None,
             Placement::Idle(conn) => {
                 self.reuse_connection(now, conn, target.server, usage, call, commands)
@@ -69,10 +69,14 @@
     ) -> ConnId {
         let bytes = self.bytes_to_write(now, usage, &call);
         if let Some(connection) = self.pool.get_mut(conn) {
-            (connection.usage, connection.since, connection.unsent) = (usage, now, bytes.len());
+            (
+                connection.usage,
+                connection.in_use_since,
+                connection.unsent_bytes,
+            ) = (usage, now, bytes.len());
             (connection.server, connection.response) = (server, reader_for(usage));
             // Kept until it is known to have been written: another connection may have to carry it.
-            connection.waiting = call;
+            connection.pending_call = call;
         }
         commands.push(Command::Reuse { conn, bytes });
         conn
@@ -82,7 +86,10 @@
     fn open_connection(
         &mut self,
         now: Micros,
-        ServerAddress { server, to }: ServerAddress,
+        ServerAddress {
+            server,
+            address: to,
+        }: ServerAddress,
         usage: ConnectionUse,
         call: Vec<u8>,
         commands: &mut Vec<Command>,
@@ -90,17 +97,17 @@
         let conn = self.next_conn();
         let response = reader_for(usage);
         let connection = ServerConnection {
-            to,
+            address: to,
             server,
-            up: false,
+            connected: false,
             usage,
-            since: now,
-            waiting: call,
-            unsent: 0,
+            in_use_since: now,
+            pending_call: call,
+            unsent_bytes: 0,
             response,
             last_received: None,
         };
-        self.pool.put(conn, connection);
+        self.pool.insert(conn, connection);
         commands.push(Command::Connect { conn, to });
         let late = now.after(self.bounds.connect_timeout_s);
         self.timers
@@ -130,13 +137,14 @@
         };
         let target = ServerAddress {
             server: connection.server,
-            to: connection.to,
+            address: connection.address,
         };
         let usage = connection.usage;
         if !self.still_wanted(connection.server, usage) {
             return self.on_exchange_failed(now, usage, Outcome::ConnectFailed, commands);
         }
-        let Some(other) = self.start_exchange(now, target, usage, connection.waiting, commands)
+        let Some(other) =
+            self.start_exchange(now, target, usage, connection.pending_call, commands)
         else {
             return self.on_exchange_failed(now, usage, Outcome::NotSent, commands);
         };
@@ -161,7 +169,7 @@
             .discovery
             .endpoints()
             .get(server)
-            .is_some_and(|t| t.standing == ServerStatus::Ready);
+            .is_some_and(|t| t.status == ServerStatus::Ready);
         ready
             && self
                 .requests
@@ -178,8 +186,8 @@
         let Some(connection) = self.pool.get_mut(conn) else {
             return;
         };
-        connection.up = true;
-        let waiting = std::mem::take(&mut connection.waiting);
+        connection.connected = true;
+        let waiting = std::mem::take(&mut connection.pending_call);
         let (server, usage) = (connection.server, connection.usage);
         if !self.still_wanted(server, usage) {
             self.close_server_connection(conn, commands);
@@ -187,7 +195,7 @@
         }
         let bytes = self.bytes_to_write(now, usage, &waiting);
         if let Some(connection) = self.pool.get_mut(conn) {
-            connection.unsent = bytes.len();
+            connection.unsent_bytes = bytes.len();
         }
         commands.push(Command::Write { conn, bytes });
     }
@@ -195,7 +203,12 @@
     /// What goes out now: an attempt's request says how long its server has, which is no more than the client has left,
     /// however long a connection took to come up; anything else goes out as it was given.
     fn bytes_to_write(&self, now: Micros, usage: ConnectionUse, call: &[u8]) -> Vec<u8> {
-        let ConnectionUse::Attempt { request, until, .. } = usage else {
+        let ConnectionUse::Attempt {
+            request,
+            times_out_at: until,
+            ..
+        } = usage
+        else {
             return call.to_vec();
         };
         let forwarded = self
@@ -221,14 +234,14 @@
         since: Micros,
         commands: &mut Vec<Command>,
     ) {
-        let Some(connection) = self.pool.get(conn).filter(|l| l.since == since) else {
+        let Some(connection) = self.pool.get(conn).filter(|l| l.in_use_since == since) else {
             return;
         };
         let usage = connection.usage;
         let outcome = match usage {
             ConnectionUse::Idle => return,
-            ConnectionUse::Attempt { .. } if connection.up => return,
-            _ if !connection.up => Outcome::ConnectFailed,
+            ConnectionUse::Attempt { .. } if connection.connected => return,
+            _ if !connection.connected => Outcome::ConnectFailed,
             _ => Outcome::TimedOut,
         };
         self.close_server_connection(conn, commands);
@@ -289,13 +302,16 @@
             // Nothing was asked: whatever this is, the next answer could not be told from it.
             return self.close_server_connection(conn, commands);
         }
-        match connection.response.take(bytes) {
+        match connection.response.receive(bytes) {
             Ok(BodyProgress::Events(events)) => self.on_events(now, usage, &events, commands),
             Ok(BodyProgress::End { events, complete }) => {
-                let content = connection.response.content().to_vec();
-                if complete.reusable && connection.unsent == 0 {
-                    (connection.usage, connection.since, connection.response) =
-                        (ConnectionUse::Idle, now, ResponseReader::default());
+                let content = connection.response.body().to_vec();
+                if complete.reusable && connection.unsent_bytes == 0 {
+                    (
+                        connection.usage,
+                        connection.in_use_since,
+                        connection.response,
+                    ) = (ConnectionUse::Idle, now, ResponseReader::default());
                 } else {
                     self.close_server_connection(conn, commands);
                 }
@@ -311,7 +327,7 @@
 
     /// Closes connections to a server that nothing is in flight on.
     pub(super) fn close_idle_connections(&mut self, server: ServerId, commands: &mut Vec<Command>) {
-        for conn in self.pool.idle_at(server) {
+        for conn in self.pool.idle_connections_to(server) {
             self.close_server_connection(conn, commands);
         }
     }
@@ -338,10 +354,10 @@
         let Some(sent) = open.in_flight.filter(|o| o.number == number) else {
             return;
         };
-        let first = open.streaming_since.is_none();
+        let first = open.last_event_at.is_none();
         self.forward_events(now, request, events, commands);
         if first {
-            let elapsed_s = now.since(sent.sent);
+            let elapsed_s = now.since(sent.sent_at);
             let (attempt, server) = (number, sent.server);
             self.events.push_back(Event::FirstToken {
                 request,
@@ -361,7 +377,7 @@
         commands: &mut Vec<Command>,
     ) {
         let report = complete
-            .load
+            .load_report
             .as_deref()
             .map(|l| parse_load_report(l, &self.names))
             .unwrap_or_default();
@@ -384,9 +400,11 @@
                 };
                 self.finish_health_check(now, server, outcome, report);
             }
-            ConnectionUse::Release { id, server, begun } => {
-                self.release_answered(now, id, server, begun, complete.status, commands)
-            }
+            ConnectionUse::Release {
+                id,
+                server,
+                started_at: begun,
+            } => self.release_answered(now, id, server, begun, complete.status, commands),
         }
     }
 }
--- a/crates/platform/src/node/health_check_calls.rs
+++ b/crates/platform/src/node/health_check_calls.rs
@@ -20,7 +20,7 @@
         };
         let target = ServerAddress {
             server,
-            to: endpoint.endpoint,
+            address: endpoint.address,
         };
         let call = HEALTH_CHECK.to_vec();
         if self
--- a/crates/platform/src/node/mod.rs
+++ b/crates/platform/src/node/mod.rs
@@ -95,7 +95,7 @@
             pool: ConnectionPool::new(connections.servers, config.bounds.idle_s),
             health_checks: HealthChecks::default(),
             releases: Releases::default(),
-            peers: Peers::new(config.peers, config.peers_all, me, peers_allowed),
+            peers: Peers::new(config.peers, config.broadcast_address, me, peers_allowed),
             shutdown: Shutdown::new(schedule),
             timers: Timers::default(),
             events: VecDeque::new(),
@@ -106,7 +106,7 @@
             bounds: config.bounds,
             limits: config.limits,
         };
-        if let Some(known) = config.known {
+        if let Some(known) = config.cached_list {
             let entries = node.discovery.load(now, known);
             node.events.push_back(Event::Servers {
                 form: ListForm::Cached,
@@ -184,8 +184,8 @@
 
     /// A new configuration: a new address of discovery is called at once; list and requests are kept.
     pub fn reload(&mut self, now: Micros, config: Config, commands: &mut Vec<Command>) {
-        self.peers.replace(config.peers, config.peers_all);
-        if self.discovery.move_to(now, config.discovery, commands) {
+        self.peers.replace(config.peers, config.broadcast_address);
+        if self.discovery.set_address(now, config.discovery, commands) {
             self.drive_watch(now, commands);
         }
         self.settle(now, commands);
@@ -308,8 +308,8 @@
     }
 
     fn on_connected(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
-        if self.discovery.owns(conn) {
-            let bytes = self.discovery.request();
+        if self.discovery.owns_connection(conn) {
+            let bytes = self.discovery.watch_request();
             return commands.push(Command::Write { conn, bytes });
         }
         self.on_server_connected(now, conn, commands);
@@ -322,7 +322,7 @@
         bytes: &[u8],
         commands: &mut Vec<Command>,
     ) {
-        if self.discovery.owns(conn) {
+        if self.discovery.owns_connection(conn) {
             self.on_discovery(now, bytes, commands);
         } else if self.pool.get(conn).is_some() {
             self.on_server_bytes(now, conn, bytes, commands);
@@ -333,14 +333,14 @@
 
     fn on_wrote(&mut self, now: Micros, conn: ConnId, count: usize, commands: &mut Vec<Command>) {
         if let Some(connection) = self.pool.get_mut(conn) {
-            connection.unsent = connection.unsent.saturating_sub(count);
+            connection.unsent_bytes = connection.unsent_bytes.saturating_sub(count);
         } else {
             self.on_client_wrote(now, conn, count, commands);
         }
     }
 
     fn on_ended(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
-        if self.discovery.owns(conn) {
+        if self.discovery.owns_connection(conn) {
             self.on_watch_ended(now, commands);
         } else if self.pool.get(conn).is_some() {
             self.on_server_ended(now, conn, commands);
@@ -360,9 +360,9 @@
         let endpoints = self.discovery.endpoints();
         let is_listed = |connection: &ServerConnection| {
             let endpoint = endpoints.get(connection.server);
-            endpoint.is_some_and(|e| e.endpoint == connection.to)
+            endpoint.is_some_and(|e| e.address == connection.address)
         };
-        for conn in self.pool.stale(now, is_listed) {
+        for conn in self.pool.expired_idle(now, is_listed) {
             self.close_server_connection(conn, commands);
         }
         self.break_stalled_streams(now, commands);
@@ -401,7 +401,10 @@
     /// read: that one has to have its answer as well.
     fn finish_if_not_accepting(&mut self, conn: ConnId, commands: &mut Vec<Command>) {
         if !self.shutdown.is_accepting()
-            && self.clients.get(conn).is_some_and(|client| !client.busy())
+            && self
+                .clients
+                .get(conn)
+                .is_some_and(|client| !client.has_open_request())
         {
             self.finish_client(conn, commands);
         }
--- a/crates/platform/src/node/release_calls.rs
+++ b/crates/platform/src/node/release_calls.rs
@@ -24,8 +24,8 @@
         let valid_from = open
             .aborted_at
             .map_or(now, |at| at.after(CLOSE_PROPAGATION_SECS));
-        let is_handed_over = open.in_flight.is_some_and(|attempt| !attempt.prefill);
-        let begun = self.releases.begin(now, valid_from, open.id.clone());
+        let is_handed_over = open.in_flight.is_some_and(|attempt| !attempt.is_prefill);
+        let begun = self.releases.start(now, valid_from, open.id.clone());
         self.counts.releases += 1;
         if let Some(dropped) = begun.dropped {
             self.unconfirmed(
@@ -53,11 +53,11 @@
         let usage = ConnectionUse::Release {
             id,
             server,
-            begun: now,
+            started_at: now,
         };
         let target = ServerAddress {
             server,
-            to: call.to,
+            address: call.address,
         };
         let conn = self.start_exchange(now, target, usage, call.bytes, commands);
         if conn.is_some() {
--- a/crates/platform/src/node/streams.rs
+++ b/crates/platform/src/node/streams.rs
@@ -29,7 +29,7 @@
         let running = self
             .requests
             .iter()
-            .filter(|(_, open)| open.streaming_since.is_some() && !open.answered);
+            .filter(|(_, open)| open.last_event_at.is_some() && !open.answered);
         let running: Vec<RequestId> = running.map(|(id, _)| id).collect();
         for id in running {
             self.break_stream(id, commands);
@@ -42,7 +42,7 @@
         let backpressured =
             |conn: Option<ConnId>| conn.is_some_and(|c| self.clients.is_backpressured(c));
         let stalled = self.requests.iter().filter(|(_, open)| {
-            open.streaming_since
+            open.last_event_at
                 .is_some_and(|at| now.since(at) >= STREAM_STALL_SECS)
                 && !backpressured(open.client)
         });
--- a/crates/platform/src/pool.rs
+++ b/crates/platform/src/pool.rs
@@ -16,7 +16,7 @@
 /// A connection that has brought an answer rests for this long before it is used again, seconds: a server may send a
 /// second answer some milliseconds late, which would be taken for that of the next request. What comes while it rests
 /// closes it. Longer than that and a few turns of a busy process; few connections are asked for again so soon.
-pub const SETTLE_SECS: f64 = 0.03;
+pub const REUSE_DELAY_SECS: f64 = 0.03;
 
 /// A server counts as silent once it has said nothing for so long after it was asked, seconds.
 const SILENT_SECS: f64 = 0.1;
@@ -38,7 +38,7 @@
         /// Number of the attempt within the request.
         number: u16,
         /// Time of its timeout.
-        until: Micros,
+        times_out_at: Micros,
     },
     /// A health check.
     HealthCheck {
@@ -52,7 +52,7 @@
         /// The server that is called.
         server: ServerId,
         /// When the call began.
-        begun: Micros,
+        started_at: Micros,
     },
 }
 
@@ -60,20 +60,20 @@
 #[derive(Debug)]
 pub struct ServerConnection {
     /// Address of the server.
-    pub to: SocketAddr,
+    pub address: SocketAddr,
     /// The server.
     pub server: ServerId,
     /// Whether it is connected.
-    pub up: bool,
+    pub connected: bool,
     /// What it is used for.
     pub usage: ConnectionUse,
     /// Since this use began.
-    pub since: Micros,
+    pub in_use_since: Micros,
     /// What is to be written once it is up, or once more elsewhere if it proves stale; empty for an attempt, whose
     /// request is made when it can be written.
-    pub waiting: Vec<u8>,
+    pub pending_call: Vec<u8>,
     /// Bytes given to it that have not gone to the system.
-    pub unsent: usize,
+    pub unsent_bytes: usize,
     /// Reader of the response.
     pub response: ResponseReader,
     /// When anything came on it last.
@@ -83,7 +83,7 @@
 impl ServerConnection {
     /// The request's last byte has gone out.
     pub fn written(&self) -> bool {
-        self.up && self.unsent == 0
+        self.connected && self.unsent_bytes == 0
     }
 }
 
@@ -99,7 +99,7 @@
 
 /// What the connections tell of servers at one time.
 #[derive(Debug, Default)]
-pub struct ConnectionAges {
+pub struct PoolActivity {
     servers: BTreeMap<ServerId, ServerActivity>,
     idle_since: BTreeMap<(ServerId, SocketAddr), Micros>,
 }
@@ -111,9 +111,9 @@
     unanswered: Option<Micros>,
 }
 
-impl ConnectionAges {
+impl PoolActivity {
     /// The server was asked a while ago, and has said nothing since on any connection.
-    pub fn silent(&self, now: Micros, server: ServerId) -> bool {
+    pub fn is_unresponsive(&self, now: Micros, server: ServerId) -> bool {
         let activity = self.servers.get(&server).copied().unwrap_or_default();
         let waits = activity
             .unanswered
@@ -142,7 +142,7 @@
     /// The server.
     pub server: ServerId,
     /// Where it listens.
-    pub to: SocketAddr,
+    pub address: SocketAddr,
 }
 
 /// Where an exchange can go out.
@@ -189,14 +189,14 @@
     /// The idle and rested connection to an address that was used last: the likeliest to be alive.
     pub fn idle_connection(&self, now: Micros, to: SocketAddr) -> Option<ConnId> {
         let fits = |l: &ServerConnection| {
-            l.to == to
+            l.address == to
                 && l.usage == ConnectionUse::Idle
-                && (SETTLE_SECS..self.max_idle_s).contains(&now.since(l.since))
+                && (REUSE_DELAY_SECS..self.max_idle_s).contains(&now.since(l.in_use_since))
         };
         self.server_connections
             .iter()
             .filter(|(_, l)| fits(l))
-            .max_by_key(|(_, l)| l.since)
+            .max_by_key(|(_, l)| l.in_use_since)
             .map(|(id, _)| *id)
     }
 
@@ -213,17 +213,17 @@
         if self.server_connections.len() < self.limit - reserved {
             return Placement::New { replaces: None };
         }
-        self.idle_longest()
+        self.longest_idle()
             .map_or(Placement::Full, |id| Placement::New { replaces: Some(id) })
     }
 
     /// The connection that has stood idle longest.
-    pub fn idle_longest(&self) -> Option<ConnId> {
+    pub fn longest_idle(&self) -> Option<ConnId> {
         let idle = self
             .server_connections
             .iter()
             .filter(|(_, l)| l.usage == ConnectionUse::Idle);
-        idle.min_by_key(|(_, l)| l.since).map(|(id, _)| *id)
+        idle.min_by_key(|(_, l)| l.in_use_since).map(|(id, _)| *id)
     }
 
     /// Whether a release can go out.
@@ -236,41 +236,40 @@
     }
 
     /// What they tell of servers now.
-    pub fn connection_ages(&self, now: Micros) -> ConnectionAges {
-        let mut connection_ages = ConnectionAges::default();
+    pub fn activity(&self, now: Micros) -> PoolActivity {
+        let mut activity = PoolActivity::default();
         for connection in self.server_connections.values() {
-            let server_activity = connection_ages
-                .servers
-                .entry(connection.server)
-                .or_default();
+            let server_activity = activity.servers.entry(connection.server).or_default();
             server_activity.last_received =
                 server_activity.last_received.max(connection.last_received);
             if connection.usage != ConnectionUse::Idle
                 && connection
                     .last_received
-                    .is_none_or(|last_received| last_received < connection.since)
+                    .is_none_or(|last_received| last_received < connection.in_use_since)
             {
                 server_activity.unanswered = Some(
                     server_activity
                         .unanswered
-                        .map_or(connection.since, |since| since.min(connection.since)),
+                        .map_or(connection.in_use_since, |since| {
+                            since.min(connection.in_use_since)
+                        }),
                 );
             }
             if connection.usage == ConnectionUse::Idle
-                && (SETTLE_SECS..self.max_idle_s).contains(&now.since(connection.since))
+                && (REUSE_DELAY_SECS..self.max_idle_s).contains(&now.since(connection.in_use_since))
             {
-                let idle_since = connection_ages
+                let idle_since = activity
                     .idle_since
-                    .entry((connection.server, connection.to))
-                    .or_insert(connection.since);
-                *idle_since = connection.since.max(*idle_since);
+                    .entry((connection.server, connection.address))
+                    .or_insert(connection.in_use_since);
+                *idle_since = connection.in_use_since.max(*idle_since);
             }
         }
-        connection_ages
+        activity
     }
 
     /// Takes a connection in.
-    pub fn put(&mut self, conn: ConnId, connection: ServerConnection) {
+    pub fn insert(&mut self, conn: ConnId, connection: ServerConnection) {
         self.server_connections.insert(conn, connection);
     }
 
@@ -290,9 +289,14 @@
     }
 
     /// Idle connections that stood so long that the other side may close them, or whose server is not listed.
-    pub fn stale(&self, now: Micros, listed: impl Fn(&ServerConnection) -> bool) -> Vec<ConnId> {
+    pub fn expired_idle(
+        &self,
+        now: Micros,
+        listed: impl Fn(&ServerConnection) -> bool,
+    ) -> Vec<ConnId> {
         let gone = |l: &ServerConnection| {
-            l.usage == ConnectionUse::Idle && (now.since(l.since) >= self.max_idle_s || !listed(l))
+            l.usage == ConnectionUse::Idle
+                && (now.since(l.in_use_since) >= self.max_idle_s || !listed(l))
         };
         self.server_connections
             .iter()
@@ -302,7 +306,7 @@
     }
 
     /// Idle connections to one server.
-    pub fn idle_at(&self, server: ServerId) -> Vec<ConnId> {
+    pub fn idle_connections_to(&self, server: ServerId) -> Vec<ConnId> {
         let fits = |l: &ServerConnection| l.usage == ConnectionUse::Idle && l.server == server;
         self.server_connections
             .iter()
--- a/crates/platform/src/releases.rs
+++ b/crates/platform/src/releases.rs
@@ -12,7 +12,7 @@
 use bitternlatch_policy::interface::{ServerId, ServerStatus};
 
 use crate::discovery::{Endpoint, Endpoints};
-use crate::pool::{ConnectionAges, ConnectionPool};
+use crate::pool::{ConnectionPool, PoolActivity};
 
 /// Servers called in one round.
 const MAX_CALLS_PER_ROUND: usize = 32;
@@ -98,7 +98,7 @@
     /// The model server to call.
     pub server: ServerId,
     /// Its address.
-    pub to: SocketAddr,
+    pub address: SocketAddr,
     /// The request to write.
     pub bytes: Vec<u8>,
 }
@@ -182,7 +182,7 @@
 
     /// Begins one, which a call proves that began at a time or later; gives its number, and the one that had to give
     /// way at the table's bound.
-    pub fn begin(&mut self, now: Micros, valid_from: Micros, request: String) -> Begun {
+    pub fn start(&mut self, now: Micros, valid_from: Micros, request: String) -> Begun {
         let dropped = if self.open.len() >= MOST {
             self.open.pop_first()
         } else {
@@ -230,7 +230,7 @@
         if release.round.called.len() >= MAX_CALLS_PER_ROUND {
             return None;
         }
-        let ages = pool.connection_ages(now);
+        let ages = pool.activity(now);
         let uncalled = endpoints
             .iter()
             .filter(|(server, _)| !release.round.called.contains(server));
@@ -246,7 +246,7 @@
         );
         Some(ReleaseCall {
             server: best.server,
-            to: best.to,
+            address: best.to,
             bytes: call.into_bytes(),
         })
     }
@@ -256,17 +256,17 @@
         now: Micros,
         server: ServerId,
         endpoint: &Endpoint,
-        ages: &ConnectionAges,
+        ages: &PoolActivity,
     ) -> CallRank {
         let failed_at = self.failed.get(&server);
         let failed = failed_at.is_some_and(|at| now.since(*at) < AVOID_AFTER_FAILURE_SECS);
         CallRank {
-            is_silent: ages.silent(now, server) || failed,
-            idle_since: Reverse(ages.idle_since(server, endpoint.endpoint)),
+            is_silent: ages.is_unresponsive(now, server) || failed,
+            idle_since: Reverse(ages.idle_since(server, endpoint.address)),
             last_received: Reverse(ages.last_received(server)),
-            is_not_ready: endpoint.standing != ServerStatus::Ready,
+            is_not_ready: endpoint.status != ServerStatus::Ready,
             server,
-            to: endpoint.endpoint,
+            to: endpoint.address,
         }
     }
 
--- a/crates/platform/src/requests.rs
+++ b/crates/platform/src/requests.rs
@@ -230,11 +230,11 @@
     /// The model server.
     pub server: ServerId,
     /// Whether the server has the prefill role.
-    pub prefill: bool,
+    pub is_prefill: bool,
     /// Connection that carries it.
     pub conn: ConnId,
     /// When it was sent.
-    pub sent: Micros,
+    pub sent_at: Micros,
 }
 
 /// One request, from its last byte until its answer is given and nothing is out for it.
@@ -255,7 +255,7 @@
     /// When an attempt ended without its server's word: the server may see that a little later.
     pub aborted_at: Option<Micros>,
     /// The client's, since this event came last.
-    pub streaming_since: Option<Micros>,
+    pub last_event_at: Option<Micros>,
     /// The final answer is given.
     pub answered: bool,
 }
@@ -302,12 +302,12 @@
     }
 
     /// Whether a request of this id of a client's is open.
-    pub fn knows(&self, id: &str) -> bool {
+    pub fn contains_id(&self, id: &str) -> bool {
         self.ids.contains_key(id)
     }
 
     /// Takes one in under a new id of the module's.
-    pub fn put(&mut self, open: OpenRequest) -> RequestId {
+    pub fn insert(&mut self, open: OpenRequest) -> RequestId {
         self.last = self.last.wrapping_add(1);
         while self.open.contains_key(&self.last) {
             self.last = self.last.wrapping_add(1);
--- a/crates/platform/src/responses.rs
+++ b/crates/platform/src/responses.rs
@@ -3,7 +3,7 @@
 use bitternlatch_routing_settings::Names;
 
 use crate::event_stream::EventStream;
-use crate::http1::{response_head, Body, Framing, HttpError, ResponseHead, MAX_BODY};
+use crate::http1::{response_head, Body, Framing, HttpError, ResponseHead, MAX_BODY_BYTES};
 
 /// Most interim answers before the one that counts.
 const MAX_INTERIM: u32 = 16;
@@ -45,14 +45,14 @@
     /// Prompt tokens found in the prefix cache.
     pub cached_tokens: f64,
     /// As it came, unread.
-    pub load: Option<String>,
+    pub load_report: Option<String>,
     /// The connection can serve once more.
     pub reusable: bool,
 }
 
 impl ResponseReader {
     /// The answer to an attempt, whose 200 brings a stream of events.
-    pub fn to_attempt() -> ResponseReader {
+    pub fn for_attempt() -> ResponseReader {
         ResponseReader {
             streams: true,
             ..ResponseReader::default()
@@ -63,23 +63,23 @@
     ///
     /// # Errors
     /// What cannot be read or breaks a bound: the connection can be used no further.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<BodyProgress, HttpError> {
+    pub fn receive(&mut self, bytes: &[u8]) -> Result<BodyProgress, HttpError> {
         self.unread.extend_from_slice(bytes);
         if !self.read_head()? {
             return Ok(BodyProgress::Events(Vec::new()));
         }
         let (Some(head), Some(body)) = (&self.head, &mut self.body) else {
-            return Err(HttpError::Head);
+            return Err(HttpError::MalformedHead);
         };
-        let taken = body.take(&self.unread, &mut self.content)?;
+        let taken = body.decode(&self.unread, &mut self.content)?;
         self.unread.drain(..taken);
-        let (status, framing, done) = (head.status, head.framing, body.done());
+        let (status, framing, done) = (head.status, head.framing, body.is_complete());
         if !self.streams || status != 200 {
             return self.plain(done);
         }
         // The end of a stream that ends with its connection cannot be told from its break.
         if framing == Framing::Close {
-            return Err(HttpError::Length);
+            return Err(HttpError::InvalidLength);
         }
         self.take_events(done)
     }
@@ -94,7 +94,7 @@
             if (100..200).contains(&head.status) {
                 self.interim += 1;
                 if head.status == 101 || self.interim > MAX_INTERIM {
-                    return Err(HttpError::Head);
+                    return Err(HttpError::MalformedHead);
                 }
                 continue;
             }
@@ -107,15 +107,15 @@
     /// Takes the complete events of the content; `done` at the end of the body.
     fn take_events(&mut self, done: bool) -> Result<BodyProgress, HttpError> {
         let mut events = Vec::new();
-        let fits = self.events.take(&self.content, &mut events);
+        let fits = self.events.push(&self.content, &mut events);
         self.content.clear();
         if !fits {
-            return Err(HttpError::Chunk);
+            return Err(HttpError::InvalidChunk);
         }
         if !done {
             return Ok(BodyProgress::Events(events));
         }
-        let rest = self.events.rest();
+        let rest = self.events.remainder();
         if !rest.trim_ascii().is_empty() && !rest.starts_with(b":") {
             events.extend_from_slice(rest);
         }
@@ -129,8 +129,8 @@
     fn plain(&mut self, done: bool) -> Result<BodyProgress, HttpError> {
         let endless = self.head.as_ref().is_some_and(|h| match h.framing {
             Framing::Close => true,
-            Framing::Length(n) => n > MAX_BODY as u64,
-            Framing::Chunked => self.content.len() > MAX_BODY,
+            Framing::Length(n) => n > MAX_BODY_BYTES as u64,
+            Framing::Chunked => self.content.len() > MAX_BODY_BYTES,
         });
         if !done && !endless {
             return Ok(BodyProgress::Events(Vec::new()));
@@ -152,9 +152,9 @@
             status: head.status,
             declined: head.fields.get("srv-declined") == Some("1"),
             cached_tokens: self.events.cached_tokens.or(reported).unwrap_or(0.0),
-            load: self
+            load_report: self
                 .events
-                .load
+                .load_report
                 .take()
                 .or_else(|| head.fields.get("srv-load").map(str::to_string)),
             reusable: done && head.keep_alive && self.unread.is_empty(),
@@ -162,7 +162,7 @@
     }
 
     /// The content of a plain answer.
-    pub fn content(&self) -> &[u8] {
+    pub fn body(&self) -> &[u8] {
         &self.content
     }
 }
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -20,7 +20,7 @@
     /// From then on nothing new is taken.
     pub stop_accepting_s: f64,
     /// What comes whole while stopping, as half a request may, is answered by then: the kill would lose it.
-    pub answer_by_s: f64,
+    pub response_deadline_s: f64,
     /// Streams that still run are ended then. Not where clients do not ask for the rest of a stream: a stream that is cut
     /// while its events come is a lost request there.
     pub streams_end_s: Option<f64>,
@@ -34,7 +34,7 @@
         let before_kill = |seconds: f64| (kill_s - seconds).max(ACCEPTING_SECS);
         ShutdownSchedule {
             stop_accepting_s: ACCEPTING_SECS,
-            answer_by_s: before_kill(ANSWERED_BEFORE_KILL_SECS),
+            response_deadline_s: before_kill(ANSWERED_BEFORE_KILL_SECS),
             streams_end_s: resumes.then(|| before_kill(STREAMS_END_BEFORE_KILL_SECS)),
         }
     }
@@ -77,7 +77,7 @@
         if self.is_requested() {
             return None;
         }
-        let answer_deadline = now.after(self.schedule.answer_by_s);
+        let answer_deadline = now.after(self.schedule.response_deadline_s);
         self.answer_deadline = Some(answer_deadline);
         Some(StopTimes {
             releases_end: answer_deadline.after(LAST_RELEASES_SECS),
--- a/crates/platform/src/start_times.rs
+++ b/crates/platform/src/start_times.rs
@@ -13,25 +13,25 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StartTimeContext {
     /// The time at which the list came.
-    pub now: Micros,
+    pub received_at: Micros,
     /// When discovery said something last, before this list: by then it did not have what is new in it.
     pub notified_at: Option<Micros>,
     /// It lists other servers as started long ago.
-    pub names_long_ago: bool,
+    pub lists_unknown_starts: bool,
 }
 
 impl StartTimeContext {
     /// A newly listed start by the node's clock, seconds; 0, for long ago, stays. One that cannot be, as it lies ahead
     /// or further back than discovery would be late, is taken for one of now: a server is better warmed up once more than
     /// pushed over.
-    pub fn started_s(&self, listed_s: f64) -> f64 {
+    pub fn start_s(&self, listed_s: f64) -> f64 {
         if listed_s <= 0.0 {
             return listed_s;
         }
-        let now_s = self.now.seconds();
+        let now_s = self.received_at.seconds();
         let oldest_s = match self.notified_at {
             Some(notified) => Some(notified.seconds() - MAX_NOTIFICATION_DELAY_SECS),
-            None => self.names_long_ago.then_some(now_s - LONG_AGO_SECS),
+            None => self.lists_unknown_starts.then_some(now_s - LONG_AGO_SECS),
         };
         let impossible = listed_s > now_s || oldest_s.is_some_and(|oldest| listed_s < oldest);
         if impossible {
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -83,14 +83,14 @@
     ] {
         assert!(good.contains(from), "{from}");
         let config = Config::parse(&good.replacen(from, to, 1)).expect(cause);
-        assert_eq!(config.known, None);
-        let why = config.known_fault.expect(cause);
+        assert_eq!(config.cached_list, None);
+        let why = config.cached_list_error.expect(cause);
         assert!(
             (why.contains(cause) || cause == "rev") && !why.contains('\n'),
             "{why}"
         );
     }
-    assert_eq!(config().known_fault, None);
+    assert_eq!(config().cached_list_error, None);
 }
 
 #[test]
@@ -98,7 +98,7 @@
     let more = config_json(256).replacen('{', r#"{"colour":"red","#, 1);
     assert_eq!(Config::parse(&more), Ok(config()));
     let without = config_json(256).replace(r#""known":"#, r#""once_known":"#);
-    assert_eq!(Config::parse(&without).map(|c| c.known), Ok(None));
+    assert_eq!(Config::parse(&without).map(|c| c.cached_list), Ok(None));
 }
 
 #[test]
--- a/crates/platform/tests/disconnects.rs
+++ b/crates/platform/tests/disconnects.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use bitternlatch_platform::config::Config;
-use bitternlatch_platform::pool::SETTLE_SECS;
+use bitternlatch_platform::pool::REUSE_DELAY_SECS;
 use bitternlatch_platform::types::{ConnId, Input};
 use common::*;
 
@@ -364,7 +364,7 @@
                 .filter(|c| prefill_servers().contains(&c.1))
                 .count()
         };
-        rig.pass(SETTLE_SECS);
+        rig.pass(REUSE_DELAY_SECS);
         let before = dials(&rig);
         let client = rig.ask("g", "ask");
         let call = rig.last(Call::is_prefill);
--- a/crates/platform/tests/http1.rs
+++ b/crates/platform/tests/http1.rs
@@ -1,7 +1,7 @@
 //! Bytes in and bytes out of the codec, cut at every byte.
 use bitternlatch_platform::event_stream::EventStream;
 use bitternlatch_platform::http1::{
-    chunk, request_head, response_head, Body, Framing, HttpError, LAST_CHUNK, MAX_HEAD,
+    chunk, request_head, response_head, Body, Framing, HttpError, LAST_CHUNK, MAX_HEAD_BYTES,
 };
 use bitternlatch_platform::responses::{BodyProgress, ResponseReader};
 
@@ -14,10 +14,10 @@
     let (mut body, mut out, mut unread) = (Body::new(framing), Vec::new(), Vec::new());
     for piece in [&bytes[..at], &bytes[at..]] {
         unread.extend_from_slice(piece);
-        let taken = body.take(&unread, &mut out)?;
+        let taken = body.decode(&unread, &mut out)?;
         unread.drain(..taken);
     }
-    Ok((out, body.done(), unread.len()))
+    Ok((out, body.is_complete(), unread.len()))
 }
 
 #[test]
@@ -70,7 +70,7 @@
             let got = body_in_two(Framing::Chunked, bytes, at);
             assert_eq!(
                 got,
-                Err(HttpError::Chunk),
+                Err(HttpError::InvalidChunk),
                 "{:?} cut at {at}",
                 String::from_utf8_lossy(bytes)
             );
@@ -83,7 +83,7 @@
     let long = vec![b'0'; 5000];
     assert_eq!(
         body_in_two(Framing::Chunked, &long, 0),
-        Err(HttpError::Chunk)
+        Err(HttpError::InvalidChunk)
     );
 }
 
@@ -93,32 +93,35 @@
     let table = [
         (
             "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
-            HttpError::LengthAndCoding,
+            HttpError::LengthWithTransferCoding,
         ),
         (
             "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n",
-            HttpError::LengthAndCoding,
+            HttpError::LengthWithTransferCoding,
         ),
         (
             "Content-Length: 5\r\nContent-Length: 5\r\n",
-            HttpError::Length,
+            HttpError::InvalidLength,
         ),
-        ("Content-Length: 5, 5\r\n", HttpError::Length),
-        ("Content-Length: -5\r\n", HttpError::Length),
-        ("Content-Length: +5\r\n", HttpError::Length),
-        ("Content-Length: 0x5\r\n", HttpError::Length),
-        ("Content-Length:\r\n", HttpError::Length),
+        ("Content-Length: 5, 5\r\n", HttpError::InvalidLength),
+        ("Content-Length: -5\r\n", HttpError::InvalidLength),
+        ("Content-Length: +5\r\n", HttpError::InvalidLength),
+        ("Content-Length: 0x5\r\n", HttpError::InvalidLength),
+        ("Content-Length:\r\n", HttpError::InvalidLength),
         (
             "Content-Length: 99999999999999999999999\r\n",
             HttpError::BodyTooLong,
         ),
         ("Content-Length: 262145\r\n", HttpError::BodyTooLong),
-        ("Transfer-Encoding: gzip, chunked\r\n", HttpError::Coding),
+        (
+            "Transfer-Encoding: gzip, chunked\r\n",
+            HttpError::UnsupportedTransferCoding,
+        ),
         (
             "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
-            HttpError::Coding,
+            HttpError::UnsupportedTransferCoding,
         ),
-        ("Content Length: 5\r\n", HttpError::Head),
+        ("Content Length: 5\r\n", HttpError::MalformedHead),
     ];
     for (fields, bad) in table {
         assert_eq!(
@@ -155,7 +158,7 @@
 
 #[test]
 fn endless_heads_and_noise_are_rejected() {
-    let endless = format!("GET / HTTP/1.1\r\nX: {}", "a".repeat(MAX_HEAD));
+    let endless = format!("GET / HTTP/1.1\r\nX: {}", "a".repeat(MAX_HEAD_BYTES));
     assert_eq!(
         request_head(endless.as_bytes()),
         Err(HttpError::HeadTooLong)
@@ -164,13 +167,13 @@
     assert_eq!(request_head(many.as_bytes()), Err(HttpError::HeadTooLong));
     assert_eq!(
         request_head(b"\x16\x03\x01\x02\x00\x01"),
-        Err(HttpError::Head)
+        Err(HttpError::MalformedHead)
     );
     assert_eq!(
         response_head(b"\x00\x01noise\r\n\r\n"),
-        Err(HttpError::Head)
+        Err(HttpError::MalformedHead)
     );
-    let endless = format!("HTTP/1.1 200 OK\r\nX: {}", "a".repeat(MAX_HEAD));
+    let endless = format!("HTTP/1.1 200 OK\r\nX: {}", "a".repeat(MAX_HEAD_BYTES));
     assert_eq!(
         response_head(endless.as_bytes()),
         Err(HttpError::HeadTooLong)
@@ -196,19 +199,19 @@
     let events = &stream[..stream.find(": Srv").expect("the comment")];
     for at in 0..=stream.len() {
         let (mut kept, mut out) = (EventStream::default(), Vec::new());
-        assert!(kept.take(&stream.as_bytes()[..at], &mut out));
+        assert!(kept.push(&stream.as_bytes()[..at], &mut out));
         assert!(
             out.is_empty() || out.ends_with(b"\n\n"),
             "half an event went out"
         );
-        assert!(kept.take(&stream.as_bytes()[at..], &mut out));
+        assert!(kept.push(&stream.as_bytes()[at..], &mut out));
         assert_eq!(
             String::from_utf8_lossy(&out).trim_start_matches('\n'),
             events,
             "cut at {at}"
         );
         assert_eq!(kept.cached_tokens, Some(4096.0));
-        assert_eq!(kept.load.as_deref(), Some("util=0.5,queue=1,x0=0.2"));
+        assert_eq!(kept.load_report.as_deref(), Some("util=0.5,queue=1,x0=0.2"));
     }
 }
 
@@ -218,8 +221,8 @@
                   HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n0\r\n\r\n";
     let second = "HTTP/1.1 200 OK\r\n\r\n";
     for (more, reusable) in [("", true), (second, false)] {
-        let mut taken = ResponseReader::to_attempt();
-        match taken.take(format!("{answer}{more}").as_bytes()) {
+        let mut taken = ResponseReader::for_attempt();
+        match taken.receive(format!("{answer}{more}").as_bytes()) {
             Ok(BodyProgress::End { events, complete }) => {
                 assert_eq!(
                     (events.as_slice(), complete.status),
@@ -232,7 +235,7 @@
     }
     let endless = "HTTP/1.1 100 Continue\r\n\r\n".repeat(50);
     assert_eq!(
-        ResponseReader::to_attempt().take(endless.as_bytes()),
-        Err(HttpError::Head)
+        ResponseReader::for_attempt().receive(endless.as_bytes()),
+        Err(HttpError::MalformedHead)
     );
 }
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -134,12 +134,12 @@
 #[test]
 fn recently_responding_servers_are_called_first() {
     let mut fleet = Endpoints::default();
-    fleet.apply(START, config().known.expect("the test's list"));
-    let all: Vec<(ServerId, SocketAddr)> = fleet.iter().map(|(id, t)| (id, t.endpoint)).collect();
+    fleet.apply(START, config().cached_list.expect("the test's list"));
+    let all: Vec<(ServerId, SocketAddr)> = fleet.iter().map(|(id, t)| (id, t.address)).collect();
     for order in [[0, 1, 2], [2, 1, 0], [1, 3, 0]] {
         let mut pool = ConnectionPool::new(64, 15.0);
         for (seconds, at) in order.into_iter().enumerate() {
-            pool.put(
+            pool.insert(
                 ConnId(at as u64),
                 idle_link(all[at], START.after(seconds as f64)),
             );
@@ -149,7 +149,7 @@
             .find(|i| !order.contains(i))
             .expect("one has no connection");
         let now = START.after(5.0);
-        let id = releases.begin(now, now, "p7".into()).id;
+        let id = releases.start(now, now, "p7".into()).id;
         let called: Vec<usize> = std::iter::from_fn(|| releases.next_call(id, now, &fleet, &pool))
             .map(|call| {
                 all.iter()
@@ -164,13 +164,13 @@
 fn idle_link((server, to): (ServerId, SocketAddr), since: Micros) -> ServerConnection {
     let (usage, waiting, response) = (ConnectionUse::Idle, Vec::new(), ResponseReader::default());
     ServerConnection {
-        to,
+        address: to,
         server,
-        up: true,
+        connected: true,
         usage,
-        since,
-        waiting,
-        unsent: 0,
+        in_use_since: since,
+        pending_call: waiting,
+        unsent_bytes: 0,
         response,
         last_received: Some(since),
     }
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use bitternlatch_platform::config::Config;
-use bitternlatch_platform::pool::SETTLE_SECS;
+use bitternlatch_platform::pool::REUSE_DELAY_SECS;
 use bitternlatch_platform::types::Input;
 use common::*;
 
@@ -36,7 +36,7 @@
     );
     assert_eq!(rig.node.counts().served, 1);
     // Both connections serve on, once they have rested.
-    rig.pass(SETTLE_SECS);
+    rig.pass(REUSE_DELAY_SECS);
     let before = rig.connects.len();
     rig.text(client, &request("aa", "ask", 4800));
     rig.pass(0.02);
@@ -397,7 +397,7 @@
         writer,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
     );
-    rig.pass(SETTLE_SECS);
+    rig.pass(REUSE_DELAY_SECS);
     rig.stale = rig
         .connects
         .iter()
--- a/crates/platform/tests/shutdown.rs
+++ b/crates/platform/tests/shutdown.rs
@@ -131,7 +131,7 @@
         for resumes in [true, false] {
             let ShutdownSchedule {
                 stop_accepting_s,
-                answer_by_s,
+                response_deadline_s: answer_by_s,
                 streams_end_s,
             } = ShutdownSchedule::new(longest_deadline_s, resumes);
             let case = format!("{longest_deadline_s} s, resumes {resumes}");
