--- a/crates/core/src/actions.rs
+++ b/crates/core/src/actions.rs
@@ -5,7 +5,7 @@
 };
 use bitternlatch_protocol::engine::{encode, CompletionRequest, KvTransferParams, ToEngine};
 
-use crate::links::{EnqueueResult, Queued};
+use crate::links::{EnqueueResult, QueuedMessage};
 use crate::machine::{log, Machine};
 use crate::requests::{wire_id, Attempt, Purpose, Request, Stage};
 use crate::settings::Effect;
@@ -52,10 +52,10 @@
                 );
             }
             Action::Release { request } => self.release(request, out),
-            Action::Probe { server } => self.probe(now, server, out),
-            Action::SetTimer { at, label } => {
-                self.timers.set(Micros::at(at), Timer::Router { label })
-            }
+            Action::Probe { server } => self.start_health_check(now, server, out),
+            Action::SetTimer { at, label } => self
+                .timers
+                .set(Micros::from_seconds(at), Timer::Router { label }),
             Action::Log { text } => log(out, Level::Info, text),
             Action::Fault { text } => log(out, Level::Error, format!("decision module: {text}")),
             // The list is pushed, places are not held ahead, and peers are not spoken with yet.
@@ -81,7 +81,7 @@
         let role = self
             .servers
             .get(server)
-            .filter(|k| k.takes_work())
+            .filter(|k| k.accepts_work())
             .map(|k| k.role);
         // A step's effect leaves while it is permitted, and waits where it is not; a prefill has none.
         if role != Some(Role::Prefill) && !self.workflows.may_send(now, id) {
@@ -158,7 +158,7 @@
         };
         let text = self.completion(id, number, purpose);
         let attempt = wire_id(self.instance, id, number);
-        let (link, stage) = match self.links.enqueue(server, Queued { attempt, text }) {
+        let (link, stage) = match self.links.enqueue(server, QueuedMessage { attempt, text }) {
             EnqueueResult::SendNow(link, message) => {
                 out.push(self.attempt_message(now, id, link, message));
                 (link, Stage::InFlight)
@@ -175,9 +175,9 @@
         now: Micros,
         id: RequestId,
         link: LinkId,
-        message: Queued,
+        message: QueuedMessage,
     ) -> Output {
-        let Queued { attempt, text } = message;
+        let QueuedMessage { attempt, text } = message;
         let after_s = self.settings.rules.drain_grace_s / 2.0;
         let reads = self
             .servers
@@ -206,7 +206,7 @@
             let at = now.after(timeout_s).min(request.deadline);
             self.timers.set(
                 at,
-                Timer::Attempt {
+                Timer::AttemptTimeout {
                     request: id,
                     attempt: number,
                 },
@@ -325,7 +325,7 @@
         let Some(state) = request.state.take() else {
             return;
         };
-        if let Some(link) = self.links.open(state.server) {
+        if let Some(link) = self.links.open_link(state.server) {
             self.send_release(link, &state.created_by, out);
         }
         self.remove_if_done(id, out);
--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -237,7 +237,7 @@
             .and_then(|a| self.servers.get(a.server))
             .map(|k| k.server.name.as_str());
         let class = &self.settings.classes[usize::from(request.class)].name;
-        out.push(Output::OutputLength(OutputLengths::ended(
+        out.push(Output::OutputLength(OutputLengths::end_report(
             request,
             class,
             server.unwrap_or("unknown"),
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -24,12 +24,12 @@
         if outcome == lost_kv_cache {
             self.state = None;
         }
-        self.admitted.repeats = match outcome {
+        self.admitted.repeats_work = match outcome {
             Outcome::PrefillDone | Outcome::Served | Outcome::NotSent => false,
             Outcome::Rejected {
                 state_missing: false,
             }
-            | Outcome::ConnectFailed => self.admitted.repeats,
+            | Outcome::ConnectFailed => self.admitted.repeats_work,
             // Where the KV cache is gone, its prefill is done again.
             _ => true,
         };
@@ -149,7 +149,7 @@
         request.note_end(&attempt, outcome);
         self.load_shedding
             .load_reported(now, attempt.server, &report);
-        self.note_outcome(now, attempt.server, outcome);
+        self.record_outcome(now, attempt.server, outcome);
         out.extend(
             self.load_shedding
                 .attempt_ended(attempt.server, outcome)
@@ -177,7 +177,7 @@
         self.remove_if_done(id, out);
     }
 
-    pub(crate) fn on_attempt_time(
+    pub(crate) fn on_attempt_timeout(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -222,7 +222,7 @@
                 .push_back(Event::ClientDisconnected { request: id });
         }
         if let Some(number) = number {
-            self.on_attempt_time(now, id, number, out);
+            self.on_attempt_timeout(now, id, number, out);
         }
     }
 
--- a/crates/core/src/blocked_sends.rs
+++ b/crates/core/src/blocked_sends.rs
@@ -2,7 +2,7 @@
 
 use bitternlatch_policy::interface::{Outcome, RequestId};
 
-use crate::machine::{Machine, PROBE_S};
+use crate::machine::{Machine, HEALTH_CHECK_TIMEOUT_S};
 use crate::requests::Request;
 use crate::timers::Timer;
 use crate::types::{Micros, Output};
@@ -29,7 +29,7 @@
             if r.state.is_some() {
                 pinned
             } else {
-                r.deadline.max(now.after(PROBE_S))
+                r.deadline.max(now.after(HEALTH_CHECK_TIMEOUT_S))
             }
         };
         let asked = live
--- a/crates/core/src/budget_leases.rs
+++ b/crates/core/src/budget_leases.rs
@@ -44,7 +44,7 @@
 
 impl BudgetLeases {
     /// A request asked for tokens, taken or not.
-    pub(crate) fn wanted(&mut self, now: Micros, tenant: u32, tokens: u64) {
+    pub(crate) fn record_demand(&mut self, now: Micros, tenant: u32, tokens: u64) {
         if let Some(b) = self.tenants.get_mut(&tenant) {
             b.borrower.wanted(tokens as f64);
             b.used = Some(now);
--- a/crates/core/src/budgets.rs
+++ b/crates/core/src/budgets.rs
@@ -19,19 +19,19 @@
 
 /// Why a request is not taken, and when to come back.
 pub(crate) struct Rejection {
-    pub bad: BadRequest,
+    pub error: BadRequest,
     /// `None` is the machine's own time, for what has one at all.
     pub retry_after_s: Option<f64>,
     /// Where else to try.
-    pub elsewhere: Vec<String>,
+    pub alternatives: Vec<String>,
 }
 
 impl From<BadRequest> for Rejection {
-    fn from(bad: BadRequest) -> Rejection {
+    fn from(error: BadRequest) -> Rejection {
         Rejection {
-            bad,
+            error,
             retry_after_s: None,
-            elsewhere: vec![],
+            alternatives: vec![],
         }
     }
 }
@@ -39,42 +39,47 @@
 impl Rejection {
     /// The event that says so.
     pub(crate) fn to_text(&self, create: &Create) -> String {
-        let own = (self.bad.status == 429).then_some(RETRY_AFTER_S);
+        let own = (self.error.status == 429).then_some(RETRY_AFTER_S);
         let again = self
             .retry_after_s
             .or(own)
             .map(|s| (s * 1000.0).ceil() as u64);
-        client::error_elsewhere(&self.bad, again, Some(&create.metadata), &self.elsewhere)
+        client::error_elsewhere(
+            &self.error,
+            again,
+            Some(&create.metadata),
+            &self.alternatives,
+        )
     }
 
     pub(crate) fn by_workflow(why: RejectReason) -> Rejection {
-        let bad = refused(why);
-        let retry_after_s = (bad.status == 503).then_some(RETRY_AFTER_S);
+        let error = refused(why);
+        let retry_after_s = (error.status == 503).then_some(RETRY_AFTER_S);
         Rejection {
-            bad,
+            error,
             retry_after_s,
-            elsewhere: vec![],
+            alternatives: vec![],
         }
     }
 
     /// Refused at once by what all shed together; asking again is harmless.
     pub(crate) fn by_shedding(retry_after_s: f64) -> Rejection {
         let message = "no place now for what it asks; asking again is harmless".to_string();
-        let bad = BadRequest {
+        let error = BadRequest {
             status: 429,
             code: "rate_limit_exceeded",
             message,
             param: None,
         };
         Rejection {
-            bad,
+            error,
             retry_after_s: Some(retry_after_s),
-            elsewhere: vec![],
+            alternatives: vec![],
         }
     }
 
     pub(crate) fn by_budget(short: Short) -> Rejection {
-        let bad = |status, code, message: &str| BadRequest {
+        let bad_request = |status, code, message: &str| BadRequest {
             status,
             code,
             message: message.to_string(),
@@ -82,15 +87,15 @@
         };
         match short {
             Short::For(seconds) => Rejection {
-                bad: bad(
+                error: bad_request(
                     429,
                     "budget_spent",
                     "the tenant's budget has not enough tokens left for this request",
                 ),
                 retry_after_s: Some(seconds),
-                elsewhere: vec![],
+                alternatives: vec![],
             },
-            Short::Ever => bad(
+            Short::Ever => bad_request(
                 403,
                 "budget_too_small",
                 "the request asks for more tokens than the tenant's budget ever has",
@@ -102,7 +107,7 @@
 
 /// What a request has been charged so far.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Charged {
+pub(crate) struct RequestCharges {
     entries: u32,
     last: Option<Used>,
 }
@@ -110,7 +115,7 @@
 impl Request {
     /// What its host counted; `None` where none has, or what it says is no count. An output above the ceiling is the host's
     /// fault and not the tenant's.
-    fn admitted(&self) -> Option<Amount> {
+    fn reported_usage(&self) -> Option<Amount> {
         let usage = (self.usage.total_tokens > 0).then_some(self.usage)?;
         Some(Amount {
             prompt: usage.input_tokens,
@@ -119,8 +124,8 @@
     }
 
     /// What it is to be charged as things stand; nothing for what is known not to have run or is refused.
-    fn used(&self, served: bool, refused: bool) -> Option<Used> {
-        match self.admitted() {
+    fn amount_due(&self, served: bool, refused: bool) -> Option<Used> {
+        match self.reported_usage() {
             _ if refused => None,
             Some(amount) => Some(Used::Known(amount)),
             None if served || self.may_run() => Some(Used::Possibly(self.hold.as_ref()?.bound())),
@@ -157,7 +162,7 @@
             return;
         };
         request.refused = refused;
-        let used = request.used(served, refused);
+        let used = request.amount_due(served, refused);
         self.charge(id, used, out);
     }
 
@@ -199,7 +204,7 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let used = request.used(false, request.refused);
+        let used = request.amount_due(false, request.refused);
         self.charge(id, used, out);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/crates/core/src/callers.rs
+++ b/crates/core/src/callers.rs
@@ -117,7 +117,7 @@
     pub(crate) fn set_caller(&mut self, session: SessionId, caller: Caller) {
         let ends = self.clock_at(caller.ends);
         self.sessions.set_caller(session, caller);
-        self.timers.set(ends, Timer::Caller { session });
+        self.timers.set(ends, Timer::CredentialExpiry { session });
     }
 
     /// Unix seconds by which proofs are judged.
@@ -150,7 +150,7 @@
         self.credential_clock_offset_us = ahead_us;
         for (session, ends_s) in self.sessions.ends() {
             self.timers
-                .set(self.clock_at(ends_s), Timer::Caller { session });
+                .set(self.clock_at(ends_s), Timer::CredentialExpiry { session });
             self.on_credential_expiry(now, session);
         }
     }
--- a/crates/core/src/cluster_mode.rs
+++ b/crates/core/src/cluster_mode.rs
@@ -90,7 +90,7 @@
             .collect();
         // Where servers fail for all there is nowhere to go.
         let servers = self.reaches_servers(now);
-        let elsewhere = match known.is_empty() {
+        let alternatives = match known.is_empty() {
             _ if !servers && self.all_failing_at_peers() => vec![],
             true => all.iter().map(|(_, at)| (*at).clone()).collect(),
             false => known,
@@ -99,16 +99,16 @@
             true => "this dispatcher is cut off from its peers and takes nothing that must not run twice",
             false => "this dispatcher reaches no model host",
         };
-        let bad = BadRequest {
+        let error = BadRequest {
             status: 503,
             code: "cut_off",
             message: message.to_string(),
             param: None,
         };
         Rejection {
-            bad,
+            error,
             retry_after_s: Some(RETRY_AFTER_S),
-            elsewhere,
+            alternatives,
         }
     }
 
--- a/crates/core/src/engine_messages.rs
+++ b/crates/core/src/engine_messages.rs
@@ -36,9 +36,9 @@
             FromEngine::State { state } => self.on_state(now, link, state, out),
             FromEngine::Load { id, load } => {
                 let report = self.report(Some(&load));
-                match self.load_shedding.probe_answered(id, &report) {
+                match self.load_shedding.health_check_answered(id, &report) {
                     Some(ask) => out.push(Output::Overload(ask)),
-                    None => self.end_probe(now, id, Outcome::Served, report),
+                    None => self.end_health_check(now, id, Outcome::Served, report),
                 }
             }
             FromEngine::Chunk { id, body } => self.on_chunk(now, link, &id, body, out),
--- a/crates/core/src/intake.rs
+++ b/crates/core/src/intake.rs
@@ -134,7 +134,7 @@
             output: validated.max_tokens,
         };
         let tenant = validated.tenant;
-        self.leases.wanted(now, tenant, most.total());
+        self.leases.record_demand(now, tenant, most.total());
         let hold = self
             .book
             .hold(now.seconds(), tenant, validated.class, most)
@@ -173,7 +173,7 @@
         validated: &ValidatedRequest,
     ) -> Result<AdmittedWork, f64> {
         let class = &self.settings.classes[usize::from(validated.class)];
-        let expected = self.output_lengths.expect(
+        let expected = self.output_lengths.predict(
             &create.model,
             &class.name,
             validated.prompt_tokens(),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -41,7 +41,7 @@
 mod workflows;
 
 pub use callers::CLOSE_CREDENTIAL_EXPIRED;
-pub use machine::{decide, Counts, Machine, Traced};
+pub use machine::{decide, Counts, Machine, TracedDecision};
 pub use observations::ServerObservation;
 pub use settings::{Settings, SettingsError};
 pub use timers::Timers;
--- a/crates/core/src/link_events.rs
+++ b/crates/core/src/link_events.rs
@@ -4,7 +4,7 @@
 use bitternlatch_policy::interface::{Event, ListForm, Outcome, RequestId, ServerId};
 use bitternlatch_protocol::engine::EngineState;
 
-use crate::links::{retry_at, Queued};
+use crate::links::{reconnect_at, QueuedMessage};
 use crate::machine::{log, Machine};
 use crate::requests::{read_wire_id, Attempt, Purpose, Stage};
 use crate::timers::Timer;
@@ -12,7 +12,7 @@
 
 impl Machine {
     pub(crate) fn on_link_up(&mut self, link: LinkId, out: &mut Vec<Output>) {
-        if !self.links.up(link) {
+        if !self.links.mark_up(link) {
             out.push(Output::CloseLink { link });
         }
     }
@@ -26,14 +26,14 @@
         out: &mut Vec<Output>,
     ) {
         if was_up {
-            self.end_over_link(now, link, out);
+            self.end_attempts_on_link(now, link, out);
         }
-        let jitter = self.chance();
-        let Some((queued, pause_s)) = self.links.down(link, jitter) else {
+        let jitter = self.random_fraction();
+        let Some((queued, pause_s)) = self.links.mark_down(link, jitter) else {
             return;
         };
-        self.return_unsent(now, queued, out);
-        if let Some(at) = retry_at(now, pause_s) {
+        self.report_unsent(now, queued, out);
+        if let Some(at) = reconnect_at(now, pause_s) {
             self.timers.set(
                 at,
                 Timer::Link {
@@ -50,7 +50,12 @@
     }
 
     /// All that was out over a link that has ended. A stream whose engine had said its end is served.
-    pub(crate) fn end_over_link(&mut self, now: Micros, link: LinkId, out: &mut Vec<Output>) {
+    pub(crate) fn end_attempts_on_link(
+        &mut self,
+        now: Micros,
+        link: LinkId,
+        out: &mut Vec<Output>,
+    ) {
         let over = |a: &Attempt| a.link == link && a.stage != Stage::Queued;
         let hit: Vec<RequestId> = self
             .requests
@@ -59,23 +64,23 @@
             .map(|(id, _)| *id)
             .collect();
         for id in hit {
-            match self.ended_reason(id) {
+            match self.received_finish_reason(id) {
                 Some(reason) => self.end_served(now, id, &reason, Vec::new(), out),
                 None => self.end_attempt(now, id, Outcome::Reset, 0, Vec::new(), out),
             }
         }
         let probes: Vec<u64> = self
-            .probes
+            .health_checks
             .iter()
             .filter(|(_, p)| p.link == link)
             .map(|(id, _)| *id)
             .collect();
         for id in probes {
-            self.end_probe(now, id, Outcome::Reset, Vec::new());
+            self.end_health_check(now, id, Outcome::Reset, Vec::new());
         }
     }
 
-    pub(crate) fn ended_reason(&self, id: RequestId) -> Option<String> {
+    pub(crate) fn received_finish_reason(&self, id: RequestId) -> Option<String> {
         let attempt = self.requests.get(&id)?.attempt.as_ref()?;
         attempt
             .finish_reason
@@ -84,10 +89,10 @@
     }
 
     /// Attempts whose message never left are told as not connected.
-    pub(crate) fn return_unsent(
+    pub(crate) fn report_unsent(
         &mut self,
         now: Micros,
-        queued: Vec<Queued>,
+        queued: Vec<QueuedMessage>,
         out: &mut Vec<Output>,
     ) {
         for message in queued {
@@ -97,12 +102,17 @@
         }
     }
 
-    pub(crate) fn return_queued(&mut self, now: Micros, server: ServerId, out: &mut Vec<Output>) {
+    pub(crate) fn report_queued_unsent(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        out: &mut Vec<Output>,
+    ) {
         let queued = self.links.take_queue(server);
-        self.return_unsent(now, queued, out);
+        self.report_unsent(now, queued, out);
     }
 
-    pub(crate) fn on_link_time(&mut self, now: Micros, link: LinkId, out: &mut Vec<Output>) {
+    pub(crate) fn on_link_timer(&mut self, now: Micros, link: LinkId, out: &mut Vec<Output>) {
         if self.links.is_opening(link) {
             out.push(Output::CloseLink { link });
             self.on_link_down(now, link, false, "it did not greet in time", out);
@@ -125,7 +135,7 @@
         let warm_after_s = self.settings.rules.slow_start.warm_after_s;
         let Some((entry, restarted)) =
             self.servers
-                .greeted(now, link.server, uptime_s, state, warm_after_s)
+                .apply_greeting(now, link.server, uptime_s, state, warm_after_s)
         else {
             return;
         };
@@ -134,15 +144,15 @@
             form,
             entries: vec![entry],
         });
-        let queued = self.links.greeted(link);
+        let queued = self.links.mark_greeted(link);
         if restarted || state == EngineState::Draining {
             // What was decided for the server before its restart was known does not hold: a cold server takes less.
-            return self.return_unsent(now, queued, out);
+            return self.report_unsent(now, queued, out);
         }
         for message in queued {
             let Some(id) = self.mark_sent(now, link, &message.attempt) else {
                 // Its permission has passed while it waited for the link.
-                self.return_unsent(now, vec![message], out);
+                self.report_unsent(now, vec![message], out);
                 continue;
             };
             out.push(self.attempt_message(now, id, link, message));
@@ -177,14 +187,14 @@
         if !self.links.is_current(link) {
             return;
         }
-        if let Some(entry) = self.servers.reported(link.server, state) {
+        if let Some(entry) = self.servers.set_reported_state(link.server, state) {
             let form = bitternlatch_policy::interface::ListForm::Delta;
             self.events.push_back(Event::Servers {
                 form,
                 entries: vec![entry],
             });
             if state == EngineState::Draining {
-                self.return_queued(now, link.server, out);
+                self.report_queued_unsent(now, link.server, out);
             }
         }
     }
@@ -195,7 +205,7 @@
         list: Vec<ModelServer>,
         out: &mut Vec<Output>,
     ) {
-        let change = self.servers.take_list(list, &self.settings);
+        let change = self.servers.apply_list(list, &self.settings);
         change
             .skipped
             .into_iter()
@@ -206,7 +216,7 @@
             entries: change.entries,
         });
         for server in change.closed {
-            self.return_queued(now, server, out);
+            self.report_queued_unsent(now, server, out);
         }
         for server in change.disconnect {
             let moved = change.connect.contains(&server);
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -28,7 +28,7 @@
 
 /// A message that waits for its link.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Queued {
+pub(crate) struct QueuedMessage {
     pub attempt: String,
     pub text: String,
 }
@@ -37,7 +37,7 @@
     epoch: u32,
     stage: Stage,
     failures: u32,
-    queue: VecDeque<Queued>,
+    queue: VecDeque<QueuedMessage>,
     /// To be closed once nothing is out over it.
     closing: bool,
 }
@@ -46,7 +46,7 @@
 #[derive(Debug, PartialEq)]
 pub(crate) enum EnqueueResult {
     /// To be told now over this link.
-    SendNow(LinkId, Queued),
+    SendNow(LinkId, QueuedMessage),
     Queued(LinkId),
     /// There is no way to the server now.
     NotConnected,
@@ -91,14 +91,14 @@
     }
 
     /// The socket is up; false for a link that is no longer wanted.
-    pub(crate) fn up(&mut self, link: LinkId) -> bool {
+    pub(crate) fn mark_up(&mut self, link: LinkId) -> bool {
         self.current(link)
             .map(|l| l.stage = Stage::AwaitingGreeting)
             .is_some()
     }
 
     /// The server has greeted: gives what was queued, in order.
-    pub(crate) fn greeted(&mut self, link: LinkId) -> Vec<Queued> {
+    pub(crate) fn mark_greeted(&mut self, link: LinkId) -> Vec<QueuedMessage> {
         let Some(l) = self
             .current(link)
             .filter(|l| l.stage == Stage::AwaitingGreeting)
@@ -111,7 +111,11 @@
 
     /// The link failed or ended: gives what was still queued and the pause before it may be dialled again, or `None`
     /// where it was not wanted any more.
-    pub(crate) fn down(&mut self, link: LinkId, jitter: f64) -> Option<(Vec<Queued>, f64)> {
+    pub(crate) fn mark_down(
+        &mut self,
+        link: LinkId,
+        jitter: f64,
+    ) -> Option<(Vec<QueuedMessage>, f64)> {
         let l = self
             .current(link)
             .filter(|l| l.stage != Stage::BackingOff)?;
@@ -146,7 +150,7 @@
     }
 
     /// The open link to a server.
-    pub(crate) fn open(&self, server: ServerId) -> Option<LinkId> {
+    pub(crate) fn open_link(&self, server: ServerId) -> Option<LinkId> {
         let l = self.links.get(&server).filter(|l| l.stage == Stage::Open)?;
         Some(LinkId {
             server,
@@ -154,7 +158,7 @@
         })
     }
 
-    pub(crate) fn enqueue(&mut self, server: ServerId, message: Queued) -> EnqueueResult {
+    pub(crate) fn enqueue(&mut self, server: ServerId, message: QueuedMessage) -> EnqueueResult {
         let Some(l) = self.links.get_mut(&server) else {
             return EnqueueResult::NotConnected;
         };
@@ -185,7 +189,7 @@
     }
 
     /// Takes all that is still queued for a server.
-    pub(crate) fn take_queue(&mut self, server: ServerId) -> Vec<Queued> {
+    pub(crate) fn take_queue(&mut self, server: ServerId) -> Vec<QueuedMessage> {
         self.links
             .get_mut(&server)
             .map(|l| l.queue.drain(..).collect())
@@ -228,7 +232,7 @@
 }
 
 /// A time at which a paused link is reconnected.
-pub(crate) fn retry_at(now: Micros, pause_s: f64) -> Option<Micros> {
+pub(crate) fn reconnect_at(now: Micros, pause_s: f64) -> Option<Micros> {
     pause_s.is_finite().then(|| now.after(pause_s))
 }
 
--- a/crates/core/src/links/tests.rs
+++ b/crates/core/src/links/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn message(attempt: &str) -> Queued {
-    Queued {
+fn message(attempt: &str) -> QueuedMessage {
+    QueuedMessage {
         attempt: attempt.to_string(),
         text: String::new(),
     }
@@ -13,18 +13,20 @@
     assert_eq!(links.enqueue(1, message("a")), EnqueueResult::NotConnected);
     let first = links.connect(1);
     assert_eq!(links.enqueue(1, message("a")), EnqueueResult::Queued(first));
-    assert!(links.greeted(first).is_empty(), "not up yet");
-    assert!(links.up(first));
-    assert_eq!(links.greeted(first), vec![message("a")]);
+    assert!(links.mark_greeted(first).is_empty(), "not up yet");
+    assert!(links.mark_up(first));
+    assert_eq!(links.mark_greeted(first), vec![message("a")]);
     assert_eq!(
         links.enqueue(1, message("b")),
         EnqueueResult::SendNow(first, message("b"))
     );
-    let (queued, pause) = links.down(first, 0.0).expect("current");
+    let (queued, pause) = links.mark_down(first, 0.0).expect("current");
     assert!(queued.is_empty() && pause > 0.0);
     assert_eq!(links.enqueue(1, message("c")), EnqueueResult::NotConnected);
     let second = links.connect(1);
-    assert!(links.down(first, 0.0).is_none() && !links.up(first) && links.up(second));
+    assert!(
+        links.mark_down(first, 0.0).is_none() && !links.mark_up(first) && links.mark_up(second)
+    );
 }
 
 #[test]
@@ -33,7 +35,7 @@
     let mut last = 0.0;
     for _ in 0..20 {
         let link = links.connect(1);
-        let (_, pause) = links.down(link, 1.0).expect("current");
+        let (_, pause) = links.mark_down(link, 1.0).expect("current");
         assert!(pause >= last && pause <= MAX_RECONNECT_S);
         last = pause;
     }
@@ -49,11 +51,11 @@
 fn busy_link_closes_when_idle() {
     let mut links = Links::default();
     let link = links.connect(1);
-    links.up(link);
-    links.greeted(link);
+    links.mark_up(link);
+    links.mark_greeted(link);
     assert_eq!(links.close_when_idle(1, true), None);
     assert_eq!(links.closing(), vec![1]);
     assert_eq!(links.close_when_idle(1, false), Some(link));
-    assert_eq!(links.down(link, 0.0).map(|d| d.1), Some(f64::INFINITY));
-    assert_eq!(links.open(1), None);
+    assert_eq!(links.mark_down(link, 0.0).map(|d| d.1), Some(f64::INFINITY));
+    assert_eq!(links.open_link(1), None);
 }
--- a/crates/core/src/load_shedding.rs
+++ b/crates/core/src/load_shedding.rs
@@ -18,7 +18,7 @@
 pub(crate) const EXPECTED_OUTPUT_SHARE: f64 = 0.2;
 
 /// Seconds after which a probe for all has no answer.
-const PROBE_S: f64 = 1.0;
+const HEALTH_CHECK_TIMEOUT_S: f64 = 1.0;
 /// Failures in a row that make a server one that failed.
 const FAILURE_STREAK: u32 = 2;
 
@@ -31,12 +31,12 @@
     pub work: f64,
     pub fingerprint: u64,
     /// The next attempt repeats work that an earlier one may have done.
-    pub repeats: bool,
+    pub repeats_work: bool,
 }
 
 /// A probe sent for the whole cluster.
 #[derive(Clone, Copy, Debug)]
-struct PendingProbe {
+struct SharedHealthCheck {
     server: u32,
     sent_at: Micros,
 }
@@ -54,7 +54,7 @@
     /// Where reports have what waits.
     queue: Option<usize>,
     /// Probes that are out for all.
-    pending_probes: BTreeMap<u64, PendingProbe>,
+    shared_health_checks: BTreeMap<u64, SharedHealthCheck>,
     /// Servers that failed here: attempts that may be out, and until when that counts; and failures in a row.
     trials: BTreeMap<u32, RecoveryTrial>,
     failures: BTreeMap<u32, u32>,
@@ -76,7 +76,7 @@
                 .fields
                 .iter()
                 .position(|f| f.meaning == Meaning::Queue),
-            pending_probes: BTreeMap::new(),
+            shared_health_checks: BTreeMap::new(),
             trials: BTreeMap::new(),
             failures: BTreeMap::new(),
         }
@@ -94,7 +94,7 @@
     }
 
     /// A server that failed here may have so many attempts out until then.
-    pub(crate) fn trial(&mut self, server: u32, many: u32, until: Duration) {
+    pub(crate) fn set_trial(&mut self, server: u32, many: u32, until: Duration) {
         if self.gate.is_some() {
             let trial = RecoveryTrial {
                 max_in_flight: many,
@@ -138,19 +138,19 @@
     }
 
     /// A probe with this id goes to a server, for all.
-    pub(crate) fn probe_sent(&mut self, now: Micros, id: u64, server: u32) {
-        self.pending_probes
-            .retain(|_, probe| now.since(probe.sent_at) < PROBE_S);
-        let probe = PendingProbe {
+    pub(crate) fn health_check_sent(&mut self, now: Micros, id: u64, server: u32) {
+        self.shared_health_checks
+            .retain(|_, probe| now.since(probe.sent_at) < HEALTH_CHECK_TIMEOUT_S);
+        let probe = SharedHealthCheck {
             server,
             sent_at: now,
         };
-        self.pending_probes.insert(id, probe);
+        self.shared_health_checks.insert(id, probe);
     }
 
     /// What is to be passed on, where this answers a probe that went for all.
-    pub(crate) fn probe_answered(&mut self, id: u64, report: &[f64]) -> Option<Ask> {
-        let server = self.pending_probes.remove(&id)?.server;
+    pub(crate) fn health_check_answered(&mut self, id: u64, report: &[f64]) -> Option<Ask> {
+        let server = self.shared_health_checks.remove(&id)?.server;
         Some(Ask::Probed {
             host: server,
             report: report.iter().map(|v| Millionths::of(*v)).collect(),
@@ -169,7 +169,7 @@
                 taken: Some(t),
                 work: t.work,
                 fingerprint,
-                repeats: false,
+                repeats_work: false,
             }),
             Verdict::Refuse { retry_after_s } => Err(retry_after_s),
         })
@@ -191,7 +191,7 @@
 
     /// Whether an attempt may go: one that repeats work needs leave.
     pub(crate) fn may_send(&mut self, now: Micros, admitted: &AdmittedWork) -> bool {
-        let Some(gate) = self.gate.as_mut().filter(|_| admitted.repeats) else {
+        let Some(gate) = self.gate.as_mut().filter(|_| admitted.repeats_work) else {
             return true;
         };
         gate.may_repeat(clock(now), admitted.work)
@@ -220,7 +220,7 @@
     }
 
     /// What there is to tell of what was seen; `hosts`: those that read and take work, by weight.
-    pub(crate) fn tell(&mut self, now: Micros, servers: f64) -> Option<Ask> {
+    pub(crate) fn load_report(&mut self, now: Micros, servers: f64) -> Option<Ask> {
         self.gate.as_mut()?.tell(clock(now), servers).map(Ask::Seen)
     }
 }
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -33,17 +33,17 @@
 /// Seconds between two sweeps of the tables.
 const SWEEP_S: f64 = 1.0;
 /// Seconds after which a probe counts as unanswered.
-pub(crate) const PROBE_S: f64 = 1.0;
+pub(crate) const HEALTH_CHECK_TIMEOUT_S: f64 = 1.0;
 
 /// A probe that is out.
-pub(crate) struct Probe {
+pub(crate) struct PendingHealthCheck {
     pub link: LinkId,
     pub sent: Micros,
 }
 
 /// One event that the decision module took and what it answered, for programs that check it elsewhere.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Traced {
+pub struct TracedDecision {
     /// Clock time, seconds.
     pub now_s: f64,
     /// The event that the decision module was given.
@@ -57,13 +57,13 @@
     router: &mut Router,
     now: Micros,
     event: Event,
-    trace: &mut Option<Vec<Traced>>,
+    trace: &mut Option<Vec<TracedDecision>>,
     actions: &mut Vec<Action>,
 ) {
     let kept = trace.is_some().then(|| event.clone());
     router.handle(now.seconds(), event, actions);
     if let (Some(trace), Some(event)) = (trace.as_mut(), kept) {
-        trace.push(Traced {
+        trace.push(TracedDecision {
             now_s: now.seconds(),
             event,
             actions: actions.clone(),
@@ -114,14 +114,14 @@
     pub(crate) output_lengths: OutputLengths,
     pub(crate) workflows: Workflows,
     pub(crate) timers: Timers<Timer>,
-    pub(crate) probes: BTreeMap<u64, Probe>,
-    pub(crate) next_probe: u64,
+    pub(crate) health_checks: BTreeMap<u64, PendingHealthCheck>,
+    pub(crate) next_health_check: u64,
     pub(crate) events: VecDeque<Event>,
     pub(crate) stopping: bool,
     stopped: bool,
     sweeping: bool,
     rng: Xoshiro256PlusPlus,
-    trace: Option<Vec<Traced>>,
+    trace: Option<Vec<TracedDecision>>,
 }
 
 impl Machine {
@@ -153,8 +153,8 @@
             output_lengths: OutputLengths::default(),
             workflows: Workflows::default(),
             timers: Timers::default(),
-            probes: BTreeMap::new(),
-            next_probe: 1,
+            health_checks: BTreeMap::new(),
+            next_health_check: 1,
             events: VecDeque::new(),
             stopping: false,
             stopped: false,
@@ -176,7 +176,7 @@
     }
 
     /// The trace since the last call; empty unless [`Machine::enable_trace`] was called.
-    pub fn take_trace(&mut self) -> Vec<Traced> {
+    pub fn take_trace(&mut self) -> Vec<TracedDecision> {
         self.trace.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
@@ -273,7 +273,7 @@
                 reports: heard,
             } => self.on_peer_reports(now, at, of, &heard, out),
             Input::Overload(told) => self.on_overload(now, told, out),
-            Input::OutputLength(told) => self.output_lengths.told(now, told),
+            Input::OutputLength(told) => self.output_lengths.on_update(now, told),
             Input::Workflow(told) => {
                 let act = self.workflows.on_event(now, told);
                 self.on_workflow(now, act, out);
@@ -329,12 +329,16 @@
     fn on_timer(&mut self, now: Micros, timer: Timer, out: &mut Vec<Output>) {
         match timer {
             Timer::Router { label } => self.events.push_back(Event::Timer { label }),
-            Timer::Attempt { request, attempt } => self.on_attempt_time(now, request, attempt, out),
+            Timer::AttemptTimeout { request, attempt } => {
+                self.on_attempt_timeout(now, request, attempt, out)
+            }
             Timer::Deadline { request } => self.on_deadline(now, request, out),
             Timer::Stall { request } => self.on_stall(now, request, out),
-            Timer::Probe { id } => self.end_probe(now, id, Outcome::TimedOut, Vec::new()),
-            Timer::Link { server, epoch } => self.on_link_time(now, LinkId { server, epoch }, out),
-            Timer::Caller { session } => self.on_credential_expiry(now, session),
+            Timer::HealthCheck { id } => {
+                self.end_health_check(now, id, Outcome::TimedOut, Vec::new())
+            }
+            Timer::Link { server, epoch } => self.on_link_timer(now, LinkId { server, epoch }, out),
+            Timer::CredentialExpiry { session } => self.on_credential_expiry(now, session),
             Timer::Sweep => self.sweep(now, out),
             Timer::BudgetLeases => self.request_budget_leases(now, out),
             Timer::Observations => self.observe_servers(now, out),
@@ -364,7 +368,7 @@
     }
 
     /// A number from 0 to 1 for the spread of repeated steps.
-    pub(crate) fn chance(&mut self) -> f64 {
+    pub(crate) fn random_fraction(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
--- a/crates/core/src/observations.rs
+++ b/crates/core/src/observations.rs
@@ -74,7 +74,7 @@
     failing_at_peers: BTreeMap<ServerId, Micros>,
 }
 
-fn sight(what: ServerCondition) -> Observation {
+fn observation_of(what: ServerCondition) -> Observation {
     match what {
         ServerCondition::Failing => Observation::Failing,
         ServerCondition::WarmingUp => Observation::WarmingUp,
@@ -84,7 +84,7 @@
 
 impl Machine {
     /// Counts failures in a row. What never ran tells nothing of a server but where there was no way to it.
-    pub(crate) fn note_outcome(&mut self, now: Micros, server: ServerId, outcome: Outcome) {
+    pub(crate) fn record_outcome(&mut self, now: Micros, server: ServerId, outcome: Outcome) {
         if self.settings.cluster.is_none() {
             return;
         }
@@ -135,7 +135,7 @@
             if known.is_draining() {
                 so.insert((server, ServerCondition::Draining));
             }
-            if self.links.open(id).is_none() {
+            if self.links.open_link(id).is_none() {
                 so.insert((server, ServerCondition::Failing));
             }
             if let Some(at) = known.booted_at().filter(|at| now.since(*at) < warm_after_s) {
@@ -197,7 +197,7 @@
             }
             self.events.push_back(Event::PeerReport {
                 server: one.server.0,
-                observation: sight(one.condition),
+                observation: observation_of(one.condition),
                 reporters: u32::from(one.reporters),
                 peers: u32::from(of),
                 age_s: one.age.as_secs_f64() + now.since(at),
@@ -216,7 +216,7 @@
     }
 
     fn drain_by_peer_reports(&mut self, servers: BTreeSet<ServerId>, out: &mut Vec<Output>) {
-        let entries = self.servers.drained_at_peers(servers);
+        let entries = self.servers.set_drained_at_peers(servers);
         if !entries.is_empty() {
             let text = format!(
                 "drains by the word of peers, as the list cannot be read: {} changed",
--- a/crates/core/src/output_lengths.rs
+++ b/crates/core/src/output_lengths.rs
@@ -18,12 +18,12 @@
 }
 
 /// A model's or class's short form; never the one that stands for all.
-fn short(name: &str) -> u32 {
+fn name_hash(name: &str) -> u32 {
     (xxh3_64(name.as_bytes()) as u32).max(1)
 }
 
 impl OutputLengths {
-    pub(crate) fn told(&mut self, _now: Micros, told: Told) {
+    pub(crate) fn on_update(&mut self, _now: Micros, told: Told) {
         match told {
             // Bounded by `Curves`.
             Told::Curves(curves) => curves
@@ -33,7 +33,7 @@
     }
 
     /// Of an answer to this prompt, by what was told of its like; none before anything was.
-    pub(crate) fn expect(
+    pub(crate) fn predict(
         &self,
         model: &str,
         class: &str,
@@ -44,15 +44,17 @@
             return None;
         }
         let known = self.curves.find(
-            ModelKey(short(model)),
-            ClassKey(short(class)),
+            ModelKey(name_hash(model)),
+            ClassKey(name_hash(class)),
             prompt_tokens,
         )?;
         Some(known.expected(ceiling))
     }
 
     /// What the decision module is told of it.
-    pub(crate) fn for_module(expected: Option<Expected>) -> Option<interface::ExpectedTokens> {
+    pub(crate) fn to_decision_module(
+        expected: Option<Expected>,
+    ) -> Option<interface::ExpectedTokens> {
         expected.map(|e| interface::ExpectedTokens {
             mean: e.mean,
             p90: e.p90,
@@ -60,14 +62,14 @@
     }
 
     /// An answer that has ended, or that its client left while it ran.
-    pub(crate) fn ended(request: &Request, class: &str, server: &str, end: End) -> Ask {
+    pub(crate) fn end_report(request: &Request, class: &str, server: &str, end: End) -> Ask {
         let tokens = match end {
             End::Left => tokens_of(request.text.len()),
             End::Whole | End::Ceiling => request.usage.output_tokens,
         };
         Ask::Ended(Ended {
-            model: ModelKey(short(&request.response.model)),
-            class: ClassKey(short(class)),
+            model: ModelKey(name_hash(&request.response.model)),
+            class: ClassKey(name_hash(class)),
             tenant: TenantKey(request.tenant),
             prompt_tokens: tokens_of(request.prompt.len()),
             ceiling: request.max_tokens,
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::machine::{Machine, Traced};
+use crate::machine::{Machine, TracedDecision};
 use crate::settings::{Settings, SettingsError};
 use crate::types::{Input, Micros, Output};
 
@@ -236,7 +236,7 @@
     /// The first difference; none where the replay is equal.
     pub difference: Option<Difference>,
     /// The decision module's events and actions, where the trace was asked for.
-    pub trace: Vec<Traced>,
+    pub trace: Vec<TracedDecision>,
 }
 
 /// Steps a new machine through a record and compares each output, up to the first that differs.
--- a/crates/core/src/request_start.rs
+++ b/crates/core/src/request_start.rs
@@ -7,7 +7,7 @@
 use bitternlatch_protocol::tokens_of;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::budgets::{Charged, RETRY_AFTER_S};
+use crate::budgets::{RequestCharges, RETRY_AFTER_S};
 use crate::load_shedding::AdmittedWork;
 use crate::machine::Machine;
 use crate::output_lengths::OutputLengths;
@@ -69,7 +69,7 @@
             may_have_run: false,
             taken: self.now,
             hold: decision.hold,
-            charged: Charged::default(),
+            charged: RequestCharges::default(),
             refused: false,
             answered: false,
         }
@@ -102,7 +102,7 @@
             expected: self.expected_output(create, &validated),
         };
         let mut arrival = validated.ask(id, create, start.conversation, left_s);
-        arrival.output_tokens = OutputLengths::for_module(start.expected);
+        arrival.output_tokens = OutputLengths::to_decision_module(start.expected);
         if let Some(key) = validated.key.as_ref().filter(|_| validated.step.is_none()) {
             self.keys.begin(key.clone(), fingerprint(create), id);
         }
@@ -134,7 +134,7 @@
         let class = &self.settings.classes[usize::from(validated.class)].name;
         let prompt_tokens = tokens_of(validated.prompt.len());
         self.output_lengths
-            .expect(&create.model, class, prompt_tokens, validated.max_tokens)
+            .predict(&create.model, class, prompt_tokens, validated.max_tokens)
     }
 
     /// Why a request is rejected without the decision module, and when it may be repeated.
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -9,7 +9,7 @@
 use bitternlatch_protocol::client::{Response, Usage};
 use bitternlatch_protocol::engine::{EngineUsage, KvTransferParams};
 
-use crate::budgets::Charged;
+use crate::budgets::RequestCharges;
 use crate::idempotency::Key;
 use crate::load_shedding::AdmittedWork;
 use crate::types::{LinkId, Micros, SessionId};
@@ -131,7 +131,7 @@
     pub taken: Micros,
     /// What it holds of its tenant's budget, until it is settled.
     pub hold: Option<Hold>,
-    pub charged: Charged,
+    pub charged: RequestCharges,
     /// Its final answer was a refusal.
     pub refused: bool,
     /// The final answer is given; what is left is to hear the attempt's end.
--- a/crates/core/src/servers.rs
+++ b/crates/core/src/servers.rs
@@ -27,7 +27,7 @@
 }
 
 impl KnownServer {
-    fn standing(&self) -> ServerStatus {
+    fn status(&self) -> ServerStatus {
         match (self.server.state, self.reported) {
             (ServerState::Gone, _) => ServerStatus::Removed,
             (ServerState::Ready, EngineState::Ready) if self.drained_at_peers => {
@@ -38,8 +38,8 @@
         }
     }
 
-    pub(crate) fn takes_work(&self) -> bool {
-        self.standing() == ServerStatus::Ready
+    pub(crate) fn accepts_work(&self) -> bool {
+        self.status() == ServerStatus::Ready
     }
 
     /// By the list or its own word.
@@ -48,13 +48,13 @@
     }
 
     pub(crate) fn booted_at(&self) -> Option<Micros> {
-        (self.booted_at > 0.0).then(|| Micros::at(self.booted_at))
+        (self.booted_at > 0.0).then(|| Micros::from_seconds(self.booted_at))
     }
 
     fn entry(&self, id: ServerId) -> ServerEntry {
         ServerEntry {
             id,
-            status: self.standing(),
+            status: self.status(),
             kind: self.kind,
             cell: self.cell,
             zone: self.zone,
@@ -66,9 +66,9 @@
 
 /// Small numbers for names, in order of first sight.
 #[derive(Default)]
-struct NameNumbers(BTreeMap<String, u16>);
+struct NameInterner(BTreeMap<String, u16>);
 
-impl NameNumbers {
+impl NameInterner {
     fn number(&mut self, name: &str) -> u16 {
         let next = u16::try_from(self.0.len()).unwrap_or(u16::MAX);
         *self.0.entry(name.to_string()).or_insert(next)
@@ -91,19 +91,19 @@
 
 pub(crate) struct ServerTable {
     servers: BTreeMap<ServerId, KnownServer>,
-    zones: NameNumbers,
-    cells: NameNumbers,
+    zones: NameInterner,
+    cells: NameInterner,
 }
 
 impl ServerTable {
     /// The dispatcher's own zone is number 0.
     pub(crate) fn new(zone: &str) -> Self {
-        let mut zones = NameNumbers::default();
+        let mut zones = NameInterner::default();
         zones.number(zone);
         ServerTable {
             servers: BTreeMap::new(),
             zones,
-            cells: NameNumbers::default(),
+            cells: NameInterner::default(),
         }
     }
 
@@ -115,7 +115,7 @@
     pub(crate) fn listed(&self) -> impl Iterator<Item = (ServerId, &KnownServer)> {
         self.servers
             .iter()
-            .filter(|(_, k)| k.standing() != ServerStatus::Removed)
+            .filter(|(_, k)| k.status() != ServerStatus::Removed)
             .map(|(id, k)| (*id, k))
     }
 
@@ -123,12 +123,12 @@
     pub(crate) fn ready(&self) -> impl Iterator<Item = ServerId> + '_ {
         self.servers
             .iter()
-            .filter(|(_, k)| k.takes_work())
+            .filter(|(_, k)| k.accepts_work())
             .map(|(id, _)| *id)
     }
 
     /// Holds these for draining by the word of others, and no more those that were before; gives what changed.
-    pub(crate) fn drained_at_peers(&mut self, servers: BTreeSet<ServerId>) -> Vec<ServerEntry> {
+    pub(crate) fn set_drained_at_peers(&mut self, servers: BTreeSet<ServerId>) -> Vec<ServerEntry> {
         let mut changed = Vec::new();
         for (id, known) in &mut self.servers {
             let drained = servers.contains(id);
@@ -145,7 +145,7 @@
     }
 
     /// Takes a complete list. A server whose kind the settings do not name is passed over and said so.
-    pub(crate) fn take_list(&mut self, list: Vec<ModelServer>, settings: &Settings) -> ListChange {
+    pub(crate) fn apply_list(&mut self, list: Vec<ModelServer>, settings: &Settings) -> ListChange {
         let mut change = ListChange::default();
         let mut seen = BTreeMap::new();
         for server in list {
@@ -164,7 +164,7 @@
             );
             let role = kinds[kind].role;
             let old = self.servers.remove(&id);
-            let was_open = old.as_ref().is_some_and(KnownServer::takes_work);
+            let was_open = old.as_ref().is_some_and(KnownServer::accepts_work);
             let moved = old
                 .as_ref()
                 .is_none_or(|o| o.server.endpoint() != server.endpoint());
@@ -190,7 +190,7 @@
                 booted_at,
                 drained_at_peers: false,
             };
-            if was_open && !known.takes_work() {
+            if was_open && !known.accepts_work() {
                 change.closed.push(id);
             }
             change.entries.push(known.entry(id));
@@ -206,7 +206,7 @@
 
     /// Takes a link's greeting. Gives the changed entry, and whether the server has been started anew since it was last
     /// heard, so that what was decided for it before no longer holds.
-    pub(crate) fn greeted(
+    pub(crate) fn apply_greeting(
         &mut self,
         now: Micros,
         id: ServerId,
@@ -231,7 +231,11 @@
     }
 
     /// Takes a server's word on its own state.
-    pub(crate) fn reported(&mut self, id: ServerId, reported: EngineState) -> Option<ServerEntry> {
+    pub(crate) fn set_reported_state(
+        &mut self,
+        id: ServerId,
+        reported: EngineState,
+    ) -> Option<ServerEntry> {
         let known = self.servers.get_mut(&id)?;
         known.reported = reported;
         Some(known.entry(id))
--- a/crates/core/src/servers/tests.rs
+++ b/crates/core/src/servers/tests.rs
@@ -12,7 +12,7 @@
 fn list_change_names_links_to_open_and_close() {
     let settings = crate::settings::tests::small();
     let mut servers = ServerTable::new("z");
-    let first = servers.take_list(
+    let first = servers.apply_list(
         list("name,port,kind,address\na,1,reader,127.0.0.1\nb,2,writer,127.0.0.1\nc,3,odd,127.0.0.1\n"),
         &settings,
     );
@@ -25,7 +25,7 @@
         (2, 2, 0)
     );
     assert!(first.skipped[0].contains("'odd'"));
-    let second = servers.take_list(
+    let second = servers.apply_list(
         list(
             "name,port,kind,address,state\na,9,reader,127.0.0.1,ready\nb,2,writer,127.0.0.1,draining\n",
         ),
@@ -39,7 +39,7 @@
         (second.connect, second.disconnect, second.closed),
         (vec![a], vec![a], vec![b])
     );
-    let third = servers.take_list(
+    let third = servers.apply_list(
         list("name,port,kind,address\na,9,reader,127.0.0.1\n"),
         &settings,
     );
@@ -50,19 +50,19 @@
 fn young_server_warms_up_and_restart_is_detected() {
     let settings = crate::settings::tests::small();
     let mut servers = ServerTable::new("z");
-    servers.take_list(list("name,port,kind\na,1,reader\n"), &settings);
+    servers.apply_list(list("name,port,kind\na,1,reader\n"), &settings);
     let a = bitternlatch_inventory::server_id("a");
     let at = |s: u64| Micros(s * 1_000_000);
     let (entry, restarted) = servers
-        .greeted(at(100), a, 500.0, EngineState::Ready, 14.0)
+        .apply_greeting(at(100), a, 500.0, EngineState::Ready, 14.0)
         .expect("known");
     assert_eq!((entry.booted_at, restarted), (0.0, false));
     let (entry, restarted) = servers
-        .greeted(at(200), a, 2.0, EngineState::Ready, 14.0)
+        .apply_greeting(at(200), a, 2.0, EngineState::Ready, 14.0)
         .expect("known");
     assert_eq!((entry.booted_at, restarted), (198.0, true));
     let (_, restarted) = servers
-        .greeted(at(203), a, 5.1, EngineState::Ready, 14.0)
+        .apply_greeting(at(203), a, 5.1, EngineState::Ready, 14.0)
         .expect("known");
     assert!(!restarted, "the same start seen over another link");
 }
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -13,17 +13,17 @@
     /// The decision module's own.
     Router { label: u64 },
     /// An attempt's time is up.
-    Attempt { request: RequestId, attempt: u16 },
+    AttemptTimeout { request: RequestId, attempt: u16 },
     /// The client gives up.
     Deadline { request: RequestId },
     /// A stream may have stalled.
     Stall { request: RequestId },
     /// A probe is overdue.
-    Probe { id: u64 },
+    HealthCheck { id: u64 },
     /// A link's next step is due: it has not come up, said nothing, or may be reconnected.
     Link { server: ServerId, epoch: u32 },
     /// A caller's proof ends.
-    Caller { session: SessionId },
+    CredentialExpiry { session: SessionId },
     /// Tables are swept.
     Sweep,
     /// Looks at what to ask the quota server for.
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -27,7 +27,7 @@
     }
 
     /// A clock time in seconds; rounded up, so that a timer never fires early.
-    pub fn at(seconds: f64) -> Micros {
+    pub fn from_seconds(seconds: f64) -> Micros {
         Micros((seconds.max(0.0) * 1e6).ceil() as u64)
     }
 
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -282,7 +282,7 @@
         let held = self
             .held
             .next_s()
-            .map(|at| self.clock.until(Micros::at(at)));
+            .map(|at| self.clock.until(Micros::from_seconds(at)));
         let wait = held.map_or(wait, |held| wait.min(held));
         match self.events.recv_timeout(wait) {
             Ok(Event::Input(input)) => Some(input),
--- a/crates/platform/src/access_log/mod.rs
+++ b/crates/platform/src/access_log/mod.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use bitternlatch_core::Traced;
+use bitternlatch_core::TracedDecision;
 use bitternlatch_policy::interface::{
     Action, AttemptEnd, Cause, ChoiceExplanation, Event, Request, RequestId, Settings,
 };
@@ -72,7 +72,7 @@
     /// says of its last decision on it. Gives the lines of the requests that have ended and are worth one.
     pub fn record(
         &mut self,
-        traced: &Traced,
+        traced: &TracedDecision,
         id: impl Fn(RequestId) -> String,
         reasons: impl Fn(RequestId) -> DecisionReasons,
     ) -> Vec<String> {
--- a/crates/platform/src/decisions.rs
+++ b/crates/platform/src/decisions.rs
@@ -1,6 +1,6 @@
 //! The decision module with what records its decisions: the trace and the access log.
 
-use bitternlatch_core::{decide, Micros, Traced};
+use bitternlatch_core::{decide, Micros, TracedDecision};
 use bitternlatch_output_length::Timed;
 use bitternlatch_policy::choice::Router;
 use bitternlatch_policy::interface::{Action, Event, RequestId, Settings};
@@ -16,7 +16,7 @@
     router: Router,
     /// Lengths of answers, learnt by this node alone.
     lengths: Timed,
-    trace: Option<Vec<Traced>>,
+    trace: Option<Vec<TracedDecision>>,
     access_log: Option<AccessLog>,
 }
 
@@ -35,7 +35,7 @@
         self.access_log = Some(access_log);
     }
 
-    pub(crate) fn take_trace(&mut self) -> Vec<Traced> {
+    pub(crate) fn take_trace(&mut self) -> Vec<TracedDecision> {
         self.trace.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
@@ -69,7 +69,7 @@
         let Some(access_log) = &mut self.access_log else {
             return Vec::new();
         };
-        let traced = Traced {
+        let traced = TracedDecision {
             now_s: now.seconds(),
             event,
             actions: actions.to_vec(),
--- a/crates/platform/src/node/mod.rs
+++ b/crates/platform/src/node/mod.rs
@@ -15,7 +15,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use bitternlatch_core::{Micros, Timers, Traced};
+use bitternlatch_core::{Micros, Timers, TracedDecision};
 use bitternlatch_policy::interface::{Action, Event, ListForm, Role};
 use bitternlatch_routing_settings::{Bounds, Names};
 
@@ -125,7 +125,7 @@
     }
 
     /// What was kept since the last call.
-    pub fn take_trace(&mut self) -> Vec<Traced> {
+    pub fn take_trace(&mut self) -> Vec<TracedDecision> {
         self.decisions.take_trace()
     }
 
@@ -271,9 +271,9 @@
             Action::Fail { request } => self.fail(now, request, commands),
             Action::Release { request } => self.release(now, request, commands),
             Action::Probe { server } => self.start_health_check(now, server, commands),
-            Action::SetTimer { at, label } => {
-                self.timers.set(Micros::at(at), Timer::Router { label })
-            }
+            Action::SetTimer { at, label } => self
+                .timers
+                .set(Micros::from_seconds(at), Timer::Router { label }),
             // The watch is always open; the whole list comes with it after a gap.
             Action::Subscribe | Action::Unsubscribe | Action::FetchList => {}
             Action::ReserveSlot { .. } | Action::Migrate { .. } => {
--- a/crates/platform/tests/wire_messages.rs
+++ b/crates/platform/tests/wire_messages.rs
@@ -2,7 +2,7 @@
 //! `tests/README.md` names the tests that fix the remaining messages.
 mod common;
 
-use bitternlatch_core::Traced;
+use bitternlatch_core::TracedDecision;
 use bitternlatch_platform::access_log::AccessLog;
 use bitternlatch_platform::types::{ConnId, Input};
 use bitternlatch_policy::interface::{AttemptEnd, Event, Outcome};
@@ -249,8 +249,8 @@
 }
 
 /// How each attempt of a trace ended.
-fn attempt_ends(trace: Vec<Traced>) -> Vec<AttemptEnd> {
-    let end = |traced: Traced| match traced.event {
+fn attempt_ends(trace: Vec<TracedDecision>) -> Vec<AttemptEnd> {
+    let end = |traced: TracedDecision| match traced.event {
         Event::AttemptEnded(end) => Some(end),
         _ => None,
     };
