--- a/crates/core/src/budget_leases.rs
+++ b/crates/core/src/budget_leases.rs
@@ -1,4 +1,5 @@
-//! Leases of tenants' rates: when parts are asked for, and what may be spent with and without one.
+//! Leases on tenants' token rates from the quota server: when they are requested, and which rate applies with and
+//! without a lease.
 
 use std::collections::BTreeMap;
 
@@ -9,51 +10,55 @@
 use crate::timers::Timer;
 use crate::types::{Level, Micros, Output};
 
-/// Seconds between two looks at what to ask for.
+/// Interval at which due lease requests are collected, seconds.
 const CHECK_INTERVAL_S: f64 = 0.5;
-/// Seconds without a request after which a part goes back.
+/// Time without a request from a tenant after which its lease is returned, seconds.
 const IDLE_S: f64 = 5.0;
-/// Questions whose answer may still come; an older one's changes nothing.
+/// Number of lease requests that may be pending; the response to an older one is ignored.
 const MAX_PENDING_REQUESTS: usize = 16;
 
-/// The borrowing side of all tenants with a rate.
+/// The leases of all tenants whose budget has a token rate.
 #[derive(Default)]
 pub(crate) struct BudgetLeases {
     tenants: BTreeMap<u32, TenantLease>,
-    asked: BTreeMap<u64, Micros>,
-    next: u64,
-    /// Where the last look began, so that all tenants get their turn in questions of bounded size.
-    turn: u32,
+    /// Time at which each pending lease request was sent, by its number.
+    pending: BTreeMap<u64, Micros>,
+    /// Number of the last lease request.
+    last_number: u64,
+    /// The tenant at which the next lease request starts. Requests are bounded in size, so they go through the tenants
+    /// in turn.
+    next_tenant: u32,
 }
 
 struct TenantLease {
     borrower: Borrower,
-    /// Number of the part that it holds, 0 for none.
-    holds: u64,
-    /// The rate that the account has now.
+    /// Number of the lease that is held, 0 for none.
+    lease_number: u64,
+    /// The rate now set in the tenant's account, tokens per second.
     rate: f64,
     /// When a request last asked for tokens.
-    used: Option<Micros>,
+    last_demand: Option<Micros>,
 }
 
 impl TenantLease {
-    fn busy(&self, now: Micros) -> bool {
-        self.used.is_some_and(|at| now.since(at) < IDLE_S)
+    fn is_active(&self, now: Micros) -> bool {
+        self.last_demand.is_some_and(|at| now.since(at) < IDLE_S)
     }
 }
 
 impl BudgetLeases {
-    /// A request asked for tokens, taken or not.
+    /// Records that a request asked for tokens, whether or not it is admitted.
     pub(crate) fn record_demand(&mut self, now: Micros, tenant: u32, tokens: u64) {
-        if let Some(b) = self.tenants.get_mut(&tenant) {
-            b.borrower.wanted(tokens as f64);
-            b.used = Some(now);
+        if let Some(lease) = self.tenants.get_mut(&tenant) {
+            lease.borrower.wanted(tokens as f64);
+            lease.last_demand = Some(now);
         }
     }
 }
 
 impl Machine {
-    /// Begins to borrow, where there is a quota server: at the careful rate until a part comes.
+    /// Starts leasing if a quota server is configured. Until the first lease is received, each tenant's rate is the
+    /// reduced rate that a dispatcher may spend without a lease.
     pub(crate) fn open_budget_leases(&mut self, now: Micros) {
         if self.settings.quota_server.is_none() {
             return;
@@ -66,17 +71,17 @@
             let dispatchers = self.settings.dispatchers;
             let borrower =
                 Borrower::new(rules.clone(), rate.tokens_per_s, dispatchers, now.seconds());
-            let leased_rate = borrower.rate(now.seconds());
+            let rate_without_lease = borrower.rate(now.seconds());
             let whole = (rate.tokens_per_s, rate.burst_tokens);
             self.book
-                .lend(now.seconds(), i as u32, leased_rate / whole.0, whole);
+                .lend(now.seconds(), i as u32, rate_without_lease / whole.0, whole);
             self.leases.tenants.insert(
                 i as u32,
                 TenantLease {
                     borrower,
-                    holds: 0,
-                    rate: leased_rate,
-                    used: None,
+                    lease_number: 0,
+                    rate: rate_without_lease,
+                    last_demand: None,
                 },
             );
         }
@@ -84,49 +89,52 @@
             .set(now.after(CHECK_INTERVAL_S), Timer::BudgetLeases);
     }
 
-    /// Follows parts that have ended, and asks for new ones where they were used or are wanted.
+    /// Applies the expiry of leases and requests leases for the tenants that are active; leases of inactive tenants are
+    /// returned by asking for a rate of 0.
     pub(crate) fn request_budget_leases(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.timers
             .set(now.after(CHECK_INTERVAL_S), Timer::BudgetLeases);
         self.apply_budget_leases(now);
-        let due = |b: &TenantLease| (b.busy(now) || b.holds != 0) && b.borrower.asks(now.seconds());
-        let after = self.leases.tenants.range(self.leases.turn..);
-        let before = self.leases.tenants.range(..self.leases.turn);
+        let is_due = |lease: &TenantLease| {
+            (lease.is_active(now) || lease.lease_number != 0) && lease.borrower.asks(now.seconds())
+        };
+        let after = self.leases.tenants.range(self.leases.next_tenant..);
+        let before = self.leases.tenants.range(..self.leases.next_tenant);
         let due: Vec<u32> = after
             .chain(before)
-            .filter(|(_, b)| due(b))
-            .map(|(t, _)| *t)
+            .filter(|(_, lease)| is_due(lease))
+            .map(|(tenant, _)| *tenant)
             .take(TENANTS_MOST)
             .collect();
         let Some(last) = due.last() else { return };
         let last = *last;
-        self.leases.turn = last + 1;
+        self.leases.next_tenant = last + 1;
         let mut tenants = Vec::new();
         for tenant in due {
-            let Some(b) = self.leases.tenants.get_mut(&tenant) else {
+            let Some(lease) = self.leases.tenants.get_mut(&tenant) else {
                 continue;
             };
-            let wants = if b.busy(now) {
-                b.borrower.wants(now.seconds()).max(1.0)
+            let wanted_rate = if lease.is_active(now) {
+                lease.borrower.wants(now.seconds()).max(1.0)
             } else {
                 0.0
             };
             let name = self.settings.tenants[tenant as usize].name.clone();
             tenants.push(Want {
                 tenant: name,
-                tokens_per_s: wants,
-                holds: b.holds,
+                tokens_per_s: wanted_rate,
+                holds: lease.lease_number,
             });
-            if wants == 0.0 {
-                b.holds = 0;
-                b.borrower.drop_part();
+            if wanted_rate == 0.0 {
+                lease.lease_number = 0;
+                lease.borrower.drop_part();
             }
         }
-        self.leases.next += 1;
-        let number = self.leases.next;
-        self.leases.asked.insert(number, now);
-        while self.leases.asked.len() > MAX_PENDING_REQUESTS {
-            self.leases.asked.pop_first();
+        self.leases.last_number += 1;
+        let number = self.leases.last_number;
+        self.leases.pending.insert(number, now);
+        while self.leases.pending.len() > MAX_PENDING_REQUESTS {
+            self.leases.pending.pop_first();
         }
         self.apply_budget_leases(now);
         out.push(Output::RequestBudgetLeases {
@@ -136,48 +144,49 @@
         });
     }
 
-    /// Parts came for a question.
+    /// Applies the quota server's response to a lease request. A response to a request that is not pending is ignored;
+    /// a lease's time runs from the request.
     pub(crate) fn on_budget_leases(
         &mut self,
         now: Micros,
         number: u64,
-        parts: &[Part],
+        leases: &[Part],
         out: &mut Vec<Output>,
     ) {
-        let Some(asked) = self.leases.asked.remove(&number) else {
+        let Some(requested_at) = self.leases.pending.remove(&number) else {
             return;
         };
-        for part in parts {
+        for grant in leases {
             let tenant = self
                 .settings
                 .tenants
                 .iter()
-                .position(|t| t.name == part.tenant);
-            let known = tenant.and_then(|t| self.leases.tenants.get_mut(&(t as u32)));
-            let (Some(b), Some(lease)) = (known, part.lease()) else {
+                .position(|t| t.name == grant.tenant);
+            let tenant_lease = tenant.and_then(|t| self.leases.tenants.get_mut(&(t as u32)));
+            let (Some(tenant_lease), Some(lease)) = (tenant_lease, grant.lease()) else {
                 log(
                     out,
                     Level::Warn,
-                    format!("a part for '{}' cannot be used", part.tenant),
+                    format!("a part for '{}' cannot be used", grant.tenant),
                 );
                 continue;
             };
-            b.borrower.lent(asked.seconds(), lease);
-            b.holds = b.holds.max(lease.number);
+            tenant_lease.borrower.lent(requested_at.seconds(), lease);
+            tenant_lease.lease_number = tenant_lease.lease_number.max(lease.number);
         }
         self.apply_budget_leases(now);
     }
 
-    /// Gives each account the rate that its part has now.
+    /// Sets the rate of each tenant's account to the rate that its lease allows now.
     pub(crate) fn apply_budget_leases(&mut self, now: Micros) {
-        for (tenant, b) in &mut self.leases.tenants {
-            let rate = b.borrower.rate(now.seconds());
+        for (tenant, lease) in &mut self.leases.tenants {
+            let rate = lease.borrower.rate(now.seconds());
             let whole = self.settings.tenants[*tenant as usize]
                 .budget
                 .as_ref()
                 .and_then(|p| p.rate);
-            if let Some(whole) = whole.filter(|_| rate != b.rate) {
-                b.rate = rate;
+            if let Some(whole) = whole.filter(|_| rate != lease.rate) {
+                lease.rate = rate;
                 let whole = (whole.tokens_per_s, whole.burst_tokens);
                 self.book
                     .lend(now.seconds(), *tenant, rate / whole.0, whole);
--- a/crates/core/src/budgets.rs
+++ b/crates/core/src/budgets.rs
@@ -1,6 +1,8 @@
-//! Budgets of tenants: held at admission, charged before the final answer, put right when nothing of the request is out.
+//! Token budgets of tenants. The most that a request can use is held at its admission, the request is charged before
+//! its final answer, and the hold is settled when the request has no attempt in flight any more.
 //!
-//! The order is budget first, then the decision module with its own shares: what the budget refuses the module never hears of.
+//! The budget is checked before the decision module, which applies quotas of its own: a request that the budget rejects
+//! is never passed to the decision module.
 
 use bitternlatch_budget::bucket::Short;
 use bitternlatch_budget::charge::{Entry, Used};
@@ -14,15 +16,15 @@
 use crate::types::{Micros, Output, SessionId};
 use crate::workflows::refused;
 
-/// Seconds after which a client that met one of this machine's own bounds may come back.
+/// Delay after which a client may retry a request that was rejected by one of this dispatcher's own limits, seconds.
 pub(crate) const RETRY_AFTER_S: f64 = 1.0;
 
-/// Why a request is not taken, and when to come back.
+/// Why a request is rejected before it is admitted, and when and where the client may retry.
 pub(crate) struct Rejection {
     pub error: BadRequest,
-    /// `None` is the machine's own time, for what has one at all.
+    /// Delay before a retry, seconds; `None` stands for [`RETRY_AFTER_S`] for status 429 and for no delay otherwise.
     pub retry_after_s: Option<f64>,
-    /// Where else to try.
+    /// Client addresses of other dispatchers that the client may try instead.
     pub alternatives: Vec<String>,
 }
 
@@ -37,23 +39,23 @@
 }
 
 impl Rejection {
-    /// The event that says so.
+    /// The error event for the client.
     pub(crate) fn to_text(&self, create: &Create) -> String {
-        let own = (self.error.status == 429).then_some(RETRY_AFTER_S);
-        let again = self
+        let default_s = (self.error.status == 429).then_some(RETRY_AFTER_S);
+        let retry_after_ms = self
             .retry_after_s
-            .or(own)
+            .or(default_s)
             .map(|s| (s * 1000.0).ceil() as u64);
         client::error_elsewhere(
             &self.error,
-            again,
+            retry_after_ms,
             Some(&create.metadata),
             &self.alternatives,
         )
     }
 
-    pub(crate) fn by_workflow(why: RejectReason) -> Rejection {
-        let error = refused(why);
+    pub(crate) fn by_workflow(reason: RejectReason) -> Rejection {
+        let error = refused(reason);
         let retry_after_s = (error.status == 503).then_some(RETRY_AFTER_S);
         Rejection {
             error,
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Refused at once by what all shed together; asking again is harmless.
+    /// The rejection of a request by the cluster's load shedding. It never ran, so a retry is safe.
     pub(crate) fn by_shedding(retry_after_s: f64) -> Rejection {
         let message = "no place now for what it asks; asking again is harmless".to_string();
         let error = BadRequest {
@@ -105,16 +107,17 @@
     }
 }
 
-/// What a request has been charged so far.
+/// The charges issued for a request so far.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestCharges {
+    /// Number of entries issued; the last entry's number.
     entries: u32,
     last: Option<Used>,
 }
 
 impl Request {
-    /// What its host counted; `None` where none has, or what it says is no count. An output above the ceiling is the host's
-    /// fault and not the tenant's.
+    /// The token usage that the model server reported; `None` if it reported none or zero. Output tokens above the
+    /// request's limit are the server's fault and are not charged to the tenant.
     fn reported_usage(&self) -> Option<Amount> {
         let usage = (self.usage.total_tokens > 0).then_some(self.usage)?;
         Some(Amount {
@@ -123,10 +126,11 @@
         })
     }
 
-    /// What it is to be charged as things stand; nothing for what is known not to have run or is refused.
-    fn amount_due(&self, served: bool, refused: bool) -> Option<Used> {
+    /// What the request is to be charged by what is known now: its reported usage or, if it was served or may have run
+    /// without one, the upper bound that was held. `None` if it was rejected or is known not to have run.
+    fn amount_due(&self, served: bool, rejected: bool) -> Option<Used> {
         match self.reported_usage() {
-            _ if refused => None,
+            _ if rejected => None,
             Some(amount) => Some(Used::Known(amount)),
             None if served || self.may_run() => Some(Used::Possibly(self.hold.as_ref()?.bound())),
             None => None,
@@ -135,7 +139,7 @@
 }
 
 impl Machine {
-    /// Tells a session what is left, where its tenant is near a bound.
+    /// Sends a session the remaining tokens of its tenant's budget if that is close to exhausted.
     pub(crate) fn send_rate_limits(
         &mut self,
         now: Micros,
@@ -149,7 +153,7 @@
         }
     }
 
-    /// The entry for a final answer, before the answer itself.
+    /// Charges a request for its final answer. Called before the answer itself is sent.
     pub(crate) fn charge_answer(
         &mut self,
         id: RequestId,
@@ -157,15 +161,16 @@
         out: &mut Vec<Output>,
     ) {
         let served = matches!(answer.status, Status::Completed | Status::Incomplete);
-        let refused = answer.error.as_ref().is_some_and(|e| e.safe_to_repeat);
+        let rejected = answer.error.as_ref().is_some_and(|e| e.safe_to_repeat);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.refused = refused;
-        let used = request.amount_due(served, refused);
+        request.refused = rejected;
+        let used = request.amount_due(served, rejected);
         self.charge(id, used, out);
     }
 
+    /// Emits a charge for a request unless it equals the request's previous charge.
     fn charge(&mut self, id: RequestId, used: Option<Used>, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -198,8 +203,9 @@
         }));
     }
 
-    /// Nothing of the request is out any more: what is known by now is charged, and the rest of its hold is given back. What may have been
-    /// used stays taken: the engine has worked for it.
+    /// Settles a request that has no attempt in flight any more: charges what is known now and returns the rest of its
+    /// hold to the tenant's budget. Tokens that may have been used are not returned, because the server may have done
+    /// the work.
     pub(crate) fn settle(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -218,13 +224,13 @@
         }
     }
 
-    /// Opens the accounts of the settings. Without a quota server each dispatcher spends an even part; of rates, among
-    /// peers that know each other, what it is lent. Amounts a period stay even parts: what one that failed has used of its own is
-    /// not known to the others.
+    /// Opens the budget accounts of all tenants. Each starts with an even fraction of the tenant's budget; with a quota
+    /// server or a cluster, the rate then follows this dispatcher's leases. Token amounts per period always stay evenly
+    /// divided, because the other dispatchers don't know what a failed one has used of its fraction.
     pub(crate) fn open_accounts(&mut self, now: Micros) {
         let share = 1.0 / self.quota_members() as f64;
         let classes = &self.settings.classes;
-        let number = |name: &str| {
+        let class_number = |name: &str| {
             classes
                 .iter()
                 .position(|c| c.name == name)
@@ -233,7 +239,7 @@
         for (i, tenant) in self.settings.tenants.iter().enumerate() {
             if let Some(budget) = &tenant.budget {
                 self.book
-                    .open(now.seconds(), i as u32, budget, share, number);
+                    .open(now.seconds(), i as u32, budget, share, class_number);
             }
         }
     }
--- a/crates/core/src/cluster_mode.rs
+++ b/crates/core/src/cluster_mode.rs
@@ -1,4 +1,5 @@
-//! What this dispatcher admits in its present quorum state, judged at each request and expiring by time.
+//! Which requests this dispatcher admits in its current quorum state. The state is checked at each request and expires
+//! unless it is renewed.
 
 use bitternlatch_membership::{AdmissionMode, EffectClass, QuorumState};
 use bitternlatch_protocol::client::BadRequest;
@@ -8,21 +9,22 @@
 use crate::settings::Effect;
 use crate::types::Micros;
 
-/// Seconds after which a client that was redirected may come back: a lost quorum takes about that long to return.
+/// Delay after which a redirected client may try this dispatcher again, seconds: a lost quorum takes about that long to
+/// return.
 const RETRY_AFTER_S: f64 = 2.0;
 
-/// The state of the quorum, and when it expires.
+/// The last observed state of the quorum and the time at which the observation expires.
 #[derive(Clone, Copy, Debug)]
 struct ObservedQuorum {
     state: QuorumState,
     until: Micros,
 }
 
-/// The last observed state of the quorum, and who is present.
+/// What is known of the other members of the cluster.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     quorum: Option<ObservedQuorum>,
-    /// Names of the members that are present.
+    /// Names of the members that were reachable at the last observation.
     present: Vec<String>,
 }
 
@@ -47,21 +49,21 @@
         };
     }
 
-    /// The quorum state that counts now; `None` without a cluster. An observation that has expired, also because this
-    /// process was paused, counts as [`QuorumState::Alone`].
+    /// The quorum state in force now; `None` if no cluster is configured. An expired observation counts as
+    /// [`QuorumState::Alone`]; it also expires when this process was paused.
     pub(crate) fn quorum_state(&self, now: Micros) -> Option<QuorumState> {
         self.settings.cluster.as_ref()?;
         let fresh = self.peers.quorum.filter(|quorum| now < quorum.until);
         Some(fresh.map_or(QuorumState::Alone, |quorum| quorum.state))
     }
 
-    /// What is done with requests of this effect now; `None` without a cluster.
+    /// How requests of this effect class are handled now; `None` if no cluster is configured.
     pub(crate) fn admission_mode(&self, now: Micros, effect: EffectClass) -> Option<AdmissionMode> {
         let quorum = self.quorum_state(now)?;
         Some(AdmissionMode::of(quorum, self.reaches_servers(now), effect))
     }
 
-    /// Whether a request of this class may be begun, or sent for the first time, now.
+    /// Whether a request of this class may be admitted, or its first attempt sent, now.
     pub(crate) fn may_admit(&self, now: Micros, class: u16) -> bool {
         let Some(class) = self.settings.classes.get(usize::from(class)) else {
             return false;
@@ -70,8 +72,8 @@
             .is_none_or(|mode| mode.admits)
     }
 
-    /// The rejection of a request that may not be admitted, with where else to try: all other members that are present,
-    /// or, where none is known to be, all of the roster.
+    /// The rejection of a request that may not be admitted. It names the client addresses of the other members that are
+    /// present or, if none is known to be present, of all others in the roster.
     pub(crate) fn redirect_to_peers(&self, now: Micros) -> Rejection {
         let others = self
             .settings
@@ -79,23 +81,26 @@
             .iter()
             .flat_map(|c| &c.roster)
             .filter(|p| p.name != self.settings.name);
-        let all: Vec<_> = others
+        let peers: Vec<_> = others
             .filter_map(|p| Some((&p.name, p.client_address.as_ref()?)))
             .collect();
         let is_present = |(name, _): &&(&String, &String)| self.peers.present.contains(name);
-        let known: Vec<String> = all
+        let present: Vec<String> = peers
             .iter()
             .filter(is_present)
-            .map(|(_, at)| (*at).clone())
+            .map(|(_, address)| (*address).clone())
             .collect();
-        // Where servers fail for all there is nowhere to go.
-        let servers = self.reaches_servers(now);
-        let alternatives = match known.is_empty() {
-            _ if !servers && self.all_failing_at_peers() => vec![],
-            true => all.iter().map(|(_, at)| (*at).clone()).collect(),
-            false => known,
+        // If the model servers fail for every dispatcher, no other dispatcher can do better.
+        let servers_reachable = self.reaches_servers(now);
+        let alternatives = match present.is_empty() {
+            _ if !servers_reachable && self.all_failing_at_peers() => vec![],
+            true => peers
+                .iter()
+                .map(|(_, address)| (*address).clone())
+                .collect(),
+            false => present,
         };
-        let message = match servers {
+        let message = match servers_reachable {
             true => "this dispatcher is cut off from its peers and takes nothing that must not run twice",
             false => "this dispatcher reaches no model host",
         };
@@ -112,11 +117,12 @@
         }
     }
 
-    /// Whether callers should come, by what is known of peers and servers.
+    /// Whether the readiness check succeeds: the quorum state allows it, the machine is not stopping and at least one
+    /// link to a model server is open.
     pub fn is_ready(&self, now: Micros) -> bool {
-        let peers = self
+        let quorum_allows = self
             .admission_mode(now, EffectClass::Idempotent)
             .is_none_or(|mode| mode.ready);
-        peers && !self.stopping && self.counts().open_links > 0
+        quorum_allows && !self.stopping && self.counts().open_links > 0
     }
 }
--- a/crates/core/src/health_checks.rs
+++ b/crates/core/src/health_checks.rs
@@ -1,4 +1,5 @@
-//! Probes of model servers, this dispatcher's own and those shared in the cluster, and load shedding's inputs.
+//! Health checks of model servers, sent for this dispatcher alone or for the whole cluster, and the inputs of load
+//! shedding.
 
 use bitternlatch_overload::{Ask, Told};
 use bitternlatch_policy::interface::{Event, Observation, Outcome, Role, ServerId};
@@ -10,22 +11,24 @@
 use crate::types::{Micros, Output};
 
 impl Machine {
-    /// What all are to do together, and what was heard of servers for this one.
-    pub(crate) fn on_overload(&mut self, now: Micros, told: Told, out: &mut Vec<Output>) {
-        match told {
-            Told::Cut(cut) => self.load_shedding.set_threshold(cut),
+    /// Handles an event from the cluster's load shedding: a new admission threshold, a limit for a recovering server,
+    /// an order to send a health check for the cluster, or the load report that a server sent in reply to one.
+    pub(crate) fn on_overload(&mut self, now: Micros, event: Told, out: &mut Vec<Output>) {
+        match event {
+            Told::Cut(threshold) => self.load_shedding.set_threshold(threshold),
             Told::Trial {
                 host: server,
-                many,
+                many: max_in_flight,
                 until,
             } => {
-                self.load_shedding.set_trial(server, many, until);
-                // The module does better to choose another one: several saw it fail, or this one did in a row.
+                self.load_shedding.set_trial(server, max_in_flight, until);
+                // The decision module should prefer other servers: several dispatchers saw this one fail, or this
+                // dispatcher saw consecutive failures.
                 if self.load_shedding.max_in_flight(now, server).is_some() {
-                    let sight = Observation::Failing;
+                    let observation = Observation::Failing;
                     self.events.push_back(Event::PeerReport {
                         server,
-                        observation: sight,
+                        observation,
                         reporters: 2,
                         peers: 2,
                         age_s: 0.0,
@@ -54,29 +57,30 @@
                 report,
                 ..
             } => {
-                let mine = self
+                let pending = self
                     .health_checks
                     .iter()
-                    .filter(|(_, p)| p.link.server == server)
+                    .filter(|(_, check)| check.link.server == server)
                     .map(|(id, _)| *id);
                 let report: Vec<f64> = report.iter().map(|v| v.get()).collect();
-                for id in mine.collect::<Vec<u64>>() {
+                for id in pending.collect::<Vec<u64>>() {
                     self.end_health_check(now, id, Outcome::Served, report.clone());
                 }
             }
         }
     }
 
-    /// Tells what was seen of the load, for what all shed together.
+    /// Sends this dispatcher's load report to the cluster's load shedding, with the total weight of the ready,
+    /// connected servers that can prefill.
     pub(crate) fn report_load(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.timers
             .set(now.after(REPORT_INTERVAL_S), Timer::LoadShedding);
-        let reads = |role: Role| matches!(role, Role::Prefill | Role::Mixed);
-        let open = |id: &ServerId| self.links.open_link(*id).is_some();
+        let prefills = |role: Role| matches!(role, Role::Prefill | Role::Mixed);
+        let is_open = |id: &ServerId| self.links.open_link(*id).is_some();
         let servers = self
             .servers
             .listed()
-            .filter(|(id, k)| k.accepts_work() && reads(k.role) && open(id));
+            .filter(|(id, k)| k.accepts_work() && prefills(k.role) && is_open(id));
         let weight = servers.map(|(_, known)| known.server.weight).sum();
         out.extend(
             self.load_shedding
@@ -85,6 +89,7 @@
         );
     }
 
+    /// Starts a health check of a server. With load shedding on, the cluster decides which dispatcher sends it.
     pub(crate) fn start_health_check(
         &mut self,
         now: Micros,
@@ -107,7 +112,7 @@
         self.timers
             .set(now.after(HEALTH_CHECK_TIMEOUT_S), Timer::HealthCheck { id });
         if self.load_shedding.is_on() {
-            // One of all asks; the answer, whoever is given it, ends this probe.
+            // One dispatcher of the cluster sends the health check; its result is shared and ends this one as well.
             return out.push(Output::Overload(Ask::Probe { host: server }));
         }
         out.push(Output::SendToServer {
@@ -117,6 +122,7 @@
         });
     }
 
+    /// Ends a health check and reports its outcome to the decision module; does nothing if it has already ended.
     pub(crate) fn end_health_check(
         &mut self,
         now: Micros,
@@ -124,10 +130,10 @@
         outcome: Outcome,
         report: Vec<f64>,
     ) {
-        let Some(probe) = self.health_checks.remove(&id) else {
+        let Some(check) = self.health_checks.remove(&id) else {
             return;
         };
-        let (server, elapsed_s) = (probe.link.server, now.since(probe.sent));
+        let (server, elapsed_s) = (check.link.server, now.since(check.sent));
         self.events.push_back(Event::ProbeEnded {
             server,
             outcome,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,11 +1,11 @@
-//! One dispatcher as a pure state machine.
+//! One dispatcher as a deterministic state machine without I/O.
 //!
 //! [`Machine::step`] takes one [`Input`] at a clock time and appends [`Output`]s. It owns the decision module's
-//! `Router`, the request table, the sessions, the links to hosts and the timers. It reads no clock, opens no file,
-//! holds no socket and draws random numbers from its seed alone, so that the same inputs give the same outputs in
-//! every program; [`record`] keeps them in a file.
+//! `Router`, the request table, the sessions, the links to model servers and the timers. It reads no clock, opens no
+//! file or socket and draws random numbers from its seed alone, so that the same inputs give the same outputs in
+//! every program; [`record`] writes both to a file and replays them.
 //!
-//! The shape is that of sans-I/O libraries such as `quinn-proto` and `rustls`.
+//! The design follows sans-I/O libraries such as `quinn-proto` and `rustls`.
 
 mod actions;
 mod answers;
--- a/crates/core/src/link_events.rs
+++ b/crates/core/src/link_events.rs
@@ -1,4 +1,5 @@
-//! Connections to model servers: opened and closed by the server list, and what follows where one comes up or ends.
+//! Connections to model servers: opening and closing them as the server list changes, and handling their establishment,
+//! hello messages, failure and loss.
 
 use bitternlatch_inventory::ModelServer;
 use bitternlatch_policy::interface::{Event, ListForm, Outcome, RequestId, ServerId};
@@ -22,18 +23,18 @@
         now: Micros,
         link: LinkId,
         was_up: bool,
-        why: &str,
+        reason: &str,
         out: &mut Vec<Output>,
     ) {
         if was_up {
             self.end_attempts_on_link(now, link, out);
         }
         let jitter = self.random_fraction();
-        let Some((queued, pause_s)) = self.links.mark_down(link, jitter) else {
+        let Some((queued, delay_s)) = self.links.mark_down(link, jitter) else {
             return;
         };
         self.report_unsent(now, queued, out);
-        if let Some(at) = reconnect_at(now, pause_s) {
+        if let Some(at) = reconnect_at(now, delay_s) {
             self.timers.set(
                 at,
                 Timer::Link {
@@ -46,40 +47,46 @@
             .servers
             .get(link.server)
             .map_or("a host that left the list", |k| k.server.name.as_str());
-        log(out, Level::Warn, format!("link to {name} is down: {why}"));
+        log(
+            out,
+            Level::Warn,
+            format!("link to {name} is down: {reason}"),
+        );
     }
 
-    /// All that was out over a link that has ended. A stream whose engine had said its end is served.
+    /// Ends all attempts and health checks that were in flight over a link that was closed. An attempt whose finish
+    /// reason had been received counts as served, any other as reset.
     pub(crate) fn end_attempts_on_link(
         &mut self,
         now: Micros,
         link: LinkId,
         out: &mut Vec<Output>,
     ) {
-        let over = |a: &Attempt| a.link == link && a.stage != Stage::Queued;
-        let hit: Vec<RequestId> = self
+        let sent_over = |a: &Attempt| a.link == link && a.stage != Stage::Queued;
+        let interrupted: Vec<RequestId> = self
             .requests
             .iter()
-            .filter(|(_, r)| r.attempt.as_ref().is_some_and(over))
+            .filter(|(_, r)| r.attempt.as_ref().is_some_and(sent_over))
             .map(|(id, _)| *id)
             .collect();
-        for id in hit {
+        for id in interrupted {
             match self.received_finish_reason(id) {
                 Some(reason) => self.end_served(now, id, &reason, Vec::new(), out),
                 None => self.end_attempt(now, id, Outcome::Reset, 0, Vec::new(), out),
             }
         }
-        let probes: Vec<u64> = self
+        let health_checks: Vec<u64> = self
             .health_checks
             .iter()
             .filter(|(_, p)| p.link == link)
             .map(|(id, _)| *id)
             .collect();
-        for id in probes {
+        for id in health_checks {
             self.end_health_check(now, id, Outcome::Reset, Vec::new());
         }
     }
 
+    /// The finish reason that the current attempt's server has sent; `None` for a prefill.
     pub(crate) fn received_finish_reason(&self, id: RequestId) -> Option<String> {
         let attempt = self.requests.get(&id)?.attempt.as_ref()?;
         attempt
@@ -88,7 +95,7 @@
             .filter(|_| attempt.purpose != Purpose::Prefill)
     }
 
-    /// Attempts whose message never left are told as not connected.
+    /// Ends attempts whose message was never sent as failed to connect.
     pub(crate) fn report_unsent(
         &mut self,
         now: Micros,
@@ -135,7 +142,7 @@
         let warm_after_s = self.settings.rules.slow_start.warm_after_s;
         let Some((entry, restarted)) =
             self.servers
-                .apply_greeting(now, link.server, uptime_s, state, warm_after_s)
+                .apply_hello(now, link.server, uptime_s, state, warm_after_s)
         else {
             return;
         };
@@ -144,14 +151,15 @@
             form,
             entries: vec![entry],
         });
-        let queued = self.links.mark_greeted(link);
+        let queued = self.links.mark_open(link);
         if restarted || state == EngineState::Draining {
-            // What was decided for the server before its restart was known does not hold: a cold server takes less.
+            // The queued attempts were sent here before the restart was known; a server that has just started accepts
+            // less load, and a draining one accepts none. The decision module chooses again.
             return self.report_unsent(now, queued, out);
         }
         for message in queued {
             let Some(id) = self.mark_sent(now, link, &message.attempt) else {
-                // Its permission has passed while it waited for the link.
+                // The workflow coordinator's permission to send expired while the message waited for the link.
                 self.report_unsent(now, vec![message], out);
                 continue;
             };
@@ -166,10 +174,10 @@
         attempt: &str,
     ) -> Option<RequestId> {
         let (id, number) = read_wire_id(self.instance, attempt)?;
-        let may = self.workflows.may_send(now, id);
+        let permitted = self.workflows.may_send(now, id);
         let current = self.requests.get_mut(&id).and_then(|r| r.attempt.as_mut());
         if let Some(a) = current.filter(|a| a.number == number) {
-            if a.purpose != Purpose::Prefill && !may {
+            if a.purpose != Purpose::Prefill && !permitted {
                 return None;
             }
             (a.stage, a.link, a.heard) = (Stage::InFlight, link, now);
@@ -209,8 +217,8 @@
         change
             .skipped
             .into_iter()
-            .for_each(|why| log(out, Level::Error, why));
-        // The module is told first, so that what is handed back does not go to the same server again.
+            .for_each(|reason| log(out, Level::Error, reason));
+        // The decision module receives the list first, so that returned attempts do not go to the same server again.
         self.events.push_back(Event::Servers {
             form: ListForm::Full,
             entries: change.entries,
@@ -219,15 +227,16 @@
             self.report_queued_unsent(now, server, out);
         }
         for server in change.disconnect {
-            let moved = change.connect.contains(&server);
-            self.close_link(server, moved, out);
+            let address_changed = change.connect.contains(&server);
+            self.close_link(server, address_changed, out);
         }
         for server in change.connect {
             self.connect(now, server, out);
         }
     }
 
-    /// Closes a link once nothing is out over it, or at once where its server has moved.
+    /// Marks a server's link for closing. It closes now if no attempt is in flight over it or if `at_once` is set,
+    /// which is the case when the server's address has changed; otherwise a later sweep closes it.
     pub(crate) fn close_link(&mut self, server: ServerId, at_once: bool, out: &mut Vec<Output>) {
         let busy = self
             .requests
@@ -244,9 +253,9 @@
         };
         let (endpoint, name) = (known.server.endpoint(), known.server.name.clone());
         let link = self.links.connect(server);
-        let within_s = self.settings.engines.connect_s + self.settings.engines.greet_s;
+        let timeout_s = self.settings.engines.connect_s + self.settings.engines.greet_s;
         self.timers.set(
-            now.after(within_s),
+            now.after(timeout_s),
             Timer::Link {
                 server,
                 epoch: link.epoch,
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -1,6 +1,8 @@
-//! Links to servers: one each, kept open, reconnected with growing pauses, with a bounded queue until it greets.
+//! Links to model servers: one persistent connection per server, reconnected with exponential backoff, with a bounded
+//! message queue until the server's hello message is received.
 //!
-//! The table says truthfully what became of a message: still queued (it never left), or told (it may have arrived).
+//! The table distinguishes messages that are still queued, which were never sent, from messages that were sent and may
+//! have arrived.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,25 +10,26 @@
 
 use crate::types::{LinkId, Micros};
 
-/// First pause before a link is connected again, seconds; each failure doubles it. A starting value of ours.
+/// Delay before the first reconnect of a link, seconds; each further failure doubles it.
 const MIN_RECONNECT_S: f64 = 0.05;
-/// Longest such pause, seconds.
+/// Longest delay before a link is reconnected, seconds.
 const MAX_RECONNECT_S: f64 = 2.0;
-/// Messages queued for a link that has not greeted; past it a send counts as not connected.
+/// Messages queued for a link whose server has not sent its hello message; a message beyond this limit is handled as if
+/// the server were not connected.
 const MAX_QUEUED_MESSAGES: usize = 64;
 
 #[derive(Clone, Debug, PartialEq)]
 enum Stage {
-    /// Dialled; the socket is not up yet.
+    /// The connection was requested and is not established yet.
     Connecting,
-    /// Up, but the server has not greeted.
-    AwaitingGreeting,
+    /// The connection is established, but the server's hello message has not been received.
+    AwaitingHello,
     Open,
-    /// Waits to be reconnected.
+    /// Waits for the reconnect delay to pass.
     BackingOff,
 }
 
-/// A message that waits for its link.
+/// A message for a link, with the wire id of the attempt it belongs to.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct QueuedMessage {
     pub attempt: String,
@@ -38,29 +41,30 @@
     stage: Stage,
     failures: u32,
     queue: VecDeque<QueuedMessage>,
-    /// To be closed once nothing is out over it.
+    /// The link is closed once no attempt is in flight over it.
     closing: bool,
 }
 
-/// What became of a message given to a link.
+/// The result of passing a message to a server's link.
 #[derive(Debug, PartialEq)]
 pub(crate) enum EnqueueResult {
-    /// To be told now over this link.
+    /// The caller has to send the message now over this link.
     SendNow(LinkId, QueuedMessage),
+    /// The message waits until the server's hello message is received.
     Queued(LinkId),
-    /// There is no way to the server now.
+    /// The server has no usable connection, or the link's queue is full.
     NotConnected,
 }
 
 #[derive(Default)]
 pub(crate) struct Links {
     links: BTreeMap<ServerId, Link>,
-    /// Epochs go on over a server's removal and return, so that no two links share an id.
+    /// The last epoch used for each server. It is kept when a server is removed, so that no two links share an id.
     epochs: BTreeMap<ServerId, u32>,
 }
 
 impl Links {
-    /// Begins a link, or dials it again; the caller sends the dial.
+    /// Starts a link to a server or reconnects it, with the next epoch. The caller emits the connect output.
     pub(crate) fn connect(&mut self, server: ServerId) -> LinkId {
         let epoch = self.epochs.entry(server).or_default();
         *epoch += 1;
@@ -90,18 +94,18 @@
             .filter(|l| l.epoch == link.epoch)
     }
 
-    /// The socket is up; false for a link that is no longer wanted.
+    /// The connection is established. Returns `false` if the link is obsolete and has to be closed.
     pub(crate) fn mark_up(&mut self, link: LinkId) -> bool {
         self.current(link)
-            .map(|l| l.stage = Stage::AwaitingGreeting)
+            .map(|l| l.stage = Stage::AwaitingHello)
             .is_some()
     }
 
-    /// The server has greeted: gives what was queued, in order.
-    pub(crate) fn mark_greeted(&mut self, link: LinkId) -> Vec<QueuedMessage> {
+    /// The server's hello message was received: returns the queued messages, in order.
+    pub(crate) fn mark_open(&mut self, link: LinkId) -> Vec<QueuedMessage> {
         let Some(l) = self
             .current(link)
-            .filter(|l| l.stage == Stage::AwaitingGreeting)
+            .filter(|l| l.stage == Stage::AwaitingHello)
         else {
             return Vec::new();
         };
@@ -109,8 +113,9 @@
         l.queue.drain(..).collect()
     }
 
-    /// The link failed or ended: gives what was still queued and the pause before it may be dialled again, or `None`
-    /// where it was not wanted any more.
+    /// The link failed or was closed. Returns the messages that were still queued and the delay before it is
+    /// reconnected, seconds, or infinity if it is not to be reconnected; `None` if the link is obsolete. `jitter` is a
+    /// random number from 0 to 1 that spreads the delay.
     pub(crate) fn mark_down(
         &mut self,
         link: LinkId,
@@ -124,15 +129,16 @@
             self.links.remove(&link.server);
             return Some((queued, f64::INFINITY));
         }
-        let pause = (MIN_RECONNECT_S * f64::from(1u32 << l.failures.min(16))).min(MAX_RECONNECT_S);
+        let delay_s =
+            (MIN_RECONNECT_S * f64::from(1u32 << l.failures.min(16))).min(MAX_RECONNECT_S);
         (l.stage, l.failures) = (Stage::BackingOff, l.failures.saturating_add(1));
-        Some((queued, pause * (0.5 + 0.5 * jitter)))
+        Some((queued, delay_s * (0.5 + 0.5 * jitter)))
     }
 
-    /// Whether a link in this epoch has not yet greeted.
+    /// Whether this link is current and its server's hello message has not been received.
     pub(crate) fn is_opening(&self, link: LinkId) -> bool {
         let opening = |l: &&Link| {
-            l.epoch == link.epoch && matches!(l.stage, Stage::Connecting | Stage::AwaitingGreeting)
+            l.epoch == link.epoch && matches!(l.stage, Stage::Connecting | Stage::AwaitingHello)
         };
         self.links.get(&link.server).filter(opening).is_some()
     }
@@ -149,7 +155,7 @@
             .is_some_and(|l| l.epoch == link.epoch)
     }
 
-    /// The open link to a server.
+    /// The link to a server, if it is open.
     pub(crate) fn open_link(&self, server: ServerId) -> Option<LinkId> {
         let l = self.links.get(&server).filter(|l| l.stage == Stage::Open)?;
         Some(LinkId {
@@ -168,7 +174,7 @@
         };
         match l.stage {
             Stage::Open => EnqueueResult::SendNow(link, message),
-            Stage::Connecting | Stage::AwaitingGreeting
+            Stage::Connecting | Stage::AwaitingHello
                 if l.queue.len() < MAX_QUEUED_MESSAGES && !l.closing =>
             {
                 l.queue.push_back(message);
@@ -178,7 +184,7 @@
         }
     }
 
-    /// Takes one attempt's message out of its queue; false if it is not there.
+    /// Removes one attempt's message from its server's queue; returns `false` if it is not queued.
     pub(crate) fn remove_queued(&mut self, server: ServerId, attempt: &str) -> bool {
         let Some(l) = self.links.get_mut(&server) else {
             return false;
@@ -188,7 +194,7 @@
         l.queue.len() < before
     }
 
-    /// Takes all that is still queued for a server.
+    /// Removes and returns all messages that are queued for a server.
     pub(crate) fn take_queue(&mut self, server: ServerId) -> Vec<QueuedMessage> {
         self.links
             .get_mut(&server)
@@ -196,7 +202,8 @@
             .unwrap_or_default()
     }
 
-    /// The link is not wanted any more; gives it where it is to be hung up at once.
+    /// Marks a server's link for closing. Returns the link if it has to be closed now, `None` if it is busy and closes
+    /// later or has no connection.
     pub(crate) fn close_when_idle(&mut self, server: ServerId, busy: bool) -> Option<LinkId> {
         let l = self.links.get_mut(&server)?;
         l.closing = true;
@@ -214,7 +221,7 @@
         }
     }
 
-    /// Links that are to be left.
+    /// Servers whose links are marked for closing.
     pub(crate) fn closing(&self) -> Vec<ServerId> {
         self.links
             .iter()
@@ -231,9 +238,10 @@
     }
 }
 
-/// A time at which a paused link is reconnected.
-pub(crate) fn reconnect_at(now: Micros, pause_s: f64) -> Option<Micros> {
-    pause_s.is_finite().then(|| now.after(pause_s))
+/// The time at which a link with this reconnect delay (seconds) is reconnected; `None` for an infinite delay, which
+/// means never.
+pub(crate) fn reconnect_at(now: Micros, delay_s: f64) -> Option<Micros> {
+    delay_s.is_finite().then(|| now.after(delay_s))
 }
 
 #[cfg(test)]
--- a/crates/core/src/load_shedding.rs
+++ b/crates/core/src/load_shedding.rs
@@ -1,6 +1,8 @@
-//! What the fleet sheds together, as told last; asked at admission, at repeats and at probes.
+//! Load shedding that all dispatchers of the cluster do together, by the last admission threshold received from it.
+//! Consulted when a request is admitted, when an attempt would repeat work, and when a health check is sent.
 //!
-//! Knows nothing of the machine: it is asked by it, and tells it what to do. Off where the settings have no table for it.
+//! Independent of [`crate::Machine`], which calls it and carries out what it returns. Disabled if the settings have no
+//! `cluster.overload` table.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,36 +14,37 @@
 use crate::settings::{Meaning, Settings};
 use crate::types::Micros;
 
-/// Between two looks at what there is to tell.
+/// Interval at which this dispatcher's load report is prepared, seconds.
 pub(crate) const REPORT_INTERVAL_S: f64 = 0.1;
-/// Share of its ceiling that an answer is taken for where nothing tells more.
+/// Expected output length as a fraction of a request's output token limit, used when no estimate is available.
 pub(crate) const EXPECTED_OUTPUT_SHARE: f64 = 0.2;
 
-/// Seconds after which a probe for all has no answer.
+/// Time after which a health check sent for the cluster counts as unanswered, seconds.
 const HEALTH_CHECK_TIMEOUT_S: f64 = 1.0;
-/// Failures in a row that make a server one that failed.
+/// Number of consecutive failed attempts after which a server is reported as failed.
 const FAILURE_STREAK: u32 = 2;
 
-/// What a request has of it.
+/// The load shedding state of an admitted request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AdmittedWork {
-    /// Taken, and its answer has not begun.
-    pub taken: Option<Taken>,
-    /// Its work in seconds, and how its return is known.
+    /// Set from admission until the first token of the response is received.
+    pub awaiting_first_token: Option<Taken>,
+    /// Expected work of the request, seconds of a model server of weight 1.
     pub work: f64,
+    /// Hash by which a retry of the request is recognized.
     pub fingerprint: u64,
-    /// The next attempt repeats work that an earlier one may have done.
+    /// Whether the next attempt repeats work that an earlier attempt may have done.
     pub repeats_work: bool,
 }
 
-/// A probe sent for the whole cluster.
+/// A health check that this dispatcher sent for the whole cluster and that is not answered yet.
 #[derive(Clone, Copy, Debug)]
 struct SharedHealthCheck {
     server: u32,
     sent_at: Micros,
 }
 
-/// How many attempts a recovering server may be sent, and until when.
+/// A limit on the attempts in flight at a recovering server, and the time at which it expires.
 #[derive(Clone, Copy, Debug)]
 struct RecoveryTrial {
     max_in_flight: u32,
@@ -51,12 +54,13 @@
 #[derive(Debug, Default)]
 pub(crate) struct LoadShedding {
     gate: Option<Gate>,
-    /// Where reports have what waits.
-    queue: Option<usize>,
-    /// Probes that are out for all.
+    /// Index of the queue length in the values of a load report, if reports contain it.
+    queue_index: Option<usize>,
+    /// Unanswered health checks sent for the cluster, by id.
     shared_health_checks: BTreeMap<u64, SharedHealthCheck>,
-    /// Servers that failed here: attempts that may be out, and until when that counts; and failures in a row.
+    /// Limits in force for recovering servers.
     trials: BTreeMap<u32, RecoveryTrial>,
+    /// Number of consecutive failed attempts at each server.
     failures: BTreeMap<u32, u32>,
 }
 
@@ -67,11 +71,11 @@
 impl LoadShedding {
     pub(crate) fn new(settings: &Settings, seed: u64) -> LoadShedding {
         let cluster = settings.cluster.as_ref();
-        let on = cluster.and_then(|c| Some((c.overload.clone()?, c.roster.len())));
-        let most_s = settings.attempts.max_retry_after_s;
+        let enabled = cluster.and_then(|c| Some((c.overload.clone()?, c.roster.len())));
+        let max_retry_after_s = settings.attempts.max_retry_after_s;
         LoadShedding {
-            gate: on.map(|(own, roster)| Gate::new(own, roster, most_s, seed)),
-            queue: settings
+            gate: enabled.map(|(own, roster)| Gate::new(own, roster, max_retry_after_s, seed)),
+            queue_index: settings
                 .reports
                 .fields
                 .iter()
@@ -86,25 +90,25 @@
         self.gate.is_some()
     }
 
-    /// Takes what counts from now on.
-    pub(crate) fn set_threshold(&mut self, set_threshold: Cut) {
+    /// Replaces the admission threshold.
+    pub(crate) fn set_threshold(&mut self, threshold: Cut) {
         if let Some(gate) = &mut self.gate {
-            gate.told(set_threshold);
+            gate.told(threshold);
         }
     }
 
-    /// A server that failed here may have so many attempts out until then.
-    pub(crate) fn set_trial(&mut self, server: u32, many: u32, until: Duration) {
+    /// Limits the attempts in flight at a server that failed, until a time of the process's clock.
+    pub(crate) fn set_trial(&mut self, server: u32, max_in_flight: u32, until: Duration) {
         if self.gate.is_some() {
             let trial = RecoveryTrial {
-                max_in_flight: many,
+                max_in_flight,
                 until,
             };
             self.trials.insert(server, trial);
         }
     }
 
-    /// Attempts that may be out at a host; `None` for any number. What was told ends by time, at the act.
+    /// How many attempts may be in flight at a server; `None` for no limit. A limit that has expired is removed here.
     pub(crate) fn max_in_flight(&mut self, now: Micros, server: u32) -> Option<u32> {
         let trial = *self.trials.get(&server)?;
         if clock(now) >= trial.until {
@@ -114,7 +118,8 @@
         Some(trial.max_in_flight)
     }
 
-    /// An attempt at a server ended.
+    /// An attempt at a server ended. Returns a message for the cluster when the server has failed repeatedly, or has
+    /// answered while its attempts are limited.
     pub(crate) fn attempt_ended(&mut self, server: u32, outcome: Outcome) -> Option<Ask> {
         self.gate.as_ref()?;
         match outcome {
@@ -137,18 +142,19 @@
         }
     }
 
-    /// A probe with this id goes to a server, for all.
+    /// A health check with this id is sent to a server for the cluster.
     pub(crate) fn health_check_sent(&mut self, now: Micros, id: u64, server: u32) {
         self.shared_health_checks
-            .retain(|_, probe| now.since(probe.sent_at) < HEALTH_CHECK_TIMEOUT_S);
-        let probe = SharedHealthCheck {
+            .retain(|_, check| now.since(check.sent_at) < HEALTH_CHECK_TIMEOUT_S);
+        let check = SharedHealthCheck {
             server,
             sent_at: now,
         };
-        self.shared_health_checks.insert(id, probe);
+        self.shared_health_checks.insert(id, check);
     }
 
-    /// What is to be passed on, where this answers a probe that went for all.
+    /// A server's load report answered a health check. Returns the message that shares the report with the cluster if
+    /// the health check was sent for it.
     pub(crate) fn health_check_answered(&mut self, id: u64, report: &[f64]) -> Option<Ask> {
         let server = self.shared_health_checks.remove(&id)?.server;
         Some(Ask::Probed {
@@ -157,17 +163,18 @@
         })
     }
 
-    /// Judges a request that comes; `None` where it is off. A refusal says when to come back.
+    /// Decides whether to admit a request; `None` if load shedding is disabled. The error is the delay after which the
+    /// client may retry, seconds.
     pub(crate) fn evaluate_admission(
         &mut self,
         now: Micros,
-        asked: &Asked,
+        request: &Asked,
     ) -> Option<Result<AdmittedWork, f64>> {
-        let fingerprint = asked.fingerprint;
-        Some(match self.gate.as_mut()?.judge(clock(now), asked) {
-            Verdict::Take(t) => Ok(AdmittedWork {
-                taken: Some(t),
-                work: t.work,
+        let fingerprint = request.fingerprint;
+        Some(match self.gate.as_mut()?.judge(clock(now), request) {
+            Verdict::Take(taken) => Ok(AdmittedWork {
+                awaiting_first_token: Some(taken),
+                work: taken.work,
                 fingerprint,
                 repeats_work: false,
             }),
@@ -175,21 +182,22 @@
         })
     }
 
-    /// When a request that was taken and then refused may come back: not before the decision module says.
+    /// The delay after which the client of a request that was admitted here and then rejected by the decision module
+    /// may retry, seconds; at least `min_s`, the delay that the decision module asked for.
     pub(crate) fn retry_after_s(
         &mut self,
         now: Micros,
         admitted: &AdmittedWork,
-        least_s: f64,
+        min_s: f64,
     ) -> f64 {
         let Some(gate) = &mut self.gate else {
-            return least_s;
+            return min_s;
         };
         gate.refused(clock(now), admitted.work, admitted.fingerprint)
-            .max(least_s)
+            .max(min_s)
     }
 
-    /// Whether an attempt may go: one that repeats work needs leave.
+    /// Whether an attempt may be sent. One that repeats work is charged to the retry budget that all dispatchers share.
     pub(crate) fn may_send(&mut self, now: Micros, admitted: &AdmittedWork) -> bool {
         let Some(gate) = self.gate.as_mut().filter(|_| admitted.repeats_work) else {
             return true;
@@ -197,30 +205,34 @@
         gate.may_repeat(clock(now), admitted.work)
     }
 
-    /// The answer has begun.
+    /// The first token of the request's response was received.
     pub(crate) fn first_token(&mut self, now: Micros, admitted: &mut AdmittedWork) {
-        if let (Some(gate), Some(taken)) = (&mut self.gate, admitted.taken.take()) {
+        if let (Some(gate), Some(taken)) = (&mut self.gate, admitted.awaiting_first_token.take()) {
             gate.begun(clock(now), taken);
         }
     }
 
-    /// The request has ended.
+    /// The request has ended; its work no longer counts as waiting.
     pub(crate) fn request_ended(&mut self, admitted: &mut AdmittedWork) {
-        if let (Some(gate), Some(taken)) = (&mut self.gate, admitted.taken.take()) {
+        if let (Some(gate), Some(taken)) = (&mut self.gate, admitted.awaiting_first_token.take()) {
             gate.gone(taken);
         }
     }
 
-    /// A server's report came.
+    /// A load report of a server was received.
     pub(crate) fn load_reported(&mut self, now: Micros, server: u32, report: &[f64]) {
-        let waits = self.queue.and_then(|at| report.get(at));
-        if let (Some(gate), Some(waits)) = (&mut self.gate, waits) {
-            gate.reported(clock(now), server, *waits);
+        let queue_length = self.queue_index.and_then(|at| report.get(at));
+        if let (Some(gate), Some(queue_length)) = (&mut self.gate, queue_length) {
+            gate.reported(clock(now), server, *queue_length);
         }
     }
 
-    /// What there is to tell of what was seen; `hosts`: those that read and take work, by weight.
-    pub(crate) fn load_report(&mut self, now: Micros, servers: f64) -> Option<Ask> {
-        self.gate.as_mut()?.tell(clock(now), servers).map(Ask::Seen)
+    /// This dispatcher's load report, if one is due. `prefill_weight` is the total weight of the ready, connected
+    /// servers that can prefill.
+    pub(crate) fn load_report(&mut self, now: Micros, prefill_weight: f64) -> Option<Ask> {
+        self.gate
+            .as_mut()?
+            .tell(clock(now), prefill_weight)
+            .map(Ask::Seen)
     }
 }
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -1,4 +1,4 @@
-//! The machine itself: one step an input, the loop around the decision module, and the timers.
+//! The [`Machine`]: one step per input, the loop that runs the decision module, and the handling of timers.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -28,31 +28,34 @@
 use crate::types::{Input, Level, LinkId, Micros, Output, SessionId};
 use crate::workflows::{Workflows, RESULT_DURABLE_WITHIN_S};
 
-/// Shortest time between two steps that the decision module may count on, seconds.
+/// Shortest interval between two batches of events that the decision module may assume, seconds. It keeps a margin of
+/// some such intervals before deadlines.
 pub(crate) const TICK_S: f64 = 0.002;
-/// Seconds between two sweeps of the tables.
+/// Interval at which expired keys and conversation contexts are removed and idle links are closed, seconds.
 const SWEEP_S: f64 = 1.0;
-/// Seconds after which a probe counts as unanswered.
+/// Time after which a health check of a model server counts as timed out, seconds.
 pub(crate) const HEALTH_CHECK_TIMEOUT_S: f64 = 1.0;
 
-/// A probe that is out.
+/// A health check that was sent to a model server and is not answered yet.
 pub(crate) struct PendingHealthCheck {
     pub link: LinkId,
     pub sent: Micros,
 }
 
-/// One event that the decision module took and what it answered, for programs that check it elsewhere.
+/// One event passed to the decision module and the actions it returned, for programs that compare the decision module
+/// with another implementation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TracedDecision {
     /// Clock time, seconds.
     pub now_s: f64,
-    /// The event that the decision module was given.
+    /// The event passed to the decision module.
     pub event: Event,
-    /// Its actions, in order.
+    /// The actions that the decision module returned, in order.
     pub actions: Vec<Action>,
 }
 
-/// Tells a router one event and appends what it answers; both are kept where a trace is.
+/// Passes one event to the router and appends the actions it returns. If `trace` is `Some`, the event and the actions
+/// are appended to it.
 pub fn decide(
     router: &mut Router,
     now: Micros,
@@ -60,9 +63,9 @@
     trace: &mut Option<Vec<TracedDecision>>,
     actions: &mut Vec<Action>,
 ) {
-    let kept = trace.is_some().then(|| event.clone());
+    let traced = trace.is_some().then(|| event.clone());
     router.handle(now.seconds(), event, actions);
-    if let (Some(trace), Some(event)) = (trace.as_mut(), kept) {
+    if let (Some(trace), Some(event)) = (trace.as_mut(), traced) {
         trace.push(TracedDecision {
             now_s: now.seconds(),
             event,
@@ -76,30 +79,30 @@
 pub struct Counts {
     /// Open client sessions.
     pub sessions: usize,
-    /// Requests in the table, answered ones included whose attempt has not ended.
+    /// Requests in the table, including answered ones whose attempt has not ended.
     pub requests: usize,
     /// Listed model servers.
     pub servers: usize,
-    /// Connections to model servers that have greeted.
+    /// Connections over which the model server has sent its hello message.
     pub open_links: usize,
-    /// Idempotency keys known.
+    /// Idempotency keys that are stored.
     pub keys: usize,
 }
 
-/// One dispatcher. See the crate's front page.
+/// One dispatcher. See the crate documentation.
 pub struct Machine {
     pub(crate) settings: Settings,
-    /// Number of this run, part of every id that leaves it.
+    /// Number that identifies this run of the dispatcher; part of every id that it sends out.
     pub(crate) instance: u64,
     pub(crate) response_ids: ResponseIds,
     pub(crate) router: Router,
     pub(crate) requests: Requests,
     pub(crate) next_request: RequestId,
-    /// Bytes of the prompts of all requests in the table.
+    /// Total size of the prompts of all requests in the table, bytes.
     pub(crate) prompt_bytes: usize,
     pub(crate) sessions: Sessions,
     pub(crate) rights: Option<Rights>,
-    /// How far the time by which proofs are judged is ahead of the clock.
+    /// How far the wall clock by which credentials expire is ahead of the machine's clock, microseconds.
     pub(crate) credential_clock_offset_us: i64,
     pub(crate) links: Links,
     pub(crate) servers: ServerTable,
@@ -119,13 +122,15 @@
     pub(crate) events: VecDeque<Event>,
     pub(crate) stopping: bool,
     stopped: bool,
-    sweeping: bool,
+    /// Whether the first step has set the periodic timers.
+    periodic_timers_set: bool,
     rng: Xoshiro256PlusPlus,
     trace: Option<Vec<TracedDecision>>,
 }
 
 impl Machine {
-    /// A dispatcher without servers, sessions or requests. The seed is the only source of randomness, and identifies the run.
+    /// A dispatcher without servers, sessions or requests. The seed is the only source of randomness; together with the
+    /// dispatcher's name it identifies the run.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let limits = &settings.requests;
@@ -158,19 +163,19 @@
             events: VecDeque::new(),
             stopping: false,
             stopped: false,
-            sweeping: false,
+            periodic_timers_set: false,
             rng,
             trace: None,
             settings,
         }
     }
 
-    /// The seed of the decision module of a machine with this seed.
+    /// The seed that a machine created with `seed` passes to its decision module.
     pub fn router_seed(seed: u64) -> u64 {
         Xoshiro256PlusPlus::seed_from_u64(seed).next_u64()
     }
 
-    /// Keeps the decision module's events and actions from now on, for [`Machine::take_trace`].
+    /// Records the decision module's events and actions from now on, for [`Machine::take_trace`].
     pub fn enable_trace(&mut self) {
         self.trace = Some(Vec::new());
     }
@@ -191,15 +196,16 @@
         }
     }
 
-    /// When the next [`Input::Tick`] is due at the latest; none where no timer is set.
+    /// When the next [`Input::Tick`] is due at the latest; `None` if no timer is set.
     pub fn next_wake(&self) -> Option<Micros> {
         self.timers.next()
     }
 
-    /// Takes one input at clock time `now` and appends the actions that follow, in order. Timers that are due run first.
+    /// Processes one input at clock time `now` and appends the resulting outputs, in order. Timers that are due run
+    /// before the input.
     pub fn step(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
-        if !self.sweeping {
-            self.sweeping = true;
+        if !self.periodic_timers_set {
+            self.periodic_timers_set = true;
             self.timers.set(now.after(SWEEP_S), Timer::Sweep);
             self.open_accounts(now);
             self.open_budget_leases(now);
@@ -219,10 +225,10 @@
         self.apply_quota_lease(now);
         for timer in self.timers.take_due(now) {
             self.on_timer(now, timer, out);
-            self.pump(now, out);
+            self.process_events(now, out);
         }
         self.on_input(now, input, out);
-        self.pump(now, out);
+        self.process_events(now, out);
         self.close_ending_sessions(out);
         if self.stopping
             && !self.stopped
@@ -242,10 +248,9 @@
             Input::RenewalRejected { session, code } => {
                 self.on_renewal_rejected(session, &code, out)
             }
-            Input::BudgetLeases {
-                number,
-                leases: parts,
-            } => self.on_budget_leases(now, number, &parts, out),
+            Input::BudgetLeases { number, leases } => {
+                self.on_budget_leases(now, number, &leases, out)
+            }
             Input::CredentialsRevoked(ids) => self.on_credentials_revoked(&ids, out),
             Input::CredentialClockOffset { ahead_us } => {
                 self.on_credential_clock_offset(now, ahead_us, out)
@@ -254,35 +259,30 @@
             Input::SessionText { session, text } => self.on_client_text(now, session, &text, out),
             Input::SessionClosed { session } => self.on_session_closed(now, session, out),
             Input::LinkUp { link } => self.on_link_up(link, out),
-            Input::LinkFailed { link, reason: why } => {
-                self.on_link_down(now, link, false, &why, out)
-            }
-            Input::LinkClosed { link, reason: why } => {
-                self.on_link_down(now, link, true, &why, out)
-            }
+            Input::LinkFailed { link, reason } => self.on_link_down(now, link, false, &reason, out),
+            Input::LinkClosed { link, reason } => self.on_link_down(now, link, true, &reason, out),
             Input::LinkText { link, text } => self.on_engine_text(now, link, &text, out),
             Input::LinkUnsent { link, attempt } => self.on_unsent(now, link, &attempt, out),
             Input::QuorumState {
-                state: standing,
-                present: there,
+                state,
+                present,
                 until,
-            } => self.on_quorum_state(standing, there, until),
+            } => self.on_quorum_state(state, present, until),
             Input::PeerReports {
-                sent_at: at,
-                reporters: of,
-                reports: heard,
-            } => self.on_peer_reports(now, at, of, &heard, out),
-            Input::Overload(told) => self.on_overload(now, told, out),
-            Input::OutputLength(told) => self.output_lengths.on_update(now, told),
-            Input::Workflow(told) => {
-                let act = self.workflows.on_event(now, told);
+                sent_at,
+                reporters,
+                reports,
+            } => self.on_peer_reports(now, sent_at, reporters, &reports, out),
+            Input::Overload(event) => self.on_overload(now, event, out),
+            Input::OutputLength(update) => self.output_lengths.on_update(now, update),
+            Input::Workflow(event) => {
+                let act = self.workflows.on_event(now, event);
                 self.on_workflow(now, act, out);
             }
-            Input::ServerListUnreadable(lost) => self.on_server_list_unreadable(lost, out),
-            Input::QuotaLease {
-                leased: quota_lease,
-                until,
-            } => self.on_quota_lease(now, quota_lease, until),
+            Input::ServerListUnreadable(unreadable) => {
+                self.on_server_list_unreadable(unreadable, out)
+            }
+            Input::QuotaLease { leased, until } => self.on_quota_lease(now, leased, until),
             Input::Tick => {}
             Input::Stop => {
                 self.stopping = true;
@@ -295,8 +295,8 @@
         }
     }
 
-    /// Gives the decision module each waiting event and carries out what it answers.
-    fn pump(&mut self, now: Micros, out: &mut Vec<Output>) {
+    /// Passes each queued event to the decision module and applies the actions it returns.
+    fn process_events(&mut self, now: Micros, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             decide(&mut self.router, now, event, &mut self.trace, &mut actions);
@@ -360,14 +360,15 @@
     fn sweep(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.timers.set(now.after(SWEEP_S), Timer::Sweep);
         self.keys.sweep(now);
-        let kept_us = (self.settings.requests.context_s * 1e6) as u64;
-        self.contexts.sweep(Micros(now.0.saturating_sub(kept_us)));
+        let retention_us = (self.settings.requests.context_s * 1e6) as u64;
+        self.contexts
+            .sweep(Micros(now.0.saturating_sub(retention_us)));
         for server in self.links.closing() {
             self.close_link(server, false, out);
         }
     }
 
-    /// A number from 0 to 1 for the spread of repeated steps.
+    /// A random number from 0 (inclusive) to 1 (exclusive), for the jitter of reconnect delays.
     pub(crate) fn random_fraction(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
--- a/crates/core/src/output_lengths.rs
+++ b/crates/core/src/output_lengths.rs
@@ -1,6 +1,7 @@
-//! Lengths of answers, as told last; asked at arrival, and what ended is told.
+//! Expected output lengths, by the last estimates received from the cluster. Consulted when a request arrives; the
+//! lengths of finished responses are reported back.
 //!
-//! Knows nothing of the machine: it is asked by it, and tells it what to do.
+//! Independent of [`crate::Machine`], which calls it and sends what it returns.
 
 use bitternlatch_output_length::{
     Ask, ClassKey, Curves, End, Ended, Expected, ModelKey, TenantKey, Told,
@@ -17,22 +18,24 @@
     curves: Curves,
 }
 
-/// A model's or class's short form; never the one that stands for all.
+/// A 32-bit key for the name of a model or class; never 0, which stands for all models or all classes.
 fn name_hash(name: &str) -> u32 {
     (xxh3_64(name.as_bytes()) as u32).max(1)
 }
 
 impl OutputLengths {
-    pub(crate) fn on_update(&mut self, _now: Micros, told: Told) {
-        match told {
-            // Bounded by `Curves`.
+    /// Stores length estimates received from the cluster.
+    pub(crate) fn on_update(&mut self, _now: Micros, update: Told) {
+        match update {
+            // `Curves` bounds how many are stored.
             Told::Curves(curves) => curves
                 .into_iter()
                 .for_each(|(cell, curve)| self.curves.set(cell, curve)),
         }
     }
 
-    /// Of an answer to this prompt, by what was told of its like; none before anything was.
+    /// The expected output length of a response to such a prompt, from estimates for similar requests; `None` if there
+    /// are none. `ceiling` is the request's output token limit.
     pub(crate) fn predict(
         &self,
         model: &str,
@@ -43,15 +46,15 @@
         if self.curves.is_empty() {
             return None;
         }
-        let known = self.curves.find(
+        let curve = self.curves.find(
             ModelKey(name_hash(model)),
             ClassKey(name_hash(class)),
             prompt_tokens,
         )?;
-        Some(known.expected(ceiling))
+        Some(curve.expected(ceiling))
     }
 
-    /// What the decision module is told of it.
+    /// The decision module's form of an expected length.
     pub(crate) fn to_decision_module(
         expected: Option<Expected>,
     ) -> Option<interface::ExpectedTokens> {
@@ -61,7 +64,8 @@
         })
     }
 
-    /// An answer that has ended, or that its client left while it ran.
+    /// The report on a response that has ended, or whose client disconnected while it was running. For the latter,
+    /// whose server has reported no usage, the tokens are estimated from the text received so far.
     pub(crate) fn end_report(request: &Request, class: &str, server: &str, end: End) -> Ask {
         let tokens = match end {
             End::Left => tokens_of(request.text.len()),
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -1,4 +1,5 @@
-//! This dispatcher's lease on the quota that all share: checked at each step, by time.
+//! This dispatcher's lease on a fraction of the quotas that all dispatchers of the cluster share. Its expiry is checked
+//! at each step.
 
 use bitternlatch_membership::{EffectClass, QuotaFraction};
 use bitternlatch_policy::interface::Event;
@@ -7,17 +8,18 @@
 use crate::machine::Machine;
 use crate::types::Micros;
 
-/// The last lease, and the fraction of the quota that is spent by it.
+/// The last lease received and the fraction of the quotas that is in force.
 #[derive(Debug, Default)]
 pub(crate) struct QuotaLease {
-    /// Fraction of the whole in addition to the unleased quota.
+    /// Leased fraction of the whole quota, in addition to the unleased fraction.
     leased: f64,
+    /// Expiry of the lease.
     until: Micros,
-    /// The fraction that budgets and the decision module go by.
+    /// The fraction that was last applied to budgets and the decision module.
     in_force: f64,
 }
 
-/// A new fraction of the quota, and since when it is in force.
+/// A change of the quota fraction, and the time from which it is in force.
 struct FractionChange {
     fraction: f64,
     since: Micros,
@@ -29,8 +31,9 @@
         self.until = until;
     }
 
-    /// The fraction in force from now on, where it is another one. A lease that has expired ends at its time, not at the
-    /// step in which that is noticed: the process may have stood still since.
+    /// Computes the fraction in force now and returns it if it has changed. An expired lease ends at its expiry and not
+    /// at the step that detects this, because the process may have been paused in between. `may_spend` is whether the
+    /// quorum state allows the lease to be spent.
     fn update(&mut self, now: Micros, unleased: f64, may_spend: bool) -> Option<FractionChange> {
         let expired = now >= self.until;
         let fraction = if !expired && may_spend {
@@ -48,7 +51,8 @@
 }
 
 impl Machine {
-    /// How many share the quota evenly: all of the roster, or as many as the settings say.
+    /// Number of dispatchers among which quotas are divided: the size of the roster or, without a cluster, the number
+    /// of dispatchers in the settings.
     pub(crate) fn quota_members(&self) -> usize {
         let listed = self.settings.cluster.as_ref().map(|c| c.roster.len());
         listed.unwrap_or(self.settings.dispatchers as usize).max(1)
@@ -61,8 +65,9 @@
         }
     }
 
-    /// Puts the present fraction in force before anything else is done. What others release counts from the step in which
-    /// it is heard of.
+    /// Applies a changed quota fraction to the decision module and, without a quota server, to the tenants' rate
+    /// budgets. It runs first in each step, so that nothing is decided by an expired lease. A new lease counts from the
+    /// step in which it is received.
     pub(crate) fn apply_quota_lease(&mut self, now: Micros) {
         let Some(mode) = self.admission_mode(now, EffectClass::Idempotent) else {
             return;
--- a/crates/core/src/servers.rs
+++ b/crates/core/src/servers.rs
@@ -1,4 +1,5 @@
-//! The servers: what the list says, what each says of itself, and the entry that the decision module is given.
+//! The table of model servers: what the server list says of each, what each reports of itself, and the entries that
+//! the decision module is given.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,9 +10,9 @@
 use crate::settings::Settings;
 use crate::types::Micros;
 
-/// An engine younger than this many seconds more than at its last greeting has been started anew; less is the
-/// clocks' drift.
-const RESTART_SLACK_S: f64 = 1.0;
+/// Tolerance for comparing a server's boot time, computed from the uptime in its hello message, with the previous one,
+/// seconds. A larger difference means that the server has restarted; a smaller one is clock drift.
+const BOOT_TIME_TOLERANCE_S: f64 = 1.0;
 
 pub(crate) struct KnownServer {
     pub server: ModelServer,
@@ -20,9 +21,10 @@
     cell: u16,
     zone: u16,
     reported: EngineState,
-    /// Clock seconds of the start that it told; 0 = not told.
+    /// Clock time at which the server started, seconds; 0 once it is warm or if it has not sent a hello message.
     booted_at: f64,
-    /// By the word of peers, while the own list cannot be read.
+    /// Whether a peer reports the server as draining, which counts only while this dispatcher cannot read its server
+    /// list.
     drained_at_peers: bool,
 }
 
@@ -42,7 +44,7 @@
         self.status() == ServerStatus::Ready
     }
 
-    /// By the list or its own word.
+    /// Whether the server list or the server itself says that it is draining.
     pub(crate) fn is_draining(&self) -> bool {
         self.server.state == ServerState::Draining || self.reported == EngineState::Draining
     }
@@ -64,7 +66,7 @@
     }
 }
 
-/// Small numbers for names, in order of first sight.
+/// Assigns consecutive numbers to names, in order of first use.
 #[derive(Default)]
 struct NameInterner(BTreeMap<String, u16>);
 
@@ -75,17 +77,17 @@
     }
 }
 
-/// What a list changed.
+/// What changed when a new server list was applied.
 #[derive(Default)]
 pub(crate) struct ListChange {
     pub entries: Vec<ServerEntry>,
-    /// Servers whose address is new or other than before.
+    /// Servers that are new or whose address has changed.
     pub connect: Vec<ServerId>,
-    /// Servers that are gone, or no longer at the address that their link leads to.
+    /// Servers that were removed or are no longer at the address of their link.
     pub disconnect: Vec<ServerId>,
-    /// Servers that take no new work any more.
+    /// Servers that no longer accept new work.
     pub closed: Vec<ServerId>,
-    /// Servers that were passed over, with the cause.
+    /// One log line for each server that was skipped, with the cause.
     pub skipped: Vec<String>,
 }
 
@@ -96,7 +98,7 @@
 }
 
 impl ServerTable {
-    /// The dispatcher's own zone is number 0.
+    /// An empty table. The dispatcher's own zone gets number 0.
     pub(crate) fn new(zone: &str) -> Self {
         let mut zones = NameInterner::default();
         zones.number(zone);
@@ -111,7 +113,7 @@
         self.servers.get(&id)
     }
 
-    /// All but those that are gone.
+    /// All servers that the list does not mark as removed.
     pub(crate) fn listed(&self) -> impl Iterator<Item = (ServerId, &KnownServer)> {
         self.servers
             .iter()
@@ -119,7 +121,7 @@
             .map(|(id, k)| (*id, k))
     }
 
-    /// Those that take work.
+    /// The servers that accept new work.
     pub(crate) fn ready(&self) -> impl Iterator<Item = ServerId> + '_ {
         self.servers
             .iter()
@@ -127,7 +129,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// Holds these for draining by the word of others, and no more those that were before; gives what changed.
+    /// Replaces the set of servers that peers report as draining. Returns the entries that changed.
     pub(crate) fn set_drained_at_peers(&mut self, servers: BTreeSet<ServerId>) -> Vec<ServerEntry> {
         let mut changed = Vec::new();
         for (id, known) in &mut self.servers {
@@ -144,10 +146,11 @@
         self.servers.len()
     }
 
-    /// Takes a complete list. A server whose kind the settings do not name is passed over and said so.
+    /// Replaces the table by a complete server list. A server whose kind the settings do not name is skipped and listed
+    /// in [`ListChange::skipped`].
     pub(crate) fn apply_list(&mut self, list: Vec<ModelServer>, settings: &Settings) -> ListChange {
         let mut change = ListChange::default();
-        let mut seen = BTreeMap::new();
+        let mut listed = BTreeMap::new();
         for server in list {
             let id = server.id();
             let kinds = &settings.kinds;
@@ -164,7 +167,7 @@
             );
             let role = kinds[kind].role;
             let old = self.servers.remove(&id);
-            let was_open = old.as_ref().is_some_and(KnownServer::accepts_work);
+            let accepted_work = old.as_ref().is_some_and(KnownServer::accepts_work);
             let moved = old
                 .as_ref()
                 .is_none_or(|o| o.server.endpoint() != server.endpoint());
@@ -172,11 +175,11 @@
                 Some(o) if !moved => (o.reported, o.booted_at),
                 _ => (EngineState::Ready, 0.0),
             };
-            let gone = server.state == ServerState::Gone;
-            if old.is_some() && (moved || gone) {
+            let removed = server.state == ServerState::Gone;
+            if old.is_some() && (moved || removed) {
                 change.disconnect.push(id);
             }
-            if moved && !gone {
+            if moved && !removed {
                 change.connect.push(id);
             }
             let kind = kind as u16;
@@ -190,23 +193,23 @@
                 booted_at,
                 drained_at_peers: false,
             };
-            if was_open && !known.accepts_work() {
+            if accepted_work && !known.accepts_work() {
                 change.closed.push(id);
             }
             change.entries.push(known.entry(id));
-            seen.insert(id, known);
+            listed.insert(id, known);
         }
         for id in self.servers.keys() {
             change.disconnect.push(*id);
             change.closed.push(*id);
         }
-        self.servers = seen;
+        self.servers = listed;
         change
     }
 
-    /// Takes a link's greeting. Gives the changed entry, and whether the server has been started anew since it was last
-    /// heard, so that what was decided for it before no longer holds.
-    pub(crate) fn apply_greeting(
+    /// Applies the hello message received over a link. Returns the changed entry and whether the server has restarted
+    /// since its previous hello message, so that earlier decisions for it no longer hold.
+    pub(crate) fn apply_hello(
         &mut self,
         now: Micros,
         id: ServerId,
@@ -221,16 +224,16 @@
         } else {
             now.seconds() - uptime_s.max(0.0)
         };
-        let same = (booted_at - known.booted_at).abs() <= RESTART_SLACK_S;
-        let restarted = booted_at > 0.0 && !same;
-        if !same {
+        let same_boot = (booted_at - known.booted_at).abs() <= BOOT_TIME_TOLERANCE_S;
+        let restarted = booted_at > 0.0 && !same_boot;
+        if !same_boot {
             known.booted_at = booted_at;
         }
         known.reported = reported;
         Some((known.entry(id), restarted))
     }
 
-    /// Takes a server's word on its own state.
+    /// Stores the state that a server reported of itself and returns the changed entry.
     pub(crate) fn set_reported_state(
         &mut self,
         id: ServerId,
--- a/crates/core/src/servers/tests.rs
+++ b/crates/core/src/servers/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn list_change_names_links_to_open_and_close() {
+fn list_change_contains_links_to_open_and_close() {
     let settings = crate::settings::tests::small();
     let mut servers = ServerTable::new("z");
     let first = servers.apply_list(
@@ -47,22 +47,22 @@
 }
 
 #[test]
-fn young_server_warms_up_and_restart_is_detected() {
+fn recently_started_server_warms_up_and_restart_is_detected() {
     let settings = crate::settings::tests::small();
     let mut servers = ServerTable::new("z");
     servers.apply_list(list("name,port,kind\na,1,reader\n"), &settings);
     let a = bitternlatch_inventory::server_id("a");
     let at = |s: u64| Micros(s * 1_000_000);
     let (entry, restarted) = servers
-        .apply_greeting(at(100), a, 500.0, EngineState::Ready, 14.0)
+        .apply_hello(at(100), a, 500.0, EngineState::Ready, 14.0)
         .expect("known");
     assert_eq!((entry.booted_at, restarted), (0.0, false));
     let (entry, restarted) = servers
-        .apply_greeting(at(200), a, 2.0, EngineState::Ready, 14.0)
+        .apply_hello(at(200), a, 2.0, EngineState::Ready, 14.0)
         .expect("known");
     assert_eq!((entry.booted_at, restarted), (198.0, true));
     let (_, restarted) = servers
-        .apply_greeting(at(203), a, 5.1, EngineState::Ready, 14.0)
+        .apply_hello(at(203), a, 5.1, EngineState::Ready, 14.0)
         .expect("known");
-    assert!(!restarted, "the same start seen over another link");
+    assert!(!restarted, "another hello message from the same boot");
 }
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -1,4 +1,4 @@
-//! The machine's timers, in order of time and then of setting.
+//! The machine's timers, ordered by due time; timers due at the same time keep the order in which they were set.
 
 use std::collections::BTreeMap;
 
@@ -7,61 +7,63 @@
 
 use crate::types::{Micros, SessionId};
 
-/// What a timer is for.
+/// What a timer of the machine is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// The decision module's own.
+    /// Set by the decision module, which gave it the label.
     Router { label: u64 },
-    /// An attempt's time is up.
+    /// The timeout of an attempt.
     AttemptTimeout { request: RequestId, attempt: u16 },
-    /// The client gives up.
+    /// The deadline of a request, after which its client no longer waits for a first token.
     Deadline { request: RequestId },
-    /// A stream may have stalled.
+    /// Checks whether the response stream of a request has stalled.
     Stall { request: RequestId },
-    /// A probe is overdue.
+    /// The timeout of a health check.
     HealthCheck { id: u64 },
-    /// A link's next step is due: it has not come up, said nothing, or may be reconnected.
+    /// A link to a model server: it has to be open with a hello message received by now, or its reconnect delay is
+    /// over.
     Link { server: ServerId, epoch: u32 },
-    /// A caller's proof ends.
+    /// The credential of a session's caller expires.
     CredentialExpiry { session: SessionId },
-    /// Tables are swept.
+    /// Removes expired table entries and closes idle links.
     Sweep,
-    /// Looks at what to ask the quota server for.
+    /// Checks which budget leases to request from the quota server.
     BudgetLeases,
-    /// Looks at what to tell peers of servers.
+    /// Checks which observations of model servers to send to peers.
     Observations,
-    /// A question about a workflow is overdue.
+    /// The timeout of a call to the workflow coordinator.
     WorkflowQuery { call: Call },
-    /// A step's end is to be told again.
+    /// Sends the outcome of a workflow step to the coordinator again.
     StepEnd { request: RequestId },
-    /// Tells what was seen of the load.
+    /// Sends this dispatcher's load report to the cluster's load shedding.
     LoadShedding,
 }
 
-/// What is due when; of what falls on one time, what was set first comes first.
+/// A timer queue. Timers due at the same time fire in the order in which they were set.
 #[derive(Debug)]
 pub struct Timers<T> {
     due: BTreeMap<(Micros, u64), T>,
-    set: u64,
+    /// Number of timers set so far; the tie-breaker for equal due times.
+    sequence: u64,
 }
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
         Timers {
             due: BTreeMap::new(),
-            set: 0,
+            sequence: 0,
         }
     }
 }
 
 impl<T> Timers<T> {
-    /// Sets one more; timers cannot be withdrawn.
+    /// Adds a timer. Timers cannot be cancelled: the receiver ignores one that no longer applies.
     pub fn set(&mut self, at: Micros, timer: T) {
-        self.set += 1;
-        self.due.insert((at, self.set), timer);
+        self.sequence += 1;
+        self.due.insert((at, self.sequence), timer);
     }
 
-    /// Timers that are set.
+    /// Number of timers that have not fired.
     pub fn len(&self) -> usize {
         self.due.len()
     }
@@ -71,12 +73,13 @@
         self.due.is_empty()
     }
 
-    /// The earliest time at which something is due.
+    /// The time at which the next timer is due.
     pub fn next(&self) -> Option<Micros> {
         self.due.first_key_value().map(|(key, _)| key.0)
     }
 
-    /// Takes all that is due; timers set meanwhile wait for the next call.
+    /// Removes and returns all timers that are due at `now`, in order. Timers set while these are processed wait for
+    /// the next call.
     pub fn take_due(&mut self, now: Micros) -> Vec<T> {
         let later = self.due.split_off(&(Micros(now.0.saturating_add(1)), 0));
         std::mem::replace(&mut self.due, later)
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -1,4 +1,4 @@
-//! Ids, the clock, and the inputs and outputs of the machine.
+//! Ids, clock time, and the inputs and outputs of the [`Machine`](crate::Machine).
 
 use bitternlatch_budget::charge::Entry;
 use bitternlatch_budget::ledger::{Part, Want};
@@ -11,38 +11,38 @@
 
 use crate::observations::ServerObservation;
 
-/// Microseconds on a monotonic clock; the programs start it at the Unix time.
+/// A time on a monotonic clock, microseconds; programs start the clock at the current Unix time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// As seconds.
+    /// This time in seconds.
     pub fn seconds(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// This time plus a span in seconds; a negative or unreadable span counts as 0.
+    /// This time plus a span in seconds; a negative or NaN span counts as 0.
     pub fn after(self, seconds: f64) -> Micros {
         Micros(self.0.saturating_add((seconds.max(0.0) * 1e6) as u64))
     }
 
-    /// A clock time in seconds; rounded up, so that a timer never fires early.
+    /// Converts a clock time in seconds, rounding up so that a timer never fires early.
     pub fn from_seconds(seconds: f64) -> Micros {
         Micros((seconds.max(0.0) * 1e6).ceil() as u64)
     }
 
-    /// Seconds since an earlier time; 0 for a later one.
+    /// Seconds from `earlier` to this time; 0 if `earlier` is later.
     pub fn since(self, earlier: Micros) -> f64 {
         self.0.saturating_sub(earlier.0) as f64 / 1e6
     }
 }
 
-/// One client connection; never reused.
+/// Id of one client connection; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionId(pub u64);
 
-/// One connection to a model server. The connections of a server are numbered, so that a late message of an earlier one
-/// is recognized.
+/// Id of one connection to a model server. The connections of a server are numbered, so that a late message from an
+/// earlier one is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LinkId {
     /// The server that the link leads to.
@@ -55,7 +55,7 @@
 /// One event for the machine. The serialized names are those of the record's format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Input {
-    /// The complete list of model servers that is in force from now on.
+    /// The complete list of model servers, which replaces the previous one.
     #[serde(rename = "Hosts")]
     ServerList(Vec<ModelServer>),
     /// A client connected.
@@ -84,7 +84,7 @@
     /// Ids of signing keys and certificates that were valid and are revoked.
     #[serde(rename = "KeysWithdrawn")]
     CredentialsRevoked(Vec<String>),
-    /// How far the wall clock that credentials are judged by is ahead of the machine's monotonic clock.
+    /// How far the wall clock by which credentials expire is ahead of the machine's monotonic clock.
     #[serde(rename = "ProofTime")]
     CredentialClockOffset {
         /// Microseconds; negative where it is behind.
@@ -95,11 +95,11 @@
     BudgetLeases {
         /// Number of the request.
         number: u64,
-        /// The leases granted; tenants without one are granted nothing now.
+        /// The leases granted; a tenant without one in the list is granted nothing now.
         #[serde(rename = "parts")]
         leases: Vec<Part>,
     },
-    /// The access rights that are in force from now on (TOML).
+    /// The access rights (TOML), which replace the previous ones.
     Rights(String),
     /// A text message of a client.
     SessionText {
@@ -141,7 +141,7 @@
         #[serde(rename = "why")]
         reason: String,
     },
-    /// A message passed its [`SendDeadline`] before its first byte was written: it never arrived.
+    /// A message passed its [`SendDeadline`] before its first byte was written, so the server never received it.
     LinkUnsent {
         /// The connection that it was for.
         link: LinkId,
@@ -169,30 +169,30 @@
         /// When the lease expires.
         until: Micros,
     },
-    /// What peers observe of model servers.
+    /// Conditions of model servers that peers have observed.
     #[serde(rename = "Heard")]
     PeerReports {
         /// When the reports were sent.
         #[serde(rename = "at")]
         sent_at: Micros,
-        /// How many peers report anything at all.
+        /// How many peers have reported at all, whatever they observed.
         #[serde(rename = "of")]
         reporters: u16,
         /// The reports.
         #[serde(rename = "heard")]
         reports: Vec<PeerReport>,
     },
-    /// From the cluster's load shedding.
+    /// An event from the cluster's load shedding.
     Overload(bitternlatch_overload::Told),
-    /// From the cluster's learning of output lengths.
+    /// An update from the cluster's output length estimation.
     #[serde(rename = "Lengths")]
     OutputLength(bitternlatch_output_length::Told),
-    /// From the workflow coordinator.
+    /// An event from the workflow coordinator.
     Workflow(bitternlatch_workflow::Event),
     /// Whether the server list has become unreadable (`true`) or readable again.
     #[serde(rename = "ListLost")]
     ServerListUnreadable(bool),
-    /// The time alone.
+    /// Advances the clock, so that due timers fire.
     Tick,
     /// Take no new requests, finish those in flight, then emit [`Output::Stopped`].
     Stop,
@@ -203,9 +203,9 @@
 pub enum Level {
     /// Normal operation.
     Info,
-    /// A fault of something else that the dispatcher copes with.
+    /// A fault outside the dispatcher that it handles by itself.
     Warn,
-    /// A fault that needs somebody's attention.
+    /// A fault that needs an operator's attention.
     Error,
 }
 
@@ -248,7 +248,7 @@
         link: LinkId,
         /// The message.
         text: String,
-        /// Until when its first byte may be written; none for any time.
+        /// How long the message may wait before its first byte is written; `None` for no limit.
         #[serde(rename = "stale")]
         deadline: Option<SendDeadline>,
     },
@@ -265,20 +265,20 @@
         holder: u64,
         /// Number of the request, for its response.
         number: u64,
-        /// What is wanted for each tenant.
+        /// The token rate wanted for each tenant.
         tenants: Vec<Want>,
     },
-    /// All that this dispatcher observes of model servers, for its peers.
+    /// All conditions of model servers that this dispatcher observes now, to be sent to its peers.
     #[serde(rename = "Seen")]
     Observations(Vec<ServerObservation>),
-    /// To the cluster's load shedding.
+    /// A message for the cluster's load shedding.
     Overload(bitternlatch_overload::Ask),
-    /// To the cluster's learning of output lengths.
+    /// A message for the cluster's output length estimation.
     #[serde(rename = "Lengths")]
     OutputLength(bitternlatch_output_length::Ask),
-    /// To the workflow coordinator.
+    /// A command for the workflow coordinator.
     Workflow(bitternlatch_workflow::Command),
-    /// The charge for a request: before its final answer, and again when more is known.
+    /// The charge for a request: emitted before its final answer, and again when its usage becomes known more exactly.
     Charge(Entry),
     /// A log line.
     Log {
@@ -291,7 +291,8 @@
     Stopped,
 }
 
-/// The time limit of a message: past it the message must not be written and comes back as [`Input::LinkUnsent`].
+/// The time limit for sending a message. Once it has passed the message must not be written and is returned as
+/// [`Input::LinkUnsent`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SendDeadline {
     /// Longest wait before its first byte is written, seconds.
