--- a/crates/core/src/actions.rs
+++ b/crates/core/src/actions.rs
@@ -5,7 +5,7 @@
 };
 use bitternlatch_protocol::engine::{encode, CompletionRequest, KvTransferParams, ToEngine};
 
-use crate::links::{EnqueueResult, Queued};
+use crate::links::{EnqueueResult, QueuedMessage};
 use crate::machine::{log, Machine};
 use crate::requests::{wire_id, Attempt, Purpose, Request, Stage};
 use crate::settings::Effect;
@@ -53,10 +53,10 @@
                 );
             }
             Action::Release { request } => self.release_kv_cache(request, out),
-            Action::Probe { server } => self.probe(now, server, out),
-            Action::SetTimer { at, label } => {
-                self.timers.set(Micros::at(at), Timer::Router { label })
-            }
+            Action::Probe { server } => self.start_health_check(now, server, out),
+            Action::SetTimer { at, label } => self
+                .timers
+                .set(Micros::from_seconds(at), Timer::Router { label }),
             Action::Log { text } => log(out, Level::Info, text),
             Action::Fault { text } => log(out, Level::Error, format!("decision module: {text}")),
             // Not supported here: the server list is pushed as an input, slots are not reserved in advance, links stay
@@ -84,7 +84,7 @@
         let role = self
             .servers
             .get(server)
-            .filter(|k| k.takes_work())
+            .filter(|k| k.accepts_work())
             .map(|k| k.role);
         // A workflow step may be sent only while its permission is valid, and waits for a new one otherwise. A prefill
         // has no effect and needs no permission.
@@ -171,7 +171,7 @@
         };
         let text = self.completion_message(id, number, purpose);
         let attempt = wire_id(self.instance, id, number);
-        let (link, stage) = match self.links.enqueue(server, Queued { attempt, text }) {
+        let (link, stage) = match self.links.enqueue(server, QueuedMessage { attempt, text }) {
             EnqueueResult::SendNow(link, message) => {
                 out.push(self.attempt_message(now, id, link, message));
                 (link, Stage::InFlight)
@@ -189,9 +189,9 @@
         now: Micros,
         id: RequestId,
         link: LinkId,
-        message: Queued,
+        message: QueuedMessage,
     ) -> Output {
-        let Queued { attempt, text } = message;
+        let QueuedMessage { attempt, text } = message;
         let max_wait_s = self.settings.rules.drain_grace_s / 2.0;
         let is_prefill_server = self
             .servers
@@ -224,7 +224,7 @@
             let at = now.after(timeout_s).min(request.deadline);
             self.timers.set(
                 at,
-                Timer::Attempt {
+                Timer::AttemptTimeout {
                     request: id,
                     attempt: number,
                 },
@@ -347,7 +347,7 @@
         let Some(held) = request.held_kv_cache.take() else {
             return;
         };
-        if let Some(link) = self.links.open(held.server) {
+        if let Some(link) = self.links.open_link(held.server) {
             self.send_release(link, &held.created_by, out);
         }
         self.remove_if_done(id, out);
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -26,12 +26,12 @@
         if outcome == lost_kv_cache {
             self.held_kv_cache = None;
         }
-        self.admitted_work.repeats = match outcome {
+        self.admitted_work.repeats_work = match outcome {
             Outcome::PrefillDone | Outcome::Served | Outcome::NotSent => false,
             Outcome::Rejected {
                 state_missing: false,
             }
-            | Outcome::ConnectFailed => self.admitted_work.repeats,
+            | Outcome::ConnectFailed => self.admitted_work.repeats_work,
             // Includes a rejection because the KV cache is lost, after which the prefill is repeated.
             _ => true,
         };
@@ -157,7 +157,7 @@
         request.record_attempt_end(&attempt, outcome);
         self.load_shedding
             .load_reported(now, attempt.server, &report);
-        self.note_outcome(now, attempt.server, outcome);
+        self.record_outcome(now, attempt.server, outcome);
         out.extend(
             self.load_shedding
                 .attempt_ended(attempt.server, outcome)
--- a/crates/core/src/callers.rs
+++ b/crates/core/src/callers.rs
@@ -130,7 +130,7 @@
     pub(crate) fn set_caller(&mut self, session: SessionId, caller: Caller) {
         let expires_at = self.credential_expiry_time(caller.ends);
         self.sessions.set_caller(session, caller);
-        self.timers.set(expires_at, Timer::Caller { session });
+        self.timers.set(expires_at, Timer::CredentialExpiry { session });
     }
 
     /// The Unix time, in seconds, that credentials are checked against: the machine's clock plus the credential clock
@@ -166,7 +166,7 @@
         for (session, expiry_s) in self.sessions.credential_expiries() {
             self.timers.set(
                 self.credential_expiry_time(expiry_s),
-                Timer::Caller { session },
+                Timer::CredentialExpiry { session },
             );
             self.on_credential_expiry(now, session);
         }
--- a/crates/core/src/intake.rs
+++ b/crates/core/src/intake.rs
@@ -149,7 +149,7 @@
             output: validated.max_tokens,
         };
         let tenant = validated.tenant;
-        self.leases.wanted(now, tenant, max_usage.total());
+        self.leases.record_demand(now, tenant, max_usage.total());
         let budget_hold = self
             .book
             .hold(now.seconds(), tenant, validated.class, max_usage)
@@ -196,7 +196,7 @@
         validated: &ValidatedRequest,
     ) -> Result<AdmittedWork, f64> {
         let class = &self.settings.classes[usize::from(validated.class)];
-        let expected_output = self.output_lengths.expect(
+        let expected_output = self.output_lengths.predict(
             &create.model,
             &class.name,
             validated.prompt_tokens(),
--- a/crates/core/src/request_start.rs
+++ b/crates/core/src/request_start.rs
@@ -7,7 +7,7 @@
 use bitternlatch_protocol::tokens_of;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::budgets::{Charged, RETRY_AFTER_S};
+use crate::budgets::{RequestCharges, RETRY_AFTER_S};
 use crate::load_shedding::AdmittedWork;
 use crate::machine::Machine;
 use crate::output_lengths::OutputLengths;
@@ -71,7 +71,7 @@
             earlier_attempt_may_have_run: false,
             created_at: self.now,
             budget_hold: decision.budget_hold,
-            charged: Charged::default(),
+            charged: RequestCharges::default(),
             rejected: false,
             answered: false,
         }
@@ -105,7 +105,7 @@
             expected_output: self.expected_output(create, &validated),
         };
         let mut arrival = validated.to_policy_request(id, create, start.conversation, time_left_s);
-        arrival.output_tokens = OutputLengths::for_module(start.expected_output);
+        arrival.output_tokens = OutputLengths::to_decision_module(start.expected_output);
         if let Some(key) = validated
             .key
             .as_ref()
@@ -142,7 +142,7 @@
         let class = &self.settings.classes[usize::from(validated.class)].name;
         let prompt_tokens = tokens_of(validated.prompt.len());
         self.output_lengths
-            .expect(&create.model, class, prompt_tokens, validated.max_tokens)
+            .predict(&create.model, class, prompt_tokens, validated.max_tokens)
     }
 
     /// The seconds until a retry and the reason where a request is rejected without asking the decision module; `None`
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -10,7 +10,7 @@
 use bitternlatch_protocol::client::{Response, Usage};
 use bitternlatch_protocol::engine::{EngineUsage, KvTransferParams};
 
-use crate::budgets::Charged;
+use crate::budgets::RequestCharges;
 use crate::idempotency::Key;
 use crate::load_shedding::AdmittedWork;
 use crate::types::{LinkId, Micros, SessionId};
@@ -151,7 +151,7 @@
     /// Tokens reserved from the tenant's budget until the final charge is known.
     pub budget_hold: Option<Hold>,
     /// What the tenant has been charged for the request so far.
-    pub charged: Charged,
+    pub charged: RequestCharges,
     /// Whether the request's final answer was a rejection that is safe to repeat, for which nothing is charged.
     pub rejected: bool,
     /// Whether the request's final answer is settled. The entry stays until the current attempt has ended and the KV
