--- a/crates/core/src/callers.rs
+++ b/crates/core/src/callers.rs
@@ -130,7 +130,8 @@
     pub(crate) fn set_caller(&mut self, session: SessionId, caller: Caller) {
         let expires_at = self.credential_expiry_time(caller.ends);
         self.sessions.set_caller(session, caller);
-        self.timers.set(expires_at, Timer::CredentialExpiry { session });
+        self.timers
+            .set(expires_at, Timer::CredentialExpiry { session });
     }
 
     /// The Unix time, in seconds, that credentials are checked against: the machine's clock plus the credential clock
