--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -30,8 +30,8 @@
     pub prefix_tokens: f64,
     /// Limit on the length of the answer, tokens.
     pub max_output_tokens: f64,
-    /// Expected length of the answer, learned from similar requests; if `None`, the router assumes a
-    /// fraction of `max_output_tokens`.
+    /// Expected length of the answer, learned from similar requests; if `None`, the router assumes
+    /// a fraction of `max_output_tokens`.
     pub output_tokens: Option<ExpectedTokens>,
     /// Rough estimate of the time that generating the answer takes at the class's inter-token
     /// objective, seconds.
@@ -81,7 +81,8 @@
     pub elapsed_s: f64,
     /// Whether the client has received the final answer to the request.
     pub finished: bool,
-    /// Prompt tokens that the server found in its prefix cache; set with `Served` and `PrefillDone`.
+    /// Prompt tokens that the server found in its prefix cache; set with `Served` and
+    /// `PrefillDone`.
     pub prefix_hit_tokens: f64,
     /// Load report that came with the response, with its values in the order of
     /// [`Settings::report_fields`](super::Settings::report_fields); empty if there was none.
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -154,8 +154,8 @@
     pub slow_start: SlowStart,
     /// Limits and permissions of the dispatcher.
     pub limits: Limits,
-    /// Longest time for which a prefill server may hold a KV cache state before it is transferred or
-    /// released, seconds.
+    /// Longest time for which a prefill server may hold a KV cache state before it is transferred
+    /// or released, seconds.
     pub kv_hold_limit_s: f64,
     /// Fraction of the priority weight with which a request counts that exceeds its tenant's quota.
     pub over_quota_weight_fraction: f64,
@@ -164,7 +164,8 @@
     /// Whether a prefill whose answer was lost may still have completed; if so, it counts as an
     /// attempt that may have run.
     pub lost_prefill_may_have_run: bool,
-    /// Whether decode servers can prefill a prompt themselves if there is no KV cache state to fetch.
+    /// Whether decode servers can prefill a prompt themselves if there is no KV cache state to
+    /// fetch.
     pub decode_servers_prefill: bool,
     /// Shortest time between two batches of events that the router receives, seconds.
     pub tick_s: f64,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,7 @@
 //! Routing decisions for an inference service that runs prefill and decode on separate servers.
 //!
-//! A dispatcher owns one [`choice::Router`], passes events to it and carries out the actions that it
-//! returns:
+//! A dispatcher owns one [`choice::Router`], passes events to it and carries out the actions that
+//! it returns:
 //!
 //! ```
 //! use bitternlatch_policy::choice::Router;
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -4,8 +4,8 @@
 use bitternlatch_policy::interface::*;
 use common::*;
 
-/// Returns a router with a warm decode server, 12, whose queue takes seconds, an idle one, 11, that has
-/// just started, and the servers in `more`.
+/// Returns a router with a warm decode server, 12, whose queue takes seconds, an idle one, 11, that
+/// has just started, and the servers in `more`.
 fn with_overloaded_and_warming(more: &[ServerEntry]) -> RouterHarness {
     let warming = ServerEntry {
         booted_at: T0 - 0.1,
@@ -55,8 +55,8 @@
 }
 
 /// A request that slow start keeps from the idle warming decode server would have to wait at the
-/// overloaded one, even if the idle one is nearer. It is rejected on arrival instead of being prefilled
-/// first. Every admitted request goes to the warming decode server.
+/// overloaded one, even if the idle one is nearer. It is rejected on arrival instead of being
+/// prefilled first. Every admitted request goes to the warming decode server.
 #[test]
 fn request_without_a_turn_at_a_warming_server_counts_the_wait_at_others() {
     let mut harness = with_overloaded_and_warming(&[]);
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -1,8 +1,8 @@
 //! A discrete-event simulation of many routers that share one fleet of servers.
 //!
-//! A prefill server processes one prompt at a time. At a decode server each answer holds memory, and
-//! requests wait until enough is free. Prefills and first tokens take longer at a server that warms
-//! up. Load reports are exact at the time they are sent.
+//! A prefill server processes one prompt at a time. At a decode server each answer holds memory,
+//! and requests wait until enough is free. Prefills and first tokens take longer at a server that
+//! warms up. Load reports are exact at the time they are sent.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -89,8 +89,8 @@
     /// Retries so far of each request that is itself a retry.
     client_attempts: BTreeMap<RequestId, u32>,
     /// Requests that each warm server adds to the queue in its load reports. If it is positive,
-    /// warming servers report no load at all, so that a router prefers a warming server whenever the
-    /// slow start lets it choose one.
+    /// warming servers report no load at all, so that a router prefers a warming server whenever
+    /// the slow start lets it choose one.
     pub extra_reported_queue: f64,
     /// Digest of all actions so far, if enabled.
     pub digest: Option<Digest>,
@@ -109,9 +109,9 @@
 }
 
 impl Fleet {
-    /// Schedules Poisson arrivals at a mean rate per second for a duration. Each request arrives at a
-    /// random router, with one of 40 unevenly used prefixes and one of 400 sessions; `new_request`
-    /// creates it from its id.
+    /// Schedules Poisson arrivals at a mean rate per second for a duration. Each request arrives at
+    /// a random router, with one of 40 unevenly used prefixes and one of 400 sessions;
+    /// `new_request` creates it from its id.
     pub fn arrivals(
         &mut self,
         seed: u64,
@@ -309,7 +309,8 @@
         }
     }
 
-    /// Lets the client retry a rejected request after 0.3 s, under a new id, if it has retries left.
+    /// Lets the client retry a rejected request after 0.3 s, under a new id, if it has retries
+    /// left.
     fn retry_from_client(&mut self, router: usize, request: RequestId) {
         let client_attempts = self.client_attempts.get(&request).copied().unwrap_or(0);
         if client_attempts < self.client_retries {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -102,8 +102,8 @@
 }
 
 impl RouterHarness {
-    /// Creates a router for prefill servers 1 and 2 and decode servers 11 and 12; servers 1 and 11 are
-    /// in cell 0, servers 2 and 12 in cell 1.
+    /// Creates a router for prefill servers 1 and 2 and decode servers 11 and 12; servers 1 and 11
+    /// are in cell 0, servers 2 and 12 in cell 1.
     pub fn new(settings: Settings) -> Self {
         let fleet = vec![
             server(1, 0, 0),
@@ -131,7 +131,8 @@
         harness
     }
 
-    /// Passes an event to the router, answers its probes if that is enabled, and returns the actions.
+    /// Passes an event to the router, answers its probes if that is enabled, and returns the
+    /// actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.router.handle(self.now, event, &mut out);
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -1,5 +1,5 @@
-//! Digests of the actions for fleets and events that are drawn: a change that is to change no
-//! decision keeps them.
+//! Digests of a router's actions under pseudorandom fleets and events. A change that must not
+//! affect decisions leaves the digests as they are.
 mod common;
 #[path = "common/digest.rs"]
 mod digest;
@@ -9,7 +9,7 @@
 use common::{server, settings, T0};
 use digest::Digest;
 
-/// By seed, of [`digest_of_drawn_events`].
+/// Expected result of [`digest_of_drawn_events`] for each seed.
 const DRAWN_EVENTS: [u64; 12] = [
     0x21B9_1D53_EA09_39FA,
     0xF8AF_19D5_D164_BB02,
@@ -25,8 +25,8 @@
     0x8FCC_A042_77A3_CC5A,
 ];
 
-/// By size of the fleet, of [`digest_of_measured_events`].
-const MEASURED_EVENTS: [u64; 5] = [
+/// Expected result of [`digest_of_benchmark_events`] for each size of the fleet.
+const BENCHMARK_EVENTS: [u64; 5] = [
     0x83D4_2871_DA95_5989,
     0x51FA_E3AB_E6EE_6F6C,
     0xE4F4_214A_56C4_588C,
@@ -34,30 +34,36 @@
     0x1003_DE43_B87F_602A,
 ];
 
-/// A pause after which less is known of what servers have cached.
+/// Length of an occasional pause, after which the router knows less about what servers have cached,
+/// seconds.
 const LONG_PAUSE_S: f64 = 70.0;
 
-/// Memory of servers that a few requests fill.
+/// Memory of a server that a few requests fill, tokens.
 const SMALL_MEMORY_TOKENS: f64 = 8_000.0;
 
-/// A router that is driven by drawn events; every action and explanation goes into the digest.
-struct Driven {
+/// Drives a router with pseudorandom events and adds each of its actions and explanations to a
+/// digest.
+struct DrivenRouter {
     router: Router,
     digest: Digest,
+    /// State of the pseudorandom generator.
     draws: u64,
     now: f64,
     servers: u32,
     requests: u32,
-    /// Attempts that are sent and have not ended: request, attempt, server.
+    /// Attempts in flight: request, index of the attempt, server.
     attempts: Vec<(RequestId, u16, ServerId)>,
+    /// Number of attempts sent so far, by request.
     sent: Vec<u16>,
+    /// Servers with a probe in flight.
     probed: Vec<ServerId>,
+    /// Timers that have not fired: clock time and label.
     timers: Vec<(f64, u64)>,
 }
 
-impl Driven {
-    fn new(settings: Settings, seed: u64, servers: u32) -> Driven {
-        Driven {
+impl DrivenRouter {
+    fn new(settings: Settings, seed: u64, servers: u32) -> DrivenRouter {
+        DrivenRouter {
             router: Router::new(settings, seed),
             digest: Digest::new(),
             draws: seed << 32,
@@ -71,7 +77,7 @@
         }
     }
 
-    /// A number below `below`.
+    /// Draws a whole number from 0 to `below`, exclusive.
     fn draw(&mut self, below: u64) -> u64 {
         self.draws = self.draws.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mixed = (self.draws ^ (self.draws >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -79,7 +85,8 @@
         (mixed ^ (mixed >> 31)) % below
     }
 
-    fn share(&mut self) -> f64 {
+    /// Draws a number from 0 to 1, exclusive.
+    fn draw_fraction(&mut self) -> f64 {
         self.draw(1 << 20) as f64 / f64::from(1 << 20)
     }
 
@@ -106,24 +113,24 @@
 
     fn entry(&mut self, id: ServerId) -> ServerEntry {
         let kind = [0, 0, 0, 1, 1, 1, 1, 2][id as usize % 8];
-        let standing = match self.draw(12) {
+        let status = match self.draw(12) {
             0 => ServerStatus::Draining,
             1 => ServerStatus::Removed,
             _ => ServerStatus::Ready,
         };
         let booted_at = match self.draw(6) {
-            0 => self.now - self.share() * 10.0,
+            0 => self.now - self.draw_fraction() * 10.0,
             _ => 0.0,
         };
         ServerEntry {
             zone: u16::from(id.is_multiple_of(5)),
-            status: standing,
+            status,
             booted_at,
             ..server(id, kind, (id / 6) as u16)
         }
     }
 
-    fn list(&mut self) {
+    fn endpoint_list(&mut self) {
         let form = [
             ListForm::Delta,
             ListForm::Delta,
@@ -147,9 +154,9 @@
     fn arrival(&mut self) {
         self.requests += 1;
         self.sent.push(0);
-        let prompt_tokens = 50.0 + (self.share() * 4.0).exp() * 100.0;
+        let prompt_tokens = 50.0 + (self.draw_fraction() * 4.0).exp() * 100.0;
         let expected = ExpectedTokens {
-            mean: 40.0 + 200.0 * self.share(),
+            mean: 40.0 + 200.0 * self.draw_fraction(),
             p90: 300.0,
         };
         let request = Request {
@@ -159,11 +166,11 @@
             session: self.draw(50),
             prefix: self.draw(12),
             prompt_tokens,
-            prefix_tokens: prompt_tokens * self.share(),
-            max_output_tokens: 20.0 + 600.0 * self.share(),
+            prefix_tokens: prompt_tokens * self.draw_fraction(),
+            max_output_tokens: 20.0 + 600.0 * self.draw_fraction(),
             output_tokens: Some(expected).filter(|_| self.draw(3) == 0),
             output_hint_s: None,
-            time_left_s: 0.1 + 8.0 * self.share(),
+            time_left_s: 0.1 + 8.0 * self.draw_fraction(),
         };
         self.handle(Event::Arrival(request));
     }
@@ -172,7 +179,11 @@
         if self.draw(5) == 0 {
             return vec![];
         }
-        let (slots, queue, memory) = (self.share(), self.draw(6) as f64, self.share());
+        let (slots, queue, memory) = (
+            self.draw_fraction(),
+            self.draw(6) as f64,
+            self.draw_fraction(),
+        );
         vec![0.8 * slots, queue, 0.9 * memory]
     }
 
@@ -200,23 +211,23 @@
             _ => Outcome::Served,
         };
         if outcome == Outcome::Served && self.draw(8) > 0 {
-            let elapsed_s = self.share();
+            let elapsed_s = self.draw_fraction();
             self.handle(Event::FirstToken {
                 request,
                 attempt,
                 server,
                 elapsed_s,
             });
-            self.now += 0.01 * self.share();
+            self.now += 0.01 * self.draw_fraction();
         }
         let end = AttemptEnd {
             request,
             attempt,
             server,
             outcome,
-            elapsed_s: 1.5 * self.share(),
+            elapsed_s: 1.5 * self.draw_fraction(),
             finished: outcome == Outcome::Served,
-            prefix_hit_tokens: 500.0 * self.share(),
+            prefix_hit_tokens: 500.0 * self.draw_fraction(),
             report: self.report(),
         };
         self.handle(Event::AttemptEnded(end));
@@ -232,7 +243,7 @@
             2 => Outcome::Reset,
             _ => Outcome::Served,
         };
-        let (elapsed_s, report) = (0.01 * self.share(), self.report());
+        let (elapsed_s, report) = (0.01 * self.draw_fraction(), self.report());
         self.handle(Event::ProbeEnded {
             server,
             outcome,
@@ -243,18 +254,18 @@
 
     fn peer_report(&mut self) {
         let server = 1 + self.draw(self.servers.into()) as u32;
-        let sight = [
+        let observation = [
             Observation::Failing,
             Observation::WarmingUp,
             Observation::Draining,
         ][self.draw(3) as usize];
-        let (reporters, of) = (self.draw(6) as u32, 6);
-        let age_s = 4.0 * self.share() - 0.5;
+        let (reporters, peers) = (self.draw(6) as u32, 6);
+        let age_s = 4.0 * self.draw_fraction() - 0.5;
         self.handle(Event::PeerReport {
             server,
-            observation: sight,
+            observation,
             reporters,
-            peers: of,
+            peers,
             age_s,
         });
     }
@@ -270,24 +281,21 @@
     }
 
     fn step(&mut self) {
-        self.now += 0.02 * self.share();
+        self.now += 0.02 * self.draw_fraction();
         if self.draw(1_500) == 0 {
             self.now += LONG_PAUSE_S;
         }
         self.due_timers();
         match self.draw(40) {
-            0 => self.list(),
+            0 => self.endpoint_list(),
             1 => self.peer_report(),
             2 => {
                 let request = self.draw(u64::from(self.requests) + 1) as u32;
                 self.handle(Event::ClientDisconnected { request });
             }
             3 if self.draw(10) == 0 => {
-                let (part, since) = (self.share(), self.now - self.share());
-                self.handle(Event::QuotaFraction {
-                    fraction: part,
-                    since,
-                });
+                let (fraction, since) = (self.draw_fraction(), self.now - self.draw_fraction());
+                self.handle(Event::QuotaFraction { fraction, since });
             }
             4 => {
                 let (request, server) = (self.requests, 1);
@@ -356,10 +364,10 @@
     }
 }
 
-/// The digest of 6,000 drawn events.
+/// Returns the digest of a router's actions under 6,000 pseudorandom events.
 fn digest_of_drawn_events(seed: u64) -> u64 {
     let servers = [12, 30, 64, 4][seed as usize % 4];
-    let mut driven = Driven::new(drawn_settings(seed), seed, servers);
+    let mut driven = DrivenRouter::new(drawn_settings(seed), seed, servers);
     let entries = (1..=servers).map(|id| driven.entry(id)).collect();
     driven.handle(Event::Servers {
         form: ListForm::Full,
@@ -375,14 +383,15 @@
     assert_eq!(digests, DRAWN_EVENTS, "{digests:#018x?}");
 }
 
-/// The events of `bitternlatch-benchmark decision`: an arrival, its prefill's end and its first token.
-fn digest_of_measured_events(servers: u32) -> u64 {
+/// Returns the digest of a router's actions under the events of `bitternlatch-benchmark decision`:
+/// the arrival, the end of the prefill and the first token of each of 800 requests.
+fn digest_of_benchmark_events(servers: u32) -> u64 {
     let plain = settings(Effect::Idempotent);
-    let measured = Settings {
+    let settings = Settings {
         dispatchers: 60,
         ..plain
     };
-    let mut driven = Driven::new(measured, 7, servers);
+    let mut driven = DrivenRouter::new(settings, 7, servers);
     let entry = |id: u32| server(id, (id % 2) as u16, (id / 6) as u16);
     let entries = (0..servers).map(entry).collect();
     driven.handle(Event::Servers {
@@ -413,13 +422,13 @@
                 report,
             });
         }
-        end_measured_attempts(&mut driven);
+        end_benchmark_attempts(&mut driven);
     }
     driven.digest.value()
 }
 
 /// Ends the prefill of the latest request, then its answer.
-fn end_measured_attempts(driven: &mut Driven) {
+fn end_benchmark_attempts(driven: &mut DrivenRouter) {
     for outcome in [Outcome::PrefillDone, Outcome::Served] {
         let Some((request, attempt, server)) = driven.attempts.pop() else {
             return;
@@ -446,10 +455,10 @@
 }
 
 #[test]
-fn measured_events_give_the_same_actions_as_before() {
+fn benchmark_events_give_the_same_actions_as_before() {
     let digests: Vec<u64> = [25, 57, 110, 200, 800]
         .into_iter()
-        .map(digest_of_measured_events)
+        .map(digest_of_benchmark_events)
         .collect();
-    assert_eq!(digests, MEASURED_EVENTS, "{digests:#018x?}");
+    assert_eq!(digests, BENCHMARK_EVENTS, "{digests:#018x?}");
 }
--- a/crates/policy/tests/defences.rs
+++ b/crates/policy/tests/defences.rs
@@ -1,5 +1,5 @@
-//! Each of the router's mechanisms against failure symptoms, such as silence, fast errors, late answers
-//! and overload; one test combines a failing and a draining server.
+//! Each of the router's mechanisms against failure symptoms, such as silence, fast errors, late
+//! answers and overload; one test combines a failing and a draining server.
 mod common;
 use bitternlatch_policy::interface::*;
 use common::*;
@@ -72,8 +72,8 @@
     );
 }
 
-/// Returns after how many tenths of a second an unanswered prefill is cancelled, if its server's last
-/// response came `quiet_s` before the request; `None` if it is not cancelled within 6 s.
+/// Returns after how many tenths of a second an unanswered prefill is cancelled, if its server's
+/// last response came `quiet_s` before the request; `None` if it is not cancelled within 5.9 s.
 fn cancelled_after(quiet_s: f64) -> Option<usize> {
     let mut harness = RouterHarness::new(settings(Effect::Idempotent));
     harness.update_server(ServerEntry {
@@ -282,8 +282,8 @@
 
 #[test]
 fn quota_fraction_applies_from_its_start_and_is_reduced_at_once() {
-    // Of a quota of 200 requests per second, one of a hundred routers has 2; with the whole quota it
-    // may admit a burst of 400.
+    // Of a quota of 200 requests per second, one of a hundred routers has 2; with the whole quota
+    // it may admit a burst of 400.
     let rejected_with = |fractions: &[(f64, f64)]| {
         let tenants = vec![TenantSettings { quota_rps: 200.0 }];
         let set = Settings {
--- a/crates/policy/tests/held_states.rs
+++ b/crates/policy/tests/held_states.rs
@@ -7,8 +7,8 @@
 
 /// Hold limit of KV cache state in these tests, seconds.
 const LIMIT_S: f64 = 1.0;
-/// Time after which the router must have released a state, seconds; it is less than the limit, so that
-/// the release arrives in time.
+/// Time after which the router must have released a state, seconds; it is less than the limit, so
+/// that the release arrives in time.
 const RELEASED_BY_S: f64 = 0.92;
 
 /// Counts the releases among the actions.
@@ -19,8 +19,8 @@
         .count()
 }
 
-/// Returns a router with one request whose prefill has ended and whose KV transfer is in flight. The
-/// long latency objective keeps the router from cancelling the transfer as silent.
+/// Returns a router with one request whose prefill has ended and whose KV transfer is in flight.
+/// The long latency objective keeps the router from cancelling the transfer as silent.
 fn during_transfer(effect: Effect, may_cancel: bool) -> RouterHarness {
     let mut adjusted = Settings {
         kv_hold_limit_s: LIMIT_S,
@@ -116,8 +116,8 @@
 }
 
 /// A cancelled KV transfer may go on waiting for the state at servers where cancelling doesn't stop
-/// it, and a release frees nothing until that wait has ended. The release is therefore repeated while
-/// the request lives, and once more when it ends.
+/// it, and a release frees nothing until that wait has ended. The release is therefore repeated
+/// while the request lives, and once more when it ends.
 #[test]
 fn kv_state_is_released_again_while_a_cancelled_transfer_may_wait_for_it() {
     for outcome in [Outcome::Cancelled, Outcome::TimedOut, Outcome::Reset] {
@@ -142,8 +142,8 @@
     }
 }
 
-/// A rejection shows that the KV transfer had arrived, so that until then a decode server was waiting
-/// for the state. The hold time starts again from the rejection.
+/// A rejection shows that the KV transfer had arrived, so that until then a decode server was
+/// waiting for the state. The hold time starts again from the rejection.
 #[test]
 fn rejected_transfer_restarts_the_hold_clock() {
     let mut harness = during_transfer(Effect::Idempotent, true);
@@ -164,8 +164,8 @@
     assert_eq!(releases(&harness.advance(RELEASED_BY_S - 0.85)), 1);
 }
 
-/// A KV transfer whose connection broke may never have arrived, so the hold time still counts from the
-/// end of the prefill.
+/// A KV transfer whose connection broke may never have arrived, so the hold time still counts from
+/// the end of the prefill.
 #[test]
 fn broken_transfer_does_not_stop_the_hold_clock() {
     let mut harness = during_transfer(Effect::Idempotent, true);
--- a/crates/policy/tests/peer_reports.rs
+++ b/crates/policy/tests/peer_reports.rs
@@ -1,5 +1,5 @@
-//! What others have seen of a server: it saves attempts and late answers, and one voice alone
-//! changes nothing.
+//! Effect of other dispatchers' reports about a server: they save attempts and late answers, and a
+//! single reporter changes nothing.
 mod common;
 #[path = "common/fleet.rs"]
 mod fleet;
@@ -9,14 +9,18 @@
 use fleet::{Fault, Fleet};
 
 const ROUTERS: u32 = 100;
+/// Requests per second.
 const RATE: f64 = 60.0;
 const PREFILL_SERVERS: u32 = 20;
+/// The prefill server whose attempts are counted; it always has the fault.
 const BROKEN: ServerId = 4;
 
-/// Attempts at one prefill server, when it and maybe others have faults after five seconds of
-/// twenty, and the share of all requests that waited a second or more; up to `max_reporters` are
-/// told to the others three times a second.
-fn day(seed: u64, fault: Fault, at_all: bool, max_reporters: usize) -> (u32, f64) {
+/// Simulates 20 s of arrivals in which one prefill server, or every server if `at_all`, has a fault
+/// after the first 5 s. Every 0.3 s each router receives a report of up to `max_reporters` others
+/// that have failed at a faulty server. Returns the number of attempts at the broken prefill server
+/// after the start of the fault, and the fraction of all requests that waited 1 s or more for the
+/// first token.
+fn simulate(seed: u64, fault: Fault, at_all: bool, max_reporters: usize) -> (u32, f64) {
     let mut fleet = Fleet::new(
         Settings {
             dispatchers: ROUTERS,
@@ -54,9 +58,11 @@
     )
 }
 
+/// Simulates a fault of one server with three seeds; returns the total attempts at it and the mean
+/// late fraction.
 fn over_seeds(fault: Fault, max_reporters: usize) -> (u32, f64) {
-    let days = (1..4).map(|seed| day(seed, fault, false, max_reporters));
-    days.fold((0, 0.0), |sum, day| (sum.0 + day.0, sum.1 + day.1 / 3.0))
+    let runs = (1..4).map(|seed| simulate(seed, fault, false, max_reporters));
+    runs.fold((0, 0.0), |sum, run| (sum.0 + run.0, sum.1 + run.1 / 3.0))
 }
 
 #[test]
@@ -78,12 +84,13 @@
     assert!(2 * reported.0 < alone.0, "{reported:?} against {alone:?}");
 }
 
-/// It is the way to them then: while every word was believed, 2 to 3 in 100 came late here in place
-/// of 2 in 1,000.
+/// If most servers seem to fail, the cause is the network path to them, and routers must not avoid
+/// the reported servers. When every report was believed, 2 to 3 in 100 first tokens came late in
+/// this scenario instead of 2 in 1,000.
 #[test]
 fn reported_failures_at_most_servers_overload_no_server() {
     for seed in 1..4 {
-        let late = |max_reporters| day(seed, Fault::Resets(5), true, max_reporters).1;
+        let late = |max_reporters| simulate(seed, Fault::Resets(5), true, max_reporters).1;
         let (alone, reported) = (late(0), late(usize::MAX));
         assert!(
             reported <= alone + 0.005,
@@ -95,14 +102,16 @@
 #[test]
 fn one_reporter_changes_nothing() {
     assert_eq!(
-        day(1, Fault::Silent, false, 1),
-        day(1, Fault::Silent, false, 0)
+        simulate(1, Fault::Silent, false, 1),
+        simulate(1, Fault::Silent, false, 0)
     );
 }
 
-/// How many of forty requests, a tenth of a second apart, go to the first of two prefill servers,
-/// with something notified of it before each but the first few.
-fn sent_to_first(said: Option<(Observation, u32, u32, f64)>) -> usize {
+/// Counts how many of 40 requests go to the first of two prefill servers. The 40 follow 5 uncounted
+/// requests, and each is preceded by the given peer report about that server: observation, number
+/// of reporters, number of peers and age in seconds. After each request has been served, 0.1 s pass
+/// before the next.
+fn sent_to_first(report: Option<(Observation, u32, u32, f64)>) -> usize {
     let list: Vec<_> = [1, 2]
         .map(|id| server(id, 0, 0))
         .into_iter()
@@ -111,12 +120,12 @@
     let mut harness = RouterHarness::with_fleet(settings(Effect::Idempotent), list);
     let mut first = 0;
     for id in 1..46 {
-        if let Some((sight, reporters, of, age_s)) = said.filter(|_| id > 5) {
+        if let Some((observation, reporters, peers, age_s)) = report.filter(|_| id > 5) {
             harness.handle(Event::PeerReport {
                 server: 1,
-                observation: sight,
+                observation,
                 reporters,
-                peers: of,
+                peers,
                 age_s,
             });
         }
@@ -137,13 +146,14 @@
 }
 
 #[test]
-fn drain_closes_a_server_when_most_peers_report_it() {
+fn server_that_most_peers_report_as_draining_gets_nothing_new() {
     let usual = sent_to_first(None);
     assert!(usual > 5, "{usual}");
-    let reported = |reporters, of| sent_to_first(Some((Observation::Draining, reporters, of, 0.0)));
+    let reported =
+        |reporters, peers| sent_to_first(Some((Observation::Draining, reporters, peers, 0.0)));
     assert_eq!(reported(3, 5), 0);
-    assert_eq!(reported(2, 5), usual, "fewer than half");
-    assert_eq!(reported(1, 1), usual, "one voice");
+    assert_eq!(reported(2, 5), usual, "reported by fewer than half");
+    assert_eq!(reported(1, 1), usual, "a single reporter");
 }
 
 #[test]
--- a/crates/policy/tests/routing.rs
+++ b/crates/policy/tests/routing.rs
@@ -1,5 +1,5 @@
-//! Routing without faults: a request goes to the prefill server with the lowest estimated time to the
-//! first token, then to the least loaded decode server.
+//! Routing without faults: a request goes to the prefill server with the lowest estimated time to
+//! the first token, then to the least loaded decode server.
 mod common;
 use bitternlatch_policy::interface::*;
 use common::*;
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,6 +1,7 @@
-//! The five rules that the service must keep, checked with a single router: one final answer for each
-//! request, no repeated execution of a request that is not idempotent, no new requests to draining or
-//! removed servers, slow start, and the release of KV cache state within the hold limit.
+//! The five rules that the service must keep, checked with a single router: one final answer for
+//! each request, no repeated execution of a request that is not idempotent, no new requests to
+//! draining or removed servers, slow start, and the release of KV cache state within the hold
+//! limit.
 mod common;
 use bitternlatch_policy::interface::*;
 use common::*;
@@ -80,8 +81,8 @@
     }
 }
 
-/// A connection reset during decoding doesn't show whether the request ran, as the decode server may
-/// have executed what it had begun.
+/// A connection reset during decoding doesn't show whether the request ran, as the decode server
+/// may have executed what it had begun.
 #[test]
 fn non_idempotent_answer_is_not_retried_after_reset() {
     let mut harness = RouterHarness::new(Settings {
@@ -151,8 +152,8 @@
     assert_eq!(harness.sends.len(), 1, "{after:?}");
 }
 
-/// A retry must arrive within the deduplication window, and the connection for it may delay it by up
-/// to the connect timeout.
+/// A retry must arrive within the deduplication window, and the connection for it may delay it by
+/// up to the connect timeout.
 #[test]
 fn keyed_retry_is_sent_only_where_it_arrives_within_the_window() {
     for (window_s, connect_timeout_s, after_s, retried) in [
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -1,4 +1,5 @@
-//! What many routers do together, each alone: spreading, probes and the warming rule's sum.
+//! Combined effect of many independent routers: how they spread load, how much they probe, and
+//! whether they keep slow start together.
 mod common;
 use std::collections::BTreeMap;
 
@@ -6,14 +7,14 @@
 use bitternlatch_policy::interface::*;
 use common::*;
 
-/// Sends of each server when each of many routers takes one request to its decode server.
+/// Counts the attempts at each server when each of many routers serves one request.
 fn sends_of(
     routers: u32,
     fleet: &[ServerEntry],
-    one: impl Fn(u32) -> Request,
+    request_of_router: impl Fn(u32) -> Request,
 ) -> BTreeMap<ServerId, u32> {
     let mut counts = BTreeMap::new();
-    for me in 0..routers {
+    for router in 0..routers {
         let mut harness = RouterHarness::with_fleet(
             Settings {
                 dispatchers: routers,
@@ -26,13 +27,13 @@
                 dispatchers: routers,
                 ..settings(Effect::Idempotent)
             },
-            u64::from(me),
+            u64::from(router),
         );
         harness.handle(Event::Servers {
             form: ListForm::Full,
             entries: fleet.to_vec(),
         });
-        harness.serve(one(me), 0.0);
+        harness.serve(request_of_router(router), 0.0);
         harness
             .sends
             .iter()
@@ -49,65 +50,69 @@
 }
 
 #[test]
-fn hundred_routers_with_one_view_spread_their_load() {
-    let counts = sends_of(100, &fleet(), |me| Request {
-        prefix: u64::from(me) + 1,
-        ..new_request(me + 1)
+fn hundred_routers_with_the_same_knowledge_spread_their_load() {
+    let counts = sends_of(100, &fleet(), |router| Request {
+        prefix: u64::from(router) + 1,
+        ..new_request(router + 1)
     });
-    let limit = |of: std::ops::Range<u32>| counts.range(of).map(|c| *c.1).max().unwrap_or(0);
-    assert!(limit(1..21) <= 15, "{} reads at one reader", limit(1..21));
+    let max_count = |ids: std::ops::Range<u32>| counts.range(ids).map(|c| *c.1).max().unwrap_or(0);
     assert!(
-        limit(101..121) <= 15,
-        "{} answers at one writer",
-        limit(101..121)
+        max_count(1..21) <= 15,
+        "{} prefills at one server",
+        max_count(1..21)
+    );
+    assert!(
+        max_count(101..121) <= 15,
+        "{} answers at one decode server",
+        max_count(101..121)
     );
 }
 
 #[test]
 fn hundred_routers_prefill_one_prefix_at_its_replicas() {
-    let counts = sends_of(100, &fleet(), |me| Request {
-        session: u64::from(me) + 1,
+    let counts = sends_of(100, &fleet(), |router| Request {
+        session: u64::from(router) + 1,
         ..new_request(1)
     });
     assert!(counts.range(1..21).count() <= 5, "{counts:?}");
 }
 
-/// Each prefill server that has to read it once costs a whole read, and the memory that it takes
-/// there.
+/// Each replica of a prefix costs one full prefill and memory for the prefix at its server, so a
+/// tenth of the prefill servers have to be enough.
 #[test]
 fn one_prefix_has_replicas_at_a_tenth_of_many_prefill_servers() {
     let many: Vec<ServerEntry> = (1..81)
         .map(|id| server(id, 0, 0))
         .chain((101..121).map(|id| server(id, 1, 0)))
         .collect();
-    let counts = sends_of(300, &many, |me| Request {
-        session: u64::from(me) + 1,
+    let counts = sends_of(300, &many, |router| Request {
+        session: u64::from(router) + 1,
         ..new_request(1)
     });
     let prefill_servers = counts.range(1..81).count();
     assert!(
         (4..=10).contains(&prefill_servers),
-        "{prefill_servers} readers: {counts:?}"
+        "{prefill_servers} prefill servers: {counts:?}"
     );
 }
 
 #[test]
 fn three_hundred_routers_together_keep_slow_start() {
-    // The told start capacity times the multiple is 0.625 of what a warm server of the same load
-    // takes.
+    // The start capacity times the overload factor, 0.25 * 2.5, is 0.625 of what a warm server
+    // takes under the same load.
     let mut warming = fleet();
     warming[20].booted_at = T0 - 0.5;
-    let counts = sends_of(300, &warming, |me| new_request(me + 1));
+    let counts = sends_of(300, &warming, |router| new_request(router + 1));
     let warm = counts.range(102..121).map(|c| *c.1).sum::<u32>() / 19;
-    let at_cold = counts.get(&101).copied().unwrap_or(0);
+    let at_warming = counts.get(&101).copied().unwrap_or(0);
     assert!(
-        f64::from(at_cold) <= 0.625 * f64::from(warm),
-        "{at_cold} against {warm} at a warm writer"
+        f64::from(at_warming) <= 0.625 * f64::from(warm),
+        "{at_warming} against {warm} at a warm decode server"
     );
 }
 
 #[test]
-fn probes_are_tied_to_arrivals_and_few() {
+fn probes_are_sent_only_on_arrivals_and_are_few() {
     let mut harness = RouterHarness::with_fleet(
         Settings {
             dispatchers: 100,
@@ -137,7 +142,7 @@
 
 #[test]
 fn prefill_is_not_cancelled_at_a_server_that_reports_a_queue() {
-    let late = |queue: f64| {
+    let is_cancelled = |queue: f64| {
         let mut harness = RouterHarness::new(settings(Effect::Idempotent));
         harness.update_server(ServerEntry {
             status: ServerStatus::Draining,
@@ -165,7 +170,7 @@
             attempt: 0,
         })
     };
-    assert!(late(0.0) && !late(80.0));
+    assert!(is_cancelled(0.0) && !is_cancelled(80.0));
 }
 
 #[test]
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,6 +1,7 @@
-//! Warming servers under the sum of all: what every router sends them together keeps to the budget
-//! of the rule, N, but for chance, 2 roots of N and 2 more. Warm servers say here that they queue,
-//! so that every turn at a warming one is taken.
+//! Slow start under many routers: the attempts that all routers together send to a warming server
+//! in any window stay within its budget N, except for random deviations of up to 2 sqrt(N) + 2.
+//! Warm servers report a queue here, so that a router uses a warming server whenever slow start
+//! lets it.
 mod common;
 #[path = "common/fleet.rs"]
 mod fleet;
@@ -10,94 +11,107 @@
 use fleet::digest::Digest;
 use fleet::{draw, interarrival_s, Fleet};
 
+/// Clock time at which the warming servers restart, seconds.
 const RESTARTED_AT: f64 = T0 + 6.0;
+/// Clock time at which each simulation ends, seconds.
 const END: f64 = RESTARTED_AT + 12.0;
 
-/// How the traffic is dealt out to the routers.
+/// How the traffic is split among the routers.
 #[derive(Clone, Copy, Debug)]
-enum Skew {
+enum TrafficSplit {
+    /// Every router receives the same share.
     Even,
-    /// One router in ten takes half of it.
-    Few,
-    /// The k-th takes as much as the first, divided by k.
-    Ranks,
+    /// One router in ten receives half of the traffic in all.
+    Concentrated,
+    /// The k-th router receives 1/k of the traffic of the first.
+    Harmonic,
 }
 
-impl Skew {
-    fn router(self, u: f64, routers: u32) -> usize {
+impl TrafficSplit {
+    /// Maps a uniform draw from 0 to 1 to the index of the router that receives the request.
+    fn router(self, draw: f64, routers: u32) -> usize {
         let many = f64::from(routers);
         let at = match self {
-            Skew::Even => u * many,
-            Skew::Few if u < 0.5 => 0.2 * u * many,
-            Skew::Few => many * (0.1 + 1.8 * (u - 0.5)),
-            Skew::Ranks => (u * (many + 1.0).ln()).exp() - 1.0,
+            TrafficSplit::Even => draw * many,
+            TrafficSplit::Concentrated if draw < 0.5 => 0.2 * draw * many,
+            TrafficSplit::Concentrated => many * (0.1 + 1.8 * (draw - 0.5)),
+            TrafficSplit::Harmonic => (draw * (many + 1.0).ln()).exp() - 1.0,
         };
         (at as usize).min(routers as usize - 1)
     }
 }
 
+/// A simulated fleet in which some servers restart.
 struct Scenario {
     routers: u32,
-    skew: Skew,
+    split: TrafficSplit,
     seed: u64,
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
-    hosts: Vec<ServerEntry>,
+    servers: Vec<ServerEntry>,
+    /// Servers that restart at `RESTARTED_AT`.
     warming: Vec<ServerId>,
-    /// A prefix and its share of the requests; 20 others share the rest.
-    hot: (u64, f64),
-    plain: bool,
+    /// A prefix and the fraction of requests that use it; 20 others share the rest.
+    hot_prefix: (u64, f64),
+    /// Whether requests have neither a shared prefix nor a session in common.
+    without_prefix: bool,
     extra_reported_queue: f64,
     client_retries: u32,
-    set: Settings,
+    settings: Settings,
 }
 
 impl Scenario {
-    fn new(routers: u32, skew: Skew, seed: u64, rate: f64, hosts: Vec<ServerEntry>) -> Scenario {
-        let (warming, hot) = (vec![], (0, 0.0));
-        let (plain, extra_reported_queue, client_retries) = (false, 8.0, 0);
-        let set = Settings {
+    fn new(
+        routers: u32,
+        split: TrafficSplit,
+        seed: u64,
+        rate: f64,
+        servers: Vec<ServerEntry>,
+    ) -> Scenario {
+        let (warming, hot_prefix) = (vec![], (0, 0.0));
+        let (without_prefix, extra_reported_queue, client_retries) = (false, 8.0, 0);
+        let settings = Settings {
             dispatchers: routers,
             ..settings(Effect::Idempotent)
         };
         Scenario {
             routers,
-            skew,
+            split,
             seed,
             rate,
-            hosts,
+            servers,
             warming,
-            hot,
-            plain,
+            hot_prefix,
+            without_prefix,
             extra_reported_queue,
             client_retries,
-            set,
+            settings,
         }
     }
 
-    /// All servers are warm until some start anew. Each router is notified of it at another time
-    /// within 2 s, and every third router is replaced within 8 s by one that knows nothing but the
-    /// list.
+    /// Creates the fleet and schedules its requests. All servers are warm until some restart. Each
+    /// router is notified of the restart at a random time within 2 s, and every third router is
+    /// replaced within 8 s by a new one that knows only the endpoint list.
     fn fleet(&self) -> Fleet {
-        let mut fleet = Fleet::new(self.set.clone(), T0);
+        let mut fleet = Fleet::new(self.settings.clone(), T0);
         (fleet.extra_reported_queue, fleet.client_retries) =
             (self.extra_reported_queue, self.client_retries);
-        let fresh = |e: &ServerEntry| match self.warming.contains(&e.id) {
+        let restarted = |e: &ServerEntry| match self.warming.contains(&e.id) {
             true => ServerEntry {
                 booted_at: RESTARTED_AT,
                 ..e.clone()
             },
             false => e.clone(),
         };
-        let now: Vec<ServerEntry> = self.hosts.iter().map(fresh).collect();
-        let is_kept = |e: &&ServerEntry| !self.warming.contains(&e.id);
-        let warm: Vec<ServerEntry> = self.hosts.iter().filter(is_kept).cloned().collect();
-        let chance = |n: u64| draw(self.seed ^ 0xC01D, n);
-        let notified_at = |router: usize| RESTARTED_AT + 2.0 * chance(router as u64);
+        let now: Vec<ServerEntry> = self.servers.iter().map(restarted).collect();
+        let stays_warm = |e: &&ServerEntry| !self.warming.contains(&e.id);
+        let warm: Vec<ServerEntry> = self.servers.iter().filter(stays_warm).cloned().collect();
+        let draw_delay = |n: u64| draw(self.seed ^ 0xC01D, n);
+        let notified_at = |router: usize| RESTARTED_AT + 2.0 * draw_delay(router as u64);
         fleet.notify_all(T0, ListForm::Full, &warm);
         fleet.notify_each(notified_at, ListForm::Full, &now);
         for router in (0..self.routers as usize).step_by(3) {
-            let at = RESTARTED_AT + 8.0 * chance(1_000 + router as u64);
+            let at = RESTARTED_AT + 8.0 * draw_delay(1_000 + router as u64);
             fleet.restart_router(at, router, 10_000 + router as u64, &now);
         }
         let (mut at, mut id) = (T0 + 0.1, 0);
@@ -105,12 +119,12 @@
             id += 1;
             let n = u64::from(id) * 8;
             at += interarrival_s(self.seed, n, self.rate);
-            let router = self.skew.router(draw(self.seed, n + 1), self.routers);
-            let of_hot = draw(self.seed, n + 2) < self.hot.1;
+            let router = self.split.router(draw(self.seed, n + 1), self.routers);
+            let is_hot = draw(self.seed, n + 2) < self.hot_prefix.1;
             let other = 1_000 + (20.0 * draw(self.seed, n + 3)) as u64;
             let session = 1 + (400.0 * draw(self.seed, n + 4)) as u64;
-            let prefix = if of_hot { self.hot.0 } else { other };
-            let new_request = match self.plain {
+            let prefix = if is_hot { self.hot_prefix.0 } else { other };
+            let new_request = match self.without_prefix {
                 true => Request {
                     prefix: 0,
                     prefix_tokens: 0.0,
@@ -129,20 +143,20 @@
     }
 }
 
-/// What the settings allow a server in their window, at the capacity that it has when the window
-/// begins. How it warms up the settings do not tell; judged here by the requests that came to it
-/// until then, as fast as by time at the most.
-fn allowed(warm_rate: f64, arrived_at: &[f64], start: f64) -> f64 {
+/// Returns the number of attempts that slow start allows a warming server in the window from
+/// `start`, at the capacity that the server has at that time. The settings don't define how
+/// capacity grows; here it grows with the attempts received so far, but no faster than with time.
+fn allowed_attempts(warm_rate: f64, arrived_at: &[f64], start: f64) -> f64 {
     let warming = settings(Effect::Idempotent).slow_start;
-    let until = arrived_at.iter().filter(|t| **t < start).count() as f64;
-    let warmed = (until / (warm_rate * warming.warm_after_s))
+    let received = arrived_at.iter().filter(|t| **t < start).count() as f64;
+    let warmed = (received / (warm_rate * warming.warm_after_s))
         .min((start - RESTARTED_AT) / warming.warm_after_s);
     let capacity = warming.start_capacity + (1.0 - warming.start_capacity) * warmed;
     warming.overload_factor * capacity * warm_rate * warming.window_s
 }
 
-/// Attempts within the window that begins there.
-fn within(arrived_at: &[f64], start: f64) -> f64 {
+/// Counts the attempts in the window from `start`.
+fn attempts_in_window(arrived_at: &[f64], start: f64) -> f64 {
     let window_s = settings(Effect::Idempotent).slow_start.window_s;
     arrived_at
         .iter()
@@ -150,22 +164,27 @@
         .count() as f64
 }
 
-/// Holds each warming server's attempts against the budget; returns the means as shares of it.
+/// Asserts that the attempts at each warming server stay within its budget; returns the mean
+/// fraction of the budget that is used.
 fn assert_slow_start_is_kept(name: &str, scenarios: &[(Scenario, f64)]) -> f64 {
-    let (mut shares, mut broken) = (vec![], vec![]);
+    let (mut used_fractions, mut violations) = (vec![], vec![]);
     for (s, warm_rate) in scenarios {
         let mut fleet = s.fleet();
         fleet.run_until(END);
         for id in &s.warming {
             let arrived_at = fleet.arrived_at(*id);
-            let share =
-                |start: f64| within(arrived_at, start) / allowed(*warm_rate, arrived_at, start);
+            let used_fraction = |start: f64| {
+                attempts_in_window(arrived_at, start)
+                    / allowed_attempts(*warm_rate, arrived_at, start)
+            };
             let starts: Vec<f64> = (0..36).map(|n| RESTARTED_AT + f64::from(n) / 4.0).collect();
-            shares.push(starts.iter().map(|at| share(*at)).sum::<f64>() / starts.len() as f64);
+            used_fractions.push(
+                starts.iter().map(|at| used_fraction(*at)).sum::<f64>() / starts.len() as f64,
+            );
             let limit = |at: &f64| {
                 (
-                    within(arrived_at, *at),
-                    allowed(*warm_rate, arrived_at, *at),
+                    attempts_in_window(arrived_at, *at),
+                    allowed_attempts(*warm_rate, arrived_at, *at),
                 )
             };
             let over = arrived_at
@@ -173,33 +192,34 @@
                 .map(limit)
                 .find(|(count, n)| *count > n + 2.0 * n.sqrt() + 2.0);
             if let Some((count, n)) = over {
-                broken.push(format!(
-                    "{count} at {id}, {} routers, {:?}, N {n:.1}",
-                    s.routers, s.skew
+                violations.push(format!(
+                    "{count} attempts at {id}, {} routers, {:?}, N {n:.1}",
+                    s.routers, s.split
                 ));
             }
         }
     }
-    let mean = shares.iter().sum::<f64>() / shares.len() as f64;
-    let limit = shares.iter().copied().fold(0.0, f64::max);
+    let mean = used_fractions.iter().sum::<f64>() / used_fractions.len() as f64;
+    let max = used_fractions.iter().copied().fold(0.0, f64::max);
     println!(
-        "{name}: {} cold servers, mean {mean:.2} of N, most {limit:.2}, broken {}",
-        shares.len(),
-        broken.len()
+        "{name}: {} warming servers, mean {mean:.2} of N, max {max:.2}, violations {}",
+        used_fractions.len(),
+        violations.len()
     );
     assert!(
-        broken.is_empty(),
-        "{name}: mean {mean:.2} of N, most {limit:.2}; {broken:#?}"
+        violations.is_empty(),
+        "{name}: mean {mean:.2} of N, max {max:.2}; {violations:#?}"
     );
     mean
 }
 
-const SIZES: [(u32, Skew); 5] = [
-    (20, Skew::Ranks),
-    (30, Skew::Few),
-    (300, Skew::Even),
-    (300, Skew::Few),
-    (300, Skew::Ranks),
+/// Numbers of routers and how the traffic is split among them.
+const ROUTER_COUNTS: [(u32, TrafficSplit); 5] = [
+    (20, TrafficSplit::Harmonic),
+    (30, TrafficSplit::Concentrated),
+    (300, TrafficSplit::Even),
+    (300, TrafficSplit::Concentrated),
+    (300, TrafficSplit::Harmonic),
 ];
 
 fn prefill_servers(n: u32) -> impl Iterator<Item = ServerEntry> {
@@ -210,10 +230,10 @@
     (101..n + 101).map(|id| server(id, 1, (id % 2) as u16))
 }
 
-/// The first prefix, by number, that is read at this prefill server.
-fn prefix_read_at(id: ServerId, hosts: &[ServerEntry]) -> u64 {
-    let read_at = |prefix: u64| {
-        let mut harness = RouterHarness::with_fleet(settings(Effect::Idempotent), hosts.to_vec());
+/// Returns the lowest prefix number whose prefill goes to this server.
+fn prefix_prefilled_at(id: ServerId, servers: &[ServerEntry]) -> u64 {
+    let prefill_server = |prefix: u64| {
+        let mut harness = RouterHarness::with_fleet(settings(Effect::Idempotent), servers.to_vec());
         harness.serve(
             Request {
                 prefix,
@@ -223,23 +243,24 @@
         )
     };
     (1..200)
-        .find(|prefix| read_at(*prefix) == id)
-        .expect("a home")
+        .find(|prefix| prefill_server(*prefix) == id)
+        .expect("a prefix with its first replica at this server")
 }
 
-/// One prefix is a third of all traffic, at two replicas, one of them warming: while the turn of
-/// those near was a set part of the requests whatever their number, 1.4 N came in the mean.
+/// One prefix makes up a third of the traffic and has two replicas, one of which is warming. When
+/// slow start gave replicas a fixed fraction of their requests, however many these were, a warming
+/// server received 1.4 N attempts on average.
 #[test]
 fn hot_prefix_does_not_overload_its_warming_replica() {
     let rate = 100.0;
-    let scenario = |(n, (routers, skew)): (usize, (u32, Skew))| {
-        let hosts: Vec<ServerEntry> = prefill_servers(8).chain(decode_servers(12)).collect();
-        let hot = (prefix_read_at(3, &hosts), 0.35);
-        let new = Scenario::new(routers, skew, n as u64 + 1, rate, hosts);
+    let scenario = |(n, (routers, split)): (usize, (u32, TrafficSplit))| {
+        let servers: Vec<ServerEntry> = prefill_servers(8).chain(decode_servers(12)).collect();
+        let hot_prefix = (prefix_prefilled_at(3, &servers), 0.35);
+        let new = Scenario::new(routers, split, n as u64 + 1, rate, servers);
         (
             Scenario {
                 warming: vec![3, 6],
-                hot,
+                hot_prefix,
                 ..new
             },
             rate / 8.0,
@@ -247,7 +268,7 @@
     };
     assert_slow_start_is_kept(
         "hot prefix",
-        &SIZES
+        &ROUTER_COUNTS
             .into_iter()
             .enumerate()
             .map(scenario)
@@ -255,22 +276,22 @@
     );
 }
 
-/// Twice what all servers could do if they were warm, and the rejected come again: an even share of
-/// the demand is more than a server can do, and the empty warming one would have taken its part of
-/// all of it.
+/// Demand is twice the capacity of the servers when warm, and rejected clients retry. An even share
+/// of this demand is more than one server can process, and a warming server, which looks empty,
+/// must not receive its share of all of it.
 #[test]
 fn demand_beyond_capacity_does_not_overload_warming_servers() {
-    let (warm_rate, readers_of) = (1.0 / 0.146, 10);
-    let scenario = |(n, (routers, skew)): (usize, (u32, Skew))| {
-        let hosts = prefill_servers(readers_of)
+    let (warm_rate, prefill_count) = (1.0 / 0.146, 10);
+    let scenario = |(n, (routers, split)): (usize, (u32, TrafficSplit))| {
+        let servers = prefill_servers(prefill_count)
             .chain(decode_servers(20))
             .collect();
-        let rate = 2.0 * f64::from(readers_of) * warm_rate;
-        let new = Scenario::new(routers, skew, n as u64 + 11, rate, hosts);
+        let rate = 2.0 * f64::from(prefill_count) * warm_rate;
+        let new = Scenario::new(routers, split, n as u64 + 11, rate, servers);
         (
             Scenario {
                 warming: vec![2, 5, 9],
-                plain: true,
+                without_prefix: true,
                 extra_reported_queue: 0.0,
                 client_retries: 2,
                 ..new
@@ -280,7 +301,7 @@
     };
     assert_slow_start_is_kept(
         "overload",
-        &SIZES
+        &ROUTER_COUNTS
             .into_iter()
             .enumerate()
             .map(scenario)
@@ -288,19 +309,19 @@
     );
 }
 
-/// Half of the states are read beside the one warming decode server of a cell.
+/// Half of the KV cache states are prefilled in a cell whose only decode server is warming.
 #[test]
 fn warming_decode_server_alone_in_its_cell_is_not_overloaded() {
     let rate = 90.0;
-    let scenario = |(n, (routers, skew)): (usize, (u32, Skew))| {
+    let scenario = |(n, (routers, split)): (usize, (u32, TrafficSplit))| {
         let cell = |e: ServerEntry| ServerEntry {
             cell: u16::from(e.id != 101),
             ..e
         };
-        let hosts = prefill_servers(12)
+        let servers = prefill_servers(12)
             .chain(decode_servers(12).map(cell))
             .collect();
-        let new = Scenario::new(routers, skew, n as u64 + 21, rate, hosts);
+        let new = Scenario::new(routers, split, n as u64 + 21, rate, servers);
         (
             Scenario {
                 warming: vec![101],
@@ -310,8 +331,8 @@
         )
     };
     assert_slow_start_is_kept(
-        "lone writer",
-        &SIZES
+        "single decode server in its cell",
+        &ROUTER_COUNTS
             .into_iter()
             .enumerate()
             .map(scenario)
@@ -319,13 +340,14 @@
     );
 }
 
-/// Servers that do both: there are no prefill servers whose number could split the turns.
+/// With mixed servers only, there are no prefill servers by whose number slow start could divide
+/// the requests for a warming server.
 #[test]
 fn warming_servers_of_a_mixed_fleet_are_not_overloaded() {
     let rate = 100.0;
-    let scenario = |(n, (routers, skew)): (usize, (u32, Skew))| {
-        let hosts = (1..11).map(|id| server(id, 2, (id % 2) as u16)).collect();
-        let new = Scenario::new(routers, skew, n as u64 + 31, rate, hosts);
+    let scenario = |(n, (routers, split)): (usize, (u32, TrafficSplit))| {
+        let servers = (1..11).map(|id| server(id, 2, (id % 2) as u16)).collect();
+        let new = Scenario::new(routers, split, n as u64 + 31, rate, servers);
         (
             Scenario {
                 warming: vec![2, 7],
@@ -336,7 +358,7 @@
     };
     assert_slow_start_is_kept(
         "mixed",
-        &SIZES
+        &ROUTER_COUNTS
             .into_iter()
             .enumerate()
             .map(scenario)
@@ -344,14 +366,15 @@
     );
 }
 
-/// The guard does not buy its bound by leaving servers idle: what it may give is mostly given.
+/// Slow start must not keep its bound by leaving warming servers idle: in ordinary traffic they
+/// receive more than half of their budget on average.
 #[test]
-fn warming_servers_get_their_turns_in_ordinary_traffic() {
+fn warming_servers_use_most_of_their_budget_in_ordinary_traffic() {
     let rate = 100.0;
-    let scenario = |(n, (routers, skew)): (usize, (u32, Skew))| {
+    let scenario = |(n, (routers, split)): (usize, (u32, TrafficSplit))| {
         let new = Scenario::new(
             routers,
-            skew,
+            split,
             n as u64 + 41,
             rate,
             prefill_servers(12).chain(decode_servers(12)).collect(),
@@ -366,18 +389,18 @@
     };
     let mean = assert_slow_start_is_kept(
         "ordinary",
-        &SIZES
+        &ROUTER_COUNTS
             .into_iter()
             .enumerate()
             .map(scenario)
             .collect::<Vec<_>>(),
     );
-    assert!(mean > 0.5, "{mean:.2} of N in the mean");
+    assert!(mean > 0.5, "{mean:.2} of N on average");
 }
 
-/// The rule's own bound: beyond N, chance may bring 2 roots of N and 2 more, and where N is under
-/// 30 calls 3 roots and 3 more.
-fn most_by_the_rule(n: f64) -> f64 {
+/// Returns the largest number of attempts that the service's slow start rule accepts in a window.
+/// Random deviations beyond N may reach 2 sqrt(N) + 2, or 3 sqrt(N) + 3 if N is under 30.
+fn max_attempts_by_the_rule(n: f64) -> f64 {
     if n < 30.0 {
         n + 3.0 * n.sqrt() + 3.0
     } else {
@@ -385,16 +408,17 @@
     }
 }
 
-/// Whether any window of a warming server's time held more than the rule allows.
-fn goes_over(arrived_at: &[f64], warm_rate: f64) -> bool {
-    arrived_at
-        .iter()
-        .any(|at| within(arrived_at, *at) > most_by_the_rule(allowed(warm_rate, arrived_at, *at)))
+/// Whether the attempts at a warming server exceed the rule's limit in any window.
+fn exceeds_rule(arrived_at: &[f64], warm_rate: f64) -> bool {
+    arrived_at.iter().any(|at| {
+        attempts_in_window(arrived_at, *at)
+            > max_attempts_by_the_rule(allowed_attempts(warm_rate, arrived_at, *at))
+    })
 }
 
-/// How many seeds of each size are drawn: two in the suite; as many as `DRAWS` says to measure the
-/// probability, by `DRAWS=40 cargo test -p bitternlatch-policy --test warming -- --nocapture
-/// any_number`.
+/// Number of seeds for each number of dispatchers: two in the test suite, or the value of the
+/// environment variable `DRAWS`. More seeds measure the probability of a violation:
+/// `DRAWS=40 cargo test -p bitternlatch-policy --test slow_start -- --nocapture any_number`.
 fn draws() -> u64 {
     std::env::var("DRAWS")
         .ok()
@@ -402,45 +426,46 @@
         .unwrap_or(2)
 }
 
-/// One dispatcher alone or hundreds: together they keep the rule, in ordinary traffic and with a
-/// hot prefix.
+/// Any number of dispatchers, from one to hundreds, keeps the slow start rule together, both in
+/// ordinary traffic and with a hot prefix.
 #[test]
 fn any_number_of_dispatchers_keeps_slow_start() {
     let rate = 100.0;
-    let (mut over, mut servers) = (0, 0);
+    let (mut violating, mut total) = (0, 0);
     for routers in [1, 3, 10, 30, 300] {
-        let (mut over_here, mut servers_here) = (0, 0);
+        let (mut violating_here, mut total_here) = (0, 0);
         for seed in 0..draws() {
-            let hosts: Vec<ServerEntry> = prefill_servers(12).chain(decode_servers(12)).collect();
-            let hot = (prefix_read_at(2, &hosts), 0.3 * (seed % 2) as f64);
-            let new = Scenario::new(routers, Skew::Even, 1_000 + seed, rate, hosts);
+            let servers: Vec<ServerEntry> = prefill_servers(12).chain(decode_servers(12)).collect();
+            let hot_prefix = (prefix_prefilled_at(2, &servers), 0.3 * (seed % 2) as f64);
+            let new = Scenario::new(routers, TrafficSplit::Even, 1_000 + seed, rate, servers);
             let scenario = Scenario {
                 warming: vec![2, 5, 9, 103, 106],
-                hot,
+                hot_prefix,
                 ..new
             };
             let mut fleet = scenario.fleet();
             fleet.run_until(END);
-            let out = scenario
+            let violations = scenario
                 .warming
                 .iter()
-                .filter(|id| goes_over(fleet.arrived_at(**id), rate / 12.0))
+                .filter(|id| exceeds_rule(fleet.arrived_at(**id), rate / 12.0))
                 .count();
-            over_here += out;
-            servers_here += scenario.warming.len();
+            violating_here += violations;
+            total_here += scenario.warming.len();
         }
-        println!("{routers} dispatchers: {over_here} of {servers_here} cold servers go over in some window");
-        (over, servers) = (over + over_here, servers + servers_here);
+        println!("{routers} dispatchers: {violating_here} of {total_here} warming servers exceed the rule in some window");
+        (violating, total) = (violating + violating_here, total + total_here);
     }
-    // Of so few draws none goes over; of many, fewer than one server in a hundred.
+    // With two seeds no server may exceed the rule; with more, at most one server in a hundred.
     assert!(
-        over * 100 <= if draws() > 2 { servers } else { 0 },
-        "{over} of {servers}"
+        violating * 100 <= if draws() > 2 { total } else { 0 },
+        "{violating} of {total}"
     );
 }
 
-/// Digests of the actions of four days: a change that is to change no decision keeps them.
-const FOUR_DAYS: [u64; 4] = [
+/// Expected digests of all actions in four simulated runs. A change that must not affect decisions
+/// leaves them as they are.
+const EXPECTED_DIGESTS: [u64; 4] = [
     0x6D3A_9F4E_ED07_161D,
     0x7BD5_789E_7017_277D,
     0xAF88_2E95_A89C_7A1B,
@@ -467,15 +492,19 @@
             ..e
         };
         let mixed = (201..204).map(|id| server(id, 2, 0));
-        let hosts = prefill_servers(10)
+        let servers = prefill_servers(10)
             .chain(decode_servers(12))
             .chain(mixed)
             .map(zone)
             .collect();
-        let skew = [Skew::Even, Skew::Few, Skew::Ranks][seed % 3];
-        let new = Scenario::new(30, skew, seed as u64, 80.0, hosts);
+        let split = [
+            TrafficSplit::Even,
+            TrafficSplit::Concentrated,
+            TrafficSplit::Harmonic,
+        ][seed % 3];
+        let new = Scenario::new(30, split, seed as u64, 80.0, servers);
         let tenants = vec![TenantSettings { quota_rps: 60.0 }];
-        let set = Settings {
+        let settings = Settings {
             tenants,
             must_subscribe: true,
             decode_servers_prefill: true,
@@ -487,7 +516,7 @@
             warming: vec![2, 105, 202],
             client_retries: 1,
             extra_reported_queue: 1.0,
-            set,
+            settings,
             ..new
         };
         let mut fleet = scenario.fleet();
@@ -506,8 +535,8 @@
         fleet.digest.map(|d| d.value())
     };
     let digests: Vec<_> = (0..4).map(digest).collect();
-    println!("actions of four days: {digests:x?}");
+    println!("digests of the actions of four runs: {digests:x?}");
     assert_eq!(digest(1), digests[1]);
     assert_ne!(digests[0], digests[1]);
-    assert_eq!(digests, FOUR_DAYS.map(Some), "{digests:#018x?}");
+    assert_eq!(digests, EXPECTED_DIGESTS.map(Some), "{digests:#018x?}");
 }
--- a/crates/routing-settings/src/bounds.rs
+++ b/crates/routing-settings/src/bounds.rs
@@ -6,9 +6,9 @@
 /// Seconds after which a connection that is not established counts as failed, unless configured.
 const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.25;
 /// Seconds after which the server closes an idle connection, unless configured.
-const DEFAULT_IDLE_S: f64 = 15.0;
+const DEFAULT_IDLE_TIMEOUT_S: f64 = 15.0;
 /// Maximum number of concurrently open requests, unless configured.
-const DEFAULT_OPEN_REQUESTS: f64 = 20_000.0;
+const DEFAULT_MAX_OPEN_REQUESTS: f64 = 20_000.0;
 /// Largest configurable maximum of concurrently open requests; larger values are reduced to it.
 const MAX_OPEN_REQUESTS: f64 = 1e6;
 
@@ -39,7 +39,7 @@
 pub fn read_bounds(settings: &RawSettings) -> Result<Bounds> {
     Ok(Bounds {
         connect_timeout_s: connect_timeout_s(settings)?,
-        idle_timeout_s: settings.number_or("limits.connIdleS", DEFAULT_IDLE_S)?,
+        idle_timeout_s: settings.number_or("limits.connIdleS", DEFAULT_IDLE_TIMEOUT_S)?,
         max_open_requests: max_open_requests(settings)?,
         sends_retry_after: settings.flag_or("limits.retryAfter", false)?,
         allows_peer_messages: settings.flag_or("limits.peers", false)?,
@@ -49,7 +49,7 @@
 }
 
 fn max_open_requests(settings: &RawSettings) -> Result<usize> {
-    let requests = settings.number_or("limits.mostHeld", DEFAULT_OPEN_REQUESTS)?;
+    let requests = settings.number_or("limits.mostHeld", DEFAULT_MAX_OPEN_REQUESTS)?;
     Ok(requests.clamp(1.0, MAX_OPEN_REQUESTS) as usize)
 }
 
--- a/crates/routing-settings/src/router_settings.rs
+++ b/crates/routing-settings/src/router_settings.rs
@@ -9,8 +9,11 @@
 use crate::error::{Result, SettingsError};
 use crate::facts::RawSettings;
 
-/// Converts microseconds per 1,000 prompt tokens, the unit of the settings, to seconds per token.
+/// Divisor that converts microseconds per 1,000 prompt tokens, the unit of the settings, to seconds
+/// per token.
 const MICROSECONDS_PER_1000_TOKENS: f64 = 1e9;
+/// Shortest time between two batches of events, in seconds, unless configured.
+const DEFAULT_TICK_S: f64 = 0.001;
 
 /// Reads the settings of the decision module; unknown keys are ignored.
 ///
@@ -32,7 +35,7 @@
         must_subscribe: settings.text("membershipMode")? == "on_request",
         lost_prefill_may_have_run: settings.flag_or("extra.unseenReadsRun", false)?,
         decode_servers_prefill: settings.flag_or("extra.localRead", false)?,
-        tick_s: settings.number_or("tickS", 0.001)?,
+        tick_s: settings.number_or("tickS", DEFAULT_TICK_S)?,
     })
 }
 
@@ -70,8 +73,8 @@
     names.map(|name| report_field(name, settings)).collect()
 }
 
-/// Finds the meaning of a load report field. The fields `x0` and `x1` are defined per deployment, so
-/// their meaning is taken from the setting that describes them.
+/// Finds the meaning of a load report field. The fields `x0` and `x1` are defined per deployment,
+/// so their meaning is taken from the setting that describes them.
 fn report_field(name: &str, settings: &RawSettings) -> ReportField {
     let description_has =
         |key: &str, word: &str| settings.get(key).is_some_and(|v| v.contains(word));
--- a/crates/routing-settings/tests/settings.rs
+++ b/crates/routing-settings/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Checks the meaning and default of each key of the start settings, and the error message for values
-//! that cannot be parsed.
+//! Checks the meaning and default of each key of the start settings, and the error message for
+//! values that cannot be parsed.
 
 use bitternlatch_policy::interface::{
     ClassSettings, Effect, KeyScope, KindSettings, Limits, ReportField, ReportMode, Role, Settings,
