--- a/crates/replicated-register/src/io.rs
+++ b/crates/replicated-register/src/io.rs
@@ -9,7 +9,7 @@
 
 /// The caller's number for one call; never reused within a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Call(pub u64);
+pub struct CallId(pub u64);
 
 /// Settings, the same at all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,22 +50,22 @@
         /// Of [`Output::Store`].
         ticket: u64,
         /// Whether it is on disk.
-        done: Result<(), StorageError>,
+        result: Result<(), StorageError>,
     },
-    /// Reads a register. Answered by [`Output::Read`] at `until` at the latest.
+    /// Reads a register. Answered by [`Output::Read`] at `deadline` at the latest.
     Read {
         /// The caller's number.
-        call: Call,
+        call: CallId,
         /// The register.
         key: RegisterKey,
         /// The call's deadline.
-        until: Duration,
+        deadline: Duration,
     },
     /// Writes a register if the latest version that a majority holds is the expected one (compare-and-set). Answered by
     /// [`Output::Written`].
     Write {
         /// The caller's number.
-        call: Call,
+        call: CallId,
         /// The register.
         key: RegisterKey,
         /// The expected version; none where there is no value yet.
@@ -75,18 +75,18 @@
         /// The new value.
         value: Vec<u8>,
         /// The call's deadline.
-        until: Duration,
+        deadline: Duration,
     },
     /// Deletes a register at all replicas. Answered by [`Output::Written`] with the version of the tombstone.
     Delete {
         /// The caller's number.
-        call: Call,
+        call: CallId,
         /// The register.
         key: RegisterKey,
         /// The expected version.
         expected: Version,
         /// The call's deadline.
-        until: Duration,
+        deadline: Duration,
     },
 }
 
@@ -107,16 +107,16 @@
     /// Answers [`Input::Read`].
     Read {
         /// The caller's number.
-        call: Call,
+        call: CallId,
         /// Version and value; none where there is no value.
-        found: Result<Option<(Version, Vec<u8>)>, RegisterError>,
+        result: Result<Option<(Version, Vec<u8>)>, RegisterError>,
     },
     /// Answers [`Input::Write`] and [`Input::Delete`].
     Written {
         /// The caller's number.
-        call: Call,
+        call: CallId,
         /// The version that was written.
-        done: Result<Version, RegisterError>,
+        result: Result<Version, RegisterError>,
     },
     /// For the log.
     Event(Event),
@@ -196,7 +196,7 @@
     }
 
     /// Whether an operator should look.
-    pub fn warn(&self) -> bool {
+    pub fn is_warning(&self) -> bool {
         !matches!(self, Event::CaughtUp { .. } | Event::DiskRecovered)
     }
 }
--- a/crates/replicated-register/src/lib.rs
+++ b/crates/replicated-register/src/lib.rs
@@ -24,7 +24,7 @@
 mod store;
 
 pub use error::RegisterError;
-pub use io::{Call, Event, Input, Output, Settings};
+pub use io::{CallId, Event, Input, Output, Settings};
 pub use register::{RegisterKey, Version};
 pub use replica::{Counters, Replica};
 pub use store::{
--- a/crates/replicated-register/src/model.rs
+++ b/crates/replicated-register/src/model.rs
@@ -12,7 +12,7 @@
 use crate::message::{Message, Provenance, RejectReason};
 use crate::proposal::{LeaderBallot, NextStep, Operation, Outcome, Proposal, Write};
 use crate::register::{Acceptor, RegisterKey};
-use crate::{Call, RegisterError, Version};
+use crate::{CallId, RegisterError, Version};
 
 const KEY: RegisterKey = RegisterKey([7; 16]);
 const REPLICAS: u32 = 3;
@@ -193,7 +193,7 @@
             epoch: 1,
             body: Some(vec![w as u8, writer.begun as u8]),
         });
-        let call = Call(writer.begun as u64);
+        let call = CallId(writer.begun as u64);
         let replicas = (0..REPLICAS).map(NameKey).collect();
         let ids = &mut writer.ids;
         let mut proposal = Proposal::new(call, KEY, replicas, Duration::MAX, write, ids);
--- a/crates/replicated-register/src/proposal.rs
+++ b/crates/replicated-register/src/proposal.rs
@@ -18,7 +18,7 @@
 use crate::message::{Message, Provenance, RejectReason};
 use crate::quorum::majority;
 use crate::register::{Accepted, Ballot, RegisterKey, State};
-use crate::Call;
+use crate::CallId;
 
 use decision::{Decision, OwnWrite};
 pub use leader_ballot::LeaderBallot;
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposal {
     /// The caller's number.
-    pub call: Call,
+    pub call: CallId,
     /// The register.
     pub key: RegisterKey,
     /// Members that hold the register.
@@ -85,7 +85,7 @@
 impl Proposal {
     /// A proposal that has not been started.
     pub fn new(
-        call: Call,
+        call: CallId,
         key: RegisterKey,
         replicas: Vec<NameKey>,
         deadline: Duration,
--- a/crates/replicated-register/src/proposal/tests.rs
+++ b/crates/replicated-register/src/proposal/tests.rs
@@ -17,7 +17,7 @@
     });
     let replicas = (1..=3).map(NameKey).collect();
     let mut proposal = Proposal::new(
-        Call(1),
+        CallId(1),
         RegisterKey([0; 16]),
         replicas,
         Duration::MAX,
--- a/crates/replicated-register/src/replica/mod.rs
+++ b/crates/replicated-register/src/replica/mod.rs
@@ -130,35 +130,39 @@
             Input::Frame { from, payload } => self.on_frame(now, from, &payload, out),
             Input::Peers(peers) => self.peers = Some(peers),
             Input::Loaded(found) => self.on_loaded(now, found, out),
-            Input::Stored { ticket, done } => self.on_stored(now, ticket, done, out),
-            Input::Read { call, key, until } => self.read(now, call, key, until, out),
+            Input::Stored { ticket, result } => self.on_stored(now, ticket, result, out),
+            Input::Read {
+                call,
+                key,
+                deadline,
+            } => self.read(now, call, key, deadline, out),
             Input::Write {
                 call,
                 key,
                 expected,
                 epoch,
                 value,
-                until,
+                deadline,
             } => {
                 let write = Write {
                     expected,
                     epoch,
                     body: Some(value),
                 };
-                self.write(now, call, key, write, until, out);
+                self.write(now, call, key, write, deadline, out);
             }
             Input::Delete {
                 call,
                 key,
                 expected,
-                until,
+                deadline,
             } => {
                 let write = Write {
                     expected: Some(expected),
                     epoch: expected.epoch,
                     body: None,
                 };
-                self.write(now, call, key, write, until, out);
+                self.write(now, call, key, write, deadline, out);
             }
         }
         self.run_due(now, out);
@@ -168,7 +172,7 @@
     }
 
     /// Keys held here with their latest accepted value, which may not be the latest of all replicas.
-    pub fn held(&self) -> impl Iterator<Item = (&RegisterKey, Version, &[u8])> {
+    pub fn local_values(&self) -> impl Iterator<Item = (&RegisterKey, Version, &[u8])> {
         self.store.iter_after(None).filter_map(|(key, acceptor)| {
             let state = &acceptor.accepted.as_ref()?.state;
             Some((key, state.version, state.body.as_deref()?))
@@ -181,7 +185,7 @@
     }
 
     /// Whether this replica counts towards a majority of a register now.
-    pub fn counts_for(&self, now: Duration, key: RegisterKey) -> bool {
+    pub fn counts_toward_majority(&self, now: Duration, key: RegisterKey) -> bool {
         let replicas = self.replicas(key);
         let waited = now >= self.opened_at + CATCH_UP_GRACE;
         replicas.contains(&self.own.name)
--- a/crates/replicated-register/src/replica/persistence.rs
+++ b/crates/replicated-register/src/replica/persistence.rs
@@ -265,16 +265,16 @@
         &mut self,
         now: Duration,
         ticket: u64,
-        done: Result<(), StorageError>,
+        result: Result<(), StorageError>,
         out: &mut Vec<Output>,
     ) {
         let Some(write) = self.persistence.pending.remove(&ticket) else {
             return;
         };
-        self.report_disk_fault(done.as_ref().err(), out);
+        self.report_disk_fault(result.as_ref().err(), out);
         self.persistence
-            .settle(ticket, write.purpose, done.is_err());
-        match &done {
+            .settle(ticket, write.purpose, result.is_err());
+        match &result {
             Ok(()) => {
                 let durable = &mut self.persistence.durable_changes;
                 *durable = (*durable).max(write.changes);
@@ -285,7 +285,7 @@
             Err(fault) => self.reject_replies(write.replies, fault, out),
         }
         if let Purpose::Transferred(_, transfer) = write.purpose {
-            self.on_transferred_stored(now, transfer, done.is_ok(), out);
+            self.on_transferred_stored(now, transfer, result.is_ok(), out);
         }
     }
 
--- a/crates/replicated-register/src/replica/proposer.rs
+++ b/crates/replicated-register/src/replica/proposer.rs
@@ -12,7 +12,7 @@
 use crate::proposal::{LeaderBallot, NextStep, Operation, Outcome, Proposal, Write};
 use crate::quorum::majority;
 use crate::register::{Accepted, RegisterKey};
-use crate::{Call, Output, RegisterError, MAX_VALUE_BYTES};
+use crate::{CallId, Output, RegisterError, MAX_VALUE_BYTES};
 
 /// Calls in progress and in queues; further ones fail as [`RegisterError::Busy`].
 pub const MAX_CALLS: usize = 4096;
@@ -28,11 +28,11 @@
 /// The calls of one process.
 pub(super) struct Proposer {
     ids: IdAllocator,
-    proposals: BTreeMap<Call, Proposal>,
+    proposals: BTreeMap<CallId, Proposal>,
     /// Calls by register; the first of each is in progress.
-    queues: BTreeMap<RegisterKey, VecDeque<Call>>,
+    queues: BTreeMap<RegisterKey, VecDeque<CallId>>,
     /// When calls are to be looked at.
-    timers: BTreeSet<(Duration, Call)>,
+    timers: BTreeSet<(Duration, CallId)>,
     leader_ballots: BTreeMap<RegisterKey, LeaderBallot>,
 }
 
@@ -53,7 +53,7 @@
     }
 
     /// Whether one more call may be taken, under a number that is not in use.
-    fn has_capacity(&self, call: Call) -> bool {
+    fn has_capacity(&self, call: CallId) -> bool {
         self.proposals.len() < MAX_CALLS && !self.proposals.contains_key(&call)
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// The call in progress for a register.
-    fn active_call(&self, key: RegisterKey) -> Option<Call> {
+    fn active_call(&self, key: RegisterKey) -> Option<CallId> {
         self.queues.get(&key)?.front().copied()
     }
 
@@ -78,7 +78,7 @@
         Some((self.proposals.get_mut(&call)?, &mut self.ids))
     }
 
-    fn start(&mut self, call: Call) {
+    fn start(&mut self, call: CallId) {
         let Some(proposal) = self.proposals.get_mut(&call) else {
             return;
         };
@@ -90,7 +90,7 @@
     }
 
     /// Moves a call's timer along with a change of the proposal.
-    fn reschedule(&mut self, call: Call, change: impl FnOnce(&mut Proposal)) {
+    fn reschedule(&mut self, call: CallId, change: impl FnOnce(&mut Proposal)) {
         if let Some(proposal) = self.proposals.get_mut(&call) {
             self.timers.remove(&(proposal.timer(), call));
             change(proposal);
@@ -106,7 +106,7 @@
     }
 
     /// Removes a call that is answered.
-    fn remove(&mut self, call: Call) -> Option<Proposal> {
+    fn remove(&mut self, call: CallId) -> Option<Proposal> {
         let proposal = self.proposals.remove(&call)?;
         self.timers.remove(&(proposal.timer(), call));
         self.timers.remove(&(proposal.deadline, call));
@@ -114,7 +114,7 @@
     }
 
     /// Removes a call from its register's queue; returns the one that is in progress from now on, if that changes.
-    fn dequeue(&mut self, key: RegisterKey, call: Call) -> Option<Call> {
+    fn dequeue(&mut self, key: RegisterKey, call: CallId) -> Option<CallId> {
         let queue = self.queues.get_mut(&key)?;
         let was_active = queue.front() == Some(&call);
         queue.retain(|waiting| *waiting != call);
@@ -130,7 +130,7 @@
     pub(super) fn read(
         &mut self,
         now: Duration,
-        call: Call,
+        call: CallId,
         key: RegisterKey,
         deadline: Duration,
         out: &mut Vec<Output>,
@@ -140,7 +140,7 @@
         } else {
             out.push(Output::Read {
                 call,
-                found: Err(RegisterError::Busy),
+                result: Err(RegisterError::Busy),
             });
         }
     }
@@ -148,7 +148,7 @@
     pub(super) fn write(
         &mut self,
         now: Duration,
-        call: Call,
+        call: CallId,
         key: RegisterKey,
         write: Write,
         deadline: Duration,
@@ -166,13 +166,13 @@
         match error {
             Some(error) => out.push(Output::Written {
                 call,
-                done: Err(error),
+                result: Err(error),
             }),
             None => self.enqueue(now, call, key, Operation::Write(write), deadline, out),
         }
     }
 
-    fn has_capacity(&mut self, call: Call) -> bool {
+    fn has_capacity(&mut self, call: CallId) -> bool {
         let has_capacity = self.proposer.has_capacity(call);
         self.counters.rejected += u64::from(!has_capacity);
         has_capacity
@@ -181,7 +181,7 @@
     fn enqueue(
         &mut self,
         now: Duration,
-        call: Call,
+        call: CallId,
         key: RegisterKey,
         operation: Operation,
         deadline: Duration,
@@ -196,13 +196,13 @@
         }
     }
 
-    fn start(&mut self, now: Duration, call: Call, out: &mut Vec<Output>) {
+    fn start(&mut self, now: Duration, call: CallId, out: &mut Vec<Output>) {
         self.proposer.start(call);
         self.send_requests(now, call, out);
     }
 
     /// Sends the current message to the replicas that have not responded, and again after a while.
-    fn send_requests(&mut self, now: Duration, call: Call, out: &mut Vec<Output>) {
+    fn send_requests(&mut self, now: Duration, call: CallId, out: &mut Vec<Output>) {
         let Some(proposal) = self.proposer.proposals.get(&call) else {
             return;
         };
@@ -292,7 +292,7 @@
 
     /// The first restart is immediate, as the proposer may only have been behind. Later ones are spread at random over a growing
     /// range, so that two competing proposers part.
-    fn back_off(&mut self, now: Duration, call: Call) {
+    fn back_off(&mut self, now: Duration, call: CallId) {
         let draw = self.draw();
         self.proposer.reschedule(call, |proposal| {
             let range = match proposal.attempts {
@@ -303,7 +303,7 @@
         });
     }
 
-    fn finish(&mut self, now: Duration, call: Call, outcome: Outcome, out: &mut Vec<Output>) {
+    fn finish(&mut self, now: Duration, call: CallId, outcome: Outcome, out: &mut Vec<Output>) {
         let Some(proposal) = self.proposer.remove(call) else {
             return;
         };
@@ -326,7 +326,7 @@
         }
     }
 
-    fn run_due_call(&mut self, now: Duration, call: Call, out: &mut Vec<Output>) {
+    fn run_due_call(&mut self, now: Duration, call: CallId, out: &mut Vec<Output>) {
         let Some(proposal) = self.proposer.proposals.get(&call) else {
             return;
         };
--- a/crates/replicated-register/src/replica/request.rs
+++ b/crates/replicated-register/src/replica/request.rs
@@ -17,19 +17,19 @@
     match outcome {
         Outcome::Read(found) => Output::Read {
             call,
-            found: Ok(found),
+            result: Ok(found),
         },
         Outcome::Written(version) => Output::Written {
             call,
-            done: Ok(version),
+            result: Ok(version),
         },
         Outcome::Failed(error) if proposal.is_read() => Output::Read {
             call,
-            found: Err(error),
+            result: Err(error),
         },
         Outcome::Failed(error) => Output::Written {
             call,
-            done: Err(error),
+            result: Err(error),
         },
     }
 }
--- a/crates/replicated-register/tests/cluster_harness/mod.rs
+++ b/crates/replicated-register/tests/cluster_harness/mod.rs
@@ -7,7 +7,7 @@
 use bitternlatch_membership::NameKey;
 use bitternlatch_quota_lease::{Process, StorageError};
 use bitternlatch_replicated_register::{
-    Call, Event, Input, Output, RegisterError, RegisterKey, Replica, Settings, Version,
+    CallId, Event, Input, Output, RegisterError, RegisterKey, Replica, Settings, Version,
 };
 use bitternlatch_simulation::{ms, Node, Sent, World};
 
@@ -69,7 +69,7 @@
         let done: Vec<_> = self.writes.iter().filter(|w| w.0 <= now).cloned().collect();
         self.writes.retain(|w| w.0 > now);
         for (_, ticket, name, bytes) in done {
-            let done = match (self.full, bytes) {
+            let result = match (self.full, bytes) {
                 (true, Some(_)) => Err(StorageError::Full),
                 (_, Some(bytes)) => {
                     self.disk.insert(name, bytes);
@@ -80,7 +80,7 @@
                     Ok(())
                 }
             };
-            self.input(now, Input::Stored { ticket, done }, out);
+            self.input(now, Input::Stored { ticket, result }, out);
         }
     }
 }
@@ -128,7 +128,7 @@
     pub settings: Settings,
     pub disks: Vec<Disk>,
     pub starts: u64,
-    pub ops: BTreeMap<Call, (usize, Op)>,
+    pub ops: BTreeMap<CallId, (usize, Op)>,
     /// The version that each host last knew of each register.
     pub known: BTreeMap<(usize, RegisterKey), Option<Version>>,
     /// The latest epoch that anyone was told of.
@@ -228,18 +228,19 @@
             return false;
         };
         let own = |key: &&RegisterKey| host.replica.replicas(**key).contains(&name(i));
-        keys.iter()
-            .filter(own)
-            .all(|key| host.replica.counts_for(self.world.now_at(i), *key))
+        keys.iter().filter(own).all(|key| {
+            host.replica
+                .counts_toward_majority(self.world.now_at(i), *key)
+        })
     }
 
     fn enter(
         &mut self,
         i: usize,
         op: Op,
-        input: impl FnOnce(Call, Duration) -> Input,
-    ) -> Option<Call> {
-        let call = Call(self.ops.len() as u64);
+        input: impl FnOnce(CallId, Duration) -> Input,
+    ) -> Option<CallId> {
+        let call = CallId(self.ops.len() as u64);
         let op = Op {
             asked: self.world.now(),
             ..op
@@ -250,7 +251,7 @@
         Some(call)
     }
 
-    pub fn read(&mut self, i: usize, key: RegisterKey, patience: Duration) -> Option<Call> {
+    pub fn read(&mut self, i: usize, key: RegisterKey, patience: Duration) -> Option<CallId> {
         let op = Op {
             key,
             expected: None,
@@ -262,7 +263,7 @@
         self.enter(i, op, |call, now| Input::Read {
             call,
             key,
-            until: now + patience,
+            deadline: now + patience,
         })
     }
 
@@ -274,7 +275,7 @@
         expected: Option<Version>,
         epoch: u64,
         patience: Duration,
-    ) -> Option<Call> {
+    ) -> Option<CallId> {
         let op = Op {
             key,
             expected,
@@ -289,7 +290,7 @@
             expected,
             epoch,
             value: call.0.to_le_bytes().to_vec(),
-            until: now + patience,
+            deadline: now + patience,
         })
     }
 
@@ -299,7 +300,7 @@
         key: RegisterKey,
         expected: Version,
         patience: Duration,
-    ) -> Option<Call> {
+    ) -> Option<CallId> {
         let op = Op {
             key,
             expected: Some(expected),
@@ -312,7 +313,7 @@
             call,
             key,
             expected,
-            until: now + patience,
+            deadline: now + patience,
         })
     }
 
@@ -331,16 +332,16 @@
                 .extend(host.events.drain(..).map(|event| (i, event)));
             for (at, answer) in std::mem::take(&mut host.answers) {
                 let (call, latest) = match &answer {
-                    Output::Read { call, found } => {
-                        (*call, found.as_ref().ok().map(|f| f.as_ref().map(|f| f.0)))
+                    Output::Read { call, result } => {
+                        (*call, result.as_ref().ok().map(|f| f.as_ref().map(|f| f.0)))
                     }
                     Output::Written {
                         call,
-                        done: Ok(version),
+                        result: Ok(version),
                     } => (*call, Some(Some(*version))),
                     Output::Written {
                         call,
-                        done: Err(RegisterError::Conflict { latest }),
+                        result: Err(RegisterError::Conflict { latest }),
                     } => (*call, Some(*latest)),
                     Output::Written { call, .. } => (*call, None),
                     other => panic!("{other:?}"),
@@ -348,7 +349,7 @@
                 let (of, op) = self.ops.get_mut(&call).expect("it was asked");
                 assert!(*of == i && op.ended.is_none(), "two answers to {call:?}");
                 if let Output::Written {
-                    done: Err(RegisterError::StaleEpoch { epoch }),
+                    result: Err(RegisterError::StaleEpoch { epoch }),
                     ..
                 } = &answer
                 {
@@ -363,7 +364,7 @@
     }
 
     /// The answer to a call, within some time.
-    pub fn answer(&mut self, call: Call) -> Output {
+    pub fn answer(&mut self, call: CallId) -> Output {
         for _ in 0..20_000 {
             if let Some((_, answer)) = &self.ops[&call].1.ended {
                 return answer.clone();
@@ -373,16 +374,16 @@
         panic!("no answer to {call:?}");
     }
 
-    pub fn written(&mut self, call: Option<Call>) -> Result<Version, RegisterError> {
+    pub fn written(&mut self, call: Option<CallId>) -> Result<Version, RegisterError> {
         match self.answer(call.expect("it is up")) {
-            Output::Written { done, .. } => done,
+            Output::Written { result, .. } => result,
             other => panic!("{other:?}"),
         }
     }
 
-    pub fn found(&mut self, call: Option<Call>) -> Result<Option<Version>, RegisterError> {
+    pub fn found(&mut self, call: Option<CallId>) -> Result<Option<Version>, RegisterError> {
         match self.answer(call.expect("it is up")) {
-            Output::Read { found, .. } => found.map(|f| f.map(|f| f.0)),
+            Output::Read { result, .. } => result.map(|f| f.map(|f| f.0)),
             other => panic!("{other:?}"),
         }
     }
@@ -398,7 +399,7 @@
     }
 
     fn check_key(&self, key: RegisterKey) -> Result<(), String> {
-        let ops: Vec<(Call, &Op)> = self
+        let ops: Vec<(CallId, &Op)> = self
             .ops
             .iter()
             .filter(|(_, (_, op))| op.key == key)
@@ -413,7 +414,7 @@
                 Some((
                     _,
                     Output::Written {
-                        done: Err(Conflict { .. }
+                        result: Err(Conflict { .. }
                             | StaleEpoch { .. }
                             | NoMajority
                             | CatchingUp
@@ -426,7 +427,7 @@
             )
         };
         // Versions, by the call that wrote them, and what each answer proves to have been the latest at some moment of the call.
-        let mut wrote: BTreeMap<Version, (Call, Option<Version>)> = BTreeMap::new();
+        let mut wrote: BTreeMap<Version, (CallId, Option<Version>)> = BTreeMap::new();
         let mut sights: Vec<(Duration, Duration, Option<Version>, bool)> = vec![];
         for (call, op) in &ops {
             let Some((at, answer)) = &op.ended else {
@@ -434,7 +435,8 @@
             };
             match answer {
                 Output::Written {
-                    done: Ok(version), ..
+                    result: Ok(version),
+                    ..
                 } => {
                     if op.expected.is_some_and(|expected| expected >= *version) {
                         return Err(format!(
@@ -451,17 +453,17 @@
                     sights.push((op.asked, *at, Some(*version), op.drops));
                 }
                 Output::Written {
-                    done: Err(RegisterError::Conflict { latest }),
+                    result: Err(RegisterError::Conflict { latest }),
                     ..
                 } => {
                     sights.push((op.asked, *at, *latest, false));
                 }
                 Output::Read {
-                    found: Ok(found), ..
+                    result: Ok(found), ..
                 } => {
                     sights.push((op.asked, *at, found.as_ref().map(|f| f.0), false));
                     if let Some((version, value)) = found {
-                        let of = Call(u64::from_le_bytes(
+                        let of = CallId(u64::from_le_bytes(
                             value.as_slice().try_into().map_err(|_| "torn")?,
                         ));
                         let (_, writer) = &self.ops[&of];
@@ -488,7 +490,7 @@
             .filter(|(_, op)| op.drops && !not_written(op))
             .map(|(_, op)| (*op, op.expected))
             .collect();
-        let mut follows: BTreeMap<Option<Version>, Vec<Call>> = BTreeMap::new();
+        let mut follows: BTreeMap<Option<Version>, Vec<CallId>> = BTreeMap::new();
         wrote
             .values()
             .for_each(|(call, expected)| follows.entry(*expected).or_default().push(*call));
@@ -513,7 +515,7 @@
                 ended += 1;
             }
             let dropped = || {
-                drops.iter().any(|(op, expected)| op.asked < *until && (*expected >= latest || matches!(&op.ended, Some((_, Output::Written { done: Ok(v), .. })) if Some(*v) >= latest)))
+                drops.iter().any(|(op, expected)| op.asked < *until && (*expected >= latest || matches!(&op.ended, Some((_, Output::Written { result: Ok(v), .. })) if Some(*v) >= latest)))
             };
             if *seen < latest && !(seen.is_none() && dropped()) {
                 return Err(format!(
--- a/crates/replicated-register/tests/fault_schedules.rs
+++ b/crates/replicated-register/tests/fault_schedules.rs
@@ -218,7 +218,7 @@
             op.ended,
             Some((
                 _,
-                Output::Written { done: Ok(_), .. } | Output::Read { found: Ok(_), .. }
+                Output::Written { result: Ok(_), .. } | Output::Read { result: Ok(_), .. }
             ))
         )
     });
--- a/crates/replicated-register/tests/output_digest.rs
+++ b/crates/replicated-register/tests/output_digest.rs
@@ -9,7 +9,7 @@
 use bitternlatch_membership::NameKey;
 use bitternlatch_quota_lease::{Process, StorageError};
 use bitternlatch_replicated_register::{
-    Call, Event, Input, Output, RegisterError, RegisterKey, Replica, Settings, Version,
+    CallId, Event, Input, Output, RegisterError, RegisterKey, Replica, Settings, Version,
 };
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::SplitMix64;
@@ -126,10 +126,10 @@
                 self.number(u64::from(bytes.is_some()));
                 bytes.iter().for_each(|bytes| self.bytes(bytes));
             }
-            Output::Read { call, found } => {
+            Output::Read { call, result } => {
                 self.number(2);
                 self.number(call.0);
-                match found {
+                match result {
                     Ok(None) => self.number(0),
                     Ok(Some((version, value))) => {
                         self.number(1);
@@ -142,10 +142,10 @@
                     }
                 }
             }
-            Output::Written { call, done } => {
+            Output::Written { call, result } => {
                 self.number(3);
                 self.number(call.0);
-                match done {
+                match result {
                     Ok(version) => self.version(*version),
                     Err(error) => self.error(error),
                 }
@@ -254,9 +254,9 @@
     fn call(&mut self) {
         let member = self.draw(MEMBERS as u64) as usize;
         let key = key(self.draw(6));
-        let until = self.now + Duration::from_millis(100 + self.draw(900));
+        let deadline = self.now + Duration::from_millis(100 + self.draw(900));
         self.calls += 1;
-        let call = Call(self.calls);
+        let call = CallId(self.calls);
         self.calling.insert(call.0, (member, key));
         let expected = self.versions.get(&(member, key)).copied();
         let length = self.draw(40) as usize;
@@ -265,7 +265,7 @@
                 call,
                 key,
                 expected,
-                until,
+                deadline,
             },
             (1..=6, Some(expected)) => Input::Write {
                 call,
@@ -273,9 +273,13 @@
                 expected,
                 epoch: expected.map_or(1, |expected| expected.epoch),
                 value: vec![call.0 as u8; length],
-                until,
+                deadline,
+            },
+            _ => Input::Read {
+                call,
+                key,
+                deadline,
             },
-            _ => Input::Read { call, key, until },
         };
         self.pending.push_back((member, input));
     }
@@ -318,24 +322,24 @@
                         None => drop(self.disks[member].remove(&name)),
                     }
                 }
-                let done = if full {
+                let result = if full {
                     Err(StorageError::Full)
                 } else {
                     Ok(())
                 };
                 self.pending
-                    .push_back((member, Input::Stored { ticket, done }));
+                    .push_back((member, Input::Stored { ticket, result }));
             }
-            Output::Read { call, found } => {
+            Output::Read { call, result } => {
                 self.totals.read += 1;
-                match found {
+                match result {
                     Ok(found) => self.learn(call, found.map(|(version, _)| version)),
                     Err(_) => self.totals.failed += 1,
                 }
             }
-            Output::Written { call, done } => {
+            Output::Written { call, result } => {
                 self.totals.written += 1;
-                match done {
+                match result {
                     Ok(version) => self.learn(call, Some(version)),
                     Err(RegisterError::Conflict { latest }) => self.learn(call, latest),
                     Err(_) => self.totals.failed += 1,
@@ -345,7 +349,7 @@
         }
     }
 
-    fn learn(&mut self, call: Call, version: Option<Version>) {
+    fn learn(&mut self, call: CallId, version: Option<Version>) {
         if let Some(at) = self.calling.remove(&call.0) {
             self.versions.insert(at, version);
         }
--- a/crates/replicated-register/tests/recovery.rs
+++ b/crates/replicated-register/tests/recovery.rs
@@ -84,7 +84,7 @@
     assert!(!fleet
         .host(a)
         .replica
-        .counts_for(fleet.world.now_at(a), key(1)));
+        .counts_toward_majority(fleet.world.now_at(a), key(1)));
     assert_eq!(fleet.found(read), Err(RegisterError::CatchingUp));
     fleet.world.net.passes = Box::new(|_, _| true);
     fleet.run(ms(2500));
@@ -93,7 +93,7 @@
     assert!(fleet
         .host(a)
         .replica
-        .counts_for(fleet.world.now_at(a), key(1)));
+        .counts_toward_majority(fleet.world.now_at(a), key(1)));
     assert_eq!(fleet.saw(|e| matches!(e, Event::OlderDisk { .. })), 1);
     assert!(fleet.saw(|e| *e == Event::ReplicaLost(name(a))) >= 1);
 }
@@ -111,11 +111,11 @@
     assert!(fleet
         .host(a)
         .replica
-        .counts_for(fleet.world.now_at(a), key(1)));
+        .counts_toward_majority(fleet.world.now_at(a), key(1)));
     assert!(fleet
         .host(a)
         .replica
-        .held()
+        .local_values()
         .any(|(held, version, _)| *held == key(1) && version == last));
     assert_eq!(fleet.saw(|e| matches!(e, Event::DiskErased { .. })), 1);
     // Who told it remembers that it has forgotten, though killed at once.
@@ -138,7 +138,7 @@
     assert!(fleet
         .host(b)
         .replica
-        .counts_for(fleet.world.now_at(b), key(1)));
+        .counts_toward_majority(fleet.world.now_at(b), key(1)));
     assert_eq!(fleet.saw(|e| *e == Event::DiskCorrupt), 1);
     let read = fleet.read(other, key(1), ms(1000));
     assert_eq!(fleet.found(read), Ok(Some(last)));
@@ -186,7 +186,7 @@
     assert!((0..6).all(|i| !fleet
         .host(i)
         .replica
-        .counts_for(fleet.world.now_at(i), key(1))));
+        .counts_toward_majority(fleet.world.now_at(i), key(1))));
     let read = fleet.read(1, key(1), ms(3000));
     assert_eq!(fleet.found(read), Ok(Some(last)));
     assert!(fleet.world.now() < ms(2000), "{:?}", fleet.world.now());
@@ -306,7 +306,7 @@
     while !fleet
         .host(1)
         .replica
-        .counts_for(fleet.world.now_at(1), key(0))
+        .counts_toward_majority(fleet.world.now_at(1), key(0))
     {
         fleet.run(ms(10));
         assert!(fleet.world.now() - started < Duration::from_secs(20));
@@ -315,7 +315,7 @@
     let held: BTreeSet<Version> = fleet
         .host(1)
         .replica
-        .held()
+        .local_values()
         .map(|(_, version, _)| version)
         .collect();
     assert!(last.iter().all(|version| held.contains(version)));
@@ -378,7 +378,7 @@
     let gap = fleet.written(call).expect("let go of");
     let read = fleet.read(2, key(1), ms(1000));
     assert_eq!(fleet.found(read), Ok(None));
-    assert_eq!(fleet.host(0).replica.held().count(), 0);
+    assert_eq!(fleet.host(0).replica.local_values().count(), 0);
     let call = fleet.write(2, key(1), Some(expected), 1, ms(1000));
     assert_eq!(
         fleet.written(call),
@@ -410,8 +410,8 @@
         replica.step(ms(1), input, &mut out);
         (format!("{out:?}"), replica.counters())
     };
-    let call = |n| bitternlatch_replicated_register::Call(n);
-    let until = ms(1000);
+    let call = |n| bitternlatch_replicated_register::CallId(n);
+    let deadline = ms(1000);
     let value = vec![0; MAX_VALUE_BYTES + 1];
     let (message, _) = step(Input::Write {
         call: call(0),
@@ -419,20 +419,20 @@
         expected: None,
         epoch: 1,
         value,
-        until,
+        deadline,
     });
     assert!(message.contains("TooLong { bytes: 49153, max: 49152 }"));
     (1..=4096).for_each(|n| {
         drop(step(Input::Read {
             call: call(n),
             key: key(1),
-            until,
+            deadline,
         }))
     });
     let (message, counters) = step(Input::Read {
         call: call(9999),
         key: key(1),
-        until,
+        deadline,
     });
     assert!(message.contains("Err(Busy)") && counters.rejected == 1);
     let from = Process {
--- a/crates/workflow/src/coordinator/register_calls.rs
+++ b/crates/workflow/src/coordinator/register_calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bitternlatch_replicated_register::{Call as RegisterCall, Input, RegisterError, Version};
+use bitternlatch_replicated_register::{CallId as RegisterCall, Input, RegisterError, Version};
 
 use super::{notices, Coordinator, CoordinatorOutput, Timer};
 use crate::io::RejectReason;
@@ -37,7 +37,7 @@
         out.push(CoordinatorOutput::Register(Input::Read {
             call,
             key: pending.key,
-            until: pending.deadline.min(now + MAX_REGISTER_CALL),
+            deadline: pending.deadline.min(now + MAX_REGISTER_CALL),
         }));
     }
 
@@ -141,7 +141,7 @@
             expected,
             epoch,
             value,
-            until: pending.deadline.min(now + timeout),
+            deadline: pending.deadline.min(now + timeout),
         }));
         if permits_send && !self.safety_checks.majority_first {
             self.permit_send(now, now, lease, id, out);
@@ -170,7 +170,7 @@
             call,
             key: pending.key,
             expected,
-            until: now + MAX_REGISTER_CALL,
+            deadline: now + MAX_REGISTER_CALL,
         }));
     }
 
--- a/crates/workflow/src/machine.rs
+++ b/crates/workflow/src/machine.rs
@@ -99,7 +99,7 @@
         let after = self.swept_up_to.take();
         let registers: Vec<_> = self
             .replica
-            .held()
+            .local_values()
             .filter(|(key, ..)| after.is_none_or(|last| **key > last))
             .take(MAX_SWEEP_RECORDS)
             .map(|(key, version, value)| (*key, version, value.to_vec()))
@@ -150,17 +150,17 @@
                 name,
                 bytes,
             }),
-            Output::Read { call, found } => {
+            Output::Read { call, result } => {
                 self.coordinator
-                    .on_read(now, call, found, &mut self.coordinator_out);
+                    .on_read(now, call, result, &mut self.coordinator_out);
             }
-            Output::Written { call, done } => {
+            Output::Written { call, result } => {
                 self.coordinator
-                    .on_written(now, call, done, &mut self.coordinator_out);
+                    .on_written(now, call, result, &mut self.coordinator_out);
             }
             Output::Event(event) => {
                 let text = format!("workflow replicas: {event}; {}", event.advice());
-                let warn = event.warn();
+                let warn = event.is_warning();
                 out.push(ServiceOutput::Log { warn, text });
             }
         }
@@ -196,7 +196,10 @@
             ServiceInput::Frame { from, payload } => Input::Frame { from, payload },
             ServiceInput::Peers(peers) => Input::Peers(peers),
             ServiceInput::Loaded(found) => Input::Loaded(found),
-            ServiceInput::Persisted { ticket, done } => Input::Stored { ticket, done },
+            ServiceInput::Persisted { ticket, done } => Input::Stored {
+                ticket,
+                result: done,
+            },
             ServiceInput::Request(command) => {
                 self.coordinator
                     .handle(now, command, &mut self.coordinator_out);
