--- a/crates/replicated-register/src/disk_records.rs
+++ b/crates/replicated-register/src/disk_records.rs
@@ -1,5 +1,5 @@
-//! Records on disk: one for each register, and one for the replica's metadata. Each has a version and a checksum; records of an
-//! earlier incarnation are of no use.
+//! Encoding of the records on disk: one for each register and one for the replica's metadata. Each record starts with a version
+//! byte and ends with a CRC-32 checksum. Records that an earlier incarnation wrote are stale.
 
 use std::collections::BTreeMap;
 
@@ -10,60 +10,63 @@
 use crate::recovery::{Completeness, Incarnation};
 use crate::register::{Acceptor, RegisterKey};
 
-/// Version of the encoding: the first byte of each record.
+/// Version of the record encoding, the first byte of each record.
 const RECORD_VERSION: u8 = 1;
-/// Name of the metadata's record.
+/// Name of the record with the replica's metadata.
 const METADATA_NAME: &[u8] = b"m";
-/// First byte of the name of a register's record; its key follows.
+/// First byte of the name of a register's record. The 16 bytes of the register's key follow it.
 const REGISTER_PREFIX: u8 = b'r';
 
-/// What a replica remembers beside its registers.
+/// What a replica stores in addition to its registers.
 #[derive(Serialize, Deserialize)]
 pub struct ReplicaMetadata {
     /// Number of the current incarnation.
     pub incarnation: u64,
-    /// How much of what it once held it holds.
+    /// Whether the replica still holds all registers that it once held.
     pub completeness: Completeness,
-    /// Changes of the current incarnation.
+    /// Number of changes in the current incarnation.
     pub count: u64,
     /// The latest known incarnation of each other member.
     pub incarnations: BTreeMap<NameKey, Incarnation>,
 }
 
+/// Content of the record of one register.
 #[derive(Serialize, Deserialize)]
 struct RegisterRecord {
+    /// Number of the incarnation that wrote the record.
     incarnation: u64,
+    /// Number of changes in that incarnation when the record was written.
     count: u64,
     acceptor: Acceptor,
 }
 
-/// A record as it is stored.
+/// An encoded record.
 pub struct DiskRecord {
-    /// Its name.
+    /// Name of the record, unique on the disk of a replica.
     pub name: Vec<u8>,
-    /// Its content.
+    /// Encoded content, with version byte and checksum.
     pub bytes: Vec<u8>,
 }
 
-/// What was on disk.
+/// State that was found on disk at the start.
 pub enum StoredState {
-    /// Nothing.
+    /// There are no records on disk.
     Empty,
-    /// Something that is not what was written.
+    /// The metadata are missing, or the name, checksum or content of a record is invalid.
     Corrupt,
-    /// All that was written.
+    /// All records are valid.
     Intact {
-        /// The metadata; its count of changes is the highest of all records.
+        /// The metadata, with `count` raised to the highest number of changes in any record of the current incarnation.
         metadata: ReplicaMetadata,
-        /// The registers of the current incarnation.
+        /// The registers whose records the current incarnation wrote.
         registers: Vec<(RegisterKey, Acceptor)>,
-        /// Names of records of an earlier incarnation.
+        /// Names of records that an earlier incarnation wrote.
         stale: Vec<Vec<u8>>,
     },
 }
 
 fn encode(record: &impl Serialize) -> Vec<u8> {
-    // Plain data cannot fail to be encoded; an empty record would be found corrupt.
+    // Encoding plain data into a vector cannot fail. An empty record would be reported as corrupt when it is read.
     let mut bytes = postcard::to_extend(record, vec![RECORD_VERSION]).unwrap_or_default();
     let sum = crc32fast::hash(&bytes);
     bytes.extend(sum.to_le_bytes());
@@ -77,7 +80,7 @@
     is_intact.then(|| postcard::from_bytes(rest).ok()).flatten()
 }
 
-/// Record of the metadata.
+/// Encodes the record of the metadata.
 pub fn metadata(metadata: &ReplicaMetadata) -> DiskRecord {
     DiskRecord {
         name: METADATA_NAME.to_vec(),
@@ -85,12 +88,12 @@
     }
 }
 
-/// Name of a register's record.
+/// Returns the name of a register's record.
 pub fn name(key: RegisterKey) -> Vec<u8> {
     [&[REGISTER_PREFIX][..], &key.0].concat()
 }
 
-/// Record of a register, with the incarnation that writes it and its changes so far.
+/// Encodes the record of a register. `incarnation` is the one that writes it, `count` the number of its changes so far.
 pub fn register(key: RegisterKey, incarnation: u64, count: u64, acceptor: &Acceptor) -> DiskRecord {
     let record = RegisterRecord {
         incarnation,
@@ -103,14 +106,14 @@
     }
 }
 
-/// The key in the name of a register's record.
+/// Parses the register's key from the name of a record; `None` if it is not the name of a register's record.
 fn key_of(name: &[u8]) -> Option<RegisterKey> {
     let (prefix, key) = name.split_first()?;
     let key = <[u8; 16]>::try_from(key).ok()?;
     (*prefix == REGISTER_PREFIX).then_some(RegisterKey(key))
 }
 
-/// Decodes what was on disk.
+/// Decodes the records that were found on disk.
 pub fn open(found: StoredEntries) -> StoredState {
     if found.is_empty() {
         return StoredState::Empty;
@@ -118,7 +121,7 @@
     open_records(found).unwrap_or(StoredState::Corrupt)
 }
 
-/// None where any record is corrupt.
+/// Decodes the records that were found on disk; returns `None` if the metadata are missing or any record is corrupt.
 fn open_records(found: StoredEntries) -> Option<StoredState> {
     let (_, bytes) = found.iter().find(|(name, _)| name == METADATA_NAME)?;
     let mut metadata: ReplicaMetadata = decode(bytes)?;
--- a/crates/replicated-register/src/error.rs
+++ b/crates/replicated-register/src/error.rs
@@ -1,64 +1,67 @@
-//! Errors of calls and messages, and what an operator can do about each.
+//! Errors of register calls and messages, each with advice for operators.
 
 use bitternlatch_quota_lease::StorageError;
 
 use crate::Version;
 
-/// Why a call failed, or a message was dropped. Each error of a call states whether the value may have been written.
+/// Why a call failed or a received message was dropped. The documentation of each call error states whether the value may have been
+/// written all the same.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RegisterError {
-    /// The message cannot be decoded.
-    #[error("not a message about registers")]
+    /// A received message cannot be decoded.
+    #[error("malformed register message")]
     Malformed,
-    /// The message is of this version.
-    #[error("a message of another version: {0}")]
+    /// A received message has this protocol version, which is not supported.
+    #[error("unsupported version of the register protocol: {0}")]
     UnsupportedVersion(u8),
-    /// Certainly not written.
-    #[error("the register holds another version")]
+    /// The register has another version than the call expected. The value was not written.
+    #[error("the register has another version than expected")]
     Conflict {
-        /// The version that it holds; none where it holds no value.
+        /// Version of the current value; `None` if the register has no value.
         latest: Option<Version>,
     },
-    /// Certainly not written.
-    #[error("the register is at epoch {epoch} already")]
+    /// The epoch of the write is below that of the register. The value was not written.
+    #[error("the register already has epoch {epoch}")]
     StaleEpoch {
-        /// Epoch of the latest version.
+        /// Epoch of the register's latest version.
         epoch: u64,
     },
-    /// Certainly not written.
+    /// Fewer than a majority of the replicas responded or are reachable. The value was not written.
     #[error("a majority of the replicas cannot be reached")]
     NoMajority,
-    /// Certainly not written.
+    /// Too few replicas count toward a majority until others have caught up. The value was not written.
     #[error("too many replicas are still catching up")]
     CatchingUp,
-    /// Certainly not written.
+    /// A majority of the replicas has lost its state. The value was not written.
     #[error(
-        "a majority of the replicas has lost what it held; what the register held cannot be known"
+        "a majority of the replicas has lost its state; the value of the register cannot be determined"
     )]
     Lost,
-    /// May or may not be written, as with [`RegisterError::TimedOut`].
+    /// The disks of too many replicas are full or faulty. The value may or may not have been written, as with
+    /// [`RegisterError::TimedOut`].
     #[error("a majority of the replicas cannot store it: {0}")]
     NotStored(StorageError),
-    /// Certainly not written.
-    #[error("a value of {bytes} bytes is longer than {max}")]
+    /// The value exceeds the maximum length. The value was not written.
+    #[error("the value has {bytes} bytes; at most {max} are allowed")]
     TooLong {
-        /// Length of the value.
+        /// Length of the value in bytes.
         bytes: usize,
-        /// Length that is allowed.
+        /// Maximum length of a value in bytes.
         max: usize,
     },
-    /// Certainly not written.
+    /// This process has too many calls in progress or queued, or the call did not leave its queue in time. The value was not
+    /// written.
     #[error("too many calls in progress")]
     Busy,
-    /// May or may not be written.
-    #[error("too many registers at a majority of the replicas")]
+    /// Too many replicas have reached their limit of registers or bytes. The value may or may not have been written.
+    #[error("too many registers or bytes at a majority of the replicas")]
     Full,
-    /// May or may not be written.
-    #[error("no majority answered in time; whether it is written is not known")]
+    /// No majority responded by the deadline. The value may or may not have been written.
+    #[error("no majority responded in time; whether the value was written is not known")]
     TimedOut,
 }
 
-/// By the variant alone: equal errors have the same hash, which is all that `Hash` requires.
+/// Hashes the variant only. Equal errors have equal hashes, as `Hash` requires.
 impl std::hash::Hash for RegisterError {
     fn hash<H: std::hash::Hasher>(&self, state: &mut H) {
         std::mem::discriminant(self).hash(state);
@@ -66,38 +69,38 @@
 }
 
 impl RegisterError {
-    /// What an operator can do.
+    /// Advice for the operator that is logged with the error.
     pub fn advice(&self) -> &'static str {
         match self {
             RegisterError::Malformed => {
-                "find out who sends it: the link is authenticated, so it is one of the roster"
+                "find the sender of the message: connections are authenticated, so it is a member of the roster"
             }
             RegisterError::UnsupportedVersion(_) => {
-                "bring all dispatchers to one version; until then each counts the others it can read"
+                "run one version on all dispatchers; until then messages of other versions are dropped and counted"
             }
             RegisterError::Conflict { .. } => {
-                "nothing: another one wrote first; the caller reads and decides anew"
+                "nothing: another writer was first; the caller reads the register and decides again"
             }
             RegisterError::StaleEpoch { .. } => {
-                "nothing: another one has taken over; the caller has to stop"
+                "nothing: another writer has taken over under a higher epoch; the caller has to stop"
             }
             RegisterError::NoMajority => {
-                "look at the view of members for who is away, and at the network between them"
+                "check the membership view for unreachable members, and the network between the members"
             }
             RegisterError::CatchingUp => {
-                "wait some seconds; if it stays so, start the replicas that are away, as those that lost their memory need \
-                 them"
+                "wait some seconds; if it persists, start the replicas that are down: replicas that lost their state need \
+                 them to catch up"
             }
             RegisterError::Lost => {
-                "start the lost replicas with the folders they had, if there are any; otherwise a person has to decide what \
-                 was done"
+                "start the lost replicas with their former data folders, if these still exist; otherwise determine by hand \
+                 what was done"
             }
             RegisterError::NotStored(fault) => fault.advice(),
-            RegisterError::TooLong { .. } => "lower the limit of bytes of whoever writes it",
-            RegisterError::Busy => "give callers less at a time, or more dispatchers",
-            RegisterError::Full => "let finished work be deleted, or run more dispatchers",
+            RegisterError::TooLong { .. } => "lower the size limit at the writer of the value",
+            RegisterError::Busy => "reduce the concurrency of the callers, or run more dispatchers",
+            RegisterError::Full => "delete finished work, or run more dispatchers",
             RegisterError::TimedOut => {
-                "nothing: the caller reads the register, which tells whether it was written"
+                "nothing: the caller reads the register, which shows whether the value was written"
             }
         }
     }
--- a/crates/replicated-register/src/error/tests.rs
+++ b/crates/replicated-register/src/error/tests.rs
@@ -34,12 +34,12 @@
         Event::MajorityLost,
         Event::UnsupportedVersion(by),
     ];
-    let message = errors.iter().map(|e| (e.to_string(), e.advice()));
-    let announced = events.iter().map(|e| (e.to_string(), e.advice()));
-    let words: std::collections::BTreeSet<String> = message
-        .chain(announced)
+    let error_texts = errors.iter().map(|e| (e.to_string(), e.advice()));
+    let event_texts = events.iter().map(|e| (e.to_string(), e.advice()));
+    let distinct_texts: std::collections::BTreeSet<String> = error_texts
+        .chain(event_texts)
         .inspect(|(_, advice)| assert!(advice.len() >= 7))
         .map(|(text, _)| text)
         .collect();
-    assert_eq!(words.len(), errors.len() + events.len());
+    assert_eq!(distinct_texts.len(), errors.len() + events.len());
 }
--- a/crates/replicated-register/src/golden.rs
+++ b/crates/replicated-register/src/golden.rs
@@ -229,7 +229,7 @@
         let Ok(Message::StateChunk(chunk)) = Message::decode(&bytes(line[1])) else {
             continue;
         };
-        let registers = chunk.open().expect("the checksum is right");
+        let registers = chunk.decode_items().expect("the checksum matches");
         assert_eq!(
             registers,
             [
--- a/crates/replicated-register/src/ids.rs
+++ b/crates/replicated-register/src/ids.rs
@@ -1,11 +1,12 @@
-//! Ballots and versions of one process, none of which is ever used twice.
+//! Allocation of ballots and versions that are unique across all processes.
 
 use bitternlatch_membership::NameKey;
 use bitternlatch_quota_lease::Process;
 
 use crate::register::{Ballot, Version};
 
-/// Allocates ballots and versions. `start` of the process tells them from those of earlier processes under the same name.
+/// Allocates ballots and versions for one process. They contain the process's `start` number, which distinguishes them from those
+/// of earlier processes under the same name.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct IdAllocator {
     name: NameKey,
@@ -15,7 +16,7 @@
 }
 
 impl IdAllocator {
-    /// For one process.
+    /// Creates an allocator for the ballots and versions of process `own`.
     pub fn new(own: Process) -> IdAllocator {
         IdAllocator {
             name: own.name,
@@ -25,7 +26,7 @@
         }
     }
 
-    /// A ballot above all that were allocated or observed.
+    /// Allocates a ballot higher than all ballots that were allocated or observed before.
     pub fn ballot(&mut self) -> Ballot {
         self.round += 1;
         Ballot {
@@ -35,12 +36,12 @@
         }
     }
 
-    /// Another proposer uses this ballot: later ones are above it.
+    /// Records a ballot that another proposer uses, so that ballots allocated later are higher.
     pub fn observe(&mut self, ballot: Ballot) {
         self.round = self.round.max(ballot.round);
     }
 
-    /// A version above the one that it replaces.
+    /// Allocates a version whose count is higher than that of `replaces`, the version that it replaces.
     pub fn version(&mut self, epoch: u64, replaces: Option<Version>) -> Version {
         let last = replaces.map_or(0, |version| version.count);
         self.count = self.count.max(last) + 1;
--- a/crates/replicated-register/src/io.rs
+++ b/crates/replicated-register/src/io.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of the machine. Times are of the process's own clock.
+//! Inputs and outputs of the state machine, its settings and its log events. All times are readings of the process's own clock.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 
 use crate::{RegisterError, RegisterKey, Version};
 
-/// The caller's number for one call; never reused within a run.
+/// Identifies one call. The caller allocates it and never reuses it within the lifetime of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Settings, the same at all members.
+/// Settings of a replica, which have to be the same at all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Replicas of a register; all members of the roster where it has fewer.
+    /// Number of replicas of each register. If the roster has fewer members, each register has a replica at all of them.
     pub replicas: usize,
-    /// Whether there is a disk. Without one a replica lasts as long as its process.
+    /// Whether records are stored on disk. Without a disk the state of a replica ends with its process.
     pub durable: bool,
 }
 
@@ -29,59 +29,60 @@
     }
 }
 
-/// What the machine is given.
+/// An input of [`Replica::step`](crate::Replica::step).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// The time alone.
+    /// Nothing but the passing of time.
     Wake,
-    /// A frame of another member's replica; its sender is authenticated.
+    /// A frame from another member's replica. The caller has authenticated its sender.
     Frame {
-        /// Its sender.
+        /// Process that sent the frame.
         from: Process,
         /// The encoded message.
         payload: Vec<u8>,
     },
-    /// The members that are reachable.
+    /// The members that are reachable, as reported by membership.
     Peers(Peers),
-    /// All that was on disk at the start; the first input where there is a disk.
+    /// All records that were on disk at the start. Has to be the first input if [`Settings::durable`] is set.
     Loaded(Result<StoredEntries, StorageError>),
-    /// A write to disk has ended.
+    /// A write to disk has completed or failed.
     Stored {
-        /// Of [`Output::Store`].
+        /// Ticket of the [`Output::Store`] that requested the write.
         ticket: u64,
-        /// Whether it is on disk.
+        /// `Ok` if the write is durable.
         result: Result<(), StorageError>,
     },
-    /// Reads a register. Answered by [`Output::Read`] at `deadline` at the latest.
+    /// Reads a register. Answered by [`Output::Read`], at `deadline` at the latest.
     Read {
-        /// The caller's number.
+        /// Identifies the call.
         call: CallId,
-        /// The register.
+        /// Key of the register.
         key: RegisterKey,
         /// The call's deadline.
         deadline: Duration,
     },
-    /// Writes a register if the latest version that a majority holds is the expected one (compare-and-set). Answered by
-    /// [`Output::Written`].
+    /// Writes a register if its latest version is the expected one (compare-and-set). Answered by [`Output::Written`], at
+    /// `deadline` at the latest.
     Write {
-        /// The caller's number.
+        /// Identifies the call.
         call: CallId,
-        /// The register.
+        /// Key of the register.
         key: RegisterKey,
-        /// The expected version; none where there is no value yet.
+        /// The expected version; `None` if the register is expected to have no value.
         expected: Option<Version>,
-        /// Epoch of the new version; not below the one of the value that it replaces.
+        /// Epoch of the new version. The write fails if it is below the epoch of the version that it replaces.
         epoch: u64,
         /// The new value.
         value: Vec<u8>,
         /// The call's deadline.
         deadline: Duration,
     },
-    /// Deletes a register at all replicas. Answered by [`Output::Written`] with the version of the tombstone.
+    /// Deletes a register if its latest version is the expected one. Answered by [`Output::Written`] with the version of the
+    /// tombstone, at `deadline` at the latest.
     Delete {
-        /// The caller's number.
+        /// Identifies the call.
         call: CallId,
-        /// The register.
+        /// Key of the register.
         key: RegisterKey,
         /// The expected version.
         expected: Version,
@@ -90,112 +91,117 @@
     },
 }
 
-/// What the machine wants done.
+/// An output of [`Replica::step`](crate::Replica::step), which the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a frame to another member's replica.
+    /// Send this frame to the replica at another member.
     Send(NameKey, Vec<u8>),
-    /// Store a record, or remove it; answered by [`Input::Stored`]. Those of one step become durable together or not at all.
+    /// Store or remove a record on disk; to be answered by [`Input::Stored`]. The writes of one step have to become durable
+    /// together or not at all.
     Store {
-        /// Number of the write.
+        /// Identifies the write.
         ticket: u64,
         /// Name of the record.
         name: Vec<u8>,
-        /// Its content; none removes it.
+        /// Content of the record; `None` removes the record.
         bytes: Option<Vec<u8>>,
     },
     /// Answers [`Input::Read`].
     Read {
-        /// The caller's number.
+        /// Identifies the call.
         call: CallId,
-        /// Version and value; none where there is no value.
+        /// Version and value; `None` if the register has no value.
         result: Result<Option<(Version, Vec<u8>)>, RegisterError>,
     },
     /// Answers [`Input::Write`] and [`Input::Delete`].
     Written {
-        /// The caller's number.
+        /// Identifies the call.
         call: CallId,
-        /// The version that was written.
+        /// Version that the call wrote.
         result: Result<Version, RegisterError>,
     },
-    /// For the log.
+    /// An event to log.
     Event(Event),
 }
 
-/// What is logged.
+/// An event that is logged for operators.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Event {
-    /// The replica counts in majorities from now on.
+    /// This replica has caught up and counts toward majorities from now on.
     #[error("this replica has caught up: {registers} registers, {fetched} of them fetched")]
     CaughtUp {
-        /// Registers that it holds.
+        /// Number of registers that the replica holds.
         registers: usize,
-        /// Registers that were fetched from other replicas.
+        /// Number of changes to registers by state transfer from other replicas.
         fetched: u64,
     },
-    /// The disk holds an earlier state than this replica had.
-    #[error(
-        "{by:?} knows later writes of this replica than its own disk: the disk is an older one"
-    )]
+    /// The disk of this replica was set back: it lacks changes that the replica reported before.
+    #[error("the disk of this replica holds an older state: {by:?} knows of later changes")]
     OlderDisk {
-        /// Member that knows it.
+        /// Member that reported it.
         by: NameKey,
     },
-    /// The disk is empty, and this replica held something before.
-    #[error("{by:?} knows an earlier incarnation of this replica, of which there is nothing here")]
+    /// This replica started without stored state, but another member knows an earlier incarnation of it.
+    #[error(
+        "the disk of this replica is empty, but {by:?} knows an earlier incarnation of the replica"
+    )]
     DiskErased {
-        /// Member that knows it.
+        /// Member that reported it.
         by: NameKey,
     },
-    /// The records on disk are not those that were written.
+    /// Records on the disk of this replica are missing or corrupt.
     #[error(
-        "what is on disk of this replica is corrupt; it is fetched anew from the other replicas"
+        "the records of this replica on disk are corrupt; its state is fetched from the other replicas"
     )]
     DiskCorrupt,
-    /// The disk cannot be read or written.
-    #[error("this replica cannot store what it accepts: {0}")]
+    /// The disk of this replica cannot be read or written.
+    #[error("this replica cannot store its state: {0}")]
     DiskFault(StorageError),
-    /// The disk can be written again.
-    #[error("this replica stores what it accepts again")]
+    /// A write to the disk of this replica has succeeded after a fault.
+    #[error("this replica can store its state again")]
     DiskRecovered,
-    /// Another member's replica has lost what it held.
-    #[error("the replica at {0:?} has lost what it held")]
+    /// The replica at this other member has lost its state.
+    #[error("the replica at {0:?} has lost its state")]
     ReplicaLost(NameKey),
-    /// Registers are lost for good.
-    #[error("a majority of the replicas of some registers has lost what it held")]
+    /// Some registers cannot be recovered, as a majority of their replicas has lost its state.
+    #[error("a majority of the replicas of some registers has lost its state")]
     MajorityLost,
-    /// Another member uses another version of the protocol.
-    #[error("{0:?} uses another version of the register protocol; its messages are dropped")]
+    /// This other member uses an unsupported version of the register protocol.
+    #[error(
+        "{0:?} uses an unsupported version of the register protocol; its messages are dropped"
+    )]
     UnsupportedVersion(NameKey),
 }
 
 impl Event {
-    /// What an operator can do.
+    /// Advice for the operator that is logged with the event.
     pub fn advice(&self) -> &'static str {
         match self {
-            Event::CaughtUp { .. } => "nothing: it counts in majorities from now on",
+            Event::CaughtUp { .. } => "nothing: the replica counts toward majorities from now on",
             Event::OlderDisk { .. } => {
-                "nothing at once, it is fetched anew; find out who set the folder back, as two at a time lose registers"
+                "nothing urgent: the state is fetched from the other replicas; find out why the data folder was set back, as \
+                 registers are lost if it happens at two members at a time"
             }
             Event::DiskErased { .. } => {
-                "nothing at once, it is fetched anew; name a folder that outlives the process under 'kept', and restart \
-                 one process at a time"
+                "nothing urgent: the state is fetched from the other replicas; name a folder that outlives the process under \
+                 'kept', and restart one process at a time"
             }
             Event::DiskCorrupt => {
-                "look at the disk; it is fetched anew, and two at a time lose registers"
+                "check the disk; the state is fetched from the other replicas, and registers are lost if it happens at two \
+                 members at a time"
             }
             Event::DiskFault(fault) => fault.advice(),
             Event::DiskRecovered => "nothing",
-            Event::ReplicaLost(_) => "keep the others up until that one has caught up",
+            Event::ReplicaLost(_) => "keep the other replicas running until that replica has caught up",
             Event::MajorityLost => {
-                "start the lost replicas with the folders they had, if there are any; otherwise what those registers held \
-                 has to be decided by a person, and they serve again after a day"
+                "start the lost replicas with their former data folders, if these still exist; otherwise determine by hand \
+                 what those registers held; they can be used again after a day"
             }
-            Event::UnsupportedVersion(_) => "bring all dispatchers to one version",
+            Event::UnsupportedVersion(_) => "run one version on all dispatchers",
         }
     }
 
-    /// Whether an operator should look.
+    /// Whether the event is logged as a warning, because an operator should look at it.
     pub fn is_warning(&self) -> bool {
         !matches!(self, Event::CaughtUp { .. } | Event::DiskRecovered)
     }
--- a/crates/replicated-register/src/lib.rs
+++ b/crates/replicated-register/src/lib.rs
@@ -1,10 +1,11 @@
-//! Registers that are replicated on a few members and changed by compare-and-set, without input or output: messages, times, the
-//! disk's answers and a seed go in; messages, records to store and answers come out.
+//! Registers that are replicated on a few members and changed by compare-and-set. The crate is a deterministic state machine that
+//! performs no I/O: its inputs are messages, the current time, results of disk writes and a seed; its outputs are messages,
+//! records to store and results of calls.
 //!
 //! - `register`: one replica of one register, an acceptor whose value may change (CASPaxos: Rystsov, 2018).
-//! - `proposal`: one call, the rounds of a proposer.
-//! - `recovery`: how far a replica's memory can be trusted, and so whether it counts in a majority.
-//! - [`Replica`]: one member's replicas and calls.
+//! - `proposal`: one call and the message rounds of its proposer.
+//! - `recovery`: how complete a replica's state is after a restart, and so whether it counts toward a majority.
+//! - [`Replica`]: all replicas that one member holds, and the calls that it makes.
 
 mod disk_records;
 mod error;
@@ -31,5 +32,5 @@
     MAX_REGISTERS, MAX_STORED_BYTES, TOMBSTONE_RETENTION, UNSETTLED_TOMBSTONE_RETENTION,
 };
 
-/// Bytes of a value at most: with all that goes with it, it fits into one frame.
+/// Maximum length of a value in bytes. A message that carries such a value still fits into one network frame.
 pub const MAX_VALUE_BYTES: usize = 48 * 1024;
--- a/crates/replicated-register/src/message.rs
+++ b/crates/replicated-register/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between replicas: a version byte, then the message by postcard.
+//! Messages between replicas. A frame consists of a version byte and the message in the postcard encoding.
 
 use bitternlatch_membership::NameKey;
 use serde::{Deserialize, Serialize};
@@ -7,41 +7,42 @@
 use crate::register::{Accepted, Acceptor, Ballot, RegisterKey, State, Version};
 use crate::RegisterError;
 
-/// Version of the messages; those of another version are dropped and counted.
+/// Version of the message encoding. Messages of another version are dropped and counted.
 pub const MESSAGE_VERSION: u8 = 1;
-/// Rounds and counts from here on are invalid: no process gets there by counting.
+/// Exclusive upper bound of valid ballot rounds and version counts. They rise by one at a time, so no correct process reaches it;
+/// the bound keeps a malformed message from raising them to the point of overflow.
 const MAX_NUMBER: u64 = 1 << 62;
 
-/// The memory that a response rests on.
+/// The replica state on which a response is based.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Provenance {
-    /// The sender's incarnation.
+    /// Number of the sender's incarnation.
     pub incarnation: u64,
-    /// Its changes that are durable.
+    /// Number of durable changes that the sender made in its incarnation.
     pub count: u64,
-    /// Incarnations that it knows of the register's other replicas.
+    /// The latest incarnation of each other replica of the register, as far as the sender knows; 0 if it knows none.
     pub incarnations: Vec<(NameKey, u64)>,
 }
 
 /// Why a replica rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// It has promised this higher ballot.
+    /// The replica has promised this higher ballot.
     HigherBallot(Ballot),
-    /// It does not count for the register yet.
+    /// The replica has restarted and does not count toward a majority of the register yet.
     CatchingUp,
     /// A majority of the replicas has lost the register.
     Lost,
-    /// It holds too many registers or bytes.
+    /// The replica has reached its limit of registers or bytes.
     Full,
-    /// Its disk is full.
+    /// The disk of the replica is full.
     DiskFull,
-    /// Its disk fails.
+    /// The disk of the replica cannot be read or written.
     DiskFault,
 }
 
 impl RejectReason {
-    /// Whether the same request will be rejected again soon.
+    /// Whether the replica would reject the same request again if it were retried soon.
     pub fn is_permanent(&self) -> bool {
         match self {
             RejectReason::Lost
@@ -53,131 +54,132 @@
     }
 }
 
-/// Identifies one transfer of all that another replica holds, by the receiver's process and a number of its own.
+/// Identifies one state transfer, by the process that receives the state and a number that this process allocated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferSession {
-    /// Start number of the receiver's process.
+    /// Start number of the process that receives the state.
     pub start: u64,
-    /// Number of the transfer at that process.
+    /// Number of the transfer, unique within the receiving process.
     pub number: u64,
 }
 
-/// A part of what a replica holds, in the order of keys.
+/// A chunk of a state transfer: some of the registers that a replica holds, in the order of keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateChunk {
-    /// The transfer.
+    /// The transfer that the chunk belongs to.
     pub session: TransferSession,
-    /// The request: registers after this key.
+    /// Key after which the chunk starts, as requested; `None` for the first chunk.
     pub after: Option<RegisterKey>,
-    /// The last key that was looked at; none at the end.
+    /// Last key that the sender scanned for the chunk; `None` if the chunk is the last one.
     pub up_to: Option<RegisterKey>,
-    /// How much of what it once held the sender holds.
+    /// Whether the sender still holds all registers that it once held.
     pub completeness: Completeness,
     /// Members that the sender has not caught up with.
     pub missing: Vec<NameKey>,
-    /// Incarnations that the sender knows.
+    /// The latest incarnation of each member that the sender knows.
     pub incarnations: Vec<(NameKey, Incarnation)>,
-    /// Pairs of key and acceptor, by postcard.
+    /// Pairs of register key and acceptor in the postcard encoding.
     pub items: Vec<u8>,
-    /// CRC-32 of the items.
+    /// CRC-32 checksum of `items`.
     pub sum: u32,
 }
 
 /// A message from one replica to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for what was accepted, without a promise.
+    /// Asks a replica for the state that it has accepted, without a promise.
     Read {
-        /// The register.
+        /// Key of the register.
         key: RegisterKey,
-        /// Identifies the request.
+        /// Ballot that identifies the request and is not promised.
         ballot: Ballot,
     },
-    /// Asks for a promise to accept nothing below the ballot.
+    /// Asks a replica to promise that it accepts nothing below the ballot.
     Prepare {
-        /// The register.
+        /// Key of the register.
         key: RegisterKey,
-        /// The ballot.
+        /// The ballot to promise.
         ballot: Ballot,
     },
-    /// Asks to accept a state.
+    /// Asks a replica to accept a state.
     Accept {
-        /// The register.
+        /// Key of the register.
         key: RegisterKey,
-        /// The ballot.
+        /// The ballot under which the state is proposed.
         ballot: Ballot,
-        /// The state.
+        /// The proposed state.
         state: State,
     },
     /// Answers [`Message::Read`] and [`Message::Prepare`].
     Promise {
-        /// The register.
+        /// Key of the register.
         key: RegisterKey,
-        /// The request's ballot.
+        /// Ballot of the request that is answered.
         ballot: Ballot,
-        /// What the answer rests on.
+        /// The replica state on which the answer is based.
         provenance: Provenance,
-        /// What the replica has accepted last.
+        /// The state that the replica accepted last, if any.
         accepted: Option<Accepted>,
     },
     /// Answers [`Message::Accept`].
     Accepted {
-        /// The register.
+        /// Key of the register.
         key: RegisterKey,
-        /// The request's ballot.
+        /// Ballot of the request that is answered.
         ballot: Ballot,
-        /// What the answer rests on.
+        /// The replica state on which the answer is based.
         provenance: Provenance,
     },
-    /// Answers a request that the replica does not do.
+    /// Answers a request that the replica rejects.
     Rejected {
-        /// The register.
+        /// Key of the register.
         key: RegisterKey,
-        /// The request's ballot.
+        /// Ballot of the request that is answered.
         ballot: Ballot,
-        /// Why not.
+        /// Why the request is rejected.
         reason: RejectReason,
     },
-    /// All replicas hold this tombstone.
+    /// Reports that all replicas hold this tombstone, so that the receiver may forget it soon.
     Forget {
-        /// The register.
+        /// Key of the register.
         key: RegisterKey,
-        /// The tombstone's version.
+        /// Version of the tombstone.
         version: Version,
     },
-    /// Asks for the registers that both members hold.
+    /// Asks for a chunk of the registers that both the sender and the receiver of this message hold.
     FetchState {
-        /// The transfer.
+        /// The transfer that the request belongs to.
         session: TransferSession,
-        /// The sender's incarnation.
+        /// Number of the sender's incarnation.
         incarnation: u64,
-        /// Its changes that are durable.
+        /// Number of durable changes that the sender made in its incarnation.
         count: u64,
-        /// Registers after this key.
+        /// Key after which the requested chunk starts; `None` for the first chunk.
         after: Option<RegisterKey>,
     },
     /// Answers [`Message::FetchState`].
     StateChunk(Box<StateChunk>),
-    /// Reports the sender's memory, for others to remember.
+    /// Reports the sender's incarnation and number of changes. The receiver remembers them, so that it can notify a sender that
+    /// later restarts with less.
     Heartbeat {
-        /// Its incarnation.
+        /// Number of the sender's incarnation.
         incarnation: u64,
-        /// Its changes that are durable.
+        /// Number of durable changes that the sender made in its incarnation.
         count: u64,
     },
 }
 
 impl Message {
-    /// As a frame carries it.
+    /// Encodes the message as the payload of a frame.
     pub fn encode(&self) -> Vec<u8> {
-        // A message of plain data cannot fail to be encoded; an empty frame would be dropped by its receiver.
+        // Encoding plain data into a vector cannot fail. An empty frame would be dropped by its receiver.
         postcard::to_extend(self, vec![MESSAGE_VERSION]).unwrap_or_default()
     }
 
-    /// Decodes a frame.
+    /// Decodes the payload of a frame.
     ///
-    /// # Errors
-    /// [`RegisterError::UnsupportedVersion`], or [`RegisterError::Malformed`] where it is no valid message.
+    /// # Errors [`RegisterError::UnsupportedVersion`] if the version byte differs, [`RegisterError::Malformed`] if the payload is
+    /// not a valid message.
     pub fn decode(bytes: &[u8]) -> Result<Message, RegisterError> {
         match bytes.split_first() {
             Some((&MESSAGE_VERSION, rest)) => {
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Whether numbers and values are within their bounds.
+    /// Whether ballot rounds, version counts and value lengths are within their bounds.
     fn is_valid(&self) -> bool {
         match self {
             Message::Read { ballot, .. }
@@ -224,8 +226,8 @@
 }
 
 fn is_valid_state(state: &State) -> bool {
-    let is_short = |body: &Vec<u8>| body.len() <= crate::MAX_VALUE_BYTES;
-    state.version.count < MAX_NUMBER && state.body.as_ref().is_none_or(is_short)
+    let is_within_limit = |body: &Vec<u8>| body.len() <= crate::MAX_VALUE_BYTES;
+    state.version.count < MAX_NUMBER && state.body.as_ref().is_none_or(is_within_limit)
 }
 
 fn is_valid_accepted(accepted: &Accepted) -> bool {
@@ -233,8 +235,8 @@
 }
 
 impl StateChunk {
-    /// The registers in it; none where the checksum is wrong.
-    pub fn open(&self) -> Option<Vec<(RegisterKey, Acceptor)>> {
+    /// Decodes the registers of the chunk. Returns `None` if the checksum does not match or the items cannot be decoded.
+    pub fn decode_items(&self) -> Option<Vec<(RegisterKey, Acceptor)>> {
         if crc32fast::hash(&self.items) != self.sum {
             return None;
         }
--- a/crates/replicated-register/src/message/tests.rs
+++ b/crates/replicated-register/src/message/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 use proptest::prelude::*;
 
-fn ballots() -> impl Strategy<Value = Ballot> {
-    (0..1u64 << 62, any::<u32>(), any::<u64>()).prop_map(|(round, by, start)| Ballot {
+fn any_ballot() -> impl Strategy<Value = Ballot> {
+    (0..1u64 << 62, any::<u32>(), any::<u64>()).prop_map(|(round, proposer, start)| Ballot {
         round,
-        proposer: NameKey(by),
+        proposer: NameKey(proposer),
         start,
     })
 }
 
-fn states() -> impl Strategy<Value = State> {
+fn any_state() -> impl Strategy<Value = State> {
     let version = (any::<u64>(), 0..1u64 << 62, any::<u32>(), any::<u64>());
     let body = proptest::option::of(proptest::collection::vec(any::<u8>(), 0..300));
     (version, body).prop_map(|((epoch, count, writer, start), body)| {
@@ -27,10 +27,10 @@
     })
 }
 
-fn message() -> impl Strategy<Value = Message> {
+fn any_message() -> impl Strategy<Value = Message> {
     let key = any::<[u8; 16]>().prop_map(RegisterKey);
-    (0..8, key, ballots(), states(), any::<u64>()).prop_map(
-        |(completeness, key, ballot, state, n)| {
+    (0..8, key, any_ballot(), any_state(), any::<u64>()).prop_map(
+        |(variant, key, ballot, state, n)| {
             let provenance = Provenance {
                 incarnation: n,
                 count: n / 2,
@@ -40,7 +40,7 @@
                 start: n,
                 number: n / 3,
             };
-            match completeness {
+            match variant {
                 0 => Message::Read { key, ballot },
                 1 => Message::Accept { key, ballot, state },
                 2 => Message::Promise {
@@ -97,16 +97,16 @@
 
 proptest! {
     #[test]
-    fn messages_round_trip_and_bad_bytes_are_rejected(message in message(), cut in 0usize..400, flip in any::<u8>()) {
+    fn messages_round_trip_and_bad_bytes_are_rejected(message in any_message(), position in 0usize..400, flip in any::<u8>()) {
         let bytes = message.encode();
         prop_assert_eq!(Message::decode(&bytes), Ok(message));
-        let mut broken = bytes.clone();
-        let at = cut % bytes.len();
-        broken[at] ^= flip | 1;
+        let mut corrupted = bytes.clone();
+        let at = position % bytes.len();
+        corrupted[at] ^= flip | 1;
         if at == 0 {
-            prop_assert_eq!(Message::decode(&broken), Err(RegisterError::UnsupportedVersion(broken[0])));
-        } else if let Ok(Message::StateChunk(chunk)) = Message::decode(&broken) {
-            prop_assert!(chunk.open().is_none());
+            prop_assert_eq!(Message::decode(&corrupted), Err(RegisterError::UnsupportedVersion(corrupted[0])));
+        } else if let Ok(Message::StateChunk(chunk)) = Message::decode(&corrupted) {
+            prop_assert!(chunk.decode_items().is_none());
         }
         let _ = Message::decode(&bytes[..at]);
     }
--- a/crates/replicated-register/src/model.rs
+++ b/crates/replicated-register/src/model.rs
@@ -1,5 +1,5 @@
-//! Model check by `stateright` of two writers and three replicas of one register, over a network that loses, duplicates and reorders
-//! messages, where one replica may lose its memory and catch up. The transitions are those that run in service.
+//! Model check by `stateright` of two writers and three replicas of one register, over a network that loses, duplicates and
+//! reorders messages, where one replica may lose its memory and catch up. The transitions are those that run in service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/replicated-register/src/placement.rs
+++ b/crates/replicated-register/src/placement.rs
@@ -1,5 +1,5 @@
-//! Which members hold a register: rendezvous hashing (Thaler and Ravishankar, 1998) over the roster, so that nothing moves when
-//! members come and go, and all that share a roster agree without messages.
+//! Placement of registers on members by rendezvous hashing (Thaler and Ravishankar, 1998) over the roster. Registers do not move
+//! when members become unreachable or return, and members with the same roster agree on the placement without messages.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,8 @@
 
 use crate::RegisterKey;
 
-/// The members of the roster with the highest scores for this key, the highest first: `count` of them, or all.
+/// Returns the `count` members of the roster with the highest scores for the key, in descending order of score. Returns the whole
+/// roster if it has fewer members, and at least one member if `count` is 0.
 pub fn replicas(roster: &BTreeSet<NameKey>, count: usize, key: RegisterKey) -> Vec<NameKey> {
     let mut scored: Vec<(u64, NameKey)> = roster
         .iter()
@@ -21,7 +22,7 @@
         .collect()
 }
 
-/// FNV-1a over key and name, mixed at the end as in SplitMix64 (Steele and others, 2014).
+/// FNV-1a hash of key and member name, followed by the output mixing of SplitMix64 (Steele et al., 2014).
 fn score(key: RegisterKey, name: NameKey) -> u64 {
     let bytes = key.0.iter().copied().chain(name.0.to_le_bytes());
     let sum = bytes.fold(0xCBF2_9CE4_8422_2325u64, |sum, b| {
--- a/crates/replicated-register/src/proposal.rs
+++ b/crates/replicated-register/src/proposal.rs
@@ -1,8 +1,9 @@
-//! A proposer's work on one call: the rounds of messages until a majority of the replicas has settled it.
+//! The proposer of one call: the message rounds until a majority of the replicas has accepted its result.
 //!
-//! A read first collects what the replicas have accepted. Where a majority has accepted the same ballot, that is the value, and
-//! nothing is written. Otherwise, and for a write, the proposer prepares a ballot and, with the promises of a majority, has the
-//! value accepted that the operation derives from the latest one. An outcome is reported only for what a majority has accepted.
+//! A read first collects the states that the replicas have accepted. If a majority has accepted the same ballot, its state is the
+//! result and nothing is written. Otherwise, and for every write, the proposer prepares a ballot. With the promises of a majority
+//! it derives a new state from the latest accepted one and asks the replicas to accept it. A result is reported only after a
+//! majority has accepted the state that it is based on.
 
 mod decision;
 mod failure;
@@ -24,66 +25,70 @@
 pub use leader_ballot::LeaderBallot;
 pub use operation::{Operation, Outcome, Write};
 
-/// What the proposer waits for.
+/// Phase of a proposal: what the proposer waits for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// Its backoff, as another proposer may be active.
+    /// Waits for the end of its backoff, or has not been started. A backoff gives way to a competing proposer.
     BackingOff,
-    /// What a majority has accepted.
+    /// Waits for a majority to report the states that they have accepted.
     Reading,
-    /// Promises of a majority.
+    /// Waits for the promises of a majority.
     Preparing,
-    /// Acceptance of a state by a majority, and what is answered then.
+    /// Waits for a majority to accept the state; the call then ends with the outcome.
     Accepting { state: State, outcome: Outcome },
 }
 
-/// What the owner of a proposal has to do next.
+/// What the caller of a proposal's methods has to do next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum NextStep {
-    /// Nothing until the next message or timer.
+    /// Wait for the next message or timer.
     Wait,
-    /// Send the current message to the replicas that have not responded.
+    /// Send the message of the current phase to the replicas that have not responded.
     Send,
-    /// Back off, then start again with a higher ballot.
+    /// Back off, then start the proposal again with a higher ballot.
     Restart,
-    /// Answer the caller; keep the leader ballot for the next write, if there is one.
+    /// Report the outcome to the caller, and remember the leader ballot, if any, for the next write of the register.
     Done(Outcome, Option<LeaderBallot>),
 }
 
-/// A replica's response to the current ballot.
+/// A replica's response to the message of the current phase.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Response {
     provenance: Provenance,
     accepted: Option<Accepted>,
 }
 
-/// One call of one register in progress.
+/// The proposal of one call: a read or write of one register.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposal {
-    /// The caller's number.
+    /// Identifies the call.
     pub call: CallId,
-    /// The register.
+    /// Key of the register.
     pub key: RegisterKey,
-    /// Members that hold the register.
+    /// Members that hold replicas of the register.
     pub replicas: Vec<NameKey>,
-    /// When the caller is answered at the latest.
+    /// Time at which the call fails unless it has completed.
     pub deadline: Duration,
-    /// When the message is sent again, or the backoff ends.
+    /// Time at which the current message is sent again, or the backoff ends.
     pub resume_at: Duration,
-    /// Times that it was started anew.
+    /// Number of times that the proposal was restarted.
     pub attempts: u32,
     operation: Operation,
+    /// Ballot of the current phase.
     ballot: Ballot,
     phase: Phase,
+    /// Responses to the message of the current phase, by replica.
     responses: BTreeMap<NameKey, Response>,
+    /// Rejections of the message of the current phase since it was last sent, by replica.
     rejections: BTreeMap<NameKey, RejectReason>,
-    /// The last rejection for another reason than a competing proposer.
+    /// Reason of the last rejection that was not caused by a competing proposer.
     failure_reason: Option<RejectReason>,
+    /// The write that replicas were asked to accept for this call, if any.
     own_write: Option<OwnWrite>,
 }
 
 impl Proposal {
-    /// A proposal that has not been started.
+    /// Creates a proposal that has not been started.
     pub fn new(
         call: CallId,
         key: RegisterKey,
@@ -114,17 +119,19 @@
         self.operation == Operation::Read
     }
 
-    /// Whether it would read without a ballot of its own, so that a leader ballot is of no use to it.
+    /// Whether the proposal starts with a read round, which needs no promises, so that a leader ballot would be of no use to it.
     pub fn starts_by_reading(&self) -> bool {
         self.is_read() && self.attempts == 0
     }
 
-    /// When its timer is due: at the next send or the end of the backoff, or at the deadline.
+    /// Time at which the proposal's timer is due: when the message is sent again or the backoff ends, but no later than the
+    /// deadline.
     pub fn timer(&self) -> Duration {
         self.resume_at.min(self.deadline)
     }
 
-    /// The tombstone that this proposal had accepted, once its write is settled.
+    /// Ballot and state of the tombstone that this proposal had accepted; `None` if it did not delete the register. To be called
+    /// once a majority has accepted the write.
     pub fn accepted_tombstone(&self) -> Option<(Ballot, State)> {
         match &self.phase {
             Phase::Accepting {
@@ -135,12 +142,12 @@
         }
     }
 
-    /// Replicas that have responded to the current message.
+    /// Replicas that have responded to the message of the current phase.
     pub fn responders(&self) -> impl Iterator<Item = &NameKey> {
         self.responses.keys()
     }
 
-    /// Starts, or starts anew: with one round where a leader ballot fits the operation.
+    /// Starts or restarts the proposal. A write that the leader ballot fits skips the prepare phase.
     pub fn start(&mut self, leader: Option<LeaderBallot>, ids: &mut IdAllocator) {
         self.responses.clear();
         self.rejections.clear();
@@ -155,7 +162,8 @@
         }
     }
 
-    /// Skips the first round under a ballot that is promised already; returns whether the operation allows it.
+    /// Skips the prepare phase, as a majority has already promised the leader ballot. Returns false, and changes nothing, unless
+    /// the operation is a write that has not been proposed yet and whose expected version and epoch fit the latest state.
     fn start_as_leader(&mut self, leader: LeaderBallot, ids: &mut IdAllocator) -> bool {
         let (Operation::Write(write), None) = (&self.operation, self.own_write) else {
             return false;
@@ -184,7 +192,7 @@
         true
     }
 
-    /// The message of the current phase, and the replicas that have not responded to it.
+    /// The message of the current phase and the replicas that have not responded to it; `None` during a backoff.
     pub fn message(&self) -> Option<(Message, Vec<NameKey>)> {
         let (key, ballot) = (self.key, self.ballot);
         let message = match &self.phase {
@@ -206,31 +214,31 @@
         Some((message, receivers))
     }
 
-    /// Whether it waits for the end of its backoff.
+    /// Whether the proposal waits for the end of its backoff, or has not been started.
     pub fn is_backing_off(&self) -> bool {
         self.phase == Phase::BackingOff
     }
 
-    /// Does nothing until a time.
+    /// Begins a backoff until the given time. The owner then restarts the proposal.
     pub fn back_off(&mut self, until: Duration) {
         self.phase = Phase::BackingOff;
         self.resume_at = until;
         self.attempts += 1;
     }
 
-    /// The replicas did not settle it in time.
+    /// Handles the retry timer: the replicas did not complete the phase in time.
     pub fn on_timeout(&mut self) -> NextStep {
-        let outpaced = self.was_outpaced();
+        let preempted = self.was_preempted();
         self.rejections.clear();
         let undecided = self.phase == Phase::Reading && self.has_majority();
-        if outpaced || undecided {
+        if preempted || undecided {
             NextStep::Restart
         } else {
             NextStep::Send
         }
     }
 
-    /// A replica has promised the ballot, or reports what it accepted.
+    /// Handles a replica's promise of the ballot, or its report of the accepted state in a read round.
     pub fn on_promise(
         &mut self,
         from: NameKey,
@@ -239,7 +247,7 @@
         accepted: Option<Accepted>,
         ids: &mut IdAllocator,
     ) -> NextStep {
-        // A late promise says nothing about acceptance, which may go under the same ballot.
+        // The accept phase uses the same ballot as the prepare phase, so a late promise must not be taken for an acceptance.
         if !matches!(self.phase, Phase::Reading | Phase::Preparing) {
             return NextStep::Wait;
         }
@@ -250,7 +258,7 @@
         if !self.record_response(from, ballot, response) {
             return NextStep::Wait;
         }
-        // The next ballot has to be above those that replicas have promised.
+        // Later ballots have to be above those that the replicas promised implicitly when they accepted.
         self.accepted_states()
             .for_each(|accepted| ids.observe(accepted.ballot.next()));
         if !self.has_majority() {
@@ -267,9 +275,9 @@
         self.on_latest(latest.map(|accepted| accepted.state), settled, ids)
     }
 
-    /// A majority has responded to a read, and no ballot has a majority.
+    /// Handles a read round in which a majority has responded but no ballot has been accepted by a majority.
     fn on_undecided_read(&mut self, ids: &mut IdAllocator) -> NextStep {
-        // A response that is still to come may make it a majority.
+        // An outstanding response may complete a majority for a ballot.
         if self.responses.len() + self.rejections.len() < self.replicas.len() {
             return NextStep::Wait;
         }
@@ -278,7 +286,8 @@
         NextStep::Send
     }
 
-    /// The latest state is known: proceeds to have the operation's state accepted, or the latest one where that is not settled.
+    /// Continues once the latest state is known. Proposes the operation's new state if there is one. Otherwise proposes the latest
+    /// state again if no majority is known to have accepted it, or completes the call if one is.
     fn on_latest(
         &mut self,
         latest: Option<State>,
@@ -298,7 +307,7 @@
         NextStep::Send
     }
 
-    /// A replica has accepted the state.
+    /// Handles a replica's acceptance of the proposed state.
     pub fn on_accepted(
         &mut self,
         from: NameKey,
@@ -322,6 +331,7 @@
         NextStep::Done(outcome, Some(LeaderBallot::new(promised, Some(&state))))
     }
 
+    /// Whether a message with this ballot, from this member, answers a proposal that is in progress.
     fn is_current(&self, from: NameKey, ballot: Ballot) -> bool {
         ballot == self.ballot && !self.is_backing_off() && self.replicas.contains(&from)
     }
@@ -336,7 +346,7 @@
             .filter_map(|response| response.accepted.as_ref())
     }
 
-    /// Whether a majority has voted for the latest state, or there is none.
+    /// Whether a majority has voted for the latest state, or the register has no state. Learned states do not count as votes.
     fn is_settled(&self, latest: Option<&Accepted>) -> bool {
         let Some(latest) = latest else {
             return true;
@@ -348,9 +358,9 @@
         votes >= majority(self.replicas.len())
     }
 
-    /// Records a response to the current ballot; returns false for one to another ballot. Responses of an incarnation that has
-    /// ended since, as another replica knows, are discarded: that replica may have caught up from a majority before this state
-    /// was accepted there.
+    /// Records a response to the current ballot; returns false and ignores it if it answers another ballot. Also discards responses
+    /// whose sender's incarnation has ended since, as far as another response shows: the sender may have lost the state that it
+    /// responded for, and may have caught up from replicas that had not accepted it yet.
     fn record_response(&mut self, from: NameKey, ballot: Ballot, response: Response) -> bool {
         if !self.is_current(from, ballot) {
             return false;
--- a/crates/replicated-register/src/proposal/failure.rs
+++ b/crates/replicated-register/src/proposal/failure.rs
@@ -1,4 +1,4 @@
-//! Rejections of a proposal's messages, and the error that they end in.
+//! Handling of rejected messages of a proposal, and the error with which a proposal fails.
 
 use bitternlatch_membership::NameKey;
 use bitternlatch_quota_lease::StorageError;
@@ -11,7 +11,8 @@
 use crate::RegisterError;
 
 impl Proposal {
-    /// A replica has rejected the message.
+    /// Handles a replica's rejection of the current message. Fails the call if permanent rejections rule out a majority, and
+    /// restarts the proposal if rejections because of a competing proposer do.
     pub fn on_rejected(
         &mut self,
         from: NameKey,
@@ -27,21 +28,21 @@
             reason => self.failure_reason = Some(reason),
         }
         self.rejections.insert(from, reason);
-        let dispensable = self.replicas.len() - majority(self.replicas.len());
-        if self.count_rejections(|reason| *reason == RejectReason::Lost) > dispensable {
+        let max_rejections = self.replicas.len() - majority(self.replicas.len());
+        if self.count_rejections(|reason| *reason == RejectReason::Lost) > max_rejections {
             let error = self.unless_written(RegisterError::Lost);
             return NextStep::Done(Outcome::Failed(error), None);
         }
-        if self.count_rejections(RejectReason::is_permanent) > dispensable {
+        if self.count_rejections(RejectReason::is_permanent) > max_rejections {
             return NextStep::Done(Outcome::Failed(self.failure()), None);
         }
-        if self.rejections.len() > dispensable && self.was_outpaced() {
+        if self.rejections.len() > max_rejections && self.was_preempted() {
             return NextStep::Restart;
         }
         NextStep::Wait
     }
 
-    /// The error of a proposal that has not succeeded by its deadline.
+    /// Error of a proposal that cannot succeed or has not succeeded by its deadline.
     pub fn failure(&self) -> RegisterError {
         match self.failure_reason {
             Some(RejectReason::Full) => RegisterError::Full,
@@ -55,7 +56,8 @@
         }
     }
 
-    /// An error that states that nothing is written, replaced where something may be.
+    /// Returns `error`, which states that the value was not written, or [`RegisterError::TimedOut`] if the value may have been
+    /// written.
     pub fn unless_written(&self, error: RegisterError) -> RegisterError {
         match self.own_write {
             None => error,
@@ -63,7 +65,8 @@
         }
     }
 
-    pub(super) fn was_outpaced(&self) -> bool {
+    /// Whether a replica rejected the current message because it had promised a competing proposer's higher ballot.
+    pub(super) fn was_preempted(&self) -> bool {
         self.count_rejections(|reason| matches!(reason, RejectReason::HigherBallot(_))) > 0
     }
 
--- a/crates/replicated-register/src/proposal/leader_ballot.rs
+++ b/crates/replicated-register/src/proposal/leader_ballot.rs
@@ -1,16 +1,16 @@
-//! Ballots that a proposer may use without a round of promises.
+//! Ballots that a proposer may use without a prepare phase.
 
 use crate::register::{Ballot, State, Version};
 
-/// A ballot that a majority has promised to this proposer, with the state that precedes it. While nobody else prepares a higher
-/// ballot, the next write takes one round.
+/// A ballot that a majority has promised to this proposer, with a summary of the state that was accepted before it. While no other
+/// proposer prepares a higher ballot, the next write under it takes one round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaderBallot {
     /// The promised ballot.
     pub ballot: Ballot,
-    /// Version of the state that was accepted last, if any.
+    /// Version of the state that was accepted last; `None` if the register has no state.
     pub latest: Option<Version>,
-    /// Whether that state is a tombstone.
+    /// Whether the state that was accepted last is a tombstone.
     pub tombstone: bool,
 }
 
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Version that callers see.
+    /// Version that is reported to callers; `None` if the register has no value.
     pub(super) fn visible_version(&self) -> Option<Version> {
         self.latest.filter(|_| !self.tombstone)
     }
--- a/crates/replicated-register/src/quorum.rs
+++ b/crates/replicated-register/src/quorum.rs
@@ -1,6 +1,6 @@
-//! Size of a majority.
+//! Size of a majority quorum.
 
-/// Smallest number of so many replicas that is more than half of them.
+/// Smallest number of replicas that is more than half of `replicas`.
 pub fn majority(replicas: usize) -> usize {
     replicas / 2 + 1
 }
--- a/crates/replicated-register/src/recovery.rs
+++ b/crates/replicated-register/src/recovery.rs
@@ -1,9 +1,10 @@
-//! How far a replica's memory can be trusted, and so for which registers it counts: its incarnation, what others know of earlier
-//! ones, and which members it has caught up with.
+//! Recovery of a replica after a restart: detects whether it lost state, tracks which members it has caught up with, and decides
+//! for which registers it counts toward a majority.
 //!
-//! An *incarnation* is one unbroken memory. With a disk it goes on over restarts, without one it ends with the process; it also ends
-//! where the disk is corrupt or an older one. Other members remember the latest incarnation of each and how many changes it
-//! reported, so that a replica whose memory is gone or set back learns of it from whichever member it asks first.
+//! An *incarnation* is a period during which a replica loses no state. With a disk it continues across restarts, without one it
+//! ends with the process. It also ends if the disk is found erased, corrupt or set back to an older state. The other members
+//! remember the latest incarnation of each member and how many changes it reported. A replica whose state is gone or set back is
+//! therefore notified of it by whichever member it asks first.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,37 +14,37 @@
 
 use crate::quorum::majority;
 
-/// How much of what a replica once held it holds. The order goes from the best to the worst.
+/// Whether a replica holds all state that it once held. The variants are ordered from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Completeness {
-    /// All.
+    /// The replica holds all state that it once held.
     Complete,
-    /// Nothing, and no other member has reported yet that there was more.
+    /// The replica started without state, and no other member has reported so far that it held any before.
     Fresh,
-    /// Less than all.
+    /// The replica has lost some or all of its state.
     Lost,
 }
 
-/// What is known of another member's latest incarnation.
+/// What is known about a member's latest incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Start number of the process that began it.
+    /// Number of the incarnation: the start number of the process that began it.
     pub number: u64,
-    /// Changes that it reported.
+    /// Highest number of changes that the member reported in this incarnation.
     pub count: u64,
-    /// An earlier one has ended.
+    /// Whether an earlier incarnation of the member has ended, so that the member may have lost state.
     pub lost: bool,
 }
 
 impl Incarnation {
-    /// The later of two reports about one member.
+    /// Merges two reports about one member; the result does not depend on their order.
     fn join(self, other: Incarnation) -> Incarnation {
         let (earlier, later) = match self.number <= other.number {
             true => (self, other),
             false => (other, self),
         };
         if earlier.number < later.number {
-            // The earlier one may have held more than was reported.
+            // The earlier incarnation may have held state that was never reported.
             return Incarnation {
                 lost: true,
                 ..later
@@ -57,44 +58,46 @@
     }
 }
 
-/// What a report changed.
+/// How a report about a member changed what is known of its incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IncarnationChange {
-    /// The incarnation is a later one than was known.
+    /// The incarnation is later than the known one, or it became known that an earlier one has ended.
     pub is_later: bool,
-    /// An earlier incarnation that was known has ended.
+    /// The member has lost the state of an incarnation that was known.
     pub is_loss: bool,
 }
 
-/// State of another replica when all that it holds had been fetched from it.
+/// State of recovery of another replica at the time when a state transfer from it ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Source {
-    /// How much it held itself.
+    /// Completeness that the other replica reported.
     pub completeness: Completeness,
-    /// Members that it had not caught up with.
+    /// Members that the other replica had not caught up with.
     pub missing: BTreeSet<NameKey>,
 }
 
-/// What a replica knows of its own memory and of others'.
+/// What a replica knows about the completeness of its own state and that of the other members.
 pub struct RecoveryState {
     own: NameKey,
     others: BTreeSet<NameKey>,
-    /// How much of what it once held it holds.
+    /// Whether this replica holds all state that it once held.
     pub completeness: Completeness,
-    /// Number of the current incarnation.
+    /// Number of this replica's current incarnation.
     pub incarnation: u64,
-    /// Changes of the current incarnation so far.
+    /// Number of changes in this replica's current incarnation so far.
     pub changes: u64,
     incarnations: BTreeMap<NameKey, Incarnation>,
-    /// The best state of each source; what it made known stays known, whatever becomes of the source.
+    /// For each member that state was transferred from, its best state of recovery at the end of a transfer. What this replica
+    /// received then remains valid even if the member loses its state later.
     sources: BTreeMap<NameKey, Source>,
-    /// The latest state of each source.
+    /// For each member that state was transferred from, its state of recovery at the end of the latest transfer.
     latest: BTreeMap<NameKey, Source>,
+    /// Members that this replica has not caught up with.
     missing: BTreeSet<NameKey>,
 }
 
 impl RecoveryState {
-    /// A replica that has not caught up with anybody.
+    /// Creates the state of a replica that has not caught up with any other member.
     pub fn new(
         own: NameKey,
         roster: &BTreeSet<NameKey>,
@@ -116,8 +119,12 @@
         }
     }
 
-    /// With what was on disk.
-    pub fn with(self, changes: u64, incarnations: BTreeMap<NameKey, Incarnation>) -> RecoveryState {
+    /// Sets the number of changes and the known incarnations of other members, as restored from disk.
+    pub fn with_restored(
+        self,
+        changes: u64,
+        incarnations: BTreeMap<NameKey, Incarnation>,
+    ) -> RecoveryState {
         RecoveryState {
             changes,
             incarnations,
@@ -130,14 +137,14 @@
         &self.incarnations
     }
 
-    /// Number of a member's latest known incarnation; 0 where none is known.
+    /// Number of a member's latest known incarnation; 0 if none is known.
     pub fn incarnation_of(&self, name: NameKey) -> u64 {
         self.incarnations
             .get(&name)
             .map_or(0, |incarnation| incarnation.number)
     }
 
-    /// Takes a report about another member.
+    /// Merges a report about another member's incarnation into what is known.
     pub fn note_incarnation(&mut self, name: NameKey, reported: Incarnation) -> IncarnationChange {
         if !self.others.contains(&name) {
             return IncarnationChange::default();
@@ -153,7 +160,7 @@
         }
     }
 
-    /// Whether what another member knows of this replica shows that it once held more.
+    /// Whether `known`, which another member knows about this replica, proves that this replica once held more state than now.
     pub fn is_contradicted_by(&self, known: Incarnation) -> bool {
         match known.number.cmp(&self.incarnation) {
             Ordering::Greater => true,
@@ -161,12 +168,13 @@
                 let was_lost = known.lost && self.completeness == Completeness::Fresh;
                 known.count > self.changes || was_lost
             }
-            // A member that is asked notes this incarnation first, and reports the end of the earlier one by `lost`.
+            // A member that is asked for state first records the incarnation in the request. If it knew an earlier one, it then
+            // reports the current one with `lost` set, so a lower number comes only from a report that is out of date.
             Ordering::Less => false,
         }
     }
 
-    /// Begins an incarnation that holds less than the last one.
+    /// Begins an incarnation that has lost state of the previous one.
     pub fn begin_incomplete(&mut self, incarnation: u64) {
         self.completeness = Completeness::Lost;
         self.incarnation = incarnation;
@@ -174,13 +182,13 @@
         self.update_missing();
     }
 
-    /// What was lost does not matter any more, as it has ended since.
+    /// Treats this replica as complete although it has lost state, because that state has become irrelevant.
     pub fn assume_complete(&mut self) {
         self.completeness = Completeness::Complete;
         self.missing.clear();
     }
 
-    /// All that another replica holds has been fetched.
+    /// Records that a state transfer from another replica has ended, with the state of recovery that the replica reported.
     pub fn add_source(&mut self, from: NameKey, source: Source) {
         self.latest.insert(from, source.clone());
         let gaps = self.gaps(from, &source);
@@ -199,12 +207,13 @@
         &self.missing
     }
 
-    /// Members that everything was fetched from.
+    /// Number of members from which a complete state transfer was made.
     pub fn source_count(&self) -> usize {
         self.sources.len()
     }
 
-    /// Members to fetch from: those that nothing was fetched from, and those that lacked something which they may hold by now.
+    /// Members from which a state transfer is needed: those without a transfer so far, and those that reported gaps which they may
+    /// have closed since.
     pub fn pending_sources(&self) -> Vec<NameKey> {
         self.others
             .iter()
@@ -213,6 +222,7 @@
             .collect()
     }
 
+    /// Whether a repeated transfer from a member may yield registers that the member lacked before.
     fn may_have_gained(&self, name: NameKey) -> bool {
         let Some(source) = self.sources.get(&name) else {
             return false;
@@ -224,10 +234,10 @@
                 .any(|member| self.sources.contains_key(member))
     }
 
-    /// Members whose common registers with a source it could not vouch for.
+    /// Members with which the source shares registers whose state it cannot guarantee to be complete.
     fn gaps(&self, name: NameKey, source: &Source) -> BTreeSet<NameKey> {
         match source.completeness {
-            // Restored from a disk, and not yet compared with what any other member knows.
+            // The source restored its state from disk and has not yet checked with any other member whether its disk was set back.
             Completeness::Complete if source.missing.len() >= self.others.len() => {
                 BTreeSet::from([name])
             }
@@ -240,6 +250,7 @@
         }
     }
 
+    /// Recomputes the members that this replica has not caught up with. The replica is complete once there are none.
     fn update_missing(&mut self) {
         let mut missing: BTreeSet<NameKey> = self
             .others
@@ -260,39 +271,42 @@
         }
     }
 
-    /// Whether this replica counts for a register with these replicas. `waited`: others have had the time to report.
-    pub fn counts_for(&self, replicas: &[NameKey], waited: bool) -> bool {
+    /// Whether this replica counts toward a majority of a register with these replicas. `waited`: whether the catch-up grace period
+    /// has passed, in which other members could report lost state.
+    pub fn counts_toward_majority(&self, replicas: &[NameKey], waited: bool) -> bool {
         let quorum = majority(replicas.len());
         let missing = replicas
             .iter()
             .filter(|name| self.missing.contains(name))
             .count();
         match self.completeness {
-            // Any other member can report whether there was more, also one that does not hold the register.
+            // Any other member may know that this replica held state before, even one that does not hold the register.
             Completeness::Fresh => missing == 0 && (self.missing.is_empty() || waited),
-            // Of each majority that it was part of it has to have caught up with one.
+            // At most `quorum - 2` replicas are missing, so each majority that this replica was once part of includes another
+            // replica that it has caught up with.
             Completeness::Lost => missing + 2 <= quorum,
-            // It holds all that it accepted, unless a member knows better: one has to have been asked.
+            // The disk holds all that this replica accepted, unless it was set back, which other replicas may know. So this replica
+            // has to have caught up with enough replicas to form a majority together with them.
             Completeness::Complete => {
                 missing + quorum <= replicas.len() && (missing == 0 || waited)
             }
         }
     }
 
-    /// Whether what a register with these replicas held is lost for good: a majority has lost it, and none of them can fetch it
-    /// from the others.
+    /// Whether the state of a register with these replicas cannot be recovered: a majority of the replicas has lost it, and none of
+    /// them can fetch it from the others.
     pub fn is_lost(&self, replicas: &[NameKey]) -> bool {
         let others = || replicas.iter().filter(|name| **name != self.own);
         let lost_by_others = others()
             .filter(|name| self.is_lost_by(**name, replicas))
             .count();
         self.completeness == Completeness::Lost
-            && !self.counts_for(replicas, true)
+            && !self.counts_toward_majority(replicas, true)
             && others().all(|name| self.sources.contains_key(name))
             && lost_by_others + 1 >= majority(replicas.len())
     }
 
-    /// Whether another replica has lost the register and cannot fetch it, by its latest state.
+    /// Whether another replica has lost a register and cannot fetch it from the others, by the replica's latest report.
     fn is_lost_by(&self, name: NameKey, replicas: &[NameKey]) -> bool {
         let Some(source) = self.latest.get(&name) else {
             return false;
--- a/crates/replicated-register/src/register.rs
+++ b/crates/replicated-register/src/register.rs
@@ -1,4 +1,4 @@
-//! A register's key, versions and ballots, and what one replica of it may promise and accept.
+//! Keys, versions and ballots of registers, and the acceptor: the rules by which one replica of a register promises and accepts.
 
 use bitternlatch_membership::NameKey;
 use serde::{Deserialize, Serialize};
@@ -7,33 +7,34 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RegisterKey(pub [u8; 16]);
 
-/// Version of a value, in total order, the epoch first. No two writes have the same one: a process never uses a count twice, and
-/// `start` tells it from earlier processes under the same name.
+/// Version of a value. Versions are totally ordered, by epoch first. No two writes have the same version: a process never uses a
+/// count twice, and `start` distinguishes it from earlier processes under the same name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// Chosen by the caller; never falls.
+    /// Epoch chosen by the caller; never decreases from one version of a register to the next.
     pub epoch: u64,
-    /// Rises with each write, by one or more.
+    /// Count that rises by one or more with each write of the register.
     pub count: u64,
-    /// Member that wrote it.
+    /// Member that wrote the value.
     pub writer: NameKey,
     /// Start number of the writer's process.
     pub start: u64,
 }
 
-/// Identifies one round of one proposer, in total order; never used for two states.
+/// Identifies one round of one proposer. Ballots are totally ordered, and no two states are proposed under the same ballot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Number of the round.
+    /// Number of the round, the most significant part of the order.
     pub round: u64,
-    /// Member that proposes.
+    /// Member whose process is the proposer.
     pub proposer: NameKey,
     /// Start number of the proposer's process.
     pub start: u64,
 }
 
 impl Ballot {
-    /// The ballot that an acceptor promises when it accepts this one, so that its proposer writes again in one round.
+    /// The ballot that an acceptor promises implicitly when it accepts under this one. It lets the same proposer write again in one
+    /// round, without a prepare phase.
     pub fn next(self) -> Ballot {
         Ballot {
             round: self.round.saturating_add(1),
@@ -42,19 +43,20 @@
     }
 }
 
-/// What was written.
+/// The state of a register that one write produced: a value or a tombstone, with its version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct State {
-    /// Its version.
+    /// Version of the state.
     pub version: Version,
-    /// The version that it replaced. By it a writer whose answer was lost learns what became of its write.
+    /// Version that the write replaced; `None` if there was none. A writer that got no response to its write uses it to find out
+    /// whether the write succeeded before another one replaced it.
     pub replaces: Option<Version>,
-    /// The value; none for a tombstone, which marks a deleted register.
+    /// The value; `None` for a tombstone, which marks a deleted register.
     pub body: Option<Vec<u8>>,
 }
 
 impl State {
-    /// Version that callers see; none for a tombstone.
+    /// Version that is reported to callers; `None` for a tombstone, as callers see a deleted register as one without a value.
     pub fn visible_version(&self) -> Option<Version> {
         self.body.is_some().then_some(self.version)
     }
@@ -63,29 +65,29 @@
 /// A state that a replica has accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Ballot under which it was proposed.
+    /// Ballot under which the state was proposed.
     pub ballot: Ballot,
-    /// The state.
+    /// The accepted state.
     pub state: State,
-    /// Accepted by this replica itself, and not learned from another one while it caught up. What is learned may contradict a
-    /// promise that this replica gave, so it is no evidence that a majority accepted it.
+    /// Whether this replica accepted the state itself, rather than learning it from another replica by state transfer. A learned
+    /// state may contradict a promise that this replica gave, so it does not count as a vote for the state.
     pub voted: bool,
 }
 
 /// One replica of one register: an acceptor of single-decree Paxos whose value may change (CASPaxos: Rystsov, 2018).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Acceptor {
-    /// The highest ballot that it has promised to honour; lower ones are rejected.
+    /// The highest ballot that the acceptor has promised; requests with lower ballots are rejected.
     pub promised: Option<Ballot>,
-    /// What it has accepted last.
+    /// The state that the acceptor accepted last, if any.
     pub accepted: Option<Accepted>,
 }
 
 impl Acceptor {
-    /// Promises to accept nothing below the ballot; returns whether anything changed.
+    /// Promises to accept nothing below the ballot. Returns whether the acceptor changed, which is false for a repeated request.
     ///
     /// # Errors
-    /// The higher ballot that was promised before.
+    /// Returns the higher ballot that was promised before; nothing is changed.
     pub fn prepare(&mut self, ballot: Ballot) -> Result<bool, Ballot> {
         match self.promised {
             Some(promised) if promised > ballot => Err(promised),
@@ -96,10 +98,10 @@
         }
     }
 
-    /// Accepts a state; returns whether anything changed.
+    /// Accepts a state. Returns whether the acceptor changed, which is false for a repeated request.
     ///
     /// # Errors
-    /// The higher ballot that was promised before.
+    /// Returns the higher ballot that was promised before; nothing is changed.
     pub fn accept(&mut self, ballot: Ballot, state: &State) -> Result<bool, Ballot> {
         let is_duplicate = self
             .accepted
@@ -120,7 +122,7 @@
         Ok(true)
     }
 
-    /// Learns what another replica holds, while catching up; returns whether anything changed.
+    /// Merges in the acceptor of another replica that was received by state transfer. Returns whether either ballot changed.
     pub fn learn(&mut self, other: Acceptor) -> bool {
         let before = self.ballots();
         self.promised = self.promised.max(other.promised);
@@ -139,7 +141,7 @@
         before != self.ballots()
     }
 
-    /// The promised ballot and the accepted one.
+    /// Returns the promised ballot and the ballot of the accepted state.
     fn ballots(&self) -> [Option<Ballot>; 2] {
         [
             self.promised,
@@ -147,7 +149,7 @@
         ]
     }
 
-    /// Bytes of the value.
+    /// Length of the accepted value in bytes; 0 if there is none.
     pub fn value_bytes(&self) -> usize {
         self.accepted
             .as_ref()
--- a/crates/replicated-register/src/register/tests.rs
+++ b/crates/replicated-register/src/register/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn learning_raises_ballots_and_is_no_vote() {
+fn learned_state_raises_ballots_and_does_not_count_as_vote() {
     let ballot = |round| Ballot {
         round,
         proposer: NameKey(1),
@@ -18,17 +18,18 @@
         replaces: None,
         body: Some(vec![1]),
     };
-    let (mut one, mut other) = (Acceptor::default(), Acceptor::default());
-    assert_eq!(other.prepare(ballot(7)), Ok(true));
-    assert_eq!(one.accept(ballot(5), &state), Ok(true));
-    assert!(other.learn(one.clone()) && !other.learn(one.clone()));
-    assert_eq!(other.promised, Some(ballot(7)));
+    let (mut voter, mut learner) = (Acceptor::default(), Acceptor::default());
+    assert_eq!(learner.prepare(ballot(7)), Ok(true));
+    assert_eq!(voter.accept(ballot(5), &state), Ok(true));
+    assert!(learner.learn(voter.clone()) && !learner.learn(voter.clone()));
+    assert_eq!(learner.promised, Some(ballot(7)));
     assert_eq!(
-        other.accepted.as_ref().map(|a| (a.ballot, a.voted)),
+        learner.accepted.as_ref().map(|a| (a.ballot, a.voted)),
         Some((ballot(5), false))
     );
-    // The same one again from its proposer: taken by the one that took it, refused by the one that learnt it.
-    assert_eq!(one.accept(ballot(5), &state), Ok(false));
-    assert_eq!(other.accept(ballot(5), &state), Err(ballot(7)));
-    assert_eq!(one.prepare(ballot(5)), Err(ballot(6)));
+    // The proposer repeats the accept request: the acceptor that voted for the state accepts it, the one that learned it rejects
+    // it.
+    assert_eq!(voter.accept(ballot(5), &state), Ok(false));
+    assert_eq!(learner.accept(ballot(5), &state), Err(ballot(7)));
+    assert_eq!(voter.prepare(ballot(5)), Err(ballot(6)));
 }
--- a/crates/replicated-register/src/replica/acceptor.rs
+++ b/crates/replicated-register/src/replica/acceptor.rs
@@ -1,4 +1,5 @@
-//! The registers held here: what this replica promises and accepts, each answered once it is on disk.
+//! Acceptor side of a replica: handles requests to read, prepare and accept. Each is answered once the state that the answer
+//! depends on is durable.
 
 use std::time::Duration;
 
@@ -12,11 +13,11 @@
 use crate::store::CapacityError;
 use crate::{Event, Output};
 
-/// What a request did to a register: whether it changed, or the higher ballot that was promised.
+/// Result of a request on a register: whether it changed the register, or the higher ballot that was promised before.
 type Outcome = Result<Result<bool, Ballot>, CapacityError>;
 
 impl Replica {
-    /// Whether this replica counts for a register; none where it does not hold it.
+    /// Whether this replica may serve a register, or the reason for a rejection; `None` if this member holds no replica of it.
     fn check_ready(
         &mut self,
         now: Duration,
@@ -30,7 +31,7 @@
         let Some(recovery) = &self.recovery else {
             return Some(Err(RejectReason::CatchingUp));
         };
-        if recovery.counts_for(&replicas, now >= self.opened_at + CATCH_UP_GRACE) {
+        if recovery.counts_toward_majority(&replicas, now >= self.opened_at + CATCH_UP_GRACE) {
             return Some(Ok(()));
         }
         if !recovery.is_lost(&replicas) {
@@ -43,7 +44,8 @@
         Some(Err(RejectReason::Lost))
     }
 
-    /// Whether a request may be served; one that may not is rejected, unless it went to the wrong member.
+    /// Returns whether a request may be served. Rejects it otherwise, or ignores it if this member holds no replica of the
+    /// register.
     fn admit(
         &mut self,
         now: Duration,
@@ -85,7 +87,7 @@
             return;
         }
         let outcome = self.store.prepare(now, request.key, request.ballot);
-        if let Some(changed) = self.reject_unless_done(from, request, outcome, out) {
+        if let Some(changed) = self.reject_unless_successful(from, request, outcome, out) {
             let message = self.promise(request);
             self.reply_when_durable(request.key, Reply { to: from, message }, changed, out);
         }
@@ -103,7 +105,7 @@
             return;
         }
         let outcome = self.store.accept(now, request.key, request.ballot, state);
-        if let Some(changed) = self.reject_unless_done(from, request, outcome, out) {
+        if let Some(changed) = self.reject_unless_successful(from, request, outcome, out) {
             let message = Message::Accepted {
                 key: request.key,
                 ballot: request.ballot,
@@ -113,8 +115,8 @@
         }
     }
 
-    /// Whether a request that was done changed the register; one that was not is rejected.
-    fn reject_unless_done(
+    /// Returns whether a successful request changed the register. Rejects an unsuccessful one and returns `None`.
+    fn reject_unless_successful(
         &mut self,
         from: NameKey,
         request: Request,
@@ -150,6 +152,7 @@
         self.send(to, message, out);
     }
 
+    /// Builds the answer to a read or prepare request.
     fn promise(&self, request: Request) -> Message {
         let acceptor = self.store.get(request.key);
         Message::Promise {
@@ -160,6 +163,7 @@
         }
     }
 
+    /// The replica state on which an answer about a register is based.
     fn provenance(&self, key: RegisterKey) -> Provenance {
         let recovery = self.recovery.as_ref();
         let incarnation_of = |name| recovery.map_or(0, |known| known.incarnation_of(name));
--- a/crates/replicated-register/src/replica/heartbeat.rs
+++ b/crates/replicated-register/src/replica/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Reports of the own incarnation and its number of changes, for other members to remember.
+//! Heartbeats: reports of this replica's incarnation and number of changes, which the other members remember in order to detect
+//! that the replica has lost state.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,24 +11,27 @@
 use crate::recovery::RecoveryState;
 use crate::Output;
 
-/// Time between two heartbeats.
+/// Interval between heartbeats. A heartbeat sends a report only to members that received a different one last.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// After so many the report is repeated to all, as frames are lost, and what others reported is stored.
+/// Number of heartbeats after which the report is repeated to all members, as frames may be lost, and the metadata with the reports
+/// of other members are stored on disk.
 const HEARTBEATS_PER_REPEAT: u32 = 10;
-/// After this the lost registers are taken to have ended: the longest time that a workflow lasts.
+/// Time after which lost registers are treated as obsolete and may be used again. It is the maximum duration of a workflow.
 const LOSS_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
-/// What a member was told last.
+/// A report of this replica's incarnation and number of durable changes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Report {
     incarnation: u64,
     count: u64,
 }
 
-/// When the next heartbeat is due, and what was reported to whom.
+/// Schedule of heartbeats and the last report sent to each member.
 pub(super) struct Heartbeats {
     next_at: Duration,
+    /// Number of heartbeats since the report was last repeated to all members.
     since_repeat: u32,
+    /// Report that was last sent to each member.
     reported: BTreeMap<NameKey, Report>,
 }
 
@@ -40,11 +44,12 @@
         }
     }
 
+    /// Time at which the next heartbeat is due.
     pub(super) fn next_at(&self) -> Duration {
         self.next_at
     }
 
-    /// Begins a heartbeat where one is due; returns whether it is.
+    /// Begins a heartbeat if one is due, and returns whether it is.
     fn begin(&mut self, now: Duration) -> bool {
         let is_due = now >= self.next_at;
         if is_due {
@@ -54,7 +59,7 @@
         is_due
     }
 
-    /// Makes the next reports go to all members where a repeat is due; returns whether it is.
+    /// If a repeat is due, forgets which reports were sent, so that the next one goes to all members. Returns whether it is due.
     fn begin_repeat(&mut self) -> bool {
         let is_due = self.since_repeat >= HEARTBEATS_PER_REPEAT;
         if is_due {
@@ -64,8 +69,8 @@
         is_due
     }
 
-    /// Notes a report; returns whether the member was told another one last, or none.
-    fn note(&mut self, name: NameKey, report: Report) -> bool {
+    /// Records that a report is sent to a member. Returns whether it differs from the last one that was sent to it, if any.
+    fn record(&mut self, name: NameKey, report: Report) -> bool {
         self.reported.insert(name, report) != Some(report)
     }
 }
@@ -78,14 +83,14 @@
         if self.heartbeats.begin_repeat() && self.settings.durable {
             self.store_metadata(vec![], out);
         }
-        self.end_loss(now);
+        self.expire_loss(now);
         self.send_heartbeats(out);
     }
 
-    /// Lets lost registers be used again once nothing of what they held matters.
-    fn end_loss(&mut self, now: Duration) {
-        let is_over = |since: Duration| now >= since + LOSS_RETENTION;
-        if self.lost_since.is_some_and(is_over) {
+    /// Makes lost registers usable again after [`LOSS_RETENTION`], when the workflows that they held are obsolete.
+    fn expire_loss(&mut self, now: Duration) {
+        let is_expired = |since: Duration| now >= since + LOSS_RETENTION;
+        if self.lost_since.is_some_and(is_expired) {
             self.lost_since = None;
             self.recovery
                 .iter_mut()
@@ -104,7 +109,7 @@
         let own = self.own.name;
         let others: Vec<NameKey> = self.roster.iter().copied().filter(|n| *n != own).collect();
         for name in others {
-            if self.heartbeats.note(name, report) {
+            if self.heartbeats.record(name, report) {
                 let message = Message::Heartbeat {
                     incarnation: report.incarnation,
                     count: report.count,
--- a/crates/replicated-register/src/replica/mod.rs
+++ b/crates/replicated-register/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! One member's part: the registers that it holds replicas of, and the calls that it makes.
+//! State machine of one member: the register replicas that it holds, and the calls that it makes.
 
 mod acceptor;
 mod heartbeat;
@@ -32,33 +32,37 @@
 use tombstone_repair::TombstoneRepairs;
 use transfers::Transfers;
 
-/// How long a replica that restarted with its disk waits for all others to be heard, before one is enough.
+/// Grace period after a start. Before its end, a replica that restored its state from disk counts toward a majority of a register
+/// only if it has caught up with all other replicas of the register. After it, a majority that includes the replica itself is
+/// enough.
 const CATCH_UP_GRACE: Duration = Duration::from_secs(3);
 
-/// Messages and calls that were dropped or refused, since the start.
+/// Numbers of messages and calls that were dropped or rejected since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Frames that could not be decoded.
+    /// Number of received frames that could not be decoded.
     pub malformed: u64,
-    /// Frames of another protocol version.
+    /// Number of received frames of an unsupported protocol version.
     pub unsupported_version: u64,
-    /// Chunks whose checksum was wrong.
-    pub broken_chunks: u64,
-    /// Calls and messages refused for lack of capacity.
+    /// Number of received state chunks whose checksum did not match or whose items could not be decoded.
+    pub corrupt_chunks: u64,
+    /// Number of calls and requests that were rejected or dropped for lack of capacity.
     pub rejected: u64,
 }
 
-/// One member's replicas and calls: a pure machine that takes [`Input`] and appends [`Output`].
+/// State machine of one member's register replicas and calls. It takes an [`Input`] and appends each [`Output`]; it performs no
+/// I/O.
 pub struct Replica {
     own: Process,
     roster: BTreeSet<NameKey>,
     settings: Settings,
-    /// None until the disk has been read.
+    /// State of recovery; `None` until the records on disk have been read.
     recovery: Option<RecoveryState>,
-    /// When the replica began to catch up.
+    /// Time at which the replica began to catch up with the other members.
     opened_at: Duration,
+    /// Whether the replica has reported that it has caught up.
     has_caught_up: bool,
-    /// When a majority was first found to have lost what it held.
+    /// Time at which a majority of some register's replicas was first found to have lost its state.
     lost_since: Option<Duration>,
     store: RegisterStore,
     persistence: Persistence,
@@ -66,18 +70,20 @@
     repairs: TombstoneRepairs,
     transfers: Transfers,
     heartbeats: Heartbeats,
+    /// Latest report of membership about the reachable members, if any.
     peers: Option<Peers>,
-    /// Messages to itself, within a step.
+    /// Messages of this replica to itself, which are handled at the end of the step that sends them.
     loopback: VecDeque<Message>,
-    /// Members whose protocol version was reported as unsupported.
+    /// Members for which an unsupported protocol version was logged.
     unsupported_versions: BTreeSet<NameKey>,
     counters: Counters,
     rng: SplitMix64,
 }
 
 impl Replica {
-    /// `start` of `own` tells this process from earlier ones under the same name, and is greater than theirs. The roster holds the
-    /// own name too and is the same at all members; it is changed by restarts of all. `seed` is for the random backoff.
+    /// Creates the replica of process `own`, whose `start` has to be greater than that of earlier processes under the same name.
+    /// The roster includes the own name and has to be the same at all members; changing it requires a restart of all members.
+    /// `seed` seeds the random backoff.
     pub fn new(
         own: Process,
         roster: BTreeSet<NameKey>,
@@ -109,7 +115,7 @@
         }
     }
 
-    /// When it needs [`Input::Wake`] at the latest.
+    /// Time by which the replica needs an [`Input::Wake`], unless another input arrives before.
     pub fn wake_at(&self) -> Option<Duration> {
         [
             self.proposer.wake_at(),
@@ -123,7 +129,7 @@
         .min()
     }
 
-    /// Takes one input at a time of the process's clock and appends the outputs, in order.
+    /// Handles one input at time `now` of the process's clock, and appends the outputs in order.
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Wake => {}
@@ -171,7 +177,8 @@
         }
     }
 
-    /// Keys held here with their latest accepted value, which may not be the latest of all replicas.
+    /// Iterates over the registers that this member holds with a value: key, version and value. The value is the one that this
+    /// replica accepted last; other replicas may have a later one.
     pub fn local_values(&self) -> impl Iterator<Item = (&RegisterKey, Version, &[u8])> {
         self.store.iter_after(None).filter_map(|(key, acceptor)| {
             let state = &acceptor.accepted.as_ref()?.state;
@@ -179,12 +186,12 @@
         })
     }
 
-    /// Members that hold replicas of a register: rendezvous hashing over the roster.
+    /// Members that hold replicas of a register, chosen by rendezvous hashing over the roster.
     pub fn replicas(&self, key: RegisterKey) -> Vec<NameKey> {
         crate::placement::replicas(&self.roster, self.settings.replicas, key)
     }
 
-    /// Whether this replica counts towards a majority of a register now.
+    /// Whether this replica currently counts toward a majority of a register.
     pub fn counts_toward_majority(&self, now: Duration, key: RegisterKey) -> bool {
         let replicas = self.replicas(key);
         let waited = now >= self.opened_at + CATCH_UP_GRACE;
@@ -192,10 +199,10 @@
             && self
                 .recovery
                 .as_ref()
-                .is_some_and(|recovery| recovery.counts_for(&replicas, waited))
+                .is_some_and(|recovery| recovery.counts_toward_majority(&replicas, waited))
     }
 
-    /// What was dropped or refused so far.
+    /// Numbers of messages and calls that were dropped or rejected so far.
     pub fn counters(&self) -> Counters {
         self.counters
     }
@@ -268,6 +275,7 @@
         }
     }
 
+    /// Runs all timers that are due.
     fn run_due(&mut self, now: Duration, out: &mut Vec<Output>) {
         self.run_due_calls(now, out);
         self.run_due_tombstone_repairs(now, out);
@@ -281,14 +289,16 @@
         for key in self.store.expire(now) {
             self.persistence.forget(key);
             if self.settings.durable {
-                // The record with the highest number of changes may be the one that is removed.
+                // After a restart the number of changes is the highest in any record, and the removed record may be the one that
+                // holds it. So the metadata record is written with the current number first.
                 self.store_metadata(vec![], out);
                 self.remove_record(crate::disk_records::name(key), out);
             }
         }
     }
 
-    /// Takes a report of another member's incarnation and number of changes; returns whether the incarnation is a later one.
+    /// Records a report of another member's incarnation and number of changes. Returns whether this changed the known incarnation:
+    /// it is later, or it became known that an earlier one has ended.
     fn note_incarnation(
         &mut self,
         name: NameKey,
@@ -311,6 +321,7 @@
         change.is_later
     }
 
+    /// Sends a message to a member, or queues it in the loopback if the member is this one.
     fn send(&mut self, to: NameKey, message: Message, out: &mut Vec<Output>) {
         if to == self.own.name {
             self.loopback.push_back(message);
@@ -319,15 +330,15 @@
         }
     }
 
-    /// Changes of this replica so far; none before its disk has been read.
+    /// Number of changes of this replica in its current incarnation; 0 until the records on disk have been read.
     fn changes(&self) -> u64 {
         self.recovery
             .as_ref()
             .map_or(0, |recovery| recovery.changes)
     }
 
-    /// 64 random bits.
-    fn draw(&mut self) -> u64 {
+    /// Returns 64 random bits.
+    fn random_bits(&mut self) -> u64 {
         self.rng.next_u64()
     }
 }
--- a/crates/replicated-register/src/replica/persistence.rs
+++ b/crates/replicated-register/src/replica/persistence.rs
@@ -1,4 +1,4 @@
-//! What has to be on disk before it is answered: writes in progress, their replies, and faults of the disk.
+//! Persistence of a replica's state: writes to disk in progress, replies that are held until the state is durable, and disk faults.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,32 +12,37 @@
 use crate::register::RegisterKey;
 use crate::{Event, Output};
 
-/// Writes in progress; beyond them a message counts as lost.
+/// Maximum number of writes in progress. Requests beyond it get no reply, as if they had been lost.
 const MAX_PENDING_WRITES: usize = 16 * 1024;
 
-/// A message that is sent once a write is on disk.
+/// A message that is sent once a write to disk has completed.
 pub(super) struct Reply {
     pub(super) to: NameKey,
     pub(super) message: Message,
 }
 
-/// The transfer that a stored register came with.
+/// Identifies the state transfer by which a register was received.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct TransferId {
     pub(super) from: NameKey,
     pub(super) number: u64,
 }
 
-/// What a write is for.
+/// Purpose of a write to disk.
 #[derive(Clone, Copy, PartialEq)]
 enum Purpose {
+    /// Stores a register that a request has changed.
     Register(RegisterKey),
+    /// Stores the replica's metadata.
     Metadata,
+    /// Stores a register that was received by state transfer.
     Transferred(RegisterKey, TransferId),
+    /// Removes a record.
     Removal,
 }
 
 impl Purpose {
+    /// Key of the register that is stored, if any.
     fn register(self) -> Option<RegisterKey> {
         match self {
             Purpose::Register(key) | Purpose::Transferred(key, _) => Some(key),
@@ -46,37 +51,42 @@
     }
 }
 
-/// A write in progress.
+/// A write to disk in progress.
 struct PendingWrite {
     purpose: Purpose,
-    /// Changes of this replica when it was asked for.
+    /// Number of changes of this replica when the write was issued.
     changes: u64,
+    /// Messages to send once the write has completed.
     replies: Vec<Reply>,
 }
 
-/// State of what is not on disk as memory has it.
+/// State of a record whose stored content may differ from the state in memory.
 #[derive(Clone, Copy, PartialEq)]
 enum Unsynced {
-    /// Its latest write has this ticket.
+    /// The latest write of the record is in progress and has this ticket.
     Pending(u64),
-    /// Its latest write failed.
+    /// The latest write of the record failed or could not be issued.
     Failed,
 }
 
-/// Writes in progress, and what is not on disk.
+/// Writes to disk in progress, and the records that are not durable yet.
 #[derive(Default)]
 pub(super) struct Persistence {
+    /// Writes in progress, by ticket.
     pending: BTreeMap<u64, PendingWrite>,
     last_ticket: u64,
+    /// Registers whose records are not durable.
     registers: BTreeMap<RegisterKey, Unsynced>,
+    /// State of the metadata record; `None` if it is durable.
     metadata: Option<Unsynced>,
-    /// Of the changes, those that outlive this process.
+    /// Number of changes that are durable.
     durable_changes: u64,
+    /// Fault of the latest completed access to the disk, if it failed.
     fault: Option<StorageError>,
 }
 
 impl Persistence {
-    /// Changes that outlive this process, or all of them where there is no disk.
+    /// Number of changes that are durable, or of all changes if there is no disk.
     pub(super) fn durable_changes(&self) -> u64 {
         self.durable_changes
     }
@@ -85,22 +95,22 @@
         self.durable_changes = changes;
     }
 
-    /// The disk could not be read at the start.
+    /// Records that the disk could not be read at the start.
     pub(super) fn set_fault(&mut self, fault: StorageError) {
         self.fault = Some(fault);
     }
 
-    /// A register is not held any more.
+    /// Forgets a register that this member no longer holds.
     pub(super) fn forget(&mut self, key: RegisterKey) {
         self.registers.remove(&key);
     }
 
-    /// Whether a register is not on disk as memory has it.
+    /// Whether the current state of a register is not durable.
     pub(super) fn is_unsynced(&self, key: RegisterKey) -> bool {
         self.registers.contains_key(&key)
     }
 
-    /// An incarnation has ended: nothing of it is to be answered or waited for.
+    /// Ends an incarnation: drops its outstanding replies, and no longer waits for its registers to become durable.
     pub(super) fn end_incarnation(&mut self) {
         self.registers.clear();
         for write in self.pending.values_mut() {
@@ -108,36 +118,39 @@
         }
     }
 
+    /// Whether the limit of writes in progress is reached.
     fn is_full(&self) -> bool {
         self.pending.len() >= MAX_PENDING_WRITES
     }
 
+    /// Adds a reply to a write in progress.
     fn add_reply(&mut self, ticket: u64, reply: Reply) {
         if let Some(write) = self.pending.get_mut(&ticket) {
             write.replies.push(reply);
         }
     }
 
-    /// Sets aside what a finished write was about, unless a later one is in progress.
-    fn settle(&mut self, ticket: u64, purpose: Purpose, failed: bool) {
-        let settled = Some(Unsynced::Pending(ticket));
-        let left = failed.then_some(Unsynced::Failed);
+    /// Updates the state of the record that a completed write stored, unless a later write of the record is in progress.
+    fn complete_write(&mut self, ticket: u64, purpose: Purpose, failed: bool) {
+        let this_write = Some(Unsynced::Pending(ticket));
+        let new_state = failed.then_some(Unsynced::Failed);
         if let Some(key) = purpose.register() {
-            if self.registers.get(&key).copied() == settled {
-                match left {
-                    Some(left) => drop(self.registers.insert(key, left)),
+            if self.registers.get(&key).copied() == this_write {
+                match new_state {
+                    Some(state) => drop(self.registers.insert(key, state)),
                     None => drop(self.registers.remove(&key)),
                 }
             }
         }
-        if purpose == Purpose::Metadata && self.metadata == settled {
-            self.metadata = left;
+        if purpose == Purpose::Metadata && self.metadata == this_write {
+            self.metadata = new_state;
         }
     }
 }
 
 impl Replica {
-    /// Sends a reply about a register once all that it rests on is on disk. `changed`: whether the request changed the register.
+    /// Sends a reply about a register once the register's current state is durable. `changed`: whether the request changed the
+    /// register.
     pub(super) fn reply_when_durable(
         &mut self,
         key: RegisterKey,
@@ -164,7 +177,8 @@
         }
     }
 
-    /// As if the request had been lost; what it changed is written along with the next change.
+    /// Drops a reply because too many writes are in progress, as if the request had been lost. A change that the request made is
+    /// written along with the next change of the register.
     fn drop_reply(&mut self, key: RegisterKey, changed: bool) {
         self.counters.rejected += 1;
         if changed {
@@ -172,26 +186,26 @@
         }
     }
 
-    /// Sends a message once the metadata are on disk, after writing them anew where `write_anew`.
+    /// Sends a message once the metadata are durable. `rewrite`: whether they have changed and have to be written first.
     pub(super) fn send_when_metadata_durable(
         &mut self,
         reply: Reply,
-        write_anew: bool,
+        rewrite: bool,
         out: &mut Vec<Output>,
     ) {
         if !self.settings.durable {
             return self.send(reply.to, reply.message, out);
         }
         match self.persistence.metadata {
-            Some(Unsynced::Pending(ticket)) if !write_anew => {
+            Some(Unsynced::Pending(ticket)) if !rewrite => {
                 self.persistence.add_reply(ticket, reply);
             }
-            None if !write_anew => self.send(reply.to, reply.message, out),
+            None if !rewrite => self.send(reply.to, reply.message, out),
             _ => self.store_metadata(vec![reply], out),
         }
     }
 
-    /// Stores a register that was fetched from another replica.
+    /// Stores a register that was received by state transfer.
     pub(super) fn store_transferred(
         &mut self,
         key: RegisterKey,
@@ -201,6 +215,7 @@
         self.store_register(Purpose::Transferred(key, transfer), key, vec![], out);
     }
 
+    /// Issues a write of a register's current state.
     fn store_register(
         &mut self,
         purpose: Purpose,
@@ -218,6 +233,7 @@
             .insert(key, Unsynced::Pending(ticket));
     }
 
+    /// Issues a write of the metadata; the replies are sent once it has completed.
     pub(super) fn store_metadata(&mut self, replies: Vec<Reply>, out: &mut Vec<Output>) {
         let Some(recovery) = &self.recovery else {
             return;
@@ -237,6 +253,7 @@
         self.store_record(Purpose::Removal, name, None, vec![], out);
     }
 
+    /// Issues a write of a record, or its removal if `bytes` is `None`. Returns the ticket of the write.
     fn store_record(
         &mut self,
         purpose: Purpose,
@@ -261,6 +278,7 @@
         ticket
     }
 
+    /// Handles the completion of a write to disk: sends its replies, or rejects their requests if the write failed.
     pub(super) fn on_stored(
         &mut self,
         now: Duration,
@@ -273,7 +291,7 @@
         };
         self.report_disk_fault(result.as_ref().err(), out);
         self.persistence
-            .settle(ticket, write.purpose, result.is_err());
+            .complete_write(ticket, write.purpose, result.is_err());
         match &result {
             Ok(()) => {
                 let durable = &mut self.persistence.durable_changes;
@@ -289,6 +307,7 @@
         }
     }
 
+    /// Sends rejections in place of replies that depend on a failed write.
     fn reject_replies(&mut self, replies: Vec<Reply>, fault: &StorageError, out: &mut Vec<Output>) {
         let reason = match fault {
             StorageError::Full => RejectReason::DiskFull,
@@ -308,7 +327,7 @@
         }
     }
 
-    /// Reports a fault of the disk, or its end, once.
+    /// Reports a change of the disk's condition: a new fault, or recovery from one.
     fn report_disk_fault(&mut self, fault: Option<&StorageError>, out: &mut Vec<Output>) {
         if self.persistence.fault.as_ref() == fault {
             return;
--- a/crates/replicated-register/src/replica/proposer.rs
+++ b/crates/replicated-register/src/replica/proposer.rs
@@ -1,4 +1,5 @@
-//! Calls of this process: queued by register, the first of each queue in progress, each answered by its deadline.
+//! Proposer side of a replica: runs the calls of this process. Calls are queued by register and run one at a time for each
+//! register; each is answered by its deadline.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -14,25 +15,26 @@
 use crate::register::{Accepted, RegisterKey};
 use crate::{CallId, Output, RegisterError, MAX_VALUE_BYTES};
 
-/// Calls in progress and in queues; further ones fail as [`RegisterError::Busy`].
+/// Maximum number of calls in progress or queued. Further calls fail with [`RegisterError::Busy`].
 pub const MAX_CALLS: usize = 4096;
-/// Leader ballots that are remembered; without one a write takes two rounds.
+/// Maximum number of leader ballots that are remembered. Without a leader ballot a write takes two rounds.
 const MAX_LEADER_BALLOTS: usize = 16 * 1024;
-/// A message that was not answered is sent again after this.
+/// Interval at which a message is sent again to replicas that have not responded.
 pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(150);
-/// First range of the random backoff; doubled with each attempt.
+/// Range of the random backoff in microseconds, before it is doubled with each attempt.
 const BACKOFF_MICROS: u64 = 4000;
-/// Times that the range of the backoff is doubled at most.
+/// Maximum number of times that the range of the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 7;
 
-/// The calls of one process.
+/// Calls of this process that are in progress or queued.
 pub(super) struct Proposer {
     ids: IdAllocator,
     proposals: BTreeMap<CallId, Proposal>,
-    /// Calls by register; the first of each is in progress.
+    /// Queue of calls for each register. The first call of a queue is in progress.
     queues: BTreeMap<RegisterKey, VecDeque<CallId>>,
-    /// When calls are to be looked at.
+    /// Timers of calls, ordered by time.
     timers: BTreeSet<(Duration, CallId)>,
+    /// Ballots under which the next write of a register can skip the prepare phase.
     leader_ballots: BTreeMap<RegisterKey, LeaderBallot>,
 }
 
@@ -47,17 +49,17 @@
         }
     }
 
-    /// When the first timer is due.
+    /// Time at which the first timer is due.
     pub(super) fn wake_at(&self) -> Option<Duration> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Whether one more call may be taken, under a number that is not in use.
+    /// Whether another call can be accepted: the limit is not reached and its identifier is not in use.
     fn has_capacity(&self, call: CallId) -> bool {
         self.proposals.len() < MAX_CALLS && !self.proposals.contains_key(&call)
     }
 
-    /// Appends a proposal to its register's queue; returns whether it is the first.
+    /// Appends a proposal to its register's queue. Returns whether it is the first, so that it has to be started.
     fn enqueue(&mut self, proposal: Proposal) -> bool {
         let (call, key) = (proposal.call, proposal.key);
         self.timers.insert((proposal.deadline, call));
@@ -67,12 +69,12 @@
         queue.len() == 1
     }
 
-    /// The call in progress for a register.
+    /// The call that is in progress for a register, if any.
     fn active_call(&self, key: RegisterKey) -> Option<CallId> {
         self.queues.get(&key)?.front().copied()
     }
 
-    /// The proposal in progress for a register, with the allocator for what it needs.
+    /// The proposal that is in progress for a register, if any, and the allocator of ballots and versions that its methods need.
     fn active(&mut self, key: RegisterKey) -> Option<(&mut Proposal, &mut IdAllocator)> {
         let call = self.active_call(key)?;
         Some((self.proposals.get_mut(&call)?, &mut self.ids))
@@ -89,7 +91,7 @@
         proposal.start(leader, &mut self.ids);
     }
 
-    /// Moves a call's timer along with a change of the proposal.
+    /// Applies `change` to the proposal of a call, and moves the call's timer to the proposal's new time.
     fn reschedule(&mut self, call: CallId, change: impl FnOnce(&mut Proposal)) {
         if let Some(proposal) = self.proposals.get_mut(&call) {
             self.timers.remove(&(proposal.timer(), call));
@@ -98,6 +100,7 @@
         }
     }
 
+    /// Remembers a leader ballot. At the limit, forgets the one of the register with the lowest key.
     fn remember_leader(&mut self, key: RegisterKey, leader: LeaderBallot) {
         if self.leader_ballots.len() >= MAX_LEADER_BALLOTS {
             self.leader_ballots.pop_first();
@@ -105,7 +108,7 @@
         self.leader_ballots.insert(key, leader);
     }
 
-    /// Removes a call that is answered.
+    /// Removes the proposal and timers of a call that is about to be answered.
     fn remove(&mut self, call: CallId) -> Option<Proposal> {
         let proposal = self.proposals.remove(&call)?;
         self.timers.remove(&(proposal.timer(), call));
@@ -113,7 +116,8 @@
         Some(proposal)
     }
 
-    /// Removes a call from its register's queue; returns the one that is in progress from now on, if that changes.
+    /// Removes a call from its register's queue. If the call was in progress, returns the next call of the queue, which has to be
+    /// started.
     fn dequeue(&mut self, key: RegisterKey, call: CallId) -> Option<CallId> {
         let queue = self.queues.get_mut(&key)?;
         let was_active = queue.front() == Some(&call);
@@ -201,7 +205,7 @@
         self.send_requests(now, call, out);
     }
 
-    /// Sends the current message to the replicas that have not responded, and again after a while.
+    /// Sends the proposal's current message to the replicas that have not responded, and sets the timer for sending it again.
     fn send_requests(&mut self, now: Duration, call: CallId, out: &mut Vec<Output>) {
         let Some(proposal) = self.proposer.proposals.get(&call) else {
             return;
@@ -262,7 +266,7 @@
         out: &mut Vec<Output>,
     ) {
         if matches!(reason, RejectReason::HigherBallot(_)) && self.repairs.is_for(request) {
-            // Another proposer has begun to write the register anew.
+            // Another proposer has prepared a higher ballot and may replace the tombstone, so the repair ends.
             self.repairs.remove(request.key);
             return;
         }
@@ -273,6 +277,7 @@
         self.proceed(now, request.key, next, out);
     }
 
+    /// Carries out the next step of the proposal in progress for a register.
     fn proceed(&mut self, now: Duration, key: RegisterKey, next: NextStep, out: &mut Vec<Output>) {
         let Some(call) = self.proposer.active_call(key) else {
             return;
@@ -290,19 +295,20 @@
         }
     }
 
-    /// The first restart is immediate, as the proposer may only have been behind. Later ones are spread at random over a growing
-    /// range, so that two competing proposers part.
+    /// Schedules the restart of a proposal. The first restart is immediate, as the proposer may just have used an outdated ballot.
+    /// Later ones are delayed at random over a growing range, so that competing proposers do not preempt each other repeatedly.
     fn back_off(&mut self, now: Duration, call: CallId) {
-        let draw = self.draw();
+        let random = self.random_bits();
         self.proposer.reschedule(call, |proposal| {
             let range = match proposal.attempts {
                 0 => 1,
                 attempts => BACKOFF_MICROS << attempts.min(MAX_BACKOFF_DOUBLINGS),
             };
-            proposal.back_off(now + Duration::from_micros(draw % range));
+            proposal.back_off(now + Duration::from_micros(random % range));
         });
     }
 
+    /// Answers a call and starts the next call of its register's queue.
     fn finish(&mut self, now: Duration, call: CallId, outcome: Outcome, out: &mut Vec<Output>) {
         let Some(proposal) = self.proposer.remove(call) else {
             return;
@@ -347,8 +353,8 @@
         }
     }
 
-    /// A message was not answered in time. Where membership reports fewer than a majority of the replicas as reachable, the call
-    /// fails at once.
+    /// Handles a message that was not answered in time. The call fails at once if membership reports fewer than a majority of the
+    /// replicas as reachable and nothing has been proposed for it; otherwise the message is sent again or the proposal restarted.
     fn on_timeout(&mut self, now: Duration, key: RegisterKey, out: &mut Vec<Output>) {
         let reachable = self.reachable(now);
         let Some((proposal, _)) = self.proposer.active(key) else {
@@ -369,7 +375,7 @@
         self.proceed(now, key, next, out);
     }
 
-    /// Members that are reachable, this one among them; none while that is not known.
+    /// The reachable members, including this one; `None` if membership has not reported them or the report is no longer valid.
     fn reachable(&self, now: Duration) -> Option<BTreeSet<NameKey>> {
         let peers = self
             .peers
--- a/crates/replicated-register/src/replica/request.rs
+++ b/crates/replicated-register/src/replica/request.rs
@@ -1,17 +1,17 @@
-//! Requests between replicas, and answers to callers.
+//! Identification of requests between replicas, and conversion of outcomes into answers to callers.
 
 use crate::proposal::{Outcome, Proposal};
 use crate::register::{Ballot, RegisterKey};
 use crate::Output;
 
-/// The register and the ballot that a response is about.
+/// Identifies a request between replicas by its register and ballot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Request {
     pub(super) key: RegisterKey,
     pub(super) ballot: Ballot,
 }
 
-/// The answer to the call of a proposal.
+/// Builds the answer to the caller of a proposal.
 pub(super) fn answer(proposal: &Proposal, outcome: Outcome) -> Output {
     let call = proposal.call;
     match outcome {
--- a/crates/replicated-register/src/replica/restore.rs
+++ b/crates/replicated-register/src/replica/restore.rs
@@ -1,4 +1,4 @@
-//! The start from what is on disk.
+//! Restoring a replica's state from disk at the start.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::{Event, Output};
 
 impl Replica {
-    /// What was on disk at the start.
+    /// Handles the records that were on disk at the start, or the error of reading them.
     pub(super) fn on_loaded(
         &mut self,
         now: Duration,
@@ -36,12 +36,13 @@
         self.store_metadata(vec![], out);
     }
 
+    /// Begins the incarnation that is numbered by this process's start number.
     fn begin_incarnation(&mut self, completeness: Completeness) {
         let (own, start) = (self.own.name, self.own.start);
         self.recovery = Some(RecoveryState::new(own, &self.roster, completeness, start));
     }
 
-    /// Restores what is on disk; returns the names of records that are of no use.
+    /// Restores the state from the records on disk. Returns the names of corrupt or stale records, which are to be removed.
     fn restore(
         &mut self,
         now: Duration,
@@ -65,7 +66,7 @@
                 stale,
             } => {
                 for (key, acceptor) in registers {
-                    // What exceeds the capacity now exceeded it when it was written.
+                    // The registers were within the capacity limits when they were written, so an error is not expected here.
                     let bytes = acceptor.value_bytes();
                     let _ = self.store.update(now, key, bytes, |held| *held = acceptor);
                 }
@@ -76,7 +77,7 @@
                     metadata.completeness,
                     metadata.incarnation,
                 );
-                self.recovery = Some(recovery.with(metadata.count, metadata.incarnations));
+                self.recovery = Some(recovery.with_restored(metadata.count, metadata.incarnations));
                 stale
             }
         }
--- a/crates/replicated-register/src/replica/state_transfer.rs
+++ b/crates/replicated-register/src/replica/state_transfer.rs
@@ -1,5 +1,6 @@
-//! Catching up after a restart: the transfer of all that other replicas hold, and what they know of earlier incarnations. A transfer
-//! goes in chunks, each requested by the last key that has arrived, so that a lost frame costs one chunk.
+//! Catching up after a restart: transfers the registers of other replicas, and evaluates what they know about earlier incarnations
+//! of this replica. A transfer consists of chunks, each requested by the last key that has arrived, so a lost frame costs one
+//! chunk.
 
 use std::time::Duration;
 
@@ -14,26 +15,27 @@
 use crate::register::{Acceptor, RegisterKey};
 use crate::{Event, Output};
 
-/// A chunk that did not arrive is requested again after this.
+/// Time after which a chunk that has not arrived is requested again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// A source that is still needed after its transfer is asked again after this.
+/// Delay before a transfer is repeated from a source that is still needed after its transfer ended.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(1000);
-/// Bytes of a chunk; a single register always fits.
+/// Maximum size of the registers in a chunk in bytes. A single register always fits.
 const MAX_CHUNK_BYTES: usize = 50 * 1024;
-/// Bytes of a register in a chunk beside its value, at most.
+/// Upper bound for the encoded size of a register in a chunk in bytes, not including its value.
 const REGISTER_OVERHEAD_BYTES: usize = 160;
-/// Registers looked at for one chunk.
+/// Maximum number of registers that are scanned for one chunk.
 const MAX_SCANNED_REGISTERS: usize = 4096;
 
-/// Registers for one chunk.
+/// Result of scanning the registers for one chunk.
 struct Scan<'a> {
+    /// Registers to send.
     items: Vec<(RegisterKey, &'a Acceptor)>,
-    /// The last key looked at; none at the end.
+    /// Last key that was scanned; `None` if the scan reached the last register.
     up_to: Option<RegisterKey>,
 }
 
 impl Replica {
-    /// Requests what is missing, one chunk at a time of each source.
+    /// Requests the next chunk from each source whose request is due. Each source sends one chunk at a time.
     pub(super) fn request_state(&mut self, now: Duration, out: &mut Vec<Output>) {
         let Some(recovery) = &self.recovery else {
             return;
@@ -65,7 +67,8 @@
         }
     }
 
-    /// Another replica asks for a chunk. `incarnation_is_later`: it was not known yet that its earlier one has ended.
+    /// Handles another replica's request for a chunk. `incarnation_is_later`: whether the request changed the known incarnation of
+    /// that replica, so that the metadata have to be stored.
     pub(super) fn on_fetch_state(
         &mut self,
         from: NameKey,
@@ -78,7 +81,7 @@
             return;
         };
         let scan = self.scan(from, after);
-        // Plain data cannot fail to be encoded; a chunk that does not open is requested again.
+        // Encoding plain data into a vector cannot fail. A chunk that cannot be decoded would be requested again.
         let items = postcard::to_stdvec(&scan.items).unwrap_or_default();
         let chunk = StateChunk {
             session,
@@ -98,11 +101,12 @@
             to: from,
             message: Message::StateChunk(Box::new(chunk)),
         };
-        // From now on this replica reports to all that the other's earlier incarnation has ended; it must not forget that.
+        // The chunk may report that an earlier incarnation of the other replica has ended. This replica must not forget that, so it
+        // sends the chunk only once the metadata are durable.
         self.send_when_metadata_durable(reply, incarnation_is_later, out);
     }
 
-    /// Registers after a key that another member holds too, as many as fit into a chunk.
+    /// Collects registers with keys greater than `after` that another member holds too, as many as fit into a chunk.
     fn scan(&self, member: NameKey, after: Option<RegisterKey>) -> Scan<'_> {
         let mut scan = Scan {
             items: vec![],
@@ -124,6 +128,7 @@
         scan
     }
 
+    /// Handles a chunk of a state transfer. Ignores it unless it is the one that was requested last from its sender.
     pub(super) fn on_state_chunk(
         &mut self,
         now: Duration,
@@ -143,15 +148,15 @@
         let Some(transfer) = self.transfers.active.get_mut(&name).filter(is_awaited) else {
             return;
         };
-        let Some(items) = chunk.open() else {
-            self.counters.broken_chunks += 1;
+        let Some(items) = chunk.decode_items() else {
+            self.counters.corrupt_chunks += 1;
             return;
         };
         if transfer
             .source_start
             .is_some_and(|start| start != from.start)
         {
-            // Another process goes on with it, which may hold something else: it begins anew.
+            // The source has restarted in the course of the transfer and may hold other state now, so the transfer begins again.
             self.transfers.active.remove(&name);
             return;
         }
@@ -170,7 +175,8 @@
         self.finish_transfer(now, name, out);
     }
 
-    /// What another replica knows of incarnations, this one's among them; returns whether transfers have to begin anew.
+    /// Evaluates what another replica knows about incarnations, including that of this replica. Returns whether transfers have to
+    /// begin again because this replica has been found to have lost state.
     fn on_incarnations(
         &mut self,
         by: NameKey,
@@ -195,8 +201,8 @@
         false
     }
 
-    /// Another replica knows more of this one than it holds itself: begins an incarnation that is known to be incomplete. Returns
-    /// false where this process has begun one already.
+    /// Handles proof from another replica that this replica has lost state: begins an incarnation that is known to be incomplete.
+    /// Returns false if this process has begun one before.
     fn end_incarnation(&mut self, by: NameKey, out: &mut Vec<Output>) -> bool {
         let Some(recovery) = &mut self.recovery else {
             return true;
@@ -219,7 +225,7 @@
         true
     }
 
-    /// Takes a register that another replica holds; returns whether there is capacity for it.
+    /// Merges in a register that was received by state transfer. Returns false if there is no capacity for it.
     fn learn(
         &mut self,
         now: Duration,
@@ -256,7 +262,8 @@
         true
     }
 
-    /// A register that was fetched is on disk, or could not be written.
+    /// Handles the completion of the write of a register that was received by state transfer. `stored`: whether the write
+    /// succeeded.
     pub(super) fn on_transferred_stored(
         &mut self,
         now: Duration,
@@ -273,6 +280,7 @@
         self.finish_transfer(now, id.from, out);
     }
 
+    /// Completes the transfer from a source if all its chunks have arrived and its registers are stored.
     fn finish_transfer(&mut self, now: Duration, name: NameKey, out: &mut Vec<Output>) {
         let Some(transfer) = self.transfers.take_finished(name) else {
             return;
@@ -297,7 +305,7 @@
         self.check_caught_up(now, out);
     }
 
-    /// Reports once that this replica has caught up.
+    /// Reports that this replica has caught up, once, as soon as it has.
     pub(super) fn check_caught_up(&mut self, now: Duration, out: &mut Vec<Output>) {
         let Some(recovery) = self.recovery.as_ref().filter(|_| !self.has_caught_up) else {
             return;
--- a/crates/replicated-register/src/replica/tombstone_repair.rs
+++ b/crates/replicated-register/src/replica/tombstone_repair.rs
@@ -1,4 +1,5 @@
-//! Tombstones that not all replicas have accepted yet: sent to those until all hold them, so that all may forget them soon.
+//! Tombstone repair: sends a tombstone to the replicas that have not accepted it yet. Once all replicas hold it, they may forget it
+//! soon.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,33 +14,36 @@
 use crate::register::{Ballot, RegisterKey, State, Version};
 use crate::Output;
 
-/// Repairs at a time; a tombstone beyond them is kept longer where a replica missed it.
+/// Maximum number of concurrent repairs. A tombstone beyond it is not repaired, so replicas retain it for longer if one of them
+/// missed it.
 const MAX_REPAIRS: usize = 4096;
-/// How long a tombstone is sent to replicas that do not respond.
+/// Time after which a repair is abandoned if some replicas have not responded.
 const REPAIR_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time between two sends of one tombstone.
+/// Interval at which a tombstone is sent again to replicas that have not responded.
 const REPAIR_INTERVAL: Duration = RETRY_INTERVAL.saturating_mul(8);
 
-/// A tombstone that some replicas have not accepted.
+/// Repair of one tombstone that some replicas have not accepted.
 struct TombstoneRepair {
+    /// Ballot under which the tombstone was accepted by a majority.
     ballot: Ballot,
     state: State,
+    /// Replicas that have not accepted the tombstone.
     missing: BTreeSet<NameKey>,
     next_send: Duration,
     deadline: Duration,
 }
 
-/// Repairs by register.
+/// Repairs in progress, by register.
 #[derive(Default)]
 pub(super) struct TombstoneRepairs(BTreeMap<RegisterKey, TombstoneRepair>);
 
 impl TombstoneRepairs {
-    /// When the first repair is due.
+    /// Time at which the next repair is due.
     pub(super) fn wake_at(&self) -> Option<Duration> {
         self.0.values().map(|repair| repair.next_send).min()
     }
 
-    /// Whether a response belongs to a repair.
+    /// Whether a response with this register and ballot belongs to a repair.
     pub(super) fn is_for(&self, request: Request) -> bool {
         self.0
             .get(&request.key)
@@ -50,7 +54,7 @@
         self.0.remove(&key);
     }
 
-    /// Removes a repair that is complete; returns the version of its tombstone.
+    /// Removes the repair of a register if all replicas have accepted the tombstone, and returns the tombstone's version.
     fn take_complete(&mut self, key: RegisterKey) -> Option<Version> {
         let is_complete = self.0.get(&key)?.missing.is_empty();
         let repair = is_complete.then(|| self.0.remove(&key)).flatten()?;
@@ -67,7 +71,7 @@
 }
 
 impl Replica {
-    /// Begins a repair where a proposal wrote a tombstone.
+    /// Begins a repair if a proposal wrote a tombstone. In any case ends the register's previous repair, which the write obsoletes.
     pub(super) fn start_tombstone_repair(
         &mut self,
         now: Duration,
@@ -107,7 +111,7 @@
         self.finish_tombstone_repair(key, out);
     }
 
-    /// Once all replicas hold the tombstone, tells them to forget it soon.
+    /// If all replicas hold the tombstone, notifies them that they may forget it soon.
     fn finish_tombstone_repair(&mut self, key: RegisterKey, out: &mut Vec<Output>) {
         let Some(version) = self.repairs.take_complete(key) else {
             return;
--- a/crates/replicated-register/src/store.rs
+++ b/crates/replicated-register/src/store.rs
@@ -1,4 +1,4 @@
-//! The registers that this member holds, within bounds of number and bytes, and when tombstones and promises are forgotten.
+//! The registers that this member holds: limits on their number and size, and expiry of tombstones and promises.
 
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
@@ -6,44 +6,45 @@
 
 use crate::register::{Acceptor, Ballot, RegisterKey, State, Version};
 
-/// Registers that one member holds at most; further ones are refused.
+/// Maximum number of registers that one member holds. Requests for further registers are rejected.
 pub const MAX_REGISTERS: usize = 64 * 1024;
-/// Bytes of their values at most; longer values are refused beyond it.
+/// Maximum total size in bytes of the values that one member holds. A value that would exceed it is rejected.
 pub const MAX_STORED_BYTES: usize = 256 << 20;
-/// A tombstone that all replicas hold, and a promise about a register without a state, are forgotten after this: no message is
-/// older.
+/// Time after which a replica forgets a tombstone that all replicas hold, or a promise for a register without a state. No message
+/// stays in the network for as long, so none that the tombstone or the promise should stop can still arrive.
 pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(600);
-/// A tombstone that some replica may not hold is forgotten after this. What a replica that was away for longer brings back is taken
-/// for the latest state again.
+/// Time after which a replica forgets a tombstone that some other replica may not hold. If a replica that was down for longer
+/// returns with the deleted value, that value becomes the latest state again.
 pub const UNSETTLED_TOMBSTONE_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
-/// The bound of registers or bytes is reached.
+/// The limit of registers or of bytes is reached.
 #[derive(Debug)]
 pub struct CapacityError;
 
-/// Acceptors by register.
+/// Acceptors of the registers that this member holds, by key.
 #[derive(Default)]
 pub struct RegisterStore {
     acceptors: BTreeMap<RegisterKey, Acceptor>,
-    /// Bytes of all values.
+    /// Total size of all values in bytes.
     bytes: usize,
+    /// Time at which each register without a value is removed.
     expiries: BTreeMap<RegisterKey, Duration>,
-    /// The first of the expiries, or an earlier time.
+    /// Lower bound of all times in `expiries`; `None` only if there are none.
     next_expiry: Option<Duration>,
 }
 
 impl RegisterStore {
-    /// Number of registers.
+    /// Number of registers held, including tombstones and registers with only a promise.
     pub fn len(&self) -> usize {
         self.acceptors.len()
     }
 
-    /// The acceptor of a register, if it is held.
+    /// The acceptor of a register; `None` if this member has no state for it.
     pub fn get(&self, key: RegisterKey) -> Option<&Acceptor> {
         self.acceptors.get(&key)
     }
 
-    /// All registers after a key, in the order of keys.
+    /// Iterates over the registers with keys greater than `key`, or over all if it is `None`, in the order of keys.
     pub fn iter_after(
         &self,
         key: Option<RegisterKey>,
@@ -57,10 +58,11 @@
         *self = RegisterStore::default();
     }
 
-    /// Changes a register, or creates it first. `bytes` is the length of the value that it may hold then.
+    /// Applies `change` to a register, which is created first if it does not exist. `bytes` is the maximum length in bytes of the
+    /// value after the change.
     ///
     /// # Errors
-    /// [`CapacityError`]: nothing is changed.
+    /// Returns [`CapacityError`] if a limit would be exceeded; nothing is changed then.
     pub fn update<T>(
         &mut self,
         now: Duration,
@@ -89,7 +91,7 @@
         } else if new_version.is_some() && new_version != old_version {
             self.set_expiry(key, now + UNSETTLED_TOMBSTONE_RETENTION);
         } else {
-            // A promise has to be remembered for as long as what it forbids may be on its way.
+            // The promise has to outlive the messages that it forbids accepting and that may still be in the network.
             let current = self.expiries.get(&key).copied().unwrap_or_default();
             self.set_expiry(key, current.max(now + TOMBSTONE_RETENTION));
         }
@@ -101,10 +103,10 @@
         self.next_expiry = Some(self.next_expiry.map_or(at, |next| next.min(at)));
     }
 
-    /// [`Acceptor::prepare`] of a register.
+    /// Calls [`Acceptor::prepare`] for a register.
     ///
     /// # Errors
-    /// [`CapacityError`]: nothing is changed.
+    /// Returns [`CapacityError`] if a limit would be exceeded; nothing is changed then.
     pub fn prepare(
         &mut self,
         now: Duration,
@@ -114,10 +116,10 @@
         self.update(now, key, 0, |acceptor| acceptor.prepare(ballot))
     }
 
-    /// [`Acceptor::accept`] of a register.
+    /// Calls [`Acceptor::accept`] for a register.
     ///
     /// # Errors
-    /// [`CapacityError`]: nothing is changed.
+    /// Returns [`CapacityError`] if a limit would be exceeded; nothing is changed then.
     pub fn accept(
         &mut self,
         now: Duration,
@@ -129,25 +131,26 @@
         self.update(now, key, bytes, |acceptor| acceptor.accept(ballot, state))
     }
 
-    /// All replicas hold this tombstone: it is forgotten soon.
+    /// Notes that all replicas hold a tombstone, which shortens its retention to [`TOMBSTONE_RETENTION`]. Has no effect if the
+    /// register no longer holds this tombstone.
     pub fn settle_tombstone(&mut self, now: Duration, key: RegisterKey, version: Version) {
         let accepted = self
             .get(key)
             .and_then(|acceptor| acceptor.accepted.as_ref());
-        let is_held = accepted.is_some_and(|accepted| {
+        let holds_tombstone = accepted.is_some_and(|accepted| {
             accepted.state.body.is_none() && accepted.state.version == version
         });
-        if is_held {
+        if holds_tombstone {
             self.set_expiry(key, now + TOMBSTONE_RETENTION);
         }
     }
 
-    /// When [`RegisterStore::expire`] is due.
+    /// Time at which [`RegisterStore::expire`] is due; `None` if no register expires.
     pub fn next_expiry(&self) -> Option<Duration> {
         self.next_expiry
     }
 
-    /// Forgets registers that have expired, and returns them: their records have to be removed too.
+    /// Removes expired registers and returns their keys, so that the caller also removes their records on disk.
     pub fn expire(&mut self, now: Duration) -> Vec<RegisterKey> {
         if self.next_expiry.is_none_or(|at| now < at) {
             return vec![];
--- a/crates/replicated-register/src/store/tests.rs
+++ b/crates/replicated-register/src/store/tests.rs
@@ -25,8 +25,8 @@
         assert!(matches!(store.prepare(now, key(i), ballot), Ok(Ok(true))));
     }
     assert!(store.prepare(now, key(MAX_REGISTERS), ballot).is_err());
-    let long = MAX_STORED_BYTES / crate::MAX_VALUE_BYTES;
-    for i in 0..long {
+    let values_that_fit = MAX_STORED_BYTES / crate::MAX_VALUE_BYTES;
+    for i in 0..values_that_fit {
         assert!(store
             .accept(
                 now,
@@ -39,21 +39,24 @@
     assert!(store
         .accept(
             now,
-            key(long),
+            key(values_that_fit),
             ballot,
             &state(Some(vec![0; crate::MAX_VALUE_BYTES]))
         )
         .is_err());
     assert!(matches!(
-        store.accept(now, key(long), ballot, &state(None)),
+        store.accept(now, key(values_that_fit), ballot, &state(None)),
         Ok(Ok(true))
     ));
     assert_eq!(
         store.expire(TOMBSTONE_RETENTION).len(),
-        MAX_REGISTERS - long - 1
+        MAX_REGISTERS - values_that_fit - 1
     );
-    store.settle_tombstone(now, key(long), version);
+    store.settle_tombstone(now, key(values_that_fit), version);
     store.settle_tombstone(now, key(0), version);
-    assert_eq!(store.expire(TOMBSTONE_RETENTION), vec![key(long)]);
-    assert_eq!((store.len(), store.next_expiry()), (long, None));
+    assert_eq!(
+        store.expire(TOMBSTONE_RETENTION),
+        vec![key(values_that_fit)]
+    );
+    assert_eq!((store.len(), store.next_expiry()), (values_that_fit, None));
 }
