--- a/crates/replicated-register/src/golden.rs
+++ b/crates/replicated-register/src/golden.rs
@@ -1,7 +1,7 @@
-//! Bytes that other processes and later versions depend on: every message, and every record on disk.
+//! Tests of the encodings of messages and disk records, which other processes and later versions depend on.
 //!
-//! The fixtures under `tests/fixtures` were written by the version before the crate's names changed. Each line is a label and
-//! the bytes in hexadecimal.
+//! The fixtures under `tests/fixtures` were written by an earlier version of this crate, so a difference shows an incompatible
+//! change. Each line of a fixture consists of a label and the bytes in hexadecimal.
 
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
 
 fn bytes(hex: &str) -> Vec<u8> {
     (0..hex.len() / 2)
-        .map(|i| u8::from_str_radix(&hex[2 * i..2 * i + 2], 16).expect("hexadecimal"))
+        .map(|i| u8::from_str_radix(&hex[2 * i..2 * i + 2], 16).expect("valid hexadecimal digits"))
         .collect()
 }
 
@@ -102,7 +102,7 @@
         (KEY, acceptor()),
         (RegisterKey([2; 16]), Acceptor::default()),
     ])
-    .expect("plain data");
+    .expect("plain data can be encoded");
     Message::StateChunk(Box::new(StateChunk {
         session: session(),
         after: Some(RegisterKey([1; 16])),
@@ -240,8 +240,8 @@
     }
 }
 
-fn metas() -> Vec<(&'static str, ReplicaMetadata)> {
-    let meta = |completeness| ReplicaMetadata {
+fn metadata_records() -> Vec<(&'static str, ReplicaMetadata)> {
+    let metadata = |completeness| ReplicaMetadata {
         incarnation: 1000,
         completeness,
         count: 200,
@@ -251,16 +251,16 @@
         ]),
     };
     vec![
-        ("meta-whole", meta(Completeness::Complete)),
-        ("meta-fresh", meta(Completeness::Fresh)),
-        ("meta-lost", meta(Completeness::Lost)),
+        ("meta-whole", metadata(Completeness::Complete)),
+        ("meta-fresh", metadata(Completeness::Fresh)),
+        ("meta-lost", metadata(Completeness::Lost)),
     ]
 }
 
-fn gap() -> Acceptor {
-    let mut gap = acceptor();
-    gap.promised = None;
-    gap.accepted = Some(Accepted {
+fn tombstone_acceptor() -> Acceptor {
+    let mut acceptor = acceptor();
+    acceptor.promised = None;
+    acceptor.accepted = Some(Accepted {
         voted: false,
         state: State {
             replaces: None,
@@ -269,13 +269,18 @@
         },
         ..accepted()
     });
-    gap
+    acceptor
 }
 
 fn registers() -> Vec<(&'static str, RegisterKey, u64, Acceptor)> {
     vec![
         ("register", KEY, 1000, acceptor()),
-        ("register-gap", RegisterKey([2; 16]), 1000, gap()),
+        (
+            "register-gap",
+            RegisterKey([2; 16]),
+            1000,
+            tombstone_acceptor(),
+        ),
         (
             "register-empty",
             RegisterKey([3; 16]),
@@ -288,9 +293,9 @@
 
 #[test]
 fn records_are_written_to_disk_as_in_the_fixture() {
-    let metas = metas()
+    let metadata = metadata_records()
         .into_iter()
-        .map(|(label, meta)| (label, disk_records::metadata(&meta)));
+        .map(|(label, metadata)| (label, disk_records::metadata(&metadata)));
     let registers = registers()
         .into_iter()
         .map(|(label, key, incarnation, acceptor)| {
@@ -299,14 +304,14 @@
                 disk_records::register(key, incarnation, 201, &acceptor),
             )
         });
-    let written: Vec<String> = metas
+    let written: Vec<String> = metadata
         .chain(registers)
         .map(|(label, record)| format!("{label} {} {}", hex(&record.name), hex(&record.bytes)))
         .collect();
     assert_eq!(written.join("\n"), DISK_RECORDS.trim_end());
 }
 
-/// One line of the records' fixture.
+/// One line of the fixture of disk records.
 struct StoredRecord {
     label: &'static str,
     name: Vec<u8>,
@@ -323,12 +328,12 @@
             bytes: bytes(line[2]),
         })
         .collect();
-    let kinds = [
+    let labels = [
         ("meta-whole", Completeness::Complete),
         ("meta-fresh", Completeness::Fresh),
         ("meta-lost", Completeness::Lost),
     ];
-    for (label, completeness) in kinds {
+    for (label, completeness) in labels {
         let found = records
             .iter()
             .filter(|record| record.label == label || record.label.starts_with("register"))
@@ -340,13 +345,13 @@
             stale,
         } = disk_records::open(found)
         else {
-            panic!("{label}: the fixture is whole");
+            panic!("{label}: the fixture is intact");
         };
         assert_eq!(
             (metadata.incarnation, metadata.completeness),
             (1000, completeness)
         );
-        // The register's record tells of one change more than the metadata.
+        // The records of the registers contain a number of changes that is higher by one than that in the metadata.
         assert_eq!(metadata.count, 201);
         assert_eq!(metadata.incarnations.len(), 2);
         assert_eq!(metadata.incarnations[&NameKey(8)], Incarnation::default());
@@ -355,15 +360,21 @@
         let keys: Vec<RegisterKey> = registers.iter().map(|(key, _)| *key).collect();
         assert_eq!(keys, [KEY, RegisterKey([2; 16]), RegisterKey([3; 16])]);
         assert_eq!(stale, [disk_records::name(RegisterKey([4; 16]))]);
-        let held = &registers[0].1;
-        let promised = held.promised.expect("a promise");
+        let stored = &registers[0].1;
+        let promised = stored.promised.expect("the acceptor has a promise");
         assert_eq!(
             (promised.round, promised.proposer, promised.start),
             (301, NameKey(7), 70_000)
         );
-        let taken = held.accepted.as_ref().expect("a value");
-        assert_eq!((taken.ballot, taken.voted), (ballot(), true));
-        let value = &taken.state;
+        let accepted_state = stored
+            .accepted
+            .as_ref()
+            .expect("the acceptor has an accepted state");
+        assert_eq!(
+            (accepted_state.ballot, accepted_state.voted),
+            (ballot(), true)
+        );
+        let value = &accepted_state.state;
         assert_eq!((value.version.epoch, value.version.count), (3, 12));
         assert_eq!(
             (value.version.writer, value.version.start),
@@ -371,7 +382,7 @@
         );
         assert_eq!(value.replaces, Some(version(11)));
         assert_eq!(value.body.as_deref(), Some(&b"value"[..]));
-        assert_eq!(registers[1].1, gap());
+        assert_eq!(registers[1].1, tombstone_acceptor());
         assert_eq!(registers[2].1, Acceptor::default());
     }
 }
--- a/crates/replicated-register/src/message.rs
+++ b/crates/replicated-register/src/message.rs
@@ -178,8 +178,9 @@
 
     /// Decodes the payload of a frame.
     ///
-    /// # Errors [`RegisterError::UnsupportedVersion`] if the version byte differs, [`RegisterError::Malformed`] if the payload is
-    /// not a valid message.
+    /// # Errors
+    /// [`RegisterError::UnsupportedVersion`] if the version byte differs, [`RegisterError::Malformed`] if the payload is not a valid
+    /// message.
     pub fn decode(bytes: &[u8]) -> Result<Message, RegisterError> {
         match bytes.split_first() {
             Some((&MESSAGE_VERSION, rest)) => {
--- a/crates/replicated-register/src/model.rs
+++ b/crates/replicated-register/src/model.rs
@@ -1,5 +1,5 @@
-//! Model check by `stateright` of two writers and three replicas of one register, over a network that loses, duplicates and
-//! reorders messages, where one replica may lose its memory and catch up. The transitions are those that run in service.
+//! Model checking with `stateright` of two writers and three replicas of one register. The network may lose, duplicate and reorder
+//! messages, and one replica may lose its state and catch up. The model runs the acceptor and proposal code of the service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,11 +19,14 @@
 /// Name of the first writer; replicas are named from 0.
 const FIRST_WRITER: u32 = 10;
 
-/// Writes in a row, tries of each, and losses of memory.
+/// Bounds of the explored state space.
 #[derive(Clone, Copy)]
-struct Size {
+struct Bounds {
+    /// Number of consecutive writes by each writer.
     writes: [usize; 2],
+    /// Maximum number of restarts of each proposal.
     attempts: u32,
+    /// Maximum number of times that a replica loses its state.
     losses: u32,
 }
 
@@ -32,20 +35,23 @@
     ids: IdAllocator,
     proposal: Option<Proposal>,
     leader_ballot: Option<LeaderBallot>,
-    begun: usize,
-    /// What it writes on next.
+    /// Number of writes that the writer has started.
+    started_writes: usize,
+    /// Version that the writer expects in its next write.
     expected: Option<Version>,
-    done: Vec<(Option<Version>, Version)>,
-    /// Versions that it was told are the latest, or were written.
-    seen: Vec<Version>,
+    /// Expected and new version of each write that succeeded.
+    completed_writes: Vec<(Option<Version>, Version)>,
+    /// Versions that were reported to the writer, as written by it or as the latest.
+    observed: Vec<Version>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct ModelReplica {
     acceptor: Acceptor,
     incarnation: u64,
-    /// Lives of the others that it knows, and, while it catches up, those it has fetched from.
+    /// Incarnations of the other replicas that this one knows.
     incarnations: BTreeMap<NameKey, u64>,
+    /// While the replica catches up, the replicas that it has fetched state from; `None` otherwise.
     fetched: Option<BTreeSet<u32>>,
 }
 
@@ -53,30 +59,31 @@
 struct State {
     replicas: Vec<ModelReplica>,
     writers: Vec<Writer>,
-    /// From, to, what; whatever was ever sent may arrive, any number of times.
+    /// All messages that were ever sent, as sender, receiver and frame. Each may arrive any number of times.
     in_flight: BTreeSet<(u32, u32, Vec<u8>)>,
+    /// Number of times that a replica has lost its state.
     losses: u32,
-    /// The latest that anybody was told of, at each beginning of a write.
-    floor: Vec<Option<Version>>,
+    /// For each writer, the latest version that any writer had observed when its current write started.
+    observed_at_start: Vec<Option<Version>>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    /// A writer begins its next write.
-    Begin(usize),
-    /// A writer starts its proposal anew.
+    /// This writer starts its next write.
+    StartWrite(usize),
+    /// This writer restarts its proposal.
     Restart(usize),
-    /// A message from one to another.
+    /// A message arrives: sender, receiver and frame.
     Deliver(u32, u32, Vec<u8>),
-    /// A replica loses its memory.
-    Lose(u32),
-    /// A replica fetches all that another one holds.
+    /// This replica loses its state.
+    LoseState(u32),
+    /// The first replica fetches all state of the second one.
     Transfer(u32, u32),
 }
 
-struct Network(Size);
+struct RegisterModel(Bounds);
 
-impl Network {
+impl RegisterModel {
     fn send(&self, state: &mut State, w: usize) {
         let Some(proposal) = &state.writers[w].proposal else {
             return;
@@ -95,64 +102,68 @@
         match next {
             NextStep::Wait | NextStep::Restart => {}
             NextStep::Send => self.send(state, w),
-            NextStep::Done(answer, leader_ballot) => {
+            NextStep::Done(outcome, leader_ballot) => {
                 let writer = &mut state.writers[w];
                 (writer.proposal, writer.leader_ballot) = (None, leader_ballot);
-                match answer {
+                match outcome {
                     Outcome::Written(version) => {
-                        writer.done.push((writer.expected, version));
-                        writer.seen.push(version);
+                        writer.completed_writes.push((writer.expected, version));
+                        writer.observed.push(version);
                         writer.expected = Some(version);
                     }
                     Outcome::Failed(RegisterError::Conflict { latest }) => {
-                        writer.seen.extend(latest);
+                        writer.observed.extend(latest);
                         writer.expected = latest;
                     }
-                    _ => writer.begun = usize::MAX,
+                    _ => writer.started_writes = usize::MAX,
                 }
             }
         }
     }
 
-    fn at_replica(&self, held: &mut ModelReplica, message: Message) -> Option<Message> {
-        let incarnations = held
+    fn on_message_at_replica(
+        &self,
+        replica: &mut ModelReplica,
+        message: Message,
+    ) -> Option<Message> {
+        let incarnations = replica
             .incarnations
             .iter()
             .map(|(name, incarnation)| (*name, *incarnation))
             .collect();
         let provenance = Provenance {
-            incarnation: held.incarnation,
+            incarnation: replica.incarnation,
             count: 0,
             incarnations,
         };
-        if held.fetched.is_some() {
+        if replica.fetched.is_some() {
             return None;
         }
         match message {
-            Message::Prepare { key, ballot } => Some(match held.acceptor.prepare(ballot) {
+            Message::Prepare { key, ballot } => Some(match replica.acceptor.prepare(ballot) {
                 Ok(_) => Message::Promise {
                     key,
                     ballot,
                     provenance,
-                    accepted: held.acceptor.accepted.clone(),
+                    accepted: replica.acceptor.accepted.clone(),
                 },
-                Err(passed) => Message::Rejected {
+                Err(promised) => Message::Rejected {
                     key,
                     ballot,
-                    reason: RejectReason::HigherBallot(passed),
+                    reason: RejectReason::HigherBallot(promised),
                 },
             }),
             Message::Accept { key, ballot, state } => {
-                Some(match held.acceptor.accept(ballot, &state) {
+                Some(match replica.acceptor.accept(ballot, &state) {
                     Ok(_) => Message::Accepted {
                         key,
                         ballot,
                         provenance,
                     },
-                    Err(passed) => Message::Rejected {
+                    Err(promised) => Message::Rejected {
                         key,
                         ballot,
-                        reason: RejectReason::HigherBallot(passed),
+                        reason: RejectReason::HigherBallot(promised),
                     },
                 })
             }
@@ -160,7 +171,7 @@
         }
     }
 
-    fn at_writer(&self, state: &mut State, w: usize, from: NameKey, message: Message) {
+    fn on_message_at_writer(&self, state: &mut State, w: usize, from: NameKey, message: Message) {
         let writer = &mut state.writers[w];
         let Some(proposal) = &mut writer.proposal else {
             return;
@@ -183,17 +194,17 @@
         self.proceed(state, w, next);
     }
 
-    fn begin(&self, state: &mut State, w: usize) {
-        let seen = state.writers.iter().flat_map(|writer| &writer.seen);
-        state.floor[w] = seen.copied().max();
+    fn start_write(&self, state: &mut State, w: usize) {
+        let observed = state.writers.iter().flat_map(|writer| &writer.observed);
+        state.observed_at_start[w] = observed.copied().max();
         let writer = &mut state.writers[w];
-        writer.begun += 1;
+        writer.started_writes += 1;
         let write = Operation::Write(Write {
             expected: writer.expected,
             epoch: 1,
-            body: Some(vec![w as u8, writer.begun as u8]),
+            body: Some(vec![w as u8, writer.started_writes as u8]),
         });
-        let call = CallId(writer.begun as u64);
+        let call = CallId(writer.started_writes as u64);
         let replicas = (0..REPLICAS).map(NameKey).collect();
         let ids = &mut writer.ids;
         let mut proposal = Proposal::new(call, KEY, replicas, Duration::MAX, write, ids);
@@ -215,14 +226,16 @@
         let message = Message::decode(message).ok()?;
         if to >= FIRST_WRITER {
             let writer = (to - FIRST_WRITER) as usize;
-            self.at_writer(state, writer, NameKey(from), message);
-        } else if let Some(reply) = self.at_replica(&mut state.replicas[to as usize], message) {
+            self.on_message_at_writer(state, writer, NameKey(from), message);
+        } else if let Some(reply) =
+            self.on_message_at_replica(&mut state.replicas[to as usize], message)
+        {
             state.in_flight.insert((to, from, reply.encode()));
         }
         Some(())
     }
 
-    fn lose(&self, state: &mut State, replica: u32) {
+    fn lose_state(&self, state: &mut State, replica: u32) {
         state.losses += 1;
         let lost = &mut state.replicas[replica as usize];
         *lost = ModelReplica {
@@ -257,7 +270,7 @@
     }
 }
 
-impl Model for Network {
+impl Model for RegisterModel {
     type State = State;
     type Action = Action;
 
@@ -269,31 +282,33 @@
             }),
             proposal: None,
             leader_ballot: None,
-            begun: 0,
+            started_writes: 0,
             expected: None,
-            done: vec![],
-            seen: vec![],
+            completed_writes: vec![],
+            observed: vec![],
         };
         vec![State {
             replicas: vec![ModelReplica::default(); REPLICAS as usize],
             writers: (0..2).map(writer).collect(),
             in_flight: BTreeSet::new(),
             losses: 0,
-            floor: vec![None; 2],
+            observed_at_start: vec![None; 2],
         }]
     }
 
-    fn actions(&self, state: &State, acts: &mut Vec<Action>) {
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         for (w, writer) in state.writers.iter().enumerate() {
             match &writer.proposal {
-                None if writer.begun < self.0.writes[w] => acts.push(Action::Begin(w)),
+                None if writer.started_writes < self.0.writes[w] => {
+                    actions.push(Action::StartWrite(w))
+                }
                 Some(proposal) if proposal.attempts < self.0.attempts => {
-                    acts.push(Action::Restart(w))
+                    actions.push(Action::Restart(w))
                 }
                 _ => {}
             }
         }
-        acts.extend(
+        actions.extend(
             state
                 .in_flight
                 .iter()
@@ -301,11 +316,11 @@
         );
         for i in 0..REPLICAS {
             match &state.replicas[i as usize].fetched {
-                None if state.losses < self.0.losses => acts.push(Action::Lose(i)),
+                None if state.losses < self.0.losses => actions.push(Action::LoseState(i)),
                 None => {}
-                Some(had) => {
-                    let from = (0..REPLICAS).filter(|j| *j != i && !had.contains(j));
-                    acts.extend(from.map(|j| Action::Transfer(i, j)));
+                Some(fetched) => {
+                    let from = (0..REPLICAS).filter(|j| *j != i && !fetched.contains(j));
+                    actions.extend(from.map(|j| Action::Transfer(i, j)));
                 }
             }
         }
@@ -314,10 +329,10 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::Begin(writer) => self.begin(&mut state, writer),
+            Action::StartWrite(writer) => self.start_write(&mut state, writer),
             Action::Restart(writer) => self.restart(&mut state, writer)?,
             Action::Deliver(from, to, message) => self.deliver(&mut state, from, to, &message)?,
-            Action::Lose(replica) => self.lose(&mut state, replica),
+            Action::LoseState(replica) => self.lose_state(&mut state, replica),
             Action::Transfer(replica, source) => self.transfer(&mut state, replica, source)?,
         }
         (state != *last).then_some(state)
@@ -325,94 +340,102 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no version is followed by two", |_, state: &State| {
-                let done = || state.writers.iter().flat_map(|w| &w.done);
-                let bases: BTreeSet<Option<Version>> =
-                    done().map(|(expected, _)| *expected).collect();
-                bases.len() == done().count()
-            }),
             Property::always(
-                "what is seen is not earlier than what was seen before it began",
+                "no version is replaced by two writes",
+                |_, state: &State| {
+                    let completed_writes =
+                        || state.writers.iter().flat_map(|w| &w.completed_writes);
+                    let bases: BTreeSet<Option<Version>> =
+                        completed_writes().map(|(expected, _)| *expected).collect();
+                    bases.len() == completed_writes().count()
+                },
+            ),
+            Property::always(
+                "a write never observes a version older than one observed before it started",
                 |_, state: &State| {
-                    state
-                        .writers
-                        .iter()
-                        .zip(&state.floor)
-                        .all(|(writer, floor)| {
+                    state.writers.iter().zip(&state.observed_at_start).all(
+                        |(writer, observed_at_start)| {
                             writer.proposal.is_some()
-                                || writer.seen.is_empty()
-                                || writer.seen.last().copied() >= *floor
-                        })
+                                || writer.observed.is_empty()
+                                || writer.observed.last().copied() >= *observed_at_start
+                        },
+                    )
                 },
             ),
-            Property::sometimes("both write", |_, state: &State| {
-                state.writers.iter().all(|w| !w.done.is_empty())
+            Property::sometimes("both writers succeed", |_, state: &State| {
+                state.writers.iter().all(|w| !w.completed_writes.is_empty())
             }),
         ]
     }
 }
 
-fn check(size: Size, states: usize) -> (usize, bool) {
-    let checker = Network(size)
+/// Explores states up to a limit, and fails if a property does not hold. Returns the number of unique states, and whether the state
+/// space was explored exhaustively.
+fn check(bounds: Bounds, state_limit: usize) -> (usize, bool) {
+    let checker = RegisterModel(bounds)
         .checker()
         .threads(2)
-        .target_state_count(states)
+        .target_state_count(state_limit)
         .spawn_bfs()
         .join();
-    for found in [
-        "no version is followed by two",
-        "what is seen is not earlier than what was seen before it began",
+    for property in [
+        "no version is replaced by two writes",
+        "a write never observes a version older than one observed before it started",
     ] {
-        if let Some(path) = checker.discovery(found) {
-            panic!("{found}: {:?}", path.into_actions());
+        if let Some(path) = checker.discovery(property) {
+            panic!("{property}: {:?}", path.into_actions());
         }
     }
-    (checker.unique_state_count(), checker.state_count() < states)
+    (
+        checker.unique_state_count(),
+        checker.state_count() < state_limit,
+    )
 }
 
-/// `REPLICA_STATES` looks further than a test run has time for.
-fn states(most: usize) -> usize {
+/// Number of states to explore. The environment variable `REPLICA_STATES` overrides the default, which is chosen for a short test
+/// run.
+fn state_limit(default: usize) -> usize {
     std::env::var("REPLICA_STATES")
         .ok()
         .and_then(|n| n.parse().ok())
-        .unwrap_or(most)
+        .unwrap_or(default)
 }
 
 #[test]
 fn restarted_proposals_never_both_replace_one_version() {
-    let (count, whole) = check(
-        Size {
+    let (count, exhaustive) = check(
+        Bounds {
             writes: [1, 1],
             attempts: 1,
             losses: 0,
         },
-        states(30_000),
+        state_limit(30_000),
     );
-    println!("two writers, a second try each: {count} states, whole {whole}");
+    println!("two writers, one restart each: {count} states, exhaustive {exhaustive}");
 }
 
 #[test]
 fn leader_and_competitor_never_both_replace_one_version() {
-    let (count, whole) = check(
-        Size {
+    let (count, exhaustive) = check(
+        Bounds {
             writes: [2, 1],
             attempts: 0,
             losses: 0,
         },
-        states(30_000),
+        state_limit(30_000),
     );
-    println!("two writes in a row beside another: {count} states, whole {whole}");
+    println!("two consecutive writes and a competing one: {count} states, exhaustive {exhaustive}");
 }
 
 #[test]
-fn replica_that_lost_its_memory_never_lets_both_write() {
-    let (count, whole) = check(
-        Size {
+fn writes_never_replace_one_version_twice_when_a_replica_loses_its_state() {
+    let (count, exhaustive) = check(
+        Bounds {
             writes: [1, 1],
             attempts: 0,
             losses: 1,
         },
-        states(30_000),
+        state_limit(30_000),
     );
-    println!("one loss of memory: {count} states, whole {whole}");
+    println!("one replica loses its state: {count} states, exhaustive {exhaustive}");
 }
--- a/crates/replicated-register/src/proposal/decision.rs
+++ b/crates/replicated-register/src/proposal/decision.rs
@@ -33,7 +33,7 @@
     }
 
     /// Leaves the latest state unchanged.
-    fn keep(outcome: Outcome) -> Decision {
+    fn unchanged(outcome: Outcome) -> Decision {
         Decision {
             state: None,
             outcome,
@@ -42,7 +42,7 @@
 
     /// Leaves the latest state unchanged and fails the call.
     fn fail(error: RegisterError) -> Decision {
-        Decision::keep(Outcome::Failed(error))
+        Decision::unchanged(Outcome::Failed(error))
     }
 }
 
@@ -51,7 +51,7 @@
     pub(super) fn decide(&mut self, latest: Option<&State>, ids: &mut IdAllocator) -> Decision {
         let Operation::Write(write) = &self.operation else {
             let found = latest.and_then(|state| Some((state.version, state.body.clone()?)));
-            return Decision::keep(Outcome::Read(found));
+            return Decision::unchanged(Outcome::Read(found));
         };
         if let Some(own) = self.own_write {
             return decide_retried_write(own, write, latest);
@@ -81,7 +81,7 @@
     let version = latest.map(|state| state.version);
     let replaces = latest.and_then(|state| state.replaces);
     if version == Some(own.version) {
-        return Decision::keep(Outcome::Written(own.version));
+        return Decision::unchanged(Outcome::Written(own.version));
     }
     // The write has not taken effect: proposes it again under the same version.
     if version == own.base {
@@ -93,7 +93,7 @@
     }
     // The latest state replaced this write, so the write had taken effect.
     if replaces == Some(own.version) {
-        return Decision::keep(Outcome::Written(own.version));
+        return Decision::unchanged(Outcome::Written(own.version));
     }
     // The latest state replaced the version that this write was to replace, so another writer was first.
     if version.is_some() && replaces == own.base {
--- a/crates/replicated-register/src/recovery.rs
+++ b/crates/replicated-register/src/recovery.rs
@@ -89,9 +89,9 @@
     incarnations: BTreeMap<NameKey, Incarnation>,
     /// For each member that state was transferred from, its best state of recovery at the end of a transfer. What this replica
     /// received then remains valid even if the member loses its state later.
-    sources: BTreeMap<NameKey, Source>,
+    best_sources: BTreeMap<NameKey, Source>,
     /// For each member that state was transferred from, its state of recovery at the end of the latest transfer.
-    latest: BTreeMap<NameKey, Source>,
+    latest_sources: BTreeMap<NameKey, Source>,
     /// Members that this replica has not caught up with.
     missing: BTreeSet<NameKey>,
 }
@@ -114,8 +114,8 @@
             incarnation,
             changes: 0,
             incarnations: BTreeMap::new(),
-            sources: BTreeMap::new(),
-            latest: BTreeMap::new(),
+            best_sources: BTreeMap::new(),
+            latest_sources: BTreeMap::new(),
         }
     }
 
@@ -178,7 +178,7 @@
     pub fn begin_incomplete(&mut self, incarnation: u64) {
         self.completeness = Completeness::Lost;
         self.incarnation = incarnation;
-        self.sources.clear();
+        self.best_sources.clear();
         self.update_missing();
     }
 
@@ -190,14 +190,14 @@
 
     /// Records that a state transfer from another replica has ended, with the state of recovery that the replica reported.
     pub fn add_source(&mut self, from: NameKey, source: Source) {
-        self.latest.insert(from, source.clone());
+        self.latest_sources.insert(from, source.clone());
         let gaps = self.gaps(from, &source);
         let is_better = self
-            .sources
+            .best_sources
             .get(&from)
             .is_none_or(|known| gaps.is_subset(&self.gaps(from, known)));
         if is_better {
-            self.sources.insert(from, source);
+            self.best_sources.insert(from, source);
         }
         self.update_missing();
     }
@@ -209,7 +209,7 @@
 
     /// Number of members from which a complete state transfer was made.
     pub fn source_count(&self) -> usize {
-        self.sources.len()
+        self.best_sources.len()
     }
 
     /// Members from which a state transfer is needed: those without a transfer so far, and those that reported gaps which they may
@@ -218,20 +218,20 @@
         self.others
             .iter()
             .copied()
-            .filter(|name| !self.sources.contains_key(name) || self.may_have_gained(*name))
+            .filter(|name| !self.best_sources.contains_key(name) || self.may_have_gained(*name))
             .collect()
     }
 
     /// Whether a repeated transfer from a member may yield registers that the member lacked before.
     fn may_have_gained(&self, name: NameKey) -> bool {
-        let Some(source) = self.sources.get(&name) else {
+        let Some(source) = self.best_sources.get(&name) else {
             return false;
         };
         self.completeness == Completeness::Lost
             && self
                 .gaps(name, source)
                 .iter()
-                .any(|member| self.sources.contains_key(member))
+                .any(|member| self.best_sources.contains_key(member))
     }
 
     /// Members with which the source shares registers whose state it cannot guarantee to be complete.
@@ -256,11 +256,11 @@
             .others
             .iter()
             .copied()
-            .filter(|name| !self.sources.contains_key(name))
+            .filter(|name| !self.best_sources.contains_key(name))
             .collect();
         if self.completeness == Completeness::Lost {
             let gaps = self
-                .sources
+                .best_sources
                 .iter()
                 .flat_map(|(name, source)| self.gaps(*name, source));
             missing.extend(gaps);
@@ -302,13 +302,13 @@
             .count();
         self.completeness == Completeness::Lost
             && !self.counts_toward_majority(replicas, true)
-            && others().all(|name| self.sources.contains_key(name))
+            && others().all(|name| self.best_sources.contains_key(name))
             && lost_by_others + 1 >= majority(replicas.len())
     }
 
     /// Whether another replica has lost a register and cannot fetch it from the others, by the replica's latest report.
     fn is_lost_by(&self, name: NameKey, replicas: &[NameKey]) -> bool {
-        let Some(source) = self.latest.get(&name) else {
+        let Some(source) = self.latest_sources.get(&name) else {
             return false;
         };
         let missing = replicas
--- a/crates/replicated-register/tests/cluster_harness/mod.rs
+++ b/crates/replicated-register/tests/cluster_harness/mod.rs
@@ -1,4 +1,5 @@
-//! Replicas over a simulated network, with disks that survive their processes, and a history of calls.
+//! Test harness: a cluster of replicas over a simulated network, with disks that survive process restarts and a recorded history of
+//! calls.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,38 +19,41 @@
     NameKey(10 + i as u32)
 }
 
-/// When it is done, its ticket, the name, the bytes.
-type Write = (Duration, u64, Vec<u8>, Option<Vec<u8>>);
+/// A write to disk in progress: time of completion, ticket, name of the record and its content (`None` to remove it).
+type PendingWrite = (Duration, u64, Vec<u8>, Option<Vec<u8>>);
 
 /// One process and its disk.
 pub struct Host {
     pub replica: Replica,
     pub start: u64,
     pub disk: Disk,
-    pub full: bool,
-    /// How long a write takes.
-    pub sync: Duration,
-    writes: Vec<Write>,
+    /// Whether the disk is full, so that writes of records fail.
+    pub disk_full: bool,
+    /// Time until a write to disk is durable.
+    pub write_latency: Duration,
+    pending_writes: Vec<PendingWrite>,
     pub answers: Vec<(Duration, Output)>,
     pub events: Vec<Event>,
-    pub sent: u64,
-    pub bytes: u64,
+    /// Number of frames that the process has sent.
+    pub sent_frames: u64,
+    /// Total size in bytes of the frames that the process has sent.
+    pub sent_bytes: u64,
 }
 
 impl Host {
     pub fn input(&mut self, now: Duration, input: Input, out: &mut Sent<Frame>) {
-        let mut wanted = Vec::new();
-        self.replica.step(now, input, &mut wanted);
-        for one in wanted {
-            match one {
+        let mut outputs = Vec::new();
+        self.replica.step(now, input, &mut outputs);
+        for output in outputs {
+            match output {
                 Output::Send(to, message) => {
                     assert!(
                         message.len() <= 64 * 1024,
                         "a frame of {} bytes",
                         message.len()
                     );
-                    self.sent += 1;
-                    self.bytes += message.len() as u64;
+                    self.sent_frames += 1;
+                    self.sent_bytes += message.len() as u64;
                     out.push((to.0 as usize - 10, (self.start, message)));
                 }
                 Output::Store {
@@ -57,7 +61,8 @@
                     name,
                     bytes,
                 } => {
-                    self.writes.push((now + self.sync, ticket, name, bytes));
+                    self.pending_writes
+                        .push((now + self.write_latency, ticket, name, bytes));
                 }
                 Output::Event(event) => self.events.push(event),
                 answer => self.answers.push((now, answer)),
@@ -65,11 +70,17 @@
         }
     }
 
-    fn sync(&mut self, now: Duration, out: &mut Sent<Frame>) {
-        let done: Vec<_> = self.writes.iter().filter(|w| w.0 <= now).cloned().collect();
-        self.writes.retain(|w| w.0 > now);
-        for (_, ticket, name, bytes) in done {
-            let result = match (self.full, bytes) {
+    /// Makes the writes that are due durable, and reports them to the replica.
+    fn complete_writes(&mut self, now: Duration, out: &mut Sent<Frame>) {
+        let due: Vec<_> = self
+            .pending_writes
+            .iter()
+            .filter(|w| w.0 <= now)
+            .cloned()
+            .collect();
+        self.pending_writes.retain(|w| w.0 > now);
+        for (_, ticket, name, bytes) in due {
+            let result = match (self.disk_full, bytes) {
                 (true, Some(_)) => Err(StorageError::Full),
                 (_, Some(bytes)) => {
                     self.disk.insert(name, bytes);
@@ -89,12 +100,12 @@
     type Message = Frame;
 
     fn wake_at(&self) -> Option<Duration> {
-        let written = self.writes.iter().map(|w| w.0).min();
-        written.into_iter().chain(self.replica.wake_at()).min()
+        let next_write = self.pending_writes.iter().map(|w| w.0).min();
+        next_write.into_iter().chain(self.replica.wake_at()).min()
     }
 
     fn wake(&mut self, now: Duration, out: &mut Sent<Frame>) {
-        self.sync(now, out);
+        self.complete_writes(now, out);
         self.input(now, Input::Wake, out);
     }
 
@@ -113,51 +124,57 @@
     }
 }
 
+/// A call and its result.
 #[derive(Clone, Debug)]
-pub struct Op {
+pub struct Operation {
     pub key: RegisterKey,
     pub expected: Option<Version>,
-    pub reads: bool,
-    pub drops: bool,
-    pub asked: Duration,
-    pub ended: Option<(Duration, Output)>,
+    pub is_read: bool,
+    pub is_delete: bool,
+    pub started_at: Duration,
+    /// Time and content of the answer; `None` until the call is answered.
+    pub answer: Option<(Duration, Output)>,
 }
 
-pub struct Fleet {
+/// A cluster of replicas, and the history of the calls made to it.
+pub struct Cluster {
     pub world: World<Host>,
     pub settings: Settings,
     pub disks: Vec<Disk>,
+    /// Number of processes started so far.
     pub starts: u64,
-    pub ops: BTreeMap<CallId, (usize, Op)>,
-    /// The version that each host last knew of each register.
-    pub known: BTreeMap<(usize, RegisterKey), Option<Version>>,
-    /// The latest epoch that anyone was told of.
+    /// All calls, each with the member that made it.
+    pub operations: BTreeMap<CallId, (usize, Operation)>,
+    /// Version of each register that was last reported to each member.
+    pub known_versions: BTreeMap<(usize, RegisterKey), Option<Version>>,
+    /// Epoch of each register that was last reported by a `StaleEpoch` error.
     pub epochs: BTreeMap<RegisterKey, u64>,
     pub events: Vec<(usize, Event)>,
-    pub sync: Duration,
+    /// Time until a write to disk is durable, for processes started from now on.
+    pub write_latency: Duration,
 }
 
-impl Fleet {
-    pub fn new(of: usize, durable: bool, seed: u64) -> Fleet {
-        let mut fleet = Fleet {
-            world: World::new(of, seed),
+impl Cluster {
+    pub fn new(members: usize, durable: bool, seed: u64) -> Cluster {
+        let mut cluster = Cluster {
+            world: World::new(members, seed),
             settings: Settings {
                 replicas: 3,
                 durable,
             },
-            disks: vec![Disk::new(); of],
+            disks: vec![Disk::new(); members],
             starts: 0,
-            ops: BTreeMap::new(),
-            known: BTreeMap::new(),
+            operations: BTreeMap::new(),
+            known_versions: BTreeMap::new(),
             epochs: BTreeMap::new(),
             events: vec![],
-            sync: ms(1),
+            write_latency: ms(1),
         };
-        for i in 0..of {
-            fleet.world.places[i].ahead = ms(fleet.draw(5000));
-            fleet.start(i);
+        for i in 0..members {
+            cluster.world.places[i].ahead = ms(cluster.draw(5000));
+            cluster.start(i);
         }
-        fleet
+        cluster
     }
 
     pub fn draw(&mut self, below: u64) -> u64 {
@@ -184,19 +201,19 @@
             .iter()
             .map(|(name, bytes)| (name.clone(), bytes.clone()))
             .collect();
-        let (answers, events, writes) = (vec![], vec![], vec![]);
-        let sync = self.sync;
+        let (answers, events, pending_writes) = (vec![], vec![], vec![]);
+        let write_latency = self.write_latency;
         let host = Host {
             replica,
             start,
             disk,
-            full: false,
-            sync,
-            writes,
+            disk_full: false,
+            write_latency,
+            pending_writes,
             answers,
             events,
-            sent: 0,
-            bytes: 0,
+            sent_frames: 0,
+            sent_bytes: 0,
         };
         self.world.start(i, host);
         if self.settings.durable {
@@ -206,7 +223,7 @@
         }
     }
 
-    pub fn up(&self, i: usize) -> bool {
+    pub fn is_up(&self, i: usize) -> bool {
         self.world.places[i].node.is_some()
     }
 
@@ -214,16 +231,19 @@
         self.collect();
         if let Some(host) = self.world.kill(i) {
             self.disks[i] = host.disk;
-            self.known.retain(|(of, _), _| *of != i);
+            self.known_versions.retain(|(member, _), _| *member != i);
         }
     }
 
     pub fn host(&self, i: usize) -> &Host {
-        self.world.places[i].node.as_ref().expect("it is up")
+        self.world.places[i]
+            .node
+            .as_ref()
+            .expect("the member is up")
     }
 
-    /// Registers for which a host's copy counts, of those it has.
-    pub fn whole(&self, i: usize, keys: &[RegisterKey]) -> bool {
+    /// Whether a member is up and its replica counts toward a majority of each of the registers that it holds.
+    pub fn is_caught_up(&self, i: usize, keys: &[RegisterKey]) -> bool {
         let Some(host) = &self.world.places[i].node else {
             return false;
         };
@@ -234,86 +254,87 @@
         })
     }
 
-    fn enter(
+    /// Makes a call at a member and records it. Returns `None` if the member is down.
+    fn submit(
         &mut self,
         i: usize,
-        op: Op,
+        op: Operation,
         input: impl FnOnce(CallId, Duration) -> Input,
     ) -> Option<CallId> {
-        let call = CallId(self.ops.len() as u64);
-        let op = Op {
-            asked: self.world.now(),
+        let call = CallId(self.operations.len() as u64);
+        let op = Operation {
+            started_at: self.world.now(),
             ..op
         };
         self.world
             .act(i, |host, now, out| host.input(now, input(call, now), out))?;
-        self.ops.insert(call, (i, op));
+        self.operations.insert(call, (i, op));
         Some(call)
     }
 
-    pub fn read(&mut self, i: usize, key: RegisterKey, patience: Duration) -> Option<CallId> {
-        let op = Op {
+    pub fn read(&mut self, i: usize, key: RegisterKey, timeout: Duration) -> Option<CallId> {
+        let op = Operation {
             key,
             expected: None,
-            reads: true,
-            drops: false,
-            asked: Duration::ZERO,
-            ended: None,
+            is_read: true,
+            is_delete: false,
+            started_at: Duration::ZERO,
+            answer: None,
         };
-        self.enter(i, op, |call, now| Input::Read {
+        self.submit(i, op, |call, now| Input::Read {
             call,
             key,
-            deadline: now + patience,
+            deadline: now + timeout,
         })
     }
 
-    /// The value is the call's number.
+    /// Writes a value that consists of the call's number, so that a read shows which call wrote the value.
     pub fn write(
         &mut self,
         i: usize,
         key: RegisterKey,
         expected: Option<Version>,
         epoch: u64,
-        patience: Duration,
+        timeout: Duration,
     ) -> Option<CallId> {
-        let op = Op {
+        let op = Operation {
             key,
             expected,
-            reads: false,
-            drops: false,
-            asked: Duration::ZERO,
-            ended: None,
+            is_read: false,
+            is_delete: false,
+            started_at: Duration::ZERO,
+            answer: None,
         };
-        self.enter(i, op, |call, now| Input::Write {
+        self.submit(i, op, |call, now| Input::Write {
             call,
             key,
             expected,
             epoch,
             value: call.0.to_le_bytes().to_vec(),
-            deadline: now + patience,
+            deadline: now + timeout,
         })
     }
 
-    pub fn drop(
+    pub fn delete(
         &mut self,
         i: usize,
         key: RegisterKey,
         expected: Version,
-        patience: Duration,
+        timeout: Duration,
     ) -> Option<CallId> {
-        let op = Op {
+        let op = Operation {
             key,
             expected: Some(expected),
-            reads: false,
-            drops: true,
-            asked: Duration::ZERO,
-            ended: None,
+            is_read: false,
+            is_delete: true,
+            started_at: Duration::ZERO,
+            answer: None,
         };
-        self.enter(i, op, |call, now| Input::Delete {
+        self.submit(i, op, |call, now| Input::Delete {
             call,
             key,
             expected,
-            deadline: now + patience,
+            deadline: now + timeout,
         })
     }
 
@@ -322,6 +343,7 @@
         self.collect();
     }
 
+    /// Moves answers and events of all processes into the history.
     pub fn collect(&mut self) {
         for i in 0..self.disks.len() {
             let ahead = self.world.places[i].ahead;
@@ -346,8 +368,14 @@
                     Output::Written { call, .. } => (*call, None),
                     other => panic!("{other:?}"),
                 };
-                let (of, op) = self.ops.get_mut(&call).expect("it was asked");
-                assert!(*of == i && op.ended.is_none(), "two answers to {call:?}");
+                let (caller, op) = self
+                    .operations
+                    .get_mut(&call)
+                    .expect("the call was recorded");
+                assert!(
+                    *caller == i && op.answer.is_none(),
+                    "call {call:?} was answered twice"
+                );
                 if let Output::Written {
                     result: Err(RegisterError::StaleEpoch { epoch }),
                     ..
@@ -356,17 +384,18 @@
                     self.epochs.insert(op.key, *epoch);
                 }
                 if let Some(latest) = latest {
-                    self.known.insert((i, op.key), latest.filter(|_| !op.drops));
+                    self.known_versions
+                        .insert((i, op.key), latest.filter(|_| !op.is_delete));
                 }
-                op.ended = Some((at - ahead, answer));
+                op.answer = Some((at - ahead, answer));
             }
         }
     }
 
-    /// The answer to a call, within some time.
+    /// Runs the cluster until a call is answered, and returns the answer.
     pub fn answer(&mut self, call: CallId) -> Output {
         for _ in 0..20_000 {
-            if let Some((_, answer)) = &self.ops[&call].1.ended {
+            if let Some((_, answer)) = &self.operations[&call].1.answer {
                 return answer.clone();
             }
             self.run(ms(1));
@@ -374,43 +403,49 @@
         panic!("no answer to {call:?}");
     }
 
-    pub fn written(&mut self, call: Option<CallId>) -> Result<Version, RegisterError> {
-        match self.answer(call.expect("it is up")) {
+    /// Runs the cluster until a write or deletion is answered, and returns its result.
+    pub fn write_result(&mut self, call: Option<CallId>) -> Result<Version, RegisterError> {
+        match self.answer(call.expect("the member is up")) {
             Output::Written { result, .. } => result,
             other => panic!("{other:?}"),
         }
     }
 
-    pub fn found(&mut self, call: Option<CallId>) -> Result<Option<Version>, RegisterError> {
-        match self.answer(call.expect("it is up")) {
+    /// Runs the cluster until a read is answered, and returns the version that it found.
+    pub fn read_result(&mut self, call: Option<CallId>) -> Result<Option<Version>, RegisterError> {
+        match self.answer(call.expect("the member is up")) {
             Output::Read { result, .. } => result.map(|f| f.map(|f| f.0)),
             other => panic!("{other:?}"),
         }
     }
 
-    pub fn saw(&self, what: impl Fn(&Event) -> bool) -> usize {
-        self.events.iter().filter(|(_, event)| what(event)).count()
+    /// Number of events so far that match a predicate.
+    pub fn count_events(&self, matches: impl Fn(&Event) -> bool) -> usize {
+        self.events
+            .iter()
+            .filter(|(_, event)| matches(event))
+            .count()
     }
 
-    /// Holds the history against one register that changes by compare-and-set, key by key.
+    /// Checks for each key that the history of calls is consistent with a single register that changes by compare-and-set.
     pub fn check(&self) -> Result<(), String> {
-        let keys: BTreeSet<RegisterKey> = self.ops.values().map(|(_, op)| op.key).collect();
+        let keys: BTreeSet<RegisterKey> = self.operations.values().map(|(_, op)| op.key).collect();
         keys.into_iter().try_for_each(|key| self.check_key(key))
     }
 
     fn check_key(&self, key: RegisterKey) -> Result<(), String> {
-        let ops: Vec<(CallId, &Op)> = self
-            .ops
+        let ops: Vec<(CallId, &Operation)> = self
+            .operations
             .iter()
             .filter(|(_, (_, op))| op.key == key)
             .map(|(c, (_, op))| (*c, op))
             .collect();
-        let not_written = |op: &Op| {
+        let not_written = |op: &Operation| {
             use RegisterError::{
                 Busy, CatchingUp, Conflict, Lost, NoMajority, StaleEpoch, TooLong,
             };
             matches!(
-                &op.ended,
+                &op.answer,
                 Some((
                     _,
                     Output::Written {
@@ -426,11 +461,13 @@
                 ))
             )
         };
-        // Versions, by the call that wrote them, and what each answer proves to have been the latest at some moment of the call.
-        let mut wrote: BTreeMap<Version, (CallId, Option<Version>)> = BTreeMap::new();
-        let mut sights: Vec<(Duration, Duration, Option<Version>, bool)> = vec![];
+        // The call that wrote each version and the version that it expected.
+        let mut written: BTreeMap<Version, (CallId, Option<Version>)> = BTreeMap::new();
+        // The version that each answer proves to have been the latest at some time during the call: start and end of the call, the
+        // version, and whether the call deleted the register.
+        let mut observations: Vec<(Duration, Duration, Option<Version>, bool)> = vec![];
         for (call, op) in &ops {
-            let Some((at, answer)) = &op.ended else {
+            let Some((at, answer)) = &op.answer else {
                 continue;
             };
             match answer {
@@ -444,38 +481,41 @@
                             op.expected
                         ));
                     }
-                    if wrote
+                    if written
                         .insert(*version, (*call, op.expected))
-                        .is_some_and(|(of, _)| of != *call)
+                        .is_some_and(|(other, _)| other != *call)
                     {
                         return Err(format!("{version:?} was written twice"));
                     }
-                    sights.push((op.asked, *at, Some(*version), op.drops));
+                    observations.push((op.started_at, *at, Some(*version), op.is_delete));
                 }
                 Output::Written {
                     result: Err(RegisterError::Conflict { latest }),
                     ..
                 } => {
-                    sights.push((op.asked, *at, *latest, false));
+                    observations.push((op.started_at, *at, *latest, false));
                 }
                 Output::Read {
                     result: Ok(found), ..
                 } => {
-                    sights.push((op.asked, *at, found.as_ref().map(|f| f.0), false));
+                    observations.push((op.started_at, *at, found.as_ref().map(|f| f.0), false));
                     if let Some((version, value)) = found {
-                        let of = CallId(u64::from_le_bytes(
-                            value.as_slice().try_into().map_err(|_| "torn")?,
+                        let writer_call = CallId(u64::from_le_bytes(
+                            value
+                                .as_slice()
+                                .try_into()
+                                .map_err(|_| "a value is corrupt")?,
                         ));
-                        let (_, writer) = &self.ops[&of];
-                        if not_written(writer) || writer.asked > *at || writer.key != key {
+                        let (_, writer) = &self.operations[&writer_call];
+                        if not_written(writer) || writer.started_at > *at || writer.key != key {
                             return Err(format!(
-                                "{call:?} read what {of:?} did not write: {:?}",
-                                writer.ended
+                                "{call:?} read a value that {writer_call:?} did not write: {:?}",
+                                writer.answer
                             ));
                         }
-                        if wrote
-                            .insert(*version, (of, writer.expected))
-                            .is_some_and(|(other, _)| other != of)
+                        if written
+                            .insert(*version, (writer_call, writer.expected))
+                            .is_some_and(|(other, _)| other != writer_call)
                         {
                             return Err(format!("{version:?} has two values"));
                         }
@@ -484,42 +524,43 @@
                 _ => {}
             }
         }
-        // No version has two that follow it.
-        let drops: Vec<(&Op, Option<Version>)> = ops
+        // No version is replaced by two writes. A register without a value may be written again after each deletion.
+        let deletions: Vec<(&Operation, Option<Version>)> = ops
             .iter()
-            .filter(|(_, op)| op.drops && !not_written(op))
+            .filter(|(_, op)| op.is_delete && !not_written(op))
             .map(|(_, op)| (*op, op.expected))
             .collect();
-        let mut follows: BTreeMap<Option<Version>, Vec<CallId>> = BTreeMap::new();
-        wrote
+        let mut successors: BTreeMap<Option<Version>, Vec<CallId>> = BTreeMap::new();
+        written
             .values()
-            .for_each(|(call, expected)| follows.entry(*expected).or_default().push(*call));
-        for (expected, calls) in &follows {
-            let most = if expected.is_none() {
-                1 + drops.len()
+            .for_each(|(call, expected)| successors.entry(*expected).or_default().push(*call));
+        for (expected, calls) in &successors {
+            let max_successors = if expected.is_none() {
+                1 + deletions.len()
             } else {
                 1
             };
-            if calls.len() > most {
-                return Err(format!("{calls:?} all follow {expected:?}"));
+            if calls.len() > max_successors {
+                return Err(format!("{calls:?} all replaced {expected:?}"));
             }
         }
-        // What was seen before a call began is not later than what it sees.
-        sights.sort_by_key(|(asked, ..)| *asked);
-        let mut by_end = sights.clone();
-        by_end.sort_by_key(|(_, ended, ..)| *ended);
-        let (mut ended, mut latest) = (0, None);
-        for (asked, until, seen, _) in &sights {
-            while by_end[ended].1 < *asked {
-                latest = latest.max(by_end[ended].2);
-                ended += 1;
+        // A call never observes a version older than one that was observed before the call started, unless the register was
+        // deleted.
+        observations.sort_by_key(|(started_at, ..)| *started_at);
+        let mut by_end = observations.clone();
+        by_end.sort_by_key(|(_, ended_at, ..)| *ended_at);
+        let (mut ended_count, mut latest) = (0, None);
+        for (started_at, ended_at, observed, _) in &observations {
+            while by_end[ended_count].1 < *started_at {
+                latest = latest.max(by_end[ended_count].2);
+                ended_count += 1;
             }
-            let dropped = || {
-                drops.iter().any(|(op, expected)| op.asked < *until && (*expected >= latest || matches!(&op.ended, Some((_, Output::Written { result: Ok(v), .. })) if Some(*v) >= latest)))
+            let was_deleted = || {
+                deletions.iter().any(|(op, expected)| op.started_at < *ended_at && (*expected >= latest || matches!(&op.answer, Some((_, Output::Written { result: Ok(v), .. })) if Some(*v) >= latest)))
             };
-            if *seen < latest && !(seen.is_none() && dropped()) {
+            if *observed < latest && !(observed.is_none() && was_deleted()) {
                 return Err(format!(
-                    "{key:?}: at {asked:?} to {until:?} {seen:?}, after {latest:?}"
+                    "{key:?}: a call from {started_at:?} to {ended_at:?} observed {observed:?}, after {latest:?} had been observed"
                 ));
             }
         }
--- a/crates/replicated-register/tests/fault_schedules.rs
+++ b/crates/replicated-register/tests/fault_schedules.rs
@@ -1,4 +1,5 @@
-//! Random courses of faults over five members: whatever happens, each register is one register that changes by compare-and-set.
+//! Random fault schedules on a cluster of five members. Under any faults the history of calls has to be consistent with one
+//! register for each key that changes by compare-and-set.
 
 mod cluster_harness;
 
@@ -6,167 +7,189 @@
 
 use bitternlatch_replicated_register::{Output, RegisterError, RegisterKey};
 use bitternlatch_simulation::ms;
-use cluster_harness::{Disk, Fleet};
+use cluster_harness::{Cluster, Disk};
 
-const OF: usize = 5;
+const MEMBERS: usize = 5;
 
-/// What may happen in a course.
+/// Kinds of faults that a schedule may contain.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Course {
-    /// Disks keep what they were told to keep.
-    Disks,
-    /// Disks are also set back, emptied and filled.
-    BadDisks,
-    /// No disks: who is killed has forgotten all.
-    RecoveryState,
+enum FaultProfile {
+    /// Members have disks that lose nothing that they stored.
+    ReliableDisks,
+    /// Members have disks that may also be set back to an older state, erased, corrupted or full.
+    DiskFaults,
+    /// Members have no disks: a process that is killed loses its state.
+    Diskless,
 }
 
 fn keys() -> Vec<RegisterKey> {
     (0..4u8).map(|i| RegisterKey([i; 16])).collect()
 }
 
-struct Player {
-    fleet: Fleet,
-    course: Course,
-    drops: bool,
-    old: Vec<Disk>,
-    /// Memories that ended by the course's own doing. The first may not be whole again, on disk, when the second ends.
-    losses: u32,
+/// Runs one random schedule of calls and faults.
+struct ScheduleRunner {
+    cluster: Cluster,
+    profile: FaultProfile,
+    /// Whether calls may delete registers.
+    deletes: bool,
+    /// Earlier content of each member's disk, to which it may be set back.
+    old_disks: Vec<Disk>,
+    /// Number of disks that the schedule erased, corrupted or set back. With more than one, the second loss may happen before the
+    /// first replica has stored its state again, so that registers are lost.
+    disk_losses: u32,
 }
 
-impl Player {
-    fn call(&mut self) {
+impl ScheduleRunner {
+    /// Makes a random call.
+    fn random_call(&mut self) {
         let keys = keys();
         let (i, key) = (
-            self.fleet.draw(OF as u64) as usize,
-            keys[self.fleet.draw(4) as usize],
+            self.cluster.draw(MEMBERS as u64) as usize,
+            keys[self.cluster.draw(4) as usize],
         );
-        let patience = ms(100 + self.fleet.draw(1500));
-        let known = self.fleet.known.get(&(i, key)).copied();
-        match (self.fleet.draw(100), known) {
-            (0..=39, _) | (_, None) => drop(self.fleet.read(i, key, patience)),
-            (40..=44, Some(Some(expected))) if self.drops => {
-                self.fleet.drop(i, key, expected, patience);
+        let timeout = ms(100 + self.cluster.draw(1500));
+        let known = self.cluster.known_versions.get(&(i, key)).copied();
+        match (self.cluster.draw(100), known) {
+            (0..=39, _) | (_, None) => drop(self.cluster.read(i, key, timeout)),
+            (40..=44, Some(Some(expected))) if self.deletes => {
+                self.cluster.delete(i, key, expected, timeout);
             }
             (n, Some(expected)) => {
                 let epoch = expected.map_or(1, |expected| expected.epoch) + u64::from(n > 90)
                     - u64::from(n == 90 && expected.is_some());
-                // After a gap the epochs go on.
-                let epoch = epoch.max(self.fleet.epochs.remove(&key).unwrap_or(0));
-                self.fleet.write(i, key, expected, epoch, patience);
+                // A deleted register is written again under an epoch that is not below that of the tombstone.
+                let epoch = epoch.max(self.cluster.epochs.remove(&key).unwrap_or(0));
+                self.cluster.write(i, key, expected, epoch, timeout);
             }
         }
     }
 
-    /// Others than the whole ones.
-    fn weak(&self) -> usize {
-        (0..OF).filter(|i| !self.fleet.whole(*i, &keys())).count()
+    /// Number of members that are down or still catching up.
+    fn unready_members(&self) -> usize {
+        (0..MEMBERS)
+            .filter(|i| !self.cluster.is_caught_up(*i, &keys()))
+            .count()
     }
 
-    fn trouble(&mut self) {
-        let i = self.fleet.draw(OF as u64) as usize;
-        let side = self.fleet.draw(31);
-        match self.fleet.draw(14) {
-            0 | 1 if self.course != Course::RecoveryState || self.weak() <= 1 => self.fleet.kill(i),
-            2 if self.course != Course::RecoveryState => (0..OF).for_each(|i| self.fleet.kill(i)),
+    /// Causes or ends a random fault.
+    fn random_fault(&mut self) {
+        let i = self.cluster.draw(MEMBERS as u64) as usize;
+        let side = self.cluster.draw(31);
+        match self.cluster.draw(14) {
+            0 | 1 if self.profile != FaultProfile::Diskless || self.unready_members() <= 1 => {
+                self.cluster.kill(i)
+            }
+            2 if self.profile != FaultProfile::Diskless => {
+                (0..MEMBERS).for_each(|i| self.cluster.kill(i))
+            }
             3..=5 => {
-                for i in (0..OF).filter(|i| side >> i & 1 == 1) {
-                    if !self.fleet.up(i) {
-                        self.fleet.start(i);
+                for i in (0..MEMBERS).filter(|i| side >> i & 1 == 1) {
+                    if !self.cluster.is_up(i) {
+                        self.cluster.start(i);
                     }
                 }
             }
-            6 => self.fleet.world.pause(i),
-            7 => self.fleet.world.go_on(i),
+            6 => self.cluster.world.pause(i),
+            7 => self.cluster.world.go_on(i),
             8 => {
                 let one_way = side & 16 != 0;
                 let apart = move |a: usize, b: usize| (side >> a & 1, side >> b & 1);
-                self.fleet.world.net.passes = Box::new(move |a, b| match apart(a, b) {
+                self.cluster.world.net.passes = Box::new(move |a, b| match apart(a, b) {
                     (x, y) if x == y => true,
                     (0, _) => one_way,
                     _ => false,
                 });
             }
-            9 => self.fleet.world.net.loss = self.fleet.draw(30) as f64 / 100.0,
-            10 => self.fleet.world.net.twice = self.fleet.draw(30) as f64 / 100.0,
-            11 => self.fleet.world.net.delay.1 = ms(3 + self.fleet.draw(2) * self.fleet.draw(400)),
-            12 if self.course == Course::BadDisks => self.bad_disk(i),
-            _ => self.heal(),
+            9 => self.cluster.world.net.loss = self.cluster.draw(30) as f64 / 100.0,
+            10 => self.cluster.world.net.twice = self.cluster.draw(30) as f64 / 100.0,
+            11 => {
+                self.cluster.world.net.delay.1 =
+                    ms(3 + self.cluster.draw(2) * self.cluster.draw(400))
+            }
+            12 if self.profile == FaultProfile::DiskFaults => self.disk_fault(i),
+            _ => self.heal_network(),
         }
     }
 
-    fn heal(&mut self) {
-        let net = &mut self.fleet.world.net;
+    /// Ends all faults of the network.
+    fn heal_network(&mut self) {
+        let net = &mut self.cluster.world.net;
         net.passes = Box::new(|_, _| true);
         (net.loss, net.twice, net.delay.1) = (0.0, 0.0, ms(3));
     }
 
-    /// A disk is filled, emptied, torn, or set back to what it was some seconds ago; others had heard of what it has kept since.
-    fn bad_disk(&mut self, i: usize) {
-        if self.fleet.draw(3) == 0 {
-            self.fleet.world.act(i, |host, _, _| host.full = !host.full);
+    /// Fills a disk or makes space on it, or erases it, corrupts it or sets it back to its content of some seconds ago. Before a
+    /// loss, waits until the other members have received the member's report of its stored changes.
+    fn disk_fault(&mut self, i: usize) {
+        if self.cluster.draw(3) == 0 {
+            self.cluster
+                .world
+                .act(i, |host, _, _| host.disk_full = !host.disk_full);
             return;
         }
-        for i in 0..OF {
-            self.fleet.world.go_on(i);
+        for i in 0..MEMBERS {
+            self.cluster.world.go_on(i);
         }
-        self.heal();
-        self.fleet.run(ms(2500));
-        if !self.fleet.up(i) || self.weak() > 1 {
+        self.heal_network();
+        self.cluster.run(ms(2500));
+        if !self.cluster.is_up(i) || self.unready_members() > 1 {
             return;
         }
-        self.losses += 1;
-        self.fleet.kill(i);
-        match self.fleet.draw(3) {
-            0 => self.fleet.disks[i].clear(),
+        self.disk_losses += 1;
+        self.cluster.kill(i);
+        match self.cluster.draw(3) {
+            0 => self.cluster.disks[i].clear(),
             1 => {
-                let at = self.fleet.draw(self.fleet.disks[i].len().max(1) as u64) as usize;
-                self.fleet.disks[i]
+                let at = self.cluster.draw(self.cluster.disks[i].len().max(1) as u64) as usize;
+                self.cluster.disks[i]
                     .values_mut()
                     .nth(at)
                     .into_iter()
                     .for_each(|b| b.truncate(b.len() / 2));
             }
-            _ => self.fleet.disks[i] = self.old[i].clone(),
+            _ => self.cluster.disks[i] = self.old_disks[i].clone(),
         }
-        self.fleet.start(i);
+        self.cluster.start(i);
     }
 
-    fn play(&mut self) {
+    fn run(&mut self) {
         for round in 0..40 {
             for _ in 0..12 {
-                self.call();
-                let wait = self.fleet.draw(30);
-                self.fleet.run(ms(wait));
+                self.random_call();
+                let wait = self.cluster.draw(30);
+                self.cluster.run(ms(wait));
             }
             if round % 8 == 0 {
-                for i in (0..OF).filter(|i| self.fleet.up(*i)) {
-                    self.old[i] = self.fleet.host(i).disk.clone();
+                for i in (0..MEMBERS).filter(|i| self.cluster.is_up(*i)) {
+                    self.old_disks[i] = self.cluster.host(i).disk.clone();
                 }
             }
-            self.trouble();
+            self.random_fault();
         }
     }
 
-    /// Once all is well again every register is read and written, by anyone.
-    fn settle(&mut self) -> Result<(), String> {
-        self.heal();
-        for i in 0..OF {
-            self.fleet.world.go_on(i);
-            if !self.fleet.up(i) {
-                self.fleet.start(i);
+    /// Ends all faults, and checks that every member can read and write every register again.
+    fn recover(&mut self) -> Result<(), String> {
+        self.heal_network();
+        for i in 0..MEMBERS {
+            self.cluster.world.go_on(i);
+            if !self.cluster.is_up(i) {
+                self.cluster.start(i);
             }
-            self.fleet.world.act(i, |host, _, _| host.full = false);
+            self.cluster
+                .world
+                .act(i, |host, _, _| host.disk_full = false);
         }
-        self.fleet.run(Duration::from_secs(8));
-        for (i, key) in (0..OF).flat_map(|i| keys().into_iter().map(move |key| (i, key))) {
-            // What a killed writer left at one copy may come to light and win once.
+        self.cluster.run(Duration::from_secs(8));
+        for (i, key) in (0..MEMBERS).flat_map(|i| keys().into_iter().map(move |key| (i, key))) {
+            // An unfinished write of a killed process may be stored at one replica. A later call may find and
+            // complete it, so a write may fail with a conflict once.
             let mut done = Err(RegisterError::TimedOut);
             for _ in 0..3 {
-                let call = self.fleet.read(i, key, ms(3000));
-                done = self.fleet.found(call).and_then(|expected| {
-                    let call = self.fleet.write(i, key, expected, 1000, ms(3000));
-                    self.fleet.written(call)
+                let call = self.cluster.read(i, key, ms(3000));
+                done = self.cluster.read_result(call).and_then(|expected| {
+                    let call = self.cluster.write(i, key, expected, 1000, ms(3000));
+                    self.cluster.write_result(call)
                 });
                 if !matches!(
                     done,
@@ -176,11 +199,11 @@
                 }
             }
             match done {
-                // Two or three at once had lost their memory: said, not guessed.
+                // Several replicas may have lost their state at the same time; then an error has to report it.
                 Err(RegisterError::Lost | RegisterError::CatchingUp)
-                    if self.losses > 1 || self.course == Course::RecoveryState => {}
+                    if self.disk_losses > 1 || self.profile == FaultProfile::Diskless => {}
                 done => {
-                    done.map_err(|e| format!("{i} is told of {key:?}: {e}"))?;
+                    done.map_err(|e| format!("member {i}, {key:?}: {e}"))?;
                 }
             }
         }
@@ -188,45 +211,46 @@
     }
 }
 
-fn play(course: Course, seed: u64) -> Result<(usize, usize), String> {
-    let mut fleet = Fleet::new(OF, course != Course::RecoveryState, seed);
-    fleet.run(ms(1000));
-    let old = vec![Disk::new(); OF];
-    let mut player = Player {
-        fleet,
-        course,
-        drops: seed.is_multiple_of(3),
-        old,
-        losses: 0,
+fn run_schedule(profile: FaultProfile, seed: u64) -> Result<(usize, usize), String> {
+    let mut cluster = Cluster::new(MEMBERS, profile != FaultProfile::Diskless, seed);
+    cluster.run(ms(1000));
+    let old_disks = vec![Disk::new(); MEMBERS];
+    let mut runner = ScheduleRunner {
+        cluster,
+        profile,
+        deletes: seed.is_multiple_of(3),
+        old_disks,
+        disk_losses: 0,
     };
-    player.play();
-    if let Err(e) = player.fleet.check() {
+    runner.run();
+    if let Err(e) = runner.cluster.check() {
         if std::env::var("DBG").is_ok() {
-            for (c, op) in &player.fleet.ops {
+            for (c, op) in &runner.cluster.operations {
                 println!("{c:?} {op:?}");
             }
-            for e in &player.fleet.events {
+            for e in &runner.cluster.events {
                 println!("{e:?}");
             }
         }
         return Err(e);
     }
-    player.settle()?;
-    player.fleet.check()?;
-    let done = player.fleet.ops.values().filter(|(_, op)| {
+    runner.recover()?;
+    runner.cluster.check()?;
+    let done = runner.cluster.operations.values().filter(|(_, op)| {
         matches!(
-            op.ended,
+            op.answer,
             Some((
                 _,
                 Output::Written { result: Ok(_), .. } | Output::Read { result: Ok(_), .. }
             ))
         )
     });
-    Ok((player.fleet.ops.len(), done.count()))
+    Ok((runner.cluster.operations.len(), done.count()))
 }
 
-/// So many seeds, or as many as `REPLICA_SEEDS` says, on a few threads.
-fn play_all(course: Course, seeds: u64) {
+/// Runs a schedule for each of `seeds` seeds on two threads. The environment variables `REPLICA_SEEDS` and `REPLICA_FIRST` override
+/// the number of seeds and the first seed.
+fn run_schedules(profile: FaultProfile, seeds: u64) {
     let seeds = std::env::var("REPLICA_SEEDS")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -238,38 +262,38 @@
     let threads: Vec<_> = (0..2)
         .map(|t| {
             std::thread::spawn(move || {
-                let (mut asked, mut done) = (0, 0);
+                let (mut calls, mut succeeded) = (0, 0);
                 for seed in (first..first + seeds).filter(|seed| seed % 2 == t) {
-                    let (a, d) = play(course, seed)
-                        .unwrap_or_else(|e| panic!("{course:?}, seed {seed}: {e}"));
-                    (asked, done) = (asked + a, done + d);
+                    let (a, d) = run_schedule(profile, seed)
+                        .unwrap_or_else(|e| panic!("{profile:?}, seed {seed}: {e}"));
+                    (calls, succeeded) = (calls + a, succeeded + d);
                 }
-                (asked, done)
+                (calls, succeeded)
             })
         })
         .collect();
     let sums = threads
         .into_iter()
         .map(|t| t.join().expect("a seed failed"));
-    let (asked, done) = sums.fold((0, 0), |(a, d), (x, y)| (a + x, d + y));
-    println!("{seeds} seeds: {asked} calls, {done} done");
+    let (calls, succeeded) = sums.fold((0, 0), |(a, d), (x, y)| (a + x, d + y));
+    println!("{seeds} seeds: {calls} calls, {succeeded} succeeded");
     assert!(
-        done * 2 > asked,
-        "{done} of {asked} calls came to something"
+        succeeded * 2 > calls,
+        "only {succeeded} of {calls} calls succeeded"
     );
 }
 
 #[test]
 fn registers_stay_consistent_over_process_and_network_faults() {
-    play_all(Course::Disks, 60);
+    run_schedules(FaultProfile::ReliableDisks, 60);
 }
 
 #[test]
 fn registers_stay_consistent_over_disk_faults() {
-    play_all(Course::BadDisks, 60);
+    run_schedules(FaultProfile::DiskFaults, 60);
 }
 
 #[test]
 fn registers_stay_consistent_or_are_reported_lost_without_disks() {
-    play_all(Course::RecoveryState, 60);
+    run_schedules(FaultProfile::Diskless, 60);
 }
--- a/crates/replicated-register/tests/output_digest.rs
+++ b/crates/replicated-register/tests/output_digest.rs
@@ -1,7 +1,8 @@
-//! A digest over the order of everything that replicas put out for seeded inputs. A change of it is a change of what a process
-//! sends, stores or answers.
+//! Digests of all outputs of replicas, in order, for seeded random inputs. A changed digest shows a change in what a process sends,
+//! stores or answers.
 //!
-//! Each output is written down by hand, not by `Debug`, so that a renamed type does not move the digest.
+//! The encoding of outputs for the digest is written by hand rather than derived from `Debug`, so that renaming a type does not
+//! change the digest.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -16,11 +17,13 @@
 
 const MEMBERS: usize = 5;
 const STEPS: usize = 6000;
+/// Simulated time between two steps.
 const STEP: Duration = Duration::from_millis(5);
 
-type Stored = BTreeMap<Vec<u8>, Vec<u8>>;
+/// Records on the disk of a member, by name.
+type Disk = BTreeMap<Vec<u8>, Vec<u8>>;
 
-/// A length before each field, so that no two lists of fields have the same bytes.
+/// Hasher of outputs. Variable-length fields are preceded by their length, so that different fields do not yield the same bytes.
 #[derive(Default)]
 struct Digest(blake3::Hasher);
 
@@ -89,21 +92,21 @@
                 self.number(*registers as u64);
                 self.number(*fetched);
             }
-            Event::OlderDisk { by } => self.named(1, *by),
-            Event::DiskErased { by } => self.named(2, *by),
+            Event::OlderDisk { by } => self.tagged_name(1, *by),
+            Event::DiskErased { by } => self.tagged_name(2, *by),
             Event::DiskCorrupt => self.number(3),
             Event::DiskFault(fault) => {
                 self.number(4);
                 self.fault(fault);
             }
             Event::DiskRecovered => self.number(5),
-            Event::ReplicaLost(name) => self.named(6, *name),
+            Event::ReplicaLost(name) => self.tagged_name(6, *name),
             Event::MajorityLost => self.number(7),
-            Event::UnsupportedVersion(name) => self.named(8, *name),
+            Event::UnsupportedVersion(name) => self.tagged_name(8, *name),
         }
     }
 
-    fn named(&mut self, tag: u64, name: NameKey) {
+    fn tagged_name(&mut self, tag: u64, name: NameKey) {
         self.number(tag);
         self.number(name.0.into());
     }
@@ -112,7 +115,7 @@
         self.number(member as u64);
         match output {
             Output::Send(to, bytes) => {
-                self.named(0, *to);
+                self.tagged_name(0, *to);
                 self.bytes(bytes);
             }
             Output::Store {
@@ -158,7 +161,7 @@
     }
 }
 
-/// Outputs by kind, so that a run that puts out little is noticed.
+/// Number of outputs of each kind, by which a run with too few outputs is noticed.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Totals {
     sent: usize,
@@ -174,14 +177,16 @@
     durable: bool,
     now: Duration,
     members: Vec<Replica>,
-    disks: Vec<Stored>,
+    disks: Vec<Disk>,
     starts: u64,
     /// Start number of each member's process.
-    started: Vec<u64>,
+    process_starts: Vec<u64>,
     calls: u64,
-    /// Latest version that a member was told of, by member and key.
+    /// Version that was last reported to a member, by member and key.
     versions: BTreeMap<(usize, RegisterKey), Option<Version>>,
-    calling: BTreeMap<u64, (usize, RegisterKey)>,
+    /// Member and key of each call in progress.
+    active_calls: BTreeMap<u64, (usize, RegisterKey)>,
+    /// Inputs that have not been delivered yet, each with the member that receives it.
     pending: VecDeque<(usize, Input)>,
     digest: Digest,
     totals: Totals,
@@ -202,12 +207,12 @@
             durable,
             now: Duration::ZERO,
             members: vec![],
-            disks: vec![Stored::new(); MEMBERS],
+            disks: vec![Disk::new(); MEMBERS],
             starts: 0,
-            started: vec![0; MEMBERS],
+            process_starts: vec![0; MEMBERS],
             calls: 0,
             versions: BTreeMap::new(),
-            calling: BTreeMap::new(),
+            active_calls: BTreeMap::new(),
             pending: VecDeque::new(),
             digest: Digest::default(),
             totals: Totals::default(),
@@ -225,7 +230,7 @@
 
     fn start(&mut self, member: usize) -> Replica {
         self.starts += 1;
-        self.started[member] = self.starts;
+        self.process_starts[member] = self.starts;
         let own = Process {
             name: name(member),
             start: self.starts,
@@ -251,13 +256,14 @@
         self.members[member] = self.start(member);
     }
 
-    fn call(&mut self) {
+    /// Makes a random call.
+    fn random_call(&mut self) {
         let member = self.draw(MEMBERS as u64) as usize;
         let key = key(self.draw(6));
         let deadline = self.now + Duration::from_millis(100 + self.draw(900));
         self.calls += 1;
         let call = CallId(self.calls);
-        self.calling.insert(call.0, (member, key));
+        self.active_calls.insert(call.0, (member, key));
         let expected = self.versions.get(&(member, key)).copied();
         let length = self.draw(40) as usize;
         let input = match (self.draw(10), expected) {
@@ -299,7 +305,7 @@
                 self.totals.sent += 1;
                 let from = Process {
                     name: name(member),
-                    start: self.started[member],
+                    start: self.process_starts[member],
                 };
                 let frame = Input::Frame {
                     from,
@@ -315,14 +321,14 @@
                 bytes,
             } => {
                 self.totals.stored += 1;
-                let full = self.draw(60) == 0;
-                if !full {
+                let disk_full = self.draw(60) == 0;
+                if !disk_full {
                     match bytes {
                         Some(bytes) => drop(self.disks[member].insert(name, bytes)),
                         None => drop(self.disks[member].remove(&name)),
                     }
                 }
-                let result = if full {
+                let result = if disk_full {
                     Err(StorageError::Full)
                 } else {
                     Ok(())
@@ -333,15 +339,15 @@
             Output::Read { call, result } => {
                 self.totals.read += 1;
                 match result {
-                    Ok(found) => self.learn(call, found.map(|(version, _)| version)),
+                    Ok(found) => self.record_version(call, found.map(|(version, _)| version)),
                     Err(_) => self.totals.failed += 1,
                 }
             }
             Output::Written { call, result } => {
                 self.totals.written += 1;
                 match result {
-                    Ok(version) => self.learn(call, Some(version)),
-                    Err(RegisterError::Conflict { latest }) => self.learn(call, latest),
+                    Ok(version) => self.record_version(call, Some(version)),
+                    Err(RegisterError::Conflict { latest }) => self.record_version(call, latest),
                     Err(_) => self.totals.failed += 1,
                 }
             }
@@ -349,17 +355,19 @@
         }
     }
 
-    fn learn(&mut self, call: CallId, version: Option<Version>) {
-        if let Some(at) = self.calling.remove(&call.0) {
-            self.versions.insert(at, version);
+    /// Records the version that the answer to a call reported.
+    fn record_version(&mut self, call: CallId, version: Option<Version>) {
+        if let Some(member_and_key) = self.active_calls.remove(&call.0) {
+            self.versions.insert(member_and_key, version);
         }
     }
 
-    fn play(mut self) -> (String, Totals) {
+    /// Runs all steps, and returns the digest and the number of outputs.
+    fn run(mut self) -> (String, Totals) {
         for _ in 0..STEPS {
             self.now += STEP;
             if self.draw(3) == 0 {
-                self.call();
+                self.random_call();
             }
             if self.draw(1500) == 0 {
                 let member = self.draw(MEMBERS as u64) as usize;
@@ -387,7 +395,7 @@
 fn digests(durable: bool) -> Vec<String> {
     (0..4)
         .map(|seed| {
-            let (digest, totals) = Run::new(seed, durable).play();
+            let (digest, totals) = Run::new(seed, durable).run();
             println!("seed {seed}: {digest} {totals:?}");
             assert!(totals.sent > 0 && totals.read > 0 && totals.written > 0);
             assert!(totals.failed > 0 && totals.events > 0);
@@ -398,7 +406,7 @@
 }
 
 #[test]
-fn outputs_without_disks_are_as_found() {
+fn outputs_without_disks_are_unchanged() {
     assert_eq!(
         digests(false),
         [
@@ -411,7 +419,7 @@
 }
 
 #[test]
-fn outputs_with_disks_are_as_found() {
+fn outputs_with_disks_are_unchanged() {
     assert_eq!(
         digests(true),
         [
