--- a/crates/replicated-register/src/io.rs
+++ b/crates/replicated-register/src/io.rs
@@ -143,7 +143,7 @@
     },
     /// This replica started without stored state, but another member knows an earlier incarnation of it.
     #[error(
-        "the disk of this replica is empty, but {by:?} knows an earlier incarnation of the replica"
+        "this replica started without stored state, but {by:?} knows an earlier incarnation of it"
     )]
     DiskErased {
         /// Member that reported it.
