--- a/crates/replicated-register/src/io.rs
+++ b/crates/replicated-register/src/io.rs
@@ -38,7 +38,7 @@
     Frame {
         /// Process that sent the frame.
         from: Process,
-        /// The encoded message.
+        /// The encoded message that the frame carries.
         payload: Vec<u8>,
     },
     /// The members that are reachable, as reported by membership.
@@ -58,7 +58,7 @@
         call: CallId,
         /// Key of the register.
         key: RegisterKey,
-        /// The call's deadline.
+        /// Time by which the call is answered; it fails if it has not completed by then.
         deadline: Duration,
     },
     /// Writes a register if its latest version is the expected one (compare-and-set). Answered by [`Output::Written`], at
@@ -68,13 +68,13 @@
         call: CallId,
         /// Key of the register.
         key: RegisterKey,
-        /// The expected version; `None` if the register is expected to have no value.
+        /// Version that the register is expected to have; `None` if it is expected to have no value.
         expected: Option<Version>,
         /// Epoch of the new version. The write fails if it is below the epoch of the version that it replaces.
         epoch: u64,
-        /// The new value.
+        /// Value to write.
         value: Vec<u8>,
-        /// The call's deadline.
+        /// Time by which the call is answered; it fails if it has not completed by then.
         deadline: Duration,
     },
     /// Deletes a register if its latest version is the expected one. Answered by [`Output::Written`] with the version of the
@@ -84,9 +84,9 @@
         call: CallId,
         /// Key of the register.
         key: RegisterKey,
-        /// The expected version.
+        /// Version that the register is expected to have.
         expected: Version,
-        /// The call's deadline.
+        /// Time by which the call is answered; it fails if it has not completed by then.
         deadline: Duration,
     },
 }
--- a/crates/replicated-register/tests/cluster_harness/mod.rs
+++ b/crates/replicated-register/tests/cluster_harness/mod.rs
@@ -25,6 +25,7 @@
 /// One process and its disk.
 pub struct Host {
     pub replica: Replica,
+    /// Start number of the process.
     pub start: u64,
     pub disk: Disk,
     /// Whether the disk is full, so that writes of records fail.
@@ -140,9 +141,10 @@
 pub struct Cluster {
     pub world: World<Host>,
     pub settings: Settings,
+    /// Disks of the members that are down; the disks of the others are in their [`Host`].
     pub disks: Vec<Disk>,
     /// Number of processes started so far.
-    pub starts: u64,
+    pub started_processes: u64,
     /// All calls, each with the member that made it.
     pub operations: BTreeMap<CallId, (usize, Operation)>,
     /// Version of each register that was last reported to each member.
@@ -163,7 +165,7 @@
                 durable,
             },
             disks: vec![Disk::new(); members],
-            starts: 0,
+            started_processes: 0,
             operations: BTreeMap::new(),
             known_versions: BTreeMap::new(),
             epochs: BTreeMap::new(),
@@ -171,19 +173,21 @@
             write_latency: ms(1),
         };
         for i in 0..members {
-            cluster.world.places[i].ahead = ms(cluster.draw(5000));
+            cluster.world.places[i].ahead = ms(cluster.random_below(5000));
             cluster.start(i);
         }
         cluster
     }
 
-    pub fn draw(&mut self, below: u64) -> u64 {
+    /// Draws a random number in `0..below`.
+    pub fn random_below(&mut self, below: u64) -> u64 {
         self.world.net.draw_bits() % below
     }
 
+    /// Starts a process at a member, with the disk that its previous process left.
     pub fn start(&mut self, i: usize) {
-        self.starts += 1;
-        let (start, seed) = (1000 + self.starts, self.draw(1 << 60));
+        self.started_processes += 1;
+        let (start, seed) = (1000 + self.started_processes, self.random_below(1 << 60));
         let roster = (0..self.disks.len()).map(name).collect::<BTreeSet<_>>();
         let now = self.world.now_at(i);
         let replica = Replica::new(
@@ -227,6 +231,7 @@
         self.world.places[i].node.is_some()
     }
 
+    /// Kills the process of a member, and retains its disk.
     pub fn kill(&mut self, i: usize) {
         self.collect();
         if let Some(host) = self.world.kill(i) {
--- a/crates/replicated-register/tests/fault_schedules.rs
+++ b/crates/replicated-register/tests/fault_schedules.rs
@@ -44,12 +44,12 @@
     fn random_call(&mut self) {
         let keys = keys();
         let (i, key) = (
-            self.cluster.draw(MEMBERS as u64) as usize,
-            keys[self.cluster.draw(4) as usize],
+            self.cluster.random_below(MEMBERS as u64) as usize,
+            keys[self.cluster.random_below(4) as usize],
         );
-        let timeout = ms(100 + self.cluster.draw(1500));
+        let timeout = ms(100 + self.cluster.random_below(1500));
         let known = self.cluster.known_versions.get(&(i, key)).copied();
-        match (self.cluster.draw(100), known) {
+        match (self.cluster.random_below(100), known) {
             (0..=39, _) | (_, None) => drop(self.cluster.read(i, key, timeout)),
             (40..=44, Some(Some(expected))) if self.deletes => {
                 self.cluster.delete(i, key, expected, timeout);
@@ -73,9 +73,9 @@
 
     /// Causes or ends a random fault.
     fn random_fault(&mut self) {
-        let i = self.cluster.draw(MEMBERS as u64) as usize;
-        let side = self.cluster.draw(31);
-        match self.cluster.draw(14) {
+        let i = self.cluster.random_below(MEMBERS as u64) as usize;
+        let side = self.cluster.random_below(31);
+        match self.cluster.random_below(14) {
             0 | 1 if self.profile != FaultProfile::Diskless || self.unready_members() <= 1 => {
                 self.cluster.kill(i)
             }
@@ -93,18 +93,18 @@
             7 => self.cluster.world.go_on(i),
             8 => {
                 let one_way = side & 16 != 0;
-                let apart = move |a: usize, b: usize| (side >> a & 1, side >> b & 1);
-                self.cluster.world.net.passes = Box::new(move |a, b| match apart(a, b) {
+                let sides = move |a: usize, b: usize| (side >> a & 1, side >> b & 1);
+                self.cluster.world.net.passes = Box::new(move |a, b| match sides(a, b) {
                     (x, y) if x == y => true,
                     (0, _) => one_way,
                     _ => false,
                 });
             }
-            9 => self.cluster.world.net.loss = self.cluster.draw(30) as f64 / 100.0,
-            10 => self.cluster.world.net.twice = self.cluster.draw(30) as f64 / 100.0,
+            9 => self.cluster.world.net.loss = self.cluster.random_below(30) as f64 / 100.0,
+            10 => self.cluster.world.net.twice = self.cluster.random_below(30) as f64 / 100.0,
             11 => {
                 self.cluster.world.net.delay.1 =
-                    ms(3 + self.cluster.draw(2) * self.cluster.draw(400))
+                    ms(3 + self.cluster.random_below(2) * self.cluster.random_below(400))
             }
             12 if self.profile == FaultProfile::DiskFaults => self.disk_fault(i),
             _ => self.heal_network(),
@@ -121,7 +121,7 @@
     /// Fills a disk or makes space on it, or erases it, corrupts it or sets it back to its content of some seconds ago. Before a
     /// loss, waits until the other members have received the member's report of its stored changes.
     fn disk_fault(&mut self, i: usize) {
-        if self.cluster.draw(3) == 0 {
+        if self.cluster.random_below(3) == 0 {
             self.cluster
                 .world
                 .act(i, |host, _, _| host.disk_full = !host.disk_full);
@@ -137,10 +137,13 @@
         }
         self.disk_losses += 1;
         self.cluster.kill(i);
-        match self.cluster.draw(3) {
+        match self.cluster.random_below(3) {
             0 => self.cluster.disks[i].clear(),
             1 => {
-                let at = self.cluster.draw(self.cluster.disks[i].len().max(1) as u64) as usize;
+                let at = self
+                    .cluster
+                    .random_below(self.cluster.disks[i].len().max(1) as u64)
+                    as usize;
                 self.cluster.disks[i]
                     .values_mut()
                     .nth(at)
@@ -156,7 +159,7 @@
         for round in 0..40 {
             for _ in 0..12 {
                 self.random_call();
-                let wait = self.cluster.draw(30);
+                let wait = self.cluster.random_below(30);
                 self.cluster.run(ms(wait));
             }
             if round % 8 == 0 {
@@ -184,26 +187,26 @@
         for (i, key) in (0..MEMBERS).flat_map(|i| keys().into_iter().map(move |key| (i, key))) {
             // An unfinished write of a killed process may be stored at one replica. A later call may find and
             // complete it, so a write may fail with a conflict once.
-            let mut done = Err(RegisterError::TimedOut);
+            let mut result = Err(RegisterError::TimedOut);
             for _ in 0..3 {
                 let call = self.cluster.read(i, key, ms(3000));
-                done = self.cluster.read_result(call).and_then(|expected| {
+                result = self.cluster.read_result(call).and_then(|expected| {
                     let call = self.cluster.write(i, key, expected, 1000, ms(3000));
                     self.cluster.write_result(call)
                 });
                 if !matches!(
-                    done,
+                    result,
                     Err(RegisterError::Conflict { .. } | RegisterError::TimedOut)
                 ) {
                     break;
                 }
             }
-            match done {
+            match result {
                 // Several replicas may have lost their state at the same time; then an error has to report it.
                 Err(RegisterError::Lost | RegisterError::CatchingUp)
                     if self.disk_losses > 1 || self.profile == FaultProfile::Diskless => {}
-                done => {
-                    done.map_err(|e| format!("member {i}, {key:?}: {e}"))?;
+                result => {
+                    result.map_err(|e| format!("member {i}, {key:?}: {e}"))?;
                 }
             }
         }
@@ -236,7 +239,7 @@
     }
     runner.recover()?;
     runner.cluster.check()?;
-    let done = runner.cluster.operations.values().filter(|(_, op)| {
+    let succeeded = runner.cluster.operations.values().filter(|(_, op)| {
         matches!(
             op.answer,
             Some((
@@ -245,7 +248,7 @@
             ))
         )
     });
-    Ok((runner.cluster.operations.len(), done.count()))
+    Ok((runner.cluster.operations.len(), succeeded.count()))
 }
 
 /// Runs a schedule for each of `seeds` seeds on two threads. The environment variables `REPLICA_SEEDS` and `REPLICA_FIRST` override
--- a/crates/replicated-register/tests/output_digest.rs
+++ b/crates/replicated-register/tests/output_digest.rs
@@ -224,7 +224,7 @@
         run
     }
 
-    fn draw(&mut self, below: u64) -> u64 {
+    fn random_below(&mut self, below: u64) -> u64 {
         self.rng.next_u64() % below
     }
 
@@ -250,7 +250,7 @@
 
     fn restart(&mut self, member: usize) {
         self.pending.retain(|(to, _)| *to != member);
-        if self.draw(4) == 0 {
+        if self.random_below(4) == 0 {
             self.disks[member].clear();
         }
         self.members[member] = self.start(member);
@@ -258,15 +258,15 @@
 
     /// Makes a random call.
     fn random_call(&mut self) {
-        let member = self.draw(MEMBERS as u64) as usize;
-        let key = key(self.draw(6));
-        let deadline = self.now + Duration::from_millis(100 + self.draw(900));
+        let member = self.random_below(MEMBERS as u64) as usize;
+        let key = key(self.random_below(6));
+        let deadline = self.now + Duration::from_millis(100 + self.random_below(900));
         self.calls += 1;
         let call = CallId(self.calls);
         self.active_calls.insert(call.0, (member, key));
         let expected = self.versions.get(&(member, key)).copied();
-        let length = self.draw(40) as usize;
-        let input = match (self.draw(10), expected) {
+        let length = self.random_below(40) as usize;
+        let input = match (self.random_below(10), expected) {
             (0, Some(Some(expected))) => Input::Delete {
                 call,
                 key,
@@ -311,7 +311,7 @@
                     from,
                     payload: message,
                 };
-                if self.draw(20) > 0 {
+                if self.random_below(20) > 0 {
                     self.pending.push_back((to.0 as usize - 10, frame));
                 }
             }
@@ -321,7 +321,7 @@
                 bytes,
             } => {
                 self.totals.stored += 1;
-                let disk_full = self.draw(60) == 0;
+                let disk_full = self.random_below(60) == 0;
                 if !disk_full {
                     match bytes {
                         Some(bytes) => drop(self.disks[member].insert(name, bytes)),
@@ -366,11 +366,11 @@
     fn run(mut self) -> (String, Totals) {
         for _ in 0..STEPS {
             self.now += STEP;
-            if self.draw(3) == 0 {
+            if self.random_below(3) == 0 {
                 self.random_call();
             }
-            if self.draw(1500) == 0 {
-                let member = self.draw(MEMBERS as u64) as usize;
+            if self.random_below(1500) == 0 {
+                let member = self.random_below(MEMBERS as u64) as usize;
                 self.restart(member);
             }
             for _ in 0..self.pending.len() {
