--- a/crates/replicated-register/src/replica/request.rs
+++ b/crates/replicated-register/src/replica/request.rs
@@ -1,35 +1,35 @@
-//! Requests between replicas, and answers to callers.
+//! Identification of requests between replicas, and conversion of outcomes into answers to callers.
 
 use crate::proposal::{Outcome, Proposal};
 use crate::register::{Ballot, RegisterKey};
 use crate::Output;
 
-/// The register and the ballot that a response is about.
+/// Identifies a request between replicas by its register and ballot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Request {
     pub(super) key: RegisterKey,
     pub(super) ballot: Ballot,
 }
 
-/// The answer to the call of a proposal.
+/// Builds the answer to the caller of a proposal.
 pub(super) fn answer(proposal: &Proposal, outcome: Outcome) -> Output {
     let call = proposal.call;
     match outcome {
         Outcome::Read(found) => Output::Read {
             call,
-            found: Ok(found),
+            result: Ok(found),
         },
         Outcome::Written(version) => Output::Written {
             call,
-            done: Ok(version),
+            result: Ok(version),
         },
         Outcome::Failed(error) if proposal.is_read() => Output::Read {
             call,
-            found: Err(error),
+            result: Err(error),
         },
         Outcome::Failed(error) => Output::Written {
             call,
-            done: Err(error),
+            result: Err(error),
         },
     }
 }
--- a/crates/replicated-register/tests/cluster_harness/mod.rs
+++ b/crates/replicated-register/tests/cluster_harness/mod.rs
@@ -1,4 +1,5 @@
-//! Replicas over a simulated network, with disks that survive their processes, and a history of calls.
+//! Test harness: a cluster of replicas over a simulated network, with disks that survive process restarts and a recorded history of
+//! calls.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,7 +8,7 @@
 use bitternlatch_membership::NameKey;
 use bitternlatch_quota_lease::{Process, StorageError};
 use bitternlatch_replicated_register::{
-    Call, Event, Input, Output, RegisterError, RegisterKey, Replica, Settings, Version,
+    CallId, Event, Input, Output, RegisterError, RegisterKey, Replica, Settings, Version,
 };
 use bitternlatch_simulation::{ms, Node, Sent, World};
 
@@ -18,38 +19,42 @@
     NameKey(10 + i as u32)
 }
 
-/// When it is done, its ticket, the name, the bytes.
-type Write = (Duration, u64, Vec<u8>, Option<Vec<u8>>);
+/// A write to disk in progress: time of completion, ticket, name of the record and its content (`None` to remove it).
+type PendingWrite = (Duration, u64, Vec<u8>, Option<Vec<u8>>);
 
 /// One process and its disk.
 pub struct Host {
     pub replica: Replica,
+    /// Start number of the process.
     pub start: u64,
     pub disk: Disk,
-    pub full: bool,
-    /// How long a write takes.
-    pub sync: Duration,
-    writes: Vec<Write>,
+    /// Whether the disk is full, so that writes of records fail.
+    pub disk_full: bool,
+    /// Time until a write to disk is durable.
+    pub write_latency: Duration,
+    pending_writes: Vec<PendingWrite>,
     pub answers: Vec<(Duration, Output)>,
     pub events: Vec<Event>,
-    pub sent: u64,
-    pub bytes: u64,
+    /// Number of frames that the process has sent.
+    pub sent_frames: u64,
+    /// Total size in bytes of the frames that the process has sent.
+    pub sent_bytes: u64,
 }
 
 impl Host {
     pub fn input(&mut self, now: Duration, input: Input, out: &mut Sent<Frame>) {
-        let mut wanted = Vec::new();
-        self.replica.step(now, input, &mut wanted);
-        for one in wanted {
-            match one {
+        let mut outputs = Vec::new();
+        self.replica.step(now, input, &mut outputs);
+        for output in outputs {
+            match output {
                 Output::Send(to, message) => {
                     assert!(
                         message.len() <= 64 * 1024,
                         "a frame of {} bytes",
                         message.len()
                     );
-                    self.sent += 1;
-                    self.bytes += message.len() as u64;
+                    self.sent_frames += 1;
+                    self.sent_bytes += message.len() as u64;
                     out.push((to.0 as usize - 10, (self.start, message)));
                 }
                 Output::Store {
@@ -57,7 +62,8 @@
                     name,
                     bytes,
                 } => {
-                    self.writes.push((now + self.sync, ticket, name, bytes));
+                    self.pending_writes
+                        .push((now + self.write_latency, ticket, name, bytes));
                 }
                 Output::Event(event) => self.events.push(event),
                 answer => self.answers.push((now, answer)),
@@ -65,11 +71,17 @@
         }
     }
 
-    fn sync(&mut self, now: Duration, out: &mut Sent<Frame>) {
-        let done: Vec<_> = self.writes.iter().filter(|w| w.0 <= now).cloned().collect();
-        self.writes.retain(|w| w.0 > now);
-        for (_, ticket, name, bytes) in done {
-            let done = match (self.full, bytes) {
+    /// Makes the writes that are due durable, and reports them to the replica.
+    fn complete_writes(&mut self, now: Duration, out: &mut Sent<Frame>) {
+        let due: Vec<_> = self
+            .pending_writes
+            .iter()
+            .filter(|w| w.0 <= now)
+            .cloned()
+            .collect();
+        self.pending_writes.retain(|w| w.0 > now);
+        for (_, ticket, name, bytes) in due {
+            let result = match (self.disk_full, bytes) {
                 (true, Some(_)) => Err(StorageError::Full),
                 (_, Some(bytes)) => {
                     self.disk.insert(name, bytes);
@@ -80,7 +92,7 @@
                     Ok(())
                 }
             };
-            self.input(now, Input::Stored { ticket, done }, out);
+            self.input(now, Input::Stored { ticket, result }, out);
         }
     }
 }
@@ -89,12 +101,12 @@
     type Message = Frame;
 
     fn wake_at(&self) -> Option<Duration> {
-        let written = self.writes.iter().map(|w| w.0).min();
-        written.into_iter().chain(self.replica.wake_at()).min()
+        let next_write = self.pending_writes.iter().map(|w| w.0).min();
+        next_write.into_iter().chain(self.replica.wake_at()).min()
     }
 
     fn wake(&mut self, now: Duration, out: &mut Sent<Frame>) {
-        self.sync(now, out);
+        self.complete_writes(now, out);
         self.input(now, Input::Wake, out);
     }
 
@@ -113,60 +125,69 @@
     }
 }
 
+/// A call and its result.
 #[derive(Clone, Debug)]
-pub struct Op {
+pub struct Operation {
     pub key: RegisterKey,
     pub expected: Option<Version>,
-    pub reads: bool,
-    pub drops: bool,
-    pub asked: Duration,
-    pub ended: Option<(Duration, Output)>,
+    pub is_read: bool,
+    pub is_delete: bool,
+    pub started_at: Duration,
+    /// Time and content of the answer; `None` until the call is answered.
+    pub answer: Option<(Duration, Output)>,
 }
 
-pub struct Fleet {
+/// A cluster of replicas, and the history of the calls made to it.
+pub struct Cluster {
     pub world: World<Host>,
     pub settings: Settings,
+    /// Disks of the members that are down; the disks of the others are in their [`Host`].
     pub disks: Vec<Disk>,
-    pub starts: u64,
-    pub ops: BTreeMap<Call, (usize, Op)>,
-    /// The version that each host last knew of each register.
-    pub known: BTreeMap<(usize, RegisterKey), Option<Version>>,
-    /// The latest epoch that anyone was told of.
+    /// Number of processes started so far.
+    pub started_processes: u64,
+    /// All calls, each with the member that made it.
+    pub operations: BTreeMap<CallId, (usize, Operation)>,
+    /// Version of each register that was last reported to each member.
+    pub known_versions: BTreeMap<(usize, RegisterKey), Option<Version>>,
+    /// Epoch of each register that was last reported by a `StaleEpoch` error.
     pub epochs: BTreeMap<RegisterKey, u64>,
     pub events: Vec<(usize, Event)>,
-    pub sync: Duration,
+    /// Time until a write to disk is durable, for processes started from now on.
+    pub write_latency: Duration,
 }
 
-impl Fleet {
-    pub fn new(of: usize, durable: bool, seed: u64) -> Fleet {
-        let mut fleet = Fleet {
-            world: World::new(of, seed),
+impl Cluster {
+    pub fn new(members: usize, durable: bool, seed: u64) -> Cluster {
+        let mut cluster = Cluster {
+            world: World::new(members, seed),
             settings: Settings {
                 replicas: 3,
                 durable,
             },
-            disks: vec![Disk::new(); of],
-            starts: 0,
-            ops: BTreeMap::new(),
-            known: BTreeMap::new(),
+            disks: vec![Disk::new(); members],
+            started_processes: 0,
+            operations: BTreeMap::new(),
+            known_versions: BTreeMap::new(),
             epochs: BTreeMap::new(),
             events: vec![],
-            sync: ms(1),
+            write_latency: ms(1),
         };
-        for i in 0..of {
-            fleet.world.places[i].ahead = ms(fleet.draw(5000));
-            fleet.start(i);
+        for i in 0..members {
+            cluster.world.places[i].ahead = ms(cluster.random_below(5000));
+            cluster.start(i);
         }
-        fleet
+        cluster
     }
 
-    pub fn draw(&mut self, below: u64) -> u64 {
+    /// Draws a random number in `0..below`.
+    pub fn random_below(&mut self, below: u64) -> u64 {
         self.world.net.draw_bits() % below
     }
 
+    /// Starts a process at a member, with the disk that its previous process left.
     pub fn start(&mut self, i: usize) {
-        self.starts += 1;
-        let (start, seed) = (1000 + self.starts, self.draw(1 << 60));
+        self.started_processes += 1;
+        let (start, seed) = (1000 + self.started_processes, self.random_below(1 << 60));
         let roster = (0..self.disks.len()).map(name).collect::<BTreeSet<_>>();
         let now = self.world.now_at(i);
         let replica = Replica::new(
@@ -184,19 +205,19 @@
             .iter()
             .map(|(name, bytes)| (name.clone(), bytes.clone()))
             .collect();
-        let (answers, events, writes) = (vec![], vec![], vec![]);
-        let sync = self.sync;
+        let (answers, events, pending_writes) = (vec![], vec![], vec![]);
+        let write_latency = self.write_latency;
         let host = Host {
             replica,
             start,
             disk,
-            full: false,
-            sync,
-            writes,
+            disk_full: false,
+            write_latency,
+            pending_writes,
             answers,
             events,
-            sent: 0,
-            bytes: 0,
+            sent_frames: 0,
+            sent_bytes: 0,
         };
         self.world.start(i, host);
         if self.settings.durable {
@@ -206,113 +227,119 @@
         }
     }
 
-    pub fn up(&self, i: usize) -> bool {
+    pub fn is_up(&self, i: usize) -> bool {
         self.world.places[i].node.is_some()
     }
 
+    /// Kills the process of a member, and retains its disk.
     pub fn kill(&mut self, i: usize) {
         self.collect();
         if let Some(host) = self.world.kill(i) {
             self.disks[i] = host.disk;
-            self.known.retain(|(of, _), _| *of != i);
+            self.known_versions.retain(|(member, _), _| *member != i);
         }
     }
 
     pub fn host(&self, i: usize) -> &Host {
-        self.world.places[i].node.as_ref().expect("it is up")
+        self.world.places[i]
+            .node
+            .as_ref()
+            .expect("the member is up")
     }
 
-    /// Registers for which a host's copy counts, of those it has.
-    pub fn whole(&self, i: usize, keys: &[RegisterKey]) -> bool {
+    /// Whether a member is up and its replica counts toward a majority of each of the registers that it holds.
+    pub fn is_caught_up(&self, i: usize, keys: &[RegisterKey]) -> bool {
         let Some(host) = &self.world.places[i].node else {
             return false;
         };
         let own = |key: &&RegisterKey| host.replica.replicas(**key).contains(&name(i));
-        keys.iter()
-            .filter(own)
-            .all(|key| host.replica.counts_for(self.world.now_at(i), *key))
+        keys.iter().filter(own).all(|key| {
+            host.replica
+                .counts_toward_majority(self.world.now_at(i), *key)
+        })
     }
 
-    fn enter(
+    /// Makes a call at a member and records it. Returns `None` if the member is down.
+    fn submit(
         &mut self,
         i: usize,
-        op: Op,
-        input: impl FnOnce(Call, Duration) -> Input,
-    ) -> Option<Call> {
-        let call = Call(self.ops.len() as u64);
-        let op = Op {
-            asked: self.world.now(),
+        op: Operation,
+        input: impl FnOnce(CallId, Duration) -> Input,
+    ) -> Option<CallId> {
+        let call = CallId(self.operations.len() as u64);
+        let op = Operation {
+            started_at: self.world.now(),
             ..op
         };
         self.world
             .act(i, |host, now, out| host.input(now, input(call, now), out))?;
-        self.ops.insert(call, (i, op));
+        self.operations.insert(call, (i, op));
         Some(call)
     }
 
-    pub fn read(&mut self, i: usize, key: RegisterKey, patience: Duration) -> Option<Call> {
-        let op = Op {
+    pub fn read(&mut self, i: usize, key: RegisterKey, timeout: Duration) -> Option<CallId> {
+        let op = Operation {
             key,
             expected: None,
-            reads: true,
-            drops: false,
-            asked: Duration::ZERO,
-            ended: None,
+            is_read: true,
+            is_delete: false,
+            started_at: Duration::ZERO,
+            answer: None,
         };
-        self.enter(i, op, |call, now| Input::Read {
+        self.submit(i, op, |call, now| Input::Read {
             call,
             key,
-            until: now + patience,
+            deadline: now + timeout,
         })
     }
 
-    /// The value is the call's number.
+    /// Writes a value that consists of the call's number, so that a read shows which call wrote the value.
     pub fn write(
         &mut self,
         i: usize,
         key: RegisterKey,
         expected: Option<Version>,
         epoch: u64,
-        patience: Duration,
-    ) -> Option<Call> {
-        let op = Op {
+        timeout: Duration,
+    ) -> Option<CallId> {
+        let op = Operation {
             key,
             expected,
-            reads: false,
-            drops: false,
-            asked: Duration::ZERO,
-            ended: None,
+            is_read: false,
+            is_delete: false,
+            started_at: Duration::ZERO,
+            answer: None,
         };
-        self.enter(i, op, |call, now| Input::Write {
+        self.submit(i, op, |call, now| Input::Write {
             call,
             key,
             expected,
             epoch,
             value: call.0.to_le_bytes().to_vec(),
-            until: now + patience,
+            deadline: now + timeout,
         })
     }
 
-    pub fn drop(
+    pub fn delete(
         &mut self,
         i: usize,
         key: RegisterKey,
         expected: Version,
-        patience: Duration,
-    ) -> Option<Call> {
-        let op = Op {
+        timeout: Duration,
+    ) -> Option<CallId> {
+        let op = Operation {
             key,
             expected: Some(expected),
-            reads: false,
-            drops: true,
-            asked: Duration::ZERO,
-            ended: None,
+            is_read: false,
+            is_delete: true,
+            started_at: Duration::ZERO,
+            answer: None,
         };
-        self.enter(i, op, |call, now| Input::Delete {
+        self.submit(i, op, |call, now| Input::Delete {
             call,
             key,
             expected,
-            until: now + patience,
+            deadline: now + timeout,
         })
     }
 
@@ -321,6 +348,7 @@
         self.collect();
     }
 
+    /// Moves answers and events of all processes into the history.
     pub fn collect(&mut self) {
         for i in 0..self.disks.len() {
             let ahead = self.world.places[i].ahead;
@@ -331,41 +359,48 @@
                 .extend(host.events.drain(..).map(|event| (i, event)));
             for (at, answer) in std::mem::take(&mut host.answers) {
                 let (call, latest) = match &answer {
-                    Output::Read { call, found } => {
-                        (*call, found.as_ref().ok().map(|f| f.as_ref().map(|f| f.0)))
+                    Output::Read { call, result } => {
+                        (*call, result.as_ref().ok().map(|f| f.as_ref().map(|f| f.0)))
                     }
                     Output::Written {
                         call,
-                        done: Ok(version),
+                        result: Ok(version),
                     } => (*call, Some(Some(*version))),
                     Output::Written {
                         call,
-                        done: Err(RegisterError::Conflict { latest }),
+                        result: Err(RegisterError::Conflict { latest }),
                     } => (*call, Some(*latest)),
                     Output::Written { call, .. } => (*call, None),
                     other => panic!("{other:?}"),
                 };
-                let (of, op) = self.ops.get_mut(&call).expect("it was asked");
-                assert!(*of == i && op.ended.is_none(), "two answers to {call:?}");
+                let (caller, op) = self
+                    .operations
+                    .get_mut(&call)
+                    .expect("the call was recorded");
+                assert!(
+                    *caller == i && op.answer.is_none(),
+                    "call {call:?} was answered twice"
+                );
                 if let Output::Written {
-                    done: Err(RegisterError::StaleEpoch { epoch }),
+                    result: Err(RegisterError::StaleEpoch { epoch }),
                     ..
                 } = &answer
                 {
                     self.epochs.insert(op.key, *epoch);
                 }
                 if let Some(latest) = latest {
-                    self.known.insert((i, op.key), latest.filter(|_| !op.drops));
+                    self.known_versions
+                        .insert((i, op.key), latest.filter(|_| !op.is_delete));
                 }
-                op.ended = Some((at - ahead, answer));
+                op.answer = Some((at - ahead, answer));
             }
         }
     }
 
-    /// The answer to a call, within some time.
-    pub fn answer(&mut self, call: Call) -> Output {
+    /// Runs the cluster until a call is answered, and returns the answer.
+    pub fn answer(&mut self, call: CallId) -> Output {
         for _ in 0..20_000 {
-            if let Some((_, answer)) = &self.ops[&call].1.ended {
+            if let Some((_, answer)) = &self.operations[&call].1.answer {
                 return answer.clone();
             }
             self.run(ms(1));
@@ -373,47 +408,53 @@
         panic!("no answer to {call:?}");
     }
 
-    pub fn written(&mut self, call: Option<Call>) -> Result<Version, RegisterError> {
-        match self.answer(call.expect("it is up")) {
-            Output::Written { done, .. } => done,
+    /// Runs the cluster until a write or deletion is answered, and returns its result.
+    pub fn write_result(&mut self, call: Option<CallId>) -> Result<Version, RegisterError> {
+        match self.answer(call.expect("the member is up")) {
+            Output::Written { result, .. } => result,
             other => panic!("{other:?}"),
         }
     }
 
-    pub fn found(&mut self, call: Option<Call>) -> Result<Option<Version>, RegisterError> {
-        match self.answer(call.expect("it is up")) {
-            Output::Read { found, .. } => found.map(|f| f.map(|f| f.0)),
+    /// Runs the cluster until a read is answered, and returns the version that it found.
+    pub fn read_result(&mut self, call: Option<CallId>) -> Result<Option<Version>, RegisterError> {
+        match self.answer(call.expect("the member is up")) {
+            Output::Read { result, .. } => result.map(|f| f.map(|f| f.0)),
             other => panic!("{other:?}"),
         }
     }
 
-    pub fn saw(&self, what: impl Fn(&Event) -> bool) -> usize {
-        self.events.iter().filter(|(_, event)| what(event)).count()
+    /// Number of events so far that match a predicate.
+    pub fn count_events(&self, matches: impl Fn(&Event) -> bool) -> usize {
+        self.events
+            .iter()
+            .filter(|(_, event)| matches(event))
+            .count()
     }
 
-    /// Holds the history against one register that changes by compare-and-set, key by key.
+    /// Checks for each key that the history of calls is consistent with a single register that changes by compare-and-set.
     pub fn check(&self) -> Result<(), String> {
-        let keys: BTreeSet<RegisterKey> = self.ops.values().map(|(_, op)| op.key).collect();
+        let keys: BTreeSet<RegisterKey> = self.operations.values().map(|(_, op)| op.key).collect();
         keys.into_iter().try_for_each(|key| self.check_key(key))
     }
 
     fn check_key(&self, key: RegisterKey) -> Result<(), String> {
-        let ops: Vec<(Call, &Op)> = self
-            .ops
+        let ops: Vec<(CallId, &Operation)> = self
+            .operations
             .iter()
             .filter(|(_, (_, op))| op.key == key)
             .map(|(c, (_, op))| (*c, op))
             .collect();
-        let not_written = |op: &Op| {
+        let not_written = |op: &Operation| {
             use RegisterError::{
                 Busy, CatchingUp, Conflict, Lost, NoMajority, StaleEpoch, TooLong,
             };
             matches!(
-                &op.ended,
+                &op.answer,
                 Some((
                     _,
                     Output::Written {
-                        done: Err(Conflict { .. }
+                        result: Err(Conflict { .. }
                             | StaleEpoch { .. }
                             | NoMajority
                             | CatchingUp
@@ -425,16 +466,19 @@
                 ))
             )
         };
-        // Versions, by the call that wrote them, and what each answer proves to have been the latest at some moment of the call.
-        let mut wrote: BTreeMap<Version, (Call, Option<Version>)> = BTreeMap::new();
-        let mut sights: Vec<(Duration, Duration, Option<Version>, bool)> = vec![];
+        // The call that wrote each version and the version that it expected.
+        let mut written: BTreeMap<Version, (CallId, Option<Version>)> = BTreeMap::new();
+        // The version that each answer proves to have been the latest at some time during the call: start and end of the call, the
+        // version, and whether the call deleted the register.
+        let mut observations: Vec<(Duration, Duration, Option<Version>, bool)> = vec![];
         for (call, op) in &ops {
-            let Some((at, answer)) = &op.ended else {
+            let Some((at, answer)) = &op.answer else {
                 continue;
             };
             match answer {
                 Output::Written {
-                    done: Ok(version), ..
+                    result: Ok(version),
+                    ..
                 } => {
                     if op.expected.is_some_and(|expected| expected >= *version) {
                         return Err(format!(
@@ -442,38 +486,41 @@
                             op.expected
                         ));
                     }
-                    if wrote
+                    if written
                         .insert(*version, (*call, op.expected))
-                        .is_some_and(|(of, _)| of != *call)
+                        .is_some_and(|(other, _)| other != *call)
                     {
                         return Err(format!("{version:?} was written twice"));
                     }
-                    sights.push((op.asked, *at, Some(*version), op.drops));
+                    observations.push((op.started_at, *at, Some(*version), op.is_delete));
                 }
                 Output::Written {
-                    done: Err(RegisterError::Conflict { latest }),
+                    result: Err(RegisterError::Conflict { latest }),
                     ..
                 } => {
-                    sights.push((op.asked, *at, *latest, false));
+                    observations.push((op.started_at, *at, *latest, false));
                 }
                 Output::Read {
-                    found: Ok(found), ..
+                    result: Ok(found), ..
                 } => {
-                    sights.push((op.asked, *at, found.as_ref().map(|f| f.0), false));
+                    observations.push((op.started_at, *at, found.as_ref().map(|f| f.0), false));
                     if let Some((version, value)) = found {
-                        let of = Call(u64::from_le_bytes(
-                            value.as_slice().try_into().map_err(|_| "torn")?,
+                        let writer_call = CallId(u64::from_le_bytes(
+                            value
+                                .as_slice()
+                                .try_into()
+                                .map_err(|_| "a value is corrupt")?,
                         ));
-                        let (_, writer) = &self.ops[&of];
-                        if not_written(writer) || writer.asked > *at || writer.key != key {
+                        let (_, writer) = &self.operations[&writer_call];
+                        if not_written(writer) || writer.started_at > *at || writer.key != key {
                             return Err(format!(
-                                "{call:?} read what {of:?} did not write: {:?}",
-                                writer.ended
+                                "{call:?} read a value that {writer_call:?} did not write: {:?}",
+                                writer.answer
                             ));
                         }
-                        if wrote
-                            .insert(*version, (of, writer.expected))
-                            .is_some_and(|(other, _)| other != of)
+                        if written
+                            .insert(*version, (writer_call, writer.expected))
+                            .is_some_and(|(other, _)| other != writer_call)
                         {
                             return Err(format!("{version:?} has two values"));
                         }
@@ -482,42 +529,43 @@
                 _ => {}
             }
         }
-        // No version has two that follow it.
-        let drops: Vec<(&Op, Option<Version>)> = ops
+        // No version is replaced by two writes. A register without a value may be written again after each deletion.
+        let deletions: Vec<(&Operation, Option<Version>)> = ops
             .iter()
-            .filter(|(_, op)| op.drops && !not_written(op))
+            .filter(|(_, op)| op.is_delete && !not_written(op))
             .map(|(_, op)| (*op, op.expected))
             .collect();
-        let mut follows: BTreeMap<Option<Version>, Vec<Call>> = BTreeMap::new();
-        wrote
+        let mut successors: BTreeMap<Option<Version>, Vec<CallId>> = BTreeMap::new();
+        written
             .values()
-            .for_each(|(call, expected)| follows.entry(*expected).or_default().push(*call));
-        for (expected, calls) in &follows {
-            let most = if expected.is_none() {
-                1 + drops.len()
+            .for_each(|(call, expected)| successors.entry(*expected).or_default().push(*call));
+        for (expected, calls) in &successors {
+            let max_successors = if expected.is_none() {
+                1 + deletions.len()
             } else {
                 1
             };
-            if calls.len() > most {
-                return Err(format!("{calls:?} all follow {expected:?}"));
+            if calls.len() > max_successors {
+                return Err(format!("{calls:?} all replaced {expected:?}"));
             }
         }
-        // What was seen before a call began is not later than what it sees.
-        sights.sort_by_key(|(asked, ..)| *asked);
-        let mut by_end = sights.clone();
-        by_end.sort_by_key(|(_, ended, ..)| *ended);
-        let (mut ended, mut latest) = (0, None);
-        for (asked, until, seen, _) in &sights {
-            while by_end[ended].1 < *asked {
-                latest = latest.max(by_end[ended].2);
-                ended += 1;
+        // A call never observes a version older than one that was observed before the call started, unless the register was
+        // deleted.
+        observations.sort_by_key(|(started_at, ..)| *started_at);
+        let mut by_end = observations.clone();
+        by_end.sort_by_key(|(_, ended_at, ..)| *ended_at);
+        let (mut ended_count, mut latest) = (0, None);
+        for (started_at, ended_at, observed, _) in &observations {
+            while by_end[ended_count].1 < *started_at {
+                latest = latest.max(by_end[ended_count].2);
+                ended_count += 1;
             }
-            let dropped = || {
-                drops.iter().any(|(op, expected)| op.asked < *until && (*expected >= latest || matches!(&op.ended, Some((_, Output::Written { done: Ok(v), .. })) if Some(*v) >= latest)))
+            let was_deleted = || {
+                deletions.iter().any(|(op, expected)| op.started_at < *ended_at && (*expected >= latest || matches!(&op.answer, Some((_, Output::Written { result: Ok(v), .. })) if Some(*v) >= latest)))
             };
-            if *seen < latest && !(seen.is_none() && dropped()) {
+            if *observed < latest && !(observed.is_none() && was_deleted()) {
                 return Err(format!(
-                    "{key:?}: at {asked:?} to {until:?} {seen:?}, after {latest:?}"
+                    "{key:?}: a call from {started_at:?} to {ended_at:?} observed {observed:?}, after {latest:?} had been observed"
                 ));
             }
         }
