--- a/crates/platform/src/access_log/mod.rs
+++ b/crates/platform/src/access_log/mod.rs
@@ -1,5 +1,5 @@
-//! The access log: one line for each request that was refused, failed, retried or late, saying why. It is kept only
-//! where asked for, from the events and actions of the decision module; it decides nothing.
+//! The access log: one line for each request that was rejected, failed, retried or late, with the reason. It is
+//! optional, and only observes the events and actions of the decision module.
 
 mod record;
 
@@ -12,19 +12,19 @@
 
 use record::{AttemptResult, FinalResponse, KvStateChange, RequestRecord};
 
-/// Most requests recorded at once; those that come on top are not.
+/// Most requests recorded at once; requests that arrive beyond this are not recorded.
 const MAX_RECORDS: usize = 4096;
 
-/// What the decision module can say of its last decision on a request.
+/// What the decision module reports about its last decision on a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DecisionReasons {
-    /// The estimates behind its last choice of a prefill server.
+    /// Estimates behind the last choice of a prefill server for the request.
     pub explanation: Option<ChoiceExplanation>,
-    /// Why it was ended without being served.
+    /// Why the request was rejected or failed.
     pub cause: Option<Cause>,
 }
 
-/// Objective of the time to first token of one class.
+/// Latency objective of a request class: the time to first token, as a fixed part and a part per prompt token.
 #[derive(Clone, Copy, Debug, Default)]
 struct LatencyObjective {
     base_s: f64,
@@ -37,16 +37,16 @@
     }
 }
 
-/// Records of the requests in hand.
+/// Access-log records of the open requests.
 #[derive(Debug)]
 pub struct AccessLog {
-    /// By the number of the class.
+    /// Latency objective of each class, indexed by the class number.
     latency_objectives: Vec<LatencyObjective>,
     open: BTreeMap<RequestId, RequestRecord>,
 }
 
 impl AccessLog {
-    /// One without records, for the classes of the settings.
+    /// Creates an empty log that uses the latency objectives in the settings.
     pub fn new(settings: &Settings) -> AccessLog {
         let objectives = settings.classes.iter().map(|class| LatencyObjective {
             base_s: class.ttft_objective_s,
@@ -58,18 +58,19 @@
         }
     }
 
-    /// Requests in hand that are recorded.
+    /// Number of open requests that are recorded.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether no request is recorded.
+    /// Whether no open request is recorded.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// Takes in one event with the module's actions. `id` gives the client's id of a request, `reasons` what the module
-    /// says of its last decision on it. Gives the lines of the requests that have ended and are worth one.
+    /// Records one event and the decision module's actions on it. `id` maps a request to the client's id for it, and
+    /// `reasons` gives the module's reasons for its last decision on a request. Returns the lines of the reportable
+    /// requests that have ended.
     pub fn record(
         &mut self,
         traced: &Traced,
@@ -88,7 +89,7 @@
             .collect()
     }
 
-    /// Gives the request that may be complete by the event.
+    /// Records an event and returns the request that may have ended with it.
     fn record_event(
         &mut self,
         now_s: f64,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Gives the request that may be complete by the action.
+    /// Records an action and returns the request that may have ended with it.
     fn record_action(
         &mut self,
         now_s: f64,
@@ -136,7 +137,7 @@
             Action::Reject { request, .. } => {
                 let reasons = reasons(*request);
                 self.change(*request, |record| {
-                    record.end(FinalResponse::Refused, reasons)
+                    record.end(FinalResponse::Rejected, reasons)
                 });
                 Some(*request)
             }
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Closes the record of a request that is complete; gives its line, if it is worth one.
+    /// Removes the record of a request if it is complete, and returns its line if it is reportable.
     fn close(&mut self, request: RequestId, now_s: f64) -> Option<String> {
         if !self.open.get(&request)?.is_complete() {
             return None;
--- a/crates/platform/src/access_log/record.rs
+++ b/crates/platform/src/access_log/record.rs
@@ -1,4 +1,4 @@
-//! One access-log record: a request from its arrival to its end, and its line.
+//! One access-log record: follows a request from arrival to end and formats its line.
 
 use std::fmt;
 
@@ -6,18 +6,18 @@
 
 use super::DecisionReasons;
 
-/// Most attempts named in a line.
+/// Most attempts listed in one line.
 const MAX_ATTEMPTS: usize = 8;
-/// Most changes of the held KV state that a line names.
+/// Most changes of the KV cache state listed in one line.
 const MAX_CHANGES: usize = 8;
 
-/// How a request ended for its client.
+/// How a request ended for its client. The words in a line are part of the log format and do not follow these names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FinalResponse {
     Served,
     Broken,
     Disconnected,
-    Refused,
+    Rejected,
     Failed,
 }
 
@@ -27,13 +27,13 @@
             FinalResponse::Served => "served",
             FinalResponse::Broken => "broken",
             FinalResponse::Disconnected => "gone",
-            FinalResponse::Refused => "refused",
+            FinalResponse::Rejected => "refused",
             FinalResponse::Failed => "failed",
         })
     }
 }
 
-/// What became of the KV state that a prefill server holds for a request, as the decision module knows it.
+/// Change of the KV cache state that a prefill server holds for a request, as far as the decision module knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum KvStateChange {
     HeldAt(ServerId),
@@ -55,31 +55,31 @@
     }
 }
 
-/// A change of the held KV state, and when.
+/// A change of the KV cache state with its time.
 #[derive(Clone, Copy, Debug)]
 struct KvStateEvent {
-    /// Seconds from the request's arrival.
+    /// Time of the change, seconds from the request's arrival.
     at_s: f64,
     change: KvStateChange,
 }
 
-/// The end of an attempt.
+/// How and when an attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptResult {
     pub(super) outcome: Outcome,
     pub(super) elapsed_s: f64,
-    /// Prompt tokens found in the prefix cache.
+    /// Prompt tokens that the server found in its prefix cache.
     pub(super) prefix_hit_tokens: f64,
 }
 
-/// One attempt.
+/// One attempt of a request.
 #[derive(Debug)]
 struct AttemptRecord {
     server: ServerId,
-    /// Seconds from the request's arrival.
+    /// Start of the attempt, seconds from the request's arrival.
     at_s: f64,
     explanation: Option<ChoiceExplanation>,
-    /// `None` while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     result: Option<AttemptResult>,
 }
 
@@ -90,20 +90,20 @@
     }
 }
 
-/// One request from its arrival to its end.
+/// Record of one request.
 #[derive(Debug)]
 pub(super) struct RequestRecord {
     id: String,
     request: Request,
-    /// Objective of the time to first token, seconds.
+    /// Latency objective for the first token, seconds.
     latency_objective_s: f64,
     arrived_s: f64,
-    /// The first attempts; `attempts_made` counts all.
+    /// The first `MAX_ATTEMPTS` attempts; `attempts_made` counts all of them.
     attempts: Vec<AttemptRecord>,
     attempts_made: usize,
     first_token_s: Option<f64>,
     response: Option<FinalResponse>,
-    /// Why it was refused or failed.
+    /// Why the decision module rejected or failed the request.
     ended_by: DecisionReasons,
     states: Vec<KvStateEvent>,
 }
@@ -151,7 +151,7 @@
         if let Some(attempt) = self.attempts.iter_mut().rev().find(in_flight) {
             attempt.result = Some(result);
         }
-        self.note_state_after(server, now_s, result.outcome);
+        self.record_state_after(server, now_s, result.outcome);
         if result.outcome == Outcome::Served {
             self.response.get_or_insert(FinalResponse::Served);
         } else if self.first_token_s.is_some() {
@@ -159,7 +159,7 @@
         }
     }
 
-    fn note_state_after(&mut self, server: ServerId, now_s: f64, outcome: Outcome) {
+    fn record_state_after(&mut self, server: ServerId, now_s: f64, outcome: Outcome) {
         let change = match outcome {
             Outcome::PrefillDone => KvStateChange::HeldAt(server),
             Outcome::Rejected {
@@ -189,17 +189,17 @@
         self.response.get_or_insert(FinalResponse::Disconnected);
     }
 
-    /// The decision module has ended it.
+    /// Records that the decision module ended the request.
     pub(super) fn end(&mut self, response: FinalResponse, reasons: DecisionReasons) {
         (self.response, self.ended_by) = (Some(response), reasons);
     }
 
-    /// It has its response, and no attempt is in flight.
+    /// Whether the request has its final response and no attempt is in flight.
     pub(super) fn is_complete(&self) -> bool {
         self.response.is_some() && self.attempts.iter().all(|a| a.result.is_some())
     }
 
-    /// Anything but a request that was served in time by its first attempts.
+    /// Whether the request deserves a line: it was not served, was retried, or missed its latency objective.
     pub(super) fn is_reportable(&self) -> bool {
         self.response != Some(FinalResponse::Served) || self.was_retried() || self.is_late()
     }
@@ -217,13 +217,13 @@
             .is_some_and(|s| s > self.latency_objective_s)
     }
 
-    /// An attempt ended in anything but a response or a prefill.
+    /// Whether any attempt ended in something other than a served response or a completed prefill.
     fn was_retried(&self) -> bool {
         let all_succeeded = self.attempts.iter().all(AttemptRecord::has_succeeded);
         !all_succeeded || self.attempts_made > self.attempts.len()
     }
 
-    /// The line of a request that ends now.
+    /// Formats the line of a request that ends at `now_s`.
     pub(super) fn line(&self, now_s: f64) -> String {
         let took_s = now_s - self.arrived_s;
         let head = self.head(took_s);
@@ -282,7 +282,8 @@
     }
 }
 
-/// The outcome's word in a line. Operators search for these words, so that names in the code do not change them.
+/// Returns the word for an outcome in a log line. Operators search for these words, so they stay even if the enum is
+/// renamed.
 fn outcome_text(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "Served",
@@ -302,7 +303,7 @@
     }
 }
 
-/// The cause's word in a line.
+/// Returns the word for a cause in a log line.
 fn cause_text(cause: Cause) -> &'static str {
     match cause {
         Cause::NoPrefillServer => "NoPrefillServer",
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! One client connection: one request at a time, pipelined bytes kept, bounds on its size and pace.
+//! State of one client connection: it reads one request at a time, buffers pipelined bytes, and limits size and time.
 
 use std::collections::VecDeque;
 
@@ -6,75 +6,78 @@
 
 use crate::http1::{request_head, Body, HttpError, RequestHead, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
-/// The first request has to come whole within this of connecting, seconds: who says nothing, or a head without an end,
-/// is owed an error or a close within 3 s.
+/// Time from connecting within which the first request must be complete, seconds. A client that sends nothing or an
+/// endless head must get an error or a close within 3 s.
 pub const FIRST_REQUEST_TIMEOUT_SECS: f64 = 2.6;
-/// A later one within this of its first byte, seconds; who has asked in order before may be slow.
+/// Time from the first byte of a later request within which it must be complete, seconds. A client that has sent a
+/// valid request before may be slower.
 pub const REQUEST_TIMEOUT_SECS: f64 = 8.0;
-/// Who stops within a request and stays is owed an error or a close within 3 s, whoever it is: seconds without a byte.
-const STOPPED_SECS: f64 = 2.6;
-/// A new client that has said nothing for this long is evicted before those that keep their connections, seconds.
-const SILENT_SECS: f64 = 0.5;
-/// A client whose answer is whole but not all taken is let be, where places are short, unless it takes nothing for this
-/// long, seconds.
+/// Time without a byte after which a client in the middle of a request is rejected, seconds. Such a client must get an
+/// error or a close within 3 s.
+const READ_STALL_TIMEOUT_SECS: f64 = 2.6;
+/// Time without a byte after which a new client is evicted before idle keep-alive connections, seconds.
+const SILENT_AFTER_SECS: f64 = 0.5;
+/// Time for which a client that has a complete response left to read may read nothing before it can be evicted for lack
+/// of capacity, seconds.
 pub const SLOW_READER_SECS: f64 = 2.0;
-/// A client that takes nothing of what waits for it for this long has gone, seconds: its stream holds a server's slot. The same
-/// holds for the last answer on a connection that ends.
+/// Time without reading after which a client with unsent bytes counts as disconnected, seconds, because its stream
+/// occupies a slot at the server. This also applies to the last response on a connection that is being closed.
 pub const CLIENT_STALL_TIMEOUT_SECS: f64 = 20.0;
-/// Bytes kept of what a client pipelines while its request is open; what comes past them is dropped.
+/// Most bytes buffered of what a client pipelines while its request is open; further bytes are discarded.
 pub const MAX_PIPELINED_BYTES: usize = MAX_HEAD_BYTES + 4096;
-/// Bytes dropped of one client; past them nothing is read from it.
+/// Most bytes discarded from one client; beyond this the connection is no longer read.
 pub const MAX_DISCARDED_BYTES: usize = 80 << 20;
-/// Times of arrival kept of what a client pipelines; past them the earlier one counts for both.
-const MAX_ARRIVALS: usize = 32;
-/// Room kept for the next bytes of a client once it has its answer.
-const RETAINED_CAPACITY: usize = 4 * 1024;
-/// Bytes to a client not written yet at which its stream's server is read no further.
+/// Most arrival times kept for pipelined bytes. When full, later bytes are counted with the last batch and get its
+/// time.
+const MAX_ARRIVAL_BATCHES: usize = 32;
+/// Buffer capacity that a client keeps after its request has been answered, bytes.
+const RETAINED_CAPACITY_BYTES: usize = 4 * 1024;
+/// Bytes waiting to be sent to a client at which reading from its stream's server is paused.
 pub const MAX_UNSENT_BYTES: usize = 128 * 1024;
 
 #[derive(Debug)]
 enum Stage {
-    /// Between requests, or within a head.
+    /// Between two requests, or in the middle of a request head.
     Head,
     Body {
         head: Box<RequestHead>,
         body: Body,
         content: Vec<u8>,
     },
-    /// A request is open.
-    Busy,
+    /// A request is open; further bytes are only buffered.
+    RequestOpen,
 }
 
-/// Bytes that came at one time.
+/// Bytes that arrived at the same time.
 #[derive(Clone, Copy, Debug)]
 struct Batch {
-    /// Where it ends, counted from the connection's first byte.
+    /// Position after the batch's last byte, counted from the connection's first byte.
     end: u64,
     at: Micros,
 }
 
-/// When the bytes came that are not part of a request yet: a request's time runs from its last byte, also while it
-/// waits behind the one before it.
+/// Arrival times of bytes that are not yet part of a request. A request's deadline counts from its last byte, even if
+/// it waits behind a pipelined request.
 #[derive(Debug, Default)]
 struct Arrivals {
     batches: VecDeque<Batch>,
-    /// Bytes that have come.
+    /// Bytes received on the connection and not discarded.
     received: u64,
-    /// Bytes of those that are part of requests.
+    /// Bytes that have become part of requests.
     taken: u64,
 }
 
 impl Arrivals {
     fn add(&mut self, count: usize, now: Micros) {
         self.received += count as u64;
-        let (end, full) = (self.received, self.batches.len() >= MAX_ARRIVALS);
+        let (end, full) = (self.received, self.batches.len() >= MAX_ARRIVAL_BATCHES);
         match self.batches.back_mut() {
             Some(last) if full || last.at == now => last.end = end,
             _ => self.batches.push_back(Batch { end, at: now }),
         }
     }
 
-    /// Counts bytes as made part of a request; gives when the last of them came.
+    /// Counts bytes as part of a request and returns when the last of them arrived.
     fn take(&mut self, count: usize) -> Option<Micros> {
         self.taken += count as u64;
         let taken = self.taken;
@@ -89,38 +92,38 @@
     }
 }
 
-/// Kinds of connections in the order of their eviction.
+/// Classes of connections in the order in which they are evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum EvictionKind {
-    /// Has sent nothing since it connected.
+    /// A client that has sent nothing for a while since it connected.
     Silent,
-    /// Kept after an answer.
+    /// A keep-alive connection between two requests.
     Idle,
-    /// Has only just connected: its request is on its way.
+    /// A client that connected a moment ago; its request is probably on its way.
     New,
-    /// Has sent a part of its first request.
+    /// A client that has sent part of its first request.
     FirstRequest,
-    /// Has sent a part of a later request.
+    /// A client that has sent part of a later request.
     LaterRequest,
-    /// Has its answer, and takes nothing of it.
+    /// A client that has stopped reading a complete response.
     SlowReader,
 }
 
-/// Rank for eviction: the fields are compared in their order.
+/// Eviction order of a connection; compares the fields from first to last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct EvictionRank {
     kind: EvictionKind,
     since: Micros,
 }
 
-/// A complete request.
+/// A request whose head and body are complete.
 #[derive(Debug)]
 pub struct CompleteRequest {
-    /// Its head.
+    /// Parsed head of the request.
     pub head: RequestHead,
-    /// Its body, without framing.
+    /// Body bytes without chunk framing.
     pub body: Vec<u8>,
-    /// When its last byte came.
+    /// Arrival time of the request's last byte.
     pub received_at: Micros,
 }
 
@@ -128,87 +131,92 @@
 #[derive(Debug)]
 pub struct Client {
     stage: Stage,
-    unread: Vec<u8>,
+    unparsed: Vec<u8>,
     arrivals: Arrivals,
-    /// When the last byte came that the request at hand has taken.
+    /// Arrival time of the last byte consumed by the current request.
     received_at: Micros,
-    /// Bytes that came past what is kept. They are read all the same, as its end stands behind them.
-    dropped: usize,
-    /// Since it has connected, had its last answer, or sent the first byte of what it is sending.
-    since: Micros,
-    /// When bytes came last.
+    /// Bytes discarded because the pipeline buffer was full. The connection is still read, so that its end is noticed.
+    discarded_bytes: usize,
+    /// Start of the current phase: when the client connected, was last answered, or sent the first byte of the request
+    /// it is sending.
+    phase_started_at: Micros,
+    /// When bytes last arrived.
     last_received_at: Micros,
-    /// It has had an answer.
-    served: bool,
-    /// It waits to be told to send its body.
-    expects: bool,
-    /// Its connection may serve a further request.
+    /// Whether the client has been answered at least once.
+    has_been_served: bool,
+    /// Whether the client waits for `100 Continue` before it sends its body.
+    expects_continue: bool,
+    /// Whether the connection may serve another request.
     keep_alive: bool,
-    /// Bytes given to it that have not gone to the system.
-    unsent: usize,
-    /// When it last took something, or was first owed something.
+    /// Bytes queued for the client that the operating system has not accepted yet.
+    unsent_bytes: usize,
+    /// When the client last accepted bytes, or when bytes were first queued for it.
     last_progress_at: Micros,
-    /// Nothing is read from it.
+    /// Whether reading from the client is paused.
     paused: bool,
 }
 
 impl Client {
-    /// A client that has just connected.
+    /// State of a client that has just connected.
     pub fn new(now: Micros) -> Client {
         Client {
             stage: Stage::Head,
-            unread: Vec::new(),
+            unparsed: Vec::new(),
             arrivals: Arrivals::default(),
             received_at: now,
-            dropped: 0,
-            since: now,
+            discarded_bytes: 0,
+            phase_started_at: now,
             last_received_at: now,
-            served: false,
-            expects: false,
+            has_been_served: false,
+            expects_continue: false,
             keep_alive: true,
-            unsent: 0,
+            unsent_bytes: 0,
             last_progress_at: now,
             paused: false,
         }
     }
 
-    /// Whether it has a request open.
+    /// Whether the client has a request open.
     pub fn has_open_request(&self) -> bool {
-        matches!(self.stage, Stage::Busy)
+        matches!(self.stage, Stage::RequestOpen)
     }
 
-    /// It has said nothing since its last answer, or at all.
+    /// Whether the client has sent nothing since it connected or was last answered.
     pub fn is_idle(&self) -> bool {
-        matches!(self.stage, Stage::Head) && self.unread.is_empty()
+        matches!(self.stage, Stage::Head) && self.unparsed.is_empty()
     }
 
-    /// It may hold its connection between requests for as long as there is room; nobody may hold half a request.
+    /// Whether the client has taken too long over a request. An idle keep-alive connection is never overdue; a client
+    /// that has not completed its first request, or is in the middle of a later one, can be.
     pub fn is_overdue(&self, now: Micros) -> bool {
-        let waits = self.has_open_request() || self.is_idle() && self.served;
-        let max_s = if self.served {
+        let waits = self.has_open_request() || self.is_idle() && self.has_been_served;
+        let max_s = if self.has_been_served {
             REQUEST_TIMEOUT_SECS
         } else {
             FIRST_REQUEST_TIMEOUT_SECS
         };
-        let stopped = now.since(self.since.max(self.last_received_at)) >= STOPPED_SECS;
-        !waits && (stopped || now.since(self.since) >= max_s)
+        let stopped =
+            now.since(self.phase_started_at.max(self.last_received_at)) >= READ_STALL_TIMEOUT_SECS;
+        !waits && (stopped || now.since(self.phase_started_at) >= max_s)
     }
 
-    /// Rank by which connections are evicted, the lowest first. None for one with a request in hand, or with an answer
-    /// that it is still taking.
+    /// Returns the eviction rank; the lowest rank is evicted first. `None` for a client with an open request or one
+    /// that is still reading its response.
     pub(crate) fn eviction_rank(&self, now: Micros) -> Option<EvictionRank> {
         if self.has_open_request() {
             return None;
         }
-        if self.unsent > 0 {
+        if self.unsent_bytes > 0 {
             let is_slow = now.since(self.last_progress_at) >= SLOW_READER_SECS;
             return is_slow.then_some(EvictionRank {
                 kind: EvictionKind::SlowReader,
                 since: self.last_progress_at,
             });
         }
-        let kind = match (self.is_idle(), self.served) {
-            (true, false) if now.since(self.since) >= SILENT_SECS => EvictionKind::Silent,
+        let kind = match (self.is_idle(), self.has_been_served) {
+            (true, false) if now.since(self.phase_started_at) >= SILENT_AFTER_SECS => {
+                EvictionKind::Silent
+            }
             (true, true) => EvictionKind::Idle,
             (true, false) => EvictionKind::New,
             (false, false) => EvictionKind::FirstRequest,
@@ -216,69 +224,70 @@
         };
         Some(EvictionRank {
             kind,
-            since: self.since,
+            since: self.phase_started_at,
         })
     }
 
-    /// Takes bytes; true where enough has come and nothing more should be read for now.
+    /// Adds received bytes. Returns true if so much has been discarded that reading should be paused.
     pub fn receive(&mut self, now: Micros, bytes: &[u8]) -> bool {
         self.last_received_at = now;
-        if self.is_idle() && self.served {
-            self.since = now;
+        if self.is_idle() && self.has_been_served {
+            self.phase_started_at = now;
         }
-        // Of what has a gap nothing further can be read; what came before the gap is still served.
-        if self.dropped > 0
-            || self.has_open_request() && self.unread.len() + bytes.len() > MAX_PIPELINED_BYTES
+        // Once bytes were discarded, later bytes cannot be parsed; the requests buffered before the gap are still
+        // served.
+        if self.discarded_bytes > 0
+            || self.has_open_request() && self.unparsed.len() + bytes.len() > MAX_PIPELINED_BYTES
         {
-            self.dropped = self.dropped.saturating_add(bytes.len());
-            return self.dropped > MAX_DISCARDED_BYTES;
+            self.discarded_bytes = self.discarded_bytes.saturating_add(bytes.len());
+            return self.discarded_bytes > MAX_DISCARDED_BYTES;
         }
-        self.unread.extend_from_slice(bytes);
+        self.unparsed.extend_from_slice(bytes);
         self.arrivals.add(bytes.len(), now);
         false
     }
 
-    /// Takes bytes off the front of what is unread.
-    fn drop_read(&mut self, count: usize) {
-        self.unread.drain(..count);
+    /// Removes parsed bytes from the front of the buffer.
+    fn consume(&mut self, count: usize) {
+        self.unparsed.drain(..count);
         if count > 0 {
             self.received_at = self.arrivals.take(count).unwrap_or(self.received_at);
         }
     }
 
-    /// The next complete request, if there is one.
+    /// Returns the next complete request, if there is one.
     ///
     /// # Errors
-    /// What cannot be read: the connection can be used no further.
+    /// A request that cannot be parsed; the connection cannot be used any further.
     pub fn next_request(&mut self) -> Result<Option<CompleteRequest>, HttpError> {
         if matches!(self.stage, Stage::Head) && !self.read_head()? {
-            return self.within_gap();
+            return self.incomplete();
         }
         let Stage::Body { body, content, .. } = &mut self.stage else {
             return Ok(None);
         };
-        let taken = body.decode(&self.unread, content)?;
+        let taken = body.decode(&self.unparsed, content)?;
         let (long, done) = (content.len() > MAX_BODY_BYTES, body.is_complete());
-        self.drop_read(taken);
+        self.consume(taken);
         if long {
             return Err(HttpError::BodyTooLong);
         }
         if !done {
-            return self.within_gap();
+            return self.incomplete();
         }
         Ok(self.complete_request())
     }
 
-    /// Reads the head of a request; false while it is not complete.
+    /// Parses the head of a request; returns false while it is incomplete.
     fn read_head(&mut self) -> Result<bool, HttpError> {
-        let Some((head, taken)) = request_head(&self.unread)? else {
+        let Some((head, taken)) = request_head(&self.unparsed)? else {
             return Ok(false);
         };
-        self.drop_read(taken);
+        self.consume(taken);
         let body = Body::new(head.framing);
         let expectation = head.fields.get("expect");
         let asked = expectation.is_some_and(|e| e.eq_ignore_ascii_case("100-continue"));
-        self.expects = asked && !body.is_complete();
+        self.expects_continue = asked && !body.is_complete();
         self.stage = Stage::Body {
             head: Box::new(head),
             body,
@@ -287,9 +296,10 @@
         Ok(true)
     }
 
-    /// The request whose body is complete; from now on it is open.
+    /// Returns the request whose body has just been completed and marks it as open.
     fn complete_request(&mut self) -> Option<CompleteRequest> {
-        let Stage::Body { head, content, .. } = std::mem::replace(&mut self.stage, Stage::Busy)
+        let Stage::Body { head, content, .. } =
+            std::mem::replace(&mut self.stage, Stage::RequestOpen)
         else {
             return None;
         };
@@ -301,78 +311,79 @@
         })
     }
 
-    /// No complete request yet; there will be none where bytes of it were dropped.
-    fn within_gap(&self) -> Result<Option<CompleteRequest>, HttpError> {
-        if self.dropped > 0 {
+    /// Result for an incomplete request: an error if bytes of it were discarded, since it can never become complete.
+    fn incomplete(&self) -> Result<Option<CompleteRequest>, HttpError> {
+        if self.discarded_bytes > 0 {
             Err(HttpError::BodyTooLong)
         } else {
             Ok(None)
         }
     }
 
-    /// Whether it waits to be told to send its body; asked once.
+    /// Returns true once if the client waits for `100 Continue` before it sends its body.
     pub fn take_continue_expectation(&mut self) -> bool {
-        std::mem::take(&mut self.expects) && self.unread.is_empty()
+        std::mem::take(&mut self.expects_continue) && self.unparsed.is_empty()
     }
 
-    /// Bytes of what is not a request in hand yet: a head or body that is not whole, or what was pipelined.
+    /// Bytes buffered for requests that are not open yet: an incomplete head or body, or pipelined requests.
     pub fn unfinished_bytes(&self) -> usize {
         let body = if let Stage::Body { content, .. } = &self.stage {
             content.len()
         } else {
             0
         };
-        self.unread.len() + body
+        self.unparsed.len() + body
     }
 
-    /// Whether its connection goes on after the answer in hand; while stopping only for what it has pipelined.
+    /// Whether the connection stays open after the current response. During shutdown it does so only for bytes already
+    /// pipelined.
     pub fn keeps_alive_after_response(&self, stopping: bool) -> bool {
-        self.keep_alive && !(stopping && self.unread.is_empty())
+        self.keep_alive && !(stopping && self.unparsed.is_empty())
     }
 
-    /// It takes nothing of what waits for it: it has gone.
-    pub(crate) fn is_stuck(&self, now: Micros) -> bool {
-        self.unsent > 0 && now.since(self.last_progress_at) >= CLIENT_STALL_TIMEOUT_SECS
+    /// Whether the client has read nothing of the bytes waiting for it for so long that it counts as disconnected.
+    pub(crate) fn is_stalled(&self, now: Micros) -> bool {
+        self.unsent_bytes > 0 && now.since(self.last_progress_at) >= CLIENT_STALL_TIMEOUT_SECS
     }
 
-    /// Whether the client, by its last request, keeps its connection.
+    /// Whether the client's last request asked for the connection to stay open.
     pub fn keep_alive(&self) -> bool {
         self.keep_alive
     }
 
-    /// Bytes given to it that have not gone to the system.
+    /// Bytes queued for the client that the operating system has not accepted yet.
     pub fn unsent_bytes(&self) -> usize {
-        self.unsent
+        self.unsent_bytes
     }
 
-    /// Counts bytes that are to be written to it.
+    /// Records bytes that were queued for the client.
     pub fn add_unsent(&mut self, now: Micros, bytes: usize) {
-        if self.unsent == 0 {
+        if self.unsent_bytes == 0 {
             self.last_progress_at = now;
         }
-        self.unsent += bytes;
+        self.unsent_bytes += bytes;
     }
 
-    /// Counts bytes that have gone to the system.
+    /// Records bytes that the operating system has accepted.
     pub fn record_written(&mut self, now: Micros, bytes: usize) {
         self.last_progress_at = now;
-        self.unsent = self.unsent.saturating_sub(bytes);
+        self.unsent_bytes = self.unsent_bytes.saturating_sub(bytes);
     }
 
-    /// Reads nothing from it for now; false where that was so already.
+    /// Pauses reading from the client; returns false if it was paused before.
     pub fn pause(&mut self) -> bool {
         !std::mem::replace(&mut self.paused, true)
     }
 
-    /// Reads from it again; false where nothing was paused.
+    /// Resumes reading from the client; returns false if it was not paused.
     pub fn resume(&mut self) -> bool {
         std::mem::take(&mut self.paused)
     }
 
-    /// Its request has been answered.
+    /// Records that the open request has been answered.
     pub fn finish_response(&mut self, now: Micros) {
-        // Hundreds of connections that once brought much must not keep room for it.
-        self.unread.shrink_to(RETAINED_CAPACITY);
-        (self.stage, self.since, self.served) = (Stage::Head, now, true);
+        // Releases buffer memory, which would add up over hundreds of connections that each sent a large request once.
+        self.unparsed.shrink_to(RETAINED_CAPACITY_BYTES);
+        (self.stage, self.phase_started_at, self.has_been_served) = (Stage::Head, now, true);
     }
 }
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,4 +1,4 @@
-//! The table of client connections: its bound, who is evicted, and what each connection has open.
+//! Table of client connections: its limit, eviction, and the open request of each connection.
 
 use std::collections::BTreeMap;
 
@@ -9,23 +9,23 @@
 use crate::http1::MAX_HEAD_BYTES;
 use crate::types::ConnId;
 
-/// From this on a client's unfinished bytes are looked at beside everybody's.
-const MEMORY_CHECK_FROM: usize = MAX_HEAD_BYTES;
-/// All client connections, and what each has open.
+/// Unfinished bytes of one client from which its next bytes trigger a check of the memory used by all clients.
+const MEMORY_CHECK_MIN_BYTES: usize = MAX_HEAD_BYTES;
+/// All client connections and their open requests.
 #[derive(Debug)]
 pub struct Clients {
     open: BTreeMap<ConnId, Client>,
     limit: usize,
-    /// The request that each has open.
+    /// Open request of each connection that has one.
     requests: BTreeMap<ConnId, RequestId>,
-    /// Clients that read slowly, and the server connections that are not read meanwhile.
+    /// Clients that read slowly, each with the server connection whose reading is paused meanwhile.
     backpressured: BTreeMap<ConnId, ConnId>,
-    /// Clients just answered, which may have sent further requests already.
+    /// Clients that have just been answered and may have pipelined further requests.
     pipelined: Vec<ConnId>,
 }
 
 impl Clients {
-    /// With capacity for `limit` connections.
+    /// Creates a table for at most `limit` connections.
     pub fn new(limit: usize) -> Clients {
         Clients {
             open: BTreeMap::new(),
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Takes a connection in. Where the table is full, also removes and gives the one that is evicted for it: itself,
-    /// where all others have a request or an answer in hand.
+    /// Adds a connection. If the table is full, also removes and returns the connection evicted for it, which is the
+    /// new one if every other client has an open request or an unread response.
     pub fn accept(&mut self, now: Micros, conn: ConnId) -> Option<ConnId> {
         let full = self.open.len() >= self.limit;
         let evicted = full.then(|| self.eviction_candidate(now).unwrap_or(conn));
@@ -48,17 +48,18 @@
         evicted
     }
 
-    /// Whether one more client would evict another; `lingering` connections that have left the table still count.
+    /// Whether one more client would evict another. `lingering` connections that have left the table but are not closed
+    /// yet still count.
     pub fn limit_reached(&self, lingering: usize) -> bool {
         self.open.len() + lingering >= self.limit
     }
 
-    /// A client has a request open.
+    /// Records that a client has a request open.
     pub fn begin_request(&mut self, conn: ConnId, request: RequestId) {
         self.requests.insert(conn, request);
     }
 
-    /// It has none any more: gives the one that it had.
+    /// Records that a client's request has ended, and returns it.
     pub fn end_request(&mut self, conn: ConnId) -> Option<RequestId> {
         self.backpressured.remove(&conn);
         self.requests.remove(&conn)
@@ -69,37 +70,37 @@
         self.requests.contains_key(&conn)
     }
 
-    /// A server connection is not read while this client takes nothing.
+    /// Records that a server connection is not read until this client has caught up.
     pub fn apply_backpressure(&mut self, conn: ConnId, server: ConnId) {
         self.backpressured.insert(conn, server);
     }
 
-    /// Gives the server connection that is to be read again.
+    /// Ends a client's backpressure; returns the server connection that may be read again.
     pub fn release_backpressure(&mut self, conn: ConnId) -> Option<ConnId> {
         self.backpressured.remove(&conn)
     }
 
-    /// Whether a server connection is not read on account of this client.
+    /// Whether a server connection is paused because this client reads slowly.
     pub fn is_backpressured(&self, conn: ConnId) -> bool {
         self.backpressured.contains_key(&conn)
     }
 
-    /// What a client has pipelined is to be read.
+    /// Queues a client whose pipelined bytes have to be parsed.
     pub fn queue_pipelined(&mut self, conn: ConnId) {
         self.pipelined.push(conn);
     }
 
-    /// Whether there are clients whose pipelined bytes are to be read.
+    /// Whether any client is queued to have its pipelined bytes parsed.
     pub fn has_pipelined(&self) -> bool {
         !self.pipelined.is_empty()
     }
 
-    /// Those clients, in the order of their answers.
+    /// Removes and returns the clients queued by [`Clients::queue_pipelined`], in the order of their responses.
     pub fn take_pipelined(&mut self) -> Vec<ConnId> {
         std::mem::take(&mut self.pipelined)
     }
 
-    /// The one that is evicted first.
+    /// Returns the client to evict first, or `None` if none may be evicted.
     pub fn eviction_candidate(&self, now: Micros) -> Option<ConnId> {
         let ranked = self
             .open
@@ -108,32 +109,32 @@
         ranked.min().map(|(_, id)| id)
     }
 
-    /// Number of connections.
+    /// Number of client connections.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no client connections.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// A client by its connection.
+    /// Looks up a client by its connection.
     pub fn get(&self, conn: ConnId) -> Option<&Client> {
         self.open.get(&conn)
     }
 
-    /// The same, to be changed.
+    /// Looks up a client by its connection for modification.
     pub fn get_mut(&mut self, conn: ConnId) -> Option<&mut Client> {
         self.open.get_mut(&conn)
     }
 
-    /// Removes a connection from the table; what it has open stays.
+    /// Removes a connection from the table; its open request is kept.
     pub fn remove(&mut self, conn: ConnId) -> Option<Client> {
         self.open.remove(&conn)
     }
 
-    /// Those that have taken too long over a request, or to say anything at all.
+    /// Clients that have exceeded the time limit for a request.
     pub fn overdue(&self, now: Micros) -> Vec<ConnId> {
         self.open
             .iter()
@@ -142,25 +143,26 @@
             .collect()
     }
 
-    /// Those that take nothing of what waits for them.
-    pub fn stuck(&self, now: Micros) -> Vec<ConnId> {
+    /// Clients that count as disconnected because they have stopped reading.
+    pub fn stalled(&self, now: Micros) -> Vec<ConnId> {
         self.open
             .iter()
-            .filter(|(_, c)| c.is_stuck(now))
+            .filter(|(_, c)| c.is_stalled(now))
             .map(|(id, _)| *id)
             .collect()
     }
 
-    /// Bytes of all requests that are not in hand yet.
+    /// Bytes buffered by all clients for requests that are not open yet.
     pub fn unfinished_bytes(&self) -> usize {
         self.open.values().map(Client::unfinished_bytes).sum()
     }
 
-    /// The one to reject, where this one has brought much and all unfinished requests together pass so many bytes:
-    /// the one that holds most, as it costs most and none of them has been taken.
+    /// Returns the client to reject when unfinished requests hold more than `limit` bytes together and client `conn`
+    /// holds enough to trigger this check. It is the client with the most unfinished bytes: rejecting it frees the most
+    /// memory, and none of its requests is open.
     pub fn largest_unfinished(&self, conn: ConnId, limit: usize) -> Option<ConnId> {
         self.get(conn)
-            .filter(|c| c.unfinished_bytes() >= MEMORY_CHECK_FROM)?;
+            .filter(|c| c.unfinished_bytes() >= MEMORY_CHECK_MIN_BYTES)?;
         if self.unfinished_bytes() <= limit {
             return None;
         }
@@ -170,7 +172,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// Those that ask nothing at present.
+    /// Clients that have no request open or in progress.
     pub fn idle(&self) -> Vec<ConnId> {
         self.open
             .iter()
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file that a dispatcher is started with.
+//! The configuration file that a dispatcher reads at startup.
 
 use std::net::SocketAddr;
 
@@ -13,18 +13,18 @@
 use crate::discovery::EndpointList;
 use crate::resource_limits::Limits;
 
-/// What is wrong with the configuration: the field and the cause.
+/// Error in the configuration file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// The text is no such JSON; with line and column.
+    /// The text is not valid JSON or lacks a field; the message has the line and column.
     #[error("{0}")]
     Json(String),
     #[error("field '{field}': {cause}")]
-    /// A field whose value cannot be used.
+    /// A field has a value that cannot be used.
     Field {
-        /// Its name.
+        /// Name of the field.
         field: &'static str,
-        /// What is wrong with it.
+        /// Why the value cannot be used.
         cause: String,
     },
 }
@@ -60,46 +60,47 @@
     sockets: f64,
 }
 
-/// All that a dispatcher is told at its start.
+/// Configuration of a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     /// Name of this dispatcher.
     pub name: String,
     /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Address of discovery.
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
     /// Seed of all random choices.
     pub seed: u64,
-    /// Limits of the machine.
+    /// Memory and descriptor limits of the process.
     pub limits: Limits,
-    /// Address for datagrams of other dispatchers.
+    /// Address on which datagrams from other dispatchers are received.
     pub peer_listen: Option<SocketAddr>,
-    /// By their numbers in the settings.
+    /// Addresses of all dispatchers, indexed by their numbers in the settings.
     pub peers: Vec<SocketAddr>,
-    /// Address of a datagram to all other dispatchers.
+    /// Address for datagrams to all other dispatchers.
     pub broadcast_address: Option<SocketAddr>,
-    /// The list as last held; it may be old.
+    /// The endpoint list that was last received before the start; it may be out of date.
     pub cached_list: Option<EndpointList>,
-    /// Why the list that the file holds is not taken. It is a memory alone, so that the start goes on without it.
+    /// Why the cached endpoint list in the file cannot be used. The list is optional, so the dispatcher starts without
+    /// it.
     pub cached_list_error: Option<String>,
     /// Settings of the decision module.
     pub settings: policy::Settings,
-    /// Names of classes, kinds, zones and tenants.
+    /// Names of request classes, server kinds, zones and tenants.
     pub names: Names,
     /// Limits of the deployment.
     pub bounds: Bounds,
 }
 
 fn address(field: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
-    let cause = || format!("'{text}' is no address with a port, such as 127.0.0.1:8081");
+    let cause = || format!("'{text}' is not a socket address such as 127.0.0.1:8081");
     text.parse().map_err(|_| ConfigError::Field {
         field,
         cause: cause(),
     })
 }
 
-fn size(
+fn parse_limit(
     field: &'static str,
     value: f64,
     range: std::ops::RangeInclusive<f64>,
@@ -115,16 +116,16 @@
     Err(ConfigError::Field { field, cause })
 }
 
-/// Chance needs no more of the seed than its text; hexadecimal as the platform writes it, or anything.
+/// Converts the seed's text to a number: hexadecimal as the platform writes it, or a hash of any other text.
 fn seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| xxhash_rust::xxh3::xxh3_64(text.as_bytes()))
 }
 
 impl Config {
-    /// Reads the file's text.
+    /// Parses the text of a configuration file.
     ///
     /// # Errors
-    /// Text that is no such JSON, with line and column; a field whose value cannot be used.
+    /// Invalid JSON, with line and column, or a field whose value cannot be used.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let raw: Raw = serde_json::from_str(text).map_err(|e| ConfigError::Json(e.to_string()))?;
         let facts = Facts::from_json(&raw.settings)?;
@@ -149,15 +150,17 @@
             discovery: address("discovery", &raw.discovery)?,
             seed: seed(&raw.seed),
             limits: Limits {
-                memory_bytes: size("limits.memory_mb", raw.limits.memory_mb, 8.0..=1e6)? << 20,
-                descriptors: size("limits.sockets", raw.limits.sockets, 64.0..=1e6)?,
+                memory_bytes: parse_limit("limits.memory_mb", raw.limits.memory_mb, 8.0..=1e6)?
+                    << 20,
+                descriptors: parse_limit("limits.sockets", raw.limits.sockets, 64.0..=1e6)?,
             },
             peer_listen: optional("peer_listen", raw.peer_listen)?,
             peers,
             broadcast_address: optional("peers_all", raw.peers_all)?,
             cached_list: known,
             cached_list_error: known_fault,
-            // The platform's protocol says so of connections; no setting names it.
+            // The platform's protocol specifies that a prefill may have run if its connection was lost, so this is not
+            // configurable.
             settings: policy::Settings {
                 lost_prefill_may_have_run: true,
                 ..read_settings(&facts)?
--- a/crates/platform/src/counts.rs
+++ b/crates/platform/src/counts.rs
@@ -1,61 +1,61 @@
-//! What the node counts and holds, for logs and tests.
+//! Counters and table sizes of the node, for logs and tests.
 
 use bitternlatch_core::Micros;
 
-/// Counts that have changed are logged this often, seconds.
-const COUNTS_EVERY_SECS: f64 = 10.0;
+/// Shortest interval between two log lines with the counts, seconds.
+const COUNTS_LOG_INTERVAL_SECS: f64 = 10.0;
 
-/// What the node's tables hold at one time.
+/// Sizes of the node's tables at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResourceUsage {
-    /// Requests that are open.
+    /// Number of open requests.
     pub requests: usize,
-    /// Client connections.
+    /// Number of client connections.
     pub clients: usize,
-    /// Connections to model servers, idle ones included.
+    /// Number of connections to model servers, including idle ones.
     pub server_connections: usize,
-    /// Model servers that are listed.
+    /// Number of model servers in the endpoint list.
     pub servers: usize,
-    /// Releases that are not confirmed.
+    /// Number of releases that no server has confirmed yet.
     pub releases: usize,
-    /// Timers that are set.
+    /// Number of timers that are set.
     pub timers: usize,
-    /// Bytes of requests that are not complete.
+    /// Bytes buffered for client requests that are not complete.
     pub unfinished_bytes: usize,
 }
 
-/// What has happened since the start. The order of the fields is that of the log line.
+/// Totals since the node was created. The log line prints the fields in this order under their own names.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// Requests given to the decision module.
+    /// Requests passed to the decision module.
     pub arrived: u64,
-    /// Streams passed on to their end.
+    /// Streams forwarded to their end.
     pub served: u64,
-    /// Requests answered 503 by a decision.
+    /// Requests that the decision module rejected with 503.
     pub shed: u64,
-    /// Requests answered 504.
+    /// Requests answered with 504.
     pub failed: u64,
-    /// Streams that broke.
+    /// Streams that ended before they were complete.
     pub broken: u64,
     /// Clients that disconnected with a request open.
     pub disconnected: u64,
-    /// Connections ended with an error, as their requests could not be taken.
+    /// Client connections closed with an error response because a request was not acceptable.
     pub rejected: u64,
-    /// Attempts sent to model servers.
+    /// Attempts started at model servers.
     pub attempts: u64,
-    /// Requests whose state was to be released.
+    /// Requests whose KV cache state was to be released.
     pub releases: u64,
-    /// Calls made for releases.
+    /// Calls made to model servers for releases.
     pub release_calls: u64,
     /// Releases that a model server has confirmed.
     pub releases_confirmed: u64,
-    /// Releases confirmed later than the platform allows, counted from their begin.
+    /// Releases confirmed later than the platform allows, counted from the start of the release.
     pub releases_late: u64,
-    /// Releases given up without a response, or dropped at the table's bound.
+    /// Releases given up after their timeout, or dropped because the table of releases was full.
     pub releases_unconfirmed: u64,
 }
 
-/// When the counts are logged.
+/// Decides when the counts are logged.
 #[derive(Debug)]
 pub(crate) struct CountsLog {
     logged: RequestCounts,
@@ -66,17 +66,17 @@
     pub(crate) fn new(now: Micros) -> CountsLog {
         CountsLog {
             logged: RequestCounts::default(),
-            next_at: now.after(COUNTS_EVERY_SECS),
+            next_at: now.after(COUNTS_LOG_INTERVAL_SECS),
         }
     }
 
-    /// The line to log, where counts have changed and the last line is old enough. A process that is killed has no
-    /// last word, so that its log holds counts a few seconds old.
+    /// Returns the log line if the counts have changed and the interval since the last line has passed. A killed
+    /// process logs no final counts, so its log can be a few seconds out of date.
     pub(crate) fn line(&mut self, now: Micros, counts: RequestCounts) -> Option<String> {
         if now < self.next_at || self.logged == counts {
             return None;
         }
-        (self.logged, self.next_at) = (counts, now.after(COUNTS_EVERY_SECS));
+        (self.logged, self.next_at) = (counts, now.after(COUNTS_LOG_INTERVAL_SECS));
         Some(format!("counts {counts:?}"))
     }
 }
--- a/crates/platform/src/decisions.rs
+++ b/crates/platform/src/decisions.rs
@@ -1,4 +1,4 @@
-//! The decision module with what records its decisions: the trace and the access log.
+//! The decision module together with its recorders: the trace and the access log.
 
 use bitternlatch_core::{decide, Micros, Traced};
 use bitternlatch_output_length::Timed;
@@ -7,24 +7,24 @@
 
 use crate::access_log::{AccessLog, DecisionReasons};
 
-/// Whether lengths of answers are learnt and told to the module; the simulator's adapter has the same switch, and both
-/// have to agree.
-const LEARNS: bool = false;
+/// Whether the node learns the lengths of model outputs and passes its estimates to the decision module. The
+/// simulator's adapter has the same switch, and both must agree.
+const LEARN_OUTPUT_LENGTHS: bool = false;
 
 /// The decision module of one dispatcher.
 pub(crate) struct Decisions {
     router: Router,
-    /// Lengths of answers, learnt by this node alone.
-    lengths: Timed,
+    /// Output lengths learnt from the responses that this node has forwarded.
+    output_lengths: Timed,
     trace: Option<Vec<Traced>>,
     access_log: Option<AccessLog>,
 }
 
 impl Decisions {
-    /// `traced` keeps every event and its actions until [`Decisions::take_trace`].
+    /// With `traced`, every event and its actions are kept until [`Decisions::take_trace`] is called.
     pub(crate) fn new(settings: Settings, seed: u64, traced: bool) -> Decisions {
         Decisions {
-            lengths: Timed::new(&settings),
+            output_lengths: Timed::new(&settings),
             router: Router::new(settings, seed),
             trace: traced.then(Vec::new),
             access_log: None,
@@ -39,8 +39,8 @@
         self.trace.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
-    /// Gives the module one event and appends its actions. Returns the access-log lines of requests that ended by it;
-    /// `request_id` gives the client's id of a request.
+    /// Passes one event to the decision module and appends its actions. Returns access-log lines for the requests that
+    /// ended with this event; `request_id` maps a request to the client's id for it.
     pub(crate) fn decide(
         &mut self,
         now: Micros,
@@ -48,8 +48,8 @@
         request_id: impl Fn(RequestId) -> String,
         actions: &mut Vec<Action>,
     ) -> Vec<String> {
-        if LEARNS {
-            self.lengths.see(now.seconds(), &mut event);
+        if LEARN_OUTPUT_LENGTHS {
+            self.output_lengths.see(now.seconds(), &mut event);
         }
         let recorded = self.access_log.is_some().then(|| event.clone());
         decide(&mut self.router, now, event, &mut self.trace, actions);
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of model servers in discovery's form, and the servers as they stand.
+//! Endpoint lists as discovery sends them, and the current state of all listed model servers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,53 +33,54 @@
     boot_ms: f64,
 }
 
-/// One model server as listed.
+/// One model server in an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Name; the same at every dispatcher.
+    /// Unique name of the server, the same at every dispatcher.
     pub uid: String,
-    /// Address at which it listens.
+    /// Socket address at which the server listens.
     pub address: SocketAddr,
-    /// Whether it takes requests.
+    /// Whether the server takes new requests, is draining or was removed.
     pub status: ServerStatus,
-    /// Number of its kind in the settings.
+    /// Number of the server's kind in the settings.
     pub kind: u16,
-    /// Number of its zone in the settings.
+    /// Number of the server's zone in the settings.
     pub zone: u16,
-    /// Number of its cell.
+    /// Number of the server's cell.
     pub cell: u16,
-    /// Relative capacity.
+    /// Capacity relative to other servers.
     pub weight: f64,
-    /// Its start as listed: Unix time, seconds; 0 for long ago.
+    /// Start time as listed: Unix time in seconds; 0 if the server started long ago.
     pub listed_start_s: f64,
-    /// The same by the node's own clock; as listed until the fleet has taken it over.
+    /// Start time by the node's own clock, seconds. Equal to `listed_start_s` until [`Endpoints::apply`] has checked
+    /// it.
     pub start_s: f64,
 }
 
-/// One version of the list, or what changed since the one before.
+/// A full version of the endpoint list, or the changes since the version before.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// Version of the list.
+    /// Version number of the list.
     pub version: u64,
-    /// Complete; otherwise changes alone.
+    /// Whether the list is full; otherwise it holds changes only.
     pub is_full: bool,
-    /// Servers listed or changed.
+    /// Servers that are listed or have changed.
     pub endpoints: Vec<Endpoint>,
 }
 
 impl EndpointList {
-    /// Reads one line.
+    /// Parses one line of JSON.
     ///
     /// # Errors
-    /// What cannot be read: the JSON; an address, a kind, a zone or a state that is not known; a figure that is not
-    /// finite or negative; a server that is named twice and differently.
+    /// Invalid JSON; an unknown address, kind, zone or state; a number that is negative or not finite; a server that is
+    /// listed twice with different values.
     pub fn parse(line: &[u8], names: &Names) -> Result<EndpointList, String> {
         serde_json::from_slice(line)
             .map_err(|e| e.to_string())
             .and_then(|raw| EndpointList::read(raw, names))
     }
 
-    /// As [`EndpointList::parse`], from JSON that is read already.
+    /// Like [`EndpointList::parse`], for JSON that has been parsed already.
     ///
     /// # Errors
     /// As [`EndpointList::parse`].
@@ -95,15 +96,16 @@
             .into_iter()
             .map(|t| target(t, names))
             .collect::<Result<Vec<_>, _>>()?;
-        // Two servers at one address are no contradiction: a process may have its predecessor's while that still drains.
-        let mut named: BTreeMap<&str, &Endpoint> = BTreeMap::new();
+        // Two servers may share an address: a new process can take the address of its predecessor while that one still
+        // drains.
+        let mut by_uid: BTreeMap<&str, &Endpoint> = BTreeMap::new();
         for target in &targets {
-            if named
+            if by_uid
                 .insert(&target.uid, target)
                 .is_some_and(|other| other != target)
             {
                 return Err(format!(
-                    "host '{}' is named twice and differently",
+                    "server '{}' is named twice with different values",
                     target.uid
                 ));
             }
@@ -118,7 +120,7 @@
 
 fn target(raw: RawEndpoint, names: &Names) -> Result<Endpoint, String> {
     let unknown =
-        |what: &str, word: &str| format!("host '{}': {what} '{word}' is not known", raw.uid);
+        |what: &str, word: &str| format!("server '{}': {what} '{word}' is not known", raw.uid);
     let standing = match raw.state.as_str() {
         "in_service" => ServerStatus::Ready,
         "terminating" => ServerStatus::Draining,
@@ -138,7 +140,7 @@
     let figure = |what: &str, value: f64| match value.is_finite() && value >= 0.0 {
         true => Ok(value),
         false => Err(format!(
-            "host '{}': {what} {value} is no figure from 0 on",
+            "server '{}': {what} {value} is not a finite number >= 0",
             raw.uid
         )),
     };
@@ -157,56 +159,56 @@
     })
 }
 
-/// What a list has changed.
+/// Changes made by applying an endpoint list.
 #[derive(Debug)]
 pub struct AppliedList {
-    /// For the module, as `entries` is.
+    /// Whether `entries` is the full list or changes only, for the decision module.
     pub form: ListForm,
-    /// Servers listed or changed, for the decision module.
+    /// Servers that are listed or have changed, for the decision module.
     pub entries: Vec<ServerEntry>,
-    /// Servers that were listed already and have started anew: connections to them lead to the process before.
+    /// Servers that were listed before and have restarted; existing connections to them lead to the previous process.
     pub restarted: Vec<ServerId>,
 }
 
-/// The servers as they stand, by the module's ids.
+/// All model servers currently listed, by their numeric ids.
 #[derive(Debug, Default)]
 pub struct Endpoints {
     ids: BTreeMap<String, ServerId>,
     servers: BTreeMap<ServerId, Endpoint>,
     version: u64,
-    /// When discovery said something whole last.
+    /// When discovery last sent a complete line.
     notified_at: Option<Micros>,
 }
 
 impl Endpoints {
-    /// The version that the list stands at.
+    /// Version of the list that was applied last.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// A server by the module's id.
+    /// Looks up a server by its numeric id.
     pub fn get(&self, id: ServerId) -> Option<&Endpoint> {
         self.servers.get(&id)
     }
 
-    /// All servers, by the module's ids.
+    /// Iterates over all servers in the order of their numeric ids.
     pub fn iter(&self) -> impl Iterator<Item = (ServerId, &Endpoint)> {
         self.servers.iter().map(|(id, t)| (*id, t))
     }
 
-    /// Discovery has said something whole, if only that nothing has changed.
+    /// Records that discovery has sent a complete line, even an empty one that reports no change.
     pub fn record_notification(&mut self, now: Micros) {
         self.notified_at = Some(now);
     }
 
-    /// Takes a list over.
+    /// Applies a full list or changes and returns what has changed.
     pub fn apply(&mut self, now: Micros, list: EndpointList) -> AppliedList {
         self.version = list.version;
-        let names_long_ago = list.endpoints.iter().any(|t| t.listed_start_s <= 0.0);
-        let knowledge = StartTimeContext {
+        let lists_long_running = list.endpoints.iter().any(|t| t.listed_start_s <= 0.0);
+        let context = StartTimeContext {
             received_at: now,
             notified_at: self.notified_at,
-            lists_unknown_starts: names_long_ago,
+            lists_long_running,
         };
         let form = if list.is_full {
             ListForm::Full
@@ -227,7 +229,7 @@
         let entries = list
             .endpoints
             .into_iter()
-            .map(|t| self.put(t, knowledge))
+            .map(|t| self.update(t, context))
             .collect();
         AppliedList {
             form,
@@ -236,22 +238,22 @@
         }
     }
 
-    /// The id of a server that is listed with another start than before.
+    /// Returns the id of a server that is now listed with a different start time, i.e. has restarted.
     fn restarted(&self, target: &Endpoint) -> Option<ServerId> {
         let id = *self.ids.get(&target.uid)?;
-        let before = self.servers.get(&id)?;
-        (before.listed_start_s != target.listed_start_s).then_some(id)
+        let previous = self.servers.get(&id)?;
+        (previous.listed_start_s != target.listed_start_s).then_some(id)
     }
 
-    fn put(&mut self, mut target: Endpoint, knowledge: StartTimeContext) -> ServerEntry {
-        let id = self.id_of(&target.uid);
-        let before = self
+    fn update(&mut self, mut target: Endpoint, context: StartTimeContext) -> ServerEntry {
+        let id = self.assign_id(&target.uid);
+        let previous = self
             .servers
             .get(&id)
-            .filter(|before| before.listed_start_s == target.listed_start_s);
-        // One start is reckoned once.
+            .filter(|previous| previous.listed_start_s == target.listed_start_s);
+        // The start time of a server process is computed once and kept while its listed start stays the same.
         target.start_s =
-            before.map_or_else(|| knowledge.start_s(target.listed_start_s), |b| b.start_s);
+            previous.map_or_else(|| context.start_s(target.listed_start_s), |b| b.start_s);
         let entry = ServerEntry {
             id,
             status: target.status,
@@ -262,7 +264,7 @@
             booted_at: target.start_s,
         };
         if target.status == ServerStatus::Removed {
-            // Ids are always new: what is gone must not stay for good.
+            // Removed servers must not stay in the tables, as new servers keep arriving with new names.
             self.ids.remove(&target.uid);
             self.servers.remove(&id);
         } else {
@@ -272,8 +274,9 @@
         entry
     }
 
-    /// The same id for a uid at every dispatcher, as the module ranks the homes of a key by it.
-    fn id_of(&self, uid: &str) -> ServerId {
+    /// Returns the numeric id for a uid. Every dispatcher derives the same id, because the decision module ranks the
+    /// servers for a session key by it.
+    fn assign_id(&self, uid: &str) -> ServerId {
         if let Some(id) = self.ids.get(uid) {
             return *id;
         }
--- a/crates/platform/src/discovery_client.rs
+++ b/crates/platform/src/discovery_client.rs
@@ -1,4 +1,4 @@
-//! The discovery client: the address of discovery, the watch over it, and the endpoints that it lists.
+//! The discovery client: the address of the discovery agent, the watch on it and the endpoint list it delivers.
 
 use std::net::SocketAddr;
 
@@ -9,14 +9,14 @@
 use crate::discovery_watch::{call, DiscoveryWatch, WatchProgress};
 use crate::types::{Command, ConnId, Level};
 
-/// Owner of the endpoint list.
+/// Owns the endpoint list and keeps it up to date.
 #[derive(Debug)]
 pub(crate) struct DiscoveryClient {
     address: SocketAddr,
     watch: DiscoveryWatch,
     endpoints: Endpoints,
-    /// A list has been taken over, from the configuration or from discovery.
-    known: bool,
+    /// Whether an endpoint list has been applied, from the configuration or from discovery.
+    has_list: bool,
 }
 
 impl DiscoveryClient {
@@ -25,72 +25,72 @@
             address,
             watch,
             endpoints: Endpoints::default(),
-            known: false,
+            has_list: false,
         }
     }
 
-    /// Whether there is a list.
-    pub(crate) fn is_known(&self) -> bool {
-        self.known
+    /// Whether an endpoint list is known.
+    pub(crate) fn has_list(&self) -> bool {
+        self.has_list
     }
 
     pub(crate) fn endpoints(&self) -> &Endpoints {
         &self.endpoints
     }
 
-    /// Whether a connection is that of the watch.
+    /// Whether this connection is the watch's.
     pub(crate) fn owns_connection(&self, conn: ConnId) -> bool {
         self.watch.conn() == Some(conn)
     }
 
-    /// Takes over the list that the configuration holds.
+    /// Applies the endpoint list cached in the configuration.
     pub(crate) fn load(&mut self, now: Micros, list: EndpointList) -> Vec<ServerEntry> {
-        self.known = true;
+        self.has_list = true;
         self.endpoints.apply(now, list).entries
     }
 
-    /// Takes over a list from discovery.
+    /// Applies an endpoint list from discovery.
     ///
     /// # Errors
-    /// A version that goes back.
+    /// A list whose version is older than the current one.
     pub(crate) fn apply(&mut self, now: Micros, list: EndpointList) -> Result<AppliedList, String> {
         if list.version < self.endpoints.version() {
             return Err(format!(
-                "version {} comes after {}",
+                "version {} is older than the current version {}",
                 list.version,
                 self.endpoints.version()
             ));
         }
-        self.known = true;
+        self.has_list = true;
         Ok(self.endpoints.apply(now, list))
     }
 
-    /// The request of the watch, for changes since the version at hand.
+    /// Returns the watch request, which asks for changes since the current version.
     pub(crate) fn watch_request(&self) -> Vec<u8> {
         call(self.endpoints.version())
     }
 
-    /// Takes bytes of the watch's response.
+    /// Parses received bytes of the watch's response.
     pub(crate) fn receive(&mut self, now: Micros, bytes: &[u8]) -> WatchProgress {
         self.watch.receive(now, bytes)
     }
 
-    /// Discovery has sent a complete line, if only an empty one.
+    /// Records that discovery has sent a complete line, even an empty one.
     pub(crate) fn record_notification(&mut self, now: Micros) {
         self.endpoints.record_notification(now);
     }
 
-    /// Why the watch has to be restarted, where it has brought nothing in time.
+    /// Returns why the watch has to be restarted if it has missed a timeout.
     pub(crate) fn overdue_cause(&self, now: Micros) -> Option<&'static str> {
         self.watch.overdue_cause(now)
     }
 
-    /// Whether the watch is to be begun.
+    /// Whether it is time to start the watch.
     pub(crate) fn is_due(&self, now: Micros) -> bool {
         self.watch.is_due(now)
     }
 
-    /// Begins the watch on a new connection.
+    /// Starts the watch on a new connection.
     pub(crate) fn start_watch(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
         self.watch.start(now, conn);
         commands.push(Command::Connect {
@@ -99,7 +99,7 @@
         });
     }
 
-    /// Ends the watch, to be begun again after a backoff; the list stays.
+    /// Ends the watch and logs the cause. It starts again after a back-off; the endpoint list is kept.
     pub(crate) fn restart_watch(&mut self, now: Micros, cause: &str, commands: &mut Vec<Command>) {
         let (at, rev) = (self.address, self.endpoints.version());
         let cause = format!("discovery at {at}, after version {rev}: {cause}");
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Follows a new address; false where it is the same.
+    /// Changes the discovery address and closes the watch on the old one; returns false if the address is the same.
     pub(crate) fn set_address(
         &mut self,
         now: Micros,
@@ -130,12 +130,12 @@
         }
         commands.push(Command::Log {
             level: Level::Info,
-            text: format!("discovery is at {address} now"),
+            text: format!("discovery address changed to {address}"),
         });
         true
     }
 
-    /// The time for which a timer has to be set, if none is set that is as early.
+    /// Returns the time for which a timer has to be set, or `None` if one is set that is early enough.
     pub(crate) fn next_timer(&mut self, now: Micros) -> Option<Micros> {
         self.watch.schedule_timer(now)
     }
--- a/crates/platform/src/discovery_watch.rs
+++ b/crates/platform/src/discovery_watch.rs
@@ -1,17 +1,19 @@
-//! The watch over discovery: one answer that stays open, a JSON object a line.
+//! The discovery watch: one HTTP response that stays open and carries one JSON object per line.
 //!
-//! A change counts as told 6 s after discovery had it and could be reached. Whatever call is out at that moment may be
-//! useless, and the next one is good; the sum that keeps the bound, each term at its worst:
+//! The platform treats a change as received 6 s after discovery had it and could be reached. The watch call open at
+//! that moment may be broken and the next one good, so their worst cases must fit into that time:
 //!
-//! | | seconds |
+//! | step | seconds |
 //! | --- | --- |
-//! | a useless call holds, from its last complete line (`LINE_TIMEOUT_SECS`; from its begin where none came: `HEAD_TIMEOUT_SECS`, less) | 4.0 |
-//! | the pause before the next: half of the longest back-off (`MAX_BACKOFF_SECS`), as that counts from the call's begin | 0.5 |
-//! | a good exchange: the agent is on the same machine and answers at once | under 1.0 |
-//! | together | under 5.5 |
+//! | timeout of the broken call, from its last complete line (`LINE_TIMEOUT_SECS`; without one, `HEAD_TIMEOUT_SECS` is
+//! shorter) | 4.0 |
+//! | pause before the next call: half of the longest back-off (`MAX_BACKOFF_SECS`), which counts from the call's start
+//! | 0.5 |
+//! | a good call: the discovery agent is on the same machine and responds at once | under 1.0 |
+//! | total | under 5.5 |
 //!
-//! A call that ends early holds less and pauses longer; from its begin to the next it is 1.0 s at the most. No line of
-//! the useless call comes after the change, as discovery would have told it there.
+//! A call that fails early is followed by a longer pause, but the next call starts at most 1.0 s after it did. The
+//! broken call cannot have delivered a complete line after the change, since that line would have contained the change.
 
 use bitternlatch_core::Micros;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -20,96 +22,101 @@
 use crate::line_splitter::LineSplitter;
 use crate::types::ConnId;
 
-/// Longest line, and largest chunk, bytes: the whole list of 3,200 servers, indented.
-const MAX_LINE: usize = 3 << 19;
-/// From a call's begin until its answer's head is whole, seconds. The agent answers at once; a first packet that was
-/// lost is sent again after 1 s.
+/// Longest line and largest chunk, bytes. Fits an indented full list of 3,200 servers.
+const MAX_LINE_BYTES: usize = 3 << 19;
+/// Timeout from the start of a call until its response head is complete, seconds. The discovery agent responds at once,
+/// but a lost first packet is resent only after 1 s.
 const HEAD_TIMEOUT_SECS: f64 = 2.0;
-/// From one complete line until the next begins, seconds: an empty one comes every 2 s, and a busy machine delays it.
+/// Timeout from one complete line until the first byte of the next, seconds. Discovery sends an empty line every 2 s,
+/// which a busy machine may delay.
 const KEEP_ALIVE_TIMEOUT_SECS: f64 = 3.2;
-/// From one complete line until the next is whole, seconds. Bytes alone do not count: they may trickle without end.
+/// Timeout from one complete line until the next is complete, seconds. Single bytes do not reset it, as they could
+/// trickle in without end.
 const LINE_TIMEOUT_SECS: f64 = 4.0;
-/// Back-off, from a call's begin to the next one's, seconds: doubles from the first to the last, and between half and
-/// the whole of it is drawn. After a call that held longer the pause is half of what was drawn.
+/// Shortest back-off from the start of one call to the start of the next, seconds. It doubles with each failure up to
+/// `MAX_BACKOFF_SECS`, and the actual value is drawn between half of it and all of it. After a call that lasted longer,
+/// the pause is half of the drawn value.
 const MIN_BACKOFF_SECS: f64 = 0.2;
+/// Longest back-off from the start of one watch call to the start of the next, seconds.
 const MAX_BACKOFF_SECS: f64 = 1.0;
-/// So many lines are logged in this time, seconds, however often the watch breaks.
-const MAX_LOGGED: u32 = 3;
+/// Most causes logged within `LOG_WINDOW_SECS`, however often the watch breaks.
+const MAX_LINES_PER_WINDOW: u32 = 3;
+/// Time window of the log rate limit, seconds.
 const LOG_WINDOW_SECS: f64 = 60.0;
-/// Longest cause that is logged, characters: it may quote what discovery wrote.
-const MAX_CAUSE: usize = 200;
+/// Longest logged cause, characters; a cause may quote text from discovery.
+const MAX_CAUSE_CHARS: usize = 200;
 
-/// Where the watch stands.
+/// State of the discovery watch and its current call.
 #[derive(Debug)]
 pub struct DiscoveryWatch {
-    /// Of the jitter: another for each dispatcher.
+    /// Seed of the back-off jitter, different at each dispatcher.
     seed: u64,
-    /// Calls that have ended; numbers the draws.
-    ended: u64,
+    /// Number of calls that have ended; selects the next random value for the jitter.
+    finished_calls: u64,
     conn: Option<ConnId>,
-    began_at: Micros,
-    /// When the head or the last line was whole; `None` until the head is.
-    last_complete_at: Option<Micros>,
-    /// A line was whole since it began.
+    started_at: Micros,
+    /// When the response head or the last line was completed; `None` before the head.
+    last_progress_at: Option<Micros>,
+    /// Whether the current call has delivered a complete line.
     received_line: bool,
-    /// No further call before then.
+    /// Earliest time of the next call.
     retry_at: Micros,
-    /// Calls in a row that were of no use.
+    /// Consecutive failed calls, which lengthen the back-off.
     failures: u32,
-    unread: Vec<u8>,
+    unparsed: Vec<u8>,
     body: Option<Body>,
     lines: LineSplitter,
-    /// The timer that is set.
+    /// Time of the timer that is set, if any.
     timer_at: Option<Micros>,
-    logged: LogLimiter,
+    log_limiter: LogLimiter,
 }
 
-/// What bytes have brought.
+/// Result of parsing received bytes.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct WatchProgress {
-    /// Whole lines that are not empty; they count also where the watch has broken after them.
+    /// Complete non-empty lines; valid even if `failure` is set after them.
     pub objects: Vec<Vec<u8>>,
-    /// A line was whole, an empty one included.
+    /// Whether a line was completed, including an empty one.
     pub received_line: bool,
-    /// Why the watch has to be begun anew.
+    /// Why the watch has to be restarted, if it has failed.
     pub failure: Option<String>,
 }
 
 impl DiscoveryWatch {
-    /// Chance needs no more than that dispatchers draw differently, whether or not their seeds are the same.
+    /// Mixes the dispatcher's name into the seed, so that dispatchers with equal seeds still use different jitter.
     pub fn new(seed: u64, name: &str) -> DiscoveryWatch {
         DiscoveryWatch {
             seed: seed ^ xxh3_64(name.as_bytes()),
-            ended: 0,
+            finished_calls: 0,
             conn: None,
-            began_at: Micros(0),
-            last_complete_at: None,
+            started_at: Micros(0),
+            last_progress_at: None,
             received_line: false,
             retry_at: Micros(0),
             failures: 0,
-            unread: Vec::new(),
+            unparsed: Vec::new(),
             body: None,
             lines: LineSplitter::default(),
             timer_at: None,
-            logged: LogLimiter::default(),
+            log_limiter: LogLimiter::default(),
         }
     }
 
-    /// Connection of the call in hand.
+    /// Connection of the current call.
     pub fn conn(&self) -> Option<ConnId> {
         self.conn
     }
 
-    /// Whether it is time to begin.
+    /// Whether it is time to start a call.
     pub fn is_due(&self, now: Micros) -> bool {
         self.conn.is_none() && now >= self.retry_at
     }
 
-    /// When it has to be looked at again.
+    /// Time at which the watch has to be checked again: the next call's start or the current call's timeout.
     pub fn next_check(&self) -> Micros {
-        match (self.conn, self.last_complete_at) {
+        match (self.conn, self.last_progress_at) {
             (None, _) => self.retry_at,
-            (Some(_), None) => self.began_at.after(HEAD_TIMEOUT_SECS),
+            (Some(_), None) => self.started_at.after(HEAD_TIMEOUT_SECS),
             (Some(_), Some(at)) => at.after(if self.lines.is_empty() {
                 KEEP_ALIVE_TIMEOUT_SECS
             } else {
@@ -118,7 +125,7 @@
         }
     }
 
-    /// The time for which a timer has to be set, if none is set that is as early.
+    /// Returns the time for which a timer has to be set, or `None` if one is set that is early enough.
     pub fn schedule_timer(&mut self, now: Micros) -> Option<Micros> {
         let next = self.next_check().max(now);
         if self.timer_at.is_some_and(|at| at > now && at <= next) {
@@ -128,140 +135,143 @@
         self.timer_at
     }
 
-    /// What the call in hand has failed to bring in time.
+    /// Returns which timeout the current call has missed, if any.
     pub fn overdue_cause(&self, now: Micros) -> Option<&'static str> {
         if self.conn.is_none() || now < self.next_check() {
             return None;
         }
-        Some(match (self.last_complete_at, self.lines.is_empty()) {
-            (None, _) => "no answer in time",
-            (Some(_), true) => "it is silent",
-            (Some(_), false) => "a line does not end",
+        Some(match (self.last_progress_at, self.lines.is_empty()) {
+            (None, _) => "no response head in time",
+            (Some(_), true) => "no line received in time",
+            (Some(_), false) => "a line was not completed in time",
         })
     }
 
-    /// A call begins on a new connection.
+    /// Starts a call on a new connection.
     pub fn start(&mut self, now: Micros, conn: ConnId) {
-        self.forget_call();
-        (self.conn, self.began_at) = (Some(conn), now);
+        self.reset_call();
+        (self.conn, self.started_at) = (Some(conn), now);
     }
 
-    /// The connection has ended or is given up; gives it, to be closed.
+    /// Ends the current call and schedules the next; returns the connection to close.
     pub fn end(&mut self, now: Micros) -> Option<ConnId> {
-        let held_s = now.since(self.began_at);
-        // A watch that breaks right after its first line is no better than one that never came up.
+        let held_s = now.since(self.started_at);
+        // A call that breaks soon after its first line does not reset the back-off, as it is no better than one that
+        // failed.
         if self.received_line && held_s >= MAX_BACKOFF_SECS {
             self.failures = 0;
         }
         let max_s =
             (MIN_BACKOFF_SECS * f64::from(1u32 << self.failures.min(8))).min(MAX_BACKOFF_SECS);
-        let drawn_s = max_s * (0.5 + 0.5 * self.chance());
+        let drawn_s = max_s * (0.5 + 0.5 * self.jitter());
         self.failures = self.failures.saturating_add(1);
-        self.ended += 1;
+        self.finished_calls += 1;
         self.retry_at = now.after((drawn_s - held_s).max(0.5 * drawn_s));
-        self.forget_call();
+        self.reset_call();
         self.conn.take()
     }
 
-    /// Another address counts from now on: the call goes out at once.
+    /// Drops the current call after a change of address, so that the next one starts at once; returns the connection to
+    /// close.
     pub fn address_changed(&mut self, now: Micros) -> Option<ConnId> {
         (self.retry_at, self.failures) = (now, 0);
-        self.forget_call();
+        self.reset_call();
         self.conn.take()
     }
 
-    /// Takes bytes of the answer.
+    /// Parses received bytes of the response.
     pub fn receive(&mut self, now: Micros, bytes: &[u8]) -> WatchProgress {
-        self.unread.extend_from_slice(bytes);
-        let mut taken = WatchProgress::default();
+        self.unparsed.extend_from_slice(bytes);
+        let mut progress = WatchProgress::default();
         if self.body.is_none() {
-            match response_head(&self.unread) {
-                Ok(None) => return taken,
+            match response_head(&self.unparsed) {
+                Ok(None) => return progress,
                 Ok(Some((head, length))) if head.status == 200 => {
-                    self.unread.drain(..length);
-                    (self.body, self.last_complete_at) = (
-                        Some(Body::with_max_chunk(head.framing, MAX_LINE as u64)),
+                    self.unparsed.drain(..length);
+                    (self.body, self.last_progress_at) = (
+                        Some(Body::with_max_chunk(head.framing, MAX_LINE_BYTES as u64)),
                         Some(now),
                     );
                 }
-                // Its `Retry-After` does not count: what discovery has is told, whenever it would like to be asked.
+                // A `Retry-After` header is ignored: changes must be received in time even if discovery asks for fewer
+                // calls.
                 Ok(Some((head, _))) => {
-                    taken.failure = Some(format!("the answer is {}", head.status))
+                    progress.failure = Some(format!("the response status is {}", head.status))
                 }
-                Err(e) => taken.failure = Some(e.to_string()),
+                Err(e) => progress.failure = Some(e.to_string()),
             }
         }
         let Some(body) = &mut self.body else {
-            return taken;
+            return progress;
         };
-        match body.decode(&self.unread, self.lines.buffer()) {
-            Ok(length) => drop(self.unread.drain(..length)),
-            Err(e) => taken.failure = Some(e.to_string()),
+        match body.decode(&self.unparsed, self.lines.buffer()) {
+            Ok(length) => drop(self.unparsed.drain(..length)),
+            Err(e) => progress.failure = Some(e.to_string()),
         }
         let (objects, any) = self.lines.take_complete();
-        (taken.objects, taken.received_line) = (objects, any);
+        (progress.objects, progress.received_line) = (objects, any);
         if any {
-            (self.last_complete_at, self.received_line) = (Some(now), true);
+            (self.last_progress_at, self.received_line) = (Some(now), true);
         }
         if body.is_complete() {
-            taken.objects.extend(self.lines.take_remainder());
-            taken.failure = Some("the answer has ended".into());
-        } else if self.lines.len() > MAX_LINE {
-            taken.failure = Some("a line is too long".into());
+            progress.objects.extend(self.lines.take_remainder());
+            progress.failure = Some("the response has ended".into());
+        } else if self.lines.len() > MAX_LINE_BYTES {
+            progress.failure = Some("a line exceeds the size limit".into());
         }
-        taken
+        progress
     }
 
-    /// The cause to log, if this one is to be.
+    /// Returns the log line for a failure, or `None` if the rate limit suppresses it.
     pub fn rate_limited_log_line(&mut self, now: Micros, cause: &str) -> Option<String> {
-        self.logged.take(now, cause)
+        self.log_limiter.admit(now, cause)
     }
 
-    fn forget_call(&mut self) {
-        (self.body, self.unread, self.lines) = (None, Vec::new(), LineSplitter::default());
-        (self.last_complete_at, self.received_line) = (None, false);
+    fn reset_call(&mut self) {
+        (self.body, self.unparsed, self.lines) = (None, Vec::new(), LineSplitter::default());
+        (self.last_progress_at, self.received_line) = (None, false);
     }
 
-    /// Between 0 and 1, the same for the same dispatcher and number of calls.
-    fn chance(&self) -> f64 {
-        let bits = xxh3_64_with_seed(&self.ended.to_le_bytes(), self.seed);
+    /// Pseudo-random value from 0 to 1, determined by the seed and the number of calls.
+    fn jitter(&self) -> f64 {
+        let bits = xxh3_64_with_seed(&self.finished_calls.to_le_bytes(), self.seed);
         (bits >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
-/// What has been logged of late: a watch that breaks for an hour does not write a line for each call.
+/// Rate limiter for log lines, so that a watch that fails for an hour does not log every call.
 #[derive(Debug, Default)]
 struct LogLimiter {
-    since: Micros,
+    window_started_at: Micros,
     lines: u32,
-    last: String,
-    left_out: u64,
+    last_cause: String,
+    suppressed: u64,
 }
 
 impl LogLimiter {
-    fn take(&mut self, now: Micros, cause: &str) -> Option<String> {
-        if now.since(self.since) >= LOG_WINDOW_SECS {
-            (self.since, self.lines) = (now, 0);
+    fn admit(&mut self, now: Micros, cause: &str) -> Option<String> {
+        if now.since(self.window_started_at) >= LOG_WINDOW_SECS {
+            (self.window_started_at, self.lines) = (now, 0);
         }
-        let cause: String = cause.chars().take(MAX_CAUSE).collect();
-        if self.lines >= MAX_LOGGED || (self.lines > 0 && self.last == cause) {
-            self.left_out += 1;
+        let cause: String = cause.chars().take(MAX_CAUSE_CHARS).collect();
+        if self.lines >= MAX_LINES_PER_WINDOW || (self.lines > 0 && self.last_cause == cause) {
+            self.suppressed += 1;
             return None;
         }
         self.lines += 1;
-        let left_out = std::mem::take(&mut self.left_out);
-        let before = if left_out > 0 {
-            format!(" ({left_out} before it not logged)")
+        let suppressed = std::mem::take(&mut self.suppressed);
+        let before = if suppressed > 0 {
+            format!(" ({suppressed} earlier failures not logged)")
         } else {
             String::new()
         };
         let text = format!("{cause}{before}");
-        self.last = cause;
+        self.last_cause = cause;
         Some(text)
     }
 }
 
-/// The call for changes since a version.
+/// Builds the watch request for changes since a version.
 pub fn call(rev: u64) -> Vec<u8> {
     format!("GET /v1/endpoints?watch=1&from={rev} HTTP/1.1\r\nHost: discovery\r\n\r\n").into_bytes()
 }
--- a/crates/platform/src/event_stream.rs
+++ b/crates/platform/src/event_stream.rs
@@ -1,47 +1,46 @@
-//! The events of an answer's stream: split so that only whole ones are passed on, and read for what the model
-//! server counts. Comment lines are the platform's own and go no further.
+//! Splits the event stream of a model server's response so that only complete events are forwarded, and reads the usage
+//! data in them. Comment lines come from the platform itself and are not forwarded.
 
 use serde_json::Value;
 
 use crate::http1::MAX_BODY_BYTES;
 
-/// What has come of a stream and is not passed on yet.
+/// Parser for an event stream, with the bytes that have not been forwarded yet.
 #[derive(Debug, Default)]
 pub struct EventStream {
-    rest: Vec<u8>,
-    /// Prompt tokens that the server had kept, once told.
+    unfinished: Vec<u8>,
+    /// Prompt tokens that the server found in its prefix cache, once reported.
     pub cached_tokens: Option<f64>,
-    /// The last load report in a comment, unread.
+    /// Text of the last load report received in a comment.
     pub load_report: Option<String>,
 }
 
 impl EventStream {
-    /// Takes bytes as they come and appends whole events, unchanged, to `out`.
-    ///
-    /// Gives false where an event does not end within the bound of a body.
+    /// Adds received bytes and appends complete events, unchanged, to `out`. Returns false if an event is longer than
+    /// `MAX_BODY_BYTES`.
     pub fn push(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> bool {
-        self.rest.extend_from_slice(bytes);
+        self.unfinished.extend_from_slice(bytes);
         let mut from = 0;
-        while let Some(len) = event_length(&self.rest[from..]) {
+        while let Some(len) = event_length(&self.unfinished[from..]) {
             let event = from..from + len;
             from += len;
-            if !self.note(event.clone()) {
-                out.extend_from_slice(&self.rest[event]);
+            if !self.is_own_event(event.clone()) {
+                out.extend_from_slice(&self.unfinished[event]);
             }
         }
-        self.rest.drain(..from);
-        self.rest.len() <= MAX_BODY_BYTES
+        self.unfinished.drain(..from);
+        self.unfinished.len() <= MAX_BODY_BYTES
     }
 
-    /// What came behind the last whole event.
+    /// Bytes after the last complete event.
     pub fn remainder(&self) -> &[u8] {
-        &self.rest
+        &self.unfinished
     }
 
-    /// Reads an event; true where it holds nothing but comments or is empty.
-    fn note(&mut self, event: std::ops::Range<usize>) -> bool {
-        let text = String::from_utf8_lossy(&self.rest[event]).into_owned();
-        let mut own = true;
+    /// Reads one event; returns true if it is empty or holds only comments, so that it is not forwarded.
+    fn is_own_event(&mut self, event: std::ops::Range<usize>) -> bool {
+        let text = String::from_utf8_lossy(&self.unfinished[event]).into_owned();
+        let mut only_comments = true;
         for line in text.lines().filter(|l| !l.is_empty()) {
             if let Some(comment) = line.strip_prefix(':') {
                 let reported = comment.trim_start().split_once(':');
@@ -50,8 +49,8 @@
                 }
                 continue;
             }
-            own = false;
-            // Few events tell of usage; the others are not worth reading.
+            only_comments = false;
+            // Only lines with usage data are parsed as JSON, since few events have any.
             if line.contains("cached_tokens") {
                 let data = line
                     .strip_prefix("data:")
@@ -59,7 +58,7 @@
                 self.cached_tokens = data.as_ref().and_then(cached_tokens).or(self.cached_tokens);
             }
         }
-        own
+        only_comments
     }
 }
 
@@ -68,7 +67,7 @@
         .and_then(Value::as_f64)
 }
 
-/// Bytes of the first event with the empty line that ends it.
+/// Length of the first event including the empty line that ends it, or `None` if no event is complete.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (i, b) in bytes.iter().enumerate() {
@@ -79,7 +78,7 @@
         if line.is_empty() || line == b"\r" {
             return Some(i + 1);
         }
-        // A comment that stands alone may come without an empty line behind it.
+        // A single comment line may come without an empty line after it.
         if line_start == 0 && line.starts_with(b":") {
             return Some(i + 1);
         }
--- a/crates/platform/src/health_checks.rs
+++ b/crates/platform/src/health_checks.rs
@@ -5,10 +5,10 @@
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::ServerId;
 
-/// The request of a health check, which also asks for the load report.
+/// HTTP request of a health check; the response also carries the load report.
 pub(crate) const HEALTH_CHECK: &[u8] = b"GET /status/load HTTP/1.1\r\nHost: origin.svc\r\n\r\n";
 
-/// When the health check in flight to each model server was sent.
+/// Start time of the health check in flight to each model server.
 #[derive(Debug, Default)]
 pub(crate) struct HealthChecks {
     sent: BTreeMap<ServerId, Micros>,
@@ -19,7 +19,7 @@
         self.sent.insert(server, now);
     }
 
-    /// Ends one; gives how long it took, seconds, or 0 where none was sent.
+    /// Ends a health check and returns its duration, seconds, or 0 if none was in flight.
     pub(crate) fn finish(&mut self, now: Micros, server: ServerId) -> f64 {
         let sent = self.sent.remove(&server);
         sent.map_or(0.0, |sent| now.since(sent))
--- a/crates/platform/src/http1/body.rs
+++ b/crates/platform/src/http1/body.rs
@@ -1,14 +1,15 @@
-//! Reads a body as its bytes come, by its length or in chunks.
+//! Incremental decoder for message bodies with a length or with chunks.
 
 use super::{Framing, HttpError, MAX_CHUNK_BYTES};
 
-/// Longest line that names a chunk's size, and all trailers together, bytes.
+/// Longest chunk-size line, bytes.
 const MAX_CHUNK_LINE: usize = 256;
+/// Largest total size of the trailer lines, bytes.
 const MAX_TRAILERS: usize = 4096;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// Body bytes left of a length.
+    /// Body bytes left of a `Content-Length` body.
     Length(u64),
     ChunkSize,
     ChunkData(u64),
@@ -18,7 +19,7 @@
     Done,
 }
 
-/// Takes a body's bytes as they come and gives what they hold.
+/// Incremental decoder of one message body.
 #[derive(Clone, Debug)]
 pub struct Body {
     step: Step,
@@ -26,12 +27,12 @@
 }
 
 impl Body {
-    /// A body of which nothing has come.
+    /// Creates a decoder for a body of which no bytes have arrived.
     pub fn new(framing: Framing) -> Body {
         Body::with_max_chunk(framing, MAX_CHUNK_BYTES)
     }
 
-    /// One whose chunks may be larger or have to be smaller, bytes.
+    /// Like [`Body::new`], with another limit for the size of a chunk, bytes.
     pub fn with_max_chunk(framing: Framing, max_chunk: u64) -> Body {
         let step = match framing {
             Framing::Length(0) => Step::Done,
@@ -42,16 +43,17 @@
         Body { step, max_chunk }
     }
 
-    /// The body's last byte has come.
+    /// Whether the last byte of the body has been decoded.
     pub fn is_complete(&self) -> bool {
         self.step == Step::Done
     }
 
-    /// Takes what it can from the front of `bytes`, appends the content to `out` and gives the number taken.
-    /// What is left belongs to a line that is not whole yet or, once [`Body::done`], to the next message.
+    /// Decodes as much as possible from the front of `bytes`, appends the content to `out` and returns the number of
+    /// bytes consumed. The remaining bytes belong to an incomplete line or, once [`Body::is_complete`], to the next
+    /// message.
     ///
     /// # Errors
-    /// A chunk that cannot be read, does not fit or is larger than its bound.
+    /// A chunk that is malformed or larger than the limit.
     pub fn decode(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, HttpError> {
         let mut at = 0;
         while at < bytes.len() {
@@ -147,7 +149,8 @@
     }
 }
 
-/// The first line without its end, and the bytes it takes; a bare line feed ends none.
+/// Returns the first line without its CRLF and the number of bytes with it, or `None` if it is incomplete. A line that
+/// ends with a bare line feed is an error.
 fn line(bytes: &[u8], limit: usize) -> Result<Option<(&[u8], usize)>, HttpError> {
     match bytes.iter().position(|b| *b == b'\n') {
         Some(end) if end > 0 && bytes[end - 1] == b'\r' && end < limit => {
--- a/crates/platform/src/http1/mod.rs
+++ b/crates/platform/src/http1/mod.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 as far as the platform speaks it: heads over `httparse`, bodies by length or in chunks. No I/O.
+//! The subset of HTTP/1.1 that the platform uses: heads parsed with `httparse`, bodies with a length or chunks. No I/O.
 //!
-//! A message that could be read in two ways is not read at all: what one side takes for the end of a body another
-//! takes for the start of a second request.
+//! Ambiguous messages are rejected to prevent request smuggling, where two parties disagree on where a body ends and a
+//! second request starts.
 
 mod body;
 mod write;
@@ -11,42 +11,42 @@
 
 use thiserror::Error;
 
-/// Largest head of a message, bytes.
+/// Largest message head, bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Most header fields in a head.
 pub const MAX_HEADER_FIELDS: usize = 64;
-/// Largest body of a request or of a plain answer, bytes.
+/// Largest body of a request or a response that is not a stream, bytes.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
-/// Largest chunk of a stream, bytes; no event is longer than a body.
+/// Largest chunk, bytes. An event is at most as long as a body.
 pub const MAX_CHUNK_BYTES: u64 = MAX_BODY_BYTES as u64;
-/// Why a message is not taken.
+/// Why a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpError {
-    /// A head that cannot be parsed.
+    /// The head cannot be parsed.
     #[error("the head cannot be read")]
     MalformedHead,
-    /// A head larger than [`MAX_HEAD_BYTES`] or with more than [`MAX_HEADER_FIELDS`] fields.
+    /// The head is larger than [`MAX_HEAD_BYTES`] or has more than [`MAX_HEADER_FIELDS`] fields.
     #[error("the head is too long")]
     HeadTooLong,
-    /// A `Content-Length` that is no single whole number.
+    /// `Content-Length` is not a single whole number.
     #[error("the length is not a single whole number")]
     InvalidLength,
-    /// `Content-Length` beside `Transfer-Encoding`.
+    /// The head has both `Content-Length` and `Transfer-Encoding`.
     #[error("a length and a transfer coding together")]
     LengthWithTransferCoding,
-    /// A `Transfer-Encoding` other than `chunked`.
+    /// `Transfer-Encoding` is not `chunked`.
     #[error("the transfer coding is not known")]
     UnsupportedTransferCoding,
-    /// A body larger than [`MAX_BODY_BYTES`].
+    /// The body is larger than [`MAX_BODY_BYTES`].
     #[error("the body is longer than 256 KiB")]
     BodyTooLong,
-    /// A chunk that cannot be read or is too large.
+    /// A chunk is malformed or too large.
     #[error("a chunk cannot be read")]
     InvalidChunk,
 }
 
 impl HttpError {
-    /// The status that a client is told.
+    /// HTTP status of the response to a client that sent the message.
     pub fn status(self) -> u16 {
         match self {
             HttpError::HeadTooLong => 431,
@@ -60,13 +60,13 @@
     }
 }
 
-/// Header fields in their order; names in lower case.
+/// Header fields in order of appearance, with names in lower case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fields(Vec<(String, String)>);
 
 impl Fields {
-    /// Values that are no text are kept with marks in their place: one field that nobody reads, such as a spoilt
-    /// load report, does not spoil an answer.
+    /// Copies parsed fields. Invalid UTF-8 in a value is replaced rather than rejected, so that a corrupt field that
+    /// nobody reads, such as a load report, does not make a response fail.
     fn read(raw: &[httparse::Header]) -> Fields {
         let field = |h: &httparse::Header| {
             (
@@ -77,12 +77,12 @@
         Fields(raw.iter().map(field).collect())
     }
 
-    /// The first field of a name given in lower case.
+    /// Returns the first field with this name, given in lower case.
     pub fn get<'a>(&'a self, name: &'a str) -> Option<&'a str> {
         self.all(name).next()
     }
 
-    /// All fields of a name given in lower case.
+    /// Iterates over all fields with this name, given in lower case.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.0
             .iter()
@@ -90,14 +90,14 @@
             .map(|f| f.1.as_str())
     }
 
-    /// Names and values in their order.
+    /// Iterates over names and values in order of appearance.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0
             .iter()
             .map(|(name, value)| (name.as_str(), value.as_str()))
     }
 
-    /// Whether `Connection` names a word.
+    /// Whether a `Connection` header lists this option.
     fn connection(&self, word: &str) -> bool {
         self.all("connection")
             .flat_map(|v| v.split(','))
@@ -105,42 +105,42 @@
     }
 }
 
-/// How a body's end is told.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// By its length, bytes.
+    /// By the length of the body, bytes.
     Length(u64),
-    /// In chunks.
+    /// By the last chunk of a chunked body.
     Chunked,
     /// By the end of the connection.
     Close,
 }
 
-/// The head of a request.
+/// Parsed head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Method, such as `POST`.
+    /// Request method, such as `POST`.
     pub method: String,
-    /// Path and query.
+    /// Path and query of the request.
     pub target: String,
-    /// Header fields.
+    /// Header fields of the request.
     pub fields: Fields,
-    /// How its body ends.
+    /// How the end of the request body is determined.
     pub framing: Framing,
-    /// Whether the connection may serve a further request.
+    /// Whether the connection may serve another request after this one.
     pub keep_alive: bool,
 }
 
-/// The head of an answer.
+/// Parsed head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Status code.
+    /// Status code of the response.
     pub status: u16,
-    /// Header fields.
+    /// Header fields of the response.
     pub fields: Fields,
-    /// How its body ends.
+    /// How the end of the response body is determined.
     pub framing: Framing,
-    /// Whether the connection may serve a further request.
+    /// Whether the connection may serve another request after this response.
     pub keep_alive: bool,
 }
 
@@ -156,7 +156,7 @@
         ([], _) => Err(HttpError::UnsupportedTransferCoding),
         ([one], _) => {
             let digits = !one.is_empty() && one.bytes().all(|b| b.is_ascii_digit());
-            // A length past what a number holds is too long, not unreadable.
+            // A length too large for `u64` counts as a body that is too long, not as a malformed length.
             let length = digits
                 .then(|| one.parse().unwrap_or(u64::MAX))
                 .ok_or(HttpError::InvalidLength)?;
@@ -166,7 +166,7 @@
     }
 }
 
-/// Empty lines before a request line are passed over, as servers should.
+/// Number of bytes in the empty lines before a request line. RFC 9112 advises servers to ignore them.
 fn leading_newlines(bytes: &[u8]) -> usize {
     bytes
         .iter()
@@ -174,24 +174,25 @@
         .count()
 }
 
-/// The bytes of a head that has been parsed, `skipped` before it, of `come` in all; `None` while it is not whole.
+/// Returns the length of a head from the parser's result, including `skipped` bytes before it, or `None` if it is
+/// incomplete. `received` is the number of bytes available.
 fn head_length(
     parsed: httparse::Result<usize>,
     skipped: usize,
-    come: usize,
+    received: usize,
 ) -> Result<Option<usize>, HttpError> {
     match parsed {
         Ok(httparse::Status::Complete(n)) if n + skipped <= MAX_HEAD_BYTES => Ok(Some(n + skipped)),
-        Ok(httparse::Status::Partial) if come <= MAX_HEAD_BYTES => Ok(None),
+        Ok(httparse::Status::Partial) if received <= MAX_HEAD_BYTES => Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(HttpError::HeadTooLong),
         Err(_) => Err(HttpError::MalformedHead),
     }
 }
 
-/// Reads a request's head; `None` while it is not whole. Also gives the bytes that it took.
+/// Parses the head of a request and returns it with its length in bytes, or `None` if it is incomplete.
 ///
 /// # Errors
-/// A head that cannot be read, is too long, or tells its body's length in more than one way.
+/// A head that is malformed or too long, or that states the length of its body ambiguously.
 pub fn request_head(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, HttpError> {
     let skipped = leading_newlines(bytes);
     let mut raw = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
@@ -205,8 +206,8 @@
     if matches!(framing, Framing::Length(n) if n > MAX_BODY_BYTES as u64) {
         return Err(HttpError::BodyTooLong);
     }
-    let modern = head.version == Some(1);
-    let keep_alive = if modern {
+    let is_http_1_1 = head.version == Some(1);
+    let keep_alive = if is_http_1_1 {
         !fields.connection("close")
     } else {
         fields.connection("keep-alive")
@@ -225,7 +226,7 @@
     Ok(Some((head, taken)))
 }
 
-/// Reads an answer's head; `None` while it is not whole. Also gives the bytes that it took.
+/// Parses the head of a response and returns it with its length in bytes, or `None` if it is incomplete.
 ///
 /// # Errors
 /// As [`request_head`].
@@ -242,8 +243,8 @@
         _ if empty => Framing::Length(0),
         found => found.unwrap_or(Framing::Close),
     };
-    let modern = head.version == Some(1);
-    let keep_alive = modern && !fields.connection("close") && framing != Framing::Close;
+    let is_http_1_1 = head.version == Some(1);
+    let keep_alive = is_http_1_1 && !fields.connection("close") && framing != Framing::Close;
     Ok(Some((
         ResponseHead {
             status,
--- a/crates/platform/src/http1/write.rs
+++ b/crates/platform/src/http1/write.rs
@@ -1,6 +1,6 @@
-//! Messages to clients.
+//! Formats HTTP messages to clients.
 
-/// The words for a status.
+/// Reason phrase of a status code.
 fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -21,7 +21,7 @@
     }
 }
 
-/// A complete response with a short text; `more` holds further header lines, each with its end.
+/// Formats a complete response with a short text body. `more` holds additional header lines, each with its CRLF.
 pub fn plain_response(status: u16, more: &str, keep_alive: bool, text: &str) -> Vec<u8> {
     let close = if keep_alive {
         ""
@@ -36,7 +36,7 @@
     .into_bytes()
 }
 
-/// The head of a stream of events to a client.
+/// Formats the head of an event-stream response.
 pub fn stream_head(keep_alive: bool) -> Vec<u8> {
     let close = if keep_alive {
         ""
@@ -50,7 +50,7 @@
     .into_bytes()
 }
 
-/// Appends one chunk; an empty one would end the stream, so that nothing is appended for it.
+/// Appends one chunk to `out`. Appends nothing if `content` is empty, as an empty chunk would end the stream.
 pub fn chunk(content: &[u8], out: &mut Vec<u8>) {
     if content.is_empty() {
         return;
@@ -60,5 +60,5 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// What ends a stream in order.
+/// The chunk that ends a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol and the dispatcher's node on it, without I/O.
+//! The platform's protocol and the dispatcher's node that speaks it, without I/O.
 //!
 //! [`node::Node::step`] takes one [`types::Input`] at a clock time and appends [`types::Command`]s, as
 //! `bitternlatch_core::Machine` does for sessions. The sockets are in `bitternlatch-platform-net`.
--- a/crates/platform/src/line_splitter.rs
+++ b/crates/platform/src/line_splitter.rs
@@ -1,83 +1,84 @@
-//! Cuts what comes on a watch into lines: JSON objects, and the empty lines that keep it alive.
+//! Splits the bytes of a discovery watch into lines: JSON objects and empty keep-alive lines.
 
-/// What has come and is no complete line yet.
+/// Line splitter with the bytes of the current, incomplete line.
 ///
-/// An object may come indented, so that a line feed ends it only outside its brackets. No object holds an empty line
-/// or a line feed within a text: either cuts one off that will not be whole any more, and its reader sees that.
+/// Objects may be indented, so a line feed ends an object only outside its brackets. An empty line, or a line feed
+/// inside a string, cannot occur in an object: it ends the line early, and parsing the truncated object then fails.
 #[derive(Debug, Default)]
 pub struct LineSplitter {
-    text: Vec<u8>,
-    /// So many bytes of it have been looked at.
-    seen: usize,
+    pending: Vec<u8>,
+    /// Number of bytes of `pending` that have been scanned.
+    scanned: usize,
     depth: u32,
-    in_text: bool,
+    in_string: bool,
     escaped: bool,
-    /// Something other than blanks has come since the last line feed.
-    filled: bool,
+    /// Whether anything but white space has come since the last line feed.
+    has_content: bool,
 }
 
 impl LineSplitter {
-    /// Where more is appended.
+    /// Buffer to which received bytes are appended.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
-        &mut self.text
+        &mut self.pending
     }
 
-    /// Bytes of a line that is not whole.
+    /// Bytes of the incomplete line.
     pub fn len(&self) -> usize {
-        self.text.len()
+        self.pending.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.text.is_empty()
+        self.pending.is_empty()
     }
 
-    /// Gives the objects that are whole, and whether any line was, an empty one included.
+    /// Removes and returns the complete objects, and whether any line was completed, including an empty one.
     pub fn take_complete(&mut self) -> (Vec<Vec<u8>>, bool) {
         let (mut objects, mut from) = (Vec::new(), 0);
-        while self.seen < self.text.len() {
-            let byte = self.text[self.seen];
-            self.seen += 1;
+        while self.scanned < self.pending.len() {
+            let byte = self.pending[self.scanned];
+            self.scanned += 1;
             if self.ends_line(byte) {
-                let object = self.text[from..self.seen].trim_ascii();
-                let is_all = from == 0 && self.seen == self.text.len();
+                let object = self.pending[from..self.scanned].trim_ascii();
+                let is_all = from == 0 && self.scanned == self.pending.len();
                 if !object.is_empty() && is_all {
-                    // No second copy of what may be the whole list of a large fleet.
-                    objects.push(std::mem::take(&mut self.text));
-                    self.seen = 0;
+                    // Moves the buffer instead of copying it, since the object may be the full list of a large fleet.
+                    objects.push(std::mem::take(&mut self.pending));
+                    self.scanned = 0;
                 } else if !object.is_empty() {
                     objects.push(object.to_vec());
                 }
-                from = self.seen;
-                (self.depth, self.in_text, self.escaped) = (0, false, false);
+                from = self.scanned;
+                (self.depth, self.in_string, self.escaped) = (0, false, false);
             }
         }
-        self.text.drain(..from);
-        self.seen -= from;
+        self.pending.drain(..from);
+        self.scanned -= from;
         let any = from > 0 || !objects.is_empty();
         (objects, any)
     }
 
-    /// What is left where an answer has ended in order: its last line may lack the line feed.
+    /// Removes and returns the bytes after the last line. At the regular end of a response the last line may lack its
+    /// line feed.
     pub fn take_remainder(&mut self) -> Option<Vec<u8>> {
-        let rest = std::mem::take(self).text.trim_ascii().to_vec();
+        let rest = std::mem::take(self).pending.trim_ascii().to_vec();
         (!rest.is_empty()).then_some(rest)
     }
 
     fn ends_line(&mut self, byte: u8) -> bool {
         if byte == b'\n' {
-            let cut = self.in_text || !self.filled;
-            self.filled = false;
+            let cut = self.in_string || !self.has_content;
+            self.has_content = false;
             return cut || self.depth == 0;
         }
-        self.filled |= !byte.is_ascii_whitespace();
+        self.has_content |= !byte.is_ascii_whitespace();
         if std::mem::take(&mut self.escaped) {
             return false;
         }
         match byte {
-            b'"' => self.in_text = !self.in_text,
-            b'\\' => self.escaped = self.in_text,
-            b'{' | b'[' if !self.in_text => self.depth = self.depth.saturating_add(1),
-            b'}' | b']' if !self.in_text => self.depth = self.depth.saturating_sub(1),
+            b'"' => self.in_string = !self.in_string,
+            b'\\' => self.escaped = self.in_string,
+            b'{' | b'[' if !self.in_string => self.depth = self.depth.saturating_add(1),
+            b'}' | b']' if !self.in_string => self.depth = self.depth.saturating_sub(1),
             _ => {}
         }
         false
--- a/crates/platform/src/node/attempts.rs
+++ b/crates/platform/src/node/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: one request sent to one model server, and how it ends.
+//! Attempts: sending a request to one model server and recording how the attempt ended.
 
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::{
@@ -12,15 +12,16 @@
 use crate::timer::Timer;
 use crate::types::Command;
 
-/// The model server of an attempt.
+/// Model server that an attempt is sent to, with its role.
 struct Target {
     address: ServerAddress,
     role: Role,
 }
 
 impl Node {
-    /// Sends a request to a server, as the decision module asks for it.
-    pub(super) fn send(
+    /// Starts an attempt of a request at the server that the decision module chose. Reports `NotSent` to the module if
+    /// the request or the server cannot be used or no connection is available.
+    pub(super) fn send_attempt(
         &mut self,
         now: Micros,
         request: RequestId,
@@ -38,7 +39,7 @@
         } else {
             open.deadline
         };
-        let Some(target) = self.target(now, request, server) else {
+        let Some(target) = self.attempt_target(now, request, server) else {
             return self.report_not_sent(request, number, server);
         };
         let usage = ConnectionUse::Attempt {
@@ -64,8 +65,9 @@
             .set(until, Timer::AttemptTimeout { request, number });
     }
 
-    /// Where an attempt goes; `None` where the server is not ready or the request may not be sent.
-    fn target(&self, now: Micros, request: RequestId, server: ServerId) -> Option<Target> {
+    /// Returns the address and role of the server for a new attempt, or `None` if the server is not ready or the
+    /// request may not be sent again (answered, an attempt in flight, already streaming or past its deadline).
+    fn attempt_target(&self, now: Micros, request: RequestId, server: ServerId) -> Option<Target> {
         let open = self.requests.get(request)?;
         let endpoint = self.discovery.endpoints().get(server)?;
         let is_sendable = !open.answered
@@ -99,7 +101,8 @@
         }));
     }
 
-    /// The one place where an attempt ends: the decision module is given.
+    /// Ends the attempt in flight and reports its outcome to the decision module. Every attempt that was sent ends
+    /// here.
     pub(super) fn finish_attempt(
         &mut self,
         now: Micros,
@@ -149,7 +152,7 @@
         let prefill = open.in_flight.is_some_and(|o| o.is_prefill);
         let outcome = match complete.status {
             200 if streaming => Outcome::Served,
-            // A stream without an event gives the client nothing.
+            // A 200 whose stream held no event has given the client nothing, so it counts as an error.
             200 => Outcome::Error,
             202 if prefill => Outcome::PrefillDone,
             503 | 504 if complete.declined => Outcome::Rejected {
@@ -183,7 +186,7 @@
         self.finish_attempt(now, request, outcome, 0.0, Vec::new());
     }
 
-    /// Gives an attempt up by closing its connection.
+    /// Abandons the attempt in flight by closing its connection.
     pub(super) fn abandon_attempt(
         &mut self,
         now: Micros,
@@ -196,7 +199,8 @@
         };
         let unsent = self.pool.get(was.conn).is_some_and(|l| !l.written());
         self.close_server_connection(was.conn, commands);
-        // What never had its last byte written never ran, whoever gave it up.
+        // A request whose last byte was never written cannot have run on the server, whatever the reason for abandoning
+        // it.
         let outcome = if unsent {
             Outcome::ConnectFailed
         } else {
@@ -205,8 +209,8 @@
         self.fail_attempt(now, request, outcome, commands);
     }
 
-    /// Ends an attempt that has not begun, as its request's last byte has not gone out. That calls nothing back from a
-    /// server, so that it needs no leave to cancel.
+    /// Abandons an attempt whose request has not been written completely. The server has not started it, so nothing has
+    /// to be cancelled there and the class needs no permission to cancel.
     pub(super) fn abandon_unsent_attempt(
         &mut self,
         now: Micros,
@@ -226,7 +230,7 @@
         }
     }
 
-    pub(super) fn cancel(
+    pub(super) fn cancel_attempt(
         &mut self,
         now: Micros,
         request: RequestId,
@@ -241,7 +245,7 @@
         }
     }
 
-    pub(super) fn on_time_up(
+    pub(super) fn on_attempt_timeout(
         &mut self,
         now: Micros,
         request: RequestId,
--- a/crates/platform/src/node/client_requests.rs
+++ b/crates/platform/src/node/client_requests.rs
@@ -1,4 +1,4 @@
-//! The node's side towards clients: requests taken, answers given, streams passed on.
+//! Client side of the node: parses requests, writes responses and forwards event streams.
 
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 use crate::requests::{parse_request, ForwardedRequest, OpenRequest, ParsedRequest};
 use crate::types::{Command, ConnId};
 
-/// Bytes of a chunk besides its content, and of a stream's head, at the most.
+/// Upper bound on the bytes that chunk framing and the response head add to the forwarded events.
 const CHUNK_OVERHEAD: usize = 200;
 
 impl Node {
@@ -38,11 +38,12 @@
         self.read_requests(now, conn, commands);
         let limit = self.limits.max_unfinished_bytes();
         while let Some(largest) = self.clients.largest_unfinished(conn, limit) {
-            self.reject(largest, 503, "too much in hand", commands);
+            self.reject_and_close(largest, 503, "too much in hand", commands);
         }
     }
 
-    /// Takes the requests that are whole, one after the other's answer.
+    /// Handles the complete requests that a client has sent. A pipelined request is read only after the previous one
+    /// has been answered.
     pub(super) fn read_requests(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
         while let Some(client) = self.clients.get_mut(conn) {
             match client.next_request() {
@@ -58,7 +59,9 @@
                     return;
                 }
                 Ok(Some(request)) => self.on_request(now, conn, request, commands),
-                Err(bad) => return self.reject(conn, bad.status(), &bad.to_string(), commands),
+                Err(bad) => {
+                    return self.reject_and_close(conn, bad.status(), &bad.to_string(), commands)
+                }
             }
         }
     }
@@ -80,13 +83,13 @@
         }
         let parsed = match parse_request(&request.head, request.body.len(), &self.names) {
             Ok(parsed) => parsed,
-            // Whoever sends what cannot be taken is not believed on what comes next either.
+            // After a request that cannot be accepted, the rest of the bytes on the connection are not trusted either.
             Err(rejection) => {
-                return self.reject(conn, rejection.status, rejection.reason, commands)
+                return self.reject_and_close(conn, rejection.status, rejection.reason, commands)
             }
         };
         if self.requests.contains_id(&parsed.id) {
-            return self.reject(conn, 409, "a request of this id is open", commands);
+            return self.reject_and_close(conn, 409, "a request of this id is open", commands);
         }
         if self.requests.len() >= self.bounds.most_held
             || self.requests.prompt_bytes() > self.limits.max_prompt_bytes()
@@ -96,7 +99,7 @@
         self.open_request(now, conn, request, parsed);
     }
 
-    /// Takes a request in hand and gives it to the decision module.
+    /// Registers an accepted request and passes its arrival to the decision module.
     fn open_request(
         &mut self,
         now: Micros,
@@ -107,7 +110,7 @@
         self.counts.arrived += 1;
         let mut arrival = parsed.request;
         let mut deadline = request.received_at.after(arrival.time_left_s);
-        if let Some(end) = self.shutdown.answer_deadline() {
+        if let Some(end) = self.shutdown.response_deadline() {
             deadline = deadline.min(end);
         }
         arrival.time_left_s = deadline.since(now);
@@ -127,7 +130,7 @@
         self.events.push_back(Event::Arrival(arrival));
     }
 
-    /// Answers with a short text; the connection goes on as the client wishes.
+    /// Sends a response with a short text body and keeps the connection open if the client asked for that.
     fn respond(
         &mut self,
         now: Micros,
@@ -143,11 +146,11 @@
         let keep_alive = client.keeps_alive_after_response(!self.shutdown.is_accepting());
         let bytes = plain_response(status, more, keep_alive, text);
         self.write_client(now, conn, bytes, commands);
-        self.client_free(now, conn, commands);
+        self.on_response_complete(now, conn, commands);
     }
 
-    /// An error for a client whose connection cannot be used any further.
-    pub(super) fn reject(
+    /// Sends an error response and closes the connection, which cannot be used any further.
+    pub(super) fn reject_and_close(
         &mut self,
         conn: ConnId,
         status: u16,
@@ -175,14 +178,14 @@
         }
     }
 
-    /// The client's connection ends in order.
+    /// Closes a client's connection after the bytes queued for it have been written.
     pub(super) fn finish_client(&mut self, conn: ConnId, commands: &mut Vec<Command>) {
         self.clients.remove(conn);
         commands.push(Command::Finish { conn });
     }
 
-    /// The client has its complete response: the connection serves on, or ends in order.
-    fn client_free(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
+    /// Called when the client's response is complete: the connection waits for the next request or is closed.
+    fn on_response_complete(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
         let Some(client) = self.clients.get_mut(conn) else {
             return;
         };
@@ -196,12 +199,14 @@
                 paused: false,
             });
         }
-        // What was pipelined is read now, but not from within this answer.
+        // Pipelined bytes are queued for later instead of being read here, inside the handling of the previous
+        // response.
         self.clients.queue_pipelined(conn);
     }
 
-    /// The module refuses: trying again is harmless.
-    pub(super) fn refuse(
+    /// Answers a request that the decision module rejected with 503. The request has not run, so the client can safely
+    /// retry it.
+    pub(super) fn reject_request(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -214,7 +219,7 @@
         } else {
             String::new()
         };
-        if let Some(conn) = self.take_answer(id) {
+        if let Some(conn) = self.claim_final_response(id) {
             self.counts.shed += 1;
             self.respond(
                 now,
@@ -227,24 +232,25 @@
         }
     }
 
-    /// The module fails it, which promises nothing.
-    pub(super) fn fail(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
-        if let Some(conn) = self.take_answer(id) {
+    /// Answers a request that the decision module failed with 504. The request may have run on a model server.
+    pub(super) fn fail_request(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
+        if let Some(conn) = self.claim_final_response(id) {
             self.counts.failed += 1;
             self.respond(now, conn, 504, "", "failed: it may have run\n", commands);
         }
     }
 
-    /// The one place from which an answer's right is taken: nobody gets two.
-    fn take_answer(&mut self, id: RequestId) -> Option<ConnId> {
+    /// Claims the right to send the final response and returns the client's connection. Returns `None` if the request
+    /// was answered already or is streaming, so that no client gets two responses.
+    fn claim_final_response(&mut self, id: RequestId) -> Option<ConnId> {
         self.requests
             .get(id)
             .filter(|o| !o.answered && o.last_event_at.is_none())?;
-        self.end_for_client(id)
+        self.finish_for_client(id)
     }
 
-    /// A request has its final answer; gives the client's connection, if it still waits there.
-    fn end_for_client(&mut self, id: RequestId) -> Option<ConnId> {
+    /// Marks a request as answered and returns the client's connection if the client is still connected.
+    fn finish_for_client(&mut self, id: RequestId) -> Option<ConnId> {
         let open = self.requests.get_mut(id)?;
         open.answered = true;
         let conn = open.client.take();
@@ -254,7 +260,8 @@
         Some(conn)
     }
 
-    /// Passes events on; the first ones make the attempt the client's.
+    /// Forwards events to the client. The first event starts the client's response and binds the request to this
+    /// attempt.
     pub(super) fn forward_events(
         &mut self,
         now: Micros,
@@ -282,8 +289,8 @@
         }
     }
 
-    /// A client that reads slowly holds up its own stream alone. One whose stream has ended holds up nothing, as the
-    /// server connection may serve another request.
+    /// Stops reading from the model server while its client reads slowly, which slows down only that client's stream.
+    /// Once the stream has ended the server connection is left alone, because it may serve another request.
     fn apply_backpressure(&mut self, conn: ConnId, server: ConnId, commands: &mut Vec<Command>) {
         let is_slow = self
             .clients
@@ -302,27 +309,28 @@
         }
     }
 
-    /// A whole stream: its end is passed on at once.
+    /// Finishes a stream that the model server has completed by sending the last chunk to the client.
     pub(super) fn end_stream(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
-        let Some(conn) = self.end_for_client(id) else {
+        let Some(conn) = self.finish_for_client(id) else {
             return;
         };
         self.counts.served += 1;
         self.write_client(now, conn, LAST_CHUNK.to_vec(), commands);
-        self.client_free(now, conn, commands);
+        self.on_response_complete(now, conn, commands);
     }
 
-    /// A stream that broke: the client's connection ends without the last chunk.
+    /// Ends a broken stream: the client's connection is closed without the last chunk.
     pub(super) fn break_stream(&mut self, id: RequestId, commands: &mut Vec<Command>) {
-        let Some(conn) = self.end_for_client(id) else {
+        let Some(conn) = self.finish_for_client(id) else {
             return;
         };
         self.counts.broken += 1;
-        // What was passed on before the break still arrives; its end does not look like a whole one.
+        // The client still receives the events forwarded before the break; without the last chunk it can tell that the
+        // stream is incomplete.
         self.finish_client(conn, commands);
     }
 
-    pub(super) fn on_client_wrote(
+    pub(super) fn on_client_written(
         &mut self,
         now: Micros,
         conn: ConnId,
@@ -343,8 +351,9 @@
         }
     }
 
-    /// The client has closed its connection: it has gone away.
-    pub(super) fn on_client_ended(
+    /// Handles a client that closed its connection: the decision module is notified, and an attempt that is streaming
+    /// or not yet written is ended.
+    pub(super) fn on_client_closed(
         &mut self,
         now: Micros,
         conn: ConnId,
--- a/crates/platform/src/node/discovery_updates.rs
+++ b/crates/platform/src/node/discovery_updates.rs
@@ -1,4 +1,4 @@
-//! Discovery: the watch is kept open, and the lists that it brings are given to the decision module.
+//! Keeps the discovery watch open and passes the endpoint lists it delivers to the decision module.
 
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::{Event, ListForm};
@@ -9,7 +9,7 @@
 use crate::types::Command;
 
 impl Node {
-    /// Begins the watch, or restarts one that has brought nothing in time.
+    /// Starts the watch when it is due, and restarts one that has missed a timeout.
     pub(super) fn drive_watch(&mut self, now: Micros, commands: &mut Vec<Command>) {
         if let Some(cause) = self.discovery.overdue_cause(now) {
             self.restart_watch(now, cause, commands);
@@ -21,7 +21,12 @@
         self.schedule_watch(now);
     }
 
-    pub(super) fn on_discovery(&mut self, now: Micros, bytes: &[u8], commands: &mut Vec<Command>) {
+    pub(super) fn on_watch_bytes(
+        &mut self,
+        now: Micros,
+        bytes: &[u8],
+        commands: &mut Vec<Command>,
+    ) {
         let progress = self.discovery.receive(now, bytes);
         let read = progress.objects.iter().try_for_each(|object| {
             let list = EndpointList::parse(object, &self.names)?;
@@ -35,9 +40,9 @@
         }
     }
 
-    /// The watch's connection never came up, was closed by the other side, or broke.
-    pub(super) fn on_watch_ended(&mut self, now: Micros, commands: &mut Vec<Command>) {
-        self.restart_watch(now, "the connection was refused or has ended", commands);
+    /// Handles a watch connection that could not be established, was closed by discovery or broke.
+    pub(super) fn on_watch_closed(&mut self, now: Micros, commands: &mut Vec<Command>) {
+        self.restart_watch(now, "the connection failed or was closed", commands);
     }
 
     fn restart_watch(&mut self, now: Micros, cause: &str, commands: &mut Vec<Command>) {
@@ -51,10 +56,11 @@
         }
     }
 
-    /// Takes a list over; idle connections to a server that has started anew lead to the process before it.
+    /// Applies an endpoint list. Idle connections to a server that has restarted lead to its previous process and are
+    /// closed.
     ///
     /// # Errors
-    /// A version that goes back.
+    /// A list whose version is older than the current one.
     fn apply_list(
         &mut self,
         now: Micros,
--- a/crates/platform/src/node/eviction.rs
+++ b/crates/platform/src/node/eviction.rs
@@ -1,4 +1,4 @@
-//! Eviction of connections where file descriptors run out.
+//! Evicts connections when file descriptors run out.
 
 use bitternlatch_core::Micros;
 
@@ -6,18 +6,20 @@
 use crate::types::{Command, ConnId};
 
 impl Node {
-    /// Whether one more client would evict another; `lingering` connections that the node has done with still count.
+    /// Whether accepting one more client would evict another. `lingering` is the number of connections that the node
+    /// has finished with but that still hold a descriptor.
     pub fn client_limit_reached(&self, lingering: usize) -> bool {
         self.clients.limit_reached(lingering)
     }
 
-    /// The client that is evicted first; none where all have a request or an answer in hand.
+    /// Returns the client that would be evicted first, or `None` if every client has an open request or an unread
+    /// response.
     pub fn client_eviction_candidate(&self, now: Micros) -> Option<ConnId> {
         self.clients.eviction_candidate(now)
     }
 
-    /// Evicts a client for want of descriptors, though the table has capacity. False where all have a request or an
-    /// answer in hand.
+    /// Evicts a client because the process has run out of descriptors, although the client table is not full. Returns
+    /// false if every client has an open request or an unread response.
     pub fn evict_client(&mut self, now: Micros, commands: &mut Vec<Command>) -> bool {
         let Some(conn) = self.clients.eviction_candidate(now) else {
             return false;
@@ -27,7 +29,7 @@
         true
     }
 
-    /// Evicts the connection to a model server that has been idle longest. False where none is idle.
+    /// Closes the connection to a model server that has been idle longest. Returns false if none is idle.
     pub fn evict_idle_connection(&mut self, commands: &mut Vec<Command>) -> bool {
         let Some(conn) = self.pool.longest_idle() else {
             return false;
--- a/crates/platform/src/node/exchanges.rs
+++ b/crates/platform/src/node/exchanges.rs
@@ -1,5 +1,5 @@
-//! Exchanges with model servers: attempts, health checks and release calls, each on a connection of its own while it
-//! lasts.
+//! Exchanges with model servers: attempts, health checks and release calls. Each exchange has a connection to itself
+//! until it ends.
 
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::{Event, Outcome, ServerId, ServerStatus};
@@ -10,12 +10,12 @@
 use crate::timer::Timer;
 use crate::types::{Command, ConnId};
 
-/// Whole milliseconds from one time to a later one; none where it is not later.
+/// Whole milliseconds from `now` until `until`, or 0 if that time has passed.
 fn milliseconds_left(now: Micros, until: Micros) -> u64 {
     until.0.saturating_sub(now.0) / 1000
 }
 
-/// What is expected on a connection that is used so.
+/// Returns a reader for the kind of response that this use of a connection expects.
 fn reader_for(usage: ConnectionUse) -> ResponseReader {
     match usage {
         ConnectionUse::Attempt { .. } => ResponseReader::for_attempt(),
@@ -26,8 +26,8 @@
 }
 
 impl Node {
-    /// Begins an exchange with a server on an idle connection or a new one. `call` is what a health check or a release says; an
-    /// attempt's request is made when it can be written.
+    /// Starts an exchange with a server on an idle or a new connection. `call` holds the request bytes of a health
+    /// check or a release; an attempt's request is built when it can be written.
     pub(super) fn start_exchange(
         &mut self,
         now: Micros,
@@ -57,7 +57,8 @@
         Some(conn)
     }
 
-    /// Writes on an idle connection, unless it proves stale.
+    /// Writes the request on an idle connection. If that connection turns out to be stale,
+    /// [`Node::on_server_connection_stale`] retries on another one.
     fn reuse_connection(
         &mut self,
         now: Micros,
@@ -75,14 +76,14 @@
                 connection.unsent_bytes,
             ) = (usage, now, bytes.len());
             (connection.server, connection.response) = (server, reader_for(usage));
-            // Kept until it is known to have been written: another connection may have to carry it.
+            // Kept in case the connection is stale and the call has to be written on another one.
             connection.pending_call = call;
         }
         commands.push(Command::Reuse { conn, bytes });
         conn
     }
 
-    /// Opens a connection; what it is for is written once it is up.
+    /// Opens a connection. The request is written once the connection is established.
     fn open_connection(
         &mut self,
         now: Micros,
@@ -115,17 +116,19 @@
         conn
     }
 
-    /// How long an exchange other than an attempt waits for its answer, seconds.
+    /// Response timeout of a health check or a release call, seconds. An attempt has a timer of its own.
     fn response_timeout_s(&self, usage: ConnectionUse) -> Option<f64> {
         match usage {
-            // As long as for a connection: a server that says nothing to a health check in that time is as good as silent.
+            // Same as the connect timeout: a server that sends no response to a health check in that time counts as
+            // unresponsive.
             ConnectionUse::HealthCheck { .. } => Some(self.bounds.connect_timeout_s),
             ConnectionUse::Release { id, .. } => Some(self.releases.response_timeout_s(id)),
             ConnectionUse::Attempt { .. } | ConnectionUse::Idle => None,
         }
     }
 
-    /// A connection that was to be used again is of no use: what was to go out on it takes another one.
+    /// Handles an idle connection that turned out to be closed or unusable: the exchange starts again on another
+    /// connection.
     pub(super) fn on_server_connection_stale(
         &mut self,
         now: Micros,
@@ -140,7 +143,7 @@
             address: connection.address,
         };
         let usage = connection.usage;
-        if !self.still_wanted(connection.server, usage) {
+        if !self.is_still_needed(connection.server, usage) {
             return self.on_exchange_failed(now, usage, Outcome::ConnectFailed, commands);
         }
         let Some(other) =
@@ -159,9 +162,10 @@
         }
     }
 
-    /// Whether what waits for a connection is to go out. The list may have changed meanwhile: what drains gets nothing
-    /// new. An attempt begins with its last byte: none does once its request has its answer or its client has gone.
-    fn still_wanted(&self, server: ServerId, usage: ConnectionUse) -> bool {
+    /// Whether an exchange that waited for a connection should still be sent. The endpoint list may have changed while
+    /// it waited, and a draining server gets no new attempts. An attempt starts when its last byte is written, so none
+    /// is sent for a request that has been answered or whose client has disconnected.
+    fn is_still_needed(&self, server: ServerId, usage: ConnectionUse) -> bool {
         let ConnectionUse::Attempt { request, .. } = usage else {
             return true;
         };
@@ -189,7 +193,7 @@
         connection.connected = true;
         let waiting = std::mem::take(&mut connection.pending_call);
         let (server, usage) = (connection.server, connection.usage);
-        if !self.still_wanted(server, usage) {
+        if !self.is_still_needed(server, usage) {
             self.close_server_connection(conn, commands);
             return self.on_exchange_failed(now, usage, Outcome::ConnectFailed, commands);
         }
@@ -200,8 +204,8 @@
         commands.push(Command::Write { conn, bytes });
     }
 
-    /// What goes out now: an attempt's request says how long its server has, which is no more than the client has left,
-    /// however long a connection took to come up; anything else goes out as it was given.
+    /// Builds the bytes to write now. An attempt's request carries the time that the server has left, which excludes
+    /// the time spent connecting. Health checks and release calls are written as given.
     fn bytes_to_write(&self, now: Micros, usage: ConnectionUse, call: &[u8]) -> Vec<u8> {
         let ConnectionUse::Attempt {
             request,
@@ -226,7 +230,7 @@
         }
     }
 
-    /// A connection that has not come up in time, or an exchange other than an attempt without an answer.
+    /// Handles a connect timeout, or the response timeout of a health check or a release call.
     pub(super) fn on_server_timeout(
         &mut self,
         now: Micros,
@@ -248,7 +252,7 @@
         self.on_exchange_failed(now, usage, outcome, commands);
     }
 
-    pub(super) fn on_server_ended(
+    pub(super) fn on_server_closed(
         &mut self,
         now: Micros,
         conn: ConnId,
@@ -281,7 +285,7 @@
                 self.finish_health_check(now, server, outcome, Vec::new())
             }
             ConnectionUse::Release { id, server, .. } => {
-                self.release_failed(now, id, server, outcome, commands)
+                self.on_release_failed(now, id, server, outcome, commands)
             }
         }
     }
@@ -299,7 +303,7 @@
         connection.last_received = Some(now);
         let usage = connection.usage;
         if usage == ConnectionUse::Idle {
-            // Nothing was asked: whatever this is, the next answer could not be told from it.
+            // Unexpected bytes on an idle connection could not be told apart from the response to the next request.
             return self.close_server_connection(conn, commands);
         }
         match connection.response.receive(bytes) {
@@ -325,7 +329,7 @@
         }
     }
 
-    /// Closes connections to a server that nothing is in flight on.
+    /// Closes all idle connections to a server.
     pub(super) fn close_idle_connections(&mut self, server: ServerId, commands: &mut Vec<Command>) {
         for conn in self.pool.idle_connections_to(server) {
             self.close_server_connection(conn, commands);
@@ -404,7 +408,7 @@
                 id,
                 server,
                 started_at: begun,
-            } => self.release_answered(now, id, server, begun, complete.status, commands),
+            } => self.on_release_response(now, id, server, begun, complete.status, commands),
         }
     }
 }
--- a/crates/platform/src/node/health_check_calls.rs
+++ b/crates/platform/src/node/health_check_calls.rs
@@ -1,4 +1,4 @@
-//! Health checks of model servers, as the decision module asks for them.
+//! Runs the health checks of model servers that the decision module requests.
 
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::{Event, Outcome, ServerId};
--- a/crates/platform/src/node/mod.rs
+++ b/crates/platform/src/node/mod.rs
@@ -1,7 +1,8 @@
-//! The node: it gives what happens on its connections to the decision module and performs the module's actions.
+//! The node: passes events on its connections to the decision module and carries out the module's actions.
 //!
-//! Whether, where and when to send, refuse, check or cancel is decided by the module alone. Each part of the state has
-//! one owner, a field of [`Node`]; the modules below pass inputs and actions on to these parts.
+//! The decision module alone decides whether, where and when to send a request, reject it, check a server's health or
+//! cancel an attempt. Each part of the state is owned by one field of [`Node`]; the submodules pass inputs and actions
+//! to that owner.
 
 mod attempts;
 mod client_requests;
@@ -36,14 +37,14 @@
 use crate::timer::Timer;
 use crate::types::{Command, ConnId, Input, Level};
 
-/// Interval between two sweeps over connections and streams, seconds.
+/// Interval between two checks for overdue clients, expired idle connections and stalled streams, seconds.
 const SWEEP_SECS: f64 = 0.2;
 
 fn log(commands: &mut Vec<Command>, level: Level, text: String) {
     commands.push(Command::Log { level, text });
 }
 
-/// One dispatcher on the platform.
+/// One dispatcher, without I/O. See [`Node::step`].
 pub struct Node {
     decisions: Decisions,
     discovery: DiscoveryClient,
@@ -56,7 +57,7 @@
     peers: Peers,
     shutdown: Shutdown,
     timers: Timers<Timer>,
-    /// What the decision module has not been given yet.
+    /// Events that have not been passed to the decision module yet.
     events: VecDeque<Event>,
     counts: RequestCounts,
     counts_log: CountsLog,
@@ -64,23 +65,24 @@
     names: Names,
     bounds: Bounds,
     limits: Limits,
-    /// Roles of model servers, by the numbers of their kinds.
+    /// Role of each kind of model server, indexed by the kind's number.
     roles: Vec<Role>,
 }
 
 impl Node {
-    /// A node with nothing in hand; the configuration's list counts until discovery speaks.
+    /// Creates a node without clients or requests. It uses the endpoint list from the configuration until discovery
+    /// sends one.
     pub fn new(now: Micros, config: Config, commands: &mut Vec<Command>) -> Node {
-        Node::begin(now, config, false, commands)
+        Node::build(now, config, false, commands)
     }
 
-    /// The same, keeping every event that the decision module is given with its answer, to be held against what passes on the
-    /// sockets; [`Node::take_trace`] has to be called now and then.
+    /// Like [`Node::new`], but records every event with the actions that the decision module returned, so that they can
+    /// be compared with the traffic on the sockets. The record grows until [`Node::take_trace`] is called.
     pub fn traced(now: Micros, config: Config, commands: &mut Vec<Command>) -> Node {
-        Node::begin(now, config, true, commands)
+        Node::build(now, config, true, commands)
     }
 
-    fn begin(now: Micros, config: Config, traced: bool, commands: &mut Vec<Command>) -> Node {
+    fn build(now: Micros, config: Config, traced: bool, commands: &mut Vec<Command>) -> Node {
         let connections = ConnectionLimits::of(&config.limits);
         let deadlines = config.settings.classes.iter().map(|c| c.deadline_s);
         let schedule = ShutdownSchedule::new(deadlines.fold(0.0, f64::max), config.bounds.resumes);
@@ -115,37 +117,39 @@
         }
         node.timers.set(now, Timer::DiscoveryWatch);
         node.timers.set(now.after(SWEEP_SECS), Timer::Sweep);
-        node.settle(now, commands);
+        node.process_events(now, commands);
         node
     }
 
-    /// From now on, each request that is refused, failed, tried again or late leaves a line that says why.
+    /// Enables the access log: from now on, each request that was rejected, failed, retried or late gets a line with
+    /// the reason.
     pub fn enable_access_log(&mut self, access_log: AccessLog) {
         self.decisions.enable_access_log(access_log);
     }
 
-    /// What was kept since the last call.
+    /// Returns the events and actions recorded since the last call.
     pub fn take_trace(&mut self) -> Vec<Traced> {
         self.decisions.take_trace()
     }
 
-    /// An id for a connection that a client opens.
+    /// Allocates an id for a connection that a client opens.
     pub fn next_conn(&mut self) -> ConnId {
         self.last_conn += 1;
         ConnId(self.last_conn)
     }
 
-    /// When [`Input::Tick`] is due.
+    /// Time of the earliest timer, at which [`Input::Tick`] is due.
     pub fn next_due(&self) -> Option<Micros> {
         self.timers.next()
     }
 
-    /// The list is known, from wherever it came.
+    /// Whether the node can take requests: an endpoint list is known, from the configuration or discovery, and no
+    /// shutdown was requested.
     pub fn ready(&self) -> bool {
-        self.discovery.is_known() && !self.shutdown.is_requested()
+        self.discovery.has_list() && !self.shutdown.is_requested()
     }
 
-    /// What the tables hold at present.
+    /// Current sizes of the node's tables.
     pub fn resource_usage(&self) -> ResourceUsage {
         ResourceUsage {
             requests: self.requests.len(),
@@ -158,37 +162,38 @@
         }
     }
 
-    /// What has happened since the start.
+    /// Totals since the node was created.
     pub fn counts(&self) -> RequestCounts {
         self.counts
     }
 
-    /// Takes one input at clock time `now` and appends what is to be done, in order. Timers act on [`Input::Tick`] alone:
-    /// what the system has told by a time is a fact, and a timer that is due by then decides on all of it. It must not
-    /// begin an attempt for a client that has gone, take for unsent what has left, or for silent a server that has answered.
+    /// Processes one input at clock time `now` and appends the resulting commands in order. Timers fire on
+    /// [`Input::Tick`] alone, after the other inputs of that time: a timer must not start an attempt for a client that
+    /// has disconnected, treat a written request as unsent, or treat a server that has responded as unresponsive.
     pub fn step(&mut self, now: Micros, input: Input, commands: &mut Vec<Command>) {
         match input {
             Input::Accepted { conn } => self.on_accepted(now, conn, commands),
             Input::Connected { conn } => self.on_connected(now, conn, commands),
             Input::Received { conn, bytes } => self.on_received(now, conn, bytes, commands),
-            Input::Wrote { conn, count } => self.on_wrote(now, conn, count, commands),
-            Input::Ended { conn } => self.on_ended(now, conn, commands),
+            Input::Wrote { conn, count } => self.on_written(now, conn, count, commands),
+            Input::Ended { conn } => self.on_closed(now, conn, commands),
             Input::Stale { conn } => self.on_server_connection_stale(now, conn, commands),
             Input::Datagram { from, data } => self.on_datagram(from, data),
             Input::Tick => self.run_due_timers(now, commands),
-            Input::Stop => self.stop(now, commands),
+            Input::Stop => self.start_shutdown(now, commands),
             Input::NotListening => self.stop_accepting(commands),
         }
-        self.settle(now, commands);
+        self.process_events(now, commands);
     }
 
-    /// A new configuration: a new address of discovery is called at once; list and requests are kept.
+    /// Applies a new configuration. If the address of discovery changed, the watch connects to the new one at once; the
+    /// endpoint list and open requests are kept.
     pub fn reload(&mut self, now: Micros, config: Config, commands: &mut Vec<Command>) {
         self.peers.replace(config.peers, config.broadcast_address);
         if self.discovery.set_address(now, config.discovery, commands) {
             self.drive_watch(now, commands);
         }
-        self.settle(now, commands);
+        self.process_events(now, commands);
     }
 
     fn run_due_timers(&mut self, now: Micros, commands: &mut Vec<Command>) {
@@ -199,7 +204,7 @@
             match due {
                 Timer::Router { label } => self.events.push_back(Event::Timer { label }),
                 Timer::AttemptTimeout { request, number } => {
-                    self.on_time_up(now, request, number, commands)
+                    self.on_attempt_timeout(now, request, number, commands)
                 }
                 Timer::ServerConnection { conn, since } => {
                     self.on_server_timeout(now, conn, since, commands)
@@ -209,15 +214,15 @@
                 Timer::DiscoveryWatch => self.drive_watch(now, commands),
                 Timer::StopAccepting => commands.push(Command::StopListening),
                 Timer::StreamsEnd => self.end_streams(now, commands),
-                // What is left is looked at below.
+                // The `finish_shutdown` call in `process_events` checks the release deadline.
                 Timer::ReleasesEnd => {}
             }
-            self.settle(now, commands);
+            self.process_events(now, commands);
         }
     }
 
-    /// Gives the decision module what has happened and performs its actions, until nothing is left.
-    fn settle(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    /// Passes events to the decision module and performs its actions until no event and no pipelined request is left.
+    fn process_events(&mut self, now: Micros, commands: &mut Vec<Command>) {
         while !self.events.is_empty() || self.clients.has_pipelined() {
             self.decide_all(now, commands);
             for conn in self.clients.take_pipelined() {
@@ -225,7 +230,7 @@
                 self.finish_if_not_accepting(conn, commands);
             }
         }
-        self.call_waiting_releases(now, commands);
+        self.call_deferred_releases(now, commands);
         self.requests.remove_complete();
         self.finish_shutdown(now, commands);
     }
@@ -242,45 +247,49 @@
                 commands.push(Command::AccessLog { text });
             }
             for action in actions.drain(..) {
-                self.perform(now, action, commands);
+                self.perform_action(now, action, commands);
             }
         }
     }
 
-    /// Ends a stop once nothing is in hand. Releases that no server confirms are waited for as long as a stop may take.
+    /// Completes the shutdown once no client, request or release is left. Releases that no server has confirmed are
+    /// waited for only until the release deadline.
     fn finish_shutdown(&mut self, now: Micros, commands: &mut Vec<Command>) {
-        let is_released = self.releases.is_empty() || self.shutdown.gives_up_releases(now);
+        let is_released = self.releases.is_empty() || self.shutdown.releases_timed_out(now);
         let is_idle = self.clients.is_empty() && self.requests.is_empty() && is_released;
         if self.shutdown.finish(is_idle) {
             commands.push(Command::Stopped);
         }
     }
 
-    fn perform(&mut self, now: Micros, action: Action, commands: &mut Vec<Command>) {
+    fn perform_action(&mut self, now: Micros, action: Action, commands: &mut Vec<Command>) {
         match action {
             Action::Send {
                 request,
                 server,
                 timeout_s,
-            } => self.send(now, request, server, timeout_s, commands),
-            Action::Cancel { request, attempt } => self.cancel(now, request, attempt, commands),
+            } => self.send_attempt(now, request, server, timeout_s, commands),
+            Action::Cancel { request, attempt } => {
+                self.cancel_attempt(now, request, attempt, commands)
+            }
             Action::Reject {
                 request,
                 retry_after_s,
-            } => self.refuse(now, request, retry_after_s, commands),
-            Action::Fail { request } => self.fail(now, request, commands),
-            Action::Release { request } => self.release(now, request, commands),
+            } => self.reject_request(now, request, retry_after_s, commands),
+            Action::Fail { request } => self.fail_request(now, request, commands),
+            Action::Release { request } => self.start_release(now, request, commands),
             Action::Probe { server } => self.start_health_check(now, server, commands),
             Action::SetTimer { at, label } => {
                 self.timers.set(Micros::at(at), Timer::Router { label })
             }
-            // The watch is always open; the whole list comes with it after a gap.
+            // The watch is always open, and discovery sends the full list after an interruption.
             Action::Subscribe | Action::Unsubscribe | Action::FetchList => {}
             Action::ReserveSlot { .. } | Action::Migrate { .. } => {
                 log(
                     commands,
                     Level::Warn,
-                    "the module asked for what the platform has no call for".into(),
+                    "the decision module requested an action that the platform does not support"
+                        .into(),
                 );
             }
             Action::CloseIdle { server } => self.close_idle_connections(server, commands),
@@ -323,7 +332,7 @@
         commands: &mut Vec<Command>,
     ) {
         if self.discovery.owns_connection(conn) {
-            self.on_discovery(now, bytes, commands);
+            self.on_watch_bytes(now, bytes, commands);
         } else if self.pool.get(conn).is_some() {
             self.on_server_bytes(now, conn, bytes, commands);
         } else {
@@ -331,31 +340,31 @@
         }
     }
 
-    fn on_wrote(&mut self, now: Micros, conn: ConnId, count: usize, commands: &mut Vec<Command>) {
+    fn on_written(&mut self, now: Micros, conn: ConnId, count: usize, commands: &mut Vec<Command>) {
         if let Some(connection) = self.pool.get_mut(conn) {
             connection.unsent_bytes = connection.unsent_bytes.saturating_sub(count);
         } else {
-            self.on_client_wrote(now, conn, count, commands);
+            self.on_client_written(now, conn, count, commands);
         }
     }
 
-    fn on_ended(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
+    fn on_closed(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
         if self.discovery.owns_connection(conn) {
-            self.on_watch_ended(now, commands);
+            self.on_watch_closed(now, commands);
         } else if self.pool.get(conn).is_some() {
-            self.on_server_ended(now, conn, commands);
+            self.on_server_closed(now, conn, commands);
         } else {
-            self.on_client_ended(now, conn, commands);
+            self.on_client_closed(now, conn, commands);
         }
     }
 
     fn sweep(&mut self, now: Micros, commands: &mut Vec<Command>) {
         for conn in self.clients.overdue(now) {
-            self.reject(conn, 408, "no whole request in time", commands);
+            self.reject_and_close(conn, 408, "no whole request in time", commands);
         }
-        for conn in self.clients.stuck(now) {
+        for conn in self.clients.stalled(now) {
             commands.push(Command::Close { conn });
-            self.on_client_ended(now, conn, commands);
+            self.on_client_closed(now, conn, commands);
         }
         let endpoints = self.discovery.endpoints();
         let is_listed = |connection: &ServerConnection| {
@@ -372,7 +381,7 @@
         self.timers.set(now.after(SWEEP_SECS), Timer::Sweep);
     }
 
-    fn stop(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    fn start_shutdown(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let Some(times) = self.shutdown.begin(now) else {
             return;
         };
@@ -380,7 +389,7 @@
         log(
             commands,
             Level::Info,
-            format!("stopping with {requests} requests in hand"),
+            format!("shutting down with {requests} open requests"),
         );
         self.timers.set(times.releases_end, Timer::ReleasesEnd);
         self.timers.set(times.stop_accepting, Timer::StopAccepting);
@@ -389,7 +398,8 @@
         }
     }
 
-    /// Takes nothing new from here on: idle clients go elsewhere; those with a request open are told with its answer.
+    /// Stops accepting requests and closes the connections of idle clients. Clients with an open request are closed
+    /// after their response.
     fn stop_accepting(&mut self, commands: &mut Vec<Command>) {
         self.shutdown.stop_accepting();
         for conn in self.clients.idle() {
@@ -397,8 +407,8 @@
         }
     }
 
-    /// A client just answered while stopping goes elsewhere, unless a complete request of its that was pipelined has been
-    /// read: that one has to have its answer as well.
+    /// Closes a client's connection after its response during shutdown, unless a complete pipelined request from it has
+    /// just been read; that request must be answered too.
     fn finish_if_not_accepting(&mut self, conn: ConnId, commands: &mut Vec<Command>) {
         if !self.shutdown.is_accepting()
             && self
--- a/crates/platform/src/node/streams.rs
+++ b/crates/platform/src/node/streams.rs
@@ -1,4 +1,4 @@
-//! Streams that end before their model server ends them.
+//! Streams that the dispatcher ends before the model server does.
 
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::{Outcome, RequestId};
@@ -6,12 +6,12 @@
 use super::Node;
 use crate::types::{Command, ConnId};
 
-/// A stream whose model server has sent nothing for this long has broken, seconds. The platform counts a client left
-/// waiting for 5 s as lost.
+/// Time without bytes from the model server after which a stream counts as broken, seconds. The platform counts a
+/// client that waits 5 s as lost.
 const STREAM_STALL_SECS: f64 = 4.4;
 
 impl Node {
-    /// Nobody reads this stream any more.
+    /// Cancels the attempt of a stream whose client no longer receives it.
     pub(super) fn cancel_stream(
         &mut self,
         now: Micros,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Ends all running streams, for their clients to ask for the rest elsewhere.
+    /// Ends all running streams during shutdown, so that their clients request the rest from another dispatcher.
     pub(super) fn end_streams(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let running = self
             .requests
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Streams whose servers have gone silent are ended, so that their clients can ask for the rest.
+    /// Ends streams whose model servers have stopped sending, so that their clients can request the rest. Streams
+    /// paused by a slow client are left alone.
     pub(super) fn break_stalled_streams(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let backpressured =
             |conn: Option<ConnId>| conn.is_some_and(|c| self.clients.is_backpressured(c));
--- a/crates/platform/src/peers.rs
+++ b/crates/platform/src/peers.rs
@@ -5,7 +5,7 @@
 /// Longest datagram between dispatchers, bytes.
 const MAX_DATAGRAM: usize = 256;
 
-/// The other dispatchers, by their numbers in the settings.
+/// Addresses of all dispatchers, indexed by their numbers in the settings.
 #[derive(Debug)]
 pub(crate) struct Peers {
     addresses: Vec<SocketAddr>,
@@ -15,7 +15,7 @@
 }
 
 impl Peers {
-    /// `own_number` is this dispatcher's; `enabled` whether the settings allow datagrams.
+    /// `own_number` is this dispatcher's number; `enabled` tells whether the settings allow datagrams.
     pub(crate) fn new(
         addresses: Vec<SocketAddr>,
         broadcast: Option<SocketAddr>,
@@ -30,12 +30,13 @@
         }
     }
 
-    /// Takes over the addresses of a new configuration.
+    /// Replaces the addresses with those of a new configuration.
     pub(crate) fn replace(&mut self, addresses: Vec<SocketAddr>, broadcast: Option<SocketAddr>) {
         (self.addresses, self.broadcast) = (addresses, broadcast);
     }
 
-    /// Where a datagram of `bytes` goes: to one peer, or to all where none is named. `None` where it may not be sent.
+    /// Returns the address for a datagram of `bytes` bytes: one peer's, or the broadcast address if `peer` is `None`.
+    /// Returns `None` if the datagram may not be sent.
     pub(crate) fn destination(&self, peer: Option<u16>, bytes: usize) -> Option<SocketAddr> {
         let to = match peer {
             Some(number) => self.addresses.get(usize::from(number)).copied(),
@@ -44,8 +45,8 @@
         to.filter(|_| self.enabled && bytes <= MAX_DATAGRAM)
     }
 
-    /// The number of the peer that a datagram of `bytes` came from. A broadcast comes back to its sender, so that
-    /// datagrams of this dispatcher's own are dropped.
+    /// Returns the number of the peer that sent a datagram of `bytes` bytes. Broadcasts come back to their sender, so
+    /// datagrams from this dispatcher itself give `None`.
     pub(crate) fn sender(&self, from: SocketAddr, bytes: usize) -> Option<usize> {
         let number = self.addresses.iter().position(|p| *p == from)?;
         (number != self.own_number && bytes <= MAX_DATAGRAM).then_some(number)
--- a/crates/platform/src/pool.rs
+++ b/crates/platform/src/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to model servers: one exchange at a time on each, kept between exchanges, never used again once
-//! anything is left over on them. Nothing is sent a second time here.
+//! Pool of connections to model servers. Each carries one exchange at a time and is kept for reuse, unless unread bytes
+//! are left on it. The pool never resends a request.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,48 +10,53 @@
 use crate::responses::ResponseReader;
 use crate::types::ConnId;
 
-/// Share of the idle limit for which a connection is kept: the other side counts from earlier on.
+/// Share of the server's idle timeout for which a connection is kept. The server starts counting earlier than the
+/// dispatcher does.
 const IDLE_LIMIT_FRACTION: f64 = 0.8;
 
-/// A connection that has brought an answer rests for this long before it is used again, seconds: a server may send a
-/// second answer some milliseconds late, which would be taken for that of the next request. What comes while it rests
-/// closes it. Longer than that and a few turns of a busy process; few connections are asked for again so soon.
+/// Time after a response before its connection is reused, seconds. A server may send a duplicate response some
+/// milliseconds late, which would be taken for the response to the next request; bytes that arrive during this time
+/// close the connection. The time covers such delays and a few iterations of a busy event loop, and connections are
+/// rarely needed again this soon.
 pub const REUSE_DELAY_SECS: f64 = 0.03;
 
-/// A server counts as silent once it has said nothing for so long after it was asked, seconds.
-const SILENT_SECS: f64 = 0.1;
+/// Time without a response after which a server counts as unresponsive, seconds.
+const UNRESPONSIVE_AFTER_SECS: f64 = 0.1;
 
-/// Connections that releases of held states find free, whatever attempts wait: a share of all, within bounds.
+/// Divisor of the connection limit that gives the number of connections reserved for releases, which attempts cannot
+/// use.
 const RESERVED_DIVISOR: usize = 8;
+/// Fewest connections reserved for releases.
 const MIN_RESERVED: usize = 1;
+/// Most connections reserved for releases.
 const MAX_RESERVED: usize = 16;
 
-/// What a connection is used for.
+/// What a connection is currently used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionUse {
-    /// Nothing is in flight on it.
+    /// No exchange is in flight on the connection.
     Idle,
-    /// An attempt, which is waited for until then.
+    /// An attempt of a request.
     Attempt {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
         /// Number of the attempt within the request.
         number: u16,
-        /// Time of its timeout.
+        /// When the attempt times out.
         times_out_at: Micros,
     },
-    /// A health check.
+    /// A health check of a model server.
     HealthCheck {
-        /// The server that is checked.
+        /// Id of the server that is checked.
         server: ServerId,
     },
-    /// A call that lets go of a held state.
+    /// A call that releases KV cache state.
     Release {
-        /// Number of the release.
+        /// Id of the release.
         id: u64,
-        /// The server that is called.
+        /// Id of the server that is called.
         server: ServerId,
-        /// When the call began.
+        /// When the call started.
         started_at: Micros,
     },
 }
@@ -59,29 +64,29 @@
 /// One connection to a model server.
 #[derive(Debug)]
 pub struct ServerConnection {
-    /// Address of the server.
+    /// Socket address of the server.
     pub address: SocketAddr,
-    /// The server.
+    /// Id of the server.
     pub server: ServerId,
-    /// Whether it is connected.
+    /// Whether the connection is established.
     pub connected: bool,
-    /// What it is used for.
+    /// What the connection is currently used for.
     pub usage: ConnectionUse,
-    /// Since this use began.
+    /// When the current use began.
     pub in_use_since: Micros,
-    /// What is to be written once it is up, or once more elsewhere if it proves stale; empty for an attempt, whose
-    /// request is made when it can be written.
+    /// Request bytes of a health check or release, written once the connection is established, or on another connection
+    /// if this one is stale. Empty for an attempt, whose request is built when it can be written.
     pub pending_call: Vec<u8>,
-    /// Bytes given to it that have not gone to the system.
+    /// Bytes written to the connection that the operating system has not accepted yet.
     pub unsent_bytes: usize,
-    /// Reader of the response.
+    /// Parser for the response.
     pub response: ResponseReader,
-    /// When anything came on it last.
+    /// When bytes last arrived on the connection.
     pub last_received: Option<Micros>,
 }
 
 impl ServerConnection {
-    /// The request's last byte has gone out.
+    /// Whether the request's last byte has been handed to the operating system.
     pub fn written(&self) -> bool {
         self.connected && self.unsent_bytes == 0
     }
@@ -92,12 +97,12 @@
 pub struct ConnectionPool {
     server_connections: BTreeMap<ConnId, ServerConnection>,
     limit: usize,
-    /// Of those, kept free for releases.
+    /// Number of connections, out of the limit, that only releases may use.
     reserved: usize,
     max_idle_s: f64,
 }
 
-/// What the connections tell of servers at one time.
+/// Snapshot of what the connections show about each server's responsiveness.
 #[derive(Debug, Default)]
 pub struct PoolActivity {
     servers: BTreeMap<ServerId, ServerActivity>,
@@ -107,17 +112,18 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct ServerActivity {
     last_received: Option<Micros>,
-    /// Since when the oldest exchange there has had no answer.
-    unanswered: Option<Micros>,
+    /// Start of the oldest exchange with the server that has had no response.
+    waiting_since: Option<Micros>,
 }
 
 impl PoolActivity {
-    /// The server was asked a while ago, and has said nothing since on any connection.
+    /// Whether the server has not responded to an exchange for `UNRESPONSIVE_AFTER_SECS` and has sent nothing since its
+    /// start on any connection.
     pub fn is_unresponsive(&self, now: Micros, server: ServerId) -> bool {
         let activity = self.servers.get(&server).copied().unwrap_or_default();
         let waits = activity
-            .unanswered
-            .filter(|since| now.since(*since) >= SILENT_SECS);
+            .waiting_since
+            .filter(|since| now.since(*since) >= UNRESPONSIVE_AFTER_SECS);
         waits.is_some_and(|since| {
             activity
                 .last_received
@@ -125,42 +131,42 @@
         })
     }
 
-    /// When it was heard of last.
+    /// When bytes from the server last arrived on any connection.
     pub fn last_received(&self, server: ServerId) -> Option<Micros> {
         self.servers.get(&server).and_then(|c| c.last_received)
     }
 
-    /// Since when the connection that may carry the next exchange has stood idle.
+    /// Since when the connection that would carry the next exchange has been idle.
     pub fn idle_since(&self, server: ServerId, to: SocketAddr) -> Option<Micros> {
         self.idle_since.get(&(server, to)).copied()
     }
 }
 
-/// A model server and its address at one time.
+/// A model server's id and socket address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerAddress {
-    /// The server.
+    /// Id of the server.
     pub server: ServerId,
-    /// Where it listens.
+    /// Socket address of the server.
     pub address: SocketAddr,
 }
 
-/// Where an exchange can go out.
+/// Which connection an exchange can use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// On a connection that stood idle.
+    /// This idle connection.
     Idle(ConnId),
-    /// On a new one; another has to be closed for it first, perhaps.
+    /// A new connection.
     New {
-        /// An idle connection that is closed for it.
+        /// Idle connection that has to be closed first, if the pool is full.
         replaces: Option<ConnId>,
     },
-    /// All connections are in use.
+    /// None: all connections are in use.
     Full,
 }
 
 impl ConnectionPool {
-    /// With room for so many, kept below an idle limit in seconds.
+    /// Creates a pool of at most `limit` connections; `idle_s` is the idle timeout of the model servers, seconds.
     pub fn new(limit: usize, idle_s: f64) -> ConnectionPool {
         let limit = limit.max(4);
         ConnectionPool {
@@ -171,7 +177,7 @@
         }
     }
 
-    /// How many of so many connections are kept free for releases.
+    /// Number of connections reserved for releases in a pool of `limit` connections.
     pub fn reserved(limit: usize) -> usize {
         (limit / RESERVED_DIVISOR).clamp(MIN_RESERVED, MAX_RESERVED)
     }
@@ -181,12 +187,13 @@
         self.server_connections.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no connections.
     pub fn is_empty(&self) -> bool {
         self.server_connections.is_empty()
     }
 
-    /// The idle and rested connection to an address that was used last: the likeliest to be alive.
+    /// Returns the idle connection to an address that was used last and is past `REUSE_DELAY_SECS`. The most recently
+    /// used one is the most likely to be alive.
     pub fn idle_connection(&self, now: Micros, to: SocketAddr) -> Option<ConnId> {
         let fits = |l: &ServerConnection| {
             l.address == to
@@ -200,7 +207,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// Where an exchange with a server can go out.
+    /// Chooses the connection for an exchange with the server at address `to`.
     pub fn place(&self, now: Micros, to: SocketAddr, usage: ConnectionUse) -> Placement {
         if let Some(conn) = self.idle_connection(now, to) {
             return Placement::Idle(conn);
@@ -217,7 +224,7 @@
             .map_or(Placement::Full, |id| Placement::New { replaces: Some(id) })
     }
 
-    /// The connection that has stood idle longest.
+    /// Returns the connection that has been idle longest.
     pub fn longest_idle(&self) -> Option<ConnId> {
         let idle = self
             .server_connections
@@ -226,7 +233,7 @@
         idle.min_by_key(|(_, l)| l.in_use_since).map(|(id, _)| *id)
     }
 
-    /// Whether a release can go out.
+    /// Whether a connection is available for a release.
     pub fn has_capacity(&self) -> bool {
         self.server_connections.len() < self.limit
             || self
@@ -235,7 +242,7 @@
                 .any(|l| l.usage == ConnectionUse::Idle)
     }
 
-    /// What they tell of servers now.
+    /// Takes a snapshot of the servers' activity on all connections.
     pub fn activity(&self, now: Micros) -> PoolActivity {
         let mut activity = PoolActivity::default();
         for connection in self.server_connections.values() {
@@ -247,9 +254,9 @@
                     .last_received
                     .is_none_or(|last_received| last_received < connection.in_use_since)
             {
-                server_activity.unanswered = Some(
+                server_activity.waiting_since = Some(
                     server_activity
-                        .unanswered
+                        .waiting_since
                         .map_or(connection.in_use_since, |since| {
                             since.min(connection.in_use_since)
                         }),
@@ -268,39 +275,40 @@
         activity
     }
 
-    /// Takes a connection in.
+    /// Adds a connection.
     pub fn insert(&mut self, conn: ConnId, connection: ServerConnection) {
         self.server_connections.insert(conn, connection);
     }
 
-    /// A connection by its id.
+    /// Looks up a connection by its id.
     pub fn get(&self, conn: ConnId) -> Option<&ServerConnection> {
         self.server_connections.get(&conn)
     }
 
-    /// The same, to be changed.
+    /// Looks up a connection by its id for modification.
     pub fn get_mut(&mut self, conn: ConnId) -> Option<&mut ServerConnection> {
         self.server_connections.get_mut(&conn)
     }
 
-    /// Removes a connection.
+    /// Removes a connection and returns it.
     pub fn remove(&mut self, conn: ConnId) -> Option<ServerConnection> {
         self.server_connections.remove(&conn)
     }
 
-    /// Idle connections that stood so long that the other side may close them, or whose server is not listed.
+    /// Idle connections that the server may soon close because of their idle time, or whose server is no longer listed
+    /// at that address.
     pub fn expired_idle(
         &self,
         now: Micros,
         listed: impl Fn(&ServerConnection) -> bool,
     ) -> Vec<ConnId> {
-        let gone = |l: &ServerConnection| {
+        let expired = |l: &ServerConnection| {
             l.usage == ConnectionUse::Idle
                 && (now.since(l.in_use_since) >= self.max_idle_s || !listed(l))
         };
         self.server_connections
             .iter()
-            .filter(|(_, l)| gone(l))
+            .filter(|(_, l)| expired(l))
             .map(|(id, _)| *id)
             .collect()
     }
--- a/crates/platform/src/releases.rs
+++ b/crates/platform/src/releases.rs
@@ -1,8 +1,8 @@
-//! Releases of held states: each is called for, at more and more model servers, until one of them has confirmed it.
+//! Releases of KV cache state: each is sent to a growing number of model servers until one has confirmed it.
 //!
-//! Any server takes a release, whoever holds the state. Which of them can be reached is not known while servers fall silent
-//! with no error, so a call without an answer is hedged soon: by one more, then two, then four and so on, those first
-//! that nothing speaks against. Once enough have been called a new round begins, with more patience.
+//! Any server accepts a release, whichever server holds the state. A server can become unreachable without an error, so
+//! an unanswered call is soon hedged with one more call, then two, four and so on, starting with the servers most
+//! likely to respond. Once the round has called enough servers, the next round starts with longer timeouts.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,101 +14,108 @@
 use crate::discovery::{Endpoint, Endpoints};
 use crate::pool::{ConnectionPool, PoolActivity};
 
-/// Servers called in one round.
+/// Most servers that are called in one round.
 const MAX_CALLS_PER_ROUND: usize = 32;
-/// Calls of one hedge double up to this.
-const MAX_HEDGED: usize = 16;
-/// A call waits for its answer for so long in the first round, twice as long in each further one, seconds.
-const ANSWER_SECS: f64 = 0.15;
-const MAX_ANSWER_SECS: f64 = 1.2;
-/// Pause before the second round, twice as long before each further one, seconds.
-const ROUND_SECS: f64 = 0.25;
-const MAX_ROUND_SECS: f64 = 2.0;
-/// Doublings that are told apart.
+/// Most calls in one hedge; hedges double in size up to this.
+const MAX_CALLS_PER_HEDGE: usize = 16;
+/// Response timeout of a call in the first round, seconds; it doubles with each round.
+const RESPONSE_TIMEOUT_SECS: f64 = 0.15;
+/// Longest response timeout of a release call, seconds.
+const MAX_RESPONSE_TIMEOUT_SECS: f64 = 1.2;
+/// Pause before the second round, seconds; it doubles before each further round.
+const ROUND_PAUSE_SECS: f64 = 0.25;
+/// Longest pause between two rounds of release calls, seconds.
+const MAX_ROUND_PAUSE_SECS: f64 = 2.0;
+/// Largest exponent used when a time or a hedge size is doubled.
 const MAX_DOUBLINGS: u32 = 8;
-/// A release that no server has confirmed by then is given up, seconds.
-const GIVE_UP_SECS: f64 = 60.0;
-/// Most requests whose states are being released at once; past them the oldest is given up.
-const MOST: usize = 1024;
-/// A server that has failed a call is called after the others for so long, seconds.
+/// Time after which an unconfirmed release is given up, seconds.
+const RELEASE_TIMEOUT_SECS: f64 = 60.0;
+/// Most releases that are open at once; beyond this the oldest is given up.
+const MAX_OPEN_RELEASES: usize = 1024;
+/// Time for which a server that failed a call is ranked after the others, seconds.
 const AVOID_AFTER_FAILURE_SECS: f64 = 2.0;
-/// What the platform allows for a release beyond the limit of the settings, seconds.
-const SLACK_SECS: f64 = 0.3;
+/// Time that the platform allows for a release in addition to the limit in the settings, seconds. A release confirmed
+/// later is logged.
+const LATE_AFTER_SECS: f64 = 0.3;
 
-/// A time that doubles so often, and no further than to its bound.
+/// Returns `first_s` doubled `times` times, but at most `max_s`.
 fn doubled(first_s: f64, times: u32, max_s: f64) -> f64 {
     (first_s * f64::from(1u32 << times.min(MAX_DOUBLINGS))).min(max_s)
 }
 
-/// One request's state that is to be released.
+/// Release of the KV cache state that is held for one request.
 #[derive(Debug)]
 pub struct Release {
     request: String,
-    begun: Micros,
-    /// Calls that began earlier prove nothing.
+    started_at: Micros,
+    /// Time from which a confirmation counts; calls that started earlier do not prove that the state was released.
     valid_from: Micros,
-    /// A call that began too early was confirmed: the next one is made at `valid_from`.
+    /// Set after a confirmed call that started before `valid_from`: the next call waits until then.
     waits_until_valid: bool,
     round: Round,
     /// Calls made in all rounds.
     calls: u32,
 }
 
-/// One round of calls, each at another server.
+/// One round of calls, each to a different server.
 #[derive(Debug, Default)]
 struct Round {
-    /// Rounds before this one.
+    /// Number of completed rounds.
     number: u32,
-    /// Hedges made, each of twice as many calls as the one before.
+    /// Hedges made in this round; each has twice as many calls as the one before, up to `MAX_CALLS_PER_HEDGE`.
     hedges: u32,
     called: BTreeSet<ServerId>,
 }
 
 impl Round {
-    /// The same round from its begin: all servers may be called once more.
+    /// Starts the round again: every server may be called once more.
     fn restart(&mut self) {
         self.hedges = 0;
         self.called.clear();
     }
 
-    /// Calls of the next hedge.
-    fn hedge(&mut self) -> usize {
+    /// Returns the number of calls of the next hedge.
+    fn next_hedge_size(&mut self) -> usize {
         let calls = 1usize << self.hedges.min(MAX_DOUBLINGS);
         self.hedges += 1;
-        calls.min(MAX_HEDGED)
+        calls.min(MAX_CALLS_PER_HEDGE)
     }
 
-    /// Goes on to the next round; gives the pause before it, seconds.
+    /// Moves on to the next round and returns the pause before it, seconds.
     fn advance(&mut self) -> f64 {
-        let pause_s = doubled(ROUND_SECS, self.number, MAX_ROUND_SECS);
+        let pause_s = doubled(ROUND_PAUSE_SECS, self.number, MAX_ROUND_PAUSE_SECS);
         self.number += 1;
         self.restart();
         pause_s
     }
 
-    /// How long a call of this round waits for its response, seconds.
+    /// Response timeout of a call in this round, seconds.
     fn response_timeout_s(&self) -> f64 {
-        doubled(ANSWER_SECS, self.number, MAX_ANSWER_SECS)
+        doubled(
+            RESPONSE_TIMEOUT_SECS,
+            self.number,
+            MAX_RESPONSE_TIMEOUT_SECS,
+        )
     }
 }
 
-/// The next call of a release.
+/// A release call to be made: the server and the request bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReleaseCall {
-    /// The model server to call.
+    /// Model server to call.
     pub server: ServerId,
-    /// Its address.
+    /// Socket address of the server.
     pub address: SocketAddr,
-    /// The request to write.
+    /// Bytes of the HTTP request.
     pub bytes: Vec<u8>,
 }
 
-/// A release that has just begun.
+/// Result of [`Releases::start`].
 #[derive(Debug)]
-pub struct Begun {
-    /// Its number.
+pub struct StartedRelease {
+    /// Id of the new release.
     pub id: u64,
-    /// The oldest one, given up for it at the table's bound.
+    /// The oldest release, given up because the table was full.
     pub dropped: Option<Release>,
 }
 
@@ -116,7 +123,7 @@
     fn new(now: Micros, valid_from: Micros, request: String) -> Release {
         Release {
             request,
-            begun: now,
+            started_at: now,
             valid_from,
             waits_until_valid: false,
             round: Round::default(),
@@ -124,21 +131,21 @@
         }
     }
 
-    /// A line for the log once a server has confirmed it, where that took longer than the platform allows.
-    pub(crate) fn late_line(&self, now: Micros, server: ServerId) -> Option<String> {
-        let (took_s, calls) = (now.since(self.begun), self.calls);
+    /// Log line for a confirmed release that took longer than `LATE_AFTER_SECS`; `None` if it was in time.
+    pub(crate) fn late_log_line(&self, now: Micros, server: ServerId) -> Option<String> {
+        let (took_s, calls) = (now.since(self.started_at), self.calls);
         let line = || {
             format!(
                 "state of {} released late: {took_s:.3} s, {calls} calls, by {server}",
                 self.request
             )
         };
-        (took_s > SLACK_SECS).then(line)
+        (took_s > LATE_AFTER_SECS).then(line)
     }
 
-    /// A line for the log where no server has confirmed it.
-    pub(crate) fn unconfirmed_line(&self, now: Micros, why: &str) -> String {
-        let (took_s, calls) = (now.since(self.begun), self.calls);
+    /// Log line for a release that no server has confirmed.
+    pub(crate) fn unconfirmed_log_line(&self, now: Micros, why: &str) -> String {
+        let (took_s, calls) = (now.since(self.started_at), self.calls);
         format!(
             "state of {} may still be held: {why} after {took_s:.3} s and {calls} calls",
             self.request
@@ -146,11 +153,11 @@
     }
 }
 
-/// Order in which servers are called: an idle connection carries a call at once, and a server that has responded of
-/// late is likeliest to respond. The fields are compared in their order.
+/// Order in which servers are called, comparing the fields from first to last: an idle connection carries the call
+/// without a connect, and a server that has responded recently is most likely to respond again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CallRank {
-    is_silent: bool,
+    is_unresponsive: bool,
     idle_since: Reverse<Option<Micros>>,
     last_received: Reverse<Option<Micros>>,
     is_not_ready: bool,
@@ -158,67 +165,68 @@
     to: SocketAddr,
 }
 
-/// All that are under way.
+/// All open releases.
 #[derive(Debug, Default)]
 pub struct Releases {
     open: BTreeMap<u64, Release>,
-    /// Those whose call found all connections in use.
-    waiting: BTreeSet<u64>,
-    /// Servers that have failed a call, and when last.
+    /// Releases whose next call is waiting for a free connection.
+    deferred: BTreeSet<u64>,
+    /// Servers that failed a call, with the time of the last failure.
     failed: BTreeMap<ServerId, Micros>,
-    last: u64,
+    last_id: u64,
 }
 
 impl Releases {
-    /// Whether none is under way.
+    /// Whether no release is open.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// How many are under way.
+    /// Number of open releases.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Begins one, which a call proves that began at a time or later; gives its number, and the one that had to give
-    /// way at the table's bound.
-    pub fn start(&mut self, now: Micros, valid_from: Micros, request: String) -> Begun {
-        let dropped = if self.open.len() >= MOST {
+    /// Starts a release that only calls made from `valid_from` on can confirm. If the table is full, the oldest release
+    /// is given up and returned with the new id.
+    pub fn start(&mut self, now: Micros, valid_from: Micros, request: String) -> StartedRelease {
+        let dropped = if self.open.len() >= MAX_OPEN_RELEASES {
             self.open.pop_first()
         } else {
             None
         };
-        self.last += 1;
+        self.last_id += 1;
         self.open
-            .insert(self.last, Release::new(now, valid_from, request));
-        Begun {
-            id: self.last,
+            .insert(self.last_id, Release::new(now, valid_from, request));
+        StartedRelease {
+            id: self.last_id,
             dropped: dropped.map(|(_, release)| release),
         }
     }
 
     pub(crate) fn finish(&mut self, id: u64) -> Option<Release> {
-        self.waiting.remove(&id);
+        self.deferred.remove(&id);
         self.open.remove(&id)
     }
 
-    /// A call could not go out: its server is not asked yet, and it waits for a connection.
+    /// Records that a call could not be sent: the server counts as not called, and the release waits for a free
+    /// connection.
     pub(crate) fn defer(&mut self, id: u64, server: ServerId) {
         if let Some(release) = self.open.get_mut(&id) {
             release.round.called.remove(&server);
             release.calls -= 1;
-            self.waiting.insert(id);
+            self.deferred.insert(id);
         }
     }
 
-    /// How long a call waits for its answer, seconds.
+    /// Response timeout of a call of this release, seconds.
     pub fn response_timeout_s(&self, id: u64) -> f64 {
         let first = Round::default();
         let round = self.open.get(&id).map_or(&first, |release| &release.round);
         round.response_timeout_s()
     }
 
-    /// The next call; `None` once enough servers were called in this round or none is left.
+    /// Chooses the next server to call. Returns `None` once the round has called enough servers or none is left.
     pub fn next_call(
         &mut self,
         id: u64,
@@ -261,7 +269,7 @@
         let failed_at = self.failed.get(&server);
         let failed = failed_at.is_some_and(|at| now.since(*at) < AVOID_AFTER_FAILURE_SECS);
         CallRank {
-            is_silent: ages.is_unresponsive(now, server) || failed,
+            is_unresponsive: ages.is_unresponsive(now, server) || failed,
             idle_since: Reverse(ages.idle_since(server, endpoint.address)),
             last_received: Reverse(ages.last_received(server)),
             is_not_ready: endpoint.status != ServerStatus::Ready,
@@ -270,20 +278,20 @@
         }
     }
 
-    /// A release whose call found all connections in use, the oldest first; it waits no longer.
-    pub(crate) fn next_waiting(&mut self) -> Option<u64> {
-        self.waiting.pop_first()
+    /// Removes and returns the oldest release that is waiting for a free connection.
+    pub(crate) fn next_deferred(&mut self) -> Option<u64> {
+        self.deferred.pop_first()
     }
 
-    pub(crate) fn is_waiting(&self, id: u64) -> bool {
-        self.waiting.contains(&id)
+    pub(crate) fn is_deferred(&self, id: u64) -> bool {
+        self.deferred.contains(&id)
     }
 
     pub(crate) fn is_open(&self, id: u64) -> bool {
         self.open.contains_key(&id)
     }
 
-    /// A server has confirmed a call.
+    /// Clears the recorded failure of a server that has confirmed a call.
     pub(crate) fn forget_failure(&mut self, server: ServerId) {
         self.failed.remove(&server);
     }
@@ -294,7 +302,8 @@
         self.failed.insert(server, now);
     }
 
-    /// A confirmed call began too early to prove anything: it is made once more when it can.
+    /// Returns true if a confirmed call started before `valid_from` and so proves nothing; the release is then called
+    /// again from that time on.
     pub(crate) fn retry_if_too_early(&mut self, id: u64, begun: Micros) -> bool {
         let Some(release) = self.open.get_mut(&id).filter(|r| begun < r.valid_from) else {
             return false;
@@ -304,7 +313,7 @@
         true
     }
 
-    /// When the next call is to be made, where that is later than now.
+    /// Returns the time of the next call if a release has to wait for `valid_from`, or `None` if it may be called now.
     pub(crate) fn delayed_until(&mut self, id: u64, now: Micros) -> Option<Micros> {
         let release = self.open.get_mut(&id).filter(|r| r.waits_until_valid)?;
         if now < release.valid_from {
@@ -314,18 +323,19 @@
         None
     }
 
-    /// Calls that a hedge makes, twice as many each time.
-    pub(crate) fn hedge(&mut self, id: u64) -> usize {
+    /// Returns the number of calls in the next hedge, which doubles each time; 0 if the release is closed.
+    pub(crate) fn next_hedge_size(&mut self, id: u64) -> usize {
         let release = self.open.get_mut(&id);
-        release.map_or(0, |release| release.round.hedge())
+        release.map_or(0, |release| release.round.next_hedge_size())
     }
 
-    /// All servers of a round were called: the next one begins after this pause, seconds. `None` where it is given up.
+    /// Ends a round in which all servers were called and returns the pause before the next one, seconds. Returns `None`
+    /// if the release has timed out or is closed.
     pub(crate) fn next_round(&mut self, id: u64, now: Micros) -> Option<f64> {
         let release = self
             .open
             .get_mut(&id)
-            .filter(|r| now.since(r.begun) < GIVE_UP_SECS)?;
+            .filter(|r| now.since(r.started_at) < RELEASE_TIMEOUT_SECS)?;
         Some(release.round.advance())
     }
 }
