--- a/crates/platform/src/requests.rs
+++ b/crates/platform/src/requests.rs
@@ -1,4 +1,4 @@
-//! A client's request as the platform writes it, and what is held for it while it is open.
+//! Parsing of client requests, and the state kept for each request while it is open.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,27 +11,27 @@
 use crate::http1::RequestHead;
 use crate::types::ConnId;
 
-/// The one path on which clients ask.
-const PATH: &str = "/v1/chat/completions";
-/// Longest id of a request, characters.
-const MAX_ID: usize = 64;
-/// Longest deadline that is believed, milliseconds: an hour.
+/// The only path that clients may request.
+const COMPLETIONS_PATH: &str = "/v1/chat/completions";
+/// Longest request id, characters.
+const MAX_ID_CHARS: usize = 64;
+/// Longest accepted deadline, milliseconds (one hour).
 const MAX_DEADLINE_MS: u64 = 3_600_000;
-/// Characters of a token, as the platform counts.
-const TOKEN_CHARS: f64 = 4.0;
-/// Most tokens that a length may name.
+/// Characters per token, the ratio that the platform uses.
+const CHARS_PER_TOKEN: f64 = 4.0;
+/// Largest token count that a request may state.
 const MAX_TOKENS: f64 = 1e7;
 
-/// Why a request cannot be taken.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
     /// HTTP status of the response.
     pub status: u16,
-    /// Text of the response.
+    /// Text of the response body.
     pub reason: &'static str,
 }
 
-/// A rejection of a request that is not well formed.
+/// Rejection of a malformed request, with status 400.
 fn bad_request(reason: &'static str) -> Rejection {
     Rejection {
         status: 400,
@@ -39,25 +39,25 @@
     }
 }
 
-/// What a request's head says of it.
+/// The information in a request's head.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedRequest {
-    /// `Req-Id`.
+    /// Client's id of the request, from `Req-Id`.
     pub id: String,
-    /// For the module; its id is given later.
+    /// Request for the decision module; its numeric id is assigned later.
     pub request: policy::Request,
 }
 
-/// Reads a request's head against the deployment's names.
+/// Parses a request's head using the class and tenant names of the deployment.
 ///
 /// # Errors
-/// What a client is told: the path or method is not served, or a field is missing or cannot be read.
+/// The rejection to send to the client: unknown path or method, or a header field that is missing or invalid.
 pub fn parse_request(
     head: &RequestHead,
     body_bytes: usize,
     names: &Names,
 ) -> Result<ParsedRequest, Rejection> {
-    if head.target.split('?').next() != Some(PATH) {
+    if head.target.split('?').next() != Some(COMPLETIONS_PATH) {
         return Err(Rejection {
             status: 404,
             reason: "no such path",
@@ -69,49 +69,56 @@
             reason: "ask with POST",
         });
     }
-    let id = request_id(head)?;
-    let kind = one(head, "req-kind")?.ok_or(bad_request("Req-Kind is missing"))?;
+    let id = parse_request_id(head)?;
+    let kind = single_field(head, "req-kind")?.ok_or(bad_request("Req-Kind is missing"))?;
     let class = names
         .classes
         .iter()
         .position(|n| n == kind)
         .ok_or(bad_request("Req-Kind is not known"))?;
-    let left_ms = deadline_ms(head)?;
+    let time_left_ms = parse_deadline_ms(head)?;
     let mut request = policy::Request {
         class: class as u16,
         tenant: tenant(head, names)?,
-        session: one(head, "req-key")?.map_or(0, key),
-        prompt_tokens: body_bytes as f64 / TOKEN_CHARS,
-        time_left_s: left_ms as f64 / 1e3,
+        session: single_field(head, "req-key")?.map_or(0, key),
+        prompt_tokens: body_bytes as f64 / CHARS_PER_TOKEN,
+        time_left_s: time_left_ms as f64 / 1e3,
         ..policy::Request::default()
     };
-    read_extras(one(head, "req-extra")?.unwrap_or_default(), &mut request)?;
+    read_extras(
+        single_field(head, "req-extra")?.unwrap_or_default(),
+        &mut request,
+    )?;
     Ok(ParsedRequest {
         id: id.to_string(),
         request,
     })
 }
 
-fn request_id(head: &RequestHead) -> Result<&str, Rejection> {
-    let id = one(head, "req-id")?.ok_or(bad_request("Req-Id is missing"))?;
+fn parse_request_id(head: &RequestHead) -> Result<&str, Rejection> {
+    let id = single_field(head, "req-id")?.ok_or(bad_request("Req-Id is missing"))?;
     let is_plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b'~');
-    if id.is_empty() || id.len() > MAX_ID || !id.bytes().all(is_plain) {
+    if id.is_empty() || id.len() > MAX_ID_CHARS || !id.bytes().all(is_plain) {
         return Err(bad_request("Req-Id cannot be used as an id"));
     }
     Ok(id)
 }
 
-fn deadline_ms(head: &RequestHead) -> Result<u64, Rejection> {
-    let text = one(head, "req-deadline-ms")?;
+fn parse_deadline_ms(head: &RequestHead) -> Result<u64, Rejection> {
+    let text = single_field(head, "req-deadline-ms")?;
     let text = text.ok_or(bad_request("Req-Deadline-Ms is missing"))?;
-    let deadline_ms = whole_number(text).filter(|ms| *ms <= MAX_DEADLINE_MS);
+    let deadline_ms = parse_digits(text).filter(|ms| *ms <= MAX_DEADLINE_MS);
     deadline_ms.ok_or(bad_request(
         "Req-Deadline-Ms is no number of milliseconds up to an hour",
     ))
 }
 
-/// A field that may stand once: of two, one side may believe the first and another the last.
-fn one<'a>(head: &'a RequestHead, name: &'static str) -> Result<Option<&'a str>, Rejection> {
+/// Returns a header field that may occur only once. If it occurred twice, one side could use the first value and the
+/// other the last.
+fn single_field<'a>(
+    head: &'a RequestHead,
+    name: &'static str,
+) -> Result<Option<&'a str>, Rejection> {
     let mut all = head.fields.all(name);
     let first = all.next();
     match all.next() {
@@ -120,13 +127,13 @@
     }
 }
 
-fn whole_number(text: &str) -> Option<u64> {
+fn parse_digits(text: &str) -> Option<u64> {
     Some(text)
         .filter(|t| !t.is_empty() && t.bytes().all(|b| b.is_ascii_digit()))
         .and_then(|t| t.parse().ok())
 }
 
-/// A key: hexadecimal as the platform writes it; any other word stands for itself too.
+/// Parses a key: hexadecimal as the platform writes it, or a hash of any other text. An empty text gives 0.
 fn key(text: &str) -> u64 {
     match u64::from_str_radix(text, 16) {
         Ok(key) => key,
@@ -139,19 +146,19 @@
     if names.tenants.is_empty() {
         return Ok(0);
     }
-    let owner = one(head, "req-owner")?.ok_or(bad_request("Req-Owner is missing"))?;
+    let owner = single_field(head, "req-owner")?.ok_or(bad_request("Req-Owner is missing"))?;
     let at = names.tenants.iter().position(|n| n == owner);
     at.map(|i| i as u32)
         .ok_or(bad_request("Req-Owner is not known"))
 }
 
 fn read_extras(text: &str, request: &mut policy::Request) -> Result<(), Rejection> {
-    let unread = bad_request("Req-Extra cannot be read");
+    let unreadable = bad_request("Req-Extra cannot be read");
     for pair in text.split(',').map(str::trim).filter(|p| !p.is_empty()) {
-        let (name, value) = pair.split_once('=').ok_or(unread)?;
+        let (name, value) = pair.split_once('=').ok_or(unreadable)?;
         let tokens = || match value.trim().parse::<f64>() {
             Ok(n) if (0.0..=MAX_TOKENS).contains(&n) => Ok(n),
-            _ => Err(unread),
+            _ => Err(unreadable),
         };
         match name.trim() {
             "prefix" => request.prefix = key(value.trim()),
@@ -164,7 +171,7 @@
     Ok(())
 }
 
-/// Fields between two neighbours, and those that the dispatcher writes itself.
+/// Header fields that are not forwarded: hop-by-hop fields and fields that the dispatcher writes itself.
 const HOP_BY_HOP_FIELDS: [&str; 13] = [
     "connection",
     "keep-alive",
@@ -181,7 +188,7 @@
     "req-deadline-ms",
 ];
 
-/// What is passed on to model servers but for the time that is left, which each attempt says anew.
+/// A request as it is forwarded to model servers, except for the remaining time, which differs for each attempt.
 #[derive(Debug)]
 pub struct ForwardedRequest {
     head: String,
@@ -189,7 +196,7 @@
 }
 
 impl ForwardedRequest {
-    /// The request of a client as it is forwarded, without the fields that end at the dispatcher.
+    /// Builds the forwarded request from a client's request, without the fields in `HOP_BY_HOP_FIELDS`.
     pub fn new(head: &RequestHead, id: &str, body: Vec<u8>) -> ForwardedRequest {
         let mut text = format!(
             "{} {} HTTP/1.1\r\nReq-Id: {id}\r\n",
@@ -205,130 +212,131 @@
         ForwardedRequest { head: text, body }
     }
 
-    /// Bytes of its body.
+    /// Length of the body, bytes.
     pub fn body_bytes(&self) -> usize {
         self.body.len()
     }
 
-    /// The complete request, saying how long the dispatcher will wait.
-    pub fn bytes(&self, left_ms: u64) -> Vec<u8> {
+    /// Complete request bytes; `time_left_ms` tells the server how long the dispatcher will wait.
+    pub fn bytes(&self, time_left_ms: u64) -> Vec<u8> {
         let length = self.body.len();
         let mut out = Vec::with_capacity(self.head.len() + length + 80);
         out.extend_from_slice(self.head.as_bytes());
-        let own = format!("Req-Deadline-Ms: {left_ms}\r\nContent-Length: {length}\r\n\r\n");
+        let own = format!("Req-Deadline-Ms: {time_left_ms}\r\nContent-Length: {length}\r\n\r\n");
         out.extend_from_slice(own.as_bytes());
         out.extend_from_slice(&self.body);
         out
     }
 }
 
-/// The attempt that is out.
+/// The attempt that is in flight for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InFlightAttempt {
     /// Number of the attempt within the request.
     pub number: u16,
-    /// The model server.
+    /// Model server that the attempt was sent to.
     pub server: ServerId,
     /// Whether the server has the prefill role.
     pub is_prefill: bool,
-    /// Connection that carries it.
+    /// Connection that carries the attempt.
     pub conn: ConnId,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
 }
 
-/// One request, from its last byte until its answer is given and nothing is out for it.
+/// A request from its last received byte until it has been answered and no attempt is in flight.
 #[derive(Debug)]
 pub struct OpenRequest {
-    /// `Req-Id`.
+    /// Client's id of the request, from `Req-Id`.
     pub id: String,
-    /// None once the client has its answer or has gone.
+    /// The client's connection; `None` once the request is answered or the client has disconnected.
     pub client: Option<ConnId>,
-    /// Time by which the first token has to be passed on.
+    /// Time by which the first token must be forwarded.
     pub deadline: Micros,
-    /// None once an attempt is the client's: nothing more is sent then.
+    /// The forwarded request; `None` once an attempt has begun streaming to the client, as nothing more is sent then.
     pub forwarded: Option<Rc<ForwardedRequest>>,
-    /// Attempts made.
+    /// Number of attempts made.
     pub attempts: u16,
-    /// The attempt in flight.
+    /// The attempt in flight, if any.
     pub in_flight: Option<InFlightAttempt>,
-    /// When an attempt ended without its server's word: the server may see that a little later.
+    /// When an attempt was last aborted by the dispatcher or a broken connection. The server may notice this a little
+    /// later.
     pub aborted_at: Option<Micros>,
-    /// The client's, since this event came last.
+    /// When the last event was forwarded to the client; `None` before the first event.
     pub last_event_at: Option<Micros>,
-    /// The final answer is given.
+    /// Whether the final response was sent, or the client has disconnected.
     pub answered: bool,
 }
 
 impl OpenRequest {
-    /// Bytes of its prompt, while it may still be sent.
+    /// Length of the prompt while it is kept for another attempt, bytes.
     fn prompt_bytes(&self) -> usize {
         let forwarded = self.forwarded.as_ref();
         forwarded.map_or(0, |request| request.body_bytes())
     }
 
-    /// It has its answer, and nothing is in flight.
+    /// Whether the request is answered and no attempt is in flight.
     fn is_complete(&self) -> bool {
         self.answered && self.in_flight.is_none()
     }
 }
 
-/// The requests that are open, by the module's ids and by their own.
+/// All open requests, by their numeric ids and by the clients' ids.
 #[derive(Debug, Default)]
 pub struct Requests {
     open: BTreeMap<RequestId, OpenRequest>,
     ids: BTreeMap<String, RequestId>,
-    last: RequestId,
-    /// Bytes of their prompts.
+    last_id: RequestId,
+    /// Total length of the prompts that are kept, bytes.
     prompt_bytes: usize,
-    /// Requests that may be complete.
+    /// Requests to check for completion.
     maybe_complete: Vec<RequestId>,
 }
 
 impl Requests {
-    /// How many are open.
+    /// Number of open requests.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether none is open.
+    /// Whether no request is open.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// Bytes of the prompts in hand.
+    /// Total length of the prompts that are kept for open requests, bytes.
     pub fn prompt_bytes(&self) -> usize {
         self.prompt_bytes
     }
 
-    /// Whether a request of this id of a client's is open.
+    /// Whether a request with this client's id is open.
     pub fn contains_id(&self, id: &str) -> bool {
         self.ids.contains_key(id)
     }
 
-    /// Takes one in under a new id of the module's.
+    /// Adds a request under a new numeric id and returns that id.
     pub fn insert(&mut self, open: OpenRequest) -> RequestId {
-        self.last = self.last.wrapping_add(1);
-        while self.open.contains_key(&self.last) {
-            self.last = self.last.wrapping_add(1);
+        self.last_id = self.last_id.wrapping_add(1);
+        while self.open.contains_key(&self.last_id) {
+            self.last_id = self.last_id.wrapping_add(1);
         }
         self.prompt_bytes += open.prompt_bytes();
-        self.ids.insert(open.id.clone(), self.last);
-        self.open.insert(self.last, open);
-        self.last
+        self.ids.insert(open.id.clone(), self.last_id);
+        self.open.insert(self.last_id, open);
+        self.last_id
     }
 
-    /// The request of the module's id.
+    /// Looks up a request by its numeric id.
     pub fn get(&self, id: RequestId) -> Option<&OpenRequest> {
         self.open.get(&id)
     }
 
-    /// The same, to be changed.
+    /// Looks up a request by its numeric id for modification.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.open.get_mut(&id)
     }
 
-    /// Drops the prompt of a request that is sent no further.
+    /// Frees the prompt of a request that needs no further attempt.
     pub fn drop_prompt(&mut self, id: RequestId) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
@@ -338,12 +346,12 @@
         self.prompt_bytes = self.prompt_bytes.saturating_sub(bytes);
     }
 
-    /// A request that has had its answer, or the end of an attempt.
+    /// Queues a request to be removed by [`Requests::remove_complete`] if it is answered and has no attempt in flight.
     pub fn mark_maybe_complete(&mut self, id: RequestId) {
         self.maybe_complete.push(id);
     }
 
-    /// Removes requests that have their answer and nothing in flight.
+    /// Removes the queued requests that are answered and have no attempt in flight.
     pub fn remove_complete(&mut self) {
         for id in std::mem::take(&mut self.maybe_complete) {
             if self.get(id).is_some_and(OpenRequest::is_complete) {
@@ -359,7 +367,7 @@
         }
     }
 
-    /// All that are open, by the module's ids.
+    /// Iterates over all open requests in the order of their numeric ids.
     pub fn iter(&self) -> impl Iterator<Item = (RequestId, &OpenRequest)> {
         self.open.iter().map(|(id, open)| (*id, open))
     }
--- a/crates/platform/src/resource_limits.rs
+++ b/crates/platform/src/resource_limits.rs
@@ -1,64 +1,65 @@
-//! Resource limits: what the machine gives the process, and how its file descriptors are divided.
+//! Resource limits of the process, and how its file descriptors are divided.
 
-/// Descriptors kept back: the process's own, the watch, clients that still have to see their last answer, and spare
-/// ones for what is open for a moment only.
-const RESERVE: usize = 40;
-/// The process's own within the reserve: standard streams, readiness queue, listener, peers, signals.
-const OWN_DESCRIPTORS: usize = 10;
-/// Clients' part of the rest, the other being model servers'. The greater part: a request in hand holds a connection of
-/// either kind, so that servers' run out first, and a new client finds a client's place that no request holds. It can
-/// be told that the dispatcher is ready, or that it takes no more.
-const CLIENT_TWENTIETHS: usize = 11;
-/// Fewest that clients and servers get, however few descriptors there are.
+/// File descriptors reserved for the process itself, the discovery watch, clients that are still reading their last
+/// response, and descriptors that are open only briefly.
+const RESERVED_DESCRIPTORS: usize = 40;
+/// Descriptors, within the reserve, of the process itself: standard streams, readiness queue, listener, peers, signals.
+const PROCESS_DESCRIPTORS: usize = 10;
+/// Clients' share of the remaining descriptors, in twentieths; model servers get the rest. Clients get more because an
+/// open request holds one connection of each kind: server connections run out first, and a new client still finds a
+/// place and can be told that the dispatcher is ready or overloaded.
+const CLIENT_SHARE_TWENTIETHS: usize = 11;
+/// Smallest limit for client connections, however few descriptors there are.
 const MIN_CLIENTS: usize = 8;
+/// Smallest limit for connections to model servers, however few descriptors there are.
 const MIN_SERVERS: usize = 4;
 
-/// What the machine gives.
+/// Resources that the process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Memory of the process, bytes.
     pub memory_bytes: usize,
-    /// File descriptors that the process may hold.
+    /// Number of file descriptors that the process may hold.
     pub descriptors: usize,
 }
 
 impl Limits {
-    /// As the process finds them before its first connection: the system may allow fewer descriptors than the
-    /// configuration says, and some of those may be taken by what was handed to the process.
+    /// Lowers the descriptor limit to what the process actually has at startup. The system may allow fewer descriptors
+    /// than configured (`allowed`), and some may have been inherited by the process (`held`).
     pub fn within(self, allowed: Option<usize>, held: usize) -> Limits {
-        let free = allowed.map(|a| a.saturating_sub(held.saturating_sub(OWN_DESCRIPTORS)));
+        let free = allowed.map(|a| a.saturating_sub(held.saturating_sub(PROCESS_DESCRIPTORS)));
         Limits {
             descriptors: free.map_or(self.descriptors, |f| f.min(self.descriptors)),
             ..self
         }
     }
 
-    /// Bytes that prompts in hand may take together: a quarter of the memory.
+    /// Most bytes that the prompts of open requests may hold together: a quarter of the memory.
     pub(crate) fn max_prompt_bytes(&self) -> usize {
         self.memory_bytes / 4
     }
 
-    /// The same of requests that are not complete: an eighth, as their buffers may be twice as large as what they
-    /// hold.
+    /// Most bytes that incomplete requests may hold together: an eighth of the memory, because their buffers can be
+    /// twice as large as their content.
     pub(crate) fn max_unfinished_bytes(&self) -> usize {
         self.memory_bytes / 8
     }
 }
 
-/// How many connections there may be.
+/// Connection limits derived from the descriptor limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// Of clients.
+    /// Most client connections.
     pub clients: usize,
-    /// To model servers.
+    /// Most connections to model servers.
     pub servers: usize,
 }
 
 impl ConnectionLimits {
-    /// Divides the descriptors that are left after the reserve.
+    /// Divides the descriptors that are left after the reserve between clients and model servers.
     pub fn of(limits: &Limits) -> ConnectionLimits {
-        let usable = limits.descriptors.saturating_sub(RESERVE);
-        let clients = (usable * CLIENT_TWENTIETHS / 20).max(MIN_CLIENTS);
+        let usable = limits.descriptors.saturating_sub(RESERVED_DESCRIPTORS);
+        let clients = (usable * CLIENT_SHARE_TWENTIETHS / 20).max(MIN_CLIENTS);
         ConnectionLimits {
             clients,
             servers: usable.saturating_sub(clients).max(MIN_SERVERS),
--- a/crates/platform/src/responses.rs
+++ b/crates/platform/src/responses.rs
@@ -1,99 +1,100 @@
-//! What a model server answers, read as it comes.
+//! Incremental parser for the responses of model servers.
 
 use bitternlatch_routing_settings::Names;
 
 use crate::event_stream::EventStream;
 use crate::http1::{response_head, Body, Framing, HttpError, ResponseHead, MAX_BODY_BYTES};
 
-/// Most interim answers before the one that counts.
-const MAX_INTERIM: u32 = 16;
+/// Most interim (1xx) responses before the final one.
+const MAX_INTERIM_RESPONSES: u32 = 16;
 
-/// An answer under way.
+/// Parser for one response.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
-    /// A 200 brings a stream of events; otherwise a plain body.
-    streams: bool,
-    unread: Vec<u8>,
+    /// Whether a 200 carries an event stream; any other response has a plain body.
+    expects_stream: bool,
+    unparsed: Vec<u8>,
     head: Option<ResponseHead>,
     body: Option<Body>,
     interim: u32,
     events: EventStream,
-    content: Vec<u8>,
+    body_bytes: Vec<u8>,
 }
 
-/// What bytes have brought.
+/// Result of parsing received bytes.
 #[derive(Debug, PartialEq)]
 pub enum BodyProgress {
-    /// Events to be passed on, perhaps none; the answer goes on.
+    /// Complete events to forward, possibly none; the response continues.
     Events(Vec<u8>),
-    /// The last events, perhaps none, and the end of the answer.
+    /// The end of the response, with the last events.
     End {
-        /// Events that are complete.
+        /// Complete events to forward, possibly none.
         events: Vec<u8>,
-        /// The response.
+        /// Summary of the whole response.
         complete: CompleteResponse,
     },
 }
 
-/// A complete response.
+/// Summary of a complete response.
 #[derive(Debug, Default, PartialEq)]
 pub struct CompleteResponse {
-    /// Status code.
+    /// Status code of the response.
     pub status: u16,
-    /// The server says that it never ran.
+    /// Whether the server states, in `Srv-Declined`, that it did not run the request.
     pub declined: bool,
-    /// Prompt tokens found in the prefix cache.
+    /// Prompt tokens that the server found in its prefix cache.
     pub cached_tokens: f64,
-    /// As it came, unread.
+    /// Text of the server's load report, not yet parsed.
     pub load_report: Option<String>,
-    /// The connection can serve once more.
+    /// Whether the connection can be used for another exchange.
     pub reusable: bool,
 }
 
 impl ResponseReader {
-    /// The answer to an attempt, whose 200 brings a stream of events.
+    /// Creates a parser for the response to an attempt, whose 200 carries an event stream.
     pub fn for_attempt() -> ResponseReader {
         ResponseReader {
-            streams: true,
+            expects_stream: true,
             ..ResponseReader::default()
         }
     }
 
-    /// Takes bytes as they come.
+    /// Parses received bytes.
     ///
     /// # Errors
-    /// What cannot be read or breaks a bound: the connection can be used no further.
+    /// A response that is malformed or exceeds a limit; the connection cannot be used any further.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<BodyProgress, HttpError> {
-        self.unread.extend_from_slice(bytes);
+        self.unparsed.extend_from_slice(bytes);
         if !self.read_head()? {
             return Ok(BodyProgress::Events(Vec::new()));
         }
         let (Some(head), Some(body)) = (&self.head, &mut self.body) else {
             return Err(HttpError::MalformedHead);
         };
-        let taken = body.decode(&self.unread, &mut self.content)?;
-        self.unread.drain(..taken);
+        let taken = body.decode(&self.unparsed, &mut self.body_bytes)?;
+        self.unparsed.drain(..taken);
         let (status, framing, done) = (head.status, head.framing, body.is_complete());
-        if !self.streams || status != 200 {
-            return self.plain(done);
+        if !self.expects_stream || status != 200 {
+            return self.read_plain(done);
         }
-        // The end of a stream that ends with its connection cannot be told from its break.
+        // A stream that ends with its connection is rejected, because its regular end would look the same as a broken
+        // connection.
         if framing == Framing::Close {
             return Err(HttpError::InvalidLength);
         }
         self.take_events(done)
     }
 
-    /// Reads the head, and interim responses before it; false while it is not complete.
+    /// Parses the head after skipping interim responses; returns false while it is incomplete.
     fn read_head(&mut self) -> Result<bool, HttpError> {
         while self.head.is_none() {
-            let Some((head, taken)) = response_head(&self.unread)? else {
+            let Some((head, taken)) = response_head(&self.unparsed)? else {
                 return Ok(false);
             };
-            self.unread.drain(..taken);
+            self.unparsed.drain(..taken);
             if (100..200).contains(&head.status) {
                 self.interim += 1;
-                if head.status == 101 || self.interim > MAX_INTERIM {
+                if head.status == 101 || self.interim > MAX_INTERIM_RESPONSES {
                     return Err(HttpError::MalformedHead);
                 }
                 continue;
@@ -104,11 +105,11 @@
         Ok(true)
     }
 
-    /// Takes the complete events of the content; `done` at the end of the body.
+    /// Extracts the complete events from the body; `done` is set at the end of the body.
     fn take_events(&mut self, done: bool) -> Result<BodyProgress, HttpError> {
         let mut events = Vec::new();
-        let fits = self.events.push(&self.content, &mut events);
-        self.content.clear();
+        let fits = self.events.push(&self.body_bytes, &mut events);
+        self.body_bytes.clear();
         if !fits {
             return Err(HttpError::InvalidChunk);
         }
@@ -125,14 +126,15 @@
         })
     }
 
-    /// A plain answer has its meaning from its head; a body too long or without an end is not waited for.
-    fn plain(&mut self, done: bool) -> Result<BodyProgress, HttpError> {
-        let endless = self.head.as_ref().is_some_and(|h| match h.framing {
+    /// Handles a body that is not a stream. The status in the head is what matters, so a body that is too long or has
+    /// no known end counts as complete.
+    fn read_plain(&mut self, done: bool) -> Result<BodyProgress, HttpError> {
+        let is_unbounded = self.head.as_ref().is_some_and(|h| match h.framing {
             Framing::Close => true,
             Framing::Length(n) => n > MAX_BODY_BYTES as u64,
-            Framing::Chunked => self.content.len() > MAX_BODY_BYTES,
+            Framing::Chunked => self.body_bytes.len() > MAX_BODY_BYTES,
         });
-        if !done && !endless {
+        if !done && !is_unbounded {
             return Ok(BodyProgress::Events(Vec::new()));
         }
         Ok(BodyProgress::End {
@@ -145,7 +147,7 @@
         let Some(head) = &self.head else {
             return CompleteResponse::default();
         };
-        let reported = serde_json::from_slice::<serde_json::Value>(&self.content).ok();
+        let reported = serde_json::from_slice::<serde_json::Value>(&self.body_bytes).ok();
         let reported =
             reported.and_then(|v| v.get("cached_tokens").and_then(serde_json::Value::as_f64));
         CompleteResponse {
@@ -157,17 +159,17 @@
                 .load_report
                 .take()
                 .or_else(|| head.fields.get("srv-load").map(str::to_string)),
-            reusable: done && head.keep_alive && self.unread.is_empty(),
+            reusable: done && head.keep_alive && self.unparsed.is_empty(),
         }
     }
 
-    /// The content of a plain answer.
+    /// Body of a response that is not a stream.
     pub fn body(&self) -> &[u8] {
-        &self.content
+        &self.body_bytes
     }
 }
 
-/// The simulator's words for report values, and those that servers write on sockets.
+/// Names of load-report values in the settings, each with the name that model servers use on the wire.
 const REPORT_FIELD_ALIASES: [(&str, &str); 6] = [
     ("concurrent", "inflight"),
     ("depth", "queue"),
@@ -177,8 +179,8 @@
     ("err_ps", "eps"),
 ];
 
-/// Reads a load report such as `inflight=7,queue=2,util=0.61` in the order of the settings' fields; empty where it
-/// cannot be read or lacks a field.
+/// Parses a load report such as `inflight=7,queue=2,util=0.61` into values in the order of the settings' fields.
+/// Returns an empty list if the report is malformed or lacks a field.
 pub fn parse_load_report(text: &str, names: &Names) -> Vec<f64> {
     let pairs: Option<Vec<(&str, f64)>> = text.split(',').map(pair).collect();
     let Some(pairs) = pairs else {
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,50 +1,53 @@
-//! A planned stop: when its steps are taken, counted from the signal, and how far it has come.
+//! Planned shutdown: the schedule of its steps, counted from the signal, and its progress.
 
 use bitternlatch_core::Micros;
 
-/// New connections are taken, and kept ones kept, for this long, seconds: they keep coming, and the next dispatcher may
-/// not be there yet. What comes later than 0.7 s after the signal may not be answered in time.
-const ACCEPTING_SECS: f64 = 0.55;
-/// The kill comes no sooner than this after the longest deadline, which counts as the second at the most, seconds.
+/// Time after the signal during which new connections are accepted and idle ones kept, seconds. Clients keep
+/// connecting, and the replacement dispatcher may not be running yet. What arrives later than 0.7 s after the signal
+/// may not be answered in time.
+const ACCEPT_PERIOD_SECS: f64 = 0.55;
+/// Shortest time from the longest request deadline to the kill of the process, seconds.
 const KILL_AFTER_DEADLINE_SECS: f64 = 0.7;
-const LONGEST_DEADLINE_SECS: f64 = 3.0;
-/// Before the kill, what came whole after the signal has its answer: seconds that a busy machine may take for it.
-const ANSWERED_BEFORE_KILL_SECS: f64 = 0.3;
-/// Before the kill, running streams end: in a rolling restart the next dispatcher may be stopping by then, and a client
-/// whose stream ends while the others still take requests gets the rest from them, seconds.
-const STREAMS_END_BEFORE_KILL_SECS: f64 = 0.8;
+/// Longest request deadline that the shutdown schedule takes into account, seconds.
+const MAX_DEADLINE_SECS: f64 = 3.0;
+/// Responses to requests that completed after the signal are due this long before the kill, seconds, to leave time on a
+/// busy machine.
+const RESPONSE_MARGIN_SECS: f64 = 0.3;
+/// Running streams are ended this long before the kill, seconds. In a rolling restart the next dispatcher may be
+/// stopping by then; ending streams while the others still accept requests lets clients get the rest from those.
+const STREAMS_END_MARGIN_SECS: f64 = 0.8;
 
-/// The times of a planned stop, seconds after the signal.
+/// Times of the steps of a planned shutdown, seconds after the signal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShutdownSchedule {
-    /// From then on nothing new is taken.
+    /// Time from which no new connections or requests are accepted.
     pub stop_accepting_s: f64,
-    /// What comes whole while stopping, as half a request may, is answered by then: the kill would lose it.
+    /// Time by which a request that completes during shutdown must be answered, because the kill would lose it.
     pub response_deadline_s: f64,
-    /// Streams that still run are ended then. Not where clients do not ask for the rest of a stream: a stream that is cut
-    /// while its events come is a lost request there.
+    /// Time at which streams still running are ended. `None` if clients do not request the rest of a broken stream, as
+    /// cutting a running stream would then lose the request.
     pub streams_end_s: Option<f64>,
 }
 
 impl ShutdownSchedule {
-    /// For the longest deadline of all classes, and whether clients ask for the rest of a stream that broke.
+    /// Computes the schedule from the longest deadline of all request classes and from whether clients request the rest
+    /// of a broken stream.
     pub fn new(longest_deadline_s: f64, resumes: bool) -> ShutdownSchedule {
-        let kill_s =
-            longest_deadline_s.clamp(0.0, LONGEST_DEADLINE_SECS) + KILL_AFTER_DEADLINE_SECS;
-        let before_kill = |seconds: f64| (kill_s - seconds).max(ACCEPTING_SECS);
+        let kill_s = longest_deadline_s.clamp(0.0, MAX_DEADLINE_SECS) + KILL_AFTER_DEADLINE_SECS;
+        let before_kill = |seconds: f64| (kill_s - seconds).max(ACCEPT_PERIOD_SECS);
         ShutdownSchedule {
-            stop_accepting_s: ACCEPTING_SECS,
-            response_deadline_s: before_kill(ANSWERED_BEFORE_KILL_SECS),
-            streams_end_s: resumes.then(|| before_kill(STREAMS_END_BEFORE_KILL_SECS)),
+            stop_accepting_s: ACCEPT_PERIOD_SECS,
+            response_deadline_s: before_kill(RESPONSE_MARGIN_SECS),
+            streams_end_s: resumes.then(|| before_kill(STREAMS_END_MARGIN_SECS)),
         }
     }
 }
 
-/// At a stop, releases that begin with the last answers have this long to be confirmed, seconds: the kill comes 0.3 s
-/// after those.
-const LAST_RELEASES_SECS: f64 = 0.22;
+/// Time that releases started with the last responses have to be confirmed, seconds. The process is killed 0.3 s after
+/// those responses.
+const FINAL_RELEASES_SECS: f64 = 0.22;
 
-/// When the steps of a stop that has begun are due.
+/// Times at which the steps of a started shutdown are due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StopTimes {
     pub(crate) releases_end: Micros,
@@ -52,12 +55,12 @@
     pub(crate) streams_end: Option<Micros>,
 }
 
-/// How far a planned stop has come.
+/// Progress of a planned shutdown.
 #[derive(Debug)]
 pub(crate) struct Shutdown {
     schedule: ShutdownSchedule,
-    /// Set while stopping: until then what still comes must have its answer.
-    answer_deadline: Option<Micros>,
+    /// Time by which open requests must be answered; set once the shutdown has started.
+    response_deadline: Option<Micros>,
     accepting: bool,
     stopped: bool,
 }
@@ -66,36 +69,36 @@
     pub(crate) fn new(schedule: ShutdownSchedule) -> Shutdown {
         Shutdown {
             schedule,
-            answer_deadline: None,
+            response_deadline: None,
             accepting: true,
             stopped: false,
         }
     }
 
-    /// Begins the stop; `None` where it has begun already.
+    /// Starts the shutdown; returns `None` if it was started before.
     pub(crate) fn begin(&mut self, now: Micros) -> Option<StopTimes> {
         if self.is_requested() {
             return None;
         }
-        let answer_deadline = now.after(self.schedule.response_deadline_s);
-        self.answer_deadline = Some(answer_deadline);
+        let response_deadline = now.after(self.schedule.response_deadline_s);
+        self.response_deadline = Some(response_deadline);
         Some(StopTimes {
-            releases_end: answer_deadline.after(LAST_RELEASES_SECS),
+            releases_end: response_deadline.after(FINAL_RELEASES_SECS),
             stop_accepting: now.after(self.schedule.stop_accepting_s),
             streams_end: self.schedule.streams_end_s.map(|s| now.after(s)),
         })
     }
 
     pub(crate) fn is_requested(&self) -> bool {
-        self.answer_deadline.is_some()
+        self.response_deadline.is_some()
     }
 
-    /// While stopping, the time by which a request has its answer.
-    pub(crate) fn answer_deadline(&self) -> Option<Micros> {
-        self.answer_deadline
+    /// Time by which requests must be answered during shutdown; `None` while not shutting down.
+    pub(crate) fn response_deadline(&self) -> Option<Micros> {
+        self.response_deadline
     }
 
-    /// Whether new connections and requests are taken.
+    /// Whether new connections and requests are accepted.
     pub(crate) fn is_accepting(&self) -> bool {
         self.accepting
     }
@@ -104,13 +107,13 @@
         self.accepting = false;
     }
 
-    /// Whether releases are waited for no longer.
-    pub(crate) fn gives_up_releases(&self, now: Micros) -> bool {
-        self.answer_deadline
-            .is_some_and(|deadline| now >= deadline.after(LAST_RELEASES_SECS))
+    /// Whether the time to wait for unconfirmed releases has passed.
+    pub(crate) fn releases_timed_out(&self, now: Micros) -> bool {
+        self.response_deadline
+            .is_some_and(|deadline| now >= deadline.after(FINAL_RELEASES_SECS))
     }
 
-    /// True once, when nothing is accepted any more and the node is idle.
+    /// Returns true once, when nothing is accepted any more and the node is idle.
     pub(crate) fn finish(&mut self, is_idle: bool) -> bool {
         if self.accepting || !is_idle {
             return false;
--- a/crates/platform/src/start_times.rs
+++ b/crates/platform/src/start_times.rs
@@ -1,29 +1,30 @@
-//! When model servers started, by the node's own clock. Discovery names it by the wall clock of other machines, and any of
-//! these clocks may have been stepped; what was heard of discovery, and when, is known by a clock that was not.
+//! Start times of model servers by the node's own clock. Discovery reports them by the wall clocks of other machines,
+//! and any of these clocks may have been stepped. The times at which notifications were received come from a clock that
+//! was not stepped, so listed start times are checked against them.
 
 use bitternlatch_core::Micros;
 
-/// How late discovery may tell of a start, seconds.
+/// Longest delay after which discovery reports a server's start, seconds.
 const MAX_NOTIFICATION_DELAY_SECS: f64 = 20.0;
-/// Where discovery says of some servers that they started long ago, one for which it names a start that is older than
-/// this contradicts it, seconds.
-const LONG_AGO_SECS: f64 = 600.0;
+/// Oldest plausible start time, as an age in seconds, in a list that reports long-running servers as started long ago.
+/// An older start time contradicts such a list.
+const LONG_RUNNING_SECS: f64 = 600.0;
 
-/// What is known when a list comes.
+/// What is known when an endpoint list is received.
 #[derive(Clone, Copy, Debug)]
 pub struct StartTimeContext {
-    /// The time at which the list came.
+    /// When the list was received.
     pub received_at: Micros,
-    /// When discovery said something last, before this list: by then it did not have what is new in it.
+    /// When discovery last sent a complete line before this list; at that time it did not have the new entries.
     pub notified_at: Option<Micros>,
-    /// It lists other servers as started long ago.
-    pub lists_unknown_starts: bool,
+    /// Whether the list has servers whose start is given as 0, i.e. long ago.
+    pub lists_long_running: bool,
 }
 
 impl StartTimeContext {
-    /// A newly listed start by the node's clock, seconds; 0, for long ago, stays. One that cannot be, as it lies ahead
-    /// or further back than discovery would be late, is taken for one of now: a server is better warmed up once more than
-    /// pushed over.
+    /// Converts a newly listed start time to the node's clock, seconds; 0 (long ago) is kept. An impossible time, in
+    /// the future or older than discovery's delay allows, is replaced by the current time: it is better to warm up a
+    /// server once more than to overload it.
     pub fn start_s(&self, listed_s: f64) -> f64 {
         if listed_s <= 0.0 {
             return listed_s;
@@ -31,7 +32,7 @@
         let now_s = self.received_at.seconds();
         let oldest_s = match self.notified_at {
             Some(notified) => Some(notified.seconds() - MAX_NOTIFICATION_DELAY_SECS),
-            None => self.lists_unknown_starts.then_some(now_s - LONG_AGO_SECS),
+            None => self.lists_long_running.then_some(now_s - LONG_RUNNING_SECS),
         };
         let impossible = listed_s > now_s || oldest_s.is_some_and(|oldest| listed_s < oldest);
         if impossible {
--- a/crates/platform/src/timer.rs
+++ b/crates/platform/src/timer.rs
@@ -1,29 +1,29 @@
-//! What the node's timers are for.
+//! Timers of the node.
 
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::RequestId;
 
 use crate::types::ConnId;
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// Set by the decision module, which gave the label.
+    /// Set by the decision module, which chose the label.
     Router { label: u64 },
-    /// The timeout of an attempt.
+    /// An attempt times out.
     AttemptTimeout { request: RequestId, number: u16 },
-    /// The timeout of a connect, or of an exchange other than an attempt, that began at `since`.
+    /// A connection attempt, health check or release call that started at `since` times out.
     ServerConnection { conn: ConnId, since: Micros },
-    /// The next hedged call of a release that is not confirmed.
+    /// A release that is still unconfirmed is sent to further servers.
     Release { id: u64 },
-    /// The periodic check of connections and streams.
+    /// Periodic check of connections and streams.
     Sweep,
-    /// The discovery watch is to be begun, or is overdue.
+    /// The discovery watch has to be started or has missed a timeout.
     DiscoveryWatch,
     /// Shutdown: the listener is closed.
     StopAccepting,
-    /// Shutdown: streams that still run are ended.
+    /// Shutdown: streams that are still running are ended.
     StreamsEnd,
-    /// Shutdown: releases are waited for no longer.
+    /// Shutdown: unconfirmed releases are no longer waited for.
     ReleasesEnd,
 }
--- a/crates/platform/src/types.rs
+++ b/crates/platform/src/types.rs
@@ -2,61 +2,61 @@
 
 use std::net::SocketAddr;
 
-/// One connection: of a client, to a model server or to discovery. Ids are never reused.
+/// Id of a connection to a client, a model server or discovery. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// What has happened outside the node.
+/// An input to the node: something that happened outside of it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input<'a> {
     /// A client has connected.
     Accepted {
-        /// Id from [`crate::node::Node::next_conn`].
+        /// Connection id, allocated by [`crate::node::Node::next_conn`].
         conn: ConnId,
     },
-    /// A connection of [`Command::Connect`] is up.
+    /// A connection opened by [`Command::Connect`] is established.
     Connected {
-        /// The connection.
+        /// The connection that is established.
         conn: ConnId,
     },
-    /// Bytes have come.
+    /// Bytes have arrived on a connection.
     Received {
-        /// The connection.
+        /// The connection on which bytes arrived.
         conn: ConnId,
-        /// What has come since the last such input.
+        /// The bytes that arrived since the last such input.
         bytes: &'a [u8],
     },
-    /// Bytes of what was to be written have gone to the system.
+    /// The operating system has accepted bytes that were written.
     Wrote {
-        /// The connection.
+        /// The connection that was written to.
         conn: ConnId,
-        /// Number of bytes since the last such input.
+        /// Number of bytes accepted since the last such input.
         count: usize,
     },
-    /// A connection never came up, was closed by the other side, or broke.
+    /// A connection could not be established, was closed by the other side, or broke.
     Ended {
-        /// The connection.
+        /// The connection that ended.
         conn: ConnId,
     },
-    /// The answer to [`Command::Reuse`] where bytes or the end had come on the connection: nothing was written to it,
-    /// and it is closed.
+    /// Response to [`Command::Reuse`] for a connection on which bytes or its end had arrived. Nothing was written, and
+    /// the connection is closed.
     Stale {
-        /// The connection.
+        /// The connection that could not be reused.
         conn: ConnId,
     },
-    /// A datagram has come from another dispatcher.
+    /// A datagram from another dispatcher has arrived.
     Datagram {
         /// Address of the sender.
         from: SocketAddr,
-        /// Content.
+        /// Content of the datagram.
         data: &'a [u8],
     },
-    /// Time has passed; timers that are due act on this input alone.
+    /// Time has passed. Timers fire on this input alone.
     Tick,
-    /// Shutdown is requested: take nothing new before long, answer what is in hand, then give [`Command::Stopped`].
+    /// Shutdown was requested: soon stop accepting requests, answer the open ones, then issue [`Command::Stopped`].
     Stop,
-    /// The answer to [`Command::StopListening`]: every client that had connected by then has been accepted, and no other
-    /// will be.
+    /// Response to [`Command::StopListening`]: all clients that had connected before have been reported as accepted,
+    /// and no more will follow.
     NotListening,
 }
 
@@ -69,70 +69,71 @@
     Warn,
 }
 
-/// What the node wants done, in order.
+/// A command of the node to the I/O layer. Commands are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Open a connection.
     Connect {
-        /// Its id.
+        /// Id for the new connection.
         conn: ConnId,
         /// Address to connect to.
         to: SocketAddr,
     },
-    /// Write bytes.
+    /// Write bytes to a connection.
     Write {
-        /// The connection.
+        /// The connection to write to.
         conn: ConnId,
-        /// What to write.
+        /// Bytes to write.
         bytes: Vec<u8>,
     },
-    /// Write bytes on a connection that was idle, unless anything has come on it since, its end included: then close it
-    /// with nothing written, and give [`Input::Stale`].
+    /// Write bytes to an idle connection unless bytes or its end have arrived on it. In that case close it without
+    /// writing and report [`Input::Stale`].
     Reuse {
-        /// The connection.
+        /// The connection to reuse.
         conn: ConnId,
-        /// What to write.
+        /// Bytes to write.
         bytes: Vec<u8>,
     },
-    /// Close a connection now and drop what is not written. No input follows for it.
+    /// Close a connection at once and drop unsent bytes. No further input is reported for it.
     Close {
-        /// The connection.
+        /// The connection to close.
         conn: ConnId,
     },
-    /// Write what is left, then close the connection, so that the other side sees all of it. No input follows for it.
+    /// Send the remaining bytes, then close the connection so that the other side receives all of them. No further
+    /// input is reported for it.
     Finish {
-        /// The connection.
+        /// The connection to finish.
         conn: ConnId,
     },
-    /// Read nothing from a connection for now, or go on.
+    /// Pause or resume reading from a connection.
     Pause {
-        /// The connection.
+        /// The connection to pause or resume.
         conn: ConnId,
-        /// Whether it is paused from now on.
+        /// Whether reading is paused from now on.
         paused: bool,
     },
     /// Send a datagram to another dispatcher.
     Datagram {
         /// Address of the receiver.
         to: SocketAddr,
-        /// Content.
+        /// Content of the datagram.
         data: Vec<u8>,
     },
-    /// Close the listener. Connections that wait in its queue are accepted first: what a client has written to them
-    /// counts as read. Then give [`Input::NotListening`].
+    /// Close the listener after accepting the connections in its queue, since a client may already have sent a request
+    /// on them. Then report [`Input::NotListening`].
     StopListening,
-    /// Everything in hand is answered after [`Input::Stop`]: the process may end.
+    /// The shutdown is complete and all requests are answered: the process may exit.
     Stopped,
-    /// Write a line of the access log.
+    /// Write a line to the access log.
     AccessLog {
-        /// The line.
+        /// Text of the line.
         text: String,
     },
     /// Write a log line.
     Log {
-        /// Its severity.
+        /// Severity of the line.
         level: Level,
-        /// The line.
+        /// Text of the line.
         text: String,
     },
 }
