--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -64,28 +64,36 @@
     /// Bytes received on the connection and not discarded.
     received: u64,
     /// Bytes that have become part of requests.
-    taken: u64,
+    consumed: u64,
 }
 
 impl Arrivals {
     fn add(&mut self, count: usize, now: Micros) {
         self.received += count as u64;
-        let (end, full) = (self.received, self.batches.len() >= MAX_ARRIVAL_BATCHES);
+        let (end, is_full) = (self.received, self.batches.len() >= MAX_ARRIVAL_BATCHES);
         match self.batches.back_mut() {
-            Some(last) if full || last.at == now => last.end = end,
+            Some(last) if is_full || last.at == now => last.end = end,
             _ => self.batches.push_back(Batch { end, at: now }),
         }
     }
 
     /// Counts bytes as part of a request and returns when the last of them arrived.
-    fn take(&mut self, count: usize) -> Option<Micros> {
-        self.taken += count as u64;
-        let taken = self.taken;
-        while self.batches.front().is_some_and(|batch| batch.end < taken) {
+    fn consume(&mut self, count: usize) -> Option<Micros> {
+        self.consumed += count as u64;
+        let consumed = self.consumed;
+        while self
+            .batches
+            .front()
+            .is_some_and(|batch| batch.end < consumed)
+        {
             self.batches.pop_front();
         }
         let received_at = self.batches.front().map(|batch| batch.at);
-        if self.batches.front().is_some_and(|batch| batch.end == taken) {
+        if self
+            .batches
+            .front()
+            .is_some_and(|batch| batch.end == consumed)
+        {
             self.batches.pop_front();
         }
         received_at
@@ -189,15 +197,15 @@
     /// Whether the client has taken too long over a request. An idle keep-alive connection is never overdue; a client
     /// that has not completed its first request, or is in the middle of a later one, can be.
     pub fn is_overdue(&self, now: Micros) -> bool {
-        let waits = self.has_open_request() || self.is_idle() && self.has_been_served;
-        let max_s = if self.has_been_served {
+        let may_wait = self.has_open_request() || self.is_idle() && self.has_been_served;
+        let timeout_s = if self.has_been_served {
             REQUEST_TIMEOUT_SECS
         } else {
             FIRST_REQUEST_TIMEOUT_SECS
         };
-        let stopped =
+        let is_stalled =
             now.since(self.phase_started_at.max(self.last_received_at)) >= READ_STALL_TIMEOUT_SECS;
-        !waits && (stopped || now.since(self.phase_started_at) >= max_s)
+        !may_wait && (is_stalled || now.since(self.phase_started_at) >= timeout_s)
     }
 
     /// Returns the eviction rank; the lowest rank is evicted first. `None` for a client with an open request or one
@@ -251,7 +259,7 @@
     fn consume(&mut self, count: usize) {
         self.unparsed.drain(..count);
         if count > 0 {
-            self.received_at = self.arrivals.take(count).unwrap_or(self.received_at);
+            self.received_at = self.arrivals.consume(count).unwrap_or(self.received_at);
         }
     }
 
@@ -266,13 +274,13 @@
         let Stage::Body { body, content, .. } = &mut self.stage else {
             return Ok(None);
         };
-        let taken = body.decode(&self.unparsed, content)?;
-        let (long, done) = (content.len() > MAX_BODY_BYTES, body.is_complete());
-        self.consume(taken);
-        if long {
+        let consumed = body.decode(&self.unparsed, content)?;
+        let (is_too_long, is_complete) = (content.len() > MAX_BODY_BYTES, body.is_complete());
+        self.consume(consumed);
+        if is_too_long {
             return Err(HttpError::BodyTooLong);
         }
-        if !done {
+        if !is_complete {
             return self.incomplete();
         }
         Ok(self.complete_request())
@@ -280,14 +288,14 @@
 
     /// Parses the head of a request; returns false while it is incomplete.
     fn read_head(&mut self) -> Result<bool, HttpError> {
-        let Some((head, taken)) = request_head(&self.unparsed)? else {
+        let Some((head, consumed)) = request_head(&self.unparsed)? else {
             return Ok(false);
         };
-        self.consume(taken);
+        self.consume(consumed);
         let body = Body::new(head.framing);
         let expectation = head.fields.get("expect");
-        let asked = expectation.is_some_and(|e| e.eq_ignore_ascii_case("100-continue"));
-        self.expects_continue = asked && !body.is_complete();
+        let expects_continue = expectation.is_some_and(|e| e.eq_ignore_ascii_case("100-continue"));
+        self.expects_continue = expects_continue && !body.is_complete();
         self.stage = Stage::Body {
             head: Box::new(head),
             body,
@@ -327,12 +335,12 @@
 
     /// Bytes buffered for requests that are not open yet: an incomplete head or body, or pipelined requests.
     pub fn unfinished_bytes(&self) -> usize {
-        let body = if let Stage::Body { content, .. } = &self.stage {
+        let body_bytes = if let Stage::Body { content, .. } = &self.stage {
             content.len()
         } else {
             0
         };
-        self.unparsed.len() + body
+        self.unparsed.len() + body_bytes
     }
 
     /// Whether the connection stays open after the current response. During shutdown it does so only for bytes already
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -39,8 +39,8 @@
     /// Adds a connection. If the table is full, also removes and returns the connection evicted for it, which is the
     /// new one if every other client has an open request or an unread response.
     pub fn accept(&mut self, now: Micros, conn: ConnId) -> Option<ConnId> {
-        let full = self.open.len() >= self.limit;
-        let evicted = full.then(|| self.eviction_candidate(now).unwrap_or(conn));
+        let is_full = self.open.len() >= self.limit;
+        let evicted = is_full.then(|| self.eviction_candidate(now).unwrap_or(conn));
         self.open.insert(conn, Client::new(now));
         if let Some(evicted) = evicted {
             self.open.remove(&evicted);
@@ -105,7 +105,7 @@
         let ranked = self
             .open
             .iter()
-            .filter_map(|(id, c)| Some((c.eviction_rank(now)?, *id)));
+            .filter_map(|(id, client)| Some((client.eviction_rank(now)?, *id)));
         ranked.min().map(|(_, id)| id)
     }
 
@@ -138,7 +138,7 @@
     pub fn overdue(&self, now: Micros) -> Vec<ConnId> {
         self.open
             .iter()
-            .filter(|(_, c)| c.is_overdue(now))
+            .filter(|(_, client)| client.is_overdue(now))
             .map(|(id, _)| *id)
             .collect()
     }
@@ -147,7 +147,7 @@
     pub fn stalled(&self, now: Micros) -> Vec<ConnId> {
         self.open
             .iter()
-            .filter(|(_, c)| c.is_stalled(now))
+            .filter(|(_, client)| client.is_stalled(now))
             .map(|(id, _)| *id)
             .collect()
     }
@@ -162,13 +162,16 @@
     /// memory, and none of its requests is open.
     pub fn largest_unfinished(&self, conn: ConnId, limit: usize) -> Option<ConnId> {
         self.get(conn)
-            .filter(|c| c.unfinished_bytes() >= MEMORY_CHECK_MIN_BYTES)?;
+            .filter(|client| client.unfinished_bytes() >= MEMORY_CHECK_MIN_BYTES)?;
         if self.unfinished_bytes() <= limit {
             return None;
         }
-        let unfinished = self.open.iter().filter(|(_, c)| !c.has_open_request());
+        let unfinished = self
+            .open
+            .iter()
+            .filter(|(_, client)| !client.has_open_request());
         unfinished
-            .max_by_key(|(id, c)| (c.unfinished_bytes(), **id))
+            .max_by_key(|(id, client)| (client.unfinished_bytes(), **id))
             .map(|(id, _)| *id)
     }
 
@@ -176,7 +179,7 @@
     pub fn idle(&self) -> Vec<ConnId> {
         self.open
             .iter()
-            .filter(|(_, c)| c.is_idle())
+            .filter(|(_, client)| client.is_idle())
             .map(|(id, _)| *id)
             .collect()
     }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -91,71 +91,71 @@
     }
 
     fn read(raw: RawList, names: &Names) -> Result<EndpointList, String> {
-        let targets = raw
+        let endpoints = raw
             .targets
             .into_iter()
-            .map(|t| target(t, names))
+            .map(|raw| parse_endpoint(raw, names))
             .collect::<Result<Vec<_>, _>>()?;
         // Two servers may share an address: a new process can take the address of its predecessor while that one still
         // drains.
         let mut by_uid: BTreeMap<&str, &Endpoint> = BTreeMap::new();
-        for target in &targets {
+        for endpoint in &endpoints {
             if by_uid
-                .insert(&target.uid, target)
-                .is_some_and(|other| other != target)
+                .insert(&endpoint.uid, endpoint)
+                .is_some_and(|other| other != endpoint)
             {
                 return Err(format!(
                     "server '{}' is named twice with different values",
-                    target.uid
+                    endpoint.uid
                 ));
             }
         }
         Ok(EndpointList {
             version: raw.rev,
             is_full: raw.all,
-            endpoints: targets,
+            endpoints,
         })
     }
 }
 
-fn target(raw: RawEndpoint, names: &Names) -> Result<Endpoint, String> {
-    let unknown =
+fn parse_endpoint(raw: RawEndpoint, names: &Names) -> Result<Endpoint, String> {
+    let unknown_value =
         |what: &str, word: &str| format!("server '{}': {what} '{word}' is not known", raw.uid);
-    let standing = match raw.state.as_str() {
+    let status = match raw.state.as_str() {
         "in_service" => ServerStatus::Ready,
         "terminating" => ServerStatus::Draining,
         "terminated" => ServerStatus::Removed,
-        word => return Err(unknown("state", word)),
+        word => return Err(unknown_value("state", word)),
     };
     let index = |list: &[String], word: &str| list.iter().position(|n| n == word).map(|i| i as u16);
-    let kind = index(&names.kinds, &raw.model).ok_or_else(|| unknown("model", &raw.model))?;
+    let kind = index(&names.kinds, &raw.model).ok_or_else(|| unknown_value("model", &raw.model))?;
     let zone = match raw.az.as_str() {
         "" => 0,
-        word => index(&names.zones, word).ok_or_else(|| unknown("az", word))?,
+        word => index(&names.zones, word).ok_or_else(|| unknown_value("az", word))?,
     };
-    let endpoint = raw
+    let address = raw
         .endpoint
         .parse()
-        .map_err(|_| unknown("endpoint", &raw.endpoint))?;
-    let figure = |what: &str, value: f64| match value.is_finite() && value >= 0.0 {
+        .map_err(|_| unknown_value("endpoint", &raw.endpoint))?;
+    let parse_number = |what: &str, value: f64| match value.is_finite() && value >= 0.0 {
         true => Ok(value),
         false => Err(format!(
             "server '{}': {what} {value} is not a finite number >= 0",
             raw.uid
         )),
     };
-    let booted_at = figure("boot_ms", raw.boot_ms)? / 1e3;
-    let weight = figure("capacity_hint", raw.capacity_hint.unwrap_or(1.0))?;
+    let listed_start_s = parse_number("boot_ms", raw.boot_ms)? / 1e3;
+    let weight = parse_number("capacity_hint", raw.capacity_hint.unwrap_or(1.0))?;
     Ok(Endpoint {
         uid: raw.uid,
-        address: endpoint,
-        status: standing,
+        address,
+        status,
         kind,
         zone,
         cell: raw.pod_group,
         weight,
-        listed_start_s: booted_at,
-        start_s: booted_at,
+        listed_start_s,
+        start_s: listed_start_s,
     })
 }
 
@@ -193,7 +193,7 @@
 
     /// Iterates over all servers in the order of their numeric ids.
     pub fn iter(&self) -> impl Iterator<Item = (ServerId, &Endpoint)> {
-        self.servers.iter().map(|(id, t)| (*id, t))
+        self.servers.iter().map(|(id, endpoint)| (*id, endpoint))
     }
 
     /// Records that discovery has sent a complete line, even an empty one that reports no change.
@@ -204,7 +204,10 @@
     /// Applies a full list or changes and returns what has changed.
     pub fn apply(&mut self, now: Micros, list: EndpointList) -> AppliedList {
         self.version = list.version;
-        let lists_long_running = list.endpoints.iter().any(|t| t.listed_start_s <= 0.0);
+        let lists_long_running = list
+            .endpoints
+            .iter()
+            .any(|endpoint| endpoint.listed_start_s <= 0.0);
         let context = StartTimeContext {
             received_at: now,
             notified_at: self.notified_at,
@@ -216,20 +219,21 @@
             ListForm::Delta
         };
         if list.is_full {
-            let listed = |uid: &String| list.endpoints.iter().any(|t| t.uid == *uid);
-            self.ids.retain(|uid, _| listed(uid));
+            let is_listed =
+                |uid: &String| list.endpoints.iter().any(|endpoint| endpoint.uid == *uid);
+            self.ids.retain(|uid, _| is_listed(uid));
             let (ids, servers) = (&self.ids, &mut self.servers);
-            servers.retain(|id, t| ids.get(&t.uid) == Some(id));
+            servers.retain(|id, endpoint| ids.get(&endpoint.uid) == Some(id));
         }
         let restarted = list
             .endpoints
             .iter()
-            .filter_map(|t| self.restarted(t))
+            .filter_map(|endpoint| self.restarted(endpoint))
             .collect();
         let entries = list
             .endpoints
             .into_iter()
-            .map(|t| self.update(t, context))
+            .map(|endpoint| self.update(endpoint, context))
             .collect();
         AppliedList {
             form,
@@ -239,37 +243,39 @@
     }
 
     /// Returns the id of a server that is now listed with a different start time, i.e. has restarted.
-    fn restarted(&self, target: &Endpoint) -> Option<ServerId> {
-        let id = *self.ids.get(&target.uid)?;
+    fn restarted(&self, endpoint: &Endpoint) -> Option<ServerId> {
+        let id = *self.ids.get(&endpoint.uid)?;
         let previous = self.servers.get(&id)?;
-        (previous.listed_start_s != target.listed_start_s).then_some(id)
+        (previous.listed_start_s != endpoint.listed_start_s).then_some(id)
     }
 
-    fn update(&mut self, mut target: Endpoint, context: StartTimeContext) -> ServerEntry {
-        let id = self.assign_id(&target.uid);
+    fn update(&mut self, mut endpoint: Endpoint, context: StartTimeContext) -> ServerEntry {
+        let id = self.assign_id(&endpoint.uid);
         let previous = self
             .servers
             .get(&id)
-            .filter(|previous| previous.listed_start_s == target.listed_start_s);
+            .filter(|previous| previous.listed_start_s == endpoint.listed_start_s);
         // The start time of a server process is computed once and kept while its listed start stays the same.
-        target.start_s =
-            previous.map_or_else(|| context.start_s(target.listed_start_s), |b| b.start_s);
+        endpoint.start_s = previous.map_or_else(
+            || context.start_s(endpoint.listed_start_s),
+            |previous| previous.start_s,
+        );
         let entry = ServerEntry {
             id,
-            status: target.status,
-            kind: target.kind,
-            cell: target.cell,
-            zone: target.zone,
-            weight: target.weight,
-            booted_at: target.start_s,
+            status: endpoint.status,
+            kind: endpoint.kind,
+            cell: endpoint.cell,
+            zone: endpoint.zone,
+            weight: endpoint.weight,
+            booted_at: endpoint.start_s,
         };
-        if target.status == ServerStatus::Removed {
+        if endpoint.status == ServerStatus::Removed {
             // Removed servers must not stay in the tables, as new servers keep arriving with new names.
-            self.ids.remove(&target.uid);
+            self.ids.remove(&endpoint.uid);
             self.servers.remove(&id);
         } else {
-            self.ids.insert(target.uid.clone(), id);
-            self.servers.insert(id, target);
+            self.ids.insert(endpoint.uid.clone(), id);
+            self.servers.insert(id, endpoint);
         }
         entry
     }
--- a/crates/platform/src/discovery_client.rs
+++ b/crates/platform/src/discovery_client.rs
@@ -106,7 +106,7 @@
         if let Some(text) = self.watch.rate_limited_log_line(now, &cause) {
             commands.push(Command::Log {
                 level: Level::Warn,
-                text: format!("{text}; the list stays and the watch is begun anew"),
+                text: format!("{text}; the endpoint list is kept and the watch is restarted"),
             });
         }
         if let Some(conn) = self.watch.end(now) {
--- a/crates/platform/src/discovery_watch.rs
+++ b/crates/platform/src/discovery_watch.rs
@@ -155,18 +155,18 @@
 
     /// Ends the current call and schedules the next; returns the connection to close.
     pub fn end(&mut self, now: Micros) -> Option<ConnId> {
-        let held_s = now.since(self.started_at);
+        let elapsed_s = now.since(self.started_at);
         // A call that breaks soon after its first line does not reset the back-off, as it is no better than one that
         // failed.
-        if self.received_line && held_s >= MAX_BACKOFF_SECS {
+        if self.received_line && elapsed_s >= MAX_BACKOFF_SECS {
             self.failures = 0;
         }
-        let max_s =
+        let max_backoff_s =
             (MIN_BACKOFF_SECS * f64::from(1u32 << self.failures.min(8))).min(MAX_BACKOFF_SECS);
-        let drawn_s = max_s * (0.5 + 0.5 * self.jitter());
+        let backoff_s = max_backoff_s * (0.5 + 0.5 * self.jitter());
         self.failures = self.failures.saturating_add(1);
         self.finished_calls += 1;
-        self.retry_at = now.after((drawn_s - held_s).max(0.5 * drawn_s));
+        self.retry_at = now.after((backoff_s - elapsed_s).max(0.5 * backoff_s));
         self.reset_call();
         self.conn.take()
     }
@@ -208,9 +208,9 @@
             Ok(length) => drop(self.unparsed.drain(..length)),
             Err(e) => progress.failure = Some(e.to_string()),
         }
-        let (objects, any) = self.lines.take_complete();
-        (progress.objects, progress.received_line) = (objects, any);
-        if any {
+        let (objects, received_line) = self.lines.take_complete();
+        (progress.objects, progress.received_line) = (objects, received_line);
+        if received_line {
             (self.last_progress_at, self.received_line) = (Some(now), true);
         }
         if body.is_complete() {
--- a/crates/platform/src/event_stream.rs
+++ b/crates/platform/src/event_stream.rs
@@ -43,8 +43,8 @@
         let mut only_comments = true;
         for line in text.lines().filter(|l| !l.is_empty()) {
             if let Some(comment) = line.strip_prefix(':') {
-                let reported = comment.trim_start().split_once(':');
-                if let Some((_, load)) = reported.filter(|t| t.0.eq_ignore_ascii_case("srv-load")) {
+                let field = comment.trim_start().split_once(':');
+                if let Some((_, load)) = field.filter(|t| t.0.eq_ignore_ascii_case("srv-load")) {
                     self.load_report = Some(load.trim().to_string());
                 }
                 continue;
--- a/crates/platform/src/http1/body.rs
+++ b/crates/platform/src/http1/body.rs
@@ -57,11 +57,11 @@
     pub fn decode(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, HttpError> {
         let mut at = 0;
         while at < bytes.len() {
-            let taken = self.step(&bytes[at..], out)?;
-            if taken == 0 {
+            let consumed = self.step(&bytes[at..], out)?;
+            if consumed == 0 {
                 break;
             }
-            at += taken;
+            at += consumed;
         }
         Ok(at)
     }
@@ -107,7 +107,7 @@
     }
 
     fn chunk_size(&mut self, bytes: &[u8]) -> Result<usize, HttpError> {
-        let Some((line, taken)) = line(bytes, MAX_CHUNK_LINE)? else {
+        let Some((line, consumed)) = line(bytes, MAX_CHUNK_LINE)? else {
             return Ok(0);
         };
         let digits = line
@@ -130,22 +130,22 @@
         } else {
             Step::ChunkData(size)
         };
-        Ok(taken)
+        Ok(consumed)
     }
 
     fn trailer(&mut self, bytes: &[u8], read: usize) -> Result<usize, HttpError> {
-        let Some((line, taken)) = line(bytes, MAX_TRAILERS)? else {
+        let Some((line, consumed)) = line(bytes, MAX_TRAILERS)? else {
             return Ok(0);
         };
-        if read + taken > MAX_TRAILERS {
+        if read + consumed > MAX_TRAILERS {
             return Err(HttpError::InvalidChunk);
         }
         self.step = if line.is_empty() {
             Step::Done
         } else {
-            Step::Trailers(read + taken)
+            Step::Trailers(read + consumed)
         };
-        Ok(taken)
+        Ok(consumed)
     }
 }
 
--- a/crates/platform/src/http1/mod.rs
+++ b/crates/platform/src/http1/mod.rs
@@ -198,7 +198,7 @@
     let mut raw = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut head = httparse::Request::new(&mut raw);
     let parsed = head.parse(&bytes[skipped..]);
-    let Some(taken) = head_length(parsed, skipped, bytes.len())? else {
+    let Some(consumed) = head_length(parsed, skipped, bytes.len())? else {
         return Ok(None);
     };
     let fields = Fields::read(head.headers);
@@ -223,7 +223,7 @@
         framing,
         keep_alive,
     };
-    Ok(Some((head, taken)))
+    Ok(Some((head, consumed)))
 }
 
 /// Parses the head of a response and returns it with its length in bytes, or `None` if it is incomplete.
@@ -233,7 +233,7 @@
 pub fn response_head(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, HttpError> {
     let mut raw = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut head = httparse::Response::new(&mut raw);
-    let Some(taken) = head_length(head.parse(bytes), 0, bytes.len())? else {
+    let Some(consumed) = head_length(head.parse(bytes), 0, bytes.len())? else {
         return Ok(None);
     };
     let status = head.code.unwrap_or_default();
@@ -252,6 +252,6 @@
             framing,
             keep_alive,
         },
-        taken,
+        consumed,
     )))
 }
--- a/crates/platform/src/line_splitter.rs
+++ b/crates/platform/src/line_splitter.rs
@@ -39,8 +39,8 @@
             self.scanned += 1;
             if self.ends_line(byte) {
                 let object = self.pending[from..self.scanned].trim_ascii();
-                let is_all = from == 0 && self.scanned == self.pending.len();
-                if !object.is_empty() && is_all {
+                let is_whole_buffer = from == 0 && self.scanned == self.pending.len();
+                if !object.is_empty() && is_whole_buffer {
                     // Moves the buffer instead of copying it, since the object may be the full list of a large fleet.
                     objects.push(std::mem::take(&mut self.pending));
                     self.scanned = 0;
@@ -53,22 +53,22 @@
         }
         self.pending.drain(..from);
         self.scanned -= from;
-        let any = from > 0 || !objects.is_empty();
-        (objects, any)
+        let completed_line = from > 0 || !objects.is_empty();
+        (objects, completed_line)
     }
 
     /// Removes and returns the bytes after the last line. At the regular end of a response the last line may lack its
     /// line feed.
     pub fn take_remainder(&mut self) -> Option<Vec<u8>> {
-        let rest = std::mem::take(self).pending.trim_ascii().to_vec();
-        (!rest.is_empty()).then_some(rest)
+        let remainder = std::mem::take(self).pending.trim_ascii().to_vec();
+        (!remainder.is_empty()).then_some(remainder)
     }
 
     fn ends_line(&mut self, byte: u8) -> bool {
         if byte == b'\n' {
-            let cut = self.in_string || !self.has_content;
+            let is_truncated = self.in_string || !self.has_content;
             self.has_content = false;
-            return cut || self.depth == 0;
+            return is_truncated || self.depth == 0;
         }
         self.has_content |= !byte.is_ascii_whitespace();
         if std::mem::take(&mut self.escaped) {
--- a/crates/platform/src/node/attempts.rs
+++ b/crates/platform/src/node/attempts.rs
@@ -34,7 +34,7 @@
         };
         let number = open.attempts;
         open.attempts += 1;
-        let until = if timeout_s > 0.0 {
+        let times_out_at = if timeout_s > 0.0 {
             now.after(timeout_s).min(open.deadline)
         } else {
             open.deadline
@@ -45,7 +45,7 @@
         let usage = ConnectionUse::Attempt {
             request,
             number,
-            times_out_at: until,
+            times_out_at,
         };
         let Some(conn) = self.start_exchange(now, target.address, usage, Vec::new(), commands)
         else {
@@ -62,7 +62,7 @@
             });
         }
         self.timers
-            .set(until, Timer::AttemptTimeout { request, number });
+            .set(times_out_at, Timer::AttemptTimeout { request, number });
     }
 
     /// Returns the address and role of the server for a new attempt, or `None` if the server is not ready or the
@@ -88,7 +88,7 @@
     }
 
     fn report_not_sent(&mut self, request: RequestId, attempt: u16, server: ServerId) {
-        let finished = self.requests.get(request).is_none_or(|o| o.answered);
+        let finished = self.requests.get(request).is_none_or(|open| open.answered);
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
@@ -108,13 +108,13 @@
         now: Micros,
         request: RequestId,
         outcome: Outcome,
-        hit: f64,
+        prefix_hit_tokens: f64,
         report: Vec<f64>,
     ) {
         let Some(open) = self.requests.get_mut(request) else {
             return;
         };
-        let Some(was) = open.in_flight.take() else {
+        let Some(attempt) = open.in_flight.take() else {
             return;
         };
         if matches!(
@@ -127,12 +127,12 @@
         self.requests.mark_maybe_complete(request);
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
             request,
-            attempt: was.number,
-            server: was.server,
+            attempt: attempt.number,
+            server: attempt.server,
             outcome,
-            elapsed_s: now.since(was.sent_at),
+            elapsed_s: now.since(attempt.sent_at),
             finished,
-            prefix_hit_tokens: hit,
+            prefix_hit_tokens,
             report,
         }));
     }
@@ -148,13 +148,13 @@
         let Some(open) = self.requests.get(request) else {
             return;
         };
-        let streaming = open.last_event_at.is_some();
-        let prefill = open.in_flight.is_some_and(|o| o.is_prefill);
+        let is_streaming = open.last_event_at.is_some();
+        let is_prefill = open.in_flight.is_some_and(|attempt| attempt.is_prefill);
         let outcome = match complete.status {
-            200 if streaming => Outcome::Served,
+            200 if is_streaming => Outcome::Served,
             // A 200 whose stream held no event has given the client nothing, so it counts as an error.
             200 => Outcome::Error,
-            202 if prefill => Outcome::PrefillDone,
+            202 if is_prefill => Outcome::PrefillDone,
             503 | 504 if complete.declined => Outcome::Rejected {
                 state_missing: false,
             },
@@ -179,7 +179,7 @@
         if self
             .requests
             .get(request)
-            .is_some_and(|o| o.last_event_at.is_some())
+            .is_some_and(|open| open.last_event_at.is_some())
         {
             self.break_stream(request, commands);
         }
@@ -194,14 +194,17 @@
         outcome: Outcome,
         commands: &mut Vec<Command>,
     ) {
-        let Some(was) = self.requests.get(request).and_then(|o| o.in_flight) else {
+        let Some(attempt) = self.requests.get(request).and_then(|open| open.in_flight) else {
             return;
         };
-        let unsent = self.pool.get(was.conn).is_some_and(|l| !l.written());
-        self.close_server_connection(was.conn, commands);
+        let is_unsent = self
+            .pool
+            .get(attempt.conn)
+            .is_some_and(|connection| !connection.is_written());
+        self.close_server_connection(attempt.conn, commands);
         // A request whose last byte was never written cannot have run on the server, whatever the reason for abandoning
         // it.
-        let outcome = if unsent {
+        let outcome = if is_unsent {
             Outcome::ConnectFailed
         } else {
             outcome
@@ -220,11 +223,11 @@
         let conn = self
             .requests
             .get(request)
-            .and_then(|o| o.in_flight)
-            .map(|o| o.conn);
+            .and_then(|open| open.in_flight)
+            .map(|attempt| attempt.conn);
         if conn
             .and_then(|c| self.pool.get(c))
-            .is_some_and(|l| !l.written())
+            .is_some_and(|connection| !connection.is_written())
         {
             self.abandon_attempt(now, request, Outcome::ConnectFailed, commands);
         }
@@ -240,7 +243,11 @@
         let Some(open) = self.requests.get(request) else {
             return;
         };
-        if open.last_event_at.is_none() && open.in_flight.is_some_and(|o| o.number == attempt) {
+        if open.last_event_at.is_none()
+            && open
+                .in_flight
+                .is_some_and(|in_flight| in_flight.number == attempt)
+        {
             self.abandon_attempt(now, request, Outcome::Cancelled, commands);
         }
     }
@@ -255,7 +262,11 @@
         let Some(open) = self.requests.get(request) else {
             return;
         };
-        if open.last_event_at.is_none() && open.in_flight.is_some_and(|o| o.number == number) {
+        if open.last_event_at.is_none()
+            && open
+                .in_flight
+                .is_some_and(|attempt| attempt.number == number)
+        {
             self.abandon_attempt(now, request, Outcome::TimedOut, commands);
         }
     }
--- a/crates/platform/src/node/client_requests.rs
+++ b/crates/platform/src/node/client_requests.rs
@@ -59,8 +59,13 @@
                     return;
                 }
                 Ok(Some(request)) => self.on_request(now, conn, request, commands),
-                Err(bad) => {
-                    return self.reject_and_close(conn, bad.status(), &bad.to_string(), commands)
+                Err(error) => {
+                    return self.reject_and_close(
+                        conn,
+                        error.status(),
+                        &error.to_string(),
+                        commands,
+                    )
                 }
             }
         }
@@ -136,7 +141,7 @@
         now: Micros,
         conn: ConnId,
         status: u16,
-        more: &str,
+        extra_headers: &str,
         text: &str,
         commands: &mut Vec<Command>,
     ) {
@@ -144,7 +149,7 @@
             return;
         };
         let keep_alive = client.keeps_alive_after_response(!self.shutdown.is_accepting());
-        let bytes = plain_response(status, more, keep_alive, text);
+        let bytes = plain_response(status, extra_headers, keep_alive, text);
         self.write_client(now, conn, bytes, commands);
         self.on_response_complete(now, conn, commands);
     }
@@ -154,12 +159,12 @@
         &mut self,
         conn: ConnId,
         status: u16,
-        why: &str,
+        reason: &str,
         commands: &mut Vec<Command>,
     ) {
         if self.clients.remove(conn).is_some() {
             self.counts.rejected += 1;
-            let bytes = plain_response(status, "", false, &format!("{why}\n"));
+            let bytes = plain_response(status, "", false, &format!("{reason}\n"));
             commands.push(Command::Write { conn, bytes });
             commands.push(Command::Finish { conn });
         }
@@ -213,8 +218,8 @@
         retry_after_s: f64,
         commands: &mut Vec<Command>,
     ) {
-        let is_timed = self.bounds.retry_after && retry_after_s > 0.0;
-        let more = if is_timed {
+        let sends_retry_after = self.bounds.retry_after && retry_after_s > 0.0;
+        let extra_headers = if sends_retry_after {
             format!("Retry-After: {retry_after_s:.3}\r\n")
         } else {
             String::new()
@@ -225,7 +230,7 @@
                 now,
                 conn,
                 503,
-                &more,
+                &extra_headers,
                 "refused: trying again is harmless\n",
                 commands,
             );
@@ -245,7 +250,7 @@
     fn claim_final_response(&mut self, id: RequestId) -> Option<ConnId> {
         self.requests
             .get(id)
-            .filter(|o| !o.answered && o.last_event_at.is_none())?;
+            .filter(|open| !open.answered && open.last_event_at.is_none())?;
         self.finish_for_client(id)
     }
 
--- a/crates/platform/src/node/exchanges.rs
+++ b/crates/platform/src/node/exchanges.rs
@@ -11,8 +11,8 @@
 use crate::types::{Command, ConnId};
 
 /// Whole milliseconds from `now` until `until`, or 0 if that time has passed.
-fn milliseconds_left(now: Micros, until: Micros) -> u64 {
-    until.0.saturating_sub(now.0) / 1000
+fn milliseconds_left(now: Micros, times_out_at: Micros) -> u64 {
+    times_out_at.0.saturating_sub(now.0) / 1000
 }
 
 /// Returns a reader for the kind of response that this use of a connection expects.
@@ -48,9 +48,9 @@
                 self.open_connection(now, target, usage, call, commands)
             }
         };
-        if let Some(limit_s) = self.response_timeout_s(usage) {
+        if let Some(timeout_s) = self.response_timeout_s(usage) {
             self.timers.set(
-                now.after(limit_s),
+                now.after(timeout_s),
                 Timer::ServerConnection { conn, since: now },
             );
         }
@@ -110,9 +110,11 @@
         };
         self.pool.insert(conn, connection);
         commands.push(Command::Connect { conn, to });
-        let late = now.after(self.bounds.connect_timeout_s);
-        self.timers
-            .set(late, Timer::ServerConnection { conn, since: now });
+        let connect_deadline = now.after(self.bounds.connect_timeout_s);
+        self.timers.set(
+            connect_deadline,
+            Timer::ServerConnection { conn, since: now },
+        );
         conn
     }
 
@@ -146,7 +148,7 @@
         if !self.is_still_needed(connection.server, usage) {
             return self.on_exchange_failed(now, usage, Outcome::ConnectFailed, commands);
         }
-        let Some(other) =
+        let Some(new_conn) =
             self.start_exchange(now, target, usage, connection.pending_call, commands)
         else {
             return self.on_exchange_failed(now, usage, Outcome::NotSent, commands);
@@ -155,9 +157,9 @@
             if let Some(attempt) = self
                 .requests
                 .get_mut(request)
-                .and_then(|o| o.in_flight.as_mut())
+                .and_then(|open| open.in_flight.as_mut())
             {
-                attempt.conn = other;
+                attempt.conn = new_conn;
             }
         }
     }
@@ -173,7 +175,7 @@
             .discovery
             .endpoints()
             .get(server)
-            .is_some_and(|t| t.status == ServerStatus::Ready);
+            .is_some_and(|endpoint| endpoint.status == ServerStatus::Ready);
         ready
             && self
                 .requests
@@ -209,7 +211,7 @@
     fn bytes_to_write(&self, now: Micros, usage: ConnectionUse, call: &[u8]) -> Vec<u8> {
         let ConnectionUse::Attempt {
             request,
-            times_out_at: until,
+            times_out_at,
             ..
         } = usage
         else {
@@ -220,7 +222,7 @@
             .get(request)
             .and_then(|open| open.forwarded.as_ref());
         forwarded
-            .map(|request| request.bytes(milliseconds_left(now, until)))
+            .map(|request| request.bytes(milliseconds_left(now, times_out_at)))
             .unwrap_or_default()
     }
 
@@ -238,7 +240,11 @@
         since: Micros,
         commands: &mut Vec<Command>,
     ) {
-        let Some(connection) = self.pool.get(conn).filter(|l| l.in_use_since == since) else {
+        let Some(connection) = self
+            .pool
+            .get(conn)
+            .filter(|connection| connection.in_use_since == since)
+        else {
             return;
         };
         let usage = connection.usage;
@@ -261,7 +267,7 @@
         let Some(connection) = self.pool.remove(conn) else {
             return;
         };
-        let outcome = if connection.written() {
+        let outcome = if connection.is_written() {
             Outcome::Reset
         } else {
             Outcome::ConnectFailed
@@ -355,14 +361,14 @@
         let Some(open) = self.requests.get(request) else {
             return;
         };
-        let Some(sent) = open.in_flight.filter(|o| o.number == number) else {
+        let Some(in_flight) = open.in_flight.filter(|attempt| attempt.number == number) else {
             return;
         };
-        let first = open.last_event_at.is_none();
+        let is_first = open.last_event_at.is_none();
         self.forward_events(now, request, events, commands);
-        if first {
-            let elapsed_s = now.since(sent.sent_at);
-            let (attempt, server) = (number, sent.server);
+        if is_first {
+            let elapsed_s = now.since(in_flight.sent_at);
+            let (attempt, server) = (number, in_flight.server);
             self.events.push_back(Event::FirstToken {
                 request,
                 attempt,
@@ -383,7 +389,7 @@
         let report = complete
             .load_report
             .as_deref()
-            .map(|l| parse_load_report(l, &self.names))
+            .map(|text| parse_load_report(text, &self.names))
             .unwrap_or_default();
         match usage {
             ConnectionUse::Idle => {}
@@ -407,8 +413,8 @@
             ConnectionUse::Release {
                 id,
                 server,
-                started_at: begun,
-            } => self.on_release_response(now, id, server, begun, complete.status, commands),
+                started_at,
+            } => self.on_release_response(now, id, server, started_at, complete.status, commands),
         }
     }
 }
--- a/crates/platform/src/node/mod.rs
+++ b/crates/platform/src/node/mod.rs
@@ -86,7 +86,7 @@
         let connections = ConnectionLimits::of(&config.limits);
         let deadlines = config.settings.classes.iter().map(|c| c.deadline_s);
         let schedule = ShutdownSchedule::new(deadlines.fold(0.0, f64::max), config.bounds.resumes);
-        let (me, peers_allowed) = (config.bounds.me, config.bounds.peers);
+        let (own_number, peers_allowed) = (config.bounds.me, config.bounds.peers);
         let watch = DiscoveryWatch::new(config.seed, &config.name);
         let mut node = Node {
             roles: config.settings.kinds.iter().map(|k| k.role).collect(),
@@ -97,7 +97,12 @@
             pool: ConnectionPool::new(connections.servers, config.bounds.idle_s),
             health_checks: HealthChecks::default(),
             releases: Releases::default(),
-            peers: Peers::new(config.peers, config.broadcast_address, me, peers_allowed),
+            peers: Peers::new(
+                config.peers,
+                config.broadcast_address,
+                own_number,
+                peers_allowed,
+            ),
             shutdown: Shutdown::new(schedule),
             timers: Timers::default(),
             events: VecDeque::new(),
@@ -295,9 +300,11 @@
             Action::CloseIdle { server } => self.close_idle_connections(server, commands),
             Action::SendToPeer { peer, data } => self.send_to_peer(peer, data, commands),
             Action::Log { text } => log(commands, Level::Info, text),
-            Action::Fault { text } => {
-                log(commands, Level::Warn, format!("the module failed: {text}"))
-            }
+            Action::Fault { text } => log(
+                commands,
+                Level::Warn,
+                format!("the decision module failed: {text}"),
+            ),
         }
     }
 
--- a/crates/platform/src/node/release_calls.rs
+++ b/crates/platform/src/node/release_calls.rs
@@ -31,17 +31,19 @@
             .aborted_at
             .map_or(now, |at| at.after(CLOSE_PROPAGATION_SECS));
         let is_decode_attempt = open.in_flight.is_some_and(|attempt| !attempt.is_prefill);
-        let begun = self.releases.start(now, valid_from, open.id.clone());
+        let started = self.releases.start(now, valid_from, open.id.clone());
         self.counts.releases += 1;
-        if let Some(dropped) = begun.dropped {
+        if let Some(dropped) = started.dropped {
             self.report_unconfirmed(now, &dropped, "too many releases are open", commands);
         }
         if is_decode_attempt {
             self.abandon_unsent_attempt(now, request, commands);
         }
-        self.call_release(now, begun.id, commands);
-        self.timers
-            .set(now.after(HEDGE_DELAY_SECS), Timer::Release { id: begun.id });
+        self.call_release(now, started.id, commands);
+        self.timers.set(
+            now.after(HEDGE_DELAY_SECS),
+            Timer::Release { id: started.id },
+        );
     }
 
     /// Sends the release to one more server. Returns false if no server is left in this round.
@@ -119,7 +121,7 @@
         now: Micros,
         id: u64,
         server: ServerId,
-        begun: Micros,
+        started_at: Micros,
         status: u16,
         commands: &mut Vec<Command>,
     ) {
@@ -127,7 +129,7 @@
             return self.on_release_failed(now, id, server, Outcome::Error, commands);
         }
         self.releases.forget_failure(server);
-        if self.releases.retry_if_too_early(id, begun) {
+        if self.releases.retry_if_too_early(id, started_at) {
             return;
         }
         let Some(release) = self.releases.finish(id) else {
@@ -160,14 +162,14 @@
         &mut self,
         now: Micros,
         release: &Release,
-        why: &str,
+        reason: &str,
         commands: &mut Vec<Command>,
     ) {
         self.counts.releases_unconfirmed += 1;
         log(
             commands,
             Level::Warn,
-            release.unconfirmed_log_line(now, why),
+            release.unconfirmed_log_line(now, reason),
         );
     }
 }
--- a/crates/platform/src/node/streams.rs
+++ b/crates/platform/src/node/streams.rs
@@ -18,8 +18,8 @@
         request: RequestId,
         commands: &mut Vec<Command>,
     ) {
-        if let Some(was) = self.requests.get(request).and_then(|o| o.in_flight) {
-            self.close_server_connection(was.conn, commands);
+        if let Some(attempt) = self.requests.get(request).and_then(|open| open.in_flight) {
+            self.close_server_connection(attempt.conn, commands);
             self.finish_attempt(now, request, Outcome::Cancelled, 0.0, Vec::new());
         }
     }
@@ -41,7 +41,7 @@
     /// paused by a slow client are left alone.
     pub(super) fn break_stalled_streams(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let backpressured =
-            |conn: Option<ConnId>| conn.is_some_and(|c| self.clients.is_backpressured(c));
+            |conn: Option<ConnId>| conn.is_some_and(|conn| self.clients.is_backpressured(conn));
         let stalled = self.requests.iter().filter(|(_, open)| {
             open.last_event_at
                 .is_some_and(|at| now.since(at) >= STREAM_STALL_SECS)
@@ -49,8 +49,8 @@
         });
         let stalled: Vec<RequestId> = stalled.map(|(id, _)| id).collect();
         for id in stalled {
-            if let Some(was) = self.requests.get(id).and_then(|o| o.in_flight) {
-                self.close_server_connection(was.conn, commands);
+            if let Some(attempt) = self.requests.get(id).and_then(|open| open.in_flight) {
+                self.close_server_connection(attempt.conn, commands);
                 self.fail_attempt(now, id, Outcome::TimedOut, commands);
             }
         }
--- a/crates/platform/src/pool.rs
+++ b/crates/platform/src/pool.rs
@@ -87,7 +87,7 @@
 
 impl ServerConnection {
     /// Whether the request's last byte has been handed to the operating system.
-    pub fn written(&self) -> bool {
+    pub fn is_written(&self) -> bool {
         self.connected && self.unsent_bytes == 0
     }
 }
@@ -195,15 +195,15 @@
     /// Returns the idle connection to an address that was used last and is past `REUSE_DELAY_SECS`. The most recently
     /// used one is the most likely to be alive.
     pub fn idle_connection(&self, now: Micros, to: SocketAddr) -> Option<ConnId> {
-        let fits = |l: &ServerConnection| {
-            l.address == to
-                && l.usage == ConnectionUse::Idle
-                && (REUSE_DELAY_SECS..self.max_idle_s).contains(&now.since(l.in_use_since))
+        let is_match = |connection: &ServerConnection| {
+            connection.address == to
+                && connection.usage == ConnectionUse::Idle
+                && (REUSE_DELAY_SECS..self.max_idle_s).contains(&now.since(connection.in_use_since))
         };
         self.server_connections
             .iter()
-            .filter(|(_, l)| fits(l))
-            .max_by_key(|(_, l)| l.in_use_since)
+            .filter(|(_, connection)| is_match(connection))
+            .max_by_key(|(_, connection)| connection.in_use_since)
             .map(|(id, _)| *id)
     }
 
@@ -229,8 +229,9 @@
         let idle = self
             .server_connections
             .iter()
-            .filter(|(_, l)| l.usage == ConnectionUse::Idle);
-        idle.min_by_key(|(_, l)| l.in_use_since).map(|(id, _)| *id)
+            .filter(|(_, connection)| connection.usage == ConnectionUse::Idle);
+        idle.min_by_key(|(_, connection)| connection.in_use_since)
+            .map(|(id, _)| *id)
     }
 
     /// Whether a connection is available for a release.
@@ -239,7 +240,7 @@
             || self
                 .server_connections
                 .values()
-                .any(|l| l.usage == ConnectionUse::Idle)
+                .any(|connection| connection.usage == ConnectionUse::Idle)
     }
 
     /// Takes a snapshot of the servers' activity on all connections.
@@ -300,25 +301,27 @@
     pub fn expired_idle(
         &self,
         now: Micros,
-        listed: impl Fn(&ServerConnection) -> bool,
+        is_listed: impl Fn(&ServerConnection) -> bool,
     ) -> Vec<ConnId> {
-        let expired = |l: &ServerConnection| {
-            l.usage == ConnectionUse::Idle
-                && (now.since(l.in_use_since) >= self.max_idle_s || !listed(l))
+        let is_expired = |connection: &ServerConnection| {
+            connection.usage == ConnectionUse::Idle
+                && (now.since(connection.in_use_since) >= self.max_idle_s || !is_listed(connection))
         };
         self.server_connections
             .iter()
-            .filter(|(_, l)| expired(l))
+            .filter(|(_, connection)| is_expired(connection))
             .map(|(id, _)| *id)
             .collect()
     }
 
     /// Idle connections to one server.
     pub fn idle_connections_to(&self, server: ServerId) -> Vec<ConnId> {
-        let fits = |l: &ServerConnection| l.usage == ConnectionUse::Idle && l.server == server;
+        let is_match = |connection: &ServerConnection| {
+            connection.usage == ConnectionUse::Idle && connection.server == server
+        };
         self.server_connections
             .iter()
-            .filter(|(_, l)| fits(l))
+            .filter(|(_, connection)| is_match(connection))
             .map(|(id, _)| *id)
             .collect()
     }
--- a/crates/platform/src/releases.rs
+++ b/crates/platform/src/releases.rs
@@ -144,10 +144,10 @@
     }
 
     /// Log line for a release that no server has confirmed.
-    pub(crate) fn unconfirmed_log_line(&self, now: Micros, why: &str) -> String {
+    pub(crate) fn unconfirmed_log_line(&self, now: Micros, reason: &str) -> String {
         let (took_s, calls) = (now.since(self.started_at), self.calls);
         format!(
-            "state of {} may still be held: {why} after {took_s:.3} s and {calls} calls",
+            "state of {} may still be held: {reason} after {took_s:.3} s and {calls} calls",
             self.request
         )
     }
@@ -304,8 +304,12 @@
 
     /// Returns true if a confirmed call started before `valid_from` and so proves nothing; the release is then called
     /// again from that time on.
-    pub(crate) fn retry_if_too_early(&mut self, id: u64, begun: Micros) -> bool {
-        let Some(release) = self.open.get_mut(&id).filter(|r| begun < r.valid_from) else {
+    pub(crate) fn retry_if_too_early(&mut self, id: u64, started_at: Micros) -> bool {
+        let Some(release) = self
+            .open
+            .get_mut(&id)
+            .filter(|release| started_at < release.valid_from)
+        else {
             return false;
         };
         release.waits_until_valid = true;
@@ -315,7 +319,10 @@
 
     /// Returns the time of the next call if a release has to wait for `valid_from`, or `None` if it may be called now.
     pub(crate) fn delayed_until(&mut self, id: u64, now: Micros) -> Option<Micros> {
-        let release = self.open.get_mut(&id).filter(|r| r.waits_until_valid)?;
+        let release = self
+            .open
+            .get_mut(&id)
+            .filter(|release| release.waits_until_valid)?;
         if now < release.valid_from {
             return Some(release.valid_from);
         }
@@ -335,7 +342,7 @@
         let release = self
             .open
             .get_mut(&id)
-            .filter(|r| now.since(r.started_at) < RELEASE_TIMEOUT_SECS)?;
+            .filter(|release| now.since(release.started_at) < RELEASE_TIMEOUT_SECS)?;
         Some(release.round.advance())
     }
 }
--- a/crates/platform/src/requests.rs
+++ b/crates/platform/src/requests.rs
@@ -79,13 +79,13 @@
     let time_left_ms = parse_deadline_ms(head)?;
     let mut request = policy::Request {
         class: class as u16,
-        tenant: tenant(head, names)?,
-        session: single_field(head, "req-key")?.map_or(0, key),
+        tenant: parse_tenant(head, names)?,
+        session: single_field(head, "req-key")?.map_or(0, parse_key),
         prompt_tokens: body_bytes as f64 / CHARS_PER_TOKEN,
         time_left_s: time_left_ms as f64 / 1e3,
         ..policy::Request::default()
     };
-    read_extras(
+    parse_extra_fields(
         single_field(head, "req-extra")?.unwrap_or_default(),
         &mut request,
     )?;
@@ -134,7 +134,7 @@
 }
 
 /// Parses a key: hexadecimal as the platform writes it, or a hash of any other text. An empty text gives 0.
-fn key(text: &str) -> u64 {
+fn parse_key(text: &str) -> u64 {
     match u64::from_str_radix(text, 16) {
         Ok(key) => key,
         Err(_) if text.is_empty() => 0,
@@ -142,17 +142,18 @@
     }
 }
 
-fn tenant(head: &RequestHead, names: &Names) -> Result<u32, Rejection> {
+fn parse_tenant(head: &RequestHead, names: &Names) -> Result<u32, Rejection> {
     if names.tenants.is_empty() {
         return Ok(0);
     }
     let owner = single_field(head, "req-owner")?.ok_or(bad_request("Req-Owner is missing"))?;
-    let at = names.tenants.iter().position(|n| n == owner);
-    at.map(|i| i as u32)
+    let index = names.tenants.iter().position(|n| n == owner);
+    index
+        .map(|i| i as u32)
         .ok_or(bad_request("Req-Owner is not known"))
 }
 
-fn read_extras(text: &str, request: &mut policy::Request) -> Result<(), Rejection> {
+fn parse_extra_fields(text: &str, request: &mut policy::Request) -> Result<(), Rejection> {
     let unreadable = bad_request("Req-Extra cannot be read");
     for pair in text.split(',').map(str::trim).filter(|p| !p.is_empty()) {
         let (name, value) = pair.split_once('=').ok_or(unreadable)?;
@@ -161,7 +162,7 @@
             _ => Err(unreadable),
         };
         match name.trim() {
-            "prefix" => request.prefix = key(value.trim()),
+            "prefix" => request.prefix = parse_key(value.trim()),
             "prompt_len" => request.prompt_tokens = tokens()?,
             "prefix_len" => request.prefix_tokens = tokens()?,
             "max_out" => request.max_output_tokens = tokens()?,
@@ -222,8 +223,9 @@
         let length = self.body.len();
         let mut out = Vec::with_capacity(self.head.len() + length + 80);
         out.extend_from_slice(self.head.as_bytes());
-        let own = format!("Req-Deadline-Ms: {time_left_ms}\r\nContent-Length: {length}\r\n\r\n");
-        out.extend_from_slice(own.as_bytes());
+        let own_fields =
+            format!("Req-Deadline-Ms: {time_left_ms}\r\nContent-Length: {length}\r\n\r\n");
+        out.extend_from_slice(own_fields.as_bytes());
         out.extend_from_slice(&self.body);
         out
     }
--- a/crates/platform/src/responses.rs
+++ b/crates/platform/src/responses.rs
@@ -71,8 +71,8 @@
         let (Some(head), Some(body)) = (&self.head, &mut self.body) else {
             return Err(HttpError::MalformedHead);
         };
-        let taken = body.decode(&self.unparsed, &mut self.body_bytes)?;
-        self.unparsed.drain(..taken);
+        let consumed = body.decode(&self.unparsed, &mut self.body_bytes)?;
+        self.unparsed.drain(..consumed);
         let (status, framing, done) = (head.status, head.framing, body.is_complete());
         if !self.expects_stream || status != 200 {
             return self.read_plain(done);
@@ -88,10 +88,10 @@
     /// Parses the head after skipping interim responses; returns false while it is incomplete.
     fn read_head(&mut self) -> Result<bool, HttpError> {
         while self.head.is_none() {
-            let Some((head, taken)) = response_head(&self.unparsed)? else {
+            let Some((head, consumed)) = response_head(&self.unparsed)? else {
                 return Ok(false);
             };
-            self.unparsed.drain(..taken);
+            self.unparsed.drain(..consumed);
             if (100..200).contains(&head.status) {
                 self.interim += 1;
                 if head.status == 101 || self.interim > MAX_INTERIM_RESPONSES {
