--- a/crates/platform/src/node/attempts.rs
+++ b/crates/platform/src/node/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: one request sent to one model server, and how it ends.
+//! Attempts: sending a request to one model server and recording how the attempt ended.
 
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::{
@@ -12,15 +12,16 @@
 use crate::timer::Timer;
 use crate::types::Command;
 
-/// The model server of an attempt.
+/// Model server that an attempt is sent to, with its role.
 struct Target {
     address: ServerAddress,
     role: Role,
 }
 
 impl Node {
-    /// Sends a request to a server, as the decision module asks for it.
-    pub(super) fn send(
+    /// Starts an attempt of a request at the server that the decision module chose. Reports `NotSent` to the module if
+    /// the request or the server cannot be used or no connection is available.
+    pub(super) fn send_attempt(
         &mut self,
         now: Micros,
         request: RequestId,
@@ -33,18 +34,18 @@
         };
         let number = open.attempts;
         open.attempts += 1;
-        let until = if timeout_s > 0.0 {
+        let times_out_at = if timeout_s > 0.0 {
             now.after(timeout_s).min(open.deadline)
         } else {
             open.deadline
         };
-        let Some(target) = self.target(now, request, server) else {
+        let Some(target) = self.attempt_target(now, request, server) else {
             return self.report_not_sent(request, number, server);
         };
         let usage = ConnectionUse::Attempt {
             request,
             number,
-            times_out_at: until,
+            times_out_at,
         };
         let Some(conn) = self.start_exchange(now, target.address, usage, Vec::new(), commands)
         else {
@@ -61,11 +62,12 @@
             });
         }
         self.timers
-            .set(until, Timer::AttemptTimeout { request, number });
+            .set(times_out_at, Timer::AttemptTimeout { request, number });
     }
 
-    /// Where an attempt goes; `None` where the server is not ready or the request may not be sent.
-    fn target(&self, now: Micros, request: RequestId, server: ServerId) -> Option<Target> {
+    /// Returns the address and role of the server for a new attempt, or `None` if the server is not ready or the
+    /// request may not be sent again (answered, an attempt in flight, already streaming or past its deadline).
+    fn attempt_target(&self, now: Micros, request: RequestId, server: ServerId) -> Option<Target> {
         let open = self.requests.get(request)?;
         let endpoint = self.discovery.endpoints().get(server)?;
         let is_sendable = !open.answered
@@ -86,7 +88,7 @@
     }
 
     fn report_not_sent(&mut self, request: RequestId, attempt: u16, server: ServerId) {
-        let finished = self.requests.get(request).is_none_or(|o| o.answered);
+        let finished = self.requests.get(request).is_none_or(|open| open.answered);
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
@@ -99,19 +101,20 @@
         }));
     }
 
-    /// The one place where an attempt ends: the decision module is given.
+    /// Ends the attempt in flight and reports its outcome to the decision module. Every attempt that was sent ends
+    /// here.
     pub(super) fn finish_attempt(
         &mut self,
         now: Micros,
         request: RequestId,
         outcome: Outcome,
-        hit: f64,
+        prefix_hit_tokens: f64,
         report: Vec<f64>,
     ) {
         let Some(open) = self.requests.get_mut(request) else {
             return;
         };
-        let Some(was) = open.in_flight.take() else {
+        let Some(attempt) = open.in_flight.take() else {
             return;
         };
         if matches!(
@@ -124,12 +127,12 @@
         self.requests.mark_maybe_complete(request);
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
             request,
-            attempt: was.number,
-            server: was.server,
+            attempt: attempt.number,
+            server: attempt.server,
             outcome,
-            elapsed_s: now.since(was.sent_at),
+            elapsed_s: now.since(attempt.sent_at),
             finished,
-            prefix_hit_tokens: hit,
+            prefix_hit_tokens,
             report,
         }));
     }
@@ -145,13 +148,13 @@
         let Some(open) = self.requests.get(request) else {
             return;
         };
-        let streaming = open.last_event_at.is_some();
-        let prefill = open.in_flight.is_some_and(|o| o.is_prefill);
+        let is_streaming = open.last_event_at.is_some();
+        let is_prefill = open.in_flight.is_some_and(|attempt| attempt.is_prefill);
         let outcome = match complete.status {
-            200 if streaming => Outcome::Served,
-            // A stream without an event gives the client nothing.
+            200 if is_streaming => Outcome::Served,
+            // A 200 whose stream held no event has given the client nothing, so it counts as an error.
             200 => Outcome::Error,
-            202 if prefill => Outcome::PrefillDone,
+            202 if is_prefill => Outcome::PrefillDone,
             503 | 504 if complete.declined => Outcome::Rejected {
                 state_missing: false,
             },
@@ -176,14 +179,14 @@
         if self
             .requests
             .get(request)
-            .is_some_and(|o| o.last_event_at.is_some())
+            .is_some_and(|open| open.last_event_at.is_some())
         {
             self.break_stream(request, commands);
         }
         self.finish_attempt(now, request, outcome, 0.0, Vec::new());
     }
 
-    /// Gives an attempt up by closing its connection.
+    /// Abandons the attempt in flight by closing its connection.
     pub(super) fn abandon_attempt(
         &mut self,
         now: Micros,
@@ -191,13 +194,17 @@
         outcome: Outcome,
         commands: &mut Vec<Command>,
     ) {
-        let Some(was) = self.requests.get(request).and_then(|o| o.in_flight) else {
+        let Some(attempt) = self.requests.get(request).and_then(|open| open.in_flight) else {
             return;
         };
-        let unsent = self.pool.get(was.conn).is_some_and(|l| !l.written());
-        self.close_server_connection(was.conn, commands);
-        // What never had its last byte written never ran, whoever gave it up.
-        let outcome = if unsent {
+        let is_unsent = self
+            .pool
+            .get(attempt.conn)
+            .is_some_and(|connection| !connection.is_written());
+        self.close_server_connection(attempt.conn, commands);
+        // A request whose last byte was never written cannot have run on the server, whatever the reason for abandoning
+        // it.
+        let outcome = if is_unsent {
             Outcome::ConnectFailed
         } else {
             outcome
@@ -205,8 +212,8 @@
         self.fail_attempt(now, request, outcome, commands);
     }
 
-    /// Ends an attempt that has not begun, as its request's last byte has not gone out. That calls nothing back from a
-    /// server, so that it needs no leave to cancel.
+    /// Abandons an attempt whose request has not been written completely. The server has not started it, so nothing has
+    /// to be cancelled there and the class needs no permission to cancel.
     pub(super) fn abandon_unsent_attempt(
         &mut self,
         now: Micros,
@@ -216,17 +223,17 @@
         let conn = self
             .requests
             .get(request)
-            .and_then(|o| o.in_flight)
-            .map(|o| o.conn);
+            .and_then(|open| open.in_flight)
+            .map(|attempt| attempt.conn);
         if conn
             .and_then(|c| self.pool.get(c))
-            .is_some_and(|l| !l.written())
+            .is_some_and(|connection| !connection.is_written())
         {
             self.abandon_attempt(now, request, Outcome::ConnectFailed, commands);
         }
     }
 
-    pub(super) fn cancel(
+    pub(super) fn cancel_attempt(
         &mut self,
         now: Micros,
         request: RequestId,
@@ -236,12 +243,16 @@
         let Some(open) = self.requests.get(request) else {
             return;
         };
-        if open.last_event_at.is_none() && open.in_flight.is_some_and(|o| o.number == attempt) {
+        if open.last_event_at.is_none()
+            && open
+                .in_flight
+                .is_some_and(|in_flight| in_flight.number == attempt)
+        {
             self.abandon_attempt(now, request, Outcome::Cancelled, commands);
         }
     }
 
-    pub(super) fn on_time_up(
+    pub(super) fn on_attempt_timeout(
         &mut self,
         now: Micros,
         request: RequestId,
@@ -251,7 +262,11 @@
         let Some(open) = self.requests.get(request) else {
             return;
         };
-        if open.last_event_at.is_none() && open.in_flight.is_some_and(|o| o.number == number) {
+        if open.last_event_at.is_none()
+            && open
+                .in_flight
+                .is_some_and(|attempt| attempt.number == number)
+        {
             self.abandon_attempt(now, request, Outcome::TimedOut, commands);
         }
     }
--- a/crates/platform/src/node/streams.rs
+++ b/crates/platform/src/node/streams.rs
@@ -1,4 +1,4 @@
-//! Streams that end before their model server ends them.
+//! Streams that the dispatcher ends before the model server does.
 
 use bitternlatch_core::Micros;
 use bitternlatch_policy::interface::{Outcome, RequestId};
@@ -6,25 +6,25 @@
 use super::Node;
 use crate::types::{Command, ConnId};
 
-/// A stream whose model server has sent nothing for this long has broken, seconds. The platform counts a client left
-/// waiting for 5 s as lost.
+/// Time without bytes from the model server after which a stream counts as broken, seconds. The platform counts a
+/// client that waits 5 s as lost.
 const STREAM_STALL_SECS: f64 = 4.4;
 
 impl Node {
-    /// Nobody reads this stream any more.
+    /// Cancels the attempt of a stream whose client no longer receives it.
     pub(super) fn cancel_stream(
         &mut self,
         now: Micros,
         request: RequestId,
         commands: &mut Vec<Command>,
     ) {
-        if let Some(was) = self.requests.get(request).and_then(|o| o.in_flight) {
-            self.close_server_connection(was.conn, commands);
+        if let Some(attempt) = self.requests.get(request).and_then(|open| open.in_flight) {
+            self.close_server_connection(attempt.conn, commands);
             self.finish_attempt(now, request, Outcome::Cancelled, 0.0, Vec::new());
         }
     }
 
-    /// Ends all running streams, for their clients to ask for the rest elsewhere.
+    /// Ends all running streams during shutdown, so that their clients request the rest from another dispatcher.
     pub(super) fn end_streams(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let running = self
             .requests
@@ -37,10 +37,11 @@
         }
     }
 
-    /// Streams whose servers have gone silent are ended, so that their clients can ask for the rest.
+    /// Ends streams whose model servers have stopped sending, so that their clients can request the rest. Streams
+    /// paused by a slow client are left alone.
     pub(super) fn break_stalled_streams(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let backpressured =
-            |conn: Option<ConnId>| conn.is_some_and(|c| self.clients.is_backpressured(c));
+            |conn: Option<ConnId>| conn.is_some_and(|conn| self.clients.is_backpressured(conn));
         let stalled = self.requests.iter().filter(|(_, open)| {
             open.last_event_at
                 .is_some_and(|at| now.since(at) >= STREAM_STALL_SECS)
@@ -48,8 +49,8 @@
         });
         let stalled: Vec<RequestId> = stalled.map(|(id, _)| id).collect();
         for id in stalled {
-            if let Some(was) = self.requests.get(id).and_then(|o| o.in_flight) {
-                self.close_server_connection(was.conn, commands);
+            if let Some(attempt) = self.requests.get(id).and_then(|open| open.in_flight) {
+                self.close_server_connection(attempt.conn, commands);
                 self.fail_attempt(now, id, Outcome::TimedOut, commands);
             }
         }
