--- a/crates/core/tests/any_order.rs
+++ b/crates/core/tests/any_order.rs
@@ -1,4 +1,5 @@
-//! Servers that answer, fail, fall silent and reset in any order: the rules hold for every seed.
+//! Randomized tests: clients, model servers and the workflow coordinator act, fail and disconnect in random order, and
+//! the machine's guarantees for requests and records have to hold for every seed.
 mod common;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -16,38 +17,50 @@
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// One message at a time over a world in which anything may happen.
-struct Chaos {
+/// A machine together with simulated clients, model servers and a workflow coordinator, which act in an order that a
+/// seed determines.
+struct Simulation {
     machine: Machine,
     rng: Xoshiro256PlusPlus,
     now: Micros,
     entries: Vec<Entry>,
+    /// Established connections to servers.
     open: Vec<LinkId>,
-    dialled: Vec<LinkId>,
-    /// Completions at servers: link, id, whether it reads, the text asked.
-    out: Vec<(LinkId, String, bool, String)>,
-    /// Times that a booking was told to a writer and not rejected.
-    runs: BTreeMap<String, BTreeSet<String>>,
-    states: BTreeMap<String, LinkId>,
+    /// Connections that the machine has requested and that are not established.
+    connecting: Vec<LinkId>,
+    /// Completion requests at servers that have not ended: link, wire id, whether it is a prefill, prompt.
+    completions: Vec<(LinkId, String, bool, String)>,
+    /// For each prompt of the unsafe class, wire ids of the attempts that were sent to a decode server and not
+    /// rejected.
+    possible_runs: BTreeMap<String, BTreeSet<String>>,
+    /// KV cache states held at prefill servers, by the wire id of the attempt that created them.
+    held_kv_states: BTreeMap<String, LinkId>,
     sessions: BTreeSet<SessionId>,
-    /// Asked by session and text, and the finals that came.
-    asked: BTreeMap<(SessionId, String), u32>,
-    finals: BTreeMap<(SessionId, String), u32>,
-    by_response: BTreeMap<(SessionId, String), String>,
-    after: u32,
-    next: u64,
-    /// Requests are steps of workflows, one step each; the workflow coordinator is played in order, with losses.
-    steps: bool,
-    asks: VecDeque<Command>,
-    /// What is known of each step, and until when it may leave.
-    fates: BTreeMap<String, Option<AttemptOutcome>>,
-    permits: BTreeMap<String, u64>,
+    /// Number of requests sent, by session and the value of their `try` metadata.
+    sent_requests: BTreeMap<(SessionId, String), u32>,
+    /// Number of final events received, by session and `try` metadata.
+    final_events: BTreeMap<(SessionId, String), u32>,
+    /// The `try` metadata of each response, by session and response id.
+    try_by_response: BTreeMap<(SessionId, String), String>,
+    /// Number of events received for a request after its final event.
+    events_after_final: u32,
+    /// Number of the last request.
+    last_number: u64,
+    /// Whether each request is the only step of a workflow. The simulated coordinator then answers commands in order
+    /// and loses some.
+    workflow_steps: bool,
+    /// Commands that the coordinator has not answered, oldest first.
+    pending_commands: VecDeque<Command>,
+    /// Outcome of each step at the coordinator, by workflow; `None` while its attempt may be running.
+    step_outcomes: BTreeMap<String, Option<AttemptOutcome>>,
+    /// Until when each step may be sent, microseconds, by workflow.
+    permitted_until_us: BTreeMap<String, u64>,
 }
 
-impl Chaos {
-    fn new(seed: u64, steps: bool) -> Chaos {
-        let text = if steps {
-            workflows()
+impl Simulation {
+    fn new(seed: u64, workflow_steps: bool) -> Simulation {
+        let text = if workflow_steps {
+            workflow_settings()
         } else {
             SETTINGS.to_string()
         };
@@ -56,40 +69,40 @@
             settings: text,
             seed,
         };
-        let mut chaos = Chaos {
+        let mut simulation = Simulation {
             machine: Machine::new(settings, seed),
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             now: Micros(START_US),
             entries: vec![start],
             open: vec![],
-            dialled: vec![],
-            out: vec![],
-            runs: BTreeMap::new(),
-            states: BTreeMap::new(),
+            connecting: vec![],
+            completions: vec![],
+            possible_runs: BTreeMap::new(),
+            held_kv_states: BTreeMap::new(),
             sessions: BTreeSet::new(),
-            asked: BTreeMap::new(),
-            finals: BTreeMap::new(),
-            by_response: BTreeMap::new(),
-            after: 0,
-            next: 1,
-            steps,
-            asks: VecDeque::new(),
-            fates: BTreeMap::new(),
-            permits: BTreeMap::new(),
+            sent_requests: BTreeMap::new(),
+            final_events: BTreeMap::new(),
+            try_by_response: BTreeMap::new(),
+            events_after_final: 0,
+            last_number: 1,
+            workflow_steps,
+            pending_commands: VecDeque::new(),
+            step_outcomes: BTreeMap::new(),
+            permitted_until_us: BTreeMap::new(),
         };
-        chaos.step(Input::ServerList(four()));
-        if steps {
-            let (standing, until) = (QuorumState::Whole, Micros(u64::MAX));
-            chaos.step(Input::QuorumState {
-                state: standing,
+        simulation.step(Input::ServerList(four()));
+        if workflow_steps {
+            let (state, until) = (QuorumState::Whole, Micros(u64::MAX));
+            simulation.step(Input::QuorumState {
+                state,
                 present: vec!["d2".into()],
                 until,
             });
         }
-        chaos
+        simulation
     }
 
-    fn below(&mut self, n: usize) -> usize {
+    fn random_below(&mut self, n: usize) -> usize {
         (self.rng.next_u64() % n.max(1) as u64) as usize
     }
 
@@ -98,11 +111,11 @@
         self.machine.step(self.now, input.clone(), &mut outputs);
         for output in outputs.clone() {
             match output {
-                Output::SendToClient { session, text } => self.heard(session, &text),
-                Output::Connect { link, .. } => self.dialled.push(link),
+                Output::SendToClient { session, text } => self.on_client_event(session, &text),
+                Output::Connect { link, .. } => self.connecting.push(link),
                 Output::CloseLink { link } => self.end_link(link),
-                Output::SendToServer { link, text, .. } => self.told(link, &text),
-                Output::Workflow(ask) => self.asks.push_back(ask),
+                Output::SendToServer { link, text, .. } => self.on_server_message(link, &text),
+                Output::Workflow(command) => self.pending_commands.push_back(command),
                 _ => {}
             }
         }
@@ -113,10 +126,10 @@
         });
     }
 
-    fn heard(&mut self, session: SessionId, text: &str) {
+    fn on_client_event(&mut self, session: SessionId, text: &str) {
         assert!(
             self.sessions.contains(&session),
-            "nothing is said to a closed session"
+            "message to a closed session"
         );
         let event: ServerEvent = serde_json::from_str(text).expect("an event");
         let id = event
@@ -127,73 +140,78 @@
             .unwrap_or_default();
         let key = (session, id);
         if let Some(response) = &event.response {
-            let asked = response.metadata.get("try").cloned().unwrap_or_default();
-            // A recorded answer is given again under its id, for another try.
-            self.by_response.insert(key.clone(), asked);
+            let label = response.metadata.get("try").cloned().unwrap_or_default();
+            // A recorded answer is sent again with the same response id but the metadata of the new try.
+            self.try_by_response.insert(key.clone(), label);
         }
-        let asked = self.by_response.get(&key).cloned().unwrap_or_default();
-        let count = self.finals.entry((session, asked)).or_default();
+        let label = self.try_by_response.get(&key).cloned().unwrap_or_default();
+        let count = self.final_events.entry((session, label)).or_default();
         if event.is_final() {
             *count += 1;
         } else if *count > 0 {
-            self.after += 1;
+            self.events_after_final += 1;
         }
     }
 
-    fn told(&mut self, link: LinkId, text: &str) {
+    fn on_server_message(&mut self, link: LinkId, text: &str) {
         if !self.open.contains(&link) {
             return;
         }
         match decode::<ToEngine>(text).expect("a message") {
             ToEngine::Completion { id, body } => {
-                let reads = body
+                let is_prefill = body
                     .kv_transfer_params
                     .as_ref()
                     .is_some_and(|k| k.do_remote_decode);
-                if !reads && body.prompt.starts_with("booking") {
-                    let permit = self.permits.get(&body.prompt).copied().unwrap_or(0);
+                if !is_prefill && body.prompt.starts_with("booking") {
+                    let permitted_until_us = self
+                        .permitted_until_us
+                        .get(&body.prompt)
+                        .copied()
+                        .unwrap_or(0);
                     assert!(
-                        !self.steps || self.now.0 < permit,
-                        "'{}' leaves unpermitted",
+                        !self.workflow_steps || self.now.0 < permitted_until_us,
+                        "'{}' was sent without permission",
                         body.prompt
                     );
-                    self.runs
+                    self.possible_runs
                         .entry(body.prompt.clone())
                         .or_default()
                         .insert(id.clone());
                 }
-                let waiting = body
+                let fetched_state = body
                     .kv_transfer_params
                     .as_ref()
                     .and_then(|k| k.remote_request_id.clone());
-                if let Some(state) = waiting {
-                    self.states.remove(&state);
+                if let Some(state) = fetched_state {
+                    self.held_kv_states.remove(&state);
                 }
-                self.out.push((link, id, reads, body.prompt));
+                self.completions.push((link, id, is_prefill, body.prompt));
             }
-            ToEngine::Release { id } => drop(self.states.remove(&id)),
+            ToEngine::Release { id } => drop(self.held_kv_states.remove(&id)),
             _ => {}
         }
     }
 
+    /// Removes a connection and all that depended on it at its server.
     fn end_link(&mut self, link: LinkId) {
         self.open.retain(|l| *l != link);
-        self.out.retain(|o| o.0 != link);
-        self.states.retain(|_, l| *l != link);
+        self.completions.retain(|o| o.0 != link);
+        self.held_kv_states.retain(|_, l| *l != link);
     }
 
-    /// One of the things that may happen next.
-    fn act(&mut self) {
-        if self.steps && self.below(2) == 0 {
-            self.answer_ask();
+    /// Performs one randomly chosen action and advances the clock by a random time of at most 60 ms.
+    fn random_action(&mut self) {
+        if self.workflow_steps && self.random_below(2) == 0 {
+            self.answer_oldest_command();
         }
-        match self.below(12) {
-            0 => self.link_up(),
-            1 | 2 => self.ask(),
-            3 => self.session_drops(),
-            4 if self.below(4) == 0 => self.link_drops(),
+        match self.random_below(12) {
+            0 => self.open_links(),
+            1 | 2 => self.send_request(),
+            3 => self.close_random_session(),
+            4 if self.random_below(4) == 0 => self.close_random_link(),
             4 => {}
-            _ => self.host_says(),
+            _ => self.send_random_server_message(),
         }
         let at = self.now.0 + self.rng.next_u64() % 60_000;
         while let Some(due) = self.machine.next_wake().filter(|d| d.0 <= at) {
@@ -203,18 +221,19 @@
         self.now = Micros(at.max(self.now.0));
     }
 
-    fn link_up(&mut self) {
-        for link in std::mem::take(&mut self.dialled) {
-            match self.below(5) {
+    /// Each requested connection fails, stays pending or is established with a hello message.
+    fn open_links(&mut self) {
+        for link in std::mem::take(&mut self.connecting) {
+            match self.random_below(5) {
                 0 => self.step(Input::LinkFailed {
                     link,
                     reason: "refused".into(),
                 }),
-                1 => self.dialled.push(link),
+                1 => self.connecting.push(link),
                 _ => {
                     self.open.push(link);
                     self.step(Input::LinkUp { link });
-                    let uptime_s = if self.below(3) == 0 { 1.0 } else { 1e5 };
+                    let uptime_s = if self.random_below(3) == 0 { 1.0 } else { 1e5 };
                     let hello = FromEngine::Hello {
                         engine_id: String::new(),
                         uptime_s,
@@ -229,25 +248,26 @@
         }
     }
 
-    fn ask(&mut self) {
-        self.next += 1;
-        let session = SessionId(self.next % 7);
+    /// Sends a request from one of seven sessions. A third of them repeat the idempotency key of an earlier request.
+    fn send_request(&mut self) {
+        self.last_number += 1;
+        let session = SessionId(self.last_number % 7);
         if self.sessions.insert(session) {
             self.step(Input::SessionOpened {
                 session,
                 caller: None,
             });
         }
-        let class = ["query", "booking"][self.below(2)];
-        let number = if self.below(3) == 0 {
-            self.next.saturating_sub(20)
+        let class = ["query", "booking"][self.random_below(2)];
+        let number = if self.random_below(3) == 0 {
+            self.last_number.saturating_sub(20)
         } else {
-            self.next
+            self.last_number
         };
         let text = format!("{class} {number}");
         let mut create = serde_json::json!({ "type": "response.create", "model": "m", "input": text,
-            "metadata": { "class": class, "idempotency_key": text, "try": format!("{text}/{}", self.next) } });
-        if self.steps {
+            "metadata": { "class": class, "idempotency_key": text, "try": format!("{text}/{}", self.last_number) } });
+        if self.workflow_steps {
             let meta = &mut create["metadata"];
             (
                 meta["workflow"],
@@ -256,8 +276,8 @@
             ) = (text.as_str().into(), "1".into(), "1".into());
         }
         *self
-            .asked
-            .entry((session, format!("{text}/{}", self.next)))
+            .sent_requests
+            .entry((session, format!("{text}/{}", self.last_number)))
             .or_default() += 1;
         self.step(Input::SessionText {
             session,
@@ -265,77 +285,76 @@
         });
     }
 
-    fn session_drops(&mut self) {
+    fn close_random_session(&mut self) {
         let all: Vec<SessionId> = self.sessions.iter().copied().collect();
-        if let Some(session) = all.get(self.below(all.len())).copied() {
+        if let Some(session) = all.get(self.random_below(all.len())).copied() {
             self.sessions.remove(&session);
             self.step(Input::SessionClosed { session });
-            self.asked.retain(|k, _| k.0 != session);
-            self.finals.retain(|k, _| k.0 != session);
-            self.by_response.retain(|k, _| k.0 != session);
+            self.sent_requests.retain(|k, _| k.0 != session);
+            self.final_events.retain(|k, _| k.0 != session);
+            self.try_by_response.retain(|k, _| k.0 != session);
         }
     }
 
-    /// The oldest question is answered: truthfully, or not at all, or by a refusal that changes nothing.
-    fn answer_ask(&mut self) {
-        let Some(ask) = self.asks.pop_front() else {
+    /// The coordinator takes its oldest pending command. Some commands are rejected without effect, and some answers
+    /// are lost after the command took effect.
+    fn answer_oldest_command(&mut self) {
+        let Some(command) = self.pending_commands.pop_front() else {
             return;
         };
-        let call = ask.call();
-        let told = match ask {
-            _ if self.below(12) == 0 => {
-                let why = [
+        let call = command.call();
+        let event = match command {
+            _ if self.random_below(12) == 0 => {
+                let reason = [
                     RejectReason::NoMajority,
                     RejectReason::Busy,
                     RejectReason::NotStored,
-                ][self.below(3)];
-                Event::Rejected { call, reason: why }
+                ][self.random_below(3)];
+                Event::Rejected { call, reason }
             }
             Command::Intend { workflow, .. } => {
                 let name = workflow.trim_start_matches('/').to_string();
-                let refused = |why| Event::Rejected { call, reason: why };
-                match self.fates.get(&name) {
-                    Some(None) => refused(RejectReason::Busy),
-                    Some(Some(AttemptOutcome::MayHaveRun)) => refused(RejectReason::Unsettled),
+                let rejected = |reason| Event::Rejected { call, reason };
+                match self.step_outcomes.get(&name) {
+                    Some(None) => rejected(RejectReason::Busy),
+                    Some(Some(AttemptOutcome::MayHaveRun)) => rejected(RejectReason::Unsettled),
                     Some(Some(AttemptOutcome::Done { result, .. })) => Event::AlreadyDone {
                         call,
                         result: result.clone(),
                     },
                     None | Some(Some(AttemptOutcome::NeverRan)) => {
                         let until_us = self.now.0 + self.rng.next_u64() % 2_000_000;
-                        self.fates.insert(name.clone(), None);
-                        self.permits.insert(name, until_us);
+                        self.step_outcomes.insert(name.clone(), None);
+                        self.permitted_until_us.insert(name, until_us);
                         Event::SendPermitted { call, until_us }
                     }
                 }
             }
             Command::ReportOutcome {
-                workflow,
-                outcome: fate,
-                ..
+                workflow, outcome, ..
             } => {
                 let name = workflow.trim_start_matches('/').to_string();
                 let done = matches!(
-                    self.fates.get(&name),
+                    self.step_outcomes.get(&name),
                     Some(Some(AttemptOutcome::Done { .. }))
                 );
                 if !done {
-                    self.fates.insert(name, Some(fate));
+                    self.step_outcomes.insert(name, Some(outcome));
                 }
                 Event::Committed { call }
             }
             other => panic!("{other:?}"),
         };
-        if self.below(12) > 0 {
-            self.step(Input::Workflow(told));
+        if self.random_below(12) > 0 {
+            self.step(Input::Workflow(event));
         }
     }
 
-    fn link_drops(&mut self) {
+    fn close_random_link(&mut self) {
         if self.open.is_empty() {
             return;
         }
-        let at = self.below(self.open.len());
+        let at = self.random_below(self.open.len());
         let link = self.open[at];
         self.end_link(link);
         self.step(Input::LinkClosed {
@@ -344,16 +363,17 @@
         });
     }
 
-    fn host_says(&mut self) {
-        if self.out.is_empty() {
+    /// Sends a random message for one of the completions at the servers, or drops the completion without an answer.
+    fn send_random_server_message(&mut self) {
+        if self.completions.is_empty() {
             return;
         }
-        let at = self.below(self.out.len());
-        let (link, id, reads, prompt) = self.out[at].clone();
-        let say = |c: &mut Chaos, m: &FromEngine| {
-            c.step(Input::LinkText {
+        let at = self.random_below(self.completions.len());
+        let (link, id, is_prefill, prompt) = self.completions[at].clone();
+        let send = |simulation: &mut Simulation, message: &FromEngine| {
+            simulation.step(Input::LinkText {
                 link,
-                text: encode(m),
+                text: encode(message),
             })
         };
         let error = |code: Option<&str>| FromEngine::Error {
@@ -382,64 +402,73 @@
             id: id.clone(),
             load: None,
         };
-        let what = self.below(10);
-        if what > 1 || !reads {
-            self.out.retain(|o| o.1 != id || what == 1);
+        let choice = self.random_below(10);
+        if choice > 1 || !is_prefill {
+            self.completions.retain(|o| o.1 != id || choice == 1);
         }
-        match what {
-            0 | 1 if reads => {}
-            0 | 1 => say(self, &chunk("word", None, None)),
-            2 => say(self, &error(None)),
+        match choice {
+            0 | 1 if is_prefill => {}
+            0 | 1 => send(self, &chunk("word", None, None)),
+            2 => send(self, &error(None)),
             3 => {
-                self.turned_away(&prompt, &id);
-                say(self, &error(Some(CODE_FULL)));
+                self.record_rejection(&prompt, &id);
+                send(self, &error(Some(CODE_FULL)));
             }
-            4 if !reads => {
-                self.turned_away(&prompt, &id);
-                say(self, &error(Some(CODE_STATE_GONE)));
+            4 if !is_prefill => {
+                self.record_rejection(&prompt, &id);
+                send(self, &error(Some(CODE_STATE_GONE)));
             }
-            5 => {} // Silence: its answer is lost.
-            _ if reads => {
+            5 => {} // The completion is dropped without an answer.
+            _ if is_prefill => {
                 let kv = KvTransferParams {
                     do_remote_prefill: true,
                     remote_request_id: Some(id.clone()),
                     ..KvTransferParams::default()
                 };
-                self.states.insert(id.clone(), link);
-                say(self, &chunk("", None, Some(kv)));
-                say(self, &done);
+                self.held_kv_states.insert(id.clone(), link);
+                send(self, &chunk("", None, Some(kv)));
+                send(self, &done);
             }
             _ => {
-                say(self, &chunk("word", Some("stop"), None));
-                say(self, &done);
+                send(self, &chunk("word", Some("stop"), None));
+                send(self, &done);
             }
         }
     }
 
-    /// A server that has begun an answer does not turn it away any more.
-    fn turned_away(&mut self, prompt: &str, id: &str) {
-        if let Some(runs) = self.runs.get_mut(prompt) {
+    /// A server rejects an attempt, so it does not count as run. A server that has started a response no longer
+    /// rejects.
+    fn record_rejection(&mut self, prompt: &str, id: &str) {
+        if let Some(runs) = self.possible_runs.get_mut(prompt) {
             runs.remove(id);
         }
     }
 
+    /// Checks the guarantees that hold once all requests have ended.
     fn check(&self, seed: u64) {
-        assert_eq!(self.after, 0, "seed {seed}: events after a final answer");
-        for (key, n) in &self.asked {
-            // Finals without an id are errors, which end a request that was not taken.
-            let finals = self.finals.get(key).copied().unwrap_or(0);
-            assert!(finals <= *n, "seed {seed}: {key:?} has {finals} finals");
+        assert_eq!(
+            self.events_after_final, 0,
+            "seed {seed}: events after a final answer"
+        );
+        for (key, sent) in &self.sent_requests {
+            // Final events without a response id are errors for requests that were not admitted; they are not counted
+            // here.
+            let finals = self.final_events.get(key).copied().unwrap_or(0);
+            assert!(
+                finals <= *sent,
+                "seed {seed}: {key:?} has {finals} final events"
+            );
         }
-        for (prompt, ids) in &self.runs {
+        for (prompt, ids) in &self.possible_runs {
             assert!(
                 ids.len() <= 1,
                 "seed {seed}: '{prompt}' may have run as {ids:?}"
             );
         }
         assert!(
-            self.states.is_empty(),
-            "seed {seed}: states left: {:?}",
-            self.states
+            self.held_kv_states.is_empty(),
+            "seed {seed}: KV states left: {:?}",
+            self.held_kv_states
         );
         assert_eq!(
             self.machine.counts().requests,
@@ -448,19 +477,23 @@
         );
     }
 
-    /// Taken requests without a final answer.
-    fn owed(&self) -> Vec<&(SessionId, String)> {
-        let taken = self
-            .by_response
+    /// Admitted requests that did not get exactly one final event.
+    fn unanswered_requests(&self) -> Vec<&(SessionId, String)> {
+        let admitted = self
+            .try_by_response
             .iter()
-            .map(|((s, _), asked)| (*s, asked.clone()));
-        let open = |k: &(SessionId, String)| self.finals.get(k).copied().unwrap_or(0) != 1;
-        let taken: BTreeSet<(SessionId, String)> = taken.filter(open).collect();
-        self.asked.keys().filter(|k| taken.contains(*k)).collect()
+            .map(|((s, _), label)| (*s, label.clone()));
+        let lacks_final =
+            |k: &(SessionId, String)| self.final_events.get(k).copied().unwrap_or(0) != 1;
+        let admitted: BTreeSet<(SessionId, String)> = admitted.filter(lacks_final).collect();
+        self.sent_requests
+            .keys()
+            .filter(|k| admitted.contains(*k))
+            .collect()
     }
 }
 
-fn workflows() -> String {
+fn workflow_settings() -> String {
     let peer = |i: u32| {
         format!(
             "[[cluster.roster]]\nname = \"d{i}\"\naddress = \"127.0.0.1:{}\"\n",
@@ -475,32 +508,32 @@
     )
 }
 
-fn run(seed: u64) -> Chaos {
+fn run(seed: u64) -> Simulation {
     run_with(seed, false)
 }
 
-fn run_with(seed: u64, steps: bool) -> Chaos {
-    let mut chaos = Chaos::new(seed, steps);
-    (0..400).for_each(|_| chaos.act());
-    // No more is asked; all deadlines pass. Streams that stall end within two of them.
-    let end = Micros(chaos.now.0 + 40_000_000);
-    while let Some(due) = chaos.machine.next_wake().filter(|d| *d < end) {
-        chaos.now = Micros(due.0.max(chaos.now.0 + 1));
-        chaos.step(Input::Tick);
+fn run_with(seed: u64, workflow_steps: bool) -> Simulation {
+    let mut simulation = Simulation::new(seed, workflow_steps);
+    (0..400).for_each(|_| simulation.random_action());
+    // No more requests are sent. Within 40 s all deadlines pass; a stalled stream ends within two deadlines.
+    let end = Micros(simulation.now.0 + 40_000_000);
+    while let Some(due) = simulation.machine.next_wake().filter(|d| *d < end) {
+        simulation.now = Micros(due.0.max(simulation.now.0 + 1));
+        simulation.step(Input::Tick);
     }
-    chaos
+    simulation
 }
 
 #[test]
 fn random_order_keeps_request_invariants() {
     for seed in 0..300 {
-        let chaos = run(seed);
+        let simulation = run(seed);
         assert!(
-            chaos.owed().is_empty(),
-            "seed {seed}: owed {:?}",
-            chaos.owed()
+            simulation.unanswered_requests().is_empty(),
+            "seed {seed}: unanswered {:?}",
+            simulation.unanswered_requests()
         );
-        chaos.check(seed);
+        simulation.check(seed);
     }
 }
 
@@ -508,26 +541,26 @@
 fn random_order_keeps_workflow_invariants() {
     let mut done = 0;
     for seed in 0..150 {
-        let chaos = run_with(seed, true);
+        let simulation = run_with(seed, true);
         assert!(
-            chaos.owed().is_empty(),
-            "seed {seed}: owed {:?}",
-            chaos.owed()
+            simulation.unanswered_requests().is_empty(),
+            "seed {seed}: unanswered {:?}",
+            simulation.unanswered_requests()
         );
-        chaos.check(seed);
-        done += chaos
-            .fates
+        simulation.check(seed);
+        done += simulation
+            .step_outcomes
             .values()
             .filter(|f| matches!(f, Some(AttemptOutcome::Done { .. })))
             .count();
     }
     assert!(done > 150, "{done} steps done");
-    let chaos = run_with(7, true);
-    let recorded = read(written(&chaos.entries).as_slice()).expect("a good record");
+    let simulation = run_with(7, true);
+    let recorded = read(encode_record(&simulation.entries).as_slice()).expect("a good record");
     assert_eq!(replay(&recorded, false).expect("replays").difference, None);
 }
 
-fn written(entries: &[Entry]) -> Vec<u8> {
+fn encode_record(entries: &[Entry]) -> Vec<u8> {
     let mut data = Vec::new();
     let mut writer = Writer::begin(&mut data).expect("memory");
     for entry in entries {
@@ -538,17 +571,17 @@
 }
 
 #[test]
-fn replay_names_changed_output() {
-    let chaos = run(7);
-    let recorded = read(written(&chaos.entries).as_slice()).expect("a good record");
+fn replay_identifies_changed_output() {
+    let simulation = run(7);
+    let recorded = read(encode_record(&simulation.entries).as_slice()).expect("a good record");
     assert_eq!(
         (recorded.entries.len(), recorded.torn_bytes),
-        (chaos.entries.len(), 0)
+        (simulation.entries.len(), 0)
     );
     let found = replay(&recorded, false).expect("replays");
     assert_eq!(
         (found.steps, found.difference),
-        (chaos.entries.len() - 1, None)
+        (simulation.entries.len() - 1, None)
     );
     let mut changed = recorded;
     let (at, step) = changed
@@ -567,13 +600,13 @@
 }
 
 #[test]
-fn torn_record_is_cut_and_damaged_block_is_named() {
-    let chaos = run(3);
-    let many: Vec<Entry> = std::iter::repeat_n(&chaos.entries, 3)
+fn torn_record_is_truncated_and_damaged_block_is_reported() {
+    let simulation = run(3);
+    let many: Vec<Entry> = std::iter::repeat_n(&simulation.entries, 3)
         .flatten()
         .cloned()
         .collect();
-    let data = written(&many);
+    let data = encode_record(&many);
     let whole = read(data.as_slice()).expect("good").entries.len();
     let torn = read(&data[..data.len() - 1]).expect("the rest is good");
     assert!(torn.entries.len() < whole && torn.torn_bytes > 0);
@@ -595,11 +628,11 @@
     ));
 }
 
-/// Hash over the serialized steps of the first seeds, in their order.
-fn digest(steps: bool) -> String {
+/// Hash over the serialized steps of the first 20 seeds, in order.
+fn digest(workflow_steps: bool) -> String {
     let mut hash = blake3::Hasher::new();
     for seed in 0..20 {
-        for entry in run_with(seed, steps).entries {
+        for entry in run_with(seed, workflow_steps).entries {
             hash.update(&serde_json::to_vec(&entry).expect("JSON"));
         }
     }
--- a/crates/core/tests/budgets.rs
+++ b/crates/core/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets and charges in the machine: what is held, what a request is charged, and what it is not.
+//! Tests of token budgets: holds, charges, rejections and budget leases.
 mod common;
 
 use bitternlatch_budget::charge::{Entries, Used};
@@ -7,11 +7,11 @@
 use bitternlatch_core::{Input, Output, SessionId, Settings};
 use common::{four, Bench, Told, SETTINGS};
 
-/// 1,000 tokens saved, ten a second.
+/// A tenant with a burst of 1,000 tokens and a rate of 10 tokens per second.
 const BUDGET: &str =
     "\n[[tenants]]\nname = \"bands\"\nquota_rps = 1000\nbudget = { rate = { tokens_per_s = 10, burst_tokens = 1000 } }\n";
 
-fn budgeted() -> Bench {
+fn bench_with_budget() -> Bench {
     let settings = Settings::parse("test", &format!("{SETTINGS}{BUDGET}")).expect("settings");
     let mut bench = Bench::with(settings, 5);
     bench.step(Input::ServerList(four()));
@@ -19,7 +19,7 @@
     bench
 }
 
-fn ask(bench: &mut Bench, session: SessionId, class: &str, key: &str, output: u32) {
+fn create_request(bench: &mut Bench, session: SessionId, class: &str, key: &str, output: u32) {
     let text = serde_json::json!({ "type": "response.create", "model": "m", "input": "x".repeat(400),
         "max_output_tokens": output, "metadata": { "class": class, "idempotency_key": key } });
     bench.step(Input::SessionText {
@@ -28,30 +28,36 @@
     });
 }
 
-/// Asks, reads, and gives the write that follows.
-fn begin(bench: &mut Bench, session: SessionId, class: &str, key: &str, output: u32) -> Told {
-    ask(bench, session, class, key, output);
-    let read = bench.take();
+/// Sends a request, completes its prefill and returns the decode attempt that follows.
+fn start_decode(
+    bench: &mut Bench,
+    session: SessionId,
+    class: &str,
+    key: &str,
+    output: u32,
+) -> Told {
+    create_request(bench, session, class, key, output);
+    let prefill = bench.take();
     bench.pass(0.01);
-    bench.read_done(&read);
+    bench.read_done(&prefill);
     bench.take()
 }
 
-fn charges(bench: &Bench) -> Vec<(u32, Used)> {
-    let charge = |o: &Output| match o {
-        Output::Charge(e) => Some((e.number, e.used)),
+fn issued_charges(bench: &Bench) -> Vec<(u32, Used)> {
+    let charge = |output: &Output| match output {
+        Output::Charge(entry) => Some((entry.number, entry.used)),
         _ => None,
     };
     bench.out.iter().filter_map(charge).collect()
 }
 
-fn known(prompt: u32, output: u32) -> Used {
+fn known_usage(prompt: u32, output: u32) -> Used {
     Used::Known(Amount { prompt, output })
 }
 
-fn refusal(bench: &mut Bench, session: SessionId) -> (String, Option<u64>) {
-    let last = bench.heard(session).pop().expect("an event");
-    let error = last.error.expect("an error");
+fn rejection(bench: &mut Bench, session: SessionId) -> (String, Option<u64>) {
+    let event = bench.heard(session).pop().expect("an event");
+    let error = event.error.expect("an error");
     (
         error["code"].as_str().unwrap_or_default().to_string(),
         error["retry_after_ms"].as_u64(),
@@ -60,60 +66,65 @@
 
 #[test]
 fn request_is_charged_once_before_its_answer() {
-    let mut bench = budgeted();
+    let mut bench = bench_with_budget();
     let (one, two) = (bench.open(1), bench.open(2));
-    let write = begin(&mut bench, one, "query", "k", 800);
-    ask(&mut bench, two, "query", "k", 800);
-    bench.end(&write, 107, 20);
-    ask(&mut bench, two, "query", "k", 800);
+    let decode = start_decode(&mut bench, one, "query", "k", 800);
+    create_request(&mut bench, two, "query", "k", 800);
+    bench.end(&decode, 107, 20);
+    create_request(&mut bench, two, "query", "k", 800);
     assert_eq!(
-        charges(&bench),
-        [(1, known(107, 20))],
-        "its repeats are charged as the first try"
+        issued_charges(&bench),
+        [(1, known_usage(107, 20))],
+        "repeats with the same key are charged once"
     );
-    let at = |fits: &dyn Fn(&Output) -> bool| bench.out.iter().position(fits).expect("it");
-    let charged = at(&|o| matches!(o, Output::Charge(_)));
+    let position =
+        |fits: &dyn Fn(&Output) -> bool| bench.out.iter().position(fits).expect("a match");
+    let charged = position(&|o| matches!(o, Output::Charge(_)));
     assert!(
         charged
-            < at(
+            < position(
                 &|o| matches!(o, Output::SendToClient { text, .. } if text.contains("response.completed"))
             )
     );
-    // 1000 less 127, and some tens earned meanwhile: 800 more can be held at once.
-    ask(&mut bench, one, "query", "k2", 760);
+    // 1,000 - 127 tokens are left, plus those refilled since. The next request holds 860: 100 for its prompt and 760
+    // for its output.
+    create_request(&mut bench, one, "query", "k2", 760);
     assert!(bench.kinds(one).contains(&"response.created".to_string()));
 }
 
 #[test]
 fn budget_rejection_names_sufficient_retry_time() {
-    let mut bench = budgeted();
+    let mut bench = bench_with_budget();
     let session = bench.open(1);
-    let write = begin(&mut bench, session, "query", "k", 890);
+    let decode = start_decode(&mut bench, session, "query", "k", 890);
     let kinds = bench.kinds(session);
     assert!(
         kinds.contains(&"rate_limits.updated".to_string()),
-        "near the limit the caller is told: {kinds:?}"
+        "near the limit the client is notified: {kinds:?}"
     );
-    ask(&mut bench, session, "query", "k2", 100);
-    let (code, after_ms) = refusal(&mut bench, session);
+    create_request(&mut bench, session, "query", "k2", 100);
+    let (code, after_ms) = rejection(&mut bench, session);
     let after_s = after_ms.expect("a time") as f64 / 1000.0;
     assert!(
         code == "budget_spent" && (18.0..=20.0).contains(&after_s),
         "{code} {after_s}"
     );
-    ask(&mut bench, session, "query", "k3", 2000);
+    create_request(&mut bench, session, "query", "k3", 2000);
     assert_eq!(
-        refusal(&mut bench, session),
+        rejection(&mut bench, session),
         ("budget_too_small".into(), None)
     );
-    assert!(charges(&bench).is_empty(), "refusals cost nothing");
-    bench.end(&write, 100, 890);
+    assert!(
+        issued_charges(&bench).is_empty(),
+        "rejections are not charged"
+    );
+    bench.end(&decode, 100, 890);
     bench.heard(session);
     bench.pass(after_s - 1.0);
-    ask(&mut bench, session, "query", "k4", 100);
-    assert_eq!(refusal(&mut bench, session).0, "budget_spent");
+    create_request(&mut bench, session, "query", "k4", 100);
+    assert_eq!(rejection(&mut bench, session).0, "budget_spent");
     bench.pass(1.1);
-    ask(&mut bench, session, "query", "k5", 100);
+    create_request(&mut bench, session, "query", "k5", 100);
     assert!(bench
         .kinds(session)
         .contains(&"response.created".to_string()));
@@ -121,11 +132,11 @@
 
 #[test]
 fn failed_request_that_may_have_run_is_charged_its_bound() {
-    let mut bench = budgeted();
+    let mut bench = bench_with_budget();
     let session = bench.open(1);
-    let write = begin(&mut bench, session, "booking", "k", 200);
+    let decode = start_decode(&mut bench, session, "booking", "k", 200);
     bench.step(Input::LinkClosed {
-        link: write.link,
+        link: decode.link,
         reason: "reset".into(),
     });
     bench.pass(20.0);
@@ -133,49 +144,53 @@
         prompt: 100,
         output: 200,
     });
-    assert_eq!(charges(&bench), [(1, bound)]);
-    // One that never left costs nothing: the reader never took it.
-    let mut bench = budgeted();
+    assert_eq!(issued_charges(&bench), [(1, bound)]);
+    // A request whose attempts were all rejected never ran and is not charged.
+    let mut bench = bench_with_budget();
     let session = bench.open(1);
-    ask(&mut bench, session, "booking", "k", 200);
-    let read = bench.take();
-    bench.error(&read, 503, Some("engine_full"));
+    create_request(&mut bench, session, "booking", "k", 200);
+    let prefill = bench.take();
+    bench.error(&prefill, 503, Some("engine_full"));
     for _ in 0..8 {
         bench.pass(0.5);
-        if let Some(told) = bench.told.pop() {
-            bench.error(&told, 503, Some("engine_full"));
+        if let Some(attempt) = bench.told.pop() {
+            bench.error(&attempt, 503, Some("engine_full"));
         }
     }
     bench.pass(20.0);
     let last = bench.heard(session).pop().expect("an answer");
     assert_eq!(last.kind, "response.failed");
-    assert!(charges(&bench).is_empty(), "{:?}", charges(&bench));
-    ask(&mut bench, session, "query", "k9", 890);
+    assert!(
+        issued_charges(&bench).is_empty(),
+        "{:?}",
+        issued_charges(&bench)
+    );
+    create_request(&mut bench, session, "query", "k9", 890);
     assert!(
         bench
             .heard(session)
             .iter()
             .any(|e| e.kind == "response.created"),
-        "all was given back"
+        "the whole hold was returned"
     );
 }
 
 #[test]
 fn missing_or_excessive_usage_is_bounded() {
-    let mut bench = budgeted();
+    let mut bench = bench_with_budget();
     let session = bench.open(1);
-    let write = begin(&mut bench, session, "query", "k", 200);
-    bench.end(&write, 0, 0);
-    let write = begin(&mut bench, session, "query", "k2", 200);
-    bench.end(&write, 130, 5000);
+    let decode = start_decode(&mut bench, session, "query", "k", 200);
+    bench.end(&decode, 0, 0);
+    let decode = start_decode(&mut bench, session, "query", "k2", 200);
+    bench.end(&decode, 130, 5000);
     let bound = Used::Possibly(Amount {
         prompt: 100,
         output: 200,
     });
     assert_eq!(
-        charges(&bench),
-        [(1, bound), (1, known(130, 200))],
-        "an output above the ceiling is the host's fault"
+        issued_charges(&bench),
+        [(1, bound), (1, known_usage(130, 200))],
+        "output above the limit is not charged"
     );
     let mut entries = Entries::default();
     for output in &bench.out {
@@ -191,19 +206,19 @@
     );
 }
 
-fn asked(bench: &mut Bench) -> Option<(u64, Want)> {
-    let ask = |o: &Output| match o {
+fn take_lease_request(bench: &mut Bench) -> Option<(u64, Want)> {
+    let lease_request = |output: &Output| match output {
         Output::RequestBudgetLeases {
             number, tenants, ..
         } => Some((*number, tenants[0].clone())),
         _ => None,
     };
-    let last = bench.out.iter().rev().find_map(ask);
+    let last = bench.out.iter().rev().find_map(lease_request);
     bench.out.clear();
     last
 }
 
-fn part(lease: u64, tokens_per_s: f64) -> Part {
+fn granted_lease(lease: u64, tokens_per_s: f64) -> Part {
     Part {
         tenant: "bands".into(),
         lease,
@@ -214,87 +229,93 @@
 
 #[test]
 fn budget_leases_are_requested_spent_and_returned() {
-    let ledger = "\n[ledger]\naddress = \"127.0.0.1:1\"\n";
+    let quota_server = "\n[ledger]\naddress = \"127.0.0.1:1\"\n";
     let budget = BUDGET.replace("= 10,", "= 100,");
     let settings =
-        Settings::parse("test", &format!("{SETTINGS}{ledger}{budget}")).expect("settings");
+        Settings::parse("test", &format!("{SETTINGS}{quota_server}{budget}")).expect("settings");
     let mut bench = Bench::with(settings, 5);
     bench.step(Input::ServerList(four()));
     bench.open_all(1000.0);
     let session = bench.open(1);
     bench.pass(2.0);
-    assert_eq!(asked(&mut bench), None, "what is not used is not asked for");
-    // Without a part: the careful rate, a tenth of 100 a second, and its burst of 100.
-    ask(&mut bench, session, "query", "k1", 200);
+    assert_eq!(
+        take_lease_request(&mut bench),
+        None,
+        "no lease is requested for an inactive tenant"
+    );
+    // Without a lease the tenant's rate is a tenth of 100 tokens per second, with a burst of 100 tokens. A larger
+    // request is admitted when the burst is full and leaves a debt.
+    create_request(&mut bench, session, "query", "k1", 200);
     assert!(
         bench
             .kinds(session)
             .contains(&"response.created".to_string()),
-        "on debt"
+        "admitted on debt"
     );
-    ask(&mut bench, session, "query", "k2", 200);
-    let (code, after_ms) = refusal(&mut bench, session);
+    create_request(&mut bench, session, "query", "k2", 200);
+    let (code, after_ms) = rejection(&mut bench, session);
     assert!(
         code == "budget_spent" && after_ms.is_some_and(|ms| ms > 25_000),
         "{code} {after_ms:?}"
     );
     bench.pass(0.6);
-    let (number, want) = asked(&mut bench).expect("a question");
+    let (number, want) = take_lease_request(&mut bench).expect("a lease request");
     assert!(want.tokens_per_s >= 1.0 && want.holds == 0, "{want:?}");
-    // An answer to a question that was never asked changes nothing; the right one does.
+    // A response with the number of no pending request is ignored; the next one answers the request.
     bench.step(Input::BudgetLeases {
         number: number + 7,
-        leases: vec![part(9, 100.0)],
+        leases: vec![granted_lease(9, 100.0)],
     });
     bench.step(Input::BudgetLeases {
         number,
         leases: vec![
-            part(1, 90.0),
+            granted_lease(1, 90.0),
             Part {
                 tokens_per_s: f64::NAN,
-                ..part(2, 1.0)
+                ..granted_lease(2, 1.0)
             },
         ],
     });
-    ask(&mut bench, session, "query", "k3", 200);
-    let (_, sooner_ms) = refusal(&mut bench, session);
+    create_request(&mut bench, session, "query", "k3", 200);
+    let (_, sooner_ms) = rejection(&mut bench, session);
     assert!(
         sooner_ms.is_some_and(|ms| ms < 15_000),
-        "the part pays the debt off sooner: {sooner_ms:?}"
+        "the lease pays the debt off sooner: {sooner_ms:?}"
     );
     bench.pass(4.5);
-    let (_, want) = asked(&mut bench).expect("asked again at half of its time");
+    let (_, want) =
+        take_lease_request(&mut bench).expect("requested again after half of its duration");
     assert!(want.holds == 1 && want.tokens_per_s > 0.0, "{want:?}");
-    // No answer comes: the part ends, and the careful rate is what is left.
+    // No response is received: the lease expires and the rate without a lease applies again.
     bench.pass(60.0);
     bench.out.clear();
-    ask(&mut bench, session, "query", "k4", 800);
+    create_request(&mut bench, session, "query", "k4", 800);
     bench.heard(session);
-    ask(&mut bench, session, "query", "k5", 200);
-    let (_, later_ms) = refusal(&mut bench, session);
+    create_request(&mut bench, session, "query", "k5", 200);
+    let (_, later_ms) = rejection(&mut bench, session);
     assert!(
         later_ms.is_some_and(|ms| ms > 60_000),
-        "at the careful rate again: {later_ms:?}"
+        "at the rate without a lease again: {later_ms:?}"
     );
 }
 
 #[test]
 fn idle_budget_lease_is_returned() {
-    let ledger = "\n[ledger]\naddress = \"127.0.0.1:1\"\n";
+    let quota_server = "\n[ledger]\naddress = \"127.0.0.1:1\"\n";
     let settings =
-        Settings::parse("test", &format!("{SETTINGS}{ledger}{BUDGET}")).expect("settings");
+        Settings::parse("test", &format!("{SETTINGS}{quota_server}{BUDGET}")).expect("settings");
     let mut bench = Bench::with(settings, 5);
     let session = bench.open(1);
-    ask(&mut bench, session, "query", "k1", 50);
+    create_request(&mut bench, session, "query", "k1", 50);
     bench.pass(0.6);
-    let (number, _) = asked(&mut bench).expect("a question");
+    let (number, _) = take_lease_request(&mut bench).expect("a lease request");
     bench.step(Input::BudgetLeases {
         number,
-        leases: vec![part(4, 10.0)],
+        leases: vec![granted_lease(4, 10.0)],
     });
     bench.pass(5.0);
-    let (_, back) = asked(&mut bench).expect("it goes back");
-    assert_eq!((back.holds, back.tokens_per_s), (4, 0.0));
+    let (_, returned) = take_lease_request(&mut bench).expect("the return of the lease");
+    assert_eq!((returned.holds, returned.tokens_per_s), (4, 0.0));
     bench.pass(30.0);
-    assert_eq!(asked(&mut bench), None);
+    assert_eq!(take_lease_request(&mut bench), None);
 }
--- a/crates/core/tests/observations.rs
+++ b/crates/core/tests/observations.rs
@@ -1,4 +1,4 @@
-//! What is seen of servers and told to peers, and what peers tell: in the machine.
+//! Tests of server observations: those sent to peers, and the effect of those that peers report.
 mod common;
 
 use bitternlatch_core::{Input, Micros, Output, Settings};
@@ -20,46 +20,55 @@
     let mut bench = Bench::with(Settings::parse("test", &text).expect("settings"), 5);
     bench.step(Input::ServerList(four()));
     bench.open_all(1000.0);
-    stand(&mut bench, QuorumState::Whole);
+    set_quorum_state(&mut bench, QuorumState::Whole);
     bench
 }
 
-fn stand(bench: &mut Bench, standing: QuorumState) {
+fn set_quorum_state(bench: &mut Bench, state: QuorumState) {
     let until = Micros(bench.now.0 + 3_600_000_000);
     bench.step(Input::QuorumState {
-        state: standing,
+        state,
         present: vec!["d2".into()],
         until,
     });
 }
 
-/// What was told to peers last, without the times.
-fn told(bench: &Bench) -> Option<Vec<(u32, ServerCondition)>> {
-    let last = |o: &Output| match o {
-        Output::Observations(seen) => {
-            Some(seen.iter().map(|o| (o.server.0, o.condition)).collect())
-        }
+/// The observations last sent to peers, without their times.
+fn last_sent(bench: &Bench) -> Option<Vec<(u32, ServerCondition)>> {
+    let conditions = |output: &Output| match output {
+        Output::Observations(observations) => Some(
+            observations
+                .iter()
+                .map(|o| (o.server.0, o.condition))
+                .collect(),
+        ),
         _ => None,
     };
-    bench.out.iter().rev().find_map(last)
+    bench.out.iter().rev().find_map(conditions)
 }
 
-fn hear(bench: &mut Bench, host: &str, what: ServerCondition, voices: u8, at: Micros) {
-    let heard = vec![PeerReport {
-        server: ServerNumber(server_id(host)),
-        condition: what,
-        reporters: voices,
+fn receive_report(
+    bench: &mut Bench,
+    server: &str,
+    condition: ServerCondition,
+    reporters: u8,
+    sent_at: Micros,
+) {
+    let reports = vec![PeerReport {
+        server: ServerNumber(server_id(server)),
+        condition,
+        reporters,
         age: Duration::from_millis(500),
     }];
     bench.step(Input::PeerReports {
-        sent_at: at,
+        sent_at,
         reporters: 2,
-        reports: heard,
+        reports,
     });
 }
 
-/// The end of an ask of this class that is refused: code, and where else to try.
-fn refused(bench: &mut Bench, class: &str, key: &str) -> Option<(String, Vec<String>)> {
+/// Sends a request of this class. If it ends with an error, returns the code and the addresses to try instead.
+fn rejection(bench: &mut Bench, class: &str, key: &str) -> Option<(String, Vec<String>)> {
     let session = bench.open(key.bytes().fold(7, |n, b| n * 31 + u64::from(b)));
     bench.ask(session, class, key, "words");
     let error = bench.heard(session).pop()?.error?;
@@ -75,67 +84,67 @@
 }
 
 #[test]
-fn server_observations_are_reported_and_withdrawn() {
+fn server_observations_are_sent_and_withdrawn() {
     let mut bench = cluster();
     bench.pass(1.0);
-    assert_eq!(told(&bench), None, "nothing to tell");
+    assert_eq!(last_sent(&bench), None, "nothing to report");
     let list = "r1,127.0.0.1,1,reader,\nr2,127.0.0.1,2,reader,draining\nw1,127.0.0.1,3,writer,\nw2,127.0.0.1,4,writer,\n";
     bench.step(Input::ServerList(hosts(list)));
     bench.pass(0.3);
     assert_eq!(
-        told(&bench),
+        last_sent(&bench),
         Some(vec![(server_id("r2"), ServerCondition::Draining)])
     );
     bench.step(Input::ServerList(four()));
     bench.pass(0.3);
-    assert_eq!(told(&bench), Some(vec![]));
+    assert_eq!(last_sent(&bench), Some(vec![]));
     let session = bench.open(1);
-    let write = bench.begin_write(session, "booking", "k", "q");
+    let decode = bench.begin_write(session, "booking", "k", "q");
     bench.step(Input::LinkClosed {
-        link: write.link,
+        link: decode.link,
         reason: "reset".into(),
     });
     bench.pass(0.3);
-    assert_eq!(told(&bench), Some(vec![]), "a short break");
+    assert_eq!(last_sent(&bench), Some(vec![]), "a brief interruption");
     bench.pass(0.7);
     assert_eq!(
-        told(&bench),
-        Some(vec![(write.link.server, ServerCondition::Failing)])
+        last_sent(&bench),
+        Some(vec![(decode.link.server, ServerCondition::Failing)])
     );
-    // It comes up anew, started a moment ago.
+    // The server is reconnected and reports that it started 1 s ago.
     bench.pass(3.0);
     bench.open_all(1.0);
     bench.pass(0.3);
     assert_eq!(
-        told(&bench),
-        Some(vec![(write.link.server, ServerCondition::WarmingUp)])
+        last_sent(&bench),
+        Some(vec![(decode.link.server, ServerCondition::WarmingUp)])
     );
     bench.pass(20.0);
-    assert_eq!(told(&bench), Some(vec![]));
+    assert_eq!(last_sent(&bench), Some(vec![]));
 }
 
 #[test]
-fn failure_streak_is_reported_until_success() {
+fn failure_streak_is_reported_until_expiry() {
     let mut bench = cluster();
     let session = bench.open(1);
     for n in 0..6 {
         bench.ask(session, "query", &format!("k{n}"), "words");
-        while let Some(read) = bench.told.pop() {
-            bench.error(&read, 500, None);
+        while let Some(prefill) = bench.told.pop() {
+            bench.error(&prefill, 500, None);
         }
         bench.heard(session);
     }
     bench.pass(0.3);
-    let failing = told(&bench).expect("something seen");
+    let failing = last_sent(&bench).expect("observations");
     assert!(
         !failing.is_empty()
             && failing
                 .iter()
-                .all(|(_, what)| *what == ServerCondition::Failing),
+                .all(|(_, condition)| *condition == ServerCondition::Failing),
         "{failing:?}"
     );
     bench.pass(4.0);
-    assert_eq!(told(&bench), Some(vec![]), "it is not seen for ever");
+    assert_eq!(last_sent(&bench), Some(vec![]), "the observation expires");
 }
 
 #[test]
@@ -144,29 +153,29 @@
     bench.machine.enable_trace();
     let sent = bench.now;
     bench.now = Micros(sent.0 + 1_000_000);
-    hear(&mut bench, "r1", ServerCondition::Failing, 2, sent);
-    hear(&mut bench, "nobody", ServerCondition::Failing, 2, sent);
-    // This process stood still for a minute with the message in its queue.
+    receive_report(&mut bench, "r1", ServerCondition::Failing, 2, sent);
+    receive_report(&mut bench, "nobody", ServerCondition::Failing, 2, sent);
+    // The process was paused for a minute with the message in its queue.
     bench.now = Micros(sent.0 + 60_000_000);
-    hear(&mut bench, "r1", ServerCondition::Failing, 2, sent);
+    receive_report(&mut bench, "r1", ServerCondition::Failing, 2, sent);
     let trace = bench.machine.take_trace();
-    let heard: Vec<_> = trace
+    let passed: Vec<_> = trace
         .iter()
         .filter(|t| matches!(t.event, Event::PeerReport { .. }))
         .collect();
-    assert_eq!(heard.len(), 1, "{heard:?}");
+    assert_eq!(passed.len(), 1, "{passed:?}");
     let Event::PeerReport {
         server,
-        observation: sight,
-        reporters: voices,
-        peers: of,
+        observation,
+        reporters,
+        peers,
         age_s,
-    } = heard[0].event
+    } = passed[0].event
     else {
-        panic!("{heard:?}")
+        panic!("{passed:?}")
     };
     assert_eq!(
-        (server, sight, voices, of),
+        (server, observation, reporters, peers),
         (server_id("r1"), Observation::Failing, 2, 2)
     );
     assert!((age_s - 1.5).abs() < 1e-9, "{age_s}");
@@ -175,10 +184,10 @@
 #[test]
 fn unreachable_servers_redirect_callers_to_peers() {
     let mut bench = cluster();
-    let links: Vec<_> = ["r1", "r2", "w1", "w2"].map(server_id).to_vec();
-    for host in &links {
+    let servers: Vec<_> = ["r1", "r2", "w1", "w2"].map(server_id).to_vec();
+    for server in &servers {
         let link = bitternlatch_core::LinkId {
-            server: *host,
+            server: *server,
             epoch: 1,
         };
         bench.step(Input::LinkClosed {
@@ -188,34 +197,34 @@
     }
     bench.pass(0.5);
     assert_ne!(
-        refused(&mut bench, "query", "a").map(|r| r.0),
+        rejection(&mut bench, "query", "a").map(|r| r.0),
         Some("cut_off".into()),
-        "a short break"
+        "a brief interruption"
     );
     bench.pass(1.5);
     let expected = Some(("cut_off".to_string(), vec!["c2".to_string()]));
-    assert_eq!(refused(&mut bench, "query", "b"), expected);
+    assert_eq!(rejection(&mut bench, "query", "b"), expected);
     assert!(!bench.machine.is_ready(bench.now));
-    // Peers say that all of them fail there too: there is nowhere to go.
-    for host in ["r1", "r2", "w1", "w2"] {
+    // Peers report that all servers fail for them too, so no other address is offered.
+    for server in ["r1", "r2", "w1", "w2"] {
         let now = bench.now;
-        hear(&mut bench, host, ServerCondition::Failing, 1, now);
+        receive_report(&mut bench, server, ServerCondition::Failing, 1, now);
     }
     assert_eq!(
-        refused(&mut bench, "query", "c"),
+        rejection(&mut bench, "query", "c"),
         Some(("cut_off".to_string(), vec![]))
     );
-    // Alone it cannot tell whose fault it is.
-    stand(&mut bench, QuorumState::Alone);
+    // Without any peer the dispatcher cannot tell whether it or the servers are at fault.
+    set_quorum_state(&mut bench, QuorumState::Alone);
     assert_ne!(
-        refused(&mut bench, "query", "d").map(|r| r.0),
+        rejection(&mut bench, "query", "d").map(|r| r.0),
         Some("cut_off".into())
     );
-    stand(&mut bench, QuorumState::Whole);
+    set_quorum_state(&mut bench, QuorumState::Whole);
     bench.pass(3.0);
     bench.open_all(1000.0);
     bench.pass(0.3);
-    assert_eq!(refused(&mut bench, "query", "e"), None);
+    assert_eq!(rejection(&mut bench, "query", "e"), None);
     assert!(bench.machine.is_ready(bench.now));
 }
 
@@ -223,28 +232,28 @@
 fn unreadable_list_drains_by_peer_reports() {
     let mut bench = cluster();
     let now = bench.now;
-    let goes_to_r1 = |bench: &mut Bench, from: u32| {
+    let count_prefills_at_r1 = |bench: &mut Bench, from: u32| {
         let session = bench.open(u64::from(from));
-        let mut first = 0;
+        let mut at_r1 = 0;
         for n in 0..20 {
             bench.ask(session, "query", &format!("{from}/{n}"), "words");
-            let read = bench.take();
-            first += usize::from(read.link.server == server_id("r1"));
-            bench.read_done(&read);
-            let write = bench.take();
-            bench.end(&write, 10, 1);
+            let prefill = bench.take();
+            at_r1 += usize::from(prefill.link.server == server_id("r1"));
+            bench.read_done(&prefill);
+            let decode = bench.take();
+            bench.end(&decode, 10, 1);
             bench.heard(session);
         }
-        first
+        at_r1
     };
-    hear(&mut bench, "r1", ServerCondition::Draining, 1, now);
+    receive_report(&mut bench, "r1", ServerCondition::Draining, 1, now);
     assert!(
-        goes_to_r1(&mut bench, 1) > 0,
-        "one voice against the own list"
+        count_prefills_at_r1(&mut bench, 1) > 0,
+        "a readable server list overrides a single peer"
     );
     bench.step(Input::ServerListUnreadable(true));
-    hear(&mut bench, "r1", ServerCondition::Draining, 1, now);
-    assert_eq!(goes_to_r1(&mut bench, 2), 0);
+    receive_report(&mut bench, "r1", ServerCondition::Draining, 1, now);
+    assert_eq!(count_prefills_at_r1(&mut bench, 2), 0);
     bench.step(Input::ServerListUnreadable(false));
-    assert!(goes_to_r1(&mut bench, 3) > 0);
+    assert!(count_prefills_at_r1(&mut bench, 3) > 0);
 }
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -1,11 +1,12 @@
-//! The gate in the machine: refusals at admission, work that would be done again, probes that one asks for all, and time.
+//! Tests of cluster load shedding: rejections at admission, the retry budget, health checks shared by the cluster,
+//! limits for recovering servers, and expiry.
 mod common;
 
 use std::time::Duration;
 
 use bitternlatch_core::{Input, Micros, Output, SessionId, Settings};
 use bitternlatch_membership::QuorumState;
-use bitternlatch_overload::{Ask, Cut, Millionths, Told as Word};
+use bitternlatch_overload::{Ask, Cut, Millionths, Told as OverloadEvent};
 use bitternlatch_protocol::engine::FromEngine;
 use common::{four, Bench, Told, SETTINGS};
 
@@ -30,31 +31,31 @@
     bench
 }
 
-fn on() -> Bench {
+fn bench_with_shedding() -> Bench {
     bench("overload = {}\n")
 }
 
-fn told(bench: &mut Bench, rank: f64, fresh: f64, for_s: f64) {
+fn set_threshold(bench: &mut Bench, rank: f64, fresh: f64, for_s: f64) {
     let now = Duration::from_micros(bench.now.0);
     let until = now + Duration::from_secs_f64(for_s);
-    let m = Millionths::of;
+    let millionths = Millionths::of;
     let cut = Cut {
         until,
-        rank: m(rank),
-        capacity: m(4.0),
-        free: m(0.4),
-        room: m(100.0),
-        fresh: m(fresh),
-        part: m(0.225),
+        rank: millionths(rank),
+        capacity: millionths(4.0),
+        free: millionths(0.4),
+        room: millionths(100.0),
+        fresh: millionths(fresh),
+        part: millionths(0.225),
         part_until: until,
         members: 4,
         together: true,
     };
-    bench.step(Input::Overload(Word::Cut(cut)));
+    bench.step(Input::Overload(OverloadEvent::Cut(cut)));
 }
 
-/// The session's final refusal, if it has one: when to come back, seconds.
-fn refusal(bench: &mut Bench, session: SessionId) -> Option<f64> {
+/// The retry delay of the session's rejection, seconds; `None` if it has none.
+fn rejection_delay(bench: &mut Bench, session: SessionId) -> Option<f64> {
     let error = bench
         .heard(session)
         .into_iter()
@@ -63,38 +64,38 @@
         (error.code.as_str(), error.safe_to_repeat),
         ("rate_limit_exceeded", true)
     );
-    Some(error.retry_after_ms.expect("when to come back") as f64 / 1000.0)
+    Some(error.retry_after_ms.expect("a retry delay") as f64 / 1000.0)
 }
 
-fn asked(bench: &mut Bench, number: u64) -> Option<f64> {
+fn request_delay(bench: &mut Bench, number: u64) -> Option<f64> {
     let session = bench.open(number);
     bench.ask(session, "query", &format!("k{number}"), "words");
-    refusal(bench, session)
+    rejection_delay(bench, session)
 }
 
 #[test]
 fn requests_below_threshold_are_shed_unsent() {
-    let mut bench = on();
-    told(&mut bench, 48.0, 100.0, 1.0);
-    let waits: Vec<f64> = (0..20)
-        .map(|n| asked(&mut bench, n).expect("refused"))
+    let mut bench = bench_with_shedding();
+    set_threshold(&mut bench, 48.0, 100.0, 1.0);
+    let delays: Vec<f64> = (0..20)
+        .map(|n| request_delay(&mut bench, n).expect("rejected"))
         .collect();
-    assert!(waits.iter().all(|w| (0.1..=5.0).contains(w)), "{waits:?}");
-    let times: std::collections::BTreeSet<u64> =
-        waits.iter().map(|w| (w * 1000.0) as u64).collect();
-    assert!(times.len() > 15, "not in step: {waits:?}");
+    assert!(delays.iter().all(|d| (0.1..=5.0).contains(d)), "{delays:?}");
+    let distinct_ms: std::collections::BTreeSet<u64> =
+        delays.iter().map(|d| (d * 1000.0) as u64).collect();
+    assert!(distinct_ms.len() > 15, "delays are spread: {delays:?}");
     assert!(bench.told.is_empty());
-    told(&mut bench, 0.0, 100.0, 1.0);
-    assert_eq!(asked(&mut bench, 99), None);
+    set_threshold(&mut bench, 0.0, 100.0, 1.0);
+    assert_eq!(request_delay(&mut bench, 99), None);
     assert!(bench.take().is_read());
 }
 
 #[test]
 fn expired_threshold_admits_fraction_of_last_load() {
-    let mut bench = on();
-    told(&mut bench, 0.0, 100.0, 0.5);
-    assert!((0..5).all(|n| asked(&mut bench, n).is_none()));
-    // Without a wake in between, as after a pause.
+    let mut bench = bench_with_shedding();
+    set_threshold(&mut bench, 0.0, 100.0, 0.5);
+    assert!((0..5).all(|n| request_delay(&mut bench, n).is_none()));
+    // A minute passes without any step, as after a pause of the process.
     bench.now = Micros(bench.now.0 + 60_000_000);
     let until = Micros(bench.now.0 + 60_000_000);
     bench.step(Input::QuorumState {
@@ -102,60 +103,66 @@
         present: vec![],
         until,
     });
-    let refused = (10..90).filter(|n| asked(&mut bench, *n).is_some()).count();
-    // A quarter of 4 a second, of which 0.3 s go at once: queries of 64 ms for a fifth of their ceiling.
-    assert!((72..=79).contains(&refused), "{refused}");
+    let rejected = (10..90)
+        .filter(|n| request_delay(&mut bench, *n).is_some())
+        .count();
+    // Each of the 4 dispatchers admits a quarter of the last capacity of 4 seconds of work per second, with a burst of
+    // 0.3 s. A request counts as 64 ms of work, as a fifth of its output limit is expected.
+    assert!((72..=79).contains(&rejected), "{rejected}");
 }
 
-/// The first read of a request fails where it may have run; gives the attempt that follows, if there is one.
-fn second(bench: &mut Bench, number: u64) -> Option<Told> {
+/// Sends a request whose prefill fails after it may have run. Returns the next attempt, if there is one.
+fn attempt_after_failure(bench: &mut Bench, number: u64) -> Option<Told> {
     let session = bench.open(number);
     bench.ask(session, "query", &format!("k{number}"), "words");
-    let read = bench.take();
-    bench.error(&read, 500, None);
+    let prefill = bench.take();
+    bench.error(&prefill, 500, None);
     bench.pass(0.1);
     bench.told.pop()
 }
 
 #[test]
 fn repeated_work_needs_retry_budget() {
-    let mut bench = on();
-    told(&mut bench, 0.1, 0.0, 1.0);
+    let mut bench = bench_with_shedding();
+    set_threshold(&mut bench, 0.1, 0.0, 1.0);
     assert!(
-        second(&mut bench, 1).is_none(),
-        "no fresh work of which it would be a tenth"
+        attempt_after_failure(&mut bench, 1).is_none(),
+        "retries may take a tenth of the work of first attempts, which is none"
     );
-    told(&mut bench, 0.1, 100.0, 1.0);
-    assert!(second(&mut bench, 2).is_some(), "a quarter of 10");
-    let mut bench = on();
+    set_threshold(&mut bench, 0.1, 100.0, 1.0);
+    assert!(
+        attempt_after_failure(&mut bench, 2).is_some(),
+        "a quarter of the cluster's retry budget, which is a tenth of 100"
+    );
+    let mut bench = bench_with_shedding();
     let session = bench.open(3);
-    told(&mut bench, 0.1, 0.0, 1.0);
+    set_threshold(&mut bench, 0.1, 0.0, 1.0);
     assert!(!bench.begin_write(session, "query", "k3", "words").is_read());
 }
 
 #[test]
 fn health_check_answer_is_shared_with_peers() {
-    let mut bench = on();
+    let mut bench = bench_with_shedding();
     let host = bitternlatch_inventory::server_id("r1");
     bench.probes.clear();
-    bench.step(Input::Overload(Word::Probe { host }));
-    let (link, id) = bench.probes.pop().expect("a probe");
+    bench.step(Input::Overload(OverloadEvent::Probe { host }));
+    let (link, id) = bench.probes.pop().expect("a health check");
     let load = std::iter::once(("kv_cache_usage_perc".to_string(), 0.25)).collect();
     bench.says(link, &FromEngine::Load { id, load });
-    let passed = |o: &Output| matches!(o, Output::Overload(Ask::Probed { host: h, report }) if *h == host && report.len() == 1);
-    assert_eq!(bench.out.iter().filter(|o| passed(o)).count(), 1);
+    let is_shared = |o: &Output| matches!(o, Output::Overload(Ask::Probed { host: h, report }) if *h == host && report.len() == 1);
+    assert_eq!(bench.out.iter().filter(|o| is_shared(o)).count(), 1);
 }
 
 #[test]
 fn load_shedding_is_off_without_its_table() {
     let mut bench = bench("");
-    told(&mut bench, 48.0, 0.0, 60.0);
+    set_threshold(&mut bench, 48.0, 0.0, 60.0);
     bench.probes.clear();
-    bench.step(Input::Overload(Word::Probe {
+    bench.step(Input::Overload(OverloadEvent::Probe {
         host: bitternlatch_inventory::server_id("r1"),
     }));
     assert!(bench.probes.is_empty());
-    assert!((0..50).all(|n| asked(&mut bench, n).is_none()));
+    assert!((0..50).all(|n| request_delay(&mut bench, n).is_none()));
     bench.pass(1.0);
     assert!(!bench.out.iter().any(|o| matches!(o, Output::Overload(_))));
     let bad = format!("{SETTINGS}[cluster]\nname = \"h\"\nsecret = \"s\"\noverload = {{ wait_share = 9.0 }}\nroster = [{{ name = \"d1\", address = \"127.0.0.1:7001\" }}]\n");
@@ -165,7 +172,7 @@
         .contains("wait_share"));
 }
 
-fn at(bench: &Bench, name: &str) -> Vec<Told> {
+fn attempts_at(bench: &Bench, name: &str) -> Vec<Told> {
     bench
         .told
         .iter()
@@ -174,15 +181,19 @@
         .collect()
 }
 
-/// Reads at r1 and r2 of some requests after r1 was given leave for so many until a time from now.
-fn on_trial(many: u32, for_s: u64) -> Bench {
-    let mut bench = on();
-    told(&mut bench, 0.0, 100.0, 60.0);
+/// Sends some requests after the attempts in flight at r1 were limited to `max_in_flight` for `for_s` seconds.
+fn bench_with_trial(max_in_flight: u32, for_s: u64) -> Bench {
+    let mut bench = bench_with_shedding();
+    set_threshold(&mut bench, 0.0, 100.0, 60.0);
     let host = bitternlatch_inventory::server_id("r1");
     let until = Duration::from_micros(bench.now.0) + Duration::from_secs(for_s);
-    bench.step(Input::Overload(Word::Trial { host, many, until }));
+    bench.step(Input::Overload(OverloadEvent::Trial {
+        host,
+        many: max_in_flight,
+        until,
+    }));
     for n in 0..8 {
-        asked(&mut bench, n);
+        request_delay(&mut bench, n);
         bench.pass(0.05);
     }
     bench
@@ -190,22 +201,22 @@
 
 #[test]
 fn recovery_trial_bounds_attempts_until_expiry() {
-    let bench = on_trial(1, 5);
-    assert!(at(&bench, "r1").len() <= 1 && at(&bench, "r2").len() >= 4);
-    assert!(at(&on_trial(0, 5), "r1").is_empty());
-    let mut bench = on_trial(0, 0);
-    let failing = at(&bench, "r1");
-    assert!(failing.len() >= 3, "its time is over");
-    failing
+    let bench = bench_with_trial(1, 5);
+    assert!(attempts_at(&bench, "r1").len() <= 1 && attempts_at(&bench, "r2").len() >= 4);
+    assert!(attempts_at(&bench_with_trial(0, 5), "r1").is_empty());
+    let mut bench = bench_with_trial(0, 0);
+    let attempts = attempts_at(&bench, "r1");
+    assert!(attempts.len() >= 3, "the limit has expired");
+    attempts
         .iter()
         .take(3)
-        .for_each(|t| bench.error(t, 500, None));
+        .for_each(|attempt| bench.error(attempt, 500, None));
     let r1 = bitternlatch_inventory::server_id("r1");
-    let told = |o: &&Output| matches!(o, Output::Overload(Ask::Tried { host, well: false }) if *host == r1);
+    let reports_failure = |o: &&Output| matches!(o, Output::Overload(Ask::Tried { host, well: false }) if *host == r1);
     assert_eq!(
-        bench.out.iter().filter(told).count(),
+        bench.out.iter().filter(reports_failure).count(),
         2,
-        "from the second on"
+        "from the second consecutive failure on"
     );
 }
 
@@ -221,18 +232,18 @@
             session,
             text: create.to_string(),
         });
-        let asks = std::mem::take(&mut bench.out)
+        let commands = std::mem::take(&mut bench.out)
             .into_iter()
             .filter(|o| matches!(o, Output::Workflow(_)));
-        (asks.count(), bench.heard(session))
+        (commands.count(), bench.heard(session))
     };
-    told(&mut bench, 48.0, 100.0, 1.0);
-    let (asks, heard) = step(&mut bench, 1, 1);
-    assert_eq!(asks, 0, "refused before its intent is asked for");
-    let error = heard
+    set_threshold(&mut bench, 48.0, 100.0, 1.0);
+    let (commands, events) = step(&mut bench, 1, 1);
+    assert_eq!(commands, 0, "rejected before its intent is recorded");
+    let error = events
         .last()
         .and_then(|e| e.error.clone())
-        .expect("a refusal");
+        .expect("a rejection");
     assert_eq!(error["code"], "rate_limit_exceeded");
     assert!(
         error["retry_after_ms"]
@@ -240,7 +251,11 @@
             .is_some_and(|ms| (100..=5000).contains(&ms)),
         "{error}"
     );
-    told(&mut bench, 0.0, 100.0, 1.0);
-    let (asks, heard) = step(&mut bench, 2, 2);
-    assert_eq!((asks, heard.len()), (1, 0), "it waits for its intent");
+    set_threshold(&mut bench, 0.0, 100.0, 1.0);
+    let (commands, events) = step(&mut bench, 2, 2);
+    assert_eq!(
+        (commands, events.len()),
+        (1, 0),
+        "the step waits for its intent"
+    );
 }
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -1,11 +1,12 @@
-//! Parts of what all share, in the machine: what is lent counts by time, at the act.
+//! Tests of quota leases: a dispatcher spends its leased fraction of a shared budget until the lease expires, and the
+//! unleased fraction otherwise.
 mod common;
 
 use bitternlatch_core::{Input, Micros, Settings};
 use bitternlatch_membership::QuorumState;
 use common::{four, Bench, SETTINGS};
 
-/// 1,000 tokens saved, a hundred a second, over ten dispatchers; an amount a day beside it.
+/// A tenant with a burst of 1,000 tokens and a rate of 100 tokens per second, shared by ten dispatchers.
 const BUDGET: &str = "\n[[tenants]]\nname = \"bands\"\nquota_rps = 1000\n\
     budget = { rate = { tokens_per_s = 100, burst_tokens = 1000 } }\n";
 
@@ -24,21 +25,18 @@
     bench
 }
 
-fn lend(bench: &mut Bench, lent: f64, for_s: f64) {
+fn grant_lease(bench: &mut Bench, leased: f64, for_s: f64) {
     let until = Micros(bench.now.0 + (for_s * 1e6) as u64);
     bench.step(Input::QuorumState {
         state: QuorumState::Whole,
         present: vec![],
         until,
     });
-    bench.step(Input::QuotaLease {
-        leased: lent,
-        until,
-    });
+    bench.step(Input::QuotaLease { leased, until });
 }
 
-/// Whether a request of a hundred tokens' prompt and so many more is taken now.
-fn takes(bench: &mut Bench, key: &str, output: u32) -> bool {
+/// Sends a request with a prompt of 100 tokens and this output limit. Returns whether it is admitted.
+fn is_admitted(bench: &mut Bench, key: &str, output: u32) -> bool {
     let session = bench.open(key.bytes().fold(1000, |n, b| n * 7 + u64::from(b)));
     let text = serde_json::json!({ "type": "response.create", "model": "m", "input": "x".repeat(400),
         "max_output_tokens": output, "metadata": { "class": "query", "idempotency_key": key } });
@@ -51,56 +49,61 @@
         .contains(&"response.created".to_string())
 }
 
-/// Spends so many tokens, which must be taken.
-fn spends(bench: &mut Bench, key: &str, output: u32) {
-    assert!(takes(bench, key, output));
-    let read = bench.take();
-    bench.read_done(&read);
-    let write = bench.take();
-    bench.end(&write, 100, output);
+/// Sends a request that must be admitted and completes it with 100 prompt tokens and `output` output tokens.
+fn spend(bench: &mut Bench, key: &str, output: u32) {
+    assert!(is_admitted(bench, key, output));
+    let prefill = bench.take();
+    bench.read_done(&prefill);
+    let decode = bench.take();
+    bench.end(&decode, 100, output);
 }
 
 #[test]
 fn dispatcher_without_quorum_state_spends_unleased_quota() {
     let mut bench = cluster();
-    // A tenth of a tenth: 10 tokens saved, one a second. A larger request is taken when that is full, and owed.
-    spends(&mut bench, "a", 100);
+    // The unleased fraction is a tenth of a tenth: a burst of 10 tokens and 1 token per second. A larger request is
+    // admitted when the burst is full, and the rest is a debt.
+    spend(&mut bench, "a", 100);
     bench.pass(150.0);
-    assert!(!takes(&mut bench, "b", 10), "190 are owed");
+    assert!(!is_admitted(&mut bench, "b", 10), "190 tokens are owed");
     bench.pass(55.0);
-    assert!(takes(&mut bench, "c", 10));
+    assert!(is_admitted(&mut bench, "c", 10));
 }
 
 #[test]
 fn quota_lease_is_spent_until_expiry() {
     let mut bench = cluster();
-    spends(&mut bench, "a", 101);
-    // 191 owed. Half of the whole for two seconds, 51 a second, and then careful: 102 in all, and one a second after.
-    lend(&mut bench, 0.5, 2.0);
-    // It stands still for a minute; the part has ended within it, and counts for its two seconds alone.
+    spend(&mut bench, "a", 101);
+    // 191 tokens are owed. The lease on half of the budget adds up to 51 tokens per second for 2 s, 102 in all; after
+    // it the unleased fraction gives 1 token per second.
+    grant_lease(&mut bench, 0.5, 2.0);
+    // The process is paused for a minute. The lease expired in that time and counts for its 2 s only.
     bench.now = Micros(bench.now.0 + 60_000_000);
-    assert!(!takes(&mut bench, "b", 10), "191 - 102 - 58 are owed still");
+    assert!(
+        !is_admitted(&mut bench, "b", 10),
+        "191 - 102 - 58 tokens are still owed"
+    );
     bench.pass(30.0);
-    assert!(!takes(&mut bench, "c", 10));
+    assert!(!is_admitted(&mut bench, "c", 10));
     bench.pass(15.0);
-    assert!(takes(&mut bench, "d", 10));
+    assert!(is_admitted(&mut bench, "d", 10));
 }
 
 #[test]
 fn smaller_quota_lease_applies_at_once() {
     let mut bench = cluster();
-    lend(&mut bench, 0.9, 100.0);
+    grant_lease(&mut bench, 0.9, 100.0);
     bench.pass(20.0);
-    lend(&mut bench, 0.1, 100.0);
-    // Of the 910 saved 110 are left: a tenth and the careful part.
-    assert!(takes(&mut bench, "a", 10));
-    assert!(!takes(&mut bench, "b", 10));
+    grant_lease(&mut bench, 0.1, 100.0);
+    // Of the 910 tokens saved 110 are left: the burst of the leased tenth and of the unleased fraction.
+    assert!(is_admitted(&mut bench, "a", 10));
+    assert!(!is_admitted(&mut bench, "b", 10));
 }
 
 #[test]
 fn cut_off_dispatcher_spends_unleased_quota() {
     let mut bench = cluster();
-    lend(&mut bench, 0.9, 100.0);
+    grant_lease(&mut bench, 0.9, 100.0);
     bench.pass(20.0);
     let until = Micros(bench.now.0 + 80_000_000);
     bench.step(Input::QuorumState {
@@ -108,9 +111,9 @@
         present: vec![],
         until,
     });
-    // Of the 910 saved the careful part's 10 are left.
-    assert!(takes(&mut bench, "a", 10));
-    assert!(!takes(&mut bench, "b", 10));
+    // Of the 910 tokens saved 10 are left: the burst of the unleased fraction.
+    assert!(is_admitted(&mut bench, "a", 10));
+    assert!(!is_admitted(&mut bench, "b", 10));
 }
 
 #[test]
@@ -119,9 +122,9 @@
     let mut bench = Bench::with(settings, 5);
     bench.step(Input::ServerList(four()));
     bench.open_all(1000.0);
-    lend(&mut bench, 0.0, 0.0);
+    grant_lease(&mut bench, 0.0, 0.0);
     assert!(
-        takes(&mut bench, "a", 890),
-        "the whole, as the settings name one dispatcher"
+        is_admitted(&mut bench, "a", 890),
+        "the whole budget, as the settings name one dispatcher"
     );
 }
