--- a/crates/platform/src/access_log/record.rs
+++ b/crates/platform/src/access_log/record.rs
@@ -9,7 +9,7 @@
 /// Most attempts listed in one line.
 const MAX_ATTEMPTS: usize = 8;
 /// Most changes of the KV cache state listed in one line.
-const MAX_CHANGES: usize = 8;
+const MAX_STATE_CHANGES: usize = 8;
 
 /// How a request ended for its client. The words in a line are part of the log format and do not follow these names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -179,7 +179,7 @@
     }
 
     pub(super) fn change_state(&mut self, now_s: f64, change: KvStateChange) {
-        if self.states.len() < MAX_CHANGES {
+        if self.states.len() < MAX_STATE_CHANGES {
             let at_s = now_s - self.arrived_s;
             self.states.push(KvStateEvent { at_s, change });
         }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -39,7 +39,7 @@
 }
 
 #[derive(Deserialize)]
-struct Raw {
+struct RawConfig {
     name: String,
     listen: String,
     discovery: String,
@@ -92,7 +92,7 @@
     pub bounds: Bounds,
 }
 
-fn address(field: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
+fn parse_address(field: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
     let cause = || format!("'{text}' is not a socket address such as 127.0.0.1:8081");
     text.parse().map_err(|_| ConfigError::Field {
         field,
@@ -117,7 +117,7 @@
 }
 
 /// Converts the seed's text to a number: hexadecimal as the platform writes it, or a hash of any other text.
-fn seed(text: &str) -> u64 {
+fn parse_seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| xxhash_rust::xxh3::xxh3_64(text.as_bytes()))
 }
 
@@ -127,7 +127,8 @@
     /// # Errors
     /// Invalid JSON, with line and column, or a field whose value cannot be used.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
-        let raw: Raw = serde_json::from_str(text).map_err(|e| ConfigError::Json(e.to_string()))?;
+        let raw: RawConfig =
+            serde_json::from_str(text).map_err(|e| ConfigError::Json(e.to_string()))?;
         let facts = Facts::from_json(&raw.settings)?;
         let names = read_names(&facts)?;
         let known = raw.known.filter(|v| !v.is_null());
@@ -141,14 +142,15 @@
         let peers = raw
             .peers
             .iter()
-            .map(|p| address("peers", p))
+            .map(|p| parse_address("peers", p))
             .collect::<Result<_, _>>()?;
-        let optional = |field, text: Option<String>| text.map(|t| address(field, &t)).transpose();
+        let optional =
+            |field, text: Option<String>| text.map(|t| parse_address(field, &t)).transpose();
         Ok(Config {
             name: raw.name,
-            listen: address("listen", &raw.listen)?,
-            discovery: address("discovery", &raw.discovery)?,
-            seed: seed(&raw.seed),
+            listen: parse_address("listen", &raw.listen)?,
+            discovery: parse_address("discovery", &raw.discovery)?,
+            seed: parse_seed(&raw.seed),
             limits: Limits {
                 memory_bytes: parse_limit("limits.memory_mb", raw.limits.memory_mb, 8.0..=1e6)?
                     << 20,
--- a/crates/platform/src/discovery_client.rs
+++ b/crates/platform/src/discovery_client.rs
@@ -6,7 +6,7 @@
 use bitternlatch_policy::interface::ServerEntry;
 
 use crate::discovery::{AppliedList, EndpointList, Endpoints};
-use crate::discovery_watch::{call, DiscoveryWatch, WatchProgress};
+use crate::discovery_watch::{watch_request, DiscoveryWatch, WatchProgress};
 use crate::types::{Command, ConnId, Level};
 
 /// Owns the endpoint list and keeps it up to date.
@@ -67,7 +67,7 @@
 
     /// Returns the watch request, which asks for changes since the current version.
     pub(crate) fn watch_request(&self) -> Vec<u8> {
-        call(self.endpoints.version())
+        watch_request(self.endpoints.version())
     }
 
     /// Parses received bytes of the watch's response.
--- a/crates/platform/src/discovery_watch.rs
+++ b/crates/platform/src/discovery_watch.rs
@@ -272,6 +272,6 @@
 }
 
 /// Builds the watch request for changes since a version.
-pub fn call(rev: u64) -> Vec<u8> {
+pub fn watch_request(rev: u64) -> Vec<u8> {
     format!("GET /v1/endpoints?watch=1&from={rev} HTTP/1.1\r\nHost: discovery\r\n\r\n").into_bytes()
 }
--- a/crates/platform/src/health_checks.rs
+++ b/crates/platform/src/health_checks.rs
@@ -6,7 +6,8 @@
 use bitternlatch_policy::interface::ServerId;
 
 /// HTTP request of a health check; the response also carries the load report.
-pub(crate) const HEALTH_CHECK: &[u8] = b"GET /status/load HTTP/1.1\r\nHost: origin.svc\r\n\r\n";
+pub(crate) const HEALTH_CHECK_REQUEST: &[u8] =
+    b"GET /status/load HTTP/1.1\r\nHost: origin.svc\r\n\r\n";
 
 /// Start time of the health check in flight to each model server.
 #[derive(Debug, Default)]
--- a/crates/platform/src/http1/body.rs
+++ b/crates/platform/src/http1/body.rs
@@ -3,9 +3,9 @@
 use super::{Framing, HttpError, MAX_CHUNK_BYTES};
 
 /// Longest chunk-size line, bytes.
-const MAX_CHUNK_LINE: usize = 256;
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 /// Largest total size of the trailer lines, bytes.
-const MAX_TRAILERS: usize = 4096;
+const MAX_TRAILER_BYTES: usize = 4096;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
@@ -93,7 +93,7 @@
                 };
                 Ok(n as usize)
             }
-            Step::ChunkSize => self.chunk_size(bytes),
+            Step::ChunkSize => self.read_chunk_size(bytes),
             Step::ChunkEnd => match bytes {
                 [b'\r', b'\n', ..] => {
                     self.step = Step::ChunkSize;
@@ -102,12 +102,12 @@
                 [b'\r'] => Ok(0),
                 _ => Err(HttpError::InvalidChunk),
             },
-            Step::Trailers(read) => self.trailer(bytes, read),
+            Step::Trailers(read) => self.read_trailer(bytes, read),
         }
     }
 
-    fn chunk_size(&mut self, bytes: &[u8]) -> Result<usize, HttpError> {
-        let Some((line, consumed)) = line(bytes, MAX_CHUNK_LINE)? else {
+    fn read_chunk_size(&mut self, bytes: &[u8]) -> Result<usize, HttpError> {
+        let Some((line, consumed)) = read_line(bytes, MAX_CHUNK_LINE_BYTES)? else {
             return Ok(0);
         };
         let digits = line
@@ -133,11 +133,11 @@
         Ok(consumed)
     }
 
-    fn trailer(&mut self, bytes: &[u8], read: usize) -> Result<usize, HttpError> {
-        let Some((line, consumed)) = line(bytes, MAX_TRAILERS)? else {
+    fn read_trailer(&mut self, bytes: &[u8], read: usize) -> Result<usize, HttpError> {
+        let Some((line, consumed)) = read_line(bytes, MAX_TRAILER_BYTES)? else {
             return Ok(0);
         };
-        if read + consumed > MAX_TRAILERS {
+        if read + consumed > MAX_TRAILER_BYTES {
             return Err(HttpError::InvalidChunk);
         }
         self.step = if line.is_empty() {
@@ -151,7 +151,7 @@
 
 /// Returns the first line without its CRLF and the number of bytes with it, or `None` if it is incomplete. A line that
 /// ends with a bare line feed is an error.
-fn line(bytes: &[u8], limit: usize) -> Result<Option<(&[u8], usize)>, HttpError> {
+fn read_line(bytes: &[u8], limit: usize) -> Result<Option<(&[u8], usize)>, HttpError> {
     match bytes.iter().position(|b| *b == b'\n') {
         Some(end) if end > 0 && bytes[end - 1] == b'\r' && end < limit => {
             Ok(Some((&bytes[..end - 1], end + 1)))
--- a/crates/platform/src/http1/mod.rs
+++ b/crates/platform/src/http1/mod.rs
@@ -7,7 +7,7 @@
 mod write;
 
 pub use body::Body;
-pub use write::{chunk, plain_response, stream_head, LAST_CHUNK};
+pub use write::{chunk, event_stream_head, plain_response, LAST_CHUNK};
 
 use thiserror::Error;
 
@@ -62,19 +62,19 @@
 
 /// Header fields in order of appearance, with names in lower case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Fields(Vec<(String, String)>);
+pub struct HeaderFields(Vec<(String, String)>);
 
-impl Fields {
+impl HeaderFields {
     /// Copies parsed fields. Invalid UTF-8 in a value is replaced rather than rejected, so that a corrupt field that
     /// nobody reads, such as a load report, does not make a response fail.
-    fn read(raw: &[httparse::Header]) -> Fields {
+    fn read(raw: &[httparse::Header]) -> HeaderFields {
         let field = |h: &httparse::Header| {
             (
                 h.name.to_ascii_lowercase(),
                 String::from_utf8_lossy(h.value).trim().to_string(),
             )
         };
-        Fields(raw.iter().map(field).collect())
+        HeaderFields(raw.iter().map(field).collect())
     }
 
     /// Returns the first field with this name, given in lower case.
@@ -98,7 +98,7 @@
     }
 
     /// Whether a `Connection` header lists this option.
-    fn connection(&self, word: &str) -> bool {
+    fn has_connection_option(&self, word: &str) -> bool {
         self.all("connection")
             .flat_map(|v| v.split(','))
             .any(|w| w.trim().eq_ignore_ascii_case(word))
@@ -124,7 +124,7 @@
     /// Path and query of the request.
     pub target: String,
     /// Header fields of the request.
-    pub fields: Fields,
+    pub fields: HeaderFields,
     /// How the end of the request body is determined.
     pub framing: Framing,
     /// Whether the connection may serve another request after this one.
@@ -137,14 +137,14 @@
     /// Status code of the response.
     pub status: u16,
     /// Header fields of the response.
-    pub fields: Fields,
+    pub fields: HeaderFields,
     /// How the end of the response body is determined.
     pub framing: Framing,
     /// Whether the connection may serve another request after this response.
     pub keep_alive: bool,
 }
 
-fn framing(fields: &Fields) -> Result<Option<Framing>, HttpError> {
+fn parse_framing(fields: &HeaderFields) -> Result<Option<Framing>, HttpError> {
     let lengths: Vec<&str> = fields.all("content-length").collect();
     let codings: Vec<&str> = fields.all("transfer-encoding").collect();
     if !lengths.is_empty() && !codings.is_empty() {
@@ -201,16 +201,16 @@
     let Some(consumed) = head_length(parsed, skipped, bytes.len())? else {
         return Ok(None);
     };
-    let fields = Fields::read(head.headers);
-    let framing = framing(&fields)?.unwrap_or(Framing::Length(0));
+    let fields = HeaderFields::read(head.headers);
+    let framing = parse_framing(&fields)?.unwrap_or(Framing::Length(0));
     if matches!(framing, Framing::Length(n) if n > MAX_BODY_BYTES as u64) {
         return Err(HttpError::BodyTooLong);
     }
     let is_http_1_1 = head.version == Some(1);
     let keep_alive = if is_http_1_1 {
-        !fields.connection("close")
+        !fields.has_connection_option("close")
     } else {
-        fields.connection("keep-alive")
+        fields.has_connection_option("keep-alive")
     };
     let (method, target) = (
         head.method.unwrap_or_default(),
@@ -237,14 +237,15 @@
         return Ok(None);
     };
     let status = head.code.unwrap_or_default();
-    let fields = Fields::read(head.headers);
+    let fields = HeaderFields::read(head.headers);
     let empty = (100..200).contains(&status) || status == 204 || status == 304;
-    let framing = match framing(&fields)? {
+    let framing = match parse_framing(&fields)? {
         _ if empty => Framing::Length(0),
         found => found.unwrap_or(Framing::Close),
     };
     let is_http_1_1 = head.version == Some(1);
-    let keep_alive = is_http_1_1 && !fields.connection("close") && framing != Framing::Close;
+    let keep_alive =
+        is_http_1_1 && !fields.has_connection_option("close") && framing != Framing::Close;
     Ok(Some((
         ResponseHead {
             status,
--- a/crates/platform/src/http1/write.rs
+++ b/crates/platform/src/http1/write.rs
@@ -1,7 +1,7 @@
 //! Formats HTTP messages to clients.
 
 /// Reason phrase of a status code.
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -21,23 +21,24 @@
     }
 }
 
-/// Formats a complete response with a short text body. `more` holds additional header lines, each with its CRLF.
-pub fn plain_response(status: u16, more: &str, keep_alive: bool, text: &str) -> Vec<u8> {
+/// Formats a complete response with a short text body. `extra_headers` holds additional header lines, each with its
+/// CRLF.
+pub fn plain_response(status: u16, extra_headers: &str, keep_alive: bool, text: &str) -> Vec<u8> {
     let close = if keep_alive {
         ""
     } else {
         "Connection: close\r\n"
     };
-    let words = reason(status);
+    let phrase = reason_phrase(status);
     let length = text.len();
     format!(
-        "HTTP/1.1 {status} {words}\r\nContent-Type: text/plain\r\nContent-Length: {length}\r\n{more}{close}\r\n{text}"
+        "HTTP/1.1 {status} {phrase}\r\nContent-Type: text/plain\r\nContent-Length: {length}\r\n{extra_headers}{close}\r\n{text}"
     )
     .into_bytes()
 }
 
 /// Formats the head of an event-stream response.
-pub fn stream_head(keep_alive: bool) -> Vec<u8> {
+pub fn event_stream_head(keep_alive: bool) -> Vec<u8> {
     let close = if keep_alive {
         ""
     } else {
--- a/crates/platform/src/node/client_requests.rs
+++ b/crates/platform/src/node/client_requests.rs
@@ -7,13 +7,13 @@
 
 use super::Node;
 use crate::client::{CompleteRequest, MAX_UNSENT_BYTES};
-use crate::http1::{chunk, plain_response, stream_head, LAST_CHUNK};
+use crate::http1::{chunk, event_stream_head, plain_response, LAST_CHUNK};
 use crate::pool::ConnectionUse;
 use crate::requests::{parse_request, ForwardedRequest, OpenRequest, ParsedRequest};
 use crate::types::{Command, ConnId};
 
 /// Upper bound on the bytes that chunk framing and the response head add to the forwarded events.
-const CHUNK_OVERHEAD: usize = 200;
+const CHUNK_OVERHEAD_BYTES: usize = 200;
 
 impl Node {
     pub(super) fn on_accepted(&mut self, now: Micros, conn: ConnId, commands: &mut Vec<Command>) {
@@ -79,7 +79,7 @@
         commands: &mut Vec<Command>,
     ) {
         if request.head.method == "GET" && request.head.target == "/ready" {
-            let (status, text) = if self.ready() {
+            let (status, text) = if self.is_ready() {
                 (200, "ready\n")
             } else {
                 (503, "not ready\n")
@@ -280,11 +280,12 @@
         let Some(conn) = open.client else { return };
         let is_first = open.last_event_at.replace(now).is_none();
         let server = open.in_flight.map(|attempt| attempt.conn);
-        let mut bytes = Vec::with_capacity(events.len() + CHUNK_OVERHEAD);
+        let mut bytes = Vec::with_capacity(events.len() + CHUNK_OVERHEAD_BYTES);
         if is_first {
             let stopping = !self.shutdown.is_accepting();
             let client = self.clients.get(conn);
-            bytes = stream_head(client.is_some_and(|c| c.keeps_alive_after_response(stopping)));
+            bytes =
+                event_stream_head(client.is_some_and(|c| c.keeps_alive_after_response(stopping)));
             self.requests.drop_prompt(id);
         }
         chunk(events, &mut bytes);
--- a/crates/platform/src/node/discovery_updates.rs
+++ b/crates/platform/src/node/discovery_updates.rs
@@ -10,7 +10,7 @@
 
 impl Node {
     /// Starts the watch when it is due, and restarts one that has missed a timeout.
-    pub(super) fn drive_watch(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    pub(super) fn update_watch(&mut self, now: Micros, commands: &mut Vec<Command>) {
         if let Some(cause) = self.discovery.overdue_cause(now) {
             self.restart_watch(now, cause, commands);
         }
--- a/crates/platform/src/node/health_check_calls.rs
+++ b/crates/platform/src/node/health_check_calls.rs
@@ -4,7 +4,7 @@
 use bitternlatch_policy::interface::{Event, Outcome, ServerId};
 
 use super::Node;
-use crate::health_checks::HEALTH_CHECK;
+use crate::health_checks::HEALTH_CHECK_REQUEST;
 use crate::pool::{ConnectionUse, ServerAddress};
 use crate::types::Command;
 
@@ -22,7 +22,7 @@
             server,
             address: endpoint.address,
         };
-        let call = HEALTH_CHECK.to_vec();
+        let call = HEALTH_CHECK_REQUEST.to_vec();
         if self
             .start_exchange(
                 now,
--- a/crates/platform/src/node/mod.rs
+++ b/crates/platform/src/node/mod.rs
@@ -38,7 +38,7 @@
 use crate::types::{Command, ConnId, Input, Level};
 
 /// Interval between two checks for overdue clients, expired idle connections and stalled streams, seconds.
-const SWEEP_SECS: f64 = 0.2;
+const SWEEP_INTERVAL_SECS: f64 = 0.2;
 
 fn log(commands: &mut Vec<Command>, level: Level, text: String) {
     commands.push(Command::Log { level, text });
@@ -121,7 +121,8 @@
             });
         }
         node.timers.set(now, Timer::DiscoveryWatch);
-        node.timers.set(now.after(SWEEP_SECS), Timer::Sweep);
+        node.timers
+            .set(now.after(SWEEP_INTERVAL_SECS), Timer::Sweep);
         node.process_events(now, commands);
         node
     }
@@ -150,7 +151,7 @@
 
     /// Whether the node can take requests: an endpoint list is known, from the configuration or discovery, and no
     /// shutdown was requested.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.discovery.has_list() && !self.shutdown.is_requested()
     }
 
@@ -196,7 +197,7 @@
     pub fn reload(&mut self, now: Micros, config: Config, commands: &mut Vec<Command>) {
         self.peers.replace(config.peers, config.broadcast_address);
         if self.discovery.set_address(now, config.discovery, commands) {
-            self.drive_watch(now, commands);
+            self.update_watch(now, commands);
         }
         self.process_events(now, commands);
     }
@@ -207,7 +208,7 @@
         }
         for due in self.timers.take_due(now) {
             match due {
-                Timer::Router { label } => self.events.push_back(Event::Timer { label }),
+                Timer::DecisionModule { label } => self.events.push_back(Event::Timer { label }),
                 Timer::AttemptTimeout { request, number } => {
                     self.on_attempt_timeout(now, request, number, commands)
                 }
@@ -216,7 +217,7 @@
                 }
                 Timer::Release { id } => self.hedge_release(now, id, commands),
                 Timer::Sweep => self.sweep(now, commands),
-                Timer::DiscoveryWatch => self.drive_watch(now, commands),
+                Timer::DiscoveryWatch => self.update_watch(now, commands),
                 Timer::StopAccepting => commands.push(Command::StopListening),
                 Timer::StreamsEnd => self.end_streams(now, commands),
                 // The `finish_shutdown` call in `process_events` checks the release deadline.
@@ -229,7 +230,7 @@
     /// Passes events to the decision module and performs its actions until no event and no pipelined request is left.
     fn process_events(&mut self, now: Micros, commands: &mut Vec<Command>) {
         while !self.events.is_empty() || self.clients.has_pipelined() {
-            self.decide_all(now, commands);
+            self.decide_events(now, commands);
             for conn in self.clients.take_pipelined() {
                 self.read_requests(now, conn, commands);
                 self.finish_if_not_accepting(conn, commands);
@@ -240,7 +241,7 @@
         self.finish_shutdown(now, commands);
     }
 
-    fn decide_all(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    fn decide_events(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             let requests = &self.requests;
@@ -284,9 +285,9 @@
             Action::Fail { request } => self.fail_request(now, request, commands),
             Action::Release { request } => self.start_release(now, request, commands),
             Action::Probe { server } => self.start_health_check(now, server, commands),
-            Action::SetTimer { at, label } => {
-                self.timers.set(Micros::at(at), Timer::Router { label })
-            }
+            Action::SetTimer { at, label } => self
+                .timers
+                .set(Micros::at(at), Timer::DecisionModule { label }),
             // The watch is always open, and discovery sends the full list after an interruption.
             Action::Subscribe | Action::Unsubscribe | Action::FetchList => {}
             Action::ReserveSlot { .. } | Action::Migrate { .. } => {
@@ -385,7 +386,8 @@
         if let Some(line) = self.counts_log.line(now, self.counts) {
             log(commands, Level::Info, line);
         }
-        self.timers.set(now.after(SWEEP_SECS), Timer::Sweep);
+        self.timers
+            .set(now.after(SWEEP_INTERVAL_SECS), Timer::Sweep);
     }
 
     fn start_shutdown(&mut self, now: Micros, commands: &mut Vec<Command>) {
--- a/crates/platform/src/peers.rs
+++ b/crates/platform/src/peers.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 /// Longest datagram between dispatchers, bytes.
-const MAX_DATAGRAM: usize = 256;
+const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// Addresses of all dispatchers, indexed by their numbers in the settings.
 #[derive(Debug)]
@@ -42,13 +42,13 @@
             Some(number) => self.addresses.get(usize::from(number)).copied(),
             None => self.broadcast,
         };
-        to.filter(|_| self.enabled && bytes <= MAX_DATAGRAM)
+        to.filter(|_| self.enabled && bytes <= MAX_DATAGRAM_BYTES)
     }
 
     /// Returns the number of the peer that sent a datagram of `bytes` bytes. Broadcasts come back to their sender, so
     /// datagrams from this dispatcher itself give `None`.
     pub(crate) fn sender(&self, from: SocketAddr, bytes: usize) -> Option<usize> {
         let number = self.addresses.iter().position(|p| *p == from)?;
-        (number != self.own_number && bytes <= MAX_DATAGRAM).then_some(number)
+        (number != self.own_number && bytes <= MAX_DATAGRAM_BYTES).then_some(number)
     }
 }
--- a/crates/platform/src/responses.rs
+++ b/crates/platform/src/responses.rs
@@ -122,7 +122,7 @@
         }
         Ok(BodyProgress::End {
             events,
-            complete: self.complete(true),
+            complete: self.summarize(true),
         })
     }
 
@@ -139,11 +139,11 @@
         }
         Ok(BodyProgress::End {
             events: Vec::new(),
-            complete: self.complete(done),
+            complete: self.summarize(done),
         })
     }
 
-    fn complete(&mut self, done: bool) -> CompleteResponse {
+    fn summarize(&mut self, done: bool) -> CompleteResponse {
         let Some(head) = &self.head else {
             return CompleteResponse::default();
         };
@@ -182,7 +182,7 @@
 /// Parses a load report such as `inflight=7,queue=2,util=0.61` into values in the order of the settings' fields.
 /// Returns an empty list if the report is malformed or lacks a field.
 pub fn parse_load_report(text: &str, names: &Names) -> Vec<f64> {
-    let pairs: Option<Vec<(&str, f64)>> = text.split(',').map(pair).collect();
+    let pairs: Option<Vec<(&str, f64)>> = text.split(',').map(parse_pair).collect();
     let Some(pairs) = pairs else {
         return Vec::new();
     };
@@ -204,7 +204,7 @@
         .unwrap_or_default()
 }
 
-fn pair(text: &str) -> Option<(&str, f64)> {
+fn parse_pair(text: &str) -> Option<(&str, f64)> {
     let (name, value) = text.split_once('=')?;
     let value: f64 = value.trim().parse().ok()?;
     (value.is_finite() && value >= 0.0).then_some((name.trim(), value))
--- a/crates/platform/src/timer.rs
+++ b/crates/platform/src/timer.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
     /// Set by the decision module, which chose the label.
-    Router { label: u64 },
+    DecisionModule { label: u64 },
     /// An attempt times out.
     AttemptTimeout { request: RequestId, number: u16 },
     /// A connection attempt, health check or release call that started at `since` times out.
