--- a/crates/platform/src/node/release_calls.rs
+++ b/crates/platform/src/node/release_calls.rs
@@ -66,7 +66,8 @@
         if conn.is_some() {
             self.counts.release_calls += 1;
         } else {
-            // All connections are in use; the call is made once one becomes free.
+            // All connections are in use. The state stays held until some server is called, so the call is made as
+            // soon as a connection is free.
             self.releases.defer(id, server);
         }
         true
