--- a/crates/platform/src/node/mod.rs
+++ b/crates/platform/src/node/mod.rs
@@ -38,7 +38,7 @@
 use crate::types::{Command, ConnId, Input, Level};
 
 /// Interval between two checks for overdue clients, expired idle connections and stalled streams, seconds.
-const SWEEP_SECS: f64 = 0.2;
+const SWEEP_INTERVAL_SECS: f64 = 0.2;
 
 fn log(commands: &mut Vec<Command>, level: Level, text: String) {
     commands.push(Command::Log { level, text });
@@ -125,7 +125,8 @@
             });
         }
         node.timers.set(now, Timer::DiscoveryWatch);
-        node.timers.set(now.after(SWEEP_SECS), Timer::Sweep);
+        node.timers
+            .set(now.after(SWEEP_INTERVAL_SECS), Timer::Sweep);
         node.process_events(now, commands);
         node
     }
@@ -154,7 +155,7 @@
 
     /// Whether the node can take requests: an endpoint list is known, from the configuration or discovery, and no
     /// shutdown was requested.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.discovery.has_list() && !self.shutdown.is_requested()
     }
 
@@ -200,7 +201,7 @@
     pub fn reload(&mut self, now: Micros, config: Config, commands: &mut Vec<Command>) {
         self.peers.replace(config.peers, config.broadcast_address);
         if self.discovery.set_address(now, config.discovery, commands) {
-            self.drive_watch(now, commands);
+            self.update_watch(now, commands);
         }
         self.process_events(now, commands);
     }
@@ -211,7 +212,7 @@
         }
         for due in self.timers.take_due(now) {
             match due {
-                Timer::Router { label } => self.events.push_back(Event::Timer { label }),
+                Timer::DecisionModule { label } => self.events.push_back(Event::Timer { label }),
                 Timer::AttemptTimeout { request, number } => {
                     self.on_attempt_timeout(now, request, number, commands)
                 }
@@ -220,7 +221,7 @@
                 }
                 Timer::Release { id } => self.hedge_release(now, id, commands),
                 Timer::Sweep => self.sweep(now, commands),
-                Timer::DiscoveryWatch => self.drive_watch(now, commands),
+                Timer::DiscoveryWatch => self.update_watch(now, commands),
                 Timer::StopAccepting => commands.push(Command::StopListening),
                 Timer::StreamsEnd => self.end_streams(now, commands),
                 // The `finish_shutdown` call in `process_events` checks the release deadline.
@@ -233,7 +234,7 @@
     /// Passes events to the decision module and performs its actions until no event and no pipelined request is left.
     fn process_events(&mut self, now: Micros, commands: &mut Vec<Command>) {
         while !self.events.is_empty() || self.clients.has_pipelined() {
-            self.decide_all(now, commands);
+            self.decide_events(now, commands);
             for conn in self.clients.take_pipelined() {
                 self.read_requests(now, conn, commands);
                 self.finish_if_not_accepting(conn, commands);
@@ -244,7 +245,7 @@
         self.finish_shutdown(now, commands);
     }
 
-    fn decide_all(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    fn decide_events(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             let requests = &self.requests;
@@ -290,7 +291,7 @@
             Action::Probe { server } => self.start_health_check(now, server, commands),
             Action::SetTimer { at, label } => self
                 .timers
-                .set(Micros::from_seconds(at), Timer::Router { label }),
+                .set(Micros::from_seconds(at), Timer::DecisionModule { label }),
             // The watch is always open, and discovery sends the full list after an interruption.
             Action::Subscribe | Action::Unsubscribe | Action::FetchList => {}
             Action::ReserveSlot { .. } | Action::Migrate { .. } => {
@@ -389,7 +390,8 @@
         if let Some(line) = self.counts_log.line(now, self.counts) {
             log(commands, Level::Info, line);
         }
-        self.timers.set(now.after(SWEEP_SECS), Timer::Sweep);
+        self.timers
+            .set(now.after(SWEEP_INTERVAL_SECS), Timer::Sweep);
     }
 
     fn start_shutdown(&mut self, now: Micros, commands: &mut Vec<Command>) {
