--- a/crates/core/src/actions.rs
+++ b/crates/core/src/actions.rs
@@ -88,7 +88,7 @@
             .map(|k| k.role);
         // A workflow step may be sent only while its permission is valid, and waits for a new one otherwise. A prefill
         // has no effect and needs no permission.
-        if role != Some(Role::Prefill) && !self.workflows.may_send(now, id) {
+        if role != Some(Role::Prefill) && !self.workflows.may_send_step(now, id) {
             return self.block_send(now, id, BlockedSend { server, timeout_s }, out);
         }
         let Some(request) = self
@@ -199,7 +199,7 @@
             .is_some_and(|k| k.role == Role::Prefill);
         let permitted_s = self
             .workflows
-            .left_s(now, id)
+            .permission_left_s(now, id)
             .filter(|_| !is_prefill_server);
         let max_wait_s = permitted_s.map_or(max_wait_s, |left_s| max_wait_s.min(left_s));
         let deadline = SendDeadline {
--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -239,7 +239,7 @@
             .settings
             .cluster
             .as_ref()
-            .is_some_and(|c| c.lengths.is_some());
+            .is_some_and(|c| c.output_lengths.is_some());
         let Some(request) = self.requests.get(&id).filter(|_| learning) else {
             return;
         };
@@ -378,7 +378,7 @@
     /// waits for its outcome to be stored.
     pub(crate) fn remove_if_done(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let done = |r: &Request| r.answered && r.attempt.is_none() && r.held_kv_cache.is_none();
-        if self.requests.get(&id).is_some_and(done) && !self.workflows.is_ending(id) {
+        if self.requests.get(&id).is_some_and(done) && !self.workflows.is_awaiting_durability(id) {
             self.settle(id, out);
             let Some(mut removed) = self.requests.remove(&id) else {
                 return;
--- a/crates/core/src/blocked_sends.rs
+++ b/crates/core/src/blocked_sends.rs
@@ -41,7 +41,7 @@
             live.map(|r| (r.may_have_run(), wait_ends(r)))
                 .and_then(|(may_have_run, ends)| {
                     self.workflows
-                        .wait(id, send, may_have_run, ends)
+                        .block_send(id, send, may_have_run, ends)
                         .map(|(call, commands)| (call, commands, ends))
                 });
         let Some((call, commands, ends)) = waiting else {
@@ -69,7 +69,7 @@
 
     /// Drops the blocked send of a request that has ended, and reports it as not sent.
     pub(crate) fn cancel_blocked_send(&mut self, id: RequestId) {
-        if let Some(send) = self.workflows.unblock(id) {
+        if let Some(send) = self.workflows.take_blocked_send(id) {
             self.abandon_send(id, send);
         }
     }
--- a/crates/core/src/budgets.rs
+++ b/crates/core/src/budgets.rs
@@ -12,7 +12,7 @@
 use crate::machine::Machine;
 use crate::requests::Request;
 use crate::types::{Micros, Output, SessionId};
-use crate::workflows::refused;
+use crate::workflows::to_bad_request;
 
 /// Seconds after which a client that met one of this machine's own bounds may come back.
 pub(crate) const RETRY_AFTER_S: f64 = 1.0;
@@ -48,7 +48,7 @@
     }
 
     pub(crate) fn by_workflow(why: RejectReason) -> Rejection {
-        let bad = refused(why);
+        let bad = to_bad_request(why);
         let retry_after_s = (bad.status == 503).then_some(RETRY_AFTER_S);
         Rejection {
             bad,
--- a/crates/core/src/intake.rs
+++ b/crates/core/src/intake.rs
@@ -85,7 +85,7 @@
         out: &mut Vec<Output>,
     ) -> Result<(), Rejection> {
         let in_flight = self.sessions.in_flight(session) + self.workflows.pending_queries(session);
-        if in_flight >= self.settings.listen.session_requests {
+        if in_flight >= self.settings.listen.max_session_requests {
             return Err(
                 too_many_requests("this session has as many requests in hand as it may").into(),
             );
@@ -177,7 +177,9 @@
                 too_many_requests("the dispatcher has as many requests in hand as it may").into(),
             );
         }
-        if self.prompt_bytes + validated.prompt.len() > self.settings.requests.total_prompt_bytes {
+        if self.prompt_bytes + validated.prompt.len()
+            > self.settings.requests.max_total_prompt_bytes
+        {
             return Err(
                 too_many_requests("the prompts in hand take as much memory as they may").into(),
             );
--- a/crates/core/src/link_events.rs
+++ b/crates/core/src/link_events.rs
@@ -156,7 +156,7 @@
         attempt: &str,
     ) -> Option<RequestId> {
         let (id, number) = parse_wire_id(self.instance, attempt)?;
-        let may = self.workflows.may_send(now, id);
+        let may = self.workflows.may_send_step(now, id);
         let current = self.requests.get_mut(&id).and_then(|r| r.attempt.as_mut());
         if let Some(a) = current.filter(|a| a.number == number) {
             if a.purpose != Purpose::Prefill && !may {
@@ -234,7 +234,8 @@
         };
         let (endpoint, name) = (known.server.endpoint(), known.server.name.clone());
         let link = self.links.connect(server);
-        let within_s = self.settings.engines.connect_s + self.settings.engines.greet_s;
+        let within_s =
+            self.settings.engines.connect_timeout_s + self.settings.engines.hello_timeout_s;
         self.timers.set(
             now.after(within_s),
             Timer::Link {
--- a/crates/core/src/load_shedding.rs
+++ b/crates/core/src/load_shedding.rs
@@ -9,7 +9,7 @@
 
 use bitternlatch_policy::interface::Outcome;
 
-use crate::settings::{Meaning, Settings};
+use crate::settings::{LoadMetric, Settings};
 use crate::types::Micros;
 
 /// Between two looks at what there is to tell.
@@ -75,7 +75,7 @@
                 .reports
                 .fields
                 .iter()
-                .position(|f| f.meaning == Meaning::Queue),
+                .position(|f| f.metric == LoadMetric::Queue),
             pending_probes: BTreeMap::new(),
             trials: BTreeMap::new(),
             failures: BTreeMap::new(),
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -142,8 +142,12 @@
             credential_clock_offset_us: 0,
             links: Links::default(),
             servers: ServerTable::new(&settings.zone),
-            keys: IdempotencyKeys::new(limits.keys, limits.key_bytes, limits.key_s),
-            contexts: Contexts::new(limits.context_bytes),
+            keys: IdempotencyKeys::new(
+                limits.max_idempotency_keys,
+                limits.max_idempotency_bytes,
+                limits.idempotency_key_lifetime_s,
+            ),
+            contexts: Contexts::new(limits.max_context_bytes),
             book: Book::default(),
             leases: BudgetLeases::default(),
             peers: Peers::default(),
@@ -309,7 +313,7 @@
     }
 
     fn on_session(&mut self, session: SessionId, caller: Option<Caller>, out: &mut Vec<Output>) {
-        if self.stopping || self.sessions.len() >= self.settings.listen.sessions {
+        if self.stopping || self.sessions.len() >= self.settings.listen.max_sessions {
             let reason = if self.stopping {
                 "stopping; come back elsewhere"
             } else {
@@ -360,7 +364,7 @@
     fn sweep(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.timers.set(now.after(SWEEP_S), Timer::Sweep);
         self.keys.sweep(now);
-        let kept_us = (self.settings.requests.context_s * 1e6) as u64;
+        let kept_us = (self.settings.requests.context_lifetime_s * 1e6) as u64;
         self.contexts.sweep(Micros(now.0.saturating_sub(kept_us)));
         for server in self.links.closing() {
             self.close_link(server, false, out);
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -18,7 +18,7 @@
 const BLOCK_BYTES: usize = 64 * 1024;
 /// Longest block that is read, compressed and whole.
 const MAX_BLOCK_BYTES: u32 = 64 << 20;
-const LEVEL: i32 = 1;
+const ZSTD_LEVEL: i32 = 1;
 
 /// One entry of a record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// Where the sink fails.
-    pub fn put(&mut self, entry: &Entry) -> io::Result<()> {
+    pub fn append(&mut self, entry: &Entry) -> io::Result<()> {
         serde_json::to_writer(&mut self.lines, entry)?;
         self.lines.push(b'\n');
         if self.lines.len() >= BLOCK_BYTES {
@@ -111,12 +111,12 @@
         if self.lines.is_empty() {
             return Ok(());
         }
-        let packed = zstd::bulk::compress(&self.lines, LEVEL)?;
-        let size = u32::try_from(packed.len()).map_err(io::Error::other)?;
-        let mut block = Vec::with_capacity(packed.len() + 8);
+        let compressed = zstd::bulk::compress(&self.lines, ZSTD_LEVEL)?;
+        let size = u32::try_from(compressed.len()).map_err(io::Error::other)?;
+        let mut block = Vec::with_capacity(compressed.len() + 8);
         block.extend_from_slice(&size.to_le_bytes());
-        block.extend_from_slice(&crc32fast::hash(&packed).to_le_bytes());
-        block.extend_from_slice(&packed);
+        block.extend_from_slice(&crc32fast::hash(&compressed).to_le_bytes());
+        block.extend_from_slice(&compressed);
         self.lines.clear();
         self.sink.write_all(&block)?;
         self.sink.flush()
@@ -150,18 +150,18 @@
     };
     let mut at = MAGIC.len();
     while at < data.len() {
-        match block(&data[at..]) {
-            Block::Torn => {
+        match parse_block(&data[at..]) {
+            ParsedBlock::Torn => {
                 recorded.torn_bytes = (data.len() - at) as u64;
                 break;
             }
-            Block::Bad(cause) => {
+            ParsedBlock::Corrupt(cause) => {
                 return Err(RecordError::Block {
                     at: at as u64,
                     cause,
                 })
             }
-            Block::Whole(size, entries) => {
+            ParsedBlock::Complete(size, entries) => {
                 at += size;
                 recorded.entries.extend(entries);
             }
@@ -170,33 +170,33 @@
     Ok(recorded)
 }
 
-enum Block {
+enum ParsedBlock {
     Torn,
-    Bad(String),
-    Whole(usize, Vec<Entry>),
+    Corrupt(String),
+    Complete(usize, Vec<Entry>),
 }
 
-fn block(data: &[u8]) -> Block {
-    let word = |i: usize| {
+fn parse_block(data: &[u8]) -> ParsedBlock {
+    let read_u32 = |i: usize| {
         data.get(i..i + 4)
             .and_then(|b| b.try_into().ok())
             .map(u32::from_le_bytes)
     };
-    let (Some(size), Some(sum)) = (word(0), word(4)) else {
-        return Block::Torn;
+    let (Some(size), Some(checksum)) = (read_u32(0), read_u32(4)) else {
+        return ParsedBlock::Torn;
     };
     if size > MAX_BLOCK_BYTES {
-        return Block::Bad(format!("its length {size} is more than {MAX_BLOCK_BYTES}"));
+        return ParsedBlock::Corrupt(format!("its length {size} is more than {MAX_BLOCK_BYTES}"));
     }
-    let Some(packed) = data.get(8..8 + size as usize) else {
-        return Block::Torn;
+    let Some(compressed) = data.get(8..8 + size as usize) else {
+        return ParsedBlock::Torn;
     };
-    if crc32fast::hash(packed) != sum {
-        return Block::Bad("its checksum is wrong".to_string());
+    if crc32fast::hash(compressed) != checksum {
+        return ParsedBlock::Corrupt("its checksum is wrong".to_string());
     }
-    let lines = match zstd::bulk::decompress(packed, MAX_BLOCK_BYTES as usize) {
+    let lines = match zstd::bulk::decompress(compressed, MAX_BLOCK_BYTES as usize) {
         Ok(lines) => lines,
-        Err(e) => return Block::Bad(format!("it does not unpack: {e}")),
+        Err(e) => return ParsedBlock::Corrupt(format!("it does not unpack: {e}")),
     };
     let entries = lines
         .split(|b| *b == b'\n')
@@ -204,8 +204,8 @@
         .map(serde_json::from_slice)
         .collect();
     match entries {
-        Ok(entries) => Block::Whole(8 + size as usize, entries),
-        Err(e) => Block::Bad(format!("an entry is not known: {e}")),
+        Ok(entries) => ParsedBlock::Complete(8 + size as usize, entries),
+        Err(e) => ParsedBlock::Corrupt(format!("an entry is not known: {e}")),
     }
 }
 
@@ -226,7 +226,7 @@
     pub replayed: Option<Output>,
 }
 
-/// What a replay found.
+/// What a replay result.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Replay {
     /// Steps replayed, the one that differs included.
@@ -251,19 +251,19 @@
     if keep_trace {
         machine.enable_trace();
     }
-    let mut found = Replay::default();
+    let mut result = Replay::default();
     for entry in steps {
         let Entry::Step { at, input, outputs } = entry else {
             return Err(RecordError::NoStart);
         };
         let mut replayed = Vec::new();
         machine.step(*at, input.clone(), &mut replayed);
-        found.steps += 1;
-        found.outputs += replayed.len();
-        found.trace.extend(machine.take_trace());
-        if let Some(i) = first_unlike(outputs, &replayed) {
-            found.difference = Some(Difference {
-                step: found.steps,
+        result.steps += 1;
+        result.outputs += replayed.len();
+        result.trace.extend(machine.take_trace());
+        if let Some(i) = first_difference(outputs, &replayed) {
+            result.difference = Some(Difference {
+                step: result.steps,
                 at: *at,
                 input: input.clone(),
                 output: i + 1,
@@ -273,9 +273,9 @@
             break;
         }
     }
-    Ok(found)
+    Ok(result)
 }
 
-fn first_unlike(a: &[Output], b: &[Output]) -> Option<usize> {
+fn first_difference(a: &[Output], b: &[Output]) -> Option<usize> {
     (0..a.len().max(b.len())).find(|i| a.get(*i) != b.get(*i))
 }
--- a/crates/core/src/request_start.rs
+++ b/crates/core/src/request_start.rs
@@ -119,7 +119,8 @@
         self.prompt_bytes += request.prompt.len();
         self.requests.insert(id, request);
         if let Some(step) = step {
-            self.workflows.start(id, step.intent, step.permitted_until);
+            self.workflows
+                .start_step(id, step.intent, step.permitted_until);
         }
         self.sessions.listen(session, id);
         self.send_created(id, session, out);
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -15,14 +15,14 @@
 
 use serde::Deserialize;
 
-pub use classes::{Class, Effect, Kind, RoleName, Scope, Tenant};
+pub use classes::{Class, Effect, KeyScope, Kind, RoleName, Tenant};
 pub use cluster::{Cluster, Peer};
 pub use endpoints::{
     ChargeJournal, Engines, EnginesTls, Identity, Inventory, Listen, ListenTls, QuotaServer,
     RecordFile, Stop,
 };
 pub use limits::{
-    Attempts, Meaning, ReportField, ReportMode, Reports, RequestLimits, Rules, SlowStart,
+    Attempts, LoadMetric, ReportField, ReportMode, Reports, RequestLimits, Rules, SlowStart,
 };
 
 /// What is wrong with a settings file, and where.
--- a/crates/core/src/settings/check.rs
+++ b/crates/core/src/settings/check.rs
@@ -37,9 +37,14 @@
         c.within("dispatchers", f64::from(self.dispatchers), 1.0, 65_535.0);
         self.check_listen(&mut c);
         self.check_engines(&mut c);
-        c.within("inventory.reread_s", self.inventory.reread_s, 0.01, 3600.0);
+        c.within(
+            "inventory.reread_s",
+            self.inventory.poll_interval_s,
+            0.01,
+            3600.0,
+        );
         self.check_identity(&mut c);
-        c.within("stop.within_s", self.stop.within_s, 0.1, 3600.0);
+        c.within("stop.within_s", self.stop.timeout_s, 0.1, 3600.0);
         self.check_requests(&mut c);
         if let Some(cluster) = &self.cluster {
             cluster.check(&self.name, &mut c);
@@ -51,26 +56,33 @@
 
     fn check_listen(&self, c: &mut Check) {
         let l = &self.listen;
-        c.within("listen.sessions", l.sessions as f64, 1.0, 100_000.0);
+        c.within("listen.sessions", l.max_sessions as f64, 1.0, 100_000.0);
         c.within(
             "listen.session_requests",
-            l.session_requests as f64,
+            l.max_session_requests as f64,
             1.0,
             10_000.0,
         );
         c.within(
             "listen.message_bytes",
-            l.message_bytes as f64,
+            l.max_message_bytes as f64,
             1024.0,
             64.0 * 1048576.0,
         );
-        c.within("listen.handshake_s", l.handshake_s, 0.01, 600.0);
-        c.within("listen.idle_s", l.idle_s, 0.1, 1e6);
-        c.within("listen.ping_s", l.ping_s, 0.05, 3600.0);
-        c.within("listen.queue_messages", l.queue_messages as f64, 8.0, 1e6);
-        c.within("listen.handshakes", l.handshakes as f64, 1.0, 100_000.0);
+        c.within("listen.handshake_s", l.handshake_timeout_s, 0.01, 600.0);
+        c.within("listen.idle_s", l.idle_timeout_s, 0.1, 1e6);
+        c.within("listen.ping_s", l.ping_interval_s, 0.05, 3600.0);
+        c.within(
+            "listen.queue_messages",
+            l.max_queued_messages as f64,
+            8.0,
+            1e6,
+        );
+        c.within("listen.handshakes", l.max_handshakes as f64, 1.0, 100_000.0);
         if let Some(tls) = &l.tls {
-            if tls.clients.is_none() && (tls.clients_required || !tls.revoked.is_empty()) {
+            if tls.client_authorities.is_none()
+                && (tls.client_certificate_required || !tls.revocation_lists.is_empty())
+            {
                 c.fail(
                     "listen.tls",
                     "clients_required and revoked need clients".into(),
@@ -87,16 +99,21 @@
         {
             c.fail("engines.tls", "certificate and key come together".into());
         }
-        c.within("engines.connect_s", e.connect_s, 0.01, 60.0);
-        c.within("engines.greet_s", e.greet_s, 0.01, 60.0);
+        c.within("engines.connect_s", e.connect_timeout_s, 0.01, 60.0);
+        c.within("engines.greet_s", e.hello_timeout_s, 0.01, 60.0);
         c.within(
             "engines.message_bytes",
-            e.message_bytes as f64,
+            e.max_message_bytes as f64,
             1024.0,
             64.0 * 1048576.0,
         );
-        c.within("engines.queue_messages", e.queue_messages as f64, 8.0, 1e6);
-        c.within("engines.ping_s", e.ping_s, 0.05, 3600.0);
+        c.within(
+            "engines.queue_messages",
+            e.max_queued_messages as f64,
+            8.0,
+            1e6,
+        );
+        c.within("engines.ping_s", e.ping_interval_s, 0.05, 3600.0);
     }
 
     fn check_identity(&self, c: &mut Check) {
@@ -110,15 +127,23 @@
                     "tokens need an issuer and an audience".into(),
                 );
             }
-            let by_certificate = l.tls.as_ref().is_some_and(|t| t.clients.is_some());
+            let by_certificate = l
+                .tls
+                .as_ref()
+                .is_some_and(|t| t.client_authorities.is_some());
             if identity.keys.is_none() && !by_certificate {
                 c.fail(
                     "identity",
                     "neither keys of tokens nor listen.tls.clients: nobody could call".into(),
                 );
             }
-            c.within("identity.skew_s", identity.skew_s as f64, 0.0, 600.0);
-            c.within("identity.refresh_s", identity.refresh_s, 0.05, 86_400.0);
+            c.within("identity.skew_s", identity.clock_skew_s as f64, 0.0, 600.0);
+            c.within(
+                "identity.refresh_s",
+                identity.refresh_interval_s,
+                0.05,
+                86_400.0,
+            );
             c.within("identity.keep_s", identity.cache_lifetime_s, 1.0, 1e7);
         }
     }
@@ -126,18 +151,33 @@
     fn check_requests(&self, c: &mut Check) {
         let r = &self.requests;
         c.within("requests.in_hand", r.max_requests as f64, 1.0, 1e7);
-        c.within("requests.prompt_bytes", r.prompt_bytes as f64, 1024.0, 1e9);
+        c.within(
+            "requests.prompt_bytes",
+            r.max_prompt_bytes as f64,
+            1024.0,
+            1e9,
+        );
         c.within(
             "requests.prompt_bytes_in_hand",
-            r.total_prompt_bytes as f64,
+            r.max_total_prompt_bytes as f64,
             1024.0,
             1e12,
         );
-        c.within("requests.context_bytes", r.context_bytes as f64, 0.0, 1e12);
-        c.within("requests.context_s", r.context_s, 0.0, 1e7);
-        c.within("requests.keys", r.keys as f64, 1.0, 1e8);
-        c.within("requests.key_bytes", r.key_bytes as f64, 0.0, 1e12);
-        c.within("requests.key_s", r.key_s, 1.0, 1e7);
+        c.within(
+            "requests.context_bytes",
+            r.max_context_bytes as f64,
+            0.0,
+            1e12,
+        );
+        c.within("requests.context_s", r.context_lifetime_s, 0.0, 1e7);
+        c.within("requests.keys", r.max_idempotency_keys as f64, 1.0, 1e8);
+        c.within(
+            "requests.key_bytes",
+            r.max_idempotency_bytes as f64,
+            0.0,
+            1e12,
+        );
+        c.within("requests.key_s", r.idempotency_key_lifetime_s, 1.0, 1e7);
         c.within("requests.answer_margin_s", r.answer_margin_s, 0.0, 10.0);
         c.within(
             "requests.max_output_tokens",
--- a/crates/core/src/settings/classes.rs
+++ b/crates/core/src/settings/classes.rs
@@ -19,7 +19,7 @@
 /// Servers among which repeats of an idempotency key are dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Scope {
+pub enum KeyScope {
     /// All servers.
     #[default]
     All,
@@ -39,7 +39,7 @@
     pub effect: Effect,
     /// For keyed classes: servers among which repeats of one key are dropped.
     #[serde(default)]
-    pub key_scope: Scope,
+    pub key_scope: KeyScope,
     /// For keyed classes: for how long repeats are dropped.
     #[serde(default)]
     pub key_window_s: f64,
--- a/crates/core/src/settings/cluster.rs
+++ b/crates/core/src/settings/cluster.rs
@@ -32,7 +32,8 @@
     /// Overload shed together; off without this table, as are the two that follow.
     pub overload: Option<bitternlatch_overload::Settings>,
     /// Lengths of answers learnt together.
-    pub lengths: Option<bitternlatch_output_length::Settings>,
+    #[serde(rename = "lengths")]
+    pub output_lengths: Option<bitternlatch_output_length::Settings>,
     /// Workflows that another worker resumes.
     pub workflows: Option<bitternlatch_workflow::Settings>,
 }
--- a/crates/core/src/settings/endpoints.rs
+++ b/crates/core/src/settings/endpoints.rs
@@ -12,28 +12,36 @@
     pub address: String,
     /// Most sessions open at once.
     #[serde(default = "defaults::sessions")]
-    pub sessions: usize,
+    #[serde(rename = "sessions")]
+    pub max_sessions: usize,
     /// Most requests in flight in one session.
     #[serde(default = "defaults::session_requests")]
-    pub session_requests: usize,
+    #[serde(rename = "session_requests")]
+    pub max_session_requests: usize,
     /// Longest message of a client.
     #[serde(default = "defaults::message_bytes")]
-    pub message_bytes: usize,
+    #[serde(rename = "message_bytes")]
+    pub max_message_bytes: usize,
     /// Time limit of a handshake.
     #[serde(default = "defaults::handshake_s")]
-    pub handshake_s: f64,
+    #[serde(rename = "handshake_s")]
+    pub handshake_timeout_s: f64,
     /// A session without any message for so long is closed.
     #[serde(default = "defaults::idle_s")]
-    pub idle_s: f64,
+    #[serde(rename = "idle_s")]
+    pub idle_timeout_s: f64,
     /// Interval between pings.
     #[serde(default = "defaults::ping_s")]
-    pub ping_s: f64,
+    #[serde(rename = "ping_s")]
+    pub ping_interval_s: f64,
     /// Messages that may wait to be written to one client; past it the session is closed.
     #[serde(default = "defaults::client_queue")]
-    pub queue_messages: usize,
+    #[serde(rename = "queue_messages")]
+    pub max_queued_messages: usize,
     /// Most connections in their handshake; past it the oldest of the most crowded address is closed.
     #[serde(default = "defaults::handshakes")]
-    pub handshakes: usize,
+    #[serde(rename = "handshakes")]
+    pub max_handshakes: usize,
     /// Without it clients connect in plain text.
     pub tls: Option<ListenTls>,
 }
@@ -47,13 +55,16 @@
     /// The private key of the certificate.
     pub key: String,
     /// Authorities of clients' certificates.
-    pub clients: Option<String>,
+    #[serde(rename = "clients")]
+    pub client_authorities: Option<String>,
     /// Whether a client without a certificate is rejected in the handshake.
     #[serde(default)]
-    pub clients_required: bool,
+    #[serde(rename = "clients_required")]
+    pub client_certificate_required: bool,
     /// Lists of revoked client certificates (CRL).
     #[serde(default)]
-    pub revoked: Vec<String>,
+    #[serde(rename = "revoked")]
+    pub revocation_lists: Vec<String>,
 }
 
 /// TLS for connections to model servers, each of which has to prove its listed name.
@@ -73,15 +84,20 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Engines {
     /// Time limit to connect and upgrade.
-    pub connect_s: f64,
+    #[serde(rename = "connect_s")]
+    pub connect_timeout_s: f64,
     /// Time limit from the upgrade to the greeting.
-    pub greet_s: f64,
+    #[serde(rename = "greet_s")]
+    pub hello_timeout_s: f64,
     /// Longest message of a model server.
-    pub message_bytes: usize,
+    #[serde(rename = "message_bytes")]
+    pub max_message_bytes: usize,
     /// Messages that may wait to be written to one server; past it the link is closed.
-    pub queue_messages: usize,
+    #[serde(rename = "queue_messages")]
+    pub max_queued_messages: usize,
     /// Interval between pings.
-    pub ping_s: f64,
+    #[serde(rename = "ping_s")]
+    pub ping_interval_s: f64,
     /// Without it connections are in plain text.
     pub tls: Option<EnginesTls>,
 }
@@ -89,11 +105,11 @@
 impl Default for Engines {
     fn default() -> Self {
         Engines {
-            connect_s: 1.0,
-            greet_s: 1.0,
-            message_bytes: 1 << 20,
-            queue_messages: 4096,
-            ping_s: 2.0,
+            connect_timeout_s: 1.0,
+            hello_timeout_s: 1.0,
+            max_message_bytes: 1 << 20,
+            max_queued_messages: 4096,
+            ping_interval_s: 2.0,
             tls: None,
         }
     }
@@ -107,7 +123,8 @@
     pub file: String,
     /// Seconds between two reads.
     #[serde(default = "defaults::reread_s")]
-    pub reread_s: f64,
+    #[serde(rename = "reread_s")]
+    pub poll_interval_s: f64,
 }
 
 /// Authentication of callers: tokens, the keys that sign them, and access rights. Files are relative to the settings file.
@@ -122,7 +139,8 @@
     pub audience: String,
     /// Clock skew that is tolerated, seconds.
     #[serde(default = "defaults::skew_s")]
-    pub skew_s: u64,
+    #[serde(rename = "skew_s")]
+    pub clock_skew_s: u64,
     /// A JWKS document: a file, or an `http://` address. Without one no token counts, client certificates alone do.
     pub keys: Option<String>,
     /// Where the last good key set is cached for a restart.
@@ -132,7 +150,8 @@
     pub rights: String,
     /// Seconds between two fetches of the key set.
     #[serde(default = "defaults::refresh_s")]
-    pub refresh_s: f64,
+    #[serde(rename = "refresh_s")]
+    pub refresh_interval_s: f64,
     /// For how long the last good key set is valid, seconds.
     #[serde(default = "defaults::keep_s")]
     #[serde(rename = "keep_s")]
@@ -168,11 +187,12 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Stop {
     /// Longest time from SIGTERM to the end of the process, seconds.
-    pub within_s: f64,
+    #[serde(rename = "within_s")]
+    pub timeout_s: f64,
 }
 
 impl Default for Stop {
     fn default() -> Self {
-        Stop { within_s: 30.0 }
+        Stop { timeout_s: 30.0 }
     }
 }
--- a/crates/core/src/settings/limits.rs
+++ b/crates/core/src/settings/limits.rs
@@ -12,20 +12,26 @@
     #[serde(rename = "in_hand")]
     pub max_requests: usize,
     /// Longest prompt, the conversation that it continues included.
-    pub prompt_bytes: usize,
+    #[serde(rename = "prompt_bytes")]
+    pub max_prompt_bytes: usize,
     /// Most bytes of the prompts of all requests in flight.
     #[serde(rename = "prompt_bytes_in_hand")]
-    pub total_prompt_bytes: usize,
+    pub max_total_prompt_bytes: usize,
     /// Most bytes of texts cached for `previous_response_id`.
-    pub context_bytes: usize,
+    #[serde(rename = "context_bytes")]
+    pub max_context_bytes: usize,
     /// Seconds that such a text is cached.
-    pub context_s: f64,
+    #[serde(rename = "context_s")]
+    pub context_lifetime_s: f64,
     /// Most idempotency keys known at once.
-    pub keys: usize,
+    #[serde(rename = "keys")]
+    pub max_idempotency_keys: usize,
     /// Most bytes of answers cached for idempotency keys.
-    pub key_bytes: usize,
+    #[serde(rename = "key_bytes")]
+    pub max_idempotency_bytes: usize,
     /// Seconds that a key is known after its answer.
-    pub key_s: f64,
+    #[serde(rename = "key_s")]
+    pub idempotency_key_lifetime_s: f64,
     /// Seconds before the client's deadline at which the final answer is sent at the latest.
     pub answer_margin_s: f64,
     /// Output ceiling where a request names none.
@@ -36,13 +42,13 @@
     fn default() -> Self {
         RequestLimits {
             max_requests: 20_000,
-            prompt_bytes: 1 << 20,
-            total_prompt_bytes: 256 << 20,
-            context_bytes: 64 << 20,
-            context_s: 3600.0,
-            keys: 100_000,
-            key_bytes: 64 << 20,
-            key_s: 600.0,
+            max_prompt_bytes: 1 << 20,
+            max_total_prompt_bytes: 256 << 20,
+            max_context_bytes: 64 << 20,
+            context_lifetime_s: 3600.0,
+            max_idempotency_keys: 100_000,
+            max_idempotency_bytes: 64 << 20,
+            idempotency_key_lifetime_s: 600.0,
             answer_margin_s: 0.05,
             max_output_tokens: 1024,
         }
@@ -114,17 +120,20 @@
 /// What a value of a load report means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Meaning {
+pub enum LoadMetric {
     /// Requests running.
     Concurrent,
     /// Requests waiting.
     Queue,
     /// Fraction of the batch slots in use.
-    SlotShare,
+    #[serde(rename = "slot_share")]
+    SlotUtilization,
     /// Fraction of the KV cache memory in use.
-    MemoryShare,
+    #[serde(rename = "memory_share")]
+    MemoryUtilization,
     /// Prompt tokens waiting, thousands.
-    WaitingKiloTokens,
+    #[serde(rename = "waiting_kilo_tokens")]
+    QueuedKiloTokens,
     /// Nothing that routing uses.
     Other,
 }
@@ -147,5 +156,5 @@
     pub name: String,
     /// What it measures.
     #[serde(rename = "means")]
-    pub meaning: Meaning,
+    pub metric: LoadMetric,
 }
--- a/crates/core/src/settings/policy.rs
+++ b/crates/core/src/settings/policy.rs
@@ -2,7 +2,7 @@
 
 use bitternlatch_policy::interface as policy;
 
-use super::{Class, Effect, Kind, Meaning, ReportMode, Scope, Settings};
+use super::{Class, Effect, KeyScope, Kind, LoadMetric, ReportMode, Settings};
 
 impl Settings {
     /// What the decision module is told at its start.
@@ -23,7 +23,7 @@
                 .reports
                 .fields
                 .iter()
-                .map(|f| f.meaning.policy())
+                .map(|f| f.metric.policy())
                 .collect(),
             report_mode: match self.reports.mode {
                 ReportMode::WithAnswers => policy::ReportMode::WithResponses,
@@ -57,9 +57,9 @@
 impl Class {
     fn policy(&self) -> policy::ClassSettings {
         let scope = match self.key_scope {
-            Scope::All => policy::KeyScope::All,
-            Scope::Zone => policy::KeyScope::Zone,
-            Scope::Cell => policy::KeyScope::Cell,
+            KeyScope::All => policy::KeyScope::All,
+            KeyScope::Zone => policy::KeyScope::Zone,
+            KeyScope::Cell => policy::KeyScope::Cell,
         };
         policy::ClassSettings {
             effect: match self.effect {
@@ -89,15 +89,15 @@
     }
 }
 
-impl Meaning {
+impl LoadMetric {
     fn policy(self) -> policy::ReportField {
         match self {
-            Meaning::Concurrent => policy::ReportField::Concurrent,
-            Meaning::Queue => policy::ReportField::Queue,
-            Meaning::SlotShare => policy::ReportField::SlotUtilization,
-            Meaning::MemoryShare => policy::ReportField::MemoryUtilization,
-            Meaning::WaitingKiloTokens => policy::ReportField::QueuedKiloTokens,
-            Meaning::Other => policy::ReportField::Other,
+            LoadMetric::Concurrent => policy::ReportField::Concurrent,
+            LoadMetric::Queue => policy::ReportField::Queue,
+            LoadMetric::SlotUtilization => policy::ReportField::SlotUtilization,
+            LoadMetric::MemoryUtilization => policy::ReportField::MemoryUtilization,
+            LoadMetric::QueuedKiloTokens => policy::ReportField::QueuedKiloTokens,
+            LoadMetric::Other => policy::ReportField::Other,
         }
     }
 }
--- a/crates/core/src/validated_request.rs
+++ b/crates/core/src/validated_request.rs
@@ -264,7 +264,7 @@
             },
         };
         let bytes = preceding.len() + 1 + create.input.len();
-        let max_bytes = self.settings.requests.prompt_bytes;
+        let max_bytes = self.settings.requests.max_prompt_bytes;
         if bytes > max_bytes {
             return Err(BadRequest::field(
                 "input",
--- a/crates/core/src/workflow_steps.rs
+++ b/crates/core/src/workflow_steps.rs
@@ -15,8 +15,8 @@
 use crate::types::{Micros, Output, SessionId};
 use crate::validated_request::{PermittedStep, ValidatedRequest};
 use crate::workflows::{
-    self, refused, Intent, PendingQuery, WorkflowAction, WorkflowQuery, FAILURE_DURABLE_WITHIN_S,
-    RESULT_DURABLE_WITHIN_S, STEP_END_RETRY_S,
+    self, to_bad_request, Intent, PendingQuery, WorkflowAction, WorkflowQuery,
+    FAILURE_DURABLE_WITHIN_S, RESULT_DURABLE_WITHIN_S, STEP_END_RETRY_S,
 };
 
 impl Machine {
@@ -31,7 +31,7 @@
         let Some(request) = self.requests.get(&id).filter(|r| r.is_workflow_step) else {
             return Some(answer);
         };
-        let fate = match answer.status {
+        let outcome = match answer.status {
             Status::Completed | Status::Incomplete => AttemptOutcome::Done {
                 result: request.text.clone(),
                 tokens: request.usage.output_tokens,
@@ -39,15 +39,18 @@
             _ => request.unfinished_outcome(),
         };
         // A failure is told soon, held or not: it says enough as it is.
-        let until = match &fate {
+        let until = match &outcome {
             AttemptOutcome::Done { .. } => request.deadline.max(now.after(RESULT_DURABLE_WITHIN_S)),
             _ => now.after(FAILURE_DURABLE_WITHIN_S),
         };
         self.cancel_blocked_send(id);
-        match self.workflows.end(id, fate, Box::new(answer), until) {
-            Ok((call, ask)) => {
+        match self
+            .workflows
+            .end_step(id, outcome, Box::new(answer), until)
+        {
+            Ok((call, command)) => {
                 self.timers.set(until, Timer::WorkflowQuery { call });
-                out.push(Output::Workflow(ask));
+                out.push(Output::Workflow(command));
                 None
             }
             Err(answer) => Some(*answer),
@@ -55,9 +58,9 @@
     }
 
     pub(crate) fn resend_step_end(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        if let Some((call, until, ask)) = self.workflows.resend_step_end(id) {
+        if let Some((call, until, command)) = self.workflows.resend_step_end(id) {
             self.timers.set(until, Timer::WorkflowQuery { call });
-            out.push(Output::Workflow(ask));
+            out.push(Output::Workflow(command));
         }
     }
 
@@ -67,32 +70,32 @@
             return;
         };
         let until = request.deadline.max(now.after(RESULT_DURABLE_WITHIN_S));
-        let fate = request.unfinished_outcome();
+        let outcome = request.unfinished_outcome();
         self.cancel_blocked_send(id);
-        let told = self.workflows.abandon(id, fate, until);
-        out.extend(told.map(Output::Workflow));
+        let command = self.workflows.abandon_step(id, outcome, until);
+        out.extend(command.map(Output::Workflow));
     }
 
     /// What the workflow coordinator has answered, or has not in time.
     pub(crate) fn on_workflow(
         &mut self,
         now: Micros,
-        act: Option<WorkflowAction>,
+        action: Option<WorkflowAction>,
         out: &mut Vec<Output>,
     ) {
-        match act {
+        match action {
             None => {}
             Some(WorkflowAction::Answer {
                 mut query,
                 text,
-                known,
+                is_step_result,
             }) => {
-                self.load_shedding.request_ended(&mut query.admitted);
-                self.answer_without_server(now, &query, &text, known, out);
+                self.load_shedding.request_ended(&mut query.admitted_work);
+                self.answer_without_server(now, &query, &text, is_step_result, out);
             }
-            Some(WorkflowAction::Reject { mut query, why }) => {
-                self.load_shedding.request_ended(&mut query.admitted);
-                let text = Rejection::by_workflow(why).to_text(&query.create);
+            Some(WorkflowAction::Reject { mut query, reason }) => {
+                self.load_shedding.request_ended(&mut query.admitted_work);
+                let text = Rejection::by_workflow(reason).to_text(&query.create);
                 out.push(Output::SendToClient {
                     session: query.session,
                     text,
@@ -103,22 +106,24 @@
                 intent,
                 until,
             }) => self.admit_step(now, query, intent, until, out),
-            Some(WorkflowAction::Send { request, send, may }) => {
-                self.resume_send(now, request, send, may, out)
-            }
+            Some(WorkflowAction::ResumeSend {
+                request,
+                send,
+                permitted,
+            }) => self.resume_send(now, request, send, permitted, out),
             Some(WorkflowAction::RetryStepEnd(id)) => self
                 .timers
                 .set(now.after(STEP_END_RETRY_S), Timer::StepEnd { request: id }),
             Some(WorkflowAction::Deliver {
                 request,
                 answer,
-                held,
-            }) => self.deliver_step(now, request, *answer, held, out),
-            Some(WorkflowAction::SendCommand(ask)) => out.push(Output::Workflow(ask)),
+                durable,
+            }) => self.deliver_step(now, request, *answer, durable, out),
+            Some(WorkflowAction::SendCommand(command)) => out.push(Output::Workflow(command)),
         }
     }
 
-    /// A step's intent is held: it is taken as any other request, in the time that is left.
+    /// A step's intent is durable: it is taken as any other request, in the time that is left.
     pub(crate) fn admit_step(
         &mut self,
         now: Micros,
@@ -127,10 +132,11 @@
         until: Micros,
         out: &mut Vec<Output>,
     ) {
-        let taken = match self.validate(now, query.session, &query.create) {
-            Ok(w) => {
-                let time_left_s = w.time_left_s - now.since(query.at);
-                let (tenant, class, owner) = (w.tenant, w.class, w.owner.clone());
+        let admitted = match self.validate(now, query.session, &query.create) {
+            Ok(validated) => {
+                let time_left_s = validated.time_left_s - now.since(query.received_at);
+                let (tenant, class, owner) =
+                    (validated.tenant, validated.class, validated.owner.clone());
                 let key = Some(Key {
                     tenant,
                     class,
@@ -141,30 +147,30 @@
                     intent: intent.clone(),
                     permitted_until: until,
                 };
-                let (step, admitted) = (Some(step), Some(query.admitted));
-                let validated = ValidatedRequest {
+                let (step, admitted_work) = (Some(step), Some(query.admitted_work));
+                let validated_step = ValidatedRequest {
                     time_left_s,
                     key,
                     workflow_step: step,
-                    admitted_work: admitted,
-                    ..w
+                    admitted_work,
+                    ..validated
                 };
-                self.admit(now, query.session, &query.create, validated, out)
+                self.admit(now, query.session, &query.create, validated_step, out)
             }
             Err(bad) => {
-                self.load_shedding.request_ended(&mut query.admitted);
+                self.load_shedding.request_ended(&mut query.admitted_work);
                 Err(Rejection::from(bad))
             }
         };
-        if let Err(denied) = taken {
+        if let Err(rejection) = admitted {
             out.push(Output::SendToClient {
                 session: query.session,
-                text: denied.to_text(&query.create),
+                text: rejection.to_text(&query.create),
             });
-            let ask = self
+            let command = self
                 .workflows
-                .never_ran(intent, now.after(RESULT_DURABLE_WITHIN_S));
-            out.push(Output::Workflow(ask));
+                .report_never_ran(intent, now.after(RESULT_DURABLE_WITHIN_S));
+            out.push(Output::Workflow(command));
         }
     }
 
@@ -174,16 +180,19 @@
         now: Micros,
         query: &PendingQuery,
         text: &str,
-        known: bool,
+        is_step_result: bool,
         out: &mut Vec<Output>,
     ) {
         let id = self.next_request_id();
-        let most = self.settings.requests.max_output_tokens;
+        let default_max_output_tokens = self.settings.requests.max_output_tokens;
         let answer = self.new_response(
             now,
             id,
             &query.create,
-            query.create.max_output_tokens.unwrap_or(most),
+            query
+                .create
+                .max_output_tokens
+                .unwrap_or(default_max_output_tokens),
         );
         let answer = Response {
             status: Status::Completed,
@@ -192,20 +201,20 @@
         .with_text(text);
         self.send_recorded_answer(query.session, &answer, &query.create, out);
         // The next turn may go on from it, as from the answer that it repeats.
-        if let Some(w) = self
+        if let Some(validated) = self
             .validate(now, query.session, &query.create)
             .ok()
-            .filter(|_| known)
+            .filter(|_| is_step_result)
         {
-            let conversation = if w.conversation == 0 {
+            let conversation = if validated.conversation == 0 {
                 xxh3_64(answer.id.as_bytes())
             } else {
-                w.conversation
+                validated.conversation
             };
-            let text = format!("{}\nassistant: {text}", w.prompt);
+            let text = format!("{}\nassistant: {text}", validated.prompt);
             let context = Context {
-                tenant: w.tenant,
-                owner: w.owner,
+                tenant: validated.tenant,
+                owner: validated.owner,
                 conversation,
                 text,
                 created_at: now,
@@ -220,18 +229,18 @@
         now: Micros,
         id: RequestId,
         answer: Response,
-        held: Result<(), Option<RejectReason>>,
+        durable: Result<(), Option<RejectReason>>,
         out: &mut Vec<Output>,
     ) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let answer = match held {
-            Err(why) if answer.status != Status::Failed => match why.map(refused) {
-                Some(bad) => request.failed_response(bad.code, &bad.message, false, None),
+        let answer = match durable {
+            Err(reason) if answer.status != Status::Failed => match reason.map(to_bad_request) {
+                Some(error) => request.failed_response(error.code, &error.message, false, None),
                 None => {
-                    let why = "its result was not held in time; it may have run";
-                    request.failed_response("server_error", why, false, None)
+                    let message = "its result was not held in time; it may have run";
+                    request.failed_response("server_error", message, false, None)
                 }
             },
             _ => answer,
@@ -241,12 +250,12 @@
 
     /// What a request is about, where workflows are on.
     pub(crate) fn workflow_operation(&self, create: &Create) -> Result<Option<About>, BadRequest> {
-        let on = self
+        let enabled = self
             .settings
             .cluster
             .as_ref()
             .is_some_and(|c| c.workflows.is_some());
-        if on {
+        if enabled {
             workflow::read(&create.metadata)
         } else {
             Ok(None)
@@ -271,16 +280,17 @@
             .tenants
             .get(validated.tenant as usize)
             .map_or("", |t| t.name.as_str());
-        let workflow = workflows::name(tenant, &validated.owner, &workflow_operation.workflow);
+        let workflow =
+            workflows::qualified_name(tenant, &validated.owner, &workflow_operation.workflow);
         let class = &self.settings.classes[usize::from(validated.class)];
         let key = validated.key.as_ref().map_or("", |k| k.text.as_str());
-        let question = workflows::question(workflow, workflow_operation.does, create, class, key);
-        let mut admitted = AdmittedWork::default();
-        if let WorkflowQuery::Step(intent) = &question {
+        let query = workflows::to_query(workflow, workflow_operation.does, create, class, key);
+        let mut admitted_work = AdmittedWork::default();
+        if let WorkflowQuery::Step(intent) = &query {
             match self.workflows.in_flight(intent) {
                 Some(Ok(id)) => return Ok(self.attach(session, id, create, out)?),
                 Some(Err(why)) => return Err(Rejection::by_workflow(why)),
-                // Asked again when it is admitted; what is refused for certain costs no majority's word.
+                // Asked again when it is admitted; what is to_bad_request for certain costs no majority's word.
                 None if !self.may_admit(now, validated.class) => {
                     return Err(self.redirect_to_peers(now))
                 }
@@ -289,7 +299,7 @@
                         intent: intent.clone(),
                         permitted_until: now,
                     });
-                    admitted = self
+                    admitted_work = self
                         .evaluate_admission(now, create, &validated)
                         .map_err(Rejection::by_shedding)?;
                 }
@@ -297,15 +307,15 @@
         }
         let until =
             now.after((validated.time_left_s - self.settings.requests.answer_margin_s).max(0.0));
-        let asked = self
+        let submitted = self
             .workflows
-            .ask(now, (session, create), question, admitted, until);
-        let (call, ask) = asked.map_err(|why| {
-            self.load_shedding.request_ended(&mut admitted);
+            .submit(now, (session, create), query, admitted_work, until);
+        let (call, command) = submitted.map_err(|why| {
+            self.load_shedding.request_ended(&mut admitted_work);
             Rejection::by_workflow(why)
         })?;
         self.timers.set(until, Timer::WorkflowQuery { call });
-        out.push(Output::Workflow(ask));
+        out.push(Output::Workflow(command));
         Ok(())
     }
 }
--- a/crates/core/src/workflows.rs
+++ b/crates/core/src/workflows.rs
@@ -1,6 +1,6 @@
 //! Requests that are steps of workflows: held until their intent is, answered when their result is.
 //!
-//! Knows nothing of the machine: it is asked by it, and tells it what to do. Each question has an end in time, set by the machine
+//! Knows nothing of the machine: it is asked by it, and must_report it what to do. Each query has an end in time, set by the machine
 //! as a timer, and there is a bound on their number.
 
 mod events;
@@ -16,8 +16,8 @@
 use crate::load_shedding::AdmittedWork;
 use crate::types::{Micros, SessionId};
 
-pub(crate) use messages::{name, question, refused};
-use types::{ended, intend};
+pub(crate) use messages::{qualified_name, to_bad_request, to_query};
+use types::{intend_step, report_outcome};
 pub(crate) use types::{BlockedSend, Intent, PendingQuery, WorkflowAction, WorkflowQuery};
 
 /// Questions of sessions that may wait for an answer; one more is told to come back.
@@ -33,7 +33,7 @@
 
 #[derive(Debug)]
 enum Stage {
-    /// May leave until then. What was to leave later waits, with the question that would permit it again.
+    /// May leave until then. What was to leave later waits, with the query that would permit it again.
     InFlight {
         until: Micros,
         blocked: Option<BlockedSend>,
@@ -41,9 +41,9 @@
         withdrawn: bool,
     },
     /// Its answer is there and waits, until then, for its result to be held.
-    Ending {
+    AwaitingDurability {
         answer: Box<Response>,
-        fate: AttemptOutcome,
+        outcome: AttemptOutcome,
         until: Micros,
     },
 }
@@ -56,7 +56,7 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Workflows {
-    calls: u64,
+    last_call: u64,
     queries: BTreeMap<Call, PendingQuery>,
     steps: BTreeMap<RequestId, Step>,
     /// Questions about steps that go on.
@@ -64,37 +64,37 @@
 }
 
 impl Workflows {
-    fn call(&mut self) -> Call {
-        self.calls += 1;
-        Call(self.calls)
+    fn next_call(&mut self) -> Call {
+        self.last_call += 1;
+        Call(self.last_call)
     }
 
-    /// Takes a session's question; gives its number and what to tell.
+    /// Takes a session's query; gives its number and what to tell.
     ///
     /// # Errors
     /// [`RejectReason::Busy`] at the bound.
-    pub(crate) fn ask(
+    pub(crate) fn submit(
         &mut self,
         now: Micros,
         (session, create): (SessionId, &Create),
-        question: WorkflowQuery,
-        admitted: AdmittedWork,
+        query: WorkflowQuery,
+        admitted_work: AdmittedWork,
         until: Micros,
     ) -> Result<(Call, Command), RejectReason> {
         if self.queries.len() >= MAX_PENDING_QUERIES {
             return Err(RejectReason::Busy);
         }
-        let call = self.call();
-        let command = question.clone().command(call, until);
+        let call = self.next_call();
+        let command = query.clone().command(call, until);
         let create = Box::new(create.clone());
         self.queries.insert(
             call,
             PendingQuery {
                 session,
                 create,
-                at: now,
-                admitted,
-                question,
+                received_at: now,
+                admitted_work,
+                query,
                 abandoned: false,
             },
         );
@@ -107,13 +107,13 @@
             (&i.workflow, i.epoch, i.step) == (&wanted.workflow, wanted.epoch, wanted.step)
         };
         if let Some((id, step)) = self.steps.iter().find(|(_, s)| same(&s.intent)) {
-            return Some(if step.intent.asks == wanted.asks {
+            return Some(if step.intent.request_digest == wanted.request_digest {
                 Ok(*id)
             } else {
                 Err(RejectReason::OtherRequest)
             });
         }
-        let blocked = |a: &PendingQuery| matches!(&a.question, WorkflowQuery::Step(i) if same(i));
+        let blocked = |a: &PendingQuery| matches!(&a.query, WorkflowQuery::Step(i) if same(i));
         self.queries
             .values()
             .any(|a| !a.abandoned && blocked(a))
@@ -130,7 +130,7 @@
 
     /// Whether anything waits for an answer.
     pub(crate) fn has_pending(&self) -> bool {
-        let ending = |s: &Step| matches!(s.stage, Stage::Ending { .. });
+        let ending = |s: &Step| matches!(s.stage, Stage::AwaitingDurability { .. });
         self.queries.values().any(|a| !a.abandoned) || self.steps.values().any(ending)
     }
 
@@ -139,13 +139,13 @@
         let of_session = self.queries.values_mut().filter(|a| a.session == session);
         let abandoned = of_session.map(|query| {
             query.abandoned = true;
-            std::mem::take(&mut query.admitted)
+            std::mem::take(&mut query.admitted_work)
         });
         abandoned.collect()
     }
 
     /// A step goes on as this request.
-    pub(crate) fn start(&mut self, request: RequestId, intent: Intent, until: Micros) {
+    pub(crate) fn start_step(&mut self, request: RequestId, intent: Intent, until: Micros) {
         self.steps.insert(
             request,
             Step {
@@ -160,23 +160,23 @@
     }
 
     /// A step whose intent is held was not taken as a request after all.
-    pub(crate) fn never_ran(&mut self, intent: Intent, until: Micros) -> Command {
-        ended(self.call(), intent, AttemptOutcome::NeverRan, until)
+    pub(crate) fn report_never_ran(&mut self, intent: Intent, until: Micros) -> Command {
+        report_outcome(self.next_call(), intent, AttemptOutcome::NeverRan, until)
     }
 
     /// Whether a request's effect may leave at this moment: checked at the act, as the process may have stood still since it was
     /// permitted. What is no step, or is safe, always may.
-    pub(crate) fn may_send(&self, now: Micros, request: RequestId) -> bool {
+    pub(crate) fn may_send_step(&self, now: Micros, request: RequestId) -> bool {
         self.steps
             .get(&request)
             .is_none_or(|step| match step.stage {
                 Stage::InFlight { until, .. } => step.intent.effect == Effect::Safe || now < until,
-                Stage::Ending { .. } => false,
+                Stage::AwaitingDurability { .. } => false,
             })
     }
 
     /// Seconds for which a step's effect may still leave; none where that does not end.
-    pub(crate) fn left_s(&self, now: Micros, request: RequestId) -> Option<f64> {
+    pub(crate) fn permission_left_s(&self, now: Micros, request: RequestId) -> Option<f64> {
         match self.steps.get(&request)? {
             Step {
                 intent,
@@ -188,14 +188,14 @@
 
     /// A send whose permission has passed waits for another one; gives what to tell. Where nothing of the step may have run that
     /// is told first: until it is permitted again nothing leaves. `None`: it is not to be sent.
-    pub(crate) fn wait(
+    pub(crate) fn block_send(
         &mut self,
         request: RequestId,
         send: BlockedSend,
         may_have_run: bool,
-        ends: Micros,
+        deadline: Micros,
     ) -> Option<(Call, Vec<Command>)> {
-        let (first, call) = (self.call(), self.call());
+        let (first, call) = (self.next_call(), self.next_call());
         let step = self.steps.get_mut(&request)?;
         let Stage::InFlight {
             until,
@@ -205,48 +205,57 @@
         else {
             return None;
         };
-        let tells = !may_have_run && !*withdrawn;
+        let must_report = !may_have_run && !*withdrawn;
         (*until, *blocked, *withdrawn) = (Micros(0), Some(send), !may_have_run);
-        let never =
-            tells.then(|| ended(first, step.intent.clone(), AttemptOutcome::NeverRan, ends));
-        let again = intend(call, step.intent.clone(), ends);
+        let report = must_report.then(|| {
+            report_outcome(
+                first,
+                step.intent.clone(),
+                AttemptOutcome::NeverRan,
+                deadline,
+            )
+        });
+        let request_permission = intend_step(call, step.intent.clone(), deadline);
         self.step_queries.insert(call, request);
-        Some((call, never.into_iter().chain([again]).collect()))
+        Some((
+            call,
+            report.into_iter().chain([request_permission]).collect(),
+        ))
     }
 
     /// A send that waits is not to be any more.
-    pub(crate) fn unblock(&mut self, request: RequestId) -> Option<BlockedSend> {
+    pub(crate) fn take_blocked_send(&mut self, request: RequestId) -> Option<BlockedSend> {
         match &mut self.steps.get_mut(&request)?.stage {
             Stage::InFlight { blocked, .. } => blocked.take(),
-            Stage::Ending { .. } => None,
+            Stage::AwaitingDurability { .. } => None,
         }
     }
 
     /// A step's request has its answer: it is kept back until what became of the step is held. `Err` gives the answer back where
     /// the request is no step, or is none any more.
-    pub(crate) fn end(
+    pub(crate) fn end_step(
         &mut self,
         request: RequestId,
-        fate: AttemptOutcome,
+        outcome: AttemptOutcome,
         answer: Box<Response>,
         until: Micros,
     ) -> Result<(Call, Command), Box<Response>> {
-        if self.is_withdrawn(request, &fate) {
-            self.forget(request);
+        if self.is_withdrawn(request, &outcome) {
+            self.remove_step(request);
             return Err(answer);
         }
-        let call = self.call();
+        let call = self.next_call();
         match self.steps.get_mut(&request) {
             Some(step) if matches!(step.stage, Stage::InFlight { .. }) => {
-                step.stage = Stage::Ending {
+                step.stage = Stage::AwaitingDurability {
                     answer,
-                    fate: fate.clone(),
+                    outcome: outcome.clone(),
                     until,
                 };
                 let intent = step.intent.clone();
                 self.step_queries.retain(|_, of| *of != request);
                 self.step_queries.insert(call, request);
-                Ok((call, ended(call, intent, fate, until)))
+                Ok((call, report_outcome(call, intent, outcome, until)))
             }
             _ => Err(answer),
         }
@@ -257,20 +266,20 @@
         &mut self,
         request: RequestId,
     ) -> Option<(Call, Micros, Command)> {
-        let call = self.call();
+        let call = self.next_call();
         let step = self.steps.get(&request)?;
-        let Stage::Ending { fate, until, .. } = &step.stage else {
+        let Stage::AwaitingDurability { outcome, until, .. } = &step.stage else {
             return None;
         };
         let (until, ask) = (
             *until,
-            ended(call, step.intent.clone(), fate.clone(), *until),
+            report_outcome(call, step.intent.clone(), outcome.clone(), *until),
         );
         self.step_queries.insert(call, request);
         Some((call, until, ask))
     }
 
-    fn is_withdrawn(&self, request: RequestId, fate: &AttemptOutcome) -> bool {
+    fn is_withdrawn(&self, request: RequestId, outcome: &AttemptOutcome) -> bool {
         let withdrawn = |s: &Step| {
             matches!(
                 s.stage,
@@ -280,33 +289,38 @@
                 }
             )
         };
-        *fate == AttemptOutcome::NeverRan && self.steps.get(&request).is_some_and(withdrawn)
+        *outcome == AttemptOutcome::NeverRan && self.steps.get(&request).is_some_and(withdrawn)
     }
 
-    fn forget(&mut self, request: RequestId) -> Option<Step> {
+    fn remove_step(&mut self, request: RequestId) -> Option<Step> {
         self.step_queries.retain(|_, of| *of != request);
         self.steps.remove(&request)
     }
 
-    pub(crate) fn is_ending(&self, request: RequestId) -> bool {
+    pub(crate) fn is_awaiting_durability(&self, request: RequestId) -> bool {
         self.steps
             .get(&request)
-            .is_some_and(|s| matches!(s.stage, Stage::Ending { .. }))
+            .is_some_and(|s| matches!(s.stage, Stage::AwaitingDurability { .. }))
     }
 
     /// Nobody waits for a step's answer any more; what became of it is told all the same.
-    pub(crate) fn abandon(
+    pub(crate) fn abandon_step(
         &mut self,
         request: RequestId,
-        fate: AttemptOutcome,
+        outcome: AttemptOutcome,
         until: Micros,
     ) -> Option<Command> {
-        if self.is_ending(request) {
+        if self.is_awaiting_durability(request) {
             return None;
         }
-        let known = self.is_withdrawn(request, &fate);
-        let step = self.forget(request).filter(|_| !known)?;
-        Some(ended(self.call(), step.intent, fate, until))
+        let known = self.is_withdrawn(request, &outcome);
+        let step = self.remove_step(request).filter(|_| !known)?;
+        Some(report_outcome(
+            self.next_call(),
+            step.intent,
+            outcome,
+            until,
+        ))
     }
 }
 
--- a/crates/core/src/workflows/events.rs
+++ b/crates/core/src/workflows/events.rs
@@ -4,16 +4,16 @@
 use bitternlatch_protocol::workflow::{Carried, Claimed};
 use bitternlatch_workflow::{Call, Event, RejectReason};
 
-use super::messages::{json, shown};
+use super::messages::{to_claimed_step, to_json};
 use super::types::is_transient;
 use super::{PendingQuery, Stage, WorkflowAction, WorkflowQuery, Workflows};
 use crate::load_shedding::AdmittedWork;
 use crate::types::Micros;
 
 impl Workflows {
-    /// An answer by the workflow coordinator; one to a question that is over says nothing.
-    pub(crate) fn on_event(&mut self, now: Micros, told: Event) -> Option<WorkflowAction> {
-        let call = match &told {
+    /// An answer by the workflow coordinator; one to a query that is over says nothing.
+    pub(crate) fn on_event(&mut self, now: Micros, event: Event) -> Option<WorkflowAction> {
+        let call = match &event {
             Event::Claimed { call, .. }
             | Event::SendPermitted { call, .. }
             | Event::AlreadyDone { call, .. }
@@ -21,25 +21,25 @@
             | Event::Rejected { call, .. } => *call,
         };
         match (self.queries.remove(&call), self.step_queries.remove(&call)) {
-            (Some(query), _) => self.answer(query, told),
-            (None, Some(request)) => self.answer_step(now, request, told),
+            (Some(query), _) => self.answer(query, event),
+            (None, Some(request)) => self.on_step_event(now, request, event),
             (None, None) => None,
         }
     }
 
-    /// A question's time is over. A step's is kept once more for as long as [`Workflows::is_pending`] says: where it turns out to be
+    /// A query's time is over. A step's is kept once more for as long as [`Workflows::is_pending`] says: where it turns out to be
     /// permitted after all, what is open has to be closed.
     pub(crate) fn on_timeout(&mut self, call: Call) -> Option<WorkflowAction> {
         if let Some(mut query) = self.queries.remove(&call) {
             if query.abandoned {
                 return None;
             }
-            if matches!(query.question, WorkflowQuery::Step(_)) {
+            if matches!(query.query, WorkflowQuery::Step(_)) {
                 self.queries.insert(
                     call,
                     PendingQuery {
                         abandoned: true,
-                        admitted: AdmittedWork::default(),
+                        admitted_work: AdmittedWork::default(),
                         ..query.clone()
                     },
                 );
@@ -47,17 +47,17 @@
             query.abandoned = true;
             return Some(WorkflowAction::Reject {
                 query,
-                why: RejectReason::NoMajority,
+                reason: RejectReason::NoMajority,
             });
         }
         let request = self.step_queries.remove(&call)?;
-        match self.unblock(request) {
-            Some(send) => Some(WorkflowAction::Send {
+        match self.take_blocked_send(request) {
+            Some(send) => Some(WorkflowAction::ResumeSend {
                 request,
                 send,
-                may: false,
+                permitted: false,
             }),
-            None => self.give(request, Err(None)),
+            None => self.deliver(request, Err(None)),
         }
     }
 
@@ -68,11 +68,11 @@
     /// The coordinator's answer to a session's query.
     fn answer(&mut self, query: PendingQuery, event: Event) -> Option<WorkflowAction> {
         if let (WorkflowQuery::Step(intent), Event::SendPermitted { until_us, .. }) =
-            (&query.question, &event)
+            (&query.query, &event)
         {
             let (intent, until) = (intent.clone(), Micros(*until_us));
             return Some(match query.abandoned {
-                true => WorkflowAction::SendCommand(self.never_ran(intent, until)),
+                true => WorkflowAction::SendCommand(self.report_never_ran(intent, until)),
                 false => WorkflowAction::Admit {
                     query,
                     intent,
@@ -83,65 +83,75 @@
         if query.abandoned {
             return None;
         }
-        let known = matches!(query.question, WorkflowQuery::Step(_));
-        Some(match answer_text(&query.question, event) {
-            Ok(text) => WorkflowAction::Answer { query, text, known },
-            Err(why) => WorkflowAction::Reject { query, why },
+        let is_step_result = matches!(query.query, WorkflowQuery::Step(_));
+        Some(match answer_text(&query.query, event) {
+            Ok(text) => WorkflowAction::Answer {
+                query,
+                text,
+                is_step_result,
+            },
+            Err(reason) => WorkflowAction::Reject { query, reason },
         })
     }
 
-    fn answer_step(
+    fn on_step_event(
         &mut self,
         now: Micros,
         request: RequestId,
-        told: Event,
+        event: Event,
     ) -> Option<WorkflowAction> {
         let step = self.steps.get_mut(&request)?;
-        match (&mut step.stage, told) {
+        match (&mut step.stage, event) {
             (
                 Stage::InFlight {
                     until,
                     blocked,
                     withdrawn,
                 },
-                told,
+                event,
             ) => {
                 let send = blocked.take()?;
-                let may = match told {
+                let permitted = match event {
                     Event::SendPermitted { until_us, .. } => {
                         (*until, *withdrawn) = (Micros(until_us), false);
                         true
                     }
                     _ => false,
                 };
-                Some(WorkflowAction::Send { request, send, may })
+                Some(WorkflowAction::ResumeSend {
+                    request,
+                    send,
+                    permitted,
+                })
+            }
+            (Stage::AwaitingDurability { .. }, Event::Committed { .. }) => {
+                self.deliver(request, Ok(()))
             }
-            (Stage::Ending { .. }, Event::Committed { .. }) => self.give(request, Ok(())),
-            (Stage::Ending { until, .. }, Event::Rejected { reason: why, .. })
-                if is_transient(why) && now < *until =>
+            (Stage::AwaitingDurability { until, .. }, Event::Rejected { reason, .. })
+                if is_transient(reason) && now < *until =>
             {
                 Some(WorkflowAction::RetryStepEnd(request))
             }
-            (Stage::Ending { .. }, Event::Rejected { reason: why, .. }) => {
-                self.give(request, Err(Some(why)))
+            (Stage::AwaitingDurability { .. }, Event::Rejected { reason, .. }) => {
+                self.deliver(request, Err(Some(reason)))
             }
-            (Stage::Ending { .. }, _) => self.give(request, Err(None)),
+            (Stage::AwaitingDurability { .. }, _) => self.deliver(request, Err(None)),
         }
     }
 
-    fn give(
+    fn deliver(
         &mut self,
         request: RequestId,
-        held: Result<(), Option<RejectReason>>,
+        durable: Result<(), Option<RejectReason>>,
     ) -> Option<WorkflowAction> {
-        if !self.is_ending(request) {
+        if !self.is_awaiting_durability(request) {
             return None;
         }
         match self.steps.remove(&request)?.stage {
-            Stage::Ending { answer, .. } => Some(WorkflowAction::Deliver {
+            Stage::AwaitingDurability { answer, .. } => Some(WorkflowAction::Deliver {
                 request,
                 answer,
-                held,
+                durable,
             }),
             Stage::InFlight { .. } => None,
         }
@@ -149,8 +159,8 @@
 }
 
 /// The text of an answer that needs no model server; the error is why there is none.
-fn answer_text(question: &WorkflowQuery, event: Event) -> Result<String, RejectReason> {
-    match (question, event) {
+fn answer_text(query: &WorkflowQuery, event: Event) -> Result<String, RejectReason> {
+    match (query, event) {
         (WorkflowQuery::Step(_), Event::AlreadyDone { result, .. }) => Ok(result),
         (
             WorkflowQuery::Claim { .. },
@@ -161,20 +171,20 @@
                 lease_us,
                 ..
             },
-        ) => Ok(json(&Claimed {
+        ) => Ok(to_json(&Claimed {
             epoch,
             context,
             lease_ms: lease_us / 1000,
-            steps: steps.into_iter().map(shown).collect(),
+            steps: steps.into_iter().map(to_claimed_step).collect(),
         })),
         (
             WorkflowQuery::RenewLease { epoch, .. } | WorkflowQuery::Finish { epoch, .. },
             Event::Committed { .. },
-        ) => Ok(json(&Carried {
+        ) => Ok(to_json(&Carried {
             epoch: Some(*epoch),
         })),
         (WorkflowQuery::Settle { .. }, Event::Committed { .. }) => {
-            Ok(json(&Carried { epoch: None }))
+            Ok(to_json(&Carried { epoch: None }))
         }
         (_, Event::Rejected { reason, .. }) => Err(reason),
         // An answer to another query: nothing can be said for certain.
--- a/crates/core/src/workflows/messages.rs
+++ b/crates/core/src/workflows/messages.rs
@@ -8,7 +8,7 @@
 use super::{Intent, WorkflowQuery};
 use crate::settings::{self, Class};
 
-pub(super) fn shown(step: bitternlatch_workflow::Step) -> ClaimedStep {
+pub(super) fn to_claimed_step(step: bitternlatch_workflow::Step) -> ClaimedStep {
     let (fate, result) = match step.outcome {
         None => (StepFate::Open, None),
         Some(AttemptOutcome::MayHaveRun) => (StepFate::MayHaveRun, None),
@@ -29,27 +29,27 @@
     }
 }
 
-pub(super) fn json(value: &impl serde::Serialize) -> String {
+pub(super) fn to_json(value: &impl serde::Serialize) -> String {
     // Strings and numbers under string keys always serialize.
     serde_json::to_string(value).unwrap_or_default()
 }
 
 /// A workflow's name among all: of its tenant, its caller and what that one calls it.
-pub(crate) fn name(tenant: &str, owner: &str, own: &str) -> String {
+pub(crate) fn qualified_name(tenant: &str, owner: &str, own_name: &str) -> String {
     // No part may pass for two.
-    let plain = |part: &str| part.replace('%', "%25").replace('/', "%2f");
-    format!("{}/{}/{}", plain(tenant), plain(owner), plain(own))
+    let escape = |part: &str| part.replace('%', "%25").replace('/', "%2f");
+    format!("{}/{}/{}", escape(tenant), escape(owner), escape(own_name))
 }
 
 /// What a request asks of a workflow.
-pub(crate) fn question(
+pub(crate) fn to_query(
     workflow: String,
-    does: Does,
+    operation: Does,
     create: &Create,
     class: &Class,
     key: &str,
 ) -> WorkflowQuery {
-    match does {
+    match operation {
         Does::Claim { worker } => WorkflowQuery::Claim { workflow, worker },
         Does::Carry { epoch } => WorkflowQuery::RenewLease { workflow, epoch },
         Does::Finish { epoch } => WorkflowQuery::Finish {
@@ -63,7 +63,7 @@
             cancelled: true,
         },
         Does::Settle { step, fate } => {
-            let fate = match fate {
+            let outcome = match fate {
                 Decided::Done => AttemptOutcome::Done {
                     result: create.input.clone(),
                     tokens: 0,
@@ -74,7 +74,7 @@
             WorkflowQuery::Settle {
                 workflow,
                 step,
-                fate,
+                outcome,
             }
         }
         Does::Step { epoch, step } => {
@@ -83,7 +83,7 @@
                 settings::Effect::Keyed => Effect::Keyed,
                 settings::Effect::Unsafe => Effect::Unsafe,
             };
-            let asks = digest(create, &class.name, key);
+            let request_digest = digest_request(create, &class.name, key);
             // Without one of the caller's a repeat still has to be known for one.
             let key = if key.is_empty() {
                 format!("{workflow}/{step}")
@@ -96,14 +96,14 @@
                 step,
                 effect,
                 key,
-                asks,
+                request_digest,
             })
         }
     }
 }
 
 /// Hash of what a step asks, the same for each worker that asks it: how the context is given is not in it.
-fn digest(create: &Create, class: &str, key: &str) -> u64 {
+fn digest_request(create: &Create, class: &str, key: &str) -> u64 {
     let mut hash = Xxh3::new();
     for part in [create.model.as_str(), class, &create.input, key] {
         hash.update(&(part.len() as u64).to_le_bytes());
@@ -113,8 +113,8 @@
 }
 
 /// A refusal in the words of the protocol; those of status 503 are worth another try.
-pub(crate) fn refused(why: RejectReason) -> BadRequest {
-    let (status, code) = match why {
+pub(crate) fn to_bad_request(reason: RejectReason) -> BadRequest {
+    let (status, code) = match reason {
         RejectReason::Fenced => (409, "workflow_fenced"),
         RejectReason::LeaseHeld => (409, "workflow_carried"),
         RejectReason::NoMajority => (503, "workflow_no_majority"),
@@ -131,7 +131,7 @@
     BadRequest {
         status,
         code,
-        message: why.to_string(),
+        message: reason.to_string(),
         param: None,
     }
 }
--- a/crates/core/src/workflows/tests.rs
+++ b/crates/core/src/workflows/tests.rs
@@ -15,7 +15,7 @@
         step,
         effect,
         key: "k".into(),
-        asks: 7,
+        request_digest: 7,
     }
 }
 
@@ -37,7 +37,7 @@
 }
 
 fn asks(w: &mut Workflows, question: WorkflowQuery) -> (Call, Command) {
-    w.ask(
+    w.submit(
         Micros(0),
         (S, &Create::default()),
         question,
@@ -89,11 +89,11 @@
         .is_none(),
         "told twice"
     );
-    w.start(9, wanted.clone(), Micros(500));
+    w.start_step(9, wanted.clone(), Micros(500));
     assert_eq!(w.in_flight(&wanted), Some(Ok(9)));
     assert_eq!(
         w.in_flight(&Intent {
-            asks: 8,
+            request_digest: 8,
             ..wanted.clone()
         }),
         Some(Err(RejectReason::OtherRequest))
@@ -103,7 +103,7 @@
         None,
         "a later epoch asks for itself"
     );
-    let Ok((call, ask)) = w.end(9, done(), answer(), Micros(2_000)) else {
+    let Ok((call, ask)) = w.end_step(9, done(), answer(), Micros(2_000)) else {
         panic!("a step")
     };
     assert!(matches!(
@@ -115,16 +115,16 @@
             ..
         }
     ));
-    assert!(w.is_ending(9) && !w.may_send(Micros(0), 9) && w.has_pending());
+    assert!(w.is_awaiting_durability(9) && !w.may_send_step(Micros(0), 9) && w.has_pending());
     assert!(
-        w.end(9, done(), answer(), Micros(2_000)).is_err(),
+        w.end_step(9, done(), answer(), Micros(2_000)).is_err(),
         "it ends once"
     );
     assert!(matches!(
         w.on_event(Micros(0), Event::Committed { call }),
         Some(WorkflowAction::Deliver {
             request: 9,
-            held: Ok(()),
+            durable: Ok(()),
             ..
         })
     ));
@@ -134,18 +134,20 @@
 #[test]
 fn send_permission_expires_and_is_requested_again() {
     let mut w = Workflows::default();
-    w.start(1, intent(1, 1, Effect::Unsafe), Micros(500));
-    w.start(2, intent(1, 2, Effect::Safe), Micros(500));
-    assert!(w.may_send(Micros(499), 1) && !w.may_send(Micros(500), 1));
+    w.start_step(1, intent(1, 1, Effect::Unsafe), Micros(500));
+    w.start_step(2, intent(1, 2, Effect::Safe), Micros(500));
+    assert!(w.may_send_step(Micros(499), 1) && !w.may_send_step(Micros(500), 1));
     assert!(
-        w.may_send(Micros(500), 2) && w.may_send(Micros(500), 77),
+        w.may_send_step(Micros(500), 2) && w.may_send_step(Micros(500), 77),
         "safe, and no step"
     );
     let send = BlockedSend {
         server: 7,
         timeout_s: 1.0,
     };
-    let (call, tell) = w.wait(1, send, false, Micros(5_000)).expect("it waits");
+    let (call, tell) = w
+        .block_send(1, send, false, Micros(5_000))
+        .expect("it waits");
     assert!(matches!(
         tell.as_slice(),
         [
@@ -167,16 +169,21 @@
         },
     );
     assert!(
-        matches!(go, Some(WorkflowAction::Send { request: 1, may: true, send: s }) if s == send),
+        matches!(go, Some(WorkflowAction::ResumeSend { request: 1, permitted: true, send: s }) if s == send),
         "{go:?}"
     );
-    assert!(w.may_send(Micros(899), 1) && !w.may_send(Micros(900), 1));
-    let (call, tell) = w.wait(1, send, true, Micros(5_000)).expect("it waits");
+    assert!(w.may_send_step(Micros(899), 1) && !w.may_send_step(Micros(900), 1));
+    let (call, tell) = w
+        .block_send(1, send, true, Micros(5_000))
+        .expect("it waits");
     assert!(
         matches!(tell.as_slice(), [Command::Intend { .. }]),
         "an earlier one may have run"
     );
-    assert!(!w.may_send(Micros(0), 1), "until it is permitted again");
+    assert!(
+        !w.may_send_step(Micros(0), 1),
+        "until it is permitted again"
+    );
     let no = w.on_event(
         Micros(700),
         Event::Rejected {
@@ -185,15 +192,28 @@
         },
     );
     assert!(
-        matches!(no, Some(WorkflowAction::Send { may: false, .. })) && !w.may_send(Micros(0), 1)
+        matches!(
+            no,
+            Some(WorkflowAction::ResumeSend {
+                permitted: false,
+                ..
+            })
+        ) && !w.may_send_step(Micros(0), 1)
     );
-    let (call, _) = w.wait(1, send, true, Micros(5_000)).expect("it waits");
+    let (call, _) = w
+        .block_send(1, send, true, Micros(5_000))
+        .expect("it waits");
     assert!(matches!(
         w.on_timeout(call),
-        Some(WorkflowAction::Send { may: false, .. })
+        Some(WorkflowAction::ResumeSend {
+            permitted: false,
+            ..
+        })
     ));
-    let (call, _) = w.wait(1, send, true, Micros(5_000)).expect("it waits");
-    assert_eq!(w.unblock(1), Some(send), "its request has ended");
+    let (call, _) = w
+        .block_send(1, send, true, Micros(5_000))
+        .expect("it waits");
+    assert_eq!(w.take_blocked_send(1), Some(send), "its request has ended");
     assert!(w
         .on_event(
             Micros(0),
@@ -203,9 +223,9 @@
             }
         )
         .is_none());
-    w.start(3, intent(1, 3, Effect::Unsafe), Micros(500));
-    assert!(w.wait(3, send, false, Micros(5_000)).is_some());
-    let end = w.end(3, AttemptOutcome::NeverRan, answer(), Micros(9));
+    w.start_step(3, intent(1, 3, Effect::Unsafe), Micros(500));
+    assert!(w.block_send(3, send, false, Micros(5_000)).is_some());
+    let end = w.end_step(3, AttemptOutcome::NeverRan, answer(), Micros(9));
     assert!(
         end.is_err() && w.in_flight(&intent(1, 3, Effect::Unsafe)).is_none(),
         "that is told already"
@@ -239,7 +259,7 @@
     assert!(matches!(
         w.on_timeout(call),
         Some(WorkflowAction::Reject {
-            why: RejectReason::NoMajority,
+            reason: RejectReason::NoMajority,
             ..
         })
     ));
@@ -267,8 +287,8 @@
         w.on_timeout(call).is_some() && w.on_timeout(call).is_none() && !w.is_pending(call),
         "once more, and no longer"
     );
-    w.start(5, intent(1, 3, Effect::Keyed), Micros(500));
-    let told = w.abandon(5, AttemptOutcome::MayHaveRun, Micros(900));
+    w.start_step(5, intent(1, 3, Effect::Keyed), Micros(500));
+    let told = w.abandon_step(5, AttemptOutcome::MayHaveRun, Micros(900));
     assert!(matches!(
         told,
         Some(Command::ReportOutcome {
@@ -277,9 +297,12 @@
             ..
         })
     ));
-    assert_eq!(w.abandon(5, AttemptOutcome::MayHaveRun, Micros(900)), None);
-    w.start(6, intent(1, 4, Effect::Keyed), Micros(500));
-    let Ok((call, _)) = w.end(6, done(), answer(), Micros(2_000)) else {
+    assert_eq!(
+        w.abandon_step(5, AttemptOutcome::MayHaveRun, Micros(900)),
+        None
+    );
+    w.start_step(6, intent(1, 4, Effect::Keyed), Micros(500));
+    let Ok((call, _)) = w.end_step(6, done(), answer(), Micros(2_000)) else {
         panic!("a step")
     };
     let busy = |call| Event::Rejected {
@@ -299,19 +322,19 @@
     assert!(matches!(
         w.on_timeout(call),
         Some(WorkflowAction::Deliver {
-            held: Err(None),
+            durable: Err(None),
             ..
         })
     ));
-    w.start(7, intent(1, 5, Effect::Keyed), Micros(500));
-    let Ok((call, _)) = w.end(7, done(), answer(), Micros(2_000)) else {
+    w.start_step(7, intent(1, 5, Effect::Keyed), Micros(500));
+    let Ok((call, _)) = w.end_step(7, done(), answer(), Micros(2_000)) else {
         panic!("a step")
     };
     let late = w.on_event(Micros(2_000), busy(call));
     assert!(matches!(
         late,
         Some(WorkflowAction::Deliver {
-            held: Err(Some(RejectReason::Busy)),
+            durable: Err(Some(RejectReason::Busy)),
             ..
         })
     ));
@@ -342,7 +365,9 @@
         lease_us: 3_000_000,
     };
     let Some(WorkflowAction::Answer {
-        text, known: false, ..
+        text,
+        is_step_result: false,
+        ..
     }) = w.on_event(Micros(0), told)
     else {
         panic!("an answer")
@@ -379,7 +404,7 @@
         workflow: "t//w".into(),
         epoch: 2,
     };
-    let more = w.ask(
+    let more = w.submit(
         Micros(0),
         (S, &Create::default()),
         carry,
--- a/crates/core/src/workflows/types.rs
+++ b/crates/core/src/workflows/types.rs
@@ -16,7 +16,7 @@
     pub effect: Effect,
     pub key: String,
     /// Digest of what is asked.
-    pub asks: u64,
+    pub request_digest: u64,
 }
 
 /// What a session asks before there is a request, or without one.
@@ -38,7 +38,7 @@
     Settle {
         workflow: String,
         step: u32,
-        fate: AttemptOutcome,
+        outcome: AttemptOutcome,
     },
     Step(Intent),
 }
@@ -48,10 +48,10 @@
 pub(crate) struct PendingQuery {
     pub session: SessionId,
     pub create: Box<Create>,
-    pub at: Micros,
+    pub received_at: Micros,
     /// What the fleet's shedding has taken of it, until it is a request or over.
-    pub admitted: AdmittedWork,
-    pub(super) question: WorkflowQuery,
+    pub admitted_work: AdmittedWork,
+    pub(super) query: WorkflowQuery,
     /// Its session has closed.
     pub(super) abandoned: bool,
 }
@@ -87,15 +87,15 @@
             WorkflowQuery::Settle {
                 workflow,
                 step,
-                fate,
+                outcome,
             } => Command::Settle {
                 call,
                 workflow,
                 step,
-                outcome: fate,
+                outcome,
                 until_us,
             },
-            WorkflowQuery::Step(intent) => intend(call, intent, until),
+            WorkflowQuery::Step(intent) => intend_step(call, intent, until),
         }
     }
 }
@@ -114,12 +114,12 @@
     Answer {
         query: PendingQuery,
         text: String,
-        known: bool,
+        is_step_result: bool,
     },
     /// Refuse a session's request.
     Reject {
         query: PendingQuery,
-        why: RejectReason,
+        reason: RejectReason,
     },
     /// Take a step's request as any other. Its intent is held, and it may leave until then.
     Admit {
@@ -128,10 +128,10 @@
         until: Micros,
     },
     /// A send that waited may go, or may not.
-    Send {
+    ResumeSend {
         request: RequestId,
         send: BlockedSend,
-        may: bool,
+        permitted: bool,
     },
     /// Tell how a step ended once more, after [`STEP_END_RETRY_S`](super::STEP_END_RETRY_S).
     RetryStepEnd(RequestId),
@@ -139,20 +139,20 @@
     Deliver {
         request: RequestId,
         answer: Box<Response>,
-        held: Result<(), Option<RejectReason>>,
+        durable: Result<(), Option<RejectReason>>,
     },
     /// Tell what nobody waits for.
     SendCommand(Command),
 }
 
-pub(super) fn intend(call: Call, intent: Intent, until: Micros) -> Command {
+pub(super) fn intend_step(call: Call, intent: Intent, until: Micros) -> Command {
     let Intent {
         workflow,
         epoch,
         step,
         effect,
         key,
-        asks,
+        request_digest,
     } = intent;
     Command::Intend {
         call,
@@ -161,12 +161,17 @@
         step,
         effect,
         key,
-        request_digest: asks,
+        request_digest,
         until_us: until.0,
     }
 }
 
-pub(super) fn ended(call: Call, intent: Intent, fate: AttemptOutcome, until: Micros) -> Command {
+pub(super) fn report_outcome(
+    call: Call,
+    intent: Intent,
+    outcome: AttemptOutcome,
+    until: Micros,
+) -> Command {
     let Intent {
         workflow,
         epoch,
@@ -178,15 +183,15 @@
         workflow,
         epoch,
         step,
-        outcome: fate,
+        outcome,
         until_us: until.0,
     }
 }
 
 /// Whether a refusal says nothing of the workflow itself.
-pub(super) fn is_transient(why: RejectReason) -> bool {
+pub(super) fn is_transient(reason: RejectReason) -> bool {
     matches!(
-        why,
+        reason,
         RejectReason::NoMajority | RejectReason::Busy | RejectReason::NotStored
     )
 }
--- a/crates/core/tests/any_order.rs
+++ b/crates/core/tests/any_order.rs
@@ -531,7 +531,7 @@
     let mut data = Vec::new();
     let mut writer = Writer::begin(&mut data).expect("memory");
     for entry in entries {
-        writer.put(entry).expect("memory");
+        writer.append(entry).expect("memory");
     }
     writer.flush().expect("memory");
     data
--- a/crates/core/tests/request_path.rs
+++ b/crates/core/tests/request_path.rs
@@ -262,7 +262,7 @@
 #[test]
 fn total_prompt_bytes_are_bounded_and_released() {
     let mut settings = common::settings();
-    settings.requests.total_prompt_bytes = 1024;
+    settings.requests.max_total_prompt_bytes = 1024;
     let mut b = Bench::with(settings, 1);
     b.step(Input::ServerList(common::four()));
     b.open_all(1000.0);
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -538,9 +538,9 @@
     back: &Sender<Event>,
 ) {
     let limits = Limits {
-        message_bytes: engines.message_bytes,
-        queue: engines.queue_messages,
-        ping: Duration::from_secs_f64(engines.ping_s),
+        message_bytes: engines.max_message_bytes,
+        queue: engines.max_queued_messages,
+        ping: Duration::from_secs_f64(engines.ping_interval_s),
         idle: None,
     };
     let tell = |input| back.send(Event::Input(input)).is_ok();
@@ -548,7 +548,7 @@
     let unsent = Box::new(move |attempt| {
         let _ = unsent_to.send(Event::Input(Input::LinkUnsent { link, attempt }));
     });
-    let within = Duration::from_secs_f64(engines.connect_s);
+    let within = Duration::from_secs_f64(engines.connect_timeout_s);
     let mut reader = match dial_as(endpoint, "/v1/engine", manner, within, limits, Some(unsent)) {
         Ok((reader, outbox)) => {
             if back.send(Event::Link(link, outbox)).is_err() {
@@ -593,12 +593,12 @@
     pub fn begin(path: &PathBuf, settings: String, seed: u64) -> io::Result<Recorder> {
         let file = std::fs::File::create(path)?;
         let mut writer = Writer::begin(file)?;
-        writer.put(&record::Entry::Start { settings, seed })?;
+        writer.append(&record::Entry::Start { settings, seed })?;
         writer.flush()?;
         let (queue, entries) = bounded::<record::Entry>(RECORD_ENTRIES);
         let write = move || loop {
             let done = match entries.recv_timeout(RECORD_EVERY) {
-                Ok(entry) => writer.put(&entry),
+                Ok(entry) => writer.append(&entry),
                 Err(RecvTimeoutError::Timeout) => writer.flush(),
                 Err(RecvTimeoutError::Disconnected) => {
                     if let Err(e) = writer.flush() {
--- a/crates/net/src/guard.rs
+++ b/crates/net/src/guard.rs
@@ -128,7 +128,7 @@
     to.send(Event::Input(Input::Rights(rights.clone())))
         .map_err(|e| e.to_string())?;
     let rules = KeeperRules {
-        refresh_s: identity.refresh_s,
+        refresh_s: identity.refresh_interval_s,
         keep_s: identity.cache_lifetime_s,
         ..KeeperRules::default()
     };
@@ -143,7 +143,7 @@
         rules: TokenRules {
             issuer: identity.issuer.clone(),
             audience: identity.audience.clone(),
-            skew_s: identity.skew_s,
+            skew_s: identity.clock_skew_s,
         },
         keeper: Mutex::new(keeper),
         time: Mutex::new(JudgedTime::new(steady, wall())),
--- a/crates/net/src/tls.rs
+++ b/crates/net/src/tls.rs
@@ -139,10 +139,13 @@
     pub fn load(settings: &ListenTls, base: &Path) -> Result<Server, String> {
         let beside = |file: &String| base.join(file);
         let mut files = vec![beside(&settings.certificate), beside(&settings.key)];
-        files.extend(settings.clients.iter().map(beside));
-        files.extend(settings.revoked.iter().map(beside));
+        files.extend(settings.client_authorities.iter().map(beside));
+        files.extend(settings.revocation_lists.iter().map(beside));
         let texts = Texts::read(&files)?;
-        let (authorities, required) = (settings.clients.is_some(), settings.clients_required);
+        let (authorities, required) = (
+            settings.client_authorities.is_some(),
+            settings.client_certificate_required,
+        );
         let made = Server::make(
             &files,
             &texts.0,
--- a/crates/net/tests/clock.rs
+++ b/crates/net/tests/clock.rs
@@ -41,11 +41,11 @@
     let identity = Identity {
         issuer: "i".into(),
         audience: "a".into(),
-        skew_s: 0,
+        clock_skew_s: 0,
         keys: Some("jwks.json".into()),
         cache_file: None,
         rights: "rights.toml".into(),
-        refresh_s: 60.0,
+        refresh_interval_s: 60.0,
         cache_lifetime_s: 3600.0,
     };
     let ahead = Arc::new(AtomicI64::new(0));
--- a/crates/net/tests/wire.rs
+++ b/crates/net/tests/wire.rs
@@ -43,9 +43,9 @@
     let settings = ListenTls {
         certificate: "box.pem".into(),
         key: "box.key".into(),
-        clients: None,
-        clients_required: false,
-        revoked: Vec::new(),
+        client_authorities: None,
+        client_certificate_required: false,
+        revocation_lists: Vec::new(),
     };
     let server = Server::load(&settings, &dir).expect("a server");
     let client = Client::from_files(vec![dir.join("authority.pem")]).expect("a client");
--- a/programs/chaos/src/run.rs
+++ b/programs/chaos/src/run.rs
@@ -504,7 +504,7 @@
         drain_grace_s: settings.rules.drain_grace_s,
         pin_limit_s: settings.rules.kv_hold_limit_s,
         // Read alike twice, so at most three looks.
-        list_s: 3.0 * settings.inventory.reread_s,
+        list_s: 3.0 * settings.inventory.poll_interval_s,
         cold: ColdFacts {
             start_capacity: cold.start_capacity,
             warm_after_s: cold.warm_after_s,
--- a/programs/dispatch/src/beside.rs
+++ b/programs/dispatch/src/beside.rs
@@ -87,7 +87,7 @@
         .settings
         .cluster
         .as_ref()
-        .and_then(|c| c.lengths.as_ref())
+        .and_then(|c| c.output_lengths.as_ref())
     else {
         return Ok(());
     };
--- a/programs/dispatch/src/lib.rs
+++ b/programs/dispatch/src/lib.rs
@@ -229,7 +229,7 @@
     let hosts = good.servers().values().cloned().collect();
     to.send(Event::Input(Input::ServerList(hosts)))
         .map_err(|e| e.to_string())?;
-    let every = Duration::from_secs_f64(settings.inventory.reread_s);
+    let every = Duration::from_secs_f64(settings.inventory.poll_interval_s);
     watch::watch(list, every, good, to.clone())
         .map_err(|e| format!("no thread for the list: {e}"))?;
     tls::watch(secured.server.clone(), secured.client.clone(), to.clone())
@@ -237,7 +237,7 @@
     let door = door(&settings, secured.server);
     let acceptor =
         Acceptor::start(listener, door, front).map_err(|e| format!("cannot accept: {e}"))?;
-    let within = Duration::from_secs_f64(settings.stop.within_s);
+    let within = Duration::from_secs_f64(settings.stop.timeout_s);
     let record = settings
         .record
         .as_ref()
@@ -329,15 +329,15 @@
     let listen = &settings.listen;
     Door {
         // The core closes what is past the sessions' bound with a reason; a few more may be told so.
-        connections: listen.sessions + 64,
-        handshake: Duration::from_secs_f64(listen.handshake_s),
-        handshakes: listen.handshakes,
+        connections: listen.max_sessions + 64,
+        handshake: Duration::from_secs_f64(listen.handshake_timeout_s),
+        handshakes: listen.max_handshakes,
         tls,
         socket: Limits {
-            message_bytes: listen.message_bytes,
-            queue: listen.queue_messages,
-            ping: Duration::from_secs_f64(listen.ping_s),
-            idle: Some(Duration::from_secs_f64(listen.idle_s)),
+            message_bytes: listen.max_message_bytes,
+            queue: listen.max_queued_messages,
+            ping: Duration::from_secs_f64(listen.ping_interval_s),
+            idle: Some(Duration::from_secs_f64(listen.idle_timeout_s)),
         },
     }
 }
--- a/programs/mock-engine/src/world.rs
+++ b/programs/mock-engine/src/world.rs
@@ -203,9 +203,9 @@
         let settings = ListenTls {
             certificate: format!("{name}.pem"),
             key: format!("{name}.key"),
-            clients: Some("authority.pem".to_string()),
-            clients_required: true,
-            revoked: Vec::new(),
+            client_authorities: Some("authority.pem".to_string()),
+            client_certificate_required: true,
+            revocation_lists: Vec::new(),
         };
         let server = tls::Server::load(&settings, dir).map_err(std::io::Error::other)?;
         Ok(Some(Arc::new(server)))
--- a/programs/replay/tests/torn.rs
+++ b/programs/replay/tests/torn.rs
@@ -14,14 +14,14 @@
     );
     let mut writer = Writer::begin(Vec::new()).expect("a record");
     writer
-        .put(&Entry::Start { settings, seed: 1 })
+        .append(&Entry::Start { settings, seed: 1 })
         .expect("room");
     writer.flush().expect("written");
     for i in 0..3u64 {
         let (at, input, mut outputs) = (Micros(i), Input::Tick, Vec::new());
         machine.step(at, input.clone(), &mut outputs);
         writer
-            .put(&Entry::Step { at, input, outputs })
+            .append(&Entry::Step { at, input, outputs })
             .expect("room");
     }
     writer.flush().expect("written");
