--- a/crates/core/src/budgets.rs
+++ b/crates/core/src/budgets.rs
@@ -14,7 +14,7 @@
 use crate::machine::Machine;
 use crate::requests::Request;
 use crate::types::{Micros, Output, SessionId};
-use crate::workflows::refused;
+use crate::workflows::to_bad_request;
 
 /// Delay after which a client may retry a request that was rejected by one of this dispatcher's own limits, seconds.
 pub(crate) const RETRY_AFTER_S: f64 = 1.0;
@@ -55,7 +55,7 @@
     }
 
     pub(crate) fn by_workflow(reason: RejectReason) -> Rejection {
-        let error = refused(reason);
+        let error = to_bad_request(reason);
         let retry_after_s = (error.status == 503).then_some(RETRY_AFTER_S);
         Rejection {
             error,
--- a/crates/core/src/load_shedding.rs
+++ b/crates/core/src/load_shedding.rs
@@ -11,7 +11,7 @@
 
 use bitternlatch_policy::interface::Outcome;
 
-use crate::settings::{Meaning, Settings};
+use crate::settings::{LoadMetric, Settings};
 use crate::types::Micros;
 
 /// Interval at which this dispatcher's load report is prepared, seconds.
@@ -79,7 +79,7 @@
                 .reports
                 .fields
                 .iter()
-                .position(|f| f.meaning == Meaning::Queue),
+                .position(|f| f.metric == LoadMetric::Queue),
             shared_health_checks: BTreeMap::new(),
             trials: BTreeMap::new(),
             failures: BTreeMap::new(),
--- a/crates/core/tests/any_order.rs
+++ b/crates/core/tests/any_order.rs
@@ -564,7 +564,7 @@
     let mut data = Vec::new();
     let mut writer = Writer::begin(&mut data).expect("memory");
     for entry in entries {
-        writer.put(entry).expect("memory");
+        writer.append(entry).expect("memory");
     }
     writer.flush().expect("memory");
     data
