--- a/crates/core/src/budget_leases.rs
+++ b/crates/core/src/budget_leases.rs
@@ -89,8 +89,8 @@
             .set(now.after(CHECK_INTERVAL_S), Timer::BudgetLeases);
     }
 
-    /// Applies the expiry of leases and requests leases for the tenants that are active; leases of inactive tenants are
-    /// returned by asking for a rate of 0.
+    /// Applies expired leases to the tenants' accounts, then requests new leases for active tenants. The lease of an
+    /// inactive tenant is returned by asking for a rate of 0.
     pub(crate) fn request_budget_leases(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.timers
             .set(now.after(CHECK_INTERVAL_S), Timer::BudgetLeases);
--- a/crates/core/src/cluster_mode.rs
+++ b/crates/core/src/cluster_mode.rs
@@ -50,7 +50,7 @@
     }
 
     /// The quorum state in force now; `None` if no cluster is configured. An expired observation counts as
-    /// [`QuorumState::Alone`]; it also expires when this process was paused.
+    /// [`QuorumState::Alone`]; observations also expire while this process is paused.
     pub(crate) fn quorum_state(&self, now: Micros) -> Option<QuorumState> {
         self.settings.cluster.as_ref()?;
         let fresh = self.peers.quorum.filter(|quorum| now < quorum.until);
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -94,14 +94,14 @@
             .filter(|l| l.epoch == link.epoch)
     }
 
-    /// The connection is established. Returns `false` if the link is obsolete and has to be closed.
+    /// Marks a link as connected. Returns `false` if the link is obsolete and has to be closed.
     pub(crate) fn mark_up(&mut self, link: LinkId) -> bool {
         self.current(link)
             .map(|l| l.stage = Stage::AwaitingHello)
             .is_some()
     }
 
-    /// The server's hello message was received: returns the queued messages, in order.
+    /// Marks a link as open after its server's hello message was received. Returns the queued messages, in order.
     pub(crate) fn mark_open(&mut self, link: LinkId) -> Vec<QueuedMessage> {
         let Some(l) = self
             .current(link)
@@ -113,7 +113,7 @@
         l.queue.drain(..).collect()
     }
 
-    /// The link failed or was closed. Returns the messages that were still queued and the delay before it is
+    /// Marks a link as failed or closed. Returns the messages that were still queued and the delay before it is
     /// reconnected, seconds, or infinity if it is not to be reconnected; `None` if the link is obsolete. `jitter` is a
     /// random number from 0 to 1 that spreads the delay.
     pub(crate) fn mark_down(
@@ -135,7 +135,7 @@
         Some((queued, delay_s * (0.5 + 0.5 * jitter)))
     }
 
-    /// Whether this link is current and its server's hello message has not been received.
+    /// Whether a link is its server's current one, is being established and has not received the hello message.
     pub(crate) fn is_opening(&self, link: LinkId) -> bool {
         let opening = |l: &&Link| {
             l.epoch == link.epoch && matches!(l.stage, Stage::Connecting | Stage::AwaitingHello)
--- a/crates/core/src/load_shedding.rs
+++ b/crates/core/src/load_shedding.rs
@@ -118,8 +118,8 @@
         Some(trial.max_in_flight)
     }
 
-    /// An attempt at a server ended. Returns a message for the cluster when the server has failed repeatedly, or has
-    /// answered while its attempts are limited.
+    /// Records that an attempt at a server ended. Returns a message for the cluster when the server has failed
+    /// repeatedly, or has answered while its attempts are limited.
     pub(crate) fn attempt_ended(&mut self, server: u32, outcome: Outcome) -> Option<Ask> {
         self.gate.as_ref()?;
         match outcome {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// A health check with this id is sent to a server for the cluster.
+    /// Records that a health check with this id is sent to a server for the cluster.
     pub(crate) fn health_check_sent(&mut self, now: Micros, id: u64, server: u32) {
         self.shared_health_checks
             .retain(|_, check| now.since(check.sent_at) < HEALTH_CHECK_TIMEOUT_S);
@@ -153,8 +153,8 @@
         self.shared_health_checks.insert(id, check);
     }
 
-    /// A server's load report answered a health check. Returns the message that shares the report with the cluster if
-    /// the health check was sent for it.
+    /// Records the load report with which a server answered a health check. Returns the message that shares the report
+    /// with the cluster if the health check was sent for it.
     pub(crate) fn health_check_answered(&mut self, id: u64, report: &[f64]) -> Option<Ask> {
         let server = self.shared_health_checks.remove(&id)?.server;
         Some(Ask::Probed {
@@ -205,21 +205,21 @@
         gate.may_repeat(clock(now), admitted.work)
     }
 
-    /// The first token of the request's response was received.
+    /// Records that the first token of a request's response was received, so that its work no longer counts as waiting.
     pub(crate) fn first_token(&mut self, now: Micros, admitted: &mut AdmittedWork) {
         if let (Some(gate), Some(taken)) = (&mut self.gate, admitted.awaiting_first_token.take()) {
             gate.begun(clock(now), taken);
         }
     }
 
-    /// The request has ended; its work no longer counts as waiting.
+    /// Records that a request has ended, so that its work no longer counts as waiting.
     pub(crate) fn request_ended(&mut self, admitted: &mut AdmittedWork) {
         if let (Some(gate), Some(taken)) = (&mut self.gate, admitted.awaiting_first_token.take()) {
             gate.gone(taken);
         }
     }
 
-    /// A load report of a server was received.
+    /// Records the queue length from a server's load report.
     pub(crate) fn load_reported(&mut self, now: Micros, server: u32, report: &[f64]) {
         let queue_length = self.queue_index.and_then(|at| report.get(at));
         if let (Some(gate), Some(queue_length)) = (&mut self.gate, queue_length) {
