--- a/crates/core/src/health_checks.rs
+++ b/crates/core/src/health_checks.rs
@@ -1,7 +1,7 @@
 //! Health checks of model servers, sent for this dispatcher alone or for the whole cluster, and the inputs of load
 //! shedding.
 
-use bitternlatch_overload::{Ask, Told};
+use bitternlatch_overload::{Command, Event as OverloadEvent};
 use bitternlatch_policy::interface::{Event, Observation, Outcome, Role, ServerId};
 use bitternlatch_protocol::engine::{encode, ToEngine};
 
@@ -13,12 +13,12 @@
 impl Machine {
     /// Handles an event from the cluster's load shedding: a new admission threshold, a limit for a recovering server,
     /// an order to send a health check for the cluster, or the load report that a server sent in reply to one.
-    pub(crate) fn on_overload(&mut self, now: Micros, event: Told, out: &mut Vec<Output>) {
+    pub(crate) fn on_overload(&mut self, now: Micros, event: OverloadEvent, out: &mut Vec<Output>) {
         match event {
-            Told::Cut(threshold) => self.load_shedding.set_threshold(threshold),
-            Told::Trial {
-                host: server,
-                many: max_in_flight,
+            OverloadEvent::Threshold(threshold) => self.load_shedding.set_threshold(threshold),
+            OverloadEvent::RecoveryLimit {
+                server,
+                max_in_flight,
                 until,
             } => {
                 self.load_shedding.set_trial(server, max_in_flight, until);
@@ -35,7 +35,7 @@
                     });
                 }
             }
-            Told::Probe { host: server } => {
+            OverloadEvent::SendHealthCheck { server } => {
                 let Some(link) = self
                     .links
                     .open_link(server)
@@ -52,11 +52,7 @@
                     deadline: None,
                 });
             }
-            Told::Report {
-                host: server,
-                report,
-                ..
-            } => {
+            OverloadEvent::ServerReport { server, report, .. } => {
                 let pending = self
                     .health_checks
                     .iter()
@@ -113,7 +109,7 @@
             .set(now.after(HEALTH_CHECK_TIMEOUT_S), Timer::HealthCheck { id });
         if self.load_shedding.is_on() {
             // One dispatcher of the cluster sends the health check; its result is shared and ends this one as well.
-            return out.push(Output::Overload(Ask::Probe { host: server }));
+            return out.push(Output::Overload(Command::RequestHealthCheck { server }));
         }
         out.push(Output::SendToServer {
             link,
--- a/crates/core/src/load_shedding.rs
+++ b/crates/core/src/load_shedding.rs
@@ -7,7 +7,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use bitternlatch_overload::{Ask, Asked, Cut, Gate, Millionths, Taken, Verdict};
+use bitternlatch_overload::{
+    AdmissionController, AdmissionDecision, AdmissionRequest, AdmissionThreshold, Command,
+    Millionths, PendingWork,
+};
 
 use bitternlatch_policy::interface::Outcome;
 
@@ -28,7 +31,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AdmittedWork {
     /// Set from admission until the first token of the response is received.
-    pub awaiting_first_token: Option<Taken>,
+    pub awaiting_first_token: Option<PendingWork>,
     /// Expected work of the request, seconds of a model server of weight 1.
     pub work: f64,
     /// Hash by which a retry of the request is recognized.
@@ -53,7 +56,7 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct LoadShedding {
-    gate: Option<Gate>,
+    controller: Option<AdmissionController>,
     /// Index of the queue length in the values of a load report, if reports contain it.
     queue_index: Option<usize>,
     /// Unanswered health checks sent for the cluster, by id.
@@ -74,7 +77,9 @@
         let enabled = cluster.and_then(|c| Some((c.overload.clone()?, c.roster.len())));
         let max_retry_after_s = settings.attempts.max_retry_after_s;
         LoadShedding {
-            gate: enabled.map(|(own, roster)| Gate::new(own, roster, max_retry_after_s, seed)),
+            controller: enabled.map(|(own, roster)| {
+                AdmissionController::new(own, roster, max_retry_after_s, seed)
+            }),
             queue_index: settings
                 .reports
                 .fields
@@ -87,19 +92,19 @@
     }
 
     pub(crate) fn is_on(&self) -> bool {
-        self.gate.is_some()
+        self.controller.is_some()
     }
 
     /// Replaces the admission threshold.
-    pub(crate) fn set_threshold(&mut self, threshold: Cut) {
-        if let Some(gate) = &mut self.gate {
-            gate.told(threshold);
+    pub(crate) fn set_threshold(&mut self, threshold: AdmissionThreshold) {
+        if let Some(controller) = &mut self.controller {
+            controller.set_threshold(threshold);
         }
     }
 
     /// Limits the attempts in flight at a server that failed, until a time of the process's clock.
     pub(crate) fn set_trial(&mut self, server: u32, max_in_flight: u32, until: Duration) {
-        if self.gate.is_some() {
+        if self.controller.is_some() {
             let trial = RecoveryTrial {
                 max_in_flight,
                 until,
@@ -120,22 +125,24 @@
 
     /// An attempt at a server ended. Returns a message for the cluster when the server has failed repeatedly, or has
     /// answered while its attempts are limited.
-    pub(crate) fn attempt_ended(&mut self, server: u32, outcome: Outcome) -> Option<Ask> {
-        self.gate.as_ref()?;
+    pub(crate) fn attempt_ended(&mut self, server: u32, outcome: Outcome) -> Option<Command> {
+        self.controller.as_ref()?;
         match outcome {
             Outcome::Served | Outcome::PrefillDone => {
                 self.failures.remove(&server);
-                self.trials.contains_key(&server).then_some(Ask::Tried {
-                    host: server,
-                    well: true,
-                })
+                self.trials
+                    .contains_key(&server)
+                    .then_some(Command::AttemptEnded {
+                        server,
+                        succeeded: true,
+                    })
             }
             Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => {
                 let failures = self.failures.entry(server).or_default();
                 *failures = failures.saturating_add(1);
-                (*failures >= FAILURE_STREAK).then_some(Ask::Tried {
-                    host: server,
-                    well: false,
+                (*failures >= FAILURE_STREAK).then_some(Command::AttemptEnded {
+                    server,
+                    succeeded: false,
                 })
             }
             Outcome::Rejected { .. } | Outcome::Cancelled | Outcome::NotSent => None,
@@ -155,10 +162,10 @@
 
     /// A server's load report answered a health check. Returns the message that shares the report with the cluster if
     /// the health check was sent for it.
-    pub(crate) fn health_check_answered(&mut self, id: u64, report: &[f64]) -> Option<Ask> {
+    pub(crate) fn health_check_answered(&mut self, id: u64, report: &[f64]) -> Option<Command> {
         let server = self.shared_health_checks.remove(&id)?.server;
-        Some(Ask::Probed {
-            host: server,
+        Some(Command::HealthCheckAnswered {
+            server,
             report: report.iter().map(|v| Millionths::of(*v)).collect(),
         })
     }
@@ -168,18 +175,20 @@
     pub(crate) fn evaluate_admission(
         &mut self,
         now: Micros,
-        request: &Asked,
+        request: &AdmissionRequest,
     ) -> Option<Result<AdmittedWork, f64>> {
         let fingerprint = request.fingerprint;
-        Some(match self.gate.as_mut()?.judge(clock(now), request) {
-            Verdict::Take(taken) => Ok(AdmittedWork {
-                awaiting_first_token: Some(taken),
-                work: taken.work,
-                fingerprint,
-                repeats_work: false,
-            }),
-            Verdict::Refuse { retry_after_s } => Err(retry_after_s),
-        })
+        Some(
+            match self.controller.as_mut()?.evaluate(clock(now), request) {
+                AdmissionDecision::Admit(pending) => Ok(AdmittedWork {
+                    awaiting_first_token: Some(pending),
+                    work: pending.work,
+                    fingerprint,
+                    repeats_work: false,
+                }),
+                AdmissionDecision::Reject { retry_after_s } => Err(retry_after_s),
+            },
+        )
     }
 
     /// The delay after which the client of a request that was admitted here and then rejected by the decision module
@@ -190,49 +199,54 @@
         admitted: &AdmittedWork,
         min_s: f64,
     ) -> f64 {
-        let Some(gate) = &mut self.gate else {
+        let Some(controller) = &mut self.controller else {
             return min_s;
         };
-        gate.refused(clock(now), admitted.work, admitted.fingerprint)
+        controller
+            .retry_after_s(clock(now), admitted.work, admitted.fingerprint)
             .max(min_s)
     }
 
     /// Whether an attempt may be sent. One that repeats work is charged to the retry budget that all dispatchers share.
     pub(crate) fn may_send(&mut self, now: Micros, admitted: &AdmittedWork) -> bool {
-        let Some(gate) = self.gate.as_mut().filter(|_| admitted.repeats_work) else {
+        let Some(controller) = self.controller.as_mut().filter(|_| admitted.repeats_work) else {
             return true;
         };
-        gate.may_repeat(clock(now), admitted.work)
+        controller.may_retry(clock(now), admitted.work)
     }
 
     /// The first token of the request's response was received.
     pub(crate) fn first_token(&mut self, now: Micros, admitted: &mut AdmittedWork) {
-        if let (Some(gate), Some(taken)) = (&mut self.gate, admitted.awaiting_first_token.take()) {
-            gate.begun(clock(now), taken);
+        if let (Some(controller), Some(pending)) =
+            (&mut self.controller, admitted.awaiting_first_token.take())
+        {
+            controller.first_token(clock(now), pending);
         }
     }
 
     /// The request has ended; its work no longer counts as waiting.
     pub(crate) fn request_ended(&mut self, admitted: &mut AdmittedWork) {
-        if let (Some(gate), Some(taken)) = (&mut self.gate, admitted.awaiting_first_token.take()) {
-            gate.gone(taken);
+        if let (Some(controller), Some(pending)) =
+            (&mut self.controller, admitted.awaiting_first_token.take())
+        {
+            controller.remove_pending(pending);
         }
     }
 
     /// A load report of a server was received.
     pub(crate) fn load_reported(&mut self, now: Micros, server: u32, report: &[f64]) {
         let queue_length = self.queue_index.and_then(|at| report.get(at));
-        if let (Some(gate), Some(queue_length)) = (&mut self.gate, queue_length) {
-            gate.reported(clock(now), server, *queue_length);
+        if let (Some(controller), Some(queue_length)) = (&mut self.controller, queue_length) {
+            controller.queue_reported(clock(now), server, *queue_length);
         }
     }
 
     /// This dispatcher's load report, if one is due. `prefill_weight` is the total weight of the ready, connected
     /// servers that can prefill.
-    pub(crate) fn load_report(&mut self, now: Micros, prefill_weight: f64) -> Option<Ask> {
-        self.gate
+    pub(crate) fn load_report(&mut self, now: Micros, prefill_weight: f64) -> Option<Command> {
+        self.controller
             .as_mut()?
-            .tell(clock(now), prefill_weight)
-            .map(Ask::Seen)
+            .local_load(clock(now), prefill_weight)
+            .map(Command::LocalLoad)
     }
 }
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -183,7 +183,7 @@
         reports: Vec<PeerReport>,
     },
     /// An event from the cluster's load shedding.
-    Overload(bitternlatch_overload::Told),
+    Overload(bitternlatch_overload::Event),
     /// An update from the cluster's output length estimation.
     #[serde(rename = "Lengths")]
     OutputLength(bitternlatch_output_length::Told),
@@ -272,7 +272,7 @@
     #[serde(rename = "Seen")]
     Observations(Vec<ServerObservation>),
     /// A message for the cluster's load shedding.
-    Overload(bitternlatch_overload::Ask),
+    Overload(bitternlatch_overload::Command),
     /// A message for the cluster's output length estimation.
     #[serde(rename = "Lengths")]
     OutputLength(bitternlatch_output_length::Ask),
--- a/crates/core/src/validated_request.rs
+++ b/crates/core/src/validated_request.rs
@@ -1,7 +1,7 @@
 //! Validates a client's request against the settings, its caller's rights and its conversation, and converts it for the
 //! decision module and for load shedding.
 
-use bitternlatch_overload::{Asked, Spent};
+use bitternlatch_overload::{AdmissionRequest, SunkCost};
 use bitternlatch_policy::interface::{Request as PolicyRequest, RequestId};
 use bitternlatch_protocol::client::{self, BadRequest, Create};
 use bitternlatch_protocol::tokens_of;
@@ -80,36 +80,36 @@
         class: &Class,
         answer_tokens: Option<f64>,
         quota_rps: f64,
-    ) -> Asked {
+    ) -> AdmissionRequest {
         let prompt_tokens = f64::from(self.prompt_tokens());
         let content_hash = fingerprint(create);
         let fingerprint = self
             .key
             .as_ref()
             .map_or(content_hash, |k| xxh3_64(k.text.as_bytes()));
-        let (spent, identity) = match &self.workflow_step {
+        let (sunk_cost, identity) = match &self.workflow_step {
             Some(PermittedStep { intent, .. }) if intent.step > 1 => {
-                (Spent::Steps, xxh3_64(intent.workflow.as_bytes()))
+                (SunkCost::EarlierSteps, xxh3_64(intent.workflow.as_bytes()))
             }
             Some(PermittedStep { intent, .. }) => {
-                (Spent::Nothing, xxh3_64(intent.workflow.as_bytes()))
+                (SunkCost::Nothing, xxh3_64(intent.workflow.as_bytes()))
             }
-            None if self.conversation == 0 => (Spent::Nothing, fingerprint),
-            None => (Spent::Turns, self.conversation),
+            None if self.conversation == 0 => (SunkCost::Nothing, fingerprint),
+            None => (SunkCost::EarlierTurns, self.conversation),
         };
-        Asked {
-            worth: class.priority_weight,
+        AdmissionRequest {
+            priority_weight: class.priority_weight,
             prompt_tokens,
-            prefix: prefix_key(create),
+            prefix_hash: prefix_key(create),
             prefix_tokens: f64::from(tokens_of(create.instructions.len())),
-            answer_tokens: answer_tokens
+            output_tokens: answer_tokens
                 .unwrap_or(EXPECTED_OUTPUT_SHARE * f64::from(self.max_tokens)),
-            spent,
+            sunk_cost,
             identity,
             fingerprint,
             tenant: self.tenant,
             quota_rps,
-            aim_s: class.ttft_objective_s
+            ttft_objective_s: class.ttft_objective_s
                 + class.ttft_objective_ms_per_1000_tokens * prompt_tokens / 1e6,
         }
     }
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -5,7 +5,7 @@
 
 use bitternlatch_core::{Input, Micros, Output, SessionId, Settings};
 use bitternlatch_membership::QuorumState;
-use bitternlatch_overload::{Ask, Cut, Millionths, Told as Word};
+use bitternlatch_overload::{AdmissionThreshold, Command, Event, Millionths};
 use bitternlatch_protocol::engine::FromEngine;
 use common::{four, Bench, Told, SETTINGS};
 
@@ -38,19 +38,19 @@
     let now = Duration::from_micros(bench.now.0);
     let until = now + Duration::from_secs_f64(for_s);
     let m = Millionths::of;
-    let cut = Cut {
-        until,
+    let threshold = AdmissionThreshold {
+        valid_until: until,
         rank: m(rank),
         capacity: m(4.0),
-        free: m(0.4),
-        room: m(100.0),
-        fresh: m(fresh),
-        part: m(0.225),
-        part_until: until,
+        retry_capacity: m(0.4),
+        max_backlog: m(100.0),
+        new_work: m(fresh),
+        budget_share: m(0.225),
+        budget_share_until: until,
         members: 4,
-        together: true,
+        has_quorum: true,
     };
-    bench.step(Input::Overload(Word::Cut(cut)));
+    bench.step(Input::Overload(Event::Threshold(threshold)));
 }
 
 /// The session's final refusal, if it has one: when to come back, seconds.
@@ -138,11 +138,11 @@
     let mut bench = on();
     let host = bitternlatch_inventory::server_id("r1");
     bench.probes.clear();
-    bench.step(Input::Overload(Word::Probe { host }));
+    bench.step(Input::Overload(Event::SendHealthCheck { server: host }));
     let (link, id) = bench.probes.pop().expect("a probe");
     let load = std::iter::once(("kv_cache_usage_perc".to_string(), 0.25)).collect();
     bench.says(link, &FromEngine::Load { id, load });
-    let passed = |o: &Output| matches!(o, Output::Overload(Ask::Probed { host: h, report }) if *h == host && report.len() == 1);
+    let passed = |o: &Output| matches!(o, Output::Overload(Command::HealthCheckAnswered { server: h, report }) if *h == host && report.len() == 1);
     assert_eq!(bench.out.iter().filter(|o| passed(o)).count(), 1);
 }
 
@@ -151,8 +151,8 @@
     let mut bench = bench("");
     told(&mut bench, 48.0, 0.0, 60.0);
     bench.probes.clear();
-    bench.step(Input::Overload(Word::Probe {
-        host: bitternlatch_inventory::server_id("r1"),
+    bench.step(Input::Overload(Event::SendHealthCheck {
+        server: bitternlatch_inventory::server_id("r1"),
     }));
     assert!(bench.probes.is_empty());
     assert!((0..50).all(|n| asked(&mut bench, n).is_none()));
@@ -180,7 +180,11 @@
     told(&mut bench, 0.0, 100.0, 60.0);
     let host = bitternlatch_inventory::server_id("r1");
     let until = Duration::from_micros(bench.now.0) + Duration::from_secs(for_s);
-    bench.step(Input::Overload(Word::Trial { host, many, until }));
+    bench.step(Input::Overload(Event::RecoveryLimit {
+        server: host,
+        max_in_flight: many,
+        until,
+    }));
     for n in 0..8 {
         asked(&mut bench, n);
         bench.pass(0.05);
@@ -201,7 +205,7 @@
         .take(3)
         .for_each(|t| bench.error(t, 500, None));
     let r1 = bitternlatch_inventory::server_id("r1");
-    let told = |o: &&Output| matches!(o, Output::Overload(Ask::Tried { host, well: false }) if *host == r1);
+    let told = |o: &&Output| matches!(o, Output::Overload(Command::AttemptEnded { server, succeeded: false }) if *server == r1);
     assert_eq!(
         bench.out.iter().filter(told).count(),
         2,
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -161,7 +161,7 @@
 /// Where what the core wants of the machines beside the plane is told; each takes it without waiting. False: it was not taken.
 #[derive(Default)]
 pub struct Beside {
-    pub overload: Option<Box<dyn Fn(bitternlatch_overload::Ask) -> bool>>,
+    pub overload: Option<Box<dyn Fn(bitternlatch_overload::Command) -> bool>>,
     pub lengths: Option<Box<dyn Fn(bitternlatch_output_length::Ask) -> bool>>,
     pub workflow: Option<Box<dyn Fn(bitternlatch_workflow::Command) -> bool>>,
 }
--- a/crates/overload/src/capacity.rs
+++ b/crates/overload/src/capacity.rs
@@ -1,164 +1,196 @@
-//! What the hosts do, and how much may be taken: from what is completed and from what waits, not from what hosts promise.
+//! Estimates what the servers can do and how much may be admitted, from completed and waiting work instead of from nominal figures.
 
 use std::time::Duration;
 
-use crate::Sums;
+use crate::ClusterTotals;
 
-/// In so long what waits too much, or too little, is to be made good.
-const MEND_S: f64 = 1.0;
-/// How fast more, and less, is believed.
-const UP_S: f64 = 0.5;
-const DOWN_S: f64 = 0.7;
-/// Bounds of what is believed, in what the hosts were taken for.
-const LEAST: f64 = 0.05;
-const MOST: f64 = 50.0;
-/// The wait for first tokens, as a share of their aims, from which on less is let wait.
-const LATE: f64 = 0.4;
-/// How much more than its own account of what waits the hosts' words may say.
-const WORDS: f64 = 2.0;
-/// Of what others take the hosts to do, a second.
-const LEAN: f64 = 1.0;
-/// Busy for so long, seconds, what hosts do is known from them.
-const LEARNT_S: f64 = 0.4;
-/// Requests a host until then.
-const FIRST: f64 = 3.0;
+/// Time within which the admission rate brings the backlog back to its target, seconds.
+const BACKLOG_CORRECTION_S: f64 = 1.0;
+/// Time constant with which the capacity estimate rises towards the completion rate, seconds.
+const INCREASE_TIME_S: f64 = 0.5;
+/// Time constant with which the capacity estimate falls towards the completion rate, seconds.
+const DECREASE_TIME_S: f64 = 0.7;
+/// Bounds of the capacity estimate as a multiple of the servers' total weight.
+const MIN_CAPACITY_PER_WEIGHT: f64 = 0.05;
+const MAX_CAPACITY_PER_WEIGHT: f64 = 50.0;
+/// Time to first token, as a fraction of its objective, above which the target backlog shrinks.
+const MAX_TTFT_RATIO: f64 = 0.4;
+/// Limit on the queue that servers report, as a multiple of the dispatchers' own count of waiting work.
+const MAX_REPORTED_BACKLOG_RATIO: f64 = 2.0;
+/// Rate at which the capacity estimate approaches the dispatchers' median, per second.
+const CONSENSUS_RATE_PER_S: f64 = 1.0;
+/// Time for which servers must have been busy before the completion rate counts as their capacity, seconds.
+const LEARNING_TIME_S: f64 = 0.4;
+/// Requests admitted per server until the capacity is known.
+const LEARNING_REQUESTS_PER_SERVER: f64 = 3.0;
 
-/// What hosts are taken to do.
+/// Estimate of the work that the servers can do per second. Work is in seconds of a server of weight 1.
 #[derive(Clone, Debug, Default)]
-pub struct Capacity {
+pub struct CapacityEstimator {
     work_per_s: f64,
+    /// When the estimate was last updated.
     at: Option<Duration>,
-    /// For how long hosts were seen busy; before that they are taken for what they are listed as.
+    /// For how long servers have been seen busy, seconds; up to [`LEARNING_TIME_S`] the estimate is at least their total weight.
     busy_s: f64,
 }
 
-/// What may be taken.
+/// How much work may be admitted.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Takes {
+pub struct AdmissibleLoad {
+    /// Work that the servers can do per second.
     pub capacity: f64,
-    /// Work a second that may be taken now.
-    pub admits: f64,
-    /// Work that may wait at hosts.
-    pub room: f64,
+    /// Work that may be admitted per second at present.
+    pub admit_rate: f64,
+    /// Work that may wait at servers.
+    pub max_backlog: f64,
 }
 
-impl Capacity {
-    /// What hosts are taken to do now; 0 before the first look.
+impl CapacityEstimator {
+    /// The present estimate, work per second; 0 before the first update.
     pub fn per_s(&self) -> f64 {
         self.work_per_s
     }
 
-    /// One look at the sums. `wait_s`: seconds of work that may wait at hosts; `share`: of the hosts that is this side's.
-    pub fn look(&mut self, now: Duration, sums: &Sums, wait_s: f64, share: f64) -> Takes {
-        let hosts = (sums.hosts * share).max(0.01);
-        let passed = self
+    /// Updates the estimate from the cluster's totals. `wait_s` is the time for which work may wait at servers, seconds; `share` is
+    /// the fraction of the servers' capacity that the dispatchers in `totals` may use.
+    pub fn update(
+        &mut self,
+        now: Duration,
+        totals: &ClusterTotals,
+        wait_s: f64,
+        share: f64,
+    ) -> AdmissibleLoad {
+        let weight = (totals.server_weight * share).max(0.01);
+        let elapsed_s = self
             .at
             .map_or(0.0, |at| now.saturating_sub(at).as_secs_f64().min(1.0));
-        if self.busy_s < LEARNT_S {
-            self.work_per_s = self.work_per_s.max(hosts);
+        if self.busy_s < LEARNING_TIME_S {
+            self.work_per_s = self.work_per_s.max(weight);
         }
         self.at = Some(now);
-        let waiting = waiting(sums);
-        // One request at each host is at work and waits for nothing.
-        let at_work = hosts * sums.each;
-        // Before anything is known of them a few requests a host find out, and no more than that is late.
-        let unknown = self.busy_s < LEARNT_S;
-        let first = if sums.each > 0.0 {
-            FIRST * at_work
+        let waiting = waiting_work(totals);
+        // One request at each server is being processed and doesn't wait.
+        let in_service = weight * totals.mean_request_work;
+        // Until the capacity is known, a few requests per server are admitted to measure it; more would exceed the latency objective.
+        let learning = self.busy_s < LEARNING_TIME_S;
+        let learning_backlog = if totals.mean_request_work > 0.0 {
+            LEARNING_REQUESTS_PER_SERVER * in_service
         } else {
             0.25 * wait_s * self.work_per_s
         };
-        let full = if unknown { 0.7 * first } else { f64::INFINITY };
-        let busy = waiting > (at_work + 0.5 * wait_s * self.work_per_s).min(full);
-        self.busy_s += if busy { passed } else { 0.0 };
-        let step = |over: f64| 1.0 - (-passed / over).exp();
-        if sums.completed > self.work_per_s {
-            self.work_per_s += (sums.completed - self.work_per_s) * step(UP_S);
-        } else if busy && self.busy_s >= LEARNT_S {
-            self.work_per_s += (sums.completed - self.work_per_s) * step(DOWN_S);
+        let full = if learning {
+            0.7 * learning_backlog
+        } else {
+            f64::INFINITY
+        };
+        let busy = waiting > (in_service + 0.5 * wait_s * self.work_per_s).min(full);
+        self.busy_s += if busy { elapsed_s } else { 0.0 };
+        let step = |time_s: f64| 1.0 - (-elapsed_s / time_s).exp();
+        if totals.completed > self.work_per_s {
+            self.work_per_s += (totals.completed - self.work_per_s) * step(INCREASE_TIME_S);
+        } else if busy && self.busy_s >= LEARNING_TIME_S {
+            self.work_per_s += (totals.completed - self.work_per_s) * step(DECREASE_TIME_S);
         }
-        if sums.capacity > 0.0 && sums.members > 1.0 && share >= 1.0 {
-            self.work_per_s += (sums.capacity - self.work_per_s) * step(1.0 / LEAN) * 0.5;
+        if totals.capacity > 0.0 && totals.members > 1.0 && share >= 1.0 {
+            self.work_per_s +=
+                (totals.capacity - self.work_per_s) * step(1.0 / CONSENSUS_RATE_PER_S) * 0.5;
         }
-        self.work_per_s = self.work_per_s.clamp(hosts * LEAST, hosts * MOST);
-        let late = if sums.delay > LATE {
-            LATE / sums.delay
+        self.work_per_s = self.work_per_s.clamp(
+            weight * MIN_CAPACITY_PER_WEIGHT,
+            weight * MAX_CAPACITY_PER_WEIGHT,
+        );
+        let reduction = if totals.ttft_ratio > MAX_TTFT_RATIO {
+            MAX_TTFT_RATIO / totals.ttft_ratio
         } else {
             1.0
         };
-        let room = at_work + self.work_per_s * wait_s * late.max(0.25);
-        let admits = self.work_per_s + (room - waiting) / MEND_S;
-        let room = if unknown { room.min(first) } else { room };
-        Takes {
+        let max_backlog = in_service + self.work_per_s * wait_s * reduction.max(0.25);
+        let admit_rate = self.work_per_s + (max_backlog - waiting) / BACKLOG_CORRECTION_S;
+        let max_backlog = if learning {
+            max_backlog.min(learning_backlog)
+        } else {
+            max_backlog
+        };
+        AdmissibleLoad {
             capacity: self.work_per_s,
-            admits: admits.max(0.05 * self.work_per_s),
-            room,
+            admit_rate: admit_rate.max(0.05 * self.work_per_s),
+            max_backlog,
         }
     }
 }
 
-/// What waits: by the own account, or by the hosts' if they say more, within bounds. One that says less is not believed.
-fn waiting(sums: &Sums) -> f64 {
-    sums.backlog.max(sums.waits.min(WORDS * sums.backlog))
+/// Work that waits at servers: the dispatchers' own count, or what the servers report if that is more, within bounds. A server that
+/// reports a shorter queue is not believed.
+fn waiting_work(totals: &ClusterTotals) -> f64 {
+    totals.backlog.max(
+        totals
+            .queued_at_servers
+            .min(MAX_REPORTED_BACKLOG_RATIO * totals.backlog),
+    )
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    /// Hosts that do `can` work a second, before which it queues; gives what they are taken for after so many steps.
-    fn after(
-        capacity: &mut Capacity,
+    /// Simulates `steps` of 100 ms with servers that do `can` work per second, queue the rest and report `reported_queue`. Returns the
+    /// capacity estimate and the final wait in seconds.
+    fn simulate(
+        estimator: &mut CapacityEstimator,
         at: &mut u64,
         can: f64,
-        asked: f64,
-        lie: f64,
+        demand: f64,
+        reported_queue: f64,
         steps: u32,
     ) -> (f64, f64) {
-        let (mut backlog, mut takes, mut worst) = (
+        let (mut backlog, mut admissible, mut longest_wait) = (
             0.0f64,
-            Takes {
-                admits: asked,
-                ..Takes::default()
+            AdmissibleLoad {
+                admit_rate: demand,
+                ..AdmissibleLoad::default()
             },
             0.0f64,
         );
         for _ in 0..steps {
             *at += 100;
-            backlog += takes.admits.min(asked) * 0.1;
+            backlog += admissible.admit_rate.min(demand) * 0.1;
             let done = backlog.min(can * 0.1);
             backlog -= done;
-            let sums = Sums {
+            let totals = ClusterTotals {
                 completed: done * 10.0,
                 backlog,
-                waits: lie,
-                hosts: 5.0,
+                queued_at_servers: reported_queue,
+                server_weight: 5.0,
                 members: 1.0,
-                ..Sums::default()
+                ..ClusterTotals::default()
             };
-            takes = capacity.look(Duration::from_millis(*at), &sums, 0.4, 1.0);
-            worst = worst.max(backlog / can);
+            admissible = estimator.update(Duration::from_millis(*at), &totals, 0.4, 1.0);
+            longest_wait = longest_wait.max(backlog / can);
         }
-        (takes.capacity, backlog / can)
+        (admissible.capacity, backlog / can)
     }
 
     #[test]
-    fn it_finds_what_hosts_do_whatever_they_say_and_keeps_the_wait() {
+    fn estimate_finds_the_capacity_whatever_servers_report_and_bounds_the_wait() {
         for can in [1.0, 5.0, 20.0] {
-            for lie in [0.0, 1e9] {
-                let mut capacity = Capacity::default();
-                let (found, wait) = after(&mut capacity, &mut 0, can, 100.0, lie, 200);
-                assert!((found / can - 1.0).abs() < 0.1, "{can}, {lie}: {found}");
-                assert!(wait < 0.6, "{can}, {lie}: {wait}");
+            for reported_queue in [0.0, 1e9] {
+                let mut estimator = CapacityEstimator::default();
+                let (found, wait) =
+                    simulate(&mut estimator, &mut 0, can, 100.0, reported_queue, 200);
+                assert!(
+                    (found / can - 1.0).abs() < 0.1,
+                    "{can}, {reported_queue}: {found}"
+                );
+                assert!(wait < 0.6, "{can}, {reported_queue}: {wait}");
             }
         }
     }
 
     #[test]
-    fn hosts_that_do_half_from_now_on_are_taken_for_half() {
-        let (mut capacity, mut at) = (Capacity::default(), 0);
-        after(&mut capacity, &mut at, 10.0, 100.0, 0.0, 200);
-        let (found, wait) = after(&mut capacity, &mut at, 5.0, 100.0, 0.0, 60);
+    fn estimate_follows_servers_that_slow_down_to_half() {
+        let (mut estimator, mut at) = (CapacityEstimator::default(), 0);
+        simulate(&mut estimator, &mut at, 10.0, 100.0, 0.0, 200);
+        let (found, wait) = simulate(&mut estimator, &mut at, 5.0, 100.0, 0.0, 60);
         assert!((found - 5.0).abs() < 1.0 && wait < 1.0, "{found} {wait}");
     }
 }
--- a/crates/overload/src/cut.rs
+++ b/crates/overload/src/cut.rs
@@ -1,28 +1,29 @@
-//! The rank from which on requests are taken.
+//! The admission threshold: the rank of the priority order from which on requests are admitted.
 
 use crate::order::LEVELS;
 
-/// The least rank such that what is asked from it on fits what may be taken; 0 where all fits. Never less with more demand.
-pub fn cut(demand: &[f64], admits: f64) -> f64 {
-    let mut left = admits.max(0.0);
-    for (level, asked) in demand.iter().enumerate().take(LEVELS).rev() {
-        if *asked > left {
-            return level as f64 + 1.0 - left / asked;
+/// The lowest rank such that the demand at and above it does not exceed `admit_rate`; 0 if all demand fits. `demand` is work per second
+/// by priority level. More demand never lowers the threshold.
+pub fn admission_threshold(demand: &[f64], admit_rate: f64) -> f64 {
+    let mut left = admit_rate.max(0.0);
+    for (level, level_demand) in demand.iter().enumerate().take(LEVELS).rev() {
+        if *level_demand > left {
+            return level as f64 + 1.0 - left / level_demand;
         }
-        left -= asked.max(0.0);
+        left -= level_demand.max(0.0);
     }
     0.0
 }
 
-/// The share of what is asked that lies below a cut.
-pub fn below(demand: &[f64], rank: f64) -> f64 {
-    let all: f64 = demand.iter().sum();
-    let under = demand
+/// The fraction of the demand whose rank is below a threshold.
+pub fn fraction_below(demand: &[f64], rank: f64) -> f64 {
+    let total: f64 = demand.iter().sum();
+    let below = demand
         .iter()
         .enumerate()
-        .map(|(level, asked)| asked * (rank - level as f64).clamp(0.0, 1.0));
-    if all > 0.0 {
-        under.sum::<f64>() / all
+        .map(|(level, level_demand)| level_demand * (rank - level as f64).clamp(0.0, 1.0));
+    if total > 0.0 {
+        below.sum::<f64>() / total
     } else {
         0.0
     }
@@ -39,15 +40,15 @@
 
     proptest! {
         #[test]
-        fn the_cut_never_rises_with_less_demand_and_what_is_over_it_fits(
-            demand in demands(), less in prop::collection::vec(0.0f64..=1.0, LEVELS), admits in 0.0f64..600.0,
+        fn threshold_never_rises_with_less_demand_and_demand_above_it_fits(
+            demand in demands(), less in prop::collection::vec(0.0f64..=1.0, LEVELS), admit_rate in 0.0f64..600.0,
         ) {
-            let rank = cut(&demand, admits);
+            let rank = admission_threshold(&demand, admit_rate);
             let smaller: Vec<f64> = demand.iter().zip(&less).map(|(d, l)| d * l).collect();
-            prop_assert!(cut(&smaller, admits) <= rank + 1e-9);
-            let over = demand.iter().sum::<f64>() * (1.0 - below(&demand, rank));
-            prop_assert!(over <= admits + 1e-6, "{over} of {admits}");
-            prop_assert!(rank == 0.0 || over >= admits - 1e-6, "no more is refused than has to be");
+            prop_assert!(admission_threshold(&smaller, admit_rate) <= rank + 1e-9);
+            let above = demand.iter().sum::<f64>() * (1.0 - fraction_below(&demand, rank));
+            prop_assert!(above <= admit_rate + 1e-6, "{above} of {admit_rate}");
+            prop_assert!(rank == 0.0 || above >= admit_rate - 1e-6, "no more is rejected than necessary");
         }
     }
 }
--- a/crates/overload/src/error.rs
+++ b/crates/overload/src/error.rs
@@ -1,43 +1,49 @@
-//! What can be wrong, and what an operator can do.
+//! Errors of overload control, each with advice for the operator.
 
-/// Errors of overload control.
+/// Errors of overload control. The order of the variants is the order of their log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum OverloadError {
-    #[error("not a message about overload")]
-    Unreadable,
-    #[error("a message about overload in another version")]
-    OtherVersion,
-    #[error("a member's figures are ten times those of its peers and more; they are bounded")]
-    Nonsense,
-    #[error("a rate in [cluster.overload] is no number above 0")]
-    Rate,
+    #[error("malformed overload control message")]
+    Malformed,
+    #[error("overload control message of an unsupported version")]
+    UnsupportedVersion,
+    #[error(
+        "load figures of a dispatcher exceed ten times the cluster's median and are limited to that"
+    )]
+    Outlier,
+    #[error("a token rate in [cluster.overload] is not between 1 and 1e9")]
+    InvalidTokenRate,
     #[error("wait_share in [cluster.overload] is not between 0.02 and 1")]
-    WaitShare,
+    InvalidWaitShare,
 }
 
 impl OverloadError {
     pub const ALL: [OverloadError; 5] = [
-        OverloadError::Unreadable,
-        OverloadError::OtherVersion,
-        OverloadError::Nonsense,
-        OverloadError::Rate,
-        OverloadError::WaitShare,
+        OverloadError::Malformed,
+        OverloadError::UnsupportedVersion,
+        OverloadError::Outlier,
+        OverloadError::InvalidTokenRate,
+        OverloadError::InvalidWaitShare,
     ];
 
-    /// What an operator can do.
+    /// What an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            OverloadError::Unreadable => {
-                "look for another program under the cluster's secret; what it says is dropped"
+            OverloadError::Malformed => {
+                "check for another program that uses the cluster's secret; its messages are dropped"
             }
-            OverloadError::OtherVersion => {
-                "bring all dispatchers to one version; until then each counts the others it can read"
+            OverloadError::UnsupportedVersion => {
+                "upgrade all dispatchers to the same version; until then each ignores messages that it cannot decode"
             }
-            OverloadError::Nonsense => {
-                "look at that dispatcher's host and clock and at who calls it; start it again if its figures stay"
+            OverloadError::Outlier => {
+                "check that dispatcher's machine, clock and clients; restart it if its figures stay high"
+            }
+            OverloadError::InvalidTokenRate => {
+                "set the number of tokens that one server of weight 1 reads or writes per second"
+            }
+            OverloadError::InvalidWaitShare => {
+                "remove wait_share, or set it to the fraction of a latency objective for which requests may wait"
             }
-            OverloadError::Rate => "give the tokens that one host of weight 1 reads or writes in a second",
-            OverloadError::WaitShare => "leave wait_share out, or give the share of an aim that may be waited",
         }
     }
 }
@@ -47,7 +53,7 @@
     use super::*;
 
     #[test]
-    fn each_error_says_something_of_its_own_to_do() {
+    fn each_error_has_its_own_advice() {
         let advice: std::collections::BTreeSet<_> =
             OverloadError::ALL.iter().map(|e| e.advice()).collect();
         assert_eq!(advice.len(), OverloadError::ALL.len());
--- a/crates/overload/src/gate.rs
+++ b/crates/overload/src/gate.rs
@@ -1,355 +1,403 @@
-//! The gate before a dispatcher's decisions: judges each request by what was told last, at the act and by time, and counts what it
-//! sees for the others.
+//! Decides on each request of this dispatcher whether to admit it, by the admission threshold received last and for as long as that is
+//! valid, and measures the load for the other dispatchers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::io::{Cut, Millionths, Seen, Settings};
-use crate::order::{level, rank, Spent, LEVELS};
-use crate::repeats::Repeats;
-use crate::returns::Returns;
-use crate::window::Rate;
+use crate::io::{AdmissionThreshold, LocalLoad, Millionths, Settings};
+use crate::order::{level, rank, SunkCost, LEVELS};
+use crate::repeats::RetryBudget;
+use crate::returns::RetryAfterSchedule;
+use crate::window::DecayingRate;
 
-/// How fast demand, and what was done, fades.
-const DEMAND: Duration = Duration::from_millis(500);
-const DONE: Duration = Duration::from_millis(1000);
-/// Between two words of what was seen.
-const TELL: Duration = Duration::from_millis(100);
-/// Shared prompts that count as read, for how long, and the share of their cost that is left then.
-const PREFIXES: usize = 4096;
-const READ: Duration = Duration::from_secs(60);
-const READ_AGAIN: f64 = 0.1;
-/// Hosts whose reports are kept, and for how long.
-const HOSTS: usize = 4096;
-const REPORT: Duration = Duration::from_secs(2);
-/// Tenants whose share is counted.
-const TENANTS: usize = 100_000;
-/// Requests of a tenant's share that may come at once, in seconds of it.
+/// Decay time of the measured demand.
+const DEMAND_DECAY: Duration = Duration::from_millis(500);
+/// Decay time of the measured admissions, completions and times to first token.
+const ADMITTED_DECAY: Duration = Duration::from_millis(1000);
+/// Interval between two measurements of the local load.
+const LOAD_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of prompt prefixes that are remembered as cached.
+const MAX_PREFIXES: usize = 4096;
+/// How long after its last use a prompt prefix counts as cached.
+const PREFIX_LIFETIME: Duration = Duration::from_secs(60);
+/// Cost of a cached prompt prefix as a fraction of its full cost.
+const CACHED_PREFIX_COST: f64 = 0.1;
+/// Number of servers whose queue lengths are kept.
+const MAX_SERVERS: usize = 4096;
+/// How long a server's queue length counts.
+const QUEUE_LENGTH_LIFETIME: Duration = Duration::from_secs(2);
+/// Number of tenants whose request rate is tracked; the requests of further tenants count as over quota.
+const MAX_TENANTS: usize = 100_000;
+/// Burst allowance of a tenant, seconds of its request rate.
 const TENANT_BURST_S: f64 = 2.0;
-/// Levels that a request over its tenant's share comes behind.
-const OVER_SHARE: u8 = LEVELS as u8 / 2;
-/// Seconds of work that one without knowledge lets run at once of its part.
-const ALONE_BURST_S: f64 = 0.3;
-/// Of the work that the sums see done, what is held to be free for returns at the least.
-const FREE_LEAST: f64 = 0.02;
+/// Levels by which a request over its tenant's quota is lowered.
+const OVER_QUOTA_LEVELS: u8 = LEVELS as u8 / 2;
+/// Burst allowance of a dispatcher without a valid threshold, seconds of its part of the capacity.
+const ISOLATED_BURST_S: f64 = 0.3;
+/// Lower bound of the capacity reserved for retries, as a fraction of the known capacity.
+const MIN_RETRY_SHARE: f64 = 0.02;
 
-/// A request that comes.
+/// A request on whose admission has to be decided.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Asked {
-    pub worth: f64,
+pub struct AdmissionRequest {
+    /// What the request's class is worth compared to other classes.
+    pub priority_weight: f64,
+    /// Length of the whole prompt, tokens.
     pub prompt_tokens: f64,
-    /// Key of the opening text that it shares, 0 for none, and its length.
-    pub prefix: u64,
+    /// Hash of the prompt prefix that the request shares with others; 0 for none.
+    pub prefix_hash: u64,
+    /// Length of the shared prefix, tokens.
     pub prefix_tokens: f64,
-    /// Of its answer, as far as can be told.
-    pub answer_tokens: f64,
-    pub spent: Spent,
-    /// Whose it is, the same at all dispatchers: of its conversation, key or words.
+    /// Expected length of the output, tokens.
+    pub output_tokens: f64,
+    /// What earlier requests of the same session or workflow have cost.
+    pub sunk_cost: SunkCost,
+    /// Hash of what the request belongs to: its workflow, its conversation, or its fingerprint. The same at all dispatchers.
     pub identity: u64,
-    /// What it says, so that its return is known.
+    /// Hash of the idempotency key or the content, by which a retry is recognized.
     pub fingerprint: u64,
     pub tenant: u32,
-    /// Requests a second that its tenant has of all; infinite where it has no share of its own.
+    /// Requests per second that the tenant may send to the whole cluster; infinite for no quota.
     pub quota_rps: f64,
-    /// Seconds to a first token that earn its worth.
-    pub aim_s: f64,
+    /// Latency objective for the first token, seconds.
+    pub ttft_objective_s: f64,
 }
 
-/// Taken work whose answer has not begun.
+/// An admitted request whose first token has not been received yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Taken {
+pub struct PendingWork {
+    /// Expected work of the request, seconds of a server of weight 1.
     pub work: f64,
-    aim_s: f64,
-    at: Duration,
+    ttft_objective_s: f64,
+    admitted_at: Duration,
 }
 
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
-    Take(Taken),
-    Refuse { retry_after_s: f64 },
+pub enum AdmissionDecision {
+    Admit(PendingWork),
+    Reject { retry_after_s: f64 },
 }
 
+/// A token bucket.
 #[derive(Debug)]
-struct Bucket {
-    left: f64,
+struct TokenBucket {
+    tokens: f64,
     at: Duration,
 }
 
-impl Bucket {
-    /// Whether so much may go at this rate, of which so much may go at once.
-    fn spend(&mut self, now: Duration, what: f64, rate: f64, burst: f64) -> bool {
+impl TokenBucket {
+    /// Refills the bucket at `rate` per second up to `burst`, then takes `amount` from it; false if it holds less.
+    fn try_take(&mut self, now: Duration, amount: f64, rate: f64, burst: f64) -> bool {
         let gained = rate * now.saturating_sub(self.at).as_secs_f64();
-        self.left = (self.left + gained).min(burst);
+        self.tokens = (self.tokens + gained).min(burst);
         self.at = self.at.max(now);
-        let may = self.left >= what;
-        if may {
-            self.left -= what;
+        let allowed = self.tokens >= amount;
+        if allowed {
+            self.tokens -= amount;
         }
-        may
+        allowed
     }
 }
 
-/// See the module's page.
+/// Admission control of one dispatcher. Work is in seconds of a server of weight 1.
 #[derive(Debug)]
-pub struct Gate {
+pub struct AdmissionController {
     settings: Settings,
+    /// Number of dispatchers on the cluster's roster.
     roster: usize,
-    cut: Option<Cut>,
-    demand: Vec<Rate>,
-    taken: Rate,
-    completed: Rate,
-    delay: Rate,
-    begun: Rate,
+    threshold: Option<AdmissionThreshold>,
+    /// Work of all new requests by priority level, admitted or not.
+    demand: Vec<DecayingRate>,
+    admitted: DecayingRate,
+    completed: DecayingRate,
+    /// Sum of work times time to first token as a fraction of its objective.
+    weighted_ttft: DecayingRate,
+    /// Work of the requests in `weighted_ttft`.
+    ttft_weights: DecayingRate,
+    /// Work of the pending requests.
     backlog: f64,
-    out: u32,
+    /// Number of admitted requests that wait for their first token.
+    pending: u32,
+    /// Admitted, rejected and retried requests since the last measurement.
     counts: (u32, u32, u32),
-    returns: Returns,
-    repeats: Repeats,
-    alone: Bucket,
-    tenants: BTreeMap<u32, Bucket>,
+    retry_after: RetryAfterSchedule,
+    retry_budget: RetryBudget,
+    /// Limits the admitted work while no threshold is valid.
+    isolated_limit: TokenBucket,
+    tenants: BTreeMap<u32, TokenBucket>,
+    /// When each prompt prefix was last admitted.
     prefixes: BTreeMap<u64, Duration>,
-    /// Requests that a host says wait at it.
-    waits: BTreeMap<u32, (Duration, f64)>,
-    tell_at: Duration,
+    /// Queue length of each server in requests, and when it was reported.
+    queue_lengths: BTreeMap<u32, (Duration, f64)>,
+    /// When the local load is due again.
+    load_due_at: Duration,
 }
 
-impl Gate {
-    /// `roster`: dispatchers that there should be; `most_s`: the longest time to come back that callers honour.
-    pub fn new(settings: Settings, roster: usize, most_s: f64, seed: u64) -> Gate {
+impl AdmissionController {
+    /// `roster` is the number of dispatchers that the cluster should have, `max_retry_after_s` the longest retry delay that clients
+    /// honour.
+    pub fn new(
+        settings: Settings,
+        roster: usize,
+        max_retry_after_s: f64,
+        seed: u64,
+    ) -> AdmissionController {
         let roster = roster.max(1);
-        Gate {
+        AdmissionController {
             settings,
             roster,
-            cut: None,
-            demand: vec![Rate::new(DEMAND); LEVELS],
-            taken: Rate::new(DONE),
-            completed: Rate::new(DONE),
-            delay: Rate::new(DONE),
-            begun: Rate::new(DONE),
+            threshold: None,
+            demand: vec![DecayingRate::new(DEMAND_DECAY); LEVELS],
+            admitted: DecayingRate::new(ADMITTED_DECAY),
+            completed: DecayingRate::new(ADMITTED_DECAY),
+            weighted_ttft: DecayingRate::new(ADMITTED_DECAY),
+            ttft_weights: DecayingRate::new(ADMITTED_DECAY),
             backlog: 0.0,
-            out: 0,
+            pending: 0,
             counts: (0, 0, 0),
-            returns: Returns::new(most_s, seed),
-            repeats: Repeats::new(bitternlatch_quota_lease::unleased_quota(roster)),
-            alone: Bucket {
-                left: 0.0,
+            retry_after: RetryAfterSchedule::new(max_retry_after_s, seed),
+            retry_budget: RetryBudget::new(bitternlatch_quota_lease::unleased_quota(roster)),
+            isolated_limit: TokenBucket {
+                tokens: 0.0,
                 at: Duration::ZERO,
             },
             tenants: BTreeMap::new(),
             prefixes: BTreeMap::new(),
-            waits: BTreeMap::new(),
-            tell_at: Duration::ZERO,
+            queue_lengths: BTreeMap::new(),
+            load_due_at: Duration::ZERO,
         }
     }
 
-    /// Takes what is to be done together.
-    pub fn told(&mut self, cut: Cut) {
-        self.cut = Some(cut);
+    /// Replaces the admission threshold.
+    pub fn set_threshold(&mut self, threshold: AdmissionThreshold) {
+        self.threshold = Some(threshold);
     }
 
-    /// Work of a request, seconds of a host.
-    fn work(&mut self, now: Duration, asked: &Asked) -> f64 {
-        let number = |v: f64| {
+    /// Expected work of a request, seconds of a server of weight 1.
+    fn work(&mut self, now: Duration, request: &AdmissionRequest) -> f64 {
+        let bounded = |v: f64| {
             if v.is_finite() {
                 v.clamp(0.0, 1e9)
             } else {
                 0.0
             }
         };
-        let (prompt, answer) = (number(asked.prompt_tokens), number(asked.answer_tokens));
-        let read = self
+        let (prompt, output) = (
+            bounded(request.prompt_tokens),
+            bounded(request.output_tokens),
+        );
+        let is_cached = self
             .prefixes
-            .get(&asked.prefix)
-            .is_some_and(|at| now.saturating_sub(*at) < READ);
-        let spared = if read {
-            number(asked.prefix_tokens).min(prompt) * (1.0 - READ_AGAIN)
+            .get(&request.prefix_hash)
+            .is_some_and(|at| now.saturating_sub(*at) < PREFIX_LIFETIME);
+        let saved = if is_cached {
+            bounded(request.prefix_tokens).min(prompt) * (1.0 - CACHED_PREFIX_COST)
         } else {
             0.0
         };
-        (prompt - spared) / self.settings.read_tokens_per_s
-            + answer / self.settings.write_tokens_per_s
+        (prompt - saved) / self.settings.read_tokens_per_s
+            + output / self.settings.write_tokens_per_s
     }
 
-    /// Whether its tenant has more in hand than its share, at the act.
-    fn over_share(&mut self, now: Duration, asked: &Asked) -> bool {
-        if !asked.quota_rps.is_finite() {
+    /// Counts the request for its tenant, and returns whether that exceeds this dispatcher's part of the tenant's quota.
+    fn is_over_quota(&mut self, now: Duration, request: &AdmissionRequest) -> bool {
+        if !request.quota_rps.is_finite() {
             return false;
         }
         let members = self
-            .cut
+            .threshold
             .as_ref()
-            .filter(|c| now < c.until)
-            .map_or(self.roster, |c| c.members as usize);
-        let rate = asked.quota_rps.max(0.0) / members.max(1) as f64;
+            .filter(|t| now < t.valid_until)
+            .map_or(self.roster, |t| t.members as usize);
+        let rate = request.quota_rps.max(0.0) / members.max(1) as f64;
         let burst = (rate * TENANT_BURST_S).max(1.0);
-        if self.tenants.len() >= TENANTS && !self.tenants.contains_key(&asked.tenant) {
+        if self.tenants.len() >= MAX_TENANTS && !self.tenants.contains_key(&request.tenant) {
             return true;
         }
-        let bucket = self.tenants.entry(asked.tenant).or_insert(Bucket {
-            left: burst,
+        let bucket = self.tenants.entry(request.tenant).or_insert(TokenBucket {
+            tokens: burst,
             at: now,
         });
-        !bucket.spend(now, 1.0, rate, burst)
+        !bucket.try_take(now, 1.0, rate, burst)
     }
 
-    /// Judges a request, and counts it.
-    pub fn judge(&mut self, now: Duration, asked: &Asked) -> Verdict {
-        let work = self.work(now, asked);
-        let place = level(asked.worth, work, asked.spent);
-        let over = self.over_share(now, asked);
-        let place = if over {
-            place.saturating_sub(OVER_SHARE)
+    /// Decides on a request, and counts it.
+    pub fn evaluate(&mut self, now: Duration, request: &AdmissionRequest) -> AdmissionDecision {
+        let work = self.work(now, request);
+        let level = level(request.priority_weight, work, request.sunk_cost);
+        let over_quota = self.is_over_quota(now, request);
+        let level = if over_quota {
+            level.saturating_sub(OVER_QUOTA_LEVELS)
         } else {
-            place
+            level
         };
-        let rank = rank(place, asked.identity, now);
-        let repeats = self.returns.is_return(now, asked.fingerprint);
-        // What may not be taken whatever the cut says is no demand: it would raise the cut for the rest.
-        if !repeats {
-            self.demand[usize::from(place).min(LEVELS - 1)].add(now, work);
+        let rank = rank(level, request.identity, now);
+        let is_retry = self.retry_after.is_retry(now, request.fingerprint);
+        // Retries are limited by their own budget. Counted as demand they would raise the threshold for other requests.
+        if !is_retry {
+            self.demand[usize::from(level).min(LEVELS - 1)].add(now, work);
         }
-        if !self.passes(now, rank, work)
-            || repeats && !self.repeats.may(now, work, self.cut.as_ref())
+        if !self.passes_threshold(now, rank, work)
+            || is_retry
+                && !self
+                    .retry_budget
+                    .try_spend(now, work, self.threshold.as_ref())
         {
-            return self.refuse(now, work, asked.fingerprint);
+            return self.reject(now, work, request.fingerprint);
         }
-        if repeats {
+        if is_retry {
             self.counts.2 += 1;
         } else {
-            self.repeats.fresh(now, work);
+            self.retry_budget.add_new_work(now, work);
         }
-        self.returns.taken(asked.fingerprint);
-        if asked.prefix != 0
-            && (self.prefixes.len() < PREFIXES || self.prefixes.contains_key(&asked.prefix))
+        self.retry_after.record_admission(request.fingerprint);
+        if request.prefix_hash != 0
+            && (self.prefixes.len() < MAX_PREFIXES
+                || self.prefixes.contains_key(&request.prefix_hash))
         {
-            self.prefixes.insert(asked.prefix, now);
+            self.prefixes.insert(request.prefix_hash, now);
         }
-        self.taken.add(now, work);
+        self.admitted.add(now, work);
         self.backlog += work;
-        self.out += 1;
+        self.pending += 1;
         self.counts.0 += 1;
-        Verdict::Take(Taken {
+        AdmissionDecision::Admit(PendingWork {
             work,
-            aim_s: asked.aim_s,
-            at: now,
+            ttft_objective_s: request.ttft_objective_s,
+            admitted_at: now,
         })
     }
 
-    /// Whether this rank passes now: by what was told, while that counts, and stricter the more waits than may; else within a part
-    /// that holds whatever the others do.
-    fn passes(&mut self, now: Duration, rank: f64, work: f64) -> bool {
-        match self.cut.as_ref() {
-            Some(cut) if now < cut.until => {
-                let over = ((self.backlog + work) / cut.room.get().max(1e-6) - 1.0).clamp(0.0, 1.0);
-                let bound = cut.rank.get() + (LEVELS as f64 - cut.rank.get()) * over;
-                // An idle dispatcher takes what comes, however large.
-                rank >= bound || cut.rank.get() <= rank && self.backlog == 0.0
+    /// Whether a rank is admitted now. While the threshold is valid it decides, and rises if the backlog exceeds its limit. Afterwards
+    /// this dispatcher admits only its part of the last known capacity, which is safe whatever the others do.
+    fn passes_threshold(&mut self, now: Duration, rank: f64, work: f64) -> bool {
+        match self.threshold.as_ref() {
+            Some(threshold) if now < threshold.valid_until => {
+                let excess = ((self.backlog + work) / threshold.max_backlog.get().max(1e-6) - 1.0)
+                    .clamp(0.0, 1.0);
+                let bound = threshold.rank.get() + (LEVELS as f64 - threshold.rank.get()) * excess;
+                // A dispatcher without backlog admits a request above the threshold however large it is.
+                rank >= bound || threshold.rank.get() <= rank && self.backlog == 0.0
             }
-            cut => {
-                let capacity = cut.map_or(self.roster as f64, |c| c.capacity.get());
-                let lowest = cut.map_or(0.0, |c| c.rank.get());
+            expired => {
+                let capacity = expired.map_or(self.roster as f64, |t| t.capacity.get());
+                let lowest_rank = expired.map_or(0.0, |t| t.rank.get());
                 let rate = capacity / self.roster as f64;
-                let burst = (rate * ALONE_BURST_S).max(work);
-                rank >= lowest && self.alone.spend(now, work, rate, burst)
+                let burst = (rate * ISOLATED_BURST_S).max(work);
+                rank >= lowest_rank && self.isolated_limit.try_take(now, work, rate, burst)
             }
         }
     }
 
-    /// Refuses and says when to come back.
-    fn refuse(&mut self, now: Duration, work: f64, fingerprint: u64) -> Verdict {
+    /// Rejects a request and determines when it may be retried.
+    fn reject(&mut self, now: Duration, work: f64, fingerprint: u64) -> AdmissionDecision {
         self.counts.1 += 1;
-        Verdict::Refuse {
-            retry_after_s: self.refused(now, work, fingerprint),
+        AdmissionDecision::Reject {
+            retry_after_s: self.retry_after_s(now, work, fingerprint),
         }
     }
 
-    /// When one that is refused, by whomever, may come back; its return will be known.
-    pub fn refused(&mut self, now: Duration, work: f64, fingerprint: u64) -> f64 {
-        self.returns.refuse(now, fingerprint);
-        let told = self.cut.as_ref().filter(|c| now < c.until);
-        let careful = 1.0 / self.roster as f64;
-        let free = match told {
-            None => careful * FREE_LEAST,
-            Some(cut) => (cut.free.get() / f64::from(cut.members.max(1)))
-                .max(cut.capacity.get() * FREE_LEAST * careful),
+    /// The delay after which a request that was rejected here or elsewhere in this dispatcher may be retried, seconds. The request is
+    /// remembered, so that its retry is recognized.
+    pub fn retry_after_s(&mut self, now: Duration, work: f64, fingerprint: u64) -> f64 {
+        self.retry_after.record_rejection(now, fingerprint);
+        let valid = self.threshold.as_ref().filter(|t| now < t.valid_until);
+        let roster_share = 1.0 / self.roster as f64;
+        let retry_capacity = match valid {
+            None => roster_share * MIN_RETRY_SHARE,
+            Some(threshold) => (threshold.retry_capacity.get()
+                / f64::from(threshold.members.max(1)))
+            .max(threshold.capacity.get() * MIN_RETRY_SHARE * roster_share),
         };
-        self.returns.after(now, work, free)
+        self.retry_after.delay_s(now, work, retry_capacity)
     }
 
-    /// Whether an attempt may repeat so much work now; it is counted then.
-    pub fn may_repeat(&mut self, now: Duration, work: f64) -> bool {
-        let may = self.repeats.may(now, work, self.cut.as_ref());
-        self.counts.2 += u32::from(may);
-        may
+    /// Whether an attempt may repeat this much work now; if so it is charged to the retry budget.
+    pub fn may_retry(&mut self, now: Duration, work: f64) -> bool {
+        let allowed = self
+            .retry_budget
+            .try_spend(now, work, self.threshold.as_ref());
+        self.counts.2 += u32::from(allowed);
+        allowed
     }
 
-    /// The answer to something taken has begun.
-    pub fn begun(&mut self, now: Duration, taken: Taken) {
-        self.gone(taken);
-        self.completed.add(now, taken.work);
-        let waited = now.saturating_sub(taken.at).as_secs_f64();
-        self.delay
-            .add(now, taken.work * waited / taken.aim_s.max(1e-3));
-        self.begun.add(now, taken.work);
+    /// The first token of an admitted request was received.
+    pub fn first_token(&mut self, now: Duration, pending: PendingWork) {
+        self.remove_pending(pending);
+        self.completed.add(now, pending.work);
+        let waited_s = now.saturating_sub(pending.admitted_at).as_secs_f64();
+        self.weighted_ttft.add(
+            now,
+            pending.work * waited_s / pending.ttft_objective_s.max(1e-3),
+        );
+        self.ttft_weights.add(now, pending.work);
     }
 
-    /// Something taken has ended without an answer.
-    pub fn gone(&mut self, taken: Taken) {
-        self.out = self.out.saturating_sub(1);
-        self.backlog = if self.out == 0 {
+    /// An admitted request ended or got its first token: its work no longer counts as backlog.
+    pub fn remove_pending(&mut self, pending: PendingWork) {
+        self.pending = self.pending.saturating_sub(1);
+        self.backlog = if self.pending == 0 {
             0.0
         } else {
-            (self.backlog - taken.work).max(0.0)
+            (self.backlog - pending.work).max(0.0)
         };
     }
 
-    /// A host says how many requests wait at it.
-    pub fn reported(&mut self, now: Duration, host: u32, waits: f64) {
-        let fits = self.waits.len() < HOSTS || self.waits.contains_key(&host);
-        if waits.is_finite() && waits >= 0.0 && fits {
-            self.waits.insert(host, (now, waits));
+    /// A server reported the number of requests in its queue.
+    pub fn queue_reported(&mut self, now: Duration, server: u32, queue_length: f64) {
+        let fits =
+            self.queue_lengths.len() < MAX_SERVERS || self.queue_lengths.contains_key(&server);
+        if queue_length.is_finite() && queue_length >= 0.0 && fits {
+            self.queue_lengths.insert(server, (now, queue_length));
         }
     }
 
-    /// What it has seen, where it is time to tell. `hosts`: those that read and take work, by weight.
-    pub fn tell(&mut self, now: Duration, hosts: f64) -> Option<Seen> {
-        if now < self.tell_at {
+    /// The measured load, if it is due. `server_weight` is the total weight of the ready servers that can prefill.
+    pub fn local_load(&mut self, now: Duration, server_weight: f64) -> Option<LocalLoad> {
+        if now < self.load_due_at {
             return None;
         }
-        self.tell_at = now + TELL;
-        self.waits
-            .retain(|_, (at, _)| now.saturating_sub(*at) < REPORT);
-        self.prefixes.retain(|_, at| now.saturating_sub(*at) < READ);
-        let each = if self.out == 0 {
+        self.load_due_at = now + LOAD_INTERVAL;
+        self.queue_lengths
+            .retain(|_, (at, _)| now.saturating_sub(*at) < QUEUE_LENGTH_LIFETIME);
+        self.prefixes
+            .retain(|_, at| now.saturating_sub(*at) < PREFIX_LIFETIME);
+        let mean_request_work = if self.pending == 0 {
             0.0
         } else {
-            self.backlog / f64::from(self.out)
+            self.backlog / f64::from(self.pending)
         };
-        let begun = self.begun.per_s(now);
-        let (fresh, repeats) = self.repeats.sums(now);
-        let (taken_count, refused_count, repeat_count) = std::mem::take(&mut self.counts);
-        Some(Seen {
+        let ttft_weights = self.ttft_weights.per_s(now);
+        let (new_work, retry_work) = self.retry_budget.sums(now);
+        let (admitted_count, rejected_count, retry_count) = std::mem::take(&mut self.counts);
+        Some(LocalLoad {
             demand: self
                 .demand
                 .iter()
                 .map(|d| Millionths::of(d.per_s(now)))
                 .collect(),
-            taken: Millionths::of(self.taken.per_s(now)),
+            admitted: Millionths::of(self.admitted.per_s(now)),
             completed: Millionths::of(self.completed.per_s(now)),
             backlog: Millionths::of(self.backlog),
-            each: Millionths::of(each),
-            waits: Millionths::of(self.waits.values().map(|(_, many)| many * each).sum()),
-            hosts: Millionths::of(hosts),
-            delay: Millionths::of(if begun > 0.0 {
-                self.delay.per_s(now) / begun
+            mean_request_work: Millionths::of(mean_request_work),
+            queued_at_servers: Millionths::of(
+                self.queue_lengths
+                    .values()
+                    .map(|(_, length)| length * mean_request_work)
+                    .sum(),
+            ),
+            server_weight: Millionths::of(server_weight),
+            ttft_ratio: Millionths::of(if ttft_weights > 0.0 {
+                self.weighted_ttft.per_s(now) / ttft_weights
             } else {
                 0.0
             }),
-            fresh: Millionths::of(fresh),
-            repeats: Millionths::of(repeats),
-            refused_count,
-            taken_count,
-            repeat_count,
+            new_work: Millionths::of(new_work),
+            retry_work: Millionths::of(retry_work),
+            rejected_count,
+            admitted_count,
+            retry_count,
         })
     }
 }
--- a/crates/overload/src/io.rs
+++ b/crates/overload/src/io.rs
@@ -1,4 +1,5 @@
-//! What the core tells and is told; recorded.
+//! Settings of overload control, and the commands and events that it exchanges with the dispatcher's core. Commands and events are
+//! recorded as JSON under their serialized names, and later versions have to read them.
 
 use std::time::Duration;
 
@@ -6,15 +7,16 @@
 
 use crate::OverloadError;
 
-/// `[cluster.overload]`; the table switches it on.
+/// The settings table `[cluster.overload]`; overload control is enabled if the table is present.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Tokens of prompts that a host of weight 1 reads in a second, and tokens of answers that one writes. First guesses: what
-    /// hosts complete puts them right.
+    /// Prompt tokens that a server of weight 1 prefills per second. An initial estimate: the capacity is corrected by what servers
+    /// complete.
     pub read_tokens_per_s: f64,
+    /// Output tokens that a server of weight 1 generates per second. An initial estimate like `read_tokens_per_s`.
     pub write_tokens_per_s: f64,
-    /// Share of the shortest aim for a first token that work may wait at hosts.
+    /// Fraction of the shortest time-to-first-token objective for which work may wait at servers.
     pub wait_share: f64,
 }
 
@@ -29,27 +31,30 @@
 }
 
 impl Settings {
+    /// Validates the settings.
+    ///
     /// # Errors
-    /// The first figure that cannot be used.
+    /// Names the first value that is out of range.
     pub fn check(&self) -> Result<(), OverloadError> {
-        let rate = |v: f64| v.is_finite() && (1.0..=1e9).contains(&v);
+        let is_rate = |v: f64| v.is_finite() && (1.0..=1e9).contains(&v);
         match self {
-            s if !rate(s.read_tokens_per_s) || !rate(s.write_tokens_per_s) => {
-                Err(OverloadError::Rate)
+            s if !is_rate(s.read_tokens_per_s) || !is_rate(s.write_tokens_per_s) => {
+                Err(OverloadError::InvalidTokenRate)
             }
-            s if !(0.02..=1.0).contains(&s.wait_share) => Err(OverloadError::WaitShare),
+            s if !(0.02..=1.0).contains(&s.wait_share) => Err(OverloadError::InvalidWaitShare),
             _ => Ok(()),
         }
     }
 }
 
-/// A figure in millionths, so that a record gives back what was there; what is no number, or below 0, is 0.
+/// A non-negative number stored as an integer number of millionths, so that a recorded value is read back exactly. NaN and negative
+/// numbers become 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Millionths(u64);
 
 impl Millionths {
     pub fn of(value: f64) -> Millionths {
-        // A cast holds at its bounds.
+        // A float-to-integer cast saturates at the integer's bounds.
         Millionths((value * 1e6).round() as u64)
     }
 
@@ -66,79 +71,137 @@
     }
 }
 
-/// What the gate has seen of late as a [`crate::Word`] has it, but for the demand's order.
+/// The load that this dispatcher measured lately: the values of its next [`crate::LoadReport`], and counters for the log.
+///
+/// Work is in seconds of a server of weight 1.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
-    /// Work asked by level, a second.
+pub struct LocalLoad {
+    /// Work of all new requests by priority level, admitted or not, per second.
     pub demand: Vec<Millionths>,
-    pub taken: Millionths,
+    /// Work of admitted requests per second.
+    #[serde(rename = "taken")]
+    pub admitted: Millionths,
+    /// Work of requests whose first token was received, per second.
     pub completed: Millionths,
+    /// Work of admitted requests that wait for their first token.
     pub backlog: Millionths,
-    pub each: Millionths,
-    pub waits: Millionths,
-    pub hosts: Millionths,
-    pub delay: Millionths,
-    /// Work in 5 s.
-    pub fresh: Millionths,
-    pub repeats: Millionths,
-    /// Requests since the last word, for the log.
-    pub refused_count: u32,
-    pub taken_count: u32,
-    pub repeat_count: u32,
+    /// Mean work of the requests in `backlog`; 0 without any.
+    #[serde(rename = "each")]
+    pub mean_request_work: Millionths,
+    /// Work queued at servers by their own load reports.
+    #[serde(rename = "waits")]
+    pub queued_at_servers: Millionths,
+    /// Total weight of the ready servers that can prefill.
+    #[serde(rename = "hosts")]
+    pub server_weight: Millionths,
+    /// Mean time to first token as a fraction of its objective, weighted by work.
+    #[serde(rename = "delay")]
+    pub ttft_ratio: Millionths,
+    /// Admitted work of the last 5 s that retries nothing.
+    #[serde(rename = "fresh")]
+    pub new_work: Millionths,
+    /// Work of the last 5 s that was charged to the retry budget.
+    #[serde(rename = "repeats")]
+    pub retry_work: Millionths,
+    /// Requests rejected since the previous measurement, for the log.
+    #[serde(rename = "refused_count")]
+    pub rejected_count: u32,
+    /// Requests admitted since the previous measurement, for the log.
+    #[serde(rename = "taken_count")]
+    pub admitted_count: u32,
+    /// Retries admitted since the previous measurement, for the log.
+    #[serde(rename = "repeat_count")]
+    pub retry_count: u32,
 }
 
-/// By the core.
+/// From the core to overload control.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
-    /// Several times a second.
-    Seen(Seen),
-    /// What a host answered to a probe that this dispatcher was told to send.
-    Probed { host: u32, report: Vec<Millionths> },
-    /// This dispatcher wants a host's report.
-    Probe { host: u32 },
-    /// A host failed here in a row; or answered after it had.
-    Tried { host: u32, well: bool },
+pub enum Command {
+    /// The load measured by this dispatcher, sent several times per second.
+    #[serde(rename = "Seen")]
+    LocalLoad(LocalLoad),
+    /// A server answered a health check that was sent because of [`Event::SendHealthCheck`].
+    #[serde(rename = "Probed")]
+    HealthCheckAnswered {
+        #[serde(rename = "host")]
+        server: u32,
+        report: Vec<Millionths>,
+    },
+    /// This dispatcher needs a current report of a server.
+    #[serde(rename = "Probe")]
+    RequestHealthCheck {
+        #[serde(rename = "host")]
+        server: u32,
+    },
+    /// Consecutive attempts of this dispatcher at a server failed, or a server with limited attempts answered one.
+    #[serde(rename = "Tried")]
+    AttemptEnded {
+        #[serde(rename = "host")]
+        server: u32,
+        #[serde(rename = "well")]
+        succeeded: bool,
+    },
 }
 
-/// What all are to do together, until a time of the own clock.
+/// The admission threshold of the cluster and this dispatcher's part of the shared limits. Times are of the process's own clock, work
+/// is in seconds of a server of weight 1.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Cut {
-    pub until: Duration,
-    /// Requests below this rank are refused; 0 takes all.
+pub struct AdmissionThreshold {
+    /// When the threshold expires.
+    #[serde(rename = "until")]
+    pub valid_until: Duration,
+    /// Requests below this rank of the priority order are rejected; 0 admits all.
     pub rank: Millionths,
-    /// Work a second that the fleet does, and that of it which is left for returns.
+    /// Work that the servers can do for the whole cluster, per second.
     pub capacity: Millionths,
-    pub free: Millionths,
-    /// Work that this dispatcher may have waiting at hosts.
-    pub room: Millionths,
-    /// Fresh work that the fleet took in 5 s.
-    pub fresh: Millionths,
-    /// The share of what all may repeat that is this one's until `part_until`, beside its careful one.
-    pub part: Millionths,
-    pub part_until: Duration,
-    /// Dispatchers that are there, this one among them.
+    /// The part of `capacity` that is reserved for retries of rejected requests, per second.
+    #[serde(rename = "free")]
+    pub retry_capacity: Millionths,
+    /// Work of this dispatcher that may wait at servers for its first token.
+    #[serde(rename = "room")]
+    pub max_backlog: Millionths,
+    /// Work admitted by all dispatchers in the last 5 s that retries nothing.
+    #[serde(rename = "fresh")]
+    pub new_work: Millionths,
+    /// Fraction of the cluster's retry budget that is leased to this dispatcher, on top of its unleased minimum.
+    #[serde(rename = "part")]
+    pub budget_share: Millionths,
+    /// When the lease on `budget_share` expires.
+    #[serde(rename = "part_until")]
+    pub budget_share_until: Duration,
+    /// Number of reachable dispatchers, including this one.
     pub members: u32,
-    /// Whether this one is with the majority.
-    pub together: bool,
+    /// Whether this dispatcher belongs to a majority of the cluster.
+    #[serde(rename = "together")]
+    pub has_quorum: bool,
 }
 
-/// To the core. Times are of the process's clock.
+/// From overload control to the core. Times are of the process's own clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Told {
-    Cut(Cut),
-    /// A host that failed here may have so many attempts of this dispatcher out until then.
-    Trial {
-        host: u32,
-        many: u32,
+pub enum Event {
+    /// Replaces the admission threshold.
+    #[serde(rename = "Cut")]
+    Threshold(AdmissionThreshold),
+    /// Limits this dispatcher's attempts in flight at a server that failed, until a time.
+    #[serde(rename = "Trial")]
+    RecoveryLimit {
+        #[serde(rename = "host")]
+        server: u32,
+        #[serde(rename = "many")]
+        max_in_flight: u32,
         until: Duration,
     },
-    /// Ask this host, for all.
-    Probe {
-        host: u32,
+    /// This dispatcher has to send a health check to a server on behalf of the whole cluster.
+    #[serde(rename = "Probe")]
+    SendHealthCheck {
+        #[serde(rename = "host")]
+        server: u32,
     },
-    /// What a host answered to whoever asked it.
-    Report {
-        host: u32,
+    /// The report with which a server answered a health check of any dispatcher, and its age.
+    #[serde(rename = "Report")]
+    ServerReport {
+        #[serde(rename = "host")]
+        server: u32,
         age: Duration,
         report: Vec<Millionths>,
     },
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -1,13 +1,16 @@
-//! Overload handled by all dispatchers as one, without input or output.
+//! Load shedding coordinated between all dispatchers of a cluster; performs no I/O.
 //!
-//! [`Overload`] runs beside the plane: what this dispatcher saw goes in, sums go round, and the cut, what may be repeated and what
-//! was heard of hosts come out. [`Gate`] stands in the core and judges each request by what it was told last, at the act and by time.
+//! [`OverloadControl`] runs in its own loop beside the dispatcher's main loop. It receives the load that this dispatcher measured,
+//! exchanges load reports with the other dispatchers, and emits the admission threshold, the limits on attempts at failed servers and
+//! the servers' reports. [`AdmissionController`] runs in the main loop and decides on each request by the threshold received last, for
+//! as long as that is valid.
 //!
-//! - [`order`]: one order for all requests; [`cut`]: the rank in it from which on they are taken.
-//! - [`Word`]: what a member says of itself; [`Words`]: the latest of each, and their [`Sums`].
-//! - [`Capacity`]: what the hosts do, from what is completed and what waits.
-//! - [`Probes`]: who asks a host, and to whom its answer goes.
-//! - [`Returns`]: when who is refused may come back; [`Repeats`]: what may be done again.
+//! - [`order`]: the priority order of all requests; [`admission_threshold`]: the rank in it from which on requests are admitted.
+//! - [`LoadReport`]: the load of one dispatcher; [`LoadReports`]: the latest of each, and their [`ClusterTotals`].
+//! - [`CapacityEstimator`]: what the servers can do, estimated from completed and from queued work.
+//! - [`HealthChecks`]: which dispatcher sends a server's health checks, and who receives the result.
+//! - [`RecoveryTrials`]: how many attempts a dispatcher may send to a server that has failed.
+//! - [`RetryAfterSchedule`]: when the client of a rejected request may retry; [`RetryBudget`]: how much work may be retried.
 
 mod capacity;
 mod cut;
@@ -24,17 +27,17 @@
 mod window;
 mod word;
 
-pub use capacity::{Capacity, Takes};
-pub use cut::{below, cut};
+pub use capacity::{AdmissibleLoad, CapacityEstimator};
+pub use cut::{admission_threshold, fraction_below};
 pub use error::OverloadError;
-pub use gate::{Asked, Gate, Taken, Verdict};
-pub use io::{Ask, Cut, Millionths, Seen, Settings, Told};
-pub use machine::Overload;
-pub use order::Spent;
-pub use probes::{asker, Probes, Saying, PROBE_EVERY};
-pub use repeats::Repeats;
-pub use returns::Returns;
-pub use sums::{Sums, Words};
-pub use trials::{Leave, Trials};
-pub use window::{Rate, Span};
-pub use word::{Word, WORD_BYTES};
+pub use gate::{AdmissionController, AdmissionDecision, AdmissionRequest, PendingWork};
+pub use io::{AdmissionThreshold, Command, Event, LocalLoad, Millionths, Settings};
+pub use machine::OverloadControl;
+pub use order::SunkCost;
+pub use probes::{health_check_sender, HealthCheckMessage, HealthChecks, HEALTH_CHECK_INTERVAL};
+pub use repeats::RetryBudget;
+pub use returns::RetryAfterSchedule;
+pub use sums::{ClusterTotals, LoadReports};
+pub use trials::{RecoveryLimit, RecoveryTrials};
+pub use window::{DecayingRate, SlidingSum};
+pub use word::{LoadReport, LOAD_REPORT_BYTES};
--- a/crates/overload/src/machine.rs
+++ b/crates/overload/src/machine.rs
@@ -1,4 +1,5 @@
-//! One member's part: says what its dispatcher sees, hears the others, and tells its dispatcher the cut.
+//! Overload control of one dispatcher: sends its load report, receives those of the others, and computes the admission threshold that
+//! its core applies.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,411 +9,463 @@
     ClusterService, Peers, Process, QuotaLease, ServiceInput, ServiceOutput,
 };
 
-use crate::capacity::{Capacity, Takes};
-use crate::cut::{below, cut};
-use crate::io::{Ask, Cut, Millionths, Seen, Settings, Told};
-use crate::order::{spread, LEVELS};
-use crate::probes::{Do, Probes, Saying};
-use crate::sums::{Sums, Words};
-use crate::trials::{Leave, Trials};
-use crate::{OverloadError, Word};
+use crate::capacity::{AdmissibleLoad, CapacityEstimator};
+use crate::cut::{admission_threshold, fraction_below};
+use crate::io::{AdmissionThreshold, Command, Event, LocalLoad, Millionths, Settings};
+use crate::order::{mix, LEVELS};
+use crate::probes::{Action, HealthCheckMessage, HealthChecks};
+use crate::sums::{ClusterTotals, LoadReports};
+use crate::trials::{RecoveryLimit, RecoveryTrials};
+use crate::{LoadReport, OverloadError};
 
-/// Between two looks at the sums, and two words to the others.
-const BEAT: Duration = Duration::from_millis(200);
-/// How long a cut counts, and how long what the dispatcher told of itself does.
-const COUNTS_FOR: Duration = Duration::from_millis(900);
-/// Others that are told a word at a beat; where there are more, they are drawn anew each time, less often.
-const TOLD_MOST: usize = 16;
-const SAMPLE_BEATS: u32 = 4;
-/// Others that are told of a failed host at once.
-const MAX_PAYLOAD: usize = 64;
-/// Between two lines in the log.
-const LOG: Duration = Duration::from_secs(1);
-/// Weight of the others' mean cut.
-const LEAN: f64 = 0.5;
-/// Of what is done, what returns may take.
-const RETURNS: f64 = 0.1;
+/// Interval between two updates of the threshold, and between two load reports to the other dispatchers.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
+/// How long a threshold is valid, and how long a measurement of the local load counts.
+const LIFETIME: Duration = Duration::from_millis(900);
+/// Number of dispatchers to which a load report is sent. In a larger cluster the recipients are drawn at random for each report, and a
+/// report is sent only every [`SAMPLED_UPDATES`] updates.
+const MAX_RECIPIENTS: usize = 16;
+const SAMPLED_UPDATES: u32 = 4;
+/// Number of dispatchers to which the failure or recovery of a server is reported.
+const MAX_FAILURE_RECIPIENTS: usize = 64;
+/// Interval between two status lines in the log.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// Weight of the other dispatchers' mean threshold in this dispatcher's own.
+const PEER_THRESHOLD_WEIGHT: f64 = 0.5;
+/// Fraction of the capacity that is reserved for retries of rejected requests.
+const RETRY_CAPACITY_SHARE: f64 = 0.1;
 
-/// See the crate's front page.
-pub struct Overload {
+/// Overload control of one dispatcher; see the crate's documentation. Work is in seconds of a server of weight 1.
+pub struct OverloadControl {
     own: Process,
+    /// All dispatchers that the cluster should have.
     roster: BTreeSet<NameKey>,
     settings: Settings,
-    /// Shortest aim for a first token, seconds.
-    aim_s: f64,
-    draws: u64,
-    beat_at: Duration,
-    beats: u32,
-    number: u64,
-    seen: Option<(Duration, Seen)>,
-    words: Words,
-    probes: Probes,
-    trials: Trials,
-    /// Hosts of which the dispatcher was told a leave.
-    on_trial: BTreeSet<u32>,
+    /// The shortest time-to-first-token objective of all request classes, seconds.
+    ttft_objective_s: f64,
+    /// State of the random number generator.
+    random_state: u64,
+    update_at: Duration,
+    /// Number of updates so far.
+    updates: u32,
+    /// Sequence number of the last load report.
+    sequence: u64,
+    /// The latest measurement of the local load, and when it was received.
+    local_load: Option<(Duration, LocalLoad)>,
+    reports: LoadReports,
+    health_checks: HealthChecks,
+    trials: RecoveryTrials,
+    /// Servers for which the core was sent a limit.
+    limited_servers: BTreeSet<u32>,
     peers: Option<Peers>,
-    capacity: Capacity,
+    capacity: CapacityEstimator,
+    /// This dispatcher's threshold: requests below this rank are rejected.
     rank: f64,
-    named: BTreeSet<NameKey>,
-    /// Datagrams that were dropped, by cause; told in the log.
+    /// Dispatchers whose outliers are already logged.
+    logged_outliers: BTreeSet<NameKey>,
+    /// Number of datagrams dropped since the last status line, by cause.
     dropped: BTreeMap<OverloadError, u32>,
     log_at: Duration,
+    /// Admitted, rejected and retried requests since the last status line.
     counts: (u32, u32, u32),
 }
 
-impl Overload {
-    /// `aim_s`: the shortest aim of all classes for a first token.
+impl OverloadControl {
+    /// `ttft_objective_s` is the shortest time-to-first-token objective of all request classes, seconds.
     pub fn new(
         own: Process,
         roster: BTreeSet<NameKey>,
         settings: Settings,
-        aim_s: f64,
+        ttft_objective_s: f64,
         seed: u64,
         now: Duration,
-    ) -> Overload {
-        Overload {
+    ) -> OverloadControl {
+        OverloadControl {
             own,
             roster,
             settings,
-            aim_s: if aim_s.is_finite() {
-                aim_s.clamp(0.05, 60.0)
+            ttft_objective_s: if ttft_objective_s.is_finite() {
+                ttft_objective_s.clamp(0.05, 60.0)
             } else {
                 1.0
             },
-            draws: seed,
-            beat_at: now,
-            beats: 0,
-            number: 0,
-            seen: None,
-            words: Words::default(),
-            probes: Probes::new(own.name),
-            trials: Trials::new(own.name),
-            on_trial: BTreeSet::new(),
+            random_state: seed,
+            update_at: now,
+            updates: 0,
+            sequence: 0,
+            local_load: None,
+            reports: LoadReports::default(),
+            health_checks: HealthChecks::new(own.name),
+            trials: RecoveryTrials::new(own.name),
+            limited_servers: BTreeSet::new(),
             peers: None,
-            capacity: Capacity::default(),
+            capacity: CapacityEstimator::default(),
             rank: 0.0,
-            named: BTreeSet::new(),
+            logged_outliers: BTreeSet::new(),
             dropped: BTreeMap::new(),
-            log_at: now + LOG,
+            log_at: now + LOG_INTERVAL,
             counts: (0, 0, 0),
         }
     }
 
-    /// Who is there as far as that counts now.
+    /// The reachable dispatchers, if that knowledge is still valid.
     fn peers(&self, now: Duration) -> Option<&Peers> {
         self.peers.as_ref().filter(|p| now < p.valid_until)
     }
 
-    fn together(&self, now: Duration) -> bool {
+    /// Whether this dispatcher belongs to a majority of the cluster.
+    fn has_quorum(&self, now: Duration) -> bool {
         let majority = |p: &Peers| matches!(p.quorum, QuorumState::Whole | QuorumState::Majority);
         self.peers(now).is_some_and(majority)
     }
 
-    fn drop_word(&mut self, why: OverloadError) {
-        let many = self.dropped.entry(why).or_default();
-        *many = many.saturating_add(1);
+    fn count_dropped(&mut self, cause: OverloadError) {
+        let count = self.dropped.entry(cause).or_default();
+        *count = count.saturating_add(1);
     }
 
-    fn hear(
+    /// Handles a datagram from another dispatcher on the roster.
+    fn receive(
         &mut self,
         now: Duration,
         from: Process,
-        said: &[u8],
-        out: &mut Vec<ServiceOutput<Told>>,
+        payload: &[u8],
+        out: &mut Vec<ServiceOutput<Event>>,
     ) {
         if from.name == self.own.name || !self.roster.contains(&from.name) {
             return;
         }
-        match Word::read(said) {
-            Ok(word) => return self.words.hear(now, from, word),
-            Err(OverloadError::OtherVersion) => {}
-            Err(why) => return self.drop_word(why),
+        match LoadReport::read(payload) {
+            Ok(report) => return self.reports.receive(now, from, report),
+            Err(OverloadError::UnsupportedVersion) => {}
+            Err(cause) => return self.count_dropped(cause),
         }
-        match Saying::read(said) {
-            Ok(Saying::Failed(host)) => self.trials.heard(now, from.name, host, true),
-            Ok(Saying::Well(host)) => self.trials.heard(now, from.name, host, false),
-            Ok(saying) => {
-                let mut done = Vec::new();
-                self.probes.hear(now, from.name, saying, &mut done);
-                carry(done, out);
+        match HealthCheckMessage::read(payload) {
+            Ok(HealthCheckMessage::Failed(server)) => {
+                self.trials.peer_reported(now, from.name, server, true)
             }
-            Err(why) => self.drop_word(why),
+            Ok(HealthCheckMessage::Recovered(server)) => {
+                self.trials.peer_reported(now, from.name, server, false)
+            }
+            Ok(message) => {
+                let mut actions = Vec::new();
+                self.health_checks
+                    .receive(now, from.name, message, &mut actions);
+                push_actions(actions, out);
+            }
+            Err(cause) => self.count_dropped(cause),
         }
     }
 
-    fn asked(&mut self, now: Duration, ask: Ask, out: &mut Vec<ServiceOutput<Told>>) {
-        match ask {
-            Ask::Seen(seen) => {
-                self.counts.0 = self.counts.0.saturating_add(seen.taken_count);
-                self.counts.1 = self.counts.1.saturating_add(seen.refused_count);
-                self.counts.2 = self.counts.2.saturating_add(seen.repeat_count);
-                self.seen = Some((now, seen));
+    /// Handles a command from this dispatcher's core.
+    fn on_command(&mut self, now: Duration, command: Command, out: &mut Vec<ServiceOutput<Event>>) {
+        match command {
+            Command::LocalLoad(load) => {
+                self.counts.0 = self.counts.0.saturating_add(load.admitted_count);
+                self.counts.1 = self.counts.1.saturating_add(load.rejected_count);
+                self.counts.2 = self.counts.2.saturating_add(load.retry_count);
+                self.local_load = Some((now, load));
             }
-            Ask::Probe { host } => {
+            Command::RequestHealthCheck { server } => {
                 let others = self.peers(now).map(|p| p.present.clone());
-                let mut done = Vec::new();
-                self.probes
-                    .want(now, host, others.as_deref(), self.roster.len(), &mut done);
-                carry(done, out);
+                let mut actions = Vec::new();
+                self.health_checks.request(
+                    now,
+                    server,
+                    others.as_deref(),
+                    self.roster.len(),
+                    &mut actions,
+                );
+                push_actions(actions, out);
             }
-            Ask::Tried { host, well } => {
-                let saying = if well {
-                    self.trials.answered(host)
+            Command::AttemptEnded { server, succeeded } => {
+                let message = if succeeded {
+                    self.trials.answered(server)
                 } else {
-                    self.trials.failed(now, host)
+                    self.trials.failed(now, server)
                 };
                 let to = self
                     .peers(now)
                     .map(|p| p.present.clone())
                     .unwrap_or_default();
-                // As many as hear a word at a time; of many members a sample, as the rest hear of it from their own attempts.
-                if let Some(bytes) = saying.map(|s| s.write()) {
+                // In a large cluster only a sample is notified; the rest learn of the failure by their own attempts.
+                if let Some(bytes) = message.map(|m| m.write()) {
                     out.extend(
                         to.into_iter()
-                            .take(MAX_PAYLOAD)
+                            .take(MAX_FAILURE_RECIPIENTS)
                             .map(|n| ServiceOutput::SendDatagram(n, bytes.clone())),
                     );
                 }
-                self.tell_trials(now, out);
+                self.emit_recovery_limits(now, out);
             }
-            Ask::Probed { host, report } => {
-                let mut done = Vec::new();
-                self.probes.answered(now, host, report, &mut done);
-                carry(done, out);
+            Command::HealthCheckAnswered { server, report } => {
+                let mut actions = Vec::new();
+                self.health_checks
+                    .answered(now, server, report, &mut actions);
+                push_actions(actions, out);
             }
         }
     }
 
-    /// Tells what may be tried, and of what is as any other again.
-    fn tell_trials(&mut self, now: Duration, out: &mut Vec<ServiceOutput<Told>>) {
+    /// Sends the core the limits for failed servers, and for each server that is no longer limited a limit that has expired.
+    fn emit_recovery_limits(&mut self, now: Duration, out: &mut Vec<ServiceOutput<Event>>) {
         let others = self.peers(now).map(|p| p.present.clone());
-        let leaves = self.trials.leaves(now, others.as_deref());
-        let hosts: BTreeSet<u32> = leaves.iter().map(|l| l.host).collect();
-        let well = self.on_trial.difference(&hosts).map(|host| Told::Trial {
-            host: *host,
-            many: 0,
-            until: now,
-        });
-        out.extend(well.map(ServiceOutput::Event));
-        let trial = |l: Leave| {
-            ServiceOutput::Event(Told::Trial {
-                host: l.host,
-                many: l.many,
+        let limits = self.trials.limits(now, others.as_deref());
+        let servers: BTreeSet<u32> = limits.iter().map(|l| l.server).collect();
+        let released =
+            self.limited_servers
+                .difference(&servers)
+                .map(|server| Event::RecoveryLimit {
+                    server: *server,
+                    max_in_flight: 0,
+                    until: now,
+                });
+        out.extend(released.map(ServiceOutput::Event));
+        let limit_event = |l: RecoveryLimit| {
+            ServiceOutput::Event(Event::RecoveryLimit {
+                server: l.server,
+                max_in_flight: l.max_in_flight,
                 until: l.until,
             })
         };
-        out.extend(leaves.into_iter().map(trial));
-        self.on_trial = hosts;
+        out.extend(limits.into_iter().map(limit_event));
+        self.limited_servers = servers;
     }
 
-    /// The own word. What the dispatcher told too long ago is nothing: it stands still, and takes nothing.
-    fn word(&mut self, now: Duration, capacity: f64) -> Word {
-        self.number += 1;
-        let fresh = self
-            .seen
+    /// This dispatcher's load report. If the last measurement is too old, the core is stalled and admits nothing: the report contains
+    /// no load then.
+    fn load_report(&mut self, now: Duration, capacity: f64) -> LoadReport {
+        self.sequence += 1;
+        let current = self
+            .local_load
             .as_ref()
-            .filter(|(at, _)| now.saturating_sub(*at) < COUNTS_FOR);
-        let seen = fresh.map(|(_, seen)| seen.clone()).unwrap_or_default();
-        Word {
-            number: self.number,
-            demand: seen.demand.iter().map(|d| d.get()).collect(),
-            taken: seen.taken.get(),
-            completed: seen.completed.get(),
-            backlog: seen.backlog.get(),
-            each: seen.each.get(),
-            waits: seen.waits.get(),
-            hosts: seen.hosts.get(),
-            delay: seen.delay.get(),
-            fresh: seen.fresh.get(),
-            repeats: seen.repeats.get(),
-            cut: self.rank,
+            .filter(|(at, _)| now.saturating_sub(*at) < LIFETIME);
+        let load = current.map(|(_, load)| load.clone()).unwrap_or_default();
+        LoadReport {
+            sequence: self.sequence,
+            demand: load.demand.iter().map(|d| d.get()).collect(),
+            admitted: load.admitted.get(),
+            completed: load.completed.get(),
+            backlog: load.backlog.get(),
+            mean_request_work: load.mean_request_work.get(),
+            queued_at_servers: load.queued_at_servers.get(),
+            server_weight: load.server_weight.get(),
+            ttft_ratio: load.ttft_ratio.get(),
+            new_work: load.new_work.get(),
+            retry_work: load.retry_work.get(),
+            threshold: self.rank,
             capacity,
         }
     }
 
-    /// Says the own word to all, or to some drawn anew where they are many.
-    fn say(&mut self, now: Duration, word: &Word, out: &mut Vec<ServiceOutput<Told>>) {
+    /// Sends the load report to all reachable dispatchers, or to a random sample of them in a large cluster.
+    fn send_report(
+        &mut self,
+        now: Duration,
+        report: &LoadReport,
+        out: &mut Vec<ServiceOutput<Event>>,
+    ) {
         let Some(peers) = self.peers(now) else { return };
         let mut to = peers.present.clone();
-        if to.len() > TOLD_MOST {
-            if !self.beats.is_multiple_of(SAMPLE_BEATS) {
+        if to.len() > MAX_RECIPIENTS {
+            if !self.updates.is_multiple_of(SAMPLED_UPDATES) {
                 return;
             }
-            for i in 0..TOLD_MOST {
-                self.draws = self.draws.wrapping_add(1);
+            for i in 0..MAX_RECIPIENTS {
+                self.random_state = self.random_state.wrapping_add(1);
                 let left = to.len() - i;
-                to.swap(i, i + (spread(self.draws) % left as u64) as usize);
+                to.swap(i, i + (mix(self.random_state) % left as u64) as usize);
             }
-            to.truncate(TOLD_MOST);
+            to.truncate(MAX_RECIPIENTS);
         }
-        let bytes = word.write();
+        let bytes = report.write();
         out.extend(
             to.into_iter()
                 .map(|name| ServiceOutput::SendDatagram(name, bytes.clone())),
         );
     }
 
-    fn beat(&mut self, now: Duration, out: &mut Vec<ServiceOutput<Told>>) {
-        self.beat_at = now + BEAT;
-        self.beats = self.beats.wrapping_add(1);
-        let Some(known) = self.seen.as_ref() else {
+    /// Updates the threshold from all load reports, sends this dispatcher's report, and logs the state when that is due.
+    fn update(&mut self, now: Duration, out: &mut Vec<ServiceOutput<Event>>) {
+        self.update_at = now + UPDATE_INTERVAL;
+        self.updates = self.updates.wrapping_add(1);
+        let Some(last_load) = self.local_load.as_ref() else {
             return;
         };
-        let stale = now.saturating_sub(known.0) >= COUNTS_FOR;
-        self.words.forget(now);
-        self.probes.forget(now);
-        self.tell_trials(now, out);
-        let there = self.peers(now).map_or(0, |p| p.present.len());
-        let together = self.together(now);
-        let word = self.word(now, self.capacity.per_s());
-        let sampled = (there > TOLD_MOST).then_some(there + 1);
-        let sums = self.words.sums(now, &word, sampled);
-        // Cut off it goes by the part of the hosts that is its own whatever the others do.
-        let share = if together {
+        let stale = now.saturating_sub(last_load.0) >= LIFETIME;
+        self.reports.remove_expired(now);
+        self.health_checks.remove_expired(now);
+        self.emit_recovery_limits(now, out);
+        let reachable = self.peers(now).map_or(0, |p| p.present.len());
+        let has_quorum = self.has_quorum(now);
+        let report = self.load_report(now, self.capacity.per_s());
+        let cluster_size = (reachable > MAX_RECIPIENTS).then_some(reachable + 1);
+        let totals = self.reports.totals(now, &report, cluster_size);
+        // Without a quorum these dispatchers use only their part of the servers' capacity, which is safe whatever the others do.
+        let share = if has_quorum {
             1.0
         } else {
-            sums.members / self.roster.len().max(1) as f64
+            totals.members / self.roster.len().max(1) as f64
         };
-        let wait_s = self.settings.wait_share * self.aim_s;
-        let takes = self.capacity.look(now, &sums, wait_s, share.min(1.0));
-        let admits = if together {
-            takes.admits
+        let wait_s = self.settings.wait_share * self.ttft_objective_s;
+        let admissible = self.capacity.update(now, &totals, wait_s, share.min(1.0));
+        let admit_rate = if has_quorum {
+            admissible.admit_rate
         } else {
-            takes.admits.min(takes.capacity)
+            admissible.admit_rate.min(admissible.capacity)
         };
-        let own = cut(&sums.demand, admits);
+        let own = admission_threshold(&totals.demand, admit_rate);
         self.rank = own
-            + LEAN * (sums.cut.min(LEVELS as f64) - own) * f64::from(u8::from(sums.members > 1.0));
+            + PEER_THRESHOLD_WEIGHT
+                * (totals.threshold.min(LEVELS as f64) - own)
+                * f64::from(u8::from(totals.members > 1.0));
         if own == 0.0 && self.rank < 0.5 {
             self.rank = 0.0;
         }
-        let said = Word {
-            cut: self.rank,
-            capacity: takes.capacity,
-            ..word
+        let sent = LoadReport {
+            threshold: self.rank,
+            capacity: admissible.capacity,
+            ..report
         };
-        self.say(now, &said, out);
+        self.send_report(now, &sent, out);
         if !stale {
-            out.push(ServiceOutput::Event(Told::Cut(self.told(
+            out.push(ServiceOutput::Event(Event::Threshold(self.threshold(
                 now,
-                &sums,
-                &said,
-                takes,
-                there + 1,
+                &totals,
+                &sent,
+                admissible,
+                reachable + 1,
             ))));
         }
-        self.name(&sums, out);
-        self.log(now, &sums, takes, out);
+        self.log_outliers(&totals, out);
+        self.log_status(now, &totals, admissible, out);
     }
 
-    fn told(&self, now: Duration, sums: &Sums, own: &Word, takes: Takes, members: usize) -> Cut {
-        let part = self.peers(now).map_or(QuotaLease::default(), |p| p.lease);
-        // What may wait is divided as demand is, in part: a burst at one must not find it without room.
-        let even = 1.0 / members as f64;
-        let asked = if sums.asked() > 0.0 {
-            own.asked() / sums.asked()
+    /// The threshold for the core, with this dispatcher's part of the cluster's limits.
+    fn threshold(
+        &self,
+        now: Duration,
+        totals: &ClusterTotals,
+        own: &LoadReport,
+        admissible: AdmissibleLoad,
+        members: usize,
+    ) -> AdmissionThreshold {
+        let lease = self.peers(now).map_or(QuotaLease::default(), |p| p.lease);
+        // The admissible backlog is divided half evenly and half by demand, so that a dispatcher without demand can take a burst.
+        let even_share = 1.0 / members as f64;
+        let demand_share = if totals.total_demand() > 0.0 {
+            own.total_demand() / totals.total_demand()
         } else {
-            even
+            even_share
         };
-        Cut {
-            until: now + COUNTS_FOR,
+        AdmissionThreshold {
+            valid_until: now + LIFETIME,
             rank: Millionths::of(self.rank),
-            capacity: Millionths::of(takes.capacity),
-            free: Millionths::of(RETURNS * takes.capacity),
-            room: Millionths::of(2.0 * takes.room * (0.5 * even + 0.5 * asked).max(0.5 * even)),
-            fresh: Millionths::of(sums.fresh),
-            part: Millionths::of(part.leased),
-            part_until: part.until,
+            capacity: Millionths::of(admissible.capacity),
+            retry_capacity: Millionths::of(RETRY_CAPACITY_SHARE * admissible.capacity),
+            max_backlog: Millionths::of(
+                2.0 * admissible.max_backlog
+                    * (0.5 * even_share + 0.5 * demand_share).max(0.5 * even_share),
+            ),
+            new_work: Millionths::of(totals.new_work),
+            budget_share: Millionths::of(lease.leased),
+            budget_share_until: lease.until,
             members: members as u32,
-            together: self.together(now),
+            has_quorum: self.has_quorum(now),
         }
     }
 
-    /// A line for each member whose figures are bounded, when it begins.
-    fn name(&mut self, sums: &Sums, out: &mut Vec<ServiceOutput<Told>>) {
-        for name in sums.nonsense.difference(&self.named) {
-            let why = OverloadError::Nonsense;
+    /// Logs each dispatcher whose figures are outliers, once until they are normal again.
+    fn log_outliers(&mut self, totals: &ClusterTotals, out: &mut Vec<ServiceOutput<Event>>) {
+        for name in totals.outliers.difference(&self.logged_outliers) {
+            let error = OverloadError::Outlier;
             let text = format!(
-                "overload: nonsense from={:08x} {why}; {}",
+                "overload: nonsense from={:08x} {error}; {}",
                 name.0,
-                why.advice()
+                error.advice()
             );
             out.push(ServiceOutput::Log { warn: true, text });
         }
-        self.named = sums.nonsense.clone();
+        self.logged_outliers = totals.outliers.clone();
     }
 
-    fn log(
+    /// Logs the status line and the number of dropped datagrams, if that is due. Operators read the fields of these lines by name.
+    fn log_status(
         &mut self,
         now: Duration,
-        sums: &Sums,
-        takes: Takes,
-        out: &mut Vec<ServiceOutput<Told>>,
+        totals: &ClusterTotals,
+        admissible: AdmissibleLoad,
+        out: &mut Vec<ServiceOutput<Event>>,
     ) {
         if now < self.log_at {
             return;
         }
-        self.log_at = now + LOG;
-        let (taken, refused, repeats) = std::mem::take(&mut self.counts);
+        self.log_at = now + LOG_INTERVAL;
+        let (admitted, rejected, retried) = std::mem::take(&mut self.counts);
         let text = format!(
-            "overload: cut={:.3} rank={:.2} demand={:.2} capacity={:.2} waits={:.2} delay={:.2} refused={refused} taken={taken} \
-             repeats={repeats} known={:.1} together={}",
-            below(&sums.demand, self.rank),
+            "overload: cut={:.3} rank={:.2} demand={:.2} capacity={:.2} waits={:.2} delay={:.2} refused={rejected} taken={admitted} \
+             repeats={retried} known={:.1} together={}",
+            fraction_below(&totals.demand, self.rank),
             self.rank,
-            sums.asked(),
-            takes.capacity,
-            sums.backlog,
-            sums.delay,
-            sums.members,
-            self.together(now),
+            totals.total_demand(),
+            admissible.capacity,
+            totals.backlog,
+            totals.ttft_ratio,
+            totals.members,
+            self.has_quorum(now),
         );
         out.push(ServiceOutput::Log { warn: false, text });
-        for (why, many) in std::mem::take(&mut self.dropped) {
-            let text = format!("overload: dropped={many} {why}; {}", why.advice());
+        for (cause, count) in std::mem::take(&mut self.dropped) {
+            let text = format!("overload: dropped={count} {cause}; {}", cause.advice());
             out.push(ServiceOutput::Log { warn: true, text });
         }
     }
 }
 
-/// What is to be done for probes, as the loop is told it.
-fn carry(done: Vec<Do>, out: &mut Vec<ServiceOutput<Told>>) {
-    out.extend(done.into_iter().map(|what| match what {
-        Do::Probe(host) => ServiceOutput::Event(Told::Probe { host }),
-        Do::Tell { host, age, report } => ServiceOutput::Event(Told::Report { host, age, report }),
-        Do::Say(to, saying) => ServiceOutput::SendDatagram(to, saying.write()),
+/// Converts the actions of the health checks to outputs.
+fn push_actions(actions: Vec<Action>, out: &mut Vec<ServiceOutput<Event>>) {
+    out.extend(actions.into_iter().map(|action| match action {
+        Action::SendHealthCheck(server) => ServiceOutput::Event(Event::SendHealthCheck { server }),
+        Action::DeliverReport {
+            server,
+            age,
+            report,
+        } => ServiceOutput::Event(Event::ServerReport {
+            server,
+            age,
+            report,
+        }),
+        Action::SendMessage(to, message) => ServiceOutput::SendDatagram(to, message.write()),
     }));
 }
 
-impl ClusterService for Overload {
+impl ClusterService for OverloadControl {
     const TOPIC: Topic = Topic::Overload;
-    type Request = Ask;
-    type Event = Told;
+    type Request = Command;
+    type Event = Event;
 
     fn wake_at(&self) -> Option<Duration> {
-        Some(self.beat_at)
+        Some(self.update_at)
     }
 
     fn step(
         &mut self,
         now: Duration,
-        given: ServiceInput<Ask>,
-        out: &mut Vec<ServiceOutput<Told>>,
+        input: ServiceInput<Command>,
+        out: &mut Vec<ServiceOutput<Event>>,
     ) {
-        match given {
-            ServiceInput::Datagram {
-                from,
-                payload: said,
-            } => self.hear(now, from, &said, out),
+        match input {
+            ServiceInput::Datagram { from, payload } => self.receive(now, from, &payload, out),
             ServiceInput::Peers(peers) => self.peers = Some(peers),
-            ServiceInput::Request(ask) => self.asked(now, ask, out),
+            ServiceInput::Request(command) => self.on_command(now, command, out),
             ServiceInput::Wake
             | ServiceInput::Frame { .. }
             | ServiceInput::Loaded(_)
             | ServiceInput::Persisted { .. }
             | ServiceInput::Leave => {}
         }
-        if now >= self.beat_at {
-            self.beat(now, out);
+        if now >= self.update_at {
+            self.update(now, out);
         }
     }
 }
--- a/crates/overload/src/probes.rs
+++ b/crates/overload/src/probes.rs
@@ -1,279 +1,330 @@
-//! Probes of all as one: who asks a host is the same for all, so that a host is asked as often whatever the number of dispatchers.
+//! Health checks that the dispatchers share. All dispatchers agree on which of them sends the health checks of a server, so that the
+//! number of health checks a server receives doesn't grow with the number of dispatchers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
 
-use crate::order::spread;
+use crate::order::mix;
 use crate::{Millionths, OverloadError};
 
-/// Between two probes of a host by all together; an answer younger than that is passed on instead.
-pub const PROBE_EVERY: Duration = Duration::from_millis(250);
-/// How long who wanted an answer waits for it.
-const WAITS: Duration = Duration::from_millis(900);
-/// Hosts that are kept, those that want an answer of one, and figures in a report. What is past a bound gets no answer.
-const HOSTS: usize = 4096;
-const WANTERS: usize = 320;
-const FIGURES: usize = 16;
+/// Interval between two health checks of a server by the whole cluster. A report that is younger is reused instead.
+pub const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How long a dispatcher waits for a report that it requested.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
+/// Number of servers that are tracked; requests for others get no reply.
+const MAX_SERVERS: usize = 4096;
+/// Number of dispatchers that can wait for the report of one server; further ones get no reply.
+const MAX_WAITING: usize = 320;
+/// Number of values in a server's report; further ones are cut off when it is sent.
+const MAX_REPORT_VALUES: usize = 16;
 
-/// What members say to each other of probes. The first byte of each is a version, apart from those of words.
+/// The messages that dispatchers send each other about servers. The first byte is the type; types are distinct from the version numbers
+/// of load reports, which share the channel.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Saying {
-    /// Wants a host's report.
-    Want(u32),
-    /// Saw a host fail, and found it well again.
+pub enum HealthCheckMessage {
+    /// Requests a server's report.
+    Request(u32),
+    /// The sender saw this server fail.
     Failed(u32),
-    Well(u32),
-    /// A host's report, and its age.
+    /// The sender saw this server recover after a failure.
+    Recovered(u32),
+    /// A server's report, and its age.
     Report {
-        host: u32,
+        server: u32,
         age_ms: u16,
         report: Vec<Millionths>,
     },
 }
 
-const WANT: u8 = 2;
+const REQUEST: u8 = 2;
 const REPORT: u8 = 3;
 const FAILED: u8 = 4;
-const WELL: u8 = 5;
+const RECOVERED: u8 = 5;
 
-impl Saying {
+impl HealthCheckMessage {
     pub fn write(&self) -> Vec<u8> {
         match self {
-            Saying::Want(host) => [&[WANT], &host.to_le_bytes()[..]].concat(),
-            Saying::Failed(host) => [&[FAILED], &host.to_le_bytes()[..]].concat(),
-            Saying::Well(host) => [&[WELL], &host.to_le_bytes()[..]].concat(),
-            Saying::Report {
-                host,
+            HealthCheckMessage::Request(server) => [&[REQUEST], &server.to_le_bytes()[..]].concat(),
+            HealthCheckMessage::Failed(server) => [&[FAILED], &server.to_le_bytes()[..]].concat(),
+            HealthCheckMessage::Recovered(server) => {
+                [&[RECOVERED], &server.to_le_bytes()[..]].concat()
+            }
+            HealthCheckMessage::Report {
+                server,
                 age_ms,
                 report,
             } => {
                 let mut bytes =
-                    [&[REPORT], &host.to_le_bytes()[..], &age_ms.to_le_bytes()].concat();
+                    [&[REPORT], &server.to_le_bytes()[..], &age_ms.to_le_bytes()].concat();
                 report
                     .iter()
-                    .take(FIGURES)
-                    .for_each(|f| bytes.extend(f.raw().to_le_bytes()));
+                    .take(MAX_REPORT_VALUES)
+                    .for_each(|v| bytes.extend(v.raw().to_le_bytes()));
                 bytes
             }
         }
     }
 
+    /// Decodes a message.
+    ///
     /// # Errors
-    /// Where it is neither.
-    pub fn read(bytes: &[u8]) -> Result<Saying, OverloadError> {
-        let host = |bytes: &[u8]| {
+    /// If the type is unknown or the length does not fit it.
+    pub fn read(bytes: &[u8]) -> Result<HealthCheckMessage, OverloadError> {
+        let server = |bytes: &[u8]| {
             bytes
                 .get(1..5)
                 .and_then(|b| b.try_into().ok())
                 .map(u32::from_le_bytes)
         };
-        let host = host(bytes).ok_or(OverloadError::Unreadable)?;
+        let server = server(bytes).ok_or(OverloadError::Malformed)?;
         match (bytes[0], &bytes[5..]) {
-            (WANT, []) => Ok(Saying::Want(host)),
-            (FAILED, []) => Ok(Saying::Failed(host)),
-            (WELL, []) => Ok(Saying::Well(host)),
-            (REPORT, [a, b, rest @ ..]) if rest.len() % 8 == 0 && rest.len() <= 8 * FIGURES => {
-                let figure = |b: &[u8]| {
+            (REQUEST, []) => Ok(HealthCheckMessage::Request(server)),
+            (FAILED, []) => Ok(HealthCheckMessage::Failed(server)),
+            (RECOVERED, []) => Ok(HealthCheckMessage::Recovered(server)),
+            (REPORT, [a, b, rest @ ..])
+                if rest.len() % 8 == 0 && rest.len() <= 8 * MAX_REPORT_VALUES =>
+            {
+                let value = |b: &[u8]| {
                     let mut raw = [0; 8];
                     raw.copy_from_slice(b);
                     Millionths::from_raw(u64::from_le_bytes(raw))
                 };
-                let report = rest.chunks_exact(8).map(figure).collect();
-                Ok(Saying::Report {
-                    host,
+                let report = rest.chunks_exact(8).map(value).collect();
+                Ok(HealthCheckMessage::Report {
+                    server,
                     age_ms: u16::from_le_bytes([*a, *b]),
                     report,
                 })
             }
-            (WANT | REPORT | FAILED | WELL, _) => Err(OverloadError::Unreadable),
-            _ => Err(OverloadError::OtherVersion),
+            (REQUEST | REPORT | FAILED | RECOVERED, _) => Err(OverloadError::Malformed),
+            _ => Err(OverloadError::UnsupportedVersion),
         }
     }
 }
 
-/// Who asks a host, of those that are there (rendezvous hashing, Thaler and Ravishankar 1998).
-pub fn asker(host: u32, members: impl Iterator<Item = NameKey>) -> Option<NameKey> {
-    members.max_by_key(|m| (spread(u64::from(host) << 32 | u64::from(m.0)), *m))
+/// The dispatcher of `members` that sends a server's health checks, by rendezvous hashing (Thaler and Ravishankar 1998).
+pub fn health_check_sender(server: u32, members: impl Iterator<Item = NameKey>) -> Option<NameKey> {
+    members.max_by_key(|m| (mix(u64::from(server) << 32 | u64::from(m.0)), *m))
 }
 
+/// The health checks of one server.
 #[derive(Debug, Default)]
-struct Known {
-    asked: Option<Duration>,
-    /// When the host answered, by the own clock, and what.
+struct ServerState {
+    /// When this dispatcher last sent a health check.
+    sent_at: Option<Duration>,
+    /// The server's latest report, and when the server sent it by this process's clock.
     report: Option<(Duration, Vec<Millionths>)>,
-    wanters: BTreeSet<NameKey>,
-    /// The own dispatcher wants it since then.
-    wanted: Option<Duration>,
+    /// Other dispatchers that wait for the next report.
+    waiting: BTreeSet<NameKey>,
+    /// When this dispatcher's core last requested a report that it has not received yet.
+    requested_at: Option<Duration>,
 }
 
-/// What there is to do.
+/// What the caller of [`HealthChecks`] has to carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Do {
-    /// The own dispatcher sends a probe.
-    Probe(u32),
-    /// It is told of an answer.
-    Tell {
-        host: u32,
+pub enum Action {
+    /// Send a health check to this server.
+    SendHealthCheck(u32),
+    /// Pass a server's report to this dispatcher's core.
+    DeliverReport {
+        server: u32,
         age: Duration,
         report: Vec<Millionths>,
     },
-    Say(NameKey, Saying),
+    /// Send a message to another dispatcher.
+    SendMessage(NameKey, HealthCheckMessage),
 }
 
-/// Probes wanted, asked and answered.
+/// The requested, sent and answered health checks of all servers.
 #[derive(Debug)]
-pub struct Probes {
+pub struct HealthChecks {
     own: NameKey,
-    known: BTreeMap<u32, Known>,
+    servers: BTreeMap<u32, ServerState>,
 }
 
-impl Probes {
-    pub fn new(own: NameKey) -> Probes {
-        Probes {
+impl HealthChecks {
+    pub fn new(own: NameKey) -> HealthChecks {
+        HealthChecks {
             own,
-            known: BTreeMap::new(),
+            servers: BTreeMap::new(),
         }
     }
 
-    fn entry(&mut self, host: u32) -> Option<&mut Known> {
-        let fits = self.known.len() < HOSTS || self.known.contains_key(&host);
-        fits.then(|| self.known.entry(host).or_default())
+    /// The state of a server, created if there is none; `None` if too many servers are tracked.
+    fn entry(&mut self, server: u32) -> Option<&mut ServerState> {
+        let fits = self.servers.len() < MAX_SERVERS || self.servers.contains_key(&server);
+        fits.then(|| self.servers.entry(server).or_default())
     }
 
-    fn fresh(known: &Known, now: Duration) -> Option<(Duration, Vec<Millionths>)> {
-        let (at, report) = known.report.as_ref()?;
+    /// The server's latest report and its age, if it is young enough to be reused.
+    fn recent_report(state: &ServerState, now: Duration) -> Option<(Duration, Vec<Millionths>)> {
+        let (at, report) = state.report.as_ref()?;
         let age = now.saturating_sub(*at);
-        (age < PROBE_EVERY).then(|| (age, report.clone()))
+        (age < HEALTH_CHECK_INTERVAL).then(|| (age, report.clone()))
     }
 
-    /// The own dispatcher wants a report. `others`: those that are there; where nobody is known to be, it asks itself, as often as
-    /// each of a roster of so many may.
-    pub fn want(
+    /// This dispatcher's core requests a server's report. `others` are the reachable dispatchers; if they are not known, this
+    /// dispatcher sends the health checks itself, at an interval longer by the size of the roster, so that a cluster whose members all
+    /// do so sends no more of them.
+    pub fn request(
         &mut self,
         now: Duration,
-        host: u32,
+        server: u32,
         others: Option<&[NameKey]>,
         roster: usize,
-        out: &mut Vec<Do>,
+        out: &mut Vec<Action>,
     ) {
         let own = self.own;
-        let Some(known) = self.entry(host) else {
+        let Some(state) = self.entry(server) else {
             return;
         };
-        if let Some((age, report)) = Self::fresh(known, now) {
-            return out.push(Do::Tell { host, age, report });
+        if let Some((age, report)) = Self::recent_report(state, now) {
+            return out.push(Action::DeliverReport {
+                server,
+                age,
+                report,
+            });
         }
-        known.wanted = Some(now);
-        let every = others.map_or(PROBE_EVERY * roster.max(1) as u32, |_| PROBE_EVERY);
-        let who = asker(
-            host,
+        state.requested_at = Some(now);
+        let interval = others.map_or(HEALTH_CHECK_INTERVAL * roster.max(1) as u32, |_| {
+            HEALTH_CHECK_INTERVAL
+        });
+        let sender = health_check_sender(
+            server,
             others.unwrap_or_default().iter().copied().chain([own]),
         );
-        match who.filter(|who| *who != own) {
-            Some(who) => out.push(Do::Say(who, Saying::Want(host))),
-            None => self.ask(now, host, every, out),
+        match sender.filter(|sender| *sender != own) {
+            Some(sender) => out.push(Action::SendMessage(
+                sender,
+                HealthCheckMessage::Request(server),
+            )),
+            None => self.send_if_due(now, server, interval, out),
         }
     }
 
-    fn ask(&mut self, now: Duration, host: u32, every: Duration, out: &mut Vec<Do>) {
-        let Some(known) = self.entry(host) else {
+    /// Sends a health check unless one was sent within the interval.
+    fn send_if_due(
+        &mut self,
+        now: Duration,
+        server: u32,
+        interval: Duration,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(state) = self.entry(server) else {
             return;
         };
-        if known.asked.is_none_or(|at| now.saturating_sub(at) >= every) {
-            known.asked = Some(now);
-            out.push(Do::Probe(host));
+        if state
+            .sent_at
+            .is_none_or(|at| now.saturating_sub(at) >= interval)
+        {
+            state.sent_at = Some(now);
+            out.push(Action::SendHealthCheck(server));
         }
     }
 
-    /// A member says something. One that asks for what this one is not the asker of is served all the same: it knows of others.
-    pub fn hear(&mut self, now: Duration, from: NameKey, saying: Saying, out: &mut Vec<Do>) {
-        match saying {
-            Saying::Want(host) => {
-                let Some(known) = self.entry(host) else {
+    /// Handles a message from another dispatcher. A request is served even if this dispatcher is not the sender of the server's health
+    /// checks by its own view of the cluster: the other one's view may differ.
+    pub fn receive(
+        &mut self,
+        now: Duration,
+        from: NameKey,
+        message: HealthCheckMessage,
+        out: &mut Vec<Action>,
+    ) {
+        match message {
+            HealthCheckMessage::Request(server) => {
+                let Some(state) = self.entry(server) else {
                     return;
                 };
-                if let Some((age, report)) = Self::fresh(known, now) {
+                if let Some((age, report)) = Self::recent_report(state, now) {
                     let age_ms = age.as_millis() as u16;
-                    return out.push(Do::Say(
+                    return out.push(Action::SendMessage(
                         from,
-                        Saying::Report {
-                            host,
+                        HealthCheckMessage::Report {
+                            server,
                             age_ms,
                             report,
                         },
                     ));
                 }
-                if known.wanters.len() < WANTERS {
-                    known.wanters.insert(from);
+                if state.waiting.len() < MAX_WAITING {
+                    state.waiting.insert(from);
                 }
-                self.ask(now, host, PROBE_EVERY, out);
+                self.send_if_due(now, server, HEALTH_CHECK_INTERVAL, out);
             }
-            Saying::Failed(_) | Saying::Well(_) => {}
-            Saying::Report {
-                host,
+            HealthCheckMessage::Failed(_) | HealthCheckMessage::Recovered(_) => {}
+            HealthCheckMessage::Report {
+                server,
                 age_ms,
                 report,
             } => {
                 let age = Duration::from_millis(u64::from(age_ms));
-                let Some(known) = self.entry(host) else {
+                let Some(state) = self.entry(server) else {
                     return;
                 };
-                // On its way it has become older than it says; who wanted it wants what comes after that.
-                known.report = Some((now.saturating_sub(age), report.clone()));
-                Self::give(known, now, host, age, report, out);
+                // The age doesn't include the time in transit, so the report is treated as slightly newer than it is.
+                state.report = Some((now.saturating_sub(age), report.clone()));
+                Self::deliver(state, now, server, age, report, out);
             }
         }
     }
 
-    fn give(
-        known: &mut Known,
+    /// Passes a report to this dispatcher's core, if it requested one and still waits for it.
+    fn deliver(
+        state: &mut ServerState,
         now: Duration,
-        host: u32,
+        server: u32,
         age: Duration,
         report: Vec<Millionths>,
-        out: &mut Vec<Do>,
+        out: &mut Vec<Action>,
     ) {
-        if known
-            .wanted
+        if state
+            .requested_at
             .take()
-            .is_some_and(|at| now.saturating_sub(at) < WAITS)
+            .is_some_and(|at| now.saturating_sub(at) < REQUEST_TIMEOUT)
         {
-            out.push(Do::Tell { host, age, report });
+            out.push(Action::DeliverReport {
+                server,
+                age,
+                report,
+            });
         }
     }
 
-    /// A host answered the own dispatcher's probe.
+    /// A server answered a health check of this dispatcher.
     pub fn answered(
         &mut self,
         now: Duration,
-        host: u32,
+        server: u32,
         report: Vec<Millionths>,
-        out: &mut Vec<Do>,
+        out: &mut Vec<Action>,
     ) {
-        let Some(known) = self.entry(host) else {
+        let Some(state) = self.entry(server) else {
             return;
         };
-        known.report = Some((now, report.clone()));
-        for to in std::mem::take(&mut known.wanters) {
-            out.push(Do::Say(
+        state.report = Some((now, report.clone()));
+        for to in std::mem::take(&mut state.waiting) {
+            out.push(Action::SendMessage(
                 to,
-                Saying::Report {
-                    host,
+                HealthCheckMessage::Report {
+                    server,
                     age_ms: 0,
                     report: report.clone(),
                 },
             ));
         }
-        Self::give(known, now, host, Duration::ZERO, report, out);
+        Self::deliver(state, now, server, Duration::ZERO, report, out);
     }
 
-    /// Lets go of hosts that nobody asked for lately.
-    pub fn forget(&mut self, now: Duration) {
-        let young = |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) < 8 * WAITS);
-        self.known.retain(|_, k| {
-            young(k.asked) || young(k.wanted) || young(k.report.as_ref().map(|r| r.0))
+    /// Removes servers without a recent request, health check or report.
+    pub fn remove_expired(&mut self, now: Duration) {
+        let recent = |at: Option<Duration>| {
+            at.is_some_and(|at| now.saturating_sub(at) < 8 * REQUEST_TIMEOUT)
+        };
+        self.servers.retain(|_, s| {
+            recent(s.sent_at) || recent(s.requested_at) || recent(s.report.as_ref().map(|r| r.0))
         });
     }
 }
@@ -283,54 +334,56 @@
     use super::*;
     use proptest::prelude::*;
 
-    /// So many dispatchers that each want one host's report every 50 ms; gives probes at it and answers, a second.
-    fn play(of: u32, reachable: bool) -> (f64, f64) {
+    /// Simulates `of` dispatchers that each request one server's report every 50 ms, for 10 s. Returns the health checks sent to the server
+    /// and the reports delivered to dispatchers, per second.
+    fn simulate(of: u32, reachable: bool) -> (f64, f64) {
         let all: Vec<NameKey> = (0..of).map(NameKey).collect();
-        let mut members: Vec<Probes> = all.iter().map(|n| Probes::new(*n)).collect();
-        let (mut probes, mut told) = (0, 0);
+        let mut members: Vec<HealthChecks> = all.iter().map(|n| HealthChecks::new(*n)).collect();
+        let (mut health_checks, mut delivered) = (0, 0);
         for step in 0..200u64 {
             let now = Duration::from_millis(100_000 + 50 * step);
-            let mut to_do: Vec<(usize, Do)> = Vec::new();
+            let mut actions: Vec<(usize, Action)> = Vec::new();
             for (i, member) in members.iter_mut().enumerate() {
                 let others: Vec<NameKey> = all.iter().filter(|n| **n != all[i]).copied().collect();
                 let mut out = Vec::new();
-                member.want(
+                member.request(
                     now,
                     7,
                     reachable.then_some(&others[..]),
                     of as usize,
                     &mut out,
                 );
-                to_do.extend(out.into_iter().map(|d| (i, d)));
+                actions.extend(out.into_iter().map(|a| (i, a)));
             }
-            while let Some((i, what)) = to_do.pop() {
+            while let Some((i, action)) = actions.pop() {
                 let mut out = Vec::new();
-                let at = match what {
-                    Do::Tell { .. } => {
-                        told += 1;
+                let at = match action {
+                    Action::DeliverReport { .. } => {
+                        delivered += 1;
                         continue;
                     }
-                    Do::Probe(host) => {
-                        probes += 1;
-                        members[i].answered(now, host, vec![Millionths::of(2.0)], &mut out);
+                    Action::SendHealthCheck(server) => {
+                        health_checks += 1;
+                        members[i].answered(now, server, vec![Millionths::of(2.0)], &mut out);
                         i
                     }
-                    Do::Say(to, saying) => {
-                        let read = Saying::read(&saying.write()).expect("its own form");
-                        members[to.0 as usize].hear(now, all[i], read, &mut out);
+                    Action::SendMessage(to, message) => {
+                        let read = HealthCheckMessage::read(&message.write())
+                            .expect("a message of this version");
+                        members[to.0 as usize].receive(now, all[i], read, &mut out);
                         to.0 as usize
                     }
                 };
-                to_do.extend(out.into_iter().map(|d| (at, d)));
+                actions.extend(out.into_iter().map(|a| (at, a)));
             }
-            members.iter_mut().for_each(|m| m.forget(now));
+            members.iter_mut().for_each(|m| m.remove_expired(now));
         }
-        (f64::from(probes) / 10.0, f64::from(told) / 10.0)
+        (f64::from(health_checks) / 10.0, f64::from(delivered) / 10.0)
     }
 
     #[test]
-    fn a_host_is_asked_as_often_by_twelve_as_by_three_and_all_are_answered() {
-        let (three, twelve) = (play(3, true), play(12, true));
+    fn health_check_rate_is_independent_of_the_number_of_dispatchers_and_all_receive_reports() {
+        let (three, twelve) = (simulate(3, true), simulate(12, true));
         assert!(
             (three.0 - 4.0).abs() < 0.2 && (twelve.0 - three.0).abs() < 0.2,
             "{three:?} {twelve:?}"
@@ -340,29 +393,30 @@
             "{three:?} {twelve:?}"
         );
         assert!(
-            play(12, false).0 <= 5.0,
-            "cut off from each other they ask no more: {:?}",
-            play(12, false)
+            simulate(12, false).0 <= 5.0,
+            "dispatchers without contact send no more together: {:?}",
+            simulate(12, false)
         );
     }
 
     #[test]
-    fn a_dead_askers_hosts_move_to_others_and_no_others_do() {
+    fn only_the_servers_of_a_removed_dispatcher_change_their_sender() {
         let all: Vec<NameKey> = (0..9).map(NameKey).collect();
-        let of = |host, without| {
-            asker(host, all.iter().copied().filter(|n| Some(*n) != without)).expect("one")
+        let sender_of = |server, without| {
+            health_check_sender(server, all.iter().copied().filter(|n| Some(*n) != without))
+                .expect("a member")
         };
-        for host in 0..500 {
-            let (before, after) = (of(host, None), of(host, Some(NameKey(4))));
+        for server in 0..500 {
+            let (before, after) = (sender_of(server, None), sender_of(server, Some(NameKey(4))));
             assert!(before == after || before == NameKey(4));
         }
     }
 
     proptest! {
         #[test]
-        fn whatever_comes_is_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-            if let Ok(saying) = Saying::read(&bytes) {
-                prop_assert_eq!(saying.write(), bytes);
+        fn arbitrary_bytes_are_rejected_or_round_trip(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+            if let Ok(message) = HealthCheckMessage::read(&bytes) {
+                prop_assert_eq!(message.write(), bytes);
             }
         }
     }
--- a/crates/overload/src/repeats.rs
+++ b/crates/overload/src/repeats.rs
@@ -1,57 +1,69 @@
-//! Work that repeats work: a tenth of the fresh work of all in any 5 s, of which each may spend its part.
+//! The retry budget that all dispatchers share: retried work may be at most a tenth of the new work that the cluster admitted in any
+//! 5 s. Each dispatcher spends its own fraction of the budget.
 
 use std::time::Duration;
 
-use crate::io::Cut;
-use crate::window::Span;
+use crate::io::AdmissionThreshold;
+use crate::window::SlidingSum;
 
-/// Of fresh work.
-const SHARE: f64 = 0.1;
-const SPAN: Duration = Duration::from_secs(5);
+/// Retried work that is allowed, as a fraction of new work.
+const RETRY_RATIO: f64 = 0.1;
+const WINDOW: Duration = Duration::from_secs(5);
 
-/// What was taken here and what of it repeated work.
+/// New and retried work that this dispatcher admitted within the window, seconds of a server of weight 1.
 #[derive(Debug)]
-pub struct Repeats {
-    careful: f64,
-    spent: Span,
-    fresh: Span,
+pub struct RetryBudget {
+    /// Fraction of the cluster's budget that this dispatcher may spend without a lease.
+    unleased_share: f64,
+    retry_work: SlidingSum,
+    new_work: SlidingSum,
 }
 
-impl Repeats {
-    /// `careful`: the share of what all may repeat that this dispatcher spends whatever it knows.
-    pub fn new(careful: f64) -> Repeats {
-        Repeats {
-            careful,
-            spent: Span::new(SPAN),
-            fresh: Span::new(SPAN),
+impl RetryBudget {
+    /// `unleased_share` is the fraction of the cluster's budget that this dispatcher may spend even when it knows nothing of the
+    /// others.
+    pub fn new(unleased_share: f64) -> RetryBudget {
+        RetryBudget {
+            unleased_share,
+            retry_work: SlidingSum::new(WINDOW),
+            new_work: SlidingSum::new(WINDOW),
         }
     }
 
-    pub fn fresh(&mut self, now: Duration, work: f64) {
-        self.fresh.add(now, work);
+    /// Counts admitted work that is not a retry.
+    pub fn add_new_work(&mut self, now: Duration, work: f64) {
+        self.new_work.add(now, work);
     }
 
-    /// Fresh and repeated work of the last 5 s.
+    /// New and retried work of the last 5 s.
     pub fn sums(&mut self, now: Duration) -> (f64, f64) {
-        (self.fresh.sum(now), self.spent.sum(now))
+        (self.new_work.sum(now), self.retry_work.sum(now))
     }
 
-    /// Whether so much may be repeated now; it is spent then. All is checked at this moment: a part that has ended is none, and what
-    /// was told of the others' fresh work counts until its own end. Where all fits, one at a time may be repeated whatever its size.
-    pub fn may(&mut self, now: Duration, work: f64, cut: Option<&Cut>) -> bool {
-        let told = cut.filter(|c| now < c.until);
-        let part = cut
-            .filter(|c| now < c.part_until)
-            .map_or(0.0, |c| c.part.get().min(1.0));
-        let own = self.fresh.sum(now);
-        let fresh = told.map_or(own, |c| c.fresh.get().max(own));
-        let spent = self.spent.sum(now);
-        let first = spent == 0.0 && told.is_none_or(|c| c.rank.get() == 0.0);
-        let leave = first || spent + work <= SHARE * fresh * (self.careful + part).min(1.0);
-        if leave {
-            self.spent.add(now, work);
+    /// Whether this much work may be retried now; if so it is charged to the budget. Leases and the threshold are checked against
+    /// `now`: an expired lease counts as none, and the cluster's new work counts until the threshold expires. While the cluster
+    /// rejects nothing, a retry is allowed whatever its size if the window holds no other.
+    pub fn try_spend(
+        &mut self,
+        now: Duration,
+        work: f64,
+        threshold: Option<&AdmissionThreshold>,
+    ) -> bool {
+        let valid = threshold.filter(|t| now < t.valid_until);
+        let leased_share = threshold
+            .filter(|t| now < t.budget_share_until)
+            .map_or(0.0, |t| t.budget_share.get().min(1.0));
+        let own_new_work = self.new_work.sum(now);
+        let new_work = valid.map_or(own_new_work, |t| t.new_work.get().max(own_new_work));
+        let retry_work = self.retry_work.sum(now);
+        let first = retry_work == 0.0 && valid.is_none_or(|t| t.rank.get() == 0.0);
+        let allowed = first
+            || retry_work + work
+                <= RETRY_RATIO * new_work * (self.unleased_share + leased_share).min(1.0);
+        if allowed {
+            self.retry_work.add(now, work);
         }
-        leave
+        allowed
     }
 }
 
@@ -62,37 +74,38 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// Whatever is asked when, by however many, all together repeat a tenth in any 5 s, also where a part ends meanwhile.
+        /// Whichever dispatcher spends when, the cluster retries at most a tenth of its new work in any 5 s, also if a lease expires
+        /// in between.
         #[test]
-        fn all_together_repeat_a_tenth(
-            asked in prop::collection::vec((0usize..4, 0u64..200, 0.01f64..0.4), 1..200), ends in 0u64..15_000,
+        fn cluster_retries_at_most_a_tenth_of_new_work(
+            requests in prop::collection::vec((0usize..4, 0u64..200, 0.01f64..0.4), 1..200), lease_end_ms in 0u64..15_000,
         ) {
-            let fresh = 40.0;
-            let mut all: Vec<Repeats> = (0..4).map(|_| Repeats::new(0.025)).collect();
-            let cut = Cut {
-                until: Duration::from_secs(3600), rank: Millionths::of(3.0), fresh: Millionths::of(fresh), part: Millionths::of(0.225),
-                part_until: Duration::from_millis(ends), ..Cut::default()
+            let new_work = 40.0;
+            let mut budgets: Vec<RetryBudget> = (0..4).map(|_| RetryBudget::new(0.025)).collect();
+            let threshold = AdmissionThreshold {
+                valid_until: Duration::from_secs(3600), rank: Millionths::of(3.0), new_work: Millionths::of(new_work),
+                budget_share: Millionths::of(0.225), budget_share_until: Duration::from_millis(lease_end_ms), ..AdmissionThreshold::default()
             };
             let (mut now, mut done) = (Duration::from_millis(1), Vec::new());
-            for (who, gap, work) in asked {
+            for (who, gap, work) in requests {
                 now += Duration::from_millis(gap);
-                if all[who].may(now, work, Some(&cut)) {
+                if budgets[who].try_spend(now, work, Some(&threshold)) {
                     done.push((now, work));
                 }
             }
             for (from, _) in &done {
-                let within = done.iter().filter(|(at, _)| at >= from && *at < *from + SPAN);
-                prop_assert!(within.map(|d| d.1).sum::<f64>() <= SHARE * fresh + 1e-9);
+                let within = done.iter().filter(|(at, _)| at >= from && *at < *from + WINDOW);
+                prop_assert!(within.map(|d| d.1).sum::<f64>() <= RETRY_RATIO * new_work + 1e-9);
             }
         }
     }
 
     #[test]
-    fn one_that_knows_nothing_spends_its_careful_part_of_its_own() {
-        let mut repeats = Repeats::new(0.1);
-        repeats.fresh(Duration::from_secs(10), 100.0);
+    fn without_a_threshold_the_unleased_share_of_own_new_work_is_spent() {
+        let mut budget = RetryBudget::new(0.1);
+        budget.add_new_work(Duration::from_secs(10), 100.0);
         let at = Duration::from_secs(11);
-        let done = (0..50).filter(|_| repeats.may(at, 0.1, None)).count();
+        let done = (0..50).filter(|_| budget.try_spend(at, 0.1, None)).count();
         assert_eq!(done, 10);
     }
 }
--- a/crates/overload/src/returns.rs
+++ b/crates/overload/src/returns.rs
@@ -1,92 +1,100 @@
-//! When who is refused may come back, and who comes back: returns of all together fit what will be free.
+//! When the clients of rejected requests may retry, and which requests are such retries. The retries are spread so that together they
+//! fit the capacity reserved for them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::order::share;
+use crate::order::hash_to_unit;
 
-/// Refused requests that are remembered, and for how long; past the bound the oldest is forgotten and counts as fresh.
-const REFUSED_MOST: usize = 16 * 1024;
-const REMEMBERED: Duration = Duration::from_secs(30);
-/// The shortest time to come back.
-const SOON_S: f64 = 0.2;
+/// Number of rejected requests that are remembered; beyond it the oldest is forgotten and its retry counts as a new request.
+const MAX_REJECTED: usize = 16 * 1024;
+/// How long a rejected request is remembered.
+const REJECTED_LIFETIME: Duration = Duration::from_secs(30);
+/// The shortest delay before a retry, seconds.
+const MIN_DELAY_S: f64 = 0.2;
 
-/// A calendar of what is free for returns, and who was refused.
+/// Schedule of the capacity reserved for retries, and the requests rejected lately.
 #[derive(Debug)]
-pub struct Returns {
-    most_s: f64,
-    draws: u64,
-    /// What is free until then has been given away.
-    booked: Duration,
-    refused: BTreeMap<u64, Duration>,
+pub struct RetryAfterSchedule {
+    /// The longest delay that may be returned, seconds.
+    max_delay_s: f64,
+    /// State of the random number generator.
+    random_state: u64,
+    /// Reserved capacity up to this time is already allocated to retries.
+    allocated_until: Duration,
+    /// Time of the latest rejection by fingerprint of the request.
+    rejected: BTreeMap<u64, Duration>,
+    /// Rejections from the oldest to the newest.
     order: VecDeque<(Duration, u64)>,
 }
 
-impl Returns {
-    pub fn new(most_s: f64, seed: u64) -> Returns {
-        let most_s = if most_s.is_finite() {
-            most_s.max(0.0)
+impl RetryAfterSchedule {
+    /// `max_delay_s` is the longest delay that clients honour, seconds.
+    pub fn new(max_delay_s: f64, seed: u64) -> RetryAfterSchedule {
+        let max_delay_s = if max_delay_s.is_finite() {
+            max_delay_s.max(0.0)
         } else {
             1.0
         };
-        Returns {
-            most_s,
-            draws: seed,
-            booked: Duration::ZERO,
-            refused: BTreeMap::new(),
+        RetryAfterSchedule {
+            max_delay_s,
+            random_state: seed,
+            allocated_until: Duration::ZERO,
+            rejected: BTreeMap::new(),
             order: VecDeque::new(),
         }
     }
 
+    /// A random number in [0, 1).
     fn draw(&mut self) -> f64 {
-        self.draws = self.draws.wrapping_add(1);
-        share(self.draws)
+        self.random_state = self.random_state.wrapping_add(1);
+        hash_to_unit(self.random_state)
     }
 
-    /// Seconds after which a request of this much work may come back, where so much work a second will be free here. Each is given
-    /// the next free time, and one that would have to wait past the bound is sent away for nearly as long as it may be: it will be
-    /// judged anew.
-    pub fn after(&mut self, now: Duration, work: f64, free: f64) -> f64 {
-        let takes = work.max(0.0) / free.max(1e-6);
-        let soon = now + Duration::from_secs_f64(SOON_S.min(self.most_s));
-        let begins = self.booked.max(soon);
-        let wait = begins.saturating_sub(now).as_secs_f64();
+    /// The delay in seconds after which a request of this much work may be retried, where `retry_capacity` is the work per second
+    /// reserved for retries at this dispatcher. Each retry is allocated the next free interval of that capacity. A retry that would
+    /// have to wait longer than the limit gets a random delay from half the limit up to the limit, and is then decided on afresh.
+    pub fn delay_s(&mut self, now: Duration, work: f64, retry_capacity: f64) -> f64 {
+        let length_s = work.max(0.0) / retry_capacity.max(1e-6);
+        let earliest = now + Duration::from_secs_f64(MIN_DELAY_S.min(self.max_delay_s));
+        let begin = self.allocated_until.max(earliest);
+        let wait_s = begin.saturating_sub(now).as_secs_f64();
         let draw = self.draw();
-        if wait + takes > self.most_s {
-            return self.most_s * (0.5 + 0.5 * draw);
+        if wait_s + length_s > self.max_delay_s {
+            return self.max_delay_s * (0.5 + 0.5 * draw);
         }
-        self.booked = begins + Duration::from_secs_f64(takes);
-        // Anywhere within its own time: never in step, and never before it is free.
-        wait + takes * draw
+        self.allocated_until = begin + Duration::from_secs_f64(length_s);
+        // At random within the allocated interval, so that retries are not synchronized and none comes before its capacity is free.
+        wait_s + length_s * draw
     }
 
-    /// Remembers that this was refused.
-    pub fn refuse(&mut self, now: Duration, fingerprint: u64) {
-        if self.refused.insert(fingerprint, now).is_none() || self.order.len() < 2 * REFUSED_MOST {
+    /// Remembers the fingerprint of a rejected request.
+    pub fn record_rejection(&mut self, now: Duration, fingerprint: u64) {
+        if self.rejected.insert(fingerprint, now).is_none() || self.order.len() < 2 * MAX_REJECTED {
             self.order.push_back((now, fingerprint));
         }
         while self.order.front().is_some_and(|(at, _)| {
-            self.refused.len() > REFUSED_MOST || now.saturating_sub(*at) >= REMEMBERED
+            self.rejected.len() > MAX_REJECTED || now.saturating_sub(*at) >= REJECTED_LIFETIME
         }) {
-            let Some((at, old)) = self.order.pop_front() else {
+            let Some((at, oldest)) = self.order.pop_front() else {
                 break;
             };
-            if self.refused.get(&old) == Some(&at) {
-                self.refused.remove(&old);
+            if self.rejected.get(&oldest) == Some(&at) {
+                self.rejected.remove(&oldest);
             }
         }
     }
 
-    /// Whether this was refused a while ago, so that it is a return.
-    pub fn is_return(&self, now: Duration, fingerprint: u64) -> bool {
-        self.refused
+    /// Whether a request with this fingerprint was rejected lately, so that this one is its retry.
+    pub fn is_retry(&self, now: Duration, fingerprint: u64) -> bool {
+        self.rejected
             .get(&fingerprint)
-            .is_some_and(|at| now.saturating_sub(*at) < REMEMBERED)
+            .is_some_and(|at| now.saturating_sub(*at) < REJECTED_LIFETIME)
     }
 
-    /// It was taken: what comes with the same words is not a return of that refusal.
-    pub fn taken(&mut self, fingerprint: u64) {
-        self.refused.remove(&fingerprint);
+    /// Forgets the rejection of a request that is now admitted: a later request with the same fingerprint is not a retry of it.
+    pub fn record_admission(&mut self, fingerprint: u64) {
+        self.rejected.remove(&fingerprint);
     }
 }
 
@@ -96,49 +104,51 @@
     use proptest::prelude::*;
 
     #[test]
-    fn the_table_of_refused_is_bounded_and_fades() {
-        let mut returns = Returns::new(5.0, 1);
+    fn rejected_requests_are_bounded_in_number_and_expire() {
+        let mut schedule = RetryAfterSchedule::new(5.0, 1);
         let at = Duration::from_secs(100);
         for i in 0..100_000 {
-            returns.refuse(at, i % 40_000);
+            schedule.record_rejection(at, i % 40_000);
         }
-        assert!(returns.refused.len() <= REFUSED_MOST && returns.order.len() <= 2 * REFUSED_MOST);
-        assert!(returns.is_return(at, 19_999));
-        assert!(!returns.is_return(at + REMEMBERED, 19_999));
-        returns.taken(19_999);
-        assert!(!returns.is_return(at, 19_999));
+        assert!(
+            schedule.rejected.len() <= MAX_REJECTED && schedule.order.len() <= 2 * MAX_REJECTED
+        );
+        assert!(schedule.is_retry(at, 19_999));
+        assert!(!schedule.is_retry(at + REJECTED_LIFETIME, 19_999));
+        schedule.record_admission(19_999);
+        assert!(!schedule.is_retry(at, 19_999));
     }
 
     proptest! {
-        /// Over any span, what was told to come back within it is no more than what is free in it, but for one.
+        /// Over any interval, the work of the retries scheduled in it exceeds the reserved capacity by at most two requests.
         #[test]
-        fn returns_never_exceed_what_is_free(
-            refused in prop::collection::vec((0u64..50, 0.01f64..0.5), 1..300), free in 0.2f64..20.0, seed: u64,
+        fn scheduled_retries_fit_the_reserved_capacity(
+            rejected in prop::collection::vec((0u64..50, 0.01f64..0.5), 1..300), retry_capacity in 0.2f64..20.0, seed: u64,
         ) {
-            let mut returns = Returns::new(1e6, seed);
-            let (mut now, mut back) = (Duration::from_secs(1000), Vec::new());
-            for (gap, work) in refused {
+            let mut schedule = RetryAfterSchedule::new(1e6, seed);
+            let (mut now, mut retries) = (Duration::from_secs(1000), Vec::new());
+            for (gap, work) in rejected {
                 now += Duration::from_millis(gap);
-                back.push((now.as_secs_f64() + returns.after(now, work, free), work));
+                retries.push((now.as_secs_f64() + schedule.delay_s(now, work, retry_capacity), work));
             }
-            back.sort_by(|a, b| a.0.total_cmp(&b.0));
-            let largest = back.iter().map(|b| b.1).fold(0.0, f64::max);
-            for from in 0..back.len() {
+            retries.sort_by(|a, b| a.0.total_cmp(&b.0));
+            let largest = retries.iter().map(|r| r.1).fold(0.0, f64::max);
+            for from in 0..retries.len() {
                 let mut sum = 0.0;
-                for (at, work) in &back[from..] {
+                for (at, work) in &retries[from..] {
                     sum += work;
-                    prop_assert!(sum <= (at - back[from].0) * free + 2.0 * largest + 1e-6);
+                    prop_assert!(sum <= (at - retries[from].0) * retry_capacity + 2.0 * largest + 1e-6);
                 }
             }
         }
 
         #[test]
-        fn past_the_bound_they_are_spread(seed: u64, most in 0.5f64..10.0) {
-            let mut returns = Returns::new(most, seed);
+        fn delays_at_the_limit_are_spread(seed: u64, max_delay_s in 0.5f64..10.0) {
+            let mut schedule = RetryAfterSchedule::new(max_delay_s, seed);
             let at = Duration::from_secs(9);
-            let waits: Vec<f64> = (0..400).map(|_| returns.after(at, 1.0, 0.1)).collect();
-            prop_assert!(waits.iter().all(|w| (0.0..=most).contains(w)));
-            let early = waits.iter().filter(|w| **w < 0.75 * most).count();
+            let waits: Vec<f64> = (0..400).map(|_| schedule.delay_s(at, 1.0, 0.1)).collect();
+            prop_assert!(waits.iter().all(|w| (0.0..=max_delay_s).contains(w)));
+            let early = waits.iter().filter(|w| **w < 0.75 * max_delay_s).count();
             prop_assert!((130..270).contains(&early), "{early}");
         }
     }
--- a/crates/overload/src/sums.rs
+++ b/crates/overload/src/sums.rs
@@ -1,4 +1,4 @@
-//! The latest word of each member, fading by the own clock, and their sums.
+//! The latest load report of each dispatcher, which loses weight with its age, and the cluster's totals computed from them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,56 +7,70 @@
 use bitternlatch_quota_lease::Process;
 
 use crate::order::LEVELS;
-use crate::Word;
-
-/// A word counts whole for so long, then fades until it is forgotten.
-const WHOLE: Duration = Duration::from_millis(1000);
-const GONE: Duration = Duration::from_millis(2500);
-/// So many times the median of its peers is nonsense.
-const NONSENSE: f64 = 10.0;
-/// Work a second below which nothing is nonsense.
-const LITTLE: f64 = 0.5;
-/// Members, the own one among them, from which a median is one.
-const JUDGES: usize = 3;
-
-struct Heard {
+use crate::LoadReport;
+
+/// Age up to which a load report has its full weight. From then on the weight falls linearly.
+const FULL_WEIGHT_AGE: Duration = Duration::from_millis(1000);
+/// Age at which a load report has no weight and is removed.
+const MAX_AGE: Duration = Duration::from_millis(2500);
+/// Multiple of the dispatchers' median above which a reported value is an outlier.
+const OUTLIER_RATIO: f64 = 10.0;
+/// Lower bound of the median in that comparison, so that small values are no outliers.
+const MIN_OUTLIER_MEDIAN: f64 = 0.5;
+/// Number of dispatchers, including this one, from which on the median is meaningful and outliers are limited.
+const MIN_MEMBERS_FOR_MEDIAN: usize = 3;
+
+/// A load report that was received from another dispatcher.
+struct ReceivedReport {
+    /// Start number of the sending process.
     start: u64,
-    at: Duration,
-    word: Word,
+    received_at: Duration,
+    report: LoadReport,
 }
 
-/// What all together say.
+/// The load of the whole cluster. Work is in seconds of a server of weight 1, rates are per second.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sums {
+pub struct ClusterTotals {
+    /// Sum of the work of all new requests by priority level, admitted or not, per second.
     pub demand: Vec<f64>,
-    pub taken: f64,
+    /// Sum of the work admitted per second.
+    pub admitted: f64,
+    /// Sum of the work whose first token was received, per second.
     pub completed: f64,
+    /// Sum of the admitted work that waits for its first token.
     pub backlog: f64,
-    pub fresh: f64,
-    pub repeats: f64,
-    /// Medians; of `each` over those that have one.
-    pub each: f64,
-    pub waits: f64,
-    pub hosts: f64,
-    pub delay: f64,
+    /// Sum of the admitted work of the last 5 s that retries nothing.
+    pub new_work: f64,
+    /// Sum of the work of the last 5 s that was charged to the retry budget.
+    pub retry_work: f64,
+    /// Median over the dispatchers with a backlog of the mean work of a waiting request.
+    pub mean_request_work: f64,
+    /// Median of the work queued at servers by the servers' load reports.
+    pub queued_at_servers: f64,
+    /// Median of the total weight of the ready servers that can prefill.
+    pub server_weight: f64,
+    /// Median of the time to first token as a fraction of its objective.
+    pub ttft_ratio: f64,
+    /// Median of the estimates of the work that the servers can do per second.
     pub capacity: f64,
-    /// Mean cut of the others.
-    pub cut: f64,
-    /// Members counted, those that fade by their share.
+    /// Weighted mean of the other dispatchers' thresholds.
+    pub threshold: f64,
+    /// Number of dispatchers, each other one counted by the weight of its report.
     pub members: f64,
-    /// Members whose figures were bounded.
-    pub nonsense: BTreeSet<NameKey>,
+    /// Dispatchers that reported an outlier, which was limited.
+    pub outliers: BTreeSet<NameKey>,
 }
 
-impl Sums {
-    pub fn asked(&self) -> f64 {
+impl ClusterTotals {
+    /// Demand summed over all priority levels, work per second.
+    pub fn total_demand(&self) -> f64 {
         self.demand.iter().sum()
     }
 }
 
-/// The latest words of others; at most one a name of the roster.
+/// The latest load reports of the other dispatchers, at most one for each name on the cluster's roster.
 #[derive(Default)]
-pub struct Words(BTreeMap<NameKey, Heard>);
+pub struct LoadReports(BTreeMap<NameKey, ReceivedReport>);
 
 fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
@@ -66,109 +80,125 @@
     }
 }
 
-impl Words {
-    /// Takes a word; one that is not later than what is held of its origin changes nothing.
-    pub fn hear(&mut self, now: Duration, from: Process, word: Word) {
-        let held = self.0.get(&from.name).map(|h| (h.start, h.word.number));
-        if held.is_none_or(|held| held < (from.start, word.number)) {
+impl LoadReports {
+    /// Stores a received report, unless the stored one of the same dispatcher is as new or newer.
+    pub fn receive(&mut self, now: Duration, from: Process, report: LoadReport) {
+        let stored = self.0.get(&from.name).map(|r| (r.start, r.report.sequence));
+        if stored.is_none_or(|stored| stored < (from.start, report.sequence)) {
             self.0.insert(
                 from.name,
-                Heard {
+                ReceivedReport {
                     start: from.start,
-                    at: now,
-                    word,
+                    received_at: now,
+                    report,
                 },
             );
         }
     }
 
-    /// Lets go of what has faded; of those that may start again it keeps the order for as long.
-    pub fn forget(&mut self, now: Duration) {
-        self.0.retain(|_, h| now.saturating_sub(h.at) < GONE);
+    /// Removes reports that have lost all weight. Until then the start and sequence numbers are kept, so that delayed datagrams of a
+    /// dispatcher's earlier process are ignored.
+    pub fn remove_expired(&mut self, now: Duration) {
+        self.0
+            .retain(|_, r| now.saturating_sub(r.received_at) < MAX_AGE);
     }
 
-    fn weight(now: Duration, at: Duration) -> f64 {
-        let age = now.saturating_sub(at);
-        let fading = (GONE - WHOLE).as_secs_f64();
-        (1.0 - age.saturating_sub(WHOLE).as_secs_f64() / fading).clamp(0.0, 1.0)
+    fn weight(now: Duration, received_at: Duration) -> f64 {
+        let age = now.saturating_sub(received_at);
+        let decline_s = (MAX_AGE - FULL_WEIGHT_AGE).as_secs_f64();
+        (1.0 - age.saturating_sub(FULL_WEIGHT_AGE).as_secs_f64() / decline_s).clamp(0.0, 1.0)
     }
 
-    /// Of the own word and all that were heard. `all` is the number of members where words come from a sample of them: the others
-    /// are taken to be like those heard.
-    pub fn sums(&self, now: Duration, own: &Word, all: Option<usize>) -> Sums {
-        let heard: Vec<(NameKey, f64, &Word)> = self
+    /// The totals of this dispatcher's report and all received ones. `cluster_size` is the number of reachable dispatchers if only a
+    /// sample of them sends reports here: the sums are then extrapolated from the sample.
+    pub fn totals(
+        &self,
+        now: Duration,
+        own: &LoadReport,
+        cluster_size: Option<usize>,
+    ) -> ClusterTotals {
+        let received: Vec<(NameKey, f64, &LoadReport)> = self
             .0
             .iter()
-            .map(|(n, h)| (*n, Self::weight(now, h.at), &h.word))
+            .map(|(n, r)| (*n, Self::weight(now, r.received_at), &r.report))
             .collect();
-        let weights: f64 = heard.iter().map(|h| h.1).sum();
-        let scale = all
+        let weights: f64 = received.iter().map(|r| r.1).sum();
+        let scale = cluster_size
             .filter(|_| weights > 0.0)
-            .map_or(1.0, |all| (all as f64 - 1.0) / weights);
-        let whole = || std::iter::once(own).chain(heard.iter().filter(|h| h.1 > 0.5).map(|h| h.2));
-        let of = |figure: fn(&Word) -> f64| median(whole().map(figure).collect());
-        let judged = heard.len() + 1 >= JUDGES;
-        let mut nonsense = BTreeSet::new();
-        // A figure beyond all bounds counts as the bound.
-        let mut sum = |figure: fn(&Word) -> f64| {
-            let most = if judged {
-                NONSENSE * of(figure).max(LITTLE)
+            .map_or(1.0, |size| (size as f64 - 1.0) / weights);
+        let current =
+            || std::iter::once(own).chain(received.iter().filter(|r| r.1 > 0.5).map(|r| r.2));
+        let median_of = |value: fn(&LoadReport) -> f64| median(current().map(value).collect());
+        let limits_outliers = received.len() + 1 >= MIN_MEMBERS_FOR_MEDIAN;
+        let mut outliers = BTreeSet::new();
+        // A value above the limit counts as the limit.
+        let mut sum = |value_of: fn(&LoadReport) -> f64| {
+            let limit = if limits_outliers {
+                OUTLIER_RATIO * median_of(value_of).max(MIN_OUTLIER_MEDIAN)
             } else {
                 f64::INFINITY
             };
-            let each = heard.iter().map(|(name, weight, word)| {
-                let value = figure(word);
-                if value > most {
-                    nonsense.insert(*name);
+            let limited = received.iter().map(|(name, weight, report)| {
+                let value = value_of(report);
+                if value > limit {
+                    outliers.insert(*name);
                 }
-                value.min(most) * weight
+                value.min(limit) * weight
             });
-            figure(own) + scale * each.sum::<f64>()
+            value_of(own) + scale * limited.sum::<f64>()
         };
-        let (taken, completed, backlog) =
-            (sum(|w| w.taken), sum(|w| w.completed), sum(|w| w.backlog));
-        let (fresh, repeats) = (sum(|w| w.fresh), sum(|w| w.repeats));
-        // Summed by level below; here for who is named.
-        sum(Word::asked);
+        let (admitted, completed, backlog) = (
+            sum(|r| r.admitted),
+            sum(|r| r.completed),
+            sum(|r| r.backlog),
+        );
+        let (new_work, retry_work) = (sum(|r| r.new_work), sum(|r| r.retry_work));
+        // Only to find outliers of the total demand: the demand is summed by level below.
+        sum(LoadReport::total_demand);
         let mut demand = vec![0.0; LEVELS];
-        let most = if judged {
-            NONSENSE * of(Word::asked).max(LITTLE)
+        let limit = if limits_outliers {
+            OUTLIER_RATIO * median_of(LoadReport::total_demand).max(MIN_OUTLIER_MEDIAN)
         } else {
             f64::INFINITY
         };
         for (i, level) in demand.iter_mut().enumerate() {
-            let part = |w: &Word| w.demand.get(i).copied().unwrap_or(0.0);
-            let bounded = |w: &Word| part(w) * (most / w.asked().max(1e-9)).min(1.0);
+            let part = |r: &LoadReport| r.demand.get(i).copied().unwrap_or(0.0);
+            let limited = |r: &LoadReport| part(r) * (limit / r.total_demand().max(1e-9)).min(1.0);
             *level = part(own)
                 + scale
-                    * heard
+                    * received
                         .iter()
-                        .map(|(_, weight, w)| bounded(w) * weight)
+                        .map(|(_, weight, r)| limited(r) * weight)
                         .sum::<f64>();
         }
-        let cuts = heard
+        let thresholds = received
             .iter()
-            .map(|(_, weight, w)| w.cut.min(LEVELS as f64) * weight)
+            .map(|(_, weight, r)| r.threshold.min(LEVELS as f64) * weight)
             .sum::<f64>();
-        Sums {
+        ClusterTotals {
             demand,
-            taken,
+            admitted,
             completed,
             backlog,
-            fresh,
-            repeats,
-            each: median(whole().map(|w| w.each).filter(|e| *e > 0.0).collect()),
-            waits: of(|w| w.waits),
-            hosts: of(|w| w.hosts),
-            delay: of(|w| w.delay),
-            capacity: of(|w| w.capacity),
-            cut: if weights > 0.0 {
-                cuts / weights
+            new_work,
+            retry_work,
+            mean_request_work: median(
+                current()
+                    .map(|r| r.mean_request_work)
+                    .filter(|w| *w > 0.0)
+                    .collect(),
+            ),
+            queued_at_servers: median_of(|r| r.queued_at_servers),
+            server_weight: median_of(|r| r.server_weight),
+            ttft_ratio: median_of(|r| r.ttft_ratio),
+            capacity: median_of(|r| r.capacity),
+            threshold: if weights > 0.0 {
+                thresholds / weights
             } else {
-                own.cut
+                own.threshold
             },
             members: 1.0 + weights,
-            nonsense,
+            outliers,
         }
     }
 }
@@ -182,14 +212,14 @@
         Duration::from_millis(n)
     }
 
-    fn word(number: u64, asked: f64) -> Word {
+    fn report(sequence: u64, total_demand: f64) -> LoadReport {
         let mut demand = vec![0.0; LEVELS];
-        demand[(number % 40) as usize] = asked;
-        Word {
-            number,
+        demand[(sequence % 40) as usize] = total_demand;
+        LoadReport {
+            sequence,
             demand,
-            completed: asked / 2.0,
-            ..Word::default()
+            completed: total_demand / 2.0,
+            ..LoadReport::default()
         }
     }
 
@@ -201,50 +231,66 @@
     }
 
     #[test]
-    fn a_liar_is_bounded_and_named_and_what_is_not_said_again_fades() {
-        let mut words = Words::default();
+    fn outlier_is_limited_and_named_and_old_reports_lose_weight() {
+        let mut reports = LoadReports::default();
         for name in 1..=3 {
-            words.hear(ms(0), process(name, 1), word(1, 2.0));
+            reports.receive(ms(0), process(name, 1), report(1, 2.0));
         }
-        words.hear(ms(0), process(9, 1), word(1, 1e6));
-        let sums = words.sums(ms(100), &word(1, 2.0), None);
-        assert_eq!(sums.nonsense, BTreeSet::from([NameKey(9)]));
-        assert!((sums.asked() - 28.0).abs() < 1e-9, "{}", sums.asked());
-        let later = words.sums(ms(1750), &word(1, 2.0), None);
-        assert!(later.members < sums.members && later.asked() < sums.asked());
-        words.forget(ms(2500));
-        assert_eq!(words.sums(ms(2500), &word(1, 2.0), None).asked(), 2.0);
+        reports.receive(ms(0), process(9, 1), report(1, 1e6));
+        let totals = reports.totals(ms(100), &report(1, 2.0), None);
+        assert_eq!(totals.outliers, BTreeSet::from([NameKey(9)]));
+        assert!(
+            (totals.total_demand() - 28.0).abs() < 1e-9,
+            "{}",
+            totals.total_demand()
+        );
+        let later = reports.totals(ms(1750), &report(1, 2.0), None);
+        assert!(later.members < totals.members && later.total_demand() < totals.total_demand());
+        reports.remove_expired(ms(2500));
+        assert_eq!(
+            reports
+                .totals(ms(2500), &report(1, 2.0), None)
+                .total_demand(),
+            2.0
+        );
     }
 
     #[test]
-    fn a_sample_stands_for_all() {
-        let mut words = Words::default();
+    fn totals_are_extrapolated_from_a_sample() {
+        let mut reports = LoadReports::default();
         for name in 1..=16 {
-            words.hear(ms(0), process(name, 1), word(1, 3.0));
+            reports.receive(ms(0), process(name, 1), report(1, 3.0));
         }
-        assert!((words.sums(ms(0), &word(1, 3.0), Some(300)).asked() - 900.0).abs() < 1e-6);
+        assert!(
+            (reports
+                .totals(ms(0), &report(1, 3.0), Some(300))
+                .total_demand()
+                - 900.0)
+                .abs()
+                < 1e-6
+        );
     }
 
     proptest! {
-        /// After any order, loss of all but the latest, and repetition the sums are the same.
+        /// Dispatchers that received the same latest reports have the same totals, whatever the order, loss and duplication of datagrams.
         #[test]
-        fn sums_converge_after_any_order_loss_and_repetition(
-            said in prop::collection::vec((1u32..6, 1u64..3, 1u64..8, 0.0f64..9.0), 1..60),
+        fn totals_converge_after_any_order_loss_and_duplication(
+            sent in prop::collection::vec((1u32..6, 1u64..3, 1u64..8, 0.0f64..9.0), 1..60),
             order in prop::collection::vec(any::<prop::sample::Index>(), 0..120),
         ) {
-            // One word an origin and number.
-            let by: BTreeMap<(u32, u64, u64), f64> = said.iter().map(|(n, s, k, a)| ((*n, *s, *k), *a)).collect();
-            let all: Vec<_> = by.into_iter().collect();
-            let (mut straight, mut mixed) = (Words::default(), Words::default());
-            let hear = |words: &mut Words, ((name, start, number), asked): ((u32, u64, u64), f64)| {
-                words.hear(ms(5), process(name, start), word(number, asked));
+            // One report for each process and sequence number.
+            let by_sequence: BTreeMap<(u32, u64, u64), f64> = sent.iter().map(|(n, s, k, a)| ((*n, *s, *k), *a)).collect();
+            let all: Vec<_> = by_sequence.into_iter().collect();
+            let (mut in_order, mut shuffled) = (LoadReports::default(), LoadReports::default());
+            let receive = |reports: &mut LoadReports, ((name, start, sequence), total_demand): ((u32, u64, u64), f64)| {
+                reports.receive(ms(5), process(name, start), report(sequence, total_demand));
             };
-            all.iter().for_each(|one| hear(&mut straight, *one));
-            order.iter().for_each(|i| hear(&mut mixed, *i.get(&all)));
-            // The latest of each comes at last, after whatever was lost.
+            all.iter().for_each(|one| receive(&mut in_order, *one));
+            order.iter().for_each(|i| receive(&mut shuffled, *i.get(&all)));
+            // The latest report of each dispatcher arrives at last, in another order.
             let latest: BTreeMap<u32, _> = all.iter().map(|one| (one.0 .0, *one)).collect();
-            latest.into_values().rev().for_each(|one| hear(&mut mixed, one));
-            prop_assert_eq!(straight.sums(ms(9), &word(1, 1.0), None), mixed.sums(ms(9), &word(1, 1.0), None));
+            latest.into_values().rev().for_each(|one| receive(&mut shuffled, one));
+            prop_assert_eq!(in_order.totals(ms(9), &report(1, 1.0), None), shuffled.totals(ms(9), &report(1, 1.0), None));
         }
     }
 }
--- a/crates/overload/src/trials.rs
+++ b/crates/overload/src/trials.rs
@@ -1,118 +1,133 @@
-//! A host that failed is tried by one of those that saw it fail at a time, with so much as grows by success alone.
+//! Attempts at a server that failed: of the dispatchers that saw it fail one at a time may try it, with a limit on attempts in flight
+//! that grows only by success.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use bitternlatch_membership::NameKey;
 
-use crate::probes::{asker, Saying};
-
-/// How long a member's word that a host failed counts, and how long a leave to try it does.
-const FAILED: Duration = Duration::from_secs(6);
-const LEAVE: Duration = Duration::from_millis(900);
-/// Attempts at once from which on a host that answers is as any other.
-const WELL: u32 = 8;
-/// Between two words of one failure to the others.
-const SAY_EVERY: Duration = Duration::from_millis(500);
-/// Hosts that are held for failed, and those who say so of one; past it a host is as any other.
-const HOSTS: usize = 1024;
-const SEERS: usize = 1024;
-
+use crate::probes::{health_check_sender, HealthCheckMessage};
+
+/// How long a dispatcher's report that a server failed counts.
+const FAILURE_LIFETIME: Duration = Duration::from_secs(6);
+/// How long a limit on attempts is valid.
+const LIMIT_LIFETIME: Duration = Duration::from_millis(900);
+/// Number of attempts in flight from which on a server that answers counts as recovered.
+const RECOVERED_IN_FLIGHT: u32 = 8;
+/// Minimum interval between two messages to the others about the same failed server.
+const MESSAGE_INTERVAL: Duration = Duration::from_millis(500);
+/// Number of servers that are tracked as failed; servers beyond it are not limited.
+const MAX_SERVERS: usize = 1024;
+/// Number of dispatchers that are remembered per failed server.
+const MAX_REPORTERS: usize = 1024;
+
+/// The recovery of a failed server.
 #[derive(Debug, Default)]
 struct Trial {
-    seen_by: BTreeMap<NameKey, Duration>,
-    said: Option<Duration>,
-    /// Attempts at once that the one who tries may have out.
-    many: u32,
+    /// The dispatchers that saw the server fail, and when that was last reported.
+    reporters: BTreeMap<NameKey, Duration>,
+    /// When this dispatcher last sent a message about the failure.
+    sent_at: Option<Duration>,
+    /// Attempts that the dispatcher that tries the server may have in flight.
+    max_in_flight: u32,
 }
 
-/// How many attempts the own dispatcher may have out at a host, until when.
+/// How many attempts this dispatcher may have in flight at a server, and until when that holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Leave {
-    pub host: u32,
-    pub many: u32,
+pub struct RecoveryLimit {
+    pub server: u32,
+    pub max_in_flight: u32,
     pub until: Duration,
 }
 
+/// The servers that failed lately, and who tries them.
 #[derive(Debug)]
-pub struct Trials {
+pub struct RecoveryTrials {
     own: NameKey,
-    hosts: BTreeMap<u32, Trial>,
+    servers: BTreeMap<u32, Trial>,
 }
 
-impl Trials {
-    pub fn new(own: NameKey) -> Trials {
-        Trials {
+impl RecoveryTrials {
+    pub fn new(own: NameKey) -> RecoveryTrials {
+        RecoveryTrials {
             own,
-            hosts: BTreeMap::new(),
+            servers: BTreeMap::new(),
         }
     }
 
-    fn seen(&mut self, now: Duration, host: u32, by: NameKey) {
-        if self.hosts.len() >= HOSTS && !self.hosts.contains_key(&host) {
+    fn record_failure(&mut self, now: Duration, server: u32, reporter: NameKey) {
+        if self.servers.len() >= MAX_SERVERS && !self.servers.contains_key(&server) {
             return;
         }
-        let trial = self.hosts.entry(host).or_default();
-        if trial.seen_by.len() < SEERS || trial.seen_by.contains_key(&by) {
-            trial.seen_by.insert(by, now);
+        let trial = self.servers.entry(server).or_default();
+        if trial.reporters.len() < MAX_REPORTERS || trial.reporters.contains_key(&reporter) {
+            trial.reporters.insert(reporter, now);
         }
-        trial.many = 1;
+        trial.max_in_flight = 1;
     }
 
-    /// The own dispatcher saw it fail, in a row; gives what the others are to be told.
-    pub fn failed(&mut self, now: Duration, host: u32) -> Option<Saying> {
-        self.seen(now, host, self.own);
-        let trial = self.hosts.get_mut(&host)?;
+    /// Consecutive attempts of this dispatcher at the server failed. Returns the message to send to the others, if one is due.
+    pub fn failed(&mut self, now: Duration, server: u32) -> Option<HealthCheckMessage> {
+        self.record_failure(now, server, self.own);
+        let trial = self.servers.get_mut(&server)?;
         let due = trial
-            .said
-            .is_none_or(|at| now.saturating_sub(at) >= SAY_EVERY);
+            .sent_at
+            .is_none_or(|at| now.saturating_sub(at) >= MESSAGE_INTERVAL);
         due.then(|| {
-            trial.said = Some(now);
-            Saying::Failed(host)
+            trial.sent_at = Some(now);
+            HealthCheckMessage::Failed(server)
         })
     }
 
-    /// The own dispatcher was answered by it; once it is well the others are to be told so.
-    pub fn answered(&mut self, host: u32) -> Option<Saying> {
-        let trial = self.hosts.get_mut(&host)?;
-        trial.many = trial.many.saturating_mul(2);
-        if trial.many < WELL {
+    /// The server answered an attempt of this dispatcher. Doubles its limit; once the server counts as recovered, returns the message
+    /// to send to the others.
+    pub fn answered(&mut self, server: u32) -> Option<HealthCheckMessage> {
+        let trial = self.servers.get_mut(&server)?;
+        trial.max_in_flight = trial.max_in_flight.saturating_mul(2);
+        if trial.max_in_flight < RECOVERED_IN_FLIGHT {
             return None;
         }
-        self.hosts.remove(&host);
-        Some(Saying::Well(host))
+        self.servers.remove(&server);
+        Some(HealthCheckMessage::Recovered(server))
     }
 
-    /// Another one says so.
-    pub fn heard(&mut self, now: Duration, from: NameKey, host: u32, failed: bool) {
+    /// Another dispatcher reported that a server failed, or that it recovered.
+    pub fn peer_reported(&mut self, now: Duration, from: NameKey, server: u32, failed: bool) {
         match failed {
-            true => self.seen(now, host, from),
-            false => drop(self.hosts.remove(&host)),
+            true => self.record_failure(now, server, from),
+            false => drop(self.servers.remove(&server)),
         }
     }
 
-    /// What the own dispatcher may do with the hosts that it saw fail itself: one voice condemns a host for nobody else. `others`: those
-    /// that are there; of whom nothing is known nobody waits for another.
-    pub fn leaves(&mut self, now: Duration, others: Option<&[NameKey]>) -> Vec<Leave> {
+    /// The limits for the servers that this dispatcher itself saw fail. A failure that only others report limits nothing here, so that
+    /// one dispatcher can't take a server away from the rest. `others` are the dispatchers that are reachable; without that knowledge
+    /// this dispatcher tries the server itself.
+    pub fn limits(&mut self, now: Duration, others: Option<&[NameKey]>) -> Vec<RecoveryLimit> {
         let own = self.own;
-        self.hosts.retain(|_, t| {
-            t.seen_by.retain(|_, at| now.saturating_sub(*at) < FAILED);
-            !t.seen_by.is_empty()
+        self.servers.retain(|_, t| {
+            t.reporters
+                .retain(|_, at| now.saturating_sub(*at) < FAILURE_LIFETIME);
+            !t.reporters.is_empty()
         });
-        let mine = self
-            .hosts
+        let seen_here = self
+            .servers
             .iter()
-            .filter(|(_, t)| t.seen_by.contains_key(&own));
-        let leave = |(host, t): (&u32, &Trial)| {
-            let there = |n: &NameKey| *n == own || others.is_some_and(|o| o.contains(n));
-            let holder = asker(*host, t.seen_by.keys().copied().filter(there));
-            Leave {
-                host: *host,
-                many: if holder == Some(own) { t.many } else { 0 },
-                until: now + LEAVE,
+            .filter(|(_, t)| t.reporters.contains_key(&own));
+        let limit = |(server, t): (&u32, &Trial)| {
+            let reachable = |n: &NameKey| *n == own || others.is_some_and(|o| o.contains(n));
+            let assigned =
+                health_check_sender(*server, t.reporters.keys().copied().filter(reachable));
+            RecoveryLimit {
+                server: *server,
+                max_in_flight: if assigned == Some(own) {
+                    t.max_in_flight
+                } else {
+                    0
+                },
+                until: now + LIMIT_LIFETIME,
             }
         };
-        mine.map(leave).collect()
+        seen_here.map(limit).collect()
     }
 }
 
@@ -125,54 +140,67 @@
     }
 
     #[test]
-    fn one_of_those_that_saw_it_fail_tries_it_and_more_only_after_it_answers() {
+    fn one_dispatcher_that_saw_the_failure_tries_the_server_and_more_only_after_answers() {
         let all: Vec<NameKey> = (0..6).map(NameKey).collect();
-        let mut members: Vec<Trials> = all.iter().map(|n| Trials::new(*n)).collect();
+        let mut members: Vec<RecoveryTrials> =
+            all.iter().map(|n| RecoveryTrials::new(*n)).collect();
         for i in 0..5 {
-            let saying = members[i].failed(s(0), 7);
-            assert_eq!(saying, Some(Saying::Failed(7)));
-            assert_eq!(members[i].failed(s(0), 7), None, "said once");
+            let message = members[i].failed(s(0), 7);
+            assert_eq!(message, Some(HealthCheckMessage::Failed(7)));
+            assert_eq!(members[i].failed(s(0), 7), None, "sent once per interval");
             (0..6)
                 .filter(|j| *j != i)
-                .for_each(|j| members[j].heard(s(0), all[i], 7, true));
+                .for_each(|j| members[j].peer_reported(s(0), all[i], 7, true));
         }
-        let may = |members: &mut Vec<Trials>, at| -> Vec<u32> {
+        let limits = |members: &mut Vec<RecoveryTrials>, at| -> Vec<u32> {
             members
                 .iter_mut()
-                .map(|m| m.leaves(at, Some(&all)).iter().map(|l| l.many).sum())
+                .map(|m| {
+                    m.limits(at, Some(&all))
+                        .iter()
+                        .map(|l| l.max_in_flight)
+                        .sum()
+                })
                 .collect()
         };
-        assert_eq!(may(&mut members, s(1)).iter().sum::<u32>(), 1);
+        assert_eq!(limits(&mut members, s(1)).iter().sum::<u32>(), 1);
         assert!(
-            members[5].leaves(s(1), Some(&all)).is_empty(),
-            "it has not seen it fail"
+            members[5].limits(s(1), Some(&all)).is_empty(),
+            "this dispatcher did not see the failure"
         );
-        let holder = may(&mut members, s(1))
+        let assigned = limits(&mut members, s(1))
             .iter()
             .position(|m| *m == 1)
-            .expect("one");
-        assert_eq!(members[holder].answered(7), None);
-        assert_eq!(may(&mut members, s(1)).iter().sum::<u32>(), 2);
-        members[holder].failed(s(1), 7);
-        assert_eq!(may(&mut members, s(1)).iter().sum::<u32>(), 1);
+            .expect("one dispatcher");
+        assert_eq!(members[assigned].answered(7), None);
+        assert_eq!(limits(&mut members, s(1)).iter().sum::<u32>(), 2);
+        members[assigned].failed(s(1), 7);
+        assert_eq!(limits(&mut members, s(1)).iter().sum::<u32>(), 1);
         assert_eq!(
-            (members[holder].answered(7), members[holder].answered(7)),
+            (members[assigned].answered(7), members[assigned].answered(7)),
             (None, None)
         );
-        assert_eq!(members[holder].answered(7), Some(Saying::Well(7)));
-        (0..6).for_each(|j| members[j].heard(s(1), all[holder], 7, false));
-        assert!((0..6).all(|j| members[j].leaves(s(1), Some(&all)).is_empty()));
+        assert_eq!(
+            members[assigned].answered(7),
+            Some(HealthCheckMessage::Recovered(7))
+        );
+        (0..6).for_each(|j| members[j].peer_reported(s(1), all[assigned], 7, false));
+        assert!((0..6).all(|j| members[j].limits(s(1), Some(&all)).is_empty()));
     }
 
     #[test]
-    fn all_ends_by_time_and_one_that_is_alone_tries_by_itself() {
-        let mut one = Trials::new(NameKey(1));
-        one.heard(s(0), NameKey(2), 7, true);
-        one.failed(s(0), 7);
+    fn failures_expire_and_a_dispatcher_without_peers_tries_by_itself() {
+        let mut trials = RecoveryTrials::new(NameKey(1));
+        trials.peer_reported(s(0), NameKey(2), 7, true);
+        trials.failed(s(0), 7);
         assert_eq!(
-            one.leaves(s(1), None).iter().map(|l| l.many).sum::<u32>(),
+            trials
+                .limits(s(1), None)
+                .iter()
+                .map(|l| l.max_in_flight)
+                .sum::<u32>(),
             1
         );
-        assert!(one.leaves(s(7), None).is_empty());
+        assert!(trials.limits(s(7), None).is_empty());
     }
 }
--- a/crates/overload/src/window.rs
+++ b/crates/overload/src/window.rs
@@ -1,21 +1,21 @@
-//! Rates and sums that fade by time.
+//! Exponentially decaying rates and sums over a sliding window.
 
 use std::time::Duration;
 
-/// A rate over the time just gone: what came fades with this time constant.
+/// An exponentially decaying rate of events: an amount loses weight with the decay time as its time constant.
 #[derive(Clone, Debug)]
-pub struct Rate {
-    fades: f64,
+pub struct DecayingRate {
+    decay_time_s: f64,
     sum: f64,
     at: Duration,
-    /// Since when it has been counted: a young rate is judged by the time that it has had.
+    /// When the first amount was added. Until several decay times have passed, the rate is normalized by the time since then.
     since: Option<Duration>,
 }
 
-impl Rate {
-    pub fn new(fades: Duration) -> Rate {
-        Rate {
-            fades: fades.as_secs_f64(),
+impl DecayingRate {
+    pub fn new(decay_time: Duration) -> DecayingRate {
+        DecayingRate {
+            decay_time_s: decay_time.as_secs_f64(),
             sum: 0.0,
             at: Duration::ZERO,
             since: None,
@@ -23,62 +23,62 @@
     }
 
     fn sum_at(&self, now: Duration) -> f64 {
-        self.sum * (-now.saturating_sub(self.at).as_secs_f64() / self.fades).exp()
+        self.sum * (-now.saturating_sub(self.at).as_secs_f64() / self.decay_time_s).exp()
     }
 
-    pub fn add(&mut self, now: Duration, what: f64) {
-        if what.is_finite() && what > 0.0 {
-            self.sum = self.sum_at(now) + what;
+    pub fn add(&mut self, now: Duration, amount: f64) {
+        if amount.is_finite() && amount > 0.0 {
+            self.sum = self.sum_at(now) + amount;
             (self.at, self.since) = (self.at.max(now), self.since.or(Some(now)));
         }
     }
 
-    /// A second.
+    /// The rate per second. The averaging time is at least a fifth of the decay time, so that the first event gives no huge rate.
     pub fn per_s(&self, now: Duration) -> f64 {
         let Some(since) = self.since else { return 0.0 };
-        let had = now.saturating_sub(since).as_secs_f64();
-        let whole = self.fades * (1.0 - (-had / self.fades).exp());
-        self.sum_at(now) / whole.max(self.fades * 0.2)
+        let elapsed_s = now.saturating_sub(since).as_secs_f64();
+        let averaging_s = self.decay_time_s * (1.0 - (-elapsed_s / self.decay_time_s).exp());
+        self.sum_at(now) / averaging_s.max(self.decay_time_s * 0.2)
     }
 }
 
-/// Parts that a span is counted in.
-const PARTS: usize = 10;
+/// Buckets that cover the length of a sliding window.
+const BUCKETS: usize = 10;
 
-/// The sum over a whole span just gone, never less than what came in it.
+/// A sum over a sliding window, kept in buckets. It covers up to one bucket more than the window, never less.
 #[derive(Clone, Debug)]
-pub struct Span {
-    part: Duration,
-    sums: [f64; PARTS + 1],
-    /// Number of the newest part.
+pub struct SlidingSum {
+    bucket: Duration,
+    sums: [f64; BUCKETS + 1],
+    /// Number of the newest bucket, counted from time 0 in bucket lengths.
     newest: u128,
 }
 
-impl Span {
-    pub fn new(whole: Duration) -> Span {
-        Span {
-            part: whole / PARTS as u32,
-            sums: [0.0; PARTS + 1],
+impl SlidingSum {
+    pub fn new(length: Duration) -> SlidingSum {
+        SlidingSum {
+            bucket: length / BUCKETS as u32,
+            sums: [0.0; BUCKETS + 1],
             newest: 0,
         }
     }
 
-    fn turn(&mut self, now: Duration) {
-        let number = now.as_micros() / self.part.as_micros().max(1);
-        let gone = number.saturating_sub(self.newest);
-        for i in 1..=gone.min(PARTS as u128 + 1) {
-            self.sums[((self.newest + i) % (PARTS as u128 + 1)) as usize] = 0.0;
+    fn advance(&mut self, now: Duration) {
+        let number = now.as_micros() / self.bucket.as_micros().max(1);
+        let passed = number.saturating_sub(self.newest);
+        for i in 1..=passed.min(BUCKETS as u128 + 1) {
+            self.sums[((self.newest + i) % (BUCKETS as u128 + 1)) as usize] = 0.0;
         }
         self.newest = self.newest.max(number);
     }
 
-    pub fn add(&mut self, now: Duration, what: f64) {
-        self.turn(now);
-        self.sums[(self.newest % (PARTS as u128 + 1)) as usize] += what;
+    pub fn add(&mut self, now: Duration, amount: f64) {
+        self.advance(now);
+        self.sums[(self.newest % (BUCKETS as u128 + 1)) as usize] += amount;
     }
 
     pub fn sum(&mut self, now: Duration) -> f64 {
-        self.turn(now);
+        self.advance(now);
         self.sums.iter().sum()
     }
 }
@@ -92,8 +92,8 @@
     }
 
     #[test]
-    fn a_rate_is_right_while_young_and_fades() {
-        let mut rate = Rate::new(Duration::from_secs(1));
+    fn rate_is_correct_before_one_decay_time_and_decays() {
+        let mut rate = DecayingRate::new(Duration::from_secs(1));
         for i in 0..500 {
             rate.add(ms(2 * i), 0.5);
         }
@@ -108,22 +108,22 @@
     }
 
     #[test]
-    fn a_span_holds_all_that_came_in_it_and_nothing_long_after() {
-        let mut span = Span::new(Duration::from_secs(5));
+    fn sum_covers_the_whole_window_and_nothing_long_past() {
+        let mut window = SlidingSum::new(Duration::from_secs(5));
         for i in 0..100 {
-            span.add(ms(100 * i), 1.0);
+            window.add(ms(100 * i), 1.0);
         }
         assert!(
-            (50.0..=55.0).contains(&span.sum(ms(9_900))),
+            (50.0..=55.0).contains(&window.sum(ms(9_900))),
             "{}",
-            span.sum(ms(9_900))
+            window.sum(ms(9_900))
         );
-        assert_eq!(span.sum(ms(90_000)), 0.0);
-        span.add(ms(10), 1.0);
+        assert_eq!(window.sum(ms(90_000)), 0.0);
+        window.add(ms(10), 1.0);
         assert_eq!(
-            span.sum(ms(90_000)),
+            window.sum(ms(90_000)),
             1.0,
-            "a clock that seems to go back loses nothing"
+            "an amount added with an earlier time is still counted"
         );
     }
 }
