--- a/crates/overload/src/gate.rs
+++ b/crates/overload/src/gate.rs
@@ -40,7 +40,7 @@
 /// A request on whose admission has to be decided.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AdmissionRequest {
-    /// What the request's class is worth compared to other classes.
+    /// Relative importance of the request's class.
     pub priority_weight: f64,
     /// Length of the whole prompt, tokens.
     pub prompt_tokens: f64,
@@ -115,7 +115,7 @@
     weighted_ttft: DecayingRate,
     /// Work of the requests in `weighted_ttft`.
     ttft_weights: DecayingRate,
-    /// Work of the pending requests.
+    /// Work of the admitted requests that wait for their first token.
     backlog: f64,
     /// Number of admitted requests that wait for their first token.
     pending: u32,
@@ -123,7 +123,7 @@
     counts: (u32, u32, u32),
     retry_after: RetryAfterSchedule,
     retry_budget: RetryBudget,
-    /// Limits the admitted work while no threshold is valid.
+    /// Limits the work that is admitted while no threshold is valid.
     isolated_limit: TokenBucket,
     tenants: BTreeMap<u32, TokenBucket>,
     /// When each prompt prefix was last admitted.
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -34,7 +34,7 @@
 pub use io::{AdmissionThreshold, Command, Event, LocalLoad, Millionths, Settings};
 pub use machine::OverloadControl;
 pub use order::SunkCost;
-pub use probes::{health_check_sender, HealthCheckMessage, HealthChecks, HEALTH_CHECK_INTERVAL};
+pub use probes::{responsible_member, HealthCheckMessage, HealthChecks, HEALTH_CHECK_INTERVAL};
 pub use repeats::RetryBudget;
 pub use returns::RetryAfterSchedule;
 pub use sums::{ClusterTotals, LoadReports};
--- a/crates/overload/src/machine.rs
+++ b/crates/overload/src/machine.rs
@@ -21,7 +21,7 @@
 /// Interval between two updates of the threshold, and between two load reports to the other dispatchers.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a threshold is valid, and how long a measurement of the local load counts.
-const LIFETIME: Duration = Duration::from_millis(900);
+const STATE_LIFETIME: Duration = Duration::from_millis(900);
 /// Number of dispatchers to which a load report is sent. In a larger cluster the recipients are drawn at random for each report, and a
 /// report is sent only every [`SAMPLED_UPDATES`] updates.
 const MAX_RECIPIENTS: usize = 16;
@@ -239,7 +239,7 @@
         let current = self
             .local_load
             .as_ref()
-            .filter(|(at, _)| now.saturating_sub(*at) < LIFETIME);
+            .filter(|(at, _)| now.saturating_sub(*at) < STATE_LIFETIME);
         let load = current.map(|(_, load)| load.clone()).unwrap_or_default();
         LoadReport {
             sequence: self.sequence,
@@ -292,7 +292,7 @@
         let Some(last_load) = self.local_load.as_ref() else {
             return;
         };
-        let stale = now.saturating_sub(last_load.0) >= LIFETIME;
+        let stale = now.saturating_sub(last_load.0) >= STATE_LIFETIME;
         self.reports.remove_expired(now);
         self.health_checks.remove_expired(now);
         self.emit_recovery_limits(now, out);
@@ -359,7 +359,7 @@
             even_share
         };
         AdmissionThreshold {
-            valid_until: now + LIFETIME,
+            valid_until: now + STATE_LIFETIME,
             rank: Millionths::of(self.rank),
             capacity: Millionths::of(admissible.capacity),
             retry_capacity: Millionths::of(RETRY_CAPACITY_SHARE * admissible.capacity),
--- a/crates/overload/src/probes.rs
+++ b/crates/overload/src/probes.rs
@@ -17,7 +17,7 @@
 const MAX_SERVERS: usize = 4096;
 /// Number of dispatchers that can wait for the report of one server; further ones get no reply.
 const MAX_WAITING: usize = 320;
-/// Number of values in a server's report; further ones are cut off when it is sent.
+/// Number of values in a server's report; further ones are omitted when the report is sent.
 const MAX_REPORT_VALUES: usize = 16;
 
 /// The messages that dispatchers send each other about servers. The first byte is the type; types are distinct from the version numbers
@@ -104,8 +104,9 @@
     }
 }
 
-/// The dispatcher of `members` that sends a server's health checks, by rendezvous hashing (Thaler and Ravishankar 1998).
-pub fn health_check_sender(server: u32, members: impl Iterator<Item = NameKey>) -> Option<NameKey> {
+/// The dispatcher of `members` that is responsible for a server, by rendezvous hashing (Thaler and Ravishankar 1998): it sends the
+/// server's health checks, or tries the server after a failure. All dispatchers with the same `members` agree on it.
+pub fn responsible_member(server: u32, members: impl Iterator<Item = NameKey>) -> Option<NameKey> {
     members.max_by_key(|m| (mix(u64::from(server) << 32 | u64::from(m.0)), *m))
 }
 
@@ -191,7 +192,7 @@
         let interval = others.map_or(HEALTH_CHECK_INTERVAL * roster.max(1) as u32, |_| {
             HEALTH_CHECK_INTERVAL
         });
-        let sender = health_check_sender(
+        let sender = responsible_member(
             server,
             others.unwrap_or_default().iter().copied().chain([own]),
         );
@@ -403,7 +404,7 @@
     fn only_the_servers_of_a_removed_dispatcher_change_their_sender() {
         let all: Vec<NameKey> = (0..9).map(NameKey).collect();
         let sender_of = |server, without| {
-            health_check_sender(server, all.iter().copied().filter(|n| Some(*n) != without))
+            responsible_member(server, all.iter().copied().filter(|n| Some(*n) != without))
                 .expect("a member")
         };
         for server in 0..500 {
--- a/crates/overload/src/repeats.rs
+++ b/crates/overload/src/repeats.rs
@@ -6,8 +6,9 @@
 use crate::io::AdmissionThreshold;
 use crate::window::SlidingSum;
 
-/// Retried work that is allowed, as a fraction of new work.
+/// Work that may be retried, as a fraction of the new work of the same window.
 const RETRY_RATIO: f64 = 0.1;
+/// Length of the window over which new and retried work are summed.
 const WINDOW: Duration = Duration::from_secs(5);
 
 /// New and retried work that this dispatcher admitted within the window, seconds of a server of weight 1.
@@ -87,9 +88,9 @@
                 budget_share: Millionths::of(0.225), budget_share_until: Duration::from_millis(lease_end_ms), ..AdmissionThreshold::default()
             };
             let (mut now, mut done) = (Duration::from_millis(1), Vec::new());
-            for (who, gap, work) in requests {
+            for (dispatcher, gap, work) in requests {
                 now += Duration::from_millis(gap);
-                if budgets[who].try_spend(now, work, Some(&threshold)) {
+                if budgets[dispatcher].try_spend(now, work, Some(&threshold)) {
                     done.push((now, work));
                 }
             }
--- a/crates/overload/src/sums.rs
+++ b/crates/overload/src/sums.rs
@@ -9,13 +9,13 @@
 use crate::order::LEVELS;
 use crate::LoadReport;
 
-/// Age up to which a load report has its full weight. From then on the weight falls linearly.
+/// Age up to which a load report has its full weight in the totals. From then on the weight falls linearly to 0.
 const FULL_WEIGHT_AGE: Duration = Duration::from_millis(1000);
-/// Age at which a load report has no weight and is removed.
+/// Age at which a load report has no weight in the totals and is removed.
 const MAX_AGE: Duration = Duration::from_millis(2500);
-/// Multiple of the dispatchers' median above which a reported value is an outlier.
+/// Multiple of the dispatchers' median above which a value in a load report is an outlier and is limited to that multiple.
 const OUTLIER_RATIO: f64 = 10.0;
-/// Lower bound of the median in that comparison, so that small values are no outliers.
+/// Least median that values are compared with to find outliers, seconds of work (per second), so that no small value is an outlier.
 const MIN_OUTLIER_MEDIAN: f64 = 0.5;
 /// Number of dispatchers, including this one, from which on the median is meaningful and outliers are limited.
 const MIN_MEMBERS_FOR_MEDIAN: usize = 3;
@@ -103,6 +103,7 @@
             .retain(|_, r| now.saturating_sub(r.received_at) < MAX_AGE);
     }
 
+    /// The weight in the totals of a report received at this time.
     fn weight(now: Duration, received_at: Duration) -> f64 {
         let age = now.saturating_sub(received_at);
         let decline_s = (MAX_AGE - FULL_WEIGHT_AGE).as_secs_f64();
@@ -131,7 +132,7 @@
         let median_of = |value: fn(&LoadReport) -> f64| median(current().map(value).collect());
         let limits_outliers = received.len() + 1 >= MIN_MEMBERS_FOR_MEDIAN;
         let mut outliers = BTreeSet::new();
-        // A value above the limit counts as the limit.
+        // A value in a received report that is above the limit counts as the limit.
         let mut sum = |value_of: fn(&LoadReport) -> f64| {
             let limit = if limits_outliers {
                 OUTLIER_RATIO * median_of(value_of).max(MIN_OUTLIER_MEDIAN)
@@ -162,9 +163,10 @@
             f64::INFINITY
         };
         for (i, level) in demand.iter_mut().enumerate() {
-            let part = |r: &LoadReport| r.demand.get(i).copied().unwrap_or(0.0);
-            let limited = |r: &LoadReport| part(r) * (limit / r.total_demand().max(1e-9)).min(1.0);
-            *level = part(own)
+            let level_demand = |r: &LoadReport| r.demand.get(i).copied().unwrap_or(0.0);
+            let limited =
+                |r: &LoadReport| level_demand(r) * (limit / r.total_demand().max(1e-9)).min(1.0);
+            *level = level_demand(own)
                 + scale
                     * received
                         .iter()
--- a/crates/overload/src/trials.rs
+++ b/crates/overload/src/trials.rs
@@ -6,7 +6,7 @@
 
 use bitternlatch_membership::NameKey;
 
-use crate::probes::{health_check_sender, HealthCheckMessage};
+use crate::probes::{responsible_member, HealthCheckMessage};
 
 /// How long a dispatcher's report that a server failed counts.
 const FAILURE_LIFETIME: Duration = Duration::from_secs(6);
@@ -116,7 +116,7 @@
         let limit = |(server, t): (&u32, &Trial)| {
             let reachable = |n: &NameKey| *n == own || others.is_some_and(|o| o.contains(n));
             let assigned =
-                health_check_sender(*server, t.reporters.keys().copied().filter(reachable));
+                responsible_member(*server, t.reporters.keys().copied().filter(reachable));
             RecoveryLimit {
                 server: *server,
                 max_in_flight: if assigned == Some(own) {
--- a/crates/overload/src/window.rs
+++ b/crates/overload/src/window.rs
@@ -6,7 +6,9 @@
 #[derive(Clone, Debug)]
 pub struct DecayingRate {
     decay_time_s: f64,
+    /// The decayed sum of all amounts.
     sum: f64,
+    /// Time to which `sum` is decayed.
     at: Duration,
     /// When the first amount was added. Until several decay times have passed, the rate is normalized by the time since then.
     since: Option<Duration>,
@@ -42,12 +44,13 @@
     }
 }
 
-/// Buckets that cover the length of a sliding window.
+/// Number of buckets that cover the length of a sliding window.
 const BUCKETS: usize = 10;
 
 /// A sum over a sliding window, kept in buckets. It covers up to one bucket more than the window, never less.
 #[derive(Clone, Debug)]
 pub struct SlidingSum {
+    /// Length of time of one bucket.
     bucket: Duration,
     sums: [f64; BUCKETS + 1],
     /// Number of the newest bucket, counted from time 0 in bucket lengths.
--- a/crates/overload/src/word.rs
+++ b/crates/overload/src/word.rs
@@ -3,6 +3,7 @@
 use crate::order::LEVELS;
 use crate::OverloadError;
 
+/// First byte of an encoded load report.
 const VERSION: u8 = 1;
 /// Number of values in a load report besides the demand by priority level.
 const SINGLE_VALUES: usize = 11;
@@ -49,6 +50,7 @@
     (1.0 + ((value.log2() + 20.0) * 1600.0).clamp(0.0, 65_000.0)).round() as u16
 }
 
+/// Reverses [`encode`].
 fn decode(code: u16) -> f64 {
     match code {
         0 => 0.0,
--- a/crates/overload/tests/fleet.rs
+++ b/crates/overload/tests/fleet.rs
@@ -123,7 +123,7 @@
 
 /// Measurements over a period. Weights are sums of priority weights.
 #[derive(Clone, Debug, Default)]
-struct Figures {
+struct Measurements {
     /// Weight of the requests that clients sent.
     sent: f64,
     /// Weight of the requests answered within the latency objective.
@@ -140,7 +140,7 @@
     by_time: BTreeMap<u128, (u32, u32)>,
 }
 
-impl Figures {
+impl Measurements {
     /// Standard deviation over dispatchers of the fraction of first attempts that were rejected, less what chance alone causes.
     fn deviation_by_member(&self) -> f64 {
         deviation(self.by_member.values())
@@ -152,8 +152,9 @@
     }
 }
 
-fn deviation<'a>(of: impl Iterator<Item = &'a (u32, u32)>) -> f64 {
-    let rejected = of
+/// Standard deviation of the fraction rejected over groups of first attempts, less what chance alone causes. Small groups are ignored.
+fn deviation<'a>(groups: impl Iterator<Item = &'a (u32, u32)>) -> f64 {
+    let rejected = groups
         .filter(|m| m.0 > 20)
         .map(|m| (f64::from(m.1) / f64::from(m.0), f64::from(m.0)));
     let shares: Vec<(f64, f64)> = rejected.collect();
@@ -168,19 +169,20 @@
     (var - chance).max(0.0).sqrt()
 }
 
-struct Fleet {
+/// The simulated cluster, its servers and its clients.
+struct Cluster {
     world: World<Member>,
     /// Number of dispatchers.
     members: usize,
-    /// When each server finishes its queue.
+    /// When each server finishes the work in its queue.
     servers: Vec<Duration>,
-    /// The number of servers, from the first on, that do nothing until a time.
+    /// If servers are stalled: how many, counted from the first, and until when they do no work.
     stalled: Option<(usize, Duration)>,
     /// Work that a server does per second.
     speed: f64,
     /// Admitted requests, by the time of their first token: dispatcher, its start number, the admission and the attempt.
     pending: BTreeMap<(Duration, u64), (usize, u64, PendingWork, Attempt)>,
-    /// Attempts that clients will send, by their time.
+    /// Attempts that clients will repeat, by the time at which they do.
     retries: BTreeMap<(Duration, u64), Attempt>,
     /// Last request id or sequence number used.
     next: u64,
@@ -190,18 +192,18 @@
     honours_retry_after: bool,
     /// Whether dispatchers have a lease on the retry budget.
     has_lease: bool,
-    figures: Figures,
+    measurements: Measurements,
 }
 
-impl Fleet {
-    fn new(members: usize, servers: usize, seed: u64) -> Fleet {
+impl Cluster {
+    fn new(members: usize, servers: usize, seed: u64) -> Cluster {
         let mut world = World::new(members, seed);
         world.net.now = BEGIN;
         world.net.loss = 0.01;
         for i in 0..members {
             world.start(i, Member::new(i, members, 1, BEGIN));
         }
-        Fleet {
+        Cluster {
             world,
             members,
             servers: vec![BEGIN; servers],
@@ -213,7 +215,7 @@
             cut_off: vec![],
             honours_retry_after: true,
             has_lease: true,
-            figures: Figures::default(),
+            measurements: Measurements::default(),
         }
     }
 
@@ -285,11 +287,15 @@
             return;
         };
         if attempt.retries == 0 {
-            let by = self.figures.by_member.entry(attempt.member).or_default();
+            let by = self
+                .measurements
+                .by_member
+                .entry(attempt.member)
+                .or_default();
             by.0 += 1;
             by.1 += u32::from(matches!(decision, AdmissionDecision::Reject { .. }));
             let by = self
-                .figures
+                .measurements
                 .by_time
                 .entry(now.as_millis() / 500)
                 .or_default();
@@ -298,8 +304,8 @@
         }
         match decision {
             AdmissionDecision::Admit(pending) => {
-                self.figures.admitted_work += pending.work;
-                self.figures.retry_work += if attempt.retries > 0 {
+                self.measurements.admitted_work += pending.work;
+                self.measurements.retry_work += if attempt.retries > 0 {
                     pending.work
                 } else {
                     0.0
@@ -369,16 +375,16 @@
             // Measured from the first attempt, as clients do; each retry extends the objective by 4 s for its delay.
             let wait_s = waited_s.min(now.saturating_sub(attempt.sent_at).as_secs_f64());
             if wait_s <= TTFT_OBJECTIVE_S + 4.0 * f64::from(attempt.retries) {
-                self.figures.good += attempt.priority_weight
+                self.measurements.good += attempt.priority_weight
             } else {
-                self.figures.late += attempt.priority_weight
+                self.measurements.late += attempt.priority_weight
             }
         }
     }
 
     /// Runs for a number of seconds in which clients send `load` work per second; returns the measurements.
-    fn run(&mut self, seconds: f64, load: f64) -> Figures {
-        self.figures = Figures::default();
+    fn run(&mut self, seconds: f64, load: f64) -> Measurements {
+        self.measurements = Measurements::default();
         let slices = (seconds * 100.0) as u64;
         // 60 % are queries with 80 ms of work, 40 % bookings with 300 ms and twice the priority weight.
         let per_slice = load / (0.6 * 0.08 + 0.4 * 0.3) / 100.0;
@@ -398,7 +404,7 @@
                 };
                 let member = self.world.net.draw_bits() as usize % self.members;
                 self.next += 1;
-                self.figures.sent += priority_weight;
+                self.measurements.sent += priority_weight;
                 let attempt = Attempt {
                     id: self.next,
                     retries: 0,
@@ -431,7 +437,7 @@
             self.world.run(until);
             self.deliver_first_tokens();
         }
-        self.figures.clone()
+        self.measurements.clone()
     }
 
     fn kill(&mut self, members: std::ops::Range<usize>) {
@@ -456,11 +462,11 @@
 }
 
 /// Runs a cluster at `load` times its servers' capacity; returns the measurements of 6 s after 4 s of warm-up.
-fn steady(members: usize, servers: usize, load: f64) -> (Fleet, Figures) {
-    let mut fleet = Fleet::new(members, servers, 7);
-    fleet.run(4.0, load * servers as f64);
-    let figures = fleet.run(6.0, load * servers as f64);
-    (fleet, figures)
+fn steady(members: usize, servers: usize, load: f64) -> (Cluster, Measurements) {
+    let mut cluster = Cluster::new(members, servers, 7);
+    cluster.run(4.0, load * servers as f64);
+    let measurements = cluster.run(6.0, load * servers as f64);
+    (cluster, measurements)
 }
 
 #[test]
@@ -504,8 +510,8 @@
 
 #[test]
 fn three_hundred_dispatchers_shed_alike_from_sampled_reports() {
-    let (fleet, f) = steady(300, 60, 2.5);
-    let bytes: u64 = fleet
+    let (cluster, f) = steady(300, 60, 2.5);
+    let bytes: u64 = cluster
         .world
         .places
         .iter()
@@ -535,24 +541,24 @@
 /// servers stall for 5 s, nearly all requests are on time again.
 #[test]
 fn restart_of_a_third_of_the_dispatchers_and_a_server_stall_leave_no_overload_behind() {
-    let mut fleet = Fleet::new(12, 24, 3);
-    let before = fleet.run(6.0, 0.8 * 24.0);
-    fleet.kill(0..4);
-    fleet.run(2.0, 0.8 * 24.0);
-    fleet.start(0..4, 2);
-    fleet.run(5.0, 0.8 * 24.0);
-    let after = fleet.run(4.0, 0.8 * 24.0);
+    let mut cluster = Cluster::new(12, 24, 3);
+    let before = cluster.run(6.0, 0.8 * 24.0);
+    cluster.kill(0..4);
+    cluster.run(2.0, 0.8 * 24.0);
+    cluster.start(0..4, 2);
+    cluster.run(5.0, 0.8 * 24.0);
+    let after = cluster.run(4.0, 0.8 * 24.0);
     println!(
         "restarted: before {:.3} after {:.3}",
         before.good / before.sent,
         after.good / after.sent
     );
     assert!(after.good > 0.95 * after.sent, "{after:?}");
-    fleet.stalled = Some((12, fleet.world.now() + ms(5000)));
-    fleet.run(5.0, 0.8 * 24.0);
-    fleet.stalled = None;
-    fleet.run(5.0, 0.8 * 24.0);
-    let after = fleet.run(4.0, 0.8 * 24.0);
+    cluster.stalled = Some((12, cluster.world.now() + ms(5000)));
+    cluster.run(5.0, 0.8 * 24.0);
+    cluster.stalled = None;
+    cluster.run(5.0, 0.8 * 24.0);
+    let after = cluster.run(4.0, 0.8 * 24.0);
     println!(
         "stalled: after {:.3} late {:.0}",
         after.good / after.sent,
@@ -560,7 +566,7 @@
     );
     assert!(after.good > 0.95 * after.sent, "{after:?}");
     assert_eq!(
-        fleet.warnings(),
+        cluster.warnings(),
         0,
         "no correct report is taken for an outlier"
     );
@@ -570,17 +576,17 @@
 /// datagrams that nobody receives, then they are cut off in both directions.
 #[test]
 fn partitioned_dispatchers_without_a_lease_do_not_overload_servers() {
-    let mut fleet = Fleet::new(6, 24, 5);
-    fleet.run(4.0, 2.0 * 24.0);
-    fleet.has_lease = false;
+    let mut cluster = Cluster::new(6, 24, 5);
+    cluster.run(4.0, 2.0 * 24.0);
+    cluster.has_lease = false;
     // Datagrams from dispatchers 0 and 1 are lost, those to them are not.
-    fleet.world.net.passes = Box::new(|from, _| from > 1);
-    let f = fleet.run(10.0, 2.0 * 24.0);
+    cluster.world.net.passes = Box::new(|from, _| from > 1);
+    let f = cluster.run(10.0, 2.0 * 24.0);
     println!("one-way partition: good {:.0} late {:.0}", f.good, f.late);
     assert!(f.late < 0.05 * f.good, "{} {}", f.late, f.good);
-    fleet.cut_off = vec![0, 1];
-    fleet.world.net.passes = Box::new(|from, to| from > 1 && to > 1);
-    let f = fleet.run(8.0, 2.0 * 24.0);
+    cluster.cut_off = vec![0, 1];
+    cluster.world.net.passes = Box::new(|from, to| from > 1 && to > 1);
+    let f = cluster.run(8.0, 2.0 * 24.0);
     println!(
         "partition: good {:.0} late {:.0} retried {:.3}",
         f.good,
@@ -598,13 +604,13 @@
 
 #[test]
 fn immediate_retries_and_servers_at_half_speed_keep_answers_on_time() {
-    let mut fleet = Fleet::new(6, 24, 6);
-    fleet.honours_retry_after = false;
-    fleet.run(4.0, 2.0 * 24.0);
-    let full = fleet.run(5.0, 2.0 * 24.0);
-    fleet.speed = 0.5;
-    fleet.run(5.0, 2.0 * 24.0);
-    let half = fleet.run(5.0, 2.0 * 24.0);
+    let mut cluster = Cluster::new(6, 24, 6);
+    cluster.honours_retry_after = false;
+    cluster.run(4.0, 2.0 * 24.0);
+    let full = cluster.run(5.0, 2.0 * 24.0);
+    cluster.speed = 0.5;
+    cluster.run(5.0, 2.0 * 24.0);
+    let half = cluster.run(5.0, 2.0 * 24.0);
     println!(
         "half speed: full {:.0} late {:.0}, half {:.0} late {:.0}",
         full.good, full.late, half.good, half.late
@@ -621,10 +627,10 @@
 #[test]
 fn servers_three_times_slower_or_six_times_faster_than_configured_are_measured_within_seconds() {
     for speed in [1.0 / 3.0, 6.0] {
-        let mut fleet = Fleet::new(3, 12, 9);
-        fleet.speed = speed;
-        let first = fleet.run(4.0, 3.0 * 12.0 * speed);
-        let f = fleet.run(6.0, 3.0 * 12.0 * speed);
+        let mut cluster = Cluster::new(3, 12, 9);
+        cluster.speed = speed;
+        let first = cluster.run(4.0, 3.0 * 12.0 * speed);
+        let f = cluster.run(6.0, 3.0 * 12.0 * speed);
         let (late, capacity) = (
             first.late / (first.good + first.late),
             12.0 * speed * 6.0 * 10.0,
