--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -6,7 +6,7 @@
 
 use bitternlatch_core::{Input, Micros, Output, SessionId, Settings};
 use bitternlatch_membership::QuorumState;
-use bitternlatch_overload::{Ask, Cut, Millionths, Told as OverloadEvent};
+use bitternlatch_overload::{AdmissionThreshold, Command, Event, Millionths};
 use bitternlatch_protocol::engine::FromEngine;
 use common::{four, Bench, Told, SETTINGS};
 
@@ -39,19 +39,19 @@
     let now = Duration::from_micros(bench.now.0);
     let until = now + Duration::from_secs_f64(for_s);
     let millionths = Millionths::of;
-    let cut = Cut {
-        until,
+    let threshold = AdmissionThreshold {
+        valid_until: until,
         rank: millionths(rank),
         capacity: millionths(4.0),
-        free: millionths(0.4),
-        room: millionths(100.0),
-        fresh: millionths(fresh),
-        part: millionths(0.225),
-        part_until: until,
+        retry_capacity: millionths(0.4),
+        max_backlog: millionths(100.0),
+        new_work: millionths(fresh),
+        budget_share: millionths(0.225),
+        budget_share_until: until,
         members: 4,
-        together: true,
+        has_quorum: true,
     };
-    bench.step(Input::Overload(OverloadEvent::Cut(cut)));
+    bench.step(Input::Overload(Event::Threshold(threshold)));
 }
 
 /// The retry delay of the session's rejection, seconds; `None` if it has none.
@@ -145,11 +145,11 @@
     let mut bench = bench_with_shedding();
     let host = bitternlatch_inventory::server_id("r1");
     bench.probes.clear();
-    bench.step(Input::Overload(OverloadEvent::Probe { host }));
+    bench.step(Input::Overload(Event::SendHealthCheck { server: host }));
     let (link, id) = bench.probes.pop().expect("a health check");
     let load = std::iter::once(("kv_cache_usage_perc".to_string(), 0.25)).collect();
     bench.says(link, &FromEngine::Load { id, load });
-    let is_shared = |o: &Output| matches!(o, Output::Overload(Ask::Probed { host: h, report }) if *h == host && report.len() == 1);
+    let is_shared = |o: &Output| matches!(o, Output::Overload(Command::HealthCheckAnswered { server: h, report }) if *h == host && report.len() == 1);
     assert_eq!(bench.out.iter().filter(|o| is_shared(o)).count(), 1);
 }
 
@@ -158,8 +158,8 @@
     let mut bench = bench("");
     set_threshold(&mut bench, 48.0, 0.0, 60.0);
     bench.probes.clear();
-    bench.step(Input::Overload(OverloadEvent::Probe {
-        host: bitternlatch_inventory::server_id("r1"),
+    bench.step(Input::Overload(Event::SendHealthCheck {
+        server: bitternlatch_inventory::server_id("r1"),
     }));
     assert!(bench.probes.is_empty());
     assert!((0..50).all(|n| request_delay(&mut bench, n).is_none()));
@@ -187,9 +187,9 @@
     set_threshold(&mut bench, 0.0, 100.0, 60.0);
     let host = bitternlatch_inventory::server_id("r1");
     let until = Duration::from_micros(bench.now.0) + Duration::from_secs(for_s);
-    bench.step(Input::Overload(OverloadEvent::Trial {
-        host,
-        many: max_in_flight,
+    bench.step(Input::Overload(Event::RecoveryLimit {
+        server: host,
+        max_in_flight,
         until,
     }));
     for n in 0..8 {
@@ -212,7 +212,7 @@
         .take(3)
         .for_each(|attempt| bench.error(attempt, 500, None));
     let r1 = bitternlatch_inventory::server_id("r1");
-    let reports_failure = |o: &&Output| matches!(o, Output::Overload(Ask::Tried { host, well: false }) if *host == r1);
+    let reports_failure = |o: &&Output| matches!(o, Output::Overload(Command::AttemptEnded { server, succeeded: false }) if *server == r1);
     assert_eq!(
         bench.out.iter().filter(reports_failure).count(),
         2,
