--- a/crates/core/src/settings/cluster.rs
+++ b/crates/core/src/settings/cluster.rs
@@ -129,7 +129,7 @@
 }
 
 fn check_workflows(w: &bitternlatch_workflow::Settings, c: &mut Check) {
-    if let Some(kept) = &w.kept {
+    if let Some(kept) = &w.records_dir {
         c.name("cluster.workflows.kept", kept);
     }
     c.within(
--- a/crates/workflow/src/attempts.rs
+++ b/crates/workflow/src/attempts.rs
@@ -1,5 +1,4 @@
-//! This process's own attempts: those that it permitted to be sent and that have not ended, and those whose intent may be in a
-//! register though they were never sent.
+//! Attempts made by this process: those in flight, and those that were never sent although a register may hold their intent.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,22 +9,23 @@
 use crate::step::Attempt;
 use crate::step_transitions::LocalAttempt;
 
-/// Attempts known at a time; intents beyond them are rejected as busy.
+/// Maximum number of tracked attempts; further intents are rejected as busy.
 const MAX_ATTEMPTS: usize = 16 * 1024;
-/// How long an attempt is known for certain.
+/// Time for which an attempt is tracked even if the table is full.
 const ATTEMPT_RETENTION: Duration = Duration::from_secs(120);
 
 #[derive(Clone, Debug)]
 struct TrackedAttempt {
     step: u32,
     epoch: u64,
+    /// A dispatch permit was given, so the request may have been sent.
     sent: bool,
-    /// Past it the attempt may be forgotten where there is no capacity. Until then the lease of its workflow is renewed for one that
-    /// was sent.
+    /// After this time the attempt may be dropped if the table is full. Before it, an attempt that may have been sent keeps the
+    /// lease of its workflow renewed.
     retained_until: Duration,
 }
 
-/// Attempts by workflow and number, in order.
+/// Table of the tracked attempts, keyed by workflow and attempt number.
 #[derive(Debug)]
 pub(crate) struct Attempts {
     own: Process,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A new attempt that was not sent; none where too many are known.
+    /// Starts to track a new attempt, not sent yet. Returns `None` if the table is full.
     pub(crate) fn open(
         &mut self,
         now: Duration,
@@ -76,15 +76,15 @@
         Some(self.attempt(self.last_number))
     }
 
-    /// The attempt may be sent.
-    pub(crate) fn sent(&mut self, now: Duration, key: RegisterKey, attempt: Attempt) {
+    /// Marks an attempt as one that may be sent.
+    pub(crate) fn mark_sent(&mut self, now: Duration, key: RegisterKey, attempt: Attempt) {
         if let Some(tracked) = self.tracked.get_mut(&(key, attempt.number)) {
             tracked.sent = true;
             tracked.retained_until = now + ATTEMPT_RETENTION;
         }
     }
 
-    /// What this process knows of an attempt.
+    /// Returns what this process knows of an attempt.
     pub(crate) fn local_attempt(&self, key: RegisterKey, attempt: Attempt) -> LocalAttempt {
         if attempt != self.attempt(attempt.number) {
             return LocalAttempt::Unknown;
@@ -105,7 +105,7 @@
             .map(|((_, number), tracked)| (*number, tracked))
     }
 
-    /// The attempt whose outcome is reported: the last one that was sent for this step under this epoch.
+    /// Returns the attempt that an outcome report is about: the latest one sent for this step under this epoch.
     pub(crate) fn latest_sent(&self, key: RegisterKey, step: u32, epoch: u64) -> Option<Attempt> {
         let is_reported = |tracked: &TrackedAttempt| {
             tracked.sent && tracked.step == step && tracked.epoch == epoch
@@ -117,7 +117,8 @@
         Some(self.attempt(number))
     }
 
-    /// The epoch under which the workflow's lease is to be renewed for an attempt in flight.
+    /// Returns the epoch under which the workflow's lease is renewed on behalf of an attempt in flight; `None` if there is no such
+    /// attempt.
     pub(crate) fn active_epoch(&self, now: Duration, key: RegisterKey) -> Option<u64> {
         self.of_workflow(key)
             .filter(|(_, tracked)| tracked.sent && now < tracked.retained_until)
@@ -125,7 +126,7 @@
             .max()
     }
 
-    /// The lease is not renewed any more; the attempt's outcome is still of use.
+    /// Stops renewing the lease for attempts under this epoch. They stay tracked, as their outcome can still be reported.
     pub(crate) fn fence(&mut self, key: RegisterKey, epoch: u64) {
         let of_workflow = self.tracked.range_mut((key, 0)..=(key, u64::MAX));
         for (_, tracked) in of_workflow {
@@ -135,12 +136,12 @@
         }
     }
 
-    /// The attempt has ended and the register states so, or nobody will ask for it any more.
+    /// Stops tracking an attempt whose outcome is stored in the register or is not needed any more.
     pub(crate) fn close(&mut self, key: RegisterKey, attempt: Attempt) {
         self.tracked.remove(&(key, attempt.number));
     }
 
-    /// The workflow has ended.
+    /// Stops tracking all attempts of a workflow, as it has ended.
     pub(crate) fn close_all(&mut self, key: RegisterKey) {
         let numbers: Vec<u64> = self.of_workflow(key).map(|(number, _)| number).collect();
         for number in numbers {
--- a/crates/workflow/src/cache.rs
+++ b/crates/workflow/src/cache.rs
@@ -1,5 +1,5 @@
-//! The records that this process wrote or read last, so that a step costs one write and no read. An entry may be out of date: the
-//! compare-and-set notices it, and nothing is rejected without a read of the register.
+//! Cache of the records that this process last wrote or read, so that an operation on a known workflow costs one write and no read.
+//! An entry may be stale: the compare-and-set of a write detects that, and no command is rejected without a read of the register.
 
 use std::collections::BTreeMap;
 
@@ -7,36 +7,36 @@
 
 use crate::record::Record;
 
-/// Records that are cached: some 48 MiB if each had its maximal length.
+/// Maximum number of cached records: about 48 MiB if each has the maximum size.
 const MAX_CACHED_RECORDS: usize = 1024;
 
 #[derive(Debug)]
 struct CachedRecord {
-    last_use: u64,
+    put_number: u64,
     version: Version,
     record: Record,
 }
 
-/// Records by register; the least recently written one is evicted.
+/// Cached records by register key. When the cache is full, the entry that was put least recently is evicted.
 #[derive(Debug, Default)]
 pub(crate) struct Cache {
     records: BTreeMap<RegisterKey, CachedRecord>,
-    by_use: BTreeMap<u64, RegisterKey>,
-    uses: u64,
+    by_put: BTreeMap<u64, RegisterKey>,
+    last_put: u64,
 }
 
 impl Cache {
     pub(crate) fn put(&mut self, key: RegisterKey, version: Version, record: Record) {
         self.remove(key);
         if self.records.len() >= MAX_CACHED_RECORDS {
-            if let Some((_, oldest)) = self.by_use.pop_first() {
+            if let Some((_, oldest)) = self.by_put.pop_first() {
                 self.records.remove(&oldest);
             }
         }
-        self.uses += 1;
-        self.by_use.insert(self.uses, key);
+        self.last_put += 1;
+        self.by_put.insert(self.last_put, key);
         let cached = CachedRecord {
-            last_use: self.uses,
+            put_number: self.last_put,
             version,
             record,
         };
@@ -50,7 +50,7 @@
 
     pub(crate) fn remove(&mut self, key: RegisterKey) {
         if let Some(cached) = self.records.remove(&key) {
-            self.by_use.remove(&cached.last_use);
+            self.by_put.remove(&cached.put_number);
         }
     }
 }
--- a/crates/workflow/src/context.rs
+++ b/crates/workflow/src/context.rs
@@ -1,33 +1,34 @@
-//! What is left of steps that were compacted: a line each while there is capacity, and one digest over all of them.
+//! Summary of the compacted steps of a workflow: one line for each step while there is room, and one digest over all lines.
 
 use serde::{Deserialize, Serialize};
 
 use crate::step::{truncate, StepRecord, StepState, ABANDONED_RESULT};
 
-/// Bytes of all lines; the oldest are removed first. The digest covers those too.
+/// Maximum total size of the lines, bytes; the oldest lines are removed first. The digest covers removed lines too.
 const MAX_CONTEXT_BYTES: usize = 2 * 1024;
-/// Bytes of one line.
+/// Maximum size of one line, bytes; a longer one is truncated.
 const MAX_LINE_BYTES: usize = 128;
-/// Bytes of the digest that are kept.
+/// Size of the stored digest, bytes.
 const DIGEST_BYTES: usize = 16;
 
-/// The compacted steps of a workflow.
+/// Summary of the compacted steps of one workflow.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Context {
     lines: String,
     digest: [u8; DIGEST_BYTES],
     steps: u32,
-    /// Lines that were removed.
-    gone: u32,
+    /// Number of lines that were removed for lack of room.
+    #[serde(rename = "gone")]
+    removed_lines: u32,
 }
 
 impl Context {
-    /// Number of steps in it.
+    /// Returns the number of compacted steps.
     pub(crate) fn steps(&self) -> u32 {
         self.steps
     }
 
-    /// Appends a closed step.
+    /// Appends a closed step and its late results.
     pub(crate) fn append_step(&mut self, step: &StepRecord) {
         self.steps = self.steps.saturating_add(1);
         let result = match &step.state {
@@ -35,12 +36,12 @@
             _ => ABANDONED_RESULT,
         };
         self.append_line(&format!("{}: {result}", step.number));
-        for late in &step.late {
+        for late in &step.late_results {
             self.append_late_result(step.number, late);
         }
     }
 
-    /// Appends a later result of a step that is in it already.
+    /// Appends a result that was reported for a compacted step after the one that counts.
     pub(crate) fn append_late_result(&mut self, number: u32, result: &str) {
         self.append_line(&format!("{number} again: {result}"));
     }
@@ -61,10 +62,10 @@
     fn remove_oldest_line(&mut self) {
         let end = self.lines.find('\n').map_or(self.lines.len(), |at| at + 1);
         self.lines.drain(..end);
-        self.gone = self.gone.saturating_add(1);
+        self.removed_lines = self.removed_lines.saturating_add(1);
     }
 
-    /// For the worker that claims the workflow; empty where nothing is compacted.
+    /// Returns the summary for the worker that claims the workflow; empty if no step was compacted.
     pub(crate) fn text(&self) -> String {
         if self.steps == 0 {
             return String::new();
@@ -76,12 +77,12 @@
             .collect();
         let head = format!(
             "{} steps done earlier, {} lines not shown, digest {digest}",
-            self.steps, self.gone
+            self.steps, self.removed_lines
         );
         format!("{head}\n{}", self.lines)
     }
 
-    /// The result in the line of a step, if the line is still there.
+    /// Returns the result from the line of a step, or `None` if the line was removed. The result may be truncated.
     pub(crate) fn find(&self, number: u32) -> Option<&str> {
         let head = format!("{number}: ");
         self.lines
--- a/crates/workflow/src/coordinator.rs
+++ b/crates/workflow/src/coordinator.rs
@@ -1,9 +1,9 @@
-//! Takes the core's commands, decides each by the workflow's record, and answers it once, by its deadline.
+//! Handles the core's commands: applies each one to the workflow's record and answers it exactly once, before its deadline.
 //!
-//! - `decision`: the transition that an operation makes of a record.
-//! - `register_calls`: reads and writes of the register, and what their failures mean.
-//! - `dispatch_permits`: permissions to send, and intents that have to be undone.
-//! - `notices`: what is logged of a workflow.
+//! - `decision`: applies an operation's transition to a record.
+//! - `register_calls`: reads and writes of registers, and the handling of their failures.
+//! - `dispatch_permits`: permits to send a step, and intents that have to be undone.
+//! - `notices`: log lines about workflows.
 
 mod decision;
 mod dispatch_permits;
@@ -24,69 +24,72 @@
 use crate::queue::{Enqueued, Queue};
 use crate::record::{Limits, Record, State};
 use crate::step::MAX_NAME_BYTES;
-use crate::time::{as_micros, micros_of_seconds};
+use crate::time::{as_micros, seconds_to_micros};
 use crate::timers::Timers;
 use crate::transition::{Reply, SafetyChecks};
 
-/// How long a result, or that something never ran, is offered to the register after its caller was answered.
-const BACKGROUND_RETRY: Duration = Duration::from_secs(60);
-/// How long the short record of an ended workflow stays.
+/// How long the outcome of an attempt is still offered to the register in the background, after its caller was answered or without
+/// a caller.
+const BACKGROUND_RETRY_LIMIT: Duration = Duration::from_secs(60);
+/// How long the short record of an ended workflow is stored before a sweep deletes it.
 const ENDED_RECORD_RETENTION: Duration = Duration::from_secs(600);
-/// Deadline of an operation that nobody waits for and that is not tried again.
+/// Time limit of the operation that a sweep starts; if it fails, a later sweep starts a new one.
 const SWEEP_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Of the time until a caller's deadline this part is left for the answer's way back.
-const ANSWER_RESERVE: u32 = 20;
-/// Shortest lease that the settings may ask for, microseconds.
+/// An operation's deadline is earlier than its caller's by the remaining time divided by this, which leaves time to return the
+/// answer.
+const ANSWER_RESERVE_DIVISOR: u32 = 20;
+/// Shortest lease, microseconds; a shorter one in the settings is raised to it.
 const MIN_LEASE_MICROS: u64 = 1000;
-/// A full queue is logged this often at most.
-const FULL_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Minimum time between log lines about a full queue.
+const QUEUE_FULL_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What is to be done at a time.
+/// What to do when a timer is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    /// The operation is answered now at the latest.
+    /// The deadline of this operation has passed: answer it.
     Deadline(u64),
-    /// The backoff of the operation is over.
+    /// The backoff of this operation is over: retry it.
     Retry(u64),
-    /// The lease of a workflow with an attempt in flight is to be renewed.
+    /// Renew the lease of this workflow, if an attempt is in flight.
     RenewLease(RegisterKey),
 }
 
-/// What the coordinator wants done.
+/// An output of the coordinator, processed by [`crate::Workflows`].
 #[derive(Debug)]
 pub(crate) enum CoordinatorOutput {
-    /// A call of the register.
+    /// A call to the register replica.
     Register(Input),
-    /// To the core.
+    /// An event for the core.
     Event(Event),
-    /// A line for the log.
+    /// A log line.
     Log {
-        /// Whether an operator should look.
+        /// Whether the line is a warning, which an operator should look at.
         warn: bool,
-        /// The line.
+        /// Text of the log line.
         text: String,
     },
 }
 
-/// All operations of one dispatcher.
+/// Coordinates all workflow operations of one dispatcher.
 pub(crate) struct Coordinator {
     own: Process,
     limits: Limits,
-    /// Length of the leases that this dispatcher asks for.
+    /// Length of the leases that this dispatcher claims.
     lease: Duration,
     safety_checks: SafetyChecks,
     queue: Queue,
-    /// Operations by the number of their register call.
+    /// Maps the number of each register call in progress to the number of its operation.
     register_calls: BTreeMap<u64, u64>,
     last_register_call: u64,
     cache: Cache,
     lease_observer: LeaseObserver,
     attempts: Attempts,
     timers: Timers<Timer>,
-    full_logged_at: Option<Duration>,
+    /// When a full queue was last logged.
+    queue_full_logged_at: Option<Duration>,
 }
 
-/// Key of a workflow's register.
+/// Returns the key of a workflow's register: the first 16 bytes of the BLAKE3 hash of its name.
 pub(crate) fn key_of(name: &str) -> RegisterKey {
     let mut key = [0; 16];
     key.copy_from_slice(&blake3::hash(name.as_bytes()).as_bytes()[..16]);
@@ -99,7 +102,7 @@
         settings: &Settings,
         safety_checks: SafetyChecks,
     ) -> Coordinator {
-        let lease_micros = micros_of_seconds(settings.lease_s).max(MIN_LEASE_MICROS);
+        let lease_micros = seconds_to_micros(settings.lease_s).max(MIN_LEASE_MICROS);
         Coordinator {
             own,
             limits: Limits::of(settings),
@@ -112,18 +115,18 @@
             lease_observer: LeaseObserver::default(),
             attempts: Attempts::new(own),
             timers: Timers::new(),
-            full_logged_at: None,
+            queue_full_logged_at: None,
         }
     }
 
-    /// When it needs [`Coordinator::wake`].
+    /// Returns when [`Coordinator::wake`] has to be called, if any timer is set.
     pub(crate) fn wake_at(&self) -> Option<Duration> {
         self.timers.next()
     }
 
-    /// Does what is due.
+    /// Runs all timers that are due.
     pub(crate) fn wake(&mut self, now: Duration, out: &mut Vec<CoordinatorOutput>) {
-        while let Some(timer) = self.timers.due(now) {
+        while let Some(timer) = self.timers.pop_due(now) {
             match timer {
                 Timer::Deadline(id) => self.on_deadline(now, id, out),
                 Timer::Retry(id) => self.start(now, id, out),
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Takes a command of the core.
+    /// Starts the operation of a command, or rejects it at once.
     pub(crate) fn handle(
         &mut self,
         now: Duration,
@@ -141,14 +144,14 @@
     ) {
         let mut request = Request::of(command);
         let call = Some(request.call);
-        if let Some(reason) = invalid(now, &request) {
+        if let Some(reason) = reject_reason(now, &request) {
             return self.reject(call, reason, out);
         }
         let key = key_of(&request.workflow);
         if !self.assign_attempt(now, key, &mut request.operation) {
             return self.reject(call, RejectReason::Busy, out);
         }
-        let deadline = request.deadline - (request.deadline - now) / ANSWER_RESERVE;
+        let deadline = request.deadline - (request.deadline - now) / ANSWER_RESERVE_DIVISOR;
         let Request {
             workflow,
             operation,
@@ -158,7 +161,8 @@
         self.enqueue(now, pending, out);
     }
 
-    /// Opens an attempt for an intent, or finds the one whose outcome is reported; false where too many are known.
+    /// Opens a new attempt for an intent, or finds the attempt that an outcome report is about. Returns false if too many attempts
+    /// are tracked.
     fn assign_attempt(
         &mut self,
         now: Duration,
@@ -188,8 +192,8 @@
         }
     }
 
-    /// A replica held here has this record: its lease is observed, and one that has not been written for as long as it may last
-    /// is brought to its end.
+    /// Observes the lease of a record that the local replica holds. If the workflow is overdue (see `is_overdue`), starts an
+    /// operation that expires it or deletes its record.
     pub(crate) fn sweep(
         &mut self,
         now: Duration,
@@ -208,7 +212,7 @@
         self.enqueue(now, pending, out);
     }
 
-    /// Whether a record that has been unchanged for so long has to be brought to its end.
+    /// Returns whether a record that has been unchanged for this long has to be expired or, if the workflow has ended, deleted.
     fn is_overdue(&self, record: &Record, unchanged: Duration) -> bool {
         match record.state() {
             State::Ended(_) => unchanged >= ENDED_RECORD_RETENTION,
@@ -240,7 +244,7 @@
         }
     }
 
-    /// An operation is not taken, or not kept, as too many are pending.
+    /// Rejects an operation because too many are pending: a new one, or one that was removed from the queue for a more urgent one.
     fn reject_as_busy(
         &mut self,
         now: Duration,
@@ -255,16 +259,16 @@
             self.attempts.close(pending.key, attempt);
         }
         let is_log_due = self
-            .full_logged_at
-            .is_none_or(|at| now.saturating_sub(at) >= FULL_LOG_INTERVAL);
+            .queue_full_logged_at
+            .is_none_or(|at| now.saturating_sub(at) >= QUEUE_FULL_LOG_INTERVAL);
         if is_log_due {
-            self.full_logged_at = Some(now);
+            self.queue_full_logged_at = Some(now);
             out.push(notices::queue_full());
         }
         self.reject(pending.call, RejectReason::Busy, out);
     }
 
-    /// Goes on with an operation whose turn it is.
+    /// Starts or retries an operation if it is its turn and no register call is in progress for it.
     fn start(&mut self, now: Duration, id: u64, out: &mut Vec<CoordinatorOutput>) {
         if !self.queue.may_start(id) {
             return;
@@ -283,13 +287,13 @@
         }
     }
 
-    /// An operation's time is over.
+    /// Ends an operation whose deadline has passed, or that has waited too long for a majority.
     fn on_deadline(&mut self, now: Duration, id: u64, out: &mut Vec<CoordinatorOutput>) {
         let Some(pending) = self.queue.get_mut(id) else {
             return;
         };
-        // One that never had its turn waited for others.
-        let had_turn = pending.attempts > 0 || !matches!(pending.phase, Phase::Idle);
+        // An operation that never had its turn was delayed by other operations.
+        let had_turn = pending.failed_calls > 0 || !matches!(pending.phase, Phase::Idle);
         let reason = match had_turn {
             true => pending.failure_reason,
             false => RejectReason::Busy,
@@ -303,7 +307,7 @@
         }
     }
 
-    /// Answers the caller, and goes on to offer its attempt's outcome to the register.
+    /// Rejects the call, and continues to write the reported outcome in the background.
     fn continue_in_background(
         &mut self,
         now: Duration,
@@ -315,7 +319,7 @@
             return;
         };
         self.reject(pending.call, reason, out);
-        let background = pending.in_background(now, now + BACKGROUND_RETRY);
+        let background = pending.in_background(now, now + BACKGROUND_RETRY_LIMIT);
         self.enqueue(now, background, out);
     }
 
@@ -325,7 +329,7 @@
         }
     }
 
-    /// Removes an operation, unanswered; the next ones go on.
+    /// Removes an operation without an answer, and starts the operations that were waiting for it.
     fn remove(
         &mut self,
         now: Duration,
@@ -345,7 +349,7 @@
         Some(pending)
     }
 
-    /// Answers an operation.
+    /// Removes an operation and answers its call. A rejected intent that may have been stored is undone in addition.
     fn finish(
         &mut self,
         now: Duration,
@@ -371,8 +375,8 @@
     }
 }
 
-/// Why a command is rejected at once, if it is.
-fn invalid(now: Duration, request: &Request) -> Option<RejectReason> {
+/// Returns why a command has to be rejected at once; `None` if it is valid.
+fn reject_reason(now: Duration, request: &Request) -> Option<RejectReason> {
     let is_worker_valid = match &request.operation {
         Operation::Claim { worker } => !worker.is_empty() && worker.len() <= MAX_NAME_BYTES,
         _ => true,
@@ -400,7 +404,7 @@
         Reply::AlreadyDone(result) => Event::AlreadyDone { call, result },
         Reply::Committed => Event::Committed { call },
         Reply::Rejected(reason) => Event::Rejected { call, reason },
-        // Permissions to send are answered by `permit_send` alone.
+        // Never reached: only `permit_send` answers with a dispatch permit.
         Reply::SendPermitted => Event::Rejected {
             call,
             reason: RejectReason::Busy,
--- a/crates/workflow/src/coordinator/decision.rs
+++ b/crates/workflow/src/coordinator/decision.rs
@@ -1,4 +1,4 @@
-//! What an operation makes of the record that was found.
+//! Applies an operation to the record that was found in its register.
 
 use std::time::Duration;
 
@@ -13,15 +13,17 @@
 use crate::time::as_micros;
 use crate::transition::{Claim, Reply, Transition};
 
-/// A record as the operation leaves it, on top of the version that was found.
+/// Result of applying an operation: the changed record, and the version that it is based on.
 struct Decision {
+    /// Version that was found; `None` if the register was empty.
     version: Option<Version>,
     record: Record,
     transition: Transition,
 }
 
 impl Coordinator {
-    /// Writes what the operation makes of the record, or answers it where nothing is to be written.
+    /// Applies the operation to the record that was found. Then writes the changed record, or deletes it, or answers the operation
+    /// if nothing has to be written.
     pub(super) fn decide(
         &mut self,
         now: Duration,
@@ -50,11 +52,11 @@
         }
         let is_rejected = matches!(decision.transition.reply, Reply::Rejected(_));
         if is_rejected && !pending.has_read {
-            // By a cached record nothing is rejected.
+            // The cached record may be stale: read the register before rejecting.
             self.cache.remove(pending.key);
             return self.read(now, id, out);
         }
-        if let Some(version) = self.forgettable(now, pending, &decision) {
+        if let Some(version) = self.version_to_delete(now, pending, &decision) {
             return self.delete(now, id, version, out);
         }
         let Decision {
@@ -63,7 +65,7 @@
         self.finish(now, id, transition.reply, Some(record), out);
     }
 
-    /// A claim begins a workflow that has no record; nothing else does.
+    /// Creates the record of a new workflow if the operation is a claim; `None` for any other operation.
     fn begin_workflow(&self, pending: &PendingOperation) -> Option<Decision> {
         let Operation::Claim { worker } = &pending.operation else {
             return None;
@@ -76,8 +78,8 @@
         })
     }
 
-    /// The version to delete where a sweep finds a workflow that ended long ago.
-    fn forgettable(
+    /// Returns the version to delete if the operation is a sweep and the workflow ended more than [`ENDED_RECORD_RETENTION`] ago.
+    fn version_to_delete(
         &self,
         now: Duration,
         pending: &PendingOperation,
@@ -104,7 +106,8 @@
         self.attempts.local_attempt(key, attempt)
     }
 
-    /// Adds the time that was seen to pass to the record, and makes the operation's transition.
+    /// Adds the time for which the record was seen unchanged to its age, then expires the workflow if it is too old or applies the
+    /// operation's transition.
     fn apply(
         &self,
         now: Duration,
--- a/crates/workflow/src/coordinator/dispatch_permits.rs
+++ b/crates/workflow/src/coordinator/dispatch_permits.rs
@@ -1,10 +1,10 @@
-//! Permissions to send an effect, attempts in flight, and intents that have to be undone.
+//! Dispatch permits, lease renewal during attempts in flight, and undoing of intents that were not sent.
 
 use std::time::Duration;
 
 use bitternlatch_replicated_register::RegisterKey;
 
-use super::{Coordinator, CoordinatorOutput, Timer, BACKGROUND_RETRY};
+use super::{Coordinator, CoordinatorOutput, Timer, BACKGROUND_RETRY_LIMIT};
 use crate::io::{AttemptOutcome, Event, RejectReason};
 use crate::lease_observer::send_window;
 use crate::operation::{Operation, PendingOperation, Phase};
@@ -12,11 +12,12 @@
 use crate::time::as_micros;
 use crate::transition::Reply;
 
-/// A lease is renewed after this part of its length.
+/// A lease is renewed after its length divided by this number.
 const RENEWALS_PER_LEASE: u32 = 3;
 
 impl Coordinator {
-    /// A majority holds an intent: its effect may be sent for less than half of the lease that was requested with it.
+    /// Permits a step to be sent, as a majority has stored its intent. The permit lasts less than half of the lease, counted from
+    /// when the write of the intent was requested. If that time is over already, the intent is undone.
     pub(super) fn permit_send(
         &mut self,
         now: Duration,
@@ -44,7 +45,7 @@
             return self.undo_intent(now, id, RejectReason::NoMajority, out);
         }
         let key = pending.key;
-        self.attempts.sent(now, key, attempt);
+        self.attempts.mark_sent(now, key, attempt);
         let renewal = requested_at + lease / RENEWALS_PER_LEASE;
         self.timers.set(Timer::RenewLease(key), renewal);
         let removed = self.remove(now, id, out);
@@ -56,7 +57,8 @@
         }
     }
 
-    /// An intent that nobody was permitted to send, though the register may hold it: the record is told so in the background.
+    /// Rejects an intent that was not permitted to be sent. If the register may hold it, records in the background that the attempt
+    /// never ran.
     pub(super) fn undo_intent(
         &mut self,
         now: Duration,
@@ -86,13 +88,13 @@
             outcome: AttemptOutcome::NeverRan,
             attempt: Some(attempt),
         };
-        let deadline = now + BACKGROUND_RETRY;
+        let deadline = now + BACKGROUND_RETRY_LIMIT;
         let report =
             PendingOperation::new(now, pending.key, pending.name, None, never_ran, deadline);
         self.enqueue(now, report, out);
     }
 
-    /// What this process remembers of its attempts once an operation is answered.
+    /// Updates the tracked attempts and the renewal timer when an operation is answered.
     pub(super) fn update_attempts(
         &mut self,
         now: Duration,
@@ -105,7 +107,7 @@
             self.timers.clear(Timer::RenewLease(key));
             return self.attempts.close_all(key);
         }
-        let reached_register = !is_unreachable(reply);
+        let reached_register = !is_inconclusive(reply);
         match &pending.operation {
             Operation::ReportOutcome {
                 attempt: Some(attempt),
@@ -131,7 +133,8 @@
         self.timers.set(Timer::RenewLease(key), renewal);
     }
 
-    /// While an attempt is in flight here its workflow's lease is renewed, so that nobody takes it over during a long call.
+    /// Renews the lease of a workflow while an attempt is in flight here, so that no other worker adopts the workflow during a long
+    /// attempt.
     pub(super) fn renew_lease(
         &mut self,
         now: Duration,
@@ -156,8 +159,8 @@
     }
 }
 
-/// Whether a reply says nothing about what the register holds.
-fn is_unreachable(reply: &Reply) -> bool {
+/// Returns whether the reply leaves open what the register holds.
+fn is_inconclusive(reply: &Reply) -> bool {
     matches!(
         reply,
         Reply::Rejected(
--- a/crates/workflow/src/coordinator/notices.rs
+++ b/crates/workflow/src/coordinator/notices.rs
@@ -25,25 +25,25 @@
         Notice::Unsettled { step, key } => line(
             true,
             format!(
-                "workflow {name} is unsettled: its unsafe step {step} (key '{key}') may have run and nobody knows: \
-                 decide whether it ran"
+                "workflow {name} is unsettled: its unsafe step {step} (key '{key}') may have run, outcome unknown: \
+                 check whether it ran and settle the step"
             ),
         ),
         Notice::Parked { step } => line(
             true,
-            format!("workflow {name} is parked: three workers died over its step {step}"),
+            format!("workflow {name} is parked: three workers died during its step {step}; settle it to continue"),
         ),
         Notice::Resolved { step } => line(
             false,
-            format!("workflow {name}: what became of step {step} is known now"),
+            format!("workflow {name}: the outcome of step {step} is now known"),
         ),
         Notice::DuplicateResult { step } => line(
             true,
-            format!("workflow {name}: step {step} has two results; the first stands, both are kept"),
+            format!("workflow {name}: step {step} has a second result; the first one counts, both are stored"),
         ),
         Notice::Expired => line(
             true,
-            format!("workflow {name} has ended unfinished: its time is over"),
+            format!("workflow {name} expired unfinished: it reached its maximum age"),
         ),
     }
 }
--- a/crates/workflow/src/coordinator/register_calls.rs
+++ b/crates/workflow/src/coordinator/register_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the register: reads and writes of an operation's record, and what their failures mean.
+//! Register calls: reads, writes and deletions of an operation's record, and the handling of their failures.
 
 use std::time::Duration;
 
@@ -11,18 +11,21 @@
 use crate::record::Record;
 use crate::transition::{Reply, Transition};
 
-/// One call of the register takes this long at most; then it is tried again.
+/// Time limit of one register call; after it the call fails and the operation retries.
 const MAX_REGISTER_CALL: Duration = Duration::from_millis(1000);
-/// First backoff; doubled with each attempt.
+/// Base of the backoff; doubled with each failed register call.
 const MIN_BACKOFF: Duration = Duration::from_millis(10);
+/// Longest backoff, without jitter.
 const MAX_BACKOFF: Duration = Duration::from_millis(160);
-/// Times that the backoff is doubled at most.
+/// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// Conflicts after which an operation reads and decides again without a backoff.
+/// Number of failed register calls up to which a conflict is retried at once, without a backoff.
 const MAX_IMMEDIATE_RETRIES: u32 = 2;
-/// How long an operation waits for a majority that is not there, where its caller would wait longer. Outcomes wait on.
+/// How long an operation waits for an unreachable majority, even if its deadline is later. Outcome reports wait until their
+/// deadline.
 const MAX_QUORUM_WAIT: Duration = Duration::from_millis(1500);
-/// The backoff is lengthened by up to one of so many parts of itself, by the dispatcher's name and the operation's number.
+/// Number of steps of the jitter, which lengthens a backoff to at most just below twice its length. The step is derived from the
+/// dispatcher's name key and the operation's number.
 const JITTER_PARTS: u32 = 64;
 
 impl Coordinator {
@@ -47,7 +50,7 @@
         RegisterCall(self.last_register_call)
     }
 
-    /// The operation that a register call is for, unless it does not wait for it any more.
+    /// Ends a register call and returns its operation; `None` if the operation does not wait for this call any more.
     fn complete_register_call(
         &mut self,
         call: RegisterCall,
@@ -61,7 +64,7 @@
         Some((id, pending))
     }
 
-    /// A read has ended.
+    /// Handles the result of a register read.
     pub(crate) fn on_read(
         &mut self,
         now: Duration,
@@ -148,7 +151,8 @@
         }
     }
 
-    /// The lease that a record gives: observers go by the one in the record, whatever the own settings say.
+    /// Returns how long this dispatcher may use the record's lease: the recorded length, which observers use, or the own setting if
+    /// that is shorter.
     pub(super) fn lease_of(&self, record: &Record) -> Duration {
         self.lease.min(Duration::from_micros(record.lease().1))
     }
@@ -174,7 +178,7 @@
         }));
     }
 
-    /// A write or a deletion has ended: a majority holds it, or not, or that is not known.
+    /// Handles the result of a write or a deletion: stored by a majority, not stored, or uncertain.
     pub(crate) fn on_written(
         &mut self,
         now: Duration,
@@ -223,7 +227,7 @@
         }
     }
 
-    /// A register call has failed.
+    /// Handles a failed register call: rejects, reads again at once, or retries after a backoff.
     fn on_failure(
         &mut self,
         now: Duration,
@@ -235,38 +239,39 @@
             return;
         };
         self.cache.remove(pending.key);
-        pending.attempts += 1;
+        pending.failed_calls += 1;
         match failure {
             Failure::Permanent(reason) => {
                 return self.finish(now, id, Reply::Rejected(reason), None, out);
             }
-            // A person decided about what was there, not about what has come since.
+            // The operator decided on the basis of the earlier record, so the decision must not be applied to a newer one.
             Failure::Conflict if matches!(pending.operation, Operation::Settle { .. }) => {
                 let rejected = Reply::Rejected(RejectReason::Busy);
                 return self.finish(now, id, rejected, None, out);
             }
-            Failure::Conflict if pending.attempts <= MAX_IMMEDIATE_RETRIES => {
+            Failure::Conflict if pending.failed_calls <= MAX_IMMEDIATE_RETRIES => {
                 return self.read(now, id, out);
             }
             Failure::Conflict => pending.failure_reason = RejectReason::Busy,
             Failure::Retryable(reason) => {
                 pending.failure_reason = reason;
-                if pending.has_waited(now, MAX_QUORUM_WAIT) {
+                if pending.has_waited_too_long(now, MAX_QUORUM_WAIT) {
                     return self.on_deadline(now, id, out);
                 }
             }
             Failure::Uncertain(reason) => pending.failure_reason = reason,
         }
-        let attempts = pending.attempts;
-        self.back_off(now, id, attempts);
+        let failed_calls = pending.failed_calls;
+        self.back_off(now, id, failed_calls);
     }
 
-    /// The jitter is by name and number, so that two that met do not meet again.
-    fn back_off(&mut self, now: Duration, id: u64, attempts: u32) {
-        let backoff = MIN_BACKOFF * (1 << attempts.min(MAX_BACKOFF_DOUBLINGS));
+    /// Schedules a retry. The jitter depends on the dispatcher and the operation, so that two operations that conflicted do not
+    /// conflict again.
+    fn back_off(&mut self, now: Duration, id: u64, failed_calls: u32) {
+        let backoff = MIN_BACKOFF * (1 << failed_calls.min(MAX_BACKOFF_DOUBLINGS));
         let backoff = backoff.min(MAX_BACKOFF);
-        let mixed = u64::from(self.own.name.0) ^ id.wrapping_mul(0x9E37_79B9);
-        let jitter = (mixed % u64::from(JITTER_PARTS)) as u32;
+        let hash = u64::from(self.own.name.0) ^ id.wrapping_mul(0x9E37_79B9);
+        let jitter = (hash % u64::from(JITTER_PARTS)) as u32;
         let retry_at = now + backoff + backoff * jitter / JITTER_PARTS;
         self.timers.set(Timer::Retry(id), retry_at);
     }
--- a/crates/workflow/src/error.rs
+++ b/crates/workflow/src/error.rs
@@ -1,35 +1,35 @@
-//! Errors of stored records, and what an operator can do about each.
+//! Errors in stored workflow records, with advice to the operator for each.
 
-/// Why a stored record cannot be used.
+/// Why a stored workflow record cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WorkflowError {
-    /// It cannot be decoded.
-    #[error("not a workflow's record")]
+    /// The stored bytes cannot be decoded as a workflow record.
+    #[error("the stored bytes are not a workflow record")]
     Unreadable,
-    /// It was written by another version.
-    #[error("a workflow's record of another version")]
+    /// The record has a format version that this build does not support.
+    #[error("the workflow record was written by another version")]
     OtherVersion,
-    /// It exceeds [`crate::MAX_RECORD_BYTES`].
-    #[error("a workflow's record is longer than any may be")]
+    /// The encoded record exceeds [`crate::MAX_RECORD_BYTES`].
+    #[error("the workflow record exceeds the maximum size")]
     TooLong,
 }
 
 impl WorkflowError {
-    /// All of them.
+    /// Every variant of the error.
     pub const ALL: [WorkflowError; 3] = [
         WorkflowError::Unreadable,
         WorkflowError::OtherVersion,
         WorkflowError::TooLong,
     ];
 
-    /// What an operator can do.
+    /// What an operator can do about this error; appended to the log line.
     pub fn advice(&self) -> &'static str {
         match self {
             WorkflowError::Unreadable => {
-                "look at the disks of the dispatchers that hold its replicas; the workflow is rejected until it can be read"
+                "check the disks of the dispatchers that hold its replicas; the workflow is rejected until it can be read"
             }
             WorkflowError::OtherVersion => {
-                "bring all dispatchers to one version; until then the older ones reject this workflow"
+                "upgrade all dispatchers to the same version; until then the older ones reject this workflow"
             }
             WorkflowError::TooLong => {
                 "cancel the workflow and report it: its results should have been truncated"
--- a/crates/workflow/src/golden.rs
+++ b/crates/workflow/src/golden.rs
@@ -1,8 +1,9 @@
-//! Bytes that other processes and later versions depend on: the record of a workflow, and what the core exchanges with this
-//! crate, which is written into recordings for replay.
+//! Checks the serialized forms that other processes and later versions depend on: the stored record of a workflow, and the
+//! settings, commands and events, which are written into recordings for replay.
 //!
-//! The fixtures under `tests/fixtures` were written by the version before the crate's names changed. A record's line is a label and
-//! its bytes in hexadecimal; a recorded message's line is its bytes by postcard in hexadecimal, then its JSON.
+//! The fixtures under `tests/fixtures` were written by the version before the identifiers of this crate were renamed. A line for a
+//! record is a label and the record's bytes in hexadecimal. A line for a recorded message is its postcard bytes in hexadecimal,
+//! then its JSON.
 
 use bitternlatch_membership::NameKey;
 
@@ -32,16 +33,16 @@
     }
 }
 
-fn entry(number: u32, effect: Effect, state: StepState) -> StepRecord {
+fn step_record(number: u32, effect: Effect, state: StepState) -> StepRecord {
     StepRecord {
         number,
         effect,
         key: format!("key{number}"),
         request_digest: 1000 + u64::from(number),
         state,
-        earlier: false,
-        late: vec![],
-        late_lost: 0,
+        earlier_may_have_run: false,
+        late_results: vec![],
+        dropped_late_results: 0,
     }
 }
 
@@ -54,8 +55,8 @@
 
 fn context() -> Context {
     let mut context = Context::default();
-    context.append_step(&entry(1, Effect::Safe, done("first")));
-    context.append_step(&entry(2, Effect::Keyed, StepState::Abandoned));
+    context.append_step(&step_record(1, Effect::Safe, done("first")));
+    context.append_step(&step_record(2, Effect::Keyed, StepState::Abandoned));
     context.append_late_result(1, "again");
     context
 }
@@ -63,15 +64,15 @@
 fn steps() -> Vec<StepRecord> {
     vec![
         StepRecord {
-            late: vec!["second result".to_string()],
-            late_lost: 4,
-            ..entry(3, Effect::Safe, done("third"))
+            late_results: vec!["second result".to_string()],
+            dropped_late_results: 4,
+            ..step_record(3, Effect::Safe, done("third"))
         },
-        entry(4, Effect::Keyed, StepState::Abandoned),
-        entry(5, Effect::Unsafe, StepState::Planned),
+        step_record(4, Effect::Keyed, StepState::Abandoned),
+        step_record(5, Effect::Unsafe, StepState::Planned),
         StepRecord {
-            earlier: true,
-            ..entry(
+            earlier_may_have_run: true,
+            ..step_record(
                 6,
                 Effect::Unsafe,
                 StepState::Intended {
@@ -80,7 +81,7 @@
                 },
             )
         },
-        entry(
+        step_record(
             7,
             Effect::Unsafe,
             StepState::MayHaveRun {
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn every_record_has_the_bytes_of_the_fixture() {
+fn encoded_records_equal_the_fixture() {
     let written: Vec<String> = records()
         .into_iter()
         .map(|(label, record)| format!("{label} {}", hex(&record.encode().expect("short enough"))))
@@ -129,7 +130,7 @@
 }
 
 #[test]
-fn records_of_the_fixture_are_read_field_by_field() {
+fn records_of_the_fixture_are_decoded_field_by_field() {
     let states = [
         State::Open,
         State::Unsettled,
@@ -157,9 +158,12 @@
         assert_eq!((third.number, third.effect), (3, Effect::Safe));
         assert_eq!((third.key.as_str(), third.request_digest), ("key3", 1003));
         assert_eq!(third.state, done("third"));
-        assert_eq!(third.late, ["second result"]);
-        assert_eq!((third.late_lost, third.earlier), (4, false));
-        assert!(read.steps[3].earlier);
+        assert_eq!(third.late_results, ["second result"]);
+        assert_eq!(
+            (third.dropped_late_results, third.earlier_may_have_run),
+            (4, false)
+        );
+        assert!(read.steps[3].earlier_may_have_run);
     }
 }
 
@@ -178,7 +182,7 @@
     ]
 }
 
-fn request_digest() -> Vec<Command> {
+fn commands() -> Vec<Command> {
     let (call, workflow, until_us) = (Call(400), "w".to_string(), 5_000_000);
     let intend = |effect| Command::Intend {
         call,
@@ -231,7 +235,7 @@
     request_digest
 }
 
-fn refusals() -> [RejectReason; 12] {
+fn reject_reasons() -> [RejectReason; 12] {
     [
         RejectReason::Fenced,
         RejectReason::LeaseHeld,
@@ -248,7 +252,7 @@
     ]
 }
 
-fn answers() -> Vec<Event> {
+fn events() -> Vec<Event> {
     let call = Call(400);
     let step = Step {
         number: 6,
@@ -256,7 +260,7 @@
         key: "k".to_string(),
         outcome: Some(AttemptOutcome::MayHaveRun),
     };
-    let mut answers = vec![
+    let mut events = vec![
         Event::Claimed {
             call,
             epoch: 5,
@@ -280,13 +284,13 @@
         },
         Event::Committed { call },
     ];
-    answers.extend(refusals().map(|why| Event::Rejected { call, reason: why }));
-    answers
+    events.extend(reject_reasons().map(|reason| Event::Rejected { call, reason }));
+    events
 }
 
 fn settings() -> Settings {
     Settings {
-        kept: Some("folder".to_string()),
+        records_dir: Some("folder".to_string()),
         steps: 10,
         bytes: 20,
         tokens: 30,
@@ -301,7 +305,7 @@
     format!("{} {json}", hex(&bytes))
 }
 
-/// Reads a line of the fixture, by postcard and as JSON.
+/// Decodes a line of the fixture: the message from its postcard bytes, and from its JSON.
 fn read<T: serde::de::DeserializeOwned>(line: &str) -> (T, T) {
     let (hex, json) = line.split_once(' ').expect("bytes and JSON");
     (
@@ -311,25 +315,28 @@
 }
 
 #[test]
-fn recorded_messages_are_as_in_the_fixture() {
-    let written: Vec<String> = request_digest()
+fn encoded_messages_equal_the_fixture() {
+    let written: Vec<String> = commands()
         .iter()
         .map(line)
-        .chain(answers().iter().map(line))
+        .chain(events().iter().map(line))
         .chain([line(&settings())])
         .collect();
     assert_eq!(written.join("\n"), RECORDED.trim_end());
 }
 
 #[test]
-fn recorded_messages_of_the_fixture_are_read() {
+fn messages_of_the_fixture_are_decoded() {
     let mut lines = RECORDED.lines();
-    for ask in request_digest() {
-        assert_eq!(read(lines.next().expect("a line")), (ask.clone(), ask));
+    for command in commands() {
+        assert_eq!(
+            read(lines.next().expect("a line")),
+            (command.clone(), command)
+        );
     }
-    for answer in answers() {
+    for event in events() {
         let line = lines.next().expect("a line");
-        assert_eq!(read(line), (answer.clone(), answer));
+        assert_eq!(read(line), (event.clone(), event));
     }
     let line = lines.next().expect("a line");
     assert_eq!(read(line), (settings(), settings()));
@@ -337,10 +344,10 @@
 }
 
 #[test]
-fn every_refusal_is_told_in_the_same_words() {
-    let words = refusals().map(|why| why.to_string());
+fn texts_of_reject_reasons_are_unchanged() {
+    let texts = reject_reasons().map(|reason| reason.to_string());
     assert_eq!(
-        words,
+        texts,
         [
             "another worker carries this workflow under a later epoch",
             "another worker carries this workflow and is alive",
--- a/crates/workflow/src/io.rs
+++ b/crates/workflow/src/io.rs
@@ -1,30 +1,32 @@
-//! What the core and this crate exchange; recorded for replay, so serialized names are fixed. Times are microseconds of the process's
-//! clock.
+//! Settings, commands and events that the core and this crate exchange. Commands and events are recorded for replay, so their
+//! serialized names are fixed. Times are in microseconds of the process's own clock.
 
 use serde::{Deserialize, Serialize};
 
-/// `[cluster.workflows]` of the settings; the table switches workflows on.
+/// The `[cluster.workflows]` table of the settings file. Workflows are enabled if the table is present.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Folder of the replicas' records, relative to the settings file; without it a replica lasts as long as its process.
-    pub kept: Option<String>,
-    /// Steps of one workflow at most.
+    /// Directory where this member stores its register replicas, relative to the settings file. If unset, replicas are in memory
+    /// and are lost when the process ends.
+    #[serde(rename = "kept")]
+    pub records_dir: Option<String>,
+    /// Maximum number of steps of one workflow.
     pub steps: u32,
-    /// Bytes of its results and context at most.
+    /// Maximum total size of the results of one workflow, bytes.
     pub bytes: u64,
-    /// Tokens of its answers at most.
+    /// Maximum total number of tokens in the results of one workflow.
     pub tokens: u64,
-    /// Seconds that it may last.
+    /// Maximum age of a workflow, seconds; past it the workflow expires.
     pub lasts_s: f64,
-    /// Seconds for which a worker holds its lease without a renewal.
+    /// Length of a worker's lease on its workflow, seconds; the lease expires if it is not renewed in this time.
     pub lease_s: f64,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            kept: None,
+            records_dir: None,
             steps: 1000,
             bytes: 1 << 20,
             tokens: 1_000_000,
@@ -34,147 +36,147 @@
     }
 }
 
-/// The core's number for one command; never reused within a run.
+/// Number by which the core matches a command to its event; never reused during a run of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Call(pub u64);
 
-/// What a step may do to the world.
+/// Whether a step's request may be repeated after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Effect {
-    /// Nothing that matters if it is repeated.
+    /// Repeating the step does no harm.
     Safe,
-    /// Its receiver drops repeats by their idempotency key.
+    /// The receiver drops repeats by the step's idempotency key.
     Keyed,
-    /// A repeat does harm.
+    /// A repeat does harm: the step is never sent again once an attempt may have run.
     Unsafe,
 }
 
-/// How an attempt at a step ended, as far as its dispatcher knows.
+/// How an attempt at a step ended, as far as the dispatcher that made the attempt knows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AttemptOutcome {
-    /// It ran.
+    /// The step ran and its result is known.
     Done {
-        /// Its result.
+        /// Result of the step.
         result: String,
-        /// Tokens of the result.
+        /// Number of tokens of the result.
         tokens: u32,
     },
-    /// It may have run; its result is not known.
+    /// The step may have run; its result is not known.
     MayHaveRun,
-    /// It was never sent, or was rejected: it may be retried as if nothing had happened.
+    /// The request was never sent, or the receiver rejected it: the step certainly did not run and may be retried.
     NeverRan,
 }
 
-/// A step as it is shown to the worker that claims a workflow.
+/// A step as returned to the worker that claims the workflow.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// Its number.
+    /// Number of the step within its workflow.
     pub number: u32,
-    /// What it may do.
+    /// Whether the step may be repeated.
     pub effect: Effect,
-    /// Its idempotency key.
+    /// Idempotency key of the step.
     pub key: String,
-    /// How it ended; none while an attempt is in flight.
+    /// Outcome of the step; `None` while an attempt is in flight.
     #[serde(rename = "fate")]
     pub outcome: Option<AttemptOutcome>,
 }
 
-/// From the core. A workflow's name holds its tenant, its owner and the caller's name for it. `until_us` is the caller's deadline:
-/// past it the answer is of no use.
+/// A command of the core about one workflow. The workflow's name consists of its tenant, its owner and the caller's own name for
+/// it. `until_us` is the caller's deadline: an answer after it is of no use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// A worker begins a workflow, takes over one whose worker is silent, or returns to its own.
+    /// A worker starts a workflow, adopts one whose lease has expired, or claims its own workflow again.
     Claim {
-        /// The core's number.
+        /// Number that the event answering this command carries.
         call: Call,
-        /// Name of the workflow.
+        /// Full name of the workflow.
         workflow: String,
-        /// Name of the worker.
+        /// Name of the claiming worker.
         worker: String,
-        /// The caller's deadline.
+        /// The caller's deadline, microseconds.
         until_us: u64,
     },
-    /// Before the effect of a step is sent. Another request under the number of a known step is rejected.
+    /// Records the intent of a step before its request is sent. A step number that was used for a different request is rejected.
     Intend {
-        /// The core's number.
+        /// Number that the event answering this command carries.
         call: Call,
-        /// Name of the workflow.
+        /// Full name of the workflow.
         workflow: String,
-        /// Epoch of the worker's claim.
+        /// Epoch that the worker got with its claim.
         epoch: u64,
-        /// Number of the step.
+        /// Number of the step within its workflow.
         step: u32,
-        /// What the step may do.
+        /// Whether the step may be repeated.
         effect: Effect,
-        /// Its idempotency key.
+        /// Idempotency key of the step.
         key: String,
-        /// Digest of the request.
+        /// Digest of the request, to detect another request under the same step number.
         #[serde(rename = "asks")]
         request_digest: u64,
-        /// The caller's deadline.
+        /// The caller's deadline, microseconds.
         until_us: u64,
     },
-    /// How an attempt ended. The result is held back from the worker until [`Event::Committed`].
+    /// Reports how an attempt ended. The core must not pass the result to the worker before [`Event::Committed`].
     #[serde(rename = "Ended")]
     ReportOutcome {
-        /// The core's number.
+        /// Number that the event answering this command carries.
         call: Call,
-        /// Name of the workflow.
+        /// Full name of the workflow.
         workflow: String,
-        /// Epoch of the worker's claim.
+        /// Epoch that the worker got with its claim.
         epoch: u64,
-        /// Number of the step.
+        /// Number of the step within its workflow.
         step: u32,
-        /// How the attempt ended.
+        /// Outcome of the attempt.
         #[serde(rename = "fate")]
         outcome: AttemptOutcome,
-        /// The caller's deadline.
+        /// The caller's deadline, microseconds.
         until_us: u64,
     },
-    /// The worker is alive and goes on.
+    /// Renews the worker's lease; sent while the worker is alive.
     #[serde(rename = "Carry")]
     RenewLease {
-        /// The core's number.
+        /// Number that the event answering this command carries.
         call: Call,
-        /// Name of the workflow.
+        /// Full name of the workflow.
         workflow: String,
-        /// Epoch of the worker's claim.
+        /// Epoch that the worker got with its claim.
         epoch: u64,
-        /// The caller's deadline.
+        /// The caller's deadline, microseconds.
         until_us: u64,
     },
-    /// The workflow is finished or cancelled: all but its last result is removed.
+    /// Finishes or cancels the workflow: everything but its last result is removed from the record.
     Finish {
-        /// The core's number.
+        /// Number that the event answering this command carries.
         call: Call,
-        /// Name of the workflow.
+        /// Full name of the workflow.
         workflow: String,
-        /// Epoch of the worker's claim.
+        /// Epoch that the worker got with its claim.
         epoch: u64,
-        /// Cancelled, and not finished.
+        /// True to cancel the workflow, false to finish it.
         cancelled: bool,
-        /// The caller's deadline.
+        /// The caller's deadline, microseconds.
         until_us: u64,
     },
-    /// A person has decided about an unsettled step: it ran with this result, it never ran, or ([`AttemptOutcome::MayHaveRun`]) it is
-    /// abandoned. Also lets a parked workflow go on, whatever step is named. Rejected until the last lease is over.
+    /// An operator's decision about an unsettled step: it ran with this result, it never ran, or ([`AttemptOutcome::MayHaveRun`])
+    /// it is abandoned. Also unparks a parked workflow, whichever step is named. Rejected until the last lease has expired.
     Settle {
-        /// The core's number.
+        /// Number that the event answering this command carries.
         call: Call,
-        /// Name of the workflow.
+        /// Full name of the workflow.
         workflow: String,
-        /// Number of the step.
+        /// Number of the step within its workflow.
         step: u32,
-        /// The decision.
+        /// The operator's decision.
         #[serde(rename = "fate")]
         outcome: AttemptOutcome,
-        /// The caller's deadline.
+        /// The caller's deadline, microseconds.
         until_us: u64,
     },
 }
 
 impl Command {
-    /// The core's number.
+    /// Number that the event answering this command carries.
     pub fn call(&self) -> Call {
         match self {
             Command::Claim { call, .. }
@@ -186,7 +188,7 @@
         }
     }
 
-    /// The caller's deadline.
+    /// The caller's deadline, microseconds.
     pub(crate) fn until_us(&self) -> u64 {
         match self {
             Command::Claim { until_us, .. }
@@ -199,94 +201,95 @@
     }
 }
 
-/// To the core; one for each command. [`Event::SendPermitted`] is followed by a command of its own, [`Command::ReportOutcome`].
+/// An answer to the core, exactly one for each command. After [`Event::SendPermitted`] the core sends [`Command::ReportOutcome`], a
+/// command with a number of its own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// The worker holds the lease under this epoch.
+    /// The worker holds the workflow's lease under this epoch.
     Claimed {
-        /// Of the command.
+        /// Number of the command that this event answers.
         call: Call,
-        /// Of the claim.
+        /// Epoch of the claim; later commands of the worker carry it.
         epoch: u64,
-        /// The compacted steps.
+        /// Summary of the compacted steps, as one text.
         context: String,
-        /// The other steps so far.
+        /// Recorded steps that are not compacted, in order.
         steps: Vec<Step>,
         /// Length of the lease, microseconds.
         lease_us: u64,
     },
-    /// A majority holds the intent: the effect may be sent until then, checked when it is sent.
+    /// A majority has stored the intent: the step's request may be sent until `until_us`, which the core checks when it sends.
     #[serde(rename = "Go")]
     SendPermitted {
-        /// Of the command.
+        /// Number of the command that this event answers.
         call: Call,
-        /// End of the permission.
+        /// End of the dispatch permit, microseconds.
         until_us: u64,
     },
-    /// The step is done already, and nothing may be sent. In answer to [`Command::ReportOutcome`]: another attempt's result stands,
-    /// and is what the worker is answered.
+    /// The step is done already and must not be sent. In answer to [`Command::ReportOutcome`]: another attempt's result was
+    /// recorded first, and the worker is answered with that one.
     #[serde(rename = "Known")]
     AlreadyDone {
-        /// Of the command.
+        /// Number of the command that this event answers.
         call: Call,
-        /// The result that stands.
+        /// The recorded result of the step.
         result: String,
     },
-    /// A majority holds what was reported.
+    /// A majority has stored what the command reported or changed.
     #[serde(rename = "Held")]
     Committed {
-        /// Of the command.
+        /// Number of the command that this event answers.
         call: Call,
     },
-    /// The command is not done.
+    /// The command was not carried out.
     #[serde(rename = "Refused")]
     Rejected {
-        /// Of the command.
+        /// Number of the command that this event answers.
         call: Call,
-        /// Why not.
+        /// Reason of the rejection.
         #[serde(rename = "why")]
         reason: RejectReason,
     },
 }
 
-/// Why a command is rejected; the worker is told in these words.
+/// Why a command is rejected. The error text is returned to the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum RejectReason {
-    /// The worker's claim is not the latest.
+    /// The command's epoch is not the latest: another claim was made since.
     #[error("another worker carries this workflow under a later epoch")]
     Fenced,
-    /// Another worker's lease has not expired.
+    /// Another worker holds the lease, and it has not expired.
     #[error("another worker carries this workflow and is alive")]
     #[serde(rename = "Carried")]
     LeaseHeld,
-    /// May succeed later.
+    /// No majority of the replicas could be reached; a retry may succeed.
     #[error("a majority of its copies cannot be reached")]
     NoMajority,
-    /// The record is gone.
+    /// A majority of the replicas lost the record; no retry will succeed.
     #[error("a majority of its copies is lost for good; what was done cannot be known")]
     Lost,
-    /// Until [`Command::Settle`].
+    /// An unsafe step may have run; the workflow is stopped until [`Command::Settle`].
     #[error("an unsafe step may have run and nobody knows; a person has to decide")]
     Unsettled,
-    /// Until [`Command::Settle`].
+    /// Too many workers died over one step; the workflow is stopped until [`Command::Settle`].
     #[error("it killed three workers and is parked")]
     Parked,
-    /// Nothing more can be done with it.
+    /// The workflow has finished, was cancelled or has expired.
     #[error("it has ended")]
     Ended,
-    /// A limit of the settings, or of a name's length.
+    /// A limit of the settings is reached, or a name or an encoded record is too long.
     #[error("its limit of steps, bytes, tokens or time is reached")]
     Limit,
-    /// The step's request differs from the recorded one.
+    /// The step's number was used for a different request.
     #[error("this step's number was used for another request")]
     OtherRequest,
-    /// It may never have begun.
+    /// The register holds no record of the workflow, or the step is not the next one.
     #[error("no such workflow, or step out of order")]
     Unknown,
-    /// May succeed later.
+    /// Too many operations are pending, or an attempt at the step is in flight; a retry may succeed.
     #[error("too many questions in hand")]
     Busy,
-    /// May succeed later; whether it was written is not known.
+    /// A replica could not store the record; it is not known whether it was written. A retry may succeed.
     #[error("its copies cannot be written to disk")]
     #[serde(rename = "NotKept")]
     NotStored,
--- a/crates/workflow/src/lease_observer.rs
+++ b/crates/workflow/src/lease_observer.rs
@@ -1,5 +1,5 @@
-//! Leases of other processes, judged by this process's own clock: from when it first saw a lease's counter, which is later than when
-//! its holder requested it.
+//! Expiry of leases as measured by this process's own clock, from when it first saw the lease's counter. That is later than when
+//! the lease holder requested the lease, so the holder stops using it first.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,25 +8,33 @@
 
 use crate::record::Record;
 
-/// Workflows whose leases are observed; a further one takes the place of another, which counts as seen for the first time then.
+/// Maximum number of observed leases. When it is reached, the one with the lowest key is evicted, and its time starts anew when it
+/// is observed again.
 const MAX_OBSERVED_LEASES: usize = 64 * 1024;
 
-/// How long its holder may use a lease of this length: clocks differ in speed by up to one in a hundred, either way.
-fn usable(lease: Duration) -> Duration {
-    lease * 98 / 100
+/// Part of a lease that its holder may use, percent. Clock rates may deviate by up to 1 % in either direction.
+const USABLE_LEASE_PERCENT: u32 = 98;
+/// Time after which an observer takes a lease as expired, percent of its length. Clock rates may deviate by up to 1 % in either
+/// direction.
+const EXPIRED_LEASE_PERCENT: u32 = 102;
+
+/// Returns how long the holder may use a lease of this length.
+fn usable_time(lease: Duration) -> Duration {
+    lease * USABLE_LEASE_PERCENT / 100
 }
 
-/// How long an observer waits until it takes a lease of this length as expired.
+/// Returns how long an observer waits before it takes an unrenewed lease of this length as expired.
 fn expired_after(lease: Duration) -> Duration {
-    lease * 102 / 100
+    lease * EXPIRED_LEASE_PERCENT / 100
 }
 
-/// How long an effect may be sent, from when its intent was requested: a takeover is then as far away again.
+/// Returns how long a step may be sent after the write of its intent was requested: half of the usable lease, so that at least the
+/// same time passes after the last possible send before another worker can adopt the workflow.
 pub(crate) fn send_window(lease: Duration) -> Duration {
-    usable(lease) / 2
+    usable_time(lease) / 2
 }
 
-/// Identifies one renewal of a lease.
+/// Identifies one lease or renewal by its epoch and counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct LeaseId {
     epoch: u64,
@@ -50,14 +58,14 @@
     version_seen_at: Duration,
 }
 
-/// What was seen of workflows, and when first.
+/// For each workflow, the lease and record version last seen and when each was first seen.
 #[derive(Debug, Default)]
 pub(crate) struct LeaseObserver {
     observed: BTreeMap<RegisterKey, ObservedLease>,
 }
 
 impl LeaseObserver {
-    /// A record that some replica has accepted was seen.
+    /// Notes a record that a replica has accepted.
     pub(crate) fn observe(
         &mut self,
         now: Duration,
@@ -89,7 +97,7 @@
         self.observed.insert(key, observed);
     }
 
-    /// Whether this record's lease was seen, without a renewal, for longer than it lasts.
+    /// Returns whether the record's lease has been seen without a renewal for longer than its length.
     pub(crate) fn is_expired(&self, now: Duration, key: RegisterKey, record: &Record) -> bool {
         let (_, length_us) = record.lease();
         let limit = expired_after(Duration::from_micros(length_us));
@@ -99,7 +107,7 @@
         })
     }
 
-    /// For how long this version has been the latest one, as far as it was seen here.
+    /// Returns how long ago this version was first seen, or zero if another version was seen last.
     pub(crate) fn unchanged(&self, now: Duration, key: RegisterKey, version: Version) -> Duration {
         match self.observed.get(&key) {
             Some(observed) if observed.version == version => {
@@ -109,7 +117,7 @@
         }
     }
 
-    /// The register was deleted.
+    /// Drops the observation of a register that was deleted.
     pub(crate) fn forget(&mut self, key: RegisterKey) {
         self.observed.remove(&key);
     }
--- a/crates/workflow/src/lib.rs
+++ b/crates/workflow/src/lib.rs
@@ -1,10 +1,10 @@
-//! Workflows that another worker can resume, without input or output: steps, leases with epochs, outcomes of attempts, takeover; on
-//! replicated registers.
+//! Workflows that another worker can resume after the lease of the first one expires: steps, leases with epochs, attempt outcomes
+//! and adoption. State is stored in replicated registers. The crate performs no I/O itself.
 //!
-//! - [`Record`]: the value of one workflow's register, changed by pure transitions.
-//! - [`Workflows`]: the machine beside the core. It takes a [`Command`], decides by the record, writes it by compare-and-set, and
-//!   answers by an [`Event`], once and by its deadline.
-//! - [`Settings`]: what an operator sets.
+//! - [`Record`]: the value of one workflow's register, changed only by pure transitions.
+//! - [`Workflows`]: the state machine that the core sends commands to. It takes a [`Command`], applies a transition to the record,
+//!   writes the record by compare-and-set, and answers with one [`Event`] before the deadline of the command.
+//! - [`Settings`]: the operator's settings.
 
 mod attempts;
 mod cache;
--- a/crates/workflow/src/machine.rs
+++ b/crates/workflow/src/machine.rs
@@ -1,4 +1,4 @@
-//! The machine beside the core: the coordinator, and the replica of registers that it uses.
+//! [`Workflows`], the state machine of one dispatcher: the coordinator of workflow operations and this member's register replica.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -12,27 +12,29 @@
 use crate::record::Record;
 use crate::transition::SafetyChecks;
 
-/// Replicas of a workflow's register.
+/// Number of replicas of each workflow's register.
 const REPLICAS: usize = 3;
-/// How often records held by this member are swept, and how many at a time.
+/// Interval between sweeps of the records stored at this member's replica.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of records examined by one sweep.
 const MAX_SWEEP_RECORDS: usize = 256;
 
-/// Workflows at one dispatcher: a pure machine over the coordinator and the member's replica of registers.
+/// Workflow service of one dispatcher: a pure state machine that joins the coordinator and the member's register replica.
 pub struct Workflows {
     coordinator: Coordinator,
     replica: Replica,
-    /// The last register that was swept; none where the next sweep begins anew.
+    /// Key of the last register that was swept; `None` if the next sweep starts from the first key.
     swept_up_to: Option<RegisterKey>,
     next_sweep: Duration,
-    /// Outputs of the coordinator that are not passed on yet.
+    /// Outputs of the coordinator that have not been processed yet.
     coordinator_out: Vec<CoordinatorOutput>,
-    /// Outputs of the replica that are not passed on yet.
+    /// Outputs of the replica that have not been processed yet.
     replica_out: Vec<Output>,
 }
 
 impl Workflows {
-    /// `roster`: all dispatchers, this one among them. `durable`: whether [`ServiceOutput::Persist`] reaches a disk.
+    /// Creates the service. `roster`: names of all dispatchers, including this one. `durable`: whether [`ServiceOutput::Persist`]
+    /// is written to disk.
     pub fn new(
         own: Process,
         roster: BTreeSet<NameKey>,
@@ -52,7 +54,7 @@
         )
     }
 
-    /// With some of the rules left out, to show what they are for.
+    /// Creates the service with some safety rules turned off, so that tests can show which violation each rule prevents.
     #[doc(hidden)]
     pub fn with_safety_checks(
         own: Process,
@@ -77,8 +79,8 @@
         }
     }
 
-    /// Sweeps some of the records held here: their leases are observed from now on, and a record that has not been written for as
-    /// long as it may last is brought to its end.
+    /// Passes some of the locally stored records to the coordinator, which starts to observe their leases, expires workflows that
+    /// exceeded their maximum age, and deletes the records of workflows that ended long ago.
     fn sweep(&mut self, now: Duration) {
         if now < self.next_sweep {
             return;
@@ -94,7 +96,7 @@
         }
     }
 
-    /// The next registers of the sweep, in the order of keys.
+    /// Returns the registers that the next sweep examines, in key order.
     fn next_swept(&mut self) -> Vec<(RegisterKey, Version, Vec<u8>)> {
         let after = self.swept_up_to.take();
         let registers: Vec<_> = self
@@ -110,8 +112,14 @@
         registers
     }
 
-    /// Passes outputs of the coordinator to the replica and back until neither has any, beginning with an input of the replica.
-    fn settle(&mut self, now: Duration, first: Option<Input>, out: &mut Vec<ServiceOutput<Event>>) {
+    /// Exchanges messages between the coordinator and the replica until neither has any left, after giving the replica `first`.
+    /// Outputs to the outside are appended to `out`.
+    fn exchange_messages(
+        &mut self,
+        now: Duration,
+        first: Option<Input>,
+        out: &mut Vec<ServiceOutput<Event>>,
+    ) {
         let mut inputs: VecDeque<Input> = first.into_iter().collect();
         loop {
             for output in self.coordinator_out.drain(..) {
@@ -187,10 +195,11 @@
         input: ServiceInput<Command>,
         out: &mut Vec<ServiceOutput<Event>>,
     ) {
-        // What is due is done first, so that nothing that waited is taken for in time after a pause.
+        // Timers that are due run first: after a pause of the process, an answer that arrives past its deadline must not count as
+        // in time.
         self.coordinator.wake(now, &mut self.coordinator_out);
         self.sweep(now);
-        self.settle(now, None, out);
+        self.exchange_messages(now, None, out);
         let input = match input {
             ServiceInput::Wake => Input::Wake,
             ServiceInput::Frame { from, payload } => Input::Frame { from, payload },
@@ -203,10 +212,10 @@
             ServiceInput::Request(command) => {
                 self.coordinator
                     .handle(now, command, &mut self.coordinator_out);
-                return self.settle(now, None, out);
+                return self.exchange_messages(now, None, out);
             }
             ServiceInput::Datagram { .. } | ServiceInput::Leave => return,
         };
-        self.settle(now, Some(input), out);
+        self.exchange_messages(now, Some(input), out);
     }
 }
--- a/crates/workflow/src/operation.rs
+++ b/crates/workflow/src/operation.rs
@@ -1,4 +1,4 @@
-//! One operation on a workflow: what is to be done, for whom, until when.
+//! One operation on a workflow: what to do, for which call, and until when.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use crate::step::Attempt;
 use crate::transition::Transition;
 
-/// What is to be done with a workflow.
+/// Kind of an operation on a workflow, with its arguments.
 #[derive(Clone, Debug)]
 pub(crate) enum Operation {
-    /// [`Command::Claim`].
+    /// Carries out [`Command::Claim`].
     Claim { worker: String },
-    /// [`Command::Intend`], with the attempt that it opens.
+    /// Carries out [`Command::Intend`] with the attempt that it opens.
     Intend {
         epoch: u64,
         step: u32,
@@ -23,25 +23,25 @@
         request_digest: u64,
         attempt: Option<Attempt>,
     },
-    /// [`Command::ReportOutcome`], with the attempt if it is known here.
+    /// Carries out [`Command::ReportOutcome`] for the given attempt, or `None` if this process does not track the attempt.
     ReportOutcome {
         epoch: u64,
         step: u32,
         outcome: AttemptOutcome,
         attempt: Option<Attempt>,
     },
-    /// [`Command::RenewLease`].
+    /// Carries out [`Command::RenewLease`], or renews the lease during an attempt in flight.
     RenewLease { epoch: u64 },
-    /// [`Command::Finish`].
+    /// Carries out [`Command::Finish`].
     Finish { epoch: u64, cancelled: bool },
-    /// [`Command::Settle`].
+    /// Carries out [`Command::Settle`].
     Settle { step: u32, outcome: AttemptOutcome },
-    /// The record was not written for as long as it may last, or ended long ago.
+    /// Expires a workflow that exceeded its maximum age, or deletes the record of one that ended long ago.
     Sweep,
 }
 
 impl Operation {
-    /// Whether it decides by what the register holds, and never by a cached record.
+    /// Returns whether the operation needs a read of the register and must not use a cached record.
     pub(crate) fn needs_read(&self) -> bool {
         matches!(
             self,
@@ -49,7 +49,7 @@
         )
     }
 
-    /// Whether it ends a workflow whose time is over.
+    /// Returns whether the operation expires the workflow if it has reached its maximum age.
     pub(crate) fn expires_workflow(&self) -> bool {
         match self {
             Operation::Claim { .. }
@@ -63,13 +63,13 @@
     }
 }
 
-/// A command of the core, taken apart.
+/// A command of the core, split into the parts that are common to all commands and the operation.
 pub(crate) struct Request {
     pub(crate) call: Call,
-    /// Name of the workflow.
+    /// Full name of the workflow.
     pub(crate) workflow: String,
     pub(crate) operation: Operation,
-    /// Past it the answer is of no use.
+    /// The caller's deadline; an answer after it is of no use.
     pub(crate) deadline: Duration,
 }
 
@@ -139,46 +139,46 @@
     }
 }
 
-/// What an operation waits for.
+/// What a pending operation waits for.
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
-    /// Its turn, or the end of its backoff.
+    /// Its turn in the queue, or the end of its backoff.
     Idle,
-    /// A read of the register.
+    /// The result of a read of the register.
     Reading,
-    /// A write of the register.
+    /// The result of a write of the register.
     Writing {
         record: Box<Record>,
         transition: Transition,
-        /// When the write was requested: a lease in the record counts from then.
+        /// When the write was requested; the lease in the record counts from this time.
         requested_at: Duration,
     },
-    /// The deletion of the register.
+    /// The result of deleting the register.
     Deleting,
 }
 
-/// An operation that is not answered yet.
+/// An operation that has not been answered yet, with its progress.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingOperation {
     pub(crate) key: RegisterKey,
-    /// Name of the workflow.
+    /// Full name of the workflow.
     pub(crate) name: String,
-    /// None where nobody waits for the answer.
+    /// Call to answer; `None` for a background operation.
     pub(crate) call: Option<Call>,
     pub(crate) operation: Operation,
     started_at: Duration,
-    /// When it is answered at the latest.
+    /// Latest time at which the operation is answered.
     pub(crate) deadline: Duration,
     pub(crate) phase: Phase,
-    /// Number of the register call in progress.
+    /// Number of the register call in progress, if any.
     pub(crate) register_call: Option<u64>,
-    /// Register calls that failed.
-    pub(crate) attempts: u32,
-    /// Whether the register itself was read in this attempt.
+    /// Number of register calls of this operation that failed.
+    pub(crate) failed_calls: u32,
+    /// Whether the register was read since the last retry, so that the decision does not rest on a cached record.
     pub(crate) has_read: bool,
-    /// A write may have happened though it was reported as failed.
+    /// A write of this operation may have been stored although it was reported as failed.
     pub(crate) maybe_written: bool,
-    /// Why the last attempt failed.
+    /// Reason to reject with if the deadline passes; set by the last failed register call.
     pub(crate) failure_reason: RejectReason,
 }
 
@@ -200,20 +200,21 @@
             deadline,
             phase: Phase::Idle,
             register_call: None,
-            attempts: 0,
+            failed_calls: 0,
             has_read: false,
             maybe_written: false,
             failure_reason: RejectReason::NoMajority,
         }
     }
 
-    /// The same operation from the start, with nobody to answer.
+    /// Returns the same operation restarted in the background, with no call to answer.
     pub(crate) fn in_background(self, now: Duration, deadline: Duration) -> PendingOperation {
         PendingOperation::new(now, self.key, self.name, None, self.operation, deadline)
     }
 
-    /// Whether it is not to wait for a majority any longer; the report of an outcome waits to its deadline.
-    pub(crate) fn has_waited(&self, now: Duration, limit: Duration) -> bool {
+    /// Returns whether the operation has waited for a majority for `limit` or longer. Always false for an outcome report, which
+    /// waits until its deadline.
+    pub(crate) fn has_waited_too_long(&self, now: Duration, limit: Duration) -> bool {
         let is_report = matches!(self.operation, Operation::ReportOutcome { .. });
         !is_report && now.saturating_sub(self.started_at) >= limit
     }
@@ -222,13 +223,13 @@
 /// What a failed register call means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// Another process wrote first: read and decide anew.
+    /// Another process wrote first: the operation has to read and decide again.
     Conflict,
-    /// Certainly not written; may succeed later.
+    /// The write was certainly not stored; a retry may succeed.
     Retryable(RejectReason),
-    /// May be written; may succeed later.
+    /// The write may have been stored; a retry may succeed.
     Uncertain(RejectReason),
-    /// Certainly not written, and no retry will succeed.
+    /// The write was certainly not stored, and no retry will succeed.
     Permanent(RejectReason),
 }
 
@@ -250,5 +251,5 @@
     }
 }
 
-/// What a read found: a version and its record, or nothing.
+/// Result of a read: the version and its record, or `None` if the register is empty.
 pub(crate) type Found = Option<(Version, Record)>;
--- a/crates/workflow/src/queue.rs
+++ b/crates/workflow/src/queue.rs
@@ -1,5 +1,6 @@
-//! Pending operations: one after the other for each workflow, and a bounded number of claims at a time, the nearest deadline first,
-//! so that the workflows of a dead dispatcher are taken over without overloading the register.
+//! Queue of pending operations. Operations on one workflow run one after the other, and only a limited number of claims run at a
+//! time, those with the earliest deadline first, so that adopting the workflows of a dead dispatcher does not overload the
+//! registers.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -8,40 +9,40 @@
 
 use crate::operation::{Operation, PendingOperation};
 
-/// Pending operations at a time.
+/// Maximum number of pending operations, background operations included.
 const MAX_OPERATIONS: usize = 4096;
-/// Of them those that nobody waits for.
+/// Maximum number of pending background operations, which no caller waits for.
 const MAX_BACKGROUND_OPERATIONS: usize = 1024;
-/// Operations on one workflow that somebody waits for.
+/// Number of operations queued for one workflow from which further commands for it are rejected.
 const MAX_OPERATIONS_PER_WORKFLOW: usize = 8;
-/// Claims that use the register at a time.
+/// Maximum number of claims that read or write registers at a time.
 const MAX_CONCURRENT_CLAIMS: usize = 32;
-/// Claims that wait for that.
+/// Maximum number of claims that wait for their turn.
 const MAX_WAITING_CLAIMS: usize = 1024;
 
-/// All pending operations, by number.
+/// All pending operations, keyed by a number that is assigned on arrival.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     last_id: u64,
     pending: BTreeMap<u64, PendingOperation>,
-    /// Operations that nobody waits for.
+    /// Number of pending background operations.
     background: usize,
-    /// Numbers by workflow, in order; the first of each has its turn.
+    /// Numbers of the operations on each workflow in order of arrival; the first one may run.
     by_workflow: BTreeMap<RegisterKey, VecDeque<u64>>,
-    /// Claims that use the register.
+    /// Numbers of the claims that have started and are not answered yet.
     active_claims: BTreeSet<u64>,
-    /// Claims that wait, by deadline.
+    /// Claims that have not started yet, ordered by deadline.
     waiting_claims: BTreeSet<(Duration, u64)>,
 }
 
-/// Whether an operation was enqueued.
+/// Result of adding an operation to the queue.
 #[derive(Debug)]
 pub(crate) enum Enqueued {
-    /// Under this number.
+    /// The operation was enqueued under this number.
     Accepted(u64),
-    /// Under this number, in place of another one with a later deadline.
+    /// The operation was enqueued under this number, and a waiting claim with a later deadline was removed to make room.
     Replaced(u64, Box<PendingOperation>),
-    /// Too many are pending.
+    /// The operation was not enqueued, because too many are pending.
     Rejected(Box<PendingOperation>),
 }
 
@@ -54,13 +55,14 @@
         self.pending.get_mut(&id)
     }
 
-    /// Appends an operation to its workflow's queue.
+    /// Appends an operation to the queue of its workflow, if there is room.
     pub(crate) fn enqueue(&mut self, pending: PendingOperation) -> Enqueued {
         let is_claim = matches!(pending.operation, Operation::Claim { .. });
-        if self.is_full_for(&pending) {
+        if self.has_no_room_for(&pending) {
             return Enqueued::Rejected(Box::new(pending));
         }
-        // A number is used up whether or not the operation is enqueued: the jitter of later ones depends on it.
+        // The number is consumed even if the claim is rejected below: the backoff jitter of later operations depends on their
+        // numbers.
         self.last_id += 1;
         let id = self.last_id;
         let mut replaced = None;
@@ -85,24 +87,25 @@
         }
     }
 
-    fn is_full_for(&self, pending: &PendingOperation) -> bool {
-        let is_share_full = match pending.call {
+    fn has_no_room_for(&self, pending: &PendingOperation) -> bool {
+        let is_at_own_limit = match pending.call {
             None => self.background >= MAX_BACKGROUND_OPERATIONS,
             Some(_) => {
                 let queue = self.by_workflow.get(&pending.key);
                 queue.map_or(0, VecDeque::len) >= MAX_OPERATIONS_PER_WORKFLOW
             }
         };
-        is_share_full || self.pending.len() >= MAX_OPERATIONS
+        is_at_own_limit || self.pending.len() >= MAX_OPERATIONS
     }
 
-    /// Removes the waiting claim with the latest deadline, if that is after the given one.
+    /// Removes the waiting claim with the latest deadline, if that deadline is after the given one.
     fn remove_later_claim(&mut self, deadline: Duration) -> Option<PendingOperation> {
         let (latest, id) = self.waiting_claims.last().copied()?;
         (latest > deadline).then(|| self.remove(id)).flatten()
     }
 
-    /// Whether an operation has its turn: the first of its workflow, and, of claims, one of those that may use the register.
+    /// Returns whether an operation may run: it is the first one of its workflow and, if it is a claim, the number of active claims
+    /// is below its limit. A claim that may run becomes active.
     pub(crate) fn may_start(&mut self, id: u64) -> bool {
         let Some(pending) = self.pending.get(&id) else {
             return false;
@@ -125,7 +128,7 @@
         self.by_workflow.get(&key).and_then(VecDeque::front) == Some(&id)
     }
 
-    /// Removes an operation.
+    /// Removes an operation from the queue, whether or not it has started.
     pub(crate) fn remove(&mut self, id: u64) -> Option<PendingOperation> {
         let pending = self.pending.remove(&id)?;
         self.background -= usize::from(pending.call.is_none());
@@ -140,7 +143,8 @@
         Some(pending)
     }
 
-    /// Operations that may start after one of this workflow was removed: the workflow's next one, and a claim that waits.
+    /// Returns the operations to start after one on this workflow was removed: the next one of the workflow, and the waiting claim
+    /// with the earliest deadline that is the first one of its workflow.
     pub(crate) fn next(&self, key: RegisterKey) -> Vec<u64> {
         let first = self.by_workflow.get(&key).and_then(VecDeque::front);
         let may_claim = self.active_claims.len() < MAX_CONCURRENT_CLAIMS;
@@ -158,7 +162,7 @@
             .is_some_and(|pending| self.is_first(pending.key, id))
     }
 
-    /// Whether any operation on a workflow is pending.
+    /// Returns whether any operation on the workflow is pending.
     pub(crate) fn is_busy(&self, key: RegisterKey) -> bool {
         self.by_workflow.contains_key(&key)
     }
--- a/crates/workflow/src/record.rs
+++ b/crates/workflow/src/record.rs
@@ -1,4 +1,4 @@
-//! The value of one workflow's register: who holds its lease under which epoch, its steps, its limits.
+//! The record of one workflow, stored in its register: lease holder, epoch, steps, resources used.
 
 use bitternlatch_membership::NameKey;
 use serde::{Deserialize, Serialize};
@@ -7,50 +7,50 @@
 use crate::error::WorkflowError;
 use crate::io::{RejectReason, Settings, Step};
 use crate::step::{truncate, Attempt, StepRecord, MAX_NAME_BYTES};
-use crate::time::micros_of_seconds;
+use crate::time::seconds_to_micros;
 use crate::transition::Claim;
 
-/// First byte of an encoded record.
+/// Format version, the first byte of an encoded record.
 const RECORD_VERSION: u8 = 1;
-/// Bytes of an encoded record at most: far below what a frame carries.
+/// Maximum size of an encoded record, bytes: far below the maximum size of a frame between dispatchers.
 pub const MAX_RECORD_BYTES: usize = 48 * 1024;
-/// Closed steps that are kept in full; older ones are compacted.
+/// Number of closed steps that are stored in full; older ones are compacted.
 pub const MAX_UNCOMPACTED_STEPS: usize = 6;
 
 /// How a workflow ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// By its worker, with all steps closed.
+    /// Finished by its worker, with no step open that may have had an effect.
     Finished,
-    /// By its worker, before that.
+    /// Cancelled by its worker.
     Cancelled,
-    /// Its time was over.
+    /// Reached its maximum age.
     Expired,
 }
 
-/// State of a workflow.
+/// State of a workflow as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// It can be worked on.
+    /// Workers can claim it and run steps.
     Open,
-    /// An unsafe step may have run; a person has to decide.
+    /// An unsafe step may have run; an operator has to settle it.
     Unsettled,
-    /// It killed its workers; a person has to decide.
+    /// [`crate::MAX_WORKER_DEATHS`] workers died without a step done between; an operator has to settle it.
     Parked,
-    /// It has ended.
+    /// The workflow has ended, with this outcome; only a short record is left.
     Ended(Outcome),
 }
 
 /// Limits of one workflow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Closed steps.
+    /// Maximum number of closed steps.
     pub steps: u32,
-    /// Bytes of results.
+    /// Maximum total size of the results, bytes.
     pub bytes: u64,
-    /// Tokens of results.
+    /// Maximum total number of tokens of the results.
     pub tokens: u64,
-    /// Microseconds that it may last.
+    /// Maximum age, microseconds.
     pub lasts_us: u64,
 }
 
@@ -60,41 +60,43 @@
             steps: settings.steps,
             bytes: settings.bytes,
             tokens: settings.tokens,
-            lasts_us: micros_of_seconds(settings.lasts_s),
+            lasts_us: seconds_to_micros(settings.lasts_s),
         }
     }
 }
 
-/// One workflow. Changed by the transitions alone (`workflow_transitions`, `step_transitions`).
+/// The stored record of one workflow. Only the transitions in `workflow_transitions` and `step_transitions` change it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
     pub(crate) name: String,
     pub(crate) state: State,
-    /// Rises with each claim; older ones are fenced off.
+    /// Increases with each claim; commands with an older epoch are rejected.
     pub(crate) epoch: u64,
-    /// Worker that holds the lease; empty where none does.
+    /// Name of the worker that holds the lease; empty if no worker does.
     pub(crate) worker: String,
-    /// Dispatcher of that worker.
+    /// Dispatcher through which the lease holder made its claim.
     pub(crate) holder: NameKey,
-    /// Counter of the lease, raised by each renewal; observers date it from when they first see it.
+    /// Counter of the lease, increased by each renewal; an observer measures the lease from when it first sees the counter.
     pub(crate) lease: u64,
+    /// Length of the lease, microseconds.
     pub(crate) lease_us: u64,
-    /// Time that those who wrote it saw pass: never more than its age.
+    /// Sum of the times, in microseconds, for which each writer saw the record unchanged before its write. Never more than the true
+    /// age of the workflow.
     pub(crate) age_us: u64,
-    /// Workers that died since a step was last done.
+    /// Number of times that another worker adopted the workflow since a step was last done or the workflow was settled.
     pub(crate) deaths: u32,
-    /// Bytes of all results.
+    /// Total size of all results, bytes.
     pub(crate) bytes: u64,
-    /// Tokens of all results.
+    /// Total number of tokens of all results.
     pub(crate) tokens: u64,
-    /// Steps that were compacted.
+    /// Summary of the compacted steps.
     pub(crate) context: Context,
-    /// The other steps; only the last one may be open.
+    /// Steps that are not compacted; only the last one may be open.
     pub(crate) steps: Vec<StepRecord>,
 }
 
 impl Record {
-    /// A new workflow, under its first epoch.
+    /// Creates the record of a new workflow, under epoch 1.
     pub fn begin(name: &str, claim: &Claim) -> Record {
         Record {
             name: truncate(name, MAX_NAME_BYTES),
@@ -113,50 +115,51 @@
         }
     }
 
-    /// Its state.
+    /// Returns the state of the workflow.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// The epoch of the latest claim.
+    /// Returns the epoch of the latest claim.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The dispatcher whose worker holds the lease.
+    /// Returns the dispatcher through which the lease holder made its claim.
     pub fn holder(&self) -> NameKey {
         self.holder
     }
 
-    /// The lease's counter, and its length in microseconds.
+    /// Returns the counter of the lease and its length in microseconds.
     pub fn lease(&self) -> (u64, u64) {
         (self.lease, self.lease_us)
     }
 
-    /// Number of steps that are done or abandoned.
+    /// Returns the number of steps that are done or abandoned, compacted ones included.
     pub fn closed(&self) -> u32 {
         let uncompacted = self.steps.iter().filter(|step| step.is_closed()).count();
         self.context.steps() + uncompacted as u32
     }
 
-    /// For the worker that claims it: the compacted steps as one text, the others one by one.
+    /// Returns what the claiming worker needs to resume: the compacted steps as one text and the other steps one by one.
     pub fn summary(&self) -> (String, Vec<Step>) {
         let steps = self.steps.iter().map(StepRecord::summary).collect();
         (self.context.text(), steps)
     }
 
-    /// Adds the time that its writer saw pass since the last write, microseconds. Returns whether its time is over.
+    /// Adds `seen_us`, the time for which the writer saw the record unchanged. Returns whether the workflow has reached its maximum
+    /// age.
     pub fn add_age(&mut self, seen_us: u64, limits: &Limits) -> bool {
         self.age_us = self.age_us.saturating_add(seen_us);
         self.age_us >= limits.lasts_us
     }
 
-    /// The attempt at the open step that is in flight, or may have run.
+    /// Returns the attempt at the open step that is in flight or may have run.
     pub fn open_attempt(&self) -> Option<Attempt> {
         self.steps.last().and_then(StepRecord::attempt)
     }
 
-    /// Why nothing can be done with it now, if so.
+    /// Returns why the workflow's state rejects worker commands; `None` while it is open.
     pub(crate) fn reject_reason(&self) -> Option<RejectReason> {
         match self.state {
             State::Open => None,
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Renews the lease: observers begin to wait anew.
+    /// Renews the lease: every observer measures its length again from now.
     pub(crate) fn advance_lease(&mut self) {
         self.lease = self.lease.wrapping_add(1);
     }
@@ -175,7 +178,7 @@
         self.steps.last_mut().filter(|step| !step.is_closed())
     }
 
-    /// Compacts the oldest closed steps.
+    /// Compacts the oldest closed steps, so that at most [`MAX_UNCOMPACTED_STEPS`] closed ones stay in full.
     pub(crate) fn compact(&mut self) {
         while self.steps.iter().filter(|step| step.is_closed()).count() > MAX_UNCOMPACTED_STEPS {
             let oldest = self.steps.remove(0);
@@ -183,10 +186,10 @@
         }
     }
 
-    /// As the register holds it.
+    /// Encodes the record for its register.
     ///
     /// # Errors
-    /// [`WorkflowError::TooLong`] past [`MAX_RECORD_BYTES`]: not reached by any record that the transitions make.
+    /// [`WorkflowError::TooLong`] above [`MAX_RECORD_BYTES`]; the limits of the transitions keep every record below that.
     pub fn encode(&self) -> Result<Vec<u8>, WorkflowError> {
         let bytes = postcard::to_extend(self, vec![RECORD_VERSION])
             .map_err(|_| WorkflowError::Unreadable)?;
@@ -196,10 +199,10 @@
         }
     }
 
-    /// Decodes it.
+    /// Decodes a record from the value of its register.
     ///
     /// # Errors
-    /// Where it is too long, of another version, or not a record.
+    /// If the value is too long, has another format version, or is not a record.
     pub fn decode(bytes: &[u8]) -> Result<Record, WorkflowError> {
         if bytes.len() > MAX_RECORD_BYTES {
             return Err(WorkflowError::TooLong);
--- a/crates/workflow/src/step.rs
+++ b/crates/workflow/src/step.rs
@@ -1,87 +1,90 @@
-//! One step of a workflow, as the register holds it.
+//! One step of a workflow, as stored in the workflow's record.
 
 use serde::{Deserialize, Serialize};
 
 use crate::io::{AttemptOutcome, Effect, Step};
 
-/// Bytes of a result that are kept; a longer one is truncated and states so.
+/// Maximum size of a stored result, bytes; a longer one is truncated and ends with a note.
 pub const MAX_RESULT_BYTES: usize = 4 * 1024;
-/// Bytes of a step's key, of a worker's name and of a workflow's, at most.
+/// Maximum length of a step's idempotency key, a worker's name and a workflow's name, bytes.
 pub(crate) const MAX_NAME_BYTES: usize = 512;
-/// Later results of one step that are kept beside the one that stands; further ones are counted.
+/// Maximum number of late results stored for one step; further ones are only counted.
 const MAX_LATE_RESULTS: usize = 2;
-/// Bytes of each of those.
+/// Maximum size of each late result, bytes.
 const MAX_LATE_RESULT_BYTES: usize = 512;
-/// Bytes for the note that a text was truncated.
+/// Room for the note at the end of a truncated text, bytes.
 const TRUNCATION_NOTE_BYTES: usize = 40;
 
-/// What a worker is answered about a step that a person abandoned.
+/// Result that workers get for a step that an operator abandoned.
 pub(crate) const ABANDONED_RESULT: &str = "left out: a person decided so; it may have run";
 
-/// One attempt at a step. Never used twice.
+/// Identifies one attempt at a step; no two attempts have the same identity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Name of the process's member.
+    /// Name key of the member whose process made the attempt.
     pub name: u32,
-    /// Start number of the process.
+    /// Start number (incarnation) of that process.
     pub start: u64,
-    /// Number of the attempt at that process.
+    /// Number of the attempt, counted by that process.
     pub number: u64,
 }
 
-/// State of a step that is in the record.
+/// State of a recorded step.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum StepState {
-    /// It is known that it never ran.
+    /// The step certainly never ran, and no attempt is in flight.
     Planned,
-    /// Its effect may be sent, or has been.
+    /// The intent is recorded: the request may be sent, or has been.
     Intended {
-        /// Epoch of the claim.
+        /// Epoch under which the intent was recorded.
         epoch: u64,
-        /// The attempt.
+        /// Attempt that the intent is for.
         attempt: Attempt,
     },
-    /// The first result that a majority held stands.
+    /// The step ran; this is the first result that a majority stored.
     Done {
-        /// The result.
+        /// Result of the step.
         result: String,
-        /// Its tokens.
+        /// Number of tokens of the result.
         tokens: u32,
     },
-    /// The process of its last attempt is gone.
+    /// The last attempt may have run, and its outcome was not reported.
     MayHaveRun {
-        /// The last attempt.
+        /// The last attempt at the step.
         attempt: Attempt,
     },
-    /// A person decided to go on without it.
+    /// An operator abandoned the step: workers continue without its result.
     Abandoned,
 }
 
-/// A step and all that is known of it.
+/// One step of a workflow with the outcomes of its attempts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StepRecord {
     pub(crate) number: u32,
     pub(crate) effect: Effect,
-    /// Idempotency key.
+    /// Idempotency key of the step.
     pub(crate) key: String,
-    /// Digest of the request.
+    /// Digest of the request, to detect another request under the same step number.
     pub(crate) request_digest: u64,
     pub(crate) state: StepState,
     /// An attempt before the last one may have run too.
-    pub(crate) earlier: bool,
-    /// Results that were reported after the one that stands.
-    pub(crate) late: Vec<String>,
-    /// Further ones, which are not kept.
-    pub(crate) late_lost: u32,
+    #[serde(rename = "earlier")]
+    pub(crate) earlier_may_have_run: bool,
+    /// Results that were reported after the one in `state`, truncated.
+    #[serde(rename = "late")]
+    pub(crate) late_results: Vec<String>,
+    /// Number of further late results, which are not stored.
+    #[serde(rename = "late_lost")]
+    pub(crate) dropped_late_results: u32,
 }
 
 impl StepRecord {
-    /// No further attempt at it is to be made.
+    /// Returns whether the step is done or abandoned, so that no further attempt is made.
     pub(crate) fn is_closed(&self) -> bool {
         matches!(self.state, StepState::Done { .. } | StepState::Abandoned)
     }
 
-    /// The attempt that is in flight, or may have run.
+    /// Returns the attempt that is in flight or may have run.
     pub(crate) fn attempt(&self) -> Option<Attempt> {
         match self.state {
             StepState::Intended { attempt, .. } | StepState::MayHaveRun { attempt } => {
@@ -91,16 +94,17 @@
         }
     }
 
-    /// Keeps a result beside the one that stands.
+    /// Stores a result that was reported after the one that counts, or only counts it if there is no room.
     pub(crate) fn add_late_result(&mut self, result: &str) {
-        if self.late.len() < MAX_LATE_RESULTS {
-            self.late.push(truncate(result, MAX_LATE_RESULT_BYTES));
+        if self.late_results.len() < MAX_LATE_RESULTS {
+            self.late_results
+                .push(truncate(result, MAX_LATE_RESULT_BYTES));
         } else {
-            self.late_lost = self.late_lost.saturating_add(1);
+            self.dropped_late_results = self.dropped_late_results.saturating_add(1);
         }
     }
 
-    /// As it is shown to the worker that claims the workflow.
+    /// Returns the step as shown to the worker that claims the workflow.
     pub(crate) fn summary(&self) -> Step {
         let outcome = match &self.state {
             StepState::Planned => Some(AttemptOutcome::NeverRan),
@@ -124,7 +128,7 @@
     }
 }
 
-/// At most so many bytes of a text, in whole characters, with a note of its length where that is less than all.
+/// Truncates a text to at most `max_bytes` bytes, between characters. A truncated text ends with a note of the original length.
 pub(crate) fn truncate(text: &str, max_bytes: usize) -> String {
     if text.len() <= max_bytes {
         return text.to_string();
--- a/crates/workflow/src/step_transitions.rs
+++ b/crates/workflow/src/step_transitions.rs
@@ -1,4 +1,4 @@
-//! Transitions of steps: intended, outcome reported, settled by a person.
+//! Transitions of a step: intent, outcome report, settlement by an operator.
 
 use crate::io::{AttemptOutcome, Effect, RejectReason};
 use crate::record::{Limits, Record, State};
@@ -7,28 +7,28 @@
 };
 use crate::transition::{Notice, Reply, SafetyChecks, Transition};
 
-/// What a worker is answered about a compacted step whose line is gone.
+/// Result that workers get for a compacted step whose line was removed from the context.
 const COMPACTED_RESULT: &str = "done; its result is compacted";
 
-/// A step whose effect is about to be sent.
+/// The intent to send a step's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Intent<'a> {
-    /// Epoch of the worker's claim.
+    /// Epoch that the worker got with its claim.
     pub epoch: u64,
-    /// Number of the step.
+    /// Number of the step within its workflow.
     pub step: u32,
-    /// What it may do.
+    /// Whether the step may be repeated.
     pub effect: Effect,
-    /// Its idempotency key.
+    /// Idempotency key of the step.
     pub key: &'a str,
-    /// Digest of the request.
+    /// Digest of the step's request.
     pub request_digest: u64,
-    /// The new attempt.
+    /// Attempt that the intent opens.
     pub attempt: Attempt,
 }
 
 impl Intent<'_> {
-    /// Whether a step was recorded for the same request.
+    /// Returns whether the recorded step is for the same request.
     fn matches(&self, step: &StepRecord) -> bool {
         let same_key = step.effect != Effect::Keyed || step.key == self.key;
         step.request_digest == self.request_digest && step.effect == self.effect && same_key
@@ -42,19 +42,19 @@
     }
 }
 
-/// What this process knows of an attempt.
+/// What this process knows about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalAttempt {
-    /// It was opened here, and nobody was permitted to send it.
+    /// This process opened the attempt and never permitted it to be sent.
     NeverSent,
-    /// It is in flight here.
+    /// The attempt is in flight at this process.
     Running,
-    /// Another process's, or one that was forgotten.
+    /// Another process made the attempt, or this process does not track it any more.
     Unknown,
 }
 
 impl Record {
-    /// Before an effect is sent.
+    /// Records the intent of a step, before its request is sent. `local_attempt` returns what this process knows about an attempt.
     pub fn intend(
         &mut self,
         intent: &Intent,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Index of a step that is not compacted.
+    /// Returns the index of a step that is not compacted.
     fn position(&self, number: u32) -> Option<usize> {
         self.steps.iter().position(|step| step.number == number)
     }
@@ -88,7 +88,7 @@
     fn intend_next(&mut self, intent: &Intent, limits: &Limits) -> Transition {
         let is_next = match self.steps.last() {
             Some(last) if intent.step < last.number => return self.compacted_result(intent.step),
-            // Callers count from 0 or from 1.
+            // Workers number their steps from 0 or from 1.
             None => intent.step <= 1,
             Some(last) => last.is_closed() && last.number.checked_add(1) == Some(intent.step),
         };
@@ -104,9 +104,9 @@
             key: intent.key.to_string(),
             request_digest: intent.request_digest,
             state: intent.state(),
-            earlier: false,
-            late: vec![],
-            late_lost: 0,
+            earlier_may_have_run: false,
+            late_results: vec![],
+            dropped_late_results: 0,
         });
         self.advance_lease();
         Transition::write(Reply::SendPermitted)
@@ -116,7 +116,7 @@
         self.closed() >= limits.steps || self.bytes >= limits.bytes || self.tokens >= limits.tokens
     }
 
-    /// A step that was compacted is done: it is never run again, whatever is left of its result.
+    /// Answers for a compacted step: it is done and never run again, even if its result is no longer stored.
     fn compacted_result(&self, step: u32) -> Transition {
         let first = self.steps.first().map_or(0, |first| first.number);
         if step >= first || first - step > self.context.steps() {
@@ -137,7 +137,7 @@
         if !intent.matches(step) && step.state != StepState::Planned {
             return Transition::rejected(RejectReason::OtherRequest);
         }
-        let earlier = match &step.state {
+        let previous_attempt = match &step.state {
             StepState::Done { result, .. } => {
                 return Transition::without_write(Reply::AlreadyDone(result.clone()));
             }
@@ -150,10 +150,10 @@
                 Some(*attempt)
             }
         };
-        match earlier.map(|attempt| (attempt, local_attempt(attempt))) {
+        match previous_attempt.map(|attempt| (attempt, local_attempt(attempt))) {
             None | Some((_, LocalAttempt::NeverSent)) => {}
-            Some(_) if step.effect != Effect::Unsafe => step.earlier = true,
-            // Without fencing any caller is taken for the lease holder: this is what fencing prevents.
+            Some(_) if step.effect != Effect::Unsafe => step.earlier_may_have_run = true,
+            // With fencing off, any caller counts as the lease holder, so an unsafe step can run twice.
             Some(_) if !safety_checks.fencing => {}
             Some((_, LocalAttempt::Running)) => {
                 return Transition::rejected(RejectReason::Busy);
@@ -162,10 +162,10 @@
                 return self.reject_as_unsettled(at, attempt);
             }
         }
-        self.open_attempt_of(at, intent)
+        self.record_attempt(at, intent)
     }
 
-    /// An unsafe step may have run: it is not sent again.
+    /// Rejects the intent because the unsafe step may have run, and marks the workflow as unsettled.
     fn reject_as_unsettled(&mut self, at: usize, attempt: Attempt) -> Transition {
         self.steps[at].state = StepState::MayHaveRun { attempt };
         Transition {
@@ -174,7 +174,7 @@
         }
     }
 
-    fn open_attempt_of(&mut self, at: usize, intent: &Intent) -> Transition {
+    fn record_attempt(&mut self, at: usize, intent: &Intent) -> Transition {
         let step = &mut self.steps[at];
         step.effect = intent.effect;
         step.key = intent.key.to_string();
@@ -184,8 +184,9 @@
         Transition::write(Reply::SendPermitted)
     }
 
-    /// How an attempt ended. Its own result stands where none stands yet, also when it comes late and under an older epoch: it is
-    /// known then what happened. A reporter under an older epoch is rejected all the same.
+    /// Records the outcome of an attempt. A result of the step's last attempt is recorded if the step has none yet, even if it
+    /// is reported late and under an older epoch, because it tells what happened. The reporter with an older epoch is still
+    /// rejected.
     pub fn report_outcome(
         &mut self,
         epoch: u64,
@@ -220,10 +221,10 @@
             StepState::Planned => attempt.is_some() || is_current,
             StepState::Done { .. } | StepState::Abandoned => false,
         };
-        // Of two attempts under one epoch either may be the first to end.
-        let stands = is_own || is_current && !recorded.is_closed();
+        // Of two attempts under the current epoch, either one may report first.
+        let is_accepted = is_own || is_current && !recorded.is_closed();
         match outcome {
-            AttemptOutcome::Done { result, tokens } if stands => {
+            AttemptOutcome::Done { result, tokens } if is_accepted => {
                 self.accept_result(at, result, *tokens, reply)
             }
             AttemptOutcome::Done { result, .. } => self.reject_second_result(at, result, reply),
@@ -260,7 +261,8 @@
         }
     }
 
-    /// A second result: the one that a majority held first stands, and is what the reporter is answered; this one is kept beside it.
+    /// Handles a second result of a step: the one that a majority stored first counts, and a reporter with the current epoch is
+    /// answered with it. The second one is stored as a late result.
     fn reject_second_result(&mut self, at: usize, result: &str, reply: Reply) -> Transition {
         let step = &mut self.steps[at];
         let truncated = truncate(result, MAX_RESULT_BYTES);
@@ -324,8 +326,8 @@
             return Transition::without_write(reply);
         };
         let number = step.number;
-        // The last attempt never ran; one before it may have.
-        step.state = match step.earlier {
+        // The last attempt never ran, but an earlier one may have.
+        step.state = match step.earlier_may_have_run {
             true => StepState::MayHaveRun { attempt },
             false => StepState::Planned,
         };
@@ -337,8 +339,8 @@
         Transition::write(reply)
     }
 
-    /// A person decides: the step ran with this result, it never ran, or it is abandoned. `lease_expired`: the lease in the record
-    /// has been seen here, without a renewal, for longer than it lasts, so that no permission to send is left anywhere.
+    /// Applies an operator's decision: the step ran with this result, it never ran, or it is abandoned. `lease_expired`: this
+    /// dispatcher saw the recorded lease without a renewal for longer than its length, so no dispatch permit is valid anywhere.
     pub fn settle(
         &mut self,
         step: u32,
--- a/crates/workflow/src/tests.rs
+++ b/crates/workflow/src/tests.rs
@@ -1,4 +1,4 @@
-//! Desks over a register that is one map, so that each answer of it can be chosen.
+//! Tests of coordinators whose registers are one in-memory map, so that a test can choose the result of each register call.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,25 +10,27 @@
 use crate::coordinator::{key_of, Coordinator, CoordinatorOutput};
 use crate::*;
 
-type Held = BTreeMap<RegisterKey, (Version, Vec<u8>)>;
+type Registers = BTreeMap<RegisterKey, (Version, Vec<u8>)>;
 
-/// What becomes of the next write.
+/// Result of the next write, chosen by the test.
 #[derive(Clone, Debug, PartialEq)]
-enum Next {
-    Well,
+enum NextWrite {
+    /// Stored, unless it conflicts.
+    Succeeds,
+    /// Not stored; returns the error.
     Fails(RegisterError),
-    /// Written, though nobody is told.
-    InDoubt(RegisterError),
-    /// Never answered.
-    Silent,
+    /// Stored, but returns the error.
+    StoredButFails(RegisterError),
+    /// Not stored and never answered.
+    Unanswered,
 }
 
 struct Cluster {
     now: Duration,
     coordinators: Vec<Coordinator>,
-    held: Held,
-    next: Next,
-    told: Vec<Event>,
+    registers: Registers,
+    next_write: NextWrite,
+    events: Vec<Event>,
     logs: Vec<String>,
     calls: u64,
     writes: u64,
@@ -48,14 +50,14 @@
         let coordinators = (0..of)
             .map(|i| Coordinator::new(own(i), &Settings::default(), SafetyChecks::AS_BUILT))
             .collect();
-        let (held, now) = (Held::new(), ms(1000));
-        let (told, logs) = (vec![], vec![]);
+        let (registers, now) = (Registers::new(), ms(1000));
+        let (events, logs) = (vec![], vec![]);
         Cluster {
             now,
             coordinators,
-            held,
-            next: Next::Well,
-            told,
+            registers,
+            next_write: NextWrite::Succeeds,
+            events,
             logs,
             calls: 0,
             writes: 0,
@@ -65,17 +67,17 @@
 
     fn deliver(&mut self, i: usize, out: Vec<CoordinatorOutput>) {
         let mut out: std::collections::VecDeque<CoordinatorOutput> = out.into();
-        while let Some(wanted) = out.pop_front() {
+        while let Some(output) = out.pop_front() {
             let mut more = vec![];
-            match wanted {
-                CoordinatorOutput::Event(told) => self.told.push(told),
+            match output {
+                CoordinatorOutput::Event(event) => self.events.push(event),
                 CoordinatorOutput::Log { text, .. } => self.logs.push(text),
                 CoordinatorOutput::Register(Input::Read { call, key, .. }) => {
                     self.reads += 1;
                     self.coordinators[i].on_read(
                         self.now,
                         call,
-                        Ok(self.held.get(&key).cloned()),
+                        Ok(self.registers.get(&key).cloned()),
                         &mut more,
                     );
                 }
@@ -88,20 +90,20 @@
                     ..
                 }) => {
                     self.writes += 1;
-                    let latest = self.held.get(&key).map(|(version, _)| *version);
+                    let latest = self.registers.get(&key).map(|(version, _)| *version);
                     let version = Version {
                         epoch,
                         count: self.writes,
                         writer: NameKey(i as u32),
                         start: 1,
                     };
-                    let done = match std::mem::replace(&mut self.next, Next::Well) {
-                        Next::Silent => continue,
-                        Next::Fails(error) => Err(error),
+                    let done = match std::mem::replace(&mut self.next_write, NextWrite::Succeeds) {
+                        NextWrite::Unanswered => continue,
+                        NextWrite::Fails(error) => Err(error),
                         _ if latest != expected => Err(RegisterError::Conflict { latest }),
                         next => {
-                            self.held.insert(key, (version, value));
-                            if let Next::InDoubt(error) = next {
+                            self.registers.insert(key, (version, value));
+                            if let NextWrite::StoredButFails(error) = next {
                                 Err(error)
                             } else {
                                 Ok(version)
@@ -116,7 +118,7 @@
                     expected,
                     ..
                 }) => {
-                    self.held.remove(&key);
+                    self.registers.remove(&key);
                     self.coordinators[i].on_written(self.now, call, Ok(expected), &mut more);
                 }
                 CoordinatorOutput::Register(_) => {}
@@ -125,17 +127,21 @@
         }
     }
 
-    fn ask(&mut self, i: usize, ask: impl FnOnce(Call, String, u64) -> Command) -> Option<Event> {
+    fn send(
+        &mut self,
+        i: usize,
+        command: impl FnOnce(Call, String, u64) -> Command,
+    ) -> Option<Event> {
         self.calls += 1;
         let until = (self.now + ms(1000)).as_micros() as u64;
         let mut out = vec![];
-        let ask = ask(Call(self.calls), "w".to_string(), until);
-        self.coordinators[i].handle(self.now, ask, &mut out);
+        let command = command(Call(self.calls), "w".to_string(), until);
+        self.coordinators[i].handle(self.now, command, &mut out);
         self.deliver(i, out);
-        self.told.pop()
+        self.events.pop()
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now = (self.now + ms(5)).min(end);
@@ -149,7 +155,7 @@
 
     fn claim(&mut self, i: usize, worker: &str) -> Option<Event> {
         let worker = worker.to_string();
-        self.ask(i, |call, workflow, until_us| Command::Claim {
+        self.send(i, |call, workflow, until_us| Command::Claim {
             call,
             workflow,
             worker,
@@ -158,7 +164,7 @@
     }
 
     fn intend(&mut self, i: usize, epoch: u64, step: u32) -> Option<Event> {
-        self.ask(i, |call, workflow, until_us| Command::Intend {
+        self.send(i, |call, workflow, until_us| Command::Intend {
             call,
             workflow,
             epoch,
@@ -177,7 +183,7 @@
         step: u32,
         outcome: AttemptOutcome,
     ) -> Option<Event> {
-        self.ask(i, |call, workflow, until_us| Command::ReportOutcome {
+        self.send(i, |call, workflow, until_us| Command::ReportOutcome {
             call,
             workflow,
             epoch,
@@ -187,7 +193,7 @@
         })
     }
 
-    fn done(&mut self, i: usize, epoch: u64, step: u32) -> Option<Event> {
+    fn report_done(&mut self, i: usize, epoch: u64, step: u32) -> Option<Event> {
         self.report_outcome(
             i,
             epoch,
@@ -200,19 +206,19 @@
     }
 
     fn record(&self) -> Record {
-        Record::decode(&self.held[&key_of("w")].1).unwrap()
+        Record::decode(&self.registers[&key_of("w")].1).unwrap()
     }
 }
 
-fn why(told: &Option<Event>) -> Option<RejectReason> {
-    match told {
-        Some(Event::Rejected { reason: why, .. }) => Some(*why),
+fn reject_reason(event: &Option<Event>) -> Option<RejectReason> {
+    match event {
+        Some(Event::Rejected { reason, .. }) => Some(*reason),
         _ => None,
     }
 }
 
-fn is_go(told: &Option<Event>) -> bool {
-    matches!(told, Some(Event::SendPermitted { .. }))
+fn is_permitted(event: &Option<Event>) -> bool {
+    matches!(event, Some(Event::SendPermitted { .. }))
 }
 
 #[test]
@@ -229,21 +235,30 @@
         };
         assert!(until_us <= (cluster.now + ms(750)).as_micros() as u64);
         assert!(matches!(
-            cluster.done(0, 1, step),
+            cluster.report_done(0, 1, step),
             Some(Event::Committed { .. })
         ));
     }
     assert_eq!((cluster.reads - reads, cluster.writes - writes), (0, 40));
-    // The other one sees the lease for the first time, and has to see it through.
-    assert_eq!(why(&cluster.claim(1, "b")), Some(RejectReason::LeaseHeld));
-    cluster.pass(ms(1515));
-    assert_eq!(why(&cluster.claim(1, "b")), Some(RejectReason::LeaseHeld));
-    cluster.pass(ms(50));
+    // The other dispatcher sees the lease for the first time and has to observe it for its whole length.
+    assert_eq!(
+        reject_reason(&cluster.claim(1, "b")),
+        Some(RejectReason::LeaseHeld)
+    );
+    cluster.advance(ms(1515));
+    assert_eq!(
+        reject_reason(&cluster.claim(1, "b")),
+        Some(RejectReason::LeaseHeld)
+    );
+    cluster.advance(ms(50));
     assert!(matches!(
         cluster.claim(1, "b"),
         Some(Event::Claimed { epoch: 2, .. })
     ));
-    assert_eq!(why(&cluster.intend(0, 1, 21)), Some(RejectReason::Fenced));
+    assert_eq!(
+        reject_reason(&cluster.intend(0, 1, 21)),
+        Some(RejectReason::Fenced)
+    );
 }
 
 #[test]
@@ -265,7 +280,7 @@
         panic!()
     };
     assert!(until_us <= (cluster.now + ms(1500)).as_micros() as u64);
-    // Its own claim makes it the longer one.
+    // Its own claim replaces the recorded lease by the longer one.
     assert!(matches!(
         cluster.claim(1, "a"),
         Some(Event::Claimed {
@@ -278,29 +293,30 @@
 #[test]
 fn uncertain_intent_is_never_sent_and_is_undone() {
     for next in [
-        Next::Silent,
-        Next::InDoubt(RegisterError::TimedOut),
-        Next::InDoubt(RegisterError::NotStored(StorageError::Full)),
-        Next::Fails(RegisterError::TimedOut),
+        NextWrite::Unanswered,
+        NextWrite::StoredButFails(RegisterError::TimedOut),
+        NextWrite::StoredButFails(RegisterError::NotStored(StorageError::Full)),
+        NextWrite::Fails(RegisterError::TimedOut),
     ] {
         let mut cluster = Cluster::new(1);
         cluster.claim(0, "a");
-        cluster.next = next.clone();
-        let told = cluster.intend(0, 1, 1);
-        assert!(told.is_none(), "{next:?} {told:?}");
-        cluster.pass(ms(2000));
-        // Answered once: sent under a write of its own, or refused and, in silence, undone.
-        assert_eq!(cluster.told.len(), 1, "{next:?} {:?}", cluster.told);
-        let told = cluster.told.pop();
-        match is_go(&told) {
+        cluster.next_write = next.clone();
+        let event = cluster.intend(0, 1, 1);
+        assert!(event.is_none(), "{next:?} {event:?}");
+        cluster.advance(ms(2000));
+        // Exactly one answer: either a retried write succeeded and sending is permitted, or the intent was rejected and undone in
+        // the background.
+        assert_eq!(cluster.events.len(), 1, "{next:?} {:?}", cluster.events);
+        let event = cluster.events.pop();
+        match is_permitted(&event) {
             true => assert!(matches!(
-                cluster.done(0, 1, 1),
+                cluster.report_done(0, 1, 1),
                 Some(Event::Committed { .. })
             )),
             false => {
-                assert_eq!(why(&told), Some(RejectReason::NoMajority));
+                assert_eq!(reject_reason(&event), Some(RejectReason::NoMajority));
                 assert_eq!(cluster.record().open_attempt(), None, "{next:?}");
-                assert!(is_go(&cluster.intend(0, 1, 1)));
+                assert!(is_permitted(&cluster.intend(0, 1, 1)));
             }
         }
     }
@@ -311,21 +327,27 @@
     let mut cluster = Cluster::new(1);
     cluster.claim(0, "a");
     cluster.intend(0, 1, 1);
-    cluster.next = Next::InDoubt(RegisterError::TimedOut);
-    assert_eq!(cluster.done(0, 1, 1), None);
-    cluster.pass(ms(100));
-    assert!(matches!(cluster.told.pop(), Some(Event::Committed { .. })));
+    cluster.next_write = NextWrite::StoredButFails(RegisterError::TimedOut);
+    assert_eq!(cluster.report_done(0, 1, 1), None);
+    cluster.advance(ms(100));
+    assert!(matches!(
+        cluster.events.pop(),
+        Some(Event::Committed { .. })
+    ));
     cluster.intend(0, 1, 2);
-    cluster.next = Next::Silent;
-    cluster.done(0, 1, 2);
+    cluster.next_write = NextWrite::Unanswered;
+    cluster.report_done(0, 1, 2);
     for _ in 0..400 {
-        cluster.next = Next::Fails(RegisterError::NoMajority);
-        cluster.pass(ms(5));
+        cluster.next_write = NextWrite::Fails(RegisterError::NoMajority);
+        cluster.advance(ms(5));
     }
-    assert_eq!(cluster.told.len(), 1);
-    assert_eq!(why(&cluster.told.pop()), Some(RejectReason::NoMajority));
-    cluster.next = Next::Well;
-    cluster.pass(ms(500));
+    assert_eq!(cluster.events.len(), 1);
+    assert_eq!(
+        reject_reason(&cluster.events.pop()),
+        Some(RejectReason::NoMajority)
+    );
+    cluster.next_write = NextWrite::Succeeds;
+    cluster.advance(ms(500));
     assert_eq!(cluster.record().open_attempt(), None);
     assert!(
         matches!(cluster.intend(0, 1, 2), Some(Event::AlreadyDone { result, .. }) if result == "r2")
@@ -336,17 +358,29 @@
 fn lease_is_renewed_during_a_long_attempt_that_is_not_sent_again() {
     let mut cluster = Cluster::new(2);
     cluster.claim(0, "a");
-    assert!(is_go(&cluster.intend(0, 1, 1)));
-    assert_eq!(why(&cluster.claim(1, "b")), Some(RejectReason::LeaseHeld));
-    cluster.pass(ms(9000));
-    assert_eq!(why(&cluster.claim(1, "b")), Some(RejectReason::LeaseHeld));
-    assert_eq!(why(&cluster.intend(0, 1, 1)), Some(RejectReason::Busy));
-    // Its worker comes back to its own at once, and gets the result of the attempt that it left.
+    assert!(is_permitted(&cluster.intend(0, 1, 1)));
+    assert_eq!(
+        reject_reason(&cluster.claim(1, "b")),
+        Some(RejectReason::LeaseHeld)
+    );
+    cluster.advance(ms(9000));
+    assert_eq!(
+        reject_reason(&cluster.claim(1, "b")),
+        Some(RejectReason::LeaseHeld)
+    );
+    assert_eq!(
+        reject_reason(&cluster.intend(0, 1, 1)),
+        Some(RejectReason::Busy)
+    );
+    // The worker can claim its own workflow again at once, and gets the result of the attempt in flight.
     assert!(matches!(
         cluster.claim(0, "a"),
         Some(Event::Claimed { epoch: 2, .. })
     ));
-    assert_eq!(why(&cluster.done(0, 1, 1)), Some(RejectReason::Fenced));
+    assert_eq!(
+        reject_reason(&cluster.report_done(0, 1, 1)),
+        Some(RejectReason::Fenced)
+    );
     assert!(matches!(
         cluster.intend(0, 2, 1),
         Some(Event::AlreadyDone { .. })
@@ -354,16 +388,22 @@
 }
 
 #[test]
-fn unsettled_workflow_is_logged_once_and_settled_after_its_lease() {
+fn unsettled_workflow_is_logged_once_and_settled_after_its_lease_expired() {
     let mut cluster = Cluster::new(2);
     cluster.claim(0, "a");
     cluster.intend(0, 1, 1);
-    // Its dispatcher is no more.
+    // The dispatcher that made the attempt is gone.
     cluster.coordinators.remove(0);
     cluster.claim(0, "b");
-    cluster.pass(ms(3200));
-    assert_eq!(why(&cluster.claim(0, "b")), Some(RejectReason::Unsettled));
-    assert_eq!(why(&cluster.claim(0, "c")), Some(RejectReason::Unsettled));
+    cluster.advance(ms(3200));
+    assert_eq!(
+        reject_reason(&cluster.claim(0, "b")),
+        Some(RejectReason::Unsettled)
+    );
+    assert_eq!(
+        reject_reason(&cluster.claim(0, "c")),
+        Some(RejectReason::Unsettled)
+    );
     assert_eq!(
         cluster
             .logs
@@ -381,7 +421,7 @@
         until_us,
     };
     assert!(matches!(
-        cluster.ask(0, settle),
+        cluster.send(0, settle),
         Some(Event::Committed { .. })
     ));
     assert!(matches!(cluster.claim(0, "c"), Some(Event::Claimed { .. })));
@@ -429,18 +469,18 @@
         })
         .collect();
     assert_eq!((reads, busy.len()), (32, 1500 - 32 - 1024));
-    // Those with the most time left make room for the nearer ones.
+    // Claims with later deadlines are rejected to make room for those with earlier ones.
     assert!(
         busy.iter().all(|call| (32..1500 - 1024).contains(call)),
         "{busy:?}"
     );
     cluster.deliver(0, out);
     let claimed = cluster
-        .told
+        .events
         .iter()
         .filter(|t| matches!(t, Event::Claimed { .. }))
         .count();
-    assert_eq!((claimed, cluster.told.len()), (32 + 1024, 1500));
+    assert_eq!((claimed, cluster.events.len()), (32 + 1024, 1500));
 }
 
 #[test]
@@ -460,18 +500,18 @@
         (State::Ended(Outcome::Expired), 11_000),
         (State::Open, 601_000),
     ] {
-        let look = |cluster: &mut Cluster| {
-            let (version, _) = cluster.held[&key_of("w")];
+        let sweep = |cluster: &mut Cluster| {
+            let (version, _) = cluster.registers[&key_of("w")];
             let (record, now, mut out) = (cluster.record(), cluster.now, vec![]);
             cluster.coordinators[0].sweep(now, key_of("w"), version, &record, &mut out);
             cluster.deliver(0, out);
         };
-        look(&mut cluster);
-        assert!(cluster.held.contains_key(&key_of("w")));
-        cluster.pass(ms(after));
-        look(&mut cluster);
+        sweep(&mut cluster);
+        assert!(cluster.registers.contains_key(&key_of("w")));
+        cluster.advance(ms(after));
+        sweep(&mut cluster);
         match state {
-            State::Open => assert!(cluster.held.is_empty()),
+            State::Open => assert!(cluster.registers.is_empty()),
             state => assert_eq!(cluster.record().state(), state),
         }
     }
@@ -481,8 +521,11 @@
 fn record_of_another_version_is_rejected_and_logged() {
     let mut cluster = Cluster::new(1);
     cluster.claim(0, "a");
-    cluster.held.get_mut(&key_of("w")).unwrap().1[0] = 9;
-    assert_eq!(why(&cluster.claim(0, "a")), Some(RejectReason::NoMajority));
+    cluster.registers.get_mut(&key_of("w")).unwrap().1[0] = 9;
+    assert_eq!(
+        reject_reason(&cluster.claim(0, "a")),
+        Some(RejectReason::NoMajority)
+    );
     assert!(
         cluster.logs[0].contains("another version"),
         "{:?}",
--- a/crates/workflow/src/time.rs
+++ b/crates/workflow/src/time.rs
@@ -1,13 +1,13 @@
-//! Conversions of times.
+//! Conversions between durations, seconds and microseconds.
 
 use std::time::Duration;
 
-/// Microseconds of a duration; the highest number where it is longer than that.
+/// Converts a duration to microseconds, saturating at `u64::MAX`.
 pub(crate) fn as_micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Microseconds of seconds in a settings file; negative numbers and NaN count as none.
-pub(crate) fn micros_of_seconds(seconds: f64) -> u64 {
+/// Converts seconds from a settings file to microseconds; a negative number or NaN becomes 0.
+pub(crate) fn seconds_to_micros(seconds: f64) -> u64 {
     (seconds.max(0.0) * 1e6) as u64
 }
--- a/crates/workflow/src/timers.rs
+++ b/crates/workflow/src/timers.rs
@@ -1,9 +1,9 @@
-//! Timers by what they are for.
+//! Timers identified by their purpose.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// At most one timer for each `T`.
+/// A set of timers with at most one for each value of `T`.
 #[derive(Debug)]
 pub(crate) struct Timers<T> {
     order: BTreeSet<(Duration, T)>,
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Sets a timer, in place of the time that it had.
+    /// Sets a timer, replacing its previous time if it was set.
     pub(crate) fn set(&mut self, timer: T, at: Duration) {
         self.clear(timer);
         self.order.insert((at, timer));
@@ -31,13 +31,13 @@
         }
     }
 
-    /// When the first timer is due.
+    /// Returns the time of the earliest timer.
     pub(crate) fn next(&self) -> Option<Duration> {
         self.order.first().map(|(at, _)| *at)
     }
 
-    /// Removes and returns the first timer that is due.
-    pub(crate) fn due(&mut self, now: Duration) -> Option<T> {
+    /// Removes and returns the earliest timer if it is due at `now`.
+    pub(crate) fn pop_due(&mut self, now: Duration) -> Option<T> {
         let (at, timer) = self.order.first().copied()?;
         if at > now {
             return None;
--- a/crates/workflow/src/transition.rs
+++ b/crates/workflow/src/transition.rs
@@ -1,80 +1,81 @@
-//! What a transition of a record is given and gives back.
+//! Inputs and results of the transitions of a workflow record.
 
 use bitternlatch_membership::NameKey;
 
 use crate::io::RejectReason;
 use crate::step_transitions::LocalAttempt;
 
-/// Which safety rules hold. All of them in service; tests leave one out to show that the violation is noticed.
+/// Safety rules that are enforced. Production builds enforce all of them; tests turn one off to show that the violation is
+/// detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[doc(hidden)]
 pub struct SafetyChecks {
-    /// Older epochs are rejected, and a permission to send ends by time.
+    /// Commands with an older epoch are rejected, and a dispatch permit expires.
     pub fencing: bool,
-    /// An effect is sent when a majority holds its intent, not before.
+    /// A step is sent only after a majority has stored its intent.
     pub majority_first: bool,
 }
 
 impl SafetyChecks {
-    /// As this crate is built.
+    /// The rules that the cargo features of this build leave on.
     pub const AS_BUILT: SafetyChecks = SafetyChecks {
         fencing: !cfg!(feature = "without-fencing"),
         majority_first: !cfg!(feature = "before-majority"),
     };
 }
 
-/// What the caller is answered once the record is written, or at once where nothing is to be written.
+/// Answer to the caller: sent once the record is written, or at once if nothing has to be written.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// The worker holds the workflow's lease.
     Claimed,
-    /// The effect may be sent.
+    /// The step's request may be sent.
     SendPermitted,
-    /// The step has this result already.
+    /// The step was done before, with this result.
     AlreadyDone(String),
-    /// What was reported is in the record.
+    /// The change or the reported outcome is in the record.
     Committed,
-    /// It is not done.
+    /// The command was not carried out, for this reason.
     Rejected(RejectReason),
 }
 
-/// What is logged once, when the record that states it is written.
+/// A change of the record that is logged once, when the record is written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// An unsafe step may have run.
+    /// The workflow became unsettled: an unsafe step may have run.
     Unsettled {
-        /// Number of the step.
+        /// Number of the step within its workflow.
         step: u32,
-        /// Its idempotency key.
+        /// Idempotency key of the step.
         key: String,
     },
-    /// The workflow killed too many workers over this step.
+    /// The workflow became parked: too many workers died during this step.
     Parked {
-        /// Number of the step.
+        /// Number of the step within its workflow.
         step: u32,
     },
-    /// It has become known what happened to a step that may have run.
+    /// The outcome of a step that may have run has become known.
     Resolved {
-        /// Number of the step.
+        /// Number of the step within its workflow.
         step: u32,
     },
     /// A second result of a step was reported.
     DuplicateResult {
-        /// Number of the step.
+        /// Number of the step within its workflow.
         step: u32,
     },
-    /// The workflow's time is over.
+    /// The workflow reached its maximum age.
     Expired,
 }
 
-/// What one transition decides.
+/// Result of one transition of a record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transition {
-    /// Whether the record is to be written.
+    /// Whether the changed record has to be written.
     pub write: bool,
-    /// The answer once it is, or at once.
+    /// Answer to send after the write, or at once if nothing is written.
     pub reply: Reply,
-    /// What is to be logged once it is written.
+    /// Event to log after the write.
     pub notice: Option<Notice>,
 }
 
@@ -107,17 +108,17 @@
     }
 }
 
-/// Who wants to hold a workflow's lease, and what its dispatcher knows.
+/// A worker's claim of a workflow's lease, with what the dispatcher knows about the previous lease and attempt.
 #[derive(Clone, Debug)]
 pub struct Claim<'a> {
-    /// Name of the worker.
+    /// Name of the claiming worker.
     pub worker: &'a str,
-    /// The dispatcher.
+    /// Dispatcher that makes the claim on behalf of the worker.
     pub holder: NameKey,
-    /// Length of the lease, microseconds.
+    /// Length of the claimed lease, microseconds.
     pub lease_us: u64,
-    /// The lease in the record has been seen here, without a renewal, for longer than it lasts.
+    /// This dispatcher saw the recorded lease without a renewal for longer than its length.
     pub lease_expired: bool,
-    /// What this process knows of the open step's attempt.
+    /// What this process knows about the attempt at the open step.
     pub local_attempt: LocalAttempt,
 }
--- a/crates/workflow/src/workflow_transitions.rs
+++ b/crates/workflow/src/workflow_transitions.rs
@@ -1,5 +1,5 @@
-//! Transitions of a workflow as a whole: claimed, renewed, finished, expired. Each states whether the record is to be written, and
-//! what is answered once it is.
+//! Transitions of a workflow as a whole: claim, lease renewal, finish, expiry. Each returns whether the record has to be written
+//! and what to answer after the write.
 
 use crate::context::Context;
 use crate::io::{Effect, RejectReason};
@@ -8,22 +8,22 @@
 use crate::step_transitions::LocalAttempt;
 use crate::transition::{Claim, Notice, Reply, SafetyChecks, Transition};
 
-/// Workers that may die over one step.
+/// Number of worker deaths, without a step done in between, at which a workflow is parked.
 pub const MAX_WORKER_DEATHS: u32 = 3;
-/// Bytes of the last result that an ended workflow keeps.
+/// Maximum size of the last result in the record of an ended workflow, bytes.
 const MAX_FINAL_RESULT_BYTES: usize = 1024;
 
 impl Record {
-    /// A worker takes the workflow over, or returns to its own. Each time the epoch rises.
+    /// A worker adopts the workflow, or claims again one that it holds. Each successful claim increases the epoch.
     pub fn claim(&mut self, claim: &Claim) -> Transition {
         if let Some(reason) = self.reject_reason() {
             return Transition::rejected(reason);
         }
-        let is_taken_over = !self.worker.is_empty() && self.worker != claim.worker;
-        if is_taken_over && !claim.lease_expired {
+        let is_adoption = !self.worker.is_empty() && self.worker != claim.worker;
+        if is_adoption && !claim.lease_expired {
             return Transition::rejected(RejectReason::LeaseHeld);
         }
-        if is_taken_over {
+        if is_adoption {
             self.deaths += 1;
         }
         if self.deaths >= MAX_WORKER_DEATHS {
@@ -43,13 +43,16 @@
         Transition::write(Reply::Claimed)
     }
 
-    /// The open step's attempt has no worker any more, unless this very process has it in flight: its outcome will be reported.
+    /// Updates the open step's attempt, whose worker is gone. An attempt in flight at the claiming process is left as it is,
+    /// because its outcome will still be reported.
     fn release_attempt(&mut self, local_attempt: LocalAttempt) -> Option<Notice> {
         let open = self.open_step()?;
         let attempt = open.attempt()?;
         match local_attempt {
             LocalAttempt::Running => return None,
-            LocalAttempt::NeverSent if !open.earlier => open.state = StepState::Planned,
+            LocalAttempt::NeverSent if !open.earlier_may_have_run => {
+                open.state = StepState::Planned
+            }
             LocalAttempt::NeverSent | LocalAttempt::Unknown => {
                 open.state = StepState::MayHaveRun { attempt };
             }
@@ -57,7 +60,7 @@
         self.mark_unsettled()
     }
 
-    /// Stops the workflow where the open step is unsafe and may have run.
+    /// Marks the workflow as unsettled if its open step is unsafe and may have run.
     pub(crate) fn mark_unsettled(&mut self) -> Option<Notice> {
         let open = self.open_step()?;
         let may_have_run = matches!(open.state, StepState::MayHaveRun { .. });
@@ -72,7 +75,7 @@
         Some(notice)
     }
 
-    /// The worker is alive and goes on.
+    /// Renews the lease of the worker that has this epoch.
     pub fn renew_lease(&mut self, epoch: u64, safety_checks: SafetyChecks) -> Transition {
         if let Some(reason) = self.reject_reason() {
             return Transition::rejected(reason);
@@ -84,7 +87,7 @@
         Transition::write(Reply::Committed)
     }
 
-    /// The workflow is finished or cancelled. A finished one has no open step that may have had an effect; a cancelled one may.
+    /// Finishes or cancels the workflow. Finishing is rejected while an open step may have had an effect; cancelling is not.
     pub fn finish(
         &mut self,
         epoch: u64,
@@ -121,7 +124,7 @@
             .is_some_and(|open| open.attempt().is_some() && open.effect != Effect::Safe)
     }
 
-    /// The workflow's time is over.
+    /// Ends the workflow because it reached its maximum age.
     pub fn expire(&mut self) -> Transition {
         if matches!(self.state, State::Ended(_)) {
             return Transition::rejected(RejectReason::Ended);
@@ -130,7 +133,7 @@
         Transition::write(Reply::Rejected(RejectReason::Limit)).with_notice(Notice::Expired)
     }
 
-    /// Removes all but how it ended, how many steps it had, and the head of its last result.
+    /// Ends the workflow and removes all steps but the last done one, whose result is truncated.
     fn end(&mut self, outcome: Outcome) {
         let is_done = |state: &StepState| matches!(state, StepState::Done { .. });
         let last = self
@@ -148,7 +151,7 @@
             if let StepState::Done { result, .. } = &mut last.state {
                 *result = truncate(result, MAX_FINAL_RESULT_BYTES);
             }
-            last.late.clear();
+            last.late_results.clear();
             self.steps.push(last);
         }
     }
--- a/programs/dispatch/src/beside.rs
+++ b/programs/dispatch/src/beside.rs
@@ -112,7 +112,10 @@
     let Some(settings) = settings else {
         return Ok(());
     };
-    let kept = settings.kept.as_ref().map(|file| place.base.join(file));
+    let kept = settings
+        .records_dir
+        .as_ref()
+        .map(|dir| place.base.join(dir));
     let (own, roster) = place.plane.own();
     let seed = getrandom::u64().map_err(|e| format!("no randomness: {e}"))?;
     let machine = Workflows::new(
