--- a/crates/workflow/tests/fleet/actors.rs
+++ b/crates/workflow/tests/fleet/actors.rs
@@ -1,4 +1,4 @@
-//! The actors: dispatcher, worker, tool.
+//! The simulated processes: dispatcher, worker, tool server, and a claimant that claims many workflows at once.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -10,24 +10,28 @@
 use bitternlatch_simulation::{ms, Node, Sent};
 use bitternlatch_workflow::*;
 
+/// Number of steps of each workflow.
 pub const STEPS: u32 = 10;
 
+/// Request of a worker or an operator to a dispatcher.
 #[derive(Clone, Debug)]
-pub enum Req {
+pub enum WorkerRequest {
     Claim,
     Step { epoch: u64, step: u32 },
     Finish { epoch: u64 },
     Settle { step: u32, outcome: AttemptOutcome },
 }
 
+/// Answer of a dispatcher to a [`WorkerRequest`].
 #[derive(Clone, Debug)]
-pub enum Ans {
+pub enum WorkerResponse {
     Claimed { epoch: u64, steps: Vec<Step> },
     Result(String),
-    Held,
-    Refused(RejectReason),
+    Committed,
+    Rejected(RejectReason),
 }
 
+/// Message between the simulated processes.
 #[derive(Clone, Debug)]
 pub enum Message {
     Frame(Process, Vec<u8>),
@@ -35,12 +39,12 @@
         id: u64,
         worker: String,
         workflow: u32,
-        req: Req,
+        request: WorkerRequest,
     },
     Reply {
         id: u64,
         workflow: u32,
-        ans: Ans,
+        response: WorkerResponse,
     },
     Call {
         call: Call,
@@ -57,37 +61,44 @@
     format!("tenant/owner/{workflow}")
 }
 
-/// Of three steps one is safe, one keyed, one unsafe.
+/// Returns the effect class of a step: of three consecutive steps one is safe, one keyed and one unsafe.
 pub fn effect(step: u32) -> Effect {
     [Effect::Unsafe, Effect::Safe, Effect::Keyed][step as usize % 3]
 }
 
-/// What all that is judged is read from.
+/// Facts recorded during a run, from which the invariants are checked.
 #[derive(Default)]
-pub struct Seen {
-    /// Runs of each step, as the tool counts them; keyed ones once a key.
+pub struct Observations {
+    /// Number of effects of each step, keyed by workflow and step, as counted by the tool server. A keyed step counts once per key.
     pub effects: BTreeMap<(u32, u32), u32>,
-    /// Results that a worker was told.
-    pub told: BTreeMap<(u32, u32), String>,
+    /// Result of each step that a worker received, keyed by workflow and step.
+    pub results: BTreeMap<(u32, u32), String>,
+    /// Workflows that workers finished, or found ended.
     pub finished: BTreeSet<u32>,
-    /// Workflows that stopped, and which step a person is asked about.
+    /// Unsettled and parked workflows, with the reason that a worker was given.
     pub stopped: BTreeMap<u32, RejectReason>,
-    pub wrong: Vec<String>,
-    /// What workers were refused last, for who reads a failure.
-    pub refused: BTreeMap<u32, RejectReason>,
+    /// Invariant violations found so far.
+    pub violations: Vec<String>,
+    /// Last rejection of each workflow's requests, printed with a failure.
+    pub last_rejections: BTreeMap<u32, RejectReason>,
+    /// Calls that the tool server received, to drop duplicates.
     calls: BTreeSet<(usize, Call)>,
 }
 
-/// Stops one dispatcher before the so-and-so-manieth thing that any of them does.
+/// Stops one dispatcher before a chosen output, counted over the outputs of all dispatchers.
 #[derive(Default)]
-pub struct Trap {
-    pub after: Cell<Option<u32>>,
-    pub frozen: Cell<Option<usize>>,
+pub struct StopPoint {
+    /// Number of outputs until the stop; `None` if no stop is planned.
+    pub outputs_left: Cell<Option<u32>>,
+    /// Place of the dispatcher that was stopped and not handled yet.
+    pub stopped: Cell<Option<usize>>,
 }
 
-pub struct Chance(pub u64);
+/// SplitMix64 random number generator.
+pub struct Random(pub u64);
 
-impl Chance {
+impl Random {
+    /// Returns a number below `n`, or 0 if `n` is 0.
     pub fn below(&mut self, n: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -98,45 +109,59 @@
 
 pub type Disk = BTreeMap<Vec<u8>, Vec<u8>>;
 
-/// Something that happens a moment later within one process.
-enum Soon {
-    Kept(Vec<u64>, Vec<(Vec<u8>, Option<Vec<u8>>)>),
+/// An action that a dispatcher performs after a short delay.
+enum Delayed {
+    /// A batch of records reaches the disk.
+    Persisted(Vec<u64>, Vec<(Vec<u8>, Option<Vec<u8>>)>),
+    /// The dispatcher sends the call to the tool server if the dispatch permit still lasts.
     Send { call: Call, until_us: u64 },
-    GiveUp(Call),
+    /// The call to the tool server times out.
+    TimeOut(Call),
 }
 
-struct Asked {
+/// A command to the workflow machine that has no final answer yet.
+struct PendingCall {
+    /// Place of the worker to answer.
     from: usize,
     id: u64,
     workflow: u32,
-    req: Req,
+    request: WorkerRequest,
+    /// Result of the step, once the tool server returned it.
     result: Option<String>,
-    answered: bool,
+    /// A dispatch permit was received.
+    permitted: bool,
+    /// Deadline of the command, microseconds.
     until_us: u64,
 }
 
 pub struct Dispatcher {
+    /// Index of this process's node in the simulated world.
     pub place: usize,
     pub own: Process,
     pub machine: Workflows,
     pub disk: Disk,
     pub disk_full: bool,
-    pub frozen: bool,
-    places: BTreeMap<NameKey, usize>,
+    /// Stopped before an output: it handles no messages or timers until it is resumed.
+    pub stopped: bool,
+    place_by_name: BTreeMap<NameKey, usize>,
+    /// Place (index of the node) of the tool server.
     tool: usize,
-    pending: VecDeque<ServiceOutput<Event>>,
-    stash: Vec<(usize, Message)>,
-    soon: BTreeMap<(Duration, u64), Soon>,
-    asked: BTreeMap<Call, Asked>,
+    /// Outputs of the machine that are not performed yet.
+    outputs: VecDeque<ServiceOutput<Event>>,
+    /// Messages received while stopped.
+    stopped_inbox: Vec<(usize, Message)>,
+    delayed: BTreeMap<(Duration, u64), Delayed>,
+    pending_calls: BTreeMap<Call, PendingCall>,
     calls: u64,
-    chance: Chance,
-    trap: Rc<Trap>,
-    seen: Rc<RefCell<Seen>>,
+    random: Random,
+    stop_point: Rc<StopPoint>,
+    observed: Rc<RefCell<Observations>>,
 }
 
-pub struct Made {
+/// Parameters of a new dispatcher process.
+pub struct DispatcherConfig {
     pub place: usize,
-    pub of: usize,
+    pub dispatcher_count: usize,
     pub start: u64,
     pub seed: u64,
     pub settings: Settings,
@@ -145,79 +170,84 @@
 
 impl Dispatcher {
     pub fn new(
-        made: Made,
+        config: DispatcherConfig,
         now: Duration,
         disk: Disk,
-        trap: Rc<Trap>,
-        seen: Rc<RefCell<Seen>>,
+        stop_point: Rc<StopPoint>,
+        observed: Rc<RefCell<Observations>>,
     ) -> Dispatcher {
         let key = |i: usize| NameKey::of(&format!("d{i}"));
         let own = Process {
-            name: key(made.place),
-            start: made.start,
+            name: key(config.place),
+            start: config.start,
         };
-        let roster = (0..made.of).map(key).collect();
-        let seed = made.seed ^ made.start << 8 ^ made.place as u64;
+        let roster = (0..config.dispatcher_count).map(key).collect();
+        let seed = config.seed ^ config.start << 8 ^ config.place as u64;
         let machine = Workflows::with_safety_checks(
             own,
             roster,
-            &made.settings,
+            &config.settings,
             true,
             seed,
             now,
-            made.safety_checks,
+            config.safety_checks,
         );
         let mut dispatcher = Dispatcher {
-            place: made.place,
+            place: config.place,
             own,
             machine,
             disk_full: false,
-            frozen: false,
-            places: (0..made.of).map(|i| (key(i), i)).collect(),
-            tool: made.of,
-            pending: VecDeque::new(),
-            stash: vec![],
-            soon: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            calls: made.start << 32,
-            chance: Chance(seed),
-            trap,
-            seen,
+            stopped: false,
+            place_by_name: (0..config.dispatcher_count).map(|i| (key(i), i)).collect(),
+            tool: config.dispatcher_count,
+            outputs: VecDeque::new(),
+            stopped_inbox: vec![],
+            delayed: BTreeMap::new(),
+            pending_calls: BTreeMap::new(),
+            calls: config.start << 32,
+            random: Random(seed),
+            stop_point,
+            observed,
             disk: Disk::new(),
         };
         let found = disk.clone().into_iter().collect();
         dispatcher.disk = disk;
         let mut out = vec![];
-        dispatcher.give(now, ServiceInput::Loaded(Ok(found)), &mut out);
+        dispatcher.handle_input(now, ServiceInput::Loaded(Ok(found)), &mut out);
         dispatcher
     }
 
-    pub fn give(&mut self, now: Duration, given: ServiceInput<Command>, out: &mut Sent<Message>) {
-        let mut wanted = vec![];
-        self.machine.step(now, given, &mut wanted);
-        self.pending.extend(wanted);
-        self.work(now, out);
+    pub fn handle_input(
+        &mut self,
+        now: Duration,
+        input: ServiceInput<Command>,
+        out: &mut Sent<Message>,
+    ) {
+        let mut outputs = vec![];
+        self.machine.step(now, input, &mut outputs);
+        self.outputs.extend(outputs);
+        self.perform_outputs(now, out);
     }
 
-    /// Does what is wanted, one by one, unless it is stopped before one of them.
-    fn work(&mut self, now: Duration, out: &mut Sent<Message>) {
+    /// Performs the pending outputs one by one, unless the dispatcher is stopped before one of them.
+    fn perform_outputs(&mut self, now: Duration, out: &mut Sent<Message>) {
         let (mut tickets, mut batch) = (vec![], vec![]);
-        while !self.frozen {
-            let Some(wanted) = self.pending.pop_front() else {
+        while !self.stopped {
+            let Some(output) = self.outputs.pop_front() else {
                 break;
             };
-            if let Some(left) = self.trap.after.get() {
-                self.trap.after.set(left.checked_sub(1));
+            if let Some(left) = self.stop_point.outputs_left.get() {
+                self.stop_point.outputs_left.set(left.checked_sub(1));
                 if left == 0 {
-                    self.trap.frozen.set(Some(self.place));
-                    self.frozen = true;
-                    self.pending.push_front(wanted);
+                    self.stop_point.stopped.set(Some(self.place));
+                    self.stopped = true;
+                    self.outputs.push_front(output);
                     break;
                 }
             }
-            match wanted {
-                ServiceOutput::SendFrame(to, said) => {
-                    out.push((self.places[&to], Message::Frame(self.own, said)))
+            match output {
+                ServiceOutput::SendFrame(to, payload) => {
+                    out.push((self.place_by_name[&to], Message::Frame(self.own, payload)))
                 }
                 ServiceOutput::Persist {
                     ticket,
@@ -227,61 +257,66 @@
                     tickets.push(ticket);
                     batch.push((name, bytes));
                 }
-                ServiceOutput::Event(told) => self.told(now, told, out),
+                ServiceOutput::Event(event) => self.on_event(now, event, out),
                 ServiceOutput::SendDatagram(..) | ServiceOutput::Log { .. } => {}
             }
         }
         if !tickets.is_empty() {
-            self.later(now, 300, Soon::Kept(tickets, batch));
+            self.delay(now, 300, Delayed::Persisted(tickets, batch));
         }
     }
 
-    fn later(&mut self, from: Duration, us: u64, soon: Soon) {
-        let at = from + Duration::from_micros(100 + self.chance.below(us));
+    fn delay(&mut self, from: Duration, max_us: u64, action: Delayed) {
+        let at = from + Duration::from_micros(100 + self.random.below(max_us));
         self.calls += 1;
-        self.soon.insert((at, self.calls), soon);
+        self.delayed.insert((at, self.calls), action);
     }
 
-    fn call(&mut self, now: Duration, asked: Asked) -> (Call, u64) {
+    fn add_call(&mut self, now: Duration, pending: PendingCall) -> (Call, u64) {
         self.calls += 1;
         let until_us = (now + ms(2500)).as_micros() as u64;
-        self.asked
-            .insert(Call(self.calls), Asked { until_us, ..asked });
+        self.pending_calls.insert(
+            Call(self.calls),
+            PendingCall {
+                until_us,
+                ..pending
+            },
+        );
         (Call(self.calls), until_us)
     }
 
-    fn ask(
+    fn command_of(
         &mut self,
         now: Duration,
         from: usize,
         id: u64,
         worker: String,
         workflow: u32,
-        req: Req,
+        request: WorkerRequest,
     ) -> Command {
-        let asked = Asked {
+        let pending = PendingCall {
             from,
             id,
             workflow,
-            req: req.clone(),
+            request: request.clone(),
             result: None,
-            answered: false,
+            permitted: false,
             until_us: 0,
         };
-        let (call, until_us) = self.call(now, asked);
-        let text = name(workflow);
-        match req {
-            Req::Claim => Command::Claim {
+        let (call, until_us) = self.add_call(now, pending);
+        let workflow_name = name(workflow);
+        match request {
+            WorkerRequest::Claim => Command::Claim {
                 call,
-                workflow: text,
+                workflow: workflow_name,
                 worker,
                 until_us,
             },
-            Req::Step { epoch, step } => {
+            WorkerRequest::Step { epoch, step } => {
                 let (key, request_digest) = (format!("{workflow}-{step}"), u64::from(step));
                 Command::Intend {
                     call,
-                    workflow: text,
+                    workflow: workflow_name,
                     epoch,
                     step,
                     effect: effect(step),
@@ -290,16 +325,16 @@
                     until_us,
                 }
             }
-            Req::Finish { epoch } => Command::Finish {
+            WorkerRequest::Finish { epoch } => Command::Finish {
                 call,
-                workflow: text,
+                workflow: workflow_name,
                 epoch,
                 cancelled: false,
                 until_us,
             },
-            Req::Settle { step, outcome } => Command::Settle {
+            WorkerRequest::Settle { step, outcome } => Command::Settle {
                 call,
-                workflow: text,
+                workflow: workflow_name,
                 step,
                 outcome,
                 until_us,
@@ -307,56 +342,56 @@
         }
     }
 
-    fn told(&mut self, now: Duration, told: Event, out: &mut Sent<Message>) {
-        let call = match &told {
+    fn on_event(&mut self, now: Duration, event: Event, out: &mut Sent<Message>) {
+        let call = match &event {
             Event::Claimed { call, .. }
             | Event::SendPermitted { call, .. }
             | Event::AlreadyDone { call, .. } => *call,
             Event::Committed { call } | Event::Rejected { call, .. } => *call,
         };
-        if let Event::SendPermitted { until_us, .. } = told {
-            self.later(now, 1500, Soon::Send { call, until_us });
-            if let Some(asked) = self.asked.get_mut(&call) {
-                asked.answered = true;
+        if let Event::SendPermitted { until_us, .. } = event {
+            self.delay(now, 1500, Delayed::Send { call, until_us });
+            if let Some(pending) = self.pending_calls.get_mut(&call) {
+                pending.permitted = true;
             }
             return;
         }
-        let Some(asked) = self.asked.remove(&call) else {
+        let Some(pending) = self.pending_calls.remove(&call) else {
             return self
-                .seen
+                .observed
                 .borrow_mut()
-                .wrong
-                .push(format!("answered twice: {told:?}"));
+                .violations
+                .push(format!("answered twice: {event:?}"));
         };
-        if now.as_micros() as u64 > asked.until_us {
-            self.seen
+        if now.as_micros() as u64 > pending.until_us {
+            self.observed
                 .borrow_mut()
-                .wrong
-                .push(format!("answered late: {told:?}"));
+                .violations
+                .push(format!("answered late: {event:?}"));
         }
-        let ans = match told {
-            Event::Claimed { epoch, steps, .. } => Ans::Claimed { epoch, steps },
-            Event::AlreadyDone { result, .. } => Ans::Result(result),
-            Event::Committed { .. } => match (asked.result, &asked.req) {
-                (Some(result), _) => Ans::Result(result),
-                // It never ran, or may have run: the worker asks again.
-                (None, Req::Step { .. }) => Ans::Refused(RejectReason::Busy),
-                (None, _) => Ans::Held,
+        let response = match event {
+            Event::Claimed { epoch, steps, .. } => WorkerResponse::Claimed { epoch, steps },
+            Event::AlreadyDone { result, .. } => WorkerResponse::Result(result),
+            Event::Committed { .. } => match (pending.result, &pending.request) {
+                (Some(result), _) => WorkerResponse::Result(result),
+                // The step never ran or may have run: the worker requests it again.
+                (None, WorkerRequest::Step { .. }) => WorkerResponse::Rejected(RejectReason::Busy),
+                (None, _) => WorkerResponse::Committed,
             },
-            Event::Rejected { reason: why, .. } => Ans::Refused(why),
+            Event::Rejected { reason, .. } => WorkerResponse::Rejected(reason),
             Event::SendPermitted { .. } => return,
         };
         out.push((
-            asked.from,
+            pending.from,
             Message::Reply {
-                id: asked.id,
-                workflow: asked.workflow,
-                ans,
+                id: pending.id,
+                workflow: pending.workflow,
+                response,
             },
         ));
     }
 
-    /// Tells how an attempt ended; its worker is answered when that is held.
+    /// Reports the outcome of an attempt to the machine; the worker is answered when the outcome is committed.
     fn report_outcome(
         &mut self,
         now: Duration,
@@ -364,10 +399,10 @@
         outcome: AttemptOutcome,
         out: &mut Sent<Message>,
     ) {
-        let Some(before) = self.asked.remove(&call) else {
+        let Some(pending) = self.pending_calls.remove(&call) else {
             return;
         };
-        let Req::Step { epoch, step } = before.req else {
+        let WorkerRequest::Step { epoch, step } = pending.request else {
             return;
         };
         let result = if let AttemptOutcome::Done { result, .. } = &outcome {
@@ -375,16 +410,16 @@
         } else {
             None
         };
-        let workflow = name(before.workflow);
-        let (call, until_us) = self.call(
+        let workflow = name(pending.workflow);
+        let (call, until_us) = self.add_call(
             now,
-            Asked {
+            PendingCall {
                 result,
-                answered: false,
-                ..before
+                permitted: false,
+                ..pending
             },
         );
-        self.give(
+        self.handle_input(
             now,
             ServiceInput::Request(Command::ReportOutcome {
                 call,
@@ -398,9 +433,9 @@
         );
     }
 
-    fn soon(&mut self, now: Duration, soon: Soon, out: &mut Sent<Message>) {
-        match soon {
-            Soon::Kept(tickets, batch) => {
+    fn perform_delayed(&mut self, now: Duration, action: Delayed, out: &mut Sent<Message>) {
+        match action {
+            Delayed::Persisted(tickets, batch) => {
                 let done = if self.disk_full {
                     Err(bitternlatch_quota_lease::StorageError::Full)
                 } else {
@@ -413,7 +448,7 @@
                     }
                 }
                 for ticket in tickets {
-                    self.give(
+                    self.handle_input(
                         now,
                         ServiceInput::Persisted {
                             ticket,
@@ -423,91 +458,94 @@
                     );
                 }
             }
-            // The permission is checked at the act, by time.
-            Soon::Send { call, until_us } if (now.as_micros() as u64) < until_us => {
-                let Some(asked) = self.asked.get(&call) else {
+            // The dispatch permit is checked when the call is sent.
+            Delayed::Send { call, until_us } if (now.as_micros() as u64) < until_us => {
+                let Some(pending) = self.pending_calls.get(&call) else {
                     return;
                 };
-                let Req::Step { step, .. } = asked.req else {
+                let WorkerRequest::Step { step, .. } = pending.request else {
                     return;
                 };
                 out.push((
                     self.tool,
                     Message::Call {
                         call,
-                        workflow: asked.workflow,
+                        workflow: pending.workflow,
                         step,
                     },
                 ));
-                self.later(now + ms(4000), 100, Soon::GiveUp(call));
+                self.delay(now + ms(4000), 100, Delayed::TimeOut(call));
             }
-            Soon::Send { call, .. } => {
+            Delayed::Send { call, .. } => {
                 self.report_outcome(now, call, AttemptOutcome::NeverRan, out)
             }
-            Soon::GiveUp(call) => self.report_outcome(now, call, AttemptOutcome::MayHaveRun, out),
+            Delayed::TimeOut(call) => {
+                self.report_outcome(now, call, AttemptOutcome::MayHaveRun, out)
+            }
         }
     }
 
-    /// Goes on after a pause before one thing.
-    pub fn thaw(&mut self, now: Duration, out: &mut Sent<Message>) {
-        (self.frozen, self.disk_full) = (false, false);
-        // What waited through its pause may be answered late.
-        self.asked
+    /// Resumes the dispatcher after a stop before an output.
+    pub fn resume(&mut self, now: Duration, out: &mut Sent<Message>) {
+        (self.stopped, self.disk_full) = (false, false);
+        // Calls that were pending during the stop may be answered late.
+        self.pending_calls
             .values_mut()
-            .for_each(|asked| asked.until_us = u64::MAX);
-        self.work(now, out);
-        for (from, message) in std::mem::take(&mut self.stash) {
-            self.hear(now, from, message, out);
+            .for_each(|pending| pending.until_us = u64::MAX);
+        self.perform_outputs(now, out);
+        for (from, message) in std::mem::take(&mut self.stopped_inbox) {
+            self.receive(now, from, message, out);
         }
     }
 
     pub fn wake_at(&self) -> Option<Duration> {
-        let soon = self.soon.keys().next().map(|k| k.0);
-        [soon, self.machine.wake_at()]
+        let delayed = self.delayed.keys().next().map(|k| k.0);
+        [delayed, self.machine.wake_at()]
             .into_iter()
             .flatten()
             .min()
-            .filter(|_| !self.frozen)
+            .filter(|_| !self.stopped)
     }
 
     fn wake(&mut self, now: Duration, out: &mut Sent<Message>) {
         while let Some(key) = self
-            .soon
+            .delayed
             .keys()
             .next()
             .copied()
-            .filter(|k| k.0 <= now && !self.frozen)
+            .filter(|k| k.0 <= now && !self.stopped)
         {
-            if let Some(soon) = self.soon.remove(&key) {
-                self.soon(now, soon, out);
+            if let Some(action) = self.delayed.remove(&key) {
+                self.perform_delayed(now, action, out);
             }
         }
-        if !self.frozen {
-            self.give(now, ServiceInput::Wake, out);
+        if !self.stopped {
+            self.handle_input(now, ServiceInput::Wake, out);
         }
     }
 
-    pub fn hear(&mut self, now: Duration, from: usize, message: Message, out: &mut Sent<Message>) {
-        if self.frozen {
-            return self.stash.push((from, message));
+    pub fn receive(
+        &mut self,
+        now: Duration,
+        from: usize,
+        message: Message,
+        out: &mut Sent<Message>,
+    ) {
+        if self.stopped {
+            return self.stopped_inbox.push((from, message));
         }
         match message {
-            Message::Frame(from, said) => self.give(
-                now,
-                ServiceInput::Frame {
-                    from,
-                    payload: said,
-                },
-                out,
-            ),
+            Message::Frame(from, payload) => {
+                self.handle_input(now, ServiceInput::Frame { from, payload }, out)
+            }
             Message::Command {
                 id,
                 worker,
                 workflow,
-                req,
+                request,
             } => {
-                let ask = self.ask(now, from, id, worker, workflow, req);
-                self.give(now, ServiceInput::Request(ask), out);
+                let command = self.command_of(now, from, id, worker, workflow, request);
+                self.handle_input(now, ServiceInput::Request(command), out);
             }
             Message::Result { call, result } => {
                 self.report_outcome(now, call, AttemptOutcome::Done { result, tokens: 1 }, out)
@@ -517,15 +555,16 @@
     }
 }
 
-/// Counts effects; a key runs once.
-pub struct Tool {
-    pub seen: Rc<RefCell<Seen>>,
-    pub chance: Chance,
-    pub soon: BTreeMap<(Duration, u64), (usize, Message)>,
+/// Tool server: runs steps and counts their effects. A keyed step has one effect per key.
+pub struct ToolServer {
+    pub observed: Rc<RefCell<Observations>>,
+    pub random: Random,
+    /// Results to return, by time.
+    pub results_due: BTreeMap<(Duration, u64), (usize, Message)>,
     pub count: u64,
 }
 
-impl Tool {
+impl ToolServer {
     fn take(&mut self, now: Duration, from: usize, message: Message) {
         let Message::Call {
             call,
@@ -535,213 +574,246 @@
         else {
             return;
         };
-        let mut seen = self.seen.borrow_mut();
-        // A call comes once, as over a connection.
-        if !seen.calls.insert((from, call)) {
+        let mut observed = self.observed.borrow_mut();
+        // A duplicated message is dropped: each call arrives once, as over a connection.
+        if !observed.calls.insert((from, call)) {
             return;
         }
-        let runs = seen.effects.entry((workflow, step)).or_insert(0);
+        let runs = observed.effects.entry((workflow, step)).or_insert(0);
         if effect(step) != Effect::Keyed || *runs == 0 {
             *runs += 1;
         }
         let result = format!("{workflow}.{step}#{runs}");
-        let slow = if self.chance.below(12) == 0 { 3000 } else { 40 };
+        let slow = if self.random.below(12) == 0 { 3000 } else { 40 };
         self.count += 1;
-        let at = now + ms(1 + self.chance.below(slow));
-        self.soon
+        let at = now + ms(1 + self.random.below(slow));
+        self.results_due
             .insert((at, self.count), (from, Message::Result { call, result }));
     }
 }
 
-/// Carries one workflow after the other, at any dispatcher.
+/// Runs one workflow after the other, through any dispatcher.
 pub struct Worker {
     pub name: String,
-    pub of: usize,
+    pub dispatcher_count: usize,
     pub workflows: u32,
-    pub seen: Rc<RefCell<Seen>>,
-    pub chance: Chance,
+    pub observed: Rc<RefCell<Observations>>,
+    pub random: Random,
+    /// Number of the last request.
     pub id: u64,
+    /// When it acts next.
     pub at: Duration,
-    /// The workflow that it carries: its number, epoch, next step.
-    pub carries: Option<(u32, u64, u32)>,
+    /// Workflow that the worker runs: its number, epoch (0 before the claim) and next step.
+    pub current: Option<(u32, u64, u32)>,
     pub dispatcher: usize,
-    /// The last step that anybody was told of when it asked.
-    pub told_before: u32,
-    /// It waits for an answer.
-    pub waits: bool,
+    /// Last step of the workflow whose result any worker had received when this worker sent its request.
+    pub last_known_step: u32,
+    /// Whether the worker waits for a response.
+    pub awaits_response: bool,
 }
 
 impl Worker {
-    fn ask(&mut self, now: Duration, workflow: u32, req: Req, out: &mut Sent<Message>) {
+    fn send_request(
+        &mut self,
+        now: Duration,
+        workflow: u32,
+        request: WorkerRequest,
+        out: &mut Sent<Message>,
+    ) {
         self.id += 1;
-        let seen = self.seen.borrow();
-        self.told_before = seen
-            .told
+        let observed = self.observed.borrow();
+        self.last_known_step = observed
+            .results
             .keys()
             .rfind(|(w, _)| *w == workflow)
             .map_or(0, |(_, s)| *s);
-        drop(seen);
-        (self.waits, self.at) = (true, now + ms(2600));
+        drop(observed);
+        (self.awaits_response, self.at) = (true, now + ms(2600));
         out.push((
             self.dispatcher,
             Message::Command {
                 id: self.id,
                 worker: self.name.clone(),
                 workflow,
-                req,
+                request,
             },
         ));
     }
 
-    fn go_on(&mut self, now: Duration, out: &mut Sent<Message>) {
-        match self.carries {
-            Some((workflow, 0, _)) => self.ask(now, workflow, Req::Claim, out),
+    fn continue_workflow(&mut self, now: Duration, out: &mut Sent<Message>) {
+        match self.current {
+            Some((workflow, 0, _)) => self.send_request(now, workflow, WorkerRequest::Claim, out),
             Some((workflow, epoch, step)) if step > STEPS => {
-                self.ask(now, workflow, Req::Finish { epoch }, out)
+                self.send_request(now, workflow, WorkerRequest::Finish { epoch }, out)
             }
             Some((workflow, epoch, step)) => {
-                self.ask(now, workflow, Req::Step { epoch, step }, out)
+                self.send_request(now, workflow, WorkerRequest::Step { epoch, step }, out)
             }
             None => {
-                let seen = self.seen.borrow();
-                let open = |w: &u32| !seen.finished.contains(w) && !seen.stopped.contains_key(w);
+                let observed = self.observed.borrow();
+                let open =
+                    |w: &u32| !observed.finished.contains(w) && !observed.stopped.contains_key(w);
                 let open: Vec<u32> = (0..self.workflows).filter(open).collect();
-                drop(seen);
-                let pick = self.chance.below(open.len() as u64) as usize;
-                self.carries = open.get(pick).map(|w| (*w, 0, 1));
-                self.at = now + ms(50 + self.chance.below(200));
+                drop(observed);
+                let index = self.random.below(open.len() as u64) as usize;
+                self.current = open.get(index).map(|w| (*w, 0, 1));
+                self.at = now + ms(50 + self.random.below(200));
             }
         }
     }
 
-    /// It has thought about its next turn, or no answer came: then it asks elsewhere, at times as one that comes back.
+    /// Sends the next request. If the last one had no response, it goes to a random dispatcher, in one of three cases after a new
+    /// claim.
     fn wake(&mut self, now: Duration, out: &mut Sent<Message>) {
-        if std::mem::take(&mut self.waits) {
-            self.dispatcher = self.chance.below(self.of as u64) as usize;
-            if self.chance.below(3) == 0 {
-                self.carries = self.carries.map(|(workflow, ..)| (workflow, 0, 1));
+        if std::mem::take(&mut self.awaits_response) {
+            self.dispatcher = self.random.below(self.dispatcher_count as u64) as usize;
+            if self.random.below(3) == 0 {
+                self.current = self.current.map(|(workflow, ..)| (workflow, 0, 1));
             }
         }
-        self.go_on(now, out);
+        self.continue_workflow(now, out);
     }
 
     fn take(&mut self, now: Duration, message: Message) {
-        let Message::Reply { id, workflow, ans } = message else {
+        let Message::Reply {
+            id,
+            workflow,
+            response,
+        } = message
+        else {
             return;
         };
-        let Some((carried, epoch, step)) =
-            self.carries.filter(|c| id == self.id && c.0 == workflow)
+        let Some((current, epoch, step)) =
+            self.current.filter(|c| id == self.id && c.0 == workflow)
         else {
             return;
         };
-        // What comes twice is heard once.
+        // A duplicated response is ignored.
         self.id += 1;
-        if let Ans::Refused(why) = &ans {
-            self.seen.borrow_mut().refused.insert(workflow, *why);
+        if let WorkerResponse::Rejected(reason) = &response {
+            self.observed
+                .borrow_mut()
+                .last_rejections
+                .insert(workflow, *reason);
         }
-        match ans {
-            Ans::Claimed { epoch, steps } => {
-                let mut seen = self.seen.borrow_mut();
+        match response {
+            WorkerResponse::Claimed { epoch, steps } => {
+                let mut observed = self.observed.borrow_mut();
                 let mut next = 1;
                 for s in &steps {
                     if let Some(AttemptOutcome::Done { result, .. }) = &s.outcome {
                         next = s.number + 1;
-                        check(&mut seen, workflow, s.number, result, false);
+                        check(&mut observed, workflow, s.number, result, false);
                     }
                 }
-                let last = self.told_before;
+                let last = self.last_known_step;
                 if last >= next {
-                    seen.wrong.push(format!(
-                        "{workflow}: told of {last}, claimed with {next} next"
+                    observed.violations.push(format!(
+                        "{workflow}: a worker got the result of step {last}, but the claim returned {next} as the next step"
                     ));
                 }
-                self.carries = Some((carried, epoch, next));
+                self.current = Some((current, epoch, next));
             }
-            Ans::Result(result) => {
-                check(&mut self.seen.borrow_mut(), workflow, step, &result, true);
-                self.carries = Some((carried, epoch, step + 1));
+            WorkerResponse::Result(result) => {
+                check(
+                    &mut self.observed.borrow_mut(),
+                    workflow,
+                    step,
+                    &result,
+                    true,
+                );
+                self.current = Some((current, epoch, step + 1));
             }
-            Ans::Held => {
-                self.seen.borrow_mut().finished.insert(workflow);
-                self.carries = None;
+            WorkerResponse::Committed => {
+                self.observed.borrow_mut().finished.insert(workflow);
+                self.current = None;
             }
-            Ans::Refused(RejectReason::Ended) => {
-                self.seen.borrow_mut().finished.insert(workflow);
-                self.carries = None;
+            WorkerResponse::Rejected(RejectReason::Ended) => {
+                self.observed.borrow_mut().finished.insert(workflow);
+                self.current = None;
             }
-            Ans::Refused(why @ (RejectReason::Unsettled | RejectReason::Parked)) => {
-                self.seen.borrow_mut().stopped.insert(workflow, why);
-                self.carries = None;
+            WorkerResponse::Rejected(reason @ (RejectReason::Unsettled | RejectReason::Parked)) => {
+                self.observed.borrow_mut().stopped.insert(workflow, reason);
+                self.current = None;
             }
-            Ans::Refused(RejectReason::LeaseHeld) => self.carries = None,
-            Ans::Refused(RejectReason::Fenced | RejectReason::Unknown) => {
-                self.carries = Some((carried, 0, 1))
+            WorkerResponse::Rejected(RejectReason::LeaseHeld) => self.current = None,
+            WorkerResponse::Rejected(RejectReason::Fenced | RejectReason::Unknown) => {
+                self.current = Some((current, 0, 1))
             }
-            // Not there: perhaps elsewhere.
-            Ans::Refused(_) if self.chance.below(4) == 0 => {
-                self.dispatcher = self.chance.below(self.of as u64) as usize;
+            // Another dispatcher may be able to answer.
+            WorkerResponse::Rejected(_) if self.random.below(4) == 0 => {
+                self.dispatcher = self.random.below(self.dispatcher_count as u64) as usize;
             }
-            Ans::Refused(_) => {}
+            WorkerResponse::Rejected(_) => {}
         }
-        // Its next turn, by its model.
-        (self.waits, self.at) = (false, now + ms(20 + self.chance.below(300)));
+        // Delay until the next request, as if the worker computed it with its model.
+        (self.awaits_response, self.at) = (false, now + ms(20 + self.random.below(300)));
     }
 }
 
-/// What was once told stays.
-fn check(seen: &mut Seen, workflow: u32, step: u32, result: &str, told: bool) {
-    let before = seen.told.get(&(workflow, step)).cloned();
+/// Checks that the result of a step equals the one that workers received before. `received` records it as received.
+fn check(observed: &mut Observations, workflow: u32, step: u32, result: &str, received: bool) {
+    let before = observed.results.get(&(workflow, step)).cloned();
     if before.as_ref().is_some_and(|b| b != result) {
-        seen.wrong
-            .push(format!("{workflow}.{step}: told {before:?}, now {result}"));
+        observed.violations.push(format!(
+            "{workflow}.{step}: result was {before:?}, now {result}"
+        ));
     }
-    if told {
-        seen.told.insert((workflow, step), result.to_string());
+    if received {
+        observed
+            .results
+            .insert((workflow, step), result.to_string());
     }
 }
 
-/// Asks for many workflows at once, each until it has it.
-pub struct Crowd {
+/// Claims many workflows at once and repeats each claim until it succeeds.
+pub struct Claimant {
     pub name: &'static str,
-    pub at: Vec<usize>,
-    /// When each is asked for next.
+    /// Places of the dispatchers to send to.
+    pub dispatchers: Vec<usize>,
+    /// When each workflow is claimed next.
     pub due: BTreeSet<(Duration, u32)>,
+    /// When each workflow was claimed.
     pub claimed: BTreeMap<u32, Duration>,
-    pub refused: BTreeMap<String, u32>,
+    /// Number of rejections by response text.
+    pub rejections: BTreeMap<String, u32>,
 }
 
-impl Crowd {
+impl Claimant {
     fn wake(&mut self, now: Duration, out: &mut Sent<Message>) {
         while let Some((at, workflow)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
             self.due.remove(&(at, workflow));
-            // An answer that is lost is waited for no longer than this.
+            // If the response is lost, the claim is repeated at this time.
             self.due.insert((now + ms(2600), workflow));
             let worker = format!("{}{workflow}", self.name);
-            let to = self.at[workflow as usize % self.at.len()];
+            let to = self.dispatchers[workflow as usize % self.dispatchers.len()];
             out.push((
                 to,
                 Message::Command {
                     id: 0,
                     worker,
                     workflow,
-                    req: Req::Claim,
+                    request: WorkerRequest::Claim,
                 },
             ));
         }
     }
 
     fn take(&mut self, now: Duration, message: Message) {
-        let Message::Reply { workflow, ans, .. } = message else {
+        let Message::Reply {
+            workflow, response, ..
+        } = message
+        else {
             return;
         };
         if self.claimed.contains_key(&workflow) {
             return;
         }
         self.due.retain(|(_, w)| *w != workflow);
-        match ans {
-            Ans::Claimed { .. } => drop(self.claimed.insert(workflow, now)),
-            ans => {
-                *self.refused.entry(format!("{ans:?}")).or_insert(0) += 1;
+        match response {
+            WorkerResponse::Claimed { .. } => drop(self.claimed.insert(workflow, now)),
+            response => {
+                *self.rejections.entry(format!("{response:?}")).or_insert(0) += 1;
                 self.due.insert((now + ms(200), workflow));
             }
         }
@@ -751,8 +823,8 @@
 pub enum Actor {
     Dispatcher(Box<Dispatcher>),
     Worker(Worker),
-    Tool(Tool),
-    Crowd(Crowd),
+    ToolServer(ToolServer),
+    Claimant(Claimant),
 }
 
 impl Node for Actor {
@@ -762,8 +834,8 @@
         match self {
             Actor::Dispatcher(d) => d.wake_at(),
             Actor::Worker(w) => Some(w.at),
-            Actor::Crowd(c) => c.due.first().map(|(at, _)| *at),
-            Actor::Tool(t) => t.soon.keys().next().map(|k| k.0),
+            Actor::Claimant(c) => c.due.first().map(|(at, _)| *at),
+            Actor::ToolServer(t) => t.results_due.keys().next().map(|k| k.0),
         }
     }
 
@@ -771,17 +843,17 @@
         match self {
             Actor::Dispatcher(d) => d.wake(now, out),
             Actor::Worker(w) => w.wake(now, out),
-            Actor::Crowd(c) => c.wake(now, out),
-            Actor::Tool(t) => out.extend(t.soon.pop_first().map(|(_, said)| said)),
+            Actor::Claimant(c) => c.wake(now, out),
+            Actor::ToolServer(t) => out.extend(t.results_due.pop_first().map(|(_, result)| result)),
         }
     }
 
     fn take(&mut self, now: Duration, from: usize, message: Message, out: &mut Sent<Message>) {
         match self {
-            Actor::Dispatcher(d) => d.hear(now, from, message, out),
+            Actor::Dispatcher(d) => d.receive(now, from, message, out),
             Actor::Worker(w) => w.take(now, message),
-            Actor::Crowd(c) => c.take(now, message),
-            Actor::Tool(t) => t.take(now, from, message),
+            Actor::Claimant(c) => c.take(now, message),
+            Actor::ToolServer(t) => t.take(now, from, message),
         }
     }
 }
--- a/crates/workflow/tests/fleet/course.rs
+++ b/crates/workflow/tests/fleet/course.rs
@@ -1,4 +1,4 @@
-//! One course of events by one seed, and what is judged at its end.
+//! One simulated run by a seed: faults are injected for some time, then repaired, and the invariants are checked at the end.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,16 +12,17 @@
 
 use super::actors::*;
 
+/// Parameters of a run.
 #[derive(Clone, Copy)]
 pub struct Plan {
     pub dispatchers: usize,
     pub workers: usize,
     pub workflows: u32,
-    /// Trouble goes on for so long; then all is mended.
-    pub trouble: Duration,
+    /// Faults are injected until this time; afterwards everything is repaired.
+    pub faults_until: Duration,
     pub safety_checks: SafetyChecks,
-    /// Whether what stopped is decided by somebody who looks at the tool.
-    pub person: bool,
+    /// Whether an operator settles unsettled and parked workflows by the counts of the tool server.
+    pub operator: bool,
 }
 
 impl Plan {
@@ -30,181 +31,195 @@
             dispatchers: 3 + (seed % 4) as usize,
             workers: 2 + (seed % 2) as usize,
             workflows: 6,
-            trouble: ms(15_000),
+            faults_until: ms(15_000),
             safety_checks: SafetyChecks::AS_BUILT,
-            person: !seed.is_multiple_of(8),
+            operator: !seed.is_multiple_of(8),
         }
     }
 }
 
-struct Course {
+struct Run {
     plan: Plan,
     seed: u64,
     world: World<Actor>,
-    chance: Chance,
-    trap: Rc<Trap>,
-    seen: Rc<RefCell<Seen>>,
+    random: Random,
+    stop_point: Rc<StopPoint>,
+    observed: Rc<RefCell<Observations>>,
     starts: Vec<u64>,
-    /// What is to be done to a place, and when.
-    back: BTreeMap<(Duration, usize), Back>,
+    /// Recovery actions by time and place.
+    recoveries: BTreeMap<(Duration, usize), Recovery>,
+    /// Links that drop messages, as pairs of sender and receiver.
     cuts: Rc<RefCell<BTreeSet<(usize, usize)>>>,
-    mend: BTreeMap<Duration, Vec<(usize, usize)>>,
+    /// Links to repair, by time.
+    link_repairs: BTreeMap<Duration, Vec<(usize, usize)>>,
+    /// When the operator first saw each unsettled or parked workflow.
     stopped_at: BTreeMap<u32, Duration>,
-    heard: BTreeSet<(usize, usize)>,
+    /// Pairs of receiver and sender that could communicate at the last membership update.
+    reachable: BTreeSet<(usize, usize)>,
 }
 
-enum Back {
+/// How a place recovers from a fault.
+enum Recovery {
+    /// Restart a killed dispatcher with this disk.
     Start(Disk),
-    Thaw,
-    GoOn,
+    /// Resume a dispatcher that was stopped before an output.
+    Resume,
+    /// Resume a paused worker.
+    Unpause,
+    /// Restart a killed worker.
     Worker,
-    DiskWell,
+    /// Free the space of a full disk.
+    DiskSpace,
 }
 
-/// Plays one course. Gives what was seen of it.
-pub fn play(seed: u64, plan: Plan) -> Seen {
-    let mut course = Course::new(seed, plan);
-    let end = plan.trouble + ms(60_000);
-    while course.world.now() < end && !course.over() {
-        course.tick();
+/// Runs one seed and returns the observations.
+pub fn run(seed: u64, plan: Plan) -> Observations {
+    let mut run = Run::new(seed, plan);
+    let end = plan.faults_until + ms(60_000);
+    while run.world.now() < end && !run.is_over() {
+        run.tick();
     }
-    course.judge();
-    drop(course.world);
-    Rc::try_unwrap(course.seen)
+    run.check_invariants();
+    drop(run.world);
+    Rc::try_unwrap(run.observed)
         .map(RefCell::into_inner)
         .unwrap_or_default()
 }
 
-/// Many workflows of one dispatcher, which is killed; others ask for all of them at once. Gives how long each one took from
-/// then, in order, and what was refused meanwhile.
-pub fn adopt(workflows: u32) -> (Vec<Duration>, BTreeMap<String, u32>) {
-    let mut course = Course::born(6, workflows);
-    course.crowd("first", vec![0]);
-    let begun = course.until_claimed();
-    course.kill(course.world.now(), 0);
-    course.back.clear();
-    let killed = course.world.now_at(course.ear());
-    course.crowd("second", (1..6).collect());
-    let refused = course.until_claimed().refused;
-    let Some(Actor::Crowd(crowd)) = &course.world.places[course.ear()].node else {
+/// Kills a dispatcher that holds many workflows, and claims all of them at other dispatchers at once. Returns the sorted times from
+/// the kill to each adoption, and the number of rejections by response.
+pub fn adopt_all(workflows: u32) -> (Vec<Duration>, BTreeMap<String, u32>) {
+    let mut run = Run::without_faults(6, workflows);
+    run.start_claimant("first", vec![0]);
+    let first_claims = run.until_claimed();
+    run.kill(run.world.now(), 0);
+    run.recoveries.clear();
+    let killed = run.world.now_at(run.claimant_place());
+    run.start_claimant("second", (1..6).collect());
+    let rejections = run.until_claimed().rejections;
+    let Some(Actor::Claimant(claimant)) = &run.world.places[run.claimant_place()].node else {
         return Default::default();
     };
-    let mut took: Vec<Duration> = crowd.claimed.values().map(|at| *at - killed).collect();
+    let mut took: Vec<Duration> = claimant.claimed.values().map(|at| *at - killed).collect();
     took.sort();
-    assert!(course.seen.borrow().wrong.is_empty() && begun.claimed.len() == took.len());
-    (took, refused)
+    assert!(
+        run.observed.borrow().violations.is_empty() && first_claims.claimed.len() == took.len()
+    );
+    (took, rejections)
 }
 
-/// Two of three lose what they held. Gives how many then get a workflow, and what those who ask are refused.
-pub fn lost() -> (usize, BTreeMap<String, u32>) {
-    let mut course = Course::born(3, 20);
-    course.crowd("first", vec![0]);
-    course.until_claimed();
-    let now = course.world.now();
-    [1, 2].into_iter().for_each(|i| course.kill(now, i));
-    course.back.clear();
-    [1, 2]
-        .into_iter()
-        .for_each(|i| course.start(i, Disk::new()));
-    course.crowd("second", vec![0, 1, 2]);
-    let crowd = course.until_claimed();
-    (crowd.claimed.len(), crowd.refused)
+/// Erases the disks of two of three dispatchers. Returns how many workflows can be claimed afterwards, and the number of rejections
+/// by response.
+pub fn lose_majority() -> (usize, BTreeMap<String, u32>) {
+    let mut run = Run::without_faults(3, 20);
+    run.start_claimant("first", vec![0]);
+    run.until_claimed();
+    let now = run.world.now();
+    [1, 2].into_iter().for_each(|i| run.kill(now, i));
+    run.recoveries.clear();
+    [1, 2].into_iter().for_each(|i| run.start(i, Disk::new()));
+    run.start_claimant("second", vec![0, 1, 2]);
+    let claimant = run.until_claimed();
+    (claimant.claimed.len(), claimant.rejections)
 }
 
-impl Course {
-    /// Without workers, trouble, or anybody who decides.
-    fn born(dispatchers: usize, workflows: u32) -> Course {
-        let (safety_checks, trouble) = (SafetyChecks::AS_BUILT, ms(0));
+impl Run {
+    /// Creates a run without workers, faults or an operator, and waits until the dispatchers are ready.
+    fn without_faults(dispatchers: usize, workflows: u32) -> Run {
+        let (safety_checks, faults_until) = (SafetyChecks::AS_BUILT, ms(0));
         let plan = Plan {
             dispatchers,
             workers: 0,
             workflows,
-            trouble,
+            faults_until,
             safety_checks,
-            person: false,
+            operator: false,
         };
-        let mut course = Course::new(1, plan);
-        while course.world.now() < ms(1500) {
-            course.tick();
+        let mut run = Run::new(1, plan);
+        while run.world.now() < ms(1500) {
+            run.tick();
         }
-        course
+        run
     }
 
-    /// The place of who asks, beside dispatchers, tool and workers.
-    fn ear(&self) -> usize {
+    /// Returns the last place, used by the claimant or the operator; dispatchers, tool server and workers have the places before
+    /// it.
+    fn claimant_place(&self) -> usize {
         self.plan.dispatchers + 1 + self.plan.workers
     }
 
-    fn crowd(&mut self, name: &'static str, at: Vec<usize>) {
-        let now = self.world.now_at(self.ear());
+    fn start_claimant(&mut self, name: &'static str, dispatchers: Vec<usize>) {
+        let now = self.world.now_at(self.claimant_place());
         let due = (0..self.plan.workflows).map(|w| (now, w)).collect();
-        let crowd = Crowd {
+        let claimant = Claimant {
             name,
-            at,
+            dispatchers,
             due,
             claimed: BTreeMap::new(),
-            refused: BTreeMap::new(),
+            rejections: BTreeMap::new(),
         };
-        let ear = self.ear();
-        self.world.start(ear, Actor::Crowd(crowd));
+        let place = self.claimant_place();
+        self.world.start(place, Actor::Claimant(claimant));
     }
 
-    fn until_claimed(&mut self) -> Crowd {
+    fn until_claimed(&mut self) -> Claimant {
         let end = self.world.now() + ms(30_000);
         loop {
             self.tick();
-            let Some(Actor::Crowd(crowd)) = &self.world.places[self.ear()].node else {
+            let Some(Actor::Claimant(claimant)) = &self.world.places[self.claimant_place()].node
+            else {
                 unreachable!()
             };
-            if crowd.claimed.len() as u32 == self.plan.workflows || self.world.now() > end {
-                let (name, at, due) = (crowd.name, crowd.at.clone(), BTreeSet::new());
-                let (claimed, refused) = (crowd.claimed.clone(), crowd.refused.clone());
-                return Crowd {
+            if claimant.claimed.len() as u32 == self.plan.workflows || self.world.now() > end {
+                let (name, dispatchers, due) =
+                    (claimant.name, claimant.dispatchers.clone(), BTreeSet::new());
+                let (claimed, rejections) = (claimant.claimed.clone(), claimant.rejections.clone());
+                return Claimant {
                     name,
-                    at,
+                    dispatchers,
                     due,
                     claimed,
-                    refused,
+                    rejections,
                 };
             }
         }
     }
 
-    fn new(seed: u64, plan: Plan) -> Course {
-        // The last one is a person's, who does not listen.
+    fn new(seed: u64, plan: Plan) -> Run {
+        // The last place is the operator's, which ignores messages.
         let places = plan.dispatchers + 2 + plan.workers;
         let mut world = World::new(places, seed);
         let cuts = Rc::new(RefCell::new(BTreeSet::new()));
-        let passes = Rc::clone(&cuts);
-        world.net.passes = Box::new(move |from, to| !passes.borrow().contains(&(from, to)));
-        let mut course = Course {
+        let dropped_links = Rc::clone(&cuts);
+        world.net.passes = Box::new(move |from, to| !dropped_links.borrow().contains(&(from, to)));
+        let mut run = Run {
             plan,
             seed,
             world,
-            chance: Chance(seed ^ 0xC0FFEE),
-            trap: Rc::new(Trap::default()),
-            seen: Rc::default(),
+            random: Random(seed ^ 0xC0FFEE),
+            stop_point: Rc::new(StopPoint::default()),
+            observed: Rc::default(),
             starts: vec![0; plan.dispatchers],
-            back: BTreeMap::new(),
+            recoveries: BTreeMap::new(),
             cuts,
-            mend: BTreeMap::new(),
+            link_repairs: BTreeMap::new(),
             stopped_at: BTreeMap::new(),
-            heard: BTreeSet::new(),
+            reachable: BTreeSet::new(),
         };
         for i in 0..places {
-            course.world.places[i].ahead = ms(1000 * (i as u64 * 7 % 5));
+            run.world.places[i].ahead = ms(1000 * (i as u64 * 7 % 5));
         }
-        (0..plan.dispatchers).for_each(|i| course.start(i, Disk::new()));
-        let seen = Rc::clone(&course.seen);
-        let tool = Tool {
-            seen,
-            chance: Chance(seed),
-            soon: BTreeMap::new(),
+        (0..plan.dispatchers).for_each(|i| run.start(i, Disk::new()));
+        let observed = Rc::clone(&run.observed);
+        let tool = ToolServer {
+            observed,
+            random: Random(seed),
+            results_due: BTreeMap::new(),
             count: 0,
         };
-        course.world.start(plan.dispatchers, Actor::Tool(tool));
-        (0..plan.workers).for_each(|i| course.worker(plan.dispatchers + 1 + i));
-        course
+        run.world.start(plan.dispatchers, Actor::ToolServer(tool));
+        (0..plan.workers).for_each(|i| run.worker(plan.dispatchers + 1 + i));
+        run
     }
 
     fn start(&mut self, i: usize, disk: Disk) {
@@ -214,82 +229,87 @@
             ..Settings::default()
         };
         let (start, safety_checks) = (self.starts[i], self.plan.safety_checks);
-        let made = Made {
+        let config = DispatcherConfig {
             place: i,
-            of: self.plan.dispatchers,
+            dispatcher_count: self.plan.dispatchers,
             start,
             seed: self.seed,
             settings,
             safety_checks,
         };
         let now = self.world.now_at(i);
-        let made = Dispatcher::new(
-            made,
+        let dispatcher = Dispatcher::new(
+            config,
             now,
             disk,
-            Rc::clone(&self.trap),
-            Rc::clone(&self.seen),
+            Rc::clone(&self.stop_point),
+            Rc::clone(&self.observed),
         );
-        self.world.start(i, Actor::Dispatcher(Box::new(made)));
+        self.world.start(i, Actor::Dispatcher(Box::new(dispatcher)));
     }
 
     fn worker(&mut self, place: usize) {
         let now = self.world.now_at(place);
         let worker = Worker {
             name: format!("w{place}"),
-            of: self.plan.dispatchers,
+            dispatcher_count: self.plan.dispatchers,
             workflows: self.plan.workflows,
-            seen: Rc::clone(&self.seen),
-            chance: Chance(self.seed ^ (place as u64) << 20),
+            observed: Rc::clone(&self.observed),
+            random: Random(self.seed ^ (place as u64) << 20),
             id: now.as_micros() as u64,
             at: now + ms(400),
-            carries: None,
+            current: None,
             dispatcher: place % self.plan.dispatchers,
-            told_before: 0,
-            waits: false,
+            last_known_step: 0,
+            awaits_response: false,
         };
         self.world.start(place, Actor::Worker(worker));
     }
 
-    fn over(&self) -> bool {
-        let seen = self.seen.borrow();
-        self.world.now() > self.plan.trouble && seen.finished.len() as u32 == self.plan.workflows
+    fn is_over(&self) -> bool {
+        let observed = self.observed.borrow();
+        self.world.now() > self.plan.faults_until
+            && observed.finished.len() as u32 == self.plan.workflows
     }
 
     fn tick(&mut self) {
         let now = self.world.now();
-        self.bring_back(now);
-        // The fleet is born in peace.
-        if now >= ms(1500) && now < self.plan.trouble {
-            self.trouble(now);
+        self.recover(now);
+        // No faults until the dispatchers are ready.
+        if now >= ms(1500) && now < self.plan.faults_until {
+            self.inject_faults(now);
         }
-        self.caught(now);
+        self.recover_stopped(now);
         if now.as_millis().is_multiple_of(200) {
-            self.tell_peers();
-            self.decide(now);
+            self.update_peers();
+            self.settle(now);
         }
         self.world.run(now + ms(20));
     }
 
-    fn bring_back(&mut self, now: Duration) {
-        while let Some((key, _)) = self.mend.first_key_value().filter(|(at, _)| **at <= now) {
+    fn recover(&mut self, now: Duration) {
+        while let Some((key, _)) = self
+            .link_repairs
+            .first_key_value()
+            .filter(|(at, _)| **at <= now)
+        {
             let key = *key;
-            for cut in self.mend.remove(&key).unwrap_or_default() {
+            for cut in self.link_repairs.remove(&key).unwrap_or_default() {
                 self.cuts.borrow_mut().remove(&cut);
             }
         }
         while let Some((key, _)) = self
-            .back
+            .recoveries
             .first_key_value()
             .filter(|((at, _), _)| *at <= now)
         {
             let (at, i) = *key;
-            match self.back.remove(&(at, i)) {
-                Some(Back::Start(disk)) => self.start(i, disk),
-                Some(Back::GoOn) => self.world.go_on(i),
-                Some(Back::Worker) => self.worker(i),
-                Some(Back::Thaw) => self.at_dispatcher(i, |d, now, out| d.thaw(now, out)),
-                Some(Back::DiskWell) => self.at_dispatcher(i, |d, _, _| d.disk_full = false),
+            match self.recoveries.remove(&(at, i)) {
+                Some(Recovery::Start(disk)) => self.start(i, disk),
+                Some(Recovery::Unpause) => self.world.go_on(i),
+                Some(Recovery::Worker) => self.worker(i),
+                Some(Recovery::Resume) => self.at_dispatcher(i, |d, now, out| d.resume(now, out)),
+                Some(Recovery::DiskSpace) => self.at_dispatcher(i, |d, _, _| d.disk_full = false),
                 None => {}
             }
         }
@@ -307,30 +327,30 @@
         });
     }
 
-    /// Whether something is being done to a place already.
-    fn troubled(&self, i: usize) -> bool {
-        self.back.keys().any(|(_, other)| *other == i)
+    /// Returns whether a recovery is scheduled for the place already.
+    fn has_fault(&self, i: usize) -> bool {
+        self.recoveries.keys().any(|(_, other)| *other == i)
     }
 
-    fn draw(&mut self, least: u64, most: u64) -> Duration {
-        ms(least + self.chance.below(most - least))
+    fn random_ms(&mut self, min: u64, max: u64) -> Duration {
+        ms(min + self.random.below(max - min))
     }
 
-    fn trouble(&mut self, now: Duration) {
-        let of = self.plan.dispatchers;
-        if self.trap.after.get().is_none()
-            && self.trap.frozen.get().is_none()
-            && self.chance.below(10) == 0
+    fn inject_faults(&mut self, now: Duration) {
+        let dispatchers = self.plan.dispatchers;
+        if self.stop_point.outputs_left.get().is_none()
+            && self.stop_point.stopped.get().is_none()
+            && self.random.below(10) == 0
         {
-            let after = self.chance.below(120) as u32;
-            self.trap.after.set(Some(after));
+            let after = self.random.below(120) as u32;
+            self.stop_point.outputs_left.set(Some(after));
         }
-        if self.chance.below(40) == 0 {
+        if self.random.below(40) == 0 {
             let (a, b) = (
-                self.chance.below(of as u64) as usize,
-                self.chance.below(of as u64 + 1) as usize,
+                self.random.below(dispatchers as u64) as usize,
+                self.random.below(dispatchers as u64 + 1) as usize,
             );
-            let both = self.chance.below(2) == 0;
+            let both = self.random.below(2) == 0;
             let links = if both {
                 vec![(a, b), (b, a)]
             } else {
@@ -338,43 +358,46 @@
             };
             self.cut(now, links.into_iter().filter(|(a, b)| a != b).collect());
         }
-        if self.chance.below(150) == 0 {
-            // Two sides, of any sizes; workers and the tool are heard on both.
-            let first = self.chance.below(of as u64) as usize;
-            let size = 1 + self.chance.below(of as u64 / 2) as usize;
-            let side = |i: usize| (i + of - first) % of < size;
-            let all = (0..of).flat_map(|a| (0..of).map(move |b| (a, b)));
+        if self.random.below(150) == 0 {
+            // Partition of the dispatchers into two sides of random sizes; workers and the tool server reach both.
+            let first = self.random.below(dispatchers as u64) as usize;
+            let size = 1 + self.random.below(dispatchers as u64 / 2) as usize;
+            let side = |i: usize| (i + dispatchers - first) % dispatchers < size;
+            let all = (0..dispatchers).flat_map(|a| (0..dispatchers).map(move |b| (a, b)));
             self.cut(now, all.filter(|(a, b)| side(*a) != side(*b)).collect());
         }
-        if self.chance.below(120) == 0 {
-            let i = of + 1 + self.chance.below(self.plan.workers as u64) as usize;
-            let at = now + self.draw(200, 4000);
-            if !self.troubled(i) {
-                let back = if self.chance.below(2) == 0 {
+        if self.random.below(120) == 0 {
+            let i = dispatchers + 1 + self.random.below(self.plan.workers as u64) as usize;
+            let at = now + self.random_ms(200, 4000);
+            if !self.has_fault(i) {
+                let recovery = if self.random.below(2) == 0 {
                     self.world.pause(i);
-                    Back::GoOn
+                    Recovery::Unpause
                 } else {
                     self.world.kill(i);
-                    Back::Worker
+                    Recovery::Worker
                 };
-                self.back.insert((at, i), back);
+                self.recoveries.insert((at, i), recovery);
             }
         }
-        if self.chance.below(200) == 0 {
-            let i = self.chance.below(of as u64) as usize;
-            let at = now + self.draw(300, 2500);
-            if !self.troubled(i) {
+        if self.random.below(200) == 0 {
+            let i = self.random.below(dispatchers as u64) as usize;
+            let at = now + self.random_ms(300, 2500);
+            if !self.has_fault(i) {
                 self.at_dispatcher(i, |d, _, _| d.disk_full = true);
-                self.back.insert((at, i), Back::DiskWell);
+                self.recoveries.insert((at, i), Recovery::DiskSpace);
             }
         }
-        if self.chance.below(800) == 0 {
-            // All at once, back one after the other.
-            for i in (0..of).filter(|i| !self.troubled(*i)).collect::<Vec<_>>() {
+        if self.random.below(800) == 0 {
+            // Kill all dispatchers at once; they restart one after the other.
+            for i in (0..dispatchers)
+                .filter(|i| !self.has_fault(*i))
+                .collect::<Vec<_>>()
+            {
                 self.kill(now, i);
             }
         }
-        self.world.net.loss = if self.chance.below(50) == 0 {
+        self.world.net.loss = if self.random.below(50) == 0 {
             0.03
         } else {
             self.world.net.loss * 0.98
@@ -384,103 +407,108 @@
 
     fn cut(&mut self, now: Duration, links: Vec<(usize, usize)>) {
         self.cuts.borrow_mut().extend(links.iter().copied());
-        let at = now + self.draw(200, 4000);
-        self.mend.entry(at).or_default().extend(links);
+        let at = now + self.random_ms(200, 4000);
+        self.link_repairs.entry(at).or_default().extend(links);
     }
 
     fn kill(&mut self, now: Duration, i: usize) {
         let Some(Actor::Dispatcher(dead)) = self.world.kill(i) else {
             return;
         };
-        let at = now + self.draw(200, 3000);
-        self.back.insert((at, i), Back::Start(dead.disk));
+        let at = now + self.random_ms(200, 3000);
+        self.recoveries.insert((at, i), Recovery::Start(dead.disk));
     }
 
-    /// A dispatcher was stopped before something: killed, or paused.
-    fn caught(&mut self, now: Duration) {
-        let Some(i) = self.trap.frozen.take() else {
+    /// Kills a dispatcher that was stopped before an output, or schedules that it resumes.
+    fn recover_stopped(&mut self, now: Duration) {
+        let Some(i) = self.stop_point.stopped.take() else {
             return;
         };
         if self.world.places[i].node.is_none() {
-            // It was killed in the same moment, and is on its way back.
+            // It was killed in the same tick, and its restart is scheduled.
             return;
         }
-        if self.troubled(i) {
-            self.back.retain(|(_, other), _| *other != i);
+        if self.has_fault(i) {
+            self.recoveries.retain(|(_, other), _| *other != i);
         }
-        if self.chance.below(2) == 0 {
+        if self.random.below(2) == 0 {
             return self.kill(now, i);
         }
-        let at = now + self.draw(300, 6000);
-        self.back.insert((at, i), Back::Thaw);
+        let at = now + self.random_ms(300, 6000);
+        self.recoveries.insert((at, i), Recovery::Resume);
     }
 
-    /// What members believe: who could be heard at the look before.
-    fn tell_peers(&mut self) {
-        let of = self.plan.dispatchers;
+    /// Gives each dispatcher its view of the members: those that could reach it at the previous update.
+    fn update_peers(&mut self) {
+        let dispatchers = self.plan.dispatchers;
         let key = |i: usize| NameKey::of(&format!("d{i}"));
         let up = |i: usize| match &self.world.places[i].node {
-            Some(Actor::Dispatcher(d)) => !d.frozen && !self.world.places[i].paused,
+            Some(Actor::Dispatcher(d)) => !d.stopped && !self.world.places[i].paused,
             _ => false,
         };
-        let mut heard = BTreeSet::new();
-        for (a, b) in (0..of).flat_map(|a| (0..of).map(move |b| (a, b))) {
+        let mut reachable = BTreeSet::new();
+        for (a, b) in (0..dispatchers).flat_map(|a| (0..dispatchers).map(move |b| (a, b))) {
             if a != b && up(a) && up(b) && !self.cuts.borrow().contains(&(b, a)) {
-                heard.insert((a, b));
+                reachable.insert((a, b));
             }
         }
-        for i in (0..of).filter(|i| up(*i)).collect::<Vec<_>>() {
-            let there: Vec<NameKey> = (0..of)
-                .filter(|b| self.heard.contains(&(i, *b)))
+        for i in (0..dispatchers).filter(|i| up(*i)).collect::<Vec<_>>() {
+            let present: Vec<NameKey> = (0..dispatchers)
+                .filter(|b| self.reachable.contains(&(i, *b)))
                 .map(key)
                 .collect();
-            let standing = match there.len() + 1 {
+            let quorum = match present.len() + 1 {
                 1 => QuorumState::Alone,
-                n if n == of => QuorumState::Whole,
-                n if n * 2 > of => QuorumState::Majority,
+                n if n == dispatchers => QuorumState::Whole,
+                n if n * 2 > dispatchers => QuorumState::Majority,
                 _ => QuorumState::CutOff,
             };
             let until = self.world.now_at(i) + ms(900);
-            let part = QuotaLease { leased: 0.0, until };
-            let mut there = there;
-            there.sort();
+            let lease = QuotaLease { leased: 0.0, until };
+            let mut present = present;
+            present.sort();
             let peers = Peers {
-                quorum: standing,
-                present: there,
+                quorum,
+                present,
                 valid_until: until,
-                lease: part,
+                lease,
             };
             self.at_dispatcher(i, |d, now, out| {
-                d.give(now, ServiceInput::Peers(peers), out)
+                d.handle_input(now, ServiceInput::Peers(peers), out)
             });
         }
-        self.heard = heard;
+        self.reachable = reachable;
     }
 
-    /// A person looks at the tool and decides, some seconds after a workflow stopped.
-    fn decide(&mut self, now: Duration) {
-        if !self.plan.person {
+    /// The operator settles each unsettled or parked workflow by the counts of the tool server, 3 s after it stopped.
+    fn settle(&mut self, now: Duration) {
+        if !self.plan.operator {
             return;
         }
-        let stopped: Vec<u32> = self.seen.borrow().stopped.keys().copied().collect();
+        let stopped: Vec<u32> = self.observed.borrow().stopped.keys().copied().collect();
         for workflow in stopped {
             let since = *self.stopped_at.entry(workflow).or_insert(now);
             if now - since < ms(3000) {
                 continue;
             }
             self.stopped_at.remove(&workflow);
-            let i = self.chance.below(self.plan.dispatchers as u64) as usize;
-            let mut seen = self.seen.borrow_mut();
-            let asked: Vec<u32> = (1..=STEPS)
+            let i = self.random.below(self.plan.dispatchers as u64) as usize;
+            let mut observed = self.observed.borrow_mut();
+            let unsafe_steps: Vec<u32> = (1..=STEPS)
                 .filter(|s| effect(*s) == Effect::Unsafe)
                 .collect();
-            let runs: BTreeMap<u32, u32> = asked
+            let runs: BTreeMap<u32, u32> = unsafe_steps
                 .iter()
-                .map(|s| (*s, seen.effects.get(&(workflow, *s)).copied().unwrap_or(0)))
+                .map(|s| {
+                    (
+                        *s,
+                        observed.effects.get(&(workflow, *s)).copied().unwrap_or(0),
+                    )
+                })
                 .collect();
-            seen.stopped.remove(&workflow);
-            drop(seen);
-            let person = self.plan.dispatchers + 1 + self.plan.workers;
+            observed.stopped.remove(&workflow);
+            drop(observed);
+            let operator = self.plan.dispatchers + 1 + self.plan.workers;
             for (step, runs) in runs {
                 let outcome = match runs {
                     0 => AttemptOutcome::NeverRan,
@@ -489,40 +517,42 @@
                         tokens: 0,
                     },
                 };
-                let req = Req::Settle { step, outcome };
-                let ask = Message::Command {
+                let request = WorkerRequest::Settle { step, outcome };
+                let command = Message::Command {
                     id: 0,
-                    worker: "person".into(),
+                    worker: "operator".into(),
                     workflow,
-                    req,
+                    request,
                 };
-                self.at_dispatcher(i, |d, now, out| d.hear(now, person, ask, out));
+                self.at_dispatcher(i, |d, now, out| d.receive(now, operator, command, out));
             }
         }
     }
 
-    fn judge(&mut self) {
-        let mut seen = self.seen.borrow_mut();
-        let twice: Vec<String> = seen
+    fn check_invariants(&mut self) {
+        let mut observed = self.observed.borrow_mut();
+        let repeated: Vec<String> = observed
             .effects
             .iter()
             .filter(|((_, step), runs)| effect(*step) != Effect::Safe && **runs > 1)
             .map(|((w, s), runs)| format!("{w}.{s}: {runs} effects"))
             .collect();
-        seen.wrong.extend(twice);
+        observed.violations.extend(repeated);
         for workflow in 0..self.plan.workflows {
             let (finished, stopped) = (
-                seen.finished.contains(&workflow),
-                seen.stopped.contains_key(&workflow),
+                observed.finished.contains(&workflow),
+                observed.stopped.contains_key(&workflow),
             );
-            if !finished && (self.plan.person || !stopped) {
-                let why = seen.refused.get(&workflow).copied();
-                seen.wrong
-                    .push(format!("{workflow} has neither ended nor stopped: {why:?}"));
+            if !finished && (self.plan.operator || !stopped) {
+                let reason = observed.last_rejections.get(&workflow).copied();
+                observed.violations.push(format!(
+                    "{workflow} has neither ended nor stopped: last rejection {reason:?}"
+                ));
             }
-            let ran = |step: &u32| seen.effects.contains_key(&(workflow, *step));
+            let ran = |step: &u32| observed.effects.contains_key(&(workflow, *step));
             if finished && !(1..=STEPS).all(|step| ran(&step)) {
-                seen.wrong
+                observed
+                    .violations
                     .push(format!("{workflow} has ended without all its effects"));
             }
         }
--- a/crates/workflow/tests/fleet/mod.rs
+++ b/crates/workflow/tests/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! Dispatchers with their disks, workers that carry workflows, and a tool that counts effects, in simulated time. A dispatcher
-//! may be stopped before any single thing that it does: a frame to a copy, a write to its disk, a word to its worker, a call.
+//! Simulated fleet: dispatchers with their disks, workers that run workflows, and a tool server that counts effects. A dispatcher
+//! may be stopped before any single output: a frame to another replica, a disk write, an answer to a worker, a call to the tool
+//! server.
 
 pub mod actors;
 pub mod course;
--- a/crates/workflow/tests/model.rs
+++ b/crates/workflow/tests/model.rs
@@ -1,12 +1,12 @@
-//! All courses of two workers at two dispatchers over three copies and one tool, with an unsafe step, by the crate's own
-//! transitions. The register below is written out as rounds of promises, by two copies at once, and of accepted records, by one
-//! copy at a time, so that a process may stop between any two copies.
+//! Model checking of two workers at two dispatchers, with three register replicas and one unsafe step. The model uses the crate's
+//! own transitions and visits all states within its bounds. A register operation is modelled as promises of two replicas in one action,
+//! followed by one action for each replica that accepts the record, so that a process may crash between any two replicas.
 
 use bitternlatch_membership::NameKey;
 use bitternlatch_workflow::*;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-const COPIES: usize = 3;
+const REPLICAS: usize = 3;
 const LIMITS: Limits = Limits {
     steps: 9,
     bytes: 1 << 20,
@@ -14,11 +14,13 @@
     lasts_us: u64::MAX,
 };
 
+/// Round and process of a ballot.
 type Ballot = (u8, u8);
+/// Epoch and counter of a lease.
 type Lease = (u64, u64);
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Copy {
+struct ReplicaState {
     promised: Ballot,
     accepted: Option<(Ballot, Record)>,
 }
@@ -27,27 +29,32 @@
 enum Op {
     Claim,
     Intend(Attempt),
+    /// Report for an attempt; `true` if it ran.
     ReportOutcome(Attempt, bool),
-    /// By a person, who looks at the tool.
+    /// Settlement by an operator, who knows whether the step ran.
     Settle,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     Idle,
+    /// The record is being written; `accepted` replicas have accepted it.
     Accept {
         op: Op,
         ballot: Ballot,
-        at: u8,
+        accepted: u8,
         record: Record,
         answer: Event,
     },
-    May(Attempt),
+    /// The dispatch permit was given; the step is not sent yet.
+    Permitted(Attempt),
+    /// The step was sent.
     Sent(Attempt),
+    /// The worker has the result.
     Answered,
 }
 
-/// [`Reply`], as far as it matters here.
+/// [`Reply`], reduced to what the model distinguishes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Event {
     Claimed,
@@ -67,93 +74,106 @@
 struct Process {
     phase: Phase,
     start: u64,
+    /// Number of register operations so far.
     ops: u8,
     epoch: u64,
+    /// Lease that the process saw last.
     seen: Option<Lease>,
-    dead: Option<Lease>,
-    /// What it asked for is past its time.
-    stale: bool,
-    never: Option<Attempt>,
+    /// Lease that the process takes as expired.
+    expired: Option<Lease>,
+    /// The permit of the current operation has expired.
+    permit_expired: bool,
+    /// Attempt that the process opened and never sent.
+    never_sent: Option<Attempt>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    copies: [Copy; COPIES],
+    replicas: [ReplicaState; REPLICAS],
     processes: [Process; 2],
+    /// Number of times that the step was sent.
     effects: u8,
-    lapses: u8,
+    lease_expiries: u8,
     crashes: u8,
-    given_up: u8,
+    abandoned_ops: u8,
 }
 
 impl State {
-    /// One form for all states that differ by the names of copies and by gaps between ballots alone.
-    fn in_order(&mut self) {
+    /// Brings states that differ only in the order of replicas or in gaps between ballots into the same form.
+    fn canonicalize(&mut self) {
         let mut rounds: Vec<u8> = self.ballots().iter().map(|b| b.0).collect();
         rounds.sort_unstable();
         rounds.dedup();
         for ballot in self.ballots() {
             ballot.0 = rounds.binary_search(&ballot.0).unwrap_or(0) as u8;
         }
-        let order = |c: &Copy| (c.promised, c.accepted.as_ref().map(|(b, _)| *b));
-        self.copies.sort_by_key(order);
+        let order = |c: &ReplicaState| (c.promised, c.accepted.as_ref().map(|(b, _)| *b));
+        self.replicas.sort_by_key(order);
     }
 
     fn ballots(&mut self) -> Vec<&mut Ballot> {
-        let copies = self.copies.iter_mut();
-        let held =
-            copies.flat_map(|c| [Some(&mut c.promised), c.accepted.as_mut().map(|(b, _)| b)]);
-        let asked = self.processes.iter_mut().map(|p| match &mut p.phase {
+        let replicas = self.replicas.iter_mut();
+        let promised_or_accepted =
+            replicas.flat_map(|c| [Some(&mut c.promised), c.accepted.as_mut().map(|(b, _)| b)]);
+        let pending = self.processes.iter_mut().map(|p| match &mut p.phase {
             Phase::Accept { ballot, .. } => Some(ballot),
             _ => None,
         });
-        held.chain(asked).flatten().collect()
+        promised_or_accepted.chain(pending).flatten().collect()
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
+    /// The process starts an operation; the replica of the last number gives no promise.
     Start(usize, Op, usize),
-    Message(usize, usize),
-    GiveUp(usize),
+    /// The replica of the second number accepts the process's record.
+    Accept(usize, usize),
+    /// The process abandons its write, which some replicas may have accepted.
+    Abandon(usize),
+    /// The process sends the step if its permit still lasts.
     Send(usize),
+    /// The process crashes and restarts.
     Crash(usize),
-    /// A lease's length goes by.
-    Lapse,
+    /// All leases and permits that were given so far expire.
+    ExpireLeases,
 }
 
-struct Fleet {
+/// Bounds of the model.
+struct WorkflowModel {
     safety_checks: SafetyChecks,
-    /// Questions of each to the register, and of both.
+    /// Maximum number of register operations of each process.
     ops: [u8; 2],
-    both: u8,
-    lapses: u8,
+    /// Maximum number of register operations of both processes together.
+    total_ops: u8,
+    lease_expiries: u8,
     crashes: u8,
-    /// Questions given up between two copies.
-    given_up: u8,
-    both_die: bool,
+    /// Maximum number of writes abandoned between two replicas.
+    abandoned_ops: u8,
+    /// Whether the second process may crash too.
+    both_may_crash: bool,
 }
 
 fn worker(p: usize) -> &'static str {
     ["a", "b"][p]
 }
 
-impl Fleet {
-    /// Asks two copies, all but the numbered one, for promises, and decides by what they hold.
+impl WorkflowModel {
+    /// Gets promises from all replicas but `without`, and applies the operation to the latest record that they accepted.
     fn start(&self, s: &mut State, p: usize, op: Op, without: usize) -> Option<()> {
-        let round = s.copies.iter().map(|c| c.promised.0).max().unwrap_or(0) + 1;
+        let round = s.replicas.iter().map(|c| c.promised.0).max().unwrap_or(0) + 1;
         let ballot = (round, p as u8);
         let mut best = None;
-        for copy in (0..COPIES).filter(|c| *c != without) {
-            s.copies[copy].promised = ballot;
-            best = best.max_by_ballot(s.copies[copy].accepted.clone());
+        for replica in (0..REPLICAS).filter(|c| *c != without) {
+            s.replicas[replica].promised = ballot;
+            best = best.max_by_ballot(s.replicas[replica].accepted.clone());
         }
         let found = best.map(|(_, r)| r);
         let lease = found.as_ref().map(|r| (r.epoch(), r.lease().0));
         let (record, answer) = self.decide(s, p, &op, found)?;
         let process = &mut s.processes[p];
         process.ops += 1;
-        process.stale = false;
+        process.permit_expired = false;
         process.seen = lease;
         if answer == Event::SendPermitted && !self.safety_checks.majority_first {
             s.effects += 1;
@@ -161,14 +181,14 @@
         process.phase = Phase::Accept {
             op,
             ballot,
-            at: 0,
+            accepted: 0,
             record,
             answer,
         };
         Some(())
     }
 
-    /// The transition, by the crate.
+    /// Applies the operation to the record, by the crate's transitions.
     fn decide(
         &self,
         s: &State,
@@ -178,35 +198,38 @@
     ) -> Option<(Record, Event)> {
         let process = &s.processes[p];
         let lease = |r: &Record| (r.epoch(), r.lease().0);
-        let dead = found
+        let lease_expired = found
             .as_ref()
-            .is_some_and(|r| process.dead == Some(lease(r)));
+            .is_some_and(|r| process.expired == Some(lease(r)));
         let running = match process.phase {
-            Phase::May(a) | Phase::Sent(a) => Some(a),
+            Phase::Permitted(a) | Phase::Sent(a) => Some(a),
             _ => None,
         };
-        let mine = |a: Attempt| match () {
+        let local_attempt = |a: Attempt| match () {
             () if running == Some(a) => LocalAttempt::Running,
-            () if process.never == Some(a) => LocalAttempt::NeverSent,
+            () if process.never_sent == Some(a) => LocalAttempt::NeverSent,
             () => LocalAttempt::Unknown,
         };
-        let by = |m| Claim {
+        let claim_with = |local_attempt| Claim {
             worker: worker(p),
             holder: NameKey(p as u32),
             lease_us: 1,
-            lease_expired: dead,
-            local_attempt: m,
+            lease_expired,
+            local_attempt,
         };
         let Some(mut r) = found else {
             return (*op == Op::Claim).then(|| {
                 (
-                    Record::begin("w", &by(LocalAttempt::Unknown)),
+                    Record::begin("w", &claim_with(LocalAttempt::Unknown)),
                     Event::Claimed,
                 )
             });
         };
-        let turn = match op {
-            Op::Claim => r.claim(&by(r.open_attempt().map_or(LocalAttempt::Unknown, mine))),
+        let transition = match op {
+            Op::Claim => r.claim(&claim_with(
+                r.open_attempt()
+                    .map_or(LocalAttempt::Unknown, local_attempt),
+            )),
             Op::Intend(attempt) => {
                 let (epoch, attempt) = (process.epoch, *attempt);
                 let intent = Intent {
@@ -217,7 +240,7 @@
                     request_digest: 1,
                     attempt,
                 };
-                r.intend(&intent, mine, &LIMITS, self.safety_checks)
+                r.intend(&intent, local_attempt, &LIMITS, self.safety_checks)
             }
             Op::ReportOutcome(attempt, ran) => {
                 let done = AttemptOutcome::Done {
@@ -245,11 +268,11 @@
                     } else {
                         &AttemptOutcome::NeverRan
                     },
-                    dead,
+                    lease_expired,
                 )
             }
         };
-        let told = match turn.reply {
+        let event = match transition.reply {
             Reply::Claimed => Event::Claimed,
             Reply::SendPermitted => Event::SendPermitted,
             Reply::Committed => Event::Committed,
@@ -257,39 +280,39 @@
             Reply::Rejected(RejectReason::Fenced) => Event::Rejected(ModelRejection::Fenced),
             Reply::Rejected(_) => Event::Rejected(ModelRejection::Other),
         };
-        Some((r, told))
+        Some((r, event))
     }
 
-    fn message(&self, s: &mut State, p: usize, c: usize) -> Option<()> {
+    fn accept(&self, s: &mut State, p: usize, c: usize) -> Option<()> {
         let phase = s.processes[p].phase.clone();
         match phase {
             Phase::Accept {
                 op,
                 ballot,
-                at,
+                accepted,
                 record,
                 answer,
-            } if s.copies[c].promised <= ballot
-                && s.copies[c]
+            } if s.replicas[c].promised <= ballot
+                && s.replicas[c]
                     .accepted
                     .as_ref()
                     .is_none_or(|(b, _)| *b < ballot) =>
             {
-                s.copies[c] = Copy {
+                s.replicas[c] = ReplicaState {
                     promised: ballot,
                     accepted: Some((ballot, record.clone())),
                 };
-                let at = at + 1;
-                if at < 2 {
+                let accepted = accepted + 1;
+                if accepted < 2 {
                     s.processes[p].phase = Phase::Accept {
                         op,
                         ballot,
-                        at,
+                        accepted,
                         record,
                         answer,
                     };
                 } else {
-                    self.held(s, p, op, record, answer);
+                    self.on_majority(s, p, op, record, answer);
                 }
                 Some(())
             }
@@ -297,7 +320,7 @@
         }
     }
 
-    fn held(&self, s: &mut State, p: usize, op: Op, record: Record, answer: Event) {
+    fn on_majority(&self, s: &mut State, p: usize, op: Op, record: Record, answer: Event) {
         let process = &mut s.processes[p];
         process.seen = Some((record.epoch(), record.lease().0));
         process.phase = match (op, answer) {
@@ -309,14 +332,14 @@
                 Phase::Sent(a)
             }
             (Op::Intend(a), Event::SendPermitted)
-                if process.stale && self.safety_checks.fencing =>
+                if process.permit_expired && self.safety_checks.fencing =>
             {
-                process.never = Some(a);
+                process.never_sent = Some(a);
                 Phase::Idle
             }
             (Op::Intend(a), Event::SendPermitted) => {
-                process.never = None;
-                Phase::May(a)
+                process.never_sent = None;
+                Phase::Permitted(a)
             }
             (Op::Intend(_), Event::AlreadyDone) | (Op::ReportOutcome(_, true), _) => {
                 Phase::Answered
@@ -345,7 +368,7 @@
     }
 }
 
-impl Model for Fleet {
+impl Model for WorkflowModel {
     type State = State;
     type Action = Action;
 
@@ -356,18 +379,18 @@
             ops: 0,
             epoch: 0,
             seen: None,
-            dead: None,
-            stale: false,
-            never: None,
+            expired: None,
+            permit_expired: false,
+            never_sent: None,
         };
         let processes = [process.clone(), process];
         vec![State {
-            copies: Default::default(),
+            replicas: Default::default(),
             processes,
             effects: 0,
-            lapses: 0,
+            lease_expiries: 0,
             crashes: 0,
-            given_up: 0,
+            abandoned_ops: 0,
         }]
     }
 
@@ -378,50 +401,50 @@
                 start: process.start,
                 number: process.ops.into(),
             };
-            let asked: u8 = s.processes.iter().map(|p| p.ops).sum();
-            let free = process.ops < self.ops[p] && asked < self.both;
-            let mut asked: Vec<Op> = vec![];
-            let mut ask = |op: Op| asked.push(op);
+            let total: u8 = s.processes.iter().map(|p| p.ops).sum();
+            let may_start = process.ops < self.ops[p] && total < self.total_ops;
+            let mut operations: Vec<Op> = vec![];
+            let mut add = |op: Op| operations.push(op);
             match &process.phase {
-                Phase::Idle if free => {
-                    match (process.epoch, process.never) {
-                        (0, _) => ask(Op::Claim),
-                        (_, Some(a)) => ask(Op::ReportOutcome(a, false)),
+                Phase::Idle if may_start => {
+                    match (process.epoch, process.never_sent) {
+                        (0, _) => add(Op::Claim),
+                        (_, Some(a)) => add(Op::ReportOutcome(a, false)),
                         _ => {}
                     }
                     if process.epoch > 0 {
-                        ask(Op::Intend(attempt));
+                        add(Op::Intend(attempt));
                     }
-                    let stops = |c: &Copy| {
+                    let needs_settling = |c: &ReplicaState| {
                         c.accepted
                             .as_ref()
                             .is_some_and(|(_, r)| r.state() != bitternlatch_workflow::State::Open)
                     };
-                    if s.copies.iter().any(stops) {
-                        ask(Op::Settle);
+                    if s.replicas.iter().any(needs_settling) {
+                        add(Op::Settle);
                     }
                 }
                 Phase::Accept { .. } => {
-                    (0..COPIES).for_each(|c| actions.push(Action::Message(p, c)));
-                    if s.given_up < self.given_up {
-                        actions.push(Action::GiveUp(p));
+                    (0..REPLICAS).for_each(|c| actions.push(Action::Accept(p, c)));
+                    if s.abandoned_ops < self.abandoned_ops {
+                        actions.push(Action::Abandon(p));
                     }
                 }
-                Phase::May(_) => actions.push(Action::Send(p)),
-                Phase::Sent(a) if free => ask(Op::ReportOutcome(*a, true)),
+                Phase::Permitted(_) => actions.push(Action::Send(p)),
+                Phase::Sent(a) if may_start => add(Op::ReportOutcome(*a, true)),
                 _ => {}
             }
-            for op in asked {
-                actions.extend((0..COPIES).map(|without| Action::Start(p, op.clone(), without)));
+            for op in operations {
+                actions.extend((0..REPLICAS).map(|without| Action::Start(p, op.clone(), without)));
             }
-            // The workers are alike; the second one's death is left to the whole model.
-            let mortal = p == 0 || self.both_die;
-            if mortal && s.crashes < self.crashes && process.phase != Phase::Answered {
+            // The two workers are symmetric, so crashes of the second one are left to the larger model.
+            let may_crash = p == 0 || self.both_may_crash;
+            if may_crash && s.crashes < self.crashes && process.phase != Phase::Answered {
                 actions.push(Action::Crash(p));
             }
         }
-        if s.lapses < self.lapses {
-            actions.push(Action::Lapse);
+        if s.lease_expiries < self.lease_expiries {
+            actions.push(Action::ExpireLeases);
         }
     }
 
@@ -429,9 +452,9 @@
         let mut s = last.clone();
         match action {
             Action::Start(p, op, without) => self.start(&mut s, p, op, without)?,
-            Action::Message(p, c) => self.message(&mut s, p, c)?,
-            Action::GiveUp(p) => {
-                s.given_up += 1;
+            Action::Accept(p, c) => self.accept(&mut s, p, c)?,
+            Action::Abandon(p) => {
+                s.abandoned_ops += 1;
                 let process = &mut s.processes[p];
                 process.phase = match process.phase.clone() {
                     Phase::Accept {
@@ -446,7 +469,7 @@
                     Phase::Accept {
                         op: Op::Intend(a), ..
                     } => {
-                        process.never = Some(a);
+                        process.never_sent = Some(a);
                         Phase::Idle
                     }
                     _ => Phase::Idle,
@@ -454,11 +477,11 @@
             }
             Action::Send(p) => {
                 let process = &mut s.processes[p];
-                let Phase::May(a) = process.phase else {
+                let Phase::Permitted(a) = process.phase else {
                     return None;
                 };
-                if process.stale && self.safety_checks.fencing {
-                    process.never = Some(a);
+                if process.permit_expired && self.safety_checks.fencing {
+                    process.never_sent = Some(a);
                     process.phase = Phase::Idle;
                 } else {
                     process.phase = Phase::Sent(a);
@@ -475,25 +498,25 @@
                 };
                 s.crashes += 1;
             }
-            Action::Lapse => {
-                s.lapses += 1;
+            Action::ExpireLeases => {
+                s.lease_expiries += 1;
                 for process in &mut s.processes {
-                    process.stale = true;
-                    process.dead = process.seen;
+                    process.permit_expired = true;
+                    process.expired = process.seen;
                 }
             }
         }
-        s.in_order();
+        s.canonicalize();
         Some(s)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no unsafe effect twice", |_, s: &State| s.effects <= 1),
-            Property::always("what is told has run", |_, s: &State| {
+            Property::always("an answered step has run", |_, s: &State| {
                 s.effects > 0 || s.processes.iter().all(|p| p.phase != Phase::Answered)
             }),
-            Property::sometimes("another worker ends it", |_, s: &State| {
+            Property::sometimes("another worker completes the step", |_, s: &State| {
                 s.processes[1].phase == Phase::Answered
                     && s.processes[0].phase != Phase::Answered
                     && s.crashes > 0
@@ -502,38 +525,39 @@
     }
 }
 
-const KEPT: SafetyChecks = SafetyChecks {
+const ALL_CHECKS: SafetyChecks = SafetyChecks {
     fencing: true,
     majority_first: true,
 };
 
-/// Where either worker may die by `MODEL=both`; and a question is given up between two copies by `MODEL=whole`.
-fn bounds(safety_checks: SafetyChecks) -> Fleet {
+/// Returns the bounds of the model. With the environment variable `MODEL=both` either process may crash; with `MODEL=whole` a write
+/// may also be abandoned between two replicas.
+fn bounds(safety_checks: SafetyChecks) -> WorkflowModel {
     let model = std::env::var("MODEL").unwrap_or_default();
-    let (both_die, given_up) = (!model.is_empty(), u8::from(model == "whole"));
-    Fleet {
+    let (both_may_crash, abandoned_ops) = (!model.is_empty(), u8::from(model == "whole"));
+    WorkflowModel {
         safety_checks,
         ops: [2, 4],
-        both: 6,
-        lapses: 1,
+        total_ops: 6,
+        lease_expiries: 1,
         crashes: 1,
-        given_up,
-        both_die,
+        abandoned_ops,
+        both_may_crash,
     }
 }
 
 #[test]
 fn unsafe_step_never_runs_twice() {
-    let checker = bounds(KEPT).checker().threads(2).spawn_bfs().join();
+    let checker = bounds(ALL_CHECKS).checker().threads(2).spawn_bfs().join();
     println!(
-        "{} states, {} of them different",
+        "{} states, {} of them unique",
         checker.state_count(),
         checker.unique_state_count()
     );
     checker.assert_no_discovery("no unsafe effect twice");
-    checker.assert_no_discovery("what is told has run");
+    checker.assert_no_discovery("an answered step has run");
     assert!(checker.is_done() && checker.unique_state_count() > 10_000);
-    checker.assert_any_discovery("another worker ends it");
+    checker.assert_any_discovery("another worker completes the step");
 }
 
 #[test]
@@ -541,11 +565,11 @@
     for safety_checks in [
         SafetyChecks {
             fencing: false,
-            ..KEPT
+            ..ALL_CHECKS
         },
         SafetyChecks {
             majority_first: false,
-            ..KEPT
+            ..ALL_CHECKS
         },
     ] {
         let found = HasDiscoveries::AnyFailures;
--- a/crates/workflow/tests/output_digest.rs
+++ b/crates/workflow/tests/output_digest.rs
@@ -1,8 +1,8 @@
-//! A digest over the order of everything that the workflow machine puts out for seeded inputs: frames, records to store, answers to
-//! the core. A change of it is a change of what a process sends, stores or answers.
+//! Digest over all outputs of the workflow machine, in order, for seeded inputs: frames, records to store, events for the core. If
+//! the digest changes, then what a process sends, stores or answers has changed.
 //!
-//! Answers are written by postcard, the rest by hand, never by `Debug`, so that a renamed type does not move the digest. Of a line
-//! for the log only its level counts, as its words may change.
+//! Events are hashed as postcard bytes and other outputs field by field, never by `Debug`, so renaming a type does not change the
+//! digest. Of a log line only the level is hashed, so its text may change.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -22,7 +22,7 @@
 
 type Stored = BTreeMap<Vec<u8>, Vec<u8>>;
 
-/// A length before each field, so that no two lists of fields have the same bytes.
+/// Hashes byte strings with their length in front, so that different lists of fields never hash the same bytes.
 #[derive(Default)]
 struct Digest(blake3::Hasher);
 
@@ -49,9 +49,9 @@
                 self.number(to.0.into());
                 self.bytes(bytes);
             }
-            ServiceOutput::Event(answer) => {
+            ServiceOutput::Event(event) => {
                 self.number(2);
-                self.bytes(&postcard::to_allocvec(answer).expect("plain data"));
+                self.bytes(&postcard::to_allocvec(event).expect("plain data"));
             }
             ServiceOutput::Persist {
                 ticket,
@@ -72,26 +72,27 @@
     }
 }
 
-/// Outputs by kind, so that a run that puts out little is noticed.
+/// Number of outputs by kind, to check that a run covers all of them.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Totals {
     sent: usize,
     stored: usize,
     logged: usize,
     claimed: usize,
-    allowed: usize,
-    known: usize,
-    held: usize,
-    refused: usize,
+    permitted: usize,
+    already_done: usize,
+    committed: usize,
+    rejected: usize,
 }
 
-/// What a caller of one workflow believes.
+/// State of the client of one workflow, from the events that it received.
 #[derive(Clone, Copy, Debug, Default)]
 struct Caller {
     member: usize,
     epoch: u64,
     step: u32,
     running: bool,
+    /// Part of the workflow's name; increased to start a new workflow.
     generation: u64,
 }
 
@@ -102,12 +103,12 @@
     members: Vec<Workflows>,
     disks: Vec<Stored>,
     starts: u64,
-    /// Start number of each member's process.
+    /// Start number of the current process of each member.
     started: Vec<u64>,
     calls: u64,
     callers: Vec<Caller>,
-    /// The workflow that a call is about.
-    calling: BTreeMap<u64, usize>,
+    /// Maps the number of each unanswered call to the index of its workflow.
+    call_workflow: BTreeMap<u64, usize>,
     pending: VecDeque<(usize, ServiceInput<Command>)>,
     digest: Digest,
     totals: Totals,
@@ -129,7 +130,7 @@
             started: vec![0; MEMBERS],
             calls: 0,
             callers: vec![Caller::default(); WORKFLOWS],
-            calling: BTreeMap::new(),
+            call_workflow: BTreeMap::new(),
             pending: VecDeque::new(),
             digest: Digest::default(),
             totals: Totals::default(),
@@ -190,15 +191,15 @@
         }
     }
 
-    /// The next question of one workflow's caller.
-    fn ask(&mut self, which: usize) {
+    /// Sends the next command for one workflow.
+    fn send_command(&mut self, which: usize) {
         self.calls += 1;
         let call = Call(self.calls);
         let caller = self.callers[which];
         let workflow = format!("w{which}/{}", caller.generation);
         let until_us = (self.now.as_micros() as u64) + 200_000 + self.draw(1_000_000);
         let (epoch, step) = (caller.epoch, caller.step);
-        let ask = match self.draw(20) {
+        let command = match self.draw(20) {
             0 => Command::Settle {
                 call,
                 workflow,
@@ -244,9 +245,10 @@
                 until_us,
             },
         };
-        self.calling.insert(call.0, which);
+        self.call_workflow.insert(call.0, which);
         let member = self.callers[which].member;
-        self.pending.push_back((member, ServiceInput::Request(ask)));
+        self.pending
+            .push_back((member, ServiceInput::Request(command)));
     }
 
     fn claim(&mut self, which: usize, call: Call, workflow: String, until_us: u64) -> Command {
@@ -272,16 +274,13 @@
     fn on_output(&mut self, member: usize, output: ServiceOutput<Event>) {
         match output {
             ServiceOutput::SendDatagram(..) => {}
-            ServiceOutput::SendFrame(to, said) => {
+            ServiceOutput::SendFrame(to, payload) => {
                 self.totals.sent += 1;
                 let from = Process {
                     name: name(member),
                     start: self.started[member],
                 };
-                let frame = ServiceInput::Frame {
-                    from,
-                    payload: said,
-                };
+                let frame = ServiceInput::Frame { from, payload };
                 if self.draw(30) > 0 {
                     self.pending.push_back((to.0 as usize - 10, frame));
                 }
@@ -292,14 +291,14 @@
                 bytes,
             } => {
                 self.totals.stored += 1;
-                let full = self.draw(80) == 0;
-                if !full {
+                let is_full = self.draw(80) == 0;
+                if !is_full {
                     match bytes {
                         Some(bytes) => drop(self.disks[member].insert(name, bytes)),
                         None => drop(self.disks[member].remove(&name)),
                     }
                 }
-                let done = if full {
+                let done = if is_full {
                     Err(StorageError::Full)
                 } else {
                     Ok(())
@@ -308,12 +307,12 @@
                     .push_back((member, ServiceInput::Persisted { ticket, done }));
             }
             ServiceOutput::Log { .. } => self.totals.logged += 1,
-            ServiceOutput::Event(answer) => self.on_answer(answer),
+            ServiceOutput::Event(event) => self.on_event(event),
         }
     }
 
-    fn on_answer(&mut self, answer: Event) {
-        match answer {
+    fn on_event(&mut self, event: Event) {
+        match event {
             Event::Claimed {
                 call, epoch, steps, ..
             } => {
@@ -325,27 +324,27 @@
                 }
             }
             Event::SendPermitted { call, .. } => {
-                self.totals.allowed += 1;
+                self.totals.permitted += 1;
                 if let Some(caller) = self.caller(call) {
                     caller.running = true;
                 }
             }
             Event::AlreadyDone { call, .. } => {
-                self.totals.known += 1;
+                self.totals.already_done += 1;
                 if let Some(caller) = self.caller(call) {
                     caller.step += 1;
                 }
             }
             Event::Committed { call } => {
-                self.totals.held += 1;
+                self.totals.committed += 1;
                 self.caller(call);
             }
             Event::Rejected { call, .. } => {
-                self.totals.refused += 1;
-                let retired = self.draw(25) == 0;
+                self.totals.rejected += 1;
+                let is_replaced = self.draw(25) == 0;
                 if let Some(caller) = self.caller(call) {
                     caller.epoch = 0;
-                    if retired {
+                    if is_replaced {
                         caller.generation += 1;
                         caller.step = 1;
                     }
@@ -355,16 +354,16 @@
     }
 
     fn caller(&mut self, call: Call) -> Option<&mut Caller> {
-        let which = self.calling.remove(&call.0)?;
+        let which = self.call_workflow.remove(&call.0)?;
         self.callers.get_mut(which)
     }
 
-    fn play(mut self) -> (String, Totals) {
+    fn run(mut self) -> (String, Totals) {
         for _ in 0..STEPS {
             self.now += STEP;
             if self.draw(2) == 0 {
                 let which = self.draw(WORKFLOWS as u64) as usize;
-                self.ask(which);
+                self.send_command(which);
             }
             if self.draw(2000) == 0 {
                 let member = self.draw(MEMBERS as u64) as usize;
@@ -392,17 +391,17 @@
 fn digests(durable: bool) -> Vec<String> {
     (0..4)
         .map(|seed| {
-            let (digest, totals) = Run::new(seed, durable).play();
+            let (digest, totals) = Run::new(seed, durable).run();
             println!("seed {seed}: {digest} {totals:?}");
-            assert!(totals.claimed > 0 && totals.allowed > 0 && totals.known > 0);
-            assert!(totals.held > 0 && totals.refused > 0 && totals.sent > 0);
+            assert!(totals.claimed > 0 && totals.permitted > 0 && totals.already_done > 0);
+            assert!(totals.committed > 0 && totals.rejected > 0 && totals.sent > 0);
             digest
         })
         .collect()
 }
 
 #[test]
-fn outputs_without_disks_are_as_found() {
+fn outputs_without_disks_are_unchanged() {
     assert_eq!(
         digests(false),
         [
@@ -415,7 +414,7 @@
 }
 
 #[test]
-fn outputs_with_disks_are_as_found() {
+fn outputs_with_disks_are_unchanged() {
     assert_eq!(
         digests(true),
         [
