--- a/crates/workflow/src/coordinator.rs
+++ b/crates/workflow/src/coordinator.rs
@@ -28,8 +28,7 @@
 use crate::timers::Timers;
 use crate::transition::{Reply, SafetyChecks};
 
-/// How long the outcome of an attempt is still offered to the register in the background, after its caller was answered or without
-/// a caller.
+/// How long an attempt's outcome is offered to the register in the background, with no caller waiting for it.
 const BACKGROUND_RETRY_LIMIT: Duration = Duration::from_secs(60);
 /// How long the short record of an ended workflow is stored before a sweep deletes it.
 const ENDED_RECORD_RETENTION: Duration = Duration::from_secs(600);
@@ -217,7 +216,7 @@
         match record.state() {
             State::Ended(_) => unchanged >= ENDED_RECORD_RETENTION,
             State::Open => {
-                as_micros(unchanged).saturating_add(record.age_us) >= self.limits.lasts_us
+                as_micros(unchanged).saturating_add(record.age_us) >= self.limits.max_age_us
             }
             State::Unsettled | State::Parked => false,
         }
--- a/crates/workflow/src/record.rs
+++ b/crates/workflow/src/record.rs
@@ -51,7 +51,7 @@
     /// Maximum total number of tokens of the results.
     pub tokens: u64,
     /// Maximum age, microseconds.
-    pub lasts_us: u64,
+    pub max_age_us: u64,
 }
 
 impl Limits {
@@ -60,7 +60,7 @@
             steps: settings.steps,
             bytes: settings.bytes,
             tokens: settings.tokens,
-            lasts_us: seconds_to_micros(settings.lasts_s),
+            max_age_us: seconds_to_micros(settings.lasts_s),
         }
     }
 }
@@ -136,7 +136,7 @@
     }
 
     /// Returns the number of steps that are done or abandoned, compacted ones included.
-    pub fn closed(&self) -> u32 {
+    pub fn closed_steps(&self) -> u32 {
         let uncompacted = self.steps.iter().filter(|step| step.is_closed()).count();
         self.context.steps() + uncompacted as u32
     }
@@ -151,7 +151,7 @@
     /// age.
     pub fn add_age(&mut self, seen_us: u64, limits: &Limits) -> bool {
         self.age_us = self.age_us.saturating_add(seen_us);
-        self.age_us >= limits.lasts_us
+        self.age_us >= limits.max_age_us
     }
 
     /// Returns the attempt at the open step that is in flight or may have run.
--- a/crates/workflow/src/step_transitions.rs
+++ b/crates/workflow/src/step_transitions.rs
@@ -113,7 +113,9 @@
     }
 
     fn is_at_limit(&self, limits: &Limits) -> bool {
-        self.closed() >= limits.steps || self.bytes >= limits.bytes || self.tokens >= limits.tokens
+        self.closed_steps() >= limits.steps
+            || self.bytes >= limits.bytes
+            || self.tokens >= limits.tokens
     }
 
     /// Answers for a compacted step: it is done and never run again, even if its result is no longer stored.
--- a/crates/workflow/src/workflow_transitions.rs
+++ b/crates/workflow/src/workflow_transitions.rs
@@ -28,7 +28,7 @@
         }
         if self.deaths >= MAX_WORKER_DEATHS {
             self.state = State::Parked;
-            let step = self.closed().saturating_add(1);
+            let step = self.closed_steps().saturating_add(1);
             return Transition::write(Reply::Rejected(RejectReason::Parked))
                 .with_notice(Notice::Parked { step });
         }
--- a/crates/workflow/tests/model.rs
+++ b/crates/workflow/tests/model.rs
@@ -11,7 +11,7 @@
     steps: 9,
     bytes: 1 << 20,
     tokens: 1 << 20,
-    lasts_us: u64::MAX,
+    max_age_us: u64::MAX,
 };
 
 /// Round and process of a ballot.
--- a/crates/workflow/tests/record.rs
+++ b/crates/workflow/tests/record.rs
@@ -7,7 +7,7 @@
     steps: 2000,
     bytes: 1 << 30,
     tokens: 1 << 30,
-    lasts_us: 1_000_000,
+    max_age_us: 1_000_000,
 };
 const ALL_CHECKS: SafetyChecks = SafetyChecks {
     fencing: true,
@@ -440,7 +440,7 @@
         sizes[99],
         sizes[999]
     );
-    assert_eq!(r.closed(), 1000);
+    assert_eq!(r.closed_steps(), 1000);
     for step in [1, 500, 990, 995, 1000] {
         assert!(
             matches!(
@@ -470,7 +470,7 @@
         steps: 2,
         bytes: 10,
         tokens: 3,
-        lasts_us: 100,
+        max_age_us: 100,
     };
     let intent = |step, attempt| Intent {
         epoch: 1,
@@ -563,7 +563,7 @@
         let mut r = new_record();
         let mut first_results = std::collections::BTreeMap::new();
         for (i, (what, step, effect, long)) in transitions.into_iter().enumerate() {
-            let (step, epoch) = ((r.closed() + step).saturating_sub(2), r.epoch().saturating_sub(u64::from(effect == 3)));
+            let (step, epoch) = ((r.closed_steps() + step).saturating_sub(2), r.epoch().saturating_sub(u64::from(effect == 3)));
             let effect = [Effect::Safe, Effect::Keyed, Effect::Unsafe][usize::from(effect % 3)];
             let before = r.epoch();
             let a = attempt(i as u64);
