--- a/crates/core/tests/any_order.rs
+++ b/crates/core/tests/any_order.rs
@@ -12,7 +12,7 @@
     ToEngine, CODE_FULL, CODE_STATE_GONE,
 };
 use bitternlatch_workflow::{AttemptOutcome, Command, Event, RejectReason};
-use common::{four, SETTINGS, START_US};
+use common::{four_servers, SETTINGS, START_US};
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
@@ -77,7 +77,7 @@
             fates: BTreeMap::new(),
             permits: BTreeMap::new(),
         };
-        chaos.step(Input::ServerList(four()));
+        chaos.step(Input::ServerList(four_servers()));
         if steps {
             let (standing, until) = (QuorumState::Whole, Micros(u64::MAX));
             chaos.step(Input::QuorumState {
--- a/crates/core/tests/callers.rs
+++ b/crates/core/tests/callers.rs
@@ -3,7 +3,7 @@
 
 use bitternlatch_core::{Input, Output, SessionId, Settings};
 use bitternlatch_identity::{Caller, Proof};
-use common::{four, Bench, SETTINGS, START_US};
+use common::{four_servers, Harness, SETTINGS, START_US};
 use serde_json::json;
 
 const RIGHTS: &str = r#"
@@ -29,12 +29,12 @@
 const NOW_S: u64 = START_US / 1_000_000;
 
 /// A machine that authenticates callers, with access rights and four servers.
-fn bench_with_identity() -> Bench {
+fn bench_with_identity() -> Harness {
     let text = SETTINGS.replace("[inventory]", IDENTITY);
-    let mut bench = Bench::with(Settings::parse("test", &text).expect("settings"), 5);
+    let mut bench = Harness::with(Settings::parse("test", &text).expect("settings"), 5);
     bench.step(Input::Rights(RIGHTS.into()));
-    bench.step(Input::ServerList(four()));
-    bench.open_all(1000.0);
+    bench.step(Input::ServerList(four_servers()));
+    bench.connect_all(1000.0);
     bench
 }
 
@@ -51,7 +51,7 @@
 }
 
 /// Opens a session whose caller's credential expires after 600 s.
-fn open(bench: &mut Bench, session: u64, subject: &str, group: &str) -> SessionId {
+fn open(bench: &mut Harness, session: u64, subject: &str, group: &str) -> SessionId {
     let caller = Some(caller(subject, group, "k1", NOW_S + 600));
     bench.step(Input::SessionOpened {
         session: SessionId(session),
@@ -61,10 +61,10 @@
 }
 
 /// Error codes and event types sent to a session since the last call.
-fn codes(bench: &mut Bench, session: SessionId) -> Vec<String> {
+fn codes(bench: &mut Harness, session: SessionId) -> Vec<String> {
     let code = |e: serde_json::Value| e["code"].as_str().unwrap_or_default().to_string();
     bench
-        .heard(session)
+        .take_events(session)
         .into_iter()
         .map(|e| e.error.map_or(e.kind, code))
         .collect()
@@ -77,16 +77,16 @@
     let eve = open(&mut bench, 2, "eve", "members");
     let ann_again = open(&mut bench, 3, "ann", "members");
     for session in [ann, eve, ann_again] {
-        bench.ask(session, "booking", "one", "the season");
-        bench.pass(0.02);
+        bench.send_request(session, "booking", "one", "the season");
+        bench.advance(0.02);
     }
     assert_eq!(
-        bench.told.len(),
+        bench.completions.len(),
         2,
         "eve's request runs separately; ann's second session attaches to her first"
     );
-    let id = |bench: &mut Bench, session| {
-        bench.heard(session)[0]
+    let id = |bench: &mut Harness, session| {
+        bench.take_events(session)[0]
             .response
             .as_ref()
             .expect("a response")
@@ -107,8 +107,8 @@
         open(&mut bench, 4, "dee", "desk"),
         open(&mut bench, 5, "dan", "desk"),
     );
-    bench.ask(one, "booking", "one", "the desk's season");
-    bench.ask(two, "booking", "one", "the desk's season");
+    bench.send_request(one, "booking", "one", "the desk's season");
+    bench.send_request(two, "booking", "one", "the desk's season");
     assert_eq!(
         id(&mut bench, one),
         id(&mut bench, two),
@@ -121,10 +121,10 @@
     let mut bench = bench_with_identity();
     let ann = open(&mut bench, 1, "ann", "members");
     let eve = open(&mut bench, 2, "eve", "members");
-    let decode = bench.begin_write(ann, "query", "k", "a secret hall");
-    bench.piece(&decode, "it is free", Some("stop"));
-    bench.done(&decode);
-    let last = bench.heard(ann).pop().expect("an answer");
+    let decode = bench.start_decode(ann, "query", "k", "a secret hall");
+    bench.send_chunk(&decode, "it is free", Some("stop"));
+    bench.send_done(&decode);
+    let last = bench.take_events(ann).pop().expect("an answer");
     let id = last.response.expect("a response").id;
     let follow_up = json!({ "type": "response.create", "model": "m", "input": "and then?",
         "previous_response_id": id, "metadata": { "class": "query" } });
@@ -139,7 +139,11 @@
         assert_eq!(codes(&mut bench, session), [code]);
     }
     assert!(
-        bench.take().body.prompt.contains("a secret hall"),
+        bench
+            .next_completion()
+            .body
+            .prompt
+            .contains("a secret hall"),
         "its own caller continues it"
     );
     // An id made by incrementing the request number in a known one is rejected, as its authentication tag is wrong.
@@ -157,28 +161,28 @@
 fn revoked_credential_closes_session_after_answer() {
     let mut bench = bench_with_identity();
     let ann = open(&mut bench, 1, "ann", "members");
-    let decode = bench.begin_write(ann, "booking", "k", "the season");
+    let decode = bench.start_decode(ann, "booking", "k", "the season");
     bench.step(Input::CredentialsRevoked(vec!["k1".into()]));
-    bench.ask(ann, "query", "k2", "another");
+    bench.send_request(ann, "query", "k2", "another");
     assert_eq!(
         codes(&mut bench, ann),
         ["response.created", "token_key_withdrawn"]
     );
     assert!(
         !bench
-            .out
+            .outputs
             .iter()
             .any(|o| matches!(o, Output::CloseSession { .. })),
         "the booking is still in flight"
     );
-    bench.piece(&decode, "booked", Some("stop"));
-    bench.done(&decode);
+    bench.send_chunk(&decode, "booked", Some("stop"));
+    bench.send_done(&decode);
     assert_eq!(
         codes(&mut bench, ann).last().map(String::as_str),
         Some("response.completed")
     );
     let closes_ann = |o: &Output| matches!(o, Output::CloseSession { session, code: 4401, .. } if *session == ann);
-    assert!(bench.out.iter().any(closes_ann));
+    assert!(bench.outputs.iter().any(closes_ann));
 }
 
 #[test]
@@ -188,15 +192,15 @@
     bench.step(Input::CredentialClockOffset {
         ahead_us: 599_000_000,
     });
-    bench.ask(ann, "query", "k", "one more");
+    bench.send_request(ann, "query", "k", "one more");
     assert_eq!(
         codes(&mut bench, ann),
         ["response.created"],
         "the credential is valid for another second"
     );
     bench.step(Input::CredentialClockOffset { ahead_us: 0 });
-    bench.pass(2.0);
-    bench.ask(ann, "query", "k2", "and one");
+    bench.advance(2.0);
+    bench.send_request(ann, "query", "k2", "and one");
     assert!(
         codes(&mut bench, ann).contains(&"response.created".to_string()),
         "the clock offset was corrected to 0"
@@ -204,7 +208,7 @@
     bench.step(Input::CredentialClockOffset {
         ahead_us: 598_500_000,
     });
-    bench.ask(ann, "query", "k3", "too late");
+    bench.send_request(ann, "query", "k3", "too late");
     assert_eq!(
         codes(&mut bench, ann).last().map(String::as_str),
         Some("token_expired")
@@ -214,6 +218,6 @@
         session: SessionId(9),
         caller: expired,
     });
-    bench.ask(SessionId(9), "query", "k", "late");
+    bench.send_request(SessionId(9), "query", "k", "late");
     assert_eq!(codes(&mut bench, SessionId(9)), ["token_expired"]);
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A machine with servers played by hand: no socket, no clock.
+//! A dispatcher machine whose clients and model servers are simulated by the test, without sockets and with a clock that
+//! the test advances.
 #![allow(dead_code)]
 
 use bitternlatch_core::{Input, LinkId, Machine, Micros, Output, SessionId, Settings};
@@ -9,6 +10,7 @@
     FromEngine, KvTransferParams, ToEngine,
 };
 
+/// Settings with two request classes, one safe and one unsafe to repeat, and one kind each of prefill and decode servers.
 pub const SETTINGS: &str = r#"name = "d1"
 zone = "z"
 dispatchers = 1
@@ -54,18 +56,20 @@
 memory_tokens = 150000
 "#;
 
+/// Clock time at which each test starts, microseconds.
 pub const START_US: u64 = 1_000_000_000;
 
-/// A completion as its server got it.
+/// A completion request as a model server received it: one prefill or decode attempt.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct SentCompletion {
     pub link: LinkId,
     pub id: String,
     pub body: CompletionRequest,
 }
 
-impl Told {
-    pub fn is_read(&self) -> bool {
+impl SentCompletion {
+    /// Whether the attempt only prefills the prompt, for a decode server to fetch the KV cache.
+    pub fn is_prefill(&self) -> bool {
         self.body
             .kv_transfer_params
             .as_ref()
@@ -73,25 +77,34 @@
     }
 }
 
-pub struct Bench {
+/// The machine under test with everything that it has sent, sorted by kind.
+pub struct Harness {
     pub machine: Machine,
     pub now: Micros,
-    pub out: Vec<Output>,
-    /// All that it was told, in order.
+    /// All outputs since the test last took them, in order.
+    pub outputs: Vec<Output>,
+    /// All inputs of the machine with their clock times, in order.
     pub inputs: Vec<(Micros, Input)>,
-    /// Completions not yet answered by the test.
-    pub told: Vec<Told>,
+    /// Completion requests that the test has not yet taken for an answer.
+    pub completions: Vec<SentCompletion>,
+    /// Attempts that the machine cancelled, by link and attempt id.
     pub cancels: Vec<(LinkId, String)>,
+    /// Attempts whose held KV cache the machine released, by link and attempt id.
     pub releases: Vec<(LinkId, String)>,
+    /// Load probes that the machine sent, by link and probe id.
     pub probes: Vec<(LinkId, u64)>,
-    pub dials: Vec<LinkId>,
+    /// Links that the machine asked to connect; emptied by [`Harness::connect_all`].
+    pub connecting_links: Vec<LinkId>,
     pub logs: Vec<String>,
-    pub faults: Vec<String>,
-    said: Vec<(SessionId, ServerEvent)>,
+    /// Protocol faults that the machine reported to model servers.
+    pub fault_messages: Vec<String>,
+    /// Events sent to clients that the test has not yet taken.
+    client_events: Vec<(SessionId, ServerEvent)>,
     pub stopped: bool,
 }
 
-pub fn hosts(rows: &str) -> Vec<ModelServer> {
+/// Parses rows of a server list (`name,address,port,kind,state`).
+pub fn server_list(rows: &str) -> Vec<ModelServer> {
     let text = format!("name,address,port,kind,state\n{rows}");
     parse("hosts.csv", &text)
         .expect("a good list")
@@ -99,57 +112,58 @@
         .collect()
 }
 
-/// Readers r1, r2 and writers w1, w2.
-pub fn four() -> Vec<ModelServer> {
-    hosts("r1,127.0.0.1,1,reader,\nr2,127.0.0.1,2,reader,\nw1,127.0.0.1,3,writer,\nw2,127.0.0.1,4,writer,\n")
+/// Prefill servers r1 and r2, decode servers w1 and w2.
+pub fn four_servers() -> Vec<ModelServer> {
+    server_list("r1,127.0.0.1,1,reader,\nr2,127.0.0.1,2,reader,\nw1,127.0.0.1,3,writer,\nw2,127.0.0.1,4,writer,\n")
 }
 
 pub fn settings() -> Settings {
     Settings::parse("test", SETTINGS).expect("good settings")
 }
 
-impl Bench {
-    pub fn new(seed: u64) -> Bench {
-        Bench::with(settings(), seed)
+impl Harness {
+    pub fn new(seed: u64) -> Harness {
+        Harness::with(settings(), seed)
     }
 
-    pub fn with(settings: Settings, seed: u64) -> Bench {
-        Bench {
+    pub fn with(settings: Settings, seed: u64) -> Harness {
+        Harness {
             machine: Machine::new(settings, seed),
             now: Micros(START_US),
-            out: Vec::new(),
+            outputs: Vec::new(),
             inputs: Vec::new(),
-            told: Vec::new(),
+            completions: Vec::new(),
             cancels: Vec::new(),
             releases: Vec::new(),
             probes: Vec::new(),
-            dials: Vec::new(),
+            connecting_links: Vec::new(),
             logs: Vec::new(),
-            faults: Vec::new(),
-            said: Vec::new(),
+            fault_messages: Vec::new(),
+            client_events: Vec::new(),
             stopped: false,
         }
     }
 
-    /// With four servers, all linked and warm.
-    pub fn ready(seed: u64) -> Bench {
-        let mut bench = Bench::new(seed);
-        bench.step(Input::ServerList(four()));
-        bench.open_all(1000.0);
+    /// A machine with [`four_servers`], all connected and past slow start.
+    pub fn ready(seed: u64) -> Harness {
+        let mut bench = Harness::new(seed);
+        bench.step(Input::ServerList(four_servers()));
+        bench.connect_all(1000.0);
         bench
     }
 
-    /// Every connected link comes up and its server greets.
-    pub fn open_all(&mut self, uptime_s: f64) {
-        for link in std::mem::take(&mut self.dials) {
+    /// Completes each pending connection and lets its server send its hello.
+    pub fn connect_all(&mut self, uptime_s: f64) {
+        for link in std::mem::take(&mut self.connecting_links) {
             self.step(Input::LinkUp { link });
-            self.greet(link, uptime_s);
+            self.send_hello(link, uptime_s);
         }
     }
 
-    pub fn greet(&mut self, link: LinkId, uptime_s: f64) {
+    /// Sends the hello of a ready server that started `uptime_s` seconds ago.
+    pub fn send_hello(&mut self, link: LinkId, uptime_s: f64) {
         let engine_id = String::new();
-        self.says(
+        self.server_sends(
             link,
             &FromEngine::Hello {
                 engine_id,
@@ -159,6 +173,7 @@
         );
     }
 
+    /// Steps the machine once at the present time and sorts its outputs.
     pub fn step(&mut self, input: Input) {
         let mut out = Vec::new();
         self.inputs.push((self.now, input.clone()));
@@ -167,21 +182,21 @@
             match &output {
                 Output::SendToClient { session, text } => {
                     let event = serde_json::from_str(text).expect("an event");
-                    self.said.push((*session, event));
+                    self.client_events.push((*session, event));
                 }
-                Output::SendToServer { link, text, .. } => self.on_tell(*link, text),
-                Output::Connect { link, .. } => self.dials.push(*link),
+                Output::SendToServer { link, text, .. } => self.on_message_to_server(*link, text),
+                Output::Connect { link, .. } => self.connecting_links.push(*link),
                 Output::Log { text, .. } => self.logs.push(text.clone()),
                 Output::Stopped => self.stopped = true,
                 _ => {}
             }
-            self.out.push(output);
+            self.outputs.push(output);
         }
     }
 
-    fn on_tell(&mut self, link: LinkId, text: &str) {
+    fn on_message_to_server(&mut self, link: LinkId, text: &str) {
         match decode::<ToEngine>(text).expect("a message") {
-            ToEngine::Completion { id, body } => self.told.push(Told {
+            ToEngine::Completion { id, body } => self.completions.push(SentCompletion {
                 link,
                 id,
                 body: *body,
@@ -189,12 +204,12 @@
             ToEngine::Cancel { id } => self.cancels.push((link, id)),
             ToEngine::Release { id } => self.releases.push((link, id)),
             ToEngine::Probe { id } => self.probes.push((link, id)),
-            ToEngine::Fault { message } => self.faults.push(message),
+            ToEngine::Fault { message } => self.fault_messages.push(message),
         }
     }
 
-    /// Lets time go by, waking the machine whenever it asks.
-    pub fn pass(&mut self, seconds: f64) {
+    /// Advances the clock, with a tick at each time at which the machine wants to be woken.
+    pub fn advance(&mut self, seconds: f64) {
         let end = self.now.after(seconds);
         while let Some(at) = self.machine.next_wake().filter(|at| *at <= end) {
             self.now = at.max(self.now);
@@ -207,7 +222,8 @@
         self.step(Input::Tick);
     }
 
-    pub fn open(&mut self, session: u64) -> SessionId {
+    /// Opens a client session without an authenticated caller.
+    pub fn open_session(&mut self, session: u64) -> SessionId {
         let session = SessionId(session);
         self.step(Input::SessionOpened {
             session,
@@ -216,7 +232,8 @@
         session
     }
 
-    pub fn ask(&mut self, session: SessionId, class: &str, key: &str, input: &str) {
+    /// Sends a client request; the start of the input is repeated in its metadata.
+    pub fn send_request(&mut self, session: SessionId, class: &str, key: &str, input: &str) {
         let text = serde_json::json!({
             "type": "response.create", "model": "m", "input": input,
             "metadata": { "class": class, "idempotency_key": key, "try": &input[..input.len().min(100)] },
@@ -227,55 +244,58 @@
         });
     }
 
-    pub fn says(&mut self, link: LinkId, message: &FromEngine) {
+    /// Delivers a message of a model server to the machine.
+    pub fn server_sends(&mut self, link: LinkId, message: &FromEngine) {
         self.step(Input::LinkText {
             link,
             text: encode(message),
         });
     }
 
-    /// Takes the oldest completion; a choice may wait a moment for its probes.
-    pub fn take(&mut self) -> Told {
-        if self.told.is_empty() {
-            self.pass(0.02);
+    /// Takes the oldest completion request. Where there is none yet, 20 ms pass first, as the choice of a server may wait
+    /// for load probes.
+    pub fn next_completion(&mut self) -> SentCompletion {
+        if self.completions.is_empty() {
+            self.advance(0.02);
         }
         assert!(
-            !self.told.is_empty(),
-            "no completion was told; log: {:?}",
+            !self.completions.is_empty(),
+            "no completion was sent; log: {:?}",
             self.logs
         );
-        self.told.remove(0)
+        self.completions.remove(0)
     }
 
-    /// The server has read the prompt.
-    pub fn read_done(&mut self, told: &Told) {
+    /// The server reports that a prefill attempt is complete and that it holds the KV cache.
+    pub fn finish_prefill(&mut self, completion: &SentCompletion) {
         let params = KvTransferParams {
             do_remote_prefill: true,
             remote_engine_id: Some("r".into()),
-            remote_request_id: Some(told.id.clone()),
+            remote_request_id: Some(completion.id.clone()),
             ..KvTransferParams::default()
         };
         let body = Chunk {
             kv_transfer_params: Some(params),
             ..Chunk::default()
         };
-        self.says(
-            told.link,
+        self.server_sends(
+            completion.link,
             &FromEngine::Chunk {
-                id: told.id.clone(),
+                id: completion.id.clone(),
                 body,
             },
         );
-        self.says(
-            told.link,
+        self.server_sends(
+            completion.link,
             &FromEngine::Done {
-                id: told.id.clone(),
+                id: completion.id.clone(),
                 load: None,
             },
         );
     }
 
-    pub fn piece(&mut self, told: &Told, text: &str, finish: Option<&str>) {
+    /// The server sends a chunk of the answer; with a finish reason it includes usage of 9 prompt and 2 output tokens.
+    pub fn send_chunk(&mut self, completion: &SentCompletion, text: &str, finish: Option<&str>) {
         let choice = Choice {
             index: 0,
             text: text.into(),
@@ -292,27 +312,29 @@
             usage,
             kv_transfer_params: None,
         };
-        self.says(
-            told.link,
+        self.server_sends(
+            completion.link,
             &FromEngine::Chunk {
-                id: told.id.clone(),
+                id: completion.id.clone(),
                 body,
             },
         );
     }
 
-    pub fn done(&mut self, told: &Told) {
-        self.says(
-            told.link,
+    /// The server ends an attempt, without a load report.
+    pub fn send_done(&mut self, completion: &SentCompletion) {
+        self.server_sends(
+            completion.link,
             &FromEngine::Done {
-                id: told.id.clone(),
+                id: completion.id.clone(),
                 load: None,
             },
         );
     }
 
-    /// The write's end, with what the server counted; without a prompt it counted nothing.
-    pub fn end(&mut self, told: &Told, prompt: u32, output: u32) {
+    /// The server sends the last chunk of a decode attempt and ends it. The chunk includes the usage in tokens, except where
+    /// `prompt` is 0.
+    pub fn finish_decode(&mut self, completion: &SentCompletion, prompt: u32, output: u32) {
         let choice = Choice {
             index: 0,
             text: "yes".into(),
@@ -330,25 +352,26 @@
             usage,
             kv_transfer_params: None,
         };
-        self.says(
-            told.link,
+        self.server_sends(
+            completion.link,
             &FromEngine::Chunk {
-                id: told.id.clone(),
+                id: completion.id.clone(),
                 body,
             },
         );
-        self.done(told);
+        self.send_done(completion);
     }
 
-    pub fn error(&mut self, told: &Told, status: u16, code: Option<&str>) {
+    /// The server answers an attempt with an error.
+    pub fn send_error(&mut self, completion: &SentCompletion, status: u16, code: Option<&str>) {
         let error = EngineError {
             message: "no".into(),
             code: code.map(str::to_string),
         };
-        self.says(
-            told.link,
+        self.server_sends(
+            completion.link,
             &FromEngine::Error {
-                id: told.id.clone(),
+                id: completion.id.clone(),
                 status,
                 error,
                 load: None,
@@ -356,31 +379,42 @@
         );
     }
 
-    /// Asks, reads, and gives the write that follows.
-    pub fn begin_write(&mut self, session: SessionId, class: &str, key: &str, input: &str) -> Told {
-        self.ask(session, class, key, input);
-        let read = self.take();
-        assert!(read.is_read(), "the first attempt reads");
-        self.pass(0.01);
-        self.read_done(&read);
-        self.take()
+    /// Sends a request, completes its prefill, and returns the decode attempt that follows.
+    pub fn start_decode(
+        &mut self,
+        session: SessionId,
+        class: &str,
+        key: &str,
+        input: &str,
+    ) -> SentCompletion {
+        self.send_request(session, class, key, input);
+        let prefill = self.next_completion();
+        assert!(prefill.is_prefill(), "the first attempt is a prefill");
+        self.advance(0.01);
+        self.finish_prefill(&prefill);
+        self.next_completion()
     }
 
-    /// Events said to a session since the last call.
-    pub fn heard(&mut self, session: SessionId) -> Vec<ServerEvent> {
-        let (mine, rest) = std::mem::take(&mut self.said)
+    /// Takes the events sent to a session since the last call.
+    pub fn take_events(&mut self, session: SessionId) -> Vec<ServerEvent> {
+        let (of_session, others) = std::mem::take(&mut self.client_events)
             .into_iter()
             .partition(|(s, _)| *s == session);
-        self.said = rest;
-        let mine: Vec<(SessionId, ServerEvent)> = mine;
-        mine.into_iter().map(|(_, e)| e).collect()
+        self.client_events = others;
+        let of_session: Vec<(SessionId, ServerEvent)> = of_session;
+        of_session.into_iter().map(|(_, e)| e).collect()
     }
 
-    pub fn kinds(&mut self, session: SessionId) -> Vec<String> {
-        self.heard(session).into_iter().map(|e| e.kind).collect()
+    /// Takes the events sent to a session since the last call and returns their types.
+    pub fn take_event_types(&mut self, session: SessionId) -> Vec<String> {
+        self.take_events(session)
+            .into_iter()
+            .map(|e| e.kind)
+            .collect()
     }
 
-    pub fn name_of(link: LinkId) -> &'static str {
+    /// Name of the server in [`four_servers`] that a link connects to; `?` for any other.
+    pub fn server_name(link: LinkId) -> &'static str {
         ["r1", "r2", "w1", "w2"]
             .into_iter()
             .find(|n| server_id(n) == link.server)
--- a/crates/core/tests/faults.rs
+++ b/crates/core/tests/faults.rs
@@ -6,10 +6,10 @@
 use bitternlatch_policy::interface::{Event, Outcome};
 use bitternlatch_protocol::client::Status;
 use bitternlatch_protocol::engine::{Chunk, FromEngine, CODE_FULL, CODE_STATE_GONE};
-use common::{four, hosts, Bench};
+use common::{four_servers, server_list, Harness};
 
 /// Attempt outcomes reported to the decision module since the last call.
-fn outcomes(b: &mut Bench) -> Vec<Outcome> {
+fn outcomes(b: &mut Harness) -> Vec<Outcome> {
     let ended = |e: Event| match e {
         Event::AttemptEnded(end) => Some(end.outcome),
         _ => None,
@@ -22,8 +22,8 @@
 }
 
 /// Status of a session's only final event, and for a failure whether it is safe to repeat.
-fn final_status(b: &mut Bench, s: bitternlatch_core::SessionId) -> (Status, Option<bool>) {
-    let events = b.heard(s);
+fn final_status(b: &mut Harness, s: bitternlatch_core::SessionId) -> (Status, Option<bool>) {
+    let events = b.take_events(s);
     let finals: Vec<_> = events.iter().filter(|e| e.is_final()).collect();
     assert_eq!(finals.len(), 1, "one final answer");
     let response = finals[0].response.clone().expect("a response");
@@ -33,10 +33,10 @@
 #[test]
 fn reset_after_finish_reason_completes_request() {
     for (finish, status) in [(Some("stop"), Status::Completed), (None, Status::Failed)] {
-        let mut b = Bench::ready(1);
-        let s = b.open(1);
-        let decode = b.begin_write(s, "booking", "k", "q");
-        b.piece(&decode, "last token", finish);
+        let mut b = Harness::ready(1);
+        let s = b.open_session(1);
+        let decode = b.start_decode(s, "booking", "k", "q");
+        b.send_chunk(&decode, "last token", finish);
         b.step(Input::LinkClosed {
             link: decode.link,
             reason: "reset".into(),
@@ -47,21 +47,21 @@
 
 #[test]
 fn safe_request_is_retried_after_failures() {
-    let mut b = Bench::ready(1);
+    let mut b = Harness::ready(1);
     b.machine.enable_trace();
-    let s = b.open(1);
-    let decode = b.begin_write(s, "query", "", "q");
+    let s = b.open_session(1);
+    let decode = b.start_decode(s, "query", "", "q");
     b.step(Input::LinkClosed {
         link: decode.link,
         reason: "reset".into(),
     });
-    let second = b.take();
+    let second = b.next_completion();
     assert!(
         second.link.server != decode.link.server,
         "not to the server whose link is down"
     );
-    b.error(&second, 503, Some(CODE_FULL));
-    b.pass(0.5);
+    b.send_error(&second, 503, Some(CODE_FULL));
+    b.advance(0.5);
     let reported = outcomes(&mut b);
     assert_eq!(
         reported[..3],
@@ -77,28 +77,28 @@
 
 #[test]
 fn lost_kv_cache_is_prefilled_again() {
-    let mut b = Bench::ready(1);
-    let s = b.open(1);
-    let decode = b.begin_write(s, "booking", "k", "q");
-    b.error(&decode, 409, Some(CODE_STATE_GONE));
-    let again = b.take();
+    let mut b = Harness::ready(1);
+    let s = b.open_session(1);
+    let decode = b.start_decode(s, "booking", "k", "q");
+    b.send_error(&decode, 409, Some(CODE_STATE_GONE));
+    let again = b.next_completion();
     assert!(
-        again.is_read(),
+        again.is_prefill(),
         "the decode never ran, so the prefill may be repeated"
     );
-    b.read_done(&again);
-    let decode = b.take();
-    b.piece(&decode, "ok", Some("stop"));
-    b.done(&decode);
+    b.finish_prefill(&again);
+    let decode = b.next_completion();
+    b.send_chunk(&decode, "ok", Some("stop"));
+    b.send_done(&decode);
     assert_eq!(final_status(&mut b, s).0, Status::Completed);
 }
 
 #[test]
 fn unsent_message_counts_as_not_run() {
-    let mut b = Bench::ready(1);
+    let mut b = Harness::ready(1);
     b.machine.enable_trace();
-    let s = b.open(1);
-    let decode = b.begin_write(s, "booking", "k", "q");
+    let s = b.open_session(1);
+    let decode = b.start_decode(s, "booking", "k", "q");
     b.step(Input::LinkUnsent {
         link: decode.link,
         attempt: decode.id.clone(),
@@ -107,36 +107,42 @@
         outcomes(&mut b),
         [Outcome::PrefillDone, Outcome::ConnectFailed]
     );
-    let second = b.take();
+    let second = b.next_completion();
     assert!(
-        !second.is_read(),
+        !second.is_prefill(),
         "a booking that was not sent is sent again with the same KV cache"
     );
 }
 
 #[test]
 fn queued_send_returns_when_server_drains() {
-    let mut b = Bench::new(1);
-    b.step(Input::ServerList(four()));
+    let mut b = Harness::new(1);
+    b.step(Input::ServerList(four_servers()));
     let (prefill_links, rest): (Vec<_>, Vec<_>) = b
-        .dials
+        .connecting_links
         .drain(..)
-        .partition(|l| Bench::name_of(*l).starts_with('r'));
-    b.dials = rest;
-    b.open_all(1000.0);
+        .partition(|l| Harness::server_name(*l).starts_with('r'));
+    b.connecting_links = rest;
+    b.connect_all(1000.0);
     for link in &prefill_links {
         b.step(Input::LinkUp { link: *link });
     }
-    let s = b.open(1);
-    b.ask(s, "query", "", "q");
-    assert!(b.told.is_empty(), "no prefill server has greeted yet");
+    let s = b.open_session(1);
+    b.send_request(s, "query", "", "q");
+    assert!(
+        b.completions.is_empty(),
+        "no prefill server has greeted yet"
+    );
     let rows = "r1,127.0.0.1,1,reader,draining\nr2,127.0.0.1,2,reader,draining\nw1,127.0.0.1,3,writer,\nw2,127.0.0.1,4,writer,\n";
-    b.step(Input::ServerList(hosts(rows)));
+    b.step(Input::ServerList(server_list(rows)));
     let prefill_servers_greet =
-        |b: &mut Bench| prefill_links.iter().for_each(|l| b.greet(*l, 1000.0));
+        |b: &mut Harness| prefill_links.iter().for_each(|l| b.send_hello(*l, 1000.0));
     prefill_servers_greet(&mut b);
-    b.pass(1.0);
-    assert!(b.told.is_empty(), "nothing is sent to a draining server");
+    b.advance(1.0);
+    assert!(
+        b.completions.is_empty(),
+        "nothing is sent to a draining server"
+    );
     assert_eq!(
         final_status(&mut b, s),
         (Status::Failed, Some(true)),
@@ -146,57 +152,60 @@
 
 #[test]
 fn draining_server_gets_no_new_requests() {
-    let mut b = Bench::ready(1);
-    let s = b.open(1);
-    let first = b.begin_write(s, "query", "", "q0");
+    let mut b = Harness::ready(1);
+    let s = b.open_session(1);
+    let first = b.start_decode(s, "query", "", "q0");
     let state = bitternlatch_protocol::engine::EngineState::Draining;
-    b.says(first.link, &FromEngine::State { state });
+    b.server_sends(first.link, &FromEngine::State { state });
     for i in 1..4 {
-        let decode = b.begin_write(s, "query", "", &format!("q{i}"));
+        let decode = b.start_decode(s, "query", "", &format!("q{i}"));
         assert_ne!(decode.link.server, first.link.server);
-        b.piece(&decode, "x", Some("stop"));
-        b.done(&decode);
+        b.send_chunk(&decode, "x", Some("stop"));
+        b.send_done(&decode);
     }
-    b.piece(&first, "running work goes on", Some("stop"));
-    b.done(&first);
-    assert!(b.heard(s).iter().filter(|e| e.is_final()).count() == 4);
+    b.send_chunk(&first, "running work goes on", Some("stop"));
+    b.send_done(&first);
+    assert!(b.take_events(s).iter().filter(|e| e.is_final()).count() == 4);
 }
 
 #[test]
 fn queued_send_returns_when_server_restarted() {
-    let mut b = Bench::new(1);
+    let mut b = Harness::new(1);
     b.machine.enable_trace();
-    b.step(Input::ServerList(hosts(
+    b.step(Input::ServerList(server_list(
         "r1,127.0.0.1,1,reader,\nw1,127.0.0.1,3,writer,\n",
     )));
-    let s = b.open(1);
-    b.ask(s, "query", "", "q");
-    let links = std::mem::take(&mut b.dials);
+    let s = b.open_session(1);
+    b.send_request(s, "query", "", "q");
+    let links = std::mem::take(&mut b.connecting_links);
     let prefill_link = links
         .iter()
-        .find(|l| Bench::name_of(**l) == "r1")
+        .find(|l| Harness::server_name(**l) == "r1")
         .copied()
         .expect("a connection to r1");
     b.step(Input::LinkUp { link: prefill_link });
-    b.greet(prefill_link, 0.5);
+    b.send_hello(prefill_link, 0.5);
     assert!(outcomes(&mut b).contains(&Outcome::ConnectFailed));
 }
 
 #[test]
 fn silent_server_is_reconnected() {
-    let mut b = Bench::new(1);
-    b.step(Input::ServerList(four()));
-    let links = std::mem::take(&mut b.dials);
+    let mut b = Harness::new(1);
+    b.step(Input::ServerList(four_servers()));
+    let links = std::mem::take(&mut b.connecting_links);
     links
         .iter()
         .for_each(|link| b.step(Input::LinkUp { link: *link }));
-    let s = b.open(1);
-    b.ask(s, "query", "", "q");
-    b.pass(2.5);
-    assert!(b.told.is_empty());
-    assert!(b.dials.len() >= 4, "all four servers are reconnected");
+    let s = b.open_session(1);
+    b.send_request(s, "query", "", "q");
+    b.advance(2.5);
+    assert!(b.completions.is_empty());
+    assert!(
+        b.connecting_links.len() >= 4,
+        "all four servers are reconnected"
+    );
     assert!(b.logs.iter().any(|l| l.contains("did not greet in time")));
-    b.pass(6.0);
+    b.advance(6.0);
     assert!(matches!(
         final_status(&mut b, s),
         (Status::Failed, Some(true))
@@ -206,15 +215,15 @@
 #[test]
 fn silent_attempt_ends_before_client_deadline() {
     for class in ["query", "booking"] {
-        let mut b = Bench::ready(1);
-        let s = b.open(1);
+        let mut b = Harness::ready(1);
+        let s = b.open_session(1);
         let start = b.now;
-        b.ask(s, class, "k", "q");
+        b.send_request(s, class, "k", "q");
         let deadline_s = if class == "query" { 6.0 } else { 12.0 };
         let mut answered_after = None;
         while b.now.since(start) < deadline_s + 1.0 {
-            b.pass(0.01);
-            if answered_after.is_none() && b.heard(s).iter().any(|e| e.is_final()) {
+            b.advance(0.01);
+            if answered_after.is_none() && b.take_events(s).iter().any(|e| e.is_final()) {
                 answered_after = Some(b.now.since(start));
             }
         }
@@ -230,27 +239,27 @@
 
 #[test]
 fn stalled_stream_fails_request() {
-    let mut b = Bench::ready(1);
-    let s = b.open(1);
-    let decode = b.begin_write(s, "query", "", "q");
-    b.piece(&decode, "one", None);
-    b.pass(5.0);
-    b.piece(&decode, "two", None);
-    b.pass(5.0);
+    let mut b = Harness::ready(1);
+    let s = b.open_session(1);
+    let decode = b.start_decode(s, "query", "", "q");
+    b.send_chunk(&decode, "one", None);
+    b.advance(5.0);
+    b.send_chunk(&decode, "two", None);
+    b.advance(5.0);
     assert!(
-        b.heard(s).iter().all(|e| !e.is_final()),
+        b.take_events(s).iter().all(|e| !e.is_final()),
         "the stream has not been silent for as long as the deadline"
     );
-    b.pass(1.5);
+    b.advance(1.5);
     assert_eq!(final_status(&mut b, s), (Status::Failed, Some(false)));
     assert_eq!(b.cancels, [(decode.link, decode.id)]);
 }
 
 #[test]
 fn invalid_engine_message_is_reported_back() {
-    let mut b = Bench::ready(1);
-    let s = b.open(1);
-    let decode = b.begin_write(s, "query", "", "q");
+    let mut b = Harness::ready(1);
+    let s = b.open_session(1);
+    let decode = b.start_decode(s, "query", "", "q");
     for text in [
         "{\"op\":\"chunk\",",
         "{\"op\":\"sing\"}",
@@ -262,8 +271,8 @@
             text: text.to_string(),
         });
     }
-    assert_eq!(b.faults.len(), 4);
-    let other = b.out.iter().find_map(|o| match o {
+    assert_eq!(b.fault_messages.len(), 4);
+    let other = b.outputs.iter().find_map(|o| match o {
         bitternlatch_core::Output::Connect { link, .. } if link.server != decode.link.server => {
             Some(*link)
         }
@@ -273,8 +282,8 @@
         id: decode.id.clone(),
         load: None,
     };
-    b.says(other.expect("a link to another server"), &from_other_server);
-    b.says(
+    b.server_sends(other.expect("a link to another server"), &from_other_server);
+    b.server_sends(
         decode.link,
         &FromEngine::Done {
             id: decode.id.replace('-', "-9"),
@@ -282,54 +291,54 @@
         },
     );
     assert!(
-        b.heard(s).iter().all(|e| !e.is_final()),
+        b.take_events(s).iter().all(|e| !e.is_final()),
         "neither message has an effect"
     );
-    b.piece(&decode, "fine", Some("stop"));
-    b.done(&decode);
+    b.send_chunk(&decode, "fine", Some("stop"));
+    b.send_done(&decode);
     assert_eq!(final_status(&mut b, s).0, Status::Completed);
 }
 
 #[test]
 fn oversized_answer_is_cancelled() {
-    let mut b = Bench::ready(1);
-    let s = b.open(1);
-    let decode = b.begin_write(s, "query", "", "q");
-    b.piece(&decode, "x", None);
+    let mut b = Harness::ready(1);
+    let s = b.open_session(1);
+    let decode = b.start_decode(s, "query", "", "q");
+    b.send_chunk(&decode, "x", None);
     let oversized = "x".repeat(40_000);
-    b.piece(&decode, &oversized, None);
+    b.send_chunk(&decode, &oversized, None);
     assert_eq!(final_status(&mut b, s), (Status::Failed, Some(false)));
     assert_eq!(b.cancels, [(decode.link, decode.id)]);
 }
 
 #[test]
 fn incomplete_prefill_or_decode_is_error() {
-    let mut b = Bench::ready(1);
+    let mut b = Harness::ready(1);
     b.machine.enable_trace();
-    let s = b.open(1);
-    b.ask(s, "query", "", "q");
-    let prefill = b.take();
-    b.says(
+    let s = b.open_session(1);
+    b.send_request(s, "query", "", "q");
+    let prefill = b.next_completion();
+    b.server_sends(
         prefill.link,
         &FromEngine::Chunk {
             id: prefill.id.clone(),
             body: Chunk::default(),
         },
     );
-    b.done(&prefill);
+    b.send_done(&prefill);
     assert_eq!(outcomes(&mut b), [Outcome::Error]);
-    let again = b.take();
-    b.read_done(&again);
-    let decode = b.take();
-    b.done(&decode);
+    let again = b.next_completion();
+    b.finish_prefill(&again);
+    let decode = b.next_completion();
+    b.send_done(&decode);
     assert_eq!(outcomes(&mut b), [Outcome::PrefillDone, Outcome::Error]);
 }
 
 #[test]
 fn invalid_load_is_no_report() {
-    let mut b = Bench::ready(1);
+    let mut b = Harness::ready(1);
     b.machine.enable_trace();
-    let s = b.open(1);
+    let s = b.open_session(1);
     let loads = [
         r#"{}"#,
         r#"{"kv_cache_usage_perc":-0.5}"#,
@@ -338,8 +347,8 @@
     ];
     let mut reports = Vec::new();
     for (i, load) in loads.iter().enumerate() {
-        let decode = b.begin_write(s, "query", "", &format!("q{i}"));
-        b.piece(&decode, "x", Some("stop"));
+        let decode = b.start_decode(s, "query", "", &format!("q{i}"));
+        b.send_chunk(&decode, "x", Some("stop"));
         let text = format!(r#"{{"op":"done","id":"{}","load":{load}}}"#, decode.id);
         b.step(Input::LinkText {
             link: decode.link,
@@ -358,22 +367,22 @@
 
 #[test]
 fn moved_server_is_reconnected_at_new_address() {
-    let mut b = Bench::ready(1);
-    let s = b.open(1);
-    let decode = b.begin_write(s, "query", "", "q");
+    let mut b = Harness::ready(1);
+    let s = b.open_session(1);
+    let decode = b.start_decode(s, "query", "", "q");
     let rows =
         "r1,127.0.0.1,1,reader,\nr2,127.0.0.1,2,reader,\nw1,127.0.0.1,33,writer,\nw2,127.0.0.1,44,writer,\n";
-    b.out.clear();
-    b.step(Input::ServerList(hosts(rows)));
+    b.outputs.clear();
+    b.step(Input::ServerList(server_list(rows)));
     let closed = b
-        .out
+        .outputs
         .contains(&bitternlatch_core::Output::CloseLink { link: decode.link });
-    assert!(closed && b.dials.len() == 2);
+    assert!(closed && b.connecting_links.len() == 2);
     b.step(Input::LinkClosed {
         link: decode.link,
         reason: "hung up".into(),
     });
-    b.open_all(1000.0);
-    b.pass(8.0);
+    b.connect_all(1000.0);
+    b.advance(8.0);
     final_status(&mut b, s);
 }
--- a/crates/core/tests/observations.rs
+++ b/crates/core/tests/observations.rs
@@ -6,10 +6,10 @@
 use bitternlatch_membership::QuorumState;
 use bitternlatch_policy::interface::{Event, Observation};
 use bitternlatch_quota_lease::{PeerReport, ServerCondition, ServerNumber};
-use common::{four, hosts, Bench, SETTINGS};
+use common::{four_servers, server_list, Harness, SETTINGS};
 use std::time::Duration;
 
-fn cluster() -> Bench {
+fn cluster() -> Harness {
     let mut text = format!("{SETTINGS}[cluster]\nname = \"hall\"\nsecret = \"secret\"\n");
     for i in 1..=3 {
         let (name, port) = (format!("d{i}"), 7000 + i);
@@ -17,14 +17,14 @@
             "[[cluster.roster]]\nname = \"{name}\"\naddress = \"127.0.0.1:{port}\"\nclients = \"c{i}\"\n"
         );
     }
-    let mut bench = Bench::with(Settings::parse("test", &text).expect("settings"), 5);
-    bench.step(Input::ServerList(four()));
-    bench.open_all(1000.0);
+    let mut bench = Harness::with(Settings::parse("test", &text).expect("settings"), 5);
+    bench.step(Input::ServerList(four_servers()));
+    bench.connect_all(1000.0);
     stand(&mut bench, QuorumState::Whole);
     bench
 }
 
-fn stand(bench: &mut Bench, standing: QuorumState) {
+fn stand(bench: &mut Harness, standing: QuorumState) {
     let until = Micros(bench.now.0 + 3_600_000_000);
     bench.step(Input::QuorumState {
         state: standing,
@@ -34,17 +34,17 @@
 }
 
 /// What was told to peers last, without the times.
-fn told(bench: &Bench) -> Option<Vec<(u32, ServerCondition)>> {
+fn told(bench: &Harness) -> Option<Vec<(u32, ServerCondition)>> {
     let last = |o: &Output| match o {
         Output::Observations(seen) => {
             Some(seen.iter().map(|o| (o.server.0, o.condition)).collect())
         }
         _ => None,
     };
-    bench.out.iter().rev().find_map(last)
+    bench.outputs.iter().rev().find_map(last)
 }
 
-fn hear(bench: &mut Bench, host: &str, what: ServerCondition, voices: u8, at: Micros) {
+fn hear(bench: &mut Harness, host: &str, what: ServerCondition, voices: u8, at: Micros) {
     let heard = vec![PeerReport {
         server: ServerNumber(server_id(host)),
         condition: what,
@@ -59,10 +59,10 @@
 }
 
 /// The end of an ask of this class that is refused: code, and where else to try.
-fn refused(bench: &mut Bench, class: &str, key: &str) -> Option<(String, Vec<String>)> {
-    let session = bench.open(key.bytes().fold(7, |n, b| n * 31 + u64::from(b)));
-    bench.ask(session, class, key, "words");
-    let error = bench.heard(session).pop()?.error?;
+fn refused(bench: &mut Harness, class: &str, key: &str) -> Option<(String, Vec<String>)> {
+    let session = bench.open_session(key.bytes().fold(7, |n, b| n * 31 + u64::from(b)));
+    bench.send_request(session, class, key, "words");
+    let error = bench.take_events(session).pop()?.error?;
     let elsewhere = error["elsewhere"]
         .as_array()
         .into_iter()
@@ -77,55 +77,55 @@
 #[test]
 fn server_observations_are_reported_and_withdrawn() {
     let mut bench = cluster();
-    bench.pass(1.0);
+    bench.advance(1.0);
     assert_eq!(told(&bench), None, "nothing to tell");
     let list = "r1,127.0.0.1,1,reader,\nr2,127.0.0.1,2,reader,draining\nw1,127.0.0.1,3,writer,\nw2,127.0.0.1,4,writer,\n";
-    bench.step(Input::ServerList(hosts(list)));
-    bench.pass(0.3);
+    bench.step(Input::ServerList(server_list(list)));
+    bench.advance(0.3);
     assert_eq!(
         told(&bench),
         Some(vec![(server_id("r2"), ServerCondition::Draining)])
     );
-    bench.step(Input::ServerList(four()));
-    bench.pass(0.3);
+    bench.step(Input::ServerList(four_servers()));
+    bench.advance(0.3);
     assert_eq!(told(&bench), Some(vec![]));
-    let session = bench.open(1);
-    let write = bench.begin_write(session, "booking", "k", "q");
+    let session = bench.open_session(1);
+    let write = bench.start_decode(session, "booking", "k", "q");
     bench.step(Input::LinkClosed {
         link: write.link,
         reason: "reset".into(),
     });
-    bench.pass(0.3);
+    bench.advance(0.3);
     assert_eq!(told(&bench), Some(vec![]), "a short break");
-    bench.pass(0.7);
+    bench.advance(0.7);
     assert_eq!(
         told(&bench),
         Some(vec![(write.link.server, ServerCondition::Failing)])
     );
     // It comes up anew, started a moment ago.
-    bench.pass(3.0);
-    bench.open_all(1.0);
-    bench.pass(0.3);
+    bench.advance(3.0);
+    bench.connect_all(1.0);
+    bench.advance(0.3);
     assert_eq!(
         told(&bench),
         Some(vec![(write.link.server, ServerCondition::WarmingUp)])
     );
-    bench.pass(20.0);
+    bench.advance(20.0);
     assert_eq!(told(&bench), Some(vec![]));
 }
 
 #[test]
 fn failure_streak_is_reported_until_success() {
     let mut bench = cluster();
-    let session = bench.open(1);
+    let session = bench.open_session(1);
     for n in 0..6 {
-        bench.ask(session, "query", &format!("k{n}"), "words");
-        while let Some(read) = bench.told.pop() {
-            bench.error(&read, 500, None);
+        bench.send_request(session, "query", &format!("k{n}"), "words");
+        while let Some(read) = bench.completions.pop() {
+            bench.send_error(&read, 500, None);
         }
-        bench.heard(session);
+        bench.take_events(session);
     }
-    bench.pass(0.3);
+    bench.advance(0.3);
     let failing = told(&bench).expect("something seen");
     assert!(
         !failing.is_empty()
@@ -134,7 +134,7 @@
                 .all(|(_, what)| *what == ServerCondition::Failing),
         "{failing:?}"
     );
-    bench.pass(4.0);
+    bench.advance(4.0);
     assert_eq!(told(&bench), Some(vec![]), "it is not seen for ever");
 }
 
@@ -186,13 +186,13 @@
             reason: "no route".into(),
         });
     }
-    bench.pass(0.5);
+    bench.advance(0.5);
     assert_ne!(
         refused(&mut bench, "query", "a").map(|r| r.0),
         Some("cut_off".into()),
         "a short break"
     );
-    bench.pass(1.5);
+    bench.advance(1.5);
     let expected = Some(("cut_off".to_string(), vec!["c2".to_string()]));
     assert_eq!(refused(&mut bench, "query", "b"), expected);
     assert!(!bench.machine.is_ready(bench.now));
@@ -212,9 +212,9 @@
         Some("cut_off".into())
     );
     stand(&mut bench, QuorumState::Whole);
-    bench.pass(3.0);
-    bench.open_all(1000.0);
-    bench.pass(0.3);
+    bench.advance(3.0);
+    bench.connect_all(1000.0);
+    bench.advance(0.3);
     assert_eq!(refused(&mut bench, "query", "e"), None);
     assert!(bench.machine.is_ready(bench.now));
 }
@@ -223,17 +223,17 @@
 fn unreadable_list_drains_by_peer_reports() {
     let mut bench = cluster();
     let now = bench.now;
-    let goes_to_r1 = |bench: &mut Bench, from: u32| {
-        let session = bench.open(u64::from(from));
+    let goes_to_r1 = |bench: &mut Harness, from: u32| {
+        let session = bench.open_session(u64::from(from));
         let mut first = 0;
         for n in 0..20 {
-            bench.ask(session, "query", &format!("{from}/{n}"), "words");
-            let read = bench.take();
+            bench.send_request(session, "query", &format!("{from}/{n}"), "words");
+            let read = bench.next_completion();
             first += usize::from(read.link.server == server_id("r1"));
-            bench.read_done(&read);
-            let write = bench.take();
-            bench.end(&write, 10, 1);
-            bench.heard(session);
+            bench.finish_prefill(&read);
+            let write = bench.next_completion();
+            bench.finish_decode(&write, 10, 1);
+            bench.take_events(session);
         }
         first
     };
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -7,9 +7,9 @@
 use bitternlatch_membership::QuorumState;
 use bitternlatch_overload::{Ask, Cut, Millionths, Told as Word};
 use bitternlatch_protocol::engine::FromEngine;
-use common::{four, Bench, Told, SETTINGS};
+use common::{four_servers, Harness, SentCompletion, SETTINGS};
 
-fn bench(overload: &str) -> Bench {
+fn bench(overload: &str) -> Harness {
     let mut text = format!("{SETTINGS}[cluster]\nname = \"hall\"\nsecret = \"secret\"\n{overload}");
     for i in 1..=4 {
         text += &format!(
@@ -18,9 +18,9 @@
         );
     }
     let settings = Settings::parse("test", &text).expect("settings");
-    let mut bench = Bench::with(settings, 5);
-    bench.step(Input::ServerList(four()));
-    bench.open_all(1000.0);
+    let mut bench = Harness::with(settings, 5);
+    bench.step(Input::ServerList(four_servers()));
+    bench.connect_all(1000.0);
     let until = Micros(bench.now.0 + 60_000_000);
     bench.step(Input::QuorumState {
         state: QuorumState::Whole,
@@ -30,11 +30,11 @@
     bench
 }
 
-fn on() -> Bench {
+fn on() -> Harness {
     bench("overload = {}\n")
 }
 
-fn told(bench: &mut Bench, rank: f64, fresh: f64, for_s: f64) {
+fn told(bench: &mut Harness, rank: f64, fresh: f64, for_s: f64) {
     let now = Duration::from_micros(bench.now.0);
     let until = now + Duration::from_secs_f64(for_s);
     let m = Millionths::of;
@@ -54,9 +54,9 @@
 }
 
 /// The session's final refusal, if it has one: when to come back, seconds.
-fn refusal(bench: &mut Bench, session: SessionId) -> Option<f64> {
+fn refusal(bench: &mut Harness, session: SessionId) -> Option<f64> {
     let error = bench
-        .heard(session)
+        .take_events(session)
         .into_iter()
         .find_map(|e| e.response?.error)?;
     assert_eq!(
@@ -66,9 +66,9 @@
     Some(error.retry_after_ms.expect("when to come back") as f64 / 1000.0)
 }
 
-fn asked(bench: &mut Bench, number: u64) -> Option<f64> {
-    let session = bench.open(number);
-    bench.ask(session, "query", &format!("k{number}"), "words");
+fn asked(bench: &mut Harness, number: u64) -> Option<f64> {
+    let session = bench.open_session(number);
+    bench.send_request(session, "query", &format!("k{number}"), "words");
     refusal(bench, session)
 }
 
@@ -83,10 +83,10 @@
     let times: std::collections::BTreeSet<u64> =
         waits.iter().map(|w| (w * 1000.0) as u64).collect();
     assert!(times.len() > 15, "not in step: {waits:?}");
-    assert!(bench.told.is_empty());
+    assert!(bench.completions.is_empty());
     told(&mut bench, 0.0, 100.0, 1.0);
     assert_eq!(asked(&mut bench, 99), None);
-    assert!(bench.take().is_read());
+    assert!(bench.next_completion().is_prefill());
 }
 
 #[test]
@@ -108,13 +108,13 @@
 }
 
 /// The first read of a request fails where it may have run; gives the attempt that follows, if there is one.
-fn second(bench: &mut Bench, number: u64) -> Option<Told> {
-    let session = bench.open(number);
-    bench.ask(session, "query", &format!("k{number}"), "words");
-    let read = bench.take();
-    bench.error(&read, 500, None);
-    bench.pass(0.1);
-    bench.told.pop()
+fn second(bench: &mut Harness, number: u64) -> Option<SentCompletion> {
+    let session = bench.open_session(number);
+    bench.send_request(session, "query", &format!("k{number}"), "words");
+    let read = bench.next_completion();
+    bench.send_error(&read, 500, None);
+    bench.advance(0.1);
+    bench.completions.pop()
 }
 
 #[test]
@@ -128,9 +128,11 @@
     told(&mut bench, 0.1, 100.0, 1.0);
     assert!(second(&mut bench, 2).is_some(), "a quarter of 10");
     let mut bench = on();
-    let session = bench.open(3);
+    let session = bench.open_session(3);
     told(&mut bench, 0.1, 0.0, 1.0);
-    assert!(!bench.begin_write(session, "query", "k3", "words").is_read());
+    assert!(!bench
+        .start_decode(session, "query", "k3", "words")
+        .is_prefill());
 }
 
 #[test]
@@ -141,9 +143,9 @@
     bench.step(Input::Overload(Word::Probe { host }));
     let (link, id) = bench.probes.pop().expect("a probe");
     let load = std::iter::once(("kv_cache_usage_perc".to_string(), 0.25)).collect();
-    bench.says(link, &FromEngine::Load { id, load });
+    bench.server_sends(link, &FromEngine::Load { id, load });
     let passed = |o: &Output| matches!(o, Output::Overload(Ask::Probed { host: h, report }) if *h == host && report.len() == 1);
-    assert_eq!(bench.out.iter().filter(|o| passed(o)).count(), 1);
+    assert_eq!(bench.outputs.iter().filter(|o| passed(o)).count(), 1);
 }
 
 #[test]
@@ -156,8 +158,11 @@
     }));
     assert!(bench.probes.is_empty());
     assert!((0..50).all(|n| asked(&mut bench, n).is_none()));
-    bench.pass(1.0);
-    assert!(!bench.out.iter().any(|o| matches!(o, Output::Overload(_))));
+    bench.advance(1.0);
+    assert!(!bench
+        .outputs
+        .iter()
+        .any(|o| matches!(o, Output::Overload(_))));
     let bad = format!("{SETTINGS}[cluster]\nname = \"h\"\nsecret = \"s\"\noverload = {{ wait_share = 9.0 }}\nroster = [{{ name = \"d1\", address = \"127.0.0.1:7001\" }}]\n");
     assert!(Settings::parse("test", &bad)
         .expect_err("a bad share")
@@ -165,17 +170,17 @@
         .contains("wait_share"));
 }
 
-fn at(bench: &Bench, name: &str) -> Vec<Told> {
+fn at(bench: &Harness, name: &str) -> Vec<SentCompletion> {
     bench
-        .told
+        .completions
         .iter()
-        .filter(|t| Bench::name_of(t.link) == name)
+        .filter(|t| Harness::server_name(t.link) == name)
         .cloned()
         .collect()
 }
 
 /// Reads at r1 and r2 of some requests after r1 was given leave for so many until a time from now.
-fn on_trial(many: u32, for_s: u64) -> Bench {
+fn on_trial(many: u32, for_s: u64) -> Harness {
     let mut bench = on();
     told(&mut bench, 0.0, 100.0, 60.0);
     let host = bitternlatch_inventory::server_id("r1");
@@ -183,7 +188,7 @@
     bench.step(Input::Overload(Word::Trial { host, many, until }));
     for n in 0..8 {
         asked(&mut bench, n);
-        bench.pass(0.05);
+        bench.advance(0.05);
     }
     bench
 }
@@ -199,11 +204,11 @@
     failing
         .iter()
         .take(3)
-        .for_each(|t| bench.error(t, 500, None));
+        .for_each(|t| bench.send_error(t, 500, None));
     let r1 = bitternlatch_inventory::server_id("r1");
     let told = |o: &&Output| matches!(o, Output::Overload(Ask::Tried { host, well: false }) if *host == r1);
     assert_eq!(
-        bench.out.iter().filter(told).count(),
+        bench.outputs.iter().filter(told).count(),
         2,
         "from the second on"
     );
@@ -212,8 +217,8 @@
 #[test]
 fn shed_step_sends_no_workflow_command() {
     let mut bench = bench("overload = {}\nworkflows = {}\n");
-    let step = |bench: &mut Bench, number: u64, step: u32| {
-        let session = bench.open(number);
+    let step = |bench: &mut Harness, number: u64, step: u32| {
+        let session = bench.open_session(number);
         let meta = serde_json::json!({ "class": "query", "idempotency_key": format!("k{number}"), "workflow": "season",
             "workflow_epoch": "1", "workflow_step": step.to_string() });
         let create = serde_json::json!({ "type": "response.create", "model": "m", "input": "words", "metadata": meta });
@@ -221,10 +226,10 @@
             session,
             text: create.to_string(),
         });
-        let asks = std::mem::take(&mut bench.out)
+        let asks = std::mem::take(&mut bench.outputs)
             .into_iter()
             .filter(|o| matches!(o, Output::Workflow(_)));
-        (asks.count(), bench.heard(session))
+        (asks.count(), bench.take_events(session))
     };
     told(&mut bench, 48.0, 100.0, 1.0);
     let (asks, heard) = step(&mut bench, 1, 1);
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -3,13 +3,13 @@
 
 use bitternlatch_core::{Input, Micros, Settings};
 use bitternlatch_membership::QuorumState;
-use common::{four, Bench, SETTINGS};
+use common::{four_servers, Harness, SETTINGS};
 
 /// 1,000 tokens saved, a hundred a second, over ten dispatchers; an amount a day beside it.
 const BUDGET: &str = "\n[[tenants]]\nname = \"bands\"\nquota_rps = 1000\n\
     budget = { rate = { tokens_per_s = 100, burst_tokens = 1000 } }\n";
 
-fn cluster() -> Bench {
+fn cluster() -> Harness {
     let mut text = format!("{SETTINGS}{BUDGET}[cluster]\nname = \"hall\"\nsecret = \"secret\"\n");
     for i in 1..=10 {
         text += &format!(
@@ -18,13 +18,13 @@
         );
     }
     let settings = Settings::parse("test", &text).expect("settings");
-    let mut bench = Bench::with(settings, 5);
-    bench.step(Input::ServerList(four()));
-    bench.open_all(1000.0);
+    let mut bench = Harness::with(settings, 5);
+    bench.step(Input::ServerList(four_servers()));
+    bench.connect_all(1000.0);
     bench
 }
 
-fn lend(bench: &mut Bench, lent: f64, for_s: f64) {
+fn lend(bench: &mut Harness, lent: f64, for_s: f64) {
     let until = Micros(bench.now.0 + (for_s * 1e6) as u64);
     bench.step(Input::QuorumState {
         state: QuorumState::Whole,
@@ -38,8 +38,8 @@
 }
 
 /// Whether a request of a hundred tokens' prompt and so many more is taken now.
-fn takes(bench: &mut Bench, key: &str, output: u32) -> bool {
-    let session = bench.open(key.bytes().fold(1000, |n, b| n * 7 + u64::from(b)));
+fn takes(bench: &mut Harness, key: &str, output: u32) -> bool {
+    let session = bench.open_session(key.bytes().fold(1000, |n, b| n * 7 + u64::from(b)));
     let text = serde_json::json!({ "type": "response.create", "model": "m", "input": "x".repeat(400),
         "max_output_tokens": output, "metadata": { "class": "query", "idempotency_key": key } });
     bench.step(Input::SessionText {
@@ -47,17 +47,17 @@
         text: text.to_string(),
     });
     bench
-        .kinds(session)
+        .take_event_types(session)
         .contains(&"response.created".to_string())
 }
 
 /// Spends so many tokens, which must be taken.
-fn spends(bench: &mut Bench, key: &str, output: u32) {
+fn spends(bench: &mut Harness, key: &str, output: u32) {
     assert!(takes(bench, key, output));
-    let read = bench.take();
-    bench.read_done(&read);
-    let write = bench.take();
-    bench.end(&write, 100, output);
+    let read = bench.next_completion();
+    bench.finish_prefill(&read);
+    let write = bench.next_completion();
+    bench.finish_decode(&write, 100, output);
 }
 
 #[test]
@@ -65,9 +65,9 @@
     let mut bench = cluster();
     // A tenth of a tenth: 10 tokens saved, one a second. A larger request is taken when that is full, and owed.
     spends(&mut bench, "a", 100);
-    bench.pass(150.0);
+    bench.advance(150.0);
     assert!(!takes(&mut bench, "b", 10), "190 are owed");
-    bench.pass(55.0);
+    bench.advance(55.0);
     assert!(takes(&mut bench, "c", 10));
 }
 
@@ -80,9 +80,9 @@
     // It stands still for a minute; the part has ended within it, and counts for its two seconds alone.
     bench.now = Micros(bench.now.0 + 60_000_000);
     assert!(!takes(&mut bench, "b", 10), "191 - 102 - 58 are owed still");
-    bench.pass(30.0);
+    bench.advance(30.0);
     assert!(!takes(&mut bench, "c", 10));
-    bench.pass(15.0);
+    bench.advance(15.0);
     assert!(takes(&mut bench, "d", 10));
 }
 
@@ -90,7 +90,7 @@
 fn smaller_quota_lease_applies_at_once() {
     let mut bench = cluster();
     lend(&mut bench, 0.9, 100.0);
-    bench.pass(20.0);
+    bench.advance(20.0);
     lend(&mut bench, 0.1, 100.0);
     // Of the 910 saved 110 are left: a tenth and the careful part.
     assert!(takes(&mut bench, "a", 10));
@@ -101,7 +101,7 @@
 fn cut_off_dispatcher_spends_unleased_quota() {
     let mut bench = cluster();
     lend(&mut bench, 0.9, 100.0);
-    bench.pass(20.0);
+    bench.advance(20.0);
     let until = Micros(bench.now.0 + 80_000_000);
     bench.step(Input::QuorumState {
         state: QuorumState::CutOff,
@@ -116,9 +116,9 @@
 #[test]
 fn quota_lease_without_cluster_is_ignored() {
     let settings = Settings::parse("test", &format!("{SETTINGS}{BUDGET}")).expect("settings");
-    let mut bench = Bench::with(settings, 5);
-    bench.step(Input::ServerList(four()));
-    bench.open_all(1000.0);
+    let mut bench = Harness::with(settings, 5);
+    bench.step(Input::ServerList(four_servers()));
+    bench.connect_all(1000.0);
     lend(&mut bench, 0.0, 0.0);
     assert!(
         takes(&mut bench, "a", 890),
--- a/crates/core/tests/workflows.rs
+++ b/crates/core/tests/workflows.rs
@@ -6,7 +6,7 @@
 use bitternlatch_membership::QuorumState;
 use bitternlatch_protocol::client::ServerEvent;
 use bitternlatch_workflow::{AttemptOutcome, Call, Command, Effect, Event, RejectReason};
-use common::{four, Bench, Told as Sent, SETTINGS};
+use common::{four_servers, Harness, SentCompletion as Sent, SETTINGS};
 use serde_json::json;
 
 fn text(on: bool) -> String {
@@ -20,10 +20,10 @@
     text + if on { "[cluster.workflows]\n" } else { "" }
 }
 
-fn bench(on: bool) -> Bench {
-    let mut bench = Bench::with(Settings::parse("test", &text(on)).expect("settings"), 5);
-    bench.step(Input::ServerList(four()));
-    bench.open_all(1000.0);
+fn bench(on: bool) -> Harness {
+    let mut bench = Harness::with(Settings::parse("test", &text(on)).expect("settings"), 5);
+    bench.step(Input::ServerList(four_servers()));
+    bench.connect_all(1000.0);
     let until = Micros(bench.now.0 + 3_600_000_000);
     bench.step(Input::QuorumState {
         state: QuorumState::Whole,
@@ -33,7 +33,7 @@
     bench
 }
 
-fn say(bench: &mut Bench, session: SessionId, class: &str, does: &[(&str, &str)]) {
+fn say(bench: &mut Harness, session: SessionId, class: &str, does: &[(&str, &str)]) {
     let mut meta = json!({ "class": class, "idempotency_key": "k1", "workflow": "season" });
     does.iter()
         .for_each(|(key, value)| meta[*key] = json!(value));
@@ -45,7 +45,7 @@
     });
 }
 
-fn step(bench: &mut Bench, session: SessionId, class: &str, epoch: &str) {
+fn step(bench: &mut Harness, session: SessionId, class: &str, epoch: &str) {
     say(
         bench,
         session,
@@ -55,8 +55,8 @@
 }
 
 /// What the workflow coordinator was asked since the last call.
-fn asked(bench: &mut Bench) -> Vec<Command> {
-    let all = std::mem::take(&mut bench.out);
+fn asked(bench: &mut Harness) -> Vec<Command> {
+    let all = std::mem::take(&mut bench.outputs);
     all.into_iter()
         .filter_map(|o| {
             if let Output::Workflow(ask) = o {
@@ -68,34 +68,34 @@
         .collect()
 }
 
-fn one(bench: &mut Bench) -> Command {
+fn one(bench: &mut Harness) -> Command {
     let mut all = asked(bench);
     assert_eq!(all.len(), 1, "{all:?}");
     all.remove(0)
 }
 
-fn tell(bench: &mut Bench, told: Event) {
+fn tell(bench: &mut Harness, told: Event) {
     bench.step(Input::Workflow(told));
 }
 
 /// The question is answered with a permission of so many seconds.
-fn go(bench: &mut Bench, call: Call, seconds: f64) {
+fn go(bench: &mut Harness, call: Call, seconds: f64) {
     let until_us = bench.now.after(seconds).0;
     tell(bench, Event::SendPermitted { call, until_us });
 }
 
 /// Begins a step and gives its write at a server; its intent is held.
-fn written(bench: &mut Bench, session: SessionId, class: &str) -> Sent {
+fn written(bench: &mut Harness, session: SessionId, class: &str) -> Sent {
     step(bench, session, class, "4");
     let call = one(bench).call();
     go(bench, call, 60.0);
-    let read = bench.take();
-    bench.read_done(&read);
-    bench.take()
+    let read = bench.next_completion();
+    bench.finish_prefill(&read);
+    bench.next_completion()
 }
 
-fn last(bench: &mut Bench, session: SessionId) -> ServerEvent {
-    bench.heard(session).pop().expect("an event")
+fn last(bench: &mut Harness, session: SessionId) -> ServerEvent {
+    bench.take_events(session).pop().expect("an event")
 }
 
 fn code(event: &ServerEvent) -> String {
@@ -123,10 +123,10 @@
 #[test]
 fn step_is_sent_after_intent_and_answered_after_result() {
     let mut bench = bench(true);
-    let s = bench.open(1);
+    let s = bench.open_session(1);
     step(&mut bench, s, "booking", "4");
-    bench.pass(1.0);
-    assert!(bench.told.is_empty() && bench.heard(s).is_empty());
+    bench.advance(1.0);
+    assert!(bench.completions.is_empty() && bench.take_events(s).is_empty());
     let intent = one(&mut bench);
     let Command::Intend {
         call,
@@ -147,13 +147,13 @@
         "the request's own time"
     );
     go(&mut bench, call, 60.0);
-    let read = bench.take();
-    bench.read_done(&read);
-    let write = bench.take();
-    bench.piece(&write, "yes", None);
-    bench.end(&write, 9, 2);
+    let read = bench.next_completion();
+    bench.finish_prefill(&read);
+    let write = bench.next_completion();
+    bench.send_chunk(&write, "yes", None);
+    bench.finish_decode(&write, 9, 2);
     assert_eq!(
-        bench.kinds(s),
+        bench.take_event_types(s),
         [
             "response.created",
             "response.output_text.delta",
@@ -184,9 +184,9 @@
             reason: RejectReason::Busy,
         },
     );
-    bench.pass(0.2);
+    bench.advance(0.2);
     assert!(
-        bench.heard(s).is_empty(),
+        bench.take_events(s).is_empty(),
         "it is told again, and still waited for"
     );
     let call = one(&mut bench).call();
@@ -202,7 +202,7 @@
 #[test]
 fn completed_step_is_answered_without_server() {
     let mut bench = bench(true);
-    let s = bench.open(1);
+    let s = bench.open_session(1);
     step(&mut bench, s, "booking", "4");
     let call = one(&mut bench).call();
     tell(
@@ -221,7 +221,11 @@
         text: text.to_string(),
     });
     assert!(
-        bench.take().body.prompt.contains("assistant: booked"),
+        bench
+            .next_completion()
+            .body
+            .prompt
+            .contains("assistant: booked"),
         "the conversation goes on from it"
     );
     for (why, wanted, again) in [
@@ -239,7 +243,7 @@
         );
     }
     step(&mut bench, s, "booking", "4");
-    bench.pass(13.0);
+    bench.advance(13.0);
     assert_eq!(
         code(&last(&mut bench, s)),
         "workflow_no_majority",
@@ -266,7 +270,7 @@
     tell(&mut bench, told);
     assert!(answer_of(&last(&mut bench, s)).starts_with("{\"epoch\":5,"));
     assert!(
-        bench.told.iter().all(|t| t.body.prompt != "book"),
+        bench.completions.iter().all(|t| t.body.prompt != "book"),
         "no host is asked for any of it"
     );
 }
@@ -274,16 +278,16 @@
 #[test]
 fn expired_send_permission_is_not_used() {
     let mut bench = bench(true);
-    let s = bench.open(1);
+    let s = bench.open_session(1);
     step(&mut bench, s, "booking", "4");
     let call = one(&mut bench).call();
     go(&mut bench, call, 3.0);
-    let read = bench.take();
+    let read = bench.next_completion();
     // A minute between two instructions: what is due and what has come are taken at once.
     bench.now = bench.now.after(4.0);
-    bench.read_done(&read);
-    bench.pass(0.1);
-    assert!(bench.told.is_empty(), "no write");
+    bench.finish_prefill(&read);
+    bench.advance(0.1);
+    assert!(bench.completions.is_empty(), "no write");
     let told = asked(&mut bench);
     let [Command::ReportOutcome {
         outcome: AttemptOutcome::NeverRan,
@@ -304,7 +308,7 @@
             reason: RejectReason::Fenced,
         },
     );
-    assert!(bench.told.is_empty(), "another has it");
+    assert!(bench.completions.is_empty(), "another has it");
     assert!(
         asked(&mut bench).is_empty(),
         "that nothing ran is told already"
@@ -318,13 +322,13 @@
     step(&mut bench, s, "booking", "4");
     let call = one(&mut bench).call();
     go(&mut bench, call, 1.0);
-    let read = bench.take();
-    bench.pass(1.2);
-    bench.read_done(&read);
-    assert!(bench.told.is_empty());
+    let read = bench.next_completion();
+    bench.advance(1.2);
+    bench.finish_prefill(&read);
+    assert!(bench.completions.is_empty());
     let call = asked(&mut bench).pop().expect("a question").call();
     go(&mut bench, call, 1.0);
-    assert!(!bench.take().is_read());
+    assert!(!bench.next_completion().is_prefill());
 }
 
 #[test]
@@ -334,13 +338,13 @@
         (1, None, "server_error"),
         (2, Some(RejectReason::Fenced), "workflow_fenced"),
     ] {
-        let s = bench.open(s);
+        let s = bench.open_session(s);
         let write = written(&mut bench, s, "booking");
-        bench.end(&write, 9, 2);
+        bench.finish_decode(&write, 9, 2);
         let call = one(&mut bench).call();
         match told {
             Some(why) => tell(&mut bench, Event::Rejected { call, reason: why }),
-            None => bench.pass(13.0),
+            None => bench.advance(13.0),
         }
         let end = last(&mut bench, s);
         assert_eq!(
@@ -354,10 +358,10 @@
                 .safe_to_repeat
         );
     }
-    let s = bench.open(3);
+    let s = bench.open_session(3);
     let write = written(&mut bench, s, "booking");
-    bench.error(&write, 500, None);
-    bench.pass(0.1);
+    bench.send_error(&write, 500, None);
+    bench.advance(0.1);
     let Some(Command::ReportOutcome { outcome: fate, .. }) = asked(&mut bench).pop() else {
         panic!("its end")
     };
@@ -371,13 +375,13 @@
 #[test]
 fn repeated_step_attaches_to_running_attempt() {
     let mut bench = bench(true);
-    let (a, b) = (bench.open(1), bench.open(2));
+    let (a, b) = (bench.open_session(1), bench.open_session(2));
     let write = written(&mut bench, a, "booking");
     bench.step(Input::SessionClosed { session: a });
-    bench.piece(&write, "yes", None);
+    bench.send_chunk(&write, "yes", None);
     step(&mut bench, b, "booking", "4");
     assert!(asked(&mut bench).is_empty(), "it is the same step");
-    bench.end(&write, 9, 2);
+    bench.finish_decode(&write, 9, 2);
     let call = one(&mut bench).call();
     tell(&mut bench, Event::Committed { call });
     assert_eq!(answer_of(&last(&mut bench, b)), "yesyes");
@@ -393,7 +397,7 @@
         }]
     ));
     // One that leaves before its intent is held leaves nothing open.
-    let c = bench.open(3);
+    let c = bench.open_session(3);
     step(&mut bench, c, "booking", "4");
     let call = one(&mut bench).call();
     bench.step(Input::SessionClosed { session: c });
@@ -405,16 +409,16 @@
             ..
         }
     ));
-    assert!(bench.told.is_empty() && bench.machine.counts().requests <= 1);
+    assert!(bench.completions.is_empty() && bench.machine.counts().requests <= 1);
 }
 
 #[test]
 fn workflow_fields_are_echoed_where_disabled() {
     let mut bench = bench(false);
-    let s = bench.open(1);
+    let s = bench.open_session(1);
     say(&mut bench, s, "booking", &[("workflow_do", "dance")]);
-    assert!(bench.take().is_read() && asked(&mut bench).is_empty());
-    let begun = bench.heard(s).remove(0).response.expect("a response");
+    assert!(bench.next_completion().is_prefill() && asked(&mut bench).is_empty());
+    let begun = bench.take_events(s).remove(0).response.expect("a response");
     assert_eq!(begun.metadata["workflow_do"], "dance");
 }
 
@@ -426,12 +430,12 @@
         settings: settings.clone(),
         seed: 5,
     });
-    let s = bench.open(1);
+    let s = bench.open_session(1);
     let write = written(&mut bench, s, "booking");
-    bench.end(&write, 9, 2);
+    bench.finish_decode(&write, 9, 2);
     let call = one(&mut bench).call();
     tell(&mut bench, Event::Committed { call });
-    let mut again = Bench::with(Settings::parse("test", &settings).expect("settings"), 5);
+    let mut again = Harness::with(Settings::parse("test", &settings).expect("settings"), 5);
     for (at, input) in std::mem::take(&mut bench.inputs) {
         let mut outputs = vec![];
         again.machine.step(at, input.clone(), &mut outputs);
