--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -1,8 +1,8 @@
-//! The record of a dispatcher: its settings, and each input with the outputs that it gave.
+//! The record of a dispatcher: its settings, then each input of the machine with the outputs that it produced.
 //!
-//! A file begins with [`MAGIC`] and holds blocks: length and CRC-32 of the bytes that follow (both u32, little-endian),
-//! then zstd over lines of JSON, an [`Entry`] each. A process that is killed leaves at most one torn block at the end;
-//! [`read`] gives all whole ones before it and says what it cut.
+//! A file starts with [`MAGIC`], followed by blocks. A block is the length and the CRC-32 of its data (both u32,
+//! little-endian), then the data: zstd-compressed lines of JSON, one [`Entry`] each. A process that is killed leaves at
+//! most one torn block at the end; [`read`] returns the entries of all complete blocks and the size of the torn one.
 
 use std::io::{self, Read, Write};
 
@@ -12,71 +12,73 @@
 use crate::settings::{Settings, SettingsError};
 use crate::types::{Input, Micros, Output};
 
-/// Name and version of the format.
+/// First bytes of each record: name and version of the format.
 pub const MAGIC: &[u8; 8] = b"BLREC\0\0\x01";
-/// Bytes of entries gathered before a block is written.
+/// Size of the buffered entries at which a block is written, uncompressed bytes.
 const BLOCK_BYTES: usize = 64 * 1024;
-/// Longest block that is read, compressed and whole.
+/// Limit on the size of a block that is read, bytes; applies to its compressed and to its uncompressed data.
 const MAX_BLOCK_BYTES: u32 = 64 << 20;
+/// Compression level of zstd.
 const ZSTD_LEVEL: i32 = 1;
 
 /// One entry of a record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
-    /// The first entry: what the machine was made from.
+    /// The first entry: what the machine was created from.
     Start {
-        /// The settings file (TOML).
+        /// Text of the settings file (TOML).
         settings: String,
-        /// Seed of the machine.
+        /// Seed of the machine's random numbers.
         seed: u64,
     },
     /// One call of [`Machine::step`].
     Step {
         /// Clock time of the step.
         at: Micros,
-        /// Its input.
+        /// Input of the step.
         input: Input,
-        /// Its outputs, in order.
+        /// Outputs of the step, in order.
         outputs: Vec<Output>,
     },
 }
 
-/// Why a record cannot be used.
+/// Why a record cannot be read or replayed.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// The file cannot be read or written: look at its path, permissions and disk.
+    /// Reading or writing the file failed: check its path, its permissions and the disk.
     #[error("reading or writing failed: {0}")]
     Io(#[from] io::Error),
-    /// Another file, or a record of another version: replay it with the program that wrote it. Holds the first bytes.
+    /// The file is no record, or one of another format version, which the program that wrote it can replay. Holds the first
+    /// bytes of the file.
     #[error("not a record of this version: it begins with {0:02x?}")]
     Magic(Vec<u8>),
-    /// A block in the middle is damaged: the file was changed or the disk is faulty.
+    /// A complete block is corrupt: the file was modified or the disk is faulty.
     #[error("block at byte {at}: {cause}")]
     Block {
-        /// Byte at which the block begins.
+        /// Byte offset of the block in the file.
         at: u64,
-        /// What is wrong with it.
+        /// What is wrong with the block.
         cause: String,
     },
-    /// An entry is missing or out of order: the file was put together from others.
+    /// The settings entry is not first, or occurs again: the file was assembled from others.
     #[error("the record does not begin with its settings")]
     NoStart,
-    /// The settings in it are not those of this version.
+    /// The settings in the record are not valid in this version.
     #[error("the record's settings: {0}")]
     Settings(#[from] SettingsError),
 }
 
-/// Writes entries as blocks.
+/// Writes a record: buffers entries and writes them in blocks.
 pub struct Writer<W: Write> {
     sink: W,
     lines: Vec<u8>,
 }
 
 impl<W: Write> Writer<W> {
-    /// Begins a record.
+    /// Starts a record by writing [`MAGIC`].
     ///
     /// # Errors
-    /// Where the sink fails, as for all that follows.
+    /// Writing to the sink failed.
     pub fn begin(mut sink: W) -> io::Result<Self> {
         sink.write_all(MAGIC)?;
         Ok(Writer {
@@ -85,10 +87,10 @@
         })
     }
 
-    /// Adds an entry; a block is written once enough entries are gathered.
+    /// Appends an entry to the buffer; a full buffer is written as a block.
     ///
     /// # Errors
-    /// Where the sink fails.
+    /// Writing to the sink failed.
     pub fn append(&mut self, entry: &Entry) -> io::Result<()> {
         serde_json::to_writer(&mut self.lines, entry)?;
         self.lines.push(b'\n');
@@ -98,15 +100,15 @@
         Ok(())
     }
 
-    /// The sink, with what has been flushed to it.
+    /// Returns the sink. Entries that were not flushed are lost.
     pub fn into_inner(self) -> W {
         self.sink
     }
 
-    /// Writes the gathered entries as a block.
+    /// Writes the buffered entries as a block and flushes the sink.
     ///
     /// # Errors
-    /// Where the sink fails.
+    /// Writing to the sink failed.
     pub fn flush(&mut self) -> io::Result<()> {
         if self.lines.is_empty() {
             return Ok(());
@@ -123,20 +125,20 @@
     }
 }
 
-/// All entries of a record, and what was cut from its end.
+/// The content of a record, as returned by [`read`].
 #[derive(Debug)]
 pub struct Recorded {
     /// Every entry of the complete blocks, in order.
     pub entries: Vec<Entry>,
-    /// Bytes of a torn last block.
+    /// Size of the torn last block, bytes; 0 where the last block is complete.
     pub torn_bytes: u64,
 }
 
-/// Reads a whole record.
+/// Reads a record.
 ///
 /// # Errors
-/// [`RecordError::Magic`] for another format or version; [`RecordError::Block`] where a whole block's checksum or
-/// content is wrong. A last block that ends early is no error.
+/// [`RecordError::Magic`] for another format or version; [`RecordError::Block`] where the checksum or the content of a
+/// complete block is wrong. A last block that ends early is no error.
 pub fn read(mut source: impl Read) -> Result<Recorded, RecordError> {
     let mut data = Vec::new();
     source.read_to_end(&mut data)?;
@@ -170,9 +172,13 @@
     Ok(recorded)
 }
 
+/// The result of parsing the block at the start of some data.
 enum ParsedBlock {
+    /// The data end before the block does.
     Torn,
+    /// The block is complete but invalid, for this cause.
     Corrupt(String),
+    /// Size of the block with its header, bytes, and its entries.
     Complete(usize, Vec<Entry>),
 }
 
@@ -186,17 +192,19 @@
         return ParsedBlock::Torn;
     };
     if size > MAX_BLOCK_BYTES {
-        return ParsedBlock::Corrupt(format!("its length {size} is more than {MAX_BLOCK_BYTES}"));
+        return ParsedBlock::Corrupt(format!(
+            "length {size} exceeds the limit of {MAX_BLOCK_BYTES}"
+        ));
     }
     let Some(compressed) = data.get(8..8 + size as usize) else {
         return ParsedBlock::Torn;
     };
     if crc32fast::hash(compressed) != checksum {
-        return ParsedBlock::Corrupt("its checksum is wrong".to_string());
+        return ParsedBlock::Corrupt("checksum mismatch".to_string());
     }
     let lines = match zstd::bulk::decompress(compressed, MAX_BLOCK_BYTES as usize) {
         Ok(lines) => lines,
-        Err(e) => return ParsedBlock::Corrupt(format!("it does not unpack: {e}")),
+        Err(e) => return ParsedBlock::Corrupt(format!("decompression failed: {e}")),
     };
     let entries = lines
         .split(|b| *b == b'\n')
@@ -205,14 +213,14 @@
         .collect();
     match entries {
         Ok(entries) => ParsedBlock::Complete(8 + size as usize, entries),
-        Err(e) => ParsedBlock::Corrupt(format!("an entry is not known: {e}")),
+        Err(e) => ParsedBlock::Corrupt(format!("invalid entry: {e}")),
     }
 }
 
-/// Where a replay left the record.
+/// The first difference between a record and its replay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// Number of the step, from 1, and its clock time.
+    /// Number of the step, from 1.
     pub step: usize,
     /// Clock time of the step.
     pub at: Micros,
@@ -220,35 +228,37 @@
     pub input: Input,
     /// Number of the output within the step, from 1.
     pub output: usize,
-    /// The recorded output; none where the replay has more.
+    /// The recorded output; `None` where the replay produced an additional one.
     pub recorded: Option<Output>,
-    /// The replayed output; none where the record has more.
+    /// The replayed output; `None` where the record has an additional one.
     pub replayed: Option<Output>,
 }
 
-/// What a replay result.
+/// The result of a replay.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Replay {
-    /// Steps replayed, the one that differs included.
+    /// Number of steps replayed, including one that differs.
     pub steps: usize,
-    /// Outputs of these steps.
+    /// Number of outputs produced by the replayed steps.
     pub outputs: usize,
-    /// The first difference; none where the replay is equal.
+    /// The first difference from the record; `None` where the replay is equal.
     pub difference: Option<Difference>,
-    /// The decision module's events and actions, where the trace was asked for.
+    /// Events and actions of the decision module; empty unless the trace was requested.
     pub trace: Vec<Traced>,
 }
 
-/// Steps a new machine through a record and compares each output, up to the first that differs.
+/// Steps a new machine through the inputs of a record and compares its outputs with the recorded ones, up to the first that
+/// differs.
 ///
 /// # Errors
-/// Where the record does not begin with settings that can be read.
-pub fn replay(recorded: &Recorded, keep_trace: bool) -> Result<Replay, RecordError> {
+/// [`RecordError::NoStart`] where the record does not start with its settings; [`RecordError::Settings`] where these are
+/// invalid.
+pub fn replay(recorded: &Recorded, with_trace: bool) -> Result<Replay, RecordError> {
     let Some((Entry::Start { settings, seed }, steps)) = recorded.entries.split_first() else {
         return Err(RecordError::NoStart);
     };
     let mut machine = Machine::new(Settings::parse("record", settings)?, *seed);
-    if keep_trace {
+    if with_trace {
         machine.enable_trace();
     }
     let mut result = Replay::default();
@@ -276,6 +286,7 @@
     Ok(result)
 }
 
+/// Position of the first output that differs, or that only one of the lists has.
 fn first_difference(a: &[Output], b: &[Output]) -> Option<usize> {
     (0..a.len().max(b.len())).find(|i| a.get(*i) != b.get(*i))
 }
--- a/crates/core/src/servers/tests.rs
+++ b/crates/core/src/servers/tests.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn list_change_names_links_to_open_and_close() {
-    let settings = crate::settings::tests::small();
+    let settings = crate::settings::tests::minimal_settings();
     let mut servers = ServerTable::new("z");
     let first = servers.take_list(
         list("name,port,kind,address\na,1,reader,127.0.0.1\nb,2,writer,127.0.0.1\nc,3,odd,127.0.0.1\n"),
@@ -48,7 +48,7 @@
 
 #[test]
 fn young_server_warms_up_and_restart_is_detected() {
-    let settings = crate::settings::tests::small();
+    let settings = crate::settings::tests::minimal_settings();
     let mut servers = ServerTable::new("z");
     servers.take_list(list("name,port,kind\na,1,reader\n"), &settings);
     let a = bitternlatch_inventory::server_id("a");
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,7 +1,7 @@
-//! The dispatcher's settings: one TOML file, checked whole before anything starts.
+//! The dispatcher's settings: one TOML file, validated completely before anything starts.
 //!
-//! What stands here are facts of an installation and bounds of resources. How requests are routed, judged and
-//! repeated is decided in the decision module and is not set here.
+//! Settings hold facts about an installation and resource limits. How requests are routed, admitted and retried is
+//! decided by the decision module and is not configurable here.
 
 mod check;
 mod classes;
@@ -25,16 +25,16 @@
     Attempts, LoadMetric, ReportField, ReportMode, Reports, RequestLimits, Rules, SlowStart,
 };
 
-/// What is wrong with a settings file, and where.
+/// The first error in a settings file, with its position.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub struct SettingsError {
-    /// The file, as it was named.
+    /// Name of the settings file as given by the caller.
     pub file: String,
-    /// 1 for the first; 0 where the whole file is meant.
+    /// Line of the error, from 1; 0 where the error concerns the whole file.
     pub line: usize,
-    /// From 1; 0 where the whole file is meant.
+    /// Column of the error in characters, from 1; 0 where the error concerns the whole file.
     pub column: usize,
-    /// The key and what is wrong with its value.
+    /// The key at fault and what is wrong with its value.
     pub cause: String,
 }
 
@@ -47,53 +47,54 @@
     }
 }
 
-/// One dispatcher's settings file. Field names are the field's terms; the keys of the file are in `docs/operate`.
+/// The settings file of one dispatcher. `docs/operate` describes the keys of the file, which may differ from the field
+/// names here.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of this dispatcher in logs and ids; unique among the dispatchers.
+    /// Name of this dispatcher in logs and ids; unique among all dispatchers.
     pub name: String,
     /// The zone that this dispatcher runs in.
     pub zone: String,
-    /// Dispatchers that share the model servers.
+    /// Number of dispatchers that share the model servers, this one included.
     pub dispatchers: u32,
-    /// The clients' side.
+    /// Where and under which limits clients connect.
     pub listen: Listen,
-    /// The model servers' side.
+    /// Connections to model servers.
     #[serde(default)]
     pub engines: Engines,
-    /// Where the list of model servers is.
+    /// Where the list of model servers is read from.
     pub inventory: Inventory,
-    /// Without it nothing is recorded.
+    /// Record of inputs and outputs for replay; nothing is recorded without it.
     pub record: Option<RecordFile>,
-    /// Without it any caller may do anything.
+    /// Authentication and access rights of callers; without it any client may do anything.
     pub identity: Option<Identity>,
-    /// Without it charges are not journaled.
+    /// Journal of charges to tenants; without it charges are not journaled.
     pub charges: Option<ChargeJournal>,
-    /// Without it each dispatcher spends an even fraction of each tenant's rate.
+    /// The quota server; without one each dispatcher uses an equal fraction of each tenant's rate.
     #[serde(rename = "ledger")]
     pub quota_server: Option<QuotaServer>,
-    /// Without it this dispatcher knows of no other.
+    /// The cluster of dispatchers that this one belongs to; without it this dispatcher knows no other.
     pub cluster: Option<Cluster>,
-    /// Graceful shutdown.
+    /// Time limit of a graceful shutdown.
     #[serde(default)]
     pub stop: Stop,
-    /// Bounds on what is held for requests.
+    /// Limits on requests and on the memory that they use.
     #[serde(default)]
     pub requests: RequestLimits,
-    /// Limits of the platform's rules.
+    /// Limits that the serving platform imposes.
     pub rules: Rules,
-    /// Retries and hedging.
+    /// Limits of retries and hedged requests.
     pub attempts: Attempts,
-    /// Load reports of model servers.
+    /// When model servers report their load, and which metrics.
     #[serde(default)]
     pub reports: Reports,
-    /// Classes of requests; a request without a class belongs to the first.
+    /// Request classes; a request that names no class belongs to the first one.
     pub classes: Vec<Class>,
-    /// Tenants; none where all requests share one quota.
+    /// Tenants; empty where all requests share one quota.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
-    /// Kinds of model servers.
+    /// Kinds of model servers, to which the server list refers by name.
     pub kinds: Vec<Kind>,
 }
 
--- a/crates/core/src/settings/check.rs
+++ b/crates/core/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Reading a settings text whole, with the first fault's place and cause.
+//! Parsing and validation of a settings file; the first error is reported with its position.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +7,11 @@
 use super::{Effect, Settings, SettingsError};
 
 impl Settings {
-    /// Reads and checks a settings text; `file` is for messages alone.
+    /// Parses and validates the text of a settings file; `file` is only used in error messages.
     ///
     /// # Errors
-    /// The first fault: broken TOML, a key that is missing, unknown or of the wrong type, or a value out of its bounds,
-    /// with line and column.
+    /// The first error, with line and column: invalid TOML, a key that is missing, unknown or of the wrong type, or a value
+    /// out of its range.
     pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
         let fail = |(line, column), cause| SettingsError {
             file: file.to_string(),
@@ -30,21 +30,22 @@
         }
     }
 
+    /// Validates the values; the error is the path of the key at fault, such as `classes.0.effect`, and the cause.
     fn check(&self) -> Result<(), (String, String)> {
-        let mut c = Check(Ok(()));
+        let mut c = Validator(Ok(()));
         c.name("name", &self.name);
         c.name("zone", &self.zone);
-        c.within("dispatchers", f64::from(self.dispatchers), 1.0, 65_535.0);
+        c.range("dispatchers", f64::from(self.dispatchers), 1.0, 65_535.0);
         self.check_listen(&mut c);
         self.check_engines(&mut c);
-        c.within(
+        c.range(
             "inventory.reread_s",
             self.inventory.poll_interval_s,
             0.01,
             3600.0,
         );
         self.check_identity(&mut c);
-        c.within("stop.within_s", self.stop.timeout_s, 0.1, 3600.0);
+        c.range("stop.within_s", self.stop.timeout_s, 0.1, 3600.0);
         self.check_requests(&mut c);
         if let Some(cluster) = &self.cluster {
             cluster.check(&self.name, &mut c);
@@ -54,211 +55,260 @@
         c.0
     }
 
-    fn check_listen(&self, c: &mut Check) {
-        let l = &self.listen;
-        c.within("listen.sessions", l.max_sessions as f64, 1.0, 100_000.0);
-        c.within(
+    fn check_listen(&self, c: &mut Validator) {
+        let listen = &self.listen;
+        c.range(
+            "listen.sessions",
+            listen.max_sessions as f64,
+            1.0,
+            100_000.0,
+        );
+        c.range(
             "listen.session_requests",
-            l.max_session_requests as f64,
+            listen.max_session_requests as f64,
             1.0,
             10_000.0,
         );
-        c.within(
+        c.range(
             "listen.message_bytes",
-            l.max_message_bytes as f64,
+            listen.max_message_bytes as f64,
             1024.0,
             64.0 * 1048576.0,
         );
-        c.within("listen.handshake_s", l.handshake_timeout_s, 0.01, 600.0);
-        c.within("listen.idle_s", l.idle_timeout_s, 0.1, 1e6);
-        c.within("listen.ping_s", l.ping_interval_s, 0.05, 3600.0);
-        c.within(
+        c.range(
+            "listen.handshake_s",
+            listen.handshake_timeout_s,
+            0.01,
+            600.0,
+        );
+        c.range("listen.idle_s", listen.idle_timeout_s, 0.1, 1e6);
+        c.range("listen.ping_s", listen.ping_interval_s, 0.05, 3600.0);
+        c.range(
             "listen.queue_messages",
-            l.max_queued_messages as f64,
+            listen.max_queued_messages as f64,
             8.0,
             1e6,
         );
-        c.within("listen.handshakes", l.max_handshakes as f64, 1.0, 100_000.0);
-        if let Some(tls) = &l.tls {
+        c.range(
+            "listen.handshakes",
+            listen.max_handshakes as f64,
+            1.0,
+            100_000.0,
+        );
+        if let Some(tls) = &listen.tls {
             if tls.client_authorities.is_none()
                 && (tls.client_certificate_required || !tls.revocation_lists.is_empty())
             {
                 c.fail(
                     "listen.tls",
-                    "clients_required and revoked need clients".into(),
+                    "clients_required and revoked require clients".into(),
                 );
             }
         }
     }
 
-    fn check_engines(&self, c: &mut Check) {
-        let e = &self.engines;
-        if e.tls
+    fn check_engines(&self, c: &mut Validator) {
+        let engines = &self.engines;
+        if engines
+            .tls
             .as_ref()
             .is_some_and(|t| t.certificate.is_some() != t.key.is_some())
         {
-            c.fail("engines.tls", "certificate and key come together".into());
+            c.fail(
+                "engines.tls",
+                "certificate and key must be set together".into(),
+            );
         }
-        c.within("engines.connect_s", e.connect_timeout_s, 0.01, 60.0);
-        c.within("engines.greet_s", e.hello_timeout_s, 0.01, 60.0);
-        c.within(
+        c.range("engines.connect_s", engines.connect_timeout_s, 0.01, 60.0);
+        c.range("engines.greet_s", engines.hello_timeout_s, 0.01, 60.0);
+        c.range(
             "engines.message_bytes",
-            e.max_message_bytes as f64,
+            engines.max_message_bytes as f64,
             1024.0,
             64.0 * 1048576.0,
         );
-        c.within(
+        c.range(
             "engines.queue_messages",
-            e.max_queued_messages as f64,
+            engines.max_queued_messages as f64,
             8.0,
             1e6,
         );
-        c.within("engines.ping_s", e.ping_interval_s, 0.05, 3600.0);
+        c.range("engines.ping_s", engines.ping_interval_s, 0.05, 3600.0);
     }
 
-    fn check_identity(&self, c: &mut Check) {
-        let l = &self.listen;
+    fn check_identity(&self, c: &mut Validator) {
+        let listen = &self.listen;
         if let Some(identity) = &self.identity {
             if identity.keys.is_some()
                 && (identity.issuer.is_empty() || identity.audience.is_empty())
             {
                 c.fail(
                     "identity.keys",
-                    "tokens need an issuer and an audience".into(),
+                    "tokens require an issuer and an audience".into(),
                 );
             }
-            let by_certificate = l
+            let accepts_certificates = listen
                 .tls
                 .as_ref()
                 .is_some_and(|t| t.client_authorities.is_some());
-            if identity.keys.is_none() && !by_certificate {
+            if identity.keys.is_none() && !accepts_certificates {
                 c.fail(
                     "identity",
-                    "neither keys of tokens nor listen.tls.clients: nobody could call".into(),
+                    "neither identity.keys nor listen.tls.clients is set, so no client could authenticate".into(),
                 );
             }
-            c.within("identity.skew_s", identity.clock_skew_s as f64, 0.0, 600.0);
-            c.within(
+            c.range("identity.skew_s", identity.clock_skew_s as f64, 0.0, 600.0);
+            c.range(
                 "identity.refresh_s",
                 identity.refresh_interval_s,
                 0.05,
                 86_400.0,
             );
-            c.within("identity.keep_s", identity.cache_lifetime_s, 1.0, 1e7);
+            c.range("identity.keep_s", identity.cache_lifetime_s, 1.0, 1e7);
         }
     }
 
-    fn check_requests(&self, c: &mut Check) {
-        let r = &self.requests;
-        c.within("requests.in_hand", r.max_requests as f64, 1.0, 1e7);
-        c.within(
+    fn check_requests(&self, c: &mut Validator) {
+        let requests = &self.requests;
+        c.range("requests.in_hand", requests.max_requests as f64, 1.0, 1e7);
+        c.range(
             "requests.prompt_bytes",
-            r.max_prompt_bytes as f64,
+            requests.max_prompt_bytes as f64,
             1024.0,
             1e9,
         );
-        c.within(
+        c.range(
             "requests.prompt_bytes_in_hand",
-            r.max_total_prompt_bytes as f64,
+            requests.max_total_prompt_bytes as f64,
             1024.0,
             1e12,
         );
-        c.within(
+        c.range(
             "requests.context_bytes",
-            r.max_context_bytes as f64,
+            requests.max_context_bytes as f64,
             0.0,
             1e12,
         );
-        c.within("requests.context_s", r.context_lifetime_s, 0.0, 1e7);
-        c.within("requests.keys", r.max_idempotency_keys as f64, 1.0, 1e8);
-        c.within(
+        c.range("requests.context_s", requests.context_lifetime_s, 0.0, 1e7);
+        c.range(
+            "requests.keys",
+            requests.max_idempotency_keys as f64,
+            1.0,
+            1e8,
+        );
+        c.range(
             "requests.key_bytes",
-            r.max_idempotency_bytes as f64,
+            requests.max_idempotency_bytes as f64,
             0.0,
             1e12,
         );
-        c.within("requests.key_s", r.idempotency_key_lifetime_s, 1.0, 1e7);
-        c.within("requests.answer_margin_s", r.answer_margin_s, 0.0, 10.0);
-        c.within(
+        c.range(
+            "requests.key_s",
+            requests.idempotency_key_lifetime_s,
+            1.0,
+            1e7,
+        );
+        c.range(
+            "requests.answer_margin_s",
+            requests.answer_margin_s,
+            0.0,
+            10.0,
+        );
+        c.range(
             "requests.max_output_tokens",
-            f64::from(r.max_output_tokens),
+            f64::from(requests.max_output_tokens),
             1.0,
             1e7,
         );
     }
 
-    fn check_rules(&self, c: &mut Check) {
-        let (rules, cold, a) = (&self.rules, &self.rules.slow_start, &self.attempts);
-        c.within("rules.pin_limit_s", rules.kv_hold_limit_s, 0.01, 3600.0);
-        c.within("rules.drain_grace_s", rules.drain_grace_s, 0.01, 3600.0);
-        c.within("rules.cold.start_capacity", cold.start_capacity, 0.01, 1.0);
-        c.within(
+    fn check_rules(&self, c: &mut Validator) {
+        let (rules, slow_start, attempts) = (&self.rules, &self.rules.slow_start, &self.attempts);
+        c.range("rules.pin_limit_s", rules.kv_hold_limit_s, 0.01, 3600.0);
+        c.range("rules.drain_grace_s", rules.drain_grace_s, 0.01, 3600.0);
+        c.range(
+            "rules.cold.start_capacity",
+            slow_start.start_capacity,
+            0.01,
+            1.0,
+        );
+        c.range(
             "rules.cold.overload_factor",
-            cold.overload_factor,
+            slow_start.overload_factor,
+            1.0,
+            100.0,
+        );
+        c.range("rules.cold.window_s", slow_start.window_s, 0.1, 600.0);
+        c.range(
+            "rules.cold.warm_after_s",
+            slow_start.warm_after_s,
+            0.1,
+            3600.0,
+        );
+        c.range(
+            "attempts.most",
+            f64::from(attempts.max_attempts),
             1.0,
             100.0,
         );
-        c.within("rules.cold.window_s", cold.window_s, 0.1, 600.0);
-        c.within("rules.cold.warm_after_s", cold.warm_after_s, 0.1, 3600.0);
-        c.within("attempts.most", f64::from(a.max_attempts), 1.0, 100.0);
-        c.within(
+        c.range(
             "attempts.max_retry_after_s",
-            a.max_retry_after_s,
+            attempts.max_retry_after_s,
             0.0,
             3600.0,
         );
     }
 
-    fn check_classes(&self, c: &mut Check) {
+    fn check_classes(&self, c: &mut Validator) {
         for (i, class) in self.classes.iter().enumerate() {
-            let at = |key: &str| format!("classes.{i}.{key}");
-            c.within(&at("ttft_aim_s"), class.ttft_objective_s, 0.001, 3600.0);
-            c.within(
-                &at("ttft_aim_ms_per_1000_tokens"),
+            let path = |key: &str| format!("classes.{i}.{key}");
+            c.range(&path("ttft_aim_s"), class.ttft_objective_s, 0.001, 3600.0);
+            c.range(
+                &path("ttft_aim_ms_per_1000_tokens"),
                 class.ttft_objective_ms_per_1000_tokens,
                 0.0,
                 1e6,
             );
-            c.within(
-                &at("token_gap_aim_s"),
+            c.range(
+                &path("token_gap_aim_s"),
                 class.inter_token_objective_s,
                 0.0001,
                 60.0,
             );
-            c.within(&at("deadline_s"), class.deadline_s, 0.05, 86_400.0);
-            c.within(&at("worth"), class.priority_weight, 0.0, 1e6);
-            c.within(&at("late_worth"), class.late_weight_fraction, 0.0, 1.0);
-            c.within(&at("key_window_s"), class.key_window_s, 0.0, 1e7);
+            c.range(&path("deadline_s"), class.deadline_s, 0.05, 86_400.0);
+            c.range(&path("worth"), class.priority_weight, 0.0, 1e6);
+            c.range(&path("late_worth"), class.late_weight_fraction, 0.0, 1.0);
+            c.range(&path("key_window_s"), class.key_window_s, 0.0, 1e7);
             if class.effect == Effect::Keyed && class.key_window_s <= 0.0 {
                 c.fail(
-                    &at("effect"),
+                    &path("effect"),
                     "a keyed class needs key_window_s above 0".into(),
                 );
             }
         }
     }
 
-    fn check_tables(&self, c: &mut Check) {
-        c.some("classes", self.classes.len());
-        c.some("kinds", self.kinds.len());
-        c.unique("classes", self.classes.iter().map(|x| x.name.as_str()));
-        c.unique("tenants", self.tenants.iter().map(|x| x.name.as_str()));
-        c.unique("kinds", self.kinds.iter().map(|x| x.name.as_str()));
+    fn check_tables(&self, c: &mut Validator) {
+        c.list_length("classes", self.classes.len());
+        c.list_length("kinds", self.kinds.len());
+        c.unique_names("classes", self.classes.iter().map(|x| x.name.as_str()));
+        c.unique_names("tenants", self.tenants.iter().map(|x| x.name.as_str()));
+        c.unique_names("kinds", self.kinds.iter().map(|x| x.name.as_str()));
         self.check_classes(c);
         for (i, tenant) in self.tenants.iter().enumerate() {
-            c.within(
+            c.range(
                 &format!("tenants.{i}.quota_rps"),
                 tenant.quota_rps,
                 0.0,
                 1e9,
             );
-            let known = |name: &str| self.classes.iter().any(|c| c.name == name);
-            if let Some(Err((key, why))) = tenant.budget.as_ref().map(|b| b.check(known)) {
-                c.fail(&format!("tenants.{i}.budget.{key}"), why);
+            let class_exists = |name: &str| self.classes.iter().any(|c| c.name == name);
+            if let Some(Err((key, cause))) = tenant.budget.as_ref().map(|b| b.check(class_exists)) {
+                c.fail(&format!("tenants.{i}.budget.{key}"), cause);
             }
         }
         for (i, kind) in self.kinds.iter().enumerate() {
-            c.within(
+            c.range(
                 &format!("kinds.{i}.memory_tokens"),
                 kind.memory_tokens,
                 0.0,
@@ -268,42 +318,47 @@
     }
 }
 
-/// Keeps the first fault found: the key's path and the cause.
-pub(super) struct Check(Result<(), (String, String)>);
+/// Collects the first error of a validation: the path of the key at fault and the cause. Later errors are dropped.
+pub(super) struct Validator(Result<(), (String, String)>);
 
-impl Check {
+impl Validator {
+    /// Records an error unless there is one already.
     pub(super) fn fail(&mut self, path: &str, cause: String) {
         if self.0.is_ok() {
             self.0 = Err((path.to_string(), cause));
         }
     }
 
-    pub(super) fn within(&mut self, path: &str, value: f64, least: f64, most: f64) {
-        if !(least..=most).contains(&value) {
-            self.fail(path, format!("{value} is not between {least} and {most}"));
+    /// Requires a value from `min` to `max`, both included; NaN is an error.
+    pub(super) fn range(&mut self, path: &str, value: f64, min: f64, max: f64) {
+        if !(min..=max).contains(&value) {
+            self.fail(path, format!("{value} is not between {min} and {max}"));
         }
     }
 
+    /// Requires a name of 1 to 100 bytes that is not blank.
     pub(super) fn name(&mut self, path: &str, value: &str) {
         if value.trim().is_empty() || value.len() > 100 {
             self.fail(path, "a name of 1 to 100 bytes is expected".into());
         }
     }
 
-    pub(super) fn some(&mut self, path: &str, len: usize) {
+    /// Requires a list of 1 to 1000 entries.
+    pub(super) fn list_length(&mut self, path: &str, len: usize) {
         if len == 0 || len > 1000 {
             self.fail(path, format!("{len} entries; 1 to 1000 are expected"));
         }
     }
 
-    pub(super) fn unique<'a>(&mut self, path: &str, names: impl Iterator<Item = &'a str>) {
-        let mut seen = BTreeMap::new();
+    /// Requires the names of a list's entries to be valid and to differ from each other.
+    pub(super) fn unique_names<'a>(&mut self, path: &str, names: impl Iterator<Item = &'a str>) {
+        let mut positions = BTreeMap::new();
         for (i, name) in names.enumerate() {
-            let at = format!("{path}.{i}.name");
-            self.name(&at, name);
-            if let Some(first) = seen.insert(name, i) {
+            let name_path = format!("{path}.{i}.name");
+            self.name(&name_path, name);
+            if let Some(first) = positions.insert(name, i) {
                 self.fail(
-                    &at,
+                    &name_path,
                     format!("'{name}' is also the name of number {}", first + 1),
                 );
             }
@@ -311,23 +366,24 @@
     }
 }
 
-/// Line and column, from 1, of a byte.
-fn position(text: &str, at: usize) -> (usize, usize) {
-    let before = text.get(..at.min(text.len())).unwrap_or(text);
+/// Line and column of a byte offset, both from 1; the column counts characters.
+fn position(text: &str, offset: usize) -> (usize, usize) {
+    let before = text.get(..offset.min(text.len())).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
     let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
     (line, column)
 }
 
-/// Where a key given by its path stands, or the nearest table above it.
+/// Line and column of the value at a path such as `classes.0.effect`; where a part of the path is absent, of the nearest
+/// enclosing value.
 fn locate(text: &str, path: &str) -> (usize, usize) {
     let Ok(root) = DeTable::parse(text) else {
         return (0, 0);
     };
-    let mut here = DeValue::Table(root.into_inner());
-    let mut at = 0;
+    let mut value = DeValue::Table(root.into_inner());
+    let mut offset = 0;
     for part in path.split('.') {
-        let next = match &here {
+        let next = match &value {
             DeValue::Table(table) => table.get(part).cloned(),
             DeValue::Array(list) => part
                 .parse::<usize>()
@@ -336,8 +392,8 @@
             _ => None,
         };
         let Some(next) = next else { break };
-        at = next.span().start;
-        here = next.into_inner();
+        offset = next.span().start;
+        value = next.into_inner();
     }
-    position(text, at)
+    position(text, offset)
 }
--- a/crates/core/src/settings/classes.rs
+++ b/crates/core/src/settings/classes.rs
@@ -1,64 +1,65 @@
-//! Classes of requests, tenants, and kinds of model servers.
+//! Settings of request classes, tenants and kinds of model servers.
 
 use bitternlatch_budget::plan::Budget;
 use bitternlatch_policy::interface as policy;
 use serde::Deserialize;
 
-/// What a repeat of a request of a class does.
+/// What executing a request of a class twice does; decides whether it may be retried or hedged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// Nothing: it may be retried and hedged.
+    /// A second execution does no harm: the request may be retried and hedged.
     Safe,
-    /// Nothing where it carries the same idempotency key.
+    /// The model servers drop a second execution under the same idempotency key, within the key scope and window of the
+    /// class.
     Keyed,
-    /// It causes the effect again: it is never retried once it may have run.
+    /// A second execution repeats the effect: the request is never retried once an attempt may have run.
     Unsafe,
 }
 
-/// Servers among which repeats of an idempotency key are dropped.
+/// The set of model servers among which a repeated idempotency key is detected and dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyScope {
     /// All servers.
     #[default]
     All,
-    /// The servers of one zone.
+    /// Servers of the same zone.
     Zone,
-    /// The servers of one cell.
+    /// Servers of the same cell.
     Cell,
 }
 
-/// One class of requests. Times in seconds.
+/// One request class. Times are in seconds.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name in requests.
+    /// Name by which requests refer to the class.
     pub name: String,
-    /// What a repeat does.
+    /// What executing a request of the class twice does.
     pub effect: Effect,
-    /// For keyed classes: servers among which repeats of one key are dropped.
+    /// For keyed classes: the servers among which a repeated key is dropped.
     #[serde(default)]
     pub key_scope: KeyScope,
-    /// For keyed classes: for how long repeats are dropped.
+    /// For keyed classes: how long servers drop a repeated key, seconds.
     #[serde(default)]
     pub key_window_s: f64,
-    /// Objective for the time to the first token.
+    /// Latency objective for the time to the first token (TTFT) of an empty prompt, seconds.
     #[serde(rename = "ttft_aim_s")]
     pub ttft_objective_s: f64,
-    /// Addition to it for each thousand prompt tokens, milliseconds.
+    /// Addition to the TTFT objective for each 1000 prompt tokens, milliseconds.
     #[serde(default)]
     #[serde(rename = "ttft_aim_ms_per_1000_tokens")]
     pub ttft_objective_ms_per_1000_tokens: f64,
-    /// Objective for the mean time between two tokens.
+    /// Latency objective for the mean time between two output tokens, seconds.
     #[serde(rename = "token_gap_aim_s")]
     pub inter_token_objective_s: f64,
-    /// Longest time to the final answer.
+    /// Time limit from the request to its final answer, seconds.
     pub deadline_s: f64,
-    /// Weight of a request answered within its objectives.
+    /// Priority weight of a request that is answered within its latency objectives.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Fraction of the weight that remains where it is answered late.
+    /// Fraction of the priority weight that a request keeps when it is answered later than its objectives, 0 to 1.
     #[serde(rename = "late_worth")]
     pub late_weight_fraction: f64,
 }
@@ -67,40 +68,41 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name in requests and access rights.
+    /// Name by which requests and access rights refer to the tenant.
     pub name: String,
-    /// Requests a second within the quota, over all dispatchers.
+    /// Quota of the tenant over all dispatchers, requests per second.
     pub quota_rps: f64,
-    /// Tokens that it may use over all dispatchers; none for any number.
+    /// Budget of tokens that the tenant may use over all dispatchers; unlimited without one.
     pub budget: Option<Budget>,
 }
 
-/// A server's role, as the settings name it.
+/// Role of a kind of model servers, as spelled in the settings file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RoleName {
-    /// Prefills prompts.
+    /// Prefills prompts and holds the KV cache for a decode server.
     #[serde(rename = "reader")]
     Prefill,
-    /// Decodes answers.
+    /// Fetches the KV cache of a prefilled prompt and decodes the answer.
     #[serde(rename = "writer")]
     Decode,
-    /// Does both.
+    /// Prefills and decodes.
     Mixed,
 }
 
-/// One kind of model servers.
+/// One kind of model servers with equal role and memory.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, from = "RawKind")]
 pub struct Kind {
-    /// Its name in the server list.
+    /// Name by which the server list refers to the kind.
     pub name: String,
-    /// What its servers do.
+    /// Whether its servers prefill, decode or do both.
     pub role: policy::Role,
-    /// Tokens that fit its KV cache memory.
+    /// Capacity of the KV cache of each server, tokens.
     pub memory_tokens: f64,
 }
 
+/// [`Kind`] with the role as spelled in the settings file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawKind {
--- a/crates/core/src/settings/cluster.rs
+++ b/crates/core/src/settings/cluster.rs
@@ -1,69 +1,74 @@
-//! `[cluster]`: the dispatchers that should know each other.
+//! Settings of `[cluster]`: the dispatchers that share their state.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
 use serde::{Deserialize, Serialize};
 
-use super::check::Check;
+use super::check::Validator;
 
-/// Seeds that are asked at a start.
+/// Limit on the number of seed addresses.
 const MAX_SEEDS: usize = 16;
 
-/// Off without this table. Peers speak datagrams and, for whole views, TCP at the same addresses.
+/// The cluster that this dispatcher belongs to; clustering is off without this table. Peers exchange UDP datagrams, and
+/// complete membership views over TCP at the same addresses.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cluster {
-    /// Of all dispatchers that belong together; others' datagrams are dropped.
+    /// Name of the cluster; datagrams of other clusters are dropped.
     pub name: String,
-    /// What proves that a peer belongs to it: a file of 16 to 4096 bytes, the same at all; relative to the settings file.
+    /// File of the secret that authenticates peers: 16 to 4096 bytes, the same at all members. The path is relative to the
+    /// settings file.
     pub secret: String,
-    /// Where the latest start is kept, so that a restart counts as later whatever the clock says; relative likewise.
+    /// File that stores the latest incarnation of this dispatcher, so that a restart gets a higher one even if the clock
+    /// went back. The path is relative to the settings file.
     #[serde(rename = "kept")]
     pub incarnation_file: Option<String>,
-    /// Where this one listens, if not where the roster says that peers send: behind a forwarder.
+    /// Address that this dispatcher listens at, where it differs from its address in the roster, as behind a forwarder.
     pub address: Option<SocketAddrV4>,
-    /// All members, this one among them.
+    /// All members of the cluster, this dispatcher included; empty where `seeds` is set.
     #[serde(default)]
     pub roster: Vec<Peer>,
-    /// Instead of a roster: where some members are heard that have one, and are asked for it at the start.
+    /// Addresses of some members that have a roster, from which this dispatcher requests it at its start; set instead of
+    /// `roster`.
     #[serde(default)]
     pub seeds: Vec<SocketAddrV4>,
-    /// Overload shed together; off without this table, as are the two that follow.
+    /// Load shedding coordinated by all members; off without this table.
     pub overload: Option<bitternlatch_overload::Settings>,
-    /// Lengths of answers learnt together.
+    /// Output lengths learned by all members together; off without this table.
     #[serde(rename = "lengths")]
     pub output_lengths: Option<bitternlatch_output_length::Settings>,
-    /// Workflows that another worker resumes.
+    /// Workflows that another worker can resume after a failure; off without this table.
     pub workflows: Option<bitternlatch_workflow::Settings>,
 }
 
-/// One dispatcher of the cluster.
+/// One member of the cluster: a dispatcher and its addresses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
-    /// Its name in its own settings.
+    /// Name of the member in its own settings file.
     pub name: String,
-    /// For datagrams and TCP, IPv4.
+    /// IPv4 address at which the member receives datagrams and TCP connections of its peers.
     pub address: SocketAddrV4,
-    /// Where its clients come, for refusals that name others to try.
+    /// Address at which the member accepts clients; named in rejections that redirect a client to other dispatchers.
     #[serde(rename = "clients")]
     pub client_address: Option<String>,
 }
 
 impl Cluster {
-    pub(super) fn check(&self, own: &str, c: &mut Check) {
+    /// Validates the table for the dispatcher named `own`.
+    pub(super) fn check(&self, own: &str, c: &mut Validator) {
         c.name("cluster.name", &self.name);
         c.name("cluster.secret", &self.secret);
         if let Some(workflows) = &self.workflows {
             check_workflows(workflows, c);
         }
-        if let Some(Err(why)) = self
+        if let Some(Err(error)) = self
             .overload
             .as_ref()
             .map(bitternlatch_overload::Settings::check)
         {
-            c.fail("cluster.overload", format!("{why}; {}", why.advice()));
+            c.fail("cluster.overload", format!("{error}; {}", error.advice()));
         }
         if !self.seeds.is_empty() {
             return match self.roster.is_empty() {
@@ -74,8 +79,8 @@
                 ),
             };
         }
-        c.some("cluster.roster", self.roster.len());
-        c.unique(
+        c.list_length("cluster.roster", self.roster.len());
+        c.unique_names(
             "cluster.roster",
             self.roster.iter().map(|p| p.name.as_str()),
         );
@@ -85,25 +90,25 @@
                 format!("'{own}', this dispatcher, is not in it"),
             );
         }
-        let mut seen = BTreeMap::new();
+        let mut names_by_address = BTreeMap::new();
         for (i, peer) in self.roster.iter().enumerate() {
-            let at = format!("cluster.roster.{i}.address");
+            let path = format!("cluster.roster.{i}.address");
             if peer.address.port() == 0
                 || peer.address.ip().is_unspecified()
                 || peer.address.ip().is_multicast()
             {
-                c.fail(&at, format!("{} cannot be sent to", peer.address));
+                c.fail(&path, format!("{} cannot be sent to", peer.address));
             }
-            if let Some(other) = seen.insert(peer.address, &peer.name) {
+            if let Some(other) = names_by_address.insert(peer.address, &peer.name) {
                 c.fail(
-                    &at,
+                    &path,
                     format!("{} is also the address of '{other}'", peer.address),
                 );
             }
         }
     }
 
-    fn check_seeds(&self, c: &mut Check) {
+    fn check_seeds(&self, c: &mut Validator) {
         if self.seeds.len() > MAX_SEEDS {
             c.fail(
                 "cluster.seeds",
@@ -118,7 +123,7 @@
         }
     }
 
-    /// Where this one listens.
+    /// Address that the dispatcher named `own` listens at: `address`, or else its address in the roster.
     pub fn own_address(&self, own: &str) -> Option<SocketAddrV4> {
         self.address.or_else(|| {
             self.roster
@@ -129,24 +134,25 @@
     }
 }
 
-fn check_workflows(w: &bitternlatch_workflow::Settings, c: &mut Check) {
+fn check_workflows(w: &bitternlatch_workflow::Settings, c: &mut Validator) {
     if let Some(kept) = &w.kept {
         c.name("cluster.workflows.kept", kept);
     }
-    c.within(
+    c.range(
         "cluster.workflows.steps",
         f64::from(w.steps),
         1.0,
         100_000.0,
     );
-    c.within(
+    c.range(
         "cluster.workflows.bytes",
         w.bytes as f64,
         1024.0,
         64.0 * 1048576.0,
     );
-    c.within("cluster.workflows.tokens", w.tokens as f64, 1.0, 1e12);
-    c.within("cluster.workflows.lasts_s", w.lasts_s, 1.0, 1e8);
-    // Shorter than a few words between peers, a lease would end in every pause; longer than an hour, nobody would resume.
-    c.within("cluster.workflows.lease_s", w.lease_s, 0.2, 3600.0);
+    c.range("cluster.workflows.tokens", w.tokens as f64, 1.0, 1e12);
+    c.range("cluster.workflows.lasts_s", w.lasts_s, 1.0, 1e8);
+    // A lease shorter than a few message round trips between peers would expire in every short pause. With one longer than
+    // an hour, a workflow of a failed worker would practically never be resumed.
+    c.range("cluster.workflows.lease_s", w.lease_s, 0.2, 3600.0);
 }
--- a/crates/core/src/settings/defaults.rs
+++ b/crates/core/src/settings/defaults.rs
@@ -1,4 +1,4 @@
-//! Defaults of the clients' side and others.
+//! Default values of single settings; the function names follow the keys of the settings file.
 
 pub(super) fn sessions() -> usize {
     6_000
--- a/crates/core/src/settings/endpoints.rs
+++ b/crates/core/src/settings/endpoints.rs
@@ -1,104 +1,107 @@
-//! What a dispatcher connects to and listens at: clients, model servers, files, the quota server.
+//! Settings of connections and files: client sessions, model servers, the server list, authentication, the quota server,
+//! charges, the record and shutdown.
 
 use serde::Deserialize;
 
 use super::defaults;
 
-/// The clients' side. Times in seconds.
+/// Limits of client sessions. Times are in seconds.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// `address:port` to listen at.
+    /// `address:port` at which clients connect.
     pub address: String,
-    /// Most sessions open at once.
+    /// Limit on open sessions.
     #[serde(default = "defaults::sessions")]
     #[serde(rename = "sessions")]
     pub max_sessions: usize,
-    /// Most requests in flight in one session.
+    /// Limit on requests in flight in one session.
     #[serde(default = "defaults::session_requests")]
     #[serde(rename = "session_requests")]
     pub max_session_requests: usize,
-    /// Longest message of a client.
+    /// Limit on the size of one client message, bytes.
     #[serde(default = "defaults::message_bytes")]
     #[serde(rename = "message_bytes")]
     pub max_message_bytes: usize,
-    /// Time limit of a handshake.
+    /// Time limit of the TLS and WebSocket handshakes of a new connection, seconds.
     #[serde(default = "defaults::handshake_s")]
     #[serde(rename = "handshake_s")]
     pub handshake_timeout_s: f64,
-    /// A session without any message for so long is closed.
+    /// A session that receives no message for this many seconds is closed.
     #[serde(default = "defaults::idle_s")]
     #[serde(rename = "idle_s")]
     pub idle_timeout_s: f64,
-    /// Interval between pings.
+    /// Interval between pings to a client, seconds.
     #[serde(default = "defaults::ping_s")]
     #[serde(rename = "ping_s")]
     pub ping_interval_s: f64,
-    /// Messages that may wait to be written to one client; past it the session is closed.
+    /// Limit on messages queued to one client; a session that exceeds it is closed.
     #[serde(default = "defaults::client_queue")]
     #[serde(rename = "queue_messages")]
     pub max_queued_messages: usize,
-    /// Most connections in their handshake; past it the oldest of the most crowded address is closed.
+    /// Limit on connections in their handshake. Past it, the oldest connection of the address that has the most of them is
+    /// closed.
     #[serde(default = "defaults::handshakes")]
     #[serde(rename = "handshakes")]
     pub max_handshakes: usize,
-    /// Without it clients connect in plain text.
+    /// TLS for clients; without it they connect in plain text.
     pub tls: Option<ListenTls>,
 }
 
-/// TLS for clients. Files are PEM, relative to the settings file, and taken anew while serving.
+/// TLS for clients. Files are PEM; their paths are relative to the settings file, and changed files are reloaded while
+/// serving.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenTls {
-    /// The dispatcher's own chain, and its key.
+    /// File of the dispatcher's certificate chain.
     pub certificate: String,
-    /// The private key of the certificate.
+    /// File of the private key of the certificate.
     pub key: String,
-    /// Authorities of clients' certificates.
+    /// File of the authorities that issue client certificates; without it client certificates are not accepted.
     #[serde(rename = "clients")]
     pub client_authorities: Option<String>,
     /// Whether a client without a certificate is rejected in the handshake.
     #[serde(default)]
     #[serde(rename = "clients_required")]
     pub client_certificate_required: bool,
-    /// Lists of revoked client certificates (CRL).
+    /// Files of certificate revocation lists (CRL) for client certificates.
     #[serde(default)]
     #[serde(rename = "revoked")]
     pub revocation_lists: Vec<String>,
 }
 
-/// TLS for connections to model servers, each of which has to prove its listed name.
+/// TLS for connections to model servers; the certificate of each server has to match its name in the server list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EnginesTls {
-    /// Authorities of the servers' certificates.
+    /// File of the authorities that issue the certificates of model servers.
     pub authorities: String,
-    /// The dispatcher's client certificate.
+    /// File of the dispatcher's client certificate; set together with `key`.
     pub certificate: Option<String>,
-    /// Its private key.
+    /// File of the private key of the client certificate.
     pub key: Option<String>,
 }
 
-/// The model servers' side. Times in seconds.
+/// Limits of connections to model servers. Times are in seconds.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Engines {
-    /// Time limit to connect and upgrade.
+    /// Time limit to connect and complete the WebSocket upgrade, seconds.
     #[serde(rename = "connect_s")]
     pub connect_timeout_s: f64,
-    /// Time limit from the upgrade to the greeting.
+    /// Time limit from the upgrade to the hello message of the server, seconds.
     #[serde(rename = "greet_s")]
     pub hello_timeout_s: f64,
-    /// Longest message of a model server.
+    /// Limit on the size of one message of a model server, bytes.
     #[serde(rename = "message_bytes")]
     pub max_message_bytes: usize,
-    /// Messages that may wait to be written to one server; past it the link is closed.
+    /// Limit on messages queued to one server; a link that exceeds it is closed.
     #[serde(rename = "queue_messages")]
     pub max_queued_messages: usize,
-    /// Interval between pings.
+    /// Interval between pings to a model server, seconds.
     #[serde(rename = "ping_s")]
     pub ping_interval_s: f64,
-    /// Without it connections are in plain text.
+    /// TLS for model servers; without it connections are in plain text.
     pub tls: Option<EnginesTls>,
 }
 
@@ -119,40 +122,42 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Inventory {
-    /// CSV or Ansible YAML; relative to the settings file.
+    /// File of the server list, CSV or Ansible YAML; the path is relative to the settings file.
     pub file: String,
-    /// Seconds between two reads.
+    /// Interval between two reads of the file, seconds.
     #[serde(default = "defaults::reread_s")]
     #[serde(rename = "reread_s")]
     pub poll_interval_s: f64,
 }
 
-/// Authentication of callers: tokens, the keys that sign them, and access rights. Files are relative to the settings file.
+/// Authentication of callers: tokens, the key set that verifies them, and access rights. Paths are relative to the settings
+/// file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Identity {
-    /// Required issuer of tokens; not empty where `keys` is set.
+    /// Issuer that a token has to name; required where `keys` is set.
     #[serde(default)]
     pub issuer: String,
-    /// Required audience of tokens; not empty where `keys` is set.
+    /// Audience that a token has to name; required where `keys` is set.
     #[serde(default)]
     pub audience: String,
-    /// Clock skew that is tolerated, seconds.
+    /// Tolerated difference between the clocks of the token issuer and the dispatcher, seconds.
     #[serde(default = "defaults::skew_s")]
     #[serde(rename = "skew_s")]
     pub clock_skew_s: u64,
-    /// A JWKS document: a file, or an `http://` address. Without one no token counts, client certificates alone do.
+    /// Key set (JWKS document) that verifies tokens: a file or an `http://` URL. Without it no token is accepted, and
+    /// callers authenticate by client certificates only.
     pub keys: Option<String>,
-    /// Where the last good key set is cached for a restart.
+    /// File that caches the last valid key set for a restart.
     #[serde(rename = "kept")]
     pub cache_file: Option<String>,
     /// File of the access rights.
     pub rights: String,
-    /// Seconds between two fetches of the key set.
+    /// Interval between two fetches of the key set, seconds.
     #[serde(default = "defaults::refresh_s")]
     #[serde(rename = "refresh_s")]
     pub refresh_interval_s: f64,
-    /// For how long the last good key set is valid, seconds.
+    /// How long the last valid key set may be used when it cannot be fetched again, seconds.
     #[serde(default = "defaults::keep_s")]
     #[serde(rename = "keep_s")]
     pub cache_lifetime_s: f64,
@@ -162,23 +167,23 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaServer {
-    /// Its `address:port`.
+    /// `address:port` of the quota server.
     pub address: String,
 }
 
-/// The journal of charges.
+/// The journal of charges to tenants.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChargeJournal {
-    /// A file of this dispatcher's own; relative to the settings file.
+    /// File of the journal, used by this dispatcher only; the path is relative to the settings file.
     pub file: String,
 }
 
-/// The record for replay.
+/// The record of inputs and outputs for replay.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecordFile {
-    /// Where inputs and outputs are recorded; written anew at each start.
+    /// File of the record; overwritten at each start.
     pub file: String,
 }
 
@@ -186,7 +191,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Stop {
-    /// Longest time from SIGTERM to the end of the process, seconds.
+    /// Time limit from SIGTERM to the end of the process, seconds.
     #[serde(rename = "within_s")]
     pub timeout_s: f64,
 }
--- a/crates/core/src/settings/limits.rs
+++ b/crates/core/src/settings/limits.rs
@@ -1,40 +1,40 @@
-//! Bounds of resources, limits of the rules, retries and load reports.
+//! Settings of request limits, platform rules, retries and load reports.
 
 use serde::Deserialize;
 
 use super::defaults;
 
-/// Bounds on what is held for requests.
+/// Limits on requests and on the memory that they use.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RequestLimits {
-    /// Most requests in flight over all sessions.
+    /// Limit on requests in flight over all sessions.
     #[serde(rename = "in_hand")]
     pub max_requests: usize,
-    /// Longest prompt, the conversation that it continues included.
+    /// Limit on the size of one prompt, the continued conversation included, bytes.
     #[serde(rename = "prompt_bytes")]
     pub max_prompt_bytes: usize,
-    /// Most bytes of the prompts of all requests in flight.
+    /// Limit on the size of the prompts of all requests in flight together, bytes.
     #[serde(rename = "prompt_bytes_in_hand")]
     pub max_total_prompt_bytes: usize,
-    /// Most bytes of texts cached for `previous_response_id`.
+    /// Limit on the conversations cached for `previous_response_id`, bytes.
     #[serde(rename = "context_bytes")]
     pub max_context_bytes: usize,
-    /// Seconds that such a text is cached.
+    /// How long a conversation stays cached for `previous_response_id`, seconds.
     #[serde(rename = "context_s")]
     pub context_lifetime_s: f64,
-    /// Most idempotency keys known at once.
+    /// Limit on idempotency keys remembered at once.
     #[serde(rename = "keys")]
     pub max_idempotency_keys: usize,
-    /// Most bytes of answers cached for idempotency keys.
+    /// Limit on the answers cached for idempotency keys, bytes.
     #[serde(rename = "key_bytes")]
     pub max_idempotency_bytes: usize,
-    /// Seconds that a key is known after its answer.
+    /// How long an idempotency key is remembered after its answer, seconds.
     #[serde(rename = "key_s")]
     pub idempotency_key_lifetime_s: f64,
-    /// Seconds before the client's deadline at which the final answer is sent at the latest.
+    /// Margin by which the final answer is sent before the client's deadline, seconds.
     pub answer_margin_s: f64,
-    /// Output ceiling where a request names none.
+    /// Limit on output tokens for a request that sets none.
     pub max_output_tokens: u32,
 }
 
@@ -55,96 +55,96 @@
     }
 }
 
-/// Limits of the platform's rules.
+/// Limits that the serving platform imposes.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// A held KV cache is transferred or released within this many seconds.
+    /// Time limit within which a held KV cache has to be transferred to a decode server or released, seconds.
     #[serde(rename = "pin_limit_s")]
     pub kv_hold_limit_s: f64,
-    /// No new request reaches a server later than this many seconds after it was notified to drain.
+    /// How long after a server was notified to drain new requests may still reach it, seconds.
     pub drain_grace_s: f64,
-    /// Slow start of new servers.
+    /// Slow start of newly started servers.
     #[serde(rename = "cold")]
     pub slow_start: SlowStart,
 }
 
-/// Slow start: how a server's capacity grows after its start.
+/// Slow start: the capacity of a server grows to full over a time after its start, and overload meanwhile makes it fail.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SlowStart {
-    /// Fraction of its full capacity that a server starts with, at the least.
+    /// Lower bound of the capacity at the start of a server, as a fraction of its full capacity.
     pub start_capacity: f64,
-    /// Multiple of its present capacity at which a warming server fails...
+    /// Load, as a multiple of its present capacity, at which a server that is warming up fails when it lasts for `window_s`.
     pub overload_factor: f64,
-    /// ...when kept up for this many seconds.
+    /// How long a load of `overload_factor` has to last for a server that is warming up to fail, seconds.
     pub window_s: f64,
-    /// Seconds after its start at which a server is warm at the latest.
+    /// Upper bound of the time from its start after which a server has its full capacity, seconds.
     pub warm_after_s: f64,
 }
 
-/// Retries and hedging.
+/// Limits of retries and hedged requests.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Attempts {
-    /// Most attempts for one request.
+    /// Limit on the attempts for one request.
     #[serde(rename = "most")]
     pub max_attempts: u32,
-    /// Whether attempts may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     #[serde(default = "defaults::yes")]
     pub may_cancel: bool,
-    /// Whether servers may be probed for their load.
+    /// Whether the decision module may request load reports from servers by probes.
     #[serde(default = "defaults::yes")]
     pub may_probe: bool,
-    /// Longest Retry-After given to a client, seconds.
+    /// Upper limit of the Retry-After time given to a client, seconds.
     pub max_retry_after_s: f64,
-    /// Whether decode servers prefill a prompt themselves where no KV cache is held.
+    /// Whether decode servers may prefill a prompt themselves where no prefill server holds its KV cache.
     #[serde(default)]
     #[serde(rename = "writers_read")]
     pub decode_servers_prefill: bool,
 }
 
-/// When a server reports its load.
+/// When model servers report their load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReportMode {
-    /// With each answer and on a probe.
+    /// With each answer and in reply to a load probe.
     WithAnswers,
-    /// On a probe alone.
+    /// Only in reply to a load probe.
     OnProbe,
-    /// Never.
+    /// Servers never report their load.
     #[default]
     Off,
 }
 
-/// What a value of a load report means.
+/// The metric that a value of a load report measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadMetric {
-    /// Requests running.
+    /// Number of requests running.
     Concurrent,
-    /// Requests waiting.
+    /// Number of requests waiting.
     Queue,
-    /// Fraction of the batch slots in use.
+    /// Fraction of the batch slots in use, 0 to 1.
     #[serde(rename = "slot_share")]
     SlotUtilization,
-    /// Fraction of the KV cache memory in use.
+    /// Fraction of the KV cache memory in use, 0 to 1.
     #[serde(rename = "memory_share")]
     MemoryUtilization,
-    /// Prompt tokens waiting, thousands.
+    /// Prompt tokens waiting to be prefilled, thousands.
     #[serde(rename = "waiting_kilo_tokens")]
     QueuedKiloTokens,
-    /// Nothing that routing uses.
+    /// A metric that routing does not use.
     Other,
 }
 
-/// Load reports of model servers.
+/// When model servers report their load, and which metrics.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Reports {
-    /// When they come.
+    /// When load reports are sent.
     pub mode: ReportMode,
-    /// Their values, in the order in which the decision module takes them.
+    /// The values of a load report, in the order in which the decision module receives them.
     pub fields: Vec<ReportField>,
 }
 
@@ -152,9 +152,9 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReportField {
-    /// Its name in the engines' load, as `num_requests_waiting`.
+    /// Name of the value in the load that an engine reports, such as `num_requests_waiting`.
     pub name: String,
-    /// What it measures.
+    /// The metric that the value measures.
     #[serde(rename = "means")]
     pub metric: LoadMetric,
 }
--- a/crates/core/src/settings/policy.rs
+++ b/crates/core/src/settings/policy.rs
@@ -1,11 +1,11 @@
-//! What the decision module is told of the settings.
+//! Conversion of the settings for the decision module.
 
 use bitternlatch_policy::interface as policy;
 
 use super::{Class, Effect, KeyScope, Kind, LoadMetric, ReportMode, Settings};
 
 impl Settings {
-    /// What the decision module is told at its start.
+    /// The settings with which the decision module is created.
     pub fn policy(&self) -> policy::Settings {
         policy::Settings {
             dispatchers: self.dispatchers,
@@ -41,7 +41,8 @@
                 may_cancel: self.attempts.may_cancel,
                 may_probe: self.attempts.may_probe,
                 max_retry_after_s: self.attempts.max_retry_after_s,
-                // The sessions' links to servers stand open; nothing is sent on one that does not.
+                // Links to servers are persistent, and nothing is sent on one that is not connected: no attempt waits for a
+                // connection.
                 connect_timeout_s: 0.0,
             },
             kv_hold_limit_s: self.rules.kv_hold_limit_s,
--- a/crates/core/src/settings/tests.rs
+++ b/crates/core/src/settings/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-pub(crate) const SMALL: &str = r#"name = "d1"
+/// A settings file without optional tables.
+pub(crate) const MINIMAL: &str = r#"name = "d1"
 zone = "z"
 dispatchers = 1
 [listen]
@@ -40,58 +41,60 @@
 memory_tokens = 150000
 "#;
 
-pub(crate) fn small() -> Settings {
-    Settings::parse("small.toml", SMALL).expect("the small settings are good")
+/// The parsed settings of [`MINIMAL`].
+pub(crate) fn minimal_settings() -> Settings {
+    Settings::parse("minimal.toml", MINIMAL).expect("the minimal settings are valid")
 }
 
 #[test]
-fn the_ready_made_cluster_is_one() {
+fn deployed_cluster_settings_are_consistent() {
     let texts = [
         include_str!("../../../../deploy/cluster/dispatch-1.toml"),
         include_str!("../../../../deploy/cluster/dispatch-2.toml"),
         include_str!("../../../../deploy/cluster/dispatch-3.toml"),
     ];
-    let read = |text: &&str| Settings::parse("deploy", text).expect("good settings");
-    let all: Vec<Settings> = texts.iter().map(read).collect();
+    let parse = |text: &&str| Settings::parse("deploy", text).expect("valid settings");
+    let all: Vec<Settings> = texts.iter().map(parse).collect();
     let roster = |s: &Settings| s.cluster.as_ref().map(|c| c.roster.clone());
     assert!(all.iter().all(|s| roster(s) == roster(&all[0])));
-    let clients = |s: &Settings| {
+    let client_address = |s: &Settings| {
         roster(s).and_then(|r| r.into_iter().find(|p| p.name == s.name)?.client_address)
     };
     assert!(all
         .iter()
-        .all(|s| clients(s).as_ref() == Some(&s.listen.address)));
+        .all(|s| client_address(s).as_ref() == Some(&s.listen.address)));
 }
 
 #[test]
-fn a_cluster_is_checked_by_place_and_cause() {
-    let fault = |roster: &str| {
+fn cluster_errors_name_key_and_cause() {
+    let error = |roster: &str| {
         let table = "[cluster]\nname = \"hall\"\nsecret = \"s\"\n";
-        Settings::parse("f.toml", &format!("{SMALL}{table}{roster}"))
+        Settings::parse("f.toml", &format!("{MINIMAL}{table}{roster}"))
             .map_err(|e| e.to_string())
             .err()
     };
-    let peer = |name: &str, at: &str| {
-        format!("[[cluster.roster]]\nname = \"{name}\"\naddress = \"{at}\"\n")
+    let peer = |name: &str, address: &str| {
+        format!("[[cluster.roster]]\nname = \"{name}\"\naddress = \"{address}\"\n")
     };
     let (one, two) = (peer("d1", "127.0.0.1:7811"), peer("d2", "127.0.0.1:7812"));
-    assert_eq!(fault(&(one.clone() + &two)), None);
-    assert!(fault(&two).is_some_and(|f| f.contains("'d1', this dispatcher, is not in it")));
-    let twice = fault(&(one.clone() + &peer("d2", "127.0.0.1:7811")));
-    assert!(twice.is_some_and(|f| f.contains("cluster.roster.1.address: 127.0.0.1:7811 is also")));
-    assert!(fault(&(one.clone() + &one)).is_some_and(|f| f.contains("'d1' is also the name")));
-    assert!(fault(&peer("d1", "127.0.0.1:0")).is_some_and(|f| f.contains("cannot be sent to")));
-    let seeds = |of: &str| format!("seeds = [{of}]\n");
-    assert_eq!(fault(&seeds("\"127.0.0.1:7811\"")), None);
-    assert!(fault(&seeds("\"127.0.0.1:0\""))
+    assert_eq!(error(&(one.clone() + &two)), None);
+    assert!(error(&two).is_some_and(|f| f.contains("'d1', this dispatcher, is not in it")));
+    let same_address = error(&(one.clone() + &peer("d2", "127.0.0.1:7811")));
+    assert!(same_address
+        .is_some_and(|f| f.contains("cluster.roster.1.address: 127.0.0.1:7811 is also")));
+    assert!(error(&(one.clone() + &one)).is_some_and(|f| f.contains("'d1' is also the name")));
+    assert!(error(&peer("d1", "127.0.0.1:0")).is_some_and(|f| f.contains("cannot be sent to")));
+    let seeds = |addresses: &str| format!("seeds = [{addresses}]\n");
+    assert_eq!(error(&seeds("\"127.0.0.1:7811\"")), None);
+    assert!(error(&seeds("\"127.0.0.1:0\""))
         .is_some_and(|f| f.contains("cluster.seeds.0: 127.0.0.1:0")));
-    assert!(fault(&seeds(&"\"127.0.0.1:7811\",".repeat(17)))
+    assert!(error(&seeds(&"\"127.0.0.1:7811\",".repeat(17)))
         .is_some_and(|f| f.contains("16 at the most")));
-    assert!(fault(&(seeds("\"127.0.0.1:7811\"") + &one))
+    assert!(error(&(seeds("\"127.0.0.1:7811\"") + &one))
         .is_some_and(|f| f.contains("keep one of them")));
-    assert!(fault("").is_some_and(|f| f.contains("cluster.roster")));
+    assert!(error("").is_some_and(|f| f.contains("cluster.roster")));
     let workflows = |line: &str| format!("{one}[cluster.workflows]\n{line}\n");
-    assert_eq!(fault(&workflows("")), None);
+    assert_eq!(error(&workflows("")), None);
     for line in [
         "lease_s = 0.1",
         "steps = 0",
@@ -101,7 +104,7 @@
         "kept = \"\"",
     ] {
         let key = line.split(' ').next().unwrap_or_default();
-        let found = fault(&workflows(line)).unwrap_or_default();
+        let found = error(&workflows(line)).unwrap_or_default();
         assert!(
             found.contains(&format!("cluster.workflows.{key}: ")),
             "{line}: {found}"
@@ -110,23 +113,23 @@
 }
 
 #[test]
-fn faults_name_file_line_and_key() {
-    let fault = |from: &str, to: &str| {
-        let text = SMALL.replacen(from, to, 1);
+fn errors_name_file_line_and_key() {
+    let error = |from: &str, to: &str| {
+        let text = MINIMAL.replacen(from, to, 1);
         Settings::parse("f.toml", &text).expect_err(to).to_string()
     };
     assert_eq!(
-        fault("most = 4", "most = 0"),
+        error("most = 4", "most = 0"),
         "f.toml:13:8: attempts.most: 0 is not between 1 and 100"
     );
-    assert!(fault("deadline_s = 12.0", "deadline_s = -1")
+    assert!(error("deadline_s = 12.0", "deadline_s = -1")
         .starts_with("f.toml:28:14: classes.1.deadline_s"));
     assert!(
-        fault("\"booking\"", "\"query\"").contains("f.toml:24:8: classes.1.name: 'query' is also")
+        error("\"booking\"", "\"query\"").contains("f.toml:24:8: classes.1.name: 'query' is also")
     );
-    assert!(fault("zone = \"z\"", "zon = 1").contains("unknown field `zon`"));
-    assert!(fault("name = \"d1\"", "name = d1").starts_with("f.toml:1:"));
-    assert!(fault("effect = \"safe\"", "effect = \"odd\"").starts_with("f.toml:17:"));
-    assert!(fault("effect = \"safe\"", "effect = \"keyed\"").contains("needs key_window_s"));
-    assert!(fault("ttft_aim_s = 1.5", "ttft_aim_s = nan").contains("ttft_aim_s: NaN"));
+    assert!(error("zone = \"z\"", "zon = 1").contains("unknown field `zon`"));
+    assert!(error("name = \"d1\"", "name = d1").starts_with("f.toml:1:"));
+    assert!(error("effect = \"safe\"", "effect = \"odd\"").starts_with("f.toml:17:"));
+    assert!(error("effect = \"safe\"", "effect = \"keyed\"").contains("needs key_window_s"));
+    assert!(error("ttft_aim_s = 1.5", "ttft_aim_s = nan").contains("ttft_aim_s: NaN"));
 }
