--- a/crates/core/src/workflow_steps.rs
+++ b/crates/core/src/workflow_steps.rs
@@ -1,4 +1,4 @@
-//! Requests that are steps of workflows: from a client's message to the coordinator, and from its answer to the client.
+//! Requests about workflows: sends them to the workflow coordinator as queries, and carries out what its answers require.
 
 use bitternlatch_policy::interface::RequestId;
 use bitternlatch_protocol::client::{BadRequest, Create, Response, Status};
@@ -20,7 +20,8 @@
 };
 
 impl Machine {
-    /// A step's answer waits until what became of the step is held; gives back what is no step's.
+    /// Reports the outcome of a workflow step and holds its final answer back until the outcome is durable. Returns the
+    /// answer where it may be delivered at once, as that of a request outside workflows.
     pub(crate) fn await_durable_result(
         &mut self,
         now: Micros,
@@ -38,18 +39,18 @@
             },
             _ => request.unfinished_outcome(),
         };
-        // A failure is told soon, held or not: it says enough as it is.
-        let until = match &outcome {
+        // A failed answer promises no result, so it is delivered soon even if the outcome is not durable yet.
+        let deadline = match &outcome {
             AttemptOutcome::Done { .. } => request.deadline.max(now.after(RESULT_DURABLE_WITHIN_S)),
             _ => now.after(FAILURE_DURABLE_WITHIN_S),
         };
         self.cancel_blocked_send(id);
         match self
             .workflows
-            .end_step(id, outcome, Box::new(answer), until)
+            .end_step(id, outcome, Box::new(answer), deadline)
         {
             Ok((call, command)) => {
-                self.timers.set(until, Timer::WorkflowQuery { call });
+                self.timers.set(deadline, Timer::WorkflowQuery { call });
                 out.push(Output::Workflow(command));
                 None
             }
@@ -57,26 +58,27 @@
         }
     }
 
+    /// Reports the outcome of a workflow step again, after a transient rejection by the coordinator.
     pub(crate) fn resend_step_end(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        if let Some((call, until, command)) = self.workflows.resend_step_end(id) {
-            self.timers.set(until, Timer::WorkflowQuery { call });
+        if let Some((call, deadline, command)) = self.workflows.resend_step_end(id) {
+            self.timers.set(deadline, Timer::WorkflowQuery { call });
             out.push(Output::Workflow(command));
         }
     }
 
-    /// What became of a step that nobody waits for.
+    /// Reports the outcome of a workflow step whose request was abandoned, as no client waits for its answer.
     pub(crate) fn abandon_step(&mut self, now: Micros, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&id).filter(|r| r.is_workflow_step) else {
             return;
         };
-        let until = request.deadline.max(now.after(RESULT_DURABLE_WITHIN_S));
+        let deadline = request.deadline.max(now.after(RESULT_DURABLE_WITHIN_S));
         let outcome = request.unfinished_outcome();
         self.cancel_blocked_send(id);
-        let command = self.workflows.abandon_step(id, outcome, until);
+        let command = self.workflows.abandon_step(id, outcome, deadline);
         out.extend(command.map(Output::Workflow));
     }
 
-    /// What the workflow coordinator has answered, or has not in time.
+    /// Carries out what follows from an answer of the workflow coordinator, or from the time-out of a query.
     pub(crate) fn on_workflow(
         &mut self,
         now: Micros,
@@ -104,8 +106,8 @@
             Some(WorkflowAction::Admit {
                 query,
                 intent,
-                until,
-            }) => self.admit_step(now, query, intent, until, out),
+                permitted_until,
+            }) => self.admit_step(now, query, intent, permitted_until, out),
             Some(WorkflowAction::ResumeSend {
                 request,
                 send,
@@ -123,13 +125,14 @@
         }
     }
 
-    /// A step's intent is durable: it is taken as any other request, in the time that is left.
+    /// Admits the request of a workflow step whose intent is stored, in the time left of its deadline. Where it is rejected
+    /// now, the coordinator is notified that the step never ran.
     pub(crate) fn admit_step(
         &mut self,
         now: Micros,
         mut query: PendingQuery,
         intent: Intent,
-        until: Micros,
+        permitted_until: Micros,
         out: &mut Vec<Output>,
     ) {
         let admitted = match self.validate(now, query.session, &query.create) {
@@ -145,7 +148,7 @@
                 });
                 let step = PermittedStep {
                     intent: intent.clone(),
-                    permitted_until: until,
+                    permitted_until,
                 };
                 let (step, admitted_work) = (Some(step), Some(query.admitted_work));
                 let validated_step = ValidatedRequest {
@@ -174,7 +177,7 @@
         }
     }
 
-    /// An answer that no server has given: of a workflow itself, or of a step that was done before.
+    /// Answers a query without a model server: with the state of a workflow, or with the stored result of a completed step.
     pub(crate) fn answer_without_server(
         &mut self,
         now: Micros,
@@ -200,7 +203,7 @@
         }
         .with_text(text);
         self.send_recorded_answer(query.session, &answer, &query.create, out);
-        // The next turn may go on from it, as from the answer that it repeats.
+        // The answer repeats that of a completed step, so a later request may continue its conversation as well.
         if let Some(validated) = self
             .validate(now, query.session, &query.create)
             .ok()
@@ -223,7 +226,8 @@
         }
     }
 
-    /// A step's answer, or why it does not count. A failure says enough as it is.
+    /// Delivers the final answer of a workflow step. A result that did not become durable is replaced by a failure; a failed
+    /// answer is delivered as it is.
     pub(crate) fn deliver_step(
         &mut self,
         now: Micros,
@@ -248,7 +252,10 @@
         self.deliver(now, id, answer, out);
     }
 
-    /// What a request is about, where workflows are on.
+    /// The workflow operation that the metadata of a request name; `None` outside workflows and where they are disabled.
+    ///
+    /// # Errors
+    /// The metadata are invalid.
     pub(crate) fn workflow_operation(&self, create: &Create) -> Result<Option<About>, BadRequest> {
         let enabled = self
             .settings
@@ -262,7 +269,11 @@
         }
     }
 
-    /// Asks the workflow coordinator what becomes of a request about a workflow; what follows is its answer's.
+    /// Sends a request about a workflow to the coordinator as a query. A step that is already in flight here is attached to
+    /// the request that runs it. The client is answered when the coordinator answers, see [`Machine::on_workflow`].
+    ///
+    /// # Errors
+    /// The rejection of a request that is not sent to the coordinator.
     pub(crate) fn query_workflow(
         &mut self,
         now: Micros,
@@ -289,8 +300,8 @@
         if let WorkflowQuery::Step(intent) = &query {
             match self.workflows.in_flight(intent) {
                 Some(Ok(id)) => return Ok(self.attach(session, id, create, out)?),
-                Some(Err(why)) => return Err(Rejection::by_workflow(why)),
-                // Asked again when it is admitted; what is to_bad_request for certain costs no majority's word.
+                Some(Err(reason)) => return Err(Rejection::by_workflow(reason)),
+                // Also checked when the step is admitted; rejecting it here saves a write to a majority of replicas.
                 None if !self.may_admit(now, validated.class) => {
                     return Err(self.redirect_to_peers(now))
                 }
@@ -305,16 +316,16 @@
                 }
             }
         }
-        let until =
+        let deadline =
             now.after((validated.time_left_s - self.settings.requests.answer_margin_s).max(0.0));
-        let submitted = self
-            .workflows
-            .submit(now, (session, create), query, admitted_work, until);
-        let (call, command) = submitted.map_err(|why| {
+        let submitted =
+            self.workflows
+                .submit(now, (session, create), query, admitted_work, deadline);
+        let (call, command) = submitted.map_err(|reason| {
             self.load_shedding.request_ended(&mut admitted_work);
-            Rejection::by_workflow(why)
+            Rejection::by_workflow(reason)
         })?;
-        self.timers.set(until, Timer::WorkflowQuery { call });
+        self.timers.set(deadline, Timer::WorkflowQuery { call });
         out.push(Output::Workflow(command));
         Ok(())
     }
--- a/crates/core/src/workflows/events.rs
+++ b/crates/core/src/workflows/events.rs
@@ -1,4 +1,4 @@
-//! The coordinator's answers, and queries whose time is over.
+//! Handles answers of the workflow coordinator and time-outs of queries.
 
 use bitternlatch_policy::interface::RequestId;
 use bitternlatch_protocol::workflow::{Carried, Claimed};
@@ -11,7 +11,7 @@
 use crate::types::Micros;
 
 impl Workflows {
-    /// An answer by the workflow coordinator; one to a query that is over says nothing.
+    /// Handles an answer of the workflow coordinator; an answer to a query that is no longer pending is ignored.
     pub(crate) fn on_event(&mut self, now: Micros, event: Event) -> Option<WorkflowAction> {
         let call = match &event {
             Event::Claimed { call, .. }
@@ -27,8 +27,9 @@
         }
     }
 
-    /// A query's time is over. A step's is kept once more for as long as [`Workflows::is_pending`] says: where it turns out to be
-    /// permitted after all, what is open has to be closed.
+    /// Handles the time-out of a query. The query of a step is rejected to its client but stays in the table, abandoned, for
+    /// one further time-out (see [`Workflows::is_pending`]): where its intent is stored after all, the step has to be
+    /// reported as never run.
     pub(crate) fn on_timeout(&mut self, call: Call) -> Option<WorkflowAction> {
         if let Some(mut query) = self.queries.remove(&call) {
             if query.abandoned {
@@ -61,22 +62,23 @@
         }
     }
 
+    /// Whether a query of a session, abandoned or not, is still in the table.
     pub(crate) fn is_pending(&self, call: Call) -> bool {
         self.queries.contains_key(&call)
     }
 
-    /// The coordinator's answer to a session's query.
+    /// Handles an answer of the coordinator to a query of a session.
     fn answer(&mut self, query: PendingQuery, event: Event) -> Option<WorkflowAction> {
         if let (WorkflowQuery::Step(intent), Event::SendPermitted { until_us, .. }) =
             (&query.query, &event)
         {
-            let (intent, until) = (intent.clone(), Micros(*until_us));
+            let (intent, permitted_until) = (intent.clone(), Micros(*until_us));
             return Some(match query.abandoned {
-                true => WorkflowAction::SendCommand(self.report_never_ran(intent, until)),
+                true => WorkflowAction::SendCommand(self.report_never_ran(intent, permitted_until)),
                 false => WorkflowAction::Admit {
                     query,
                     intent,
-                    until,
+                    permitted_until,
                 },
             });
         }
@@ -94,6 +96,7 @@
         })
     }
 
+    /// Handles an answer of the coordinator about a step that runs as a request or waits for its outcome to become durable.
     fn on_step_event(
         &mut self,
         now: Micros,
@@ -104,7 +107,7 @@
         match (&mut step.stage, event) {
             (
                 Stage::InFlight {
-                    until,
+                    permitted_until,
                     blocked,
                     withdrawn,
                 },
@@ -113,7 +116,7 @@
                 let send = blocked.take()?;
                 let permitted = match event {
                     Event::SendPermitted { until_us, .. } => {
-                        (*until, *withdrawn) = (Micros(until_us), false);
+                        (*permitted_until, *withdrawn) = (Micros(until_us), false);
                         true
                     }
                     _ => false,
@@ -127,8 +130,8 @@
             (Stage::AwaitingDurability { .. }, Event::Committed { .. }) => {
                 self.deliver(request, Ok(()))
             }
-            (Stage::AwaitingDurability { until, .. }, Event::Rejected { reason, .. })
-                if is_transient(reason) && now < *until =>
+            (Stage::AwaitingDurability { deadline, .. }, Event::Rejected { reason, .. })
+                if is_transient(reason) && now < *deadline =>
             {
                 Some(WorkflowAction::RetryStepEnd(request))
             }
@@ -139,6 +142,7 @@
         }
     }
 
+    /// Removes a step whose answer waits for durability, and has its answer delivered.
     fn deliver(
         &mut self,
         request: RequestId,
@@ -158,7 +162,10 @@
     }
 }
 
-/// The text of an answer that needs no model server; the error is why there is none.
+/// The text that answers a query without a model server.
+///
+/// # Errors
+/// Why the coordinator rejected the query.
 fn answer_text(query: &WorkflowQuery, event: Event) -> Result<String, RejectReason> {
     match (query, event) {
         (WorkflowQuery::Step(_), Event::AlreadyDone { result, .. }) => Ok(result),
@@ -187,7 +194,7 @@
             Ok(to_json(&Carried { epoch: None }))
         }
         (_, Event::Rejected { reason, .. }) => Err(reason),
-        // An answer to another query: nothing can be said for certain.
+        // The event does not answer this kind of query, so the outcome of the query is unknown.
         _ => Err(RejectReason::Busy),
     }
 }
--- a/crates/core/src/workflows/messages.rs
+++ b/crates/core/src/workflows/messages.rs
@@ -1,4 +1,4 @@
-//! What the table tells and is told, in the protocol's words.
+//! Conversion between the client protocol and the types of the workflow coordinator.
 
 use bitternlatch_protocol::client::{BadRequest, Create};
 use bitternlatch_protocol::workflow::{ClaimedStep, Decided, Does, StepEffect, StepFate};
@@ -8,6 +8,7 @@
 use super::{Intent, WorkflowQuery};
 use crate::settings::{self, Class};
 
+/// A step as reported to the worker that claims its workflow.
 pub(super) fn to_claimed_step(step: bitternlatch_workflow::Step) -> ClaimedStep {
     let (fate, result) = match step.outcome {
         None => (StepFate::Open, None),
@@ -29,19 +30,20 @@
     }
 }
 
+/// Serializes the text of an answer.
 pub(super) fn to_json(value: &impl serde::Serialize) -> String {
-    // Strings and numbers under string keys always serialize.
+    // The values consist of strings and numbers under string keys, whose serialization cannot fail.
     serde_json::to_string(value).unwrap_or_default()
 }
 
-/// A workflow's name among all: of its tenant, its caller and what that one calls it.
+/// The name of a workflow that is unique among all callers: its tenant, its owner and the name that the caller gave it.
 pub(crate) fn qualified_name(tenant: &str, owner: &str, own_name: &str) -> String {
-    // No part may pass for two.
+    // Slashes within a part are escaped, so that different names cannot be joined to the same qualified name.
     let escape = |part: &str| part.replace('%', "%25").replace('/', "%2f");
     format!("{}/{}/{}", escape(tenant), escape(owner), escape(own_name))
 }
 
-/// What a request asks of a workflow.
+/// Converts a request about a workflow to a query. `key` is the idempotency key of the client, empty where it sent none.
 pub(crate) fn to_query(
     workflow: String,
     operation: Does,
@@ -84,7 +86,7 @@
                 settings::Effect::Unsafe => Effect::Unsafe,
             };
             let request_digest = digest_request(create, &class.name, key);
-            // Without one of the caller's a repeat still has to be known for one.
+            // A client may send no key; a repeated step must be recognized nevertheless.
             let key = if key.is_empty() {
                 format!("{workflow}/{step}")
             } else {
@@ -102,7 +104,8 @@
     }
 }
 
-/// Hash of what a step asks, the same for each worker that asks it: how the context is given is not in it.
+/// Hash of the request of a step, equal for each worker that requests it. It leaves out the conversation context, which
+/// workers may pass in different ways.
 fn digest_request(create: &Create, class: &str, key: &str) -> u64 {
     let mut hash = Xxh3::new();
     for part in [create.model.as_str(), class, &create.input, key] {
@@ -112,7 +115,7 @@
     hash.digest()
 }
 
-/// A refusal in the words of the protocol; those of status 503 are worth another try.
+/// A rejection as an error of the client protocol. Errors of status 503 may succeed on a retry, those of 409 do not.
 pub(crate) fn to_bad_request(reason: RejectReason) -> BadRequest {
     let (status, code) = match reason {
         RejectReason::Fenced => (409, "workflow_fenced"),
--- a/crates/core/src/workflows/tests.rs
+++ b/crates/core/src/workflows/tests.rs
@@ -72,7 +72,7 @@
         matches!(
             act,
             Some(WorkflowAction::Admit {
-                until: Micros(500),
+                permitted_until: Micros(500),
                 ..
             })
         ),
--- a/crates/core/src/workflows/types.rs
+++ b/crates/core/src/workflows/types.rs
@@ -1,4 +1,4 @@
-//! What is asked of workflows, what waits for an answer, and what the machine is to do.
+//! Types of the workflow table: queries and commands to the workflow coordinator, and actions of the machine.
 
 use bitternlatch_policy::interface::{RequestId, ServerId};
 use bitternlatch_protocol::client::{Create, Response};
@@ -7,59 +7,65 @@
 use crate::load_shedding::AdmittedWork;
 use crate::types::{Micros, SessionId};
 
-/// What a step means to do. The same under each epoch, but for the epoch.
+/// What a workflow step is about to do, stored before it is sent. A worker that resumes the workflow under a later epoch
+/// requests the step with an otherwise equal intent.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Intent {
+    /// Qualified name of the workflow, see [`qualified_name`](super::qualified_name).
     pub workflow: String,
+    /// Epoch of the claim of the worker that requests the step.
     pub epoch: u64,
+    /// Number of the step in its workflow, from 1.
     pub step: u32,
     pub effect: Effect,
+    /// Idempotency key of the step.
     pub key: String,
-    /// Digest of what is asked.
+    /// Hash of the request, which detects another request under the same step number.
     pub request_digest: u64,
 }
 
-/// What a session asks before there is a request, or without one.
+/// A query of a session to the workflow coordinator. A step becomes a request once the query is answered; all others are
+/// answered without one.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum WorkflowQuery {
-    Claim {
-        workflow: String,
-        worker: String,
-    },
-    RenewLease {
-        workflow: String,
-        epoch: u64,
-    },
+    /// A worker starts a workflow, resumes it after the failure of another worker, or returns to its own.
+    Claim { workflow: String, worker: String },
+    /// A worker renews its lease on a workflow.
+    RenewLease { workflow: String, epoch: u64 },
+    /// A worker ends its workflow, as finished or as cancelled.
     Finish {
         workflow: String,
         epoch: u64,
         cancelled: bool,
     },
+    /// A person decides the outcome of a step for which it is unknown.
     Settle {
         workflow: String,
         step: u32,
         outcome: AttemptOutcome,
     },
+    /// Store the intent of a step and permit to send it.
     Step(Intent),
 }
 
-/// Who asked, and what.
+/// A query that waits for the coordinator, with the session and the client request that it belongs to.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingQuery {
     pub session: SessionId,
     pub create: Box<Create>,
+    /// When the client request was received.
     pub received_at: Micros,
-    /// What the fleet's shedding has taken of it, until it is a request or over.
+    /// The work that load shedding has admitted for the query, until it becomes a request or ends.
     pub admitted_work: AdmittedWork,
     pub(super) query: WorkflowQuery,
-    /// Its session has closed.
+    /// No client waits for the answer any more: the session closed or the query timed out.
     pub(super) abandoned: bool,
 }
 
 impl WorkflowQuery {
-    /// The command that asks the coordinator; the answer is of no use after `until`.
-    pub(super) fn command(self, call: Call, until: Micros) -> Command {
-        let until_us = until.0;
+    /// The command for the coordinator; its answer is of no use after the deadline.
+    pub(super) fn command(self, call: Call, deadline: Micros) -> Command {
+        let until_us = deadline.0;
         match self {
             WorkflowQuery::Claim { workflow, worker } => Command::Claim {
                 call,
@@ -95,57 +101,63 @@
                 outcome,
                 until_us,
             },
-            WorkflowQuery::Step(intent) => intend_step(call, intent, until),
+            WorkflowQuery::Step(intent) => intend_step(call, intent, deadline),
         }
     }
 }
 
-/// A send that waits for its permission.
+/// A send to a model server that waits for a new permission of its workflow step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct BlockedSend {
     pub server: ServerId,
+    /// Time limit of the attempt, seconds.
     pub timeout_s: f64,
 }
 
-/// What the machine is to do.
+/// What the machine has to do after an event or a time-out of a query.
 #[derive(Debug)]
 pub(crate) enum WorkflowAction {
-    /// Answer a session without a server.
+    /// Answer a query without a model server.
     Answer {
         query: PendingQuery,
         text: String,
+        /// The text is the stored result of a completed step, so that a later request may continue its conversation.
         is_step_result: bool,
     },
-    /// Refuse a session's request.
+    /// Reject a query of a session.
     Reject {
         query: PendingQuery,
         reason: RejectReason,
     },
-    /// Take a step's request as any other. Its intent is held, and it may leave until then.
+    /// Admit the request of a step, whose intent is durably stored.
     Admit {
         query: PendingQuery,
         intent: Intent,
-        until: Micros,
+        /// When the permission to send the step expires.
+        permitted_until: Micros,
     },
-    /// A send that waited may go, or may not.
+    /// Carry out a blocked send if it is permitted, or drop it.
     ResumeSend {
         request: RequestId,
         send: BlockedSend,
         permitted: bool,
     },
-    /// Tell how a step ended once more, after [`STEP_END_RETRY_S`](super::STEP_END_RETRY_S).
+    /// Report the outcome of a step again after [`STEP_END_RETRY_S`](super::STEP_END_RETRY_S).
     RetryStepEnd(RequestId),
-    /// Give a request's final answer, or one that says why not; without a cause it was not held in time.
+    /// Deliver the final answer of a step.
     Deliver {
         request: RequestId,
         answer: Box<Response>,
+        /// Whether the outcome is durable; the error is why it was rejected, or `None` where the coordinator did not confirm
+        /// it.
         durable: Result<(), Option<RejectReason>>,
     },
-    /// Tell what nobody waits for.
+    /// Send a command whose answer no client waits for.
     SendCommand(Command),
 }
 
-pub(super) fn intend_step(call: Call, intent: Intent, until: Micros) -> Command {
+/// The command that stores the intent of a step and requests the permission to send it.
+pub(super) fn intend_step(call: Call, intent: Intent, deadline: Micros) -> Command {
     let Intent {
         workflow,
         epoch,
@@ -162,15 +174,16 @@
         effect,
         key,
         request_digest,
-        until_us: until.0,
+        until_us: deadline.0,
     }
 }
 
+/// The command that reports the outcome of a step.
 pub(super) fn report_outcome(
     call: Call,
     intent: Intent,
     outcome: AttemptOutcome,
-    until: Micros,
+    deadline: Micros,
 ) -> Command {
     let Intent {
         workflow,
@@ -184,11 +197,11 @@
         epoch,
         step,
         outcome,
-        until_us: until.0,
+        until_us: deadline.0,
     }
 }
 
-/// Whether a refusal says nothing of the workflow itself.
+/// Whether a rejection is due to the state of the coordinator and not to the workflow, so that a retry may succeed.
 pub(super) fn is_transient(reason: RejectReason) -> bool {
     matches!(
         reason,
