--- a/crates/core/src/workflows/tests.rs
+++ b/crates/core/src/workflows/tests.rs
@@ -1,4 +1,4 @@
-//! The table alone.
+//! Tests of the workflow table without the machine; the coordinator's events are written by hand.
 
 use bitternlatch_protocol::workflow::StepFate;
 
@@ -6,7 +6,7 @@
 use bitternlatch_protocol::workflow::Claimed;
 use bitternlatch_workflow::Event;
 
-const S: SessionId = SessionId(1);
+const SESSION: SessionId = SessionId(1);
 
 fn intent(epoch: u64, step: u32, effect: Effect) -> Intent {
     Intent {
@@ -36,17 +36,20 @@
     })
 }
 
-fn asks(w: &mut Workflows, question: WorkflowQuery) -> (Call, Command) {
-    w.submit(
-        Micros(0),
-        (S, &Create::default()),
-        question,
-        AdmittedWork::default(),
-        Micros(1_000),
-    )
-    .expect("taken")
+/// Submits a query of [`SESSION`] and returns its number and command.
+fn submit(workflows: &mut Workflows, query: WorkflowQuery) -> (Call, Command) {
+    workflows
+        .submit(
+            Micros(0),
+            (SESSION, &Create::default()),
+            query,
+            AdmittedWork::default(),
+            Micros(1_000),
+        )
+        .expect("accepted")
 }
 
+/// The outcome of a completed step with the result `yes`.
 fn done() -> AttemptOutcome {
     AttemptOutcome::Done {
         result: "yes".into(),
@@ -55,13 +58,16 @@
 }
 
 #[test]
-fn step_goes_from_intent_to_result() {
-    let mut w = Workflows::default();
+fn step_is_sent_after_intent_and_answered_after_result() {
+    let mut workflows = Workflows::default();
     let wanted = intent(3, 1, Effect::Unsafe);
-    let (call, _) = asks(&mut w, WorkflowQuery::Step(wanted.clone()));
-    assert_eq!(w.in_flight(&wanted), Some(Err(RejectReason::Busy)));
-    assert_eq!((w.pending_queries(S), w.has_pending()), (1, true));
-    let act = w.on_event(
+    let (call, _) = submit(&mut workflows, WorkflowQuery::Step(wanted.clone()));
+    assert_eq!(workflows.in_flight(&wanted), Some(Err(RejectReason::Busy)));
+    assert_eq!(
+        (workflows.pending_queries(SESSION), workflows.has_pending()),
+        (1, true)
+    );
+    let action = workflows.on_event(
         Micros(0),
         Event::SendPermitted {
             call,
@@ -70,44 +76,45 @@
     );
     assert!(
         matches!(
-            act,
+            action,
             Some(WorkflowAction::Admit {
                 permitted_until: Micros(500),
                 ..
             })
         ),
-        "{act:?}"
+        "{action:?}"
     );
     assert!(
-        w.on_event(
-            Micros(0),
-            Event::SendPermitted {
-                call,
-                until_us: 900
-            }
-        )
-        .is_none(),
-        "told twice"
+        workflows
+            .on_event(
+                Micros(0),
+                Event::SendPermitted {
+                    call,
+                    until_us: 900
+                }
+            )
+            .is_none(),
+        "a second answer to the same command is ignored"
     );
-    w.start_step(9, wanted.clone(), Micros(500));
-    assert_eq!(w.in_flight(&wanted), Some(Ok(9)));
+    workflows.start_step(9, wanted.clone(), Micros(500));
+    assert_eq!(workflows.in_flight(&wanted), Some(Ok(9)));
     assert_eq!(
-        w.in_flight(&Intent {
+        workflows.in_flight(&Intent {
             request_digest: 8,
             ..wanted.clone()
         }),
         Some(Err(RejectReason::OtherRequest))
     );
     assert_eq!(
-        w.in_flight(&intent(4, 1, Effect::Unsafe)),
+        workflows.in_flight(&intent(4, 1, Effect::Unsafe)),
         None,
-        "a later epoch asks for itself"
+        "the same step under a later epoch is another one"
     );
-    let Ok((call, ask)) = w.end_step(9, done(), answer(), Micros(2_000)) else {
-        panic!("a step")
+    let Ok((call, command)) = workflows.end_step(9, done(), answer(), Micros(2_000)) else {
+        panic!("the step has ended already")
     };
     assert!(matches!(
-        ask,
+        command,
         Command::ReportOutcome {
             epoch: 3,
             step: 1,
@@ -115,41 +122,51 @@
             ..
         }
     ));
-    assert!(w.is_awaiting_durability(9) && !w.may_send_step(Micros(0), 9) && w.has_pending());
     assert!(
-        w.end_step(9, done(), answer(), Micros(2_000)).is_err(),
-        "it ends once"
+        workflows.is_awaiting_durability(9)
+            && !workflows.may_send_step(Micros(0), 9)
+            && workflows.has_pending()
+    );
+    assert!(
+        workflows
+            .end_step(9, done(), answer(), Micros(2_000))
+            .is_err(),
+        "a step ends only once"
     );
     assert!(matches!(
-        w.on_event(Micros(0), Event::Committed { call }),
+        workflows.on_event(Micros(0), Event::Committed { call }),
         Some(WorkflowAction::Deliver {
             request: 9,
             durable: Ok(()),
             ..
         })
     ));
-    assert!(w.on_timeout(call).is_none() && !w.has_pending() && w.in_flight(&wanted).is_none());
+    assert!(
+        workflows.on_timeout(call).is_none()
+            && !workflows.has_pending()
+            && workflows.in_flight(&wanted).is_none()
+    );
 }
 
 #[test]
 fn send_permission_expires_and_is_requested_again() {
-    let mut w = Workflows::default();
-    w.start_step(1, intent(1, 1, Effect::Unsafe), Micros(500));
-    w.start_step(2, intent(1, 2, Effect::Safe), Micros(500));
-    assert!(w.may_send_step(Micros(499), 1) && !w.may_send_step(Micros(500), 1));
+    let mut workflows = Workflows::default();
+    workflows.start_step(1, intent(1, 1, Effect::Unsafe), Micros(500));
+    workflows.start_step(2, intent(1, 2, Effect::Safe), Micros(500));
+    assert!(workflows.may_send_step(Micros(499), 1) && !workflows.may_send_step(Micros(500), 1));
     assert!(
-        w.may_send_step(Micros(500), 2) && w.may_send_step(Micros(500), 77),
-        "safe, and no step"
+        workflows.may_send_step(Micros(500), 2) && workflows.may_send_step(Micros(500), 77),
+        "safe steps and requests outside workflows need no permission"
     );
     let send = BlockedSend {
         server: 7,
         timeout_s: 1.0,
     };
-    let (call, tell) = w
+    let (call, commands) = workflows
         .block_send(1, send, false, Micros(5_000))
-        .expect("it waits");
+        .expect("a blocked send");
     assert!(matches!(
-        tell.as_slice(),
+        commands.as_slice(),
         [
             Command::ReportOutcome {
                 outcome: AttemptOutcome::NeverRan,
@@ -161,7 +178,7 @@
             }
         ]
     ));
-    let go = w.on_event(
+    let permitted = workflows.on_event(
         Micros(600),
         Event::SendPermitted {
             call,
@@ -169,22 +186,22 @@
         },
     );
     assert!(
-        matches!(go, Some(WorkflowAction::ResumeSend { request: 1, permitted: true, send: s }) if s == send),
-        "{go:?}"
+        matches!(permitted, Some(WorkflowAction::ResumeSend { request: 1, permitted: true, send: s }) if s == send),
+        "{permitted:?}"
     );
-    assert!(w.may_send_step(Micros(899), 1) && !w.may_send_step(Micros(900), 1));
-    let (call, tell) = w
+    assert!(workflows.may_send_step(Micros(899), 1) && !workflows.may_send_step(Micros(900), 1));
+    let (call, commands) = workflows
         .block_send(1, send, true, Micros(5_000))
-        .expect("it waits");
+        .expect("a blocked send");
     assert!(
-        matches!(tell.as_slice(), [Command::Intend { .. }]),
-        "an earlier one may have run"
+        matches!(commands.as_slice(), [Command::Intend { .. }]),
+        "an earlier attempt may have run, so NeverRan is not reported"
     );
     assert!(
-        !w.may_send_step(Micros(0), 1),
-        "until it is permitted again"
+        !workflows.may_send_step(Micros(0), 1),
+        "not until it is permitted again"
     );
-    let no = w.on_event(
+    let rejected = workflows.on_event(
         Micros(700),
         Event::Rejected {
             call,
@@ -193,28 +210,32 @@
     );
     assert!(
         matches!(
-            no,
+            rejected,
             Some(WorkflowAction::ResumeSend {
                 permitted: false,
                 ..
             })
-        ) && !w.may_send_step(Micros(0), 1)
+        ) && !workflows.may_send_step(Micros(0), 1)
     );
-    let (call, _) = w
+    let (call, _) = workflows
         .block_send(1, send, true, Micros(5_000))
-        .expect("it waits");
+        .expect("a blocked send");
     assert!(matches!(
-        w.on_timeout(call),
+        workflows.on_timeout(call),
         Some(WorkflowAction::ResumeSend {
             permitted: false,
             ..
         })
     ));
-    let (call, _) = w
+    let (call, _) = workflows
         .block_send(1, send, true, Micros(5_000))
-        .expect("it waits");
-    assert_eq!(w.take_blocked_send(1), Some(send), "its request has ended");
-    assert!(w
+        .expect("a blocked send");
+    assert_eq!(
+        workflows.take_blocked_send(1),
+        Some(send),
+        "the request has ended"
+    );
+    assert!(workflows
         .on_event(
             Micros(0),
             Event::SendPermitted {
@@ -223,22 +244,30 @@
             }
         )
         .is_none());
-    w.start_step(3, intent(1, 3, Effect::Unsafe), Micros(500));
-    assert!(w.block_send(3, send, false, Micros(5_000)).is_some());
-    let end = w.end_step(3, AttemptOutcome::NeverRan, answer(), Micros(9));
+    workflows.start_step(3, intent(1, 3, Effect::Unsafe), Micros(500));
+    assert!(workflows
+        .block_send(3, send, false, Micros(5_000))
+        .is_some());
+    let end = workflows.end_step(3, AttemptOutcome::NeverRan, answer(), Micros(9));
     assert!(
-        end.is_err() && w.in_flight(&intent(1, 3, Effect::Unsafe)).is_none(),
-        "that is told already"
+        end.is_err() && workflows.in_flight(&intent(1, 3, Effect::Unsafe)).is_none(),
+        "NeverRan is already reported"
     );
 }
 
 #[test]
 fn abandoned_or_late_step_leaves_no_effect() {
-    let mut w = Workflows::default();
-    let (call, _) = asks(&mut w, WorkflowQuery::Step(intent(1, 1, Effect::Keyed)));
-    w.session_closed(S);
-    assert_eq!((w.pending_queries(S), w.has_pending()), (0, false));
-    let act = w.on_event(
+    let mut workflows = Workflows::default();
+    let (call, _) = submit(
+        &mut workflows,
+        WorkflowQuery::Step(intent(1, 1, Effect::Keyed)),
+    );
+    workflows.session_closed(SESSION);
+    assert_eq!(
+        (workflows.pending_queries(SESSION), workflows.has_pending()),
+        (0, false)
+    );
+    let action = workflows.on_event(
         Micros(0),
         Event::SendPermitted {
             call,
@@ -247,24 +276,27 @@
     );
     assert!(
         matches!(
-            act,
+            action,
             Some(WorkflowAction::SendCommand(Command::ReportOutcome {
                 outcome: AttemptOutcome::NeverRan,
                 ..
             }))
         ),
-        "{act:?}"
+        "{action:?}"
+    );
+    let (call, _) = submit(
+        &mut workflows,
+        WorkflowQuery::Step(intent(1, 2, Effect::Keyed)),
     );
-    let (call, _) = asks(&mut w, WorkflowQuery::Step(intent(1, 2, Effect::Keyed)));
     assert!(matches!(
-        w.on_timeout(call),
+        workflows.on_timeout(call),
         Some(WorkflowAction::Reject {
             reason: RejectReason::NoMajority,
             ..
         })
     ));
-    assert!(w.is_pending(call) && !w.has_pending());
-    let act = w.on_event(
+    assert!(workflows.is_pending(call) && !workflows.has_pending());
+    let action = workflows.on_event(
         Micros(0),
         Event::SendPermitted {
             call,
@@ -273,24 +305,29 @@
     );
     assert!(
         matches!(
-            act,
+            action,
             Some(WorkflowAction::SendCommand(Command::ReportOutcome {
                 step: 2,
                 outcome: AttemptOutcome::NeverRan,
                 ..
             }))
         ),
-        "{act:?}"
+        "{action:?}"
+    );
+    let (call, _) = submit(
+        &mut workflows,
+        WorkflowQuery::Step(intent(1, 2, Effect::Keyed)),
     );
-    let (call, _) = asks(&mut w, WorkflowQuery::Step(intent(1, 2, Effect::Keyed)));
     assert!(
-        w.on_timeout(call).is_some() && w.on_timeout(call).is_none() && !w.is_pending(call),
-        "once more, and no longer"
+        workflows.on_timeout(call).is_some()
+            && workflows.on_timeout(call).is_none()
+            && !workflows.is_pending(call),
+        "an abandoned query stays for one further time-out"
     );
-    w.start_step(5, intent(1, 3, Effect::Keyed), Micros(500));
-    let told = w.abandon_step(5, AttemptOutcome::MayHaveRun, Micros(900));
+    workflows.start_step(5, intent(1, 3, Effect::Keyed), Micros(500));
+    let command = workflows.abandon_step(5, AttemptOutcome::MayHaveRun, Micros(900));
     assert!(matches!(
-        told,
+        command,
         Some(Command::ReportOutcome {
             step: 3,
             outcome: AttemptOutcome::MayHaveRun,
@@ -298,12 +335,12 @@
         })
     ));
     assert_eq!(
-        w.abandon_step(5, AttemptOutcome::MayHaveRun, Micros(900)),
+        workflows.abandon_step(5, AttemptOutcome::MayHaveRun, Micros(900)),
         None
     );
-    w.start_step(6, intent(1, 4, Effect::Keyed), Micros(500));
-    let Ok((call, _)) = w.end_step(6, done(), answer(), Micros(2_000)) else {
-        panic!("a step")
+    workflows.start_step(6, intent(1, 4, Effect::Keyed), Micros(500));
+    let Ok((call, _)) = workflows.end_step(6, done(), answer(), Micros(2_000)) else {
+        panic!("the step has ended already")
     };
     let busy = |call| Event::Rejected {
         call,
@@ -311,26 +348,26 @@
     };
     assert!(
         matches!(
-            w.on_event(Micros(1), busy(call)),
+            workflows.on_event(Micros(1), busy(call)),
             Some(WorkflowAction::RetryStepEnd(6))
         ),
-        "a result is not lost to a full queue"
+        "a transient rejection does not lose the result"
     );
-    let Some((call, Micros(2_000), _)) = w.resend_step_end(6) else {
-        panic!("told again")
+    let Some((call, Micros(2_000), _)) = workflows.resend_step_end(6) else {
+        panic!("the outcome is reported again")
     };
     assert!(matches!(
-        w.on_timeout(call),
+        workflows.on_timeout(call),
         Some(WorkflowAction::Deliver {
             durable: Err(None),
             ..
         })
     ));
-    w.start_step(7, intent(1, 5, Effect::Keyed), Micros(500));
-    let Ok((call, _)) = w.end_step(7, done(), answer(), Micros(2_000)) else {
-        panic!("a step")
+    workflows.start_step(7, intent(1, 5, Effect::Keyed), Micros(500));
+    let Ok((call, _)) = workflows.end_step(7, done(), answer(), Micros(2_000)) else {
+        panic!("the step has ended already")
     };
-    let late = w.on_event(Micros(2_000), busy(call));
+    let late = workflows.on_event(Micros(2_000), busy(call));
     assert!(matches!(
         late,
         Some(WorkflowAction::Deliver {
@@ -342,22 +379,22 @@
 
 #[test]
 fn claims_are_answered_and_queries_bounded() {
-    let mut w = Workflows::default();
-    let (call, _) = asks(
-        &mut w,
+    let mut workflows = Workflows::default();
+    let (call, _) = submit(
+        &mut workflows,
         WorkflowQuery::Claim {
             workflow: "t//w".into(),
             worker: "a".into(),
         },
     );
-    let step = |number, fate| bitternlatch_workflow::Step {
+    let step = |number, outcome| bitternlatch_workflow::Step {
         number,
         effect: Effect::Keyed,
         key: "k".into(),
-        outcome: fate,
+        outcome,
     };
     let steps = vec![step(1, Some(done())), step(2, None)];
-    let told = Event::Claimed {
+    let event = Event::Claimed {
         call,
         epoch: 2,
         context: "c".into(),
@@ -368,9 +405,9 @@
         text,
         is_step_result: false,
         ..
-    }) = w.on_event(Micros(0), told)
+    }) = workflows.on_event(Micros(0), event)
     else {
-        panic!("an answer")
+        panic!("the claim is not answered")
     };
     let claimed: Claimed = serde_json::from_str(&text).expect("a claim");
     assert_eq!(
@@ -379,37 +416,37 @@
     );
     assert_eq!(claimed.steps[0].result.as_deref(), Some("yes"));
     assert_eq!(claimed.steps[1].fate, StepFate::Open);
-    let (call, _) = asks(
-        &mut w,
+    let (call, _) = submit(
+        &mut workflows,
         WorkflowQuery::RenewLease {
             workflow: "t//w".into(),
             epoch: 2,
         },
     );
-    let act = w.on_event(Micros(0), Event::SendPermitted { call, until_us: 1 });
+    let action = workflows.on_event(Micros(0), Event::SendPermitted { call, until_us: 1 });
     assert!(
-        matches!(act, Some(WorkflowAction::Reject { .. })),
-        "no answer to this question: {act:?}"
+        matches!(action, Some(WorkflowAction::Reject { .. })),
+        "the event does not answer a lease renewal: {action:?}"
     );
     for _ in 0..MAX_PENDING_QUERIES {
-        asks(
-            &mut w,
+        submit(
+            &mut workflows,
             WorkflowQuery::RenewLease {
                 workflow: "t//w".into(),
                 epoch: 2,
             },
         );
     }
-    let carry = WorkflowQuery::RenewLease {
+    let renewal = WorkflowQuery::RenewLease {
         workflow: "t//w".into(),
         epoch: 2,
     };
-    let more = w.submit(
+    let rejected = workflows.submit(
         Micros(0),
-        (S, &Create::default()),
-        carry,
+        (SESSION, &Create::default()),
+        renewal,
         AdmittedWork::default(),
         Micros(1),
     );
-    assert_eq!(more, Err(RejectReason::Busy));
+    assert_eq!(rejected, Err(RejectReason::Busy));
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -107,7 +107,7 @@
 pub fn server_list(rows: &str) -> Vec<ModelServer> {
     let text = format!("name,address,port,kind,state\n{rows}");
     parse("hosts.csv", &text)
-        .expect("a good list")
+        .expect("a valid server list")
         .into_values()
         .collect()
 }
@@ -118,7 +118,7 @@
 }
 
 pub fn settings() -> Settings {
-    Settings::parse("test", SETTINGS).expect("good settings")
+    Settings::parse("test", SETTINGS).expect("valid settings")
 }
 
 impl Harness {
@@ -146,10 +146,10 @@
 
     /// A machine with [`four_servers`], all connected and past slow start.
     pub fn ready(seed: u64) -> Harness {
-        let mut bench = Harness::new(seed);
-        bench.step(Input::ServerList(four_servers()));
-        bench.connect_all(1000.0);
-        bench
+        let mut harness = Harness::new(seed);
+        harness.step(Input::ServerList(four_servers()));
+        harness.connect_all(1000.0);
+        harness
     }
 
     /// Completes each pending connection and lets its server send its hello.
@@ -181,7 +181,7 @@
         for output in out {
             match &output {
                 Output::SendToClient { session, text } => {
-                    let event = serde_json::from_str(text).expect("an event");
+                    let event = serde_json::from_str(text).expect("an event of the protocol");
                     self.client_events.push((*session, event));
                 }
                 Output::SendToServer { link, text, .. } => self.on_message_to_server(*link, text),
@@ -195,7 +195,7 @@
     }
 
     fn on_message_to_server(&mut self, link: LinkId, text: &str) {
-        match decode::<ToEngine>(text).expect("a message") {
+        match decode::<ToEngine>(text).expect("a message to a server") {
             ToEngine::Completion { id, body } => self.completions.push(SentCompletion {
                 link,
                 id,
--- a/crates/core/tests/stored_forms.rs
+++ b/crates/core/tests/stored_forms.rs
@@ -1,6 +1,6 @@
-//! Forms that outlive a process or leave it: records, the serialized inputs and outputs, the settings files.
+//! Compatibility of formats that outlive a process or leave it: records, serialized inputs and outputs, settings files.
 //!
-//! The fixtures were written by an earlier version and are never rewritten.
+//! The fixtures were written by an earlier version and are never regenerated.
 
 use std::collections::BTreeSet;
 
@@ -10,10 +10,12 @@
 use serde::Serialize;
 use serde_json::Value;
 
+/// Serialized inputs of the machine, one a line, with at least one of each variant.
 const INPUTS: &str = include_str!("fixtures/inputs.jsonl");
+/// Serialized outputs of the machine, one a line, with at least one of each variant.
 const OUTPUTS: &str = include_str!("fixtures/outputs.jsonl");
 
-/// Records by the behaviour that they hold, with their number of entries.
+/// Recorded runs: the behaviour that a run shows, its record and the number of entries in it.
 const RECORDS: [(&str, &[u8], usize); 16] = [
     (
         "budget_leases_idle",
@@ -73,6 +75,7 @@
     ),
 ];
 
+/// The serialized names of all variants of [`Input`].
 const INPUT_NAMES: [&str; 24] = [
     "Heard",
     "Hosts",
@@ -100,6 +103,7 @@
     "Workflow",
 ];
 
+/// The serialized names of all variants of [`Output`].
 const OUTPUT_NAMES: [&str; 13] = [
     "AskLedger",
     "Charge",
@@ -116,23 +120,23 @@
     "Workflow",
 ];
 
-/// The serialized name of an enum's variant.
-fn variant(value: &Value) -> String {
+/// The serialized name of the variant that a JSON value holds.
+fn variant_name(value: &Value) -> String {
     match value {
         Value::String(name) => name.clone(),
         Value::Object(fields) => fields.keys().next().cloned().expect("a variant"),
-        other => panic!("{other} is no variant"),
+        other => panic!("{other} is not a serialized variant"),
     }
 }
 
-/// Reads each line, writes it again, and gives the names of the variants.
-fn rewritten<T: DeserializeOwned + Serialize>(lines: &str) -> BTreeSet<String> {
+/// Deserializes each line, asserts that it serializes to the same text, and returns the names of its variants.
+fn round_trip<T: DeserializeOwned + Serialize>(lines: &str) -> BTreeSet<String> {
     lines
         .lines()
         .map(|line| {
-            let read: T = serde_json::from_str(line).expect(line);
-            assert_eq!(serde_json::to_string(&read).expect("JSON"), line);
-            variant(&serde_json::from_str(line).expect("JSON"))
+            let value: T = serde_json::from_str(line).expect(line);
+            assert_eq!(serde_json::to_string(&value).expect("JSON"), line);
+            variant_name(&serde_json::from_str(line).expect("JSON"))
         })
         .collect()
 }
@@ -142,13 +146,13 @@
 }
 
 #[test]
-fn each_input_is_read_and_written_alike() {
-    assert_eq!(rewritten::<Input>(INPUTS), names(&INPUT_NAMES));
+fn inputs_round_trip() {
+    assert_eq!(round_trip::<Input>(INPUTS), names(&INPUT_NAMES));
 }
 
 #[test]
-fn each_output_is_read_and_written_alike() {
-    assert_eq!(rewritten::<Output>(OUTPUTS), names(&OUTPUT_NAMES));
+fn outputs_round_trip() {
+    assert_eq!(round_trip::<Output>(OUTPUTS), names(&OUTPUT_NAMES));
 }
 
 #[test]
@@ -157,13 +161,13 @@
         let recorded = read(bytes).expect(name);
         assert_eq!((recorded.entries.len(), recorded.torn_bytes), (entries, 0));
         assert!(matches!(recorded.entries[0], Entry::Start { .. }), "{name}");
-        let found = replay(&recorded, false).expect(name);
-        assert_eq!(found.difference, None, "{name}");
-        assert_eq!(found.steps, entries - 1, "{name}");
+        let replayed = replay(&recorded, false).expect(name);
+        assert_eq!(replayed.difference, None, "{name}");
+        assert_eq!(replayed.steps, entries - 1, "{name}");
     }
 }
 
-/// Settings files of dispatchers, by their path under `deploy/`.
+/// Settings files of dispatchers with their path under `deploy/`.
 const DEPLOYED: [(&str, &str); 4] = [
     (
         "dispatch.toml",
@@ -186,8 +190,8 @@
 #[test]
 fn deployed_settings_are_accepted() {
     for (path, text) in DEPLOYED {
-        let read = Settings::parse(path, text).map(|settings| settings.name);
+        let name = Settings::parse(path, text).map(|settings| settings.name);
         let table: toml::Table = text.parse().expect(path);
-        assert_eq!(read.ok().as_deref(), table["name"].as_str(), "{path}");
+        assert_eq!(name.ok().as_deref(), table["name"].as_str(), "{path}");
     }
 }
--- a/crates/core/tests/workflows.rs
+++ b/crates/core/tests/workflows.rs
@@ -1,4 +1,4 @@
-//! Steps of workflows in the machine: the workflow coordinator is played by hand.
+//! Workflow requests in the machine; the tests write the events of the workflow coordinator by hand.
 mod common;
 
 use bitternlatch_core::record::{replay, Entry, Recorded};
@@ -6,10 +6,11 @@
 use bitternlatch_membership::QuorumState;
 use bitternlatch_protocol::client::ServerEvent;
 use bitternlatch_workflow::{AttemptOutcome, Call, Command, Effect, Event, RejectReason};
-use common::{four_servers, Harness, SentCompletion as Sent, SETTINGS};
+use common::{four_servers, Harness, SentCompletion, SETTINGS};
 use serde_json::json;
 
-fn text(on: bool) -> String {
+/// Settings of a cluster of three dispatchers, with or without workflows.
+fn settings_text(enabled: bool) -> String {
     let mut text = format!("{SETTINGS}[cluster]\nname = \"hall\"\nsecret = \"secret\"\n");
     for i in 1..=3 {
         text += &format!(
@@ -17,50 +18,62 @@
             7000 + i
         );
     }
-    text + if on { "[cluster.workflows]\n" } else { "" }
+    text + if enabled { "[cluster.workflows]\n" } else { "" }
 }
 
-fn bench(on: bool) -> Harness {
-    let mut bench = Harness::with(Settings::parse("test", &text(on)).expect("settings"), 5);
-    bench.step(Input::ServerList(four_servers()));
-    bench.connect_all(1000.0);
-    let until = Micros(bench.now.0 + 3_600_000_000);
-    bench.step(Input::QuorumState {
+/// A dispatcher with four connected servers in a cluster that has its quorum.
+fn new_harness(enabled: bool) -> Harness {
+    let mut harness = Harness::with(
+        Settings::parse("test", &settings_text(enabled)).expect("settings"),
+        5,
+    );
+    harness.step(Input::ServerList(four_servers()));
+    harness.connect_all(1000.0);
+    let until = Micros(harness.now.0 + 3_600_000_000);
+    harness.step(Input::QuorumState {
         state: QuorumState::Whole,
         present: vec!["d2".into()],
         until,
     });
-    bench
+    harness
 }
 
-fn say(bench: &mut Harness, session: SessionId, class: &str, does: &[(&str, &str)]) {
-    let mut meta = json!({ "class": class, "idempotency_key": "k1", "workflow": "season" });
-    does.iter()
-        .for_each(|(key, value)| meta[*key] = json!(value));
+/// Sends a request about the workflow `season` with additional fields of metadata.
+fn send_workflow_request(
+    harness: &mut Harness,
+    session: SessionId,
+    class: &str,
+    fields: &[(&str, &str)],
+) {
+    let mut metadata = json!({ "class": class, "idempotency_key": "k1", "workflow": "season" });
+    fields
+        .iter()
+        .for_each(|(key, value)| metadata[*key] = json!(value));
     let text =
-        json!({ "type": "response.create", "model": "m", "input": "book", "metadata": meta });
-    bench.step(Input::SessionText {
+        json!({ "type": "response.create", "model": "m", "input": "book", "metadata": metadata });
+    harness.step(Input::SessionText {
         session,
         text: text.to_string(),
     });
 }
 
-fn step(bench: &mut Harness, session: SessionId, class: &str, epoch: &str) {
-    say(
-        bench,
+/// Sends step 1 of the workflow under the epoch of a claim.
+fn send_step(harness: &mut Harness, session: SessionId, class: &str, epoch: &str) {
+    send_workflow_request(
+        harness,
         session,
         class,
         &[("workflow_epoch", epoch), ("workflow_step", "1")],
     );
 }
 
-/// What the workflow coordinator was asked since the last call.
-fn asked(bench: &mut Harness) -> Vec<Command> {
-    let all = std::mem::take(&mut bench.outputs);
+/// Takes the outputs since the last call and returns the commands to the workflow coordinator.
+fn take_commands(harness: &mut Harness) -> Vec<Command> {
+    let all = std::mem::take(&mut harness.outputs);
     all.into_iter()
         .filter_map(|o| {
-            if let Output::Workflow(ask) = o {
-                Some(ask)
+            if let Output::Workflow(command) = o {
+                Some(command)
             } else {
                 None
             }
@@ -68,37 +81,41 @@
         .collect()
 }
 
-fn one(bench: &mut Harness) -> Command {
-    let mut all = asked(bench);
+/// Takes the single command to the coordinator since the last call.
+fn take_only_command(harness: &mut Harness) -> Command {
+    let mut all = take_commands(harness);
     assert_eq!(all.len(), 1, "{all:?}");
     all.remove(0)
 }
 
-fn tell(bench: &mut Harness, told: Event) {
-    bench.step(Input::Workflow(told));
+/// Delivers an event of the coordinator to the machine.
+fn send_event(harness: &mut Harness, event: Event) {
+    harness.step(Input::Workflow(event));
 }
 
-/// The question is answered with a permission of so many seconds.
-fn go(bench: &mut Harness, call: Call, seconds: f64) {
-    let until_us = bench.now.after(seconds).0;
-    tell(bench, Event::SendPermitted { call, until_us });
+/// Answers a command with a permission to send the step for this many seconds.
+fn permit_send(harness: &mut Harness, call: Call, seconds: f64) {
+    let until_us = harness.now.after(seconds).0;
+    send_event(harness, Event::SendPermitted { call, until_us });
 }
 
-/// Begins a step and gives its write at a server; its intent is held.
-fn written(bench: &mut Harness, session: SessionId, class: &str) -> Sent {
-    step(bench, session, class, "4");
-    let call = one(bench).call();
-    go(bench, call, 60.0);
-    let read = bench.next_completion();
-    bench.finish_prefill(&read);
-    bench.next_completion()
+/// Sends a step, stores its intent, completes its prefill, and returns the decode attempt that follows.
+fn start_step_decode(harness: &mut Harness, session: SessionId, class: &str) -> SentCompletion {
+    send_step(harness, session, class, "4");
+    let call = take_only_command(harness).call();
+    permit_send(harness, call, 60.0);
+    let prefill = harness.next_completion();
+    harness.finish_prefill(&prefill);
+    harness.next_completion()
 }
 
-fn last(bench: &mut Harness, session: SessionId) -> ServerEvent {
-    bench.take_events(session).pop().expect("an event")
+/// Takes the events sent to a session and returns the last one.
+fn last_event(harness: &mut Harness, session: SessionId) -> ServerEvent {
+    harness.take_events(session).pop().expect("an event")
 }
 
-fn code(event: &ServerEvent) -> String {
+/// Error code of an event: of the error itself or of the failed response in it; empty without an error.
+fn error_code(event: &ServerEvent) -> String {
     let error = event
         .error
         .as_ref()
@@ -112,7 +129,8 @@
     error.or(failed).unwrap_or_default()
 }
 
-fn answer_of(event: &ServerEvent) -> String {
+/// Output text of the response in an event.
+fn answer_text(event: &ServerEvent) -> String {
     event
         .response
         .as_ref()
@@ -122,12 +140,12 @@
 
 #[test]
 fn step_is_sent_after_intent_and_answered_after_result() {
-    let mut bench = bench(true);
-    let s = bench.open_session(1);
-    step(&mut bench, s, "booking", "4");
-    bench.advance(1.0);
-    assert!(bench.completions.is_empty() && bench.take_events(s).is_empty());
-    let intent = one(&mut bench);
+    let mut harness = new_harness(true);
+    let session = harness.open_session(1);
+    send_step(&mut harness, session, "booking", "4");
+    harness.advance(1.0);
+    assert!(harness.completions.is_empty() && harness.take_events(session).is_empty());
+    let intent = take_only_command(&mut harness);
     let Command::Intend {
         call,
         workflow,
@@ -143,17 +161,17 @@
     };
     assert_eq!((workflow.as_str(), key.as_str()), ("//season", "k1"));
     assert!(
-        until_us > bench.now.0 && until_us <= bench.now.after(12.0).0,
-        "the request's own time"
+        until_us > harness.now.0 && until_us <= harness.now.after(12.0).0,
+        "the deadline of the request"
     );
-    go(&mut bench, call, 60.0);
-    let read = bench.next_completion();
-    bench.finish_prefill(&read);
-    let write = bench.next_completion();
-    bench.send_chunk(&write, "yes", None);
-    bench.finish_decode(&write, 9, 2);
+    permit_send(&mut harness, call, 60.0);
+    let prefill = harness.next_completion();
+    harness.finish_prefill(&prefill);
+    let decode = harness.next_completion();
+    harness.send_chunk(&decode, "yes", None);
+    harness.finish_decode(&decode, 9, 2);
     assert_eq!(
-        bench.take_event_types(s),
+        harness.take_event_types(session),
         [
             "response.created",
             "response.output_text.delta",
@@ -164,131 +182,138 @@
         call,
         epoch: 4,
         step: 1,
-        outcome: fate,
+        outcome,
         ..
-    } = one(&mut bench)
+    } = take_only_command(&mut harness)
     else {
-        panic!("its end")
+        panic!("the outcome is not reported")
     };
     assert_eq!(
-        fate,
+        outcome,
         AttemptOutcome::Done {
             result: "yesyes".into(),
             tokens: 2
         }
     );
-    tell(
-        &mut bench,
+    send_event(
+        &mut harness,
         Event::Rejected {
             call,
             reason: RejectReason::Busy,
         },
     );
-    bench.advance(0.2);
+    harness.advance(0.2);
     assert!(
-        bench.take_events(s).is_empty(),
-        "it is told again, and still waited for"
+        harness.take_events(session).is_empty(),
+        "the outcome is reported again, and the answer still waits for it"
     );
-    let call = one(&mut bench).call();
-    tell(&mut bench, Event::Committed { call });
-    let end = last(&mut bench, s);
+    let call = take_only_command(&mut harness).call();
+    send_event(&mut harness, Event::Committed { call });
+    let end = last_event(&mut harness, session);
     assert_eq!(
-        (end.kind.as_str(), answer_of(&end).as_str()),
+        (end.kind.as_str(), answer_text(&end).as_str()),
         ("response.completed", "yesyes")
     );
-    assert_eq!(bench.machine.counts().requests, 0);
+    assert_eq!(harness.machine.counts().requests, 0);
 }
 
 #[test]
 fn completed_step_is_answered_without_server() {
-    let mut bench = bench(true);
-    let s = bench.open_session(1);
-    step(&mut bench, s, "booking", "4");
-    let call = one(&mut bench).call();
-    tell(
-        &mut bench,
+    let mut harness = new_harness(true);
+    let session = harness.open_session(1);
+    send_step(&mut harness, session, "booking", "4");
+    let call = take_only_command(&mut harness).call();
+    send_event(
+        &mut harness,
         Event::AlreadyDone {
             call,
             result: "booked".into(),
         },
     );
-    let end = last(&mut bench, s);
-    assert_eq!(answer_of(&end), "booked");
+    let end = last_event(&mut harness, session);
+    assert_eq!(answer_text(&end), "booked");
     let previous = end.response.expect("a response").id;
     let text = json!({ "type": "response.create", "model": "m", "input": "next", "previous_response_id": previous });
-    bench.step(Input::SessionText {
-        session: s,
+    harness.step(Input::SessionText {
+        session,
         text: text.to_string(),
     });
     assert!(
-        bench
+        harness
             .next_completion()
             .body
             .prompt
             .contains("assistant: booked"),
-        "the conversation goes on from it"
+        "the conversation continues from the stored result"
     );
-    for (why, wanted, again) in [
+    for (reason, expected, has_retry_after) in [
         (RejectReason::Fenced, "workflow_fenced", false),
         (RejectReason::NoMajority, "workflow_no_majority", true),
     ] {
-        step(&mut bench, s, "booking", "4");
-        let call = one(&mut bench).call();
-        tell(&mut bench, Event::Rejected { call, reason: why });
-        let end = last(&mut bench, s);
-        assert_eq!((end.kind.as_str(), code(&end).as_str()), ("error", wanted));
+        send_step(&mut harness, session, "booking", "4");
+        let call = take_only_command(&mut harness).call();
+        send_event(&mut harness, Event::Rejected { call, reason });
+        let end = last_event(&mut harness, session);
+        assert_eq!(
+            (end.kind.as_str(), error_code(&end).as_str()),
+            ("error", expected)
+        );
         assert_eq!(
             end.error.expect("an error")["retry_after_ms"].is_u64(),
-            again
+            has_retry_after
         );
     }
-    step(&mut bench, s, "booking", "4");
-    bench.advance(13.0);
+    send_step(&mut harness, session, "booking", "4");
+    harness.advance(13.0);
     assert_eq!(
-        code(&last(&mut bench, s)),
+        error_code(&last_event(&mut harness, session)),
         "workflow_no_majority",
-        "it waits no longer than its request may"
+        "the query times out at the deadline of the request"
     );
-    say(
-        &mut bench,
-        s,
+    send_workflow_request(
+        &mut harness,
+        session,
         "query",
         &[("workflow_do", "claim"), ("workflow_worker", "a")],
     );
-    let claim = asked(&mut bench).pop().expect("a claim");
+    let claim = take_commands(&mut harness).pop().expect("a claim");
     assert!(
         matches!(&claim, Command::Claim { worker, .. } if worker == "a"),
         "{claim:?}"
     );
-    let told = Event::Claimed {
+    let event = Event::Claimed {
         call: claim.call(),
         epoch: 5,
         context: "".into(),
         steps: vec![],
         lease_us: 1,
     };
-    tell(&mut bench, told);
-    assert!(answer_of(&last(&mut bench, s)).starts_with("{\"epoch\":5,"));
+    send_event(&mut harness, event);
+    assert!(answer_text(&last_event(&mut harness, session)).starts_with("{\"epoch\":5,"));
     assert!(
-        bench.completions.iter().all(|t| t.body.prompt != "book"),
-        "no host is asked for any of it"
+        harness.completions.iter().all(|t| t.body.prompt != "book"),
+        "no server receives any of these requests"
     );
 }
 
 #[test]
 fn expired_send_permission_is_not_used() {
-    let mut bench = bench(true);
-    let s = bench.open_session(1);
-    step(&mut bench, s, "booking", "4");
-    let call = one(&mut bench).call();
-    go(&mut bench, call, 3.0);
-    let read = bench.next_completion();
-    // A minute between two instructions: what is due and what has come are taken at once.
-    bench.now = bench.now.after(4.0);
-    bench.finish_prefill(&read);
-    bench.advance(0.1);
-    assert!(bench.completions.is_empty(), "no write");
-    let told = asked(&mut bench);
+    let mut harness = new_harness(true);
+    let session = harness.open_session(1);
+    send_step(&mut harness, session, "booking", "4");
+    let call = take_only_command(&mut harness).call();
+    permit_send(&mut harness, call, 3.0);
+    let prefill = harness.next_completion();
+    // The process is paused for 4 s: the permission expires unnoticed, and due timers and received messages are handled at
+    // once afterwards.
+    harness.now = harness.now.after(4.0);
+    harness.finish_prefill(&prefill);
+    harness.advance(0.1);
+    assert!(
+        harness.completions.is_empty(),
+        "no decode attempt without a valid permission"
+    );
+    let commands = take_commands(&mut harness);
     let [Command::ReportOutcome {
         outcome: AttemptOutcome::NeverRan,
         ..
@@ -297,59 +322,62 @@
         epoch: 4,
         step: 1,
         ..
-    }] = told.as_slice()
+    }] = commands.as_slice()
     else {
-        panic!("{told:?}")
+        panic!("{commands:?}")
     };
-    tell(
-        &mut bench,
+    send_event(
+        &mut harness,
         Event::Rejected {
             call: *call,
             reason: RejectReason::Fenced,
         },
     );
-    assert!(bench.completions.is_empty(), "another has it");
     assert!(
-        asked(&mut bench).is_empty(),
-        "that nothing ran is told already"
+        harness.completions.is_empty(),
+        "another worker may run the step"
     );
-    let end = last(&mut bench, s)
+    assert!(
+        take_commands(&mut harness).is_empty(),
+        "NeverRan is already reported"
+    );
+    let end = last_event(&mut harness, session)
         .response
         .and_then(|r| r.error)
-        .expect("a refusal");
+        .expect("an error");
     assert!(end.safe_to_repeat);
-    // Where nobody else has it the effect leaves once it is permitted again.
-    step(&mut bench, s, "booking", "4");
-    let call = one(&mut bench).call();
-    go(&mut bench, call, 1.0);
-    let read = bench.next_completion();
-    bench.advance(1.2);
-    bench.finish_prefill(&read);
-    assert!(bench.completions.is_empty());
-    let call = asked(&mut bench).pop().expect("a question").call();
-    go(&mut bench, call, 1.0);
-    assert!(!bench.next_completion().is_prefill());
+    // Where no other worker has claimed the workflow, the blocked send continues once it is permitted again.
+    send_step(&mut harness, session, "booking", "4");
+    let call = take_only_command(&mut harness).call();
+    permit_send(&mut harness, call, 1.0);
+    let prefill = harness.next_completion();
+    harness.advance(1.2);
+    harness.finish_prefill(&prefill);
+    assert!(harness.completions.is_empty());
+    let call = take_commands(&mut harness).pop().expect("a command").call();
+    permit_send(&mut harness, call, 1.0);
+    assert!(!harness.next_completion().is_prefill());
 }
 
 #[test]
 fn undurable_result_fails_request() {
-    let mut bench = bench(true);
-    for (s, told, wanted) in [
+    let mut harness = new_harness(true);
+    for (session, reason, expected) in [
         (1, None, "server_error"),
         (2, Some(RejectReason::Fenced), "workflow_fenced"),
     ] {
-        let s = bench.open_session(s);
-        let write = written(&mut bench, s, "booking");
-        bench.finish_decode(&write, 9, 2);
-        let call = one(&mut bench).call();
-        match told {
-            Some(why) => tell(&mut bench, Event::Rejected { call, reason: why }),
-            None => bench.advance(13.0),
+        let session = harness.open_session(session);
+        let decode = start_step_decode(&mut harness, session, "booking");
+        harness.finish_decode(&decode, 9, 2);
+        let call = take_only_command(&mut harness).call();
+        match reason {
+            Some(reason) => send_event(&mut harness, Event::Rejected { call, reason }),
+            None => harness.advance(13.0),
         }
-        let end = last(&mut bench, s);
+        let end = last_event(&mut harness, session);
         assert_eq!(
-            (end.kind.as_str(), code(&end).as_str()),
-            ("response.failed", wanted)
+            (end.kind.as_str(), error_code(&end).as_str()),
+            ("response.failed", expected)
         );
         assert!(
             !end.response
@@ -358,104 +386,116 @@
                 .safe_to_repeat
         );
     }
-    let s = bench.open_session(3);
-    let write = written(&mut bench, s, "booking");
-    bench.send_error(&write, 500, None);
-    bench.advance(0.1);
-    let Some(Command::ReportOutcome { outcome: fate, .. }) = asked(&mut bench).pop() else {
-        panic!("its end")
+    let session = harness.open_session(3);
+    let decode = start_step_decode(&mut harness, session, "booking");
+    harness.send_error(&decode, 500, None);
+    harness.advance(0.1);
+    let Some(Command::ReportOutcome { outcome, .. }) = take_commands(&mut harness).pop() else {
+        panic!("the outcome is not reported")
     };
     assert_eq!(
-        fate,
+        outcome,
         AttemptOutcome::MayHaveRun,
-        "a host that failed may have booked"
+        "the server may have run the request before its error"
     );
 }
 
 #[test]
 fn repeated_step_attaches_to_running_attempt() {
-    let mut bench = bench(true);
-    let (a, b) = (bench.open_session(1), bench.open_session(2));
-    let write = written(&mut bench, a, "booking");
-    bench.step(Input::SessionClosed { session: a });
-    bench.send_chunk(&write, "yes", None);
-    step(&mut bench, b, "booking", "4");
-    assert!(asked(&mut bench).is_empty(), "it is the same step");
-    bench.finish_decode(&write, 9, 2);
-    let call = one(&mut bench).call();
-    tell(&mut bench, Event::Committed { call });
-    assert_eq!(answer_of(&last(&mut bench, b)), "yesyes");
-    // A safe one ends with its worker, and is told.
-    let write = written(&mut bench, b, "query");
-    bench.step(Input::SessionClosed { session: b });
-    assert_eq!(bench.cancels.len(), 1, "{write:?}");
+    let mut harness = new_harness(true);
+    let (a, b) = (harness.open_session(1), harness.open_session(2));
+    let decode = start_step_decode(&mut harness, a, "booking");
+    harness.step(Input::SessionClosed { session: a });
+    harness.send_chunk(&decode, "yes", None);
+    send_step(&mut harness, b, "booking", "4");
+    assert!(
+        take_commands(&mut harness).is_empty(),
+        "the repeated step joins the running request"
+    );
+    harness.finish_decode(&decode, 9, 2);
+    let call = take_only_command(&mut harness).call();
+    send_event(&mut harness, Event::Committed { call });
+    assert_eq!(answer_text(&last_event(&mut harness, b)), "yesyes");
+    // A safe step is cancelled when its client disconnects, and its outcome is reported.
+    let decode = start_step_decode(&mut harness, b, "query");
+    harness.step(Input::SessionClosed { session: b });
+    assert_eq!(harness.cancels.len(), 1, "{decode:?}");
     assert!(matches!(
-        asked(&mut bench).as_slice(),
+        take_commands(&mut harness).as_slice(),
         [Command::ReportOutcome {
             outcome: AttemptOutcome::MayHaveRun,
             ..
         }]
     ));
-    // One that leaves before its intent is held leaves nothing open.
-    let c = bench.open_session(3);
-    step(&mut bench, c, "booking", "4");
-    let call = one(&mut bench).call();
-    bench.step(Input::SessionClosed { session: c });
-    go(&mut bench, call, 3.0);
+    // A client disconnects before the intent of its step is stored: the step is reported as never run once it is.
+    let c = harness.open_session(3);
+    send_step(&mut harness, c, "booking", "4");
+    let call = take_only_command(&mut harness).call();
+    harness.step(Input::SessionClosed { session: c });
+    permit_send(&mut harness, call, 3.0);
     assert!(matches!(
-        one(&mut bench),
+        take_only_command(&mut harness),
         Command::ReportOutcome {
             outcome: AttemptOutcome::NeverRan,
             ..
         }
     ));
-    assert!(bench.completions.is_empty() && bench.machine.counts().requests <= 1);
+    assert!(harness.completions.is_empty() && harness.machine.counts().requests <= 1);
 }
 
 #[test]
 fn workflow_fields_are_echoed_where_disabled() {
-    let mut bench = bench(false);
-    let s = bench.open_session(1);
-    say(&mut bench, s, "booking", &[("workflow_do", "dance")]);
-    assert!(bench.next_completion().is_prefill() && asked(&mut bench).is_empty());
-    let begun = bench.take_events(s).remove(0).response.expect("a response");
+    let mut harness = new_harness(false);
+    let session = harness.open_session(1);
+    send_workflow_request(
+        &mut harness,
+        session,
+        "booking",
+        &[("workflow_do", "dance")],
+    );
+    assert!(harness.next_completion().is_prefill() && take_commands(&mut harness).is_empty());
+    let begun = harness
+        .take_events(session)
+        .remove(0)
+        .response
+        .expect("a response");
     assert_eq!(begun.metadata["workflow_do"], "dance");
 }
 
 #[test]
 fn record_with_workflow_steps_replays() {
-    let (mut bench, mut entries) = (bench(true), vec![]);
-    let settings = text(true);
+    let (mut harness, mut entries) = (new_harness(true), vec![]);
+    let settings = settings_text(true);
     entries.push(Entry::Start {
         settings: settings.clone(),
         seed: 5,
     });
-    let s = bench.open_session(1);
-    let write = written(&mut bench, s, "booking");
-    bench.finish_decode(&write, 9, 2);
-    let call = one(&mut bench).call();
-    tell(&mut bench, Event::Committed { call });
-    let mut again = Harness::with(Settings::parse("test", &settings).expect("settings"), 5);
-    for (at, input) in std::mem::take(&mut bench.inputs) {
+    let session = harness.open_session(1);
+    let decode = start_step_decode(&mut harness, session, "booking");
+    harness.finish_decode(&decode, 9, 2);
+    let call = take_only_command(&mut harness).call();
+    send_event(&mut harness, Event::Committed { call });
+    let mut second = Harness::with(Settings::parse("test", &settings).expect("settings"), 5);
+    for (at, input) in std::mem::take(&mut harness.inputs) {
         let mut outputs = vec![];
-        again.machine.step(at, input.clone(), &mut outputs);
+        second.machine.step(at, input.clone(), &mut outputs);
         entries.push(Entry::Step { at, input, outputs });
     }
     let line = serde_json::to_string(&entries).expect("JSON");
-    let entries: Vec<Entry> = serde_json::from_str(&line).expect("as it was written");
-    let asks = |e: &&Entry| matches!(e, Entry::Step { outputs, .. } if outputs.iter().any(|o| matches!(o, Output::Workflow(_))));
+    let entries: Vec<Entry> = serde_json::from_str(&line).expect("the serialized entries");
+    let has_command = |e: &&Entry| matches!(e, Entry::Step { outputs, .. } if outputs.iter().any(|o| matches!(o, Output::Workflow(_))));
     assert_eq!(
-        entries.iter().filter(asks).count(),
+        entries.iter().filter(has_command).count(),
         2,
-        "the intent and the end are in the record"
+        "the record contains the intent and the outcome"
     );
     let mut recorded = Recorded {
         entries,
         torn_bytes: 0,
     };
     assert_eq!(replay(&recorded, false).expect("replays").difference, None);
-    // The comparison can fail: the record without the word that the intent is held.
-    let is_go = |e: &Entry| {
+    // Counter-check that the comparison can fail: a record without the permission to send the step.
+    let is_permission = |e: &Entry| {
         matches!(
             e,
             Entry::Step {
@@ -464,7 +504,7 @@
             }
         )
     };
-    recorded.entries.retain(|e| !is_go(e));
+    recorded.entries.retain(|e| !is_permission(e));
     assert!(replay(&recorded, false)
         .expect("replays")
         .difference
