--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     /// Writing to the sink failed.
-    pub fn begin(mut sink: W) -> io::Result<Self> {
+    pub fn new(mut sink: W) -> io::Result<Self> {
         sink.write_all(MAGIC)?;
         Ok(Writer {
             sink,
--- a/crates/core/src/settings/check.rs
+++ b/crates/core/src/settings/check.rs
@@ -32,64 +32,64 @@
 
     /// Validates the values; the error is the path of the key at fault, such as `classes.0.effect`, and the cause.
     fn check(&self) -> Result<(), (String, String)> {
-        let mut c = Validator(Ok(()));
-        c.name("name", &self.name);
-        c.name("zone", &self.zone);
-        c.range("dispatchers", f64::from(self.dispatchers), 1.0, 65_535.0);
-        self.check_listen(&mut c);
-        self.check_engines(&mut c);
-        c.range(
+        let mut validator = Validator(Ok(()));
+        validator.name("name", &self.name);
+        validator.name("zone", &self.zone);
+        validator.range("dispatchers", f64::from(self.dispatchers), 1.0, 65_535.0);
+        self.check_listen(&mut validator);
+        self.check_engines(&mut validator);
+        validator.range(
             "inventory.reread_s",
             self.inventory.poll_interval_s,
             0.01,
             3600.0,
         );
-        self.check_identity(&mut c);
-        c.range("stop.within_s", self.stop.timeout_s, 0.1, 3600.0);
-        self.check_requests(&mut c);
+        self.check_identity(&mut validator);
+        validator.range("stop.within_s", self.stop.timeout_s, 0.1, 3600.0);
+        self.check_requests(&mut validator);
         if let Some(cluster) = &self.cluster {
-            cluster.check(&self.name, &mut c);
+            cluster.check(&self.name, &mut validator);
         }
-        self.check_rules(&mut c);
-        self.check_tables(&mut c);
-        c.0
+        self.check_rules(&mut validator);
+        self.check_tables(&mut validator);
+        validator.0
     }
 
-    fn check_listen(&self, c: &mut Validator) {
+    fn check_listen(&self, validator: &mut Validator) {
         let listen = &self.listen;
-        c.range(
+        validator.range(
             "listen.sessions",
             listen.max_sessions as f64,
             1.0,
             100_000.0,
         );
-        c.range(
+        validator.range(
             "listen.session_requests",
             listen.max_session_requests as f64,
             1.0,
             10_000.0,
         );
-        c.range(
+        validator.range(
             "listen.message_bytes",
             listen.max_message_bytes as f64,
             1024.0,
             64.0 * 1048576.0,
         );
-        c.range(
+        validator.range(
             "listen.handshake_s",
             listen.handshake_timeout_s,
             0.01,
             600.0,
         );
-        c.range("listen.idle_s", listen.idle_timeout_s, 0.1, 1e6);
-        c.range("listen.ping_s", listen.ping_interval_s, 0.05, 3600.0);
-        c.range(
+        validator.range("listen.idle_s", listen.idle_timeout_s, 0.1, 1e6);
+        validator.range("listen.ping_s", listen.ping_interval_s, 0.05, 3600.0);
+        validator.range(
             "listen.queue_messages",
             listen.max_queued_messages as f64,
             8.0,
             1e6,
         );
-        c.range(
+        validator.range(
             "listen.handshakes",
             listen.max_handshakes as f64,
             1.0,
@@ -99,7 +99,7 @@
             if tls.client_authorities.is_none()
                 && (tls.client_certificate_required || !tls.revocation_lists.is_empty())
             {
-                c.fail(
+                validator.fail(
                     "listen.tls",
                     "clients_required and revoked require clients".into(),
                 );
@@ -107,42 +107,42 @@
         }
     }
 
-    fn check_engines(&self, c: &mut Validator) {
+    fn check_engines(&self, validator: &mut Validator) {
         let engines = &self.engines;
         if engines
             .tls
             .as_ref()
             .is_some_and(|t| t.certificate.is_some() != t.key.is_some())
         {
-            c.fail(
+            validator.fail(
                 "engines.tls",
                 "certificate and key must be set together".into(),
             );
         }
-        c.range("engines.connect_s", engines.connect_timeout_s, 0.01, 60.0);
-        c.range("engines.greet_s", engines.hello_timeout_s, 0.01, 60.0);
-        c.range(
+        validator.range("engines.connect_s", engines.connect_timeout_s, 0.01, 60.0);
+        validator.range("engines.greet_s", engines.hello_timeout_s, 0.01, 60.0);
+        validator.range(
             "engines.message_bytes",
             engines.max_message_bytes as f64,
             1024.0,
             64.0 * 1048576.0,
         );
-        c.range(
+        validator.range(
             "engines.queue_messages",
             engines.max_queued_messages as f64,
             8.0,
             1e6,
         );
-        c.range("engines.ping_s", engines.ping_interval_s, 0.05, 3600.0);
+        validator.range("engines.ping_s", engines.ping_interval_s, 0.05, 3600.0);
     }
 
-    fn check_identity(&self, c: &mut Validator) {
+    fn check_identity(&self, validator: &mut Validator) {
         let listen = &self.listen;
         if let Some(identity) = &self.identity {
             if identity.keys.is_some()
                 && (identity.issuer.is_empty() || identity.audience.is_empty())
             {
-                c.fail(
+                validator.fail(
                     "identity.keys",
                     "tokens require an issuer and an audience".into(),
                 );
@@ -152,69 +152,69 @@
                 .as_ref()
                 .is_some_and(|t| t.client_authorities.is_some());
             if identity.keys.is_none() && !accepts_certificates {
-                c.fail(
+                validator.fail(
                     "identity",
                     "neither identity.keys nor listen.tls.clients is set, so no client could authenticate".into(),
                 );
             }
-            c.range("identity.skew_s", identity.clock_skew_s as f64, 0.0, 600.0);
-            c.range(
+            validator.range("identity.skew_s", identity.clock_skew_s as f64, 0.0, 600.0);
+            validator.range(
                 "identity.refresh_s",
                 identity.refresh_interval_s,
                 0.05,
                 86_400.0,
             );
-            c.range("identity.keep_s", identity.cache_lifetime_s, 1.0, 1e7);
+            validator.range("identity.keep_s", identity.cache_lifetime_s, 1.0, 1e7);
         }
     }
 
-    fn check_requests(&self, c: &mut Validator) {
+    fn check_requests(&self, validator: &mut Validator) {
         let requests = &self.requests;
-        c.range("requests.in_hand", requests.max_requests as f64, 1.0, 1e7);
-        c.range(
+        validator.range("requests.in_hand", requests.max_requests as f64, 1.0, 1e7);
+        validator.range(
             "requests.prompt_bytes",
             requests.max_prompt_bytes as f64,
             1024.0,
             1e9,
         );
-        c.range(
+        validator.range(
             "requests.prompt_bytes_in_hand",
             requests.max_total_prompt_bytes as f64,
             1024.0,
             1e12,
         );
-        c.range(
+        validator.range(
             "requests.context_bytes",
             requests.max_context_bytes as f64,
             0.0,
             1e12,
         );
-        c.range("requests.context_s", requests.context_lifetime_s, 0.0, 1e7);
-        c.range(
+        validator.range("requests.context_s", requests.context_lifetime_s, 0.0, 1e7);
+        validator.range(
             "requests.keys",
             requests.max_idempotency_keys as f64,
             1.0,
             1e8,
         );
-        c.range(
+        validator.range(
             "requests.key_bytes",
             requests.max_idempotency_bytes as f64,
             0.0,
             1e12,
         );
-        c.range(
+        validator.range(
             "requests.key_s",
             requests.idempotency_key_lifetime_s,
             1.0,
             1e7,
         );
-        c.range(
+        validator.range(
             "requests.answer_margin_s",
             requests.answer_margin_s,
             0.0,
             10.0,
         );
-        c.range(
+        validator.range(
             "requests.max_output_tokens",
             f64::from(requests.max_output_tokens),
             1.0,
@@ -222,36 +222,36 @@
         );
     }
 
-    fn check_rules(&self, c: &mut Validator) {
+    fn check_rules(&self, validator: &mut Validator) {
         let (rules, slow_start, attempts) = (&self.rules, &self.rules.slow_start, &self.attempts);
-        c.range("rules.pin_limit_s", rules.kv_hold_limit_s, 0.01, 3600.0);
-        c.range("rules.drain_grace_s", rules.drain_grace_s, 0.01, 3600.0);
-        c.range(
+        validator.range("rules.pin_limit_s", rules.kv_hold_limit_s, 0.01, 3600.0);
+        validator.range("rules.drain_grace_s", rules.drain_grace_s, 0.01, 3600.0);
+        validator.range(
             "rules.cold.start_capacity",
             slow_start.start_capacity,
             0.01,
             1.0,
         );
-        c.range(
+        validator.range(
             "rules.cold.overload_factor",
             slow_start.overload_factor,
             1.0,
             100.0,
         );
-        c.range("rules.cold.window_s", slow_start.window_s, 0.1, 600.0);
-        c.range(
+        validator.range("rules.cold.window_s", slow_start.window_s, 0.1, 600.0);
+        validator.range(
             "rules.cold.warm_after_s",
             slow_start.warm_after_s,
             0.1,
             3600.0,
         );
-        c.range(
+        validator.range(
             "attempts.most",
             f64::from(attempts.max_attempts),
             1.0,
             100.0,
         );
-        c.range(
+        validator.range(
             "attempts.max_retry_after_s",
             attempts.max_retry_after_s,
             0.0,
@@ -259,28 +259,28 @@
         );
     }
 
-    fn check_classes(&self, c: &mut Validator) {
+    fn check_classes(&self, validator: &mut Validator) {
         for (i, class) in self.classes.iter().enumerate() {
             let path = |key: &str| format!("classes.{i}.{key}");
-            c.range(&path("ttft_aim_s"), class.ttft_objective_s, 0.001, 3600.0);
-            c.range(
+            validator.range(&path("ttft_aim_s"), class.ttft_objective_s, 0.001, 3600.0);
+            validator.range(
                 &path("ttft_aim_ms_per_1000_tokens"),
                 class.ttft_objective_ms_per_1000_tokens,
                 0.0,
                 1e6,
             );
-            c.range(
+            validator.range(
                 &path("token_gap_aim_s"),
                 class.inter_token_objective_s,
                 0.0001,
                 60.0,
             );
-            c.range(&path("deadline_s"), class.deadline_s, 0.05, 86_400.0);
-            c.range(&path("worth"), class.priority_weight, 0.0, 1e6);
-            c.range(&path("late_worth"), class.late_weight_fraction, 0.0, 1.0);
-            c.range(&path("key_window_s"), class.key_window_s, 0.0, 1e7);
+            validator.range(&path("deadline_s"), class.deadline_s, 0.05, 86_400.0);
+            validator.range(&path("worth"), class.priority_weight, 0.0, 1e6);
+            validator.range(&path("late_worth"), class.late_weight_fraction, 0.0, 1.0);
+            validator.range(&path("key_window_s"), class.key_window_s, 0.0, 1e7);
             if class.effect == Effect::Keyed && class.key_window_s <= 0.0 {
-                c.fail(
+                validator.fail(
                     &path("effect"),
                     "a keyed class needs key_window_s above 0".into(),
                 );
@@ -288,15 +288,15 @@
         }
     }
 
-    fn check_tables(&self, c: &mut Validator) {
-        c.list_length("classes", self.classes.len());
-        c.list_length("kinds", self.kinds.len());
-        c.unique_names("classes", self.classes.iter().map(|x| x.name.as_str()));
-        c.unique_names("tenants", self.tenants.iter().map(|x| x.name.as_str()));
-        c.unique_names("kinds", self.kinds.iter().map(|x| x.name.as_str()));
-        self.check_classes(c);
+    fn check_tables(&self, validator: &mut Validator) {
+        validator.list_length("classes", self.classes.len());
+        validator.list_length("kinds", self.kinds.len());
+        validator.unique_names("classes", self.classes.iter().map(|x| x.name.as_str()));
+        validator.unique_names("tenants", self.tenants.iter().map(|x| x.name.as_str()));
+        validator.unique_names("kinds", self.kinds.iter().map(|x| x.name.as_str()));
+        self.check_classes(validator);
         for (i, tenant) in self.tenants.iter().enumerate() {
-            c.range(
+            validator.range(
                 &format!("tenants.{i}.quota_rps"),
                 tenant.quota_rps,
                 0.0,
@@ -304,11 +304,11 @@
             );
             let class_exists = |name: &str| self.classes.iter().any(|c| c.name == name);
             if let Some(Err((key, cause))) = tenant.budget.as_ref().map(|b| b.check(class_exists)) {
-                c.fail(&format!("tenants.{i}.budget.{key}"), cause);
+                validator.fail(&format!("tenants.{i}.budget.{key}"), cause);
             }
         }
         for (i, kind) in self.kinds.iter().enumerate() {
-            c.range(
+            validator.range(
                 &format!("kinds.{i}.memory_tokens"),
                 kind.memory_tokens,
                 0.0,
--- a/crates/core/src/settings/classes.rs
+++ b/crates/core/src/settings/classes.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyScope {
-    /// All servers.
+    /// All model servers.
     #[default]
     All,
     /// Servers of the same zone.
--- a/crates/core/src/settings/cluster.rs
+++ b/crates/core/src/settings/cluster.rs
@@ -21,7 +21,7 @@
     /// settings file.
     pub secret: String,
     /// File that stores the latest incarnation of this dispatcher, so that a restart gets a higher one even if the clock
-    /// went back. The path is relative to the settings file.
+    /// went back. A roster fetched from the seeds is stored next to it. The path is relative to the settings file.
     #[serde(rename = "kept")]
     pub incarnation_file: Option<String>,
     /// Address that this dispatcher listens at, where it differs from its address in the roster, as behind a forwarder.
@@ -57,35 +57,35 @@
 
 impl Cluster {
     /// Validates the table for the dispatcher named `own`.
-    pub(super) fn check(&self, own: &str, c: &mut Validator) {
-        c.name("cluster.name", &self.name);
-        c.name("cluster.secret", &self.secret);
+    pub(super) fn check(&self, own: &str, validator: &mut Validator) {
+        validator.name("cluster.name", &self.name);
+        validator.name("cluster.secret", &self.secret);
         if let Some(workflows) = &self.workflows {
-            check_workflows(workflows, c);
+            check_workflows(workflows, validator);
         }
         if let Some(Err(error)) = self
             .overload
             .as_ref()
             .map(bitternlatch_overload::Settings::check)
         {
-            c.fail("cluster.overload", format!("{error}; {}", error.advice()));
+            validator.fail("cluster.overload", format!("{error}; {}", error.advice()));
         }
         if !self.seeds.is_empty() {
             return match self.roster.is_empty() {
-                true => self.check_seeds(c),
-                false => c.fail(
+                true => self.check_seeds(validator),
+                false => validator.fail(
                     "cluster.seeds",
                     "a roster is given as well; keep one of them".to_string(),
                 ),
             };
         }
-        c.list_length("cluster.roster", self.roster.len());
-        c.unique_names(
+        validator.list_length("cluster.roster", self.roster.len());
+        validator.unique_names(
             "cluster.roster",
             self.roster.iter().map(|p| p.name.as_str()),
         );
         if self.roster.iter().all(|p| p.name != own) {
-            c.fail(
+            validator.fail(
                 "cluster.roster",
                 format!("'{own}', this dispatcher, is not in it"),
             );
@@ -97,10 +97,10 @@
                 || peer.address.ip().is_unspecified()
                 || peer.address.ip().is_multicast()
             {
-                c.fail(&path, format!("{} cannot be sent to", peer.address));
+                validator.fail(&path, format!("{} cannot be sent to", peer.address));
             }
             if let Some(other) = names_by_address.insert(peer.address, &peer.name) {
-                c.fail(
+                validator.fail(
                     &path,
                     format!("{} is also the address of '{other}'", peer.address),
                 );
@@ -108,15 +108,15 @@
         }
     }
 
-    fn check_seeds(&self, c: &mut Validator) {
+    fn check_seeds(&self, validator: &mut Validator) {
         if self.seeds.len() > MAX_SEEDS {
-            c.fail(
+            validator.fail(
                 "cluster.seeds",
                 format!("{} of them; {MAX_SEEDS} at the most", self.seeds.len()),
             );
         }
         for (i, seed) in self.seeds.iter().enumerate().filter(|(_, s)| s.port() == 0) {
-            c.fail(
+            validator.fail(
                 &format!("cluster.seeds.{i}"),
                 format!("{seed} cannot be connected to"),
             );
@@ -134,25 +134,30 @@
     }
 }
 
-fn check_workflows(w: &bitternlatch_workflow::Settings, c: &mut Validator) {
-    if let Some(kept) = &w.kept {
-        c.name("cluster.workflows.kept", kept);
+fn check_workflows(workflows: &bitternlatch_workflow::Settings, validator: &mut Validator) {
+    if let Some(kept) = &workflows.kept {
+        validator.name("cluster.workflows.kept", kept);
     }
-    c.range(
+    validator.range(
         "cluster.workflows.steps",
-        f64::from(w.steps),
+        f64::from(workflows.steps),
         1.0,
         100_000.0,
     );
-    c.range(
+    validator.range(
         "cluster.workflows.bytes",
-        w.bytes as f64,
+        workflows.bytes as f64,
         1024.0,
         64.0 * 1048576.0,
     );
-    c.range("cluster.workflows.tokens", w.tokens as f64, 1.0, 1e12);
-    c.range("cluster.workflows.lasts_s", w.lasts_s, 1.0, 1e8);
+    validator.range(
+        "cluster.workflows.tokens",
+        workflows.tokens as f64,
+        1.0,
+        1e12,
+    );
+    validator.range("cluster.workflows.lasts_s", workflows.lasts_s, 1.0, 1e8);
     // A lease shorter than a few message round trips between peers would expire in every short pause. With one longer than
     // an hour, a workflow of a failed worker would practically never be resumed.
-    c.range("cluster.workflows.lease_s", w.lease_s, 0.2, 3600.0);
+    validator.range("cluster.workflows.lease_s", workflows.lease_s, 0.2, 3600.0);
 }
--- a/crates/core/src/workflows.rs
+++ b/crates/core/src/workflows.rs
@@ -38,7 +38,8 @@
 enum Stage {
     /// The step runs as a request.
     InFlight {
-        /// When the permission to send the step expires; 0 while a new permission is requested.
+        /// When the permission to send the step expires; 0 while a new permission is requested and after
+        /// it was denied.
         permitted_until: Micros,
         /// The send that waits for a new permission, as the last one had expired.
         blocked: Option<BlockedSend>,
--- a/crates/core/tests/any_order.rs
+++ b/crates/core/tests/any_order.rs
@@ -529,7 +529,7 @@
 
 fn written(entries: &[Entry]) -> Vec<u8> {
     let mut data = Vec::new();
-    let mut writer = Writer::begin(&mut data).expect("memory");
+    let mut writer = Writer::new(&mut data).expect("memory");
     for entry in entries {
         writer.append(entry).expect("memory");
     }
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -592,7 +592,7 @@
     /// Where the file cannot be made or the system gives no thread.
     pub fn begin(path: &PathBuf, settings: String, seed: u64) -> io::Result<Recorder> {
         let file = std::fs::File::create(path)?;
-        let mut writer = Writer::begin(file)?;
+        let mut writer = Writer::new(file)?;
         writer.append(&record::Entry::Start { settings, seed })?;
         writer.flush()?;
         let (queue, entries) = bounded::<record::Entry>(RECORD_ENTRIES);
--- a/programs/replay/tests/torn.rs
+++ b/programs/replay/tests/torn.rs
@@ -12,7 +12,7 @@
         Settings::parse("dispatch.toml", &settings).expect("settings"),
         1,
     );
-    let mut writer = Writer::begin(Vec::new()).expect("a record");
+    let mut writer = Writer::new(Vec::new()).expect("a record");
     writer
         .append(&Entry::Start { settings, seed: 1 })
         .expect("room");
