--- a/crates/core/tests/any_order.rs
+++ b/crates/core/tests/any_order.rs
@@ -13,7 +13,7 @@
     ToEngine, CODE_FULL, CODE_STATE_GONE,
 };
 use bitternlatch_workflow::{AttemptOutcome, Command, Event, RejectReason};
-use common::{four, SETTINGS, START_US};
+use common::{four_servers, SETTINGS, START_US};
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
@@ -90,7 +90,7 @@
             step_outcomes: BTreeMap::new(),
             permitted_until_us: BTreeMap::new(),
         };
-        simulation.step(Input::ServerList(four()));
+        simulation.step(Input::ServerList(four_servers()));
         if workflow_steps {
             let (state, until) = (QuorumState::Whole, Micros(u64::MAX));
             simulation.step(Input::QuorumState {
@@ -562,7 +562,7 @@
 
 fn encode_record(entries: &[Entry]) -> Vec<u8> {
     let mut data = Vec::new();
-    let mut writer = Writer::begin(&mut data).expect("memory");
+    let mut writer = Writer::new(&mut data).expect("memory");
     for entry in entries {
         writer.append(entry).expect("memory");
     }
--- a/crates/core/tests/observations.rs
+++ b/crates/core/tests/observations.rs
@@ -6,10 +6,10 @@
 use bitternlatch_membership::QuorumState;
 use bitternlatch_policy::interface::{Event, Observation};
 use bitternlatch_quota_lease::{PeerReport, ServerCondition, ServerNumber};
-use common::{four, hosts, Bench, SETTINGS};
+use common::{four_servers, server_list, Harness, SETTINGS};
 use std::time::Duration;
 
-fn cluster() -> Bench {
+fn cluster() -> Harness {
     let mut text = format!("{SETTINGS}[cluster]\nname = \"hall\"\nsecret = \"secret\"\n");
     for i in 1..=3 {
         let (name, port) = (format!("d{i}"), 7000 + i);
@@ -17,14 +17,14 @@
             "[[cluster.roster]]\nname = \"{name}\"\naddress = \"127.0.0.1:{port}\"\nclients = \"c{i}\"\n"
         );
     }
-    let mut bench = Bench::with(Settings::parse("test", &text).expect("settings"), 5);
-    bench.step(Input::ServerList(four()));
-    bench.open_all(1000.0);
+    let mut bench = Harness::with(Settings::parse("test", &text).expect("settings"), 5);
+    bench.step(Input::ServerList(four_servers()));
+    bench.connect_all(1000.0);
     set_quorum_state(&mut bench, QuorumState::Whole);
     bench
 }
 
-fn set_quorum_state(bench: &mut Bench, state: QuorumState) {
+fn set_quorum_state(bench: &mut Harness, state: QuorumState) {
     let until = Micros(bench.now.0 + 3_600_000_000);
     bench.step(Input::QuorumState {
         state,
@@ -34,7 +34,7 @@
 }
 
 /// The observations last sent to peers, without their times.
-fn last_sent(bench: &Bench) -> Option<Vec<(u32, ServerCondition)>> {
+fn last_sent(bench: &Harness) -> Option<Vec<(u32, ServerCondition)>> {
     let conditions = |output: &Output| match output {
         Output::Observations(observations) => Some(
             observations
@@ -44,11 +44,11 @@
         ),
         _ => None,
     };
-    bench.out.iter().rev().find_map(conditions)
+    bench.outputs.iter().rev().find_map(conditions)
 }
 
 fn receive_report(
-    bench: &mut Bench,
+    bench: &mut Harness,
     server: &str,
     condition: ServerCondition,
     reporters: u8,
@@ -68,10 +68,10 @@
 }
 
 /// Sends a request of this class. If it ends with an error, returns the code and the addresses to try instead.
-fn rejection(bench: &mut Bench, class: &str, key: &str) -> Option<(String, Vec<String>)> {
-    let session = bench.open(key.bytes().fold(7, |n, b| n * 31 + u64::from(b)));
-    bench.ask(session, class, key, "words");
-    let error = bench.heard(session).pop()?.error?;
+fn rejection(bench: &mut Harness, class: &str, key: &str) -> Option<(String, Vec<String>)> {
+    let session = bench.open_session(key.bytes().fold(7, |n, b| n * 31 + u64::from(b)));
+    bench.send_request(session, class, key, "words");
+    let error = bench.take_events(session).pop()?.error?;
     let elsewhere = error["elsewhere"]
         .as_array()
         .into_iter()
@@ -86,55 +86,55 @@
 #[test]
 fn server_observations_are_sent_and_withdrawn() {
     let mut bench = cluster();
-    bench.pass(1.0);
+    bench.advance(1.0);
     assert_eq!(last_sent(&bench), None, "nothing to report");
     let list = "r1,127.0.0.1,1,reader,\nr2,127.0.0.1,2,reader,draining\nw1,127.0.0.1,3,writer,\nw2,127.0.0.1,4,writer,\n";
-    bench.step(Input::ServerList(hosts(list)));
-    bench.pass(0.3);
+    bench.step(Input::ServerList(server_list(list)));
+    bench.advance(0.3);
     assert_eq!(
         last_sent(&bench),
         Some(vec![(server_id("r2"), ServerCondition::Draining)])
     );
-    bench.step(Input::ServerList(four()));
-    bench.pass(0.3);
+    bench.step(Input::ServerList(four_servers()));
+    bench.advance(0.3);
     assert_eq!(last_sent(&bench), Some(vec![]));
-    let session = bench.open(1);
-    let decode = bench.begin_write(session, "booking", "k", "q");
+    let session = bench.open_session(1);
+    let decode = bench.start_decode(session, "booking", "k", "q");
     bench.step(Input::LinkClosed {
         link: decode.link,
         reason: "reset".into(),
     });
-    bench.pass(0.3);
+    bench.advance(0.3);
     assert_eq!(last_sent(&bench), Some(vec![]), "a brief interruption");
-    bench.pass(0.7);
+    bench.advance(0.7);
     assert_eq!(
         last_sent(&bench),
         Some(vec![(decode.link.server, ServerCondition::Failing)])
     );
     // The server is reconnected and reports that it started 1 s ago.
-    bench.pass(3.0);
-    bench.open_all(1.0);
-    bench.pass(0.3);
+    bench.advance(3.0);
+    bench.connect_all(1.0);
+    bench.advance(0.3);
     assert_eq!(
         last_sent(&bench),
         Some(vec![(decode.link.server, ServerCondition::WarmingUp)])
     );
-    bench.pass(20.0);
+    bench.advance(20.0);
     assert_eq!(last_sent(&bench), Some(vec![]));
 }
 
 #[test]
 fn failure_streak_is_reported_until_expiry() {
     let mut bench = cluster();
-    let session = bench.open(1);
+    let session = bench.open_session(1);
     for n in 0..6 {
-        bench.ask(session, "query", &format!("k{n}"), "words");
-        while let Some(prefill) = bench.told.pop() {
-            bench.error(&prefill, 500, None);
+        bench.send_request(session, "query", &format!("k{n}"), "words");
+        while let Some(prefill) = bench.completions.pop() {
+            bench.send_error(&prefill, 500, None);
         }
-        bench.heard(session);
+        bench.take_events(session);
     }
-    bench.pass(0.3);
+    bench.advance(0.3);
     let failing = last_sent(&bench).expect("observations");
     assert!(
         !failing.is_empty()
@@ -143,7 +143,7 @@
                 .all(|(_, condition)| *condition == ServerCondition::Failing),
         "{failing:?}"
     );
-    bench.pass(4.0);
+    bench.advance(4.0);
     assert_eq!(last_sent(&bench), Some(vec![]), "the observation expires");
 }
 
@@ -195,13 +195,13 @@
             reason: "no route".into(),
         });
     }
-    bench.pass(0.5);
+    bench.advance(0.5);
     assert_ne!(
         rejection(&mut bench, "query", "a").map(|r| r.0),
         Some("cut_off".into()),
         "a brief interruption"
     );
-    bench.pass(1.5);
+    bench.advance(1.5);
     let expected = Some(("cut_off".to_string(), vec!["c2".to_string()]));
     assert_eq!(rejection(&mut bench, "query", "b"), expected);
     assert!(!bench.machine.is_ready(bench.now));
@@ -221,9 +221,9 @@
         Some("cut_off".into())
     );
     set_quorum_state(&mut bench, QuorumState::Whole);
-    bench.pass(3.0);
-    bench.open_all(1000.0);
-    bench.pass(0.3);
+    bench.advance(3.0);
+    bench.connect_all(1000.0);
+    bench.advance(0.3);
     assert_eq!(rejection(&mut bench, "query", "e"), None);
     assert!(bench.machine.is_ready(bench.now));
 }
@@ -232,17 +232,17 @@
 fn unreadable_list_drains_by_peer_reports() {
     let mut bench = cluster();
     let now = bench.now;
-    let count_prefills_at_r1 = |bench: &mut Bench, from: u32| {
-        let session = bench.open(u64::from(from));
+    let count_prefills_at_r1 = |bench: &mut Harness, from: u32| {
+        let session = bench.open_session(u64::from(from));
         let mut at_r1 = 0;
         for n in 0..20 {
-            bench.ask(session, "query", &format!("{from}/{n}"), "words");
-            let prefill = bench.take();
+            bench.send_request(session, "query", &format!("{from}/{n}"), "words");
+            let prefill = bench.next_completion();
             at_r1 += usize::from(prefill.link.server == server_id("r1"));
-            bench.read_done(&prefill);
-            let decode = bench.take();
-            bench.end(&decode, 10, 1);
-            bench.heard(session);
+            bench.finish_prefill(&prefill);
+            let decode = bench.next_completion();
+            bench.finish_decode(&decode, 10, 1);
+            bench.take_events(session);
         }
         at_r1
     };
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -8,9 +8,9 @@
 use bitternlatch_membership::QuorumState;
 use bitternlatch_overload::{AdmissionThreshold, Command, Event, Millionths};
 use bitternlatch_protocol::engine::FromEngine;
-use common::{four, Bench, Told, SETTINGS};
+use common::{four_servers, Harness, SentCompletion, SETTINGS};
 
-fn bench(overload: &str) -> Bench {
+fn bench(overload: &str) -> Harness {
     let mut text = format!("{SETTINGS}[cluster]\nname = \"hall\"\nsecret = \"secret\"\n{overload}");
     for i in 1..=4 {
         text += &format!(
@@ -19,9 +19,9 @@
         );
     }
     let settings = Settings::parse("test", &text).expect("settings");
-    let mut bench = Bench::with(settings, 5);
-    bench.step(Input::ServerList(four()));
-    bench.open_all(1000.0);
+    let mut bench = Harness::with(settings, 5);
+    bench.step(Input::ServerList(four_servers()));
+    bench.connect_all(1000.0);
     let until = Micros(bench.now.0 + 60_000_000);
     bench.step(Input::QuorumState {
         state: QuorumState::Whole,
@@ -31,11 +31,11 @@
     bench
 }
 
-fn bench_with_shedding() -> Bench {
+fn bench_with_shedding() -> Harness {
     bench("overload = {}\n")
 }
 
-fn set_threshold(bench: &mut Bench, rank: f64, fresh: f64, for_s: f64) {
+fn set_threshold(bench: &mut Harness, rank: f64, fresh: f64, for_s: f64) {
     let now = Duration::from_micros(bench.now.0);
     let until = now + Duration::from_secs_f64(for_s);
     let millionths = Millionths::of;
@@ -55,9 +55,9 @@
 }
 
 /// The retry delay of the session's rejection, seconds; `None` if it has none.
-fn rejection_delay(bench: &mut Bench, session: SessionId) -> Option<f64> {
+fn rejection_delay(bench: &mut Harness, session: SessionId) -> Option<f64> {
     let error = bench
-        .heard(session)
+        .take_events(session)
         .into_iter()
         .find_map(|e| e.response?.error)?;
     assert_eq!(
@@ -67,9 +67,9 @@
     Some(error.retry_after_ms.expect("a retry delay") as f64 / 1000.0)
 }
 
-fn request_delay(bench: &mut Bench, number: u64) -> Option<f64> {
-    let session = bench.open(number);
-    bench.ask(session, "query", &format!("k{number}"), "words");
+fn request_delay(bench: &mut Harness, number: u64) -> Option<f64> {
+    let session = bench.open_session(number);
+    bench.send_request(session, "query", &format!("k{number}"), "words");
     rejection_delay(bench, session)
 }
 
@@ -84,10 +84,10 @@
     let distinct_ms: std::collections::BTreeSet<u64> =
         delays.iter().map(|d| (d * 1000.0) as u64).collect();
     assert!(distinct_ms.len() > 15, "delays are spread: {delays:?}");
-    assert!(bench.told.is_empty());
+    assert!(bench.completions.is_empty());
     set_threshold(&mut bench, 0.0, 100.0, 1.0);
     assert_eq!(request_delay(&mut bench, 99), None);
-    assert!(bench.take().is_read());
+    assert!(bench.next_completion().is_prefill());
 }
 
 #[test]
@@ -112,13 +112,13 @@
 }
 
 /// Sends a request whose prefill fails after it may have run. Returns the next attempt, if there is one.
-fn attempt_after_failure(bench: &mut Bench, number: u64) -> Option<Told> {
-    let session = bench.open(number);
-    bench.ask(session, "query", &format!("k{number}"), "words");
-    let prefill = bench.take();
-    bench.error(&prefill, 500, None);
-    bench.pass(0.1);
-    bench.told.pop()
+fn attempt_after_failure(bench: &mut Harness, number: u64) -> Option<SentCompletion> {
+    let session = bench.open_session(number);
+    bench.send_request(session, "query", &format!("k{number}"), "words");
+    let prefill = bench.next_completion();
+    bench.send_error(&prefill, 500, None);
+    bench.advance(0.1);
+    bench.completions.pop()
 }
 
 #[test]
@@ -135,9 +135,11 @@
         "a quarter of the cluster's retry budget, which is a tenth of 100"
     );
     let mut bench = bench_with_shedding();
-    let session = bench.open(3);
+    let session = bench.open_session(3);
     set_threshold(&mut bench, 0.1, 0.0, 1.0);
-    assert!(!bench.begin_write(session, "query", "k3", "words").is_read());
+    assert!(!bench
+        .start_decode(session, "query", "k3", "words")
+        .is_prefill());
 }
 
 #[test]
@@ -148,9 +150,9 @@
     bench.step(Input::Overload(Event::SendHealthCheck { server: host }));
     let (link, id) = bench.probes.pop().expect("a health check");
     let load = std::iter::once(("kv_cache_usage_perc".to_string(), 0.25)).collect();
-    bench.says(link, &FromEngine::Load { id, load });
+    bench.server_sends(link, &FromEngine::Load { id, load });
     let is_shared = |o: &Output| matches!(o, Output::Overload(Command::HealthCheckAnswered { server: h, report }) if *h == host && report.len() == 1);
-    assert_eq!(bench.out.iter().filter(|o| is_shared(o)).count(), 1);
+    assert_eq!(bench.outputs.iter().filter(|o| is_shared(o)).count(), 1);
 }
 
 #[test]
@@ -163,8 +165,11 @@
     }));
     assert!(bench.probes.is_empty());
     assert!((0..50).all(|n| request_delay(&mut bench, n).is_none()));
-    bench.pass(1.0);
-    assert!(!bench.out.iter().any(|o| matches!(o, Output::Overload(_))));
+    bench.advance(1.0);
+    assert!(!bench
+        .outputs
+        .iter()
+        .any(|o| matches!(o, Output::Overload(_))));
     let bad = format!("{SETTINGS}[cluster]\nname = \"h\"\nsecret = \"s\"\noverload = {{ wait_share = 9.0 }}\nroster = [{{ name = \"d1\", address = \"127.0.0.1:7001\" }}]\n");
     assert!(Settings::parse("test", &bad)
         .expect_err("a bad share")
@@ -172,17 +177,17 @@
         .contains("wait_share"));
 }
 
-fn attempts_at(bench: &Bench, name: &str) -> Vec<Told> {
+fn attempts_at(bench: &Harness, name: &str) -> Vec<SentCompletion> {
     bench
-        .told
+        .completions
         .iter()
-        .filter(|t| Bench::name_of(t.link) == name)
+        .filter(|t| Harness::server_name(t.link) == name)
         .cloned()
         .collect()
 }
 
 /// Sends some requests after the attempts in flight at r1 were limited to `max_in_flight` for `for_s` seconds.
-fn bench_with_trial(max_in_flight: u32, for_s: u64) -> Bench {
+fn bench_with_trial(max_in_flight: u32, for_s: u64) -> Harness {
     let mut bench = bench_with_shedding();
     set_threshold(&mut bench, 0.0, 100.0, 60.0);
     let host = bitternlatch_inventory::server_id("r1");
@@ -194,7 +199,7 @@
     }));
     for n in 0..8 {
         request_delay(&mut bench, n);
-        bench.pass(0.05);
+        bench.advance(0.05);
     }
     bench
 }
@@ -210,11 +215,11 @@
     attempts
         .iter()
         .take(3)
-        .for_each(|attempt| bench.error(attempt, 500, None));
+        .for_each(|attempt| bench.send_error(attempt, 500, None));
     let r1 = bitternlatch_inventory::server_id("r1");
     let reports_failure = |o: &&Output| matches!(o, Output::Overload(Command::AttemptEnded { server, succeeded: false }) if *server == r1);
     assert_eq!(
-        bench.out.iter().filter(reports_failure).count(),
+        bench.outputs.iter().filter(reports_failure).count(),
         2,
         "from the second consecutive failure on"
     );
@@ -223,8 +228,8 @@
 #[test]
 fn shed_step_sends_no_workflow_command() {
     let mut bench = bench("overload = {}\nworkflows = {}\n");
-    let step = |bench: &mut Bench, number: u64, step: u32| {
-        let session = bench.open(number);
+    let step = |bench: &mut Harness, number: u64, step: u32| {
+        let session = bench.open_session(number);
         let meta = serde_json::json!({ "class": "query", "idempotency_key": format!("k{number}"), "workflow": "season",
             "workflow_epoch": "1", "workflow_step": step.to_string() });
         let create = serde_json::json!({ "type": "response.create", "model": "m", "input": "words", "metadata": meta });
@@ -232,10 +237,10 @@
             session,
             text: create.to_string(),
         });
-        let commands = std::mem::take(&mut bench.out)
+        let commands = std::mem::take(&mut bench.outputs)
             .into_iter()
             .filter(|o| matches!(o, Output::Workflow(_)));
-        (commands.count(), bench.heard(session))
+        (commands.count(), bench.take_events(session))
     };
     set_threshold(&mut bench, 48.0, 100.0, 1.0);
     let (commands, events) = step(&mut bench, 1, 1);
