--- a/crates/connection-limits/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -1,38 +1,41 @@
-//! Which connections may be in their handshake at once. No I/O: the caller opens and closes the sockets.
+//! Limits how many connections may be in their handshake at once. Performs no I/O: the code that uses it opens and
+//! closes the sockets.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// One connection in its handshake; never reused.
+/// Identifies a connection whose handshake is pending; ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HandshakeId(pub u64);
 
-/// What became of a new connection.
+/// Result of admitting a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admission {
     /// Id of the new connection.
     pub admitted: HandshakeId,
-    /// The connection that the caller has to close for it.
+    /// The connection that was evicted to make room, which the calling code has to close.
     pub evicted: Option<HandshakeId>,
 }
 
 /// Connections whose handshake is not complete, up to a capacity.
 ///
-/// At the capacity a new connection evicts the oldest one of the address that has the most. So an address that opens
-/// many connections and sends nothing evicts its own, and other addresses get their time. Where all are of one
-/// address, the oldest goes, which has had the most time.
+/// At capacity, a new connection evicts the oldest connection of the client address that has the most pending
+/// handshakes. An address that opens many connections without sending anything therefore evicts its own connections,
+/// and handshakes from other addresses keep their time. If all connections come from one address, the oldest one is
+/// evicted, because it has had the most time to complete.
 #[derive(Debug)]
 pub struct Handshakes {
     capacity: usize,
-    /// In order of arrival.
+    /// Client address of each pending connection, in order of arrival.
     pending: BTreeMap<HandshakeId, IpAddr>,
+    /// Number of pending connections per client address.
     by_address: BTreeMap<IpAddr, usize>,
     next_id: u64,
     evictions: u64,
 }
 
 impl Handshakes {
-    /// For up to this many at once; one at the least.
+    /// Creates a set for at most `capacity` pending handshakes; a capacity of 0 is raised to 1.
     pub fn new(capacity: usize) -> Handshakes {
         Handshakes {
             capacity: capacity.max(1),
@@ -43,7 +46,7 @@
         }
     }
 
-    /// Admits a new connection, which may evict another.
+    /// Admits a new connection from `address`, evicting another one if the capacity is reached.
     pub fn admit(&mut self, address: IpAddr) -> Admission {
         let evicted = if self.pending.len() >= self.capacity {
             self.eviction_candidate(address)
@@ -61,19 +64,20 @@
         Admission { admitted, evicted }
     }
 
-    /// The oldest connection of the address that would have the most, the new one counted.
-    fn eviction_candidate(&self, newcomer: IpAddr) -> Option<HandshakeId> {
-        let weight = |(address, count): (&IpAddr, &usize)| {
-            (count + usize::from(*address == newcomer), *address)
+    /// Returns the oldest connection of the address that would have the most pending handshakes once the new connection
+    /// from `new_address` is counted.
+    fn eviction_candidate(&self, new_address: IpAddr) -> Option<HandshakeId> {
+        let count_with_new = |(address, count): (&IpAddr, &usize)| {
+            (count + usize::from(*address == new_address), *address)
         };
-        let (_, crowded) = self.by_address.iter().map(weight).max()?;
+        let (_, busiest) = self.by_address.iter().map(count_with_new).max()?;
         self.pending
             .iter()
-            .find(|(_, address)| **address == crowded)
+            .find(|(_, address)| **address == busiest)
             .map(|(id, _)| *id)
     }
 
-    /// Removes a connection whose handshake is complete or has failed; false where it had been evicted before.
+    /// Removes a connection whose handshake completed or failed. Returns false if it had already been evicted.
     pub fn remove(&mut self, id: HandshakeId) -> bool {
         let Some(address) = self.pending.remove(&id) else {
             return false;
@@ -87,17 +91,17 @@
         true
     }
 
-    /// Connections in their handshake now.
+    /// Number of pending handshakes.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether no connection is in its handshake.
+    /// Whether no handshake is pending.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Connections evicted since the start, for logs.
+    /// Number of connections evicted since the set was created, for logs.
     pub fn evictions(&self) -> u64 {
         self.evictions
     }
--- a/crates/connection-limits/src/tests.rs
+++ b/crates/connection-limits/src/tests.rs
@@ -5,20 +5,26 @@
 }
 
 #[test]
-fn crowded_address_evicts_its_own_oldest() {
+fn address_with_most_connections_evicts_its_own_oldest() {
     let mut handshakes = Handshakes::new(4);
-    let quiet = handshakes.admit(ip(1)).admitted;
-    let crowd: Vec<HandshakeId> = (0..3).map(|_| handshakes.admit(ip(2)).admitted).collect();
-    for oldest in &crowd {
+    let single = handshakes.admit(ip(1)).admitted;
+    let busiest: Vec<HandshakeId> = (0..3).map(|_| handshakes.admit(ip(2)).admitted).collect();
+    for oldest in &busiest {
         assert_eq!(handshakes.admit(ip(2)).evicted, Some(*oldest));
     }
     assert_eq!(
-        handshakes.admit(ip(3)).evicted.map(|id| id > crowd[2]),
+        handshakes.admit(ip(3)).evicted.map(|id| id > busiest[2]),
         Some(true),
-        "the crowd's own again"
+        "a connection of the busiest address is evicted again"
+    );
+    assert!(
+        handshakes.remove(single),
+        "the only connection of its address was evicted"
+    );
+    assert!(
+        !handshakes.remove(busiest[0]),
+        "an evicted connection is still pending"
     );
-    assert!(handshakes.remove(quiet), "the quiet one was left alone");
-    assert!(!handshakes.remove(crowd[0]), "an evicted one is gone");
     assert_eq!((handshakes.len(), handshakes.evictions()), (3, 4));
 }
 
--- a/crates/platform-net/src/accept.rs
+++ b/crates/platform-net/src/accept.rs
@@ -1,4 +1,5 @@
-//! Accepts clients, also where descriptors run out, until the listener is closed.
+//! Accepts client connections until the listener is closed, and handles accepts that fail because file descriptors are
+//! exhausted.
 
 use std::io;
 
@@ -8,32 +9,34 @@
 
 use crate::{descriptors, Driver};
 
-/// Connections taken in one turn.
-const TURN_ACCEPTS: usize = 64;
-/// Turns of accepting before the listener is closed: more than its queue holds.
-const MAX_LAST_ACCEPTS: usize = 32;
-/// Pause after a connection could not be taken.
-const ACCEPT_PAUSE_SECS: f64 = 0.02;
-/// Descriptors that are wanting a second time within this, seconds, are not wanting for a moment alone.
-const EXHAUSTED_AGAIN_SECS: f64 = 0.1;
-/// Connections that could not be taken are logged this often, seconds.
-const ACCEPT_FAILURE_LOG_SECS: f64 = 1.0;
-
-/// The listener, and when it may be asked for clients.
+/// Connections accepted in one iteration of the event loop.
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
+/// Rounds of up to `MAX_ACCEPTS_PER_ITERATION` accepts before the listener is closed; together they cover more
+/// connections than the accept queue holds.
+const MAX_FINAL_ACCEPT_ROUNDS: usize = 32;
+/// Delay before the next accept after one has failed, in seconds.
+const ACCEPT_RETRY_DELAY_SECS: f64 = 0.02;
+/// If an accept fails for lack of a file descriptor twice within this time, in seconds, the shortage counts as
+/// persistent.
+const PERSISTENT_EXHAUSTION_SECS: f64 = 0.1;
+/// Minimum interval between log lines about failed accepts, in seconds.
+const ACCEPT_FAILURE_LOG_INTERVAL_SECS: f64 = 1.0;
+
+/// The listener and the time of its next accept.
 pub(crate) struct Acceptor {
     listener: Option<TcpListener>,
-    /// Connections wait to be taken, not before this time.
+    /// Earliest time of the next accept; `None` while no connection is waiting.
     accept_at: Option<Micros>,
-    /// When there was no descriptor for a client last.
+    /// Time of the last accept that failed for lack of a file descriptor.
     exhausted_at: Option<Micros>,
     failures: AcceptFailures,
-    /// The listener is to be closed at the end of this turn.
+    /// Whether the listener is to be closed at the end of this iteration of the event loop.
     close_requested: bool,
 }
 
-/// Connections that could not be taken.
+/// Failed accepts, for the rate-limited log line.
 struct AcceptFailures {
-    /// Since they were logged.
+    /// Failures since the last log line.
     count: u64,
     logged_at: Micros,
 }
@@ -52,22 +55,22 @@
         }
     }
 
-    /// The system has said that connections wait.
+    /// Records that the listener is readable, so that connections may be waiting.
     pub(crate) fn set_ready(&mut self) {
         self.accept_at = Some(Micros(0));
     }
 
-    /// When connections that wait are to be taken.
-    pub(crate) fn next(&self) -> Option<Micros> {
+    /// Time of the next accept; `None` while no connection is waiting.
+    pub(crate) fn next_accept_at(&self) -> Option<Micros> {
         self.accept_at
     }
 
-    /// Closes the listener at the end of this turn.
+    /// Requests that the listener be closed at the end of this iteration of the event loop.
     pub(crate) fn request_close(&mut self) {
         self.close_requested = true;
     }
 
-    /// Whether the listener is to be closed; asked once.
+    /// Returns whether a close of the listener was requested, and clears the request.
     pub(crate) fn take_close_request(&mut self) -> bool {
         std::mem::take(&mut self.close_requested)
     }
@@ -75,23 +78,24 @@
     fn log_failure(&mut self, now: Micros, error: &io::Error) {
         let AcceptFailures { count, logged_at } = &mut self.failures;
         *count += 1;
-        if now.since(*logged_at) >= ACCEPT_FAILURE_LOG_SECS {
+        if now.since(*logged_at) >= ACCEPT_FAILURE_LOG_INTERVAL_SECS {
             tracing::warn!(
-                "a connection could not be taken: {error}; {count} tries since the last such line"
+                "cannot accept a connection: {error}; {count} failed accepts since the last such line"
             );
             (*count, *logged_at) = (0, now);
         }
     }
 
-    /// There was no descriptor, as a moment ago: then it is no passing want.
-    fn is_exhausted_again(&mut self, now: Micros) -> bool {
-        let before = self.exhausted_at.replace(now);
-        before.is_some_and(|at| now.since(at) < EXHAUSTED_AGAIN_SECS)
+    /// Records that an accept failed for lack of a file descriptor. Returns true if the previous such failure was less
+    /// than `PERSISTENT_EXHAUSTION_SECS` ago, which means that the shortage is persistent.
+    fn is_exhaustion_persistent(&mut self, now: Micros) -> bool {
+        let previous = self.exhausted_at.replace(now);
+        previous.is_some_and(|at| now.since(at) < PERSISTENT_EXHAUSTION_SECS)
     }
 }
 
 impl Driver {
-    /// Takes clients that wait, so many in a turn.
+    /// Accepts waiting clients, up to `MAX_ACCEPTS_PER_ITERATION` of them.
     pub(crate) fn accept(&mut self) {
         if self
             .acceptor
@@ -100,7 +104,7 @@
         {
             return;
         }
-        for _ in 0..TURN_ACCEPTS {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let Some(listener) = &self.acceptor.listener else {
                 return self.acceptor.accept_at = None;
             };
@@ -110,42 +114,43 @@
                     return self.acceptor.accept_at = None
                 }
                 Err(e) if is_connection_lost(&e) => {}
-                // As at the clients' bound: a new client displaces.
+                // With descriptors exhausted, a new client evicts another one, as it does at the limit of clients.
                 Err(e)
                     if descriptors::is_exhausted(&e)
-                        && self.acceptor.is_exhausted_again(self.clock.now())
+                        && self.acceptor.is_exhaustion_persistent(self.clock.now())
                         && self.evict_for_new_client() => {}
                 Err(e) => {
-                    // Without descriptors an accept fails at once: asking again and again would spin.
+                    // While descriptors are exhausted, accept fails at once, and retrying without a delay would
+                    // busy-loop.
                     let now = self.clock.now();
                     self.acceptor.log_failure(now, &e);
-                    return self.acceptor.accept_at = Some(now.after(ACCEPT_PAUSE_SECS));
+                    return self.acceptor.accept_at = Some(now.after(ACCEPT_RETRY_DELAY_SECS));
                 }
             }
         }
     }
 
-    /// Takes a connection, and hears what it has said already before the next one, which may displace it: the front's
-    /// call may stand among hundreds in the accept queue.
+    /// Registers an accepted connection and reads what it has already sent before the next connection is accepted,
+    /// which may evict it: a connection with a request may be queued among hundreds of others without one.
     fn admit(&mut self, stream: TcpStream) {
         let conn = self.node.next_conn();
         let _ = stream.set_nodelay(true);
-        if self.put(conn, stream, true).is_err() {
+        if self.register_socket(conn, stream, true).is_err() {
             return;
         }
         if self.node.client_limit_reached(self.unwritten_answers()) {
             self.evict_for_new_client();
         }
-        self.input(Input::Accepted { conn });
+        self.step_node(Input::Accepted { conn });
         if let Some(socket) = self.sockets.get_mut(&conn) {
             socket.readable = true;
             self.serve_socket(conn);
         }
     }
 
-    /// Takes whoever has connected by now, and nobody after that.
+    /// Accepts the clients that have connected so far, then closes the listener.
     pub(crate) fn stop_listening(&mut self) {
-        for _ in 0..MAX_LAST_ACCEPTS {
+        for _ in 0..MAX_FINAL_ACCEPT_ROUNDS {
             self.acceptor.set_ready();
             self.accept();
             if self.acceptor.accept_at.is_none() {
@@ -155,11 +160,11 @@
         if let Some(mut listener) = self.acceptor.listener.take() {
             let _ = self.poll.registry().deregister(&mut listener);
         }
-        self.input(Input::NotListening);
+        self.step_node(Input::NotListening);
     }
 }
 
-/// The connection that was to be taken has gone already.
+/// Whether an accept failed only because the waiting connection was aborted or the call was interrupted.
 fn is_connection_lost(e: &io::Error) -> bool {
     matches!(
         e.kind(),
--- a/crates/platform-net/src/commands.rs
+++ b/crates/platform-net/src/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out the commands of the node and gives it what comes of them.
+//! Executes the commands of the node and reports their results to it.
 
 use std::io;
 
@@ -10,16 +10,16 @@
 use crate::{Driver, SocketEvent, ACCESS_LOG_TARGET};
 
 impl Driver {
-    pub(crate) fn input(&mut self, input: Input) {
+    pub(crate) fn step_node(&mut self, input: Input) {
         self.node.step(self.observed_at, input, &mut self.commands);
         self.run_commands();
     }
 
-    /// Carries out what the node says, and tells it what comes of it, until nothing is left.
+    /// Executes the commands of the node and passes the resulting socket events back to it, until neither is left.
     pub(crate) fn run_commands(&mut self) {
         loop {
-            for one in self.node.take_trace() {
-                tracing::debug!(actions = ?one.actions, "{:?}", one.event);
+            for decision in self.node.take_trace() {
+                tracing::debug!(actions = ?decision.actions, "{:?}", decision.event);
             }
             for command in std::mem::take(&mut self.commands) {
                 self.run_command(command);
@@ -46,7 +46,7 @@
                 }
             }
             Command::Reuse { conn, bytes } => self.reuse(conn, bytes),
-            Command::Close { conn } => self.forget(conn),
+            Command::Close { conn } => self.remove_socket(conn),
             Command::Finish { conn } => self.finish(conn),
             Command::Pause { conn, paused } => {
                 if let Some(socket) = self.sockets.get_mut(&conn) {
@@ -58,7 +58,7 @@
             }
             Command::Datagram { to, data } => {
                 if let Some(peers) = &self.peers {
-                    // Messages to peers may be lost; nothing waits for them.
+                    // Messages to peers may be lost, so an error is ignored.
                     let _ = peers.send_to(&data, to);
                 }
             }
@@ -76,7 +76,7 @@
         }
     }
 
-    pub(crate) fn put(
+    pub(crate) fn register_socket(
         &mut self,
         conn: ConnId,
         mut stream: TcpStream,
@@ -92,25 +92,25 @@
         Ok(())
     }
 
-    pub(crate) fn forget(&mut self, conn: ConnId) {
+    pub(crate) fn remove_socket(&mut self, conn: ConnId) {
         if let Some(mut socket) = self.sockets.remove(&conn) {
             let _ = self.poll.registry().deregister(&mut socket.stream);
         }
         self.ready_again.remove(&conn);
-        self.connect_retries.forget(conn);
+        self.connect_retries.cancel(conn);
     }
 
-    /// Writes to a connection that stood idle, if it still does: what came on it since would be taken for the answer, and
-    /// what is written behind its end may have run or not.
+    /// Writes a request to an idle connection, unless the other side has closed it or sent anything since. Unread bytes
+    /// would be taken for the response, and for a request written after the close it is unknown whether it ran.
     fn reuse(&mut self, conn: ConnId, bytes: Vec<u8>) {
         let Some(socket) = self.sockets.get_mut(&conn) else {
             return;
         };
-        if socket.is_silent() {
+        if socket.is_open_without_input() {
             socket.queue(bytes);
             return self.write(conn);
         }
-        self.forget(conn);
+        self.remove_socket(conn);
         self.socket_events.push_back(SocketEvent::Stale { conn });
     }
 
@@ -134,11 +134,11 @@
             return;
         }
         if socket.accepted && is_serving {
-            // A client that cannot be written to has gone, whatever it still had to say.
-            self.forget(conn);
+            // A client that cannot be written to has disconnected; anything it sent before is ignored.
+            self.remove_socket(conn);
             self.socket_events.push_back(SocketEvent::Ended { conn });
         } else {
-            // What the other side said before it went is still read.
+            // Bytes that the other side sent before it disconnected are still read.
             self.ready_again.insert(conn);
         }
     }
--- a/crates/platform-net/src/descriptors.rs
+++ b/crates/platform-net/src/descriptors.rs
@@ -1,4 +1,4 @@
-//! File descriptors: how many the process may hold and does hold, and what is done when there is none.
+//! File descriptors: the limit of the process, the number in use, and the eviction of connections when none is left.
 
 use std::io;
 
@@ -8,38 +8,41 @@
 
 use crate::Driver;
 
-/// Clients heard out at the most before one is evicted.
-const MAX_CLIENTS_READ: usize = 16;
-/// Connections evicted at the most for one that needs a descriptor.
+/// Most clients whose pending input is read before one of them is evicted.
+const MAX_READS_BEFORE_EVICTION: usize = 16;
+/// Most connections that are evicted to open a single new one.
 const MAX_EVICTIONS: usize = 4;
 
-/// The limits as the process finds them. The system's is read, and left as it is.
+/// The configured limits, reduced to the file descriptors that the operating system leaves to this process. The limit
+/// of the operating system is read and not changed.
 pub(crate) fn effective_limits(limits: Limits) -> Limits {
     let allowed = getrlimit(Resource::Nofile)
         .current
         .and_then(|n| usize::try_from(n).ok());
-    // The folder itself is open while it is read.
-    let held = std::fs::read_dir("/proc/self/fd").map_or(0, |fds| fds.count().saturating_sub(1));
-    let found = limits.within(allowed, held);
-    if found.descriptors < limits.descriptors {
-        let (left, said) = (found.descriptors, limits.descriptors);
+    // The directory itself is open while it is read, so it is not counted.
+    let open_descriptors =
+        std::fs::read_dir("/proc/self/fd").map_or(0, |fds| fds.count().saturating_sub(1));
+    let effective = limits.within(allowed, open_descriptors);
+    if effective.descriptors < limits.descriptors {
+        let (available, configured) = (effective.descriptors, limits.descriptors);
         tracing::warn!(
-            "the system leaves the process {left} file descriptors, fewer than limits.sockets, {said}"
+            "only {available} file descriptors are available to the process, fewer than the {configured} of limits.sockets"
         );
     }
-    found
+    effective
 }
 
-/// The process has no descriptor left.
+/// Whether an error means that the process has no file descriptor left.
 pub(crate) fn is_exhausted(e: &io::Error) -> bool {
     e.raw_os_error()
         .is_some_and(|code| code == Errno::MFILE.raw_os_error())
 }
 
 impl Driver {
-    /// Opens a connection of the dispatcher's own, to discovery or a server; where there is no descriptor for it, those
-    /// that need theirs least are evicted. The server has done nothing, so this must not look like its failure.
-    pub(crate) fn evicting_for_descriptor<T>(
+    /// Opens an outbound connection to discovery or a server. If no file descriptor is left, evicts the connections
+    /// that are needed least, up to `MAX_EVICTIONS`, because a local shortage must not count as a failure of the
+    /// server.
+    pub(crate) fn open_with_eviction<T>(
         &mut self,
         open: impl Fn() -> io::Result<T>,
     ) -> io::Result<T> {
@@ -52,19 +55,21 @@
         open()
     }
 
-    /// Lets go of a client whose last answer has left, or that asks nothing, or of an idle connection to a server.
+    /// Frees one file descriptor. In this order, closes a lingering connection whose response is written, the client
+    /// that the node ranks first for eviction, a lingering connection whose client has stalled, or an idle connection
+    /// to a server. Returns false if there is none.
     fn evict_any(&mut self) -> bool {
         self.lingering.retain(|c| self.sockets.contains_key(c));
-        self.cut_written()
+        self.close_oldest_written()
             || self.evict_client()
-            || self.cut_stalled()
+            || self.close_longest_stalled()
             || self.evict_with(|driver, out| driver.node.evict_idle_connection(out))
     }
 
-    /// The same for a new client, between two inputs of the node: a client is heard out before it is evicted, as it may have
-    /// asked by now.
+    /// Frees one file descriptor for a new client; called between two inputs of the node. The pending input of a client
+    /// is read before the client is evicted, because it may contain a request by now.
     pub(crate) fn evict_for_new_client(&mut self) -> bool {
-        for _ in 0..MAX_CLIENTS_READ {
+        for _ in 0..MAX_READS_BEFORE_EVICTION {
             let Some(conn) = self.node.client_eviction_candidate(self.clock.now()) else {
                 break;
             };
@@ -73,28 +78,30 @@
                 self.serve_socket(conn);
             }
             if !self.sockets.contains_key(&conn) {
-                // It has gone by itself.
+                // The client has disconnected, which has freed its descriptor.
                 return true;
             }
             if self.node.client_eviction_candidate(self.clock.now()) == Some(conn) {
                 break;
             }
         }
-        self.evict_client() || self.cut_stalled()
+        self.evict_client() || self.close_longest_stalled()
     }
 
-    /// Lets go of the client that is evicted first.
+    /// Evicts the client that the node ranks first for eviction. Returns false if there is none.
     pub(crate) fn evict_client(&mut self) -> bool {
         self.evict_with(|driver, out| driver.node.evict_client(driver.clock.now(), out))
     }
 
     fn evict_with(
         &mut self,
-        shed: impl Fn(&mut Driver, &mut Vec<bitternlatch_platform::types::Command>) -> bool,
+        evict: impl Fn(&mut Driver, &mut Vec<bitternlatch_platform::types::Command>) -> bool,
     ) -> bool {
-        let mut closes = Vec::new();
-        let found = shed(self, &mut closes);
-        closes.into_iter().for_each(|close| self.run_command(close));
-        found
+        let mut commands = Vec::new();
+        let is_evicted = evict(self, &mut commands);
+        commands
+            .into_iter()
+            .for_each(|command| self.run_command(command));
+        is_evicted
     }
 }
--- a/crates/platform-net/src/dial.rs
+++ b/crates/platform-net/src/dial.rs
@@ -1,5 +1,5 @@
-//! Connections of the dispatcher's own, to model servers and discovery. One that cannot be opened for want of something
-//! on this machine is tried again soon: it must not look like the other side's failure.
+//! Opens outbound connections to model servers and discovery. A connect that fails for lack of a local resource, such
+//! as a file descriptor, is retried after a short delay, because it must not count as a failure of the other side.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,13 +11,14 @@
 use crate::transient_errors::is_transient;
 use crate::{Driver, SocketEvent};
 
-/// Further tries, the first after a pause of so many seconds, each next one after twice as long: 60 ms together.
-const MAX_TRIES: u32 = 6;
-const FIRST_PAUSE_SECS: f64 = 0.001;
-/// Tries before others are evicted for want of a descriptor: it may have been for a moment alone.
-const PATIENT_TRIES: u32 = 2;
+/// Retries of a connect. The delays start at `INITIAL_BACKOFF_SECS` and double each time, about 60 ms in total.
+const MAX_RETRIES: u32 = 6;
+/// Delay before the first retry of a connect, in seconds.
+const INITIAL_BACKOFF_SECS: f64 = 0.001;
+/// Tries of a connect before other connections are evicted to free a file descriptor, as the shortage may be brief.
+const TRIES_BEFORE_EVICTION: u32 = 2;
 
-/// A connection that is to be tried again.
+/// A connect that is to be retried.
 #[derive(Clone, Copy, Debug)]
 struct ConnectRetry {
     to: SocketAddr,
@@ -25,17 +26,17 @@
     tries: u32,
 }
 
-/// Connections that could not be opened yet.
+/// Connects that failed with a transient error and are to be retried.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectRetries(BTreeMap<ConnId, ConnectRetry>);
 
 impl ConnectRetries {
-    pub(crate) fn next(&self) -> Option<Micros> {
+    pub(crate) fn next_retry_at(&self) -> Option<Micros> {
         self.0.values().map(|r| r.at).min()
     }
 
-    /// It is not wanted any more.
-    pub(crate) fn forget(&mut self, conn: ConnId) {
+    /// Cancels the retry of a connection that is no longer needed.
+    pub(crate) fn cancel(&mut self, conn: ConnId) {
         self.0.remove(&conn);
     }
 }
@@ -46,16 +47,16 @@
     }
 
     fn dial(&mut self, conn: ConnId, to: SocketAddr, tries: u32) {
-        let opened = if tries < PATIENT_TRIES {
+        let opened = if tries < TRIES_BEFORE_EVICTION {
             TcpStream::connect(to)
         } else {
-            self.evicting_for_descriptor(|| TcpStream::connect(to))
+            self.open_with_eviction(|| TcpStream::connect(to))
         };
-        match opened.and_then(|stream| self.put(conn, stream, false)) {
+        match opened.and_then(|stream| self.register_socket(conn, stream, false)) {
             Ok(()) => {}
-            Err(e) if tries < MAX_TRIES && is_transient(&e) => {
-                let pause_s = FIRST_PAUSE_SECS * f64::from(1u32 << tries);
-                let at = self.clock.now().after(pause_s);
+            Err(e) if tries < MAX_RETRIES && is_transient(&e) => {
+                let delay_secs = INITIAL_BACKOFF_SECS * f64::from(1u32 << tries);
+                let at = self.clock.now().after(delay_secs);
                 self.connect_retries.0.insert(
                     conn,
                     ConnectRetry {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Tries those again whose pause is over.
+    /// Retries the connects whose delay has passed.
     pub(crate) fn retry_connects(&mut self) {
         let now = self.clock.now();
         let due: Vec<(ConnId, ConnectRetry)> = self
@@ -80,7 +81,7 @@
             .map(|(conn, r)| (*conn, *r))
             .collect();
         for (conn, retry) in due {
-            // What one of them brings may have closed another.
+            // Commands that follow from one connect may have closed another connection of this list.
             if self.connect_retries.0.remove(&conn).is_some() {
                 self.dial(conn, retry.to, retry.tries);
                 self.run_commands();
--- a/crates/platform-net/src/event_loop.rs
+++ b/crates/platform-net/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: waits for readiness, hands it to the node, and lets timers act.
+//! The event loop: waits for readiness events, passes input to the node and runs its timers.
 
 use std::io;
 use std::time::Duration;
@@ -9,71 +9,74 @@
 
 use crate::{Driver, LISTENER, PEERS, SIGNALS};
 
-/// Events taken from the system at once, and how often in a row while there are as many.
-const BATCH: usize = 256;
-const MAX_BATCHES: usize = 8;
-/// Within a turn the system is asked for further events after this, seconds: a client that goes meanwhile is heard.
-const POLL_AGAIN_SECS: f64 = 0.005;
-/// Timers wait for what servers and clients have said by the time at which they are due, but in a turn no longer than
-/// this, seconds.
+/// Most events that one poll returns.
+const EVENT_BATCH_SIZE: usize = 256;
+/// Most polls in a row while each returns a full batch of events.
+const MAX_EVENT_BATCHES: usize = 8;
+/// Interval, in seconds, at which a long iteration polls for new events, so that a client that disconnects meanwhile is
+/// noticed.
+const REPOLL_INTERVAL_SECS: f64 = 0.005;
+/// Longest delay of due timers within an iteration, in seconds. Until then, input that had arrived from servers and
+/// clients when the timers became due is processed first.
 const MAX_TIMER_DELAY_SECS: f64 = 0.01;
 
-/// What the system has told in one poll.
+/// Readiness events collected by one or more polls.
 #[derive(Default)]
 struct Readiness {
-    /// Connections that may be read or written.
+    /// Connections that are ready to be read or written.
     ready: Vec<ConnId>,
     /// Clients that have disconnected.
     disconnected: Vec<ConnId>,
-    /// Datagrams wait.
+    /// Whether datagrams are waiting.
     peers: bool,
-    /// Signals wait.
+    /// Whether signals are waiting.
     signals: bool,
 }
 
 impl Driver {
     pub(crate) fn run(&mut self) -> io::Result<()> {
-        let mut events = Events::with_capacity(BATCH);
+        let mut events = Events::with_capacity(EVENT_BATCH_SIZE);
         self.run_commands();
         while !self.stopped {
-            let mut wait = self.wait();
-            // A signal ends the wait with nothing told, also one that stops the process for a while: due timers must not
-            // act on what was known before.
+            let mut wait = self.poll_timeout();
+            // A signal interrupts the poll without events, and may have suspended the process for a while. The poll is
+            // repeated without waiting, so that due timers do not act on outdated readiness.
             while let Err(e) = self.poll.poll(&mut events, Some(wait)) {
                 if e.kind() != io::ErrorKind::Interrupted {
                     return Err(e);
                 }
                 wait = Duration::ZERO;
             }
-            self.turn(&mut events);
+            self.run_iteration(&mut events);
         }
         self.drain_lingering(&mut events);
         tracing::info!(counts = ?self.node.counts(), "stopped");
         Ok(())
     }
 
-    /// How long nothing has to be done without an event.
-    fn wait(&self) -> Duration {
+    /// How long the next poll may wait: until the earliest timer, and 0 while connections are to be read again.
+    fn poll_timeout(&self) -> Duration {
         if !self.ready_again.is_empty() {
             return Duration::ZERO;
         }
         let due = [
             self.node.next_due(),
-            self.acceptor.next(),
-            self.reloads.next(),
+            self.acceptor.next_accept_at(),
+            self.reloads.next_read_at(),
             self.next_linger_deadline(),
-            self.connect_retries.next(),
+            self.connect_retries.next_retry_at(),
         ];
         let due = due.into_iter().flatten().min();
         due.map_or(Duration::from_secs(1), |at| self.clock.until(at))
     }
 
-    fn turn(&mut self, events: &mut Events) {
+    fn run_iteration(&mut self, events: &mut Events) {
         let mut ready = self.poll_ready(events);
         ready.extend(std::mem::take(&mut self.ready_again));
         self.handle_signals();
-        // Clients with a request open first: all that they can say is that they have gone, or what comes next. Then
-        // servers: a connection that has just ended must not be chosen for what a client has just asked.
+        // Clients with an open request are served first: they can only disconnect or send a further request. Servers
+        // are next, so that a new request is not sent on a connection that its server has just closed. Other clients
+        // are last.
         let rank = |conn: &ConnId| match self.sockets.get(conn) {
             Some(socket) if socket.accepted => {
                 if self.node.has_open_request(*conn) {
@@ -85,46 +88,46 @@
             _ => 1,
         };
         ready.sort_by_key(rank);
-        let began = self.observed_at;
+        let iteration_start = self.observed_at;
         for conn in ready {
-            self.poll_again(events);
-            if self.observed_at.since(began) >= MAX_TIMER_DELAY_SECS {
-                self.tick();
+            self.repoll_if_due(events);
+            if self.observed_at.since(iteration_start) >= MAX_TIMER_DELAY_SECS {
+                self.run_due_timers();
             }
             self.serve_socket(conn);
         }
-        self.poll_again(events);
+        self.repoll_if_due(events);
         self.retry_connects();
         self.accept();
         self.reload();
-        self.cut_lingering();
-        self.poll_again(events);
-        self.tick();
+        self.close_expired_lingering();
+        self.repoll_if_due(events);
+        self.run_due_timers();
         if self.acceptor.take_close_request() {
             self.stop_listening();
         }
     }
 
-    /// Lets timers that are due act.
-    fn tick(&mut self) {
+    /// Runs the timers of the node that are due.
+    fn run_due_timers(&mut self) {
         if self
             .node
             .next_due()
             .is_some_and(|at| at <= self.observed_at)
         {
-            self.input(Input::Tick);
+            self.step_node(Input::Tick);
         }
     }
 
-    /// Takes in what the system has told, and all else that it has to tell by now. Gives the connections that are ready.
+    /// Processes the given events and all others that are available by now. Returns the connections that are ready.
     ///
-    /// The node hears first of the clients that have gone, of all of them, and without what they said last: neither a
-    /// server's answer nor a timer nor their own words may begin an attempt for them.
+    /// The node is notified of all disconnected clients first, and the last bytes of these clients are not read: no
+    /// server response, timer or input of their own may start an attempt for them.
     fn poll_ready(&mut self, events: &mut Events) -> Vec<ConnId> {
         let found = self.collect_readiness(events);
         for conn in found.disconnected {
-            self.forget(conn);
-            // No command is carried out in between: what comes of it may let timers act.
+            self.remove_socket(conn);
+            // Commands are executed only after the last of these inputs, because their results may run timers.
             self.node
                 .step(self.observed_at, Input::Ended { conn }, &mut self.commands);
         }
@@ -138,14 +141,14 @@
         found.ready
     }
 
-    /// Takes the events at hand and all that the system has by now.
+    /// Collects the given events and all others that are available by now.
     fn collect_readiness(&mut self, events: &mut Events) -> Readiness {
         let mut found = Readiness::default();
-        for batch in 0..MAX_BATCHES {
+        for batch in 0..MAX_EVENT_BATCHES {
             for event in events.iter() {
                 self.record_readiness(event, &mut found);
             }
-            if batch > 0 && events.iter().count() < BATCH {
+            if batch > 0 && events.iter().count() < EVENT_BATCH_SIZE {
                 break;
             }
             self.observed_at = self.clock.now();
@@ -167,7 +170,7 @@
                     return;
                 };
                 socket.record_readiness(event);
-                if socket.client_gone() {
+                if socket.client_disconnected() {
                     found.disconnected.push(conn);
                 } else {
                     found.ready.push(conn);
@@ -176,9 +179,10 @@
         }
     }
 
-    /// In a long turn, asks the system again; connections that are ready are served in the next one.
-    fn poll_again(&mut self, events: &mut Events) {
-        if self.clock.now().since(self.observed_at) < POLL_AGAIN_SECS {
+    /// Polls again if `REPOLL_INTERVAL_SECS` have passed since the last poll. Connections that are found ready are
+    /// served in the next iteration.
+    fn repoll_if_due(&mut self, events: &mut Events) {
+        if self.clock.now().since(self.observed_at) < REPOLL_INTERVAL_SECS {
             return;
         }
         events.clear();
--- a/crates/platform-net/src/lib.rs
+++ b/crates/platform-net/src/lib.rs
@@ -1,5 +1,5 @@
-//! The platform's sockets: one readiness loop over non-blocking sockets around the pure node of
-//! `bitternlatch-platform`. It decides nothing on requests.
+//! Network I/O of the platform: one event loop over non-blocking sockets that drives the I/O-free node of
+//! `bitternlatch-platform`. All decisions about requests are made by that node.
 
 mod accept;
 mod commands;
@@ -37,51 +37,56 @@
 use socket::Socket;
 use transient_errors::retry_transient;
 
-/// Tokens above those of connections, which count up from 1.
+/// Poll token of the listener. Connection tokens are connection ids, which count up from 1, so the fixed tokens are at
+/// the top of the range.
 const LISTENER: Token = Token(usize::MAX);
+/// Poll token of the UDP socket for messages between dispatchers.
 const PEERS: Token = Token(usize::MAX - 1);
+/// Poll token of the socket pair that reports signals.
 const SIGNALS: Token = Token(usize::MAX - 2);
-/// Bytes read at once, and of one connection in one turn of the loop.
-const READ_BYTES: usize = 32 * 1024;
-/// `BITTERNLATCH_LOG=info,explain=debug` says why requests were refused, failed, tried again or late.
+/// Size of the read buffer, which is the most that a single read of a connection takes.
+const READ_BUFFER_BYTES: usize = 32 * 1024;
+/// Log target of the access log. `BITTERNLATCH_LOG=info,explain=debug` enables it; its lines state why requests were
+/// rejected, failed, retried or late.
 const ACCESS_LOG_TARGET: &str = "explain";
 
-/// Reads a configuration at the start, where a file that cannot be opened for a moment is waited for.
+/// Reads the configuration file at startup, retrying for a few seconds if it fails with a transient error.
 ///
 /// # Errors
-/// One line that names the file, the field and the cause.
+/// A single line that names the file, the field and the cause.
 pub fn read_config(path: &Path) -> Result<Config, String> {
-    parsed(path, retry_transient(|| std::fs::read_to_string(path)))
+    parse_config(path, retry_transient(|| std::fs::read_to_string(path)))
 }
 
-fn parsed(path: &Path, text: io::Result<String>) -> Result<Config, String> {
+fn parse_config(path: &Path, text: io::Result<String>) -> Result<Config, String> {
     let shown = path.display();
     let text = text.map_err(|e| format!("{shown}: {e}"))?;
     Config::parse(&text).map_err(|e| format!("{shown}: {e}"))
 }
 
-/// Serves until a signal says stop and what is in hand is answered.
+/// Serves requests until a signal requests a stop and the requests in flight are answered.
 ///
 /// # Errors
-/// What kept it from starting, in one line; a poll that fails.
+/// A single line with the reason why the dispatcher could not start or why polling the sockets failed.
 pub fn serve(path: &Path, config: Config) -> Result<(), String> {
     let mut driver = Driver::start(path, config)?;
     driver
         .run()
-        .map_err(|e| format!("waiting for sockets failed: {e}"))
+        .map_err(|e| format!("cannot poll the sockets: {e}"))
 }
 
-/// The event loop with what it owns: sockets, listener, signals and the node. Its concerns are in a module each.
+/// The event loop and the state it owns: sockets, listener, signals and the node. Each module of this crate implements
+/// one part of it.
 struct Driver {
     poll: Poll,
     clock: Clock,
-    /// What the system had to tell by then is known; the node's time. Were it later, timers would act before the ends
-    /// of clients that came while this process was held up.
+    /// Time of the last poll of the operating system, given to the node as the current time. With a later time, timers
+    /// would fire before the node is notified of clients that disconnected while this process was delayed.
     observed_at: Micros,
     node: Node,
-    /// Commands of the node that are not carried out yet.
+    /// Commands of the node that have not been executed yet.
     commands: Vec<Command>,
-    /// What the sockets have told and the node has not been given yet.
+    /// Socket events that have not been passed to the node yet.
     socket_events: VecDeque<SocketEvent>,
     acceptor: Acceptor,
     connect_retries: ConnectRetries,
@@ -89,21 +94,21 @@
     signals: Signals,
     reloads: ConfigReloads,
     sockets: BTreeMap<ConnId, Socket>,
-    /// Connections that may be read on without a new event.
+    /// Connections to read again in the next iteration without waiting for a new readiness event.
     ready_again: BTreeSet<ConnId>,
-    /// Connections that end in order, the oldest first.
+    /// Connections that are being closed gracefully, oldest first.
     lingering: VecDeque<ConnId>,
     buffer: Vec<u8>,
     stopped: bool,
 }
 
-/// What has become of a connection while commands were carried out.
+/// A change of a connection that happened while commands were executed.
 #[derive(Clone, Copy, Debug)]
 enum SocketEvent {
-    /// Bytes have gone to the system.
+    /// `count` bytes were written to the socket.
     Wrote { conn: ConnId, count: usize },
-    /// It never came up, or broke.
+    /// The connection could not be established, or it failed.
     Ended { conn: ConnId },
-    /// It was to be used again, and had ended or brought something.
+    /// An idle connection was to be reused, but the other side had closed it or had sent unexpected bytes.
     Stale { conn: ConnId },
 }
--- a/crates/platform-net/src/lingering.rs
+++ b/crates/platform-net/src/lingering.rs
@@ -1,5 +1,6 @@
-//! Connections that end in order: the last answer leaves, our side is closed, and what the other side still says is
-//! read and dropped. A close over unread bytes would reset the connection and take the answer with it.
+//! Graceful close of connections: the last response is written, our side is shut down, and anything the other side
+//! still sends is read and discarded. Closing a socket with unread bytes would reset the connection, and the response
+//! could be lost.
 
 use std::io;
 use std::time::Duration;
@@ -12,13 +13,13 @@
 use crate::socket::{ReadOutcome, Socket};
 use crate::Driver;
 
-/// Connections that still have to see their last answer, which has left; past them one is cut.
+/// Most lingering connections whose last response is completely written. Beyond this number the oldest is closed.
 const MAX_LINGERING: usize = 16;
-/// Reads of what has come on a connection that is cut: some MiB.
-const MAX_LAST_READS: u32 = 64;
-/// At the end of the process, the other sides of answers that have left have this long to end theirs.
+/// Most reads of a connection before it is closed, each of one read buffer: about 2 MiB in total.
+const MAX_READS_BEFORE_CLOSE: u32 = 64;
+/// At process exit, how long to wait for the other side to close after all responses are completely written.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
-/// The same for answers that have not left whole, from when anything last left.
+/// At process exit, how long to wait for further progress while responses are not completely written.
 const DRAIN_STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Driver {
@@ -33,7 +34,7 @@
         self.write(conn);
         self.lingering.retain(|c| self.sockets.contains_key(c));
         if self.lingering.len() - self.unwritten_answers() > MAX_LINGERING {
-            self.cut_written();
+            self.close_oldest_written();
         }
     }
 
@@ -41,15 +42,16 @@
         self.lingering.iter().filter_map(|c| self.sockets.get(c))
     }
 
-    /// Connections that end and whose last answer has not left: each holds a client's place still.
+    /// Number of lingering connections whose last response is not completely written. Each still counts as a client.
     pub(crate) fn unwritten_answers(&self) -> usize {
         self.lingering_sockets()
             .filter(|s| !s.all_written())
             .count()
     }
 
-    /// Cuts the one of those whose client has taken nothing for longest, if that is long; false where there is none.
-    pub(crate) fn cut_stalled(&mut self) -> bool {
+    /// Closes the lingering connection that has made no write progress for longest, if that is at least
+    /// `SLOW_READER_SECS`. Returns false if there is none.
+    pub(crate) fn close_longest_stalled(&mut self) -> bool {
         let since = |c: &ConnId| Some((self.sockets.get(c)?.stalled_since()?, *c));
         let Some((since, conn)) = self.lingering.iter().filter_map(since).min() else {
             return false;
@@ -58,12 +60,12 @@
             return false;
         }
         self.lingering.retain(|c| *c != conn);
-        self.cut(conn);
+        self.drain_and_close(conn);
         true
     }
 
-    /// Cuts the oldest connection whose answer has left; false where none has.
-    pub(crate) fn cut_written(&mut self) -> bool {
+    /// Closes the oldest lingering connection whose response is completely written. Returns false if there is none.
+    pub(crate) fn close_oldest_written(&mut self) -> bool {
         let written = |c: &ConnId| self.sockets.get(c).is_some_and(Socket::all_written);
         let Some(at) = self.lingering.iter().position(written) else {
             return false;
@@ -71,47 +73,52 @@
         let Some(conn) = self.lingering.remove(at) else {
             return false;
         };
-        self.cut(conn);
+        self.drain_and_close(conn);
         true
     }
 
-    pub(crate) fn cut_lingering(&mut self) {
+    pub(crate) fn close_expired_lingering(&mut self) {
         let now = self.clock.now();
         let due = |c: &ConnId| {
             self.sockets
                 .get(c)
-                .and_then(Socket::cut_at)
+                .and_then(Socket::linger_deadline)
                 .is_none_or(|at| at <= now)
         };
-        let over: Vec<ConnId> = self.lingering.iter().copied().filter(due).collect();
-        self.lingering.retain(|c| !over.contains(c));
-        over.into_iter().for_each(|conn| self.cut(conn));
+        let expired: Vec<ConnId> = self.lingering.iter().copied().filter(due).collect();
+        self.lingering.retain(|c| !expired.contains(c));
+        expired
+            .into_iter()
+            .for_each(|conn| self.drain_and_close(conn));
     }
 
-    /// When the next one is cut.
+    /// Earliest deadline of a lingering connection; `None` if there is no such connection.
     pub(crate) fn next_linger_deadline(&self) -> Option<Micros> {
-        self.lingering_sockets().filter_map(Socket::cut_at).min()
+        self.lingering_sockets()
+            .filter_map(Socket::linger_deadline)
+            .min()
     }
 
-    /// Closes a connection that is not waited for any longer, over no byte that has come by now: the system then still
-    /// delivers what it holds of the answer.
-    fn cut(&mut self, conn: ConnId) {
+    /// Closes a lingering connection after reading the bytes that have arrived. Without unread bytes, the operating
+    /// system still delivers the part of the response that is in its buffer.
+    fn drain_and_close(&mut self, conn: ConnId) {
         if let Some(socket) = self.sockets.get_mut(&conn) {
             socket.readable = true;
-            let mut reads = MAX_LAST_READS;
+            let mut reads = MAX_READS_BEFORE_CLOSE;
             while reads > 0 && socket.read(&mut self.buffer).outcome == ReadOutcome::More {
                 reads -= 1;
             }
         }
-        self.forget(conn);
+        self.remove_socket(conn);
     }
 
-    /// Bytes of last answers that have not left.
+    /// Bytes of last responses that are not written yet, over all lingering connections.
     fn unwritten(&self) -> usize {
         self.lingering_sockets().map(Socket::unwritten).sum()
     }
 
-    /// Lets the last answers leave: what a client has not taken yet goes with the process.
+    /// At process exit, waits until the last responses are written, as unwritten bytes are lost with the process. The
+    /// wait ends after `DRAIN_STALL_TIMEOUT` without progress, or `DRAIN_TIMEOUT` once everything is written.
     pub(crate) fn drain_lingering(&mut self, events: &mut Events) {
         let mut since = self.clock.now();
         let mut unwritten = self.unwritten();
@@ -138,13 +145,13 @@
                 }
             }
             self.lingering.retain(|c| self.sockets.contains_key(c));
-            let left = self.unwritten();
-            if std::mem::replace(&mut unwritten, left) != left {
+            let remaining = self.unwritten();
+            if std::mem::replace(&mut unwritten, remaining) != remaining {
                 since = self.clock.now();
             }
         }
         for conn in std::mem::take(&mut self.lingering) {
-            self.cut(conn);
+            self.drain_and_close(conn);
         }
     }
 }
--- a/crates/platform-net/src/listen.rs
+++ b/crates/platform-net/src/listen.rs
@@ -1,4 +1,4 @@
-//! The address that clients come to, also while the process before this one still holds it.
+//! Opens the listening addresses, also while a previous process still holds them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,44 +9,47 @@
 
 use crate::transient_errors::{is_transient, retry_while};
 
-/// The accept queue's length (the listener's backlog). What comes while the process starts or is held up waits there;
-/// past it connections are dropped, and tried again only after 1, 3 and 7 s. The system may cap it.
-const ACCEPT_QUEUE: i32 = 1024;
-/// A predecessor that was told to stop, or has just been killed, may hold its addresses for this long.
-const ADDRESS_WAIT: Duration = Duration::from_secs(5);
+/// Length of the listener's accept queue. Connections that arrive while the process starts or is delayed wait there.
+/// Beyond it connection attempts are dropped, and TCP retries them only after 1, 3 and 7 s. The operating system may
+/// cap the length.
+const LISTEN_BACKLOG: i32 = 1024;
+/// How long to retry an address that is in use: a previous process that is stopping, or that has just been killed, may
+/// still hold it.
+const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A listener whose accept queue holds hundreds. Connections of a predecessor that linger do not keep it from the
-/// address.
+/// Opens a listener with an accept queue of `LISTEN_BACKLOG` connections. Address reuse is enabled, so that connections
+/// of a previous process that are still closing do not block the address.
 ///
 /// # Errors
-/// As the system's.
+/// The error of the system call that failed.
 pub(crate) fn listener(at: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&at.into())?;
-    socket.listen(ACCEPT_QUEUE)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(TcpListener::from_std(socket.into()))
 }
 
-/// Opens what needs an address, and waits for a bounded time where it is still in use.
+/// Opens a socket at an address, and retries for up to `ADDRESS_IN_USE_TIMEOUT` while the address is in use or the
+/// error is transient.
 ///
 /// # Errors
-/// As the system's; that it is in use still.
+/// The last error of `open`.
 pub(crate) fn retry_address_in_use<T>(
     at: SocketAddr,
     open: impl Fn(SocketAddr) -> io::Result<T>,
 ) -> io::Result<T> {
     let mut is_logged = false;
     let is_retryable = |e: &io::Error| {
-        // An address in use is no transient error.
+        // `is_transient` does not include addresses that are in use.
         let in_use = e.kind() == io::ErrorKind::AddrInUse;
         if in_use && !std::mem::replace(&mut is_logged, true) {
             tracing::warn!(
-                "{at} is in use, by the process before perhaps: tried for {ADDRESS_WAIT:?}"
+                "{at} is in use, possibly by the previous process; retrying for up to {ADDRESS_IN_USE_TIMEOUT:?}"
             );
         }
         in_use || is_transient(e)
     };
-    retry_while(ADDRESS_WAIT, is_retryable, || open(at))
+    retry_while(ADDRESS_IN_USE_TIMEOUT, is_retryable, || open(at))
 }
--- a/crates/platform-net/src/signals.rs
+++ b/crates/platform-net/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals as readiness: a handler writes one byte to a socket pair that the loop waits for.
+//! Turns signals into readiness events: the signal handler writes one byte to a socket pair that the event loop polls.
 
 use std::io::{self, Read};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,7 +13,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Signal {
+    /// SIGTERM or SIGINT: stop gracefully.
     Stop,
+    /// SIGHUP: reload the configuration.
     Reload,
 }
 
@@ -24,10 +26,10 @@
 }
 
 impl Signals {
-    /// Takes over SIGTERM, SIGINT and SIGHUP.
+    /// Installs handlers for SIGTERM, SIGINT and SIGHUP.
     ///
     /// # Errors
-    /// As the system's.
+    /// The error of the system call that failed.
     pub(crate) fn start(registry: &Registry, token: Token) -> io::Result<Signals> {
         let (reader, writer) = std::os::unix::net::UnixStream::pair()?;
         reader.set_nonblocking(true)?;
@@ -37,7 +39,7 @@
             Arc::new(AtomicBool::new(false)),
         );
         for (signal, flag) in [(SIGTERM, &stop), (SIGINT, &stop), (SIGHUP, &reload)] {
-            // The flag first: the loop must find it set once it wakes.
+            // The flag is registered before the pipe, so that it is set when the event loop wakes up.
             signal_hook::flag::register(signal, Arc::clone(flag))?;
             signal_hook::low_level::pipe::register(signal, writer.try_clone()?)?;
         }
@@ -46,15 +48,15 @@
         Ok(Signals { wake, stop, reload })
     }
 
-    /// What has come since the last call.
+    /// Returns the signals received since the last call.
     pub(crate) fn take(&mut self) -> Vec<Signal> {
-        let mut drop = [0; 64];
-        while matches!(self.wake.read(&mut drop), Ok(n) if n > 0) {}
-        let asked =
+        let mut discarded = [0; 64];
+        while matches!(self.wake.read(&mut discarded), Ok(n) if n > 0) {}
+        let received =
             |flag: &AtomicBool, signal| flag.swap(false, Ordering::SeqCst).then_some(signal);
         [
-            asked(&self.stop, Signal::Stop),
-            asked(&self.reload, Signal::Reload),
+            received(&self.stop, Signal::Stop),
+            received(&self.reload, Signal::Reload),
         ]
         .into_iter()
         .flatten()
@@ -66,7 +68,7 @@
     pub(crate) fn handle_signals(&mut self) {
         for signal in self.signals.take() {
             match signal {
-                Signal::Stop => self.input(Input::Stop),
+                Signal::Stop => self.step_node(Input::Stop),
                 Signal::Reload => self.reloads.request(self.clock.now()),
             }
         }
--- a/crates/platform-net/src/socket.rs
+++ b/crates/platform-net/src/socket.rs
@@ -1,4 +1,4 @@
-//! One non-blocking connection: what waits to be written, and what its readiness was last said to be.
+//! One non-blocking connection: its bytes to be written, and its readiness as last reported by the operating system.
 
 use std::io::{ErrorKind, Read as _, Write as _};
 use std::net::Shutdown;
@@ -8,75 +8,88 @@
 use mio::event::Event;
 use mio::net::TcpStream;
 
-/// A connection that ends waits this long for the other side to have read its last answer, seconds, from when the last
-/// byte of it left; until then it waits for the other side to take more of it.
+/// How long a lingering connection waits for the other side to close, in seconds, from the write of the last byte of
+/// the response. Until that byte is written, `CLIENT_STALL_TIMEOUT_SECS` without progress applies instead.
 const LINGER_SECS: f64 = 2.0;
-/// Bytes that it takes in and drops meanwhile.
-const LINGER_BYTES: usize = 80 << 20;
-/// Room kept for the next writes once all is written.
+/// Most bytes that a lingering connection reads and discards before it is closed.
+const MAX_LINGER_DISCARD_BYTES: usize = 80 << 20;
+/// Largest capacity of a write buffer that is kept for reuse once everything is written, in bytes.
 const RETAINED_CAPACITY: usize = 8 * 1024;
 
+/// Lifecycle stage of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Connecting,
     Open,
-    /// What is queued is written, then our side is closed, and the rest of theirs is dropped.
+    /// The connection is being closed: queued bytes are written, then our side is shut down, and further input is
+    /// discarded.
     Lingering {
-        /// When something of the last answer last left.
+        /// Time at which bytes of the last response were last written.
         since: Micros,
-        left: usize,
-        shut: bool,
+        /// Number of bytes that may still be read and discarded.
+        discard_budget: usize,
+        /// Whether our side is shut down.
+        write_shutdown: bool,
     },
 }
 
-/// What stands behind the bytes that a read has brought.
+/// State of the connection after a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadOutcome {
-    /// There may be more than the buffer took.
+    /// The buffer is full, and there may be more bytes.
     More,
+    /// There is nothing more to read for now, or reading is paused.
     Nothing,
+    /// The other side has closed the connection, or the connection has failed.
     Ended,
 }
 
-/// What a read has brought.
+/// Result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReadResult {
     pub(crate) bytes: usize,
     pub(crate) outcome: ReadOutcome,
 }
 
-/// What a write has done.
+/// Result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct WriteResult {
-    /// Bytes that have gone to the system.
+    /// Bytes that were written to the socket.
     pub(crate) bytes: usize,
-    /// Whether the connection still takes any.
+    /// Whether the connection can still be written to.
     pub(crate) is_open: bool,
 }
 
-/// How far a connect has come.
+/// Progress of an outbound connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectProgress {
+    /// The connection is not established yet.
     Pending,
+    /// The connection was established just now.
     JustConnected,
-    /// It was up before.
+    /// The connection had been established before.
     Established,
 }
 
-/// One connection.
+/// A non-blocking TCP connection with its write buffer.
 pub(crate) struct Socket {
     pub(crate) stream: TcpStream,
-    /// A client's; otherwise one that was dialled.
+    /// True for a connection accepted from a client, false for an outbound connection.
     pub(crate) accepted: bool,
     pub(crate) readable: bool,
+    /// Whether the node has paused reading.
     pub(crate) paused: bool,
     writable: bool,
+    /// Whether a write has failed.
     broken: bool,
-    /// The system has told that the other side has ended it, whether or not what it said before is read.
+    /// Whether the operating system has reported that the other side closed the connection. Bytes sent before the close
+    /// may still be unread.
     ended: bool,
     stage: Stage,
+    /// Bytes to be written.
     queue: Vec<u8>,
-    at: usize,
+    /// How many bytes of `queue` are written already.
+    written: usize,
 }
 
 impl Socket {
@@ -96,26 +109,27 @@
             ended: false,
             stage,
             queue: Vec::new(),
-            at: 0,
+            written: 0,
         }
     }
 
-    /// Takes a readiness event in.
+    /// Updates the readiness flags from a poll event.
     pub(crate) fn record_readiness(&mut self, event: &Event) {
         self.readable |= event.is_readable() || event.is_read_closed() || event.is_error();
         self.writable |= event.is_writable() || event.is_error();
         self.ended |= event.is_read_closed() || event.is_write_closed() || event.is_error();
     }
 
-    /// A client that has gone. It need not be read for that: it may be paused, or have said much before its end.
-    pub(crate) fn client_gone(&self) -> bool {
+    /// Whether this is a client connection that the client has closed. This is known without reading the connection,
+    /// which may be paused or hold many unread bytes.
+    pub(crate) fn client_disconnected(&self) -> bool {
         self.accepted && self.ended && !self.lingering()
     }
 
-    /// Whether a dialled connection is up.
+    /// Checks the progress of an outbound connect.
     ///
     /// # Errors
-    /// It never came up.
+    /// The error with which the connect failed.
     pub(crate) fn poll_connected(&mut self) -> std::io::Result<ConnectProgress> {
         if self.stage != Stage::Connecting {
             return Ok(ConnectProgress::Established);
@@ -149,12 +163,12 @@
         self.paused = false;
         self.stage = Stage::Lingering {
             since: now,
-            left: LINGER_BYTES,
-            shut: false,
+            discard_budget: MAX_LINGER_DISCARD_BYTES,
+            write_shutdown: false,
         };
     }
 
-    /// Something of its last answer has just left: waits for the other side once more.
+    /// Restarts the linger timeout after bytes of the last response were written.
     pub(crate) fn restart_linger(&mut self, now: Micros) {
         if let Stage::Lingering { since, .. } = &mut self.stage {
             *since = now;
@@ -173,8 +187,8 @@
         matches!(self.stage, Stage::Lingering { .. })
     }
 
-    /// When it is cut, whatever is left.
-    pub(crate) fn cut_at(&self) -> Option<Micros> {
+    /// Time at which a lingering connection is closed even if bytes are unwritten; `None` for other connections.
+    pub(crate) fn linger_deadline(&self) -> Option<Micros> {
         match self.stage {
             Stage::Lingering { since, .. } => Some(since.after(if self.all_written() {
                 LINGER_SECS
@@ -185,7 +199,8 @@
         }
     }
 
-    /// Writes what it can.
+    /// Writes queued bytes until the socket takes no more. Shuts down our side of a lingering connection once
+    /// everything is written.
     pub(crate) fn write(&mut self) -> WriteResult {
         if self.stage == Stage::Connecting {
             return WriteResult {
@@ -193,25 +208,25 @@
                 is_open: true,
             };
         }
-        let from = self.at;
-        while self.writable && !self.broken && self.at < self.queue.len() {
-            match self.stream.write(&self.queue[self.at..]) {
-                Ok(n) => self.at += n,
+        let written_before = self.written;
+        while self.writable && !self.broken && self.written < self.queue.len() {
+            match self.stream.write(&self.queue[self.written..]) {
+                Ok(n) => self.written += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => self.writable = false,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => self.broken = true,
             }
         }
-        let count = self.at - from;
-        if self.at == self.queue.len() {
-            self.at = 0;
+        let count = self.written - written_before;
+        if self.written == self.queue.len() {
+            self.written = 0;
             self.queue.clear();
             if self.queue.capacity() > RETAINED_CAPACITY {
-                // Hundreds of connections that once carried much must not keep room for it.
+                // With hundreds of connections, large write buffers must not be kept.
                 self.queue = Vec::new();
             }
-            if let Stage::Lingering { shut, .. } = &mut self.stage {
-                if !std::mem::replace(shut, true) {
+            if let Stage::Lingering { write_shutdown, .. } = &mut self.stage {
+                if !std::mem::replace(write_shutdown, true) {
                     let _ = self.stream.shutdown(Shutdown::Write);
                 }
             }
@@ -222,7 +237,7 @@
         }
     }
 
-    /// Reads as much as there is and the buffer takes.
+    /// Reads until the buffer is full, no more bytes are available, or the connection has ended.
     pub(crate) fn read(&mut self, buffer: &mut [u8]) -> ReadResult {
         let mut bytes = 0;
         let outcome = loop {
@@ -234,7 +249,7 @@
             }
             match self.stream.read(&mut buffer[bytes..]) {
                 Ok(0) => break ReadOutcome::Ended,
-                Ok(n) if self.drop_rest(n) => break ReadOutcome::Ended,
+                Ok(n) if self.count_discarded(n) => break ReadOutcome::Ended,
                 Ok(n) => bytes += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock && self.broken => {
                     break ReadOutcome::Ended
@@ -247,8 +262,8 @@
         ReadResult { bytes, outcome }
     }
 
-    /// Nothing has come that was not read, its end included; asks the system, whatever it has told.
-    pub(crate) fn is_silent(&mut self) -> bool {
+    /// Whether the connection is open and has no unread bytes. Attempts a read even if no readiness event has arrived.
+    pub(crate) fn is_open_without_input(&mut self) -> bool {
         if self.broken || self.ended {
             return false;
         }
@@ -264,22 +279,22 @@
         }
     }
 
-    /// Counts bytes that are dropped before the end; true once they are too many.
-    fn drop_rest(&mut self, n: usize) -> bool {
-        let Stage::Lingering { left, .. } = &mut self.stage else {
+    /// Counts `n` discarded bytes of a lingering connection. Returns true once `MAX_LINGER_DISCARD_BYTES` is reached.
+    fn count_discarded(&mut self, n: usize) -> bool {
+        let Stage::Lingering { discard_budget, .. } = &mut self.stage else {
             return false;
         };
-        *left = left.saturating_sub(n);
-        *left == 0
+        *discard_budget = discard_budget.saturating_sub(n);
+        *discard_budget == 0
     }
 
-    /// All that was queued has gone to the system.
+    /// Whether all queued bytes are written to the socket.
     pub(crate) fn all_written(&self) -> bool {
         self.unwritten() == 0
     }
 
-    /// Bytes that are queued and have not gone to the system.
+    /// Number of queued bytes that are not written to the socket yet.
     pub(crate) fn unwritten(&self) -> usize {
-        self.queue.len() - self.at
+        self.queue.len() - self.written
     }
 }
--- a/crates/platform-net/src/startup.rs
+++ b/crates/platform-net/src/startup.rs
@@ -1,4 +1,4 @@
-//! Start of the event loop: sockets, signals and the node.
+//! Startup of the event loop: opens the sockets, installs the signal handlers and creates the node.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
@@ -19,22 +19,22 @@
 use crate::signals::Signals;
 use crate::transient_errors::retry_transient;
 use crate::{descriptors, listen, Driver};
-use crate::{ACCESS_LOG_TARGET, LISTENER, PEERS, READ_BYTES, SIGNALS};
+use crate::{ACCESS_LOG_TARGET, LISTENER, PEERS, READ_BUFFER_BYTES, SIGNALS};
 
-/// Puts what was being done before an error.
-fn fault(what: &str) -> impl Fn(io::Error) -> String {
-    let what = what.to_string();
-    move |e| format!("{what}: {e}")
+/// Returns a function that prefixes an I/O error with the operation that failed.
+fn with_context(operation: &str) -> impl Fn(io::Error) -> String {
+    let operation = operation.to_string();
+    move |e| format!("{operation}: {e}")
 }
 
 fn open_listener(registry: &Registry, config: &Config) -> Result<TcpListener, String> {
     let address = config.listen;
     let cannot_listen = format!("field 'listen': cannot listen on {address}");
-    let mut listener =
-        listen::retry_address_in_use(address, listen::listener).map_err(fault(&cannot_listen))?;
+    let mut listener = listen::retry_address_in_use(address, listen::listener)
+        .map_err(with_context(&cannot_listen))?;
     registry
         .register(&mut listener, LISTENER, Interest::READABLE)
-        .map_err(fault("cannot wait for clients"))?;
+        .map_err(with_context("cannot poll the listener"))?;
     Ok(listener)
 }
 
@@ -46,22 +46,22 @@
         return Ok(None);
     };
     let mut socket = listen::retry_address_in_use(address, UdpSocket::bind)
-        .map_err(fault(&format!("field 'peer_listen': {address}")))?;
+        .map_err(with_context(&format!("field 'peer_listen': {address}")))?;
     registry
         .register(&mut socket, PEERS, Interest::READABLE)
-        .map_err(fault("cannot wait for peers"))?;
+        .map_err(with_context("cannot poll the peer socket"))?;
     Ok(Some(socket))
 }
 
 fn start_node(now: Micros, config: Config, commands: &mut Vec<Command>) -> Node {
-    let begin = if tracing::enabled!(tracing::Level::DEBUG) {
+    let create = if tracing::enabled!(tracing::Level::DEBUG) {
         Node::traced
     } else {
         Node::new
     };
     let has_access_log = tracing::enabled!(target: ACCESS_LOG_TARGET, tracing::Level::DEBUG);
     let access_log = has_access_log.then(|| AccessLog::new(&config.settings));
-    let mut node = begin(now, config, commands);
+    let mut node = create(now, config, commands);
     if let Some(access_log) = access_log {
         node.enable_access_log(access_log);
     }
@@ -69,24 +69,25 @@
 }
 
 impl Driver {
-    /// Opens what the loop waits for, and starts the node.
+    /// Opens the sockets and signal handlers that the event loop polls, and creates the node.
     ///
     /// # Errors
-    /// What could not be opened, in one line.
+    /// A single line that states what could not be opened, and why.
     pub(crate) fn start(path: &Path, mut config: Config) -> Result<Driver, String> {
-        let poll = retry_transient(Poll::new).map_err(fault("no readiness queue"))?;
+        let poll =
+            retry_transient(Poll::new).map_err(with_context("cannot create a poll instance"))?;
         let registry = poll.registry();
         let listener = open_listener(registry, &config)?;
         let peers = open_peers(registry, &config)?;
         let signals = retry_transient(|| Signals::start(registry, SIGNALS))
-            .map_err(fault("cannot wait for signals"))?;
+            .map_err(with_context("cannot install signal handlers"))?;
         config.limits = descriptors::effective_limits(config.limits);
         let clock = Clock::start();
         let (address, discovery) = (config.listen, config.discovery);
         tracing::info!(name = config.name, %address, %discovery, "listening");
         if let Some(cause) = &config.cached_list_error {
             tracing::warn!(
-                "field 'known' is not taken, and the list comes from discovery alone: {cause}"
+                "field 'known' is ignored, and the endpoint list comes from discovery alone: {cause}"
             );
         }
         let mut commands = Vec::new();
@@ -106,7 +107,7 @@
             sockets: BTreeMap::new(),
             ready_again: BTreeSet::new(),
             lingering: VecDeque::new(),
-            buffer: vec![0; READ_BYTES],
+            buffer: vec![0; READ_BUFFER_BYTES],
             stopped: false,
         })
     }
--- a/crates/platform-net/src/transient_errors.rs
+++ b/crates/platform-net/src/transient_errors.rs
@@ -1,4 +1,4 @@
-//! System calls that fail for a moment: the next try may well succeed, and whoever was to be reached has done nothing.
+//! Transient errors of system calls: a retry may succeed, and the error is not a failure of the other side.
 
 use std::io;
 use std::thread;
@@ -6,11 +6,12 @@
 
 use rustix::io::Errno;
 
-/// At the start a call is tried for so long.
-const RETRY_FOR: Duration = Duration::from_secs(5);
-const PAUSE: Duration = Duration::from_millis(20);
+/// How long a failing call is retried at startup.
+const STARTUP_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Delay between two tries of a call.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the system has too little of just now, or cannot do just now.
+/// Errors for a resource that this machine lacks, or an operation that it cannot perform, for the moment.
 const TRANSIENT: [Errno; 9] = [
     Errno::MFILE,
     Errno::NFILE,
@@ -23,17 +24,18 @@
     Errno::INTR,
 ];
 
-/// An error of the machine's own that may have passed at the next try.
+/// Whether an error has a local cause that may be resolved by the next try.
 pub(crate) fn is_transient(error: &io::Error) -> bool {
     error
         .raw_os_error()
         .is_some_and(|code| TRANSIENT.iter().any(|known| known.raw_os_error() == code))
 }
 
-/// Makes a call, again and again while it fails with an error that `is_retryable` and for no longer than `limit`.
+/// Makes a call and retries it while its error satisfies `is_retryable`, for no longer than `limit`. Blocks between
+/// tries.
 ///
 /// # Errors
-/// As the call's: one that is not retried, or has not passed in time.
+/// The first error that is not retryable, or the last one when the time is up.
 pub(crate) fn retry_while<T>(
     limit: Duration,
     mut is_retryable: impl FnMut(&io::Error) -> bool,
@@ -42,16 +44,16 @@
     let began = Instant::now();
     loop {
         match call() {
-            Err(e) if began.elapsed() < limit && is_retryable(&e) => thread::sleep(PAUSE),
+            Err(e) if began.elapsed() < limit && is_retryable(&e) => thread::sleep(RETRY_INTERVAL),
             other => return other,
         }
     }
 }
 
-/// Makes a call at the start, again and again while it fails for a moment.
+/// Makes a call at startup and retries it while it fails with a transient error, for up to `STARTUP_RETRY_TIMEOUT`.
 ///
 /// # Errors
-/// As the call's: one that does not pass, or has not passed in time.
+/// The first error that is not transient, or the last one when the time is up.
 pub(crate) fn retry_transient<T>(call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    retry_while(RETRY_FOR, is_transient, call)
+    retry_while(STARTUP_RETRY_TIMEOUT, is_transient, call)
 }
