--- a/crates/platform/tests/access_log.rs
+++ b/crates/platform/tests/access_log.rs
@@ -5,38 +5,39 @@
 use bitternlatch_platform::types::Input;
 use common::*;
 
-fn explaining() -> Rig {
-    let mut rig = Rig::new();
-    rig.node
+fn explaining() -> Harness {
+    let mut harness = Harness::new();
+    harness
+        .node
         .enable_access_log(AccessLog::new(&config().settings));
-    rig
+    harness
 }
 
-fn answer(rig: &mut Rig, writer: bitternlatch_platform::types::ConnId) {
-    rig.text(
+fn answer(harness: &mut Harness, writer: bitternlatch_platform::types::ConnId) {
+    harness.receive_text(
         writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
 }
 
 #[test]
 fn request_served_in_time_has_no_line() {
-    let mut rig = explaining();
-    let (_, writer) = rig.at_decode("x0", "ask");
-    answer(&mut rig, writer);
-    assert_eq!(rig.explained, Vec::<String>::new());
+    let mut harness = explaining();
+    let (_, writer) = harness.start_decode("x0", "ask");
+    answer(&mut harness, writer);
+    assert_eq!(harness.access_log_lines, Vec::<String>::new());
 }
 
 #[test]
 fn line_names_why_request_was_not_served_in_time() {
-    type Act = fn(&mut Rig);
+    type Act = fn(&mut Harness);
     let table: [(&str, Act, &[&str]); 5] = [
         (
             "late",
-            |rig| {
-                let (_, writer) = rig.at_decode("x1", "book");
-                rig.pass(3.5);
-                answer(rig, writer);
+            |harness| {
+                let (_, writer) = harness.start_decode("x1", "book");
+                harness.advance(3.5);
+                answer(harness, writer);
             },
             &[
                 "x1 served late",
@@ -50,9 +51,9 @@
         ),
         (
             "failed",
-            |rig| {
-                let (_, writer) = rig.at_decode("x1", "book");
-                rig.text(writer, &plain("500 Oops", "", ""));
+            |harness| {
+                let (_, writer) = harness.start_decode("x1", "book");
+                harness.receive_text(writer, &plain_response("500 Oops", "", ""));
             },
             &[
                 "x1 failed",
@@ -64,19 +65,19 @@
         ),
         (
             "again",
-            |rig| {
-                let (_, writer) = rig.at_decode("x1", "ask");
-                rig.text(writer, &plain("500 Oops", "", ""));
-                let writer = rig.last(Call::is_decode).conn;
-                answer(rig, writer);
+            |harness| {
+                let (_, writer) = harness.start_decode("x1", "ask");
+                harness.receive_text(writer, &plain_response("500 Oops", "", ""));
+                let writer = harness.last_call(Call::is_decode).conn;
+                answer(harness, writer);
             },
             &["x1 served class 0", "Error after", "Served after"],
         ),
         (
             "refused",
-            |rig| {
-                let client = rig.client();
-                rig.text(client, &request("x1", "ask", 10));
+            |harness| {
+                let client = harness.connect_client();
+                harness.receive_text(client, &request("x1", "ask", 10));
             },
             &[
                 "x1 refused",
@@ -86,22 +87,27 @@
         ),
         (
             "gone",
-            |rig| {
-                let client = rig.ask("x1", "ask");
-                rig.tell(Input::Ended { conn: client });
+            |harness| {
+                let client = harness.send_request("x1", "ask");
+                harness.step(Input::Ended { conn: client });
             },
             &["x1 gone", "Cancelled"],
         ),
     ];
     for (name, act, words) in table {
-        let mut rig = explaining();
-        act(&mut rig);
-        assert_eq!(rig.explained.len(), 1, "{name}: {:?}", rig.explained);
+        let mut harness = explaining();
+        act(&mut harness);
+        assert_eq!(
+            harness.access_log_lines.len(),
+            1,
+            "{name}: {:?}",
+            harness.access_log_lines
+        );
         for word in words {
             assert!(
-                rig.explained[0].contains(word),
+                harness.access_log_lines[0].contains(word),
                 "{name}: '{word}' in {}",
-                rig.explained[0]
+                harness.access_log_lines[0]
             );
         }
     }
@@ -110,12 +116,12 @@
 #[test]
 fn records_of_ended_requests_are_dropped() {
     let mut access_log = AccessLog::new(&config().settings);
-    let mut rig = Rig::tracing();
+    let mut harness = Harness::with_tracing();
     for i in 0..50 {
-        let (_, writer) = rig.at_decode(&format!("n{i}"), "ask");
-        answer(&mut rig, writer);
+        let (_, writer) = harness.start_decode(&format!("n{i}"), "ask");
+        answer(&mut harness, writer);
     }
-    for traced in rig.node.take_trace() {
+    for traced in harness.node.take_trace() {
         access_log.record(&traced, |_| String::new(), |_| DecisionReasons::default());
         assert!(access_log.len() <= 2);
     }
--- a/crates/platform/tests/bad_clients.rs
+++ b/crates/platform/tests/bad_clients.rs
@@ -56,10 +56,10 @@
         ),
     ];
     for (name, bytes) in table {
-        let mut rig = Rig::new();
-        let client = rig.client();
-        rig.text(client, &bytes);
-        let status: u16 = rig
+        let mut harness = Harness::new();
+        let client = harness.connect_client();
+        harness.receive_text(client, &bytes);
+        let status: u16 = harness
             .status(client)
             .parse()
             .unwrap_or_else(|_| panic!("{name}: no answer"));
@@ -68,30 +68,34 @@
             "{name}: {status}"
         );
         assert!(
-            rig.finished.contains(&client),
+            harness.finished.contains(&client),
             "{name}: what follows is not believed"
         );
-        rig.pass(1.0);
-        assert_eq!(rig.count(|c| c.line().starts_with("POST")), 0, "{name}");
+        harness.advance(1.0);
+        assert_eq!(
+            harness.count_calls(|c| c.request_line().starts_with("POST")),
+            0,
+            "{name}"
+        );
     }
 }
 
 #[test]
 fn id_of_open_request_is_rejected() {
-    let mut rig = Rig::new();
-    let first = rig.ask("same", "ask");
-    let second = rig.ask("same", "ask");
-    assert_eq!(rig.status(second), "409");
-    assert_eq!(rig.count(Call::is_prefill), 1);
-    rig.prefill_done();
-    let writer = rig.last(Call::is_decode).conn;
-    rig.text(
+    let mut harness = Harness::new();
+    let first = harness.send_request("same", "ask");
+    let second = harness.send_request("same", "ask");
+    assert_eq!(harness.status(second), "409");
+    assert_eq!(harness.count_calls(Call::is_prefill), 1);
+    harness.complete_prefill();
+    let writer = harness.last_call(Call::is_decode).conn;
+    harness.receive_text(
         writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
     assert_eq!(
-        unchunk(rig.said(first)),
-        event("one"),
+        decode_chunked(harness.client_output(first)),
+        stream_event("one"),
         "the first is not disturbed"
     );
 }
@@ -100,14 +104,17 @@
 fn silent_and_partial_clients_end_within_three_seconds() {
     let good = request("h1", "ask", 4800);
     for half in ["", "POST /v1/chat", &good[..good.len() - 5]] {
-        let mut rig = Rig::new();
-        let client = rig.client();
-        rig.text(client, half);
-        rig.pass(1.5);
-        rig.text(client, "");
-        rig.pass(1.4);
-        assert!(rig.finished.contains(&client), "{half:?}");
-        assert_eq!(rig.count(|c| c.line().starts_with("POST")), 0);
+        let mut harness = Harness::new();
+        let client = harness.connect_client();
+        harness.receive_text(client, half);
+        harness.advance(1.5);
+        harness.receive_text(client, "");
+        harness.advance(1.4);
+        assert!(harness.finished.contains(&client), "{half:?}");
+        assert_eq!(
+            harness.count_calls(|c| c.request_line().starts_with("POST")),
+            0
+        );
     }
 }
 
@@ -117,101 +124,108 @@
     let good = request("h2", "ask", 4800);
     for half in ["POST /v1/chat", &good[..good.len() - 5]] {
         for slow in [true, false] {
-            let mut rig = Rig::new();
-            let (client, writer) = rig.at_decode("h1", "ask");
-            rig.text(
+            let mut harness = Harness::new();
+            let (client, writer) = harness.start_decode("h1", "ask");
+            harness.receive_text(
                 writer,
-                &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+                &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
             );
-            rig.pass(5.0);
+            harness.advance(5.0);
             for piece in half
                 .as_bytes()
                 .chunks(half.len().div_ceil(3))
                 .filter(|_| slow)
             {
-                rig.pass(1.0);
-                rig.bytes(client, piece);
+                harness.advance(1.0);
+                harness.receive(client, piece);
             }
             if !slow {
-                rig.text(client, half);
+                harness.receive_text(client, half);
             }
-            rig.pass(2.5);
-            assert!(!rig.finished.contains(&client), "{half:?}, slow {slow}");
-            rig.pass(0.4);
-            assert!(rig.finished.contains(&client), "{half:?}, slow {slow}");
+            harness.advance(2.5);
+            assert!(!harness.finished.contains(&client), "{half:?}, slow {slow}");
+            harness.advance(0.4);
+            assert!(harness.finished.contains(&client), "{half:?}, slow {slow}");
         }
     }
 }
 
 #[test]
 fn slow_request_is_served_and_connection_kept() {
-    let mut rig = Rig::new();
-    let client = rig.client();
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
     for byte in request("slow", "ask", 4800).as_bytes() {
-        rig.bytes(client, &[*byte]);
-        rig.pass(0.005);
+        harness.receive(client, &[*byte]);
+        harness.advance(0.005);
     }
-    rig.pass(0.05);
-    rig.prefill_done();
-    let writer = rig.last(Call::is_decode).conn;
-    rig.text(
+    harness.advance(0.05);
+    harness.complete_prefill();
+    let writer = harness.last_call(Call::is_decode).conn;
+    harness.receive_text(
         writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
-    rig.pass(60.0);
-    assert!(!rig.finished.contains(&client) && !rig.closed.contains(&client));
+    harness.advance(60.0);
+    assert!(!harness.finished.contains(&client) && !harness.closed.contains(&client));
 }
 
 #[test]
 fn idle_clients_are_evicted_for_new_ones() {
-    let mut rig = Rig::new();
+    let mut harness = Harness::new();
     let mut stayed = Vec::new();
     for i in 0..400 {
-        let client = rig.ask(&format!("n{i}"), "ask");
-        rig.prefill_done();
-        let writer = rig.last(Call::is_decode).conn;
-        rig.text(
+        let client = harness.send_request(&format!("n{i}"), "ask");
+        harness.complete_prefill();
+        let writer = harness.last_call(Call::is_decode).conn;
+        harness.receive_text(
             writer,
-            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
+        );
+        assert_eq!(
+            decode_chunked(harness.client_output(client)),
+            stream_event("one"),
+            "newcomer {i}"
         );
-        assert_eq!(unchunk(rig.said(client)), event("one"), "newcomer {i}");
         stayed.push(client);
     }
-    let closed = stayed.iter().filter(|c| rig.closed.contains(c)).count();
+    let closed = stayed.iter().filter(|c| harness.closed.contains(c)).count();
     assert!(closed > 200, "there is no room for all: {closed}");
     let last = stayed.last().expect("one");
-    assert!(!rig.closed.contains(last), "the oldest went first");
+    assert!(!harness.closed.contains(last), "the oldest went first");
 }
 
 #[test]
 fn silent_clients_evict_each_other_and_no_open_request() {
-    let mut rig = Rig::new();
-    let (client, writer) = rig.at_decode("good", "ask");
+    let mut harness = Harness::new();
+    let (client, writer) = harness.start_decode("good", "ask");
     for _ in 0..500 {
-        rig.client();
+        harness.connect_client();
     }
-    rig.pass(1.0);
+    harness.advance(1.0);
     for _ in 0..500 {
-        rig.client();
+        harness.connect_client();
     }
-    let late = rig.ask("late", "ask");
-    rig.text(
+    let late = harness.send_request("late", "ask");
+    harness.receive_text(
         writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
+    );
+    assert_eq!(
+        decode_chunked(harness.client_output(client)),
+        stream_event("one")
     );
-    assert_eq!(unchunk(rig.said(client)), event("one"));
     assert!(
-        !rig.closed.contains(&late),
+        !harness.closed.contains(&late),
         "one that asks at once is let in"
     );
-    assert_eq!(rig.count(Call::is_prefill), 2);
+    assert_eq!(harness.count_calls(Call::is_prefill), 2);
 }
 
 #[test]
 fn pipelined_bytes_are_bounded() {
-    let mut rig = Rig::new();
-    let client = rig.client();
-    rig.text(
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    harness.receive_text(
         client,
         &format!(
             "{}{}",
@@ -219,33 +233,36 @@
             request("a2", "ask", 4800)
         ),
     );
-    rig.pass(0.02);
-    assert_eq!(rig.count(Call::is_prefill), 1, "one at a time");
-    rig.prefill_done();
-    let writer = rig.last(Call::is_decode).conn;
-    rig.text(
+    harness.advance(0.02);
+    assert_eq!(harness.count_calls(Call::is_prefill), 1, "one at a time");
+    harness.complete_prefill();
+    let writer = harness.last_call(Call::is_decode).conn;
+    harness.receive_text(
         writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
-    rig.pass(0.02);
+    harness.advance(0.02);
     assert_eq!(
-        rig.count(Call::is_prefill),
+        harness.count_calls(Call::is_prefill),
         2,
         "the second follows the first's answer"
     );
     // Past the bound nothing is kept: what comes is dropped, and its connection ends once the request has its answer.
-    rig.text(client, &"x".repeat(30_000));
-    rig.text(client, &request("a3", "ask", 4800));
-    rig.prefill_done();
-    let writer = rig.last(Call::is_decode).conn;
-    rig.text(
+    harness.receive_text(client, &"x".repeat(30_000));
+    harness.receive_text(client, &request("a3", "ask", 4800));
+    harness.complete_prefill();
+    let writer = harness.last_call(Call::is_decode).conn;
+    harness.receive_text(
         writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
+    );
+    harness.advance(0.02);
+    assert!(
+        harness.client_output(client).contains("HTTP/1.1 413")
+            && harness.finished.contains(&client)
     );
-    rig.pass(0.02);
-    assert!(rig.said(client).contains("HTTP/1.1 413") && rig.finished.contains(&client));
     assert_eq!(
-        rig.count(Call::is_prefill),
+        harness.count_calls(Call::is_prefill),
         2,
         "nothing behind what was dropped is believed"
     );
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -129,10 +129,10 @@
 #[test]
 fn invalid_discovery_line_says_why() {
     let names = config().names;
-    let good = list(
+    let good = endpoint_list_json(
         3,
         false,
-        &[target("h", "127.0.1.1:80", "reads", "in_service")],
+        &[endpoint_json("h", "127.0.1.1:80", "reads", "in_service")],
     );
     assert!(EndpointList::parse(good.as_bytes(), &names).is_ok());
     for (from, to, word) in [
--- a/crates/platform/tests/descriptors.rs
+++ b/crates/platform/tests/descriptors.rs
@@ -95,43 +95,44 @@
 
 const READY: &str = "GET /ready HTTP/1.1\r\n\r\n";
 
-fn join(rig: &mut Rig, crowd: Crowd, i: usize) -> ConnId {
-    let conn = rig.client();
+fn join(harness: &mut Harness, crowd: Crowd, i: usize) -> ConnId {
+    let conn = harness.connect_client();
     let whole = request(&format!("q{i}"), "ask", 4800);
     match crowd {
-        Crowd::Idle => rig.text(conn, READY),
+        Crowd::Idle => harness.receive_text(conn, READY),
         Crowd::Silent => {}
-        Crowd::Half => rig.text(conn, &whole[..whole.len() - 4]),
-        Crowd::Busy => rig.text(conn, &whole),
+        Crowd::Half => harness.receive_text(conn, &whole[..whole.len() - 4]),
+        Crowd::Busy => harness.receive_text(conn, &whole),
     }
     conn
 }
 
 /// A rig whose discovery takes the call and says nothing.
-fn rig(sockets: u32) -> Rig {
-    let mut rig = Rig::with(config_of(sockets));
-    assert!(rig
+fn harness(sockets: u32) -> Harness {
+    let mut harness = Harness::with_config(config_of(sockets));
+    assert!(harness
         .connects
         .iter()
         .any(|(_, to)| to.to_string() == DISCOVERY));
-    rig.pass(0.1);
-    rig
+    harness.advance(0.1);
+    harness
 }
 
-fn held_together(rig: &Rig) -> usize {
-    let resource_usage = rig.node.resource_usage();
+fn held_together(harness: &Harness) -> usize {
+    let resource_usage = harness.node.resource_usage();
     resource_usage.clients + resource_usage.server_connections + OWN + WATCH + FINISHING
 }
 
-fn watches(rig: &Rig) -> usize {
-    rig.connects
+fn watches(harness: &Harness) -> usize {
+    harness
+        .connects
         .iter()
         .filter(|(_, to)| to.to_string() == DISCOVERY)
         .count()
 }
 
-fn stream_whole(rig: &mut Rig, writer: ConnId) {
-    rig.text(writer, &format!("{}0\r\n\r\n", chunk(&event("two"))));
+fn stream_whole(harness: &mut Harness, writer: ConnId) {
+    harness.receive_text(writer, &format!("{}0\r\n\r\n", chunk(&stream_event("two"))));
 }
 
 #[test]
@@ -140,13 +141,16 @@
         let shares = ConnectionLimits::of(&limits(sockets as usize));
         for crowd in CROWDS {
             let name = format!("{sockets} {crowd:?}");
-            let mut rig = rig(sockets);
-            let (good, writer) = rig.at_decode("good", "ask");
-            rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
-            let watches_before = watches(&rig);
+            let mut harness = harness(sockets);
+            let (good, writer) = harness.start_decode("good", "ask");
+            harness.receive_text(
+                writer,
+                &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
+            );
+            let watches_before = watches(&harness);
             for i in 0..2 * sockets as usize {
-                join(&mut rig, crowd, i);
-                let resource_usage = rig.node.resource_usage();
+                join(&mut harness, crowd, i);
+                let resource_usage = harness.node.resource_usage();
                 assert!(
                     resource_usage.clients <= shares.clients,
                     "{name}: {} clients",
@@ -158,33 +162,33 @@
                     resource_usage.server_connections
                 );
                 assert!(
-                    held_together(&rig) <= sockets as usize,
+                    held_together(&harness) <= sockets as usize,
                     "{name}: {}",
-                    held_together(&rig)
+                    held_together(&harness)
                 );
             }
             // The front's call, and a request, among them.
-            let front = rig.client();
-            rig.text(front, READY);
-            assert_eq!(rig.status(front), "200", "{name}: /ready");
-            let reads = rig.count(Call::is_prefill);
-            let late = rig.ask("late", "ask");
-            let sent = rig.count(Call::is_prefill) > reads;
-            let told = rig.status(late) == "503";
+            let front = harness.connect_client();
+            harness.receive_text(front, READY);
+            assert_eq!(harness.status(front), "200", "{name}: /ready");
+            let reads = harness.count_calls(Call::is_prefill);
+            let late = harness.send_request("late", "ask");
+            let sent = harness.count_calls(Call::is_prefill) > reads;
+            let told = harness.status(late) == "503";
             assert!(
                 sent || told && crowd == Crowd::Busy,
                 "{name}: a request is neither sent on nor refused"
             );
             // Events in hand go out while the table is full; the stream's host still writes.
-            stream_whole(&mut rig, writer);
+            stream_whole(&mut harness, writer);
             assert_eq!(
-                unchunk(rig.said(good)),
-                format!("{}{}", event("one"), event("two")),
+                decode_chunked(harness.client_output(good)),
+                format!("{}{}", stream_event("one"), stream_event("two")),
                 "{name}"
             );
-            rig.pass(8.0);
+            harness.advance(8.0);
             assert!(
-                watches(&rig) > watches_before,
+                watches(&harness) > watches_before,
                 "{name}: the watch is not begun anew"
             );
         }
@@ -197,41 +201,48 @@
         let shares = ConnectionLimits::of(&limits(sockets as usize));
         let entry = |i: usize| {
             let (model, at) = (["reads", "writes"][i % 2], format!("127.0.9.{}:80", i + 1));
-            target(&format!("x{i}"), &at, model, "in_service")
+            endpoint_json(&format!("x{i}"), &at, model, "in_service")
         };
-        let few: Vec<String> = hosts()
+        let few: Vec<String> = servers()
             .iter()
-            .map(|h| target(h.0, h.1, h.2, "in_service"))
+            .map(|h| endpoint_json(h.0, h.1, h.2, "in_service"))
             .collect();
         let many: Vec<String> = (0..150).map(entry).collect();
         let text = config_json(sockets).replace(r#""mostHeld":100,"#, "");
-        let text = text.replace(&list(7, true, &few), &list(7, true, &many));
-        let mut rig = Rig::with(Config::parse(&text).expect("the test's configuration"));
+        let text = text.replace(
+            &endpoint_list_json(7, true, &few),
+            &endpoint_list_json(7, true, &many),
+        );
+        let mut harness =
+            Harness::with_config(Config::parse(&text).expect("the test's configuration"));
         let crowd: Vec<_> = (0..2 * sockets as usize)
-            .map(|i| join(&mut rig, Crowd::Busy, i))
+            .map(|i| join(&mut harness, Crowd::Busy, i))
             .collect();
         let busy = crowd
             .iter()
-            .filter(|c| rig.said(**c).is_empty() && !rig.closed.contains(c))
+            .filter(|c| harness.client_output(**c).is_empty() && !harness.closed.contains(c))
             .count();
         let used = shares.servers - ConnectionPool::reserved(shares.servers);
         assert_eq!(
-            (busy, rig.node.resource_usage().server_connections),
+            (busy, harness.node.resource_usage().server_connections),
             (used, used),
             "{sockets}: all but those for releases are in use"
         );
-        let told = crowd.iter().filter(|c| rig.status(**c) == "503").count();
+        let told = crowd
+            .iter()
+            .filter(|c| harness.status(**c) == "503")
+            .count();
         assert_eq!(
             busy + told,
             crowd.len(),
             "{sockets}: the others are refused, not cut off"
         );
-        let front = rig.client();
-        rig.text(front, READY);
-        assert_eq!(rig.status(front), "200", "{sockets}: /ready");
+        let front = harness.connect_client();
+        harness.receive_text(front, READY);
+        assert_eq!(harness.status(front), "200", "{sockets}: /ready");
         assert!(
-            rig.node.resource_usage().clients <= shares.clients
-                && held_together(&rig) <= sockets as usize
+            harness.node.resource_usage().clients <= shares.clients
+                && held_together(&harness) <= sockets as usize
         );
     }
 }
@@ -239,30 +250,35 @@
 #[test]
 fn discovery_returns_while_client_table_is_full() {
     for crowd in CROWDS {
-        let mut rig = rig(256);
+        let mut harness = harness(256);
         for i in 0..400 {
-            join(&mut rig, crowd, i);
+            join(&mut harness, crowd, i);
         }
-        let before = watches(&rig);
-        while watches(&rig) == before {
-            rig.pass(0.1);
+        let before = watches(&harness);
+        while watches(&harness) == before {
+            harness.advance(0.1);
         }
-        let (watch, _) = *rig
+        let (watch, _) = *harness
             .connects
             .iter()
             .rev()
             .find(|c| c.1.to_string() == DISCOVERY)
             .expect("a watch");
-        let hosts = hosts();
-        let drains = [target(hosts[0].0, hosts[0].1, "reads", "terminating")];
-        let line = list(8, false, &drains) + "\n";
-        rig.text(watch, &format!("{}{}", STREAM_HEAD, chunk(&line)));
-        rig.pass(6.0);
-        let calls = rig.calls.len();
+        let hosts = servers();
+        let drains = [endpoint_json(
+            hosts[0].0,
+            hosts[0].1,
+            "reads",
+            "terminating",
+        )];
+        let line = endpoint_list_json(8, false, &drains) + "\n";
+        harness.receive_text(watch, &format!("{}{}", STREAM_HEAD, chunk(&line)));
+        harness.advance(6.0);
+        let calls = harness.calls.len();
         for i in 0..8 {
-            rig.ask(&format!("after{i}"), "ask");
+            harness.send_request(&format!("after{i}"), "ask");
         }
-        let reads: Vec<_> = rig.calls[calls..]
+        let reads: Vec<_> = harness.calls[calls..]
             .iter()
             .filter(|c| c.is_prefill())
             .map(|c| c.to)
@@ -277,85 +293,91 @@
 
 #[test]
 fn partial_requests_are_evicted_first_requests_first() {
-    let mut rig = rig(64);
+    let mut harness = harness(64);
     let most = ConnectionLimits::of(&limits(64)).clients;
     let half = &request("h", "ask", 4800)[..60];
     // One that has been answered before, and now sends its next request in pieces, before all others.
-    let known = rig.client();
-    rig.text(known, READY);
-    rig.text(known, half);
+    let known = harness.connect_client();
+    harness.receive_text(known, READY);
+    harness.receive_text(known, half);
     let strangers: Vec<_> = (1..most)
         .map(|_| {
-            let conn = rig.client();
-            rig.text(conn, half);
+            let conn = harness.connect_client();
+            harness.receive_text(conn, half);
             conn
         })
         .collect();
     assert_eq!(
-        rig.node.resource_usage().clients,
+        harness.node.resource_usage().clients,
         most,
         "the table is full of half requests"
     );
     for i in 0..3 {
-        let front = rig.client();
-        assert!(!rig.closed.contains(&front), "newcomer {i} is not heard");
-        rig.text(front, &request(&format!("n{i}"), "ask", 4800));
+        let front = harness.connect_client();
+        assert!(
+            !harness.closed.contains(&front),
+            "newcomer {i} is not heard"
+        );
+        harness.receive_text(front, &request(&format!("n{i}"), "ask", 4800));
         assert_eq!(
-            rig.closed.iter().copied().collect::<Vec<_>>(),
+            harness.closed.iter().copied().collect::<Vec<_>>(),
             strangers[..=i],
             "the oldest goes first"
         );
     }
-    assert!(!rig.closed.contains(&known));
+    assert!(!harness.closed.contains(&known));
 }
 
 #[test]
 fn client_still_reading_is_not_evicted() {
-    let mut rig = rig(64);
-    let (slow, writer) = rig.at_decode("slow", "ask");
-    rig.slow = true;
-    rig.text(
+    let mut harness = harness(64);
+    let (slow, writer) = harness.start_decode("slow", "ask");
+    harness.clients_blocked = true;
+    harness.receive_text(
         writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
-    rig.slow = false;
+    harness.clients_blocked = false;
     for i in 0..200 {
-        join(&mut rig, Crowd::Half, i);
+        join(&mut harness, Crowd::Half, i);
     }
     assert!(
-        !rig.closed.contains(&slow),
+        !harness.closed.contains(&slow),
         "its answer is whole at the node and not at the client"
     );
-    rig.tell(Input::Wrote {
+    harness.step(Input::Wrote {
         conn: slow,
-        count: rig.said(slow).len(),
+        count: harness.client_output(slow).len(),
     });
     for i in 200..400 {
-        join(&mut rig, Crowd::Half, i);
+        join(&mut harness, Crowd::Half, i);
     }
     assert!(
-        rig.closed.contains(&slow),
+        harness.closed.contains(&slow),
         "once all is taken it is as idle as any"
     );
 }
 
 #[test]
 fn idle_connections_are_evicted_for_descriptors() {
-    let mut rig = rig(256);
-    let (_, writer) = rig.at_decode("done", "ask");
-    rig.text(
+    let mut harness = harness(256);
+    let (_, writer) = harness.start_decode("done", "ask");
+    harness.receive_text(
         writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
+    );
+    let (busy, streaming) = harness.start_decode("busy", "ask");
+    harness.receive_text(
+        streaming,
+        &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
     );
-    let (busy, streaming) = rig.at_decode("busy", "ask");
-    rig.text(streaming, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
-    let silent = rig.client();
-    rig.pass(1.0);
+    let silent = harness.connect_client();
+    harness.advance(1.0);
     let mut gone = Vec::new();
-    while rig.node.evict_client(rig.now, &mut gone) {}
+    while harness.node.evict_client(harness.now, &mut gone) {}
     let (clients, links) = (
-        rig.node.resource_usage().clients,
-        rig.node.resource_usage().server_connections,
+        harness.node.resource_usage().clients,
+        harness.node.resource_usage().server_connections,
     );
     assert_eq!(clients, 1, "the busy one stays");
     assert_eq!(gone.len(), 2, "{gone:?}");
@@ -364,18 +386,18 @@
         "{gone:?}"
     );
     let mut dropped = Vec::new();
-    while rig.node.evict_idle_connection(&mut dropped) {}
+    while harness.node.evict_idle_connection(&mut dropped) {}
     assert_eq!(
-        rig.node.resource_usage().server_connections,
+        harness.node.resource_usage().server_connections,
         links - dropped.len()
     );
     assert!(
-        !dropped.is_empty() && rig.node.resource_usage().server_connections >= 1,
+        !dropped.is_empty() && harness.node.resource_usage().server_connections >= 1,
         "the stream's stays"
     );
-    stream_whole(&mut rig, streaming);
+    stream_whole(&mut harness, streaming);
     assert_eq!(
-        unchunk(rig.said(busy)),
-        format!("{}{}", event("one"), event("two"))
+        decode_chunked(harness.client_output(busy)),
+        format!("{}{}", stream_event("one"), stream_event("two"))
     );
 }
--- a/crates/platform/tests/discovery_faults.rs
+++ b/crates/platform/tests/discovery_faults.rs
@@ -97,7 +97,7 @@
 
 /// A node before scripted discovery.
 struct Stand {
-    rig: Rig,
+    harness: Harness,
     places: Vec<Place>,
     change_at: f64,
     open: BTreeMap<ConnId, Open>,
@@ -108,11 +108,14 @@
 
 /// A drain and a new host in one change.
 fn news() -> String {
-    let old = target("h-r1", "127.0.1.1:80", "reads", "terminating");
-    list(
+    let old = endpoint_json("h-r1", "127.0.1.1:80", "reads", "terminating");
+    endpoint_list_json(
         8,
         false,
-        &[old, target("h-r3", "127.0.1.5:80", "reads", "in_service")],
+        &[
+            old,
+            endpoint_json("h-r3", "127.0.1.5:80", "reads", "in_service"),
+        ],
     )
 }
 
@@ -120,7 +123,7 @@
     fn new(seed: u64, places: &[Place], change_at: f64) -> Stand {
         let text = config_json(256).replace("\"seed\":\"1f\"", &format!("\"seed\":\"{seed:x}\""));
         Stand {
-            rig: Rig::with(Config::parse(&text).expect("good")),
+            harness: Harness::with_config(Config::parse(&text).expect("good")),
             places: places.to_vec(),
             change_at,
             open: BTreeMap::new(),
@@ -130,7 +133,7 @@
     }
 
     fn time(&self) -> f64 {
-        self.rig.now.since(START)
+        self.harness.now.since(START)
     }
 
     /// On to the next timer, 50 ms at the most.
@@ -139,20 +142,21 @@
         for place in &self.places {
             let shut = matches!(place.fault_at(t), Some(Fault::Refused | Fault::NeverUp));
             if shut {
-                self.rig.dead.insert(place.address());
+                self.harness.unreachable_addresses.insert(place.address());
             } else {
-                self.rig.dead.remove(&place.address());
+                self.harness.unreachable_addresses.remove(&place.address());
             }
         }
         self.hear();
-        let due = self.rig.node.next_due().unwrap_or(Micros(u64::MAX));
-        self.rig.pass((due.since(self.rig.now) + 1e-6).min(0.05));
+        let due = self.harness.node.next_due().unwrap_or(Micros(u64::MAX));
+        self.harness
+            .advance((due.since(self.harness.now) + 1e-6).min(0.05));
         self.hear();
     }
 
     fn hear(&mut self) {
         let t = self.time();
-        while let Some((conn, to)) = self.rig.connects.get(self.seen.0).copied() {
+        while let Some((conn, to)) = self.harness.connects.get(self.seen.0).copied() {
             self.seen.0 += 1;
             let Some(place) = self.places.iter().position(|p| p.address() == to) else {
                 continue;
@@ -170,13 +174,13 @@
                 self.end(conn);
             }
         }
-        while let Some(call) = self.rig.calls.get(self.seen.1).cloned() {
+        while let Some(call) = self.harness.calls.get(self.seen.1).cloned() {
             self.seen.1 += 1;
-            if call.line().contains("watch=1") {
+            if call.request_line().contains("watch=1") {
                 assert!(
-                    call.line().contains("from=7 ") || self.told(),
+                    call.request_line().contains("from=7 ") || self.told(),
                     "{}",
-                    call.line()
+                    call.request_line()
                 );
                 let Some(open) = self.open.get_mut(&call.conn) else {
                     continue;
@@ -189,9 +193,9 @@
                     Some(Fault::Error500) => {
                         let answer =
                             "HTTP/1.1 500 No\r\nRetry-After: 3600\r\nContent-Length: 0\r\n\r\n";
-                        self.rig.text(call.conn, answer);
+                        self.harness.receive_text(call.conn, answer);
                     }
-                    _ => self.rig.text(call.conn, HEAD),
+                    _ => self.harness.receive_text(call.conn, HEAD),
                 }
                 if let Some(fault) = ill {
                     self.fall_ill(call.conn, fault);
@@ -205,30 +209,36 @@
 
     fn end(&mut self, conn: ConnId) {
         self.open.remove(&conn);
-        self.rig.tell(Input::Ended { conn });
+        self.harness.step(Input::Ended { conn });
     }
 
     /// What a connection says at the fault's begin.
     fn fall_ill(&mut self, conn: ConnId, fault: Fault) {
         if let Some(open) = self.open.get_mut(&conn) {
-            (open.ill, open.next_at) = (Some(fault), self.rig.now.since(START));
+            (open.ill, open.next_at) = (Some(fault), self.harness.now.since(START));
         }
         let whole = news();
         let half = &whole[..whole.len() - 60];
         match fault {
-            Fault::HalfLine | Fault::HalfLineKeptAlive => self.rig.text(conn, &chunk(half)),
+            Fault::HalfLine | Fault::HalfLineKeptAlive => {
+                self.harness.receive_text(conn, &chunk(half))
+            }
             Fault::Trickle => self
-                .rig
-                .text(conn, &chunk("{\"rev\":8,\"all\":false,\"targets\":[")),
-            Fault::TrickledHead => self.rig.text(conn, "HTTP/1.1 200 OK\r\nServer: "),
-            Fault::Ended => self.rig.text(conn, "0\r\n\r\n"),
-            Fault::Unreadable => self.rig.text(conn, &chunk("{\"rev\":8,\"all\":perhaps}\n")),
+                .harness
+                .receive_text(conn, &chunk("{\"rev\":8,\"all\":false,\"targets\":[")),
+            Fault::TrickledHead => self
+                .harness
+                .receive_text(conn, "HTTP/1.1 200 OK\r\nServer: "),
+            Fault::Ended => self.harness.receive_text(conn, "0\r\n\r\n"),
+            Fault::Unreadable => self
+                .harness
+                .receive_text(conn, &chunk("{\"rev\":8,\"all\":perhaps}\n")),
             Fault::Refused | Fault::Silent | Fault::NeverUp | Fault::Error500 => {}
         }
     }
 
     fn send_line(&mut self, conn: ConnId, t: f64) {
-        if self.rig.closed.contains(&conn) {
+        if self.harness.closed.contains(&conn) {
             self.open.remove(&conn);
             return;
         }
@@ -263,11 +273,11 @@
                 ..open
             },
         );
-        self.rig.text(conn, &text);
+        self.harness.receive_text(conn, &text);
     }
 
     fn told(&self) -> bool {
-        self.rig.node.resource_usage().servers == 5
+        self.harness.node.resource_usage().servers == 5
     }
 
     /// Goes on until the change is acted on; gives the time, or `None` past the limit.
@@ -283,17 +293,20 @@
 
     fn reload(&mut self, to: &str) {
         let moved = config_json(256).replace(OLD, to);
-        self.rig.reload(Config::parse(&moved).expect("good"));
+        self.harness.reload(Config::parse(&moved).expect("good"));
     }
 
     /// Requests go to what the change left, and not to the host that drains.
     fn assert_reads_avoid_the_drain(&mut self, case: &str) {
         for i in 0..4 {
-            let all = |c: &Call| c.line().starts_with("POST");
-            let asked = self.rig.count(all);
-            self.rig.ask(&format!("z{i}"), "ask");
-            assert!(self.rig.count(all) > asked, "{case}: a request goes out");
-            let to = self.rig.last(all).to.to_string();
+            let all = |c: &Call| c.request_line().starts_with("POST");
+            let asked = self.harness.count_calls(all);
+            self.harness.send_request(&format!("z{i}"), "ask");
+            assert!(
+                self.harness.count_calls(all) > asked,
+                "{case}: a request goes out"
+            );
+            let to = self.harness.last_call(all).to.to_string();
             assert_ne!(to, "127.0.1.1:80", "{case}");
         }
     }
@@ -504,7 +517,7 @@
     let dials = |text: &str| {
         let place = Place::new(OLD, Fault::Refused, (0.0, 1e9));
         let mut stand = Stand::new(7, &[place], 1e9);
-        stand.rig = Rig::with(Config::parse(text).expect("good"));
+        stand.harness = Harness::with_config(Config::parse(text).expect("good"));
         while stand.time() < 10.0 {
             stand.turn();
         }
@@ -531,19 +544,19 @@
         while stand.time() < 60.0 {
             stand.turn();
         }
-        let timers = stand.rig.node.resource_usage().timers;
+        let timers = stand.harness.node.resource_usage().timers;
         while stand.time() < 3600.0 {
             stand.turn();
         }
         let grown = stand
-            .rig
+            .harness
             .node
             .resource_usage()
             .timers
             .saturating_sub(timers);
         assert!(grown <= 10, "{fault:?}: {grown} more timers");
         let lines: Vec<&String> = stand
-            .rig
+            .harness
             .logs
             .iter()
             .filter(|l| l.contains("discovery"))
--- a/crates/platform/tests/memory.rs
+++ b/crates/platform/tests/memory.rs
@@ -21,34 +21,34 @@
     )
 }
 
-fn roomy() -> Rig {
-    Rig::with(Config::parse(&config_json(1024)).expect("good"))
+fn roomy() -> Harness {
+    Harness::with_config(Config::parse(&config_json(1024)).expect("good"))
 }
 
 /// So many clients that each send nearly a whole body of the largest kind; gives their connections.
-fn half_bodies(rig: &mut Rig, count: usize, chunked: bool) -> Vec<ConnId> {
+fn half_bodies(harness: &mut Harness, count: usize, chunked: bool) -> Vec<ConnId> {
     let length = 256 * 1024;
     let body = "x".repeat(32 * 1024);
     let clients: Vec<ConnId> = (0..count)
         .map(|id| {
-            let client = rig.client();
-            rig.text(client, &head(id, length, chunked));
+            let client = harness.connect_client();
+            harness.receive_text(client, &head(id, length, chunked));
             client
         })
         .collect();
     for _ in 0..7 {
         for client in clients
             .iter()
-            .filter(|c| !rig.finished.contains(c))
+            .filter(|c| !harness.finished.contains(c))
             .copied()
             .collect::<Vec<_>>()
         {
-            rig.text(client, &if chunked { chunk(&body) } else { body.clone() });
+            harness.receive_text(client, &if chunked { chunk(&body) } else { body.clone() });
         }
         assert!(
-            rig.node.resource_usage().unfinished_bytes <= MOST,
+            harness.node.resource_usage().unfinished_bytes <= MOST,
             "{:?}",
-            rig.node.resource_usage()
+            harness.node.resource_usage()
         );
     }
     clients
@@ -57,54 +57,60 @@
 #[test]
 fn partial_requests_stay_within_memory_limit() {
     for chunked in [false, true] {
-        let mut rig = roomy();
-        let clients = half_bodies(&mut rig, 300, chunked);
+        let mut harness = roomy();
+        let clients = half_bodies(&mut harness, 300, chunked);
         let away: Vec<&ConnId> = clients
             .iter()
-            .filter(|c| rig.finished.contains(c))
+            .filter(|c| harness.finished.contains(c))
             .collect();
-        assert!(away.iter().all(|c| rig.status(**c) == "503"));
+        assert!(away.iter().all(|c| harness.status(**c) == "503"));
         let kept = clients.len() - away.len();
         assert!(
             kept >= MOST / (256 * 1024) / 2,
             "{kept} still have their room"
         );
         // Whoever asks in the midst of it is served.
-        let (client, writer) = rig.at_decode("good", "ask");
-        rig.text(
+        let (client, writer) = harness.start_decode("good", "ask");
+        harness.receive_text(
             writer,
-            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
+        );
+        assert_eq!(
+            decode_chunked(harness.client_output(client)),
+            stream_event("one")
         );
-        assert_eq!(unchunk(rig.said(client)), event("one"));
     }
 }
 
 #[test]
 fn slow_long_request_is_served() {
-    let mut rig = roomy();
+    let mut harness = roomy();
     let length = 200 * 1024;
-    let client = rig.client();
-    rig.text(client, &head(1, length, false));
+    let client = harness.connect_client();
+    harness.receive_text(client, &head(1, length, false));
     for _ in 0..50 {
-        rig.text(client, &"x".repeat(length / 50));
-        rig.pass(0.02);
+        harness.receive_text(client, &"x".repeat(length / 50));
+        harness.advance(0.02);
     }
-    assert_eq!(rig.count(Call::is_prefill), 1);
-    assert_eq!(rig.node.resource_usage().unfinished_bytes, 0);
+    assert_eq!(harness.count_calls(Call::is_prefill), 1);
+    assert_eq!(harness.node.resource_usage().unfinished_bytes, 0);
 }
 
 #[test]
 fn open_requests_do_not_count_as_partial() {
-    let mut rig = roomy();
-    let (client, writer) = rig.at_decode("first", "ask");
-    half_bodies(&mut rig, 300, false);
+    let mut harness = roomy();
+    let (client, writer) = harness.start_decode("first", "ask");
+    half_bodies(&mut harness, 300, false);
     assert!(
-        !rig.finished.contains(&client),
+        !harness.finished.contains(&client),
         "a request in hand is not turned away for others' halves"
     );
-    rig.text(
+    harness.receive_text(
         writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
+    );
+    assert_eq!(
+        decode_chunked(harness.client_output(client)),
+        stream_event("one")
     );
-    assert_eq!(unchunk(rig.said(client)), event("one"));
 }
--- a/crates/platform/tests/output_order.rs
+++ b/crates/platform/tests/output_order.rs
@@ -103,7 +103,7 @@
         self.digest.update(bytes);
     }
 
-    fn tell(&mut self, input: Input) {
+    fn step(&mut self, input: Input) {
         let mut out = Vec::new();
         self.node.step(self.now, input, &mut out);
         self.take(out);
@@ -172,12 +172,12 @@
     }
 
     /// Passes a drawn time, with each timer on its way.
-    fn pass(&mut self) {
+    fn advance(&mut self) {
         let most_ms = [2, 20, 20, 200, 200, 1500][self.draws.below(6)];
         let until = self.now.after(self.draws.below(most_ms) as f64 / 1e3);
         while let Some(at) = self.node.next_due().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            self.tell(Input::Tick);
+            self.step(Input::Tick);
         }
         self.now = until;
     }
@@ -185,11 +185,11 @@
     fn accept(&mut self) -> ConnId {
         let conn = self.node.next_conn();
         self.clients.insert(conn);
-        self.tell(Input::Accepted { conn });
+        self.step(Input::Accepted { conn });
         conn
     }
 
-    fn ask(&mut self) {
+    fn send_request(&mut self) {
         let clients: Vec<ConnId> = self.clients.iter().copied().collect();
         let conn = match self.draws.pick(&clients) {
             Some(conn) if !self.draws.one_in(3) => conn,
@@ -208,11 +208,11 @@
         }
         text = text.replace("7f3a9c21e0b4d655", &format!("{:x}", self.draws.below(6)));
         let cut = self.draws.below(text.len() + 1);
-        self.tell(Input::Received {
+        self.step(Input::Received {
             conn,
             bytes: &text.as_bytes()[..cut],
         });
-        self.tell(Input::Received {
+        self.step(Input::Received {
             conn,
             bytes: &text.as_bytes()[cut..],
         });
@@ -232,7 +232,7 @@
                 _ => {
                     if let Some(opened) = self.opened.get_mut(&conn) {
                         opened.up = true;
-                        self.tell(Input::Connected { conn });
+                        self.step(Input::Connected { conn });
                     }
                 }
             }
@@ -241,7 +241,7 @@
 
     fn end(&mut self, conn: ConnId) {
         self.forget(conn);
-        self.tell(Input::Ended { conn });
+        self.step(Input::Ended { conn });
     }
 
     fn write_out(&mut self) {
@@ -253,7 +253,7 @@
             if self.opened.contains_key(&conn) && self.draws.one_in(40) {
                 self.opened.remove(&conn);
                 self.unsent.remove(&conn);
-                self.tell(Input::Stale { conn });
+                self.step(Input::Stale { conn });
                 continue;
             }
             let all = self.unsent.get(&conn).copied().unwrap_or_default();
@@ -267,7 +267,7 @@
             } else {
                 self.unsent.insert(conn, all - count);
             }
-            self.tell(Input::Wrote { conn, count });
+            self.step(Input::Wrote { conn, count });
         }
     }
 
@@ -311,21 +311,21 @@
             self.draws.below(4)
         );
         let text = if call.starts_with("GET ") {
-            common::plain("200 OK", "", &load)
+            common::plain_response("200 OK", "", &load)
         } else if call.starts_with("DELETE ") {
             match self.draws.below(4) {
-                0 => common::plain("500 Oops", "", ""),
+                0 => common::plain_response("500 Oops", "", ""),
                 _ => common::RELEASED.to_string(),
             }
         } else {
             match self.draws.below(24) {
                 0 => return,
                 1 => return self.end(conn),
-                2 => common::plain("500 Oops", "", ""),
-                3 => common::plain("503 Busy", "Srv-Declined: 1\r\n", ""),
-                4 => common::plain("410 Gone", "Srv-Declined: 1\r\n", ""),
+                2 => common::plain_response("500 Oops", "", ""),
+                3 => common::plain_response("503 Busy", "Srv-Declined: 1\r\n", ""),
+                4 => common::plain_response("410 Gone", "Srv-Declined: 1\r\n", ""),
                 5 => "HTTP/1.1 two\r\n\r\n".to_string(),
-                _ if prefill => common::plain(
+                _ if prefill => common::plain_response(
                     "202 Accepted",
                     &format!("Srv-Load: {load}\r\n"),
                     r#"{"cached_tokens":64}"#,
@@ -333,7 +333,7 @@
                 _ => return self.stream(conn, &load),
             }
         };
-        self.tell(Input::Received {
+        self.step(Input::Received {
             conn,
             bytes: text.as_bytes(),
         });
@@ -343,13 +343,13 @@
         let long = if self.draws.one_in(8) { 140_000 } else { 20 };
         let mut text = common::STREAM_HEAD.to_string();
         for _ in 0..self.draws.below(4) {
-            text += &common::chunk(&common::event(&"x".repeat(long)));
+            text += &common::chunk(&common::stream_event(&"x".repeat(long)));
         }
         text += &common::chunk(&format!(": Srv-Load: {load}\n\n"));
         match self.draws.below(12) {
             0 => {}
             1 => {
-                self.tell(Input::Received {
+                self.step(Input::Received {
                     conn,
                     bytes: text.as_bytes(),
                 });
@@ -362,12 +362,12 @@
             _ => text += "0\r\n\r\n",
         }
         let cut = self.draws.below(text.len() + 1);
-        self.tell(Input::Received {
+        self.step(Input::Received {
             conn,
             bytes: &text.as_bytes()[..cut],
         });
         if self.opened.contains_key(&conn) {
-            self.tell(Input::Received {
+            self.step(Input::Received {
                 conn,
                 bytes: &text.as_bytes()[cut..],
             });
@@ -388,25 +388,25 @@
             0 => {
                 self.rev += 1;
                 let states = ["in_service", "in_service", "terminating", "terminated"];
-                let (uid, endpoint, model) = common::hosts()[self.draws.below(4)];
+                let (uid, endpoint, model) = common::servers()[self.draws.below(4)];
                 let state = states[self.draws.below(4)];
-                let target = common::target(uid, endpoint, model, state);
-                common::list(self.rev, false, &[target])
+                let target = common::endpoint_json(uid, endpoint, model, state);
+                common::endpoint_list_json(self.rev, false, &[target])
             }
             1 => {
                 self.rev += 1;
-                let all: Vec<String> = common::hosts()
+                let all: Vec<String> = common::servers()
                     .iter()
-                    .map(|h| common::target(h.0, h.1, h.2, "in_service"))
+                    .map(|h| common::endpoint_json(h.0, h.1, h.2, "in_service"))
                     .collect();
-                common::list(self.rev, true, &all)
+                common::endpoint_list_json(self.rev, true, &all)
             }
             2 if self.draws.one_in(4) => "{\"rev\":".to_string(),
             3 if self.draws.one_in(4) => return self.end(conn),
             _ => String::new(),
         };
         let text = format!("{head}{}", common::chunk(&format!("{line}\n")));
-        self.tell(Input::Received {
+        self.step(Input::Received {
             conn,
             bytes: text.as_bytes(),
         });
@@ -423,7 +423,7 @@
             2 => {
                 let data: Vec<u8> = (0..self.draws.below(40)).map(|i| i as u8).collect();
                 let from = "127.0.3.2:7946".parse().expect("an address");
-                self.tell(Input::Datagram { from, data: &data });
+                self.step(Input::Datagram { from, data: &data });
             }
             3 if self.draws.one_in(30) => {
                 let port = 8500 + self.draws.below(3);
@@ -441,16 +441,16 @@
 
     fn turn(&mut self) {
         if self.draws.one_in(3) {
-            self.ask();
+            self.send_request();
         }
         self.bring_up();
         self.write_out();
         self.respond();
         self.disturb();
         if std::mem::take(&mut self.stop_listening) {
-            self.tell(Input::NotListening);
+            self.step(Input::NotListening);
         }
-        self.pass();
+        self.advance();
     }
 
     /// Counts and tables as they stand, in a fixed order.
@@ -490,7 +490,7 @@
         world.turn();
         world.encode_totals();
     }
-    world.tell(Input::Stop);
+    world.step(Input::Stop);
     for _ in 0..200 {
         if world.stopped {
             break;
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -13,26 +13,27 @@
 use bitternlatch_policy::interface::ServerId;
 use common::*;
 
-fn deletes(rig: &Rig, id: &str) -> Vec<Call> {
+fn deletes(harness: &Harness, id: &str) -> Vec<Call> {
     let line = format!("DELETE /bootstrap/rooms/{id} HTTP/1.1");
-    rig.calls
+    harness
+        .calls
         .iter()
-        .filter(|c| c.line() == line)
+        .filter(|c| c.request_line() == line)
         .cloned()
         .collect()
 }
 
 #[test]
 fn released_state_is_deleted() {
-    let mut rig = Rig::new();
-    let (_, writer) = rig.at_decode("p1", "book");
-    rig.text(writer, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
-    let calls = deletes(&rig, "p1");
+    let mut harness = Harness::new();
+    let (_, writer) = harness.start_decode("p1", "book");
+    harness.receive_text(writer, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
+    let calls = deletes(&harness, "p1");
     assert_eq!(calls.len(), 1, "at once");
-    rig.text(calls[0].conn, "HTTP/1.1 204 No Content\r\n\r\n");
-    rig.pass(3.0);
+    harness.receive_text(calls[0].conn, "HTTP/1.1 204 No Content\r\n\r\n");
+    harness.advance(3.0);
     assert_eq!(
-        deletes(&rig, "p1").len(),
+        deletes(&harness, "p1").len(),
         1,
         "once it has arrived it is not said again"
     );
@@ -40,11 +41,11 @@
 
 #[test]
 fn unanswered_release_is_hedged_until_confirmed() {
-    let mut rig = Rig::new();
-    let (_, writer) = rig.at_decode("p2", "book");
-    rig.text(writer, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
-    rig.pass(0.2);
-    let calls = deletes(&rig, "p2");
+    let mut harness = Harness::new();
+    let (_, writer) = harness.start_decode("p2", "book");
+    harness.receive_text(writer, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
+    harness.advance(0.2);
+    let calls = deletes(&harness, "p2");
     assert!(calls.len() >= 4, "{}", calls.len());
     let places = |calls: &[Call]| {
         calls
@@ -57,20 +58,20 @@
         4,
         "each to another host, until all have been called"
     );
-    rig.pass(RELEASE_GIVEN_UP_SECS - 2.0);
+    harness.advance(RELEASE_TIMEOUT_SECS - 2.0);
     assert!(
-        deletes(&rig, "p2").len() > 40,
+        deletes(&harness, "p2").len() > 40,
         "for as long as nobody has confirmed it"
     );
-    rig.pass(2.0 + LONGEST_ROUND_SECS);
-    let given_up = deletes(&rig, "p2").len();
+    harness.advance(2.0 + MAX_RELEASE_ROUND_SECS);
+    let given_up = deletes(&harness, "p2").len();
     assert!(
         given_up <= 4 * 40,
         "{given_up}: in rounds of all hosts, further and further apart"
     );
-    rig.pass(100.0);
-    assert_eq!(deletes(&rig, "p2").len(), given_up, "not for ever");
-    let counts = rig.node.counts();
+    harness.advance(100.0);
+    assert_eq!(deletes(&harness, "p2").len(), given_up, "not for ever");
+    let counts = harness.node.counts();
     assert_eq!(
         (
             counts.releases,
@@ -80,13 +81,14 @@
         (1, 0, 1)
     );
     assert!(
-        rig.logs
+        harness
+            .logs
             .iter()
             .any(|l| l.starts_with("state of p2 may still be held")),
         "{:?}",
-        rig.logs
+        harness.logs
     );
-    assert!(rig
+    assert!(harness
         .logs
         .iter()
         .any(|l| l.starts_with("counts") && l.contains("releases_unconfirmed: 1")));
@@ -94,39 +96,40 @@
 
 #[test]
 fn late_release_is_logged_and_counted() {
-    let mut rig = Rig::new();
-    let (_, writer) = rig.at_decode("p9", "book");
-    rig.text(writer, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
-    rig.pass(0.4);
-    let last = deletes(&rig, "p9").pop().expect("called again");
-    rig.text(last.conn, "HTTP/1.1 204 No Content\r\n\r\n");
-    let counts = rig.node.counts();
+    let mut harness = Harness::new();
+    let (_, writer) = harness.start_decode("p9", "book");
+    harness.receive_text(writer, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
+    harness.advance(0.4);
+    let last = deletes(&harness, "p9").pop().expect("called again");
+    harness.receive_text(last.conn, "HTTP/1.1 204 No Content\r\n\r\n");
+    let counts = harness.node.counts();
     assert_eq!((counts.releases_confirmed, counts.releases_late), (1, 1));
     assert!(
-        rig.logs
+        harness
+            .logs
             .iter()
             .any(|l| l.starts_with("state of p9 released late")),
         "{:?}",
-        rig.logs
+        harness.logs
     );
 }
 
 #[test]
 fn failed_release_call_is_retried_elsewhere() {
-    let mut rig = Rig::new();
-    let (_, writer) = rig.at_decode("p3", "book");
-    rig.text(writer, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
-    let first = deletes(&rig, "p3").remove(0);
-    rig.tell(Input::Ended { conn: first.conn });
-    assert_eq!(deletes(&rig, "p3").len(), 2);
+    let mut harness = Harness::new();
+    let (_, writer) = harness.start_decode("p3", "book");
+    harness.receive_text(writer, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
+    let first = deletes(&harness, "p3").remove(0);
+    harness.step(Input::Ended { conn: first.conn });
+    assert_eq!(deletes(&harness, "p3").len(), 2);
 }
 
 #[test]
 fn cancelled_prefill_may_leave_state() {
-    let mut rig = Rig::new();
-    rig.ask("p4", "book");
-    rig.pass(4.9);
-    assert_eq!(deletes(&rig, "p4").len().min(1), 1);
+    let mut harness = Harness::new();
+    harness.send_request("p4", "book");
+    harness.advance(4.9);
+    assert_eq!(deletes(&harness, "p4").len().min(1), 1);
 }
 
 /// Hosts have fallen silent that were heard of before, while time runs on: those that have answered last are called
@@ -179,63 +182,70 @@
 /// The read that was given up may have ended well all the same: its state is another than the one that a writer took.
 #[test]
 fn cancelled_prefill_is_released_after_response() {
-    let mut rig = Rig::new();
-    let client = rig.ask("p8", "ask");
-    let first = rig.last(Call::is_prefill);
-    rig.tell(Input::Ended { conn: first.conn });
-    rig.prefill_done();
-    assert_ne!(rig.last(Call::is_prefill).to, first.to, "read elsewhere");
-    let writer = rig.last(Call::is_decode).conn;
-    rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
+    let mut harness = Harness::new();
+    let client = harness.send_request("p8", "ask");
+    let first = harness.last_call(Call::is_prefill);
+    harness.step(Input::Ended { conn: first.conn });
+    harness.complete_prefill();
+    assert_ne!(
+        harness.last_call(Call::is_prefill).to,
+        first.to,
+        "read elsewhere"
+    );
+    let writer = harness.last_call(Call::is_decode).conn;
+    harness.receive_text(
+        writer,
+        &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
+    );
     assert!(
-        deletes(&rig, "p8").is_empty(),
+        deletes(&harness, "p8").is_empty(),
         "not while an attempt is out"
     );
-    rig.text(writer, "0\r\n\r\n");
-    assert!(rig.said(client).ends_with("0\r\n\r\n"));
-    assert_eq!(deletes(&rig, "p8").len(), 1);
+    harness.receive_text(writer, "0\r\n\r\n");
+    assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
+    assert_eq!(deletes(&harness, "p8").len(), 1);
 }
 
 #[test]
 fn taken_state_is_not_deleted() {
-    let mut rig = Rig::new();
-    let (_, writer) = rig.at_decode("p5", "ask");
-    rig.text(
+    let mut harness = Harness::new();
+    let (_, writer) = harness.start_decode("p5", "ask");
+    harness.receive_text(
         writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
-    rig.pass(2.0);
-    assert!(deletes(&rig, "p5").is_empty());
+    harness.advance(2.0);
+    assert!(deletes(&harness, "p5").is_empty());
 }
 
 /// A release may reach one host before the close of the hand-over has reached another, which still waits for the state:
 /// it is confirmed, and has let go of nothing.
 #[test]
 fn release_overtaking_close_is_repeated() {
-    let mut rig = Rig::new();
-    rig.answers_releases = true;
-    let client = rig.client();
-    rig.text(client, &request("c1", "ask", 600));
-    rig.pass(0.02);
-    rig.prefill_done();
-    rig.pass(0.6);
+    let mut harness = Harness::new();
+    harness.answers_releases = true;
+    let client = harness.connect_client();
+    harness.receive_text(client, &request("c1", "ask", 600));
+    harness.advance(0.02);
+    harness.complete_prefill();
+    harness.advance(0.6);
     assert_eq!(
-        rig.status(client),
+        harness.status(client),
         "504",
         "its time is over while the hand-over is out"
     );
-    assert_eq!(deletes(&rig, "c1").len(), 1, "at once");
-    rig.pass(0.13);
+    assert_eq!(deletes(&harness, "c1").len(), 1, "at once");
+    harness.advance(0.13);
     assert_eq!(
-        deletes(&rig, "c1").len(),
+        deletes(&harness, "c1").len(),
         2,
         "and once the close has certainly arrived"
     );
-    rig.pass(5.0);
+    harness.advance(5.0);
     assert_eq!(
         (
-            deletes(&rig, "c1").len(),
-            rig.node.resource_usage().releases
+            deletes(&harness, "c1").len(),
+            harness.node.resource_usage().releases
         ),
         (2, 0)
     );
@@ -245,27 +255,35 @@
 #[test]
 fn release_keeps_unsent_prefill() {
     let text = config_json(256).replace(r#""connectTimeoutS":0.25"#, r#""connectTimeoutS":3.0"#);
-    let mut rig = Rig::with(Config::parse(&text).expect("the test's configuration"));
-    rig.answers_releases = true;
-    let client = rig.client();
-    rig.text(client, &request("f1", "ask", 4800));
-    rig.pass(0.02);
-    let first = rig.last(Call::is_prefill);
-    rig.dead.extend(
-        hosts()
+    let mut harness = Harness::with_config(Config::parse(&text).expect("the test's configuration"));
+    harness.answers_releases = true;
+    let client = harness.connect_client();
+    harness.receive_text(client, &request("f1", "ask", 4800));
+    harness.advance(0.02);
+    let first = harness.last_call(Call::is_prefill);
+    harness.unreachable_addresses.extend(
+        servers()
             .iter()
             .map(|h| h.1.parse::<SocketAddr>().expect("an address"))
             .filter(|a| *a != first.to),
     );
-    rig.tell(Input::Ended { conn: first.conn });
-    let (second, _) = rig
+    harness.step(Input::Ended { conn: first.conn });
+    let (second, _) = harness
         .connects
         .last()
         .copied()
         .expect("the further prefill's connection");
-    rig.pass(0.95);
-    assert_eq!(deletes(&rig, "f1").len(), 1, "what the first may have left");
-    assert!(!rig.closed.contains(&second));
-    rig.tell(Input::Connected { conn: second });
-    assert_ne!(rig.last(Call::is_prefill).to, first.to, "read elsewhere");
+    harness.advance(0.95);
+    assert_eq!(
+        deletes(&harness, "f1").len(),
+        1,
+        "what the first may have left"
+    );
+    assert!(!harness.closed.contains(&second));
+    harness.step(Input::Connected { conn: second });
+    assert_ne!(
+        harness.last_call(Call::is_prefill).to,
+        first.to,
+        "read elsewhere"
+    );
 }
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -8,41 +8,49 @@
 
 #[test]
 fn request_goes_through_prefill_and_decode() {
-    let mut rig = Rig::new();
-    let (client, writer) = rig.at_decode("9b1f03aa5c7e2d41", "ask");
-    let read = rig.last(Call::is_prefill);
-    let write = rig.last(Call::is_decode);
+    let mut harness = Harness::new();
+    let (client, writer) = harness.start_decode("9b1f03aa5c7e2d41", "ask");
+    let read = harness.last_call(Call::is_prefill);
+    let write = harness.last_call(Call::is_decode);
     for call in [&read, &write] {
-        assert_eq!(call.line(), "POST /v1/chat/completions HTTP/1.1");
+        assert_eq!(call.request_line(), "POST /v1/chat/completions HTTP/1.1");
         assert!(call.text.contains("Req-Id: 9b1f03aa5c7e2d41\r\n"));
         assert!(call.text.ends_with(r#"{"model":"chat","stream":true}"#));
     }
-    rig.text(writer, STREAM_HEAD);
-    assert_eq!(rig.said(client), "", "the head alone makes it nobody's");
-    let events = [event("one"), event("two"), "data: [DONE]\n\n".to_string()];
+    harness.receive_text(writer, STREAM_HEAD);
+    assert_eq!(
+        harness.client_output(client),
+        "",
+        "the head alone makes it nobody's"
+    );
+    let events = [
+        stream_event("one"),
+        stream_event("two"),
+        "data: [DONE]\n\n".to_string(),
+    ];
     for (i, e) in events.iter().enumerate() {
-        rig.text(writer, &chunk(e));
+        harness.receive_text(writer, &chunk(e));
         assert_eq!(
-            unchunk(rig.said(client)),
+            decode_chunked(harness.client_output(client)),
             events[..=i].concat(),
             "passed on as it comes"
         );
     }
-    assert!(!rig.said(client).ends_with("0\r\n\r\n"));
-    rig.text(writer, "0\r\n\r\n");
+    assert!(!harness.client_output(client).ends_with("0\r\n\r\n"));
+    harness.receive_text(writer, "0\r\n\r\n");
     assert!(
-        rig.said(client).ends_with("0\r\n\r\n"),
+        harness.client_output(client).ends_with("0\r\n\r\n"),
         "the end is passed on at once"
     );
-    assert_eq!(rig.node.counts().served, 1);
+    assert_eq!(harness.node.counts().served, 1);
     // Both connections serve on, once they have rested.
-    rig.pass(REUSE_DELAY_SECS);
-    let before = rig.connects.len();
-    rig.text(client, &request("aa", "ask", 4800));
-    rig.pass(0.02);
-    rig.prefill_done();
+    harness.advance(REUSE_DELAY_SECS);
+    let before = harness.connects.len();
+    harness.receive_text(client, &request("aa", "ask", 4800));
+    harness.advance(0.02);
+    harness.complete_prefill();
     assert_eq!(
-        rig.connects.len() - before,
+        harness.connects.len() - before,
         0,
         "no new connection was needed"
     );
@@ -60,11 +68,11 @@
 
 #[test]
 fn remaining_time_is_forwarded() {
-    let mut rig = Rig::new();
-    rig.ask("t1", "ask");
-    rig.pass(0.5);
-    rig.prefill_done();
-    let left = notified_ms(&rig.last(Call::is_decode));
+    let mut harness = Harness::new();
+    harness.send_request("t1", "ask");
+    harness.advance(0.5);
+    harness.complete_prefill();
+    let left = notified_ms(&harness.last_call(Call::is_decode));
     assert!((4200.0..4300.0).contains(&left), "{left}");
 }
 
@@ -80,32 +88,32 @@
         (10_100, 0.2),
     ] {
         for further in [false, true] {
-            let mut rig = Rig::new();
-            rig.dead = hosts()
+            let mut harness = Harness::new();
+            harness.unreachable_addresses = servers()
                 .iter()
                 .map(|h| h.1.parse().expect("an address"))
                 .collect();
-            let client = rig.client();
-            rig.text(client, &request("late", "ask", deadline_ms));
-            rig.pass(0.02);
+            let client = harness.connect_client();
+            harness.receive_text(client, &request("late", "ask", deadline_ms));
+            harness.advance(0.02);
             let mut passed_s = 0.02;
             if further {
                 // The first connection never comes up; a further attempt dials at once.
-                rig.pass(0.25);
+                harness.advance(0.25);
                 passed_s += 0.25;
             }
-            rig.pass(late_s);
+            harness.advance(late_s);
             passed_s += late_s;
-            let (conn, _) = rig
+            let (conn, _) = harness
                 .connects
                 .iter()
                 .rev()
-                .find(|c| !rig.closed.contains(&c.0))
+                .find(|c| !harness.closed.contains(&c.0))
                 .copied()
                 .expect("dialled");
-            rig.tell(Input::Connected { conn });
+            harness.step(Input::Connected { conn });
             let left_ms = deadline_ms as f64 - passed_s * 1e3;
-            let told = notified_ms(&rig.last(Call::is_prefill));
+            let told = notified_ms(&harness.last_call(Call::is_prefill));
             let case = format!(
                 "{deadline_ms} ms, up after {late_s} s, further {further}: told {told}, left {left_ms}"
             );
@@ -117,47 +125,51 @@
 /// Its length may have changed on the way: all of the request has to be written before an attempt counts as begun.
 #[test]
 fn late_write_counts_at_its_last_byte() {
-    let mut rig = Rig::new();
-    rig.dead = hosts()
+    let mut harness = Harness::new();
+    harness.unreachable_addresses = servers()
         .iter()
         .map(|h| h.1.parse().expect("an address"))
         .collect();
-    let client = rig.client();
-    rig.text(client, &request("u", "book", 10_100));
-    rig.pass(0.2);
-    let (conn, to) = rig
+    let client = harness.connect_client();
+    harness.receive_text(client, &request("u", "book", 10_100));
+    harness.advance(0.2);
+    let (conn, to) = harness
         .connects
         .iter()
         .rev()
-        .find(|c| !rig.closed.contains(&c.0))
+        .find(|c| !harness.closed.contains(&c.0))
         .copied()
         .expect("dialled");
-    rig.stuck.insert(to);
-    rig.tell(Input::Connected { conn });
-    let length = rig.last(Call::is_prefill).text.len();
-    rig.tell(Input::Wrote {
+    harness.blocked_servers.insert(to);
+    harness.step(Input::Connected { conn });
+    let length = harness.last_call(Call::is_prefill).text.len();
+    harness.step(Input::Wrote {
         conn,
         count: length - 1,
     });
-    rig.stuck.clear();
-    rig.dead.clear();
-    rig.tell(Input::Ended { conn });
+    harness.blocked_servers.clear();
+    harness.unreachable_addresses.clear();
+    harness.step(Input::Ended { conn });
     assert_eq!(
-        rig.count(Call::is_prefill),
+        harness.count_calls(Call::is_prefill),
         2,
         "a byte was missing: it never ran, and is read elsewhere"
     );
-    let second = rig.last(Call::is_prefill).conn;
-    rig.tell(Input::Ended { conn: second });
-    assert_eq!(rig.count(Call::is_prefill), 2, "the last byte had left");
-    assert_eq!(rig.status(client), "504");
+    let second = harness.last_call(Call::is_prefill).conn;
+    harness.step(Input::Ended { conn: second });
+    assert_eq!(
+        harness.count_calls(Call::is_prefill),
+        2,
+        "the last byte had left"
+    );
+    assert_eq!(harness.status(client), "504");
 }
 
 /// What the writer does, and what becomes of a safe and of an unsafe request.
 #[test]
 fn decode_outcome_leads_to_retry_or_failure_by_class() {
-    let declined = plain("503 Service Unavailable", "Srv-Declined: 1\r\n", "");
-    let moved = plain("410 Gone", "Srv-Declined: 1\r\n", "");
+    let declined = plain_response("503 Service Unavailable", "Srv-Declined: 1\r\n", "");
+    let moved = plain_response("410 Gone", "Srv-Declined: 1\r\n", "");
     let table: [(&str, &str, bool); 7] = [
         ("declined", &declined, true),
         ("state gone", &moved, true),
@@ -184,106 +196,113 @@
         ),
     ];
     for (name, answer, never_ran) in table {
-        let mut rig = Rig::new();
-        let (client, writer) = rig.at_decode("u1", "book");
-        let before = rig.count(|c| c.line().starts_with("POST"));
-        rig.text(writer, answer);
-        let again = rig.count(|c| c.line().starts_with("POST")) > before;
+        let mut harness = Harness::new();
+        let (client, writer) = harness.start_decode("u1", "book");
+        let before = harness.count_calls(|c| c.request_line().starts_with("POST"));
+        harness.receive_text(writer, answer);
+        let again = harness.count_calls(|c| c.request_line().starts_with("POST")) > before;
         assert_eq!(
             again, never_ran,
             "{name}: an unsafe request is sent again only if it never ran"
         );
         if !never_ran {
             assert_eq!(
-                rig.status(client),
+                harness.status(client),
                 "504",
                 "{name}: failed at once, not refused"
             );
-            assert!(!rig.said(client).contains("Retry-After"), "{name}");
+            assert!(
+                !harness.client_output(client).contains("Retry-After"),
+                "{name}"
+            );
         }
     }
 }
 
 #[test]
 fn reset_may_have_run_only_after_last_byte() {
-    for stuck in [true, false] {
-        let mut rig = Rig::new();
-        if stuck {
-            rig.stuck.extend([
+    for is_blocked in [true, false] {
+        let mut harness = Harness::new();
+        if is_blocked {
+            harness.blocked_servers.extend([
                 "127.0.1.3:80".parse().unwrap(),
                 "127.0.1.4:80".parse().unwrap(),
             ] as [std::net::SocketAddr; 2]);
         }
-        let (client, writer) = rig.at_decode("u2", "book");
-        let before = rig.count(Call::is_decode);
-        rig.tell(Input::Ended { conn: writer });
-        assert_eq!(rig.count(Call::is_decode) > before, stuck);
-        assert_eq!(rig.status(client), if stuck { "" } else { "504" });
+        let (client, writer) = harness.start_decode("u2", "book");
+        let before = harness.count_calls(Call::is_decode);
+        harness.step(Input::Ended { conn: writer });
+        assert_eq!(harness.count_calls(Call::is_decode) > before, is_blocked);
+        assert_eq!(harness.status(client), if is_blocked { "" } else { "504" });
     }
 }
 
 #[test]
 fn connect_timeout_is_retried_elsewhere() {
-    let mut rig = Rig::new();
-    rig.answers_health_checks = false;
-    rig.dead.extend([
+    let mut harness = Harness::new();
+    harness.answers_health_checks = false;
+    harness.unreachable_addresses.extend([
         "127.0.1.3:80".parse().unwrap(),
         "127.0.1.4:80".parse().unwrap(),
     ] as [std::net::SocketAddr; 2]);
-    rig.ask("c1", "book");
-    rig.prefill_done();
-    let dials = |rig: &Rig| {
-        rig.connects
+    harness.send_request("c1", "book");
+    harness.complete_prefill();
+    let dials = |harness: &Harness| {
+        harness
+            .connects
             .iter()
-            .filter(|c| rig.dead.contains(&c.1))
+            .filter(|c| harness.unreachable_addresses.contains(&c.1))
             .count()
     };
-    let first = dials(&rig);
-    rig.pass(0.3);
-    assert!(dials(&rig) > first, "the other writer, or the same again");
-    assert_eq!(rig.count(Call::is_decode), 0);
+    let first = dials(&harness);
+    harness.advance(0.3);
+    assert!(
+        dials(&harness) > first,
+        "the other writer, or the same again"
+    );
+    assert_eq!(harness.count_calls(Call::is_decode), 0);
 }
 
 #[test]
 fn drain_during_connect_keeps_request_away() {
-    let mut rig = Rig::new();
-    rig.answers_health_checks = false;
-    rig.dead.extend([
+    let mut harness = Harness::new();
+    harness.answers_health_checks = false;
+    harness.unreachable_addresses.extend([
         "127.0.1.3:80".parse().unwrap(),
         "127.0.1.4:80".parse().unwrap(),
     ] as [std::net::SocketAddr; 2]);
-    rig.ask("d1", "ask");
-    rig.prefill_done();
-    let (conn, to) = *rig
+    harness.send_request("d1", "ask");
+    harness.complete_prefill();
+    let (conn, to) = *harness
         .connects
         .iter()
         .rev()
-        .find(|c| rig.dead.contains(&c.1))
+        .find(|c| harness.unreachable_addresses.contains(&c.1))
         .expect("a dial");
     let uid = if to.ip().to_string() == "127.0.1.3" {
         "h-w1"
     } else {
         "h-w2"
     };
-    let drained = list(
+    let drained = endpoint_list_json(
         8,
         false,
-        &[target(uid, &to.to_string(), "writes", "terminating")],
+        &[endpoint_json(uid, &to.to_string(), "writes", "terminating")],
     );
-    let watch = rig.connects[0].0;
-    rig.text(
+    let watch = harness.connects[0].0;
+    harness.receive_text(
         watch,
         &format!(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
             chunk(&format!("{drained}\n"))
         ),
     );
-    rig.tell(Input::Connected { conn });
+    harness.step(Input::Connected { conn });
     assert!(
-        !rig.calls.iter().any(|c| c.conn == conn),
+        !harness.calls.iter().any(|c| c.conn == conn),
         "nothing is written to a host that drains"
     );
-    assert!(rig.closed.contains(&conn));
+    assert!(harness.closed.contains(&conn));
 }
 
 #[test]
@@ -295,25 +314,32 @@
         ("a chunk that does not fit", Some("3\r\nabcdef")),
     ];
     for (name, bytes) in breaks {
-        let mut rig = Rig::new();
-        let (client, writer) = rig.at_decode("s1", "ask");
-        rig.text(writer, STREAM_HEAD);
-        rig.text(writer, &chunk(&event("one")));
-        let writes = rig.count(Call::is_decode);
+        let mut harness = Harness::new();
+        let (client, writer) = harness.start_decode("s1", "ask");
+        harness.receive_text(writer, STREAM_HEAD);
+        harness.receive_text(writer, &chunk(&stream_event("one")));
+        let writes = harness.count_calls(Call::is_decode);
         match bytes {
-            Some(bytes) => rig.text(writer, bytes),
-            None => rig.tell(Input::Ended { conn: writer }),
+            Some(bytes) => harness.receive_text(writer, bytes),
+            None => harness.step(Input::Ended { conn: writer }),
         }
-        assert!(rig.finished.contains(&client), "{name}: at once");
-        assert!(!rig.said(client).ends_with("0\r\n\r\n"), "{name}");
-        assert_eq!(unchunk(rig.said(client)), event("one"), "{name}");
+        assert!(harness.finished.contains(&client), "{name}: at once");
+        assert!(
+            !harness.client_output(client).ends_with("0\r\n\r\n"),
+            "{name}"
+        );
         assert_eq!(
-            rig.count(Call::is_decode),
+            decode_chunked(harness.client_output(client)),
+            stream_event("one"),
+            "{name}"
+        );
+        assert_eq!(
+            harness.count_calls(Call::is_decode),
             writes,
             "{name}: nothing more is sent"
         );
         assert!(
-            bytes.is_none() || rig.closed.contains(&writer),
+            bytes.is_none() || harness.closed.contains(&writer),
             "{name}: not used again"
         );
     }
@@ -321,91 +347,94 @@
 
 #[test]
 fn stalled_stream_ends_within_five_seconds() {
-    let mut rig = Rig::new();
-    let (client, writer) = rig.at_decode("s2", "ask");
-    rig.text(writer, STREAM_HEAD);
-    rig.text(writer, &chunk(&event("one")));
-    rig.pass(4.0);
-    assert!(!rig.finished.contains(&client), "a pause is no end");
-    rig.text(writer, &chunk(&event("two")));
-    rig.pass(4.9);
-    assert!(rig.finished.contains(&client) && rig.closed.contains(&writer));
+    let mut harness = Harness::new();
+    let (client, writer) = harness.start_decode("s2", "ask");
+    harness.receive_text(writer, STREAM_HEAD);
+    harness.receive_text(writer, &chunk(&stream_event("one")));
+    harness.advance(4.0);
+    assert!(!harness.finished.contains(&client), "a pause is no end");
+    harness.receive_text(writer, &chunk(&stream_event("two")));
+    harness.advance(4.9);
+    assert!(harness.finished.contains(&client) && harness.closed.contains(&writer));
 }
 
 #[test]
 fn second_response_closes_connection() {
-    let mut rig = Rig::new();
-    let (client, writer) = rig.at_decode("s3", "ask");
+    let mut harness = Harness::new();
+    let (client, writer) = harness.start_decode("s3", "ask");
     let all = format!(
         "{STREAM_HEAD}{}0\r\n\r\nHTTP/1.1 200 OK\r\n\r\nmore",
-        chunk(&event("one"))
+        chunk(&stream_event("one"))
+    );
+    harness.receive_text(writer, &all);
+    assert_eq!(
+        decode_chunked(harness.client_output(client)),
+        stream_event("one")
     );
-    rig.text(writer, &all);
-    assert_eq!(unchunk(rig.said(client)), event("one"));
-    assert!(rig.said(client).ends_with("0\r\n\r\n"));
-    assert!(rig.closed.contains(&writer));
+    assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
+    assert!(harness.closed.contains(&writer));
 }
 
 #[test]
 fn bytes_on_idle_connection_close_it() {
-    let mut rig = Rig::new();
-    let (_, writer) = rig.at_decode("s4", "ask");
-    rig.text(
+    let mut harness = Harness::new();
+    let (_, writer) = harness.start_decode("s4", "ask");
+    harness.receive_text(
         writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
-    assert!(!rig.closed.contains(&writer));
-    rig.text(writer, "HTTP/1.1 200 OK\r\n\r\n");
-    assert!(rig.closed.contains(&writer));
+    assert!(!harness.closed.contains(&writer));
+    harness.receive_text(writer, "HTTP/1.1 200 OK\r\n\r\n");
+    assert!(harness.closed.contains(&writer));
 }
 
 /// A second answer comes some milliseconds after the first: it must not be taken for the answer to the next request.
 #[test]
 fn late_second_response_is_not_mistaken() {
-    let twice = plain("202 Accepted", "", r#"{"cached_tokens":64}"#);
+    let twice = plain_response("202 Accepted", "", r#"{"cached_tokens":64}"#);
     for late_s in [0.0, 0.001, 0.01, 0.029] {
-        let mut rig = Rig::new();
-        rig.ask("first", "ask");
-        let reader = rig.last(Call::is_prefill);
-        rig.text(reader.conn, &twice);
+        let mut harness = Harness::new();
+        harness.send_request("first", "ask");
+        let reader = harness.last_call(Call::is_prefill);
+        harness.receive_text(reader.conn, &twice);
         // All that is asked meanwhile needs the same reader.
-        rig.dead = hosts()
+        harness.unreachable_addresses = servers()
             .iter()
             .map(|h| h.1.parse().expect("an address"))
             .collect();
-        let client = rig.client();
-        rig.text(client, &request("second", "book", 4800));
-        rig.pass(late_s);
+        let client = harness.connect_client();
+        harness.receive_text(client, &request("second", "book", 4800));
+        harness.advance(late_s);
         assert_eq!(
-            rig.count(|c| c.is_prefill() && c.text.contains("second")),
+            harness.count_calls(|c| c.is_prefill() && c.text.contains("second")),
             0,
             "it does not go out there"
         );
-        rig.text(reader.conn, &twice);
+        harness.receive_text(reader.conn, &twice);
         assert!(
-            rig.closed.contains(&reader.conn),
+            harness.closed.contains(&reader.conn),
             "{late_s}: nothing is sent on it any more"
         );
     }
 }
 
 /// A node that has served one request; each of its connections to hosts proves stale when it is used next.
-fn all_stale() -> Rig {
-    let mut rig = Rig::new();
-    let (_, writer) = rig.at_decode("first", "ask");
-    rig.text(
+fn all_stale() -> Harness {
+    let mut harness = Harness::new();
+    let (_, writer) = harness.start_decode("first", "ask");
+    harness.receive_text(
         writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
-    rig.pass(REUSE_DELAY_SECS);
-    rig.stale = rig
+    harness.advance(REUSE_DELAY_SECS);
+    harness.stale = harness
         .connects
         .iter()
         .map(|c| c.0)
-        .filter(|c| !rig.closed.contains(c))
+        .filter(|c| !harness.closed.contains(c))
         .collect();
-    assert!(rig.stale.len() >= 2);
-    rig
+    assert!(harness.stale.len() >= 2);
+    harness
 }
 
 /// What a connection has brought, or its end, is seen as it is to be used again: the request goes out on another one,
@@ -413,109 +442,128 @@
 #[test]
 fn stale_connection_costs_no_attempt() {
     for kind in ["ask", "book"] {
-        let mut rig = all_stale();
-        let stale = rig.stale.clone();
-        let (client, writer) = rig.at_decode("second", kind);
+        let mut harness = all_stale();
+        let stale = harness.stale.clone();
+        let (client, writer) = harness.start_decode("second", kind);
         assert!(
-            rig.stale.len() < stale.len(),
+            harness.stale.len() < stale.len(),
             "{kind}: one was tried and found stale"
         );
-        assert!(rig
+        assert!(harness
             .calls
             .iter()
             .rev()
             .take(2)
             .all(|c| !stale.contains(&c.conn)));
         assert_eq!(
-            rig.count(|c| c.text.contains("Req-Id: second")),
+            harness.count_calls(|c| c.text.contains("Req-Id: second")),
             2,
             "{kind}: one read and one write"
         );
-        rig.text(
+        harness.receive_text(
             writer,
-            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("two"))),
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("two"))),
+        );
+        assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
+        assert_eq!(
+            harness.node.counts().attempts,
+            4,
+            "as the module counts them"
         );
-        assert!(rig.said(client).ends_with("0\r\n\r\n"));
-        assert_eq!(rig.node.counts().attempts, 4, "as the module counts them");
     }
 }
 
 /// A client that has gone gets nothing by another way either.
 #[test]
 fn stale_connection_is_replaced_only_if_still_wanted() {
-    let mut rig = all_stale();
-    rig.dead = hosts()
+    let mut harness = all_stale();
+    harness.unreachable_addresses = servers()
         .iter()
         .map(|h| h.1.parse().expect("an address"))
         .collect();
-    let client = rig.client();
-    rig.text(client, &request("second", "ask", 4800));
-    rig.pass(0.02);
-    rig.tell(Input::Ended { conn: client });
-    for (conn, _) in rig.connects.clone() {
-        if !rig.closed.contains(&conn) {
-            rig.tell(Input::Connected { conn });
+    let client = harness.connect_client();
+    harness.receive_text(client, &request("second", "ask", 4800));
+    harness.advance(0.02);
+    harness.step(Input::Ended { conn: client });
+    for (conn, _) in harness.connects.clone() {
+        if !harness.closed.contains(&conn) {
+            harness.step(Input::Connected { conn });
         }
     }
-    rig.pass(5.0);
-    assert_eq!(rig.count(|c| c.text.contains("Req-Id: second")), 0);
-    assert_eq!(rig.node.resource_usage().requests, 0);
+    harness.advance(5.0);
+    assert_eq!(
+        harness.count_calls(|c| c.text.contains("Req-Id: second")),
+        0
+    );
+    assert_eq!(harness.node.resource_usage().requests, 0);
 }
 
 #[test]
 fn unreadable_load_reports_change_nothing() {
-    let mut rig = Rig::new();
-    let client = rig.ask("l1", "ask");
-    let read = rig.last(Call::is_prefill);
+    let mut harness = Harness::new();
+    let client = harness.send_request("l1", "ask");
+    let read = harness.last_call(Call::is_prefill);
     let more = "Srv-Load: queue=\u{e9}NaN,,=\r\n";
-    rig.text(
+    harness.receive_text(
         read.conn,
-        &plain("202 Accepted", more, r#"{"cached_tokens":"many"}"#),
+        &plain_response("202 Accepted", more, r#"{"cached_tokens":"many"}"#),
+    );
+    let writer = harness.last_call(Call::is_decode).conn;
+    harness.receive_text(
+        writer,
+        &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
+    );
+    harness.receive_text(writer, &chunk(": Srv-Load: util=one\n\n"));
+    harness.receive_text(writer, "0\r\n\r\n");
+    assert_eq!(
+        decode_chunked(harness.client_output(client)),
+        stream_event("one")
     );
-    let writer = rig.last(Call::is_decode).conn;
-    rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
-    rig.text(writer, &chunk(": Srv-Load: util=one\n\n"));
-    rig.text(writer, "0\r\n\r\n");
-    assert_eq!(unchunk(rig.said(client)), event("one"));
-    assert_eq!(rig.node.counts().served, 1);
+    assert_eq!(harness.node.counts().served, 1);
 }
 
 #[test]
 fn slow_client_pauses_its_own_stream() {
-    let mut rig = Rig::new();
-    rig.slow = true;
-    let (client, writer) = rig.at_decode("w1", "ask");
-    rig.text(writer, STREAM_HEAD);
-    let long = event(&"x".repeat(20_000));
+    let mut harness = Harness::new();
+    harness.clients_blocked = true;
+    let (client, writer) = harness.start_decode("w1", "ask");
+    harness.receive_text(writer, STREAM_HEAD);
+    let long = stream_event(&"x".repeat(20_000));
     for _ in 0..10 {
-        rig.text(writer, &chunk(&long));
+        harness.receive_text(writer, &chunk(&long));
     }
-    assert!(rig.paused.contains(&writer), "its host is read no further");
-    rig.pass(6.0);
     assert!(
-        !rig.finished.contains(&client),
+        harness.paused.contains(&writer),
+        "its host is read no further"
+    );
+    harness.advance(6.0);
+    assert!(
+        !harness.finished.contains(&client),
         "the host has not fallen silent: it is not read"
     );
-    rig.tell(Input::Wrote {
+    harness.step(Input::Wrote {
         conn: client,
         count: 190_000,
     });
-    assert!(!rig.paused.contains(&writer));
+    assert!(!harness.paused.contains(&writer));
 }
 
 #[test]
 fn expect_continue_is_answered() {
-    let mut rig = Rig::new();
-    let client = rig.client();
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
     let text = request("e1", "ask", 4800).replace("Req-Kind", "Expect: 100-continue\r\nReq-Kind");
     let (head, body) = text.split_at(text.find("\r\n\r\n").expect("a head") + 4);
-    rig.text(client, head);
-    assert_eq!(rig.said(client), "HTTP/1.1 100 Continue\r\n\r\n");
-    rig.text(client, body);
-    rig.pass(0.02);
-    assert_eq!(rig.count(Call::is_prefill), 1);
-    assert!(!rig
-        .last(Call::is_prefill)
+    harness.receive_text(client, head);
+    assert_eq!(
+        harness.client_output(client),
+        "HTTP/1.1 100 Continue\r\n\r\n"
+    );
+    harness.receive_text(client, body);
+    harness.advance(0.02);
+    assert_eq!(harness.count_calls(Call::is_prefill), 1);
+    assert!(!harness
+        .last_call(Call::is_prefill)
         .text
         .to_lowercase()
         .contains("expect"));
@@ -523,47 +571,48 @@
 
 #[test]
 fn client_that_takes_nothing_is_disconnected() {
-    let mut rig = Rig::new();
-    rig.slow = true;
-    let (client, writer) = rig.at_decode("w2", "ask");
-    rig.text(writer, STREAM_HEAD);
-    rig.text(writer, &chunk(&event(&"x".repeat(150_000))));
-    rig.pass(15.0);
-    assert!(!rig.closed.contains(&client));
-    rig.tell(Input::Wrote {
+    let mut harness = Harness::new();
+    harness.clients_blocked = true;
+    let (client, writer) = harness.start_decode("w2", "ask");
+    harness.receive_text(writer, STREAM_HEAD);
+    harness.receive_text(writer, &chunk(&stream_event(&"x".repeat(150_000))));
+    harness.advance(15.0);
+    assert!(!harness.closed.contains(&client));
+    harness.step(Input::Wrote {
         conn: client,
         count: 10,
     });
-    rig.pass(15.0);
-    assert!(!rig.closed.contains(&client), "it takes a little");
-    rig.pass(6.0);
+    harness.advance(15.0);
+    assert!(!harness.closed.contains(&client), "it takes a little");
+    harness.advance(6.0);
     assert!(
-        rig.closed.contains(&client) && rig.closed.contains(&writer),
+        harness.closed.contains(&client) && harness.closed.contains(&writer),
         "its host's slot is free again"
     );
 }
 
 #[test]
 fn disconnect_ends_attempt() {
-    let mut rig = Rig::new();
-    let client = rig.ask("g1", "ask");
-    let read = rig.last(Call::is_prefill);
-    rig.tell(Input::Ended { conn: client });
-    assert!(rig.closed.contains(&read.conn));
-    assert_eq!(rig.node.counts().disconnected, 1);
-    let deletes = rig.count(|c| c.line() == "DELETE /bootstrap/rooms/g1 HTTP/1.1");
+    let mut harness = Harness::new();
+    let client = harness.send_request("g1", "ask");
+    let read = harness.last_call(Call::is_prefill);
+    harness.step(Input::Ended { conn: client });
+    assert!(harness.closed.contains(&read.conn));
+    assert_eq!(harness.node.counts().disconnected, 1);
+    let deletes =
+        harness.count_calls(|c| c.request_line() == "DELETE /bootstrap/rooms/g1 HTTP/1.1");
     assert_eq!(deletes, 1, "the read may have ended well just then");
 }
 
 #[test]
 fn failed_request_is_answered_at_its_deadline() {
-    let mut rig = Rig::new();
-    let client = rig.ask("f1", "book");
-    rig.pass(4.9);
-    assert_eq!(rig.status(client), "504");
-    rig.pass(10.0);
+    let mut harness = Harness::new();
+    let client = harness.send_request("f1", "book");
+    harness.advance(4.9);
+    assert_eq!(harness.status(client), "504");
+    harness.advance(10.0);
     assert_eq!(
-        rig.said(client).matches("HTTP/1.1").count(),
+        harness.client_output(client).matches("HTTP/1.1").count(),
         1,
         "one final answer"
     );
@@ -571,24 +620,24 @@
 
 #[test]
 fn refusals_carry_retry_after() {
-    let mut rig = Rig::new();
-    let watch = rig.connects[0].0;
-    let drained: Vec<String> = hosts()
+    let mut harness = Harness::new();
+    let watch = harness.connects[0].0;
+    let drained: Vec<String> = servers()
         .iter()
-        .map(|h| target(h.0, h.1, h.2, "terminating"))
+        .map(|h| endpoint_json(h.0, h.1, h.2, "terminating"))
         .collect();
-    rig.text(
+    harness.receive_text(
         watch,
         &format!(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
-            chunk(&format!("{}\n", list(9, true, &drained)))
+            chunk(&format!("{}\n", endpoint_list_json(9, true, &drained)))
         ),
     );
-    let client = rig.client();
-    rig.text(client, &request("r1", "book", 12_000));
-    assert_eq!(rig.status(client), "503");
-    let told = rig
-        .said(client)
+    let client = harness.connect_client();
+    harness.receive_text(client, &request("r1", "book", 12_000));
+    assert_eq!(harness.status(client), "503");
+    let told = harness
+        .client_output(client)
         .split("Retry-After: ")
         .nth(1)
         .expect("a time to come back");
@@ -604,23 +653,23 @@
 /// host's connection is kept, and what is asked there next is read.
 #[test]
 fn ended_stream_leaves_connection_readable() {
-    let mut rig = Rig::new();
-    let (client, writer) = rig.at_decode("big", "ask");
-    rig.slow = true;
-    let long = chunk(&event(&"x".repeat(100_000)));
-    rig.text(writer, &format!("{STREAM_HEAD}{long}"));
-    assert!(!rig.paused.contains(&writer), "it is not much yet");
-    rig.text(writer, &format!("{long}0\r\n\r\n"));
+    let mut harness = Harness::new();
+    let (client, writer) = harness.start_decode("big", "ask");
+    harness.clients_blocked = true;
+    let long = chunk(&stream_event(&"x".repeat(100_000)));
+    harness.receive_text(writer, &format!("{STREAM_HEAD}{long}"));
+    assert!(!harness.paused.contains(&writer), "it is not much yet");
+    harness.receive_text(writer, &format!("{long}0\r\n\r\n"));
     assert!(
-        !rig.closed.contains(&writer) && !rig.paused.contains(&writer),
+        !harness.closed.contains(&writer) && !harness.paused.contains(&writer),
         "kept, and read"
     );
-    rig.tell(Input::Wrote {
+    harness.step(Input::Wrote {
         conn: client,
-        count: rig.said(client).len(),
+        count: harness.client_output(client).len(),
     });
-    assert!(!rig.paused.contains(&writer));
-    assert!(rig.said(client).ends_with("0\r\n\r\n"));
+    assert!(!harness.paused.contains(&writer));
+    assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
 }
 
 /// A request sent ahead waits behind the one before it, and its time runs from its own last byte: what is left of it is
@@ -633,25 +682,28 @@
         (4.7, false, Some(100.0)),
         (4.9, false, None),
     ] {
-        let mut rig = Rig::new();
-        let (client, writer) = rig.at_decode("first", "ask");
-        rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
+        let mut harness = Harness::new();
+        let (client, writer) = harness.start_decode("first", "ask");
+        harness.receive_text(
+            writer,
+            &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
+        );
         let ahead = request("second", "ask", 4800);
         if cut {
             let (head, tail) = ahead.split_at(ahead.len() - 1);
-            rig.text(client, head);
-            rig.pass(0.1);
-            rig.text(client, tail);
-            rig.pass(behind_s - 0.1);
+            harness.receive_text(client, head);
+            harness.advance(0.1);
+            harness.receive_text(client, tail);
+            harness.advance(behind_s - 0.1);
         } else {
-            rig.text(client, &ahead);
-            rig.pass(behind_s - 0.5);
-            rig.text(writer, &chunk(&event("two")));
-            rig.pass(0.5);
+            harness.receive_text(client, &ahead);
+            harness.advance(behind_s - 0.5);
+            harness.receive_text(writer, &chunk(&stream_event("two")));
+            harness.advance(0.5);
         }
-        rig.text(writer, "0\r\n\r\n");
-        rig.pass(0.001);
-        let sent = rig
+        harness.receive_text(writer, "0\r\n\r\n");
+        harness.advance(0.001);
+        let sent = harness
             .calls
             .iter()
             .rev()
@@ -673,9 +725,9 @@
                     "{case}"
                 );
                 assert!(
-                    rig.said(client).contains("HTTP/1.1 503"),
+                    harness.client_output(client).contains("HTTP/1.1 503"),
                     "{case}: {}",
-                    rig.said(client)
+                    harness.client_output(client)
                 );
             }
         }
@@ -687,29 +739,33 @@
 fn response_at_moment_of_timeout_counts() {
     let no_cancel = config_json(256).replace(r#""cancel":true"#, r#""cancel":false"#);
     for text in [config_json(256), no_cancel] {
-        let mut rig = Rig::with(Config::parse(&text).expect("the test's configuration"));
-        let client = rig.ask("m1", "ask");
+        let mut harness =
+            Harness::with_config(Config::parse(&text).expect("the test's configuration"));
+        let client = harness.send_request("m1", "ask");
         // Nobody has looked at the clock meanwhile: the reader has been silent for far too long.
-        rig.now = rig.now.after(4.5);
-        rig.prefill_done();
-        rig.tell(Input::Tick);
+        harness.now = harness.now.after(4.5);
+        harness.complete_prefill();
+        harness.step(Input::Tick);
         assert_eq!(
-            (rig.count(Call::is_prefill), rig.count(Call::is_decode)),
+            (
+                harness.count_calls(Call::is_prefill),
+                harness.count_calls(Call::is_decode)
+            ),
             (1, 1),
             "not read twice"
         );
         // The same of the first event and the client's deadline.
-        let writer = rig.last(Call::is_decode).conn;
-        rig.now = rig.now.after(0.3);
-        rig.text(
+        let writer = harness.last_call(Call::is_decode).conn;
+        harness.now = harness.now.after(0.3);
+        harness.receive_text(
             writer,
-            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
         );
-        rig.tell(Input::Tick);
+        harness.step(Input::Tick);
         assert!(
-            rig.said(client).ends_with("0\r\n\r\n"),
+            harness.client_output(client).ends_with("0\r\n\r\n"),
             "{}",
-            rig.said(client)
+            harness.client_output(client)
         );
     }
 }
--- a/crates/platform/tests/start_times.rs
+++ b/crates/platform/tests/start_times.rs
@@ -11,15 +11,16 @@
 const HOUR_SECS: f64 = 3600.0;
 
 /// A new host that is listed with a start so long ago.
-fn started(rig: &Rig, age_s: f64) -> String {
-    let boot_ms = (rig.now.seconds() - age_s) * 1e3;
-    target(NEW, "127.0.1.9:80", "reads", "in_service")
+fn started(harness: &Harness, age_s: f64) -> String {
+    let boot_ms = (harness.now.seconds() - age_s) * 1e3;
+    endpoint_json(NEW, "127.0.1.9:80", "reads", "in_service")
         .replace("\"boot_ms\":0", &format!("\"boot_ms\":{boot_ms:.0}"))
 }
 
-fn call(rig: &Rig) -> bitternlatch_platform::types::ConnId {
+fn call(harness: &Harness) -> bitternlatch_platform::types::ConnId {
     let to = DISCOVERY.parse().expect("an address");
-    rig.connects
+    harness
+        .connects
         .iter()
         .rev()
         .find(|c| c.1 == to)
@@ -28,8 +29,8 @@
 }
 
 /// The age of the new host that the module was told last, seconds.
-fn told_age_s(rig: &mut Rig) -> f64 {
-    let mut told = rig
+fn told_age_s(harness: &mut Harness) -> f64 {
+    let mut told = harness
         .node
         .take_trace()
         .into_iter()
@@ -39,7 +40,7 @@
                 .max_by(|a, b| a.booted_at.total_cmp(&b.booted_at)),
             _ => None,
         });
-    rig.now.seconds() - told.next_back().expect("a list was told").booted_at
+    harness.now.seconds() - told.next_back().expect("a list was told").booted_at
 }
 
 #[test]
@@ -53,16 +54,16 @@
         (-7.0, 0.0),
     ];
     for (listed_s, taken_s) in table {
-        let mut rig = Rig::tracing();
-        let conn = call(&rig);
-        rig.text(conn, HEAD);
-        rig.text(conn, &chunk("\n"));
-        rig.pass(2.0);
-        rig.text(conn, &chunk("\n"));
-        rig.pass(0.5);
-        let line = list(8, false, &[started(&rig, listed_s)]);
-        rig.text(conn, &chunk(&format!("{line}\n")));
-        let told_s = told_age_s(&mut rig);
+        let mut harness = Harness::with_tracing();
+        let conn = call(&harness);
+        harness.receive_text(conn, HEAD);
+        harness.receive_text(conn, &chunk("\n"));
+        harness.advance(2.0);
+        harness.receive_text(conn, &chunk("\n"));
+        harness.advance(0.5);
+        let line = endpoint_list_json(8, false, &[started(&harness, listed_s)]);
+        harness.receive_text(conn, &chunk(&format!("{line}\n")));
+        let told_s = told_age_s(&mut harness);
         assert!(
             (told_s - taken_s).abs() < 0.01,
             "listed {listed_s} s ago, told {told_s:.3}, wanted {taken_s}"
@@ -89,16 +90,19 @@
             bitternlatch_platform::config::Config::parse(&text).expect("the test's configuration");
         let mut out = Vec::new();
         let node = Node::traced(START, config, &mut out);
-        let mut rig = Rig::begun(node, out);
-        let conn = call(&rig);
-        rig.text(conn, HEAD);
-        let others = hosts().into_iter().filter(|_| others_long_ago);
+        let mut harness = Harness::from_started_node(node, out);
+        let conn = call(&harness);
+        harness.receive_text(conn, HEAD);
+        let others = servers().into_iter().filter(|_| others_long_ago);
         let mut all: Vec<String> = others
-            .map(|h| target(h.0, h.1, h.2, "in_service"))
+            .map(|h| endpoint_json(h.0, h.1, h.2, "in_service"))
             .collect();
-        all.push(started(&rig, listed_s));
-        rig.text(conn, &chunk(&format!("{}\n", list(8, true, &all))));
-        let told_s = told_age_s(&mut rig);
+        all.push(started(&harness, listed_s));
+        harness.receive_text(
+            conn,
+            &chunk(&format!("{}\n", endpoint_list_json(8, true, &all))),
+        );
+        let told_s = told_age_s(&mut harness);
         assert!(
             (told_s - taken_s).abs() < 0.01,
             "listed {listed_s} s ago, told {told_s:.3}, wanted {taken_s}"
@@ -109,24 +113,24 @@
 /// The same list once more, whole, changes nothing: a start is reckoned once.
 #[test]
 fn start_time_listed_again_is_kept() {
-    let mut rig = Rig::tracing();
-    let conn = call(&rig);
-    rig.text(conn, HEAD);
-    let new = started(&rig, -HOUR_SECS);
+    let mut harness = Harness::with_tracing();
+    let conn = call(&harness);
+    harness.receive_text(conn, HEAD);
+    let new = started(&harness, -HOUR_SECS);
     for (rev, passes_s, taken_s) in [(8, 0.0, 0.0), (9, 5.0, 5.0), (10, 5.0, 10.0)] {
-        rig.text(conn, &chunk("\n"));
+        harness.receive_text(conn, &chunk("\n"));
         for _ in 0..(passes_s as usize) {
-            rig.pass(1.0);
-            rig.text(conn, &chunk("\n"));
+            harness.advance(1.0);
+            harness.receive_text(conn, &chunk("\n"));
         }
-        rig.text(
+        harness.receive_text(
             conn,
             &chunk(&format!(
                 "{}\n",
-                list(rev, false, std::slice::from_ref(&new))
+                endpoint_list_json(rev, false, std::slice::from_ref(&new))
             )),
         );
-        let told_s = told_age_s(&mut rig);
+        let told_s = told_age_s(&mut harness);
         assert!(
             (told_s - taken_s).abs() < 0.01,
             "version {rev}: {told_s:.3} for {taken_s}"
--- a/crates/platform/tests/truncated_responses.rs
+++ b/crates/platform/tests/truncated_responses.rs
@@ -7,8 +7,8 @@
 fn answer() -> String {
     format!(
         "{STREAM_HEAD}{}{}0\r\n\r\n",
-        chunk(&event("one")),
-        chunk(&event("two"))
+        chunk(&stream_event("one")),
+        chunk(&stream_event("two"))
     )
 }
 
@@ -16,34 +16,46 @@
 /// client's, who gets whole events alone and no last chunk.
 #[test]
 fn truncated_response_is_never_complete() {
-    let (text, first) = (answer(), event("one"));
+    let (text, first) = (answer(), stream_event("one"));
     let first_whole = text.find(&first).expect("the first event") + first.len();
-    let second_whole = text.find(&event("two")).expect("the second event") + event("two").len();
+    let second_whole =
+        text.find(&stream_event("two")).expect("the second event") + stream_event("two").len();
     for (kind, safe) in [("ask", true), ("book", false)] {
         for cut in 0..text.len() {
-            let mut rig = Rig::new();
-            let (client, writer) = rig.at_decode("k1", kind);
-            let writes = rig.count(Call::is_decode);
+            let mut harness = Harness::new();
+            let (client, writer) = harness.start_decode("k1", kind);
+            let writes = harness.count_calls(Call::is_decode);
             if cut > 0 {
-                rig.text(writer, &text[..cut]);
+                harness.receive_text(writer, &text[..cut]);
             }
-            rig.tell(Input::Ended { conn: writer });
-            let again = rig.count(Call::is_decode) > writes;
+            harness.step(Input::Ended { conn: writer });
+            let again = harness.count_calls(Call::is_decode) > writes;
             let at = format!("{kind}, cut at {cut}");
-            assert_eq!(rig.node.counts().served, 0, "{at}");
+            assert_eq!(harness.node.counts().served, 0, "{at}");
             if cut < first_whole {
                 assert_eq!(again, safe, "{at}");
-                assert_eq!(rig.status(client), if safe { "" } else { "504" }, "{at}");
+                assert_eq!(
+                    harness.status(client),
+                    if safe { "" } else { "504" },
+                    "{at}"
+                );
                 continue;
             }
             let events = if cut < second_whole {
                 first.clone()
             } else {
-                first.clone() + &event("two")
+                first.clone() + &stream_event("two")
             };
-            assert!(!again && rig.finished.contains(&client), "{at}");
-            assert_eq!(unchunk(rig.said(client)), events, "{at}");
-            assert!(!rig.said(client).ends_with("0\r\n\r\n"), "{at}");
+            assert!(!again && harness.finished.contains(&client), "{at}");
+            assert_eq!(
+                decode_chunked(harness.client_output(client)),
+                events,
+                "{at}"
+            );
+            assert!(
+                !harness.client_output(client).ends_with("0\r\n\r\n"),
+                "{at}"
+            );
         }
     }
 }
@@ -51,18 +63,25 @@
 /// As slow as the bound on silence between two events allows: a stream without a whole event for 4.4 s has broken.
 #[test]
 fn response_may_come_byte_by_byte() {
-    let mut rig = Rig::new();
-    let (client, writer) = rig.at_decode("k2", "ask");
+    let mut harness = Harness::new();
+    let (client, writer) = harness.start_decode("k2", "ask");
     let text = answer();
-    let first_whole = text.find(&event("one")).expect("the first event") + event("one").len();
+    let first_whole =
+        text.find(&stream_event("one")).expect("the first event") + stream_event("one").len();
     for (i, byte) in text.as_bytes().iter().enumerate() {
-        rig.pass(if i < first_whole { 0.001 } else { 0.05 });
-        rig.bytes(writer, &[*byte]);
+        harness.advance(if i < first_whole { 0.001 } else { 0.05 });
+        harness.receive(writer, &[*byte]);
     }
-    assert_eq!(unchunk(rig.said(client)), event("one") + &event("two"));
-    assert!(rig.said(client).ends_with("0\r\n\r\n"));
     assert_eq!(
-        (rig.node.counts().served, rig.count(Call::is_decode)),
+        decode_chunked(harness.client_output(client)),
+        stream_event("one") + &stream_event("two")
+    );
+    assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
+    assert_eq!(
+        (
+            harness.node.counts().served,
+            harness.count_calls(Call::is_decode)
+        ),
         (1, 1)
     );
 }
@@ -70,17 +89,17 @@
 /// A client that takes a byte a second is no one that takes nothing.
 #[test]
 fn slow_reader_keeps_its_response() {
-    let mut rig = Rig::new();
-    rig.slow = true;
-    let (client, writer) = rig.at_decode("k3", "ask");
-    rig.text(writer, &answer());
+    let mut harness = Harness::new();
+    harness.clients_blocked = true;
+    let (client, writer) = harness.start_decode("k3", "ask");
+    harness.receive_text(writer, &answer());
     for _ in 0..100 {
-        rig.pass(1.0);
-        rig.tell(Input::Wrote {
+        harness.advance(1.0);
+        harness.step(Input::Wrote {
             conn: client,
             count: 1,
         });
     }
-    assert!(!rig.closed.contains(&client) && !rig.finished.contains(&client));
-    assert_eq!(rig.node.counts().served, 1);
+    assert!(!harness.closed.contains(&client) && !harness.finished.contains(&client));
+    assert_eq!(harness.node.counts().served, 1);
 }
--- a/crates/platform/tests/wire_messages.rs
+++ b/crates/platform/tests/wire_messages.rs
@@ -21,20 +21,29 @@
 
 #[test]
 fn forwarded_request_bytes() {
-    let mut rig = Rig::new();
-    rig.at_decode("f1", "ask");
-    assert_eq!(rig.last(Call::is_prefill).text, forwarded("f1", 4800));
-    assert_eq!(rig.last(Call::is_decode).text, forwarded("f1", 4780));
+    let mut harness = Harness::new();
+    harness.start_decode("f1", "ask");
+    assert_eq!(
+        harness.last_call(Call::is_prefill).text,
+        forwarded("f1", 4800)
+    );
+    assert_eq!(
+        harness.last_call(Call::is_decode).text,
+        forwarded("f1", 4780)
+    );
 }
 
 #[test]
 fn stream_bytes_to_client() {
-    let mut rig = Rig::new();
-    let (client, writer) = rig.at_decode("s1", "ask");
-    rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
-    rig.text(writer, "0\r\n\r\n");
+    let mut harness = Harness::new();
+    let (client, writer) = harness.start_decode("s1", "ask");
+    harness.receive_text(
+        writer,
+        &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
+    );
+    harness.receive_text(writer, "0\r\n\r\n");
     assert_eq!(
-        rig.said(client),
+        harness.client_output(client),
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n\
          Transfer-Encoding: chunked\r\n\r\n\
          31\r\ndata: {\"choices\":[{\"delta\":{\"content\":\"one\"}}]}\n\n\r\n0\r\n\r\n"
@@ -43,16 +52,16 @@
 
 #[test]
 fn stream_head_bytes_where_client_closes() {
-    let mut rig = Rig::new();
-    let client = rig.client();
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
     let text = request("s2", "ask", 4800).replace("Req-Kind", "Connection: close\r\nReq-Kind");
-    rig.text(client, &text);
-    rig.pass(0.02);
-    rig.prefill_done();
-    let writer = rig.last(Call::is_decode).conn;
-    rig.text(writer, &format!("{STREAM_HEAD}{}", chunk("data: 1\n\n")));
+    harness.receive_text(client, &text);
+    harness.advance(0.02);
+    harness.complete_prefill();
+    let writer = harness.last_call(Call::is_decode).conn;
+    harness.receive_text(writer, &format!("{STREAM_HEAD}{}", chunk("data: 1\n\n")));
     assert_eq!(
-        rig.said(client),
+        harness.client_output(client),
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n\
          Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n9\r\ndata: 1\n\n\r\n"
     );
@@ -164,46 +173,46 @@
         ),
     ];
     for (text, status, why) in table {
-        let mut rig = Rig::new();
-        let client = rig.client();
-        rig.text(client, &text);
-        assert_eq!(rig.said(client), closing(status, why));
-        assert!(rig.finished.contains(&client), "{why}");
-        assert_eq!(rig.node.counts().rejected, 1, "{why}");
+        let mut harness = Harness::new();
+        let client = harness.connect_client();
+        harness.receive_text(client, &text);
+        assert_eq!(harness.client_output(client), closing(status, why));
+        assert!(harness.finished.contains(&client), "{why}");
+        assert_eq!(harness.node.counts().rejected, 1, "{why}");
     }
 }
 
 #[test]
 fn duplicate_id_and_slow_request_bytes() {
-    let mut rig = Rig::new();
-    rig.ask("d1", "ask");
-    let second = rig.ask("d1", "ask");
+    let mut harness = Harness::new();
+    harness.send_request("d1", "ask");
+    let second = harness.send_request("d1", "ask");
     assert_eq!(
-        rig.said(second),
+        harness.client_output(second),
         closing("409 Conflict", "a request of this id is open")
     );
-    let silent = rig.client();
-    rig.pass(3.0);
+    let silent = harness.connect_client();
+    harness.advance(3.0);
     assert_eq!(
-        rig.said(silent),
+        harness.client_output(silent),
         closing("408 Request Timeout", "no whole request in time")
     );
 }
 
 #[test]
 fn refusal_and_failure_bytes() {
-    let mut rig = Rig::new();
-    let client = rig.client();
-    rig.text(client, &request("x1", "ask", 10));
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    harness.receive_text(client, &request("x1", "ask", 10));
     assert_eq!(
-        rig.said(client),
+        harness.client_output(client),
         "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 34\r\n\
          Retry-After: 0.200\r\n\r\nrefused: trying again is harmless\n"
     );
-    let (client, writer) = rig.at_decode("x2", "book");
-    rig.text(writer, &plain("500 Oops", "", ""));
+    let (client, writer) = harness.start_decode("x2", "book");
+    harness.receive_text(writer, &plain_response("500 Oops", "", ""));
     assert_eq!(
-        rig.said(client),
+        harness.client_output(client),
         "HTTP/1.1 504 Gateway Timeout\r\nContent-Type: text/plain\r\nContent-Length: 24\r\n\r\n\
          failed: it may have run\n"
     );
@@ -211,19 +220,19 @@
 
 #[test]
 fn readiness_bytes() {
-    let mut rig = Rig::new();
-    let client = rig.client();
-    let ask = "GET /ready HTTP/1.1\r\nHost: d\r\n\r\n";
-    rig.text(client, ask);
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    let ready_request = "GET /ready HTTP/1.1\r\nHost: d\r\n\r\n";
+    harness.receive_text(client, ready_request);
     assert_eq!(
-        rig.said(client),
+        harness.client_output(client),
         "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 6\r\n\r\nready\n"
     );
-    rig.tell(Input::Stop);
-    let client = rig.client();
-    rig.text(client, ask);
+    harness.step(Input::Stop);
+    let client = harness.connect_client();
+    harness.receive_text(client, ready_request);
     assert_eq!(
-        rig.said(client),
+        harness.client_output(client),
         "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 10\r\n\r\n\
          not ready\n"
     );
@@ -231,19 +240,25 @@
 
 #[test]
 fn release_probe_and_discovery_call_bytes() {
-    let mut rig = Rig::new();
-    let client = rig.ask("p1", "ask");
-    rig.tell(Input::Ended { conn: client });
+    let mut harness = Harness::new();
+    let client = harness.send_request("p1", "ask");
+    harness.step(Input::Ended { conn: client });
     assert_eq!(
-        rig.last(|c| c.line().starts_with("DELETE")).text,
+        harness
+            .last_call(|c| c.request_line().starts_with("DELETE"))
+            .text,
         "DELETE /bootstrap/rooms/p1 HTTP/1.1\r\nHost: origin.svc\r\n\r\n"
     );
     assert_eq!(
-        rig.last(|c| c.line().starts_with("GET /status")).text,
+        harness
+            .last_call(|c| c.request_line().starts_with("GET /status"))
+            .text,
         "GET /status/load HTTP/1.1\r\nHost: origin.svc\r\n\r\n"
     );
     assert_eq!(
-        rig.last(|c| c.line().starts_with("GET /v1")).text,
+        harness
+            .last_call(|c| c.request_line().starts_with("GET /v1"))
+            .text,
         "GET /v1/endpoints?watch=1&from=7 HTTP/1.1\r\nHost: discovery\r\n\r\n"
     );
 }
@@ -258,11 +273,11 @@
 }
 
 /// A request that stands before its decode server, with what was traced by then taken.
-fn traced_decode() -> (Rig, ConnId) {
-    let mut rig = Rig::tracing();
-    let (_, writer) = rig.at_decode("t1", "ask");
-    rig.node.take_trace();
-    (rig, writer)
+fn traced_decode() -> (Harness, ConnId) {
+    let mut harness = Harness::with_tracing();
+    let (_, writer) = harness.start_decode("t1", "ask");
+    harness.node.take_trace();
+    (harness, writer)
 }
 
 #[test]
@@ -310,9 +325,9 @@
         ),
     ];
     for (answer, outcome, cached, report) in table {
-        let (mut rig, writer) = traced_decode();
-        rig.text(writer, answer);
-        let ends = attempt_ends(rig.node.take_trace());
+        let (mut harness, writer) = traced_decode();
+        harness.receive_text(writer, answer);
+        let ends = attempt_ends(harness.node.take_trace());
         let end = ends
             .first()
             .unwrap_or_else(|| panic!("no end after {answer}"));
@@ -324,11 +339,11 @@
 
 #[test]
 fn prefill_response_as_read() {
-    let mut rig = Rig::tracing();
-    rig.ask("t2", "ask");
-    rig.node.take_trace();
-    rig.prefill_done();
-    let ends = attempt_ends(rig.node.take_trace());
+    let mut harness = Harness::with_tracing();
+    harness.send_request("t2", "ask");
+    harness.node.take_trace();
+    harness.complete_prefill();
+    let ends = attempt_ends(harness.node.take_trace());
     assert_eq!(ends.len(), 1);
     assert_eq!(ends[0].outcome, Outcome::PrefillDone);
     assert_eq!(ends[0].prefix_hit_tokens, 64.0);
@@ -337,20 +352,21 @@
 
 #[test]
 fn access_log_lines() {
-    let mut rig = Rig::new();
-    rig.node
+    let mut harness = Harness::new();
+    harness
+        .node
         .enable_access_log(AccessLog::new(&config().settings));
-    let (_, writer) = rig.at_decode("e1", "book");
-    rig.pass(0.5);
-    rig.text(writer, &plain("500 Oops", "", ""));
-    let client = rig.client();
-    rig.text(client, &request("e2", "ask", 10));
-    let (client, _) = rig.at_decode("e3", "ask");
-    rig.tell(Input::Ended { conn: client });
+    let (_, writer) = harness.start_decode("e1", "book");
+    harness.advance(0.5);
+    harness.receive_text(writer, &plain_response("500 Oops", "", ""));
+    let client = harness.connect_client();
+    harness.receive_text(client, &request("e2", "ask", 10));
+    let (client, _) = harness.start_decode("e3", "ask");
+    harness.step(Input::Ended { conn: client });
     let server = |uid: &str| xxhash_rust::xxh3::xxh3_64(uid.as_bytes()) as u32;
     let (r1, r2) = (server("h-r1"), server("h-r2"));
     let (w1, w2) = (server("h-w1"), server("h-w2"));
-    let text = rig.explained.join("\n");
+    let text = harness.access_log_lines.join("\n");
     let text = text
         .replace(&r1.to_string(), "R1")
         .replace(&r2.to_string(), "R2")
@@ -373,14 +389,15 @@
 
 #[test]
 fn access_log_line_of_late_request() {
-    let mut rig = Rig::new();
-    rig.node
+    let mut harness = Harness::new();
+    harness
+        .node
         .enable_access_log(AccessLog::new(&config().settings));
-    let (_, writer) = rig.at_decode("e4", "ask");
-    rig.pass(2.0);
+    let (_, writer) = harness.start_decode("e4", "ask");
+    harness.advance(2.0);
     let answer = format!("{STREAM_HEAD}{}0\r\n\r\n", chunk("data: 1\n\n"));
-    rig.text(writer, &answer);
-    let line = rig.explained.join("\n");
+    harness.receive_text(writer, &answer);
+    let line = harness.access_log_lines.join("\n");
     assert!(
         line.starts_with("e4 served late class 0 prompt 1200"),
         "{line}"
