--- a/crates/platform/tests/access_log.rs
+++ b/crates/platform/tests/access_log.rs
@@ -1,11 +1,11 @@
-//! The line that says why a request fared as it did.
+//! The access-log line that states why a request was rejected, failed, retried or late.
 mod common;
 
 use bitternlatch_platform::access_log::{AccessLog, DecisionReasons};
 use bitternlatch_platform::types::Input;
 use common::*;
 
-fn explaining() -> Harness {
+fn harness_with_access_log() -> Harness {
     let mut harness = Harness::new();
     harness
         .node
@@ -13,31 +13,31 @@
     harness
 }
 
-fn answer(harness: &mut Harness, writer: bitternlatch_platform::types::ConnId) {
+fn send_response(harness: &mut Harness, decode_conn: bitternlatch_platform::types::ConnId) {
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
 }
 
 #[test]
 fn request_served_in_time_has_no_line() {
-    let mut harness = explaining();
-    let (_, writer) = harness.start_decode("x0", "ask");
-    answer(&mut harness, writer);
+    let mut harness = harness_with_access_log();
+    let (_, decode_conn) = harness.start_decode("x0", "ask");
+    send_response(&mut harness, decode_conn);
     assert_eq!(harness.access_log_lines, Vec::<String>::new());
 }
 
 #[test]
 fn line_names_why_request_was_not_served_in_time() {
-    type Act = fn(&mut Harness);
-    let table: [(&str, Act, &[&str]); 5] = [
+    type Scenario = fn(&mut Harness);
+    let table: [(&str, Scenario, &[&str]); 5] = [
         (
             "late",
             |harness| {
-                let (_, writer) = harness.start_decode("x1", "book");
+                let (_, decode_conn) = harness.start_decode("x1", "book");
                 harness.advance(3.5);
-                answer(harness, writer);
+                send_response(harness, decode_conn);
             },
             &[
                 "x1 served late",
@@ -52,8 +52,8 @@
         (
             "failed",
             |harness| {
-                let (_, writer) = harness.start_decode("x1", "book");
-                harness.receive_text(writer, &plain_response("500 Oops", "", ""));
+                let (_, decode_conn) = harness.start_decode("x1", "book");
+                harness.receive_text(decode_conn, &plain_response("500 Oops", "", ""));
             },
             &[
                 "x1 failed",
@@ -66,10 +66,10 @@
         (
             "again",
             |harness| {
-                let (_, writer) = harness.start_decode("x1", "ask");
-                harness.receive_text(writer, &plain_response("500 Oops", "", ""));
-                let writer = harness.last_call(Call::is_decode).conn;
-                answer(harness, writer);
+                let (_, decode_conn) = harness.start_decode("x1", "ask");
+                harness.receive_text(decode_conn, &plain_response("500 Oops", "", ""));
+                let decode_conn = harness.last_call(Call::is_decode).conn;
+                send_response(harness, decode_conn);
             },
             &["x1 served class 0", "Error after", "Served after"],
         ),
@@ -94,16 +94,16 @@
             &["x1 gone", "Cancelled"],
         ),
     ];
-    for (name, act, words) in table {
-        let mut harness = explaining();
-        act(&mut harness);
+    for (name, run, expected) in table {
+        let mut harness = harness_with_access_log();
+        run(&mut harness);
         assert_eq!(
             harness.access_log_lines.len(),
             1,
             "{name}: {:?}",
             harness.access_log_lines
         );
-        for word in words {
+        for word in expected {
             assert!(
                 harness.access_log_lines[0].contains(word),
                 "{name}: '{word}' in {}",
@@ -118,8 +118,8 @@
     let mut access_log = AccessLog::new(&config().settings);
     let mut harness = Harness::with_tracing();
     for i in 0..50 {
-        let (_, writer) = harness.start_decode(&format!("n{i}"), "ask");
-        answer(&mut harness, writer);
+        let (_, decode_conn) = harness.start_decode(&format!("n{i}"), "ask");
+        send_response(&mut harness, decode_conn);
     }
     for traced in harness.node.take_trace() {
         access_log.record(&traced, |_| String::new(), |_| DecisionReasons::default());
--- a/crates/platform/tests/bad_clients.rs
+++ b/crates/platform/tests/bad_clients.rs
@@ -1,55 +1,62 @@
-//! Clients that send what cannot be taken get an error or a close in time, and nobody else is disturbed.
+//! Clients that send invalid, partial or excessive input receive an error or are closed in time, and other clients are not
+//! affected.
 mod common;
 
 use common::*;
 
 #[test]
 fn invalid_request_is_rejected_and_not_forwarded() {
-    let good = request("x1", "ask", 4800);
-    let swap = |from: &str, to: &str| good.replace(from, to);
+    let valid = request("x1", "ask", 4800);
+    let replace = |from: &str, to: &str| valid.replace(from, to);
     let table = [
-        ("noise", "\x00\x01\x02\x03\r\n\r\n".to_string()),
-        ("no id", swap("Req-Id: x1\r\n", "")),
+        ("binary data", "\x00\x01\x02\x03\r\n\r\n".to_string()),
+        ("no id", replace("Req-Id: x1\r\n", "")),
         (
             "two ids",
-            swap("Req-Id: x1\r\n", "Req-Id: x1\r\nReq-Id: x2\r\n"),
+            replace("Req-Id: x1\r\n", "Req-Id: x1\r\nReq-Id: x2\r\n"),
         ),
         (
             "an id with a path in it",
-            swap("Req-Id: x1", "Req-Id: ../../x"),
+            replace("Req-Id: x1", "Req-Id: ../../x"),
         ),
         (
-            "an endless id",
-            swap("Req-Id: x1", &format!("Req-Id: {}", "x".repeat(300))),
+            "an overlong id",
+            replace("Req-Id: x1", &format!("Req-Id: {}", "x".repeat(300))),
         ),
-        ("no class", swap("Req-Kind: ask\r\n", "")),
-        ("an unknown class", swap("Req-Kind: ask", "Req-Kind: asks")),
-        ("a deadline that is no number", swap("Ms: 4800", "Ms: soon")),
-        ("a negative deadline", swap("Ms: 4800", "Ms: -4800")),
+        ("no class", replace("Req-Kind: ask\r\n", "")),
+        (
+            "an unknown class",
+            replace("Req-Kind: ask", "Req-Kind: asks"),
+        ),
+        (
+            "a deadline that is no number",
+            replace("Ms: 4800", "Ms: soon"),
+        ),
+        ("a negative deadline", replace("Ms: 4800", "Ms: -4800")),
         (
             "a huge deadline",
-            swap("Ms: 4800", "Ms: 99999999999999999999"),
+            replace("Ms: 4800", "Ms: 99999999999999999999"),
         ),
         (
-            "a length and a coding",
-            swap("Req-Key", "Transfer-Encoding: chunked\r\nReq-Key"),
+            "a length and a transfer coding",
+            replace("Req-Key", "Transfer-Encoding: chunked\r\nReq-Key"),
         ),
         (
-            "lengths in Req-Extra",
-            swap("prompt_len=1200", "prompt_len=-5"),
+            "an invalid length in Req-Extra",
+            replace("prompt_len=1200", "prompt_len=-5"),
         ),
         (
             "another path",
-            swap("/v1/chat/completions", "/v1/endpoints"),
+            replace("/v1/chat/completions", "/v1/endpoints"),
         ),
-        ("another method", swap("POST", "PUT")),
+        ("another method", replace("POST", "PUT")),
         (
             "a huge length",
-            swap("Content-Length: 30", "Content-Length: 62914560"),
+            replace("Content-Length: 30", "Content-Length: 62914560"),
         ),
         (
             "a bad chunk",
-            swap(
+            replace(
                 "Content-Length: 30\r\n\r\n",
                 "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
             ),
@@ -62,14 +69,14 @@
         let status: u16 = harness
             .status(client)
             .parse()
-            .unwrap_or_else(|_| panic!("{name}: no answer"));
+            .unwrap_or_else(|_| panic!("{name}: no response"));
         assert!(
             (400..600).contains(&status) && status != 503,
             "{name}: {status}"
         );
         assert!(
             harness.finished.contains(&client),
-            "{name}: what follows is not believed"
+            "{name}: the connection stays open after invalid input"
         );
         harness.advance(1.0);
         assert_eq!(
@@ -88,29 +95,29 @@
     assert_eq!(harness.status(second), "409");
     assert_eq!(harness.count_calls(Call::is_prefill), 1);
     harness.complete_prefill();
-    let writer = harness.last_call(Call::is_decode).conn;
+    let decode_conn = harness.last_call(Call::is_decode).conn;
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
     assert_eq!(
         decode_chunked(harness.client_output(first)),
         stream_event("one"),
-        "the first is not disturbed"
+        "the first request is affected"
     );
 }
 
 #[test]
 fn silent_and_partial_clients_end_within_three_seconds() {
-    let good = request("h1", "ask", 4800);
-    for half in ["", "POST /v1/chat", &good[..good.len() - 5]] {
+    let valid = request("h1", "ask", 4800);
+    for partial in ["", "POST /v1/chat", &valid[..valid.len() - 5]] {
         let mut harness = Harness::new();
         let client = harness.connect_client();
-        harness.receive_text(client, half);
+        harness.receive_text(client, partial);
         harness.advance(1.5);
         harness.receive_text(client, "");
         harness.advance(1.4);
-        assert!(harness.finished.contains(&client), "{half:?}");
+        assert!(harness.finished.contains(&client), "{partial:?}");
         assert_eq!(
             harness.count_calls(|c| c.request_line().starts_with("POST")),
             0
@@ -118,34 +125,40 @@
     }
 }
 
-/// Whoever has asked in order before may be slow, but not stop within a request and stay.
+/// A client whose earlier requests were valid may send a further request slowly, but is disconnected if it stops within it.
 #[test]
 fn stopped_later_request_ends_within_three_seconds() {
-    let good = request("h2", "ask", 4800);
-    for half in ["POST /v1/chat", &good[..good.len() - 5]] {
+    let valid = request("h2", "ask", 4800);
+    for partial in ["POST /v1/chat", &valid[..valid.len() - 5]] {
         for slow in [true, false] {
             let mut harness = Harness::new();
-            let (client, writer) = harness.start_decode("h1", "ask");
+            let (client, decode_conn) = harness.start_decode("h1", "ask");
             harness.receive_text(
-                writer,
+                decode_conn,
                 &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
             );
             harness.advance(5.0);
-            for piece in half
+            for piece in partial
                 .as_bytes()
-                .chunks(half.len().div_ceil(3))
+                .chunks(partial.len().div_ceil(3))
                 .filter(|_| slow)
             {
                 harness.advance(1.0);
                 harness.receive(client, piece);
             }
             if !slow {
-                harness.receive_text(client, half);
+                harness.receive_text(client, partial);
             }
             harness.advance(2.5);
-            assert!(!harness.finished.contains(&client), "{half:?}, slow {slow}");
+            assert!(
+                !harness.finished.contains(&client),
+                "{partial:?}, slow {slow}"
+            );
             harness.advance(0.4);
-            assert!(harness.finished.contains(&client), "{half:?}, slow {slow}");
+            assert!(
+                harness.finished.contains(&client),
+                "{partial:?}, slow {slow}"
+            );
         }
     }
 }
@@ -160,9 +173,9 @@
     }
     harness.advance(0.05);
     harness.complete_prefill();
-    let writer = harness.last_call(Call::is_decode).conn;
+    let decode_conn = harness.last_call(Call::is_decode).conn;
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
     harness.advance(60.0);
@@ -172,32 +185,38 @@
 #[test]
 fn idle_clients_are_evicted_for_new_ones() {
     let mut harness = Harness::new();
-    let mut stayed = Vec::new();
+    let mut clients = Vec::new();
     for i in 0..400 {
         let client = harness.send_request(&format!("n{i}"), "ask");
         harness.complete_prefill();
-        let writer = harness.last_call(Call::is_decode).conn;
+        let decode_conn = harness.last_call(Call::is_decode).conn;
         harness.receive_text(
-            writer,
+            decode_conn,
             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
         );
         assert_eq!(
             decode_chunked(harness.client_output(client)),
             stream_event("one"),
-            "newcomer {i}"
+            "client {i} is not served"
         );
-        stayed.push(client);
+        clients.push(client);
     }
-    let closed = stayed.iter().filter(|c| harness.closed.contains(c)).count();
-    assert!(closed > 200, "there is no room for all: {closed}");
-    let last = stayed.last().expect("one");
-    assert!(!harness.closed.contains(last), "the oldest went first");
+    let closed = clients
+        .iter()
+        .filter(|c| harness.closed.contains(c))
+        .count();
+    assert!(closed > 200, "only {closed} idle clients were evicted");
+    let last = clients.last().expect("clients are connected");
+    assert!(
+        !harness.closed.contains(last),
+        "the newest client was evicted"
+    );
 }
 
 #[test]
 fn silent_clients_evict_each_other_and_no_open_request() {
     let mut harness = Harness::new();
-    let (client, writer) = harness.start_decode("good", "ask");
+    let (client, decode_conn) = harness.start_decode("good", "ask");
     for _ in 0..500 {
         harness.connect_client();
     }
@@ -205,9 +224,9 @@
     for _ in 0..500 {
         harness.connect_client();
     }
-    let late = harness.send_request("late", "ask");
+    let new_client = harness.send_request("late", "ask");
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
     assert_eq!(
@@ -215,8 +234,8 @@
         stream_event("one")
     );
     assert!(
-        !harness.closed.contains(&late),
-        "one that asks at once is let in"
+        !harness.closed.contains(&new_client),
+        "a client that sends a request at once was evicted"
     );
     assert_eq!(harness.count_calls(Call::is_prefill), 2);
 }
@@ -234,26 +253,30 @@
         ),
     );
     harness.advance(0.02);
-    assert_eq!(harness.count_calls(Call::is_prefill), 1, "one at a time");
+    assert_eq!(
+        harness.count_calls(Call::is_prefill),
+        1,
+        "pipelined requests run one at a time"
+    );
     harness.complete_prefill();
-    let writer = harness.last_call(Call::is_decode).conn;
+    let decode_conn = harness.last_call(Call::is_decode).conn;
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
     harness.advance(0.02);
     assert_eq!(
         harness.count_calls(Call::is_prefill),
         2,
-        "the second follows the first's answer"
+        "the second request runs after the first response"
     );
-    // Past the bound nothing is kept: what comes is dropped, and its connection ends once the request has its answer.
+    // Pipelined bytes beyond the limit are dropped, and the connection ends once the open request is answered.
     harness.receive_text(client, &"x".repeat(30_000));
     harness.receive_text(client, &request("a3", "ask", 4800));
     harness.complete_prefill();
-    let writer = harness.last_call(Call::is_decode).conn;
+    let decode_conn = harness.last_call(Call::is_decode).conn;
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
     harness.advance(0.02);
@@ -264,6 +287,6 @@
     assert_eq!(
         harness.count_calls(Call::is_prefill),
         2,
-        "nothing behind what was dropped is believed"
+        "a request after dropped bytes was forwarded"
     );
 }
--- a/crates/platform/tests/disconnects.rs
+++ b/crates/platform/tests/disconnects.rs
@@ -14,7 +14,7 @@
 }
 
 /// The same, with a time for connections to come up, seconds.
-fn rig_with_connect_timeout(cancel: bool, connect_s: f64) -> Harness {
+fn rig_with_connect_timeout(cancel: bool, connect_timeout_secs: f64) -> Harness {
     let text = config_json(256).replace(r#""cancel":true"#, &format!(r#""cancel":{cancel}"#));
     let text = text.replace(
         r#""connectTimeoutS":0.25"#,
@@ -40,16 +40,16 @@
 }
 
 /// A host says something on a connection that the node has not closed.
-fn says(harness: &mut Harness, conn: ConnId, text: &str) {
+fn receive_if_open(harness: &mut Harness, conn: ConnId, text: &str) {
     if !harness.closed.contains(&conn) {
         harness.receive_text(conn, text);
     }
 }
 
 /// Every connection that waits to come up does, if it is still wanted.
-fn all_come_up(harness: &mut Harness) {
-    let dialled = harness.connects.clone();
-    for (conn, to) in dialled {
+fn establish_all_connections(harness: &mut Harness) {
+    let connects = harness.connects.clone();
+    for (conn, to) in connects {
         if harness.unreachable_addresses.contains(&to) && !harness.closed.contains(&conn) {
             harness.step(Input::Connected { conn });
         }
@@ -58,13 +58,13 @@
 }
 
 /// Every host that still has a request does something with it.
-fn all_respond(harness: &mut Harness, text: &str) {
+fn all_servers_respond(harness: &mut Harness, text: &str) {
     for call in harness.calls.clone().iter().filter(|c| is_post(c)) {
-        says(harness, call.conn, text);
+        receive_if_open(harness, call.conn, text);
     }
 }
 
-fn all_end(harness: &mut Harness) {
+fn all_servers_disconnect(harness: &mut Harness) {
     for call in harness.calls.clone().iter().filter(|c| is_post(c)) {
         if !harness.closed.contains(&call.conn) {
             harness.step(Input::Ended { conn: call.conn });
@@ -79,7 +79,7 @@
     /// What happens once it has gone.
     after: fn(&mut Harness),
     /// Whether a reader may hold a state then, with leave to cancel and without.
-    held: [bool; 2],
+    expects_release: [bool; 2],
 }
 
 fn waiting_for_health_checks(harness: &mut Harness) -> ConnId {
@@ -90,7 +90,7 @@
     client
 }
 
-fn due_with_its_end(harness: &mut Harness) -> ConnId {
+fn timer_due_at_disconnect(harness: &mut Harness) -> ConnId {
     let client = waiting_for_health_checks(harness);
     // Nobody has looked at the clock meanwhile.
     harness.now = harness.now.after(0.05);
@@ -107,21 +107,21 @@
 
 /// Both writers have declined: the state waits at its reader until one can be asked again.
 fn between_prefill_and_decode(harness: &mut Harness) -> ConnId {
-    let (client, writer) = harness.start_decode("g", "ask");
-    harness.receive_text(writer, &declined());
+    let (client, decode_conn) = harness.start_decode("g", "ask");
+    harness.receive_text(decode_conn, &declined());
     let other = harness.last_call(Call::is_decode).conn;
-    assert_ne!(writer, other);
+    assert_ne!(decode_conn, other);
     harness.receive_text(other, &declined());
     client
 }
 
-fn held_and_due(harness: &mut Harness) -> ConnId {
+fn held_with_timer_due(harness: &mut Harness) -> ConnId {
     let client = between_prefill_and_decode(harness);
     harness.now = harness.now.after(0.25);
     client
 }
 
-fn prefill_server_comes_up(harness: &mut Harness) -> ConnId {
+fn connecting_to_prefill_server(harness: &mut Harness) -> ConnId {
     harness.answers_health_checks = false;
     harness.unreachable_addresses.extend(prefill_servers());
     let client = harness.send_request("g", "ask");
@@ -132,7 +132,7 @@
     client
 }
 
-fn decode_server_comes_up(harness: &mut Harness) -> ConnId {
+fn connecting_to_decode_server(harness: &mut Harness) -> ConnId {
     harness.answers_health_checks = false;
     harness.unreachable_addresses.extend(decode_servers());
     let client = harness.send_request("g", "ask");
@@ -141,7 +141,7 @@
     client
 }
 
-fn sent_ahead(harness: &mut Harness) -> ConnId {
+fn pipelined(harness: &mut Harness) -> ConnId {
     let client = harness.connect_client();
     harness.receive_text(
         client,
@@ -155,8 +155,8 @@
     client
 }
 
-fn much_pipelined(harness: &mut Harness) -> ConnId {
-    let client = sent_ahead(harness);
+fn excessively_pipelined(harness: &mut Harness) -> ConnId {
+    let client = pipelined(harness);
     for _ in 0..40 {
         harness.receive_text(client, &"x".repeat(30_000));
     }
@@ -165,133 +165,133 @@
 
 #[test]
 fn disconnect_begins_no_attempt_and_releases_state() {
-    let nothing: fn(&mut Harness) = |_| {};
-    let read: fn(&mut Harness) = |harness| {
-        all_respond(
+    let no_response: fn(&mut Harness) = |_| {};
+    let prefill: fn(&mut Harness) = |harness| {
+        all_servers_respond(
             harness,
             &plain_response("202 Accepted", "", r#"{"cached_tokens":64}"#),
         )
     };
-    let decline: fn(&mut Harness) = |harness| all_respond(harness, &declined());
+    let decline: fn(&mut Harness) = |harness| all_servers_respond(harness, &declined());
     let fail: fn(&mut Harness) =
-        |harness| all_respond(harness, &plain_response("500 Oops", "", ""));
+        |harness| all_servers_respond(harness, &plain_response("500 Oops", "", ""));
     let table = [
         Case {
             name: "probes out",
             before: waiting_for_health_checks,
-            after: nothing,
-            held: [false; 2],
+            after: no_response,
+            expects_release: [false; 2],
         },
         Case {
             name: "its time due with its end",
-            before: due_with_its_end,
-            after: nothing,
-            held: [false; 2],
+            before: timer_due_at_disconnect,
+            after: no_response,
+            expects_release: [false; 2],
         },
         Case {
             name: "at a reader that reads",
             before: start_prefill,
-            after: read,
-            held: [true; 2],
+            after: prefill,
+            expects_release: [true; 2],
         },
         Case {
             name: "at a reader that declines",
             before: start_prefill,
             after: decline,
-            held: [true, false],
+            expects_release: [true, false],
         },
         Case {
             name: "at a reader that fails",
             before: start_prefill,
             after: fail,
-            held: [true, false],
+            expects_release: [true, false],
         },
         Case {
             name: "at a reader that breaks",
             before: start_prefill,
-            after: all_end,
-            held: [true; 2],
+            after: all_servers_disconnect,
+            expects_release: [true; 2],
         },
         Case {
             name: "at a silent reader",
             before: start_prefill,
-            after: nothing,
-            held: [true; 2],
+            after: no_response,
+            expects_release: [true; 2],
         },
         Case {
             name: "held",
             before: between_prefill_and_decode,
-            after: nothing,
-            held: [true; 2],
+            after: no_response,
+            expects_release: [true; 2],
         },
         Case {
             name: "held, its time due with its end",
-            before: held_and_due,
-            after: nothing,
-            held: [true; 2],
+            before: held_with_timer_due,
+            after: no_response,
+            expects_release: [true; 2],
         },
         Case {
             name: "at a writer that declines",
             before: start_decode,
             after: decline,
-            held: [true; 2],
+            expects_release: [true; 2],
         },
         Case {
             name: "at a writer that fails",
             before: start_decode,
             after: fail,
-            held: [true; 2],
+            expects_release: [true; 2],
         },
         Case {
             name: "at a writer that breaks",
             before: start_decode,
-            after: all_end,
-            held: [true; 2],
+            after: all_servers_disconnect,
+            expects_release: [true; 2],
         },
         Case {
             name: "at a silent writer",
             before: start_decode,
-            after: nothing,
-            held: [true; 2],
+            after: no_response,
+            expects_release: [true; 2],
         },
         Case {
             name: "a reader comes up",
-            before: prefill_server_comes_up,
-            after: all_come_up,
-            held: [false; 2],
+            before: connecting_to_prefill_server,
+            after: establish_all_connections,
+            expects_release: [false; 2],
         },
         Case {
             name: "a reader never comes up",
-            before: prefill_server_comes_up,
-            after: nothing,
-            held: [false; 2],
+            before: connecting_to_prefill_server,
+            after: no_response,
+            expects_release: [false; 2],
         },
         Case {
             name: "a writer comes up",
-            before: decode_server_comes_up,
-            after: all_come_up,
-            held: [true; 2],
+            before: connecting_to_decode_server,
+            after: establish_all_connections,
+            expects_release: [true; 2],
         },
         Case {
             name: "a writer never comes up",
-            before: decode_server_comes_up,
-            after: nothing,
-            held: [true; 2],
+            before: connecting_to_decode_server,
+            after: no_response,
+            expects_release: [true; 2],
         },
         Case {
             name: "more sent ahead",
-            before: sent_ahead,
-            after: read,
-            held: [true; 2],
+            before: pipelined,
+            after: prefill,
+            expects_release: [true; 2],
         },
         Case {
             name: "much sent ahead",
-            before: much_pipelined,
-            after: read,
-            held: [true; 2],
+            before: excessively_pipelined,
+            after: prefill,
+            expects_release: [true; 2],
         },
     ];
-    let mut faults = Vec::new();
+    let mut failures = Vec::new();
     for case in &table {
         for cancel in [true, false] {
             let mut harness = harness(cancel);
@@ -313,24 +313,33 @@
                 resource_usage.server_connections,
                 resource_usage.releases,
             );
-            let told = harness.client_output(client).to_string();
-            let got = (
+            let sent_to_client = harness.client_output(client).to_string();
+            let observed = (
                 at_once,
                 later,
                 released,
                 left,
                 harness.node.counts().disconnected,
-                told.as_str(),
+                sent_to_client.as_str(),
             );
-            if got != (0, 0, case.held[usize::from(!cancel)], (0, 0, 0, 0), 1, "") {
-                faults.push(format!("{}, cancel {cancel}: {got:?}", case.name));
+            if observed
+                != (
+                    0,
+                    0,
+                    case.expects_release[usize::from(!cancel)],
+                    (0, 0, 0, 0),
+                    1,
+                    "",
+                )
+            {
+                failures.push(format!("{}, cancel {cancel}: {observed:?}", case.name));
             }
         }
     }
     assert!(
-        faults.is_empty(),
+        failures.is_empty(),
         "sent at once, later, released, left, gone, told:\n{}",
-        faults.join("\n")
+        failures.join("\n")
     );
 }
 
@@ -359,13 +368,13 @@
 fn unsent_request_on_idle_connection_is_cancelled() {
     for cancel in [true, false] {
         let mut harness = harness(cancel);
-        let (_, writer) = harness.start_decode("first", "ask");
+        let (_, decode_conn) = harness.start_decode("first", "ask");
         harness.receive_text(
-            writer,
+            decode_conn,
             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
         );
         harness.blocked_servers.extend(prefill_servers());
-        let dials = |harness: &Harness| {
+        let prefill_connects = |harness: &Harness| {
             harness
                 .connects
                 .iter()
@@ -373,11 +382,11 @@
                 .count()
         };
         harness.advance(REUSE_DELAY_SECS);
-        let before = dials(&harness);
+        let before = prefill_connects(&harness);
         let client = harness.send_request("g", "ask");
         let call = harness.last_call(Call::is_prefill);
         assert!(
-            call.text.contains("Req-Id: g\r\n") && dials(&harness) == before,
+            call.text.contains("Req-Id: g\r\n") && prefill_connects(&harness) == before,
             "on a kept connection"
         );
         harness.step(Input::Ended { conn: client });
@@ -407,7 +416,7 @@
         harness.receive_text(client, &request("g", "ask", 1500));
         harness.advance(1.497);
         assert_eq!(harness.status(client), "504");
-        all_come_up(&mut harness);
+        establish_all_connections(&mut harness);
         harness.advance(10.0);
         assert_eq!(harness.count_calls(is_post), 0, "cancel {cancel}");
         assert_eq!(harness.node.resource_usage().requests, 0);
@@ -420,7 +429,7 @@
     let text = config_json(64).replace(r#""cancel":true"#, r#""cancel":false"#);
     let mut harness = Harness::with_config(Config::parse(&text).expect("the test's configuration"));
     let client = between_prefill_and_decode(&mut harness);
-    let deletes = |harness: &Harness| {
+    let release_calls = |harness: &Harness| {
         harness.count_calls(|c| c.request_line() == "DELETE /bootstrap/rooms/g HTTP/1.1")
     };
     // Others are read at silent readers, until no connection is left.
@@ -437,25 +446,29 @@
         "all that attempts may use"
     );
     harness.step(Input::Ended { conn: client });
-    assert_eq!(deletes(&harness), 1, "on the one that is kept free for it");
+    assert_eq!(
+        release_calls(&harness),
+        1,
+        "on the one that is kept free for it"
+    );
     harness.advance(0.06);
     assert_eq!(
         (
-            deletes(&harness),
+            release_calls(&harness),
             harness.node.resource_usage().server_connections
         ),
         (1, 11),
         "there is no way out for a second call"
     );
     // A connection comes free whose own client has gone, so that no attempt takes its place.
-    let read = harness.last_call(Call::is_prefill);
-    let asks = |i: &usize| read.text.contains(&format!("Req-Id: o{i}\r\n"));
+    let prefill = harness.last_call(Call::is_prefill);
+    let asks = |i: &usize| prefill.text.contains(&format!("Req-Id: o{i}\r\n"));
     let other = (0..others.len()).find(asks).expect("one of the others");
     harness.step(Input::Ended {
         conn: others[other],
     });
-    harness.receive_text(read.conn, &plain_response("500 Oops", "", ""));
-    assert_eq!(deletes(&harness), 2, "at once");
+    harness.receive_text(prefill.conn, &plain_response("500 Oops", "", ""));
+    assert_eq!(release_calls(&harness), 2, "at once");
     harness.advance(RELEASE_TIMEOUT_SECS + MAX_RELEASE_ROUND_SECS);
     let resource_usage = harness.node.resource_usage();
     assert_eq!(
@@ -474,7 +487,7 @@
 #[test]
 fn pipelined_bytes_past_bound_end_connection() {
     let mut harness = Harness::new();
-    let client = sent_ahead(&mut harness);
+    let client = pipelined(&mut harness);
     for _ in 0..100 {
         harness.receive_text(client, &"x".repeat(30_000));
     }
@@ -485,9 +498,9 @@
             .text
             .contains(&format!("Req-Id: {id}\r\n")));
         harness.complete_prefill();
-        let writer = harness.last_call(Call::is_decode).conn;
+        let decode_conn = harness.last_call(Call::is_decode).conn;
         harness.receive_text(
-            writer,
+            decode_conn,
             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
         );
         harness.advance(0.02);
@@ -504,11 +517,11 @@
 #[test]
 fn endless_pipelining_is_paused() {
     let mut harness = Harness::new();
-    let client = sent_ahead(&mut harness);
-    let much = vec![b'x'; 4 << 20];
+    let client = pipelined(&mut harness);
+    let excess = vec![b'x'; 4 << 20];
     for _ in 0..21 {
         assert!(!harness.paused.contains(&client));
-        harness.receive(client, &much);
+        harness.receive(client, &excess);
     }
     assert!(harness.paused.contains(&client));
     harness.step(Input::Ended { conn: client });
@@ -526,16 +539,19 @@
         let mut harness = harness(cancel);
         harness.blocked_servers.extend(prefill_servers());
         harness.send_request("g", "ask");
-        let read = harness.last_call(Call::is_prefill);
+        let prefill = harness.last_call(Call::is_prefill);
         harness.now = harness.now.after(4.9);
         harness.step(Input::Wrote {
-            conn: read.conn,
-            count: read.text.len(),
+            conn: prefill.conn,
+            count: prefill.text.len(),
         });
         harness.step(Input::Tick);
-        let deletes =
+        let release_calls =
             harness.count_calls(|c| c.request_line() == "DELETE /bootstrap/rooms/g HTTP/1.1");
-        assert_eq!(deletes, 1, "cancel {cancel}: the reader may hold its state");
+        assert_eq!(
+            release_calls, 1,
+            "cancel {cancel}: the reader may hold its state"
+        );
     }
 }
 
@@ -545,19 +561,19 @@
 fn close_crossing_first_event_ends_stream() {
     for close_first in [true, false] {
         let mut harness = harness(true);
-        let (client, writer) = harness.start_decode("crossed", "book");
+        let (client, decode_conn) = harness.start_decode("crossed", "book");
         let first = format!("{STREAM_HEAD}{}", chunk(&stream_event("one")));
         if close_first {
             harness.step(Input::Ended { conn: client });
-            says(&mut harness, writer, &first);
+            receive_if_open(&mut harness, decode_conn, &first);
         } else {
-            harness.receive_text(writer, &first);
+            harness.receive_text(decode_conn, &first);
             harness.step(Input::Ended { conn: client });
         }
         let posts = harness.count_calls(is_post);
         harness.advance(2.0);
         assert!(
-            harness.closed.contains(&writer),
+            harness.closed.contains(&decode_conn),
             "close first {close_first}: nobody reads it"
         );
         assert_eq!(harness.count_calls(is_post), posts);
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -7,7 +7,7 @@
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-fn watch(harness: &Harness) -> ConnId {
+fn watch_conn(harness: &Harness) -> ConnId {
     let to = "127.0.2.1:8500".parse().expect("an address");
     harness
         .connects
@@ -18,7 +18,7 @@
         .0
 }
 
-fn watches(harness: &Harness) -> usize {
+fn watch_calls(harness: &Harness) -> usize {
     harness
         .calls
         .iter()
@@ -26,17 +26,17 @@
         .count()
 }
 
-fn line(harness: &mut Harness, text: &str) {
-    let conn = watch(harness);
+fn send_line(harness: &mut Harness, text: &str) {
+    let conn = watch_conn(harness);
     harness.receive_text(conn, &chunk(&format!("{text}\n")));
 }
 
 /// Where a new request's read goes.
-fn reads_at(harness: &mut Harness, id: &str) -> Option<String> {
-    let asked = |c: &Call| c.request_line().starts_with("POST");
-    let before = harness.count_calls(asked);
+fn prefill_address(harness: &mut Harness, id: &str) -> Option<String> {
+    let is_request = |c: &Call| c.request_line().starts_with("POST");
+    let before = harness.count_calls(is_request);
     harness.send_request(id, "ask");
-    (harness.count_calls(asked) > before).then(|| harness.last_call(asked).to.to_string())
+    (harness.count_calls(is_request) > before).then(|| harness.last_call(is_request).to.to_string())
 }
 
 #[test]
@@ -46,9 +46,9 @@
         harness.calls[0].request_line(),
         "GET /v1/endpoints?watch=1&from=7 HTTP/1.1"
     );
-    let conn = watch(&harness);
+    let conn = watch_conn(&harness);
     harness.receive_text(conn, HEAD);
-    line(
+    send_line(
         &mut harness,
         &endpoint_list_json(
             8,
@@ -61,14 +61,14 @@
             )],
         ),
     );
-    line(&mut harness, "");
+    send_line(&mut harness, "");
     for i in 0..6 {
         assert_eq!(
-            reads_at(&mut harness, &format!("a{i}")).as_deref(),
+            prefill_address(&mut harness, &format!("a{i}")).as_deref(),
             Some("127.0.1.2:80")
         );
     }
-    line(
+    send_line(
         &mut harness,
         &endpoint_list_json(
             9,
@@ -81,7 +81,7 @@
             )],
         ),
     );
-    let to = reads_at(&mut harness, "b").expect("the writer reads");
+    let to = prefill_address(&mut harness, "b").expect("the writer reads");
     assert_eq!(
         to, "127.0.1.3:80",
         "what a whole list does not name is gone"
@@ -90,7 +90,7 @@
 
 #[test]
 fn unreadable_line_restarts_watch_and_keeps_list() {
-    let bad = [
+    let invalid = [
         "{\"rev\":8,\"all\":false,\"targ".to_string(),
         endpoint_list_json(
             8,
@@ -105,11 +105,11 @@
         endpoint_list_json(6, true, &[]),
         "noise".to_string(),
     ];
-    for text in bad {
+    for text in invalid {
         let mut harness = Harness::new();
-        let conn = watch(&harness);
+        let conn = watch_conn(&harness);
         harness.receive_text(conn, HEAD);
-        line(&mut harness, &text);
+        send_line(&mut harness, &text);
         assert!(harness.closed.contains(&conn), "{text}");
         assert_eq!(
             harness
@@ -122,23 +122,26 @@
             harness.logs
         );
         harness.advance(0.3);
-        assert_eq!(watches(&harness), 2, "{text}");
+        assert_eq!(watch_calls(&harness), 2, "{text}");
         assert!(harness
             .calls
             .iter()
             .filter(|c| c.request_line().contains("watch=1"))
             .all(|c| c.request_line().contains("from=7")));
-        assert!(reads_at(&mut harness, "a").is_some(), "the list stays");
+        assert!(
+            prefill_address(&mut harness, "a").is_some(),
+            "the list stays"
+        );
     }
 }
 
 #[test]
 fn endless_discovery_line_is_dropped() {
     let mut harness = Harness::new();
-    let conn = watch(&harness);
+    let conn = watch_conn(&harness);
     harness.receive_text(conn, HEAD);
     for _ in 0..20 {
-        let conn = watch(&harness);
+        let conn = watch_conn(&harness);
         harness.receive_text(conn, &chunk(&"x".repeat(100_000)));
     }
     assert!(harness.closed.contains(&conn));
@@ -147,13 +150,13 @@
 #[test]
 fn silent_watch_is_restarted_with_backoff() {
     let mut harness = Harness::new();
-    let conn = watch(&harness);
+    let conn = watch_conn(&harness);
     harness.receive_text(conn, HEAD);
     for _ in 0..10 {
         harness.advance(2.0);
-        line(&mut harness, "");
+        send_line(&mut harness, "");
     }
-    assert_eq!(watches(&harness), 1, "empty lines keep it open");
+    assert_eq!(watch_calls(&harness), 1, "empty lines keep it open");
     harness
         .unreachable_addresses
         .insert("127.0.2.1:8500".parse().expect("an address"));
@@ -161,37 +164,37 @@
     assert!(harness.closed.contains(&conn));
     let before = harness.connects.len();
     harness.advance(60.0);
-    let dials = harness.connects.len() - before;
+    let connects = harness.connects.len() - before;
     assert!(
-        (5..=30).contains(&dials),
-        "{dials} calls in a minute without an answer"
+        (5..=30).contains(&connects),
+        "{connects} calls in a minute without an answer"
     );
 }
 
 #[test]
 fn reload_keeps_list_and_requests() {
     let mut harness = Harness::new();
-    let (client, writer) = harness.start_decode("k1", "ask");
-    let old = watch(&harness);
+    let (client, decode_conn) = harness.start_decode("k1", "ask");
+    let old = watch_conn(&harness);
     let moved = config_json(256).replace("127.0.2.1:8500", "127.0.2.7:8500");
     harness.reload(Config::parse(&moved).expect("good"));
     let (conn, to) = *harness.connects.last().expect("a call");
     assert_eq!(to.to_string(), "127.0.2.7:8500");
     assert!(harness.closed.contains(&old) && harness.calls.iter().any(|c| c.conn == conn));
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
     assert_eq!(
         decode_chunked(harness.client_output(client)),
         stream_event("one")
     );
-    assert!(reads_at(&mut harness, "k2").is_some());
-    let dials = harness.connects.iter().filter(|c| c.1 == to).count();
+    assert!(prefill_address(&mut harness, "k2").is_some());
+    let connects = harness.connects.iter().filter(|c| c.1 == to).count();
     harness.reload(Config::parse(&moved).expect("good"));
     assert_eq!(
         harness.connects.iter().filter(|c| c.1 == to).count(),
-        dials,
+        connects,
         "the same address again is no change"
     );
 }
@@ -207,9 +210,9 @@
     let without = config_json(256).replace(r#""known":"#, r#""once_known":"#);
     let mut harness = Harness::with_config(Config::parse(&without).expect("good"));
     assert_eq!(ready(&mut harness), "503");
-    let conn = watch(&harness);
+    let conn = watch_conn(&harness);
     harness.receive_text(conn, HEAD);
-    line(
+    send_line(
         &mut harness,
         &endpoint_list_json(
             8,
@@ -226,10 +229,10 @@
 fn stop_answers_late_requests_then_ends() {
     let mut harness = Harness::new();
     let idle = harness.connect_client();
-    let (client, writer) = harness.start_decode("e1", "ask");
+    let (client, decode_conn) = harness.start_decode("e1", "ask");
     harness.step(Input::Stop);
     harness.advance(0.3);
-    let late = harness.send_request("e2", "ask");
+    let late_client = harness.send_request("e2", "ask");
     assert!(!harness.listener_closed && !harness.closed.contains(&idle));
     harness.advance(0.4);
     assert!(
@@ -238,25 +241,25 @@
     );
     assert!(
         !harness.finished.contains(&client)
-            && !harness.finished.contains(&late)
+            && !harness.finished.contains(&late_client)
             && !harness.stopped
     );
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
     assert!(
         harness.client_output(client).ends_with("0\r\n\r\n") && harness.finished.contains(&client)
     );
     harness.complete_prefill();
-    let writer = harness.last_call(Call::is_decode).conn;
+    let decode_conn = harness.last_call(Call::is_decode).conn;
     assert!(!harness.stopped);
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("two"))),
     );
     assert_eq!(
-        decode_chunked(harness.client_output(late)),
+        decode_chunked(harness.client_output(late_client)),
         stream_event("two")
     );
     assert!(harness.stopped);
@@ -265,18 +268,18 @@
 #[test]
 fn stop_ends_streams_before_kill() {
     let mut harness = Harness::new();
-    let (client, writer) = harness.start_decode("e3", "ask");
-    harness.receive_text(writer, STREAM_HEAD);
-    harness.receive_text(writer, &chunk(&stream_event("one")));
+    let (client, decode_conn) = harness.start_decode("e3", "ask");
+    harness.receive_text(decode_conn, STREAM_HEAD);
+    harness.receive_text(decode_conn, &chunk(&stream_event("one")));
     harness.step(Input::Stop);
     harness.advance(2.8);
     assert!(
         !harness.finished.contains(&client),
         "what ends by itself may"
     );
-    harness.receive_text(writer, &chunk(&stream_event("two")));
+    harness.receive_text(decode_conn, &chunk(&stream_event("two")));
     harness.advance(0.2);
-    assert!(harness.finished.contains(&client) && harness.closed.contains(&writer));
+    assert!(harness.finished.contains(&client) && harness.closed.contains(&decode_conn));
     assert_eq!(
         decode_chunked(harness.client_output(client)),
         [stream_event("one"), stream_event("two")].concat()
@@ -314,19 +317,19 @@
             data: b"x",
         });
     }
-    let told: Vec<String> = harness
+    let events: Vec<String> = harness
         .node
         .take_trace()
         .iter()
         .map(|t| format!("{:?}", t.event))
         .collect();
-    assert_eq!(told, ["PeerMessage { from: 1, data: [120] }"]);
+    assert_eq!(events, ["PeerMessage { from: 1, data: [120] }"]);
 }
 
 #[test]
 fn long_run_with_new_ids_leaks_nothing() {
     let mut harness = Harness::new();
-    let conn = watch(&harness);
+    let conn = watch_conn(&harness);
     harness.receive_text(conn, HEAD);
     for i in 0..300u64 {
         let old = endpoint_json(&format!("n{i}"), "127.0.1.1:80", "reads", "terminated");
@@ -336,25 +339,25 @@
             "reads",
             "in_service",
         );
-        line(&mut harness, &endpoint_list_json(8 + i, false, &[old, new]));
+        send_line(&mut harness, &endpoint_list_json(8 + i, false, &[old, new]));
         let client = harness.send_request(&format!("q{i}"), "ask");
         harness.complete_prefill();
-        let writer = harness.last_call(Call::is_decode).conn;
+        let decode_conn = harness.last_call(Call::is_decode).conn;
         harness.receive_text(
-            writer,
+            decode_conn,
             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
         );
         harness.step(Input::Ended { conn: client });
         harness.advance(0.5);
     }
-    let held = harness.node.resource_usage();
+    let usage = harness.node.resource_usage();
     assert_eq!(
-        (held.requests, held.clients, held.releases),
+        (usage.requests, usage.clients, usage.releases),
         (0, 0, 0),
-        "{held:?}"
+        "{usage:?}"
     );
     assert!(
-        held.servers <= 5 && held.server_connections <= 20,
-        "{held:?}"
+        usage.servers <= 5 && usage.server_connections <= 20,
+        "{usage:?}"
     );
 }
