--- a/crates/platform/tests/disconnects.rs
+++ b/crates/platform/tests/disconnects.rs
@@ -18,7 +18,7 @@
     let text = config_json(256).replace(r#""cancel":true"#, &format!(r#""cancel":{cancel}"#));
     let text = text.replace(
         r#""connectTimeoutS":0.25"#,
-        &format!(r#""connectTimeoutS":{connect_s}"#),
+        &format!(r#""connectTimeoutS":{connect_timeout_secs}"#),
     );
     Harness::with_config(Config::parse(&text).expect("the test's configuration"))
 }
--- a/crates/platform/tests/lists.rs
+++ b/crates/platform/tests/lists.rs
@@ -9,7 +9,7 @@
 const DISCOVERY: &str = "127.0.2.1:8500";
 
 /// A drain and a new host in one change.
-fn news() -> String {
+fn change_line() -> String {
     let old = endpoint_json("h-r1", "127.0.1.1:80", "reads", "terminating");
     endpoint_list_json(
         8,
@@ -22,7 +22,7 @@
 }
 
 /// A watch that is open, and what it says.
-fn watching() -> (Harness, ConnId) {
+fn harness_with_watch() -> (Harness, ConnId) {
     let mut harness = Harness::new();
     let to = DISCOVERY.parse().expect("an address");
     let conn = harness
@@ -36,48 +36,49 @@
     (harness, conn)
 }
 
-fn hosts_known(harness: &Harness) -> usize {
+fn known_servers(harness: &Harness) -> usize {
     harness.node.resource_usage().servers
 }
 
 #[test]
 fn invalid_list_keeps_last_good_one() {
-    let good = endpoint_json("h-r3", "127.0.1.5:80", "reads", "in_service");
-    let with = |from: &str, to: &str| endpoint_list_json(8, false, &[good.replace(from, to)]);
-    let twice = |state: &str| {
+    let valid_entry = endpoint_json("h-r3", "127.0.1.5:80", "reads", "in_service");
+    let list_with =
+        |from: &str, to: &str| endpoint_list_json(8, false, &[valid_entry.replace(from, to)]);
+    let duplicate_with_state = |state: &str| {
         endpoint_list_json(
             8,
             true,
             &[
-                good.clone(),
+                valid_entry.clone(),
                 endpoint_json("h-r3", "127.0.1.5:80", "reads", state),
             ],
         )
     };
     let weight = "\"capacity_hint\":1.0";
     let table = [
-        (with(weight, "\"capacity_hint\":-1.0"), "h-r3"),
+        (list_with(weight, "\"capacity_hint\":-1.0"), "h-r3"),
         (
-            with(weight, "\"capacity_hint\":1e999"),
+            list_with(weight, "\"capacity_hint\":1e999"),
             "number out of range",
         ),
-        (with(weight, "\"capacity_hint\":\"much\""), "column"),
-        (with(weight, "\"capacity_hint\":NaN"), "column"),
-        (with("\"boot_ms\":0", "\"boot_ms\":-5"), "h-r3"),
+        (list_with(weight, "\"capacity_hint\":\"much\""), "column"),
+        (list_with(weight, "\"capacity_hint\":NaN"), "column"),
+        (list_with("\"boot_ms\":0", "\"boot_ms\":-5"), "h-r3"),
         (
-            with("\"boot_ms\":0", "\"boot_ms\":-1e999"),
+            list_with("\"boot_ms\":0", "\"boot_ms\":-1e999"),
             "number out of range",
         ),
-        (with("\"pod_group\":0", "\"pod_group\":-1"), "column"),
-        (with("127.0.1.5:80", "127.0.1.5"), "h-r3"),
-        (with("in_service", &"x".repeat(100_000)), "h-r3"),
-        (twice("terminating"), "h-r3"),
+        (list_with("\"pod_group\":0", "\"pod_group\":-1"), "column"),
+        (list_with("127.0.1.5:80", "127.0.1.5"), "h-r3"),
+        (list_with("in_service", &"x".repeat(100_000)), "h-r3"),
+        (duplicate_with_state("terminating"), "h-r3"),
         (
-            endpoint_list_json(8, false, std::slice::from_ref(&good))[..90].to_string(),
+            endpoint_list_json(8, false, std::slice::from_ref(&valid_entry))[..90].to_string(),
             "",
         ),
         (
-            endpoint_list_json(8, false, std::slice::from_ref(&good))
+            endpoint_list_json(8, false, std::slice::from_ref(&valid_entry))
                 .replace("\"rev\":8", "\"rev\":-8"),
             "column",
         ),
@@ -86,14 +87,14 @@
         ("\u{0}\u{1}\"".to_string(), "column"),
     ];
     for (text, cause) in table {
-        let (mut harness, conn) = watching();
+        let (mut harness, conn) = harness_with_watch();
         harness.receive(conn, chunk(&format!("{text}\n")).as_bytes());
         if !harness.closed.contains(&conn) {
             harness.receive(conn, chunk("\n").as_bytes());
         }
         let shown: String = text.chars().take(120).collect();
         assert!(harness.closed.contains(&conn), "{shown}");
-        assert_eq!(hosts_known(&harness), 4, "{shown}");
+        assert_eq!(known_servers(&harness), 4, "{shown}");
         let lines: Vec<&String> = harness
             .logs
             .iter()
@@ -120,10 +121,10 @@
             conn,
             &chunk(&format!(
                 "{}\n",
-                endpoint_list_json(8, false, std::slice::from_ref(&good))
+                endpoint_list_json(8, false, std::slice::from_ref(&valid_entry))
             )),
         );
-        assert_eq!(hosts_known(&harness), 5, "{shown}");
+        assert_eq!(known_servers(&harness), 5, "{shown}");
     }
 }
 
@@ -131,7 +132,7 @@
 fn two_servers_may_share_an_address() {
     let old = endpoint_json("h-r1", "127.0.1.1:80", "reads", "terminating");
     let new = endpoint_json("h-r3", "127.0.1.1:80", "reads", "in_service");
-    let (mut harness, conn) = watching();
+    let (mut harness, conn) = harness_with_watch();
     harness.receive_text(
         conn,
         &chunk(&format!(
@@ -140,28 +141,34 @@
         )),
     );
     assert!(!harness.closed.contains(&conn), "{:?}", harness.logs);
-    assert_eq!(hosts_known(&harness), 5);
+    assert_eq!(known_servers(&harness), 5);
 }
 
 #[test]
 fn list_counts_indented_and_in_pieces() {
-    let indented = news().replace(',', ",\r\n   ").replace('{', "{\n\t") + "\n";
-    let ended = "0\r\n\r\n";
+    let indented = change_line().replace(',', ",\r\n   ").replace('{', "{\n\t") + "\n";
+    let last_chunk = "0\r\n\r\n";
     let length = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
-        news().len(),
-        news()
+        change_line().len(),
+        change_line()
     );
     let table = [
         format!("{HEAD}{}", chunk(&indented)),
-        format!("{HEAD}{}{ended}", chunk(&format!("{}\n", news()))),
+        format!(
+            "{HEAD}{}{last_chunk}",
+            chunk(&format!("{}\n", change_line()))
+        ),
         format!(
             "{HEAD}{}{}",
-            chunk(&format!("{}\n", news())),
+            chunk(&format!("{}\n", change_line())),
             chunk("noise\n")
         ),
-        format!("{HEAD}{}no chunk\r\n", chunk(&format!("{}\n", news()))),
-        format!("{HEAD}{}{ended}", chunk(&news())),
+        format!(
+            "{HEAD}{}no chunk\r\n",
+            chunk(&format!("{}\n", change_line()))
+        ),
+        format!("{HEAD}{}{last_chunk}", chunk(&change_line())),
         length,
     ];
     for text in &table {
@@ -176,7 +183,7 @@
                 }
             }
             assert_eq!(
-                hosts_known(&harness),
+                known_servers(&harness),
                 5,
                 "{piece}: {text}: {:?}",
                 harness.logs
@@ -189,7 +196,7 @@
 /// reset, which may have run as far as anybody can tell.
 #[test]
 fn idle_connections_to_restarted_server_are_closed() {
-    let again = |boot_ms: u64, uid: &str, endpoint: &str, model: &str| {
+    let restarted = |boot_ms: u64, uid: &str, endpoint: &str, model: &str| {
         endpoint_json(uid, endpoint, model, "in_service")
             .replace(r#""boot_ms":0"#, &format!(r#""boot_ms":{boot_ms}"#))
     };
@@ -199,29 +206,29 @@
         (1_800_000_000_000, false, true),
         (5, true, true),
     ] {
-        let (mut harness, watch) = watching();
-        let (_, writer) = harness.start_decode("first", "ask");
-        let read = harness.last_call(Call::is_prefill).conn;
+        let (mut harness, watch) = harness_with_watch();
+        let (_, decode_conn) = harness.start_decode("first", "ask");
+        let prefill_conn = harness.last_call(Call::is_prefill).conn;
         harness.receive_text(
-            writer,
+            decode_conn,
             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
         );
         let entries: Vec<String> = servers()
             .iter()
-            .map(|h| again(boot_ms, h.0, h.1, h.2))
+            .map(|h| restarted(boot_ms, h.0, h.1, h.2))
             .collect();
         harness.receive_text(
             watch,
             &chunk(&format!("{}\n", endpoint_list_json(8, all, &entries))),
         );
         let case = format!("boot {boot_ms}, all {all}");
-        for conn in [read, writer] {
+        for conn in [prefill_conn, decode_conn] {
             assert_eq!(harness.closed.contains(&conn), closes, "{case}");
         }
         harness.advance(1.0);
-        let (client, writer) = harness.start_decode("second", "book");
+        let (client, decode_conn) = harness.start_decode("second", "book");
         harness.receive_text(
-            writer,
+            decode_conn,
             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("two"))),
         );
         assert!(
@@ -235,7 +242,7 @@
 /// by one line in the log, and the last good one stays.
 #[test]
 fn largest_list_is_taken_in_one_chunk() {
-    let hosts: Vec<String> = (0..3200)
+    let entries: Vec<String> = (0..3200)
         .map(|i| {
             endpoint_json(
                 &format!("s-{i:08x}"),
@@ -245,7 +252,7 @@
             )
         })
         .collect();
-    let compact = endpoint_list_json(8, true, &hosts);
+    let compact = endpoint_list_json(8, true, &entries);
     let indented = compact.replace('{', "{\n    ").replace(',', ",\n    ");
     assert!(compact.len() > 400_000 && indented.len() > 500_000);
     for text in [compact, indented] {
@@ -255,22 +262,23 @@
             (100_000, 1 << 15),
             (1, 4096),
         ] {
-            let (mut harness, conn) = watching();
+            let (mut harness, conn) = harness_with_watch();
             let line = format!("{text}\n");
             let chunks = line.as_bytes().chunks(in_chunks_of);
-            let said: Vec<u8> = chunks
+            let bytes: Vec<u8> = chunks
                 .flat_map(|c| chunk(std::str::from_utf8(c).expect("a text")).into_bytes())
                 .collect();
-            said.chunks(in_pieces_of)
+            bytes
+                .chunks(in_pieces_of)
                 .for_each(|piece| harness.receive(conn, piece));
             let case = format!("{} bytes in chunks of {in_chunks_of}", text.len());
-            assert_eq!(hosts_known(&harness), 3200, "{case}: {:?}", harness.logs);
+            assert_eq!(known_servers(&harness), 3200, "{case}: {:?}", harness.logs);
             assert!(!harness.closed.contains(&conn), "{case}");
         }
     }
-    let (mut harness, conn) = watching();
+    let (mut harness, conn) = harness_with_watch();
     harness.receive_text(conn, &chunk(&"x".repeat(5 << 20)));
-    assert!(harness.closed.contains(&conn) && hosts_known(&harness) == 4);
+    assert!(harness.closed.contains(&conn) && known_servers(&harness) == 4);
     assert_eq!(
         harness
             .logs
--- a/crates/platform/tests/memory.rs
+++ b/crates/platform/tests/memory.rs
@@ -6,11 +6,11 @@
 use common::*;
 
 /// The rig's memory limit, and the part of it that unfinished requests may take.
-const LIMIT: usize = 64 << 20;
-const MOST: usize = LIMIT / 8;
+const MEMORY_LIMIT_BYTES: usize = 64 << 20;
+const MAX_UNFINISHED_BYTES: usize = MEMORY_LIMIT_BYTES / 8;
 
 /// A request whose body will be so long, and how it is framed.
-fn head(id: usize, length: usize, chunked: bool) -> String {
+fn request_head(id: usize, length: usize, chunked: bool) -> String {
     let framing = if chunked {
         "Transfer-Encoding: chunked\r\n".to_string()
     } else {
@@ -21,18 +21,18 @@
     )
 }
 
-fn roomy() -> Harness {
+fn harness_with_1024_sockets() -> Harness {
     Harness::with_config(Config::parse(&config_json(1024)).expect("good"))
 }
 
 /// So many clients that each send nearly a whole body of the largest kind; gives their connections.
-fn half_bodies(harness: &mut Harness, count: usize, chunked: bool) -> Vec<ConnId> {
+fn send_partial_bodies(harness: &mut Harness, count: usize, chunked: bool) -> Vec<ConnId> {
     let length = 256 * 1024;
     let body = "x".repeat(32 * 1024);
     let clients: Vec<ConnId> = (0..count)
         .map(|id| {
             let client = harness.connect_client();
-            harness.receive_text(client, &head(id, length, chunked));
+            harness.receive_text(client, &request_head(id, length, chunked));
             client
         })
         .collect();
@@ -46,7 +46,7 @@
             harness.receive_text(client, &if chunked { chunk(&body) } else { body.clone() });
         }
         assert!(
-            harness.node.resource_usage().unfinished_bytes <= MOST,
+            harness.node.resource_usage().unfinished_bytes <= MAX_UNFINISHED_BYTES,
             "{:?}",
             harness.node.resource_usage()
         );
@@ -57,22 +57,22 @@
 #[test]
 fn partial_requests_stay_within_memory_limit() {
     for chunked in [false, true] {
-        let mut harness = roomy();
-        let clients = half_bodies(&mut harness, 300, chunked);
-        let away: Vec<&ConnId> = clients
+        let mut harness = harness_with_1024_sockets();
+        let clients = send_partial_bodies(&mut harness, 300, chunked);
+        let rejected: Vec<&ConnId> = clients
             .iter()
             .filter(|c| harness.finished.contains(c))
             .collect();
-        assert!(away.iter().all(|c| harness.status(**c) == "503"));
-        let kept = clients.len() - away.len();
+        assert!(rejected.iter().all(|c| harness.status(**c) == "503"));
+        let kept = clients.len() - rejected.len();
         assert!(
-            kept >= MOST / (256 * 1024) / 2,
+            kept >= MAX_UNFINISHED_BYTES / (256 * 1024) / 2,
             "{kept} still have their room"
         );
         // Whoever asks in the midst of it is served.
-        let (client, writer) = harness.start_decode("good", "ask");
+        let (client, decode_conn) = harness.start_decode("good", "ask");
         harness.receive_text(
-            writer,
+            decode_conn,
             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
         );
         assert_eq!(
@@ -84,10 +84,10 @@
 
 #[test]
 fn slow_long_request_is_served() {
-    let mut harness = roomy();
+    let mut harness = harness_with_1024_sockets();
     let length = 200 * 1024;
     let client = harness.connect_client();
-    harness.receive_text(client, &head(1, length, false));
+    harness.receive_text(client, &request_head(1, length, false));
     for _ in 0..50 {
         harness.receive_text(client, &"x".repeat(length / 50));
         harness.advance(0.02);
@@ -98,15 +98,15 @@
 
 #[test]
 fn open_requests_do_not_count_as_partial() {
-    let mut harness = roomy();
-    let (client, writer) = harness.start_decode("first", "ask");
-    half_bodies(&mut harness, 300, false);
+    let mut harness = harness_with_1024_sockets();
+    let (client, decode_conn) = harness.start_decode("first", "ask");
+    send_partial_bodies(&mut harness, 300, false);
     assert!(
         !harness.finished.contains(&client),
         "a request in hand is not turned away for others' halves"
     );
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
     assert_eq!(
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -13,7 +13,7 @@
 use bitternlatch_policy::interface::ServerId;
 use common::*;
 
-fn deletes(harness: &Harness, id: &str) -> Vec<Call> {
+fn release_calls(harness: &Harness, id: &str) -> Vec<Call> {
     let line = format!("DELETE /bootstrap/rooms/{id} HTTP/1.1");
     harness
         .calls
@@ -26,14 +26,17 @@
 #[test]
 fn released_state_is_deleted() {
     let mut harness = Harness::new();
-    let (_, writer) = harness.start_decode("p1", "book");
-    harness.receive_text(writer, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
-    let calls = deletes(&harness, "p1");
+    let (_, decode_conn) = harness.start_decode("p1", "book");
+    harness.receive_text(
+        decode_conn,
+        "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
+    );
+    let calls = release_calls(&harness, "p1");
     assert_eq!(calls.len(), 1, "at once");
     harness.receive_text(calls[0].conn, "HTTP/1.1 204 No Content\r\n\r\n");
     harness.advance(3.0);
     assert_eq!(
-        deletes(&harness, "p1").len(),
+        release_calls(&harness, "p1").len(),
         1,
         "once it has arrived it is not said again"
     );
@@ -42,35 +45,42 @@
 #[test]
 fn unanswered_release_is_hedged_until_confirmed() {
     let mut harness = Harness::new();
-    let (_, writer) = harness.start_decode("p2", "book");
-    harness.receive_text(writer, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
+    let (_, decode_conn) = harness.start_decode("p2", "book");
+    harness.receive_text(
+        decode_conn,
+        "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
+    );
     harness.advance(0.2);
-    let calls = deletes(&harness, "p2");
+    let calls = release_calls(&harness, "p2");
     assert!(calls.len() >= 4, "{}", calls.len());
-    let places = |calls: &[Call]| {
+    let addresses = |calls: &[Call]| {
         calls
             .iter()
             .map(|c| c.to)
             .collect::<std::collections::BTreeSet<_>>()
     };
     assert_eq!(
-        places(&calls[..4]).len(),
+        addresses(&calls[..4]).len(),
         4,
         "each to another host, until all have been called"
     );
     harness.advance(RELEASE_TIMEOUT_SECS - 2.0);
     assert!(
-        deletes(&harness, "p2").len() > 40,
+        release_calls(&harness, "p2").len() > 40,
         "for as long as nobody has confirmed it"
     );
     harness.advance(2.0 + MAX_RELEASE_ROUND_SECS);
-    let given_up = deletes(&harness, "p2").len();
+    let calls_at_timeout = release_calls(&harness, "p2").len();
     assert!(
-        given_up <= 4 * 40,
-        "{given_up}: in rounds of all hosts, further and further apart"
+        calls_at_timeout <= 4 * 40,
+        "{calls_at_timeout}: in rounds of all hosts, further and further apart"
     );
     harness.advance(100.0);
-    assert_eq!(deletes(&harness, "p2").len(), given_up, "not for ever");
+    assert_eq!(
+        release_calls(&harness, "p2").len(),
+        calls_at_timeout,
+        "not for ever"
+    );
     let counts = harness.node.counts();
     assert_eq!(
         (
@@ -97,10 +107,13 @@
 #[test]
 fn late_release_is_logged_and_counted() {
     let mut harness = Harness::new();
-    let (_, writer) = harness.start_decode("p9", "book");
-    harness.receive_text(writer, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
+    let (_, decode_conn) = harness.start_decode("p9", "book");
+    harness.receive_text(
+        decode_conn,
+        "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
+    );
     harness.advance(0.4);
-    let last = deletes(&harness, "p9").pop().expect("called again");
+    let last = release_calls(&harness, "p9").pop().expect("called again");
     harness.receive_text(last.conn, "HTTP/1.1 204 No Content\r\n\r\n");
     let counts = harness.node.counts();
     assert_eq!((counts.releases_confirmed, counts.releases_late), (1, 1));
@@ -117,11 +130,14 @@
 #[test]
 fn failed_release_call_is_retried_elsewhere() {
     let mut harness = Harness::new();
-    let (_, writer) = harness.start_decode("p3", "book");
-    harness.receive_text(writer, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
-    let first = deletes(&harness, "p3").remove(0);
+    let (_, decode_conn) = harness.start_decode("p3", "book");
+    harness.receive_text(
+        decode_conn,
+        "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
+    );
+    let first = release_calls(&harness, "p3").remove(0);
     harness.step(Input::Ended { conn: first.conn });
-    assert_eq!(deletes(&harness, "p3").len(), 2);
+    assert_eq!(release_calls(&harness, "p3").len(), 2);
 }
 
 #[test]
@@ -129,42 +145,44 @@
     let mut harness = Harness::new();
     harness.send_request("p4", "book");
     harness.advance(4.9);
-    assert_eq!(deletes(&harness, "p4").len().min(1), 1);
+    assert_eq!(release_calls(&harness, "p4").len().min(1), 1);
 }
 
 /// Hosts have fallen silent that were heard of before, while time runs on: those that have answered last are called
 /// first, and those without a connection last, wherever the state is believed to be.
 #[test]
 fn recently_responding_servers_are_called_first() {
-    let mut fleet = Endpoints::default();
-    fleet.apply(START, config().cached_list.expect("the test's list"));
-    let all: Vec<(ServerId, SocketAddr)> = fleet.iter().map(|(id, t)| (id, t.address)).collect();
+    let mut endpoints = Endpoints::default();
+    endpoints.apply(START, config().cached_list.expect("the test's list"));
+    let all: Vec<(ServerId, SocketAddr)> =
+        endpoints.iter().map(|(id, t)| (id, t.address)).collect();
     for order in [[0, 1, 2], [2, 1, 0], [1, 3, 0]] {
         let mut pool = ConnectionPool::new(64, 15.0);
         for (seconds, at) in order.into_iter().enumerate() {
             pool.insert(
                 ConnId(at as u64),
-                idle_link(all[at], START.after(seconds as f64)),
+                idle_connection(all[at], START.after(seconds as f64)),
             );
         }
         let mut releases = Releases::default();
-        let without = (0..4)
+        let unconnected = (0..4)
             .find(|i| !order.contains(i))
             .expect("one has no connection");
         let now = START.after(5.0);
         let id = releases.start(now, now, "p7".into()).id;
-        let called: Vec<usize> = std::iter::from_fn(|| releases.next_call(id, now, &fleet, &pool))
-            .map(|call| {
-                all.iter()
-                    .position(|host| host.0 == call.server)
-                    .expect("a host of the list")
-            })
-            .collect();
-        assert_eq!(called, [order[2], order[1], order[0], without]);
+        let called: Vec<usize> =
+            std::iter::from_fn(|| releases.next_call(id, now, &endpoints, &pool))
+                .map(|call| {
+                    all.iter()
+                        .position(|host| host.0 == call.server)
+                        .expect("a host of the list")
+                })
+                .collect();
+        assert_eq!(called, [order[2], order[1], order[0], unconnected]);
     }
 }
 
-fn idle_link((server, to): (ServerId, SocketAddr), since: Micros) -> ServerConnection {
+fn idle_connection((server, to): (ServerId, SocketAddr), since: Micros) -> ServerConnection {
     let (usage, waiting, response) = (ConnectionUse::Idle, Vec::new(), ResponseReader::default());
     ServerConnection {
         address: to,
@@ -192,30 +210,30 @@
         first.to,
         "read elsewhere"
     );
-    let writer = harness.last_call(Call::is_decode).conn;
+    let decode_conn = harness.last_call(Call::is_decode).conn;
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
     );
     assert!(
-        deletes(&harness, "p8").is_empty(),
+        release_calls(&harness, "p8").is_empty(),
         "not while an attempt is out"
     );
-    harness.receive_text(writer, "0\r\n\r\n");
+    harness.receive_text(decode_conn, "0\r\n\r\n");
     assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
-    assert_eq!(deletes(&harness, "p8").len(), 1);
+    assert_eq!(release_calls(&harness, "p8").len(), 1);
 }
 
 #[test]
 fn taken_state_is_not_deleted() {
     let mut harness = Harness::new();
-    let (_, writer) = harness.start_decode("p5", "ask");
+    let (_, decode_conn) = harness.start_decode("p5", "ask");
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
     harness.advance(2.0);
-    assert!(deletes(&harness, "p5").is_empty());
+    assert!(release_calls(&harness, "p5").is_empty());
 }
 
 /// A release may reach one host before the close of the hand-over has reached another, which still waits for the state:
@@ -234,17 +252,17 @@
         "504",
         "its time is over while the hand-over is out"
     );
-    assert_eq!(deletes(&harness, "c1").len(), 1, "at once");
+    assert_eq!(release_calls(&harness, "c1").len(), 1, "at once");
     harness.advance(0.13);
     assert_eq!(
-        deletes(&harness, "c1").len(),
+        release_calls(&harness, "c1").len(),
         2,
         "and once the close has certainly arrived"
     );
     harness.advance(5.0);
     assert_eq!(
         (
-            deletes(&harness, "c1").len(),
+            release_calls(&harness, "c1").len(),
             harness.node.resource_usage().releases
         ),
         (2, 0)
@@ -275,7 +293,7 @@
         .expect("the further prefill's connection");
     harness.advance(0.95);
     assert_eq!(
-        deletes(&harness, "f1").len(),
+        release_calls(&harness, "f1").len(),
         1,
         "what the first may have left"
     );
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -9,15 +9,15 @@
 #[test]
 fn request_goes_through_prefill_and_decode() {
     let mut harness = Harness::new();
-    let (client, writer) = harness.start_decode("9b1f03aa5c7e2d41", "ask");
-    let read = harness.last_call(Call::is_prefill);
-    let write = harness.last_call(Call::is_decode);
-    for call in [&read, &write] {
+    let (client, decode_conn) = harness.start_decode("9b1f03aa5c7e2d41", "ask");
+    let prefill_call = harness.last_call(Call::is_prefill);
+    let decode_call = harness.last_call(Call::is_decode);
+    for call in [&prefill_call, &decode_call] {
         assert_eq!(call.request_line(), "POST /v1/chat/completions HTTP/1.1");
         assert!(call.text.contains("Req-Id: 9b1f03aa5c7e2d41\r\n"));
         assert!(call.text.ends_with(r#"{"model":"chat","stream":true}"#));
     }
-    harness.receive_text(writer, STREAM_HEAD);
+    harness.receive_text(decode_conn, STREAM_HEAD);
     assert_eq!(
         harness.client_output(client),
         "",
@@ -29,7 +29,7 @@
         "data: [DONE]\n\n".to_string(),
     ];
     for (i, e) in events.iter().enumerate() {
-        harness.receive_text(writer, &chunk(e));
+        harness.receive_text(decode_conn, &chunk(e));
         assert_eq!(
             decode_chunked(harness.client_output(client)),
             events[..=i].concat(),
@@ -37,7 +37,7 @@
         );
     }
     assert!(!harness.client_output(client).ends_with("0\r\n\r\n"));
-    harness.receive_text(writer, "0\r\n\r\n");
+    harness.receive_text(decode_conn, "0\r\n\r\n");
     assert!(
         harness.client_output(client).ends_with("0\r\n\r\n"),
         "the end is passed on at once"
@@ -57,7 +57,7 @@
 }
 
 /// Milliseconds that a host is told to have.
-fn notified_ms(call: &Call) -> f64 {
+fn forwarded_deadline_ms(call: &Call) -> f64 {
     let field = call
         .text
         .split("Req-Deadline-Ms: ")
@@ -72,22 +72,22 @@
     harness.send_request("t1", "ask");
     harness.advance(0.5);
     harness.complete_prefill();
-    let left = notified_ms(&harness.last_call(Call::is_decode));
-    assert!((4200.0..4300.0).contains(&left), "{left}");
+    let remaining_ms = forwarded_deadline_ms(&harness.last_call(Call::is_decode));
+    assert!((4200.0..4300.0).contains(&remaining_ms), "{remaining_ms}");
 }
 
 /// The host is told what is left when its request leaves, also where the connection for it comes up late; first and
 /// further attempts, whatever time the client began with.
 #[test]
 fn forwarded_time_counts_from_connect() {
-    for (deadline_ms, late_s) in [
+    for (deadline_ms, delay_s) in [
         (4800, 0.24),
         (4800, 0.0),
         (1000, 0.24),
         (99_999, 0.2),
         (10_100, 0.2),
     ] {
-        for further in [false, true] {
+        for is_retry in [false, true] {
             let mut harness = Harness::new();
             harness.unreachable_addresses = servers()
                 .iter()
@@ -96,14 +96,14 @@
             let client = harness.connect_client();
             harness.receive_text(client, &request("late", "ask", deadline_ms));
             harness.advance(0.02);
-            let mut passed_s = 0.02;
-            if further {
+            let mut elapsed_s = 0.02;
+            if is_retry {
                 // The first connection never comes up; a further attempt dials at once.
                 harness.advance(0.25);
-                passed_s += 0.25;
+                elapsed_s += 0.25;
             }
-            harness.advance(late_s);
-            passed_s += late_s;
+            harness.advance(delay_s);
+            elapsed_s += delay_s;
             let (conn, _) = harness
                 .connects
                 .iter()
@@ -112,12 +112,15 @@
                 .copied()
                 .expect("dialled");
             harness.step(Input::Connected { conn });
-            let left_ms = deadline_ms as f64 - passed_s * 1e3;
-            let told = notified_ms(&harness.last_call(Call::is_prefill));
+            let remaining_ms = deadline_ms as f64 - elapsed_s * 1e3;
+            let forwarded_ms = forwarded_deadline_ms(&harness.last_call(Call::is_prefill));
             let case = format!(
-                "{deadline_ms} ms, up after {late_s} s, further {further}: told {told}, left {left_ms}"
+                "{deadline_ms} ms, up after {delay_s} s, further {is_retry}: told {forwarded_ms}, left {remaining_ms}"
+            );
+            assert!(
+                forwarded_ms <= remaining_ms && forwarded_ms > remaining_ms - 20.0,
+                "{case}"
             );
-            assert!(told <= left_ms && told > left_ms - 20.0, "{case}");
         }
     }
 }
@@ -168,11 +171,11 @@
 /// What the writer does, and what becomes of a safe and of an unsafe request.
 #[test]
 fn decode_outcome_leads_to_retry_or_failure_by_class() {
-    let declined = plain_response("503 Service Unavailable", "Srv-Declined: 1\r\n", "");
-    let moved = plain_response("410 Gone", "Srv-Declined: 1\r\n", "");
+    let rejected = plain_response("503 Service Unavailable", "Srv-Declined: 1\r\n", "");
+    let state_missing = plain_response("410 Gone", "Srv-Declined: 1\r\n", "");
     let table: [(&str, &str, bool); 7] = [
-        ("declined", &declined, true),
-        ("state gone", &moved, true),
+        ("declined", &rejected, true),
+        ("state gone", &state_missing, true),
         (
             "declined in time",
             "HTTP/1.1 504 Late\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n",
@@ -195,14 +198,14 @@
             false,
         ),
     ];
-    for (name, answer, never_ran) in table {
+    for (name, response, never_ran) in table {
         let mut harness = Harness::new();
-        let (client, writer) = harness.start_decode("u1", "book");
+        let (client, decode_conn) = harness.start_decode("u1", "book");
         let before = harness.count_calls(|c| c.request_line().starts_with("POST"));
-        harness.receive_text(writer, answer);
-        let again = harness.count_calls(|c| c.request_line().starts_with("POST")) > before;
+        harness.receive_text(decode_conn, response);
+        let is_retried = harness.count_calls(|c| c.request_line().starts_with("POST")) > before;
         assert_eq!(
-            again, never_ran,
+            is_retried, never_ran,
             "{name}: an unsafe request is sent again only if it never ran"
         );
         if !never_ran {
@@ -229,9 +232,9 @@
                 "127.0.1.4:80".parse().unwrap(),
             ] as [std::net::SocketAddr; 2]);
         }
-        let (client, writer) = harness.start_decode("u2", "book");
+        let (client, decode_conn) = harness.start_decode("u2", "book");
         let before = harness.count_calls(Call::is_decode);
-        harness.step(Input::Ended { conn: writer });
+        harness.step(Input::Ended { conn: decode_conn });
         assert_eq!(harness.count_calls(Call::is_decode) > before, is_blocked);
         assert_eq!(harness.status(client), if is_blocked { "" } else { "504" });
     }
@@ -247,17 +250,17 @@
     ] as [std::net::SocketAddr; 2]);
     harness.send_request("c1", "book");
     harness.complete_prefill();
-    let dials = |harness: &Harness| {
+    let connects = |harness: &Harness| {
         harness
             .connects
             .iter()
             .filter(|c| harness.unreachable_addresses.contains(&c.1))
             .count()
     };
-    let first = dials(&harness);
+    let first = connects(&harness);
     harness.advance(0.3);
     assert!(
-        dials(&harness) > first,
+        connects(&harness) > first,
         "the other writer, or the same again"
     );
     assert_eq!(harness.count_calls(Call::is_decode), 0);
@@ -284,7 +287,7 @@
     } else {
         "h-w2"
     };
-    let drained = endpoint_list_json(
+    let draining = endpoint_list_json(
         8,
         false,
         &[endpoint_json(uid, &to.to_string(), "writes", "terminating")],
@@ -294,7 +297,7 @@
         watch,
         &format!(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
-            chunk(&format!("{drained}\n"))
+            chunk(&format!("{draining}\n"))
         ),
     );
     harness.step(Input::Connected { conn });
@@ -307,21 +310,21 @@
 
 #[test]
 fn broken_stream_has_no_last_chunk() {
-    let breaks: [(&str, Option<&str>); 4] = [
+    let failures: [(&str, Option<&str>); 4] = [
         ("closed", None),
         ("bad size", Some("zz\r\n")),
         ("3 GB", Some("c0000000\r\naaaa")),
         ("a chunk that does not fit", Some("3\r\nabcdef")),
     ];
-    for (name, bytes) in breaks {
+    for (name, bytes) in failures {
         let mut harness = Harness::new();
-        let (client, writer) = harness.start_decode("s1", "ask");
-        harness.receive_text(writer, STREAM_HEAD);
-        harness.receive_text(writer, &chunk(&stream_event("one")));
-        let writes = harness.count_calls(Call::is_decode);
+        let (client, decode_conn) = harness.start_decode("s1", "ask");
+        harness.receive_text(decode_conn, STREAM_HEAD);
+        harness.receive_text(decode_conn, &chunk(&stream_event("one")));
+        let decode_calls = harness.count_calls(Call::is_decode);
         match bytes {
-            Some(bytes) => harness.receive_text(writer, bytes),
-            None => harness.step(Input::Ended { conn: writer }),
+            Some(bytes) => harness.receive_text(decode_conn, bytes),
+            None => harness.step(Input::Ended { conn: decode_conn }),
         }
         assert!(harness.finished.contains(&client), "{name}: at once");
         assert!(
@@ -335,11 +338,11 @@
         );
         assert_eq!(
             harness.count_calls(Call::is_decode),
-            writes,
+            decode_calls,
             "{name}: nothing more is sent"
         );
         assert!(
-            bytes.is_none() || harness.closed.contains(&writer),
+            bytes.is_none() || harness.closed.contains(&decode_conn),
             "{name}: not used again"
         );
     }
@@ -348,55 +351,55 @@
 #[test]
 fn stalled_stream_ends_within_five_seconds() {
     let mut harness = Harness::new();
-    let (client, writer) = harness.start_decode("s2", "ask");
-    harness.receive_text(writer, STREAM_HEAD);
-    harness.receive_text(writer, &chunk(&stream_event("one")));
+    let (client, decode_conn) = harness.start_decode("s2", "ask");
+    harness.receive_text(decode_conn, STREAM_HEAD);
+    harness.receive_text(decode_conn, &chunk(&stream_event("one")));
     harness.advance(4.0);
     assert!(!harness.finished.contains(&client), "a pause is no end");
-    harness.receive_text(writer, &chunk(&stream_event("two")));
+    harness.receive_text(decode_conn, &chunk(&stream_event("two")));
     harness.advance(4.9);
-    assert!(harness.finished.contains(&client) && harness.closed.contains(&writer));
+    assert!(harness.finished.contains(&client) && harness.closed.contains(&decode_conn));
 }
 
 #[test]
 fn second_response_closes_connection() {
     let mut harness = Harness::new();
-    let (client, writer) = harness.start_decode("s3", "ask");
+    let (client, decode_conn) = harness.start_decode("s3", "ask");
     let all = format!(
         "{STREAM_HEAD}{}0\r\n\r\nHTTP/1.1 200 OK\r\n\r\nmore",
         chunk(&stream_event("one"))
     );
-    harness.receive_text(writer, &all);
+    harness.receive_text(decode_conn, &all);
     assert_eq!(
         decode_chunked(harness.client_output(client)),
         stream_event("one")
     );
     assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
-    assert!(harness.closed.contains(&writer));
+    assert!(harness.closed.contains(&decode_conn));
 }
 
 #[test]
 fn bytes_on_idle_connection_close_it() {
     let mut harness = Harness::new();
-    let (_, writer) = harness.start_decode("s4", "ask");
+    let (_, decode_conn) = harness.start_decode("s4", "ask");
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
-    assert!(!harness.closed.contains(&writer));
-    harness.receive_text(writer, "HTTP/1.1 200 OK\r\n\r\n");
-    assert!(harness.closed.contains(&writer));
+    assert!(!harness.closed.contains(&decode_conn));
+    harness.receive_text(decode_conn, "HTTP/1.1 200 OK\r\n\r\n");
+    assert!(harness.closed.contains(&decode_conn));
 }
 
 /// A second answer comes some milliseconds after the first: it must not be taken for the answer to the next request.
 #[test]
 fn late_second_response_is_not_mistaken() {
-    let twice = plain_response("202 Accepted", "", r#"{"cached_tokens":64}"#);
-    for late_s in [0.0, 0.001, 0.01, 0.029] {
+    let response = plain_response("202 Accepted", "", r#"{"cached_tokens":64}"#);
+    for delay_s in [0.0, 0.001, 0.01, 0.029] {
         let mut harness = Harness::new();
         harness.send_request("first", "ask");
-        let reader = harness.last_call(Call::is_prefill);
-        harness.receive_text(reader.conn, &twice);
+        let prefill_call = harness.last_call(Call::is_prefill);
+        harness.receive_text(prefill_call.conn, &response);
         // All that is asked meanwhile needs the same reader.
         harness.unreachable_addresses = servers()
             .iter()
@@ -404,26 +407,26 @@
             .collect();
         let client = harness.connect_client();
         harness.receive_text(client, &request("second", "book", 4800));
-        harness.advance(late_s);
+        harness.advance(delay_s);
         assert_eq!(
             harness.count_calls(|c| c.is_prefill() && c.text.contains("second")),
             0,
             "it does not go out there"
         );
-        harness.receive_text(reader.conn, &twice);
+        harness.receive_text(prefill_call.conn, &response);
         assert!(
-            harness.closed.contains(&reader.conn),
-            "{late_s}: nothing is sent on it any more"
+            harness.closed.contains(&prefill_call.conn),
+            "{delay_s}: nothing is sent on it any more"
         );
     }
 }
 
 /// A node that has served one request; each of its connections to hosts proves stale when it is used next.
-fn all_stale() -> Harness {
+fn harness_with_stale_connections() -> Harness {
     let mut harness = Harness::new();
-    let (_, writer) = harness.start_decode("first", "ask");
+    let (_, decode_conn) = harness.start_decode("first", "ask");
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
     harness.advance(REUSE_DELAY_SECS);
@@ -442,9 +445,9 @@
 #[test]
 fn stale_connection_costs_no_attempt() {
     for kind in ["ask", "book"] {
-        let mut harness = all_stale();
+        let mut harness = harness_with_stale_connections();
         let stale = harness.stale.clone();
-        let (client, writer) = harness.start_decode("second", kind);
+        let (client, decode_conn) = harness.start_decode("second", kind);
         assert!(
             harness.stale.len() < stale.len(),
             "{kind}: one was tried and found stale"
@@ -461,7 +464,7 @@
             "{kind}: one read and one write"
         );
         harness.receive_text(
-            writer,
+            decode_conn,
             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("two"))),
         );
         assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
@@ -476,7 +479,7 @@
 /// A client that has gone gets nothing by another way either.
 #[test]
 fn stale_connection_is_replaced_only_if_still_wanted() {
-    let mut harness = all_stale();
+    let mut harness = harness_with_stale_connections();
     harness.unreachable_addresses = servers()
         .iter()
         .map(|h| h.1.parse().expect("an address"))
@@ -502,19 +505,19 @@
 fn unreadable_load_reports_change_nothing() {
     let mut harness = Harness::new();
     let client = harness.send_request("l1", "ask");
-    let read = harness.last_call(Call::is_prefill);
-    let more = "Srv-Load: queue=\u{e9}NaN,,=\r\n";
+    let prefill_call = harness.last_call(Call::is_prefill);
+    let load_header = "Srv-Load: queue=\u{e9}NaN,,=\r\n";
     harness.receive_text(
-        read.conn,
-        &plain_response("202 Accepted", more, r#"{"cached_tokens":"many"}"#),
+        prefill_call.conn,
+        &plain_response("202 Accepted", load_header, r#"{"cached_tokens":"many"}"#),
     );
-    let writer = harness.last_call(Call::is_decode).conn;
+    let decode_conn = harness.last_call(Call::is_decode).conn;
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
     );
-    harness.receive_text(writer, &chunk(": Srv-Load: util=one\n\n"));
-    harness.receive_text(writer, "0\r\n\r\n");
+    harness.receive_text(decode_conn, &chunk(": Srv-Load: util=one\n\n"));
+    harness.receive_text(decode_conn, "0\r\n\r\n");
     assert_eq!(
         decode_chunked(harness.client_output(client)),
         stream_event("one")
@@ -526,14 +529,14 @@
 fn slow_client_pauses_its_own_stream() {
     let mut harness = Harness::new();
     harness.clients_blocked = true;
-    let (client, writer) = harness.start_decode("w1", "ask");
-    harness.receive_text(writer, STREAM_HEAD);
-    let long = stream_event(&"x".repeat(20_000));
+    let (client, decode_conn) = harness.start_decode("w1", "ask");
+    harness.receive_text(decode_conn, STREAM_HEAD);
+    let long_event = stream_event(&"x".repeat(20_000));
     for _ in 0..10 {
-        harness.receive_text(writer, &chunk(&long));
+        harness.receive_text(decode_conn, &chunk(&long_event));
     }
     assert!(
-        harness.paused.contains(&writer),
+        harness.paused.contains(&decode_conn),
         "its host is read no further"
     );
     harness.advance(6.0);
@@ -545,7 +548,7 @@
         conn: client,
         count: 190_000,
     });
-    assert!(!harness.paused.contains(&writer));
+    assert!(!harness.paused.contains(&decode_conn));
 }
 
 #[test]
@@ -573,9 +576,9 @@
 fn client_that_takes_nothing_is_disconnected() {
     let mut harness = Harness::new();
     harness.clients_blocked = true;
-    let (client, writer) = harness.start_decode("w2", "ask");
-    harness.receive_text(writer, STREAM_HEAD);
-    harness.receive_text(writer, &chunk(&stream_event(&"x".repeat(150_000))));
+    let (client, decode_conn) = harness.start_decode("w2", "ask");
+    harness.receive_text(decode_conn, STREAM_HEAD);
+    harness.receive_text(decode_conn, &chunk(&stream_event(&"x".repeat(150_000))));
     harness.advance(15.0);
     assert!(!harness.closed.contains(&client));
     harness.step(Input::Wrote {
@@ -586,7 +589,7 @@
     assert!(!harness.closed.contains(&client), "it takes a little");
     harness.advance(6.0);
     assert!(
-        harness.closed.contains(&client) && harness.closed.contains(&writer),
+        harness.closed.contains(&client) && harness.closed.contains(&decode_conn),
         "its host's slot is free again"
     );
 }
@@ -595,13 +598,13 @@
 fn disconnect_ends_attempt() {
     let mut harness = Harness::new();
     let client = harness.send_request("g1", "ask");
-    let read = harness.last_call(Call::is_prefill);
+    let prefill_call = harness.last_call(Call::is_prefill);
     harness.step(Input::Ended { conn: client });
-    assert!(harness.closed.contains(&read.conn));
+    assert!(harness.closed.contains(&prefill_call.conn));
     assert_eq!(harness.node.counts().disconnected, 1);
-    let deletes =
+    let release_calls =
         harness.count_calls(|c| c.request_line() == "DELETE /bootstrap/rooms/g1 HTTP/1.1");
-    assert_eq!(deletes, 1, "the read may have ended well just then");
+    assert_eq!(release_calls, 1, "the read may have ended well just then");
 }
 
 #[test]
@@ -622,7 +625,7 @@
 fn refusals_carry_retry_after() {
     let mut harness = Harness::new();
     let watch = harness.connects[0].0;
-    let drained: Vec<String> = servers()
+    let draining: Vec<String> = servers()
         .iter()
         .map(|h| endpoint_json(h.0, h.1, h.2, "terminating"))
         .collect();
@@ -630,18 +633,18 @@
         watch,
         &format!(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
-            chunk(&format!("{}\n", endpoint_list_json(9, true, &drained)))
+            chunk(&format!("{}\n", endpoint_list_json(9, true, &draining)))
         ),
     );
     let client = harness.connect_client();
     harness.receive_text(client, &request("r1", "book", 12_000));
     assert_eq!(harness.status(client), "503");
-    let told = harness
+    let forwarded_ms = harness
         .client_output(client)
         .split("Retry-After: ")
         .nth(1)
         .expect("a time to come back");
-    let seconds: f64 = told
+    let seconds: f64 = forwarded_ms
         .split("\r\n")
         .next()
         .and_then(|s| s.parse().ok())
@@ -654,21 +657,21 @@
 #[test]
 fn ended_stream_leaves_connection_readable() {
     let mut harness = Harness::new();
-    let (client, writer) = harness.start_decode("big", "ask");
+    let (client, decode_conn) = harness.start_decode("big", "ask");
     harness.clients_blocked = true;
-    let long = chunk(&stream_event(&"x".repeat(100_000)));
-    harness.receive_text(writer, &format!("{STREAM_HEAD}{long}"));
-    assert!(!harness.paused.contains(&writer), "it is not much yet");
-    harness.receive_text(writer, &format!("{long}0\r\n\r\n"));
+    let long_event = chunk(&stream_event(&"x".repeat(100_000)));
+    harness.receive_text(decode_conn, &format!("{STREAM_HEAD}{long_event}"));
+    assert!(!harness.paused.contains(&decode_conn), "it is not much yet");
+    harness.receive_text(decode_conn, &format!("{long_event}0\r\n\r\n"));
     assert!(
-        !harness.closed.contains(&writer) && !harness.paused.contains(&writer),
+        !harness.closed.contains(&decode_conn) && !harness.paused.contains(&decode_conn),
         "kept, and read"
     );
     harness.step(Input::Wrote {
         conn: client,
         count: harness.client_output(client).len(),
     });
-    assert!(!harness.paused.contains(&writer));
+    assert!(!harness.paused.contains(&decode_conn));
     assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
 }
 
@@ -676,32 +679,32 @@
 /// told, it is answered within its own deadline, and one whose time is over by then is never sent on.
 #[test]
 fn pipelined_deadline_counts_from_own_last_byte() {
-    for (behind_s, cut, left_ms) in [
+    for (wait_s, cut, remaining_ms) in [
         (1.0, false, Some(3800.0)),
         (1.0, true, Some(3900.0)),
         (4.7, false, Some(100.0)),
         (4.9, false, None),
     ] {
         let mut harness = Harness::new();
-        let (client, writer) = harness.start_decode("first", "ask");
+        let (client, decode_conn) = harness.start_decode("first", "ask");
         harness.receive_text(
-            writer,
+            decode_conn,
             &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
         );
-        let ahead = request("second", "ask", 4800);
+        let pipelined = request("second", "ask", 4800);
         if cut {
-            let (head, tail) = ahead.split_at(ahead.len() - 1);
+            let (head, tail) = pipelined.split_at(pipelined.len() - 1);
             harness.receive_text(client, head);
             harness.advance(0.1);
             harness.receive_text(client, tail);
-            harness.advance(behind_s - 0.1);
+            harness.advance(wait_s - 0.1);
         } else {
-            harness.receive_text(client, &ahead);
-            harness.advance(behind_s - 0.5);
-            harness.receive_text(writer, &chunk(&stream_event("two")));
+            harness.receive_text(client, &pipelined);
+            harness.advance(wait_s - 0.5);
+            harness.receive_text(decode_conn, &chunk(&stream_event("two")));
             harness.advance(0.5);
         }
-        harness.receive_text(writer, "0\r\n\r\n");
+        harness.receive_text(decode_conn, "0\r\n\r\n");
         harness.advance(0.001);
         let sent = harness
             .calls
@@ -709,19 +712,19 @@
             .rev()
             .find(|c| c.is_prefill() && c.text.contains("second"))
             .cloned();
-        let case = format!("{behind_s} s behind, cut {cut}");
-        match (left_ms, sent) {
-            (Some(left_ms), Some(call)) => {
-                let told = notified_ms(&call);
+        let case = format!("{wait_s} s behind, cut {cut}");
+        match (remaining_ms, sent) {
+            (Some(remaining_ms), Some(call)) => {
+                let forwarded_ms = forwarded_deadline_ms(&call);
                 assert!(
-                    told <= left_ms && told > left_ms - 10.0,
-                    "{case}: told {told}, left {left_ms}"
+                    forwarded_ms <= remaining_ms && forwarded_ms > remaining_ms - 10.0,
+                    "{case}: told {forwarded_ms}, left {remaining_ms}"
                 );
             }
             // Too late for an aim it may be refused; what has no time left is.
-            (left_ms, sent) => {
+            (remaining_ms, sent) => {
                 assert!(
-                    sent.is_none() && left_ms.is_none_or(|ms| ms < 1500.0),
+                    sent.is_none() && remaining_ms.is_none_or(|ms| ms < 1500.0),
                     "{case}"
                 );
                 assert!(
@@ -755,10 +758,10 @@
             "not read twice"
         );
         // The same of the first event and the client's deadline.
-        let writer = harness.last_call(Call::is_decode).conn;
+        let decode_conn = harness.last_call(Call::is_decode).conn;
         harness.now = harness.now.after(0.3);
         harness.receive_text(
-            writer,
+            decode_conn,
             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
         );
         harness.step(Input::Tick);
--- a/crates/platform/tests/shutdown.rs
+++ b/crates/platform/tests/shutdown.rs
@@ -6,7 +6,7 @@
 use bitternlatch_platform::types::{ConnId, Input};
 use common::*;
 
-const REFUSAL: &str = "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
+const REJECTION: &str = "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
 
 fn stream(word: &str) -> String {
     format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event(word)))
@@ -15,36 +15,36 @@
 /// The request that was sent last is served.
 fn serve(harness: &mut Harness, id: &str, word: &str) {
     let sent = format!("Req-Id: {id}\r\n");
-    let read = harness
+    let prefill_conn = harness
         .last_call(|c| c.is_prefill() && c.text.contains(&sent))
         .conn;
     harness.receive_text(
-        read,
+        prefill_conn,
         &plain_response("202 Accepted", "", r#"{"cached_tokens":0}"#),
     );
-    let write = harness
+    let decode_conn = harness
         .last_call(|c| c.is_decode() && c.text.contains(&sent))
         .conn;
-    harness.receive_text(write, &stream(word));
+    harness.receive_text(decode_conn, &stream(word));
 }
 
 /// How the request ends behind which another one was sent ahead.
-fn end_first(harness: &mut Harness, how: &str, writer: ConnId) {
-    match how {
-        "served" => harness.receive_text(writer, &stream("one")),
+fn complete_first_request(harness: &mut Harness, outcome: &str, decode_conn: ConnId) {
+    match outcome {
+        "served" => harness.receive_text(decode_conn, &stream("one")),
         "a stream in hand" => {
             harness.receive_text(
-                writer,
+                decode_conn,
                 &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
             );
             harness.advance(0.7);
-            harness.receive_text(writer, "0\r\n\r\n");
+            harness.receive_text(decode_conn, "0\r\n\r\n");
         }
         _ => {
             for _ in 0..2 {
-                let writer = harness.last_call(Call::is_decode).conn;
-                if !harness.closed.contains(&writer) {
-                    harness.receive_text(writer, REFUSAL);
+                let decode_conn = harness.last_call(Call::is_decode).conn;
+                if !harness.closed.contains(&decode_conn) {
+                    harness.receive_text(decode_conn, REJECTION);
                 }
             }
             harness.advance(1.1);
@@ -54,11 +54,11 @@
 
 #[test]
 fn pipelined_request_before_stop_is_answered() {
-    for how in ["served", "a stream in hand", "refused"] {
+    for outcome in ["served", "a stream in hand", "refused"] {
         for before_stop in [true, false] {
             let mut harness = Harness::new();
             harness.answers_releases = true;
-            let (client, writer) = harness.start_decode("first", "ask");
+            let (client, decode_conn) = harness.start_decode("first", "ask");
             if before_stop {
                 harness.receive_text(client, &request("second", "ask", 4800));
                 harness.step(Input::Stop);
@@ -69,8 +69,8 @@
             }
             harness.advance(0.6);
             assert!(harness.listener_closed);
-            end_first(&mut harness, how, writer);
-            let case = format!("{how}, sent before the stop {before_stop}");
+            complete_first_request(&mut harness, outcome, decode_conn);
+            let case = format!("{outcome}, sent before the stop {before_stop}");
             assert!(
                 !harness.finished.contains(&client) && !harness.stopped,
                 "{case}"
@@ -94,15 +94,15 @@
 #[test]
 fn partial_pipelined_request_does_not_delay_stop() {
     let mut harness = Harness::new();
-    let (client, writer) = harness.start_decode("first", "ask");
-    let ahead = request("second", "ask", 4800);
-    harness.receive_text(client, &ahead[..ahead.len() - 1]);
+    let (client, decode_conn) = harness.start_decode("first", "ask");
+    let pipelined = request("second", "ask", 4800);
+    harness.receive_text(client, &pipelined[..pipelined.len() - 1]);
     harness.step(Input::Stop);
     harness.advance(0.6);
-    harness.receive_text(writer, &stream("one"));
+    harness.receive_text(decode_conn, &stream("one"));
     assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
     assert!(harness.finished.contains(&client) && harness.stopped);
-    harness.receive_text(client, &ahead[ahead.len() - 1..]);
+    harness.receive_text(client, &pipelined[pipelined.len() - 1..]);
     assert_eq!(
         harness.count_calls(|c| c.text.contains("Req-Id: second")),
         0,
@@ -122,9 +122,9 @@
         "it waits until nobody is left to be taken"
     );
     let client = harness.send_request("queued", "ask");
-    let quiet = harness.connect_client();
+    let idle_client = harness.connect_client();
     harness.step(Input::NotListening);
-    assert!(harness.finished.contains(&quiet) && !harness.finished.contains(&client));
+    assert!(harness.finished.contains(&idle_client) && !harness.finished.contains(&client));
     serve(&mut harness, "queued", "one");
     assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
     assert!(harness.finished.contains(&client) && harness.stopped);
@@ -173,11 +173,11 @@
         .replace(r#""deadlineS":12.0"#, r#""deadlineS":1.5"#);
     let mut harness = Harness::with_config(Config::parse(&text).expect("the test's configuration"));
     let client = harness.connect_client();
-    let ahead = request("late", "book", 1500);
-    harness.receive_text(client, &ahead[..60]);
+    let pipelined = request("late", "book", 1500);
+    harness.receive_text(client, &pipelined[..60]);
     harness.step(Input::Stop);
     harness.advance(1.0);
-    harness.receive_text(client, &ahead[60..]);
+    harness.receive_text(client, &pipelined[60..]);
     harness.advance(1.15);
     assert!(
         !harness.client_output(client).is_empty(),
@@ -190,37 +190,37 @@
 fn stream_is_not_cut_at_stop_without_resume() {
     let text = config_json(256).replace(r#""resume":true"#, r#""resume":false"#);
     let mut harness = Harness::with_config(Config::parse(&text).expect("the test's configuration"));
-    let (client, writer) = harness.start_decode("long", "ask");
+    let (client, decode_conn) = harness.start_decode("long", "ask");
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
     );
     harness.step(Input::Stop);
     for _ in 0..6 {
         harness.advance(1.0);
-        harness.receive_text(writer, &chunk(&stream_event("more")));
+        harness.receive_text(decode_conn, &chunk(&stream_event("more")));
     }
     assert!(!harness.finished.contains(&client) && !harness.stopped);
-    harness.receive_text(writer, "0\r\n\r\n");
+    harness.receive_text(decode_conn, "0\r\n\r\n");
     assert!(harness.client_output(client).ends_with("0\r\n\r\n") && harness.stopped);
 }
 
 /// Cut anywhere, a request that comes whole in time is served, and one that never does ends with the process.
 #[test]
 fn request_cut_at_stop_is_served_once_complete() {
-    let whole = request("cut", "ask", 4800);
-    let body = whole.find("\r\n\r\n").expect("a head") + 4;
-    for at in [1, 40, body - 1, body, body + 1, whole.len() - 1] {
+    let request_text = request("cut", "ask", 4800);
+    let body = request_text.find("\r\n\r\n").expect("a head") + 4;
+    for at in [1, 40, body - 1, body, body + 1, request_text.len() - 1] {
         let mut harness = Harness::new();
         let client = harness.connect_client();
-        harness.receive_text(client, &whole[..at]);
+        harness.receive_text(client, &request_text[..at]);
         harness.step(Input::Stop);
         harness.advance(0.7);
         assert!(
             harness.listener_closed && !harness.stopped && !harness.finished.contains(&client),
             "cut at {at}: it is waited for"
         );
-        harness.receive_text(client, &whole[at..]);
+        harness.receive_text(client, &request_text[at..]);
         harness.advance(0.02);
         serve(&mut harness, "cut", "one");
         assert!(
@@ -244,8 +244,8 @@
         }
         harness.complete_prefill();
         for _ in 0..2 {
-            let writer = harness.last_call(Call::is_decode).conn;
-            harness.receive_text(writer, REFUSAL);
+            let decode_conn = harness.last_call(Call::is_decode).conn;
+            harness.receive_text(decode_conn, REJECTION);
         }
         if !stop_first {
             harness.step(Input::Stop);
@@ -256,8 +256,8 @@
             harness.count_calls(Call::is_decode) > before,
             "asked again, stop first {stop_first}"
         );
-        let writer = harness.last_call(Call::is_decode).conn;
-        harness.receive_text(writer, &stream("one"));
+        let decode_conn = harness.last_call(Call::is_decode).conn;
+        harness.receive_text(decode_conn, &stream("one"));
         assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
         assert_eq!(harness.count_calls(Call::is_prefill), 1);
     }
@@ -284,7 +284,7 @@
             watch,
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         );
-        let drains = endpoint_list_json(
+        let draining = endpoint_list_json(
             8,
             false,
             &[endpoint_json(
@@ -294,15 +294,15 @@
                 "terminating",
             )],
         );
-        harness.receive_text(watch, &chunk(&format!("{drains}\n")));
+        harness.receive_text(watch, &chunk(&format!("{draining}\n")));
         harness.complete_prefill();
         assert_eq!(
             harness.last_call(Call::is_decode).to.to_string(),
             "127.0.1.4:80",
             "stop first {stop_first}"
         );
-        let writer = harness.last_call(Call::is_decode).conn;
-        harness.receive_text(writer, &stream("one"));
+        let decode_conn = harness.last_call(Call::is_decode).conn;
+        harness.receive_text(decode_conn, &stream("one"));
         assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
     }
 }
@@ -312,8 +312,8 @@
 fn stop_waits_for_releases() {
     for answers in [true, false] {
         let mut harness = Harness::new();
-        let (_, writer) = harness.start_decode("held", "book");
-        harness.receive_text(writer, &plain_response("500 Oops", "", ""));
+        let (_, decode_conn) = harness.start_decode("held", "book");
+        harness.receive_text(decode_conn, &plain_response("500 Oops", "", ""));
         harness.answers_releases = answers;
         harness.step(Input::Stop);
         harness.advance(1.0);
--- a/crates/platform/tests/start_times.rs
+++ b/crates/platform/tests/start_times.rs
@@ -7,17 +7,17 @@
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const DISCOVERY: &str = "127.0.2.1:8500";
-const NEW: &str = "h-r9";
+const NEW_SERVER: &str = "h-r9";
 const HOUR_SECS: f64 = 3600.0;
 
 /// A new host that is listed with a start so long ago.
-fn started(harness: &Harness, age_s: f64) -> String {
+fn endpoint_started_ago(harness: &Harness, age_s: f64) -> String {
     let boot_ms = (harness.now.seconds() - age_s) * 1e3;
-    endpoint_json(NEW, "127.0.1.9:80", "reads", "in_service")
+    endpoint_json(NEW_SERVER, "127.0.1.9:80", "reads", "in_service")
         .replace("\"boot_ms\":0", &format!("\"boot_ms\":{boot_ms:.0}"))
 }
 
-fn call(harness: &Harness) -> bitternlatch_platform::types::ConnId {
+fn watch_connection(harness: &Harness) -> bitternlatch_platform::types::ConnId {
     let to = DISCOVERY.parse().expect("an address");
     harness
         .connects
@@ -29,18 +29,19 @@
 }
 
 /// The age of the new host that the module was told last, seconds.
-fn told_age_s(harness: &mut Harness) -> f64 {
-    let mut told = harness
-        .node
-        .take_trace()
-        .into_iter()
-        .filter_map(|traced| match traced.event {
-            Event::Servers { entries, .. } => entries
-                .into_iter()
-                .max_by(|a, b| a.booted_at.total_cmp(&b.booted_at)),
-            _ => None,
-        });
-    harness.now.seconds() - told.next_back().expect("a list was told").booted_at
+fn reported_age_secs(harness: &mut Harness) -> f64 {
+    let mut reported =
+        harness
+            .node
+            .take_trace()
+            .into_iter()
+            .filter_map(|traced| match traced.event {
+                Event::Servers { entries, .. } => entries
+                    .into_iter()
+                    .max_by(|a, b| a.booted_at.total_cmp(&b.booted_at)),
+                _ => None,
+            });
+    harness.now.seconds() - reported.next_back().expect("a list was told").booted_at
 }
 
 #[test]
@@ -53,20 +54,20 @@
         (-HOUR_SECS, 0.0),
         (-7.0, 0.0),
     ];
-    for (listed_s, taken_s) in table {
+    for (listed_s, expected_s) in table {
         let mut harness = Harness::with_tracing();
-        let conn = call(&harness);
+        let conn = watch_connection(&harness);
         harness.receive_text(conn, HEAD);
         harness.receive_text(conn, &chunk("\n"));
         harness.advance(2.0);
         harness.receive_text(conn, &chunk("\n"));
         harness.advance(0.5);
-        let line = endpoint_list_json(8, false, &[started(&harness, listed_s)]);
+        let line = endpoint_list_json(8, false, &[endpoint_started_ago(&harness, listed_s)]);
         harness.receive_text(conn, &chunk(&format!("{line}\n")));
-        let told_s = told_age_s(&mut harness);
+        let reported_s = reported_age_secs(&mut harness);
         assert!(
-            (told_s - taken_s).abs() < 0.01,
-            "listed {listed_s} s ago, told {told_s:.3}, wanted {taken_s}"
+            (reported_s - expected_s).abs() < 0.01,
+            "listed {listed_s} s ago, told {reported_s:.3}, wanted {expected_s}"
         );
     }
 }
@@ -81,31 +82,35 @@
         (HOUR_SECS, true, 0.0),
         (HOUR_SECS, false, HOUR_SECS),
     ];
-    for (listed_s, others_long_ago, taken_s) in table {
+    for (listed_s, others_long_ago, expected_s) in table {
         let text = config_json(256);
-        let known = text.find(r#""known":"#).expect("what it knows");
-        let settings = text.find(r#""settings":"#).expect("its settings");
-        let text = format!("{}\"known\":null,{}", &text[..known], &text[settings..]);
+        let known_at = text.find(r#""known":"#).expect("what it knows");
+        let settings_at = text.find(r#""settings":"#).expect("its settings");
+        let text = format!(
+            "{}\"known\":null,{}",
+            &text[..known_at],
+            &text[settings_at..]
+        );
         let config =
             bitternlatch_platform::config::Config::parse(&text).expect("the test's configuration");
         let mut out = Vec::new();
         let node = Node::traced(START, config, &mut out);
         let mut harness = Harness::from_started_node(node, out);
-        let conn = call(&harness);
+        let conn = watch_connection(&harness);
         harness.receive_text(conn, HEAD);
-        let others = servers().into_iter().filter(|_| others_long_ago);
-        let mut all: Vec<String> = others
+        let other_servers = servers().into_iter().filter(|_| others_long_ago);
+        let mut all: Vec<String> = other_servers
             .map(|h| endpoint_json(h.0, h.1, h.2, "in_service"))
             .collect();
-        all.push(started(&harness, listed_s));
+        all.push(endpoint_started_ago(&harness, listed_s));
         harness.receive_text(
             conn,
             &chunk(&format!("{}\n", endpoint_list_json(8, true, &all))),
         );
-        let told_s = told_age_s(&mut harness);
+        let reported_s = reported_age_secs(&mut harness);
         assert!(
-            (told_s - taken_s).abs() < 0.01,
-            "listed {listed_s} s ago, told {told_s:.3}, wanted {taken_s}"
+            (reported_s - expected_s).abs() < 0.01,
+            "listed {listed_s} s ago, told {reported_s:.3}, wanted {expected_s}"
         );
     }
 }
@@ -114,12 +119,12 @@
 #[test]
 fn start_time_listed_again_is_kept() {
     let mut harness = Harness::with_tracing();
-    let conn = call(&harness);
+    let conn = watch_connection(&harness);
     harness.receive_text(conn, HEAD);
-    let new = started(&harness, -HOUR_SECS);
-    for (rev, passes_s, taken_s) in [(8, 0.0, 0.0), (9, 5.0, 5.0), (10, 5.0, 10.0)] {
+    let new = endpoint_started_ago(&harness, -HOUR_SECS);
+    for (rev, elapsed_s, expected_s) in [(8, 0.0, 0.0), (9, 5.0, 5.0), (10, 5.0, 10.0)] {
         harness.receive_text(conn, &chunk("\n"));
-        for _ in 0..(passes_s as usize) {
+        for _ in 0..(elapsed_s as usize) {
             harness.advance(1.0);
             harness.receive_text(conn, &chunk("\n"));
         }
@@ -130,10 +135,10 @@
                 endpoint_list_json(rev, false, std::slice::from_ref(&new))
             )),
         );
-        let told_s = told_age_s(&mut harness);
+        let reported_s = reported_age_secs(&mut harness);
         assert!(
-            (told_s - taken_s).abs() < 0.01,
-            "version {rev}: {told_s:.3} for {taken_s}"
+            (reported_s - expected_s).abs() < 0.01,
+            "version {rev}: {reported_s:.3} for {expected_s}"
         );
     }
 }
--- a/crates/platform/tests/truncated_responses.rs
+++ b/crates/platform/tests/truncated_responses.rs
@@ -4,7 +4,7 @@
 use bitternlatch_platform::types::Input;
 use common::*;
 
-fn answer() -> String {
+fn response() -> String {
     format!(
         "{STREAM_HEAD}{}{}0\r\n\r\n",
         chunk(&stream_event("one")),
@@ -16,45 +16,45 @@
 /// client's, who gets whole events alone and no last chunk.
 #[test]
 fn truncated_response_is_never_complete() {
-    let (text, first) = (answer(), stream_event("one"));
-    let first_whole = text.find(&first).expect("the first event") + first.len();
-    let second_whole =
+    let (text, first) = (response(), stream_event("one"));
+    let first_event_end = text.find(&first).expect("the first event") + first.len();
+    let second_event_end =
         text.find(&stream_event("two")).expect("the second event") + stream_event("two").len();
-    for (kind, safe) in [("ask", true), ("book", false)] {
+    for (kind, may_retry) in [("ask", true), ("book", false)] {
         for cut in 0..text.len() {
             let mut harness = Harness::new();
-            let (client, writer) = harness.start_decode("k1", kind);
-            let writes = harness.count_calls(Call::is_decode);
+            let (client, decode_conn) = harness.start_decode("k1", kind);
+            let decode_calls = harness.count_calls(Call::is_decode);
             if cut > 0 {
-                harness.receive_text(writer, &text[..cut]);
+                harness.receive_text(decode_conn, &text[..cut]);
             }
-            harness.step(Input::Ended { conn: writer });
-            let again = harness.count_calls(Call::is_decode) > writes;
-            let at = format!("{kind}, cut at {cut}");
-            assert_eq!(harness.node.counts().served, 0, "{at}");
-            if cut < first_whole {
-                assert_eq!(again, safe, "{at}");
+            harness.step(Input::Ended { conn: decode_conn });
+            let is_retried = harness.count_calls(Call::is_decode) > decode_calls;
+            let case = format!("{kind}, cut at {cut}");
+            assert_eq!(harness.node.counts().served, 0, "{case}");
+            if cut < first_event_end {
+                assert_eq!(is_retried, may_retry, "{case}");
                 assert_eq!(
                     harness.status(client),
-                    if safe { "" } else { "504" },
-                    "{at}"
+                    if may_retry { "" } else { "504" },
+                    "{case}"
                 );
                 continue;
             }
-            let events = if cut < second_whole {
+            let events = if cut < second_event_end {
                 first.clone()
             } else {
                 first.clone() + &stream_event("two")
             };
-            assert!(!again && harness.finished.contains(&client), "{at}");
+            assert!(!is_retried && harness.finished.contains(&client), "{case}");
             assert_eq!(
                 decode_chunked(harness.client_output(client)),
                 events,
-                "{at}"
+                "{case}"
             );
             assert!(
                 !harness.client_output(client).ends_with("0\r\n\r\n"),
-                "{at}"
+                "{case}"
             );
         }
     }
@@ -64,13 +64,13 @@
 #[test]
 fn response_may_come_byte_by_byte() {
     let mut harness = Harness::new();
-    let (client, writer) = harness.start_decode("k2", "ask");
-    let text = answer();
-    let first_whole =
+    let (client, decode_conn) = harness.start_decode("k2", "ask");
+    let text = response();
+    let first_event_end =
         text.find(&stream_event("one")).expect("the first event") + stream_event("one").len();
     for (i, byte) in text.as_bytes().iter().enumerate() {
-        harness.advance(if i < first_whole { 0.001 } else { 0.05 });
-        harness.receive(writer, &[*byte]);
+        harness.advance(if i < first_event_end { 0.001 } else { 0.05 });
+        harness.receive(decode_conn, &[*byte]);
     }
     assert_eq!(
         decode_chunked(harness.client_output(client)),
@@ -91,8 +91,8 @@
 fn slow_reader_keeps_its_response() {
     let mut harness = Harness::new();
     harness.clients_blocked = true;
-    let (client, writer) = harness.start_decode("k3", "ask");
-    harness.receive_text(writer, &answer());
+    let (client, decode_conn) = harness.start_decode("k3", "ask");
+    harness.receive_text(decode_conn, &response());
     for _ in 0..100 {
         harness.advance(1.0);
         harness.step(Input::Wrote {
--- a/crates/platform/tests/wire_messages.rs
+++ b/crates/platform/tests/wire_messages.rs
@@ -36,12 +36,12 @@
 #[test]
 fn stream_bytes_to_client() {
     let mut harness = Harness::new();
-    let (client, writer) = harness.start_decode("s1", "ask");
+    let (client, decode_conn) = harness.start_decode("s1", "ask");
     harness.receive_text(
-        writer,
+        decode_conn,
         &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
     );
-    harness.receive_text(writer, "0\r\n\r\n");
+    harness.receive_text(decode_conn, "0\r\n\r\n");
     assert_eq!(
         harness.client_output(client),
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n\
@@ -58,8 +58,11 @@
     harness.receive_text(client, &text);
     harness.advance(0.02);
     harness.complete_prefill();
-    let writer = harness.last_call(Call::is_decode).conn;
-    harness.receive_text(writer, &format!("{STREAM_HEAD}{}", chunk("data: 1\n\n")));
+    let decode_conn = harness.last_call(Call::is_decode).conn;
+    harness.receive_text(
+        decode_conn,
+        &format!("{STREAM_HEAD}{}", chunk("data: 1\n\n")),
+    );
     assert_eq!(
         harness.client_output(client),
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n\
@@ -68,7 +71,7 @@
 }
 
 /// A plain response that ends the connection, as one to a request that cannot be read does.
-fn closing(status: &str, text: &str) -> String {
+fn closing_response(status: &str, text: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\n\
          Connection: close\r\n\r\n{text}\n",
@@ -78,70 +81,70 @@
 
 #[test]
 fn rejection_bytes_by_cause() {
-    let good = request("r1", "ask", 4800);
+    let valid = request("r1", "ask", 4800);
     let table = [
         (
-            good.replace("POST /v1", "POST /v2"),
+            valid.replace("POST /v1", "POST /v2"),
             "404 Not Found",
             "no such path",
         ),
         (
-            good.replace("POST", "GET"),
+            valid.replace("POST", "GET"),
             "405 Method Not Allowed",
             "ask with POST",
         ),
         (
-            good.replace("Req-Id: r1\r\n", ""),
+            valid.replace("Req-Id: r1\r\n", ""),
             "400 Bad Request",
             "Req-Id is missing",
         ),
         (
-            good.replace("Req-Id: r1", "Req-Id: r 1"),
+            valid.replace("Req-Id: r1", "Req-Id: r 1"),
             "400 Bad Request",
             "Req-Id cannot be used as an id",
         ),
         (
-            good.replace("Req-Kind: ask\r\n", ""),
+            valid.replace("Req-Kind: ask\r\n", ""),
             "400 Bad Request",
             "Req-Kind is missing",
         ),
         (
-            good.replace("Req-Kind: ask", "Req-Kind: sell"),
+            valid.replace("Req-Kind: ask", "Req-Kind: sell"),
             "400 Bad Request",
             "Req-Kind is not known",
         ),
         (
-            good.replace("Req-Deadline-Ms: 4800\r\n", ""),
+            valid.replace("Req-Deadline-Ms: 4800\r\n", ""),
             "400 Bad Request",
             "Req-Deadline-Ms is missing",
         ),
         (
-            good.replace("Req-Deadline-Ms: 4800", "Req-Deadline-Ms: 3600001"),
+            valid.replace("Req-Deadline-Ms: 4800", "Req-Deadline-Ms: 3600001"),
             "400 Bad Request",
             "Req-Deadline-Ms is no number of milliseconds up to an hour",
         ),
         (
-            good.replace("Req-Kind: ask", "Req-Kind: ask\r\nReq-Kind: ask"),
+            valid.replace("Req-Kind: ask", "Req-Kind: ask\r\nReq-Kind: ask"),
             "400 Bad Request",
             "a field of the request stands twice",
         ),
         (
-            good.replace("prompt_len=1200", "prompt_len=-1"),
+            valid.replace("prompt_len=1200", "prompt_len=-1"),
             "400 Bad Request",
             "Req-Extra cannot be read",
         ),
         (
-            good.replace("Content-Length: 30", "Content-Length: 3x"),
+            valid.replace("Content-Length: 30", "Content-Length: 3x"),
             "400 Bad Request",
             "the length is not a single whole number",
         ),
         (
-            good.replace("Content-Length: 30", "Content-Length: 262145"),
+            valid.replace("Content-Length: 30", "Content-Length: 262145"),
             "413 Content Too Large",
             "the body is longer than 256 KiB",
         ),
         (
-            good.replace(
+            valid.replace(
                 "Content-Length: 30",
                 "Content-Length: 30\r\nTransfer-Encoding: chunked",
             ),
@@ -149,12 +152,12 @@
             "a length and a transfer coding together",
         ),
         (
-            good.replace("Content-Length: 30", "Transfer-Encoding: gzip"),
+            valid.replace("Content-Length: 30", "Transfer-Encoding: gzip"),
             "501 Not Implemented",
             "the transfer coding is not known",
         ),
         (
-            good.replace("Content-Length: 30", "Transfer-Encoding: chunked") + "\r\n",
+            valid.replace("Content-Length: 30", "Transfer-Encoding: chunked") + "\r\n",
             "400 Bad Request",
             "a chunk cannot be read",
         ),
@@ -164,7 +167,7 @@
             "the head cannot be read",
         ),
         (
-            good.replace(
+            valid.replace(
                 "Req-Kind",
                 &format!("X: {}\r\nReq-Kind", "a".repeat(17_000)),
             ),
@@ -172,13 +175,16 @@
             "the head is too long",
         ),
     ];
-    for (text, status, why) in table {
+    for (text, status, reason) in table {
         let mut harness = Harness::new();
         let client = harness.connect_client();
         harness.receive_text(client, &text);
-        assert_eq!(harness.client_output(client), closing(status, why));
-        assert!(harness.finished.contains(&client), "{why}");
-        assert_eq!(harness.node.counts().rejected, 1, "{why}");
+        assert_eq!(
+            harness.client_output(client),
+            closing_response(status, reason)
+        );
+        assert!(harness.finished.contains(&client), "{reason}");
+        assert_eq!(harness.node.counts().rejected, 1, "{reason}");
     }
 }
 
@@ -189,18 +195,18 @@
     let second = harness.send_request("d1", "ask");
     assert_eq!(
         harness.client_output(second),
-        closing("409 Conflict", "a request of this id is open")
+        closing_response("409 Conflict", "a request of this id is open")
     );
     let silent = harness.connect_client();
     harness.advance(3.0);
     assert_eq!(
         harness.client_output(silent),
-        closing("408 Request Timeout", "no whole request in time")
+        closing_response("408 Request Timeout", "no whole request in time")
     );
 }
 
 #[test]
-fn refusal_and_failure_bytes() {
+fn shed_and_failure_response_bytes() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
     harness.receive_text(client, &request("x1", "ask", 10));
@@ -209,8 +215,8 @@
         "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 34\r\n\
          Retry-After: 0.200\r\n\r\nrefused: trying again is harmless\n"
     );
-    let (client, writer) = harness.start_decode("x2", "book");
-    harness.receive_text(writer, &plain_response("500 Oops", "", ""));
+    let (client, decode_conn) = harness.start_decode("x2", "book");
+    harness.receive_text(decode_conn, &plain_response("500 Oops", "", ""));
     assert_eq!(
         harness.client_output(client),
         "HTTP/1.1 504 Gateway Timeout\r\nContent-Type: text/plain\r\nContent-Length: 24\r\n\r\n\
@@ -239,7 +245,7 @@
 }
 
 #[test]
-fn release_probe_and_discovery_call_bytes() {
+fn release_health_check_and_discovery_call_bytes() {
     let mut harness = Harness::new();
     let client = harness.send_request("p1", "ask");
     harness.step(Input::Ended { conn: client });
@@ -275,9 +281,9 @@
 /// A request that stands before its decode server, with what was traced by then taken.
 fn traced_decode() -> (Harness, ConnId) {
     let mut harness = Harness::with_tracing();
-    let (_, writer) = harness.start_decode("t1", "ask");
+    let (_, decode_conn) = harness.start_decode("t1", "ask");
     harness.node.take_trace();
-    (harness, writer)
+    (harness, decode_conn)
 }
 
 #[test]
@@ -324,16 +330,16 @@
             &[0.5, 3.0, 1.0],
         ),
     ];
-    for (answer, outcome, cached, report) in table {
-        let (mut harness, writer) = traced_decode();
-        harness.receive_text(writer, answer);
+    for (response, outcome, cached, report) in table {
+        let (mut harness, decode_conn) = traced_decode();
+        harness.receive_text(decode_conn, response);
         let ends = attempt_ends(harness.node.take_trace());
         let end = ends
             .first()
-            .unwrap_or_else(|| panic!("no end after {answer}"));
-        assert_eq!(end.outcome, outcome, "{answer}");
-        assert_eq!(end.prefix_hit_tokens, cached, "{answer}");
-        assert_eq!(end.report, report, "{answer}");
+            .unwrap_or_else(|| panic!("no end after {response}"));
+        assert_eq!(end.outcome, outcome, "{response}");
+        assert_eq!(end.prefix_hit_tokens, cached, "{response}");
+        assert_eq!(end.report, report, "{response}");
     }
 }
 
@@ -356,9 +362,9 @@
     harness
         .node
         .enable_access_log(AccessLog::new(&config().settings));
-    let (_, writer) = harness.start_decode("e1", "book");
+    let (_, decode_conn) = harness.start_decode("e1", "book");
     harness.advance(0.5);
-    harness.receive_text(writer, &plain_response("500 Oops", "", ""));
+    harness.receive_text(decode_conn, &plain_response("500 Oops", "", ""));
     let client = harness.connect_client();
     harness.receive_text(client, &request("e2", "ask", 10));
     let (client, _) = harness.start_decode("e3", "ask");
@@ -393,10 +399,10 @@
     harness
         .node
         .enable_access_log(AccessLog::new(&config().settings));
-    let (_, writer) = harness.start_decode("e4", "ask");
+    let (_, decode_conn) = harness.start_decode("e4", "ask");
     harness.advance(2.0);
-    let answer = format!("{STREAM_HEAD}{}0\r\n\r\n", chunk("data: 1\n\n"));
-    harness.receive_text(writer, &answer);
+    let response = format!("{STREAM_HEAD}{}0\r\n\r\n", chunk("data: 1\n\n"));
+    harness.receive_text(decode_conn, &response);
     let line = harness.access_log_lines.join("\n");
     assert!(
         line.starts_with("e4 served late class 0 prompt 1200"),
