--- a/crates/platform/tests/access_log.rs
+++ b/crates/platform/tests/access_log.rs
@@ -1,42 +1,43 @@
-//! The line that says why a request fared as it did.
+//! The access-log line that states why a request was rejected, failed, retried or late.
 mod common;
 
 use bitternlatch_platform::access_log::{AccessLog, DecisionReasons};
 use bitternlatch_platform::types::Input;
 use common::*;
 
-fn explaining() -> Rig {
-    let mut rig = Rig::new();
-    rig.node
+fn harness_with_access_log() -> Harness {
+    let mut harness = Harness::new();
+    harness
+        .node
         .enable_access_log(AccessLog::new(&config().settings));
-    rig
+    harness
 }
 
-fn answer(rig: &mut Rig, writer: bitternlatch_platform::types::ConnId) {
-    rig.text(
-        writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+fn send_response(harness: &mut Harness, decode_conn: bitternlatch_platform::types::ConnId) {
+    harness.receive_text(
+        decode_conn,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
 }
 
 #[test]
 fn request_served_in_time_has_no_line() {
-    let mut rig = explaining();
-    let (_, writer) = rig.at_decode("x0", "ask");
-    answer(&mut rig, writer);
-    assert_eq!(rig.explained, Vec::<String>::new());
+    let mut harness = harness_with_access_log();
+    let (_, decode_conn) = harness.start_decode("x0", "ask");
+    send_response(&mut harness, decode_conn);
+    assert_eq!(harness.access_log_lines, Vec::<String>::new());
 }
 
 #[test]
 fn line_names_why_request_was_not_served_in_time() {
-    type Act = fn(&mut Rig);
-    let table: [(&str, Act, &[&str]); 5] = [
+    type Scenario = fn(&mut Harness);
+    let table: [(&str, Scenario, &[&str]); 5] = [
         (
             "late",
-            |rig| {
-                let (_, writer) = rig.at_decode("x1", "book");
-                rig.pass(3.5);
-                answer(rig, writer);
+            |harness| {
+                let (_, decode_conn) = harness.start_decode("x1", "book");
+                harness.advance(3.5);
+                send_response(harness, decode_conn);
             },
             &[
                 "x1 served late",
@@ -50,9 +51,9 @@
         ),
         (
             "failed",
-            |rig| {
-                let (_, writer) = rig.at_decode("x1", "book");
-                rig.text(writer, &plain("500 Oops", "", ""));
+            |harness| {
+                let (_, decode_conn) = harness.start_decode("x1", "book");
+                harness.receive_text(decode_conn, &plain_response("500 Oops", "", ""));
             },
             &[
                 "x1 failed",
@@ -63,20 +64,20 @@
             ],
         ),
         (
-            "again",
-            |rig| {
-                let (_, writer) = rig.at_decode("x1", "ask");
-                rig.text(writer, &plain("500 Oops", "", ""));
-                let writer = rig.last(Call::is_decode).conn;
-                answer(rig, writer);
+            "retried",
+            |harness| {
+                let (_, decode_conn) = harness.start_decode("x1", "ask");
+                harness.receive_text(decode_conn, &plain_response("500 Oops", "", ""));
+                let decode_conn = harness.last_call(Call::is_decode).conn;
+                send_response(harness, decode_conn);
             },
             &["x1 served class 0", "Error after", "Served after"],
         ),
         (
-            "refused",
-            |rig| {
-                let client = rig.client();
-                rig.text(client, &request("x1", "ask", 10));
+            "shed",
+            |harness| {
+                let client = harness.connect_client();
+                harness.receive_text(client, &request("x1", "ask", 10));
             },
             &[
                 "x1 refused",
@@ -85,23 +86,28 @@
             ],
         ),
         (
-            "gone",
-            |rig| {
-                let client = rig.ask("x1", "ask");
-                rig.tell(Input::Ended { conn: client });
+            "disconnected",
+            |harness| {
+                let client = harness.send_request("x1", "ask");
+                harness.step(Input::Ended { conn: client });
             },
             &["x1 gone", "Cancelled"],
         ),
     ];
-    for (name, act, words) in table {
-        let mut rig = explaining();
-        act(&mut rig);
-        assert_eq!(rig.explained.len(), 1, "{name}: {:?}", rig.explained);
-        for word in words {
+    for (name, run, expected) in table {
+        let mut harness = harness_with_access_log();
+        run(&mut harness);
+        assert_eq!(
+            harness.access_log_lines.len(),
+            1,
+            "{name}: {:?}",
+            harness.access_log_lines
+        );
+        for word in expected {
             assert!(
-                rig.explained[0].contains(word),
+                harness.access_log_lines[0].contains(word),
                 "{name}: '{word}' in {}",
-                rig.explained[0]
+                harness.access_log_lines[0]
             );
         }
     }
@@ -110,12 +116,12 @@
 #[test]
 fn records_of_ended_requests_are_dropped() {
     let mut access_log = AccessLog::new(&config().settings);
-    let mut rig = Rig::tracing();
+    let mut harness = Harness::with_tracing();
     for i in 0..50 {
-        let (_, writer) = rig.at_decode(&format!("n{i}"), "ask");
-        answer(&mut rig, writer);
+        let (_, decode_conn) = harness.start_decode(&format!("n{i}"), "ask");
+        send_response(&mut harness, decode_conn);
     }
-    for traced in rig.node.take_trace() {
+    for traced in harness.node.take_trace() {
         access_log.record(&traced, |_| String::new(), |_| DecisionReasons::default());
         assert!(access_log.len() <= 2);
     }
--- a/crates/platform/tests/bad_clients.rs
+++ b/crates/platform/tests/bad_clients.rs
@@ -1,217 +1,251 @@
-//! Clients that send what cannot be taken get an error or a close in time, and nobody else is disturbed.
+//! Clients that send invalid, partial or excessive input receive an error or are closed in time, and other clients are
+//! not affected.
 mod common;
 
 use common::*;
 
 #[test]
 fn invalid_request_is_rejected_and_not_forwarded() {
-    let good = request("x1", "ask", 4800);
-    let swap = |from: &str, to: &str| good.replace(from, to);
+    let valid = request("x1", "ask", 4800);
+    let replaced = |from: &str, to: &str| valid.replace(from, to);
     let table = [
-        ("noise", "\x00\x01\x02\x03\r\n\r\n".to_string()),
-        ("no id", swap("Req-Id: x1\r\n", "")),
+        ("binary data", "\x00\x01\x02\x03\r\n\r\n".to_string()),
+        ("no id", replaced("Req-Id: x1\r\n", "")),
         (
             "two ids",
-            swap("Req-Id: x1\r\n", "Req-Id: x1\r\nReq-Id: x2\r\n"),
+            replaced("Req-Id: x1\r\n", "Req-Id: x1\r\nReq-Id: x2\r\n"),
         ),
         (
             "an id with a path in it",
-            swap("Req-Id: x1", "Req-Id: ../../x"),
+            replaced("Req-Id: x1", "Req-Id: ../../x"),
         ),
         (
-            "an endless id",
-            swap("Req-Id: x1", &format!("Req-Id: {}", "x".repeat(300))),
+            "an overlong id",
+            replaced("Req-Id: x1", &format!("Req-Id: {}", "x".repeat(300))),
         ),
-        ("no class", swap("Req-Kind: ask\r\n", "")),
-        ("an unknown class", swap("Req-Kind: ask", "Req-Kind: asks")),
-        ("a deadline that is no number", swap("Ms: 4800", "Ms: soon")),
-        ("a negative deadline", swap("Ms: 4800", "Ms: -4800")),
+        ("no class", replaced("Req-Kind: ask\r\n", "")),
+        (
+            "an unknown class",
+            replaced("Req-Kind: ask", "Req-Kind: asks"),
+        ),
+        (
+            "a deadline that is no number",
+            replaced("Ms: 4800", "Ms: soon"),
+        ),
+        ("a negative deadline", replaced("Ms: 4800", "Ms: -4800")),
         (
             "a huge deadline",
-            swap("Ms: 4800", "Ms: 99999999999999999999"),
+            replaced("Ms: 4800", "Ms: 99999999999999999999"),
         ),
         (
-            "a length and a coding",
-            swap("Req-Key", "Transfer-Encoding: chunked\r\nReq-Key"),
+            "a length and a transfer coding",
+            replaced("Req-Key", "Transfer-Encoding: chunked\r\nReq-Key"),
         ),
         (
-            "lengths in Req-Extra",
-            swap("prompt_len=1200", "prompt_len=-5"),
+            "an invalid length in Req-Extra",
+            replaced("prompt_len=1200", "prompt_len=-5"),
         ),
         (
             "another path",
-            swap("/v1/chat/completions", "/v1/endpoints"),
+            replaced("/v1/chat/completions", "/v1/endpoints"),
         ),
-        ("another method", swap("POST", "PUT")),
+        ("another method", replaced("POST", "PUT")),
         (
             "a huge length",
-            swap("Content-Length: 30", "Content-Length: 62914560"),
+            replaced("Content-Length: 30", "Content-Length: 62914560"),
         ),
         (
             "a bad chunk",
-            swap(
+            replaced(
                 "Content-Length: 30\r\n\r\n",
                 "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
             ),
         ),
     ];
     for (name, bytes) in table {
-        let mut rig = Rig::new();
-        let client = rig.client();
-        rig.text(client, &bytes);
-        let status: u16 = rig
+        let mut harness = Harness::new();
+        let client = harness.connect_client();
+        harness.receive_text(client, &bytes);
+        let status: u16 = harness
             .status(client)
             .parse()
-            .unwrap_or_else(|_| panic!("{name}: no answer"));
+            .unwrap_or_else(|_| panic!("{name}: no response"));
         assert!(
             (400..600).contains(&status) && status != 503,
             "{name}: {status}"
         );
         assert!(
-            rig.finished.contains(&client),
-            "{name}: what follows is not believed"
+            harness.finished.contains(&client),
+            "{name}: the connection stays open after invalid input"
+        );
+        harness.advance(1.0);
+        assert_eq!(
+            harness.count_calls(|c| c.request_line().starts_with("POST")),
+            0,
+            "{name}"
         );
-        rig.pass(1.0);
-        assert_eq!(rig.count(|c| c.line().starts_with("POST")), 0, "{name}");
     }
 }
 
 #[test]
 fn id_of_open_request_is_rejected() {
-    let mut rig = Rig::new();
-    let first = rig.ask("same", "ask");
-    let second = rig.ask("same", "ask");
-    assert_eq!(rig.status(second), "409");
-    assert_eq!(rig.count(Call::is_prefill), 1);
-    rig.prefill_done();
-    let writer = rig.last(Call::is_decode).conn;
-    rig.text(
-        writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    let mut harness = Harness::new();
+    let first = harness.send_request("same", "ask");
+    let second = harness.send_request("same", "ask");
+    assert_eq!(harness.status(second), "409");
+    assert_eq!(harness.count_calls(Call::is_prefill), 1);
+    harness.complete_prefill();
+    let decode_conn = harness.last_call(Call::is_decode).conn;
+    harness.receive_text(
+        decode_conn,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
     assert_eq!(
-        unchunk(rig.said(first)),
-        event("one"),
-        "the first is not disturbed"
+        decode_chunked(harness.client_output(first)),
+        stream_event("one"),
+        "the first request is affected"
     );
 }
 
 #[test]
 fn silent_and_partial_clients_end_within_three_seconds() {
-    let good = request("h1", "ask", 4800);
-    for half in ["", "POST /v1/chat", &good[..good.len() - 5]] {
-        let mut rig = Rig::new();
-        let client = rig.client();
-        rig.text(client, half);
-        rig.pass(1.5);
-        rig.text(client, "");
-        rig.pass(1.4);
-        assert!(rig.finished.contains(&client), "{half:?}");
-        assert_eq!(rig.count(|c| c.line().starts_with("POST")), 0);
+    let valid = request("h1", "ask", 4800);
+    for partial in ["", "POST /v1/chat", &valid[..valid.len() - 5]] {
+        let mut harness = Harness::new();
+        let client = harness.connect_client();
+        harness.receive_text(client, partial);
+        harness.advance(1.5);
+        harness.receive_text(client, "");
+        harness.advance(1.4);
+        assert!(harness.finished.contains(&client), "{partial:?}");
+        assert_eq!(
+            harness.count_calls(|c| c.request_line().starts_with("POST")),
+            0
+        );
     }
 }
 
-/// Whoever has asked in order before may be slow, but not stop within a request and stay.
+/// A client whose earlier requests were valid may send a further request slowly, but is disconnected if it stops within
+/// it.
 #[test]
 fn stopped_later_request_ends_within_three_seconds() {
-    let good = request("h2", "ask", 4800);
-    for half in ["POST /v1/chat", &good[..good.len() - 5]] {
+    let valid = request("h2", "ask", 4800);
+    for partial in ["POST /v1/chat", &valid[..valid.len() - 5]] {
         for slow in [true, false] {
-            let mut rig = Rig::new();
-            let (client, writer) = rig.at_decode("h1", "ask");
-            rig.text(
-                writer,
-                &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+            let mut harness = Harness::new();
+            let (client, decode_conn) = harness.start_decode("h1", "ask");
+            harness.receive_text(
+                decode_conn,
+                &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
             );
-            rig.pass(5.0);
-            for piece in half
+            harness.advance(5.0);
+            for piece in partial
                 .as_bytes()
-                .chunks(half.len().div_ceil(3))
+                .chunks(partial.len().div_ceil(3))
                 .filter(|_| slow)
             {
-                rig.pass(1.0);
-                rig.bytes(client, piece);
+                harness.advance(1.0);
+                harness.receive(client, piece);
             }
             if !slow {
-                rig.text(client, half);
+                harness.receive_text(client, partial);
             }
-            rig.pass(2.5);
-            assert!(!rig.finished.contains(&client), "{half:?}, slow {slow}");
-            rig.pass(0.4);
-            assert!(rig.finished.contains(&client), "{half:?}, slow {slow}");
+            harness.advance(2.5);
+            assert!(
+                !harness.finished.contains(&client),
+                "{partial:?}, slow {slow}"
+            );
+            harness.advance(0.4);
+            assert!(
+                harness.finished.contains(&client),
+                "{partial:?}, slow {slow}"
+            );
         }
     }
 }
 
 #[test]
 fn slow_request_is_served_and_connection_kept() {
-    let mut rig = Rig::new();
-    let client = rig.client();
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
     for byte in request("slow", "ask", 4800).as_bytes() {
-        rig.bytes(client, &[*byte]);
-        rig.pass(0.005);
+        harness.receive(client, &[*byte]);
+        harness.advance(0.005);
     }
-    rig.pass(0.05);
-    rig.prefill_done();
-    let writer = rig.last(Call::is_decode).conn;
-    rig.text(
-        writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    harness.advance(0.05);
+    harness.complete_prefill();
+    let decode_conn = harness.last_call(Call::is_decode).conn;
+    harness.receive_text(
+        decode_conn,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
-    rig.pass(60.0);
-    assert!(!rig.finished.contains(&client) && !rig.closed.contains(&client));
+    harness.advance(60.0);
+    assert!(!harness.finished.contains(&client) && !harness.closed.contains(&client));
 }
 
 #[test]
 fn idle_clients_are_evicted_for_new_ones() {
-    let mut rig = Rig::new();
-    let mut stayed = Vec::new();
+    let mut harness = Harness::new();
+    let mut clients = Vec::new();
     for i in 0..400 {
-        let client = rig.ask(&format!("n{i}"), "ask");
-        rig.prefill_done();
-        let writer = rig.last(Call::is_decode).conn;
-        rig.text(
-            writer,
-            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        let client = harness.send_request(&format!("n{i}"), "ask");
+        harness.complete_prefill();
+        let decode_conn = harness.last_call(Call::is_decode).conn;
+        harness.receive_text(
+            decode_conn,
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
+        );
+        assert_eq!(
+            decode_chunked(harness.client_output(client)),
+            stream_event("one"),
+            "client {i} is not served"
         );
-        assert_eq!(unchunk(rig.said(client)), event("one"), "newcomer {i}");
-        stayed.push(client);
+        clients.push(client);
     }
-    let closed = stayed.iter().filter(|c| rig.closed.contains(c)).count();
-    assert!(closed > 200, "there is no room for all: {closed}");
-    let last = stayed.last().expect("one");
-    assert!(!rig.closed.contains(last), "the oldest went first");
+    let closed = clients
+        .iter()
+        .filter(|c| harness.closed.contains(c))
+        .count();
+    assert!(closed > 200, "only {closed} idle clients were evicted");
+    let last = clients.last().expect("clients are connected");
+    assert!(
+        !harness.closed.contains(last),
+        "the newest client was evicted"
+    );
 }
 
 #[test]
 fn silent_clients_evict_each_other_and_no_open_request() {
-    let mut rig = Rig::new();
-    let (client, writer) = rig.at_decode("good", "ask");
+    let mut harness = Harness::new();
+    let (client, decode_conn) = harness.start_decode("good", "ask");
     for _ in 0..500 {
-        rig.client();
+        harness.connect_client();
     }
-    rig.pass(1.0);
+    harness.advance(1.0);
     for _ in 0..500 {
-        rig.client();
+        harness.connect_client();
     }
-    let late = rig.ask("late", "ask");
-    rig.text(
-        writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    let new_client = harness.send_request("late", "ask");
+    harness.receive_text(
+        decode_conn,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
+    );
+    assert_eq!(
+        decode_chunked(harness.client_output(client)),
+        stream_event("one")
     );
-    assert_eq!(unchunk(rig.said(client)), event("one"));
     assert!(
-        !rig.closed.contains(&late),
-        "one that asks at once is let in"
+        !harness.closed.contains(&new_client),
+        "a client that sends a request at once was evicted"
     );
-    assert_eq!(rig.count(Call::is_prefill), 2);
+    assert_eq!(harness.count_calls(Call::is_prefill), 2);
 }
 
 #[test]
 fn pipelined_bytes_are_bounded() {
-    let mut rig = Rig::new();
-    let client = rig.client();
-    rig.text(
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    harness.receive_text(
         client,
         &format!(
             "{}{}",
@@ -219,34 +253,41 @@
             request("a2", "ask", 4800)
         ),
     );
-    rig.pass(0.02);
-    assert_eq!(rig.count(Call::is_prefill), 1, "one at a time");
-    rig.prefill_done();
-    let writer = rig.last(Call::is_decode).conn;
-    rig.text(
-        writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    harness.advance(0.02);
+    assert_eq!(
+        harness.count_calls(Call::is_prefill),
+        1,
+        "pipelined requests run one at a time"
+    );
+    harness.complete_prefill();
+    let decode_conn = harness.last_call(Call::is_decode).conn;
+    harness.receive_text(
+        decode_conn,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
-    rig.pass(0.02);
+    harness.advance(0.02);
     assert_eq!(
-        rig.count(Call::is_prefill),
+        harness.count_calls(Call::is_prefill),
         2,
-        "the second follows the first's answer"
+        "the second request runs after the first response"
     );
-    // Past the bound nothing is kept: what comes is dropped, and its connection ends once the request has its answer.
-    rig.text(client, &"x".repeat(30_000));
-    rig.text(client, &request("a3", "ask", 4800));
-    rig.prefill_done();
-    let writer = rig.last(Call::is_decode).conn;
-    rig.text(
-        writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    // Pipelined bytes beyond the limit are dropped, and the connection ends once the open request is answered.
+    harness.receive_text(client, &"x".repeat(30_000));
+    harness.receive_text(client, &request("a3", "ask", 4800));
+    harness.complete_prefill();
+    let decode_conn = harness.last_call(Call::is_decode).conn;
+    harness.receive_text(
+        decode_conn,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
+    );
+    harness.advance(0.02);
+    assert!(
+        harness.client_output(client).contains("HTTP/1.1 413")
+            && harness.finished.contains(&client)
     );
-    rig.pass(0.02);
-    assert!(rig.said(client).contains("HTTP/1.1 413") && rig.finished.contains(&client));
     assert_eq!(
-        rig.count(Call::is_prefill),
+        harness.count_calls(Call::is_prefill),
         2,
-        "nothing behind what was dropped is believed"
+        "a request after dropped bytes was forwarded"
     );
 }
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node between scripted clients and hosts, with a clock that the test moves.
+//! Test harness: runs a node against scripted clients and model servers, with a clock that the test advances.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,14 +9,18 @@
 use bitternlatch_platform::node::Node;
 use bitternlatch_platform::types::{Command, ConnId, Input};
 
+/// Time at which each test starts.
 pub const START: Micros = Micros(1_800_000_000_000_000);
-/// A release that no host confirms is given up after this, seconds, and its last round ends so much later at the most.
-pub const RELEASE_GIVEN_UP_SECS: f64 = 60.0;
-pub const LONGEST_ROUND_SECS: f64 = 4.0;
+/// Time after which a release that no server confirms is abandoned, in seconds.
+pub const RELEASE_TIMEOUT_SECS: f64 = 60.0;
+/// Longest duration of one round of release calls, in seconds. The last round of an abandoned release may end this much
+/// after `RELEASE_TIMEOUT_SECS`.
+pub const MAX_RELEASE_ROUND_SECS: f64 = 4.0;
+/// Load report that the scripted servers send.
 pub const LOAD: &str = "util=0.10,queue=0,x0=0.05";
 
-/// Two readers and two writers of one cell.
-pub fn hosts() -> Vec<(&'static str, &'static str, &'static str)> {
+/// Uid, address and model of two prefill servers and two decode servers of one pod group.
+pub fn servers() -> Vec<(&'static str, &'static str, &'static str)> {
     vec![
         ("h-r1", "127.0.1.1:80", "reads"),
         ("h-r2", "127.0.1.2:80", "reads"),
@@ -25,15 +29,17 @@
     ]
 }
 
-pub fn target(uid: &str, endpoint: &str, model: &str, state: &str) -> String {
+/// One entry of an endpoint list, as discovery sends it.
+pub fn endpoint_json(uid: &str, endpoint: &str, model: &str, state: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{endpoint}","az":"hall","model":"{model}","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":0}}"#
     )
 }
 
-pub fn list(rev: u64, all: bool, targets: &[String]) -> String {
+/// An endpoint list, or a change to one if `is_complete` is false, as discovery sends it.
+pub fn endpoint_list_json(rev: u64, is_complete: bool, targets: &[String]) -> String {
     format!(
-        r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#,
+        r#"{{"rev":{rev},"all":{is_complete},"targets":[{}]}}"#,
         targets.join(",")
     )
 }
@@ -54,25 +60,25 @@
 }
 
 pub fn config_json(sockets: u32) -> String {
-    let targets: Vec<String> = hosts()
+    let targets: Vec<String> = servers()
         .iter()
-        .map(|h| target(h.0, h.1, h.2, "in_service"))
+        .map(|h| endpoint_json(h.0, h.1, h.2, "in_service"))
         .collect();
     format!(
         r#"{{"name":"d0","listen":"127.0.0.1:8081","discovery":"127.0.2.1:8500","seed":"1f",
         "limits":{{"cores":0.2,"memory_mb":64,"sockets":{sockets}}},
         "peer_listen":"127.0.0.1:7946","peers":["127.0.3.1:7946","127.0.3.2:7946"],"peers_all":"127.0.3.9:7946",
         "known":{},"settings":{}}}"#,
-        list(7, true, &targets),
+        endpoint_list_json(7, true, &targets),
         settings_json()
     )
 }
 
 pub fn config() -> Config {
-    Config::parse(&config_json(256)).expect("the test's configuration")
+    Config::parse(&config_json(256)).expect("the configuration of the test is valid")
 }
 
-/// What went out to a host in one exchange.
+/// One request written to a server or to discovery.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub conn: ConnId,
@@ -81,100 +87,109 @@
 }
 
 impl Call {
-    pub fn line(&self) -> &str {
+    /// First line of the request.
+    pub fn request_line(&self) -> &str {
         self.text.lines().next().unwrap_or_default()
     }
 
+    /// Whether this is a request to a prefill server.
     pub fn is_prefill(&self) -> bool {
-        self.line().starts_with("POST")
+        self.request_line().starts_with("POST")
             && matches!(self.to.ip().to_string().as_str(), "127.0.1.1" | "127.0.1.2")
     }
 
+    /// Whether this is a request to a decode server.
     pub fn is_decode(&self) -> bool {
-        self.line().starts_with("POST") && !self.is_prefill()
+        self.request_line().starts_with("POST") && !self.is_prefill()
     }
 }
 
-pub struct Rig {
+/// A node with scripted clients, servers and discovery around it. Commands of the node are executed at once.
+pub struct Harness {
     pub node: Node,
     pub now: Micros,
     pub calls: Vec<Call>,
-    /// What each client was sent.
-    pub said: BTreeMap<ConnId, String>,
+    /// Text that was written to each client connection.
+    pub client_output: BTreeMap<ConnId, String>,
     pub closed: BTreeSet<ConnId>,
     pub finished: BTreeSet<ConnId>,
     pub paused: BTreeSet<ConnId>,
     pub connects: Vec<(ConnId, SocketAddr)>,
     pub logs: Vec<String>,
-    /// Lines that say why a request fared as it did.
-    pub explained: Vec<String>,
+    /// Lines of the access log.
+    pub access_log_lines: Vec<String>,
     pub stopped: bool,
-    pub deaf: bool,
-    /// Clients still wait to be accepted when listening is to end: the test says when none is left.
-    pub holds_listening: bool,
-    /// Hosts to which no connection comes up.
-    pub dead: BTreeSet<SocketAddr>,
-    /// Kept connections that have ended or brought something when they are used next.
+    /// Whether the node has stopped listening.
+    pub listener_closed: bool,
+    /// If set, the harness does not report `NotListening` by itself: clients are still waiting to be accepted, and the
+    /// test sends the report when none is left.
+    pub delays_listener_close: bool,
+    /// Addresses to which no connection is established.
+    pub unreachable_addresses: BTreeSet<SocketAddr>,
+    /// Idle connections that are reported as stale when the node reuses them.
     pub stale: BTreeSet<ConnId>,
-    /// Connections on which nothing that is written leaves.
-    pub stuck: BTreeSet<SocketAddr>,
+    /// Addresses of servers to which written bytes are not reported as sent.
+    pub blocked_servers: BTreeSet<SocketAddr>,
+    /// Whether servers answer health checks.
     pub answers_health_checks: bool,
+    /// Whether servers confirm release calls.
     pub answers_releases: bool,
+    /// Load report in the responses of the servers.
     pub load: &'static str,
-    /// Clients take nothing of what is written to them.
-    pub slow: bool,
-    peers: BTreeMap<ConnId, SocketAddr>,
+    /// Whether bytes written to clients are not reported as sent.
+    pub clients_blocked: bool,
+    server_connections: BTreeMap<ConnId, SocketAddr>,
 }
 
-impl Rig {
-    pub fn new() -> Rig {
-        Rig::with(config())
+impl Harness {
+    pub fn new() -> Harness {
+        Harness::with_config(config())
     }
 
-    pub fn with(config: Config) -> Rig {
+    pub fn with_config(config: Config) -> Harness {
         let mut out = Vec::new();
         let node = Node::new(START, config, &mut out);
-        Rig::begun(node, out)
+        Harness::from_started_node(node, out)
     }
 
-    /// One whose node keeps what its module is told from the first event on.
-    pub fn tracing() -> Rig {
+    /// A harness whose node traces the events passed to its decision module from the first one on.
+    pub fn with_tracing() -> Harness {
         let mut out = Vec::new();
         let node = Node::traced(START, config(), &mut out);
-        Rig::begun(node, out)
+        Harness::from_started_node(node, out)
     }
 
-    /// Around a node that has begun, and what it has said by then.
-    pub fn begun(node: Node, out: Vec<Command>) -> Rig {
-        let mut rig = Rig {
+    /// Wraps a started node and executes the commands that it has issued so far.
+    pub fn from_started_node(node: Node, out: Vec<Command>) -> Harness {
+        let mut harness = Harness {
             node,
             now: START,
             calls: Vec::new(),
-            said: BTreeMap::new(),
+            client_output: BTreeMap::new(),
             closed: BTreeSet::new(),
             finished: BTreeSet::new(),
             paused: BTreeSet::new(),
             connects: Vec::new(),
             logs: Vec::new(),
-            explained: Vec::new(),
+            access_log_lines: Vec::new(),
             stopped: false,
-            deaf: false,
-            holds_listening: false,
-            dead: BTreeSet::new(),
+            listener_closed: false,
+            delays_listener_close: false,
+            unreachable_addresses: BTreeSet::new(),
             stale: BTreeSet::new(),
-            stuck: BTreeSet::new(),
+            blocked_servers: BTreeSet::new(),
             answers_health_checks: true,
             answers_releases: false,
             load: LOAD,
-            slow: false,
-            peers: BTreeMap::new(),
+            clients_blocked: false,
+            server_connections: BTreeMap::new(),
         };
-        rig.run_commands(out);
-        rig.tell(Input::Tick);
-        rig
+        harness.run_commands(out);
+        harness.step(Input::Tick);
+        harness
     }
 
-    pub fn tell(&mut self, input: Input) {
+    pub fn step(&mut self, input: Input) {
         let mut out = Vec::new();
         self.node.step(self.now, input, &mut out);
         self.run_commands(out);
@@ -191,14 +206,14 @@
             match command {
                 Command::Connect { conn, to } => {
                     self.connects.push((conn, to));
-                    self.peers.insert(conn, to);
-                    if !self.dead.contains(&to) {
-                        self.tell(Input::Connected { conn });
+                    self.server_connections.insert(conn, to);
+                    if !self.unreachable_addresses.contains(&to) {
+                        self.step(Input::Connected { conn });
                     }
                 }
                 Command::Write { conn, bytes } => self.on_write(conn, bytes),
                 Command::Reuse { conn, .. } if self.stale.remove(&conn) => {
-                    self.tell(Input::Stale { conn })
+                    self.step(Input::Stale { conn })
                 }
                 Command::Reuse { conn, bytes } => self.on_write(conn, bytes),
                 Command::Close { conn } => {
@@ -217,11 +232,11 @@
                     self.paused.remove(&conn);
                 }
                 Command::Log { text, .. } => self.logs.push(text),
-                Command::AccessLog { text } => self.explained.push(text),
+                Command::AccessLog { text } => self.access_log_lines.push(text),
                 Command::StopListening => {
-                    self.deaf = true;
-                    if !self.holds_listening {
-                        self.tell(Input::NotListening);
+                    self.listener_closed = true;
+                    if !self.delays_listener_close {
+                        self.step(Input::NotListening);
                     }
                 }
                 Command::Stopped => self.stopped = true,
@@ -232,92 +247,92 @@
 
     fn on_write(&mut self, conn: ConnId, bytes: Vec<u8>) {
         let text = String::from_utf8_lossy(&bytes).into_owned();
-        let Some(to) = self.peers.get(&conn).copied() else {
-            self.said.entry(conn).or_default().push_str(&text);
-            if !self.slow {
-                self.tell(Input::Wrote {
+        let Some(to) = self.server_connections.get(&conn).copied() else {
+            self.client_output.entry(conn).or_default().push_str(&text);
+            if !self.clients_blocked {
+                self.step(Input::Wrote {
                     conn,
                     count: bytes.len(),
                 });
             }
             return;
         };
-        if !self.stuck.contains(&to) {
-            self.tell(Input::Wrote {
+        if !self.blocked_servers.contains(&to) {
+            self.step(Input::Wrote {
                 conn,
                 count: bytes.len(),
             });
         }
-        let probe = text.starts_with("GET /status/load");
-        let release = text.starts_with("DELETE ");
+        let is_health_check = text.starts_with("GET /status/load");
+        let is_release = text.starts_with("DELETE ");
         self.calls.push(Call { conn, to, text });
-        if probe && self.answers_health_checks {
-            let body = plain("200 OK", "", self.load);
-            self.tell(Input::Received {
+        if is_health_check && self.answers_health_checks {
+            let body = plain_response("200 OK", "", self.load);
+            self.step(Input::Received {
                 conn,
                 bytes: body.as_bytes(),
             });
         }
-        if release && self.answers_releases {
-            self.tell(Input::Received {
+        if is_release && self.answers_releases {
+            self.step(Input::Received {
                 conn,
                 bytes: RELEASED.as_bytes(),
             });
         }
     }
 
-    /// Moves the clock, with every timer on its way.
-    pub fn pass(&mut self, seconds: f64) {
+    /// Advances the clock by `seconds` and runs every timer that becomes due.
+    pub fn advance(&mut self, seconds: f64) {
         let until = self.now.after(seconds);
         while let Some(at) = self.node.next_due().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            self.tell(Input::Tick);
+            self.step(Input::Tick);
         }
         self.now = until;
     }
 
-    pub fn client(&mut self) -> ConnId {
+    pub fn connect_client(&mut self) -> ConnId {
         let conn = self.node.next_conn();
-        self.tell(Input::Accepted { conn });
+        self.step(Input::Accepted { conn });
         conn
     }
 
-    pub fn bytes(&mut self, conn: ConnId, bytes: &[u8]) {
-        self.tell(Input::Received { conn, bytes });
+    pub fn receive(&mut self, conn: ConnId, bytes: &[u8]) {
+        self.step(Input::Received { conn, bytes });
     }
 
-    pub fn text(&mut self, conn: ConnId, text: &str) {
-        self.bytes(conn, text.as_bytes());
+    pub fn receive_text(&mut self, conn: ConnId, text: &str) {
+        self.receive(conn, text.as_bytes());
     }
 
-    /// A new client that asks; gives its connection.
-    pub fn ask(&mut self, id: &str, kind: &str) -> ConnId {
-        let conn = self.client();
-        self.text(conn, &request(id, kind, 4800));
-        self.pass(0.02);
+    /// Connects a new client and sends a request with a deadline of 4.8 s. Returns the client connection.
+    pub fn send_request(&mut self, id: &str, kind: &str) -> ConnId {
+        let conn = self.connect_client();
+        self.receive_text(conn, &request(id, kind, 4800));
+        self.advance(0.02);
         conn
     }
 
-    /// The last call that fits.
-    pub fn last(&self, fits: impl Fn(&Call) -> bool) -> Call {
+    /// Returns the most recent call that satisfies `fits`.
+    pub fn last_call(&self, fits: impl Fn(&Call) -> bool) -> Call {
         self.calls
             .iter()
             .rev()
             .find(|c| fits(c))
             .cloned()
-            .expect("a call that fits")
+            .expect("no call satisfies the condition")
     }
 
-    pub fn count(&self, fits: impl Fn(&Call) -> bool) -> usize {
+    pub fn count_calls(&self, fits: impl Fn(&Call) -> bool) -> usize {
         self.calls.iter().filter(|c| fits(c)).count()
     }
 
-    /// The reader that was asked last has read the prompt.
-    pub fn prefill_done(&mut self) {
-        let call = self.last(Call::is_prefill);
-        self.text(
+    /// The prefill server that was called last completes its prefill.
+    pub fn complete_prefill(&mut self) {
+        let call = self.last_call(Call::is_prefill);
+        self.receive_text(
             call.conn,
-            &plain(
+            &plain_response(
                 "202 Accepted",
                 &format!("Srv-Load: {}\r\n", self.load),
                 r#"{"cached_tokens":64}"#,
@@ -325,19 +340,23 @@
         );
     }
 
-    /// A request that has been read and stands before its writer; gives the client and the writer's connection.
-    pub fn at_decode(&mut self, id: &str, kind: &str) -> (ConnId, ConnId) {
-        let client = self.ask(id, kind);
-        self.prefill_done();
-        (client, self.last(Call::is_decode).conn)
+    /// Sends a request and completes its prefill. Returns the client connection and the connection to the decode
+    /// server.
+    pub fn start_decode(&mut self, id: &str, kind: &str) -> (ConnId, ConnId) {
+        let client = self.send_request(id, kind);
+        self.complete_prefill();
+        (client, self.last_call(Call::is_decode).conn)
     }
 
-    pub fn said(&self, conn: ConnId) -> &str {
-        self.said.get(&conn).map_or("", String::as_str)
+    pub fn client_output(&self, conn: ConnId) -> &str {
+        self.client_output.get(&conn).map_or("", String::as_str)
     }
 
     pub fn status(&self, conn: ConnId) -> &str {
-        self.said(conn).split(' ').nth(1).unwrap_or_default()
+        self.client_output(conn)
+            .split(' ')
+            .nth(1)
+            .unwrap_or_default()
     }
 }
 
@@ -352,9 +371,9 @@
     )
 }
 
-pub fn plain(status: &str, more: &str, body: &str) -> String {
+pub fn plain_response(status: &str, extra_headers: &str, body: &str) -> String {
     format!(
-        "HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}",
+        "HTTP/1.1 {status}\r\n{extra_headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
@@ -364,20 +383,20 @@
 pub const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-pub fn event(word: &str) -> String {
-    format!("data: {{\"choices\":[{{\"delta\":{{\"content\":\"{word}\"}}}}]}}\n\n")
+pub fn stream_event(content: &str) -> String {
+    format!("data: {{\"choices\":[{{\"delta\":{{\"content\":\"{content}\"}}}}]}}\n\n")
 }
 
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// The events within a chunked answer's body.
-pub fn unchunk(said: &str) -> String {
-    let mut rest = said.split_once("\r\n\r\n").map_or("", |s| s.1);
+/// Decodes the body of a chunked response.
+pub fn decode_chunked(response: &str) -> String {
+    let mut rest = response.split_once("\r\n\r\n").map_or("", |s| s.1);
     let mut out = String::new();
     while let Some((size, after)) = rest.split_once("\r\n") {
-        let n = usize::from_str_radix(size, 16).expect("a chunk's size");
+        let n = usize::from_str_radix(size, 16).expect("the chunk size is valid");
         out.push_str(&after[..n]);
         rest = &after[n + 2..];
     }
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -1,4 +1,4 @@
-//! The configuration, and that both readings of one deployment give equal settings.
+//! Configuration parsing. The JSON settings and the simulator's wire settings of one deployment give equal results.
 mod common;
 
 use bitternlatch_platform::config::Config;
@@ -8,8 +8,8 @@
 use bitternlatch_routing_settings::{read_settings, RawSettings};
 use common::*;
 
-/// The same deployment as the simulator's wire writes it.
-const LINES: &str =
+/// Settings of the test deployment in the format of the simulator's wire.
+const WIRE_SETTINGS: &str =
     "balancers=2\nclasses.count=2\nclasses.0.name=ask\nclasses.0.effect=free\nclasses.0.aimS=1.5\n\
 classes.0.deadlineS=6.0\nclasses.0.worth=1.0\nclasses.0.lateWorth=0.3\nclasses.1.name=book\n\
 classes.1.effect=single_shot\nclasses.1.aimS=2.5\nclasses.1.deadlineS=12.0\nclasses.1.worth=2.0\n\
@@ -24,8 +24,8 @@
 #[test]
 fn json_and_wire_settings_are_equal() {
     let from_wire =
-        read_settings(&RawSettings::from_lines(LINES).expect("lines")).expect("settings");
-    // In one thing the platform is another place: a connection's end does not tell that a read has not ended.
+        read_settings(&RawSettings::from_lines(WIRE_SETTINGS).expect("lines")).expect("settings");
+    // The platform differs in one setting: when a connection ends, the prefill on the server may still complete.
     assert!(!from_wire.lost_prefill_may_have_run);
     assert_eq!(
         Settings {
@@ -38,7 +38,7 @@
 
 #[test]
 fn invalid_field_is_named_in_one_line() {
-    let good = config_json(256);
+    let valid = config_json(256);
     let table = [
         (r#""name":"d0","#, "", "name"),
         ("127.0.0.1:8081", "here", "listen"),
@@ -59,18 +59,22 @@
         (r#""balancers":2"#, r#""balancers":2,,"#, "line"),
     ];
     for (from, to, field) in table {
-        assert!(good.contains(from), "{from}");
-        let why = Config::parse(&good.replace(from, to))
+        assert!(valid.contains(from), "{from}");
+        let error = Config::parse(&valid.replace(from, to))
             .expect_err(field)
             .to_string();
-        assert!(why.contains(field) && !why.contains('\n'), "{field}: {why}");
+        assert!(
+            error.contains(field) && !error.contains('\n'),
+            "{field}: {error}"
+        );
     }
 }
 
-/// What a dispatcher once knew is a memory: where it cannot be read or contradicts itself, the start goes on without it.
+/// An endpoint list in the configuration that is invalid or contradictory is ignored, and its error is reported;
+/// startup continues without it.
 #[test]
 fn invalid_known_list_is_left_out_with_its_cause() {
-    let good = config_json(256);
+    let valid = config_json(256);
     for (from, to, cause) in [
         (
             r#""model":"reads""#,
@@ -82,13 +86,13 @@
         (r#""boot_ms":0"#, r#""boot_ms":-1"#, "boot_ms"),
         ("127.0.1.1:80", "nowhere", "endpoint 'nowhere'"),
     ] {
-        assert!(good.contains(from), "{from}");
-        let config = Config::parse(&good.replacen(from, to, 1)).expect(cause);
+        assert!(valid.contains(from), "{from}");
+        let config = Config::parse(&valid.replacen(from, to, 1)).expect(cause);
         assert_eq!(config.cached_list, None);
-        let why = config.cached_list_error.expect(cause);
+        let error = config.cached_list_error.expect(cause);
         assert!(
-            (why.contains(cause) || cause == "rev") && !why.contains('\n'),
-            "{why}"
+            (error.contains(cause) || cause == "rev") && !error.contains('\n'),
+            "{error}"
         );
     }
     assert_eq!(config().cached_list_error, None);
@@ -103,18 +107,18 @@
 }
 
 #[test]
-fn load_report_fields_have_two_vocabularies() {
+fn load_report_fields_have_two_names() {
     let names = config().names;
-    let told = vec![0.61, 2.0, 0.3];
+    let expected = vec![0.61, 2.0, 0.3];
     assert_eq!(
         parse_load_report("queue=2,util=0.61,x0=0.3,more=1", &names),
-        told
+        expected
     );
     assert_eq!(
         parse_load_report("depth=2, load_share=0.61, x0=0.3", &names),
-        told
+        expected
     );
-    for bad in [
+    for invalid in [
         "",
         "queue=2",
         "queue=2,util=NaN,x0=1",
@@ -122,19 +126,23 @@
         "queue:2",
         "util=1e999,queue=1,x0=1",
     ] {
-        assert_eq!(parse_load_report(bad, &names), Vec::<f64>::new(), "{bad}");
+        assert_eq!(
+            parse_load_report(invalid, &names),
+            Vec::<f64>::new(),
+            "{invalid}"
+        );
     }
 }
 
 #[test]
-fn invalid_discovery_line_says_why() {
+fn invalid_discovery_line_reports_cause() {
     let names = config().names;
-    let good = list(
+    let valid = endpoint_list_json(
         3,
         false,
-        &[target("h", "127.0.1.1:80", "reads", "in_service")],
+        &[endpoint_json("h", "127.0.1.1:80", "reads", "in_service")],
     );
-    assert!(EndpointList::parse(good.as_bytes(), &names).is_ok());
+    assert!(EndpointList::parse(valid.as_bytes(), &names).is_ok());
     for (from, to, word) in [
         ("in_service", "asleep", "state 'asleep'"),
         ("reads", "sings", "model 'sings'"),
@@ -142,12 +150,13 @@
         ("127.0.1.1:80", "there", "endpoint 'there'"),
         ("\"rev\":3", "\"rev\":-3", "rev"),
     ] {
-        let why = EndpointList::parse(good.replace(from, to).as_bytes(), &names).expect_err(word);
-        assert!(why.contains(word) || word == "rev", "{why}");
+        let error =
+            EndpointList::parse(valid.replace(from, to).as_bytes(), &names).expect_err(word);
+        assert!(error.contains(word) || word == "rev", "{error}");
     }
-    for at in 0..good.len() {
+    for at in 0..valid.len() {
         assert!(
-            EndpointList::parse(&good.as_bytes()[..at], &names).is_err(),
+            EndpointList::parse(&valid.as_bytes()[..at], &names).is_err(),
             "cut at {at}"
         );
     }
--- a/crates/platform/tests/descriptors.rs
+++ b/crates/platform/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! File descriptors run short while discovery is down: the watch, hosts and answers in hand still get theirs, and a
-//! newcomer is heard, whatever the clients are that fill the table.
+//! Tests for a shortage of file descriptors while discovery is down: the discovery watch, server connections and open
+//! responses keep their descriptors, and new clients are accepted, whichever kind of client fills the client table.
 mod common;
 
 use bitternlatch_platform::config::Config;
@@ -9,10 +9,12 @@
 use bitternlatch_platform::types::{ConnId, Input};
 use common::*;
 
-/// Standard streams, readiness queue, listener, peers, signals; the watch; clients that see their last answer.
-const OWN: usize = 10;
-const WATCH: usize = 1;
-const FINISHING: usize = 16;
+/// Descriptors for the standard streams, the poll instance, the listener, the peer socket and signals.
+const RESERVED_DESCRIPTORS: usize = 10;
+/// Descriptors for the discovery watch.
+const WATCH_CONNECTIONS: usize = 1;
+/// Descriptors for client connections that linger after their last response.
+const LINGERING_CONNECTIONS: usize = 16;
 
 const DISCOVERY: &str = "127.0.2.1:8500";
 
@@ -23,169 +25,211 @@
     }
 }
 
-/// A configuration of so many descriptors whose settings bound no requests in hand.
+/// A configuration with `sockets` descriptors whose settings do not limit the requests in flight.
 fn config_of(sockets: u32) -> Config {
     let text = config_json(sockets).replace(r#""mostHeld":100,"#, "");
-    Config::parse(&text).expect("the test's configuration")
+    Config::parse(&text).expect("the configuration of the test is valid")
 }
 
 #[test]
 fn connection_limits_fit_descriptors() {
     for descriptors in [48, 49, 64, 128, 256, 300, 1024, 20_000] {
-        let shares = ConnectionLimits::of(&limits(descriptors));
-        let all = shares.clients + shares.servers + OWN + WATCH + FINISHING;
-        assert!(all <= descriptors, "{descriptors}: {shares:?} make {all}");
+        let connection_limits = ConnectionLimits::of(&limits(descriptors));
+        let all = connection_limits.clients
+            + connection_limits.servers
+            + RESERVED_DESCRIPTORS
+            + WATCH_CONNECTIONS
+            + LINGERING_CONNECTIONS;
         assert!(
-            shares.clients >= 8 && shares.servers >= 4,
-            "{descriptors}: {shares:?}"
+            all <= descriptors,
+            "{descriptors}: {connection_limits:?} add up to {all}"
+        );
+        assert!(
+            connection_limits.clients >= 8 && connection_limits.servers >= 4,
+            "{descriptors}: {connection_limits:?}"
+        );
+        // An open request uses one connection of each kind, so some client connections remain for new clients.
+        assert!(
+            connection_limits.servers < connection_limits.clients,
+            "{descriptors}: {connection_limits:?}"
         );
-        // A request in hand holds a connection of either kind: some clients' places are left for newcomers.
-        assert!(shares.servers < shares.clients, "{descriptors}: {shares:?}");
     }
-    // Clients hold a third of the descriptors for requests at the most: there is a place and a host's for each.
+    // Server connections get at least a third of the descriptors, so that as many requests can have one.
     for descriptors in [256, 512, 1024] {
-        let shares = ConnectionLimits::of(&limits(descriptors));
+        let connection_limits = ConnectionLimits::of(&limits(descriptors));
         assert!(
-            shares.servers >= descriptors / 3,
-            "{descriptors}: {shares:?}"
+            connection_limits.servers >= descriptors / 3,
+            "{descriptors}: {connection_limits:?}"
         );
     }
-    let few = ConnectionLimits::of(&limits(0));
+    let four_servers = ConnectionLimits::of(&limits(0));
     assert!(
-        few.clients >= 8 && few.servers >= 4,
-        "the fewest places are there however few descriptors are"
+        four_servers.clients >= 8 && four_servers.servers >= 4,
+        "the minimum applies however few descriptors there are"
     );
 }
 
 #[test]
 fn smaller_descriptor_limit_counts() {
     let table = [
-        ("no limit", None, OWN, 256),
-        ("a lower one", Some(48), OWN, 48),
-        ("just below", Some(255), OWN, 255),
-        ("the same", Some(256), OWN, 256),
-        ("a higher one", Some(20_000), OWN, 256),
-        ("fewer of its own than may be", Some(256), 3, 256),
-        ("some handed to it", Some(256), OWN + 100, 156),
-        ("many handed to it, of more", Some(1024), OWN + 300, 256),
-        ("all handed to it", Some(256), 256 + OWN, 0),
+        ("no limit", None, RESERVED_DESCRIPTORS, 256),
+        ("a lower limit", Some(48), RESERVED_DESCRIPTORS, 48),
+        ("just below", Some(255), RESERVED_DESCRIPTORS, 255),
+        ("the same limit", Some(256), RESERVED_DESCRIPTORS, 256),
+        ("a higher limit", Some(20_000), RESERVED_DESCRIPTORS, 256),
+        ("fewer open descriptors than reserved", Some(256), 3, 256),
+        (
+            "some inherited descriptors",
+            Some(256),
+            RESERVED_DESCRIPTORS + 100,
+            156,
+        ),
+        (
+            "many inherited descriptors of a higher limit",
+            Some(1024),
+            RESERVED_DESCRIPTORS + 300,
+            256,
+        ),
+        (
+            "all descriptors inherited",
+            Some(256),
+            256 + RESERVED_DESCRIPTORS,
+            0,
+        ),
     ];
-    for (name, allowed, held, descriptors) in table {
+    for (name, allowed, open_descriptors, descriptors) in table {
         assert_eq!(
-            limits(256).within(allowed, held),
+            limits(256).within(allowed, open_descriptors),
             limits(descriptors),
             "{name}"
         );
     }
 }
 
-/// What fills the table.
+/// Kind of the clients that fill the client table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Crowd {
-    /// Has had an answer, and keeps its connection.
+enum ClientKind {
+    /// The client has received a response and keeps its connection open.
     Idle,
+    /// The client sends nothing.
     Silent,
-    /// Half a request.
-    Half,
-    /// A whole request, which its host does not answer.
-    Busy,
+    /// The client has sent part of a request.
+    PartialRequest,
+    /// The client has sent a complete request, which the server does not answer.
+    OpenRequest,
 }
 
-const CROWDS: [Crowd; 4] = [Crowd::Idle, Crowd::Silent, Crowd::Half, Crowd::Busy];
+const CLIENT_KINDS: [ClientKind; 4] = [
+    ClientKind::Idle,
+    ClientKind::Silent,
+    ClientKind::PartialRequest,
+    ClientKind::OpenRequest,
+];
 
 const READY: &str = "GET /ready HTTP/1.1\r\n\r\n";
 
-fn join(rig: &mut Rig, crowd: Crowd, i: usize) -> ConnId {
-    let conn = rig.client();
+fn connect_client_of_kind(harness: &mut Harness, client_kind: ClientKind, i: usize) -> ConnId {
+    let conn = harness.connect_client();
     let whole = request(&format!("q{i}"), "ask", 4800);
-    match crowd {
-        Crowd::Idle => rig.text(conn, READY),
-        Crowd::Silent => {}
-        Crowd::Half => rig.text(conn, &whole[..whole.len() - 4]),
-        Crowd::Busy => rig.text(conn, &whole),
+    match client_kind {
+        ClientKind::Idle => harness.receive_text(conn, READY),
+        ClientKind::Silent => {}
+        ClientKind::PartialRequest => harness.receive_text(conn, &whole[..whole.len() - 4]),
+        ClientKind::OpenRequest => harness.receive_text(conn, &whole),
     }
     conn
 }
 
-/// A rig whose discovery takes the call and says nothing.
-fn rig(sockets: u32) -> Rig {
-    let mut rig = Rig::with(config_of(sockets));
-    assert!(rig
+/// A harness whose discovery accepts the watch and sends nothing.
+fn harness(sockets: u32) -> Harness {
+    let mut harness = Harness::with_config(config_of(sockets));
+    assert!(harness
         .connects
         .iter()
         .any(|(_, to)| to.to_string() == DISCOVERY));
-    rig.pass(0.1);
-    rig
+    harness.advance(0.1);
+    harness
 }
 
-fn held_together(rig: &Rig) -> usize {
-    let resource_usage = rig.node.resource_usage();
-    resource_usage.clients + resource_usage.server_connections + OWN + WATCH + FINISHING
+fn descriptors_in_use(harness: &Harness) -> usize {
+    let resource_usage = harness.node.resource_usage();
+    resource_usage.clients
+        + resource_usage.server_connections
+        + RESERVED_DESCRIPTORS
+        + WATCH_CONNECTIONS
+        + LINGERING_CONNECTIONS
 }
 
-fn watches(rig: &Rig) -> usize {
-    rig.connects
+fn watch_connects(harness: &Harness) -> usize {
+    harness
+        .connects
         .iter()
         .filter(|(_, to)| to.to_string() == DISCOVERY)
         .count()
 }
 
-fn stream_whole(rig: &mut Rig, writer: ConnId) {
-    rig.text(writer, &format!("{}0\r\n\r\n", chunk(&event("two"))));
+fn finish_stream(harness: &mut Harness, decode_conn: ConnId) {
+    harness.receive_text(
+        decode_conn,
+        &format!("{}0\r\n\r\n", chunk(&stream_event("two"))),
+    );
 }
 
 #[test]
 fn full_client_table_keeps_its_bound() {
     for sockets in [64, 256, 1024] {
-        let shares = ConnectionLimits::of(&limits(sockets as usize));
-        for crowd in CROWDS {
-            let name = format!("{sockets} {crowd:?}");
-            let mut rig = rig(sockets);
-            let (good, writer) = rig.at_decode("good", "ask");
-            rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
-            let watches_before = watches(&rig);
+        let connection_limits = ConnectionLimits::of(&limits(sockets as usize));
+        for client_kind in CLIENT_KINDS {
+            let name = format!("{sockets} {client_kind:?}");
+            let mut harness = harness(sockets);
+            let (streaming_client, decode_conn) = harness.start_decode("good", "ask");
+            harness.receive_text(
+                decode_conn,
+                &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
+            );
+            let watch_connects_before = watch_connects(&harness);
             for i in 0..2 * sockets as usize {
-                join(&mut rig, crowd, i);
-                let resource_usage = rig.node.resource_usage();
+                connect_client_of_kind(&mut harness, client_kind, i);
+                let resource_usage = harness.node.resource_usage();
                 assert!(
-                    resource_usage.clients <= shares.clients,
+                    resource_usage.clients <= connection_limits.clients,
                     "{name}: {} clients",
                     resource_usage.clients
                 );
                 assert!(
-                    resource_usage.server_connections <= shares.servers,
-                    "{name}: {} connections to hosts",
+                    resource_usage.server_connections <= connection_limits.servers,
+                    "{name}: {} connections to servers",
                     resource_usage.server_connections
                 );
                 assert!(
-                    held_together(&rig) <= sockets as usize,
+                    descriptors_in_use(&harness) <= sockets as usize,
                     "{name}: {}",
-                    held_together(&rig)
+                    descriptors_in_use(&harness)
                 );
             }
-            // The front's call, and a request, among them.
-            let front = rig.client();
-            rig.text(front, READY);
-            assert_eq!(rig.status(front), "200", "{name}: /ready");
-            let reads = rig.count(Call::is_prefill);
-            let late = rig.ask("late", "ask");
-            let sent = rig.count(Call::is_prefill) > reads;
-            let told = rig.status(late) == "503";
+            // A readiness check of the load balancer and a request arrive while the table is full.
+            let load_balancer = harness.connect_client();
+            harness.receive_text(load_balancer, READY);
+            assert_eq!(harness.status(load_balancer), "200", "{name}: /ready");
+            let prefill_calls = harness.count_calls(Call::is_prefill);
+            let new_client = harness.send_request("late", "ask");
+            let sent = harness.count_calls(Call::is_prefill) > prefill_calls;
+            let shed = harness.status(new_client) == "503";
             assert!(
-                sent || told && crowd == Crowd::Busy,
-                "{name}: a request is neither sent on nor refused"
+                sent || shed && client_kind == ClientKind::OpenRequest,
+                "{name}: a request is neither forwarded nor shed"
             );
-            // Events in hand go out while the table is full; the stream's host still writes.
-            stream_whole(&mut rig, writer);
+            // Events of an open stream are forwarded while the table is full.
+            finish_stream(&mut harness, decode_conn);
             assert_eq!(
-                unchunk(rig.said(good)),
-                format!("{}{}", event("one"), event("two")),
+                decode_chunked(harness.client_output(streaming_client)),
+                format!("{}{}", stream_event("one"), stream_event("two")),
                 "{name}"
             );
-            rig.pass(8.0);
+            harness.advance(8.0);
             assert!(
-                watches(&rig) > watches_before,
-                "{name}: the watch is not begun anew"
+                watch_connects(&harness) > watch_connects_before,
+                "{name}: the watch is not restarted"
             );
         }
     }
@@ -194,188 +238,212 @@
 #[test]
 fn server_connections_run_out_before_client_places() {
     for sockets in [64, 256] {
-        let shares = ConnectionLimits::of(&limits(sockets as usize));
+        let connection_limits = ConnectionLimits::of(&limits(sockets as usize));
         let entry = |i: usize| {
             let (model, at) = (["reads", "writes"][i % 2], format!("127.0.9.{}:80", i + 1));
-            target(&format!("x{i}"), &at, model, "in_service")
+            endpoint_json(&format!("x{i}"), &at, model, "in_service")
         };
-        let few: Vec<String> = hosts()
+        let four_servers: Vec<String> = servers()
             .iter()
-            .map(|h| target(h.0, h.1, h.2, "in_service"))
+            .map(|h| endpoint_json(h.0, h.1, h.2, "in_service"))
             .collect();
-        let many: Vec<String> = (0..150).map(entry).collect();
+        let all_servers: Vec<String> = (0..150).map(entry).collect();
         let text = config_json(sockets).replace(r#""mostHeld":100,"#, "");
-        let text = text.replace(&list(7, true, &few), &list(7, true, &many));
-        let mut rig = Rig::with(Config::parse(&text).expect("the test's configuration"));
-        let crowd: Vec<_> = (0..2 * sockets as usize)
-            .map(|i| join(&mut rig, Crowd::Busy, i))
+        let text = text.replace(
+            &endpoint_list_json(7, true, &four_servers),
+            &endpoint_list_json(7, true, &all_servers),
+        );
+        let mut harness = Harness::with_config(
+            Config::parse(&text).expect("the configuration of the test is valid"),
+        );
+        let clients: Vec<_> = (0..2 * sockets as usize)
+            .map(|i| connect_client_of_kind(&mut harness, ClientKind::OpenRequest, i))
             .collect();
-        let busy = crowd
+        let open = clients
             .iter()
-            .filter(|c| rig.said(**c).is_empty() && !rig.closed.contains(c))
+            .filter(|c| harness.client_output(**c).is_empty() && !harness.closed.contains(c))
             .count();
-        let used = shares.servers - ConnectionPool::reserved(shares.servers);
+        let used = connection_limits.servers - ConnectionPool::reserved(connection_limits.servers);
         assert_eq!(
-            (busy, rig.node.resource_usage().server_connections),
+            (open, harness.node.resource_usage().server_connections),
             (used, used),
-            "{sockets}: all but those for releases are in use"
+            "{sockets}: not all connections but those for releases are in use"
         );
-        let told = crowd.iter().filter(|c| rig.status(**c) == "503").count();
+        let shed = clients
+            .iter()
+            .filter(|c| harness.status(**c) == "503")
+            .count();
         assert_eq!(
-            busy + told,
-            crowd.len(),
-            "{sockets}: the others are refused, not cut off"
+            open + shed,
+            clients.len(),
+            "{sockets}: some of the other clients are not shed with a response"
         );
-        let front = rig.client();
-        rig.text(front, READY);
-        assert_eq!(rig.status(front), "200", "{sockets}: /ready");
+        let load_balancer = harness.connect_client();
+        harness.receive_text(load_balancer, READY);
+        assert_eq!(harness.status(load_balancer), "200", "{sockets}: /ready");
         assert!(
-            rig.node.resource_usage().clients <= shares.clients
-                && held_together(&rig) <= sockets as usize
+            harness.node.resource_usage().clients <= connection_limits.clients
+                && descriptors_in_use(&harness) <= sockets as usize
         );
     }
 }
 
 #[test]
 fn discovery_returns_while_client_table_is_full() {
-    for crowd in CROWDS {
-        let mut rig = rig(256);
+    for client_kind in CLIENT_KINDS {
+        let mut harness = harness(256);
         for i in 0..400 {
-            join(&mut rig, crowd, i);
+            connect_client_of_kind(&mut harness, client_kind, i);
         }
-        let before = watches(&rig);
-        while watches(&rig) == before {
-            rig.pass(0.1);
+        let before = watch_connects(&harness);
+        while watch_connects(&harness) == before {
+            harness.advance(0.1);
         }
-        let (watch, _) = *rig
+        let (watch, _) = *harness
             .connects
             .iter()
             .rev()
             .find(|c| c.1.to_string() == DISCOVERY)
-            .expect("a watch");
-        let hosts = hosts();
-        let drains = [target(hosts[0].0, hosts[0].1, "reads", "terminating")];
-        let line = list(8, false, &drains) + "\n";
-        rig.text(watch, &format!("{}{}", STREAM_HEAD, chunk(&line)));
-        rig.pass(6.0);
-        let calls = rig.calls.len();
+            .expect("the node connects to discovery");
+        let servers = servers();
+        let draining = [endpoint_json(
+            servers[0].0,
+            servers[0].1,
+            "reads",
+            "terminating",
+        )];
+        let line = endpoint_list_json(8, false, &draining) + "\n";
+        harness.receive_text(watch, &format!("{}{}", STREAM_HEAD, chunk(&line)));
+        harness.advance(6.0);
+        let calls = harness.calls.len();
         for i in 0..8 {
-            rig.ask(&format!("after{i}"), "ask");
+            harness.send_request(&format!("after{i}"), "ask");
         }
-        let reads: Vec<_> = rig.calls[calls..]
+        let prefill_calls: Vec<_> = harness.calls[calls..]
             .iter()
             .filter(|c| c.is_prefill())
             .map(|c| c.to)
             .collect();
-        assert!(!reads.is_empty(), "{crowd:?}: nothing is sent on");
         assert!(
-            reads.iter().all(|to| to.to_string() != hosts[0].1),
-            "{crowd:?}: the drain is not acted on"
+            !prefill_calls.is_empty(),
+            "{client_kind:?}: nothing is forwarded"
+        );
+        assert!(
+            prefill_calls
+                .iter()
+                .all(|to| to.to_string() != servers[0].1),
+            "{client_kind:?}: a draining server receives a prefill"
         );
     }
 }
 
 #[test]
 fn partial_requests_are_evicted_first_requests_first() {
-    let mut rig = rig(64);
-    let most = ConnectionLimits::of(&limits(64)).clients;
-    let half = &request("h", "ask", 4800)[..60];
-    // One that has been answered before, and now sends its next request in pieces, before all others.
-    let known = rig.client();
-    rig.text(known, READY);
-    rig.text(known, half);
-    let strangers: Vec<_> = (1..most)
+    let mut harness = harness(64);
+    let max_clients = ConnectionLimits::of(&limits(64)).clients;
+    let partial = &request("h", "ask", 4800)[..60];
+    // This client was answered before and has sent part of its next request, earlier than all others.
+    let earlier_client = harness.connect_client();
+    harness.receive_text(earlier_client, READY);
+    harness.receive_text(earlier_client, partial);
+    let new_clients: Vec<_> = (1..max_clients)
         .map(|_| {
-            let conn = rig.client();
-            rig.text(conn, half);
+            let conn = harness.connect_client();
+            harness.receive_text(conn, partial);
             conn
         })
         .collect();
     assert_eq!(
-        rig.node.resource_usage().clients,
-        most,
-        "the table is full of half requests"
+        harness.node.resource_usage().clients,
+        max_clients,
+        "the table is not full of partial requests"
     );
     for i in 0..3 {
-        let front = rig.client();
-        assert!(!rig.closed.contains(&front), "newcomer {i} is not heard");
-        rig.text(front, &request(&format!("n{i}"), "ask", 4800));
+        let load_balancer = harness.connect_client();
+        assert!(
+            !harness.closed.contains(&load_balancer),
+            "new client {i} is not accepted"
+        );
+        harness.receive_text(load_balancer, &request(&format!("n{i}"), "ask", 4800));
         assert_eq!(
-            rig.closed.iter().copied().collect::<Vec<_>>(),
-            strangers[..=i],
-            "the oldest goes first"
+            harness.closed.iter().copied().collect::<Vec<_>>(),
+            new_clients[..=i],
+            "the oldest client is not evicted first"
         );
     }
-    assert!(!rig.closed.contains(&known));
+    assert!(!harness.closed.contains(&earlier_client));
 }
 
 #[test]
 fn client_still_reading_is_not_evicted() {
-    let mut rig = rig(64);
-    let (slow, writer) = rig.at_decode("slow", "ask");
-    rig.slow = true;
-    rig.text(
-        writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    let mut harness = harness(64);
+    let (slow_client, decode_conn) = harness.start_decode("slow", "ask");
+    harness.clients_blocked = true;
+    harness.receive_text(
+        decode_conn,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
-    rig.slow = false;
+    harness.clients_blocked = false;
     for i in 0..200 {
-        join(&mut rig, Crowd::Half, i);
+        connect_client_of_kind(&mut harness, ClientKind::PartialRequest, i);
     }
     assert!(
-        !rig.closed.contains(&slow),
-        "its answer is whole at the node and not at the client"
+        !harness.closed.contains(&slow_client),
+        "a client was evicted before its response was completely sent"
     );
-    rig.tell(Input::Wrote {
-        conn: slow,
-        count: rig.said(slow).len(),
+    harness.step(Input::Wrote {
+        conn: slow_client,
+        count: harness.client_output(slow_client).len(),
     });
     for i in 200..400 {
-        join(&mut rig, Crowd::Half, i);
+        connect_client_of_kind(&mut harness, ClientKind::PartialRequest, i);
     }
     assert!(
-        rig.closed.contains(&slow),
-        "once all is taken it is as idle as any"
+        harness.closed.contains(&slow_client),
+        "an idle client was not evicted after its response was sent"
     );
 }
 
 #[test]
 fn idle_connections_are_evicted_for_descriptors() {
-    let mut rig = rig(256);
-    let (_, writer) = rig.at_decode("done", "ask");
-    rig.text(
-        writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    let mut harness = harness(256);
+    let (_, decode_conn) = harness.start_decode("done", "ask");
+    harness.receive_text(
+        decode_conn,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
+    );
+    let (open, stream_conn) = harness.start_decode("busy", "ask");
+    harness.receive_text(
+        stream_conn,
+        &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
     );
-    let (busy, streaming) = rig.at_decode("busy", "ask");
-    rig.text(streaming, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
-    let silent = rig.client();
-    rig.pass(1.0);
-    let mut gone = Vec::new();
-    while rig.node.evict_client(rig.now, &mut gone) {}
-    let (clients, links) = (
-        rig.node.resource_usage().clients,
-        rig.node.resource_usage().server_connections,
+    let silent = harness.connect_client();
+    harness.advance(1.0);
+    let mut evicted = Vec::new();
+    while harness.node.evict_client(harness.now, &mut evicted) {}
+    let (clients, server_connections) = (
+        harness.node.resource_usage().clients,
+        harness.node.resource_usage().server_connections,
     );
-    assert_eq!(clients, 1, "the busy one stays");
-    assert_eq!(gone.len(), 2, "{gone:?}");
+    assert_eq!(clients, 1, "the client with an open request was evicted");
+    assert_eq!(evicted.len(), 2, "{evicted:?}");
     assert!(
-        gone[0] == bitternlatch_platform::types::Command::Close { conn: silent },
-        "{gone:?}"
+        evicted[0] == bitternlatch_platform::types::Command::Close { conn: silent },
+        "{evicted:?}"
     );
-    let mut dropped = Vec::new();
-    while rig.node.evict_idle_connection(&mut dropped) {}
+    let mut closed = Vec::new();
+    while harness.node.evict_idle_connection(&mut closed) {}
     assert_eq!(
-        rig.node.resource_usage().server_connections,
-        links - dropped.len()
+        harness.node.resource_usage().server_connections,
+        server_connections - closed.len()
     );
     assert!(
-        !dropped.is_empty() && rig.node.resource_usage().server_connections >= 1,
-        "the stream's stays"
+        !closed.is_empty() && harness.node.resource_usage().server_connections >= 1,
+        "the connection of the stream was evicted"
     );
-    stream_whole(&mut rig, streaming);
+    finish_stream(&mut harness, stream_conn);
     assert_eq!(
-        unchunk(rig.said(busy)),
-        format!("{}{}", event("one"), event("two"))
+        decode_chunked(harness.client_output(open)),
+        format!("{}{}", stream_event("one"), stream_event("two"))
     );
 }
--- a/crates/platform/tests/disconnects.rs
+++ b/crates/platform/tests/disconnects.rs
@@ -1,4 +1,5 @@
-//! A client that closed or cancelled has gone: no attempt begins for it any more, and what is held for it is let go of.
+//! Client disconnects: no attempt starts for a client that has disconnected, and the KV cache state held for it is
+//! released.
 mod common;
 
 use std::net::SocketAddr;
@@ -8,142 +9,148 @@
 use bitternlatch_platform::types::{ConnId, Input};
 use common::*;
 
-/// A node whose settings let it cancel attempts, or not.
-fn rig(cancel: bool) -> Rig {
-    rig_with_connect_timeout(cancel, 0.25)
+/// A node whose settings allow it to cancel attempts, or not.
+fn harness(cancel: bool) -> Harness {
+    harness_with_connect_timeout(cancel, 0.25)
 }
 
-/// The same, with a time for connections to come up, seconds.
-fn rig_with_connect_timeout(cancel: bool, connect_s: f64) -> Rig {
+/// A node with the given cancellation setting and connect timeout, in seconds.
+fn harness_with_connect_timeout(cancel: bool, connect_timeout_secs: f64) -> Harness {
     let text = config_json(256).replace(r#""cancel":true"#, &format!(r#""cancel":{cancel}"#));
     let text = text.replace(
         r#""connectTimeoutS":0.25"#,
-        &format!(r#""connectTimeoutS":{connect_s}"#),
+        &format!(r#""connectTimeoutS":{connect_timeout_secs}"#),
     );
-    Rig::with(Config::parse(&text).expect("the test's configuration"))
+    Harness::with_config(Config::parse(&text).expect("the configuration of the test is valid"))
 }
 
 fn is_post(call: &Call) -> bool {
-    call.line().starts_with("POST")
+    call.request_line().starts_with("POST")
 }
 
 fn prefill_servers() -> [SocketAddr; 2] {
-    ["127.0.1.1:80", "127.0.1.2:80"].map(|a| a.parse().expect("an address"))
+    ["127.0.1.1:80", "127.0.1.2:80"].map(|a| a.parse().expect("the address is valid"))
 }
 
 fn decode_servers() -> [SocketAddr; 2] {
-    ["127.0.1.3:80", "127.0.1.4:80"].map(|a| a.parse().expect("an address"))
+    ["127.0.1.3:80", "127.0.1.4:80"].map(|a| a.parse().expect("the address is valid"))
 }
 
 fn declined() -> String {
-    plain("503 Service Unavailable", "Srv-Declined: 1\r\n", "")
+    plain_response("503 Service Unavailable", "Srv-Declined: 1\r\n", "")
 }
 
-/// A host says something on a connection that the node has not closed.
-fn says(rig: &mut Rig, conn: ConnId, text: &str) {
-    if !rig.closed.contains(&conn) {
-        rig.text(conn, text);
+/// Delivers text from a server if the node has not closed the connection.
+fn receive_if_open(harness: &mut Harness, conn: ConnId, text: &str) {
+    if !harness.closed.contains(&conn) {
+        harness.receive_text(conn, text);
     }
 }
 
-/// Every connection that waits to come up does, if it is still wanted.
-fn all_come_up(rig: &mut Rig) {
-    let dialled = rig.connects.clone();
-    for (conn, to) in dialled {
-        if rig.dead.contains(&to) && !rig.closed.contains(&conn) {
-            rig.tell(Input::Connected { conn });
+/// Establishes every pending connection that the node has not closed.
+fn establish_all_connections(harness: &mut Harness) {
+    let connects = harness.connects.clone();
+    for (conn, to) in connects {
+        if harness.unreachable_addresses.contains(&to) && !harness.closed.contains(&conn) {
+            harness.step(Input::Connected { conn });
         }
     }
-    rig.dead.clear();
+    harness.unreachable_addresses.clear();
 }
 
-/// Every host that still has a request does something with it.
-fn all_respond(rig: &mut Rig, text: &str) {
-    for call in rig.calls.clone().iter().filter(|c| is_post(c)) {
-        says(rig, call.conn, text);
+/// Every server that still has a request sends `text` as its response.
+fn all_servers_respond(harness: &mut Harness, text: &str) {
+    for call in harness.calls.clone().iter().filter(|c| is_post(c)) {
+        receive_if_open(harness, call.conn, text);
     }
 }
 
-fn all_end(rig: &mut Rig) {
-    for call in rig.calls.clone().iter().filter(|c| is_post(c)) {
-        if !rig.closed.contains(&call.conn) {
-            rig.tell(Input::Ended { conn: call.conn });
+/// Every server that still has a request closes its connection.
+fn all_servers_disconnect(harness: &mut Harness) {
+    for call in harness.calls.clone().iter().filter(|c| is_post(c)) {
+        if !harness.closed.contains(&call.conn) {
+            harness.step(Input::Ended { conn: call.conn });
         }
     }
 }
 
+/// A state of the request in which its client disconnects.
 struct Case {
     name: &'static str,
-    /// Brings the node to where the client goes; gives the client.
-    before: fn(&mut Rig) -> ConnId,
-    /// What happens once it has gone.
-    after: fn(&mut Rig),
-    /// Whether a reader may hold a state then, with leave to cancel and without.
-    held: [bool; 2],
+    /// Brings the request into the state in which its client disconnects. Returns the client connection.
+    before: fn(&mut Harness) -> ConnId,
+    /// Runs after the client has disconnected.
+    after: fn(&mut Harness),
+    /// Whether a prefill server may hold KV cache state at that point, with cancellation allowed and without.
+    expects_release: [bool; 2],
 }
 
-fn waiting_for_health_checks(rig: &mut Rig) -> ConnId {
-    rig.answers_health_checks = false;
-    let client = rig.client();
-    rig.text(client, &request("g", "ask", 4800));
-    assert_eq!(rig.count(is_post), 0, "it waits for a place");
+fn waiting_for_health_checks(harness: &mut Harness) -> ConnId {
+    harness.answers_health_checks = false;
+    let client = harness.connect_client();
+    harness.receive_text(client, &request("g", "ask", 4800));
+    assert_eq!(
+        harness.count_calls(is_post),
+        0,
+        "the request was sent before the health checks were answered"
+    );
     client
 }
 
-fn due_with_its_end(rig: &mut Rig) -> ConnId {
-    let client = waiting_for_health_checks(rig);
-    // Nobody has looked at the clock meanwhile.
-    rig.now = rig.now.after(0.05);
+fn timer_due_at_disconnect(harness: &mut Harness) -> ConnId {
+    let client = waiting_for_health_checks(harness);
+    // The clock advances past the due timers without running them.
+    harness.now = harness.now.after(0.05);
     client
 }
 
-fn at_prefill(rig: &mut Rig) -> ConnId {
-    rig.ask("g", "ask")
+fn start_prefill(harness: &mut Harness) -> ConnId {
+    harness.send_request("g", "ask")
 }
 
-fn at_decode(rig: &mut Rig) -> ConnId {
-    rig.at_decode("g", "ask").0
+fn start_decode(harness: &mut Harness) -> ConnId {
+    harness.start_decode("g", "ask").0
 }
 
-/// Both writers have declined: the state waits at its reader until one can be asked again.
-fn between_prefill_and_decode(rig: &mut Rig) -> ConnId {
-    let (client, writer) = rig.at_decode("g", "ask");
-    rig.text(writer, &declined());
-    let other = rig.last(Call::is_decode).conn;
-    assert_ne!(writer, other);
-    rig.text(other, &declined());
+/// Both decode servers have declined: the KV cache state stays at its prefill server until a retry is due.
+fn between_prefill_and_decode(harness: &mut Harness) -> ConnId {
+    let (client, decode_conn) = harness.start_decode("g", "ask");
+    harness.receive_text(decode_conn, &declined());
+    let other = harness.last_call(Call::is_decode).conn;
+    assert_ne!(decode_conn, other);
+    harness.receive_text(other, &declined());
     client
 }
 
-fn held_and_due(rig: &mut Rig) -> ConnId {
-    let client = between_prefill_and_decode(rig);
-    rig.now = rig.now.after(0.25);
+fn held_with_timer_due(harness: &mut Harness) -> ConnId {
+    let client = between_prefill_and_decode(harness);
+    harness.now = harness.now.after(0.25);
     client
 }
 
-fn prefill_server_comes_up(rig: &mut Rig) -> ConnId {
-    rig.answers_health_checks = false;
-    rig.dead.extend(prefill_servers());
-    let client = rig.ask("g", "ask");
-    assert!(rig
+fn connecting_to_prefill_server(harness: &mut Harness) -> ConnId {
+    harness.answers_health_checks = false;
+    harness.unreachable_addresses.extend(prefill_servers());
+    let client = harness.send_request("g", "ask");
+    assert!(harness
         .connects
         .iter()
         .any(|c| prefill_servers().contains(&c.1)));
     client
 }
 
-fn decode_server_comes_up(rig: &mut Rig) -> ConnId {
-    rig.answers_health_checks = false;
-    rig.dead.extend(decode_servers());
-    let client = rig.ask("g", "ask");
-    rig.prefill_done();
-    assert_eq!(rig.count(Call::is_decode), 0);
+fn connecting_to_decode_server(harness: &mut Harness) -> ConnId {
+    harness.answers_health_checks = false;
+    harness.unreachable_addresses.extend(decode_servers());
+    let client = harness.send_request("g", "ask");
+    harness.complete_prefill();
+    assert_eq!(harness.count_calls(Call::is_decode), 0);
     client
 }
 
-fn sent_ahead(rig: &mut Rig) -> ConnId {
-    let client = rig.client();
-    rig.text(
+fn pipelined(harness: &mut Harness) -> ConnId {
+    let client = harness.connect_client();
+    harness.receive_text(
         client,
         &format!(
             "{}{}",
@@ -151,300 +158,335 @@
             request("g2", "ask", 4800)
         ),
     );
-    rig.pass(0.02);
+    harness.advance(0.02);
     client
 }
 
-fn much_pipelined(rig: &mut Rig) -> ConnId {
-    let client = sent_ahead(rig);
+fn excessively_pipelined(harness: &mut Harness) -> ConnId {
+    let client = pipelined(harness);
     for _ in 0..40 {
-        rig.text(client, &"x".repeat(30_000));
+        harness.receive_text(client, &"x".repeat(30_000));
     }
     client
 }
 
 #[test]
 fn disconnect_begins_no_attempt_and_releases_state() {
-    let nothing: fn(&mut Rig) = |_| {};
-    let read: fn(&mut Rig) =
-        |rig| all_respond(rig, &plain("202 Accepted", "", r#"{"cached_tokens":64}"#));
-    let decline: fn(&mut Rig) = |rig| all_respond(rig, &declined());
-    let fail: fn(&mut Rig) = |rig| all_respond(rig, &plain("500 Oops", "", ""));
+    let no_response: fn(&mut Harness) = |_| {};
+    let prefill: fn(&mut Harness) = |harness| {
+        all_servers_respond(
+            harness,
+            &plain_response("202 Accepted", "", r#"{"cached_tokens":64}"#),
+        )
+    };
+    let decline: fn(&mut Harness) = |harness| all_servers_respond(harness, &declined());
+    let fail: fn(&mut Harness) =
+        |harness| all_servers_respond(harness, &plain_response("500 Oops", "", ""));
     let table = [
         Case {
-            name: "probes out",
+            name: "health checks in flight",
             before: waiting_for_health_checks,
-            after: nothing,
-            held: [false; 2],
+            after: no_response,
+            expects_release: [false; 2],
         },
         Case {
-            name: "its time due with its end",
-            before: due_with_its_end,
-            after: nothing,
-            held: [false; 2],
+            name: "timer due at the disconnect",
+            before: timer_due_at_disconnect,
+            after: no_response,
+            expects_release: [false; 2],
         },
         Case {
-            name: "at a reader that reads",
-            before: at_prefill,
-            after: read,
-            held: [true; 2],
+            name: "prefill completes",
+            before: start_prefill,
+            after: prefill,
+            expects_release: [true; 2],
         },
         Case {
-            name: "at a reader that declines",
-            before: at_prefill,
+            name: "prefill declined",
+            before: start_prefill,
             after: decline,
-            held: [true, false],
+            expects_release: [true, false],
         },
         Case {
-            name: "at a reader that fails",
-            before: at_prefill,
+            name: "prefill failed",
+            before: start_prefill,
             after: fail,
-            held: [true, false],
+            expects_release: [true, false],
         },
         Case {
-            name: "at a reader that breaks",
-            before: at_prefill,
-            after: all_end,
-            held: [true; 2],
+            name: "prefill connection lost",
+            before: start_prefill,
+            after: all_servers_disconnect,
+            expects_release: [true; 2],
         },
         Case {
-            name: "at a silent reader",
-            before: at_prefill,
-            after: nothing,
-            held: [true; 2],
+            name: "prefill unanswered",
+            before: start_prefill,
+            after: no_response,
+            expects_release: [true; 2],
         },
         Case {
-            name: "held",
+            name: "state held",
             before: between_prefill_and_decode,
-            after: nothing,
-            held: [true; 2],
+            after: no_response,
+            expects_release: [true; 2],
         },
         Case {
-            name: "held, its time due with its end",
-            before: held_and_due,
-            after: nothing,
-            held: [true; 2],
+            name: "state held, timer due at the disconnect",
+            before: held_with_timer_due,
+            after: no_response,
+            expects_release: [true; 2],
         },
         Case {
-            name: "at a writer that declines",
-            before: at_decode,
+            name: "decode declined",
+            before: start_decode,
             after: decline,
-            held: [true; 2],
+            expects_release: [true; 2],
         },
         Case {
-            name: "at a writer that fails",
-            before: at_decode,
+            name: "decode failed",
+            before: start_decode,
             after: fail,
-            held: [true; 2],
+            expects_release: [true; 2],
         },
         Case {
-            name: "at a writer that breaks",
-            before: at_decode,
-            after: all_end,
-            held: [true; 2],
+            name: "decode connection lost",
+            before: start_decode,
+            after: all_servers_disconnect,
+            expects_release: [true; 2],
         },
         Case {
-            name: "at a silent writer",
-            before: at_decode,
-            after: nothing,
-            held: [true; 2],
+            name: "decode unanswered",
+            before: start_decode,
+            after: no_response,
+            expects_release: [true; 2],
         },
         Case {
-            name: "a reader comes up",
-            before: prefill_server_comes_up,
-            after: all_come_up,
-            held: [false; 2],
+            name: "prefill server connects",
+            before: connecting_to_prefill_server,
+            after: establish_all_connections,
+            expects_release: [false; 2],
         },
         Case {
-            name: "a reader never comes up",
-            before: prefill_server_comes_up,
-            after: nothing,
-            held: [false; 2],
+            name: "prefill server never connects",
+            before: connecting_to_prefill_server,
+            after: no_response,
+            expects_release: [false; 2],
         },
         Case {
-            name: "a writer comes up",
-            before: decode_server_comes_up,
-            after: all_come_up,
-            held: [true; 2],
+            name: "decode server connects",
+            before: connecting_to_decode_server,
+            after: establish_all_connections,
+            expects_release: [true; 2],
         },
         Case {
-            name: "a writer never comes up",
-            before: decode_server_comes_up,
-            after: nothing,
-            held: [true; 2],
+            name: "decode server never connects",
+            before: connecting_to_decode_server,
+            after: no_response,
+            expects_release: [true; 2],
         },
         Case {
-            name: "more sent ahead",
-            before: sent_ahead,
-            after: read,
-            held: [true; 2],
+            name: "a pipelined request",
+            before: pipelined,
+            after: prefill,
+            expects_release: [true; 2],
         },
         Case {
-            name: "much sent ahead",
-            before: much_pipelined,
-            after: read,
-            held: [true; 2],
+            name: "excess pipelined bytes",
+            before: excessively_pipelined,
+            after: prefill,
+            expects_release: [true; 2],
         },
     ];
-    let mut faults = Vec::new();
+    let mut failures = Vec::new();
     for case in &table {
         for cancel in [true, false] {
-            let mut rig = rig(cancel);
-            let client = (case.before)(&mut rig);
-            let posts = rig.count(is_post);
-            rig.tell(Input::Ended { conn: client });
-            (case.after)(&mut rig);
-            let at_once = rig.count(is_post) - posts;
-            rig.pass(30.0);
-            rig.pass(RELEASE_GIVEN_UP_SECS + LONGEST_ROUND_SECS - 30.0);
-            let later = rig.count(is_post) - posts - at_once;
-            let released = rig.count(|c| c.line() == "DELETE /bootstrap/rooms/g HTTP/1.1") > 0;
-            let resource_usage = rig.node.resource_usage();
+            let mut harness = harness(cancel);
+            let client = (case.before)(&mut harness);
+            let posts = harness.count_calls(is_post);
+            harness.step(Input::Ended { conn: client });
+            (case.after)(&mut harness);
+            let at_once = harness.count_calls(is_post) - posts;
+            harness.advance(30.0);
+            harness.advance(RELEASE_TIMEOUT_SECS + MAX_RELEASE_ROUND_SECS - 30.0);
+            let later = harness.count_calls(is_post) - posts - at_once;
+            let released = harness
+                .count_calls(|c| c.request_line() == "DELETE /bootstrap/rooms/g HTTP/1.1")
+                > 0;
+            let resource_usage = harness.node.resource_usage();
             let left = (
                 resource_usage.requests,
                 resource_usage.clients,
                 resource_usage.server_connections,
                 resource_usage.releases,
             );
-            let told = rig.said(client).to_string();
-            let got = (
+            let sent_to_client = harness.client_output(client).to_string();
+            let observed = (
                 at_once,
                 later,
                 released,
                 left,
-                rig.node.counts().disconnected,
-                told.as_str(),
+                harness.node.counts().disconnected,
+                sent_to_client.as_str(),
             );
-            if got != (0, 0, case.held[usize::from(!cancel)], (0, 0, 0, 0), 1, "") {
-                faults.push(format!("{}, cancel {cancel}: {got:?}", case.name));
+            if observed
+                != (
+                    0,
+                    0,
+                    case.expects_release[usize::from(!cancel)],
+                    (0, 0, 0, 0),
+                    1,
+                    "",
+                )
+            {
+                failures.push(format!("{}, cancel {cancel}: {observed:?}", case.name));
             }
         }
     }
     assert!(
-        faults.is_empty(),
-        "sent at once, later, released, left, gone, told:\n{}",
-        faults.join("\n")
+        failures.is_empty(),
+        "sent at once, sent later, released, resources in use, disconnected, sent to the client:\n{}",
+        failures.join("\n")
     );
 }
 
 #[test]
 fn no_request_of_many_disconnected_clients_is_sent() {
     for cancel in [true, false] {
-        let mut rig = rig(cancel);
-        rig.answers_health_checks = false;
-        let clients: Vec<ConnId> = (0..20).map(|_| rig.client()).collect();
+        let mut harness = harness(cancel);
+        harness.answers_health_checks = false;
+        let clients: Vec<ConnId> = (0..20).map(|_| harness.connect_client()).collect();
         for (i, client) in clients.iter().enumerate() {
-            rig.text(*client, &request(&format!("m{i}"), "ask", 4800));
+            harness.receive_text(*client, &request(&format!("m{i}"), "ask", 4800));
         }
-        rig.now = rig.now.after(0.05);
-        let posts = rig.count(is_post);
+        harness.now = harness.now.after(0.05);
+        let posts = harness.count_calls(is_post);
         clients
             .iter()
-            .for_each(|conn| rig.tell(Input::Ended { conn: *conn }));
-        rig.pass(10.0);
-        assert_eq!(rig.count(is_post), posts);
-        assert_eq!(rig.node.resource_usage().requests, 0);
+            .for_each(|conn| harness.step(Input::Ended { conn: *conn }));
+        harness.advance(10.0);
+        assert_eq!(harness.count_calls(is_post), posts);
+        assert_eq!(harness.node.resource_usage().requests, 0);
     }
 }
 
-/// An attempt begins with its last byte. Until then it is taken back, whether or not the settings allow to cancel.
+/// An attempt counts as started once its last byte is sent. Until then it is withdrawn, whether or not the settings
+/// allow cancellation.
 #[test]
 fn unsent_request_on_idle_connection_is_cancelled() {
     for cancel in [true, false] {
-        let mut rig = rig(cancel);
-        let (_, writer) = rig.at_decode("first", "ask");
-        rig.text(
-            writer,
-            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        let mut harness = harness(cancel);
+        let (_, decode_conn) = harness.start_decode("first", "ask");
+        harness.receive_text(
+            decode_conn,
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
         );
-        rig.stuck.extend(prefill_servers());
-        let dials = |rig: &Rig| {
-            rig.connects
+        harness.blocked_servers.extend(prefill_servers());
+        let prefill_connects = |harness: &Harness| {
+            harness
+                .connects
                 .iter()
                 .filter(|c| prefill_servers().contains(&c.1))
                 .count()
         };
-        rig.pass(REUSE_DELAY_SECS);
-        let before = dials(&rig);
-        let client = rig.ask("g", "ask");
-        let call = rig.last(Call::is_prefill);
+        harness.advance(REUSE_DELAY_SECS);
+        let before = prefill_connects(&harness);
+        let client = harness.send_request("g", "ask");
+        let call = harness.last_call(Call::is_prefill);
         assert!(
-            call.text.contains("Req-Id: g\r\n") && dials(&rig) == before,
-            "on a kept connection"
+            call.text.contains("Req-Id: g\r\n") && prefill_connects(&harness) == before,
+            "the request did not reuse an idle connection"
         );
-        rig.tell(Input::Ended { conn: client });
+        harness.step(Input::Ended { conn: client });
         assert!(
-            rig.closed.contains(&call.conn),
-            "cancel {cancel}: what is left of it stays unsent"
+            harness.closed.contains(&call.conn),
+            "cancel {cancel}: the rest of the request may still be sent"
         );
-        let posts = rig.count(is_post);
-        rig.pass(10.0);
-        assert_eq!(rig.count(is_post), posts);
+        let posts = harness.count_calls(is_post);
+        harness.advance(10.0);
+        assert_eq!(harness.count_calls(is_post), posts);
         assert_eq!(
-            rig.count(|c| c.line().starts_with("DELETE")),
+            harness.count_calls(|c| c.request_line().starts_with("DELETE")),
             0,
-            "it never ran"
+            "a release was sent for a request that never ran"
         );
     }
 }
 
-/// The same where the module has answered while a connection comes up: nobody waits for what would come of it.
+/// A request that the decision module has already answered is not written when its connection is established.
 #[test]
 fn answered_request_is_not_written_after_connect() {
     for cancel in [true, false] {
-        let mut rig = rig_with_connect_timeout(cancel, 5.0);
-        rig.answers_health_checks = false;
-        rig.dead.extend(prefill_servers());
-        let client = rig.client();
-        rig.text(client, &request("g", "ask", 1500));
-        rig.pass(1.497);
-        assert_eq!(rig.status(client), "504");
-        all_come_up(&mut rig);
-        rig.pass(10.0);
-        assert_eq!(rig.count(is_post), 0, "cancel {cancel}");
-        assert_eq!(rig.node.resource_usage().requests, 0);
+        let mut harness = harness_with_connect_timeout(cancel, 5.0);
+        harness.answers_health_checks = false;
+        harness.unreachable_addresses.extend(prefill_servers());
+        let client = harness.connect_client();
+        harness.receive_text(client, &request("g", "ask", 1500));
+        harness.advance(1.497);
+        assert_eq!(harness.status(client), "504");
+        establish_all_connections(&mut harness);
+        harness.advance(10.0);
+        assert_eq!(harness.count_calls(is_post), 0, "cancel {cancel}");
+        assert_eq!(harness.node.resource_usage().requests, 0);
     }
 }
 
-/// Where all connections to hosts are in use, a release has one of its own, and further calls wait for one.
+/// When all server connections are in use, a release uses one that is reserved for releases, and further release calls
+/// wait for a free connection.
 #[test]
 fn state_is_released_though_no_connection_was_free() {
     let text = config_json(64).replace(r#""cancel":true"#, r#""cancel":false"#);
-    let mut rig = Rig::with(Config::parse(&text).expect("the test's configuration"));
-    let client = between_prefill_and_decode(&mut rig);
-    let deletes = |rig: &Rig| rig.count(|c| c.line() == "DELETE /bootstrap/rooms/g HTTP/1.1");
-    // Others are read at silent readers, until no connection is left.
-    let others: Vec<ConnId> = (0..12).map(|_| rig.client()).collect();
+    let mut harness =
+        Harness::with_config(Config::parse(&text).expect("the configuration of the test is valid"));
+    let client = between_prefill_and_decode(&mut harness);
+    let release_calls = |harness: &Harness| {
+        harness.count_calls(|c| c.request_line() == "DELETE /bootstrap/rooms/g HTTP/1.1")
+    };
+    // Other requests occupy prefill servers that do not answer, until no connection is left.
+    let others: Vec<ConnId> = (0..12).map(|_| harness.connect_client()).collect();
     for (i, other) in others.iter().enumerate() {
-        rig.text(*other, &request(&format!("o{i}"), "ask", 4800));
+        harness.receive_text(*other, &request(&format!("o{i}"), "ask", 4800));
     }
-    rig.answers_health_checks = false;
-    rig.now = rig.now.after(0.016);
-    rig.tell(Input::Tick);
+    harness.answers_health_checks = false;
+    harness.now = harness.now.after(0.016);
+    harness.step(Input::Tick);
     assert_eq!(
-        rig.node.resource_usage().server_connections,
+        harness.node.resource_usage().server_connections,
         10,
-        "all that attempts may use"
+        "not all connections for attempts are in use"
     );
-    rig.tell(Input::Ended { conn: client });
-    assert_eq!(deletes(&rig), 1, "on the one that is kept free for it");
-    rig.pass(0.06);
+    harness.step(Input::Ended { conn: client });
     assert_eq!(
-        (deletes(&rig), rig.node.resource_usage().server_connections),
+        release_calls(&harness),
+        1,
+        "the release did not use the reserved connection"
+    );
+    harness.advance(0.06);
+    assert_eq!(
+        (
+            release_calls(&harness),
+            harness.node.resource_usage().server_connections
+        ),
         (1, 11),
-        "there is no way out for a second call"
+        "a second release call found a connection"
     );
-    // A connection comes free whose own client has gone, so that no attempt takes its place.
-    let read = rig.last(Call::is_prefill);
-    let asks = |i: &usize| read.text.contains(&format!("Req-Id: o{i}\r\n"));
-    let other = (0..others.len()).find(asks).expect("one of the others");
-    rig.tell(Input::Ended {
+    // A connection becomes free whose client has disconnected, so that no retry uses it.
+    let prefill = harness.last_call(Call::is_prefill);
+    let is_request_of_call = |i: &usize| prefill.text.contains(&format!("Req-Id: o{i}\r\n"));
+    let other = (0..others.len())
+        .find(is_request_of_call)
+        .expect("the call belongs to one of the requests");
+    harness.step(Input::Ended {
         conn: others[other],
     });
-    rig.text(read.conn, &plain("500 Oops", "", ""));
-    assert_eq!(deletes(&rig), 2, "at once");
-    rig.pass(RELEASE_GIVEN_UP_SECS + LONGEST_ROUND_SECS);
-    let resource_usage = rig.node.resource_usage();
+    harness.receive_text(prefill.conn, &plain_response("500 Oops", "", ""));
+    assert_eq!(
+        release_calls(&harness),
+        2,
+        "no second release call when a connection became free"
+    );
+    harness.advance(RELEASE_TIMEOUT_SECS + MAX_RELEASE_ROUND_SECS);
+    let resource_usage = harness.node.resource_usage();
     assert_eq!(
         (
             resource_usage.requests,
@@ -456,97 +498,104 @@
     );
 }
 
-/// What comes past the bound is read, as the client's end stands behind it, and dropped; a request behind the gap
-/// cannot be read, and one before it is served.
+/// Pipelined bytes beyond the limit are read and dropped, so that the end of the connection behind them is noticed.
+/// Requests before the dropped bytes are served, and later ones are not read.
 #[test]
 fn pipelined_bytes_past_bound_end_connection() {
-    let mut rig = Rig::new();
-    let client = sent_ahead(&mut rig);
+    let mut harness = Harness::new();
+    let client = pipelined(&mut harness);
     for _ in 0..100 {
-        rig.text(client, &"x".repeat(30_000));
+        harness.receive_text(client, &"x".repeat(30_000));
     }
-    assert!(!rig.paused.contains(&client), "its end is still heard");
+    assert!(
+        !harness.paused.contains(&client),
+        "reading is paused, so the end of the connection goes unnoticed"
+    );
     for id in ["g", "g2"] {
-        assert!(rig
-            .last(Call::is_prefill)
+        assert!(harness
+            .last_call(Call::is_prefill)
             .text
             .contains(&format!("Req-Id: {id}\r\n")));
-        rig.prefill_done();
-        let writer = rig.last(Call::is_decode).conn;
-        rig.text(
-            writer,
-            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        harness.complete_prefill();
+        let decode_conn = harness.last_call(Call::is_decode).conn;
+        harness.receive_text(
+            decode_conn,
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
         );
-        rig.pass(0.02);
+        harness.advance(0.02);
     }
-    assert_eq!(rig.node.counts().served, 2);
+    assert_eq!(harness.node.counts().served, 2);
     assert!(
-        rig.said(client).contains("HTTP/1.1 413"),
-        "what follows is told to be too much"
+        harness.client_output(client).contains("HTTP/1.1 413"),
+        "the dropped bytes were not rejected"
     );
-    assert!(rig.finished.contains(&client));
-    assert_eq!(rig.count(is_post), 4);
+    assert!(harness.finished.contains(&client));
+    assert_eq!(harness.count_calls(is_post), 4);
 }
 
 #[test]
 fn endless_pipelining_is_paused() {
-    let mut rig = Rig::new();
-    let client = sent_ahead(&mut rig);
-    let much = vec![b'x'; 4 << 20];
+    let mut harness = Harness::new();
+    let client = pipelined(&mut harness);
+    let excess = vec![b'x'; 4 << 20];
     for _ in 0..21 {
-        assert!(!rig.paused.contains(&client));
-        rig.bytes(client, &much);
+        assert!(!harness.paused.contains(&client));
+        harness.receive(client, &excess);
     }
-    assert!(rig.paused.contains(&client));
-    rig.tell(Input::Ended { conn: client });
+    assert!(harness.paused.contains(&client));
+    harness.step(Input::Ended { conn: client });
     assert_eq!(
-        rig.node.counts().disconnected,
+        harness.node.counts().disconnected,
         1,
-        "an end that is known all the same counts"
+        "a disconnect while reading is paused was not counted"
     );
 }
 
-/// A timer that is due when it is told that a request has left whole must not take it for unsent.
+/// A timer that is due at the moment when a request is reported as completely sent must not treat it as unsent.
 #[test]
 fn sent_request_may_have_run_after_timeout() {
     for cancel in [true, false] {
-        let mut rig = rig(cancel);
-        rig.stuck.extend(prefill_servers());
-        rig.ask("g", "ask");
-        let read = rig.last(Call::is_prefill);
-        rig.now = rig.now.after(4.9);
-        rig.tell(Input::Wrote {
-            conn: read.conn,
-            count: read.text.len(),
+        let mut harness = harness(cancel);
+        harness.blocked_servers.extend(prefill_servers());
+        harness.send_request("g", "ask");
+        let prefill = harness.last_call(Call::is_prefill);
+        harness.now = harness.now.after(4.9);
+        harness.step(Input::Wrote {
+            conn: prefill.conn,
+            count: prefill.text.len(),
         });
-        rig.tell(Input::Tick);
-        let deletes = rig.count(|c| c.line() == "DELETE /bootstrap/rooms/g HTTP/1.1");
-        assert_eq!(deletes, 1, "cancel {cancel}: the reader may hold its state");
+        harness.step(Input::Tick);
+        let release_calls =
+            harness.count_calls(|c| c.request_line() == "DELETE /bootstrap/rooms/g HTTP/1.1");
+        assert_eq!(
+            release_calls, 1,
+            "cancel {cancel}: no release, although the prefill server may hold state"
+        );
     }
 }
 
-/// A client's close and the first event of its stream in one turn, in either order: nothing further begins, its host's
-/// connection ends, and nothing stays in hand.
+/// A client disconnects in the same iteration in which the first event of its stream arrives, in either order: no
+/// further attempt starts, the server connection is closed, and no request stays open.
 #[test]
 fn close_crossing_first_event_ends_stream() {
     for close_first in [true, false] {
-        let mut rig = rig(true);
-        let (client, writer) = rig.at_decode("crossed", "book");
-        let first = format!("{STREAM_HEAD}{}", chunk(&event("one")));
+        let mut harness = harness(true);
+        let (client, decode_conn) = harness.start_decode("crossed", "book");
+        let first = format!("{STREAM_HEAD}{}", chunk(&stream_event("one")));
         if close_first {
-            rig.tell(Input::Ended { conn: client });
-            says(&mut rig, writer, &first);
+            harness.step(Input::Ended { conn: client });
+            receive_if_open(&mut harness, decode_conn, &first);
         } else {
-            rig.text(writer, &first);
-            rig.tell(Input::Ended { conn: client });
+            harness.receive_text(decode_conn, &first);
+            harness.step(Input::Ended { conn: client });
         }
-        let posts = rig.count(is_post);
-        rig.pass(2.0);
+        let posts = harness.count_calls(is_post);
+        harness.advance(2.0);
         assert!(
-            rig.closed.contains(&writer),
-            "close first {close_first}: nobody reads it"
+            harness.closed.contains(&decode_conn),
+            "close first {close_first}: the server connection stays open"
         );
-        assert_eq!(rig.count(is_post), posts);
-        assert_eq!(rig.node.resource_usage().requests, 0);
+        assert_eq!(harness.count_calls(is_post), posts);
+        assert_eq!(harness.node.resource_usage().requests, 0);
     }
 }
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch, stop and reload.
+//! Tests for the discovery watch, for shutdown and for configuration reload.
 mod common;
 
 use bitternlatch_platform::config::Config;
@@ -7,322 +7,373 @@
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-fn watch(rig: &Rig) -> ConnId {
-    let to = "127.0.2.1:8500".parse().expect("an address");
-    rig.connects
+fn watch_conn(harness: &Harness) -> ConnId {
+    let to = "127.0.2.1:8500".parse().expect("the address is valid");
+    harness
+        .connects
         .iter()
         .rev()
         .find(|c| c.1 == to)
-        .expect("a watch")
+        .expect("the node connects to discovery")
         .0
 }
 
-fn watches(rig: &Rig) -> usize {
-    rig.calls
+fn watch_calls(harness: &Harness) -> usize {
+    harness
+        .calls
         .iter()
-        .filter(|c| c.line().contains("watch=1"))
+        .filter(|c| c.request_line().contains("watch=1"))
         .count()
 }
 
-fn line(rig: &mut Rig, text: &str) {
-    let conn = watch(rig);
-    rig.text(conn, &chunk(&format!("{text}\n")));
+fn send_line(harness: &mut Harness, text: &str) {
+    let conn = watch_conn(harness);
+    harness.receive_text(conn, &chunk(&format!("{text}\n")));
 }
 
-/// Where a new request's read goes.
-fn reads_at(rig: &mut Rig, id: &str) -> Option<String> {
-    let asked = |c: &Call| c.line().starts_with("POST");
-    let before = rig.count(asked);
-    rig.ask(id, "ask");
-    (rig.count(asked) > before).then(|| rig.last(asked).to.to_string())
+/// Sends a new request and returns the address of its prefill server, or `None` if the request is not forwarded.
+fn prefill_address(harness: &mut Harness, id: &str) -> Option<String> {
+    let is_request = |c: &Call| c.request_line().starts_with("POST");
+    let before = harness.count_calls(is_request);
+    harness.send_request(id, "ask");
+    (harness.count_calls(is_request) > before).then(|| harness.last_call(is_request).to.to_string())
 }
 
 #[test]
 fn watch_begins_at_known_version() {
-    let mut rig = Rig::new();
+    let mut harness = Harness::new();
     assert_eq!(
-        rig.calls[0].line(),
+        harness.calls[0].request_line(),
         "GET /v1/endpoints?watch=1&from=7 HTTP/1.1"
     );
-    let conn = watch(&rig);
-    rig.text(conn, HEAD);
-    line(
-        &mut rig,
-        &list(
+    let conn = watch_conn(&harness);
+    harness.receive_text(conn, HEAD);
+    send_line(
+        &mut harness,
+        &endpoint_list_json(
             8,
             false,
-            &[target("h-r1", "127.0.1.1:80", "reads", "terminating")],
+            &[endpoint_json(
+                "h-r1",
+                "127.0.1.1:80",
+                "reads",
+                "terminating",
+            )],
         ),
     );
-    line(&mut rig, "");
+    send_line(&mut harness, "");
     for i in 0..6 {
         assert_eq!(
-            reads_at(&mut rig, &format!("a{i}")).as_deref(),
+            prefill_address(&mut harness, &format!("a{i}")).as_deref(),
             Some("127.0.1.2:80")
         );
     }
-    line(
-        &mut rig,
-        &list(
+    send_line(
+        &mut harness,
+        &endpoint_list_json(
             9,
             true,
-            &[target("h-w1", "127.0.1.3:80", "writes", "in_service")],
+            &[endpoint_json(
+                "h-w1",
+                "127.0.1.3:80",
+                "writes",
+                "in_service",
+            )],
         ),
     );
-    let to = reads_at(&mut rig, "b").expect("the writer reads");
+    let to = prefill_address(&mut harness, "b").expect("the decode server takes the prefill");
     assert_eq!(
         to, "127.0.1.3:80",
-        "what a whole list does not name is gone"
+        "a server that a complete list omits was used"
     );
 }
 
 #[test]
 fn unreadable_line_restarts_watch_and_keeps_list() {
-    let bad = [
+    let invalid = [
         "{\"rev\":8,\"all\":false,\"targ".to_string(),
-        list(
+        endpoint_list_json(
             8,
             false,
-            &[target("h-r1", "127.0.1.1:80", "reads", "asleep")],
+            &[endpoint_json("h-r1", "127.0.1.1:80", "reads", "asleep")],
         ),
-        list(
+        endpoint_list_json(
             8,
             true,
-            &[target("h-r1", "127.0.1.1:80", "sings", "in_service")],
+            &[endpoint_json("h-r1", "127.0.1.1:80", "sings", "in_service")],
         ),
-        list(6, true, &[]),
+        endpoint_list_json(6, true, &[]),
         "noise".to_string(),
     ];
-    for text in bad {
-        let mut rig = Rig::new();
-        let conn = watch(&rig);
-        rig.text(conn, HEAD);
-        line(&mut rig, &text);
-        assert!(rig.closed.contains(&conn), "{text}");
+    for text in invalid {
+        let mut harness = Harness::new();
+        let conn = watch_conn(&harness);
+        harness.receive_text(conn, HEAD);
+        send_line(&mut harness, &text);
+        assert!(harness.closed.contains(&conn), "{text}");
         assert_eq!(
-            rig.logs.iter().filter(|l| l.contains("discovery")).count(),
+            harness
+                .logs
+                .iter()
+                .filter(|l| l.contains("discovery"))
+                .count(),
             1,
             "{:?}",
-            rig.logs
+            harness.logs
         );
-        rig.pass(0.3);
-        assert_eq!(watches(&rig), 2, "{text}");
-        assert!(rig
+        harness.advance(0.3);
+        assert_eq!(watch_calls(&harness), 2, "{text}");
+        assert!(harness
             .calls
             .iter()
-            .filter(|c| c.line().contains("watch=1"))
-            .all(|c| c.line().contains("from=7")));
-        assert!(reads_at(&mut rig, "a").is_some(), "the list stays");
+            .filter(|c| c.request_line().contains("watch=1"))
+            .all(|c| c.request_line().contains("from=7")));
+        assert!(
+            prefill_address(&mut harness, "a").is_some(),
+            "the endpoint list was lost"
+        );
     }
 }
 
 #[test]
 fn endless_discovery_line_is_dropped() {
-    let mut rig = Rig::new();
-    let conn = watch(&rig);
-    rig.text(conn, HEAD);
+    let mut harness = Harness::new();
+    let conn = watch_conn(&harness);
+    harness.receive_text(conn, HEAD);
     for _ in 0..20 {
-        let conn = watch(&rig);
-        rig.text(conn, &chunk(&"x".repeat(100_000)));
+        let conn = watch_conn(&harness);
+        harness.receive_text(conn, &chunk(&"x".repeat(100_000)));
     }
-    assert!(rig.closed.contains(&conn));
+    assert!(harness.closed.contains(&conn));
 }
 
 #[test]
 fn silent_watch_is_restarted_with_backoff() {
-    let mut rig = Rig::new();
-    let conn = watch(&rig);
-    rig.text(conn, HEAD);
+    let mut harness = Harness::new();
+    let conn = watch_conn(&harness);
+    harness.receive_text(conn, HEAD);
     for _ in 0..10 {
-        rig.pass(2.0);
-        line(&mut rig, "");
+        harness.advance(2.0);
+        send_line(&mut harness, "");
     }
-    assert_eq!(watches(&rig), 1, "empty lines keep it open");
-    rig.dead
-        .insert("127.0.2.1:8500".parse().expect("an address"));
-    rig.pass(5.5);
-    assert!(rig.closed.contains(&conn));
-    let before = rig.connects.len();
-    rig.pass(60.0);
-    let dials = rig.connects.len() - before;
+    assert_eq!(
+        watch_calls(&harness),
+        1,
+        "the watch was restarted despite keep-alive lines"
+    );
+    harness
+        .unreachable_addresses
+        .insert("127.0.2.1:8500".parse().expect("the address is valid"));
+    harness.advance(5.5);
+    assert!(harness.closed.contains(&conn));
+    let before = harness.connects.len();
+    harness.advance(60.0);
+    let connects = harness.connects.len() - before;
     assert!(
-        (5..=30).contains(&dials),
-        "{dials} calls in a minute without an answer"
+        (5..=30).contains(&connects),
+        "{connects} connects in a minute without a response"
     );
 }
 
 #[test]
 fn reload_keeps_list_and_requests() {
-    let mut rig = Rig::new();
-    let (client, writer) = rig.at_decode("k1", "ask");
-    let old = watch(&rig);
+    let mut harness = Harness::new();
+    let (client, decode_conn) = harness.start_decode("k1", "ask");
+    let old = watch_conn(&harness);
     let moved = config_json(256).replace("127.0.2.1:8500", "127.0.2.7:8500");
-    rig.reload(Config::parse(&moved).expect("good"));
-    let (conn, to) = *rig.connects.last().expect("a call");
+    harness.reload(Config::parse(&moved).expect("the configuration is valid"));
+    let (conn, to) = *harness
+        .connects
+        .last()
+        .expect("the node connects to discovery");
     assert_eq!(to.to_string(), "127.0.2.7:8500");
-    assert!(rig.closed.contains(&old) && rig.calls.iter().any(|c| c.conn == conn));
-    rig.text(
-        writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    assert!(harness.closed.contains(&old) && harness.calls.iter().any(|c| c.conn == conn));
+    harness.receive_text(
+        decode_conn,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
+    );
+    assert_eq!(
+        decode_chunked(harness.client_output(client)),
+        stream_event("one")
     );
-    assert_eq!(unchunk(rig.said(client)), event("one"));
-    assert!(reads_at(&mut rig, "k2").is_some());
-    let dials = rig.connects.iter().filter(|c| c.1 == to).count();
-    rig.reload(Config::parse(&moved).expect("good"));
+    assert!(prefill_address(&mut harness, "k2").is_some());
+    let connects = harness.connects.iter().filter(|c| c.1 == to).count();
+    harness.reload(Config::parse(&moved).expect("the configuration is valid"));
     assert_eq!(
-        rig.connects.iter().filter(|c| c.1 == to).count(),
-        dials,
-        "the same address again is no change"
+        harness.connects.iter().filter(|c| c.1 == to).count(),
+        connects,
+        "the watch was restarted although the address did not change"
     );
 }
 
 #[test]
 fn readiness_follows_endpoint_list() {
-    let ready = |rig: &mut Rig| {
-        let client = rig.client();
-        rig.text(client, "GET /ready HTTP/1.1\r\nHost: d\r\n\r\n");
-        rig.status(client).to_string()
+    let ready = |harness: &mut Harness| {
+        let client = harness.connect_client();
+        harness.receive_text(client, "GET /ready HTTP/1.1\r\nHost: d\r\n\r\n");
+        harness.status(client).to_string()
     };
-    assert_eq!(ready(&mut Rig::new()), "200");
+    assert_eq!(ready(&mut Harness::new()), "200");
     let without = config_json(256).replace(r#""known":"#, r#""once_known":"#);
-    let mut rig = Rig::with(Config::parse(&without).expect("good"));
-    assert_eq!(ready(&mut rig), "503");
-    let conn = watch(&rig);
-    rig.text(conn, HEAD);
-    line(
-        &mut rig,
-        &list(
+    let mut harness =
+        Harness::with_config(Config::parse(&without).expect("the configuration is valid"));
+    assert_eq!(ready(&mut harness), "503");
+    let conn = watch_conn(&harness);
+    harness.receive_text(conn, HEAD);
+    send_line(
+        &mut harness,
+        &endpoint_list_json(
             8,
             true,
-            &[target("h-r1", "127.0.1.1:80", "reads", "in_service")],
+            &[endpoint_json("h-r1", "127.0.1.1:80", "reads", "in_service")],
         ),
     );
-    assert_eq!(ready(&mut rig), "200");
-    rig.tell(Input::Stop);
-    assert_eq!(ready(&mut rig), "503");
+    assert_eq!(ready(&mut harness), "200");
+    harness.step(Input::Stop);
+    assert_eq!(ready(&mut harness), "503");
 }
 
 #[test]
 fn stop_answers_late_requests_then_ends() {
-    let mut rig = Rig::new();
-    let idle = rig.client();
-    let (client, writer) = rig.at_decode("e1", "ask");
-    rig.tell(Input::Stop);
-    rig.pass(0.3);
-    let late = rig.ask("e2", "ask");
-    assert!(!rig.deaf && !rig.closed.contains(&idle));
-    rig.pass(0.4);
+    let mut harness = Harness::new();
+    let idle = harness.connect_client();
+    let (client, decode_conn) = harness.start_decode("e1", "ask");
+    harness.step(Input::Stop);
+    harness.advance(0.3);
+    let late_client = harness.send_request("e2", "ask");
+    assert!(!harness.listener_closed && !harness.closed.contains(&idle));
+    harness.advance(0.4);
     assert!(
-        rig.deaf && rig.finished.contains(&idle),
-        "idle connections end with the listener"
+        harness.listener_closed && harness.finished.contains(&idle),
+        "idle connections stay open after the listener closed"
     );
-    assert!(!rig.finished.contains(&client) && !rig.finished.contains(&late) && !rig.stopped);
-    rig.text(
-        writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    assert!(
+        !harness.finished.contains(&client)
+            && !harness.finished.contains(&late_client)
+            && !harness.stopped
+    );
+    harness.receive_text(
+        decode_conn,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
+    );
+    assert!(
+        harness.client_output(client).ends_with("0\r\n\r\n") && harness.finished.contains(&client)
     );
-    assert!(rig.said(client).ends_with("0\r\n\r\n") && rig.finished.contains(&client));
-    rig.prefill_done();
-    let writer = rig.last(Call::is_decode).conn;
-    assert!(!rig.stopped);
-    rig.text(
-        writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("two"))),
+    harness.complete_prefill();
+    let decode_conn = harness.last_call(Call::is_decode).conn;
+    assert!(!harness.stopped);
+    harness.receive_text(
+        decode_conn,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("two"))),
     );
-    assert_eq!(unchunk(rig.said(late)), event("two"));
-    assert!(rig.stopped);
+    assert_eq!(
+        decode_chunked(harness.client_output(late_client)),
+        stream_event("two")
+    );
+    assert!(harness.stopped);
 }
 
 #[test]
 fn stop_ends_streams_before_kill() {
-    let mut rig = Rig::new();
-    let (client, writer) = rig.at_decode("e3", "ask");
-    rig.text(writer, STREAM_HEAD);
-    rig.text(writer, &chunk(&event("one")));
-    rig.tell(Input::Stop);
-    rig.pass(2.8);
-    assert!(!rig.finished.contains(&client), "what ends by itself may");
-    rig.text(writer, &chunk(&event("two")));
-    rig.pass(0.2);
-    assert!(rig.finished.contains(&client) && rig.closed.contains(&writer));
+    let mut harness = Harness::new();
+    let (client, decode_conn) = harness.start_decode("e3", "ask");
+    harness.receive_text(decode_conn, STREAM_HEAD);
+    harness.receive_text(decode_conn, &chunk(&stream_event("one")));
+    harness.step(Input::Stop);
+    harness.advance(2.8);
+    assert!(
+        !harness.finished.contains(&client),
+        "the stream was ended too early"
+    );
+    harness.receive_text(decode_conn, &chunk(&stream_event("two")));
+    harness.advance(0.2);
+    assert!(harness.finished.contains(&client) && harness.closed.contains(&decode_conn));
     assert_eq!(
-        unchunk(rig.said(client)),
-        [event("one"), event("two")].concat()
+        decode_chunked(harness.client_output(client)),
+        [stream_event("one"), stream_event("two")].concat()
     );
     assert!(
-        !rig.said(client).ends_with("0\r\n\r\n"),
-        "it does not look whole"
+        !harness.client_output(client).ends_with("0\r\n\r\n"),
+        "a stream cut at shutdown looks complete"
     );
-    assert!(rig.stopped, "before the kill");
+    assert!(harness.stopped, "the node did not stop before the kill");
 }
 
 #[test]
 fn request_completed_while_stopping_is_answered() {
-    let mut rig = Rig::new();
-    let client = rig.client();
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
     let text = request("e4", "book", 12_000);
-    rig.text(client, &text[..60]);
-    rig.tell(Input::Stop);
-    rig.pass(1.0);
-    rig.text(client, &text[60..]);
-    rig.pass(2.0);
-    assert_eq!(rig.count(Call::is_prefill), 1, "it is taken");
-    assert_eq!(rig.said(client), "");
-    rig.pass(0.45);
-    assert_eq!(rig.status(client), "504", "no reader has answered it");
+    harness.receive_text(client, &text[..60]);
+    harness.step(Input::Stop);
+    harness.advance(1.0);
+    harness.receive_text(client, &text[60..]);
+    harness.advance(2.0);
+    assert_eq!(
+        harness.count_calls(Call::is_prefill),
+        1,
+        "the request was not forwarded"
+    );
+    assert_eq!(harness.client_output(client), "");
+    harness.advance(0.45);
+    assert_eq!(
+        harness.status(client),
+        "504",
+        "the request was not failed although no prefill server answered"
+    );
 }
 
 #[test]
 fn peer_datagrams_carry_number_and_own_are_dropped() {
-    let mut rig = Rig::tracing();
-    rig.node.take_trace();
+    let mut harness = Harness::with_tracing();
+    harness.node.take_trace();
     for from in ["127.0.3.2:7946", "127.0.3.1:7946", "127.0.9.9:7946"] {
-        rig.tell(Input::Datagram {
-            from: from.parse().expect("an address"),
+        harness.step(Input::Datagram {
+            from: from.parse().expect("the address is valid"),
             data: b"x",
         });
     }
-    let told: Vec<String> = rig
+    let events: Vec<String> = harness
         .node
         .take_trace()
         .iter()
         .map(|t| format!("{:?}", t.event))
         .collect();
-    assert_eq!(told, ["PeerMessage { from: 1, data: [120] }"]);
+    assert_eq!(events, ["PeerMessage { from: 1, data: [120] }"]);
 }
 
 #[test]
 fn long_run_with_new_ids_leaks_nothing() {
-    let mut rig = Rig::new();
-    let conn = watch(&rig);
-    rig.text(conn, HEAD);
+    let mut harness = Harness::new();
+    let conn = watch_conn(&harness);
+    harness.receive_text(conn, HEAD);
     for i in 0..300u64 {
-        let old = target(&format!("n{i}"), "127.0.1.1:80", "reads", "terminated");
-        let new = target(
+        let old = endpoint_json(&format!("n{i}"), "127.0.1.1:80", "reads", "terminated");
+        let new = endpoint_json(
             &format!("n{}", i + 1),
             "127.0.1.1:80",
             "reads",
             "in_service",
         );
-        line(&mut rig, &list(8 + i, false, &[old, new]));
-        let client = rig.ask(&format!("q{i}"), "ask");
-        rig.prefill_done();
-        let writer = rig.last(Call::is_decode).conn;
-        rig.text(
-            writer,
-            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        send_line(&mut harness, &endpoint_list_json(8 + i, false, &[old, new]));
+        let client = harness.send_request(&format!("q{i}"), "ask");
+        harness.complete_prefill();
+        let decode_conn = harness.last_call(Call::is_decode).conn;
+        harness.receive_text(
+            decode_conn,
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
         );
-        rig.tell(Input::Ended { conn: client });
-        rig.pass(0.5);
+        harness.step(Input::Ended { conn: client });
+        harness.advance(0.5);
     }
-    let held = rig.node.resource_usage();
+    let usage = harness.node.resource_usage();
     assert_eq!(
-        (held.requests, held.clients, held.releases),
+        (usage.requests, usage.clients, usage.releases),
         (0, 0, 0),
-        "{held:?}"
+        "{usage:?}"
     );
     assert!(
-        held.servers <= 5 && held.server_connections <= 20,
-        "{held:?}"
+        usage.servers <= 5 && usage.server_connections <= 20,
+        "{usage:?}"
     );
 }
--- a/crates/platform/tests/http1.rs
+++ b/crates/platform/tests/http1.rs
@@ -1,23 +1,24 @@
-//! Bytes in and bytes out of the codec, cut at every byte.
+//! HTTP/1 codec tests, with the input split at every byte.
 use bitternlatch_platform::event_stream::EventStream;
 use bitternlatch_platform::http1::{
     chunk, request_head, response_head, Body, Framing, HttpError, LAST_CHUNK, MAX_HEAD_BYTES,
 };
 use bitternlatch_platform::responses::{BodyProgress, ResponseReader};
 
-/// Takes a body in two pieces cut at `at`, keeping what is not taken, as a connection does.
-fn body_in_two(
+/// Decodes a body that arrives in two pieces, split at `cut`. Bytes that are not consumed are kept, as on a connection.
+/// Returns the content, whether the body is complete, and the number of remaining bytes.
+fn decode_in_two_pieces(
     framing: Framing,
     bytes: &[u8],
-    at: usize,
+    cut: usize,
 ) -> Result<(Vec<u8>, bool, usize), HttpError> {
-    let (mut body, mut out, mut unread) = (Body::new(framing), Vec::new(), Vec::new());
-    for piece in [&bytes[..at], &bytes[at..]] {
-        unread.extend_from_slice(piece);
-        let taken = body.decode(&unread, &mut out)?;
-        unread.drain(..taken);
+    let (mut body, mut out, mut pending) = (Body::new(framing), Vec::new(), Vec::new());
+    for piece in [&bytes[..cut], &bytes[cut..]] {
+        pending.extend_from_slice(piece);
+        let consumed = body.decode(&pending, &mut out)?;
+        pending.drain(..consumed);
     }
-    Ok((out, body.is_complete(), unread.len()))
+    Ok((out, body.is_complete(), pending.len()))
 }
 
 #[test]
@@ -40,13 +41,13 @@
         ),
         (Framing::Length(0), b"next", b"", 4),
     ];
-    for (framing, bytes, content, left) in table {
-        for at in 0..=bytes.len() {
-            let got = body_in_two(framing, bytes, at).expect("a good body");
+    for (framing, bytes, content, remaining) in table {
+        for cut in 0..=bytes.len() {
+            let decoded = decode_in_two_pieces(framing, bytes, cut).expect("the body is valid");
             assert_eq!(
-                got,
-                (content.to_vec(), true, left),
-                "{framing:?} cut at {at}"
+                decoded,
+                (content.to_vec(), true, remaining),
+                "{framing:?} split at {cut}"
             );
         }
     }
@@ -66,12 +67,12 @@
         b"5\r\nhello\n0\r\n\r\n",
     ];
     for bytes in table {
-        for at in 0..=bytes.len() {
-            let got = body_in_two(Framing::Chunked, bytes, at);
+        for cut in 0..=bytes.len() {
+            let decoded = decode_in_two_pieces(Framing::Chunked, bytes, cut);
             assert_eq!(
-                got,
+                decoded,
                 Err(HttpError::InvalidChunk),
-                "{:?} cut at {at}",
+                "{:?} split at {cut}",
                 String::from_utf8_lossy(bytes)
             );
         }
@@ -80,9 +81,9 @@
 
 #[test]
 fn endless_chunk_size_line_is_rejected() {
-    let long = vec![b'0'; 5000];
+    let size_line = vec![b'0'; 5000];
     assert_eq!(
-        body_in_two(Framing::Chunked, &long, 0),
+        decode_in_two_pieces(Framing::Chunked, &size_line, 0),
         Err(HttpError::InvalidChunk)
     );
 }
@@ -123,31 +124,31 @@
         ),
         ("Content Length: 5\r\n", HttpError::MalformedHead),
     ];
-    for (fields, bad) in table {
+    for (fields, expected) in table {
         assert_eq!(
             request_head(head(fields).as_bytes()),
-            Err(bad),
+            Err(expected),
             "{fields:?}"
         );
-        assert!((400..600).contains(&bad.status()));
+        assert!((400..600).contains(&expected.status()));
     }
 }
 
 #[test]
 fn head_ends_at_its_last_byte() {
     let text = "\r\nPOST /v1/x?y=1 HTTP/1.1\r\nReq-Id: 9b\r\nContent-Length: 3\r\n\r\n";
-    for at in 0..text.len() {
+    for cut in 0..text.len() {
         assert_eq!(
-            request_head(&text.as_bytes()[..at]),
+            request_head(&text.as_bytes()[..cut]),
             Ok(None),
-            "cut at {at}"
+            "split at {cut}"
         );
     }
-    let (head, taken) = request_head(format!("{text}abcGET").as_bytes())
+    let (head, consumed) = request_head(format!("{text}abcGET").as_bytes())
         .unwrap()
-        .expect("whole");
+        .expect("the head is complete");
     assert_eq!(
-        (taken, head.target.as_str(), head.framing),
+        (consumed, head.target.as_str(), head.framing),
         (text.len(), "/v1/x?y=1", Framing::Length(3))
     );
     assert_eq!(
@@ -187,8 +188,9 @@
         chunk(piece.as_bytes(), &mut bytes);
     }
     bytes.extend_from_slice(LAST_CHUNK);
-    let got = body_in_two(Framing::Chunked, &bytes, bytes.len() / 2).expect("good");
-    assert_eq!(got, (b"a0123456789abcdef!".to_vec(), true, 0));
+    let decoded =
+        decode_in_two_pieces(Framing::Chunked, &bytes, bytes.len() / 2).expect("the body is valid");
+    assert_eq!(decoded, (b"a0123456789abcdef!".to_vec(), true, 0));
 }
 
 #[test]
@@ -196,33 +198,36 @@
     let stream =
         "data: {\"a\":1}\n\ndata: {\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":4096}}}\n\n\
                   data: [DONE]\n\n: Srv-Load: util=0.5,queue=1,x0=0.2\n\n";
-    let events = &stream[..stream.find(": Srv").expect("the comment")];
-    for at in 0..=stream.len() {
-        let (mut kept, mut out) = (EventStream::default(), Vec::new());
-        assert!(kept.push(&stream.as_bytes()[..at], &mut out));
+    let events = &stream[..stream.find(": Srv").expect("the stream has a comment")];
+    for cut in 0..=stream.len() {
+        let (mut event_stream, mut out) = (EventStream::default(), Vec::new());
+        assert!(event_stream.push(&stream.as_bytes()[..cut], &mut out));
         assert!(
             out.is_empty() || out.ends_with(b"\n\n"),
-            "half an event went out"
+            "part of an event was forwarded"
         );
-        assert!(kept.push(&stream.as_bytes()[at..], &mut out));
+        assert!(event_stream.push(&stream.as_bytes()[cut..], &mut out));
         assert_eq!(
             String::from_utf8_lossy(&out).trim_start_matches('\n'),
             events,
-            "cut at {at}"
+            "split at {cut}"
+        );
+        assert_eq!(event_stream.cached_tokens, Some(4096.0));
+        assert_eq!(
+            event_stream.load_report.as_deref(),
+            Some("util=0.5,queue=1,x0=0.2")
         );
-        assert_eq!(kept.cached_tokens, Some(4096.0));
-        assert_eq!(kept.load_report.as_deref(), Some("util=0.5,queue=1,x0=0.2"));
     }
 }
 
 #[test]
 fn interim_responses_are_skipped() {
-    let answer = "HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n\
+    let responses = "HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n\
                   HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n0\r\n\r\n";
     let second = "HTTP/1.1 200 OK\r\n\r\n";
-    for (more, reusable) in [("", true), (second, false)] {
-        let mut taken = ResponseReader::for_attempt();
-        match taken.receive(format!("{answer}{more}").as_bytes()) {
+    for (extra, reusable) in [("", true), (second, false)] {
+        let mut reader = ResponseReader::for_attempt();
+        match reader.receive(format!("{responses}{extra}").as_bytes()) {
             Ok(BodyProgress::End { events, complete }) => {
                 assert_eq!(
                     (events.as_slice(), complete.status),
--- a/crates/platform/tests/lists.rs
+++ b/crates/platform/tests/lists.rs
@@ -1,5 +1,5 @@
-//! Lists that come over the watch: whichever way they are cut and written they count, and one that cannot be right
-//! leaves the last good one.
+//! Endpoint lists received over the watch: a valid list is applied however it is formatted and split, and an invalid
+//! one leaves the last valid list in effect.
 mod common;
 
 use bitternlatch_platform::types::ConnId;
@@ -8,70 +8,78 @@
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const DISCOVERY: &str = "127.0.2.1:8500";
 
-/// A drain and a new host in one change.
-fn news() -> String {
-    let old = target("h-r1", "127.0.1.1:80", "reads", "terminating");
-    list(
+/// A change line that drains one server and adds another.
+fn change_line() -> String {
+    let old = endpoint_json("h-r1", "127.0.1.1:80", "reads", "terminating");
+    endpoint_list_json(
         8,
         false,
-        &[old, target("h-r3", "127.0.1.5:80", "reads", "in_service")],
+        &[
+            old,
+            endpoint_json("h-r3", "127.0.1.5:80", "reads", "in_service"),
+        ],
     )
 }
 
-/// A watch that is open, and what it says.
-fn watching() -> (Rig, ConnId) {
-    let mut rig = Rig::new();
-    let to = DISCOVERY.parse().expect("an address");
-    let conn = rig
+/// A harness whose watch has received its response head, and the watch connection.
+fn harness_with_watch() -> (Harness, ConnId) {
+    let mut harness = Harness::new();
+    let to = DISCOVERY.parse().expect("the address is valid");
+    let conn = harness
         .connects
         .iter()
         .rev()
         .find(|c| c.1 == to)
-        .expect("a watch")
+        .expect("the node connects to discovery")
         .0;
-    rig.text(conn, HEAD);
-    (rig, conn)
+    harness.receive_text(conn, HEAD);
+    (harness, conn)
 }
 
-fn hosts_known(rig: &Rig) -> usize {
-    rig.node.resource_usage().servers
+fn known_servers(harness: &Harness) -> usize {
+    harness.node.resource_usage().servers
 }
 
 #[test]
 fn invalid_list_keeps_last_good_one() {
-    let good = target("h-r3", "127.0.1.5:80", "reads", "in_service");
-    let with = |from: &str, to: &str| list(8, false, &[good.replace(from, to)]);
-    let twice = |state: &str| {
-        list(
+    let valid_entry = endpoint_json("h-r3", "127.0.1.5:80", "reads", "in_service");
+    let list_with =
+        |from: &str, to: &str| endpoint_list_json(8, false, &[valid_entry.replace(from, to)]);
+    let duplicate_with_state = |state: &str| {
+        endpoint_list_json(
             8,
             true,
-            &[good.clone(), target("h-r3", "127.0.1.5:80", "reads", state)],
+            &[
+                valid_entry.clone(),
+                endpoint_json("h-r3", "127.0.1.5:80", "reads", state),
+            ],
         )
     };
     let weight = "\"capacity_hint\":1.0";
     let table = [
-        (with(weight, "\"capacity_hint\":-1.0"), "h-r3"),
+        (list_with(weight, "\"capacity_hint\":-1.0"), "h-r3"),
         (
-            with(weight, "\"capacity_hint\":1e999"),
+            list_with(weight, "\"capacity_hint\":1e999"),
             "number out of range",
         ),
-        (with(weight, "\"capacity_hint\":\"much\""), "column"),
-        (with(weight, "\"capacity_hint\":NaN"), "column"),
-        (with("\"boot_ms\":0", "\"boot_ms\":-5"), "h-r3"),
+        (list_with(weight, "\"capacity_hint\":\"much\""), "column"),
+        (list_with(weight, "\"capacity_hint\":NaN"), "column"),
+        (list_with("\"boot_ms\":0", "\"boot_ms\":-5"), "h-r3"),
         (
-            with("\"boot_ms\":0", "\"boot_ms\":-1e999"),
+            list_with("\"boot_ms\":0", "\"boot_ms\":-1e999"),
             "number out of range",
         ),
-        (with("\"pod_group\":0", "\"pod_group\":-1"), "column"),
-        (with("127.0.1.5:80", "127.0.1.5"), "h-r3"),
-        (with("in_service", &"x".repeat(100_000)), "h-r3"),
-        (twice("terminating"), "h-r3"),
+        (list_with("\"pod_group\":0", "\"pod_group\":-1"), "column"),
+        (list_with("127.0.1.5:80", "127.0.1.5"), "h-r3"),
+        (list_with("in_service", &"x".repeat(100_000)), "h-r3"),
+        (duplicate_with_state("terminating"), "h-r3"),
         (
-            list(8, false, std::slice::from_ref(&good))[..90].to_string(),
+            endpoint_list_json(8, false, std::slice::from_ref(&valid_entry))[..90].to_string(),
             "",
         ),
         (
-            list(8, false, std::slice::from_ref(&good)).replace("\"rev\":8", "\"rev\":-8"),
+            endpoint_list_json(8, false, std::slice::from_ref(&valid_entry))
+                .replace("\"rev\":8", "\"rev\":-8"),
             "column",
         ),
         ("[]".to_string(), ""),
@@ -79,15 +87,15 @@
         ("\u{0}\u{1}\"".to_string(), "column"),
     ];
     for (text, cause) in table {
-        let (mut rig, conn) = watching();
-        rig.bytes(conn, chunk(&format!("{text}\n")).as_bytes());
-        if !rig.closed.contains(&conn) {
-            rig.bytes(conn, chunk("\n").as_bytes());
+        let (mut harness, conn) = harness_with_watch();
+        harness.receive(conn, chunk(&format!("{text}\n")).as_bytes());
+        if !harness.closed.contains(&conn) {
+            harness.receive(conn, chunk("\n").as_bytes());
         }
         let shown: String = text.chars().take(120).collect();
-        assert!(rig.closed.contains(&conn), "{shown}");
-        assert_eq!(hosts_known(&rig), 4, "{shown}");
-        let lines: Vec<&String> = rig
+        assert!(harness.closed.contains(&conn), "{shown}");
+        assert_eq!(known_servers(&harness), 4, "{shown}");
+        let lines: Vec<&String> = harness
             .logs
             .iter()
             .filter(|l| l.contains("discovery"))
@@ -103,75 +111,93 @@
             "{shown}: {}",
             lines[0].len()
         );
-        // What is right on the next call counts.
-        rig.pass(0.5);
-        let conn = rig.last(|c| c.line().contains("watch=1")).conn;
-        rig.text(conn, HEAD);
-        rig.text(
+        // A valid list on the next watch is applied.
+        harness.advance(0.5);
+        let conn = harness
+            .last_call(|c| c.request_line().contains("watch=1"))
+            .conn;
+        harness.receive_text(conn, HEAD);
+        harness.receive_text(
             conn,
             &chunk(&format!(
                 "{}\n",
-                list(8, false, std::slice::from_ref(&good))
+                endpoint_list_json(8, false, std::slice::from_ref(&valid_entry))
             )),
         );
-        assert_eq!(hosts_known(&rig), 5, "{shown}");
+        assert_eq!(known_servers(&harness), 5, "{shown}");
     }
 }
 
 #[test]
 fn two_servers_may_share_an_address() {
-    let old = target("h-r1", "127.0.1.1:80", "reads", "terminating");
-    let new = target("h-r3", "127.0.1.1:80", "reads", "in_service");
-    let (mut rig, conn) = watching();
-    rig.text(
+    let old = endpoint_json("h-r1", "127.0.1.1:80", "reads", "terminating");
+    let new = endpoint_json("h-r3", "127.0.1.1:80", "reads", "in_service");
+    let (mut harness, conn) = harness_with_watch();
+    harness.receive_text(
         conn,
-        &chunk(&format!("{}\n", list(8, false, &[old, new.clone(), new]))),
+        &chunk(&format!(
+            "{}\n",
+            endpoint_list_json(8, false, &[old, new.clone(), new])
+        )),
     );
-    assert!(!rig.closed.contains(&conn), "{:?}", rig.logs);
-    assert_eq!(hosts_known(&rig), 5);
+    assert!(!harness.closed.contains(&conn), "{:?}", harness.logs);
+    assert_eq!(known_servers(&harness), 5);
 }
 
 #[test]
 fn list_counts_indented_and_in_pieces() {
-    let indented = news().replace(',', ",\r\n   ").replace('{', "{\n\t") + "\n";
-    let ended = "0\r\n\r\n";
+    let indented = change_line().replace(',', ",\r\n   ").replace('{', "{\n\t") + "\n";
+    let last_chunk = "0\r\n\r\n";
     let length = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
-        news().len(),
-        news()
+        change_line().len(),
+        change_line()
     );
     let table = [
         format!("{HEAD}{}", chunk(&indented)),
-        format!("{HEAD}{}{ended}", chunk(&format!("{}\n", news()))),
+        format!(
+            "{HEAD}{}{last_chunk}",
+            chunk(&format!("{}\n", change_line()))
+        ),
         format!(
             "{HEAD}{}{}",
-            chunk(&format!("{}\n", news())),
+            chunk(&format!("{}\n", change_line())),
             chunk("noise\n")
         ),
-        format!("{HEAD}{}no chunk\r\n", chunk(&format!("{}\n", news()))),
-        format!("{HEAD}{}{ended}", chunk(&news())),
+        format!(
+            "{HEAD}{}no chunk\r\n",
+            chunk(&format!("{}\n", change_line()))
+        ),
+        format!("{HEAD}{}{last_chunk}", chunk(&change_line())),
         length,
     ];
     for text in &table {
         for piece in [1, 7, text.len()] {
-            let mut rig = Rig::new();
-            let conn = rig.last(|c| c.line().contains("watch=1")).conn;
+            let mut harness = Harness::new();
+            let conn = harness
+                .last_call(|c| c.request_line().contains("watch=1"))
+                .conn;
             for bytes in text.as_bytes().chunks(piece) {
-                if !rig.closed.contains(&conn) {
-                    rig.bytes(conn, bytes);
+                if !harness.closed.contains(&conn) {
+                    harness.receive(conn, bytes);
                 }
             }
-            assert_eq!(hosts_known(&rig), 5, "{piece}: {text}: {:?}", rig.logs);
+            assert_eq!(
+                known_servers(&harness),
+                5,
+                "{piece}: {text}: {:?}",
+                harness.logs
+            );
         }
     }
 }
 
-/// A host that has started anew knows nothing of connections to the process before: what is written to one may end as
-/// reset, which may have run as far as anybody can tell.
+/// A restarted server does not know the connections of its previous process. A request written to one may end with a
+/// reset, after which it is unknown whether the request ran, so these connections are closed.
 #[test]
 fn idle_connections_to_restarted_server_are_closed() {
-    let again = |boot_ms: u64, uid: &str, endpoint: &str, model: &str| {
-        target(uid, endpoint, model, "in_service")
+    let restarted = |boot_ms: u64, uid: &str, endpoint: &str, model: &str| {
+        endpoint_json(uid, endpoint, model, "in_service")
             .replace(r#""boot_ms":0"#, &format!(r#""boot_ms":{boot_ms}"#))
     };
     for (boot_ms, all, closes) in [
@@ -180,39 +206,45 @@
         (1_800_000_000_000, false, true),
         (5, true, true),
     ] {
-        let (mut rig, watch) = watching();
-        let (_, writer) = rig.at_decode("first", "ask");
-        let read = rig.last(Call::is_prefill).conn;
-        rig.text(
-            writer,
-            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        let (mut harness, watch) = harness_with_watch();
+        let (_, decode_conn) = harness.start_decode("first", "ask");
+        let prefill_conn = harness.last_call(Call::is_prefill).conn;
+        harness.receive_text(
+            decode_conn,
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
         );
-        let entries: Vec<String> = hosts()
+        let entries: Vec<String> = servers()
             .iter()
-            .map(|h| again(boot_ms, h.0, h.1, h.2))
+            .map(|h| restarted(boot_ms, h.0, h.1, h.2))
             .collect();
-        rig.text(watch, &chunk(&format!("{}\n", list(8, all, &entries))));
+        harness.receive_text(
+            watch,
+            &chunk(&format!("{}\n", endpoint_list_json(8, all, &entries))),
+        );
         let case = format!("boot {boot_ms}, all {all}");
-        for conn in [read, writer] {
-            assert_eq!(rig.closed.contains(&conn), closes, "{case}");
+        for conn in [prefill_conn, decode_conn] {
+            assert_eq!(harness.closed.contains(&conn), closes, "{case}");
         }
-        rig.pass(1.0);
-        let (client, writer) = rig.at_decode("second", "book");
-        rig.text(
-            writer,
-            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("two"))),
+        harness.advance(1.0);
+        let (client, decode_conn) = harness.start_decode("second", "book");
+        harness.receive_text(
+            decode_conn,
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("two"))),
+        );
+        assert!(
+            harness.client_output(client).ends_with("0\r\n\r\n"),
+            "{case}"
         );
-        assert!(rig.said(client).ends_with("0\r\n\r\n"), "{case}");
     }
 }
 
-/// The whole list of the largest fleet, in one chunk, in pieces, indented or not, is taken; one past the bound is refused
-/// by one line in the log, and the last good one stays.
+/// The complete list of the largest fleet is applied in one chunk or several, indented or not. A list beyond the size
+/// limit is rejected with one log line, and the last valid list stays in effect.
 #[test]
 fn largest_list_is_taken_in_one_chunk() {
-    let hosts: Vec<String> = (0..3200)
+    let entries: Vec<String> = (0..3200)
         .map(|i| {
-            target(
+            endpoint_json(
                 &format!("s-{i:08x}"),
                 &format!("10.{}.{}.1:8081", i / 256, i % 256),
                 "reads",
@@ -220,7 +252,7 @@
             )
         })
         .collect();
-    let compact = list(8, true, &hosts);
+    let compact = endpoint_list_json(8, true, &entries);
     let indented = compact.replace('{', "{\n    ").replace(',', ",\n    ");
     assert!(compact.len() > 400_000 && indented.len() > 500_000);
     for text in [compact, indented] {
@@ -230,24 +262,31 @@
             (100_000, 1 << 15),
             (1, 4096),
         ] {
-            let (mut rig, conn) = watching();
+            let (mut harness, conn) = harness_with_watch();
             let line = format!("{text}\n");
             let chunks = line.as_bytes().chunks(in_chunks_of);
-            let said: Vec<u8> = chunks
-                .flat_map(|c| chunk(std::str::from_utf8(c).expect("a text")).into_bytes())
+            let bytes: Vec<u8> = chunks
+                .flat_map(|c| {
+                    chunk(std::str::from_utf8(c).expect("the chunk is UTF-8")).into_bytes()
+                })
                 .collect();
-            said.chunks(in_pieces_of)
-                .for_each(|piece| rig.bytes(conn, piece));
+            bytes
+                .chunks(in_pieces_of)
+                .for_each(|piece| harness.receive(conn, piece));
             let case = format!("{} bytes in chunks of {in_chunks_of}", text.len());
-            assert_eq!(hosts_known(&rig), 3200, "{case}: {:?}", rig.logs);
-            assert!(!rig.closed.contains(&conn), "{case}");
+            assert_eq!(known_servers(&harness), 3200, "{case}: {:?}", harness.logs);
+            assert!(!harness.closed.contains(&conn), "{case}");
         }
     }
-    let (mut rig, conn) = watching();
-    rig.text(conn, &chunk(&"x".repeat(5 << 20)));
-    assert!(rig.closed.contains(&conn) && hosts_known(&rig) == 4);
+    let (mut harness, conn) = harness_with_watch();
+    harness.receive_text(conn, &chunk(&"x".repeat(5 << 20)));
+    assert!(harness.closed.contains(&conn) && known_servers(&harness) == 4);
     assert_eq!(
-        rig.logs.iter().filter(|l| l.contains("discovery")).count(),
+        harness
+            .logs
+            .iter()
+            .filter(|l| l.contains("discovery"))
+            .count(),
         1
     );
 }
--- a/crates/platform/tests/memory.rs
+++ b/crates/platform/tests/memory.rs
@@ -1,16 +1,17 @@
-//! What requests that never become whole may hold.
+//! Memory limit for requests that are never completed.
 mod common;
 
 use bitternlatch_platform::config::Config;
 use bitternlatch_platform::types::ConnId;
 use common::*;
 
-/// The rig's memory limit, and the part of it that unfinished requests may take.
-const LIMIT: usize = 64 << 20;
-const MOST: usize = LIMIT / 8;
+/// Memory limit of the test configuration.
+const MEMORY_LIMIT_BYTES: usize = 64 << 20;
+/// Part of the memory limit that unfinished requests may use.
+const MAX_UNFINISHED_BYTES: usize = MEMORY_LIMIT_BYTES / 8;
 
-/// A request whose body will be so long, and how it is framed.
-fn head(id: usize, length: usize, chunked: bool) -> String {
+/// Head of a request with a body of `length` bytes, chunked or with a Content-Length field.
+fn request_head(id: usize, length: usize, chunked: bool) -> String {
     let framing = if chunked {
         "Transfer-Encoding: chunked\r\n".to_string()
     } else {
@@ -21,34 +22,34 @@
     )
 }
 
-fn roomy() -> Rig {
-    Rig::with(Config::parse(&config_json(1024)).expect("good"))
+fn harness_with_1024_sockets() -> Harness {
+    Harness::with_config(Config::parse(&config_json(1024)).expect("the configuration is valid"))
 }
 
-/// So many clients that each send nearly a whole body of the largest kind; gives their connections.
-fn half_bodies(rig: &mut Rig, count: usize, chunked: bool) -> Vec<ConnId> {
+/// Connects `count` clients that each send most of a body of the largest size. Returns their connections.
+fn send_partial_bodies(harness: &mut Harness, count: usize, chunked: bool) -> Vec<ConnId> {
     let length = 256 * 1024;
     let body = "x".repeat(32 * 1024);
     let clients: Vec<ConnId> = (0..count)
         .map(|id| {
-            let client = rig.client();
-            rig.text(client, &head(id, length, chunked));
+            let client = harness.connect_client();
+            harness.receive_text(client, &request_head(id, length, chunked));
             client
         })
         .collect();
     for _ in 0..7 {
         for client in clients
             .iter()
-            .filter(|c| !rig.finished.contains(c))
+            .filter(|c| !harness.finished.contains(c))
             .copied()
             .collect::<Vec<_>>()
         {
-            rig.text(client, &if chunked { chunk(&body) } else { body.clone() });
+            harness.receive_text(client, &if chunked { chunk(&body) } else { body.clone() });
         }
         assert!(
-            rig.node.resource_usage().unfinished_bytes <= MOST,
+            harness.node.resource_usage().unfinished_bytes <= MAX_UNFINISHED_BYTES,
             "{:?}",
-            rig.node.resource_usage()
+            harness.node.resource_usage()
         );
     }
     clients
@@ -57,54 +58,60 @@
 #[test]
 fn partial_requests_stay_within_memory_limit() {
     for chunked in [false, true] {
-        let mut rig = roomy();
-        let clients = half_bodies(&mut rig, 300, chunked);
-        let away: Vec<&ConnId> = clients
+        let mut harness = harness_with_1024_sockets();
+        let clients = send_partial_bodies(&mut harness, 300, chunked);
+        let rejected: Vec<&ConnId> = clients
             .iter()
-            .filter(|c| rig.finished.contains(c))
+            .filter(|c| harness.finished.contains(c))
             .collect();
-        assert!(away.iter().all(|c| rig.status(**c) == "503"));
-        let kept = clients.len() - away.len();
+        assert!(rejected.iter().all(|c| harness.status(**c) == "503"));
+        let kept = clients.len() - rejected.len();
         assert!(
-            kept >= MOST / (256 * 1024) / 2,
-            "{kept} still have their room"
+            kept >= MAX_UNFINISHED_BYTES / (256 * 1024) / 2,
+            "only {kept} clients keep their partial request"
         );
-        // Whoever asks in the midst of it is served.
-        let (client, writer) = rig.at_decode("good", "ask");
-        rig.text(
-            writer,
-            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+        // A request that arrives meanwhile is served.
+        let (client, decode_conn) = harness.start_decode("good", "ask");
+        harness.receive_text(
+            decode_conn,
+            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
+        );
+        assert_eq!(
+            decode_chunked(harness.client_output(client)),
+            stream_event("one")
         );
-        assert_eq!(unchunk(rig.said(client)), event("one"));
     }
 }
 
 #[test]
 fn slow_long_request_is_served() {
-    let mut rig = roomy();
+    let mut harness = harness_with_1024_sockets();
     let length = 200 * 1024;
-    let client = rig.client();
-    rig.text(client, &head(1, length, false));
+    let client = harness.connect_client();
+    harness.receive_text(client, &request_head(1, length, false));
     for _ in 0..50 {
-        rig.text(client, &"x".repeat(length / 50));
-        rig.pass(0.02);
+        harness.receive_text(client, &"x".repeat(length / 50));
+        harness.advance(0.02);
     }
-    assert_eq!(rig.count(Call::is_prefill), 1);
-    assert_eq!(rig.node.resource_usage().unfinished_bytes, 0);
+    assert_eq!(harness.count_calls(Call::is_prefill), 1);
+    assert_eq!(harness.node.resource_usage().unfinished_bytes, 0);
 }
 
 #[test]
 fn open_requests_do_not_count_as_partial() {
-    let mut rig = roomy();
-    let (client, writer) = rig.at_decode("first", "ask");
-    half_bodies(&mut rig, 300, false);
+    let mut harness = harness_with_1024_sockets();
+    let (client, decode_conn) = harness.start_decode("first", "ask");
+    send_partial_bodies(&mut harness, 300, false);
     assert!(
-        !rig.finished.contains(&client),
-        "a request in hand is not turned away for others' halves"
+        !harness.finished.contains(&client),
+        "an open request was rejected because of partial requests of other clients"
+    );
+    harness.receive_text(
+        decode_conn,
+        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
     );
-    rig.text(
-        writer,
-        &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+    assert_eq!(
+        decode_chunked(harness.client_output(client)),
+        stream_event("one")
     );
-    assert_eq!(unchunk(rig.said(client)), event("one"));
 }
--- a/crates/platform/tests/output_order.rs
+++ b/crates/platform/tests/output_order.rs
@@ -1,6 +1,8 @@
-//! The order of the node's outputs over seeded inputs, as a digest over explicitly encoded commands.
+//! Regression test for the order of the node's commands over seeded inputs, as a digest over explicitly encoded
+//! commands.
 //!
-//! The encoding is written here, so that a renamed type or field does not move it; texts of logs do not count.
+//! The encoding is defined in this file, so that renaming a type or field does not change the digest. Log texts are not
+//! part of it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,12 +16,13 @@
 
 mod common;
 
+/// Iterations of one run.
 const STEPS: usize = 4000;
 
-/// A small generator with the same draws on every machine.
-struct Draws(u64);
+/// A pseudo-random number generator with the same output on every machine.
+struct Random(u64);
 
-impl Draws {
+impl Random {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
@@ -44,94 +47,102 @@
 /// One connection that the node has opened.
 struct Opened {
     to: SocketAddr,
-    up: bool,
-    /// Written calls that have no whole response yet.
-    waiting: Vec<String>,
+    connected: bool,
+    /// Calls that were written and have no complete response yet.
+    pending_calls: Vec<String>,
 }
 
-struct World {
+/// A node with simulated clients, servers and discovery.
+struct Simulation {
     node: Node,
     now: Micros,
-    draws: Draws,
+    random: Random,
     digest: Xxh3,
     clients: BTreeSet<ConnId>,
     opened: BTreeMap<ConnId, Opened>,
     unsent: BTreeMap<ConnId, usize>,
     discovery: SocketAddr,
     rev: u64,
-    asked: u64,
+    requests_sent: u64,
     commands: [u64; 11],
     stopped: bool,
     stop_listening: bool,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let mut out = Vec::new();
         let config = common::config();
         let discovery = config.discovery;
         let mut node = Node::new(common::START, config, &mut out);
         node.enable_access_log(AccessLog::new(&common::config().settings));
-        let mut world = World {
+        let mut simulation = Simulation {
             node,
             now: common::START,
-            draws: Draws(seed),
+            random: Random(seed),
             digest: Xxh3::new(),
             clients: BTreeSet::new(),
             opened: BTreeMap::new(),
             unsent: BTreeMap::new(),
             discovery,
             rev: 7,
-            asked: 0,
+            requests_sent: 0,
             commands: [0; 11],
             stopped: false,
             stop_listening: false,
         };
-        world.take(out);
-        world
+        simulation.apply(out);
+        simulation
     }
 
-    fn number(&mut self, number: u64) {
-        self.digest.update(&number.to_le_bytes());
+    fn digest_number(&mut self, value: u64) {
+        self.digest.update(&value.to_le_bytes());
     }
 
     fn encode(&mut self, kind: u64, conn: Option<ConnId>, bytes: &[u8]) {
         self.commands[kind as usize] += 1;
-        self.number(kind);
-        self.number(conn.map_or(u64::MAX, |c| c.0));
-        self.number(bytes.len() as u64);
+        self.digest_number(kind);
+        self.digest_number(conn.map_or(u64::MAX, |c| c.0));
+        self.digest_number(bytes.len() as u64);
         self.digest.update(bytes);
     }
 
-    fn tell(&mut self, input: Input) {
+    fn step(&mut self, input: Input) {
         let mut out = Vec::new();
         self.node.step(self.now, input, &mut out);
-        self.take(out);
+        self.apply(out);
     }
 
-    fn take(&mut self, commands: Vec<Command>) {
+    fn apply(&mut self, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::Connect { conn, to } => {
                     self.encode(0, Some(conn), to.to_string().as_bytes());
-                    let (up, waiting) = (false, Vec::new());
-                    self.opened.insert(conn, Opened { to, up, waiting });
+                    let (connected, pending_calls) = (false, Vec::new());
+                    self.opened.insert(
+                        conn,
+                        Opened {
+                            to,
+                            connected,
+                            pending_calls,
+                        },
+                    );
                 }
                 Command::Write { conn, bytes } => {
                     self.encode(1, Some(conn), &bytes);
-                    self.written(conn, &bytes);
+                    self.record_write(conn, &bytes);
                 }
                 Command::Reuse { conn, bytes } => {
                     self.encode(2, Some(conn), &bytes);
-                    self.written(conn, &bytes);
+                    self.record_write(conn, &bytes);
                 }
                 Command::Close { conn } => {
                     self.encode(3, Some(conn), b"");
-                    self.forget(conn);
+                    self.remove(conn);
                 }
                 Command::Finish { conn } => {
                     self.encode(4, Some(conn), b"");
-                    self.forget(conn);
+                    self.remove(conn);
                 }
                 Command::Pause { conn, paused } => self.encode(5, Some(conn), &[u8::from(paused)]),
                 Command::Datagram { to, data } => {
@@ -153,31 +164,31 @@
             }
         }
         let due = self.node.next_due().map_or(u64::MAX, |at| at.0);
-        self.number(due);
+        self.digest_number(due);
     }
 
-    fn forget(&mut self, conn: ConnId) {
+    fn remove(&mut self, conn: ConnId) {
         self.clients.remove(&conn);
         self.opened.remove(&conn);
         self.unsent.remove(&conn);
     }
 
-    fn written(&mut self, conn: ConnId, bytes: &[u8]) {
+    fn record_write(&mut self, conn: ConnId, bytes: &[u8]) {
         *self.unsent.entry(conn).or_default() += bytes.len();
         if let Some(opened) = self.opened.get_mut(&conn) {
             opened
-                .waiting
+                .pending_calls
                 .push(String::from_utf8_lossy(bytes).into_owned());
         }
     }
 
-    /// Passes a drawn time, with each timer on its way.
-    fn pass(&mut self) {
-        let most_ms = [2, 20, 20, 200, 200, 1500][self.draws.below(6)];
-        let until = self.now.after(self.draws.below(most_ms) as f64 / 1e3);
+    /// Advances the clock by a random time and runs each timer that becomes due.
+    fn advance(&mut self) {
+        let max_ms = [2, 20, 20, 200, 200, 1500][self.random.below(6)];
+        let until = self.now.after(self.random.below(max_ms) as f64 / 1e3);
         while let Some(at) = self.node.next_due().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            self.tell(Input::Tick);
+            self.step(Input::Tick);
         }
         self.now = until;
     }
@@ -185,54 +196,54 @@
     fn accept(&mut self) -> ConnId {
         let conn = self.node.next_conn();
         self.clients.insert(conn);
-        self.tell(Input::Accepted { conn });
+        self.step(Input::Accepted { conn });
         conn
     }
 
-    fn ask(&mut self) {
+    fn send_request(&mut self) {
         let clients: Vec<ConnId> = self.clients.iter().copied().collect();
-        let conn = match self.draws.pick(&clients) {
-            Some(conn) if !self.draws.one_in(3) => conn,
+        let conn = match self.random.pick(&clients) {
+            Some(conn) if !self.random.one_in(3) => conn,
             _ => self.accept(),
         };
-        self.asked += 1;
-        let kind = ["ask", "book"][self.draws.below(2)];
-        let deadline_ms = [10, 900, 4800, 12_000][self.draws.below(4)];
-        let mut text = common::request(&format!("q{}", self.asked), kind, deadline_ms);
-        match self.draws.below(24) {
+        self.requests_sent += 1;
+        let kind = ["ask", "book"][self.random.below(2)];
+        let deadline_ms = [10, 900, 4800, 12_000][self.random.below(4)];
+        let mut text = common::request(&format!("q{}", self.requests_sent), kind, deadline_ms);
+        match self.random.below(24) {
             0 => text = text.replace("Content-Length", "Content-Size"),
             1 => text = text.replace("POST /v1/chat/completions", "GET /ready"),
             2 => text = text.replace("Req-Kind", "Connection: close\r\nReq-Kind"),
             3 => text.truncate(text.len() / 2),
             _ => {}
         }
-        text = text.replace("7f3a9c21e0b4d655", &format!("{:x}", self.draws.below(6)));
-        let cut = self.draws.below(text.len() + 1);
-        self.tell(Input::Received {
+        text = text.replace("7f3a9c21e0b4d655", &format!("{:x}", self.random.below(6)));
+        let cut = self.random.below(text.len() + 1);
+        self.step(Input::Received {
             conn,
             bytes: &text.as_bytes()[..cut],
         });
-        self.tell(Input::Received {
+        self.step(Input::Received {
             conn,
             bytes: &text.as_bytes()[cut..],
         });
     }
 
-    fn bring_up(&mut self) {
-        let down: Vec<ConnId> = self
+    fn establish_connections(&mut self) {
+        let connecting: Vec<ConnId> = self
             .opened
             .iter()
-            .filter(|o| !o.1.up)
+            .filter(|o| !o.1.connected)
             .map(|o| *o.0)
             .collect();
-        for conn in down {
-            match self.draws.below(20) {
+        for conn in connecting {
+            match self.random.below(20) {
                 0 => {}
                 1 => self.end(conn),
                 _ => {
                     if let Some(opened) = self.opened.get_mut(&conn) {
-                        opened.up = true;
-                        self.tell(Input::Connected { conn });
+                        opened.connected = true;
+                        self.step(Input::Connected { conn });
                     }
                 }
             }
@@ -240,25 +251,25 @@
     }
 
     fn end(&mut self, conn: ConnId) {
-        self.forget(conn);
-        self.tell(Input::Ended { conn });
+        self.remove(conn);
+        self.step(Input::Ended { conn });
     }
 
-    fn write_out(&mut self) {
+    fn report_written(&mut self) {
         let conns: Vec<ConnId> = self.unsent.keys().copied().collect();
         for conn in conns {
-            if self.opened.get(&conn).is_some_and(|o| !o.up) || self.draws.one_in(4) {
+            if self.opened.get(&conn).is_some_and(|o| !o.connected) || self.random.one_in(4) {
                 continue;
             }
-            if self.opened.contains_key(&conn) && self.draws.one_in(40) {
+            if self.opened.contains_key(&conn) && self.random.one_in(40) {
                 self.opened.remove(&conn);
                 self.unsent.remove(&conn);
-                self.tell(Input::Stale { conn });
+                self.step(Input::Stale { conn });
                 continue;
             }
             let all = self.unsent.get(&conn).copied().unwrap_or_default();
-            let count = if self.draws.one_in(5) {
-                self.draws.below(all + 1)
+            let count = if self.random.one_in(5) {
+                self.random.below(all + 1)
             } else {
                 all
             };
@@ -267,7 +278,7 @@
             } else {
                 self.unsent.insert(conn, all - count);
             }
-            self.tell(Input::Wrote { conn, count });
+            self.step(Input::Wrote { conn, count });
         }
     }
 
@@ -275,27 +286,27 @@
         let conns: Vec<ConnId> = self
             .opened
             .iter()
-            .filter(|o| o.1.up)
+            .filter(|o| o.1.connected)
             .map(|o| *o.0)
             .collect();
         for conn in conns {
-            if self.unsent.contains_key(&conn) || self.draws.one_in(3) {
+            if self.unsent.contains_key(&conn) || self.random.one_in(3) {
                 continue;
             }
             let Some(opened) = self.opened.get_mut(&conn) else {
                 continue;
             };
             if opened.to == self.discovery {
-                self.discovery_says(conn);
+                self.respond_discovery(conn);
                 continue;
             }
-            if opened.waiting.is_empty() {
-                if self.draws.one_in(60) {
+            if opened.pending_calls.is_empty() {
+                if self.random.one_in(60) {
                     self.end(conn);
                 }
                 continue;
             }
-            let call = opened.waiting.remove(0);
+            let call = opened.pending_calls.remove(0);
             let prefill = matches!(
                 opened.to.ip().to_string().as_str(),
                 "127.0.1.1" | "127.0.1.2"
@@ -307,25 +318,25 @@
     fn respond_to(&mut self, conn: ConnId, call: &str, prefill: bool) {
         let load = format!(
             "util=0.{},queue={},x0=0.1",
-            self.draws.below(9),
-            self.draws.below(4)
+            self.random.below(9),
+            self.random.below(4)
         );
         let text = if call.starts_with("GET ") {
-            common::plain("200 OK", "", &load)
+            common::plain_response("200 OK", "", &load)
         } else if call.starts_with("DELETE ") {
-            match self.draws.below(4) {
-                0 => common::plain("500 Oops", "", ""),
+            match self.random.below(4) {
+                0 => common::plain_response("500 Oops", "", ""),
                 _ => common::RELEASED.to_string(),
             }
         } else {
-            match self.draws.below(24) {
+            match self.random.below(24) {
                 0 => return,
                 1 => return self.end(conn),
-                2 => common::plain("500 Oops", "", ""),
-                3 => common::plain("503 Busy", "Srv-Declined: 1\r\n", ""),
-                4 => common::plain("410 Gone", "Srv-Declined: 1\r\n", ""),
+                2 => common::plain_response("500 Oops", "", ""),
+                3 => common::plain_response("503 Busy", "Srv-Declined: 1\r\n", ""),
+                4 => common::plain_response("410 Gone", "Srv-Declined: 1\r\n", ""),
                 5 => "HTTP/1.1 two\r\n\r\n".to_string(),
-                _ if prefill => common::plain(
+                _ if prefill => common::plain_response(
                     "202 Accepted",
                     &format!("Srv-Load: {load}\r\n"),
                     r#"{"cached_tokens":64}"#,
@@ -333,23 +344,23 @@
                 _ => return self.stream(conn, &load),
             }
         };
-        self.tell(Input::Received {
+        self.step(Input::Received {
             conn,
             bytes: text.as_bytes(),
         });
     }
 
     fn stream(&mut self, conn: ConnId, load: &str) {
-        let long = if self.draws.one_in(8) { 140_000 } else { 20 };
+        let long = if self.random.one_in(8) { 140_000 } else { 20 };
         let mut text = common::STREAM_HEAD.to_string();
-        for _ in 0..self.draws.below(4) {
-            text += &common::chunk(&common::event(&"x".repeat(long)));
+        for _ in 0..self.random.below(4) {
+            text += &common::chunk(&common::stream_event(&"x".repeat(long)));
         }
         text += &common::chunk(&format!(": Srv-Load: {load}\n\n"));
-        match self.draws.below(12) {
+        match self.random.below(12) {
             0 => {}
             1 => {
-                self.tell(Input::Received {
+                self.step(Input::Received {
                     conn,
                     bytes: text.as_bytes(),
                 });
@@ -361,99 +372,99 @@
             2 => text += "0\r\n\r\nHTTP/1.1 200 OK\r\n",
             _ => text += "0\r\n\r\n",
         }
-        let cut = self.draws.below(text.len() + 1);
-        self.tell(Input::Received {
+        let cut = self.random.below(text.len() + 1);
+        self.step(Input::Received {
             conn,
             bytes: &text.as_bytes()[..cut],
         });
         if self.opened.contains_key(&conn) {
-            self.tell(Input::Received {
+            self.step(Input::Received {
                 conn,
                 bytes: &text.as_bytes()[cut..],
             });
         }
     }
 
-    fn discovery_says(&mut self, conn: ConnId) {
+    fn respond_discovery(&mut self, conn: ConnId) {
         let Some(opened) = self.opened.get_mut(&conn) else {
             return;
         };
-        let head = if opened.waiting.is_empty() {
+        let head = if opened.pending_calls.is_empty() {
             ""
         } else {
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         };
-        opened.waiting.clear();
-        let line = match self.draws.below(12) {
+        opened.pending_calls.clear();
+        let line = match self.random.below(12) {
             0 => {
                 self.rev += 1;
                 let states = ["in_service", "in_service", "terminating", "terminated"];
-                let (uid, endpoint, model) = common::hosts()[self.draws.below(4)];
-                let state = states[self.draws.below(4)];
-                let target = common::target(uid, endpoint, model, state);
-                common::list(self.rev, false, &[target])
+                let (uid, endpoint, model) = common::servers()[self.random.below(4)];
+                let state = states[self.random.below(4)];
+                let target = common::endpoint_json(uid, endpoint, model, state);
+                common::endpoint_list_json(self.rev, false, &[target])
             }
             1 => {
                 self.rev += 1;
-                let all: Vec<String> = common::hosts()
+                let all: Vec<String> = common::servers()
                     .iter()
-                    .map(|h| common::target(h.0, h.1, h.2, "in_service"))
+                    .map(|h| common::endpoint_json(h.0, h.1, h.2, "in_service"))
                     .collect();
-                common::list(self.rev, true, &all)
+                common::endpoint_list_json(self.rev, true, &all)
             }
-            2 if self.draws.one_in(4) => "{\"rev\":".to_string(),
-            3 if self.draws.one_in(4) => return self.end(conn),
+            2 if self.random.one_in(4) => "{\"rev\":".to_string(),
+            3 if self.random.one_in(4) => return self.end(conn),
             _ => String::new(),
         };
         let text = format!("{head}{}", common::chunk(&format!("{line}\n")));
-        self.tell(Input::Received {
+        self.step(Input::Received {
             conn,
             bytes: text.as_bytes(),
         });
     }
 
-    fn disturb(&mut self) {
+    fn inject_fault(&mut self) {
         let clients: Vec<ConnId> = self.clients.iter().copied().collect();
-        match self.draws.below(12) {
+        match self.random.below(12) {
             0 | 1 => {
-                if let Some(conn) = self.draws.pick(&clients) {
+                if let Some(conn) = self.random.pick(&clients) {
                     self.end(conn);
                 }
             }
             2 => {
-                let data: Vec<u8> = (0..self.draws.below(40)).map(|i| i as u8).collect();
-                let from = "127.0.3.2:7946".parse().expect("an address");
-                self.tell(Input::Datagram { from, data: &data });
+                let data: Vec<u8> = (0..self.random.below(40)).map(|i| i as u8).collect();
+                let from = "127.0.3.2:7946".parse().expect("the address is valid");
+                self.step(Input::Datagram { from, data: &data });
             }
-            3 if self.draws.one_in(30) => {
-                let port = 8500 + self.draws.below(3);
+            3 if self.random.one_in(30) => {
+                let port = 8500 + self.random.below(3);
                 let text = common::config_json(256)
                     .replace("127.0.2.1:8500", &format!("127.0.2.1:{port}"));
-                let config = Config::parse(&text).expect("the test's configuration");
+                let config = Config::parse(&text).expect("the configuration of the test is valid");
                 self.discovery = config.discovery;
                 let mut out = Vec::new();
                 self.node.reload(self.now, config, &mut out);
-                self.take(out);
+                self.apply(out);
             }
             _ => {}
         }
     }
 
-    fn turn(&mut self) {
-        if self.draws.one_in(3) {
-            self.ask();
+    fn run_iteration(&mut self) {
+        if self.random.one_in(3) {
+            self.send_request();
         }
-        self.bring_up();
-        self.write_out();
+        self.establish_connections();
+        self.report_written();
         self.respond();
-        self.disturb();
+        self.inject_fault();
         if std::mem::take(&mut self.stop_listening) {
-            self.tell(Input::NotListening);
+            self.step(Input::NotListening);
         }
-        self.pass();
+        self.advance();
     }
 
-    /// Counts and tables as they stand, in a fixed order.
+    /// Adds the current counts and table sizes to the digest, in a fixed order.
     fn encode_totals(&mut self) {
         let counts = self.node.counts();
         let resource_usage = self.node.resource_usage();
@@ -479,27 +490,29 @@
             resource_usage.timers as u64,
             resource_usage.unfinished_bytes as u64,
         ];
-        totals.into_iter().for_each(|total| self.number(total));
+        totals
+            .into_iter()
+            .for_each(|total| self.digest_number(total));
     }
 }
 
-/// One run from start to planned stop: its digest, and how many commands of each kind came out.
+/// Runs a node from start to planned stop. Returns the digest and the number of commands of each kind.
 fn run(seed: u64) -> (u64, [u64; 11]) {
-    let mut world = World::new(seed);
+    let mut simulation = Simulation::new(seed);
     for _ in 0..STEPS {
-        world.turn();
-        world.encode_totals();
+        simulation.run_iteration();
+        simulation.encode_totals();
     }
-    world.tell(Input::Stop);
+    simulation.step(Input::Stop);
     for _ in 0..200 {
-        if world.stopped {
+        if simulation.stopped {
             break;
         }
-        world.turn();
+        simulation.run_iteration();
     }
-    assert!(world.stopped, "seed {seed} does not stop");
-    world.encode_totals();
-    (world.digest.digest(), world.commands)
+    assert!(simulation.stopped, "seed {seed} does not stop");
+    simulation.encode_totals();
+    (simulation.digest.digest(), simulation.commands)
 }
 
 #[test]
@@ -510,19 +523,19 @@
         (3, 0x12ff6619f83aee99),
         (4, 0x535d134e1130f722),
     ];
-    let mut seen = [0; 11];
+    let mut totals = [0; 11];
     let found: Vec<(u64, u64)> = expected
         .iter()
         .map(|(seed, _)| {
             let (digest, commands) = run(*seed);
-            for (total, count) in seen.iter_mut().zip(commands) {
+            for (total, count) in totals.iter_mut().zip(commands) {
                 *total += count;
             }
             (*seed, digest)
         })
         .collect();
-    // The decision module sends datagrams to peers in no run of this configuration.
-    let never: Vec<usize> = (0..11).filter(|kind| seen[*kind] == 0).collect();
-    assert_eq!(never, [6], "kinds of command that never came");
-    assert_eq!(found, expected, "{found:#x?} {seen:?}");
+    // With this configuration, the decision module never sends datagrams to peers.
+    let never: Vec<usize> = (0..11).filter(|kind| totals[*kind] == 0).collect();
+    assert_eq!(never, [6], "kinds of command that were never issued");
+    assert_eq!(found, expected, "{found:#x?} {totals:?}");
 }
