--- a/crates/platform/tests/shutdown.rs
+++ b/crates/platform/tests/shutdown.rs
@@ -1,4 +1,5 @@
-//! A planned stop: whatever has been read has its answer, in whatever order the last bytes, answers and timers come.
+//! Planned stop: every request that was read is answered, in whichever order its last bytes, responses and timers
+//! arrive.
 mod common;
 
 use bitternlatch_platform::config::Config;
@@ -6,118 +7,135 @@
 use bitternlatch_platform::types::{ConnId, Input};
 use common::*;
 
-const REFUSAL: &str = "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
+const REJECTION: &str = "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
 
-fn stream(word: &str) -> String {
-    format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event(word)))
+fn stream(content: &str) -> String {
+    format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event(content)))
 }
 
-/// The request that was sent last is served.
-fn serve(rig: &mut Rig, id: &str, word: &str) {
+/// Serves the request `id`: completes its prefill and streams `content` as its decode response.
+fn serve(harness: &mut Harness, id: &str, content: &str) {
     let sent = format!("Req-Id: {id}\r\n");
-    let read = rig.last(|c| c.is_prefill() && c.text.contains(&sent)).conn;
-    rig.text(read, &plain("202 Accepted", "", r#"{"cached_tokens":0}"#));
-    let write = rig.last(|c| c.is_decode() && c.text.contains(&sent)).conn;
-    rig.text(write, &stream(word));
+    let prefill_conn = harness
+        .last_call(|c| c.is_prefill() && c.text.contains(&sent))
+        .conn;
+    harness.receive_text(
+        prefill_conn,
+        &plain_response("202 Accepted", "", r#"{"cached_tokens":0}"#),
+    );
+    let decode_conn = harness
+        .last_call(|c| c.is_decode() && c.text.contains(&sent))
+        .conn;
+    harness.receive_text(decode_conn, &stream(content));
 }
 
-/// How the request ends behind which another one was sent ahead.
-fn end_first(rig: &mut Rig, how: &str, writer: ConnId) {
-    match how {
-        "served" => rig.text(writer, &stream("one")),
-        "a stream in hand" => {
-            rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
-            rig.pass(0.7);
-            rig.text(writer, "0\r\n\r\n");
+/// Completes the first request, behind which another one is pipelined, with the given outcome.
+fn complete_first_request(harness: &mut Harness, outcome: &str, decode_conn: ConnId) {
+    match outcome {
+        "served" => harness.receive_text(decode_conn, &stream("one")),
+        "a stream in flight" => {
+            harness.receive_text(
+                decode_conn,
+                &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
+            );
+            harness.advance(0.7);
+            harness.receive_text(decode_conn, "0\r\n\r\n");
         }
         _ => {
             for _ in 0..2 {
-                let writer = rig.last(Call::is_decode).conn;
-                if !rig.closed.contains(&writer) {
-                    rig.text(writer, REFUSAL);
+                let decode_conn = harness.last_call(Call::is_decode).conn;
+                if !harness.closed.contains(&decode_conn) {
+                    harness.receive_text(decode_conn, REJECTION);
                 }
             }
-            rig.pass(1.1);
+            harness.advance(1.1);
         }
     }
 }
 
 #[test]
 fn pipelined_request_before_stop_is_answered() {
-    for how in ["served", "a stream in hand", "refused"] {
+    for outcome in ["served", "a stream in flight", "rejected"] {
         for before_stop in [true, false] {
-            let mut rig = Rig::new();
-            rig.answers_releases = true;
-            let (client, writer) = rig.at_decode("first", "ask");
+            let mut harness = Harness::new();
+            harness.answers_releases = true;
+            let (client, decode_conn) = harness.start_decode("first", "ask");
             if before_stop {
-                rig.text(client, &request("second", "ask", 4800));
-                rig.tell(Input::Stop);
+                harness.receive_text(client, &request("second", "ask", 4800));
+                harness.step(Input::Stop);
             } else {
-                rig.tell(Input::Stop);
-                rig.pass(0.2);
-                rig.text(client, &request("second", "ask", 4800));
+                harness.step(Input::Stop);
+                harness.advance(0.2);
+                harness.receive_text(client, &request("second", "ask", 4800));
             }
-            rig.pass(0.6);
-            assert!(rig.deaf);
-            end_first(&mut rig, how, writer);
-            let case = format!("{how}, sent before the stop {before_stop}");
-            assert!(!rig.finished.contains(&client) && !rig.stopped, "{case}");
-            rig.pass(0.02);
-            serve(&mut rig, "second", "two");
+            harness.advance(0.6);
+            assert!(harness.listener_closed);
+            complete_first_request(&mut harness, outcome, decode_conn);
+            let case = format!("{outcome}, sent before the stop {before_stop}");
+            assert!(
+                !harness.finished.contains(&client) && !harness.stopped,
+                "{case}"
+            );
+            harness.advance(0.02);
+            serve(&mut harness, "second", "two");
             assert!(
-                rig.said(client).contains("two"),
+                harness.client_output(client).contains("two"),
                 "{case}: {}",
-                rig.said(client)
+                harness.client_output(client)
             );
-            assert!(rig.finished.contains(&client), "{case}: then it ends");
-            // What was held has been released by then: nothing is left to wait for.
-            rig.pass(0.1);
-            assert!(rig.stopped, "{case}");
+            assert!(
+                harness.finished.contains(&client),
+                "{case}: the connection stays open"
+            );
+            // The held state has been released by now, so nothing delays the stop.
+            harness.advance(0.1);
+            assert!(harness.stopped, "{case}");
         }
     }
 }
 
-/// Half a request that was sent ahead has not been taken: its client sends it again elsewhere.
+/// A partial pipelined request does not delay the stop: the client can send it again to another dispatcher.
 #[test]
 fn partial_pipelined_request_does_not_delay_stop() {
-    let mut rig = Rig::new();
-    let (client, writer) = rig.at_decode("first", "ask");
-    let ahead = request("second", "ask", 4800);
-    rig.text(client, &ahead[..ahead.len() - 1]);
-    rig.tell(Input::Stop);
-    rig.pass(0.6);
-    rig.text(writer, &stream("one"));
-    assert!(rig.said(client).ends_with("0\r\n\r\n"));
-    assert!(rig.finished.contains(&client) && rig.stopped);
-    rig.text(client, &ahead[ahead.len() - 1..]);
+    let mut harness = Harness::new();
+    let (client, decode_conn) = harness.start_decode("first", "ask");
+    let pipelined = request("second", "ask", 4800);
+    harness.receive_text(client, &pipelined[..pipelined.len() - 1]);
+    harness.step(Input::Stop);
+    harness.advance(0.6);
+    harness.receive_text(decode_conn, &stream("one"));
+    assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
+    assert!(harness.finished.contains(&client) && harness.stopped);
+    harness.receive_text(client, &pipelined[pipelined.len() - 1..]);
     assert_eq!(
-        rig.count(|c| c.text.contains("Req-Id: second")),
+        harness.count_calls(|c| c.text.contains("Req-Id: second")),
         0,
-        "never sent on"
+        "a partial request was forwarded"
     );
 }
 
-/// Those who wait to be accepted as listening ends are taken first, and what they have asked is answered.
+/// Clients that wait to be accepted when the listener closes are accepted first, and their requests are answered.
 #[test]
 fn client_accepted_before_listener_closes_is_served() {
-    let mut rig = Rig::new();
-    rig.holds_listening = true;
-    rig.tell(Input::Stop);
-    rig.pass(0.6);
+    let mut harness = Harness::new();
+    harness.delays_listener_close = true;
+    harness.step(Input::Stop);
+    harness.advance(0.6);
     assert!(
-        rig.deaf && !rig.stopped,
-        "it waits until nobody is left to be taken"
+        harness.listener_closed && !harness.stopped,
+        "the node stopped before all waiting clients were accepted"
     );
-    let client = rig.ask("queued", "ask");
-    let quiet = rig.client();
-    rig.tell(Input::NotListening);
-    assert!(rig.finished.contains(&quiet) && !rig.finished.contains(&client));
-    serve(&mut rig, "queued", "one");
-    assert!(rig.said(client).ends_with("0\r\n\r\n"));
-    assert!(rig.finished.contains(&client) && rig.stopped);
+    let client = harness.send_request("queued", "ask");
+    let idle_client = harness.connect_client();
+    harness.step(Input::NotListening);
+    assert!(harness.finished.contains(&idle_client) && !harness.finished.contains(&client));
+    serve(&mut harness, "queued", "one");
+    assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
+    assert!(harness.finished.contains(&client) && harness.stopped);
 }
 
-/// The kill comes as early as 0.7 s after the longest deadline, or 3.7 s after the signal.
+/// The process may be killed as early as 0.7 s after the longest deadline, or 3.7 s after the signal if that is
+/// earlier.
 #[test]
 fn stop_steps_fit_before_kill() {
     for (longest_deadline_s, kill_s) in [
@@ -137,7 +155,7 @@
             let case = format!("{longest_deadline_s} s, resumes {resumes}");
             assert!(
                 (0.4..0.7).contains(&stop_accepting_s),
-                "{case}: new connections come for 0.4 s"
+                "{case}: new connections arrive for up to 0.4 s"
             );
             assert!(
                 (stop_accepting_s..kill_s - 0.1).contains(&answer_by_s),
@@ -152,168 +170,193 @@
     }
 }
 
-/// A request that comes whole while stopping is answered before the kill, which short deadlines bring forward.
+/// A request that is completed during the stop is answered before the kill, which comes earlier with short deadlines.
 #[test]
 fn late_request_is_answered_before_kill_with_short_deadlines() {
     let text = config_json(256)
         .replace(r#""deadlineS":6.0"#, r#""deadlineS":1.5"#)
         .replace(r#""deadlineS":12.0"#, r#""deadlineS":1.5"#);
-    let mut rig = Rig::with(Config::parse(&text).expect("the test's configuration"));
-    let client = rig.client();
-    let ahead = request("late", "book", 1500);
-    rig.text(client, &ahead[..60]);
-    rig.tell(Input::Stop);
-    rig.pass(1.0);
-    rig.text(client, &ahead[60..]);
-    rig.pass(1.15);
+    let mut harness =
+        Harness::with_config(Config::parse(&text).expect("the configuration of the test is valid"));
+    let client = harness.connect_client();
+    let pipelined = request("late", "book", 1500);
+    harness.receive_text(client, &pipelined[..60]);
+    harness.step(Input::Stop);
+    harness.advance(1.0);
+    harness.receive_text(client, &pipelined[60..]);
+    harness.advance(1.15);
     assert!(
-        !rig.said(client).is_empty(),
-        "2.15 s after the signal, 0.05 s before the kill"
+        !harness.client_output(client).is_empty(),
+        "no response 2.15 s after the signal, 0.05 s before the kill"
     );
 }
 
-/// Where clients do not ask for the rest, a stream that is cut while its events come is a lost request.
+/// Without resumption by clients, cutting an active stream would lose the request, so the stop waits for its end.
 #[test]
 fn stream_is_not_cut_at_stop_without_resume() {
     let text = config_json(256).replace(r#""resume":true"#, r#""resume":false"#);
-    let mut rig = Rig::with(Config::parse(&text).expect("the test's configuration"));
-    let (client, writer) = rig.at_decode("long", "ask");
-    rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
-    rig.tell(Input::Stop);
+    let mut harness =
+        Harness::with_config(Config::parse(&text).expect("the configuration of the test is valid"));
+    let (client, decode_conn) = harness.start_decode("long", "ask");
+    harness.receive_text(
+        decode_conn,
+        &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
+    );
+    harness.step(Input::Stop);
     for _ in 0..6 {
-        rig.pass(1.0);
-        rig.text(writer, &chunk(&event("more")));
+        harness.advance(1.0);
+        harness.receive_text(decode_conn, &chunk(&stream_event("more")));
     }
-    assert!(!rig.finished.contains(&client) && !rig.stopped);
-    rig.text(writer, "0\r\n\r\n");
-    assert!(rig.said(client).ends_with("0\r\n\r\n") && rig.stopped);
+    assert!(!harness.finished.contains(&client) && !harness.stopped);
+    harness.receive_text(decode_conn, "0\r\n\r\n");
+    assert!(harness.client_output(client).ends_with("0\r\n\r\n") && harness.stopped);
 }
 
-/// Cut anywhere, a request that comes whole in time is served, and one that never does ends with the process.
+/// A request that is split at any byte by the stop signal is served if the rest arrives in time. A request that is never
+/// completed ends with the process.
 #[test]
 fn request_cut_at_stop_is_served_once_complete() {
-    let whole = request("cut", "ask", 4800);
-    let body = whole.find("\r\n\r\n").expect("a head") + 4;
-    for at in [1, 40, body - 1, body, body + 1, whole.len() - 1] {
-        let mut rig = Rig::new();
-        let client = rig.client();
-        rig.text(client, &whole[..at]);
-        rig.tell(Input::Stop);
-        rig.pass(0.7);
+    let request_text = request("cut", "ask", 4800);
+    let body = request_text
+        .find("\r\n\r\n")
+        .expect("the request has a head")
+        + 4;
+    for at in [1, 40, body - 1, body, body + 1, request_text.len() - 1] {
+        let mut harness = Harness::new();
+        let client = harness.connect_client();
+        harness.receive_text(client, &request_text[..at]);
+        harness.step(Input::Stop);
+        harness.advance(0.7);
         assert!(
-            rig.deaf && !rig.stopped && !rig.finished.contains(&client),
-            "cut at {at}: it is waited for"
+            harness.listener_closed && !harness.stopped && !harness.finished.contains(&client),
+            "cut at {at}: the stop does not wait for the rest"
         );
-        rig.text(client, &whole[at..]);
-        rig.pass(0.02);
-        serve(&mut rig, "cut", "one");
+        harness.receive_text(client, &request_text[at..]);
+        harness.advance(0.02);
+        serve(&mut harness, "cut", "one");
         assert!(
-            rig.said(client).ends_with("0\r\n\r\n") && rig.finished.contains(&client),
+            harness.client_output(client).ends_with("0\r\n\r\n")
+                && harness.finished.contains(&client),
             "cut at {at}"
         );
-        assert!(rig.stopped, "cut at {at}");
+        assert!(harness.stopped, "cut at {at}");
     }
 }
 
-/// A state waits at its prefill server for a decode server that can be asked again; the stop does not take that retry
-/// away, nor what was read before and is handed over after.
+/// KV cache state waits at its prefill server for a retry of the decode. The stop does not cancel that retry, nor a
+/// first decode whose prefill completes after the signal.
 #[test]
 fn retry_due_after_stop_is_sent() {
     for stop_first in [true, false] {
-        let mut rig = Rig::new();
-        let client = rig.ask("retry", "book");
+        let mut harness = Harness::new();
+        let client = harness.send_request("retry", "book");
         if stop_first {
-            rig.tell(Input::Stop);
+            harness.step(Input::Stop);
         }
-        rig.prefill_done();
+        harness.complete_prefill();
         for _ in 0..2 {
-            let writer = rig.last(Call::is_decode).conn;
-            rig.text(writer, REFUSAL);
+            let decode_conn = harness.last_call(Call::is_decode).conn;
+            harness.receive_text(decode_conn, REJECTION);
         }
         if !stop_first {
-            rig.tell(Input::Stop);
+            harness.step(Input::Stop);
         }
-        let before = rig.count(Call::is_decode);
-        rig.pass(0.4);
+        let before = harness.count_calls(Call::is_decode);
+        harness.advance(0.4);
         assert!(
-            rig.count(Call::is_decode) > before,
-            "asked again, stop first {stop_first}"
+            harness.count_calls(Call::is_decode) > before,
+            "the decode was not retried, stop first {stop_first}"
         );
-        let writer = rig.last(Call::is_decode).conn;
-        rig.text(writer, &stream("one"));
-        assert!(rig.said(client).ends_with("0\r\n\r\n"));
-        assert_eq!(rig.count(Call::is_prefill), 1);
+        let decode_conn = harness.last_call(Call::is_decode).conn;
+        harness.receive_text(decode_conn, &stream("one"));
+        assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
+        assert_eq!(harness.count_calls(Call::is_prefill), 1);
     }
 }
 
-/// A new configuration and a stop in one instant: drains that the new discovery tells are kept to the end.
+/// A reload and a stop at the same time: a drain reported by the new discovery address is respected until the process
+/// ends.
 #[test]
 fn drain_from_new_discovery_counts_while_stopping() {
     for stop_first in [true, false] {
-        let mut rig = Rig::new();
-        let client = rig.ask("moved", "ask");
+        let mut harness = Harness::new();
+        let client = harness.send_request("moved", "ask");
         let config = Config::parse(&config_json(256).replace("127.0.2.1:8500", "127.0.2.2:8500"))
-            .expect("a file");
+            .expect("the configuration is valid");
         if stop_first {
-            rig.tell(Input::Stop);
-            rig.reload(config);
+            harness.step(Input::Stop);
+            harness.reload(config);
         } else {
-            rig.reload(config);
-            rig.tell(Input::Stop);
+            harness.reload(config);
+            harness.step(Input::Stop);
         }
-        let (watch, to) = *rig.connects.last().expect("a watch");
+        let (watch, to) = *harness
+            .connects
+            .last()
+            .expect("the node connects to discovery");
         assert_eq!(to.to_string(), "127.0.2.2:8500");
-        rig.text(
+        harness.receive_text(
             watch,
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         );
-        let drains = list(
+        let draining = endpoint_list_json(
             8,
             false,
-            &[target("h-w1", "127.0.1.3:80", "writes", "terminating")],
+            &[endpoint_json(
+                "h-w1",
+                "127.0.1.3:80",
+                "writes",
+                "terminating",
+            )],
         );
-        rig.text(watch, &chunk(&format!("{drains}\n")));
-        rig.prefill_done();
+        harness.receive_text(watch, &chunk(&format!("{draining}\n")));
+        harness.complete_prefill();
         assert_eq!(
-            rig.last(Call::is_decode).to.to_string(),
+            harness.last_call(Call::is_decode).to.to_string(),
             "127.0.1.4:80",
             "stop first {stop_first}"
         );
-        let writer = rig.last(Call::is_decode).conn;
-        rig.text(writer, &stream("one"));
-        assert!(rig.said(client).ends_with("0\r\n\r\n"));
+        let decode_conn = harness.last_call(Call::is_decode).conn;
+        harness.receive_text(decode_conn, &stream("one"));
+        assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
     }
 }
 
-/// A release that no host answers is called for as long as a stop may take, and no longer.
+/// A stop waits for the confirmation of releases, but no longer than the stop may take.
 #[test]
 fn stop_waits_for_releases() {
     for answers in [true, false] {
-        let mut rig = Rig::new();
-        let (_, writer) = rig.at_decode("held", "book");
-        rig.text(writer, &plain("500 Oops", "", ""));
-        rig.answers_releases = answers;
-        rig.tell(Input::Stop);
-        rig.pass(1.0);
-        assert_eq!(rig.stopped, answers, "hosts answer: {answers}");
-        rig.pass(2.69);
-        assert!(rig.stopped, "hosts answer: {answers}");
+        let mut harness = Harness::new();
+        let (_, decode_conn) = harness.start_decode("held", "book");
+        harness.receive_text(decode_conn, &plain_response("500 Oops", "", ""));
+        harness.answers_releases = answers;
+        harness.step(Input::Stop);
+        harness.advance(1.0);
+        assert_eq!(harness.stopped, answers, "servers answer: {answers}");
+        harness.advance(2.69);
+        assert!(harness.stopped, "servers answer: {answers}");
     }
 }
 
-/// A request whose time ends with the stop is failed, and its state released, before the process ends.
+/// A request whose deadline coincides with the end of the stop is failed, and its KV cache state is released, before
+/// the process ends.
 #[test]
 fn state_held_until_last_response_of_stop_is_released() {
-    let mut rig = Rig::new();
-    rig.answers_releases = true;
-    rig.tell(Input::Stop);
-    let (client, _) = rig.at_decode("late", "book");
-    rig.pass(3.67);
-    assert_eq!(rig.status(client), "504");
-    let releases = rig.count(|c| c.line() == "DELETE /bootstrap/rooms/late HTTP/1.1");
+    let mut harness = Harness::new();
+    harness.answers_releases = true;
+    harness.step(Input::Stop);
+    let (client, _) = harness.start_decode("late", "book");
+    harness.advance(3.67);
+    assert_eq!(harness.status(client), "504");
+    let releases =
+        harness.count_calls(|c| c.request_line() == "DELETE /bootstrap/rooms/late HTTP/1.1");
     assert!(
-        rig.stopped && releases >= 2,
-        "{releases}: before the limit, and after the close"
+        harness.stopped && releases >= 2,
+        "{releases} releases, or the node has not stopped"
+    );
+    assert_eq!(
+        harness.node.resource_usage().releases,
+        0,
+        "the releases were not confirmed"
     );
-    assert_eq!(rig.node.resource_usage().releases, 0, "confirmed");
 }
--- a/crates/platform/tests/start_times.rs
+++ b/crates/platform/tests/start_times.rs
@@ -1,4 +1,4 @@
-//! When model hosts started, as the module is told, though the wall clocks that name it are steps of an hour apart.
+//! Start times of model servers as reported to the decision module, where wall clocks differ by up to an hour.
 mod common;
 
 use bitternlatch_platform::node::Node;
@@ -7,44 +7,50 @@
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const DISCOVERY: &str = "127.0.2.1:8500";
-const NEW: &str = "h-r9";
+const NEW_SERVER: &str = "h-r9";
 const HOUR_SECS: f64 = 3600.0;
 
-/// A new host that is listed with a start so long ago.
-fn started(rig: &Rig, age_s: f64) -> String {
-    let boot_ms = (rig.now.seconds() - age_s) * 1e3;
-    target(NEW, "127.0.1.9:80", "reads", "in_service")
+/// Entry of a new server whose listed start time is `age_s` seconds ago.
+fn endpoint_started_ago(harness: &Harness, age_s: f64) -> String {
+    let boot_ms = (harness.now.seconds() - age_s) * 1e3;
+    endpoint_json(NEW_SERVER, "127.0.1.9:80", "reads", "in_service")
         .replace("\"boot_ms\":0", &format!("\"boot_ms\":{boot_ms:.0}"))
 }
 
-fn call(rig: &Rig) -> bitternlatch_platform::types::ConnId {
-    let to = DISCOVERY.parse().expect("an address");
-    rig.connects
+fn watch_connection(harness: &Harness) -> bitternlatch_platform::types::ConnId {
+    let to = DISCOVERY.parse().expect("the address is valid");
+    harness
+        .connects
         .iter()
         .rev()
         .find(|c| c.1 == to)
-        .expect("a watch")
+        .expect("the node connects to discovery")
         .0
 }
 
-/// The age of the new host that the module was told last, seconds.
-fn told_age_s(rig: &mut Rig) -> f64 {
-    let mut told = rig
-        .node
-        .take_trace()
-        .into_iter()
-        .filter_map(|traced| match traced.event {
-            Event::Servers { entries, .. } => entries
-                .into_iter()
-                .max_by(|a, b| a.booted_at.total_cmp(&b.booted_at)),
-            _ => None,
-        });
-    rig.now.seconds() - told.next_back().expect("a list was told").booted_at
+/// Age of the new server according to the latest endpoint list that the decision module received, in seconds.
+fn reported_age_secs(harness: &mut Harness) -> f64 {
+    let mut reported =
+        harness
+            .node
+            .take_trace()
+            .into_iter()
+            .filter_map(|traced| match traced.event {
+                Event::Servers { entries, .. } => entries
+                    .into_iter()
+                    .max_by(|a, b| a.booted_at.total_cmp(&b.booted_at)),
+                _ => None,
+            });
+    harness.now.seconds()
+        - reported
+            .next_back()
+            .expect("the decision module received a list")
+            .booted_at
 }
 
 #[test]
 fn start_during_watch_is_not_older_than_last_line() {
-    // What is listed, and what it is taken for: a start may be told some seconds late.
+    // Listed age and expected age, in seconds. A start may be reported some seconds late.
     let table = [
         (0.5, 0.5),
         (8.0, 8.0),
@@ -52,84 +58,96 @@
         (-HOUR_SECS, 0.0),
         (-7.0, 0.0),
     ];
-    for (listed_s, taken_s) in table {
-        let mut rig = Rig::tracing();
-        let conn = call(&rig);
-        rig.text(conn, HEAD);
-        rig.text(conn, &chunk("\n"));
-        rig.pass(2.0);
-        rig.text(conn, &chunk("\n"));
-        rig.pass(0.5);
-        let line = list(8, false, &[started(&rig, listed_s)]);
-        rig.text(conn, &chunk(&format!("{line}\n")));
-        let told_s = told_age_s(&mut rig);
+    for (listed_s, expected_s) in table {
+        let mut harness = Harness::with_tracing();
+        let conn = watch_connection(&harness);
+        harness.receive_text(conn, HEAD);
+        harness.receive_text(conn, &chunk("\n"));
+        harness.advance(2.0);
+        harness.receive_text(conn, &chunk("\n"));
+        harness.advance(0.5);
+        let line = endpoint_list_json(8, false, &[endpoint_started_ago(&harness, listed_s)]);
+        harness.receive_text(conn, &chunk(&format!("{line}\n")));
+        let reported_s = reported_age_secs(&mut harness);
         assert!(
-            (told_s - taken_s).abs() < 0.01,
-            "listed {listed_s} s ago, told {told_s:.3}, wanted {taken_s}"
+            (reported_s - expected_s).abs() < 0.01,
+            "listed {listed_s} s ago, reported {reported_s:.3}, expected {expected_s}"
         );
     }
 }
 
 #[test]
 fn first_list_is_believed_unless_contradictory() {
-    // Listed age, whether other hosts have started "long ago", and the age that it is taken for.
+    // Listed age, whether other servers are listed with start time 0, which means long ago, and the expected age.
     let table = [
         (30.0, true, 30.0),
         (-HOUR_SECS, true, 0.0),
-        // A host that started an hour ago is one of long ago, if others are.
+        // A list that reports long-running servers with start time 0 would also report a start an hour ago as 0, so this
+        // one is not believed.
         (HOUR_SECS, true, 0.0),
         (HOUR_SECS, false, HOUR_SECS),
     ];
-    for (listed_s, others_long_ago, taken_s) in table {
+    for (listed_s, others_long_ago, expected_s) in table {
         let text = config_json(256);
-        let known = text.find(r#""known":"#).expect("what it knows");
-        let settings = text.find(r#""settings":"#).expect("its settings");
-        let text = format!("{}\"known\":null,{}", &text[..known], &text[settings..]);
-        let config =
-            bitternlatch_platform::config::Config::parse(&text).expect("the test's configuration");
+        let known_at = text
+            .find(r#""known":"#)
+            .expect("the configuration has a known list");
+        let settings_at = text
+            .find(r#""settings":"#)
+            .expect("the configuration has settings");
+        let text = format!(
+            "{}\"known\":null,{}",
+            &text[..known_at],
+            &text[settings_at..]
+        );
+        let config = bitternlatch_platform::config::Config::parse(&text)
+            .expect("the configuration of the test is valid");
         let mut out = Vec::new();
         let node = Node::traced(START, config, &mut out);
-        let mut rig = Rig::begun(node, out);
-        let conn = call(&rig);
-        rig.text(conn, HEAD);
-        let others = hosts().into_iter().filter(|_| others_long_ago);
-        let mut all: Vec<String> = others
-            .map(|h| target(h.0, h.1, h.2, "in_service"))
+        let mut harness = Harness::from_started_node(node, out);
+        let conn = watch_connection(&harness);
+        harness.receive_text(conn, HEAD);
+        let other_servers = servers().into_iter().filter(|_| others_long_ago);
+        let mut all: Vec<String> = other_servers
+            .map(|h| endpoint_json(h.0, h.1, h.2, "in_service"))
             .collect();
-        all.push(started(&rig, listed_s));
-        rig.text(conn, &chunk(&format!("{}\n", list(8, true, &all))));
-        let told_s = told_age_s(&mut rig);
+        all.push(endpoint_started_ago(&harness, listed_s));
+        harness.receive_text(
+            conn,
+            &chunk(&format!("{}\n", endpoint_list_json(8, true, &all))),
+        );
+        let reported_s = reported_age_secs(&mut harness);
         assert!(
-            (told_s - taken_s).abs() < 0.01,
-            "listed {listed_s} s ago, told {told_s:.3}, wanted {taken_s}"
+            (reported_s - expected_s).abs() < 0.01,
+            "listed {listed_s} s ago, reported {reported_s:.3}, expected {expected_s}"
         );
     }
 }
 
-/// The same list once more, whole, changes nothing: a start is reckoned once.
+/// Receiving the same entry again does not change its start time, which is computed once.
 #[test]
 fn start_time_listed_again_is_kept() {
-    let mut rig = Rig::tracing();
-    let conn = call(&rig);
-    rig.text(conn, HEAD);
-    let new = started(&rig, -HOUR_SECS);
-    for (rev, passes_s, taken_s) in [(8, 0.0, 0.0), (9, 5.0, 5.0), (10, 5.0, 10.0)] {
-        rig.text(conn, &chunk("\n"));
-        for _ in 0..(passes_s as usize) {
-            rig.pass(1.0);
-            rig.text(conn, &chunk("\n"));
+    let mut harness = Harness::with_tracing();
+    let conn = watch_connection(&harness);
+    harness.receive_text(conn, HEAD);
+    let new = endpoint_started_ago(&harness, -HOUR_SECS);
+    for (rev, elapsed_s, expected_s) in [(8, 0.0, 0.0), (9, 5.0, 5.0), (10, 5.0, 10.0)] {
+        harness.receive_text(conn, &chunk("\n"));
+        for _ in 0..(elapsed_s as usize) {
+            harness.advance(1.0);
+            harness.receive_text(conn, &chunk("\n"));
         }
-        rig.text(
+        harness.receive_text(
             conn,
             &chunk(&format!(
                 "{}\n",
-                list(rev, false, std::slice::from_ref(&new))
+                endpoint_list_json(rev, false, std::slice::from_ref(&new))
             )),
         );
-        let told_s = told_age_s(&mut rig);
+        let reported_s = reported_age_secs(&mut harness);
         assert!(
-            (told_s - taken_s).abs() < 0.01,
-            "version {rev}: {told_s:.3} for {taken_s}"
+            (reported_s - expected_s).abs() < 0.01,
+            "version {rev}: {reported_s:.3}, expected {expected_s}"
         );
     }
 }
--- a/crates/platform/tests/wire_messages.rs
+++ b/crates/platform/tests/wire_messages.rs
@@ -1,5 +1,5 @@
-//! The exact bytes of each HTTP message that the node writes, and what it makes of each one that it reads.
-//! `tests/README.md` names the tests that fix the remaining messages.
+//! The exact bytes of each HTTP message that the node writes, and how it interprets each message that it reads.
+//! `tests/README.md` lists the tests that fix the remaining messages.
 mod common;
 
 use bitternlatch_core::TracedDecision;
@@ -21,20 +21,29 @@
 
 #[test]
 fn forwarded_request_bytes() {
-    let mut rig = Rig::new();
-    rig.at_decode("f1", "ask");
-    assert_eq!(rig.last(Call::is_prefill).text, forwarded("f1", 4800));
-    assert_eq!(rig.last(Call::is_decode).text, forwarded("f1", 4780));
+    let mut harness = Harness::new();
+    harness.start_decode("f1", "ask");
+    assert_eq!(
+        harness.last_call(Call::is_prefill).text,
+        forwarded("f1", 4800)
+    );
+    assert_eq!(
+        harness.last_call(Call::is_decode).text,
+        forwarded("f1", 4780)
+    );
 }
 
 #[test]
 fn stream_bytes_to_client() {
-    let mut rig = Rig::new();
-    let (client, writer) = rig.at_decode("s1", "ask");
-    rig.text(writer, &format!("{STREAM_HEAD}{}", chunk(&event("one"))));
-    rig.text(writer, "0\r\n\r\n");
+    let mut harness = Harness::new();
+    let (client, decode_conn) = harness.start_decode("s1", "ask");
+    harness.receive_text(
+        decode_conn,
+        &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
+    );
+    harness.receive_text(decode_conn, "0\r\n\r\n");
     assert_eq!(
-        rig.said(client),
+        harness.client_output(client),
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n\
          Transfer-Encoding: chunked\r\n\r\n\
          31\r\ndata: {\"choices\":[{\"delta\":{\"content\":\"one\"}}]}\n\n\r\n0\r\n\r\n"
@@ -43,23 +52,26 @@
 
 #[test]
 fn stream_head_bytes_where_client_closes() {
-    let mut rig = Rig::new();
-    let client = rig.client();
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
     let text = request("s2", "ask", 4800).replace("Req-Kind", "Connection: close\r\nReq-Kind");
-    rig.text(client, &text);
-    rig.pass(0.02);
-    rig.prefill_done();
-    let writer = rig.last(Call::is_decode).conn;
-    rig.text(writer, &format!("{STREAM_HEAD}{}", chunk("data: 1\n\n")));
+    harness.receive_text(client, &text);
+    harness.advance(0.02);
+    harness.complete_prefill();
+    let decode_conn = harness.last_call(Call::is_decode).conn;
+    harness.receive_text(
+        decode_conn,
+        &format!("{STREAM_HEAD}{}", chunk("data: 1\n\n")),
+    );
     assert_eq!(
-        rig.said(client),
+        harness.client_output(client),
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n\
          Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n9\r\ndata: 1\n\n\r\n"
     );
 }
 
-/// A plain response that ends the connection, as one to a request that cannot be read does.
-fn closing(status: &str, text: &str) -> String {
+/// A plain-text response that closes the connection, such as the one to an invalid request.
+fn closing_response(status: &str, text: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\n\
          Connection: close\r\n\r\n{text}\n",
@@ -69,70 +81,70 @@
 
 #[test]
 fn rejection_bytes_by_cause() {
-    let good = request("r1", "ask", 4800);
+    let valid = request("r1", "ask", 4800);
     let table = [
         (
-            good.replace("POST /v1", "POST /v2"),
+            valid.replace("POST /v1", "POST /v2"),
             "404 Not Found",
             "no such path",
         ),
         (
-            good.replace("POST", "GET"),
+            valid.replace("POST", "GET"),
             "405 Method Not Allowed",
             "ask with POST",
         ),
         (
-            good.replace("Req-Id: r1\r\n", ""),
+            valid.replace("Req-Id: r1\r\n", ""),
             "400 Bad Request",
             "Req-Id is missing",
         ),
         (
-            good.replace("Req-Id: r1", "Req-Id: r 1"),
+            valid.replace("Req-Id: r1", "Req-Id: r 1"),
             "400 Bad Request",
             "Req-Id cannot be used as an id",
         ),
         (
-            good.replace("Req-Kind: ask\r\n", ""),
+            valid.replace("Req-Kind: ask\r\n", ""),
             "400 Bad Request",
             "Req-Kind is missing",
         ),
         (
-            good.replace("Req-Kind: ask", "Req-Kind: sell"),
+            valid.replace("Req-Kind: ask", "Req-Kind: sell"),
             "400 Bad Request",
             "Req-Kind is not known",
         ),
         (
-            good.replace("Req-Deadline-Ms: 4800\r\n", ""),
+            valid.replace("Req-Deadline-Ms: 4800\r\n", ""),
             "400 Bad Request",
             "Req-Deadline-Ms is missing",
         ),
         (
-            good.replace("Req-Deadline-Ms: 4800", "Req-Deadline-Ms: 3600001"),
+            valid.replace("Req-Deadline-Ms: 4800", "Req-Deadline-Ms: 3600001"),
             "400 Bad Request",
             "Req-Deadline-Ms is no number of milliseconds up to an hour",
         ),
         (
-            good.replace("Req-Kind: ask", "Req-Kind: ask\r\nReq-Kind: ask"),
+            valid.replace("Req-Kind: ask", "Req-Kind: ask\r\nReq-Kind: ask"),
             "400 Bad Request",
             "a field of the request stands twice",
         ),
         (
-            good.replace("prompt_len=1200", "prompt_len=-1"),
+            valid.replace("prompt_len=1200", "prompt_len=-1"),
             "400 Bad Request",
             "Req-Extra cannot be read",
         ),
         (
-            good.replace("Content-Length: 30", "Content-Length: 3x"),
+            valid.replace("Content-Length: 30", "Content-Length: 3x"),
             "400 Bad Request",
             "the length is not a single whole number",
         ),
         (
-            good.replace("Content-Length: 30", "Content-Length: 262145"),
+            valid.replace("Content-Length: 30", "Content-Length: 262145"),
             "413 Content Too Large",
             "the body is longer than 256 KiB",
         ),
         (
-            good.replace(
+            valid.replace(
                 "Content-Length: 30",
                 "Content-Length: 30\r\nTransfer-Encoding: chunked",
             ),
@@ -140,12 +152,12 @@
             "a length and a transfer coding together",
         ),
         (
-            good.replace("Content-Length: 30", "Transfer-Encoding: gzip"),
+            valid.replace("Content-Length: 30", "Transfer-Encoding: gzip"),
             "501 Not Implemented",
             "the transfer coding is not known",
         ),
         (
-            good.replace("Content-Length: 30", "Transfer-Encoding: chunked") + "\r\n",
+            valid.replace("Content-Length: 30", "Transfer-Encoding: chunked") + "\r\n",
             "400 Bad Request",
             "a chunk cannot be read",
         ),
@@ -155,7 +167,7 @@
             "the head cannot be read",
         ),
         (
-            good.replace(
+            valid.replace(
                 "Req-Kind",
                 &format!("X: {}\r\nReq-Kind", "a".repeat(17_000)),
             ),
@@ -163,47 +175,50 @@
             "the head is too long",
         ),
     ];
-    for (text, status, why) in table {
-        let mut rig = Rig::new();
-        let client = rig.client();
-        rig.text(client, &text);
-        assert_eq!(rig.said(client), closing(status, why));
-        assert!(rig.finished.contains(&client), "{why}");
-        assert_eq!(rig.node.counts().rejected, 1, "{why}");
+    for (text, status, reason) in table {
+        let mut harness = Harness::new();
+        let client = harness.connect_client();
+        harness.receive_text(client, &text);
+        assert_eq!(
+            harness.client_output(client),
+            closing_response(status, reason)
+        );
+        assert!(harness.finished.contains(&client), "{reason}");
+        assert_eq!(harness.node.counts().rejected, 1, "{reason}");
     }
 }
 
 #[test]
 fn duplicate_id_and_slow_request_bytes() {
-    let mut rig = Rig::new();
-    rig.ask("d1", "ask");
-    let second = rig.ask("d1", "ask");
+    let mut harness = Harness::new();
+    harness.send_request("d1", "ask");
+    let second = harness.send_request("d1", "ask");
     assert_eq!(
-        rig.said(second),
-        closing("409 Conflict", "a request of this id is open")
+        harness.client_output(second),
+        closing_response("409 Conflict", "a request of this id is open")
     );
-    let silent = rig.client();
-    rig.pass(3.0);
+    let silent = harness.connect_client();
+    harness.advance(3.0);
     assert_eq!(
-        rig.said(silent),
-        closing("408 Request Timeout", "no whole request in time")
+        harness.client_output(silent),
+        closing_response("408 Request Timeout", "no whole request in time")
     );
 }
 
 #[test]
-fn refusal_and_failure_bytes() {
-    let mut rig = Rig::new();
-    let client = rig.client();
-    rig.text(client, &request("x1", "ask", 10));
+fn shed_and_failure_response_bytes() {
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    harness.receive_text(client, &request("x1", "ask", 10));
     assert_eq!(
-        rig.said(client),
+        harness.client_output(client),
         "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 34\r\n\
          Retry-After: 0.200\r\n\r\nrefused: trying again is harmless\n"
     );
-    let (client, writer) = rig.at_decode("x2", "book");
-    rig.text(writer, &plain("500 Oops", "", ""));
+    let (client, decode_conn) = harness.start_decode("x2", "book");
+    harness.receive_text(decode_conn, &plain_response("500 Oops", "", ""));
     assert_eq!(
-        rig.said(client),
+        harness.client_output(client),
         "HTTP/1.1 504 Gateway Timeout\r\nContent-Type: text/plain\r\nContent-Length: 24\r\n\r\n\
          failed: it may have run\n"
     );
@@ -211,44 +226,50 @@
 
 #[test]
 fn readiness_bytes() {
-    let mut rig = Rig::new();
-    let client = rig.client();
-    let ask = "GET /ready HTTP/1.1\r\nHost: d\r\n\r\n";
-    rig.text(client, ask);
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    let ready_request = "GET /ready HTTP/1.1\r\nHost: d\r\n\r\n";
+    harness.receive_text(client, ready_request);
     assert_eq!(
-        rig.said(client),
+        harness.client_output(client),
         "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 6\r\n\r\nready\n"
     );
-    rig.tell(Input::Stop);
-    let client = rig.client();
-    rig.text(client, ask);
+    harness.step(Input::Stop);
+    let client = harness.connect_client();
+    harness.receive_text(client, ready_request);
     assert_eq!(
-        rig.said(client),
+        harness.client_output(client),
         "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 10\r\n\r\n\
          not ready\n"
     );
 }
 
 #[test]
-fn release_probe_and_discovery_call_bytes() {
-    let mut rig = Rig::new();
-    let client = rig.ask("p1", "ask");
-    rig.tell(Input::Ended { conn: client });
+fn release_health_check_and_discovery_call_bytes() {
+    let mut harness = Harness::new();
+    let client = harness.send_request("p1", "ask");
+    harness.step(Input::Ended { conn: client });
     assert_eq!(
-        rig.last(|c| c.line().starts_with("DELETE")).text,
+        harness
+            .last_call(|c| c.request_line().starts_with("DELETE"))
+            .text,
         "DELETE /bootstrap/rooms/p1 HTTP/1.1\r\nHost: origin.svc\r\n\r\n"
     );
     assert_eq!(
-        rig.last(|c| c.line().starts_with("GET /status")).text,
+        harness
+            .last_call(|c| c.request_line().starts_with("GET /status"))
+            .text,
         "GET /status/load HTTP/1.1\r\nHost: origin.svc\r\n\r\n"
     );
     assert_eq!(
-        rig.last(|c| c.line().starts_with("GET /v1")).text,
+        harness
+            .last_call(|c| c.request_line().starts_with("GET /v1"))
+            .text,
         "GET /v1/endpoints?watch=1&from=7 HTTP/1.1\r\nHost: discovery\r\n\r\n"
     );
 }
 
-/// How each attempt of a trace ended.
+/// The outcomes of the attempts in a trace.
 fn attempt_ends(trace: Vec<TracedDecision>) -> Vec<AttemptEnd> {
     let end = |traced: TracedDecision| match traced.event {
         Event::AttemptEnded(end) => Some(end),
@@ -257,12 +278,13 @@
     trace.into_iter().filter_map(end).collect()
 }
 
-/// A request that stands before its decode server, with what was traced by then taken.
-fn traced_decode() -> (Rig, ConnId) {
-    let mut rig = Rig::tracing();
-    let (_, writer) = rig.at_decode("t1", "ask");
-    rig.node.take_trace();
-    (rig, writer)
+/// A harness with a request at its decode server, and the connection to that server. The trace up to that point is
+/// discarded.
+fn traced_decode() -> (Harness, ConnId) {
+    let mut harness = Harness::with_tracing();
+    let (_, decode_conn) = harness.start_decode("t1", "ask");
+    harness.node.take_trace();
+    (harness, decode_conn)
 }
 
 #[test]
@@ -309,26 +331,26 @@
             &[0.5, 3.0, 1.0],
         ),
     ];
-    for (answer, outcome, cached, report) in table {
-        let (mut rig, writer) = traced_decode();
-        rig.text(writer, answer);
-        let ends = attempt_ends(rig.node.take_trace());
+    for (response, outcome, cached, report) in table {
+        let (mut harness, decode_conn) = traced_decode();
+        harness.receive_text(decode_conn, response);
+        let ends = attempt_ends(harness.node.take_trace());
         let end = ends
             .first()
-            .unwrap_or_else(|| panic!("no end after {answer}"));
-        assert_eq!(end.outcome, outcome, "{answer}");
-        assert_eq!(end.prefix_hit_tokens, cached, "{answer}");
-        assert_eq!(end.report, report, "{answer}");
+            .unwrap_or_else(|| panic!("no attempt ended after {response}"));
+        assert_eq!(end.outcome, outcome, "{response}");
+        assert_eq!(end.prefix_hit_tokens, cached, "{response}");
+        assert_eq!(end.report, report, "{response}");
     }
 }
 
 #[test]
 fn prefill_response_as_read() {
-    let mut rig = Rig::tracing();
-    rig.ask("t2", "ask");
-    rig.node.take_trace();
-    rig.prefill_done();
-    let ends = attempt_ends(rig.node.take_trace());
+    let mut harness = Harness::with_tracing();
+    harness.send_request("t2", "ask");
+    harness.node.take_trace();
+    harness.complete_prefill();
+    let ends = attempt_ends(harness.node.take_trace());
     assert_eq!(ends.len(), 1);
     assert_eq!(ends[0].outcome, Outcome::PrefillDone);
     assert_eq!(ends[0].prefix_hit_tokens, 64.0);
@@ -337,20 +359,21 @@
 
 #[test]
 fn access_log_lines() {
-    let mut rig = Rig::new();
-    rig.node
+    let mut harness = Harness::new();
+    harness
+        .node
         .enable_access_log(AccessLog::new(&config().settings));
-    let (_, writer) = rig.at_decode("e1", "book");
-    rig.pass(0.5);
-    rig.text(writer, &plain("500 Oops", "", ""));
-    let client = rig.client();
-    rig.text(client, &request("e2", "ask", 10));
-    let (client, _) = rig.at_decode("e3", "ask");
-    rig.tell(Input::Ended { conn: client });
+    let (_, decode_conn) = harness.start_decode("e1", "book");
+    harness.advance(0.5);
+    harness.receive_text(decode_conn, &plain_response("500 Oops", "", ""));
+    let client = harness.connect_client();
+    harness.receive_text(client, &request("e2", "ask", 10));
+    let (client, _) = harness.start_decode("e3", "ask");
+    harness.step(Input::Ended { conn: client });
     let server = |uid: &str| xxhash_rust::xxh3::xxh3_64(uid.as_bytes()) as u32;
     let (r1, r2) = (server("h-r1"), server("h-r2"));
     let (w1, w2) = (server("h-w1"), server("h-w2"));
-    let text = rig.explained.join("\n");
+    let text = harness.access_log_lines.join("\n");
     let text = text
         .replace(&r1.to_string(), "R1")
         .replace(&r2.to_string(), "R2")
@@ -373,14 +396,15 @@
 
 #[test]
 fn access_log_line_of_late_request() {
-    let mut rig = Rig::new();
-    rig.node
+    let mut harness = Harness::new();
+    harness
+        .node
         .enable_access_log(AccessLog::new(&config().settings));
-    let (_, writer) = rig.at_decode("e4", "ask");
-    rig.pass(2.0);
-    let answer = format!("{STREAM_HEAD}{}0\r\n\r\n", chunk("data: 1\n\n"));
-    rig.text(writer, &answer);
-    let line = rig.explained.join("\n");
+    let (_, decode_conn) = harness.start_decode("e4", "ask");
+    harness.advance(2.0);
+    let response = format!("{STREAM_HEAD}{}0\r\n\r\n", chunk("data: 1\n\n"));
+    harness.receive_text(decode_conn, &response);
+    let line = harness.access_log_lines.join("\n");
     assert!(
         line.starts_with("e4 served late class 0 prompt 1200"),
         "{line}"
--- a/programs/simulator-adapter/tests/node.rs
+++ b/programs/simulator-adapter/tests/node.rs
@@ -19,39 +19,39 @@
 report.fields=load_share,depth,x0\nextra.unseenReadsRun=true";
 
 /// A node's day: requests served, failed, given up, abandoned; a drain; silence.
-fn day() -> Rig {
-    let mut rig = Rig::tracing();
-    rig.load = "util=0.125,queue=1,x0=0.25";
+fn day() -> Harness {
+    let mut harness = Harness::with_tracing();
+    harness.load = "util=0.125,queue=1,x0=0.25";
     for i in 0..40 {
-        let client = rig.ask(&format!("d{i}"), ["ask", "book"][i % 2]);
+        let client = harness.send_request(&format!("d{i}"), ["ask", "book"][i % 2]);
         match i % 8 {
-            5 => rig.tell(Input::Ended { conn: client }),
-            6 => rig.pass(5.0),
+            5 => harness.step(Input::Ended { conn: client }),
+            6 => harness.advance(5.0),
             _ => {
-                rig.prefill_done();
-                let writer = rig.last(Call::is_decode).conn;
+                harness.complete_prefill();
+                let writer = harness.last_call(Call::is_decode).conn;
                 match i % 8 {
-                    3 => rig.text(writer, &plain("500 Oops", "", "")),
-                    4 => rig.tell(Input::Ended { conn: writer }),
+                    3 => harness.receive_text(writer, &plain_response("500 Oops", "", "")),
+                    4 => harness.step(Input::Ended { conn: writer }),
                     _ => {
-                        rig.pass(0.25);
-                        rig.text(
+                        harness.advance(0.25);
+                        harness.receive_text(
                             writer,
-                            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&event("one"))),
+                            &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
                         );
                     }
                 }
             }
         }
-        rig.pass(0.125);
+        harness.advance(0.125);
     }
-    rig
+    harness
 }
 
 #[test]
 fn node_and_adapter_decide_alike() {
-    let mut rig = day();
-    let trace = rig.node.take_trace();
+    let mut harness = day();
+    let trace = harness.node.take_trace();
     assert!(trace.len() > 300, "{} events", trace.len());
     let mut adapter = Adapter::default();
     let start = start_record(0x1f, FACTS);
