--- a/crates/platform/tests/access_log.rs
+++ b/crates/platform/tests/access_log.rs
@@ -64,7 +64,7 @@
             ],
         ),
         (
-            "again",
+            "retried",
             |harness| {
                 let (_, decode_conn) = harness.start_decode("x1", "ask");
                 harness.receive_text(decode_conn, &plain_response("500 Oops", "", ""));
@@ -74,7 +74,7 @@
             &["x1 served class 0", "Error after", "Served after"],
         ),
         (
-            "refused",
+            "shed",
             |harness| {
                 let client = harness.connect_client();
                 harness.receive_text(client, &request("x1", "ask", 10));
@@ -86,7 +86,7 @@
             ],
         ),
         (
-            "gone",
+            "disconnected",
             |harness| {
                 let client = harness.send_request("x1", "ask");
                 harness.step(Input::Ended { conn: client });
--- a/crates/platform/tests/bad_clients.rs
+++ b/crates/platform/tests/bad_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that send invalid, partial or excessive input receive an error or are closed in time, and other clients are not
-//! affected.
+//! Clients that send invalid, partial or excessive input receive an error or are closed in time, and other clients are
+//! not affected.
 mod common;
 
 use common::*;
@@ -7,56 +7,56 @@
 #[test]
 fn invalid_request_is_rejected_and_not_forwarded() {
     let valid = request("x1", "ask", 4800);
-    let replace = |from: &str, to: &str| valid.replace(from, to);
+    let replaced = |from: &str, to: &str| valid.replace(from, to);
     let table = [
         ("binary data", "\x00\x01\x02\x03\r\n\r\n".to_string()),
-        ("no id", replace("Req-Id: x1\r\n", "")),
+        ("no id", replaced("Req-Id: x1\r\n", "")),
         (
             "two ids",
-            replace("Req-Id: x1\r\n", "Req-Id: x1\r\nReq-Id: x2\r\n"),
+            replaced("Req-Id: x1\r\n", "Req-Id: x1\r\nReq-Id: x2\r\n"),
         ),
         (
             "an id with a path in it",
-            replace("Req-Id: x1", "Req-Id: ../../x"),
+            replaced("Req-Id: x1", "Req-Id: ../../x"),
         ),
         (
             "an overlong id",
-            replace("Req-Id: x1", &format!("Req-Id: {}", "x".repeat(300))),
+            replaced("Req-Id: x1", &format!("Req-Id: {}", "x".repeat(300))),
         ),
-        ("no class", replace("Req-Kind: ask\r\n", "")),
+        ("no class", replaced("Req-Kind: ask\r\n", "")),
         (
             "an unknown class",
-            replace("Req-Kind: ask", "Req-Kind: asks"),
+            replaced("Req-Kind: ask", "Req-Kind: asks"),
         ),
         (
             "a deadline that is no number",
-            replace("Ms: 4800", "Ms: soon"),
+            replaced("Ms: 4800", "Ms: soon"),
         ),
-        ("a negative deadline", replace("Ms: 4800", "Ms: -4800")),
+        ("a negative deadline", replaced("Ms: 4800", "Ms: -4800")),
         (
             "a huge deadline",
-            replace("Ms: 4800", "Ms: 99999999999999999999"),
+            replaced("Ms: 4800", "Ms: 99999999999999999999"),
         ),
         (
             "a length and a transfer coding",
-            replace("Req-Key", "Transfer-Encoding: chunked\r\nReq-Key"),
+            replaced("Req-Key", "Transfer-Encoding: chunked\r\nReq-Key"),
         ),
         (
             "an invalid length in Req-Extra",
-            replace("prompt_len=1200", "prompt_len=-5"),
+            replaced("prompt_len=1200", "prompt_len=-5"),
         ),
         (
             "another path",
-            replace("/v1/chat/completions", "/v1/endpoints"),
+            replaced("/v1/chat/completions", "/v1/endpoints"),
         ),
-        ("another method", replace("POST", "PUT")),
+        ("another method", replaced("POST", "PUT")),
         (
             "a huge length",
-            replace("Content-Length: 30", "Content-Length: 62914560"),
+            replaced("Content-Length: 30", "Content-Length: 62914560"),
         ),
         (
             "a bad chunk",
-            replace(
+            replaced(
                 "Content-Length: 30\r\n\r\n",
                 "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
             ),
@@ -125,7 +125,8 @@
     }
 }
 
-/// A client whose earlier requests were valid may send a further request slowly, but is disconnected if it stops within it.
+/// A client whose earlier requests were valid may send a further request slowly, but is disconnected if it stops within
+/// it.
 #[test]
 fn stopped_later_request_ends_within_three_seconds() {
     let valid = request("h2", "ask", 4800);
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -121,8 +121,8 @@
     pub stopped: bool,
     /// Whether the node has stopped listening.
     pub listener_closed: bool,
-    /// If set, the harness does not report `NotListening` by itself: clients are still waiting to be accepted, and the test
-    /// sends the report when none is left.
+    /// If set, the harness does not report `NotListening` by itself: clients are still waiting to be accepted, and the
+    /// test sends the report when none is left.
     pub delays_listener_close: bool,
     /// Addresses to which no connection is established.
     pub unreachable_addresses: BTreeSet<SocketAddr>,
@@ -340,7 +340,8 @@
         );
     }
 
-    /// Sends a request and completes its prefill. Returns the client connection and the connection to the decode server.
+    /// Sends a request and completes its prefill. Returns the client connection and the connection to the decode
+    /// server.
     pub fn start_decode(&mut self, id: &str, kind: &str) -> (ConnId, ConnId) {
         let client = self.send_request(id, kind);
         self.complete_prefill();
@@ -391,8 +392,8 @@
 }
 
 /// Decodes the body of a chunked response.
-pub fn decode_chunked(said: &str) -> String {
-    let mut rest = said.split_once("\r\n\r\n").map_or("", |s| s.1);
+pub fn decode_chunked(response: &str) -> String {
+    let mut rest = response.split_once("\r\n\r\n").map_or("", |s| s.1);
     let mut out = String::new();
     while let Some((size, after)) = rest.split_once("\r\n") {
         let n = usize::from_str_radix(size, 16).expect("the chunk size is valid");
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// An endpoint list in the configuration that is invalid or contradictory is ignored, and its error is reported; startup
-/// continues without it.
+/// An endpoint list in the configuration that is invalid or contradictory is ignored, and its error is reported;
+/// startup continues without it.
 #[test]
 fn invalid_known_list_is_left_out_with_its_cause() {
     let valid = config_json(256);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn load_report_fields_have_two_vocabularies() {
+fn load_report_fields_have_two_names() {
     let names = config().names;
     let expected = vec![0.61, 2.0, 0.3];
     assert_eq!(
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn invalid_discovery_line_says_why() {
+fn invalid_discovery_line_reports_cause() {
     let names = config().names;
     let valid = endpoint_list_json(
         3,
--- a/crates/platform/tests/descriptors.rs
+++ b/crates/platform/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! File descriptors run short while discovery is down: the watch, hosts and answers in hand still get theirs, and a
-//! newcomer is heard, whatever the clients are that fill the table.
+//! Tests for a shortage of file descriptors while discovery is down: the discovery watch, server connections and open
+//! responses keep their descriptors, and new clients are accepted, whichever kind of client fills the client table.
 mod common;
 
 use bitternlatch_platform::config::Config;
@@ -9,9 +9,11 @@
 use bitternlatch_platform::types::{ConnId, Input};
 use common::*;
 
-/// Standard streams, readiness queue, listener, peers, signals; the watch; clients that see their last answer.
+/// Descriptors for the standard streams, the poll instance, the listener, the peer socket and signals.
 const RESERVED_DESCRIPTORS: usize = 10;
+/// Descriptors for the discovery watch.
 const WATCH_CONNECTIONS: usize = 1;
+/// Descriptors for client connections that linger after their last response.
 const LINGERING_CONNECTIONS: usize = 16;
 
 const DISCOVERY: &str = "127.0.2.1:8500";
@@ -23,10 +25,10 @@
     }
 }
 
-/// A configuration of so many descriptors whose settings bound no requests in hand.
+/// A configuration with `sockets` descriptors whose settings do not limit the requests in flight.
 fn config_of(sockets: u32) -> Config {
     let text = config_json(sockets).replace(r#""mostHeld":100,"#, "");
-    Config::parse(&text).expect("the test's configuration")
+    Config::parse(&text).expect("the configuration of the test is valid")
 }
 
 #[test]
@@ -40,19 +42,19 @@
             + LINGERING_CONNECTIONS;
         assert!(
             all <= descriptors,
-            "{descriptors}: {connection_limits:?} make {all}"
+            "{descriptors}: {connection_limits:?} add up to {all}"
         );
         assert!(
             connection_limits.clients >= 8 && connection_limits.servers >= 4,
             "{descriptors}: {connection_limits:?}"
         );
-        // A request in hand holds a connection of either kind: some clients' places are left for newcomers.
+        // An open request uses one connection of each kind, so some client connections remain for new clients.
         assert!(
             connection_limits.servers < connection_limits.clients,
             "{descriptors}: {connection_limits:?}"
         );
     }
-    // Clients hold a third of the descriptors for requests at the most: there is a place and a host's for each.
+    // Server connections get at least a third of the descriptors, so that as many requests can have one.
     for descriptors in [256, 512, 1024] {
         let connection_limits = ConnectionLimits::of(&limits(descriptors));
         assert!(
@@ -63,7 +65,7 @@
     let four_servers = ConnectionLimits::of(&limits(0));
     assert!(
         four_servers.clients >= 8 && four_servers.servers >= 4,
-        "the fewest places are there however few descriptors are"
+        "the minimum applies however few descriptors there are"
     );
 }
 
@@ -71,24 +73,29 @@
 fn smaller_descriptor_limit_counts() {
     let table = [
         ("no limit", None, RESERVED_DESCRIPTORS, 256),
-        ("a lower one", Some(48), RESERVED_DESCRIPTORS, 48),
+        ("a lower limit", Some(48), RESERVED_DESCRIPTORS, 48),
         ("just below", Some(255), RESERVED_DESCRIPTORS, 255),
-        ("the same", Some(256), RESERVED_DESCRIPTORS, 256),
-        ("a higher one", Some(20_000), RESERVED_DESCRIPTORS, 256),
-        ("fewer of its own than may be", Some(256), 3, 256),
+        ("the same limit", Some(256), RESERVED_DESCRIPTORS, 256),
+        ("a higher limit", Some(20_000), RESERVED_DESCRIPTORS, 256),
+        ("fewer open descriptors than reserved", Some(256), 3, 256),
         (
-            "some handed to it",
+            "some inherited descriptors",
             Some(256),
             RESERVED_DESCRIPTORS + 100,
             156,
         ),
         (
-            "many handed to it, of more",
+            "many inherited descriptors of a higher limit",
             Some(1024),
             RESERVED_DESCRIPTORS + 300,
             256,
         ),
-        ("all handed to it", Some(256), 256 + RESERVED_DESCRIPTORS, 0),
+        (
+            "all descriptors inherited",
+            Some(256),
+            256 + RESERVED_DESCRIPTORS,
+            0,
+        ),
     ];
     for (name, allowed, open_descriptors, descriptors) in table {
         assert_eq!(
@@ -99,15 +106,16 @@
     }
 }
 
-/// What fills the table.
+/// Kind of the clients that fill the client table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ClientKind {
-    /// Has had an answer, and keeps its connection.
+    /// The client has received a response and keeps its connection open.
     Idle,
+    /// The client sends nothing.
     Silent,
-    /// Half a request.
+    /// The client has sent part of a request.
     PartialRequest,
-    /// A whole request, which its host does not answer.
+    /// The client has sent a complete request, which the server does not answer.
     OpenRequest,
 }
 
@@ -120,10 +128,10 @@
 
 const READY: &str = "GET /ready HTTP/1.1\r\n\r\n";
 
-fn connect_client_of_kind(harness: &mut Harness, clients: ClientKind, i: usize) -> ConnId {
+fn connect_client_of_kind(harness: &mut Harness, client_kind: ClientKind, i: usize) -> ConnId {
     let conn = harness.connect_client();
     let whole = request(&format!("q{i}"), "ask", 4800);
-    match clients {
+    match client_kind {
         ClientKind::Idle => harness.receive_text(conn, READY),
         ClientKind::Silent => {}
         ClientKind::PartialRequest => harness.receive_text(conn, &whole[..whole.len() - 4]),
@@ -132,7 +140,7 @@
     conn
 }
 
-/// A rig whose discovery takes the call and says nothing.
+/// A harness whose discovery accepts the watch and sends nothing.
 fn harness(sockets: u32) -> Harness {
     let mut harness = Harness::with_config(config_of(sockets));
     assert!(harness
@@ -171,8 +179,8 @@
 fn full_client_table_keeps_its_bound() {
     for sockets in [64, 256, 1024] {
         let connection_limits = ConnectionLimits::of(&limits(sockets as usize));
-        for clients in CLIENT_KINDS {
-            let name = format!("{sockets} {clients:?}");
+        for client_kind in CLIENT_KINDS {
+            let name = format!("{sockets} {client_kind:?}");
             let mut harness = harness(sockets);
             let (streaming_client, decode_conn) = harness.start_decode("good", "ask");
             harness.receive_text(
@@ -181,7 +189,7 @@
             );
             let watch_connects_before = watch_connects(&harness);
             for i in 0..2 * sockets as usize {
-                connect_client_of_kind(&mut harness, clients, i);
+                connect_client_of_kind(&mut harness, client_kind, i);
                 let resource_usage = harness.node.resource_usage();
                 assert!(
                     resource_usage.clients <= connection_limits.clients,
@@ -190,7 +198,7 @@
                 );
                 assert!(
                     resource_usage.server_connections <= connection_limits.servers,
-                    "{name}: {} connections to hosts",
+                    "{name}: {} connections to servers",
                     resource_usage.server_connections
                 );
                 assert!(
@@ -199,7 +207,7 @@
                     descriptors_in_use(&harness)
                 );
             }
-            // The front's call, and a request, among them.
+            // A readiness check of the load balancer and a request arrive while the table is full.
             let load_balancer = harness.connect_client();
             harness.receive_text(load_balancer, READY);
             assert_eq!(harness.status(load_balancer), "200", "{name}: /ready");
@@ -208,10 +216,10 @@
             let sent = harness.count_calls(Call::is_prefill) > prefill_calls;
             let shed = harness.status(new_client) == "503";
             assert!(
-                sent || shed && clients == ClientKind::OpenRequest,
-                "{name}: a request is neither sent on nor refused"
+                sent || shed && client_kind == ClientKind::OpenRequest,
+                "{name}: a request is neither forwarded nor shed"
             );
-            // Events in hand go out while the table is full; the stream's host still writes.
+            // Events of an open stream are forwarded while the table is full.
             finish_stream(&mut harness, decode_conn);
             assert_eq!(
                 decode_chunked(harness.client_output(streaming_client)),
@@ -221,7 +229,7 @@
             harness.advance(8.0);
             assert!(
                 watch_connects(&harness) > watch_connects_before,
-                "{name}: the watch is not begun anew"
+                "{name}: the watch is not restarted"
             );
         }
     }
@@ -245,8 +253,9 @@
             &endpoint_list_json(7, true, &four_servers),
             &endpoint_list_json(7, true, &all_servers),
         );
-        let mut harness =
-            Harness::with_config(Config::parse(&text).expect("the test's configuration"));
+        let mut harness = Harness::with_config(
+            Config::parse(&text).expect("the configuration of the test is valid"),
+        );
         let clients: Vec<_> = (0..2 * sockets as usize)
             .map(|i| connect_client_of_kind(&mut harness, ClientKind::OpenRequest, i))
             .collect();
@@ -258,7 +267,7 @@
         assert_eq!(
             (open, harness.node.resource_usage().server_connections),
             (used, used),
-            "{sockets}: all but those for releases are in use"
+            "{sockets}: not all connections but those for releases are in use"
         );
         let shed = clients
             .iter()
@@ -267,7 +276,7 @@
         assert_eq!(
             open + shed,
             clients.len(),
-            "{sockets}: the others are refused, not cut off"
+            "{sockets}: some of the other clients are not shed with a response"
         );
         let load_balancer = harness.connect_client();
         harness.receive_text(load_balancer, READY);
@@ -281,10 +290,10 @@
 
 #[test]
 fn discovery_returns_while_client_table_is_full() {
-    for clients in CLIENT_KINDS {
+    for client_kind in CLIENT_KINDS {
         let mut harness = harness(256);
         for i in 0..400 {
-            connect_client_of_kind(&mut harness, clients, i);
+            connect_client_of_kind(&mut harness, client_kind, i);
         }
         let before = watch_connects(&harness);
         while watch_connects(&harness) == before {
@@ -295,11 +304,11 @@
             .iter()
             .rev()
             .find(|c| c.1.to_string() == DISCOVERY)
-            .expect("a watch");
-        let hosts = servers();
+            .expect("the node connects to discovery");
+        let servers = servers();
         let draining = [endpoint_json(
-            hosts[0].0,
-            hosts[0].1,
+            servers[0].0,
+            servers[0].1,
             "reads",
             "terminating",
         )];
@@ -315,10 +324,15 @@
             .filter(|c| c.is_prefill())
             .map(|c| c.to)
             .collect();
-        assert!(!prefill_calls.is_empty(), "{clients:?}: nothing is sent on");
         assert!(
-            prefill_calls.iter().all(|to| to.to_string() != hosts[0].1),
-            "{clients:?}: the drain is not acted on"
+            !prefill_calls.is_empty(),
+            "{client_kind:?}: nothing is forwarded"
+        );
+        assert!(
+            prefill_calls
+                .iter()
+                .all(|to| to.to_string() != servers[0].1),
+            "{client_kind:?}: a draining server receives a prefill"
         );
     }
 }
@@ -328,7 +342,7 @@
     let mut harness = harness(64);
     let max_clients = ConnectionLimits::of(&limits(64)).clients;
     let partial = &request("h", "ask", 4800)[..60];
-    // One that has been answered before, and now sends its next request in pieces, before all others.
+    // This client was answered before and has sent part of its next request, earlier than all others.
     let earlier_client = harness.connect_client();
     harness.receive_text(earlier_client, READY);
     harness.receive_text(earlier_client, partial);
@@ -342,19 +356,19 @@
     assert_eq!(
         harness.node.resource_usage().clients,
         max_clients,
-        "the table is full of half requests"
+        "the table is not full of partial requests"
     );
     for i in 0..3 {
         let load_balancer = harness.connect_client();
         assert!(
             !harness.closed.contains(&load_balancer),
-            "newcomer {i} is not heard"
+            "new client {i} is not accepted"
         );
         harness.receive_text(load_balancer, &request(&format!("n{i}"), "ask", 4800));
         assert_eq!(
             harness.closed.iter().copied().collect::<Vec<_>>(),
             new_clients[..=i],
-            "the oldest goes first"
+            "the oldest client is not evicted first"
         );
     }
     assert!(!harness.closed.contains(&earlier_client));
@@ -375,7 +389,7 @@
     }
     assert!(
         !harness.closed.contains(&slow_client),
-        "its answer is whole at the node and not at the client"
+        "a client was evicted before its response was completely sent"
     );
     harness.step(Input::Wrote {
         conn: slow_client,
@@ -386,7 +400,7 @@
     }
     assert!(
         harness.closed.contains(&slow_client),
-        "once all is taken it is as idle as any"
+        "an idle client was not evicted after its response was sent"
     );
 }
 
@@ -411,7 +425,7 @@
         harness.node.resource_usage().clients,
         harness.node.resource_usage().server_connections,
     );
-    assert_eq!(clients, 1, "the busy one stays");
+    assert_eq!(clients, 1, "the client with an open request was evicted");
     assert_eq!(evicted.len(), 2, "{evicted:?}");
     assert!(
         evicted[0] == bitternlatch_platform::types::Command::Close { conn: silent },
@@ -425,7 +439,7 @@
     );
     assert!(
         !closed.is_empty() && harness.node.resource_usage().server_connections >= 1,
-        "the stream's stays"
+        "the connection of the stream was evicted"
     );
     finish_stream(&mut harness, stream_conn);
     assert_eq!(
--- a/crates/platform/tests/disconnects.rs
+++ b/crates/platform/tests/disconnects.rs
@@ -1,4 +1,5 @@
-//! A client that closed or cancelled has gone: no attempt begins for it any more, and what is held for it is let go of.
+//! Client disconnects: no attempt starts for a client that has disconnected, and the KV cache state held for it is
+//! released.
 mod common;
 
 use std::net::SocketAddr;
@@ -8,19 +9,19 @@
 use bitternlatch_platform::types::{ConnId, Input};
 use common::*;
 
-/// A node whose settings let it cancel attempts, or not.
+/// A node whose settings allow it to cancel attempts, or not.
 fn harness(cancel: bool) -> Harness {
-    rig_with_connect_timeout(cancel, 0.25)
+    harness_with_connect_timeout(cancel, 0.25)
 }
 
-/// The same, with a time for connections to come up, seconds.
-fn rig_with_connect_timeout(cancel: bool, connect_timeout_secs: f64) -> Harness {
+/// A node with the given cancellation setting and connect timeout, in seconds.
+fn harness_with_connect_timeout(cancel: bool, connect_timeout_secs: f64) -> Harness {
     let text = config_json(256).replace(r#""cancel":true"#, &format!(r#""cancel":{cancel}"#));
     let text = text.replace(
         r#""connectTimeoutS":0.25"#,
         &format!(r#""connectTimeoutS":{connect_timeout_secs}"#),
     );
-    Harness::with_config(Config::parse(&text).expect("the test's configuration"))
+    Harness::with_config(Config::parse(&text).expect("the configuration of the test is valid"))
 }
 
 fn is_post(call: &Call) -> bool {
@@ -28,25 +29,25 @@
 }
 
 fn prefill_servers() -> [SocketAddr; 2] {
-    ["127.0.1.1:80", "127.0.1.2:80"].map(|a| a.parse().expect("an address"))
+    ["127.0.1.1:80", "127.0.1.2:80"].map(|a| a.parse().expect("the address is valid"))
 }
 
 fn decode_servers() -> [SocketAddr; 2] {
-    ["127.0.1.3:80", "127.0.1.4:80"].map(|a| a.parse().expect("an address"))
+    ["127.0.1.3:80", "127.0.1.4:80"].map(|a| a.parse().expect("the address is valid"))
 }
 
 fn declined() -> String {
     plain_response("503 Service Unavailable", "Srv-Declined: 1\r\n", "")
 }
 
-/// A host says something on a connection that the node has not closed.
+/// Delivers text from a server if the node has not closed the connection.
 fn receive_if_open(harness: &mut Harness, conn: ConnId, text: &str) {
     if !harness.closed.contains(&conn) {
         harness.receive_text(conn, text);
     }
 }
 
-/// Every connection that waits to come up does, if it is still wanted.
+/// Establishes every pending connection that the node has not closed.
 fn establish_all_connections(harness: &mut Harness) {
     let connects = harness.connects.clone();
     for (conn, to) in connects {
@@ -57,13 +58,14 @@
     harness.unreachable_addresses.clear();
 }
 
-/// Every host that still has a request does something with it.
+/// Every server that still has a request sends `text` as its response.
 fn all_servers_respond(harness: &mut Harness, text: &str) {
     for call in harness.calls.clone().iter().filter(|c| is_post(c)) {
         receive_if_open(harness, call.conn, text);
     }
 }
 
+/// Every server that still has a request closes its connection.
 fn all_servers_disconnect(harness: &mut Harness) {
     for call in harness.calls.clone().iter().filter(|c| is_post(c)) {
         if !harness.closed.contains(&call.conn) {
@@ -72,13 +74,14 @@
     }
 }
 
+/// A state of the request in which its client disconnects.
 struct Case {
     name: &'static str,
-    /// Brings the node to where the client goes; gives the client.
+    /// Brings the request into the state in which its client disconnects. Returns the client connection.
     before: fn(&mut Harness) -> ConnId,
-    /// What happens once it has gone.
+    /// Runs after the client has disconnected.
     after: fn(&mut Harness),
-    /// Whether a reader may hold a state then, with leave to cancel and without.
+    /// Whether a prefill server may hold KV cache state at that point, with cancellation allowed and without.
     expects_release: [bool; 2],
 }
 
@@ -86,13 +89,17 @@
     harness.answers_health_checks = false;
     let client = harness.connect_client();
     harness.receive_text(client, &request("g", "ask", 4800));
-    assert_eq!(harness.count_calls(is_post), 0, "it waits for a place");
+    assert_eq!(
+        harness.count_calls(is_post),
+        0,
+        "the request was sent before the health checks were answered"
+    );
     client
 }
 
 fn timer_due_at_disconnect(harness: &mut Harness) -> ConnId {
     let client = waiting_for_health_checks(harness);
-    // Nobody has looked at the clock meanwhile.
+    // The clock advances past the due timers without running them.
     harness.now = harness.now.after(0.05);
     client
 }
@@ -105,7 +112,7 @@
     harness.start_decode("g", "ask").0
 }
 
-/// Both writers have declined: the state waits at its reader until one can be asked again.
+/// Both decode servers have declined: the KV cache state stays at its prefill server until a retry is due.
 fn between_prefill_and_decode(harness: &mut Harness) -> ConnId {
     let (client, decode_conn) = harness.start_decode("g", "ask");
     harness.receive_text(decode_conn, &declined());
@@ -177,115 +184,115 @@
         |harness| all_servers_respond(harness, &plain_response("500 Oops", "", ""));
     let table = [
         Case {
-            name: "probes out",
+            name: "health checks in flight",
             before: waiting_for_health_checks,
             after: no_response,
             expects_release: [false; 2],
         },
         Case {
-            name: "its time due with its end",
+            name: "timer due at the disconnect",
             before: timer_due_at_disconnect,
             after: no_response,
             expects_release: [false; 2],
         },
         Case {
-            name: "at a reader that reads",
+            name: "prefill completes",
             before: start_prefill,
             after: prefill,
             expects_release: [true; 2],
         },
         Case {
-            name: "at a reader that declines",
+            name: "prefill declined",
             before: start_prefill,
             after: decline,
             expects_release: [true, false],
         },
         Case {
-            name: "at a reader that fails",
+            name: "prefill failed",
             before: start_prefill,
             after: fail,
             expects_release: [true, false],
         },
         Case {
-            name: "at a reader that breaks",
+            name: "prefill connection lost",
             before: start_prefill,
             after: all_servers_disconnect,
             expects_release: [true; 2],
         },
         Case {
-            name: "at a silent reader",
+            name: "prefill unanswered",
             before: start_prefill,
             after: no_response,
             expects_release: [true; 2],
         },
         Case {
-            name: "held",
+            name: "state held",
             before: between_prefill_and_decode,
             after: no_response,
             expects_release: [true; 2],
         },
         Case {
-            name: "held, its time due with its end",
+            name: "state held, timer due at the disconnect",
             before: held_with_timer_due,
             after: no_response,
             expects_release: [true; 2],
         },
         Case {
-            name: "at a writer that declines",
+            name: "decode declined",
             before: start_decode,
             after: decline,
             expects_release: [true; 2],
         },
         Case {
-            name: "at a writer that fails",
+            name: "decode failed",
             before: start_decode,
             after: fail,
             expects_release: [true; 2],
         },
         Case {
-            name: "at a writer that breaks",
+            name: "decode connection lost",
             before: start_decode,
             after: all_servers_disconnect,
             expects_release: [true; 2],
         },
         Case {
-            name: "at a silent writer",
+            name: "decode unanswered",
             before: start_decode,
             after: no_response,
             expects_release: [true; 2],
         },
         Case {
-            name: "a reader comes up",
+            name: "prefill server connects",
             before: connecting_to_prefill_server,
             after: establish_all_connections,
             expects_release: [false; 2],
         },
         Case {
-            name: "a reader never comes up",
+            name: "prefill server never connects",
             before: connecting_to_prefill_server,
             after: no_response,
             expects_release: [false; 2],
         },
         Case {
-            name: "a writer comes up",
+            name: "decode server connects",
             before: connecting_to_decode_server,
             after: establish_all_connections,
             expects_release: [true; 2],
         },
         Case {
-            name: "a writer never comes up",
+            name: "decode server never connects",
             before: connecting_to_decode_server,
             after: no_response,
             expects_release: [true; 2],
         },
         Case {
-            name: "more sent ahead",
+            name: "a pipelined request",
             before: pipelined,
             after: prefill,
             expects_release: [true; 2],
         },
         Case {
-            name: "much sent ahead",
+            name: "excess pipelined bytes",
             before: excessively_pipelined,
             after: prefill,
             expects_release: [true; 2],
@@ -338,7 +345,7 @@
     }
     assert!(
         failures.is_empty(),
-        "sent at once, later, released, left, gone, told:\n{}",
+        "sent at once, sent later, released, resources in use, disconnected, sent to the client:\n{}",
         failures.join("\n")
     );
 }
@@ -363,7 +370,8 @@
     }
 }
 
-/// An attempt begins with its last byte. Until then it is taken back, whether or not the settings allow to cancel.
+/// An attempt counts as started once its last byte is sent. Until then it is withdrawn, whether or not the settings
+/// allow cancellation.
 #[test]
 fn unsent_request_on_idle_connection_is_cancelled() {
     for cancel in [true, false] {
@@ -387,12 +395,12 @@
         let call = harness.last_call(Call::is_prefill);
         assert!(
             call.text.contains("Req-Id: g\r\n") && prefill_connects(&harness) == before,
-            "on a kept connection"
+            "the request did not reuse an idle connection"
         );
         harness.step(Input::Ended { conn: client });
         assert!(
             harness.closed.contains(&call.conn),
-            "cancel {cancel}: what is left of it stays unsent"
+            "cancel {cancel}: the rest of the request may still be sent"
         );
         let posts = harness.count_calls(is_post);
         harness.advance(10.0);
@@ -400,16 +408,16 @@
         assert_eq!(
             harness.count_calls(|c| c.request_line().starts_with("DELETE")),
             0,
-            "it never ran"
+            "a release was sent for a request that never ran"
         );
     }
 }
 
-/// The same where the module has answered while a connection comes up: nobody waits for what would come of it.
+/// A request that the decision module has already answered is not written when its connection is established.
 #[test]
 fn answered_request_is_not_written_after_connect() {
     for cancel in [true, false] {
-        let mut harness = rig_with_connect_timeout(cancel, 5.0);
+        let mut harness = harness_with_connect_timeout(cancel, 5.0);
         harness.answers_health_checks = false;
         harness.unreachable_addresses.extend(prefill_servers());
         let client = harness.connect_client();
@@ -423,16 +431,18 @@
     }
 }
 
-/// Where all connections to hosts are in use, a release has one of its own, and further calls wait for one.
+/// When all server connections are in use, a release uses one that is reserved for releases, and further release calls
+/// wait for a free connection.
 #[test]
 fn state_is_released_though_no_connection_was_free() {
     let text = config_json(64).replace(r#""cancel":true"#, r#""cancel":false"#);
-    let mut harness = Harness::with_config(Config::parse(&text).expect("the test's configuration"));
+    let mut harness =
+        Harness::with_config(Config::parse(&text).expect("the configuration of the test is valid"));
     let client = between_prefill_and_decode(&mut harness);
     let release_calls = |harness: &Harness| {
         harness.count_calls(|c| c.request_line() == "DELETE /bootstrap/rooms/g HTTP/1.1")
     };
-    // Others are read at silent readers, until no connection is left.
+    // Other requests occupy prefill servers that do not answer, until no connection is left.
     let others: Vec<ConnId> = (0..12).map(|_| harness.connect_client()).collect();
     for (i, other) in others.iter().enumerate() {
         harness.receive_text(*other, &request(&format!("o{i}"), "ask", 4800));
@@ -443,13 +453,13 @@
     assert_eq!(
         harness.node.resource_usage().server_connections,
         10,
-        "all that attempts may use"
+        "not all connections for attempts are in use"
     );
     harness.step(Input::Ended { conn: client });
     assert_eq!(
         release_calls(&harness),
         1,
-        "on the one that is kept free for it"
+        "the release did not use the reserved connection"
     );
     harness.advance(0.06);
     assert_eq!(
@@ -458,17 +468,23 @@
             harness.node.resource_usage().server_connections
         ),
         (1, 11),
-        "there is no way out for a second call"
+        "a second release call found a connection"
     );
-    // A connection comes free whose own client has gone, so that no attempt takes its place.
+    // A connection becomes free whose client has disconnected, so that no retry uses it.
     let prefill = harness.last_call(Call::is_prefill);
-    let asks = |i: &usize| prefill.text.contains(&format!("Req-Id: o{i}\r\n"));
-    let other = (0..others.len()).find(asks).expect("one of the others");
+    let is_request_of_call = |i: &usize| prefill.text.contains(&format!("Req-Id: o{i}\r\n"));
+    let other = (0..others.len())
+        .find(is_request_of_call)
+        .expect("the call belongs to one of the requests");
     harness.step(Input::Ended {
         conn: others[other],
     });
     harness.receive_text(prefill.conn, &plain_response("500 Oops", "", ""));
-    assert_eq!(release_calls(&harness), 2, "at once");
+    assert_eq!(
+        release_calls(&harness),
+        2,
+        "no second release call when a connection became free"
+    );
     harness.advance(RELEASE_TIMEOUT_SECS + MAX_RELEASE_ROUND_SECS);
     let resource_usage = harness.node.resource_usage();
     assert_eq!(
@@ -482,8 +498,8 @@
     );
 }
 
-/// What comes past the bound is read, as the client's end stands behind it, and dropped; a request behind the gap
-/// cannot be read, and one before it is served.
+/// Pipelined bytes beyond the limit are read and dropped, so that the end of the connection behind them is noticed.
+/// Requests before the dropped bytes are served, and later ones are not read.
 #[test]
 fn pipelined_bytes_past_bound_end_connection() {
     let mut harness = Harness::new();
@@ -491,7 +507,10 @@
     for _ in 0..100 {
         harness.receive_text(client, &"x".repeat(30_000));
     }
-    assert!(!harness.paused.contains(&client), "its end is still heard");
+    assert!(
+        !harness.paused.contains(&client),
+        "reading is paused, so the end of the connection goes unnoticed"
+    );
     for id in ["g", "g2"] {
         assert!(harness
             .last_call(Call::is_prefill)
@@ -508,7 +527,7 @@
     assert_eq!(harness.node.counts().served, 2);
     assert!(
         harness.client_output(client).contains("HTTP/1.1 413"),
-        "what follows is told to be too much"
+        "the dropped bytes were not rejected"
     );
     assert!(harness.finished.contains(&client));
     assert_eq!(harness.count_calls(is_post), 4);
@@ -528,11 +547,11 @@
     assert_eq!(
         harness.node.counts().disconnected,
         1,
-        "an end that is known all the same counts"
+        "a disconnect while reading is paused was not counted"
     );
 }
 
-/// A timer that is due when it is told that a request has left whole must not take it for unsent.
+/// A timer that is due at the moment when a request is reported as completely sent must not treat it as unsent.
 #[test]
 fn sent_request_may_have_run_after_timeout() {
     for cancel in [true, false] {
@@ -550,13 +569,13 @@
             harness.count_calls(|c| c.request_line() == "DELETE /bootstrap/rooms/g HTTP/1.1");
         assert_eq!(
             release_calls, 1,
-            "cancel {cancel}: the reader may hold its state"
+            "cancel {cancel}: no release, although the prefill server may hold state"
         );
     }
 }
 
-/// A client's close and the first event of its stream in one turn, in either order: nothing further begins, its host's
-/// connection ends, and nothing stays in hand.
+/// A client disconnects in the same iteration in which the first event of its stream arrives, in either order: no
+/// further attempt starts, the server connection is closed, and no request stays open.
 #[test]
 fn close_crossing_first_event_ends_stream() {
     for close_first in [true, false] {
@@ -574,7 +593,7 @@
         harness.advance(2.0);
         assert!(
             harness.closed.contains(&decode_conn),
-            "close first {close_first}: nobody reads it"
+            "close first {close_first}: the server connection stays open"
         );
         assert_eq!(harness.count_calls(is_post), posts);
         assert_eq!(harness.node.resource_usage().requests, 0);
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch, stop and reload.
+//! Tests for the discovery watch, for shutdown and for configuration reload.
 mod common;
 
 use bitternlatch_platform::config::Config;
@@ -8,13 +8,13 @@
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 fn watch_conn(harness: &Harness) -> ConnId {
-    let to = "127.0.2.1:8500".parse().expect("an address");
+    let to = "127.0.2.1:8500".parse().expect("the address is valid");
     harness
         .connects
         .iter()
         .rev()
         .find(|c| c.1 == to)
-        .expect("a watch")
+        .expect("the node connects to discovery")
         .0
 }
 
@@ -31,7 +31,7 @@
     harness.receive_text(conn, &chunk(&format!("{text}\n")));
 }
 
-/// Where a new request's read goes.
+/// Sends a new request and returns the address of its prefill server, or `None` if the request is not forwarded.
 fn prefill_address(harness: &mut Harness, id: &str) -> Option<String> {
     let is_request = |c: &Call| c.request_line().starts_with("POST");
     let before = harness.count_calls(is_request);
@@ -81,10 +81,10 @@
             )],
         ),
     );
-    let to = prefill_address(&mut harness, "b").expect("the writer reads");
+    let to = prefill_address(&mut harness, "b").expect("the decode server takes the prefill");
     assert_eq!(
         to, "127.0.1.3:80",
-        "what a whole list does not name is gone"
+        "a server that a complete list omits was used"
     );
 }
 
@@ -130,7 +130,7 @@
             .all(|c| c.request_line().contains("from=7")));
         assert!(
             prefill_address(&mut harness, "a").is_some(),
-            "the list stays"
+            "the endpoint list was lost"
         );
     }
 }
@@ -156,10 +156,14 @@
         harness.advance(2.0);
         send_line(&mut harness, "");
     }
-    assert_eq!(watch_calls(&harness), 1, "empty lines keep it open");
+    assert_eq!(
+        watch_calls(&harness),
+        1,
+        "the watch was restarted despite keep-alive lines"
+    );
     harness
         .unreachable_addresses
-        .insert("127.0.2.1:8500".parse().expect("an address"));
+        .insert("127.0.2.1:8500".parse().expect("the address is valid"));
     harness.advance(5.5);
     assert!(harness.closed.contains(&conn));
     let before = harness.connects.len();
@@ -167,7 +171,7 @@
     let connects = harness.connects.len() - before;
     assert!(
         (5..=30).contains(&connects),
-        "{connects} calls in a minute without an answer"
+        "{connects} connects in a minute without a response"
     );
 }
 
@@ -177,8 +181,11 @@
     let (client, decode_conn) = harness.start_decode("k1", "ask");
     let old = watch_conn(&harness);
     let moved = config_json(256).replace("127.0.2.1:8500", "127.0.2.7:8500");
-    harness.reload(Config::parse(&moved).expect("good"));
-    let (conn, to) = *harness.connects.last().expect("a call");
+    harness.reload(Config::parse(&moved).expect("the configuration is valid"));
+    let (conn, to) = *harness
+        .connects
+        .last()
+        .expect("the node connects to discovery");
     assert_eq!(to.to_string(), "127.0.2.7:8500");
     assert!(harness.closed.contains(&old) && harness.calls.iter().any(|c| c.conn == conn));
     harness.receive_text(
@@ -191,11 +198,11 @@
     );
     assert!(prefill_address(&mut harness, "k2").is_some());
     let connects = harness.connects.iter().filter(|c| c.1 == to).count();
-    harness.reload(Config::parse(&moved).expect("good"));
+    harness.reload(Config::parse(&moved).expect("the configuration is valid"));
     assert_eq!(
         harness.connects.iter().filter(|c| c.1 == to).count(),
         connects,
-        "the same address again is no change"
+        "the watch was restarted although the address did not change"
     );
 }
 
@@ -208,7 +215,8 @@
     };
     assert_eq!(ready(&mut Harness::new()), "200");
     let without = config_json(256).replace(r#""known":"#, r#""once_known":"#);
-    let mut harness = Harness::with_config(Config::parse(&without).expect("good"));
+    let mut harness =
+        Harness::with_config(Config::parse(&without).expect("the configuration is valid"));
     assert_eq!(ready(&mut harness), "503");
     let conn = watch_conn(&harness);
     harness.receive_text(conn, HEAD);
@@ -237,7 +245,7 @@
     harness.advance(0.4);
     assert!(
         harness.listener_closed && harness.finished.contains(&idle),
-        "idle connections end with the listener"
+        "idle connections stay open after the listener closed"
     );
     assert!(
         !harness.finished.contains(&client)
@@ -275,7 +283,7 @@
     harness.advance(2.8);
     assert!(
         !harness.finished.contains(&client),
-        "what ends by itself may"
+        "the stream was ended too early"
     );
     harness.receive_text(decode_conn, &chunk(&stream_event("two")));
     harness.advance(0.2);
@@ -286,9 +294,9 @@
     );
     assert!(
         !harness.client_output(client).ends_with("0\r\n\r\n"),
-        "it does not look whole"
+        "a stream cut at shutdown looks complete"
     );
-    assert!(harness.stopped, "before the kill");
+    assert!(harness.stopped, "the node did not stop before the kill");
 }
 
 #[test]
@@ -301,10 +309,18 @@
     harness.advance(1.0);
     harness.receive_text(client, &text[60..]);
     harness.advance(2.0);
-    assert_eq!(harness.count_calls(Call::is_prefill), 1, "it is taken");
+    assert_eq!(
+        harness.count_calls(Call::is_prefill),
+        1,
+        "the request was not forwarded"
+    );
     assert_eq!(harness.client_output(client), "");
     harness.advance(0.45);
-    assert_eq!(harness.status(client), "504", "no reader has answered it");
+    assert_eq!(
+        harness.status(client),
+        "504",
+        "the request was not failed although no prefill server answered"
+    );
 }
 
 #[test]
@@ -313,7 +329,7 @@
     harness.node.take_trace();
     for from in ["127.0.3.2:7946", "127.0.3.1:7946", "127.0.9.9:7946"] {
         harness.step(Input::Datagram {
-            from: from.parse().expect("an address"),
+            from: from.parse().expect("the address is valid"),
             data: b"x",
         });
     }
--- a/crates/platform/tests/discovery_faults.rs
+++ b/crates/platform/tests/discovery_faults.rs
@@ -1,5 +1,5 @@
-//! Told by discovery: whatever call failed before, a change is acted on inside 6 s of discovery having it and being
-//! reachable; and many nodes that lose their watch at once do not call again in step.
+//! Discovery faults: whatever call failed before, a change of the endpoint list is acted on within 6 s after discovery
+//! has it and is reachable. Many nodes that lose their watch at once do not reconnect in step.
 mod common;
 
 use std::collections::BTreeMap;
@@ -11,31 +11,36 @@
 use common::*;
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// A change counts as told so long after discovery had it and could be reached, seconds.
+/// Longest time until a change is acted on, in seconds from when discovery has it and is reachable.
 const MAX_NOTIFICATION_SECS: f64 = 6.0;
-/// When the fault begins, seconds after the start: between two empty lines.
+/// Start of the fault, in seconds after the start of the test: between two keep-alive lines.
 const FAULT_START_SECS: f64 = 4.7;
+/// Address of discovery at the start.
 const OLD_ADDRESS: &str = "127.0.2.1:8500";
+/// Address of discovery after a reload.
 const NEW_ADDRESS: &str = "127.0.2.7:8500";
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// Nobody listens.
+    /// Connections are refused.
     Refused,
-    /// Connections come up and nothing is said.
+    /// Connections are established, and no bytes are sent.
     Silent,
+    /// Connections are never established.
     ConnectTimeout,
     /// The list stops in the middle of a line.
     HalfLine,
-    /// The list stops in the middle of a line, and empty lines go on.
+    /// The list stops in the middle of a line, and keep-alive lines continue.
     HalfLineKeptAlive,
-    /// A line goes on byte by byte without end.
+    /// A line is sent byte by byte without end.
     TrickledLine,
-    /// So does a head.
+    /// The response head is sent byte by byte without end.
     TrickledResponseHead,
+    /// Every call is answered with status 500.
     Error500,
-    /// The answer ends in order right after its head.
+    /// The response ends regularly right after its head.
     EndedAfterHead,
+    /// A line is not valid JSON.
     Unreadable,
 }
 
@@ -52,19 +57,21 @@
     Fault::Unreadable,
 ];
 
-/// One address of discovery; the fault is there from one time until another, seconds after the start, and before it
-/// calls may be refused, so that the back-off has grown.
+/// One scripted address of discovery.
 #[derive(Clone, Copy, Debug)]
 struct DiscoveryServer {
     at: &'static str,
     fault: Fault,
+    /// Start and end of the fault, in seconds after the start of the test.
     fault_window: (f64, f64),
+    /// Connections are refused from this time until the fault starts, so that the backoff has grown by then; in seconds
+    /// after the start of the test.
     refused_from: f64,
 }
 
 impl DiscoveryServer {
     fn address(&self) -> SocketAddr {
-        self.at.parse().expect("an address")
+        self.at.parse().expect("the address is valid")
     }
 
     fn new(at: &'static str, fault: Fault, fault_window: (f64, f64)) -> DiscoveryServer {
@@ -84,29 +91,29 @@
     }
 }
 
-/// One connection of the watch, as its place sees it.
+/// One watch connection, as discovery sees it.
 #[derive(Clone, Copy, Debug)]
 struct WatchConnection {
     server: usize,
     watch_requested: bool,
-    /// It took the fault on and keeps it, also once its place is well.
+    /// The fault that affects this connection. It persists after the server has recovered.
     fault: Option<Fault>,
     is_notified: bool,
     next_at: f64,
 }
 
-/// A node before scripted discovery.
+/// A node connected to scripted discovery servers.
 struct DiscoveryHarness {
     harness: Harness,
     servers: Vec<DiscoveryServer>,
     change_at: f64,
     connections: BTreeMap<ConnId, WatchConnection>,
     processed: (usize, usize),
-    /// Times of calls, seconds after the start.
+    /// Times of the connects to discovery, in seconds after the start of the test.
     connect_times: Vec<f64>,
 }
 
-/// A drain and a new host in one change.
+/// A change line that drains one server and adds another.
 fn change_line() -> String {
     let old = endpoint_json("h-r1", "127.0.1.1:80", "reads", "terminating");
     endpoint_list_json(
@@ -123,7 +130,9 @@
     fn new(seed: u64, servers: &[DiscoveryServer], change_at: f64) -> DiscoveryHarness {
         let text = config_json(256).replace("\"seed\":\"1f\"", &format!("\"seed\":\"{seed:x}\""));
         DiscoveryHarness {
-            harness: Harness::with_config(Config::parse(&text).expect("good")),
+            harness: Harness::with_config(
+                Config::parse(&text).expect("the configuration is valid"),
+            ),
             servers: servers.to_vec(),
             change_at,
             connections: BTreeMap::new(),
@@ -136,7 +145,7 @@
         self.harness.now.since(START)
     }
 
-    /// On to the next timer, 50 ms at the most.
+    /// Advances the clock to the next timer of the node, by 50 ms at most.
     fn advance_to_next_timer(&mut self) {
         let t = self.time();
         for server in &self.servers {
@@ -198,9 +207,9 @@
                         | Fault::ConnectTimeout,
                     ) => {}
                     Some(Fault::Error500) => {
-                        let answer =
+                        let response =
                             "HTTP/1.1 500 No\r\nRetry-After: 3600\r\nContent-Length: 0\r\n\r\n";
-                        self.harness.receive_text(call.conn, answer);
+                        self.harness.receive_text(call.conn, response);
                     }
                     _ => self.harness.receive_text(call.conn, HEAD),
                 }
@@ -219,7 +228,7 @@
         self.harness.step(Input::Ended { conn });
     }
 
-    /// What a connection says at the fault's begin.
+    /// Sends what a connection sends when the fault starts, and marks the connection as affected.
     fn start_fault(&mut self, conn: ConnId, fault: Fault) {
         if let Some(open) = self.connections.get_mut(&conn) {
             (open.fault, open.next_at) = (Some(fault), self.harness.now.since(START));
@@ -297,7 +306,7 @@
         self.harness.node.resource_usage().servers == 5
     }
 
-    /// Goes on until the change is acted on; gives the time, or `None` past the limit.
+    /// Runs until the node has applied the change. Returns the time in seconds after the start, or `None` past `limit`.
     fn run_until_notified(&mut self, limit: f64) -> Option<f64> {
         while !self.is_notified() {
             if self.time() > limit {
@@ -311,10 +320,10 @@
     fn reload(&mut self, to: &str) {
         let new_config = config_json(256).replace(OLD_ADDRESS, to);
         self.harness
-            .reload(Config::parse(&new_config).expect("good"));
+            .reload(Config::parse(&new_config).expect("the configuration is valid"));
     }
 
-    /// Requests go to what the change left, and not to the host that drains.
+    /// Checks that requests are forwarded, and not to the draining server.
     fn assert_prefills_avoid_draining_server(&mut self, case: &str) {
         for i in 0..4 {
             let is_request = |c: &Call| c.request_line().starts_with("POST");
@@ -322,7 +331,7 @@
             self.harness.send_request(&format!("z{i}"), "ask");
             assert!(
                 self.harness.count_calls(is_request) > requests_before,
-                "{case}: a request goes out"
+                "{case}: a request is not forwarded"
             );
             let to = self.harness.last_call(is_request).to.to_string();
             assert_ne!(to, "127.0.1.1:80", "{case}");
@@ -330,13 +339,13 @@
     }
 }
 
-/// From `from` to `to` in tenths of a second.
+/// Times from `from` to `to` in steps of 0.1 s.
 fn tenths(from: f64, to: f64) -> impl Iterator<Item = f64> {
     let n = ((to - from) * 10.0).round() as u32;
     (0..=n).map(move |i| from + f64::from(i) / 10.0)
 }
 
-/// The longest of several waits, with its case.
+/// The longest of several delays, in seconds, and its case.
 #[derive(Default)]
 struct LongestDelay(f64, String);
 
@@ -360,7 +369,7 @@
                     DiscoveryServer::new(OLD_ADDRESS, fault, (FAULT_START_SECS, recovers_at));
                 let seed = (change_at * 10.0).round() as u64 + 1;
                 let mut discovery = DiscoveryHarness::new(seed, &[server], change_at);
-                // While it is well discovery tells at once; from the fault on it counts from its return.
+                // The time counts from the change if discovery works at that time, and otherwise from its recovery.
                 let available_at = if change_at < FAULT_START_SECS {
                     change_at
                 } else {
@@ -376,7 +385,7 @@
                 }
             }
         }
-        println!("{:.2} s at the most: {}", longest.0, longest.1);
+        println!("{:.2} s at most: {}", longest.0, longest.1);
         if longest.0 >= MAX_NOTIFICATION_SECS {
             failures.push(format!("{:.2} s: {}", longest.0, longest.1));
         }
@@ -407,7 +416,7 @@
                 );
             }
         }
-        println!("{:.2} s at the most: {}", longest.0, longest.1);
+        println!("{:.2} s at most: {}", longest.0, longest.1);
         if longest.0 >= MAX_NOTIFICATION_SECS {
             failures.push(format!("{:.2} s: {}", longest.0, longest.1));
         }
@@ -445,7 +454,7 @@
                 }
             }
         }
-        println!("{:.2} s at the most: {}", longest.0, longest.1);
+        println!("{:.2} s at most: {}", longest.0, longest.1);
         if longest.0 >= MAX_NOTIFICATION_SECS {
             failures.push(format!("{:.2} s: {}", longest.0, longest.1));
         }
@@ -453,7 +462,7 @@
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-/// The most of these times that lie within `window` seconds.
+/// Largest number of these times that lie within `window` seconds.
 fn max_within(times: &[f64], window: f64) -> usize {
     let mut times = times.to_vec();
     times.sort_by(f64::total_cmp);
@@ -465,6 +474,7 @@
         .unwrap_or(0)
 }
 
+/// Difference between the first and the last of these times, in seconds.
 fn spread(times: &[f64]) -> f64 {
     let ends = times
         .iter()
@@ -485,7 +495,7 @@
         for seed in 1..=300 {
             let server = DiscoveryServer::new(OLD_ADDRESS, fault, (FAULT_START_SECS, 1e9));
             let mut discovery = DiscoveryHarness::new(seed, &[server], 1e9);
-            // The first some are watched for longer, for their calls in a minute.
+            // The first 20 nodes run for a full minute, so that their connects per minute can be counted.
             let calls = |discovery: &DiscoveryHarness| {
                 discovery
                     .connect_times
@@ -514,11 +524,11 @@
                         .count()
                 })
                 .max();
-            // From one call's begin to the next it is half a second at least once the back-off has grown.
+            // Once the backoff has grown, consecutive connects are at least half a second apart.
             let bounds = if runs_full_minute { 12..=125 } else { 8..=125 };
             assert!(
                 max_per_minute.is_some_and(|n| bounds.contains(&n)),
-                "{fault:?}: {max_per_minute:?} calls in a minute"
+                "{fault:?}: {max_per_minute:?} connects in a minute"
             );
             after.truncate(8);
             assert_eq!(after.len(), 8, "{fault:?}");
@@ -527,7 +537,7 @@
         let nth_connect = |n: usize| connect_times.iter().map(|d| d[n]).collect::<Vec<_>>();
         let (first, eighth) = (nth_connect(0), nth_connect(7));
         println!(
-            "{fault:?}: first calls spread over {:.3} s, at the most {} of 300 in 10 ms; eighth over {:.3} s, {} in 50 ms",
+            "{fault:?}: first connects spread over {:.3} s, at most {} of 300 in 10 ms; eighth over {:.3} s, {} in 50 ms",
             spread(&first),
             max_within(&first, 0.01),
             spread(&eighth),
@@ -545,7 +555,8 @@
     let connect_times = |text: &str| {
         let server = DiscoveryServer::new(OLD_ADDRESS, Fault::Refused, (0.0, 1e9));
         let mut discovery = DiscoveryHarness::new(7, &[server], 1e9);
-        discovery.harness = Harness::with_config(Config::parse(text).expect("good"));
+        discovery.harness =
+            Harness::with_config(Config::parse(text).expect("the configuration is valid"));
         while discovery.time() < 10.0 {
             discovery.advance_to_next_timer();
         }
--- a/crates/platform/tests/http1.rs
+++ b/crates/platform/tests/http1.rs
@@ -1,11 +1,12 @@
-//! Bytes in and bytes out of the codec, cut at every byte.
+//! HTTP/1 codec tests, with the input split at every byte.
 use bitternlatch_platform::event_stream::EventStream;
 use bitternlatch_platform::http1::{
     chunk, request_head, response_head, Body, Framing, HttpError, LAST_CHUNK, MAX_HEAD_BYTES,
 };
 use bitternlatch_platform::responses::{BodyProgress, ResponseReader};
 
-/// Takes a body in two pieces cut at `at`, keeping what is not taken, as a connection does.
+/// Decodes a body that arrives in two pieces, split at `cut`. Bytes that are not consumed are kept, as on a connection.
+/// Returns the content, whether the body is complete, and the number of remaining bytes.
 fn decode_in_two_pieces(
     framing: Framing,
     bytes: &[u8],
@@ -42,11 +43,11 @@
     ];
     for (framing, bytes, content, remaining) in table {
         for cut in 0..=bytes.len() {
-            let decoded = decode_in_two_pieces(framing, bytes, cut).expect("a good body");
+            let decoded = decode_in_two_pieces(framing, bytes, cut).expect("the body is valid");
             assert_eq!(
                 decoded,
                 (content.to_vec(), true, remaining),
-                "{framing:?} cut at {cut}"
+                "{framing:?} split at {cut}"
             );
         }
     }
@@ -71,7 +72,7 @@
             assert_eq!(
                 decoded,
                 Err(HttpError::InvalidChunk),
-                "{:?} cut at {cut}",
+                "{:?} split at {cut}",
                 String::from_utf8_lossy(bytes)
             );
         }
@@ -140,12 +141,12 @@
         assert_eq!(
             request_head(&text.as_bytes()[..cut]),
             Ok(None),
-            "cut at {cut}"
+            "split at {cut}"
         );
     }
     let (head, consumed) = request_head(format!("{text}abcGET").as_bytes())
         .unwrap()
-        .expect("whole");
+        .expect("the head is complete");
     assert_eq!(
         (consumed, head.target.as_str(), head.framing),
         (text.len(), "/v1/x?y=1", Framing::Length(3))
@@ -187,7 +188,8 @@
         chunk(piece.as_bytes(), &mut bytes);
     }
     bytes.extend_from_slice(LAST_CHUNK);
-    let decoded = decode_in_two_pieces(Framing::Chunked, &bytes, bytes.len() / 2).expect("good");
+    let decoded =
+        decode_in_two_pieces(Framing::Chunked, &bytes, bytes.len() / 2).expect("the body is valid");
     assert_eq!(decoded, (b"a0123456789abcdef!".to_vec(), true, 0));
 }
 
@@ -196,19 +198,19 @@
     let stream =
         "data: {\"a\":1}\n\ndata: {\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":4096}}}\n\n\
                   data: [DONE]\n\n: Srv-Load: util=0.5,queue=1,x0=0.2\n\n";
-    let events = &stream[..stream.find(": Srv").expect("the comment")];
+    let events = &stream[..stream.find(": Srv").expect("the stream has a comment")];
     for cut in 0..=stream.len() {
         let (mut event_stream, mut out) = (EventStream::default(), Vec::new());
         assert!(event_stream.push(&stream.as_bytes()[..cut], &mut out));
         assert!(
             out.is_empty() || out.ends_with(b"\n\n"),
-            "half an event went out"
+            "part of an event was forwarded"
         );
         assert!(event_stream.push(&stream.as_bytes()[cut..], &mut out));
         assert_eq!(
             String::from_utf8_lossy(&out).trim_start_matches('\n'),
             events,
-            "cut at {cut}"
+            "split at {cut}"
         );
         assert_eq!(event_stream.cached_tokens, Some(4096.0));
         assert_eq!(
--- a/crates/platform/tests/lists.rs
+++ b/crates/platform/tests/lists.rs
@@ -1,5 +1,5 @@
-//! Lists that come over the watch: whichever way they are cut and written they count, and one that cannot be right
-//! leaves the last good one.
+//! Endpoint lists received over the watch: a valid list is applied however it is formatted and split, and an invalid
+//! one leaves the last valid list in effect.
 mod common;
 
 use bitternlatch_platform::types::ConnId;
@@ -8,7 +8,7 @@
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const DISCOVERY: &str = "127.0.2.1:8500";
 
-/// A drain and a new host in one change.
+/// A change line that drains one server and adds another.
 fn change_line() -> String {
     let old = endpoint_json("h-r1", "127.0.1.1:80", "reads", "terminating");
     endpoint_list_json(
@@ -21,16 +21,16 @@
     )
 }
 
-/// A watch that is open, and what it says.
+/// A harness whose watch has received its response head, and the watch connection.
 fn harness_with_watch() -> (Harness, ConnId) {
     let mut harness = Harness::new();
-    let to = DISCOVERY.parse().expect("an address");
+    let to = DISCOVERY.parse().expect("the address is valid");
     let conn = harness
         .connects
         .iter()
         .rev()
         .find(|c| c.1 == to)
-        .expect("a watch")
+        .expect("the node connects to discovery")
         .0;
     harness.receive_text(conn, HEAD);
     (harness, conn)
@@ -111,7 +111,7 @@
             "{shown}: {}",
             lines[0].len()
         );
-        // What is right on the next call counts.
+        // A valid list on the next watch is applied.
         harness.advance(0.5);
         let conn = harness
             .last_call(|c| c.request_line().contains("watch=1"))
@@ -192,8 +192,8 @@
     }
 }
 
-/// A host that has started anew knows nothing of connections to the process before: what is written to one may end as
-/// reset, which may have run as far as anybody can tell.
+/// A restarted server does not know the connections of its previous process. A request written to one may end with a
+/// reset, after which it is unknown whether the request ran, so these connections are closed.
 #[test]
 fn idle_connections_to_restarted_server_are_closed() {
     let restarted = |boot_ms: u64, uid: &str, endpoint: &str, model: &str| {
@@ -238,8 +238,8 @@
     }
 }
 
-/// The whole list of the largest fleet, in one chunk, in pieces, indented or not, is taken; one past the bound is refused
-/// by one line in the log, and the last good one stays.
+/// The complete list of the largest fleet is applied in one chunk or several, indented or not. A list beyond the size
+/// limit is rejected with one log line, and the last valid list stays in effect.
 #[test]
 fn largest_list_is_taken_in_one_chunk() {
     let entries: Vec<String> = (0..3200)
@@ -266,7 +266,9 @@
             let line = format!("{text}\n");
             let chunks = line.as_bytes().chunks(in_chunks_of);
             let bytes: Vec<u8> = chunks
-                .flat_map(|c| chunk(std::str::from_utf8(c).expect("a text")).into_bytes())
+                .flat_map(|c| {
+                    chunk(std::str::from_utf8(c).expect("the chunk is UTF-8")).into_bytes()
+                })
                 .collect();
             bytes
                 .chunks(in_pieces_of)
--- a/crates/platform/tests/memory.rs
+++ b/crates/platform/tests/memory.rs
@@ -1,15 +1,16 @@
-//! What requests that never become whole may hold.
+//! Memory limit for requests that are never completed.
 mod common;
 
 use bitternlatch_platform::config::Config;
 use bitternlatch_platform::types::ConnId;
 use common::*;
 
-/// The rig's memory limit, and the part of it that unfinished requests may take.
+/// Memory limit of the test configuration.
 const MEMORY_LIMIT_BYTES: usize = 64 << 20;
+/// Part of the memory limit that unfinished requests may use.
 const MAX_UNFINISHED_BYTES: usize = MEMORY_LIMIT_BYTES / 8;
 
-/// A request whose body will be so long, and how it is framed.
+/// Head of a request with a body of `length` bytes, chunked or with a Content-Length field.
 fn request_head(id: usize, length: usize, chunked: bool) -> String {
     let framing = if chunked {
         "Transfer-Encoding: chunked\r\n".to_string()
@@ -22,10 +23,10 @@
 }
 
 fn harness_with_1024_sockets() -> Harness {
-    Harness::with_config(Config::parse(&config_json(1024)).expect("good"))
+    Harness::with_config(Config::parse(&config_json(1024)).expect("the configuration is valid"))
 }
 
-/// So many clients that each send nearly a whole body of the largest kind; gives their connections.
+/// Connects `count` clients that each send most of a body of the largest size. Returns their connections.
 fn send_partial_bodies(harness: &mut Harness, count: usize, chunked: bool) -> Vec<ConnId> {
     let length = 256 * 1024;
     let body = "x".repeat(32 * 1024);
@@ -67,9 +68,9 @@
         let kept = clients.len() - rejected.len();
         assert!(
             kept >= MAX_UNFINISHED_BYTES / (256 * 1024) / 2,
-            "{kept} still have their room"
+            "only {kept} clients keep their partial request"
         );
-        // Whoever asks in the midst of it is served.
+        // A request that arrives meanwhile is served.
         let (client, decode_conn) = harness.start_decode("good", "ask");
         harness.receive_text(
             decode_conn,
@@ -103,7 +104,7 @@
     send_partial_bodies(&mut harness, 300, false);
     assert!(
         !harness.finished.contains(&client),
-        "a request in hand is not turned away for others' halves"
+        "an open request was rejected because of partial requests of other clients"
     );
     harness.receive_text(
         decode_conn,
--- a/crates/platform/tests/output_order.rs
+++ b/crates/platform/tests/output_order.rs
@@ -1,6 +1,8 @@
-//! The order of the node's outputs over seeded inputs, as a digest over explicitly encoded commands.
+//! Regression test for the order of the node's commands over seeded inputs, as a digest over explicitly encoded
+//! commands.
 //!
-//! The encoding is written here, so that a renamed type or field does not move it; texts of logs do not count.
+//! The encoding is defined in this file, so that renaming a type or field does not change the digest. Log texts are not
+//! part of it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,9 +16,10 @@
 
 mod common;
 
+/// Iterations of one run.
 const STEPS: usize = 4000;
 
-/// A small generator with the same draws on every machine.
+/// A pseudo-random number generator with the same output on every machine.
 struct Random(u64);
 
 impl Random {
@@ -45,10 +48,11 @@
 struct Opened {
     to: SocketAddr,
     connected: bool,
-    /// Written calls that have no whole response yet.
+    /// Calls that were written and have no complete response yet.
     pending_calls: Vec<String>,
 }
 
+/// A node with simulated clients, servers and discovery.
 struct Simulation {
     node: Node,
     now: Micros,
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Passes a drawn time, with each timer on its way.
+    /// Advances the clock by a random time and runs each timer that becomes due.
     fn advance(&mut self) {
         let max_ms = [2, 20, 20, 200, 200, 1500][self.random.below(6)];
         let until = self.now.after(self.random.below(max_ms) as f64 / 1e3);
@@ -429,14 +433,14 @@
             }
             2 => {
                 let data: Vec<u8> = (0..self.random.below(40)).map(|i| i as u8).collect();
-                let from = "127.0.3.2:7946".parse().expect("an address");
+                let from = "127.0.3.2:7946".parse().expect("the address is valid");
                 self.step(Input::Datagram { from, data: &data });
             }
             3 if self.random.one_in(30) => {
                 let port = 8500 + self.random.below(3);
                 let text = common::config_json(256)
                     .replace("127.0.2.1:8500", &format!("127.0.2.1:{port}"));
-                let config = Config::parse(&text).expect("the test's configuration");
+                let config = Config::parse(&text).expect("the configuration of the test is valid");
                 self.discovery = config.discovery;
                 let mut out = Vec::new();
                 self.node.reload(self.now, config, &mut out);
@@ -460,7 +464,7 @@
         self.advance();
     }
 
-    /// Counts and tables as they stand, in a fixed order.
+    /// Adds the current counts and table sizes to the digest, in a fixed order.
     fn encode_totals(&mut self) {
         let counts = self.node.counts();
         let resource_usage = self.node.resource_usage();
@@ -492,7 +496,7 @@
     }
 }
 
-/// One run from start to planned stop: its digest, and how many commands of each kind came out.
+/// Runs a node from start to planned stop. Returns the digest and the number of commands of each kind.
 fn run(seed: u64) -> (u64, [u64; 11]) {
     let mut simulation = Simulation::new(seed);
     for _ in 0..STEPS {
@@ -530,8 +534,8 @@
             (*seed, digest)
         })
         .collect();
-    // The decision module sends datagrams to peers in no run of this configuration.
+    // With this configuration, the decision module never sends datagrams to peers.
     let never: Vec<usize> = (0..11).filter(|kind| totals[*kind] == 0).collect();
-    assert_eq!(never, [6], "kinds of command that never came");
+    assert_eq!(never, [6], "kinds of command that were never issued");
     assert_eq!(found, expected, "{found:#x?} {totals:?}");
 }
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -1,4 +1,5 @@
-//! Nothing is left pinned: what a reader may hold is let go of, until that has certainly arrived.
+//! Releases of KV cache state: state that a prefill server may hold is released, and the release is repeated until it
+//! has certainly arrived.
 mod common;
 
 use std::net::SocketAddr;
@@ -38,7 +39,7 @@
     assert_eq!(
         release_calls(&harness, "p1").len(),
         1,
-        "once it has arrived it is not said again"
+        "a confirmed release was called again"
     );
 }
 
@@ -62,24 +63,24 @@
     assert_eq!(
         addresses(&calls[..4]).len(),
         4,
-        "each to another host, until all have been called"
+        "a server was called again before all others were called"
     );
     harness.advance(RELEASE_TIMEOUT_SECS - 2.0);
     assert!(
         release_calls(&harness, "p2").len() > 40,
-        "for as long as nobody has confirmed it"
+        "the calls ended before the release was confirmed"
     );
     harness.advance(2.0 + MAX_RELEASE_ROUND_SECS);
     let calls_at_timeout = release_calls(&harness, "p2").len();
     assert!(
         calls_at_timeout <= 4 * 40,
-        "{calls_at_timeout}: in rounds of all hosts, further and further apart"
+        "{calls_at_timeout}: calls are not made in rounds of all servers at growing intervals"
     );
     harness.advance(100.0);
     assert_eq!(
         release_calls(&harness, "p2").len(),
         calls_at_timeout,
-        "not for ever"
+        "calls continue after the timeout"
     );
     let counts = harness.node.counts();
     assert_eq!(
@@ -113,7 +114,9 @@
         "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
     );
     harness.advance(0.4);
-    let last = release_calls(&harness, "p9").pop().expect("called again");
+    let last = release_calls(&harness, "p9")
+        .pop()
+        .expect("the release was called");
     harness.receive_text(last.conn, "HTTP/1.1 204 No Content\r\n\r\n");
     let counts = harness.node.counts();
     assert_eq!((counts.releases_confirmed, counts.releases_late), (1, 1));
@@ -148,12 +151,17 @@
     assert_eq!(release_calls(&harness, "p4").len().min(1), 1);
 }
 
-/// Hosts have fallen silent that were heard of before, while time runs on: those that have answered last are called
-/// first, and those without a connection last, wherever the state is believed to be.
+/// Servers that responded before have gone silent. Release calls go first to the servers that responded most recently,
+/// and last to those without a connection, regardless of which server is believed to hold the state.
 #[test]
 fn recently_responding_servers_are_called_first() {
     let mut endpoints = Endpoints::default();
-    endpoints.apply(START, config().cached_list.expect("the test's list"));
+    endpoints.apply(
+        START,
+        config()
+            .cached_list
+            .expect("the configuration has a known list"),
+    );
     let all: Vec<(ServerId, SocketAddr)> =
         endpoints.iter().map(|(id, t)| (id, t.address)).collect();
     for order in [[0, 1, 2], [2, 1, 0], [1, 3, 0]] {
@@ -167,15 +175,15 @@
         let mut releases = Releases::default();
         let unconnected = (0..4)
             .find(|i| !order.contains(i))
-            .expect("one has no connection");
+            .expect("one server has no connection");
         let now = START.after(5.0);
         let id = releases.start(now, now, "p7".into()).id;
         let called: Vec<usize> =
             std::iter::from_fn(|| releases.next_call(id, now, &endpoints, &pool))
                 .map(|call| {
                     all.iter()
-                        .position(|host| host.0 == call.server)
-                        .expect("a host of the list")
+                        .position(|server| server.0 == call.server)
+                        .expect("the server is in the list")
                 })
                 .collect();
         assert_eq!(called, [order[2], order[1], order[0], unconnected]);
@@ -183,21 +191,23 @@
 }
 
 fn idle_connection((server, to): (ServerId, SocketAddr), since: Micros) -> ServerConnection {
-    let (usage, waiting, response) = (ConnectionUse::Idle, Vec::new(), ResponseReader::default());
+    let (usage, pending_call, response) =
+        (ConnectionUse::Idle, Vec::new(), ResponseReader::default());
     ServerConnection {
         address: to,
         server,
         connected: true,
         usage,
         in_use_since: since,
-        pending_call: waiting,
+        pending_call,
         unsent_bytes: 0,
         response,
         last_received: Some(since),
     }
 }
 
-/// The read that was given up may have ended well all the same: its state is another than the one that a writer took.
+/// A cancelled prefill may still have completed. Its state is separate from the one that a decode server took, and is
+/// released once the response is complete.
 #[test]
 fn cancelled_prefill_is_released_after_response() {
     let mut harness = Harness::new();
@@ -208,7 +218,7 @@
     assert_ne!(
         harness.last_call(Call::is_prefill).to,
         first.to,
-        "read elsewhere"
+        "the prefill was not retried on another server"
     );
     let decode_conn = harness.last_call(Call::is_decode).conn;
     harness.receive_text(
@@ -217,7 +227,7 @@
     );
     assert!(
         release_calls(&harness, "p8").is_empty(),
-        "not while an attempt is out"
+        "state was released while an attempt was in flight"
     );
     harness.receive_text(decode_conn, "0\r\n\r\n");
     assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
@@ -236,8 +246,8 @@
     assert!(release_calls(&harness, "p5").is_empty());
 }
 
-/// A release may reach one host before the close of the hand-over has reached another, which still waits for the state:
-/// it is confirmed, and has let go of nothing.
+/// A release may arrive before another server has noticed the close of the KV transfer that still waits for the state.
+/// Such a release is confirmed without having released anything, so it is repeated after the close.
 #[test]
 fn release_overtaking_close_is_repeated() {
     let mut harness = Harness::new();
@@ -250,14 +260,14 @@
     assert_eq!(
         harness.status(client),
         "504",
-        "its time is over while the hand-over is out"
+        "the request did not fail while its KV transfer was in flight"
     );
     assert_eq!(release_calls(&harness, "c1").len(), 1, "at once");
     harness.advance(0.13);
     assert_eq!(
         release_calls(&harness, "c1").len(),
         2,
-        "and once the close has certainly arrived"
+        "the release was not repeated after the close"
     );
     harness.advance(5.0);
     assert_eq!(
@@ -269,11 +279,13 @@
     );
 }
 
-/// What an earlier prefill may have left is released; the further prefill, whose connection comes up late, goes on.
+/// State that an earlier prefill may have left is released, while a second prefill, whose connection is established
+/// late, continues.
 #[test]
 fn release_keeps_unsent_prefill() {
     let text = config_json(256).replace(r#""connectTimeoutS":0.25"#, r#""connectTimeoutS":3.0"#);
-    let mut harness = Harness::with_config(Config::parse(&text).expect("the test's configuration"));
+    let mut harness =
+        Harness::with_config(Config::parse(&text).expect("the configuration of the test is valid"));
     harness.answers_releases = true;
     let client = harness.connect_client();
     harness.receive_text(client, &request("f1", "ask", 4800));
@@ -282,7 +294,7 @@
     harness.unreachable_addresses.extend(
         servers()
             .iter()
-            .map(|h| h.1.parse::<SocketAddr>().expect("an address"))
+            .map(|h| h.1.parse::<SocketAddr>().expect("the address is valid"))
             .filter(|a| *a != first.to),
     );
     harness.step(Input::Ended { conn: first.conn });
@@ -290,18 +302,18 @@
         .connects
         .last()
         .copied()
-        .expect("the further prefill's connection");
+        .expect("the second prefill opens a connection");
     harness.advance(0.95);
     assert_eq!(
         release_calls(&harness, "f1").len(),
         1,
-        "what the first may have left"
+        "state of the first prefill was not released"
     );
     assert!(!harness.closed.contains(&second));
     harness.step(Input::Connected { conn: second });
     assert_ne!(
         harness.last_call(Call::is_prefill).to,
         first.to,
-        "read elsewhere"
+        "the prefill was not retried on another server"
     );
 }
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -1,4 +1,4 @@
-//! The way of a request, and each row of the protocol's table of outcomes.
+//! The path of a request through prefill and decode, and each row of the protocol's table of outcomes.
 mod common;
 
 use bitternlatch_platform::config::Config;
@@ -21,7 +21,7 @@
     assert_eq!(
         harness.client_output(client),
         "",
-        "the head alone makes it nobody's"
+        "a response head alone must not be forwarded"
     );
     let events = [
         stream_event("one"),
@@ -33,17 +33,17 @@
         assert_eq!(
             decode_chunked(harness.client_output(client)),
             events[..=i].concat(),
-            "passed on as it comes"
+            "an event was not forwarded at once"
         );
     }
     assert!(!harness.client_output(client).ends_with("0\r\n\r\n"));
     harness.receive_text(decode_conn, "0\r\n\r\n");
     assert!(
         harness.client_output(client).ends_with("0\r\n\r\n"),
-        "the end is passed on at once"
+        "the end of the stream was not forwarded at once"
     );
     assert_eq!(harness.node.counts().served, 1);
-    // Both connections serve on, once they have rested.
+    // Both connections are reused after the reuse delay.
     harness.advance(REUSE_DELAY_SECS);
     let before = harness.connects.len();
     harness.receive_text(client, &request("aa", "ask", 4800));
@@ -52,18 +52,21 @@
     assert_eq!(
         harness.connects.len() - before,
         0,
-        "no new connection was needed"
+        "a new connection was opened"
     );
 }
 
-/// Milliseconds that a host is told to have.
+/// Remaining time that is forwarded to a server, in milliseconds.
 fn forwarded_deadline_ms(call: &Call) -> f64 {
     let field = call
         .text
         .split("Req-Deadline-Ms: ")
         .nth(1)
         .and_then(|t| t.split("\r\n").next());
-    field.expect("a field").parse().expect("a number")
+    field
+        .expect("the deadline field is present")
+        .parse()
+        .expect("the deadline is a number")
 }
 
 #[test]
@@ -76,8 +79,8 @@
     assert!((4200.0..4300.0).contains(&remaining_ms), "{remaining_ms}");
 }
 
-/// The host is told what is left when its request leaves, also where the connection for it comes up late; first and
-/// further attempts, whatever time the client began with.
+/// The forwarded deadline is the time that remains when the request is written, also if its connection is established
+/// late. This holds for first attempts and retries, and for any initial deadline.
 #[test]
 fn forwarded_time_counts_from_connect() {
     for (deadline_ms, delay_s) in [
@@ -98,7 +101,7 @@
             harness.advance(0.02);
             let mut elapsed_s = 0.02;
             if is_retry {
-                // The first connection never comes up; a further attempt dials at once.
+                // The first connection is never established; the retry connects at once.
                 harness.advance(0.25);
                 elapsed_s += 0.25;
             }
@@ -110,12 +113,12 @@
                 .rev()
                 .find(|c| !harness.closed.contains(&c.0))
                 .copied()
-                .expect("dialled");
+                .expect("a connection is pending");
             harness.step(Input::Connected { conn });
             let remaining_ms = deadline_ms as f64 - elapsed_s * 1e3;
             let forwarded_ms = forwarded_deadline_ms(&harness.last_call(Call::is_prefill));
             let case = format!(
-                "{deadline_ms} ms, up after {delay_s} s, further {is_retry}: told {forwarded_ms}, left {remaining_ms}"
+                "{deadline_ms} ms, connected after {delay_s} s, retry {is_retry}: forwarded {forwarded_ms}, remaining {remaining_ms}"
             );
             assert!(
                 forwarded_ms <= remaining_ms && forwarded_ms > remaining_ms - 20.0,
@@ -125,7 +128,8 @@
     }
 }
 
-/// Its length may have changed on the way: all of the request has to be written before an attempt counts as begun.
+/// The length of a request may change when its forwarded deadline is updated at a late connect. The attempt counts as
+/// started only once the last byte of the final text is written.
 #[test]
 fn late_write_counts_at_its_last_byte() {
     let mut harness = Harness::new();
@@ -142,7 +146,7 @@
         .rev()
         .find(|c| !harness.closed.contains(&c.0))
         .copied()
-        .expect("dialled");
+        .expect("a connection is pending");
     harness.blocked_servers.insert(to);
     harness.step(Input::Connected { conn });
     let length = harness.last_call(Call::is_prefill).text.len();
@@ -156,28 +160,28 @@
     assert_eq!(
         harness.count_calls(Call::is_prefill),
         2,
-        "a byte was missing: it never ran, and is read elsewhere"
+        "an incompletely sent prefill was not retried"
     );
     let second = harness.last_call(Call::is_prefill).conn;
     harness.step(Input::Ended { conn: second });
     assert_eq!(
         harness.count_calls(Call::is_prefill),
         2,
-        "the last byte had left"
+        "a completely sent prefill was retried"
     );
     assert_eq!(harness.status(client), "504");
 }
 
-/// What the writer does, and what becomes of a safe and of an unsafe request.
+/// Outcomes of a decode attempt, and whether a request that must not run twice is retried after each.
 #[test]
 fn decode_outcome_leads_to_retry_or_failure_by_class() {
     let rejected = plain_response("503 Service Unavailable", "Srv-Declined: 1\r\n", "");
     let state_missing = plain_response("410 Gone", "Srv-Declined: 1\r\n", "");
     let table: [(&str, &str, bool); 7] = [
         ("declined", &rejected, true),
-        ("state gone", &state_missing, true),
+        ("state missing", &state_missing, true),
         (
-            "declined in time",
+            "declined at the deadline",
             "HTTP/1.1 504 Late\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n",
             true,
         ),
@@ -191,7 +195,7 @@
             "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
             false,
         ),
-        ("noise", "\x01\x02 what\r\n\r\n", false),
+        ("binary data", "\x01\x02 what\r\n\r\n", false),
         (
             "a stream without events",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -206,13 +210,13 @@
         let is_retried = harness.count_calls(|c| c.request_line().starts_with("POST")) > before;
         assert_eq!(
             is_retried, never_ran,
-            "{name}: an unsafe request is sent again only if it never ran"
+            "{name}: a request that must not run twice is retried only if it never ran"
         );
         if !never_ran {
             assert_eq!(
                 harness.status(client),
                 "504",
-                "{name}: failed at once, not refused"
+                "{name}: the request did not fail at once"
             );
             assert!(
                 !harness.client_output(client).contains("Retry-After"),
@@ -261,7 +265,7 @@
     harness.advance(0.3);
     assert!(
         connects(&harness) > first,
-        "the other writer, or the same again"
+        "no further connect to a decode server"
     );
     assert_eq!(harness.count_calls(Call::is_decode), 0);
 }
@@ -281,7 +285,7 @@
         .iter()
         .rev()
         .find(|c| harness.unreachable_addresses.contains(&c.1))
-        .expect("a dial");
+        .expect("a connection to a decode server is pending");
     let uid = if to.ip().to_string() == "127.0.1.3" {
         "h-w1"
     } else {
@@ -303,7 +307,7 @@
     harness.step(Input::Connected { conn });
     assert!(
         !harness.calls.iter().any(|c| c.conn == conn),
-        "nothing is written to a host that drains"
+        "a request was written to a draining server"
     );
     assert!(harness.closed.contains(&conn));
 }
@@ -326,7 +330,10 @@
             Some(bytes) => harness.receive_text(decode_conn, bytes),
             None => harness.step(Input::Ended { conn: decode_conn }),
         }
-        assert!(harness.finished.contains(&client), "{name}: at once");
+        assert!(
+            harness.finished.contains(&client),
+            "{name}: the response did not end at once"
+        );
         assert!(
             !harness.client_output(client).ends_with("0\r\n\r\n"),
             "{name}"
@@ -339,11 +346,11 @@
         assert_eq!(
             harness.count_calls(Call::is_decode),
             decode_calls,
-            "{name}: nothing more is sent"
+            "{name}: the request was retried"
         );
         assert!(
             bytes.is_none() || harness.closed.contains(&decode_conn),
-            "{name}: not used again"
+            "{name}: the connection stays open"
         );
     }
 }
@@ -355,7 +362,10 @@
     harness.receive_text(decode_conn, STREAM_HEAD);
     harness.receive_text(decode_conn, &chunk(&stream_event("one")));
     harness.advance(4.0);
-    assert!(!harness.finished.contains(&client), "a pause is no end");
+    assert!(
+        !harness.finished.contains(&client),
+        "the stream was ended during a short pause"
+    );
     harness.receive_text(decode_conn, &chunk(&stream_event("two")));
     harness.advance(4.9);
     assert!(harness.finished.contains(&client) && harness.closed.contains(&decode_conn));
@@ -391,7 +401,8 @@
     assert!(harness.closed.contains(&decode_conn));
 }
 
-/// A second answer comes some milliseconds after the first: it must not be taken for the answer to the next request.
+/// An unexpected second response that arrives some milliseconds after the first must not be taken for the response to
+/// the next request.
 #[test]
 fn late_second_response_is_not_mistaken() {
     let response = plain_response("202 Accepted", "", r#"{"cached_tokens":64}"#);
@@ -400,7 +411,7 @@
         harness.send_request("first", "ask");
         let prefill_call = harness.last_call(Call::is_prefill);
         harness.receive_text(prefill_call.conn, &response);
-        // All that is asked meanwhile needs the same reader.
+        // New connections are never established, so the next request could only use the idle connection.
         harness.unreachable_addresses = servers()
             .iter()
             .map(|h| h.1.parse().expect("an address"))
@@ -411,17 +422,17 @@
         assert_eq!(
             harness.count_calls(|c| c.is_prefill() && c.text.contains("second")),
             0,
-            "it does not go out there"
+            "the connection was reused at once"
         );
         harness.receive_text(prefill_call.conn, &response);
         assert!(
             harness.closed.contains(&prefill_call.conn),
-            "{delay_s}: nothing is sent on it any more"
+            "{delay_s}: the connection stays open"
         );
     }
 }
 
-/// A node that has served one request; each of its connections to hosts proves stale when it is used next.
+/// A node that has served one request, and whose server connections are all reported as stale at their next use.
 fn harness_with_stale_connections() -> Harness {
     let mut harness = Harness::new();
     let (_, decode_conn) = harness.start_decode("first", "ask");
@@ -440,8 +451,8 @@
     harness
 }
 
-/// What a connection has brought, or its end, is seen as it is to be used again: the request goes out on another one,
-/// and no attempt is spent, as one may not be repeated.
+/// An idle connection that was closed or has sent bytes is detected as stale when it is reused. The request is sent on
+/// another connection without counting an attempt, because a request that must not run twice could not be retried.
 #[test]
 fn stale_connection_costs_no_attempt() {
     for kind in ["ask", "book"] {
@@ -450,7 +461,7 @@
         let (client, decode_conn) = harness.start_decode("second", kind);
         assert!(
             harness.stale.len() < stale.len(),
-            "{kind}: one was tried and found stale"
+            "{kind}: no stale connection was tried"
         );
         assert!(harness
             .calls
@@ -461,7 +472,7 @@
         assert_eq!(
             harness.count_calls(|c| c.text.contains("Req-Id: second")),
             2,
-            "{kind}: one read and one write"
+            "{kind}: the request was not sent once for prefill and once for decode"
         );
         harness.receive_text(
             decode_conn,
@@ -471,12 +482,12 @@
         assert_eq!(
             harness.node.counts().attempts,
             4,
-            "as the module counts them"
+            "the decision module counted a different number of attempts"
         );
     }
 }
 
-/// A client that has gone gets nothing by another way either.
+/// A stale connection is not replaced for a client that has disconnected.
 #[test]
 fn stale_connection_is_replaced_only_if_still_wanted() {
     let mut harness = harness_with_stale_connections();
@@ -537,12 +548,12 @@
     }
     assert!(
         harness.paused.contains(&decode_conn),
-        "its host is read no further"
+        "reading from the server was not paused"
     );
     harness.advance(6.0);
     assert!(
         !harness.finished.contains(&client),
-        "the host has not fallen silent: it is not read"
+        "a paused server was treated as stalled"
     );
     harness.step(Input::Wrote {
         conn: client,
@@ -556,7 +567,7 @@
     let mut harness = Harness::new();
     let client = harness.connect_client();
     let text = request("e1", "ask", 4800).replace("Req-Kind", "Expect: 100-continue\r\nReq-Kind");
-    let (head, body) = text.split_at(text.find("\r\n\r\n").expect("a head") + 4);
+    let (head, body) = text.split_at(text.find("\r\n\r\n").expect("the request has a head") + 4);
     harness.receive_text(client, head);
     assert_eq!(
         harness.client_output(client),
@@ -573,7 +584,7 @@
 }
 
 #[test]
-fn client_that_takes_nothing_is_disconnected() {
+fn stalled_client_is_disconnected() {
     let mut harness = Harness::new();
     harness.clients_blocked = true;
     let (client, decode_conn) = harness.start_decode("w2", "ask");
@@ -586,11 +597,14 @@
         count: 10,
     });
     harness.advance(15.0);
-    assert!(!harness.closed.contains(&client), "it takes a little");
+    assert!(
+        !harness.closed.contains(&client),
+        "a client that reads slowly was disconnected"
+    );
     harness.advance(6.0);
     assert!(
         harness.closed.contains(&client) && harness.closed.contains(&decode_conn),
-        "its host's slot is free again"
+        "the client and the server connection were not closed"
     );
 }
 
@@ -604,7 +618,10 @@
     assert_eq!(harness.node.counts().disconnected, 1);
     let release_calls =
         harness.count_calls(|c| c.request_line() == "DELETE /bootstrap/rooms/g1 HTTP/1.1");
-    assert_eq!(release_calls, 1, "the read may have ended well just then");
+    assert_eq!(
+        release_calls, 1,
+        "no release, although the prefill may have completed"
+    );
 }
 
 #[test]
@@ -617,12 +634,12 @@
     assert_eq!(
         harness.client_output(client).matches("HTTP/1.1").count(),
         1,
-        "one final answer"
+        "not exactly one final response"
     );
 }
 
 #[test]
-fn refusals_carry_retry_after() {
+fn shed_responses_carry_retry_after() {
     let mut harness = Harness::new();
     let watch = harness.connects[0].0;
     let draining: Vec<String> = servers()
@@ -643,17 +660,17 @@
         .client_output(client)
         .split("Retry-After: ")
         .nth(1)
-        .expect("a time to come back");
+        .expect("the response has a Retry-After field");
     let seconds: f64 = forwarded_ms
         .split("\r\n")
         .next()
         .and_then(|s| s.parse().ok())
-        .expect("seconds");
+        .expect("Retry-After is a number of seconds");
     assert!(seconds > 0.0 && seconds <= 2.0);
 }
 
-/// The last events of a stream tip a slow client over what may wait for it, and the stream's end comes with them: its
-/// host's connection is kept, and what is asked there next is read.
+/// The last events of a stream exceed the write buffer limit of a slow client, and the end of the stream arrives with
+/// them. The server connection is kept, and reading from it is not paused.
 #[test]
 fn ended_stream_leaves_connection_readable() {
     let mut harness = Harness::new();
@@ -661,11 +678,14 @@
     harness.clients_blocked = true;
     let long_event = chunk(&stream_event(&"x".repeat(100_000)));
     harness.receive_text(decode_conn, &format!("{STREAM_HEAD}{long_event}"));
-    assert!(!harness.paused.contains(&decode_conn), "it is not much yet");
+    assert!(
+        !harness.paused.contains(&decode_conn),
+        "reading was paused below the limit"
+    );
     harness.receive_text(decode_conn, &format!("{long_event}0\r\n\r\n"));
     assert!(
         !harness.closed.contains(&decode_conn) && !harness.paused.contains(&decode_conn),
-        "kept, and read"
+        "the server connection was closed or paused"
     );
     harness.step(Input::Wrote {
         conn: client,
@@ -675,8 +695,8 @@
     assert!(harness.client_output(client).ends_with("0\r\n\r\n"));
 }
 
-/// A request sent ahead waits behind the one before it, and its time runs from its own last byte: what is left of it is
-/// told, it is answered within its own deadline, and one whose time is over by then is never sent on.
+/// A pipelined request waits for the one before it, and its deadline counts from its own last byte. The remaining time
+/// is forwarded, and a request whose time has run out by then is never forwarded.
 #[test]
 fn pipelined_deadline_counts_from_own_last_byte() {
     for (wait_s, cut, remaining_ms) in [
@@ -712,16 +732,16 @@
             .rev()
             .find(|c| c.is_prefill() && c.text.contains("second"))
             .cloned();
-        let case = format!("{wait_s} s behind, cut {cut}");
+        let case = format!("waiting {wait_s} s, cut {cut}");
         match (remaining_ms, sent) {
             (Some(remaining_ms), Some(call)) => {
                 let forwarded_ms = forwarded_deadline_ms(&call);
                 assert!(
                     forwarded_ms <= remaining_ms && forwarded_ms > remaining_ms - 10.0,
-                    "{case}: told {forwarded_ms}, left {remaining_ms}"
+                    "{case}: forwarded {forwarded_ms}, remaining {remaining_ms}"
                 );
             }
-            // Too late for an aim it may be refused; what has no time left is.
+            // A request that would miss its target time may be shed, and one without remaining time is always shed.
             (remaining_ms, sent) => {
                 assert!(
                     sent.is_none() && remaining_ms.is_none_or(|ms| ms < 1500.0),
@@ -737,15 +757,16 @@
     }
 }
 
-/// An attempt's time is over, and its answer is there at the same moment: the answer counts, as it came first.
+/// A response that arrives at the same moment as the timeout of its attempt counts, because it is processed first.
 #[test]
 fn response_at_moment_of_timeout_counts() {
     let no_cancel = config_json(256).replace(r#""cancel":true"#, r#""cancel":false"#);
     for text in [config_json(256), no_cancel] {
-        let mut harness =
-            Harness::with_config(Config::parse(&text).expect("the test's configuration"));
+        let mut harness = Harness::with_config(
+            Config::parse(&text).expect("the configuration of the test is valid"),
+        );
         let client = harness.send_request("m1", "ask");
-        // Nobody has looked at the clock meanwhile: the reader has been silent for far too long.
+        // The clock advances past the timeout of the prefill without running timers.
         harness.now = harness.now.after(4.5);
         harness.complete_prefill();
         harness.step(Input::Tick);
@@ -755,9 +776,9 @@
                 harness.count_calls(Call::is_decode)
             ),
             (1, 1),
-            "not read twice"
+            "the prefill was retried"
         );
-        // The same of the first event and the client's deadline.
+        // The same applies to the first event and the deadline of the client.
         let decode_conn = harness.last_call(Call::is_decode).conn;
         harness.now = harness.now.after(0.3);
         harness.receive_text(
--- a/crates/platform/tests/shutdown.rs
+++ b/crates/platform/tests/shutdown.rs
@@ -1,4 +1,5 @@
-//! A planned stop: whatever has been read has its answer, in whatever order the last bytes, answers and timers come.
+//! Planned stop: every request that was read is answered, in whichever order its last bytes, responses and timers
+//! arrive.
 mod common;
 
 use bitternlatch_platform::config::Config;
@@ -8,12 +9,12 @@
 
 const REJECTION: &str = "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
 
-fn stream(word: &str) -> String {
-    format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event(word)))
+fn stream(content: &str) -> String {
+    format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event(content)))
 }
 
-/// The request that was sent last is served.
-fn serve(harness: &mut Harness, id: &str, word: &str) {
+/// Serves the request `id`: completes its prefill and streams `content` as its decode response.
+fn serve(harness: &mut Harness, id: &str, content: &str) {
     let sent = format!("Req-Id: {id}\r\n");
     let prefill_conn = harness
         .last_call(|c| c.is_prefill() && c.text.contains(&sent))
@@ -25,14 +26,14 @@
     let decode_conn = harness
         .last_call(|c| c.is_decode() && c.text.contains(&sent))
         .conn;
-    harness.receive_text(decode_conn, &stream(word));
+    harness.receive_text(decode_conn, &stream(content));
 }
 
-/// How the request ends behind which another one was sent ahead.
+/// Completes the first request, behind which another one is pipelined, with the given outcome.
 fn complete_first_request(harness: &mut Harness, outcome: &str, decode_conn: ConnId) {
     match outcome {
         "served" => harness.receive_text(decode_conn, &stream("one")),
-        "a stream in hand" => {
+        "a stream in flight" => {
             harness.receive_text(
                 decode_conn,
                 &format!("{STREAM_HEAD}{}", chunk(&stream_event("one"))),
@@ -54,7 +55,7 @@
 
 #[test]
 fn pipelined_request_before_stop_is_answered() {
-    for outcome in ["served", "a stream in hand", "refused"] {
+    for outcome in ["served", "a stream in flight", "rejected"] {
         for before_stop in [true, false] {
             let mut harness = Harness::new();
             harness.answers_releases = true;
@@ -82,15 +83,18 @@
                 "{case}: {}",
                 harness.client_output(client)
             );
-            assert!(harness.finished.contains(&client), "{case}: then it ends");
-            // What was held has been released by then: nothing is left to wait for.
+            assert!(
+                harness.finished.contains(&client),
+                "{case}: the connection stays open"
+            );
+            // The held state has been released by now, so nothing delays the stop.
             harness.advance(0.1);
             assert!(harness.stopped, "{case}");
         }
     }
 }
 
-/// Half a request that was sent ahead has not been taken: its client sends it again elsewhere.
+/// A partial pipelined request does not delay the stop: the client can send it again to another dispatcher.
 #[test]
 fn partial_pipelined_request_does_not_delay_stop() {
     let mut harness = Harness::new();
@@ -106,11 +110,11 @@
     assert_eq!(
         harness.count_calls(|c| c.text.contains("Req-Id: second")),
         0,
-        "never sent on"
+        "a partial request was forwarded"
     );
 }
 
-/// Those who wait to be accepted as listening ends are taken first, and what they have asked is answered.
+/// Clients that wait to be accepted when the listener closes are accepted first, and their requests are answered.
 #[test]
 fn client_accepted_before_listener_closes_is_served() {
     let mut harness = Harness::new();
@@ -119,7 +123,7 @@
     harness.advance(0.6);
     assert!(
         harness.listener_closed && !harness.stopped,
-        "it waits until nobody is left to be taken"
+        "the node stopped before all waiting clients were accepted"
     );
     let client = harness.send_request("queued", "ask");
     let idle_client = harness.connect_client();
@@ -130,7 +134,8 @@
     assert!(harness.finished.contains(&client) && harness.stopped);
 }
 
-/// The kill comes as early as 0.7 s after the longest deadline, or 3.7 s after the signal.
+/// The process may be killed as early as 0.7 s after the longest deadline, or 3.7 s after the signal if that is
+/// earlier.
 #[test]
 fn stop_steps_fit_before_kill() {
     for (longest_deadline_s, kill_s) in [
@@ -150,7 +155,7 @@
             let case = format!("{longest_deadline_s} s, resumes {resumes}");
             assert!(
                 (0.4..0.7).contains(&stop_accepting_s),
-                "{case}: new connections come for 0.4 s"
+                "{case}: new connections arrive for up to 0.4 s"
             );
             assert!(
                 (stop_accepting_s..kill_s - 0.1).contains(&answer_by_s),
@@ -165,13 +170,14 @@
     }
 }
 
-/// A request that comes whole while stopping is answered before the kill, which short deadlines bring forward.
+/// A request that is completed during the stop is answered before the kill, which comes earlier with short deadlines.
 #[test]
 fn late_request_is_answered_before_kill_with_short_deadlines() {
     let text = config_json(256)
         .replace(r#""deadlineS":6.0"#, r#""deadlineS":1.5"#)
         .replace(r#""deadlineS":12.0"#, r#""deadlineS":1.5"#);
-    let mut harness = Harness::with_config(Config::parse(&text).expect("the test's configuration"));
+    let mut harness =
+        Harness::with_config(Config::parse(&text).expect("the configuration of the test is valid"));
     let client = harness.connect_client();
     let pipelined = request("late", "book", 1500);
     harness.receive_text(client, &pipelined[..60]);
@@ -181,15 +187,16 @@
     harness.advance(1.15);
     assert!(
         !harness.client_output(client).is_empty(),
-        "2.15 s after the signal, 0.05 s before the kill"
+        "no response 2.15 s after the signal, 0.05 s before the kill"
     );
 }
 
-/// Where clients do not ask for the rest, a stream that is cut while its events come is a lost request.
+/// Without resumption by clients, cutting an active stream would lose the request, so the stop waits for its end.
 #[test]
 fn stream_is_not_cut_at_stop_without_resume() {
     let text = config_json(256).replace(r#""resume":true"#, r#""resume":false"#);
-    let mut harness = Harness::with_config(Config::parse(&text).expect("the test's configuration"));
+    let mut harness =
+        Harness::with_config(Config::parse(&text).expect("the configuration of the test is valid"));
     let (client, decode_conn) = harness.start_decode("long", "ask");
     harness.receive_text(
         decode_conn,
@@ -205,11 +212,15 @@
     assert!(harness.client_output(client).ends_with("0\r\n\r\n") && harness.stopped);
 }
 
-/// Cut anywhere, a request that comes whole in time is served, and one that never does ends with the process.
+/// A request that is split at any byte by the stop signal is served if the rest arrives in time. A request that is never
+/// completed ends with the process.
 #[test]
 fn request_cut_at_stop_is_served_once_complete() {
     let request_text = request("cut", "ask", 4800);
-    let body = request_text.find("\r\n\r\n").expect("a head") + 4;
+    let body = request_text
+        .find("\r\n\r\n")
+        .expect("the request has a head")
+        + 4;
     for at in [1, 40, body - 1, body, body + 1, request_text.len() - 1] {
         let mut harness = Harness::new();
         let client = harness.connect_client();
@@ -218,7 +229,7 @@
         harness.advance(0.7);
         assert!(
             harness.listener_closed && !harness.stopped && !harness.finished.contains(&client),
-            "cut at {at}: it is waited for"
+            "cut at {at}: the stop does not wait for the rest"
         );
         harness.receive_text(client, &request_text[at..]);
         harness.advance(0.02);
@@ -232,8 +243,8 @@
     }
 }
 
-/// A state waits at its prefill server for a decode server that can be asked again; the stop does not take that retry
-/// away, nor what was read before and is handed over after.
+/// KV cache state waits at its prefill server for a retry of the decode. The stop does not cancel that retry, nor a
+/// first decode whose prefill completes after the signal.
 #[test]
 fn retry_due_after_stop_is_sent() {
     for stop_first in [true, false] {
@@ -254,7 +265,7 @@
         harness.advance(0.4);
         assert!(
             harness.count_calls(Call::is_decode) > before,
-            "asked again, stop first {stop_first}"
+            "the decode was not retried, stop first {stop_first}"
         );
         let decode_conn = harness.last_call(Call::is_decode).conn;
         harness.receive_text(decode_conn, &stream("one"));
@@ -263,14 +274,15 @@
     }
 }
 
-/// A new configuration and a stop in one instant: drains that the new discovery tells are kept to the end.
+/// A reload and a stop at the same time: a drain reported by the new discovery address is respected until the process
+/// ends.
 #[test]
 fn drain_from_new_discovery_counts_while_stopping() {
     for stop_first in [true, false] {
         let mut harness = Harness::new();
         let client = harness.send_request("moved", "ask");
         let config = Config::parse(&config_json(256).replace("127.0.2.1:8500", "127.0.2.2:8500"))
-            .expect("a file");
+            .expect("the configuration is valid");
         if stop_first {
             harness.step(Input::Stop);
             harness.reload(config);
@@ -278,7 +290,10 @@
             harness.reload(config);
             harness.step(Input::Stop);
         }
-        let (watch, to) = *harness.connects.last().expect("a watch");
+        let (watch, to) = *harness
+            .connects
+            .last()
+            .expect("the node connects to discovery");
         assert_eq!(to.to_string(), "127.0.2.2:8500");
         harness.receive_text(
             watch,
@@ -307,7 +322,7 @@
     }
 }
 
-/// A release that no host answers is called for as long as a stop may take, and no longer.
+/// A stop waits for the confirmation of releases, but no longer than the stop may take.
 #[test]
 fn stop_waits_for_releases() {
     for answers in [true, false] {
@@ -317,13 +332,14 @@
         harness.answers_releases = answers;
         harness.step(Input::Stop);
         harness.advance(1.0);
-        assert_eq!(harness.stopped, answers, "hosts answer: {answers}");
+        assert_eq!(harness.stopped, answers, "servers answer: {answers}");
         harness.advance(2.69);
-        assert!(harness.stopped, "hosts answer: {answers}");
+        assert!(harness.stopped, "servers answer: {answers}");
     }
 }
 
-/// A request whose time ends with the stop is failed, and its state released, before the process ends.
+/// A request whose deadline coincides with the end of the stop is failed, and its KV cache state is released, before
+/// the process ends.
 #[test]
 fn state_held_until_last_response_of_stop_is_released() {
     let mut harness = Harness::new();
@@ -336,7 +352,11 @@
         harness.count_calls(|c| c.request_line() == "DELETE /bootstrap/rooms/late HTTP/1.1");
     assert!(
         harness.stopped && releases >= 2,
-        "{releases}: before the limit, and after the close"
+        "{releases} releases, or the node has not stopped"
+    );
+    assert_eq!(
+        harness.node.resource_usage().releases,
+        0,
+        "the releases were not confirmed"
     );
-    assert_eq!(harness.node.resource_usage().releases, 0, "confirmed");
 }
--- a/crates/platform/tests/start_times.rs
+++ b/crates/platform/tests/start_times.rs
@@ -1,4 +1,4 @@
-//! When model hosts started, as the module is told, though the wall clocks that name it are steps of an hour apart.
+//! Start times of model servers as reported to the decision module, where wall clocks differ by up to an hour.
 mod common;
 
 use bitternlatch_platform::node::Node;
@@ -10,7 +10,7 @@
 const NEW_SERVER: &str = "h-r9";
 const HOUR_SECS: f64 = 3600.0;
 
-/// A new host that is listed with a start so long ago.
+/// Entry of a new server whose listed start time is `age_s` seconds ago.
 fn endpoint_started_ago(harness: &Harness, age_s: f64) -> String {
     let boot_ms = (harness.now.seconds() - age_s) * 1e3;
     endpoint_json(NEW_SERVER, "127.0.1.9:80", "reads", "in_service")
@@ -18,17 +18,17 @@
 }
 
 fn watch_connection(harness: &Harness) -> bitternlatch_platform::types::ConnId {
-    let to = DISCOVERY.parse().expect("an address");
+    let to = DISCOVERY.parse().expect("the address is valid");
     harness
         .connects
         .iter()
         .rev()
         .find(|c| c.1 == to)
-        .expect("a watch")
+        .expect("the node connects to discovery")
         .0
 }
 
-/// The age of the new host that the module was told last, seconds.
+/// Age of the new server according to the latest endpoint list that the decision module received, in seconds.
 fn reported_age_secs(harness: &mut Harness) -> f64 {
     let mut reported =
         harness
@@ -41,12 +41,16 @@
                     .max_by(|a, b| a.booted_at.total_cmp(&b.booted_at)),
                 _ => None,
             });
-    harness.now.seconds() - reported.next_back().expect("a list was told").booted_at
+    harness.now.seconds()
+        - reported
+            .next_back()
+            .expect("the decision module received a list")
+            .booted_at
 }
 
 #[test]
 fn start_during_watch_is_not_older_than_last_line() {
-    // What is listed, and what it is taken for: a start may be told some seconds late.
+    // Listed age and expected age, in seconds. A start may be reported some seconds late.
     let table = [
         (0.5, 0.5),
         (8.0, 8.0),
@@ -67,32 +71,37 @@
         let reported_s = reported_age_secs(&mut harness);
         assert!(
             (reported_s - expected_s).abs() < 0.01,
-            "listed {listed_s} s ago, told {reported_s:.3}, wanted {expected_s}"
+            "listed {listed_s} s ago, reported {reported_s:.3}, expected {expected_s}"
         );
     }
 }
 
 #[test]
 fn first_list_is_believed_unless_contradictory() {
-    // Listed age, whether other hosts have started "long ago", and the age that it is taken for.
+    // Listed age, whether other servers are listed with start time 0, which means long ago, and the expected age.
     let table = [
         (30.0, true, 30.0),
         (-HOUR_SECS, true, 0.0),
-        // A host that started an hour ago is one of long ago, if others are.
+        // A list that reports long-running servers with start time 0 would also report a start an hour ago as 0, so this
+        // one is not believed.
         (HOUR_SECS, true, 0.0),
         (HOUR_SECS, false, HOUR_SECS),
     ];
     for (listed_s, others_long_ago, expected_s) in table {
         let text = config_json(256);
-        let known_at = text.find(r#""known":"#).expect("what it knows");
-        let settings_at = text.find(r#""settings":"#).expect("its settings");
+        let known_at = text
+            .find(r#""known":"#)
+            .expect("the configuration has a known list");
+        let settings_at = text
+            .find(r#""settings":"#)
+            .expect("the configuration has settings");
         let text = format!(
             "{}\"known\":null,{}",
             &text[..known_at],
             &text[settings_at..]
         );
-        let config =
-            bitternlatch_platform::config::Config::parse(&text).expect("the test's configuration");
+        let config = bitternlatch_platform::config::Config::parse(&text)
+            .expect("the configuration of the test is valid");
         let mut out = Vec::new();
         let node = Node::traced(START, config, &mut out);
         let mut harness = Harness::from_started_node(node, out);
@@ -110,12 +119,12 @@
         let reported_s = reported_age_secs(&mut harness);
         assert!(
             (reported_s - expected_s).abs() < 0.01,
-            "listed {listed_s} s ago, told {reported_s:.3}, wanted {expected_s}"
+            "listed {listed_s} s ago, reported {reported_s:.3}, expected {expected_s}"
         );
     }
 }
 
-/// The same list once more, whole, changes nothing: a start is reckoned once.
+/// Receiving the same entry again does not change its start time, which is computed once.
 #[test]
 fn start_time_listed_again_is_kept() {
     let mut harness = Harness::with_tracing();
@@ -138,7 +147,7 @@
         let reported_s = reported_age_secs(&mut harness);
         assert!(
             (reported_s - expected_s).abs() < 0.01,
-            "version {rev}: {reported_s:.3} for {expected_s}"
+            "version {rev}: {reported_s:.3}, expected {expected_s}"
         );
     }
 }
--- a/crates/platform/tests/truncated_responses.rs
+++ b/crates/platform/tests/truncated_responses.rs
@@ -1,4 +1,4 @@
-//! An answer that breaks off, at each of its bytes, and one that comes byte by byte.
+//! Responses that break off at each of their bytes, and responses that arrive byte by byte.
 mod common;
 
 use bitternlatch_platform::types::Input;
@@ -12,8 +12,8 @@
     )
 }
 
-/// Before the first whole event the request may go elsewhere, if its class allows that; after it the attempt is the
-/// client's, who gets whole events alone and no last chunk.
+/// Before the first complete event, the request is retried on another server if its class allows that. After it, the
+/// client receives complete events only, and no last chunk.
 #[test]
 fn truncated_response_is_never_complete() {
     let (text, first) = (response(), stream_event("one"));
@@ -60,7 +60,8 @@
     }
 }
 
-/// As slow as the bound on silence between two events allows: a stream without a whole event for 4.4 s has broken.
+/// A response may arrive byte by byte, as long as the time between two complete events stays below 4.4 s, after which a
+/// stream counts as broken.
 #[test]
 fn response_may_come_byte_by_byte() {
     let mut harness = Harness::new();
@@ -86,7 +87,7 @@
     );
 }
 
-/// A client that takes a byte a second is no one that takes nothing.
+/// A client that reads one byte per second is slow, but not stalled, and is not disconnected.
 #[test]
 fn slow_reader_keeps_its_response() {
     let mut harness = Harness::new();
--- a/crates/platform/tests/wire_messages.rs
+++ b/crates/platform/tests/wire_messages.rs
@@ -1,5 +1,5 @@
-//! The exact bytes of each HTTP message that the node writes, and what it makes of each one that it reads.
-//! `tests/README.md` names the tests that fix the remaining messages.
+//! The exact bytes of each HTTP message that the node writes, and how it interprets each message that it reads.
+//! `tests/README.md` lists the tests that fix the remaining messages.
 mod common;
 
 use bitternlatch_core::TracedDecision;
@@ -70,7 +70,7 @@
     );
 }
 
-/// A plain response that ends the connection, as one to a request that cannot be read does.
+/// A plain-text response that closes the connection, such as the one to an invalid request.
 fn closing_response(status: &str, text: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\n\
@@ -269,7 +269,7 @@
     );
 }
 
-/// How each attempt of a trace ended.
+/// The outcomes of the attempts in a trace.
 fn attempt_ends(trace: Vec<TracedDecision>) -> Vec<AttemptEnd> {
     let end = |traced: TracedDecision| match traced.event {
         Event::AttemptEnded(end) => Some(end),
@@ -278,7 +278,8 @@
     trace.into_iter().filter_map(end).collect()
 }
 
-/// A request that stands before its decode server, with what was traced by then taken.
+/// A harness with a request at its decode server, and the connection to that server. The trace up to that point is
+/// discarded.
 fn traced_decode() -> (Harness, ConnId) {
     let mut harness = Harness::with_tracing();
     let (_, decode_conn) = harness.start_decode("t1", "ask");
@@ -336,7 +337,7 @@
         let ends = attempt_ends(harness.node.take_trace());
         let end = ends
             .first()
-            .unwrap_or_else(|| panic!("no end after {response}"));
+            .unwrap_or_else(|| panic!("no attempt ended after {response}"));
         assert_eq!(end.outcome, outcome, "{response}");
         assert_eq!(end.prefix_hit_tokens, cached, "{response}");
         assert_eq!(end.report, report, "{response}");
