--- a/crates/core/src/answers.rs
+++ b/crates/core/src/answers.rs
@@ -1,6 +1,6 @@
 //! Events to clients. Each listener of a request receives exactly one final event and none after it.
 
-use bitternlatch_output_length::End;
+use bitternlatch_output_length::ResponseEnd;
 use bitternlatch_policy::interface::{Event, Outcome, RequestId};
 use bitternlatch_protocol::client::{
     self, Create, IncompleteDetails, Response, ResponseError, Status,
@@ -205,9 +205,9 @@
         self.report_output_length(
             id,
             if reason == "length" {
-                End::Ceiling
+                ResponseEnd::TokenLimit
             } else {
-                End::Whole
+                ResponseEnd::Complete
             },
             out,
         );
@@ -234,7 +234,7 @@
 
     /// Reports the output length of a request, where the cluster learns output lengths. Has to run while the request
     /// still has its attempt, which names the server.
-    fn report_output_length(&self, id: RequestId, end: End, out: &mut Vec<Output>) {
+    fn report_output_length(&self, id: RequestId, end: ResponseEnd, out: &mut Vec<Output>) {
         let learning = self
             .settings
             .cluster
@@ -339,7 +339,7 @@
         self.events
             .push_back(Event::ClientDisconnected { request: id });
         if streaming {
-            self.report_output_length(id, End::Left, out);
+            self.report_output_length(id, ResponseEnd::ClientDisconnected, out);
             self.send_cancel(id, out);
             self.end_attempt(now, id, Outcome::Cancelled, 0, Vec::new(), out);
         }
--- a/crates/core/src/output_lengths.rs
+++ b/crates/core/src/output_lengths.rs
@@ -4,7 +4,8 @@
 //! Independent of [`crate::Machine`], which calls it and sends what it returns.
 
 use bitternlatch_output_length::{
-    Ask, ClassKey, Curves, End, Ended, Expected, ModelKey, TenantKey, Told,
+    ClassKey, Command, CurveTable, Event, FinishedResponse, LengthEstimate, ModelKey, ResponseEnd,
+    TenantKey,
 };
 use bitternlatch_policy::interface;
 use bitternlatch_protocol::tokens_of;
@@ -15,7 +16,7 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct OutputLengths {
-    curves: Curves,
+    curves: CurveTable,
 }
 
 /// A 32-bit key for the name of a model or class; never 0, which stands for all models or all classes.
@@ -25,10 +26,10 @@
 
 impl OutputLengths {
     /// Stores length estimates received from the cluster.
-    pub(crate) fn on_update(&mut self, _now: Micros, update: Told) {
+    pub(crate) fn on_update(&mut self, _now: Micros, update: Event) {
         match update {
-            // `Curves` bounds how many are stored.
-            Told::Curves(curves) => curves
+            // `CurveTable` bounds how many are stored.
+            Event::Estimates(curves) => curves
                 .into_iter()
                 .for_each(|(cell, curve)| self.curves.set(cell, curve)),
         }
@@ -42,7 +43,7 @@
         class: &str,
         prompt_tokens: u32,
         ceiling: u32,
-    ) -> Option<Expected> {
+    ) -> Option<LengthEstimate> {
         if self.curves.is_empty() {
             return None;
         }
@@ -51,12 +52,12 @@
             ClassKey(name_hash(class)),
             prompt_tokens,
         )?;
-        Some(curve.expected(ceiling))
+        Some(curve.estimate(ceiling))
     }
 
     /// The decision module's form of an expected length.
     pub(crate) fn to_decision_module(
-        expected: Option<Expected>,
+        expected: Option<LengthEstimate>,
     ) -> Option<interface::ExpectedTokens> {
         expected.map(|e| interface::ExpectedTokens {
             mean: e.mean,
@@ -66,22 +67,27 @@
 
     /// The report on a response that has ended, or whose client disconnected while it was running. For the latter,
     /// whose server has reported no usage, the tokens are estimated from the text received so far.
-    pub(crate) fn end_report(request: &Request, class: &str, server: &str, end: End) -> Ask {
+    pub(crate) fn end_report(
+        request: &Request,
+        class: &str,
+        server: &str,
+        end: ResponseEnd,
+    ) -> Command {
         let tokens = match end {
-            End::Left => tokens_of(request.text.len()),
-            End::Whole | End::Ceiling => request.usage.output_tokens,
+            ResponseEnd::ClientDisconnected => tokens_of(request.text.len()),
+            ResponseEnd::Complete | ResponseEnd::TokenLimit => request.usage.output_tokens,
         };
-        Ask::Ended(Ended {
+        Command::ResponseFinished(FinishedResponse {
             model: ModelKey(name_hash(&request.response.model)),
             class: ClassKey(name_hash(class)),
             tenant: TenantKey(request.tenant),
             prompt_tokens: tokens_of(request.prompt.len()),
-            ceiling: request.max_tokens,
-            tokens,
-            bytes: u32::try_from(request.text.len()).unwrap_or(u32::MAX),
+            max_output_tokens: request.max_tokens,
+            output_tokens: tokens,
+            text_bytes: u32::try_from(request.text.len()).unwrap_or(u32::MAX),
             end,
-            told: request.expected_output.map(|e| e.p90.round() as u32),
-            host: server.to_string(),
+            predicted_p90: request.expected_output.map(|e| e.p90.round() as u32),
+            server: server.to_string(),
         })
     }
 }
--- a/crates/core/src/request_start.rs
+++ b/crates/core/src/request_start.rs
@@ -1,7 +1,7 @@
 //! Starts a request: enters it into the request table and passes it to the decision module.
 
 use bitternlatch_budget::book::Hold;
-use bitternlatch_output_length::Expected;
+use bitternlatch_output_length::LengthEstimate;
 use bitternlatch_policy::interface::{Event, RequestId};
 use bitternlatch_protocol::client::{self, Create, Response, Status, Usage};
 use bitternlatch_protocol::tokens_of;
@@ -35,7 +35,7 @@
     /// Key of the conversation that the request belongs to.
     conversation: u64,
     /// Expected output length; `None` without an estimate.
-    expected_output: Option<Expected>,
+    expected_output: Option<LengthEstimate>,
 }
 
 impl RequestStart {
@@ -139,7 +139,11 @@
         id
     }
 
-    fn expected_output(&self, create: &Create, validated: &ValidatedRequest) -> Option<Expected> {
+    fn expected_output(
+        &self,
+        create: &Create,
+        validated: &ValidatedRequest,
+    ) -> Option<LengthEstimate> {
         let class = &self.settings.classes[usize::from(validated.class)].name;
         let prompt_tokens = tokens_of(validated.prompt.len());
         self.output_lengths
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use bitternlatch_budget::book::Hold;
-use bitternlatch_output_length::Expected;
+use bitternlatch_output_length::LengthEstimate;
 use bitternlatch_policy::interface::{RequestId, ServerId};
 use bitternlatch_protocol::client::{Response, Usage};
 use bitternlatch_protocol::engine::{EngineUsage, KvTransferParams};
@@ -128,7 +128,7 @@
     /// Limit on the output tokens of the request.
     pub max_tokens: u32,
     /// Expected output length as estimated when the request started; `None` without an estimate.
-    pub expected_output: Option<Expected>,
+    pub expected_output: Option<LengthEstimate>,
     pub temperature: Option<f64>,
     pub top_p: Option<f64>,
     /// When the final answer is due, unless output is streaming by then.
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -186,7 +186,7 @@
     Overload(bitternlatch_overload::Told),
     /// An update from the cluster's output length estimation.
     #[serde(rename = "Lengths")]
-    OutputLength(bitternlatch_output_length::Told),
+    OutputLength(bitternlatch_output_length::Event),
     /// An event from the workflow coordinator.
     Workflow(bitternlatch_workflow::Event),
     /// Whether the server list has become unreadable (`true`) or readable again.
@@ -275,7 +275,7 @@
     Overload(bitternlatch_overload::Ask),
     /// A message for the cluster's output length estimation.
     #[serde(rename = "Lengths")]
-    OutputLength(bitternlatch_output_length::Ask),
+    OutputLength(bitternlatch_output_length::Command),
     /// A command for the workflow coordinator.
     Workflow(bitternlatch_workflow::Command),
     /// The charge for a request: emitted before its final answer, and again when its usage becomes known more exactly.
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -162,7 +162,7 @@
 #[derive(Default)]
 pub struct Beside {
     pub overload: Option<Box<dyn Fn(bitternlatch_overload::Ask) -> bool>>,
-    pub lengths: Option<Box<dyn Fn(bitternlatch_output_length::Ask) -> bool>>,
+    pub lengths: Option<Box<dyn Fn(bitternlatch_output_length::Command) -> bool>>,
     pub workflow: Option<Box<dyn Fn(bitternlatch_workflow::Command) -> bool>>,
 }
 
--- a/crates/output-length/src/change.rs
+++ b/crates/output-length/src/change.rs
@@ -1,39 +1,42 @@
-//! Finds that a cell's answers are no longer as they were: the late ones against the earlier ones, by the largest distance of
-//! their distributions (the test of Kolmogorov and Smirnov), so that nothing is taken of what they look like.
+//! Detects a change of a cell's length distribution by a two-sample Kolmogorov-Smirnov test of the recent responses against the
+//! earlier ones. The test assumes no particular shape of the distributions.
 
 use std::time::Duration;
 
 use crate::ids::Cell;
-use crate::sketch::Mass;
-use crate::windows::Windows;
+use crate::sketch::WeightedCounts;
+use crate::windows::WindowStore;
 
-/// What counts as late, tried in turn: a busy cell shows a change soon, a quiet one needs longer.
-const LATE: [Duration; 2] = [Duration::from_secs(15), Duration::from_secs(60)];
-/// Answers on each side.
-const LEAST: f32 = 40.0;
-/// Distance in units of what chance gives: one false alarm in some fifty thousand looks, as it is looked at often.
-const FAR: f32 = 2.4;
+/// Time spans whose responses count as recent, tried in this order: the short one detects a change soon in a cell with much
+/// traffic, the long one collects enough responses in a cell with little.
+const RECENT_SPANS: [Duration; 2] = [Duration::from_secs(15), Duration::from_secs(60)];
+/// Least number of responses in each of the two samples.
+const MIN_SAMPLE_RESPONSES: f32 = 40.0;
+/// Distance of the distributions that counts as a change, in units of `sqrt((n + m) / (n * m))` for samples of `n` and `m`
+/// responses. It gives about one false alarm in 50 000 tests; the test runs often.
+const DISTANCE_THRESHOLD: f32 = 2.4;
 
-/// The time by which the earlier ones ended to count, where there was a change.
-pub(crate) fn changed(windows: &Windows, cell: &Cell, now: Duration) -> Option<Duration> {
-    LATE.into_iter()
-        .map(|late| now.saturating_sub(late))
+/// The time of a change of the cell's length distribution, if one is detected: windows that began by then are obsolete.
+pub(crate) fn detect_change(windows: &WindowStore, cell: &Cell, now: Duration) -> Option<Duration> {
+    RECENT_SPANS
+        .into_iter()
+        .map(|span| now.saturating_sub(span))
         .find(|at| {
-            let [before, after] = windows.split(cell, *at);
-            differ(&before, &after)
+            let [earlier, recent] = windows.split_by_start(cell, *at);
+            distributions_differ(&earlier, &recent)
         })
 }
 
-fn differ(a: &Mass, b: &Mass) -> bool {
+fn distributions_differ(a: &WeightedCounts, b: &WeightedCounts) -> bool {
     let (n, m) = (a.total(), b.total());
-    if n < LEAST || m < LEAST {
+    if n < MIN_SAMPLE_RESPONSES || m < MIN_SAMPLE_RESPONSES {
         return false;
     }
-    let (mut x, mut y, mut most) = (0.0f32, 0.0f32, 0.0f32);
-    for (p, q) in a.ended.iter().zip(&b.ended) {
-        x += p / n;
-        y += q / m;
-        most = most.max((x - y).abs());
+    let (mut a_share, mut b_share, mut max_distance) = (0.0f32, 0.0f32, 0.0f32);
+    for (p, q) in a.complete.iter().zip(&b.complete) {
+        a_share += p / n;
+        b_share += q / m;
+        max_distance = max_distance.max((a_share - b_share).abs());
     }
-    most > FAR * ((n + m) / (n * m)).sqrt()
+    max_distance > DISTANCE_THRESHOLD * ((n + m) / (n * m)).sqrt()
 }
--- a/crates/output-length/src/coverage.rs
+++ b/crates/output-length/src/coverage.rs
@@ -1,7 +1,8 @@
-//! Keeps the p90 at nine answers of ten, whatever the traffic does: adaptive conformal inference (Gibbs and Candès, 2021).
+//! Calibrates the estimated 90th percentile by adaptive conformal inference (Gibbs and Candès, 2021), so that nine of ten
+//! responses are no longer than it, however the traffic changes.
 //!
-//! Each answer that was longer than told makes the next estimates longer, nine that were not make them as much shorter. So the
-//! share of misses goes to the aim without any assumption about the answers.
+//! A response that is longer than its estimate makes the next estimates longer; nine that are not make them shorter by the same
+//! amount. The rate of misses therefore converges to the target without any assumption about the distribution of lengths.
 
 use std::collections::BTreeMap;
 
@@ -9,63 +10,83 @@
 
 use crate::ids::{ClassKey, ModelKey};
 
-/// Share of answers that may be longer than the p90.
-pub(crate) const AIM: f64 = 0.1;
-/// How far one answer moves it: larger follows drift sooner and wavers more.
-const STEP: f64 = 0.01;
-/// What it stays within.
-const WITHIN: (f64, f64) = (0.0, 0.5);
-/// Classes that have one of their own; further ones go by the aim.
-const KEPT: usize = 256;
-/// Answers over which the share of covered ones is told.
-const SHOWN: f64 = 1000.0;
+/// Target share of responses that are longer than the estimated 90th percentile.
+pub(crate) const TARGET_MISS_RATE: f64 = 0.1;
+/// Step size of the calibration: a larger one follows drift sooner but fluctuates more.
+const LEARNING_RATE: f64 = 0.01;
+/// Range of the calibrated miss rate.
+const MISS_RATE_RANGE: (f64, f64) = (0.0, 0.5);
+/// Limit of calibrated pairs of model and class; further ones use the target rate.
+const MAX_CALIBRATED_CLASSES: usize = 256;
+/// Number of recent responses over which the coverage in the log is averaged, with exponential decay.
+const COVERAGE_RESPONSES: f64 = 1000.0;
 
+/// The calibration of the estimated 90th percentile.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Coverage {
-    misses: BTreeMap<(ModelKey, ClassKey), f64>,
+pub(crate) struct Calibration {
+    /// The miss rate to use in place of the target rate, by model and class: the 90th percentile is estimated as the quantile
+    /// of one minus this rate.
+    #[serde(rename = "misses")]
+    miss_rates: BTreeMap<(ModelKey, ClassKey), f64>,
+    /// Number of responses with an estimate, decayed.
     #[serde(skip)]
-    judged: f64,
+    predicted: f64,
+    /// Number of responses that were no longer than their estimated 90th percentile, decayed.
     #[serde(skip)]
     covered: f64,
 }
 
-impl Coverage {
-    pub fn miss(&self, model: ModelKey, class: ClassKey) -> f64 {
-        self.misses.get(&(model, class)).copied().unwrap_or(AIM)
+impl Calibration {
+    /// The calibrated miss rate of a model and class.
+    pub fn miss_rate(&self, model: ModelKey, class: ClassKey) -> f64 {
+        self.miss_rates
+            .get(&(model, class))
+            .copied()
+            .unwrap_or(TARGET_MISS_RATE)
     }
 
-    /// An answer was covered by what it was told at its arrival, or was longer.
-    pub fn judge(&mut self, model: ModelKey, class: ClassKey, covered: bool) {
-        let fade = 1.0 - 1.0 / SHOWN;
-        self.judged = self.judged * fade + 1.0;
-        self.covered = self.covered * fade + f64::from(u8::from(covered));
-        if self.misses.len() < KEPT || self.misses.contains_key(&(model, class)) {
-            let miss = self.misses.entry((model, class)).or_insert(AIM);
-            *miss =
-                (*miss + STEP * (AIM - f64::from(u8::from(!covered)))).clamp(WITHIN.0, WITHIN.1);
+    /// Adjusts the calibration by one response. `covered`: whether it was no longer than the 90th percentile that was estimated
+    /// when its request arrived.
+    pub fn record(&mut self, model: ModelKey, class: ClassKey, covered: bool) {
+        let decay = 1.0 - 1.0 / COVERAGE_RESPONSES;
+        self.predicted = self.predicted * decay + 1.0;
+        self.covered = self.covered * decay + f64::from(u8::from(covered));
+        if self.miss_rates.len() < MAX_CALIBRATED_CLASSES
+            || self.miss_rates.contains_key(&(model, class))
+        {
+            let miss_rate = self
+                .miss_rates
+                .entry((model, class))
+                .or_insert(TARGET_MISS_RATE);
+            *miss_rate = (*miss_rate
+                + LEARNING_RATE * (TARGET_MISS_RATE - f64::from(u8::from(!covered))))
+            .clamp(MISS_RATE_RANGE.0, MISS_RATE_RANGE.1);
         }
     }
 
-    /// Of the last thousand or so.
-    pub fn share(&self) -> Option<f64> {
-        (self.judged > 0.0).then(|| self.covered / self.judged)
+    /// The share of recent responses, about a thousand, that were no longer than their estimated 90th percentile; `None` before
+    /// the first.
+    pub fn coverage(&self) -> Option<f64> {
+        (self.predicted > 0.0).then(|| self.covered / self.predicted)
     }
 
-    /// Takes another one's calibration where there is none yet: a restart begins as its peers are, and goes on by itself.
-    pub fn begin_as(&mut self, other: Coverage) {
-        for (key, miss) in other.misses {
-            if self.misses.len() < KEPT || self.misses.contains_key(&key) {
-                self.misses.entry(key).or_insert(miss);
+    /// Adopts a peer's miss rates for the models and classes that have none here. A restarted dispatcher thus starts from its
+    /// peers' calibration and then adjusts it by its own responses.
+    pub fn adopt_missing(&mut self, other: Calibration) {
+        for (key, miss_rate) in other.miss_rates {
+            if self.miss_rates.len() < MAX_CALIBRATED_CLASSES || self.miss_rates.contains_key(&key)
+            {
+                self.miss_rates.entry(key).or_insert(miss_rate);
             }
         }
     }
 
-    /// Whether what a snapshot holds can have been made here.
-    pub fn sound(&self) -> bool {
-        self.misses.len() <= KEPT
+    /// Whether this crate could have produced the calibration; one from a peer or a snapshot may be invalid.
+    pub fn is_valid(&self) -> bool {
+        self.miss_rates.len() <= MAX_CALIBRATED_CLASSES
             && self
-                .misses
+                .miss_rates
                 .values()
-                .all(|m| (WITHIN.0..=WITHIN.1).contains(m))
+                .all(|m| (MISS_RATE_RANGE.0..=MISS_RATE_RANGE.1).contains(m))
     }
 }
--- a/crates/output-length/src/curve.rs
+++ b/crates/output-length/src/curve.rs
@@ -1,138 +1,154 @@
-//! What is told of a cell: quantiles, and what follows from them for one answer under its ceiling.
+//! Quantiles of the output lengths of a cell, and the estimates for one response that follow from them.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{Cell, ClassKey, ModelKey};
-use crate::sketch::{quantile, Mass};
+use crate::sketch::{quantile, WeightedCounts};
 
-/// Points of a curve, each in the middle of an even share of answers.
-const POINTS: usize = 20;
-/// Cells of which estimates are kept; a new one past it takes the place of the first by order, which is told anew.
-pub const CURVES_MOST: usize = 1024;
+/// Number of quantiles in a curve: the lengths are divided into so many equal shares, and the curve has the median of each.
+const QUANTILE_COUNT: usize = 20;
+/// Limit of cells with an estimate in a table. Beyond it, a new cell replaces the first one in sort order, whose estimate is
+/// sent again later.
+pub const MAX_CURVES: usize = 1024;
 
-/// Lengths of a cell's answers, tokens.
+/// Distribution of the output lengths of a cell, tokens.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Curve {
-    /// At the middles of even shares.
-    points: [u32; POINTS],
-    /// Calibrated so that nine of ten answers are no longer.
-    high: u32,
-    /// Of a hundred all but one.
-    most: u32,
-    /// Answers it rests on, weighed by age.
-    pub answers: u32,
+pub struct QuantileCurve {
+    /// Quantiles at the middles of equal shares: with 20 of them, at 2.5%, 7.5% and so on to 97.5%.
+    #[serde(rename = "points")]
+    quantiles: [u32; QUANTILE_COUNT],
+    /// The 90th percentile, calibrated so that nine of ten responses are no longer.
+    #[serde(rename = "high")]
+    calibrated_p90: u32,
+    /// The 99th percentile.
+    #[serde(rename = "most")]
+    p99: u32,
+    /// Number of responses that the estimate is based on, weighted by age.
+    #[serde(rename = "answers")]
+    pub responses: u32,
 }
 
-/// One answer's expected length, tokens.
+/// The estimated output length of one response, tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Expected {
+pub struct LengthEstimate {
     pub mean: f64,
+    /// Median.
     pub p50: f64,
-    /// Calibrated: nine of ten answers are no longer.
+    /// 90th percentile, calibrated so that nine of ten responses are no longer.
     pub p90: f64,
+    /// 99th percentile.
     pub p99: f64,
 }
 
-fn whole(tokens: f64) -> u32 {
+fn round_to_u32(tokens: f64) -> u32 {
     tokens.round().clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
-impl Curve {
-    /// `miss`: share of answers that may be longer than the calibrated one.
-    pub(crate) fn of(mass: &Mass, answers: f32, miss: f64) -> Curve {
-        let reached = mass.reached();
-        let at = |share: f64| whole(quantile(&reached, share));
-        Curve {
-            points: std::array::from_fn(|i| at((i as f64 + 0.5) / POINTS as f64)),
-            high: at(1.0 - miss),
-            most: at(0.99),
-            answers: answers as u32,
+impl QuantileCurve {
+    /// The curve of weighted counts that are based on `responses` responses. `miss_rate` is the calibrated share of responses
+    /// that are longer than the 90th percentile.
+    pub(crate) fn of(counts: &WeightedCounts, responses: f32, miss_rate: f64) -> QuantileCurve {
+        let distribution = counts.cumulative_distribution();
+        let at = |share: f64| round_to_u32(quantile(&distribution, share));
+        QuantileCurve {
+            quantiles: std::array::from_fn(|i| at((i as f64 + 0.5) / QUANTILE_COUNT as f64)),
+            calibrated_p90: at(1.0 - miss_rate),
+            p99: at(0.99),
+            responses: responses as u32,
         }
     }
 
-    /// Whether another one says the same, within three in a hundred.
-    pub(crate) fn near(&self, other: &Curve) -> bool {
-        let near = |a: u32, b: u32| a.abs_diff(b) <= 1 + a / 32;
-        near(self.high, other.high)
+    /// Whether another curve is the same within 1/32 plus one token, so that it need not be sent.
+    pub(crate) fn is_close(&self, other: &QuantileCurve) -> bool {
+        let close = |a: u32, b: u32| a.abs_diff(b) <= 1 + a / 32;
+        close(self.calibrated_p90, other.calibrated_p90)
             && self
-                .points
+                .quantiles
                 .iter()
-                .zip(&other.points)
-                .all(|(a, b)| near(*a, *b))
+                .zip(&other.quantiles)
+                .all(|(a, b)| close(*a, *b))
     }
 
-    /// Of an answer that ends at its ceiling at the latest.
-    pub fn expected(&self, ceiling: u32) -> Expected {
-        let under = |tokens: u32| f64::from(tokens.min(ceiling));
-        let sum = self.points.iter().map(|p| under(*p)).sum::<f64>();
-        Expected {
-            mean: sum / POINTS as f64,
-            p50: (under(self.points[POINTS / 2 - 1]) + under(self.points[POINTS / 2])) / 2.0,
-            p90: under(self.high),
-            p99: under(self.most.max(self.high)),
+    /// The estimate for a response that ends at `max_output_tokens` at the latest.
+    pub fn estimate(&self, max_output_tokens: u32) -> LengthEstimate {
+        let limited = |tokens: u32| f64::from(tokens.min(max_output_tokens));
+        let sum = self.quantiles.iter().map(|p| limited(*p)).sum::<f64>();
+        LengthEstimate {
+            mean: sum / QUANTILE_COUNT as f64,
+            p50: (limited(self.quantiles[QUANTILE_COUNT / 2 - 1])
+                + limited(self.quantiles[QUANTILE_COUNT / 2]))
+                / 2.0,
+            p90: limited(self.calibrated_p90),
+            p99: limited(self.p99.max(self.calibrated_p90)),
         }
     }
 
-    /// Tokens to come of an answer that has so many and still runs, in the mean.
-    pub fn rest(&self, so_far: u32, ceiling: u32) -> f64 {
-        let ceiling = ceiling.max(so_far);
+    /// The expected number of further tokens of a running response that has `so_far` tokens.
+    pub fn expected_remaining(&self, so_far: u32, max_output_tokens: u32) -> f64 {
+        let max_output_tokens = max_output_tokens.max(so_far);
         let longer: Vec<u32> = self
-            .points
+            .quantiles
             .iter()
             .copied()
             .filter(|p| *p > so_far)
             .collect();
-        let most = self.most.max(self.high);
+        let longest = self.p99.max(self.calibrated_p90);
         if longer.is_empty() {
-            // Past all that was seen of nineteen in twenty: towards the longest, then by a tenth each time.
-            let to = if most > so_far {
-                most
+            // The response is longer than the highest quantile: assume that it ends at the 99th percentile, or past that
+            // after another tenth of its length.
+            let end = if longest > so_far {
+                longest
             } else {
                 so_far.saturating_add(1 + so_far / 10)
             };
-            return f64::from(to.min(ceiling) - so_far);
+            return f64::from(end.min(max_output_tokens) - so_far);
         }
         let sum = longer
             .iter()
-            .map(|p| f64::from((*p).min(ceiling) - so_far))
+            .map(|p| f64::from((*p).min(max_output_tokens) - so_far))
             .sum::<f64>();
         sum / longer.len() as f64
     }
 }
 
-/// Curves by cell, bounded.
+/// Estimates by cell, at most [`MAX_CURVES`].
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Curves(BTreeMap<Cell, Curve>);
+pub struct CurveTable(BTreeMap<Cell, QuantileCurve>);
 
-impl Curves {
-    pub fn set(&mut self, cell: Cell, curve: Curve) {
-        if self.0.len() >= CURVES_MOST && !self.0.contains_key(&cell) {
+impl CurveTable {
+    pub fn set(&mut self, cell: Cell, curve: QuantileCurve) {
+        if self.0.len() >= MAX_CURVES && !self.0.contains_key(&cell) {
             self.0.pop_first();
         }
         self.0.insert(cell, curve);
     }
 
-    pub(crate) fn get(&self, cell: &Cell) -> Option<&Curve> {
+    pub(crate) fn get(&self, cell: &Cell) -> Option<&QuantileCurve> {
         self.0.get(cell)
     }
 
-    pub(crate) fn all(&self) -> Vec<(Cell, Curve)> {
+    pub(crate) fn all(&self) -> Vec<(Cell, QuantileCurve)> {
         self.0
             .iter()
             .map(|(cell, curve)| (*cell, curve.clone()))
             .collect()
     }
 
-    pub(crate) fn keep(&mut self, keeps: impl Fn(&Cell) -> bool) {
-        self.0.retain(|cell, _| keeps(cell));
+    pub(crate) fn retain(&mut self, keep: impl Fn(&Cell) -> bool) {
+        self.0.retain(|cell, _| keep(cell));
     }
 
-    /// By the cell, else by its class, else by all; none where nothing was told.
-    pub fn find(&self, model: ModelKey, class: ClassKey, prompt_tokens: u32) -> Option<&Curve> {
+    /// The estimate of the cell or, without one, that of its class or of all requests.
+    pub fn find(
+        &self,
+        model: ModelKey,
+        class: ClassKey,
+        prompt_tokens: u32,
+    ) -> Option<&QuantileCurve> {
         let cell = Cell::of(model, class, prompt_tokens);
-        [cell, cell.whole_class(), Cell::ALL]
+        [cell, cell.any_prompt(), Cell::ALL]
             .iter()
             .find_map(|cell| self.0.get(cell))
     }
@@ -151,35 +167,39 @@
     use super::*;
     use crate::sketch::Counts;
 
-    fn curve() -> Curve {
+    fn curve() -> QuantileCurve {
         let mut counts = Counts::default();
         (0..500).for_each(|i| counts.add(100 + i));
-        let mut mass = Mass::default();
-        mass.count(&counts, &Counts::default(), 1.0);
-        Curve::of(&mass, 500.0, 0.1)
+        let mut weighted = WeightedCounts::default();
+        weighted.add_counts(&counts, &Counts::default(), 1.0);
+        QuantileCurve::of(&weighted, 500.0, 0.1)
     }
 
     #[test]
-    fn estimates_stay_under_the_ceiling_and_the_rest_shrinks_as_an_answer_runs() {
-        let (curve, free, tight) = (curve(), curve().expected(4000), curve().expected(200));
+    fn estimates_respect_the_token_limit_and_expected_remaining_tokens_shrink_as_a_response_grows()
+    {
+        let (curve, unlimited, limited) = (curve(), curve().estimate(4000), curve().estimate(200));
         assert!(
-            (free.mean - 350.0).abs() < 15.0 && (free.p50 - 350.0).abs() < 25.0,
-            "{free:?}"
+            (unlimited.mean - 350.0).abs() < 15.0 && (unlimited.p50 - 350.0).abs() < 25.0,
+            "{unlimited:?}"
+        );
+        assert!((unlimited.p90 - 550.0).abs() < 25.0 && unlimited.p99 >= unlimited.p90);
+        assert!(limited.p99 <= 200.0 && limited.mean < 200.0);
+        assert!((curve.expected_remaining(0, 4000) - 350.0).abs() < 15.0);
+        assert!((curve.expected_remaining(400, 4000) - 100.0).abs() < 20.0);
+        assert!(
+            curve.expected_remaining(5000, 5000) == 0.0
+                && curve.expected_remaining(900, 4000) > 0.0
         );
-        assert!((free.p90 - 550.0).abs() < 25.0 && free.p99 >= free.p90);
-        assert!(tight.p99 <= 200.0 && tight.mean < 200.0);
-        assert!((curve.rest(0, 4000) - 350.0).abs() < 15.0);
-        assert!((curve.rest(400, 4000) - 100.0).abs() < 20.0);
-        assert!(curve.rest(5000, 5000) == 0.0 && curve.rest(900, 4000) > 0.0);
     }
 
     #[test]
-    fn the_table_is_bounded_and_falls_back() {
-        let mut curves = Curves::default();
+    fn table_is_bounded_and_falls_back_to_the_estimate_of_all_requests() {
+        let mut curves = CurveTable::default();
         for n in 0..10_000 {
             curves.set(Cell::of(ModelKey(1), ClassKey(n), 5), curve());
         }
-        assert_eq!(curves.len(), CURVES_MOST);
+        assert_eq!(curves.len(), MAX_CURVES);
         assert!(curves.find(ModelKey(7), ClassKey(7), 9).is_none());
         curves.set(Cell::ALL, curve());
         assert!(curves.find(ModelKey(7), ClassKey(7), 9).is_some());
--- a/crates/output-length/src/error.rs
+++ b/crates/output-length/src/error.rs
@@ -1,41 +1,41 @@
-//! What can be wrong, and what an operator can do.
+//! Errors of the length estimation, with advice for operators.
 
 use bitternlatch_quota_lease::StorageError;
 
-/// Errors of lengths.
+/// Errors of the length estimation.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum LengthsError {
-    #[error("not a message about lengths of answers")]
+pub enum OutputLengthError {
+    #[error("the message does not have the format of the output length protocol")]
     Unreadable,
-    #[error("a message of version {0}")]
-    OtherVersion(u8),
-    #[error("counts that no dispatcher makes")]
-    Unsound,
-    #[error("what was kept of lengths is not readable")]
-    BrokenSnapshot,
-    #[error("what was kept of lengths cannot be read: {0:?}")]
-    Unread(StorageError),
-    #[error("a host reports lengths that cannot be")]
-    OddHost,
+    #[error("unsupported format version {0}")]
+    UnsupportedVersion(u8),
+    #[error("the message has invalid counts")]
+    InvalidCounts,
+    #[error("the snapshot of output lengths is corrupt")]
+    CorruptSnapshot,
+    #[error("the snapshot of output lengths cannot be read: {0:?}")]
+    SnapshotUnavailable(StorageError),
+    #[error("the server reports an impossible number of output tokens")]
+    ImplausibleReport,
 }
 
-impl LengthsError {
-    pub(crate) fn unread(error: StorageError) -> LengthsError {
-        LengthsError::Unread(error)
+impl OutputLengthError {
+    pub(crate) fn snapshot_unavailable(error: StorageError) -> OutputLengthError {
+        OutputLengthError::SnapshotUnavailable(error)
     }
 
-    /// What an operator can do.
+    /// What an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            LengthsError::Unreadable | LengthsError::OtherVersion(_) => {
-                "bring all dispatchers to one version; until then each counts the others it can read"
+            OutputLengthError::Unreadable | OutputLengthError::UnsupportedVersion(_) => {
+                "run the same version on all dispatchers; until then each learns only from those whose messages it can read"
             }
-            LengthsError::Unsound => "look at the named peer's version and memory, and start it again",
-            LengthsError::BrokenSnapshot | LengthsError::Unread(_) => {
-                "nothing: it learns from its peers and writes a new one; look at the disk if it happens again"
+            OutputLengthError::InvalidCounts => "check the version and the memory of the named peer, and restart it",
+            OutputLengthError::CorruptSnapshot | OutputLengthError::SnapshotUnavailable(_) => {
+                "no action is needed: the dispatcher learns from its peers and writes a new snapshot; check the disk if this recurs"
             }
-            LengthsError::OddHost => {
-                "look at the named host's engine: usage must tell the tokens of its answers; it is not counted until then"
+            OutputLengthError::ImplausibleReport => {
+                "check the engine of the named server: its usage must report the output tokens; implausible responses are not counted"
             }
         }
     }
@@ -46,24 +46,24 @@
     use super::*;
 
     #[test]
-    fn every_error_says_what_to_do() {
+    fn every_error_has_a_text_and_advice() {
         let all = [
-            LengthsError::Unreadable,
-            LengthsError::OtherVersion(9),
-            LengthsError::Unsound,
-            LengthsError::BrokenSnapshot,
-            LengthsError::Unread(StorageError::Full),
-            LengthsError::OddHost,
+            OutputLengthError::Unreadable,
+            OutputLengthError::UnsupportedVersion(9),
+            OutputLengthError::InvalidCounts,
+            OutputLengthError::CorruptSnapshot,
+            OutputLengthError::SnapshotUnavailable(StorageError::Full),
+            OutputLengthError::ImplausibleReport,
         ];
         for error in all {
-            // A new variant has to be added above.
+            // Fails to compile for a new variant, which is then to be added to the list above.
             match &error {
-                LengthsError::Unreadable
-                | LengthsError::OtherVersion(_)
-                | LengthsError::Unsound
-                | LengthsError::BrokenSnapshot
-                | LengthsError::Unread(_)
-                | LengthsError::OddHost => {
+                OutputLengthError::Unreadable
+                | OutputLengthError::UnsupportedVersion(_)
+                | OutputLengthError::InvalidCounts
+                | OutputLengthError::CorruptSnapshot
+                | OutputLengthError::SnapshotUnavailable(_)
+                | OutputLengthError::ImplausibleReport => {
                     assert!(error.advice().len() > 20 && !error.to_string().is_empty())
                 }
             }
--- a/crates/output-length/src/ids.rs
+++ b/crates/output-length/src/ids.rs
@@ -1,26 +1,29 @@
-//! Ids: what answers are told apart by, and who counted them.
+//! Keys of the groups of similar requests whose output lengths are estimated together, and ids of the processes and windows
+//! that counted responses.
 
 use bitternlatch_membership::NameKey;
 use serde::{Deserialize, Serialize};
 
-/// A model's name, hashed; 0 stands for all models.
+/// The hash of a model's name; 0 stands for all models.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ModelKey(pub u32);
 
-/// A class's name, hashed, as numbers of classes differ between settings; 0 stands for all classes.
+/// The hash of a request class's name; 0 stands for all classes. Names are hashed because the numbers of classes differ between
+/// the settings of dispatchers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClassKey(pub u32);
 
-/// A tenant, as this process tells them apart; never said to peers.
+/// A tenant's number in this process; never sent to peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TenantKey(pub u32);
 
-/// Which lengths of prompts: bins of a factor of four, from 64 tokens.
+/// A range of prompt lengths. Range 0 holds prompts below 64 tokens; each further lower bound is four times the one before, up
+/// to range 5, from 16384 tokens on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PromptBin(pub u8);
 
 impl PromptBin {
-    /// All prompts.
+    /// Prompts of any length.
     pub const ANY: PromptBin = PromptBin(u8::MAX);
 
     pub fn of(prompt_tokens: u32) -> PromptBin {
@@ -28,46 +31,50 @@
     }
 }
 
-/// Answers that are taken for alike.
+/// A group of requests whose output lengths are estimated together: same model, same class and similar prompt length.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Cell {
     pub model: ModelKey,
     pub class: ClassKey,
-    pub bin: PromptBin,
+    #[serde(rename = "bin")]
+    pub prompt_bin: PromptBin,
 }
 
 impl Cell {
-    /// All answers.
+    /// The cell of all requests.
     pub const ALL: Cell = Cell {
         model: ModelKey(0),
         class: ClassKey(0),
-        bin: PromptBin::ANY,
+        prompt_bin: PromptBin::ANY,
     };
 
     pub fn of(model: ModelKey, class: ClassKey, prompt_tokens: u32) -> Cell {
         Cell {
             model,
             class,
-            bin: PromptBin::of(prompt_tokens),
+            prompt_bin: PromptBin::of(prompt_tokens),
         }
     }
 
-    /// The same with all prompts.
-    pub fn whole_class(self) -> Cell {
+    /// The cell of the same model and class for prompts of any length.
+    pub fn any_prompt(self) -> Cell {
         Cell {
-            bin: PromptBin::ANY,
+            prompt_bin: PromptBin::ANY,
             ..self
         }
     }
 }
 
-/// One start of a process under a name; what it counted is kept apart from what it counted after another start.
+/// One incarnation of a member that counts responses. What it counted is stored separately from what the same member counted
+/// in its other incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Origin {
-    pub name: NameKey,
-    pub generation: u64,
+    #[serde(rename = "name")]
+    pub member: NameKey,
+    #[serde(rename = "generation")]
+    pub incarnation: u64,
 }
 
-/// The number of a window of one origin and cell, rising.
+/// The number of a window among those of one origin and cell; each new window gets the next higher one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Number(pub u32);
+pub struct WindowNumber(pub u32);
--- a/crates/output-length/src/io.rs
+++ b/crates/output-length/src/io.rs
@@ -1,58 +1,73 @@
-//! What the core tells and is told; recorded.
+//! Settings of the length estimation, and the commands and events that it exchanges with the request-handling core. Commands
+//! and events are recorded for replay, so their serialized names are fixed.
 
 use serde::{Deserialize, Serialize};
 
-use crate::curve::Curve;
+use crate::curve::QuantileCurve;
 use crate::ids::{Cell, ClassKey, ModelKey, TenantKey};
 
-/// `[cluster.lengths]`; the table switches it on.
+/// The settings table `[cluster.lengths]`; its presence enables the estimation of output lengths.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Where what was learnt is kept, relative to the settings file; without it a restart asks peers alone.
-    pub kept: Option<String>,
+    /// The snapshot file for what has been learnt, relative to the settings file. Without one, a restarted dispatcher learns
+    /// only from its peers.
+    #[serde(rename = "kept")]
+    pub snapshot_file: Option<String>,
 }
 
-/// Why an answer is no longer than it is.
+/// Why a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
-    /// It was whole.
-    Whole,
-    /// It met its ceiling: whole it would have been longer.
-    Ceiling,
-    /// Its client left: how long it would have been is not known.
-    Left,
+pub enum ResponseEnd {
+    /// The model finished the response.
+    #[serde(rename = "Whole")]
+    Complete,
+    /// The response reached its limit of output tokens; without the limit it would have been longer.
+    #[serde(rename = "Ceiling")]
+    TokenLimit,
+    /// The client disconnected before the response was complete, so its full length is unknown.
+    #[serde(rename = "Left")]
+    ClientDisconnected,
 }
 
-/// One answer that has ended.
+/// A response that has ended, as observed by the dispatcher that forwarded it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct FinishedResponse {
     pub model: ModelKey,
     pub class: ClassKey,
     pub tenant: TenantKey,
     pub prompt_tokens: u32,
-    /// Most tokens that it was allowed.
-    pub ceiling: u32,
-    /// As its host reports; as far as it came where its client left.
-    pub tokens: u32,
-    /// Bytes of its text.
-    pub bytes: u32,
-    pub end: End,
-    /// The p90 that was told of it when it came.
-    pub told: Option<u32>,
-    /// Whose report it is.
-    pub host: String,
+    /// The request's limit of output tokens.
+    #[serde(rename = "ceiling")]
+    pub max_output_tokens: u32,
+    /// Output tokens as reported by the model server; if the client disconnected, those generated until then.
+    #[serde(rename = "tokens")]
+    pub output_tokens: u32,
+    /// Length of the response's text, bytes.
+    #[serde(rename = "bytes")]
+    pub text_bytes: u32,
+    pub end: ResponseEnd,
+    /// The 90th percentile of the output length, tokens, that was estimated when the request arrived; `None` without an
+    /// estimate.
+    #[serde(rename = "told")]
+    pub predicted_p90: Option<u32>,
+    /// The name of the model server that generated the response.
+    #[serde(rename = "host")]
+    pub server: String,
 }
 
-/// By the core.
+/// A command from the request-handling core to the length estimation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
-    Ended(Ended),
+pub enum Command {
+    /// A response has ended and is to be learnt from.
+    #[serde(rename = "Ended")]
+    ResponseFinished(FinishedResponse),
 }
 
-/// To the core.
+/// An event from the length estimation to the request-handling core.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Told {
-    /// What to expect in these cells from now on.
-    Curves(Vec<(Cell, Curve)>),
+pub enum Event {
+    /// The estimates of these cells have changed, or are sent again in case an earlier event was lost.
+    #[serde(rename = "Curves")]
+    Estimates(Vec<(Cell, QuantileCurve)>),
 }
--- a/crates/output-length/src/learner.rs
+++ b/crates/output-length/src/learner.rs
@@ -1,201 +1,224 @@
-//! Learns from answers and tells what to expect; with peers or without.
+//! Learns the length distribution of each cell from finished responses and computes the estimates. Used with peers and without.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::change::changed;
-use crate::coverage::{Coverage, AIM};
-use crate::curve::{Curve, Curves, Expected};
-use crate::ids::{Cell, ClassKey, ModelKey, Number, Origin};
-use crate::io::{End, Ended};
-use crate::own::{Counted, Own};
-use crate::sketch::Mass;
-use crate::windows::{Window, Windows};
+use crate::change::detect_change;
+use crate::coverage::{Calibration, TARGET_MISS_RATE};
+use crate::curve::{CurveTable, LengthEstimate, QuantileCurve};
+use crate::ids::{Cell, ClassKey, ModelKey, Origin, WindowNumber};
+use crate::io::{FinishedResponse, ResponseEnd};
+use crate::own::{Counted, LocalWindows};
+use crate::sketch::WeightedCounts;
+use crate::windows::{Window, WindowStore};
 
-/// Answers' weight that a cell's class has in it, and that all have in a class.
-const TOWARDS: (f32, f32) = (12.0, 6.0);
-/// Answers without which nothing is told.
-const TOLD_FROM: u64 = 8;
-/// After which a cell that nothing came to is reckoned again, as it fades.
-const AGAIN: Duration = Duration::from_secs(5);
+/// Weight, in responses, with which the distribution of a class enters the estimate of each of its cells.
+const CLASS_WEIGHT_IN_CELL: f32 = 12.0;
+/// Weight, in responses, with which the distribution of all requests enters the estimate of a class.
+const ALL_WEIGHT_IN_CLASS: f32 = 6.0;
+/// Least number of stored responses for an estimate.
+const MIN_RESPONSES: u64 = 8;
+/// Interval at which a cell without new responses is computed anew, as the weight of its windows decays.
+const RECOMPUTE_INTERVAL: Duration = Duration::from_secs(5);
 
-struct Known {
-    mass: Mass,
-    at: Duration,
+/// The weighted counts of a cell and the time at which they were computed.
+struct CellCounts {
+    counts: WeightedCounts,
+    computed_at: Duration,
 }
 
-/// See the module's front.
+/// Windows of responses, the estimates computed from them and their calibration.
 pub struct Learner {
-    pub(crate) windows: Windows,
-    pub(crate) own: Own,
-    pub(crate) coverage: Coverage,
-    curves: Curves,
-    known: BTreeMap<Cell, Known>,
+    pub(crate) windows: WindowStore,
+    pub(crate) own: LocalWindows,
+    pub(crate) calibration: Calibration,
+    curves: CurveTable,
+    cell_counts: BTreeMap<Cell, CellCounts>,
+    /// Cells whose estimates are to be computed anew.
     dirty: BTreeSet<Cell>,
-    /// Changes of behaviour found so far.
+    /// Number of detected changes of a cell's length distribution.
     pub(crate) changes: u64,
 }
 
 impl Learner {
     pub fn new(origin: Origin) -> Learner {
         Learner {
-            windows: Windows::default(),
-            own: Own::new(origin),
-            coverage: Coverage::default(),
-            curves: Curves::default(),
-            known: BTreeMap::new(),
+            windows: WindowStore::default(),
+            own: LocalWindows::new(origin),
+            calibration: Calibration::default(),
+            curves: CurveTable::default(),
+            cell_counts: BTreeMap::new(),
             dirty: BTreeSet::new(),
             changes: 0,
         }
     }
 
-    /// Takes an answer's end; where it was counted.
-    pub(crate) fn ended(&mut self, now: Duration, ended: &Ended) -> Option<Counted> {
-        if let Some(told) = ended.told {
-            let longer = ended.tokens > told;
-            // Of an answer that its client left, a miss is sure and all else is not known.
-            if ended.end != End::Left || longer {
-                self.coverage.judge(ended.model, ended.class, !longer);
+    /// Counts a finished response and adjusts the calibration by it. Returns the window in which it was counted, `None` if it was
+    /// not.
+    pub(crate) fn record(&mut self, now: Duration, response: &FinishedResponse) -> Option<Counted> {
+        if let Some(predicted_p90) = response.predicted_p90 {
+            let longer = response.output_tokens > predicted_p90;
+            // If the client disconnected, the full length is unknown: the response is certainly a miss if it is already longer
+            // than the estimate, and otherwise says nothing.
+            if response.end != ResponseEnd::ClientDisconnected || longer {
+                self.calibration
+                    .record(response.model, response.class, !longer);
             }
         }
-        if ended.end == End::Left && ended.tokens == 0 {
+        if response.end == ResponseEnd::ClientDisconnected && response.output_tokens == 0 {
             return None;
         }
-        let cell = Cell::of(ended.model, ended.class, ended.prompt_tokens);
-        let counted = (ended.tokens, ended.end == End::Whole);
+        let cell = Cell::of(response.model, response.class, response.prompt_tokens);
+        let length = (
+            response.output_tokens,
+            response.end == ResponseEnd::Complete,
+        );
         let counted = self
             .own
-            .count(now, cell, ended.tenant, counted, &mut self.windows)?;
+            .count(now, cell, response.tenant, length, &mut self.windows)?;
         self.dirty.insert(counted.cell);
         Some(counted)
     }
 
-    /// A window of another origin, or of an earlier start; whether it brought anything.
+    /// Stores a window of another origin: a peer, or an earlier incarnation of this process. Returns whether it was newer than
+    /// the stored copy.
     pub(crate) fn merge(
         &mut self,
-        (cell, origin, number, window): (Cell, Origin, Number, Window),
+        (cell, origin, number, window): (Cell, Origin, WindowNumber, Window),
     ) -> bool {
-        let news = self.windows.merge(cell, origin, number, window);
-        if news {
+        let is_newer = self.windows.merge(cell, origin, number, window);
+        if is_newer {
             self.dirty.insert(cell);
         }
-        news
+        is_newer
     }
 
-    /// Reckons anew what has changed; gives the curves that say something else than before.
-    pub fn refresh(&mut self, now: Duration) -> Vec<(Cell, Curve)> {
-        let faded = self
-            .known
+    /// Computes the estimates of the changed cells and returns those that differ noticeably from before.
+    pub fn refresh(&mut self, now: Duration) -> Vec<(Cell, QuantileCurve)> {
+        let decayed = self
+            .cell_counts
             .iter()
-            .filter(|(_, k)| now.saturating_sub(k.at) >= AGAIN)
+            .filter(|(_, c)| now.saturating_sub(c.computed_at) >= RECOMPUTE_INTERVAL)
             .map(|(cell, _)| *cell);
-        self.dirty.extend(faded.collect::<Vec<_>>());
+        self.dirty.extend(decayed.collect::<Vec<_>>());
         let dirty = std::mem::take(&mut self.dirty);
         if dirty.is_empty() {
             return vec![];
         }
         for cell in &dirty {
-            if let Some(at) = changed(&self.windows, cell, now) {
-                self.windows.drop_until(cell, at);
-                self.own.begin_anew(cell, now);
+            if let Some(at) = detect_change(&self.windows, cell, now) {
+                self.windows.drop_begun_by(cell, at);
+                self.own.start_new_window(cell, now);
                 self.changes += 1;
             }
-            self.known.insert(
+            self.cell_counts.insert(
                 *cell,
-                Known {
-                    mass: self.windows.mass(cell, now),
-                    at: now,
+                CellCounts {
+                    counts: self.windows.weighted_counts(cell, now),
+                    computed_at: now,
                 },
             );
         }
-        let held: BTreeSet<Cell> = self.windows.cells().copied().collect();
-        self.known.retain(|cell, _| held.contains(cell));
-        self.curves_of(&dirty)
+        let stored: BTreeSet<Cell> = self.windows.cells().copied().collect();
+        self.cell_counts.retain(|cell, _| stored.contains(cell));
+        self.update_curves(&dirty)
     }
 
-    fn curves_of(&mut self, dirty: &BTreeSet<Cell>) -> Vec<(Cell, Curve)> {
-        let mut all = Mass::default();
-        let mut classes: BTreeMap<Cell, Mass> = BTreeMap::new();
-        for (cell, known) in &self.known {
-            all.add(&known.mass, 1.0);
+    fn update_curves(&mut self, dirty: &BTreeSet<Cell>) -> Vec<(Cell, QuantileCurve)> {
+        let mut all = WeightedCounts::default();
+        let mut classes: BTreeMap<Cell, WeightedCounts> = BTreeMap::new();
+        for (cell, cell_counts) in &self.cell_counts {
+            all.add(&cell_counts.counts, 1.0);
             if *cell != Cell::default() {
                 classes
-                    .entry(cell.whole_class())
+                    .entry(cell.any_prompt())
                     .or_default()
-                    .add(&known.mass, 1.0);
+                    .add(&cell_counts.counts, 1.0);
             }
         }
-        let mut told = Vec::new();
-        if self.windows.answers() < TOLD_FROM {
-            return told;
+        let mut updated = Vec::new();
+        if self.windows.responses() < MIN_RESPONSES {
+            return updated;
         }
-        self.tell(Cell::ALL, &all, all.total(), AIM, &mut told);
-        let touched: BTreeSet<Cell> = dirty.iter().map(|cell| cell.whole_class()).collect();
-        for (class, mass) in classes {
-            if !touched.contains(&class) {
+        self.update_curve(Cell::ALL, &all, all.total(), TARGET_MISS_RATE, &mut updated);
+        let changed_classes: BTreeSet<Cell> = dirty.iter().map(|cell| cell.any_prompt()).collect();
+        for (class, counts) in classes {
+            if !changed_classes.contains(&class) {
                 continue;
             }
-            let miss = self.coverage.miss(class.model, class.class);
-            let answers = mass.total();
-            let mass = mass.towards(&all, TOWARDS.1);
-            self.tell(class, &mass, answers, miss, &mut told);
+            let miss_rate = self.calibration.miss_rate(class.model, class.class);
+            let responses = counts.total();
+            let counts = counts.shrink_towards(&all, ALL_WEIGHT_IN_CLASS);
+            self.update_curve(class, &counts, responses, miss_rate, &mut updated);
             let cells = self
-                .known
+                .cell_counts
                 .iter()
-                .filter(|(cell, _)| cell.whole_class() == class);
-            let leaves: Vec<(Cell, Mass, f32)> = cells
-                .map(|(c, k)| (*c, k.mass.clone().towards(&mass, TOWARDS.0), k.mass.total()))
+                .filter(|(cell, _)| cell.any_prompt() == class);
+            let cells: Vec<(Cell, WeightedCounts, f32)> = cells
+                .map(|(cell, c)| {
+                    (
+                        *cell,
+                        c.counts
+                            .clone()
+                            .shrink_towards(&counts, CLASS_WEIGHT_IN_CELL),
+                        c.counts.total(),
+                    )
+                })
                 .collect();
-            for (cell, mass, answers) in leaves {
-                self.tell(cell, &mass, answers, miss, &mut told);
+            for (cell, counts, responses) in cells {
+                self.update_curve(cell, &counts, responses, miss_rate, &mut updated);
             }
         }
-        told
+        updated
     }
 
-    fn tell(
+    fn update_curve(
         &mut self,
         cell: Cell,
-        mass: &Mass,
-        answers: f32,
-        miss: f64,
-        told: &mut Vec<(Cell, Curve)>,
+        counts: &WeightedCounts,
+        responses: f32,
+        miss_rate: f64,
+        updated: &mut Vec<(Cell, QuantileCurve)>,
     ) {
-        let curve = Curve::of(mass, answers, miss);
-        if !self.curves.get(&cell).is_some_and(|last| last.near(&curve)) {
+        let curve = QuantileCurve::of(counts, responses, miss_rate);
+        if !self
+            .curves
+            .get(&cell)
+            .is_some_and(|last| last.is_close(&curve))
+        {
             self.curves.set(cell, curve.clone());
-            told.push((cell, curve));
+            updated.push((cell, curve));
         }
     }
 
-    pub fn windows(&self) -> &Windows {
+    pub fn windows(&self) -> &WindowStore {
         &self.windows
     }
 
-    pub fn curves(&self) -> &Curves {
+    pub fn curves(&self) -> &CurveTable {
         &self.curves
     }
 
-    pub fn expect(
+    pub fn estimate(
         &self,
         model: ModelKey,
         class: ClassKey,
         prompt_tokens: u32,
-        ceiling: u32,
-    ) -> Option<Expected> {
+        max_output_tokens: u32,
+    ) -> Option<LengthEstimate> {
         Some(
             self.curves
                 .find(model, class, prompt_tokens)?
-                .expected(ceiling),
+                .estimate(max_output_tokens),
         )
     }
 
-    /// Lets go of what is a day old.
-    pub(crate) fn sweep(&mut self, now: Duration) {
-        self.windows.sweep(now);
-        let held: BTreeSet<Cell> = self.windows.cells().copied().collect();
-        let classes: BTreeSet<Cell> = held.iter().map(|cell| cell.whole_class()).collect();
+    /// Drops windows past their maximum age, and estimates of cells that have no windows left.
+    pub(crate) fn drop_expired(&mut self, now: Duration) {
+        self.windows.drop_expired(now);
+        let stored: BTreeSet<Cell> = self.windows.cells().copied().collect();
+        let classes: BTreeSet<Cell> = stored.iter().map(|cell| cell.any_prompt()).collect();
         self.curves
-            .keep(|cell| held.contains(cell) || classes.contains(cell) || *cell == Cell::ALL);
+            .retain(|cell| stored.contains(cell) || classes.contains(cell) || *cell == Cell::ALL);
     }
 }
--- a/crates/output-length/src/lib.rs
+++ b/crates/output-length/src/lib.rs
@@ -1,9 +1,11 @@
-//! Lengths of answers, learnt by all dispatchers together, without input or output.
+//! Estimates output lengths of responses from the responses that all dispatchers have observed. Performs no I/O itself.
 //!
-//! Answers are counted by model, class and length of prompt ([`Cell`]) in windows that only grow, each known by its origin,
-//! the origin's start and a number, so that merging is to keep the later copy. Estimates ([`Curve`]) are sums over the latest
-//! windows, weighed by age, shrunk towards the class and then towards all, calibrated online. [`Lengths`] is the machine beside
-//! the plane; [`Local`] the same without peers.
+//! Responses are counted by model, request class and prompt length ([`Cell`]). Each process (an [`Origin`]) counts into numbered
+//! windows that only grow, so merging two copies of a window means keeping the later one. A cell's estimate
+//! ([`QuantileCurve`]) is a sum over the latest windows of all origins, weighted by age, shrunk towards the estimate of its
+//! class and that towards the estimate of all requests; its 90th percentile is calibrated online against the observed lengths.
+//! [`OutputLengths`] is the state machine that runs in each dispatcher and exchanges windows with its peers;
+//! [`LocalLearner`] learns without peers.
 
 mod change;
 mod coverage;
@@ -22,13 +24,13 @@
 mod timed;
 mod windows;
 
-pub use curve::{Curve, Curves, Expected, CURVES_MOST};
-pub use error::LengthsError;
-pub use ids::{Cell, ClassKey, ModelKey, Number, Origin, PromptBin, TenantKey};
-pub use io::{Ask, End, Ended, Settings, Told};
+pub use curve::{CurveTable, LengthEstimate, QuantileCurve, MAX_CURVES};
+pub use error::OutputLengthError;
+pub use ids::{Cell, ClassKey, ModelKey, Origin, PromptBin, TenantKey, WindowNumber};
+pub use io::{Command, Event, FinishedResponse, ResponseEnd, Settings};
 pub use learner::Learner;
-pub use local::Local;
-pub use machine::Lengths;
+pub use local::LocalLearner;
+pub use machine::OutputLengths;
 pub use sketch::{Counts, BINS};
-pub use timed::Timed;
-pub use windows::{Record, Window, Windows, CELLS_MOST, WINDOWS_MOST};
+pub use timed::DurationBasedLearner;
+pub use windows::{Window, WindowRecord, WindowStore, MAX_CELLS, MAX_WINDOWS};
--- a/crates/output-length/src/machine.rs
+++ b/crates/output-length/src/machine.rs
@@ -1,4 +1,5 @@
-//! Learns with its peers: says its own windows as they grow, asks for what it missed, keeps all on disk.
+//! The state machine of one member: sends its own windows to peers as they grow, requests the windows that it has missed, and
+//! stores snapshots of all windows on disk.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,109 +9,131 @@
     ClusterService, Process, ServiceInput, ServiceOutput, StorageError, StoredEntries, MAX_FRAME,
 };
 
-use crate::error::LengthsError;
-use crate::ids::{Cell, Number, Origin};
-use crate::io::{Ask, Ended, Told};
+use crate::error::OutputLengthError;
+use crate::ids::{Cell, Origin, WindowNumber};
+use crate::io::{Command, Event, FinishedResponse};
 use crate::learner::Learner;
-use crate::message::{pieces, shown, size, Message, Snapshot, Told as OfOrigin};
-use crate::odd::{odd, Odd};
-use crate::windows::Record;
+use crate::message::{
+    display_member, encoded_len, split_into_parts, Message, OriginRecords, Snapshot,
+};
+use crate::odd::{is_implausible, OutlierReports};
+use crate::windows::WindowRecord;
 
-/// How often estimates are told.
+/// Interval at which estimates are computed and grown windows are sent.
 const TICK: Duration = Duration::from_millis(250);
-/// How often one window is said again as it grows; all are said once more when they have closed.
-const SAY_EVERY: Duration = Duration::from_secs(2);
-/// Peers that are told at once, in turn; the rest learns by asking.
-const TO: usize = 16;
-/// Datagrams a second.
-const SAID_A_TICK: usize = 16;
-/// How often one peer, in turn, is asked for what was missed; and, until a first answer, a few.
-const ASK_EVERY: Duration = Duration::from_secs(10);
-const FIRST_EVERY: Duration = Duration::from_millis(300);
-const FIRST_ASKED: usize = 3;
-/// Questions answered in a tick; who is not answered asks again.
-const ANSWERED: usize = 4;
-const KEEP_EVERY: Duration = Duration::from_secs(10);
-const LOG_EVERY: Duration = Duration::from_secs(5);
-/// Curves told again in a tick, as a word may find the core's loop full.
-const AGAIN: usize = 4;
-/// What is read back is taken for older by this where the clock has run back since.
-const SET_BACK: Duration = Duration::from_secs(600);
-const KEPT_AS: &[u8] = b"lengths";
-/// Bytes of a datagram and a frame beside their records.
-const HEAD: usize = 16;
-/// Bytes of a frame kept for what follows its records: how estimates are calibrated.
-const CALIBRATED: usize = 8 * 1024;
+/// Least time between two updates with the same window while it grows.
+const UPDATE_INTERVAL: Duration = Duration::from_secs(2);
+/// Number of peers, in rotation, that one tick's updates are sent to; other peers receive the windows by their state requests.
+const UPDATE_PEERS: usize = 16;
+/// Limit of update datagrams sent per tick, over all receivers.
+const MAX_TICK_DATAGRAMS: usize = 16;
+/// Interval of the state requests that are sent to one peer, in rotation, to obtain windows whose updates were lost.
+const STATE_REQUEST_INTERVAL: Duration = Duration::from_secs(10);
+/// Interval of state requests until the first complete reply, and to peers that have newly joined.
+const INITIAL_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
+/// Number of peers that an initial state request is sent to at once.
+const INITIAL_REQUEST_PEERS: usize = 3;
+/// Limit of state requests answered per tick; a peer that gets no reply requests again later.
+const MAX_TICK_REPLIES: usize = 4;
+/// Interval at which a snapshot is stored if windows have changed.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(10);
+/// Interval at which the status line is logged if it has changed.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
+/// Number of unchanged estimates sent to the core again per tick, since an earlier event is lost if the core's queue was full.
+const RESENT_CURVES: usize = 4;
+/// Age assumed for a snapshot whose time is ahead of the clock, which then has been set back since.
+const AGE_AFTER_CLOCK_SET_BACK: Duration = Duration::from_secs(600);
+/// Name of the snapshot in the store.
+const SNAPSHOT_NAME: &[u8] = b"lengths";
+/// Bytes reserved in an update for everything but its records.
+const HEADER_LEN: usize = 16;
+/// Bytes reserved in a state frame for the calibration, which follows the records.
+const CALIBRATION_LEN: usize = 8 * 1024;
 
-/// One member's part in what all learn. Takes [`Ended`] answers, tells curves.
-pub struct Lengths {
+/// One member's state machine for the estimation of output lengths. It counts finished responses, exchanges windows of counts
+/// with its peers, stores snapshots and emits the estimates.
+pub struct OutputLengths {
     learner: Learner,
+    /// This process, as the origin of the windows that it counts.
     origin: Origin,
-    /// Peers that are there, and those not yet asked since they came.
-    there: BTreeSet<NameKey>,
-    unasked: BTreeSet<NameKey>,
-    /// Own windows that have grown since they were said, and when each was said last.
-    unsaid: BTreeSet<(Cell, Number)>,
-    said: BTreeMap<(Cell, Number), Duration>,
-    /// Whose turn it is.
-    turn: usize,
-    answers_left: usize,
-    /// A peer has answered in whole, so that what was known before this start is known here.
+    /// Peers that are reachable.
+    peers: BTreeSet<NameKey>,
+    /// Reachable peers to which no state request was sent since they joined.
+    unrequested_peers: BTreeSet<NameKey>,
+    /// Own windows that have grown since they were last sent.
+    unsent: BTreeSet<(Cell, WindowNumber)>,
+    /// When each own window was last sent.
+    sent_at: BTreeMap<(Cell, WindowNumber), Duration>,
+    /// Position of the rotation among the peers.
+    next_peer: usize,
+    /// Number of state requests that may still be answered in this tick.
+    replies_left: usize,
+    /// Whether a peer has replied in full to a state request, so that this process stores what peers knew before it started.
     caught_up: bool,
-    again: Vec<(Cell, crate::Curve)>,
-    odd: Odd,
-    disk: bool,
-    keep_fault: Option<StorageError>,
-    changed: bool,
+    /// Estimates that are still to be sent to the core again in this round.
+    resend_queue: Vec<(Cell, crate::QuantileCurve)>,
+    /// Implausible reports of servers and invalid messages of peers.
+    outliers: OutlierReports,
+    /// Whether there is a store for snapshots.
+    has_store: bool,
+    /// The error of the last attempt to store a snapshot; `None` if it succeeded.
+    snapshot_error: Option<StorageError>,
+    /// Whether windows have changed since the last snapshot.
+    changed_since_snapshot: bool,
+    /// Number of snapshots handed to the store; identifies the latest one.
     tickets: u64,
-    bytes: u64,
-    logged: String,
-    next: BTreeMap<Due, Duration>,
+    /// Number of bytes sent to peers so far.
+    sent_bytes: u64,
+    /// The status line logged last; an equal one is not logged again.
+    last_status: String,
+    /// When each periodic task is due.
+    due_at: BTreeMap<Task, Duration>,
 }
 
+/// A periodic task of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Task {
     Tick,
-    First,
-    Ask,
-    Keep,
+    InitialRequest,
+    StateRequest,
+    Snapshot,
     Log,
 }
 
-type Out = Vec<ServiceOutput<Told>>;
+type Outputs = Vec<ServiceOutput<Event>>;
 
-impl Lengths {
-    pub fn new(own: Process, now: Duration) -> Lengths {
+impl OutputLengths {
+    pub fn new(process: Process, now: Duration) -> OutputLengths {
         let origin = Origin {
-            name: own.name,
-            generation: own.start,
+            member: process.name,
+            incarnation: process.start,
         };
-        let next = [
-            (Due::Tick, TICK),
-            (Due::First, TICK),
-            (Due::Ask, ASK_EVERY),
-            (Due::Keep, KEEP_EVERY),
+        let tasks = [
+            (Task::Tick, TICK),
+            (Task::InitialRequest, TICK),
+            (Task::StateRequest, STATE_REQUEST_INTERVAL),
+            (Task::Snapshot, SNAPSHOT_INTERVAL),
         ];
-        let next = next.into_iter().chain([(Due::Log, LOG_EVERY)]);
-        Lengths {
+        let tasks = tasks.into_iter().chain([(Task::Log, LOG_INTERVAL)]);
+        OutputLengths {
             learner: Learner::new(origin),
             origin,
-            there: BTreeSet::new(),
-            unasked: BTreeSet::new(),
-            unsaid: BTreeSet::new(),
-            said: BTreeMap::new(),
-            turn: 0,
-            answers_left: ANSWERED,
+            peers: BTreeSet::new(),
+            unrequested_peers: BTreeSet::new(),
+            unsent: BTreeSet::new(),
+            sent_at: BTreeMap::new(),
+            next_peer: 0,
+            replies_left: MAX_TICK_REPLIES,
             caught_up: false,
-            again: vec![],
-            odd: Odd::default(),
-            disk: false,
-            keep_fault: None,
-            changed: false,
+            resend_queue: vec![],
+            outliers: OutlierReports::default(),
+            has_store: false,
+            snapshot_error: None,
+            changed_since_snapshot: false,
             tickets: 0,
-            bytes: 0,
-            logged: String::new(),
-            next: next.map(|(due, after)| (due, now + after)).collect(),
+            sent_bytes: 0,
+            last_status: String::new(),
+            due_at: tasks.map(|(task, after)| (task, now + after)).collect(),
         }
     }
 
@@ -118,222 +141,253 @@
         &self.learner
     }
 
-    /// Whether a peer has told all that it knew.
+    /// Whether a peer has replied in full to a state request since this process started.
     pub fn caught_up(&self) -> bool {
         self.caught_up
     }
 
-    /// Bytes said to peers so far, without the envelope.
-    pub fn bytes(&self) -> u64 {
-        self.bytes
+    /// Number of bytes sent to peers so far, without the headers of the transport.
+    pub fn sent_bytes(&self) -> u64 {
+        self.sent_bytes
     }
 
-    fn due(&mut self, due: Due, now: Duration, every: Duration) -> bool {
-        let at = self.next.entry(due).or_insert(now);
-        let is = *at <= now;
-        if is {
-            *at = now + every;
+    /// Whether a periodic task is due; if so, schedules its next run.
+    fn take_due(&mut self, task: Task, now: Duration, interval: Duration) -> bool {
+        let at = self.due_at.entry(task).or_insert(now);
+        let is_due = *at <= now;
+        if is_due {
+            *at = now + interval;
         }
-        is
+        is_due
     }
 
-    fn on_wake(&mut self, now: Duration, out: &mut Out) {
-        if self.due(Due::Tick, now, TICK) {
-            self.answers_left = ANSWERED;
+    fn on_wake(&mut self, now: Duration, out: &mut Outputs) {
+        if self.take_due(Task::Tick, now, TICK) {
+            self.replies_left = MAX_TICK_REPLIES;
             let curves = self.learner.refresh(now);
-            self.tell(curves, out);
-            self.say(now, out);
+            self.emit_curves(curves, out);
+            self.send_updates(now, out);
         }
-        if self.due(Due::First, now, FIRST_EVERY) {
-            let asked: Vec<NameKey> = match self.caught_up {
-                true => std::mem::take(&mut self.unasked)
+        if self.take_due(Task::InitialRequest, now, INITIAL_REQUEST_INTERVAL) {
+            let receivers: Vec<NameKey> = match self.caught_up {
+                true => std::mem::take(&mut self.unrequested_peers)
                     .into_iter()
-                    .take(FIRST_ASKED)
+                    .take(INITIAL_REQUEST_PEERS)
                     .collect(),
-                false => self.some(FIRST_ASKED),
+                false => self.next_peers(INITIAL_REQUEST_PEERS),
             };
-            asked.into_iter().for_each(|peer| self.ask(peer, out));
+            receivers
+                .into_iter()
+                .for_each(|peer| self.request_state(peer, out));
         }
-        if self.due(Due::Ask, now, ASK_EVERY) {
-            self.learner.sweep(now);
-            self.said
-                .retain(|_, at| now.saturating_sub(*at) < 60 * SAY_EVERY);
-            self.some(1)
+        if self.take_due(Task::StateRequest, now, STATE_REQUEST_INTERVAL) {
+            self.learner.drop_expired(now);
+            self.sent_at
+                .retain(|_, at| now.saturating_sub(*at) < 60 * UPDATE_INTERVAL);
+            self.next_peers(1)
                 .into_iter()
-                .for_each(|peer| self.ask(peer, out));
+                .for_each(|peer| self.request_state(peer, out));
         }
-        if self.due(Due::Keep, now, KEEP_EVERY) {
-            self.keep(now, out);
+        if self.take_due(Task::Snapshot, now, SNAPSHOT_INTERVAL) {
+            self.store_snapshot(now, out);
         }
-        if self.due(Due::Log, now, LOG_EVERY) {
-            self.log(out);
+        if self.take_due(Task::Log, now, LOG_INTERVAL) {
+            self.log_status(out);
         }
     }
 
-    /// New curves, and a few of the old ones in turn.
-    fn tell(&mut self, mut curves: Vec<(Cell, crate::Curve)>, out: &mut Out) {
-        if self.again.is_empty() {
-            self.again = self.learner.curves().all();
+    /// Emits the changed estimates and, in rotation, a few of the unchanged ones.
+    fn emit_curves(&mut self, mut curves: Vec<(Cell, crate::QuantileCurve)>, out: &mut Outputs) {
+        if self.resend_queue.is_empty() {
+            self.resend_queue = self.learner.curves().all();
         }
-        for _ in 0..AGAIN {
-            let again = self.again.pop();
-            // As told last: one that has changed since is among the new ones.
+        for _ in 0..RESENT_CURVES {
+            let curve = self.resend_queue.pop();
+            // An estimate that has changed since it was queued is already among the changed ones.
             curves.extend(
-                again.filter(|(cell, curve)| self.learner.curves().get(cell) == Some(curve)),
+                curve.filter(|(cell, curve)| self.learner.curves().get(cell) == Some(curve)),
             );
         }
         if !curves.is_empty() {
-            out.push(ServiceOutput::Event(Told::Curves(curves)));
+            out.push(ServiceOutput::Event(Event::Estimates(curves)));
         }
     }
 
-    /// Peers in turn.
-    fn some(&mut self, most: usize) -> Vec<NameKey> {
-        let n = self.there.len();
-        let from = if n == 0 { 0 } else { self.turn % n };
-        self.turn = self.turn.wrapping_add(most.min(n));
-        self.there
+    /// The next peers of the rotation, at most `max`.
+    fn next_peers(&mut self, max: usize) -> Vec<NameKey> {
+        let n = self.peers.len();
+        let from = if n == 0 { 0 } else { self.next_peer % n };
+        self.next_peer = self.next_peer.wrapping_add(max.min(n));
+        self.peers
             .iter()
             .cycle()
             .skip(from)
-            .take(most.min(n))
+            .take(max.min(n))
             .copied()
             .collect()
     }
 
-    /// Own windows that have grown, in as few datagrams as hold them.
-    fn say(&mut self, now: Duration, out: &mut Out) {
-        let due = |w: &&(Cell, Number)| {
-            self.said
+    /// Sends the own windows that have grown, in as few datagrams as possible.
+    fn send_updates(&mut self, now: Duration, out: &mut Outputs) {
+        let is_due = |w: &&(Cell, WindowNumber)| {
+            self.sent_at
                 .get(*w)
-                .is_none_or(|at| now.saturating_sub(*at) >= SAY_EVERY)
+                .is_none_or(|at| now.saturating_sub(*at) >= UPDATE_INTERVAL)
         };
-        let due: Vec<(Cell, Number)> = self.unsaid.iter().filter(due).copied().collect();
-        if due.is_empty() || self.there.is_empty() {
+        let due: Vec<(Cell, WindowNumber)> = self.unsent.iter().filter(is_due).copied().collect();
+        if due.is_empty() || self.peers.is_empty() {
             return;
         }
-        let to = self.some(TO);
-        let datagrams_most = (SAID_A_TICK / to.len()).max(1);
-        let (mut said, mut records, mut used, mut datagrams) = (vec![], vec![], HEAD, 0);
+        let receivers = self.next_peers(UPDATE_PEERS);
+        let max_datagrams = (MAX_TICK_DATAGRAMS / receivers.len()).max(1);
+        let (mut payloads, mut records, mut used, mut datagrams) = (vec![], vec![], HEADER_LEN, 0);
         for (cell, number) in due {
             let Some(window) = self.learner.windows.get(&cell, self.origin, number) else {
-                self.unsaid.remove(&(cell, number));
+                self.unsent.remove(&(cell, number));
                 continue;
             };
-            let record = Record::of(now, cell, number, window);
-            let needs = size(&record);
-            if used + needs > MAX_PAYLOAD && !records.is_empty() {
-                said.push(std::mem::take(&mut records));
-                (used, datagrams) = (HEAD, datagrams + 1);
-                if datagrams >= datagrams_most {
+            let record = WindowRecord::of(now, cell, number, window);
+            let len = encoded_len(&record);
+            if used + len > MAX_PAYLOAD && !records.is_empty() {
+                payloads.push(std::mem::take(&mut records));
+                (used, datagrams) = (HEADER_LEN, datagrams + 1);
+                if datagrams >= max_datagrams {
                     break;
                 }
             }
-            used += needs;
+            used += len;
             records.push(record);
-            self.unsaid.remove(&(cell, number));
-            self.said.insert((cell, number), now);
+            self.unsent.remove(&(cell, number));
+            self.sent_at.insert((cell, number), now);
         }
         if !records.is_empty() {
-            said.push(records);
+            payloads.push(records);
         }
-        for records in said {
-            let news = Message::News {
-                generation: self.origin.generation,
+        for records in payloads {
+            let update = Message::Update {
+                incarnation: self.origin.incarnation,
                 records,
             }
             .encode();
-            to.iter()
-                .for_each(|peer| self.send(*peer, news.clone(), out));
+            receivers
+                .iter()
+                .for_each(|peer| self.send(*peer, update.clone(), out));
         }
     }
 
-    /// By datagram where it fits, else by frame.
-    fn send(&mut self, to: NameKey, said: Vec<u8>, out: &mut Out) {
-        self.bytes += said.len() as u64;
-        out.push(if said.len() <= MAX_PAYLOAD {
-            ServiceOutput::SendDatagram(to, said)
+    /// Sends a payload in a datagram if it fits into one, otherwise in a frame.
+    fn send(&mut self, to: NameKey, payload: Vec<u8>, out: &mut Outputs) {
+        self.sent_bytes += payload.len() as u64;
+        out.push(if payload.len() <= MAX_PAYLOAD {
+            ServiceOutput::SendDatagram(to, payload)
         } else {
-            ServiceOutput::SendFrame(to, said)
+            ServiceOutput::SendFrame(to, payload)
         });
     }
 
-    fn ask(&mut self, peer: NameKey, out: &mut Out) {
-        let have = self.learner.windows.digest().into_iter().collect();
-        let want = Message::Want { have }.encode();
-        self.bytes += want.len() as u64;
-        out.push(ServiceOutput::SendFrame(peer, want));
+    fn request_state(&mut self, peer: NameKey, out: &mut Outputs) {
+        let digests = self.learner.windows.digest().into_iter().collect();
+        let request = Message::StateRequest { digests }.encode();
+        self.sent_bytes += request.len() as u64;
+        out.push(ServiceOutput::SendFrame(peer, request));
     }
 
-    /// What an asker lacks, the latest first, as what does not fit its link's queue is lost.
-    fn answer(&mut self, now: Duration, to: NameKey, have: Vec<(Origin, u64)>, out: &mut Out) {
-        if self.answers_left == 0 {
+    /// Replies to a state request with the windows of each origin whose digest differs from the requester's. Of the incarnations
+    /// of the requester itself, it sends only those that the requester lacks entirely. The most recent windows are sent first, as
+    /// frames that do not fit into the queue of the link are lost.
+    fn reply_state(
+        &mut self,
+        now: Duration,
+        to: NameKey,
+        digests: Vec<(Origin, u64)>,
+        out: &mut Outputs,
+    ) {
+        if self.replies_left == 0 {
             return;
         }
-        self.answers_left -= 1;
-        let have: BTreeMap<Origin, u64> = have.into_iter().collect();
-        let lacks: BTreeSet<Origin> = self
+        self.replies_left -= 1;
+        let digests: BTreeMap<Origin, u64> = digests.into_iter().collect();
+        let missing: BTreeSet<Origin> = self
             .learner
             .windows
             .digest()
             .into_iter()
             .filter_map(|(origin, digest)| {
-                (have.get(&origin) != Some(&digest) && origin.name != to
-                    || !have.contains_key(&origin))
+                (digests.get(&origin) != Some(&digest) && origin.member != to
+                    || !digests.contains_key(&origin))
                 .then_some(origin)
             })
             .collect();
-        let mut records: Vec<(Origin, Record)> =
-            self.records(now, |origin| lacks.contains(&origin));
-        records.sort_by_key(|(origin, record)| (record.last, *origin));
-        let mut parts = pieces(records, MAX_FRAME - CALIBRATED);
-        let last = parts.pop().unwrap_or_default();
-        let calibrated = Some(self.learner.coverage.clone());
+        let mut records: Vec<(Origin, WindowRecord)> =
+            self.records(now, |origin| missing.contains(&origin));
+        records.sort_by_key(|(origin, record)| (record.last_end_age, *origin));
+        let mut parts = split_into_parts(records, MAX_FRAME - CALIBRATION_LEN);
+        let last_part = parts.pop().unwrap_or_default();
+        let calibration = Some(self.learner.calibration.clone());
         let frames = parts
             .into_iter()
-            .map(|told| (told, None))
-            .chain([(last, calibrated)]);
-        for (told, last) in frames {
-            let state = Message::State { told, last }.encode();
-            self.bytes += state.len() as u64;
+            .map(|windows| (windows, None))
+            .chain([(last_part, calibration)]);
+        for (windows, calibration) in frames {
+            let state = Message::State {
+                windows,
+                calibration,
+            }
+            .encode();
+            self.sent_bytes += state.len() as u64;
             out.push(ServiceOutput::SendFrame(to, state));
         }
     }
 
-    fn records(&self, now: Duration, of: impl Fn(Origin) -> bool) -> Vec<(Origin, Record)> {
-        let all = self.learner.windows.all().filter(|w| of(w.1));
-        all.map(|(cell, origin, number, window)| (origin, Record::of(now, cell, number, window)))
-            .collect()
+    /// The stored windows of the selected origins.
+    fn records(
+        &self,
+        now: Duration,
+        select: impl Fn(Origin) -> bool,
+    ) -> Vec<(Origin, WindowRecord)> {
+        let all = self.learner.windows.all().filter(|w| select(w.1));
+        all.map(|(cell, origin, number, window)| {
+            (origin, WindowRecord::of(now, cell, number, window))
+        })
+        .collect()
     }
 
-    fn hear(&mut self, now: Duration, from: NameKey, said: &[u8], out: &mut Out) {
-        match Message::decode(said) {
-            Ok(Message::News {
-                generation,
+    fn on_message(&mut self, now: Duration, from: NameKey, payload: &[u8], out: &mut Outputs) {
+        match Message::decode(payload) {
+            Ok(Message::Update {
+                incarnation,
                 records,
             }) => {
                 let origin = Origin {
-                    name: from,
-                    generation,
+                    member: from,
+                    incarnation,
                 };
-                self.learn(now, Duration::ZERO, vec![OfOrigin { origin, records }]);
+                self.merge(now, Duration::ZERO, vec![OriginRecords { origin, records }]);
             }
-            Ok(Message::Want { have }) => self.answer(now, from, have, out),
-            Ok(Message::State { told, last }) => {
-                self.learn(now, Duration::ZERO, told);
-                let Some(coverage) = last else { return };
-                self.learner.coverage.begin_as(coverage);
+            Ok(Message::StateRequest { digests }) => self.reply_state(now, from, digests, out),
+            Ok(Message::State {
+                windows,
+                calibration,
+            }) => {
+                self.merge(now, Duration::ZERO, windows);
+                let Some(calibration) = calibration else {
+                    return;
+                };
+                self.learner.calibration.adopt_missing(calibration);
                 if !std::mem::replace(&mut self.caught_up, true) {
-                    let answers = self.learner.windows.answers();
-                    let text = format!("lengths: caught up answers={answers} by={}", shown(from));
+                    let responses = self.learner.windows.responses();
+                    let text = format!(
+                        "lengths: caught up answers={responses} by={}",
+                        display_member(from)
+                    );
                     out.push(ServiceOutput::Log { warn: false, text });
                 }
             }
             Err(error) => {
-                if self.odd.peer(from, &error) {
+                if self.outliers.add_peer(from, &error) {
                     let text = format!(
-                        "lengths: peer {} said {error}; {}",
-                        shown(from),
+                        "lengths: peer {} sent a rejected message: {error}; {}",
+                        display_member(from),
                         error.advice()
                     );
                     out.push(ServiceOutput::Log { warn: true, text });
@@ -342,81 +396,95 @@
         }
     }
 
-    fn learn(&mut self, now: Duration, late: Duration, told: Vec<OfOrigin>) {
-        for OfOrigin { origin, records } in told {
-            // Of what this start has counted nobody knows more.
+    /// Merges windows received from a peer or read from a snapshot. `extra_age` is added to their ages.
+    fn merge(&mut self, now: Duration, extra_age: Duration, windows: Vec<OriginRecords>) {
+        for OriginRecords { origin, records } in windows {
+            // No copy of this process's own windows is newer than the one that it stores.
             if origin == self.origin {
                 continue;
             }
             for record in records {
-                let (cell, number, window) = record.window(now, late);
-                self.changed |= self.learner.merge((cell, origin, number, window));
+                let (cell, number, window) = record.window(now, extra_age);
+                self.changed_since_snapshot |= self.learner.merge((cell, origin, number, window));
             }
         }
     }
 
-    fn on_ended(&mut self, now: Duration, ended: &Ended, out: &mut Out) {
-        if odd(ended) {
-            if self.odd.host(&ended.host) {
-                let error = LengthsError::OddHost;
-                let (host, tokens, ceiling) = (&ended.host, ended.tokens, ended.ceiling);
+    fn on_response_finished(
+        &mut self,
+        now: Duration,
+        response: &FinishedResponse,
+        out: &mut Outputs,
+    ) {
+        if is_implausible(response) {
+            if self.outliers.add_server(&response.server) {
+                let error = OutputLengthError::ImplausibleReport;
+                let (server, tokens, limit) = (
+                    &response.server,
+                    response.output_tokens,
+                    response.max_output_tokens,
+                );
                 let text = format!(
-                    "lengths: host={host} tokens={tokens} ceiling={ceiling}: {error}; {}",
+                    "lengths: host={server} tokens={tokens} ceiling={limit}: {error}; {}",
                     error.advice()
                 );
                 out.push(ServiceOutput::Log { warn: true, text });
             }
             return;
         }
-        if let Some(counted) = self.learner.ended(now, ended) {
-            self.unsaid.insert((counted.cell, counted.number));
-            self.changed = true;
+        if let Some(counted) = self.learner.record(now, response) {
+            self.unsent.insert((counted.cell, counted.number));
+            self.changed_since_snapshot = true;
         }
     }
 
-    fn keep(&mut self, now: Duration, out: &mut Out) {
-        if !self.disk || !std::mem::take(&mut self.changed) {
+    fn store_snapshot(&mut self, now: Duration, out: &mut Outputs) {
+        if !self.has_store || !std::mem::take(&mut self.changed_since_snapshot) {
             return;
         }
-        let told = pieces(self.records(now, |_| true), usize::MAX)
+        let windows = split_into_parts(self.records(now, |_| true), usize::MAX)
             .into_iter()
             .flatten()
             .collect();
-        let saved = now.as_millis() as u64;
+        let saved_at_ms = now.as_millis() as u64;
         let snapshot = Snapshot {
-            saved,
-            coverage: self.learner.coverage.clone(),
-            told,
+            saved_at_ms,
+            calibration: self.learner.calibration.clone(),
+            windows,
         };
         self.tickets += 1;
         let bytes = Some(snapshot.encode());
         out.push(ServiceOutput::Persist {
             ticket: self.tickets,
-            name: KEPT_AS.to_vec(),
+            name: SNAPSHOT_NAME.to_vec(),
             bytes,
         });
     }
 
-    fn on_found(
+    fn on_snapshot_loaded(
         &mut self,
         now: Duration,
-        found: Result<StoredEntries, StorageError>,
-        out: &mut Out,
+        loaded: Result<StoredEntries, StorageError>,
+        out: &mut Outputs,
     ) {
-        self.disk = true;
-        let read = found.map_err(LengthsError::unread).and_then(|found| {
-            let kept = found.into_iter().find(|(name, _)| name == KEPT_AS);
-            kept.map(|(_, bytes)| Snapshot::decode(&bytes)).transpose()
-        });
-        match read {
+        self.has_store = true;
+        let snapshot = loaded
+            .map_err(OutputLengthError::snapshot_unavailable)
+            .and_then(|entries| {
+                let entry = entries.into_iter().find(|(name, _)| name == SNAPSHOT_NAME);
+                entry.map(|(_, bytes)| Snapshot::decode(&bytes)).transpose()
+            });
+        match snapshot {
             Ok(None) => {}
             Ok(Some(snapshot)) => {
-                let saved = Duration::from_millis(snapshot.saved);
-                let late = now.checked_sub(saved).unwrap_or(SET_BACK);
-                self.learner.coverage = snapshot.coverage;
-                self.learn(now, late, snapshot.told);
-                let (answers, age) = (self.learner.windows.answers(), late.as_secs());
-                let text = format!("lengths: read back answers={answers} age_s={age}");
+                let saved_at = Duration::from_millis(snapshot.saved_at_ms);
+                let age = now
+                    .checked_sub(saved_at)
+                    .unwrap_or(AGE_AFTER_CLOCK_SET_BACK);
+                self.learner.calibration = snapshot.calibration;
+                self.merge(now, age, snapshot.windows);
+                let (responses, age_s) = (self.learner.windows.responses(), age.as_secs());
+                let text = format!("lengths: read back answers={responses} age_s={age_s}");
                 out.push(ServiceOutput::Log { warn: false, text });
             }
             Err(error) => {
@@ -429,84 +497,85 @@
         }
     }
 
-    fn on_kept(&mut self, done: Result<(), StorageError>, out: &mut Out) {
-        let fault = done.err();
-        if let Some(fault) = fault
+    fn on_snapshot_stored(&mut self, result: Result<(), StorageError>, out: &mut Outputs) {
+        let error = result.err();
+        if let Some(error) = error
             .as_ref()
-            .filter(|f| self.keep_fault.as_ref() != Some(f))
+            .filter(|e| self.snapshot_error.as_ref() != Some(e))
         {
-            let text = format!("lengths: not kept: {fault}; {}", fault.advice());
+            let text = format!(
+                "lengths: the snapshot was not stored: {error}; {}",
+                error.advice()
+            );
             out.push(ServiceOutput::Log { warn: true, text });
         }
-        self.changed |= fault.is_some();
-        self.keep_fault = fault;
+        self.changed_since_snapshot |= error.is_some();
+        self.snapshot_error = error;
     }
 
-    fn log(&mut self, out: &mut Out) {
+    fn log_status(&mut self, out: &mut Outputs) {
         let windows = &self.learner.windows;
-        let share = self
+        let coverage = self
             .learner
-            .coverage
-            .share()
-            .map_or("none".to_string(), |s| format!("{s:.3}"));
+            .calibration
+            .coverage()
+            .map_or("none".to_string(), |c| format!("{c:.3}"));
         let all = self
             .learner
             .curves()
             .get(&Cell::ALL)
-            .map(|c| c.expected(u32::MAX));
+            .map(|c| c.estimate(u32::MAX));
         let (p50, p90) = all.map_or((0.0, 0.0), |e| (e.p50, e.p90));
         let text = format!(
-            "lengths: answers={} windows={} cells={} origins={} curves={} p50={p50:.0} p90={p90:.0} coverage={share} changes={} odd={} peers={}",
-            windows.answers(),
+            "lengths: answers={} windows={} cells={} origins={} curves={} p50={p50:.0} p90={p90:.0} coverage={coverage} changes={} odd={} peers={}",
+            windows.responses(),
             windows.len(),
             windows.cells().count(),
             windows.origins(),
             self.learner.curves().len(),
             self.learner.changes,
-            self.odd.count,
-            self.there.len(),
+            self.outliers.total,
+            self.peers.len(),
         );
-        if text != self.logged {
+        if text != self.last_status {
             out.push(ServiceOutput::Log {
                 warn: false,
                 text: text.clone(),
             });
-            self.logged = text;
+            self.last_status = text;
         }
     }
 }
 
-impl ClusterService for Lengths {
+impl ClusterService for OutputLengths {
     const TOPIC: Topic = Topic::Lengths;
-    type Request = Ask;
-    type Event = Told;
+    type Request = Command;
+    type Event = Event;
 
     fn wake_at(&self) -> Option<Duration> {
-        self.next.values().min().copied()
+        self.due_at.values().min().copied()
     }
 
-    fn step(&mut self, now: Duration, given: ServiceInput<Ask>, out: &mut Out) {
-        match given {
+    fn step(&mut self, now: Duration, input: ServiceInput<Command>, out: &mut Outputs) {
+        match input {
             ServiceInput::Wake => self.on_wake(now, out),
-            ServiceInput::Datagram {
-                from,
-                payload: said,
+            ServiceInput::Datagram { from, payload } | ServiceInput::Frame { from, payload } => {
+                self.on_message(now, from.name, &payload, out)
             }
-            | ServiceInput::Frame {
-                from,
-                payload: said,
-            } => self.hear(now, from.name, &said, out),
             ServiceInput::Peers(peers) => {
-                let there: BTreeSet<NameKey> = peers.present.into_iter().collect();
-                // Those that have come, or come back: each may know what was missed.
-                self.unasked.extend(there.difference(&self.there));
-                self.unasked.retain(|peer| there.contains(peer));
-                self.there = there;
+                let present: BTreeSet<NameKey> = peers.present.into_iter().collect();
+                // Peers that have joined, or joined again, may store windows that were missed here.
+                self.unrequested_peers
+                    .extend(present.difference(&self.peers));
+                self.unrequested_peers.retain(|peer| present.contains(peer));
+                self.peers = present;
+            }
+            ServiceInput::Request(Command::ResponseFinished(response)) => {
+                self.on_response_finished(now, &response, out)
             }
-            ServiceInput::Request(Ask::Ended(ended)) => self.on_ended(now, &ended, out),
-            ServiceInput::Loaded(found) => self.on_found(now, found, out),
-            ServiceInput::Persisted { done, .. } => self.on_kept(done, out),
-            ServiceInput::Leave => self.keep(now, out),
+            ServiceInput::Loaded(loaded) => self.on_snapshot_loaded(now, loaded, out),
+            ServiceInput::Persisted { done, .. } => self.on_snapshot_stored(done, out),
+            ServiceInput::Leave => self.store_snapshot(now, out),
         }
     }
 }
--- a/crates/output-length/src/message.rs
+++ b/crates/output-length/src/message.rs
@@ -1,136 +1,166 @@
-//! What members say to each other, and what is kept: a version, then the library's compact form.
+//! The encoding of messages between members and of the snapshot on disk: a version byte, followed by the value in postcard
+//! format.
 
 use bitternlatch_membership::NameKey;
 use serde::{Deserialize, Serialize};
 
-use crate::coverage::Coverage;
-use crate::error::LengthsError;
+use crate::coverage::Calibration;
+use crate::error::OutputLengthError;
 use crate::ids::Origin;
-use crate::windows::Record;
+use crate::windows::WindowRecord;
 
 #[cfg(test)]
 mod tests;
 
-/// First byte of each message and snapshot.
-pub(crate) const VERSION: u8 = 1;
-/// Origins that a question may name.
-const ORIGINS_MOST: usize = 4096;
+/// Version of the encoding; the first byte of each message and snapshot.
+pub(crate) const FORMAT_VERSION: u8 = 1;
+/// Limit of origins in a state request.
+const MAX_REQUESTED_ORIGINS: usize = 4096;
 
-/// Windows of one origin.
+/// The windows of one origin.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Told {
+pub(crate) struct OriginRecords {
     pub origin: Origin,
-    pub records: Vec<Record>,
+    pub records: Vec<WindowRecord>,
 }
 
+/// A message between members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// The sender's own latest.
-    News {
-        generation: u64,
-        records: Vec<Record>,
+    /// Windows counted by the sender itself that have grown, with the sender's incarnation.
+    #[serde(rename = "News")]
+    Update {
+        #[serde(rename = "generation")]
+        incarnation: u64,
+        records: Vec<WindowRecord>,
     },
-    /// All that differs from what the asker has.
-    Want { have: Vec<(Origin, u64)> },
-    /// An answer's part; the last one, after which no more follows, tells how its sender's estimates are calibrated.
+    /// A request for the windows of all origins of which the receiver stores other windows than the sender. `digests` contains
+    /// the digest of each origin of which the sender stores windows.
+    #[serde(rename = "Want")]
+    StateRequest {
+        #[serde(rename = "have")]
+        digests: Vec<(Origin, u64)>,
+    },
+    /// A part of the reply to a state request. The last part, and only that one, contains the sender's calibration.
     State {
-        told: Vec<Told>,
-        last: Option<Coverage>,
+        #[serde(rename = "told")]
+        windows: Vec<OriginRecords>,
+        #[serde(rename = "last")]
+        calibration: Option<Calibration>,
     },
 }
 
-/// On disk.
+/// The snapshot on disk: all windows that a process stores, and its calibration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Snapshot {
-    /// Milliseconds by the process's clock, which starts at the Unix time.
-    pub saved: u64,
-    pub coverage: Coverage,
-    pub told: Vec<Told>,
+    /// When the snapshot was taken, milliseconds since the Unix epoch by the process's clock.
+    #[serde(rename = "saved")]
+    pub saved_at_ms: u64,
+    #[serde(rename = "coverage")]
+    pub calibration: Calibration,
+    #[serde(rename = "told")]
+    pub windows: Vec<OriginRecords>,
 }
 
-fn bytes(of: &impl Serialize) -> Vec<u8> {
-    // The library fails on maps of unknown length alone, and there are none; an empty message is unreadable, and dropped.
-    postcard::to_extend(of, vec![VERSION]).unwrap_or_default()
+fn encode(value: &impl Serialize) -> Vec<u8> {
+    // Postcard fails only for sequences and maps of unknown length, which these types do not have. If it failed, the empty
+    // message would be rejected by its receiver.
+    postcard::to_extend(value, vec![FORMAT_VERSION]).unwrap_or_default()
 }
 
 impl Message {
     pub fn encode(&self) -> Vec<u8> {
-        bytes(self)
+        encode(self)
     }
 
-    pub fn decode(said: &[u8]) -> Result<Message, LengthsError> {
-        let (version, rest) = said.split_first().ok_or(LengthsError::Unreadable)?;
-        if *version != VERSION {
-            return Err(LengthsError::OtherVersion(*version));
+    pub fn decode(payload: &[u8]) -> Result<Message, OutputLengthError> {
+        let (version, rest) = payload.split_first().ok_or(OutputLengthError::Unreadable)?;
+        if *version != FORMAT_VERSION {
+            return Err(OutputLengthError::UnsupportedVersion(*version));
         }
-        let message: Message = postcard::from_bytes(rest).map_err(|_| LengthsError::Unreadable)?;
-        let sound = match &message {
-            Message::News { records, .. } => records.iter().all(Record::sound),
-            Message::Want { have } => have.len() <= ORIGINS_MOST,
-            Message::State { told, last } => {
-                let calibrated = last.as_ref().is_none_or(Coverage::sound);
-                calibrated && told.iter().all(|t| t.records.iter().all(Record::sound))
+        let message: Message =
+            postcard::from_bytes(rest).map_err(|_| OutputLengthError::Unreadable)?;
+        let is_valid = match &message {
+            Message::Update { records, .. } => records.iter().all(WindowRecord::is_valid),
+            Message::StateRequest { digests } => digests.len() <= MAX_REQUESTED_ORIGINS,
+            Message::State {
+                windows,
+                calibration,
+            } => {
+                let is_calibration_valid = calibration.as_ref().is_none_or(Calibration::is_valid);
+                is_calibration_valid
+                    && windows
+                        .iter()
+                        .all(|group| group.records.iter().all(WindowRecord::is_valid))
             }
         };
-        sound.then_some(message).ok_or(LengthsError::Unsound)
+        is_valid
+            .then_some(message)
+            .ok_or(OutputLengthError::InvalidCounts)
     }
 }
 
 impl Snapshot {
     pub fn encode(&self) -> Vec<u8> {
-        bytes(self)
+        encode(self)
     }
 
-    pub fn decode(kept: &[u8]) -> Result<Snapshot, LengthsError> {
-        let (version, rest) = kept.split_first().ok_or(LengthsError::BrokenSnapshot)?;
-        if *version != VERSION {
-            return Err(LengthsError::OtherVersion(*version));
+    pub fn decode(payload: &[u8]) -> Result<Snapshot, OutputLengthError> {
+        let (version, rest) = payload
+            .split_first()
+            .ok_or(OutputLengthError::CorruptSnapshot)?;
+        if *version != FORMAT_VERSION {
+            return Err(OutputLengthError::UnsupportedVersion(*version));
         }
         let snapshot: Snapshot =
-            postcard::from_bytes(rest).map_err(|_| LengthsError::BrokenSnapshot)?;
-        let sound = snapshot
-            .told
+            postcard::from_bytes(rest).map_err(|_| OutputLengthError::CorruptSnapshot)?;
+        let is_valid = snapshot
+            .windows
             .iter()
-            .all(|t| t.records.iter().all(Record::sound));
-        (sound && snapshot.coverage.sound())
+            .all(|group| group.records.iter().all(WindowRecord::is_valid));
+        (is_valid && snapshot.calibration.is_valid())
             .then_some(snapshot)
-            .ok_or(LengthsError::BrokenSnapshot)
+            .ok_or(OutputLengthError::CorruptSnapshot)
     }
 }
 
-/// Bytes of a record in a message.
-pub(crate) fn size(record: &Record) -> usize {
+/// The encoded length of a record, bytes.
+pub(crate) fn encoded_len(record: &WindowRecord) -> usize {
     postcard::experimental::serialized_size(record).unwrap_or(usize::MAX)
 }
 
-/// Records by origin in pieces of so many bytes at the most, each with its origin.
-pub(crate) fn pieces(of: Vec<(Origin, Record)>, most: usize) -> Vec<Vec<Told>> {
-    // A name and a generation, a length.
-    const ORIGIN: usize = 20;
-    let mut pieces: Vec<Vec<Told>> = vec![];
+/// Splits records, each with its origin, into parts of at most `max_bytes` encoded bytes, grouped by origin within a part. A
+/// single record beyond the limit gets a part of its own.
+pub(crate) fn split_into_parts(
+    records: Vec<(Origin, WindowRecord)>,
+    max_bytes: usize,
+) -> Vec<Vec<OriginRecords>> {
+    // Encoded length of a member name, an incarnation and the number of records, bytes.
+    const ORIGIN_LEN: usize = 20;
+    let mut parts: Vec<Vec<OriginRecords>> = vec![];
     let mut used = 0usize;
-    for (origin, record) in of {
-        let needs = size(&record).saturating_add(ORIGIN);
-        if pieces.is_empty() || used.saturating_add(needs) > most {
-            pieces.push(vec![]);
+    for (origin, record) in records {
+        let len = encoded_len(&record).saturating_add(ORIGIN_LEN);
+        if parts.is_empty() || used.saturating_add(len) > max_bytes {
+            parts.push(vec![]);
             used = 0;
         }
-        used = used.saturating_add(needs);
-        let Some(piece) = pieces.last_mut() else {
+        used = used.saturating_add(len);
+        let Some(part) = parts.last_mut() else {
             continue;
         };
-        match piece.last_mut().filter(|told| told.origin == origin) {
-            Some(told) => told.records.push(record),
-            None => piece.push(Told {
+        match part.last_mut().filter(|group| group.origin == origin) {
+            Some(group) => group.records.push(record),
+            None => part.push(OriginRecords {
                 origin,
                 records: vec![record],
             }),
         }
     }
-    pieces
+    parts
 }
 
-/// For logs.
-pub(crate) fn shown(name: NameKey) -> String {
+/// A member's key as shown in logs, in hexadecimal.
+pub(crate) fn display_member(name: NameKey) -> String {
     format!("{:08x}", name.0)
 }
--- a/crates/output-length/src/message/tests.rs
+++ b/crates/output-length/src/message/tests.rs
@@ -1,21 +1,21 @@
-//! The bytes of messages and of the snapshot on disk, as other builds write and read them.
+//! Tests of the encoding of messages and snapshots against fixed bytes, which other builds write and read.
 
 use std::time::Duration;
 
-use super::{Message, Snapshot, Told};
-use crate::coverage::Coverage;
-use crate::ids::{Cell, ClassKey, ModelKey, Number, Origin, PromptBin};
+use super::{Message, OriginRecords, Snapshot};
+use crate::coverage::Calibration;
+use crate::ids::{Cell, ClassKey, ModelKey, Origin, PromptBin, WindowNumber};
 use crate::sketch::Counts;
-use crate::windows::{Record, Window};
+use crate::windows::{Window, WindowRecord};
 use bitternlatch_membership::NameKey;
 
-/// Written by version 0.2.0 (8d105fa).
+/// A snapshot written by version 0.2.0 (commit 8d105fa).
 const SNAPSHOT: &[u8] = include_bytes!("../../tests/fixtures/snapshot-v1.bin");
 
 fn origin() -> Origin {
     Origin {
-        name: NameKey(0x0a0b_0c0d),
-        generation: 300,
+        member: NameKey(0x0a0b_0c0d),
+        incarnation: 300,
     }
 }
 
@@ -25,29 +25,29 @@
     counts
 }
 
-fn record() -> Record {
+fn record() -> WindowRecord {
     let cell = Cell {
         model: ModelKey(17),
         class: ClassKey(400),
-        bin: PromptBin(3),
+        prompt_bin: PromptBin(3),
     };
     let window = Window {
-        ended: counts(&[10, 10, 200]),
-        cut: counts(&[4000]),
-        begun: Duration::from_secs(5),
-        last: Duration::from_secs(9),
+        complete: counts(&[10, 10, 200]),
+        censored: counts(&[4000]),
+        first_end: Duration::from_secs(5),
+        last_end: Duration::from_secs(9),
     };
-    Record::of(Duration::from_secs(60), cell, Number(6), &window)
+    WindowRecord::of(Duration::from_secs(60), cell, WindowNumber(6), &window)
 }
 
-fn coverage() -> Coverage {
-    let mut coverage = Coverage::default();
-    coverage.judge(ModelKey(17), ClassKey(400), false);
-    coverage
+fn calibration() -> Calibration {
+    let mut calibration = Calibration::default();
+    calibration.record(ModelKey(17), ClassKey(400), false);
+    calibration
 }
 
-fn windows_of_one_origin() -> Vec<Told> {
-    vec![Told {
+fn windows_of_one_origin() -> Vec<OriginRecords> {
+    vec![OriginRecords {
         origin: origin(),
         records: vec![record()],
     }]
@@ -55,9 +55,9 @@
 
 fn snapshot() -> Snapshot {
     Snapshot {
-        saved: 1_700_000_000_123,
-        coverage: coverage(),
-        told: windows_of_one_origin(),
+        saved_at_ms: 1_700_000_000_123,
+        calibration: calibration(),
+        windows: windows_of_one_origin(),
     }
 }
 
@@ -66,25 +66,25 @@
 }
 
 #[test]
-fn each_message_has_the_bytes_of_version_1() {
+fn messages_have_the_bytes_of_format_version_1() {
     let messages = [
         (
-            Message::News {
-                generation: 300,
+            Message::Update {
+                incarnation: 300,
                 records: vec![record()],
             },
             "0100ac02011190030306a604fe030215022e01014901",
         ),
         (
-            Message::Want {
-                have: vec![(origin(), 41)],
+            Message::StateRequest {
+                digests: vec![(origin(), 41)],
             },
             "0101018d98ac50ac0229",
         ),
         (
             Message::State {
-                told: windows_of_one_origin(),
-                last: Some(coverage()),
+                windows: windows_of_one_origin(),
+                calibration: Some(calibration()),
             },
             "0102018d98ac50ac02011190030306a604fe030215022e010149010101119003b29defa7c64bb73f",
         ),
@@ -97,25 +97,29 @@
 }
 
 #[test]
-fn a_snapshot_on_disk_is_read_back_field_by_field() {
+fn snapshot_of_an_earlier_build_is_decoded_with_all_fields() {
     let read = Snapshot::decode(SNAPSHOT).expect("a snapshot");
-    assert_eq!(read.saved, 1_700_000_000_123);
-    assert_eq!(read.told.len(), 1);
-    assert_eq!(read.told[0].origin.name, NameKey(0x0a0b_0c0d));
-    assert_eq!(read.told[0].origin.generation, 300);
-    let kept = &read.told[0].records[0];
-    assert_eq!(kept.cell.model, ModelKey(17));
-    assert_eq!(kept.cell.class, ClassKey(400));
-    assert_eq!(kept.cell.bin, PromptBin(3));
-    assert_eq!(kept.number, Number(6));
-    assert_eq!((kept.begun, kept.last), (550, 510), "tenths of seconds ago");
-    assert_eq!(kept.ended, counts(&[10, 10, 200]));
-    assert_eq!(kept.cut, counts(&[4000]));
-    let miss = |coverage: &Coverage| coverage.miss(ModelKey(17), ClassKey(400));
-    assert_eq!(miss(&read.coverage), miss(&coverage()));
+    assert_eq!(read.saved_at_ms, 1_700_000_000_123);
+    assert_eq!(read.windows.len(), 1);
+    assert_eq!(read.windows[0].origin.member, NameKey(0x0a0b_0c0d));
+    assert_eq!(read.windows[0].origin.incarnation, 300);
+    let record = &read.windows[0].records[0];
+    assert_eq!(record.cell.model, ModelKey(17));
+    assert_eq!(record.cell.class, ClassKey(400));
+    assert_eq!(record.cell.prompt_bin, PromptBin(3));
+    assert_eq!(record.number, WindowNumber(6));
+    assert_eq!(
+        (record.first_end_age, record.last_end_age),
+        (550, 510),
+        "tenths of seconds ago"
+    );
+    assert_eq!(record.complete, counts(&[10, 10, 200]));
+    assert_eq!(record.censored, counts(&[4000]));
+    let miss_rate = |calibration: &Calibration| calibration.miss_rate(ModelKey(17), ClassKey(400));
+    assert_eq!(miss_rate(&read.calibration), miss_rate(&calibration()));
 }
 
 #[test]
-fn a_snapshot_is_written_as_it_was() {
+fn snapshot_is_encoded_to_the_bytes_of_an_earlier_build() {
     assert_eq!(hex(&snapshot().encode()), hex(SNAPSHOT));
 }
--- a/crates/output-length/src/odd.rs
+++ b/crates/output-length/src/odd.rs
@@ -1,50 +1,57 @@
-//! Hosts and peers that report what cannot be: they are not counted, and named.
+//! Detects implausible reports of model servers and peers. They are not learnt from, and their senders are named in the log.
 
 use std::collections::BTreeMap;
 
 use bitternlatch_membership::NameKey;
 
-use crate::error::LengthsError;
-use crate::io::{End, Ended};
-
-/// Hosts and peers remembered; further ones are counted without a name.
-const NAMED: usize = 64;
-/// Reports of one host after which it is named: one may be a fault of the moment.
-const NAME_AT: u32 = 3;
-
-/// Whether a host's report of an answer can be true.
-pub(crate) fn odd(ended: &Ended) -> bool {
-    let none = ended.tokens == 0 && ended.bytes > 0 && ended.end != End::Left;
-    none || ended.tokens > ended.ceiling && ended.end != End::Left
+use crate::error::OutputLengthError;
+use crate::io::{FinishedResponse, ResponseEnd};
+
+/// Limit of model servers, and of peers, whose reports are counted individually; further ones are never named in the log.
+const MAX_SENDERS: usize = 64;
+/// Number of implausible reports at which a model server is named in the log: a single one may be a transient fault.
+const LOG_SERVER_AT: u32 = 3;
+
+/// Whether a model server's report of a response is impossible: no tokens despite text, or more tokens than its limit. A response
+/// whose client disconnected is never implausible, as its tokens are estimated by the dispatcher.
+pub(crate) fn is_implausible(response: &FinishedResponse) -> bool {
+    let no_tokens = response.output_tokens == 0
+        && response.text_bytes > 0
+        && response.end != ResponseEnd::ClientDisconnected;
+    no_tokens
+        || response.output_tokens > response.max_output_tokens
+            && response.end != ResponseEnd::ClientDisconnected
 }
 
+/// Numbers of implausible reports by sender.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Odd {
-    hosts: BTreeMap<String, u32>,
+pub(crate) struct OutlierReports {
+    servers: BTreeMap<String, u32>,
     peers: BTreeMap<NameKey, u32>,
-    pub count: u64,
+    /// Number of implausible reports from all senders.
+    pub total: u64,
 }
 
-impl Odd {
-    /// Notes a host's odd report; true when it is to be named.
-    pub fn host(&mut self, host: &str) -> bool {
-        self.count += 1;
-        if self.hosts.len() >= NAMED && !self.hosts.contains_key(host) {
+impl OutlierReports {
+    /// Counts an implausible report of a model server; returns whether the server is to be named in the log now.
+    pub fn add_server(&mut self, server: &str) -> bool {
+        self.total += 1;
+        if self.servers.len() >= MAX_SENDERS && !self.servers.contains_key(server) {
             return false;
         }
-        let seen = self.hosts.entry(host.to_string()).or_default();
-        *seen = seen.saturating_add(1);
-        *seen == NAME_AT
+        let reports = self.servers.entry(server.to_string()).or_default();
+        *reports = reports.saturating_add(1);
+        *reports == LOG_SERVER_AT
     }
 
-    /// Notes what a peer said that cannot be read; true when it is to be named.
-    pub fn peer(&mut self, name: NameKey, _error: &LengthsError) -> bool {
-        self.count += 1;
-        if self.peers.len() >= NAMED && !self.peers.contains_key(&name) {
+    /// Counts an invalid message of a peer; returns whether the peer is to be named in the log, as it is for the first one.
+    pub fn add_peer(&mut self, name: NameKey, _error: &OutputLengthError) -> bool {
+        self.total += 1;
+        if self.peers.len() >= MAX_SENDERS && !self.peers.contains_key(&name) {
             return false;
         }
-        let seen = self.peers.entry(name).or_default();
-        *seen = seen.saturating_add(1);
-        *seen == 1
+        let reports = self.peers.entry(name).or_default();
+        *reports = reports.saturating_add(1);
+        *reports == 1
     }
 }
--- a/crates/output-length/src/own.rs
+++ b/crates/output-length/src/own.rs
@@ -1,113 +1,133 @@
-//! What this process counts itself: one open window a cell, and each tenant's part of it.
+//! Counts the responses of this process into its own windows. Each cell has one open window, of which each tenant may fill only
+//! a limited share.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::ids::{Cell, Number, Origin, TenantKey};
-use crate::windows::{Window, Windows, ANSWERS_MOST, CELLS_MOST};
+use crate::ids::{Cell, Origin, TenantKey, WindowNumber};
+use crate::windows::{Window, WindowStore, MAX_CELLS, MAX_WINDOW_RESPONSES};
 
-/// A window is closed once it is full, or old enough with enough in it, or old.
-const ENOUGH: (Duration, u32) = (Duration::from_secs(10), 32);
-const OLD: Duration = Duration::from_secs(120);
-/// A cell without answers for so long makes room for others.
-const IDLE: Duration = Duration::from_secs(1800);
-/// Tenants told apart in a window; more share places by chance, and with it a part.
-const TENANTS: usize = 32;
-/// A tenant's part of a window: this multiple of an even one, an even one being a sixteenth at the least; and one answer.
-const PART: f64 = 1.25;
-const EVEN: f64 = 1.0 / 16.0;
+/// Age at which a window is closed if it has at least [`CLOSE_MIN_RESPONSES`].
+const CLOSE_AGE: Duration = Duration::from_secs(10);
+/// Number of responses from which a window is closed at [`CLOSE_AGE`].
+const CLOSE_MIN_RESPONSES: u32 = 32;
+/// Age at which a window is closed however few responses it has.
+const MAX_OPEN_AGE: Duration = Duration::from_secs(120);
+/// Time without responses after which a cell's open window may be removed to make room for other cells.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(1800);
+/// Number of slots among which tenants are distributed in a window; tenants in the same slot share one limit.
+const TENANT_SLOTS: usize = 32;
+/// Limit of a tenant slot's share of a window, as a multiple of an even share. One response is allowed beyond it.
+const MAX_SHARE_RATIO: f64 = 1.25;
+/// Lower limit of the even share of a window.
+const MIN_EVEN_SHARE: f64 = 1.0 / 16.0;
 
+/// The open window of a cell.
 #[derive(Clone, Debug)]
-struct Open {
-    number: Number,
-    begun: Duration,
-    last: Duration,
-    tenants: [u16; TENANTS],
-    /// Tenants seen in the window before.
-    before: usize,
+struct OpenWindow {
+    number: WindowNumber,
+    opened: Duration,
+    /// When a response of the cell last ended, whether counted or not.
+    last_end: Duration,
+    /// Number of counted responses by tenant slot.
+    slots: [u16; TENANT_SLOTS],
+    /// Number of slots in use in the cell's previous window.
+    previous_slots: usize,
 }
 
-impl Open {
-    fn seen(&self) -> usize {
-        self.tenants.iter().filter(|n| **n > 0).count()
+impl OpenWindow {
+    fn used_slots(&self) -> usize {
+        self.slots.iter().filter(|n| **n > 0).count()
     }
 
-    /// Whether a tenant's next answer counts. One that floods a cell moves the others' estimates within its part only.
-    fn admits(&mut self, tenant: TenantKey) -> bool {
-        let at = tenant.0 as usize % TENANTS;
-        let total: u32 = self.tenants.iter().map(|n| u32::from(*n)).sum();
-        let others = self.seen() + usize::from(self.tenants[at] == 0);
-        let part = PART * (1.0 / others.max(self.before) as f64).max(EVEN);
-        let counts = f64::from(self.tenants[at]) <= part * f64::from(total + 1);
-        self.tenants[at] = self.tenants[at].saturating_add(u16::from(counts));
-        counts
+    /// Whether the tenant's next response is counted; if so, adds it to the tenant's slot. The limit keeps a tenant with many
+    /// requests from dominating the estimates for the other tenants.
+    fn admit(&mut self, tenant: TenantKey) -> bool {
+        let at = tenant.0 as usize % TENANT_SLOTS;
+        let total: u32 = self.slots.iter().map(|n| u32::from(*n)).sum();
+        let used = self.used_slots() + usize::from(self.slots[at] == 0);
+        let share =
+            MAX_SHARE_RATIO * (1.0 / used.max(self.previous_slots) as f64).max(MIN_EVEN_SHARE);
+        let admitted = f64::from(self.slots[at]) <= share * f64::from(total + 1);
+        self.slots[at] = self.slots[at].saturating_add(u16::from(admitted));
+        admitted
     }
 }
 
-/// Where an answer was counted.
+/// The window in which a response was counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Counted {
     pub cell: Cell,
-    pub number: Number,
+    pub number: WindowNumber,
 }
 
+/// The open windows of this process, by cell.
 #[derive(Clone, Debug)]
-pub(crate) struct Own {
+pub(crate) struct LocalWindows {
     pub origin: Origin,
-    open: BTreeMap<Cell, Open>,
+    open: BTreeMap<Cell, OpenWindow>,
 }
 
-impl Own {
-    pub fn new(origin: Origin) -> Own {
-        Own {
+impl LocalWindows {
+    pub fn new(origin: Origin) -> LocalWindows {
+        LocalWindows {
             origin,
             open: BTreeMap::new(),
         }
     }
 
-    /// Counts an answer of so many tokens, or at least so many where it was cut short; none where its tenant has its part.
+    /// Counts a response in its cell's open window, after replacing a window that is to be closed. `tokens` is its length, or a
+    /// lower bound of it unless `complete`. Returns `None` if the tenant has reached its share of the window.
     pub fn count(
         &mut self,
         now: Duration,
         cell: Cell,
         tenant: TenantKey,
-        (tokens, whole): (u32, bool),
-        windows: &mut Windows,
+        (tokens, complete): (u32, bool),
+        windows: &mut WindowStore,
     ) -> Option<Counted> {
         let room = self.open.contains_key(&cell) || self.make_room(now);
-        // What there is no room for is still told apart from nothing: it counts among all.
+        // Without room for its cell, the response is counted in a fallback cell, which enters only the estimate of all requests.
         let cell = if room { cell } else { Cell::default() };
-        let fresh = |number, before| Open {
+        let new_window = |number, previous_slots| OpenWindow {
             number,
-            begun: now,
-            last: now,
-            tenants: [0; TENANTS],
-            before,
+            opened: now,
+            last_end: now,
+            slots: [0; TENANT_SLOTS],
+            previous_slots,
         };
-        let open = self.open.entry(cell).or_insert_with(|| fresh(Number(1), 0));
-        let answers = windows
+        let open = self
+            .open
+            .entry(cell)
+            .or_insert_with(|| new_window(WindowNumber(1), 0));
+        let responses = windows
             .get(&cell, self.origin, open.number)
-            .map_or(0, Window::answers);
-        let age = now.saturating_sub(open.begun);
-        let full = answers >= ANSWERS_MOST || age >= ENOUGH.0 && answers >= ENOUGH.1 || age >= OLD;
-        if full && answers > 0 {
-            *open = fresh(Number(open.number.0.saturating_add(1)), open.seen());
+            .map_or(0, Window::responses);
+        let age = now.saturating_sub(open.opened);
+        let is_closed = responses >= MAX_WINDOW_RESPONSES
+            || age >= CLOSE_AGE && responses >= CLOSE_MIN_RESPONSES
+            || age >= MAX_OPEN_AGE;
+        if is_closed && responses > 0 {
+            *open = new_window(
+                WindowNumber(open.number.0.saturating_add(1)),
+                open.used_slots(),
+            );
         }
-        open.last = now;
-        if !open.admits(tenant) {
+        open.last_end = now;
+        if !open.admit(tenant) {
             return None;
         }
-        let known = windows.get(&cell, self.origin, open.number);
-        let mut window = known.cloned().unwrap_or_else(|| Window {
-            begun: now,
+        let stored = windows.get(&cell, self.origin, open.number);
+        let mut window = stored.cloned().unwrap_or_else(|| Window {
+            first_end: now,
             ..Window::default()
         });
-        if whole {
-            window.ended.add(tokens);
+        if complete {
+            window.complete.add(tokens);
         } else {
-            window.cut.add(tokens);
+            window.censored.add(tokens);
         }
-        window.last = now;
+        window.last_end = now;
         windows
             .merge_own(cell, self.origin, open.number, window)
             .then_some(Counted {
@@ -117,26 +137,27 @@
     }
 
     fn make_room(&mut self, now: Duration) -> bool {
-        // The cell for all that find none is one of them, so that two whose cells are all taken fit beside each other.
-        let most = CELLS_MOST / 2 - 1;
-        if self.open.len() >= most {
+        // Leaves room for the fallback cell. Half the limit, so that the cells of two processes at their limits fit within the
+        // limit for cells of peers.
+        let max_open = MAX_CELLS / 2 - 1;
+        if self.open.len() >= max_open {
             self.open
-                .retain(|_, open| now.saturating_sub(open.last) < IDLE);
+                .retain(|_, open| now.saturating_sub(open.last_end) < IDLE_TIMEOUT);
         }
-        self.open.len() < most
+        self.open.len() < max_open
     }
 
-    /// Begins a window anew, as what a cell's open one holds is no longer true.
-    pub fn begin_anew(&mut self, cell: &Cell, now: Duration) {
+    /// Replaces a cell's open window by a new one, after a change of its length distribution was detected.
+    pub fn start_new_window(&mut self, cell: &Cell, now: Duration) {
         if let Some(open) = self.open.get_mut(cell) {
-            let before = open.seen();
-            let number = Number(open.number.0.saturating_add(1));
-            *open = Open {
+            let previous_slots = open.used_slots();
+            let number = WindowNumber(open.number.0.saturating_add(1));
+            *open = OpenWindow {
                 number,
-                begun: now,
-                last: open.last,
-                tenants: [0; TENANTS],
-                before,
+                opened: now,
+                last_end: open.last_end,
+                slots: [0; TENANT_SLOTS],
+                previous_slots,
             };
         }
     }
--- a/crates/output-length/src/simulated.rs
+++ b/crates/output-length/src/simulated.rs
@@ -1,4 +1,4 @@
-//! Members over the simulated network, and answers of stated shapes, for tests and measurements.
+//! Members on a simulated network and responses of chosen lengths, for tests and benchmarks.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,160 +9,180 @@
 };
 use bitternlatch_simulation::{ms, Network, Node, Sent, World};
 
-use crate::{Ask, ClassKey, Curves, End, Ended, Lengths, ModelKey, TenantKey, Told};
+use crate::{
+    ClassKey, Command, CurveTable, Event, FinishedResponse, ModelKey, OutputLengths, ResponseEnd,
+    TenantKey,
+};
 
-/// A machine, and what it has told, said and kept.
-pub struct Member {
-    pub machine: Lengths,
-    pub curves: Curves,
+/// A member: its state machine and what the machine has emitted.
+pub struct SimulatedMember {
+    pub machine: OutputLengths,
+    pub curves: CurveTable,
     pub logs: Vec<String>,
-    pub kept: Option<Vec<u8>>,
-    pub there: BTreeSet<usize>,
-    /// Bytes of the longest datagram said.
-    pub longest: usize,
-    peers_at: Duration,
+    /// The snapshot that was stored last.
+    pub snapshot: Option<Vec<u8>>,
+    /// The members that are reported to it as reachable.
+    pub peers: BTreeSet<usize>,
+    /// Length of the longest datagram sent, bytes.
+    pub longest_datagram: usize,
+    /// When the reachable peers are next reported to it.
+    next_peers_report: Duration,
 }
 
-/// What is under way: whether as a frame, and what.
+/// A message on the simulated network: whether it is sent as a frame instead of a datagram, and its payload.
 #[derive(Clone)]
-pub struct Said(pub bool, pub Vec<u8>);
+pub struct SimulatedMessage(pub bool, pub Vec<u8>);
 
-/// Of a place.
-pub fn name(i: usize) -> NameKey {
+/// The key of the member with an index.
+pub fn member_key(i: usize) -> NameKey {
     NameKey(i as u32 + 1)
 }
 
-impl Member {
-    /// One of so many, at a place.
-    pub fn new(i: usize, start: u64, of: usize, now: Duration) -> Member {
-        Member {
-            machine: Lengths::new(
+impl SimulatedMember {
+    /// The member with index `i` among `count` members that are all reachable. `start` tells its incarnations apart.
+    pub fn new(i: usize, start: u64, count: usize, now: Duration) -> SimulatedMember {
+        SimulatedMember {
+            machine: OutputLengths::new(
                 Process {
-                    name: name(i),
+                    name: member_key(i),
                     start,
                 },
                 now,
             ),
-            curves: Curves::default(),
+            curves: CurveTable::default(),
             logs: vec![],
-            kept: None,
-            there: (0..of).filter(|other| *other != i).collect(),
-            longest: 0,
-            peers_at: now,
+            snapshot: None,
+            peers: (0..count).filter(|other| *other != i).collect(),
+            longest_datagram: 0,
+            next_peers_report: now,
         }
     }
 
-    /// Steps it, and gathers what it wants.
-    pub fn give(&mut self, now: Duration, given: ServiceInput<Ask>, out: &mut Sent<Said>) {
-        let mut wanted = vec![];
-        self.machine.step(now, given, &mut wanted);
-        for wanted in wanted {
-            match wanted {
-                ServiceOutput::SendDatagram(to, said) => {
-                    self.longest = self.longest.max(said.len());
-                    out.push((to.0 as usize - 1, Said(false, said)));
+    /// Passes an input to the machine, sends its messages and collects its other outputs.
+    pub fn step(
+        &mut self,
+        now: Duration,
+        input: ServiceInput<Command>,
+        out: &mut Sent<SimulatedMessage>,
+    ) {
+        let mut outputs = vec![];
+        self.machine.step(now, input, &mut outputs);
+        for output in outputs {
+            match output {
+                ServiceOutput::SendDatagram(to, payload) => {
+                    self.longest_datagram = self.longest_datagram.max(payload.len());
+                    out.push((to.0 as usize - 1, SimulatedMessage(false, payload)));
                 }
-                ServiceOutput::SendFrame(to, said) => {
-                    out.push((to.0 as usize - 1, Said(true, said)))
+                ServiceOutput::SendFrame(to, payload) => {
+                    out.push((to.0 as usize - 1, SimulatedMessage(true, payload)))
                 }
-                ServiceOutput::Event(Told::Curves(curves)) => curves
+                ServiceOutput::Event(Event::Estimates(curves)) => curves
                     .into_iter()
                     .for_each(|(cell, curve)| self.curves.set(cell, curve)),
-                ServiceOutput::Persist { bytes, .. } => self.kept = bytes,
+                ServiceOutput::Persist { bytes, .. } => self.snapshot = bytes,
                 ServiceOutput::Log { text, .. } => self.logs.push(text),
             }
         }
     }
 
-    /// Answers that it knows of.
-    pub fn answers(&self) -> u64 {
-        self.machine.learner().windows().answers()
+    /// Number of responses in all windows that it stores.
+    pub fn responses(&self) -> u64 {
+        self.machine.learner().windows().responses()
     }
 }
 
-impl Node for Member {
-    type Message = Said;
+impl Node for SimulatedMember {
+    type Message = SimulatedMessage;
 
     fn wake_at(&self) -> Option<Duration> {
         self.machine
             .wake_at()
             .into_iter()
-            .chain([self.peers_at])
+            .chain([self.next_peers_report])
             .min()
     }
 
-    fn wake(&mut self, now: Duration, out: &mut Sent<Said>) {
-        if now >= self.peers_at {
-            self.peers_at = now + ms(200);
-            let there = self.there.iter().map(|i| name(*i)).collect();
-            let part = QuotaLease::default();
+    fn wake(&mut self, now: Duration, out: &mut Sent<SimulatedMessage>) {
+        if now >= self.next_peers_report {
+            self.next_peers_report = now + ms(200);
+            let present = self.peers.iter().map(|i| member_key(*i)).collect();
+            let lease = QuotaLease::default();
             let peers = Peers {
                 quorum: QuorumState::Whole,
-                present: there,
+                present,
                 valid_until: now + ms(900),
-                lease: part,
+                lease,
             };
-            self.give(now, ServiceInput::Peers(peers), out);
+            self.step(now, ServiceInput::Peers(peers), out);
         }
-        self.give(now, ServiceInput::Wake, out);
+        self.step(now, ServiceInput::Wake, out);
     }
 
-    fn take(&mut self, now: Duration, from: usize, Said(frame, said): Said, out: &mut Sent<Said>) {
+    fn take(
+        &mut self,
+        now: Duration,
+        from: usize,
+        SimulatedMessage(is_frame, payload): SimulatedMessage,
+        out: &mut Sent<SimulatedMessage>,
+    ) {
         let from = Process {
-            name: name(from),
+            name: member_key(from),
             start: 0,
         };
-        let given = if frame {
-            ServiceInput::Frame {
-                from,
-                payload: said,
-            }
+        let input = if is_frame {
+            ServiceInput::Frame { from, payload }
         } else {
-            ServiceInput::Datagram {
-                from,
-                payload: said,
-            }
+            ServiceInput::Datagram { from, payload }
         };
-        self.give(now, given, out);
+        self.step(now, input, out);
     }
 }
 
-/// Members that all know each other.
-pub fn world(of: usize, seed: u64) -> World<Member> {
-    let mut world = World::new(of, seed);
-    (0..of).for_each(|i| world.start(i, Member::new(i, 1, of, Duration::ZERO)));
+/// A simulation of members that are all peers of each other.
+pub fn simulate_members(count: usize, seed: u64) -> World<SimulatedMember> {
+    let mut world = World::new(count, seed);
+    (0..count).for_each(|i| world.start(i, SimulatedMember::new(i, 1, count, Duration::ZERO)));
     world
 }
 
-/// A whole answer of one class.
-pub fn answer(class: u32, tokens: u32) -> Ended {
-    Ended {
+/// A complete response to a request of a class.
+pub fn response(class: u32, tokens: u32) -> FinishedResponse {
+    FinishedResponse {
         model: ModelKey(1),
         class: ClassKey(class),
         tenant: TenantKey(0),
         prompt_tokens: 500,
-        ceiling: 8000,
-        tokens,
-        bytes: 4 * tokens,
-        end: End::Whole,
-        told: None,
-        host: "writer-1".to_string(),
+        max_output_tokens: 8000,
+        output_tokens: tokens,
+        text_bytes: 4 * tokens,
+        end: ResponseEnd::Complete,
+        predicted_p90: None,
+        server: "writer-1".to_string(),
     }
 }
 
-/// An answer at a member, told what it was told at its arrival.
-pub fn end(world: &mut World<Member>, i: usize, mut ended: Ended) {
+/// Reports a finished response to a member, with the 90th percentile that the member estimates for it.
+pub fn finish_response(
+    world: &mut World<SimulatedMember>,
+    i: usize,
+    mut response: FinishedResponse,
+) {
     world.act(i, |member, now, out| {
-        let known = member
+        let curve = member
             .curves
-            .find(ended.model, ended.class, ended.prompt_tokens);
-        ended.told = known.map(|c| c.expected(ended.ceiling).p90.round() as u32);
-        member.give(now, ServiceInput::Request(Ask::Ended(ended)), out)
+            .find(response.model, response.class, response.prompt_tokens);
+        response.predicted_p90 =
+            curve.map(|c| c.estimate(response.max_output_tokens).p90.round() as u32);
+        member.step(
+            now,
+            ServiceInput::Request(Command::ResponseFinished(response)),
+            out,
+        )
     });
 }
 
-/// A length around a median, as of a logarithmic normal distribution.
-pub fn around<M: Clone>(net: &mut Network<M>, median: f64, spread: f64) -> u32 {
+/// A random length, approximately log-normal with this median; `spread` is the standard deviation of its logarithm.
+pub fn random_length<M: Clone>(net: &mut Network<M>, median: f64, spread: f64) -> u32 {
     let sum: f64 = (0..12).map(|_| net.draw()).sum();
     (median * ((sum - 6.0) * spread).exp()).round().max(1.0) as u32
 }
--- a/crates/output-length/src/sketch.rs
+++ b/crates/output-length/src/sketch.rs
@@ -1,30 +1,32 @@
-//! Counts by logarithmic bins: a sketch whose merge is a sum, with quantiles to a relative error.
+//! A quantile sketch of output lengths: counts in logarithmic bins. Sketches merge by addition and give quantiles with a bounded
+//! relative error.
 //!
-//! The mapping is DDSketch's (Masson and others, 2019), shifted by one so that short answers have bins of their own. The
-//! store is our own: counts leave it for the wire, and enter sums weighed by age, which the libraries' stores do not let.
+//! The mapping of lengths to bins is that of DDSketch (Masson and others, 2019), shifted by one so that short responses have
+//! bins of their own. The bins are stored by this module and not by a library because counts are serialized for peers and
+//! added up with weights by age, which the stores of libraries do not support.
 
 use serde::{Deserialize, Serialize};
 
-/// Bins; the last one holds all from two million tokens on.
+/// Number of bins; the last one holds all lengths from about 1.8 million tokens on.
 pub const BINS: usize = 128;
-/// Ratio of a bin's edges: values are right within 6%.
-const RATIO: f64 = 1.12;
+/// Ratio of a bin's upper to its lower edge, which gives quantiles within 6%.
+const BIN_RATIO: f64 = 1.12;
 
 pub(crate) fn bin_of(tokens: u32) -> usize {
-    ((f64::from(tokens) + 1.0).ln() / RATIO.ln()).min((BINS - 1) as f64) as usize
+    ((f64::from(tokens) + 1.0).ln() / BIN_RATIO.ln()).min((BINS - 1) as f64) as usize
 }
 
-/// Tokens at a bin's lower edge.
-pub(crate) fn edge(bin: usize) -> f64 {
-    RATIO.powi(bin as i32) - 1.0
+/// The lower edge of a bin, tokens.
+pub(crate) fn lower_edge(bin: usize) -> f64 {
+    BIN_RATIO.powi(bin as i32) - 1.0
 }
 
-/// Whole counts, few bins of them used: bin and count, in order.
+/// Numbers of responses by length, sparse: pairs of a bin and its count, in order of bins.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts(Vec<(u8, u16)>);
 
 impl Counts {
-    /// Counts one answer.
+    /// Counts one response.
     pub fn add(&mut self, tokens: u32) {
         let bin = bin_of(tokens) as u8;
         match self.0.binary_search_by_key(&bin, |b| b.0) {
@@ -37,10 +39,10 @@
         self.0.iter().map(|b| u32::from(b.1)).sum()
     }
 
-    /// Whether it is as [`Counts::add`] makes it: what a peer says may not be.
-    pub(crate) fn sound(&self) -> bool {
-        let rising = self.0.windows(2).all(|w| w[0].0 < w[1].0);
-        rising && self.0.iter().all(|b| usize::from(b.0) < BINS && b.1 > 0)
+    /// Whether [`Counts::add`] could have produced the counts; those received from a peer may be invalid.
+    pub(crate) fn is_valid(&self) -> bool {
+        let ascending = self.0.windows(2).all(|w| w[0].0 < w[1].0);
+        ascending && self.0.iter().all(|b| usize::from(b.0) < BINS && b.1 > 0)
     }
 
     pub(crate) fn bins(&self) -> impl Iterator<Item = (usize, f32)> + '_ {
@@ -48,43 +50,49 @@
     }
 }
 
-/// Weighed counts of answers that ended by themselves, and of those cut short, of which only that they were not shorter is known.
+/// Weighted numbers of responses by bin of length: complete responses, and censored ones, whose full length is only known to be
+/// no shorter.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Mass {
-    pub ended: [f32; BINS],
-    pub cut: [f32; BINS],
+pub(crate) struct WeightedCounts {
+    pub complete: [f32; BINS],
+    pub censored: [f32; BINS],
 }
 
-impl Default for Mass {
+impl Default for WeightedCounts {
     fn default() -> Self {
-        Mass {
-            ended: [0.0; BINS],
-            cut: [0.0; BINS],
+        WeightedCounts {
+            complete: [0.0; BINS],
+            censored: [0.0; BINS],
         }
     }
 }
 
-impl Mass {
+impl WeightedCounts {
     pub fn total(&self) -> f32 {
-        self.ended.iter().sum::<f32>() + self.cut.iter().sum::<f32>()
+        self.complete.iter().sum::<f32>() + self.censored.iter().sum::<f32>()
     }
 
-    pub fn add(&mut self, other: &Mass, weight: f32) {
+    /// Adds other counts, multiplied by `weight`.
+    pub fn add(&mut self, other: &WeightedCounts, weight: f32) {
         for bin in 0..BINS {
-            self.ended[bin] += weight * other.ended[bin];
-            self.cut[bin] += weight * other.cut[bin];
+            self.complete[bin] += weight * other.complete[bin];
+            self.censored[bin] += weight * other.censored[bin];
         }
     }
 
-    pub fn count(&mut self, ended: &Counts, cut: &Counts, weight: f32) {
-        ended
+    /// Adds the counts of complete and of censored responses, multiplied by `weight`.
+    pub fn add_counts(&mut self, complete: &Counts, censored: &Counts, weight: f32) {
+        complete
             .bins()
-            .for_each(|(bin, n)| self.ended[bin] += weight * n);
-        cut.bins().for_each(|(bin, n)| self.cut[bin] += weight * n);
+            .for_each(|(bin, n)| self.complete[bin] += weight * n);
+        censored
+            .bins()
+            .for_each(|(bin, n)| self.censored[bin] += weight * n);
     }
 
-    /// With another one's shape added at a weight, or at its own where that is less: what little is known shrinks towards it.
-    pub fn towards(mut self, other: &Mass, weight: f32) -> Mass {
+    /// Shrinks the counts towards another distribution: adds it scaled to a total of `weight`, or unscaled if its total is lower.
+    /// The fewer responses these counts have, the more the other distribution decides.
+    pub fn shrink_towards(mut self, other: &WeightedCounts, weight: f32) -> WeightedCounts {
         let total = other.total();
         if total > 0.0 {
             self.add(other, weight.min(total) / total);
@@ -92,38 +100,38 @@
         self
     }
 
-    /// Share of answers that are no longer than each bin's upper edge, by the product limit (Kaplan and Meier, 1958); what is
-    /// left past the longest that ended lies in the last bin used.
-    pub fn reached(&self) -> [f32; BINS] {
+    /// The share of responses that are no longer than each bin's upper edge, by the product-limit estimator (Kaplan and Meier,
+    /// 1958). Probability that remains beyond the longest complete response is assigned to the last bin in use.
+    pub fn cumulative_distribution(&self) -> [f32; BINS] {
         let mut at_risk = self.total();
-        let mut left = 1.0f32;
-        let mut reached = [0.0; BINS];
-        let used = |bin: &usize| self.ended[*bin] > 0.0 || self.cut[*bin] > 0.0;
+        let mut survival = 1.0f32;
+        let mut distribution = [0.0; BINS];
+        let used = |bin: &usize| self.complete[*bin] > 0.0 || self.censored[*bin] > 0.0;
         let last = (0..BINS).rev().find(used).unwrap_or(0);
-        for (bin, at) in reached.iter_mut().enumerate() {
+        for (bin, share) in distribution.iter_mut().enumerate() {
             if at_risk > 1e-6 {
-                left *= (1.0 - self.ended[bin] / at_risk).max(0.0);
+                survival *= (1.0 - self.complete[bin] / at_risk).max(0.0);
             }
-            at_risk -= self.ended[bin] + self.cut[bin];
-            *at = if bin >= last { 1.0 } else { 1.0 - left };
+            at_risk -= self.complete[bin] + self.censored[bin];
+            *share = if bin >= last { 1.0 } else { 1.0 - survival };
         }
-        reached
+        distribution
     }
 }
 
-/// Tokens below which a share of answers stays, within a bin by a straight line.
-pub(crate) fn quantile(reached: &[f32; BINS], share: f64) -> f64 {
-    let bin = reached
+/// The length, tokens, that a share of the responses does not exceed, by linear interpolation within its bin.
+pub(crate) fn quantile(distribution: &[f32; BINS], share: f64) -> f64 {
+    let bin = distribution
         .iter()
         .position(|r| f64::from(*r) >= share)
         .unwrap_or(BINS - 1);
     let before = if bin == 0 {
         0.0
     } else {
-        f64::from(reached[bin - 1])
+        f64::from(distribution[bin - 1])
     };
-    let within = (share - before) / (f64::from(reached[bin]) - before).max(1e-9);
-    edge(bin) + (edge(bin + 1) - edge(bin)) * within.clamp(0.0, 1.0)
+    let within = (share - before) / (f64::from(distribution[bin]) - before).max(1e-9);
+    lower_edge(bin) + (lower_edge(bin + 1) - lower_edge(bin)) * within.clamp(0.0, 1.0)
 }
 
 #[cfg(test)]
@@ -131,49 +139,50 @@
     use super::*;
 
     #[test]
-    fn quantiles_agree_with_an_independent_sketch() {
-        let mut mass = Mass::default();
-        let mut other = sketches_ddsketch::DDSketch::new(sketches_ddsketch::Config::defaults());
+    fn quantiles_agree_with_the_ddsketch_library() {
+        let mut weighted = WeightedCounts::default();
+        let mut library = sketches_ddsketch::DDSketch::new(sketches_ddsketch::Config::defaults());
         let mut counts = Counts::default();
         for i in 0..5000u32 {
             let tokens = 3 + (i * 7919 % 5000) * (i * 31 % 97) / 20;
             counts.add(tokens);
-            other.add(f64::from(tokens));
+            library.add(f64::from(tokens));
         }
-        mass.count(&counts, &Counts::default(), 1.0);
-        let reached = mass.reached();
+        weighted.add_counts(&counts, &Counts::default(), 1.0);
+        let distribution = weighted.cumulative_distribution();
         for share in [0.1, 0.5, 0.9, 0.99] {
-            let (ours, theirs) = (
-                quantile(&reached, share),
-                other.quantile(share).unwrap().unwrap(),
+            let (estimate, reference) = (
+                quantile(&distribution, share),
+                library.quantile(share).unwrap().unwrap(),
             );
             assert!(
-                (ours - theirs).abs() <= 0.07 * theirs + 1.0,
-                "{share}: {ours} and {theirs}"
+                (estimate - reference).abs() <= 0.07 * reference + 1.0,
+                "{share}: {estimate} and {reference}"
             );
         }
     }
 
     #[test]
-    fn what_was_cut_short_is_not_taken_for_short() {
-        let (mut ended, mut cut) = (Counts::default(), Counts::default());
-        (0..100).for_each(|i| ended.add(180 + i / 3));
-        (0..100).for_each(|_| cut.add(20));
-        let mut mass = Mass::default();
-        mass.count(&ended, &cut, 1.0);
-        assert!(quantile(&mass.reached(), 0.5) > 170.0);
+    fn censored_responses_do_not_lower_the_median() {
+        let (mut complete, mut censored) = (Counts::default(), Counts::default());
+        (0..100).for_each(|i| complete.add(180 + i / 3));
+        (0..100).for_each(|_| censored.add(20));
+        let mut weighted = WeightedCounts::default();
+        weighted.add_counts(&complete, &censored, 1.0);
+        assert!(quantile(&weighted.cumulative_distribution(), 0.5) > 170.0);
     }
 
     #[test]
-    fn bins_hold_their_values() {
+    fn every_length_lies_between_the_edges_of_its_bin() {
         for tokens in [0, 1, 2, 9, 100, 4096, 1_000_000] {
             let bin = bin_of(tokens);
             assert!(
-                edge(bin) <= f64::from(tokens) + 1e-6 && f64::from(tokens) < edge(bin + 1),
+                lower_edge(bin) <= f64::from(tokens) + 1e-6
+                    && f64::from(tokens) < lower_edge(bin + 1),
                 "{tokens}"
             );
         }
         assert_eq!(bin_of(u32::MAX), BINS - 1);
-        assert!(!Counts(vec![(3, 1), (3, 1)]).sound() && !Counts(vec![(200, 1)]).sound());
+        assert!(!Counts(vec![(3, 1), (3, 1)]).is_valid() && !Counts(vec![(200, 1)]).is_valid());
     }
 }
--- a/crates/output-length/src/timed.rs
+++ b/crates/output-length/src/timed.rs
@@ -1,130 +1,141 @@
-//! Local learning where nobody tells how many tokens an answer had: by the time that it ran, from its first token to its end,
-//! at its class's aim for the time between tokens. Engines are at least that quick, so it is a careful, low figure.
+//! Learns output lengths without reported token counts: estimates a response's tokens as the time from its first token to its
+//! end, divided by the inter-token latency objective of its class. Engines usually meet the objective, so the result is
+//! a cautious, low estimate.
 
 use std::collections::BTreeMap;
 
 use bitternlatch_policy::interface::{self, Event, Outcome, RequestId, Settings};
 
 use crate::ids::{ClassKey, ModelKey, TenantKey};
-use crate::io::{End, Ended};
-use crate::local::Local;
+use crate::io::{FinishedResponse, ResponseEnd};
+use crate::local::LocalLearner;
 
-/// Requests followed; past it the earliest is let go of, and teaches nothing.
-const FOLLOWED: usize = 8 * 1024;
-/// Bytes of a token, where only tokens are known.
-const TOKEN_BYTES: u32 = 4;
+/// Limit of tracked requests; beyond it the one with the lowest id is dropped and not learnt from.
+const MAX_TRACKED: usize = 8 * 1024;
+/// Assumed length of a token in bytes, for the text length of a response of which only tokens are estimated.
+const BYTES_PER_TOKEN: u32 = 4;
 
-struct Followed {
+/// A running request.
+struct TrackedRequest {
     class: u16,
     tenant: u32,
     prompt_tokens: u32,
-    ceiling: u32,
-    told: Option<u32>,
-    /// When its first token came.
-    first_s: Option<f64>,
+    max_output_tokens: u32,
+    /// The 90th percentile of the output length that was estimated on arrival, tokens.
+    predicted_p90: Option<u32>,
+    /// When the first token was received, seconds; `None` before.
+    first_token_s: Option<f64>,
 }
 
-/// Follows what a router is told, and tells it with each arrival what to expect.
-pub struct Timed {
-    local: Local,
-    /// Seconds between tokens, by class.
-    gaps: Vec<f64>,
-    followed: BTreeMap<RequestId, Followed>,
+/// Observes the events of a decision module, learns from them, and adds the estimated output length to each arrival.
+pub struct DurationBasedLearner {
+    local: LocalLearner,
+    /// Inter-token latency objective by class, seconds; 0 without one.
+    inter_token_s: Vec<f64>,
+    tracked: BTreeMap<RequestId, TrackedRequest>,
 }
 
-fn whole(tokens: f64) -> u32 {
+fn to_u32(tokens: f64) -> u32 {
     tokens.clamp(0.0, 1e7) as u32
 }
 
-fn key(class: u16) -> ClassKey {
+/// The key of a class: its number plus one, as 0 stands for all classes.
+fn class_key(class: u16) -> ClassKey {
     ClassKey(u32::from(class) + 1)
 }
 
-impl Timed {
-    pub fn new(settings: &Settings) -> Timed {
-        let gaps = settings
+impl DurationBasedLearner {
+    pub fn new(settings: &Settings) -> DurationBasedLearner {
+        let inter_token_s = settings
             .classes
             .iter()
             .map(|c| c.inter_token_objective_s)
             .collect();
-        Timed {
-            local: Local::default(),
-            gaps,
-            followed: BTreeMap::new(),
+        DurationBasedLearner {
+            local: LocalLearner::default(),
+            inter_token_s,
+            tracked: BTreeMap::new(),
         }
     }
 
-    /// Takes an event before its router does; an arrival is given what is expected of it.
-    pub fn see(&mut self, now_s: f64, event: &mut Event) {
+    /// Processes an event before the decision module receives it; sets the estimated output length of an arrival.
+    pub fn observe(&mut self, now_s: f64, event: &mut Event) {
         match event {
-            Event::Arrival(ask) => {
-                let (prompt, ceiling) = (whole(ask.prompt_tokens), whole(ask.max_output_tokens));
-                let known = self
-                    .local
-                    .expect(ModelKey(1), key(ask.class), prompt, ceiling);
-                ask.output_tokens = known.map(|e| interface::ExpectedTokens {
+            Event::Arrival(request) => {
+                let (prompt_tokens, max_output_tokens) = (
+                    to_u32(request.prompt_tokens),
+                    to_u32(request.max_output_tokens),
+                );
+                let estimate = self.local.estimate(
+                    ModelKey(1),
+                    class_key(request.class),
+                    prompt_tokens,
+                    max_output_tokens,
+                );
+                request.output_tokens = estimate.map(|e| interface::ExpectedTokens {
                     mean: e.mean,
                     p90: e.p90,
                 });
-                if self.followed.len() >= FOLLOWED {
-                    self.followed.pop_first();
+                if self.tracked.len() >= MAX_TRACKED {
+                    self.tracked.pop_first();
                 }
-                let followed = Followed {
-                    class: ask.class,
-                    tenant: ask.tenant,
-                    prompt_tokens: prompt,
-                    ceiling,
-                    told: known.map(|e| e.p90.round() as u32),
-                    first_s: None,
+                let tracked = TrackedRequest {
+                    class: request.class,
+                    tenant: request.tenant,
+                    prompt_tokens,
+                    max_output_tokens,
+                    predicted_p90: estimate.map(|e| e.p90.round() as u32),
+                    first_token_s: None,
                 };
-                self.followed.insert(ask.id, followed);
+                self.tracked.insert(request.id, tracked);
             }
             Event::FirstToken { request, .. } => {
-                self.followed
+                self.tracked
                     .get_mut(request)
                     .into_iter()
-                    .for_each(|f| f.first_s = Some(now_s));
+                    .for_each(|r| r.first_token_s = Some(now_s));
             }
             Event::AttemptEnded(end) if end.finished || end.outcome == Outcome::Served => {
-                let followed = self.followed.remove(&end.request);
-                if let Some(f) = followed.filter(|_| end.outcome == Outcome::Served) {
-                    self.learn(now_s, &f);
+                let tracked = self.tracked.remove(&end.request);
+                if let Some(request) = tracked.filter(|_| end.outcome == Outcome::Served) {
+                    self.learn(now_s, &request);
                 }
             }
-            Event::ClientDisconnected { request } => drop(self.followed.remove(request)),
+            Event::ClientDisconnected { request } => drop(self.tracked.remove(request)),
             _ => {}
         }
     }
 
-    fn learn(&mut self, now_s: f64, f: &Followed) {
-        let gap = self
-            .gaps
-            .get(usize::from(f.class))
+    /// Learns from a request that was served completely; ignores one whose class has no objective.
+    fn learn(&mut self, now_s: f64, request: &TrackedRequest) {
+        let interval = self
+            .inter_token_s
+            .get(usize::from(request.class))
             .copied()
-            .filter(|gap| *gap > 0.0);
-        let (Some(gap), Some(first_s)) = (gap, f.first_s) else {
+            .filter(|interval| *interval > 0.0);
+        let (Some(interval), Some(first_token_s)) = (interval, request.first_token_s) else {
             return;
         };
-        let tokens = whole((now_s - first_s).max(0.0) / gap)
+        let tokens = to_u32((now_s - first_token_s).max(0.0) / interval)
             .saturating_add(1)
-            .min(f.ceiling);
-        let ended = Ended {
+            .min(request.max_output_tokens);
+        let response = FinishedResponse {
             model: ModelKey(1),
-            class: key(f.class),
-            tenant: TenantKey(f.tenant),
-            prompt_tokens: f.prompt_tokens,
-            ceiling: f.ceiling,
-            tokens,
-            bytes: tokens.saturating_mul(TOKEN_BYTES),
-            end: if tokens < f.ceiling {
-                End::Whole
+            class: class_key(request.class),
+            tenant: TenantKey(request.tenant),
+            prompt_tokens: request.prompt_tokens,
+            max_output_tokens: request.max_output_tokens,
+            output_tokens: tokens,
+            text_bytes: tokens.saturating_mul(BYTES_PER_TOKEN),
+            end: if tokens < request.max_output_tokens {
+                ResponseEnd::Complete
             } else {
-                End::Ceiling
+                ResponseEnd::TokenLimit
             },
-            told: f.told,
-            host: String::new(),
+            predicted_p90: request.predicted_p90,
+            server: String::new(),
         };
-        self.local.ended(now_s, &ended);
+        self.local.record(now_s, &response);
     }
 }
 
@@ -135,28 +146,29 @@
     use super::*;
 
     #[test]
-    fn an_arrival_is_told_what_those_before_it_took_and_one_that_left_teaches_nothing() {
-        let mut timed = Timed {
-            local: Local::default(),
-            gaps: vec![0.05],
-            followed: BTreeMap::new(),
+    fn arrivals_get_estimates_from_earlier_durations_and_disconnected_requests_are_not_learnt_from()
+    {
+        let mut learner = DurationBasedLearner {
+            local: LocalLearner::default(),
+            inter_token_s: vec![0.05],
+            tracked: BTreeMap::new(),
         };
-        let ask = |id| Request {
+        let request = |id| Request {
             id,
             prompt_tokens: 900.0,
             max_output_tokens: 800.0,
             ..Request::default()
         };
-        let mut told = None;
+        let mut estimate = None;
         for id in 0..200 {
             let at = f64::from(id) * 0.5;
-            let mut arrival = Event::Arrival(ask(id));
-            timed.see(at, &mut arrival);
-            let Event::Arrival(ask) = arrival else {
+            let mut arrival = Event::Arrival(request(id));
+            learner.observe(at, &mut arrival);
+            let Event::Arrival(request) = arrival else {
                 unreachable!()
             };
-            told = ask.output_tokens;
-            timed.see(
+            estimate = request.output_tokens;
+            learner.observe(
                 at,
                 &mut Event::FirstToken {
                     request: id,
@@ -166,7 +178,7 @@
                 },
             );
             if id % 4 == 0 {
-                timed.see(at + 0.1, &mut Event::ClientDisconnected { request: id });
+                learner.observe(at + 0.1, &mut Event::ClientDisconnected { request: id });
             }
             let end = AttemptEnd {
                 request: id,
@@ -178,13 +190,13 @@
                 prefix_hit_tokens: 0.0,
                 report: vec![],
             };
-            timed.see(at + 5.0, &mut Event::AttemptEnded(end));
+            learner.observe(at + 5.0, &mut Event::AttemptEnded(end));
         }
-        let told = told.expect("told");
+        let estimate = estimate.expect("an estimate");
         assert!(
-            (told.mean - 100.0).abs() < 8.0 && told.p90 < 115.0,
-            "{told:?}"
+            (estimate.mean - 100.0).abs() < 8.0 && estimate.p90 < 115.0,
+            "{estimate:?}"
         );
-        assert!(timed.followed.is_empty());
+        assert!(learner.tracked.is_empty());
     }
 }
--- a/crates/output-length/src/windows.rs
+++ b/crates/output-length/src/windows.rs
@@ -1,244 +1,289 @@
-//! What all origins counted, by cell, origin and window: each window only grows, so of two copies the one with more answers is
-//! the later, whatever came late, twice or out of order. Sums are made anew from the latest of each and count nothing twice.
+//! Counts of responses from all origins, stored by cell, origin and window. A window only grows, so of two copies the one with
+//! more responses is the later one, whether copies arrive late, twice or out of order. Sums are computed from the latest copy
+//! of each window, so no response is counted twice.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{Cell, Number, Origin};
-use crate::sketch::{Counts, Mass};
+use crate::ids::{Cell, Origin, WindowNumber};
+use crate::sketch::{Counts, WeightedCounts};
 
-/// Windows kept of one origin and cell; a further one takes the place of the earliest.
-pub(crate) const OF_ONE: usize = 8;
-/// Answers in a window; one that tells of more is not believed.
-pub(crate) const ANSWERS_MOST: u32 = 256;
-/// Cells that are told apart; answers of further ones count for all cells together, peers' are passed over.
-pub const CELLS_MOST: usize = 512;
-/// Windows in all: with some 300 bytes each 5 MB, with 2 KB, the most that one can take, 32. Past it the oldest sixteenth goes.
-pub const WINDOWS_MOST: usize = 16 * 1024;
-/// After which a window counts half, what it counts at the least, and until when: a quiet night leaves a hint of what was.
-const HALF: Duration = Duration::from_secs(240);
-const LEAST: f64 = 0.02;
-pub(crate) const GONE: Duration = Duration::from_secs(24 * 3600);
-/// Weight that one origin may have in a cell whatever the others have, and else as a multiple of their mean.
-const ORIGIN: (f32, f32) = (64.0, 2.0);
+/// Limit of stored windows per origin and cell; a further window replaces the one with the lowest number.
+pub(crate) const MAX_ORIGIN_WINDOWS: usize = 8;
+/// Limit of responses in one window; a received window with more is rejected as invalid.
+pub(crate) const MAX_WINDOW_RESPONSES: u32 = 256;
+/// Limit of cells for windows from peers; windows of further cells are ignored. Twice as many fit once this process's own
+/// cells are included.
+pub const MAX_CELLS: usize = 512;
+/// Limit of stored windows. Memory use is 5 MB at a typical 300 bytes per window and 32 MB at the largest possible 2 KB. Beyond
+/// the limit, the oldest sixteenth is dropped.
+pub const MAX_WINDOWS: usize = 16 * 1024;
+/// Age at which the weight of a window has decayed to half.
+const HALF_LIFE: Duration = Duration::from_secs(240);
+/// Lowest weight of a window, so that after a night without traffic the earlier responses still give an estimate.
+const MIN_WEIGHT: f64 = 0.02;
+/// Age at which windows are dropped.
+pub(crate) const MAX_AGE: Duration = Duration::from_secs(24 * 3600);
+/// Weight, in responses, that one origin may have in a cell whatever the weight of the other origins.
+const MIN_ORIGIN_WEIGHT_LIMIT: f32 = 64.0;
+/// Limit of an origin's weight in a cell, as a multiple of the mean weight of the other origins.
+const MAX_ORIGIN_WEIGHT_RATIO: f32 = 2.0;
 
-/// Answers of one origin and cell that ended within a while.
+/// Responses of one cell, counted by one origin during a limited time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Window {
-    pub ended: Counts,
-    pub cut: Counts,
-    /// When its first and its last answer ended, by the clock of this process.
-    pub begun: Duration,
-    pub last: Duration,
+    /// Lengths of the responses that the model finished.
+    pub complete: Counts,
+    /// Lengths of the responses that ended early, by a token limit or a disconnected client: lower bounds of full lengths.
+    pub censored: Counts,
+    /// When the window's first response ended, by this process's clock.
+    pub first_end: Duration,
+    /// When the window's last response so far ended, by this process's clock.
+    pub last_end: Duration,
 }
 
 impl Window {
-    /// Its version: it only grows.
-    pub fn answers(&self) -> u32 {
-        self.ended.total() + self.cut.total()
+    /// Number of counted responses. As a window only grows, it also serves as the version of a copy.
+    pub fn responses(&self) -> u32 {
+        self.complete.total() + self.censored.total()
     }
 
     fn weight(&self, now: Duration) -> f32 {
-        let age = now.saturating_sub(self.last).as_secs_f64();
-        0.5f64.powf(age / HALF.as_secs_f64()).max(LEAST) as f32
+        let age = now.saturating_sub(self.last_end).as_secs_f64();
+        0.5f64.powf(age / HALF_LIFE.as_secs_f64()).max(MIN_WEIGHT) as f32
     }
 }
 
-/// One window as it is said and kept: ages in place of times, as clocks differ.
+/// A window as sent to peers and stored in snapshots. It holds ages instead of times, as clocks of processes differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct WindowRecord {
     pub cell: Cell,
-    pub number: Number,
-    /// Tenths of seconds since its first and its last answer.
-    pub begun: u32,
-    pub last: u32,
-    pub ended: Counts,
-    pub cut: Counts,
+    pub number: WindowNumber,
+    /// Time since the window's first response ended, tenths of a second.
+    #[serde(rename = "begun")]
+    pub first_end_age: u32,
+    /// Time since the window's last response ended, tenths of a second.
+    #[serde(rename = "last")]
+    pub last_end_age: u32,
+    /// Lengths of the responses that the model finished.
+    #[serde(rename = "ended")]
+    pub complete: Counts,
+    /// Lengths of the responses that ended early.
+    #[serde(rename = "cut")]
+    pub censored: Counts,
 }
 
-pub(crate) fn tenths(now: Duration, at: Duration) -> u32 {
+/// Time from `at` to `now`, in tenths of a second.
+pub(crate) fn age_in_tenths(now: Duration, at: Duration) -> u32 {
     (now.saturating_sub(at).as_millis() / 100).min(u128::from(u32::MAX)) as u32
 }
 
-impl Record {
-    pub(crate) fn of(now: Duration, cell: Cell, number: Number, window: &Window) -> Record {
-        let (ended, cut) = (window.ended.clone(), window.cut.clone());
-        Record {
+impl WindowRecord {
+    pub(crate) fn of(
+        now: Duration,
+        cell: Cell,
+        number: WindowNumber,
+        window: &Window,
+    ) -> WindowRecord {
+        let (complete, censored) = (window.complete.clone(), window.censored.clone());
+        WindowRecord {
             cell,
             number,
-            begun: tenths(now, window.begun),
-            last: tenths(now, window.last),
-            ended,
-            cut,
+            first_end_age: age_in_tenths(now, window.first_end),
+            last_end_age: age_in_tenths(now, window.last_end),
+            complete,
+            censored,
         }
     }
 
-    /// `late`: by how much older it is than it says.
-    pub(crate) fn window(self, now: Duration, late: Duration) -> (Cell, Number, Window) {
-        let at = |t: u32| now.saturating_sub(late + Duration::from_millis(100 * u64::from(t)));
-        let (begun, last) = (at(self.begun.max(self.last)), at(self.last));
+    /// Converts the record back into a window. `extra_age` is added to its ages: the time since a snapshot was saved.
+    pub(crate) fn window(self, now: Duration, extra_age: Duration) -> (Cell, WindowNumber, Window) {
+        let at = |t: u32| now.saturating_sub(extra_age + Duration::from_millis(100 * u64::from(t)));
+        let (first_end, last_end) = (
+            at(self.first_end_age.max(self.last_end_age)),
+            at(self.last_end_age),
+        );
         (
             self.cell,
             self.number,
             Window {
-                ended: self.ended,
-                cut: self.cut,
-                begun,
-                last,
+                complete: self.complete,
+                censored: self.censored,
+                first_end,
+                last_end,
             },
         )
     }
 
-    /// Whether an origin that works as this one does can have said it.
-    pub(crate) fn sound(&self) -> bool {
-        let answers = self.ended.total().saturating_add(self.cut.total());
-        self.ended.sound() && self.cut.sound() && (1..=ANSWERS_MOST).contains(&answers)
+    /// Whether the record has a form that this crate produces; records from peers or from disk may not.
+    pub(crate) fn is_valid(&self) -> bool {
+        let responses = self.complete.total().saturating_add(self.censored.total());
+        self.complete.is_valid()
+            && self.censored.is_valid()
+            && (1..=MAX_WINDOW_RESPONSES).contains(&responses)
     }
 }
 
-type OfCell = BTreeMap<(Origin, Number), Window>;
+type CellWindows = BTreeMap<(Origin, WindowNumber), Window>;
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Windows {
-    cells: BTreeMap<Cell, OfCell>,
-    /// Where a change of behaviour was found: what is older does not come back.
-    since: BTreeMap<Cell, Duration>,
+pub struct WindowStore {
+    cells: BTreeMap<Cell, CellWindows>,
+    /// By cell, the time up to which windows were discarded because the length distribution had changed. Windows whose last
+    /// response ended by then are not merged again.
+    discarded_until: BTreeMap<Cell, Duration>,
     count: usize,
 }
 
-impl Windows {
-    /// Takes a window where it is later than what is known of it; whether it was.
-    pub fn merge(&mut self, cell: Cell, origin: Origin, number: Number, window: Window) -> bool {
-        self.merge_within(CELLS_MOST, cell, (origin, number), window)
+impl WindowStore {
+    /// Stores a copy of a window if it is later than the stored one. Returns whether it was.
+    pub fn merge(
+        &mut self,
+        cell: Cell,
+        origin: Origin,
+        number: WindowNumber,
+        window: Window,
+    ) -> bool {
+        self.merge_within(MAX_CELLS, cell, (origin, number), window)
     }
 
-    /// The same of this process's own, for whose cells there is room beside all peers'.
+    /// Stores a window counted by this process. Its cells have room of their own beside the limit for those of peers.
     pub(crate) fn merge_own(
         &mut self,
         cell: Cell,
         origin: Origin,
-        number: Number,
+        number: WindowNumber,
         window: Window,
     ) -> bool {
-        self.merge_within(2 * CELLS_MOST, cell, (origin, number), window)
+        self.merge_within(2 * MAX_CELLS, cell, (origin, number), window)
     }
 
     fn merge_within(
         &mut self,
-        cells: usize,
+        max_cells: usize,
         cell: Cell,
-        (origin, number): (Origin, Number),
+        (origin, number): (Origin, WindowNumber),
         window: Window,
     ) -> bool {
-        let room = self.cells.len() < cells || self.cells.contains_key(&cell);
-        let before = self
-            .since
+        let room = self.cells.len() < max_cells || self.cells.contains_key(&cell);
+        let is_outdated = self
+            .discarded_until
             .get(&cell)
-            .is_some_and(|since| window.last <= *since);
-        if !room || before {
+            .is_some_and(|discarded_until| window.last_end <= *discarded_until);
+        if !room || is_outdated {
             return false;
         }
-        let of_cell = self.cells.entry(cell).or_default();
-        let known = of_cell.get(&(origin, number));
-        if known.is_some_and(|w| w.answers() >= window.answers()) {
+        let cell_windows = self.cells.entry(cell).or_default();
+        let known = cell_windows.get(&(origin, number));
+        if known.is_some_and(|w| w.responses() >= window.responses()) {
             return false;
         }
         if known.is_none() {
-            let own = of_cell.range((origin, Number(0))..=(origin, Number(u32::MAX)));
-            let numbers: Vec<Number> = own.map(|w| w.0 .1).collect();
+            let same_origin =
+                cell_windows.range((origin, WindowNumber(0))..=(origin, WindowNumber(u32::MAX)));
+            let numbers: Vec<WindowNumber> = same_origin.map(|w| w.0 .1).collect();
             match numbers.first() {
-                Some(first) if numbers.len() >= OF_ONE && number < *first => return false,
-                Some(first) if numbers.len() >= OF_ONE => drop(of_cell.remove(&(origin, *first))),
+                Some(first) if numbers.len() >= MAX_ORIGIN_WINDOWS && number < *first => {
+                    return false
+                }
+                Some(first) if numbers.len() >= MAX_ORIGIN_WINDOWS => {
+                    drop(cell_windows.remove(&(origin, *first)))
+                }
                 _ => self.count += 1,
             }
         }
-        of_cell.insert((origin, number), window);
-        if self.count > WINDOWS_MOST {
+        cell_windows.insert((origin, number), window);
+        if self.count > MAX_WINDOWS {
             self.drop_oldest();
         }
         true
     }
 
     fn drop_oldest(&mut self) {
-        let all = self.cells.values().flat_map(|c| c.values().map(|w| w.last));
-        let mut dates: Vec<Duration> = all.collect();
-        dates.sort_unstable();
-        let until = dates[WINDOWS_MOST / 16];
-        self.retain(|_, _, w| w.last > until);
+        let all = self
+            .cells
+            .values()
+            .flat_map(|c| c.values().map(|w| w.last_end));
+        let mut end_times: Vec<Duration> = all.collect();
+        end_times.sort_unstable();
+        let cutoff = end_times[MAX_WINDOWS / 16];
+        self.retain(|_, _, w| w.last_end > cutoff);
     }
 
-    fn retain(&mut self, keeps: impl Fn(&Cell, &Origin, &Window) -> bool) {
-        for (cell, of_cell) in &mut self.cells {
-            of_cell.retain(|key, window| keeps(cell, &key.0, window));
+    fn retain(&mut self, keep: impl Fn(&Cell, &Origin, &Window) -> bool) {
+        for (cell, cell_windows) in &mut self.cells {
+            cell_windows.retain(|key, window| keep(cell, &key.0, window));
         }
-        self.cells.retain(|_, of_cell| !of_cell.is_empty());
+        self.cells
+            .retain(|_, cell_windows| !cell_windows.is_empty());
         self.count = self.cells.values().map(BTreeMap::len).sum();
     }
 
-    /// Lets go of what is a day old.
-    pub fn sweep(&mut self, now: Duration) {
-        self.retain(|_, _, w| now.saturating_sub(w.last) < GONE);
-        self.since
-            .retain(|_, since| now.saturating_sub(*since) < GONE);
+    /// Drops windows, and discard times of cells, that are older than [`MAX_AGE`].
+    pub fn drop_expired(&mut self, now: Duration) {
+        self.retain(|_, _, w| now.saturating_sub(w.last_end) < MAX_AGE);
+        self.discarded_until
+            .retain(|_, discarded_until| now.saturating_sub(*discarded_until) < MAX_AGE);
     }
 
-    /// What a cell's answers weigh now. One origin weighs at most twice the others' mean, so that one that counts wrong, or all
-    /// for itself, is bounded.
-    pub(crate) fn mass(&self, cell: &Cell, now: Duration) -> Mass {
+    /// The sum of a cell's windows, weighted by age. An origin's total weight is limited relative to the mean of the others, which
+    /// bounds the effect of a member that counts wrongly or has most of the traffic.
+    pub(crate) fn weighted_counts(&self, cell: &Cell, now: Duration) -> WeightedCounts {
         let mut origins: BTreeMap<Origin, f32> = BTreeMap::new();
-        let of_cell = self.cells.get(cell);
-        for ((origin, _), w) in of_cell.into_iter().flatten() {
-            *origins.entry(*origin).or_default() += w.weight(now) * w.answers() as f32;
+        let cell_windows = self.cells.get(cell);
+        for ((origin, _), w) in cell_windows.into_iter().flatten() {
+            *origins.entry(*origin).or_default() += w.weight(now) * w.responses() as f32;
         }
         let (sum, others) = (
             origins.values().sum::<f32>(),
             origins.len().saturating_sub(1) as f32,
         );
-        let part = |origin: &Origin| {
+        let factor = |origin: &Origin| {
             let own = origins.get(origin).copied().unwrap_or(0.0);
-            let most = ORIGIN.0.max(ORIGIN.1 * (sum - own) / others.max(1.0));
-            if others > 0.0 && own > most {
-                most / own
+            let limit = MIN_ORIGIN_WEIGHT_LIMIT
+                .max(MAX_ORIGIN_WEIGHT_RATIO * (sum - own) / others.max(1.0));
+            if others > 0.0 && own > limit {
+                limit / own
             } else {
                 1.0
             }
         };
-        let mut mass = Mass::default();
-        for ((origin, _), w) in of_cell.into_iter().flatten() {
-            mass.count(&w.ended, &w.cut, w.weight(now) * part(origin));
+        let mut weighted = WeightedCounts::default();
+        for ((origin, _), w) in cell_windows.into_iter().flatten() {
+            weighted.add_counts(&w.complete, &w.censored, w.weight(now) * factor(origin));
         }
-        mass
+        weighted
     }
 
-    /// Answers that ended by themselves in windows begun by some time, and after it.
-    pub(crate) fn split(&self, cell: &Cell, at: Duration) -> [Mass; 2] {
-        let mut both = [Mass::default(), Mass::default()];
+    /// Complete responses of a cell, unweighted: first the windows whose first response ended by `at`, then the later windows.
+    pub(crate) fn split_by_start(&self, cell: &Cell, at: Duration) -> [WeightedCounts; 2] {
+        let mut halves = [WeightedCounts::default(), WeightedCounts::default()];
         for w in self.cells.get(cell).into_iter().flat_map(BTreeMap::values) {
-            both[usize::from(w.begun > at)].count(&w.ended, &Counts::default(), 1.0);
+            halves[usize::from(w.first_end > at)].add_counts(&w.complete, &Counts::default(), 1.0);
         }
-        both
+        halves
     }
 
-    /// The behaviour has changed: nothing begun by then counts any more.
-    pub(crate) fn drop_until(&mut self, cell: &Cell, at: Duration) {
-        let gone = self
+    /// Drops a cell's windows whose first response ended by `at`, after a change of the length distribution was detected.
+    pub(crate) fn drop_begun_by(&mut self, cell: &Cell, at: Duration) {
+        let dropped = self
             .cells
             .get(cell)
             .into_iter()
             .flat_map(BTreeMap::values)
-            .filter(|w| w.begun <= at);
-        let latest = gone.map(|w| w.last).max();
-        self.retain(|c, _, w| c != cell || w.begun > at);
-        if let Some(latest) =
-            latest.filter(|_| self.since.len() < CELLS_MOST || self.since.contains_key(cell))
-        {
-            self.since.insert(*cell, latest.min(at));
+            .filter(|w| w.first_end <= at);
+        let latest = dropped.map(|w| w.last_end).max();
+        self.retain(|c, _, w| c != cell || w.first_end > at);
+        if let Some(latest) = latest.filter(|_| {
+            self.discarded_until.len() < MAX_CELLS || self.discarded_until.contains_key(cell)
+        }) {
+            self.discarded_until.insert(*cell, latest.min(at));
         }
     }
 
-    pub fn get(&self, cell: &Cell, origin: Origin, number: Number) -> Option<&Window> {
+    pub fn get(&self, cell: &Cell, origin: Origin, number: WindowNumber) -> Option<&Window> {
         self.cells.get(cell)?.get(&(origin, number))
     }
 
@@ -246,23 +291,24 @@
         self.cells.keys()
     }
 
-    /// All windows, in order.
-    pub fn all(&self) -> impl Iterator<Item = (Cell, Origin, Number, &Window)> {
+    /// All windows, sorted by cell, origin and number.
+    pub fn all(&self) -> impl Iterator<Item = (Cell, Origin, WindowNumber, &Window)> {
         self.cells
             .iter()
             .flat_map(|(cell, of)| of.iter().map(|((o, n), w)| (*cell, *o, *n, w)))
     }
 
-    /// Of each origin a number that differs where what is known of it differs.
+    /// By origin, a hash over its stored windows and their versions. Peers compare it to find origins of which they store
+    /// different windows.
     pub(crate) fn digest(&self) -> BTreeMap<Origin, u64> {
         let mut digest = BTreeMap::new();
         for (cell, origin, number, w) in self.all() {
             let words = [
                 cell.model.0,
                 cell.class.0,
-                u32::from(cell.bin.0),
+                u32::from(cell.prompt_bin.0),
                 number.0,
-                w.answers(),
+                w.responses(),
             ];
             let hash = words.into_iter().fold(0xCBF2_9CE4_8422_2325u64, |h, word| {
                 (h ^ u64::from(word))
@@ -287,8 +333,8 @@
         self.count == 0
     }
 
-    /// Answers counted in all that is held, of any age.
-    pub fn answers(&self) -> u64 {
-        self.all().map(|w| u64::from(w.3.answers())).sum()
+    /// Number of responses in all stored windows, not weighted by age.
+    pub fn responses(&self) -> u64 {
+        self.all().map(|w| u64::from(w.3.responses())).sum()
     }
 }
--- a/crates/output-length/tests/merging.rs
+++ b/crates/output-length/tests/merging.rs
@@ -15,12 +15,12 @@
         .enumerate()
         .map(|(i, (tokens, cut))| {
             let counts = if *cut {
-                &mut window.cut
+                &mut window.censored
             } else {
-                &mut window.ended
+                &mut window.complete
             };
             counts.add(*tokens);
-            (window.begun, window.last) =
+            (window.first_end, window.last_end) =
                 (Duration::from_secs(1), Duration::from_secs(1 + i as u64));
             window.clone()
         })
@@ -29,8 +29,8 @@
 
 fn origin(i: usize) -> Origin {
     Origin {
-        name: NameKey(i as u32 / 2),
-        generation: i as u64 % 2,
+        member: NameKey(i as u32 / 2),
+        incarnation: i as u64 % 2,
     }
 }
 
@@ -44,7 +44,7 @@
         let mut windows = vec![];
         for (i, (answers, class, of, number)) in told.iter().enumerate() {
             // Numbers of one origin and cell are never used twice.
-            let number = Number(number + 4 * (i as u32 % 2));
+            let number = WindowNumber(number + 4 * (i as u32 % 2));
             let cell = Cell::of(ModelKey(1), ClassKey(1 + class), 100);
             let lengths: Vec<u32> = answers.iter().map(|a| a.0).collect();
             let cut: Vec<bool> = answers.iter().map(|a| a.1).collect();
@@ -52,11 +52,11 @@
                 windows.push((cell, origin(*of), number, versions(&lengths, &cut)));
             }
         }
-        let mut whole = Windows::default();
+        let mut whole = WindowStore::default();
         for (cell, origin, number, versions) in &windows {
             whole.merge(*cell, *origin, *number, versions.last().unwrap().clone());
         }
-        let mut told = Windows::default();
+        let mut told = WindowStore::default();
         for (window, version) in &order {
             let (cell, origin, number, versions) = &windows[window % windows.len()];
             told.merge(*cell, *origin, *number, versions[version % versions.len()].clone());
@@ -69,42 +69,42 @@
         }
         prop_assert_eq!(&told, &whole);
         let sum: usize = windows.iter().map(|w| w.3.len()).sum();
-        prop_assert_eq!(told.answers(), sum as u64);
+        prop_assert_eq!(told.responses(), sum as u64);
     }
 
     #[test]
     fn what_peers_say_is_bounded_whatever_it_is(
         said in prop::collection::vec((0u32..2000, 0u64..400, 0u32..100, 0u32..4000), 0..600),
     ) {
-        let mut windows = Windows::default();
-        for (class, generation, number, tokens) in said {
+        let mut windows = WindowStore::default();
+        for (class, incarnation, number, tokens) in said {
             let cell = Cell::of(ModelKey(1), ClassKey(class), tokens);
-            let origin = Origin { name: NameKey(3), generation };
-            windows.merge(cell, origin, Number(number), versions(&[tokens], &[false]).remove(0));
+            let origin = Origin { member: NameKey(3), incarnation };
+            windows.merge(cell, origin, WindowNumber(number), versions(&[tokens], &[false]).remove(0));
         }
-        prop_assert!(windows.len() <= WINDOWS_MOST);
-        prop_assert!(windows.all().map(|w| w.0).collect::<std::collections::BTreeSet<_>>().len() <= CELLS_MOST);
+        prop_assert!(windows.len() <= MAX_WINDOWS);
+        prop_assert!(windows.all().map(|w| w.0).collect::<std::collections::BTreeSet<_>>().len() <= MAX_CELLS);
     }
 }
 
 #[test]
 fn past_its_bound_the_oldest_windows_go() {
-    let mut windows = Windows::default();
-    for i in 0..WINDOWS_MOST as u64 + 10 {
+    let mut windows = WindowStore::default();
+    for i in 0..MAX_WINDOWS as u64 + 10 {
         let mut window = versions(&[5], &[false]).remove(0);
-        window.last = Duration::from_secs(i);
+        window.last_end = Duration::from_secs(i);
         let origin = Origin {
-            name: NameKey(1),
-            generation: i,
+            member: NameKey(1),
+            incarnation: i,
         };
         windows.merge(
             Cell::of(ModelKey(1), ClassKey(1), 9),
             origin,
-            Number(1),
+            WindowNumber(1),
             window,
         );
     }
-    assert!(windows.len() <= WINDOWS_MOST && windows.len() > WINDOWS_MOST / 2);
-    let oldest = windows.all().map(|w| w.3.last).min();
+    assert!(windows.len() <= MAX_WINDOWS && windows.len() > MAX_WINDOWS / 2);
+    let oldest = windows.all().map(|w| w.3.last_end).min();
     assert!(oldest > Some(Duration::from_secs(500)), "{oldest:?}");
 }
--- a/crates/platform/src/decisions.rs
+++ b/crates/platform/src/decisions.rs
@@ -1,7 +1,7 @@
 //! The decision module together with its recorders: the trace and the access log.
 
 use bitternlatch_core::{decide, Micros, TracedDecision};
-use bitternlatch_output_length::Timed;
+use bitternlatch_output_length::DurationBasedLearner;
 use bitternlatch_policy::choice::Router;
 use bitternlatch_policy::interface::{Action, Event, RequestId, Settings};
 
@@ -15,7 +15,7 @@
 pub(crate) struct Decisions {
     router: Router,
     /// Output lengths learnt from the responses that this node has forwarded.
-    output_lengths: Timed,
+    output_lengths: DurationBasedLearner,
     trace: Option<Vec<TracedDecision>>,
     access_log: Option<AccessLog>,
 }
@@ -24,7 +24,7 @@
     /// With `traced`, every event and its actions are kept until [`Decisions::take_trace`] is called.
     pub(crate) fn new(settings: Settings, seed: u64, traced: bool) -> Decisions {
         Decisions {
-            output_lengths: Timed::new(&settings),
+            output_lengths: DurationBasedLearner::new(&settings),
             router: Router::new(settings, seed),
             trace: traced.then(Vec::new),
             access_log: None,
@@ -49,7 +49,7 @@
         actions: &mut Vec<Action>,
     ) -> Vec<String> {
         if LEARN_OUTPUT_LENGTHS {
-            self.output_lengths.see(now.seconds(), &mut event);
+            self.output_lengths.observe(now.seconds(), &mut event);
         }
         let recorded = self.access_log.is_some().then(|| event.clone());
         decide(&mut self.router, now, event, &mut self.trace, actions);
--- a/programs/benchmark/src/lengths.rs
+++ b/programs/benchmark/src/lengths.rs
@@ -4,8 +4,10 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use bitternlatch_output_length::simulated::{answer, around, end, world, Member, Said};
-use bitternlatch_output_length::{ClassKey, Ended, Local, ModelKey};
+use bitternlatch_output_length::simulated::{
+    finish_response, random_length, response, simulate_members, SimulatedMember, SimulatedMessage,
+};
+use bitternlatch_output_length::{ClassKey, FinishedResponse, LocalLearner, ModelKey};
 use bitternlatch_simulation::{Network, World};
 
 use crate::rig::quantile;
@@ -27,7 +29,7 @@
 }
 
 /// A class and its answer's length.
-fn draw(net: &mut Network<Said>, shape: Shape, at: Duration) -> (u32, u32) {
+fn draw(net: &mut Network<SimulatedMessage>, shape: Shape, at: Duration) -> (u32, u32) {
     let class = 1 + (net.draw() * 3.0) as u32;
     let base = [80.0, 200.0, 500.0][class as usize - 1];
     let part = at.as_secs_f64() / RUN.as_secs_f64();
@@ -37,7 +39,7 @@
         Shape::Bimodal => base,
         Shape::Drifting => base * 2f64.powf(part) * if part > 0.5 { 2.0 } else { 1.0 },
     };
-    (class, around(net, median, 0.5).min(CEILING))
+    (class, random_length(net, median, 0.5).min(CEILING))
 }
 
 /// Loss of foretelling a quantile; Koenker and Bassett, 1978.
@@ -78,11 +80,11 @@
     }
 }
 
-fn told(world: &World<Member>, i: usize, class: u32) -> Option<(f64, f64)> {
+fn told(world: &World<SimulatedMember>, i: usize, class: u32) -> Option<(f64, f64)> {
     let curves = &world.places[i].node.as_ref()?.curves;
     let known = curves
         .find(ModelKey(1), ClassKey(class), 500)?
-        .expected(CEILING);
+        .estimate(CEILING);
     Some((known.p50, known.p90))
 }
 
@@ -90,13 +92,13 @@
     let mut judged: [Judged; 4] = Default::default();
     for seed in 0..seeds {
         for together in [true, false] {
-            let mut world = world(members, seed);
+            let mut world = simulate_members(members, seed);
             if !together {
                 world
                     .places
                     .iter_mut()
                     .flat_map(|p| &mut p.node)
-                    .for_each(|n| n.there.clear());
+                    .for_each(|n| n.peers.clear());
             }
             let mut means: BTreeMap<(usize, u32), f64> = BTreeMap::new();
             while world.now() < RUN {
@@ -120,12 +122,12 @@
                     }
                 }
                 means.insert((at, class), mean + BLEND * (f64::from(tokens) - mean));
-                end(
+                finish_response(
                     &mut world,
                     at,
-                    Ended {
-                        ceiling: CEILING,
-                        ..answer(class, tokens)
+                    FinishedResponse {
+                        max_output_tokens: CEILING,
+                        ..response(class, tokens)
                     },
                 );
                 world.run(now + BETWEEN);
@@ -144,7 +146,7 @@
 }
 
 /// Mean loss at p50 and p90 of what is told now, over answers as they come in steady traffic; none where a class is not told.
-fn loss(world: &World<Member>, answers: &[(u32, u32)]) -> Option<(f64, f64)> {
+fn loss(world: &World<SimulatedMember>, answers: &[(u32, u32)]) -> Option<(f64, f64)> {
     let (mut p50, mut p90) = (0.0, 0.0);
     for (class, tokens) in answers {
         let told = told(world, 0, *class)?;
@@ -156,17 +158,17 @@
 
 /// Seconds until one that starts with nothing foretells with the loss that it had, within 5%; at most 300.
 fn restart(members: usize, seed: u64, peers: bool) -> f64 {
-    let mut world = world(members, seed);
-    let step = |world: &mut World<Member>| {
+    let mut world = simulate_members(members, seed);
+    let step = |world: &mut World<SimulatedMember>| {
         let now = world.now();
         let (class, tokens) = draw(&mut world.net, Shape::Steady, now);
         let at = (world.net.draw() * members as f64) as usize;
-        end(
+        finish_response(
             world,
             at,
-            Ended {
-                ceiling: CEILING,
-                ..answer(class, tokens)
+            FinishedResponse {
+                max_output_tokens: CEILING,
+                ..response(class, tokens)
             },
         );
         world.run(now + BETWEEN);
@@ -181,9 +183,9 @@
     let before = loss(&world, &answers).unwrap_or_default();
     world.kill(0);
     let (began, at) = (world.now(), world.now_at(0));
-    let mut member = Member::new(0, 2, members, at);
+    let mut member = SimulatedMember::new(0, 2, members, at);
     if !peers {
-        member.there.clear();
+        member.peers.clear();
         world.net.passes = Box::new(|_, to| to != 0);
         // What is under way to it comes before it is there.
         world.run(began + Duration::from_millis(10));
@@ -201,7 +203,7 @@
 }
 
 fn bytes(members: usize) {
-    let mut world = world(members, 1);
+    let mut world = simulate_members(members, 1);
     let mut before = 0;
     while world.now() < Duration::from_secs(120) {
         if world.now() < Duration::from_secs(60) {
@@ -210,13 +212,13 @@
         let now = world.now();
         let (class, tokens) = draw(&mut world.net, Shape::Bimodal, now);
         let at = (world.net.draw() * members as f64) as usize;
-        end(
+        finish_response(
             &mut world,
             at,
-            Ended {
-                ceiling: CEILING,
+            FinishedResponse {
+                max_output_tokens: CEILING,
                 prompt_tokens: 40 << (2 * (tokens % 4)),
-                ..answer(class, tokens)
+                ..response(class, tokens)
             },
         );
         world.run(now + BETWEEN);
@@ -225,33 +227,33 @@
     println!("{members} members, 12 cells, 40 answers a second: {a_second:.0} bytes a second a member, without envelopes");
 }
 
-fn said(world: &World<Member>) -> u64 {
+fn said(world: &World<SimulatedMember>) -> u64 {
     world
         .places
         .iter()
-        .filter_map(|p| Some(p.node.as_ref()?.machine.bytes()))
+        .filter_map(|p| Some(p.node.as_ref()?.machine.sent_bytes()))
         .sum()
 }
 
 fn cost() {
     const ANSWERS: u32 = 50_000;
-    let mut net: Network<Said> = Network::new(5);
-    let mut local = Local::default();
+    let mut net: Network<SimulatedMessage> = Network::new(5);
+    let mut local = LocalLearner::default();
     let began = Instant::now();
     for n in 0..ANSWERS {
         let (class, tokens) = draw(&mut net, Shape::Steady, Duration::ZERO);
-        local.ended(
+        local.record(
             f64::from(n) * 0.005,
-            &Ended {
-                ceiling: CEILING,
-                ..answer(class, tokens)
+            &FinishedResponse {
+                max_output_tokens: CEILING,
+                ..response(class, tokens)
             },
         );
     }
     let learnt = began.elapsed();
     let began = Instant::now();
     let sum: f64 = (0..ANSWERS)
-        .filter_map(|n| local.expect(ModelKey(1), ClassKey(1 + n % 3), 500, CEILING))
+        .filter_map(|n| local.estimate(ModelKey(1), ClassKey(1 + n % 3), 500, CEILING))
         .map(|e| e.p90)
         .sum();
     let asked = began.elapsed();
--- a/programs/dispatch/src/beside.rs
+++ b/programs/dispatch/src/beside.rs
@@ -6,7 +6,7 @@
 use bitternlatch_cluster_net::{ClusterRuntime, DurableStore, SnapshotStore, Store};
 use bitternlatch_core::{Input, Settings};
 use bitternlatch_net::driver::{Beside, Event};
-use bitternlatch_output_length::Lengths;
+use bitternlatch_output_length::OutputLengths;
 use bitternlatch_overload::Overload;
 use bitternlatch_quota_lease::ClusterService;
 use bitternlatch_workflow::Workflows;
@@ -91,9 +91,9 @@
     else {
         return Ok(());
     };
-    let machine = Lengths::new(place.plane.own().0, place.plane.now());
+    let machine = OutputLengths::new(place.plane.own().0, place.plane.now());
     let kept = wanted
-        .kept
+        .snapshot_file
         .as_ref()
         .map(|kept| SnapshotStore::at(place.base.join(kept)));
     let store = kept.map(|kept| -> Box<dyn Store> { Box::new(kept) });
--- a/programs/simulator-adapter/src/wire/adapter.rs
+++ b/programs/simulator-adapter/src/wire/adapter.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use bitternlatch_output_length::Timed;
+use bitternlatch_output_length::DurationBasedLearner;
 use bitternlatch_policy::choice::Router;
 use bitternlatch_policy::interface::{Action, Settings};
 use bitternlatch_routing_settings::{read_settings, RawSettings};
@@ -28,7 +28,7 @@
 /// A router and what it learns of lengths.
 struct Instance {
     router: Router,
-    lengths: Timed,
+    lengths: DurationBasedLearner,
 }
 
 /// All instances of one process and the numbered lists that they refer to.
@@ -120,7 +120,7 @@
         };
         self.actions.clear();
         if LEARNS {
-            instance.lengths.see(batch.now, &mut event);
+            instance.lengths.observe(batch.now, &mut event);
         }
         instance.router.handle(batch.now, event, &mut self.actions);
         for action in &self.actions {
@@ -136,7 +136,7 @@
         let text = std::str::from_utf8(text).map_err(WireError::SettingsNotUtf8)?;
         let settings = parse_settings(text)?;
         let instance = Instance {
-            lengths: Timed::new(&settings),
+            lengths: DurationBasedLearner::new(&settings),
             router: Router::new(settings, seed),
         };
         self.instances.insert(number, instance);
