--- a/crates/output-length/src/learner.rs
+++ b/crates/output-length/src/learner.rs
@@ -29,7 +29,9 @@
 
 /// Windows of responses, the estimates computed from them and their calibration.
 pub struct Learner {
+    /// Windows of all origins.
     pub(crate) windows: WindowStore,
+    /// The windows that this process is counting into.
     pub(crate) own: LocalWindows,
     pub(crate) calibration: Calibration,
     curves: CurveTable,
@@ -124,6 +126,8 @@
         self.update_curves(&dirty)
     }
 
+    /// Computes the estimates of all requests, of the classes with changed cells and of all cells of those classes. Returns the
+    /// estimates that differ noticeably from before.
     fn update_curves(&mut self, dirty: &BTreeSet<Cell>) -> Vec<(Cell, QuantileCurve)> {
         let mut all = WeightedCounts::default();
         let mut classes: BTreeMap<Cell, WeightedCounts> = BTreeMap::new();
@@ -172,6 +176,7 @@
         updated
     }
 
+    /// Computes the estimate of one cell; stores it and adds it to `updated` if it differs noticeably from the stored one.
     fn update_curve(
         &mut self,
         cell: Cell,
@@ -199,6 +204,7 @@
         &self.curves
     }
 
+    /// The estimated output length of a response with a limit of `max_output_tokens`; `None` without an estimate.
     pub fn estimate(
         &self,
         model: ModelKey,
--- a/crates/output-length/src/machine.rs
+++ b/crates/output-length/src/machine.rs
@@ -285,6 +285,7 @@
         });
     }
 
+    /// Sends a peer a state request with the digests of all stored origins.
     fn request_state(&mut self, peer: NameKey, out: &mut Outputs) {
         let digests = self.learner.windows.digest().into_iter().collect();
         let request = Message::StateRequest { digests }.encode();
@@ -438,6 +439,7 @@
         }
     }
 
+    /// Hands a snapshot to the store if windows have changed since the last one.
     fn store_snapshot(&mut self, now: Duration, out: &mut Outputs) {
         if !self.has_store || !std::mem::take(&mut self.changed_since_snapshot) {
             return;
@@ -513,6 +515,7 @@
         self.snapshot_error = error;
     }
 
+    /// Logs the status line if it has changed since it was last logged.
     fn log_status(&mut self, out: &mut Outputs) {
         let windows = &self.learner.windows;
         let coverage = self
--- a/crates/output-length/src/own.rs
+++ b/crates/output-length/src/own.rs
@@ -136,6 +136,7 @@
             })
     }
 
+    /// Whether a new cell may get an open window, after removing idle ones if the limit is reached.
     fn make_room(&mut self, now: Duration) -> bool {
         // Leaves room for the fallback cell. Half the limit, so that the cells of two processes at their limits fit within the
         // limit for cells of peers.
--- a/crates/output-length/src/windows.rs
+++ b/crates/output-length/src/windows.rs
@@ -50,6 +50,7 @@
         self.complete.total() + self.censored.total()
     }
 
+    /// The weight of each response of the window: halves every [`HALF_LIFE`] after its last response, down to [`MIN_WEIGHT`].
     fn weight(&self, now: Duration) -> f32 {
         let age = now.saturating_sub(self.last_end).as_secs_f64();
         0.5f64.powf(age / HALF_LIFE.as_secs_f64()).max(MIN_WEIGHT) as f32
@@ -126,14 +127,17 @@
     }
 }
 
+/// The windows of one cell, by origin and number.
 type CellWindows = BTreeMap<(Origin, WindowNumber), Window>;
 
+/// The latest copies of the windows of all origins, within fixed limits.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WindowStore {
     cells: BTreeMap<Cell, CellWindows>,
     /// By cell, the time up to which windows were discarded because the length distribution had changed. Windows whose last
     /// response ended by then are not merged again.
     discarded_until: BTreeMap<Cell, Duration>,
+    /// Number of stored windows.
     count: usize,
 }
 
@@ -160,6 +164,8 @@
         self.merge_within(2 * MAX_CELLS, cell, (origin, number), window)
     }
 
+    /// Stores a copy of a window if it is later than the stored one, its cell has room among `max_cells`, and it ended after the
+    /// last detected change.
     fn merge_within(
         &mut self,
         max_cells: usize,
@@ -176,11 +182,11 @@
             return false;
         }
         let cell_windows = self.cells.entry(cell).or_default();
-        let known = cell_windows.get(&(origin, number));
-        if known.is_some_and(|w| w.responses() >= window.responses()) {
+        let stored = cell_windows.get(&(origin, number));
+        if stored.is_some_and(|w| w.responses() >= window.responses()) {
             return false;
         }
-        if known.is_none() {
+        if stored.is_none() {
             let same_origin =
                 cell_windows.range((origin, WindowNumber(0))..=(origin, WindowNumber(u32::MAX)));
             let numbers: Vec<WindowNumber> = same_origin.map(|w| w.0 .1).collect();
@@ -201,6 +207,7 @@
         true
     }
 
+    /// Drops the sixteenth of the windows whose last responses ended earliest.
     fn drop_oldest(&mut self) {
         let all = self
             .cells
--- a/crates/output-length/tests/members.rs
+++ b/crates/output-length/tests/members.rs
@@ -1,4 +1,6 @@
-//! Members that learn together over a simulated network: loss, cuts, restarts, drift, liars, crowds.
+//! Tests of members that exchange windows over a simulated network, with message loss, partitions, restarts, changing lengths,
+//! invalid reports and many classes and tenants.
+
 use std::time::Duration;
 
 use bitternlatch_output_length::simulated::*;
@@ -24,19 +26,19 @@
         .map_or(0, SimulatedMember::responses)
 }
 
-/// Whether the first member is there, as another knows.
-fn set_reachable(world: &mut World<SimulatedMember>, at: usize, is: bool) {
-    let there = world.places[at].node.as_mut().map(|n| &mut n.peers);
-    there.into_iter().for_each(|t| {
-        if is {
-            t.extend([0])
+/// Sets whether the member `at` considers member 0 reachable.
+fn set_reachable(world: &mut World<SimulatedMember>, at: usize, reachable: bool) {
+    let peers = world.places[at].node.as_mut().map(|n| &mut n.peers);
+    peers.into_iter().for_each(|p| {
+        if reachable {
+            p.extend([0])
         } else {
-            t.retain(|i| *i != 0)
+            p.retain(|i| *i != 0)
         }
     });
 }
 
-/// Answers at some members, spread over a time.
+/// Finishes `count` responses with lengths around a median at the given members in turn, one every 10 ms.
 fn traffic(
     world: &mut World<SimulatedMember>,
     at: &[usize],
@@ -58,7 +60,7 @@
 }
 
 #[test]
-fn a_member_that_is_cut_off_while_all_learn_counts_nothing_twice_when_it_is_back() {
+fn responses_are_counted_once_by_all_members_after_a_partition_heals() {
     for seed in 0..5 {
         let mut world = simulate_members(4, seed);
         (world.net.loss, world.net.twice) = (0.2, 0.3);
@@ -86,7 +88,8 @@
 }
 
 #[test]
-fn one_that_starts_anew_predicts_as_before_within_a_second_by_its_peers_and_counts_itself_once() {
+fn restarted_member_recovers_its_estimates_from_peers_within_a_second_and_counts_no_response_twice()
+{
     let mut world = simulate_members(3, 7);
     traffic(&mut world, &[0, 1, 2], 600, 1, 300.0);
     run_for(&mut world, 5);
@@ -110,7 +113,7 @@
 }
 
 #[test]
-fn a_snapshot_is_aged_and_a_broken_or_other_one_is_said_and_passed_over() {
+fn snapshot_is_aged_when_loaded_and_an_invalid_one_is_logged_and_ignored() {
     let mut world = simulate_members(1, 3);
     let step_first = |world: &mut World<SimulatedMember>, input| {
         world.act(0, |m, now, out| m.step(now, input, out));
@@ -137,9 +140,9 @@
     run_for(&mut world, 3600);
     let log = restart(&mut world, Ok(entries.clone()));
     assert!(log.contains("read back answers=300 age_s=36"), "{log}");
-    let old = estimate(&world, 0, 1).expect("aged, but known");
+    let old = estimate(&world, 0, 1).expect("an estimate from the aged snapshot");
     assert!((old.p50 - 300.0).abs() < 60.0, "{old:?}");
-    // A few new ones outweigh what is an hour old.
+    // A few new responses outweigh those of the snapshot, which is an hour old.
     traffic(&mut world, &[0], 60, 1, 900.0);
     run_for(&mut world, 2);
     assert!(estimate(&world, 0, 1).unwrap().p50 > 600.0);
@@ -160,7 +163,7 @@
 }
 
 #[test]
-fn members_with_wholly_different_traffic_know_each_others_and_a_class_never_seen_goes_by_all() {
+fn members_share_estimates_of_different_classes_and_estimate_an_unseen_class_from_all_requests() {
     let mut world = simulate_members(2, 5);
     assert!(estimate(&world, 0, 1).is_none());
     for _ in 0..150 {
@@ -183,7 +186,7 @@
 }
 
 #[test]
-fn lengths_that_double_within_a_minute_are_found_and_the_old_ones_dropped() {
+fn doubling_of_lengths_within_a_minute_is_detected_and_earlier_windows_are_dropped() {
     let mut world = simulate_members(3, 11);
     traffic(&mut world, &[0, 1, 2], 6000, 1, 200.0);
     assert!((estimate(&world, 0, 1).unwrap().p50 - 200.0).abs() < 20.0);
@@ -208,7 +211,7 @@
 }
 
 #[test]
-fn the_p90_covers_nine_of_ten_in_steady_bimodal_and_drifting_traffic() {
+fn p90_covers_nine_of_ten_responses_in_steady_bimodal_and_drifting_traffic() {
     for shape in 0..3 {
         let mut world = simulate_members(3, 20 + shape);
         let (mut predicted, mut covered) = (0.0, 0.0);
@@ -234,7 +237,7 @@
 }
 
 #[test]
-fn answers_that_were_cut_short_do_not_count_as_short() {
+fn responses_that_ended_early_do_not_lower_the_estimate() {
     let mut world = simulate_members(1, 2);
     for n in 0..400 {
         traffic(&mut world, &[0], 1, 1, 400.0);
@@ -259,7 +262,7 @@
 }
 
 #[test]
-fn a_host_that_reports_nonsense_is_not_counted_and_named() {
+fn implausible_reports_of_a_server_are_not_counted_and_the_server_is_logged_once() {
     let mut world = simulate_members(1, 2);
     for n in 0..100 {
         traffic(&mut world, &[0], 1, 1, 300.0);
@@ -291,7 +294,7 @@
 }
 
 #[test]
-fn a_member_of_another_version_or_with_unsound_counts_is_named_once_and_changes_nothing() {
+fn invalid_messages_of_a_peer_change_nothing_and_the_peer_is_logged_once() {
     let mut world = simulate_members(2, 2);
     traffic(&mut world, &[0], 50, 1, 300.0);
     let before = responses(&world, 0);
@@ -329,7 +332,7 @@
 }
 
 #[test]
-fn ten_thousand_classes_and_tenants_are_bounded_and_still_told_something() {
+fn ten_thousand_classes_and_tenants_stay_within_the_limits_and_still_get_an_estimate() {
     let mut world = simulate_members(2, 2);
     for n in 0..10_000 {
         let tokens = random_length(&mut world.net, 200.0, 0.5);
@@ -351,7 +354,7 @@
 }
 
 #[test]
-fn a_tenant_that_floods_a_cell_moves_the_others_estimates_within_its_part_only() {
+fn tenant_with_most_responses_of_a_cell_shifts_its_median_by_at_most_its_limited_share() {
     let estimate_with = |flood: u32| {
         let mut world = simulate_members(1, 9);
         for n in 0..1000 {
@@ -380,7 +383,8 @@
         estimate(&world, 0, 1).unwrap()
     };
     let (alone, flooded) = (estimate_with(0), estimate_with(20));
-    // Nine tenants: at most 1.25 ninths are one tenant's, so the median lies between the others' 42nd and 58th hundredth.
+    // One of nine tenants may have at most 1.25 ninths of a window, so the median lies between the 42nd and the 58th percentile
+    // of the other tenants' lengths.
     assert!(
         flooded.p50 < alone.p50 * 1.15 && flooded.p50 > alone.p50 * 0.85,
         "{alone:?} {flooded:?}"
@@ -388,7 +392,7 @@
 }
 
 #[test]
-fn one_that_tells_ten_times_as_much_as_the_others_weighs_twice_their_mean_at_the_most() {
+fn member_with_ten_times_as_many_responses_weighs_at_most_twice_the_mean_of_the_others() {
     let mut world = simulate_members(4, 13);
     for _ in 0..200 {
         (1..4).for_each(|i| finish_response(&mut world, i, response(1, 200)));
@@ -398,6 +402,6 @@
     }
     run_for(&mut world, 5);
     let estimate = estimate(&world, 1, 1).unwrap();
-    // Two fifths of the weight are its own in place of ten thirteenths.
+    // Member 0 has two fifths of the weight; without the limit it would have ten thirteenths.
     assert!(estimate.p50 < 300.0, "{estimate:?}");
 }
