--- a/crates/cluster-net/src/links.rs
+++ b/crates/cluster-net/src/links.rs
@@ -105,7 +105,7 @@
 
     fn seal(&self, topic: Topic, to: NameKey, said: &[u8]) -> Vec<u8> {
         let addressed = [&to.0.to_le_bytes()[..], said].concat();
-        let sealed = lock(&self.signer).sign(Kind::Of(topic), &addressed);
+        let sealed = lock(&self.signer).sign(Kind::Topic(topic), &addressed);
         let mut framed = cobs::encode_vec(&sealed);
         framed.push(0);
         framed
@@ -158,7 +158,9 @@
         let Ok((from, addressed)) = verifier.verify_up_to(secret, sealed, SEALED_MOST) else {
             return;
         };
-        let Kind::Of(topic) = from.kind else { return };
+        let Kind::Topic(topic) = from.kind else {
+            return;
+        };
         let Some((to, said)) = addressed.split_first_chunk::<NAME_BYTES>() else {
             return;
         };
--- a/crates/cluster-net/src/runtime.rs
+++ b/crates/cluster-net/src/runtime.rs
@@ -450,7 +450,7 @@
             Event::QuorumState(standing) => {
                 tracing::warn!(me, at_us, standing = ?standing, "standing")
             }
-            Event::StoodStill(d) => {
+            Event::Paused(d) => {
                 tracing::warn!(
                     me,
                     at_us,
@@ -458,11 +458,11 @@
                     "stood still; doubts itself first"
                 )
             }
-            Event::CameBack(start) => {
+            Event::Rejoined(start) => {
                 tracing::warn!(
                     me,
                     at_us,
-                    comebacks = start.comeback,
+                    comebacks = start.rejoins,
                     "had been given up by peers; is back"
                 )
             }
--- a/crates/cluster-net/src/status.rs
+++ b/crates/cluster-net/src/status.rs
@@ -74,10 +74,10 @@
         ClusterStatus {
             cluster: cluster.to_string(),
             name: name.to_string(),
-            address: view.me.address.to_string(),
-            start: view.me.start.process,
-            comebacks: view.me.start.comeback,
-            standing: format!("{:?}", view.standing).to_lowercase(),
+            address: view.own.address.to_string(),
+            start: view.own.start.process,
+            comebacks: view.own.start.rejoins,
+            standing: format!("{:?}", view.quorum).to_lowercase(),
             fenced_by: view.fenced_by.map(|s| s.process),
             at_ms: now.as_millis() as u64,
             steward: whole
@@ -88,7 +88,7 @@
             part: lent + unleased_quota(whole.membership().roster().len()),
             members: view.members.iter().map(line).collect(),
             dropped: view
-                .dropped
+                .rejected
                 .iter()
                 .map(|(why, n)| (why.name().to_string(), *n))
                 .collect(),
--- a/crates/membership/src/datagram_auth.rs
+++ b/crates/membership/src/datagram_auth.rs
@@ -1,29 +1,33 @@
-//! Authentication of datagrams: a header with cluster, sender and a number against replays, and a keyed tag.
+//! Authentication of datagrams: a header with cluster, sender and sequence number, and a keyed tag.
 //!
-//! `version (1) | cluster (4) | sender's name (4) | start (8) | number (8) | kind (1) | payload | tag (16)`; the
-//! tag is the first half of a BLAKE3 hash, keyed by the cluster's secret, over all that stands before it. It proves that
-//! the sender knows the secret; it hides nothing.
+//! The layout, with lengths in bytes, is
+//! `version (1) | cluster (4) | sender's name (4) | start (8) | number (8) | kind (1) | payload | tag (16)`. The tag is
+//! the first half of a BLAKE3 hash, keyed by the cluster's secret, over all bytes before it. It proves that the sender
+//! knows the secret; nothing is encrypted.
 
 use std::collections::BTreeMap;
 
 use crate::member::NameKey;
 
 const VERSION: u8 = 1;
-const HEAD: usize = 26;
-const TAG: usize = 16;
-/// Header and tag, bytes.
-pub const AUTH_BYTES: usize = HEAD + TAG;
-/// Longest datagram, bytes, as on the users' platform.
+/// Length of the header, bytes.
+const HEADER_BYTES: usize = 26;
+/// Length of the authentication tag, bytes.
+const TAG_BYTES: usize = 16;
+/// Length of the header and the tag together, bytes.
+pub const AUTH_BYTES: usize = HEADER_BYTES + TAG_BYTES;
+/// Maximum length of a datagram, bytes. The platform that users run on has the same limit.
 pub const MAX_DATAGRAM: usize = 256;
-/// Longest payload of a datagram, bytes.
-pub const MAX_PAYLOAD: usize = MAX_DATAGRAM - HEAD - TAG;
-/// Senders whose numbers are remembered; beyond it the one heard longest ago is forgotten, and its old
-/// datagrams would be taken again until it is heard.
+/// Maximum length of a datagram's payload, bytes.
+pub const MAX_PAYLOAD: usize = MAX_DATAGRAM - AUTH_BYTES;
+/// Maximum number of senders whose sequence numbers are stored. Beyond it the sender that was received from longest ago
+/// is evicted, and replays of its datagrams are accepted until it is received from again.
 pub const MAX_SENDERS: usize = 4096;
-/// Numbers before the highest that may still come, out of order.
+/// Size of the replay window: a datagram that arrives out of order is accepted if its sequence number is less than this
+/// far below the highest one received.
 const WINDOW: u64 = 64;
 
-/// What all members of one cluster know.
+/// The shared secret of a cluster, from which its authentication keys are derived.
 #[derive(Clone)]
 pub struct Secret {
     cluster: u32,
@@ -31,7 +35,7 @@
 }
 
 impl Secret {
-    /// From the cluster's name and the bytes of its secret's file.
+    /// Derives the key of a cluster from its name and the contents of its secret file.
     pub fn new(cluster: &str, secret: &[u8]) -> Secret {
         let key = blake3::derive_key("bitternlatch 2026-12 datagrams between dispatchers", secret);
         Secret {
@@ -40,7 +44,8 @@
         }
     }
 
-    /// The same for frames over links, so that no datagram can be passed off as one.
+    /// Derives the key for frames over links. It differs from the key for datagrams, so that a datagram is never accepted as
+    /// a frame.
     pub fn for_links(&self) -> Secret {
         let key = blake3::derive_key(
             "bitternlatch 2026-12 frames over links between dispatchers",
@@ -52,13 +57,15 @@
         }
     }
 
-    /// Proves a text, as an answer to a question that bore this number; no datagram's tag is one of these, as datagrams begin with
-    /// their version.
-    pub fn proof(&self, number: &[u8], text: &[u8]) -> [u8; TAG] {
-        let length = (number.len() as u64).to_le_bytes();
-        let hash = self.tag(&[&[0xFF][..], &length, number, text].concat());
-        let mut proof = [0; TAG];
-        proof.copy_from_slice(&hash.as_bytes()[..TAG]);
+    /// Computes the authentication tag of a text that answers a request with this nonce.
+    ///
+    /// The authenticated bytes begin with 0xFF and those of a datagram with its version, so that neither tag is valid for the
+    /// other.
+    pub fn proof(&self, nonce: &[u8], text: &[u8]) -> [u8; TAG_BYTES] {
+        let length = (nonce.len() as u64).to_le_bytes();
+        let hash = self.tag(&[&[0xFF][..], &length, nonce, text].concat());
+        let mut proof = [0; TAG_BYTES];
+        proof.copy_from_slice(&hash.as_bytes()[..TAG_BYTES]);
         proof
     }
 
@@ -70,45 +77,45 @@
 /// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum RejectReason {
-    /// Shorter or longer than any datagram.
-    #[error("longer or shorter than any datagram of ours")]
-    Noise,
-    /// Of another version of the format.
-    #[error("another version")]
+    /// The datagram is shorter than header and tag or longer than the limit.
+    #[error("invalid datagram length")]
+    Length,
+    /// The datagram has another format version.
+    #[error("unsupported format version")]
     Version,
-    /// Of another cluster.
-    #[error("another cluster")]
+    /// The datagram belongs to another cluster.
+    #[error("datagram of another cluster")]
     Cluster,
     /// The authentication tag does not match.
-    #[error("the proof does not fit: a stranger, another secret, or damage")]
-    Proof,
-    /// A replay: its number was accepted before, or is too old to tell.
-    #[error("taken before, or too old")]
+    #[error("authentication tag mismatch: another secret, a forged or a corrupted datagram")]
+    Tag,
+    /// A datagram with this sequence number was accepted before, or the number is below the replay window.
+    #[error("replayed datagram, or sequence number below the replay window")]
     Replay,
-    /// From a start of its sender that a later one has replaced: the name and that later start.
-    #[error("from a start of its sender that has been replaced by start {1}")]
+    /// The datagram is from an earlier start of its sender. Holds the sender's name and the latest start.
+    #[error("from an earlier start of its sender; the latest is start {1}")]
     OldStart(NameKey, u64),
-    /// Authenticated, but its content cannot be decoded.
-    #[error("proven, and cannot be read")]
+    /// The datagram is authenticated, but its kind or payload cannot be decoded.
+    #[error("authenticated, but cannot be decoded")]
     Unreadable,
 }
 
 impl RejectReason {
-    /// The same without what differs from one to the next, to be counted by.
-    pub(crate) fn alike(self) -> RejectReason {
+    /// The reason without the name and start of a particular sender, as a key for counters.
+    pub(crate) fn without_sender(self) -> RejectReason {
         match self {
             RejectReason::OldStart(..) => RejectReason::OldStart(NameKey(0), 0),
             other => other,
         }
     }
 
-    /// A short name for tables.
+    /// A short name for status reports and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            RejectReason::Noise => "noise",
+            RejectReason::Length => "noise",
             RejectReason::Version => "version",
             RejectReason::Cluster => "cluster",
-            RejectReason::Proof => "proof",
+            RejectReason::Tag => "proof",
             RejectReason::Replay => "replay",
             RejectReason::OldStart(..) => "old_start",
             RejectReason::Unreadable => "unreadable",
@@ -116,7 +123,7 @@
     }
 }
 
-/// The part of the program that a message belongs to, other than membership itself.
+/// The service that a message belongs to, other than the membership protocol itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Topic {
     /// Leader election and quota leases.
@@ -125,7 +132,7 @@
     Overload,
     /// Observed output lengths.
     Lengths,
-    /// Steps of workflows and the registers below them.
+    /// Workflow steps and the replicated registers that store them.
     Workflows,
 }
 
@@ -138,7 +145,7 @@
         Topic::Workflows,
     ];
 
-    /// Its number in datagrams and frames.
+    /// The topic's number in datagrams and frames.
     pub fn byte(self) -> u8 {
         match self {
             Topic::QuotaLease => 2,
@@ -148,25 +155,26 @@
         }
     }
 
-    /// The topic of a number in datagrams and frames.
+    /// The topic with this number in datagrams and frames.
     pub fn of(byte: u8) -> Option<Topic> {
         Topic::ALL.into_iter().find(|topic| topic.byte() == byte)
     }
 }
 
-/// What a datagram holds.
+/// The kind of a datagram's payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A message of the protocol.
+    /// A message of the SWIM protocol, encoded by `foca`.
     Swim,
-    /// To a process whose name has a later start: the name's short form, 4 bytes, and that start, 8.
+    /// Notifies a process that a later process was started under its name. Holds the name's short form (4 bytes) and the
+    /// later start (8 bytes).
     Replaced,
-    /// What is decided elsewhere.
-    Of(Topic),
-    /// To a suspect, by the member whose probe it did not answer.
-    Doubted,
-    /// A suspect refutes the suspicion.
-    Denied,
+    /// A message of another service.
+    Topic(Topic),
+    /// Notifies a member that it is suspected; sent by the member whose probe it did not acknowledge.
+    Suspicion,
+    /// Refutes a suspicion; sent by the suspected member.
+    Refutation,
 }
 
 impl Kind {
@@ -174,34 +182,40 @@
         match self {
             Kind::Swim => 0,
             Kind::Replaced => 1,
-            Kind::Of(topic) => topic.byte(),
-            Kind::Doubted => 3,
-            Kind::Denied => 4,
+            Kind::Topic(topic) => topic.byte(),
+            Kind::Suspicion => 3,
+            Kind::Refutation => 4,
         }
     }
 
     fn of(byte: u8) -> Option<Kind> {
-        let own = [Kind::Swim, Kind::Replaced, Kind::Doubted, Kind::Denied];
+        let own = [
+            Kind::Swim,
+            Kind::Replaced,
+            Kind::Suspicion,
+            Kind::Refutation,
+        ];
         let own = own.into_iter().find(|kind| kind.byte() == byte);
-        own.or_else(|| Topic::of(byte).map(Kind::Of))
+        own.or_else(|| Topic::of(byte).map(Kind::Topic))
     }
 }
 
-/// Whose name a datagram bears, unproven: for what lies between members.
-pub fn sender(datagram: &[u8]) -> Option<NameKey> {
+/// The sender's name in a datagram's header, without authentication: for relays that do not know the cluster's secret.
+pub fn claimed_sender(datagram: &[u8]) -> Option<NameKey> {
     datagram.get(5..9).map(|name| NameKey(word(name) as u32))
 }
 
-/// Signs what one process sends.
+/// Signs the datagrams and frames that one process sends.
 pub struct Signer {
     secret: Secret,
     name: NameKey,
     process: u64,
+    /// Sequence number of the last datagram.
     number: u64,
 }
 
 impl Signer {
-    /// Signs for one start of a process; its datagrams are numbered from 1.
+    /// Creates a signer for one start of a process. Sequence numbers begin at 1.
     pub fn new(secret: Secret, name: NameKey, process: u64) -> Signer {
         Signer {
             secret,
@@ -211,31 +225,36 @@
         }
     }
 
-    /// One datagram; `said` holds at most [`MAX_PAYLOAD`] bytes.
-    pub fn sign(&mut self, kind: Kind, said: &[u8]) -> Vec<u8> {
+    /// Encodes and signs a datagram with a payload of at most [`MAX_PAYLOAD`] bytes.
+    pub fn sign(&mut self, kind: Kind, payload: &[u8]) -> Vec<u8> {
         self.number += 1;
-        let mut out = Vec::with_capacity(HEAD + said.len() + TAG);
+        let mut out = Vec::with_capacity(HEADER_BYTES + payload.len() + TAG_BYTES);
         out.push(VERSION);
         out.extend(self.secret.cluster.to_le_bytes());
         out.extend(self.name.0.to_le_bytes());
         out.extend(self.process.to_le_bytes());
         out.extend(self.number.to_le_bytes());
         out.push(kind.byte());
-        out.extend(said);
+        out.extend(payload);
         let tag = self.secret.tag(&out);
-        out.extend(&tag.as_bytes()[..TAG]);
+        out.extend(&tag.as_bytes()[..TAG_BYTES]);
         out
     }
 }
 
-struct Numbers {
+/// The replay window of one sender.
+struct ReplayWindow {
+    /// The start of the sender's process.
     process: u64,
+    /// The highest sequence number accepted.
     highest: u64,
-    seen: u64, // A bit for each of the `WINDOW` numbers up to the highest.
-    turn: u64,
+    /// Bit n is set if sequence number `highest` - n was accepted.
+    accepted: u64,
+    /// Value of [`Verifier::received`] at the sender's last datagram, to find the sender to evict.
+    last_used: u64,
 }
 
-/// Who sent a datagram.
+/// The authenticated header of a datagram: the sender, the start of its process and the kind of the payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sender {
     pub name: NameKey,
@@ -243,18 +262,19 @@
     pub kind: Kind,
 }
 
-/// Verifies what comes in; remembers the numbers of each sender.
+/// Verifies datagrams or frames, and rejects replays by the sequence numbers of each sender.
 #[derive(Default)]
 pub struct Verifier {
-    senders: BTreeMap<NameKey, Numbers>,
-    turn: u64,
+    senders: BTreeMap<NameKey, ReplayWindow>,
+    /// Number of authenticated datagrams received.
+    received: u64,
 }
 
 impl Verifier {
-    /// What a datagram says, and who says it.
+    /// Returns the sender and the payload of a datagram.
     ///
     /// # Errors
-    /// Where it is not to be taken; nothing is remembered of it then.
+    /// Where the datagram is rejected.
     pub fn verify<'a>(
         &mut self,
         secret: &Signer,
@@ -263,32 +283,32 @@
         self.verify_up_to(secret, bytes, MAX_DATAGRAM)
     }
 
-    /// The same of anything sealed, up to so many bytes.
+    /// Returns the sender and the payload of a signed message of at most `max_bytes`.
     ///
     /// # Errors
-    /// As [`Verifier::verify`].
+    /// Where the message is rejected.
     pub fn verify_up_to<'a>(
         &mut self,
         secret: &Signer,
         bytes: &'a [u8],
-        most: usize,
+        max_bytes: usize,
     ) -> Result<(Sender, &'a [u8]), RejectReason> {
-        if bytes.len() < HEAD + TAG || bytes.len() > most {
-            return Err(RejectReason::Noise);
+        if bytes.len() < AUTH_BYTES || bytes.len() > max_bytes {
+            return Err(RejectReason::Length);
         }
-        let (body, tag) = bytes.split_at(bytes.len() - TAG);
+        let (body, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
         if body[0] != VERSION {
             return Err(RejectReason::Version);
         }
         if word(&body[1..5]) != u64::from(secret.secret.cluster) {
             return Err(RejectReason::Cluster);
         }
-        // Compared in constant time, by the hash's own equality.
-        let mut whole = *secret.secret.tag(body).as_bytes();
-        let ours = blake3::Hash::from_bytes(whole);
-        whole[..TAG].copy_from_slice(tag);
-        if ours != blake3::Hash::from_bytes(whole) {
-            return Err(RejectReason::Proof);
+        // `blake3::Hash` compares in constant time. The received half is completed by the computed second half.
+        let mut received = *secret.secret.tag(body).as_bytes();
+        let expected = blake3::Hash::from_bytes(received);
+        received[..TAG_BYTES].copy_from_slice(tag);
+        if expected != blake3::Hash::from_bytes(received) {
+            return Err(RejectReason::Tag);
         }
         let kind = Kind::of(body[25]).ok_or(RejectReason::Unreadable)?;
         let from = Sender {
@@ -296,60 +316,63 @@
             process: word(&body[9..17]),
             kind,
         };
-        self.number(from, word(&body[17..25]))?;
-        Ok((from, &body[HEAD..]))
+        self.check_replay(from, word(&body[17..25]))?;
+        Ok((from, &body[HEADER_BYTES..]))
     }
 
-    fn number(&mut self, from: Sender, number: u64) -> Result<(), RejectReason> {
-        self.turn += 1;
+    /// Rejects datagrams of earlier starts and sequence numbers that were accepted before or are below the replay window.
+    fn check_replay(&mut self, from: Sender, number: u64) -> Result<(), RejectReason> {
+        self.received += 1;
         let known = self.senders.get(&from.name).map(|n| n.process);
         if let Some(later) = known.filter(|process| from.process < *process) {
             return Err(RejectReason::OldStart(from.name, later));
         }
         if known != Some(from.process) {
-            self.make_room();
-            let fresh = Numbers {
+            self.evict_if_full();
+            let fresh = ReplayWindow {
                 process: from.process,
                 highest: 0,
-                seen: 0,
-                turn: 0,
+                accepted: 0,
+                last_used: 0,
             };
             self.senders.insert(from.name, fresh);
         }
-        let Some(numbers) = self.senders.get_mut(&from.name) else {
+        let Some(window) = self.senders.get_mut(&from.name) else {
             return Err(RejectReason::Replay);
         };
-        numbers.turn = self.turn;
-        if number > numbers.highest {
-            let step = number - numbers.highest;
-            numbers.seen = if step >= WINDOW {
+        window.last_used = self.received;
+        if number > window.highest {
+            let step = number - window.highest;
+            window.accepted = if step >= WINDOW {
                 1
             } else {
-                numbers.seen << step | 1
+                window.accepted << step | 1
             };
-            numbers.highest = number;
+            window.highest = number;
             return Ok(());
         }
-        let back = numbers.highest - number;
-        if back >= WINDOW || numbers.seen & (1 << back) != 0 {
+        let back = window.highest - number;
+        if back >= WINDOW || window.accepted & (1 << back) != 0 {
             return Err(RejectReason::Replay);
         }
-        numbers.seen |= 1 << back;
+        window.accepted |= 1 << back;
         Ok(())
     }
 
-    fn make_room(&mut self) {
+    /// Evicts the sender that was received from longest ago if the table is full.
+    fn evict_if_full(&mut self) {
         if self.senders.len() >= MAX_SENDERS {
             let oldest = self
                 .senders
                 .iter()
-                .min_by_key(|(_, n)| n.turn)
+                .min_by_key(|(_, window)| window.last_used)
                 .map(|(name, _)| *name);
             oldest.map(|name| self.senders.remove(&name));
         }
     }
 }
 
+/// Decodes a little-endian integer of at most 8 bytes.
 pub(crate) fn word(bytes: &[u8]) -> u64 {
     bytes
         .iter()
--- a/crates/membership/src/detector_config.rs
+++ b/crates/membership/src/detector_config.rs
@@ -1,4 +1,4 @@
-//! Intervals and bounds of the failure detector.
+//! Configuration of the SWIM failure detector: probe, suspicion and gossip intervals.
 
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
@@ -7,23 +7,27 @@
 
 use crate::datagram_auth::MAX_PAYLOAD;
 
-/// Time between two probes, and within it until others are asked to probe too.
+/// Time between two direct probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+/// Time to wait for the acknowledgement of a direct probe before indirect probes are sent.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
+/// Number of members that are asked to probe a member that did not acknowledge a direct probe.
 const INDIRECT_PROBES: usize = 3;
-/// Time that a suspect has to refute the suspicion.
+/// Time that a suspected member has to refute the suspicion before it is declared down.
 const SUSPECT_TO_DOWN: Duration = Duration::from_millis(900);
-/// How often gossip goes out while there is any, and to how many members.
+/// Time between two rounds of gossip while there are membership updates to send.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of random members that each round of gossip is sent to.
 const GOSSIP_MEMBERS: usize = 3;
-/// How often a gossip message is repeated at most.
+/// Maximum number of times that this member transmits the same membership update.
 const MAX_TRANSMISSIONS: u8 = 10;
-/// How often this member announces itself to a random member.
+/// Time between two announcements of this member to a random member.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(10);
-/// How often members that are down are contacted, and how many, so that two sides of a partition find each other again.
+/// Time between two attempts to contact members that are down, so that the sides of a healed partition merge.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(1000);
+/// Number of members that are down to contact at each [`RECONNECT_INTERVAL`].
 const RECONNECT_MEMBERS: usize = 2;
-/// How long a member that is down is remembered as such.
+/// Time after which the record of a member that is down is removed from the failure detector.
 const FORGET_DOWN_AFTER: Duration = Duration::from_secs(3600);
 
 pub(crate) fn detector_config() -> Config {
--- a/crates/membership/src/incarnation_watch.rs
+++ b/crates/membership/src/incarnation_watch.rs
@@ -1,4 +1,4 @@
-//! The library's codec, watched for news of another process under this one's own name.
+//! A wrapper around the codec of `foca` that detects another live process under this member's own name.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -8,16 +8,19 @@
 
 use crate::member::{Id, NameKey};
 
-/// The library takes news of its own name for stale and declares the other one dead, which the other does too,
-/// without end. So they are seen here, where they come in.
+/// A codec that records the latest start of the own name in all decoded headers and membership updates.
+///
+/// `foca` treats an update about its own name as stale and declares the other process down. Two live processes under
+/// one name would do this to each other forever, so the conflict is detected here, when the update is decoded.
 pub(crate) struct IncarnationWatch {
+    /// The name whose starts are recorded.
     pub own: NameKey,
-    /// The latest start that was told to be alive under the own name.
+    /// The latest start of the own name that was received in a header or as an update that is not down.
     pub latest: Arc<AtomicU64>,
 }
 
 impl IncarnationWatch {
-    fn saw(&self, id: &Id) {
+    fn record_start(&self, id: &Id) {
         if id.name == self.own {
             self.latest.fetch_max(id.start.process, Ordering::Relaxed);
         }
@@ -33,8 +36,8 @@
 
     fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Id>, Self::Error> {
         let header: Header<Id> = PostcardCodec.decode_header(buf)?;
-        self.saw(&header.src);
-        self.saw(&header.dst);
+        self.record_start(&header.src);
+        self.record_start(&header.dst);
         Ok(header)
     }
 
@@ -45,7 +48,7 @@
     fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Id>, Self::Error> {
         let member: Member<Id> = PostcardCodec.decode_member(buf)?;
         if member.state() != foca::State::Down {
-            self.saw(member.id());
+            self.record_start(member.id());
         }
         Ok(member)
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,11 +1,11 @@
-//! Membership of the cluster: which dispatchers are present, have failed or are leaving, as one of them knows it.
+//! Cluster membership: one dispatcher's view of which other dispatchers are present, have failed or are leaving.
 //!
-//! No input or output: datagrams, a clock and a seed go in; datagrams and events come out, and the time at which it
-//! wants to be woken. The same code runs in service, in tests and in simulated time.
+//! The crate performs no I/O. Its inputs are datagrams, clock readings and a random seed; its outputs are datagrams,
+//! events and the time of the next wakeup. The same code runs in production, in tests and in simulated time.
 //!
-//! The protocol is SWIM with suspicion and incarnations (Das, Gupta, Motivala, 2002), by the library `foca`. Of
-//! Lifeguard (Dadgar, Phillips, Currey, 2018) there is self-awareness: a member that was itself paused or slow
-//! gives its peers the time that it lost before it confirmations them.
+//! The protocol is SWIM with suspicion and incarnations (Das, Gupta, Motivala, 2002), as implemented by the library
+//! `foca`. From Lifeguard (Dadgar, Phillips, Currey, 2018) it takes local health awareness: a member that was itself
+//! paused or slow extends its probe and suspicion deadlines by the time that it lost.
 
 mod datagram_auth;
 mod detector_config;
@@ -22,7 +22,7 @@
 mod view;
 
 pub use datagram_auth::{
-    sender, Kind, RejectReason, Secret, Signer, Topic, Verifier, AUTH_BYTES, MAX_DATAGRAM,
+    claimed_sender, Kind, RejectReason, Secret, Signer, Topic, Verifier, AUTH_BYTES, MAX_DATAGRAM,
     MAX_PAYLOAD,
 };
 pub use member::{Id, NameKey, Start};
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,17 +1,18 @@
-//! Identity of a member: its name, its address, and one start of its process.
+//! Identity of a member: its name, its address and the start of its process.
 
 use std::net::SocketAddrV4;
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 
-/// A name of 1 to 100 bytes stands in datagrams as the first 32 bits of its BLAKE3 hash; a roster whose names
-/// meet there is refused at the start.
+/// The short form of a member's name in datagrams: the first 32 bits of the name's BLAKE3 hash.
+///
+/// Names have 1 to 100 bytes. A roster in which two names have the same short form is rejected at startup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NameKey(pub u32);
 
 impl NameKey {
-    /// The short form of a name.
+    /// Computes the short form of a name.
     pub fn of(name: &str) -> NameKey {
         let hash = blake3::hash(name.as_bytes());
         let [a, b, c, d, ..] = *hash.as_bytes();
@@ -19,38 +20,41 @@
     }
 }
 
-/// One start of a process, and how often it has rejoined under it after others had given it up.
+/// One start of a process, and how often the process has rejoined since then after peers declared it down.
 ///
-/// Later starts are larger: Unix milliseconds of the start, or one more than the last start that the process's
-/// folder tells of, whichever is later, so that a clock set back does not make a restart look older.
+/// Later starts compare greater. The number of a start is its time in Unix milliseconds, or the last start stored in
+/// the process's data directory plus one, whichever is greater, so that a restart does not look older than the start
+/// before it when the clock was set back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Start {
-    /// Number of the start of the process.
+    /// Number of the start; greater for later starts.
     pub process: u64,
-    /// How often it has rejoined under this start.
-    pub comeback: u16,
+    /// How often the process has rejoined the cluster since this start.
+    #[serde(rename = "comeback")]
+    pub rejoins: u16,
 }
 
-/// One member as peers know it.
+/// The identity under which peers know a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id {
-    /// Short form of its name.
+    /// Short form of the member's name.
     pub name: NameKey,
-    /// Where it receives datagrams and connections.
+    /// Address at which the member receives datagrams and connections.
     pub address: SocketAddrV4,
-    /// Which start of its process this is.
+    /// The start of the member's process.
     pub start: Start,
 }
 
 impl Identity for Id {
     type Addr = NameKey;
 
-    /// Given up by others though alive, as after a pause: it comes back under the same start of its process.
+    /// Returns the identity for a rejoin after peers declared this live process down, as they do when it was paused. The
+    /// start of the process stays the same, and the count of rejoins increases.
     fn renew(&self) -> Option<Id> {
-        let comeback = self.start.comeback.checked_add(1)?;
+        let rejoins = self.start.rejoins.checked_add(1)?;
         Some(Id {
             start: Start {
-                comeback,
+                rejoins,
                 ..self.start
             },
             ..*self
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,4 +1,4 @@
-//! What is known of each other member: its state, since when, and the evidence of it.
+//! The state of each other member, the time since when it holds, and the evidence for it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -9,16 +9,19 @@
 use crate::member::{Id, NameKey};
 use crate::view::State;
 
-/// A suspect is given up after so long: the library forgets suspicions from before a rejoin of its own, and a suspect that
-/// nobody notifies cannot refute the suspicion.
+/// Time after which a suspected member is declared down here, without the failure detector. `foca` drops its suspicion
+/// timers when the own member rejoins, and a suspect that is never notified cannot refute the suspicion.
 const MAX_SUSPICION: Duration = Duration::from_millis(2_000);
 
-/// What is known of one member.
+/// The recorded state of one member.
 #[derive(Clone, Copy)]
 pub(crate) struct MemberRecord {
+    /// The member's identity; `None` until something is received from it or about it.
     pub id: Option<Id>,
     pub state: State,
+    /// Time since when the member has been in this state, by this process's clock.
     pub since: Duration,
+    /// Why the member is in this state, as text for operators.
     pub evidence: &'static str,
 }
 
@@ -28,13 +31,14 @@
     pub state: State,
 }
 
-/// Records of all members but this one.
+/// The records of all members other than this one.
 pub(crate) struct MemberTable {
     records: BTreeMap<NameKey, MemberRecord>,
-    /// When the oldest suspicion ends, if there is one.
+    /// When the first of the current suspicions expires; `None` where no member is suspected.
     suspect_until: Option<Duration>,
 }
 
+/// The evidence text for a state. Status pages show these texts, so they are part of the interface.
 fn evidence(state: State) -> &'static str {
     match state {
         State::Alive => "heard, by itself or by others",
@@ -44,8 +48,8 @@
 }
 
 impl MemberTable {
-    /// Members of the roster, none of which has been heard.
-    pub(crate) fn unheard(members: impl Iterator<Item = NameKey>, now: Duration) -> MemberTable {
+    /// Creates the table with the given members of the roster, from none of which anything has been received.
+    pub(crate) fn new(members: impl Iterator<Item = NameKey>, now: Duration) -> MemberTable {
         let record = MemberRecord {
             id: None,
             state: State::Unheard,
@@ -66,16 +70,16 @@
         self.records.iter()
     }
 
-    /// Names of members that are present, in order.
+    /// Names of the members that are present, in ascending order.
     pub(crate) fn present(&self) -> impl Iterator<Item = NameKey> + '_ {
         let present = self
             .records
             .iter()
-            .filter(|(_, record)| record.state.is_there());
+            .filter(|(_, record)| record.state.is_present());
         present.map(|(name, _)| *name)
     }
 
-    /// The address that a member has announced.
+    /// The address that a member has announced; `None` where nothing has been received from it.
     pub(crate) fn address(&self, name: NameKey) -> Option<SocketAddrV4> {
         let id = self.records.get(&name)?.id?;
         Some(id.address)
@@ -85,7 +89,7 @@
         self.suspect_until
     }
 
-    /// Compares the failure detector's members with the records, and returns what has changed.
+    /// Updates the records from the members of the failure detector, and returns the changes.
     pub(crate) fn update<'a>(
         &mut self,
         now: Duration,
@@ -110,7 +114,7 @@
         changes
     }
 
-    /// Records a member's state, and returns since when it has been so.
+    /// Records a member's state, and returns the time since when the member has been in it.
     fn record(
         &mut self,
         now: Duration,
@@ -118,11 +122,11 @@
         state: State,
         changes: &mut Vec<MemberChange>,
     ) -> Duration {
-        let known = self
+        let unchanged = self
             .records
             .get(&id.name)
             .filter(|record| record.state == state && record.id == Some(id));
-        if let Some(record) = known {
+        if let Some(record) = unchanged {
             return record.since;
         }
         let record = MemberRecord {
@@ -136,7 +140,7 @@
         now
     }
 
-    /// Suspects that have not refuted the suspicion in time.
+    /// Suspected members that have not refuted the suspicion within [`MAX_SUSPICION`].
     pub(crate) fn expired_suspects(&self, now: Duration) -> Vec<Id> {
         self.records
             .values()
@@ -145,7 +149,7 @@
             .collect()
     }
 
-    /// Gives suspects more time.
+    /// Extends all current suspicions, so that a pause of this process does not make them expire.
     pub(crate) fn delay_suspicions(&mut self, by: Duration) {
         self.records
             .values_mut()
--- a/crates/membership/src/protocol.rs
+++ b/crates/membership/src/protocol.rs
@@ -1,4 +1,5 @@
-//! One member: passes datagrams and time to the failure detector, and its changes on as events.
+//! The protocol of one member: passes datagrams and clock readings to the failure detector, and reports changes of
+//! membership as events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -22,36 +23,37 @@
 use crate::timers::Timers;
 use crate::view::{MemberView, RejectCounts, State, View};
 
-/// Members of the roster that are not present are contacted one by one, that often.
+/// Time between two attempts to contact a member of the roster that is not present; such members take turns.
 const CONTACT_INTERVAL: Duration = Duration::from_millis(500);
-/// A timer so late means that this process was paused, or too slow to judge others.
-const LATE: Duration = Duration::from_millis(250);
-/// After a pause so long peers may have given this member up: they count as present only once they are heard again.
+/// Lateness of a timer from which this process counts as having been paused, or as too slow to suspect others.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(250);
+/// Length of a pause after which peers count as present only once something is received from them again, because they
+/// may have declared this member down meanwhile.
 const DISTRUST_AFTER_PAUSE: Duration = Duration::from_millis(900);
-/// Time in which datagrams that lay unread in the socket during a pause are read.
-const UNREAD: Duration = Duration::from_millis(200);
-/// Length of a notice that a name has a later start: the name's short form and that start.
+/// Time that it takes to read the datagrams that were queued in the socket during a pause.
+const SOCKET_DRAIN_TIME: Duration = Duration::from_millis(200);
+/// Length of the payload of [`Kind::Replaced`], bytes: the name's short form and the later start.
 const REPLACED_BYTES: usize = 12;
 
-/// What has changed.
+/// A change in the cluster or in this member's part in it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Another member's state, address or start.
+    /// The state, address or start of another member has changed.
     Member {
-        /// Short form of its name.
+        /// Short form of the member's name.
         name: NameKey,
-        /// Its state now.
+        /// The member's current state.
         state: State,
-        /// The start that it is about.
+        /// The start of the member's process that the state is about.
         start: Start,
     },
-    /// How much of the roster is present.
+    /// The quorum state has changed.
     QuorumState(QuorumState),
-    /// This process was paused for so long; peers get that time before they are suspected.
-    StoodStill(Duration),
-    /// Others had given this member up; it has rejoined.
-    CameBack(Start),
-    /// Another process under this name started later; this one sends nothing any more.
+    /// This process was paused for this long; the deadlines of all peers are extended by that time.
+    Paused(Duration),
+    /// Peers had declared this member down, and it has rejoined with this start.
+    Rejoined(Start),
+    /// A process with this later start runs under the same name; this process sends nothing any more.
     Fenced(Start),
 }
 
@@ -60,24 +62,25 @@
 pub enum Output {
     /// Sends a datagram to an address.
     Send(SocketAddrV4, Vec<u8>),
-    /// Something has changed.
+    /// Reports a change.
     Event(Event),
-    /// A message of another topic: authenticated, not seen before, and sent by the latest start under its name.
+    /// Delivers a message of another service: authenticated, not a replay, and sent by the latest known start of the
+    /// sender.
     Message {
-        /// What it belongs to.
+        /// The service that the message belongs to.
         topic: Topic,
         /// Short form of the sender's name.
         name: NameKey,
-        /// The sender's start.
+        /// Number of the start of the sender's process.
         start: u64,
-        /// What it holds.
+        /// The message.
         payload: Vec<u8>,
     },
 }
 
 pub(crate) type Detector = Foca<Id, IncarnationWatch, Xoshiro256PlusPlus, NoCustomBroadcast>;
 
-/// One member's knowledge of the others. All times are by its own clock.
+/// The membership protocol state of one member. All times are by its own clock.
 pub struct Membership {
     pub(crate) detector: Detector,
     pub(crate) runtime: AccumulatingRuntime<Id>,
@@ -90,15 +93,17 @@
     timers: Timers,
     quorum: QuorumTracker,
     contact_at: Duration,
+    /// The member that was contacted last; the next one in the order of names has the next turn.
     last_contact: Option<NameKey>,
-    /// The latest start heard of under the own name.
+    /// The latest start received under the own name.
     own_name_start: Arc<AtomicU64>,
     fenced_by: Option<Start>,
     left: bool,
 }
 
 impl Membership {
-    /// A member under `name`, at the address that the roster gives; `process` distinguishes this start from others.
+    /// Creates the member `name`, at the address that the roster gives. `process` is the number of this start, greater than
+    /// that of any earlier start under the name.
     pub fn new(
         name: &str,
         process: u64,
@@ -108,18 +113,18 @@
         now: Duration,
     ) -> Self {
         let name = NameKey::of(name);
-        let nowhere = SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0);
+        let unspecified = SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0);
         let start = Start {
             process,
-            comeback: 0,
+            rejoins: 0,
         };
         let own = Id {
             name,
-            address: roster.0.get(&name).map_or(nowhere, |peer| peer.address),
+            address: roster.0.get(&name).map_or(unspecified, |peer| peer.address),
             start,
         };
         let others = roster.0.keys().filter(|key| **key != name).copied();
-        let table = MemberTable::unheard(others, now);
+        let table = MemberTable::new(others, now);
         let own_name_start = Arc::new(AtomicU64::new(0));
         let codec = IncarnationWatch {
             own: name,
@@ -149,7 +154,7 @@
         self.left || self.fenced_by.is_some()
     }
 
-    /// When [`Membership::wake`] is due at the latest; `None` once this member has left or was superseded.
+    /// When [`Membership::wake`] is due at the latest; `None` once this member has left or is fenced.
     pub fn wake_at(&self) -> Option<Duration> {
         if self.is_silent() {
             return None;
@@ -164,7 +169,7 @@
         due.into_iter().flatten().min()
     }
 
-    /// Takes a datagram that came from an address.
+    /// Handles a datagram that was received from an address.
     pub fn handle_datagram(
         &mut self,
         now: Duration,
@@ -175,15 +180,15 @@
         if self.is_silent() {
             return;
         }
-        // Otherwise nothing can have changed since the last step, and the view need not be compared twice.
+        // Runs overdue timers first. If none is due, nothing can have changed since the last step.
         if self.wake_at().is_some_and(|at| at <= now) {
             self.wake(now, out);
         }
         let verified = self.verifier.verify(&self.signer, bytes);
         if let Ok((sender, _)) = &verified {
-            // Only members of the roster, which bounds what is remembered.
+            // Only members of the roster are recorded, which bounds the table.
             if self.roster.0.contains_key(&sender.name) {
-                self.quorum.on_heard(now, sender.name);
+                self.quorum.on_received(now, sender.name);
             }
         }
         let handled = verified.and_then(|(sender, payload)| self.dispatch(sender, payload, out));
@@ -191,13 +196,13 @@
             if let RejectReason::OldStart(name, later) = reason {
                 self.notify_replaced(name, later, from, out);
             }
-            *self.rejected.entry(reason.alike()).or_default() += 1;
+            *self.rejected.entry(reason.without_sender()).or_default() += 1;
         }
         let latest = self.own_name_start.load(Ordering::Relaxed);
         if latest > self.detector.identity().start.process {
             let by = Start {
                 process: latest,
-                comeback: 0,
+                rejoins: 0,
             };
             self.fence(by, out);
         } else {
@@ -205,7 +210,8 @@
         }
     }
 
-    /// Notifies a process that its name has a later start, at the address that it sent from and at the roster's.
+    /// Notifies a process that a later one runs under its name, at the address that it sent from and at the address in the
+    /// roster.
     fn notify_replaced(
         &mut self,
         name: NameKey,
@@ -240,9 +246,9 @@
                 self.own_name_start.fetch_max(start, Ordering::Relaxed);
                 Ok(())
             }
-            Kind::Doubted => self.refute_suspicion(sender.name, payload, out),
-            Kind::Denied => self.on_suspicion_refuted(sender.name, payload),
-            Kind::Of(topic) => {
+            Kind::Suspicion => self.refute_suspicion(sender.name, payload, out),
+            Kind::Refutation => self.on_suspicion_refuted(sender.name, payload),
+            Kind::Topic(topic) => {
                 out.push(Output::Message {
                     topic,
                     name: sender.name,
@@ -258,25 +264,26 @@
         }
     }
 
-    /// Does what is due.
+    /// Runs all timers that are due.
     pub fn wake(&mut self, now: Duration, out: &mut Vec<Output>) {
         if self.is_silent() {
             return;
         }
         self.compensate_pause(now, out);
         while let Some(timer) = self.timers.pop_due(now) {
-            // Its errors are of timers that were set before an identity changed; they are moot.
+            // Fails only for timers that were set before the own identity changed, which have no effect.
             let _ = self.detector.handle_timer(timer, &mut self.runtime);
             self.collect(now, out);
         }
         if self.table.suspect_until().is_some_and(|until| now >= until) {
-            self.give_up_suspects(now);
+            self.declare_suspects_down(now);
         }
         if now >= self.contact_at {
             self.contact_at = now + CONTACT_INTERVAL;
             self.contact_absent();
         }
-        // What is suspected from here on was found by an own probe; what comes in datagrams is for others to confirm.
+        // A suspicion that arises here comes from a probe of this member. Suspicions received in datagrams are confirmed by
+        // the members that raised them.
         let from = out.len();
         self.settle(now, out);
         for output in &out[from..] {
@@ -289,38 +296,41 @@
                 self.confirmations.begin(now, *name);
             }
         }
-        self.ask_suspects(now, out);
+        self.notify_suspects(now, out);
     }
 
-    /// Announces that this member leaves; nothing is sent or taken afterwards.
+    /// Announces that this member leaves. It sends and accepts nothing afterwards.
     pub fn leave(&mut self, now: Duration, out: &mut Vec<Output>) {
         if !self.is_silent() {
-            // Fails only where nobody is left to be told.
+            // Fails only where no other member is left to notify.
             let _ = self.detector.leave_cluster(&mut self.runtime);
             self.collect(now, out);
             self.left = true;
         }
     }
 
-    /// After a pause of this process, acknowledgements may lie unread in its socket: all that is due is put off by the time
-    /// that was lost, so that it distrusts itself before others.
+    /// After a pause of this process, extends all timers and suspicions by the length of the pause.
+    ///
+    /// Acknowledgements may still be queued in the socket, so that members whose timers have expired during the pause may be
+    /// alive.
     fn compensate_pause(&mut self, now: Duration, out: &mut Vec<Output>) {
         let due = self.timers.next_at();
         let Some(late) = due.and_then(|at| now.checked_sub(at)) else {
             return;
         };
-        if late < LATE {
+        if late < PAUSE_THRESHOLD {
             return;
         }
-        self.timers.delay(late + LATE);
-        self.table.delay_suspicions(late + LATE);
+        self.timers.delay(late + PAUSE_THRESHOLD);
+        self.table.delay_suspicions(late + PAUSE_THRESHOLD);
         if late >= DISTRUST_AFTER_PAUSE {
-            self.quorum.distrust_before(now + UNREAD);
+            self.quorum.distrust_before(now + SOCKET_DRAIN_TIME);
         }
-        out.push(Output::Event(Event::StoodStill(late)));
+        out.push(Output::Event(Event::Paused(late)));
     }
 
-    fn give_up_suspects(&mut self, now: Duration) {
+    /// Declares down the suspects that the failure detector should have declared down by now.
+    fn declare_suspects_down(&mut self, now: Duration) {
         let expired = self.table.expired_suspects(now);
         let members = self
             .detector
@@ -329,17 +339,17 @@
         let down: Vec<Member<Id>> = members
             .map(|member| Member::new(*member.id(), member.incarnation(), foca::State::Down))
             .collect();
-        // Fails only for updates that the detector has overtaken.
+        // Fails only for updates that are older than what the detector knows.
         let _ = self
             .detector
             .apply_many(down.into_iter(), true, &mut self.runtime);
     }
 
-    /// Contacts the next member of the roster that is not present.
+    /// Announces this member to the next member of the roster that is not present.
     fn contact_absent(&mut self) {
         let is_absent = |name: &&NameKey| {
             let record = self.table.get(**name);
-            record.is_some_and(|record| !record.state.is_there())
+            record.is_some_and(|record| !record.state.is_present())
         };
         let absent: Vec<NameKey> = self.roster.0.keys().filter(is_absent).copied().collect();
         let next = absent
@@ -354,15 +364,15 @@
                 address: peer.address,
                 start: Start {
                     process: 0,
-                    comeback: 0,
+                    rejoins: 0,
                 },
             };
-            // A contact attempt that fails is followed by another.
+            // A failed attempt is repeated after `CONTACT_INTERVAL`.
             let _ = self.detector.announce(id, &mut self.runtime);
         }
     }
 
-    /// Carries out what the detector wants, and brings members and quorum up to date.
+    /// Applies the detector's outputs, then updates the member records and the quorum state.
     fn settle(&mut self, now: Duration, out: &mut Vec<Output>) {
         self.collect(now, out);
         self.update_members(now, out);
@@ -387,6 +397,7 @@
         }
     }
 
+    /// Sends the detector's datagrams, sets its timers and reports rejoins.
     fn collect(&mut self, now: Duration, out: &mut Vec<Output>) {
         loop {
             let mut rejoined = false;
@@ -400,21 +411,21 @@
             while let Some(notification) = self.runtime.to_notify() {
                 if let foca::OwnedNotification::Rejoin(id) = notification {
                     rejoined = true;
-                    out.push(Output::Event(Event::CameBack(id.start)));
+                    out.push(Output::Event(Event::Rejoined(id.start)));
                 }
             }
             if !rejoined {
                 return;
             }
-            // The library sends and probes nothing after a rejoin until it hears someone; two members that rejoined together
-            // would wait for each other forever. An empty update makes it begin.
+            // After a rejoin `foca` sends no probes until it receives a datagram, so two members that rejoined at the same
+            // time would wait for each other forever. An empty update makes it start probing.
             let _ = self
                 .detector
                 .apply_many(std::iter::empty(), false, &mut self.runtime);
         }
     }
 
-    /// Of two processes alive under one name the one that started later goes on.
+    /// Stops this process, because a later start runs under the same name.
     fn fence(&mut self, by: Start, out: &mut Vec<Output>) {
         self.fenced_by = Some(by);
         self.timers.clear();
@@ -424,47 +435,47 @@
     /// Sends a message of at most [`crate::MAX_PAYLOAD`] bytes to a member of the roster.
     pub fn send(&mut self, topic: Topic, to: NameKey, payload: &[u8], out: &mut Vec<Output>) {
         if let Some(at) = self.roster_address(to).filter(|_| !self.is_silent()) {
-            let datagram = self.signer.sign(Kind::Of(topic), payload);
+            let datagram = self.signer.sign(Kind::Topic(topic), payload);
             out.push(Output::Send(at, datagram));
         }
     }
 
-    /// The address of a member of the roster; the one that it announces has precedence.
+    /// The address that a member of the roster has announced, else the one in the roster.
     pub(crate) fn roster_address(&self, of: NameKey) -> Option<SocketAddrV4> {
         let listed = self.roster.0.get(&of)?.address;
         Some(self.table.address(of).unwrap_or(listed))
     }
 
-    /// This process as a member.
+    /// The identity of this process.
     pub fn own(&self) -> Id {
         *self.detector.identity()
     }
 
-    /// Short names of the roster.
+    /// Short names of all members of the roster, this one included.
     pub fn roster(&self) -> BTreeSet<NameKey> {
         self.roster.0.keys().copied().collect()
     }
 
-    /// Names of the members of the roster that are present, as far as this one knows, without its own.
+    /// Names of the members of the roster that are present, as far as this one knows, without itself.
     pub fn present_names(&self) -> Vec<String> {
         let listed = |name: NameKey| self.roster.0.get(&name);
         let present = self.table.present().filter_map(listed);
         present.map(|peer| peer.name.clone()).collect()
     }
 
-    /// The addresses that the roster gives.
+    /// The address of each member in the roster, by short name.
     pub fn addresses(&self) -> BTreeMap<NameKey, SocketAddrV4> {
         let peers = self.roster.0.iter();
         peers.map(|(name, peer)| (*name, peer.address)).collect()
     }
 
-    /// Short names of the members of the roster that are present, in order, without its own.
+    /// Short names of the members of the roster that are present, in ascending order, without this one.
     pub fn present(&self) -> Vec<NameKey> {
         let listed = |name: &NameKey| self.roster.0.contains_key(name);
         self.table.present().filter(listed).collect()
     }
 
-    /// A member's name, or its short form in hexadecimal where the roster has none.
+    /// The name with this short form, or the short form in hexadecimal where the roster has no such name.
     pub fn name_of(&self, key: NameKey) -> String {
         self.roster
             .0
@@ -472,12 +483,12 @@
             .map_or_else(|| format!("{:08x}", key.0), |peer| peer.name.clone())
     }
 
-    /// How much of the roster is present.
+    /// The current quorum state.
     pub fn quorum_state(&self) -> QuorumState {
         self.quorum.state()
     }
 
-    /// All that this member knows, for operators.
+    /// A snapshot of this member's knowledge of the cluster, for operators.
     pub fn view(&self) -> View {
         let member = |(key, record): (&NameKey, &MemberRecord)| {
             let listed = self.roster.0.get(key).map(|peer| peer.address);
@@ -491,16 +502,17 @@
             })
         };
         View {
-            me: self.own(),
-            standing: self.quorum.state(),
+            own: self.own(),
+            quorum: self.quorum.state(),
             fenced_by: self.fenced_by,
             members: self.table.iter().filter_map(member).collect(),
-            dropped: self.rejected.clone(),
+            rejected: self.rejected.clone(),
         }
     }
 }
 
-/// The later start of the own name. A forwarder may bring a notice to a member that it is not meant for.
+/// Decodes the later start in a [`Kind::Replaced`] payload. Fails if the payload names another member, because a relay may
+/// deliver a datagram to the wrong member.
 fn read_replaced(own: NameKey, payload: &[u8]) -> Result<u64, RejectReason> {
     if payload.len() != REPLACED_BYTES || word(&payload[..4]) != u64::from(own.0) {
         return Err(RejectReason::Unreadable);
--- a/crates/membership/src/quorum/tests.rs
+++ b/crates/membership/src/quorum/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 #[test]
-fn two_sides_are_never_both_a_majority() {
+fn both_sides_of_a_partition_are_never_a_majority() {
     for roster in 2..=300 {
-        for there in 1..roster {
+        for present in 1..roster {
             let (one, other) = (
-                QuorumState::of(there, roster),
-                QuorumState::of(roster - there, roster),
+                QuorumState::of(present, roster),
+                QuorumState::of(roster - present, roster),
             );
             assert!(
                 one < QuorumState::Majority || other < QuorumState::Majority,
-                "{there} of {roster}"
+                "{present} of {roster}"
             );
         }
     }
@@ -27,7 +27,8 @@
         QuorumState::Whole,
     ] {
         assert!(AdmissionMode::of(standing, true, EffectClass::Idempotent).admits);
-        // Alone it cannot tell whose fault it is, and a host may come in time.
+        // An isolated dispatcher without model servers still admits: no peer can do better, and a server may connect in
+        // time.
         assert_eq!(
             AdmissionMode::of(standing, false, EffectClass::Idempotent).admits,
             standing == QuorumState::Alone
--- a/crates/membership/src/quorum_tracker.rs
+++ b/crates/membership/src/quorum_tracker.rs
@@ -1,4 +1,4 @@
-//! How much of the roster is present, as it changes: a worse state counts at once, a better one once it has held.
+//! Tracks the quorum state over time: a worse state takes effect at once, a better one after it has held for a while.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,23 +6,24 @@
 use crate::member::NameKey;
 use crate::quorum::QuorumState;
 
-/// How long a better state must hold before it counts.
+/// Time for which a better quorum state must hold before it takes effect.
 const SETTLE: Duration = Duration::from_secs(1);
 
-/// A better state that does not count yet.
+/// A better quorum state that has not taken effect yet.
 #[derive(Clone, Copy)]
 struct Improvement {
+    /// The worst of the states since the improvement began.
     state: QuorumState,
     since: Duration,
 }
 
-/// The quorum state of one member, by its own clock.
+/// The quorum state of one member. All times are by its own clock.
 pub(crate) struct QuorumTracker {
     state: QuorumState,
     improvement: Option<Improvement>,
-    /// After a pause of this process: only peers that were heard since count as present.
+    /// After a pause of this process, only peers from which something was received since this time count as present.
     distrust_before: Option<Duration>,
-    last_heard: BTreeMap<NameKey, Duration>,
+    last_received: BTreeMap<NameKey, Duration>,
 }
 
 impl QuorumTracker {
@@ -31,7 +32,7 @@
             state: QuorumState::of(1, roster),
             improvement: None,
             distrust_before: None,
-            last_heard: BTreeMap::new(),
+            last_received: BTreeMap::new(),
         }
     }
 
@@ -39,29 +40,31 @@
         self.state
     }
 
-    /// When a better state would count.
+    /// When the current improvement takes effect; `None` where there is none.
     pub(crate) fn settles_at(&self) -> Option<Duration> {
         self.improvement
             .map(|improvement| improvement.since + SETTLE)
     }
 
-    pub(crate) fn on_heard(&mut self, now: Duration, peer: NameKey) {
-        self.last_heard.insert(peer, now);
+    /// Records that an authenticated datagram of a peer was received.
+    pub(crate) fn on_received(&mut self, now: Duration, peer: NameKey) {
+        self.last_received.insert(peer, now);
     }
 
-    /// Peers count as present only once they are heard after this time.
+    /// From now on a peer counts as present only once something was received from it at or after `at`.
     pub(crate) fn distrust_before(&mut self, at: Duration) {
         self.distrust_before = Some(at);
     }
 
-    /// Judges by the members of the roster that are present, this one not among them; returns the state where it changed.
+    /// Updates the quorum state from the members of the roster that are present, without this one. Returns the state where
+    /// it has changed.
     pub(crate) fn update(
         &mut self,
         now: Duration,
         present: &[NameKey],
         roster: usize,
     ) -> Option<QuorumState> {
-        let state = self.judge(present, roster);
+        let state = self.current_state(present, roster);
         if state <= self.state {
             self.improvement = None;
             return self.set(state);
@@ -81,16 +84,16 @@
         self.set(state)
     }
 
-    fn judge(&mut self, present: &[NameKey], roster: usize) -> QuorumState {
+    fn current_state(&mut self, present: &[NameKey], roster: usize) -> QuorumState {
         let since = self.distrust_before;
         let is_fresh = |peer: &&NameKey| {
-            let heard_at = self.last_heard.get(*peer);
-            since.is_none_or(|since| heard_at.is_some_and(|at| *at >= since))
+            let received_at = self.last_received.get(*peer);
+            since.is_none_or(|since| received_at.is_some_and(|at| *at >= since))
         };
-        let heard = 1 + present.iter().filter(is_fresh).count();
-        let state = QuorumState::of(heard, roster);
-        let all_heard = heard == present.len() + 1 && heard > 1;
-        if state >= QuorumState::Majority || all_heard {
+        let counted = 1 + present.iter().filter(is_fresh).count();
+        let state = QuorumState::of(counted, roster);
+        let all_received = counted == present.len() + 1 && counted > 1;
+        if state >= QuorumState::Majority || all_received {
             self.distrust_before = None;
         }
         state
--- a/crates/membership/src/simulated.rs
+++ b/crates/membership/src/simulated.rs
@@ -1,5 +1,5 @@
-//! Members over a network in simulated time, for tests and measurements: loss, delay, duplicates, cuts, pauses, kills.
-//! One seed, one course of events.
+//! A simulated cluster for tests and benchmarks: members in virtual time, over a network with loss, delay, duplication and
+//! partitions, in processes that can be paused, killed and restarted. The same seed gives the same run.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -9,19 +9,19 @@
 
 use crate::{Event, Membership, NameKey, Output, Peer, QuorumState, Roster, Secret, State};
 
-/// Where a member is heard.
+/// The address of member `i`.
 pub fn address(i: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::LOCALHOST, 10_000 + i as u16)
 }
 
-/// A member's name.
+/// The name of member `i`.
 pub fn name(i: usize) -> String {
     format!("d{i}")
 }
 
-/// The first so many.
-pub fn roster(of: usize) -> Vec<Peer> {
-    (0..of)
+/// A roster of the first `size` members.
+pub fn roster(size: usize) -> Vec<Peer> {
+    (0..size)
         .map(|i| Peer {
             name: name(i),
             address: address(i),
@@ -29,35 +29,36 @@
         .collect()
 }
 
-/// One member's place; empty while its process is not there.
+/// One simulated node, on which at most one process runs.
 pub struct Node {
-    /// The process; none while it does not run.
+    /// The member's process; `None` while it is not running.
     pub member: Option<Membership>,
-    /// Whether the process is paused: datagrams wait in its socket.
+    /// Whether the process is paused: datagrams are queued in its socket, and its timers do not run.
     pub paused: bool,
-    inbox: Vec<(usize, Vec<u8>)>, // What waits in the socket of one that is paused.
+    /// Datagrams queued in the socket during a pause, with their senders.
+    inbox: Vec<(usize, Vec<u8>)>,
 }
 
-/// Members, what is under way between them, and what they told.
+/// A simulated cluster: its nodes, its network and the events that members have reported.
 pub struct World {
-    /// The network between members.
+    /// The simulated network, which also keeps the virtual time.
     pub net: Network<Vec<u8>>,
-    /// All members, by number.
+    /// All nodes, by number.
     pub nodes: Vec<Node>,
-    /// Events with their time and the member that reported them.
+    /// All reported events, each with its time and the node that reported it.
     pub events: Vec<(Duration, usize, Event)>,
-    /// Longest datagram that was sent, bytes.
-    pub longest: usize,
-    /// All that was sent, bytes.
-    pub bytes: u64,
-    /// Everything ever sent, where kept.
-    pub kept: Option<Vec<(usize, usize, Vec<u8>)>>,
+    /// Length of the longest datagram sent, bytes.
+    pub longest_datagram: usize,
+    /// Total length of all datagrams sent, bytes.
+    pub bytes_sent: u64,
+    /// All datagrams sent, with sender and receiver; `None` where they are not recorded.
+    pub recorded: Option<Vec<(usize, usize, Vec<u8>)>>,
     starts: u64,
 }
 
 impl World {
-    /// So many members, all started at once.
-    pub fn new(of: usize, seed: u64) -> World {
+    /// Creates a cluster of `size` members, all started at time zero.
+    pub fn new(size: usize, seed: u64) -> World {
         let node = || Node {
             member: None,
             paused: false,
@@ -65,29 +66,29 @@
         };
         let mut world = World {
             net: Network::new(seed),
-            nodes: (0..of).map(|_| node()).collect(),
+            nodes: (0..size).map(|_| node()).collect(),
             events: vec![],
-            longest: 0,
-            bytes: 0,
-            kept: None,
+            longest_datagram: 0,
+            bytes_sent: 0,
+            recorded: None,
             starts: 0,
         };
-        (0..of).for_each(|i| world.start(i));
+        (0..size).for_each(|i| world.start(i));
         world
     }
 
-    /// Starts a process anew, with nothing of the last one.
+    /// Starts a new process on node `i`, without any state of an earlier one.
     pub fn start(&mut self, i: usize) {
         self.start_as(i, i);
     }
 
-    /// Starts one at an address, under the name of another.
+    /// Starts a new process on node `i` under the name of member `named`.
     pub fn start_as(&mut self, i: usize, named: usize) {
         let seed = self.net.draw_bits();
         self.starts += 1;
         let mut peers = roster(self.nodes.len());
         peers[named].address = address(i);
-        // Names are made to differ, and the own one is among them.
+        // Never fails: the names differ, and the own one is among them.
         let Ok(all) = Roster::new(&name(named), &peers) else {
             return;
         };
@@ -100,12 +101,12 @@
         };
     }
 
-    /// Ends a process between two instructions.
+    /// Kills the process on node `i`; it cannot announce that it leaves.
     pub fn kill(&mut self, i: usize) {
         self.nodes[i].member = None;
     }
 
-    /// Brings a datagram to a member now.
+    /// Delivers a datagram to a node at the current time, or queues it if the node is paused.
     pub fn deliver(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         let (now, node) = (self.net.now, &mut self.nodes[to]);
         match &mut node.member {
@@ -113,41 +114,41 @@
             Some(member) => {
                 let mut out = vec![];
                 member.handle_datagram(now, address(from), &bytes, &mut out);
-                self.carry(to, out);
+                self.apply_outputs(to, out);
             }
             None => {}
         }
     }
 
-    /// Lets a paused process go on; its clock stands where all others' do.
-    pub fn go_on(&mut self, i: usize) {
+    /// Resumes a paused process. Its clock did not stop during the pause.
+    pub fn resume(&mut self, i: usize) {
         self.nodes[i].paused = false;
         for (from, bytes) in std::mem::take(&mut self.nodes[i].inbox) {
             self.deliver(from, i, bytes);
         }
     }
 
-    /// Carries out what a member wants.
-    pub fn carry(&mut self, me: usize, out: Vec<Output>) {
+    /// Applies the outputs of the member on node `from`: sends datagrams and records events.
+    pub fn apply_outputs(&mut self, from: usize, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Event(event) => self.events.push((self.net.now, me, event)),
+                Output::Event(event) => self.events.push((self.net.now, from, event)),
                 Output::Message { .. } => {}
-                Output::Send(to, bytes) => self.send(me, usize::from(to.port()) - 10_000, bytes),
+                Output::Send(to, bytes) => self.send(from, usize::from(to.port()) - 10_000, bytes),
             }
         }
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        self.longest = self.longest.max(bytes.len());
-        self.bytes += bytes.len() as u64;
-        if let Some(kept) = &mut self.kept {
-            kept.push((from, to, bytes.clone()));
+        self.longest_datagram = self.longest_datagram.max(bytes.len());
+        self.bytes_sent += bytes.len() as u64;
+        if let Some(recorded) = &mut self.recorded {
+            recorded.push((from, to, bytes.clone()));
         }
         self.net.send(from, to, bytes);
     }
 
-    /// Lets time pass.
+    /// Runs the cluster until the given virtual time.
     pub fn run(&mut self, until: Duration) {
         loop {
             let datagram = self.net.next_at();
@@ -169,18 +170,18 @@
                 if let Some(member) = &mut self.nodes[i].member {
                     member.wake(now, &mut out);
                 }
-                self.carry(i, out);
+                self.apply_outputs(i, out);
             }
         }
         self.net.now = until;
     }
 
-    /// None where its process is not there.
-    pub fn standing(&self, i: usize) -> Option<QuorumState> {
+    /// The quorum state of the member on node `i`; `None` where no process is running.
+    pub fn quorum_state(&self, i: usize) -> Option<QuorumState> {
         self.nodes[i].member.as_ref().map(Membership::quorum_state)
     }
 
-    /// What one member holds of another.
+    /// The state of member `of` as known on node `at`.
     pub fn state(&self, of: usize, at: usize) -> Option<State> {
         let view = self.nodes[at].member.as_ref()?.view();
         view.members
@@ -189,16 +190,16 @@
             .map(|m| m.state)
     }
 
-    /// Whether all that are there know of the whole.
-    pub fn all_whole(&self) -> bool {
+    /// Whether every running member has the quorum state [`QuorumState::Whole`].
+    pub fn all_see_whole_roster(&self) -> bool {
         let alive = self.nodes.iter().filter_map(|n| n.member.as_ref());
         alive
             .map(Membership::quorum_state)
             .all(|s| s == QuorumState::Whole)
     }
 
-    /// Times at which members were taken for down, by whom and since a moment.
-    pub fn downs(&self, of: usize, since: Duration) -> Vec<(Duration, usize)> {
+    /// The times at or after `since` at which member `of` was declared down, each with the node that reported it.
+    pub fn down_events(&self, of: usize, since: Duration) -> Vec<(Duration, usize)> {
         let key = NameKey::of(&name(of));
         let down =
             |e: &Event| matches!(e, Event::Member { name, state: State::Down, .. } if *name == key);
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,9 +1,10 @@
-//! A suspect is asked directly, by the one whose probe it failed to answer.
+//! Direct notification of a suspected member by the member whose probe it did not acknowledge.
 //!
-//! The library tells of a suspicion with its news, a few random members at a time, and gives the suspect up at the one that
-//! raised it unless a denial comes back the same way. With a datagram in twenty lost that failed now and then: the news had not come
-//! to the suspect, or its denial not to the one that waits. The Lifeguard paper tells the suspect first ("buddy system");
-//! here the one that waits asks again and again, and the answer is the denial itself.
+//! `foca` gossips a suspicion to a few random members at a time, and the member that raised it declares the suspect down
+//! unless a refutation arrives by gossip. With 5% of datagrams lost, live members were sometimes declared down: either the
+//! suspicion had not reached the suspect or the refutation had not reached the member that waited for it. The Lifeguard
+//! paper notifies the suspect first ("buddy system"). Here the member that raised the suspicion notifies the suspect
+//! repeatedly, and the suspect replies with the refutation.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,12 +15,13 @@
 use crate::member::{NameKey, Start};
 use crate::protocol::{Membership, Output};
 
-/// Between two questions to one suspect.
-const ASK_EVERY: Duration = Duration::from_millis(150);
-/// Suspects asked at once; a member whose own network fails may suspect all, and would be no judge of any.
-const ASKED_MOST: usize = 32;
+/// Time between two notifications of the same suspect.
+const NOTIFY_INTERVAL: Duration = Duration::from_millis(150);
+/// Maximum number of suspects that are notified at the same time. A member whose own network fails may suspect all others,
+/// and notifying them all would not help.
+const MAX_NOTIFIED: usize = 32;
 
-/// Suspects found by own probes, and when each is asked next.
+/// The members that did not acknowledge a probe of this member, and the time of the next notification to each.
 #[derive(Default)]
 pub(crate) struct SuspicionConfirmations {
     due: BTreeMap<NameKey, Duration>,
@@ -27,7 +29,7 @@
 
 impl SuspicionConfirmations {
     pub(crate) fn begin(&mut self, now: Duration, suspect: NameKey) {
-        if self.due.len() < ASKED_MOST {
+        if self.due.len() < MAX_NOTIFIED {
             self.due.entry(suspect).or_insert(now);
         }
     }
@@ -43,37 +45,38 @@
     fn take_due(&mut self, now: Duration) -> Vec<NameKey> {
         let due = self.due.iter_mut().filter(|(_, at)| **at <= now);
         due.map(|(name, at)| {
-            *at = now + ASK_EVERY;
+            *at = now + NOTIFY_INTERVAL;
             *name
         })
         .collect()
     }
 }
 
-/// What question and denial hold: of which start, and under which incarnation.
-fn written(start: Start, incarnation: u16) -> Vec<u8> {
+/// Encodes the payload of a suspicion or a refutation: the suspect's start and incarnation.
+fn encode(start: Start, incarnation: u16) -> Vec<u8> {
     let words = [
         &start.process.to_le_bytes()[..],
-        &start.comeback.to_le_bytes(),
+        &start.rejoins.to_le_bytes(),
         &incarnation.to_le_bytes(),
     ];
     words.concat()
 }
 
-fn read(said: &[u8]) -> Result<(Start, u16), RejectReason> {
-    if said.len() != 12 {
+/// Decodes the payload of a suspicion or a refutation.
+fn decode(payload: &[u8]) -> Result<(Start, u16), RejectReason> {
+    if payload.len() != 12 {
         return Err(RejectReason::Unreadable);
     }
     let start = Start {
-        process: word(&said[..8]),
-        comeback: word(&said[8..10]) as u16,
+        process: word(&payload[..8]),
+        rejoins: word(&payload[8..10]) as u16,
     };
-    Ok((start, word(&said[10..]) as u16))
+    Ok((start, word(&payload[10..]) as u16))
 }
 
 impl Membership {
-    /// Asks those suspects whose turn it is.
-    pub(crate) fn ask_suspects(&mut self, now: Duration, out: &mut Vec<Output>) {
+    /// Notifies the suspects whose next notification is due.
+    pub(crate) fn notify_suspects(&mut self, now: Duration, out: &mut Vec<Output>) {
         for name in self.confirmations.take_due(now) {
             let known = self
                 .detector
@@ -81,10 +84,10 @@
                 .find(|m| m.id().name == name);
             match known.map(|m| (*m.id(), m.incarnation())) {
                 Some((id, incarnation)) => {
-                    let said = written(id.start, incarnation);
+                    let payload = encode(id.start, incarnation);
                     out.push(Output::Send(
                         id.address,
-                        self.signer.sign(Kind::Doubted, &said),
+                        self.signer.sign(Kind::Suspicion, &payload),
                     ));
                 }
                 None => self.confirmations.end(name),
@@ -92,39 +95,44 @@
         }
     }
 
-    /// This one is suspected: it denies, to all by the library's news, and to the one that asks at once.
+    /// Handles a notification that this member is suspected: refutes the suspicion to all members by gossip, and directly to
+    /// the sender.
     pub(crate) fn refute_suspicion(
         &mut self,
         by: NameKey,
-        said: &[u8],
+        payload: &[u8],
         out: &mut Vec<Output>,
     ) -> Result<(), RejectReason> {
-        let (start, incarnation) = read(said)?;
+        let (start, incarnation) = decode(payload)?;
         let me = *self.detector.identity();
-        // Of another start of this name: that one has gone, and a denial of this one says nothing of it.
+        // A suspicion of another start of this name is not refuted: that process has ended. The maximum incarnation cannot
+        // be exceeded.
         if start != me.start || incarnation == u16::MAX {
             return Ok(());
         }
         let suspected = Member::new(me, incarnation, foca::State::Suspect);
-        let denied = self
+        let applied = self
             .detector
             .apply_many(std::iter::once(suspected), true, &mut self.runtime);
-        denied.map_err(|_| RejectReason::Unreadable)?;
-        // After it the own incarnation is one more than the suspected one, or higher still.
+        applied.map_err(|_| RejectReason::Unreadable)?;
+        // The own incarnation is now at least the suspected one plus 1.
         if let Some(to) = self.roster_address(by) {
-            let said = written(start, incarnation + 1);
-            out.push(Output::Send(to, self.signer.sign(Kind::Denied, &said)));
+            let payload = encode(start, incarnation + 1);
+            out.push(Output::Send(
+                to,
+                self.signer.sign(Kind::Refutation, &payload),
+            ));
         }
         Ok(())
     }
 
-    /// A suspect's own word.
+    /// Handles a refutation: marks the suspect alive under its new incarnation.
     pub(crate) fn on_suspicion_refuted(
         &mut self,
         name: NameKey,
-        said: &[u8],
+        payload: &[u8],
     ) -> Result<(), RejectReason> {
-        let (start, incarnation) = read(said)?;
+        let (start, incarnation) = decode(payload)?;
         let known = self
             .detector
             .iter_membership_state()
@@ -133,10 +141,10 @@
             return Ok(());
         };
         let alive = Member::new(id, incarnation, foca::State::Alive);
-        let taken = self
+        let applied = self
             .detector
             .apply_many(std::iter::once(alive), true, &mut self.runtime);
-        taken.map_err(|_| RejectReason::Unreadable)
+        applied.map_err(|_| RejectReason::Unreadable)
     }
 }
 
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of the failure detector, in the order in which they are due.
+//! Timers of the failure detector, ordered by due time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,10 +7,11 @@
 
 use crate::member::Id;
 
-/// Timers by due time; those due together run in the order in which they were set.
+/// Timers by due time. Timers with the same due time run in the order in which they were set.
 #[derive(Default)]
 pub(crate) struct Timers {
     queue: BTreeMap<(Duration, u64), Timer<Id>>,
+    /// Number of timers set so far; makes keys unique and preserves insertion order.
     set: u64,
 }
 
@@ -29,7 +30,7 @@
         Some(first.remove())
     }
 
-    /// Puts all timers off.
+    /// Postpones all timers by the same time.
     pub(crate) fn delay(&mut self, by: Duration) {
         let queue = std::mem::take(&mut self.queue);
         self.queue = queue
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,4 @@
-//! What one member knows of the others, for operators.
+//! A snapshot of what one member knows about the others, for operators.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -8,57 +8,57 @@
 use crate::member::{Id, Start};
 use crate::quorum::QuorumState;
 
-/// How many datagrams were dropped, by cause.
+/// Number of rejected datagrams by reason.
 pub type RejectCounts = BTreeMap<RejectReason, u64>;
 
-/// What is known of one member.
+/// The state of one member as another knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Nothing was ever heard of it.
+    /// Nothing has been received from the member or about it.
     Unheard,
-    /// Heard of, and not suspected.
+    /// The member is alive and not suspected.
     Alive,
-    /// A probe went unanswered, here or elsewhere; it still counts as there.
+    /// The member did not acknowledge a probe of this member or of a peer. It still counts as present.
     Suspect,
-    /// Failed, or left.
+    /// The member has failed or left.
     Down,
 }
 
 impl State {
-    /// Whether it counts as present.
-    pub fn is_there(self) -> bool {
+    /// Whether a member in this state counts as present.
+    pub fn is_present(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
 
-/// One line of a view.
+/// One other member in a [`View`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
-    /// Its name, or the short form in hexadecimal.
+    /// The member's name, or its short form in hexadecimal where the roster has no such name.
     pub name: String,
-    /// Its address.
+    /// The address that the member announced, else the one in the roster.
     pub address: SocketAddrV4,
-    /// The start that is known of it.
+    /// The latest known start of the member's process; `None` where nothing has been received.
     pub start: Option<Start>,
-    /// Its state.
+    /// The member's state.
     pub state: State,
-    /// On the same clock as the calls.
+    /// Time since when the member has been in this state, by the clock of this process.
     pub since: Duration,
-    /// What the state is based on.
+    /// Why the member is in this state.
     pub evidence: &'static str,
 }
 
-/// All that one member knows.
+/// A snapshot of one member's knowledge of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// This process.
-    pub me: Id,
+    /// The identity of this process.
+    pub own: Id,
     /// How much of the roster is present.
-    pub standing: QuorumState,
-    /// The later start under the same name to which this process has given way.
+    pub quorum: QuorumState,
+    /// The later start under the same name that has fenced this process; `None` where it is not fenced.
     pub fenced_by: Option<Start>,
-    /// All other members that are known.
+    /// All other known members.
     pub members: Vec<MemberView>,
-    /// Datagrams that were rejected, by reason.
-    pub dropped: RejectCounts,
+    /// Number of rejected datagrams by reason.
+    pub rejected: RejectCounts,
 }
--- a/crates/membership/tests/cluster.rs
+++ b/crates/membership/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Members that fail, pause, part and come back, in simulated time.
+//! Failure detection and rejoin after crashes, pauses and partitions, in simulated time.
 use bitternlatch_membership::simulated::*;
 use bitternlatch_membership::*;
 
@@ -6,19 +6,19 @@
 fn killed_member_is_detected_and_rejoins() {
     let mut world = World::new(3, 1);
     world.run(ms(3_000));
-    assert!(world.all_whole());
+    assert!(world.all_see_whole_roster());
     world.kill(2);
     world.run(ms(8_000));
     for at in [0, 1] {
         assert_eq!(
-            (world.standing(at), world.state(2, at)),
+            (world.quorum_state(at), world.state(2, at)),
             (Some(QuorumState::Majority), Some(State::Down))
         );
     }
-    // Started again, with nothing kept, it is one more start of the same member.
+    // The restarted process has no stored state and rejoins as a later start of the same member.
     world.start(2);
     world.run(ms(14_000));
-    assert!(world.all_whole());
+    assert!(world.all_see_whole_roster());
 }
 
 #[test]
@@ -28,30 +28,30 @@
     world.nodes[4].paused = true;
     world.run(ms(13_000));
     assert!((0..4).all(|at| world.state(4, at) == Some(State::Down)));
-    let woken = world.net.now;
-    world.go_on(4);
+    let resumed_at = world.net.now;
+    world.resume(4);
     world.run(ms(20_000));
-    assert!(world.all_whole());
+    assert!(world.all_see_whole_roster());
     let after = |of: usize| {
         world
-            .downs(of, woken)
+            .down_events(of, resumed_at)
             .into_iter()
             .filter(|(_, by)| *by == 4)
             .count()
     };
     assert!(
         (0..4).all(|of| after(of) == 0),
-        "it took others for dead that it had not listened to"
+        "a paused member declared others down whose datagrams it had not read"
     );
     let own: Vec<&Event> = world
         .events
         .iter()
-        .filter(|e| e.0 >= woken && e.1 == 4)
+        .filter(|e| e.0 >= resumed_at && e.1 == 4)
         .map(|e| &e.2)
         .collect();
     assert!(
         own.iter()
-            .any(|e| matches!(e, Event::StoodStill(d) if *d > ms(5_000))),
+            .any(|e| matches!(e, Event::Paused(d) if *d > ms(5_000))),
         "{own:?}"
     );
 }
@@ -62,14 +62,14 @@
     world.run(ms(3_000));
     world.net.passes = Box::new(|from, to| (from < 2) == (to < 2));
     world.run(ms(12_000));
-    assert!((0..2).all(|at| world.standing(at) == Some(QuorumState::CutOff)));
-    assert!((2..6).all(|at| world.standing(at) == Some(QuorumState::Majority)));
+    assert!((0..2).all(|at| world.quorum_state(at) == Some(QuorumState::CutOff)));
+    assert!((2..6).all(|at| world.quorum_state(at) == Some(QuorumState::Majority)));
     world.net.passes = Box::new(|_, _| true);
     world.run(ms(25_000));
     assert!(
-        world.all_whole(),
+        world.all_see_whole_roster(),
         "{:?}",
-        (0..6).map(|i| world.standing(i)).collect::<Vec<_>>()
+        (0..6).map(|i| world.quorum_state(i)).collect::<Vec<_>>()
     );
 }
 
@@ -79,15 +79,16 @@
     world.run(ms(3_000));
     world.net.passes = Box::new(|from, to| from != 0 && to != 0);
     world.run(ms(12_000));
-    assert_eq!(world.standing(0), Some(QuorumState::Alone));
-    assert!((1..4).all(|at| world.standing(at) == Some(QuorumState::Majority)));
+    assert_eq!(world.quorum_state(0), Some(QuorumState::Alone));
+    assert!((1..4).all(|at| world.quorum_state(at) == Some(QuorumState::Majority)));
 }
 
 #[test]
 fn two_members_that_rejoin_together_go_on_probing() {
-    // Found by the property of two sides: much loss and one apart, then two of five apart from the rest. Not every seed
-    // gives that course.
-    let mut courses = 0;
+    // Guards against two members that rejoin at the same time and then both wait for a datagram before they probe, so that
+    // each stays alone. It arises when a member was isolated under heavy loss and then two of five are partitioned from
+    // the rest. Not every seed makes both of them rejoin.
+    let mut both_rejoined = 0;
     for seed in 0..60 {
         let mut world = World::new(5, seed);
         world.run(ms(5_007));
@@ -95,34 +96,34 @@
         (world.net.loss, world.net.twice) = (0.6, 0.4);
         world.run(ms(6_407));
         (world.net.loss, world.net.twice) = (0.0, 0.0);
-        let apart = |i: usize| i == 0 || i == 4;
-        world.net.passes = Box::new(move |from, to| apart(from) == apart(to));
+        let minority = |i: usize| i == 0 || i == 4;
+        world.net.passes = Box::new(move |from, to| minority(from) == minority(to));
         world.run(ms(16_407));
-        let came_back = |who: usize| {
+        let rejoined = |member: usize| {
             world
                 .events
                 .iter()
-                .any(|e| e.1 == who && matches!(e.2, Event::CameBack(_)))
+                .any(|e| e.1 == member && matches!(e.2, Event::Rejoined(_)))
         };
-        courses += usize::from(came_back(0) && came_back(4));
-        let both = (world.standing(0), world.standing(4));
+        both_rejoined += usize::from(rejoined(0) && rejoined(4));
+        let both = (world.quorum_state(0), world.quorum_state(4));
         assert_eq!(
             both,
             (Some(QuorumState::CutOff), Some(QuorumState::CutOff)),
             "seed {seed}"
         );
     }
-    assert!(courses > 0, "the course that it is about");
+    assert!(both_rejoined > 0, "no seed made both members rejoin");
 }
 
 #[test]
 fn indirect_probes_keep_members_with_a_cut_between_them() {
     let mut world = World::new(3, 5);
     world.run(ms(3_000));
-    world.net.passes = Box::new(|from, to| from + to != 1); // Members 0 and 1 do not hear each other.
+    world.net.passes = Box::new(|from, to| from + to != 1); // Members 0 and 1 receive nothing from each other.
     world.run(ms(60_000));
-    assert!(world.all_whole());
-    assert!(world.downs(0, ms(0)).is_empty() && world.downs(1, ms(0)).is_empty());
+    assert!(world.all_see_whole_roster());
+    assert!(world.down_events(0, ms(0)).is_empty() && world.down_events(1, ms(0)).is_empty());
 }
 
 #[test]
@@ -131,18 +132,18 @@
         let mut world = World::new(10, seed);
         (world.net.loss, world.net.twice) = (loss, 0.2);
         world.run(ms(120_000));
-        let downs: usize = (0..10).map(|i| world.downs(i, ms(0)).len()).sum();
+        let downs: usize = (0..10).map(|i| world.down_events(i, ms(0)).len()).sum();
         assert_eq!(downs, 0);
-        assert!(world.all_whole());
+        assert!(world.all_see_whole_roster());
     }
 }
 
 #[test]
-fn an_hour_old_datagrams_change_nothing() {
+fn replayed_datagrams_of_an_hour_ago_change_nothing() {
     let mut world = World::new(3, 9);
-    world.kept = Some(vec![]);
+    world.recorded = Some(vec![]);
     world.run(ms(10_000));
-    let old = world.kept.take().expect("kept");
+    let old = world.recorded.take().expect("recorded");
     world.kill(2);
     world.start(2);
     world.run(ms(3_600_000));
@@ -151,12 +152,12 @@
         world.deliver(from, to, bytes);
     }
     world.run(ms(3_610_000));
-    assert!(count > 50 && world.all_whole());
+    assert!(count > 50 && world.all_see_whole_roster());
     assert_eq!(world.events.len(), before, "{:?}", &world.events[before..]);
 }
 
 #[test]
-fn members_restarted_in_turn_find_each_other() {
+fn members_restarted_in_turn_rejoin() {
     let mut world = World::new(10, 10);
     world.run(ms(5_000));
     for i in 0..10 {
@@ -165,7 +166,7 @@
         world.run(ms(5_000 + 1_500 * (i as u64 + 1)));
     }
     world.run(ms(40_000));
-    assert!(world.all_whole());
+    assert!(world.all_see_whole_roster());
 }
 
 #[test]
@@ -178,16 +179,16 @@
         .as_mut()
         .expect("alive")
         .leave(now, &mut out);
-    world.carry(1, out);
+    world.apply_outputs(1, out);
     world.kill(1);
     world.run(ms(4_500));
-    let downs = world.downs(1, now);
+    let downs = world.down_events(1, now);
     assert_eq!(downs.len(), 4, "{downs:?}");
 }
 
 #[test]
 fn later_start_under_one_name_fences_the_earlier() {
-    // The later one has its sockets elsewhere, as two processes cannot share an address.
+    // The later process has another address, because two processes cannot bind the same one.
     let mut world = World::new(5, 12);
     world.run(ms(3_000));
     world.start_as(4, 1);
@@ -204,7 +205,11 @@
         "{fenced:?}"
     );
     let first = world.nodes[1].member.as_ref().expect("alive");
-    assert_eq!(first.wake_at(), None, "it speaks no more");
+    assert_eq!(
+        first.wake_at(),
+        None,
+        "a fenced process sends nothing any more"
+    );
     assert_eq!(world.state(1, 0), Some(State::Alive));
 }
 
@@ -212,10 +217,10 @@
 fn no_datagram_exceeds_the_limit() {
     let mut world = World::new(60, 13);
     world.run(ms(10_000));
-    assert!(world.all_whole());
+    assert!(world.all_see_whole_roster());
     assert!(
-        world.longest <= MAX_DATAGRAM && world.longest > 200,
+        world.longest_datagram <= MAX_DATAGRAM && world.longest_datagram > 200,
         "{}",
-        world.longest
+        world.longest_datagram
     );
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Bytes of each datagram between members, and the order of a member's outputs, as they were before any name changed.
+//! Golden tests: the bytes of every kind of datagram, and digests of the outputs of seeded runs.
 
 use bitternlatch_membership::simulated::{ms, World};
 use bitternlatch_membership::{
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn envelopes_keep_their_bytes() {
+fn signed_datagrams_keep_their_bytes() {
     let secret = Secret::new("hall", b"a secret of the cluster");
     let mut datagrams = signer(secret.clone());
     let mut frames = signer(secret.for_links());
@@ -22,17 +22,17 @@
     let kinds = [
         Kind::Swim,
         Kind::Replaced,
-        Kind::Doubted,
-        Kind::Denied,
-        Kind::Of(Topic::QuotaLease),
-        Kind::Of(Topic::Overload),
-        Kind::Of(Topic::Lengths),
-        Kind::Of(Topic::Workflows),
+        Kind::Suspicion,
+        Kind::Refutation,
+        Kind::Topic(Topic::QuotaLease),
+        Kind::Topic(Topic::Overload),
+        Kind::Topic(Topic::Lengths),
+        Kind::Topic(Topic::Workflows),
     ];
     for kind in kinds {
         golden.push(hex(&datagrams.sign(kind, b"said")));
     }
-    golden.push(hex(&frames.sign(Kind::Of(Topic::Workflows), b"said")));
+    golden.push(hex(&frames.sign(Kind::Topic(Topic::Workflows), b"said")));
     golden.push(hex(&secret.proof(b"number", b"text")));
     assert_eq!(
         golden.join("\n"),
@@ -40,22 +40,21 @@
     );
 }
 
-/// The first datagrams of two members: calls, answers, probes, and what follows when one falls silent and another process
-/// takes its name.
+/// Two members announce themselves and probe each other; one is paused, is suspected, and resumes.
 #[test]
 fn datagrams_of_the_protocol_keep_their_bytes() {
     let mut world = World::new(2, 1);
-    world.kept = Some(vec![]);
+    world.recorded = Some(vec![]);
     world.run(ms(1_000));
     world.nodes[1].paused = true;
     world.run(ms(2_000));
-    world.go_on(1);
+    world.resume(1);
     world.run(ms(2_500));
-    let kept = world.kept.take().expect("kept");
+    let recorded = world.recorded.take().expect("recorded");
     let mut kinds = std::collections::BTreeSet::new();
-    let lines: Vec<String> = kept
+    let lines: Vec<String> = recorded
         .iter()
-        // One of each kind of the envelope, and of each message and length within the first kind.
+        // The first datagram of each kind and length.
         .filter(|(_, _, bytes)| kinds.insert((bytes[25], bytes.len())))
         .map(|(from, to, bytes)| format!("{from} {to} {}", hex(bytes)))
         .collect();
@@ -81,7 +80,7 @@
 
     fn start(&mut self, start: Start) {
         self.number(start.process);
-        self.number(u64::from(start.comeback));
+        self.number(u64::from(start.rejoins));
     }
 
     fn event(&mut self, event: &Event) {
@@ -97,20 +96,20 @@
                 });
                 self.start(*start);
             }
-            Event::QuorumState(standing) => {
+            Event::QuorumState(state) => {
                 self.number(1);
-                self.number(match standing {
+                self.number(match state {
                     QuorumState::Alone => 0,
                     QuorumState::CutOff => 1,
                     QuorumState::Majority => 2,
                     QuorumState::Whole => 3,
                 });
             }
-            Event::StoodStill(late) => {
+            Event::Paused(late) => {
                 self.number(2);
                 self.number(late.as_micros() as u64);
             }
-            Event::CameBack(start) => {
+            Event::Rejoined(start) => {
                 self.number(3);
                 self.start(*start);
             }
@@ -122,10 +121,10 @@
     }
 }
 
-/// Digests of the datagrams and of the events, and how many there were of each.
+/// The digest and the number of the datagrams, then the digest and the number of the events, of a run with faults.
 fn digest(seed: u64) -> (u64, usize, u64, usize) {
     let mut world = World::new(5, seed);
-    world.kept = Some(vec![]);
+    world.recorded = Some(vec![]);
     (world.net.loss, world.net.twice) = (0.05, 0.1);
     world.run(ms(4_000));
     world.kill(0);
@@ -133,7 +132,7 @@
     world.start(0);
     world.nodes[3].paused = true;
     world.run(ms(14_000));
-    world.go_on(3);
+    world.resume(3);
     world.run(ms(18_000));
     world.net.passes = Box::new(|from, to| (from < 2) == (to < 2));
     world.run(ms(25_000));
@@ -147,22 +146,22 @@
         .as_mut()
         .expect("alive")
         .leave(now, &mut out);
-    world.carry(2, out);
+    world.apply_outputs(2, out);
     world.run(ms(40_000));
     let mut sent = Digest(0xcbf2_9ce4_8422_2325);
-    let kept = world.kept.take().expect("kept");
-    for (from, to, bytes) in &kept {
+    let recorded = world.recorded.take().expect("recorded");
+    for (from, to, bytes) in &recorded {
         sent.number(*from as u64);
         sent.number(*to as u64);
         sent.bytes(bytes);
     }
-    let mut told = Digest(0xcbf2_9ce4_8422_2325);
+    let mut reported = Digest(0xcbf2_9ce4_8422_2325);
     for (at, by, event) in &world.events {
-        told.number(at.as_micros() as u64);
-        told.number(*by as u64);
-        told.event(event);
+        reported.number(at.as_micros() as u64);
+        reported.number(*by as u64);
+        reported.event(event);
     }
-    (sent.0, kept.len(), told.0, world.events.len())
+    (sent.0, recorded.len(), reported.0, world.events.len())
 }
 
 #[test]
--- a/crates/quota-lease/tests/golden.rs
+++ b/crates/quota-lease/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Bytes of each message between members, and the order of a member's outputs, as they were before any name changed.
+//! Golden tests: the bytes of every message, and digests of the outputs of seeded runs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -21,7 +21,7 @@
 #[test]
 fn messages_keep_their_bytes() {
     let number = RequestNumber(0x0102_0304_0506_0708);
-    let holder = Some(NameKey(0xAABB_CCDD));
+    let leader = Some(NameKey(0xAABB_CCDD));
     let observation = |condition| Observation {
         server: ServerNumber(0x1122_3344),
         condition,
@@ -43,10 +43,7 @@
         ),
         (Message::VoteGranted { number }, "010807060504030201"),
         (
-            Message::VoteDenied {
-                number,
-                leader: holder,
-            },
+            Message::VoteDenied { number, leader },
             "020807060504030201ddccbbaa",
         ),
         (
@@ -83,10 +80,7 @@
             "0508070605040302010a8b02002b01443322110003ff443322110103ff443322110203ff",
         ),
         (
-            Message::NotLeader {
-                number,
-                leader: holder,
-            },
+            Message::NotLeader { number, leader },
             "060807060504030201ddccbbaa",
         ),
         (Message::Leave, "070000000000000000"),
@@ -115,7 +109,7 @@
 
     fn start(&mut self, start: Start) {
         self.number(start.process);
-        self.number(u64::from(start.comeback));
+        self.number(u64::from(start.rejoins));
     }
 
     fn event(&mut self, event: &Event) {
@@ -131,20 +125,20 @@
                 });
                 self.start(*start);
             }
-            Event::QuorumState(standing) => {
+            Event::QuorumState(state) => {
                 self.number(1);
-                self.number(match standing {
+                self.number(match state {
                     QuorumState::Alone => 0,
                     QuorumState::CutOff => 1,
                     QuorumState::Majority => 2,
                     QuorumState::Whole => 3,
                 });
             }
-            Event::StoodStill(late) => {
+            Event::Paused(late) => {
                 self.number(2);
                 self.number(late.as_micros() as u64);
             }
-            Event::CameBack(start) => {
+            Event::Rejoined(start) => {
                 self.number(3);
                 self.start(*start);
             }
@@ -155,16 +149,16 @@
         }
     }
 
-    fn told(&mut self, told: &Action) {
-        match told {
-            Action::Send { to, payload: said } => {
+    fn action(&mut self, action: &Action) {
+        match action {
+            Action::Send { to, payload } => {
                 self.number(0);
                 self.number(u64::from(to.0));
-                self.bytes(said);
+                self.bytes(payload);
             }
-            Action::Leader(is) => {
+            Action::Leader(is_leader) => {
                 self.number(1);
-                self.number(u64::from(*is));
+                self.number(u64::from(*is_leader));
             }
             Action::PeerReports { members, reports } => {
                 self.number(2);
@@ -198,9 +192,9 @@
                 self.number(1);
                 self.event(event);
             }
-            Output::Quota(told) => {
+            Output::Quota(action) => {
                 self.number(2);
-                self.told(told);
+                self.action(action);
             }
             Output::Message {
                 topic,
@@ -223,8 +217,8 @@
 
 const MEMBERS: usize = 4;
 
-/// Members over a network that delays, loses and doubles datagrams, all drawn from one seed.
-struct Fleet {
+/// A simulated cluster over a network that delays, loses and duplicates datagrams, at random from one seed.
+struct SimulatedCluster {
     now: Duration,
     members: Vec<Option<ClusterMember>>,
     queue: BTreeMap<(Duration, u64), (usize, usize, Vec<u8>)>,
@@ -232,13 +226,13 @@
     starts: u64,
     draws: u64,
     digest: Digest,
-    /// How many outputs of each kind came: datagrams, member events, agreed, said.
+    /// Number of outputs of each kind: datagrams, membership events, quota actions and messages to services.
     outputs: [usize; 4],
 }
 
-impl Fleet {
-    fn new(seed: u64) -> Fleet {
-        let mut fleet = Fleet {
+impl SimulatedCluster {
+    fn new(seed: u64) -> SimulatedCluster {
+        let mut cluster = SimulatedCluster {
             now: Duration::ZERO,
             members: (0..MEMBERS).map(|_| None).collect(),
             queue: BTreeMap::new(),
@@ -248,10 +242,11 @@
             digest: Digest(0xcbf2_9ce4_8422_2325),
             outputs: [0; 4],
         };
-        (0..MEMBERS).for_each(|i| fleet.start(i));
-        fleet
+        (0..MEMBERS).for_each(|i| cluster.start(i));
+        cluster
     }
 
+    /// Draws a random number less than `below`.
     fn draw(&mut self, below: u64) -> u64 {
         self.draws = self
             .draws
@@ -269,35 +264,37 @@
             })
             .collect();
         let own = format!("d{i}");
-        let roster = Roster::new(&own, &peers).expect("a roster");
+        let roster = Roster::new(&own, &peers).expect("a valid roster");
         let secret = Secret::new("hall", b"secret");
         let seed = self.draw(1 << 30);
         let member = Membership::new(&own, self.starts, roster, secret, seed, self.now);
-        let mut together = ClusterMember::new(member, seed + 1, self.now);
-        // What each sees of servers differs, and some of it is seen by several.
-        let kinds = [
+        let mut cluster_member = ClusterMember::new(member, seed + 1, self.now);
+        // Each member has other observations, and several members make some of them.
+        let conditions = [
             ServerCondition::Failing,
             ServerCondition::WarmingUp,
             ServerCondition::Draining,
         ];
-        let seen = (0..5u32).map(|n| {
+        let observations = (0..5u32).map(|n| {
             let server = ServerNumber(n / 2 * i as u32);
-            let condition = kinds[n as usize % 3];
+            let condition = conditions[n as usize % 3];
             (ObservationKey { server, condition }, MS * 100 * n)
         });
-        together.quota_mut().set_observations(seen.collect());
-        self.members[i] = Some(together);
+        cluster_member
+            .quota_mut()
+            .set_observations(observations.collect());
+        self.members[i] = Some(cluster_member);
     }
 
-    fn carry(&mut self, me: usize, out: Vec<Output>) {
+    fn apply_outputs(&mut self, from: usize, out: Vec<Output>) {
         for output in out {
             self.digest.number(self.now.as_micros() as u64);
-            self.digest.number(me as u64);
+            self.digest.number(from as u64);
             self.digest.output(&output);
             match output {
                 Output::Send(to, bytes) => {
                     self.outputs[0] += 1;
-                    self.send(me, usize::from(to.port()) - 20_000, bytes);
+                    self.send(from, usize::from(to.port()) - 20_000, bytes);
                 }
                 Output::Member(_) => self.outputs[1] += 1,
                 Output::Quota(_) => self.outputs[2] += 1,
@@ -313,23 +310,23 @@
             _ => 1,
         };
         for _ in 0..copies {
-            let late = Duration::from_micros(500 + self.draw(4_000));
+            let delay = Duration::from_micros(500 + self.draw(4_000));
             self.queued += 1;
-            let key = (self.now + late, self.queued);
+            let key = (self.now + delay, self.queued);
             self.queue.insert(key, (from, to, bytes.clone()));
         }
     }
 
     fn step(
         &mut self,
-        me: usize,
-        act: impl FnOnce(&mut ClusterMember, Duration, &mut Vec<Output>),
+        member: usize,
+        action: impl FnOnce(&mut ClusterMember, Duration, &mut Vec<Output>),
     ) {
         let mut out = Vec::new();
-        if let Some(member) = &mut self.members[me] {
-            act(member, self.now, &mut out);
+        if let Some(state) = &mut self.members[member] {
+            action(state, self.now, &mut out);
         }
-        self.carry(me, out);
+        self.apply_outputs(member, out);
     }
 
     fn run(&mut self, until: Duration, paused: BTreeSet<usize>) {
@@ -362,25 +359,25 @@
 }
 
 fn digest(seed: u64) -> (u64, [usize; 4]) {
-    let mut fleet = Fleet::new(seed);
-    fleet.run(MS * 6_000, BTreeSet::new());
-    // Of another machine, beside this one.
-    let sent = fleet.members[0]
+    let mut cluster = SimulatedCluster::new(seed);
+    cluster.run(MS * 6_000, BTreeSet::new());
+    // A message of another service.
+    let sent = cluster.members[0]
         .as_mut()
         .and_then(|m| m.sign_message(Topic::Overload, NameKey::of("d1"), b"of another machine"));
     let bytes = sent.expect("a datagram").bytes;
-    fleet.step(1, |m, now, out| {
+    cluster.step(1, |m, now, out| {
         m.handle_datagram(now, address(0), &bytes, out)
     });
-    fleet.members[0] = None;
-    fleet.run(MS * 11_000, BTreeSet::new());
-    fleet.start(0);
-    fleet.run(MS * 15_000, BTreeSet::from([2]));
-    fleet.run(MS * 20_000, BTreeSet::new());
-    fleet.step(1, |m, now, out| m.leave(now, out));
-    fleet.members[1] = None;
-    fleet.run(MS * 24_000, BTreeSet::new());
-    (fleet.digest.0, fleet.outputs)
+    cluster.members[0] = None;
+    cluster.run(MS * 11_000, BTreeSet::new());
+    cluster.start(0);
+    cluster.run(MS * 15_000, BTreeSet::from([2]));
+    cluster.run(MS * 20_000, BTreeSet::new());
+    cluster.step(1, |m, now, out| m.leave(now, out));
+    cluster.members[1] = None;
+    cluster.run(MS * 24_000, BTreeSet::new());
+    (cluster.digest.0, cluster.outputs)
 }
 
 #[test]
--- a/programs/benchmark/src/members.rs
+++ b/programs/benchmark/src/members.rs
@@ -36,18 +36,18 @@
 fn failure(size: usize, seed: u64, seen: &mut Seen) {
     let mut world = World::new(size, seed);
     world.run(QUIET);
-    seen.unheard += usize::from(!world.all_whole());
-    let before = world.bytes;
+    seen.unheard += usize::from(!world.all_see_whole_roster());
+    let before = world.bytes_sent;
     world.run(QUIET + ms(5_000));
-    seen.bytes_s += (world.bytes - before) as f64 / 5.0 / size as f64;
+    seen.bytes_s += (world.bytes_sent - before) as f64 / 5.0 / size as f64;
     let killed = world.net.now;
     world.kill(size - 1);
     world.run(killed + KILLED);
-    let downs = world.downs(size - 1, killed);
+    let downs = world.down_events(size - 1, killed);
     seen.unmissed += (size - 1).saturating_sub(downs.len());
     seen.missed_s
         .extend(downs.iter().map(|(at, _)| (*at - killed).as_secs_f64()));
-    seen.longest = seen.longest.max(world.longest);
+    seen.longest = seen.longest.max(world.longest_datagram);
 }
 
 fn parted(size: usize, seed: u64, seen: &mut Seen) {
@@ -57,10 +57,10 @@
     world.run(QUIET + PARTED);
     world.net.passes = Box::new(|_, _| true);
     let healed = world.net.now;
-    while world.net.now < healed + HEALED && !world.all_whole() {
+    while world.net.now < healed + HEALED && !world.all_see_whole_roster() {
         world.run(world.net.now + ms(100));
     }
-    match world.all_whole() {
+    match world.all_see_whole_roster() {
         true => seen.healed_s.push((world.net.now - healed).as_secs_f64()),
         false => seen.unhealed += 1,
     }
--- a/programs/chaos/src/between.rs
+++ b/programs/chaos/src/between.rs
@@ -10,7 +10,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use bitternlatch_membership::{sender, NameKey};
+use bitternlatch_membership::{claimed_sender, NameKey};
 use bitternlatch_net::lock;
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -200,7 +200,7 @@
 
     fn take(&mut self, datagram: &[u8]) {
         // Noise passes as it is: there is no rule for who cannot be named.
-        let from = sender(datagram).and_then(|name| self.names.get(&name).copied());
+        let from = claimed_sender(datagram).and_then(|name| self.names.get(&name).copied());
         let rule = from
             .and_then(|from| lock(&self.rules).get(&(from, self.to.0)).copied())
             .unwrap_or_default();
