--- a/crates/quota-lease/src/cluster_member.rs
+++ b/crates/quota-lease/src/cluster_member.rs
@@ -1,4 +1,4 @@
-//! One member of the cluster: membership and quota leases over one datagram format.
+//! One member of the cluster: the membership protocol and the quota leases, which share one datagram format.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -12,39 +12,40 @@
 pub enum Output {
     /// Sends a datagram to an address.
     Send(SocketAddrV4, Vec<u8>),
-    /// What has changed in the membership.
+    /// Reports a change of membership.
     Member(Event),
-    /// An action other than [`Action::Send`], which is carried out here.
+    /// Reports an action of the quota member other than [`Action::Send`], which [`ClusterMember`] applies itself.
     Quota(Action),
-    /// A message for a [`crate::ClusterService`].
+    /// Delivers a message to a [`crate::ClusterService`].
     Message {
-        /// Which service it is for.
+        /// The service that the message is for.
         topic: Topic,
-        /// Who sent it.
+        /// The process that sent it.
         from: Process,
-        /// What it holds.
+        /// The message.
         payload: Vec<u8>,
     },
 }
 
-/// A signed datagram and where it goes.
+/// A signed datagram and its destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
     /// The receiver's address.
     pub to: SocketAddrV4,
-    /// The signed bytes.
+    /// The datagram with header and authentication tag.
     pub bytes: Vec<u8>,
 }
 
-/// Membership and quota state of one process.
+/// The state of one process in the membership protocol, the leader election and the quota leases.
 pub struct ClusterMember {
     membership: Membership,
     quota: QuotaMember,
+    /// Outputs of the membership protocol that are not yet applied.
     pending: Vec<MembershipOutput>,
 }
 
 impl ClusterMember {
-    /// The state of a process that starts now, by its own clock.
+    /// Creates the state of a process that starts at `now`, by its own clock.
     pub fn new(membership: Membership, seed: u64, now: Duration) -> ClusterMember {
         let own = membership.own();
         let roster = membership.roster();
@@ -56,30 +57,30 @@
         }
     }
 
-    /// Which members are present.
+    /// The state of the membership protocol.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Leader and quota lease.
+    /// The state of leader election and quota leases.
     pub fn quota(&self) -> &QuotaMember {
         &self.quota
     }
 
-    /// Leader and quota lease, to set what this process observes.
+    /// The state of leader election and quota leases, mutable, for setting this process's observations of model servers.
     pub fn quota_mut(&mut self) -> &mut QuotaMember {
         &mut self.quota
     }
 
-    /// When [`ClusterMember::wake`] is due at the latest; `None` once this member has left or was superseded by a later
-    /// start.
+    /// When [`ClusterMember::wake`] is due at the latest; `None` once this member has left or is fenced by a later start
+    /// under its name.
     pub fn wake_at(&self) -> Option<Duration> {
         let membership_at = self.membership.wake_at()?;
         let quota_at = self.quota.wake_at();
         Some(quota_at.map_or(membership_at, |at| at.min(membership_at)))
     }
 
-    /// Takes a datagram that came from an address.
+    /// Handles a datagram that was received from an address.
     pub fn handle_datagram(
         &mut self,
         now: Duration,
@@ -92,13 +93,14 @@
         self.step(now, out);
     }
 
-    /// Does what is due.
+    /// Runs all timers that are due.
     pub fn wake(&mut self, now: Duration, out: &mut Vec<Output>) {
         self.membership.wake(now, &mut self.pending);
         self.step(now, out);
     }
 
-    /// Signs a message of a service to a member; `None` where that is not of the roster, or nothing is sent any more.
+    /// Signs a message of a service to a member. Returns `None` where the receiver is not in the roster, or this member has
+    /// left or is fenced.
     pub fn sign_message(&mut self, topic: Topic, to: NameKey, payload: &[u8]) -> Option<Datagram> {
         let mut signed = Vec::new();
         self.membership.send(topic, to, payload, &mut signed);
@@ -108,7 +110,8 @@
         })
     }
 
-    /// Releases vote and lease and announces that this member leaves, once it uses no quota any more.
+    /// Releases the vote and the lease, and announces that this member leaves. To be called once the process no longer uses
+    /// any quota.
     pub fn leave(&mut self, now: Duration, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
         self.quota.leave(now, &mut actions);
@@ -117,8 +120,10 @@
         self.step(now, out);
     }
 
-    /// Carries out the membership's outputs, and wakes the quota member where that is due: with datagrams too, as they may
-    /// come so densely that nothing else wakes it. A process that was superseded by a later start takes no part any more.
+    /// Applies the outputs of the membership protocol, and wakes the quota member where that is due.
+    ///
+    /// It is woken on datagrams too, because they may arrive so densely that [`ClusterMember::wake`] is never called. In a
+    /// process that has left or is fenced the quota member is not woken.
     fn step(&mut self, now: Duration, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
         if self.membership.wake_at().is_some() {
@@ -150,6 +155,7 @@
         self.apply(actions, out);
     }
 
+    /// Signs the messages of the quota member, and passes its other actions on before them.
     fn apply(&mut self, actions: Vec<Action>, out: &mut Vec<Output>) {
         let mut datagrams = Vec::new();
         for action in actions {
--- a/crates/quota-lease/src/cluster_service.rs
+++ b/crates/quota-lease/src/cluster_service.rs
@@ -1,6 +1,6 @@
-//! The interface of a state machine that decides something with its peers, on a loop of its own: its inputs and outputs.
+//! The interface of a state machine that exchanges messages with its peers: its inputs and outputs.
 //!
-//! The same machine runs in service, in tests and in simulated time.
+//! Each service runs in an event loop of its own. The same code runs in production, in tests and in simulated time.
 
 use std::time::Duration;
 
@@ -8,28 +8,28 @@
 
 use crate::{Process, QuotaLease, StorageError, StoredEntries};
 
-/// Longest frame that a link carries, bytes.
+/// Maximum length of a frame over a link, bytes.
 pub const MAX_FRAME: usize = 64 * 1024;
 
-/// Which members are present, as far as this process knows, and what quota it may use. Times are by its own clock.
+/// The members that are present, as far as this process knows, and the quota that it may use. Times are by its own clock.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peers {
-    /// How much of the roster is present.
+    /// The quorum state, that is how much of the roster is present.
     pub quorum: QuorumState,
-    /// Members of the roster that are present, in order, without this one.
+    /// Members of the roster that are present, in ascending order, without this one.
     pub present: Vec<NameKey>,
-    /// After this time nothing of this holds any more.
+    /// Time at which this information expires.
     pub valid_until: Duration,
-    /// The leased part of the shared quotas, beside [`crate::unleased_quota`] of the roster. It expires on its own.
+    /// The leased fraction of the shared quotas, in addition to [`crate::unleased_quota`]. It has an expiry of its own.
     pub lease: QuotaLease,
 }
 
 /// An input of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServiceInput<Request> {
-    /// Time has passed.
+    /// The time of [`ClusterService::wake_at`] has come.
     Wake,
-    /// A datagram of the service's topic: authenticated, not seen before, and sent by the latest start under its name.
+    /// A datagram of the service's topic: authenticated, not a replay, and sent by the latest known start under its name.
     /// Datagrams may be late or lost.
     Datagram {
         /// Who sent it.
@@ -37,7 +37,7 @@
         /// What it holds.
         payload: Vec<u8>,
     },
-    /// A frame over a link, authenticated likewise. What was sent just before a link broke may be lost.
+    /// A frame over a link, authenticated as datagrams are. Frames sent just before a link broke may be lost.
     Frame {
         /// Who sent it.
         from: Process,
@@ -46,15 +46,16 @@
     },
     /// The state of the cluster, several times a second.
     Peers(Peers),
-    /// A request of the dispatcher's core.
+    /// A request from the dispatcher's core.
     Request(Request),
-    /// What was on disk at the start, complete, or why it cannot be read. The first input, where there is a disk.
+    /// All entries that were stored on disk at the start, or why they cannot be read. The first input of a service with
+    /// storage.
     Loaded(Result<StoredEntries, StorageError>),
-    /// Answers [`ServiceOutput::Persist`].
+    /// The result of a [`ServiceOutput::Persist`].
     Persisted {
-        /// The ticket of the request.
+        /// The ticket of the write.
         ticket: u64,
-        /// Whether it is on disk.
+        /// Whether the entry is durable.
         done: Result<(), StorageError>,
     },
     /// The process shuts down gracefully; the last input.
@@ -66,25 +67,25 @@
 pub enum ServiceOutput<Event> {
     /// A datagram of at most [`bitternlatch_membership::MAX_PAYLOAD`] bytes to a member of the roster.
     SendDatagram(NameKey, Vec<u8>),
-    /// A frame of at most [`MAX_FRAME`] bytes over the link to a member of the roster, which is opened on demand. Frames
-    /// arrive in order and once while the link lasts. A frame is lost where the link breaks or its queue is full, so what
-    /// must arrive is sent until it is answered.
+    /// A frame of at most [`MAX_FRAME`] bytes over the link to a member of the roster, which is opened on demand. While the
+    /// link lasts, frames arrive in order and at most once. A frame is lost where the link breaks or its queue is full, so
+    /// a message that must arrive is sent again until it is answered.
     SendFrame(NameKey, Vec<u8>),
-    /// An event for the dispatcher's core, which takes it as a recorded input.
+    /// An event for the dispatcher's core, which records it as an input.
     Event(Event),
-    /// Writes a value to disk under a name, or removes it where there is none; answered by [`ServiceInput::Persisted`].
-    /// All that one step persists becomes durable together or not at all.
+    /// Writes an entry to disk, or removes it where `bytes` is `None`. Answered by [`ServiceInput::Persisted`]. All writes of
+    /// one step become durable together or not at all.
     Persist {
-        /// Identifies the answer.
+        /// Identifies the result.
         ticket: u64,
-        /// The value's name.
+        /// The entry's name.
         name: Vec<u8>,
-        /// The value.
+        /// The entry's value; `None` removes the entry.
         bytes: Option<Vec<u8>>,
     },
-    /// A line for the log.
+    /// Writes a line to the log.
     Log {
-        /// Whether its level is warning, else info.
+        /// Whether the level is warning; otherwise it is info.
         warn: bool,
         /// The line.
         text: String,
@@ -93,17 +94,17 @@
 
 /// A state machine that exchanges messages with its peers.
 pub trait ClusterService {
-    /// Marks its datagrams and frames.
+    /// The topic of the service's datagrams and frames.
     const TOPIC: Topic;
-    /// What the dispatcher's core requests of it.
+    /// A request from the dispatcher's core to the service.
     type Request;
-    /// What it reports to the dispatcher's core.
+    /// An event from the service to the dispatcher's core.
     type Event;
 
     /// When [`ServiceInput::Wake`] is due at the latest, by the process's clock.
     fn wake_at(&self) -> Option<Duration>;
 
-    /// Takes one input at a time of the process's clock, and appends outputs in order.
+    /// Handles one input at the time `now` of the process's clock, and appends outputs in order.
     fn step(
         &mut self,
         now: Duration,
--- a/crates/quota-lease/src/leader_election.rs
+++ b/crates/quota-lease/src/leader_election.rs
@@ -1,9 +1,9 @@
-//! Leader election: what a voter has promised, and what a candidate has been promised.
+//! Leader election: the promise of a voter and the vote of a candidate.
 //!
-//! A voter promises [`LEASE`] to one process and nothing to another until that has expired; a process that holds
-//! unexpired promises of more than half of the voters is leader. Two majorities share a voter, so there are never two
-//! leaders. A voter keeps nothing on disk: one that has just started promises nothing for the length of a lease, because
-//! it may have made a promise before it restarted.
+//! A voter promises its vote to one process for the time [`LEASE`], and to no other until the promise has expired. A
+//! process that holds unexpired promises from more than half of the voters is leader. Any two majorities share a voter, so
+//! there are never two leaders. Voters store nothing on disk. A voter that has just started promises nothing for the time
+//! [`LEASE`], because it may have made a promise before it restarted.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,15 +12,16 @@
 
 use crate::{usable, Process, RequestNumber};
 
-/// How long a promise lasts, by the voter's clock.
+/// Time for which a voter promises its vote, by its own clock.
 pub const LEASE: Duration = Duration::from_millis(1500);
-/// Voters of a larger cluster: two may fail, and a candidate waits for at most four other answers.
+/// Maximum number of voters. With five, two may fail, and a candidate needs the answers of at most four others.
 const MAX_VOTERS: usize = 5;
-/// Added to a candidate's wait for each voter before it in the order, so that not all campaign at once.
+/// Time that a candidate waits longer before it campaigns for each voter before it in the order of names, so that not all
+/// campaign at once.
 const STAGGER: Duration = Duration::from_millis(200);
 
-/// The voters of a roster: the first of its short names in order, an odd number of at most five, because one more voter
-/// than an odd number tolerates no more failures.
+/// The voters of a roster: its first members in the order of their short names, at most [`MAX_VOTERS`]. Their number is odd,
+/// because one more voter would not let more of them fail.
 pub fn voters(roster: &BTreeSet<NameKey>) -> Vec<NameKey> {
     let count = roster.len().min(MAX_VOTERS);
     roster
@@ -33,41 +34,47 @@
 /// A voter's answer to a vote request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The voter promises the lease to the candidate.
+    /// The voter promises its vote to the candidate.
     Granted,
-    /// The voter promises nothing; it names the holder of its current promise, if there is one.
+    /// The voter promises nothing. Names the holder of its current promise, if there is one and it is another process.
     Denied(Option<NameKey>),
 }
 
+/// A voter's promise of its vote.
 struct Promise {
     to: Process,
+    /// The vote request that the promise answers.
     number: RequestNumber,
+    /// When the promise expires.
     until: Duration,
 }
 
-/// A vote that this candidate has requested and that may still be granted.
+/// The current vote of this candidate, which may still get a majority.
 struct PendingVote {
     number: RequestNumber,
     requested_at: Duration,
     granted_by: BTreeSet<NameKey>,
 }
 
-/// One member's state in the election: voter, where it is one, and candidate. All times are by its own clock.
+/// One member's state in the election, as a voter and as a candidate. A member that is not a voter is neither. All times
+/// are by its own clock.
 pub struct LeaderElection {
     voters: Vec<NameKey>,
     own: Process,
-    /// Before this time nothing is promised: an earlier start of this voter may have made promises.
+    /// Until this time the voter promises nothing, because an earlier start of its process may have made a promise.
     abstains_until: Duration,
     promise: Option<Promise>,
     pending: Option<PendingVote>,
+    /// When the leadership of this process expires, unless it is renewed.
     leader_until: Duration,
     /// Since when this process has been leader without interruption.
     leader_since: Option<Duration>,
+    /// Earliest time at which this process campaigns while it has made no promise as a voter.
     campaign_at: Duration,
 }
 
 impl LeaderElection {
-    /// The election state of a process that starts now. Times are durations on the process's own clock.
+    /// Creates the election state of a process that starts at `now`.
     pub fn new(own: Process, roster: &BTreeSet<NameKey>, now: Duration) -> LeaderElection {
         LeaderElection {
             voters: voters(roster),
@@ -86,6 +93,7 @@
         &self.voters
     }
 
+    /// Position of this process among the voters; `None` where it is not a voter.
     fn rank(&self) -> Option<u32> {
         self.voters
             .iter()
@@ -97,7 +105,7 @@
         self.promise.as_ref().filter(|promise| now < promise.until)
     }
 
-    /// The process to which this voter has promised the lease: the leader, as far as this voter knows.
+    /// The process to which this voter has promised its vote: the leader, as far as this voter knows.
     pub fn promised_to(&self, now: Duration) -> Option<NameKey> {
         self.current_promise(now).map(|promise| promise.to.name)
     }
@@ -107,7 +115,7 @@
         self.leader_since.filter(|_| now < self.leader_until)
     }
 
-    /// As a voter: decides on a vote request of `from`.
+    /// As a voter: decides on a vote request from the process `from`.
     pub fn on_vote_request(
         &mut self,
         now: Duration,
@@ -120,11 +128,12 @@
         }
         match self.current_promise(now) {
             Some(promise) if promise.to != from => return Verdict::Denied(Some(promise.to.name)),
-            // A delayed request, sent before one that has been released.
+            // A duplicate or delayed request, not later than one that has been granted.
             Some(promise) if number <= promise.number => return Verdict::Denied(None),
             _ => {}
         }
-        // Leaves time for the leader to renew, and for other candidates to be seen first.
+        // This voter does not campaign while its promise lasts, so that the leader can renew it. The stagger time then lets
+        // voters before it in the order campaign first.
         self.campaign_at = now + LEASE + self.stagger();
         self.promise = Some(Promise {
             to: from,
@@ -134,15 +143,15 @@
         Verdict::Granted
     }
 
-    /// As a voter: a promise is given back. Only the promise that was granted last is released, because one that was
-    /// requested later may be in use.
+    /// As a voter: handles the release of a promise. A promise for a later request than the released one stays, because the
+    /// candidate may be using it.
     pub fn on_vote_released(&mut self, now: Duration, from: Process, number: RequestNumber) {
         if let Some(promise) = self
             .promise
             .as_mut()
             .filter(|promise| promise.to == from && promise.number <= number)
         {
-            // The number is remembered, so that a delayed earlier request does not renew the promise.
+            // The promise is not removed: its request number serves to reject a delayed earlier request.
             promise.until = promise.until.min(now);
         }
     }
@@ -151,7 +160,8 @@
         STAGGER * self.rank().unwrap_or_default()
     }
 
-    /// As a candidate: whether it is time to request votes, for the leader itself or where no promise is held.
+    /// As a candidate: whether to request votes now, because this voter's promise is to its own process and is to be renewed,
+    /// or because the voter has made no promise and [`LeaderElection::campaign_at`] has passed.
     pub fn should_campaign(&self, now: Duration) -> bool {
         let promise = self.current_promise(now);
         let own = promise.is_some_and(|promise| promise.to == self.own);
@@ -159,7 +169,7 @@
         self.rank().is_some() && now >= self.abstains_until && (own || free)
     }
 
-    /// Starts a vote under this number; grants of earlier votes no longer count.
+    /// As a candidate: starts a vote with this request number. Answers to earlier vote requests no longer count.
     pub fn start_vote(&mut self, now: Duration, number: RequestNumber) {
         self.pending = Some(PendingVote {
             number,
@@ -179,7 +189,7 @@
         vote.granted_by.insert(voter);
         let until = vote.requested_at + usable(LEASE);
         if 2 * vote.granted_by.len() > self.voters.len() && now < until {
-            // Another process may have been leader since an expired lease of this one.
+            // After its leadership has expired, another process may have been leader, so a new term begins.
             if now >= self.leader_until {
                 self.leader_since = Some(now);
             }
@@ -187,8 +197,8 @@
         }
     }
 
-    /// Abandons a vote that brought no majority, and returns the number to release: the promises keep others out. The
-    /// process campaigns again after `wait`, when others have had their turn.
+    /// As a candidate: abandons a vote that got no majority. Returns its request number, which is to be released, because the
+    /// promises block other candidates. The process campaigns again after its stagger time and `wait`.
     pub fn abandon_vote(&mut self, now: Duration, wait: Duration) -> Option<RequestNumber> {
         if self.leader_since(now).is_some() {
             return None;
@@ -198,7 +208,7 @@
         Some(vote.number)
     }
 
-    /// Gives up leadership at once, and returns the number of the vote to release.
+    /// Ends the leadership of this process at once. Returns the request number of the vote to release.
     pub fn step_down(&mut self, now: Duration) -> Option<RequestNumber> {
         self.leader_until = self.leader_until.min(now);
         self.abandon_vote(now, LEASE)
--- a/crates/quota-lease/src/leader_election/tests.rs
+++ b/crates/quota-lease/src/leader_election/tests.rs
@@ -17,25 +17,35 @@
 #[test]
 fn voter_promises_one_process_and_abstains_after_start() {
     let mut voter = election(1);
-    let mut asks = |at: u32, name, start, number| {
+    let mut request_vote = |at: u32, name, start, number| {
         voter.on_vote_request(MS * at, process(name, start), RequestNumber(number))
     };
     assert_eq!(
-        asks(1499, 2, 1, 1),
+        request_vote(1499, 2, 1, 1),
         Verdict::Denied(None),
-        "it may have promised before it started"
+        "an earlier start may have made a promise"
     );
-    assert_eq!(asks(1500, 2, 1, 2), Verdict::Granted);
-    assert_eq!(asks(2000, 3, 1, 1), Verdict::Denied(Some(NameKey(2))));
+    assert_eq!(request_vote(1500, 2, 1, 2), Verdict::Granted);
     assert_eq!(
-        asks(2000, 2, 2, 1),
+        request_vote(2000, 3, 1, 1),
+        Verdict::Denied(Some(NameKey(2)))
+    );
+    assert_eq!(
+        request_vote(2000, 2, 2, 1),
         Verdict::Denied(Some(NameKey(2))),
-        "started again it is another"
+        "a restarted process is another candidate"
+    );
+    assert_eq!(request_vote(2500, 2, 1, 3), Verdict::Granted);
+    assert_eq!(
+        request_vote(3999, 3, 1, 2),
+        Verdict::Denied(Some(NameKey(2)))
+    );
+    assert_eq!(request_vote(4000, 3, 1, 3), Verdict::Granted);
+    assert_eq!(
+        request_vote(9000, 4, 1, 3),
+        Verdict::Denied(None),
+        "a candidate that is not a voter"
     );
-    assert_eq!(asks(2500, 2, 1, 3), Verdict::Granted);
-    assert_eq!(asks(3999, 3, 1, 2), Verdict::Denied(Some(NameKey(2))));
-    assert_eq!(asks(4000, 3, 1, 3), Verdict::Granted);
-    assert_eq!(asks(9000, 4, 1, 3), Verdict::Denied(None), "no voter");
 }
 
 #[test]
@@ -76,13 +86,17 @@
     candidate.start_vote(MS * 2200, RequestNumber(2));
     candidate.on_vote_granted(MS * 2210, NameKey(2), RequestNumber(1));
     candidate.on_vote_granted(MS * 2300, NameKey(3), RequestNumber(2));
-    assert_eq!(candidate.leader_since(MS * 2300), None, "of two questions");
+    assert_eq!(
+        candidate.leader_since(MS * 2300),
+        None,
+        "grants of two different votes"
+    );
     candidate.on_vote_granted(MS * 2900, NameKey(2), RequestNumber(2));
     assert_eq!(candidate.leader_since(MS * 3669), Some(MS * 2900));
     assert_eq!(
         candidate.leader_since(MS * 3670),
         None,
-        "2.2 s and 98 hundredths of 1.5 s"
+        "expires at 2.2 s + 98% of 1.5 s"
     );
     candidate.start_vote(MS * 4000, RequestNumber(3));
     candidate.on_vote_granted(MS * 9000, NameKey(1), RequestNumber(3));
@@ -90,7 +104,7 @@
     assert_eq!(
         candidate.leader_since(MS * 9000),
         None,
-        "answers that a pause has made worthless"
+        "answers delayed beyond the lease by a pause"
     );
 }
 
--- a/crates/quota-lease/src/lease_client.rs
+++ b/crates/quota-lease/src/lease_client.rs
@@ -1,4 +1,4 @@
-//! The requesting side of quota leases: whom to ask, which answers are awaited, and the lease that is held.
+//! The requesting side of quota leases: the receiver of the next request, the pending requests, and the lease held.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,33 +7,33 @@
 
 use crate::{usable, RequestNumber, LEASE_COUNTED_FOR};
 
-/// Requests whose answers are awaited; leases of older ones would have expired.
+/// Maximum number of pending requests. A lease that answered an older request would have expired.
 const MAX_PENDING: usize = 8;
-/// Requests without an answer after which the leader is taken to be another.
+/// Number of consecutive requests without a lease after which the known leader is forgotten.
 const MAX_UNANSWERED: u32 = 2;
 
-/// What is leased to this member, beside [`crate::unleased_quota`].
+/// The lease of a part of all shared quotas, in addition to [`crate::unleased_quota`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaLease {
-    /// The leased fraction of the quota, from 0 to 1.
+    /// The leased fraction of each quota, from 0 to 1.
     pub leased: f64,
-    /// When it expires, by this process's clock.
+    /// Time at which the lease expires, by this process's clock.
     pub until: Duration,
 }
 
-/// One member's requests for leases and what came of them.
+/// One member's lease requests and its current lease.
 pub(crate) struct LeaseClient {
     own: NameKey,
-    /// The member that is taken to be the leader.
+    /// The member that is believed to be leader.
     leader: Option<NameKey>,
-    /// Requests to it in a row that brought no lease.
+    /// Number of consecutive requests without a lease.
     unanswered: u32,
-    /// Position in the order of voters, which are asked in turn where no leader is known.
+    /// Position of the next voter to ask. Voters are asked in turn while no leader is known.
     next_voter: usize,
-    /// When each awaited request was sent.
+    /// The time at which each pending request was sent.
     pending: BTreeMap<RequestNumber, Duration>,
     lease: QuotaLease,
-    /// The request that brought the lease.
+    /// The request that the current lease answers.
     lease_request: RequestNumber,
 }
 
@@ -58,7 +58,8 @@
         self.leader
     }
 
-    /// Where the next request goes: to the leader, or to the next voter, which knows whom it has promised its vote.
+    /// The receiver of the next lease request: the leader, or the next voter where no leader is known, because a voter can
+    /// name the process that it has promised its vote to.
     pub(crate) fn next_receiver(&mut self, is_leader: bool, voters: &[NameKey]) -> Option<NameKey> {
         if is_leader {
             self.leader = Some(self.own);
@@ -79,8 +80,10 @@
         }
     }
 
-    /// Takes a lease of so much of the quota, dated from its request. Returns whether it answers the latest answered
-    /// request, in which case the reports that came with it are the latest too.
+    /// Records a granted lease. Its expiry is computed from the time of the request.
+    ///
+    /// Returns whether it answers the latest request answered so far, in which case the peer reports in the same message are
+    /// the latest too.
     pub(crate) fn on_lease_granted(&mut self, number: RequestNumber, leased: f64) -> bool {
         let Some(requested_at) = self.pending.remove(&number) else {
             return false;
@@ -96,7 +99,7 @@
         number == self.lease_request
     }
 
-    /// Another member is said to be leader.
+    /// Records the leader that another member has named.
     pub(crate) fn on_leader_named(&mut self, leader: NameKey) {
         if self.leader != Some(leader) {
             self.leader = Some(leader);
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Gives up the lease.
+    /// Stops using the lease.
     pub(crate) fn release(&mut self) {
         self.lease = QuotaLease::default();
     }
--- a/crates/quota-lease/src/lease_issuer.rs
+++ b/crates/quota-lease/src/lease_issuer.rs
@@ -1,25 +1,28 @@
-//! The granting side of quota leases: what this process leases and knows of members' observations while it is leader.
+//! The granting side of quota leases: the leases and the members' observations that a process stores while it is leader.
 
 use std::time::Duration;
 
 use crate::peer_reports::{PeerReports, ReportsForMember};
 use crate::{Observation, Process, QuotaLeases, RequestNumber};
 
-/// One uninterrupted leadership.
+/// One uninterrupted term as leader.
 struct Term {
+    /// Time since when this process has been leader.
     since: Duration,
     leases: QuotaLeases,
 }
 
-/// An answer to a lease request.
-pub(crate) struct Granted {
+/// The answer to a lease request that was granted.
+pub(crate) struct LeaseGrant {
+    /// The leased fraction of each quota, in millionths.
     pub leased_ppm: u32,
+    /// Observations of the other members.
     pub reports: ReportsForMember,
 }
 
-/// What this process accounts for as leader; empty where it is not.
+/// The leases that this process has granted as leader; empty while it is not leader.
 pub(crate) struct LeaseIssuer {
-    /// All that may be leased, millionths of the quota.
+    /// Total fraction of each quota that may be leased, in millionths.
     total_ppm: u32,
     term: Option<Term>,
     reports: PeerReports,
@@ -34,13 +37,14 @@
         }
     }
 
-    /// How many processes may be using a lease.
+    /// Number of processes that may be using a lease; `None` while this process is not leader.
     pub(crate) fn holders(&self) -> Option<usize> {
         self.term.as_ref().map(|term| term.leases.holders())
     }
 
-    /// Begins and ends leasing with each leadership, and returns whether this process leads, where that has changed. What
-    /// an earlier leadership leased is forgotten, also where another one has begun since.
+    /// Begins or ends a term. Returns whether this process is leader, where that has changed.
+    ///
+    /// The leases and observations of an earlier term are dropped, also where a new term of this process follows at once.
     pub(crate) fn set_leader_since(&mut self, leader_since: Option<Duration>) -> Option<bool> {
         let term_since = self.term.as_ref().map(|term| term.since);
         if term_since == leader_since {
@@ -56,25 +60,25 @@
         changed.then_some(leader_since.is_some())
     }
 
-    /// Answers a lease request; `None` where this process is not leader or grants nothing yet.
+    /// Answers a lease request. Returns `None` where this process is not leader or may not grant anything yet.
     pub(crate) fn grant(
         &mut self,
         now: Duration,
         to: Process,
         number: RequestNumber,
         observations: &[Observation],
-    ) -> Option<Granted> {
+    ) -> Option<LeaseGrant> {
         let leases = &mut self.term.as_mut()?.leases;
         let leased_ppm = leases.grant(now, to, number)?;
         self.reports.retain(|member| leases.may_hold(member));
         self.reports.replace(now, to, observations);
-        Some(Granted {
+        Some(LeaseGrant {
             leased_ppm,
             reports: self.reports.for_member(now, to),
         })
     }
 
-    /// A member leaves: it uses no lease any more.
+    /// Removes the leases and observations of a member that has left.
     pub(crate) fn on_leave(&mut self, member: Process) {
         if let Some(term) = &mut self.term {
             term.leases.release(member);
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -1,20 +1,20 @@
 //! Leader election among dispatchers, and leases of the quotas that they share.
 //!
-//! There is no input or output here: messages and a clock go in; messages come out, and the time at which the next step is
-//! due. The same code runs in service, in tests and in simulated time.
+//! The crate performs no I/O. Its inputs are messages and clock readings; its outputs are messages and the time of the
+//! next wakeup. The same code runs in production, in tests and in simulated time.
 //!
-//! - [`LeaderElection`]: a few voters let one of themselves at a time be leader, by promises that expire by the clock
-//!   (leases: Gray and Cheriton, 1989; by a majority and without a disk: PaxosLease, Trencseni and others, 2012).
-//! - [`QuotaLeases`]: the leader leases parts of the shared quotas on request; a lease expires by the clock.
-//! - [`PeerReport`]: what members have observed of model servers goes to the leader with each request, and to the others
-//!   with its answers.
+//! - [`LeaderElection`]: a few voters elect one of themselves leader by promises that expire (leases: Gray and Cheriton,
+//!   1989; by a majority and without a disk: PaxosLease, Trencseni and others, 2012).
+//! - [`QuotaLeases`]: the leader leases parts of the shared quotas on request; each lease expires after a fixed time.
+//! - [`PeerReport`]: members send the leader their observations of model servers with each lease request, and receive the
+//!   observations of the others with the answer.
 //! - [`QuotaMember`]: one member's state in all of these.
-//! - [`ClusterMember`]: that and the membership, over one datagram format.
+//! - [`ClusterMember`]: a [`QuotaMember`] and the membership protocol, which share one datagram format.
 //! - [`ClusterService`]: the interface of other state machines that exchange messages with their peers.
 //!
-//! Every time is judged by the clock of the process that acts; nothing is ever dated by another's clock. What a process
-//! may use is dated from the moment of its *request*, what it has promised from the moment of its *answer*: an answer that
-//! comes late, after a pause of any length, is worth that much less.
+//! No process uses a clock reading of another. The requesting process computes the expiry of a promise or lease from the
+//! time of its *request*, the granting process from the time of its *answer*, which is later. An answer that is delayed,
+//! by a pause of any length, therefore only shortens the time for which the requesting process may use it.
 
 mod cluster_member;
 mod cluster_service;
@@ -44,13 +44,13 @@
 
 use bitternlatch_membership::NameKey;
 
-/// One start of a process under a name. Started again it is another process, which holds no promise or lease of the
-/// earlier one.
+/// One start of a process under a member's name. After a restart it is another process, which holds no promise or lease
+/// of the earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Process {
     /// Short form of the member's name.
     pub name: NameKey,
-    /// Number of the start; later starts under one name have larger numbers.
+    /// Number of the start; greater for later starts under one name.
     pub start: u64,
 }
 
@@ -58,11 +58,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestNumber(pub u64);
 
-/// What is used expires this many hundredths earlier than what is promised: the clocks of two processes may drift apart by
-/// one in a hundred, either way.
+/// Percentage by which the requesting process shortens the duration of a promise or lease. It covers clocks that run up to
+/// 1% too fast or too slow.
 const CLOCK_DRIFT_PERCENT: u32 = 2;
 
-/// How long something that was requested may be used, of the time for which it is promised.
+/// The time for which the requesting process may use a promise or lease that was granted for `promised`.
 fn usable(promised: Duration) -> Duration {
     promised * (100 - CLOCK_DRIFT_PERCENT) / 100
 }
--- a/crates/quota-lease/src/message.rs
+++ b/crates/quota-lease/src/message.rs
@@ -1,10 +1,11 @@
-//! Messages of leader election and quota leases: a kind, then fixed fields, then a list where there is one; little-endian.
+//! Encoding of the messages of leader election and quota leases: a kind byte, the request number, fixed fields and then a
+//! list for some kinds. All integers are little-endian.
 
 use bitternlatch_membership::{NameKey, MAX_PAYLOAD};
 
 use crate::{Observation, PeerReport, RequestNumber, MAX_OBSERVATIONS, MAX_REPORTS};
 
-/// Longest encoded message, bytes: the capacity of a datagram's payload.
+/// Maximum length of an encoded message, bytes; it has to fit into the payload of a datagram.
 pub const MAX_MESSAGE: usize = MAX_PAYLOAD;
 
 const VOTE_REQUEST: u8 = 0;
@@ -19,11 +20,11 @@
 /// One message between two members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Asks a voter for its promise, for [`crate::LEASE`] from now on.
+    /// Requests a voter's promise for the time [`crate::LEASE`].
     VoteRequest {
         /// Number of the request.
         number: RequestNumber,
-        /// Digest of the roster that the sender was given.
+        /// Digest of the sender's configured roster.
         roster: u32,
     },
     /// The voter has promised its vote.
@@ -31,55 +32,55 @@
         /// Number of the request.
         number: RequestNumber,
     },
-    /// Another process has the promise, or the voter must not promise yet (`None`).
+    /// The voter promises nothing: another process holds its promise, or it may not promise yet.
     VoteDenied {
         /// Number of the request.
         number: RequestNumber,
-        /// The process that has the promise.
+        /// The process that holds the voter's promise, if there is one.
         leader: Option<NameKey>,
     },
-    /// The candidate gives back what was granted for this number or an earlier one.
+    /// The candidate releases the promise that was granted for this request number or an earlier one.
     VoteReleased {
         /// Number of the vote request.
         number: RequestNumber,
     },
-    /// Asks the leader for a lease, with all that the sender observes of servers.
+    /// Requests a lease from the leader, and reports the sender's observations of model servers.
     LeaseRequest {
         /// Number of the request.
         number: RequestNumber,
-        /// Digest of the roster that the sender was given.
+        /// Digest of the sender's configured roster.
         roster: u32,
         /// The sender's observations, at most [`MAX_OBSERVATIONS`].
         observations: Vec<Observation>,
     },
-    /// A lease, with what others observe of servers.
+    /// Grants a lease, and reports the other members' observations of model servers.
     LeaseGranted {
         /// Number of the request.
         number: RequestNumber,
-        /// Millionths of the quota.
+        /// The leased fraction of each quota, in millionths.
         leased_ppm: u32,
-        /// Members other than the receiver of which the leader has observations, or an empty list of them.
+        /// Number of members other than the receiver whose observations, possibly none, the leader has received.
         members: u16,
-        /// Their observations, at most [`MAX_REPORTS`].
+        /// Summaries of their observations, at most [`MAX_REPORTS`].
         reports: Vec<PeerReport>,
     },
-    /// The receiver of a lease request is not the leader, or grants nothing yet; it may know who is leader.
+    /// Answers a lease request where the sender of this message is not leader, or is leader but may not grant a lease yet.
     NotLeader {
         /// Number of the request.
         number: RequestNumber,
-        /// The leader that it knows of.
+        /// The leader, as far as the sender of this message knows.
         leader: Option<NameKey>,
     },
-    /// The sender uses no lease any more.
+    /// The sender leaves the cluster and uses no lease any more.
     Leave,
 }
 
-/// Bytes that are no message.
+/// The error for bytes that are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a message about leader election or quota leases")]
 pub struct DecodeError;
 
-/// Zero stands for no name. One name in four thousand million hashes to zero; it would only not be found as leader.
+/// Encodes an optional name, `None` as zero. A name that hashes to zero (one in 2^32) cannot be announced as leader.
 fn encode_leader(leader: Option<NameKey>) -> [u8; 4] {
     leader.map_or(0, |name| name.0).to_le_bytes()
 }
@@ -89,7 +90,7 @@
     Ok((word != 0).then_some(NameKey(word)))
 }
 
-/// Every length but the exact one is refused.
+/// Decodes an integer; input of any length other than 4 bytes is an error.
 fn decode_u32(bytes: &[u8]) -> Result<u32, DecodeError> {
     let bytes = bytes.try_into().map_err(|_| DecodeError)?;
     Ok(u32::from_le_bytes(bytes))
@@ -154,7 +155,7 @@
         }
     }
 
-    /// The message as bytes, at most [`MAX_MESSAGE`]; longer lists are cut.
+    /// Encodes the message in at most [`MAX_MESSAGE`] bytes; lists that are too long are truncated.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(MAX_MESSAGE);
         out.push(self.kind());
@@ -189,10 +190,10 @@
         out
     }
 
-    /// Reads a message.
+    /// Decodes a message.
     ///
     /// # Errors
-    /// Where the bytes are no message; every length but the exact one is refused.
+    /// Where the bytes are not a valid message of exactly their length.
     pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
         let (kind, rest) = bytes.split_first().ok_or(DecodeError)?;
         let (number, rest) = rest.split_first_chunk::<8>().ok_or(DecodeError)?;
--- a/crates/quota-lease/src/message/tests.rs
+++ b/crates/quota-lease/src/message/tests.rs
@@ -5,14 +5,14 @@
 
 #[test]
 fn messages_round_trip_and_other_lengths_fail() {
-    let (number, holder) = (RequestNumber(1 << 40), Some(NameKey(7)));
+    let (number, leader) = (RequestNumber(1 << 40), Some(NameKey(7)));
     let (server, age) = (ServerNumber(1 << 31), Duration::from_millis(25_500));
     let observation = Observation {
         server,
         condition: ServerCondition::Draining,
         age,
     };
-    let heard = PeerReport {
+    let report = PeerReport {
         server,
         condition: ServerCondition::WarmingUp,
         reporters: 255,
@@ -21,10 +21,7 @@
     let all = [
         Message::VoteRequest { number, roster: 9 },
         Message::VoteGranted { number },
-        Message::VoteDenied {
-            number,
-            leader: holder,
-        },
+        Message::VoteDenied { number, leader },
         Message::VoteDenied {
             number,
             leader: None,
@@ -44,12 +41,9 @@
             number,
             leased_ppm: 166_666,
             members: 299,
-            reports: vec![heard; MAX_REPORTS],
-        },
-        Message::NotLeader {
-            number,
-            leader: holder,
+            reports: vec![report; MAX_REPORTS],
         },
+        Message::NotLeader { number, leader },
         Message::Leave,
     ];
     for message in all {
--- a/crates/quota-lease/src/peer_reports.rs
+++ b/crates/quota-lease/src/peer_reports.rs
@@ -1,8 +1,9 @@
-//! Gossip of observations: what members have observed of model servers, gathered by the leader and sent to the others.
+//! Peer reports: the members' observations of model servers, collected by the leader and distributed to the other members.
 //!
-//! Each member sends the leader its observations with every lease request, and gets with the answer what others observe:
-//! how many members were counted, how many of them observed it, and how old the latest observation is. A member never gets
-//! its own observations back, and they are dropped with its lease when it falls silent.
+//! Each member sends the leader its observations with every lease request. The answer summarizes those of the other
+//! members: how many members were counted, how many of them made the same observation, and the age of the latest one. A
+//! member's own observations are not reported back to it. When a member stops sending requests, its observations are
+//! dropped when its lease expires.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,28 +13,30 @@
 
 use crate::Process;
 
-/// Observations in one lease request, as many as fit into a datagram; the oldest beyond it are not sent.
+/// Maximum number of observations in a lease request, as many as fit into a datagram. The oldest ones beyond it are not
+/// sent.
 pub const MAX_OBSERVATIONS: usize = 32;
-/// Reports in one answer, as many as fit into a datagram; those of the fewest reporters beyond it are not sent.
+/// Maximum number of reports in an answer, as many as fit into a datagram. Those with the fewest reporters beyond it are not
+/// sent.
 pub const MAX_REPORTS: usize = 24;
-/// Observations that the leader holds over all members; further ones are not taken.
+/// Maximum number of observations that the leader stores for all members together. Further ones are dropped.
 const MAX_TABLE_OBSERVATIONS: usize = 16_384;
-/// Unit of an encoded age; up to 255 units are sent, and an older observation is sent as that old.
+/// Unit of an encoded age. An age is encoded in one byte, and an older observation is sent with an age of 255 units.
 const AGE_STEP: Duration = Duration::from_millis(100);
 
-/// A model server, by the number that all dispatchers give it.
+/// Identifies a model server. All dispatchers use the same number for the same server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerNumber(pub u32);
 
-/// A condition that can be observed of a model server. Encoded as the variant's position.
+/// A condition of a model server that a member can observe. It is encoded as the position of the variant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ServerCondition {
-    /// Its last attempts failed, or it cannot be reached.
+    /// The server's last attempts failed, or it is unreachable.
     Failing,
-    /// It was started recently.
+    /// The server was started recently.
     #[serde(rename = "Cold")]
     WarmingUp,
-    /// The member's endpoint list has it draining, or the server said so itself.
+    /// The server is marked as draining in the member's endpoint list, or has itself reported that it is draining.
     Draining,
 }
 
@@ -55,42 +58,43 @@
     }
 }
 
-/// What an observation is about.
+/// A server and a condition that was observed of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ObservationKey {
-    /// The server that was observed.
+    /// The observed server.
     pub server: ServerNumber,
-    /// What was observed of it.
+    /// The observed condition.
     pub condition: ServerCondition,
 }
 
-/// One member's own observation, with its age when it is sent.
+/// One member's observation of a server, with its age at the time of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// The server that was observed.
+    /// The observed server.
     pub server: ServerNumber,
-    /// What was observed of it.
+    /// The observed condition.
     pub condition: ServerCondition,
     /// Time since the observation.
     pub age: Duration,
 }
 
-/// What other members have observed of one server.
+/// A summary of the other members' observations of one condition of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerReport {
-    /// The server that was observed.
+    /// The observed server.
     #[serde(rename = "host")]
     pub server: ServerNumber,
-    /// What was observed of it.
+    /// The observed condition.
     #[serde(rename = "what")]
     pub condition: ServerCondition,
-    /// How many members observed it, up to 255.
+    /// Number of members that observed the condition, at most 255.
     #[serde(rename = "voices")]
     pub reporters: u8,
     /// Age of the latest observation.
     pub age: Duration,
 }
 
+/// Encodes an age in units of [`AGE_STEP`], rounded down.
 fn age_steps(age: Duration) -> u8 {
     u8::try_from(age.as_millis() / AGE_STEP.as_millis()).unwrap_or(u8::MAX)
 }
@@ -128,38 +132,42 @@
     }
 }
 
-/// The latest observations, as many as one lease request holds.
-pub(crate) fn latest(mut observations: Vec<Observation>) -> Vec<Observation> {
+/// Returns the latest observations, at most [`MAX_OBSERVATIONS`].
+pub(crate) fn latest_observations(mut observations: Vec<Observation>) -> Vec<Observation> {
     observations.sort_by_key(|one| (one.age, one.server, one.condition));
     observations.truncate(MAX_OBSERVATIONS);
     observations
 }
 
-/// The answer to one member: what the others have observed.
+/// The summary of the other members' observations for one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ReportsForMember {
-    /// How many other members the leader has observations of, or an empty list of them.
+    /// Number of other members whose observations, possibly none, the leader stores.
     pub members: u16,
-    /// Reports of the most reporters first, at most [`MAX_REPORTS`].
+    /// The reports, those with the most reporters first; at most [`MAX_REPORTS`].
     pub reports: Vec<PeerReport>,
 }
 
+/// The members that made the same observation, while a summary is computed.
 #[derive(Default)]
 struct Tally {
+    /// Number of members, at most 255.
     reporters: u8,
+    /// Time of the latest observation.
     latest: Duration,
 }
 
-/// The leader's table: each member's observations as it sent them last, dated by the leader's clock. An observation looks
-/// younger there than it is, by the time that its message took.
+/// The leader's table of the latest observations of each member, with their times by the leader's clock. An observation
+/// appears younger than it is by the transmission time of its message.
 #[derive(Default)]
 pub(crate) struct PeerReports {
     by_member: BTreeMap<Process, BTreeMap<ObservationKey, Duration>>,
+    /// Number of observations in the table.
     observations: usize,
 }
 
 impl PeerReports {
-    /// Replaces a member's observations by its latest ones.
+    /// Replaces the observations of a member by its latest ones.
     pub(crate) fn replace(&mut self, now: Duration, by: Process, observations: &[Observation]) {
         self.remove(by);
         let capacity = MAX_TABLE_OBSERVATIONS.saturating_sub(self.observations);
@@ -180,17 +188,17 @@
         self.observations -= removed.map_or(0, |dated| dated.len());
     }
 
-    pub(crate) fn retain(&mut self, keeps: impl Fn(&Process) -> bool) {
+    pub(crate) fn retain(&mut self, is_retained: impl Fn(&Process) -> bool) {
         let removed: Vec<Process> = self
             .by_member
             .keys()
-            .filter(|member| !keeps(member))
+            .filter(|member| !is_retained(member))
             .copied()
             .collect();
         removed.into_iter().for_each(|member| self.remove(member));
     }
 
-    /// What members under other names than this one's have observed.
+    /// Summarizes the observations of all members with another name than `member`.
     pub(crate) fn for_member(&self, now: Duration, member: Process) -> ReportsForMember {
         let mut members = 0u16;
         let mut tallies: BTreeMap<ObservationKey, Tally> = BTreeMap::new();
--- a/crates/quota-lease/src/quota_leases.rs
+++ b/crates/quota-lease/src/quota_leases.rs
@@ -1,25 +1,29 @@
-//! Quota that a leader has leased, and how much it can grant to whom.
+//! The leader's accounting of quota leases: how much is leased, and how much can be granted to which holder.
 //!
-//! All that may be in use is counted: each lease from its grant until it has certainly expired, [`LEASE_COUNTED_FOR`]
-//! later, even where its holder has got a smaller one since, because a holder that is behind may still use the earlier
-//! one. A holder that falls silent is counted until then, and only then do the others grow; a new one makes the others
-//! shrink at their next requests, and grows itself when their earlier leases have expired.
+//! Each lease is counted for [`LEASE_COUNTED_FOR`] after its grant, when it has certainly expired, even where its holder has
+//! been granted a smaller one since: a holder that is late in reading may still use the earlier lease. The quota of a holder
+//! that stops sending requests is therefore granted to others only after that time. A new holder reduces the leases of the
+//! others at their next requests, and its own lease grows when their earlier leases have expired.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::{Process, RequestNumber};
 
-/// How long a lease is counted after its grant. Its holder uses it a little less, from its request on.
+/// Time for which a lease is counted after its grant. Its holder uses it for a shorter time, which begins with the request.
 pub const LEASE_COUNTED_FOR: Duration = Duration::from_millis(1500);
-/// Lease holders that are counted at once; further ones are granted nothing.
+/// Maximum number of lease holders counted at the same time. Further processes are granted nothing.
 const MAX_LEASE_HOLDERS: usize = 4096;
 
+/// One granted lease.
 struct Grant {
+    /// The leased fraction, in millionths.
     ppm: u32,
+    /// Time until which the lease is counted.
     until: Duration,
 }
 
+/// A process and the leases that it may still be using.
 #[derive(Default)]
 struct LeaseHolder {
     latest_request: RequestNumber,
@@ -27,23 +31,24 @@
 }
 
 impl LeaseHolder {
-    /// The most that it may be using, millionths.
+    /// The largest fraction that the holder may be using, in millionths.
     fn max_in_use_ppm(&self) -> u32 {
         self.grants.iter().map(|grant| grant.ppm).max().unwrap_or(0)
     }
 }
 
-/// Leases of one quota, as the leader accounts for them. All quotas are leased in the same proportion.
+/// The leader's accounting of leases. A lease covers the same fraction of every quota.
 pub struct QuotaLeases {
-    /// All that may be leased, millionths of the quota.
+    /// Total fraction that may be leased, in millionths.
     total_ppm: u32,
-    /// Before this time leases of an earlier leader may be in use.
+    /// Time from which leases are granted. Before it, leases of an earlier leader may be in use.
     grants_from: Duration,
     holders: BTreeMap<Process, LeaseHolder>,
 }
 
 impl QuotaLeases {
-    /// For a leader since `leader_since`, by its own clock; `total_ppm` is what it may lease in all.
+    /// Creates the accounting of a process that became leader at `leader_since`, by its own clock. `total_ppm` is the total
+    /// fraction that it may lease, in millionths.
     pub fn new(total_ppm: u32, leader_since: Duration) -> QuotaLeases {
         QuotaLeases {
             total_ppm,
@@ -52,8 +57,8 @@
         }
     }
 
-    /// Grants a lease for this request, in millionths of the quota; `None` where nothing may be granted yet, the request
-    /// is not newer than the last one, or too many holders are counted.
+    /// Grants a lease for a request, and returns its fraction in millionths. Returns `None` where nothing may be granted yet,
+    /// the request is not later than the last one of this process, or there are too many holders.
     pub fn grant(&mut self, now: Duration, to: Process, number: RequestNumber) -> Option<u32> {
         self.expire(now);
         let has_capacity = self.holders.len() < MAX_LEASE_HOLDERS || self.holders.contains_key(&to);
@@ -72,7 +77,8 @@
         Some(ppm)
     }
 
-    /// An even part, or less where others may still use more than theirs.
+    /// The fraction that can be granted to a holder, in millionths: an equal part of the total, or less while other holders may
+    /// still be using more than an equal part.
     fn available_ppm(&self, holder: Process) -> u32 {
         let others_ppm: u32 = self
             .holders
@@ -84,7 +90,7 @@
         even_ppm.min(self.total_ppm.saturating_sub(others_ppm))
     }
 
-    /// The holder no longer uses any lease and sends no more requests.
+    /// Removes a holder that no longer uses any lease and sends no more requests.
     pub fn release(&mut self, holder: Process) {
         self.holders.remove(&holder);
     }
@@ -94,6 +100,7 @@
         self.holders.contains_key(process)
     }
 
+    /// Removes expired leases, and holders without any lease.
     fn expire(&mut self, now: Duration) {
         self.holders.retain(|_, holder| {
             holder.grants.retain(|grant| now < grant.until);
@@ -101,7 +108,7 @@
         });
     }
 
-    /// How many processes may be using a lease.
+    /// Number of processes that may be using a lease.
     pub fn holders(&self) -> usize {
         self.holders.len()
     }
--- a/crates/quota-lease/src/quota_leases/tests.rs
+++ b/crates/quota-lease/src/quota_leases/tests.rs
@@ -7,7 +7,7 @@
     QuotaLeases::new(900_000, Duration::ZERO)
 }
 
-fn who(name: u32) -> Process {
+fn process(name: u32) -> Process {
     Process {
         name: NameKey(name),
         start: 1,
@@ -17,9 +17,9 @@
 #[test]
 fn no_grant_while_leases_of_an_earlier_leader_may_be_in_use() {
     let mut leases = leases();
-    assert_eq!(leases.grant(MS * 1499, who(1), RequestNumber(1)), None);
+    assert_eq!(leases.grant(MS * 1499, process(1), RequestNumber(1)), None);
     assert_eq!(
-        leases.grant(MS * 1500, who(1), RequestNumber(2)),
+        leases.grant(MS * 1500, process(1), RequestNumber(2)),
         Some(900_000)
     );
 }
@@ -27,33 +27,47 @@
 #[test]
 fn new_holder_gets_only_expired_quota() {
     let mut leases = leases();
-    let mut asks = |at: u32, name, number| leases.grant(MS * at, who(name), RequestNumber(number));
-    assert_eq!(asks(2000, 1, 1), Some(900_000));
-    assert_eq!(asks(2100, 2, 1), Some(0), "the first may be using all");
-    assert_eq!(asks(2300, 1, 2), Some(450_000));
-    assert_eq!(asks(3499, 2, 2), Some(0), "the answer may not have come");
-    assert_eq!(asks(3500, 2, 3), Some(450_000));
+    let mut grant =
+        |at: u32, name, number| leases.grant(MS * at, process(name), RequestNumber(number));
+    assert_eq!(grant(2000, 1, 1), Some(900_000));
+    assert_eq!(
+        grant(2100, 2, 1),
+        Some(0),
+        "the first holder may be using all of it"
+    );
+    assert_eq!(grant(2300, 1, 2), Some(450_000));
+    assert_eq!(
+        grant(3499, 2, 2),
+        Some(0),
+        "the first holder may not have received the smaller lease"
+    );
+    assert_eq!(grant(3500, 2, 3), Some(450_000));
 }
 
 #[test]
 fn silent_holders_quota_is_granted_after_expiry() {
     let mut leases = leases();
-    let mut asks = |at: u32, name, number| leases.grant(MS * at, who(name), RequestNumber(number));
-    assert_eq!(asks(2000, 1, 1), Some(900_000));
-    assert_eq!(asks(2100, 1, 2), Some(900_000));
-    assert_eq!(asks(2200, 2, 1), Some(0));
-    assert_eq!(asks(3599, 2, 2), Some(0), "not a moment earlier");
-    assert_eq!(asks(3600, 2, 3), Some(900_000));
-    assert_eq!(asks(3650, 2, 3), None, "a question that comes twice");
+    let mut grant =
+        |at: u32, name, number| leases.grant(MS * at, process(name), RequestNumber(number));
+    assert_eq!(grant(2000, 1, 1), Some(900_000));
+    assert_eq!(grant(2100, 1, 2), Some(900_000));
+    assert_eq!(grant(2200, 2, 1), Some(0));
+    assert_eq!(
+        grant(3599, 2, 2),
+        Some(0),
+        "1 ms before the last lease of the first holder expires"
+    );
+    assert_eq!(grant(3600, 2, 3), Some(900_000));
+    assert_eq!(grant(3650, 2, 3), None, "a duplicate request");
 }
 
 #[test]
 fn release_frees_a_lease_at_once() {
     let mut leases = leases();
-    leases.grant(MS * 2000, who(1), RequestNumber(1));
-    leases.release(who(1));
+    leases.grant(MS * 2000, process(1), RequestNumber(1));
+    leases.release(process(1));
     assert_eq!(
-        leases.grant(MS * 2010, who(2), RequestNumber(1)),
+        leases.grant(MS * 2010, process(2), RequestNumber(1)),
         Some(900_000)
     );
 }
--- a/crates/quota-lease/src/quota_member.rs
+++ b/crates/quota-lease/src/quota_member.rs
@@ -1,4 +1,4 @@
-//! One member of the cluster: voter, leader where it is one, and holder of a quota lease.
+//! One member of the cluster in its roles as voter, lease issuer (while it is leader) and lease holder.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,29 +8,29 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 use crate::lease_client::LeaseClient;
-use crate::lease_issuer::{Granted, LeaseIssuer};
-use crate::peer_reports::latest;
+use crate::lease_issuer::{LeaseGrant, LeaseIssuer};
+use crate::peer_reports::latest_observations;
 use crate::{
     LeaderElection, Message, Observation, ObservationKey, PeerReport, Process, QuotaLease,
     RequestNumber, Verdict,
 };
 
-/// Time between two steps: a leader asks its voters anew, a lease holder its leader. A lease is renewed five times before
-/// it expires.
-const TICK: Duration = Duration::from_millis(300);
-/// Millionths of the quota that are never leased: each member of the roster uses an even part of them in any case, so that
-/// one that is cut off still admits something.
+/// Time between two renewals: the leader requests votes again, and each lease holder requests a lease again. The duration
+/// of a lease is five times as long, so that several renewals may fail.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
+/// The unleased fraction of each quota, in millionths. Each member of the roster may always use an equal part of it, so that
+/// an isolated member still admits some requests.
 const UNLEASED_PPM: u32 = 100_000;
-/// The complete quota, millionths.
+/// A complete quota, in millionths.
 const TOTAL_PPM: u32 = 1_000_000;
-/// Longest random wait before a candidate without a majority campaigns again, milliseconds.
+/// Upper bound of the random wait before a candidate without a majority campaigns again, milliseconds.
 const MAX_CAMPAIGN_WAIT_MS: u64 = 400;
-/// Voters are asked in turn from a random one of so many positions.
-const FIRST_VOTERS: usize = 1024;
+/// Number of positions from which the first voter to ask for a lease is drawn. Voters are then asked in turn.
+const FIRST_VOTER_POSITIONS: usize = 1024;
 
-/// The fraction of a quota that each member of a roster of so many may use without a lease.
-pub fn unleased_quota(roster: usize) -> f64 {
-    f64::from(UNLEASED_PPM) / f64::from(TOTAL_PPM) / roster.max(1) as f64
+/// The fraction of a quota, from 0 to 1, that each member may use without a lease in a roster of `roster_size` members.
+pub fn unleased_quota(roster_size: usize) -> f64 {
+    f64::from(UNLEASED_PPM) / f64::from(TOTAL_PPM) / roster_size.max(1) as f64
 }
 
 /// An output of [`QuotaMember`].
@@ -43,21 +43,22 @@
         /// The encoded message.
         payload: Vec<u8>,
     },
-    /// Whether this process is leader has changed.
+    /// This process has become leader (`true`) or is leader no more (`false`).
     Leader(bool),
-    /// What other members have observed of servers.
+    /// The other members' observations of model servers have been received.
     PeerReports {
-        /// Members that the leader knows observations of, this one not among them.
+        /// Number of members, without this one, whose observations the leader stores.
         members: u16,
-        /// Their observations.
+        /// Summaries of their observations.
         reports: Vec<PeerReport>,
     },
-    /// That member was started with another roster. Neither counts on the other, and both use the unleased quota alone.
+    /// This member was started with another roster than the own process. Neither of the two grants the other a vote or a
+    /// lease.
     RosterMismatch(NameKey),
 }
 
-/// 32-bit FNV-1a over the short names in order.
-fn digest(roster: &BTreeSet<NameKey>) -> u32 {
+/// Digest of a roster: 32-bit FNV-1a over the short names in ascending order.
+fn roster_digest(roster: &BTreeSet<NameKey>) -> u32 {
     roster.iter().fold(0x811C_9DC5, |sum, name| {
         (sum ^ name.0).wrapping_mul(0x0100_0193)
     })
@@ -73,16 +74,18 @@
     election: LeaderElection,
     issuer: LeaseIssuer,
     client: LeaseClient,
-    /// What this member observes of servers, and since when.
+    /// This member's observations of model servers, with their times.
     observations: BTreeMap<ObservationKey, Duration>,
     latest_request: RequestNumber,
-    tick_at: Duration,
+    /// When [`QuotaMember::wake`] is due.
+    wake_at: Duration,
     random: Xoshiro256PlusPlus,
     left: bool,
 }
 
 impl QuotaMember {
-    /// `start` distinguishes this process from others under its name; the roster holds its own name too.
+    /// Creates the state of a process that starts at `now`. `start` is the number of this start; the roster contains the own
+    /// name too.
     pub fn new(
         own: NameKey,
         start: u64,
@@ -94,14 +97,14 @@
         QuotaMember {
             own,
             election: LeaderElection::new(own, &roster, now),
-            roster_digest: digest(&roster),
+            roster_digest: roster_digest(&roster),
             roster,
             mismatched: BTreeSet::new(),
             issuer: LeaseIssuer::new(TOTAL_PPM - UNLEASED_PPM),
-            client: LeaseClient::new(own.name, seed as usize % FIRST_VOTERS),
+            client: LeaseClient::new(own.name, seed as usize % FIRST_VOTER_POSITIONS),
             observations: BTreeMap::new(),
             latest_request: RequestNumber::default(),
-            tick_at: now,
+            wake_at: now,
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
             left: false,
         }
@@ -109,36 +112,36 @@
 
     /// When [`QuotaMember::wake`] is due; `None` once this member has left.
     pub fn wake_at(&self) -> Option<Duration> {
-        (!self.left).then_some(self.tick_at)
+        (!self.left).then_some(self.wake_at)
     }
 
-    /// The lease that this member got last; it may have expired.
+    /// The latest lease of this member; it may have expired.
     pub fn lease(&self) -> QuotaLease {
         self.client.lease()
     }
 
-    /// Replaces all that this member observes of servers, and since when, by its clock.
+    /// Replaces this member's observations of model servers, with their times by its own clock.
     pub fn set_observations(&mut self, observations: BTreeMap<ObservationKey, Duration>) {
         self.observations = observations;
     }
 
-    /// The member that this one takes to be the leader.
+    /// The member that this one believes to be leader.
     pub fn leader(&self) -> Option<NameKey> {
         self.client.leader()
     }
 
-    /// How many processes may be using a lease that this one has granted; `None` where it is not leader.
+    /// Number of processes that may be using a lease granted by this one; `None` where it is not leader.
     pub fn lease_holders(&self, now: Duration) -> Option<usize> {
         self.election.leader_since(now)?;
         self.issuer.holders()
     }
 
-    /// Campaigns and renews the lease, where that is due.
+    /// Campaigns, where that is due, and requests a lease, if [`QuotaMember::wake_at`] has come.
     pub fn wake(&mut self, now: Duration, out: &mut Vec<Action>) {
-        if self.left || now < self.tick_at {
+        if self.left || now < self.wake_at {
             return;
         }
-        self.tick_at = now + TICK;
+        self.wake_at = now + RENEWAL_INTERVAL;
         if self.election.should_campaign(now) {
             self.campaign(now, out);
         }
@@ -146,7 +149,7 @@
         self.update_leadership(now, out);
     }
 
-    /// Takes an authenticated message of another process; bytes that are no message are ignored.
+    /// Handles an authenticated message of another process. Bytes that cannot be decoded are ignored.
     pub fn handle_message(
         &mut self,
         now: Duration,
@@ -163,8 +166,8 @@
         }
     }
 
-    /// Releases the vote and the lease; nothing is sent or taken afterwards. Only for a process that no longer uses any
-    /// quota.
+    /// Releases the vote and the lease. This member sends and handles nothing afterwards. To be called once the process no
+    /// longer uses any quota.
     pub fn leave(&mut self, now: Duration, out: &mut Vec<Action>) {
         if self.left {
             return;
@@ -182,7 +185,7 @@
         self.left = true;
     }
 
-    /// Requests votes, or releases those of a vote that brought no majority.
+    /// Requests votes, or releases the promises of a vote that got no majority.
     fn campaign(&mut self, now: Duration, out: &mut Vec<Action>) {
         let wait_ms = self.random.next_u64() % MAX_CAMPAIGN_WAIT_MS;
         let wait = Duration::from_millis(wait_ms);
@@ -200,6 +203,7 @@
         self.send_to_voters(now, &message, out);
     }
 
+    /// Requests a lease from the leader or the next voter, and reports the observations of this member.
     fn request_lease(&mut self, now: Duration, out: &mut Vec<Action>) {
         let is_leader = self.election.leader_since(now).is_some();
         let voters = self.election.voters();
@@ -216,7 +220,7 @@
         let request = Message::LeaseRequest {
             number,
             roster: self.roster_digest,
-            observations: latest(observations.collect()),
+            observations: latest_observations(observations.collect()),
         };
         self.send(now, to, request, out);
     }
@@ -280,7 +284,8 @@
         }
     }
 
-    /// As leader, which is checked now by this process's own clock. `observations` is `None` where the rosters differ.
+    /// Answers a lease request with a lease if this process is still leader by its own clock, else with
+    /// [`Message::NotLeader`]. `observations` is `None` where the sender has another roster; it gets no lease.
     fn answer_lease_request(
         &mut self,
         now: Duration,
@@ -290,9 +295,10 @@
         out: &mut Vec<Action>,
     ) -> Message {
         self.update_leadership(now, out);
-        let granted = observations.and_then(|seen| self.issuer.grant(now, to, number, seen));
+        let granted =
+            observations.and_then(|observations| self.issuer.grant(now, to, number, observations));
         match granted {
-            Some(Granted {
+            Some(LeaseGrant {
                 leased_ppm,
                 reports,
             }) => Message::LeaseGranted {
@@ -308,7 +314,7 @@
         }
     }
 
-    /// A message to this member itself is handled at once.
+    /// Sends a message. A message to this member itself is handled immediately.
     fn send(&mut self, now: Duration, to: NameKey, message: Message, out: &mut Vec<Action>) {
         match to == self.own.name {
             true => self.dispatch(now, self.own, message, out),
@@ -325,6 +331,7 @@
         }
     }
 
+    /// Whether the sender has the same roster; reports each member with another roster once until it has the same again.
     fn same_roster(&mut self, from: Process, digest: u32, out: &mut Vec<Action>) -> bool {
         let same = digest == self.roster_digest;
         if same {
@@ -335,6 +342,7 @@
         same
     }
 
+    /// Begins or ends the issuing of leases with the leadership, and reports the change.
     fn update_leadership(&mut self, now: Duration, out: &mut Vec<Action>) {
         let leader_since = self.election.leader_since(now);
         if let Some(is_leader) = self.issuer.set_leader_since(leader_since) {
@@ -342,6 +350,7 @@
         }
     }
 
+    /// Returns a new request number.
     fn next_request(&mut self) -> RequestNumber {
         self.latest_request.0 += 1;
         self.latest_request
--- a/crates/quota-lease/src/storage.rs
+++ b/crates/quota-lease/src/storage.rs
@@ -1,31 +1,31 @@
-//! What a service keeps on disk, and why that can fail.
+//! The entries that a service stores on disk, and the errors of storing them.
 
-/// Names and values that were on disk.
+/// Names and values of the entries stored on disk.
 pub type StoredEntries = Vec<(Vec<u8>, Vec<u8>)>;
 
-/// Why something is not on disk.
+/// Why an entry could not be stored or loaded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StorageError {
-    /// No space is left; writes succeed again once there is some.
+    /// The disk is full. Writes succeed again once there is free space.
     #[error("the disk is full")]
     Full,
-    /// The file cannot be read or written, or holds what was never written.
-    #[error("what is kept cannot be written: {0}")]
+    /// The storage file cannot be read or written, or is corrupt.
+    #[error("storage file error: {0}")]
     Io(String),
-    /// The settings name no file.
-    #[error("there is no disk to keep it on")]
+    /// No storage file is configured.
+    #[error("no storage file is configured")]
     NoDisk,
 }
 
 impl StorageError {
-    /// What an operator can do.
+    /// What an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            StorageError::Full => "free space on the disk that holds the kept files; it goes on by itself",
+            StorageError::Full => "free space on the disk of the storage files; writes then resume without a restart",
             StorageError::Io(_) => {
-                "look at the disk and the rights of the kept files' folder, then start the process again"
+                "check the disk and the permissions of the storage directory, then restart the process"
             }
-            StorageError::NoDisk => "name a file under 'kept' in the settings to let this survive a restart",
+            StorageError::NoDisk => "set a file under 'kept' in the settings to store this state across restarts",
         }
     }
 }
