--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -9,8 +9,8 @@
 use crate::member::{Id, NameKey};
 use crate::view::State;
 
-/// Time after which a suspected member is declared down here, without the failure detector. `foca` drops its suspicion
-/// timers when the own member rejoins, and a suspect that is never notified cannot refute the suspicion.
+/// Time after which a suspected member is declared down even if the failure detector has not done so. `foca` drops its
+/// suspicion timers when this member rejoins, and a suspect that is never notified cannot refute the suspicion.
 const MAX_SUSPICION: Duration = Duration::from_millis(2_000);
 
 /// The recorded state of one member.
--- a/crates/membership/src/protocol.rs
+++ b/crates/membership/src/protocol.rs
@@ -19,7 +19,7 @@
 use crate::quorum::QuorumState;
 use crate::quorum_tracker::QuorumTracker;
 use crate::roster::Roster;
-use crate::suspicion::SuspicionConfirmations;
+use crate::suspicion::SuspectNotifications;
 use crate::timers::Timers;
 use crate::view::{MemberView, RejectCounts, State, View};
 
@@ -30,7 +30,7 @@
 /// Length of a pause after which peers count as present only once something is received from them again, because they
 /// may have declared this member down meanwhile.
 const DISTRUST_AFTER_PAUSE: Duration = Duration::from_millis(900);
-/// Time that it takes to read the datagrams that were queued in the socket during a pause.
+/// Time allowed after a pause for reading the datagrams that were queued in the socket meanwhile.
 const SOCKET_DRAIN_TIME: Duration = Duration::from_millis(200);
 /// Length of the payload of [`Kind::Replaced`], bytes: the name's short form and the later start.
 const REPLACED_BYTES: usize = 12;
@@ -49,7 +49,7 @@
     },
     /// The quorum state has changed.
     QuorumState(QuorumState),
-    /// This process was paused for this long; the deadlines of all peers are extended by that time.
+    /// This process was paused for this long. The deadlines of pending probes and suspicions are extended by that time.
     Paused(Duration),
     /// Peers had declared this member down, and it has rejoined with this start.
     Rejoined(Start),
@@ -85,7 +85,7 @@
     pub(crate) detector: Detector,
     pub(crate) runtime: AccumulatingRuntime<Id>,
     pub(crate) signer: Signer,
-    pub(crate) confirmations: SuspicionConfirmations,
+    pub(crate) suspect_notifications: SuspectNotifications,
     verifier: Verifier,
     rejected: RejectCounts,
     roster: Roster,
@@ -135,7 +135,7 @@
             detector: Foca::new(own, detector_config(), random, codec),
             runtime: AccumulatingRuntime::new(),
             signer: Signer::new(secret, name, process),
-            confirmations: SuspicionConfirmations::default(),
+            suspect_notifications: SuspectNotifications::default(),
             verifier: Verifier::default(),
             rejected: RejectCounts::new(),
             table,
@@ -164,7 +164,7 @@
             self.timers.next_at(),
             self.quorum.settles_at(),
             self.table.suspect_until(),
-            self.confirmations.next(),
+            self.suspect_notifications.next(),
         ];
         due.into_iter().flatten().min()
     }
@@ -293,7 +293,7 @@
                 ..
             }) = output
             {
-                self.confirmations.begin(now, *name);
+                self.suspect_notifications.begin(now, *name);
             }
         }
         self.notify_suspects(now, out);
@@ -309,10 +309,9 @@
         }
     }
 
-    /// After a pause of this process, extends all timers and suspicions by the length of the pause.
+    /// After a pause of this process, extends all timers and suspicions by the length of the pause and [`PAUSE_THRESHOLD`].
     ///
-    /// Acknowledgements may still be queued in the socket, so that members whose timers have expired during the pause may be
-    /// alive.
+    /// Acknowledgements may still be queued in the socket, so members whose probes seem to have timed out may be alive.
     fn compensate_pause(&mut self, now: Duration, out: &mut Vec<Output>) {
         let due = self.timers.next_at();
         let Some(late) = due.and_then(|at| now.checked_sub(at)) else {
@@ -392,7 +391,7 @@
                 start: change.id.start,
             }));
             if change.state != State::Suspect {
-                self.confirmations.end(change.id.name);
+                self.suspect_notifications.end(change.id.name);
             }
         }
     }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -29,7 +29,7 @@
     /// Two names have the same short form ([`NameKey`]).
     #[error("the names '{0}' and '{1}' have the same 32-bit hash; rename one of the two members")]
     KeyCollision(String, String),
-    /// The roster is empty or has more than [`MAX_ROSTER`] members.
+    /// The roster is empty or has more than 1000 members.
     #[error("a roster of {0} members; expected 1 to {MAX_ROSTER}")]
     Size(usize),
 }
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -17,17 +17,17 @@
 
 /// Time between two notifications of the same suspect.
 const NOTIFY_INTERVAL: Duration = Duration::from_millis(150);
-/// Maximum number of suspects that are notified at the same time. A member whose own network fails may suspect all others,
-/// and notifying them all would not help.
+/// Maximum number of suspects that are notified at the same time. A member that suspects more probably has a network fault
+/// of its own.
 const MAX_NOTIFIED: usize = 32;
 
 /// The members that did not acknowledge a probe of this member, and the time of the next notification to each.
 #[derive(Default)]
-pub(crate) struct SuspicionConfirmations {
+pub(crate) struct SuspectNotifications {
     due: BTreeMap<NameKey, Duration>,
 }
 
-impl SuspicionConfirmations {
+impl SuspectNotifications {
     pub(crate) fn begin(&mut self, now: Duration, suspect: NameKey) {
         if self.due.len() < MAX_NOTIFIED {
             self.due.entry(suspect).or_insert(now);
@@ -77,7 +77,7 @@
 impl Membership {
     /// Notifies the suspects whose next notification is due.
     pub(crate) fn notify_suspects(&mut self, now: Duration, out: &mut Vec<Output>) {
-        for name in self.confirmations.take_due(now) {
+        for name in self.suspect_notifications.take_due(now) {
             let known = self
                 .detector
                 .iter_membership_state()
@@ -90,7 +90,7 @@
                         self.signer.sign(Kind::Suspicion, &payload),
                     ));
                 }
-                None => self.confirmations.end(name),
+                None => self.suspect_notifications.end(name),
             }
         }
     }
--- a/crates/quota-lease/src/leader_election.rs
+++ b/crates/quota-lease/src/leader_election.rs
@@ -1,9 +1,9 @@
 //! Leader election: the promise of a voter and the vote of a candidate.
 //!
-//! A voter promises its vote to one process for the time [`LEASE`], and to no other until the promise has expired. A
+//! A voter promises its vote to one process for the time [`VOTE_PROMISE`], and to no other until the promise has expired. A
 //! process that holds unexpired promises from more than half of the voters is leader. Any two majorities share a voter, so
 //! there are never two leaders. Voters store nothing on disk. A voter that has just started promises nothing for the time
-//! [`LEASE`], because it may have made a promise before it restarted.
+//! [`VOTE_PROMISE`], because it may have made a promise before it restarted.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,14 +13,14 @@
 use crate::{usable, Process, RequestNumber};
 
 /// Time for which a voter promises its vote, by its own clock.
-pub const LEASE: Duration = Duration::from_millis(1500);
+pub const VOTE_PROMISE: Duration = Duration::from_millis(1500);
 /// Maximum number of voters. With five, two may fail, and a candidate needs the answers of at most four others.
 const MAX_VOTERS: usize = 5;
 /// Time that a candidate waits longer before it campaigns for each voter before it in the order of names, so that not all
 /// campaign at once.
 const STAGGER: Duration = Duration::from_millis(200);
 
-/// The voters of a roster: its first members in the order of their short names, at most [`MAX_VOTERS`]. Their number is odd,
+/// The voters of a roster: its first members in the order of their short names, at most five. Their number is odd,
 /// because one more voter would not let more of them fail.
 pub fn voters(roster: &BTreeSet<NameKey>) -> Vec<NameKey> {
     let count = roster.len().min(MAX_VOTERS);
@@ -79,12 +79,12 @@
         LeaderElection {
             voters: voters(roster),
             own,
-            abstains_until: now + LEASE,
+            abstains_until: now + VOTE_PROMISE,
             promise: None,
             pending: None,
             leader_until: now,
             leader_since: None,
-            campaign_at: now + LEASE,
+            campaign_at: now + VOTE_PROMISE,
         }
     }
 
@@ -134,11 +134,11 @@
         }
         // This voter does not campaign while its promise lasts, so that the leader can renew it. The stagger time then lets
         // voters before it in the order campaign first.
-        self.campaign_at = now + LEASE + self.stagger();
+        self.campaign_at = now + VOTE_PROMISE + self.stagger();
         self.promise = Some(Promise {
             to: from,
             number,
-            until: now + LEASE,
+            until: now + VOTE_PROMISE,
         });
         Verdict::Granted
     }
@@ -161,7 +161,7 @@
     }
 
     /// As a candidate: whether to request votes now, because this voter's promise is to its own process and is to be renewed,
-    /// or because the voter has made no promise and [`LeaderElection::campaign_at`] has passed.
+    /// or because the voter has made no promise and its waiting time is over.
     pub fn should_campaign(&self, now: Duration) -> bool {
         let promise = self.current_promise(now);
         let own = promise.is_some_and(|promise| promise.to == self.own);
@@ -178,7 +178,8 @@
         });
     }
 
-    /// As a candidate: a voter has granted a vote request.
+    /// As a candidate: handles a voter's grant. With grants of more than half of the voters, this process is leader until their
+    /// promises expire.
     pub fn on_vote_granted(&mut self, now: Duration, voter: NameKey, number: RequestNumber) {
         let Some(vote) = &mut self.pending else {
             return;
@@ -187,7 +188,7 @@
             return;
         }
         vote.granted_by.insert(voter);
-        let until = vote.requested_at + usable(LEASE);
+        let until = vote.requested_at + usable(VOTE_PROMISE);
         if 2 * vote.granted_by.len() > self.voters.len() && now < until {
             // After its leadership has expired, another process may have been leader, so a new term begins.
             if now >= self.leader_until {
@@ -211,7 +212,7 @@
     /// Ends the leadership of this process at once. Returns the request number of the vote to release.
     pub fn step_down(&mut self, now: Duration) -> Option<RequestNumber> {
         self.leader_until = self.leader_until.min(now);
-        self.abandon_vote(now, LEASE)
+        self.abandon_vote(now, VOTE_PROMISE)
     }
 }
 
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -31,7 +31,7 @@
 
 pub use cluster_member::{ClusterMember, Datagram, Output};
 pub use cluster_service::{ClusterService, Peers, ServiceInput, ServiceOutput, MAX_FRAME};
-pub use leader_election::{voters, LeaderElection, Verdict, LEASE};
+pub use leader_election::{voters, LeaderElection, Verdict, VOTE_PROMISE};
 pub use lease_client::QuotaLease;
 pub use message::{DecodeError, Message, MAX_MESSAGE};
 pub use peer_reports::{
--- a/crates/quota-lease/src/message.rs
+++ b/crates/quota-lease/src/message.rs
@@ -20,7 +20,7 @@
 /// One message between two members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Requests a voter's promise for the time [`crate::LEASE`].
+    /// Requests a voter's promise for the time [`crate::VOTE_PROMISE`].
     VoteRequest {
         /// Number of the request.
         number: RequestNumber,
@@ -36,7 +36,7 @@
     VoteDenied {
         /// Number of the request.
         number: RequestNumber,
-        /// The process that holds the voter's promise, if there is one.
+        /// The process that holds the voter's promise, if there is one other than the candidate.
         leader: Option<NameKey>,
     },
     /// The candidate releases the promise that was granted for this request number or an earlier one.
@@ -59,7 +59,7 @@
         number: RequestNumber,
         /// The leased fraction of each quota, in millionths.
         leased_ppm: u32,
-        /// Number of members other than the receiver whose observations, possibly none, the leader has received.
+        /// Number of members, without the receiver, that have reported to the leader, even without any observation.
         members: u16,
         /// Summaries of their observations, at most [`MAX_REPORTS`].
         reports: Vec<PeerReport>,
--- a/crates/quota-lease/src/peer_reports.rs
+++ b/crates/quota-lease/src/peer_reports.rs
@@ -142,7 +142,7 @@
 /// The summary of the other members' observations for one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ReportsForMember {
-    /// Number of other members whose observations, possibly none, the leader stores.
+    /// Number of other members that have reported to the leader, even without any observation.
     pub members: u16,
     /// The reports, those with the most reporters first; at most [`MAX_REPORTS`].
     pub reports: Vec<PeerReport>,
--- a/crates/quota-lease/src/quota_member.rs
+++ b/crates/quota-lease/src/quota_member.rs
@@ -47,7 +47,7 @@
     Leader(bool),
     /// The other members' observations of model servers have been received.
     PeerReports {
-        /// Number of members, without this one, whose observations the leader stores.
+        /// Number of members, without this one, that have reported to the leader, even without any observation.
         members: u16,
         /// Summaries of their observations.
         reports: Vec<PeerReport>,
