--- a/crates/core/src/blocked_sends.rs
+++ b/crates/core/src/blocked_sends.rs
@@ -26,8 +26,8 @@
             .requests
             .get(&id)
             .filter(|r| !r.answered && r.attempt.is_none());
-        // A held KV cache occupies memory at its prefill server, so it limits the wait whatever time the request has
-        // left.
+        // A KV cache that a prefill server holds for the request occupies memory there, so the blocked send waits no
+        // longer than this for the coordinator's permission, even if the request's deadline is later.
         let kv_hold_ends =
             now.after(self.settings.rules.kv_hold_limit_s * BLOCKED_SEND_KV_HOLD_FRACTION);
         let wait_ends = |r: &Request| {
--- a/crates/core/src/budgets.rs
+++ b/crates/core/src/budgets.rs
@@ -107,7 +107,8 @@
     }
 }
 
-/// The charges issued for a request so far.
+/// The charges that this dispatcher has issued for one request, each stating the tokens to be charged to the tenant. A
+/// later charge replaces the earlier ones.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestCharges {
     /// Number of entries issued; the last entry's number.
--- a/crates/core/src/cluster_mode.rs
+++ b/crates/core/src/cluster_mode.rs
@@ -24,7 +24,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     quorum: Option<ObservedQuorum>,
-    /// Names of the members that were reachable at the last observation.
+    /// Names of the other members that this dispatcher's membership reported as reachable in its latest
+    /// [`crate::Input::QuorumState`].
     present: Vec<String>,
 }
 
--- a/crates/core/src/engine_messages.rs
+++ b/crates/core/src/engine_messages.rs
@@ -222,9 +222,9 @@
         }
     }
 
-    /// The values of a load report in the order of `reports.fields` in the settings; empty where a value is missing,
+    /// The values of a load report in the order of `reports.fields` in the settings; empty if a value is missing,
     /// negative or not finite. Values are rounded to `f32`, the precision of the simulator's protocol, so that the
-    /// decision module sees equal values over both.
+    /// decision module sees the same values whether a report comes in this protocol or in the simulator's.
     pub(crate) fn load_report_values(&self, load: Option<&Load>) -> Vec<f64> {
         let Some(load) = load else { return Vec::new() };
         let value = |f: &crate::settings::ReportField| {
--- a/crates/core/src/load_shedding.rs
+++ b/crates/core/src/load_shedding.rs
@@ -149,7 +149,8 @@
         }
     }
 
-    /// Records that a health check with this id is sent to a server for the cluster.
+    /// Records that this dispatcher is sending a server a health check with this id, whose result all dispatchers of
+    /// the cluster share.
     pub(crate) fn health_check_sent(&mut self, now: Micros, id: u64, server: u32) {
         self.shared_health_checks
             .retain(|_, check| now.since(check.sent_at) < HEALTH_CHECK_TIMEOUT_S);
--- a/crates/core/src/output_lengths.rs
+++ b/crates/core/src/output_lengths.rs
@@ -65,8 +65,8 @@
         })
     }
 
-    /// The report on a response that has ended, or whose client disconnected while it was running. For the latter,
-    /// whose server has reported no usage, the tokens are estimated from the text received so far.
+    /// The report on a response that has ended, or whose client disconnected before the end. After a disconnection the
+    /// server has reported no usage, so the output tokens are estimated from the text received so far.
     pub(crate) fn end_report(
         request: &Request,
         class: &str,
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -69,8 +69,8 @@
     /// Wire id of the prefill attempt that computed the KV cache.
     pub created_by: String,
     pub params: KvTransferParams,
-    /// The decision module asked for its release while an attempt was in flight: it is released when that attempt ends
-    /// without having fetched it.
+    /// Whether the decision module asked to release this KV cache while an attempt was in flight. If so, the KV cache
+    /// is released when that attempt ends, unless the attempt has fetched it.
     pub release_after_attempt: bool,
 }
 
--- a/crates/core/src/settings/limits.rs
+++ b/crates/core/src/settings/limits.rs
@@ -121,9 +121,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadMetric {
-    /// Number of requests running.
+    /// Number of requests that the model server is running when it sends the load report.
     Concurrent,
-    /// Number of requests waiting.
+    /// Number of requests waiting in the model server's queue when it sends the load report.
     Queue,
     /// Fraction of the batch slots in use, 0 to 1.
     #[serde(rename = "slot_share")]
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -68,7 +68,7 @@
     },
     /// A session's caller presented a new credential, which was verified.
     SessionRenewed {
-        /// The session that it was presented in.
+        /// The session that the credential was presented in.
         session: SessionId,
         /// The caller with the new expiry time.
         caller: Caller,
@@ -76,7 +76,7 @@
     /// A session's new credential was rejected.
     #[serde(rename = "RenewalRefused")]
     RenewalRejected {
-        /// The session that it was presented in.
+        /// The session that the credential was presented in.
         session: SessionId,
         /// Reason as a code for the client.
         code: String,
@@ -87,13 +87,13 @@
     /// How far the wall clock by which credentials expire is ahead of the machine's monotonic clock.
     #[serde(rename = "ProofTime")]
     CredentialClockOffset {
-        /// Microseconds; negative where it is behind.
+        /// Microseconds by which the wall clock is ahead; negative if it is behind.
         ahead_us: i64,
     },
     /// The quota server's response to [`Output::RequestBudgetLeases`].
     #[serde(rename = "Lent")]
     BudgetLeases {
-        /// Number of the request.
+        /// Number of the [`Output::RequestBudgetLeases`] that this response answers.
         number: u64,
         /// The leases granted; a tenant without one in the list is granted nothing now.
         #[serde(rename = "parts")]
@@ -103,7 +103,7 @@
     Rights(String),
     /// A text message of a client.
     SessionText {
-        /// The session that it came over.
+        /// The session that the message came over.
         session: SessionId,
         /// The message.
         text: String,
@@ -115,12 +115,12 @@
     },
     /// A requested connection is established.
     LinkUp {
-        /// The connection.
+        /// The connection to the model server.
         link: LinkId,
     },
     /// A requested connection could not be established.
     LinkFailed {
-        /// The connection.
+        /// The connection to the model server.
         link: LinkId,
         /// Cause, for logs.
         #[serde(rename = "why")]
@@ -128,14 +128,14 @@
     },
     /// A text message of a model server.
     LinkText {
-        /// The connection that it came over.
+        /// The connection that the message came over.
         link: LinkId,
         /// The message.
         text: String,
     },
     /// An established connection ended; messages sent over it may have arrived.
     LinkClosed {
-        /// The connection.
+        /// The connection to the model server.
         link: LinkId,
         /// Cause, for logs.
         #[serde(rename = "why")]
@@ -143,9 +143,9 @@
     },
     /// A message passed its [`SendDeadline`] before its first byte was written, so the server never received it.
     LinkUnsent {
-        /// The connection that it was for.
+        /// The connection that the message was for.
         link: LinkId,
-        /// Wire id of the attempt.
+        /// Wire id of the attempt that the message belongs to.
         attempt: String,
     },
     /// The state of the cluster's quorum as membership sees it.
@@ -163,7 +163,7 @@
     /// This dispatcher's lease on the quota that all dispatchers share, in addition to its unleased quota.
     #[serde(rename = "Part")]
     QuotaLease {
-        /// Leased fraction of the whole, from 0 to 1.
+        /// Leased fraction of the shared quota, from 0 to 1.
         #[serde(rename = "lent")]
         leased: f64,
         /// When the lease expires.
@@ -237,7 +237,7 @@
         link: LinkId,
         /// `address:port`.
         endpoint: String,
-        /// Listed name of the server, which it has to prove where links use TLS.
+        /// Name of the server in the server list. Where connections use TLS, the server has to prove that name.
         #[serde(default)]
         name: String,
     },
@@ -255,7 +255,7 @@
     /// Close a connection to a model server.
     #[serde(rename = "Hang")]
     CloseLink {
-        /// The connection.
+        /// The connection to the model server.
         link: LinkId,
     },
     /// Ask the quota server for leases on tenants' token rates.
@@ -278,7 +278,8 @@
     OutputLength(bitternlatch_output_length::Command),
     /// A command for the workflow coordinator.
     Workflow(bitternlatch_workflow::Command),
-    /// The charge for a request: emitted before its final answer, and again when its usage becomes known more exactly.
+    /// The charge for a request, emitted before the request's final answer, and again when the token usage becomes
+    /// known more exactly.
     Charge(Entry),
     /// A log line.
     Log {
@@ -295,9 +296,9 @@
 /// [`Input::LinkUnsent`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SendDeadline {
-    /// Longest wait before its first byte is written, seconds.
+    /// Longest time that the message may wait before its first byte is written, seconds.
     #[serde(rename = "after_s")]
     pub max_wait_s: f64,
-    /// Wire id of the attempt.
+    /// Wire id of the attempt that the message belongs to.
     pub attempt: String,
 }
--- a/crates/overload/src/capacity.rs
+++ b/crates/overload/src/capacity.rs
@@ -10,14 +10,14 @@
 const INCREASE_TIME_S: f64 = 0.5;
 /// Time constant with which the capacity estimate falls towards the completion rate, seconds.
 const DECREASE_TIME_S: f64 = 0.7;
-/// Bounds of the capacity estimate as a multiple of the servers' total weight.
+/// Bounds of the capacity estimate, work per second as a multiple of the total weight of the ready servers that can prefill.
 const MIN_CAPACITY_PER_WEIGHT: f64 = 0.05;
 const MAX_CAPACITY_PER_WEIGHT: f64 = 50.0;
-/// Time to first token, as a fraction of its objective, above which the target backlog shrinks.
+/// Time to first token, as a fraction of the latency objective, above which the target backlog shrinks.
 const MAX_TTFT_RATIO: f64 = 0.4;
 /// Limit on the queue that servers report, as a multiple of the dispatchers' own count of waiting work.
 const MAX_REPORTED_BACKLOG_RATIO: f64 = 2.0;
-/// Rate at which the capacity estimate approaches the dispatchers' median, per second.
+/// Rate at which this dispatcher's capacity estimate approaches the median of all dispatchers' estimates, per second.
 const CONSENSUS_RATE_PER_S: f64 = 1.0;
 /// Time for which servers must have been busy before the completion rate counts as their capacity, seconds.
 const LEARNING_TIME_S: f64 = 0.4;
--- a/crates/overload/src/gate.rs
+++ b/crates/overload/src/gate.rs
@@ -1,5 +1,5 @@
-//! Decides on each request of this dispatcher whether to admit it, by the admission threshold received last and for as long as that is
-//! valid, and measures the load for the other dispatchers.
+//! Decides on each request of this dispatcher whether to admit it, by the admission threshold received last, for as long as that threshold
+//! is valid. Measures this dispatcher's load for the load report to the other dispatchers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 use crate::returns::RetryAfterSchedule;
 use crate::window::DecayingRate;
 
-/// Decay time of the measured demand.
+/// Time constant with which the measured demand decays.
 const DEMAND_DECAY: Duration = Duration::from_millis(500);
-/// Decay time of the measured admissions, completions and times to first token.
+/// Time constant with which the measured admissions, completions and times to first token decay.
 const ADMITTED_DECAY: Duration = Duration::from_millis(1000);
 /// Interval between two measurements of the local load.
 const LOAD_INTERVAL: Duration = Duration::from_millis(100);
@@ -32,9 +32,9 @@
 const TENANT_BURST_S: f64 = 2.0;
 /// Levels by which a request over its tenant's quota is lowered.
 const OVER_QUOTA_LEVELS: u8 = LEVELS as u8 / 2;
-/// Burst allowance of a dispatcher without a valid threshold, seconds of its part of the capacity.
+/// Burst allowance of a dispatcher without a valid threshold, seconds of its even part of the servers' last known capacity.
 const ISOLATED_BURST_S: f64 = 0.3;
-/// Lower bound of the capacity reserved for retries, as a fraction of the known capacity.
+/// Lower bound of the capacity reserved for retries at a dispatcher, as a fraction of the dispatcher's even part of the servers' capacity.
 const MIN_RETRY_SHARE: f64 = 0.02;
 
 /// A request on whose admission has to be decided.
@@ -107,13 +107,14 @@
     /// Number of dispatchers on the cluster's roster.
     roster: usize,
     threshold: Option<AdmissionThreshold>,
-    /// Work of all new requests by priority level, admitted or not.
+    /// Work, per second, of all requests that are not retries, whether admitted or not, by priority level; recent requests weigh most.
     demand: Vec<DecayingRate>,
     admitted: DecayingRate,
     completed: DecayingRate,
-    /// Sum of work times time to first token as a fraction of its objective.
+    /// Work, per second, of the requests whose first token was received, each multiplied by its time to first token as a fraction of its
+    /// latency objective.
     weighted_ttft: DecayingRate,
-    /// Work of the requests in `weighted_ttft`.
+    /// Work, per second, of the requests in `weighted_ttft`.
     ttft_weights: DecayingRate,
     /// Work of the admitted requests that wait for their first token.
     backlog: f64,
@@ -200,7 +201,7 @@
             + output / self.settings.write_tokens_per_s
     }
 
-    /// Counts the request for its tenant, and returns whether that exceeds this dispatcher's part of the tenant's quota.
+    /// Counts the request for its tenant, and returns whether the request exceeds this dispatcher's part of the tenant's quota.
     fn is_over_quota(&mut self, now: Duration, request: &AdmissionRequest) -> bool {
         if !request.quota_rps.is_finite() {
             return false;
@@ -269,15 +270,17 @@
         })
     }
 
-    /// Whether a rank is admitted now. While the threshold is valid it decides, and rises if the backlog exceeds its limit. Afterwards
-    /// this dispatcher admits only its part of the last known capacity, which is safe whatever the others do.
+    /// Whether a request of this rank is admitted now. While the threshold is valid, it is compared with the rank, after being raised if
+    /// the backlog exceeds `max_backlog`. Once the threshold has expired, this dispatcher admits only its even part of the last known
+    /// capacity, which is safe whatever the other dispatchers do.
     fn passes_threshold(&mut self, now: Duration, rank: f64, work: f64) -> bool {
         match self.threshold.as_ref() {
             Some(threshold) if now < threshold.valid_until => {
                 let excess = ((self.backlog + work) / threshold.max_backlog.get().max(1e-6) - 1.0)
                     .clamp(0.0, 1.0);
                 let bound = threshold.rank.get() + (LEVELS as f64 - threshold.rank.get()) * excess;
-                // A dispatcher without backlog admits a request above the threshold however large it is.
+                // If none of this dispatcher's admitted requests waits for its first token, a request of the threshold's rank or a higher
+                // one is admitted even if its work alone exceeds `max_backlog`.
                 rank >= bound || threshold.rank.get() <= rank && self.backlog == 0.0
             }
             expired => {
@@ -313,7 +316,7 @@
         self.retry_after.delay_s(now, work, retry_capacity)
     }
 
-    /// Whether an attempt may repeat this much work now; if so it is charged to the retry budget.
+    /// Whether an attempt may repeat this much work now; if so, the work is charged to the retry budget.
     pub fn may_retry(&mut self, now: Duration, work: f64) -> bool {
         let allowed = self
             .retry_budget
--- a/crates/overload/src/io.rs
+++ b/crates/overload/src/io.rs
@@ -76,7 +76,7 @@
 /// Work is in seconds of a server of weight 1.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LocalLoad {
-    /// Work of all new requests by priority level, admitted or not, per second.
+    /// Work, per second, of all requests that are not retries, whether admitted or not, by priority level.
     pub demand: Vec<Millionths>,
     /// Work of admitted requests per second.
     #[serde(rename = "taken")]
@@ -88,13 +88,13 @@
     /// Mean work of the requests in `backlog`; 0 without any.
     #[serde(rename = "each")]
     pub mean_request_work: Millionths,
-    /// Work queued at servers by their own load reports.
+    /// Work queued at all servers according to the servers' own load reports.
     #[serde(rename = "waits")]
     pub queued_at_servers: Millionths,
     /// Total weight of the ready servers that can prefill.
     #[serde(rename = "hosts")]
     pub server_weight: Millionths,
-    /// Mean time to first token as a fraction of its objective, weighted by work.
+    /// Mean time to first token as a fraction of the latency objective, weighted by the requests' work.
     #[serde(rename = "delay")]
     pub ttft_ratio: Millionths,
     /// Admitted work of the last 5 s that retries nothing.
@@ -133,7 +133,8 @@
         #[serde(rename = "host")]
         server: u32,
     },
-    /// Consecutive attempts of this dispatcher at a server failed, or a server with limited attempts answered one.
+    /// Several consecutive attempts of this dispatcher at a server failed, or a server whose attempts in flight are limited by
+    /// [`Event::RecoveryLimit`] answered one.
     #[serde(rename = "Tried")]
     AttemptEnded {
         #[serde(rename = "host")]
--- a/crates/overload/src/machine.rs
+++ b/crates/overload/src/machine.rs
@@ -30,7 +30,7 @@
 const MAX_FAILURE_RECIPIENTS: usize = 64;
 /// Interval between two status lines in the log.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// Weight of the other dispatchers' mean threshold in this dispatcher's own.
+/// Weight of the other dispatchers' mean threshold in each update of this dispatcher's own threshold.
 const PEER_THRESHOLD_WEIGHT: f64 = 0.5;
 /// Fraction of the capacity that is reserved for retries of rejected requests.
 const RETRY_CAPACITY_SHARE: f64 = 0.1;
--- a/crates/overload/src/probes.rs
+++ b/crates/overload/src/probes.rs
@@ -159,16 +159,16 @@
         fits.then(|| self.servers.entry(server).or_default())
     }
 
-    /// The server's latest report and its age, if it is young enough to be reused.
+    /// The server's latest report and its age, if the report is younger than [`HEALTH_CHECK_INTERVAL`] and so may be reused.
     fn recent_report(state: &ServerState, now: Duration) -> Option<(Duration, Vec<Millionths>)> {
         let (at, report) = state.report.as_ref()?;
         let age = now.saturating_sub(*at);
         (age < HEALTH_CHECK_INTERVAL).then(|| (age, report.clone()))
     }
 
-    /// This dispatcher's core requests a server's report. `others` are the reachable dispatchers; if they are not known, this
-    /// dispatcher sends the health checks itself, at an interval longer by the size of the roster, so that a cluster whose members all
-    /// do so sends no more of them.
+    /// This dispatcher's core requests a server's report. `others` are the other reachable dispatchers; if they are not known, this
+    /// dispatcher sends the health checks itself, at [`HEALTH_CHECK_INTERVAL`] times `roster`, the number of dispatchers in the cluster. If
+    /// all dispatchers do so, the server still gets no more than one health check per [`HEALTH_CHECK_INTERVAL`] on average.
     pub fn request(
         &mut self,
         now: Duration,
--- a/crates/overload/src/repeats.rs
+++ b/crates/overload/src/repeats.rs
@@ -21,8 +21,8 @@
 }
 
 impl RetryBudget {
-    /// `unleased_share` is the fraction of the cluster's budget that this dispatcher may spend even when it knows nothing of the
-    /// others.
+    /// `unleased_share` is the fraction of the cluster's retry budget that this dispatcher may spend without a lease, even when it knows
+    /// nothing of the other dispatchers.
     pub fn new(unleased_share: f64) -> RetryBudget {
         RetryBudget {
             unleased_share,
@@ -41,9 +41,11 @@
         (self.new_work.sum(now), self.retry_work.sum(now))
     }
 
-    /// Whether this much work may be retried now; if so it is charged to the budget. Leases and the threshold are checked against
-    /// `now`: an expired lease counts as none, and the cluster's new work counts until the threshold expires. While the cluster
-    /// rejects nothing, a retry is allowed whatever its size if the window holds no other.
+    /// Whether this dispatcher may retry this much work at `now`; if so, the work is charged to the retry budget. The dispatcher may spend
+    /// its unleased fraction of the cluster's budget and, until the lease given in `threshold` expires, the leased fraction too. The
+    /// cluster's budget is a tenth of the work, other than retries, that the cluster admitted in the last 5 s as given in a valid
+    /// `threshold`, or of that which this dispatcher itself admitted if that is more or `threshold` has expired. If this dispatcher has
+    /// charged no retry in the last 5 s, a retry of any size is allowed, unless a valid threshold rejects requests.
     pub fn try_spend(
         &mut self,
         now: Duration,
--- a/crates/overload/src/sums.rs
+++ b/crates/overload/src/sums.rs
@@ -31,7 +31,7 @@
 /// The load of the whole cluster. Work is in seconds of a server of weight 1, rates are per second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClusterTotals {
-    /// Sum of the work of all new requests by priority level, admitted or not, per second.
+    /// Sum of the work, per second, of all requests that are not retries, whether admitted or not, by priority level.
     pub demand: Vec<f64>,
     /// Sum of the work admitted per second.
     pub admitted: f64,
@@ -43,15 +43,15 @@
     pub new_work: f64,
     /// Sum of the work of the last 5 s that was charged to the retry budget.
     pub retry_work: f64,
-    /// Median over the dispatchers with a backlog of the mean work of a waiting request.
+    /// Median, over the dispatchers with a backlog, of the mean work of the requests that wait for their first token.
     pub mean_request_work: f64,
-    /// Median of the work queued at servers by the servers' load reports.
+    /// Median, over the dispatchers' reports, of the work that is queued at all servers according to the servers' own load reports.
     pub queued_at_servers: f64,
-    /// Median of the total weight of the ready servers that can prefill.
+    /// Median, over the dispatchers' reports, of the total weight of all ready servers that can prefill.
     pub server_weight: f64,
-    /// Median of the time to first token as a fraction of its objective.
+    /// Median, over the dispatchers' reports, of the mean time to first token as a fraction of the latency objective.
     pub ttft_ratio: f64,
-    /// Median of the estimates of the work that the servers can do per second.
+    /// Median, over the dispatchers' reports, of the estimated work that all servers together can do per second.
     pub capacity: f64,
     /// Weighted mean of the other dispatchers' thresholds.
     pub threshold: f64,
--- a/crates/overload/src/trials.rs
+++ b/crates/overload/src/trials.rs
@@ -1,5 +1,6 @@
-//! Attempts at a server that failed: of the dispatchers that saw it fail one at a time may try it, with a limit on attempts in flight
-//! that grows only by success.
+//! Recovery trials: the attempts that dispatchers make at a server that failed lately, to find out whether the server works again. Of the
+//! dispatchers that saw the server fail, only one at a time makes such attempts, and only up to a limit on attempts in flight that doubles
+//! with each answer. The server counts as recovered once the limit reaches a fixed number.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,11 +9,11 @@
 
 use crate::probes::{responsible_member, HealthCheckMessage};
 
-/// How long a dispatcher's report that a server failed counts.
+/// How long after a dispatcher reported that a server failed the report counts.
 const FAILURE_LIFETIME: Duration = Duration::from_secs(6);
-/// How long a limit on attempts is valid.
+/// How long a limit on attempts in flight at a server is valid after it was computed.
 const LIMIT_LIFETIME: Duration = Duration::from_millis(900);
-/// Number of attempts in flight from which on a server that answers counts as recovered.
+/// Limit on attempts in flight from which on a server that answers counts as recovered and is no longer limited.
 const RECOVERED_IN_FLIGHT: u32 = 8;
 /// Minimum interval between two messages to the others about the same failed server.
 const MESSAGE_INTERVAL: Duration = Duration::from_millis(500);
@@ -21,14 +22,14 @@
 /// Number of dispatchers that are remembered per failed server.
 const MAX_REPORTERS: usize = 1024;
 
-/// The recovery of a failed server.
+/// The recovery trial of one failed server.
 #[derive(Debug, Default)]
 struct Trial {
     /// The dispatchers that saw the server fail, and when that was last reported.
     reporters: BTreeMap<NameKey, Duration>,
     /// When this dispatcher last sent a message about the failure.
     sent_at: Option<Duration>,
-    /// Attempts that the dispatcher that tries the server may have in flight.
+    /// Number of attempts in flight at the server that are allowed to the one dispatcher that makes the trial.
     max_in_flight: u32,
 }
 
@@ -40,7 +41,7 @@
     pub until: Duration,
 }
 
-/// The servers that failed lately, and who tries them.
+/// The recovery trials of all servers that failed lately, as this dispatcher knows them.
 #[derive(Debug)]
 pub struct RecoveryTrials {
     own: NameKey,
@@ -79,8 +80,8 @@
         })
     }
 
-    /// The server answered an attempt of this dispatcher. Doubles its limit; once the server counts as recovered, returns the message
-    /// to send to the others.
+    /// The server answered an attempt of this dispatcher. Doubles the server's limit on attempts in flight; once the server counts as
+    /// recovered, returns the message to send to the other dispatchers.
     pub fn answered(&mut self, server: u32) -> Option<HealthCheckMessage> {
         let trial = self.servers.get_mut(&server)?;
         trial.max_in_flight = trial.max_in_flight.saturating_mul(2);
@@ -99,9 +100,9 @@
         }
     }
 
-    /// The limits for the servers that this dispatcher itself saw fail. A failure that only others report limits nothing here, so that
-    /// one dispatcher can't take a server away from the rest. `others` are the dispatchers that are reachable; without that knowledge
-    /// this dispatcher tries the server itself.
+    /// The limits for the servers that this dispatcher itself saw fail. A failure that only others report limits nothing here, so that one
+    /// dispatcher can't take a server away from the rest. `others` are the other dispatchers that are reachable, or `None` if that is
+    /// unknown; this dispatcher then makes the trial itself.
     pub fn limits(&mut self, now: Duration, others: Option<&[NameKey]>) -> Vec<RecoveryLimit> {
         let own = self.own;
         self.servers.retain(|_, t| {
--- a/crates/overload/src/word.rs
+++ b/crates/overload/src/word.rs
@@ -15,7 +15,7 @@
 pub struct LoadReport {
     /// Increases with each report of the same process.
     pub sequence: u64,
-    /// Work of all new requests by priority level, admitted or not, per second.
+    /// Work, per second, of all requests that are not retries, whether admitted or not, by priority level.
     pub demand: Vec<f64>,
     /// Work of admitted requests per second.
     pub admitted: f64,
@@ -25,11 +25,11 @@
     pub backlog: f64,
     /// Mean work of the requests in `backlog`; 0 without any.
     pub mean_request_work: f64,
-    /// Work queued at servers by their own load reports.
+    /// Work queued at all servers according to the servers' own load reports.
     pub queued_at_servers: f64,
     /// Total weight of the ready servers that can prefill.
     pub server_weight: f64,
-    /// Mean time to first token as a fraction of its objective.
+    /// Mean time to first token as a fraction of the latency objective, weighted by the requests' work.
     pub ttft_ratio: f64,
     /// Admitted work of the last 5 s that retries nothing.
     pub new_work: f64,
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -9,7 +9,9 @@
 use crate::http1::MAX_HEAD_BYTES;
 use crate::types::ConnId;
 
-/// Unfinished bytes of one client from which its next bytes trigger a check of the memory used by all clients.
+/// Least number of bytes buffered for a client's unfinished requests at which further bytes from this client trigger a
+/// check of the memory that the unfinished requests of all clients use. Unfinished requests are incomplete or wait
+/// behind an open request of the same connection.
 const MEMORY_CHECK_MIN_BYTES: usize = MAX_HEAD_BYTES;
 /// All client connections and their open requests.
 #[derive(Debug)]
--- a/crates/policy/src/choice/admission.rs
+++ b/crates/policy/src/choice/admission.rs
@@ -9,18 +9,20 @@
 /// Upper bound of the expected lateness, as a multiple of the estimated time to first token. The
 /// bound lets requests still try a server that appears idle.
 const MAX_LATENESS_RATIO: f64 = 2.0;
-/// Highest estimated time to first token at which a request is admitted, as a multiple of its
-/// latency objective.
+/// Highest estimated time to first token at which a request is admitted, as a multiple of the
+/// request's latency objective for the first token.
 const MAX_TTFT_RATIO: f64 = 1.2;
 /// Highest estimated time to first token at which a request over its tenant's quota is admitted, as
-/// a multiple of its latency objective.
+/// a multiple of the request's latency objective for the first token.
 const OVER_QUOTA_MAX_TTFT_RATIO: f64 = 0.35;
-/// Burst that a tenant's token bucket allows, in seconds of its quota.
+/// Burst that a tenant's token bucket allows, in seconds of this router's part of the tenant's
+/// quota.
 const QUOTA_BURST_S: f64 = 2.0;
 /// Requests added to a tenant's burst, because a handful of arrivals says little about the request
 /// rate.
 const QUOTA_BURST_REQUESTS: f64 = 3.0;
-/// Number of latest requests that are counted to detect a hot placement key.
+/// Number of latest requests in which the occurrences of a placement key (prompt prefix or session)
+/// are counted, to detect one that is used by many requests.
 const MAX_RECENT_KEYS: usize = 16;
 /// Half-life, in seconds, of the mean delay of first tokens beyond the estimate made at admission.
 const LATENESS_HALF_LIFE_S: f64 = 2.0;
--- a/crates/policy/src/choice/arrivals.rs
+++ b/crates/policy/src/choice/arrivals.rs
@@ -63,7 +63,8 @@
         set_timer(id, until, out);
     }
 
-    /// Counts a new request in the quota, key and slow-start statistics and creates its state.
+    /// Counts a new request in the tenant's quota, in the occurrences of its placement key and in
+    /// the slow-start statistics, and creates the request's state.
     fn register_arrival(&mut self, now: f64, request: Request, time_left_s: f64) -> RequestState {
         let objective_s = self.selector().latency_objective_s(&request);
         let over_quota = self.admission.is_over_quota(now, request.tenant);
--- a/crates/policy/src/choice/attempts.rs
+++ b/crates/policy/src/choice/attempts.rs
@@ -1,5 +1,6 @@
-//! Attempts in flight: sends attempts, cancels silent ones and releases held KV states in time.
-//! Only `send_attempt` emits [`Action::Send`].
+//! Attempts in flight: sends attempts, cancels silent ones (those whose server has sent nothing for
+//! longer than a limit) and releases held KV states before the hold limit. Only `send_attempt`
+//! emits [`Action::Send`].
 
 use super::prefill_choice::PrefillEstimate;
 use super::request_state::{RequestState, Stage};
@@ -7,7 +8,8 @@
 use super::{set_timer, Actions, Router, PROBE_WAIT_S};
 use crate::interface::{Action, Cause, RequestId, Role, ServerId};
 
-/// Fraction of the hold limit for which a held KV state may wait until a decode server can take it.
+/// Fraction of the limit on holding a KV state (`kv_hold_limit_s`) for which a held KV state may
+/// wait until a decode server can take it.
 const MAX_DECODE_WAIT_FRACTION: f64 = 0.5;
 /// Seconds from sending a decode attempt to its first token at an idle decode server, including the
 /// KV transfer.
--- a/crates/policy/src/choice/health.rs
+++ b/crates/policy/src/choice/health.rs
@@ -8,12 +8,13 @@
 /// Seconds added to the time lost by a failed attempt, for the network and queueing delay of the
 /// next attempt.
 const FAILURE_EXTRA_COST_S: f64 = 0.1;
-/// Half-life, in seconds, of the mean time lost by failures.
+/// Half-life, in seconds, of the mean time that failures lost per attempt.
 const FAILURE_HALF_LIFE_S: f64 = 2.0;
-/// Half-life, in seconds, of the delay beyond the prediction: about the time in which the requests
-/// in a queue are replaced by new ones.
+/// Half-life, in seconds, of the mean delay of answers beyond the prediction: about the time in
+/// which the requests in a queue are replaced by new ones.
 const EXCESS_HALF_LIFE_S: f64 = 0.7;
-/// Lowest mean time lost, in seconds, assumed for a server that peers report as failing.
+/// Lowest mean time lost per attempt, in seconds, assumed for a server that peers report as
+/// failing.
 const REPORTED_FAILURE_COST_S: f64 = 0.25;
 /// Seconds for which a peer report of a failing server stays valid.
 const REPORTED_FAILING_WINDOW_S: f64 = 3.0;
--- a/crates/policy/src/choice/held_states.rs
+++ b/crates/policy/src/choice/held_states.rs
@@ -8,8 +8,8 @@
 
 use crate::interface::{AttemptEnd, Outcome, ServerId};
 
-/// Fraction of the hold limit after which a KV state is released. The rest leaves time for the
-/// release to arrive.
+/// Fraction of the limit on holding a KV state (`kv_hold_limit_s`) after which the state is
+/// released. The rest leaves time for the release to arrive.
 const RELEASE_FRACTION: f64 = 0.9;
 
 /// A KV state that a prefill server is known to hold.
--- a/crates/policy/src/choice/load.rs
+++ b/crates/policy/src/choice/load.rs
@@ -19,14 +19,16 @@
     utilization: 0.1,
     other_requests: 0.0,
 };
-/// Weight of the newest load report in the mean report of its kind of server.
+/// Weight of the newest load report in the moving average of the load reports of one kind of
+/// server.
 const KIND_EWMA_WEIGHT: f64 = 0.25;
 /// Half-life, in seconds, of the weight of a server's own last report against the mean report of
-/// its kind.
+/// the server's kind.
 const REPORT_HALF_LIFE_S: f64 = 1.5;
 /// Half-life, in seconds, of the weight of a kind's mean report against the prior.
 const KIND_HALF_LIFE_S: f64 = 5.0;
-/// Half-life, in seconds, of the observed KV transfer delay over a cell's link.
+/// Half-life, in seconds, of the observed delay of KV transfers over a cell's link beyond the
+/// prediction.
 const LINK_HALF_LIFE_S: f64 = 2.0;
 /// Initial mean of the uncached prompt tokens per prefill. The running mean stands for prompts that
 /// the router does not know, such as those of other dispatchers.
@@ -50,7 +52,8 @@
 /// Cost, in seconds, of evicting answers that fill a server's whole memory; smaller evictions cost
 /// proportionally less.
 const FULL_EVICTION_COST_S: f64 = 100.0;
-/// Lower bound of one sample of a server's slowdown.
+/// Lower bound of one sample of a server's slowdown, the measured prefill time divided by the time
+/// estimated from the priors.
 const MIN_SLOWDOWN_SAMPLE: f64 = 0.3;
 /// Lower bound of the moving average of a server's slowdown.
 const MIN_SLOWDOWN: f64 = 0.6;
@@ -189,7 +192,8 @@
     pub elapsed_s: f64,
     /// Queueing time, in seconds, that was expected when the attempt was sent.
     pub queue_s: f64,
-    /// Fraction of its full capacity that the server had, lower while it warms up.
+    /// Estimated fraction of its full capacity that the server had at the end of the prefill; below
+    /// 1 while it warms up.
     pub capacity: f64,
 }
 
@@ -201,8 +205,8 @@
     report_fields: Vec<ReportField>,
     kinds: Vec<KindMeanReports>,
     typical: TypicalPrompt,
-    /// Delay of KV transfers beyond the prediction over a cell's link, by the cell of the prefill
-    /// server.
+    /// Delay, in seconds, of KV transfers beyond the prediction over a cell's link, by the cell of
+    /// the prefill server.
     link_delays: BTreeMap<u16, DecayingMean>,
 }
 
@@ -247,8 +251,8 @@
         mean.updated_at = now;
     }
 
-    /// Mean load of servers of the same kind that are warm, or warming, like this one. It falls
-    /// back to the prior as reports age.
+    /// Mean load of servers of the same kind that are warm, or warming, like this one. The mean
+    /// falls back to the prior as reports age.
     pub fn mean_load_of_kind(&self, server: &Server, capacity: f64, now: f64) -> LoadReport {
         let kind = &self.kinds[usize::from(server.entry.kind)];
         let (mean, prior) = if capacity < 1.0 {
@@ -260,8 +264,9 @@
         mean.report.blend(prior, weight)
     }
 
-    /// Estimated load of a server: its last report, weighted by age against the mean of its kind.
-    /// Without load reports, extrapolates this router's own load to all dispatchers.
+    /// Estimated load of a server: the server's last report, weighted by age against the mean of
+    /// the server's kind. Without load reports, extrapolates this router's own load to all
+    /// dispatchers.
     fn estimated_load(&self, server: &Server, capacity: f64, now: f64) -> LoadReport {
         let own_utilization = server.own_tokens(|memory| memory.mean) / server.memory_tokens;
         if self.report_mode == ReportMode::Off {
@@ -292,8 +297,10 @@
             / capacity
     }
 
-    /// Expected wait of an answer at a decode server, in seconds: short until memory is full, then
-    /// the time for the queue to be served.
+    /// Expected time, in seconds, that a request waits at a decode server before its decoding
+    /// starts: [`DECODE_WAIT_PER_UTILIZATION_S`] times the utilization, plus
+    /// [`DECODE_MEMORY_TURNOVER_S`] times the sum of the utilization above [`FULL_UTILIZATION`] and
+    /// the memory that queued requests need, as a fraction of the server's present capacity.
     pub fn decode_wait_s(&self, server: &Server, capacity: f64, now: f64) -> f64 {
         let utilization = self.utilization(server, capacity, now);
         let queued = self.estimated_load(server, capacity, now).other_requests
@@ -373,7 +380,8 @@
             .average_with(excess_s, now, LINK_HALF_LIFE_S);
     }
 
-    /// Returns the observed KV transfer delay, in seconds, for each cell's link that has one.
+    /// Returns the observed delay of KV transfers beyond the prediction, in seconds, for each
+    /// cell's link that has one.
     pub fn link_delays(&self, now: f64) -> impl Iterator<Item = (u16, f64)> + '_ {
         self.link_delays
             .iter()
--- a/crates/policy/src/choice/prefill_choice.rs
+++ b/crates/policy/src/choice/prefill_choice.rs
@@ -1,5 +1,10 @@
-//! Choice of the prefill server by the estimated time to first token and by the prefix replicas of
-//! a placement key.
+//! Choice of the prefill server by the estimated time to first token and by where the prompt's
+//! prefix is likely to be cached.
+//!
+//! A request's placement key is its prompt prefix or, without a shared prefix, its session. The
+//! prefix replicas of a placement key are the few prefill and mixed servers that rendezvous hashing
+//! assigns to the key. Requests with the key are preferably prefilled there, so that the other
+//! servers need not prefill and cache the same prefix.
 
 use super::hash::{hash_pair, unit_interval_53_bits};
 use super::load::DECODE_WAIT_PER_UTILIZATION_S;
@@ -12,24 +17,26 @@
 /// Rendezvous-hashing weight of a mixed server as a prefix replica. A prefill server has weight 1;
 /// a mixed server gets less because it also decodes.
 const MIXED_REPLICA_WEIGHT: f64 = 0.35;
-/// Lower bound of a draw before its logarithm is taken, so that the result is finite.
+/// Lower bound of a draw, a hash mapped to a number from 0 to 1, before its logarithm is taken, so
+/// that the result is finite.
 const MIN_DRAW: f64 = 1e-12;
-/// Fraction of the prompt beyond the shared prefix that the first replica is assumed to have cached
-/// from earlier turns of the session.
+/// Fraction of the prompt beyond the shared prefix that the first prefix replica is assumed to have
+/// cached from earlier turns of the session, if those were sent by other dispatchers.
 const SESSION_CACHED_FRACTION: f64 = 0.6;
 /// Up to this many dispatchers, each is assumed to know the sessions that it has served, so nothing
 /// is assumed cached from turns sent by others.
 const FEW_DISPATCHERS: f64 = 4.0;
 /// Lowest fraction of a prompt that a prefix replica is assumed to have cached.
 const MIN_CACHED_FRACTION: f64 = 0.1;
-/// Cost of a prefill to the requests behind it, as a multiple of its own time. Prefills that spill
-/// over to servers without a cached prefix take longer and prolong congestion.
+/// Delay that a prefill causes to requests that arrive at the server later, as a multiple of the
+/// prefill's own time. Prefills that spill over to servers without a cached prefix take longer and
+/// prolong congestion.
 const CONGESTION_WEIGHT: f64 = 1.0;
-/// Seconds by which a prefill at a decode server must be faster to be chosen, because it slows the
-/// answers running there.
+/// Seconds by which a prefill at a decode server must be faster than elsewhere to be chosen,
+/// because the prefill slows the answers running there.
 const DECODE_SERVER_PREFILL_PENALTY_S: f64 = 1.0;
-/// Rank of a server that is not a prefix replica of the key; each rank costs one
-/// [`TIE_BREAK_COST`].
+/// Rank, after the prefix replicas, of a server that is not a prefix replica of the request's
+/// placement key; each rank costs one [`TIE_BREAK_COST`].
 const NON_REPLICA_RANK: f64 = 2.0;
 
 /// Estimated times, in seconds, behind the choice of a prefill server.
@@ -218,7 +225,8 @@
         }
     }
 
-    /// Seconds by which a server in another zone must be faster to be chosen.
+    /// Seconds by which a server in another zone must be faster than one in the router's own zone
+    /// to be chosen; 0 for a server in the own zone.
     fn zone_cost_s(&self, server: &Server) -> f64 {
         if server.entry.zone == self.settings.zone {
             0.0
@@ -227,8 +235,8 @@
         }
     }
 
-    /// Seconds by which a later replica, or a server that is not a replica, must be faster to be
-    /// chosen.
+    /// Seconds by which a later prefix replica, or a server that is not a prefix replica, must be
+    /// faster than the first replica to be chosen.
     fn replica_rank_cost_s(
         &self,
         server: &Server,
--- a/crates/policy/src/choice/prefix_cache.rs
+++ b/crates/policy/src/choice/prefix_cache.rs
@@ -5,8 +5,8 @@
 use super::server::Server;
 use crate::interface::{Request, ServerId};
 
-/// Seconds after which a key that no server has prefilled again is forgotten. The rate at which
-/// servers evict is not known.
+/// Seconds after which a prefix or session that no server has prefilled again is forgotten. The
+/// rate at which servers evict cached prefixes is not known.
 const MAX_PREFIX_AGE_S: f64 = 120.0;
 
 /// What cached tokens are indexed by. The order of the variants has no meaning.
--- a/crates/policy/src/choice/request_state.rs
+++ b/crates/policy/src/choice/request_state.rs
@@ -41,9 +41,11 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct RequestState {
     pub request: Request,
-    /// Key that determines the request's prefix replicas.
+    /// Key that determines the request's prefix replicas, which are the servers where its prefix is
+    /// preferably prefilled and cached.
     pub placement_key: u64,
-    /// Fraction, from 0 to 1, of the latest requests that had the same placement key.
+    /// Fraction, from 0 to 1, of the latest requests at this router that had the same placement
+    /// key.
     pub recent_key_fraction: f64,
     pub memory: MemoryUse,
     pub deadline: f64,
--- a/crates/policy/src/choice/selection.rs
+++ b/crates/policy/src/choice/selection.rs
@@ -1,5 +1,10 @@
-//! Selection of servers from the router's components, without modifying them. This module holds
-//! what all candidates of a choice share.
+//! Selection of servers for requests. The selection reads the router's components and modifies none
+//! of them. This module holds what all candidates of a choice share.
+//!
+//! A silent attempt is one whose server has sent neither the end of the prefill nor a first token
+//! for longer than a limit, which is twice the expected time plus a fraction or multiple of the
+//! latency objective. An attempt is past due from the time at which its prefill end or first token
+//! was expected. Prefix replicas and placement keys are defined in `prefill_choice`.
 
 use std::collections::BTreeMap;
 
@@ -13,8 +18,9 @@
 use super::slow_start::{RoleCapacity, SlowStartInput, SlowStartLimiter};
 use crate::interface::{Effect, Request, Role, Settings};
 
-/// Scale of the random cost, in utilization or seconds, that spreads routers over servers of equal
-/// cost. It is also the cost, in seconds, of each later prefix replica.
+/// Upper bound of the random cost, in utilization or seconds, that spreads the choices of different
+/// routers over servers of equal cost. It is also the cost, in seconds, that each prefix replica
+/// after the first has over the one before.
 pub(super) const TIE_BREAK_COST: f64 = 0.05;
 /// Extra cost, in utilization, of a decode server in another cell; doubled for another zone and for
 /// a mixed server.
@@ -23,30 +29,36 @@
 const MIN_PREFIX_REPLICAS: usize = 2;
 /// Number of prefix replicas of a key, as a fraction of the ready prefill servers in the zone.
 const PREFIX_REPLICA_FRACTION: f64 = 0.1;
-/// Cost, in seconds, of a server that already failed the same request.
+/// Cost, in seconds, of sending a request again to the server of its latest attempt, because that
+/// attempt may have failed there.
 const SAME_SERVER_PENALTY_S: f64 = 1.0;
-/// Weight of a server's mean time lost by failures. It is above 1 because failures come in bursts.
+/// Factor from the mean time that recent failures at a server lost per attempt to the cost of the
+/// server. It is above 1 because failures come in bursts.
 const FAILURE_COST_WEIGHT: f64 = 4.0;
-/// Weight of a server's mean time lost by failures for a request that may not be retried.
+/// The factor [`FAILURE_COST_WEIGHT`] for a request that may not be retried.
 const AT_MOST_ONCE_FAILURE_COST_WEIGHT: f64 = 40.0;
-/// A server no longer counts as live when an attempt there is this many seconds past due and it has
-/// not answered any attempt for as long.
+/// A server no longer counts as live when an attempt there is this many seconds past due and the
+/// server has not answered any attempt for as long.
 const MAX_LIVE_SILENCE_S: f64 = 1.0;
-/// Time past due after which an attempt counts as silent, as a fraction of the latency objective,
-/// at a server that answered recently.
+/// Time, beyond twice the expected time of an attempt, after which the attempt counts as silent, as
+/// a fraction of the request's latency objective for the first token, at a server that had answered
+/// another attempt within [`RECENT_SUCCESS_WINDOW_S`] before this one was sent.
 const ACTIVE_SERVER_SILENCE_RATIO: f64 = 0.3;
-/// Time past due after which an attempt counts as silent, as a multiple of the latency objective,
-/// at a server that has not answered recently. The silence of a rarely used server proves little.
+/// Time, beyond twice the expected time of an attempt, after which the attempt counts as silent, as
+/// a multiple of the request's latency objective for the first token, at a server that had not
+/// answered another attempt within [`RECENT_SUCCESS_WINDOW_S`] before this one was sent. The
+/// silence of a rarely used server proves little.
 const INACTIVE_SERVER_SILENCE_RATIO: f64 = 1.5;
-/// Seconds after its last answer for which a server counts as having answered recently.
+/// Seconds after a server's last answer for which the server counts as having answered recently.
 const RECENT_SUCCESS_WINDOW_S: f64 = 4.0;
 
-/// Conditions of one cell: the wait at its decode servers and the delay of its link.
+/// Conditions of one cell: the wait at the cell's decode servers and the delay of its link to the
+/// other cells.
 #[derive(Debug, Default)]
 pub(super) struct DecodeConditions {
     /// Shortest wait, in seconds, at the cell's decode servers that may take the request.
     pub min_wait_s: Option<f64>,
-    /// Delay, in seconds, of KV transfers over the cell's link.
+    /// Delay, in seconds, of KV transfers over the cell's link beyond the predicted transfer time.
     pub link_s: f64,
 }
 
@@ -108,7 +120,8 @@
         class.ttft_objective_s + class.ttft_objective_per_token_s * request.prompt_tokens
     }
 
-    /// Seconds past due after which an attempt sent at clock time `sent_at` counts as silent.
+    /// Time, in seconds, beyond twice the expected time of an attempt, after which the attempt
+    /// counts as silent if it was sent at clock time `sent_at`.
     pub fn silence_threshold_s(&self, request: &Request, server: &Server, sent_at: f64) -> f64 {
         let ratio = if sent_at - server.health.last_success_at() < RECENT_SUCCESS_WINDOW_S {
             ACTIVE_SERVER_SILENCE_RATIO
@@ -123,13 +136,15 @@
         self.slow_start.capacity(server.entry.booted_at, now)
     }
 
-    /// Expected wait of an answer at a decode server, in seconds.
+    /// Expected time, in seconds, that a request waits at a decode server before its decoding
+    /// starts.
     pub fn decode_wait_s(&self, server: &Server, now: f64) -> f64 {
         let capacity = self.capacity(server, now);
         self.load.decode_wait_s(server, capacity, now)
     }
 
-    /// Time, in seconds, that the work of other dispatchers takes at a server.
+    /// Expected time, in seconds, that prefills of other dispatchers delay a new prefill at a
+    /// server.
     pub fn other_dispatchers_queue_s(&self, server: &Server, now: f64) -> f64 {
         let capacity = self.capacity(server, now);
         self.load.other_dispatchers_queue_s(server, capacity, now)
@@ -254,7 +269,8 @@
         }
     }
 
-    /// Delay, in seconds, of KV transfers over a cell's link; 0 if unknown.
+    /// Delay, in seconds, of KV transfers over a cell's link beyond the predicted transfer time; 0
+    /// if unknown.
     pub fn link_s(&self, cell: u16) -> f64 {
         self.cells
             .get(&cell)
--- a/crates/policy/src/choice/server.rs
+++ b/crates/policy/src/choice/server.rs
@@ -11,9 +11,11 @@
 /// Memory that a request holds at a server, in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct MemoryUse {
-    /// Mean memory over the request's run, in tokens.
+    /// Expected memory for prompt and output, in tokens, as the mean over the request's run at a
+    /// decode server.
     pub mean: f64,
-    /// Peak memory at the end of the request's run minus the mean, in tokens.
+    /// Memory, in tokens, that the request holds at the end of its run if its output reaches the
+    /// 90th percentile of the predicted length, less `mean`; 0 if no length is predicted.
     pub growth: f64,
 }
 
--- a/crates/policy/src/choice/slow_start.rs
+++ b/crates/policy/src/choice/slow_start.rs
@@ -1,9 +1,11 @@
-//! Slow start: limits the requests that are sent to a warming server.
+//! Slow start: limits the requests that are sent to a warming server. Prefix replicas and placement
+//! keys are defined in `prefill_choice`.
 
 use super::EWMA_WEIGHT;
 use crate::interface::{Role, SlowStart};
 
-/// Fraction of the overload factor that slow start uses; the rest is a safety margin.
+/// Fraction of [`SlowStart::overload_factor`] up to which slow start loads a warming server; the
+/// rest is a safety margin.
 const OVERLOAD_BUDGET_FRACTION: f64 = 0.8;
 /// Exponent by which the assumed capacity of a warming server grows over its warm-up: it is
 /// multiplied by e to this power, up to full capacity.
@@ -11,8 +13,8 @@
 /// Fraction of a warming prefill server's requests that have a placement key of which it is a
 /// prefix replica.
 const REPLICA_TRAFFIC_FRACTION: f64 = 0.6;
-/// Fraction of a role's peak response count that remains after each choice. The peak decays slowly
-/// for the sake of servers that return from an outage.
+/// Fraction of the peak response count of a role's servers that remains each time one of them is
+/// chosen. The peak decays slowly for the sake of servers that return from an outage.
 const PEAK_RETAINED_PER_CHOICE: f64 = 0.9;
 /// Responses per choice assumed before any response arrives, as if demand were twice the capacity.
 const INITIAL_RESPONSES_PER_CHOICE: f64 = 0.5;
@@ -21,7 +23,8 @@
 /// Lower bound of the capacity fraction assumed for a server.
 const MIN_CAPACITY: f64 = 0.05;
 
-/// Decaying count of the responses from servers of one role; it decays with each choice among them.
+/// Decaying count of the responses from servers of one role, and the peak of that count. Both decay
+/// each time a server of the role is chosen.
 #[derive(Clone, Copy, Debug)]
 struct ResponseRate {
     recent: f64,
@@ -84,8 +87,8 @@
         }
     }
 
-    /// Fraction of its full capacity that a server is estimated to have: grows linearly from its
-    /// start to the end of the warm-up.
+    /// Fraction of its full capacity that a server is estimated to have, which grows linearly from
+    /// the start of the server's process to the end of the warm-up.
     pub fn capacity(&self, booted_at: f64, now: f64) -> f64 {
         let settings = &self.settings;
         if booted_at <= 0.0 || now >= booted_at + settings.warm_after_s {
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -21,8 +21,8 @@
         /// Index of the attempt among those of its request, from 0.
         attempt: u16,
     },
-    /// Answer the client with a rejection, which tells it that a retry is harmless; this ends the
-    /// request.
+    /// Answer the client with a rejection, which tells the client that a retry is harmless; this
+    /// ends the request.
     Reject {
         /// The rejected request.
         request: RequestId,
@@ -58,7 +58,8 @@
     Unsubscribe,
     /// Fetch the complete endpoint list once.
     FetchList,
-    /// Reserve a slot and memory for a request at a decode server before its prefill has ended.
+    /// Reserve a slot and memory for a request at a decode server before the request's prefill has
+    /// ended.
     ReserveSlot {
         /// The request that the slot is for.
         request: RequestId,
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -2,12 +2,13 @@
 
 use super::{ListForm, RequestId, ServerEntry, ServerId};
 
-/// Expected length of an answer in tokens, capped by the request's output limit.
+/// Distribution of the length of an answer in tokens, estimated from answers to similar requests
+/// and capped by the request's output limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ExpectedTokens {
-    /// Mean of the expected length, tokens.
+    /// Mean length of answers to such requests, tokens.
     pub mean: f64,
-    /// 90th percentile of the expected length, tokens.
+    /// 90th percentile of the length of answers to such requests, tokens.
     pub p90: f64,
 }
 
@@ -16,9 +17,9 @@
 pub struct Request {
     /// Identifier of the request, which no earlier request had.
     pub id: RequestId,
-    /// Index of its class in [`Settings::classes`](super::Settings::classes).
+    /// Index of the request's class in [`Settings::classes`](super::Settings::classes).
     pub class: u16,
-    /// Index of its tenant in [`Settings::tenants`](super::Settings::tenants).
+    /// Index of the request's tenant in [`Settings::tenants`](super::Settings::tenants).
     pub tenant: u32,
     /// Key of the session that the request belongs to; 0 means none.
     pub session: u64,
--- a/crates/policy/src/interface/explanation.rs
+++ b/crates/policy/src/interface/explanation.rs
@@ -17,7 +17,8 @@
     NoRetryLeft,
     /// An attempt may have run, and requests of the class must not run twice.
     MayHaveRun,
-    /// The KV cache state was released, or would exceed its hold limit during another attempt.
+    /// The KV cache state was released, or would be held longer than
+    /// [`Settings::kv_hold_limit_s`](super::Settings::kv_hold_limit_s) during another attempt.
     StateExpired,
     /// The client's deadline had come, or no further attempt could meet it.
     Deadline,
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -109,12 +109,13 @@
 pub struct SlowStart {
     /// Least fraction of its full capacity that a server has right after its start.
     pub start_capacity: f64,
-    /// Multiple of its current capacity at which a server fails when it is sent that much over one
-    /// window.
+    /// A server fails when the load that it is sent over one window of `window_s` reaches this
+    /// multiple of its current capacity.
     pub overload_factor: f64,
     /// Length of the window over which the overload of a server counts, seconds.
     pub window_s: f64,
-    /// Longest time after its start until a server has its full capacity, seconds.
+    /// Longest time from the start of a server's process until the server has its full capacity,
+    /// seconds.
     pub warm_after_s: f64,
 }
 
@@ -150,7 +151,8 @@
     pub report_fields: Vec<ReportField>,
     /// How load reports reach the dispatcher.
     pub report_mode: ReportMode,
-    /// Capacity of servers after their start.
+    /// How the capacity of a server grows from its start to the end of its warm-up, and the
+    /// overload at which it fails.
     pub slow_start: SlowStart,
     /// Limits and permissions of the dispatcher.
     pub limits: Limits,
@@ -161,8 +163,8 @@
     pub over_quota_weight_fraction: f64,
     /// Whether changes of the endpoint list are sent only to dispatchers that have subscribed.
     pub must_subscribe: bool,
-    /// Whether a prefill whose answer was lost may still have completed; if so, it counts as an
-    /// attempt that may have run.
+    /// Whether a prefill whose answer was lost may still have completed; if so, such a prefill
+    /// counts as an attempt that may have run.
     pub lost_prefill_may_have_run: bool,
     /// Whether decode servers can prefill a prompt themselves if there is no KV cache state to
     /// fetch.
--- a/crates/replicated-register/src/model.rs
+++ b/crates/replicated-register/src/model.rs
@@ -16,7 +16,7 @@
 
 const KEY: RegisterKey = RegisterKey([7; 16]);
 const REPLICAS: u32 = 3;
-/// Name of the first writer; replicas are named from 0.
+/// Number used as the name of the first writer. The replicas' names are numbered from 0, below the writers'.
 const FIRST_WRITER: u32 = 10;
 
 /// Bounds of the explored state space.
--- a/crates/replicated-register/src/proposal/decision.rs
+++ b/crates/replicated-register/src/proposal/decision.rs
@@ -91,7 +91,7 @@
             body: write.body.clone(),
         });
     }
-    // The latest state replaced this write, so the write had taken effect.
+    // The latest state names the version of this write as the one that it replaces, so this write had taken effect.
     if replaces == Some(own.version) {
         return Decision::unchanged(Outcome::Written(own.version));
     }
--- a/crates/routing-settings/src/names.rs
+++ b/crates/routing-settings/src/names.rs
@@ -3,7 +3,8 @@
 use crate::error::Result;
 use crate::facts::RawSettings;
 
-/// Names of the items in the settings; each list is in the order of the items' indexes.
+/// Names of the request classes, kinds of servers, zones, load report fields and tenants in the settings. The position
+/// of a name in its list is the index by which the decision module knows the item.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
     /// Names of the request classes.
--- a/crates/workflow/src/context.rs
+++ b/crates/workflow/src/context.rs
@@ -28,7 +28,8 @@
         self.steps
     }
 
-    /// Appends a closed step and its late results.
+    /// Appends a step that is done or abandoned to the summary: one line with the step's result, or with a note that the step was
+    /// abandoned, and one line for each result that was reported after the one that counts.
     pub(crate) fn append_step(&mut self, step: &StepRecord) {
         self.steps = self.steps.saturating_add(1);
         let result = match &step.state {
