--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -263,7 +263,7 @@
     RequestBudgetLeases {
         /// Number of this run, as the holder of the leases.
         holder: u64,
-        /// Number of the request, for its response.
+        /// Number of this request, which the quota server's response repeats.
         number: u64,
         /// The token rate wanted for each tenant.
         tenants: Vec<Want>,
@@ -292,7 +292,7 @@
     Stopped,
 }
 
-/// The time limit for sending a message. Once it has passed the message must not be written and is returned as
+/// The time limit for sending a message. Once the limit has passed, the message must not be written and is returned as
 /// [`Input::LinkUnsent`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SendDeadline {
--- a/crates/overload/src/capacity.rs
+++ b/crates/overload/src/capacity.rs
@@ -30,7 +30,8 @@
     work_per_s: f64,
     /// When the estimate was last updated.
     at: Option<Duration>,
-    /// For how long servers have been seen busy, seconds; up to [`LEARNING_TIME_S`] the estimate is at least their total weight.
+    /// For how long servers have been seen busy, seconds; up to [`LEARNING_TIME_S`] the estimate, work per second, is at least the servers'
+    /// total weight.
     busy_s: f64,
 }
 
--- a/crates/overload/src/io.rs
+++ b/crates/overload/src/io.rs
@@ -158,7 +158,7 @@
     /// The part of `capacity` that is reserved for retries of rejected requests, per second.
     #[serde(rename = "free")]
     pub retry_capacity: Millionths,
-    /// Work of this dispatcher that may wait at servers for its first token.
+    /// Most work of this dispatcher's admitted requests that may wait at servers for the first token.
     #[serde(rename = "room")]
     pub max_backlog: Millionths,
     /// Work admitted by all dispatchers in the last 5 s that retries nothing.
--- a/crates/overload/src/probes.rs
+++ b/crates/overload/src/probes.rs
@@ -104,8 +104,8 @@
     }
 }
 
-/// The dispatcher of `members` that is responsible for a server, by rendezvous hashing (Thaler and Ravishankar 1998): it sends the
-/// server's health checks, or tries the server after a failure. All dispatchers with the same `members` agree on it.
+/// The dispatcher of `members` that is responsible for a server, by rendezvous hashing (Thaler and Ravishankar 1998). That dispatcher sends
+/// the server's health checks, or makes the recovery trial after the server failed. All dispatchers with the same `members` agree on it.
 pub fn responsible_member(server: u32, members: impl Iterator<Item = NameKey>) -> Option<NameKey> {
     members.max_by_key(|m| (mix(u64::from(server) << 32 | u64::from(m.0)), *m))
 }
--- a/crates/overload/src/sums.rs
+++ b/crates/overload/src/sums.rs
@@ -13,9 +13,10 @@
 const FULL_WEIGHT_AGE: Duration = Duration::from_millis(1000);
 /// Age at which a load report has no weight in the totals and is removed.
 const MAX_AGE: Duration = Duration::from_millis(2500);
-/// Multiple of the dispatchers' median above which a value in a load report is an outlier and is limited to that multiple.
+/// Multiple of the median over all dispatchers' reports above which a value in a load report is an outlier and is limited to that multiple.
 const OUTLIER_RATIO: f64 = 10.0;
-/// Least median that values are compared with to find outliers, seconds of work (per second), so that no small value is an outlier.
+/// Least median that values are compared with to find outliers, so that no small value is an outlier; in seconds of work, or seconds of
+/// work per second for rates.
 const MIN_OUTLIER_MEDIAN: f64 = 0.5;
 /// Number of dispatchers, including this one, from which on the median is meaningful and outliers are limited.
 const MIN_MEMBERS_FOR_MEDIAN: usize = 3;
@@ -53,9 +54,10 @@
     pub ttft_ratio: f64,
     /// Median, over the dispatchers' reports, of the estimated work that all servers together can do per second.
     pub capacity: f64,
-    /// Weighted mean of the other dispatchers' thresholds.
+    /// Mean of the admission thresholds (ranks) of the other dispatchers, weighted by the age of their reports; this dispatcher's own
+    /// threshold if there are no reports.
     pub threshold: f64,
-    /// Number of dispatchers, each other one counted by the weight of its report.
+    /// Number of dispatchers: this one counts as 1, each other one as the weight, from 0 to 1, of its report.
     pub members: f64,
     /// Dispatchers that reported an outlier, which was limited.
     pub outliers: BTreeSet<NameKey>,
--- a/crates/policy/src/choice/admission.rs
+++ b/crates/policy/src/choice/admission.rs
@@ -85,8 +85,8 @@
         self.quota_fraction = fraction;
     }
 
-    /// Counts one request of a tenant and returns whether it exceeds this router's fraction of the
-    /// tenant's quota. Unknown tenants have no quota.
+    /// Counts one request of a tenant and returns whether the request exceeds this router's
+    /// fraction of the tenant's quota. Unknown tenants have no quota.
     pub fn is_over_quota(&mut self, now: f64, tenant: u32) -> bool {
         let Some(tenant) = self.tenants.get_mut(tenant as usize) else {
             return false;
--- a/crates/policy/src/choice/arrivals.rs
+++ b/crates/policy/src/choice/arrivals.rs
@@ -22,7 +22,7 @@
 const MIN_LATE_RETRY_AFTER_S: f64 = 0.2;
 
 /// A decode server that may be probed. Servers in the prefill server's cell sort first, then
-/// servers sort by their draw.
+/// servers sort by a pseudo-random draw.
 #[derive(Clone, Copy, Debug)]
 struct ProbeCandidate {
     other_cell: bool,
--- a/crates/policy/src/choice/attempts.rs
+++ b/crates/policy/src/choice/attempts.rs
@@ -102,7 +102,7 @@
     }
 
     /// Returns the cell of the prefill server that holds the request's KV state if the transfer to
-    /// `server` leaves that cell and crosses its link.
+    /// `server` leaves that cell and so crosses the cell's link to the other cells.
     fn crossed_link_cell(&self, state: &RequestState, server: &Server) -> Option<u16> {
         let held = state.kv_holds.known_hold()?;
         let cell = self.servers.get(held.server)?.entry.cell;
--- a/crates/policy/src/choice/completion.rs
+++ b/crates/policy/src/choice/completion.rs
@@ -81,8 +81,8 @@
         self.continue_after_attempt(now, &end, was_released, out);
     }
 
-    /// Removes an attempt from its server's records. Returns true if it was still waiting for its
-    /// prefill or first token.
+    /// Removes an attempt from its server's records. Returns true if the attempt was still waiting
+    /// for the end of its prefill or for its first token.
     fn remove_attempt(&mut self, end: &AttemptEnd) -> bool {
         let Some(server) = self.servers.get_mut(end.server) else {
             return false;
--- a/crates/policy/src/choice/health.rs
+++ b/crates/policy/src/choice/health.rs
@@ -42,14 +42,16 @@
 }
 
 impl ServerHealth {
-    /// Records an attempt that the server answered, which lowers its mean time lost by failures.
+    /// Records an attempt that the server answered, which lowers the server's mean time lost by
+    /// failures.
     pub fn record_success(&mut self, now: f64) {
         self.last_success_at = now;
         self.record_cost(0.0, now);
     }
 
-    /// Records a failed attempt or probe. A failure counts by the time it lost, because a server
-    /// that fails fast has a short queue and would otherwise look attractive.
+    /// Records a failed attempt or probe. A failure counts by the time that the attempt or probe
+    /// lost, because a server that fails fast has a short queue and would otherwise look
+    /// attractive.
     pub fn record_failure(&mut self, elapsed_s: f64, now: f64) {
         self.record_cost(non_negative(elapsed_s) + FAILURE_EXTRA_COST_S, now);
     }
@@ -134,8 +136,8 @@
         self.probe_in_flight = false;
     }
 
-    /// Delay, in seconds, that the probe in flight counts as: 0 until it has waited for about
-    /// `wait_s` seconds, then a multiple of its age.
+    /// Delay, in seconds, that the probe in flight counts as: 0 until the probe has waited for
+    /// about `wait_s` seconds, then [`UNANSWERED_PROBE_AGE_FACTOR`] times its age.
     pub fn unanswered_probe_delay_s(&self, wait_s: f64, now: f64) -> f64 {
         let age_s = if self.probe_in_flight {
             now - self.probe_sent_at
--- a/crates/policy/src/choice/load.rs
+++ b/crates/policy/src/choice/load.rs
@@ -151,7 +151,8 @@
     }
 }
 
-/// Mean load report over servers of one kind.
+/// Moving average of the load reports of servers of one kind, and the clock time of its latest
+/// update, in seconds.
 #[derive(Clone, Copy, Debug)]
 struct MeanReport {
     report: LoadReport,
@@ -358,7 +359,8 @@
         typical.total_tokens += 2.0 * EWMA_WEIGHT * (total_tokens - typical.total_tokens);
     }
 
-    /// Updates a server's slowdown and its delay beyond the prediction from one completed prefill.
+    /// Updates a server's slowdown and the mean delay of its answers beyond the prediction from one
+    /// completed prefill.
     pub fn record_prefill(&self, now: f64, server: &mut Server, sample: PrefillSample) {
         let predicted_s = self.prefill_s(server, sample.uncached_tokens, sample.total_tokens);
         let measured_s = sample.elapsed_s - sample.queue_s;
--- a/crates/policy/src/choice/server_table.rs
+++ b/crates/policy/src/choice/server_table.rs
@@ -144,8 +144,10 @@
         }
     }
 
-    /// Applies a report of failures if the server is an outlier. If many servers of its role are
-    /// reported failing, the network path to them is the likely cause.
+    /// Applies a report of failures if the server is an outlier, that is if no other ready server
+    /// of its role, or at most the fraction [`MAX_REPORTED_FAILING_FRACTION`] of them, is reported
+    /// failing. If many servers of its role are reported failing, the network path to them is the
+    /// likely cause.
     fn apply_failure_report_of_outlier(&mut self, now: f64, id: ServerId) {
         let Some(role) = self.get(id).map(|server| server.role) else {
             return;
--- a/crates/policy/src/choice/slow_start.rs
+++ b/crates/policy/src/choice/slow_start.rs
@@ -114,10 +114,11 @@
 
     /// Decides at random whether a request may go to a warming server, so that the total over all
     /// routers stays within the overload factor. The server gets an even fraction of the responses
-    /// that its role is seen to give, and at most an even fraction of the demand. A prefill server
-    /// gets mostly requests for keys of which it is a replica; the more often these come, the
-    /// smaller the fraction that is admitted. Requests warm the server, so the limit grows with the
-    /// time since its start was learned.
+    /// that all servers of its role are seen to give, and at most an even fraction of the demand on
+    /// the role. A prefill server gets mostly requests for placement keys of which it is a prefix
+    /// replica; the more often such requests come, the smaller the fraction of them that is
+    /// admitted. Requests warm the server, so the limit grows with the time since this router
+    /// learned of the server's start.
     pub fn admits(&self, input: SlowStartInput, now: f64) -> bool {
         let settings = &self.settings;
         let (live_servers, warm_equivalents) = (
