--- a/crates/policy/src/choice/selection.rs
+++ b/crates/policy/src/choice/selection.rs
@@ -22,12 +22,14 @@
 /// routers over servers of equal cost. It is also the cost, in seconds, that each prefix replica
 /// after the first has over the one before.
 pub(super) const TIE_BREAK_COST: f64 = 0.05;
-/// Extra cost, in utilization, of a decode server in another cell; doubled for another zone and for
-/// a mixed server.
+/// Extra cost, in utilization, of a decode server in another cell than the prefill server; doubled
+/// for another zone and for a mixed server.
 pub(super) const CROSS_CELL_COST: f64 = 0.15;
-/// Minimum number of prefix replicas of a key. Each replica has to prefill the prefix once.
+/// Minimum number of prefix replicas of a placement key. Each replica has to prefill the prefix
+/// once.
 const MIN_PREFIX_REPLICAS: usize = 2;
-/// Number of prefix replicas of a key, as a fraction of the ready prefill servers in the zone.
+/// Number of prefix replicas of a placement key, as a fraction of the ready prefill servers in the
+/// router's zone.
 const PREFIX_REPLICA_FRACTION: f64 = 0.1;
 /// Cost, in seconds, of sending a request again to the server of its latest attempt, because that
 /// attempt may have failed there.
