--- a/crates/overload/src/sums.rs
+++ b/crates/overload/src/sums.rs
@@ -13,9 +13,10 @@
 const FULL_WEIGHT_AGE: Duration = Duration::from_millis(1000);
 /// Age at which a load report has no weight in the totals and is removed.
 const MAX_AGE: Duration = Duration::from_millis(2500);
-/// Multiple of the dispatchers' median above which a value in a load report is an outlier and is limited to that multiple.
+/// Multiple of the median over all dispatchers' reports above which a value in a load report is an outlier and is limited to that multiple.
 const OUTLIER_RATIO: f64 = 10.0;
-/// Least median that values are compared with to find outliers, seconds of work (per second), so that no small value is an outlier.
+/// Least median that values are compared with to find outliers, so that no small value is an outlier; in seconds of work, or seconds of
+/// work per second for rates.
 const MIN_OUTLIER_MEDIAN: f64 = 0.5;
 /// Number of dispatchers, including this one, from which on the median is meaningful and outliers are limited.
 const MIN_MEMBERS_FOR_MEDIAN: usize = 3;
@@ -31,7 +32,7 @@
 /// The load of the whole cluster. Work is in seconds of a server of weight 1, rates are per second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClusterTotals {
-    /// Sum of the work of all new requests by priority level, admitted or not, per second.
+    /// Sum of the work, per second, of all requests that are not retries, whether admitted or not, by priority level.
     pub demand: Vec<f64>,
     /// Sum of the work admitted per second.
     pub admitted: f64,
@@ -43,19 +44,20 @@
     pub new_work: f64,
     /// Sum of the work of the last 5 s that was charged to the retry budget.
     pub retry_work: f64,
-    /// Median over the dispatchers with a backlog of the mean work of a waiting request.
+    /// Median, over the dispatchers with a backlog, of the mean work of the requests that wait for their first token.
     pub mean_request_work: f64,
-    /// Median of the work queued at servers by the servers' load reports.
+    /// Median, over the dispatchers' reports, of the work that is queued at all servers according to the servers' own load reports.
     pub queued_at_servers: f64,
-    /// Median of the total weight of the ready servers that can prefill.
+    /// Median, over the dispatchers' reports, of the total weight of all ready servers that can prefill.
     pub server_weight: f64,
-    /// Median of the time to first token as a fraction of its objective.
+    /// Median, over the dispatchers' reports, of the mean time to first token as a fraction of the latency objective.
     pub ttft_ratio: f64,
-    /// Median of the estimates of the work that the servers can do per second.
+    /// Median, over the dispatchers' reports, of the estimated work that all servers together can do per second.
     pub capacity: f64,
-    /// Weighted mean of the other dispatchers' thresholds.
+    /// Mean of the admission thresholds (ranks) of the other dispatchers, weighted by the age of their reports; this dispatcher's own
+    /// threshold if there are no reports.
     pub threshold: f64,
-    /// Number of dispatchers, each other one counted by the weight of its report.
+    /// Number of dispatchers: this one counts as 1, each other one as the weight, from 0 to 1, of its report.
     pub members: f64,
     /// Dispatchers that reported an outlier, which was limited.
     pub outliers: BTreeSet<NameKey>,
--- a/crates/policy/src/choice/health.rs
+++ b/crates/policy/src/choice/health.rs
@@ -8,12 +8,13 @@
 /// Seconds added to the time lost by a failed attempt, for the network and queueing delay of the
 /// next attempt.
 const FAILURE_EXTRA_COST_S: f64 = 0.1;
-/// Half-life, in seconds, of the mean time lost by failures.
+/// Half-life, in seconds, of the mean time that failures lost per attempt.
 const FAILURE_HALF_LIFE_S: f64 = 2.0;
-/// Half-life, in seconds, of the delay beyond the prediction: about the time in which the requests
-/// in a queue are replaced by new ones.
+/// Half-life, in seconds, of the mean delay of answers beyond the prediction: about the time in
+/// which the requests in a queue are replaced by new ones.
 const EXCESS_HALF_LIFE_S: f64 = 0.7;
-/// Lowest mean time lost, in seconds, assumed for a server that peers report as failing.
+/// Lowest mean time lost per attempt, in seconds, assumed for a server that peers report as
+/// failing.
 const REPORTED_FAILURE_COST_S: f64 = 0.25;
 /// Seconds for which a peer report of a failing server stays valid.
 const REPORTED_FAILING_WINDOW_S: f64 = 3.0;
@@ -41,14 +42,16 @@
 }
 
 impl ServerHealth {
-    /// Records an attempt that the server answered, which lowers its mean time lost by failures.
+    /// Records an attempt that the server answered, which lowers the server's mean time lost by
+    /// failures.
     pub fn record_success(&mut self, now: f64) {
         self.last_success_at = now;
         self.record_cost(0.0, now);
     }
 
-    /// Records a failed attempt or probe. A failure counts by the time it lost, because a server
-    /// that fails fast has a short queue and would otherwise look attractive.
+    /// Records a failed attempt or probe. A failure counts by the time that the attempt or probe
+    /// lost, because a server that fails fast has a short queue and would otherwise look
+    /// attractive.
     pub fn record_failure(&mut self, elapsed_s: f64, now: f64) {
         self.record_cost(non_negative(elapsed_s) + FAILURE_EXTRA_COST_S, now);
     }
@@ -133,8 +136,8 @@
         self.probe_in_flight = false;
     }
 
-    /// Delay, in seconds, that the probe in flight counts as: 0 until it has waited for about
-    /// `wait_s` seconds, then a multiple of its age.
+    /// Delay, in seconds, that the probe in flight counts as: 0 until the probe has waited for
+    /// about `wait_s` seconds, then [`UNANSWERED_PROBE_AGE_FACTOR`] times its age.
     pub fn unanswered_probe_delay_s(&self, wait_s: f64, now: f64) -> f64 {
         let age_s = if self.probe_in_flight {
             now - self.probe_sent_at
