--- a/crates/budget/src/bucket.rs
+++ b/crates/budget/src/bucket.rs
@@ -1,92 +1,95 @@
-//! A rate with a burst: a bucket that fills by the clock.
+//! Token bucket rate limiter: refills at a constant rate up to a burst size.
 
-/// Tokens to spend. May be in debt, as a prompt's true length is known only when it has been read; a debt is paid
-/// off by the rate before anything new is taken.
+/// A token bucket whose level may be negative: a request's true usage is known only after the model server has
+/// processed it and may exceed the estimate. Refills make up the deficit before further tokens can be taken.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Bucket {
-    /// Tokens a second, and the most that are saved.
+pub struct TokenBucket {
+    /// Refill rate, tokens per second.
     rate: f64,
+    /// Capacity: the maximum number of tokens that accumulate.
     burst: f64,
+    /// Tokens available at `updated_at_s`; negative is a deficit.
     level: f64,
-    at_s: f64,
+    /// Time of the last refill, seconds.
+    updated_at_s: f64,
 }
 
-/// Why not enough is there.
+/// Why a budget cannot cover a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Short {
-    /// There will be, after so many seconds in which nobody else takes any.
-    For(f64),
-    /// There never will be.
-    Ever,
+pub enum InsufficientBudget {
+    /// Enough tokens will be available after this many seconds, if no other request takes any.
+    RetryAfter(f64),
+    /// The request needs more tokens than the budget can ever hold, or the rate is 0.
+    Never,
 }
 
-impl Bucket {
-    /// A full one.
-    pub fn new(rate: f64, burst: f64, now_s: f64) -> Bucket {
-        Bucket {
+impl TokenBucket {
+    /// Creates a full bucket.
+    pub fn new(rate: f64, burst: f64, now_s: f64) -> TokenBucket {
+        TokenBucket {
             rate,
             burst,
             level: burst,
-            at_s: now_s,
+            updated_at_s: now_s,
         }
     }
 
-    fn fill(&mut self, now_s: f64) {
-        // A clock that went back gives nothing, and what it gives again later is not given twice.
-        if now_s > self.at_s {
-            self.level = (self.level + (now_s - self.at_s) * self.rate).min(self.burst);
-            self.at_s = now_s;
+    fn refill(&mut self, now_s: f64) {
+        // After the clock is set back nothing is added until it passes `updated_at_s`, so that no interval counts twice.
+        if now_s > self.updated_at_s {
+            self.level = (self.level + (now_s - self.updated_at_s) * self.rate).min(self.burst);
+            self.updated_at_s = now_s;
         }
     }
 
-    /// Whether an amount can be taken and `floor` be left, a reserve that is somebody else's.
+    /// Checks whether `amount` tokens can be taken while `floor` tokens, reserved for other classes, remain.
     ///
     /// # Errors
-    /// [`Short`], with the time to come back.
-    pub fn check(&mut self, now_s: f64, amount: f64, floor: f64) -> Result<(), Short> {
-        self.fill(now_s);
+    /// [`InsufficientBudget`], with the time after which to retry.
+    pub fn check(&mut self, now_s: f64, amount: f64, floor: f64) -> Result<(), InsufficientBudget> {
+        self.refill(now_s);
         let missing = amount + floor - self.level;
         if missing <= 0.0 {
             Ok(())
         } else if amount + floor > self.burst || self.rate <= 0.0 {
-            Err(Short::Ever)
+            Err(InsufficientBudget::Never)
         } else {
-            // A clock that went back has the way to where it was before it, too.
-            Err(Short::For(
-                missing / self.rate + (self.at_s - now_s).max(0.0),
+            // If the clock was set back, refilling starts only when it reaches `updated_at_s` again.
+            Err(InsufficientBudget::RetryAfter(
+                missing / self.rate + (self.updated_at_s - now_s).max(0.0),
             ))
         }
     }
 
-    /// Takes an amount, checked before or known only now.
+    /// Takes `amount` tokens without a check; the level may become negative.
     pub fn take(&mut self, amount: f64) {
         self.level -= amount;
     }
 
-    /// Gives back what was taken and not used.
-    pub fn give_back(&mut self, amount: f64) {
+    /// Returns tokens that were taken and not used, up to the burst size.
+    pub fn refund(&mut self, amount: f64) {
         self.level = (self.level + amount).min(self.burst);
     }
 
-    /// What is there now; below 0 is a debt.
+    /// Tokens available at `now_s`; negative is a deficit.
     pub fn level(&mut self, now_s: f64) -> f64 {
-        self.fill(now_s);
+        self.refill(now_s);
         self.level
     }
 
-    /// Seconds until it is full, if nobody takes any.
-    pub fn full_in(&mut self, now_s: f64) -> f64 {
-        self.fill(now_s);
+    /// Seconds until the bucket is full if no tokens are taken; infinite at a rate of 0.
+    pub fn time_until_full_s(&mut self, now_s: f64) -> f64 {
+        self.refill(now_s);
         if self.rate <= 0.0 {
             return f64::INFINITY;
         }
-        (self.burst - self.level).max(0.0) / self.rate + (self.at_s - now_s).max(0.0)
+        (self.burst - self.level).max(0.0) / self.rate + (self.updated_at_s - now_s).max(0.0)
     }
 
-    /// Another rate and burst from now on; what is saved stays, within the new burst. A larger burst is filled by the clock alone:
-    /// given at once, it could be had again and again by parts that shrink and grow.
-    pub fn change(&mut self, now_s: f64, rate: f64, burst: f64) {
-        self.fill(now_s);
+    /// Sets a new rate and burst. The level stays, capped at the new burst. A larger burst is filled only by refills:
+    /// if it were filled at once, a lease that shrinks and grows repeatedly would yield the burst each time.
+    pub fn set_limits(&mut self, now_s: f64, rate: f64, burst: f64) {
+        self.refill(now_s);
         (self.rate, self.burst) = (rate, burst);
         self.level = self.level.min(burst);
     }
@@ -97,35 +100,45 @@
     use super::*;
 
     #[test]
-    fn it_fills_by_the_clock_and_tells_when_to_come_back() {
-        let mut b = Bucket::new(10.0, 100.0, 0.0);
+    fn refills_over_time_and_reports_when_to_retry() {
+        let mut b = TokenBucket::new(10.0, 100.0, 0.0);
         assert_eq!(b.check(0.0, 100.0, 0.0), Ok(()));
         b.take(100.0);
-        assert_eq!(b.check(0.0, 30.0, 0.0), Err(Short::For(3.0)));
+        assert_eq!(
+            b.check(0.0, 30.0, 0.0),
+            Err(InsufficientBudget::RetryAfter(3.0))
+        );
         assert_eq!(b.check(3.0, 30.0, 0.0), Ok(()));
         assert_eq!(
             b.check(3.0, 30.0, 20.0),
-            Err(Short::For(2.0)),
-            "a reserve is not touched"
+            Err(InsufficientBudget::RetryAfter(2.0)),
+            "the reserve is not used"
         );
-        assert_eq!(b.check(3.0, 101.0, 0.0), Err(Short::Ever));
-        assert_eq!(b.level(1e9), 100.0, "no more than the burst");
+        assert_eq!(b.check(3.0, 101.0, 0.0), Err(InsufficientBudget::Never));
+        assert_eq!(b.level(1e9), 100.0, "capped at the burst");
     }
 
     #[test]
-    fn debts_are_paid_off_first_and_a_clock_that_goes_back_gives_nothing() {
-        let mut b = Bucket::new(10.0, 100.0, 100.0);
+    fn deficit_is_refilled_first_and_setting_the_clock_back_adds_nothing() {
+        let mut b = TokenBucket::new(10.0, 100.0, 100.0);
         b.take(150.0);
-        assert_eq!(b.check(100.0, 10.0, 0.0), Err(Short::For(6.0)));
+        assert_eq!(
+            b.check(100.0, 10.0, 0.0),
+            Err(InsufficientBudget::RetryAfter(6.0))
+        );
         assert_eq!(
             b.check(40.0, 10.0, 0.0),
-            Err(Short::For(66.0)),
-            "set back by a minute"
+            Err(InsufficientBudget::RetryAfter(66.0)),
+            "the clock was set back by a minute"
         );
         assert_eq!(b.level(105.0), 0.0);
         assert_eq!(b.level(50.0), 0.0);
-        assert_eq!(b.level(105.0), 0.0, "the same seconds are not given twice");
-        b.give_back(500.0);
+        assert_eq!(
+            b.level(105.0),
+            0.0,
+            "the same interval does not count twice"
+        );
+        b.refund(500.0);
         assert_eq!(b.level(105.0), 100.0);
     }
 }
--- a/crates/budget/src/charge.rs
+++ b/crates/budget/src/charge.rs
@@ -1,7 +1,7 @@
-//! What is written down of requests, and the bill that is made from it.
+//! Charge entries for requests, and the bills computed from them.
 //!
-//! Entries are never edited. A request has one entry that says what it used, or that it may have used up to a bound; what
-//! comes to be known later follows as a correction, which takes the place of all before it.
+//! Entries are append-only. The first entry of a request holds its usage, or an upper bound where the usage is unknown.
+//! If the usage becomes known later, a correction entry with a higher number replaces all earlier ones.
 
 use std::collections::BTreeMap;
 
@@ -9,94 +9,108 @@
 
 use crate::Amount;
 
-/// What a request was charged.
+/// The usage that a request is charged for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Used {
-    /// As its host counted it.
+pub enum Usage {
+    /// The usage that the model server reported.
     Known(Amount),
-    /// It failed and may have run: no more than this.
-    Possibly(Amount),
+    /// An upper bound: the request failed, but the model server may have processed it.
+    #[serde(rename = "Possibly")]
+    AtMost(Amount),
 }
 
-/// One entry.
+/// One charge entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The response that it is for, unique over all dispatchers.
+    /// Id of the charged response, unique across all dispatchers.
     pub response: String,
-    /// 1 for the first entry of a response, one more for each correction: a repeat is told from a correction by it.
+    /// 1 for the first entry of a response, one higher for each correction. Distinguishes a correction from a repeated
+    /// delivery.
     pub number: u32,
+    /// Name of the tenant that is charged.
     pub tenant: String,
+    /// Name of the request class.
     pub class: String,
-    /// Whose it is, and the caller's own key, where there are any.
+    /// Owner of the request by the access rights; empty where there is none.
     pub owner: String,
+    /// The client's idempotency key; empty where there is none.
     pub key: String,
-    /// Unix microseconds at which the request was taken, which says to which period it belongs.
-    pub taken_us: u64,
-    pub used: Used,
+    /// When the request was accepted, Unix microseconds; decides which billing period it belongs to.
+    #[serde(rename = "taken_us")]
+    pub accepted_us: u64,
+    pub used: Usage,
 }
 
-/// A line of a bill.
+/// Totals for one tenant and class on a bill.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Line {
+pub struct BillLine {
+    /// Requests with known usage.
     pub requests: u64,
+    /// Prompt tokens of the requests with known usage.
     pub prompt: u64,
+    /// Output tokens of the requests with known usage.
     pub output: u64,
-    /// Requests that may have run, and the most that they may have used; not part of the sums before.
+    /// Requests of which only an upper bound of the usage is known; not included in `requests`.
     pub possibly: u64,
+    /// Sum of those upper bounds, tokens; not included in `prompt` and `output`.
     pub possibly_tokens: u64,
 }
 
-/// Entries by response; takes each once, in any order.
+/// The latest charge entry of each response. Entries may be inserted repeatedly and in any order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Entries {
-    last: BTreeMap<String, Entry>,
+    latest: BTreeMap<String, Entry>,
 }
 
-/// What became of an offered entry.
+/// Result of [`Entries::insert`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offered {
-    Taken,
-    /// It, or a later correction, is here already.
-    Repeat,
-    /// The same number with another content: somebody counts wrong, and neither is believed over the first.
-    Contradicts,
+pub enum InsertOutcome {
+    /// The entry is now the latest of its response.
+    Inserted,
+    /// The entry or a later correction is already present.
+    Duplicate,
+    /// An entry with the same number but different content is present; the present one stays in effect.
+    Conflict,
 }
 
 impl Entries {
-    /// Takes an entry. Whichever way repeats and corrections come, the end is the same.
-    pub fn offer(&mut self, entry: Entry) -> Offered {
-        match self.last.get(&entry.response) {
-            Some(known) if known.number == entry.number && *known != entry => Offered::Contradicts,
-            Some(known) if known.number >= entry.number => Offered::Repeat,
+    /// Inserts an entry. The resulting state does not depend on the order of entries or on repeated ones.
+    pub fn insert(&mut self, entry: Entry) -> InsertOutcome {
+        match self.latest.get(&entry.response) {
+            Some(known) if known.number == entry.number && *known != entry => {
+                InsertOutcome::Conflict
+            }
+            Some(known) if known.number >= entry.number => InsertOutcome::Duplicate,
             _ => {
-                self.last.insert(entry.response.clone(), entry);
-                Offered::Taken
+                self.latest.insert(entry.response.clone(), entry);
+                InsertOutcome::Inserted
             }
         }
     }
 
-    /// The entry that stands for each response.
-    pub fn standing(&self) -> impl Iterator<Item = &Entry> {
-        self.last.values()
+    /// The latest entry of each response.
+    pub fn latest(&self) -> impl Iterator<Item = &Entry> {
+        self.latest.values()
     }
 
-    /// Sums by tenant and class of what was taken between two times, Unix microseconds.
-    pub fn bill(&self, from_us: u64, to_us: u64) -> BTreeMap<(String, String), Line> {
-        let mut bill: BTreeMap<(String, String), Line> = BTreeMap::new();
+    /// Totals by tenant and class over the requests accepted from `from_us` up to but excluding `to_us`, Unix
+    /// microseconds.
+    pub fn bill(&self, from_us: u64, to_us: u64) -> BTreeMap<(String, String), BillLine> {
+        let mut bill: BTreeMap<(String, String), BillLine> = BTreeMap::new();
         for entry in self
-            .standing()
-            .filter(|e| (from_us..to_us).contains(&e.taken_us))
+            .latest()
+            .filter(|e| (from_us..to_us).contains(&e.accepted_us))
         {
             let line = bill
                 .entry((entry.tenant.clone(), entry.class.clone()))
                 .or_default();
             match entry.used {
-                Used::Known(a) => {
+                Usage::Known(a) => {
                     line.requests += 1;
                     line.prompt += u64::from(a.prompt);
                     line.output += u64::from(a.output);
                 }
-                Used::Possibly(a) => {
+                Usage::AtMost(a) => {
                     line.possibly += 1;
                     line.possibly_tokens += a.total();
                 }
--- a/crates/budget/src/lease.rs
+++ b/crates/budget/src/lease.rs
@@ -1,260 +1,275 @@
-//! How many dispatchers share one tenant's rate without asking for each request.
+//! Leases by which many dispatchers share one tenant's rate without a round trip for each request.
 //!
-//! A ledger lends out parts of the rate, each for a time. A dispatcher spends its part alone and asks for a new one
-//! before it ends, saying how much it used; the ledger sizes the parts by that. A part that is not renewed ends by the time, on
-//! both sides by a clock of their own: the dispatcher's ends `skew_s` earlier than the ledger's, so that no part is spent here and lent
-//! again there. With the ledger away a dispatcher goes on at a careful rate: the whole divided by all dispatchers, times `careful`.
+//! The quota server issues leases on fractions of the rate, each for a limited time. A dispatcher spends its lease on its
+//! own and requests the next one before it expires, stating its demand; the quota server sizes the leases by the
+//! demands. A lease that is not renewed expires on both sides, each by its own clock. It expires `skew_s` earlier at the
+//! dispatcher, so that the same tokens are not spent there while they are leased to another dispatcher. A dispatcher
+//! without a lease spends at the fallback rate: the rate divided by the number of dispatchers, times
+//! `fallback_fraction`.
 //!
-//! **The bound.** While the ledger serves, parts never add up to more than the rate. Each of `n` dispatchers that cannot reach it spends
-//! `careful * rate / n` a second at the most once its part has ended. So over a time `t` all together spend no more than
-//! `burst + rate * t` from parts, `careful * rate * t` beside them, and one request each that is owed (see [`crate::book::Book::lend`]);
-//! a dispatcher that was started again brings its careful burst.
+//! **Upper bound on spending.** Leases of one quota server never add up to more than the rate. Each of `n` dispatchers
+//! spends at most `fallback_fraction * rate / n` per second after its lease has expired. Over a time `t` all dispatchers
+//! together therefore spend at most `burst + rate * t` from leases, `fallback_fraction * rate * t` in addition, and one
+//! request each as a deficit (see [`crate::book::Accounts::set_lease`]). Each restart of a dispatcher adds the burst of
+//! its fallback rate.
 
 use std::collections::BTreeMap;
 
-/// Times and shares of leases.
+/// Parameters of leases.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseRules {
-    /// How long a part lasts, seconds.
-    pub lasts_s: f64,
-    /// How much earlier it ends where it is spent.
+    /// Duration of a lease, seconds.
+    pub duration_s: f64,
+    /// How much earlier a lease expires at the dispatcher than at the quota server, seconds.
     pub skew_s: f64,
-    /// Share of an even part that is spent without the ledger.
-    pub careful: f64,
-    /// Share of the rate that is kept for dispatchers that come new or ask for more.
-    pub free: f64,
+    /// Fraction of an equal share of the rate that a dispatcher may spend without a lease.
+    pub fallback_fraction: f64,
+    /// Fraction of the rate that is held back for dispatchers that join or raise their demand.
+    pub spare_fraction: f64,
 }
 
 impl Default for LeaseRules {
     fn default() -> Self {
         LeaseRules {
-            lasts_s: 10.0,
+            duration_s: 10.0,
             skew_s: 2.0,
-            careful: 0.1,
-            free: 0.1,
+            fallback_fraction: 0.1,
+            spare_fraction: 0.1,
         }
     }
 }
 
-/// A dispatcher, by its run: one that was started again is another.
+/// Identifies one run of a dispatcher; after a restart a dispatcher is a different holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Holder(pub u64);
+pub struct HolderId(pub u64);
 
-/// A part of a rate, as it was lent.
+/// A lease on a fraction of a tenant's rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
-    /// Never used twice by one ledger: an answer to an older question does not undo a newer one.
+    /// Increases with each lease that the quota server issues for the tenant, so that a delayed response to an older
+    /// request does not replace a newer lease.
     pub number: u64,
-    /// Tokens a second.
+    /// Leased rate, tokens per second.
     pub rate: f64,
-    pub lasts_s: f64,
+    /// Duration, seconds.
+    pub duration_s: f64,
 }
 
-struct Lent {
+struct IssuedLease {
     lease: Lease,
-    ends_s: f64,
-    /// Tokens a second that the holder wants, as it last said.
-    wants: f64,
+    /// When the lease expires by the quota server's clock, seconds.
+    expires_s: f64,
+    /// Demand that the holder last reported, tokens per second.
+    demand: f64,
 }
 
-/// The ledger's side for one tenant.
-pub struct Lender {
+/// Issues the leases on one tenant's rate; used by the quota server.
+pub struct LeaseIssuer {
     rules: LeaseRules,
     rate: f64,
-    next: u64,
-    lent: BTreeMap<Holder, Lent>,
-    /// Nothing is lent before this: after a restart, parts may be out that are not known any more.
+    last_number: u64,
+    issued: BTreeMap<HolderId, IssuedLease>,
+    /// No lease is issued before this time, seconds: after a restart, unknown leases of the previous run may be active.
     opens_s: f64,
 }
 
-impl Lender {
-    /// After a start: whatever was lent before has ended once `lasts_s` are over. A first start with nothing lent before may open at once.
-    pub fn new(rules: LeaseRules, rate: f64, now_s: f64, first: bool) -> Lender {
-        let opens_s = if first { now_s } else { now_s + rules.lasts_s };
-        // Numbers go on above those of an earlier run, as the clock does.
-        Lender {
-            next: (now_s.max(0.0) * 1e6) as u64,
+impl LeaseIssuer {
+    /// Creates an issuer for `rate` tokens per second. It issues leases once all leases of a previous run have expired,
+    /// after `duration_s`, or at once if `first` states that there was no previous run.
+    pub fn new(rules: LeaseRules, rate: f64, now_s: f64, first: bool) -> LeaseIssuer {
+        let opens_s = if first {
+            now_s
+        } else {
+            now_s + rules.duration_s
+        };
+        // Numbers start at the clock in microseconds, so that they exceed those of a previous run.
+        LeaseIssuer {
+            last_number: (now_s.max(0.0) * 1e6) as u64,
             rules,
             rate,
-            lent: BTreeMap::new(),
+            issued: BTreeMap::new(),
             opens_s,
         }
     }
 
     fn expire(&mut self, now_s: f64) {
-        self.lent.retain(|_, l| l.ends_s > now_s);
+        self.issued.retain(|_, l| l.expires_s > now_s);
     }
 
-    /// What is lent out now, tokens a second.
-    pub fn out(&self, now_s: f64) -> f64 {
-        self.lent
+    /// Sum of the rates of all active leases, tokens per second.
+    pub fn issued_rate(&self, now_s: f64) -> f64 {
+        self.issued
             .values()
-            .filter(|l| l.ends_s > now_s)
+            .filter(|l| l.expires_s > now_s)
             .map(|l| l.lease.rate)
             .sum()
     }
 
-    /// Lends a holder a part for what it wants (tokens a second); its part before ends with this. `None` while parts of an
-    /// earlier run may still be out.
-    pub fn lend(&mut self, now_s: f64, holder: Holder, wants: f64) -> Option<Lease> {
+    /// Issues a lease for a demand in tokens per second; it replaces the holder's previous lease. `None` while leases of
+    /// a previous run may still be active.
+    pub fn issue(&mut self, now_s: f64, holder: HolderId, demand: f64) -> Option<Lease> {
         if now_s < self.opens_s {
             return None;
         }
         self.expire(now_s);
-        let wants = if wants.is_finite() {
-            wants.max(0.0)
+        let demand = if demand.is_finite() {
+            demand.max(0.0)
         } else {
             0.0
         };
         let others: f64 = self
-            .lent
+            .issued
             .iter()
             .filter(|(h, _)| **h != holder)
             .map(|(_, l)| l.lease.rate)
             .sum();
-        let fair = self.fair(holder, wants);
-        let rate = fair.min(self.rate - others).max(0.0);
-        self.next += 1;
+        let fair_rate = self.fair_rate(holder, demand);
+        let rate = fair_rate.min(self.rate - others).max(0.0);
+        self.last_number += 1;
         let lease = Lease {
-            number: self.next,
+            number: self.last_number,
             rate,
-            lasts_s: self.rules.lasts_s,
+            duration_s: self.rules.duration_s,
         };
-        self.lent.insert(
+        self.issued.insert(
             holder,
-            Lent {
+            IssuedLease {
                 lease,
-                ends_s: now_s + lease.lasts_s,
-                wants,
+                expires_s: now_s + lease.duration_s,
+                demand,
             },
         );
         Some(lease)
     }
 
-    /// A holder's part if all were lent anew now: small wants are met whole and the rest is divided evenly (max-min fairness);
-    /// what is left over is lent in the same proportion, so that a burst finds something, but for a part kept free.
-    fn fair(&self, holder: Holder, wants: f64) -> f64 {
-        let usable = self.rate * (1.0 - self.rules.free);
+    /// The rate that a holder would get if all leases were issued anew now, by max-min fairness: small demands are met in
+    /// full and the others share the remainder equally. If all demands are met, the surplus is divided equally too, so
+    /// that bursts can be absorbed. `spare_fraction` of the rate is not distributed.
+    fn fair_rate(&self, holder: HolderId, demand: f64) -> f64 {
+        let usable = self.rate * (1.0 - self.rules.spare_fraction);
         let mut all: Vec<f64> = self
-            .lent
+            .issued
             .iter()
             .filter(|(h, _)| **h != holder)
-            .map(|(_, l)| l.wants)
+            .map(|(_, l)| l.demand)
             .collect();
-        all.push(wants);
+        all.push(demand);
         all.sort_by(f64::total_cmp);
         let (mut left, mut share) = (usable, f64::INFINITY);
-        for (i, want) in all.iter().enumerate() {
+        for (i, other) in all.iter().enumerate() {
             let even = left / (all.len() - i) as f64;
-            if *want > even {
+            if *other > even {
                 share = even;
                 break;
             }
-            left -= want;
+            left -= other;
         }
         if share.is_finite() {
-            return wants.min(share);
+            return demand.min(share);
         }
-        wants + left / all.len() as f64
+        demand + left / all.len() as f64
     }
 
-    /// A holder gives its part back. One that says so of an older part is not believed.
-    pub fn give_back(&mut self, holder: Holder, number: u64) {
+    /// Ends a lease that its holder returns. Ignored unless `number` is the holder's current lease.
+    pub fn return_lease(&mut self, holder: HolderId, number: u64) {
         if self
-            .lent
+            .issued
             .get(&holder)
             .is_some_and(|l| l.lease.number == number)
         {
-            self.lent.remove(&holder);
+            self.issued.remove(&holder);
         }
     }
 
-    /// Another rate from now on; parts that are out are met within one lease.
-    pub fn change(&mut self, rate: f64) {
+    /// Sets a new rate. Active leases add up to no more than it after at most one lease duration.
+    pub fn set_rate(&mut self, rate: f64) {
         self.rate = rate;
     }
 }
 
-/// The dispatcher's side for one tenant.
+/// A dispatcher's lease on one tenant's rate, and its demand.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Borrower {
+pub struct LeaseHolder {
     rules: LeaseRules,
-    /// The rate while no part counts.
-    careful_rate: f64,
+    /// The rate without an active lease, tokens per second.
+    fallback_rate: f64,
+    /// The latest lease and when it expires at this dispatcher, seconds.
     lease: Option<(Lease, f64)>,
-    /// Tokens held of late and since when, for what to ask for.
-    spent: f64,
-    since_s: f64,
-    wants: f64,
+    /// Tokens that requests have asked for since `measured_since_s`.
+    requested: f64,
+    measured_since_s: f64,
+    /// Smoothed demand, tokens per second.
+    demand: f64,
 }
 
-impl Borrower {
-    /// Without a part: at the careful rate.
-    pub fn new(rules: LeaseRules, rate: f64, dispatchers: u32, now_s: f64) -> Borrower {
-        let careful_rate = rules.careful * rate / f64::from(dispatchers.max(1));
-        Borrower {
+impl LeaseHolder {
+    /// Creates a holder without a lease, at the fallback rate.
+    pub fn new(rules: LeaseRules, rate: f64, dispatchers: u32, now_s: f64) -> LeaseHolder {
+        let fallback_rate = rules.fallback_fraction * rate / f64::from(dispatchers.max(1));
+        LeaseHolder {
             rules,
-            careful_rate,
+            fallback_rate,
             lease: None,
-            spent: 0.0,
-            since_s: now_s,
-            wants: 0.0,
+            requested: 0.0,
+            measured_since_s: now_s,
+            demand: 0.0,
         }
     }
 
-    /// The rate that may be spent at a time.
+    /// The rate that may be spent at `now_s`, tokens per second.
     pub fn rate(&self, now_s: f64) -> f64 {
         match &self.lease {
-            Some((lease, ends_s)) if now_s < *ends_s => lease.rate,
-            _ => self.careful_rate,
+            Some((lease, expires_s)) if now_s < *expires_s => lease.rate,
+            _ => self.fallback_rate,
         }
     }
 
-    /// Tokens were asked for, held or not: what is refused is wanted too.
-    pub fn wanted(&mut self, tokens: f64) {
-        self.spent += tokens;
+    /// Records the tokens that a request asked for. Rejected requests are part of the demand too.
+    pub fn record_demand(&mut self, tokens: f64) {
+        self.requested += tokens;
     }
 
-    /// The part has been given back: it is spent no more.
-    pub fn drop_part(&mut self) {
+    /// Drops the lease after it has been returned to the quota server.
+    pub fn drop_lease(&mut self) {
         self.lease = None;
     }
 
-    /// Whether to ask for a part now: well before the end, so that a lost answer leaves time for another try.
-    pub fn asks(&self, now_s: f64) -> bool {
+    /// Whether to request a lease now. Renewal starts well before the expiry, which leaves time for a retry if a response
+    /// is lost.
+    pub fn needs_renewal(&self, now_s: f64) -> bool {
         self.lease
             .as_ref()
-            .is_none_or(|(lease, ends_s)| now_s >= ends_s - lease.lasts_s / 2.0)
+            .is_none_or(|(lease, expires_s)| now_s >= expires_s - lease.duration_s / 2.0)
     }
 
-    /// What to ask for, tokens a second: what was wanted of late, smoothed.
-    pub fn wants(&mut self, now_s: f64) -> f64 {
-        let over = now_s - self.since_s;
-        if over >= self.rules.lasts_s / 4.0 {
-            let seen = self.spent / over;
-            self.wants = if seen > self.wants {
-                seen
+    /// The demand to report, tokens per second: follows an increase at once and a decrease smoothed.
+    pub fn demand(&mut self, now_s: f64) -> f64 {
+        let elapsed_s = now_s - self.measured_since_s;
+        if elapsed_s >= self.rules.duration_s / 4.0 {
+            let measured = self.requested / elapsed_s;
+            self.demand = if measured > self.demand {
+                measured
             } else {
-                0.5 * (self.wants + seen)
+                0.5 * (self.demand + measured)
             };
-            (self.spent, self.since_s) = (0.0, now_s);
+            (self.requested, self.measured_since_s) = (0.0, now_s);
         }
-        self.wants
+        self.demand
     }
 
-    /// A part came, asked for at `asked_s`: its time runs from the question, as the ledger's cannot have begun before it. An
-    /// older part than the one that is held changes nothing.
-    pub fn lent(&mut self, asked_s: f64, lease: Lease) {
+    /// Stores a received lease that was requested at `requested_s`. Its duration counts from the request, which precedes
+    /// the issue at the quota server. Ignored unless its number is above that of the current lease.
+    pub fn receive(&mut self, requested_s: f64, lease: Lease) {
         if self
             .lease
             .as_ref()
-            .is_some_and(|(held, _)| held.number >= lease.number)
+            .is_some_and(|(current, _)| current.number >= lease.number)
         {
             return;
         }
         self.lease = Some((
             lease,
-            asked_s + (lease.lasts_s - self.rules.skew_s).max(0.0),
+            requested_s + (lease.duration_s - self.rules.skew_s).max(0.0),
         ));
     }
 }
--- a/crates/budget/src/ledger.rs
+++ b/crates/budget/src/ledger.rs
@@ -1,129 +1,170 @@
-//! What dispatchers and the ledger say to each other, and the ledger's decisions.
+//! The messages between dispatchers and the quota server, and the quota server's decisions on leases.
 //!
-//! One JSON object a message. A dispatcher asks for parts of its tenants' rates and ships its charges; both may be lost or
-//! come twice, and the end is the same.
+//! Each message is one JSON object. A dispatcher requests leases on its tenants' rates and uploads its charges. Both are
+//! idempotent, so messages may be lost or delivered repeatedly.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
 use crate::charge::Entry;
-use crate::lease::{Holder, Lease, LeaseRules, Lender};
+use crate::lease::{HolderId, Lease, LeaseIssuer, LeaseRules};
 
-/// Most tenants in one question, and most entries in one shipment.
-pub const TENANTS_MOST: usize = 256;
-pub const ENTRIES_MOST: usize = 512;
+/// Maximum number of tenants in one lease request.
+pub const MAX_TENANTS: usize = 256;
+/// Maximum number of charge entries in one upload.
+pub const MAX_ENTRIES: usize = 512;
 
-/// From a dispatcher.
+/// A message from a dispatcher to the quota server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "op", rename_all = "snake_case")]
-pub enum ToLedger {
-    /// Parts are wanted.
-    Ask {
+pub enum QuotaRequest {
+    /// Requests leases for tenants.
+    #[serde(rename = "ask")]
+    RequestLeases {
+        /// The run of the dispatcher, see [`HolderId`].
         holder: u64,
+        /// Number of the request, repeated in the response.
         number: u64,
-        tenants: Vec<Want>,
+        /// The demand of each tenant.
+        tenants: Vec<LeaseRequest>,
+    },
+    /// Uploads charges; acknowledged once the quota server has stored them durably.
+    #[serde(rename = "ship")]
+    StoreCharges {
+        /// Number of the upload, repeated in the acknowledgement.
+        number: u64,
+        /// The charge entries.
+        entries: Vec<Entry>,
     },
-    /// Charges; answered once they are on the ledger's disk.
-    Ship { number: u64, entries: Vec<Entry> },
 }
 
-/// What one tenant's requests want at a dispatcher.
+/// The demand of one tenant at a dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Want {
+pub struct LeaseRequest {
+    /// Name of the tenant.
     pub tenant: String,
-    /// Tokens a second; 0 gives the part back.
+    /// Demand, tokens per second; 0 returns the current lease.
     pub tokens_per_s: f64,
-    /// Number of the part that it holds, 0 for none.
-    pub holds: u64,
+    /// Number of the current lease, 0 for none.
+    #[serde(rename = "holds")]
+    pub held_lease: u64,
 }
 
-/// To a dispatcher.
+/// A message from the quota server to a dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "op", rename_all = "snake_case")]
-pub enum FromLedger {
-    /// Parts, for the question of this number. Tenants without one are not lent to now.
-    Lent { number: u64, parts: Vec<Part> },
-    /// The shipment of this number is on disk.
-    Shipped { number: u64 },
-    /// A message that cannot be used; why.
-    Fault { message: String },
+pub enum QuotaResponse {
+    /// Response to a lease request. Tenants that are not listed receive no lease now.
+    #[serde(rename = "lent")]
+    LeasesGranted {
+        /// Number of the lease request.
+        number: u64,
+        /// The granted leases.
+        #[serde(rename = "parts")]
+        leases: Vec<LeaseGrant>,
+    },
+    /// Acknowledges an upload: its charges are stored durably.
+    #[serde(rename = "shipped")]
+    ChargesStored {
+        /// Number of the upload.
+        number: u64,
+    },
+    /// The quota server cannot process a message.
+    #[serde(rename = "fault")]
+    Error {
+        /// The cause.
+        message: String,
+    },
 }
 
-/// A part as it goes over the wire.
+/// A granted lease as it is sent to a dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Part {
+pub struct LeaseGrant {
+    /// Name of the tenant.
     pub tenant: String,
-    pub lease: u64,
+    /// Number of the lease.
+    #[serde(rename = "lease")]
+    pub lease_number: u64,
+    /// Leased rate, tokens per second.
     pub tokens_per_s: f64,
-    pub lasts_s: f64,
+    /// Duration of the lease, seconds.
+    #[serde(rename = "lasts_s")]
+    pub duration_s: f64,
 }
 
-/// The ledger's lending, for all tenants.
-pub struct Ledger {
-    lenders: BTreeMap<String, Lender>,
+/// The quota server's lease issuers, by tenant.
+pub struct LeaseIssuers {
+    issuers: BTreeMap<String, LeaseIssuer>,
 }
 
-impl Ledger {
-    /// For tenants with a rate (tokens a second). `first` where nothing can be out from an earlier run.
+impl LeaseIssuers {
+    /// Creates an issuer for each tenant in `rates` (tokens per second). `first` states that no lease of a previous run can
+    /// be active, so that leases are issued at once.
     pub fn new(
         rates: &BTreeMap<String, f64>,
         rules: &LeaseRules,
         now_s: f64,
         first: bool,
-    ) -> Ledger {
-        let lender = |(name, rate): (&String, &f64)| {
+    ) -> LeaseIssuers {
+        let issuer = |(name, rate): (&String, &f64)| {
             (
                 name.clone(),
-                Lender::new(rules.clone(), *rate, now_s, first),
+                LeaseIssuer::new(rules.clone(), *rate, now_s, first),
             )
         };
-        Ledger {
-            lenders: rates.iter().map(lender).collect(),
+        LeaseIssuers {
+            issuers: rates.iter().map(issuer).collect(),
         }
     }
 
-    /// Answers a question. Tenants that are not known are passed over; more than [`TENANTS_MOST`] are not answered.
-    pub fn ask(&mut self, now_s: f64, holder: u64, tenants: &[Want]) -> Vec<Part> {
-        let mut parts = Vec::new();
-        for want in tenants.iter().take(TENANTS_MOST) {
-            let Some(lender) = self.lenders.get_mut(&want.tenant) else {
+    /// Issues the requested leases and ends the returned ones. Unknown tenants and tenants beyond the first
+    /// [`MAX_TENANTS`] are ignored.
+    pub fn handle_lease_request(
+        &mut self,
+        now_s: f64,
+        holder: u64,
+        tenants: &[LeaseRequest],
+    ) -> Vec<LeaseGrant> {
+        let mut leases = Vec::new();
+        for request in tenants.iter().take(MAX_TENANTS) {
+            let Some(issuer) = self.issuers.get_mut(&request.tenant) else {
                 continue;
             };
-            if want.tokens_per_s == 0.0 && want.holds != 0 {
-                lender.give_back(Holder(holder), want.holds);
+            if request.tokens_per_s == 0.0 && request.held_lease != 0 {
+                issuer.return_lease(HolderId(holder), request.held_lease);
                 continue;
             }
-            if let Some(lease) = lender.lend(now_s, Holder(holder), want.tokens_per_s) {
-                let tenant = want.tenant.clone();
-                parts.push(Part {
+            if let Some(lease) = issuer.issue(now_s, HolderId(holder), request.tokens_per_s) {
+                let tenant = request.tenant.clone();
+                leases.push(LeaseGrant {
                     tenant,
-                    lease: lease.number,
+                    lease_number: lease.number,
                     tokens_per_s: lease.rate,
-                    lasts_s: lease.lasts_s,
+                    duration_s: lease.duration_s,
                 });
             }
         }
-        parts
+        leases
     }
 
-    /// Tokens a second that are lent out now, by tenant.
-    pub fn out(&self, now_s: f64) -> BTreeMap<String, f64> {
-        self.lenders
+    /// Sum of the rates of all active leases by tenant, tokens per second.
+    pub fn issued_rates(&self, now_s: f64) -> BTreeMap<String, f64> {
+        self.issuers
             .iter()
-            .map(|(name, l)| (name.clone(), l.out(now_s)))
+            .map(|(name, l)| (name.clone(), l.issued_rate(now_s)))
             .collect()
     }
 }
 
-impl Part {
-    /// As the borrower takes it; `None` for one that is no part.
+impl LeaseGrant {
+    /// The lease for the dispatcher's [`crate::lease::LeaseHolder`]; `None` if its rate or duration is out of range.
     pub fn lease(&self) -> Option<Lease> {
-        let good = |v: f64, most: f64| v.is_finite() && (0.0..=most).contains(&v);
-        (good(self.tokens_per_s, 1e12) && good(self.lasts_s, 3600.0)).then_some(Lease {
-            number: self.lease,
+        let is_valid = |v: f64, max: f64| v.is_finite() && (0.0..=max).contains(&v);
+        (is_valid(self.tokens_per_s, 1e12) && is_valid(self.duration_s, 3600.0)).then_some(Lease {
+            number: self.lease_number,
             rate: self.tokens_per_s,
-            lasts_s: self.lasts_s,
+            duration_s: self.duration_s,
         })
     }
 }
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -1,13 +1,14 @@
-//! Token budgets by tenant, and what is charged to them.
+//! Token budgets of tenants, and the charges against them.
 //!
-//! - [`plan`]: what a tenant may use: a rate with a burst, an amount a day or month, a reserve for named classes.
-//! - [`bucket`] and [`period`]: the two kinds of bound, each on a given clock that may go back.
-//! - [`book`]: all accounts of one dispatcher: an amount is held at admission and settled to what was used.
-//! - [`charge`]: what is written down of a request, never edited and only followed by corrections; and the bill made from it.
-//! - [`lease`]: how many dispatchers share one budget without asking for each request.
-//! - [`ledger`]: what they and the ledger say to each other, and its decisions.
+//! - [`plan`]: a tenant's budget in the settings: a rate with a burst, an amount per day or month, and fractions
+//!   reserved for named classes.
+//! - [`bucket`] and [`period`]: the two kinds of limit; both accept a clock that is set back.
+//! - [`book`]: the accounts of one dispatcher: tokens are reserved at admission and settled to the actual usage.
+//! - [`charge`]: append-only charge entries and their corrections, and the bills computed from them.
+//! - [`lease`]: how many dispatchers share one rate without a round trip for each request.
+//! - [`ledger`]: the messages between dispatchers and the quota server, and the quota server's decisions.
 //!
-//! Nothing here opens a socket or a file or reads a clock.
+//! The crate performs no I/O and reads no clock; the caller passes the time in.
 
 pub mod book;
 pub mod bucket;
@@ -19,15 +20,17 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Tokens of a request, read and written.
+/// Token usage of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Amount {
+    /// Prompt tokens.
     pub prompt: u32,
+    /// Output tokens.
     pub output: u32,
 }
 
 impl Amount {
-    /// Both together.
+    /// Sum of prompt and output tokens.
     pub fn total(self) -> u64 {
         u64::from(self.prompt) + u64::from(self.output)
     }
--- a/crates/budget/src/plan.rs
+++ b/crates/budget/src/plan.rs
@@ -1,38 +1,44 @@
-//! What a tenant may use, as the settings give it.
+//! Tenant budgets as configured in the settings.
 
 use std::collections::BTreeMap;
 
 use jiff::tz::TimeZone;
 use serde::Deserialize;
 
-use crate::period::Per;
+use crate::period::PeriodUnit;
 
-/// One tenant's budget, over all dispatchers. What is not set is not bounded.
+/// One tenant's budget across all dispatchers. A limit that is not set does not apply.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
+    /// Rate limit.
     pub rate: Option<Rate>,
+    /// Limit per day or month.
     pub period: Option<Period>,
-    /// Shares of both that only the named class may use, 0 to 1.
+    /// Fractions of both limits that only the named class may use, 0 to 1, by class name.
     #[serde(default)]
     pub reserve: BTreeMap<String, f64>,
 }
 
-/// Tokens a second, and the most that are saved.
+/// A rate limit enforced by a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rate {
+    /// Refill rate, tokens per second.
     pub tokens_per_s: f64,
+    /// Maximum number of tokens that accumulate.
     pub burst_tokens: f64,
 }
 
-/// Tokens a day or month.
+/// A limit on the tokens used per day or month.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Period {
+    /// Tokens per period.
     pub tokens: u64,
-    pub per: Per,
-    /// A name of the time zone database; its midnights begin the periods.
+    /// Length of the period.
+    pub per: PeriodUnit,
+    /// Name in the IANA time zone database; periods begin at midnight in this zone.
     #[serde(default = "utc")]
     pub zone: String,
 }
@@ -42,28 +48,28 @@
 }
 
 impl Period {
-    /// The zone of its name.
+    /// The configured time zone; `None` if the name is unknown.
     pub fn time_zone(&self) -> Option<TimeZone> {
         TimeZone::get(&self.zone).ok()
     }
 }
 
 impl Budget {
-    /// Checks what types cannot.
+    /// Checks the constraints that the types do not express. `class` reports whether a class name exists.
     ///
     /// # Errors
-    /// The key at fault, below the budget, and why.
-    pub fn check(&self, class: impl Fn(&str) -> bool) -> Result<(), (String, String)> {
-        let bad = |key: &str, why: String| Err((key.to_string(), why));
+    /// The path of the invalid key relative to the budget, and the cause.
+    pub fn validate(&self, class: impl Fn(&str) -> bool) -> Result<(), (String, String)> {
+        let invalid = |key: &str, cause: String| Err((key.to_string(), cause));
         if let Some(rate) = &self.rate {
             if !(rate.tokens_per_s > 0.0 && rate.tokens_per_s <= 1e12) {
-                return bad(
+                return invalid(
                     "rate.tokens_per_s",
                     format!("{} is not above 0 and at most 1e12", rate.tokens_per_s),
                 );
             }
             if !(rate.burst_tokens >= 1.0 && rate.burst_tokens <= 1e15) {
-                return bad(
+                return invalid(
                     "rate.burst_tokens",
                     format!("{} is not between 1 and 1e15", rate.burst_tokens),
                 );
@@ -71,15 +77,18 @@
         }
         if let Some(period) = &self.period {
             if period.time_zone().is_none() {
-                return bad("period.zone", format!("'{}' is no time zone", period.zone));
+                return invalid(
+                    "period.zone",
+                    format!("'{}' is not a known time zone", period.zone),
+                );
             }
         }
         for (name, share) in &self.reserve {
             if !class(name) {
-                return bad("reserve", format!("'{name}' is no class"));
+                return invalid("reserve", format!("'{name}' is not a class"));
             }
             if !(0.0..=1.0).contains(share) {
-                return bad(
+                return invalid(
                     "reserve",
                     format!("{share} for '{name}' is not between 0 and 1"),
                 );
@@ -87,7 +96,7 @@
         }
         let sum: f64 = self.reserve.values().sum();
         if sum > 1.0 {
-            return bad(
+            return invalid(
                 "reserve",
                 format!("the shares add up to {sum}, more than 1"),
             );
--- a/crates/budget/tests/lease.rs
+++ b/crates/budget/tests/lease.rs
@@ -1,9 +1,10 @@
-//! Leases in simulated time: many dispatchers, a ledger that goes away, answers that are lost, dispatchers that pause and die.
+//! Leases in simulated time: many dispatchers, a quota server that becomes unavailable, lost responses, and dispatchers
+//! that pause or restart.
 
 use std::collections::BTreeMap;
 
-use bitternlatch_budget::book::Book;
-use bitternlatch_budget::lease::{Borrower, Holder, Lease, LeaseRules, Lender};
+use bitternlatch_budget::book::Accounts;
+use bitternlatch_budget::lease::{HolderId, Lease, LeaseHolder, LeaseIssuer, LeaseRules};
 use bitternlatch_budget::plan::{Budget, Rate};
 use bitternlatch_budget::Amount;
 use rand_core::{Rng, SeedableRng};
@@ -15,36 +16,38 @@
 /// Tokens of the largest request.
 const LARGEST: u32 = 4000;
 
-struct Chance(Xoshiro256PlusPlus);
+struct RandomSource(Xoshiro256PlusPlus);
 
-impl Chance {
-    fn share(&mut self) -> f64 {
+impl RandomSource {
+    fn fraction(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
 struct Dispatcher {
-    holder: Holder,
-    borrower: Borrower,
-    book: Book,
-    /// Tokens that its clients have asked for and not got yet.
-    asked: f64,
-    size: u32,
+    id: HolderId,
+    lease_holder: LeaseHolder,
+    accounts: Accounts,
+    /// Tokens that its clients have requested and that have not been attempted yet.
+    pending_tokens: f64,
+    /// Tokens per request.
+    request_tokens: u32,
     paused_until: f64,
-    /// An answer on its way: when it comes, when it was asked for, and what it lends.
-    answer: Option<(f64, f64, Lease)>,
+    /// A response in flight: when it arrives, when the lease was requested, and the lease.
+    response: Option<(f64, f64, Lease)>,
+    /// Offered load, tokens per second.
     demand: f64,
 }
 
 impl Dispatcher {
     fn new(number: u64, dispatchers: u32, now: f64, demand: f64) -> Dispatcher {
-        let borrower = Borrower::new(LeaseRules::default(), RATE, dispatchers, now);
-        let mut book = Book::default();
+        let lease_holder = LeaseHolder::new(LeaseRules::default(), RATE, dispatchers, now);
+        let mut accounts = Accounts::default();
         let rate = Some(Rate {
             tokens_per_s: RATE,
             burst_tokens: BURST,
         });
-        book.open(
+        accounts.set_budget(
             now,
             0,
             &Budget {
@@ -55,48 +58,50 @@
             1.0,
             |_| None,
         );
-        book.lend(now, 0, borrower.rate(now) / RATE, (RATE, BURST));
-        let holder = Holder(number);
-        let size = 200 + (number as u32 * 397) % (LARGEST - 200);
+        accounts.set_lease(now, 0, lease_holder.rate(now) / RATE, (RATE, BURST));
+        let id = HolderId(number);
+        let request_tokens = 200 + (number as u32 * 397) % (LARGEST - 200);
         Dispatcher {
-            holder,
-            borrower,
-            book,
-            asked: 0.0,
-            size,
+            id,
+            lease_holder,
+            accounts,
+            pending_tokens: 0.0,
+            request_tokens,
             paused_until: 0.0,
-            answer: None,
+            response: None,
             demand,
         }
     }
 
-    /// One step: what it spends.
+    /// Simulates one step and returns the tokens spent.
     fn step(&mut self, now: f64) -> f64 {
-        let rate = self.borrower.rate(now);
-        self.book.lend(now, 0, rate / RATE, (RATE, BURST));
-        self.asked += self.demand * STEP_S;
+        let rate = self.lease_holder.rate(now);
+        self.accounts.set_lease(now, 0, rate / RATE, (RATE, BURST));
+        self.pending_tokens += self.demand * STEP_S;
         let mut spent = 0.0;
-        while self.asked >= f64::from(self.size) {
-            self.asked -= f64::from(self.size);
-            self.borrower.wanted(f64::from(self.size));
-            let most = Amount {
-                prompt: self.size,
+        while self.pending_tokens >= f64::from(self.request_tokens) {
+            self.pending_tokens -= f64::from(self.request_tokens);
+            self.lease_holder
+                .record_demand(f64::from(self.request_tokens));
+            let max_usage = Amount {
+                prompt: self.request_tokens,
                 output: 0,
             };
-            if let Ok(hold) = self.book.hold(now, 0, 0, most) {
-                self.book.settle(hold, most);
-                spent += f64::from(self.size);
+            if let Ok(reservation) = self.accounts.reserve(now, 0, 0, max_usage) {
+                self.accounts.settle(reservation, max_usage);
+                spent += f64::from(self.request_tokens);
             }
         }
         spent
     }
 }
 
-/// Runs a day of trouble; gives what was spent in all, and the most that any span of it spent above its bound.
-fn day(dispatchers: u32, seed: u64, troubled: bool) -> (f64, f64) {
-    let mut chance = Chance(Xoshiro256PlusPlus::seed_from_u64(seed));
-    let mut lender = Lender::new(LeaseRules::default(), RATE, 0.0, true);
-    let (mut ledger_up, mut next) = (true, u64::from(dispatchers));
+/// Simulates 240 s, with failures if `with_failures`. Returns the tokens spent in total, and the maximum over all
+/// intervals by which the spending exceeds the documented upper bound.
+fn simulate(dispatchers: u32, seed: u64, with_failures: bool) -> (f64, f64) {
+    let mut random = RandomSource(Xoshiro256PlusPlus::seed_from_u64(seed));
+    let mut lease_issuer = LeaseIssuer::new(LeaseRules::default(), RATE, 0.0, true);
+    let (mut quota_server_up, mut next) = (true, u64::from(dispatchers));
     let demand = 3.0 * RATE / f64::from(dispatchers);
     let mut all: Vec<Dispatcher> = (0..next)
         .map(|n| {
@@ -111,51 +116,51 @@
     let (mut sums, mut sum, mut now) = (vec![0.0], 0.0, 0.0);
     while now < 240.0 {
         now += STEP_S;
-        if troubled && chance.share() < 0.01 {
-            ledger_up = !ledger_up;
-            if ledger_up {
-                lender = Lender::new(LeaseRules::default(), RATE, now, false);
+        if with_failures && random.fraction() < 0.01 {
+            quota_server_up = !quota_server_up;
+            if quota_server_up {
+                lease_issuer = LeaseIssuer::new(LeaseRules::default(), RATE, now, false);
             }
         }
         for d in &mut all {
-            if troubled && chance.share() < 0.0005 {
-                d.paused_until = now + 20.0 * chance.share();
+            if with_failures && random.fraction() < 0.0005 {
+                d.paused_until = now + 20.0 * random.fraction();
             }
-            if troubled && chance.share() < 0.0003 {
+            if with_failures && random.fraction() < 0.0003 {
                 next += 1;
                 *d = Dispatcher::new(next, dispatchers, now, d.demand);
             }
             if now < d.paused_until {
                 continue;
             }
-            if let Some((_, asked, lease)) = d.answer.take_if(|a| a.0 <= now) {
-                d.borrower.lent(asked, lease);
+            if let Some((_, requested_at, lease)) = d.response.take_if(|a| a.0 <= now) {
+                d.lease_holder.receive(requested_at, lease);
             }
-            if d.answer.is_none() && d.borrower.asks(now) && ledger_up {
-                let wants = d.borrower.wants(now);
-                if let Some(lease) = lender.lend(now, d.holder, wants) {
-                    let lost = troubled && chance.share() < 0.2;
-                    d.answer = (!lost).then(|| (now + 3.0 * chance.share(), now, lease));
+            if d.response.is_none() && d.lease_holder.needs_renewal(now) && quota_server_up {
+                let demand = d.lease_holder.demand(now);
+                if let Some(lease) = lease_issuer.issue(now, d.id, demand) {
+                    let lost = with_failures && random.fraction() < 0.2;
+                    d.response = (!lost).then(|| (now + 3.0 * random.fraction(), now, lease));
                 }
             }
             sum += d.step(now);
         }
         assert!(
-            lender.out(now) <= RATE * 1.000_001,
-            "the ledger never lends more than there is"
+            lease_issuer.issued_rate(now) <= RATE * 1.000_001,
+            "active leases never add up to more than the rate"
         );
         sums.push(sum);
     }
-    // The bound in the docs, over every span: a burst, the rate and the careful rate beside it, one request for each dispatcher that is owed,
-    // and the careful burst of each that was started again.
-    let careful = LeaseRules::default().careful;
+    // The upper bound in the documentation of `lease`, checked over every interval: one burst, the rate and the fallback
+    // rate, a deficit of one request per dispatcher, and the fallback burst of each restarted dispatcher.
+    let fallback = LeaseRules::default().fallback_fraction;
     let n = f64::from(dispatchers);
-    let starts = next as f64 - n;
-    let once = BURST + n * f64::from(LARGEST) + starts * careful * BURST / n;
+    let restarts = next as f64 - n;
+    let fixed = BURST + n * f64::from(LARGEST) + restarts * fallback * BURST / n;
     let mut worst = f64::NEG_INFINITY;
     for from in 0..sums.len() {
         for to in from + 1..sums.len() {
-            let bound = once + RATE * (1.0 + careful) * (to - from) as f64 * STEP_S;
+            let bound = fixed + RATE * (1.0 + fallback) * (to - from) as f64 * STEP_S;
             worst = f64::max(worst, sums[to] - sums[from] - bound);
         }
     }
@@ -163,27 +168,27 @@
 }
 
 #[test]
-fn overspend_stays_within_the_stated_bound_at_3_and_300_dispatchers() {
+fn overspending_stays_within_the_documented_bound_with_3_and_300_dispatchers() {
     for (dispatchers, seeds) in [(3, 0..20), (300, 0..3)] {
         for seed in seeds {
-            let (spent, over) = day(dispatchers, seed, true);
+            let (spent, over) = simulate(dispatchers, seed, true);
             assert!(
                 over <= 0.0,
-                "{dispatchers} dispatchers, seed {seed}: {over} above the bound"
+                "{dispatchers} dispatchers, seed {seed}: {over} tokens above the bound"
             );
             assert!(
                 spent > 0.08 * RATE * 240.0,
-                "{dispatchers} dispatchers, seed {seed}: {spent} were spent at all"
+                "{dispatchers} dispatchers, seed {seed}: only {spent} tokens were spent"
             );
         }
     }
 }
 
 #[test]
-fn without_trouble_what_is_there_is_used() {
-    // With 300 a part's burst is smaller than most requests, which wait until it is full.
+fn rate_is_used_without_failures() {
+    // With 300 dispatchers the leased burst is smaller than most requests, which are admitted only when it is full.
     for (dispatchers, least) in [(3, 0.85), (300, 0.75)] {
-        let (spent, _) = day(dispatchers, 1, false);
+        let (spent, _) = simulate(dispatchers, 1, false);
         let share = spent / (RATE * 240.0);
         assert!(
             share > least,
@@ -193,46 +198,59 @@
 }
 
 #[test]
-fn two_that_claim_one_part_and_answers_out_of_order_change_nothing() {
+fn foreign_returns_and_reordered_responses_are_ignored() {
     let rules = LeaseRules::default();
-    let mut lender = Lender::new(rules.clone(), 100.0, 0.0, true);
-    let (a, b) = (Holder(1), Holder(2));
-    let first = lender.lend(0.0, a, 500.0).expect("lent");
-    let second = lender.lend(1.0, a, 20.0).expect("lent");
+    let mut lease_issuer = LeaseIssuer::new(rules.clone(), 100.0, 0.0, true);
+    let (a, b) = (HolderId(1), HolderId(2));
+    let first = lease_issuer.issue(0.0, a, 500.0).expect("issued");
+    let second = lease_issuer.issue(1.0, a, 20.0).expect("issued");
     assert!(second.number > first.number);
-    lender.give_back(b, second.number);
-    lender.give_back(a, first.number);
+    lease_issuer.return_lease(b, second.number);
+    lease_issuer.return_lease(a, first.number);
     assert!(
-        lender.out(1.0) > 0.0,
-        "neither another's word nor an old number gives a part back"
+        lease_issuer.issued_rate(1.0) > 0.0,
+        "a lease is returned only by its holder and with its current number"
+    );
+    let mut lease_holder = LeaseHolder::new(rules.clone(), 100.0, 2, 0.0);
+    lease_holder.receive(1.0, second);
+    lease_holder.receive(0.0, first);
+    assert_eq!(
+        lease_holder.rate(1.5),
+        second.rate,
+        "the newer lease stays in effect"
+    );
+    // After a pause longer than the lease the fallback rate applies at once.
+    assert_eq!(
+        lease_holder.rate(9.0),
+        100.0 * rules.fallback_fraction / 2.0
+    );
+    lease_issuer.return_lease(a, second.number);
+    assert_eq!(lease_issuer.issued_rate(1.0), 0.0);
+    // A restarted quota server issues no lease while leases of its previous run may be active.
+    let mut restarted = LeaseIssuer::new(rules, 100.0, 2.0, false);
+    assert_eq!(restarted.issue(11.9, b, 50.0), None);
+    let after = restarted.issue(12.0, b, 50.0).expect("issued");
+    assert!(
+        after.number > second.number,
+        "numbers increase across the restart"
     );
-    let mut borrower = Borrower::new(rules.clone(), 100.0, 2, 0.0);
-    borrower.lent(1.0, second);
-    borrower.lent(0.0, first);
-    assert_eq!(borrower.rate(1.5), second.rate, "the newer one stands");
-    // Paused for longer than its part lasts, and resumed: the careful rate, at once.
-    assert_eq!(borrower.rate(9.0), 100.0 * rules.careful / 2.0);
-    lender.give_back(a, second.number);
-    assert_eq!(lender.out(1.0), 0.0);
-    // A ledger that was started again lends nothing while parts of before may be out.
-    let mut again = Lender::new(rules, 100.0, 2.0, false);
-    assert_eq!(again.lend(11.9, b, 50.0), None);
-    let after = again.lend(12.0, b, 50.0).expect("lent");
-    assert!(after.number > second.number, "numbers go on");
 }
 
 #[test]
-fn small_wants_are_met_whole_and_the_rest_is_divided_evenly() {
-    let mut lender = Lender::new(LeaseRules::default(), 100.0, 0.0, true);
-    let wants = BTreeMap::from([(1, 5.0), (2, 10.0), (3, 1000.0), (4, 1000.0)]);
-    // Parts settle over a few renewals, as each sees what the others want.
+fn small_demands_are_met_in_full_and_the_rest_is_divided_equally() {
+    let mut lease_issuer = LeaseIssuer::new(LeaseRules::default(), 100.0, 0.0, true);
+    let demands = BTreeMap::from([(1, 5.0), (2, 10.0), (3, 1000.0), (4, 1000.0)]);
+    // The leases converge over a few renewals, as each renewal takes the demands of the others into account.
     let mut rates = BTreeMap::new();
     for round in 0..6 {
-        for (holder, want) in &wants {
+        for (holder, demand) in &demands {
             let now = f64::from(round) * 5.0;
             rates.insert(
                 *holder,
-                lender.lend(now, Holder(*holder), *want).expect("lent").rate,
+                lease_issuer
+                    .issue(now, HolderId(*holder), *demand)
+                    .expect("issued")
+                    .rate,
             );
         }
     }
--- a/crates/budget/tests/wire.rs
+++ b/crates/budget/tests/wire.rs
@@ -1,10 +1,10 @@
-//! JSON of what dispatchers and the quota server exchange, and of the entries that are stored and billed.
+//! Tests that the JSON of quota server messages, stored charge entries and bills is unchanged.
 //!
-//! The fixture was written by the version before the crate's names changed; each line is one JSON value.
+//! The fixture was written before the crate's identifiers were renamed; each line is one JSON value.
 
-use bitternlatch_budget::charge::{Entry, Line, Used};
-use bitternlatch_budget::ledger::{FromLedger, Part, ToLedger, Want};
-use bitternlatch_budget::period::{Per, PeriodId};
+use bitternlatch_budget::charge::{BillLine, Entry, Usage};
+use bitternlatch_budget::ledger::{LeaseGrant, LeaseRequest, QuotaRequest, QuotaResponse};
+use bitternlatch_budget::period::{PeriodId, PeriodUnit};
 use bitternlatch_budget::Amount;
 use serde::{de::DeserializeOwned, Serialize};
 
@@ -17,7 +17,7 @@
     }
 }
 
-fn entry(number: u32, used: Used) -> Entry {
+fn entry(number: u32, used: Usage) -> Entry {
     Entry {
         response: "resp_1".to_string(),
         number,
@@ -25,52 +25,52 @@
         class: "class".to_string(),
         owner: "owner".to_string(),
         key: "key".to_string(),
-        taken_us: 1_700_000_000_000_000,
+        accepted_us: 1_700_000_000_000_000,
         used,
     }
 }
 
-fn requests() -> Vec<ToLedger> {
+fn requests() -> Vec<QuotaRequest> {
     vec![
-        ToLedger::Ask {
+        QuotaRequest::RequestLeases {
             holder: 7,
             number: 8,
-            tenants: vec![Want {
+            tenants: vec![LeaseRequest {
                 tenant: "tenant".to_string(),
                 tokens_per_s: 12.5,
-                holds: 9,
+                held_lease: 9,
             }],
         },
-        ToLedger::Ship {
+        QuotaRequest::StoreCharges {
             number: 8,
             entries: vec![
-                entry(1, Used::Possibly(amount())),
-                entry(2, Used::Known(amount())),
+                entry(1, Usage::AtMost(amount())),
+                entry(2, Usage::Known(amount())),
             ],
         },
     ]
 }
 
-fn responses() -> Vec<FromLedger> {
+fn responses() -> Vec<QuotaResponse> {
     vec![
-        FromLedger::Lent {
+        QuotaResponse::LeasesGranted {
             number: 8,
-            parts: vec![Part {
+            leases: vec![LeaseGrant {
                 tenant: "tenant".to_string(),
-                lease: 9,
+                lease_number: 9,
                 tokens_per_s: 12.5,
-                lasts_s: 10.0,
+                duration_s: 10.0,
             }],
         },
-        FromLedger::Shipped { number: 8 },
-        FromLedger::Fault {
+        QuotaResponse::ChargesStored { number: 8 },
+        QuotaResponse::Error {
             message: "why".to_string(),
         },
     ]
 }
 
-fn line() -> Line {
-    Line {
+fn line() -> BillLine {
+    BillLine {
         requests: 1,
         prompt: 2,
         output: 3,
@@ -93,21 +93,31 @@
         .into_iter()
         .map(json)
         .chain(responses().into_iter().map(json))
-        .chain([json([Per::Day, Per::Month]), json(PeriodId(1_700_000_000))])
+        .chain([
+            json([PeriodUnit::Day, PeriodUnit::Month]),
+            json(PeriodId(1_700_000_000)),
+        ])
         .chain([json(line())]);
     let written: Vec<String> = values.collect();
     assert_eq!(written.join("\n"), FIXTURE.trim_end());
 }
 
 #[test]
-fn messages_and_entries_of_the_fixture_are_read() {
+fn messages_and_entries_of_the_fixture_are_parsed() {
     let lines: Vec<&str> = FIXTURE.lines().collect();
-    let [ask, ship, lent, shipped, fault, pers, period, _] = lines[..] else {
+    let [request_leases, store_charges, granted, stored, error, units, period, _] = lines[..]
+    else {
         panic!("eight lines");
     };
-    assert_eq!([read::<ToLedger>(ask), read(ship)], requests()[..]);
-    let read_responses: [FromLedger; 3] = [read(lent), read(shipped), read(fault)];
+    assert_eq!(
+        [read::<QuotaRequest>(request_leases), read(store_charges)],
+        requests()[..]
+    );
+    let read_responses: [QuotaResponse; 3] = [read(granted), read(stored), read(error)];
     assert_eq!(read_responses, responses()[..]);
-    assert_eq!(read::<Vec<Per>>(pers), [Per::Day, Per::Month]);
+    assert_eq!(
+        read::<Vec<PeriodUnit>>(units),
+        [PeriodUnit::Day, PeriodUnit::Month]
+    );
     assert_eq!(read::<PeriodId>(period), PeriodId(1_700_000_000));
 }
--- a/crates/core/src/budget_leases.rs
+++ b/crates/core/src/budget_leases.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use bitternlatch_budget::lease::{Borrower, LeaseRules};
-use bitternlatch_budget::ledger::{Part, Want, TENANTS_MOST};
+use bitternlatch_budget::lease::{LeaseHolder, LeaseRules};
+use bitternlatch_budget::ledger::{LeaseGrant, LeaseRequest, MAX_TENANTS};
 
 use crate::machine::{log, Machine};
 use crate::timers::Timer;
@@ -31,7 +31,7 @@
 }
 
 struct TenantLease {
-    borrower: Borrower,
+    lease_holder: LeaseHolder,
     /// Number of the lease that is held, 0 for none.
     lease_number: u64,
     /// The rate now set in the tenant's account, tokens per second.
@@ -50,7 +50,7 @@
     /// Records that a request asked for tokens, whether or not it is admitted.
     pub(crate) fn record_demand(&mut self, now: Micros, tenant: u32, tokens: u64) {
         if let Some(lease) = self.tenants.get_mut(&tenant) {
-            lease.borrower.wanted(tokens as f64);
+            lease.lease_holder.record_demand(tokens as f64);
             lease.last_demand = Some(now);
         }
     }
@@ -69,16 +69,16 @@
                 continue;
             };
             let dispatchers = self.settings.dispatchers;
-            let borrower =
-                Borrower::new(rules.clone(), rate.tokens_per_s, dispatchers, now.seconds());
-            let rate_without_lease = borrower.rate(now.seconds());
+            let lease_holder =
+                LeaseHolder::new(rules.clone(), rate.tokens_per_s, dispatchers, now.seconds());
+            let rate_without_lease = lease_holder.rate(now.seconds());
             let whole = (rate.tokens_per_s, rate.burst_tokens);
-            self.book
-                .lend(now.seconds(), i as u32, rate_without_lease / whole.0, whole);
+            self.accounts
+                .set_lease(now.seconds(), i as u32, rate_without_lease / whole.0, whole);
             self.leases.tenants.insert(
                 i as u32,
                 TenantLease {
-                    borrower,
+                    lease_holder,
                     lease_number: 0,
                     rate: rate_without_lease,
                     last_demand: None,
@@ -96,7 +96,8 @@
             .set(now.after(CHECK_INTERVAL_S), Timer::BudgetLeases);
         self.apply_budget_leases(now);
         let is_due = |lease: &TenantLease| {
-            (lease.is_active(now) || lease.lease_number != 0) && lease.borrower.asks(now.seconds())
+            (lease.is_active(now) || lease.lease_number != 0)
+                && lease.lease_holder.needs_renewal(now.seconds())
         };
         let after = self.leases.tenants.range(self.leases.next_tenant..);
         let before = self.leases.tenants.range(..self.leases.next_tenant);
@@ -104,7 +105,7 @@
             .chain(before)
             .filter(|(_, lease)| is_due(lease))
             .map(|(tenant, _)| *tenant)
-            .take(TENANTS_MOST)
+            .take(MAX_TENANTS)
             .collect();
         let Some(last) = due.last() else { return };
         let last = *last;
@@ -115,19 +116,19 @@
                 continue;
             };
             let wanted_rate = if lease.is_active(now) {
-                lease.borrower.wants(now.seconds()).max(1.0)
+                lease.lease_holder.demand(now.seconds()).max(1.0)
             } else {
                 0.0
             };
             let name = self.settings.tenants[tenant as usize].name.clone();
-            tenants.push(Want {
+            tenants.push(LeaseRequest {
                 tenant: name,
                 tokens_per_s: wanted_rate,
-                holds: lease.lease_number,
+                held_lease: lease.lease_number,
             });
             if wanted_rate == 0.0 {
                 lease.lease_number = 0;
-                lease.borrower.drop_part();
+                lease.lease_holder.drop_lease();
             }
         }
         self.leases.last_number += 1;
@@ -150,7 +151,7 @@
         &mut self,
         now: Micros,
         number: u64,
-        leases: &[Part],
+        leases: &[LeaseGrant],
         out: &mut Vec<Output>,
     ) {
         let Some(requested_at) = self.leases.pending.remove(&number) else {
@@ -171,7 +172,9 @@
                 );
                 continue;
             };
-            tenant_lease.borrower.lent(requested_at.seconds(), lease);
+            tenant_lease
+                .lease_holder
+                .receive(requested_at.seconds(), lease);
             tenant_lease.lease_number = tenant_lease.lease_number.max(lease.number);
         }
         self.apply_budget_leases(now);
@@ -180,7 +183,7 @@
     /// Sets the rate of each tenant's account to the rate that its lease allows now.
     pub(crate) fn apply_budget_leases(&mut self, now: Micros) {
         for (tenant, lease) in &mut self.leases.tenants {
-            let rate = lease.borrower.rate(now.seconds());
+            let rate = lease.lease_holder.rate(now.seconds());
             let whole = self.settings.tenants[*tenant as usize]
                 .budget
                 .as_ref()
@@ -188,8 +191,8 @@
             if let Some(whole) = whole.filter(|_| rate != lease.rate) {
                 lease.rate = rate;
                 let whole = (whole.tokens_per_s, whole.burst_tokens);
-                self.book
-                    .lend(now.seconds(), *tenant, rate / whole.0, whole);
+                self.accounts
+                    .set_lease(now.seconds(), *tenant, rate / whole.0, whole);
             }
         }
     }
--- a/crates/core/src/budgets.rs
+++ b/crates/core/src/budgets.rs
@@ -4,8 +4,8 @@
 //! The budget is checked before the decision module, which applies quotas of its own: a request that the budget rejects
 //! is never passed to the decision module.
 
-use bitternlatch_budget::bucket::Short;
-use bitternlatch_budget::charge::{Entry, Used};
+use bitternlatch_budget::bucket::InsufficientBudget;
+use bitternlatch_budget::charge::{Entry, Usage};
 use bitternlatch_budget::Amount;
 use bitternlatch_policy::interface::RequestId;
 use bitternlatch_protocol::client::{self, BadRequest, Create, Response, Status};
@@ -80,7 +80,7 @@
         }
     }
 
-    pub(crate) fn by_budget(short: Short) -> Rejection {
+    pub(crate) fn by_budget(short: InsufficientBudget) -> Rejection {
         let bad_request = |status, code, message: &str| BadRequest {
             status,
             code,
@@ -88,7 +88,7 @@
             param: None,
         };
         match short {
-            Short::For(seconds) => Rejection {
+            InsufficientBudget::RetryAfter(seconds) => Rejection {
                 error: bad_request(
                     429,
                     "budget_spent",
@@ -97,7 +97,7 @@
                 retry_after_s: Some(seconds),
                 alternatives: vec![],
             },
-            Short::Ever => bad_request(
+            InsufficientBudget::Never => bad_request(
                 403,
                 "budget_too_small",
                 "the request asks for more tokens than the tenant's budget ever has",
@@ -112,7 +112,7 @@
 pub(crate) struct RequestCharges {
     /// Number of entries issued; the last entry's number.
     entries: u32,
-    last: Option<Used>,
+    last: Option<Usage>,
 }
 
 impl Request {
@@ -128,12 +128,12 @@
 
     /// What the request is to be charged by what is known now: its reported usage or, if it was served or may have run
     /// without one, the upper bound that was held. `None` if it was rejected or is known not to have run.
-    fn amount_due(&self, served: bool, rejected: bool) -> Option<Used> {
+    fn amount_due(&self, served: bool, rejected: bool) -> Option<Usage> {
         match self.reported_usage() {
             _ if rejected => None,
-            Some(amount) => Some(Used::Known(amount)),
+            Some(amount) => Some(Usage::Known(amount)),
             None if served || self.may_have_run() => {
-                Some(Used::Possibly(self.budget_hold.as_ref()?.bound()))
+                Some(Usage::AtMost(self.budget_hold.as_ref()?.amount()))
             }
             None => None,
         }
@@ -149,7 +149,7 @@
         session: SessionId,
         out: &mut Vec<Output>,
     ) {
-        if let Some(near) = self.book.near(now.seconds(), tenant) {
+        if let Some(near) = self.accounts.nearest_limit(now.seconds(), tenant) {
             let text = client::rate_limits(near.limit as u64, near.remaining as u64, near.reset_s);
             out.push(Output::SendToClient { session, text });
         }
@@ -173,7 +173,7 @@
     }
 
     /// Emits a charge for a request unless it equals the request's previous charge.
-    fn charge(&mut self, id: RequestId, used: Option<Used>, out: &mut Vec<Output>) {
+    fn charge(&mut self, id: RequestId, used: Option<Usage>, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -200,7 +200,7 @@
                 .as_ref()
                 .map(|k| k.text.clone())
                 .unwrap_or_default(),
-            taken_us: request.created_at.0,
+            accepted_us: request.created_at.0,
             used,
         }));
     }
@@ -218,11 +218,11 @@
             return;
         };
         let used = match request.charged.last {
-            Some(Used::Known(amount) | Used::Possibly(amount)) => amount,
+            Some(Usage::Known(amount) | Usage::AtMost(amount)) => amount,
             None => Amount::default(),
         };
         if let Some(hold) = request.budget_hold.take() {
-            self.book.settle(hold, used);
+            self.accounts.settle(hold, used);
         }
     }
 
@@ -240,8 +240,8 @@
         };
         for (i, tenant) in self.settings.tenants.iter().enumerate() {
             if let Some(budget) = &tenant.budget {
-                self.book
-                    .open(now.seconds(), i as u32, budget, share, class_number);
+                self.accounts
+                    .set_budget(now.seconds(), i as u32, budget, share, class_number);
             }
         }
     }
--- a/crates/core/src/intake.rs
+++ b/crates/core/src/intake.rs
@@ -151,8 +151,8 @@
         let tenant = validated.tenant;
         self.leases.record_demand(now, tenant, max_usage.total());
         let budget_hold = self
-            .book
-            .hold(now.seconds(), tenant, validated.class, max_usage)
+            .accounts
+            .reserve(now.seconds(), tenant, validated.class, max_usage)
             .map_err(|short| {
                 self.load_shedding.request_ended(&mut admitted);
                 Rejection::by_budget(short)
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use bitternlatch_budget::book::Book;
+use bitternlatch_budget::book::Accounts;
 use bitternlatch_identity::rights::Rights;
 use bitternlatch_identity::Caller;
 use bitternlatch_policy::choice::Router;
@@ -108,7 +108,7 @@
     pub(crate) servers: ServerTable,
     pub(crate) keys: IdempotencyKeys,
     pub(crate) contexts: Contexts,
-    pub(crate) book: Book,
+    pub(crate) accounts: Accounts,
     pub(crate) leases: BudgetLeases,
     pub(crate) peers: Peers,
     pub(crate) quota_lease: QuotaLease,
@@ -153,7 +153,7 @@
                 limits.idempotency_key_lifetime_s,
             ),
             contexts: Contexts::new(limits.max_context_bytes),
-            book: Book::default(),
+            accounts: Accounts::default(),
             leases: BudgetLeases::default(),
             peers: Peers::default(),
             quota_lease: QuotaLease::default(),
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -88,7 +88,7 @@
         let rates = self.settings.tenants.iter().enumerate();
         for (i, rate) in rates.filter_map(|(i, t)| Some((i as u32, t.budget.as_ref()?.rate?))) {
             let whole = (rate.tokens_per_s, rate.burst_tokens);
-            self.book.lend(since.seconds(), i, fraction, whole);
+            self.accounts.set_lease(since.seconds(), i, fraction, whole);
         }
     }
 }
--- a/crates/core/src/request_start.rs
+++ b/crates/core/src/request_start.rs
@@ -1,6 +1,6 @@
 //! Starts a request: enters it into the request table and passes it to the decision module.
 
-use bitternlatch_budget::book::Hold;
+use bitternlatch_budget::book::Reservation;
 use bitternlatch_output_length::Expected;
 use bitternlatch_policy::interface::{Event, RequestId};
 use bitternlatch_protocol::client::{self, Create, Response, Status, Usage};
@@ -19,7 +19,7 @@
 /// What admission decided about a request.
 pub(crate) struct AdmissionDecision {
     /// Tokens reserved from the tenant's budget; `None` where load shedding rejected the request.
-    pub budget_hold: Option<Hold>,
+    pub budget_hold: Option<Reservation>,
     /// The work that load shedding admitted, or for a rejected request the seconds until it may be repeated.
     pub admission: Result<AdmittedWork, f64>,
 }
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -4,7 +4,7 @@
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 
-use bitternlatch_budget::book::Hold;
+use bitternlatch_budget::book::Reservation;
 use bitternlatch_output_length::Expected;
 use bitternlatch_policy::interface::{RequestId, ServerId};
 use bitternlatch_protocol::client::{Response, Usage};
@@ -149,7 +149,7 @@
     /// When the request started; billing records it.
     pub created_at: Micros,
     /// Tokens reserved from the tenant's budget until the final charge is known.
-    pub budget_hold: Option<Hold>,
+    pub budget_hold: Option<Reservation>,
     /// What the tenant has been charged for the request so far.
     pub charged: RequestCharges,
     /// Whether the request's final answer was a rejection that is safe to repeat, for which nothing is charged.
--- a/crates/core/src/settings/check.rs
+++ b/crates/core/src/settings/check.rs
@@ -303,7 +303,9 @@
                 1e9,
             );
             let class_exists = |name: &str| self.classes.iter().any(|c| c.name == name);
-            if let Some(Err((key, cause))) = tenant.budget.as_ref().map(|b| b.check(class_exists)) {
+            if let Some(Err((key, cause))) =
+                tenant.budget.as_ref().map(|b| b.validate(class_exists))
+            {
                 validator.fail(&format!("tenants.{i}.budget.{key}"), cause);
             }
         }
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -1,7 +1,7 @@
 //! Ids, clock time, and the inputs and outputs of the [`Machine`](crate::Machine).
 
 use bitternlatch_budget::charge::Entry;
-use bitternlatch_budget::ledger::{Part, Want};
+use bitternlatch_budget::ledger::{LeaseGrant, LeaseRequest};
 use bitternlatch_identity::Caller;
 use bitternlatch_inventory::ModelServer;
 use bitternlatch_membership::QuorumState;
@@ -97,7 +97,7 @@
         number: u64,
         /// The leases granted; a tenant without one in the list is granted nothing now.
         #[serde(rename = "parts")]
-        leases: Vec<Part>,
+        leases: Vec<LeaseGrant>,
     },
     /// The access rights (TOML), which replace the previous ones.
     Rights(String),
@@ -266,7 +266,7 @@
         /// Number of the request, for its response.
         number: u64,
         /// The token rate wanted for each tenant.
-        tenants: Vec<Want>,
+        tenants: Vec<LeaseRequest>,
     },
     /// All conditions of model servers that this dispatcher observes now, to be sent to its peers.
     #[serde(rename = "Seen")]
--- a/crates/core/tests/budgets.rs
+++ b/crates/core/tests/budgets.rs
@@ -1,8 +1,8 @@
 //! Tests of token budgets: holds, charges, rejections and budget leases.
 mod common;
 
-use bitternlatch_budget::charge::{Entries, Used};
-use bitternlatch_budget::ledger::{Part, Want};
+use bitternlatch_budget::charge::{Entries, Usage};
+use bitternlatch_budget::ledger::{LeaseGrant, LeaseRequest};
 use bitternlatch_budget::Amount;
 use bitternlatch_core::{Input, Output, SessionId, Settings};
 use common::{four_servers, Harness, SentCompletion, SETTINGS};
@@ -43,7 +43,7 @@
     bench.next_completion()
 }
 
-fn issued_charges(bench: &Harness) -> Vec<(u32, Used)> {
+fn issued_charges(bench: &Harness) -> Vec<(u32, Usage)> {
     let charge = |output: &Output| match output {
         Output::Charge(entry) => Some((entry.number, entry.used)),
         _ => None,
@@ -51,8 +51,8 @@
     bench.outputs.iter().filter_map(charge).collect()
 }
 
-fn known_usage(prompt: u32, output: u32) -> Used {
-    Used::Known(Amount { prompt, output })
+fn known_usage(prompt: u32, output: u32) -> Usage {
+    Usage::Known(Amount { prompt, output })
 }
 
 fn rejection(bench: &mut Harness, session: SessionId) -> (String, Option<u64>) {
@@ -142,7 +142,7 @@
         reason: "reset".into(),
     });
     bench.advance(20.0);
-    let bound = Used::Possibly(Amount {
+    let bound = Usage::AtMost(Amount {
         prompt: 100,
         output: 200,
     });
@@ -185,7 +185,7 @@
     bench.finish_decode(&decode, 0, 0);
     let decode = start_decode(&mut bench, session, "query", "k2", 200);
     bench.finish_decode(&decode, 130, 5000);
-    let bound = Used::Possibly(Amount {
+    let bound = Usage::AtMost(Amount {
         prompt: 100,
         output: 200,
     });
@@ -197,7 +197,7 @@
     let mut entries = Entries::default();
     for output in &bench.outputs {
         if let Output::Charge(entry) = output {
-            entries.offer(entry.clone());
+            entries.insert(entry.clone());
         }
     }
     let bill = entries.bill(0, u64::MAX);
@@ -208,7 +208,7 @@
     );
 }
 
-fn take_lease_request(bench: &mut Harness) -> Option<(u64, Want)> {
+fn take_lease_request(bench: &mut Harness) -> Option<(u64, LeaseRequest)> {
     let lease_request = |output: &Output| match output {
         Output::RequestBudgetLeases {
             number, tenants, ..
@@ -220,12 +220,12 @@
     last
 }
 
-fn granted_lease(lease: u64, tokens_per_s: f64) -> Part {
-    Part {
+fn granted_lease(lease: u64, tokens_per_s: f64) -> LeaseGrant {
+    LeaseGrant {
         tenant: "bands".into(),
-        lease,
+        lease_number: lease,
         tokens_per_s,
-        lasts_s: 10.0,
+        duration_s: 10.0,
     }
 }
 
@@ -262,7 +262,7 @@
     );
     bench.advance(0.6);
     let (number, want) = take_lease_request(&mut bench).expect("a lease request");
-    assert!(want.tokens_per_s >= 1.0 && want.holds == 0, "{want:?}");
+    assert!(want.tokens_per_s >= 1.0 && want.held_lease == 0, "{want:?}");
     // A response with the number of no pending request is ignored; the next one answers the request.
     bench.step(Input::BudgetLeases {
         number: number + 7,
@@ -272,7 +272,7 @@
         number,
         leases: vec![
             granted_lease(1, 90.0),
-            Part {
+            LeaseGrant {
                 tokens_per_s: f64::NAN,
                 ..granted_lease(2, 1.0)
             },
@@ -287,7 +287,7 @@
     bench.advance(4.5);
     let (_, want) =
         take_lease_request(&mut bench).expect("requested again after half of its duration");
-    assert!(want.holds == 1 && want.tokens_per_s > 0.0, "{want:?}");
+    assert!(want.held_lease == 1 && want.tokens_per_s > 0.0, "{want:?}");
     // No response is received: the lease expires and the rate without a lease applies again.
     bench.advance(60.0);
     bench.outputs.clear();
@@ -317,7 +317,7 @@
     });
     bench.advance(5.0);
     let (_, returned) = take_lease_request(&mut bench).expect("the return of the lease");
-    assert_eq!((returned.holds, returned.tokens_per_s), (4, 0.0));
+    assert_eq!((returned.held_lease, returned.tokens_per_s), (4, 0.0));
     bench.advance(30.0);
     assert_eq!(take_lease_request(&mut bench), None);
 }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -158,7 +158,7 @@
         let mut all = Entries::default();
         for row in table.iter().map_err(store)? {
             let (_, text) = row.map_err(store)?;
-            all.offer(serde_json::from_slice(text.value())?);
+            all.insert(serde_json::from_slice(text.value())?);
         }
         Ok(all)
     }
--- a/crates/journal/tests/crash.rs
+++ b/crates/journal/tests/crash.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use bitternlatch_budget::charge::{Entry, Used};
+use bitternlatch_budget::charge::{Entry, Usage};
 use bitternlatch_budget::Amount;
 use bitternlatch_journal::{Journal, SequenceNumber};
 use redb::StorageBackend;
@@ -97,8 +97,8 @@
         class: "query".into(),
         owner: String::new(),
         key: String::new(),
-        taken_us: 1,
-        used: Used::Known(Amount { prompt: 10, output }),
+        accepted_us: 1,
+        used: Usage::Known(Amount { prompt: 10, output }),
     }
 }
 
@@ -171,7 +171,7 @@
             let whole = |n: u32| {
                 batch(n)
                     .iter()
-                    .all(|e| all.standing().any(|s| s.response == e.response))
+                    .all(|e| all.latest().any(|s| s.response == e.response))
             };
             let there = (0..BATCHES).take_while(|n| whole(*n)).count() as u32;
             assert!(
@@ -179,7 +179,7 @@
                 "{at} {kept}: {there} batches of {least} promised"
             );
             assert_eq!(
-                all.standing().count() as u32,
+                all.latest().count() as u32,
                 there * 3,
                 "{at} {kept}: a batch in part"
             );
@@ -223,7 +223,7 @@
         drop(journal);
         let bytes = disk.0.lock().expect("not poisoned").bytes.clone();
         let again = Journal::over(Disk::of(bytes)).unwrap_or_else(|e| panic!("{left}: {e}"));
-        let there = again.entries().expect("read").standing().count() as u32;
+        let there = again.entries().expect("read").latest().count() as u32;
         assert!(
             there >= promised * 3 && there.is_multiple_of(3),
             "{left}: {there} entries, {promised} batches promised"
--- a/crates/journal/tests/stored_file.rs
+++ b/crates/journal/tests/stored_file.rs
@@ -5,7 +5,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use bitternlatch_budget::charge::{Entry, Used};
+use bitternlatch_budget::charge::{Entry, Usage};
 use bitternlatch_budget::Amount;
 use bitternlatch_journal::{Journal, SequenceNumber};
 use redb::StorageBackend;
@@ -72,7 +72,7 @@
     Amount { prompt, output }
 }
 
-fn entry(response: &str, number: u32, used: Used) -> Entry {
+fn entry(response: &str, number: u32, used: Usage) -> Entry {
     Entry {
         response: response.to_string(),
         number,
@@ -80,7 +80,7 @@
         class: "class".to_string(),
         owner: "owner".to_string(),
         key: format!("key of {response}"),
-        taken_us: 1_700_000_000_000_000,
+        accepted_us: 1_700_000_000_000_000,
         used,
     }
 }
@@ -88,10 +88,10 @@
 /// In the order in which they were appended; all up to the second one have been shipped.
 fn written() -> Vec<Entry> {
     vec![
-        entry("resp_1", 1, Used::Known(amount(10, 20))),
-        entry("resp_2", 1, Used::Possibly(amount(30, 40))),
-        entry("resp_2", 2, Used::Known(amount(30, 7))),
-        entry("resp_3", 1, Used::Known(amount(50, 60))),
+        entry("resp_1", 1, Usage::Known(amount(10, 20))),
+        entry("resp_2", 1, Usage::AtMost(amount(30, 40))),
+        entry("resp_2", 2, Usage::Known(amount(30, 7))),
+        entry("resp_3", 1, Usage::Known(amount(50, 60))),
     ]
 }
 
@@ -109,7 +109,7 @@
 fn entries_of_the_fixture_are_read_field_by_field() {
     let journal = Journal::over(stored_file()).expect("the file opens");
     let entries = journal.entries().expect("readable");
-    let standing: Vec<&Entry> = entries.standing().collect();
+    let standing: Vec<&Entry> = entries.latest().collect();
     let [first, second, third] = standing[..] else {
         panic!("three responses, {standing:?}");
     };
@@ -120,9 +120,9 @@
     assert_eq!(first.class, "class");
     assert_eq!(first.owner, "owner");
     assert_eq!(first.key, "key of resp_1");
-    assert_eq!(first.taken_us, 1_700_000_000_000_000);
-    assert_eq!(first.used, Used::Known(amount(10, 20)));
-    assert_eq!(second.used, Used::Known(amount(30, 7)));
+    assert_eq!(first.accepted_us, 1_700_000_000_000_000);
+    assert_eq!(first.used, Usage::Known(amount(10, 20)));
+    assert_eq!(second.used, Usage::Known(amount(30, 7)));
 }
 
 /// The store compares the text of an entry with the text that is kept, so another text of the same entry would contradict it.
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use bitternlatch_budget::charge::Entry;
-use bitternlatch_budget::ledger::ToLedger;
+use bitternlatch_budget::ledger::QuotaRequest;
 use bitternlatch_core::record::{self, Writer};
 use bitternlatch_core::settings::Engines;
 use bitternlatch_core::{
@@ -431,7 +431,7 @@
                 tenants,
             } => {
                 if let Some(ledger) = &self.ledger {
-                    ledger.ask(&ToLedger::Ask {
+                    ledger.ask(&QuotaRequest::RequestLeases {
                         holder,
                         number,
                         tenants,
--- a/crates/net/src/ledger.rs
+++ b/crates/net/src/ledger.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use bitternlatch_budget::ledger::{FromLedger, ToLedger, ENTRIES_MOST};
+use bitternlatch_budget::ledger::{QuotaRequest, QuotaResponse, MAX_ENTRIES};
 use bitternlatch_core::Input;
 use bitternlatch_journal::Journal;
 use crossbeam_channel::{bounded, Receiver, Sender};
@@ -32,7 +32,7 @@
     line: Line,
 }
 
-fn send(line: &Line, message: &ToLedger) -> bool {
+fn send(line: &Line, message: &QuotaRequest) -> bool {
     let line = lock(line);
     let text = serde_json::to_string(message).unwrap_or_default();
     line.as_ref()
@@ -62,7 +62,7 @@
     }
 
     /// Sends a question; lost where there is no connection.
-    pub fn ask(&self, message: &ToLedger) {
+    pub fn ask(&self, message: &QuotaRequest) {
         if !send(&self.line, message) {
             tracing::debug!("the ledger is away: a question for parts is lost");
         }
@@ -106,20 +106,17 @@
             Heard::Ended(why) => return why,
         };
         match serde_json::from_str(&text) {
-            Ok(FromLedger::Lent { number, parts }) => {
+            Ok(QuotaResponse::LeasesGranted { number, leases }) => {
                 if to
-                    .send(Event::Input(Input::BudgetLeases {
-                        number,
-                        leases: parts,
-                    }))
+                    .send(Event::Input(Input::BudgetLeases { number, leases }))
                     .is_err()
                 {
                     return "the loop has ended".to_string();
                 }
             }
             // One that nobody waits for any more comes again with the shipment's repeat.
-            Ok(FromLedger::Shipped { number }) => drop(shipped.try_send(number)),
-            Ok(FromLedger::Fault { message }) => {
+            Ok(QuotaResponse::ChargesStored { number }) => drop(shipped.try_send(number)),
+            Ok(QuotaResponse::Error { message }) => {
                 tracing::error!(message, "the ledger cannot use a message")
             }
             Err(e) => tracing::error!(error = %e, "the ledger says what cannot be read"),
@@ -132,7 +129,7 @@
     let mut number = 0;
     loop {
         std::thread::sleep(SHIP_EVERY);
-        let rest = match journal.unshipped(ENTRIES_MOST) {
+        let rest = match journal.unshipped(MAX_ENTRIES) {
             Ok(rest) => rest,
             Err(e) => {
                 tracing::error!(error = %e, "charges cannot be read for the ledger");
@@ -144,7 +141,7 @@
         };
         number += 1;
         let entries = rest.into_iter().map(|r| r.1).collect();
-        if !send(line, &ToLedger::Ship { number, entries }) {
+        if !send(line, &QuotaRequest::StoreCharges { number, entries }) {
             continue;
         }
         let by = Instant::now() + SHIP_WITHIN;
--- a/programs/benchmark/src/charges.rs
+++ b/programs/benchmark/src/charges.rs
@@ -4,8 +4,8 @@
 use std::io::Write;
 use std::time::Instant;
 
-use bitternlatch_budget::book::Book;
-use bitternlatch_budget::charge::{Entry, Used};
+use bitternlatch_budget::book::Accounts;
+use bitternlatch_budget::charge::{Entry, Usage};
 use bitternlatch_budget::plan::{Budget, Rate};
 use bitternlatch_budget::Amount;
 use bitternlatch_journal::Journal;
@@ -20,8 +20,8 @@
         class: "slot-query".into(),
         owner: "caller:ann".into(),
         key: format!("key-{i}"),
-        taken_us: 1_800_000_000_000_000 + i as u64,
-        used: Used::Known(Amount {
+        accepted_us: 1_800_000_000_000_000 + i as u64,
+        used: Usage::Known(Amount {
             prompt: 1000,
             output: 200,
         }),
@@ -112,7 +112,7 @@
 fn decisions() {
     const DECISIONS: u32 = 1_000_000;
     for tenants in [10, 10_000, 100_000] {
-        let mut book = Book::default();
+        let mut accounts = Accounts::default();
         let rate = Some(Rate {
             tokens_per_s: 1e6,
             burst_tokens: 1e7,
@@ -122,7 +122,7 @@
             period: None,
             reserve: Default::default(),
         };
-        (0..tenants).for_each(|t| book.open(0.0, t, &budget, 1.0, |_| None));
+        (0..tenants).for_each(|t| accounts.set_budget(0.0, t, &budget, 1.0, |_| None));
         let most = Amount {
             prompt: 1000,
             output: 500,
@@ -131,10 +131,10 @@
         let mut held = 0;
         for i in 0..DECISIONS {
             let tenant = i.wrapping_mul(2_654_435_761) % tenants;
-            if let Ok(hold) = book.hold(f64::from(i) * 1e-5, tenant, 0, most) {
+            if let Ok(reservation) = accounts.reserve(f64::from(i) * 1e-5, tenant, 0, most) {
                 held += 1;
-                book.settle(
-                    hold,
+                accounts.settle(
+                    reservation,
                     Amount {
                         prompt: 1000,
                         output: 100,
--- a/programs/billing/src/lib.rs
+++ b/programs/billing/src/lib.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use bitternlatch_budget::charge::{Entries, Line, Offered};
+use bitternlatch_budget::charge::{BillLine, Entries, InsertOutcome};
 use bitternlatch_journal::Journal;
 use jiff::civil::{Date, DateTime};
 use jiff::tz::TimeZone;
@@ -26,8 +26,8 @@
         let entries = journal
             .entries()
             .map_err(|e| format!("{}: {e}", path.display()))?;
-        for entry in entries.standing() {
-            if all.offer(entry.clone()) == Offered::Contradicts {
+        for entry in entries.latest() {
+            if all.insert(entry.clone()) == InsertOutcome::Conflict {
                 contradictions.push(format!("{} in {}", entry.response, path.display()));
             }
         }
@@ -61,8 +61,8 @@
 }
 
 /// The rows of a bill, by tenant and class.
-pub fn rows(bill: &BTreeMap<(String, String), Line>) -> Vec<Row> {
-    let row = |((tenant, class), line): (&(String, String), &Line)| Row {
+pub fn rows(bill: &BTreeMap<(String, String), BillLine>) -> Vec<Row> {
+    let row = |((tenant, class), line): (&(String, String), &BillLine)| Row {
         tenant: tenant.clone(),
         class: class.clone(),
         requests: line.requests,
--- a/programs/billing/src/main.rs
+++ b/programs/billing/src/main.rs
@@ -67,8 +67,8 @@
     let (from, to) = (at(&args.from, 0)?, at(&args.to, u64::MAX)?);
     if args.entries {
         for entry in entries
-            .standing()
-            .filter(|e| (from..to).contains(&e.taken_us))
+            .latest()
+            .filter(|e| (from..to).contains(&e.accepted_us))
         {
             println!(
                 "{}",
--- a/programs/billing/src/reconcile.rs
+++ b/programs/billing/src/reconcile.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use bitternlatch_budget::charge::{Entries, Used};
+use bitternlatch_budget::charge::{Entries, Usage};
 use bitternlatch_budget::Amount;
 use bitternlatch_protocol::engine::{decode, FromEngine};
 use serde::{Deserialize, Serialize};
@@ -73,7 +73,7 @@
     pub fn reconcile(&self, entries: &Entries) -> Reconciled {
         let mut found = Reconciled::default();
         let mut charged = Vec::new();
-        for entry in entries.standing() {
+        for entry in entries.latest() {
             // A response's id is its request's wire id with a tag behind it.
             let request = entry
                 .response
@@ -88,18 +88,18 @@
                 .unwrap_or_default();
             let all: u64 = counts.iter().map(|c| c.total()).sum();
             match entry.used {
-                Used::Known(amount) if counts.contains(&amount) => {
+                Usage::Known(amount) if counts.contains(&amount) => {
                     found.equal += 1;
                     found.other_tries += all - amount.total();
                 }
-                Used::Known(amount) => found.faults.push(format!(
+                Usage::Known(amount) => found.faults.push(format!(
                     "{}: charged {} and {}, hosts counted {counts:?}",
                     entry.response, amount.prompt, amount.output
                 )),
-                Used::Possibly(bound) if counts.iter().all(|c| c.total() <= bound.total()) => {
+                Usage::AtMost(bound) if counts.iter().all(|c| c.total() <= bound.total()) => {
                     found.within += 1
                 }
-                Used::Possibly(bound) => found.faults.push(format!(
+                Usage::AtMost(bound) => found.faults.push(format!(
                     "{}: possibly charged up to {}, hosts counted {counts:?}",
                     entry.response,
                     bound.total()
--- a/programs/chaos/tests/bills.rs
+++ b/programs/chaos/tests/bills.rs
@@ -5,7 +5,7 @@
 
 use bitternlatch_billing::reconcile::Counts;
 use bitternlatch_billing::{gather, rows};
-use bitternlatch_budget::charge::{Entries, Used};
+use bitternlatch_budget::charge::{Entries, Usage};
 use bitternlatch_chaos::client::Came;
 use bitternlatch_mock_engine::config::Trouble;
 use common::{create, final_kind, image, rig, Rig, FOUR};
@@ -69,8 +69,8 @@
         "{found:?}, {served} served"
     );
     let known = entries
-        .standing()
-        .filter(|e| matches!(e.used, Used::Known(_)))
+        .latest()
+        .filter(|e| matches!(e.used, Usage::Known(_)))
         .count();
     let sums = rows(&entries.bill(0, u64::MAX));
     assert_eq!(
@@ -80,8 +80,8 @@
     );
     // The comparison can fail: a bill with one entry less is at fault.
     let mut less = Entries::default();
-    for entry in entries.standing().skip(1) {
-        less.offer(entry.clone());
+    for entry in entries.latest().skip(1) {
+        less.insert(entry.clone());
     }
     assert_eq!(counts.reconcile(&less).faults.len(), 1);
 }
@@ -103,9 +103,9 @@
         Came::Closed(_)
     ));
     let (entries, counts) = settle(rig);
-    let all: Vec<_> = entries.standing().collect();
+    let all: Vec<_> = entries.latest().collect();
     assert!(
-        all.len() == 1 && matches!(all[0].used, Used::Possibly(_)),
+        all.len() == 1 && matches!(all[0].used, Usage::AtMost(_)),
         "{all:?}"
     );
     let found = counts.reconcile(&entries);
--- a/programs/chaos/tests/ledger.rs
+++ b/programs/chaos/tests/ledger.rs
@@ -94,5 +94,5 @@
     assert!(wrong.is_empty());
     assert_eq!(rows(&kept.bill(0, u64::MAX)), rows(&own.bill(0, u64::MAX)));
     assert_eq!(kept, own, "every charge, once");
-    assert_eq!(own.standing().count(), 38);
+    assert_eq!(own.latest().count(), 38);
 }
--- a/programs/quota-server/src/lib.rs
+++ b/programs/quota-server/src/lib.rs
@@ -7,7 +7,9 @@
 use std::time::Duration;
 
 use bitternlatch_budget::lease::LeaseRules;
-use bitternlatch_budget::ledger::{FromLedger, Ledger, ToLedger, ENTRIES_MOST, TENANTS_MOST};
+use bitternlatch_budget::ledger::{
+    LeaseIssuers, QuotaRequest, QuotaResponse, MAX_ENTRIES, MAX_TENANTS,
+};
 use bitternlatch_identity::Caller;
 use bitternlatch_journal::Journal;
 use bitternlatch_net::accept::{Acceptor, Door, Handler};
@@ -86,7 +88,8 @@
             .iter()
             .map(|t| (t.name.clone(), t.tokens_per_s))
             .collect();
-        let ledger = Ledger::new(&rates, &LeaseRules::default(), clock.now().seconds(), first);
+        let ledger =
+            LeaseIssuers::new(&rates, &LeaseRules::default(), clock.now().seconds(), first);
         let desk = Arc::new(Desk {
             ledger: Mutex::new(ledger),
             journal,
@@ -111,7 +114,7 @@
 
     /// Tokens a second that are lent out now, by tenant.
     pub fn out(&self) -> BTreeMap<String, f64> {
-        lock(&self.desk.ledger).out(self.desk.clock.now().seconds())
+        lock(&self.desk.ledger).issued_rates(self.desk.clock.now().seconds())
     }
 
     /// Requests that are charged in its journal.
@@ -122,7 +125,7 @@
         self.desk
             .journal
             .entries()
-            .map(|e| e.standing().count())
+            .map(|e| e.latest().count())
             .map_err(|e| e.to_string())
     }
 
@@ -134,7 +137,7 @@
 }
 
 struct Desk {
-    ledger: Mutex<Ledger>,
+    ledger: Mutex<LeaseIssuers>,
     journal: Journal,
     clock: Clock,
     outboxes: Mutex<BTreeMap<u64, Outbox>>,
@@ -145,44 +148,46 @@
 }
 
 impl Desk {
-    fn answer(&self, text: &str) -> Option<FromLedger> {
-        let fault = |message: String| Some(FromLedger::Fault { message });
-        match serde_json::from_str::<ToLedger>(text) {
+    fn answer(&self, text: &str) -> Option<QuotaResponse> {
+        let fault = |message: String| Some(QuotaResponse::Error { message });
+        match serde_json::from_str::<QuotaRequest>(text) {
             Err(e) => fault(e.to_string()),
-            Ok(ToLedger::Ask { tenants, .. }) if tenants.len() > TENANTS_MOST => {
-                fault(format!("more than {TENANTS_MOST} tenants in one question"))
+            Ok(QuotaRequest::RequestLeases { tenants, .. }) if tenants.len() > MAX_TENANTS => {
+                fault(format!("more than {MAX_TENANTS} tenants in one question"))
             }
-            Ok(ToLedger::Ask {
+            Ok(QuotaRequest::RequestLeases {
                 holder,
                 number,
                 tenants,
             }) => {
                 let now_s = self.clock.now().seconds();
-                Some(FromLedger::Lent {
+                Some(QuotaResponse::LeasesGranted {
                     number,
-                    parts: lock(&self.ledger).ask(now_s, holder, &tenants),
+                    leases: lock(&self.ledger).handle_lease_request(now_s, holder, &tenants),
                 })
             }
-            Ok(ToLedger::Ship { entries, .. }) if entries.len() > ENTRIES_MOST => {
-                fault(format!("more than {ENTRIES_MOST} entries in one shipment"))
+            Ok(QuotaRequest::StoreCharges { entries, .. }) if entries.len() > MAX_ENTRIES => {
+                fault(format!("more than {MAX_ENTRIES} entries in one shipment"))
             }
-            Ok(ToLedger::Ship { number, entries }) => match self.journal.append(&entries) {
-                Ok(done) => {
-                    for (response, number) in done.contradictions {
-                        tracing::error!(
-                            response,
-                            number,
-                            "a charge differs from the one that is kept"
-                        );
+            Ok(QuotaRequest::StoreCharges { number, entries }) => {
+                match self.journal.append(&entries) {
+                    Ok(done) => {
+                        for (response, number) in done.contradictions {
+                            tracing::error!(
+                                response,
+                                number,
+                                "a charge differs from the one that is kept"
+                            );
+                        }
+                        Some(QuotaResponse::ChargesStored { number })
+                    }
+                    // No answer: the dispatcher ships again.
+                    Err(e) => {
+                        tracing::error!(error = %e, entries = entries.len(), "charges cannot be written");
+                        None
                     }
-                    Some(FromLedger::Shipped { number })
-                }
-                // No answer: the dispatcher ships again.
-                Err(e) => {
-                    tracing::error!(error = %e, entries = entries.len(), "charges cannot be written");
-                    None
                 }
-            },
+            }
         }
     }
 }
