--- a/crates/net/src/dial.rs
+++ b/crates/net/src/dial.rs
@@ -1,4 +1,4 @@
-//! Connects to a WebSocket server as a client.
+//! Client side of connections: WebSocket connections and plain HTTP GET requests, with or without TLS.
 
 use std::io;
 use std::net::{TcpStream, ToSocketAddrs};
@@ -9,102 +9,117 @@
 use tungstenite::protocol::Role;
 
 use crate::http;
-use crate::socket::{self, Limits, Outbox, Reader, Unsent};
-use crate::wire::Wire;
+use crate::socket::{self, Limits, Outbox, Reader, UnsentCallback};
+use crate::wire::Transport;
 
-/// Connects and upgrades within a time.
+/// Opens a plaintext WebSocket connection within `timeout`. `unsent` is called for messages that expire in the send queue.
 ///
 /// # Errors
-/// An address that is not found, a refused or late connection, an upgrade that is refused or late.
+/// If the address cannot be resolved, the server refuses the connection or the upgrade, or the timeout expires.
 pub fn dial(
     endpoint: &str,
     path: &str,
-    within: Duration,
+    timeout: Duration,
     limits: Limits,
-    unsent: Option<Unsent>,
+    unsent: Option<UnsentCallback>,
 ) -> io::Result<(Reader, Outbox)> {
-    dial_as(endpoint, path, &Manner::default(), within, limits, unsent)
+    dial_with_options(
+        endpoint,
+        path,
+        &DialOptions::default(),
+        timeout,
+        limits,
+        unsent,
+    )
 }
 
-/// How to call a server.
+/// Authentication and encryption of a connection.
 #[derive(Clone, Default)]
-pub struct Manner {
-    /// Bearer token in the upgrade.
+pub struct DialOptions {
+    /// Bearer token sent with the upgrade request.
     pub token: Option<String>,
-    /// With TLS, and the name that the server has to prove.
+    /// TLS configuration and the name that the server's certificate must be valid for; `None` connects without TLS.
     pub tls: Option<(Arc<ClientConfig>, String)>,
 }
 
-/// As [`dial`], in a manner.
+/// Opens a WebSocket connection like [`dial`], with a token or TLS.
 ///
 /// # Errors
-/// As [`dial`]; a token that does not fit in a header; a server that does not prove its name.
-pub fn dial_as(
+/// As for [`dial`]; also if the token cannot be sent in a header or the server's certificate is not valid for its name.
+pub fn dial_with_options(
     endpoint: &str,
     path: &str,
-    manner: &Manner,
-    within: Duration,
+    options: &DialOptions,
+    timeout: Duration,
     limits: Limits,
-    unsent: Option<Unsent>,
+    unsent: Option<UnsentCallback>,
 ) -> io::Result<(Reader, Outbox)> {
-    let (wire, left) = upgraded(endpoint, path, manner, within)?;
-    socket::start(wire, left, Role::Client, limits, unsent)
+    let (transport, left) = connect_and_upgrade(endpoint, path, options, timeout)?;
+    socket::start(transport, left, Role::Client, limits, unsent)
 }
 
-/// Connects and upgrades, and leaves the rest to the caller: the connection, and bytes read beyond the upgrade.
+/// Connects and performs the WebSocket upgrade without starting a socket's threads. Returns the transport and the bytes
+/// read beyond the upgrade response.
 ///
 /// # Errors
-/// As [`dial_as`].
-pub fn upgraded(
+/// As for [`dial_with_options`].
+pub fn connect_and_upgrade(
     endpoint: &str,
     path: &str,
-    manner: &Manner,
-    within: Duration,
-) -> io::Result<(Wire, Vec<u8>)> {
-    let deadline = Instant::now() + within;
-    let wire = connect(endpoint, manner, within, deadline)?;
-    let left = http::ask_upgrade(&wire, endpoint, path, manner.token.as_deref(), deadline)?;
-    Ok((wire, left))
+    options: &DialOptions,
+    timeout: Duration,
+) -> io::Result<(Transport, Vec<u8>)> {
+    let deadline = Instant::now() + timeout;
+    let transport = connect(endpoint, options, timeout, deadline)?;
+    let left = http::request_upgrade(
+        &transport,
+        endpoint,
+        path,
+        options.token.as_deref(),
+        deadline,
+    )?;
+    Ok((transport, left))
 }
 
 fn connect(
     endpoint: &str,
-    manner: &Manner,
-    within: Duration,
+    options: &DialOptions,
+    timeout: Duration,
     deadline: Instant,
-) -> io::Result<Wire> {
-    let unknown = || {
+) -> io::Result<Transport> {
+    let no_address = || {
         io::Error::new(
             io::ErrorKind::NotFound,
-            format!("'{endpoint}' has no address"),
+            format!("'{endpoint}' resolves to no address"),
         )
     };
-    let address = endpoint.to_socket_addrs()?.next().ok_or_else(unknown)?;
-    let stream = TcpStream::connect_timeout(&address, within)?;
+    let address = endpoint.to_socket_addrs()?.next().ok_or_else(no_address)?;
+    let stream = TcpStream::connect_timeout(&address, timeout)?;
     stream.set_nodelay(true)?;
-    match &manner.tls {
+    match &options.tls {
         None => Ok(stream.into()),
-        Some((config, name)) => Wire::connect(stream, Arc::clone(config), name, deadline),
+        Some((config, name)) => Transport::connect(stream, Arc::clone(config), name, deadline),
     }
 }
 
-/// A plain GET within a time and a bound of bytes; gives the body of a 200.
+/// Sends an HTTP GET request and returns the body of the response. The whole exchange takes at most `timeout`, the body at
+/// most `max_bytes` bytes.
 ///
 /// # Errors
-/// As the socket's; an answer other than 200; a body that is too long or ends early.
+/// On a socket error, a status other than 200, or a body that is too long or incomplete.
 pub fn get(
     endpoint: &str,
     path: &str,
-    manner: &Manner,
-    within: Duration,
-    most: usize,
+    options: &DialOptions,
+    timeout: Duration,
+    max_bytes: usize,
 ) -> io::Result<Vec<u8>> {
-    let deadline = Instant::now() + within;
+    let deadline = Instant::now() + timeout;
     http::get(
-        &connect(endpoint, manner, within, deadline)?,
+        &connect(endpoint, options, timeout, deadline)?,
         endpoint,
         path,
         deadline,
-        most,
+        max_bytes,
     )
 }
--- a/crates/net/src/guard.rs
+++ b/crates/net/src/guard.rs
@@ -1,4 +1,5 @@
-//! Keeps the keys, the rights and the judged time fresh, and checks proofs for the threads that accept.
+//! Authentication of clients: refreshes the key set, the access rights and the clock offset from a thread of its own, and
+//! checks tokens and certificates for the threads that accept connections.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -17,136 +18,146 @@
 use crossbeam_channel::Sender;
 
 use crate::clock::Clock;
-use crate::dial::{get, Manner};
+use crate::dial::{get, DialOptions};
 use crate::driver::Event;
 use crate::{lock, tls};
 
-/// Longest time for one fetch of keys.
-const FETCH: Duration = Duration::from_secs(2);
-/// Time between two looks at what is due, and so the longest until a withdrawn key ends its sessions.
-const LOOK: Duration = Duration::from_millis(200);
-/// Longest rights file, bytes.
-const RIGHTS_BYTES: u64 = 1 << 20;
+/// Timeout of one fetch of the key set.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval of the refresh thread's checks, and so the longest delay from a key's revocation to the end of its sessions.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Largest accepted access-rights file, bytes.
+const MAX_RIGHTS_BYTES: u64 = 1 << 20;
 
-/// The wall clock, Unix seconds.
-pub fn unix() -> f64 {
+/// Returns the wall clock's time, Unix seconds.
+pub fn unix_seconds() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_secs_f64()
 }
 
-/// A wall clock: Unix seconds. It may jump.
-pub type Wall = Arc<dyn Fn() -> f64 + Send + Sync>;
+/// A function that returns the wall clock's time, Unix seconds. The time may jump.
+pub type WallClock = Arc<dyn Fn() -> f64 + Send + Sync>;
 
-/// Checks proofs against the keys and lists in force.
-pub struct Guard {
-    rules: TokenRules,
-    /// Lives by a clock that never jumps.
+/// Checks credentials against the key set and the revocation lists in force.
+pub struct Authenticator {
+    token_rules: TokenRules,
+    /// The key set in force. Its times are those of the monotonic clock.
     keeper: Mutex<Keeper>,
+    /// The time by which credentials are judged, which follows the wall clock with safeguards against jumps.
     time: Mutex<JudgedTime>,
     clock: Clock,
-    wall: Wall,
-    certificates: Option<Arc<tls::Server>>,
+    wall: WallClock,
+    /// Holds the revocation lists for client certificates; `None` without TLS.
+    certificates: Option<Arc<tls::ServerTls>>,
 }
 
-impl Guard {
+impl Authenticator {
     fn keeper(&self) -> MutexGuard<'_, Keeper> {
         lock(&self.keeper)
     }
 
-    /// Seconds of the steady clock.
-    fn steady(&self) -> f64 {
+    /// The monotonic clock's time, seconds.
+    fn monotonic_s(&self) -> f64 {
         self.clock.now().seconds()
     }
 
-    /// Unix seconds by which proofs are judged.
-    fn now(&self) -> u64 {
-        lock(&self.time).now(self.steady()) as u64
+    /// The time by which credentials are judged, Unix seconds.
+    fn credential_time_s(&self) -> u64 {
+        lock(&self.time).now(self.monotonic_s()) as u64
     }
 
-    /// Whose a token is.
+    /// Checks a token and returns its caller.
     ///
     /// # Errors
-    /// The [`Refusal`]; without any key in force all keys are unknown.
-    pub fn check(&self, token: &str) -> Result<Caller, Refusal> {
-        let steady = self.steady();
-        // The lock is held to share the set alone, not for the signature.
-        let set = self.keeper().set(steady).cloned();
+    /// Why the token is rejected. While no key set is in force, every key is unknown.
+    pub fn check_token(&self, token: &str) -> Result<Caller, Refusal> {
+        let monotonic_s = self.monotonic_s();
+        // Clones the reference to the key set, so that the lock is not held while the signature is checked.
+        let set = self.keeper().set(monotonic_s).cloned();
         let checked = match &set {
-            Some(set) => check(token, set, &self.rules, self.now()),
+            Some(set) => check(token, set, &self.token_rules, self.credential_time_s()),
             None => Err(Refusal::UnknownKey(key_id(token).unwrap_or_default())),
         };
         if let Err(Refusal::UnknownKey(id)) = &checked {
-            self.keeper().unknown_key(steady, id);
+            self.keeper().unknown_key(monotonic_s, id);
         }
         checked
     }
 
-    /// Whose a certificate is that the connection's handshake has proven.
+    /// Returns the caller of a client certificate (DER) whose chain and signature the TLS handshake has verified.
     ///
     /// # Errors
-    /// As [`caller_of`], and one that is revoked.
+    /// As for [`caller_of`]; also if the certificate is revoked.
     pub fn check_certificate(&self, der: &[u8]) -> Result<Caller, BadCertificate> {
-        let caller = caller_of(der, self.now())?;
-        match self.counts(&caller) {
+        let caller = caller_of(der, self.credential_time_s())?;
+        match self.is_valid(&caller) {
             true => Ok(caller),
             false => Err(BadCertificate::Revoked),
         }
     }
 
-    /// Whether what proved a caller still counts.
-    pub fn counts(&self, caller: &Caller) -> bool {
+    /// Whether the caller's credential is still valid: its certificate is not revoked or its token's key is in force.
+    pub fn is_valid(&self, caller: &Caller) -> bool {
         match caller.proof {
             Proof::Certificate => !self
                 .certificates
                 .as_ref()
-                .is_some_and(|s| s.revoked(&caller.key_id)),
+                .is_some_and(|s| s.is_revoked(&caller.key_id)),
             Proof::Token => {
-                let set = self.keeper().set(self.steady()).cloned();
-                set.is_some_and(|s| s.counts(&caller.key_id, self.now(), self.rules.skew_s))
+                let set = self.keeper().set(self.monotonic_s()).cloned();
+                set.is_some_and(|s| {
+                    s.counts(
+                        &caller.key_id,
+                        self.credential_time_s(),
+                        self.token_rules.skew_s,
+                    )
+                })
             }
         }
     }
 }
 
-/// Reads the rights, starts the thread that keeps keys and rights, and tells the loop the first rights. The last good
-/// keys are taken from disk; a first fetch is made before this returns, so that callers meet keys where there are any.
+/// Reads the access rights, sends them to the event loop and starts the thread that refreshes keys and rights. Restores the
+/// last good key set from disk and makes one fetch before it returns, so that keys are available to the first clients if
+/// there are any.
 ///
 /// # Errors
-/// Rights that cannot be read or are wrong, with file and cause; a thread that the system does not give.
+/// If the access rights cannot be read or are invalid (with file and cause), or the thread cannot be started.
 pub fn start(
     identity: &Identity,
     base: &Path,
-    certificates: Option<Arc<tls::Server>>,
-    wall: Wall,
-    to: Sender<Event>,
-) -> Result<Arc<Guard>, String> {
-    let beside = |file: &str| base.join(file);
-    let rights_file = beside(&identity.rights);
+    certificates: Option<Arc<tls::ServerTls>>,
+    wall: WallClock,
+    events: Sender<Event>,
+) -> Result<Arc<Authenticator>, String> {
+    let resolve = |file: &str| base.join(file);
+    let rights_file = resolve(&identity.rights);
     let rights = read_rights(&rights_file)?;
-    to.send(Event::Input(Input::Rights(rights.clone())))
+    events
+        .send(Event::Input(Input::Rights(rights.clone())))
         .map_err(|e| e.to_string())?;
-    let rules = KeeperRules {
+    let keeper_rules = KeeperRules {
         refresh_s: identity.refresh_interval_s,
         keep_s: identity.cache_lifetime_s,
         ..KeeperRules::default()
     };
     let clock = Clock::start();
-    let steady = clock.now().seconds();
-    let mut keeper = Keeper::new(rules, steady);
-    let kept = identity.cache_file.as_deref().map(beside);
-    if let Some(path) = &kept {
-        restore(&mut keeper, steady, path);
+    let monotonic_s = clock.now().seconds();
+    let mut keeper = Keeper::new(keeper_rules, monotonic_s);
+    let cache_file = identity.cache_file.as_deref().map(resolve);
+    if let Some(path) = &cache_file {
+        restore(&mut keeper, monotonic_s, path);
     }
-    let guard = Arc::new(Guard {
-        rules: TokenRules {
+    let authenticator = Arc::new(Authenticator {
+        token_rules: TokenRules {
             issuer: identity.issuer.clone(),
             audience: identity.audience.clone(),
             skew_s: identity.clock_skew_s,
         },
         keeper: Mutex::new(keeper),
-        time: Mutex::new(JudgedTime::new(steady, wall())),
+        time: Mutex::new(JudgedTime::new(monotonic_s, wall())),
         clock,
         wall,
         certificates,
@@ -155,47 +166,50 @@
         .keys
         .as_deref()
         .map(|keys| match keys.strip_prefix("http://") {
-            Some(rest) => Source::Address(rest.to_string()),
-            None => Source::File(beside(keys)),
+            Some(rest) => Source::Http(rest.to_string()),
+            None => Source::File(resolve(keys)),
         });
-    let (counted, told_us) = (Vec::new(), 0);
-    let mut watch = Watch {
-        guard: Arc::clone(&guard),
+    let (valid_keys, sent_offset_us) = (Vec::new(), 0);
+    let mut refresher = Refresher {
+        authenticator: Arc::clone(&authenticator),
         source,
-        kept,
+        cache_file,
         rights_file,
         rights,
-        counted,
-        told_us,
-        to,
+        valid_keys,
+        sent_offset_us,
+        events,
     };
-    watch.look();
+    refresher.check();
     let run = move || loop {
-        std::thread::sleep(LOOK);
-        watch.look();
+        std::thread::sleep(CHECK_INTERVAL);
+        refresher.check();
     };
     std::thread::Builder::new()
         .name("keys".into())
         .spawn(run)
-        .map_err(|e| format!("no thread for keys: {e}"))?;
-    Ok(guard)
+        .map_err(|e| format!("cannot start the key refresh thread: {e}"))?;
+    Ok(authenticator)
 }
 
+/// Reads and validates the access-rights file; returns its text.
 fn read_rights(path: &Path) -> Result<String, String> {
     let shown = path.display();
     let size = std::fs::metadata(path)
         .map_err(|e| format!("{shown}: {e}"))?
         .len();
-    if size > RIGHTS_BYTES {
-        return Err(format!("{shown}: {size} bytes, more than {RIGHTS_BYTES}"));
+    if size > MAX_RIGHTS_BYTES {
+        return Err(format!(
+            "{shown}: {size} bytes, the limit is {MAX_RIGHTS_BYTES}"
+        ));
     }
     let text = std::fs::read_to_string(path).map_err(|e| format!("{shown}: {e}"))?;
     Rights::parse(&text).map_err(|e| format!("{shown}: {e}"))?;
     Ok(text)
 }
 
-/// The kept document counts by its file's age.
-fn restore(keeper: &mut Keeper, steady: f64, path: &Path) {
+/// Restores the cached key set from disk. The age of the file counts against the lifetime of the key set.
+fn restore(keeper: &mut Keeper, monotonic_s: f64, path: &Path) {
     let age = |m: std::fs::Metadata| m.modified().ok().and_then(|t| t.elapsed().ok());
     let age_s = std::fs::metadata(path)
         .ok()
@@ -204,31 +218,32 @@
     let Ok(document) = std::fs::read(path) else {
         return;
     };
-    match keeper.restore(steady, &document, age_s) {
-        Ok(()) => tracing::info!(age_s, "the last good keys are taken from disk"),
+    match keeper.restore(monotonic_s, &document, age_s) {
+        Ok(()) => tracing::info!(age_s, "key set restored from the cache file"),
         Err(e) => {
-            tracing::error!(error = %e, file = %path.display(), "the kept keys cannot be used")
+            tracing::error!(error = %e, file = %path.display(), "the cached key set cannot be used; it is ignored")
         }
     }
 }
 
+/// Where the key set is fetched from.
 enum Source {
     File(PathBuf),
-    /// Host, port and path.
-    Address(String),
+    /// An `http://` URL without the scheme: host, port and path.
+    Http(String),
 }
 
 impl Source {
     fn fetch(&self) -> io::Result<Vec<u8>> {
         match self {
             Source::File(path) => std::fs::read(path),
-            Source::Address(rest) => {
+            Source::Http(rest) => {
                 let (endpoint, path) = rest.split_once('/').unwrap_or((rest, ""));
                 get(
                     endpoint,
                     &format!("/{path}"),
-                    &Manner::default(),
-                    FETCH,
+                    &DialOptions::default(),
+                    FETCH_TIMEOUT,
                     DOCUMENT_BYTES,
                 )
             }
@@ -236,136 +251,149 @@
     }
 }
 
-struct Watch {
-    guard: Arc<Guard>,
-    /// Where keys come from, if tokens count at all.
+/// The state of the refresh thread.
+struct Refresher {
+    authenticator: Arc<Authenticator>,
+    /// Where the key set is fetched from; `None` if tokens are not accepted.
     source: Option<Source>,
-    kept: Option<PathBuf>,
+    /// Where the last good key set is stored for a restart.
+    cache_file: Option<PathBuf>,
     rights_file: PathBuf,
-    /// The text in force.
+    /// Text of the access rights in force.
     rights: String,
-    /// Keys that counted at the last look.
-    counted: Vec<String>,
-    /// How far the judged time is ahead of the steady clock, as the loop was told.
-    told_us: i64,
-    to: Sender<Event>,
+    /// Ids of the keys that were valid at the last check.
+    valid_keys: Vec<String>,
+    /// Offset of the credential time from the monotonic clock that was last sent to the event loop, microseconds.
+    sent_offset_us: i64,
+    events: Sender<Event>,
 }
 
-impl Watch {
-    fn look(&mut self) {
-        self.look_at_clocks();
-        let due = self.source.is_some() && self.guard.keeper().fetch_due(self.guard.steady());
+impl Refresher {
+    fn check(&mut self) {
+        self.check_clocks();
+        let due = self.source.is_some()
+            && self
+                .authenticator
+                .keeper()
+                .fetch_due(self.authenticator.monotonic_s());
         if due {
             self.fetch();
         }
-        self.look_at_keys();
-        self.look_at_rights();
+        self.check_keys();
+        self.check_rights();
     }
 
-    /// Follows the wall clock where it may be followed, and tells the loop.
-    fn look_at_clocks(&mut self) {
-        let steady = self.guard.steady();
+    /// Updates the credential time from the wall clock and sends the loop a changed offset.
+    fn check_clocks(&mut self) {
+        let monotonic_s = self.authenticator.monotonic_s();
         let ahead_s = {
-            let mut time = lock(&self.guard.time);
+            let mut time = lock(&self.authenticator.time);
             let doubted = time.doubts();
-            let stepped = time.look(steady, (self.guard.wall)());
+            let stepped = time.look(monotonic_s, (self.authenticator.wall)());
             if let Some(stepped) = stepped {
                 tracing::warn!(
                     by_s = stepped.by_s,
-                    "the clock has jumped and stayed; it is followed"
+                    "the wall clock has jumped and stayed; credentials are judged by its new time"
                 );
             } else if time.doubts() && !doubted {
                 tracing::warn!(
-                    "the clock has jumped; proofs are judged as before while it may jump back"
+                    "the wall clock has jumped; credentials are judged by the previous time until the jump is confirmed"
                 );
             }
-            time.now(steady) - steady
+            time.now(monotonic_s) - monotonic_s
         };
         let ahead_us = (ahead_s * 1e6) as i64;
-        // Less than this is the time between two readings of the clocks.
-        if (ahead_us - self.told_us).abs() >= 1_000_000 {
-            self.told_us = ahead_us;
+        // Ignores changes below 1 s, which come from the delay between reading the two clocks.
+        if (ahead_us - self.sent_offset_us).abs() >= 1_000_000 {
+            self.sent_offset_us = ahead_us;
             let _ = self
-                .to
+                .events
                 .send(Event::Input(Input::CredentialClockOffset { ahead_us }));
         }
     }
 
     fn fetch(&mut self) {
         let Some(source) = &self.source else { return };
-        let came = source.fetch();
-        let (now, chance) = (self.guard.steady(), chance());
-        match came {
+        let fetched = source.fetch();
+        let (now, chance) = (self.authenticator.monotonic_s(), random_fraction());
+        match fetched {
             Err(e) => {
-                let pause_s = self.guard.keeper().failed(now, chance);
-                tracing::warn!(error = %e, pause_s, "keys cannot be fetched; the last good ones stay");
+                let retry_in_s = self.authenticator.keeper().failed(now, chance);
+                tracing::warn!(error = %e, retry_in_s, "the key set cannot be fetched; the last good keys stay in force");
             }
-            Ok(document) => match self.guard.keeper().fetched(now, &document, chance) {
-                Taken::Same => self.keep(&document),
+            Ok(document) => match self.authenticator.keeper().fetched(now, &document, chance) {
+                Taken::Same => self.store(&document),
                 Taken::New { dropped } => {
-                    tracing::info!(?dropped, "a new key set counts");
-                    self.keep(&document);
+                    tracing::info!(?dropped, "a new key set is in force");
+                    self.store(&document);
                 }
                 Taken::Refused(e) => {
-                    tracing::warn!(error = %e, "keys are not taken; the last good ones stay")
+                    tracing::warn!(error = %e, "the fetched key set is rejected; the last good keys stay in force")
                 }
             },
         }
     }
 
-    /// Whole, beside, and moved into place, so that a restart never finds half a document.
-    fn keep(&self, document: &[u8]) {
-        let Some(path) = &self.kept else { return };
-        let beside = path.with_extension("new");
-        let done = std::fs::write(&beside, document).and_then(|()| std::fs::rename(&beside, path));
-        if let Err(e) = done {
-            tracing::warn!(error = %e, file = %path.display(), "the keys cannot be kept for a restart");
+    /// Stores the key set in the cache file. Writes a temporary file and renames it, so that a restart never reads an
+    /// incomplete document.
+    fn store(&self, document: &[u8]) {
+        let Some(path) = &self.cache_file else { return };
+        let temporary = path.with_extension("new");
+        let stored =
+            std::fs::write(&temporary, document).and_then(|()| std::fs::rename(&temporary, path));
+        if let Err(e) = stored {
+            tracing::warn!(error = %e, file = %path.display(), "cannot write the key set to the cache file; it will be missing after a restart");
         }
     }
 
-    /// Tells the loop of keys that counted at the last look and do not now, whatever the cause.
-    fn look_at_keys(&mut self) {
-        let now = self.guard.now();
-        let skew_s = self.guard.rules.skew_s;
-        let counts = |set: &Arc<KeySet>| -> Vec<String> {
+    /// Reports to the loop the keys that were valid at the last check and are no longer, whatever the cause.
+    fn check_keys(&mut self) {
+        let now = self.authenticator.credential_time_s();
+        let skew_s = self.authenticator.token_rules.skew_s;
+        let valid_ids = |set: &Arc<KeySet>| -> Vec<String> {
             set.ids()
                 .filter(|id| set.counts(id, now, skew_s))
                 .map(str::to_string)
                 .collect()
         };
-        let counting = self
-            .guard
+        let valid = self
+            .authenticator
             .keeper()
-            .set(self.guard.steady())
-            .map(counts)
+            .set(self.authenticator.monotonic_s())
+            .map(valid_ids)
             .unwrap_or_default();
-        let gone: Vec<String> = self
-            .counted
+        let revoked: Vec<String> = self
+            .valid_keys
             .iter()
-            .filter(|id| !counting.contains(id))
+            .filter(|id| !valid.contains(id))
             .cloned()
             .collect();
-        self.counted = counting;
-        if !gone.is_empty() {
-            tracing::warn!(keys = ?gone, "keys count no more");
-            let _ = self.to.send(Event::Input(Input::CredentialsRevoked(gone)));
+        self.valid_keys = valid;
+        if !revoked.is_empty() {
+            tracing::warn!(keys = ?revoked, "keys are no longer valid; their sessions end");
+            let _ = self
+                .events
+                .send(Event::Input(Input::CredentialsRevoked(revoked)));
         }
     }
 
-    fn look_at_rights(&mut self) {
+    /// Sends the access rights to the loop if the file has changed.
+    fn check_rights(&mut self) {
         match read_rights(&self.rights_file) {
             Ok(text) if text != self.rights => {
                 self.rights.clone_from(&text);
-                let _ = self.to.send(Event::Input(Input::Rights(text)));
+                let _ = self.events.send(Event::Input(Input::Rights(text)));
             }
             Ok(_) => {}
-            Err(e) => tracing::error!(error = %e, "the rights are wrong; the last good ones stay"),
+            Err(e) => {
+                tracing::error!(error = %e, "the access rights are invalid; the last good access rights stay in force")
+            }
         }
     }
 }
 
-/// From 0 to 1, for the spread of fetches over dispatchers.
-fn chance() -> f64 {
+/// Returns a random number in [0, 1), used to spread the fetches of several dispatchers over time.
+fn random_fraction() -> f64 {
     use std::hash::{BuildHasher, RandomState};
     (RandomState::new().hash_one(0u8) >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,28 +1,29 @@
-//! The little HTTP that stands beside the sessions: heads read within a bound of bytes and time, and short answers.
+//! A minimal HTTP/1.1: request and response heads, read within limits of size and time, and short responses.
 
 use std::io;
 use std::time::{Duration, Instant};
 
 use tungstenite::handshake::derive_accept_key;
 
-use crate::wire::Wire;
+use crate::wire::Transport;
 
-/// Longest head, bytes.
-const HEAD_BYTES: usize = 16 * 1024;
-const HEADERS: usize = 64;
+/// Largest accepted head, bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum number of header fields in a head.
+const MAX_HEADERS: usize = 64;
 
-/// A request's head, as far as it is used.
-pub(crate) struct Head {
+/// The parts of a request's head that are used.
+pub(crate) struct RequestHead {
     pub method: String,
     pub path: String,
     /// Minor version of HTTP/1.
     version: u8,
     headers: Vec<(String, String)>,
-    /// Bytes read beyond it.
+    /// Bytes read beyond the head.
     pub left: Vec<u8>,
 }
 
-impl Head {
+impl RequestHead {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -30,13 +31,15 @@
             .map(|(_, v)| v.as_str())
     }
 
-    fn lists(&self, name: &str, word: &str) -> bool {
+    /// Whether the comma-separated values of a header contain `word`, ignoring case.
+    fn header_contains(&self, name: &str, word: &str) -> bool {
         self.header(name)
             .is_some_and(|v| v.split(',').any(|w| w.trim().eq_ignore_ascii_case(word)))
     }
 
-    /// What makes an upgrade one that two readers could understand in two ways (RFC 9112, 3.2 and 6.3; RFC 6455, 4.1).
-    fn unclear(&self) -> Option<&'static str> {
+    /// Why two HTTP implementations could interpret this upgrade request differently, which would allow request smuggling
+    /// (RFC 9112, sections 3.2 and 6.3; RFC 6455, section 4.1). `None` if the request is unambiguous.
+    fn ambiguity(&self) -> Option<&'static str> {
         let count = |name: &str| {
             self.headers
                 .iter()
@@ -61,19 +64,19 @@
         }
     }
 
-    /// The answer to a WebSocket upgrade (RFC 6455, 4.2), or what is wrong with it as status and text; `None` where
-    /// the request is no upgrade at all.
+    /// Returns the response to a WebSocket upgrade request (RFC 6455, section 4.2), or the status and text of an error
+    /// response; `None` if the request is not a WebSocket upgrade.
     pub(crate) fn upgrade(&self) -> Option<Result<String, (u16, &'static str)>> {
-        if !self.lists("upgrade", "websocket") {
+        if !self.header_contains("upgrade", "websocket") {
             return None;
         }
-        if let Some(why) = self.unclear() {
-            return Some(Err((400, why)));
+        if let Some(reason) = self.ambiguity() {
+            return Some(Err((400, reason)));
         }
         if self.method != "GET" {
             return Some(Err((405, "an upgrade is asked for with GET")));
         }
-        if !self.lists("connection", "upgrade") {
+        if !self.header_contains("connection", "upgrade") {
             return Some(Err((400, "the header Connection: Upgrade is missing")));
         }
         if self.header("sec-websocket-version") != Some("13") {
@@ -94,31 +97,34 @@
     }
 }
 
-fn fault(text: impl Into<String>) -> io::Error {
+fn invalid_data(text: impl Into<String>) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, text.into())
 }
 
-/// Reads until `parse` has found the head's end, within the bounds.
+/// Reads until `parse` finds the end of the head, within the size limit and the deadline. Returns the parsed head and the
+/// bytes read beyond it.
 fn read_head<T>(
-    stream: &Wire,
+    stream: &Transport,
     deadline: Instant,
     parse: impl Fn(&[u8]) -> Result<Option<(T, usize)>, httparse::Error>,
 ) -> io::Result<(T, Vec<u8>)> {
     let mut data = Vec::new();
     loop {
         if let Some((head, used)) =
-            parse(&data).map_err(|e| fault(format!("broken HTTP head: {e}")))?
+            parse(&data).map_err(|e| invalid_data(format!("broken HTTP head: {e}")))?
         {
             return Ok((head, data.split_off(used)));
         }
-        if data.len() >= HEAD_BYTES {
-            return Err(fault(format!("HTTP head longer than {HEAD_BYTES} bytes")));
+        if data.len() >= MAX_HEAD_BYTES {
+            return Err(invalid_data(format!(
+                "HTTP head longer than {MAX_HEAD_BYTES} bytes"
+            )));
         }
         let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Err(io::Error::new(
                 io::ErrorKind::TimedOut,
-                "no whole HTTP head in time",
+                "timed out waiting for the HTTP head",
             ));
         }
         stream.set_read_timeout(Some(left.max(Duration::from_millis(1))))?;
@@ -127,7 +133,7 @@
             0 => {
                 return Err(io::Error::new(
                     io::ErrorKind::UnexpectedEof,
-                    "closed before a whole HTTP head",
+                    "connection closed before the end of the HTTP head",
                 ))
             }
             n => data.extend_from_slice(&chunk[..n]),
@@ -146,13 +152,13 @@
         .collect()
 }
 
-/// Reads a request's head.
+/// Reads the head of a request.
 ///
 /// # Errors
-/// Broken, too long or too late heads, and streams that end.
-pub(crate) fn read_request(stream: &Wire, deadline: Instant) -> io::Result<Head> {
+/// If the head is malformed, too long or not complete by the deadline, or the stream ends.
+pub(crate) fn read_request(stream: &Transport, deadline: Instant) -> io::Result<RequestHead> {
     let (mut head, left) = read_head(stream, deadline, |data| {
-        let mut slots = [httparse::EMPTY_HEADER; HEADERS];
+        let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut slots);
         Ok(match request.parse(data)? {
             httparse::Status::Partial => None,
@@ -160,7 +166,7 @@
                 let word = |w: Option<&str>| w.unwrap_or_default().to_string();
                 let (method, path) = (word(request.method), word(request.path));
                 Some((
-                    Head {
+                    RequestHead {
                         method,
                         path,
                         version: request.version.unwrap_or(0),
@@ -176,21 +182,23 @@
     Ok(head)
 }
 
-/// Asks for an upgrade as a client and reads the answer; gives the bytes read beyond it.
+/// Sends a WebSocket upgrade request and reads the response. Returns the bytes read beyond the response.
 ///
 /// # Errors
-/// An answer other than a right 101, and all that [`read_request`] may meet.
-pub(crate) fn ask_upgrade(
-    stream: &Wire,
+/// If the response is not a valid 101, the token is not printable ASCII, or for the reasons of [`read_request`].
+pub(crate) fn request_upgrade(
+    stream: &Transport,
     host: &str,
     path: &str,
     token: Option<&str>,
     deadline: Instant,
 ) -> io::Result<Vec<u8>> {
     if token.is_some_and(|t| !t.bytes().all(|b| b.is_ascii_graphic())) {
-        return Err(fault("a token of printable ASCII is expected"));
+        return Err(invalid_data(
+            "the token contains characters that are not printable ASCII",
+        ));
     }
-    let proof = token
+    let authorization = token
         .map(|t| format!("Authorization: Bearer {t}\r\n"))
         .unwrap_or_default();
     let key = tungstenite::handshake::client::generate_key();
@@ -198,13 +206,13 @@
         .saturating_duration_since(Instant::now())
         .max(Duration::from_millis(1));
     stream.set_write_timeout(Some(left))?;
-    let ask = format!(
+    let request = format!(
         "GET {path} HTTP/1.1\r\nHost: {host}\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n\
-         Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: {key}\r\n{proof}\r\n"
+         Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: {key}\r\n{authorization}\r\n"
     );
-    stream.send(ask.as_bytes())?;
+    stream.send(request.as_bytes())?;
     let ((code, accept), left) = read_head(stream, deadline, |data| {
-        let mut slots = [httparse::EMPTY_HEADER; HEADERS];
+        let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut slots);
         Ok(match response.parse(data)? {
             httparse::Status::Partial => None,
@@ -218,15 +226,15 @@
         })
     })?;
     if code != 101 || accept.as_deref() != Some(derive_accept_key(key.as_bytes()).as_str()) {
-        return Err(fault(format!(
+        return Err(invalid_data(format!(
             "the upgrade was answered with status {code}"
         )));
     }
     Ok(left)
 }
 
-/// Writes a short answer and gives the peer a moment to read it.
-pub(crate) fn answer(stream: &Wire, status: u16, body: &str) {
+/// Writes a short response, with a write timeout of 1 s.
+pub(crate) fn respond(stream: &Transport, status: u16, body: &str) {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -248,31 +256,31 @@
         "HTTP/1.1 {status} {reason}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\n{extra}Connection: close\r\n\r\n{body}",
         body.len()
     );
-    // A peer that has gone needs no answer.
+    // A write error is ignored: the peer may be gone.
     let _ = stream.send(text.as_bytes());
 }
 
-/// A plain GET over an open connection; gives the body.
+/// Sends a GET request over an open connection and returns the body of the response.
 ///
 /// # Errors
-/// As the socket's; an answer other than 200; a body that is too long or ends early.
+/// On a socket error, a status other than 200, or a body that is too long or incomplete.
 pub(crate) fn get(
-    stream: &Wire,
+    stream: &Transport,
     host: &str,
     path: &str,
     deadline: Instant,
-    most: usize,
+    max_bytes: usize,
 ) -> io::Result<Vec<u8>> {
     let left = deadline
         .saturating_duration_since(Instant::now())
         .max(Duration::from_millis(1));
     stream.set_write_timeout(Some(left))?;
-    // In one write: a server that answers what it has read so far and hangs up would break a second one.
+    // Sends the request in one write: a server that responds and closes early would make a second write fail.
     stream.send(
         format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\n\r\n").as_bytes(),
     )?;
     let ((code, length), mut body) = read_head(stream, deadline, |data| {
-        let mut slots = [httparse::EMPTY_HEADER; HEADERS];
+        let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut slots);
         Ok(match response.parse(data)? {
             httparse::Status::Partial => None,
@@ -287,7 +295,7 @@
         })
     })?;
     if code != 200 {
-        return Err(fault(format!("answered with status {code}")));
+        return Err(invalid_data(format!("answered with status {code}")));
     }
     let mut chunk = [0; 4096];
     while length.is_none_or(|n| body.len() < n) {
@@ -295,17 +303,23 @@
         if left.is_zero() {
             return Err(io::Error::new(
                 io::ErrorKind::TimedOut,
-                "no whole body in time",
+                "timed out waiting for the HTTP body",
             ));
         }
         stream.set_read_timeout(Some(left))?;
         match stream.receive(&mut chunk)? {
-            0 if length.is_some() => return Err(fault("the body ends early")),
+            0 if length.is_some() => {
+                return Err(invalid_data(
+                    "connection closed before the end of the HTTP body",
+                ))
+            }
             0 => break,
             n => body.extend_from_slice(&chunk[..n]),
         }
-        if body.len() > most {
-            return Err(fault(format!("a body of more than {most} bytes")));
+        if body.len() > max_bytes {
+            return Err(invalid_data(format!(
+                "HTTP body longer than {max_bytes} bytes"
+            )));
         }
     }
     Ok(body)
--- a/crates/net/src/ledger.rs
+++ b/crates/net/src/ledger.rs
@@ -1,6 +1,8 @@
-//! The link to the ledger: questions for parts go out and their answers come in, charges are shipped until they are known to be there.
+//! The link to the quota server: requests budget leases and receives them, and ships charges until the quota server has
+//! acknowledged them.
 //!
-//! Nothing waits for the ledger: without it questions are lost, and asked again; charges stay in the journal.
+//! Nothing blocks on the quota server. While it is unreachable, lease requests are lost (the core repeats them) and
+//! charges stay in the journal.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -13,145 +15,161 @@
 use crate::dial::dial;
 use crate::driver::Event;
 use crate::lock;
-use crate::socket::{Heard, Limits, Outbox, Reader};
+use crate::socket::{Limits, Outbox, ReadOutcome, Reader};
 
-/// Longest time to connect and upgrade, and pauses between two tries: first, and longest.
-const CONNECT: Duration = Duration::from_secs(1);
-const PAUSE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
-/// Time between two looks at what is to be shipped, and the longest wait for the answer.
-const SHIP_EVERY: Duration = Duration::from_millis(200);
-const SHIP_WITHIN: Duration = Duration::from_secs(5);
-/// Longest message, bytes.
-const MESSAGE_BYTES: usize = 4 << 20;
+/// Longest time for connecting to the quota server and for the WebSocket upgrade.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Backoff between connection attempts: the first delay and the maximum. Each failure doubles the delay.
+const RECONNECT_DELAY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
+/// Interval at which the journal is checked for charges to ship.
+const SHIP_INTERVAL: Duration = Duration::from_millis(200);
+/// Longest wait for the acknowledgement of shipped charges; then they are sent again.
+const ACK_TIMEOUT: Duration = Duration::from_secs(5);
+/// Largest message accepted from the quota server, bytes.
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// The sending side; empty while there is no connection.
-type Line = Arc<Mutex<Option<Outbox>>>;
+/// The sending side of the connection to the quota server; `None` while disconnected.
+type SharedOutbox = Arc<Mutex<Option<Outbox>>>;
 
-/// The link of one dispatcher.
-pub struct LedgerLink {
-    line: Line,
+/// The link from one dispatcher to the quota server.
+pub struct QuotaServerLink {
+    outbox: SharedOutbox,
 }
 
-fn send(line: &Line, message: &ToLedger) -> bool {
-    let line = lock(line);
+/// Sends a message. Returns false while disconnected or if the send queue is full.
+fn send(outbox: &SharedOutbox, message: &ToLedger) -> bool {
+    let outbox = lock(outbox);
     let text = serde_json::to_string(message).unwrap_or_default();
-    line.as_ref()
+    outbox
+        .as_ref()
         .is_some_and(|outbox| outbox.text(text).is_ok())
 }
 
-impl LedgerLink {
-    /// Keeps a connection from a thread of its own, and ships the journal's charges from another.
+impl QuotaServerLink {
+    /// Starts two threads: one keeps the connection to the quota server open and receives its messages, the other ships
+    /// the charges of the journal, if there is one.
     ///
     /// # Errors
-    /// Where the system gives no thread.
+    /// If a thread cannot be started.
     pub fn start(
         address: String,
         journal: Option<Arc<Journal>>,
-        to: Sender<Event>,
-    ) -> std::io::Result<LedgerLink> {
-        let line = Line::default();
-        let (shipped, acks) = bounded(16);
-        let kept = Arc::clone(&line);
+        events: Sender<Event>,
+    ) -> std::io::Result<QuotaServerLink> {
+        let outbox = SharedOutbox::default();
+        let (ack_sender, acks) = bounded(16);
+        let receiver_outbox = Arc::clone(&outbox);
         let thread = |name: &str| std::thread::Builder::new().name(name.into());
-        thread("ledger").spawn(move || keep(&address, &kept, &shipped, &to))?;
+        thread("ledger")
+            .spawn(move || run_connection(&address, &receiver_outbox, &ack_sender, &events))?;
         if let Some(journal) = journal {
-            let line = Arc::clone(&line);
-            thread("ship").spawn(move || ship(&journal, &line, &acks))?;
+            let outbox = Arc::clone(&outbox);
+            thread("ship").spawn(move || ship_charges(&journal, &outbox, &acks))?;
         }
-        Ok(LedgerLink { line })
+        Ok(QuotaServerLink { outbox })
     }
 
-    /// Sends a question; lost where there is no connection.
-    pub fn ask(&self, message: &ToLedger) {
-        if !send(&self.line, message) {
-            tracing::debug!("the ledger is away: a question for parts is lost");
+    /// Sends a request for budget leases. While disconnected, the request is dropped.
+    pub fn request(&self, message: &ToLedger) {
+        if !send(&self.outbox, message) {
+            tracing::debug!(
+                "the quota server is unreachable; a request for budget leases is dropped"
+            );
         }
     }
 }
 
-fn keep(address: &str, line: &Line, shipped: &Sender<u64>, to: &Sender<Event>) {
-    let put = |outbox| *lock(line) = outbox;
-    let mut pause = PAUSE.0;
+/// Connects to the quota server again and again, and receives its messages while connected.
+fn run_connection(
+    address: &str,
+    shared: &SharedOutbox,
+    acks: &Sender<u64>,
+    events: &Sender<Event>,
+) {
+    let set_outbox = |outbox| *lock(shared) = outbox;
+    let mut delay = RECONNECT_DELAY.0;
     loop {
         let limits = Limits {
-            message_bytes: MESSAGE_BYTES,
-            queue: 64,
-            ping: Duration::from_secs(2),
-            idle: None,
+            max_message_bytes: MAX_MESSAGE_BYTES,
+            max_queued_messages: 64,
+            ping_interval: Duration::from_secs(2),
+            idle_timeout: None,
         };
-        match dial(address, "/v1/ledger", CONNECT, limits, None) {
+        match dial(address, "/v1/ledger", CONNECT_TIMEOUT, limits, None) {
             Ok((mut reader, outbox)) => {
-                tracing::info!(address, "the ledger is there");
-                put(Some(outbox));
-                pause = PAUSE.0;
-                let why = listen(&mut reader, shipped, to);
-                put(None);
+                tracing::info!(address, "connected to the quota server");
+                set_outbox(Some(outbox));
+                delay = RECONNECT_DELAY.0;
+                let reason = receive(&mut reader, acks, events);
+                set_outbox(None);
                 tracing::warn!(
-                    why,
-                    "the ledger is away; parts are spent to their end, then the careful rate"
+                    reason,
+                    "disconnected from the quota server; budget leases are used until they expire, then the unleased rate applies"
                 );
             }
-            Err(e) => tracing::debug!(error = %e, "the ledger cannot be reached"),
+            Err(e) => tracing::debug!(error = %e, "cannot connect to the quota server"),
         }
-        std::thread::sleep(pause);
-        pause = (pause * 2).min(PAUSE.1);
+        std::thread::sleep(delay);
+        delay = (delay * 2).min(RECONNECT_DELAY.1);
     }
 }
 
-/// Hears the ledger until the connection ends; gives the cause.
-fn listen(reader: &mut Reader, shipped: &Sender<u64>, to: &Sender<Event>) -> String {
+/// Handles messages from the quota server until the connection ends; returns the reason.
+fn receive(reader: &mut Reader, acks: &Sender<u64>, events: &Sender<Event>) -> String {
     loop {
-        let text = match reader.hear() {
-            Heard::Text(text) => text,
-            Heard::Ended(why) => return why,
+        let text = match reader.read() {
+            ReadOutcome::Text(text) => text,
+            ReadOutcome::Ended(reason) => return reason,
         };
         match serde_json::from_str(&text) {
             Ok(FromLedger::Lent { number, parts }) => {
-                if to
+                if events
                     .send(Event::Input(Input::BudgetLeases {
                         number,
                         leases: parts,
                     }))
                     .is_err()
                 {
-                    return "the loop has ended".to_string();
+                    return "the event loop has ended".to_string();
                 }
             }
-            // One that nobody waits for any more comes again with the shipment's repeat.
-            Ok(FromLedger::Shipped { number }) => drop(shipped.try_send(number)),
+            // If the queue of acknowledgements is full, this one is dropped: its charges are shipped and acknowledged again.
+            Ok(FromLedger::Shipped { number }) => drop(acks.try_send(number)),
             Ok(FromLedger::Fault { message }) => {
-                tracing::error!(message, "the ledger cannot use a message")
+                tracing::error!(message, "the quota server rejected a message")
+            }
+            Err(e) => {
+                tracing::error!(error = %e, "cannot parse a message from the quota server; it is ignored")
             }
-            Err(e) => tracing::error!(error = %e, "the ledger says what cannot be read"),
         }
     }
 }
 
-/// Ships the oldest charges, again until they are known to be there.
-fn ship(journal: &Journal, line: &Line, acks: &Receiver<u64>) {
+/// Ships the oldest unshipped charges of the journal; repeats each shipment until the quota server has acknowledged it.
+fn ship_charges(journal: &Journal, outbox: &SharedOutbox, acks: &Receiver<u64>) {
     let mut number = 0;
     loop {
-        std::thread::sleep(SHIP_EVERY);
-        let rest = match journal.unshipped(ENTRIES_MOST) {
-            Ok(rest) => rest,
+        std::thread::sleep(SHIP_INTERVAL);
+        let unshipped = match journal.unshipped(ENTRIES_MOST) {
+            Ok(unshipped) => unshipped,
             Err(e) => {
-                tracing::error!(error = %e, "charges cannot be read for the ledger");
+                tracing::error!(error = %e, "cannot read charges from the journal to ship them to the quota server; the read is retried");
                 continue;
             }
         };
-        let Some(up_to) = rest.last().map(|r| r.0) else {
+        let Some(up_to) = unshipped.last().map(|r| r.0) else {
             continue;
         };
         number += 1;
-        let entries = rest.into_iter().map(|r| r.1).collect();
-        if !send(line, &ToLedger::Ship { number, entries }) {
+        let entries = unshipped.into_iter().map(|r| r.1).collect();
+        if !send(outbox, &ToLedger::Ship { number, entries }) {
             continue;
         }
-        let by = Instant::now() + SHIP_WITHIN;
-        while let Ok(acked) = acks.recv_deadline(by) {
+        let deadline = Instant::now() + ACK_TIMEOUT;
+        while let Ok(acked) = acks.recv_deadline(deadline) {
             if acked == number {
                 if let Err(e) = journal.shipped(up_to) {
-                    tracing::error!(error = %e, "what was shipped cannot be marked; it is shipped again");
+                    tracing::error!(error = %e, "cannot mark charges as shipped in the journal; they are shipped again");
                 }
                 break;
             }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,8 +1,8 @@
-//! Sockets and threads: WebSocket sessions, links to hosts, the list watched, and the loop that carries the core's
-//! outputs out. Nothing here decides on requests.
+//! I/O around the core: WebSocket sessions of clients, links to model servers, the watcher of the server list, and the
+//! event loop that executes the core's outputs. No decision on a request is made in this crate.
 //!
-//! Two threads with small stacks serve one socket: one reads, one writes from a bounded queue, so that a peer that
-//! does not read holds up nobody else.
+//! Two threads with small stacks serve each socket: one reads, one writes from a bounded queue, so that a peer that
+//! does not read blocks no other connection.
 
 pub mod accept;
 pub mod charges;
@@ -18,7 +18,7 @@
 pub mod watch;
 pub mod wire;
 
-/// Locks; a thread that panicked must not take the others with it.
+/// Locks a mutex. A poisoned mutex is locked all the same, so that a panic in one thread does not spread to the others.
 pub fn lock<T>(shared: &std::sync::Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     shared
         .lock()
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -1,7 +1,8 @@
-//! One WebSocket with a thread that reads and a thread that writes.
+//! One WebSocket with a reader thread and a writer thread.
 //!
-//! `tungstenite` reads: frames, masks, fragments, pings and closes are its matter. The stream that it is given hands
-//! every write on to the writing thread as whole bytes, so that its pongs and closes never cut into a data frame.
+//! The reader uses `tungstenite` for frames, masks, fragments, pings and close frames. The stream that `tungstenite`
+//! writes to queues each flush as one unit for the writer thread, so that its pongs and close frames are never written
+//! in the middle of a data frame.
 
 use std::io::{self, Read, Write};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -16,43 +17,48 @@
 use tungstenite::protocol::{Role, WebSocketConfig};
 use tungstenite::{Error, Message, WebSocket};
 
-use crate::wire::{is_wait, Wire};
+use crate::wire::{is_timeout, Transport};
 
-/// Stacks of a socket's two threads, bytes. A reader also parses what it reads.
+/// Stack size of a reader thread, bytes. It is the larger one because the reader also parses the messages.
 pub const READER_STACK: usize = 128 * 1024;
+/// Stack size of a writer thread, bytes.
 pub const WRITER_STACK: usize = 64 * 1024;
-/// Bytes that are gathered into one write.
-const GATHER_BYTES: usize = 32 * 1024;
-/// Looks without a byte after which a peer counts as silent; a ping goes out at each.
-const SILENT_LOOKS: u32 = 3;
-
-/// Writing threads that have not ended, over the process.
-static WRITERS: AtomicUsize = AtomicUsize::new(0);
-
-/// Writing threads of this process that still run.
-pub fn writers() -> usize {
-    WRITERS.load(Ordering::Relaxed)
+/// Size from which the writer stops adding queued messages to one write, bytes.
+const WRITE_BATCH_BYTES: usize = 32 * 1024;
+/// Number of ping intervals without received bytes after which the connection is aborted. Each received message resets the
+/// count; a ping is sent at the end of each earlier interval.
+const MAX_SILENT_INTERVALS: u32 = 3;
+
+/// Number of writer threads in this process that have not ended.
+static RUNNING_WRITERS: AtomicUsize = AtomicUsize::new(0);
+
+/// Returns the number of writer threads in this process that have not ended.
+pub fn running_writers() -> usize {
+    RUNNING_WRITERS.load(Ordering::Relaxed)
 }
 
-/// Told of each message that went stale before its first byte was written.
-pub type Unsent = Box<dyn Fn(String) + Send>;
+/// Called with the id of each message that expired in the queue before its first byte was written.
+pub type UnsentCallback = Box<dyn Fn(String) + Send>;
 
-/// Bounds of one socket.
+/// Limits and timeouts of one socket.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    pub message_bytes: usize,
-    /// Messages that may wait to be written.
-    pub queue: usize,
-    /// Time between two looks at a silent peer.
-    pub ping: Duration,
-    /// Longest time without a message either way; `None` = none.
-    pub idle: Option<Duration>,
+    /// Largest message accepted from the peer, bytes.
+    pub max_message_bytes: usize,
+    /// Maximum number of messages that wait to be written.
+    pub max_queued_messages: usize,
+    /// Time without received bytes after which a ping is sent.
+    pub ping_interval: Duration,
+    /// Longest time without a text message in either direction before the connection is closed; `None` for no limit.
+    pub idle_timeout: Option<Duration>,
 }
 
-struct Letter {
+/// A message in the send queue.
+struct QueuedMessage {
     body: Body,
-    /// Not to be written once this old; with the name to give back.
-    stale: Option<(Instant, Duration, String)>,
+    /// Time of queueing, longest wait and message id. A message that has waited longer is not written; its id is passed to
+    /// the [`UnsentCallback`].
+    expiry: Option<(Instant, Duration, String)>,
 }
 
 enum Body {
@@ -62,109 +68,117 @@
     Close(u16, String),
 }
 
-/// A queue with a bound that takes memory for what is in it alone: a ready array of slots for each of thousands of
-/// sessions would be most of their memory.
+/// A bounded queue that allocates memory only for the messages in it. With a preallocated array of slots, the queues of
+/// thousands of sessions would make up most of their memory.
 #[derive(Clone)]
 struct Queue {
-    letters: Sender<Letter>,
-    waiting: Arc<AtomicUsize>,
-    most: usize,
+    messages: Sender<QueuedMessage>,
+    /// Number of messages in the queue.
+    len: Arc<AtomicUsize>,
+    capacity: usize,
 }
 
 impl Queue {
-    fn put(&self, letter: Letter) -> Result<(), NotTaken> {
-        if self.waiting.fetch_add(1, Ordering::AcqRel) < self.most
-            && self.letters.send(letter).is_ok()
+    fn push(&self, message: QueuedMessage) -> Result<(), NotQueued> {
+        if self.len.fetch_add(1, Ordering::AcqRel) < self.capacity
+            && self.messages.send(message).is_ok()
         {
             return Ok(());
         }
-        self.waiting.fetch_sub(1, Ordering::AcqRel);
-        Err(NotTaken)
+        self.len.fetch_sub(1, Ordering::AcqRel);
+        Err(NotQueued)
     }
 }
 
-/// The queue to a socket's writing thread.
+/// The sending side of a socket: the queue to its writer thread.
 #[derive(Clone)]
 pub struct Outbox {
     queue: Queue,
-    wire: Arc<Wire>,
+    transport: Arc<Transport>,
     started: Instant,
-    last_ms: Arc<AtomicU64>,
+    /// Time of the last queued message, milliseconds after `started`.
+    last_sent_ms: Arc<AtomicU64>,
 }
 
-/// The queue is at its bound or the socket has ended: the message was not taken.
+/// The message was not queued: the queue is full or the socket has ended.
 #[derive(Debug, PartialEq, Eq)]
-pub struct NotTaken;
+pub struct NotQueued;
 
 impl Outbox {
     /// Queues a text message.
     ///
     /// # Errors
-    /// [`NotTaken`] at the queue's bound; the peer does not drain it.
-    pub fn text(&self, text: String) -> Result<(), NotTaken> {
-        self.put(Body::Text(text), None)
+    /// [`NotQueued`] if the queue is full, because the peer reads too slowly, or the socket has ended.
+    pub fn text(&self, text: String) -> Result<(), NotQueued> {
+        self.push(Body::Text(text), None)
     }
 
-    /// Queues a text message that is given back under its name if its first byte is not written in time.
+    /// Queues a text message with a time limit. If its first byte is not written within `max_wait`, the message is dropped
+    /// and `id` is passed to the socket's [`UnsentCallback`].
     ///
     /// # Errors
     /// As for [`Outbox::text`].
     pub fn text_within(
         &self,
         text: String,
-        within: Duration,
-        name: String,
-    ) -> Result<(), NotTaken> {
-        self.put(Body::Text(text), Some((Instant::now(), within, name)))
+        max_wait: Duration,
+        id: String,
+    ) -> Result<(), NotQueued> {
+        self.push(Body::Text(text), Some((Instant::now(), max_wait, id)))
     }
 
-    fn put(&self, body: Body, stale: Option<(Instant, Duration, String)>) -> Result<(), NotTaken> {
-        self.last_ms
+    fn push(
+        &self,
+        body: Body,
+        expiry: Option<(Instant, Duration, String)>,
+    ) -> Result<(), NotQueued> {
+        self.last_sent_ms
             .store(self.started.elapsed().as_millis() as u64, Ordering::Relaxed);
-        self.queue.put(Letter { body, stale })
+        self.queue.push(QueuedMessage { body, expiry })
     }
 
-    /// Closes the socket once all that is queued has been written.
+    /// Closes the socket with a close frame after the queued messages. If the queue is full, aborts it instead.
     pub fn close(&self, code: u16, reason: &str) {
         if self
-            .put(Body::Close(code, reason.to_string()), None)
+            .push(Body::Close(code, reason.to_string()), None)
             .is_err()
         {
-            self.cut();
+            self.abort();
         }
     }
 
-    /// Ends the socket at once.
-    pub fn cut(&self) {
-        self.wire.cut();
+    /// Shuts the connection down at once, without a close frame; queued messages are lost.
+    pub fn abort(&self) {
+        self.transport.abort();
     }
 }
 
-/// What the reading side gave.
+/// What a read from a socket returned.
 #[derive(Debug)]
-pub enum Heard {
+pub enum ReadOutcome {
+    /// A text message.
     Text(String),
-    /// The end, with the cause. Nothing follows.
+    /// The socket has ended, with the reason. Nothing follows.
     Ended(String),
 }
 
-/// The stream that `tungstenite` is given.
+/// The stream that `tungstenite` uses: reads from the transport, passes writes to the writer thread.
 struct Duplex {
-    wire: Arc<Wire>,
+    transport: Arc<Transport>,
     queue: Queue,
     pending: Vec<u8>,
 }
 
 impl Read for Duplex {
     fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
-        let got = self.wire.receive(buf);
-        if self.wire.wants_write() {
-            // Nothing to add: the writing thread takes along what the session has to say.
-            let nudge = Letter {
+        let got = self.transport.receive(buf);
+        if self.transport.wants_write() {
+            // An empty message wakes the writer thread, which also writes the pending TLS records.
+            let wake_up = QueuedMessage {
                 body: Body::Raw(Vec::new()),
-                stale: None,
+                expiry: None,
             };
-            let _ = self.queue.put(nudge);
+            let _ = self.queue.push(wake_up);
         }
         got
     }
@@ -184,78 +198,81 @@
         let full = || {
             io::Error::new(
                 io::ErrorKind::BrokenPipe,
-                "the peer does not drain its queue",
+                "the send queue is full: the peer does not read",
             )
         };
         self.queue
-            .put(Letter { body, stale: None })
-            .map_err(|NotTaken| full())
+            .push(QueuedMessage { body, expiry: None })
+            .map_err(|NotQueued| full())
     }
 }
 
-/// The reading side of a socket.
+/// The receiving side of a socket.
 pub struct Reader {
     socket: WebSocket<Duplex>,
     outbox: Outbox,
     limits: Limits,
-    heard: Instant,
-    silent: u32,
+    /// Time of the last text message from the peer.
+    last_received: Instant,
+    /// Ping intervals without received bytes since the last message from the peer.
+    silent_intervals: u32,
 }
 
-/// Starts a socket whose handshake is done; `left` are bytes read beyond it. Spawns the writing thread.
+/// Starts a socket after its WebSocket upgrade and spawns its writer thread. `left` holds the bytes already read beyond
+/// the upgrade; `unsent` is called for messages that expire in the send queue.
 ///
 /// # Errors
-/// Where the system gives no thread or refuses the stream's options.
+/// If the thread cannot be started or an option of the stream cannot be set.
 pub fn start(
-    wire: impl Into<Wire>,
+    transport: impl Into<Transport>,
     left: Vec<u8>,
     role: Role,
     limits: Limits,
-    unsent: Option<Unsent>,
+    unsent: Option<UnsentCallback>,
 ) -> io::Result<(Reader, Outbox)> {
-    let wire = Arc::new(wire.into());
-    wire.set_nodelay()?;
-    wire.set_read_timeout(Some(limits.ping))?;
-    wire.set_write_timeout(None)?;
-    let (letters_to, letters) = unbounded();
-    let waiting = Arc::new(AtomicUsize::new(0));
+    let transport = Arc::new(transport.into());
+    transport.set_nodelay()?;
+    transport.set_read_timeout(Some(limits.ping_interval))?;
+    transport.set_write_timeout(None)?;
+    let (sender, messages) = unbounded();
+    let queue_len = Arc::new(AtomicUsize::new(0));
     let queue = Queue {
-        letters: letters_to,
-        waiting: Arc::clone(&waiting),
-        most: limits.queue,
+        messages: sender,
+        len: Arc::clone(&queue_len),
+        capacity: limits.max_queued_messages,
     };
     let outbox = Outbox {
         queue: queue.clone(),
-        wire: Arc::clone(&wire),
+        transport: Arc::clone(&transport),
         started: Instant::now(),
-        last_ms: Arc::new(AtomicU64::new(0)),
+        last_sent_ms: Arc::new(AtomicU64::new(0)),
     };
     let writer = Writer {
-        wire: Arc::clone(&wire),
-        letters,
-        waiting,
-        mask: (role == Role::Client).then(mask_source),
+        transport: Arc::clone(&transport),
+        messages,
+        queue_len,
+        mask: (role == Role::Client).then(mask_generator),
         unsent,
     };
-    WRITERS.fetch_add(1, Ordering::Relaxed);
+    RUNNING_WRITERS.fetch_add(1, Ordering::Relaxed);
     let spawned = std::thread::Builder::new()
         .stack_size(WRITER_STACK)
         .name("ws-write".into())
         .spawn(move || {
             writer.run();
-            WRITERS.fetch_sub(1, Ordering::Relaxed);
+            RUNNING_WRITERS.fetch_sub(1, Ordering::Relaxed);
         });
     if let Err(e) = spawned {
-        WRITERS.fetch_sub(1, Ordering::Relaxed);
+        RUNNING_WRITERS.fetch_sub(1, Ordering::Relaxed);
         return Err(e);
     }
     let config = WebSocketConfig::default()
         .read_buffer_size(4096)
         .write_buffer_size(0)
-        .max_message_size(Some(limits.message_bytes))
-        .max_frame_size(Some(limits.message_bytes));
+        .max_message_size(Some(limits.max_message_bytes))
+        .max_frame_size(Some(limits.max_message_bytes));
     let duplex = Duplex {
-        wire,
+        transport,
         queue,
         pending: Vec::new(),
     };
@@ -265,8 +282,8 @@
             socket,
             outbox: outbox.clone(),
             limits,
-            heard: Instant::now(),
-            silent: 0,
+            last_received: Instant::now(),
+            silent_intervals: 0,
         },
         outbox,
     ))
@@ -274,134 +291,148 @@
 
 impl Reader {
     /// Waits for the next text message or the end.
-    pub fn hear(&mut self) -> Heard {
+    pub fn read(&mut self) -> ReadOutcome {
         loop {
             match self.socket.read() {
                 Ok(Message::Text(text)) => {
-                    (self.heard, self.silent) = (Instant::now(), 0);
-                    return Heard::Text(text.as_str().to_string());
+                    (self.last_received, self.silent_intervals) = (Instant::now(), 0);
+                    return ReadOutcome::Text(text.as_str().to_string());
                 }
                 Ok(Message::Close(frame)) => {
                     let code = frame.map_or(1005, |f| u16::from(f.code));
-                    self.last_words();
-                    return Heard::Ended(format!("closed by the peer with code {code}"));
+                    self.answer_close();
+                    return ReadOutcome::Ended(format!("closed by the peer with code {code}"));
                 }
                 Ok(Message::Binary(_)) => {
-                    return self.end(
+                    return self.close(
                         1003,
                         "binary messages are not served here; text is expected",
                     );
                 }
-                Ok(Message::Ping(_) | Message::Pong(_) | Message::Frame(_)) => self.silent = 0,
-                Err(Error::Io(e)) if is_wait(&e) => {
-                    if let Some(ended) = self.look() {
+                Ok(Message::Ping(_) | Message::Pong(_) | Message::Frame(_)) => {
+                    self.silent_intervals = 0
+                }
+                Err(Error::Io(e)) if is_timeout(&e) => {
+                    if let Some(ended) = self.check_silence() {
                         return ended;
                     }
                 }
                 Err(Error::Capacity(e)) => {
-                    return self.end(1009, &format!("message too long: {e}"))
+                    return self.close(1009, &format!("message too long: {e}"))
+                }
+                Err(Error::Utf8(_)) => return self.close(1007, "a text message is not UTF-8"),
+                Err(Error::Protocol(e)) => {
+                    return self.close(1002, &format!("protocol fault: {e}"))
                 }
-                Err(Error::Utf8(_)) => return self.end(1007, "a text message is not UTF-8"),
-                Err(Error::Protocol(e)) => return self.end(1002, &format!("protocol fault: {e}")),
                 Err(e) => {
-                    self.outbox.cut();
-                    return Heard::Ended(e.to_string());
+                    self.outbox.abort();
+                    return ReadOutcome::Ended(e.to_string());
                 }
             }
         }
     }
 
-    /// Nothing came for a while: a ping, or the end of a silent or idle peer.
-    fn look(&mut self) -> Option<Heard> {
-        self.silent += 1;
-        if self.silent >= SILENT_LOOKS {
-            self.outbox.cut();
-            return Some(Heard::Ended(
-                "the peer is silent, pings included".to_string(),
+    /// Called after a ping interval without received bytes. Sends a ping, or ends the socket if the peer has been silent or
+    /// idle for too long.
+    fn check_silence(&mut self) -> Option<ReadOutcome> {
+        self.silent_intervals += 1;
+        if self.silent_intervals >= MAX_SILENT_INTERVALS {
+            self.outbox.abort();
+            return Some(ReadOutcome::Ended(
+                "the peer does not respond to pings".to_string(),
             ));
         }
-        let said = Duration::from_millis(self.outbox.last_ms.load(Ordering::Relaxed));
-        let quiet = self
-            .heard
+        let last_sent = Duration::from_millis(self.outbox.last_sent_ms.load(Ordering::Relaxed));
+        let idle_time = self
+            .last_received
             .elapsed()
-            .min(self.outbox.started.elapsed().saturating_sub(said));
-        if self.limits.idle.is_some_and(|idle| quiet > idle) {
-            return Some(self.end(1001, "idle for longer than it may be"));
+            .min(self.outbox.started.elapsed().saturating_sub(last_sent));
+        if self
+            .limits
+            .idle_timeout
+            .is_some_and(|timeout| idle_time > timeout)
+        {
+            return Some(self.close(1001, "idle for longer than it may be"));
         }
-        let ping = Letter {
+        let ping = QueuedMessage {
             body: Body::Ping,
-            stale: None,
+            expiry: None,
         };
-        if self.outbox.queue.put(ping).is_err() {
-            self.outbox.cut();
-            return Some(Heard::Ended(
-                "the peer does not drain its queue".to_string(),
+        if self.outbox.queue.push(ping).is_err() {
+            self.outbox.abort();
+            return Some(ReadOutcome::Ended(
+                "the send queue is full: the peer does not read".to_string(),
             ));
         }
         None
     }
 
-    fn end(&mut self, code: u16, why: &str) -> Heard {
-        self.outbox.close(code, why);
-        Heard::Ended(why.to_string())
+    /// Closes the socket with a close frame and returns its reason as the outcome.
+    fn close(&mut self, code: u16, reason: &str) -> ReadOutcome {
+        self.outbox.close(code, reason);
+        ReadOutcome::Ended(reason.to_string())
     }
 
-    /// Lets the answer to a close go out: the library hands it over when it is read from again.
-    fn last_words(&mut self) {
+    /// Answers the peer's close frame. `tungstenite` has prepared the answer but writes it only at the next flush.
+    fn answer_close(&mut self) {
         let _ = self.socket.flush();
         self.outbox.close(1000, "");
     }
 }
 
-/// Masks need not be secret between the project's own processes, but must differ from run to run (RFC 6455, 5.3).
-fn mask_source() -> Xoshiro256PlusPlus {
+/// Random number generator for frame masks. Between this project's own processes the masks need not be unpredictable, but
+/// they must differ from run to run (RFC 6455, section 5.3).
+fn mask_generator() -> Xoshiro256PlusPlus {
     use std::hash::{BuildHasher, RandomState};
     Xoshiro256PlusPlus::seed_from_u64(RandomState::new().hash_one(0u8))
 }
 
+/// The state of a writer thread.
 struct Writer {
-    wire: Arc<Wire>,
-    letters: Receiver<Letter>,
-    waiting: Arc<AtomicUsize>,
+    transport: Arc<Transport>,
+    messages: Receiver<QueuedMessage>,
+    queue_len: Arc<AtomicUsize>,
+    /// Generates frame masks; `None` on the server side, which sends unmasked frames.
     mask: Option<Xoshiro256PlusPlus>,
-    unsent: Option<Unsent>,
+    unsent: Option<UnsentCallback>,
 }
 
 impl Writer {
+    /// Writes queued messages until a close frame, a write error or the end of all senders.
     fn run(mut self) {
         let mut buffer = Vec::new();
         let mut closing = false;
-        while let (false, Ok(first)) = (closing, self.letters.recv()) {
+        while let (false, Ok(first)) = (closing, self.messages.recv()) {
             buffer.clear();
             closing = self.encode(first, &mut buffer);
-            while !closing && buffer.len() < GATHER_BYTES {
-                let Ok(next) = self.letters.try_recv() else {
+            while !closing && buffer.len() < WRITE_BATCH_BYTES {
+                let Ok(next) = self.messages.try_recv() else {
                     break;
                 };
                 closing = self.encode(next, &mut buffer);
             }
-            if self.wire.send(&buffer).is_err() {
+            if self.transport.send(&buffer).is_err() {
                 closing = true;
             }
-            if buffer.capacity() > 2 * GATHER_BYTES {
+            if buffer.capacity() > 2 * WRITE_BATCH_BYTES {
                 buffer = Vec::new();
             }
         }
-        self.wire.finish();
+        self.transport.finish();
     }
 
-    /// Appends a letter's bytes; true when it is the last.
-    fn encode(&mut self, letter: Letter, buffer: &mut Vec<u8>) -> bool {
-        self.waiting.fetch_sub(1, Ordering::AcqRel);
-        if let Some((queued, within, name)) = letter.stale {
-            if queued.elapsed() > within {
+    /// Appends the bytes of a message, unless it has expired. Returns true for a close frame, after which nothing is written.
+    fn encode(&mut self, message: QueuedMessage, buffer: &mut Vec<u8>) -> bool {
+        self.queue_len.fetch_sub(1, Ordering::AcqRel);
+        if let Some((queued, max_wait, id)) = message.expiry {
+            if queued.elapsed() > max_wait {
                 if let Some(unsent) = &self.unsent {
-                    unsent(name);
+                    unsent(id);
                 }
                 return false;
             }
         }
-        let (frame, last) = match letter.body {
+        let (frame, last) = match message.body {
             Body::Raw(bytes) => {
                 buffer.extend_from_slice(&bytes);
                 return false;
@@ -409,25 +440,26 @@
             Body::Text(text) => (Frame::message(text, OpCode::Data(Data::Text), true), false),
             Body::Ping => (Frame::ping(Vec::new()), false),
             Body::Close(code, reason) => {
-                let cut: String = reason.chars().take(40).collect();
+                let reason: String = reason.chars().take(40).collect();
                 (
                     Frame::close(Some(CloseFrame {
                         code: code.into(),
-                        reason: cut.into(),
+                        reason: reason.into(),
                     })),
                     true,
                 )
             }
         };
-        self.frame(frame, buffer);
+        self.append_frame(frame, buffer);
         last
     }
 
-    fn frame(&mut self, mut frame: Frame, buffer: &mut Vec<u8>) {
+    /// Masks the frame on the client side and appends its bytes.
+    fn append_frame(&mut self, mut frame: Frame, buffer: &mut Vec<u8>) {
         if let Some(source) = &mut self.mask {
             frame.header_mut().mask = Some(source.next_u32().to_le_bytes());
         }
-        // Writing to memory cannot fail.
+        // Writing to a buffer in memory cannot fail.
         let _ = frame.format(buffer);
     }
 }
--- a/crates/net/src/tls.rs
+++ b/crates/net/src/tls.rs
@@ -1,7 +1,7 @@
-//! TLS 1.3 for clients and host links: certificates, keys, authorities and lists of revoked ones, read from files and taken
-//! anew while serving. Sessions that are open keep what they were made with.
+//! TLS 1.3 for client connections and links to model servers: certificates, keys, trusted authorities and revocation lists
+//! are read from files and reloaded while serving. Open connections keep the configuration they were opened with.
 //!
-//! Sessions are not resumed: a resumed one would skip the look at its client's certificate.
+//! TLS session resumption is disabled: a resumed session would skip the check of the client's certificate.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -23,37 +23,42 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::driver::Event;
-use crate::guard::unix;
+use crate::guard::unix_seconds;
 use crate::lock;
 
-/// Time between two looks at the files.
-const LOOK: Duration = Duration::from_millis(200);
-/// Longest certificate or key file, bytes.
-const FILE_BYTES: u64 = 1 << 20;
+/// Interval at which the files are checked for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Largest accepted certificate or key file, bytes.
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
 fn provider() -> Arc<CryptoProvider> {
     Arc::new(ring::default_provider())
 }
 
-/// The texts of a set of files, in a fixed order.
-struct Texts(Vec<Vec<u8>>);
+/// The contents of a set of files, in the order of their paths.
+struct FileContents(Vec<Vec<u8>>);
 
-impl Texts {
-    fn read(files: &[PathBuf]) -> Result<Texts, String> {
+impl FileContents {
+    fn read(files: &[PathBuf]) -> Result<FileContents, String> {
         let read = |path: &PathBuf| -> Result<Vec<u8>, String> {
             let shown = path.display();
-            let most = FILE_BYTES.max(2 * LIST_BYTES as u64);
+            let max_bytes = MAX_FILE_BYTES.max(2 * LIST_BYTES as u64);
             let size = std::fs::metadata(path)
                 .map_err(|e| format!("{shown}: {e}"))?
                 .len();
-            if size > most {
-                return Err(format!("{shown}: {size} bytes, more than {most}"));
+            if size > max_bytes {
+                return Err(format!("{shown}: {size} bytes, the limit is {max_bytes}"));
             }
             std::fs::read(path).map_err(|e| format!("{shown}: {e}"))
         };
-        files.iter().map(read).collect::<Result<_, _>>().map(Texts)
+        files
+            .iter()
+            .map(read)
+            .collect::<Result<_, _>>()
+            .map(FileContents)
     }
 
+    /// Hash of all contents and their lengths, to detect changes.
     fn hash(&self) -> u64 {
         let mut hash = Xxh3::new();
         for text in &self.0 {
@@ -64,233 +69,248 @@
     }
 }
 
-fn named<E: std::fmt::Display>(path: &Path) -> impl Fn(E) -> String + '_ {
+/// Returns a function that formats an error with the path of its file.
+fn with_path<E: std::fmt::Display>(path: &Path) -> impl Fn(E) -> String + '_ {
     move |e| format!("{}: {e}", path.display())
 }
 
-fn chain(path: &Path, text: &[u8]) -> Result<Vec<CertificateDer<'static>>, String> {
+/// Parses the PEM certificates of a file, of which there must be at least one.
+fn parse_certificates(path: &Path, text: &[u8]) -> Result<Vec<CertificateDer<'static>>, String> {
     let found: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(text).collect();
-    let found = found.map_err(named(path))?;
+    let found = found.map_err(with_path(path))?;
     match found.is_empty() {
-        true => Err(format!("{}: holds no certificate", path.display())),
+        true => Err(format!("{}: contains no certificate", path.display())),
         false => Ok(found),
     }
 }
 
-fn roots(path: &Path, text: &[u8]) -> Result<(RootCertStore, Vec<Vec<u8>>), String> {
+/// Parses the trusted authorities of a file; also returns their certificates (DER).
+fn parse_authorities(path: &Path, text: &[u8]) -> Result<(RootCertStore, Vec<Vec<u8>>), String> {
     let mut roots = RootCertStore::empty();
     let mut ders = Vec::new();
-    for der in chain(path, text)? {
+    for der in parse_certificates(path, text)? {
         ders.push(der.as_ref().to_vec());
-        roots.add(der).map_err(named(path))?;
+        roots.add(der).map_err(with_path(path))?;
     }
     Ok((roots, ders))
 }
 
-/// A certificate chain with the key that belongs to it.
-fn pair(files: &[PathBuf], texts: &[Vec<u8>]) -> Result<Arc<CertifiedKey>, String> {
-    let key = PrivateKeyDer::from_pem_slice(&texts[1]).map_err(named(&files[1]))?;
-    let chain = chain(&files[0], &texts[0])?;
-    let pair = CertifiedKey::from_der(chain, key, &provider());
-    pair.map(Arc::new)
+/// Parses a certificate chain (first file) and its private key (second file), and checks that they match.
+fn parse_certified_key(
+    files: &[PathBuf],
+    contents: &[Vec<u8>],
+) -> Result<Arc<CertifiedKey>, String> {
+    let key = PrivateKeyDer::from_pem_slice(&contents[1]).map_err(with_path(&files[1]))?;
+    let chain = parse_certificates(&files[0], &contents[0])?;
+    let certified_key = CertifiedKey::from_der(chain, key, &provider());
+    certified_key
+        .map(Arc::new)
         .map_err(|e| format!("{} with {}: {e}", files[0].display(), files[1].display()))
 }
 
-fn lists(path: &Path, text: &[u8]) -> Result<Vec<Vec<u8>>, String> {
+/// Parses the PEM revocation lists of a file, of which there must be at least one; returns them as DER.
+fn parse_revocation_lists(path: &Path, text: &[u8]) -> Result<Vec<Vec<u8>>, String> {
     let found: Result<Vec<_>, _> = CertificateRevocationListDer::pem_slice_iter(text).collect();
-    let found = found.map_err(named(path))?;
+    let found = found.map_err(with_path(path))?;
     match found.is_empty() {
-        true => Err(format!("{}: holds no list", path.display())),
+        true => Err(format!("{}: contains no revocation list", path.display())),
         false => Ok(found.into_iter().map(|l| l.as_ref().to_vec()).collect()),
     }
 }
 
+/// Serves the same certificate to every client, whatever server name it asks for.
 #[derive(Debug)]
-struct Fixed(Arc<CertifiedKey>);
+struct FixedCertificate(Arc<CertifiedKey>);
 
-impl rustls::server::ResolvesServerCert for Fixed {
+impl rustls::server::ResolvesServerCert for FixedCertificate {
     fn resolve(&self, _hello: rustls::server::ClientHello<'_>) -> Option<Arc<CertifiedKey>> {
         Some(Arc::clone(&self.0))
     }
 }
 
-/// What a server made of its files.
-struct Made {
+/// The configuration and revocations that were built from the server's files.
+struct LoadedServer {
     config: Arc<ServerConfig>,
     revocations: Revocations,
 }
 
-/// The listening side's certificate, and whom it believes.
-pub struct Server {
-    /// Certificate, key, then the clients' authorities and lists, where there are any.
+/// TLS configuration of the listening side: its own certificate, and the authorities and revocation lists for clients.
+pub struct ServerTls {
+    /// Paths of the certificate and the key, then of the client authorities and the revocation lists, if configured.
     files: Vec<PathBuf>,
-    authorities: bool,
-    required: bool,
+    /// Whether client authorities are configured, so that client certificates are verified.
+    verify_clients: bool,
+    /// Whether a client must present a certificate.
+    client_certificate_required: bool,
     config: RwLock<Arc<ServerConfig>>,
     revocations: Mutex<Revocations>,
     reload: Mutex<Reload>,
 }
 
-impl Server {
-    /// Reads all files, relative to a folder.
+impl ServerTls {
+    /// Loads all files; their paths are relative to `base`.
     ///
     /// # Errors
-    /// The first fault, with its file: one that cannot be read or parsed, a key of another certificate, a list that does not count.
-    pub fn load(settings: &ListenTls, base: &Path) -> Result<Server, String> {
+    /// The first error, with its file: a file that cannot be read or parsed, a key that does not match the certificate, or a
+    /// revocation list that is not valid.
+    pub fn load(settings: &ListenTls, base: &Path) -> Result<ServerTls, String> {
         let beside = |file: &String| base.join(file);
         let mut files = vec![beside(&settings.certificate), beside(&settings.key)];
         files.extend(settings.client_authorities.iter().map(beside));
         files.extend(settings.revocation_lists.iter().map(beside));
-        let texts = Texts::read(&files)?;
-        let (authorities, required) = (
+        let contents = FileContents::read(&files)?;
+        let (verify_clients, client_certificate_required) = (
             settings.client_authorities.is_some(),
             settings.client_certificate_required,
         );
-        let made = Server::make(
+        let loaded = ServerTls::build(
             &files,
-            &texts.0,
-            authorities,
-            required,
+            &contents.0,
+            verify_clients,
+            client_certificate_required,
             &Revocations::default(),
         )?;
-        Ok(Server {
+        Ok(ServerTls {
             files,
-            authorities,
-            required,
-            config: RwLock::new(made.config),
-            revocations: Mutex::new(made.revocations),
-            reload: Mutex::new(Reload::new(texts.hash())),
+            verify_clients,
+            client_certificate_required,
+            config: RwLock::new(loaded.config),
+            revocations: Mutex::new(loaded.revocations),
+            reload: Mutex::new(Reload::new(contents.hash())),
         })
     }
 
-    fn make(
+    fn build(
         files: &[PathBuf],
-        texts: &[Vec<u8>],
-        authorities: bool,
-        required: bool,
-        before: &Revocations,
-    ) -> Result<Made, String> {
-        let pair = pair(files, texts)?;
+        contents: &[Vec<u8>],
+        verify_clients: bool,
+        client_certificate_required: bool,
+        previous: &Revocations,
+    ) -> Result<LoadedServer, String> {
+        let certified_key = parse_certified_key(files, contents)?;
         let builder = ServerConfig::builder_with_provider(provider())
             .with_protocol_versions(&[&TLS13])
             .map_err(|e| e.to_string())?;
-        let mut revocations = before.clone();
-        let builder = if authorities {
-            let (roots, ders) = roots(&files[2], &texts[2])?;
+        let mut revocations = previous.clone();
+        let builder = if verify_clients {
+            let (roots, ders) = parse_authorities(&files[2], &contents[2])?;
             let mut revoked = Vec::new();
-            for (path, text) in files.iter().zip(texts).skip(3) {
-                revoked.extend(lists(path, text)?);
+            for (path, text) in files.iter().zip(contents).skip(3) {
+                revoked.extend(parse_revocation_lists(path, text)?);
             }
-            let offered = before.with(&revoked, &ders, unix() as u64);
-            revocations = offered.map_err(|e| e.to_string())?;
+            let updated = previous.with(&revoked, &ders, unix_seconds() as u64);
+            revocations = updated.map_err(|e| e.to_string())?;
             let mut verifier =
                 WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider())
                     .with_crls(revoked.into_iter().map(CertificateRevocationListDer::from))
                     .only_check_end_entity_revocation()
                     .allow_unknown_revocation_status();
-            if !required {
+            if !client_certificate_required {
                 verifier = verifier.allow_unauthenticated();
             }
-            builder.with_client_cert_verifier(verifier.build().map_err(named(&files[2]))?)
+            builder.with_client_cert_verifier(verifier.build().map_err(with_path(&files[2]))?)
         } else {
             builder.with_no_client_auth()
         };
-        let mut config = builder.with_cert_resolver(Arc::new(Fixed(pair)));
+        let mut config = builder.with_cert_resolver(Arc::new(FixedCertificate(certified_key)));
         config.session_storage = Arc::new(NoServerSessionStorage {});
         config.send_tls13_tickets = 0;
-        Ok(Made {
+        Ok(LoadedServer {
             config: Arc::new(config),
             revocations,
         })
     }
 
-    /// What new connections are served with.
+    /// The configuration for new connections from clients.
     pub fn config(&self) -> Arc<ServerConfig> {
         Arc::clone(&self.config.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Whether a caller's certificate is revoked by now, whenever it was shown.
-    pub fn revoked(&self, key_id: &str) -> bool {
+    /// Whether the certificate with this key id is revoked now, even if it was valid when its connection was opened.
+    pub fn is_revoked(&self, key_id: &str) -> bool {
         lock(&self.revocations).revoked(key_id)
     }
 
-    /// Looks at the files; takes a new set that is whole, and gives what it newly revokes. What is wrong is logged once and changes
-    /// nothing.
-    pub fn look(&self) -> Vec<String> {
-        let texts = match Texts::read(&self.files) {
-            Ok(texts) => texts,
-            Err(why) => {
-                // In the middle of being moved into place, or gone: the one in force stays.
-                tracing::debug!(why, "a TLS file cannot be read");
+    /// Reloads the files if they have changed and returns the key ids of newly revoked certificates. Invalid files are
+    /// logged once; the configuration in force stays.
+    pub fn reload_if_changed(&self) -> Vec<String> {
+        let contents = match FileContents::read(&self.files) {
+            Ok(contents) => contents,
+            Err(error) => {
+                // The file may be missing only while it is replaced; the configuration in force stays.
+                tracing::debug!(error, "a TLS file cannot be read; the files in force stay");
                 return Vec::new();
             }
         };
-        if lock(&self.reload).look(texts.hash()) != Look::Try {
+        if lock(&self.reload).look(contents.hash()) != Look::Try {
             return Vec::new();
         }
-        let before = lock(&self.revocations).clone();
-        match Server::make(
+        let previous = lock(&self.revocations).clone();
+        match ServerTls::build(
             &self.files,
-            &texts.0,
-            self.authorities,
-            self.required,
-            &before,
+            &contents.0,
+            self.verify_clients,
+            self.client_certificate_required,
+            &previous,
         ) {
-            Ok(made) => {
-                let news = made.revocations.since(&before);
-                *lock(&self.revocations) = made.revocations;
-                *self.config.write().unwrap_or_else(PoisonError::into_inner) = made.config;
+            Ok(loaded) => {
+                let newly_revoked = loaded.revocations.since(&previous);
+                *lock(&self.revocations) = loaded.revocations;
+                *self.config.write().unwrap_or_else(PoisonError::into_inner) = loaded.config;
                 lock(&self.reload).taken();
-                tracing::info!(revoked = news.len(), "new TLS files count");
-                news
+                tracing::info!(revoked = newly_revoked.len(), "new TLS files are in force");
+                newly_revoked
             }
-            Err(why) => {
+            Err(error) => {
                 lock(&self.reload).refused();
-                tracing::error!(why, "TLS files are not taken; the last good ones stay");
+                tracing::error!(
+                    error,
+                    "the new TLS files are rejected; the last good files stay in force"
+                );
                 Vec::new()
             }
         }
     }
 }
 
-/// The dialling side: whom it believes, and what it shows of itself.
-pub struct Client {
-    /// Authorities, then certificate and key where there are any.
+/// TLS configuration of links to model servers: the trusted authorities and the dispatcher's own certificate.
+pub struct ClientTls {
+    /// Paths of the authorities, then of the certificate and the key, if configured.
     files: Vec<PathBuf>,
     config: RwLock<Arc<ClientConfig>>,
     reload: Mutex<Reload>,
 }
 
-impl Client {
-    /// Reads all files, relative to a folder.
+impl ClientTls {
+    /// Loads all files; their paths are relative to `base`.
     ///
     /// # Errors
-    /// As [`Server::load`].
-    pub fn load(settings: &EnginesTls, base: &Path) -> Result<Client, String> {
+    /// As for [`ServerTls::load`].
+    pub fn load(settings: &EnginesTls, base: &Path) -> Result<ClientTls, String> {
         let own = settings.certificate.iter().chain(&settings.key);
         let files = std::iter::once(&settings.authorities)
             .chain(own)
             .map(|f| base.join(f))
             .collect();
-        Client::from_files(files)
+        ClientTls::from_files(files)
     }
 
-    /// From an authorities' file, and a certificate with its key where there is one.
+    /// Loads a file of authorities and, if given, a certificate and its key, in this order.
     ///
     /// # Errors
-    /// As [`Server::load`].
-    pub fn from_files(files: Vec<PathBuf>) -> Result<Client, String> {
-        let texts = Texts::read(&files)?;
-        let config = RwLock::new(Client::make(&files, &texts.0)?);
-        Ok(Client {
+    /// As for [`ServerTls::load`].
+    pub fn from_files(files: Vec<PathBuf>) -> Result<ClientTls, String> {
+        let contents = FileContents::read(&files)?;
+        let config = RwLock::new(ClientTls::build(&files, &contents.0)?);
+        Ok(ClientTls {
             files,
             config,
-            reload: Mutex::new(Reload::new(texts.hash())),
+            reload: Mutex::new(Reload::new(contents.hash())),
         })
     }
 
-    fn make(files: &[PathBuf], texts: &[Vec<u8>]) -> Result<Arc<ClientConfig>, String> {
-        let (roots, _) = roots(&files[0], &texts[0])?;
+    fn build(files: &[PathBuf], contents: &[Vec<u8>]) -> Result<Arc<ClientConfig>, String> {
+        let (roots, _) = parse_authorities(&files[0], &contents[0])?;
         let builder = ClientConfig::builder_with_provider(provider())
             .with_protocol_versions(&[&TLS13])
             .map_err(|e| e.to_string())?
@@ -298,70 +318,74 @@
         let mut config = match files.len() {
             1 => builder.with_no_client_auth(),
             _ => {
-                let pair = pair(&files[1..], &texts[1..])?;
-                builder
-                    .with_client_cert_resolver(Arc::new(rustls::sign::SingleCertAndKey::from(pair)))
+                let certified_key = parse_certified_key(&files[1..], &contents[1..])?;
+                builder.with_client_cert_resolver(Arc::new(rustls::sign::SingleCertAndKey::from(
+                    certified_key,
+                )))
             }
         };
         config.resumption = rustls::client::Resumption::disabled();
         Ok(Arc::new(config))
     }
 
-    /// What new connections are made with.
+    /// The configuration for new connections to model servers.
     pub fn config(&self) -> Arc<ClientConfig> {
         Arc::clone(&self.config.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// As [`Server::look`].
-    pub fn look(&self) {
-        let Ok(texts) = Texts::read(&self.files) else {
+    /// Reloads the files if they have changed. Invalid files are logged once; the configuration in force stays.
+    pub fn reload_if_changed(&self) {
+        let Ok(contents) = FileContents::read(&self.files) else {
             return;
         };
-        if lock(&self.reload).look(texts.hash()) != Look::Try {
+        if lock(&self.reload).look(contents.hash()) != Look::Try {
             return;
         }
-        match Client::make(&self.files, &texts.0) {
+        match ClientTls::build(&self.files, &contents.0) {
             Ok(config) => {
                 *self.config.write().unwrap_or_else(PoisonError::into_inner) = config;
                 lock(&self.reload).taken();
-                tracing::info!("new TLS files for host links count");
+                tracing::info!("new TLS files for links to model servers are in force");
             }
-            Err(why) => {
+            Err(error) => {
                 lock(&self.reload).refused();
                 tracing::error!(
-                    why,
-                    "TLS files for host links are not taken; the last good ones stay"
+                    error,
+                    "the new TLS files for links to model servers are rejected; the last good files stay in force"
                 );
             }
         }
     }
 }
 
-/// Looks at the files again and again from a thread of its own, which ends with the process; tells the loop of certificates that
-/// are revoked.
+/// Starts a thread that polls the files for changes and sends newly revoked certificates to the event loop, until the loop
+/// has ended.
 ///
 /// # Errors
-/// Where the system gives no thread.
+/// If the thread cannot be started.
 pub fn watch(
-    server: Option<Arc<Server>>,
-    client: Option<Arc<Client>>,
-    to: Sender<Event>,
+    server: Option<Arc<ServerTls>>,
+    client: Option<Arc<ClientTls>>,
+    events: Sender<Event>,
 ) -> io::Result<()> {
     if server.is_none() && client.is_none() {
         return Ok(());
     }
     let run = move || loop {
-        std::thread::sleep(LOOK);
-        let revoked = server.as_ref().map(|s| s.look()).unwrap_or_default();
+        std::thread::sleep(POLL_INTERVAL);
+        let revoked = server
+            .as_ref()
+            .map(|s| s.reload_if_changed())
+            .unwrap_or_default();
         if !revoked.is_empty()
-            && to
+            && events
                 .send(Event::Input(Input::CredentialsRevoked(revoked)))
                 .is_err()
         {
             return;
         }
         if let Some(client) = &client {
-            client.look();
+            client.reload_if_changed();
         }
     };
     std::thread::Builder::new()
--- a/crates/net/src/watch.rs
+++ b/crates/net/src/watch.rs
@@ -1,4 +1,4 @@
-//! Looks at the inventory file again and again and tells the loop when a new list counts.
+//! Polls the inventory file and sends each new valid server list to the event loop.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -9,61 +9,66 @@
 
 use crate::driver::Event;
 
-/// Longest file that is read, bytes.
-const FILE_BYTES: u64 = 16 << 20;
+/// Largest accepted inventory file, bytes.
+const MAX_FILE_BYTES: u64 = 16 << 20;
 
-/// Reads a list file whole.
+/// Reads an inventory file.
 ///
 /// # Errors
-/// Why not, as text: no such file, too long, not UTF-8.
+/// A message with the path, if the file cannot be read, is too large or is not UTF-8.
 pub fn read_list(path: &PathBuf) -> Result<String, String> {
     let shown = path.display();
     let size = std::fs::metadata(path)
         .map_err(|e| format!("{shown}: {e}"))?
         .len();
-    if size > FILE_BYTES {
-        return Err(format!("{shown}: {size} bytes, more than {FILE_BYTES}"));
+    if size > MAX_FILE_BYTES {
+        return Err(format!(
+            "{shown}: {size} bytes, the limit is {MAX_FILE_BYTES}"
+        ));
     }
     std::fs::read_to_string(path).map_err(|e| format!("{shown}: {e}"))
 }
 
-/// Watches from a thread of its own, which ends with the process. A file that cannot be read keeps the last good list
-/// and is logged once.
+/// Starts a thread that polls the file every `interval` until the event loop has ended. If the file cannot be read, the
+/// last good list stays in force; each new cause is logged once.
 ///
 /// # Errors
-/// Where the system gives no thread.
+/// If the thread cannot be started.
 pub fn watch(
     path: PathBuf,
-    every: Duration,
-    mut good: LastGood,
-    to: Sender<Event>,
+    interval: Duration,
+    mut last_good: LastGood,
+    events: Sender<Event>,
 ) -> std::io::Result<()> {
-    let look = move || {
+    let poll = move || {
         let name = path.display().to_string();
-        let mut told = String::new();
-        let mut lost = false;
+        let mut logged_error = String::new();
+        let mut unreadable = false;
         loop {
-            std::thread::sleep(every);
+            std::thread::sleep(interval);
             let mut inputs = Vec::new();
             match read_list(&path) {
                 Ok(text) => {
-                    told.clear();
-                    inputs.extend(offer(&mut good, &name, &text));
+                    logged_error.clear();
+                    inputs.extend(offer(&mut last_good, &name, &text));
                 }
-                Err(why) => {
-                    if told != why {
-                        tracing::error!(error = %why, "the host list cannot be read; the last good one stays");
-                        told = why;
+                Err(error) => {
+                    if logged_error != error {
+                        tracing::error!(
+                            error,
+                            "the server list cannot be read; the last good list stays in force"
+                        );
+                        logged_error = error;
                     }
                 }
             }
-            let now_lost = !told.is_empty() || good.is_broken();
-            if now_lost != lost {
-                lost = now_lost;
-                inputs.push(Input::ServerListUnreadable(lost));
+            let now_unreadable = !logged_error.is_empty() || last_good.is_broken();
+            if now_unreadable != unreadable {
+                unreadable = now_unreadable;
+                inputs.push(Input::ServerListUnreadable(unreadable));
             }
             for input in inputs {
-                if to.send(Event::Input(input)).is_err() {
+                if events.send(Event::Input(input)).is_err() {
                     return;
                 }
             }
@@ -71,23 +76,23 @@
     };
     std::thread::Builder::new()
         .name("inventory".into())
-        .spawn(look)
+        .spawn(poll)
         .map(|_| ())
 }
 
-/// The list that counts from now on, if this text changes it.
-fn offer(good: &mut LastGood, name: &str, text: &str) -> Option<Input> {
-    match good.offer(name, text) {
+/// Offers the file's text as the new list. Returns the list as an input if the list in force changes.
+fn offer(last_good: &mut LastGood, name: &str, text: &str) -> Option<Input> {
+    match last_good.offer(name, text) {
         Offer::Nothing => None,
         Offer::Broken(e) => {
-            tracing::error!(error = %e, "the host list is broken; the last good one stays");
+            tracing::error!(error = %e, "the server list is invalid; the last good list stays in force");
             None
         }
         Offer::Taken(change) => {
             tracing::info!(added = ?change.added, removed = ?change.removed, changed = ?change.changed,
-                "a new host list counts");
+                "a new server list is in force");
             Some(Input::ServerList(
-                good.servers().values().cloned().collect(),
+                last_good.servers().values().cloned().collect(),
             ))
         }
     }
--- a/crates/net/src/wire.rs
+++ b/crates/net/src/wire.rs
@@ -1,8 +1,9 @@
-//! The bytes under a WebSocket: a TCP stream as it is, or TLS 1.3 over it.
+//! The byte stream under a WebSocket: plain TCP, or TLS 1.3 over TCP.
 //!
-//! Full duplex with a session that has one state: the lock on it is held while bytes are turned into records or back,
-//! never while a socket blocks. One thread alone writes to the socket, so that records leave in the order in which they were made;
-//! what the reading side has to say (answers to key updates, alerts) waits in the session until that thread comes by.
+//! Reading and writing run in two threads that share one TLS session. The lock on the session is held while bytes are
+//! encrypted or decrypted, never during a blocking socket call. Only the writer thread writes to the socket, so that
+//! records are sent in the order in which they were encrypted. Records that reading produces (answers to key updates,
+//! alerts) stay in the session until the writer thread's next write.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -12,82 +13,84 @@
 use rustls::pki_types::ServerName;
 use rustls::{ClientConfig, ClientConnection, Connection, ServerConfig, ServerConnection};
 
-/// Bytes that are read from the socket at once under TLS.
-const CHUNK: usize = 4096;
+/// Size of one read from the socket under TLS, bytes.
+const READ_CHUNK_BYTES: usize = 4096;
 
-/// One connection.
-pub struct Wire {
+/// One TCP connection, with or without TLS.
+pub struct Transport {
     stream: TcpStream,
+    /// The TLS session; `None` for plaintext.
     session: Option<Mutex<Session>>,
 }
 
+/// A TLS session and its pending input.
 struct Session {
     tls: Connection,
-    /// Bytes from the socket that the session could not take yet: it holds a bounded amount of what was said.
-    unread: Vec<u8>,
+    /// Bytes from the socket that the TLS session has not accepted yet, because it buffers a bounded amount of plaintext.
+    pending_input: Vec<u8>,
 }
 
-impl From<TcpStream> for Wire {
-    fn from(stream: TcpStream) -> Wire {
-        Wire {
+impl From<TcpStream> for Transport {
+    fn from(stream: TcpStream) -> Transport {
+        Transport {
             stream,
             session: None,
         }
     }
 }
 
-fn broken(e: rustls::Error) -> io::Error {
+fn tls_error(e: rustls::Error) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, format!("TLS: {e}"))
 }
 
-fn late() -> io::Error {
-    io::Error::new(io::ErrorKind::TimedOut, "no whole TLS handshake in time")
+fn handshake_timeout() -> io::Error {
+    io::Error::new(io::ErrorKind::TimedOut, "TLS handshake timed out")
 }
 
-impl Wire {
-    /// The server's side of a handshake, within a time.
+impl Transport {
+    /// Performs the server's side of a TLS handshake, until `deadline` at the latest.
     ///
     /// # Errors
-    /// A handshake that is broken, refused or late; the peer is told by an alert where there is one.
+    /// If the handshake fails or times out. The peer is sent the alert that TLS defines for the failure, if any.
     pub fn accept(
         stream: TcpStream,
         config: Arc<ServerConfig>,
         deadline: Instant,
-    ) -> io::Result<Wire> {
-        let session = ServerConnection::new(config).map_err(broken)?;
-        Wire::shake(stream, Connection::Server(session), deadline)
+    ) -> io::Result<Transport> {
+        let session = ServerConnection::new(config).map_err(tls_error)?;
+        Transport::handshake(stream, Connection::Server(session), deadline)
     }
 
-    /// The client's side; the server has to prove the name.
+    /// Performs the client's side of a TLS handshake. The server's certificate must be valid for `name`.
     ///
     /// # Errors
-    /// As [`Wire::accept`]; a name that no certificate can hold.
+    /// As for [`Transport::accept`]; also if `name` is not a valid server name.
     pub fn connect(
         stream: TcpStream,
         config: Arc<ClientConfig>,
         name: &str,
         deadline: Instant,
-    ) -> io::Result<Wire> {
+    ) -> io::Result<Transport> {
         let name = ServerName::try_from(name.to_string()).map_err(|_| {
             io::Error::new(
                 io::ErrorKind::InvalidInput,
-                format!("'{name}' is no host name"),
+                format!("'{name}' is not a valid server name"),
             )
         })?;
-        let session = ClientConnection::new(config, name).map_err(broken)?;
-        Wire::shake(stream, Connection::Client(session), deadline)
+        let session = ClientConnection::new(config, name).map_err(tls_error)?;
+        Transport::handshake(stream, Connection::Client(session), deadline)
     }
 
-    fn shake(
+    fn handshake(
         mut stream: TcpStream,
         mut session: Connection,
         deadline: Instant,
-    ) -> io::Result<Wire> {
+    ) -> io::Result<Transport> {
         session.set_buffer_limit(None);
         while session.is_handshaking() {
             let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
-                return Err(late());
+                return Err(handshake_timeout());
             }
             stream.set_read_timeout(Some(left))?;
             stream.set_write_timeout(Some(left))?;
@@ -99,27 +102,27 @@
             }
             match session.read_tls(&mut stream) {
                 Ok(0) => {
-                    let why = "closed within the TLS handshake";
-                    return Err(io::Error::new(io::ErrorKind::UnexpectedEof, why));
+                    let reason = "connection closed during the TLS handshake";
+                    return Err(io::Error::new(io::ErrorKind::UnexpectedEof, reason));
                 }
                 Ok(_) => {}
-                Err(e) if is_wait(&e) => return Err(late()),
+                Err(e) if is_timeout(&e) => return Err(handshake_timeout()),
                 Err(e) => return Err(e),
             }
             if let Err(e) = session.process_new_packets() {
-                // The alert that says why; a peer that has gone needs none.
+                // Sends the alert with the cause; an error is ignored, as the peer may be gone.
                 let _ = session.write_tls(&mut stream);
-                return Err(broken(e));
+                return Err(tls_error(e));
             }
         }
         while session.wants_write() {
             session.write_tls(&mut stream)?;
         }
-        Ok(Wire {
+        Ok(Transport {
             stream,
             session: Some(Mutex::new(Session {
                 tls: session,
-                unread: Vec::new(),
+                pending_input: Vec::new(),
             })),
         })
     }
@@ -128,9 +131,9 @@
         session.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The certificate that the peer has proven (DER).
+    /// The peer's verified certificate (DER); `None` without TLS or if the peer sent none.
     pub fn peer_certificate(&self) -> Option<Vec<u8>> {
-        let session = Wire::lock(self.session.as_ref()?);
+        let session = Transport::lock(self.session.as_ref()?);
         session
             .tls
             .peer_certificates()
@@ -138,126 +141,126 @@
             .map(|c| c.as_ref().to_vec())
     }
 
-    /// Reads what the peer said. For the one thread that reads; it never writes to the socket.
+    /// Reads decrypted bytes. Only the reader thread may call it; it never writes to the socket.
     ///
     /// # Errors
-    /// As the socket's; a stream that breaks the protocol.
+    /// On a socket error or a violation of the TLS protocol.
     pub fn receive(&self, buf: &mut [u8]) -> io::Result<usize> {
         let Some(session) = &self.session else {
-            return read_on(&self.stream, buf);
+            return read_uninterrupted(&self.stream, buf);
         };
-        let mut raw = [0; CHUNK];
+        let mut raw = [0; READ_CHUNK_BYTES];
         loop {
             {
-                let mut session = Wire::lock(session);
+                let mut session = Transport::lock(session);
                 match session.tls.reader().read(buf) {
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                    done => return done,
+                    result => return result,
                 }
-                if !session.unread.is_empty() {
-                    session.feed()?;
+                if !session.pending_input.is_empty() {
+                    session.process_input()?;
                     continue;
                 }
             }
-            let came = read_on(&self.stream, &mut raw)?;
-            let mut session = Wire::lock(session);
-            session.unread.extend_from_slice(&raw[..came]);
-            // Also at the end of the stream, which the session has to see.
-            session.feed()?;
+            let received = read_uninterrupted(&self.stream, &mut raw)?;
+            let mut session = Transport::lock(session);
+            session.pending_input.extend_from_slice(&raw[..received]);
+            // Also called at the end of the stream: the TLS session has to see it to detect a truncated stream.
+            session.process_input()?;
         }
     }
 
-    /// Whether the session has something of its own to say.
+    /// Whether the TLS session has pending records to write, such as answers to key updates and alerts.
     pub fn wants_write(&self) -> bool {
         self.session
             .as_ref()
-            .is_some_and(|s| Wire::lock(s).tls.wants_write())
+            .is_some_and(|s| Transport::lock(s).tls.wants_write())
     }
 
-    /// Writes all, and whatever the session has to say. For the one thread that writes.
+    /// Writes all bytes and the pending records of the TLS session. Only the writer thread may call it.
     ///
     /// # Errors
-    /// As the socket's.
+    /// On a socket error.
     pub fn send(&self, bytes: &[u8]) -> io::Result<()> {
         let Some(session) = &self.session else {
             return (&self.stream).write_all(bytes);
         };
         let records = {
-            let mut session = Wire::lock(session);
+            let mut session = Transport::lock(session);
             session.tls.writer().write_all(bytes)?;
-            drain(&mut session.tls)?
+            take_records(&mut session.tls)?
         };
         (&self.stream).write_all(&records)
     }
 
-    /// Says the end and closes both ways. For the one thread that writes.
+    /// Sends the TLS close alert (`close_notify`) and shuts the connection down. Only the writer thread may call it.
     pub fn finish(&self) {
         if let Some(session) = &self.session {
-            let farewell = {
-                let mut session = Wire::lock(session);
+            let close_alert = {
+                let mut session = Transport::lock(session);
                 session.tls.send_close_notify();
-                drain(&mut session.tls)
+                take_records(&mut session.tls)
             };
-            // A peer that has gone needs no farewell.
-            let _ = farewell.and_then(|f| (&self.stream).write_all(&f));
+            // An error is ignored: the peer may be gone already.
+            let _ = close_alert.and_then(|records| (&self.stream).write_all(&records));
         }
-        self.cut();
+        self.abort();
     }
 
-    /// Ends the connection at once, from any thread.
-    pub fn cut(&self) {
-        // An error means that it has ended already.
+    /// Shuts the connection down at once. Any thread may call it.
+    pub fn abort(&self) {
+        // An error means that the connection has ended already.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Sets how long reads wait.
+    /// Sets the read timeout; `None` blocks without limit.
     ///
     /// # Errors
-    /// Where the system refuses it.
+    /// If the system rejects the option.
     pub fn set_read_timeout(&self, within: Option<Duration>) -> io::Result<()> {
         self.stream.set_read_timeout(within)
     }
 
-    /// Sets how long writes wait.
+    /// Sets the write timeout; `None` blocks without limit.
     ///
     /// # Errors
-    /// Where the system refuses it.
+    /// If the system rejects the option.
     pub fn set_write_timeout(&self, within: Option<Duration>) -> io::Result<()> {
         self.stream.set_write_timeout(within)
     }
 
-    /// Sends small writes at once.
+    /// Sends small writes immediately (`TCP_NODELAY`).
     ///
     /// # Errors
-    /// Where the system refuses it.
+    /// If the system rejects the option.
     pub fn set_nodelay(&self) -> io::Result<()> {
         self.stream.set_nodelay(true)
     }
 }
 
 impl Session {
-    /// Takes as much of what came as fits; what is said in it has to be read before more can be taken.
-    fn feed(&mut self) -> io::Result<()> {
-        let taken = self.tls.read_tls(&mut self.unread.as_slice())?;
-        self.unread.drain(..taken);
-        self.tls.process_new_packets().map_err(broken)?;
+    /// Passes as much pending input to the TLS session as it accepts. It accepts more once its plaintext has been read.
+    fn process_input(&mut self) -> io::Result<()> {
+        let taken = self.tls.read_tls(&mut self.pending_input.as_slice())?;
+        self.pending_input.drain(..taken);
+        self.tls.process_new_packets().map_err(tls_error)?;
         Ok(())
     }
 }
 
-/// Reads on after an interruption: a process that was stopped and goes on has all its waiting reads interrupted where they
-/// have a time limit, and would lose every session and link.
-fn read_on(mut stream: &TcpStream, buf: &mut [u8]) -> io::Result<usize> {
+/// Reads, and retries an interrupted read. When a process is stopped and continued by signals, all its blocked reads with a
+/// timeout fail with `EINTR`; without the retry it would lose every session and link.
+fn read_uninterrupted(mut stream: &TcpStream, buf: &mut [u8]) -> io::Result<usize> {
     loop {
         match stream.read(buf) {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// All records that wait to leave.
-fn drain(session: &mut Connection) -> io::Result<Vec<u8>> {
+/// Takes all pending records from the TLS session.
+fn take_records(session: &mut Connection) -> io::Result<Vec<u8>> {
     let mut records = Vec::new();
     while session.wants_write() {
         session.write_tls(&mut records)?;
@@ -265,7 +268,8 @@
     Ok(records)
 }
 
-pub(crate) fn is_wait(e: &io::Error) -> bool {
+/// Whether a read or write failed because its timeout expired.
+pub(crate) fn is_timeout(e: &io::Error) -> bool {
     matches!(
         e.kind(),
         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
--- a/crates/net/tests/beside.rs
+++ b/crates/net/tests/beside.rs
@@ -1,4 +1,4 @@
-//! A machine beside the plane that is not there, or does not take what it is told.
+//! A workflow request to a dispatcher whose workflow service is not configured, or does not accept commands.
 
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
@@ -6,12 +6,12 @@
 use std::time::Duration;
 
 use bitternlatch_core::{Input, SessionId, Settings};
-use bitternlatch_net::driver::{events, Beside, Driver, Event};
+use bitternlatch_net::driver::{event_queue, Driver, Event, ServiceSinks};
 use bitternlatch_net::socket::{start, Limits};
 use tungstenite::protocol::Role;
 
-/// What a session hears of a claim where the machine is this one.
-fn claims(beside: Beside) -> String {
+/// Runs a driver with these service sinks, sends a workflow claim in one session and returns all that the session received.
+fn response_to_claim(services: ServiceSinks) -> String {
     let cluster =
         "[cluster]\nname = \"hall\"\nsecret = \"s\"\n[[cluster.roster]]\nname = \"NAME\"\n\
         address = \"127.0.0.1:7811\"\n[cluster.workflows]\n";
@@ -24,57 +24,66 @@
         TcpStream::connect(listener.local_addr().expect("its address")).expect("a connection");
     let near = listener.accept().expect("the other end").0;
     let limits = Limits {
-        message_bytes: 1 << 20,
-        queue: 100,
-        ping: Duration::from_secs(60),
-        idle: None,
+        max_message_bytes: 1 << 20,
+        max_queued_messages: 100,
+        ping_interval: Duration::from_secs(60),
+        idle_timeout: None,
     };
     let (_reader, outbox) = start(near, Vec::new(), Role::Server, limits, None).expect("threads");
-    let (to, from) = events();
-    let mut driver = Driver::new(settings, 1, (to.clone(), from), Arc::default());
-    driver.tell_beside(beside);
+    let (events, receiver) = event_queue();
+    let mut driver = Driver::new(settings, 1, (events.clone(), receiver), Arc::default());
+    driver.set_service_sinks(services);
     let session = SessionId(1);
     let claim = r#"{"type":"response.create","model":"m","input":"claim",
         "metadata":{"workflow":"w","workflow_do":"claim","workflow_worker":"a"}}"#;
-    to.send(Event::Session(session, outbox, None))
+    events
+        .send(Event::SessionOpened(session, outbox, None))
         .expect("room");
-    to.send(Event::Input(Input::SessionText {
-        session,
-        text: claim.into(),
-    }))
-    .expect("room");
-    to.send(Event::Input(Input::Stop)).expect("room");
+    events
+        .send(Event::Input(Input::SessionText {
+            session,
+            text: claim.into(),
+        }))
+        .expect("room");
+    events.send(Event::Input(Input::Stop)).expect("room");
     driver.run(Duration::from_secs(20));
     far.set_read_timeout(Some(Duration::from_secs(20)))
         .expect("an option");
-    let (mut heard, mut piece) = (Vec::new(), [0; 4096]);
-    // Two frames: the refusal, and the closing word.
-    while !String::from_utf8_lossy(&heard).contains("the dispatcher stops") {
-        match far.read(&mut piece) {
-            Ok(bytes) if bytes > 0 => heard.extend(&piece[..bytes]),
+    let (mut received, mut chunk) = (Vec::new(), [0; 4096]);
+    // Two frames: the error event and the close frame.
+    while !String::from_utf8_lossy(&received).contains("the dispatcher stops") {
+        match far.read(&mut chunk) {
+            Ok(bytes) if bytes > 0 => received.extend(&chunk[..bytes]),
             _ => break,
         }
     }
-    String::from_utf8_lossy(&heard).into_owned()
+    String::from_utf8_lossy(&received).into_owned()
 }
 
 #[test]
-fn a_question_that_the_machine_of_workflows_does_not_take_is_refused_as_busy_at_once() {
-    let heard = claims(Beside::default());
+fn workflow_request_is_rejected_as_busy_at_once_if_the_service_does_not_accept_it() {
+    let received = response_to_claim(ServiceSinks::default());
     assert!(
-        heard.contains("workflow_busy") && heard.contains("retry_after_ms"),
-        "off: {heard}"
+        received.contains("workflow_busy") && received.contains("retry_after_ms"),
+        "not configured: {received}"
     );
-    let asked = Arc::new(Mutex::new(0));
-    let count = Arc::clone(&asked);
+    let commands = Arc::new(Mutex::new(0));
+    let count = Arc::clone(&commands);
     let full = move |_| {
         *count.lock().expect("not poisoned") += 1;
         false
     };
-    let heard = claims(Beside {
+    let received = response_to_claim(ServiceSinks {
         workflow: Some(Box::new(full)),
-        ..Beside::default()
+        ..ServiceSinks::default()
     });
-    assert!(heard.contains("workflow_busy"), "full: {heard}");
-    assert_eq!(*asked.lock().expect("not poisoned"), 1, "it is asked once");
+    assert!(
+        received.contains("workflow_busy"),
+        "command not accepted: {received}"
+    );
+    assert_eq!(
+        *commands.lock().expect("not poisoned"),
+        1,
+        "one command is sent"
+    );
 }
--- a/crates/net/tests/sockets.rs
+++ b/crates/net/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Sockets whose other end does not do what it should.
+//! Sockets and HTTP upgrades whose peer is stuck, silent, slow or violates the protocol.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -6,17 +6,17 @@
 use std::time::{Duration, Instant};
 
 use bitternlatch_identity::Caller;
-use bitternlatch_net::accept::{Acceptor, Door, Handler};
+use bitternlatch_net::accept::{Acceptor, Handler, ListenerOptions};
 use bitternlatch_net::dial::dial;
-use bitternlatch_net::socket::{start, Heard, Limits, NotTaken, Outbox};
+use bitternlatch_net::socket::{start, Limits, NotQueued, Outbox, ReadOutcome};
 use tungstenite::protocol::Role;
 
 fn limits(queue: usize) -> Limits {
     Limits {
-        message_bytes: 1 << 20,
-        queue,
-        ping: Duration::from_millis(200),
-        idle: None,
+        max_message_bytes: 1 << 20,
+        max_queued_messages: queue,
+        ping_interval: Duration::from_millis(200),
+        idle_timeout: None,
     }
 }
 
@@ -28,18 +28,18 @@
 }
 
 #[test]
-fn a_message_that_waited_too_long_behind_a_stuck_peer_is_handed_back_unwritten() {
+fn message_that_expires_behind_a_stuck_peer_is_reported_and_not_written() {
     let (near, mut far) = pair();
     let unsent = Arc::new(Mutex::new(Vec::new()));
-    let told = Arc::clone(&unsent);
-    let note = Box::new(move |name| told.lock().expect("not poisoned").push(name));
+    let reported = Arc::clone(&unsent);
+    let callback = Box::new(move |id| reported.lock().expect("not poisoned").push(id));
     let long = Limits {
-        ping: Duration::from_secs(60),
+        ping_interval: Duration::from_secs(60),
         ..limits(100_000)
     };
     let (_reader, outbox) =
-        start(near, Vec::new(), Role::Client, long, Some(note)).expect("threads");
-    // Far more than the system's buffers hold: the writing thread is stuck in the middle of these.
+        start(near, Vec::new(), Role::Client, long, Some(callback)).expect("threads");
+    // Far more data than the socket buffers hold, so that the writer thread blocks while it writes these messages.
     for _ in 0..1000 {
         outbox.text("x".repeat(64 * 1024)).expect("room");
     }
@@ -65,30 +65,30 @@
 }
 
 #[test]
-fn a_full_queue_takes_nothing_more_and_a_silent_peer_is_ended() {
+fn full_queue_rejects_messages_and_silent_peer_is_disconnected() {
     let (near, _far) = pair();
     let (mut reader, outbox) =
         start(near, Vec::new(), Role::Server, limits(8), None).expect("threads");
     let text = "x".repeat(1 << 20);
-    let refused = (0..100).any(|_| outbox.text(text.clone()) == Err(NotTaken));
-    assert!(refused);
+    let rejected = (0..100).any(|_| outbox.text(text.clone()) == Err(NotQueued));
+    assert!(rejected);
     let start = Instant::now();
     assert!(
-        matches!(reader.hear(), Heard::Ended(_)),
-        "it neither answers pings nor drains"
+        matches!(reader.read(), ReadOutcome::Ended(_)),
+        "the peer neither answers pings nor reads"
     );
     assert!(start.elapsed() < Duration::from_secs(10));
 }
 
 #[test]
-fn dialling_is_bounded_by_time_and_refusals_are_told() {
+fn dialing_times_out_and_reports_a_rejected_upgrade() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address").to_string();
     let start = Instant::now();
-    let mute = dial(&address, "/", Duration::from_millis(200), limits(8), None);
+    let unanswered = dial(&address, "/", Duration::from_millis(200), limits(8), None);
     assert!(
-        mute.is_err() && start.elapsed() < Duration::from_secs(5),
-        "accepted by the system, never answered"
+        unanswered.is_err() && start.elapsed() < Duration::from_secs(5),
+        "the connection is accepted by the operating system, but no response is sent"
     );
     let answer = std::thread::spawn(move || {
         let (mut stream, _) = listener
@@ -115,45 +115,45 @@
 }
 
 #[test]
-fn a_message_over_the_bound_ends_its_socket_with_the_cause() {
+fn message_over_the_size_limit_ends_the_socket_with_the_reason() {
     let (near, far) = pair();
     let small = Limits {
-        message_bytes: 1024,
+        max_message_bytes: 1024,
         ..limits(8)
     };
     let (mut reader, _) = start(near, Vec::new(), Role::Client, small, None).expect("threads");
     let (mut other, to) = start(far, Vec::new(), Role::Server, limits(8), None).expect("threads");
     to.text("short".into()).expect("room");
     to.text("x".repeat(1025)).expect("room");
-    assert!(matches!(reader.hear(), Heard::Text(t) if t == "short"));
-    assert!(matches!(reader.hear(), Heard::Ended(why) if why.contains("too long")));
+    assert!(matches!(reader.read(), ReadOutcome::Text(t) if t == "short"));
+    assert!(matches!(reader.read(), ReadOutcome::Ended(why) if why.contains("too long")));
     assert!(
-        matches!(other.hear(), Heard::Ended(why) if why.contains("1009")),
-        "the sender is told"
+        matches!(other.read(), ReadOutcome::Ended(why) if why.contains("1009")),
+        "the sender receives close code 1009"
     );
 }
 
 #[test]
-fn upgrades_that_could_be_read_in_two_ways_are_refused() {
-    struct Nobody;
-    impl Handler for Nobody {
+fn ambiguous_upgrade_requests_are_rejected() {
+    struct IgnoreAll;
+    impl Handler for IgnoreAll {
         fn opened(&self, _: u64, _: Outbox, _: Option<Caller>) {}
         fn text(&self, _: u64, _: String) {}
         fn closed(&self, _: u64, _: String) {}
-        fn plain(&self, _: &str) -> (u16, String) {
+        fn get(&self, _: &str) -> (u16, String) {
             (404, String::new())
         }
     }
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let door = Door::plain(10, Duration::from_secs(5), limits(8));
-    let acceptor = Acceptor::start(listener, door, Arc::new(Nobody)).expect("a thread");
+    let options = ListenerOptions::plaintext(10, Duration::from_secs(5), limits(8));
+    let acceptor = Acceptor::start(listener, options, Arc::new(IgnoreAll)).expect("a thread");
     let status = |first: &str, rest: &str| {
         let mut stream = TcpStream::connect(acceptor.address()).expect("a connection");
-        let ask = format!(
+        let request = format!(
             "GET / {first}\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Version: 13\r\n\
              Sec-WebSocket-Key: AAAAAAAAAAAAAAAAAAAAAA==\r\n{rest}\r\n"
         );
-        stream.write_all(ask.as_bytes()).expect("sent");
+        stream.write_all(request.as_bytes()).expect("sent");
         stream
             .set_read_timeout(Some(Duration::from_secs(20)))
             .expect("an option");
--- a/crates/net/tests/wire.rs
+++ b/crates/net/tests/wire.rs
@@ -1,4 +1,5 @@
-//! TLS under the two threads of a socket: both ways at once, keys changed on the way, peers that do not do what they should.
+//! TLS transport shared by a reader and a writer thread: traffic in both directions at once, key updates during traffic, and
+//! handshakes with misbehaving peers.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -8,19 +9,19 @@
 
 use bitternlatch_core::settings::ListenTls;
 use bitternlatch_keys::authority::{Authority, Wanted};
-use bitternlatch_net::socket::{start, Heard, Limits};
-use bitternlatch_net::tls::{Client, Server};
-use bitternlatch_net::wire::Wire;
+use bitternlatch_net::socket::{start, Limits, ReadOutcome};
+use bitternlatch_net::tls::{ClientTls, ServerTls};
+use bitternlatch_net::wire::Transport;
 use rustls::pki_types::ServerName;
 use rustls::{ClientConnection, StreamOwned};
 use tungstenite::protocol::Role;
 
-struct Ends {
-    server: Server,
-    client: Client,
+struct Configurations {
+    server: ServerTls,
+    client: ClientTls,
 }
 
-fn ends(name: &str) -> Ends {
+fn configurations(name: &str) -> Configurations {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&dir);
     let now = SystemTime::now()
@@ -47,9 +48,9 @@
         client_certificate_required: false,
         revocation_lists: Vec::new(),
     };
-    let server = Server::load(&settings, &dir).expect("a server");
-    let client = Client::from_files(vec![dir.join("authority.pem")]).expect("a client");
-    Ends { server, client }
+    let server = ServerTls::load(&settings, &dir).expect("a server");
+    let client = ClientTls::from_files(vec![dir.join("authority.pem")]).expect("a client");
+    Configurations { server, client }
 }
 
 fn pair() -> (TcpStream, TcpStream) {
@@ -59,31 +60,33 @@
     (one, listener.accept().expect("the other end").0)
 }
 
-fn soon() -> Instant {
+fn deadline() -> Instant {
     Instant::now() + Duration::from_secs(20)
 }
 
 fn limits() -> Limits {
     Limits {
-        message_bytes: 1 << 20,
-        queue: 100_000,
-        ping: Duration::from_secs(10),
-        idle: None,
+        max_message_bytes: 1 << 20,
+        max_queued_messages: 100_000,
+        ping_interval: Duration::from_secs(10),
+        idle_timeout: None,
     }
 }
 
 #[test]
-fn both_sides_talk_at_once_and_nothing_is_lost_or_mixed() {
+fn simultaneous_traffic_in_both_directions_arrives_complete_and_in_order() {
     const MESSAGES: usize = 3000;
-    let ends = ends("duplex");
+    let configurations = configurations("duplex");
     let (near, far) = pair();
-    let config = ends.server.config();
-    let served =
-        std::thread::spawn(move || Wire::accept(far, config, soon()).expect("a handshake"));
-    let near = Wire::connect(near, ends.client.config(), "box", soon()).expect("a handshake");
+    let config = configurations.server.config();
+    let accepting = std::thread::spawn(move || {
+        Transport::accept(far, config, deadline()).expect("a handshake")
+    });
+    let near = Transport::connect(near, configurations.client.config(), "box", deadline())
+        .expect("a handshake");
     let (a, to_b) = start(near, Vec::new(), Role::Client, limits(), None).expect("threads");
     let (b, to_a) = start(
-        served.join().expect("it"),
+        accepting.join().expect("it"),
         Vec::new(),
         Role::Server,
         limits(),
@@ -91,50 +94,51 @@
     )
     .expect("threads");
     let text = |who: &str, i: usize| format!("{who}{i} {}", "x".repeat(i % 977 * 20));
-    let hear = |mut from: bitternlatch_net::socket::Reader, who: &'static str| {
+    let receive_all = |mut from: bitternlatch_net::socket::Reader, who: &'static str| {
         std::thread::spawn(move || {
             for i in 0..MESSAGES {
-                match from.hear() {
-                    Heard::Text(t) => assert!(t == text(who, i), "message {i} of {who}"),
-                    Heard::Ended(why) => panic!("{who} ended at {i}: {why}"),
+                match from.read() {
+                    ReadOutcome::Text(t) => assert!(t == text(who, i), "message {i} of {who}"),
+                    ReadOutcome::Ended(why) => panic!("{who} ended at {i}: {why}"),
                 }
             }
             from
         })
     };
-    let (at_a, at_b) = (hear(a, "b"), hear(b, "a"));
+    let (at_a, at_b) = (receive_all(a, "b"), receive_all(b, "a"));
     for i in 0..MESSAGES {
         to_b.text(text("a", i)).expect("room");
         to_a.text(text("b", i)).expect("room");
     }
     let (mut a, _b) = (
-        at_a.join().expect("all heard"),
-        at_b.join().expect("all heard"),
+        at_a.join().expect("all received"),
+        at_b.join().expect("all received"),
     );
     to_a.close(1000, "enough");
     assert!(
-        matches!(a.hear(), Heard::Ended(why) if why.contains("1000")),
-        "the farewell comes through"
+        matches!(a.read(), ReadOutcome::Ended(why) if why.contains("1000")),
+        "the close frame arrives"
     );
 }
 
 #[test]
-fn a_peer_that_changes_its_keys_is_followed_both_ways() {
-    let ends = ends("key-update");
+fn key_updates_by_the_peer_are_followed_in_both_directions() {
+    let configurations = configurations("key-update");
     let (near, far) = pair();
-    let config = ends.server.config();
-    let served =
-        std::thread::spawn(move || Wire::accept(far, config, soon()).expect("a handshake"));
+    let config = configurations.server.config();
+    let accepting = std::thread::spawn(move || {
+        Transport::accept(far, config, deadline()).expect("a handshake")
+    });
     let name = ServerName::try_from("box").expect("a name");
-    let session = ClientConnection::new(ends.client.config(), name).expect("a session");
+    let session = ClientConnection::new(configurations.client.config(), name).expect("a session");
     near.set_read_timeout(Some(Duration::from_secs(20)))
         .expect("an option");
     let mut peer = StreamOwned::new(session, near);
     peer.flush().expect("a handshake");
-    let wire = Arc::new(served.join().expect("it"));
+    let wire = Arc::new(accepting.join().expect("it"));
     let mut buffer = [0; 64];
     for round in 0..5 {
-        // Asks the other side to change its keys too: it says so before its next bytes.
+        // Requests a key update from the other side too, which sends its update before its next data.
         peer.conn.refresh_traffic_keys().expect("an update");
         peer.write_all(b"ping").expect("sent");
         let n = wire.receive(&mut buffer).expect("read");
@@ -148,14 +152,14 @@
 }
 
 #[test]
-fn handshakes_that_stall_lie_or_leave_end_in_time() {
-    let ends = ends("handshakes");
+fn stalled_invalid_and_abandoned_handshakes_end_by_the_deadline() {
+    let configurations = configurations("handshakes");
     let accept = |within_ms: u64, act: &dyn Fn(TcpStream)| {
         let (near, far) = pair();
         act(near);
         let start = Instant::now();
         let by = start + Duration::from_millis(within_ms);
-        let end = Wire::accept(far, ends.server.config(), by)
+        let end = Transport::accept(far, configurations.server.config(), by)
             .err()
             .expect("no handshake")
             .kind();
@@ -172,7 +176,7 @@
         hold(s);
     };
     assert_eq!(accept(20_000, &plain), std::io::ErrorKind::InvalidData);
-    // A byte now and then does not win more time than all are given.
+    // A peer that sends single bytes does not extend the deadline.
     let trickle = |mut s: TcpStream| {
         std::thread::spawn(move || {
             for byte in [22u8, 3, 1, 2, 0] {
--- a/programs/benchmark/src/engines.rs
+++ b/programs/benchmark/src/engines.rs
@@ -16,7 +16,7 @@
 use bitternlatch_mock_engine::capture::Capture;
 use bitternlatch_mock_engine::{Config, Standins};
 use bitternlatch_net::dial::dial;
-use bitternlatch_net::socket::{Heard, Limits};
+use bitternlatch_net::socket::{Limits, ReadOutcome};
 use bitternlatch_protocol::engine::{decode, encode, FromEngine, ToEngine};
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -359,10 +359,10 @@
     let stop = Arc::clone(stop);
     std::thread::spawn(move || {
         let limits = || Limits {
-            message_bytes: 1 << 20,
-            queue: 64,
-            ping: Duration::from_secs(10),
-            idle: None,
+            max_message_bytes: 1 << 20,
+            max_queued_messages: 64,
+            ping_interval: Duration::from_secs(10),
+            idle_timeout: None,
         };
         let mut links: Vec<_> = writers
             .iter()
@@ -374,7 +374,7 @@
             let mut used = Vec::new();
             for (reader, outbox) in &mut links {
                 let _ = outbox.text(encode(&ToEngine::Probe { id: 0 }));
-                while let Heard::Text(text) = reader.hear() {
+                while let ReadOutcome::Text(text) = reader.read() {
                     if let Ok(FromEngine::Load { load, .. }) = decode(&text) {
                         used.push(load.get("kv_cache_usage_perc").copied().unwrap_or(0.0));
                         break;
--- a/programs/benchmark/src/latency.rs
+++ b/programs/benchmark/src/latency.rs
@@ -5,7 +5,7 @@
 use bitternlatch_chaos::client::{Came, Client};
 use bitternlatch_mock_engine::capture::Capture;
 use bitternlatch_net::dial::dial;
-use bitternlatch_net::socket::{Heard, Limits, Outbox, Reader};
+use bitternlatch_net::socket::{Limits, Outbox, ReadOutcome, Reader};
 use bitternlatch_protocol::engine::{
     decode, encode, CompletionRequest, FromEngine, KvTransferParams, ToEngine,
 };
@@ -132,10 +132,10 @@
 impl Direct {
     fn connect(reader: &str, writer: &str) -> Result<Direct, String> {
         let limits = || Limits {
-            message_bytes: 1 << 20,
-            queue: 64,
-            ping: Duration::from_secs(10),
-            idle: None,
+            max_message_bytes: 1 << 20,
+            max_queued_messages: 64,
+            ping_interval: Duration::from_secs(10),
+            idle_timeout: None,
         };
         let to = |at: &str| {
             dial(at, "/", Duration::from_secs(2), limits(), None).map_err(|e| e.to_string())
@@ -203,8 +203,8 @@
 }
 
 fn hear(from: &mut Reader) -> Result<FromEngine, String> {
-    match from.hear() {
-        Heard::Text(text) => decode(&text).map_err(|e| e.to_string()),
-        Heard::Ended(why) => Err(why),
+    match from.read() {
+        ReadOutcome::Text(text) => decode(&text).map_err(|e| e.to_string()),
+        ReadOutcome::Ended(why) => Err(why),
     }
 }
--- a/programs/benchmark/src/relay.rs
+++ b/programs/benchmark/src/relay.rs
@@ -9,9 +9,9 @@
 
 use bitternlatch_chaos::process::free_address;
 use bitternlatch_identity::Caller;
-use bitternlatch_net::accept::{Acceptor, Door, Handler};
+use bitternlatch_net::accept::{Acceptor, Handler, ListenerOptions};
 use bitternlatch_net::dial::dial;
-use bitternlatch_net::socket::{Heard, Limits, Outbox};
+use bitternlatch_net::socket::{Limits, Outbox, ReadOutcome};
 use bitternlatch_protocol::engine::{
     decode, encode, Choice, Chunk, EngineState, FromEngine, KvTransferParams, ToEngine,
 };
@@ -28,10 +28,10 @@
 
 fn limits(queue: usize) -> Limits {
     Limits {
-        message_bytes: 8 << 20,
-        queue,
-        ping: Duration::from_secs(30),
-        idle: None,
+        max_message_bytes: 8 << 20,
+        max_queued_messages: queue,
+        ping_interval: Duration::from_secs(30),
+        idle_timeout: None,
     }
 }
 
@@ -121,7 +121,7 @@
             conns.remove(&connection);
         }
     }
-    fn plain(&self, _path: &str) -> (u16, String) {
+    fn get(&self, _path: &str) -> (u16, String) {
         (404, String::new())
     }
 }
@@ -189,11 +189,13 @@
             std::thread::spawn(move || {
                 let _ = outbox.text(ask);
                 loop {
-                    match reader.hear() {
-                        Heard::Text(text) if text.contains(&last) => return Ok(()),
-                        Heard::Text(text) if text.contains("response.failed") => return Err(text),
-                        Heard::Text(_) => {}
-                        Heard::Ended(why) => return Err(why),
+                    match reader.read() {
+                        ReadOutcome::Text(text) if text.contains(&last) => return Ok(()),
+                        ReadOutcome::Text(text) if text.contains("response.failed") => {
+                            return Err(text)
+                        }
+                        ReadOutcome::Text(_) => {}
+                        ReadOutcome::Ended(why) => return Err(why),
                     }
                 }
             })
@@ -214,7 +216,7 @@
         tokens: tokens / streams.max(1),
         conns: Default::default(),
     });
-    let door = Door::plain(1000, Duration::from_secs(5), limits(1024));
+    let door = ListenerOptions::plaintext(1000, Duration::from_secs(5), limits(1024));
     let acceptor =
         Acceptor::start(listener, door, Arc::new(HoseDoor(hose))).map_err(|e| e.to_string())?;
     let host = acceptor.address().to_string();
--- a/programs/benchmark/src/rig.rs
+++ b/programs/benchmark/src/rig.rs
@@ -7,7 +7,7 @@
 use bitternlatch_chaos::process::Dispatcher;
 use bitternlatch_mock_engine::capture::Capture;
 use bitternlatch_mock_engine::{Config, Standins};
-use bitternlatch_net::dial::Manner;
+use bitternlatch_net::dial::DialOptions;
 
 const SETTINGS: &str = include_str!("../../../deploy/dispatch.toml");
 
@@ -52,13 +52,13 @@
 
 /// Starts a dispatcher before hosts and waits until it is ready.
 pub fn dispatcher(hosts: &Hosts, edit: impl Fn(&mut toml::Table)) -> Result<Dispatcher, String> {
-    dispatcher_as(hosts, &Manner::default(), edit)
+    dispatcher_as(hosts, &DialOptions::default(), edit)
 }
 
 /// As [`dispatcher`], asked in a manner whether it is ready.
 pub fn dispatcher_as(
     hosts: &Hosts,
-    manner: &Manner,
+    manner: &DialOptions,
     edit: impl Fn(&mut toml::Table),
 ) -> Result<Dispatcher, String> {
     let one = started(hosts, 1, manner, edit)?;
@@ -71,13 +71,13 @@
     number: usize,
     edit: impl Fn(&mut toml::Table),
 ) -> Result<Dispatcher, String> {
-    started(hosts, number, &Manner::default(), edit)
+    started(hosts, number, &DialOptions::default(), edit)
 }
 
 fn started(
     hosts: &Hosts,
     number: usize,
-    manner: &Manner,
+    manner: &DialOptions,
     edit: impl Fn(&mut toml::Table),
 ) -> Result<Dispatcher, String> {
     let dir = folder();
--- a/programs/benchmark/src/secured.rs
+++ b/programs/benchmark/src/secured.rs
@@ -10,7 +10,7 @@
 use bitternlatch_keys::Ring;
 use bitternlatch_mock_engine::capture::Capture;
 use bitternlatch_mock_engine::Standins;
-use bitternlatch_net::dial::{upgraded, Manner};
+use bitternlatch_net::dial::{connect_and_upgrade, DialOptions};
 use ring::rand::SystemRandom;
 use ring::signature::{Ed25519KeyPair, KeyPair, UnparsedPublicKey, ED25519};
 use serde_json::json;
@@ -25,7 +25,7 @@
 struct Side {
     name: &'static str,
     dispatcher: Dispatcher,
-    manner: Manner,
+    manner: DialOptions,
     _hosts: Standins,
 }
 
@@ -81,7 +81,7 @@
             let start = Instant::now();
             let open = || -> Result<(), String> {
                 for _ in 0..EACH {
-                    upgraded(&side.dispatcher.address, PATH, &side.manner, WITHIN)
+                    connect_and_upgrade(&side.dispatcher.address, PATH, &side.manner, WITHIN)
                         .map_err(|e| e.to_string())?;
                 }
                 Ok(())
@@ -154,7 +154,7 @@
         };
         let before = resident()?;
         let open = |_| {
-            upgraded(&side.dispatcher.address, PATH, &side.manner, WITHIN)
+            connect_and_upgrade(&side.dispatcher.address, PATH, &side.manner, WITHIN)
                 .map_err(|e| e.to_string())
         };
         let open = (0..sessions).map(open).collect::<Result<Vec<_>, _>>()?;
--- a/programs/chaos/src/client.rs
+++ b/programs/chaos/src/client.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use bitternlatch_mock_engine::capture::Capture;
-use bitternlatch_net::dial::{dial_as, Manner};
-use bitternlatch_net::socket::{Heard, Limits, Outbox};
+use bitternlatch_net::dial::{dial_with_options, DialOptions};
+use bitternlatch_net::socket::{Limits, Outbox, ReadOutcome};
 use bitternlatch_protocol::client::ServerEvent;
 use crossbeam_channel::{unbounded, Receiver};
 
@@ -32,7 +32,7 @@
     /// # Errors
     /// As dialling.
     pub fn connect(endpoint: &str, who: &str, peer: &str, capture: Capture) -> io::Result<Client> {
-        Client::connect_as(endpoint, who, peer, capture, &Manner::default())
+        Client::connect_as(endpoint, who, peer, capture, &DialOptions::default())
     }
 
     /// As [`Client::connect`], with a token or a certificate.
@@ -44,15 +44,15 @@
         who: &str,
         peer: &str,
         capture: Capture,
-        manner: &Manner,
+        manner: &DialOptions,
     ) -> io::Result<Client> {
         let limits = Limits {
-            message_bytes: 8 << 20,
-            queue: 4096,
-            ping: Duration::from_secs(10),
-            idle: None,
+            max_message_bytes: 8 << 20,
+            max_queued_messages: 4096,
+            ping_interval: Duration::from_secs(10),
+            idle_timeout: None,
         };
-        let (mut reader, outbox) = dial_as(
+        let (mut reader, outbox) = dial_with_options(
             endpoint,
             "/v1/responses",
             manner,
@@ -64,12 +64,12 @@
         capture.put(who, peer, "open", "");
         let (name, other, lines) = (who.to_string(), peer.to_string(), capture.clone());
         let read = move || loop {
-            match reader.hear() {
-                Heard::Text(text) => {
+            match reader.read() {
+                ReadOutcome::Text(text) => {
                     lines.put(&name, &other, "in", &text);
                     let _ = to.send(Ok(text));
                 }
-                Heard::Ended(why) => {
+                ReadOutcome::Ended(why) => {
                     lines.put(&name, &other, "close", "");
                     let _ = to.send(Err(why));
                     return;
@@ -112,13 +112,13 @@
     /// Drops the socket without a word.
     pub fn cut(&self) {
         self.capture.put(&self.who, &self.peer, "drop", "");
-        self.outbox.cut();
+        self.outbox.abort();
     }
 
     /// Gives up on an answer that does not come.
     pub fn give_up(&self) {
         self.capture.put(&self.who, &self.peer, "gave_up", "");
-        self.outbox.cut();
+        self.outbox.abort();
     }
 
     /// Closes the session in order, with nothing in hand.
--- a/programs/chaos/src/clients.rs
+++ b/programs/chaos/src/clients.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bitternlatch_mock_engine::capture::Capture;
-use bitternlatch_net::dial::Manner;
+use bitternlatch_net::dial::DialOptions;
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde_json::json;
@@ -155,7 +155,7 @@
     tries: u32,
     at: usize,
     connections: u32,
-    manner: Manner,
+    manner: DialOptions,
 }
 
 /// Plays a conversation to its end.
--- a/programs/chaos/src/main.rs
+++ b/programs/chaos/src/main.rs
@@ -46,7 +46,7 @@
         }
     }
     let args = Args::parse();
-    bitternlatch_net::logs::start();
+    bitternlatch_net::logs::init();
     match play(&args) {
         Ok(held) => ExitCode::from(u8::from(!held)),
         Err(why) => {
--- a/programs/chaos/src/process.rs
+++ b/programs/chaos/src/process.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use bitternlatch_net::dial::{get, Manner};
+use bitternlatch_net::dial::{get, DialOptions};
 use rustix::process::{kill_process, Pid, Signal};
 
 /// The word that turns this program into a dispatcher.
@@ -24,7 +24,7 @@
     starts: u32,
     recorded: bool,
     /// How it is asked whether it is ready.
-    manner: Manner,
+    manner: DialOptions,
     child: Option<Child>,
 }
 
@@ -73,7 +73,7 @@
             settings,
             starts: 0,
             recorded: true,
-            manner: Manner::default(),
+            manner: DialOptions::default(),
             child: None,
         }
     }
@@ -89,7 +89,7 @@
     }
 
     /// It speaks TLS.
-    pub fn secured(&mut self, manner: Manner) {
+    pub fn secured(&mut self, manner: DialOptions) {
         self.manner = manner;
     }
 
--- a/programs/chaos/src/secured.rs
+++ b/programs/chaos/src/secured.rs
@@ -8,7 +8,7 @@
 use bitternlatch_keys::authority::{Authority, Wanted};
 use bitternlatch_keys::Ring;
 use bitternlatch_mock_engine::capture::Capture;
-use bitternlatch_net::dial::Manner;
+use bitternlatch_net::dial::DialOptions;
 use bitternlatch_net::tls;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -51,8 +51,8 @@
     ring: Mutex<Ring>,
     callers: Authority,
     /// By certificate, and by token alone.
-    desk: Manner,
-    bare: Manner,
+    desk: DialOptions,
+    bare: DialOptions,
     issued: Mutex<Vec<String>>,
     refused: AtomicUsize,
 }
@@ -151,7 +151,7 @@
     }
 
     /// How a conversation's client calls: every other one by certificate, the rest by a token of their own.
-    pub fn manner(&self, conversation: usize) -> Manner {
+    pub fn manner(&self, conversation: usize) -> DialOptions {
         if conversation.is_multiple_of(2) {
             return self.desk.clone();
         }
@@ -159,14 +159,14 @@
             "groups": ["desk"], "exp": now() + 120 });
         let token = lock(&self.ring).sign(now(), &claims).ok();
         lock(&self.issued).extend(token.clone());
-        Manner {
+        DialOptions {
             token,
             ..self.bare.clone()
         }
     }
 
     /// By certificate, for asking whether a dispatcher is ready.
-    pub fn desk(&self) -> Manner {
+    pub fn desk(&self) -> DialOptions {
         self.desk.clone()
     }
 
@@ -246,13 +246,13 @@
 }
 
 /// Believing the servers' authority, and with a caller's certificate where one is named.
-fn manner(dir: &Path, own: Option<&str>) -> Result<Manner, String> {
+fn manner(dir: &Path, own: Option<&str>) -> Result<DialOptions, String> {
     let mut files = vec![dir.join("servers/authority.pem")];
     if let Some(own) = own {
         files.extend(["pem", "key"].map(|kind| dir.join("callers").join(format!("{own}.{kind}"))));
     }
-    let client = tls::Client::from_files(files)?;
-    Ok(Manner {
+    let client = tls::ClientTls::from_files(files)?;
+    Ok(DialOptions {
         token: None,
         tls: Some((client.config(), "dispatch".to_string())),
     })
--- a/programs/chaos/tests/callers.rs
+++ b/programs/chaos/tests/callers.rs
@@ -11,7 +11,7 @@
 use bitternlatch_chaos::client::{Came, Client};
 use bitternlatch_keys::Ring;
 use bitternlatch_mock_engine::capture::Capture;
-use bitternlatch_net::dial::Manner;
+use bitternlatch_net::dial::DialOptions;
 use common::{closed, create, error_code, log_of, now, rig, to_the_end, wait_for, Rig, FOUR};
 use serde_json::{json, Value};
 
@@ -54,7 +54,7 @@
         "t",
         "d",
         Capture::none(),
-        &Manner {
+        &DialOptions {
             token: Some(token.to_string()),
             tls: None,
         },
@@ -394,7 +394,10 @@
         .expect("a token");
     let session = open(&rig, 0, &token).expect("let in");
     wait_for("three bad answers", || {
-        log_of(&rig).matches("the last good ones stay").count() >= 3
+        log_of(&rig)
+            .matches("the last good keys stay in force")
+            .count()
+            >= 3
     });
     served(&session, "slot-query", "k1");
     open(&rig, 0, &token).expect("still let in");
--- a/programs/chaos/tests/common/mod.rs
+++ b/programs/chaos/tests/common/mod.rs
@@ -16,7 +16,7 @@
 use bitternlatch_chaos::process::{own_address, Dispatcher};
 use bitternlatch_mock_engine::capture::{Capture, Line};
 use bitternlatch_mock_engine::Standins;
-use bitternlatch_net::dial::Manner;
+use bitternlatch_net::dial::DialOptions;
 use bitternlatch_protocol::client::ServerEvent;
 use crossbeam_channel::Receiver;
 
@@ -68,7 +68,7 @@
     name: &str,
     hosts: &str,
     dispatchers: usize,
-    tls: Option<(PathBuf, Manner)>,
+    tls: Option<(PathBuf, DialOptions)>,
     edit: impl Fn(&mut toml::Table),
 ) -> Rig {
     rig_of(name, hosts, dispatchers, tls, edit, |_, _| ())
@@ -78,7 +78,7 @@
     name: &str,
     hosts: &str,
     dispatchers: usize,
-    tls: Option<(PathBuf, Manner)>,
+    tls: Option<(PathBuf, DialOptions)>,
     edit: impl Fn(&mut toml::Table),
     each: impl Fn(usize, &mut Dispatcher),
 ) -> Rig {
--- a/programs/chaos/tests/evidence.rs
+++ b/programs/chaos/tests/evidence.rs
@@ -149,7 +149,7 @@
     three.write(2, |_| "no list at all".to_string());
     let log = || three.rig.dispatchers[2].log().expect("a log");
     wait_for("its word on the list", || {
-        log().contains("the host list is broken")
+        log().contains("the server list is invalid")
     });
     three.write(0, draining);
     wait_for("the drain", || {
--- a/programs/chaos/tests/secured.rs
+++ b/programs/chaos/tests/secured.rs
@@ -10,7 +10,7 @@
 use bitternlatch_chaos::client::{Came, Client};
 use bitternlatch_keys::authority::{Authority, Wanted};
 use bitternlatch_mock_engine::capture::Capture;
-use bitternlatch_net::dial::Manner;
+use bitternlatch_net::dial::DialOptions;
 use bitternlatch_net::tls;
 use common::{closed, create, error_code, folder, log_of, now, rig_with, wait_for, Rig, FOUR};
 use serde_json::json;
@@ -119,22 +119,22 @@
     }
 
     /// How a client calls: believing the servers' authority, and with a certificate of its own where one is named.
-    fn manner(dir: &Path, own: Option<&str>) -> Manner {
+    fn manner(dir: &Path, own: Option<&str>) -> DialOptions {
         let mut files = vec![dir.join("servers/authority.pem")];
         if let Some(own) = own {
             files.extend(
                 [format!("{own}.pem"), format!("{own}.key")].map(|f| dir.join("callers").join(f)),
             );
         }
-        let client = tls::Client::from_files(files).expect("a configuration");
-        Manner {
+        let client = tls::ClientTls::from_files(files).expect("a configuration");
+        DialOptions {
             token: None,
             tls: Some((client.config(), "dispatch".to_string())),
         }
     }
 
     /// Certifies a caller and gives its manner.
-    fn certify(&self, name: &str, wanted: &Wanted) -> Manner {
+    fn certify(&self, name: &str, wanted: &Wanted) -> DialOptions {
         let issued = self.callers.issue(wanted).expect("a certificate");
         Authority::write(&self.dir.join("callers"), name, &issued).expect("files");
         Secured::manner(&self.dir, Some(name))
@@ -146,7 +146,7 @@
         self.callers.revoke(&text, now()).expect("revoked");
     }
 
-    fn open(&self, manner: &Manner) -> Result<Client, String> {
+    fn open(&self, manner: &DialOptions) -> Result<Client, String> {
         let address = &self.rig.dispatchers[0].address;
         Client::connect_as(address, "t", "d", Capture::none(), manner).map_err(|e| e.to_string())
     }
@@ -237,7 +237,7 @@
 
     // Half written, and a certificate without its key: refused whole, each logged.
     std::fs::write(&path, &good[..good.len() / 2]).expect("half a file");
-    s.logged("TLS files are not taken");
+    s.logged("the new TLS files are rejected");
     assert_eq!(
         ask(
             &s.open(&manner).expect("by the last good one"),
@@ -258,11 +258,11 @@
         .issue(&server(&["dispatch", "renewed.example.org"]))
         .expect("a certificate");
     Authority::write(&s.dir.join("servers"), "dispatch", &renewed).expect("files");
-    s.logged("new TLS files count");
+    s.logged("new TLS files are in force");
     let Some((config, _)) = manner.tls.clone() else {
         panic!("a manner with TLS")
     };
-    let by_name = Manner {
+    let by_name = DialOptions {
         token: None,
         tls: Some((config, "renewed.example.org".to_string())),
     };
@@ -299,7 +299,7 @@
     let mut answer = Vec::new();
     let _ = plain.read_to_end(&mut answer);
     assert!(!answer.starts_with(b"HTTP"), "{answer:?}");
-    s.logged("a TLS handshake has failed");
+    s.logged("TLS handshake with a client failed");
     s.rig.end();
 }
 
@@ -322,7 +322,7 @@
         "{:?}: before any handshake's time is over",
         start.elapsed()
     );
-    s.logged("handshakes are cut");
+    s.logged("a handshake was aborted");
     // All but the bound (64) have been cut by now: the first are at their end.
     stalled[0]
         .set_read_timeout(Some(Duration::from_secs(20)))
--- a/programs/chaos/tests/workers.rs
+++ b/programs/chaos/tests/workers.rs
@@ -10,7 +10,7 @@
 use bitternlatch_chaos::agents::{carry_all, draw, workflows, Agents, Brief};
 use bitternlatch_chaos::parted::ProcessFault;
 use bitternlatch_mock_engine::capture::Capture;
-use bitternlatch_net::accept::{Acceptor, Door, Handler};
+use bitternlatch_net::accept::{Acceptor, Handler, ListenerOptions};
 use bitternlatch_net::socket::{Limits, Outbox};
 use bitternlatch_protocol::client::{
     error, finished, parse, BadRequest, ClientEvent, Response, Status,
@@ -119,7 +119,7 @@
             return;
         };
         let text = match answer {
-            Ok(None) => return outbox.cut(),
+            Ok(None) => return outbox.abort(),
             Err(code) => {
                 let bad = BadRequest {
                     status: 409,
@@ -152,7 +152,7 @@
     fn closed(&self, connection: u64, _why: String) {
         self.open.lock().expect("open").remove(&connection);
     }
-    fn plain(&self, _path: &str) -> (u16, String) {
+    fn get(&self, _path: &str) -> (u16, String) {
         (404, String::new())
     }
 }
@@ -172,10 +172,10 @@
     kept.lock().expect("kept").cuts = cuts.to_vec();
     kept.lock().expect("kept").takes = takes.to_vec();
     let socket = Limits {
-        message_bytes: 1 << 20,
-        queue: 1024,
-        ping: Duration::from_secs(5),
-        idle: None,
+        max_message_bytes: 1 << 20,
+        max_queued_messages: 1024,
+        ping_interval: Duration::from_secs(5),
+        idle_timeout: None,
     };
     let start = |number: usize| {
         let small = Small {
@@ -184,7 +184,7 @@
             open: Mutex::default(),
         };
         let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
-        let door = Door::plain(64, Duration::from_secs(5), socket.clone());
+        let door = ListenerOptions::plaintext(64, Duration::from_secs(5), socket.clone());
         Acceptor::start(listener, door, Arc::new(small)).expect("an acceptor")
     };
     let doors = [start(0), start(1)];
--- a/programs/dispatch/src/beside.rs
+++ b/programs/dispatch/src/beside.rs
@@ -5,7 +5,7 @@
 
 use bitternlatch_cluster_net::{ClusterRuntime, DurableStore, SnapshotStore, Store};
 use bitternlatch_core::{Input, Settings};
-use bitternlatch_net::driver::{Beside, Event};
+use bitternlatch_net::driver::{Event, ServiceSinks};
 use bitternlatch_output_length::Lengths;
 use bitternlatch_overload::OverloadControl;
 use bitternlatch_quota_lease::ClusterService;
@@ -53,8 +53,8 @@
     base: &Path,
     plane: &mut ClusterRuntime,
     to: &Sender<Event>,
-) -> Result<Beside, String> {
-    let mut beside = Beside::default();
+) -> Result<ServiceSinks, String> {
+    let mut beside = ServiceSinks::default();
     let mut place = Place {
         settings,
         base,
@@ -67,7 +67,7 @@
     Ok(beside)
 }
 
-fn overload(place: &mut Place, beside: &mut Beside) -> Result<(), String> {
+fn overload(place: &mut Place, beside: &mut ServiceSinks) -> Result<(), String> {
     let cluster = place.settings.cluster.as_ref();
     let Some(own) = cluster.and_then(|c| c.overload.clone()) else {
         return Ok(());
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-fn lengths(place: &mut Place, beside: &mut Beside) -> Result<(), String> {
+fn lengths(place: &mut Place, beside: &mut ServiceSinks) -> Result<(), String> {
     let Some(wanted) = place
         .settings
         .cluster
@@ -98,12 +98,12 @@
         .map(|kept| SnapshotStore::at(place.base.join(kept)));
     let store = kept.map(|kept| -> Box<dyn Store> { Box::new(kept) });
     // An answer that finds it busy is not counted.
-    beside.lengths = Some(place.run(machine, store, Input::OutputLength)?);
+    beside.output_length = Some(place.run(machine, store, Input::OutputLength)?);
     Ok(())
 }
 
 /// The machine of workflows, with its copies on disk where a file is named.
-fn workflows(place: &mut Place, beside: &mut Beside) -> Result<(), String> {
+fn workflows(place: &mut Place, beside: &mut ServiceSinks) -> Result<(), String> {
     let settings = place
         .settings
         .cluster
--- a/programs/dispatch/src/lib.rs
+++ b/programs/dispatch/src/lib.rs
@@ -17,10 +17,12 @@
 use bitternlatch_identity::rights::Rights;
 use bitternlatch_inventory::{LastGood, Offer};
 use bitternlatch_journal::Journal;
-use bitternlatch_net::accept::{Acceptor, Door};
-use bitternlatch_net::charges::Charges;
-use bitternlatch_net::driver::{events, Beside, Driver, Event, Front, Recorder};
-use bitternlatch_net::ledger::LedgerLink;
+use bitternlatch_net::accept::{Acceptor, ListenerOptions};
+use bitternlatch_net::charges::ChargeQueue;
+use bitternlatch_net::driver::{
+    event_queue, Driver, Event, Recorder, ServiceSinks, SessionEndpoint,
+};
+use bitternlatch_net::ledger::QuotaServerLink;
 use bitternlatch_net::socket::Limits;
 use bitternlatch_net::{guard, logs, tls, watch};
 use clap::Parser;
@@ -53,7 +55,7 @@
 /// Runs a dispatcher from command-line words, the program's name first; ends the process on words that are wrong.
 pub fn main_from(words: impl Iterator<Item = OsString>) -> ExitCode {
     let args = Args::parse_from(words);
-    logs::start();
+    logs::init();
     let done = if args.platform {
         run_on_platform(&args)
     } else {
@@ -138,8 +140,8 @@
 
 /// Certificates and keys of both sides, where links are secured.
 struct Secured {
-    server: Option<Arc<tls::Server>>,
-    client: Option<Arc<tls::Client>>,
+    server: Option<Arc<tls::ServerTls>>,
+    client: Option<Arc<tls::ClientTls>>,
 }
 
 impl Secured {
@@ -149,13 +151,13 @@
             .listen
             .tls
             .as_ref()
-            .map(|s| tls::Server::load(s, base))
+            .map(|s| tls::ServerTls::load(s, base))
             .transpose()?;
         let client = settings
             .engines
             .tls
             .as_ref()
-            .map(|s| tls::Client::load(s, base))
+            .map(|s| tls::ClientTls::load(s, base))
             .transpose()?;
         Ok(Secured {
             server: server.map(Arc::new),
@@ -203,14 +205,14 @@
         None => getrandom::u64().map_err(|e| format!("no randomness: {e}"))?,
     };
     let ready = Arc::new(AtomicBool::new(false));
-    let (to, from) = events();
+    let (to, from) = event_queue();
     let address = settings.listen.address.clone();
     let listener =
         TcpListener::bind(&address).map_err(|e| format!("cannot listen on {address}: {e}"))?;
     let base = args.config.parent().unwrap_or(Path::new(""));
     let guard = match &settings.identity {
         Some(identity) => {
-            let wall = Arc::new(guard::unix);
+            let wall = Arc::new(guard::unix_seconds);
             Some(guard::start(
                 identity,
                 base,
@@ -221,10 +223,10 @@
         }
         None => None,
     };
-    let front = Arc::new(Front {
+    let front = Arc::new(SessionEndpoint {
         events: to.clone(),
         ready: Arc::clone(&ready),
-        guard,
+        authenticator: guard,
     });
     let hosts = good.servers().values().cloned().collect();
     to.send(Event::Input(Input::ServerList(hosts)))
@@ -253,12 +255,12 @@
     };
     let charges = journal
         .clone()
-        .map(|j| Charges::begin(j, to.clone()))
+        .map(|j| ChargeQueue::start(j, to.clone()))
         .transpose()?;
     let ledger = settings
         .quota_server
         .as_ref()
-        .map(|l| LedgerLink::start(l.address.clone(), journal, to.clone()));
+        .map(|l| QuotaServerLink::start(l.address.clone(), journal, to.clone()));
     let ledger = ledger
         .transpose()
         .map_err(|e| format!("no thread for the ledger: {e}"))?;
@@ -266,25 +268,27 @@
     let mut plane = join(&settings, base, &to, &fenced)?;
     let beside = match &mut plane {
         Some(plane) => beside::start(&settings, base, plane, &to)?,
-        None => Beside::default(),
+        None => ServiceSinks::default(),
     };
     let mut driver = Driver::new(settings, seed, (to, from), ready);
     if let Some(plane) = &plane {
-        driver.tell_peers(Box::new(plane.observation_sink()));
+        driver.set_observation_sink(Box::new(plane.observation_sink()));
     }
-    driver.tell_beside(beside);
+    driver.set_service_sinks(beside);
     if let Some(ledger) = ledger {
-        driver.borrow(ledger);
+        driver.set_quota_server(ledger);
     }
     if let Some(charges) = charges {
-        driver.charge(charges);
+        driver.set_charge_queue(charges);
     }
     if let Some(client) = secured.client {
-        driver.secure(client);
+        driver.set_server_tls(client);
     }
     if let Some(path) = record {
-        let recorder = Recorder::begin(&path, text, seed);
-        driver.record(recorder.map_err(|e| format!("cannot record to {}: {e}", path.display()))?);
+        let recorder = Recorder::start(&path, text, seed);
+        driver.set_recorder(
+            recorder.map_err(|e| format!("cannot record to {}: {e}", path.display()))?,
+        );
     }
     driver.run(within);
     plane.into_iter().for_each(ClusterRuntime::leave);
@@ -325,19 +329,19 @@
         .map_err(|e| e.with_advice())
 }
 
-fn door(settings: &Settings, tls: Option<Arc<tls::Server>>) -> Door {
+fn door(settings: &Settings, tls: Option<Arc<tls::ServerTls>>) -> ListenerOptions {
     let listen = &settings.listen;
-    Door {
+    ListenerOptions {
         // The core closes what is past the sessions' bound with a reason; a few more may be told so.
-        connections: listen.max_sessions + 64,
-        handshake: Duration::from_secs_f64(listen.handshake_timeout_s),
-        handshakes: listen.max_handshakes,
+        max_connections: listen.max_sessions + 64,
+        handshake_timeout: Duration::from_secs_f64(listen.handshake_timeout_s),
+        max_handshakes: listen.max_handshakes,
         tls,
         socket: Limits {
-            message_bytes: listen.max_message_bytes,
-            queue: listen.max_queued_messages,
-            ping: Duration::from_secs_f64(listen.ping_interval_s),
-            idle: Some(Duration::from_secs_f64(listen.idle_timeout_s)),
+            max_message_bytes: listen.max_message_bytes,
+            max_queued_messages: listen.max_queued_messages,
+            ping_interval: Duration::from_secs_f64(listen.ping_interval_s),
+            idle_timeout: Some(Duration::from_secs_f64(listen.idle_timeout_s)),
         },
     }
 }
--- a/programs/mock-engine/src/host.rs
+++ b/programs/mock-engine/src/host.rs
@@ -66,7 +66,7 @@
         if let Some(acceptor) = self.acceptor.take() {
             acceptor.stop();
         }
-        self.conns.values().for_each(Outbox::cut);
+        self.conns.values().for_each(Outbox::abort);
         let (troubles, wakes) = (std::mem::take(&mut self.troubles), self.wakes);
         // These constants made an engine before.
         if let Ok(fresh) = Host::new(self.config.clone()) {
--- a/programs/mock-engine/src/main.rs
+++ b/programs/mock-engine/src/main.rs
@@ -25,7 +25,7 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    bitternlatch_net::logs::start();
+    bitternlatch_net::logs::init();
     match run(&args) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
--- a/programs/mock-engine/src/world.rs
+++ b/programs/mock-engine/src/world.rs
@@ -8,7 +8,7 @@
 use bitternlatch_core::settings::ListenTls;
 use bitternlatch_engine::{EngineError, Id, Input};
 use bitternlatch_identity::Caller;
-use bitternlatch_net::accept::{Acceptor, Door, Handler};
+use bitternlatch_net::accept::{Acceptor, Handler, ListenerOptions};
 use bitternlatch_net::socket::{Limits, Outbox};
 use bitternlatch_net::tls;
 use bitternlatch_protocol::engine::{
@@ -112,7 +112,7 @@
         self.capture.put(&self.name, connection, "close", "");
         let _ = self.to.send(Message::Close(self.host, connection));
     }
-    fn plain(&self, _path: &str) -> (u16, String) {
+    fn get(&self, _path: &str) -> (u16, String) {
         (404, "a stand-in host\n".to_string())
     }
 }
@@ -173,12 +173,12 @@
         let host = &mut self.hosts[i];
         let listener = TcpListener::bind(&host.config.listen)?;
         let socket = Limits {
-            message_bytes: 8 << 20,
-            queue: 65_536,
-            ping: Duration::from_secs(5),
-            idle: None,
+            max_message_bytes: 8 << 20,
+            max_queued_messages: 65_536,
+            ping_interval: Duration::from_secs(5),
+            idle_timeout: None,
         };
-        let mut door = Door::plain(1024, Duration::from_secs(5), socket);
+        let mut door = ListenerOptions::plaintext(1024, Duration::from_secs(5), socket);
         door.tls = tls;
         let name = host.config.name.clone();
         self.capture.put(&name, "", "up", "");
@@ -195,7 +195,7 @@
     }
 
     /// The host's own certificate, from the folder that the config names.
-    fn tls(&self, i: usize) -> std::io::Result<Option<Arc<tls::Server>>> {
+    fn tls(&self, i: usize) -> std::io::Result<Option<Arc<tls::ServerTls>>> {
         let Some(dir) = &self.config.tls else {
             return Ok(None);
         };
@@ -207,7 +207,7 @@
             client_certificate_required: true,
             revocation_lists: Vec::new(),
         };
-        let server = tls::Server::load(&settings, dir).map_err(std::io::Error::other)?;
+        let server = tls::ServerTls::load(&settings, dir).map_err(std::io::Error::other)?;
         Ok(Some(Arc::new(server)))
     }
 
@@ -356,7 +356,7 @@
         if let Some(outbox) = host.conns.get(&conn) {
             self.capture.put(&host.config.name, conn, "out", &text);
             if outbox.text(text).is_err() {
-                outbox.cut();
+                outbox.abort();
             }
         }
     }
--- a/programs/mock-engine/tests/reports.rs
+++ b/programs/mock-engine/tests/reports.rs
@@ -6,7 +6,7 @@
 use bitternlatch_mock_engine::config::Trouble;
 use bitternlatch_mock_engine::{Config, Standins};
 use bitternlatch_net::dial::dial;
-use bitternlatch_net::socket::{Heard, Limits, Outbox, Reader};
+use bitternlatch_net::socket::{Limits, Outbox, ReadOutcome, Reader};
 use bitternlatch_protocol::engine::{
     decode, encode, CompletionRequest, FromEngine, KvTransferParams, Load, ToEngine,
 };
@@ -40,10 +40,10 @@
 impl Link {
     fn to(hosts: &Standins, name: &str) -> Link {
         let limits = Limits {
-            message_bytes: 1 << 20,
-            queue: 64,
-            ping: Duration::from_secs(10),
-            idle: None,
+            max_message_bytes: 1 << 20,
+            max_queued_messages: 64,
+            ping_interval: Duration::from_secs(10),
+            idle_timeout: None,
         };
         let address = hosts.addresses()[name].to_string();
         let (reader, outbox) =
@@ -79,7 +79,7 @@
 
     fn until<T>(&mut self, mut fits: impl FnMut(FromEngine) -> Option<T>) -> T {
         loop {
-            let Heard::Text(text) = self.reader.hear() else {
+            let ReadOutcome::Text(text) = self.reader.read() else {
                 panic!("the link ended")
             };
             let message = decode(&text).expect("a message");
--- a/programs/quota-server/src/lib.rs
+++ b/programs/quota-server/src/lib.rs
@@ -10,7 +10,7 @@
 use bitternlatch_budget::ledger::{FromLedger, Ledger, ToLedger, ENTRIES_MOST, TENANTS_MOST};
 use bitternlatch_identity::Caller;
 use bitternlatch_journal::Journal;
-use bitternlatch_net::accept::{Acceptor, Door, Handler};
+use bitternlatch_net::accept::{Acceptor, Handler, ListenerOptions};
 use bitternlatch_net::clock::Clock;
 use bitternlatch_net::socket::{Limits, Outbox};
 use serde::Deserialize;
@@ -94,12 +94,12 @@
             outboxes: Mutex::new(BTreeMap::new()),
         });
         let socket = Limits {
-            message_bytes: MESSAGE_BYTES,
-            queue: 256,
-            ping: Duration::from_secs(5),
-            idle: None,
+            max_message_bytes: MESSAGE_BYTES,
+            max_queued_messages: 256,
+            ping_interval: Duration::from_secs(5),
+            idle_timeout: None,
         };
-        let door = Door::plain(CONNECTIONS, Duration::from_secs(5), socket);
+        let door = ListenerOptions::plaintext(CONNECTIONS, Duration::from_secs(5), socket);
         let handler: Arc<dyn Handler> = desk.clone();
         let acceptor = Acceptor::start(listener, door, handler).map_err(|e| e.to_string())?;
         Ok(Running { acceptor, desk })
@@ -129,7 +129,7 @@
     /// Ends at once, as a crash does: no farewell. The journal is closed when the last connection's thread has ended.
     pub fn stop(self) {
         self.acceptor.stop();
-        lock(&self.desk.outboxes).values().for_each(Outbox::cut);
+        lock(&self.desk.outboxes).values().for_each(Outbox::abort);
     }
 }
 
@@ -198,14 +198,14 @@
         let text = serde_json::to_string(&answer).unwrap_or_default();
         if let Some(outbox) = lock(&self.outboxes).get(&connection) {
             if outbox.text(text).is_err() {
-                outbox.cut();
+                outbox.abort();
             }
         }
     }
     fn closed(&self, connection: u64, _why: String) {
         lock(&self.outboxes).remove(&connection);
     }
-    fn plain(&self, path: &str) -> (u16, String) {
+    fn get(&self, path: &str) -> (u16, String) {
         match path {
             "/ready" => (200, "ready\n".to_string()),
             _ => (
--- a/programs/quota-server/src/main.rs
+++ b/programs/quota-server/src/main.rs
@@ -26,7 +26,7 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    logs::start();
+    logs::init();
     match run(&args) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
