--- a/programs/dispatch/src/beside.rs
+++ b/programs/dispatch/src/beside.rs
@@ -1,4 +1,4 @@
-//! Starts the machines beside the plane that the settings switch on.
+//! Starts the cluster services that the settings enable: overload control, output lengths and workflows.
 
 use std::path::Path;
 use std::time::Duration;
@@ -12,78 +12,87 @@
 use bitternlatch_workflow::Workflows;
 use crossbeam_channel::Sender;
 
-/// What a machine beside the plane is made of.
-struct Place<'a> {
+/// What is needed to start a cluster service.
+struct ServiceContext<'a> {
     settings: &'a Settings,
-    /// Folder of the settings file.
+    /// Directory of the settings file; relative paths in the settings start here.
     base: &'a Path,
-    plane: &'a mut ClusterRuntime,
-    /// The core's loop. A machine's word that finds it full is lost: what must be known is told again.
-    to: &'a Sender<Event>,
+    runtime: &'a mut ClusterRuntime,
+    /// Queue of the dispatcher's event loop. An event that finds the queue full is dropped; services repeat what must arrive.
+    events: &'a Sender<Event>,
 }
 
-/// Takes what the core asks of a machine; false where it is not taken.
-type Taker<A> = Box<dyn Fn(A) -> bool>;
+/// Passes the core's requests to a service; returns false if the service does not accept a request.
+type RequestSender<A> = Box<dyn Fn(A) -> bool>;
 
-impl Place<'_> {
-    /// Runs a machine; what it tells enters the core as an input, or is lost where the loop is behind.
-    fn run<B>(
+impl ServiceContext<'_> {
+    /// Runs a service in the cluster runtime. The service's events become inputs of the core; they are dropped while the
+    /// event loop's queue is full.
+    fn add_service<B>(
         &mut self,
-        machine: B,
+        service: B,
         store: Option<Box<dyn Store>>,
         input: fn(B::Event) -> Input,
-    ) -> Result<Taker<B::Request>, String>
+    ) -> Result<RequestSender<B::Request>, String>
     where
         B: ClusterService + Send + 'static,
         B::Request: Send + 'static,
         B::Event: 'static,
     {
-        let to = self.to.clone();
-        let told = move |told| drop(to.try_send(Event::Input(input(told))));
-        let asker = self
-            .plane
-            .add_service(machine, store, told)
+        let events = self.events.clone();
+        let on_event = move |event| drop(events.try_send(Event::Input(input(event))));
+        let handle = self
+            .runtime
+            .add_service(service, store, on_event)
             .map_err(|e| e.with_advice())?;
-        Ok(Box::new(move |ask| asker.request(ask).is_ok()))
+        Ok(Box::new(move |request| handle.request(request).is_ok()))
     }
 }
 
+/// Starts each cluster service that the settings enable and returns the core's connections to them.
 pub(crate) fn start(
     settings: &Settings,
     base: &Path,
-    plane: &mut ClusterRuntime,
-    to: &Sender<Event>,
+    runtime: &mut ClusterRuntime,
+    events: &Sender<Event>,
 ) -> Result<Beside, String> {
     let mut beside = Beside::default();
-    let mut place = Place {
+    let mut context = ServiceContext {
         settings,
         base,
-        plane,
-        to,
+        runtime,
+        events,
     };
-    overload(&mut place, &mut beside)?;
-    lengths(&mut place, &mut beside)?;
-    workflows(&mut place, &mut beside)?;
+    start_overload_control(&mut context, &mut beside)?;
+    start_output_lengths(&mut context, &mut beside)?;
+    start_workflows(&mut context, &mut beside)?;
     Ok(beside)
 }
 
-fn overload(place: &mut Place, beside: &mut Beside) -> Result<(), String> {
-    let cluster = place.settings.cluster.as_ref();
-    let Some(own) = cluster.and_then(|c| c.overload.clone()) else {
+fn start_overload_control(context: &mut ServiceContext, beside: &mut Beside) -> Result<(), String> {
+    let cluster = context.settings.cluster.as_ref();
+    let Some(overload) = cluster.and_then(|c| c.overload.clone()) else {
         return Ok(());
     };
-    let (process, roster) = place.plane.own();
-    let aims = place.settings.classes.iter().map(|c| c.ttft_objective_s);
-    let aim_s = aims.fold(f64::INFINITY, f64::min);
-    let seed = getrandom::u64().map_err(|e| format!("no randomness: {e}"))?;
-    let machine = OverloadControl::new(process, roster, own, aim_s, seed, Duration::ZERO);
-    // A loop that is behind gets the next cut; what it has is no longer believed then.
-    beside.overload = Some(place.run(machine, None, Input::Overload)?);
+    let (process, roster) = context.runtime.own();
+    let objectives = context.settings.classes.iter().map(|c| c.ttft_objective_s);
+    let min_objective_s = objectives.fold(f64::INFINITY, f64::min);
+    let seed = getrandom::u64().map_err(|e| format!("no random numbers from the system: {e}"))?;
+    let service = OverloadControl::new(
+        process,
+        roster,
+        overload,
+        min_objective_s,
+        seed,
+        Duration::ZERO,
+    );
+    // If the event loop's queue is full, the core gets the next cut instead; by then the previous one has expired.
+    beside.overload = Some(context.add_service(service, None, Input::Overload)?);
     Ok(())
 }
 
-fn lengths(place: &mut Place, beside: &mut Beside) -> Result<(), String> {
-    let Some(wanted) = place
+fn start_output_lengths(context: &mut ServiceContext, beside: &mut Beside) -> Result<(), String> {
+    let Some(settings) = context
         .settings
         .cluster
         .as_ref()
@@ -91,20 +100,20 @@
     else {
         return Ok(());
     };
-    let machine = OutputLengths::new(place.plane.own().0, place.plane.now());
-    let kept = wanted
+    let service = OutputLengths::new(context.runtime.own().0, context.runtime.now());
+    let snapshots = settings
         .snapshot_file
         .as_ref()
-        .map(|kept| SnapshotStore::at(place.base.join(kept)));
-    let store = kept.map(|kept| -> Box<dyn Store> { Box::new(kept) });
-    // An answer that finds it busy is not counted.
-    beside.lengths = Some(place.run(machine, store, Input::OutputLength)?);
+        .map(|file| SnapshotStore::at(context.base.join(file)));
+    let store = snapshots.map(|store| -> Box<dyn Store> { Box::new(store) });
+    // An answer's length is not counted if the service is too busy to accept it.
+    beside.lengths = Some(context.add_service(service, store, Input::OutputLength)?);
     Ok(())
 }
 
-/// The machine of workflows, with its copies on disk where a file is named.
-fn workflows(place: &mut Place, beside: &mut Beside) -> Result<(), String> {
-    let settings = place
+/// Starts the workflow service. It keeps its records on disk where the settings name a directory for them.
+fn start_workflows(context: &mut ServiceContext, beside: &mut Beside) -> Result<(), String> {
+    let settings = context
         .settings
         .cluster
         .as_ref()
@@ -112,22 +121,22 @@
     let Some(settings) = settings else {
         return Ok(());
     };
-    let kept = settings
+    let records_dir = settings
         .records_dir
         .as_ref()
-        .map(|dir| place.base.join(dir));
-    let (own, roster) = place.plane.own();
-    let seed = getrandom::u64().map_err(|e| format!("no randomness: {e}"))?;
-    let machine = Workflows::new(
-        own,
+        .map(|dir| context.base.join(dir));
+    let (process, roster) = context.runtime.own();
+    let seed = getrandom::u64().map_err(|e| format!("no random numbers from the system: {e}"))?;
+    let service = Workflows::new(
+        process,
         roster,
         settings,
-        kept.is_some(),
+        records_dir.is_some(),
         seed,
-        place.plane.now(),
+        context.runtime.now(),
     );
-    let store = kept.map(|path| -> Box<dyn Store> { Box::new(DurableStore::at(&path)) });
-    // A question that hears nothing ends by its own time.
-    beside.workflow = Some(place.run(machine, store, Input::Workflow)?);
+    let store = records_dir.map(|path| -> Box<dyn Store> { Box::new(DurableStore::at(&path)) });
+    // The core times out a request that the service does not answer.
+    beside.workflow = Some(context.add_service(service, store, Input::Workflow)?);
     Ok(())
 }
--- a/programs/dispatch/src/lib.rs
+++ b/programs/dispatch/src/lib.rs
@@ -1,6 +1,6 @@
-//! The dispatcher: reads its settings, listens, and runs the loop until it is told to stop.
+//! The dispatcher: reads its settings, listens, and runs its event loop until a signal stops it.
 //!
-//! A library, so that other programs may start dispatchers as processes of their own image.
+//! It is a library so that other programs can run a dispatcher from their own executable.
 
 mod beside;
 
@@ -27,53 +27,54 @@
 use crossbeam_channel::Sender;
 use signal_hook::consts::{SIGINT, SIGTERM};
 
-/// Routes requests of WebSocket sessions to model hosts.
+/// Routes the requests of WebSocket sessions to model servers.
 #[derive(Parser)]
 #[command(
     version,
     after_help = "Example:\n  bitternlatch-dispatch --config deploy/dispatch.toml --check\n  \
-    bitternlatch-dispatch --config deploy/dispatch.toml\n\nExit codes: 0 stopped as told, 2 could not run.\n\
-    SIGTERM takes nothing new, answers what is in hand, then ends."
+    bitternlatch-dispatch --config deploy/dispatch.toml\n\nExit codes: 0 stopped by a signal, 2 could not run.\n\
+    On SIGTERM it accepts no new requests, completes those in flight, then exits."
 )]
 struct Args {
-    /// The settings file (TOML); the platform's configuration (JSON) with `--platform`.
+    /// Settings file (TOML), or with `--platform` the platform's configuration (JSON).
     #[arg(long, env = "EDGE_CONFIG")]
     config: PathBuf,
-    /// Serve on the platform: its protocol in and out, and nothing else.
+    /// Run on the platform: serve only its protocol, to clients and model servers.
     #[arg(long)]
     platform: bool,
-    /// Check settings and host list, say what would run, and end.
+    /// Check the settings and the server list, print a summary, and exit.
     #[arg(long)]
     check: bool,
-    /// Seed of all chance and of the secret behind ids; by default the system's randomness.
+    /// Seed of all random choices and of the secret that request ids are made with; by default taken from the system.
     #[arg(long)]
     seed: Option<u64>,
 }
 
-/// Runs a dispatcher from command-line words, the program's name first; ends the process on words that are wrong.
-pub fn main_from(words: impl Iterator<Item = OsString>) -> ExitCode {
-    let args = Args::parse_from(words);
+/// Runs a dispatcher with command-line arguments, the first of which is the program's name. Invalid arguments end the
+/// process.
+pub fn main_from(arguments: impl Iterator<Item = OsString>) -> ExitCode {
+    let args = Args::parse_from(arguments);
     logs::start();
-    let done = if args.platform {
+    let result = if args.platform {
         run_on_platform(&args)
     } else {
         run(&args)
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("bitternlatch-dispatch: {why}");
+        Err(error) => {
+            eprintln!("bitternlatch-dispatch: {error}");
             ExitCode::from(2)
         }
     }
 }
 
-/// A path of the settings, relative to their file.
-fn beside(config: &Path, file: &str) -> PathBuf {
+/// Resolves a path in the settings, which is relative to the settings file.
+fn resolve_path(config: &Path, file: &str) -> PathBuf {
     config.parent().unwrap_or(Path::new("")).join(file)
 }
 
-/// The platform's way in and out; the other fronts, stores and threads are not started.
+/// Serves the platform's protocol. The WebSocket listener, the stores and their threads are not started.
 fn run_on_platform(args: &Args) -> Result<(), String> {
     let config = bitternlatch_platform_net::read_config(&args.config)?;
     if args.check {
@@ -84,35 +85,36 @@
 }
 
 fn run(args: &Args) -> Result<(), String> {
-    let shown = args.config.display().to_string();
-    let text = std::fs::read_to_string(&args.config).map_err(|e| format!("{shown}: {e}"))?;
-    let settings = Settings::parse(&shown, &text).map_err(|e| e.to_string())?;
-    let list = beside(&args.config, &settings.inventory.file);
-    let mut good = LastGood::default();
-    match good.offer(&list.display().to_string(), &watch::read_list(&list)?) {
+    let config_name = args.config.display().to_string();
+    let text = std::fs::read_to_string(&args.config).map_err(|e| format!("{config_name}: {e}"))?;
+    let settings = Settings::parse(&config_name, &text).map_err(|e| e.to_string())?;
+    let list = resolve_path(&args.config, &settings.inventory.file);
+    let mut last_good = LastGood::default();
+    match last_good.offer(&list.display().to_string(), &watch::read_list(&list)?) {
         Offer::Broken(e) => return Err(e.to_string()),
         Offer::Taken(_) | Offer::Nothing => {}
     }
-    check_rights(&args.config, &settings)?;
-    let secured = Secured::load(&args.config, &settings)?;
+    check_access_rights(&args.config, &settings)?;
+    let tls_files = TlsFiles::load(&args.config, &settings)?;
     if let Some(cluster) = settings.cluster.as_ref().filter(|c| c.seeds.is_empty()) {
         let base = args.config.parent().unwrap_or(Path::new(""));
         ClusterRuntime::check(cluster, &settings.name, base).map_err(|e| e.with_advice())?;
     }
     if args.check {
         println!(
-            "{shown}: good; {} hosts in {}",
-            good.servers().len(),
+            "{config_name}: good; {} servers in {}",
+            last_good.servers().len(),
             list.display()
         );
         return Ok(());
     }
-    let (settings, text) = with_roster(&args.config, settings, text)?;
-    serve(args, settings, text, list, good, secured)
+    let (settings, text) = with_fetched_roster(&args.config, settings, text)?;
+    serve(args, settings, text, list, last_good, tls_files)
 }
 
-/// With the roster in place of the seeds, asked for now: what is recorded has to say whom this dispatcher knew.
-fn with_roster(
+/// Fetches the roster from the cluster's seeds and puts it into the settings in place of the seeds, so that a recording of
+/// this dispatcher contains the members that it knew at its start.
+fn with_fetched_roster(
     config: &Path,
     settings: Settings,
     text: String,
@@ -121,7 +123,7 @@
         return Ok((settings, text));
     };
     let base = config.parent().unwrap_or(Path::new(""));
-    let (roster, by) = bitternlatch_cluster_net::fetch_roster(cluster, &settings.name, base)
+    let (roster, from) = bitternlatch_cluster_net::fetch_roster(cluster, &settings.name, base)
         .map_err(|e| e.with_advice())?;
     let mut table: toml::Table = toml::from_str(&text).map_err(|e| e.to_string())?;
     let roster_value = toml::Value::try_from(&roster).map_err(|e| e.to_string())?;
@@ -130,20 +132,20 @@
         cluster.insert("roster".into(), roster_value);
     }
     let text = table.to_string();
-    let shown = format!("{} with the roster of {by}", config.display());
-    let settings = Settings::parse(&shown, &text).map_err(|e| e.to_string())?;
-    tracing::info!(by, members = roster.len(), "the roster");
+    let name = format!("{} with the roster of {from}", config.display());
+    let settings = Settings::parse(&name, &text).map_err(|e| e.to_string())?;
+    tracing::info!(by = from, members = roster.len(), "the roster");
     Ok((settings, text))
 }
 
-/// Certificates and keys of both sides, where links are secured.
-struct Secured {
+/// Certificates and keys for TLS with clients (`server`) and with model servers (`client`), where the settings enable it.
+struct TlsFiles {
     server: Option<Arc<tls::Server>>,
     client: Option<Arc<tls::Client>>,
 }
 
-impl Secured {
-    fn load(config: &Path, settings: &Settings) -> Result<Secured, String> {
+impl TlsFiles {
+    fn load(config: &Path, settings: &Settings) -> Result<TlsFiles, String> {
         let base = config.parent().unwrap_or(Path::new(""));
         let server = settings
             .listen
@@ -157,35 +159,39 @@
             .as_ref()
             .map(|s| tls::Client::load(s, base))
             .transpose()?;
-        Ok(Secured {
+        Ok(TlsFiles {
             server: server.map(Arc::new),
             client: client.map(Arc::new),
         })
     }
 }
 
-/// Rights must speak of classes and tenants that there are.
-fn check_rights(config: &Path, settings: &Settings) -> Result<(), String> {
+/// Checks that the access rights name only classes and tenants that the settings define.
+fn check_access_rights(config: &Path, settings: &Settings) -> Result<(), String> {
     let Some(identity) = &settings.identity else {
         return Ok(());
     };
-    let path = beside(config, &identity.rights);
-    let shown = path.display();
-    let text = std::fs::read_to_string(&path).map_err(|e| format!("{shown}: {e}"))?;
-    let rights = Rights::parse(&text).map_err(|e| format!("{shown}: {e}"))?;
+    let path = resolve_path(config, &identity.rights);
+    let rights_name = path.display();
+    let text = std::fs::read_to_string(&path).map_err(|e| format!("{rights_name}: {e}"))?;
+    let rights = Rights::parse(&text).map_err(|e| format!("{rights_name}: {e}"))?;
     if let Some(class) = rights
         .classes()
         .find(|c| settings.classes.iter().all(|known| known.name != **c))
     {
-        return Err(format!("{shown}: class '{class}' is not in the settings"));
+        return Err(format!(
+            "{rights_name}: class '{class}' is not in the settings"
+        ));
     }
     let unknown = |t: &&str| settings.tenants.iter().all(|known| known.name != **t);
-    let stray = rights
+    let unknown_tenant = rights
         .tenants()
         .find(unknown)
         .filter(|_| !settings.tenants.is_empty());
-    stray.map_or(Ok(()), |tenant| {
-        Err(format!("{shown}: tenant '{tenant}' is not in the settings"))
+    unknown_tenant.map_or(Ok(()), |tenant| {
+        Err(format!(
+            "{rights_name}: tenant '{tenant}' is not in the settings"
+        ))
     })
 }
 
@@ -194,100 +200,105 @@
     settings: Settings,
     text: String,
     list: PathBuf,
-    good: LastGood,
-    secured: Secured,
+    last_good: LastGood,
+    tls_files: TlsFiles,
 ) -> Result<(), String> {
-    // Ids must not be guessed: the seed is the system's, and no log holds it.
+    // Request ids must not be guessable: the seed comes from the system's random source and is never logged.
     let seed = match args.seed {
         Some(seed) => seed,
-        None => getrandom::u64().map_err(|e| format!("no randomness: {e}"))?,
+        None => getrandom::u64().map_err(|e| format!("no random numbers from the system: {e}"))?,
     };
     let ready = Arc::new(AtomicBool::new(false));
-    let (to, from) = events();
+    let (events_in, events_out) = events();
     let address = settings.listen.address.clone();
     let listener =
         TcpListener::bind(&address).map_err(|e| format!("cannot listen on {address}: {e}"))?;
     let base = args.config.parent().unwrap_or(Path::new(""));
     let guard = match &settings.identity {
         Some(identity) => {
-            let wall = Arc::new(guard::unix);
+            let unix_clock = Arc::new(guard::unix);
             Some(guard::start(
                 identity,
                 base,
-                secured.server.clone(),
-                wall,
-                to.clone(),
+                tls_files.server.clone(),
+                unix_clock,
+                events_in.clone(),
             )?)
         }
         None => None,
     };
     let front = Arc::new(Front {
-        events: to.clone(),
+        events: events_in.clone(),
         ready: Arc::clone(&ready),
         guard,
     });
-    let hosts = good.servers().values().cloned().collect();
-    to.send(Event::Input(Input::ServerList(hosts)))
+    let servers = last_good.servers().values().cloned().collect();
+    events_in
+        .send(Event::Input(Input::ServerList(servers)))
         .map_err(|e| e.to_string())?;
-    let every = Duration::from_secs_f64(settings.inventory.poll_interval_s);
-    watch::watch(list, every, good, to.clone())
-        .map_err(|e| format!("no thread for the list: {e}"))?;
-    tls::watch(secured.server.clone(), secured.client.clone(), to.clone())
-        .map_err(|e| format!("no thread for TLS files: {e}"))?;
-    let door = door(&settings, secured.server);
-    let acceptor =
-        Acceptor::start(listener, door, front).map_err(|e| format!("cannot accept: {e}"))?;
-    let within = Duration::from_secs_f64(settings.stop.timeout_s);
-    let record = settings
+    let poll_interval = Duration::from_secs_f64(settings.inventory.poll_interval_s);
+    watch::watch(list, poll_interval, last_good, events_in.clone())
+        .map_err(|e| format!("cannot start the thread that watches the server list: {e}"))?;
+    tls::watch(
+        tls_files.server.clone(),
+        tls_files.client.clone(),
+        events_in.clone(),
+    )
+    .map_err(|e| format!("cannot start the thread that watches the TLS files: {e}"))?;
+    let door = listener_limits(&settings, tls_files.server);
+    let acceptor = Acceptor::start(listener, door, front)
+        .map_err(|e| format!("cannot start accepting connections: {e}"))?;
+    let stop_timeout = Duration::from_secs_f64(settings.stop.timeout_s);
+    let record_file = settings
         .record
         .as_ref()
-        .map(|r| beside(&args.config, &r.file));
+        .map(|r| resolve_path(&args.config, &r.file));
     tracing::info!(name = settings.name, address = %acceptor.address(), "listening");
-    on_signal(to.clone(), acceptor)?;
+    stop_on_signal(events_in.clone(), acceptor)?;
     let journal = match &settings.charges {
-        Some(kept) => {
-            let opened = Journal::open(&beside(&args.config, &kept.file));
+        Some(charges) => {
+            let opened = Journal::open(&resolve_path(&args.config, &charges.file));
             Some(Arc::new(opened.map_err(|e| e.to_string())?))
         }
         None => None,
     };
     let charges = journal
         .clone()
-        .map(|j| Charges::begin(j, to.clone()))
+        .map(|j| Charges::begin(j, events_in.clone()))
         .transpose()?;
-    let ledger = settings
+    let quota_server = settings
         .quota_server
         .as_ref()
-        .map(|l| LedgerLink::start(l.address.clone(), journal, to.clone()));
-    let ledger = ledger
+        .map(|q| LedgerLink::start(q.address.clone(), journal, events_in.clone()));
+    let quota_server = quota_server
         .transpose()
-        .map_err(|e| format!("no thread for the ledger: {e}"))?;
+        .map_err(|e| format!("cannot start the thread for the quota server: {e}"))?;
     let fenced = Arc::new(AtomicBool::new(false));
-    let mut plane = join(&settings, base, &to, &fenced)?;
-    let beside = match &mut plane {
-        Some(plane) => beside::start(&settings, base, plane, &to)?,
+    let mut cluster = join_cluster(&settings, base, &events_in, &fenced)?;
+    let services = match &mut cluster {
+        Some(runtime) => beside::start(&settings, base, runtime, &events_in)?,
         None => Beside::default(),
     };
-    let mut driver = Driver::new(settings, seed, (to, from), ready);
-    if let Some(plane) = &plane {
-        driver.tell_peers(Box::new(plane.observation_sink()));
+    let mut driver = Driver::new(settings, seed, (events_in, events_out), ready);
+    if let Some(runtime) = &cluster {
+        driver.tell_peers(Box::new(runtime.observation_sink()));
     }
-    driver.tell_beside(beside);
-    if let Some(ledger) = ledger {
-        driver.borrow(ledger);
+    driver.tell_beside(services);
+    if let Some(quota_server) = quota_server {
+        driver.borrow(quota_server);
     }
     if let Some(charges) = charges {
         driver.charge(charges);
     }
-    if let Some(client) = secured.client {
+    if let Some(client) = tls_files.client {
         driver.secure(client);
     }
-    if let Some(path) = record {
+    if let Some(path) = record_file {
         let recorder = Recorder::begin(&path, text, seed);
         driver.record(recorder.map_err(|e| format!("cannot record to {}: {e}", path.display()))?);
     }
-    driver.run(within);
-    plane.into_iter().for_each(ClusterRuntime::leave);
+    driver.run(stop_timeout);
+    cluster.into_iter().for_each(ClusterRuntime::leave);
     tracing::info!("stopped");
     match fenced.load(Ordering::SeqCst) {
         true => {
@@ -297,38 +308,39 @@
     }
 }
 
-/// Joins the other dispatchers, where there are to be any. One that finds a later start under its own name takes
-/// nothing new and ends.
-fn join(
+/// Joins the cluster of dispatchers, if the settings define one. A dispatcher that is fenced, because another process with
+/// its name started later, accepts no new requests and stops.
+fn join_cluster(
     settings: &Settings,
     base: &Path,
-    to: &Sender<Event>,
+    events: &Sender<Event>,
     fenced: &Arc<AtomicBool>,
 ) -> Result<Option<ClusterRuntime>, String> {
     let Some(cluster) = &settings.cluster else {
         return Ok(None);
     };
-    let (to, fenced) = (to.clone(), Arc::clone(fenced));
-    // Without a loop the process is ending.
-    let told = move |event: ClusterEvent| match event {
+    let (events, fenced) = (events.clone(), Arc::clone(fenced));
+    // Sending fails only if the event loop has ended, and then the process is exiting.
+    let on_event = move |event: ClusterEvent| match event {
         ClusterEvent::Input(input) => {
-            // A loop that is behind gets the next one; what it has is no longer believed then.
-            let _ = to.try_send(Event::Input(input));
+            // If the event loop's queue is full, it gets the next input instead; by then the previous one has expired.
+            let _ = events.try_send(Event::Input(input));
         }
         ClusterEvent::Fenced => {
             fenced.store(true, Ordering::SeqCst);
-            let _ = to.send(Event::Input(Input::Stop));
+            let _ = events.send(Event::Input(Input::Stop));
         }
     };
-    ClusterRuntime::join(cluster, &settings.name, base, told)
+    ClusterRuntime::join(cluster, &settings.name, base, on_event)
         .map(Some)
         .map_err(|e| e.with_advice())
 }
 
-fn door(settings: &Settings, tls: Option<Arc<tls::Server>>) -> Door {
+/// Limits of the WebSocket listener and of its connections.
+fn listener_limits(settings: &Settings, tls: Option<Arc<tls::Server>>) -> Door {
     let listen = &settings.listen;
     Door {
-        // The core closes what is past the sessions' bound with a reason; a few more may be told so.
+        // The core closes sessions above `max_sessions` with a reason; 64 connections more are accepted so that it can.
         connections: listen.max_sessions + 64,
         handshake: Duration::from_secs_f64(listen.handshake_timeout_s),
         handshakes: listen.max_handshakes,
@@ -342,20 +354,24 @@
     }
 }
 
-/// The first signal stops in order; a second one ends the process at once.
-fn on_signal(to: Sender<Event>, acceptor: Acceptor) -> Result<(), String> {
-    let again = Arc::new(AtomicBool::new(false));
+/// Stops the dispatcher gracefully on the first SIGTERM or SIGINT; a second one ends the process at once.
+fn stop_on_signal(events: Sender<Event>, acceptor: Acceptor) -> Result<(), String> {
+    let second_signal_exits = Arc::new(AtomicBool::new(false));
     for signal in [SIGTERM, SIGINT] {
-        signal_hook::flag::register_conditional_shutdown(signal, 1, Arc::clone(&again))
-            .map_err(|e| format!("cannot wait for signals: {e}"))?;
+        signal_hook::flag::register_conditional_shutdown(
+            signal,
+            1,
+            Arc::clone(&second_signal_exits),
+        )
+        .map_err(|e| format!("cannot wait for signals: {e}"))?;
     }
     let mut signals = signal_hook::iterator::Signals::new([SIGTERM, SIGINT])
         .map_err(|e| format!("cannot wait for signals: {e}"))?;
     let wait = move || {
         if signals.forever().next().is_some() {
-            again.store(true, Ordering::SeqCst);
+            second_signal_exits.store(true, Ordering::SeqCst);
             acceptor.stop();
-            let _ = to.send(Event::Input(Input::Stop));
+            let _ = events.send(Event::Input(Input::Stop));
         }
     };
     let thread = std::thread::Builder::new()
@@ -363,5 +379,5 @@
         .spawn(wait);
     thread
         .map(|_| ())
-        .map_err(|e| format!("no thread for signals: {e}"))
+        .map_err(|e| format!("cannot start the thread that waits for signals: {e}"))
 }
--- a/programs/dispatch/src/main.rs
+++ b/programs/dispatch/src/main.rs
@@ -1,4 +1,4 @@
-//! See the library of the same name.
+//! The `bitternlatch-dispatch` program; its code is in the library.
 
 fn main() -> std::process::ExitCode {
     bitternlatch_dispatch::main_from(std::env::args_os())
