--- a/programs/dispatch/src/beside.rs
+++ b/programs/dispatch/src/beside.rs
@@ -69,7 +69,10 @@
     Ok(beside)
 }
 
-fn start_overload_control(context: &mut ServiceContext, beside: &mut ServiceSinks) -> Result<(), String> {
+fn start_overload_control(
+    context: &mut ServiceContext,
+    beside: &mut ServiceSinks,
+) -> Result<(), String> {
     let cluster = context.settings.cluster.as_ref();
     let Some(overload) = cluster.and_then(|c| c.overload.clone()) else {
         return Ok(());
@@ -91,7 +94,10 @@
     Ok(())
 }
 
-fn start_output_lengths(context: &mut ServiceContext, beside: &mut ServiceSinks) -> Result<(), String> {
+fn start_output_lengths(
+    context: &mut ServiceContext,
+    beside: &mut ServiceSinks,
+) -> Result<(), String> {
     let Some(settings) = context
         .settings
         .cluster
