--- a/crates/policy/src/choice/load.rs
+++ b/crates/policy/src/choice/load.rs
@@ -1,5 +1,4 @@
-//! Load estimates: reported load, work that this router has sent, and the expected prefill time at
-//! a server.
+//! Estimates of server load and prefill time, from load reports and from this router's attempts.
 
 use std::collections::BTreeMap;
 
@@ -19,16 +18,13 @@
     utilization: 0.1,
     other_requests: 0.0,
 };
-/// Weight of the newest load report in the moving average of the load reports of one kind of
-/// server.
+/// Weight of the newest load report in the moving average of one server kind's load reports.
 const KIND_EWMA_WEIGHT: f64 = 0.25;
-/// Half-life, in seconds, of the weight of a server's own last report against the mean report of
-/// the server's kind.
+/// Half-life, in seconds, of the weight of a server's last report against its kind's mean report.
 const REPORT_HALF_LIFE_S: f64 = 1.5;
 /// Half-life, in seconds, of the weight of a kind's mean report against the prior.
 const KIND_HALF_LIFE_S: f64 = 5.0;
-/// Half-life, in seconds, of the observed delay of KV transfers over a cell's link beyond the
-/// prediction.
+/// Half-life, in seconds, of the delay of KV transfers over a cell's link beyond the prediction.
 const LINK_HALF_LIFE_S: f64 = 2.0;
 /// Initial mean of the uncached prompt tokens per prefill. The running mean stands for prompts that
 /// the router does not know, such as those of other dispatchers.
@@ -49,8 +45,7 @@
 const FULL_UTILIZATION: f64 = 0.9;
 /// Seconds in which the answers in a full decode server's memory are replaced by new ones.
 const DECODE_MEMORY_TURNOVER_S: f64 = 5.0;
-/// Cost, in seconds, of evicting answers that fill a server's whole memory; smaller evictions cost
-/// proportionally less.
+/// Cost, in seconds, of evicting a memory full of answers; smaller evictions cost in proportion.
 const FULL_EVICTION_COST_S: f64 = 100.0;
 /// Lower bound of one sample of a server's slowdown, the measured prefill time divided by the time
 /// estimated from the priors.
@@ -65,8 +60,7 @@
 pub(super) struct LoadReport {
     /// Fraction of memory or of slots in use, whichever is larger.
     pub utilization: f64,
-    /// At a prefill server, requests of other dispatchers that wait or run; elsewhere, all queued
-    /// requests.
+    /// At a prefill server, other dispatchers' queued or running requests; elsewhere, all queued.
     pub other_requests: f64,
 }
 
@@ -79,14 +73,8 @@
         }
     }
 
-    /// Reads the values of a load report from a server that holds `own_requests` requests of this
-    /// router.
-    fn from_values(
-        fields: &[ReportField],
-        values: &[f64],
-        at_prefill: bool,
-        own_requests: f64,
-    ) -> Self {
+    /// Reads a load report of a server that holds `own_requests` requests of this router.
+    fn new(fields: &[ReportField], values: &[f64], at_prefill: bool, own_requests: f64) -> Self {
         let mut report = LoadReport::default();
         for (field, &value) in fields.iter().zip(values) {
             match field {
@@ -113,8 +101,7 @@
 /// Load and speed of one server, as seen by this router.
 #[derive(Debug, Default)]
 pub(super) struct ServerLoad {
-    /// Measured prefill time divided by the prior's estimate, as a moving average; above 1 is
-    /// slower.
+    /// Moving average of measured prefill time divided by the prior's estimate; above 1 is slower.
     slowdown: f64,
     report: LoadReport,
     reported_at: f64,
@@ -193,8 +180,7 @@
     pub elapsed_s: f64,
     /// Queueing time, in seconds, that was expected when the attempt was sent.
     pub queue_s: f64,
-    /// Estimated fraction of its full capacity that the server had at the end of the prefill; below
-    /// 1 while it warms up.
+    /// Estimated fraction of the server's full capacity at prefill end; below 1 during warm-up.
     pub capacity: f64,
 }
 
@@ -206,8 +192,7 @@
     report_fields: Vec<ReportField>,
     kinds: Vec<KindMeanReports>,
     typical: TypicalPrompt,
-    /// Delay, in seconds, of KV transfers beyond the prediction over a cell's link, by the cell of
-    /// the prefill server.
+    /// Delay, in seconds, of KV transfers beyond the prediction, by the prefill server's cell.
     link_delays: BTreeMap<u16, DecayingMean>,
 }
 
@@ -238,7 +223,7 @@
         }
         let at_prefill = server.role == Role::Prefill;
         let own_requests = server.own_requests() as f64;
-        let report = LoadReport::from_values(&self.report_fields, values, at_prefill, own_requests);
+        let report = LoadReport::new(&self.report_fields, values, at_prefill, own_requests);
         server.load.report = report;
         server.load.reported_at = now;
         server.load.own_tokens_at_report = server.own_tokens(|memory| memory.mean);
@@ -265,9 +250,8 @@
         mean.report.blend(prior, weight)
     }
 
-    /// Estimated load of a server: the server's last report, weighted by age against the mean of
-    /// the server's kind. Without load reports, extrapolates this router's own load to all
-    /// dispatchers.
+    /// Estimated load: a server's last report, weighted by age against the mean of the server's
+    /// kind. If load reports are off, extrapolates this router's own load to all dispatchers.
     fn estimated_load(&self, server: &Server, capacity: f64, now: f64) -> LoadReport {
         let own_utilization = server.own_tokens(|memory| memory.mean) / server.memory_tokens;
         if self.report_mode == ReportMode::Off {
@@ -359,8 +343,7 @@
         typical.total_tokens += 2.0 * EWMA_WEIGHT * (total_tokens - typical.total_tokens);
     }
 
-    /// Updates a server's slowdown and the mean delay of its answers beyond the prediction from one
-    /// completed prefill.
+    /// Updates, from a completed prefill, a server's slowdown and mean delay beyond the prediction.
     pub fn record_prefill(&self, now: f64, server: &mut Server, sample: PrefillSample) {
         let predicted_s = self.prefill_s(server, sample.uncached_tokens, sample.total_tokens);
         let measured_s = sample.elapsed_s - sample.queue_s;
@@ -382,8 +365,7 @@
             .average_with(excess_s, now, LINK_HALF_LIFE_S);
     }
 
-    /// Returns the observed delay of KV transfers beyond the prediction, in seconds, for each
-    /// cell's link that has one.
+    /// Observed KV transfer delay beyond the prediction, in seconds, by cell, for links with one.
     pub fn link_delays(&self, now: f64) -> impl Iterator<Item = (u16, f64)> + '_ {
         self.link_delays
             .iter()
