--- a/crates/core/src/callers.rs
+++ b/crates/core/src/callers.rs
@@ -4,8 +4,8 @@
 //! answers, and then the session is closed with a reason code. Signatures are verified outside the machine, which
 //! receives only authenticated callers, so that a record contains no token.
 
-use bitternlatch_identity::rights::{Grant, Rights, Wish};
-use bitternlatch_identity::{Caller, Proof};
+use bitternlatch_identity::rights::{AccessRequest, AccessRights, Grant};
+use bitternlatch_identity::{Caller, Credential};
 use bitternlatch_protocol::client::{self, BadRequest, Create};
 
 use crate::machine::{log, Machine};
@@ -78,7 +78,7 @@
             ));
         }
         let credential_time_s = self.credential_time_s(now);
-        let Some(caller) = caller.filter(|c| credential_time_s < c.ends) else {
+        let Some(caller) = caller.filter(|c| credential_time_s < c.expires_at) else {
             return Err(caller_error(
                 401,
                 "token_expired",
@@ -86,7 +86,7 @@
                 None,
             ));
         };
-        let wish = Wish {
+        let wish = AccessRequest {
             class,
             model: &create.model,
             max_output_tokens: create.max_output_tokens,
@@ -100,7 +100,7 @@
                 None,
             ));
         };
-        match rights.may(caller, &wish) {
+        match rights.authorize(caller, &wish) {
             Ok(grant) => Ok(Some(grant)),
             Err(denial) => Err(caller_error(
                 403,
@@ -113,7 +113,7 @@
 
     /// Puts new access rights in force; rights that do not parse leave the previous ones in force.
     pub(crate) fn on_rights(&mut self, text: &str, out: &mut Vec<Output>) {
-        match Rights::parse(text) {
+        match AccessRights::parse(text) {
             Ok(rights) => {
                 self.rights = Some(rights);
                 log(out, Level::Info, "new rights are in force");
@@ -128,7 +128,7 @@
 
     /// Sets the caller of a new session, or its renewed credential, and a timer for when the credential expires.
     pub(crate) fn set_caller(&mut self, session: SessionId, caller: Caller) {
-        let expires_at = self.credential_expiry_time(caller.ends);
+        let expires_at = self.credential_expiry_time(caller.expires_at);
         self.sessions.set_caller(session, caller);
         self.timers
             .set(expires_at, Timer::CredentialExpiry { session });
@@ -192,7 +192,7 @@
                 text: client::error(&error, None, None),
             });
         }
-        let expiry_s = caller.ends;
+        let expiry_s = caller.expires_at;
         self.set_caller(session, caller);
         out.push(Output::SendToClient {
             session,
@@ -235,7 +235,7 @@
             let by_certificate = self
                 .sessions
                 .caller(session)
-                .is_some_and(|c| c.proof == Proof::Certificate);
+                .is_some_and(|c| c.credential == Credential::Certificate);
             let reason = if by_certificate {
                 EndReason::CertificateRevoked
             } else {
@@ -249,10 +249,12 @@
     pub(crate) fn on_credential_expiry(&mut self, now: Micros, session: SessionId) {
         let credential_time_s = self.credential_time_s(now);
         let reason = match self.sessions.caller(session) {
-            Some(c) if c.ends <= credential_time_s && c.proof == Proof::Certificate => {
+            Some(c)
+                if c.expires_at <= credential_time_s && c.credential == Credential::Certificate =>
+            {
                 EndReason::CertificateExpired
             }
-            Some(c) if c.ends <= credential_time_s => EndReason::TokenExpired,
+            Some(c) if c.expires_at <= credential_time_s => EndReason::TokenExpired,
             _ => return,
         };
         self.sessions.begin_ending(session, reason);
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use bitternlatch_budget::book::Accounts;
-use bitternlatch_identity::rights::Rights;
+use bitternlatch_identity::rights::AccessRights;
 use bitternlatch_identity::Caller;
 use bitternlatch_policy::choice::Router;
 use bitternlatch_policy::interface::{Action, Event, Outcome, RequestId};
@@ -101,7 +101,7 @@
     /// Total size of the prompts of all requests in the table, bytes.
     pub(crate) prompt_bytes: usize,
     pub(crate) sessions: Sessions,
-    pub(crate) rights: Option<Rights>,
+    pub(crate) rights: Option<AccessRights>,
     /// How far the wall clock by which credentials expire is ahead of the machine's clock, microseconds.
     pub(crate) credential_clock_offset_us: i64,
     pub(crate) links: Links,
--- a/crates/core/src/sessions.rs
+++ b/crates/core/src/sessions.rs
@@ -72,7 +72,7 @@
     pub(crate) fn credential_expiries(&self) -> Vec<(SessionId, u64)> {
         self.open
             .iter()
-            .filter_map(|(id, o)| Some((*id, o.caller.as_ref()?.ends)))
+            .filter_map(|(id, o)| Some((*id, o.caller.as_ref()?.expires_at)))
             .collect()
     }
 
--- a/crates/core/tests/callers.rs
+++ b/crates/core/tests/callers.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use bitternlatch_core::{Input, Output, SessionId, Settings};
-use bitternlatch_identity::{Caller, Proof};
+use bitternlatch_identity::{Caller, Credential};
 use common::{four_servers, Harness, SETTINGS, START_US};
 use serde_json::json;
 
@@ -45,8 +45,8 @@
         groups: vec![group.to_string()],
         key_id,
         token_id: None,
-        ends,
-        proof: Proof::Token,
+        expires_at: ends,
+        credential: Credential::Token,
     }
 }
 
--- a/crates/identity/src/keeper.rs
+++ b/crates/identity/src/keeper.rs
@@ -1,179 +1,192 @@
-//! When a key set is fetched, how long the last good one counts, and what an unknown key id sets off.
+//! Cache of the issuer's key set: when it is fetched, how long the last valid one is used, and how unknown key ids
+//! trigger a fetch.
 //!
-//! A pure state machine on a given clock: the program fetches when told and tells what came.
+//! The cache performs no I/O. Its user asks whether a fetch is due, and reports each result with the time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::keys::{BadKeySet, KeySet};
+use crate::keys::{InvalidKeySet, KeySet};
 
-/// Times of the key set's life, seconds.
+/// Timing of the key set cache, seconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct KeeperRules {
-    /// Between two fetches; each is moved by up to a tenth either way, so that many dispatchers spread.
-    pub refresh_s: f64,
-    /// The last good set counts for so long after it was fetched, whatever the issuer does.
-    pub keep_s: f64,
-    /// First and longest pause after a failed fetch; each failure doubles it.
-    pub pause_s: (f64, f64),
-    /// Shortest time between two fetches that unknown key ids set off.
-    pub unknown_every_s: f64,
+pub struct KeySetCacheRules {
+    /// Interval between two fetches. Each is shifted by up to a tenth either way, so that the fetches of many dispatchers
+    /// are spread.
+    pub refresh_interval_s: f64,
+    /// How long a key set may be used after it was fetched while the issuer is unavailable.
+    pub max_age_s: f64,
+    /// First and longest delay before a retry after a failed fetch; each further failure doubles the delay.
+    pub retry_delay_s: (f64, f64),
+    /// Minimum interval between two fetches that unknown key ids trigger.
+    pub min_unknown_key_interval_s: f64,
 }
 
-impl Default for KeeperRules {
+impl Default for KeySetCacheRules {
     fn default() -> Self {
-        KeeperRules {
-            refresh_s: 60.0,
-            keep_s: 24.0 * 3600.0,
-            pause_s: (0.5, 60.0),
-            unknown_every_s: 5.0,
+        KeySetCacheRules {
+            refresh_interval_s: 60.0,
+            max_age_s: 24.0 * 3600.0,
+            retry_delay_s: (0.5, 60.0),
+            min_unknown_key_interval_s: 5.0,
         }
     }
 }
 
-/// Ids remembered as not known to the issuer; past it the oldest is forgotten.
-const UNKNOWN_MOST: usize = 256;
+/// Maximum number of key ids remembered as unknown to the issuer; beyond it the oldest is removed.
+const MAX_UNKNOWN_KEYS: usize = 256;
 
-/// What became of a fetched document.
+/// Result of processing a fetched document.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// A new set counts; these ids counted before and are gone.
-    New {
-        dropped: Vec<String>,
+pub enum FetchOutcome {
+    /// The document differs from the previous one and its key set is in effect.
+    Replaced {
+        /// Key ids of the previous set that the new set lacks.
+        removed: Vec<String>,
     },
-    Same,
-    /// Not taken; the last good set stays.
-    Refused(BadKeySet),
+    /// The document equals the previous one.
+    Unchanged,
+    /// The document is invalid; the last valid key set stays in effect.
+    Invalid(InvalidKeySet),
 }
 
-/// The key set in force and what is to be done about it.
-pub struct Keeper {
-    rules: KeeperRules,
+/// The key set in effect, and the schedule of fetches.
+pub struct KeySetCache {
+    rules: KeySetCacheRules,
     set: Option<Arc<KeySet>>,
     document: Vec<u8>,
+    /// When the document in effect was fetched, seconds.
     fetched_at: f64,
-    next_at: f64,
+    /// When the next fetch is due, seconds.
+    next_fetch_at: f64,
+    /// Consecutive failed fetches.
     failures: u32,
+    /// A fetch is in flight.
     fetching: bool,
-    unknown_at: f64,
-    /// Key ids that a fetch since then did not bring.
-    unknown: BTreeMap<String, f64>,
+    /// When an unknown key id last triggered a fetch, seconds.
+    unknown_key_fetch_at: f64,
+    /// Key ids that the issuer did not know, and when each triggered a fetch, seconds.
+    unknown_keys: BTreeMap<String, f64>,
 }
 
-impl Keeper {
-    /// Without a set; the first fetch is due at once.
-    pub fn new(rules: KeeperRules, now: f64) -> Keeper {
-        Keeper {
+impl KeySetCache {
+    /// Creates a cache without a key set; the first fetch is due at once.
+    pub fn new(rules: KeySetCacheRules, now: f64) -> KeySetCache {
+        KeySetCache {
             rules,
             set: None,
             document: Vec::new(),
             fetched_at: 0.0,
-            next_at: now,
+            next_fetch_at: now,
             failures: 0,
             fetching: false,
-            unknown_at: f64::NEG_INFINITY,
-            unknown: BTreeMap::new(),
+            unknown_key_fetch_at: f64::NEG_INFINITY,
+            unknown_keys: BTreeMap::new(),
         }
     }
 
-    /// Takes the last good document that was kept on disk, of an age in seconds; it counts for what is left of its time.
+    /// Restores the last valid document from disk. It is used for the remainder of `max_age_s` after `age_s`, its age in
+    /// seconds.
     ///
     /// # Errors
-    /// As [`KeySet::parse`]; then there is no set until a fetch brings one.
-    pub fn restore(&mut self, now: f64, document: &[u8], age_s: f64) -> Result<(), BadKeySet> {
+    /// As [`KeySet::parse`]; the cache is unchanged then.
+    pub fn restore(&mut self, now: f64, document: &[u8], age_s: f64) -> Result<(), InvalidKeySet> {
         let set = KeySet::parse(document)?;
         (self.set, self.document, self.fetched_at) =
             (Some(Arc::new(set)), document.to_vec(), now - age_s.max(0.0));
         Ok(())
     }
 
-    /// The set in force; `None` before the first and once the last good one is too old.
-    pub fn set(&self, now: f64) -> Option<&Arc<KeySet>> {
+    /// The key set in effect; `None` before the first fetch and once the last valid set is older than `max_age_s`.
+    pub fn current(&self, now: f64) -> Option<&Arc<KeySet>> {
         self.set
             .as_ref()
-            .filter(|_| now - self.fetched_at < self.rules.keep_s)
+            .filter(|_| now - self.fetched_at < self.rules.max_age_s)
     }
 
-    /// The last good document and its age, to be kept on disk.
+    /// The last valid document and its age in seconds, to be stored on disk.
     pub fn document(&self, now: f64) -> Option<(&[u8], f64)> {
         self.set
             .as_ref()
             .map(|_| (self.document.as_slice(), now - self.fetched_at))
     }
 
-    /// Whether to fetch now; once told, it waits for [`Keeper::fetched`] or [`Keeper::failed`].
+    /// Whether a fetch is due now. After `true` no other is due until [`KeySetCache::fetched`] or
+    /// [`KeySetCache::fetch_failed`] reports the result.
     pub fn fetch_due(&mut self, now: f64) -> bool {
-        // A clock that went back must not put the fetch off.
-        let due = !self.fetching && (now >= self.next_at || now < self.fetched_at);
+        // A clock that was set back must not delay the fetch.
+        let due = !self.fetching && (now >= self.next_fetch_at || now < self.fetched_at);
         self.fetching |= due;
         due
     }
 
-    /// When to ask [`Keeper::fetch_due`] again at the latest.
-    pub fn next_at(&self) -> f64 {
-        self.next_at
+    /// When [`KeySetCache::fetch_due`] should be called next at the latest, seconds.
+    pub fn next_fetch_at(&self) -> f64 {
+        self.next_fetch_at
     }
 
-    /// A token named a key that the set does not hold. One fetch is set off for all who ask, at most one in
-    /// `unknown_every_s`, and none for an id that a fetch since has not brought.
-    pub fn unknown_key(&mut self, now: f64, id: &str) {
-        let asked = self
-            .unknown
+    /// Reports that a token named a key that is not in the key set, which makes a fetch due. At most one fetch per
+    /// `min_unknown_key_interval_s` is triggered this way, and none for an id that already triggered one within
+    /// `refresh_interval_s`. Ignored while a fetch is in flight or being retried.
+    pub fn report_unknown_key(&mut self, now: f64, id: &str) {
+        let was_fetched = self
+            .unknown_keys
             .get(id)
-            .is_some_and(|at| now - at < self.rules.refresh_s);
-        if asked
+            .is_some_and(|at| now - at < self.rules.refresh_interval_s);
+        if was_fetched
             || self.fetching
-            || now - self.unknown_at < self.rules.unknown_every_s
+            || now - self.unknown_key_fetch_at < self.rules.min_unknown_key_interval_s
             || self.failures > 0
         {
             return;
         }
-        if self.unknown.len() >= UNKNOWN_MOST {
+        if self.unknown_keys.len() >= MAX_UNKNOWN_KEYS {
             let oldest = self
-                .unknown
+                .unknown_keys
                 .iter()
                 .min_by(|a, b| a.1.total_cmp(b.1))
                 .map(|o| o.0.clone());
-            oldest.map(|id| self.unknown.remove(&id));
+            oldest.map(|id| self.unknown_keys.remove(&id));
         }
-        self.unknown.insert(id.to_string(), now);
-        (self.unknown_at, self.next_at) = (now, now);
+        self.unknown_keys.insert(id.to_string(), now);
+        (self.unknown_key_fetch_at, self.next_fetch_at) = (now, now);
     }
 
-    /// A document came. `chance` is a number from 0 to 1.
-    pub fn fetched(&mut self, now: f64, document: &[u8], chance: f64) -> Taken {
+    /// Processes a fetched document. `chance` is a random number from 0 to 1 that shifts the next fetch.
+    pub fn fetched(&mut self, now: f64, document: &[u8], chance: f64) -> FetchOutcome {
         let set = match KeySet::parse(document) {
             Ok(set) => set,
             Err(e) => {
-                self.failed(now, chance);
-                return Taken::Refused(e);
+                self.fetch_failed(now, chance);
+                return FetchOutcome::Invalid(e);
             }
         };
-        let same = self.set.is_some() && self.document == document;
-        let gone = |old: &Arc<KeySet>| {
+        let unchanged = self.set.is_some() && self.document == document;
+        let missing = |old: &Arc<KeySet>| {
             old.ids()
                 .filter(|id| set.get(id).is_none())
                 .map(str::to_string)
                 .collect()
         };
-        let dropped = self.set.as_ref().map(gone).unwrap_or_default();
-        self.unknown.retain(|id, _| set.get(id).is_none());
+        let removed = self.set.as_ref().map(missing).unwrap_or_default();
+        self.unknown_keys.retain(|id, _| set.get(id).is_none());
         (self.set, self.document, self.fetched_at) = (Some(Arc::new(set)), document.to_vec(), now);
         (self.fetching, self.failures) = (false, 0);
-        self.next_at = now + self.rules.refresh_s * (0.9 + 0.2 * chance);
-        if same {
-            Taken::Same
+        self.next_fetch_at = now + self.rules.refresh_interval_s * (0.9 + 0.2 * chance);
+        if unchanged {
+            FetchOutcome::Unchanged
         } else {
-            Taken::New { dropped }
+            FetchOutcome::Replaced { removed }
         }
     }
 
-    /// A fetch failed or was too late; gives the pause until the next, seconds.
-    pub fn failed(&mut self, now: f64, chance: f64) -> f64 {
-        let doubled = self.rules.pause_s.0 * f64::from(1u32 << self.failures.min(20));
-        let pause = doubled.min(self.rules.pause_s.1) * (0.5 + 0.5 * chance);
+    /// Reports that a fetch failed or timed out; returns the delay until the next, seconds. `chance` is a random number
+    /// from 0 to 1 that shortens the delay by up to half.
+    pub fn fetch_failed(&mut self, now: f64, chance: f64) -> f64 {
+        let doubled = self.rules.retry_delay_s.0 * f64::from(1u32 << self.failures.min(20));
+        let delay_s = doubled.min(self.rules.retry_delay_s.1) * (0.5 + 0.5 * chance);
         (self.fetching, self.failures) = (false, self.failures.saturating_add(1));
-        self.next_at = now + pause;
-        pause
+        self.next_fetch_at = now + delay_s;
+        delay_s
     }
 }
--- a/crates/identity/src/lib.rs
+++ b/crates/identity/src/lib.rs
@@ -1,14 +1,14 @@
-//! Who calls, and what it may do.
+//! Authentication and authorization of callers.
 //!
-//! - [`token`]: one JWT checked against a key set, issuer, audience and a given clock (RFC 7519, RFC 8725).
-//! - [`keys`]: key sets as JWKS documents (RFC 7517), with the times between which each key counts.
-//! - [`keeper`]: when a key set is fetched, kept and given up.
-//! - [`certificates`]: whose a client certificate is, and which are revoked.
-//! - [`reload`]: when files that changed in service are taken.
-//! - [`time`]: the time by which proofs are judged when the clock jumps.
-//! - [`rights`]: what callers may do; the default is no.
+//! - [`token`]: verifies a JWT against a key set, issuer, audience and time (RFC 7519, RFC 8725).
+//! - [`keys`]: key sets as JWKS documents (RFC 7517), with the validity period of each key.
+//! - [`keeper`]: when a key set is fetched, how long it is cached and when it is discarded.
+//! - [`certificates`]: the caller that a client certificate names, and certificate revocation lists.
+//! - [`reload`]: when files that change while the process runs are reloaded.
+//! - [`time`]: the time at which credentials are evaluated when the wall clock jumps.
+//! - [`rights`]: access rights of callers; what is not allowed is denied.
 //!
-//! Nothing here opens a socket or a file or reads a clock.
+//! The crate performs no I/O and reads no clock; the caller passes the time in.
 
 pub mod certificates;
 pub mod keeper;
@@ -21,30 +21,35 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How subjects that come of certificates begin; no token may name one.
+/// Prefix of subjects that are taken from certificates. A token whose subject starts with it is rejected.
 pub const CERTIFICATE_SUBJECT: &str = "cert:";
 
-/// What a caller has shown.
+/// The kind of credential that a caller presented.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Proof {
+pub enum Credential {
+    /// A JWT.
     #[default]
     Token,
+    /// A TLS client certificate.
     Certificate,
 }
 
-/// A caller whose proof has been checked.
+/// A caller whose credential has been verified.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Caller {
-    /// The token's subject, or the certificate's name behind [`CERTIFICATE_SUBJECT`].
+    /// The token's subject, or the certificate's name prefixed with [`CERTIFICATE_SUBJECT`].
     pub subject: String,
+    /// Groups that the caller belongs to, from the token or the certificate.
     #[serde(default)]
     pub groups: Vec<String>,
-    /// Id of the key that signed its token, or of its certificate.
+    /// Id of the key that signed the token, or id of the certificate.
     pub key_id: String,
-    /// The token's own id, for logs; never the token.
+    /// The token's `jti` claim, for logs, which never contain the token.
     pub token_id: Option<String>,
-    /// Unix time at which the proof ends, seconds.
-    pub ends: u64,
-    #[serde(default)]
-    pub proof: Proof,
+    /// When the credential expires, Unix seconds.
+    #[serde(rename = "ends")]
+    pub expires_at: u64,
+    /// The kind of credential.
+    #[serde(default, rename = "proof")]
+    pub credential: Credential,
 }
--- a/crates/identity/src/reload.rs
+++ b/crates/identity/src/reload.rs
@@ -1,58 +1,61 @@
-//! When files that changed in service are taken: a pure state machine over looks at them.
+//! Decides when files that change while the process runs are reloaded, from a hash of their contents at each poll.
 
-/// What to do after a look.
+/// What to do after a poll of the files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
-    /// As in force, or as refused before.
-    Nothing,
-    /// Changed since the last look: somebody may still be writing.
+pub enum ReloadAction {
+    /// Nothing: the contents are those in effect, or were rejected before.
+    Keep,
+    /// Poll again: the contents changed since the last poll and may still be written.
     Wait,
-    /// Alike twice and not tried yet.
-    Try,
+    /// Load the contents: they were the same at two polls and have not been tried yet.
+    Load,
 }
 
-/// Tells when a set of files has settled. Each look is given a hash of all their bytes, so that several files that belong
-/// together (a certificate and its key) count as one: half of a change is a set that does not fit, and is refused whole.
+/// Tracks a set of files that belong together, such as a certificate and its key, by one hash of all their contents. A
+/// set of which only a part has been replaced does not match and is rejected as a whole.
 #[derive(Clone, Debug)]
-pub struct Reload {
-    in_force: u64,
-    seen: u64,
-    refused: Option<u64>,
+pub struct ReloadTracker {
+    /// Hash of the contents in effect.
+    in_effect: u64,
+    /// Hash at the last poll.
+    last_seen: u64,
+    /// Hash of contents that could not be loaded.
+    rejected: Option<u64>,
 }
 
-impl Reload {
-    /// With the set that is in force.
-    pub fn new(in_force: u64) -> Reload {
-        Reload {
-            in_force,
-            seen: in_force,
-            refused: None,
+impl ReloadTracker {
+    /// Creates a tracker for files whose current contents, with hash `in_effect`, are loaded.
+    pub fn new(in_effect: u64) -> ReloadTracker {
+        ReloadTracker {
+            in_effect,
+            last_seen: in_effect,
+            rejected: None,
         }
     }
 
-    /// After a look.
-    pub fn look(&mut self, hash: u64) -> Look {
-        let settled = std::mem::replace(&mut self.seen, hash) == hash;
-        if hash == self.in_force {
-            self.refused = None;
-            Look::Nothing
-        } else if self.refused == Some(hash) {
-            Look::Nothing
+    /// Records the hash found by a poll and returns what to do.
+    pub fn observe(&mut self, hash: u64) -> ReloadAction {
+        let settled = std::mem::replace(&mut self.last_seen, hash) == hash;
+        if hash == self.in_effect {
+            self.rejected = None;
+            ReloadAction::Keep
+        } else if self.rejected == Some(hash) {
+            ReloadAction::Keep
         } else if settled {
-            Look::Try
+            ReloadAction::Load
         } else {
-            Look::Wait
+            ReloadAction::Wait
         }
     }
 
-    /// What was tried counts now.
-    pub fn taken(&mut self) {
-        (self.in_force, self.refused) = (self.seen, None);
+    /// Reports that the contents of the last poll were loaded and are in effect.
+    pub fn accepted(&mut self) {
+        (self.in_effect, self.rejected) = (self.last_seen, None);
     }
 
-    /// What was tried does not count; it is not tried again until it changes.
-    pub fn refused(&mut self) {
-        self.refused = Some(self.seen);
+    /// Reports that the contents of the last poll could not be loaded; they are not tried again until they change.
+    pub fn rejected(&mut self) {
+        self.rejected = Some(self.last_seen);
     }
 }
 
@@ -61,28 +64,28 @@
     use super::*;
 
     #[test]
-    fn a_set_counts_when_seen_alike_twice_and_a_bad_one_is_tried_once() {
-        let mut reload = Reload::new(1);
-        assert_eq!(reload.look(1), Look::Nothing);
+    fn contents_are_loaded_after_two_equal_polls_and_rejected_ones_only_once() {
+        let mut reload = ReloadTracker::new(1);
+        assert_eq!(reload.observe(1), ReloadAction::Keep);
         assert_eq!(
-            [reload.look(2), reload.look(3), reload.look(3)],
-            [Look::Wait, Look::Wait, Look::Try]
+            [reload.observe(2), reload.observe(3), reload.observe(3)],
+            [ReloadAction::Wait, ReloadAction::Wait, ReloadAction::Load]
         );
-        reload.refused();
+        reload.rejected();
         assert_eq!(
-            [reload.look(3), reload.look(4), reload.look(4)],
-            [Look::Nothing, Look::Wait, Look::Try]
+            [reload.observe(3), reload.observe(4), reload.observe(4)],
+            [ReloadAction::Keep, ReloadAction::Wait, ReloadAction::Load]
         );
-        reload.taken();
+        reload.accepted();
         assert_eq!(
-            [reload.look(4), reload.look(3), reload.look(3)],
-            [Look::Nothing, Look::Wait, Look::Try]
+            [reload.observe(4), reload.observe(3), reload.observe(3)],
+            [ReloadAction::Keep, ReloadAction::Wait, ReloadAction::Load]
         );
-        // Back to what is in force: what was refused before may be tried again later.
-        reload.refused();
+        // After the contents in effect have returned, contents that were rejected before may be tried again.
+        reload.rejected();
         assert_eq!(
-            [reload.look(4), reload.look(3), reload.look(3)],
-            [Look::Nothing, Look::Wait, Look::Try]
+            [reload.observe(4), reload.observe(3), reload.observe(3)],
+            [ReloadAction::Keep, ReloadAction::Wait, ReloadAction::Load]
         );
     }
 }
--- a/crates/identity/src/rights.rs
+++ b/crates/identity/src/rights.rs
@@ -1,4 +1,4 @@
-//! What callers may do: a TOML policy, and the decision with its reason. What is not allowed is refused.
+//! Access rights of callers: a TOML policy file, and authorization decisions. What no rule allows is denied.
 
 use std::collections::BTreeSet;
 
@@ -6,10 +6,11 @@
 
 use crate::Caller;
 
+/// The access rights policy.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Rights {
-    /// Rules in order; the first that names the caller counts, so that an exception stands above a group's rule.
+pub struct AccessRights {
+    /// Rules in order. The first that matches the caller applies, so an exception is placed before a group's rule.
     #[serde(default, rename = "rule")]
     rules: Vec<Rule>,
 }
@@ -25,39 +26,43 @@
     tenant: String,
     #[serde(default)]
     classes: BTreeSet<String>,
-    /// Models that may be asked; `*` is any.
+    /// Models that may be used; `*` allows any.
     #[serde(default)]
     models: BTreeSet<String>,
-    /// Highest output ceiling; a request without one is given this.
+    /// Maximum output tokens that a request may ask for, and the limit of a request that sets none.
     max_output_tokens: u32,
-    /// Idempotency keys and conversations are the rule's, not each caller's own.
+    /// Idempotency keys and conversations are shared by all callers that the rule matches.
     #[serde(default)]
     shared: bool,
 }
 
-/// What a caller wants.
+/// What a caller asks to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wish<'a> {
+pub struct AccessRequest<'a> {
+    /// Name of the request class.
     pub class: &'a str,
+    /// Name of the model.
     pub model: &'a str,
-    /// As the request names it.
+    /// Output token limit in the request; `None` if it sets none.
     pub max_output_tokens: Option<u32>,
-    /// The tenant that the request claims, where it claims one.
+    /// Tenant named in the request; `None` if it names none.
     pub tenant: Option<&'a str>,
 }
 
-/// What it may.
+/// What a caller is allowed to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
+    /// The tenant that is charged.
     pub tenant: String,
+    /// Output token limit of the request.
     pub max_output_tokens: u32,
-    /// The rule that allows it.
+    /// Name of the rule that applies.
     pub rule: String,
-    /// Whose its idempotency keys and conversations are: the caller's own, or all whom a rule with `shared` names.
+    /// Owner of the request's idempotency keys and conversations: the caller, or the rule if it is `shared`.
     pub owner: String,
 }
 
-/// Why not.
+/// Why a request is denied. The text is sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Denial {
     #[error("no rule names the caller '{subject}'")]
@@ -66,14 +71,14 @@
     Class { rule: String, class: String },
     #[error("rule '{rule}' does not allow the model '{model}'")]
     Model { rule: String, model: String },
-    #[error("rule '{rule}' allows {most} output tokens at the most")]
-    Output { rule: String, most: u32 },
+    #[error("rule '{rule}' allows {max} output tokens at the most")]
+    Output { rule: String, max: u32 },
     #[error("the caller's tenant is not '{claimed}'")]
     Tenant { claimed: String },
 }
 
 impl Denial {
-    /// A short word for logs and clients.
+    /// Error code for logs and clients.
     pub fn code(&self) -> &'static str {
         match self {
             Denial::NoRule { .. } => "caller_unknown",
@@ -84,7 +89,7 @@
         }
     }
 
-    /// The field at fault.
+    /// The request field that caused the denial.
     pub fn param(&self) -> Option<&'static str> {
         match self {
             Denial::NoRule { .. } => None,
@@ -96,14 +101,14 @@
     }
 }
 
-impl Rights {
-    /// Reads a rights file.
+impl AccessRights {
+    /// Parses an access rights file.
     ///
     /// # Errors
-    /// The first fault with line and column, or the rule at fault: one that names nobody or allows nothing, a name used
-    /// twice, a ceiling of 0.
-    pub fn parse(text: &str) -> Result<Rights, String> {
-        let rights: Rights = toml::from_str(text).map_err(|e| {
+    /// The first syntax error with its line, or the first invalid rule: one that matches no caller, allows nothing (also by
+    /// an output limit of 0), or has the name of another rule.
+    pub fn parse(text: &str) -> Result<AccessRights, String> {
+        let rights: AccessRights = toml::from_str(text).map_err(|e| {
             let at = e.span().map_or(0, |s| {
                 text.get(..s.start).unwrap_or(text).matches('\n').count() + 1
             });
@@ -111,76 +116,78 @@
         })?;
         let mut names = BTreeSet::new();
         for rule in &rights.rules {
-            let wrong = |why: &str| Err(format!("rule '{}': {why}", rule.name));
+            let invalid = |cause: &str| Err(format!("rule '{}': {cause}", rule.name));
             if !names.insert(&rule.name) {
-                return wrong("its name is used twice");
+                return invalid("its name is used twice");
             }
             if rule.subjects.is_empty() && rule.groups.is_empty() {
-                return wrong("names neither subjects nor groups");
+                return invalid("names neither subjects nor groups");
             }
             if rule.classes.is_empty() || rule.models.is_empty() || rule.max_output_tokens == 0 {
-                return wrong("allows nothing: classes, models and max_output_tokens are expected");
+                return invalid(
+                    "allows nothing: classes, models and max_output_tokens are expected",
+                );
             }
         }
         Ok(rights)
     }
 
-    /// Classes that rules name, for a check against the settings.
+    /// The classes named in all rules, to be checked against the settings.
     pub fn classes(&self) -> impl Iterator<Item = &str> {
         self.rules
             .iter()
             .flat_map(|r| r.classes.iter().map(String::as_str))
     }
 
-    /// Tenants that rules name.
+    /// The tenants named in all rules, to be checked against the settings.
     pub fn tenants(&self) -> impl Iterator<Item = &str> {
         self.rules.iter().map(|r| r.tenant.as_str())
     }
 
-    /// Whether a caller may have its wish, and why not.
+    /// Decides whether a caller may do what it requests.
     ///
     /// # Errors
     /// The first [`Denial`] found.
-    pub fn may(&self, caller: &Caller, wish: &Wish<'_>) -> Result<Grant, Denial> {
-        let names = |r: &&Rule| {
+    pub fn authorize(&self, caller: &Caller, request: &AccessRequest<'_>) -> Result<Grant, Denial> {
+        let matches = |r: &&Rule| {
             r.subjects.contains(&caller.subject)
                 || caller.groups.iter().any(|g| r.groups.contains(g))
         };
-        let Some(rule) = self.rules.iter().find(names) else {
+        let Some(rule) = self.rules.iter().find(matches) else {
             return Err(Denial::NoRule {
                 subject: caller.subject.clone(),
             });
         };
         let name = || rule.name.clone();
-        if let Some(claimed) = wish.tenant.filter(|t| *t != rule.tenant) {
+        if let Some(claimed) = request.tenant.filter(|t| *t != rule.tenant) {
             return Err(Denial::Tenant {
                 claimed: claimed.to_string(),
             });
         }
-        if !rule.classes.contains(wish.class) {
+        if !rule.classes.contains(request.class) {
             return Err(Denial::Class {
                 rule: name(),
-                class: wish.class.to_string(),
+                class: request.class.to_string(),
             });
         }
-        if !rule.models.contains("*") && !rule.models.contains(wish.model) {
+        if !rule.models.contains("*") && !rule.models.contains(request.model) {
             return Err(Denial::Model {
                 rule: name(),
-                model: wish.model.to_string(),
+                model: request.model.to_string(),
             });
         }
-        if wish
+        if request
             .max_output_tokens
             .is_some_and(|n| n > rule.max_output_tokens)
         {
             return Err(Denial::Output {
                 rule: name(),
-                most: rule.max_output_tokens,
+                max: rule.max_output_tokens,
             });
         }
         Ok(Grant {
             tenant: rule.tenant.clone(),
-            max_output_tokens: wish.max_output_tokens.unwrap_or(rule.max_output_tokens),
+            max_output_tokens: request.max_output_tokens.unwrap_or(rule.max_output_tokens),
             rule: name(),
             owner: match rule.shared {
                 true => format!("rule:{}", rule.name),
--- a/crates/identity/src/strict.rs
+++ b/crates/identity/src/strict.rs
@@ -1,21 +1,22 @@
-//! JSON in which no object names a member twice, at any depth: two readers of such a text may see two texts
-//! (RFC 8725, 2.4; RFC 7519, 4).
+//! Rejects JSON in which an object at any depth has two members of the same name, because parsers differ in which of
+//! the two they use (RFC 8725, section 2.4; RFC 7519, section 4).
 
 use std::collections::BTreeSet;
 use std::fmt;
 
 use serde::de::{DeserializeSeed, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 
-struct Unique;
+/// Visits a JSON value and fails on a duplicate member name.
+struct UniqueMembers;
 
-impl<'de> DeserializeSeed<'de> for Unique {
+impl<'de> DeserializeSeed<'de> for UniqueMembers {
     type Value = ();
     fn deserialize<D: Deserializer<'de>>(self, from: D) -> Result<(), D::Error> {
         from.deserialize_any(self)
     }
 }
 
-impl<'de> Visitor<'de> for Unique {
+impl<'de> Visitor<'de> for UniqueMembers {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -40,25 +41,25 @@
         Ok(())
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<(), A::Error> {
-        while list.next_element_seed(Unique)?.is_some() {}
+        while list.next_element_seed(UniqueMembers)?.is_some() {}
         Ok(())
     }
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
         let mut names = BTreeSet::new();
         while let Some(name) = map.next_key::<String>()? {
             if names.contains(&name) {
-                return Err(A::Error::custom(format!("member '{name}' stands twice")));
+                return Err(A::Error::custom(format!("duplicate member '{name}'")));
             }
             names.insert(name);
-            map.next_value_seed(Unique)?;
+            map.next_value_seed(UniqueMembers)?;
         }
         Ok(())
     }
 }
 
-/// Whether a text is JSON without doubled members.
+/// Checks that `text` is JSON without duplicate member names.
 pub(crate) fn check(text: &[u8]) -> Result<(), serde_json::Error> {
     let mut from = serde_json::Deserializer::from_slice(text);
-    Unique.deserialize(&mut from)?;
+    UniqueMembers.deserialize(&mut from)?;
     from.end()
 }
--- a/crates/identity/src/token.rs
+++ b/crates/identity/src/token.rs
@@ -1,4 +1,4 @@
-//! One token checked: bounds first, then form, key, signature, and claims against a given clock.
+//! Verification of a token: size limits first, then format, key, signature, and claims at a given time.
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -6,27 +6,30 @@
 use serde::Deserialize;
 
 use crate::keys::KeySet;
-use crate::{strict, Caller, Proof, CERTIFICATE_SUBJECT};
+use crate::{strict, Caller, Credential, CERTIFICATE_SUBJECT};
 
-/// Longest token, bytes; checked before anything is parsed.
-pub const TOKEN_BYTES: usize = 8 * 1024;
-/// Groups in one token, and the longest text claim, bytes.
-pub const GROUPS_MOST: usize = 64;
-pub const CLAIM_BYTES: usize = 256;
+/// Maximum size of a token, bytes; checked before parsing.
+pub const MAX_TOKEN_BYTES: usize = 8 * 1024;
+/// Maximum number of groups in a token.
+pub const MAX_GROUPS: usize = 64;
+/// Maximum length of a text claim, bytes.
+pub const MAX_CLAIM_BYTES: usize = 256;
 
-/// What tokens must say.
+/// Requirements on the claims of a token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TokenRules {
+    /// Required issuer (`iss`).
     pub issuer: String,
+    /// Required audience (`aud`).
     pub audience: String,
-    /// Seconds between clocks that are allowed.
+    /// Tolerated difference between clocks, seconds.
     pub skew_s: u64,
 }
 
-/// Why a token is refused. The text is for logs and clients and holds nothing of the token but its key's id.
+/// Why a token is rejected. The text is sent to the client and logged; of the token it contains only the key id.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
-    #[error("the token is longer than {TOKEN_BYTES} bytes")]
+pub enum TokenError {
+    #[error("the token is longer than {MAX_TOKEN_BYTES} bytes")]
     TooLong,
     #[error("the token is malformed: {0}")]
     Malformed(&'static str),
@@ -45,23 +48,23 @@
     #[error("the token has ended")]
     Expired,
     #[error("the token does not count yet")]
-    NotYet,
+    NotYetValid,
 }
 
-impl Refusal {
-    /// A short word for logs and clients.
+impl TokenError {
+    /// Error code for logs and clients.
     pub fn code(&self) -> &'static str {
         match self {
-            Refusal::TooLong => "token_too_long",
-            Refusal::Malformed(_) => "token_malformed",
-            Refusal::Algorithm => "token_algorithm",
-            Refusal::UnknownKey(_) => "token_key_unknown",
-            Refusal::KeyWithdrawn(_) => "token_key_withdrawn",
-            Refusal::Signature => "token_signature",
-            Refusal::Issuer => "token_issuer",
-            Refusal::Audience => "token_audience",
-            Refusal::Expired => "token_expired",
-            Refusal::NotYet => "token_not_yet",
+            TokenError::TooLong => "token_too_long",
+            TokenError::Malformed(_) => "token_malformed",
+            TokenError::Algorithm => "token_algorithm",
+            TokenError::UnknownKey(_) => "token_key_unknown",
+            TokenError::KeyWithdrawn(_) => "token_key_withdrawn",
+            TokenError::Signature => "token_signature",
+            TokenError::Issuer => "token_issuer",
+            TokenError::Audience => "token_audience",
+            TokenError::Expired => "token_expired",
+            TokenError::NotYetValid => "token_not_yet",
         }
     }
 }
@@ -72,7 +75,7 @@
     kid: Option<String>,
     typ: Option<String>,
     crit: Option<serde_json::Value>,
-    // Keys that a token brings along are never looked at (RFC 8725, 3.10).
+    // A token with an embedded or referenced key is rejected (RFC 8725, section 3.10).
     jwk: Option<serde_json::Value>,
     jku: Option<serde_json::Value>,
     x5u: Option<serde_json::Value>,
@@ -99,19 +102,19 @@
     groups: Vec<String>,
 }
 
-fn part(encoded: &str, what: &'static str) -> Result<Vec<u8>, Refusal> {
+fn decode_json_part(encoded: &str, name: &'static str) -> Result<Vec<u8>, TokenError> {
     let bytes = URL_SAFE_NO_PAD
         .decode(encoded)
-        .map_err(|_| Refusal::Malformed(what))?;
-    strict::check(&bytes).map_err(|_| Refusal::Malformed(what))?;
+        .map_err(|_| TokenError::Malformed(name))?;
+    strict::check(&bytes).map_err(|_| TokenError::Malformed(name))?;
     Ok(bytes)
 }
 
-fn header(encoded: &str) -> Result<RawHeader, Refusal> {
-    const WRONG: Refusal = Refusal::Malformed("its header");
+fn parse_header(encoded: &str) -> Result<RawHeader, TokenError> {
+    const INVALID: TokenError = TokenError::Malformed("its header");
     let header: RawHeader =
-        serde_json::from_slice(&part(encoded, "its header")?).map_err(|_| WRONG)?;
-    let brings = [
+        serde_json::from_slice(&decode_json_part(encoded, "its header")?).map_err(|_| INVALID)?;
+    let forbidden = [
         &header.crit,
         &header.jwk,
         &header.jku,
@@ -119,62 +122,67 @@
         &header.x5c,
         &header.zip,
     ];
-    if brings.iter().any(|b| b.is_some()) {
-        return Err(Refusal::Malformed(
+    if forbidden.iter().any(|b| b.is_some()) {
+        return Err(TokenError::Malformed(
             "its header has members that are not taken",
         ));
     }
     let kind = header.typ.as_deref().unwrap_or("JWT").to_ascii_lowercase();
     match kind.as_str() {
         "jwt" | "at+jwt" | "application/at+jwt" => Ok(header),
-        _ => Err(Refusal::Malformed("its type")),
+        _ => Err(TokenError::Malformed("its type")),
     }
 }
 
-/// Id of the key that a token names, where it is well formed; for a look whether the key is known.
+/// The key id in the header of a token, without verifying the token; `None` if the header is malformed or has no id.
 pub fn key_id(token: &str) -> Option<String> {
     let head = token
         .get(..token.find('.')?)
-        .filter(|h| h.len() < TOKEN_BYTES)?;
-    header(head).ok()?.kid
+        .filter(|h| h.len() < MAX_TOKEN_BYTES)?;
+    parse_header(head).ok()?.kid
 }
 
-/// Checks a token at a time, Unix seconds.
+/// Verifies a token at `now`, Unix seconds.
 ///
 /// # Errors
-/// The first [`Refusal`] found; bounds come before parsing, the key before the claims.
-pub fn check(token: &str, keys: &KeySet, rules: &TokenRules, now: u64) -> Result<Caller, Refusal> {
-    if token.len() > TOKEN_BYTES {
-        return Err(Refusal::TooLong);
+/// The first [`TokenError`] found. Sizes are checked before parsing, and the key before the claims.
+pub fn verify_token(
+    token: &str,
+    keys: &KeySet,
+    rules: &TokenRules,
+    now: u64,
+) -> Result<Caller, TokenError> {
+    if token.len() > MAX_TOKEN_BYTES {
+        return Err(TokenError::TooLong);
     }
     let parts: Vec<&str> = token.split('.').collect();
     let [head, claims, _] = parts[..] else {
-        return Err(Refusal::Malformed("three parts are expected"));
+        return Err(TokenError::Malformed("three parts are expected"));
     };
-    let header = header(head)?;
+    let header = parse_header(head)?;
     let id = header
         .kid
         .filter(|k| !k.is_empty())
-        .ok_or(Refusal::Malformed("it names no key"))?;
-    if id.len() > crate::keys::KEY_ID_BYTES || id.chars().any(char::is_control) {
-        return Err(Refusal::Malformed("its key id"));
+        .ok_or(TokenError::Malformed("it names no key"))?;
+    if id.len() > crate::keys::MAX_KEY_ID_BYTES || id.chars().any(char::is_control) {
+        return Err(TokenError::Malformed("its key id"));
     }
     let Some(key) = keys.get(&id) else {
-        return Err(Refusal::UnknownKey(id));
+        return Err(TokenError::UnknownKey(id));
     };
-    let named = match key.algorithm {
+    let algorithm = match key.algorithm {
         Algorithm::EdDSA => "EdDSA",
         _ => "ES256",
     };
-    if header.alg != named {
-        return Err(Refusal::Algorithm);
+    if header.alg != algorithm {
+        return Err(TokenError::Algorithm);
     }
-    if !key.counts(now, rules.skew_s) {
-        return Err(Refusal::KeyWithdrawn(id));
+    if !key.is_valid(now, rules.skew_s) {
+        return Err(TokenError::KeyWithdrawn(id));
     }
-    let bytes = part(claims, "its claims")?;
-    let claims = serde_json::from_slice(&bytes).map_err(|_| Refusal::Malformed("its claims"))?;
-    // Times are checked below against the given clock; the library would read its own.
+    let bytes = decode_json_part(claims, "its claims")?;
+    let claims = serde_json::from_slice(&bytes).map_err(|_| TokenError::Malformed("its claims"))?;
+    // `validate_claims` checks the times against `now`; the library would use the system clock.
     let mut validation = Validation::new(key.algorithm);
     (
         validation.validate_exp,
@@ -182,52 +190,57 @@
         validation.validate_aud,
     ) = (false, false, false);
     validation.required_spec_claims.clear();
-    let verified = jsonwebtoken::decode::<serde_json::Value>(token, &key.verifies, &validation);
-    verified.map_err(|_| Refusal::Signature)?;
-    judge(claims, id, rules, now)
+    let verified = jsonwebtoken::decode::<serde_json::Value>(token, &key.decoding_key, &validation);
+    verified.map_err(|_| TokenError::Signature)?;
+    validate_claims(claims, id, rules, now)
 }
 
-fn judge(
+fn validate_claims(
     claims: RawClaims,
     key_id: String,
     rules: &TokenRules,
     now: u64,
-) -> Result<Caller, Refusal> {
-    let for_us = match &claims.aud {
+) -> Result<Caller, TokenError> {
+    let audience_matches = match &claims.aud {
         Audience::One(a) => *a == rules.audience,
         Audience::Many(list) => list.contains(&rules.audience),
     };
-    let long = |t: &String| t.len() > CLAIM_BYTES || t.chars().any(char::is_control);
+    let is_invalid = |t: &String| t.len() > MAX_CLAIM_BYTES || t.chars().any(char::is_control);
     if claims.iss != rules.issuer {
-        return Err(Refusal::Issuer);
+        return Err(TokenError::Issuer);
     }
-    if !for_us {
-        return Err(Refusal::Audience);
+    if !audience_matches {
+        return Err(TokenError::Audience);
     }
-    if claims.sub.is_empty() || long(&claims.sub) || claims.jti.as_ref().is_some_and(long) {
-        return Err(Refusal::Malformed("its subject or id"));
+    if claims.sub.is_empty()
+        || is_invalid(&claims.sub)
+        || claims.jti.as_ref().is_some_and(is_invalid)
+    {
+        return Err(TokenError::Malformed("its subject or id"));
     }
     if claims.sub.starts_with(CERTIFICATE_SUBJECT) {
-        return Err(Refusal::Malformed("its subject, which is a certificate's"));
+        return Err(TokenError::Malformed(
+            "its subject, which is a certificate's",
+        ));
     }
-    if claims.groups.len() > GROUPS_MOST || claims.groups.iter().any(long) {
-        return Err(Refusal::Malformed("its groups"));
+    if claims.groups.len() > MAX_GROUPS || claims.groups.iter().any(is_invalid) {
+        return Err(TokenError::Malformed("its groups"));
     }
     if now >= claims.exp.saturating_add(rules.skew_s) {
-        return Err(Refusal::Expired);
+        return Err(TokenError::Expired);
     }
     if claims
         .nbf
         .is_some_and(|nbf| nbf > now.saturating_add(rules.skew_s))
     {
-        return Err(Refusal::NotYet);
+        return Err(TokenError::NotYetValid);
     }
     Ok(Caller {
         subject: claims.sub,
         groups: claims.groups,
         key_id,
         token_id: claims.jti,
-        ends: claims.exp.saturating_add(rules.skew_s),
-        proof: Proof::Token,
+        expires_at: claims.exp.saturating_add(rules.skew_s),
+        credential: Credential::Token,
     })
 }
--- a/crates/identity/tests/certificates.rs
+++ b/crates/identity/tests/certificates.rs
@@ -1,10 +1,10 @@
-//! Certificates and lists of revoked ones: good ones read right, bad ones refused, nothing damaged believed.
+//! Tests of client certificates and revocation lists, including corrupted ones.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use bitternlatch_identity::certificates::{caller_of, Revocations};
-use bitternlatch_identity::Proof;
+use bitternlatch_identity::certificates::{caller_from_certificate, Revocations};
+use bitternlatch_identity::Credential;
 use proptest::prelude::*;
 use rcgen::{
     BasicConstraints, CertificateParams, CertificateRevocationListParams, DnType, IsCa, Issuer,
@@ -60,17 +60,17 @@
             .to_vec()
     }
 
-    fn list(&self, serials: &[u8], made: u64) -> Vec<u8> {
+    fn list(&self, serials: &[u8], issued_at: u64) -> Vec<u8> {
         let one = |s: &u8| RevokedCertParams {
             serial_number: SerialNumber::from_slice(&[*s, 0, 7]),
-            revocation_time: at(made),
+            revocation_time: at(issued_at),
             reason_code: None,
             invalidity_date: None,
         };
         let params = CertificateRevocationListParams {
-            this_update: at(made),
-            next_update: at(made + 50),
-            crl_number: SerialNumber::from(made),
+            this_update: at(issued_at),
+            next_update: at(issued_at + 50),
+            crl_number: SerialNumber::from(issued_at),
             issuing_distribution_point: None,
             revoked_certs: serials.iter().map(one).collect(),
             key_identifier_method: KeyIdMethod::Sha256,
@@ -96,9 +96,9 @@
 }
 
 #[test]
-fn a_certificate_names_one_caller_or_none() {
+fn certificate_names_one_caller_or_is_rejected() {
     let ca = Ca::new("ca");
-    let both = caller_of(
+    let both = caller_from_certificate(
         &ca.issue(
             1,
             vec![dns("A.example.org"), uri("urn:c:ann")],
@@ -111,14 +111,22 @@
         (both.subject.as_str(), both.groups.as_slice()),
         ("cert:uri:urn:c:ann", &["desk".to_string()][..])
     );
-    assert_eq!((both.ends, both.proof), (NOW + 100, Proof::Certificate));
-    let host = caller_of(&ca.issue(1, vec![dns("A.example.org")], None), NOW).expect("a caller");
+    assert_eq!(
+        (both.expires_at, both.credential),
+        (NOW + 100, Credential::Certificate)
+    );
+    let host = caller_from_certificate(&ca.issue(1, vec![dns("A.example.org")], None), NOW)
+        .expect("a caller");
     assert_eq!(
         (host.subject.as_str(), host.key_id),
         ("cert:dns:a.example.org", both.key_id),
-        "one serial, one id"
+        "same issuer and serial, same id"
     );
-    let code = |der: &[u8], now| caller_of(der, now).expect_err("no caller").code();
+    let code = |der: &[u8], now| {
+        caller_from_certificate(der, now)
+            .expect_err("no caller")
+            .code()
+    };
     assert_eq!(code(&ca.issue(1, vec![], None), NOW), "certificate_name");
     assert_eq!(
         code(&ca.issue(1, vec![uri("urn:a"), uri("urn:b")], None), NOW),
@@ -126,7 +134,11 @@
     );
     let good = ca.issue(1, vec![uri("urn:a")], None);
     assert_eq!(code(&good, NOW + 100), "certificate_expired");
-    assert_eq!(code(&good, NOW - 101), "certificate_expired", "not yet");
+    assert_eq!(
+        code(&good, NOW - 101),
+        "certificate_expired",
+        "not valid yet"
+    );
     assert_eq!(code(&good[..good.len() - 1], NOW), "certificate_malformed");
     assert_eq!(
         code(&[good.as_slice(), &[0]].concat(), NOW),
@@ -136,63 +148,64 @@
 }
 
 #[test]
-fn lists_count_whole_signed_and_forward_alone() {
+fn revocation_lists_must_be_complete_signed_and_newer() {
     let (ca, other) = (Ca::new("ca"), Ca::new("other"));
     let impostor = Ca::new("ca");
     let trusted = [ca.der.clone(), other.der.clone()];
     let id = |ca: &Ca, serial| {
-        caller_of(&ca.issue(serial, vec![uri("urn:a")], None), NOW)
+        caller_from_certificate(&ca.issue(serial, vec![uri("urn:a")], None), NOW)
             .expect("one")
             .key_id
     };
     let none = Revocations::default();
     let first = none
-        .with(&[ca.list(&[1], NOW), other.list(&[2], NOW)], &trusted, NOW)
-        .expect("counts");
-    assert!(first.revoked(&id(&ca, 1)) && first.revoked(&id(&other, 2)));
+        .with_lists(&[ca.list(&[1], NOW), other.list(&[2], NOW)], &trusted, NOW)
+        .expect("accepted");
+    assert!(first.is_revoked(&id(&ca, 1)) && first.is_revoked(&id(&other, 2)));
     assert!(
-        !first.revoked(&id(&ca, 2)) && !first.revoked(&id(&other, 1)),
-        "each issuer's own serials"
+        !first.is_revoked(&id(&ca, 2)) && !first.is_revoked(&id(&other, 1)),
+        "serials are per issuer"
     );
 
     let second = first
-        .with(&[ca.list(&[1, 3], NOW + 1)], &trusted, NOW + 1)
-        .expect("counts");
-    assert_eq!(second.since(&first), [id(&ca, 3)]);
+        .with_lists(&[ca.list(&[1, 3], NOW + 1)], &trusted, NOW + 1)
+        .expect("accepted");
+    assert_eq!(second.newly_revoked(&first), [id(&ca, 3)]);
     assert!(
-        second.revoked(&id(&other, 2)),
-        "a list that is missing frees nobody"
+        second.is_revoked(&id(&other, 2)),
+        "an issuer without a new list keeps its current one"
     );
     let fault = |lists: &[Vec<u8>], now| {
         second
-            .with(lists, &trusted, now)
-            .expect_err("refused")
+            .with_lists(lists, &trusted, now)
+            .expect_err("rejected")
             .to_string()
     };
     assert!(
-        fault(&[ca.list(&[], NOW)], NOW + 2).contains("before the one in force"),
-        "an old one replayed"
+        fault(&[ca.list(&[], NOW)], NOW + 2).contains("before the one in effect"),
+        "an older list is replayed"
     );
-    assert!(fault(&[impostor.list(&[], NOW + 2)], NOW + 2).contains("none of the authorities"));
-    assert!(fault(&[ca.list(&[], NOW + 900)], NOW + 2).contains("has not come"));
+    assert!(fault(&[impostor.list(&[], NOW + 2)], NOW + 2)
+        .contains("not signed by a trusted authority"));
+    assert!(fault(&[ca.list(&[], NOW + 900)], NOW + 2).contains("in the future"));
     assert!(
         fault(&[ca.list(&[], NOW + 2), ca.list(&[9], NOW + 2)], NOW + 2)
-            .contains("two of one issuer")
+            .contains("two lists of one issuer")
     );
     let good = ca.list(&[4], NOW + 2);
     assert!(fault(&[good[..good.len() - 1].to_vec()], NOW + 2).contains("cannot be read"));
     assert_eq!(
         (second.overdue(NOW + 10), second.overdue(NOW + 52)),
         (0, 2),
-        "late, and still counted"
+        "overdue lists stay in effect"
     );
 }
 
-/// Cases of the property run; more by hand with `PROPTEST_CASES`.
+/// Default number of property test cases; `PROPTEST_CASES` overrides it.
 const CASES: u32 = 1_000;
 
 #[test]
-fn damaged_certificates_and_lists_neither_panic_nor_count() {
+fn corrupted_certificates_and_lists_are_rejected_without_panic() {
     let ca = Ca::new("ca");
     let trusted = [ca.der.clone()];
     let good = ca.issue(
@@ -202,8 +215,8 @@
     );
     let list = ca.list(&[1, 2], NOW);
     let known = Revocations::default()
-        .with(std::slice::from_ref(&list), &trusted, NOW)
-        .expect("counts");
+        .with_lists(std::slice::from_ref(&list), &trusted, NOW)
+        .expect("accepted");
     let cases = std::env::var("PROPTEST_CASES")
         .ok()
         .and_then(|c| c.parse().ok())
@@ -216,22 +229,22 @@
     let mut runner = proptest::test_runner::TestRunner::new(config);
     let edits = prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0..3u8), 1..4);
     let read = std::cell::Cell::new(0u32);
-    let named = &caller_of(&good, NOW).expect("a caller");
+    let named = &caller_from_certificate(&good, NOW).expect("a caller");
     let mut roots = RootCertStore::empty();
     roots.add(ca.der.clone().into()).expect("a root");
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider).build();
     let verifier = verifier.expect("a verifier");
     let at_now = UnixTime::since_unix_epoch(Duration::from_secs(NOW));
-    let proven = |der: &[u8]| {
+    let handshake_accepts = |der: &[u8]| {
         verifier
             .verify_client_cert(&der.to_vec().into(), &[], at_now)
             .is_ok()
     };
-    assert!(proven(&good));
+    assert!(handshake_accepts(&good));
     runner
-        .run(&(edits, any::<bool>()), |(edits, of_list)| {
-            let whole = if of_list { &list } else { &good };
+        .run(&(edits, any::<bool>()), |(edits, edit_list)| {
+            let whole = if edit_list { &list } else { &good };
             let mut bytes = whole.clone();
             for (at, value, kind) in edits {
                 let i = at.index(bytes.len());
@@ -241,25 +254,29 @@
                     _ => bytes.insert(i, value),
                 }
             }
-            if of_list {
-                let taken = known.with(std::slice::from_ref(&bytes), &trusted, NOW);
+            if edit_list {
+                let taken = known.with_lists(std::slice::from_ref(&bytes), &trusted, NOW);
                 prop_assert!(
                     taken.as_ref().is_err() || taken == Ok(known.clone()),
-                    "a damaged list counts"
+                    "a corrupted list is accepted"
                 );
                 return Ok(());
             }
-            if let Ok(caller) = caller_of(&bytes, NOW) {
+            if let Ok(caller) = caller_from_certificate(&bytes, NOW) {
                 read.set(read.get() + 1);
-                // Who it names counts once the handshake's own check has passed it, and that passes nothing damaged.
-                prop_assert!(!proven(&bytes) || caller == *named, "{}", caller.subject);
+                // A caller is trusted only after the handshake's verification, which must pass no corrupted certificate.
+                prop_assert!(
+                    !handshake_accepts(&bytes) || caller == *named,
+                    "{}",
+                    caller.subject
+                );
             }
             Ok(())
         })
         .expect("no case fails");
     assert!(
         read.get() > 10,
-        "some damaged ones can be read: {}",
+        "too few corrupted certificates can be parsed: {}",
         read.get()
     );
 }
--- a/crates/identity/tests/keeper.rs
+++ b/crates/identity/tests/keeper.rs
@@ -1,11 +1,11 @@
-//! The key set's life: an issuer that is down, slow or lying, unknown keys, clocks that jump. And rights.
+//! Tests of the key set cache (unavailable or faulty issuer, unknown keys, clock jumps) and of access rights.
 
-use bitternlatch_identity::keeper::{Keeper, KeeperRules, Taken};
-use bitternlatch_identity::rights::{Denial, Rights, Wish};
-use bitternlatch_identity::{Caller, Proof};
+use bitternlatch_identity::keeper::{FetchOutcome, KeySetCache, KeySetCacheRules};
+use bitternlatch_identity::rights::{AccessRequest, AccessRights, Denial};
+use bitternlatch_identity::{Caller, Credential};
 
 fn document(ids: &[&str]) -> Vec<u8> {
-    // Two points of Ed25519 that are public keys of nobody in particular.
+    // The public key of the Ed25519 example in RFC 8037, appendix A.
     let x = "11qYAYKxCrfVS_7TyWQHOg7hcvPapiMlrwIaaPcHURo";
     let keys: Vec<String> = ids
         .iter()
@@ -14,45 +14,48 @@
     format!("{{\"keys\":[{}]}}", keys.join(",")).into_bytes()
 }
 
-fn rules() -> KeeperRules {
-    KeeperRules {
-        refresh_s: 60.0,
-        keep_s: 3600.0,
-        pause_s: (1.0, 30.0),
-        unknown_every_s: 5.0,
+fn rules() -> KeySetCacheRules {
+    KeySetCacheRules {
+        refresh_interval_s: 60.0,
+        max_age_s: 3600.0,
+        retry_delay_s: (1.0, 30.0),
+        min_unknown_key_interval_s: 5.0,
     }
 }
 
-fn ids(keeper: &Keeper, now: f64) -> Option<Vec<String>> {
+fn ids(keeper: &KeySetCache, now: f64) -> Option<Vec<String>> {
     keeper
-        .set(now)
+        .current(now)
         .map(|s| s.ids().map(str::to_string).collect())
 }
 
 #[test]
-fn an_issuer_down_at_the_start_is_asked_with_growing_pauses_and_its_first_set_counts() {
-    let mut keeper = Keeper::new(rules(), 0.0);
+fn unavailable_issuer_is_retried_with_backoff_until_the_first_key_set() {
+    let mut keeper = KeySetCache::new(rules(), 0.0);
     let (mut now, mut fetches) = (0.0, 0);
     while now < 600.0 {
         if keeper.fetch_due(now) {
-            assert!(!keeper.fetch_due(now), "one at a time");
-            keeper.failed(now, 0.5);
+            assert!(!keeper.fetch_due(now), "one fetch at a time");
+            keeper.fetch_failed(now, 0.5);
             fetches += 1;
         }
         now += 0.5;
     }
-    assert!((20..40).contains(&fetches), "{fetches} in ten minutes");
+    assert!(
+        (20..40).contains(&fetches),
+        "{fetches} fetches in ten minutes"
+    );
     assert!(ids(&keeper, now).is_none());
     assert!(matches!(
         keeper.fetched(now, &document(&["a"]), 0.5),
-        Taken::New { .. }
+        FetchOutcome::Replaced { .. }
     ));
     assert_eq!(ids(&keeper, now), Some(vec!["a".to_string()]));
 }
 
 #[test]
-fn the_last_good_set_counts_through_an_hour_without_the_issuer_and_no_longer() {
-    let mut keeper = Keeper::new(rules(), 0.0);
+fn last_valid_key_set_is_used_for_its_maximum_age_while_the_issuer_fails() {
+    let mut keeper = KeySetCache::new(rules(), 0.0);
     keeper.fetched(0.0, &document(&["a"]), 0.5);
     for (at, garbage) in [
         (60.0, &b"<html>"[..]),
@@ -60,27 +63,30 @@
         (180.0, &document(&["b", "b"])),
     ] {
         assert!(
-            matches!(keeper.fetched(at, garbage, 0.5), Taken::Refused(_)),
+            matches!(keeper.fetched(at, garbage, 0.5), FetchOutcome::Invalid(_)),
             "{at}"
         );
         assert_eq!(ids(&keeper, at), Some(vec!["a".to_string()]));
     }
     assert!(ids(&keeper, 3599.0).is_some() && ids(&keeper, 3600.0).is_none());
-    let Taken::New { dropped } = keeper.fetched(4000.0, &document(&["c"]), 0.5) else {
-        panic!("a new set")
+    let FetchOutcome::Replaced { removed } = keeper.fetched(4000.0, &document(&["c"]), 0.5) else {
+        panic!("replaced")
     };
-    assert_eq!(dropped, ["a"], "what counted before and is gone is told");
-    assert_eq!(keeper.fetched(4060.0, &document(&["c"]), 0.5), Taken::Same);
+    assert_eq!(removed, ["a"], "removed keys are reported");
+    assert_eq!(
+        keeper.fetched(4060.0, &document(&["c"]), 0.5),
+        FetchOutcome::Unchanged
+    );
 }
 
 #[test]
-fn unknown_keys_set_off_one_fetch_however_many_ask() {
-    let mut keeper = Keeper::new(rules(), 0.0);
+fn unknown_keys_trigger_a_limited_number_of_fetches() {
+    let mut keeper = KeySetCache::new(rules(), 0.0);
     keeper.fetched(0.0, &document(&["a"]), 0.5);
     let mut fetches = 0;
     for i in 0..10_000 {
         let now = 1.0 + f64::from(i) * 0.001;
-        keeper.unknown_key(now, &format!("made-up-{i}"));
+        keeper.report_unknown_key(now, &format!("unknown-{i}"));
         if keeper.fetch_due(now) {
             fetches += 1;
             keeper.fetched(now, &document(&["a"]), 0.5);
@@ -88,52 +94,55 @@
     }
     assert!(
         (1..=3).contains(&fetches),
-        "{fetches} fetches for 10,000 made-up keys in ten seconds"
+        "{fetches} fetches for 10,000 unknown keys in ten seconds"
     );
-    keeper.unknown_key(20.0, "new");
+    keeper.report_unknown_key(20.0, "new");
     assert!(keeper.fetch_due(20.0));
     keeper.fetched(20.0, &document(&["a", "new"]), 0.5);
     assert_eq!(ids(&keeper, 20.0).map(|i| i.len()), Some(2));
-    keeper.unknown_key(30.0, "gone");
+    keeper.report_unknown_key(30.0, "gone");
     assert!(keeper.fetch_due(30.0));
     keeper.fetched(30.0, &document(&["a"]), 0.5);
-    keeper.unknown_key(36.0, "gone");
-    assert!(!keeper.fetch_due(36.0), "the issuer has just not known it");
+    keeper.report_unknown_key(36.0, "gone");
+    assert!(
+        !keeper.fetch_due(36.0),
+        "a recent fetch did not return the key"
+    );
 }
 
 #[test]
-fn fetches_of_many_dispatchers_spread_and_a_clock_that_jumps_back_does_not_stop_them() {
+fn fetches_are_spread_and_continue_after_the_clock_is_set_back() {
     let next: Vec<f64> = (0..10)
         .map(|i| {
-            let mut keeper = Keeper::new(rules(), 0.0);
+            let mut keeper = KeySetCache::new(rules(), 0.0);
             keeper.fetched(0.0, &document(&["a"]), f64::from(i) / 9.0);
-            keeper.next_at()
+            keeper.next_fetch_at()
         })
         .collect();
     assert!(
         next[0] >= 54.0 && next[9] <= 66.0 && next[9] - next[0] > 10.0,
         "{next:?}"
     );
-    let mut keeper = Keeper::new(rules(), 1000.0);
+    let mut keeper = KeySetCache::new(rules(), 1000.0);
     keeper.fetched(1000.0, &document(&["a"]), 0.5);
     assert!(!keeper.fetch_due(1001.0));
-    assert!(keeper.fetch_due(500.0), "the clock went back");
+    assert!(keeper.fetch_due(500.0), "the clock was set back");
     assert!(ids(&keeper, 500.0).is_some());
 }
 
 #[test]
-fn a_restart_with_only_the_last_good_keys_counts_them_for_what_is_left_of_their_time() {
-    let mut first = Keeper::new(rules(), 0.0);
+fn restored_key_set_is_used_for_the_remainder_of_its_maximum_age() {
+    let mut first = KeySetCache::new(rules(), 0.0);
     first.fetched(0.0, &document(&["a"]), 0.5);
-    let (kept, age_s) = first
+    let (stored, age_s) = first
         .document(1000.0)
         .map(|(d, a)| (d.to_vec(), a))
         .expect("a document");
-    let mut second = Keeper::new(rules(), 0.0);
-    second.restore(0.0, &kept, age_s + 600.0).expect("good");
+    let mut second = KeySetCache::new(rules(), 0.0);
+    second.restore(0.0, &stored, age_s + 600.0).expect("good");
     assert!(ids(&second, 1999.0).is_some() && ids(&second, 2000.0).is_none());
-    assert!(second.restore(0.0, &kept[..10], 0.0).is_err());
-    assert!(second.fetch_due(0.0), "and a fresh one is fetched at once");
+    assert!(second.restore(0.0, &stored[..10], 0.0).is_err());
+    assert!(second.fetch_due(0.0), "a fetch is due at once");
 }
 
 const RIGHTS: &str = r#"
@@ -162,23 +171,23 @@
         groups,
         key_id: "k".into(),
         token_id: None,
-        ends: 0,
-        proof: Proof::Token,
+        expires_at: 0,
+        credential: Credential::Token,
     }
 }
 
 #[test]
-fn rights_are_given_by_the_first_rule_that_names_the_caller_and_refused_otherwise() {
-    let rights = Rights::parse(RIGHTS).expect("good rights");
-    let wish = |class, model| Wish {
+fn first_matching_rule_decides_and_unknown_callers_are_denied() {
+    let rights = AccessRights::parse(RIGHTS).expect("good rights");
+    let request = |class, model| AccessRequest {
         class,
         model,
         max_output_tokens: None,
         tenant: None,
     };
-    let may = |c: &Caller, w: Wish<'_>| {
+    let authorize = |c: &Caller, r: AccessRequest<'_>| {
         rights
-            .may(c, &w)
+            .authorize(c, &r)
             .map(|g| (g.rule, g.max_output_tokens))
             .map_err(|d| d.code())
     };
@@ -188,35 +197,37 @@
         caller("x", &["y"]),
     );
     assert_eq!(
-        may(&director, wish("season-booking", "any")),
+        authorize(&director, request("season-booking", "any")),
         Ok(("directors".into(), 500))
     );
     assert_eq!(
-        may(&member, wish("slot-query", "small")),
+        authorize(&member, request("slot-query", "small")),
         Ok(("members".into(), 200))
     );
     assert_eq!(
-        may(&member, wish("season-booking", "small")),
+        authorize(&member, request("season-booking", "small")),
         Err("class_not_allowed")
     );
     assert_eq!(
-        may(&member, wish("slot-query", "large")),
+        authorize(&member, request("slot-query", "large")),
         Err("model_not_allowed")
     );
     assert_eq!(
-        may(&nobody, wish("slot-query", "small")),
+        authorize(&nobody, request("slot-query", "small")),
         Err("caller_unknown")
     );
-    let most = Wish {
+    let excessive = AccessRequest {
         max_output_tokens: Some(201),
-        ..wish("slot-query", "small")
+        ..request("slot-query", "small")
     };
-    assert_eq!(may(&member, most), Err("output_not_allowed"));
-    let other = Wish {
+    assert_eq!(authorize(&member, excessive), Err("output_not_allowed"));
+    let other = AccessRequest {
         tenant: Some("bands"),
-        ..wish("slot-query", "small")
+        ..request("slot-query", "small")
     };
-    let denial = rights.may(&member, &other).expect_err("another tenant");
+    let denial = rights
+        .authorize(&member, &other)
+        .expect_err("another tenant");
     assert_eq!(
         denial,
         Denial::Tenant {
@@ -224,29 +235,30 @@
         }
     );
     assert_eq!(denial.param(), Some("metadata.tenant"));
-    assert!(may(
+    assert!(authorize(
         &member,
-        Wish {
+        AccessRequest {
             tenant: Some("choirs"),
-            ..wish("slot-query", "small")
+            ..request("slot-query", "small")
         }
     )
     .is_ok());
 }
 
 #[test]
-fn rights_files_that_are_wrong_name_the_place() {
-    let fault = |from: &str, to: &str| Rights::parse(&RIGHTS.replacen(from, to, 1)).expect_err(to);
+fn invalid_rights_files_are_rejected_with_line_or_rule() {
+    let fault =
+        |from: &str, to: &str| AccessRights::parse(&RIGHTS.replacen(from, to, 1)).expect_err(to);
     assert!(fault("tenant = \"choirs\"", "tenat = \"choirs\"").starts_with("line 5: unknown field"));
     assert!(fault("\"members\"\nsubj", "\"directors\"\nsubj")
         .contains("rule 'directors': its name is used twice"));
     assert!(fault("groups = [\"directors\"]\n", "").contains("names neither"));
     assert!(fault("max_output_tokens = 500", "max_output_tokens = 0").contains("allows nothing"));
-    assert!(Rights::parse("")
+    assert!(AccessRights::parse("")
         .expect("none")
-        .may(
+        .authorize(
             &caller("a", &[]),
-            &Wish {
+            &AccessRequest {
                 class: "c",
                 model: "m",
                 max_output_tokens: None,
--- a/crates/identity/tests/tokens.rs
+++ b/crates/identity/tests/tokens.rs
@@ -1,9 +1,9 @@
-//! A table of tokens and what becomes of each; keys over time; many inputs that nobody thought of.
+//! Tests of token verification, key rotation and key set parsing, with random inputs as well.
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD as B64;
 use base64::Engine;
 use bitternlatch_identity::keys::{KeySet, KeyState};
-use bitternlatch_identity::token::{check, key_id, Refusal, TokenRules, TOKEN_BYTES};
+use bitternlatch_identity::token::{key_id, verify_token, TokenError, TokenRules, MAX_TOKEN_BYTES};
 use jsonwebtoken::jwk::Jwk;
 use jsonwebtoken::{Algorithm, DecodingKey, EncodingKey, Header, Validation};
 use proptest::prelude::*;
@@ -18,7 +18,7 @@
     Es(EcdsaKeyPair),
 }
 
-/// Signs with another library than the one that checks.
+/// Signs tokens with a different library than the one that verifies them.
 struct Signer {
     id: &'static str,
     pair: Pair,
@@ -74,7 +74,7 @@
         self.sign_raw(&header.to_string(), &claims.to_string())
     }
 
-    /// Signs any header and claims texts.
+    /// Signs arbitrary header and claims texts.
     fn sign_raw(&self, header: &str, claims: &str) -> String {
         let message = format!("{}.{}", B64.encode(header), B64.encode(claims));
         let signature = match &self.pair {
@@ -119,16 +119,16 @@
 }
 
 #[test]
-fn a_table_of_tokens_and_what_becomes_of_each() {
+fn each_token_is_accepted_or_rejected_with_its_code() {
     for signer in [Signer::ed("k1"), Signer::es("k1")] {
         let keys = set(&[signer.public(json!({}))]);
-        let says = |token: &str| {
-            check(token, &keys, &rules(), NOW)
+        let result = |token: &str| {
+            verify_token(token, &keys, &rules(), NOW)
                 .map(|c| c.subject)
                 .map_err(|r| r.code())
         };
         let good = Ok("secretary".to_string());
-        let signed = |c: Value| says(&signer.sign(&c));
+        let signed = |c: Value| result(&signer.sign(&c));
         assert_eq!(signed(claims()), good);
         assert_eq!(signed(with("aud", json!(["other", "bitternlatch"]))), good);
         assert_eq!(signed(with("aud", json!("other"))), Err("token_audience"));
@@ -139,7 +139,7 @@
         assert_eq!(
             signed(with("exp", json!(NOW - 29))),
             good,
-            "within the clocks' difference"
+            "within the tolerated clock skew"
         );
         assert_eq!(signed(with("exp", json!(NOW - 30))), Err("token_expired"));
         assert_eq!(signed(with("nbf", json!(NOW + 30))), good);
@@ -159,7 +159,7 @@
             assert_eq!(signed(without(name)), Err("token_malformed"), "{name}");
         }
         let alg = signer.alg();
-        let raw = |header: String, claims: &str| says(&signer.sign_raw(&header, claims));
+        let raw = |header: String, claims: &str| result(&signer.sign_raw(&header, claims));
         let text = claims().to_string();
         let twice = text.replacen('{', "{\"sub\":\"director\",", 1);
         let head = |more: &str| format!("{{\"alg\":\"{alg}\",\"kid\":\"k1\"{more}}}");
@@ -167,12 +167,12 @@
         assert_eq!(
             raw(head(""), &twice),
             Err("token_malformed"),
-            "a doubled claim"
+            "a duplicate claim"
         );
         assert_eq!(
             raw(head(",\"kid\":\"k1\""), &text),
             Err("token_malformed"),
-            "a doubled header member"
+            "a duplicate header member"
         );
         assert_eq!(
             raw(head(",\"crit\":[\"exp\"]"), &text),
@@ -189,7 +189,7 @@
         assert_eq!(
             raw(format!("{{\"alg\":\"{alg}\"}}"), &text),
             Err("token_malformed"),
-            "no key named"
+            "no key id"
         );
         assert_eq!(
             raw(format!("{{\"alg\":\"{alg}\",\"kid\":\"k2\"}}"), &text),
@@ -205,11 +205,11 @@
             B64.encode(&text)
         );
         assert_eq!(
-            says(&format!("{message}.")),
+            result(&format!("{message}.")),
             Err("token_algorithm"),
-            "alg none, unsigned"
+            "algorithm none, without a signature"
         );
-        // The public key taken as the secret of an HMAC.
+        // A token signed by HMAC with the public key as the secret (algorithm confusion).
         let public = signer.public(json!({})).to_string();
         let secret = EncodingKey::from_secret(public.as_bytes()).expect("a secret");
         let header = Header {
@@ -217,22 +217,22 @@
             ..Header::new(Algorithm::HS256)
         };
         let hmac = jsonwebtoken::encode(&header, &claims(), &secret).expect("a token");
-        assert_eq!(says(&hmac), Err("token_algorithm"));
+        assert_eq!(result(&hmac), Err("token_algorithm"));
         let token = signer.sign(&claims());
         let (body, signature) = token.rsplit_once('.').expect("a signature");
         let other = Signer::ed("k1").sign(&claims());
         assert_eq!(
-            says(&format!(
+            result(&format!(
                 "{body}.{}",
                 other.rsplit('.').next().expect("one")
             )),
             Err("token_signature")
         );
         assert_eq!(
-            says(&format!("{body}.{}", &signature[1..])),
+            result(&format!("{body}.{}", &signature[1..])),
             Err("token_signature")
         );
-        assert_eq!(says(&format!("{body}.")), Err("token_signature"));
+        assert_eq!(result(&format!("{body}.")), Err("token_signature"));
         for broken in [
             "",
             ".",
@@ -242,20 +242,23 @@
             &format!("{token}.x"),
             &format!(" {token}"),
         ] {
-            assert_eq!(says(broken), Err("token_malformed"), "{broken}");
+            assert_eq!(result(broken), Err("token_malformed"), "{broken}");
         }
-        assert_eq!(says(&"a".repeat(TOKEN_BYTES + 1)), Err("token_too_long"));
+        assert_eq!(
+            result(&"a".repeat(MAX_TOKEN_BYTES + 1)),
+            Err("token_too_long")
+        );
         assert_eq!(key_id(&token).as_deref(), Some("k1"));
     }
 }
 
 #[test]
-fn the_old_key_counts_through_the_overlap_and_not_after() {
+fn old_key_is_valid_during_the_overlap_and_not_after() {
     let (old, new) = (Signer::ed("old"), Signer::ed("new"));
-    let change = NOW + 100;
+    let rotation = NOW + 100;
     let keys = set(&[
-        old.public(json!({ "exp": change + 60 })),
-        new.public(json!({ "nbf": change })),
+        old.public(json!({ "exp": rotation + 60 })),
+        new.public(json!({ "nbf": rotation })),
     ]);
     let rules = TokenRules {
         skew_s: 0,
@@ -264,28 +267,31 @@
     let at = |signer: &Signer, t: u64| {
         let mut claims = claims();
         claims["exp"] = (t + 10).into();
-        check(&signer.sign(&claims), &keys, &rules, t)
+        verify_token(&signer.sign(&claims), &keys, &rules, t)
             .map(|c| c.key_id)
             .map_err(|r| r.code())
     };
-    assert_eq!(at(&old, change - 1), Ok("old".into()));
+    assert_eq!(at(&old, rotation - 1), Ok("old".into()));
     assert_eq!(
-        at(&new, change - 1),
+        at(&new, rotation - 1),
         Err("token_key_withdrawn"),
-        "announced, not yet counting"
+        "published, not valid yet"
     );
     assert_eq!(
-        at(&old, change + 1),
+        at(&old, rotation + 1),
         Ok("old".into()),
-        "a second after the change"
+        "a second after the rotation"
     );
-    assert_eq!(at(&new, change + 1), Ok("new".into()));
-    assert_eq!(at(&old, change + 60), Err("token_key_withdrawn"));
+    assert_eq!(at(&new, rotation + 1), Ok("new".into()));
+    assert_eq!(at(&old, rotation + 60), Err("token_key_withdrawn"));
     let states = |t| [keys.state("old", t), keys.state("new", t)].map(|s| s.expect("in the set"));
-    assert_eq!(states(change - 1), [KeyState::Signing, KeyState::Announced]);
-    assert_eq!(states(change), [KeyState::Accepted, KeyState::Signing]);
     assert_eq!(
-        states(change + 60),
+        states(rotation - 1),
+        [KeyState::Signing, KeyState::Announced]
+    );
+    assert_eq!(states(rotation), [KeyState::Accepted, KeyState::Signing]);
+    assert_eq!(
+        states(rotation + 60),
         [KeyState::Withdrawn, KeyState::Signing]
     );
     let revoked = set(&[
@@ -294,7 +300,7 @@
     ]);
     let token = old.sign(&claims());
     assert_eq!(
-        check(&token, &revoked, &rules, NOW)
+        verify_token(&token, &revoked, &rules, NOW)
             .map_err(|r| r.code())
             .err(),
         Some("token_key_withdrawn")
@@ -302,7 +308,7 @@
 }
 
 #[test]
-fn key_sets_that_are_wrong_are_refused_whole() {
+fn invalid_key_sets_are_rejected() {
     let (one, two) = (Signer::ed("k"), Signer::es("k"));
     let fault = |document: String| {
         KeySet::parse(document.as_bytes())
@@ -310,17 +316,17 @@
             .to_string()
     };
     let document = |keys: &[Value]| json!({ "keys": keys }).to_string();
-    let twice = document(&[one.public(json!({})), two.public(json!({}))]);
-    assert!(fault(twice).contains("two keys have the id 'k'"));
+    let duplicate = document(&[one.public(json!({})), two.public(json!({}))]);
+    assert!(fault(duplicate).contains("two keys have the id 'k'"));
     assert!(fault(document(&[one.public(json!({ "d": "AA" }))])).contains("private"));
     assert!(
         fault(document(&[one.public(json!({ "nbf": 9, "exp": 9 }))]))
-            .contains("ends before it begins")
+            .contains("expires before it becomes valid")
     );
     assert!(fault(document(&[one.public(json!({ "kid": "" }))])).contains("no id"));
     assert!(fault(document(&[])).contains("no Ed25519"));
     assert!(fault(document(&vec![one.public(json!({})); 33])).contains("33 keys"));
-    assert!(fault("{\"keys\":[],\"keys\":[]}".into()).contains("stands twice"));
+    assert!(fault("{\"keys\":[],\"keys\":[]}".into()).contains("duplicate member 'keys'"));
     assert!(fault("<html>".into()).contains("key set"));
     assert!(fault(" ".repeat(70_000)).contains("70000 bytes"));
     let oct = json!({ "kty": "oct", "kid": "h", "k": "AA" });
@@ -332,11 +338,11 @@
     assert_eq!(
         mixed.ids().collect::<Vec<_>>(),
         ["k"],
-        "kinds not used here are passed over"
+        "unsupported key types are ignored"
     );
 }
 
-/// The library's own strict check with the key of the set, its time checks against the machine's clock left out.
+/// Whether the library accepts the token with one of the keys. Its time checks use the system clock and are disabled.
 fn library_accepts(token: &str, keys: &[(&str, Algorithm, DecodingKey)]) -> bool {
     keys.iter().any(|(_, algorithm, key)| {
         let mut v = Validation::new(*algorithm);
@@ -348,11 +354,11 @@
     })
 }
 
-/// Cases of the property run; more by hand with `PROPTEST_CASES`.
+/// Default number of property test cases; `PROPTEST_CASES` overrides it.
 const CASES: u32 = 1_500;
 
 #[test]
-fn nothing_is_accepted_that_the_library_refuses_and_nothing_panics() {
+fn no_token_is_accepted_that_the_library_rejects() {
     let (ed, es) = (Signer::ed("ed"), Signer::es("es"));
     let publics = [ed.public(json!({})), es.public(json!({}))];
     let keys = set(&publics);
@@ -384,10 +390,10 @@
         ..ProptestConfig::default()
     };
     let edits = prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0..4u8), 0..4);
-    let (mut accepted, mut refused) = (0u64, 0u64);
+    let (mut accepted, mut rejected) = (0u64, 0u64);
     let mut runner = proptest::test_runner::TestRunner::new(config);
     let strategy = (0..seeds.len() + 1, edits, "\\PC{0,60}");
-    let counts = std::cell::RefCell::new((&mut accepted, &mut refused));
+    let counts = std::cell::RefCell::new((&mut accepted, &mut rejected));
     runner
         .run(&strategy, |(which, edits, noise)| {
             let mut bytes = seeds
@@ -406,7 +412,7 @@
                 }
             }
             let text = String::from_utf8_lossy(&bytes).into_owned();
-            let ours = check(&text, &keys, &rules(), NOW);
+            let ours = verify_token(&text, &keys, &rules(), NOW);
             key_id(&text);
             let mut counts = counts.borrow_mut();
             match &ours {
@@ -414,14 +420,14 @@
                     *counts.0 += 1;
                     prop_assert!(library_accepts(&text, &library), "{text}");
                 }
-                Err(Refusal::TooLong) => prop_assert!(text.len() > TOKEN_BYTES),
+                Err(TokenError::TooLong) => prop_assert!(text.len() > MAX_TOKEN_BYTES),
                 Err(_) => *counts.1 += 1,
             }
             Ok(())
         })
         .expect("no case fails");
     assert!(
-        accepted > 50 && refused > 50,
-        "{accepted} accepted, {refused} refused"
+        accepted > 50 && rejected > 50,
+        "{accepted} accepted, {rejected} rejected"
     );
 }
--- a/crates/net/src/guard.rs
+++ b/crates/net/src/guard.rs
@@ -7,13 +7,13 @@
 
 use bitternlatch_core::settings::Identity;
 use bitternlatch_core::Input;
-use bitternlatch_identity::certificates::{caller_of, BadCertificate};
-use bitternlatch_identity::keeper::{Keeper, KeeperRules, Taken};
-use bitternlatch_identity::keys::{KeySet, DOCUMENT_BYTES};
-use bitternlatch_identity::rights::Rights;
-use bitternlatch_identity::time::JudgedTime;
-use bitternlatch_identity::token::{check, key_id, Refusal, TokenRules};
-use bitternlatch_identity::{Caller, Proof};
+use bitternlatch_identity::certificates::{caller_from_certificate, InvalidCertificate};
+use bitternlatch_identity::keeper::{FetchOutcome, KeySetCache, KeySetCacheRules};
+use bitternlatch_identity::keys::{KeySet, MAX_DOCUMENT_BYTES};
+use bitternlatch_identity::rights::AccessRights;
+use bitternlatch_identity::time::CredentialClock;
+use bitternlatch_identity::token::{key_id, verify_token, TokenError, TokenRules};
+use bitternlatch_identity::{Caller, Credential};
 use crossbeam_channel::Sender;
 
 use crate::clock::Clock;
@@ -43,15 +43,15 @@
 pub struct Guard {
     rules: TokenRules,
     /// Lives by a clock that never jumps.
-    keeper: Mutex<Keeper>,
-    time: Mutex<JudgedTime>,
+    keeper: Mutex<KeySetCache>,
+    time: Mutex<CredentialClock>,
     clock: Clock,
     wall: Wall,
     certificates: Option<Arc<tls::Server>>,
 }
 
 impl Guard {
-    fn keeper(&self) -> MutexGuard<'_, Keeper> {
+    fn keeper(&self) -> MutexGuard<'_, KeySetCache> {
         lock(&self.keeper)
     }
 
@@ -68,17 +68,17 @@
     /// Whose a token is.
     ///
     /// # Errors
-    /// The [`Refusal`]; without any key in force all keys are unknown.
-    pub fn check(&self, token: &str) -> Result<Caller, Refusal> {
+    /// The [`TokenError`]; without any key in force all keys are unknown.
+    pub fn check(&self, token: &str) -> Result<Caller, TokenError> {
         let steady = self.steady();
         // The lock is held to share the set alone, not for the signature.
-        let set = self.keeper().set(steady).cloned();
+        let set = self.keeper().current(steady).cloned();
         let checked = match &set {
-            Some(set) => check(token, set, &self.rules, self.now()),
-            None => Err(Refusal::UnknownKey(key_id(token).unwrap_or_default())),
+            Some(set) => verify_token(token, set, &self.rules, self.now()),
+            None => Err(TokenError::UnknownKey(key_id(token).unwrap_or_default())),
         };
-        if let Err(Refusal::UnknownKey(id)) = &checked {
-            self.keeper().unknown_key(steady, id);
+        if let Err(TokenError::UnknownKey(id)) = &checked {
+            self.keeper().report_unknown_key(steady, id);
         }
         checked
     }
@@ -86,25 +86,25 @@
     /// Whose a certificate is that the connection's handshake has proven.
     ///
     /// # Errors
-    /// As [`caller_of`], and one that is revoked.
-    pub fn check_certificate(&self, der: &[u8]) -> Result<Caller, BadCertificate> {
-        let caller = caller_of(der, self.now())?;
+    /// As [`caller_from_certificate`], and one that is revoked.
+    pub fn check_certificate(&self, der: &[u8]) -> Result<Caller, InvalidCertificate> {
+        let caller = caller_from_certificate(der, self.now())?;
         match self.counts(&caller) {
             true => Ok(caller),
-            false => Err(BadCertificate::Revoked),
+            false => Err(InvalidCertificate::Revoked),
         }
     }
 
     /// Whether what proved a caller still counts.
     pub fn counts(&self, caller: &Caller) -> bool {
-        match caller.proof {
-            Proof::Certificate => !self
+        match caller.credential {
+            Credential::Certificate => !self
                 .certificates
                 .as_ref()
                 .is_some_and(|s| s.revoked(&caller.key_id)),
-            Proof::Token => {
-                let set = self.keeper().set(self.steady()).cloned();
-                set.is_some_and(|s| s.counts(&caller.key_id, self.now(), self.rules.skew_s))
+            Credential::Token => {
+                let set = self.keeper().current(self.steady()).cloned();
+                set.is_some_and(|s| s.is_valid(&caller.key_id, self.now(), self.rules.skew_s))
             }
         }
     }
@@ -127,14 +127,14 @@
     let rights = read_rights(&rights_file)?;
     to.send(Event::Input(Input::Rights(rights.clone())))
         .map_err(|e| e.to_string())?;
-    let rules = KeeperRules {
-        refresh_s: identity.refresh_interval_s,
-        keep_s: identity.cache_lifetime_s,
-        ..KeeperRules::default()
+    let rules = KeySetCacheRules {
+        refresh_interval_s: identity.refresh_interval_s,
+        max_age_s: identity.cache_lifetime_s,
+        ..KeySetCacheRules::default()
     };
     let clock = Clock::start();
     let steady = clock.now().seconds();
-    let mut keeper = Keeper::new(rules, steady);
+    let mut keeper = KeySetCache::new(rules, steady);
     let kept = identity.cache_file.as_deref().map(beside);
     if let Some(path) = &kept {
         restore(&mut keeper, steady, path);
@@ -146,7 +146,7 @@
             skew_s: identity.clock_skew_s,
         },
         keeper: Mutex::new(keeper),
-        time: Mutex::new(JudgedTime::new(steady, wall())),
+        time: Mutex::new(CredentialClock::new(steady, wall())),
         clock,
         wall,
         certificates,
@@ -190,12 +190,12 @@
         return Err(format!("{shown}: {size} bytes, more than {RIGHTS_BYTES}"));
     }
     let text = std::fs::read_to_string(path).map_err(|e| format!("{shown}: {e}"))?;
-    Rights::parse(&text).map_err(|e| format!("{shown}: {e}"))?;
+    AccessRights::parse(&text).map_err(|e| format!("{shown}: {e}"))?;
     Ok(text)
 }
 
 /// The kept document counts by its file's age.
-fn restore(keeper: &mut Keeper, steady: f64, path: &Path) {
+fn restore(keeper: &mut KeySetCache, steady: f64, path: &Path) {
     let age = |m: std::fs::Metadata| m.modified().ok().and_then(|t| t.elapsed().ok());
     let age_s = std::fs::metadata(path)
         .ok()
@@ -229,7 +229,7 @@
                     &format!("/{path}"),
                     &Manner::default(),
                     FETCH,
-                    DOCUMENT_BYTES,
+                    MAX_DOCUMENT_BYTES,
                 )
             }
         }
@@ -267,14 +267,14 @@
         let steady = self.guard.steady();
         let ahead_s = {
             let mut time = lock(&self.guard.time);
-            let doubted = time.doubts();
-            let stepped = time.look(steady, (self.guard.wall)());
+            let doubted = time.has_unconfirmed_jump();
+            let stepped = time.update(steady, (self.guard.wall)());
             if let Some(stepped) = stepped {
                 tracing::warn!(
                     by_s = stepped.by_s,
                     "the clock has jumped and stayed; it is followed"
                 );
-            } else if time.doubts() && !doubted {
+            } else if time.has_unconfirmed_jump() && !doubted {
                 tracing::warn!(
                     "the clock has jumped; proofs are judged as before while it may jump back"
                 );
@@ -297,16 +297,16 @@
         let (now, chance) = (self.guard.steady(), chance());
         match came {
             Err(e) => {
-                let pause_s = self.guard.keeper().failed(now, chance);
+                let pause_s = self.guard.keeper().fetch_failed(now, chance);
                 tracing::warn!(error = %e, pause_s, "keys cannot be fetched; the last good ones stay");
             }
             Ok(document) => match self.guard.keeper().fetched(now, &document, chance) {
-                Taken::Same => self.keep(&document),
-                Taken::New { dropped } => {
-                    tracing::info!(?dropped, "a new key set counts");
+                FetchOutcome::Unchanged => self.keep(&document),
+                FetchOutcome::Replaced { removed } => {
+                    tracing::info!(dropped = ?removed, "a new key set counts");
                     self.keep(&document);
                 }
-                Taken::Refused(e) => {
+                FetchOutcome::Invalid(e) => {
                     tracing::warn!(error = %e, "keys are not taken; the last good ones stay")
                 }
             },
@@ -329,14 +329,14 @@
         let skew_s = self.guard.rules.skew_s;
         let counts = |set: &Arc<KeySet>| -> Vec<String> {
             set.ids()
-                .filter(|id| set.counts(id, now, skew_s))
+                .filter(|id| set.is_valid(id, now, skew_s))
                 .map(str::to_string)
                 .collect()
         };
         let counting = self
             .guard
             .keeper()
-            .set(self.guard.steady())
+            .current(self.guard.steady())
             .map(counts)
             .unwrap_or_default();
         let gone: Vec<String> = self
--- a/crates/net/src/tls.rs
+++ b/crates/net/src/tls.rs
@@ -10,8 +10,8 @@
 
 use bitternlatch_core::settings::{EnginesTls, ListenTls};
 use bitternlatch_core::Input;
-use bitternlatch_identity::certificates::{Revocations, LIST_BYTES};
-use bitternlatch_identity::reload::{Look, Reload};
+use bitternlatch_identity::certificates::{Revocations, MAX_LIST_BYTES};
+use bitternlatch_identity::reload::{ReloadAction, ReloadTracker};
 use crossbeam_channel::Sender;
 use rustls::crypto::{ring, CryptoProvider};
 use rustls::pki_types::pem::PemObject;
@@ -42,7 +42,7 @@
     fn read(files: &[PathBuf]) -> Result<Texts, String> {
         let read = |path: &PathBuf| -> Result<Vec<u8>, String> {
             let shown = path.display();
-            let most = FILE_BYTES.max(2 * LIST_BYTES as u64);
+            let most = FILE_BYTES.max(2 * MAX_LIST_BYTES as u64);
             let size = std::fs::metadata(path)
                 .map_err(|e| format!("{shown}: {e}"))?
                 .len();
@@ -128,7 +128,7 @@
     required: bool,
     config: RwLock<Arc<ServerConfig>>,
     revocations: Mutex<Revocations>,
-    reload: Mutex<Reload>,
+    reload: Mutex<ReloadTracker>,
 }
 
 impl Server {
@@ -159,7 +159,7 @@
             required,
             config: RwLock::new(made.config),
             revocations: Mutex::new(made.revocations),
-            reload: Mutex::new(Reload::new(texts.hash())),
+            reload: Mutex::new(ReloadTracker::new(texts.hash())),
         })
     }
 
@@ -181,7 +181,7 @@
             for (path, text) in files.iter().zip(texts).skip(3) {
                 revoked.extend(lists(path, text)?);
             }
-            let offered = before.with(&revoked, &ders, unix() as u64);
+            let offered = before.with_lists(&revoked, &ders, unix() as u64);
             revocations = offered.map_err(|e| e.to_string())?;
             let mut verifier =
                 WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider())
@@ -211,7 +211,7 @@
 
     /// Whether a caller's certificate is revoked by now, whenever it was shown.
     pub fn revoked(&self, key_id: &str) -> bool {
-        lock(&self.revocations).revoked(key_id)
+        lock(&self.revocations).is_revoked(key_id)
     }
 
     /// Looks at the files; takes a new set that is whole, and gives what it newly revokes. What is wrong is logged once and changes
@@ -225,7 +225,7 @@
                 return Vec::new();
             }
         };
-        if lock(&self.reload).look(texts.hash()) != Look::Try {
+        if lock(&self.reload).observe(texts.hash()) != ReloadAction::Load {
             return Vec::new();
         }
         let before = lock(&self.revocations).clone();
@@ -237,15 +237,15 @@
             &before,
         ) {
             Ok(made) => {
-                let news = made.revocations.since(&before);
+                let news = made.revocations.newly_revoked(&before);
                 *lock(&self.revocations) = made.revocations;
                 *self.config.write().unwrap_or_else(PoisonError::into_inner) = made.config;
-                lock(&self.reload).taken();
+                lock(&self.reload).accepted();
                 tracing::info!(revoked = news.len(), "new TLS files count");
                 news
             }
             Err(why) => {
-                lock(&self.reload).refused();
+                lock(&self.reload).rejected();
                 tracing::error!(why, "TLS files are not taken; the last good ones stay");
                 Vec::new()
             }
@@ -258,7 +258,7 @@
     /// Authorities, then certificate and key where there are any.
     files: Vec<PathBuf>,
     config: RwLock<Arc<ClientConfig>>,
-    reload: Mutex<Reload>,
+    reload: Mutex<ReloadTracker>,
 }
 
 impl Client {
@@ -285,7 +285,7 @@
         Ok(Client {
             files,
             config,
-            reload: Mutex::new(Reload::new(texts.hash())),
+            reload: Mutex::new(ReloadTracker::new(texts.hash())),
         })
     }
 
@@ -317,17 +317,17 @@
         let Ok(texts) = Texts::read(&self.files) else {
             return;
         };
-        if lock(&self.reload).look(texts.hash()) != Look::Try {
+        if lock(&self.reload).observe(texts.hash()) != ReloadAction::Load {
             return;
         }
         match Client::make(&self.files, &texts.0) {
             Ok(config) => {
                 *self.config.write().unwrap_or_else(PoisonError::into_inner) = config;
-                lock(&self.reload).taken();
+                lock(&self.reload).accepted();
                 tracing::info!("new TLS files for host links count");
             }
             Err(why) => {
-                lock(&self.reload).refused();
+                lock(&self.reload).rejected();
                 tracing::error!(
                     why,
                     "TLS files for host links are not taken; the last good ones stay"
--- a/programs/benchmark/src/secured.rs
+++ b/programs/benchmark/src/secured.rs
@@ -6,7 +6,7 @@
 use bitternlatch_chaos::process::Dispatcher;
 use bitternlatch_chaos::secured::Proofs;
 use bitternlatch_identity::keys::KeySet;
-use bitternlatch_identity::token::{check, TokenRules};
+use bitternlatch_identity::token::{verify_token, TokenRules};
 use bitternlatch_keys::Ring;
 use bitternlatch_mock_engine::capture::Capture;
 use bitternlatch_mock_engine::Standins;
@@ -200,7 +200,7 @@
     for _ in 0..rounds {
         let start = Instant::now();
         for _ in 0..EACH {
-            check(&token, &keys, &rules, now).map_err(|e| e.to_string())?;
+            verify_token(&token, &keys, &rules, now).map_err(|e| e.to_string())?;
         }
         whole.push(EACH as f64 / start.elapsed().as_secs_f64());
         let start = Instant::now();
--- a/programs/chaos/tests/deploy_files.rs
+++ b/programs/chaos/tests/deploy_files.rs
@@ -37,7 +37,7 @@
 
 #[test]
 fn the_access_rights_are_read() {
-    bitternlatch_identity::rights::Rights::parse(&text("rights.toml")).expect("rights");
+    bitternlatch_identity::rights::AccessRights::parse(&text("rights.toml")).expect("rights");
 }
 
 #[test]
--- a/programs/dispatch/src/lib.rs
+++ b/programs/dispatch/src/lib.rs
@@ -14,7 +14,7 @@
 
 use bitternlatch_cluster_net::{ClusterEvent, ClusterRuntime};
 use bitternlatch_core::{Input, Settings};
-use bitternlatch_identity::rights::Rights;
+use bitternlatch_identity::rights::AccessRights;
 use bitternlatch_inventory::{LastGood, Offer};
 use bitternlatch_journal::Journal;
 use bitternlatch_net::accept::{Acceptor, Door};
@@ -172,7 +172,7 @@
     let path = beside(config, &identity.rights);
     let shown = path.display();
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{shown}: {e}"))?;
-    let rights = Rights::parse(&text).map_err(|e| format!("{shown}: {e}"))?;
+    let rights = AccessRights::parse(&text).map_err(|e| format!("{shown}: {e}"))?;
     if let Some(class) = rights
         .classes()
         .find(|c| settings.classes.iter().all(|known| known.name != **c))
--- a/programs/keys/src/main.rs
+++ b/programs/keys/src/main.rs
@@ -5,8 +5,8 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use bitternlatch_identity::keys::KeySet;
-use bitternlatch_identity::rights::{Rights, Wish};
-use bitternlatch_identity::{Caller, Proof};
+use bitternlatch_identity::rights::{AccessRequest, AccessRights};
+use bitternlatch_identity::{Caller, Credential};
 use bitternlatch_keys::authority::{Authority, Wanted};
 use bitternlatch_keys::Ring;
 use clap::{Parser, Subcommand};
@@ -219,18 +219,18 @@
 ) -> Result<u8, String> {
     let shown = rights.display();
     let text = std::fs::read_to_string(rights).map_err(|e| format!("{shown}: {e}"))?;
-    let rights = Rights::parse(&text).map_err(|e| format!("{shown}: {e}"))?;
+    let rights = AccessRights::parse(&text).map_err(|e| format!("{shown}: {e}"))?;
     let caller = Caller {
         subject: caller.into(),
         groups: groups.to_vec(),
         key_id: String::new(),
         token_id: None,
-        ends: 0,
-        proof: Proof::Token,
+        expires_at: 0,
+        credential: Credential::Token,
     };
-    match rights.may(
+    match rights.authorize(
         &caller,
-        &Wish {
+        &AccessRequest {
             class,
             model,
             max_output_tokens: None,
