--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,8 +1,9 @@
-//! Charges on disk: written in full or not at all, shipped at least once, billed.
+//! Durable journal of charge entries: each batch is stored atomically and shipped to the quota server at least once.
 //!
-//! The store is `redb`, an embedded one whose commits are atomic and survive a crash at any write. A batch of entries is one
-//! commit, so that many charges share one wait for the disk. Entries are kept by response and number: a repeat is dropped, another
-//! content under the same number is reported and not taken, and nothing is ever edited.
+//! Entries are stored in `redb`, an embedded database whose commits are atomic and survive a crash at any write. A batch
+//! of entries is one commit, so that many charges share one disk sync. Entries are keyed by response and number. A
+//! duplicate is ignored, an entry that differs from the stored one with its key is reported and not stored, and stored
+//! entries are never modified.
 
 pub mod output_barrier;
 
@@ -14,118 +15,122 @@
     WriteTransaction,
 };
 
-/// Entries by response and number, as JSON.
+/// Table of the entries as JSON, keyed by response id and entry number.
 const ENTRIES: TableDefinition<'_, (&str, u32), &[u8]> = TableDefinition::new("entries");
-/// Keys of the entries by sequence number, the order in which they were written.
+/// Table of the entries' keys by sequence number, in the order in which they were written.
 const ORDER: TableDefinition<'_, u64, (&str, u32)> = TableDefinition::new("order");
-/// Under [`SHIPPED`]: all up to this sequence number are known to be elsewhere.
+/// Table of named sequence numbers; the only one is [`SHIPPED`].
 const MARKS: TableDefinition<'_, &str, u64> = TableDefinition::new("marks");
+/// Name in [`MARKS`] of the sequence number up to which all entries have been shipped and acknowledged.
 const SHIPPED: &str = "shipped";
 
 /// Why a journal cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum JournalError {
-    /// The file cannot be opened: look at its path, its rights, and for another process that has it open.
+    /// The file cannot be opened. Possible causes are its path, its permissions, or another process that has it open.
     #[error("{file}: {cause}")]
     Open {
         /// Path of the file.
         file: String,
-        /// What the store reports.
+        /// The error of the database.
         cause: String,
     },
-    /// Nothing of what was asked has been done: look at the disk; the call may be repeated.
+    /// The database failed, usually because of the disk. The call had no effect and may be retried.
     #[error("the journal: {0}")]
     Store(String),
-    /// An entry was written by a later version, or is damaged.
+    /// A stored entry cannot be parsed: it was written by a later version or is corrupted.
     #[error("the journal holds an entry that cannot be read: {0}")]
     Entry(#[from] serde_json::Error),
 }
 
-/// All of `redb`'s kinds of error become one, as none can be acted on but by a retry.
-fn store<E: std::fmt::Display>(e: E) -> JournalError {
+/// Converts any `redb` error: callers cannot do more than retry, whatever the kind.
+fn store_error<E: std::fmt::Display>(e: E) -> JournalError {
     JournalError::Store(e.to_string())
 }
 
-/// Place of an entry in the order of writing, from 1.
+/// Position of an entry in the order in which entries were written, starting at 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SequenceNumber(pub u64);
 
-/// What became of a batch.
+/// Result of appending a batch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Appended {
-    /// Entries that were written.
-    pub taken: usize,
-    /// Entries that were there already.
-    pub repeats: usize,
-    /// Response and number of entries that differ from the one that is kept.
-    pub contradictions: Vec<(String, u32)>,
+    /// Number of entries that were written.
+    pub written: usize,
+    /// Number of entries that were already stored with the same content.
+    pub duplicates: usize,
+    /// Response id and number of each entry that differs from the stored one with the same key.
+    pub conflicts: Vec<(String, u32)>,
 }
 
-/// A journal's file.
+/// An open journal file.
 pub struct Journal {
     db: Database,
 }
 
 impl Journal {
-    /// Opens a journal, or creates one. What a crash has left half done is undone.
+    /// Opens or creates a journal. A commit that a crash interrupted is rolled back.
     ///
     /// # Errors
-    /// [`JournalError::Open`]: a file that is no journal, is damaged, open elsewhere, or cannot be created.
+    /// [`JournalError::Open`] if the file is not a journal, is corrupted, is open in another process, or cannot be
+    /// created.
     pub fn open(path: &Path) -> Result<Journal, JournalError> {
-        let fault = |cause: String| JournalError::Open {
+        let open_error = |cause: String| JournalError::Open {
             file: path.display().to_string(),
             cause,
         };
         let db = Builder::new()
             .create(path)
-            .map_err(|e| fault(e.to_string()))?;
-        Journal::with_tables(db).map_err(|e| fault(e.to_string()))
+            .map_err(|e| open_error(e.to_string()))?;
+        Journal::with_tables(db).map_err(|e| open_error(e.to_string()))
     }
 
-    /// As [`Journal::open`], over a storage of the caller's own.
+    /// Opens or creates a journal in the given storage backend.
     ///
     /// # Errors
-    /// As [`Journal::open`].
-    pub fn over(storage: impl StorageBackend) -> Result<Journal, JournalError> {
-        let db = Builder::new().create_with_backend(storage).map_err(store)?;
+    /// [`JournalError::Store`] if the storage fails or its content is not a journal.
+    pub fn with_backend(storage: impl StorageBackend) -> Result<Journal, JournalError> {
+        let db = Builder::new()
+            .create_with_backend(storage)
+            .map_err(store_error)?;
         Journal::with_tables(db)
     }
 
     fn with_tables(db: Database) -> Result<Journal, JournalError> {
-        let write = db.begin_write().map_err(store)?;
-        write.open_table(ENTRIES).map_err(store)?;
-        write.open_table(ORDER).map_err(store)?;
-        write.open_table(MARKS).map_err(store)?;
-        write.commit().map_err(store)?;
+        let write = db.begin_write().map_err(store_error)?;
+        write.open_table(ENTRIES).map_err(store_error)?;
+        write.open_table(ORDER).map_err(store_error)?;
+        write.open_table(MARKS).map_err(store_error)?;
+        write.commit().map_err(store_error)?;
         Ok(Journal { db })
     }
 
-    /// Writes a batch; once this returns it survives a crash.
+    /// Writes a batch of entries in one commit. The batch is durable when this returns.
     ///
     /// # Errors
-    /// [`JournalError::Store`]: the disk is full or fails. Then nothing of the batch is kept, and it may be retried.
+    /// [`JournalError::Store`] if the disk is full or fails. Nothing of the batch is stored then, and it may be retried.
     pub fn append(&self, batch: &[Entry]) -> Result<Appended, JournalError> {
-        let write = self.db.begin_write().map_err(store)?;
+        let write = self.db.begin_write().map_err(store_error)?;
         let appended = append_to(&write, batch)?;
-        write.commit().map_err(store)?;
+        write.commit().map_err(store_error)?;
         Ok(appended)
     }
 
-    /// The oldest entries that are not known to be elsewhere, in order, `max` of them at most.
+    /// Up to `max` of the oldest entries that have not been marked as shipped, in the order of writing.
     ///
     /// # Errors
-    /// As [`Journal::append`]; an entry that cannot be read.
+    /// [`JournalError::Store`] if the disk fails; [`JournalError::Entry`] if an entry cannot be parsed.
     pub fn unshipped(&self, max: usize) -> Result<Vec<(SequenceNumber, Entry)>, JournalError> {
-        let read = self.db.begin_read().map_err(store)?;
-        let marks = read.open_table(MARKS).map_err(store)?;
-        let shipped = marks.get(SHIPPED).map_err(store)?;
+        let read = self.db.begin_read().map_err(store_error)?;
+        let marks = read.open_table(MARKS).map_err(store_error)?;
+        let shipped = marks.get(SHIPPED).map_err(store_error)?;
         let from = shipped.map_or(0, |mark| mark.value()) + 1;
-        let entries = read.open_table(ENTRIES).map_err(store)?;
-        let order = read.open_table(ORDER).map_err(store)?;
+        let entries = read.open_table(ENTRIES).map_err(store_error)?;
+        let order = read.open_table(ORDER).map_err(store_error)?;
         let mut found = Vec::new();
-        for row in order.range(from..).map_err(store)?.take(max) {
-            let (sequence, key) = row.map_err(store)?;
-            if let Some(text) = entries.get(key.value()).map_err(store)? {
+        for row in order.range(from..).map_err(store_error)?.take(max) {
+            let (sequence, key) = row.map_err(store_error)?;
+            if let Some(text) = entries.get(key.value()).map_err(store_error)? {
                 let entry = serde_json::from_slice(text.value())?;
                 found.push((SequenceNumber(sequence.value()), entry));
             }
@@ -133,31 +138,33 @@
         Ok(found)
     }
 
-    /// All up to a sequence number are elsewhere. A lower one than was reported before changes nothing.
+    /// Marks all entries up to a sequence number as shipped. A number below the current mark has no effect.
     ///
     /// # Errors
     /// As [`Journal::append`].
-    pub fn shipped(&self, up_to: SequenceNumber) -> Result<(), JournalError> {
-        let write = self.db.begin_write().map_err(store)?;
+    pub fn mark_shipped(&self, up_to: SequenceNumber) -> Result<(), JournalError> {
+        let write = self.db.begin_write().map_err(store_error)?;
         {
-            let mut marks = write.open_table(MARKS).map_err(store)?;
-            let known = marks.get(SHIPPED).map_err(store)?;
-            let known = known.map_or(0, |mark| mark.value());
-            marks.insert(SHIPPED, known.max(up_to.0)).map_err(store)?;
+            let mut marks = write.open_table(MARKS).map_err(store_error)?;
+            let current = marks.get(SHIPPED).map_err(store_error)?;
+            let current = current.map_or(0, |mark| mark.value());
+            marks
+                .insert(SHIPPED, current.max(up_to.0))
+                .map_err(store_error)?;
         }
-        write.commit().map_err(store)
+        write.commit().map_err(store_error)
     }
 
-    /// All entries.
+    /// The latest entry of each response in the journal.
     ///
     /// # Errors
     /// As [`Journal::unshipped`].
     pub fn entries(&self) -> Result<Entries, JournalError> {
-        let read = self.db.begin_read().map_err(store)?;
-        let table = read.open_table(ENTRIES).map_err(store)?;
+        let read = self.db.begin_read().map_err(store_error)?;
+        let table = read.open_table(ENTRIES).map_err(store_error)?;
         let mut all = Entries::default();
-        for row in table.iter().map_err(store)? {
-            let (_, text) = row.map_err(store)?;
+        for row in table.iter().map_err(store_error)? {
+            let (_, text) = row.map_err(store_error)?;
             all.insert(serde_json::from_slice(text.value())?);
         }
         Ok(all)
@@ -165,28 +172,28 @@
 }
 
 fn append_to(write: &WriteTransaction, batch: &[Entry]) -> Result<Appended, JournalError> {
-    let mut entries = write.open_table(ENTRIES).map_err(store)?;
-    let mut order = write.open_table(ORDER).map_err(store)?;
+    let mut entries = write.open_table(ENTRIES).map_err(store_error)?;
+    let mut order = write.open_table(ORDER).map_err(store_error)?;
     let mut next = next_sequence(&order)?;
     let mut appended = Appended::default();
     for entry in batch {
         let key = (entry.response.as_str(), entry.number);
         let text = serde_json::to_vec(entry)?;
-        let is_repeat = entries
+        let is_duplicate = entries
             .get(key)
-            .map_err(store)?
-            .map(|kept| kept.value() == text);
-        match is_repeat {
-            Some(true) => appended.repeats += 1,
+            .map_err(store_error)?
+            .map(|stored| stored.value() == text);
+        match is_duplicate {
+            Some(true) => appended.duplicates += 1,
             Some(false) => {
                 let id = (entry.response.clone(), entry.number);
-                appended.contradictions.push(id);
+                appended.conflicts.push(id);
             }
             None => {
-                entries.insert(key, text.as_slice()).map_err(store)?;
-                order.insert(next, key).map_err(store)?;
+                entries.insert(key, text.as_slice()).map_err(store_error)?;
+                order.insert(next, key).map_err(store_error)?;
                 next += 1;
-                appended.taken += 1;
+                appended.written += 1;
             }
         }
     }
@@ -194,6 +201,6 @@
 }
 
 fn next_sequence(order: &Table<'_, u64, (&str, u32)>) -> Result<u64, JournalError> {
-    let last = order.last().map_err(store)?;
+    let last = order.last().map_err(store_error)?;
     Ok(last.map_or(1, |(sequence, _)| sequence.value() + 1))
 }
--- a/crates/journal/src/output_barrier.rs
+++ b/crates/journal/src/output_barrier.rs
@@ -1,15 +1,16 @@
-//! Outputs that may not leave before a charge is on disk: a queue for each receiver, in order.
+//! Delays outputs until the charges that must precede them are durable. Each receiver has its own queue, which keeps the
+//! order of its outputs.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Number of a charge on its way to the disk, from 1.
+/// Number of a charge that is being written to disk, starting at 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Charge(pub u64);
 
-/// Stands for an output that waits for no charge, but for those before it.
+/// Marks an output that does not depend on a charge, but is queued behind outputs that do.
 const NO_CHARGE: Charge = Charge(0);
 
-/// An output that is held back.
+/// A delayed output.
 #[derive(Debug)]
 struct HeldOutput<T> {
     charge: Charge,
@@ -17,7 +18,7 @@
     output: T,
 }
 
-/// Outputs held back by receiver `K`. A receiver without any is not delayed by others' charges.
+/// Queues of delayed outputs by receiver `K`. A receiver without queued outputs is not delayed by the charges of others.
 #[derive(Debug)]
 pub struct OutputBarrier<K, T> {
     queues: BTreeMap<K, VecDeque<HeldOutput<T>>>,
@@ -25,7 +26,8 @@
 }
 
 impl<K: Ord + Copy, T> OutputBarrier<K, T> {
-    /// Holds nothing back for longer than `max_wait_s` seconds: an answer in time precedes a charge that the disk does not take.
+    /// Creates a barrier that delays each output by at most `max_wait_s` seconds. If the disk stalls, an answer in time
+    /// takes precedence over a durable charge.
     pub fn new(max_wait_s: f64) -> OutputBarrier<K, T> {
         OutputBarrier {
             queues: BTreeMap::new(),
@@ -33,11 +35,12 @@
         }
     }
 
-    /// Offers an output for a receiver, behind a charge where there is one. Returned where it may leave at once.
+    /// Adds an output for receiver `to` that must wait for the charge `behind`, if any. Returns the output if it may be
+    /// sent at once; otherwise it is queued.
     pub fn offer(&mut self, now_s: f64, to: K, behind: Option<Charge>, output: T) -> Option<T> {
         let charge = match behind {
             Some(charge) => charge,
-            // It keeps its place in the order of the receiver's outputs.
+            // Queued as well, to preserve the order of the receiver's outputs.
             None if self.queues.contains_key(&to) => NO_CHARGE,
             None => return Some(output),
         };
@@ -50,21 +53,21 @@
         None
     }
 
-    /// All charges up to one are on disk: returns what may leave now, in order.
+    /// Reports that all charges up to `up_to` are durable; returns the outputs that may be sent now, in order.
     pub fn written(&mut self, up_to: Charge) -> Vec<T> {
         self.release(|held| held.charge <= up_to)
     }
 
-    /// Returns what has been held for the longest time that it may be, and all before it.
+    /// Returns the outputs that have been delayed for the maximum time, with all outputs queued before them.
     pub fn overdue(&mut self, now_s: f64) -> Vec<T> {
         let max_wait_s = self.max_wait_s;
         self.release(|held| held.charge == NO_CHARGE || now_s - held.offered_s >= max_wait_s)
     }
 
-    fn release(&mut self, may_leave: impl Fn(&HeldOutput<T>) -> bool) -> Vec<T> {
+    fn release(&mut self, may_be_sent: impl Fn(&HeldOutput<T>) -> bool) -> Vec<T> {
         let mut released = Vec::new();
         self.queues.retain(|_, queue| {
-            while queue.front().is_some_and(&may_leave) {
+            while queue.front().is_some_and(&may_be_sent) {
                 released.extend(queue.pop_front().map(|held| held.output));
             }
             !queue.is_empty()
@@ -72,7 +75,8 @@
         released
     }
 
-    /// When [`OutputBarrier::overdue`] has something at the latest.
+    /// The earliest time at which [`OutputBarrier::overdue`] will return an output; `None` if no output waits for a
+    /// charge.
     pub fn next_s(&self) -> Option<f64> {
         self.queues
             .values()
@@ -82,12 +86,12 @@
             .map(|offered_s| offered_s + self.max_wait_s)
     }
 
-    /// A receiver has disconnected: what was held for it is dropped.
+    /// Drops the queued outputs of a receiver that has disconnected.
     pub fn forget(&mut self, to: K) {
         self.queues.remove(&to);
     }
 
-    /// Whether nothing is held.
+    /// Whether no output is queued.
     pub fn is_empty(&self) -> bool {
         self.queues.is_empty()
     }
--- a/crates/journal/src/output_barrier/tests.rs
+++ b/crates/journal/src/output_barrier/tests.rs
@@ -20,13 +20,13 @@
     assert_eq!(
         barrier.overdue(0.6),
         ["its answer"],
-        "in time, written or not"
+        "sent after the maximum wait although the charge is not durable"
     );
     assert!(barrier.is_empty());
 }
 
 #[test]
-fn forgotten_receiver_gets_nothing() {
+fn outputs_of_a_disconnected_receiver_are_dropped() {
     let mut barrier = OutputBarrier::new(0.5);
     barrier.offer(0.0, 1, Some(Charge(1)), "answer");
     barrier.forget(1);
--- a/crates/journal/tests/crash.rs
+++ b/crates/journal/tests/crash.rs
@@ -1,4 +1,5 @@
-//! A crash at every write, length change and sync of the storage, with all, none or half of what was not synced on the disk.
+//! Simulates a crash at every write, length change and sync of the storage. Of the operations after the last sync, all,
+//! none or half have reached the disk.
 
 use std::sync::{Arc, Mutex};
 
@@ -31,12 +32,12 @@
 #[derive(Debug, Default)]
 struct Inner {
     bytes: Vec<u8>,
-    done: Vec<Op>,
+    operations: Vec<Op>,
     /// Number of further operations that succeed; none after that.
-    left: Option<usize>,
+    remaining: Option<usize>,
 }
 
-/// A disk in memory that writes down what is done to it, and may run full.
+/// An in-memory disk that records all operations and can be made to run full.
 #[derive(Clone, Debug, Default)]
 struct Disk(Arc<Mutex<Inner>>);
 
@@ -50,18 +51,18 @@
 
     fn act(&self, op: Op) -> Result<(), std::io::Error> {
         let mut inner = self.0.lock().expect("not poisoned");
-        match &mut inner.left {
+        match &mut inner.remaining {
             Some(0) => return Err(std::io::Error::from(std::io::ErrorKind::StorageFull)),
-            Some(left) => *left -= 1,
+            Some(remaining) => *remaining -= 1,
             None => {}
         }
         apply(&mut inner.bytes, &op);
-        inner.done.push(op);
+        inner.operations.push(op);
         Ok(())
     }
 
     fn ops(&self) -> Vec<Op> {
-        self.0.lock().expect("not poisoned").done.clone()
+        self.0.lock().expect("not poisoned").operations.clone()
     }
 }
 
@@ -102,7 +103,7 @@
     }
 }
 
-/// Batches of three, with a correction and a mark of what was shipped in between.
+/// Batch `n`: three first entries and, after the first batch, a correction of the previous batch's last entry.
 fn batch(n: u32) -> Vec<Entry> {
     let mut batch: Vec<Entry> = (0..3).map(|i| entry(n * 3 + i, 1, 1)).collect();
     if n > 0 {
@@ -113,9 +114,9 @@
 
 const BATCHES: u32 = 6;
 
-/// What a disk holds after a crash before operation `at`: what was synced, and of the rest all, none, or every other one with
-/// the last cut in half.
-fn after(ops: &[Op], at: usize, kept: usize) -> Vec<u8> {
+/// Contents of the disk after a crash before operation `at`: everything that was synced and, of the later operations, all
+/// (`kept` 0), none (1), or every other one with the last one torn in half (2).
+fn contents_after_crash(ops: &[Op], at: usize, kept: usize) -> Vec<u8> {
     let synced = ops[..at]
         .iter()
         .rposition(|o| matches!(o, Op::Sync))
@@ -138,16 +139,20 @@
 }
 
 #[test]
-fn crash_at_any_step_keeps_promised_batches_and_no_parts() {
+fn crash_at_any_step_keeps_acknowledged_batches_and_no_partial_ones() {
     let disk = Disk::default();
-    let journal = Journal::over(disk.clone()).expect("a journal");
-    let mut promised = vec![(disk.ops().len(), 0, 0)];
+    let journal = Journal::with_backend(disk.clone()).expect("a journal");
+    let mut acknowledged = vec![(disk.ops().len(), 0, 0)];
     for n in 0..BATCHES {
         assert_eq!(
-            journal.append(&batch(n)).expect("written").taken,
+            journal.append(&batch(n)).expect("written").written,
             batch(n).len()
         );
-        promised.push((disk.ops().len(), n + 1, promised[promised.len() - 1].2));
+        acknowledged.push((
+            disk.ops().len(),
+            n + 1,
+            acknowledged[acknowledged.len() - 1].2,
+        ));
         if n % 2 == 1 {
             let place = journal
                 .unshipped(100)
@@ -155,44 +160,47 @@
                 .last()
                 .expect("some")
                 .0;
-            journal.shipped(place).expect("written");
-            promised.push((disk.ops().len(), n + 1, place.0));
+            journal.mark_shipped(place).expect("written");
+            acknowledged.push((disk.ops().len(), n + 1, place.0));
         }
     }
     let ops = disk.ops();
-    let first = promised[0].0;
+    let first = acknowledged[0].0;
     let mut seen = 0;
     for at in first..=ops.len() {
         for kept in 0..3 {
-            let (_, least, shipped) = *promised.iter().rfind(|p| p.0 <= at).expect("a promise");
-            let again = Journal::over(Disk::of(after(&ops, at, kept)))
+            let (_, least, shipped) = *acknowledged
+                .iter()
+                .rfind(|p| p.0 <= at)
+                .expect("an acknowledged state");
+            let again = Journal::with_backend(Disk::of(contents_after_crash(&ops, at, kept)))
                 .unwrap_or_else(|e| panic!("{at} {kept}: {e}"));
             let all = again.entries().expect("read");
-            let whole = |n: u32| {
+            let is_complete = |n: u32| {
                 batch(n)
                     .iter()
                     .all(|e| all.latest().any(|s| s.response == e.response))
             };
-            let there = (0..BATCHES).take_while(|n| whole(*n)).count() as u32;
+            let stored = (0..BATCHES).take_while(|n| is_complete(*n)).count() as u32;
             assert!(
-                there >= least,
-                "{at} {kept}: {there} batches of {least} promised"
+                stored >= least,
+                "{at} {kept}: {stored} batches of {least} acknowledged"
             );
             assert_eq!(
                 all.latest().count() as u32,
-                there * 3,
-                "{at} {kept}: a batch in part"
+                stored * 3,
+                "{at} {kept}: a partial batch"
             );
             let rest = again.unshipped(100).expect("read");
             assert!(
                 rest.first().is_none_or(|r| r.0 > SequenceNumber(shipped)),
-                "{at} {kept}: shipped is not forgotten"
+                "{at} {kept}: the shipped mark is kept"
             );
-            // Whoever asks again finds repeats where they are there, and goes on.
+            // Appending the batches again finds duplicates of the stored ones and writes the others.
             for n in 0..BATCHES {
                 let done = again.append(&batch(n)).expect("written");
                 assert!(
-                    done.contradictions.is_empty() && (done.taken == 0) == (n < there),
+                    done.conflicts.is_empty() && (done.written == 0) == (n < stored),
                     "{at} {kept} {n}: {done:?}"
                 );
             }
@@ -201,46 +209,44 @@
             assert_eq!(
                 (line.requests, line.output),
                 (18, 13 + 5 * 5),
-                "{at} {kept}: the bill adds up"
+                "{at} {kept}: the bill is complete"
             );
             seen += 1;
         }
     }
-    assert!(seen > 60, "{seen} crashes");
+    assert!(seen > 60, "only {seen} crashes were simulated");
 }
 
 #[test]
-fn full_disk_at_any_step_loses_nothing_promised() {
-    for left in 0..60 {
+fn full_disk_at_any_step_loses_no_acknowledged_batch() {
+    for remaining in 0..60 {
         let disk = Disk::default();
-        let journal = Journal::over(disk.clone()).expect("a journal");
+        let journal = Journal::with_backend(disk.clone()).expect("a journal");
         journal.append(&batch(0)).expect("written");
-        disk.0.lock().expect("not poisoned").left = Some(left);
-        let mut promised = 1;
-        while promised < BATCHES && journal.append(&batch(promised)).is_ok() {
-            promised += 1;
+        disk.0.lock().expect("not poisoned").remaining = Some(remaining);
+        let mut acknowledged = 1;
+        while acknowledged < BATCHES && journal.append(&batch(acknowledged)).is_ok() {
+            acknowledged += 1;
         }
         drop(journal);
         let bytes = disk.0.lock().expect("not poisoned").bytes.clone();
-        let again = Journal::over(Disk::of(bytes)).unwrap_or_else(|e| panic!("{left}: {e}"));
-        let there = again.entries().expect("read").latest().count() as u32;
+        let again =
+            Journal::with_backend(Disk::of(bytes)).unwrap_or_else(|e| panic!("{remaining}: {e}"));
+        let stored = again.entries().expect("read").latest().count() as u32;
         assert!(
-            there >= promised * 3 && there.is_multiple_of(3),
-            "{left}: {there} entries, {promised} batches promised"
+            stored >= acknowledged * 3 && stored.is_multiple_of(3),
+            "{remaining}: {stored} entries, {acknowledged} batches acknowledged"
         );
     }
 }
 
 #[test]
-fn invalid_or_locked_files_are_named_and_kept() {
+fn invalid_or_locked_files_are_reported_and_unchanged() {
     let path = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("no.journal");
-    std::fs::write(&path, "a shopping list").expect("a file");
-    let fault = Journal::open(&path).err().expect("refused").to_string();
+    std::fs::write(&path, "not a journal").expect("a file");
+    let fault = Journal::open(&path).err().expect("rejected").to_string();
     assert!(fault.contains("no.journal"), "{fault}");
-    assert_eq!(
-        std::fs::read_to_string(&path).expect("it"),
-        "a shopping list"
-    );
+    assert_eq!(std::fs::read_to_string(&path).expect("it"), "not a journal");
     std::fs::remove_file(&path).expect("removed");
     let _open = Journal::open(&path).expect("made");
     assert!(Journal::open(&path).is_err(), "one process at a time");
@@ -248,13 +254,13 @@
 }
 
 #[test]
-fn contradiction_is_reported_and_the_first_entry_stands() {
-    let journal = Journal::over(Disk::default()).expect("a journal");
+fn conflict_is_reported_and_the_first_entry_is_kept() {
+    let journal = Journal::with_backend(Disk::default()).expect("a journal");
     journal.append(&[entry(1, 1, 7)]).expect("written");
     let done = journal
         .append(&[entry(1, 1, 8), entry(1, 1, 7), entry(2, 1, 1)])
         .expect("written");
-    assert_eq!((done.taken, done.repeats), (1, 1));
-    assert_eq!(done.contradictions, [("resp_1".to_string(), 1)]);
+    assert_eq!((done.written, done.duplicates), (1, 1));
+    assert_eq!(done.conflicts, [("resp_1".to_string(), 1)]);
     assert_eq!(journal.unshipped(9).expect("read")[0].1, entry(1, 1, 7));
 }
--- a/crates/journal/tests/stored_file.rs
+++ b/crates/journal/tests/stored_file.rs
@@ -1,7 +1,7 @@
-//! A journal's file as an earlier version left it is read back entry by entry.
+//! Tests that a journal file written before the crate's identifiers were renamed is still read.
 //!
-//! The fixture was written by the version before the crate's names changed. A line is an offset and the bytes there, both in
-//! hexadecimal, or `ff*` and a decimal number of bytes 0xff; what no line names is zero. The first line is the length of the file.
+//! The first line of the fixture is the length of the file in hexadecimal. Each further line is an offset and the bytes
+//! at it, both in hexadecimal; `ff*` and a decimal number stand for that many bytes 0xff. All other bytes are zero.
 
 use std::sync::{Arc, Mutex};
 
@@ -12,7 +12,7 @@
 
 const FIXTURE: &str = include_str!("fixtures/journal.txt");
 
-/// A file in memory.
+/// In-memory storage of a journal.
 #[derive(Clone, Debug, Default)]
 struct MemoryFile(Arc<Mutex<Vec<u8>>>);
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// In the order in which they were appended; all up to the second one have been shipped.
+/// The entries of the fixture in the order in which they were appended. The first two are marked as shipped.
 fn written() -> Vec<Entry> {
     vec![
         entry("resp_1", 1, Usage::Known(amount(10, 20))),
@@ -97,7 +97,7 @@
 
 #[test]
 fn entries_of_the_fixture_are_read_in_order_from_the_shipped_mark() {
-    let journal = Journal::over(stored_file()).expect("the file opens");
+    let journal = Journal::with_backend(stored_file()).expect("the file opens");
     let unshipped = journal.unshipped(10).expect("readable");
     let places: Vec<SequenceNumber> = unshipped.iter().map(|(place, _)| *place).collect();
     assert_eq!(places, [SequenceNumber(3), SequenceNumber(4)]);
@@ -107,11 +107,11 @@
 
 #[test]
 fn entries_of_the_fixture_are_read_field_by_field() {
-    let journal = Journal::over(stored_file()).expect("the file opens");
+    let journal = Journal::with_backend(stored_file()).expect("the file opens");
     let entries = journal.entries().expect("readable");
-    let standing: Vec<&Entry> = entries.latest().collect();
-    let [first, second, third] = standing[..] else {
-        panic!("three responses, {standing:?}");
+    let latest: Vec<&Entry> = entries.latest().collect();
+    let [first, second, third] = latest[..] else {
+        panic!("three responses, {latest:?}");
     };
     assert_eq!((first.response.as_str(), first.number), ("resp_1", 1));
     assert_eq!((second.response.as_str(), second.number), ("resp_2", 2));
@@ -125,11 +125,12 @@
     assert_eq!(second.used, Usage::Known(amount(30, 7)));
 }
 
-/// The store compares the text of an entry with the text that is kept, so another text of the same entry would contradict it.
+/// The journal compares the JSON text of an entry with the stored text, so a change of the JSON would be reported as a
+/// conflict.
 #[test]
-fn entries_of_the_fixture_are_repeats_when_they_are_appended_again() {
-    let journal = Journal::over(stored_file()).expect("the file opens");
+fn entries_of_the_fixture_are_duplicates_when_appended_again() {
+    let journal = Journal::with_backend(stored_file()).expect("the file opens");
     let appended = journal.append(&written()).expect("room");
-    assert_eq!((appended.taken, appended.repeats), (0, 4));
-    assert_eq!(appended.contradictions, []);
+    assert_eq!((appended.written, appended.duplicates), (0, 4));
+    assert_eq!(appended.conflicts, []);
 }
--- a/crates/net/src/charges.rs
+++ b/crates/net/src/charges.rs
@@ -106,7 +106,7 @@
     loop {
         match journal.append(batch) {
             Ok(done) => {
-                for (response, number) in done.contradictions {
+                for (response, number) in done.conflicts {
                     tracing::error!(
                         response,
                         number,
--- a/crates/net/src/ledger.rs
+++ b/crates/net/src/ledger.rs
@@ -147,7 +147,7 @@
         let by = Instant::now() + SHIP_WITHIN;
         while let Ok(acked) = acks.recv_deadline(by) {
             if acked == number {
-                if let Err(e) = journal.shipped(up_to) {
+                if let Err(e) = journal.mark_shipped(up_to) {
                     tracing::error!(error = %e, "what was shipped cannot be marked; it is shipped again");
                 }
                 break;
--- a/programs/quota-server/src/lib.rs
+++ b/programs/quota-server/src/lib.rs
@@ -172,7 +172,7 @@
             Ok(QuotaRequest::StoreCharges { number, entries }) => {
                 match self.journal.append(&entries) {
                     Ok(done) => {
-                        for (response, number) in done.contradictions {
+                        for (response, number) in done.conflicts {
                             tracing::error!(
                                 response,
                                 number,
