--- a/crates/inventory/src/ansible.rs
+++ b/crates/inventory/src/ansible.rs
@@ -1,7 +1,7 @@
-//! Ansible's YAML inventory: groups with `hosts`, `children` and `vars`, and host ranges.
+//! Ansible's YAML inventory format: groups with `hosts`, `children` and `vars`, and host ranges.
 //!
-//! Variables are merged as Ansible's documentation states: a child group's over its parent's, among groups of
-//! one depth the later name's over the earlier's, and a server's own over all.
+//! Variables are merged by Ansible's documented precedence: a child group overrides its parent, among groups of the same
+//! depth the alphabetically later one overrides the earlier, and a host's own variables override all groups.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::ranges::expand;
 use crate::{Fault, RawServer, MAX_SERVERS};
 
-/// Most levels of nested groups.
+/// Maximum nesting depth of groups.
 const MAX_GROUP_DEPTH: usize = 16;
 
 type Vars = BTreeMap<String, Scalar>;
@@ -22,12 +22,12 @@
     Whole(i64),
     Number(f64),
     Text(String),
-    /// Lists and maps mean nothing to a dispatcher.
+    /// Lists and maps, which are ignored.
     Other(serde::de::IgnoredAny),
 }
 
 impl Scalar {
-    fn field(&self) -> Option<String> {
+    fn to_text(&self) -> Option<String> {
         match self {
             Scalar::Bool(b) => Some(b.to_string()),
             Scalar::Whole(n) => Some(n.to_string()),
@@ -49,14 +49,14 @@
     vars: Option<Vars>,
 }
 
-/// The variables of one group.
+/// The variables that a server gets from one group, with the group's depth.
 struct Layer {
     depth: usize,
     group: String,
     vars: Vars,
 }
 
-/// The variables of one server, by the groups that they come from.
+/// The variables of one server: those of each of its groups, and its own.
 #[derive(Default)]
 struct CollectedServer {
     line: u64,
@@ -89,7 +89,9 @@
             .map(|l| l.vars)
             .chain([found.own])
             .flatten();
-        let fields = all.filter_map(|(k, v)| v.field().map(|w| (k, w))).collect();
+        let fields = all
+            .filter_map(|(k, v)| v.to_text().map(|w| (k, w)))
+            .collect();
         RawServer {
             name,
             line: found.line,
@@ -99,7 +101,7 @@
     Ok(raw.collect())
 }
 
-/// A group that the present one lies in, or itself.
+/// The current group or one of the groups that contain it.
 struct Ancestor<'a> {
     name: &'a str,
     vars: &'a Vars,
@@ -140,7 +142,7 @@
 }
 
 impl CollectedServer {
-    /// Adds what one mention of the server gives it.
+    /// Adds the variables from one occurrence of the server in the inventory.
     fn add(&mut self, line: u64, ancestors: &[Ancestor], own: Option<&Vars>) {
         self.line = line;
         for (depth, ancestor) in ancestors.iter().enumerate() {
@@ -155,7 +157,7 @@
     }
 }
 
-/// The first line on which a key stands, plain or quoted; 0 if none does.
+/// Number of the first line that begins with the key, plain or quoted; 0 if there is none.
 fn line_of(text: &str, key: &str) -> u64 {
     let is_key_line = |line: &str| {
         let line = line.trim_start().trim_start_matches(['"', '\'']);
--- a/crates/inventory/src/fields.rs
+++ b/crates/inventory/src/fields.rs
@@ -1,12 +1,14 @@
-//! The fields of one server, checked.
+//! Validation of the fields of one server.
 
 use crate::{ModelServer, RawServer, ServerState};
 
-/// Longest name, in bytes.
+/// Maximum length of a server name, bytes.
 const MAX_NAME_BYTES: usize = 255;
+/// Maximum weight of a server.
 const MAX_WEIGHT: f64 = 1000.0;
 
-/// The first of several names of one field, as different tools have them, that is given and not empty.
+/// The value of the first column or variable in `names` that is present; `None` if it is empty. Different tools use
+/// different names for one field.
 fn field<'a>(raw: &'a RawServer, names: &[&str]) -> Option<&'a str> {
     names
         .iter()
--- a/crates/inventory/src/last_good.rs
+++ b/crates/inventory/src/last_good.rs
@@ -1,23 +1,26 @@
-//! When a list that is read again and again counts: the last good one stays until a whole new one has settled.
+//! Keeps the last valid list of a file that is reread periodically, until a new valid list is complete and stable.
 
 use crate::{parse, ListError, ServerSet};
 
-/// How a new list differs from the one before, by server name.
+/// Difference between two lists, by server name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Difference {
-    /// Servers that are new.
+    /// Servers only in the new list.
     pub added: Vec<String>,
-    /// Servers that are no longer listed.
+    /// Servers only in the old list.
     pub removed: Vec<String>,
-    /// Servers with another value in any field.
+    /// Servers in both lists with a different value in any field.
     pub changed: Vec<String>,
 }
 
 impl Difference {
-    /// From `old` to `new`.
+    /// Computes the difference from `old` to `new`.
     pub fn between(old: &ServerSet, new: &ServerSet) -> Self {
-        let names = |keep: &dyn Fn(&String) -> bool, of: &ServerSet| {
-            of.keys().filter(|n| keep(n)).cloned().collect::<Vec<_>>()
+        let names = |selects: &dyn Fn(&String) -> bool, of: &ServerSet| {
+            of.keys()
+                .filter(|n| selects(n))
+                .cloned()
+                .collect::<Vec<_>>()
         };
         Difference {
             added: names(&|n| !old.contains_key(n), new),
@@ -32,60 +35,63 @@
     }
 }
 
-/// What became of a text.
+/// Result of [`LastValidList::update`].
 #[derive(Clone, Debug, PartialEq)]
-pub enum Offer {
-    /// The same as before, or not yet read twice alike.
-    Nothing,
-    /// A new list counts from now on.
-    Taken(Difference),
-    /// The text is broken, reported once for each broken text; the last good list stays in force.
-    Broken(ListError),
+pub enum UpdateOutcome {
+    /// No change: the text is the one in effect, has not been read twice in a row yet, or was reported as invalid before.
+    Unchanged,
+    /// A new list is in effect from now on.
+    Applied(Difference),
+    /// The text is invalid; the last valid list stays in effect. Reported once for each invalid text.
+    Invalid(ListError),
 }
 
-/// The last good list of one file.
+/// The last valid list of one file.
 ///
-/// A text counts when it has been read alike twice in a row, so that a file in the middle of being written, half old
-/// and half new and valid all the same, is passed over. The first text counts at once.
+/// A text is applied only after it has been read twice in a row, because a file that is still being written may mix old
+/// and new content and nevertheless be valid. The first text is applied at once.
 #[derive(Debug, Default)]
-pub struct LastGood {
+pub struct LastValidList {
     servers: ServerSet,
-    in_force: Option<u64>,
+    /// Hash of the text in effect.
+    in_effect: Option<u64>,
+    /// Hash of the text that was read last.
     last_read: Option<u64>,
-    reported_broken: Option<u64>,
+    /// Hash of the invalid text that was reported last.
+    reported_invalid: Option<u64>,
 }
 
-impl LastGood {
-    /// The list in force; empty before the first good one.
+impl LastValidList {
+    /// The list in effect; empty before the first valid one.
     pub fn servers(&self) -> &ServerSet {
         &self.servers
     }
 
-    /// Whether the file as it was offered last is broken, and an earlier one counts.
-    pub fn is_broken(&self) -> bool {
-        self.reported_broken.is_some()
+    /// Whether an invalid text has been reported and no valid text has been applied or read again since.
+    pub fn is_invalid(&self) -> bool {
+        self.reported_invalid.is_some()
     }
 
-    /// Takes what the file holds now.
-    pub fn offer(&mut self, file: &str, text: &str) -> Offer {
-        let mark = xxhash_rust::xxh3::xxh3_64(text.as_bytes());
-        let settled = self.last_read.replace(mark) == Some(mark) || self.in_force.is_none();
-        if self.in_force == Some(mark) {
-            self.reported_broken = None;
-            return Offer::Nothing;
+    /// Processes the current text of the file. `file` is its name for error messages.
+    pub fn update(&mut self, file: &str, text: &str) -> UpdateOutcome {
+        let hash = xxhash_rust::xxh3::xxh3_64(text.as_bytes());
+        let is_stable = self.last_read.replace(hash) == Some(hash) || self.in_effect.is_none();
+        if self.in_effect == Some(hash) {
+            self.reported_invalid = None;
+            return UpdateOutcome::Unchanged;
         }
-        if !settled || self.reported_broken == Some(mark) {
-            return Offer::Nothing;
+        if !is_stable || self.reported_invalid == Some(hash) {
+            return UpdateOutcome::Unchanged;
         }
         match parse(file, text) {
             Ok(servers) => {
                 let difference = Difference::between(&self.servers, &servers);
-                (self.servers, self.in_force, self.reported_broken) = (servers, Some(mark), None);
-                Offer::Taken(difference)
+                (self.servers, self.in_effect, self.reported_invalid) = (servers, Some(hash), None);
+                UpdateOutcome::Applied(difference)
             }
             Err(e) => {
-                self.reported_broken = Some(mark);
-                Offer::Broken(e)
+                self.reported_invalid = Some(hash);
+                UpdateOutcome::Invalid(e)
             }
         }
     }
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -1,7 +1,7 @@
-//! Lists of model servers as configuration tools keep them: CSV with a header row, or Ansible's YAML inventory.
+//! Lists of model servers as configuration tools write them: CSV with a header row, or Ansible's YAML inventory.
 //!
-//! [`parse`] turns one text into a [`ServerSet`]; [`LastGood`] decides when a text that is being reread counts.
-//! Nothing here reads a file or a clock.
+//! [`parse`] converts one text into a [`ServerSet`]; [`LastValidList`] decides when a changed text is applied. The crate
+//! reads no files and no clock.
 
 mod ansible;
 mod fields;
@@ -14,54 +14,54 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use last_good::{Difference, LastGood, Offer};
+pub use last_good::{Difference, LastValidList, UpdateOutcome};
 pub use ranges::expand;
 
-/// Most servers in one list; a longer one is rejected as a whole.
+/// Maximum number of servers in one list; a longer list is rejected as a whole.
 pub const MAX_SERVERS: usize = 10_000;
 
-/// What the list says of a server's process.
+/// State of a server according to the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerState {
-    /// It takes requests.
+    /// The server accepts requests.
     #[default]
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The server finishes its requests and accepts no new ones.
     Draining,
-    /// It is no more.
+    /// The server no longer exists.
     Gone,
 }
 
 /// One model server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ModelServer {
-    /// Its name, unique in the list; 1 to 255 bytes without spaces.
+    /// Name of the server, unique in the list; 1 to 255 bytes without spaces.
     pub name: String,
-    /// Host name or IP address.
+    /// Host name or IP address of the server.
     pub address: String,
-    /// TCP port.
+    /// TCP port of the server.
     pub port: u16,
-    /// A kind of the settings.
+    /// Name of a server kind defined in the settings.
     pub kind: String,
-    /// Its rack.
+    /// Rack of the server.
     pub cell: String,
-    /// Its site.
+    /// Site of the server.
     pub zone: String,
-    /// Size against servers of its role.
+    /// Capacity relative to other servers of the same role.
     pub weight: f64,
-    /// What the list says of its process.
+    /// State of the server according to the list.
     pub state: ServerState,
 }
 
 impl ModelServer {
-    /// The id under which every dispatcher knows the server: 32 bits of XXH3 over its name, so that all place a
-    /// prefix's homes alike without agreement. [`parse`] refuses a list in which two names share one.
+    /// The id of the server, 32 bits of XXH3 over its name. All dispatchers compute the same id, so that they assign a
+    /// prefix to the same servers without coordination. [`parse`] rejects a list in which two names have the same id.
     pub fn id(&self) -> u32 {
         server_id(&self.name)
     }
 
-    /// `address:port`, an IPv6 address in brackets.
+    /// The endpoint as `address:port`, with an IPv6 address in brackets.
     pub fn endpoint(&self) -> String {
         match self.address.contains(':') {
             true => format!("[{}]:{}", self.address, self.port),
@@ -70,7 +70,7 @@
     }
 }
 
-/// See [`ModelServer::id`].
+/// The id of the server with this name, see [`ModelServer::id`].
 pub fn server_id(name: &str) -> u32 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes()) as u32
 }
@@ -78,41 +78,42 @@
 /// Servers by name.
 pub type ServerSet = BTreeMap<String, ModelServer>;
 
-/// The form a list is written in.
+/// File format of a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum ListFormat {
     /// CSV with a header row.
     Csv,
     /// Ansible's YAML inventory.
     Yaml,
 }
 
-impl Form {
-    /// By the file's suffix where it says so, else by the content: a CSV's header names columns with commas and
-    /// no colon.
-    pub fn of(file: &str, text: &str) -> Form {
+impl ListFormat {
+    /// Detects the format by the file's extension, otherwise by the content: the first line of a CSV file contains commas
+    /// and no colon.
+    pub fn of(file: &str, text: &str) -> ListFormat {
         let suffix = file.rsplit('.').next().unwrap_or("").to_ascii_lowercase();
         match suffix.as_str() {
-            "csv" => return Form::Csv,
-            "yaml" | "yml" => return Form::Yaml,
+            "csv" => return ListFormat::Csv,
+            "yaml" | "yml" => return ListFormat::Yaml,
             _ => {}
         }
-        let said = |l: &&str| !l.trim().is_empty() && !l.starts_with('#') && !l.starts_with("---");
-        match text.lines().find(said) {
-            Some(first) if first.contains(',') && !first.contains(':') => Form::Csv,
-            _ => Form::Yaml,
+        let is_content =
+            |l: &&str| !l.trim().is_empty() && !l.starts_with('#') && !l.starts_with("---");
+        match text.lines().find(is_content) {
+            Some(first) if first.contains(',') && !first.contains(':') => ListFormat::Csv,
+            _ => ListFormat::Yaml,
         }
     }
 }
 
-/// What is wrong with a list, and where.
+/// Why a list is rejected, and where.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub struct ListError {
-    /// The file, as it was named.
+    /// Name of the file.
     pub file: String,
-    /// 1 for the first; 0 where the whole file is meant.
+    /// Line number, starting at 1; 0 if the error concerns the whole file.
     pub line: u64,
-    /// What is wrong, and what was expected.
+    /// The cause, and what was expected.
     pub cause: String,
 }
 
@@ -125,24 +126,24 @@
     }
 }
 
-/// What is wrong with a text, and on which line.
+/// Why a text is rejected, and its line number (0 for the whole text).
 pub(crate) struct Fault {
     pub line: u64,
     pub cause: String,
 }
 
-/// A server as a list gives it: its fields by column or variable, and its line.
+/// A server with its unparsed fields by column or variable name, and its line number.
 pub(crate) struct RawServer {
     pub name: String,
     pub line: u64,
     pub fields: BTreeMap<String, String>,
 }
 
-/// Reads one list, whichever form it has.
+/// Parses one list in either format.
 ///
 /// # Errors
-/// The first fault found: broken syntax, a field that is missing or has a value outside its bounds, a name given
-/// twice, or a list without any server. A list is taken as a whole or not at all.
+/// The first error found: invalid syntax, a field that is missing or out of range, a duplicate name or id, or a list
+/// without servers. A list with an error is rejected as a whole.
 pub fn parse(file: &str, text: &str) -> Result<ServerSet, ListError> {
     read(file, text).map_err(|fault| ListError {
         file: file.to_string(),
@@ -153,20 +154,20 @@
 
 fn read(file: &str, text: &str) -> Result<ServerSet, Fault> {
     let whole_file = |cause: String| Fault { line: 0, cause };
-    let raw = match Form::of(file, text) {
-        Form::Csv => table::read(text)?,
-        Form::Yaml => ansible::read(text)?,
+    let raw = match ListFormat::of(file, text) {
+        ListFormat::Csv => table::read(text)?,
+        ListFormat::Yaml => ansible::read(text)?,
     };
     if raw.len() > MAX_SERVERS {
         let cause = format!("{} hosts, more than {MAX_SERVERS}", raw.len());
         return Err(whole_file(cause));
     }
     let mut servers = ServerSet::new();
-    let mut ids: BTreeMap<u32, String> = BTreeMap::new();
-    for one in raw {
-        let line = one.line;
-        let server = fields::server(one).map_err(|cause| Fault { line, cause })?;
-        if let Some(other) = ids.insert(server.id(), server.name.clone()) {
+    let mut names_by_id: BTreeMap<u32, String> = BTreeMap::new();
+    for raw_server in raw {
+        let line = raw_server.line;
+        let server = fields::server(raw_server).map_err(|cause| Fault { line, cause })?;
+        if let Some(other) = names_by_id.insert(server.id(), server.name.clone()) {
             let why = if other == server.name {
                 "is listed twice"
             } else {
--- a/crates/inventory/src/ranges.rs
+++ b/crates/inventory/src/ranges.rs
@@ -1,18 +1,18 @@
-//! Host ranges in Ansible's form: `box-[1:7]`, `box-[01:50]` (width kept), `rack-[a:f]`, `box-[1:9:2]` (step).
+//! Host ranges in Ansible's syntax: `box-[1:7]`, `box-[01:50]` (zero-padded), `rack-[a:f]`, `box-[1:9:2]` (with a step).
 
-/// The names that a pattern stands for, in order; a pattern may hold several ranges.
+/// Expands a pattern, which may contain several ranges, into the names it denotes, in order.
 ///
 /// # Errors
-/// A range that is not closed, runs backwards, mixes letters with digits, or gives more than `max` names.
+/// A range that is not closed, has its end before its start, mixes letters with digits, or yields more than `max` names.
 pub fn expand(pattern: &str, max: usize) -> Result<Vec<String>, String> {
     let Some(open) = pattern.find('[') else {
         return Ok(vec![pattern.to_string()]);
     };
-    let wrong = |why: &str| format!("host range '{pattern}' {why}");
+    let invalid = |cause: &str| format!("host range '{pattern}' {cause}");
     let close = pattern[open..]
         .find(']')
         .map(|i| i + open)
-        .ok_or_else(|| wrong("has no closing ']'"))?;
+        .ok_or_else(|| invalid("has no closing ']'"))?;
     let (head, tail) = (&pattern[..open], &pattern[close + 1..]);
     let parts: Vec<&str> = pattern[open + 1..close].split(':').collect();
     let (from, to, step) = match parts.as_slice() {
@@ -22,15 +22,15 @@
             (
                 *from,
                 *to,
-                step.ok_or_else(|| wrong("has a step that is no whole number above 0"))?,
+                step.ok_or_else(|| invalid("has a step that is no whole number above 0"))?,
             )
         }
-        _ => return Err(wrong("is not of the form [from:to] or [from:to:step]")),
+        _ => return Err(invalid("is not of the form [from:to] or [from:to:step]")),
     };
-    let middles = steps(from, to, step, max).map_err(|why| wrong(&why))?;
+    let middles = steps(from, to, step, max).map_err(|cause| invalid(&cause))?;
     let rest = expand(tail, max)?;
     if middles.len().saturating_mul(rest.len()) > max {
-        return Err(wrong(&format!(
+        return Err(invalid(&format!(
             "gives more names than the {max} that a list may still hold"
         )));
     }
--- a/crates/inventory/src/table.rs
+++ b/crates/inventory/src/table.rs
@@ -1,4 +1,4 @@
-//! CSV with a header row; columns in any order, those not known are passed over.
+//! CSV format with a header row. Columns may be in any order; unknown columns are ignored.
 
 use crate::{Fault, RawServer};
 
--- a/crates/inventory/tests/lists.rs
+++ b/crates/inventory/tests/lists.rs
@@ -1,6 +1,8 @@
-//! The same servers from both forms, and lists that are broken in every way that was thought of.
+//! Tests of both list formats, of invalid lists, and of when a changed list is applied.
 
-use bitternlatch_inventory::{expand, parse, Difference, Form, LastGood, Offer, ServerState};
+use bitternlatch_inventory::{
+    expand, parse, Difference, LastValidList, ListFormat, ServerState, UpdateOutcome,
+};
 
 const CSV: &str = "host,ansible_host,port,kind,rack,site,weight,state,note\n\
     box-7.example.org,127.0.0.1,9001,reader,a,pos,,,\"Hall side, \"\"north\"\"\"\n\
@@ -24,7 +26,7 @@
 ";
 
 #[test]
-fn both_forms_give_the_same_hosts() {
+fn both_formats_yield_the_same_servers() {
     let (csv, yaml) = (
         parse("h.csv", CSV).expect("CSV"),
         parse("h.yml", YAML).expect("YAML"),
@@ -39,18 +41,18 @@
 }
 
 #[test]
-fn the_form_is_told_by_suffix_or_content() {
-    assert_eq!(Form::of("x", CSV), Form::Csv);
-    assert_eq!(Form::of("x", YAML), Form::Yaml);
-    assert_eq!(Form::of("x.yaml", CSV), Form::Yaml);
+fn format_is_detected_by_extension_or_content() {
+    assert_eq!(ListFormat::of("x", CSV), ListFormat::Csv);
+    assert_eq!(ListFormat::of("x", YAML), ListFormat::Yaml);
+    assert_eq!(ListFormat::of("x.yaml", CSV), ListFormat::Yaml);
     assert_eq!(
-        Form::of("hosts.inventory", "# all of them\n\nname,port\n"),
-        Form::Csv
+        ListFormat::of("hosts.inventory", "# all of them\n\nname,port\n"),
+        ListFormat::Csv
     );
 }
 
 #[test]
-fn ranges_keep_their_width_step_and_order() {
+fn ranges_expand_with_padding_step_and_order() {
     let names = |p: &str| expand(p, 100).expect(p);
     assert_eq!(names("box-[1:3]"), ["box-1", "box-2", "box-3"]);
     assert_eq!(
@@ -74,7 +76,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named_with_file_and_line() {
+fn errors_name_file_and_line() {
     let fault = |file: &str, text: &str| parse(file, text).expect_err(text).to_string();
     let row = |row: &str| {
         fault(
@@ -106,24 +108,28 @@
 }
 
 #[test]
-fn list_is_taken_once_complete_and_stable() {
-    let mut good = LastGood::default();
-    assert!(matches!(good.offer("h.csv", CSV), Offer::Taken(d) if d.added.len() == 2));
+fn list_is_applied_once_complete_and_stable() {
+    let mut list = LastValidList::default();
+    assert!(matches!(list.update("h.csv", CSV), UpdateOutcome::Applied(d) if d.added.len() == 2));
     let second = CSV.replace("9001", "9009") + "box-9,127.0.0.1,9003,reader,a,pos,1,ready,\n";
-    // Every half of the new file: valid or not, none counts, as none is read alike twice.
+    // No truncated version of the new file is applied, valid or not, as none is read twice in a row.
     for cut in 1..second.len() {
         if second.is_char_boundary(cut) {
             assert_eq!(
-                good.offer("h.csv", &second[..cut]),
-                Offer::Nothing,
+                list.update("h.csv", &second[..cut]),
+                UpdateOutcome::Unchanged,
                 "cut at {cut}"
             );
         }
     }
-    assert_eq!(good.servers().len(), 2);
-    assert_eq!(good.offer("h.csv", &second), Offer::Nothing, "seen once");
-    let Offer::Taken(change) = good.offer("h.csv", &second) else {
-        panic!("seen twice alike")
+    assert_eq!(list.servers().len(), 2);
+    assert_eq!(
+        list.update("h.csv", &second),
+        UpdateOutcome::Unchanged,
+        "read once"
+    );
+    let UpdateOutcome::Applied(change) = list.update("h.csv", &second) else {
+        panic!("read twice in a row")
     };
     let want = Difference {
         added: vec!["box-9".into()],
@@ -131,18 +137,29 @@
         changed: vec!["box-7.example.org".into()],
     };
     assert_eq!(change, want);
-    assert_eq!(good.offer("h.csv", "name\n"), Offer::Nothing);
-    assert!(matches!(good.offer("h.csv", "name\n"), Offer::Broken(_)));
-    assert_eq!(good.offer("h.csv", "name\n"), Offer::Nothing, "told once");
-    assert_eq!(good.servers().len(), 3, "the last good list stays");
+    assert_eq!(list.update("h.csv", "name\n"), UpdateOutcome::Unchanged);
+    assert!(matches!(
+        list.update("h.csv", "name\n"),
+        UpdateOutcome::Invalid(_)
+    ));
+    assert_eq!(
+        list.update("h.csv", "name\n"),
+        UpdateOutcome::Unchanged,
+        "reported once"
+    );
+    assert_eq!(
+        list.servers().len(),
+        3,
+        "the last valid list stays in effect"
+    );
     assert_eq!(
-        good.offer("h.csv", &second),
-        Offer::Nothing,
-        "back to what counts"
+        list.update("h.csv", &second),
+        UpdateOutcome::Unchanged,
+        "the text in effect again"
     );
-    good.offer("h.csv", "name\n");
+    list.update("h.csv", "name\n");
     assert!(
-        matches!(good.offer("h.csv", "name\n"), Offer::Broken(_)),
-        "told again after a good one"
+        matches!(list.update("h.csv", "name\n"), UpdateOutcome::Invalid(_)),
+        "reported again after a valid text"
     );
 }
--- a/crates/net/src/watch.rs
+++ b/crates/net/src/watch.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bitternlatch_core::Input;
-use bitternlatch_inventory::{LastGood, Offer};
+use bitternlatch_inventory::{LastValidList, UpdateOutcome};
 use crossbeam_channel::Sender;
 
 use crate::driver::Event;
@@ -35,7 +35,7 @@
 pub fn watch(
     path: PathBuf,
     every: Duration,
-    mut good: LastGood,
+    mut good: LastValidList,
     to: Sender<Event>,
 ) -> std::io::Result<()> {
     let look = move || {
@@ -57,7 +57,7 @@
                     }
                 }
             }
-            let now_lost = !told.is_empty() || good.is_broken();
+            let now_lost = !told.is_empty() || good.is_invalid();
             if now_lost != lost {
                 lost = now_lost;
                 inputs.push(Input::ServerListUnreadable(lost));
@@ -76,14 +76,14 @@
 }
 
 /// The list that counts from now on, if this text changes it.
-fn offer(good: &mut LastGood, name: &str, text: &str) -> Option<Input> {
-    match good.offer(name, text) {
-        Offer::Nothing => None,
-        Offer::Broken(e) => {
+fn offer(good: &mut LastValidList, name: &str, text: &str) -> Option<Input> {
+    match good.update(name, text) {
+        UpdateOutcome::Unchanged => None,
+        UpdateOutcome::Invalid(e) => {
             tracing::error!(error = %e, "the host list is broken; the last good one stays");
             None
         }
-        Offer::Taken(change) => {
+        UpdateOutcome::Applied(change) => {
             tracing::info!(added = ?change.added, removed = ?change.removed, changed = ?change.changed,
                 "a new host list counts");
             Some(Input::ServerList(
--- a/programs/dispatch/src/lib.rs
+++ b/programs/dispatch/src/lib.rs
@@ -15,7 +15,7 @@
 use bitternlatch_cluster_net::{ClusterEvent, ClusterRuntime};
 use bitternlatch_core::{Input, Settings};
 use bitternlatch_identity::rights::AccessRights;
-use bitternlatch_inventory::{LastGood, Offer};
+use bitternlatch_inventory::{LastValidList, UpdateOutcome};
 use bitternlatch_journal::Journal;
 use bitternlatch_net::accept::{Acceptor, Door};
 use bitternlatch_net::charges::Charges;
@@ -88,10 +88,10 @@
     let text = std::fs::read_to_string(&args.config).map_err(|e| format!("{shown}: {e}"))?;
     let settings = Settings::parse(&shown, &text).map_err(|e| e.to_string())?;
     let list = beside(&args.config, &settings.inventory.file);
-    let mut good = LastGood::default();
-    match good.offer(&list.display().to_string(), &watch::read_list(&list)?) {
-        Offer::Broken(e) => return Err(e.to_string()),
-        Offer::Taken(_) | Offer::Nothing => {}
+    let mut good = LastValidList::default();
+    match good.update(&list.display().to_string(), &watch::read_list(&list)?) {
+        UpdateOutcome::Invalid(e) => return Err(e.to_string()),
+        UpdateOutcome::Applied(_) | UpdateOutcome::Unchanged => {}
     }
     check_rights(&args.config, &settings)?;
     let secured = Secured::load(&args.config, &settings)?;
@@ -194,7 +194,7 @@
     settings: Settings,
     text: String,
     list: PathBuf,
-    good: LastGood,
+    good: LastValidList,
     secured: Secured,
 ) -> Result<(), String> {
     // Ids must not be guessed: the seed is the system's, and no log holds it.
