--- a/crates/net/src/charges.rs
+++ b/crates/net/src/charges.rs
@@ -112,7 +112,7 @@
     loop {
         match journal.append(batch) {
             Ok(committed) => {
-                for (response, number) in committed.contradictions {
+                for (response, number) in committed.conflicts {
                     tracing::error!(
                         response,
                         number,
--- a/crates/net/src/guard.rs
+++ b/crates/net/src/guard.rs
@@ -8,13 +8,13 @@
 
 use bitternlatch_core::settings::Identity;
 use bitternlatch_core::Input;
-use bitternlatch_identity::certificates::{caller_of, BadCertificate};
-use bitternlatch_identity::keeper::{Keeper, KeeperRules, Taken};
-use bitternlatch_identity::keys::{KeySet, DOCUMENT_BYTES};
-use bitternlatch_identity::rights::Rights;
-use bitternlatch_identity::time::JudgedTime;
-use bitternlatch_identity::token::{check, key_id, Refusal, TokenRules};
-use bitternlatch_identity::{Caller, Proof};
+use bitternlatch_identity::certificates::{caller_from_certificate, InvalidCertificate};
+use bitternlatch_identity::keeper::{FetchOutcome, KeySetCache, KeySetCacheRules};
+use bitternlatch_identity::keys::{KeySet, MAX_DOCUMENT_BYTES};
+use bitternlatch_identity::rights::AccessRights;
+use bitternlatch_identity::time::CredentialClock;
+use bitternlatch_identity::token::{key_id, verify_token, TokenError, TokenRules};
+use bitternlatch_identity::{Caller, Credential};
 use crossbeam_channel::Sender;
 
 use crate::clock::Clock;
@@ -44,9 +44,9 @@
 pub struct Authenticator {
     token_rules: TokenRules,
     /// The key set in force. Its times are those of the monotonic clock.
-    keeper: Mutex<Keeper>,
+    keeper: Mutex<KeySetCache>,
     /// The time by which credentials are judged, which follows the wall clock with safeguards against jumps.
-    time: Mutex<JudgedTime>,
+    time: Mutex<CredentialClock>,
     clock: Clock,
     wall: WallClock,
     /// Holds the revocation lists for client certificates; `None` without TLS.
@@ -54,7 +54,7 @@
 }
 
 impl Authenticator {
-    fn keeper(&self) -> MutexGuard<'_, Keeper> {
+    fn keeper(&self) -> MutexGuard<'_, KeySetCache> {
         lock(&self.keeper)
     }
 
@@ -71,17 +71,18 @@
     /// Checks a token and returns its caller.
     ///
     /// # Errors
+
     /// Why the token is rejected. While no key set is in force, every key is unknown.
-    pub fn check_token(&self, token: &str) -> Result<Caller, Refusal> {
+    pub fn check_token(&self, token: &str) -> Result<Caller, TokenError> {
         let monotonic_s = self.monotonic_s();
         // Clones the reference to the key set, so that the lock is not held while the signature is checked.
-        let set = self.keeper().set(monotonic_s).cloned();
+        let set = self.keeper().current(monotonic_s).cloned();
         let checked = match &set {
-            Some(set) => check(token, set, &self.token_rules, self.credential_time_s()),
-            None => Err(Refusal::UnknownKey(key_id(token).unwrap_or_default())),
+            Some(set) => verify_token(token, set, &self.token_rules, self.credential_time_s()),
+            None => Err(TokenError::UnknownKey(key_id(token).unwrap_or_default())),
         };
-        if let Err(Refusal::UnknownKey(id)) = &checked {
-            self.keeper().unknown_key(monotonic_s, id);
+        if let Err(TokenError::UnknownKey(id)) = &checked {
+            self.keeper().report_unknown_key(monotonic_s, id);
         }
         checked
     }
@@ -89,26 +90,27 @@
     /// Returns the caller of a client certificate (DER) whose chain and signature the TLS handshake has verified.
     ///
     /// # Errors
-    /// As for [`caller_of`]; also if the certificate is revoked.
-    pub fn check_certificate(&self, der: &[u8]) -> Result<Caller, BadCertificate> {
-        let caller = caller_of(der, self.credential_time_s())?;
+
+    /// As for [`caller_from_certificate`]; also if the certificate is revoked.
+    pub fn check_certificate(&self, der: &[u8]) -> Result<Caller, InvalidCertificate> {
+        let caller = caller_from_certificate(der, self.credential_time_s())?;
         match self.is_valid(&caller) {
             true => Ok(caller),
-            false => Err(BadCertificate::Revoked),
+            false => Err(InvalidCertificate::Revoked),
         }
     }
 
     /// Whether the caller's credential is still valid: its certificate is not revoked or its token's key is in force.
     pub fn is_valid(&self, caller: &Caller) -> bool {
-        match caller.proof {
-            Proof::Certificate => !self
+        match caller.credential {
+            Credential::Certificate => !self
                 .certificates
                 .as_ref()
                 .is_some_and(|s| s.is_revoked(&caller.key_id)),
-            Proof::Token => {
-                let set = self.keeper().set(self.monotonic_s()).cloned();
+            Credential::Token => {
+                let set = self.keeper().current(self.monotonic_s()).cloned();
                 set.is_some_and(|s| {
-                    s.counts(
+                    s.is_valid(
                         &caller.key_id,
                         self.credential_time_s(),
                         self.token_rules.skew_s,
@@ -138,14 +140,14 @@
     events
         .send(Event::Input(Input::Rights(rights.clone())))
         .map_err(|e| e.to_string())?;
-    let keeper_rules = KeeperRules {
-        refresh_s: identity.refresh_interval_s,
-        keep_s: identity.cache_lifetime_s,
-        ..KeeperRules::default()
+    let keeper_rules = KeySetCacheRules {
+        refresh_interval_s: identity.refresh_interval_s,
+        max_age_s: identity.cache_lifetime_s,
+        ..KeySetCacheRules::default()
     };
     let clock = Clock::start();
     let monotonic_s = clock.now().seconds();
-    let mut keeper = Keeper::new(keeper_rules, monotonic_s);
+    let mut keeper = KeySetCache::new(keeper_rules, monotonic_s);
     let cache_file = identity.cache_file.as_deref().map(resolve);
     if let Some(path) = &cache_file {
         restore(&mut keeper, monotonic_s, path);
@@ -157,7 +159,7 @@
             skew_s: identity.clock_skew_s,
         },
         keeper: Mutex::new(keeper),
-        time: Mutex::new(JudgedTime::new(monotonic_s, wall())),
+        time: Mutex::new(CredentialClock::new(monotonic_s, wall())),
         clock,
         wall,
         certificates,
@@ -204,12 +206,12 @@
         ));
     }
     let text = std::fs::read_to_string(path).map_err(|e| format!("{shown}: {e}"))?;
-    Rights::parse(&text).map_err(|e| format!("{shown}: {e}"))?;
+    AccessRights::parse(&text).map_err(|e| format!("{shown}: {e}"))?;
     Ok(text)
 }
 
 /// Restores the cached key set from disk. The age of the file counts against the lifetime of the key set.
-fn restore(keeper: &mut Keeper, monotonic_s: f64, path: &Path) {
+fn restore(keeper: &mut KeySetCache, monotonic_s: f64, path: &Path) {
     let age = |m: std::fs::Metadata| m.modified().ok().and_then(|t| t.elapsed().ok());
     let age_s = std::fs::metadata(path)
         .ok()
@@ -244,7 +246,7 @@
                     &format!("/{path}"),
                     &DialOptions::default(),
                     FETCH_TIMEOUT,
-                    DOCUMENT_BYTES,
+                    MAX_DOCUMENT_BYTES,
                 )
             }
         }
@@ -288,14 +290,14 @@
         let monotonic_s = self.authenticator.monotonic_s();
         let ahead_s = {
             let mut time = lock(&self.authenticator.time);
-            let doubted = time.doubts();
-            let stepped = time.look(monotonic_s, (self.authenticator.wall)());
+            let doubted = time.has_unconfirmed_jump();
+            let stepped = time.update(monotonic_s, (self.authenticator.wall)());
             if let Some(stepped) = stepped {
                 tracing::warn!(
                     by_s = stepped.by_s,
                     "the wall clock has jumped and stayed; credentials are judged by its new time"
                 );
-            } else if time.doubts() && !doubted {
+            } else if time.has_unconfirmed_jump() && !doubted {
                 tracing::warn!(
                     "the wall clock has jumped; credentials are judged by the previous time until the jump is confirmed"
                 );
@@ -318,16 +320,16 @@
         let (now, chance) = (self.authenticator.monotonic_s(), random_fraction());
         match fetched {
             Err(e) => {
-                let retry_in_s = self.authenticator.keeper().failed(now, chance);
+                let retry_in_s = self.authenticator.keeper().fetch_failed(now, chance);
                 tracing::warn!(error = %e, retry_in_s, "the key set cannot be fetched; the last good keys stay in force");
             }
             Ok(document) => match self.authenticator.keeper().fetched(now, &document, chance) {
-                Taken::Same => self.store(&document),
-                Taken::New { dropped } => {
-                    tracing::info!(?dropped, "a new key set is in force");
+                FetchOutcome::Unchanged => self.store(&document),
+                FetchOutcome::Replaced { removed } => {
+                    tracing::info!(dropped = ?removed, "a new key set is in force");
                     self.store(&document);
                 }
-                Taken::Refused(e) => {
+                FetchOutcome::Invalid(e) => {
                     tracing::warn!(error = %e, "the fetched key set is rejected; the last good keys stay in force")
                 }
             },
@@ -352,14 +354,14 @@
         let skew_s = self.authenticator.token_rules.skew_s;
         let valid_ids = |set: &Arc<KeySet>| -> Vec<String> {
             set.ids()
-                .filter(|id| set.counts(id, now, skew_s))
+                .filter(|id| set.is_valid(id, now, skew_s))
                 .map(str::to_string)
                 .collect()
         };
         let valid = self
             .authenticator
             .keeper()
-            .set(self.authenticator.monotonic_s())
+            .current(self.authenticator.monotonic_s())
             .map(valid_ids)
             .unwrap_or_default();
         let revoked: Vec<String> = self
--- a/crates/net/src/ledger.rs
+++ b/crates/net/src/ledger.rs
@@ -165,7 +165,7 @@
         let deadline = Instant::now() + ACK_TIMEOUT;
         while let Ok(acked) = acks.recv_deadline(deadline) {
             if acked == number {
-                if let Err(e) = journal.shipped(up_to) {
+                if let Err(e) = journal.mark_shipped(up_to) {
                     tracing::error!(error = %e, "cannot mark charges as shipped in the journal; they are shipped again");
                 }
                 break;
--- a/crates/net/src/tls.rs
+++ b/crates/net/src/tls.rs
@@ -10,8 +10,8 @@
 
 use bitternlatch_core::settings::{EnginesTls, ListenTls};
 use bitternlatch_core::Input;
-use bitternlatch_identity::certificates::{Revocations, LIST_BYTES};
-use bitternlatch_identity::reload::{Look, Reload};
+use bitternlatch_identity::certificates::{Revocations, MAX_LIST_BYTES};
+use bitternlatch_identity::reload::{ReloadAction, ReloadTracker};
 use crossbeam_channel::Sender;
 use rustls::crypto::{ring, CryptoProvider};
 use rustls::pki_types::pem::PemObject;
@@ -42,7 +42,7 @@
     fn read(files: &[PathBuf]) -> Result<FileContents, String> {
         let read = |path: &PathBuf| -> Result<Vec<u8>, String> {
             let shown = path.display();
-            let max_bytes = MAX_FILE_BYTES.max(2 * LIST_BYTES as u64);
+            let max_bytes = MAX_FILE_BYTES.max(2 * MAX_LIST_BYTES as u64);
             let size = std::fs::metadata(path)
                 .map_err(|e| format!("{shown}: {e}"))?
                 .len();
@@ -144,7 +144,7 @@
     client_certificate_required: bool,
     config: RwLock<Arc<ServerConfig>>,
     revocations: Mutex<Revocations>,
-    reload: Mutex<Reload>,
+    reload: Mutex<ReloadTracker>,
 }
 
 impl ServerTls {
@@ -176,7 +176,7 @@
             client_certificate_required,
             config: RwLock::new(loaded.config),
             revocations: Mutex::new(loaded.revocations),
-            reload: Mutex::new(Reload::new(contents.hash())),
+            reload: Mutex::new(ReloadTracker::new(contents.hash())),
         })
     }
 
@@ -198,7 +198,7 @@
             for (path, text) in files.iter().zip(contents).skip(3) {
                 revoked.extend(parse_revocation_lists(path, text)?);
             }
-            let updated = previous.with(&revoked, &ders, unix_seconds() as u64);
+            let updated = previous.with_lists(&revoked, &ders, unix_seconds() as u64);
             revocations = updated.map_err(|e| e.to_string())?;
             let mut verifier =
                 WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider())
@@ -228,7 +228,7 @@
 
     /// Whether the certificate with this key id is revoked now, even if it was valid when its connection was opened.
     pub fn is_revoked(&self, key_id: &str) -> bool {
-        lock(&self.revocations).revoked(key_id)
+        lock(&self.revocations).is_revoked(key_id)
     }
 
     /// Reloads the files if they have changed and returns the key ids of newly revoked certificates. Invalid files are
@@ -242,7 +242,7 @@
                 return Vec::new();
             }
         };
-        if lock(&self.reload).look(contents.hash()) != Look::Try {
+        if lock(&self.reload).observe(contents.hash()) != ReloadAction::Load {
             return Vec::new();
         }
         let previous = lock(&self.revocations).clone();
@@ -254,15 +254,15 @@
             &previous,
         ) {
             Ok(loaded) => {
-                let newly_revoked = loaded.revocations.since(&previous);
+                let newly_revoked = loaded.revocations.newly_revoked(&previous);
                 *lock(&self.revocations) = loaded.revocations;
                 *self.config.write().unwrap_or_else(PoisonError::into_inner) = loaded.config;
-                lock(&self.reload).taken();
+                lock(&self.reload).accepted();
                 tracing::info!(revoked = newly_revoked.len(), "new TLS files are in force");
                 newly_revoked
             }
             Err(error) => {
-                lock(&self.reload).refused();
+                lock(&self.reload).rejected();
                 tracing::error!(
                     error,
                     "the new TLS files are rejected; the last good files stay in force"
@@ -278,7 +278,7 @@
     /// Paths of the authorities, then of the certificate and the key, if configured.
     files: Vec<PathBuf>,
     config: RwLock<Arc<ClientConfig>>,
-    reload: Mutex<Reload>,
+    reload: Mutex<ReloadTracker>,
 }
 
 impl ClientTls {
@@ -305,7 +305,7 @@
         Ok(ClientTls {
             files,
             config,
-            reload: Mutex::new(Reload::new(contents.hash())),
+            reload: Mutex::new(ReloadTracker::new(contents.hash())),
         })
     }
 
@@ -338,17 +338,17 @@
         let Ok(contents) = FileContents::read(&self.files) else {
             return;
         };
-        if lock(&self.reload).look(contents.hash()) != Look::Try {
+        if lock(&self.reload).observe(contents.hash()) != ReloadAction::Load {
             return;
         }
         match ClientTls::build(&self.files, &contents.0) {
             Ok(config) => {
                 *self.config.write().unwrap_or_else(PoisonError::into_inner) = config;
-                lock(&self.reload).taken();
+                lock(&self.reload).accepted();
                 tracing::info!("new TLS files for links to model servers are in force");
             }
             Err(error) => {
-                lock(&self.reload).refused();
+                lock(&self.reload).rejected();
                 tracing::error!(
                     error,
                     "the new TLS files for links to model servers are rejected; the last good files stay in force"
--- a/crates/net/src/watch.rs
+++ b/crates/net/src/watch.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bitternlatch_core::Input;
-use bitternlatch_inventory::{LastGood, Offer};
+use bitternlatch_inventory::{LastValidList, UpdateOutcome};
 use crossbeam_channel::Sender;
 
 use crate::driver::Event;
@@ -37,7 +37,7 @@
 pub fn watch(
     path: PathBuf,
     interval: Duration,
-    mut last_good: LastGood,
+    mut last_good: LastValidList,
     events: Sender<Event>,
 ) -> std::io::Result<()> {
     let poll = move || {
@@ -62,7 +62,7 @@
                     }
                 }
             }
-            let now_unreadable = !logged_error.is_empty() || last_good.is_broken();
+            let now_unreadable = !logged_error.is_empty() || last_good.is_invalid();
             if now_unreadable != unreadable {
                 unreadable = now_unreadable;
                 inputs.push(Input::ServerListUnreadable(unreadable));
@@ -81,14 +81,14 @@
 }
 
 /// Offers the file's text as the new list. Returns the list as an input if the list in force changes.
-fn offer(last_good: &mut LastGood, name: &str, text: &str) -> Option<Input> {
-    match last_good.offer(name, text) {
-        Offer::Nothing => None,
-        Offer::Broken(e) => {
+fn offer(last_good: &mut LastValidList, name: &str, text: &str) -> Option<Input> {
+    match last_good.update(name, text) {
+        UpdateOutcome::Unchanged => None,
+        UpdateOutcome::Invalid(e) => {
             tracing::error!(error = %e, "the server list is invalid; the last good list stays in force");
             None
         }
-        Offer::Taken(change) => {
+        UpdateOutcome::Applied(change) => {
             tracing::info!(added = ?change.added, removed = ?change.removed, changed = ?change.changed,
                 "a new server list is in force");
             Some(Input::ServerList(
--- a/programs/dispatch/src/lib.rs
+++ b/programs/dispatch/src/lib.rs
@@ -14,8 +14,8 @@
 
 use bitternlatch_cluster_net::{ClusterEvent, ClusterRuntime};
 use bitternlatch_core::{Input, Settings};
-use bitternlatch_identity::rights::Rights;
-use bitternlatch_inventory::{LastGood, Offer};
+use bitternlatch_identity::rights::AccessRights;
+use bitternlatch_inventory::{LastValidList, UpdateOutcome};
 use bitternlatch_journal::Journal;
 use bitternlatch_net::accept::{Acceptor, ListenerOptions};
 use bitternlatch_net::charges::ChargeQueue;
@@ -91,10 +91,10 @@
     let text = std::fs::read_to_string(&args.config).map_err(|e| format!("{config_name}: {e}"))?;
     let settings = Settings::parse(&config_name, &text).map_err(|e| e.to_string())?;
     let list = resolve_path(&args.config, &settings.inventory.file);
-    let mut last_good = LastGood::default();
-    match last_good.offer(&list.display().to_string(), &watch::read_list(&list)?) {
-        Offer::Broken(e) => return Err(e.to_string()),
-        Offer::Taken(_) | Offer::Nothing => {}
+    let mut last_good = LastValidList::default();
+    match last_good.update(&list.display().to_string(), &watch::read_list(&list)?) {
+        UpdateOutcome::Invalid(e) => return Err(e.to_string()),
+        UpdateOutcome::Applied(_) | UpdateOutcome::Unchanged => {}
     }
     check_access_rights(&args.config, &settings)?;
     let tls_files = TlsFiles::load(&args.config, &settings)?;
@@ -176,7 +176,7 @@
     let path = resolve_path(config, &identity.rights);
     let rights_name = path.display();
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{rights_name}: {e}"))?;
-    let rights = Rights::parse(&text).map_err(|e| format!("{rights_name}: {e}"))?;
+    let rights = AccessRights::parse(&text).map_err(|e| format!("{rights_name}: {e}"))?;
     if let Some(class) = rights
         .classes()
         .find(|c| settings.classes.iter().all(|known| known.name != **c))
@@ -202,7 +202,7 @@
     settings: Settings,
     text: String,
     list: PathBuf,
-    last_good: LastGood,
+    last_good: LastValidList,
     tls_files: TlsFiles,
 ) -> Result<(), String> {
     // Request ids must not be guessable: the seed comes from the system's random source and is never logged.
