--- a/crates/output-length/src/windows.rs
+++ b/crates/output-length/src/windows.rs
@@ -228,7 +228,7 @@
         self.count = self.cells.values().map(BTreeMap::len).sum();
     }
 
-    /// Drops windows, and discard times of cells, that are older than [`MAX_AGE`].
+    /// Drops windows, and discard times of cells, that are older than `MAX_AGE`.
     pub fn drop_expired(&mut self, now: Duration) {
         self.retain(|_, _, w| now.saturating_sub(w.last_end) < MAX_AGE);
         self.discarded_until
