--- a/crates/core/src/intake.rs
+++ b/crates/core/src/intake.rs
@@ -4,7 +4,7 @@
 use bitternlatch_budget::Amount;
 use bitternlatch_policy::interface::RequestId;
 use bitternlatch_protocol::client::{self, BadRequest, ClientEvent, Create};
-use bitternlatch_protocol::tokens_of;
+use bitternlatch_protocol::estimate_tokens;
 
 use crate::budgets::Rejection;
 use crate::idempotency::KeyLookup;
@@ -145,7 +145,7 @@
             return Ok(());
         };
         let max_usage = Amount {
-            prompt: tokens_of(validated.prompt.len()),
+            prompt: estimate_tokens(validated.prompt.len()),
             output: validated.max_tokens,
         };
         let tenant = validated.tenant;
--- a/crates/core/src/output_lengths.rs
+++ b/crates/core/src/output_lengths.rs
@@ -7,7 +7,7 @@
     Ask, ClassKey, Curves, End, Ended, Expected, ModelKey, TenantKey, Told,
 };
 use bitternlatch_policy::interface;
-use bitternlatch_protocol::tokens_of;
+use bitternlatch_protocol::estimate_tokens;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::requests::Request;
@@ -68,14 +68,14 @@
     /// whose server has reported no usage, the tokens are estimated from the text received so far.
     pub(crate) fn end_report(request: &Request, class: &str, server: &str, end: End) -> Ask {
         let tokens = match end {
-            End::Left => tokens_of(request.text.len()),
+            End::Left => estimate_tokens(request.text.len()),
             End::Whole | End::Ceiling => request.usage.output_tokens,
         };
         Ask::Ended(Ended {
             model: ModelKey(name_hash(&request.response.model)),
             class: ClassKey(name_hash(class)),
             tenant: TenantKey(request.tenant),
-            prompt_tokens: tokens_of(request.prompt.len()),
+            prompt_tokens: estimate_tokens(request.prompt.len()),
             ceiling: request.max_tokens,
             tokens,
             bytes: u32::try_from(request.text.len()).unwrap_or(u32::MAX),
--- a/crates/core/src/request_start.rs
+++ b/crates/core/src/request_start.rs
@@ -4,7 +4,7 @@
 use bitternlatch_output_length::Expected;
 use bitternlatch_policy::interface::{Event, RequestId};
 use bitternlatch_protocol::client::{self, Create, Response, Status, Usage};
-use bitternlatch_protocol::tokens_of;
+use bitternlatch_protocol::estimate_tokens;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::budgets::{RequestCharges, RETRY_AFTER_S};
@@ -141,7 +141,7 @@
 
     fn expected_output(&self, create: &Create, validated: &ValidatedRequest) -> Option<Expected> {
         let class = &self.settings.classes[usize::from(validated.class)].name;
-        let prompt_tokens = tokens_of(validated.prompt.len());
+        let prompt_tokens = estimate_tokens(validated.prompt.len());
         self.output_lengths
             .predict(&create.model, class, prompt_tokens, validated.max_tokens)
     }
--- a/crates/core/src/validated_request.rs
+++ b/crates/core/src/validated_request.rs
@@ -4,7 +4,7 @@
 use bitternlatch_overload::{AdmissionRequest, SunkCost};
 use bitternlatch_policy::interface::{Request as PolicyRequest, RequestId};
 use bitternlatch_protocol::client::{self, BadRequest, Create};
-use bitternlatch_protocol::tokens_of;
+use bitternlatch_protocol::estimate_tokens;
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
 use crate::idempotency::Key;
@@ -45,7 +45,7 @@
 impl ValidatedRequest {
     /// Estimated prompt length: one token for each four bytes of text.
     pub(crate) fn prompt_tokens(&self) -> u32 {
-        tokens_of(self.prompt.len())
+        estimate_tokens(self.prompt.len())
     }
 
     /// Converts the request for the decision module. The shared prefix is identified by the client's `prompt_cache_key`
@@ -64,7 +64,7 @@
             session: conversation,
             prefix: prefix_key(create),
             prompt_tokens: f64::from(self.prompt_tokens()),
-            prefix_tokens: f64::from(tokens_of(create.instructions.len())),
+            prefix_tokens: f64::from(estimate_tokens(create.instructions.len())),
             max_output_tokens: f64::from(self.max_tokens),
             output_tokens: None,
             output_hint_s: None,
@@ -101,7 +101,7 @@
             priority_weight: class.priority_weight,
             prompt_tokens,
             prefix_hash: prefix_key(create),
-            prefix_tokens: f64::from(tokens_of(create.instructions.len())),
+            prefix_tokens: f64::from(estimate_tokens(create.instructions.len())),
             output_tokens: answer_tokens
                 .unwrap_or(EXPECTED_OUTPUT_SHARE * f64::from(self.max_tokens)),
             sunk_cost,
@@ -192,7 +192,7 @@
         let time_left_s = time_left_s(create, self.settings.classes[class].deadline_s)?;
         let (class, tenant) = (class as u16, tenant as u32);
         let owner = grant.as_ref().map(|g| g.owner.clone()).unwrap_or_default();
-        let key = metadata(create, client::META_KEY).filter(|k| !k.is_empty());
+        let key = metadata(create, client::META_IDEMPOTENCY_KEY).filter(|k| !k.is_empty());
         let key = key.map(|text| Key {
             tenant,
             class,
--- a/crates/core/src/workflow_steps.rs
+++ b/crates/core/src/workflow_steps.rs
@@ -2,7 +2,7 @@
 
 use bitternlatch_policy::interface::RequestId;
 use bitternlatch_protocol::client::{BadRequest, Create, Response, Status};
-use bitternlatch_protocol::workflow::{self, About};
+use bitternlatch_protocol::workflow::{self, WorkflowRequest};
 use bitternlatch_workflow::{AttemptOutcome, RejectReason};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -256,14 +256,17 @@
     ///
     /// # Errors
     /// The metadata are invalid.
-    pub(crate) fn workflow_operation(&self, create: &Create) -> Result<Option<About>, BadRequest> {
+    pub(crate) fn workflow_operation(
+        &self,
+        create: &Create,
+    ) -> Result<Option<WorkflowRequest>, BadRequest> {
         let enabled = self
             .settings
             .cluster
             .as_ref()
             .is_some_and(|c| c.workflows.is_some());
         if enabled {
-            workflow::read(&create.metadata)
+            workflow::parse(&create.metadata)
         } else {
             Ok(None)
         }
@@ -280,7 +283,7 @@
         session: SessionId,
         create: &Create,
         mut validated: ValidatedRequest,
-        workflow_operation: About,
+        workflow_operation: WorkflowRequest,
         out: &mut Vec<Output>,
     ) -> Result<(), Rejection> {
         if self.stopping {
@@ -295,7 +298,7 @@
             workflows::qualified_name(tenant, &validated.owner, &workflow_operation.workflow);
         let class = &self.settings.classes[usize::from(validated.class)];
         let key = validated.key.as_ref().map_or("", |k| k.text.as_str());
-        let query = workflows::to_query(workflow, workflow_operation.does, create, class, key);
+        let query = workflows::to_query(workflow, workflow_operation.operation, create, class, key);
         let mut admitted_work = AdmittedWork::default();
         if let WorkflowQuery::Step(intent) = &query {
             match self.workflows.in_flight(intent) {
--- a/crates/core/src/workflows/events.rs
+++ b/crates/core/src/workflows/events.rs
@@ -1,7 +1,7 @@
 //! Handles answers of the workflow coordinator and time-outs of queries.
 
 use bitternlatch_policy::interface::RequestId;
-use bitternlatch_protocol::workflow::{Carried, Claimed};
+use bitternlatch_protocol::workflow::{Claimed, OperationResult};
 use bitternlatch_workflow::{Call, Event, RejectReason};
 
 use super::messages::{to_claimed_step, to_json};
@@ -187,11 +187,11 @@
         (
             WorkflowQuery::RenewLease { epoch, .. } | WorkflowQuery::Finish { epoch, .. },
             Event::Committed { .. },
-        ) => Ok(to_json(&Carried {
+        ) => Ok(to_json(&OperationResult {
             epoch: Some(*epoch),
         })),
         (WorkflowQuery::Settle { .. }, Event::Committed { .. }) => {
-            Ok(to_json(&Carried { epoch: None }))
+            Ok(to_json(&OperationResult { epoch: None }))
         }
         (_, Event::Rejected { reason, .. }) => Err(reason),
         // The event does not answer this kind of query, so the outcome of the query is unknown.
--- a/crates/core/src/workflows/messages.rs
+++ b/crates/core/src/workflows/messages.rs
@@ -1,7 +1,7 @@
 //! Conversion between the client protocol and the types of the workflow coordinator.
 
 use bitternlatch_protocol::client::{BadRequest, Create};
-use bitternlatch_protocol::workflow::{ClaimedStep, Decided, Does, StepEffect, StepFate};
+use bitternlatch_protocol::workflow::{ClaimedStep, Operation, StepDecision, StepEffect, StepFate};
 use bitternlatch_workflow::{AttemptOutcome, Effect, RejectReason};
 use xxhash_rust::xxh3::Xxh3;
 
@@ -46,32 +46,32 @@
 /// Converts a request about a workflow to a query. `key` is the idempotency key of the client, empty where it sent none.
 pub(crate) fn to_query(
     workflow: String,
-    operation: Does,
+    operation: Operation,
     create: &Create,
     class: &Class,
     key: &str,
 ) -> WorkflowQuery {
     match operation {
-        Does::Claim { worker } => WorkflowQuery::Claim { workflow, worker },
-        Does::Carry { epoch } => WorkflowQuery::RenewLease { workflow, epoch },
-        Does::Finish { epoch } => WorkflowQuery::Finish {
+        Operation::Claim { worker } => WorkflowQuery::Claim { workflow, worker },
+        Operation::RenewLease { epoch } => WorkflowQuery::RenewLease { workflow, epoch },
+        Operation::Finish { epoch } => WorkflowQuery::Finish {
             workflow,
             epoch,
             cancelled: false,
         },
-        Does::Cancel { epoch } => WorkflowQuery::Finish {
+        Operation::Cancel { epoch } => WorkflowQuery::Finish {
             workflow,
             epoch,
             cancelled: true,
         },
-        Does::Settle { step, fate } => {
-            let outcome = match fate {
-                Decided::Done => AttemptOutcome::Done {
+        Operation::Settle { step, decision } => {
+            let outcome = match decision {
+                StepDecision::Done => AttemptOutcome::Done {
                     result: create.input.clone(),
                     tokens: 0,
                 },
-                Decided::NeverRan => AttemptOutcome::NeverRan,
-                Decided::LeftOut => AttemptOutcome::MayHaveRun,
+                StepDecision::NeverRan => AttemptOutcome::NeverRan,
+                StepDecision::Skipped => AttemptOutcome::MayHaveRun,
             };
             WorkflowQuery::Settle {
                 workflow,
@@ -79,7 +79,7 @@
                 outcome,
             }
         }
-        Does::Step { epoch, step } => {
+        Operation::Step { epoch, step } => {
             let effect = match class.effect {
                 settings::Effect::Safe => Effect::Safe,
                 settings::Effect::Keyed => Effect::Keyed,
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -17,7 +17,7 @@
 };
 use bitternlatch_identity::Caller;
 use bitternlatch_journal::output_barrier::{Charge, OutputBarrier};
-use bitternlatch_protocol::client::{renewal, Renewal};
+use bitternlatch_protocol::client::{parse_renewal, Renewal};
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender, TrySendError};
 
 use crate::accept::Handler;
@@ -124,9 +124,9 @@
     fn text(&self, connection: u64, text: String) {
         let session = SessionId(connection);
         // The token is not passed on to the loop, since inputs of the loop may be recorded.
-        let input = match (renewal(&text), &self.authenticator) {
+        let input = match (parse_renewal(&text), &self.authenticator) {
             (Renewal::None, _) | (_, None) => Input::SessionText { session, text },
-            (Renewal::Broken, Some(_)) => Input::RenewalRejected {
+            (Renewal::Malformed, Some(_)) => Input::RenewalRejected {
                 session,
                 code: "token_malformed".to_string(),
             },
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -1,36 +1,43 @@
-//! Client events: what a session may say and what it is answered.
+//! Client events: parses the messages that clients send and serializes the events that they receive.
 
 use std::collections::BTreeMap;
 
 use serde::de::{DeserializeOwned, IgnoredAny};
 use serde::{Deserialize, Serialize};
 
-/// Pairs in `metadata`, and the longest key and value in characters, as published.
-pub const METADATA_PAIRS: usize = 16;
-pub const METADATA_KEY_CHARS: usize = 64;
-pub const METADATA_VALUE_CHARS: usize = 512;
+/// Maximum number of pairs in `metadata`, as in the published API.
+pub const MAX_METADATA_PAIRS: usize = 16;
+/// Longest key in `metadata`, in characters, as in the published API.
+pub const MAX_METADATA_KEY_CHARS: usize = 64;
+/// Longest value in `metadata`, in characters, as in the published API.
+pub const MAX_METADATA_VALUE_CHARS: usize = 512;
 /// Longest `prompt_cache_key` and `model`, in characters.
-pub const NAME_CHARS: usize = 256;
+pub const MAX_NAME_CHARS: usize = 256;
 
-/// Keys of `metadata` that the dispatcher reads; all are echoed.
+// Keys of `metadata` that the dispatcher reads. All pairs of `metadata` are echoed in the response.
+
+/// `metadata` key of the request class.
 pub const META_CLASS: &str = "class";
+/// `metadata` key of the tenant.
 pub const META_TENANT: &str = "tenant";
-pub const META_KEY: &str = "idempotency_key";
+/// `metadata` key of the idempotency key.
+pub const META_IDEMPOTENCY_KEY: &str = "idempotency_key";
+/// `metadata` key of the request's deadline, milliseconds.
 pub const META_DEADLINE_MS: &str = "deadline_ms";
 
-/// What a client said, checked.
+/// A parsed and validated message of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientEvent {
     Create(Box<Create>),
     Cancel { response_id: String },
 }
 
-/// `response.create`.
+/// The fields of a `response.create` event.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Create {
     pub model: String,
     pub instructions: String,
-    /// The new input as one text, a line a message: `role: text`.
+    /// The new input as one text. A list of messages becomes one line per message, `role: text`.
     pub input: String,
     pub previous_response_id: Option<String>,
     pub max_output_tokens: Option<u32>,
@@ -40,19 +47,19 @@
     pub top_p: Option<f64>,
 }
 
-/// Why a client's message was not taken: goes back as an `error` event and costs the session nothing else.
+/// Why a client's message was rejected. It is sent to the client as an `error` event; the session stays open.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{message}")]
 pub struct BadRequest {
     pub status: u16,
     pub code: &'static str,
     pub message: String,
-    /// The field at fault.
+    /// The invalid field, if the error concerns one field.
     pub param: Option<String>,
 }
 
 impl BadRequest {
-    /// A fault of the caller (HTTP 400) in one field.
+    /// An error for an invalid value in one field (status 400).
     pub fn field(param: &str, message: impl Into<String>) -> Self {
         let (message, param) = (message.into(), Some(param.to_string()));
         BadRequest {
@@ -63,6 +70,7 @@
         }
     }
 
+    /// An error for text that is not a JSON object of the expected form (status 400).
     fn json(message: String) -> Self {
         BadRequest {
             status: 400,
@@ -127,22 +135,22 @@
     response_id: Option<String>,
 }
 
-/// Reads one text message of a client.
+/// Parses one text message of a client.
 ///
 /// # Errors
-/// One [`BadRequest`] that names the first field at fault, or the line and column where the JSON breaks.
+/// A [`BadRequest`] that names the first invalid field, or the line and column of a JSON syntax error.
 pub fn parse(text: &str) -> Result<ClientEvent, BadRequest> {
-    // A sequence would be taken for the fields in their order.
+    // Rejects arrays: serde would accept one as the values of the struct's fields in order.
     if !text.trim_start().starts_with('{') {
         return Err(BadRequest::json(
             "the message is not an event: a JSON object is expected".to_string(),
         ));
     }
-    let event: RawEvent = read(text)?;
+    let event: RawEvent = deserialize(text)?;
     match event.kind.as_str() {
-        "response.create" => read(text).and_then(create),
+        "response.create" => deserialize(text).and_then(validate_create),
         "response.cancel" => {
-            let raw: RawCancel = read(text)?;
+            let raw: RawCancel = deserialize(text)?;
             let missing = || BadRequest::field("response_id", "response.cancel needs response_id");
             raw.response_id
                 .map(|response_id| ClientEvent::Cancel { response_id })
@@ -158,7 +166,8 @@
     }
 }
 
-/// What is left of a bound on tokens, in the published form of the Realtime API's event.
+/// Serializes a `rate_limits.updated` event for a token limit, in the format of the published Realtime API. `reset_s` is the
+/// time until the limit is fully available again, seconds; an infinite value is sent as null.
 pub fn rate_limits(limit: u64, remaining: u64, reset_s: f64) -> String {
     let reset = if reset_s.is_finite() {
         serde_json::json!(reset_s)
@@ -169,12 +178,13 @@
     serde_json::json!({ "type": "rate_limits.updated", "rate_limits": [one] }).to_string()
 }
 
-/// Reads an event, or says what is wrong with it and where: the JSON itself, or the value of one field.
-fn read<T: DeserializeOwned>(text: &str) -> Result<T, BadRequest> {
-    serde_json::from_str(text).map_err(|_| explain::<T>(text))
+/// Deserializes an event. The error names the position of a JSON syntax error or the invalid field.
+fn deserialize<T: DeserializeOwned>(text: &str) -> Result<T, BadRequest> {
+    serde_json::from_str(text).map_err(|_| deserialize_error::<T>(text))
 }
 
-fn explain<T: DeserializeOwned>(text: &str) -> BadRequest {
+/// Finds the error in a text that does not deserialize as `T`.
+fn deserialize_error<T: DeserializeOwned>(text: &str) -> BadRequest {
     if let Err(e) = serde_json::from_str::<IgnoredAny>(text) {
         return BadRequest::json(format!("the message is not JSON: {e}"));
     }
@@ -182,29 +192,30 @@
         Ok(_) => BadRequest::json("the message is not one event".to_string()),
         Err(e) => {
             let path = e.path().to_string();
-            let whole = e.into_inner().to_string();
-            // The place is that of a byte in what the client has long forgotten; the field says more.
-            let why = whole.split(" at line ").next().unwrap_or_default();
-            // `serde` names a missing field in its text alone.
-            let missing = why
+            let full_message = e.into_inner().to_string();
+            // Removes the position in the text: the client no longer has the text, and the field name is more useful.
+            let message = full_message.split(" at line ").next().unwrap_or_default();
+            // `serde` names a missing field only in the text of the error, not in its path.
+            let missing = message
                 .strip_prefix("missing field `")
                 .and_then(|w| w.strip_suffix('`'));
             match missing {
                 Some(field) => BadRequest::field(field, "is missing"),
-                None => BadRequest::field(if path == "." { "input" } else { &path }, why),
+                None => BadRequest::field(if path == "." { "input" } else { &path }, message),
             }
         }
     }
 }
 
-fn create(raw: RawCreate) -> Result<ClientEvent, BadRequest> {
+/// Validates the fields of a `response.create` event.
+fn validate_create(raw: RawCreate) -> Result<ClientEvent, BadRequest> {
     let model = raw
         .model
         .filter(|m| !m.is_empty())
         .ok_or_else(|| BadRequest::field("model", "is missing"))?;
-    short("model", &model)?;
+    check_name_length("model", &model)?;
     if let Some(key) = &raw.prompt_cache_key {
-        short("prompt_cache_key", key)?;
+        check_name_length("prompt_cache_key", key)?;
     }
     let input = input_text(
         raw.input
@@ -232,42 +243,49 @@
         previous_response_id: raw.previous_response_id,
         max_output_tokens,
         prompt_cache_key: raw.prompt_cache_key,
-        metadata: metadata(raw.metadata.unwrap_or_default())?,
+        metadata: validate_metadata(raw.metadata.unwrap_or_default())?,
         temperature: raw.temperature,
         top_p: raw.top_p,
     })))
 }
 
-fn short(param: &str, value: &str) -> Result<(), BadRequest> {
-    if value.chars().count() > NAME_CHARS {
+/// Rejects a value that is longer than [`MAX_NAME_CHARS`].
+fn check_name_length(param: &str, value: &str) -> Result<(), BadRequest> {
+    if value.chars().count() > MAX_NAME_CHARS {
         return Err(BadRequest::field(
             param,
-            format!("is longer than {NAME_CHARS} characters"),
+            format!("is longer than {MAX_NAME_CHARS} characters"),
         ));
     }
     Ok(())
 }
 
-fn metadata(pairs: BTreeMap<String, String>) -> Result<BTreeMap<String, String>, BadRequest> {
-    if pairs.len() > METADATA_PAIRS {
+/// Checks the number of `metadata` pairs and the lengths of their keys and values.
+fn validate_metadata(
+    pairs: BTreeMap<String, String>,
+) -> Result<BTreeMap<String, String>, BadRequest> {
+    if pairs.len() > MAX_METADATA_PAIRS {
         return Err(BadRequest::field(
             "metadata",
-            format!("has more than {METADATA_PAIRS} pairs"),
+            format!("has more than {MAX_METADATA_PAIRS} pairs"),
         ));
     }
     for (key, value) in &pairs {
-        if key.chars().count() > METADATA_KEY_CHARS || value.chars().count() > METADATA_VALUE_CHARS
+        if key.chars().count() > MAX_METADATA_KEY_CHARS
+            || value.chars().count() > MAX_METADATA_VALUE_CHARS
         {
-            let most = format!("{METADATA_KEY_CHARS} or {METADATA_VALUE_CHARS} characters");
+            let limits =
+                format!("{MAX_METADATA_KEY_CHARS} or {MAX_METADATA_VALUE_CHARS} characters");
             return Err(BadRequest::field(
                 "metadata",
-                format!("has a key or value longer than {most}"),
+                format!("has a key or value longer than {limits}"),
             ));
         }
     }
     Ok(pairs)
 }
 
+/// Joins the text of all input items, one line per message.
 fn input_text(input: RawInput) -> Result<String, BadRequest> {
     let items = match input {
         RawInput::Text(text) => return Ok(text),
@@ -275,17 +293,17 @@
     };
     let mut lines = Vec::with_capacity(items.len());
     for (i, item) in items.into_iter().enumerate() {
-        let at = |part: &str| format!("input[{i}].{part}");
+        let field = |name: &str| format!("input[{i}].{name}");
         if item.kind.as_deref().is_some_and(|k| k != "message") {
             return Err(BadRequest::field(
-                &at("type"),
+                &field("type"),
                 "only items of type message are served here",
             ));
         }
         let text = match item.content {
             Some(RawContent::Text(text)) => text,
-            Some(RawContent::Parts(parts)) => parts_text(&at("content"), parts)?,
-            None => return Err(BadRequest::field(&at("content"), "is missing")),
+            Some(RawContent::Parts(parts)) => parts_text(&field("content"), parts)?,
+            None => return Err(BadRequest::field(&field("content"), "is missing")),
         };
         lines.push(format!(
             "{}: {text}",
@@ -295,18 +313,19 @@
     Ok(lines.join("\n"))
 }
 
-fn parts_text(at: &str, parts: Vec<RawPart>) -> Result<String, BadRequest> {
+/// Joins the text parts of one message. `field` names the message's content in an error.
+fn parts_text(field: &str, parts: Vec<RawPart>) -> Result<String, BadRequest> {
     let mut text = String::new();
     for part in parts {
         match (part.kind.as_str(), part.text) {
             ("input_text" | "output_text" | "text", Some(t)) => text.push_str(&t),
-            _ => return Err(BadRequest::field(at, "only text parts are served here")),
+            _ => return Err(BadRequest::field(field, "only text parts are served here")),
         }
     }
     Ok(text)
 }
 
-/// How a response stands.
+/// The state of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
@@ -316,7 +335,7 @@
     Failed,
 }
 
-/// Tokens counted by the engine.
+/// Token counts reported by the engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     pub input_tokens: u32,
@@ -330,8 +349,9 @@
     pub cached_tokens: u32,
 }
 
-/// `response.error`. `safe_to_repeat` and `retry_after_ms` are ours: a refusal says that trying again is
-/// harmless and when; a failure has `safe_to_repeat: false` and promises nothing.
+/// The `error` field of a response. `safe_to_repeat` and `retry_after_ms` are extensions of the published format: a rejected
+/// request has `safe_to_repeat: true` and the time after which it may be repeated; a failed one has `safe_to_repeat: false`,
+/// which says nothing about whether it ran.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ResponseError {
     pub code: String,
@@ -364,7 +384,7 @@
     pub content: Vec<OutputText>,
 }
 
-/// The response object, as far as it is served here.
+/// The response object, with the fields of the published format that the dispatcher supports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Response {
     pub id: String,
@@ -383,7 +403,7 @@
 }
 
 impl Response {
-    /// Puts the answer's text in as the one output message.
+    /// Sets the output to one message with this text.
     pub fn with_text(mut self, text: &str) -> Self {
         let part = OutputText {
             kind: "output_text".into(),
@@ -401,7 +421,7 @@
     }
 }
 
-/// Id of a response's one output item.
+/// Returns the id of a response's only output item.
 pub fn item_id(response_id: &str) -> String {
     format!(
         "msg_{}",
@@ -451,37 +471,38 @@
     elsewhere: &'a [String],
 }
 
-fn text(value: &impl Serialize) -> String {
-    // These types hold strings and numbers under string keys, which always serialize.
+fn to_json(value: &impl Serialize) -> String {
+    // Serialization cannot fail: the event types contain only strings, numbers and maps with string keys.
     serde_json::to_string(value).unwrap_or_default()
 }
 
-/// `response.created`.
+/// Serializes a `response.created` event.
 pub fn created(sequence: u64, response: &Response) -> String {
-    text(&ResponseEvent {
+    to_json(&ResponseEvent {
         kind: "response.created",
         sequence_number: sequence,
         response,
     })
 }
 
-/// The final event that fits the response's status.
+/// Serializes the final event of a response; the event type depends on the response's status.
 pub fn finished(sequence: u64, response: &Response) -> String {
     let kind = match response.status {
         Status::Completed => "response.completed",
         Status::Incomplete => "response.incomplete",
         Status::Failed | Status::InProgress => "response.failed",
     };
-    text(&ResponseEvent {
+    to_json(&ResponseEvent {
         kind,
         sequence_number: sequence,
         response,
     })
 }
 
-/// `response.output_text.delta`; `response_id` is ours, so that answers may run side by side in one session.
+/// Serializes a `response.output_text.delta` event. Its `response_id` is an extension of the published format, which allows
+/// concurrent responses in one session.
 pub fn delta(sequence: u64, response_id: &str, item_id: &str, delta: &str) -> String {
-    text(&DeltaEvent {
+    to_json(&DeltaEvent {
         kind: "response.output_text.delta",
         sequence_number: sequence,
         response_id,
@@ -492,8 +513,8 @@
     })
 }
 
-/// An `error` event; `metadata` (ours) is echoed where the message was read that far, so that a client with
-/// several requests out knows which one it ends.
+/// Serializes an `error` event. Its `metadata`, an extension of the published format, echoes that of the rejected request if it
+/// was parsed, so that a client with several requests in progress can tell which one the error belongs to.
 pub fn error(
     bad: &BadRequest,
     retry_after_ms: Option<u64>,
@@ -502,7 +523,8 @@
     error_elsewhere(bad, retry_after_ms, meta, &[])
 }
 
-/// The same with `elsewhere` (ours): addresses of other dispatchers to try.
+/// Serializes an `error` event like [`error`], with the addresses of other dispatchers that the client may try. Their field
+/// `elsewhere` is an extension of the published format.
 pub fn error_elsewhere(
     bad: &BadRequest,
     retry_after_ms: Option<u64>,
@@ -523,7 +545,7 @@
         metadata: meta,
         elsewhere,
     };
-    text(&ErrorEvent {
+    to_json(&ErrorEvent {
         kind: "error",
         status: bad.status,
         error,
@@ -537,9 +559,10 @@
     ends_at: u64,
 }
 
-/// `session.renewed` (ours): the session's proof now ends at this Unix time, seconds.
+/// Serializes a `session.renewed` event, an extension of the published API: the session's credential now expires at this Unix
+/// time, seconds.
 pub fn renewed(ends_at: u64) -> String {
-    text(&RenewedEvent {
+    to_json(&RenewedEvent {
         kind: "session.renewed",
         ends_at,
     })
@@ -552,18 +575,20 @@
     token: String,
 }
 
-/// Whether a message is a `session.renew` (ours).
+/// Whether a message is a `session.renew` event, an extension of the published API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Renewal {
-    /// Another message.
+    /// The message is another event.
     None,
+    /// The message is a renewal with this token.
     Token(String),
-    /// It may be one, and cannot be read; it may hold a token all the same.
-    Broken,
+    /// The message may be a renewal but cannot be parsed. It may still contain a token, so it must not be recorded.
+    Malformed,
 }
 
-/// Looks for a renewal; called before a message goes anywhere that is recorded.
-pub fn renewal(message: &str) -> Renewal {
+/// Checks whether a message is a renewal. Must be called before a message is passed on to code that records it, so that no
+/// token is recorded.
+pub fn parse_renewal(message: &str) -> Renewal {
     if !message.contains("session.renew") {
         return Renewal::None;
     }
@@ -573,11 +598,11 @@
     ) {
         (Ok(raw), _) if raw.kind == "session.renew" => Renewal::Token(raw.token),
         (_, Ok(event)) if event.kind != "session.renew" => Renewal::None,
-        _ => Renewal::Broken,
+        _ => Renewal::Malformed,
     }
 }
 
-/// What a client reads back, for stand-in clients and tests.
+/// An event as a client receives it, for test clients.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ServerEvent {
     #[serde(rename = "type")]
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -1,30 +1,32 @@
-//! Engine messages: one JSON text message each on a kept-open WebSocket link, many requests on one link.
+//! Messages between the dispatcher and a model server's engine: JSON text messages on a persistent WebSocket link, which
+//! carries many requests at once.
 //!
-//! The bodies follow vLLM's completion request, its stream chunks and its `kv_transfer_params` for reading on one
-//! engine and writing on another. The envelope (`op`, `id`) is ours, as vLLM speaks HTTP.
+//! The bodies follow vLLM's completion request, its stream chunks and its `kv_transfer_params` for prefill on one engine and
+//! decode on another. The envelope (`op`, `id`) is this project's own, because vLLM uses HTTP.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Where a read state waits, or that one is wanted; the words are vLLM's.
+/// Transfer of KV cache state from a prefill server to a decode server: requests it or names where the state is stored. The
+/// field names are vLLM's.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvTransferParams {
-    /// Asks a reader to keep the state for another engine.
+    /// Asks a prefill server to keep the KV cache state for another engine.
     pub do_remote_decode: bool,
-    /// Tells a writer to fetch the state named here.
+    /// Tells a decode server to fetch the KV cache state that the other fields name.
     pub do_remote_prefill: bool,
     pub remote_engine_id: Option<String>,
     #[serde(default)]
     pub remote_block_ids: Option<Vec<u64>>,
     pub remote_host: Option<String>,
     pub remote_port: Option<u16>,
-    /// The reader's request that made the state.
+    /// Id of the request on the prefill server that produced the state.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub remote_request_id: Option<String>,
 }
 
-/// A completion request.
+/// The body of a completion request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CompletionRequest {
     pub request_id: String,
@@ -38,26 +40,28 @@
     pub top_p: Option<f64>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kv_transfer_params: Option<KvTransferParams>,
-    /// The caller's key where the class is keyed: the engine drops repeats of it.
+    /// The client's idempotency key, set for request classes that use one. The engine drops repeated requests with the same
+    /// key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub idempotency_key: Option<String>,
 }
 
-/// From the dispatcher to an engine.
+/// A message from the dispatcher to an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "op", rename_all = "snake_case")]
 pub enum ToEngine {
+    /// Starts a completion.
     Completion {
         id: String,
         body: Box<CompletionRequest>,
     },
-    /// Stop the work of one request.
+    /// Cancels a request.
     Cancel { id: String },
-    /// Let go of the read state that this request left.
+    /// Releases the KV cache state that this request left on a prefill server.
     Release { id: String },
-    /// Ask for a load report.
+    /// Requests a load report.
     Probe { id: u64 },
-    /// A message of the engine's could not be used; says why.
+    /// Reports that a message of the engine was invalid, with the reason.
     Fault { message: String },
 }
 
@@ -86,7 +90,7 @@
     pub prompt_tokens_details: Option<PromptDetails>,
 }
 
-/// A `text_completion` chunk.
+/// One chunk of a streamed completion, vLLM's `text_completion` object.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Chunk {
     #[serde(default)]
@@ -97,11 +101,14 @@
     pub kv_transfer_params: Option<KvTransferParams>,
 }
 
-/// Load by name, the names as in vLLM's metrics without their prefix.
+/// A load report: values by metric name. The names are those of vLLM's metrics without their prefix.
 pub type Load = BTreeMap<String, f64>;
 
-/// Error codes that say that a request never ran.
+// The error codes below state that the request never ran.
+
+/// Error code: the engine's queue is full.
 pub const CODE_FULL: &str = "engine_full";
+/// Error code: the KV cache state that the request was to continue from is no longer available.
 pub const CODE_STATE_GONE: &str = "kv_state_gone";
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -111,7 +118,7 @@
     pub code: Option<String>,
 }
 
-/// What an engine says of itself.
+/// The state that an engine reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineState {
@@ -120,7 +127,7 @@
     Draining,
 }
 
-/// From an engine to the dispatcher.
+/// A message from an engine to the dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "op", rename_all = "snake_case")]
 pub enum FromEngine {
@@ -132,16 +139,15 @@
         #[serde(default)]
         state: EngineState,
     },
-    Chunk {
-        id: String,
-        body: Chunk,
-    },
-    /// The stream's end, `[DONE]` on HTTP.
+    /// A part of a request's output.
+    Chunk { id: String, body: Chunk },
+    /// The end of a request's output, which vLLM marks as `[DONE]` over HTTP.
     Done {
         id: String,
         #[serde(default, skip_serializing_if = "Option::is_none")]
         load: Option<Load>,
     },
+    /// The request failed or was rejected.
     Error {
         id: String,
         status: u16,
@@ -149,27 +155,23 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         load: Option<Load>,
     },
-    /// Answer to a probe.
-    Load {
-        id: u64,
-        load: Load,
-    },
+    /// The answer to a probe with the same id.
+    Load { id: u64, load: Load },
     /// The engine's state has changed.
-    State {
-        state: EngineState,
-    },
+    State { state: EngineState },
 }
 
-/// One message as text.
+/// Serializes a message to JSON text.
 pub fn encode(message: &impl Serialize) -> String {
-    // Strings and numbers under string keys; a load that is not a number is written as null.
+    // Serialization cannot fail: the messages contain only strings, numbers and maps with string keys. NaN and infinite load
+    // values are written as null.
     serde_json::to_string(message).unwrap_or_default()
 }
 
-/// Reads one message of either side.
+/// Parses a message of type `T`.
 ///
 /// # Errors
-/// Where the text is not JSON or not a known message, with line, column and cause.
+/// If the text is not JSON or not a known message, with line, column and cause.
 pub fn decode<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, serde_json::Error> {
     serde_json::from_str(text)
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,16 +1,17 @@
-//! The messages that the dispatcher exchanges, as serde types and nothing more.
+//! The messages that the dispatcher exchanges with clients and model servers: their types, parsing and serialization.
 //!
-//! - [`client`]: events of OpenAI's Responses API in its WebSocket mode, and what is added to them.
+//! - [`client`]: events of OpenAI's Responses API in WebSocket mode, with this project's extensions.
 //! - [`engine`]: vLLM's completion request and stream chunks with `kv_transfer_params`, one text message each.
-//! - [`workflow`]: steps of workflows, by fields of a client's request.
+//! - [`workflow`]: workflow operations, which clients request by `metadata` fields of a `response.create`.
 //!
-//! Every field, its bounds and each addition to the published shapes stand in `docs/protocol.md`.
+//! `docs/protocol.md` documents every field, its limits and each extension of the published formats.
 
 pub mod client;
 pub mod engine;
 pub mod workflow;
 
-/// Tokens that a text stands for before an engine has counted them: four bytes each, rounded up.
-pub fn tokens_of(bytes: usize) -> u32 {
+/// Estimates the number of tokens of a text of this many bytes, at four bytes a token, rounded up. Used until an engine has
+/// reported the actual count.
+pub fn estimate_tokens(bytes: usize) -> u32 {
     u32::try_from(bytes.div_ceil(4)).unwrap_or(u32::MAX)
 }
--- a/crates/protocol/src/workflow.rs
+++ b/crates/protocol/src/workflow.rs
@@ -1,4 +1,5 @@
-//! Steps of workflows, by fields that a request has anyway: what `metadata` asks for, and what a claim is answered (*ours*).
+//! Workflow operations, an extension of the published API: clients request them by `metadata` fields of a `response.create`,
+//! and the results are the output text of the response.
 
 use std::collections::BTreeMap;
 
@@ -6,72 +7,73 @@
 
 use crate::client::BadRequest;
 
-/// Keys of `metadata`; read where workflows are switched on, else echoed alone.
+// Keys of `metadata` that select a workflow operation. If workflows are disabled, they are only echoed.
+
+/// `metadata` key of the workflow's name.
 pub const META_WORKFLOW: &str = "workflow";
+/// `metadata` key of the name of the worker that claims the workflow.
 pub const META_WORKER: &str = "workflow_worker";
+/// `metadata` key of the operation; a step if absent.
 pub const META_DO: &str = "workflow_do";
+/// `metadata` key of the epoch of the worker's claim.
 pub const META_EPOCH: &str = "workflow_epoch";
+/// `metadata` key of the step number.
 pub const META_STEP: &str = "workflow_step";
+/// `metadata` key of the decision about a step whose outcome is unknown.
 pub const META_FATE: &str = "workflow_fate";
 
 /// Longest name of a workflow or worker, in characters.
-pub const NAME_CHARS: usize = 64;
+pub const MAX_NAME_CHARS: usize = 64;
 
-/// A request about a workflow.
+/// A requested operation on a workflow.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct About {
-    /// The caller's name for it.
+pub struct WorkflowRequest {
+    /// The workflow's name, chosen by the client.
     pub workflow: String,
-    pub does: Does,
+    pub operation: Operation,
 }
 
-/// What is wanted; all but a step is answered without a host.
+/// An operation on a workflow. Only a step runs on a model server; the dispatcher answers the others itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Does {
-    Claim {
-        worker: String,
-    },
-    Step {
-        epoch: u64,
-        step: u32,
-    },
-    Carry {
-        epoch: u64,
-    },
-    Finish {
-        epoch: u64,
-    },
-    Cancel {
-        epoch: u64,
-    },
-    /// A person has decided about a step whose fate nobody knows.
-    Settle {
-        step: u32,
-        fate: Decided,
-    },
+pub enum Operation {
+    /// Claims the workflow for a worker.
+    Claim { worker: String },
+    /// Runs a step on a model server.
+    Step { epoch: u64, step: u32 },
+    /// Renews the worker's lease on the workflow. On the wire: `carry`.
+    RenewLease { epoch: u64 },
+    /// Ends the workflow as finished.
+    Finish { epoch: u64 },
+    /// Ends the workflow as cancelled.
+    Cancel { epoch: u64 },
+    /// Records a person's decision about a step whose outcome is unknown.
+    Settle { step: u32, decision: StepDecision },
 }
 
-/// What a person has decided of a step.
+/// A person's decision about a step whose outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Decided {
-    /// It ran; the request's input is its result.
+pub enum StepDecision {
+    /// The step ran; the input of the settling request is its result.
     Done,
+    /// The step did not run.
     NeverRan,
-    /// The workflow goes on without it.
-    LeftOut,
+    /// The workflow continues without the step. On the wire: `left_out`.
+    Skipped,
 }
 
-/// What a claim is answered, as the output text of its response. All else but a step is answered with [`Carried`].
+/// The result of a claim, sent as the output text of its response. Operations other than claims and steps are answered with
+/// [`OperationResult`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claimed {
     pub epoch: u64,
-    /// Results of the steps that are no longer listed.
+    /// Results of earlier steps that are no longer listed in `steps`.
     pub context: String,
-    /// Milliseconds for which the worker carries it without a word.
+    /// Duration of the worker's lease on the workflow, milliseconds. The lease ends unless the worker renews it by a request.
     pub lease_ms: u64,
     pub steps: Vec<ClaimedStep>,
 }
 
+/// An earlier step of a claimed workflow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimedStep {
     pub number: u32,
@@ -82,6 +84,7 @@
     pub result: Option<String>,
 }
 
+/// Whether a step may be repeated: always (`Safe`), with its idempotency key (`Keyed`), or not (`Unsafe`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StepEffect {
@@ -90,104 +93,113 @@
     Unsafe,
 }
 
+/// The known outcome of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StepFate {
     Done,
     MayHaveRun,
     NeverRan,
-    /// Its dispatcher has not said how it ended.
+    /// The dispatcher that runs the step has not reported its outcome yet.
     Open,
 }
 
+/// The result of an operation other than a claim or a step, sent as the output text of its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Carried {
-    /// Of the question; none where it named none.
+pub struct OperationResult {
+    /// The epoch given in the request; absent if the request gave none.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub epoch: Option<u64>,
 }
 
-/// Reads what a request wants of a workflow; none where it names none.
+/// Parses the workflow operation that a request's `metadata` asks for; `None` if it names no workflow.
 ///
 /// # Errors
-/// The first key of `metadata` at fault.
-pub fn read(metadata: &BTreeMap<String, String>) -> Result<Option<About>, BadRequest> {
+/// An error for the first missing or invalid key of `metadata`.
+pub fn parse(metadata: &BTreeMap<String, String>) -> Result<Option<WorkflowRequest>, BadRequest> {
     let Some(workflow) = metadata.get(META_WORKFLOW) else {
         return Ok(None);
     };
-    let does = match metadata.get(META_DO).map_or("step", String::as_str) {
-        "claim" => Does::Claim {
-            worker: named(metadata, META_WORKER)?,
+    let operation = match metadata.get(META_DO).map_or("step", String::as_str) {
+        "claim" => Operation::Claim {
+            worker: name(metadata, META_WORKER)?,
         },
-        "step" => Does::Step {
+        "step" => Operation::Step {
             epoch: number(metadata, META_EPOCH)?,
             step: number(metadata, META_STEP)?,
         },
-        "carry" => Does::Carry {
+        "carry" => Operation::RenewLease {
             epoch: number(metadata, META_EPOCH)?,
         },
-        "finish" => Does::Finish {
+        "finish" => Operation::Finish {
             epoch: number(metadata, META_EPOCH)?,
         },
-        "cancel" => Does::Cancel {
+        "cancel" => Operation::Cancel {
             epoch: number(metadata, META_EPOCH)?,
         },
-        "settle" => Does::Settle {
+        "settle" => Operation::Settle {
             step: number(metadata, META_STEP)?,
-            fate: decided(metadata)?,
+            decision: decision(metadata)?,
         },
         _ => {
-            let why = "claim, step, carry, finish, cancel or settle is expected";
-            return Err(wrong(META_DO, why.to_string()));
+            let expected = "claim, step, carry, finish, cancel or settle is expected";
+            return Err(invalid(META_DO, expected.to_string()));
         }
     };
-    let workflow = short(META_WORKFLOW, workflow)?;
-    Ok(Some(About { workflow, does }))
+    let workflow = check_name(META_WORKFLOW, workflow)?;
+    Ok(Some(WorkflowRequest {
+        workflow,
+        operation,
+    }))
 }
 
-fn decided(metadata: &BTreeMap<String, String>) -> Result<Decided, BadRequest> {
+/// Parses the decision of a settling request.
+fn decision(metadata: &BTreeMap<String, String>) -> Result<StepDecision, BadRequest> {
     match metadata.get(META_FATE).map(String::as_str) {
-        Some("done") => Ok(Decided::Done),
-        Some("never_ran") => Ok(Decided::NeverRan),
-        Some("left_out") => Ok(Decided::LeftOut),
-        _ => Err(wrong(
+        Some("done") => Ok(StepDecision::Done),
+        Some("never_ran") => Ok(StepDecision::NeverRan),
+        Some("left_out") => Ok(StepDecision::Skipped),
+        _ => Err(invalid(
             META_FATE,
             "done, never_ran or left_out is expected".to_string(),
         )),
     }
 }
 
-fn wrong(key: &str, why: String) -> BadRequest {
-    BadRequest::field(&format!("metadata.{key}"), why)
+/// An error for one key of `metadata`.
+fn invalid(key: &str, message: String) -> BadRequest {
+    BadRequest::field(&format!("metadata.{key}"), message)
 }
 
-fn named(metadata: &BTreeMap<String, String>, key: &str) -> Result<String, BadRequest> {
+/// Returns the name stored under a required key.
+fn name(metadata: &BTreeMap<String, String>, key: &str) -> Result<String, BadRequest> {
     let value = metadata
         .get(key)
-        .ok_or_else(|| wrong(key, "is missing".to_string()))?;
-    short(key, value)
+        .ok_or_else(|| invalid(key, "is missing".to_string()))?;
+    check_name(key, value)
 }
 
-fn short(key: &str, value: &str) -> Result<String, BadRequest> {
+/// Checks that a name has 1 to [`MAX_NAME_CHARS`] characters.
+fn check_name(key: &str, value: &str) -> Result<String, BadRequest> {
     match value.chars().count() {
-        1..=NAME_CHARS => Ok(value.to_string()),
-        _ => Err(wrong(
+        1..=MAX_NAME_CHARS => Ok(value.to_string()),
+        _ => Err(invalid(
             key,
-            format!("a name of 1 to {NAME_CHARS} characters is expected"),
+            format!("a name of 1 to {MAX_NAME_CHARS} characters is expected"),
         )),
     }
 }
 
-/// A whole number from 1.
+/// Parses the whole number, 1 or more, stored under a required key.
 fn number<T>(metadata: &BTreeMap<String, String>, key: &str) -> Result<T, BadRequest>
 where
     T: std::str::FromStr + PartialOrd + From<u8>,
 {
     let value = metadata
         .get(key)
-        .ok_or_else(|| wrong(key, "is missing".to_string()))?;
-    let read = value.parse::<T>().ok().filter(|n| *n >= T::from(1));
-    read.ok_or_else(|| wrong(key, "a whole number from 1 is expected".to_string()))
+        .ok_or_else(|| invalid(key, "is missing".to_string()))?;
+    let parsed = value.parse::<T>().ok().filter(|n| *n >= T::from(1));
+    parsed.ok_or_else(|| invalid(key, "a whole number from 1 is expected".to_string()))
 }
 
 #[cfg(test)]
--- a/crates/protocol/src/workflow/tests.rs
+++ b/crates/protocol/src/workflow/tests.rs
@@ -8,42 +8,42 @@
 }
 
 #[test]
-fn each_operation_needs_its_own_fields() {
-    let of = |pairs: &[(&str, &str)]| read(&meta(pairs));
-    let about = |does| {
-        Ok(Some(About {
+fn each_operation_requires_its_own_fields() {
+    let parsed = |pairs: &[(&str, &str)]| parse(&meta(pairs));
+    let request = |operation| {
+        Ok(Some(WorkflowRequest {
             workflow: "w".into(),
-            does,
+            operation,
         }))
     };
     assert_eq!(
-        of(&[("workflow_do", "dance")]),
+        parsed(&[("workflow_do", "dance")]),
         Ok(None),
-        "it is about no workflow"
+        "no workflow is named"
     );
-    let claim = of(&[
+    let claim = parsed(&[
         ("workflow", "w"),
         ("workflow_do", "claim"),
         ("workflow_worker", "a"),
     ]);
-    assert_eq!(claim, about(Does::Claim { worker: "a".into() }));
-    let step = of(&[
+    assert_eq!(claim, request(Operation::Claim { worker: "a".into() }));
+    let step = parsed(&[
         ("workflow", "w"),
         ("workflow_epoch", "3"),
         ("workflow_step", "7"),
     ]);
-    assert_eq!(step, about(Does::Step { epoch: 3, step: 7 }));
-    for (does, wanted) in [
-        ("carry", Does::Carry { epoch: 2 }),
-        ("finish", Does::Finish { epoch: 2 }),
-        ("cancel", Does::Cancel { epoch: 2 }),
+    assert_eq!(step, request(Operation::Step { epoch: 3, step: 7 }));
+    for (operation, expected) in [
+        ("carry", Operation::RenewLease { epoch: 2 }),
+        ("finish", Operation::Finish { epoch: 2 }),
+        ("cancel", Operation::Cancel { epoch: 2 }),
     ] {
         let pairs = [
             ("workflow", "w"),
-            ("workflow_do", does),
+            ("workflow_do", operation),
             ("workflow_epoch", "2"),
         ];
-        assert_eq!(of(&pairs), about(wanted));
+        assert_eq!(parsed(&pairs), request(expected));
     }
     let mut settle = vec![
         ("workflow", "w"),
@@ -52,15 +52,15 @@
         ("workflow_fate", "done"),
     ];
     assert_eq!(
-        of(&settle),
-        about(Does::Settle {
+        parsed(&settle),
+        request(Operation::Settle {
             step: 2,
-            fate: Decided::Done
+            decision: StepDecision::Done
         })
     );
     settle[3].1 = "perhaps";
     assert_eq!(
-        of(&settle).expect_err("refused").param.as_deref(),
+        parsed(&settle).expect_err("rejected").param.as_deref(),
         Some("metadata.workflow_fate")
     );
     let long = "é".repeat(65);
@@ -99,7 +99,7 @@
             "metadata.workflow",
         ),
     ] {
-        let bad = of(&pairs).expect_err("refused");
+        let bad = parsed(&pairs).expect_err("rejected");
         assert_eq!(
             (bad.status, bad.param.as_deref()),
             (400, Some(param)),
--- a/crates/protocol/tests/faults.rs
+++ b/crates/protocol/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Events that are wrong: the answer names the field and no type of this project's own.
+//! Invalid client events: the error names the invalid field and no internal type name.
 
 use bitternlatch_protocol::client::parse;
 
--- a/crates/protocol/tests/golden_text.rs
+++ b/crates/protocol/tests/golden_text.rs
@@ -1,17 +1,17 @@
-//! The text of each message of the WebSocket protocol and of the engines, byte for byte.
+//! The exact text of each message of the client protocol and the engine protocol.
 //!
-//! | message | held by |
+//! | message | tested in |
 //! | --- | --- |
-//! | `response.create`, `response.cancel`, `session.renew` | here (wrong ones: `faults.rs`) |
+//! | `response.create`, `response.cancel`, `session.renew` | here (invalid ones: `faults.rs`) |
 //! | `response.created`, `.completed`, `.incomplete`, `.failed`, `.output_text.delta` | here |
 //! | `error`, `rate_limits.updated`, `session.renewed` | here |
 //! | engine messages, both ways | here, `fixtures/engine_messages.jsonl` |
-//! | the answer to a workflow's claim | the tests of `workflow.rs` |
-//! | the answer to a workflow's other operations | here |
+//! | result of a workflow claim | the tests of `workflow.rs` |
+//! | result of other workflow operations | here |
 
 use bitternlatch_protocol::client::{self, BadRequest, ClientEvent, Renewal, Response, Status};
 use bitternlatch_protocol::engine::{decode, encode, FromEngine, ToEngine};
-use bitternlatch_protocol::workflow::Carried;
+use bitternlatch_protocol::workflow::OperationResult;
 
 const ENGINE_MESSAGES: &str = include_str!("fixtures/engine_messages.jsonl");
 
@@ -102,7 +102,7 @@
 fn client_events_are_read_field_by_field() {
     let text = r#"{"type":"response.create","model":"m","instructions":"be brief","input":[{"type":"message","role":"user","content":"hello"},{"role":"assistant","content":[{"type":"output_text","text":"yes"},{"type":"text","text":"?"}]}],"previous_response_id":"resp_0","max_output_tokens":64,"prompt_cache_key":"k","metadata":{"class":"query","tenant":"t","idempotency_key":"i","deadline_ms":"900"},"temperature":0.5,"top_p":0.25}"#;
     let Ok(ClientEvent::Create(create)) = client::parse(text) else {
-        panic!("not taken as a creation");
+        panic!("not parsed as response.create");
     };
     assert_eq!(create.model, "m");
     assert_eq!(create.instructions, "be brief");
@@ -128,7 +128,7 @@
         [
             client::META_CLASS,
             client::META_DEADLINE_MS,
-            client::META_KEY,
+            client::META_IDEMPOTENCY_KEY,
             client::META_TENANT
         ],
         expected.map(|(key, _)| key)
@@ -145,13 +145,13 @@
 #[test]
 fn session_renewal_is_read() {
     let token = r#"{"type":"session.renew","token":"t"}"#;
-    assert_eq!(client::renewal(token), Renewal::Token("t".into()));
+    assert_eq!(client::parse_renewal(token), Renewal::Token("t".into()));
     assert_eq!(
-        client::renewal(r#"{"type":"session.renew"}"#),
-        Renewal::Broken
+        client::parse_renewal(r#"{"type":"session.renew"}"#),
+        Renewal::Malformed
     );
     assert_eq!(
-        client::renewal(r#"{"type":"response.cancel"}"#),
+        client::parse_renewal(r#"{"type":"response.cancel"}"#),
         Renewal::None
     );
 }
@@ -194,7 +194,7 @@
 #[test]
 fn workflow_operation_answers_keep_their_text() {
     for text in [r#"{"epoch":3}"#, "{}"] {
-        let answer: Carried = serde_json::from_str(text).expect("an answer");
+        let answer: OperationResult = serde_json::from_str(text).expect("an answer");
         assert_eq!(serde_json::to_string(&answer).expect("JSON"), text);
     }
 }
--- a/programs/chaos/src/agents/worker.rs
+++ b/programs/chaos/src/agents/worker.rs
@@ -8,7 +8,7 @@
 
 use bitternlatch_mock_engine::capture::Capture;
 use bitternlatch_net::lock;
-use bitternlatch_protocol::client::{META_CLASS, META_KEY};
+use bitternlatch_protocol::client::{META_CLASS, META_IDEMPOTENCY_KEY};
 use bitternlatch_protocol::workflow::{
     Claimed, StepFate, META_DO, META_EPOCH, META_STEP, META_WORKER, META_WORKFLOW,
 };
@@ -222,7 +222,7 @@
             let class = &self.brief.agents.classes[step.effect.min(2)];
             let meta = [
                 (META_CLASS, class.as_str()),
-                (META_KEY, &key),
+                (META_IDEMPOTENCY_KEY, &key),
                 (META_EPOCH, &epoch),
                 (META_STEP, &number),
             ];
--- a/programs/invariant-checker/src/answers.rs
+++ b/programs/invariant-checker/src/answers.rs
@@ -4,7 +4,7 @@
 
 use bitternlatch_mock_engine::capture::Line;
 use bitternlatch_protocol::client::{parse, ClientEvent, Create, ServerEvent};
-use bitternlatch_protocol::tokens_of;
+use bitternlatch_protocol::estimate_tokens;
 
 use crate::hosts::{effects, Seen};
 use crate::{mark, us, Breach, ClassFacts, Facts, Rule, Verdict, WorkflowFacts, SLACK_S};
@@ -182,7 +182,7 @@
         tenant: create.metadata.get("tenant").cloned().unwrap_or_default(),
         first_turn: create.previous_response_id.is_none(),
         mark: mark(&text).unwrap_or_default().to_string(),
-        tokens: tokens_of(text.len()),
+        tokens: estimate_tokens(text.len()),
         first: None,
         finals: Vec::new(),
         metadata: create.metadata.clone(),
--- a/programs/invariant-checker/src/hosts.rs
+++ b/programs/invariant-checker/src/hosts.rs
@@ -6,7 +6,7 @@
 use bitternlatch_protocol::engine::{
     decode, CompletionRequest, EngineState, FromEngine, ToEngine, CODE_FULL, CODE_STATE_GONE,
 };
-use bitternlatch_protocol::tokens_of;
+use bitternlatch_protocol::estimate_tokens;
 
 use bitternlatch_mock_engine::answer_len;
 
@@ -307,7 +307,7 @@
 
 fn work_s(a: &Attempt, host: &HostFacts) -> f64 {
     let kv = a.kv();
-    let tokens = tokens_of(a.body.prompt.len()).saturating_sub(a.cached);
+    let tokens = estimate_tokens(a.body.prompt.len()).saturating_sub(a.cached);
     let read = if kv.do_remote_prefill {
         0.0
     } else {
--- a/programs/mock-engine/src/host.rs
+++ b/programs/mock-engine/src/host.rs
@@ -6,7 +6,7 @@
 use bitternlatch_net::accept::Acceptor;
 use bitternlatch_net::socket::Outbox;
 use bitternlatch_protocol::engine::{CompletionRequest, Load};
-use bitternlatch_protocol::tokens_of;
+use bitternlatch_protocol::estimate_tokens;
 
 use crate::config::{Cold, HostConfig, Trouble, BLOCK_TOKENS};
 
@@ -179,7 +179,7 @@
             mark
         });
     Prompt {
-        tokens: u64::from(tokens_of(text.len())),
+        tokens: u64::from(estimate_tokens(text.len())),
         marks: marks.collect(),
     }
 }
