--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -644,7 +644,7 @@
                 Err(RecvTimeoutError::Timeout) => writer.flush(),
                 Err(RecvTimeoutError::Disconnected) => {
                     if let Err(e) = writer.flush() {
-                        tracing::error!(error = %e, "cannot flush the end of the session record");
+                        tracing::error!(error = %e, "cannot write the end of the record file");
                     }
                     return;
                 }
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -163,8 +163,8 @@
         Ok(match request.parse(data)? {
             httparse::Status::Partial => None,
             httparse::Status::Complete(used) => {
-                let word = |w: Option<&str>| w.unwrap_or_default().to_string();
-                let (method, path) = (word(request.method), word(request.path));
+                let to_owned = |text: Option<&str>| text.unwrap_or_default().to_string();
+                let (method, path) = (to_owned(request.method), to_owned(request.path));
                 Some((
                     RequestHead {
                         method,
--- a/crates/net/src/tls.rs
+++ b/crates/net/src/tls.rs
@@ -154,10 +154,10 @@
     /// The first error, with its file: a file that cannot be read or parsed, a key that does not match the certificate, or a
     /// revocation list that is not valid.
     pub fn load(settings: &ListenTls, base: &Path) -> Result<ServerTls, String> {
-        let beside = |file: &String| base.join(file);
-        let mut files = vec![beside(&settings.certificate), beside(&settings.key)];
-        files.extend(settings.client_authorities.iter().map(beside));
-        files.extend(settings.revocation_lists.iter().map(beside));
+        let resolve = |file: &String| base.join(file);
+        let mut files = vec![resolve(&settings.certificate), resolve(&settings.key)];
+        files.extend(settings.client_authorities.iter().map(resolve));
+        files.extend(settings.revocation_lists.iter().map(resolve));
         let contents = FileContents::read(&files)?;
         let (verify_clients, client_certificate_required) = (
             settings.client_authorities.is_some(),
--- a/crates/net/tests/clock.rs
+++ b/crates/net/tests/clock.rs
@@ -25,7 +25,7 @@
     panic!("no clock offset was sent");
 }
 
-/// The error code with which a token is rejected, or "good".
+/// The error code with which the token is rejected, or "good" if it is accepted.
 fn code(authenticator: &Authenticator, token: &str) -> &'static str {
     authenticator
         .check_token(token)
