--- a/crates/core/src/output_lengths.rs
+++ b/crates/core/src/output_lengths.rs
@@ -8,7 +8,7 @@
     TenantKey,
 };
 use bitternlatch_policy::interface;
-use bitternlatch_protocol::tokens_of;
+use bitternlatch_protocol::estimate_tokens;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::requests::Request;
@@ -74,14 +74,14 @@
         end: ResponseEnd,
     ) -> Command {
         let tokens = match end {
-            ResponseEnd::ClientDisconnected => tokens_of(request.text.len()),
+            ResponseEnd::ClientDisconnected => estimate_tokens(request.text.len()),
             ResponseEnd::Complete | ResponseEnd::TokenLimit => request.usage.output_tokens,
         };
         Command::ResponseFinished(FinishedResponse {
             model: ModelKey(name_hash(&request.response.model)),
             class: ClassKey(name_hash(class)),
             tenant: TenantKey(request.tenant),
-            prompt_tokens: tokens_of(request.prompt.len()),
+            prompt_tokens: estimate_tokens(request.prompt.len()),
             max_output_tokens: request.max_tokens,
             output_tokens: tokens,
             text_bytes: u32::try_from(request.text.len()).unwrap_or(u32::MAX),
