--- a/programs/simulator-adapter/src/encode.rs
+++ b/programs/simulator-adapter/src/encode.rs
@@ -1,4 +1,4 @@
-//! Events as the simulator writes them, for programs and tests that play its part.
+//! Encodes events in the simulator's format, for tests and tools that take the simulator's place.
 
 use bitternlatch_policy::interface::{
     AttemptEnd, Event, ListForm, Outcome, Request, ServerEntry, ServerId,
@@ -6,14 +6,14 @@
 
 use crate::wire::codes::{self, event};
 
-/// Bytes of a batch's header.
+/// Length of a batch frame's header, in bytes.
 const HEADER_BYTES: usize = 16;
-/// The number that a written list has.
+/// Number of every encoded server list.
 const LIST_NUMBER: u32 = 0;
-/// The version that a written view has.
+/// Version in every encoded `view` record.
 const LIST_VERSION: u32 = 0;
 
-/// A batch of records at a clock time in seconds.
+/// Encodes a batch frame of records; `now` is the clock time in seconds.
 pub fn frame(now: f64, records: &[Vec<u8>]) -> Vec<u8> {
     let body: Vec<u8> = records.concat();
     let mut frame = (records.len() as u32).to_le_bytes().to_vec();
@@ -23,22 +23,22 @@
     frame
 }
 
-/// What follows is for an instance.
+/// Encodes an `at` record: the records after it are for this instance.
 pub fn at(instance: u16) -> Vec<u8> {
     [&[event::AT][..], &instance.to_le_bytes()].concat()
 }
 
-/// The start of an instance with its settings as path=value lines.
-pub fn start_record(seed: u64, facts: &str) -> Vec<u8> {
+/// Encodes a `start` record, which starts an instance with its settings as path=value lines.
+pub fn start_record(seed: u64, settings: &str) -> Vec<u8> {
     let mut record = vec![event::START];
     record.extend(seed.to_le_bytes());
-    record.extend((facts.len() as u32).to_le_bytes());
-    record.extend(facts.as_bytes());
+    record.extend((settings.len() as u32).to_le_bytes());
+    record.extend(settings.as_bytes());
     record
 }
 
-/// The record of a list, where the event refers to one, and the event's own; `None` for what the
-/// wire has no word for.
+/// Encodes an event as its record, preceded by an `inventory` record if the event refers to a server list. Returns `None`
+/// for an event that the simulator's protocol does not have.
 pub fn event_records(event: &Event) -> Option<(Option<Vec<u8>>, Vec<u8>)> {
     let mut list = None;
     let record = match event {
@@ -106,8 +106,8 @@
     record
 }
 
-/// The wire has no word for what is expected of an answer: where that is learnt locally the other side
-/// learns it too.
+/// Encodes an `accept` record. The protocol has no field for the expected output tokens; where they are learned from past
+/// answers, the other side learns them as well.
 fn accept_record(request: &Request) -> Vec<u8> {
     const NO_MARKS: u16 = 0;
     const NO_HINT: f64 = 0.0;
--- a/programs/simulator-adapter/src/lib.rs
+++ b/programs/simulator-adapter/src/lib.rs
@@ -1,5 +1,5 @@
-//! The decision module on the operators' simulator: the same module as in service, many instances in
-//! one process. [`wire`] answers the simulator; [`encode`] plays its part in tests and programs.
+//! Connects the decision module to the operators' simulator. It is the same module that runs in production; one process
+//! runs many instances of it. [`wire`] answers the simulator; [`encode`] writes what the simulator sends, for tests and tools.
 
 pub mod encode;
 pub mod wire;
--- a/programs/simulator-adapter/src/main.rs
+++ b/programs/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts many routers on the simulator's wire: batches on standard input, replies on standard output.
+//! Runs many routers behind the simulator's protocol: reads event batches from standard input, writes replies to
+//! standard output.
 
 use std::io::{stdin, stdout, BufReader};
 use std::process::ExitCode;
--- a/programs/simulator-adapter/src/wire.rs
+++ b/programs/simulator-adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: framing, records and the map of instances. It decides nothing.
+//! The simulator's protocol: framing, records and the map of instances. It makes no routing decisions.
 
 mod adapter;
 pub(crate) mod codes;
--- a/programs/simulator-adapter/src/wire/adapter.rs
+++ b/programs/simulator-adapter/src/wire/adapter.rs
@@ -1,4 +1,4 @@
-//! The instances of one process, each a router of its own.
+//! The router instances of one process and the decoding of batches for them.
 
 use std::collections::BTreeMap;
 
@@ -14,24 +14,24 @@
 use super::records::read_event;
 use super::reply::Reply;
 
-/// Whether lengths of answers are learnt and passed to the module; the platform has the same switch.
-const LEARNS: bool = false;
+/// Whether instances learn output lengths from past answers and pass them to the router; the platform has the same switch.
+const LEARN_OUTPUT_LENGTHS: bool = false;
 
-/// Reads the start settings as the wire carries them; keys that are not known are skipped.
+/// Parses the settings in a `start` record; unknown keys are skipped.
 ///
 /// # Errors
-/// A line without a value, a key that is missing, or a value that cannot be read.
+/// A line without a value, a missing key, or an invalid value.
 pub fn parse_settings(text: &str) -> Result<Settings> {
     Ok(read_settings(&RawSettings::from_lines(text)?)?)
 }
 
-/// A router and what it learns of lengths.
+/// A router and its learned output lengths.
 struct Instance {
     router: Router,
     lengths: DurationBasedLearner,
 }
 
-/// All instances of one process and the numbered lists that they refer to.
+/// All router instances of one process and the numbered server lists that they refer to.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<u16, Instance>,
@@ -39,28 +39,28 @@
     actions: Vec<Action>,
 }
 
-/// Where the records of a batch stand.
+/// State while the records of one batch are read.
 struct Batch<'a> {
     cursor: Cursor<'a>,
-    /// Clock time, seconds.
+    /// Clock time of the batch, in seconds.
     now: f64,
-    /// The instance that the records are for, once an `at` record has come.
+    /// The instance that the records are for; set by the latest `at` record.
     instance: Option<u16>,
     reply: Reply,
 }
 
 impl Adapter {
-    /// Answers one whole batch frame with one whole reply frame.
+    /// Handles one complete batch frame and returns the complete reply frame.
     ///
     /// # Errors
-    /// A frame that is not as the wire's page has it.
+    /// A frame that violates the simulator's protocol.
     pub fn answer(&mut self, frame: &[u8]) -> Result<Vec<u8>> {
         let mut cursor = Cursor::new(frame, 0);
         let records = cursor.u32("the record count")?;
-        let named = cursor.u32("the frame size")?;
-        if named as usize != frame.len() {
+        let size = cursor.u32("the frame size")?;
+        if size as usize != frame.len() {
             let found = frame.len();
-            return Err(WireError::FrameSize { named, found });
+            return Err(WireError::FrameSize { size, found });
         }
         let now = cursor.f64("the clock")?;
         if !now.is_finite() {
@@ -73,10 +73,11 @@
             reply: Reply::default(),
         };
         for index in 0..records {
-            self.record(&mut batch).map_err(|e| WireError::Record {
-                index,
-                source: Box::new(e),
-            })?;
+            self.handle_record(&mut batch)
+                .map_err(|e| WireError::Record {
+                    index,
+                    source: Box::new(e),
+                })?;
         }
         let bytes = frame.len() - batch.cursor.position();
         if bytes != 0 {
@@ -85,7 +86,7 @@
         Ok(batch.reply.finish())
     }
 
-    fn record(&mut self, batch: &mut Batch<'_>) -> Result<()> {
+    fn handle_record(&mut self, batch: &mut Batch<'_>) -> Result<()> {
         let at = batch.cursor.position();
         let code = batch.cursor.u8("a record code")?;
         match code {
@@ -100,16 +101,22 @@
             return Err(WireError::NoInstance { code, at });
         };
         match code {
-            event::START => self.start(&mut batch.cursor, instance),
+            event::START => self.start_instance(&mut batch.cursor, instance),
             event::SHUTDOWN => {
                 self.instances.remove(&instance);
                 Ok(())
             }
-            _ => self.handle(batch, instance, code, at),
+            _ => self.handle_event(batch, instance, code, at),
         }
     }
 
-    fn handle(&mut self, batch: &mut Batch<'_>, number: u16, code: u8, at: usize) -> Result<()> {
+    fn handle_event(
+        &mut self,
+        batch: &mut Batch<'_>,
+        number: u16,
+        code: u8,
+        at: usize,
+    ) -> Result<()> {
         let mut event = read_event(&mut batch.cursor, code, at, &self.lists)?;
         let Some(instance) = self.instances.get_mut(&number) else {
             return Err(WireError::NotStarted {
@@ -119,17 +126,17 @@
             });
         };
         self.actions.clear();
-        if LEARNS {
+        if LEARN_OUTPUT_LENGTHS {
             instance.lengths.observe(batch.now, &mut event);
         }
         instance.router.handle(batch.now, event, &mut self.actions);
         for action in &self.actions {
-            batch.reply.put(number, action);
+            batch.reply.push(number, action);
         }
         Ok(())
     }
 
-    fn start(&mut self, cursor: &mut Cursor, number: u16) -> Result<()> {
+    fn start_instance(&mut self, cursor: &mut Cursor, number: u16) -> Result<()> {
         let seed = cursor.u64("start")?;
         let length = cursor.u32("start")? as usize;
         let text = cursor.bytes(length, "the settings")?;
--- a/programs/simulator-adapter/src/wire/codes.rs
+++ b/programs/simulator-adapter/src/wire/codes.rs
@@ -1,38 +1,38 @@
-//! The numbers of the wire's page: codes of events and actions, outcomes, forms of a list, health.
+//! Numeric codes of the simulator's protocol: events, actions, outcomes, forms of a server list, and server health.
 
 use bitternlatch_policy::interface::{ListForm, Outcome, ServerStatus};
 
-/// Codes of events and of the records that go with them, by the page's names.
+/// Codes of the records that the simulator sends, under the names in its protocol description.
 pub mod event {
     /// An instance starts.
     pub const START: u8 = 1;
-    /// The endpoint list as an instance sees it.
+    /// An instance receives the endpoint list, or an update of it.
     pub const VIEW: u8 = 2;
     /// A client request arrives.
     pub const ACCEPT: u8 = 3;
-    /// An answer has begun.
+    /// A server has sent the first token of an attempt.
     pub const BEGUN: u8 = 4;
     /// An attempt has ended.
     pub const COMPLETED: u8 = 5;
-    /// A client has left.
+    /// A client has disconnected.
     pub const HANGUP: u8 = 6;
-    /// A timer has come due.
+    /// A timer has expired.
     pub const ALARM: u8 = 7;
     /// A probe has ended.
     pub const PROBE_DONE: u8 = 8;
-    /// A message of a peer.
+    /// A message from another router instance.
     pub const INBOX: u8 = 9;
-    /// An instance is killed.
+    /// An instance is stopped and its state dropped.
     pub const SHUTDOWN: u8 = 10;
-    /// The answer to a reservation.
+    /// The answer to the reservation of a slot.
     pub const RESERVED: u8 = 11;
     /// A numbered list of servers.
     pub const INVENTORY: u8 = 12;
-    /// The instance that the next events are for.
+    /// Names the instance that the next events are for.
     pub const AT: u8 = 13;
 }
 
-/// Codes of actions, by the page's names.
+/// Codes of the actions in a reply, under the names in the simulator's protocol description.
 pub mod action {
     /// A log line.
     pub const REMARK: u8 = 1;
@@ -44,38 +44,38 @@
     pub const STREAM_CHANGES: u8 = 4;
     /// Fetches the endpoint list once.
     pub const LIST_ALL: u8 = 5;
-    /// Releases what is held for a request.
+    /// Releases the KV cache state that is held for a request.
     pub const RELEASE: u8 = 6;
-    /// Probes a server.
+    /// Sends a health probe to a server.
     pub const TEST: u8 = 7;
-    /// Migrates a stream.
+    /// Migrates a response stream to another server.
     pub const MIGRATE: u8 = 8;
     /// Sets a timer.
     pub const NOTIFY_ME: u8 = 9;
-    /// The decision code has failed.
+    /// Reports an internal error of the decision module.
     pub const FATAL: u8 = 10;
     /// Rejects a request.
     pub const SHED: u8 = 11;
-    /// Sends a message to a peer, or to all.
+    /// Sends a message to one other instance, or to all.
     pub const WRITE_PEER: u8 = 12;
-    /// Closes idle connections.
+    /// Closes the idle connections to a server.
     pub const HANG_UP: u8 = 13;
-    /// The instance that the next actions are from.
+    /// Names the instance that the next actions are from.
     pub const FROM: u8 = 14;
-    /// Sends an attempt.
+    /// Sends an attempt of a request to a server.
     pub const PASS_ON: u8 = 15;
-    /// Reserves a slot.
+    /// Reserves a slot at a server.
     pub const BOOK_SEAT: u8 = 16;
 }
 
-/// `topic` of a `reserved` event: the place is held.
+/// Value of `topic` in a `reserved` event if the server holds the slot.
 pub const TOPIC_HELD: u8 = 1;
-/// Bit of an `accept` event's `marks`: the cost hint is valid.
+/// Bit in the `marks` of an `accept` event that is set if the cost hint is valid.
 pub const MARK_HINT: u16 = 1;
-/// `info` of a `completed` event that was rejected: there was no KV state to fetch.
+/// Value of `info` in a `completed` event if the attempt was rejected because there was no KV cache state to fetch.
 pub const INFO_STATE_MISSING: u32 = 1;
 
-/// The number of an outcome.
+/// Returns the code of an outcome.
 pub fn outcome_code(outcome: Outcome) -> u8 {
     match outcome {
         Outcome::Served => 0,
@@ -90,7 +90,7 @@
     }
 }
 
-/// The outcome with a number; a rejection's `state_missing` stands elsewhere.
+/// Returns the outcome with a code, if there is one. Whether a rejection is for missing KV cache state follows from `info`.
 pub fn outcome(code: u8) -> Option<Outcome> {
     Some(match code {
         0 => Outcome::Served,
@@ -108,7 +108,7 @@
     })
 }
 
-/// The number of a list's form.
+/// Returns the code of a list's form.
 pub fn list_form_code(form: ListForm) -> u8 {
     match form {
         ListForm::Delta => 0,
@@ -118,7 +118,7 @@
     }
 }
 
-/// The form with a number.
+/// Returns the list form with a code, if there is one.
 pub fn list_form(code: u8) -> Option<ListForm> {
     Some(match code {
         0 => ListForm::Delta,
@@ -129,7 +129,7 @@
     })
 }
 
-/// The number of a server's health.
+/// Returns the code of a server's status.
 pub fn health_code(status: ServerStatus) -> u8 {
     match status {
         ServerStatus::Draining => 0,
@@ -138,7 +138,7 @@
     }
 }
 
-/// The health with a number.
+/// Returns the server status with a code, if there is one.
 pub fn health(code: u8) -> Option<ServerStatus> {
     Some(match code {
         0 => ServerStatus::Draining,
--- a/programs/simulator-adapter/src/wire/error.rs
+++ b/programs/simulator-adapter/src/wire/error.rs
@@ -1,4 +1,4 @@
-//! Why a run had to stop.
+//! The errors that end the adapter.
 
 use std::io;
 use std::str::Utf8Error;
@@ -6,142 +6,142 @@
 use bitternlatch_routing_settings::SettingsError;
 use thiserror::Error;
 
-/// Why a run had to stop: what was wrong and where. All but the first two show a fault of the
-/// simulator or of this adapter, to be compared with the wire's page.
+/// An error that ends the adapter, with its position in the frame. All but the first two variants indicate a bug in the
+/// simulator or in this adapter; the description of the simulator's protocol shows which one.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// Standard input or output failed.
+    /// Standard input or standard output failed.
     #[error("input or output failed: {0}")]
     Io(#[from] io::Error),
-    /// The start settings cannot be read: mend the key that is named.
+    /// The settings in a `start` record are invalid; the operator corrects the named key.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The start settings are not text.
+    /// The settings in a `start` record are not UTF-8.
     #[error("the settings are not UTF-8: {0}")]
     SettingsNotUtf8(Utf8Error),
-    /// A field reaches past the frame's end.
+    /// A field extends past the end of its frame.
     #[error("frame ends at byte {end} inside {field} at byte {at}")]
     FrameEnds {
-        /// Length of the frame.
+        /// Length of the frame, in bytes.
         end: usize,
-        /// What was read.
+        /// Name of the field or of its record.
         field: &'static str,
-        /// Where it begins.
+        /// Offset of the field, in bytes.
         at: usize,
     },
-    /// The frame's length is not the one that its header names.
-    #[error("frame says {named} bytes but has {found}")]
+    /// The frame's length differs from the one in its header.
+    #[error("frame says {size} bytes but has {found}")]
     FrameSize {
-        /// By its header.
-        named: u32,
-        /// In fact.
+        /// Length in the header, in bytes.
+        size: u32,
+        /// Actual length, in bytes.
         found: usize,
     },
-    /// The batch has no valid time.
+    /// The clock time of the batch is not finite.
     #[error("the clock is not a finite number")]
     InvalidClock,
-    /// A record cannot be read.
+    /// A record is invalid.
     #[error("record {index}: {source}")]
     Record {
-        /// The record's number in its frame, from 0.
+        /// Index of the record in its frame, from 0.
         index: u32,
-        /// What is wrong with it.
+        /// The error in the record.
         source: Box<WireError>,
     },
-    /// The frame holds more than its records.
+    /// The frame contains more bytes than its records.
     #[error("{bytes} bytes left after {records} records")]
     BytesLeft {
-        /// How many are left.
+        /// Number of bytes after the last record.
         bytes: usize,
-        /// How many records there are by the header.
+        /// Number of records in the header.
         records: u32,
     },
-    /// No `at` record says which instance an event is for.
+    /// An event comes before any `at` record, so its instance is unknown.
     #[error("event {code} at byte {at} comes before any instance")]
     NoInstance {
-        /// The event's code.
+        /// Code of the event.
         code: u8,
-        /// Where it begins.
+        /// Offset of the event, in bytes.
         at: usize,
     },
-    /// The instance of an event has not started.
+    /// An event is for an instance that has not been started.
     #[error("event {code} at byte {at} is for instance {instance}, which has not started")]
     NotStarted {
-        /// The event's code.
+        /// Code of the event.
         code: u8,
-        /// Where it begins.
+        /// Offset of the event, in bytes.
         at: usize,
-        /// The instance.
+        /// Number of the instance.
         instance: u16,
     },
-    /// A code that no event has.
+    /// An event code is unknown.
     #[error("unknown event code {code} at byte {at}")]
     UnknownEvent {
-        /// The code.
+        /// The unknown event code.
         code: u8,
-        /// Where it is.
+        /// Offset of the code, in bytes.
         at: usize,
     },
-    /// A code that no outcome has.
+    /// An outcome code is unknown.
     #[error("unknown outcome {code} in {field} at byte {at}")]
     UnknownOutcome {
-        /// The code.
+        /// The unknown outcome code.
         code: u8,
-        /// The record.
+        /// Name of the record.
         field: &'static str,
-        /// Where it is.
+        /// Offset of the code, in bytes.
         at: usize,
     },
-    /// A number that no form of a list has.
+    /// The code of a list form is unknown.
     #[error("unknown list form {code} at byte {at}")]
     UnknownListForm {
-        /// The number.
+        /// The unknown code.
         code: u8,
-        /// Where it is.
+        /// Offset of the code, in bytes.
         at: usize,
     },
-    /// A number that no state of a server has.
+    /// The code of a server status is unknown.
     #[error("unknown health {code} at byte {at}")]
     UnknownHealth {
-        /// The number.
+        /// The unknown code.
         code: u8,
-        /// Where it is.
+        /// Offset of the code, in bytes.
         at: usize,
     },
-    /// A list's number is too large.
+    /// The number of a server list is too large.
     #[error("list number {number} at byte {at} is out of range")]
     ListNumber {
-        /// The number.
+        /// Number of the list.
         number: u32,
-        /// Where its record begins.
+        /// Offset of the number, in bytes.
         at: usize,
     },
-    /// A view refers to a list that was not sent.
+    /// A `view` record refers to a server list that was not sent.
     #[error("view at byte {at} names list {number}, which was never sent")]
     MissingList {
-        /// The list's number.
+        /// Number of the list.
         number: u32,
-        /// Where the view begins.
+        /// Offset of the `view` record's fields, in bytes.
         at: usize,
     },
-    /// The input ends within a header.
+    /// The input ends within the header of a frame.
     #[error("input ends after {bytes} bytes of a frame's header")]
     HeaderCut {
-        /// Bytes that came.
+        /// Number of header bytes received.
         bytes: usize,
     },
-    /// A frame's size cannot be.
+    /// The size of a frame is smaller than its header.
     #[error("frame size {size} is shorter than a header")]
     SizeTooSmall {
-        /// The size by its header.
+        /// Frame size in the header, in bytes.
         size: u32,
     },
     /// The input ends within a frame.
     #[error("input ends after {bytes} of a frame's {size} bytes")]
     FrameCut {
-        /// Bytes that came.
+        /// Number of bytes received.
         bytes: usize,
-        /// The size by its header.
+        /// Frame size in the header, in bytes.
         size: u32,
     },
 }
--- a/programs/simulator-adapter/src/wire/lists.rs
+++ b/programs/simulator-adapter/src/wire/lists.rs
@@ -1,4 +1,4 @@
-//! The numbered lists of servers that the instances of a process refer to.
+//! The numbered server lists that the `view` records of all instances refer to.
 
 use std::collections::BTreeMap;
 
@@ -8,23 +8,23 @@
 use super::error::{Result, WireError};
 use super::records::read_entry;
 
-/// Lists have the numbers below this one.
-const LIST_NUMBERS: u32 = 16;
+/// Valid list numbers are below this one.
+const MAX_LISTS: u32 = 16;
 
-/// The newest list by number.
+/// The latest server list under each number.
 #[derive(Debug, Default)]
 pub struct Lists(BTreeMap<u32, Vec<ServerEntry>>);
 
 impl Lists {
-    /// Takes in an `inventory` record after its code.
+    /// Reads an `inventory` record, whose code has been read already, and stores its list.
     pub fn read(&mut self, cursor: &mut Cursor) -> Result<()> {
         let at = cursor.position();
         let number = cursor.u32("inventory")?;
-        if number >= LIST_NUMBERS {
+        if number >= MAX_LISTS {
             return Err(WireError::ListNumber { number, at });
         }
         let count = cursor.u32("inventory")?;
-        // The count alone reserves no memory.
+        // No memory is reserved from the count, which may be wrong; the list grows as entries are read.
         let mut entries = Vec::new();
         for _ in 0..count {
             entries.push(read_entry(cursor)?);
@@ -33,7 +33,7 @@
         Ok(())
     }
 
-    /// The newest list with a number.
+    /// Returns the latest list stored under a number.
     pub fn get(&self, number: u32) -> Option<&[ServerEntry]> {
         self.0.get(&number).map(Vec::as_slice)
     }
--- a/programs/simulator-adapter/src/wire/records.rs
+++ b/programs/simulator-adapter/src/wire/records.rs
@@ -1,4 +1,4 @@
-//! Reading the records of a batch.
+//! Decodes the records of a batch into events.
 
 use bitternlatch_policy::interface::{AttemptEnd, Event, ListForm, Outcome, Request, ServerEntry};
 
@@ -7,7 +7,7 @@
 use super::error::{Result, WireError};
 use super::lists::Lists;
 
-/// An event after its code, which begins at byte `at`.
+/// Decodes an event whose code has been read already; `at` is the offset of the code, in bytes.
 pub fn read_event(cursor: &mut Cursor, code: u8, at: usize, lists: &Lists) -> Result<Event> {
     match code {
         event::VIEW => read_view(cursor, lists),
@@ -83,7 +83,7 @@
     Ok(answer)
 }
 
-/// An entry of a list.
+/// Decodes one entry of a server list.
 pub fn read_entry(cursor: &mut Cursor) -> Result<ServerEntry> {
     let field = "a list entry";
     let weight = cursor.f32(field)?;
--- a/programs/simulator-adapter/src/wire/serve.rs
+++ b/programs/simulator-adapter/src/wire/serve.rs
@@ -1,4 +1,4 @@
-//! Batches on an input, replies on an output.
+//! Reads batches from an input and writes the replies to an output.
 
 use std::io::{Read, Write};
 
@@ -6,15 +6,15 @@
 use super::cursor::Cursor;
 use super::error::{Result, WireError};
 
-/// Bytes of a batch's header.
+/// Length of a batch frame's header, in bytes.
 const HEADER_BYTES: usize = 16;
-/// Where the header has the frame's size.
-const SIZE_AT: usize = 4;
+/// Offset of the frame size in the header, in bytes.
+const SIZE_OFFSET: usize = 4;
 
 /// Answers batches until the input ends.
 ///
 /// # Errors
-/// Input or output that fails, or a batch that is not as the wire's page has it.
+/// Input or output that fails, or a batch that violates the simulator's protocol.
 pub fn serve(mut input: impl Read, mut output: impl Write) -> Result<()> {
     let mut adapter = Adapter::default();
     while let Some(frame) = read_frame(&mut input)? {
@@ -24,7 +24,8 @@
     Ok(())
 }
 
-/// Reads one frame; `None` at a clean end of input. The length field alone reserves no memory.
+/// Reads one frame; returns `None` if the input ends before it. No memory is reserved from the length field, which may be
+/// wrong.
 fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>> {
     let mut frame = Vec::new();
     let mut header = input.by_ref().take(HEADER_BYTES as u64);
@@ -35,7 +36,7 @@
     if frame.len() < HEADER_BYTES {
         return Err(WireError::HeaderCut { bytes: frame.len() });
     }
-    let size = Cursor::new(&frame, SIZE_AT).u32("the frame size")?;
+    let size = Cursor::new(&frame, SIZE_OFFSET).u32("the frame size")?;
     if (size as usize) < HEADER_BYTES {
         return Err(WireError::SizeTooSmall { size });
     }
--- a/programs/simulator-adapter/src/wire/tests.rs
+++ b/programs/simulator-adapter/src/wire/tests.rs
@@ -1,12 +1,12 @@
-//! Golden bytes of each record of the simulator's wire, read and written.
+//! Compares each record of the simulator's protocol, decoded and encoded, with its golden bytes.
 //!
-//! | record | read here | written here | elsewhere |
+//! | record | decoded here | encoded here | tested elsewhere |
 //! | --- | --- | --- | --- |
 //! | frames, `at`, `start`, `shutdown` | | | tests/wire.rs |
-//! | `inventory`, `view` | yes | yes | tests/wire.rs (numbers of lists) |
+//! | `inventory`, `view` | yes | yes | tests/wire.rs (list numbers) |
 //! | `accept`, `begun`, `completed`, `hangup`, `alarm`, `probe_done` | yes | yes | tests/node.rs (decisions) |
-//! | `inbox`, `reserved` | yes | never written | |
-//! | all actions | never read | yes | tests/wire.rs (the page's examples) |
+//! | `inbox`, `reserved` | yes | never encoded | |
+//! | all actions | never decoded | yes | tests/wire.rs (examples of the protocol description) |
 
 use bitternlatch_policy::interface::*;
 
@@ -63,8 +63,8 @@
     ]
 }
 
-/// Reads one event record whole, after an inventory where one is given.
-fn read(inventory: &str, event: &str) -> Event {
+/// Decodes one event record, after an `inventory` record if one is given, and checks that no bytes are left.
+fn decode(inventory: &str, event: &str) -> Event {
     let (inventory, event) = (unhex(inventory), unhex(event));
     let mut adapter = Adapter::default();
     if let Some(list) = inventory.get(1..) {
@@ -73,18 +73,18 @@
         assert_eq!(cursor.position(), list.len());
     }
     let mut cursor = Cursor::new(&event, 1);
-    let read = read_event(&mut cursor, event[0], 0, adapter.lists()).expect("an event");
+    let decoded = read_event(&mut cursor, event[0], 0, adapter.lists()).expect("an event");
     assert_eq!(cursor.position(), event.len());
-    read
+    decoded
 }
 
-fn assert_both_ways(event: Event, golden: &str) {
-    assert_eq!(read("", golden), event);
+fn assert_round_trip(event: Event, golden: &str) {
+    assert_eq!(decode("", golden), event);
     assert_eq!(event_records(&event), Some((None, unhex(golden))));
 }
 
 #[test]
-fn a_view_and_its_inventory_match_their_golden_bytes() {
+fn view_and_inventory_match_their_golden_bytes() {
     let forms = [
         (ListForm::Delta, "02 00 00000000 00000000"),
         (ListForm::Full, "02 01 00000000 00000000"),
@@ -93,20 +93,20 @@
     for (form, golden) in forms {
         let entries = inventory();
         let event = Event::Servers { form, entries };
-        assert_eq!(read(INVENTORY, golden), event);
-        let written = Some((Some(unhex(INVENTORY)), unhex(golden)));
-        assert_eq!(event_records(&event), written);
+        assert_eq!(decode(INVENTORY, golden), event);
+        let encoded = Some((Some(unhex(INVENTORY)), unhex(golden)));
+        assert_eq!(event_records(&event), encoded);
     }
     let (form, entries) = (ListForm::Failed, vec![]);
     let event = Event::Servers { form, entries };
     let golden = "02 03 00000000 00000000";
-    assert_eq!(read("", golden), event);
+    assert_eq!(decode("", golden), event);
     let empty = unhex("0c 00000000 00000000");
     assert_eq!(event_records(&event), Some((Some(empty), unhex(golden))));
 }
 
 #[test]
-fn a_request_matches_its_golden_bytes() {
+fn request_matches_its_golden_bytes() {
     let request = Request {
         id: REQUEST,
         class: 1,
@@ -122,8 +122,8 @@
     };
     let golden = "03 c4913a5d 00008043 05000000 0000 640ad2557c3bf091 0000000000000000 0100 \
 b81e85eb51b8ce3f 107cf3d901648e2b 0000e144 00009644";
-    assert_both_ways(Event::Arrival(request.clone()), golden);
-    // The hint is read where its mark says that it is valid, and is never written.
+    assert_round_trip(Event::Arrival(request.clone()), golden);
+    // The hint is decoded only if its mark is set, and is never encoded.
     let hinted = golden
         .replace("05000000 0000", "05000000 0100")
         .replace("0000000000000000 0100", "000000000000e03f 0100");
@@ -132,22 +132,22 @@
         output_hint_s,
         ..request
     };
-    assert_eq!(read("", &hinted), Event::Arrival(expected));
+    assert_eq!(decode("", &hinted), Event::Arrival(expected));
 }
 
 #[test]
-fn a_first_token_matches_its_golden_bytes() {
+fn first_token_matches_its_golden_bytes() {
     let event = Event::FirstToken {
         request: REQUEST,
         attempt: 258,
         server: SERVER,
         elapsed_s: 0.08,
     };
-    assert_both_ways(event, "04 c4913a5d 0201 074a1203 7b14ae47e17ab43f");
+    assert_round_trip(event, "04 c4913a5d 0201 074a1203 7b14ae47e17ab43f");
 }
 
 #[test]
-fn the_end_of_an_attempt_matches_its_golden_bytes() {
+fn attempt_end_matches_its_golden_bytes() {
     let ends = [
         (Outcome::Served, "00", "03000000", 3.0),
         (Outcome::PrefillDone, "ca", "03000000", 3.0),
@@ -193,33 +193,33 @@
         let golden = format!(
             "05 c4913a5d 0100 074a1203 {code} 7b14ae47e17ab43f {finished} {info} 02 0000803e 00000040"
         );
-        assert_both_ways(event, &golden);
+        assert_round_trip(event, &golden);
     }
 }
 
 #[test]
-fn a_cancelled_request_and_a_timer_match_their_golden_bytes() {
+fn client_disconnect_and_timer_match_their_golden_bytes() {
     let request = 0x0e6f_2b19;
-    assert_both_ways(Event::ClientDisconnected { request }, "06 192b6f0e");
-    assert_both_ways(Event::Timer { label: 77 }, "07 4d00000000000000");
+    assert_round_trip(Event::ClientDisconnected { request }, "06 192b6f0e");
+    assert_round_trip(Event::Timer { label: 77 }, "07 4d00000000000000");
 }
 
 #[test]
-fn the_end_of_a_probe_matches_its_golden_bytes() {
+fn probe_end_matches_its_golden_bytes() {
     let event = Event::ProbeEnded {
         server: SERVER,
         outcome: Outcome::Reset,
         elapsed_s: 0.08,
         report: vec![0.5],
     };
-    assert_both_ways(event, "08 074a1203 fb 7b14ae47e17ab43f 01 0000003f");
+    assert_round_trip(event, "08 074a1203 fb 7b14ae47e17ab43f 01 0000003f");
 }
 
 #[test]
-fn a_message_of_a_peer_and_a_reservation_are_read_from_their_golden_bytes() {
+fn peer_message_and_reservation_answer_are_decoded_from_their_golden_bytes() {
     let (from, data) = (3, vec![0x68, 0x69]);
     let event = Event::PeerMessage { from, data };
-    assert_eq!(read("", "09 03000000 0200 6869"), event);
+    assert_eq!(decode("", "09 03000000 0200 6869"), event);
     assert_eq!(event_records(&event), None);
     for (topic, held) in [("01", true), ("02", false)] {
         let event = Event::ReservationAnswer {
@@ -229,13 +229,13 @@
             held,
         };
         let golden = format!("0b c4913a5d 0100 074a1203 {topic} 00000000");
-        assert_eq!(read("", &golden), event);
+        assert_eq!(decode("", &golden), event);
         assert_eq!(event_records(&event), None);
     }
 }
 
 #[test]
-fn each_action_is_written_as_its_golden_bytes() {
+fn each_action_is_encoded_as_its_golden_bytes() {
     let (request, server) = (REQUEST, SERVER);
     let data = vec![0x68, 0x37];
     let text = || "hm".to_string();
--- a/programs/simulator-adapter/tests/node.rs
+++ b/programs/simulator-adapter/tests/node.rs
@@ -1,4 +1,4 @@
-//! What the platform's node passes to its router, passed to the adapter, gets the same decisions.
+//! Checks that the adapter makes the same decisions as the platform's node on the same events.
 #[path = "../../../crates/platform/tests/common/mod.rs"]
 mod common;
 
@@ -7,8 +7,8 @@
 use bitternlatch_simulator_adapter::wire::{encode_reply, Adapter};
 use common::*;
 
-/// The rig's settings as the wire writes them.
-const FACTS: &str = "balancers=2\nclasses.count=2\nclasses.0.effect=free\nclasses.0.aimS=1.5\n\
+/// The test harness's settings in the format of the simulator's protocol.
+const SETTINGS: &str = "balancers=2\nclasses.count=2\nclasses.0.effect=free\nclasses.0.aimS=1.5\n\
 classes.0.deadlineS=6.0\nclasses.0.worth=1.0\nclasses.0.lateWorth=0.3\nclasses.1.effect=single_shot\n\
 classes.1.aimS=2.5\nclasses.1.deadlineS=12.0\nclasses.1.worth=2.0\nclasses.1.lateWorth=0.2\n\
 contract.overloadFactor=2.5\ncontract.startCapacity=0.25\ncontract.fallS=3.0\ncontract.warmAfterS=14.0\n\
@@ -18,8 +18,9 @@
 limits.cancel=true\nlimits.probing=true\nlimits.maxRetryAfterS=2.0\nreport.how=inline\n\
 report.fields=load_share,depth,x0\nextra.unseenReadsRun=true";
 
-/// A node's day: requests served, failed, given up, abandoned; a drain; silence.
-fn day() -> Harness {
+/// Runs 40 requests through a node: some complete, some fail at the server, some are cancelled by the client, some get no
+/// answer.
+fn run_requests() -> Harness {
     let mut harness = Harness::with_tracing();
     harness.load = "util=0.125,queue=1,x0=0.25";
     for i in 0..40 {
@@ -29,14 +30,14 @@
             6 => harness.advance(5.0),
             _ => {
                 harness.complete_prefill();
-                let writer = harness.last_call(Call::is_decode).conn;
+                let decode_conn = harness.last_call(Call::is_decode).conn;
                 match i % 8 {
-                    3 => harness.receive_text(writer, &plain_response("500 Oops", "", "")),
-                    4 => harness.step(Input::Ended { conn: writer }),
+                    3 => harness.receive_text(decode_conn, &plain_response("500 Oops", "", "")),
+                    4 => harness.step(Input::Ended { conn: decode_conn }),
                     _ => {
                         harness.advance(0.25);
                         harness.receive_text(
-                            writer,
+                            decode_conn,
                             &format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(&stream_event("one"))),
                         );
                     }
@@ -49,34 +50,34 @@
 }
 
 #[test]
-fn node_and_adapter_decide_alike() {
-    let mut harness = day();
+fn node_and_adapter_make_the_same_decisions() {
+    let mut harness = run_requests();
     let trace = harness.node.take_trace();
     assert!(trace.len() > 300, "{} events", trace.len());
     let mut adapter = Adapter::default();
-    let start = start_record(0x1f, FACTS);
+    let start = start_record(0x1f, SETTINGS);
     adapter
         .answer(&frame(1.0, &[at(3), start.clone()]))
         .expect("a start");
     let mut other = Adapter::default();
-    let other_start = start_record(0x20, FACTS);
+    let other_start = start_record(0x20, SETTINGS);
     other
         .answer(&frame(1.0, &[at(3), other_start]))
         .expect("a start");
     let (mut actions, mut differ) = (0, 0);
-    for (i, one) in trace.iter().enumerate() {
-        let (list, event) = event_records(&one.event).expect("a word of the wire");
+    for (i, step) in trace.iter().enumerate() {
+        let (list, event) = event_records(&step.event).expect("an event of the protocol");
         let records: Vec<Vec<u8>> = list.into_iter().chain([at(3), event]).collect();
-        let batch = frame(one.now_s, &records);
-        let expected = encode_reply(3, &one.actions);
+        let batch = frame(step.now_s, &records);
+        let expected = encode_reply(3, &step.actions);
         assert_eq!(
             adapter.answer(&batch).expect("an answer"),
             expected,
             "event {i}: {:?}",
-            one.event
+            step.event
         );
         differ += usize::from(other.answer(&batch).is_ok_and(|reply| reply != expected));
-        actions += one.actions.len();
+        actions += step.actions.len();
     }
     assert!(actions > 300, "{actions} actions compared");
     assert!(
--- a/programs/simulator-adapter/tests/wire.rs
+++ b/programs/simulator-adapter/tests/wire.rs
@@ -1,8 +1,8 @@
-//! Frames as the wire page lays them out, and what malformed ones get.
+//! Checks frames against the description of the simulator's protocol, and the errors for malformed frames.
 use bitternlatch_policy::interface::Action;
 use bitternlatch_simulator_adapter::wire::{encode_reply, parse_settings, serve, Adapter};
 
-const FACTS: &str = "balancers=2\nclasses.count=1\nclasses.0.aimS=1.5\nclasses.0.deadlineS=6.0\n\
+const SETTINGS: &str = "balancers=2\nclasses.count=1\nclasses.0.aimS=1.5\nclasses.0.deadlineS=6.0\n\
 classes.0.effect=free\nclasses.0.worth=1.0\ncontract.overloadFactor=2.5\ncontract.startCapacity=0.25\n\
 contract.fallS=3.0\ncontract.warmAfterS=14.0\nextra.kindRole=read,write\nextra.pinLimitS=1.0\n\
 extra.aimUsPer1000PromptTokens=40000.0\nextra.tokenAimS=0.07\nextra.kindMemoryTokens=200000,150000\n\
@@ -17,11 +17,11 @@
     out
 }
 
-fn start(facts: &str) -> Vec<u8> {
+fn start(settings: &str) -> Vec<u8> {
     let mut body = vec![13, 3, 0, 1];
     body.extend(42u64.to_le_bytes());
-    body.extend((facts.len() as u32).to_le_bytes());
-    body.extend(facts.as_bytes());
+    body.extend((settings.len() as u32).to_le_bytes());
+    body.extend(settings.as_bytes());
     body
 }
 
@@ -51,7 +51,7 @@
         .collect()
 }
 
-/// The wire page's own `accept` record.
+/// The `accept` record given as an example in the protocol description.
 const ACCEPT: &str = "03 c4913a5d 00008043 00000000 0100 640ad2557c3bf091 fa7e6abc7493883f 0000 \
 b81e85eb51b8ce3f 107cf3d901648e2b 0000e144 00009644";
 
@@ -62,15 +62,15 @@
 }
 
 #[test]
-fn empty_batch_of_the_page_gets_an_empty_reply() {
+fn empty_batch_of_the_description_gets_an_empty_reply() {
     let mut out = Vec::new();
     serve(&unhex("00000000 10000000 508d976e12d32040")[..], &mut out).unwrap();
     assert_eq!(out, unhex("00000000 08000000"));
 }
 
 #[test]
-fn request_of_the_page_is_sent_to_the_prefill_server() {
-    let mut body = start(FACTS);
+fn request_of_the_description_is_sent_to_the_prefill_server() {
+    let mut body = start(SETTINGS);
     body.extend(inventory_and_view(&[(7, 0), (8, 1)]));
     body.extend(unhex(ACCEPT));
     let reply = Adapter::default().answer(&frame(5, &body)).unwrap();
@@ -84,8 +84,8 @@
 }
 
 #[test]
-fn reused_list_number_means_its_newest_list() {
-    let mut body = start(FACTS);
+fn reused_list_number_refers_to_the_latest_list() {
+    let mut body = start(SETTINGS);
     body.extend(inventory_and_view(&[(7, 0), (8, 1)]));
     body.extend(inventory_and_view(&[(9, 0), (8, 1)]));
     body.extend(unhex(ACCEPT));
@@ -99,9 +99,9 @@
 
 #[test]
 fn shutdown_and_start_may_share_a_batch() {
-    let mut body = start(FACTS);
+    let mut body = start(SETTINGS);
     body.push(10);
-    body.extend(&start(FACTS)[3..]);
+    body.extend(&start(SETTINGS)[3..]);
     body.extend(inventory_and_view(&[(7, 0)]));
     assert!(Adapter::default().answer(&frame(6, &body)).is_ok());
     assert!(
@@ -116,14 +116,14 @@
 
 #[test]
 fn unknown_settings_are_skipped_and_missing_ones_named() {
-    assert!(parse_settings(FACTS).is_ok());
-    let without = FACTS.replace("extra.pinLimitS=1.0\n", "");
+    assert!(parse_settings(SETTINGS).is_ok());
+    let without = SETTINGS.replace("extra.pinLimitS=1.0\n", "");
     assert!(parse_settings(&without)
         .unwrap_err()
         .to_string()
         .contains("extra.pinLimitS"));
-    let odd = FACTS.replace("startCapacity=0.25", "startCapacity=NaN");
-    assert!(parse_settings(&odd)
+    let invalid = SETTINGS.replace("startCapacity=0.25", "startCapacity=NaN");
+    assert!(parse_settings(&invalid)
         .unwrap_err()
         .to_string()
         .contains("startCapacity"));
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn malformed_frames_are_named_with_what_and_where() {
+fn malformed_frames_are_reported_with_field_and_position() {
     assert!(error_of(&[1, 2, 3]).contains("header"));
     assert!(error_of(&frame(1, &[99])).contains("event 99"));
     assert!(error_of(&frame(2, &[13, 3, 0, 99])).contains("unknown event code 99 at byte 19"));
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn action_examples_of_the_page_match_to_the_byte() {
+fn action_examples_of_the_description_match_byte_for_byte() {
     let body = |action: Action| encode_reply(3, &[action])[11..].to_vec();
     assert_eq!(
         encode_reply(3, &[Action::FetchList])[8..11],
@@ -197,7 +197,7 @@
 fn each_malformed_input_has_its_message() {
     let at = |record: &str| format!("0d0300 {record}");
     let started = |record: &str| {
-        let start = start(FACTS);
+        let start = start(SETTINGS);
         frame(3, &[start, unhex(record)].concat())
     };
     let of = |count: u32, body: &str| frame(count, &unhex(body));
@@ -205,15 +205,15 @@
     clock[8..].copy_from_slice(&f64::NAN.to_le_bytes());
     let mut size = of(0, "");
     size[4] = 8;
-    let mut cut = of(1, "");
-    cut[4] = 20;
+    let mut truncated = of(1, "");
+    truncated[4] = 20;
     let table = [
         (
             vec![1, 2, 3],
             "input ends after 3 bytes of a frame's header",
         ),
         (size, "frame size 8 is shorter than a header"),
-        (cut, "input ends after 16 of a frame's 20 bytes"),
+        (truncated, "input ends after 16 of a frame's 20 bytes"),
         (clock, "the clock is not a finite number"),
         (of(0, "0d0300"), "3 bytes left after 0 records"),
         (
@@ -273,6 +273,6 @@
     for (input, message) in table {
         assert_eq!(error_of(&input), message);
     }
-    let named = Adapter::default().answer(&[0; 16]).expect_err("no size");
-    assert_eq!(named.to_string(), "frame says 0 bytes but has 16");
+    let error = Adapter::default().answer(&[0; 16]).expect_err("no size");
+    assert_eq!(error.to_string(), "frame says 0 bytes but has 16");
 }
