--- a/crates/net/tests/wire.rs
+++ b/crates/net/tests/wire.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use bitternlatch_core::settings::ListenTls;
-use bitternlatch_keys::authority::{Authority, Wanted};
+use bitternlatch_keys::authority::{Authority, CertificateRequest};
 use bitternlatch_net::socket::{start, Heard, Limits};
 use bitternlatch_net::tls::{Client, Server};
 use bitternlatch_net::wire::Wire;
@@ -27,12 +27,12 @@
         .duration_since(UNIX_EPOCH)
         .expect("after 1970")
         .as_secs();
-    let authority = Authority::make(&dir, "ca", now).expect("an authority");
-    let wanted = Wanted {
+    let authority = Authority::create(&dir, "ca", now).expect("an authority");
+    let wanted = CertificateRequest {
         dns: vec!["box".into()],
-        begins: now - 60,
-        ends: now + 600,
-        ..Wanted::default()
+        not_before: now - 60,
+        not_after: now + 600,
+        ..CertificateRequest::default()
     };
     Authority::write(
         &dir,
--- a/programs/benchmark/src/secured.rs
+++ b/programs/benchmark/src/secured.rs
@@ -182,7 +182,7 @@
     let claims =
         json!({ "iss": "i", "aud": "a", "sub": "ann", "groups": ["members"], "exp": now + 600 });
     let token = ring.sign(now, &claims)?;
-    let keys = KeySet::parse(ring.document()?.as_bytes()).map_err(|e| e.to_string())?;
+    let keys = KeySet::parse(ring.public_key_set()?.as_bytes()).map_err(|e| e.to_string())?;
     let rules = TokenRules {
         issuer: "i".into(),
         audience: "a".into(),
--- a/programs/billing/src/lib.rs
+++ b/programs/billing/src/lib.rs
@@ -1,4 +1,4 @@
-//! Bills from journals of charges.
+//! Makes bills from the journals of charges that dispatchers write.
 
 pub mod reconcile;
 
@@ -11,14 +11,15 @@
 use jiff::tz::TimeZone;
 use serde::Serialize;
 
-/// Entries of several journals as one. Entries that contradict each other are told.
+/// Reads the entries of several journals into one set. Also returns a description of each entry that contradicts an
+/// earlier entry for the same response.
 ///
 /// # Errors
-/// A journal that is not there or cannot be read, with its file.
-pub fn gather(journals: &[PathBuf]) -> Result<(Entries, Vec<String>), String> {
+/// A journal that does not exist or cannot be read, with its path.
+pub fn read_journals(journals: &[PathBuf]) -> Result<(Entries, Vec<String>), String> {
     let (mut all, mut contradictions) = (Entries::default(), Vec::new());
     for path in journals {
-        // Opening would make one that is not there.
+        // `Journal::open` would create a missing file.
         if !path.exists() {
             return Err(format!("{}: no such file", path.display()));
         }
@@ -35,20 +36,21 @@
     Ok((all, contradictions))
 }
 
-/// Unix microseconds at which a day begins in a zone.
+/// Returns the time at which a day starts in a time zone, in microseconds since the Unix epoch.
 ///
 /// # Errors
-/// A day or zone that is none.
-pub fn begin_of(day: &str, zone: &str) -> Result<u64, String> {
+/// An invalid day or an unknown time zone.
+pub fn day_start_us(day: &str, zone: &str) -> Result<u64, String> {
     let date: Date = day.parse().map_err(|e| format!("'{day}': {e}"))?;
     let zone = TimeZone::get(zone).map_err(|e| e.to_string())?;
-    let at = zone
+    let start = zone
         .to_timestamp(DateTime::from(date))
         .map_err(|e| e.to_string())?;
-    u64::try_from(at.as_microsecond()).map_err(|_| format!("'{day}' is before 1970"))
+    u64::try_from(start.as_microsecond()).map_err(|_| format!("'{day}' is before 1970"))
 }
 
-/// One row of a bill.
+/// One row of a bill: the sums for one tenant and request class. The `possibly_` fields count the requests whose use is not
+/// known and the most tokens that they can have used.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Row {
     pub tenant: String,
@@ -60,7 +62,7 @@
     pub possibly_tokens: u64,
 }
 
-/// The rows of a bill, by tenant and class.
+/// Converts a bill to rows, ordered by tenant and class.
 pub fn rows(bill: &BTreeMap<(String, String), Line>) -> Vec<Row> {
     let row = |((tenant, class), line): (&(String, String), &Line)| Row {
         tenant: tenant.clone(),
@@ -74,18 +76,18 @@
     bill.iter().map(row).collect()
 }
 
-/// Reads a capture of hosts into counts.
+/// Reads the token counts of model servers from a capture file.
 ///
 /// # Errors
-/// A file that cannot be read, or the first line that is none of a capture, by its number.
-pub fn counts(path: &Path) -> Result<reconcile::Counts, String> {
-    let shown = path.display();
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{shown}: {e}"))?;
-    let mut counts = reconcile::Counts::default();
+/// A file that cannot be read, or its first invalid line, with the line number.
+pub fn read_capture(path: &Path) -> Result<reconcile::ServerCounts, String> {
+    let file_name = path.display();
+    let text = std::fs::read_to_string(path).map_err(|e| format!("{file_name}: {e}"))?;
+    let mut counts = reconcile::ServerCounts::default();
     for (i, line) in text.lines().enumerate() {
         counts
-            .take(line)
-            .map_err(|e| format!("{shown}:{}: {e}", i + 1))?;
+            .add_line(line)
+            .map_err(|e| format!("{file_name}:{}: {e}", i + 1))?;
     }
     Ok(counts)
 }
--- a/programs/billing/src/main.rs
+++ b/programs/billing/src/main.rs
@@ -1,38 +1,39 @@
-//! A bill by tenant and class from the journals of dispatchers.
+//! Prints a bill by tenant and request class from the journals of dispatchers.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use bitternlatch_billing::{begin_of, counts, gather, rows, Row};
+use bitternlatch_billing::{day_start_us, read_capture, read_journals, rows, Row};
 use clap::{Parser, ValueEnum};
 
-/// Bills tenants for the tokens of their requests.
+/// Makes bills for the tokens of tenants' requests.
 #[derive(Parser)]
 #[command(
     version,
     after_help = "Example:\n  bitternlatch-billing target/day/trouble/dispatch-1.charges --format csv\n\n\
-    A journal can be read while no dispatcher has it open.\n\
-    Exit codes: 0 done, 1 entries contradict each other or the hosts' counts, 2 could not run."
+    A journal can be read only while no dispatcher has it open.\n\
+    Exit codes: 0 done, 1 entries contradict each other or the model servers' counts, 2 could not run."
 )]
 struct Args {
-    /// Journals of charges; one bill is made of all.
+    /// Journals of charges; all are combined into one bill.
     #[arg(required = true)]
     journals: Vec<PathBuf>,
-    /// First day, as 2026-12-01; by default from the beginning.
+    /// First day of the bill, such as 2026-12-01; by default the bill starts with the oldest entry.
     #[arg(long)]
     from: Option<String>,
-    /// Day after the last one; by default to the end.
+    /// Day after the last day of the bill; by default the bill ends with the newest entry.
     #[arg(long)]
     to: Option<String>,
-    /// Zone in which days begin.
+    /// Time zone of the days.
     #[arg(long, default_value = "UTC")]
     zone: String,
+    /// Output format of the bill.
     #[arg(long, value_enum, default_value_t = Format::Table)]
     format: Format,
-    /// The entries behind the bill, one JSON object a line, instead of it.
+    /// Print the journal entries instead of the bill, one JSON object per line.
     #[arg(long)]
     entries: bool,
-    /// Captures of hosts to hold the entries against.
+    /// Captures of model servers to reconcile the entries with.
     #[arg(long)]
     reconcile: Vec<PathBuf>,
 }
@@ -48,23 +49,24 @@
     match run(&Args::parse()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(why) => {
-            eprintln!("bitternlatch-billing: {why}");
+        Err(error) => {
+            eprintln!("bitternlatch-billing: {error}");
             ExitCode::from(2)
         }
     }
 }
 
-/// False where something does not add up.
+/// Prints the bill. Returns false if entries contradict each other or the model servers' counts.
 fn run(args: &Args) -> Result<bool, String> {
-    let (entries, contradictions) = gather(&args.journals)?;
+    let (entries, contradictions) = read_journals(&args.journals)?;
     contradictions
         .iter()
         .for_each(|c| eprintln!("bitternlatch-billing: entries contradict each other: {c}"));
-    let at = |day: &Option<String>, open: u64| {
-        day.as_ref().map_or(Ok(open), |d| begin_of(d, &args.zone))
+    let start_or = |day: &Option<String>, default: u64| {
+        day.as_ref()
+            .map_or(Ok(default), |d| day_start_us(d, &args.zone))
     };
-    let (from, to) = (at(&args.from, 0)?, at(&args.to, u64::MAX)?);
+    let (from, to) = (start_or(&args.from, 0)?, start_or(&args.to, u64::MAX)?);
     if args.entries {
         for entry in entries
             .standing()
@@ -76,26 +78,26 @@
             );
         }
     } else {
-        print(&rows(&entries.bill(from, to)), args.format)?;
+        print_bill(&rows(&entries.bill(from, to)), args.format)?;
     }
-    let mut held = contradictions.is_empty();
+    let mut is_consistent = contradictions.is_empty();
     for path in &args.reconcile {
-        let found = counts(path)?.reconcile(&entries);
+        let found = read_capture(path)?.reconcile(&entries);
         eprintln!(
-            "{}: {} as hosts counted, {} possibly and within their bound, {} tokens of other tries, {} at fault",
+            "{}: {} equal to the servers' counts, {} possibly charged and within their bound, {} tokens of other attempts, {} mismatches",
             path.display(),
             found.equal,
             found.within,
-            found.other_tries,
-            found.faults.len()
+            found.other_attempt_tokens,
+            found.mismatches.len()
         );
-        found.faults.iter().for_each(|f| eprintln!("  {f}"));
-        held &= found.faults.is_empty();
+        found.mismatches.iter().for_each(|f| eprintln!("  {f}"));
+        is_consistent &= found.mismatches.is_empty();
     }
-    Ok(held)
+    Ok(is_consistent)
 }
 
-fn print(rows: &[Row], format: Format) -> Result<(), String> {
+fn print_bill(rows: &[Row], format: Format) -> Result<(), String> {
     match format {
         Format::Json => println!(
             "{}",
--- a/programs/billing/src/reconcile.rs
+++ b/programs/billing/src/reconcile.rs
@@ -1,4 +1,4 @@
-//! Charges held against what hosts counted, as their sockets' captures show it.
+//! Compares charges with the token counts that model servers reported, taken from captures of their connections.
 
 use std::collections::BTreeMap;
 
@@ -7,47 +7,50 @@
 use bitternlatch_protocol::engine::{decode, FromEngine};
 use serde::{Deserialize, Serialize};
 
-/// A line of a capture, as far as it is used.
+/// The fields that are used of one line of a capture.
 #[derive(Deserialize)]
-struct Line {
+struct CaptureLine {
     dir: String,
     text: String,
 }
 
-/// What a comparison found.
+/// Result of comparing charges with the model servers' counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Reconciled {
-    /// Requests charged what a host counted, to the token.
+    /// Number of requests charged exactly what a server counted.
     pub equal: usize,
-    /// Possibly charged, and what hosts counted for them is within the bound, or nothing.
+    /// Number of possibly charged requests for which the servers counted nothing, or no more than the bound.
     pub within: usize,
-    /// Tokens of further tries of charged requests, which their tenants do not pay.
-    pub other_tries: u64,
-    /// Responses at fault, with why.
-    pub faults: Vec<String>,
+    /// Tokens of other attempts of charged requests; tenants are not charged for them.
+    #[serde(rename = "other_tries")]
+    pub other_attempt_tokens: u64,
+    /// Descriptions of the mismatches between charges and counts.
+    #[serde(rename = "faults")]
+    pub mismatches: Vec<String>,
 }
 
-/// The counts of each request's tries that wrote an answer to its end, by the request's part of the wire id.
+/// Token counts of all attempts that generated a complete answer, by request. The key is the part of the attempt's id on the
+/// wire that identifies the request.
 #[derive(Default)]
-pub struct Counts {
+pub struct ServerCounts {
     by_request: BTreeMap<String, Vec<Amount>>,
 }
 
-impl Counts {
-    /// Takes one line of a capture (JSON); lines of other kinds and directions are passed over.
+impl ServerCounts {
+    /// Adds one line of a capture (JSON). Messages to the server and messages without a final count are skipped.
     ///
     /// # Errors
-    /// A line that is no line of a capture.
-    pub fn take(&mut self, line: &str) -> Result<(), String> {
-        let line: Line = serde_json::from_str(line).map_err(|e| e.to_string())?;
+    /// The line is not a line of a capture.
+    pub fn add_line(&mut self, line: &str) -> Result<(), String> {
+        let line: CaptureLine = serde_json::from_str(line).map_err(|e| e.to_string())?;
         if line.dir == "out" {
-            self.take_text(&line.text);
+            self.add_message(&line.text);
         }
         Ok(())
     }
 
-    /// Takes one message of a host.
-    pub fn take_text(&mut self, text: &str) {
+    /// Adds the token count in one message of a model server, if it ends an answer.
+    pub fn add_message(&mut self, text: &str) {
         let Ok(FromEngine::Chunk { id, body }) = decode::<FromEngine>(text) else {
             return;
         };
@@ -56,7 +59,7 @@
         else {
             return;
         };
-        // A reader's count of the prompt alone is no answer.
+        // A prefill server's message counts only the prompt; it is no answer.
         if body.kv_transfer_params.is_none() {
             let amount = Amount {
                 prompt: usage.prompt_tokens,
@@ -69,12 +72,12 @@
         }
     }
 
-    /// Holds the entries that stand against the counts.
+    /// Compares the charges with the counts.
     pub fn reconcile(&self, entries: &Entries) -> Reconciled {
         let mut found = Reconciled::default();
         let mut charged = Vec::new();
         for entry in entries.standing() {
-            // A response's id is its request's wire id with a tag behind it.
+            // A response id is `resp_`, the 24 characters of the request's id on the wire, and a tag.
             let request = entry
                 .response
                 .strip_prefix("resp_")
@@ -86,21 +89,21 @@
                 .get(request)
                 .map(Vec::as_slice)
                 .unwrap_or_default();
-            let all: u64 = counts.iter().map(|c| c.total()).sum();
+            let total: u64 = counts.iter().map(|c| c.total()).sum();
             match entry.used {
                 Used::Known(amount) if counts.contains(&amount) => {
                     found.equal += 1;
-                    found.other_tries += all - amount.total();
+                    found.other_attempt_tokens += total - amount.total();
                 }
-                Used::Known(amount) => found.faults.push(format!(
-                    "{}: charged {} and {}, hosts counted {counts:?}",
+                Used::Known(amount) => found.mismatches.push(format!(
+                    "{}: charged {} and {}, servers counted {counts:?}",
                     entry.response, amount.prompt, amount.output
                 )),
                 Used::Possibly(bound) if counts.iter().all(|c| c.total() <= bound.total()) => {
                     found.within += 1
                 }
-                Used::Possibly(bound) => found.faults.push(format!(
-                    "{}: possibly charged up to {}, hosts counted {counts:?}",
+                Used::Possibly(bound) => found.mismatches.push(format!(
+                    "{}: possibly charged up to {}, servers counted {counts:?}",
                     entry.response,
                     bound.total()
                 )),
@@ -108,8 +111,8 @@
         }
         for (request, counts) in &self.by_request {
             if !charged.contains(request) {
-                found.faults.push(format!(
-                    "request {request}: hosts counted {counts:?}, nothing is charged"
+                found.mismatches.push(format!(
+                    "request {request}: servers counted {counts:?}, nothing is charged"
                 ));
             }
         }
--- a/programs/chaos/src/secured.rs
+++ b/programs/chaos/src/secured.rs
@@ -5,7 +5,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use bitternlatch_keys::authority::{Authority, Wanted};
+use bitternlatch_keys::authority::{Authority, CertificateRequest};
 use bitternlatch_keys::Ring;
 use bitternlatch_mock_engine::capture::Capture;
 use bitternlatch_net::dial::Manner;
@@ -76,26 +76,26 @@
     pub fn make(dir: &Path, hosts: &[&str], classes: &[&str]) -> Result<Proofs, String> {
         let dir = dir.join("keys");
         let _ = std::fs::remove_dir_all(&dir);
-        let servers = Authority::make(&dir.join("servers"), "servers", now())?;
-        let callers = Authority::make(&dir.join("callers"), "callers", now())?;
-        let until = |w: Wanted| Wanted {
-            begins: now() - 60,
-            ends: now() + 3600,
+        let servers = Authority::create(&dir.join("servers"), "servers", now())?;
+        let callers = Authority::create(&dir.join("callers"), "callers", now())?;
+        let until = |w: CertificateRequest| CertificateRequest {
+            not_before: now() - 60,
+            not_after: now() + 3600,
             ..w
         };
         for name in hosts.iter().chain([&"dispatch"]) {
-            let issued = servers.issue(&until(Wanted {
+            let issued = servers.issue(&until(CertificateRequest {
                 dns: vec![(*name).into()],
-                ..Wanted::default()
+                ..CertificateRequest::default()
             }))?;
             Authority::write(&dir.join("servers"), name, &issued)?;
         }
         for name in ["desk", "leaver"] {
             let uri = Some(format!("urn:caller:{name}"));
-            let issued = callers.issue(&until(Wanted {
+            let issued = callers.issue(&until(CertificateRequest {
                 uri,
                 groups: vec!["desk".into()],
-                ..Wanted::default()
+                ..CertificateRequest::default()
             }))?;
             Authority::write(&dir.join("callers"), name, &issued)?;
         }
--- a/programs/chaos/tests/alike.rs
+++ b/programs/chaos/tests/alike.rs
@@ -47,7 +47,7 @@
     let (path, recorded) = recorded();
     assert_eq!(recorded.torn_bytes, 0);
     assert_eq!(
-        bitternlatch_replay::one(&path, false),
+        bitternlatch_replay::replay_file(&path, false),
         0,
         "the replay program finds no difference"
     );
--- a/programs/chaos/tests/bills.rs
+++ b/programs/chaos/tests/bills.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use bitternlatch_billing::reconcile::Counts;
-use bitternlatch_billing::{gather, rows};
+use bitternlatch_billing::reconcile::ServerCounts;
+use bitternlatch_billing::{read_journals, rows};
 use bitternlatch_budget::charge::{Entries, Used};
 use bitternlatch_chaos::client::Came;
 use bitternlatch_mock_engine::config::Trouble;
@@ -18,7 +18,7 @@
 }
 
 /// Ends all, and gives the entries with what hosts have counted.
-fn settle(rig: Rig) -> (Entries, Counts) {
+fn settle(rig: Rig) -> (Entries, ServerCounts) {
     let journals: Vec<_> = rig
         .dispatchers
         .iter()
@@ -26,12 +26,12 @@
         .collect();
     let lines = rig.lines.clone();
     rig.end();
-    let mut counts = Counts::default();
+    let mut counts = ServerCounts::default();
     lines
         .try_iter()
         .filter(|l| l.dir == "out")
-        .for_each(|l| counts.take_text(&l.text));
-    let (entries, contradictions) = gather(&journals).expect("journals");
+        .for_each(|l| counts.add_message(&l.text));
+    let (entries, contradictions) = read_journals(&journals).expect("journals");
     assert!(contradictions.is_empty(), "{contradictions:?}");
     (entries, counts)
 }
@@ -63,7 +63,7 @@
     }
     let (entries, counts) = settle(rig);
     let found = counts.reconcile(&entries);
-    assert!(found.faults.is_empty(), "{:#?}", found.faults);
+    assert!(found.mismatches.is_empty(), "{:#?}", found.mismatches);
     assert!(
         found.equal >= served && served > 25,
         "{found:?}, {served} served"
@@ -83,7 +83,7 @@
     for entry in entries.standing().skip(1) {
         less.offer(entry.clone());
     }
-    assert_eq!(counts.reconcile(&less).faults.len(), 1);
+    assert_eq!(counts.reconcile(&less).mismatches.len(), 1);
 }
 
 #[test]
@@ -109,5 +109,5 @@
         "{all:?}"
     );
     let found = counts.reconcile(&entries);
-    assert_eq!((found.within, found.faults.len()), (1, 0), "{found:?}");
+    assert_eq!((found.within, found.mismatches.len()), (1, 0), "{found:?}");
 }
--- a/programs/chaos/tests/callers.rs
+++ b/programs/chaos/tests/callers.rs
@@ -78,7 +78,7 @@
     let token = |c: &Value| ring.sign(now(), c).expect("a token");
     let good = token(&claims("ann", "members", 600));
     let part = |v: &Value| B64.encode(v.to_string());
-    let signing = ring.signing(now()).expect("a key").id.clone();
+    let signing = ring.signing_key(now()).expect("a key").id.clone();
     // As a forger would write them: no signature at all, and a MAC made with what everybody knows.
     let forged = |alg: &str| {
         let header = part(&json!({ "alg": alg, "kid": signing }));
@@ -323,7 +323,10 @@
         }
     }
     wait_for("the first key's end", || {
-        now() >= first.ends.unwrap_or(ring.keys[0].ends.expect("an end"))
+        now()
+            >= first
+                .expires_at
+                .unwrap_or(ring.keys[0].expires_at.expect("an end"))
     });
     let old = Ring::sign_with(&first, &claims("ann", "members", 600)).expect("a token");
     assert!(
@@ -334,9 +337,9 @@
         served(session, "slot-query", &format!("last-{at}"));
     }
     // One is withdrawn early: its sessions end within the stated time.
-    let signing = ring.signing(now()).expect("a key").id.clone();
+    let signing = ring.signing_key(now()).expect("a key").id.clone();
     ring.rotate(now(), 0, 600).expect("a key");
-    ring.withdraw(&signing, now()).expect("withdrawn");
+    ring.revoke(&signing, now()).expect("withdrawn");
     ring.write(&path, &public).expect("the keys");
     let start = Instant::now();
     for session in &sessions {
@@ -381,7 +384,7 @@
 fn an_issuer_that_lies_or_is_slow_keeps_the_last_good_keys_and_a_restart_has_them() {
     let mut ring = Ring::default();
     ring.announce(now() - 10).expect("a key");
-    let document = ring.document().expect("a document");
+    let document = ring.public_key_set().expect("a document");
     let keys = issuer(move |n| match n {
         0 => Some(document.clone()),
         1 => Some("<html>busy</html>".into()),
--- a/programs/chaos/tests/ledger.rs
+++ b/programs/chaos/tests/ledger.rs
@@ -4,16 +4,16 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use bitternlatch_billing::{gather, rows};
+use bitternlatch_billing::{read_journals, rows};
 use bitternlatch_chaos::process::free_address;
-use bitternlatch_quota_server::{Running, Settings, Tenant};
+use bitternlatch_quota_server::{QuotaServer, Settings, Tenant};
 use common::{create, final_kind, folder, rig, wait_for, Rig, FOUR};
 use serde_json::json;
 
 const RATE: f64 = 50_000.0;
 
 /// Starts one; the one before it may still be about to let go of its file and port.
-fn start(address: &str, file: &Path) -> Running {
+fn start(address: &str, file: &Path) -> QuotaServer {
     let tenants = vec![Tenant {
         name: "association".into(),
         tokens_per_s: RATE,
@@ -25,7 +25,7 @@
     };
     let by = Instant::now() + Duration::from_secs(30);
     loop {
-        match Running::start(&settings) {
+        match QuotaServer::start(&settings) {
             Ok(running) => return running,
             Err(why) => assert!(Instant::now() < by, "{why}"),
         }
@@ -66,7 +66,7 @@
     let ledger = start(&address, &file);
     let rig = with_ledger("ledger-run", &address);
     serve(&rig, 0, 12);
-    let lent = |l: &Running| l.out()["association"];
+    let lent = |l: &QuotaServer| l.leased_tokens_per_s()["association"];
     wait_for("parts", || {
         serve(&rig, 1000, 1002);
         lent(&ledger) > 0.0
@@ -83,14 +83,14 @@
         .iter()
         .map(|d| rig.dir.join(format!("{}.charges", d.name)))
         .collect();
-    wait_for("the last shipment", || ledger.charged() == Ok(38));
+    wait_for("the last shipment", || ledger.charged_requests() == Ok(38));
     rig.end();
     ledger.stop();
     wait_for("the ledger's journal", || {
         bitternlatch_journal::Journal::open(&file).is_ok()
     });
-    let (kept, wrong) = gather(&[file]).expect("the ledger's journal");
-    let (own, _) = gather(&ours).expect("the dispatchers' journals");
+    let (kept, wrong) = read_journals(&[file]).expect("the ledger's journal");
+    let (own, _) = read_journals(&ours).expect("the dispatchers' journals");
     assert!(wrong.is_empty());
     assert_eq!(rows(&kept.bill(0, u64::MAX)), rows(&own.bill(0, u64::MAX)));
     assert_eq!(kept, own, "every charge, once");
--- a/programs/chaos/tests/lengths.rs
+++ b/programs/chaos/tests/lengths.rs
@@ -114,6 +114,10 @@
             text.contains("Curves(") && text.contains("Ended("),
             "{record:?}"
         );
-        assert_eq!(bitternlatch_replay::one(&record, false), 0, "{record:?}");
+        assert_eq!(
+            bitternlatch_replay::replay_file(&record, false),
+            0,
+            "{record:?}"
+        );
     }
 }
--- a/programs/chaos/tests/secured.rs
+++ b/programs/chaos/tests/secured.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use bitternlatch_chaos::client::{Came, Client};
-use bitternlatch_keys::authority::{Authority, Wanted};
+use bitternlatch_keys::authority::{Authority, CertificateRequest};
 use bitternlatch_mock_engine::capture::Capture;
 use bitternlatch_net::dial::Manner;
 use bitternlatch_net::tls;
@@ -32,25 +32,25 @@
 max_output_tokens = 800
 "#;
 
-fn server(names: &[&str]) -> Wanted {
+fn server(names: &[&str]) -> CertificateRequest {
     let dns = names.iter().map(|n| (*n).to_string()).collect();
-    Wanted {
+    CertificateRequest {
         dns,
-        begins: now() - 60,
-        ends: now() + 600,
-        ..Wanted::default()
+        not_before: now() - 60,
+        not_after: now() + 600,
+        ..CertificateRequest::default()
     }
 }
 
-fn person(name: &str, group: Option<&str>) -> Wanted {
+fn person(name: &str, group: Option<&str>) -> CertificateRequest {
     let uri = Some(format!("urn:caller:{name}"));
     let groups = group.map(str::to_string).into_iter().collect();
-    Wanted {
+    CertificateRequest {
         uri,
         groups,
-        begins: now() - 60,
-        ends: now() + 600,
-        ..Wanted::default()
+        not_before: now() - 60,
+        not_after: now() + 600,
+        ..CertificateRequest::default()
     }
 }
 
@@ -66,9 +66,9 @@
     fn start(name: &str, listen: &serde_json::Value) -> Secured {
         let dir = folder(name);
         let servers =
-            Authority::make(&dir.join("servers"), "servers", now()).expect("an authority");
+            Authority::create(&dir.join("servers"), "servers", now()).expect("an authority");
         let callers =
-            Authority::make(&dir.join("callers"), "callers", now()).expect("an authority");
+            Authority::create(&dir.join("callers"), "callers", now()).expect("an authority");
         for name in ["reader-1", "reader-2", "writer-1", "writer-2", "dispatch"] {
             let issued = servers.issue(&server(&[name])).expect("a certificate");
             Authority::write(&dir.join("servers"), name, &issued).expect("files");
@@ -134,7 +134,7 @@
     }
 
     /// Certifies a caller and gives its manner.
-    fn certify(&self, name: &str, wanted: &Wanted) -> Manner {
+    fn certify(&self, name: &str, wanted: &CertificateRequest) -> Manner {
         let issued = self.callers.issue(wanted).expect("a certificate");
         Authority::write(&self.dir.join("callers"), name, &issued).expect("files");
         Secured::manner(&self.dir, Some(name))
@@ -336,8 +336,8 @@
 #[test]
 fn a_certificate_that_ends_closes_its_session() {
     let s = Secured::start("ends", &json!({}));
-    let soon = Wanted {
-        ends: now() + 6,
+    let soon = CertificateRequest {
+        not_after: now() + 6,
         ..person("dee", Some("directors"))
     };
     let dee = s.open(&s.certify("dee", &soon)).expect("let in");
--- a/programs/chaos/tests/workflows.rs
+++ b/programs/chaos/tests/workflows.rs
@@ -66,7 +66,7 @@
     let record = three.rig.dir.join("dispatch-2.1.rec");
     three.end();
     assert_eq!(
-        bitternlatch_replay::one(&record, false),
+        bitternlatch_replay::replay_file(&record, false),
         0,
         "its record replays alike"
     );
--- a/programs/inventory-check/src/main.rs
+++ b/programs/inventory-check/src/main.rs
@@ -1,4 +1,4 @@
-//! Checks lists of model hosts and prints the set that a dispatcher would take.
+//! Checks lists of model servers and prints the servers that a dispatcher would use.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -7,18 +7,18 @@
 use bitternlatch_inventory::{parse, Difference, ModelServer, ServerSet};
 use clap::Parser;
 
-/// Checks lists of model hosts (CSV or Ansible YAML) and prints the hosts.
+/// Checks lists of model servers (CSV or Ansible YAML) and prints the servers.
 #[derive(Parser)]
 #[command(
     version,
     after_help = "Example:\n  bitternlatch-inventory-check deploy/hosts.csv deploy/hosts.yaml\n\n\
-    Exit codes: 0 all good and alike, 1 a list is broken or the lists differ, 2 could not read."
+    Exit codes: 0 all lists are valid and equal, 1 a list is invalid or the lists differ, 2 a file cannot be read."
 )]
 struct Args {
-    /// Lists; with several, all must name the same hosts alike.
+    /// Server lists; if there are several, all must define the same servers.
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// Print the host set as JSON.
+    /// Print the servers as JSON.
     #[arg(long)]
     json: bool,
 }
@@ -26,60 +26,63 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     let mut first: Option<(String, ServerSet)> = None;
-    let mut worst = 0;
+    let mut exit_code = 0;
     for file in &args.files {
-        let shown = file.display().to_string();
+        let file_name = file.display().to_string();
         let text = match std::fs::read_to_string(file) {
             Ok(text) => text,
             Err(e) => {
-                eprintln!("bitternlatch-inventory-check: {shown}: {e}");
-                worst = 2;
+                eprintln!("bitternlatch-inventory-check: {file_name}: {e}");
+                exit_code = 2;
                 continue;
             }
         };
-        match (parse(&shown, &text), &first) {
+        match (parse(&file_name, &text), &first) {
             (Err(e), _) => {
                 eprintln!("{e}");
-                worst = worst.max(1);
+                exit_code = exit_code.max(1);
             }
-            (Ok(hosts), None) => first = Some((shown, hosts)),
-            (Ok(hosts), Some((name, other))) => {
-                let difference = Difference::between(other, &hosts);
+            (Ok(servers), None) => first = Some((file_name, servers)),
+            (Ok(servers), Some((name, other))) => {
+                let difference = Difference::between(other, &servers);
                 if !difference.is_empty() {
-                    eprintln!("{shown}: differs from {name}: {}", words(&difference));
-                    worst = worst.max(1);
+                    eprintln!(
+                        "{file_name}: differs from {name}: {}",
+                        describe(&difference)
+                    );
+                    exit_code = exit_code.max(1);
                 }
             }
         }
     }
-    if let Some((_, hosts)) = first {
-        print(&hosts, args.json);
+    if let Some((_, servers)) = first {
+        print_servers(&servers, args.json);
     }
-    ExitCode::from(worst)
+    ExitCode::from(exit_code)
 }
 
-fn words(d: &Difference) -> String {
-    let part = |what: &str, names: &[String]| match names.is_empty() {
+fn describe(d: &Difference) -> String {
+    let list_names = |what: &str, names: &[String]| match names.is_empty() {
         true => None,
         false => Some(format!("{what} {}", names.join(", "))),
     };
     let parts = [
-        part("adds", &d.added),
-        part("lacks", &d.removed),
-        part("changes", &d.changed),
+        list_names("adds", &d.added),
+        list_names("lacks", &d.removed),
+        list_names("changes", &d.changed),
     ];
     parts.into_iter().flatten().collect::<Vec<_>>().join("; ")
 }
 
-fn print(hosts: &ServerSet, json: bool) {
+fn print_servers(servers: &ServerSet, json: bool) {
     if json {
-        let with_ids: BTreeMap<&str, (u32, &ModelServer)> = hosts
+        let with_ids: BTreeMap<&str, (u32, &ModelServer)> = servers
             .iter()
-            .map(|(n, h)| (n.as_str(), (h.id(), h)))
+            .map(|(name, server)| (name.as_str(), (server.id(), server)))
             .collect();
         let list: Vec<serde_json::Value> = with_ids
             .values()
-            .map(|(id, host)| serde_json::json!({ "id": id, "host": host }))
+            .map(|(id, server)| serde_json::json!({ "id": id, "host": server }))
             .collect();
         println!("{:#}", serde_json::Value::Array(list));
         return;
@@ -88,17 +91,17 @@
         "{:<28} {:>10} {:<24} {:<12} {:<12} {:<12} {:>6} state",
         "host", "id", "endpoint", "kind", "cell", "zone", "weight"
     );
-    for host in hosts.values() {
+    for server in servers.values() {
         println!(
             "{:<28} {:>10} {:<24} {:<12} {:<12} {:<12} {:>6} {:?}",
-            host.name,
-            host.id(),
-            host.endpoint(),
-            host.kind,
-            host.cell,
-            host.zone,
-            host.weight,
-            host.state
+            server.name,
+            server.id(),
+            server.endpoint(),
+            server.kind,
+            server.cell,
+            server.zone,
+            server.weight,
+            server.state
         );
     }
 }
--- a/programs/keys/src/authority.rs
+++ b/programs/keys/src/authority.rs
@@ -1,7 +1,8 @@
-//! A small authority in a folder: certificates for dispatchers, hosts and callers, and the list of revoked ones.
+//! A small certificate authority in a directory: issues certificates for dispatchers, model servers and callers, and keeps
+//! the list of revoked ones.
 //!
-//! `authority.pem` is public; `authority.key` is private; `revoked.json` says what was revoked and when, and `revoked.pem` is the signed
-//! list made from it.
+//! `authority.pem` is the public certificate and `authority.key` the private key. `revoked.json` contains the serial numbers
+//! of the revoked certificates and the times of revocation; `revoked.pem` is the signed revocation list made from it.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -15,119 +16,125 @@
 use time::{Duration, OffsetDateTime};
 use x509_parser::prelude::parse_x509_pem;
 
-use crate::{put, Fault};
+use crate::{write_atomically, KeyError};
 
-/// An authority's folder.
+/// A certificate authority and its directory.
 pub struct Authority {
     dir: PathBuf,
     issuer: Issuer<'static, KeyPair>,
 }
 
-/// What a certificate is to hold.
+/// Contents of a certificate to be issued.
 #[derive(Clone, Debug, Default)]
-pub struct Wanted {
-    /// Names that it proves.
+pub struct CertificateRequest {
+    /// DNS names of the certificate's subject.
     pub dns: Vec<String>,
+    /// IP addresses of the certificate's subject.
     pub ips: Vec<std::net::IpAddr>,
-    /// The caller that it names, as a URI.
+    /// URI of the caller that the certificate identifies.
     pub uri: Option<String>,
-    /// Groups of that caller.
+    /// Groups of the caller; a certificate can contain at most one.
     pub groups: Vec<String>,
-    /// Unix seconds.
-    pub begins: u64,
-    pub ends: u64,
+    /// Start of validity, in seconds since the Unix epoch.
+    pub not_before: u64,
+    /// End of validity, in seconds since the Unix epoch.
+    pub not_after: u64,
 }
 
-/// A certificate and its private key, PEM.
-pub struct Issued {
+/// An issued certificate and its private key, both in PEM format.
+pub struct IssuedCertificate {
     pub certificate: String,
     pub key: String,
 }
 
-fn at(seconds: u64) -> Result<OffsetDateTime, Fault> {
+/// Converts seconds since the Unix epoch.
+fn date_time(seconds: u64) -> Result<OffsetDateTime, KeyError> {
     let seconds = i64::try_from(seconds).map_err(|e| e.to_string())?;
     OffsetDateTime::from_unix_timestamp(seconds).map_err(|e| e.to_string())
 }
 
-fn fault(e: rcgen::Error) -> Fault {
+fn error_text(e: rcgen::Error) -> KeyError {
     e.to_string()
 }
 
 impl Authority {
-    /// Makes one in an empty folder, for ten years, with an empty list of revoked certificates.
+    /// Creates an authority in a directory. Its certificate is valid for ten years and its revocation list is empty.
     ///
     /// # Errors
-    /// A folder that holds one already or cannot be written.
-    pub fn make(dir: &Path, name: &str, now: u64) -> Result<Authority, Fault> {
+    /// The directory already contains an authority or cannot be written.
+    pub fn create(dir: &Path, name: &str, now: u64) -> Result<Authority, KeyError> {
         if dir.join("authority.key").exists() {
-            return Err(format!("{}: an authority is there already", dir.display()));
+            return Err(format!(
+                "{}: the directory already contains an authority",
+                dir.display()
+            ));
         }
         std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
-        let key = KeyPair::generate().map_err(fault)?;
+        let key = KeyPair::generate().map_err(error_text)?;
         let mut params = CertificateParams::default();
         params.distinguished_name = rcgen::DistinguishedName::new();
         params.distinguished_name.push(DnType::CommonName, name);
         params.is_ca = IsCa::Ca(BasicConstraints::Constrained(0));
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
-        params.not_before = at(now)? - Duration::minutes(5);
-        params.not_after = at(now)? + Duration::days(3650);
-        let certificate = params.self_signed(&key).map_err(fault)?;
-        put(&dir.join("authority.key"), &key.serialize_pem(), true)?;
-        put(&dir.join("authority.pem"), &certificate.pem(), false)?;
-        let made = Authority {
+        params.not_before = date_time(now)? - Duration::minutes(5);
+        params.not_after = date_time(now)? + Duration::days(3650);
+        let certificate = params.self_signed(&key).map_err(error_text)?;
+        write_atomically(&dir.join("authority.key"), &key.serialize_pem(), true)?;
+        write_atomically(&dir.join("authority.pem"), &certificate.pem(), false)?;
+        let authority = Authority {
             dir: dir.to_path_buf(),
             issuer: Issuer::new(params, key),
         };
-        made.list(&BTreeMap::new(), now)?;
-        Ok(made)
+        authority.write_revocation_list(&BTreeMap::new(), now)?;
+        Ok(authority)
     }
 
-    /// Opens one that was made.
+    /// Opens an existing authority.
     ///
     /// # Errors
-    /// Files that cannot be read or are damaged.
-    pub fn open(dir: &Path) -> Result<Authority, Fault> {
+    /// A file cannot be read or is damaged.
+    pub fn open(dir: &Path) -> Result<Authority, KeyError> {
         let read = |file: &str| {
             let path = dir.join(file);
             std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))
         };
-        let key = KeyPair::from_pem(&read("authority.key")?).map_err(fault)?;
-        let issuer = Issuer::from_ca_cert_pem(&read("authority.pem")?, key).map_err(fault)?;
+        let key = KeyPair::from_pem(&read("authority.key")?).map_err(error_text)?;
+        let issuer = Issuer::from_ca_cert_pem(&read("authority.pem")?, key).map_err(error_text)?;
         Ok(Authority {
             dir: dir.to_path_buf(),
             issuer,
         })
     }
 
-    /// A new key with a certificate for it.
+    /// Generates a key and issues a certificate for it.
     ///
     /// # Errors
-    /// Names that no certificate can hold; times that are none.
-    pub fn issue(&self, wanted: &Wanted) -> Result<Issued, Fault> {
-        let key = KeyPair::generate().map_err(fault)?;
-        let mut params = CertificateParams::new(wanted.dns.clone()).map_err(fault)?;
+    /// A name that a certificate cannot contain, more than one group, or an invalid time.
+    pub fn issue(&self, request: &CertificateRequest) -> Result<IssuedCertificate, KeyError> {
+        let key = KeyPair::generate().map_err(error_text)?;
+        let mut params = CertificateParams::new(request.dns.clone()).map_err(error_text)?;
         params
             .subject_alt_names
-            .extend(wanted.ips.iter().map(|ip| SanType::IpAddress(*ip)));
-        if let Some(uri) = &wanted.uri {
-            let uri = uri.as_str().try_into().map_err(fault)?;
+            .extend(request.ips.iter().map(|ip| SanType::IpAddress(*ip)));
+        if let Some(uri) = &request.uri {
+            let uri = uri.as_str().try_into().map_err(error_text)?;
             params.subject_alt_names.push(SanType::URI(uri));
         }
         params.distinguished_name = rcgen::DistinguishedName::new();
-        // One unit a certificate is what the library writes; callers of several groups have a rule by name.
-        if let Some(group) = wanted.groups.first() {
+        // The library writes only one organizational unit per certificate. A caller in several groups needs an access rule by name.
+        if let Some(group) = request.groups.first() {
             params
                 .distinguished_name
                 .push(DnType::OrganizationalUnitName, group.as_str());
         }
-        if wanted.groups.len() > 1 {
-            return Err("a certificate holds one group".to_string());
+        if request.groups.len() > 1 {
+            return Err("a certificate can contain only one group".to_string());
         }
         let mut serial = [0; 16];
         SystemRandom::new()
             .fill(&mut serial)
-            .map_err(|_| "no randomness")?;
-        // Positive, and never with a leading zero byte.
+            .map_err(|_| "no random numbers from the system")?;
+        // A serial number must be positive and must not start with a zero byte.
         serial[0] = serial[0] & 0x7f | 0x40;
         params.serial_number = Some(SerialNumber::from_slice(&serial));
         params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
@@ -135,35 +142,38 @@
             ExtendedKeyUsagePurpose::ServerAuth,
             ExtendedKeyUsagePurpose::ClientAuth,
         ];
-        (params.not_before, params.not_after) = (at(wanted.begins)?, at(wanted.ends)?);
-        let certificate = params.signed_by(&key, &self.issuer).map_err(fault)?;
-        Ok(Issued {
+        (params.not_before, params.not_after) = (
+            date_time(request.not_before)?,
+            date_time(request.not_after)?,
+        );
+        let certificate = params.signed_by(&key, &self.issuer).map_err(error_text)?;
+        Ok(IssuedCertificate {
             certificate: certificate.pem(),
             key: key.serialize_pem(),
         })
     }
 
-    /// Writes what was issued as `NAME.pem` and, for its owner alone, `NAME.key`.
+    /// Writes an issued certificate to `NAME.pem` and its private key, readable only by the owner, to `NAME.key`.
     ///
     /// # Errors
-    /// Files that cannot be written.
-    pub fn write(dir: &Path, name: &str, issued: &Issued) -> Result<(), Fault> {
-        put(&dir.join(format!("{name}.key")), &issued.key, true)?;
-        put(&dir.join(format!("{name}.pem")), &issued.certificate, false)
+    /// A file cannot be written.
+    pub fn write(dir: &Path, name: &str, issued: &IssuedCertificate) -> Result<(), KeyError> {
+        write_atomically(&dir.join(format!("{name}.key")), &issued.key, true)?;
+        write_atomically(&dir.join(format!("{name}.pem")), &issued.certificate, false)
     }
 
-    /// Revokes a certificate (PEM) and writes the new list.
+    /// Revokes a certificate (PEM) and writes the new revocation list.
     ///
     /// # Errors
-    /// One that cannot be read or is another authority's; files that cannot be written.
-    pub fn revoke(&self, certificate: &str, now: u64) -> Result<(), Fault> {
+    /// The certificate is invalid or was issued by another authority, or a file cannot be written.
+    pub fn revoke(&self, certificate: &str, now: u64) -> Result<(), KeyError> {
         let (_, pem) = parse_x509_pem(certificate.as_bytes()).map_err(|e| e.to_string())?;
         let parsed = pem.parse_x509().map_err(|e| e.to_string())?;
-        let own = std::fs::read(self.dir.join("authority.pem")).map_err(|e| e.to_string())?;
-        let (_, own) = parse_x509_pem(&own).map_err(|e| e.to_string())?;
-        let own = own.parse_x509().map_err(|e| e.to_string())?;
-        if parsed.verify_signature(Some(own.public_key())).is_err() {
-            return Err("the certificate is another authority's".to_string());
+        let ca_pem = std::fs::read(self.dir.join("authority.pem")).map_err(|e| e.to_string())?;
+        let (_, ca_pem) = parse_x509_pem(&ca_pem).map_err(|e| e.to_string())?;
+        let ca = ca_pem.parse_x509().map_err(|e| e.to_string())?;
+        if parsed.verify_signature(Some(ca.public_key())).is_err() {
+            return Err("the certificate was issued by another authority".to_string());
         }
         let serial: String = parsed
             .raw_serial()
@@ -176,11 +186,16 @@
         let mut revoked: BTreeMap<String, u64> =
             serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
         revoked.entry(serial).or_insert(now);
-        self.list(&revoked, now)
+        self.write_revocation_list(&revoked, now)
     }
 
-    fn list(&self, revoked: &BTreeMap<String, u64>, now: u64) -> Result<(), Fault> {
-        let entry = |(serial, when): (&String, &u64)| -> Result<RevokedCertParams, Fault> {
+    /// Writes `revoked.json` and the signed `revoked.pem`, which is valid for seven days.
+    fn write_revocation_list(
+        &self,
+        revoked: &BTreeMap<String, u64>,
+        now: u64,
+    ) -> Result<(), KeyError> {
+        let entry = |(serial, revoked_at): (&String, &u64)| -> Result<RevokedCertParams, KeyError> {
             let byte = |i: usize| {
                 serial
                     .get(i..i + 2)
@@ -189,25 +204,25 @@
             let bytes: Option<Vec<u8>> = (0..serial.len()).step_by(2).map(byte).collect();
             Ok(RevokedCertParams {
                 serial_number: SerialNumber::from_slice(&bytes.ok_or("a damaged serial number")?),
-                revocation_time: at(*when)?,
+                revocation_time: date_time(*revoked_at)?,
                 reason_code: None,
                 invalidity_date: None,
             })
         };
         let params = CertificateRevocationListParams {
-            this_update: at(now)?,
-            next_update: at(now)? + Duration::days(7),
+            this_update: date_time(now)?,
+            next_update: date_time(now)? + Duration::days(7),
             crl_number: SerialNumber::from_slice(&now.to_be_bytes()),
             issuing_distribution_point: None,
             revoked_certs: revoked.iter().map(entry).collect::<Result<_, _>>()?,
             key_identifier_method: KeyIdMethod::Sha256,
         };
-        let list = params.signed_by(&self.issuer).map_err(fault)?;
+        let list = params.signed_by(&self.issuer).map_err(error_text)?;
         let text = serde_json::to_string_pretty(revoked).map_err(|e| e.to_string())?;
-        put(&self.dir.join("revoked.json"), &text, false)?;
-        put(
+        write_atomically(&self.dir.join("revoked.json"), &text, false)?;
+        write_atomically(
             &self.dir.join("revoked.pem"),
-            &list.pem().map_err(fault)?,
+            &list.pem().map_err(error_text)?,
             false,
         )
     }
--- a/programs/keys/src/main.rs
+++ b/programs/keys/src/main.rs
@@ -1,4 +1,4 @@
-//! Keys that sign tokens, and what rights say.
+//! Manages signing keys and certificates, and checks access rights.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,11 +7,11 @@
 use bitternlatch_identity::keys::KeySet;
 use bitternlatch_identity::rights::{Rights, Wish};
 use bitternlatch_identity::{Caller, Proof};
-use bitternlatch_keys::authority::{Authority, Wanted};
+use bitternlatch_keys::authority::{Authority, CertificateRequest};
 use bitternlatch_keys::Ring;
 use clap::{Parser, Subcommand};
 
-/// Makes, announces, rotates and withdraws signing keys; asks a rights file.
+/// Creates, rotates and revokes signing keys and certificates; checks a caller against an access rights file.
 #[derive(Parser)]
 #[command(
     version,
@@ -20,37 +20,37 @@
     Exit codes: 0 done or allowed, 1 not allowed, 2 could not run."
 )]
 struct Args {
-    /// The private ring (JSON, readable by its owner alone).
+    /// File with the private key ring (JSON, readable only by its owner).
     #[arg(long, default_value = "ring.json")]
     ring: PathBuf,
-    /// The public document made from it (JWKS).
+    /// File with the public key set made from the ring (JWKS).
     #[arg(long, default_value = "jwks.json")]
     public: PathBuf,
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Make a key that signs at once.
+enum Command {
+    /// Add a key that signs at once.
     Make,
-    /// Make a key that signs after a time.
+    /// Add a key that signs after a notice period.
     Announce {
         #[arg(long, default_value_t = 120)]
         notice_s: u64,
     },
-    /// Announce a key and end those before it an overlap after it signs.
+    /// Add a key that signs after a notice period; the previous keys expire an overlap after that.
     Rotate {
         #[arg(long, default_value_t = 120)]
         notice_s: u64,
         #[arg(long, default_value_t = 3600)]
         overlap_s: u64,
     },
-    /// End a key at once.
+    /// Revoke a key.
     Withdraw { id: String },
-    /// Show each key's state.
+    /// Print the state of each key.
     Show,
-    /// Sign a token for a caller, for trying out.
+    /// Sign a token for a caller, for testing.
     Token {
         #[arg(long)]
         issuer: String,
@@ -63,13 +63,14 @@
         #[arg(long, default_value_t = 600)]
         for_s: u64,
     },
-    /// Make a small authority in a folder: its certificate, its key and an empty list of revoked ones.
+    /// Create a certificate authority in a directory: its certificate, its key and an empty revocation list.
     Authority {
         dir: PathBuf,
         #[arg(long, default_value = "bitternlatch")]
         name: String,
     },
-    /// Certify a new key: a dispatcher or host by its names, a caller by a URI. Writes NAME.pem and NAME.key.
+    /// Issue a certificate for a new key: names identify a dispatcher or model server, a URI identifies a caller. Writes NAME.pem
+    /// and NAME.key.
     Certify {
         dir: PathBuf,
         name: String,
@@ -77,7 +78,7 @@
         dns: Vec<String>,
         #[arg(long)]
         ip: Vec<std::net::IpAddr>,
-        /// The caller that it names; rights name it as cert:uri:URI.
+        /// URI of the caller that the certificate identifies; access rights refer to it as cert:uri:URI.
         #[arg(long)]
         caller: Option<String>,
         #[arg(long)]
@@ -85,9 +86,9 @@
         #[arg(long, default_value_t = 90)]
         days: u64,
     },
-    /// Revoke a certificate and write the list.
+    /// Revoke a certificate and write the new revocation list.
     Revoke { dir: PathBuf, certificate: PathBuf },
-    /// May a caller do a class, and why.
+    /// Check whether a caller may send requests of a class, and print the reason.
     May {
         #[arg(long)]
         rights: PathBuf,
@@ -105,8 +106,8 @@
 fn main() -> ExitCode {
     match run(&Args::parse()) {
         Ok(code) => ExitCode::from(code),
-        Err(why) => {
-            eprintln!("bitternlatch-keys: {why}");
+        Err(error) => {
+            eprintln!("bitternlatch-keys: {error}");
             ExitCode::from(2)
         }
     }
@@ -117,30 +118,30 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_secs();
-    if let What::May {
+    if let Command::May {
         rights,
         caller,
         group,
         class,
         model,
-    } = &args.what
+    } = &args.command
     {
-        return may(rights, caller, group, class, model);
+        return check_access(rights, caller, group, class, model);
     }
-    if let Some(done) = certificates(&args.what, now) {
-        return done.map(|()| 0);
+    if let Some(result) = run_certificate_command(&args.command, now) {
+        return result.map(|()| 0);
     }
     let mut ring = Ring::read(&args.ring)?;
-    match &args.what {
-        What::Make => println!("{}", ring.announce(now)?),
-        What::Announce { notice_s } => println!("{}", ring.announce(now + notice_s)?),
-        What::Rotate {
+    match &args.command {
+        Command::Make => println!("{}", ring.announce(now)?),
+        Command::Announce { notice_s } => println!("{}", ring.announce(now + notice_s)?),
+        Command::Rotate {
             notice_s,
             overlap_s,
         } => println!("{}", ring.rotate(now, *notice_s, *overlap_s)?),
-        What::Withdraw { id } => ring.withdraw(id, now)?,
-        What::Show => return show(&ring, now),
-        What::Token {
+        Command::Withdraw { id } => ring.revoke(id, now)?,
+        Command::Show => return print_keys(&ring, now),
+        Command::Token {
             issuer,
             audience,
             caller,
@@ -152,21 +153,24 @@
             println!("{}", ring.sign(now, &claims)?);
             return Ok(0);
         }
-        What::May { .. } | What::Authority { .. } | What::Certify { .. } | What::Revoke { .. } => {}
+        Command::May { .. }
+        | Command::Authority { .. }
+        | Command::Certify { .. }
+        | Command::Revoke { .. } => {}
     }
     ring.write(&args.ring, &args.public)?;
     Ok(0)
 }
 
-/// Does what concerns certificates; `None` for all else.
-fn certificates(what: &What, now: u64) -> Option<Result<(), String>> {
-    let certify = |dir: &PathBuf, name: &str, wanted: &Wanted| {
-        let issued = Authority::open(dir)?.issue(wanted)?;
+/// Runs a command that concerns certificates; returns `None` for any other command.
+fn run_certificate_command(command: &Command, now: u64) -> Option<Result<(), String>> {
+    let certify = |dir: &PathBuf, name: &str, request: &CertificateRequest| {
+        let issued = Authority::open(dir)?.issue(request)?;
         Authority::write(dir, name, &issued)
     };
-    Some(match what {
-        What::Authority { dir, name } => Authority::make(dir, name, now).map(|_| ()),
-        What::Certify {
+    Some(match command {
+        Command::Authority { dir, name } => Authority::create(dir, name, now).map(|_| ()),
+        Command::Certify {
             dir,
             name,
             dns,
@@ -175,33 +179,34 @@
             group,
             days,
         } => {
-            let wanted = Wanted {
+            let request = CertificateRequest {
                 dns: dns.clone(),
                 ips: ip.clone(),
                 uri: caller.clone(),
                 groups: group.clone(),
-                begins: now.saturating_sub(300),
-                ends: now + days * 86_400,
+                not_before: now.saturating_sub(300),
+                not_after: now + days * 86_400,
             };
-            certify(dir, name, &wanted)
+            certify(dir, name, &request)
         }
-        What::Revoke { dir, certificate } => {
-            let shown = certificate.display();
-            let text = std::fs::read_to_string(certificate).map_err(|e| format!("{shown}: {e}"));
+        Command::Revoke { dir, certificate } => {
+            let file_name = certificate.display();
+            let text =
+                std::fs::read_to_string(certificate).map_err(|e| format!("{file_name}: {e}"));
             text.and_then(|text| Authority::open(dir)?.revoke(&text, now))
         }
         _ => return None,
     })
 }
 
-fn show(ring: &Ring, now: u64) -> Result<u8, String> {
-    let set = KeySet::parse(ring.document()?.as_bytes()).map_err(|e| e.to_string())?;
+fn print_keys(ring: &Ring, now: u64) -> Result<u8, String> {
+    let set = KeySet::parse(ring.public_key_set()?.as_bytes()).map_err(|e| e.to_string())?;
     for key in &ring.keys {
-        let ends = key
-            .ends
+        let expiry = key
+            .expires_at
             .map_or("no end".to_string(), |e| format!("ends at {e}"));
         println!(
-            "{} {:?}, signs from {}, {ends}",
+            "{} {:?}, signs from {}, {expiry}",
             key.id,
             set.state(&key.id, now).ok_or("no state")?,
             key.not_before
@@ -210,16 +215,16 @@
     Ok(0)
 }
 
-fn may(
+fn check_access(
     rights: &PathBuf,
     caller: &str,
     groups: &[String],
     class: &str,
     model: &str,
 ) -> Result<u8, String> {
-    let shown = rights.display();
-    let text = std::fs::read_to_string(rights).map_err(|e| format!("{shown}: {e}"))?;
-    let rights = Rights::parse(&text).map_err(|e| format!("{shown}: {e}"))?;
+    let file_name = rights.display();
+    let text = std::fs::read_to_string(rights).map_err(|e| format!("{file_name}: {e}"))?;
+    let rights = Rights::parse(&text).map_err(|e| format!("{file_name}: {e}"))?;
     let caller = Caller {
         subject: caller.into(),
         groups: groups.to_vec(),
@@ -239,7 +244,7 @@
     ) {
         Ok(grant) => {
             println!(
-                "yes: rule '{}', tenant '{}', {} output tokens at the most",
+                "yes: rule '{}', tenant '{}', at most {} output tokens",
                 grant.rule, grant.tenant, grant.max_output_tokens
             );
             Ok(0)
--- a/programs/quota-server/src/lib.rs
+++ b/programs/quota-server/src/lib.rs
@@ -1,4 +1,5 @@
-//! The ledger: one process that lends parts of tenants' rates to dispatchers and keeps all their charges.
+//! The quota server: one process that leases shares of the tenants' token rates to dispatchers and stores the charges of
+//! all dispatchers in its journal.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -15,16 +16,17 @@
 use bitternlatch_net::socket::{Limits, Outbox};
 use serde::Deserialize;
 
-/// Dispatchers that may be connected.
-const CONNECTIONS: usize = 1024;
-/// Longest message, bytes.
-const MESSAGE_BYTES: usize = 4 << 20;
+/// Maximum number of connected dispatchers.
+const MAX_CONNECTIONS: usize = 1024;
+/// Maximum length of a message, in bytes.
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
+/// The quota server's settings file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     pub address: String,
-    /// The journal of all charges, relative to the settings file.
+    /// Journal of all charges; the path is relative to the settings file.
     pub file: PathBuf,
     #[serde(default)]
     pub tenants: Vec<Tenant>,
@@ -34,28 +36,28 @@
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
     pub name: String,
-    /// Over all dispatchers; the same as in their settings.
+    /// Token rate of the tenant over all dispatchers, in tokens per second; the dispatchers' settings have the same value.
     pub tokens_per_s: f64,
 }
 
 impl Settings {
-    /// Reads a settings file.
+    /// Reads and checks a settings file.
     ///
     /// # Errors
-    /// The first fault, with file and line.
+    /// The first error in the file, with its line where it has one.
     pub fn read(path: &Path) -> Result<Settings, String> {
-        let shown = path.display();
-        let text = std::fs::read_to_string(path).map_err(|e| format!("{shown}: {e}"))?;
+        let file_name = path.display();
+        let text = std::fs::read_to_string(path).map_err(|e| format!("{file_name}: {e}"))?;
         let mut settings: Settings = toml::from_str(&text).map_err(|e| {
-            let at = e.span().map_or(0, |s| {
+            let line = e.span().map_or(0, |s| {
                 text.get(..s.start).unwrap_or(&text).matches('\n').count() + 1
             });
-            format!("{shown}:{at}: {}", e.message().replace('\n', " "))
+            format!("{file_name}:{line}: {}", e.message().replace('\n', " "))
         })?;
-        let bad = |t: &&Tenant| !(t.tokens_per_s > 0.0 && t.tokens_per_s <= 1e12);
-        if let Some(tenant) = settings.tenants.iter().find(bad) {
+        let invalid = |t: &&Tenant| !(t.tokens_per_s > 0.0 && t.tokens_per_s <= 1e12);
+        if let Some(tenant) = settings.tenants.iter().find(invalid) {
             return Err(format!(
-                "{shown}: tenant '{}': tokens_per_s is not above 0 and at most 1e12",
+                "{file_name}: tenant '{}': tokens_per_s must be above 0 and at most 1e12",
                 tenant.name
             ));
         }
@@ -64,19 +66,19 @@
     }
 }
 
-/// A ledger at work.
-pub struct Running {
+/// A running quota server.
+pub struct QuotaServer {
     acceptor: Acceptor,
-    desk: Arc<Desk>,
+    state: Arc<ServerState>,
 }
 
-impl Running {
-    /// Opens the journal and serves dispatchers from threads of their own.
+impl QuotaServer {
+    /// Opens the journal and starts the threads that serve dispatchers.
     ///
     /// # Errors
-    /// A journal that cannot be opened, an address that cannot be listened on.
-    pub fn start(settings: &Settings) -> Result<Running, String> {
-        let first = !settings.file.exists();
+    /// The journal cannot be opened, or the address cannot be listened on.
+    pub fn start(settings: &Settings) -> Result<QuotaServer, String> {
+        let is_new = !settings.file.exists();
         let journal = Journal::open(&settings.file).map_err(|e| e.to_string())?;
         let listener = TcpListener::bind(&settings.address)
             .map_err(|e| format!("cannot listen on {}: {e}", settings.address))?;
@@ -86,54 +88,61 @@
             .iter()
             .map(|t| (t.name.clone(), t.tokens_per_s))
             .collect();
-        let ledger = Ledger::new(&rates, &LeaseRules::default(), clock.now().seconds(), first);
-        let desk = Arc::new(Desk {
+        let ledger = Ledger::new(
+            &rates,
+            &LeaseRules::default(),
+            clock.now().seconds(),
+            is_new,
+        );
+        let state = Arc::new(ServerState {
             ledger: Mutex::new(ledger),
             journal,
             clock,
             outboxes: Mutex::new(BTreeMap::new()),
         });
         let socket = Limits {
-            message_bytes: MESSAGE_BYTES,
+            message_bytes: MAX_MESSAGE_BYTES,
             queue: 256,
             ping: Duration::from_secs(5),
             idle: None,
         };
-        let door = Door::plain(CONNECTIONS, Duration::from_secs(5), socket);
-        let handler: Arc<dyn Handler> = desk.clone();
+        let door = Door::plain(MAX_CONNECTIONS, Duration::from_secs(5), socket);
+        let handler: Arc<dyn Handler> = state.clone();
         let acceptor = Acceptor::start(listener, door, handler).map_err(|e| e.to_string())?;
-        Ok(Running { acceptor, desk })
+        Ok(QuotaServer { acceptor, state })
     }
 
     pub fn address(&self) -> SocketAddr {
         self.acceptor.address()
     }
 
-    /// Tokens a second that are lent out now, by tenant.
-    pub fn out(&self) -> BTreeMap<String, f64> {
-        lock(&self.desk.ledger).out(self.desk.clock.now().seconds())
+    /// Returns the token rates that are leased to dispatchers now, in tokens per second by tenant.
+    pub fn leased_tokens_per_s(&self) -> BTreeMap<String, f64> {
+        lock(&self.state.ledger).out(self.state.clock.now().seconds())
     }
 
-    /// Requests that are charged in its journal.
+    /// Counts the charged requests in the journal.
     ///
     /// # Errors
-    /// A journal that cannot be read.
-    pub fn charged(&self) -> Result<usize, String> {
-        self.desk
+    /// The journal cannot be read.
+    pub fn charged_requests(&self) -> Result<usize, String> {
+        self.state
             .journal
             .entries()
             .map(|e| e.standing().count())
             .map_err(|e| e.to_string())
     }
 
-    /// Ends at once, as a crash does: no farewell. The journal is closed when the last connection's thread has ended.
+    /// Stops at once, without closing messages to the dispatchers, as a crash would. The journal is closed when the thread of
+    /// the last connection has ended.
     pub fn stop(self) {
         self.acceptor.stop();
-        lock(&self.desk.outboxes).values().for_each(Outbox::cut);
+        lock(&self.state.outboxes).values().for_each(Outbox::cut);
     }
 }
 
-struct Desk {
+/// State that the connections' threads share.
+struct ServerState {
     ledger: Mutex<Ledger>,
     journal: Journal,
     clock: Clock,
@@ -144,13 +153,13 @@
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Desk {
-    fn answer(&self, text: &str) -> Option<FromLedger> {
-        let fault = |message: String| Some(FromLedger::Fault { message });
+impl ServerState {
+    fn respond(&self, text: &str) -> Option<FromLedger> {
+        let reject = |message: String| Some(FromLedger::Fault { message });
         match serde_json::from_str::<ToLedger>(text) {
-            Err(e) => fault(e.to_string()),
+            Err(e) => reject(e.to_string()),
             Ok(ToLedger::Ask { tenants, .. }) if tenants.len() > TENANTS_MOST => {
-                fault(format!("more than {TENANTS_MOST} tenants in one question"))
+                reject(format!("more than {TENANTS_MOST} tenants in one question"))
             }
             Ok(ToLedger::Ask {
                 holder,
@@ -164,7 +173,7 @@
                 })
             }
             Ok(ToLedger::Ship { entries, .. }) if entries.len() > ENTRIES_MOST => {
-                fault(format!("more than {ENTRIES_MOST} entries in one shipment"))
+                reject(format!("more than {ENTRIES_MOST} entries in one shipment"))
             }
             Ok(ToLedger::Ship { number, entries }) => match self.journal.append(&entries) {
                 Ok(done) => {
@@ -172,14 +181,14 @@
                         tracing::error!(
                             response,
                             number,
-                            "a charge differs from the one that is kept"
+                            "a charge differs from the stored charge of the same response"
                         );
                     }
                     Some(FromLedger::Shipped { number })
                 }
-                // No answer: the dispatcher ships again.
+                // Without a response, the dispatcher sends the charges again.
                 Err(e) => {
-                    tracing::error!(error = %e, entries = entries.len(), "charges cannot be written");
+                    tracing::error!(error = %e, entries = entries.len(), "cannot write charges to the journal");
                     None
                 }
             },
@@ -187,15 +196,15 @@
     }
 }
 
-impl Handler for Desk {
+impl Handler for ServerState {
     fn opened(&self, connection: u64, outbox: Outbox, _caller: Option<Caller>) {
         lock(&self.outboxes).insert(connection, outbox);
     }
     fn text(&self, connection: u64, text: String) {
-        let Some(answer) = self.answer(&text) else {
+        let Some(response) = self.respond(&text) else {
             return;
         };
-        let text = serde_json::to_string(&answer).unwrap_or_default();
+        let text = serde_json::to_string(&response).unwrap_or_default();
         if let Some(outbox) = lock(&self.outboxes).get(&connection) {
             if outbox.text(text).is_err() {
                 outbox.cut();
--- a/programs/quota-server/src/main.rs
+++ b/programs/quota-server/src/main.rs
@@ -1,25 +1,25 @@
-//! Runs a ledger until it is told to stop.
+//! Runs a quota server until SIGTERM or SIGINT.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use bitternlatch_net::logs;
-use bitternlatch_quota_server::{Running, Settings};
+use bitternlatch_quota_server::{QuotaServer, Settings};
 use clap::Parser;
 use signal_hook::consts::{SIGINT, SIGTERM};
 
-/// Lends parts of tenants' rates to dispatchers and keeps all their charges.
+/// Leases shares of the tenants' token rates to dispatchers and stores all their charges.
 #[derive(Parser)]
 #[command(
     version,
     after_help = "Example:\n  bitternlatch-quota-server --config deploy/quota-server.toml --check\n\n\
-    Exit codes: 0 stopped as told, 2 could not run."
+    Exit codes: 0 stopped by a signal, 2 could not run."
 )]
 struct Args {
-    /// The settings file (TOML).
+    /// Settings file (TOML).
     #[arg(long)]
     config: PathBuf,
-    /// Check the settings and end.
+    /// Check the settings and exit.
     #[arg(long)]
     check: bool,
 }
@@ -29,8 +29,8 @@
     logs::start();
     match run(&args) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("bitternlatch-quota-server: {why}");
+        Err(error) => {
+            eprintln!("bitternlatch-quota-server: {error}");
             ExitCode::from(2)
         }
     }
@@ -48,9 +48,9 @@
     }
     let mut signals =
         signal_hook::iterator::Signals::new([SIGTERM, SIGINT]).map_err(|e| e.to_string())?;
-    let running = Running::start(&settings)?;
-    tracing::info!(address = %running.address(), "lending");
+    let server = QuotaServer::start(&settings)?;
+    tracing::info!(address = %server.address(), "lending");
     signals.forever().next();
-    running.stop();
+    server.stop();
     Ok(())
 }
--- a/programs/replay/src/main.rs
+++ b/programs/replay/src/main.rs
@@ -1,4 +1,4 @@
-//! See the library of the same name.
+//! The `bitternlatch-replay` program; its code is in the library.
 
 fn main() -> std::process::ExitCode {
     bitternlatch_replay::main_from(std::env::args_os())
--- a/programs/replay/tests/torn.rs
+++ b/programs/replay/tests/torn.rs
@@ -1,4 +1,4 @@
-//! A record of which nothing is left is no good record.
+//! Checks that a recording without any complete step fails the replay instead of passing as one without differences.
 
 use std::path::PathBuf;
 
@@ -6,7 +6,7 @@
 use bitternlatch_core::{Input, Machine, Micros, Settings};
 
 #[test]
-fn a_record_without_a_whole_step_is_not_called_alike() {
+fn recording_without_a_complete_step_is_not_reported_as_alike() {
     let settings = include_str!("../../../deploy/dispatch.toml").to_string();
     let mut machine = Machine::new(
         Settings::parse("dispatch.toml", &settings).expect("settings"),
@@ -29,7 +29,7 @@
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("torn.rec");
     let code = |data: &[u8]| {
         std::fs::write(&path, data).expect("a file");
-        bitternlatch_replay::one(&path, false)
+        bitternlatch_replay::replay_file(&path, false)
     };
     assert_eq!(code(&data), 0);
     assert_eq!(
