--- a/programs/dispatch/tests/cold.rs
+++ b/programs/dispatch/tests/cold.rs
@@ -1,5 +1,6 @@
-//! Several dispatchers as processes over scripted hosts that count: what all send a cold host together keeps to its budget but for
-//! chance, while each is told of it at another moment, some are killed and come back, and one prefix is most of the traffic.
+//! Runs ten dispatchers with servers that count requests. All dispatchers together must keep to the slow-start budget of a cold
+//! server, except for random variation, while each learns of the server at a different time, some are killed and restarted, and
+//! most requests have the same prefix.
 mod common;
 
 use std::io::{BufReader, Read, Write};
@@ -11,36 +12,39 @@
 
 use common::*;
 
-const READERS: usize = 8;
-/// Clients of each dispatcher; each asks again a moment after its answer.
+const PREFILL_SERVERS: usize = 8;
+/// Number of clients of each dispatcher; each sends its next request shortly after its response.
 const CLIENTS: [usize; 10] = [8, 5, 3, 2, 2, 1, 1, 1, 1, 1];
-/// What the settings say of cold hosts.
+/// `overloadFactor` in the configuration.
 const OVERLOAD_FACTOR: f64 = 2.5;
+/// `startCapacity` in the configuration.
 const START_CAPACITY: f64 = 0.25;
+/// `warmAfterS` in the configuration.
 const WARM_AFTER: Duration = Duration::from_secs(14);
 const WINDOW: Duration = Duration::from_secs(3);
-/// For so long the cold host is watched.
-const WATCHED: Duration = Duration::from_millis(8500);
+/// How long the cold server is observed.
+const OBSERVED: Duration = Duration::from_millis(8500);
 const HOT: &str = "5c0f6e1a";
 
-type Came = Arc<Mutex<Vec<Instant>>>;
+type Arrivals = Arc<Mutex<Vec<Instant>>>;
 
-/// A host that reads or writes and notes when each request has come; a busy one says that many wait, and another that none do.
-fn counting_host(reads: bool, busy: bool) -> (SocketAddr, Came) {
+/// Starts a prefill or decode server that records when each request arrives. A busy server reports a long queue, another one an
+/// empty queue.
+fn counting_server(is_prefill: bool, busy: bool) -> (SocketAddr, Arrivals) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let came = Came::default();
-    let counted = came.clone();
+    let arrivals = Arrivals::default();
+    let counted = arrivals.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let came = counted.clone();
-            thread::spawn(move || serve(stream, reads, busy, &came));
+            let arrivals = counted.clone();
+            thread::spawn(move || serve(stream, is_prefill, busy, &arrivals));
         }
     });
-    (address, came)
+    (address, arrivals)
 }
 
-fn serve(stream: TcpStream, reads: bool, busy: bool, came: &Came) -> Option<()> {
+fn serve(stream: TcpStream, is_prefill: bool, busy: bool, arrivals: &Arrivals) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     let mut to = stream.try_clone().ok()?;
     let mut from = BufReader::new(stream);
@@ -52,9 +56,9 @@
     while let Some((first, _)) = message(&mut from) {
         let answer = match first.split(' ').next() {
             Some("POST") => {
-                came.lock().expect("its times").push(Instant::now());
+                arrivals.lock().expect("its times").push(Instant::now());
                 let body = "{\"cached_tokens\":1500}";
-                match reads {
+                match is_prefill {
                     true => format!(
                         "HTTP/1.1 202 Accepted\r\nSrv-Load: {load}\r\nContent-Length: {}\r\n\r\n{body}",
                         body.len()
@@ -72,7 +76,7 @@
     Some(())
 }
 
-/// Discovery that tells one line when it is told to, to whoever watches then or later.
+/// Starts a discovery server. Once the test sets a line, all present and later watches receive it.
 fn scripted_discovery() -> (SocketAddr, Arc<RwLock<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -121,16 +125,16 @@
     Ok(answer.starts_with("HTTP/1.1 200"))
 }
 
-struct Hosts {
-    readers: Vec<(SocketAddr, Came)>,
-    writers: Vec<(SocketAddr, Came)>,
+struct CountingServers {
+    prefill: Vec<(SocketAddr, Arrivals)>,
+    decode: Vec<(SocketAddr, Arrivals)>,
 }
 
-impl Hosts {
-    /// The list, with the host of one number left out, or there since some moment.
+impl CountingServers {
+    /// Returns the endpoint list with one prefill server left out, or with its boot time set.
     fn list(&self, cold: usize, booted_ms: Option<u128>) -> Vec<String> {
         let mut targets = Vec::new();
-        for (n, (at, _)) in self.readers.iter().enumerate() {
+        for (n, (at, _)) in self.prefill.iter().enumerate() {
             let entry = target(&format!("r{n}"), *at, "reads");
             match booted_ms {
                 _ if n != cold => targets.push(entry),
@@ -140,8 +144,8 @@
                 None => {}
             }
         }
-        let writers = self.writers.iter().enumerate();
-        targets.extend(writers.map(|(n, (at, _))| target(&format!("w{n}"), *at, "writes")));
+        let decode = self.decode.iter().enumerate();
+        targets.extend(decode.map(|(n, (at, _))| target(&format!("w{n}"), *at, "writes")));
         targets
     }
 }
@@ -166,45 +170,45 @@
     Dispatcher::start_with(&format!("cold-{name}"), listen, text, program)
 }
 
-/// The reader that most requests of the hot prefix go to while all are warm and idle.
-fn home(hosts: &Hosts) -> usize {
+/// Finds the prefill server that receives most requests of the hot prefix while all servers are warm and idle.
+fn find_home_server(servers: &CountingServers) -> usize {
     let dispatcher = started(
         "first",
-        own_address(),
+        reserved_address(),
         scripted_discovery().0,
         99,
-        &hosts.list(READERS, None),
+        &servers.list(PREFILL_SERVERS, None),
     );
     (0..20).for_each(|n| assert!(ask(dispatcher.listen, 0xF000 + n, HOT).expect("an answer")));
-    let count = |n: &usize| hosts.readers[*n].1.lock().expect("its times").len();
-    (0..READERS).max_by_key(count).expect("a reader")
+    let count = |n: &usize| servers.prefill[*n].1.lock().expect("its times").len();
+    (0..PREFILL_SERVERS).max_by_key(count).expect("a reader")
 }
 
 #[test]
-fn many_dispatchers_keep_the_budget_of_a_cold_home_of_a_hot_prefix() {
-    let idle = |reads: bool, n: usize| {
+fn dispatchers_keep_the_slow_start_budget_of_a_cold_server_with_a_hot_prefix() {
+    let idle = |is_prefill: bool, n: usize| {
         (0..n)
-            .map(|_| counting_host(reads, false))
+            .map(|_| counting_server(is_prefill, false))
             .collect::<Vec<_>>()
     };
-    let cold = home(&Hosts {
-        readers: idle(true, READERS),
-        writers: idle(false, 2),
+    let cold = find_home_server(&CountingServers {
+        prefill: idle(true, PREFILL_SERVERS),
+        decode: idle(false, 2),
     });
-    let readers = (0..READERS)
-        .map(|n| counting_host(true, n != cold))
+    let prefill = (0..PREFILL_SERVERS)
+        .map(|n| counting_server(true, n != cold))
         .collect();
-    let hosts = Hosts {
-        readers,
-        writers: idle(false, 4),
+    let servers = CountingServers {
+        prefill,
+        decode: idle(false, 4),
     };
 
-    let before = hosts.list(cold, None);
+    let before = servers.list(cold, None);
     let agents: Vec<_> = CLIENTS.iter().map(|_| scripted_discovery()).collect();
     let start = |n: usize, again: usize, targets: &[String]| {
         started(
             &format!("d{n}-{again}"),
-            own_address(),
+            reserved_address(),
             agents[n].0,
             n + 100 * again,
             targets,
@@ -245,7 +249,7 @@
         .duration_since(UNIX_EPOCH)
         .expect("the time")
         .as_millis();
-    let after = hosts.list(cold, Some(booted_ms));
+    let after = servers.list(cold, Some(booted_ms));
     for (_, line) in &agents {
         *line.write().expect("the line") = list(8, false, &after[cold..cold + 1]);
         thread::sleep(Duration::from_millis(150));
@@ -256,24 +260,28 @@
         *listen[n].lock().expect("an address") = dispatchers[n].listen;
         thread::sleep(Duration::from_millis(600));
     }
-    thread::sleep(WATCHED.saturating_sub(from.elapsed()));
+    thread::sleep(OBSERVED.saturating_sub(from.elapsed()));
     stop.store(true, Ordering::Relaxed);
     clients
         .into_iter()
         .for_each(|c| c.join().expect("a client"));
 
-    let came = |n: usize| hosts.readers[n].1.lock().expect("its times").clone();
-    let at_cold = came(cold);
-    let all: Vec<Instant> = (0..READERS).flat_map(came).filter(|t| *t >= from).collect();
+    let arrivals = |n: usize| servers.prefill[n].1.lock().expect("its times").clone();
+    let at_cold = arrivals(cold);
+    let all: Vec<Instant> = (0..PREFILL_SERVERS)
+        .flat_map(arrivals)
+        .filter(|t| *t >= from)
+        .collect();
     let within = |times: &[Instant], start: Instant| {
         times
             .iter()
             .filter(|t| **t >= start && t.duration_since(start) < WINDOW)
             .count() as f64
     };
-    // How a host warms up the settings do not tell: judged by the requests that came to it, as fast as by time at the most.
+    // The settings do not say how a server warms up. The budget grows with the requests that it has received, but not faster than
+    // with time.
     let allowed = |start: Instant| {
-        let even = within(&all, start) / READERS as f64;
+        let even = within(&all, start) / PREFILL_SERVERS as f64;
         let whole = even * WARM_AFTER.as_secs_f64() / WINDOW.as_secs_f64();
         let until = at_cold.iter().filter(|t| **t < start).count() as f64;
         let age = start.duration_since(from).as_secs_f64() / WARM_AFTER.as_secs_f64();
@@ -281,7 +289,7 @@
         OVERLOAD_FACTOR * (START_CAPACITY + (1.0 - START_CAPACITY) * warmed) * even
     };
     let mut worst: (f64, f64, f64) = (f64::MIN, 0.0, 0.0);
-    for start in at_cold.iter().filter(|t| **t + WINDOW <= from + WATCHED) {
+    for start in at_cold.iter().filter(|t| **t + WINDOW <= from + OBSERVED) {
         let (sent, n) = (within(&at_cold, *start), allowed(*start));
         let over = sent - (n + 2.0 * n.sqrt() + 2.0);
         worst = if over > worst.0 {
--- a/programs/dispatch/tests/common/bench.rs
+++ b/programs/dispatch/tests/common/bench.rs
@@ -1,4 +1,5 @@
-//! The program between gated hosts, which a test stops and lets go on: all that comes meanwhile is ready at once.
+//! Test harness: the dispatcher process with scripted servers. A test can pause the process, so that everything that
+//! arrives meanwhile becomes ready at the same moment when it resumes.
 #![allow(dead_code)]
 
 use std::io::{ErrorKind, Read, Write};
@@ -8,56 +9,70 @@
 use rustix::process::Signal;
 
 use super::common::*;
-use super::gated::*;
+use super::scripted_servers::*;
 
-pub fn model(reads: bool) -> &'static str {
-    if reads {
+pub fn model(is_prefill: bool) -> &'static str {
+    if is_prefill {
         "reads"
     } else {
         "writes"
     }
 }
 
-/// Hosts may be silent for long: an attempt ends by its client's going alone.
-pub const PATIENT: (&str, &str) = (r#""aimS":1.5"#, r#""aimS":300.0"#);
+/// Configuration change: a latency objective so long that an attempt at a silent server ends only when its client
+/// disconnects.
+pub const LONG_LATENCY_OBJECTIVE: (&str, &str) = (r#""aimS":1.5"#, r#""aimS":300.0"#);
 
-pub struct Bench {
-    pub hosts: Gated,
+pub struct Harness {
+    pub servers: ScriptedServers,
     pub dispatcher: Dispatcher,
-    asked: std::cell::Cell<usize>,
+    request_count: std::cell::Cell<usize>,
 }
 
-impl Bench {
-    /// So many hosts that read and as many that write, with a connection kept to one of each; each pair of texts in the
-    /// configuration is the old and the new one.
-    pub fn start(name: &str, pairs: usize, changes: &[(&str, &str)]) -> Bench {
-        let hosts = Gated::default();
-        let host = |i: usize| target(&format!("h{i}"), hosts.host(i, i < pairs), model(i < pairs));
-        let targets: Vec<String> = (0..2 * pairs).map(host).collect();
-        let bench = Bench::with(name, hosts, &targets, changes);
-        bench.settled();
-        bench
+impl Harness {
+    /// Starts a dispatcher with `pairs` prefill servers and as many decode servers, and serves one request so that a
+    /// connection to one of each stays open. Each of `changes` replaces a text in the configuration by another.
+    pub fn start(name: &str, pairs: usize, changes: &[(&str, &str)]) -> Harness {
+        let servers = ScriptedServers::default();
+        let server = |i: usize| {
+            target(
+                &format!("h{i}"),
+                servers.server(i, i < pairs),
+                model(i < pairs),
+            )
+        };
+        let targets: Vec<String> = (0..2 * pairs).map(server).collect();
+        let harness = Harness::with(name, servers, &targets, changes);
+        harness.assert_serving();
+        harness
     }
 
-    pub fn with(name: &str, hosts: Gated, targets: &[String], changes: &[(&str, &str)]) -> Bench {
-        let listen = own_address();
-        let text = changed(configuration_with(listen, discovery().0, targets), changes);
+    /// Starts a dispatcher with these scripted servers and endpoint list entries.
+    pub fn with(
+        name: &str,
+        servers: ScriptedServers,
+        targets: &[String],
+        changes: &[(&str, &str)],
+    ) -> Harness {
+        let listen = reserved_address();
+        let text = with_changes(configuration_with(listen, discovery().0, targets), changes);
         let dispatcher = Dispatcher::start_with(name, listen, text, program);
-        Bench {
-            hosts,
+        Harness {
+            servers,
             dispatcher,
-            asked: std::cell::Cell::new(0),
+            request_count: std::cell::Cell::new(0),
         }
     }
 
+    /// Sends a request on a new connection.
     pub fn ask(&self, id: &str) -> TcpStream {
         let mut client = self.dispatcher.connect();
         client.write_all(request(id, "").as_bytes()).expect("asked");
         client
     }
 
-    /// Stops the process, and is sure of it.
-    pub fn stop(&self) {
+    /// Pauses the process with SIGSTOP and waits until the kernel reports it as stopped.
+    pub fn pause(&self) {
         self.dispatcher.signal(Signal::STOP);
         let file = format!("/proc/{}/stat", self.dispatcher.child.id());
         let until = Instant::now() + SOON;
@@ -71,19 +86,21 @@
         }
     }
 
-    pub fn go_on(&self) {
+    /// Resumes the paused process with SIGCONT.
+    pub fn resume(&self) {
         self.dispatcher.signal(Signal::CONT);
     }
 
-    /// A request asked now is served: what was ready before has been acted on.
-    pub fn settled(&self) {
-        self.asked.set(self.asked.get() + 1);
+    /// Checks that a new request is served. When this returns, the dispatcher has handled everything that was ready before.
+    pub fn assert_serving(&self) {
+        self.request_count.set(self.request_count.get() + 1);
         self.dispatcher
-            .served(&format!("{AT_ONCE}{}", self.asked.get()));
+            .assert_served(&format!("{IMMEDIATE_PREFIX}{}", self.request_count.get()));
     }
 }
 
-/// A listener whose queue is full, so that connections to it do not come up, and what fills it.
+/// Returns a listener whose accept queue is full, so that new connections to it are not established, and the connections
+/// that fill the queue.
 pub fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     rustix::net::listen(&listener, 0).expect("a short queue");
@@ -94,11 +111,11 @@
     (listener, fill)
 }
 
-/// Reads one whole answer, in chunks or by its length, and leaves the connection open.
-pub fn answer(client: &mut TcpStream) -> String {
-    let mut said = Vec::new();
+/// Reads one complete response, chunked or with a content length, and leaves the connection open.
+pub fn read_response(client: &mut TcpStream) -> String {
+    let mut received = Vec::new();
     loop {
-        let text = String::from_utf8_lossy(&said).into_owned();
+        let text = String::from_utf8_lossy(&received).into_owned();
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
             let length = head
                 .split("Content-Length: ")
@@ -118,24 +135,24 @@
             1,
             "the end in an answer: {text}"
         );
-        said.push(byte[0]);
+        received.push(byte[0]);
     }
 }
 
-/// Reads to the end, or to an error that ends it as well.
-pub fn rest(mut client: TcpStream) -> String {
-    let mut said = Vec::new();
-    if let Err(e) = client.read_to_end(&mut said) {
+/// Reads until the connection is closed or reset.
+pub fn read_until_closed(mut client: TcpStream) -> String {
+    let mut received = Vec::new();
+    if let Err(e) = client.read_to_end(&mut received) {
         assert!(
             e.kind() != ErrorKind::WouldBlock,
             "neither an answer nor an end"
         );
     }
-    String::from_utf8_lossy(&said).into_owned()
+    String::from_utf8_lossy(&received).into_owned()
 }
 
-/// A client whose side of a connection takes little at once, so that most of an answer waits at the other side.
-pub fn narrow_client(to: SocketAddr) -> TcpStream {
+/// Connects a client with a small receive buffer, so that most of a long response waits at the dispatcher.
+pub fn slow_client(to: SocketAddr) -> TcpStream {
     use rustix::net::{
         connect, socket, sockopt::set_socket_recv_buffer_size, AddressFamily, SocketType,
     };
--- a/programs/dispatch/tests/common/crowd.rs
+++ b/programs/dispatch/tests/common/crowd.rs
@@ -1,4 +1,4 @@
-//! Clients in great number, hosts that count and hold, discovery that is down, and the process as the system sees it.
+//! Test tools: many clients, servers that count and delay requests, discovery with outages, and measurements of the process.
 #![allow(dead_code)]
 
 use std::io::{BufReader, ErrorKind, Read, Write};
@@ -14,39 +14,40 @@
 
 pub const READY: &str = "GET /ready HTTP/1.1\r\n\r\n";
 
-/// What a client of a crowd does.
+/// What one of many clients sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// Asks once, has its answer, and keeps its connection.
+pub enum ClientKind {
+    /// Sends one request, reads the response, and keeps its connection open.
     Idle,
+    /// Sends nothing.
     Silent,
-    /// Half a request.
+    /// Sends an incomplete request.
     Half,
-    /// A whole request, whose answer it does not wait for.
+    /// Sends a complete request and does not wait for the response.
     Whole,
 }
 
-/// Opens a connection and says what its kind says; nothing is waited for.
-pub fn join(to: SocketAddr, kind: Kind, id: &str) -> std::io::Result<TcpStream> {
+/// Connects a client and sends what its kind requires, without waiting for a response.
+pub fn join(to: SocketAddr, kind: ClientKind, id: &str) -> std::io::Result<TcpStream> {
     let mut stream = TcpStream::connect_timeout(&to, Duration::from_secs(10))?;
     let whole = request(id, "");
-    let said = match kind {
-        Kind::Idle => READY,
-        Kind::Silent => "",
-        Kind::Half => &whole[..whole.len() - 1],
-        Kind::Whole => &whole,
+    let received = match kind {
+        ClientKind::Idle => READY,
+        ClientKind::Silent => "",
+        ClientKind::Half => &whole[..whole.len() - 1],
+        ClientKind::Whole => &whole,
     };
-    // One that is let go of already is as good as any other.
-    let _ = stream.write_all(said.as_bytes());
+    // The dispatcher may have closed the connection already; the client counts all the same.
+    let _ = stream.write_all(received.as_bytes());
     Ok(stream)
 }
 
-/// The head of an answer, or what there is of it at the end or the bound.
+/// Reads the head of a response; returns what has arrived when the connection ends or the time is over.
 pub fn head(stream: &mut TcpStream, within: Duration) -> String {
     let until = Instant::now() + within;
-    let mut said = Vec::new();
+    let mut received = Vec::new();
     let mut byte = [0];
-    while !said.ends_with(b"\r\n\r\n") {
+    while !received.ends_with(b"\r\n\r\n") {
         let left = until
             .saturating_duration_since(Instant::now())
             .max(Duration::from_millis(1));
@@ -54,29 +55,29 @@
             break;
         }
         match stream.read(&mut byte) {
-            Ok(1) => said.push(byte[0]),
+            Ok(1) => received.push(byte[0]),
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             _ => break,
         }
     }
-    String::from_utf8_lossy(&said).into_owned()
+    String::from_utf8_lossy(&received).into_owned()
 }
 
-/// Idle clients, each with its answer before the next one comes.
+/// Connects idle clients one after the other; each has its response before the next one connects.
 pub fn idle(to: SocketAddr, count: usize) -> Vec<TcpStream> {
     let one = |i| {
-        let mut stream = join(to, Kind::Idle, &format!("idle{i}")).expect("a connection");
-        let said = head(&mut stream, Duration::from_secs(20));
+        let mut stream = join(to, ClientKind::Idle, &format!("idle{i}")).expect("a connection");
+        let received = head(&mut stream, Duration::from_secs(20));
         assert!(
-            said.starts_with("HTTP/1.1 200"),
-            "idle client {i}: {said:?}"
+            received.starts_with("HTTP/1.1 200"),
+            "idle client {i}: {received:?}"
         );
         stream
     };
     (0..count).map(one).collect()
 }
 
-/// Those that are still open.
+/// Counts the connections that are still open.
 pub fn open(crowd: &[TcpStream]) -> usize {
     let stays = |mut stream: &TcpStream| {
         let _ = stream.set_nonblocking(true);
@@ -94,7 +95,7 @@
     crowd.iter().filter(|s| stays(s)).count()
 }
 
-/// Seconds until `GET /ready` on a connection of its own is answered 200, asked again and again as the front does.
+/// Polls `GET /ready` on new connections, as the front-end does, and returns the seconds until the response is 200.
 pub fn ready_after(to: SocketAddr, since: Instant, within: Duration) -> Option<f64> {
     while since.elapsed() < within {
         if let Ok(mut stream) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) {
@@ -110,34 +111,39 @@
     None
 }
 
-/// A model host that counts its requests; while it holds them, it answers none, or begins a stream and waits.
-pub struct Host {
+/// A model server that counts its requests. While `is_holding` is set, a prefill server sends no response and a decode server
+/// stops after the first event of a stream.
+pub struct CountingServer {
     pub at: SocketAddr,
     pub asked: Arc<AtomicUsize>,
-    pub holds: Arc<AtomicBool>,
+    pub is_holding: Arc<AtomicBool>,
 }
 
-pub fn host(reads: bool) -> Host {
+pub fn server(is_prefill: bool) -> CountingServer {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("an address");
-    let (asked, holds) = (
+    let (asked, is_holding) = (
         Arc::new(AtomicUsize::new(0)),
         Arc::new(AtomicBool::new(false)),
     );
-    let shared = (Arc::clone(&asked), Arc::clone(&holds));
+    let shared = (Arc::clone(&asked), Arc::clone(&is_holding));
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let shared = shared.clone();
-            thread::spawn(move || serve(stream, reads, &shared));
+            thread::spawn(move || serve(stream, is_prefill, &shared));
         }
     });
-    Host { at, asked, holds }
+    CountingServer {
+        at,
+        asked,
+        is_holding,
+    }
 }
 
 fn serve(
     stream: TcpStream,
-    reads: bool,
-    (asked, holds): &(Arc<AtomicUsize>, Arc<AtomicBool>),
+    is_prefill: bool,
+    (asked, is_holding): &(Arc<AtomicUsize>, Arc<AtomicBool>),
 ) -> Option<()> {
     let mut to = stream.try_clone().ok()?;
     let mut from = BufReader::new(stream);
@@ -149,7 +155,7 @@
             )
         };
         let held = || {
-            while holds.load(Ordering::SeqCst) {
+            while is_holding.load(Ordering::SeqCst) {
                 thread::sleep(Duration::from_millis(2));
             }
         };
@@ -160,7 +166,7 @@
                 .ok()?,
             _ => {
                 asked.fetch_add(1, Ordering::SeqCst);
-                if reads {
+                if is_prefill {
                     held();
                     to.write_all(plain("202 Accepted", "{\"cached_tokens\":0}").as_bytes())
                         .ok()?;
@@ -177,56 +183,60 @@
     Some(())
 }
 
-/// How discovery is while it is down.
+/// How discovery behaves during an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Down {
+pub enum Outage {
     /// Connections are refused.
     Closed,
-    /// Connections are taken, and nothing is said on them, also not once it is back.
+    /// Connections are accepted but get no response, not even after the outage.
     Silent,
-    /// Connections are taken, and the answer's head comes only after this.
+    /// Connections are accepted and the head of the response is sent after this delay.
     Slow(Duration),
 }
 
-/// Discovery that is down until it is told what to say.
+/// A discovery server with an outage that lasts until `recover` is called.
 pub struct Discovery {
     pub at: SocketAddr,
-    news: Arc<Mutex<Option<String>>>,
+    list_line: Arc<Mutex<Option<String>>>,
     pub calls: Arc<AtomicUsize>,
 }
 
 impl Discovery {
-    pub fn down(how: Down) -> Discovery {
+    pub fn with_outage(outage: Outage) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let at = listener.local_addr().expect("an address");
-        let news = Arc::new(Mutex::new(None));
+        let list_line = Arc::new(Mutex::new(None));
         let calls = Arc::new(AtomicUsize::new(0));
-        let discovery = Discovery { at, news, calls };
-        match how {
-            Down::Closed => drop(listener),
-            Down::Silent => discovery.serve(listener, None),
-            Down::Slow(after) => discovery.serve(listener, Some(after)),
+        let discovery = Discovery {
+            at,
+            list_line,
+            calls,
+        };
+        match outage {
+            Outage::Closed => drop(listener),
+            Outage::Silent => discovery.serve(listener, None),
+            Outage::Slow(after) => discovery.serve(listener, Some(after)),
         }
         discovery
     }
 
     fn serve(&self, listener: TcpListener, slow: Option<Duration>) {
-        let (news, calls) = (Arc::clone(&self.news), Arc::clone(&self.calls));
+        let (list_line, calls) = (Arc::clone(&self.list_line), Arc::clone(&self.calls));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 calls.fetch_add(1, Ordering::SeqCst);
-                let said = news.lock().expect("no panic").clone();
+                let received = list_line.lock().expect("no panic").clone();
                 thread::spawn(move || {
                     let mut to = stream.try_clone().ok()?;
                     let mut from = BufReader::new(stream);
                     message(&mut from)?;
-                    match (said, slow) {
+                    match (received, slow) {
                         (Some(line), _) => watch(&mut to, &line),
                         (None, Some(after)) => {
                             thread::sleep(after);
                             watch(&mut to, "")
                         }
-                        // Down: the connection stays open, and silent, for as long as the other side keeps it.
+                        // Outage: the connection stays open without a response until the other side closes it.
                         (None, None) => message(&mut from).map(|_| ()),
                     }
                 });
@@ -234,9 +244,9 @@
         });
     }
 
-    /// It is back, and says this on each new watch.
-    pub fn back(&self, line: &str) {
-        *self.news.lock().expect("no panic") = Some(line.to_string());
+    /// Ends the outage; each new watch gets this line.
+    pub fn recover(&self, line: &str) {
+        *self.list_line.lock().expect("no panic") = Some(line.to_string());
         if let Ok(listener) = TcpListener::bind(self.at) {
             self.serve(listener, None);
         }
@@ -255,7 +265,7 @@
     }
 }
 
-/// The program under a limit of descriptors; 0 leaves it as it is.
+/// Command for the program under a limit of N file descriptors; 0 leaves the limit unchanged.
 pub fn limited<const N: u32>(file: &Path) -> Command {
     let limit = if N > 0 {
         format!("ulimit -n {N}; ")
@@ -275,14 +285,14 @@
     command
 }
 
-/// File descriptors that a process holds.
+/// Number of open file descriptors of a process.
 pub fn descriptors(pid: u32) -> usize {
     std::fs::read_dir(format!("/proc/{pid}/fd"))
         .expect("its descriptors")
         .count()
 }
 
-/// The lowest file descriptor that a process does not hold: under a limit of so many it can open none.
+/// The lowest file descriptor that is not open in a process: with this as its limit, the process can open no more.
 pub fn first_free(pid: u32) -> u64 {
     let folder = std::fs::read_dir(format!("/proc/{pid}/fd")).expect("its descriptors");
     let held: Vec<u64> = folder
@@ -292,7 +302,7 @@
     (0..).find(|n| !held.contains(n)).unwrap_or_default()
 }
 
-/// Memory that a process holds now, MB, its program's own pages not counted: a test's build has many.
+/// Anonymous resident memory of a process, in MB. The program's own pages are excluded, because a test build has many.
 pub fn memory_mb(pid: u32) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("its state");
     let line = status
--- a/programs/dispatch/tests/common/gated.rs
+++ b/programs/dispatch/tests/common/gated.rs
@@ -1,4 +1,4 @@
-//! Model hosts that hold every answer until the test lets it go, and keep what has come to them, in order.
+//! Scripted servers: model servers that hold every response until the test releases it, and record all events in order.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,90 +10,93 @@
 
 use super::common::{whole_message, Message, SOON};
 
-/// Requests whose ids begin so are answered at once.
-pub const AT_ONCE: &str = "now-";
-pub const READ: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}";
+/// Prefix of the ids of requests that the servers answer immediately.
+pub const IMMEDIATE_PREFIX: &str = "now-";
+pub const PREFILL_RESPONSE: &str =
+    "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}";
 pub const DECLINED: &str = "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
 pub const FAILED: &str = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n";
-pub const STREAM: &str =
+pub const STREAM_RESPONSE: &str =
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: 1\n\n\r\n9\r\ndata: 2\n\n\r\n0\r\n\r\n";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum EventKind {
     Post,
     Delete,
     Probe,
-    /// The dispatcher has ended the connection on which a request stood.
-    Ended,
-    /// An answer has been written.
-    Answered,
+    /// The dispatcher has closed the connection of a request before its response.
+    Closed,
+    /// A server has written a response.
+    Responded,
 }
 
-/// One thing that has come to a host, for the request of this id.
+/// An event at a server, for the request with this id.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    pub what: What,
+pub struct RecordedEvent {
+    pub what: EventKind,
     pub id: String,
-    pub host: usize,
+    pub server: usize,
     pub at: Instant,
 }
 
 #[derive(Default)]
-struct Book {
-    seen: Vec<Seen>,
-    /// Answers that may go, by the request's id; each once.
+struct State {
+    events: Vec<RecordedEvent>,
+    /// Responses released by the test, by request id; each is sent once.
     answers: BTreeMap<String, Vec<String>>,
     hold_probes: bool,
-    /// Connections that a host has taken, the newest last.
-    taken: Vec<(usize, TcpStream)>,
-    /// Hosts to which nothing arrives any more, though their connections stay open and new ones come up.
+    /// Connections that each server has accepted, the newest last.
+    connections: Vec<(usize, TcpStream)>,
+    /// Servers that handle no more data, though their connections stay open and new ones are established.
     silent: BTreeSet<usize>,
 }
 
-/// Hosts and what has come to them.
+/// Scripted servers and the events recorded at them.
 #[derive(Clone, Default)]
-pub struct Gated {
-    book: Arc<(Mutex<Book>, Condvar)>,
+pub struct ScriptedServers {
+    state: Arc<(Mutex<State>, Condvar)>,
 }
 
-impl Gated {
-    /// Begins one host; it reads or writes.
-    pub fn host(&self, number: usize, reads: bool) -> SocketAddr {
+impl ScriptedServers {
+    /// Starts a prefill or decode server and returns its address.
+    pub fn server(&self, number: usize, is_prefill: bool) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        self.serve(listener, number, reads);
+        self.serve(listener, number, is_prefill);
         address
     }
 
-    /// Serves what comes to a listener, now or in time.
-    pub fn serve(&self, listener: TcpListener, number: usize, reads: bool) {
-        let hosts = self.clone();
+    /// Serves connections of a listener, including those that wait in its accept queue.
+    pub fn serve(&self, listener: TcpListener, number: usize, is_prefill: bool) {
+        let servers = self.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let hosts = hosts.clone();
-                thread::spawn(move || hosts.connection(stream, number, reads));
+                let servers = servers.clone();
+                thread::spawn(move || servers.connection(stream, number, is_prefill));
             }
         });
     }
 
-    fn lock(&self) -> MutexGuard<'_, Book> {
-        self.book.0.lock().expect("the book")
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.0.lock().expect("the book")
     }
 
-    fn note(&self, what: What, id: &str, host: usize) {
-        let seen = Seen {
+    fn record(&self, what: EventKind, id: &str, server: usize) {
+        let events = RecordedEvent {
             what,
             id: id.to_string(),
-            host,
+            server,
             at: Instant::now(),
         };
-        self.lock().seen.push(seen);
-        self.book.1.notify_all();
+        self.lock().events.push(events);
+        self.state.1.notify_all();
     }
 
-    fn connection(&self, stream: TcpStream, host: usize, reads: bool) -> Option<()> {
+    fn connection(&self, stream: TcpStream, server: usize, is_prefill: bool) -> Option<()> {
         let mut to = stream.try_clone().ok()?;
-        self.lock().taken.push((host, stream.try_clone().ok()?));
+        self.lock()
+            .connections
+            .push((server, stream.try_clone().ok()?));
         let mut from = BufReader::new(stream);
         while let Some(Message {
             first: line,
@@ -101,27 +104,32 @@
             ..
         }) = whole_message(&mut from)
         {
-            if self.lock().silent.contains(&host) {
-                // The book holds the other handle of this connection, so that it stays open.
+            if self.lock().silent.contains(&server) {
+                // The shared state has another handle of this connection, so it stays open.
                 return None;
             }
             let id = fields.get("req-id").cloned().unwrap_or_default();
             let answer = if line.starts_with("DELETE") {
                 let id = line.split(' ').nth(1)?.rsplit('/').next()?;
-                self.note(What::Delete, id, host);
+                self.record(EventKind::Delete, id, server);
                 "HTTP/1.1 204 No Content\r\n\r\n".to_string()
             } else if line.starts_with("GET") {
-                self.note(What::Probe, "", host);
-                self.until(&from, |book| (!book.hold_probes).then_some(()))?;
+                self.record(EventKind::Probe, "", server);
+                self.wait_unless_closed(&from, |state| (!state.hold_probes).then_some(()))?;
                 "HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\nutil=0.1,queue=0,x0=0.1".to_string()
             } else {
-                self.note(What::Post, &id, host);
-                if id.starts_with(AT_ONCE) {
-                    if reads { READ } else { STREAM }.to_string()
+                self.record(EventKind::Post, &id, server);
+                if id.starts_with(IMMEDIATE_PREFIX) {
+                    if is_prefill {
+                        PREFILL_RESPONSE
+                    } else {
+                        STREAM_RESPONSE
+                    }
+                    .to_string()
                 } else {
-                    let next = |book: &mut Book| book.answers.get_mut(&id)?.pop();
-                    let Some(answer) = self.until(&from, next) else {
-                        self.note(What::Ended, &id, host);
+                    let next = |state: &mut State| state.answers.get_mut(&id)?.pop();
+                    let Some(answer) = self.wait_unless_closed(&from, next) else {
+                        self.record(EventKind::Closed, &id, server);
                         return None;
                     };
                     answer
@@ -129,17 +137,17 @@
             };
             to.write_all(answer.as_bytes()).ok()?;
             if !id.is_empty() {
-                self.note(What::Answered, &id, host);
+                self.record(EventKind::Responded, &id, server);
             }
         }
         Some(())
     }
 
-    /// Waits for the test; `None` where the dispatcher ends the connection before.
-    fn until<T>(
+    /// Waits until the test provides a value; returns `None` if the dispatcher closes the connection first.
+    fn wait_unless_closed<T>(
         &self,
         from: &BufReader<TcpStream>,
-        mut ready: impl FnMut(&mut Book) -> Option<T>,
+        mut ready: impl FnMut(&mut State) -> Option<T>,
     ) -> Option<T> {
         let stream = from.get_ref();
         stream
@@ -158,41 +166,41 @@
         }
     }
 
-    /// Lets one answer go and waits until it is written.
-    pub fn let_go(&self, id: &str, answer: &str) {
-        let before = self.count(What::Answered, id);
+    /// Releases one response and waits until it has been written.
+    pub fn respond(&self, id: &str, answer: &str) {
+        let before = self.count(EventKind::Responded, id);
         self.lock()
             .answers
             .entry(id.to_string())
             .or_default()
             .push(answer.to_string());
-        self.wait(What::Answered, id, before + 1);
+        self.wait(EventKind::Responded, id, before + 1);
     }
 
-    /// A host says something unasked on every connection that it has taken.
-    pub fn say(&self, host: usize, text: &str) {
-        for (_, stream) in self.lock().taken.iter_mut().filter(|t| t.0 == host) {
-            // One that has ended by now hears nothing.
+    /// Sends data on every connection of a server without a request.
+    pub fn send_unsolicited(&self, server: usize, text: &str) {
+        for (_, stream) in self.lock().connections.iter_mut().filter(|t| t.0 == server) {
+            // A connection that has been closed meanwhile is skipped.
             let _ = stream.write_all(text.as_bytes());
         }
     }
 
-    /// A host ends every connection that it has taken, in order.
-    pub fn hang_up(&self, host: usize) {
-        for (_, stream) in self.lock().taken.iter().filter(|t| t.0 == host) {
+    /// Shuts down every connection of a server in the order of their acceptance.
+    pub fn close_connections(&self, server: usize) {
+        for (_, stream) in self.lock().connections.iter().filter(|t| t.0 == server) {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 
-    /// From now on nothing that is sent to a host arrives, and nothing says so.
-    pub fn fall_silent(&self, host: usize) {
-        self.lock().silent.insert(host);
+    /// From now on a server handles no data; its connections stay open, so that no error shows it.
+    pub fn stop_responding(&self, server: usize) {
+        self.lock().silent.insert(server);
     }
 
-    /// When this came first for a request.
-    pub fn first(&self, what: What, id: &str) -> Option<Instant> {
+    /// Time of the first event of this kind for a request.
+    pub fn first(&self, what: EventKind, id: &str) -> Option<Instant> {
         self.lock()
-            .seen
+            .events
             .iter()
             .find(|s| s.what == what && s.id == id)
             .map(|s| s.at)
@@ -202,51 +210,51 @@
         self.lock().hold_probes = hold;
     }
 
-    pub fn count(&self, what: What, id: &str) -> usize {
+    pub fn count(&self, what: EventKind, id: &str) -> usize {
         self.lock()
-            .seen
+            .events
             .iter()
             .filter(|s| s.what == what && s.id == id)
             .count()
     }
 
-    /// Waits until so many such things have come.
-    pub fn wait(&self, what: What, id: &str, many: usize) {
-        let until = Instant::now() + SOON;
-        let mut book = self.lock();
-        while book
-            .seen
+    /// Waits until this many events of a kind have been recorded for a request.
+    pub fn wait(&self, what: EventKind, id: &str, many: usize) {
+        let deadline = Instant::now() + SOON;
+        let mut state = self.lock();
+        while state
+            .events
             .iter()
             .filter(|s| s.what == what && s.id == id)
             .count()
             < many
         {
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             assert!(
                 !left.is_zero(),
                 "{many} of {what:?} for '{id}' in time: {:?}",
-                book.seen
+                state.events
             );
-            book = self.book.1.wait_timeout(book, left).expect("the book").0;
+            state = self.state.1.wait_timeout(state, left).expect("the book").0;
         }
     }
 
-    /// The hosts to which a request has come, in order.
-    pub fn asked(&self, id: &str) -> Vec<usize> {
+    /// Returns the servers that received a request, in order.
+    pub fn request_servers(&self, id: &str) -> Vec<usize> {
         self.lock()
-            .seen
+            .events
             .iter()
-            .filter(|s| s.what == What::Post && s.id == id)
-            .map(|s| s.host)
+            .filter(|s| s.what == EventKind::Post && s.id == id)
+            .map(|s| s.server)
             .collect()
     }
 
-    /// Ids of all requests that have come, each as often as it came.
-    pub fn posts(&self) -> Vec<String> {
+    /// Returns the ids of all received requests; an id is repeated for each time it was received.
+    pub fn request_ids(&self) -> Vec<String> {
         self.lock()
-            .seen
+            .events
             .iter()
-            .filter(|s| s.what == What::Post)
+            .filter(|s| s.what == EventKind::Post)
             .map(|s| s.id.clone())
             .collect()
     }
--- a/programs/dispatch/tests/common/mod.rs
+++ b/programs/dispatch/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The program on loopback between scripted hosts, discovery and clients.
+//! Runs the dispatcher on the loopback interface with model servers, discovery and clients.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -15,14 +15,14 @@
 
 pub const SOON: Duration = Duration::from_secs(20);
 
-/// One message: its first line, its fields by their names in small letters, and its body by length.
+/// An HTTP message: its first line, its header fields by lower-case name, and its body.
 pub struct Message {
     pub first: String,
     pub fields: BTreeMap<String, String>,
     pub body: Vec<u8>,
 }
 
-/// Reads one message whole.
+/// Reads one complete HTTP message.
 pub fn whole_message(from: &mut BufReader<TcpStream>) -> Option<Message> {
     let (mut first, mut fields) = (String::new(), BTreeMap::new());
     loop {
@@ -51,40 +51,41 @@
     })
 }
 
-/// Reads one message: its first line and its body.
+/// Reads one HTTP message and returns its first line and its body.
 pub fn message(from: &mut BufReader<TcpStream>) -> Option<(String, Vec<u8>)> {
     whole_message(from).map(|message| (message.first, message.body))
 }
 
-/// The head of a stream, and the chunk that ends it.
+/// Head of a streamed response.
 pub const STREAM_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// Chunk that ends a streamed response.
 pub const LAST_CHUNK: &str = "0\r\n\r\n";
 
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// A text with others in place of some that it holds.
-pub fn changed(text: String, changes: &[(&str, &str)]) -> String {
+/// Replaces texts in a configuration or message; each replaced text must occur in it.
+pub fn with_changes(text: String, changes: &[(&str, &str)]) -> String {
     changes.iter().fold(text, |text, (old, new)| {
         assert!(text.contains(old), "{old}");
         text.replace(old, new)
     })
 }
 
-/// A model host that reads or writes.
-pub fn host(reads: bool) -> SocketAddr {
+/// Starts a prefill or decode server that answers every request at once.
+pub fn server(is_prefill: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            thread::spawn(move || serve_host(stream, reads));
+            thread::spawn(move || serve_requests(stream, is_prefill));
         }
     });
     address
 }
 
-fn serve_host(stream: TcpStream, reads: bool) -> Option<()> {
+fn serve_requests(stream: TcpStream, is_prefill: bool) -> Option<()> {
     let mut to = stream.try_clone().ok()?;
     let mut from = BufReader::new(stream);
     while let Some((first, _)) = message(&mut from) {
@@ -97,7 +98,7 @@
         let answer = match first.split(' ').next() {
             Some("DELETE") => "HTTP/1.1 204 No Content\r\n\r\n".to_string(),
             Some("GET") => plain("200 OK", "util=0.1,queue=0,x0=0.1"),
-            _ if reads => plain("202 Accepted", "{\"cached_tokens\":0}"),
+            _ if is_prefill => plain("202 Accepted", "{\"cached_tokens\":0}"),
             _ => "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: 1\n\n\r\n9\r\ndata: 2\n\n\r\n0\r\n\r\n"
                 .to_string(),
         };
@@ -106,7 +107,7 @@
     Some(())
 }
 
-/// Discovery that has nothing to say; tells of each call.
+/// Starts a discovery server that never reports a change; its calls are sent to the receiver.
 pub fn discovery() -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -135,31 +136,32 @@
     pub listen: SocketAddr,
     pub file: PathBuf,
     pub text: String,
-    /// First lines of the calls that its discovery got.
+    /// First lines of the calls to its discovery server.
     pub calls: Receiver<String>,
 }
 
-/// The port on each test's own address.
+/// Port on each test's reserved address.
 const OWN_PORT: u16 = 7711;
 
-/// An address that nothing else here is given: a loopback network of this process's, a host by count. A port that is merely free now
-/// may be taken by another test's listener before the program listens, and that test's program then answers in its place.
-pub fn own_address() -> SocketAddr {
+/// Returns an address that no other test uses: the network part is derived from the process id, the last byte counts up.
+/// A free port on a shared address could be taken by another test's listener before the program listens, and that test's
+/// program would then answer in its place.
+pub fn reserved_address() -> SocketAddr {
     static GIVEN: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
     let (high, low) = (64 + (process >> 8) % 128, process % 256);
-    let host = GIVEN.fetch_add(1, Ordering::Relaxed);
-    SocketAddr::from(([127, high as u8, low as u8, host], OWN_PORT))
+    let server = GIVEN.fetch_add(1, Ordering::Relaxed);
+    SocketAddr::from(([127, high as u8, low as u8, server], OWN_PORT))
 }
 
-/// One entry of a list of hosts, in service since long ago.
+/// An entry of an endpoint list in discovery's format: a server that has been in service for a long time.
 pub fn target(uid: &str, at: SocketAddr, model: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{at}","az":"hall","model":"{model}","pod_group":0,"state":"in_service","capacity_hint":1.0,"boot_ms":0}}"#
     )
 }
 
-/// A list in discovery's form.
+/// An endpoint list in discovery's format.
 pub fn list(rev: u64, all: bool, targets: &[String]) -> String {
     format!(
         r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#,
@@ -167,19 +169,19 @@
     )
 }
 
-/// A configuration that knows one host that reads and one that writes.
+/// A configuration with one prefill server and one decode server.
 pub fn configuration(listen: SocketAddr, discovery: SocketAddr) -> String {
     configuration_with(
         listen,
         discovery,
         &[
-            target("a", host(true), "reads"),
-            target("b", host(false), "writes"),
+            target("a", server(true), "reads"),
+            target("b", server(false), "writes"),
         ],
     )
 }
 
-/// A configuration that knows these hosts.
+/// A configuration with these entries in its endpoint list.
 pub fn configuration_with(listen: SocketAddr, discovery: SocketAddr, targets: &[String]) -> String {
     format!(
         r#"{{"name":"d0","listen":"{listen}","discovery":"{discovery}","seed":"1f",
@@ -201,7 +203,7 @@
     }
 
     pub fn start_by(name: &str, program: fn(&Path) -> Command) -> Dispatcher {
-        let listen = own_address();
+        let listen = reserved_address();
         let (at, calls) = discovery();
         let mut dispatcher =
             Dispatcher::start_with(name, listen, configuration(listen, at), program);
@@ -209,7 +211,7 @@
         dispatcher
     }
 
-    /// One with a configuration of the test's own; `calls` stays silent.
+    /// Starts a dispatcher with a given configuration; `calls` receives nothing.
     pub fn start_with(
         name: &str,
         listen: SocketAddr,
@@ -226,11 +228,12 @@
             text,
             calls: channel().1,
         };
-        dispatcher.until_ready();
+        dispatcher.wait_until_ready();
         dispatcher
     }
 
-    pub fn until_ready(&self) {
+    /// Waits until `GET /ready` returns 200.
+    pub fn wait_until_ready(&self) {
         let until = Instant::now() + SOON;
         while Instant::now() < until {
             if let Ok(mut stream) = TcpStream::connect(self.listen) {
@@ -257,7 +260,8 @@
         kill_process(pid, signal).expect("a signal");
     }
 
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// Waits for the process to exit; returns `None` if it does not.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         let until = Instant::now() + SOON;
         while Instant::now() < until {
             if let Some(status) = self.child.try_wait().expect("its state") {
@@ -268,7 +272,8 @@
         None
     }
 
-    pub fn served(&self, id: &str) {
+    /// Checks that a request is answered with a complete stream.
+    pub fn assert_served(&self, id: &str) {
         let mut stream = self.connect();
         stream
             .write_all(request(id, "Connection: close\r\n").as_bytes())
--- a/programs/dispatch/tests/deadline.rs
+++ b/programs/dispatch/tests/deadline.rs
@@ -1,23 +1,23 @@
-//! A request whose time is over gets its final answer, over the program itself: wherever its hosts hang, whatever its
-//! class allows, and whether or not attempts may be called back.
-#[path = "common/bench.rs"]
-mod bench;
+//! Checks that a request gets its final response at its deadline, at whichever stage it hangs, whatever retries its class
+//! allows, and whether or not attempts may be cancelled.
 mod common;
+#[path = "common/bench.rs"]
+mod harness;
 #[path = "common/gated.rs"]
-mod gated;
+mod scripted_servers;
 
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-use bench::*;
 use common::*;
-use gated::*;
+use harness::*;
+use scripted_servers::*;
 
 const DEADLINE: Duration = Duration::from_millis(900);
-/// The final answer comes within this of the deadline.
+/// The final response must arrive within this time after the deadline.
 const ANSWERED: Duration = Duration::from_millis(500);
-/// Short enough for an attempt to be given up, and another made, within the deadline.
-const IMPATIENT: (&str, &str) = (r#""aimS":1.5"#, r#""aimS":0.2"#);
+/// Configuration change: a latency objective short enough for an attempt to be cancelled and retried within the deadline.
+const SHORT_LATENCY_OBJECTIVE: (&str, &str) = (r#""aimS":1.5"#, r#""aimS":0.2"#);
 const NO_CANCEL: (&str, &str) = (r#""cancel":true"#, r#""cancel":false"#);
 const EFFECTS: [(&str, &str); 3] = [
     ("safe", r#""effect":"free""#),
@@ -28,65 +28,65 @@
     ("unsafe", r#""effect":"single_shot""#),
 ];
 
-/// Where a request hangs.
+/// The stage at which a request hangs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Hangs {
-    AtReader,
-    AtWriter,
-    /// Connections to the host do not come up.
+enum HangsAt {
+    Prefill,
+    Decode,
+    /// The connection to the server is not established.
     Dialling,
 }
 
-fn bench(name: &str, hangs: Hangs, changes: &[(&str, &str)]) -> (Bench, impl Sized) {
-    if hangs != Hangs::Dialling {
-        return (Bench::start(name, 2, changes), None);
+fn harness(name: &str, hangs: HangsAt, changes: &[(&str, &str)]) -> (Harness, impl Sized) {
+    if hangs != HangsAt::Dialling {
+        return (Harness::start(name, 2, changes), None);
     }
     let (listener, fill) = full_listener();
-    let hosts = Gated::default();
+    let servers = ScriptedServers::default();
     let reads = target("h0", listener.local_addr().expect("an address"), "reads");
-    let writes = target("h1", hosts.host(1, false), "writes");
+    let writes = target("h1", servers.server(1, false), "writes");
     (
-        Bench::with(name, hosts, &[reads, writes], changes),
+        Harness::with(name, servers, &[reads, writes], changes),
         Some((listener, fill)),
     )
 }
 
-/// A request of each class, with attempts that may be called back and without.
-fn answered_in_time(hangs: Hangs) {
+/// Checks a request of each class, with and without cancellation of attempts.
+fn answered_in_time(hangs: HangsAt) {
     for (class, effect) in EFFECTS {
         for cancel in [true, false] {
             let name = format!("deadline-{hangs:?}-{class}-{cancel}").to_lowercase();
-            let mut changes = vec![IMPATIENT, (EFFECTS[0].1, effect)];
+            let mut changes = vec![SHORT_LATENCY_OBJECTIVE, (EFFECTS[0].1, effect)];
             changes.extend((!cancel).then_some(NO_CANCEL));
-            let (bench, _held) = bench(&name, hangs, &changes);
-            let mut client = bench.dispatcher.connect();
+            let (harness, _held) = harness(&name, hangs, &changes);
+            let mut client = harness.dispatcher.connect();
             let text = request("hangs", "Connection: close\r\n")
                 .replace("20000", &DEADLINE.as_millis().to_string());
             let since = Instant::now();
             client.write_all(text.as_bytes()).expect("asked");
-            if hangs == Hangs::AtWriter {
-                bench.hosts.wait(What::Post, "hangs", 1);
-                bench.hosts.let_go("hangs", READ);
+            if hangs == HangsAt::Decode {
+                harness.servers.wait(EventKind::Post, "hangs", 1);
+                harness.servers.respond("hangs", PREFILL_RESPONSE);
             }
-            let said = rest(client);
+            let received = read_until_closed(client);
             let took = since.elapsed();
-            assert!(said.starts_with("HTTP/1.1 50"), "{name}: {said:?}");
+            assert!(received.starts_with("HTTP/1.1 50"), "{name}: {received:?}");
             assert!(took <= DEADLINE + ANSWERED, "{name}: {took:?}");
         }
     }
 }
 
 #[test]
-fn a_request_that_hangs_at_its_reader_is_answered_in_time() {
-    answered_in_time(Hangs::AtReader);
+fn request_that_hangs_at_prefill_is_answered_in_time() {
+    answered_in_time(HangsAt::Prefill);
 }
 
 #[test]
-fn a_request_that_hangs_at_its_writer_is_answered_in_time() {
-    answered_in_time(Hangs::AtWriter);
+fn request_that_hangs_at_decode_is_answered_in_time() {
+    answered_in_time(HangsAt::Decode);
 }
 
 #[test]
-fn a_request_whose_connection_does_not_come_up_is_answered_in_time() {
-    answered_in_time(Hangs::Dialling);
+fn request_whose_connection_is_not_established_is_answered_in_time() {
+    answered_in_time(HangsAt::Dialling);
 }
--- a/programs/dispatch/tests/deploy.rs
+++ b/programs/dispatch/tests/deploy.rs
@@ -1,5 +1,5 @@
-//! The deploy file and the built program against what the platform's page asks of them: one process, linked
-//! dynamically against the C library, that starts no other, and whose sockets are TCP and UDP over IPv4.
+//! Checks the deploy file and the built program against the platform's requirements: one process that starts no others and is
+//! linked dynamically to the C library, with TCP and UDP sockets over IPv4 only.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
@@ -35,7 +35,7 @@
         .collect()
 }
 
-/// The packages of a build line.
+/// Returns the packages that a build command names.
 fn packages(build: &str) -> Vec<&str> {
     let words: Vec<&str> = build.split_whitespace().collect();
     words
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn both_lines_end_in_one_process_which_the_build_makes() {
+fn run_and_sim_commands_exec_one_program_of_the_build() {
     let file = deploy();
     let build = text(&file, "build");
     assert!(
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn the_named_files_are_there_and_no_package_is_wanted() {
+fn named_files_exist_and_no_package_is_required() {
     let file = deploy();
     for path in list(&file, "policy").into_iter().chain(list(&file, "node")) {
         assert!(root().join(&path).exists(), "{path}");
@@ -88,12 +88,13 @@
     assert!(list(&file, "packages").is_empty());
 }
 
-/// Bounds on the decision module: lines that are not blank of each file that `policy` names, as each holds one concern,
-/// and characters of each line. The users' bound on all files together no longer holds.
-const MOST_LINES: usize = 350;
-const MOST_CHARACTERS: usize = 110;
+/// Maximum number of lines that are not blank in each file of the decision module (`policy` in the deploy file); each file has
+/// one concern. There is no longer a limit on all files together.
+const MAX_LINES: usize = 350;
+/// Maximum number of characters in each line of the decision module.
+const MAX_CHARACTERS: usize = 110;
 
-/// The files that `policy` names, with their texts.
+/// Returns the files that `policy` names in the deploy file, with their texts.
 fn policy() -> BTreeMap<String, String> {
     let read = |name: String| {
         let text =
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn the_policy_files_are_those_of_the_module() {
+fn policy_lists_all_files_of_the_decision_module() {
     let folder = "crates/policy/src/choice";
     let files = std::fs::read_dir(root().join(folder)).expect("the module's folder");
     let name = |entry: std::io::Result<std::fs::DirEntry>| entry.expect("an entry").file_name();
@@ -118,26 +119,26 @@
 }
 
 #[test]
-fn each_file_of_the_module_holds_350_lines_at_most_that_are_not_blank() {
+fn each_file_of_the_module_has_at_most_350_lines_that_are_not_blank() {
     for (name, text) in policy() {
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!((1..=MOST_LINES).contains(&lines), "{name}: {lines}");
+        assert!((1..=MAX_LINES).contains(&lines), "{name}: {lines}");
     }
 }
 
 #[test]
-fn its_lines_hold_110_characters_at_most() {
+fn lines_of_the_module_have_at_most_110_characters() {
     for (name, text) in policy() {
         let long = text
             .lines()
-            .filter(|l| l.chars().count() > MOST_CHARACTERS)
+            .filter(|l| l.chars().count() > MAX_CHARACTERS)
             .count();
         assert_eq!(long, 0, "{name}");
     }
 }
 
-/// What a program may not call, by the names under which the C library offers it.
-const REFUSED: [&str; 22] = [
+/// Functions of the C library that the program must not use: they start processes, or the platform does not support them.
+const FORBIDDEN_FUNCTIONS: [&str; 22] = [
     "fork",
     "vfork",
     "_Fork",
@@ -163,21 +164,21 @@
 ];
 
 #[test]
-fn the_program_takes_nothing_from_the_c_library_that_starts_others_or_is_refused() {
+fn program_imports_no_forbidden_function_of_the_c_library() {
     let bytes = std::fs::read(env!("CARGO_BIN_EXE_bitternlatch-dispatch")).expect("the program");
     let elf = object::File::parse(&*bytes).expect("an executable");
     let undefined = elf.dynamic_symbols().filter(|s| s.is_undefined());
     let names: Vec<String> = undefined
         .filter_map(|s| s.name().ok().map(str::to_string))
         .collect();
-    // The system calls that the bench leads elsewhere are taken from there, so it is linked dynamically.
+    // These functions are imported, so the program is linked dynamically and the platform's test bench can intercept them.
     assert!(
         names.iter().any(|n| n == "epoll_wait") && names.iter().any(|n| n == "clock_gettime"),
         "{names:?}"
     );
-    let refused: Vec<&String> = names
+    let forbidden: Vec<&String> = names
         .iter()
-        .filter(|n| REFUSED.contains(&n.as_str()))
+        .filter(|n| FORBIDDEN_FUNCTIONS.contains(&n.as_str()))
         .collect();
-    assert!(refused.is_empty(), "{refused:?}");
+    assert!(forbidden.is_empty(), "{forbidden:?}");
 }
--- a/programs/dispatch/tests/descriptors.rs
+++ b/programs/dispatch/tests/descriptors.rs
@@ -1,4 +1,5 @@
-//! The program while idle clients fill its descriptors and discovery is down, under the system's limit and below it.
+//! Checks the dispatcher while idle clients use up its file descriptors and discovery is unavailable, with the configured number
+//! of descriptors and with fewer.
 mod common;
 #[path = "common/crowd.rs"]
 mod crowd;
@@ -13,41 +14,45 @@
 
 use common::*;
 use crowd::{
-    descriptors, first_free, head, idle, join, limited, memory_mb, open, ready_after, Discovery,
-    Down, Host, Kind,
+    descriptors, first_free, head, idle, join, limited, memory_mb, open, ready_after, ClientKind,
+    CountingServer, Discovery, Outage,
 };
 use rustix::process::{prlimit, Pid, Resource, Rlimit, Signal};
 
-/// Clients that fill everything: more than `limits.sockets`, which is 256.
-const CROWD: usize = 300;
-/// Within this of its return, what discovery says is acted on.
-const ACTED_ON: Duration = Duration::from_secs(6);
-/// A restarted process is ready within this.
+/// Number of idle clients: more than `limits.sockets`, which is 256.
+const IDLE_CLIENTS: usize = 300;
+/// Maximum time from discovery's recovery until its list is applied.
+const MAX_UPDATE_DELAY: Duration = Duration::from_secs(6);
+/// A restarted process must be ready within this time.
 const READY_AGAIN: Duration = Duration::from_secs(10);
 
 struct Site {
-    /// Known as in service from the start.
-    reader: Host,
-    writer: Host,
-    /// In discovery's news alone.
-    other: Host,
+    /// In service in the configuration's endpoint list.
+    prefill: CountingServer,
+    decode: CountingServer,
+    /// Only in the list that discovery returns after its recovery.
+    other: CountingServer,
     discovery: Discovery,
     dispatcher: Dispatcher,
 }
 
-fn site(name: &str, how: Down, program: fn(&Path) -> Command) -> Site {
-    let (reader, writer, other) = (crowd::host(true), crowd::host(false), crowd::host(true));
-    let discovery = Discovery::down(how);
+fn site(name: &str, outage: Outage, program: fn(&Path) -> Command) -> Site {
+    let (prefill, decode, other) = (
+        crowd::server(true),
+        crowd::server(false),
+        crowd::server(true),
+    );
+    let discovery = Discovery::with_outage(outage);
     let known = [
-        target("a", reader.at, "reads"),
-        target("b", writer.at, "writes"),
+        target("a", prefill.at, "reads"),
+        target("b", decode.at, "writes"),
     ];
-    let listen = own_address();
+    let listen = reserved_address();
     let text = configuration_with(listen, discovery.at, &known);
     let dispatcher = Dispatcher::start_with(name, listen, text, program);
     Site {
-        reader,
-        writer,
+        prefill,
+        decode,
         other,
         discovery,
         dispatcher,
@@ -55,16 +60,16 @@
 }
 
 impl Site {
-    /// The known reader drains, another one is in service.
+    /// The list after the recovery: the known prefill server drains and another one is in service.
     fn drains(&self) -> String {
-        let old = target("a", self.reader.at, "reads").replace("in_service", "terminating");
+        let old = target("a", self.prefill.at, "reads").replace("in_service", "terminating");
         list(8, false, &[old, target("c", self.other.at, "reads")])
     }
 }
 
-/// A client whose stream has begun and goes on once its host lets it.
+/// Starts a stream whose server holds the rest until the test releases it.
 fn begin_stream(site: &Site) -> TcpStream {
-    site.writer.holds.store(true, Ordering::SeqCst);
+    site.decode.is_holding.store(true, Ordering::SeqCst);
     let mut stream = site.dispatcher.connect();
     stream
         .write_all(request("held", "Connection: close\r\n").as_bytes())
@@ -74,11 +79,11 @@
     stream
 }
 
-fn filled(name: &str, how: Down, limit: usize, program: fn(&Path) -> Command) {
-    let site = site(name, how, program);
+fn assert_works_when_full(name: &str, outage: Outage, limit: usize, program: fn(&Path) -> Command) {
+    let site = site(name, outage, program);
     let pid = site.dispatcher.child.id();
     let held = begin_stream(&site);
-    let crowd = idle(site.dispatcher.listen, CROWD);
+    let crowd = idle(site.dispatcher.listen, IDLE_CLIENTS);
     let kept = open(&crowd);
     assert!(
         kept > 0 && kept < limit,
@@ -90,49 +95,52 @@
         descriptors(pid)
     );
 
-    // An answer in hand goes out, while the table is full.
-    site.writer.holds.store(false, Ordering::SeqCst);
+    // A response in flight is delivered while no descriptor is free.
+    site.decode.is_holding.store(false, Ordering::SeqCst);
     assert!(
         rest_of(held).ends_with("data: 2\n\n\r\n0\r\n\r\n"),
         "{name}: the stream in hand"
     );
-    // Hosts' connections still get theirs.
-    site.dispatcher.served("one");
+    // Connections to servers still get descriptors.
+    site.dispatcher.assert_served("one");
     assert_eq!(site.other.asked.load(Ordering::SeqCst), 0);
 
-    // A silent call is given up and made anew while the table is full; discovery comes back just after, which is late
-    // for the call that has just been made.
+    // A silent discovery call times out and is repeated while no descriptor is free. Discovery recovers just after the repeated
+    // call, which therefore gets no response either.
     let by = Instant::now() + SOON;
-    while how == Down::Silent && site.discovery.calls.load(Ordering::SeqCst) < 2 {
+    while outage == Outage::Silent && site.discovery.calls.load(Ordering::SeqCst) < 2 {
         assert!(Instant::now() < by, "{name}: the watch is not begun anew");
         thread::sleep(Duration::from_millis(10));
     }
-    let after = acted_on(&site);
+    let after = time_until_updated(&site);
     let stayed = open(&crowd);
     assert!(
         stayed > 0 && descriptors(pid) <= limit,
         "{name}: {stayed} are left"
     );
-    assert!(after <= ACTED_ON, "{name}: acted on after {after:?}");
+    assert!(
+        after <= MAX_UPDATE_DELAY,
+        "{name}: acted on after {after:?}"
+    );
     println!("{name}: {kept} idle clients stayed; acted on after {after:?}");
-    let before = site.reader.asked.load(Ordering::SeqCst);
-    (0..5).for_each(|i| site.dispatcher.served(&format!("after{i}")));
+    let before = site.prefill.asked.load(Ordering::SeqCst);
+    (0..5).for_each(|i| site.dispatcher.assert_served(&format!("after{i}")));
     assert_eq!(
-        site.reader.asked.load(Ordering::SeqCst),
+        site.prefill.asked.load(Ordering::SeqCst),
         before,
         "{name}: what drains gets nothing new"
     );
     drop(crowd);
 }
 
-/// Discovery is back: the drain is acted on, without a client's leaving first; after how long.
-fn acted_on(site: &Site) -> Duration {
+/// Ends the outage of discovery and returns the time until the drain is applied; no client has to disconnect for this.
+fn time_until_updated(site: &Site) -> Duration {
     let since = Instant::now();
-    site.discovery.back(&site.drains());
+    site.discovery.recover(&site.drains());
     let mut i = 0;
-    while site.other.asked.load(Ordering::SeqCst) == 0 && since.elapsed() < 3 * ACTED_ON {
+    while site.other.asked.load(Ordering::SeqCst) == 0 && since.elapsed() < 3 * MAX_UPDATE_DELAY {
         i += 1;
-        site.dispatcher.served(&format!("poll{i}"));
+        site.dispatcher.assert_served(&format!("poll{i}"));
         thread::sleep(Duration::from_millis(20));
     }
     since.elapsed()
@@ -149,33 +157,33 @@
 }
 
 #[test]
-fn with_as_many_descriptors_as_configured_and_discovery_refusing() {
-    filled("fill-closed", Down::Closed, 256, limited::<256>);
+fn full_with_configured_descriptors_and_discovery_refusing() {
+    assert_works_when_full("fill-closed", Outage::Closed, 256, limited::<256>);
 }
 
 #[test]
-fn with_as_many_descriptors_as_configured_and_discovery_silent() {
-    filled("fill-silent", Down::Silent, 256, limited::<256>);
+fn full_with_configured_descriptors_and_discovery_silent() {
+    assert_works_when_full("fill-silent", Outage::Silent, 256, limited::<256>);
 }
 
 #[test]
-fn with_half_as_many_descriptors_as_configured() {
-    filled("fill-half", Down::Closed, 128, limited::<128>);
+fn full_with_half_the_configured_descriptors() {
+    assert_works_when_full("fill-half", Outage::Closed, 128, limited::<128>);
 }
 
 #[test]
-fn with_far_fewer_descriptors_than_configured_and_discovery_silent() {
-    filled("fill-few", Down::Silent, 48, limited::<48>);
+fn full_with_far_fewer_descriptors_and_discovery_silent() {
+    assert_works_when_full("fill-few", Outage::Silent, 48, limited::<48>);
 }
 
 #[test]
-fn what_the_system_takes_away_idle_clients_give_for_hosts_and_the_watch() {
-    let site = site("taken", Down::Closed, limited::<256>);
+fn idle_clients_are_closed_for_servers_and_the_watch_when_the_limit_drops() {
+    let site = site("taken", Outage::Closed, limited::<256>);
     let pid = site.dispatcher.child.id();
     let held = begin_stream(&site);
     let mut crowd = idle(site.dispatcher.listen, 100);
     assert_eq!(open(&crowd), 100);
-    // No descriptor is left from here on.
+    // From here on no descriptor is free.
     let most = Rlimit {
         current: Some(first_free(pid)),
         maximum: Some(256),
@@ -186,23 +194,23 @@
         most,
     )
     .expect("a lower limit");
-    site.writer.holds.store(false, Ordering::SeqCst);
+    site.decode.is_holding.store(false, Ordering::SeqCst);
     assert!(
         rest_of(held).ends_with("data: 2\n\n\r\n0\r\n\r\n"),
         "the stream in hand"
     );
 
-    // New connections to both hosts, on behalf of a client that is there already.
+    // A client that is connected already causes new connections to both servers.
     let asking = crowd.last_mut().expect("a client");
     asking
         .write_all(request("kept", "").as_bytes())
         .expect("asked");
-    let said = head(asking, SOON);
-    assert!(said.starts_with("HTTP/1.1 200"), "{said:?}");
-    // New clients, and the watch.
-    site.dispatcher.served("new");
-    let after = acted_on(&site);
-    assert!(after <= ACTED_ON, "acted on after {after:?}");
+    let received = head(asking, SOON);
+    assert!(received.starts_with("HTTP/1.1 200"), "{received:?}");
+    // New clients and the watch of discovery need descriptors too.
+    site.dispatcher.assert_served("new");
+    let after = time_until_updated(&site);
+    assert!(after <= MAX_UPDATE_DELAY, "acted on after {after:?}");
     println!(
         "taken: {} idle clients stayed; acted on after {after:?}",
         open(&crowd)
@@ -210,25 +218,25 @@
 }
 
 #[test]
-fn a_restart_in_that_state_becomes_ready_while_the_old_clients_connections_exist() {
+fn restart_becomes_ready_while_the_old_clients_stay_connected() {
     for signal in [Signal::TERM, Signal::KILL] {
         let name = if signal == Signal::TERM {
             "again-term"
         } else {
             "again-kill"
         };
-        let mut site = site(name, Down::Silent, limited::<256>);
+        let mut site = site(name, Outage::Silent, limited::<256>);
         let held = begin_stream(&site);
-        let crowd = idle(site.dispatcher.listen, CROWD);
+        let crowd = idle(site.dispatcher.listen, IDLE_CLIENTS);
         let since = Instant::now();
         site.dispatcher.signal(signal);
-        // At once: after SIGTERM the one before still listens, and has a stream in hand.
+        // Restart at once: after SIGTERM the previous process still listens and has a stream in flight.
         let next = limited::<256>(&site.dispatcher.file)
             .spawn()
             .expect("the program");
         let mut before = std::mem::replace(&mut site.dispatcher.child, next);
-        site.writer.holds.store(false, Ordering::SeqCst);
-        // While the one before listens, it is the one that answers.
+        site.decode.is_holding.store(false, Ordering::SeqCst);
+        // Wait for the previous process to exit; it answers as long as it listens.
         let by = Instant::now() + SOON;
         while before.try_wait().expect("its state").is_none() && Instant::now() < by {
             thread::sleep(Duration::from_millis(5));
@@ -254,22 +262,22 @@
             "{name}: ready again after {:.2} s",
             after.unwrap_or_default()
         );
-        let more = idle(site.dispatcher.listen, CROWD);
-        site.dispatcher.served("again");
+        let more = idle(site.dispatcher.listen, IDLE_CLIENTS);
+        site.dispatcher.assert_served("again");
         drop((held, crowd, more));
     }
 }
 
-/// First tokens of good clients come within this, also in a flood: a tenth of the class's aim would do on an idle
-/// machine; two loaded cores and a flood from the same machine are allowed for.
+/// Maximum time to first token of regular clients during a flood of connections. On an idle machine a tenth of the class's
+/// latency objective would do; this allows for two loaded cores and a flood from the same machine.
 const FIRST_TOKEN: Duration = Duration::from_millis(1500);
-/// Most memory in a flood, MB: 2 for the process, and for each of 118 clients 20 KB of what it has sent ahead, with as
-/// much again for what the allocator keeps. The limit of the smallest dispatcher is 32.
+/// Maximum memory during a flood of connections, in MB: 2 for the process, and 20 KB of unprocessed input for each of 118
+/// clients, with as much again for what the allocator retains. The limit of the smallest dispatcher is 32 MB.
 const MEMORY_MB: f64 = 7.0;
 
 #[test]
-fn in_a_flood_of_connections_others_are_served_in_time_and_memory_is_bounded() {
-    let site = site("flood", Down::Silent, limited::<256>);
+fn connection_flood_delays_no_client_and_memory_is_bounded() {
+    let site = site("flood", Outage::Silent, limited::<256>);
     let to = site.dispatcher.listen;
     let until = Instant::now() + Duration::from_secs(5);
     let flood = move |kind| {
@@ -277,12 +285,12 @@
             let (mut crowd, mut came) = (std::collections::VecDeque::new(), 0usize);
             while Instant::now() < until {
                 came += 1;
-                // The system has only so many ports for one address.
+                // The system has a limited number of ports per address.
                 thread::sleep(Duration::from_millis(2));
                 if let Ok(stream) = join(to, kind, &format!("{kind:?}{came}")) {
                     crowd.push_back(stream);
                 }
-                // Some go, so that this process keeps within its own descriptors.
+                // Old connections are closed, so that the test process stays within its own descriptor limit.
                 if crowd.len() > 100 {
                     crowd.pop_front();
                 }
@@ -290,7 +298,7 @@
             came
         }
     };
-    let floods: Vec<_> = [Kind::Silent, Kind::Half, Kind::Idle]
+    let floods: Vec<_> = [ClientKind::Silent, ClientKind::Half, ClientKind::Idle]
         .into_iter()
         .map(|k| thread::spawn(flood(k)))
         .collect();
@@ -327,12 +335,13 @@
     assert!(ready_after(to, Instant::now(), READY_AGAIN).is_some());
 }
 
-/// An eighth of the configuration's 64 MB, twice as much as buffers have room for more, and what the process itself takes.
-const HALVES_MB: f64 = 20.0;
+/// Maximum memory with many half requests, in MB: an eighth of the configured 64 MB, twice that because buffers grow ahead of
+/// their content, and the process itself.
+const MAX_HALF_REQUESTS_MB: f64 = 20.0;
 
 #[test]
-fn half_requests_of_hundreds_leave_the_memory_within_its_limit() {
-    let site = site("halves", Down::Silent, limited::<256>);
+fn many_half_requests_keep_memory_within_its_limit() {
+    let site = site("halves", Outage::Silent, limited::<256>);
     let to = site.dispatcher.listen;
     let pid = site.dispatcher.child.id();
     let body = vec![b'x'; 250 * 1024];
@@ -345,12 +354,12 @@
             request(&format!("half{i}"), "").replace("Content-Length: 2", "Content-Length: 262000");
         let head = text.split("{}").next()?.to_string();
         stream.write_all(head.as_bytes()).ok()?;
-        // Turned away in the midst of it, perhaps.
+        // The dispatcher may reject the request while its body is being written.
         let _ = stream.write_all(&body);
         Some(stream)
     };
     let crowd: Vec<TcpStream> = (0..110).filter_map(ask).collect();
-    // The program may still be reading what the system has taken for it: until it grows no more.
+    // The program may still be reading buffered data: wait until its memory no longer grows.
     let (mut peak, mut grown) = (memory_mb(pid), Instant::now());
     while grown.elapsed() < Duration::from_secs(1) {
         let now = memory_mb(pid);
@@ -360,7 +369,7 @@
         thread::sleep(Duration::from_millis(10));
     }
     println!("{} half requests of 250 KiB: {peak:.1} MB", crowd.len());
-    assert!(peak < HALVES_MB, "{peak} MB");
+    assert!(peak < MAX_HALF_REQUESTS_MB, "{peak} MB");
     drop(crowd);
-    site.dispatcher.served("good");
+    site.dispatcher.assert_served("good");
 }
--- a/programs/dispatch/tests/held.rs
+++ b/programs/dispatch/tests/held.rs
@@ -1,31 +1,31 @@
-//! The program between model hosts that fall silent: what a prefill server holds is released within the limit, whatever
-//! has not arrived. Judged by the hosts' own record: from a prefill's answer to the first DELETE that arrives anywhere.
-#[path = "common/bench.rs"]
-mod bench;
+//! Checks that the KV cache state at a prefill server is released within the limit while other servers are silent. The time is
+//! measured by the servers, from the response of the prefill to the first DELETE that arrives at any server.
 mod common;
+#[path = "common/bench.rs"]
+mod harness;
 #[path = "common/gated.rs"]
-mod gated;
+mod scripted_servers;
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use bench::*;
 use common::*;
-use gated::*;
+use harness::*;
+use scripted_servers::*;
 
-/// What the platform allows beyond the settings' limit: 300 ms, and the 50 ms of every time limit on sockets.
+/// What the platform allows beyond the configured limit: 300 ms, and 50 ms as for every time limit on sockets.
 const SLACK: Duration = Duration::from_millis(350);
-/// Clients wait for so long, which is far beyond every limit here.
+/// Clients' deadline, which is far beyond every limit in this file.
 const DEADLINE: (&str, &str) = ("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: 4000");
 const REQUESTS: usize = 8;
 const LIMIT_OF_1_S: &str = r#""pinLimitS":1.0"#;
 
-/// What is wrong with the decode servers.
+/// Fault of the decode servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// They take connections and bytes, and nothing arrives.
+    /// They accept connections and data but never handle any.
     Silent,
-    /// No connection to them comes up, and none is refused.
+    /// Connections to them are neither established nor refused.
     NotComingUp,
 }
 
@@ -34,7 +34,7 @@
     fault: Fault,
     limit_ms: u64,
     changes: &'static [(&'static str, &'static str)],
-    /// The clients go once the prompts are read.
+    /// Whether the clients disconnect once the prefills are complete.
     clients_go: bool,
 }
 
@@ -55,7 +55,7 @@
         name: "patient",
         fault: Fault::Silent,
         limit_ms: 1000,
-        changes: &[PATIENT],
+        changes: &[LONG_LATENCY_OBJECTIVE],
         clients_go: false,
     },
     Case {
@@ -76,7 +76,7 @@
         name: "clients-gone",
         fault: Fault::Silent,
         limit_ms: 1000,
-        changes: &[NO_CANCEL, PATIENT],
+        changes: &[NO_CANCEL, LONG_LATENCY_OBJECTIVE],
         clients_go: true,
     },
     Case {
@@ -102,7 +102,7 @@
     },
 ];
 
-/// Two decode servers with this fault, and what keeps them so.
+/// Starts two decode servers with this fault; returns their addresses and what must be kept for the fault to last.
 fn decode_servers(fault: Fault) -> (Vec<SocketAddr>, Vec<(TcpListener, Vec<TcpStream>)>) {
     let one = || match fault {
         Fault::Silent => (
@@ -120,46 +120,51 @@
     )
 }
 
-fn ask(bench: &Bench, id: &str) -> TcpStream {
+fn ask(harness: &Harness, id: &str) -> TcpStream {
     use std::io::Write;
-    let mut client = bench.dispatcher.connect();
+    let mut client = harness.dispatcher.connect();
     client
-        .write_all(changed(request(id, ""), &[DEADLINE]).as_bytes())
+        .write_all(with_changes(request(id, ""), &[DEADLINE]).as_bytes())
         .expect("asked");
     client
 }
 
-/// How long a state was held beyond its limit and the slack, by the hosts' record; none where it was not.
-fn held_too_long(hosts: &Gated, id: &str, since: Instant, limit: Duration) -> Option<String> {
+/// Describes a KV cache state that was held longer than its limit and the slack; `None` if it was released in time.
+fn overdue_release(
+    servers: &ScriptedServers,
+    id: &str,
+    since: Instant,
+    limit: Duration,
+) -> Option<String> {
     let until = since + limit + SLACK;
-    let released = hosts.first(What::Delete, id)?;
+    let released = servers.first(EventKind::Delete, id)?;
     let over = released.saturating_duration_since(until);
     (!over.is_zero()).then(|| format!("{id} {:.2} s", released.duration_since(since).as_secs_f64()))
 }
 
-/// What became of the states of one case that were held too long.
-fn play(case: &Case) -> Vec<String> {
-    let hosts = Gated::default();
+/// Runs one case and describes the KV cache states that were held too long.
+fn run_case(case: &Case) -> Vec<String> {
+    let servers = ScriptedServers::default();
     let (decode, _kept) = decode_servers(case.fault);
-    let prefill = (0..2).map(|i| target(&format!("p{i}"), hosts.host(i, true), model(true)));
+    let prefill = (0..2).map(|i| target(&format!("p{i}"), servers.server(i, true), model(true)));
     let decode = decode
         .iter()
         .enumerate()
         .map(|(i, at)| target(&format!("d{i}"), *at, model(false)));
     let targets: Vec<String> = prefill.chain(decode).collect();
-    let bench = Bench::with(
+    let harness = Harness::with(
         &format!("held-{}", case.name),
-        hosts,
+        servers,
         &targets,
         case.changes,
     );
     let ids: Vec<String> = (0..REQUESTS)
-        .map(|i| format!("{AT_ONCE}{}-{i}", case.name))
+        .map(|i| format!("{IMMEDIATE_PREFIX}{}-{i}", case.name))
         .collect();
-    let mut clients: Vec<TcpStream> = ids.iter().map(|id| ask(&bench, id)).collect();
+    let mut clients: Vec<TcpStream> = ids.iter().map(|id| ask(&harness, id)).collect();
     let read: Vec<&String> = ids
         .iter()
-        .filter(|id| read_in_time(&bench.hosts, id))
+        .filter(|id| prefill_in_time(&harness.servers, id))
         .collect();
     assert!(!read.is_empty(), "{}: some prompts are read", case.name);
     if case.clients_go {
@@ -167,17 +172,20 @@
     }
     let limit = Duration::from_millis(case.limit_ms);
     let judged = read.into_iter().filter_map(|id| {
-        let since = bench.hosts.first(What::Answered, id).expect("it was read");
-        bench.hosts.wait(What::Delete, id, 1);
-        held_too_long(&bench.hosts, id, since, limit)
+        let since = harness
+            .servers
+            .first(EventKind::Responded, id)
+            .expect("it was read");
+        harness.servers.wait(EventKind::Delete, id, 1);
+        overdue_release(&harness.servers, id, since, limit)
     });
     judged.collect()
 }
 
-/// Where few descriptors are left some requests are refused before they are read.
-fn read_in_time(hosts: &Gated, id: &str) -> bool {
+/// Waits up to a second for the prefill of a request. With few free descriptors some requests are rejected before it.
+fn prefill_in_time(servers: &ScriptedServers, id: &str) -> bool {
     let until = Instant::now() + Duration::from_secs(1);
-    while hosts.first(What::Answered, id).is_none() {
+    while servers.first(EventKind::Responded, id).is_none() {
         if Instant::now() >= until {
             return false;
         }
@@ -187,11 +195,11 @@
 }
 
 #[test]
-fn a_state_is_released_within_its_limit_though_the_decode_send_has_not_arrived() {
+fn kv_state_is_released_within_its_limit_when_the_decode_request_does_not_arrive() {
     let late: Vec<(&str, Vec<String>)> = std::thread::scope(|scope| {
         let plays = CASES
             .iter()
-            .map(|case| (case.name, scope.spawn(|| play(case))))
+            .map(|case| (case.name, scope.spawn(|| run_case(case))))
             .collect::<Vec<_>>();
         plays
             .into_iter()
@@ -202,47 +210,50 @@
     assert!(late.is_empty(), "held too long: {late:#?}");
 }
 
-/// The prefill broke just as it ended, so that its state may be held; the prefill sent elsewhere does not arrive.
+/// The connection breaks as the prefill ends, so its server may hold KV cache state; the retried prefill does not arrive.
 #[test]
-fn what_a_broken_prefill_may_have_left_is_released_though_the_next_send_has_not_arrived() {
-    let bench = Bench::start("held-broken", 2, &[PATIENT]);
-    let _client = ask(&bench, "broken");
-    bench.hosts.wait(What::Post, "broken", 1);
-    let at = bench.hosts.asked("broken")[0];
-    bench.hosts.fall_silent(1 - at);
+fn kv_state_of_a_broken_prefill_is_released_when_the_retry_does_not_arrive() {
+    let harness = Harness::start("held-broken", 2, &[LONG_LATENCY_OBJECTIVE]);
+    let _client = ask(&harness, "broken");
+    harness.servers.wait(EventKind::Post, "broken", 1);
+    let at = harness.servers.request_servers("broken")[0];
+    harness.servers.stop_responding(1 - at);
     let since = Instant::now();
-    bench.hosts.hang_up(at);
-    bench.hosts.wait(What::Delete, "broken", 1);
-    let late = held_too_long(&bench.hosts, "broken", since, Duration::from_secs(1));
+    harness.servers.close_connections(at);
+    harness.servers.wait(EventKind::Delete, "broken", 1);
+    let late = overdue_release(&harness.servers, "broken", since, Duration::from_secs(1));
     assert_eq!(late, None);
 }
 
-/// Any server takes a release, and all but one have fallen silent that were heard of a moment before.
+/// Any server can pass on a release. All but one fall silent a moment after they responded.
 #[test]
-fn a_release_reaches_the_one_server_that_is_not_silent_within_the_limit() {
+fn release_reaches_the_only_responding_server_within_the_limit() {
     const PAIRS: usize = 8;
-    let bench = Bench::start("held-one", PAIRS, &[PATIENT]);
+    let harness = Harness::start("held-one", PAIRS, &[LONG_LATENCY_OBJECTIVE]);
     for i in 0..2 * PAIRS {
-        let other = request(&format!("{AT_ONCE}one-{i}"), "")
+        let other = request(&format!("{IMMEDIATE_PREFIX}one-{i}"), "")
             .replace("Req-Key: 1", &format!("Req-Key: {i}"));
-        let mut client = bench.dispatcher.connect();
+        let mut client = harness.dispatcher.connect();
         std::io::Write::write_all(&mut client, other.as_bytes()).expect("asked");
-        assert!(answer(&mut client).starts_with("HTTP/1.1 200"));
+        assert!(read_response(&mut client).starts_with("HTTP/1.1 200"));
     }
-    let _client = ask(&bench, "one");
-    bench.hosts.wait(What::Post, "one", 1);
-    bench.hosts.let_go("one", READ);
-    bench.hosts.wait(What::Post, "one", 2);
-    let since = bench.hosts.first(What::Answered, "one").expect("read");
-    let asked = bench.hosts.asked("one");
+    let _client = ask(&harness, "one");
+    harness.servers.wait(EventKind::Post, "one", 1);
+    harness.servers.respond("one", PREFILL_RESPONSE);
+    harness.servers.wait(EventKind::Post, "one", 2);
+    let since = harness
+        .servers
+        .first(EventKind::Responded, "one")
+        .expect("read");
+    let asked = harness.servers.request_servers("one");
     let live = (PAIRS..2 * PAIRS)
         .rev()
-        .find(|host| !asked.contains(host))
+        .find(|server| !asked.contains(server))
         .expect("another decode server");
     (0..2 * PAIRS)
-        .filter(|host| *host != live)
-        .for_each(|host| bench.hosts.fall_silent(host));
-    bench.hosts.wait(What::Delete, "one", 1);
-    let late = held_too_long(&bench.hosts, "one", since, Duration::from_secs(1));
+        .filter(|server| *server != live)
+        .for_each(|server| harness.servers.stop_responding(server));
+    harness.servers.wait(EventKind::Delete, "one", 1);
+    let late = overdue_release(&harness.servers, "one", since, Duration::from_secs(1));
     assert_eq!(late, None);
 }
--- a/programs/dispatch/tests/long_prompts.rs
+++ b/programs/dispatch/tests/long_prompts.rs
@@ -1,5 +1,5 @@
-//! Three processes before the same hosts, with prompts whose lengths differ fortyfold: the longest have their share
-//! of what is answered, and where there is room no session and no process goes without.
+//! Runs three dispatchers with the same servers and prompts whose lengths differ by a factor of 40. The longest prompts must get
+//! their share of the served requests, and with spare capacity every session and dispatcher must be served.
 mod common;
 
 use std::io::{BufReader, Read, Write};
@@ -11,20 +11,20 @@
 use common::*;
 
 const PROCESSES: usize = 3;
-const READERS: usize = 2;
+const PREFILL_SERVERS: usize = 2;
 const SHORTEST: f64 = 200.0;
 const LONGEST: f64 = 8_000.0;
-/// Time that a host reads a token of a prompt: within what the module believes of a warm reader.
+/// Prefill time per token: within what the decision module expects of a warm prefill server.
 const PER_TOKEN: Duration = Duration::from_micros(40);
 const SESSIONS: usize = 10;
-/// For so long clients ask, each again once it has its answer or a moment after a refusal.
-const FOR: Duration = Duration::from_secs(5);
+/// How long clients send requests; each sends the next one after its response, or after `PAUSE` if it was rejected.
+const RUN_TIME: Duration = Duration::from_secs(5);
 const PAUSE: Duration = Duration::from_millis(50);
-/// What a client gives a request.
+/// Deadline of each request, in milliseconds.
 const DEADLINE_MS: u64 = 1500;
 
-/// A host that reads one prompt after the other, each for as long as its length asks for.
-fn slow_reader() -> SocketAddr {
+/// Starts a prefill server that handles one prompt at a time, each for a time proportional to its length.
+fn slow_prefill_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let reads = Arc::new(Mutex::new(()));
@@ -67,26 +67,27 @@
     answered: bool,
 }
 
-/// The processes, and so many clients at each.
-fn play(name: &str, clients: usize) -> Vec<Asked> {
-    let reads = (0..READERS).map(|i| target(&format!("r{i}"), slow_reader(), "reads"));
-    let writes = (0..READERS).map(|i| target(&format!("w{i}"), host(false), "writes"));
+/// Runs the dispatchers with this many clients each and returns all requests.
+fn run_clients(name: &str, clients: usize) -> Vec<Asked> {
+    let reads =
+        (0..PREFILL_SERVERS).map(|i| target(&format!("r{i}"), slow_prefill_server(), "reads"));
+    let writes = (0..PREFILL_SERVERS).map(|i| target(&format!("w{i}"), server(false), "writes"));
     let targets: Vec<String> = reads.chain(writes).collect();
     let start = |i: usize| {
-        let listen = own_address();
+        let listen = reserved_address();
         let class = (
             r#""aimS":1.5,"deadlineS":6.0"#,
             r#""aimS":0.8,"deadlineS":1.5"#,
         );
         let balancers = (r#""balancers":1"#, r#""balancers":3"#);
-        let text = changed(
+        let text = with_changes(
             configuration_with(listen, discovery().0, &targets),
             &[class, balancers],
         );
         Dispatcher::start_with(&format!("long-{name}-{i}"), listen, text, program)
     };
     let dispatchers: Vec<Dispatcher> = (0..PROCESSES).map(start).collect();
-    let until = Instant::now() + FOR;
+    let until = Instant::now() + RUN_TIME;
     let client = |n: usize| {
         let (process, listen) = (n % PROCESSES, dispatchers[n % PROCESSES].listen);
         thread::spawn(move || {
@@ -102,7 +103,7 @@
         .collect()
 }
 
-/// One request of a client, whose lengths are spread evenly by their logarithm.
+/// Sends one request of a client. The prompt lengths are distributed evenly on a logarithmic scale.
 fn ask(
     listen: SocketAddr,
     process: usize,
@@ -113,7 +114,7 @@
     if Instant::now() >= until {
         return None;
     }
-    // Steps by the golden ratio fill the range evenly, whatever the client's number of requests.
+    // Multiples of the golden ratio fill the range evenly for any number of requests.
     let part = ((client * 37 + number) as f64 * 0.618_033_988_75).fract();
     let tokens = (SHORTEST * (LONGEST / SHORTEST).powf(part)).round();
     let session = (client + number) % SESSIONS;
@@ -125,10 +126,13 @@
     let mut stream = TcpStream::connect(listen).expect("a connection");
     stream.set_read_timeout(Some(SOON)).expect("a bound");
     stream.write_all(text.as_bytes()).expect("asked");
-    let mut said = String::new();
-    stream.read_to_string(&mut said).expect("an answer");
-    let answered = said.starts_with("HTTP/1.1 200");
-    assert!(answered || said.starts_with("HTTP/1.1 50"), "{said}");
+    let mut received = String::new();
+    stream.read_to_string(&mut received).expect("an answer");
+    let answered = received.starts_with("HTTP/1.1 200");
+    assert!(
+        answered || received.starts_with("HTTP/1.1 50"),
+        "{received}"
+    );
     if !answered {
         thread::sleep(PAUSE);
     }
@@ -144,13 +148,18 @@
     of.clone().filter(|a| a.answered).count() as f64 / of.count().max(1) as f64
 }
 
-/// Requests of a class below which its longest quarter is looked at in place of its longest tenth, as the platform does.
-const MANY: usize = 400;
+/// With fewer requests than this in a class, its longest quarter is checked instead of its longest tenth, as on the platform.
+const MIN_REQUESTS_FOR_TENTH: usize = 400;
 
-/// The part of the class's answered share that the longest prompts and the next fifth have at least.
+/// Checks that the served share of the longest prompts, and of the next fifth, is at least `least` times that of the class.
 fn assert_shares(name: &str, mut asked: Vec<Asked>, least: f64) {
     asked.sort_by(|a, b| b.tokens.total_cmp(&a.tokens));
-    let first = asked.len() / if asked.len() < MANY { 4 } else { 10 };
+    let first = asked.len()
+        / if asked.len() < MIN_REQUESTS_FOR_TENTH {
+            4
+        } else {
+            10
+        };
     let second = first + asked.len() / 5;
     let (class, longest, next) = (
         share(asked.iter()),
@@ -172,8 +181,8 @@
 }
 
 #[test]
-fn on_a_quiet_day_long_prompts_all_sessions_and_all_processes_are_served() {
-    let asked = play("quiet", 1);
+fn with_spare_capacity_long_prompts_all_sessions_and_all_dispatchers_are_served() {
+    let asked = run_clients("quiet", 1);
     for session in 0..SESSIONS {
         assert!(
             share(asked.iter().filter(|a| a.session == session)) > 0.0,
@@ -190,8 +199,8 @@
 }
 
 #[test]
-fn when_more_is_asked_than_can_be_read_long_prompts_have_half_of_the_share() {
-    let asked = play("over", 7);
+fn under_overload_long_prompts_get_at_least_half_the_share() {
+    let asked = run_clients("over", 7);
     let class = share(asked.iter());
     assert!(
         class < 0.95,
--- a/programs/dispatch/tests/platform.rs
+++ b/programs/dispatch/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The program itself on loopback: its start, a request, bad clients, new configurations, its stop.
+//! Runs the dispatcher on the loopback interface: start, requests, malformed clients, configuration reload and stop.
 mod common;
 
 use std::io::{ErrorKind, Read, Write};
@@ -11,16 +11,16 @@
 use rustix::process::Signal;
 
 #[test]
-fn it_starts_serves_follows_new_configurations_and_stops() {
+fn starts_serves_reloads_its_configuration_and_stops() {
     let mut dispatcher = Dispatcher::start("whole");
     let call = dispatcher.calls.recv_timeout(SOON).expect("a watch");
     assert_eq!(call, "GET /v1/endpoints?watch=1&from=7 HTTP/1.1");
-    dispatcher.served("a1");
+    dispatcher.assert_served("a1");
 
-    // A broken file changes nothing.
+    // An invalid configuration file is ignored.
     std::fs::write(&dispatcher.file, &dispatcher.text[..100]).expect("half a file");
     dispatcher.signal(Signal::HUP);
-    dispatcher.served("a2");
+    dispatcher.assert_served("a2");
 
     let (moved, calls) = discovery();
     let old = dispatcher
@@ -34,9 +34,9 @@
     std::fs::write(&dispatcher.file, text).expect("the new file");
     dispatcher.signal(Signal::HUP);
     calls.recv_timeout(SOON).expect("the new address is called");
-    dispatcher.served("a3");
+    dispatcher.assert_served("a3");
 
-    // What is in hand when it is told to stop is answered.
+    // A request that is in flight at SIGTERM is answered.
     let mut kept = dispatcher.connect();
     kept.write_all(&request("a4", "").as_bytes()[..40])
         .expect("half a request");
@@ -50,29 +50,30 @@
         answer.starts_with("HTTP/1.1 200") && answer.ends_with("0\r\n\r\n"),
         "{answer}"
     );
-    assert_eq!(dispatcher.ended().and_then(|s| s.code()), Some(0));
+    assert_eq!(dispatcher.exit_status().and_then(|s| s.code()), Some(0));
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_ends_it_with_one_line() {
+fn invalid_configuration_exits_with_one_error_line() {
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("broken.json");
-    let text = configuration(own_address(), own_address())
+    let text = configuration(reserved_address(), reserved_address())
         .replace("\"pinLimitS\":1.0", "\"pinLimitS\":\"x\"");
     std::fs::write(&file, text).expect("a file");
     let output = program(&file).output().expect("the program");
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert_eq!(output.status.code(), Some(2), "{said}");
-    assert_eq!(said.trim().lines().count(), 1, "{said}");
+    let received = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(2), "{received}");
+    assert_eq!(received.trim().lines().count(), 1, "{received}");
     assert!(
-        said.contains("extra.pinLimitS") && said.contains("broken.json"),
-        "{said}"
+        received.contains("extra.pinLimitS") && received.contains("broken.json"),
+        "{received}"
     );
 }
 
-/// A list once known that names what the settings do not is no reason to refuse to start: it waits for discovery's.
+/// If the configuration's endpoint list has a model that the settings do not define, the dispatcher starts and waits for
+/// discovery's list.
 #[test]
-fn a_known_list_that_cannot_be_taken_does_not_keep_it_from_starting() {
-    let listen = own_address();
+fn invalid_known_list_does_not_prevent_the_start() {
+    let listen = reserved_address();
     let good = configuration(listen, discovery().0);
     let text = good.replace(r#""model":"reads""#, r#""model":"thinks""#);
     assert_ne!(text, good);
@@ -95,7 +96,7 @@
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
 }
 
-/// Sends and waits for an answer or the end; gives the status, if there is one.
+/// Sends bytes and reads until the connection ends; returns the status of the response, if there is one.
 fn bad_client(mut stream: TcpStream, bytes: &[u8], repeat: usize) -> Option<u16> {
     for _ in 0..repeat {
         if stream.write_all(bytes).is_err() {
@@ -115,10 +116,10 @@
 }
 
 #[test]
-fn hundreds_of_bad_clients_are_answered_or_closed_and_good_ones_served() {
+fn malformed_clients_are_answered_or_closed_and_others_served() {
     let dispatcher = Dispatcher::start("bad");
     let silent: Vec<TcpStream> = (0..300).map(|_| dispatcher.connect()).collect();
-    dispatcher.served("b1");
+    dispatcher.assert_served("b1");
     let half = request("b2", "");
     let noise = [0u8, 1, 2, 3, 13, 10, 13, 10];
     let long = request("b3", "").replace("Content-Length: 2", "Content-Length: 62914560");
@@ -136,14 +137,14 @@
         let got = bad_client(dispatcher.connect(), bytes, repeat);
         assert!(got == status || got.is_none(), "{got:?} and not {status:?}");
     }
-    // Sixty megabytes are read on, within bounds, so that the answer is seen.
+    // The dispatcher reads and drops sixty megabytes, so that the client sees the response.
     let mut stream = dispatcher.connect();
     stream.write_all(long.as_bytes()).expect("a head");
     let got = bad_client(stream, &[b'x'; 65_536], 960);
     assert_eq!(got, Some(413));
     for mut stream in silent {
         let mut rest = Vec::new();
-        // An error is a reset, which ends it as well as a close.
+        // An error is a reset, which ends the connection as well as a close.
         if let Err(e) = stream.read_to_end(&mut rest) {
             assert!(
                 e.kind() != ErrorKind::WouldBlock,
@@ -151,10 +152,10 @@
             );
         }
     }
-    dispatcher.served("b4");
+    dispatcher.assert_served("b4");
 }
 
-/// Seconds of processor time that a process has used.
+/// Processor time that a process has used, in seconds.
 fn cpu_s(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("its state");
     let after = stat.rsplit(')').next().expect("fields");
@@ -167,8 +168,8 @@
     ticks.iter().sum::<f64>() / 100.0
 }
 
-/// The program with fewer descriptors than its configuration says.
-fn program_in_need(file: &std::path::Path) -> Command {
+/// Command for the program with fewer file descriptors than configured.
+fn program_with_few_descriptors(file: &std::path::Path) -> Command {
     let mut command = Command::new("/bin/sh");
     let run = format!(
         "ulimit -n 48; exec {} --platform",
@@ -183,10 +184,10 @@
 }
 
 #[test]
-fn without_descriptors_it_neither_spins_nor_ends_and_serves_once_there_are_some() {
-    let dispatcher = Dispatcher::start_by("need", program_in_need);
+fn without_free_descriptors_it_neither_spins_nor_exits_and_recovers() {
+    let dispatcher = Dispatcher::start_by("need", program_with_few_descriptors);
     let before = cpu_s(dispatcher.child.id());
-    // More than it can take: some wait in the listener's queue until the silent ones before them are sent away.
+    // More clients than descriptors: some wait in the accept queue until the silent ones before them are closed.
     let silent: Vec<TcpStream> = (0..80).map(|_| dispatcher.connect()).collect();
     for mut stream in silent {
         let mut rest = Vec::new();
@@ -199,10 +200,10 @@
     }
     let used = cpu_s(dispatcher.child.id()) - before;
     assert!(used < 2.0, "{used} s of processor time for waiting");
-    dispatcher.served("c1");
+    dispatcher.assert_served("c1");
 }
 
-/// Inodes in a table of sockets under `/proc`, by the position of their column.
+/// Returns the inodes in a socket table under `/proc`; `column` is the position of the inode.
 fn inodes(pid: u32, table: &str, column: usize) -> Vec<String> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/net/{table}")).unwrap_or_default();
     let rows = text
@@ -213,7 +214,7 @@
         .collect()
 }
 
-/// What each descriptor of a process leads to.
+/// Returns the targets of a process's file descriptors.
 fn descriptors(pid: u32) -> Vec<String> {
     let folder = std::fs::read_dir(format!("/proc/{pid}/fd")).expect("its descriptors");
     let links = folder
@@ -236,10 +237,11 @@
     stats.filter(|stat| parent(stat) == Some(pid)).count()
 }
 
-/// How many of a process's sockets are IPv4, which are neither that nor a pair, and all that it holds open.
+/// Returns the number of a process's IPv4 sockets, the inodes of sockets that are neither IPv4 nor Unix, and the targets of all
+/// its descriptors.
 fn sockets(pid: u32) -> (usize, Vec<String>, Vec<String>) {
     let four = [inodes(pid, "tcp", 9), inodes(pid, "udp", 9)].concat();
-    // Pairs that lead a signal to the loop have no name, so that nobody comes to them.
+    // The Unix socket pairs that signal the event loop have no name, so no other process can connect to them.
     let pairs: Vec<String> = inodes(pid, "unix", 6);
     let links = descriptors(pid);
     let inodes = links
@@ -256,12 +258,12 @@
     (own, other, links)
 }
 
-/// The bench leads the calls that the program makes through the C library; what goes past it would not work.
+/// The platform's test bench intercepts calls to the C library; a program that bypasses the library would not work there.
 #[test]
-fn it_stays_one_process_linked_to_the_c_library_with_sockets_over_ipv4_alone() {
+fn is_one_process_linked_to_the_c_library_with_ipv4_sockets_only() {
     let dispatcher = Dispatcher::start("alone");
     let kept = dispatcher.connect();
-    dispatcher.served("c1");
+    dispatcher.assert_served("c1");
     let pid = dispatcher.child.id();
     assert_eq!(children(pid), 0);
     let maps = std::fs::read_to_string(format!("/proc/{pid}/maps")).expect("its memory");
@@ -269,7 +271,7 @@
         maps.contains("/libc.so.6") && maps.contains("/ld-linux"),
         "{maps}"
     );
-    // A socket that is about to be connected, or has just been closed by the other side, is in no table for a moment.
+    // A socket is briefly in no table just before it is connected or after the other side has closed it.
     let by = Instant::now() + Duration::from_secs(20);
     let (own, other, links) = loop {
         let (own, other, links) = sockets(pid);
--- a/programs/dispatch/tests/platform_check.rs
+++ b/programs/dispatch/tests/platform_check.rs
@@ -1,4 +1,4 @@
-//! `--platform --check` over the configuration that is deployed, and one that is spoilt.
+//! Runs `--platform --check` on the deployed configuration and on an invalid one.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -22,15 +22,15 @@
 }
 
 #[test]
-fn spoilt_platform_configuration_is_named_with_its_field() {
+fn invalid_platform_configuration_is_reported_with_its_field() {
     let text = std::fs::read_to_string(deployed()).expect("the deployed configuration");
-    let spoilt = text.replace("\"sockets\": 512", "\"sockets\": 3");
-    assert_ne!(spoilt, text);
+    let invalid = text.replace("\"sockets\": 512", "\"sockets\": 3");
+    assert_ne!(invalid, text);
     let path = std::env::temp_dir().join(format!("platform-check-{}.json", std::process::id()));
-    std::fs::write(&path, spoilt).expect("a file");
+    std::fs::write(&path, invalid).expect("a file");
     let output = check(&path);
     std::fs::remove_file(&path).expect("the file");
     assert_ne!(output.status.code(), Some(0));
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(said.contains("limits.sockets"), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(stderr.contains("limits.sockets"), "{stderr}");
 }
--- a/programs/dispatch/tests/ready.rs
+++ b/programs/dispatch/tests/ready.rs
@@ -1,4 +1,5 @@
-//! Restarted processes are ready soon: all at once, without discovery, and with hundreds of clients waiting.
+//! Checks that restarted processes are ready soon: when all restart at once, without discovery, and with hundreds of clients
+//! waiting.
 mod common;
 #[path = "common/crowd.rs"]
 mod crowd;
@@ -10,14 +11,14 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use crowd::{head, join, limited, ready_after, Discovery, Down, Kind, READY};
+use crowd::{head, join, limited, ready_after, ClientKind, Discovery, Outage, READY};
 use rustix::process::Signal;
 
-/// Nine in ten are ready within this.
+/// Nine in ten restarted processes must be ready within this time.
 const READY_AGAIN: Duration = Duration::from_secs(10);
 const PROCESSES: usize = 12;
 
-fn ready_in_time(times: &[Option<f64>], name: &str) {
+fn assert_ready_in_time(times: &[Option<f64>], name: &str) {
     let ready = times.iter().flatten().count();
     let slowest = times.iter().flatten().fold(0.0, |a: f64, b| a.max(*b));
     println!(
@@ -27,7 +28,7 @@
     assert!(10 * ready >= 9 * times.len(), "{name}: {times:?}");
 }
 
-/// Kills them all, starts them again at once, and asks each as the front does.
+/// Kills all processes, restarts them at once, and polls each as the front-end does.
 fn restart_all(dispatchers: &mut [Dispatcher]) -> Vec<Option<f64>> {
     for dispatcher in &mut *dispatchers {
         dispatcher.signal(Signal::KILL);
@@ -51,52 +52,53 @@
         .collect()
 }
 
-fn all_at_once(name: &str, how: Down) {
-    let discovery = Discovery::down(how);
-    let (reader, writer) = (crowd::host(true), crowd::host(false));
+fn all_at_once(name: &str, outage: Outage) {
+    let discovery = Discovery::with_outage(outage);
+    let (prefill, decode) = (crowd::server(true), crowd::server(false));
     let known = [
-        target("a", reader.at, "reads"),
-        target("b", writer.at, "writes"),
+        target("a", prefill.at, "reads"),
+        target("b", decode.at, "writes"),
     ];
     let start = |i| {
-        let listen = own_address();
+        let listen = reserved_address();
         let text = configuration_with(listen, discovery.at, &known);
         Dispatcher::start_with(&format!("{name}{i}"), listen, text, limited::<256>)
     };
     let mut all: Vec<Dispatcher> = (0..PROCESSES).map(start).collect();
-    // Clients that the ones before had keep their ends open.
+    // Clients of the killed processes keep their ends of the connections open.
     let kept: Vec<_> = all.iter().flat_map(|d| crowd::idle(d.listen, 10)).collect();
-    ready_in_time(&restart_all(&mut all), name);
+    assert_ready_in_time(&restart_all(&mut all), name);
     all.iter()
         .enumerate()
-        .for_each(|(i, d)| d.served(&format!("{name}-{i}")));
+        .for_each(|(i, d)| d.assert_served(&format!("{name}-{i}")));
     drop(kept);
 }
 
 #[test]
 fn all_are_ready_while_discovery_refuses() {
-    all_at_once("closed", Down::Closed);
+    all_at_once("closed", Outage::Closed);
 }
 
 #[test]
 fn all_are_ready_while_discovery_is_silent() {
-    all_at_once("silent", Down::Silent);
+    all_at_once("silent", Outage::Silent);
 }
 
 #[test]
 fn all_are_ready_while_every_watch_is_slow() {
-    all_at_once("slow", Down::Slow(Duration::from_secs(4)));
+    all_at_once("slow", Outage::Slow(Duration::from_secs(4)));
 }
 
-/// Clients ahead of the front's call in the accept queue, and behind it.
+/// Number of clients before the front-end's readiness check in the accept queue.
 const AHEAD: usize = 300;
+/// Number of clients after the front-end's readiness check in the accept queue.
 const BEHIND: usize = 100;
 
-/// Connects, or says that the accept queue had no room.
-fn queue(to: SocketAddr, kind: Kind, id: &str, name: &str) -> TcpStream {
+/// Connects a client and checks that the accept queue was not full.
+fn queue(to: SocketAddr, kind: ClientKind, id: &str, name: &str) -> TcpStream {
     let since = Instant::now();
     let stream = join(to, kind, id).unwrap_or_else(|e| panic!("{name} {id}: {e}"));
-    // A connection that finds the queue full is tried again by the system after a second.
+    // If the queue is full, the system retries the connection after a second.
     let took = since.elapsed();
     assert!(
         took < Duration::from_millis(900),
@@ -105,18 +107,18 @@
     stream
 }
 
-/// A restarted process finds hundreds in its accept queue, the front's call among them.
-fn crowded(kind: Kind) {
+/// A restarted process finds hundreds of clients in its accept queue, the front-end's readiness check among them.
+fn assert_ready_with_full_queue(kind: ClientKind) {
     let name = format!("crowd-{kind:?}");
-    let (reader, writer) = (crowd::host(true), crowd::host(false));
-    // Whole requests stay in hand, so that they hold their places.
-    reader.holds.store(true, Ordering::SeqCst);
+    let (prefill, decode) = (crowd::server(true), crowd::server(false));
+    // Complete requests stay in flight, so that their connections stay open.
+    prefill.is_holding.store(true, Ordering::SeqCst);
     let known = [
-        target("a", reader.at, "reads"),
-        target("b", writer.at, "writes"),
+        target("a", prefill.at, "reads"),
+        target("b", decode.at, "writes"),
     ];
-    let listen = own_address();
-    let text = configuration_with(listen, Discovery::down(Down::Silent).at, &known);
+    let listen = reserved_address();
+    let text = configuration_with(listen, Discovery::with_outage(Outage::Silent).at, &known);
     let mut dispatcher = Dispatcher::start_with(&name, listen, text, limited::<256>);
     dispatcher.signal(Signal::KILL);
     let next = limited::<256>(&dispatcher.file)
@@ -125,7 +127,7 @@
     let since = Instant::now();
     let mut before = std::mem::replace(&mut dispatcher.child, next);
     before.wait().expect("it has ended");
-    // It listens, and is held up.
+    // The restarted process listens; it is then paused while the accept queue fills.
     let first = loop {
         match join(listen, kind, "first") {
             Ok(stream) => break stream,
@@ -137,95 +139,98 @@
     let ahead: Vec<_> = (0..AHEAD)
         .map(|i| queue(listen, kind, &format!("a{i}"), &name))
         .collect();
-    let mut front = queue(listen, Kind::Silent, "front", &name);
+    let mut front = queue(listen, ClientKind::Silent, "front", &name);
     front.write_all(READY.as_bytes()).expect("asked");
     let behind: Vec<_> = (0..BEHIND)
         .map(|i| queue(listen, kind, &format!("b{i}"), &name))
         .collect();
     let since = Instant::now();
     dispatcher.signal(Signal::CONT);
-    let said = head(&mut front, READY_AGAIN);
+    let received = head(&mut front, READY_AGAIN);
     let after = since.elapsed();
     assert!(
-        said.starts_with("HTTP/1.1 200"),
-        "{name}: {said:?} after {after:?}"
+        received.starts_with("HTTP/1.1 200"),
+        "{name}: {received:?} after {after:?}"
     );
-    // And once more, with all of them there.
+    // A second readiness check must succeed while all clients are connected.
     let again = ready_after(listen, Instant::now(), READY_AGAIN);
     assert!(again.is_some(), "{name}: not ready with the crowd there");
     println!(
         "{name}: answered after {after:?}, and again after {:.3} s",
         again.unwrap_or_default()
     );
-    reader.holds.store(false, Ordering::SeqCst);
+    prefill.is_holding.store(false, Ordering::SeqCst);
     drop((first, ahead, behind));
-    // Once they have gone it serves as ever.
+    // After the clients have disconnected, requests are served again.
     let by = Instant::now() + SOON;
     loop {
         let mut stream = dispatcher.connect();
         stream
             .write_all(request("last", "Connection: close\r\n").as_bytes())
             .expect("asked");
-        let said = head(&mut stream, SOON);
-        if said.starts_with("HTTP/1.1 200") {
+        let received = head(&mut stream, SOON);
+        if received.starts_with("HTTP/1.1 200") {
             break;
         }
-        assert!(Instant::now() < by, "{name}: {said:?}");
+        assert!(Instant::now() < by, "{name}: {received:?}");
         thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn the_fronts_call_is_answered_amid_clients_that_say_nothing() {
-    crowded(Kind::Silent);
+fn readiness_check_is_answered_among_silent_clients() {
+    assert_ready_with_full_queue(ClientKind::Silent);
 }
 
 #[test]
-fn the_fronts_call_is_answered_amid_half_requests() {
-    crowded(Kind::Half);
+fn readiness_check_is_answered_among_half_requests() {
+    assert_ready_with_full_queue(ClientKind::Half);
 }
 
 #[test]
-fn the_fronts_call_is_answered_amid_requests() {
-    crowded(Kind::Whole);
+fn readiness_check_is_answered_among_requests() {
+    assert_ready_with_full_queue(ClientKind::Whole);
 }
 
 #[test]
-fn the_fronts_call_is_answered_amid_clients_that_stay() {
-    crowded(Kind::Idle);
+fn readiness_check_is_answered_among_idle_clients() {
+    assert_ready_with_full_queue(ClientKind::Idle);
 }
 
 #[test]
-fn an_address_that_is_still_in_use_is_waited_for_and_not_for_ever() {
-    let listen = own_address();
-    let text = configuration_with(listen, own_address(), &[]);
+fn address_in_use_is_retried_for_a_limited_time() {
+    let listen = reserved_address();
+    let text = configuration_with(listen, reserved_address(), &[]);
     let file = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("in-use.json");
     std::fs::write(&file, &text).expect("the configuration's file");
 
-    // Somebody else listens there for good: it ends as it does for any setting that cannot be used.
+    // Another process keeps the address: the program exits as for any unusable setting.
     let held = TcpListener::bind(listen).expect("the address");
     let since = Instant::now();
     let output = program(&file).output().expect("the program");
-    let (said, took) = (
+    let (received, took) = (
         String::from_utf8_lossy(&output.stderr).into_owned(),
         since.elapsed(),
     );
-    assert_eq!(output.status.code(), Some(2), "{said}");
+    assert_eq!(output.status.code(), Some(2), "{received}");
     assert!(
-        said.lines().last().is_some_and(|l| l.contains("'listen'")),
-        "{said}"
+        received
+            .lines()
+            .last()
+            .is_some_and(|l| l.contains("'listen'")),
+        "{received}"
     );
     assert_eq!(
-        said.lines().filter(|l| l.contains("in use")).count(),
+        received.lines().filter(|l| l.contains("in use")).count(),
         2,
-        "once while it waits: {said}"
+        "once while it waits: {received}"
     );
     assert!(
         took >= Duration::from_secs(4) && took < READY_AGAIN,
         "{took:?}"
     );
 
-    // The one before goes while it is waited for.
+    // The previous listener closes while the program waits for the address.
     let mut child = limited::<256>(&file).spawn().expect("the program");
     thread::sleep(Duration::from_millis(300));
     assert!(
--- a/programs/dispatch/tests/sites.rs
+++ b/programs/dispatch/tests/sites.rs
@@ -1,4 +1,4 @@
-//! The script that writes a deployment's variant, over a kit made here.
+//! Tests the script that writes a variant of a site file, with a small kit that the test creates.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -34,7 +34,7 @@
 stream = true
 "#;
 
-/// A folder of the test's own with a kit and an overrides file in it.
+/// Creates a directory for one test, with a kit and an overrides file.
 fn folder(name: &str, overrides: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("sites-{name}"));
     let _ = std::fs::remove_dir_all(&folder);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn new_values_stand_in_their_places_and_all_else_as_it_was() {
+fn overrides_replace_their_values_and_nothing_else() {
     let set = r#"
 "class.1.effect" = "keyed"
 "class.0.stream" = false
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn what_cannot_be_made_is_one_line_and_exit_code_2() {
+fn invalid_overrides_give_one_error_line_and_exit_code_2() {
     let table = [
         (
             "no-place",
@@ -137,19 +137,19 @@
     for (name, overrides, word) in table {
         let folder = folder(name, &overrides);
         let output = make(&folder);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(2), "{name}: {said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{name}: {stderr}");
         assert!(
-            said.trim().lines().count() == 1 && said.contains(word),
-            "{name}: {said}"
+            stderr.trim().lines().count() == 1 && stderr.contains(word),
+            "{name}: {stderr}"
         );
         assert!(!folder.join("out").exists(), "{name}: nothing is written");
     }
 }
 
-/// The variants that the repository holds can be read; that they fit the kit's site files shows where the kit is.
+/// Checks the form of the variants in the repository. Whether they match the kit's site files can be tested only with the kit.
 #[test]
-fn the_repositorys_variants_name_a_base_and_new_values() {
+fn variants_in_the_repository_name_a_base_and_overrides() {
     let sites = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/sites");
     let mut seen = 0;
     for entry in std::fs::read_dir(sites).expect("the folder").flatten() {
--- a/programs/dispatch/tests/streams.rs
+++ b/programs/dispatch/tests/streams.rs
@@ -1,39 +1,39 @@
-//! Streams over the program itself: each event is passed on as its host writes it, and a stream to its end, also while
-//! the process stops.
+//! Checks that each event of a stream is forwarded as soon as its server writes it, and that a stream is forwarded to its
+//! end, also while the process stops.
 //!
-//! A host writes an event only when all clients have got the one before it, so that events cannot come in lumps.
-#[path = "common/bench.rs"]
-mod bench;
+//! A server writes an event only after all clients have received the previous one, so that the dispatcher cannot collect events.
 mod common;
+#[path = "common/bench.rs"]
+mod harness;
 #[path = "common/gated.rs"]
-mod gated;
+mod scripted_servers;
 
 use std::io::Read;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use bench::*;
 use common::{chunk, LAST_CHUNK, STREAM_HEAD};
-use gated::*;
+use harness::*;
 use rustix::process::Signal;
+use scripted_servers::*;
 
 const STREAMS: usize = 8;
 const EVENTS: usize = 12;
-/// The hosts that write, of two pairs.
-const WRITERS: [usize; 2] = [2, 3];
-/// From an event's writing to its client.
-const PASSED_ON: Duration = Duration::from_millis(300);
-/// Between the pieces in which a host writes an event.
-const BETWEEN_PIECES: Duration = Duration::from_millis(20);
-
-/// A client of a stream that goes on, and what it has got.
+/// Numbers of the decode servers with two pairs of servers.
+const DECODE_SERVERS: [usize; 2] = [2, 3];
+/// Maximum time from writing an event to its arrival at the client.
+const MAX_FORWARD_DELAY: Duration = Duration::from_millis(300);
+/// Delay between the pieces in which a server writes an event.
+const PIECE_INTERVAL: Duration = Duration::from_millis(20);
+
+/// A client of a running stream and the data that it has received.
 struct Reader {
     stream: TcpStream,
     got: String,
 }
 
 impl Reader {
-    /// Reads until this has come.
+    /// Reads until the received data contains this text.
     fn until(&mut self, text: &str) {
         let mut bytes = [0; 4096];
         while !self.got.contains(text) {
@@ -48,35 +48,35 @@
     format!("data: event {number} of {EVENTS}\n\n")
 }
 
-/// How a host writes an event: what it sends, piece by piece.
-type Manner = fn(&str) -> Vec<String>;
+/// Splits an event into the pieces that a server writes one after the other.
+type Chunking = fn(&str) -> Vec<String>;
 
 fn at_once(event: &str) -> Vec<String> {
     vec![chunk(event)]
 }
 
-/// The chunk that holds the event is cut.
+/// Splits the chunk that contains the event into two pieces.
 fn cut_chunk(event: &str) -> Vec<String> {
     let whole = chunk(event);
     let (first, rest) = whole.split_at(whole.len() / 2);
     vec![first.to_string(), rest.to_string()]
 }
 
-/// The event stands in two chunks.
+/// Writes the event as two chunks.
 fn two_chunks(event: &str) -> Vec<String> {
     let (first, rest) = event.split_at(event.len() / 2);
     vec![chunk(first), chunk(rest)]
 }
 
-/// Begins streams at both writers.
-fn begin(bench: &Bench) -> Vec<Reader> {
+/// Starts streams at both decode servers.
+fn begin(harness: &Harness) -> Vec<Reader> {
     let ids: Vec<String> = (0..STREAMS).map(|i| format!("stream-{i}")).collect();
-    let clients: Vec<TcpStream> = ids.iter().map(|id| bench.ask(id)).collect();
+    let clients: Vec<TcpStream> = ids.iter().map(|id| harness.ask(id)).collect();
     for id in &ids {
-        bench.hosts.wait(What::Post, id, 1);
-        bench.hosts.let_go(id, READ);
-        bench.hosts.wait(What::Post, id, 2);
-        bench.hosts.let_go(id, STREAM_HEAD);
+        harness.servers.wait(EventKind::Post, id, 1);
+        harness.servers.respond(id, PREFILL_RESPONSE);
+        harness.servers.wait(EventKind::Post, id, 2);
+        harness.servers.respond(id, STREAM_HEAD);
     }
     clients
         .into_iter()
@@ -87,31 +87,36 @@
         .collect()
 }
 
-/// Writes one event on every stream and waits until all clients have it; gives how many got it late.
-fn pass_on(bench: &Bench, readers: &mut [Reader], manner: Manner, number: usize) -> usize {
+/// Writes one event on every stream and waits until all clients have it; returns how many received it late.
+fn forward_event(
+    harness: &Harness,
+    readers: &mut [Reader],
+    chunking: Chunking,
+    number: usize,
+) -> usize {
     let event = event(number);
-    let pieces = manner(&event);
+    let pieces = chunking(&event);
     for (i, piece) in pieces.iter().enumerate() {
         if i > 0 {
-            std::thread::sleep(BETWEEN_PIECES);
+            std::thread::sleep(PIECE_INTERVAL);
         }
-        WRITERS
+        DECODE_SERVERS
             .iter()
-            .for_each(|host| bench.hosts.say(*host, piece));
+            .for_each(|server| harness.servers.send_unsolicited(*server, piece));
     }
     let written = Instant::now();
     let mut late = 0;
     for reader in readers {
         reader.until(&event);
-        late += usize::from(written.elapsed() > PASSED_ON);
+        late += usize::from(written.elapsed() > MAX_FORWARD_DELAY);
     }
     late
 }
 
-fn end(bench: &Bench, readers: Vec<Reader>, name: &str) {
-    WRITERS
+fn end(harness: &Harness, readers: Vec<Reader>, name: &str) {
+    DECODE_SERVERS
         .iter()
-        .for_each(|host| bench.hosts.say(*host, LAST_CHUNK));
+        .for_each(|server| harness.servers.send_unsolicited(*server, LAST_CHUNK));
     for mut reader in readers {
         reader.until(LAST_CHUNK);
         let got = reader.got;
@@ -123,8 +128,8 @@
     }
 }
 
-/// The platform lets one stream in twenty be late: of a busy machine's, no more than that here.
-fn in_time(late: usize, name: &str) {
+/// The platform allows one stream in twenty to be late; on a busy machine at most one event in twenty may be.
+fn assert_in_time(late: usize, name: &str) {
     assert!(
         late * 20 <= STREAMS * EVENTS,
         "{name}: {late} of {} events late",
@@ -133,37 +138,40 @@
 }
 
 #[test]
-fn each_event_is_passed_on_before_the_next_is_written() {
-    let table: [(&str, Manner); 3] = [
+fn each_event_is_forwarded_before_the_next_is_written() {
+    let table: [(&str, Chunking); 3] = [
         ("at-once", at_once),
         ("cut-chunk", cut_chunk),
         ("two-chunks", two_chunks),
     ];
-    for (name, manner) in table {
-        let bench = Bench::start(&format!("streams-{name}"), 2, &[PATIENT]);
-        let mut readers = begin(&bench);
+    for (name, chunking) in table {
+        let harness = Harness::start(&format!("streams-{name}"), 2, &[LONG_LATENCY_OBJECTIVE]);
+        let mut readers = begin(&harness);
         let late = (0..EVENTS)
-            .map(|n| pass_on(&bench, &mut readers, manner, n))
+            .map(|n| forward_event(&harness, &mut readers, chunking, n))
             .sum();
-        in_time(late, name);
-        end(&bench, readers, name);
+        assert_in_time(late, name);
+        end(&harness, readers, name);
     }
 }
 
-/// The process is told to stop while streams run; it passes them on as before, to their ends, and then ends itself.
+/// The process gets SIGTERM while streams run; it must forward them to their ends and then exit.
 #[test]
-fn streams_are_passed_on_to_their_ends_while_the_process_stops() {
-    let mut bench = Bench::start("streams-stop", 2, &[PATIENT]);
-    let mut readers = begin(&bench);
+fn streams_are_forwarded_to_their_ends_while_the_process_stops() {
+    let mut harness = Harness::start("streams-stop", 2, &[LONG_LATENCY_OBJECTIVE]);
+    let mut readers = begin(&harness);
     let mut late = 0;
     for number in 0..EVENTS {
         if number == 3 {
-            bench.dispatcher.signal(Signal::TERM);
+            harness.dispatcher.signal(Signal::TERM);
         }
         std::thread::sleep(Duration::from_millis(100));
-        late += pass_on(&bench, &mut readers, at_once, number);
+        late += forward_event(&harness, &mut readers, at_once, number);
     }
-    in_time(late, "stop");
-    end(&bench, readers, "stop");
-    assert_eq!(bench.dispatcher.ended().and_then(|s| s.code()), Some(0));
+    assert_in_time(late, "stop");
+    end(&harness, readers, "stop");
+    assert_eq!(
+        harness.dispatcher.exit_status().and_then(|s| s.code()),
+        Some(0)
+    );
 }
--- a/programs/dispatch/tests/told.rs
+++ b/programs/dispatch/tests/told.rs
@@ -1,8 +1,7 @@
-//! Told by discovery, over the program itself: whatever call failed before, a change is acted on inside 6 s of
-//! discovery having it and being reachable.
+//! Checks that the dispatcher applies a change within 6 s after discovery has it and is reachable, whatever call failed before.
 //!
-//! The verdict hangs on when discovery sees the call that brings the change: 4.5 s after its return at the worst, which
-//! leaves 1.5 s for a busy machine. All other waits are on events, and their bounds decide nothing.
+//! The check measures when discovery receives the call that returns the change: at worst 4.5 s after its recovery, which leaves
+//! 1.5 s for a busy machine. All other waits are for events, and their limits do not affect the result.
 mod common;
 
 use std::io::{BufRead, BufReader, Write};
@@ -15,38 +14,39 @@
 use common::*;
 use rustix::process::Signal;
 
-/// A change counts as told so long after discovery had it and could be reached.
-const TOLD: Duration = Duration::from_secs(6);
+/// Maximum time from when discovery has a change and is reachable to the call that returns the change.
+const MAX_DELAY: Duration = Duration::from_secs(6);
 
-/// How discovery answers a call.
+/// How discovery responds to a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Manner {
-    /// The news, then empty lines.
-    Well,
+enum ResponseMode {
+    /// Sends the changed list, then empty lines.
+    Normal,
+    /// Sends nothing.
     Silent,
-    /// Half a line, then silence.
+    /// Sends half a line, then nothing.
     HalfLine,
-    /// A line that goes on byte by byte without end.
+    /// Sends an endless line byte by byte.
     Trickle,
-    /// 500 with a `Retry-After` of an hour.
+    /// Responds 500 with a `Retry-After` of an hour.
     Error500,
 }
 
-/// Discovery by script: each call keeps the manner of the moment at which it came.
+/// A scripted discovery server: each call is handled in the mode that was set when it arrived.
 struct Discovery {
     at: SocketAddr,
-    script: Arc<Mutex<(Manner, String)>>,
-    calls: Receiver<(Manner, Instant)>,
-    tell: Sender<(Manner, Instant)>,
+    script: Arc<Mutex<(ResponseMode, String)>>,
+    calls: Receiver<(ResponseMode, Instant)>,
+    tell: Sender<(ResponseMode, Instant)>,
 }
 
 impl Discovery {
-    /// Has an address, on which nobody listens yet.
-    fn shut(news: String) -> Discovery {
+    /// Reserves an address, without listening on it yet.
+    fn shut(list_line: String) -> Discovery {
         let (tell, calls) = channel();
-        let script = Arc::new(Mutex::new((Manner::Well, news)));
+        let script = Arc::new(Mutex::new((ResponseMode::Normal, list_line)));
         Discovery {
-            at: own_address(),
+            at: reserved_address(),
             script,
             calls,
             tell,
@@ -59,70 +59,70 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (script, tell) = (script.clone(), tell.clone());
-                thread::spawn(move || answer(stream, &script, &tell));
+                thread::spawn(move || serve_call(stream, &script, &tell));
             }
         });
     }
 
-    /// From now on calls are answered so; gives the time.
-    fn set(&self, manner: Manner) -> Instant {
-        self.script.lock().expect("no other has failed").0 = manner;
+    /// Sets the mode for calls from now on and returns the time.
+    fn set(&self, mode: ResponseMode) -> Instant {
+        self.script.lock().expect("no other has failed").0 = mode;
         Instant::now()
     }
 
-    /// When the next call of a manner came.
-    fn called(&self, manner: Manner) -> Instant {
+    /// Waits for the next call in a mode and returns the time of its arrival.
+    fn called(&self, mode: ResponseMode) -> Instant {
         loop {
             let (was, at) = self.calls.recv_timeout(3 * SOON).expect("a call");
-            if was == manner {
+            if was == mode {
                 return at;
             }
         }
     }
 }
 
-fn answer(
+fn serve_call(
     stream: TcpStream,
-    script: &Mutex<(Manner, String)>,
-    tell: &Sender<(Manner, Instant)>,
+    script: &Mutex<(ResponseMode, String)>,
+    tell: &Sender<(ResponseMode, Instant)>,
 ) -> Option<()> {
     let mut to = stream.try_clone().ok()?;
     let mut from = BufReader::new(stream);
     message(&mut from)?;
-    let (manner, news) = {
-        // The call and its manner are one: what is set after the call was told does not count for it.
+    let (mode, list_line) = {
+        // The mode is read and the call reported under one lock, so that a mode set after the report does not apply to this call.
         let script = script.lock().ok()?;
         tell.send((script.0, Instant::now())).ok()?;
         script.clone()
     };
-    let pause = match manner {
-        Manner::Silent => {
-            // Ends with the other side.
+    let pause = match mode {
+        ResponseMode::Silent => {
+            // Returns when the other side closes the connection.
             return message(&mut from).map(|_| ());
         }
-        Manner::Error500 => {
+        ResponseMode::Error500 => {
             to.write_all(b"HTTP/1.1 500 No\r\nRetry-After: 3600\r\nContent-Length: 0\r\n\r\n")
                 .ok()?;
             return message(&mut from).map(|_| ());
         }
-        Manner::HalfLine => {
-            let half = &news[..news.len() / 2];
+        ResponseMode::HalfLine => {
+            let half = &list_line[..list_line.len() / 2];
             to.write_all(format!("{STREAM_HEAD}{}", chunk(half)).as_bytes())
                 .ok()?;
             return message(&mut from).map(|_| ());
         }
-        Manner::Trickle => {
+        ResponseMode::Trickle => {
             to.write_all(STREAM_HEAD.as_bytes()).ok()?;
             Duration::from_millis(100)
         }
-        Manner::Well => {
-            to.write_all(format!("{STREAM_HEAD}{}", chunk(&format!("{news}\n"))).as_bytes())
+        ResponseMode::Normal => {
+            to.write_all(format!("{STREAM_HEAD}{}", chunk(&format!("{list_line}\n"))).as_bytes())
                 .ok()?;
             Duration::from_secs(1)
         }
     };
     while to
-        .write_all(if manner == Manner::Well {
+        .write_all(if mode == ResponseMode::Normal {
             b"1\r\n\n\r\n"
         } else {
             b"1\r\n[\r\n"
@@ -134,8 +134,8 @@
     Some(())
 }
 
-/// A host that reads and tells of each prompt.
-fn reader() -> (SocketAddr, Receiver<Instant>) {
+/// Starts a prefill server that reports the time of each request.
+fn prefill_server() -> (SocketAddr, Receiver<Instant>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("an address");
     let (tell, asked) = channel();
@@ -168,7 +168,7 @@
     (at, asked)
 }
 
-/// The program before scripted discovery, with one reader that the news drains and one that they bring.
+/// A dispatcher with scripted discovery, whose changed list drains one prefill server and adds another.
 struct Case {
     name: &'static str,
     dispatcher: Dispatcher,
@@ -179,17 +179,17 @@
 }
 
 impl Case {
-    /// Discovery is shut at first.
+    /// Starts the dispatcher while discovery is not listening.
     fn start(name: &'static str) -> Case {
-        let ((old_at, old), (new_at, new)) = (reader(), reader());
+        let ((old_at, old), (new_at, new)) = (prefill_server(), prefill_server());
         let drains = target("a", old_at, "reads").replace("in_service", "terminating");
-        let news = list(8, false, &[drains, target("c", new_at, "reads")]);
-        let discovery = Discovery::shut(news);
+        let list_line = list(8, false, &[drains, target("c", new_at, "reads")]);
+        let discovery = Discovery::shut(list_line);
         let known = [
             target("a", old_at, "reads"),
-            target("b", host(false), "writes"),
+            target("b", server(false), "writes"),
         ];
-        let listen = own_address();
+        let listen = reserved_address();
         let text = configuration_with(listen, discovery.at, &known);
         let mut dispatcher = Dispatcher::start_with(name, listen, text, program);
         let logs = Arc::new(Mutex::new(Vec::new()));
@@ -200,7 +200,7 @@
                 kept.lock().expect("no other has failed").push(line);
             }
         });
-        dispatcher.served("before");
+        dispatcher.assert_served("before");
         old.recv_timeout(SOON)
             .expect("the host of the configuration is asked");
         Case {
@@ -213,29 +213,29 @@
         }
     }
 
-    /// Refuses, then answers 500, until the back-off has grown to its longest.
+    /// Refuses connections, then responds 500, until the dispatcher's backoff has reached its maximum.
     fn fail_for_three_seconds(&self) {
         let until = Instant::now() + Duration::from_secs(3);
-        self.discovery.set(Manner::Error500);
+        self.discovery.set(ResponseMode::Error500);
         self.discovery.open();
         while Instant::now() < until {
-            self.discovery.called(Manner::Error500);
+            self.discovery.called(ResponseMode::Error500);
         }
     }
 
-    /// The change was told in time, and requests go to the new host alone.
-    fn assert_told(&self, discovery: &Discovery, from: Instant) {
+    /// Checks that the change was fetched in time and that requests go only to the new server.
+    fn assert_updated_in_time(&self, discovery: &Discovery, from: Instant) {
         let told = discovery
-            .called(Manner::Well)
+            .called(ResponseMode::Normal)
             .saturating_duration_since(from);
         assert!(
-            told < TOLD,
+            told < MAX_DELAY,
             "{}: the call came {told:?} after discovery's return",
             self.name
         );
         let until = Instant::now() + SOON;
         let asked = (0..).find_map(|i| {
-            self.dispatcher.served(&format!("w{i}"));
+            self.dispatcher.assert_served(&format!("w{i}"));
             assert!(
                 Instant::now() < until,
                 "{}: the new host is not asked",
@@ -250,7 +250,7 @@
         );
         while self.old.try_recv().is_ok() {}
         for i in 0..5 {
-            self.dispatcher.served(&format!("x{i}"));
+            self.dispatcher.assert_served(&format!("x{i}"));
             self.new.recv_timeout(SOON).expect("the new host is asked");
         }
         assert!(
@@ -260,7 +260,7 @@
         );
     }
 
-    /// Lines on discovery that name its address.
+    /// Counts the log lines that name discovery's address.
     fn lines_on_discovery(&self) -> usize {
         let place = format!("discovery at {}", self.discovery.at);
         self.logs
@@ -276,9 +276,9 @@
 fn refused_for_three_seconds() {
     let case = Case::start("told-refused");
     thread::sleep(Duration::from_secs(3));
-    let from = case.discovery.set(Manner::Well);
+    let from = case.discovery.set(ResponseMode::Normal);
     case.discovery.open();
-    case.assert_told(&case.discovery, from);
+    case.assert_updated_in_time(&case.discovery, from);
     let lines = case.lines_on_discovery();
     assert!((1..=3).contains(&lines), "{lines} lines on what is refused");
 }
@@ -287,51 +287,51 @@
 fn answered_500_with_a_long_retry_after() {
     let case = Case::start("told-500");
     case.fail_for_three_seconds();
-    let from = case.discovery.set(Manner::Well);
-    case.assert_told(&case.discovery, from);
+    let from = case.discovery.set(ResponseMode::Normal);
+    case.assert_updated_in_time(&case.discovery, from);
     let lines = case.lines_on_discovery();
     assert!((1..=3).contains(&lines), "{lines} lines on one cause");
 }
 
-/// The back-off is at its longest, a call of this manner has just come, and then discovery is well for the next.
-fn after(name: &'static str, manner: Manner) {
+/// Discovery recovers just after a call in this mode, while the dispatcher's backoff is at its maximum.
+fn recovers_after(name: &'static str, mode: ResponseMode) {
     let case = Case::start(name);
     case.fail_for_three_seconds();
-    case.discovery.set(manner);
-    case.discovery.called(manner);
-    let from = case.discovery.set(Manner::Well);
-    case.assert_told(&case.discovery, from);
+    case.discovery.set(mode);
+    case.discovery.called(mode);
+    let from = case.discovery.set(ResponseMode::Normal);
+    case.assert_updated_in_time(&case.discovery, from);
 }
 
 #[test]
 fn accepted_and_never_answered() {
-    after("told-silent", Manner::Silent);
+    recovers_after("told-silent", ResponseMode::Silent);
 }
 
 #[test]
 fn half_a_line_and_then_silence() {
-    after("told-half", Manner::HalfLine);
+    recovers_after("told-half", ResponseMode::HalfLine);
 }
 
 #[test]
 fn a_line_that_trickles_on_without_end() {
-    after("told-trickle", Manner::Trickle);
+    recovers_after("told-trickle", ResponseMode::Trickle);
 }
 
-/// Discovery moves during a fault, and the file that says so stays half written for two seconds.
-fn moved_during(name: &'static str, manner: Manner) {
+/// Discovery moves to another address during a fault, and the new configuration file stays half written for two seconds.
+fn moved_during(name: &'static str, mode: ResponseMode) {
     let case = Case::start(name);
-    case.discovery.set(manner);
+    case.discovery.set(mode);
     case.discovery.open();
-    case.discovery.called(manner);
-    let news = case
+    case.discovery.called(mode);
+    let list_line = case
         .discovery
         .script
         .lock()
         .expect("no other has failed")
         .1
         .clone();
-    let moved = Discovery::shut(news);
+    let moved = Discovery::shut(list_line);
     moved.open();
     let (file, text) = (&case.dispatcher.file, &case.dispatcher.text);
     let text = text.replace(&case.discovery.at.to_string(), &moved.at.to_string());
@@ -340,20 +340,20 @@
     thread::sleep(Duration::from_secs(2));
     let from = Instant::now();
     std::fs::write(file, &text).expect("the whole file");
-    case.assert_told(&moved, from);
+    case.assert_updated_in_time(&moved, from);
 }
 
 #[test]
 fn moved_while_silent() {
-    moved_during("told-moved-silent", Manner::Silent);
+    moved_during("told-moved-silent", ResponseMode::Silent);
 }
 
 #[test]
 fn moved_while_half_a_line_hangs() {
-    moved_during("told-moved-half", Manner::HalfLine);
+    moved_during("told-moved-half", ResponseMode::HalfLine);
 }
 
 #[test]
 fn moved_while_answered_500() {
-    moved_during("told-moved-500", Manner::Error500);
+    moved_during("told-moved-500", ResponseMode::Error500);
 }
