--- a/programs/dispatch/tests/common/bench.rs
+++ b/programs/dispatch/tests/common/bench.rs
@@ -65,7 +65,7 @@
     }
 
     /// Sends a request on a new connection.
-    pub fn ask(&self, id: &str) -> TcpStream {
+    pub fn send_request(&self, id: &str) -> TcpStream {
         let mut client = self.dispatcher.connect();
         client.write_all(request(id, "").as_bytes()).expect("asked");
         client
--- a/programs/dispatch/tests/common/gated.rs
+++ b/programs/dispatch/tests/common/gated.rs
@@ -33,7 +33,7 @@
 /// An event at a server, for the request with this id.
 #[derive(Clone, Debug)]
 pub struct RecordedEvent {
-    pub what: EventKind,
+    pub kind: EventKind,
     pub id: String,
     pub server: usize,
     pub at: Instant,
@@ -72,7 +72,7 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let servers = servers.clone();
-                thread::spawn(move || servers.connection(stream, number, is_prefill));
+                thread::spawn(move || servers.serve_connection(stream, number, is_prefill));
             }
         });
     }
@@ -81,18 +81,18 @@
         self.state.0.lock().expect("the book")
     }
 
-    fn record(&self, what: EventKind, id: &str, server: usize) {
-        let events = RecordedEvent {
-            what,
+    fn record(&self, kind: EventKind, id: &str, server: usize) {
+        let event = RecordedEvent {
+            kind,
             id: id.to_string(),
             server,
             at: Instant::now(),
         };
-        self.lock().events.push(events);
+        self.lock().events.push(event);
         self.state.1.notify_all();
     }
 
-    fn connection(&self, stream: TcpStream, server: usize, is_prefill: bool) -> Option<()> {
+    fn serve_connection(&self, stream: TcpStream, server: usize, is_prefill: bool) -> Option<()> {
         let mut to = stream.try_clone().ok()?;
         self.lock()
             .connections
@@ -198,11 +198,11 @@
     }
 
     /// Time of the first event of this kind for a request.
-    pub fn first(&self, what: EventKind, id: &str) -> Option<Instant> {
+    pub fn first_time(&self, kind: EventKind, id: &str) -> Option<Instant> {
         self.lock()
             .events
             .iter()
-            .find(|s| s.what == what && s.id == id)
+            .find(|s| s.kind == kind && s.id == id)
             .map(|s| s.at)
     }
 
@@ -210,29 +210,29 @@
         self.lock().hold_probes = hold;
     }
 
-    pub fn count(&self, what: EventKind, id: &str) -> usize {
+    pub fn count(&self, kind: EventKind, id: &str) -> usize {
         self.lock()
             .events
             .iter()
-            .filter(|s| s.what == what && s.id == id)
+            .filter(|s| s.kind == kind && s.id == id)
             .count()
     }
 
     /// Waits until this many events of a kind have been recorded for a request.
-    pub fn wait(&self, what: EventKind, id: &str, many: usize) {
+    pub fn wait(&self, kind: EventKind, id: &str, many: usize) {
         let deadline = Instant::now() + SOON;
         let mut state = self.lock();
         while state
             .events
             .iter()
-            .filter(|s| s.what == what && s.id == id)
+            .filter(|s| s.kind == kind && s.id == id)
             .count()
             < many
         {
             let left = deadline.saturating_duration_since(Instant::now());
             assert!(
                 !left.is_zero(),
-                "{many} of {what:?} for '{id}' in time: {:?}",
+                "{many} of {kind:?} for '{id}' in time: {:?}",
                 state.events
             );
             state = self.state.1.wait_timeout(state, left).expect("the book").0;
@@ -244,7 +244,7 @@
         self.lock()
             .events
             .iter()
-            .filter(|s| s.what == EventKind::Post && s.id == id)
+            .filter(|s| s.kind == EventKind::Post && s.id == id)
             .map(|s| s.server)
             .collect()
     }
@@ -254,7 +254,7 @@
         self.lock()
             .events
             .iter()
-            .filter(|s| s.what == EventKind::Post)
+            .filter(|s| s.kind == EventKind::Post)
             .map(|s| s.id.clone())
             .collect()
     }
--- a/programs/dispatch/tests/crossing.rs
+++ b/programs/dispatch/tests/crossing.rs
@@ -34,7 +34,7 @@
     for round in 0..5 {
         let id = format!("round-{round}");
         std::thread::sleep(REUSE_DELAY);
-        let mut client = harness.ask(&id);
+        let mut client = harness.send_request(&id);
         harness.servers.wait(EventKind::Post, &id, 1);
         harness.pause();
         harness.servers.respond(&id, PREFILL_RESPONSE);
@@ -88,7 +88,7 @@
         let harness = Harness::start(&format!("crossing-time-out-{name}"), 1, &changes);
         // Only one request: the dispatcher would avoid a server that responded so late.
         let id = "time-out";
-        let mut client = harness.ask(id);
+        let mut client = harness.send_request(id);
         harness.servers.wait(EventKind::Post, id, 1);
         harness.pause();
         std::thread::sleep(Duration::from_millis(1500));
@@ -119,7 +119,7 @@
     std::thread::sleep(Duration::from_millis(200));
     harness.pause();
     let clients: Vec<TcpStream> = (0..150)
-        .map(|i| harness.ask(&format!("{IMMEDIATE_PREFIX}queue-{i}")))
+        .map(|i| harness.send_request(&format!("{IMMEDIATE_PREFIX}queue-{i}")))
         .collect();
     std::thread::sleep(Duration::from_millis(500));
     harness.resume();
@@ -268,7 +268,7 @@
 #[test]
 fn simultaneous_reload_and_stop_signals_are_both_handled() {
     let mut harness = Harness::start("crossing-signals", 1, &[LONG_LATENCY_OBJECTIVE]);
-    let mut client = harness.ask("signals");
+    let mut client = harness.send_request("signals");
     harness.servers.wait(EventKind::Post, "signals", 1);
     let (new, calls) = discovery();
     harness.pause();
@@ -321,7 +321,7 @@
             2,
             &[LONG_LATENCY_OBJECTIVE, class],
         );
-        let mut client = harness.ask(name);
+        let mut client = harness.send_request(name);
         harness.servers.wait(EventKind::Post, name, 1);
         if at_decode {
             harness.servers.respond(name, PREFILL_RESPONSE);
@@ -374,7 +374,7 @@
         &[patient, LONG_LATENCY_OBJECTIVE],
     );
     let since = Instant::now();
-    let client = harness.ask("late");
+    let client = harness.send_request("late");
     std::thread::sleep(Duration::from_millis(500));
     drop(fill);
     // The dispatcher's connection is established when the system repeats the SYN; the others have been closed.
@@ -414,7 +414,7 @@
 
 /// Connects a client that has been served once and has sent half the head of its next request.
 fn client_with_half_request(harness: &Harness, number: usize) -> TcpStream {
-    let mut client = harness.ask(&format!("{IMMEDIATE_PREFIX}before-{number}"));
+    let mut client = harness.send_request(&format!("{IMMEDIATE_PREFIX}before-{number}"));
     read_response(&mut client);
     client
         .write_all(b"POST /v1/chat/completions HTTP/1.1\r\n")
@@ -438,7 +438,7 @@
     let head = "Req-Id: now-oldest\r\nReq-Kind: ask\r\nReq-Key: 1\r\nReq-Deadline-Ms: 20000";
     let request = format!("{head}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     oldest.write_all(request.as_bytes()).expect("the rest");
-    let mut newcomer = harness.ask("now-newcomer");
+    let mut newcomer = harness.send_request("now-newcomer");
     harness.resume();
     assert!(
         read_response(&mut newcomer).starts_with("HTTP/1.1 200"),
--- a/programs/dispatch/tests/gone.rs
+++ b/programs/dispatch/tests/gone.rs
@@ -123,7 +123,7 @@
     let harness = Harness::start("gone-between", 1, &[LONG_LATENCY_OBJECTIVE]);
     for (i, departure) in DEPARTURES.into_iter().enumerate() {
         let id = format!("between-{i}");
-        let client = harness.ask(&id);
+        let client = harness.send_request(&id);
         harness.servers.wait(EventKind::Post, &id, 1);
         harness.pause();
         harness.servers.respond(&id, PREFILL_RESPONSE);
@@ -154,7 +154,7 @@
     for (i, departure) in DEPARTURES.into_iter().enumerate() {
         for (answer, name) in [(DECLINED, "declined"), (FAILED, "failed")] {
             let id = format!("second-{i}-{name}");
-            let client = harness.ask(&id);
+            let client = harness.send_request(&id);
             harness.servers.wait(EventKind::Post, &id, 1);
             harness.pause();
             harness.servers.respond(&id, answer);
@@ -169,7 +169,7 @@
             drop(kept);
         }
         let id = format!("writer-{i}");
-        let client = harness.ask(&id);
+        let client = harness.send_request(&id);
         harness.servers.wait(EventKind::Post, &id, 1);
         harness.servers.respond(&id, PREFILL_RESPONSE);
         harness.servers.wait(EventKind::Post, &id, 2);
@@ -218,7 +218,7 @@
 #[test]
 fn disconnected_while_it_is_not_read() {
     let harness = Harness::start("gone-paused", 1, &[LONG_LATENCY_OBJECTIVE]);
-    let mut client = harness.ask("paused");
+    let mut client = harness.send_request("paused");
     harness.servers.wait(EventKind::Post, "paused", 1);
     client
         .set_write_timeout(Some(Duration::from_millis(500)))
@@ -243,7 +243,7 @@
     for departure in [Departure::Close, Departure::Reset, Departure::HalfClose] {
         harness.pause();
         let clients = (0..100)
-            .map(|i| harness.ask(&format!("crowd-{i}")))
+            .map(|i| harness.send_request(&format!("crowd-{i}")))
             .collect();
         let kept = departure.disconnect_all(&harness, clients);
         harness.resume();
@@ -290,7 +290,7 @@
         harness.servers.hold_probes(true);
         let id = format!("probes-{i}");
         let probes = harness.servers.count(EventKind::Probe, "");
-        let client = harness.ask(&id);
+        let client = harness.send_request(&id);
         // The dispatcher sends probes for the request, or sends it at once if earlier probe results are fresh enough.
         let until = Instant::now() + SOON;
         while harness.servers.count(EventKind::Probe, "") == probes
@@ -351,7 +351,7 @@
             LONG_LATENCY_OBJECTIVE,
         ];
         let harness = Harness::with(&format!("gone-up-{cancel}"), servers, &targets, &changes);
-        let client = harness.ask("up");
+        let client = harness.send_request("up");
         let wait = |many: usize| {
             let until = Instant::now() + Duration::from_secs(10);
             while connecting_sockets(to) != many {
--- a/programs/dispatch/tests/held.rs
+++ b/programs/dispatch/tests/held.rs
@@ -120,7 +120,7 @@
     )
 }
 
-fn ask(harness: &Harness, id: &str) -> TcpStream {
+fn send_request(harness: &Harness, id: &str) -> TcpStream {
     use std::io::Write;
     let mut client = harness.dispatcher.connect();
     client
@@ -137,7 +137,7 @@
     limit: Duration,
 ) -> Option<String> {
     let until = since + limit + SLACK;
-    let released = servers.first(EventKind::Delete, id)?;
+    let released = servers.first_time(EventKind::Delete, id)?;
     let over = released.saturating_duration_since(until);
     (!over.is_zero()).then(|| format!("{id} {:.2} s", released.duration_since(since).as_secs_f64()))
 }
@@ -161,7 +161,7 @@
     let ids: Vec<String> = (0..REQUESTS)
         .map(|i| format!("{IMMEDIATE_PREFIX}{}-{i}", case.name))
         .collect();
-    let mut clients: Vec<TcpStream> = ids.iter().map(|id| ask(&harness, id)).collect();
+    let mut clients: Vec<TcpStream> = ids.iter().map(|id| send_request(&harness, id)).collect();
     let read: Vec<&String> = ids
         .iter()
         .filter(|id| prefill_in_time(&harness.servers, id))
@@ -174,7 +174,7 @@
     let judged = read.into_iter().filter_map(|id| {
         let since = harness
             .servers
-            .first(EventKind::Responded, id)
+            .first_time(EventKind::Responded, id)
             .expect("it was read");
         harness.servers.wait(EventKind::Delete, id, 1);
         overdue_release(&harness.servers, id, since, limit)
@@ -185,7 +185,7 @@
 /// Waits up to a second for the prefill of a request. With few free descriptors some requests are rejected before it.
 fn prefill_in_time(servers: &ScriptedServers, id: &str) -> bool {
     let until = Instant::now() + Duration::from_secs(1);
-    while servers.first(EventKind::Responded, id).is_none() {
+    while servers.first_time(EventKind::Responded, id).is_none() {
         if Instant::now() >= until {
             return false;
         }
@@ -214,7 +214,7 @@
 #[test]
 fn kv_state_of_a_broken_prefill_is_released_when_the_retry_does_not_arrive() {
     let harness = Harness::start("held-broken", 2, &[LONG_LATENCY_OBJECTIVE]);
-    let _client = ask(&harness, "broken");
+    let _client = send_request(&harness, "broken");
     harness.servers.wait(EventKind::Post, "broken", 1);
     let at = harness.servers.request_servers("broken")[0];
     harness.servers.stop_responding(1 - at);
@@ -237,13 +237,13 @@
         std::io::Write::write_all(&mut client, other.as_bytes()).expect("asked");
         assert!(read_response(&mut client).starts_with("HTTP/1.1 200"));
     }
-    let _client = ask(&harness, "one");
+    let _client = send_request(&harness, "one");
     harness.servers.wait(EventKind::Post, "one", 1);
     harness.servers.respond("one", PREFILL_RESPONSE);
     harness.servers.wait(EventKind::Post, "one", 2);
     let since = harness
         .servers
-        .first(EventKind::Responded, "one")
+        .first_time(EventKind::Responded, "one")
         .expect("read");
     let asked = harness.servers.request_servers("one");
     let live = (PAIRS..2 * PAIRS)
--- a/programs/dispatch/tests/streams.rs
+++ b/programs/dispatch/tests/streams.rs
@@ -71,7 +71,7 @@
 /// Starts streams at both decode servers.
 fn begin(harness: &Harness) -> Vec<Reader> {
     let ids: Vec<String> = (0..STREAMS).map(|i| format!("stream-{i}")).collect();
-    let clients: Vec<TcpStream> = ids.iter().map(|id| harness.ask(id)).collect();
+    let clients: Vec<TcpStream> = ids.iter().map(|id| harness.send_request(id)).collect();
     for id in &ids {
         harness.servers.wait(EventKind::Post, id, 1);
         harness.servers.respond(id, PREFILL_RESPONSE);
