--- a/crates/net/src/guard.rs
+++ b/crates/net/src/guard.rs
@@ -71,7 +71,6 @@
     /// Checks a token and returns its caller.
     ///
     /// # Errors
-
     /// Why the token is rejected. While no key set is in force, every key is unknown.
     pub fn check_token(&self, token: &str) -> Result<Caller, TokenError> {
         let monotonic_s = self.monotonic_s();
@@ -90,7 +89,6 @@
     /// Returns the caller of a client certificate (DER) whose chain and signature the TLS handshake has verified.
     ///
     /// # Errors
-
     /// As for [`caller_from_certificate`]; also if the certificate is revoked.
     pub fn check_certificate(&self, der: &[u8]) -> Result<Caller, InvalidCertificate> {
         let caller = caller_from_certificate(der, self.credential_time_s())?;
