--- a/crates/cluster-net/src/durable_store.rs
+++ b/crates/cluster-net/src/durable_store.rs
@@ -51,7 +51,7 @@
 
 impl DurableStore {
     /// Keeps in a file, made where there is none; it is opened by the thread that uses it.
-    pub fn at(path: &Path) -> DurableStore {
+    pub fn new(path: &Path) -> DurableStore {
         let own = path.to_path_buf();
         let open = move || Builder::new().create(&own);
         DurableStore {
@@ -62,7 +62,7 @@
     }
 
     /// Keeps in storage of the caller's own, asked for at each opening.
-    pub fn over<B: StorageBackend>(
+    pub fn with_backend<B: StorageBackend>(
         mut storage: impl FnMut() -> B + Send + 'static,
     ) -> DurableStore {
         let open = move || Builder::new().create_with_backend(storage());
--- a/crates/cluster-net/src/error/tests.rs
+++ b/crates/cluster-net/src/error/tests.rs
@@ -10,47 +10,50 @@
     );
     let faults = || {
         SeedErrors(vec![
-            (address, SeedError::Shape),
-            (address, SeedError::Proof),
+            (address, SeedError::Malformed),
+            (address, SeedError::InvalidTag),
         ])
     };
     let peer = SocketAddr::V4(address);
     let all = [
         ClusterNetError::Secret {
             path: path.clone(),
-            why: io::ErrorKind::NotFound.into(),
+            error: io::ErrorKind::NotFound.into(),
         },
         ClusterNetError::Secret {
             path: path.clone(),
-            why: io(),
+            error: io(),
         },
         ClusterNetError::SecretSize {
             path: path.clone(),
             bytes: 1,
-            least: 16,
-            most: 4096,
+            min: 16,
+            max: 4096,
         },
         ClusterNetError::Roster(RosterError::Size(0)),
-        ClusterNetError::NoAddress,
-        ClusterNetError::Address {
-            what: EndpointKind::Datagrams,
+        ClusterNetError::NoOwnAddress,
+        ClusterNetError::Bind {
+            kind: EndpointKind::Datagrams,
             address,
-            why: io(),
+            error: io(),
         },
-        ClusterNetError::Start {
+        ClusterNetError::StartNumberFile {
             path: path.clone(),
-            why: io(),
+            error: io(),
         },
-        ClusterNetError::NoNumber { path },
+        ClusterNetError::InvalidStartNumber { path },
         ClusterNetError::Random(getrandom::Error::UNSUPPORTED),
         ClusterNetError::Thread(io()),
         ClusterNetError::Seeds(faults()),
-        ClusterNetError::KeptRoster {
+        ClusterNetError::StoredRoster {
             seeds: faults(),
-            kept: SeedError::OtherCluster("x".into()),
+            stored: SeedError::OtherCluster("x".into()),
+        },
+        ClusterNetError::Unreachable { peer, error: io() },
+        ClusterNetError::InvalidStatus {
+            peer,
+            error: json(),
         },
-        ClusterNetError::NoAnswer { peer, why: io() },
-        ClusterNetError::NoView { peer, why: json() },
     ];
     let advice: std::collections::BTreeSet<&str> =
         all.iter().map(ClusterNetError::advice).collect();
--- a/crates/cluster-net/src/runtime.rs
+++ b/crates/cluster-net/src/runtime.rs
@@ -67,13 +67,13 @@
 }
 
 pub(crate) fn read_secret(path: &Path) -> Result<Vec<u8>, ClusterNetError> {
-    let unread = |why| ClusterNetError::Secret {
+    let unread = |error| ClusterNetError::Secret {
         path: path.to_path_buf(),
-        why,
+        error,
     };
     let bytes = std::fs::metadata(path).map_err(unread)?.len();
     if !SECRET_BYTES.contains(&bytes) {
-        let (path, least, most) = (
+        let (path, min, max) = (
             path.to_path_buf(),
             *SECRET_BYTES.start(),
             *SECRET_BYTES.end(),
@@ -81,8 +81,8 @@
         return Err(ClusterNetError::SecretSize {
             path,
             bytes,
-            least,
-            most,
+            min,
+            max,
         });
     }
     std::fs::read(path).map_err(unread)
@@ -104,7 +104,7 @@
         let roster = Roster::new(name, &peers.collect::<Vec<_>>())?;
         let address = cluster
             .own_address(name)
-            .ok_or(ClusterNetError::NoAddress)?;
+            .ok_or(ClusterNetError::NoOwnAddress)?;
         let secret = Secret::new(&cluster.name, &read_secret(&base.join(&cluster.secret))?);
         Ok(Papers {
             roster,
@@ -139,9 +139,15 @@
             secret,
             address,
         } = Papers::read(cluster, name, base)?;
-        let bad = |what| move |why| ClusterNetError::Address { what, address, why };
-        let socket = UdpSocket::bind(address).map_err(bad(EndpointKind::Datagrams))?;
-        let listener = TcpListener::bind(address).map_err(bad(EndpointKind::Connections))?;
+        let bind_error = |kind| {
+            move |error| ClusterNetError::Bind {
+                kind,
+                address,
+                error,
+            }
+        };
+        let socket = UdpSocket::bind(address).map_err(bind_error(EndpointKind::Datagrams))?;
+        let listener = TcpListener::bind(address).map_err(bind_error(EndpointKind::Connections))?;
         // Only now: a start that finds its address taken must not count.
         let kept = cluster.incarnation_file.as_ref().map(|k| base.join(k));
         let process = start::number(kept.as_deref())?;
@@ -170,7 +176,9 @@
         thread("views")
             .spawn(move || status::serve(&listener, view, other, link))
             .map_err(no_thread)?;
-        let own_socket = socket.try_clone().map_err(bad(EndpointKind::Datagrams))?;
+        let own_socket = socket
+            .try_clone()
+            .map_err(bind_error(EndpointKind::Datagrams))?;
         let ground = ServiceContext {
             whole: Arc::clone(&whole),
             socket: own_socket,
@@ -242,7 +250,7 @@
     }
 
     /// Who this process is among the members, and all that there should be.
-    pub fn own(&self) -> (Process, BTreeSet<NameKey>) {
+    pub fn process_and_roster(&self) -> (Process, BTreeSet<NameKey>) {
         let whole = lock(&self.whole);
         let own = whole.membership().own();
         (
--- a/crates/cluster-net/src/seeds.rs
+++ b/crates/cluster-net/src/seeds.rs
@@ -53,9 +53,12 @@
 
 /// What an answer says, if its proof fits.
 fn read(cluster: &str, secret: &Secret, nonce: &str, answer: &str) -> Result<Vec<Peer>, SeedError> {
-    let (text, proof) = answer.trim_end().split_once('\n').ok_or(SeedError::Shape)?;
+    let (text, proof) = answer
+        .trim_end()
+        .split_once('\n')
+        .ok_or(SeedError::Malformed)?;
     if proof != hex(&secret.proof(nonce.as_bytes(), text.as_bytes())) {
-        return Err(SeedError::Proof);
+        return Err(SeedError::InvalidTag);
     }
     parse(cluster, text)
 }
@@ -130,7 +133,7 @@
             tracing::warn!(%seeds, "no seed tells the roster; the last one told counts");
             Ok((roster, "the last one told".to_string()))
         }
-        Some(Err(kept)) => Err(ClusterNetError::KeptRoster { seeds, kept }),
+        Some(Err(stored)) => Err(ClusterNetError::StoredRoster { seeds, stored }),
         None => Err(ClusterNetError::Seeds(seeds)),
     }
 }
--- a/crates/cluster-net/src/snapshot.rs
+++ b/crates/cluster-net/src/snapshot.rs
@@ -22,7 +22,7 @@
 }
 
 impl SnapshotStore {
-    pub fn at(path: PathBuf) -> SnapshotStore {
+    pub fn new(path: PathBuf) -> SnapshotStore {
         SnapshotStore { path, kept: vec![] }
     }
 
--- a/crates/cluster-net/src/snapshot/tests.rs
+++ b/crates/cluster-net/src/snapshot/tests.rs
@@ -4,7 +4,7 @@
 fn what_is_put_is_read_back_whole_or_refused() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("kept");
-    let mut store = SnapshotStore::at(path.clone());
+    let mut store = SnapshotStore::new(path.clone());
     assert_eq!(store.load(), Ok(vec![]));
     let put = |name: &[u8], bytes: Option<&[u8]>| (name.to_vec(), bytes.map(<[u8]>::to_vec));
     store
@@ -18,13 +18,13 @@
         ])
         .unwrap();
     let expected: StoredEntries = vec![(b"b".to_vec(), vec![]), (b"a".to_vec(), b"two".to_vec())];
-    assert_eq!(SnapshotStore::at(path.clone()).load(), Ok(expected));
+    assert_eq!(SnapshotStore::new(path.clone()).load(), Ok(expected));
     let whole = std::fs::read(&path).unwrap();
     for length in 0..whole.len() {
         std::fs::write(&path, &whole[..length]).unwrap();
         assert!(
             matches!(
-                SnapshotStore::at(path.clone()).load(),
+                SnapshotStore::new(path.clone()).load(),
                 Err(StorageError::Io(_))
             ),
             "{length}"
@@ -34,12 +34,12 @@
         let mut torn = whole.clone();
         torn[at] ^= 4;
         std::fs::write(&path, &torn).unwrap();
-        assert!(SnapshotStore::at(path.clone()).load().is_err(), "{at}");
+        assert!(SnapshotStore::new(path.clone()).load().is_err(), "{at}");
     }
     // A broken one is replaced.
     store.put(vec![]).unwrap();
-    assert!(SnapshotStore::at(path.clone()).load().is_ok());
-    assert!(SnapshotStore::at(dir.path().join("no/folder"))
+    assert!(SnapshotStore::new(path.clone()).load().is_ok());
+    assert!(SnapshotStore::new(dir.path().join("no/folder"))
         .put(vec![])
         .is_err());
 }
--- a/crates/cluster-net/src/start.rs
+++ b/crates/cluster-net/src/start.rs
@@ -21,11 +21,11 @@
         .unwrap_or_default()
         .as_millis() as u64;
     let Some(path) = kept else { return Ok(unix) };
-    let bad = |why| ClusterNetError::Start {
+    let bad = |error| ClusterNetError::StartNumberFile {
         path: path.to_path_buf(),
-        why,
+        error,
     };
-    let no_number = || ClusterNetError::NoNumber {
+    let no_number = || ClusterNetError::InvalidStartNumber {
         path: path.to_path_buf(),
     };
     let last = match std::fs::metadata(path) {
--- a/crates/cluster-net/src/start/tests.rs
+++ b/crates/cluster-net/src/start/tests.rs
@@ -19,6 +19,8 @@
     raise(&path, ahead + 9).expect("kept");
     assert_eq!(number(Some(&path)).ok(), Some(ahead + 10));
     std::fs::write(&path, "x7").expect("a file");
-    assert!(number(Some(&path)).is_err_and(|e| matches!(e, ClusterNetError::NoNumber { .. })));
+    assert!(
+        number(Some(&path)).is_err_and(|e| matches!(e, ClusterNetError::InvalidStartNumber { .. }))
+    );
     std::fs::remove_dir_all(&dir).expect("removed");
 }
--- a/crates/cluster-net/src/status.rs
+++ b/crates/cluster-net/src/status.rs
@@ -158,7 +158,7 @@
 /// # Errors
 /// Where it cannot be reached within the time, or what it tells cannot be read.
 pub fn fetch_status(peer: SocketAddr, within: Duration) -> Result<ClusterStatus, ClusterNetError> {
-    let text =
-        put(peer, QUESTION, within).map_err(|why| ClusterNetError::NoAnswer { peer, why })?;
-    serde_json::from_str(&text).map_err(|why| ClusterNetError::NoView { peer, why })
+    let text = put(peer, QUESTION, within)
+        .map_err(|error| ClusterNetError::Unreachable { peer, error })?;
+    serde_json::from_str(&text).map_err(|error| ClusterNetError::InvalidStatus { peer, error })
 }
--- a/crates/cluster-net/tests/durable_store.rs
+++ b/crates/cluster-net/tests/durable_store.rs
@@ -24,7 +24,7 @@
 fn what_was_put_survives_a_reopening_and_what_was_removed_does_not() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("copies.redb");
-    let mut kept = DurableStore::at(&path);
+    let mut kept = DurableStore::new(&path);
     assert_eq!(kept.load(), Ok(vec![]));
     let batch: Batch = vec![some("a", b"1"), some("b", &[7; 50_000]), some("c", b"")];
     kept.put(batch).expect("kept");
@@ -32,10 +32,10 @@
         .expect("kept");
     let whole = vec![(b"a".to_vec(), b"2".to_vec()), (b"c".to_vec(), vec![])];
     assert_eq!(kept.load(), Ok(whole.clone()));
-    let other = words(DurableStore::at(&path).load().expect_err("open already"));
+    let other = words(DurableStore::new(&path).load().expect_err("open already"));
     assert!(other.contains("another process"), "{other}");
     drop(kept);
-    assert_eq!(DurableStore::at(&path).load(), Ok(whole));
+    assert_eq!(DurableStore::new(&path).load(), Ok(whole));
 }
 
 #[test]
@@ -43,7 +43,7 @@
     let dir = tempfile::tempdir().expect("a folder");
     let at = |name: &str| dir.path().join(name);
     let good = at("good.redb");
-    let mut kept = DurableStore::at(&good);
+    let mut kept = DurableStore::new(&good);
     let batch = (0..200u32)
         .map(|i| some(&format!("name-{i}"), &[i as u8; 300]))
         .collect();
@@ -56,7 +56,7 @@
         let torn = at(&format!("torn-{part}"));
         fs::write(&torn, &bytes[..bytes.len() * part / 16]).expect("a file");
         // Whole it may be, as the end of the file is room; another content it never is.
-        match DurableStore::at(&torn).load() {
+        match DurableStore::new(&torn).load() {
             Ok(kept) => assert_eq!(kept, found, "{part}/16 of it"),
             Err(e) => {
                 refused += 1;
@@ -71,7 +71,7 @@
         let mut other = bytes.clone();
         other[i] ^= 0x10;
         fs::write(&flipped, other).expect("a file");
-        match DurableStore::at(&flipped).load() {
+        match DurableStore::new(&flipped).load() {
             Ok(kept) => assert_eq!(kept, found, "byte {i}"),
             Err(_) => noticed += 1,
         }
@@ -83,7 +83,7 @@
     )
     .expect("a file");
     assert!(
-        words(DurableStore::at(&at("text")).load().expect_err("foreign")).contains("move it away")
+        words(DurableStore::new(&at("text")).load().expect_err("foreign")).contains("move it away")
     );
     let make = |name: &str, table: redb::TableDefinition<'_, &str, u64>| {
         let db = redb::Database::create(at(name)).expect("a database");
@@ -97,14 +97,14 @@
     };
     make("foreign", redb::TableDefinition::new("others"));
     assert!(words(
-        DurableStore::at(&at("foreign"))
+        DurableStore::new(&at("foreign"))
             .load()
             .expect_err("foreign")
     )
     .contains("something else"));
     make("later", redb::TableDefinition::new("about"));
     assert!(
-        words(DurableStore::at(&at("later")).load().expect_err("later")).contains("of version 9")
+        words(DurableStore::new(&at("later")).load().expect_err("later")).contains("of version 9")
     );
 }
 
@@ -159,7 +159,7 @@
         room: Arc::new(AtomicU64::new(4 << 20)),
     };
     let own = disk.clone();
-    let mut kept = DurableStore::over(move || own.clone());
+    let mut kept = DurableStore::with_backend(move || own.clone());
     kept.put(vec![some("first", b"1")]).expect("kept");
     let big = |i: u32| {
         vec![
--- a/crates/cluster-net/tests/golden.rs
+++ b/crates/cluster-net/tests/golden.rs
@@ -250,13 +250,13 @@
 fn snapshot_as_found_is_read_and_written_in_the_same_bytes() {
     let dir = folder();
     let path = dir.path().join("lengths");
-    SnapshotStore::at(path.clone())
+    SnapshotStore::new(path.clone())
         .put(as_batch(small_store()))
         .expect("written");
     let golden = include_bytes!("golden/snapshot.bin");
     assert_eq!(hex(&std::fs::read(&path).expect("the file")), hex(golden));
     std::fs::write(&path, golden).expect("the fixture");
-    assert_eq!(SnapshotStore::at(path).load(), Ok(small_store()));
+    assert_eq!(SnapshotStore::new(path).load(), Ok(small_store()));
 }
 
 /// The store's file as found, without the runs of zeros that it mostly consists of: offset, length, bytes.
@@ -279,5 +279,5 @@
     unpack(include_bytes!("golden/store.bin"), &path);
     let mut expected = small_store();
     expected.sort();
-    assert_eq!(DurableStore::at(&path).load(), Ok(expected));
+    assert_eq!(DurableStore::new(&path).load(), Ok(expected));
 }
--- a/programs/dispatch/src/beside.rs
+++ b/programs/dispatch/src/beside.rs
@@ -77,7 +77,7 @@
     let Some(overload) = cluster.and_then(|c| c.overload.clone()) else {
         return Ok(());
     };
-    let (process, roster) = context.runtime.own();
+    let (process, roster) = context.runtime.process_and_roster();
     let objectives = context.settings.classes.iter().map(|c| c.ttft_objective_s);
     let min_objective_s = objectives.fold(f64::INFINITY, f64::min);
     let seed = getrandom::u64().map_err(|e| format!("no random numbers from the system: {e}"))?;
@@ -106,11 +106,11 @@
     else {
         return Ok(());
     };
-    let service = OutputLengths::new(context.runtime.own().0, context.runtime.now());
+    let service = OutputLengths::new(context.runtime.process_and_roster().0, context.runtime.now());
     let snapshots = settings
         .snapshot_file
         .as_ref()
-        .map(|file| SnapshotStore::at(context.base.join(file)));
+        .map(|file| SnapshotStore::new(context.base.join(file)));
     let store = snapshots.map(|store| -> Box<dyn Store> { Box::new(store) });
     // An answer's length is not counted if the service is too busy to accept it.
     beside.output_length = Some(context.add_service(service, store, Input::OutputLength)?);
@@ -131,7 +131,7 @@
         .records_dir
         .as_ref()
         .map(|dir| context.base.join(dir));
-    let (process, roster) = context.runtime.own();
+    let (process, roster) = context.runtime.process_and_roster();
     let seed = getrandom::u64().map_err(|e| format!("no random numbers from the system: {e}"))?;
     let service = Workflows::new(
         process,
@@ -141,7 +141,7 @@
         seed,
         context.runtime.now(),
     );
-    let store = records_dir.map(|path| -> Box<dyn Store> { Box::new(DurableStore::at(&path)) });
+    let store = records_dir.map(|path| -> Box<dyn Store> { Box::new(DurableStore::new(&path)) });
     // The core times out a request that the service does not answer.
     beside.workflow = Some(context.add_service(service, store, Input::Workflow)?);
     Ok(())
