--- a/crates/cluster-net/src/lib.rs
+++ b/crates/cluster-net/src/lib.rs
@@ -1,6 +1,6 @@
-//! The runtime between dispatchers: one socket for datagrams, one for TCP at the same address, a thread each.
+//! The network runtime between dispatchers: a UDP socket and a TCP listener at the same address, with one thread each.
 //!
-//! What is said and who is there is decided in `bitternlatch-membership`; here are sockets, the clock and files.
+//! The membership protocol is in `bitternlatch-membership`; this crate owns the sockets, the clock and the files.
 
 mod durable_store;
 mod error;
--- a/crates/cluster-net/src/routes.rs
+++ b/crates/cluster-net/src/routes.rs
@@ -1,4 +1,4 @@
-//! Who in this process hears what peers say on each topic.
+//! Routes messages from peers to the services of this process by topic.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -7,17 +7,17 @@
 use bitternlatch_net::lock;
 use bitternlatch_quota_lease::{Peers, Process};
 
-/// What a machine beside the runtime hears.
+/// A message for a service.
 #[derive(Clone, Debug)]
-pub(crate) enum Heard {
-    Said { from: Process, said: Vec<u8> },
-    Frame { from: Process, said: Vec<u8> },
+pub(crate) enum Incoming {
+    Datagram { from: Process, payload: Vec<u8> },
+    Frame { from: Process, payload: Vec<u8> },
     Peers(Peers),
 }
 
-type Route = Box<dyn Fn(Heard) + Send>;
+type Route = Box<dyn Fn(Incoming) + Send>;
 
-/// The machines of this process, by topic.
+/// The receivers of the services of this process, by topic.
 #[derive(Default)]
 pub(crate) struct Routes(Mutex<BTreeMap<Topic, Route>>);
 
@@ -26,16 +26,16 @@
         lock(&self.0).insert(topic, route);
     }
 
-    /// To one; where nobody listens on its topic it is dropped.
-    pub(crate) fn tell(&self, topic: Topic, heard: Heard) {
+    /// Passes a message to the service of its topic. A message of a topic without a service is dropped.
+    pub(crate) fn send(&self, topic: Topic, message: Incoming) {
         if let Some(route) = lock(&self.0).get(&topic) {
-            route(heard);
+            route(message);
         }
     }
 
-    pub(crate) fn tell_all(&self, peers: &Peers) {
+    pub(crate) fn send_peers_to_all(&self, peers: &Peers) {
         lock(&self.0)
             .values()
-            .for_each(|route| route(Heard::Peers(peers.clone())));
+            .for_each(|route| route(Incoming::Peers(peers.clone())));
     }
 }
--- a/crates/cluster-net/src/runtime.rs
+++ b/crates/cluster-net/src/runtime.rs
@@ -1,4 +1,4 @@
-//! The thread that hears and speaks datagrams, and wakes the member when it wants.
+//! The thread that receives and sends datagrams, and wakes the member when its timers are due.
 
 use std::collections::BTreeSet;
 use std::io::ErrorKind;
@@ -20,50 +20,52 @@
 
 use crate::error::{ClusterNetError, EndpointKind};
 use crate::links::Links;
-use crate::routes::{Heard, Routes};
+use crate::routes::{Incoming, Routes};
 use crate::seeds;
-use crate::service::{End, ServiceContext, ServiceHandle, Store};
+use crate::service::{ServiceContext, ServiceHandle, StopService, Store};
 use crate::start;
 use crate::status::{self, ClusterStatus};
 
-/// Longest wait for a datagram, so that a stop is seen.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// Bounds of the secret's file, bytes.
-const SECRET_BYTES: std::ops::RangeInclusive<u64> = 16..=4096;
+/// Maximum wait for a datagram, so that the thread notices a stop request.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Accepted size of the file with the cluster secret, bytes.
+const SECRET_FILE_BYTES: std::ops::RangeInclusive<u64> = 16..=4096;
 
-/// How often the standing is told again, and how long what was told counts: less than peers take to give one up.
-const TELL_EVERY: Duration = Duration::from_millis(200);
-const COUNTS_FOR: Duration = Duration::from_millis(900);
+/// Interval at which the dispatcher is notified of the quorum state again.
+const QUORUM_NOTIFY_INTERVAL: Duration = Duration::from_millis(200);
+/// How long a notification of the quorum state is valid: less than peers take to declare a member down.
+const QUORUM_VALID_FOR: Duration = Duration::from_millis(900);
 
-/// What the dispatcher is told.
+/// An event that the runtime passes to the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClusterEvent {
-    /// Of standing, parts and hosts: one that is not taken in time is followed by another.
+    /// A quorum state, a quota lease or reports on servers. A lost quorum state or report is followed by a newer one.
     Input(Input),
-    /// Another process under this name started later.
+    /// Another process with the same member name started later, so this one must stop.
     Fenced,
 }
 
-/// One dispatcher's part in the cluster, running.
+/// The running cluster membership of one dispatcher.
 pub struct ClusterRuntime {
-    whole: Arc<Mutex<ClusterMember>>,
+    cluster_member: Arc<Mutex<ClusterMember>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
-    ground: ServiceContext,
-    /// Machines beside it.
-    beside: Vec<End>,
+    service_context: ServiceContext,
+    /// Stops the services, one function each.
+    service_stops: Vec<StopService>,
 }
 
 struct Loop {
     socket: UdpSocket,
     clock: Clock,
-    whole: Arc<Mutex<ClusterMember>>,
+    cluster_member: Arc<Mutex<ClusterMember>>,
     stop: Arc<AtomicBool>,
     routes: Arc<Routes>,
     name: String,
-    /// The number of this start, and where the latest is kept.
-    run: u64,
-    kept: Option<PathBuf>,
+    /// The start number of this process.
+    start_number: u64,
+    /// The file that stores the latest start number, if any.
+    start_number_path: Option<PathBuf>,
 }
 
 pub(crate) fn read_secret(path: &Path) -> Result<Vec<u8>, ClusterNetError> {
@@ -72,11 +74,11 @@
         error,
     };
     let bytes = std::fs::metadata(path).map_err(unread)?.len();
-    if !SECRET_BYTES.contains(&bytes) {
+    if !SECRET_FILE_BYTES.contains(&bytes) {
         let (path, min, max) = (
             path.to_path_buf(),
-            *SECRET_BYTES.start(),
-            *SECRET_BYTES.end(),
+            *SECRET_FILE_BYTES.start(),
+            *SECRET_FILE_BYTES.end(),
         );
         return Err(ClusterNetError::SecretSize {
             path,
@@ -88,25 +90,25 @@
     std::fs::read(path).map_err(unread)
 }
 
-/// What a member needs of its settings and files.
-struct Papers {
+/// The configuration of a member, from the settings and the secret file.
+struct MemberConfig {
     roster: Roster,
     secret: Secret,
     address: SocketAddrV4,
 }
 
-impl Papers {
-    fn read(cluster: &Cluster, name: &str, base: &Path) -> Result<Papers, ClusterNetError> {
-        let peers = cluster.roster.iter().map(|p| Peer {
-            name: p.name.clone(),
-            address: p.address,
+impl MemberConfig {
+    fn read(cluster: &Cluster, name: &str, base: &Path) -> Result<MemberConfig, ClusterNetError> {
+        let peers = cluster.roster.iter().map(|peer| Peer {
+            name: peer.name.clone(),
+            address: peer.address,
         });
         let roster = Roster::new(name, &peers.collect::<Vec<_>>())?;
         let address = cluster
             .own_address(name)
             .ok_or(ClusterNetError::NoOwnAddress)?;
         let secret = Secret::new(&cluster.name, &read_secret(&base.join(&cluster.secret))?);
-        Ok(Papers {
+        Ok(MemberConfig {
             roster,
             secret,
             address,
@@ -115,30 +117,30 @@
 }
 
 impl ClusterRuntime {
-    /// Whether [`ClusterRuntime::join`] could use these settings and the secret's file.
+    /// Checks that [`ClusterRuntime::join`] could use these settings and the secret file.
     ///
     /// # Errors
-    /// Where not, and why.
+    /// If the secret, the roster or the own address cannot be used.
     pub fn check(cluster: &Cluster, name: &str, base: &Path) -> Result<(), ClusterNetError> {
-        Papers::read(cluster, name, base).map(|_| ())
+        MemberConfig::read(cluster, name, base).map(|_| ())
     }
 
-    /// Joins the cluster; paths are relative to `base`. `told` is called from the runtime's thread, with the
-    /// standing several times a second.
+    /// Joins the cluster. Paths in the settings are relative to `base`. `on_event` is called from the runtime's thread,
+    /// with the quorum state several times a second.
     ///
     /// # Errors
-    /// Where the secret, the kept start, the roster or an address cannot be used.
+    /// If the secret, the stored start number, the roster or an address cannot be used.
     pub fn join(
         cluster: &Cluster,
         name: &str,
         base: &Path,
-        mut told: impl FnMut(ClusterEvent) + Send + 'static,
+        mut on_event: impl FnMut(ClusterEvent) + Send + 'static,
     ) -> Result<ClusterRuntime, ClusterNetError> {
-        let Papers {
+        let MemberConfig {
             roster,
             secret,
             address,
-        } = Papers::read(cluster, name, base)?;
+        } = MemberConfig::read(cluster, name, base)?;
         let bind_error = |kind| {
             move |error| ClusterNetError::Bind {
                 kind,
@@ -148,9 +150,12 @@
         };
         let socket = UdpSocket::bind(address).map_err(bind_error(EndpointKind::Datagrams))?;
         let listener = TcpListener::bind(address).map_err(bind_error(EndpointKind::Connections))?;
-        // Only now: a start that finds its address taken must not count.
-        let kept = cluster.incarnation_file.as_ref().map(|k| base.join(k));
-        let process = start::number(kept.as_deref())?;
+        // The start number is advanced only after both binds: a process that finds the address in use must not advance it.
+        let start_number_path = cluster
+            .incarnation_file
+            .as_ref()
+            .map(|file| base.join(file));
+        let process = start::number(start_number_path.as_deref())?;
         let seed = getrandom::u64()?;
         let clock = Clock::start();
         let member = Membership::new(name, process, roster, secret.clone(), seed, now(&clock));
@@ -162,114 +167,122 @@
             member.addresses(),
             Arc::clone(&routes),
         ));
-        let whole = ClusterMember::new(member, seed.rotate_left(32), now(&clock));
-        let whole = Arc::new(Mutex::new(whole));
+        let cluster_member = ClusterMember::new(member, seed.rotate_left(32), now(&clock));
+        let cluster_member = Arc::new(Mutex::new(cluster_member));
         let thread = |what: &str| std::thread::Builder::new().name(what.into());
         let no_thread = ClusterNetError::Thread;
-        let (seen, cluster_name, own) =
-            (Arc::clone(&whole), cluster.name.clone(), name.to_string());
-        let view = move || ClusterStatus::of(&cluster_name, &own, &lock(&seen), now(&clock));
-        let (own_roster, proven) = (cluster.clone(), secret.clone());
-        let other = move |question: &str| seeds::answer(&own_roster, &proven, question);
-        let doors = Arc::clone(&links);
-        let link = move |reader| doors.accept(reader);
+        let (status_member, cluster_name, own_name) = (
+            Arc::clone(&cluster_member),
+            cluster.name.clone(),
+            name.to_string(),
+        );
+        let status =
+            move || ClusterStatus::of(&cluster_name, &own_name, &lock(&status_member), now(&clock));
+        let (roster_config, roster_secret) = (cluster.clone(), secret.clone());
+        let answer_roster =
+            move |request: &str| seeds::answer(&roster_config, &roster_secret, request);
+        let accepting_links = Arc::clone(&links);
+        let link = move |reader| accepting_links.accept(reader);
         thread("views")
-            .spawn(move || status::serve(&listener, view, other, link))
+            .spawn(move || status::serve(&listener, status, answer_roster, link))
             .map_err(no_thread)?;
         let own_socket = socket
             .try_clone()
             .map_err(bind_error(EndpointKind::Datagrams))?;
-        let ground = ServiceContext {
-            whole: Arc::clone(&whole),
+        let service_context = ServiceContext {
+            cluster_member: Arc::clone(&cluster_member),
             socket: own_socket,
             links,
             clock,
             routes: Arc::clone(&routes),
         };
         let stop = Arc::new(AtomicBool::new(false));
-        let ear = Arc::clone(&whole);
+        let runtime_member = Arc::clone(&cluster_member);
         let (ended, name) = (Arc::clone(&stop), name.to_string());
         let runtime = Loop {
             socket,
             clock,
-            whole,
+            cluster_member,
             stop: ended,
             routes,
             name,
-            run: process,
-            kept,
+            start_number: process,
+            start_number_path,
         };
-        let run = move || runtime.run(&mut told);
+        let run = move || runtime.run(&mut on_event);
         let thread = thread("peers").spawn(run).map_err(no_thread)?;
-        tracing::info!(cluster = cluster.name, %address, start = process, "in the cluster");
+        tracing::info!(cluster = cluster.name, %address, start = process, "joined the cluster");
         Ok(ClusterRuntime {
-            whole: ear,
+            cluster_member: runtime_member,
             stop,
             thread: Some(thread),
-            ground,
-            beside: vec![],
+            service_context,
+            service_stops: vec![],
         })
     }
 
-    /// Takes what the dispatcher sees of hosts, for its peers; from any thread.
+    /// Returns a function that sets the dispatcher's observations of servers, which are reported to peers. It may be called from
+    /// any thread.
     pub fn observation_sink(&self) -> impl Fn(Vec<ServerObservation>) + 'static {
-        let whole = Arc::clone(&self.whole);
-        move |seen| {
-            let dated = seen.into_iter().map(|observation| {
+        let cluster_member = Arc::clone(&self.cluster_member);
+        move |observations| {
+            let since_by_key = observations.into_iter().map(|observation| {
                 let key = ObservationKey {
                     server: observation.server,
                     condition: observation.condition,
                 };
                 (key, Duration::from_micros(observation.since.0))
             });
-            lock(&whole).quota_mut().set_observations(dated.collect());
+            lock(&cluster_member)
+                .quota_mut()
+                .set_observations(since_by_key.collect());
         }
     }
 
-    /// Runs a machine beside it, which hears its topic from now on; `told` is called from the machine's thread.
+    /// Starts a service, which receives the messages of its topic from now on. `on_event` is called from the service's thread.
     ///
     /// # Errors
-    /// Where there is no thread or socket for it.
+    /// If the service's thread cannot be started or its socket cannot be cloned.
     pub fn add_service<B>(
         &mut self,
-        machine: B,
+        service: B,
         store: Option<Box<dyn Store>>,
-        told: impl FnMut(B::Event) + Send + 'static,
+        on_event: impl FnMut(B::Event) + Send + 'static,
     ) -> Result<ServiceHandle<B::Request>, ClusterNetError>
     where
         B: ClusterService + Send + 'static,
         B::Request: Send + 'static,
         B::Event: 'static,
     {
-        let (handle, end) = self
-            .ground
-            .start(machine, store, told)
+        let (handle, stop) = self
+            .service_context
+            .start(service, store, on_event)
             .map_err(ClusterNetError::Thread)?;
-        self.beside.push(end);
+        self.service_stops.push(stop);
         Ok(handle)
     }
 
-    /// Who this process is among the members, and all that there should be.
+    /// The identity of this process, and the names of all members of the roster.
     pub fn process_and_roster(&self) -> (Process, BTreeSet<NameKey>) {
-        let whole = lock(&self.whole);
-        let own = whole.membership().own();
+        let cluster_member = lock(&self.cluster_member);
+        let own = cluster_member.membership().own();
         (
             Process {
                 name: own.name,
                 start: own.start.process,
             },
-            whole.membership().roster(),
+            cluster_member.membership().roster(),
         )
     }
 
-    /// The time by its clock, which machines beside it are stepped by.
+    /// The time by the runtime's clock, which is the time that services are stepped with.
     pub fn now(&self) -> Duration {
-        now(&self.ground.clock)
+        now(&self.service_context.clock)
     }
 
-    /// Ends the machines beside it, says farewell to the peers and ends.
+    /// Stops the services, notifies the peers that this member leaves, and ends the runtime.
     pub fn leave(mut self) {
-        self.beside.drain(..).for_each(|end| end());
+        self.service_stops.drain(..).for_each(|stop| stop());
         self.stop.store(true, Ordering::SeqCst);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -286,82 +299,85 @@
 }
 
 impl Loop {
-    fn run(&self, told: &mut dyn FnMut(ClusterEvent)) {
-        // One more than any datagram of ours, so that a longer one is seen to be longer.
+    fn run(&self, on_event: &mut dyn FnMut(ClusterEvent)) {
+        // One byte longer than the longest valid datagram, so that an overlong one is not truncated to a valid length.
         let mut buffer = [0u8; MAX_DATAGRAM + 1];
         let mut out = Vec::new();
-        let mut tell_at = Duration::ZERO;
-        let (mut told_part, mut said) = (QuotaLease::default(), QuotaLease::default());
+        let mut notify_at = Duration::ZERO;
+        let (mut notified_lease, mut logged_lease) = (QuotaLease::default(), QuotaLease::default());
         loop {
-            let wake_at = lock(&self.whole).wake_at();
-            let wait = wake_at.map_or(LOOK_EVERY, |at| {
-                at.saturating_sub(now(&self.clock)).min(LOOK_EVERY)
+            let wake_at = lock(&self.cluster_member).wake_at();
+            let wait = wake_at.map_or(STOP_POLL_INTERVAL, |at| {
+                at.saturating_sub(now(&self.clock)).min(STOP_POLL_INTERVAL)
             });
-            let heard = self.hear(wait, &mut buffer);
-            let mut whole = lock(&self.whole);
-            match heard {
+            let received = self.receive(wait, &mut buffer);
+            let mut cluster_member = lock(&self.cluster_member);
+            match received {
                 Some((SocketAddr::V4(from), n)) => {
-                    whole.handle_datagram(now(&self.clock), from, &buffer[..n], &mut out)
+                    cluster_member.handle_datagram(now(&self.clock), from, &buffer[..n], &mut out)
                 }
-                _ => whole.wake(now(&self.clock), &mut out),
+                _ => cluster_member.wake(now(&self.clock), &mut out),
             }
             let at = now(&self.clock);
-            let news = out
+            let quorum_changed = out
                 .iter()
                 .any(|o| matches!(o, Output::Member(Event::QuorumState(_))));
-            if news || at >= tell_at {
-                tell_at = at + TELL_EVERY;
-                let until = micros(at + COUNTS_FOR);
-                let (standing, there) = (
-                    whole.membership().quorum_state(),
-                    whole.membership().present_names(),
+            if quorum_changed || at >= notify_at {
+                notify_at = at + QUORUM_NOTIFY_INTERVAL;
+                let until = micros(at + QUORUM_VALID_FOR);
+                let (quorum, present) = (
+                    cluster_member.membership().quorum_state(),
+                    cluster_member.membership().present_names(),
                 );
-                told(ClusterEvent::Input(Input::QuorumState {
-                    state: standing,
-                    present: there,
+                on_event(ClusterEvent::Input(Input::QuorumState {
+                    state: quorum,
+                    present,
                     until,
                 }));
-                let (there, part) = (whole.membership().present(), whole.quota().lease());
-                self.routes.tell_all(&Peers {
-                    quorum: standing,
-                    present: there,
-                    valid_until: at + COUNTS_FOR,
-                    lease: part,
+                let (present, lease) = (
+                    cluster_member.membership().present(),
+                    cluster_member.quota().lease(),
+                );
+                self.routes.send_peers_to_all(&Peers {
+                    quorum,
+                    present,
+                    valid_until: at + QUORUM_VALID_FOR,
+                    lease,
                 });
             }
-            let part = whole.quota().lease();
-            if part != told_part {
-                told_part = part;
-                told(ClusterEvent::Input(Input::QuotaLease {
-                    leased: part.leased,
-                    until: micros(part.until),
+            let lease = cluster_member.quota().lease();
+            if lease != notified_lease {
+                notified_lease = lease;
+                on_event(ClusterEvent::Input(Input::QuotaLease {
+                    leased: lease.leased,
+                    until: micros(lease.until),
                 }));
             }
-            said = self.log_part(at, part, said);
+            logged_lease = self.log_lease(at, lease, logged_lease);
             let stop = self.stop.load(Ordering::SeqCst);
             if stop {
-                whole.leave(now(&self.clock), &mut out);
+                cluster_member.leave(now(&self.clock), &mut out);
             }
-            drop(whole);
-            self.carry(&mut out, told);
+            drop(cluster_member);
+            self.apply_outputs(&mut out, on_event);
             if stop {
                 return;
             }
         }
     }
 
-    fn hear(&self, wait: Duration, buffer: &mut [u8]) -> Option<(SocketAddr, usize)> {
+    fn receive(&self, wait: Duration, buffer: &mut [u8]) -> Option<(SocketAddr, usize)> {
         let began = Instant::now();
         let wait = wait.max(Duration::from_millis(1));
-        let heard = self
+        let received = self
             .socket
             .set_read_timeout(Some(wait))
             .and_then(|()| self.socket.recv_from(buffer));
-        match heard {
+        match received {
             Ok((n, from)) => Some((from, n)),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => None,
             Err(_) => {
-                // A peer's closed port comes back as an error at once; a broken socket must not spin.
+                // An ICMP error from a peer's closed port is returned at once; the sleep keeps a broken socket from a busy loop.
                 if began.elapsed() < Duration::from_millis(1) {
                     std::thread::sleep(Duration::from_millis(1));
                 }
@@ -370,79 +386,82 @@
         }
     }
 
-    fn carry(&self, out: &mut Vec<Output>, told: &mut dyn FnMut(ClusterEvent)) {
+    fn apply_outputs(&self, out: &mut Vec<Output>, on_event: &mut dyn FnMut(ClusterEvent)) {
         for output in out.drain(..) {
             match output {
-                // A datagram that cannot be sent is as good as lost, which the protocol bears.
+                // A datagram that cannot be sent counts as lost, which the protocol tolerates.
                 Output::Send(to, bytes) => drop(self.socket.send_to(&bytes, to)),
                 Output::Quota(Action::PeerReports { members, reports }) => {
-                    told(ClusterEvent::Input(Input::PeerReports {
+                    on_event(ClusterEvent::Input(Input::PeerReports {
                         sent_at: self.clock.now(),
                         reporters: members,
                         reports,
                     }))
                 }
-                Output::Quota(agreed) => self.log_agreed(&agreed),
+                Output::Quota(action) => self.log_quota_action(&action),
                 Output::Message {
                     topic,
                     from,
                     payload,
-                } => self.routes.tell(
-                    topic,
-                    Heard::Said {
-                        from,
-                        said: payload,
-                    },
-                ),
+                } => self
+                    .routes
+                    .send(topic, Incoming::Datagram { from, payload }),
                 Output::Member(event) => {
                     self.log(&event);
                     if let Event::Fenced(by) = event {
-                        self.keep_later(by.process);
-                        told(ClusterEvent::Fenced);
+                        self.store_later_start_number(by.process);
+                        on_event(ClusterEvent::Fenced);
                     }
                 }
             }
         }
     }
 
-    /// A line where what may be spent has changed, with the time until which the part before would have counted; renewals are none.
-    fn log_part(&self, at: Duration, part: QuotaLease, said: QuotaLease) -> QuotaLease {
-        let lent = if at < part.until { part.leased } else { 0.0 };
-        if lent != said.leased {
-            let before_until_us = micros(said.until).0;
+    /// Logs a change of the leased fraction, with the time at which the previous lease would have expired. Renewals are not
+    /// logged.
+    fn log_lease(&self, at: Duration, lease: QuotaLease, logged: QuotaLease) -> QuotaLease {
+        let leased = if at < lease.until { lease.leased } else { 0.0 };
+        if leased != logged.leased {
+            let before_until_us = micros(logged.until).0;
             tracing::info!(
                 me = self.name,
-                run = self.run,
+                run = self.start_number,
                 at_us = micros(at).0,
-                lent,
+                lent = leased,
                 before_until_us,
-                "its part of what all share"
+                "quota lease changed"
             );
         }
         QuotaLease {
-            leased: lent,
-            until: part.until,
+            leased,
+            until: lease.until,
         }
     }
 
-    fn keep_later(&self, later: u64) {
-        if let Some(Err(error)) = self.kept.as_ref().map(|path| start::raise(path, later)) {
-            tracing::warn!(%error, "the later start's number cannot be kept; a start with a clock set back may be taken for an earlier one");
+    fn store_later_start_number(&self, later: u64) {
+        if let Some(Err(error)) = self
+            .start_number_path
+            .as_ref()
+            .map(|path| start::raise(path, later))
+        {
+            tracing::warn!(%error, "cannot store the later start number; if the clock is set back, the next start may be taken for an earlier one");
         }
     }
 
-    fn log_agreed(&self, agreed: &Action) {
+    fn log_quota_action(&self, action: &Action) {
         let me = self.name.as_str();
-        match agreed {
+        match action {
             Action::Send { .. } | Action::PeerReports { .. } => {}
-            Action::Leader(true) => tracing::info!(me, "lends parts of what all share"),
-            Action::Leader(false) => tracing::info!(me, "lends parts no more"),
+            Action::Leader(true) => tracing::info!(me, "became leader; issues quota leases"),
+            Action::Leader(false) => {
+                tracing::info!(me, "no longer leader; stopped issuing quota leases")
+            }
             Action::RosterMismatch(name) => {
-                let peer = lock(&self.whole).membership().name_of(*name);
+                let peer = lock(&self.cluster_member).membership().name_of(*name);
                 tracing::warn!(
                     me,
                     peer,
-                    "was started with another roster; both spend carefully, apart from each other"
+                    "peer was started with another roster; it and this member exchange no votes and no quota leases"
                 )
             }
         }
@@ -452,18 +471,18 @@
         let (me, at_us) = (self.name.as_str(), self.clock.now().0);
         match event {
             Event::Member { name, state, start } => {
-                let named = lock(&self.whole).membership().name_of(*name);
-                tracing::info!(me, at_us, peer = named, state = ?state, start = start.process, "a member");
+                let peer_name = lock(&self.cluster_member).membership().name_of(*name);
+                tracing::info!(me, at_us, peer = peer_name, state = ?state, start = start.process, "member changed state");
             }
-            Event::QuorumState(standing) => {
-                tracing::warn!(me, at_us, standing = ?standing, "standing")
+            Event::QuorumState(quorum) => {
+                tracing::warn!(me, at_us, standing = ?quorum, "quorum state changed")
             }
-            Event::Paused(d) => {
+            Event::Paused(duration) => {
                 tracing::warn!(
                     me,
                     at_us,
-                    ms = d.as_millis() as u64,
-                    "stood still; doubts itself first"
+                    ms = duration.as_millis() as u64,
+                    "this process was paused; deadlines of probes and suspicions are extended"
                 )
             }
             Event::Rejoined(start) => {
@@ -471,14 +490,14 @@
                     me,
                     at_us,
                     comebacks = start.rejoins,
-                    "had been given up by peers; is back"
+                    "peers had declared this member down; it has rejoined"
                 )
             }
             Event::Fenced(by) => {
                 tracing::error!(
                     me,
                     later = by.process,
-                    "another process under this name started later; this one stops"
+                    "another process under this name started later; this process stops"
                 )
             }
         }
--- a/crates/cluster-net/src/service.rs
+++ b/crates/cluster-net/src/service.rs
@@ -1,4 +1,5 @@
-//! Runs a machine beside the runtime: a loop on a thread of its own, reached through a bounded channel, and a thread for its disk.
+//! Runs services beside the membership. Each service has an event loop on a thread of its own, which receives its inputs over a
+//! bounded channel, and a second thread for its disk store.
 
 use std::net::UdpSocket;
 use std::sync::{Arc, Mutex};
@@ -13,71 +14,72 @@
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
 
 use crate::links::Links;
-use crate::routes::{Heard, Routes};
+use crate::routes::{Incoming, Routes};
 use crate::runtime::now;
 
-/// Inputs that may wait for a machine: what peers say past it is lost, as in a full socket, and the core is told so.
-const INPUTS: usize = 8 * 1024;
-/// Batches that may wait for the disk; past it they are not kept, and the machine is told so.
-const BATCHES: usize = 1024;
-/// Batches that become durable together.
-const TOGETHER: usize = 256;
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+/// Capacity of the input queue of a service. When it is full, messages from peers are dropped and requests are rejected.
+const INPUT_QUEUE_LEN: usize = 8 * 1024;
+/// Capacity of the write queue of a disk store, in batches. When it is full, writes are rejected with an error.
+const WRITE_QUEUE_LEN: usize = 1024;
+/// Maximum number of queued batches that are added to a batch and become durable with it in one write.
+const MAX_GROUPED_BATCHES: usize = 256;
+/// Maximum wait of an event loop for an input.
+const MAX_INPUT_WAIT: Duration = Duration::from_secs(1);
 
-/// Names and bytes, or none to remove a name.
+/// Entries to write: a name with its value, or with `None` to remove the entry.
 pub type Batch = Vec<(Vec<u8>, Option<Vec<u8>>)>;
 
-/// Where a machine keeps what must outlive its process. Used by one thread.
+/// Durable storage of a service. Used by one thread.
 pub trait Store: Send + 'static {
-    /// All that is kept.
+    /// Reads all stored entries.
     ///
     /// # Errors
-    /// Where it cannot be read.
+    /// If the store cannot be read.
     fn load(&mut self) -> Result<StoredEntries, StorageError>;
 
-    /// Makes a batch durable, whole or not at all.
+    /// Makes a batch durable atomically.
     ///
     /// # Errors
-    /// Where it is not.
+    /// If the batch is not durable.
     fn put(&mut self, batch: Batch) -> Result<(), StorageError>;
 }
 
-/// Why a question does not reach a machine.
+/// Why a request is not accepted by a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    #[error("too many inputs wait for it")]
+    #[error("the input queue of the service is full")]
     Full,
-    #[error("its loop has ended")]
+    #[error("the event loop of the service has ended")]
     Ended,
 }
 
 impl RequestError {
-    /// What an operator can do.
+    /// Advice for the operator.
     pub fn advice(&self) -> &'static str {
         match self {
             RequestError::Full => {
-                "give the process more of a core, or its callers fewer requests; it goes on by itself"
+                "give the process more CPU time, or send fewer requests; the service recovers by itself"
             }
-            RequestError::Ended => "start the process again; its log says why the loop ended",
+            RequestError::Ended => "restart the process; its log says why the event loop ended",
         }
     }
 }
 
-/// Asks a machine, from any thread.
-pub struct ServiceHandle<A>(Sender<ServiceInput<A>>);
+/// Sends requests to a service, from any thread.
+pub struct ServiceHandle<R>(Sender<ServiceInput<R>>);
 
-impl<A> Clone for ServiceHandle<A> {
+impl<R> Clone for ServiceHandle<R> {
     fn clone(&self) -> Self {
         ServiceHandle(self.0.clone())
     }
 }
 
-impl<A> ServiceHandle<A> {
-    /// Puts a question; never waits.
+impl<R> ServiceHandle<R> {
+    /// Queues a request without blocking.
     ///
     /// # Errors
-    /// Where it is not taken.
-    pub fn request(&self, request: A) -> Result<(), RequestError> {
+    /// If the queue is full or the service has ended.
+    pub fn request(&self, request: R) -> Result<(), RequestError> {
         self.0
             .try_send(ServiceInput::Request(request))
             .map_err(|e| match e.is_full() {
@@ -87,98 +89,96 @@
     }
 }
 
-/// What runs machines: the runtime's sockets, clock and routes.
+/// What services need of the runtime: the cluster member, sockets, clock and routes.
 pub(crate) struct ServiceContext {
-    pub whole: Arc<Mutex<ClusterMember>>,
+    pub cluster_member: Arc<Mutex<ClusterMember>>,
     pub socket: UdpSocket,
     pub links: Arc<Links>,
     pub clock: Clock,
     pub routes: Arc<Routes>,
 }
 
-/// Ends a machine's loop: tells it to leave, and waits for it.
-pub(crate) type End = Box<dyn FnOnce() + Send>;
+/// Stops a service: sends it the leave input, and waits until its thread has ended.
+pub(crate) type StopService = Box<dyn FnOnce() + Send>;
 
 impl ServiceContext {
-    /// Starts a machine; `told` is called from its thread.
+    /// Starts a service. `on_event` is called from the service's thread.
     pub(crate) fn start<B>(
         &self,
-        machine: B,
+        service: B,
         store: Option<Box<dyn Store>>,
-        told: impl FnMut(B::Event) + Send + 'static,
-    ) -> std::io::Result<(ServiceHandle<B::Request>, End)>
+        on_event: impl FnMut(B::Event) + Send + 'static,
+    ) -> std::io::Result<(ServiceHandle<B::Request>, StopService)>
     where
         B: ClusterService + Send + 'static,
         B::Request: Send + 'static,
         B::Event: 'static,
     {
-        let (to, given) = bounded(INPUTS);
-        let ears = to.clone();
-        let route = move |heard: Heard| {
-            // What does not fit is lost, as a datagram may be; what must arrive is sent again.
-            let _ = ears.try_send(match heard {
-                Heard::Said { from, said } => ServiceInput::Datagram {
-                    from,
-                    payload: said,
-                },
-                Heard::Frame { from, said } => ServiceInput::Frame {
-                    from,
-                    payload: said,
-                },
-                Heard::Peers(peers) => ServiceInput::Peers(peers),
+        let (input_tx, inputs) = bounded(INPUT_QUEUE_LEN);
+        let message_tx = input_tx.clone();
+        let route = move |message: Incoming| {
+            // A message that does not fit into the queue is lost, as a datagram may be. Senders repeat messages that must arrive.
+            let _ = message_tx.try_send(match message {
+                Incoming::Datagram { from, payload } => ServiceInput::Datagram { from, payload },
+                Incoming::Frame { from, payload } => ServiceInput::Frame { from, payload },
+                Incoming::Peers(peers) => ServiceInput::Peers(peers),
             });
         };
         self.routes.add(B::TOPIC, Box::new(route));
-        let disk = store.map(|store| disk(store, to.clone())).transpose()?;
-        let run = Loop {
-            machine,
-            told: Box::new(told),
-            given,
+        let disk = store
+            .map(|store| start_disk(store, input_tx.clone()))
+            .transpose()?;
+        let event_loop = Loop {
+            service,
+            on_event: Box::new(on_event),
+            inputs,
             disk,
-            whole: Arc::clone(&self.whole),
+            cluster_member: Arc::clone(&self.cluster_member),
             socket: self.socket.try_clone()?,
             links: Arc::clone(&self.links),
             clock: self.clock,
         };
         let thread = std::thread::Builder::new().name(format!("{:?}", B::TOPIC).to_lowercase());
-        let thread: JoinHandle<()> = thread.spawn(move || run.run())?;
-        let leave = to.clone();
-        let end = move || {
-            let _ = leave.send(ServiceInput::Leave);
+        let thread: JoinHandle<()> = thread.spawn(move || event_loop.run())?;
+        let leave_tx = input_tx.clone();
+        let stop = move || {
+            let _ = leave_tx.send(ServiceInput::Leave);
             let _ = thread.join();
         };
-        Ok((ServiceHandle(to), Box::new(end)))
+        Ok((ServiceHandle(input_tx), Box::new(stop)))
     }
 }
 
-struct Ticketed {
+/// A batch of writes, with the ticket of each write.
+struct PendingBatch {
     tickets: Vec<u64>,
     batch: Batch,
 }
 
-/// The thread of a machine's disk: gives what is there, then makes batches durable, several at once where several wait.
-fn disk<A: Send + 'static>(
+/// Starts the thread of a service's disk store. It loads the stored entries, then makes batches durable; batches that wait in
+/// the queue become durable together.
+fn start_disk<R: Send + 'static>(
     mut store: Box<dyn Store>,
-    to: Sender<ServiceInput<A>>,
-) -> std::io::Result<Sender<Ticketed>> {
-    let (wanted, batches) = bounded::<Ticketed>(BATCHES);
+    input_tx: Sender<ServiceInput<R>>,
+) -> std::io::Result<Sender<PendingBatch>> {
+    let (batch_tx, batches) = bounded::<PendingBatch>(WRITE_QUEUE_LEN);
     let run = move || {
-        if to.send(ServiceInput::Loaded(store.load())).is_err() {
+        if input_tx.send(ServiceInput::Loaded(store.load())).is_err() {
             return;
         }
         while let Ok(first) = batches.recv() {
             let mut tickets = first.tickets;
             let mut batch = first.batch;
-            for more in batches.try_iter().take(TOGETHER) {
+            for more in batches.try_iter().take(MAX_GROUPED_BATCHES) {
                 tickets.extend(more.tickets);
                 batch.extend(more.batch);
             }
-            let done = store.put(batch);
+            let result = store.put(batch);
             for ticket in tickets {
-                if to
+                if input_tx
                     .send(ServiceInput::Persisted {
                         ticket,
-                        done: done.clone(),
+                        done: result.clone(),
                     })
                     .is_err()
                 {
@@ -188,15 +188,15 @@
         }
     };
     std::thread::Builder::new().name("disk".into()).spawn(run)?;
-    Ok(wanted)
+    Ok(batch_tx)
 }
 
 struct Loop<B: ClusterService> {
-    machine: B,
-    told: Box<dyn FnMut(B::Event) + Send>,
-    given: Receiver<ServiceInput<B::Request>>,
-    disk: Option<Sender<Ticketed>>,
-    whole: Arc<Mutex<ClusterMember>>,
+    service: B,
+    on_event: Box<dyn FnMut(B::Event) + Send>,
+    inputs: Receiver<ServiceInput<B::Request>>,
+    disk: Option<Sender<PendingBatch>>,
+    cluster_member: Arc<Mutex<ClusterMember>>,
     socket: UdpSocket,
     links: Arc<Links>,
     clock: Clock,
@@ -207,59 +207,59 @@
         let mut out = Vec::new();
         loop {
             let wait = self
-                .machine
+                .service
                 .wake_at()
                 .map(|at| at.saturating_sub(now(&self.clock)));
-            let given = match self
-                .given
-                .recv_timeout(wait.unwrap_or(LOOK_EVERY).min(LOOK_EVERY))
+            let input = match self
+                .inputs
+                .recv_timeout(wait.unwrap_or(MAX_INPUT_WAIT).min(MAX_INPUT_WAIT))
             {
-                Ok(given) => given,
+                Ok(input) => input,
                 Err(RecvTimeoutError::Timeout) => ServiceInput::Wake,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            let last = matches!(given, ServiceInput::Leave);
-            self.machine.step(now(&self.clock), given, &mut out);
-            // Inputs may come so densely that nothing else wakes it.
+            let last = matches!(input, ServiceInput::Leave);
+            self.service.step(now(&self.clock), input, &mut out);
+            // While inputs arrive without a gap, the receive never times out, so that a due timer is checked after each input.
             if !last
                 && self
-                    .machine
+                    .service
                     .wake_at()
                     .is_some_and(|at| at <= now(&self.clock))
             {
-                self.machine
+                self.service
                     .step(now(&self.clock), ServiceInput::Wake, &mut out);
             }
-            self.carry(&mut out);
+            self.apply_outputs(&mut out);
             if last {
                 return;
             }
         }
     }
 
-    fn carry(&mut self, out: &mut Vec<ServiceOutput<B::Event>>) {
-        let mut kept = Ticketed {
+    fn apply_outputs(&mut self, out: &mut Vec<ServiceOutput<B::Event>>) {
+        let mut writes = PendingBatch {
             tickets: vec![],
             batch: vec![],
         };
-        for wanted in out.drain(..) {
-            match wanted {
-                ServiceOutput::SendDatagram(to, said) => {
-                    let sealed = lock(&self.whole).sign_message(B::TOPIC, to, &said);
-                    // A datagram that cannot be sent is as good as lost.
-                    sealed.into_iter().for_each(|datagram| {
+        for output in out.drain(..) {
+            match output {
+                ServiceOutput::SendDatagram(to, payload) => {
+                    let datagrams = lock(&self.cluster_member).sign_message(B::TOPIC, to, &payload);
+                    // A datagram that cannot be sent counts as lost.
+                    datagrams.into_iter().for_each(|datagram| {
                         drop(self.socket.send_to(&datagram.bytes, datagram.to))
                     });
                 }
-                ServiceOutput::SendFrame(to, said) => self.links.send(B::TOPIC, to, &said),
-                ServiceOutput::Event(told) => (self.told)(told),
+                ServiceOutput::SendFrame(to, payload) => self.links.send(B::TOPIC, to, &payload),
+                ServiceOutput::Event(event) => (self.on_event)(event),
                 ServiceOutput::Persist {
                     ticket,
                     name,
                     bytes,
                 } => {
-                    kept.tickets.push(ticket);
-                    kept.batch.push((name, bytes));
+                    writes.tickets.push(ticket);
+                    writes.batch.push((name, bytes));
                 }
                 ServiceOutput::Log { warn: true, text } => {
                     tracing::warn!(topic = ?B::TOPIC, "{text}")
@@ -269,31 +269,31 @@
                 }
             }
         }
-        if !kept.tickets.is_empty() {
-            self.keep(kept);
+        if !writes.tickets.is_empty() {
+            self.queue_write(writes);
         }
     }
 
-    fn keep(&mut self, kept: Ticketed) {
-        let tickets = kept.tickets.clone();
-        let fault = match &self.disk {
+    fn queue_write(&mut self, writes: PendingBatch) {
+        let tickets = writes.tickets.clone();
+        let error = match &self.disk {
             None => StorageError::NoDisk,
-            Some(disk) => match disk.try_send(kept) {
+            Some(batch_tx) => match batch_tx.try_send(writes) {
                 Ok(()) => return,
-                Err(_) => StorageError::Io("too much waits for the disk".to_string()),
+                Err(_) => StorageError::Io("the write queue of the disk is full".to_string()),
             },
         };
         let mut out = Vec::new();
         for ticket in tickets {
-            let done = Err(fault.clone());
-            self.machine.step(
+            let done = Err(error.clone());
+            self.service.step(
                 now(&self.clock),
                 ServiceInput::Persisted { ticket, done },
                 &mut out,
             );
         }
-        // What it wants kept in answer to that is its own affair: it would be refused likewise.
-        out.retain(|wanted| !matches!(wanted, ServiceOutput::Persist { .. }));
-        self.carry(&mut out);
+        // Writes that the service requests in response to a rejected write are dropped: they would be rejected too.
+        out.retain(|output| !matches!(output, ServiceOutput::Persist { .. }));
+        self.apply_outputs(&mut out);
     }
 }
--- a/crates/cluster-net/src/status.rs
+++ b/crates/cluster-net/src/status.rs
@@ -129,7 +129,7 @@
     (&mut reader)
         .take(QUESTION_BYTES)
         .read_line(&mut question)?;
-    if question.split_whitespace().next() == Some(links::WORD) {
+    if question.split_whitespace().next() == Some(links::LINK_WORD) {
         link(reader);
         return Ok(());
     }
--- a/programs/chaos/src/parted.rs
+++ b/programs/chaos/src/parted.rs
@@ -59,7 +59,7 @@
 pub enum What {
     /// SIGSTOP, and SIGCONT after the time.
     Pause,
-    /// The same for the one that lends parts of what all share; `dispatcher` where none does.
+    /// The same for the one that became leader; issues quota leases; `dispatcher` where none does.
     PauseSteward,
     /// SIGKILL, and a start with what its folder holds after the time.
     Kill,
@@ -328,8 +328,8 @@
 
 /// Whether the last that a log says of it is that its process is the one that lends.
 fn lends_last(log: &str) -> bool {
-    let begun = log.rfind("lends parts of what all share");
-    begun.is_some() && begun > log.rfind("lends parts no more")
+    let begun = log.rfind("became leader; issues quota leases");
+    begun.is_some() && begun > log.rfind("no longer leader; stopped issuing quota leases")
 }
 
 /// What happened to the folder while its process was away. Where it has no start yet there is nothing to change.
@@ -413,7 +413,7 @@
 
     #[test]
     fn the_one_that_lends_is_known_by_the_last_word_of_its_log() {
-        let (begun, ended) = ("lends parts of what all share\n", "lends parts no more\n");
+        let (begun, ended) = ("became leader; issues quota leases\n", "no longer leader; stopped issuing quota leases\n");
         let lends = |log: &[&str]| super::lends_last(&log.concat());
         assert!(lends(&[begun]) && lends(&[begun, ended, begun]));
         assert!(!lends(&[]) && !lends(&[begun, ended]) && !lends(&[ended]));
--- a/programs/chaos/tests/cluster.rs
+++ b/programs/chaos/tests/cluster.rs
@@ -36,7 +36,7 @@
     cluster.dispatchers[1].go_on();
     cluster.all_whole();
     let log = cluster.dispatchers[1].log().expect("a log");
-    assert!(log.contains("stood still"), "{log}");
+    assert!(log.contains("this process was paused"), "{log}");
     assert!(!log.contains("\"state\":\"Down\""), "{log}");
 }
 
