--- a/crates/cluster-net/src/durable_store.rs
+++ b/crates/cluster-net/src/durable_store.rs
@@ -1,7 +1,7 @@
-//! Keeps names and bytes in one file: the store is `redb`, whose commits are atomic and survive a crash at any write.
+//! A store of named entries in one `redb` database file. Commits of `redb` are atomic and survive a crash at any write.
 //!
-//! A batch is one durable commit. Each value bears a checksum of its name and bytes, so that a disk that gives back what was never
-//! written is noticed, and not believed.
+//! Each batch is one durable commit. Each value carries a checksum over the entry's name and value, so that data that the disk
+//! corrupted is detected and rejected.
 
 use std::io::ErrorKind;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -15,115 +15,122 @@
 
 use crate::service::{Batch, Store};
 
-/// Names, and a CRC-32 of name and bytes before the bytes.
-const KEPT: TableDefinition<'_, &[u8], &[u8]> = TableDefinition::new("kept");
-/// `version` of this form.
-const ABOUT: TableDefinition<'_, &str, u64> = TableDefinition::new("about");
-const VERSION: &str = "version";
-const THIS_VERSION: u64 = 1;
-const CHECKSUM: usize = 4;
-
-/// What is wrong with the store, before it is put into words.
-enum Fault {
-    Store(redb::Error),
-    Foreign,
+/// The table of entries by name. A value is a CRC-32 over name and value, followed by the value.
+const ENTRIES: TableDefinition<'_, &[u8], &[u8]> = TableDefinition::new("kept");
+/// The table with the format version of the file, under the key `version`.
+const METADATA: TableDefinition<'_, &str, u64> = TableDefinition::new("about");
+const VERSION_KEY: &str = "version";
+/// The format version that this code reads and writes.
+const FORMAT_VERSION: u64 = 1;
+/// Size of the checksum before each value, bytes.
+const CHECKSUM_BYTES: usize = 4;
+
+/// An error of the store, before the message with the advice is made.
+enum DiskError {
+    Database(redb::Error),
+    ForeignDatabase,
     Version(u64),
     Checksum,
-    /// The library met what it holds impossible.
-    Broken,
+    /// The database library panicked, which a damaged file can cause.
+    Panicked,
 }
 
-impl<E: Into<redb::Error>> From<E> for Fault {
-    fn from(e: E) -> Fault {
-        Fault::Store(e.into())
+impl<E: Into<redb::Error>> From<E> for DiskError {
+    fn from(e: E) -> DiskError {
+        DiskError::Database(e.into())
     }
 }
 
+/// Opens the database.
 type Open = Box<dyn FnMut() -> Result<Database, DatabaseError> + Send>;
 
-/// A file of names and bytes. After a fault it is opened anew, so that it goes on by itself once there is room again.
+/// A [`Store`] in a database file. After an error the file is opened again on the next access, so that the store recovers by
+/// itself, for example when a full disk has free space again.
 pub struct DurableStore {
-    /// Its path, for messages.
-    shown: String,
+    /// The path of the file, for messages.
+    display_path: String,
     open: Open,
     db: Option<Database>,
 }
 
 impl DurableStore {
-    /// Keeps in a file, made where there is none; it is opened by the thread that uses it.
+    /// A store in the file at `path`, which is created if it does not exist. The file is opened on the first access.
     pub fn new(path: &Path) -> DurableStore {
         let own = path.to_path_buf();
         let open = move || Builder::new().create(&own);
         DurableStore {
-            shown: path.display().to_string(),
+            display_path: path.display().to_string(),
             open: Box::new(open),
             db: None,
         }
     }
 
-    /// Keeps in storage of the caller's own, asked for at each opening.
+    /// A store in a custom storage backend. `storage` is called each time the database is opened.
     pub fn with_backend<B: StorageBackend>(
         mut storage: impl FnMut() -> B + Send + 'static,
     ) -> DurableStore {
         let open = move || Builder::new().create_with_backend(storage());
         DurableStore {
-            shown: "storage".to_string(),
+            display_path: "storage".to_string(),
             open: Box::new(open),
             db: None,
         }
     }
 
-    fn with<T>(
+    fn with_database<T>(
         &mut self,
-        act: impl FnOnce(&Database) -> Result<T, Fault>,
+        operation: impl FnOnce(&Database) -> Result<T, DiskError>,
     ) -> Result<T, StorageError> {
         let db = self.db.take();
         let open = &mut self.open;
-        // The library asserts what its own writes make true; a file that others wrote to may break that, and a thread with it.
-        let run = move || -> Result<(T, Database), Fault> {
+        // `redb` asserts invariants of its own writes. A file that was changed by others may violate them, and the panic must not
+        // end the thread.
+        let run = move || -> Result<(T, Database), DiskError> {
             let db = match db {
                 Some(db) => db,
-                None => begin(open()?)?,
+                None => check_or_init(open()?)?,
             };
-            act(&db).map(|done| (done, db))
+            operation(&db).map(|value| (value, db))
         };
-        let done = catch_unwind(AssertUnwindSafe(run)).unwrap_or(Err(Fault::Broken));
-        let (done, db) = done.map_err(|fault| in_words(&self.shown, &fault))?;
+        let result = catch_unwind(AssertUnwindSafe(run)).unwrap_or(Err(DiskError::Panicked));
+        let (value, db) = result.map_err(|e| error_with_advice(&self.display_path, &e))?;
         self.db = Some(db);
-        Ok(done)
+        Ok(value)
     }
 }
 
 impl Store for DurableStore {
     fn load(&mut self) -> Result<StoredEntries, StorageError> {
-        self.with(|db| {
+        self.with_database(|db| {
             let read = db.begin_read()?;
-            let kept = read.open_table(KEPT)?;
-            let mut found = StoredEntries::new();
-            for row in kept.iter()? {
+            let table = read.open_table(ENTRIES)?;
+            let mut entries = StoredEntries::new();
+            for row in table.iter()? {
                 let (name, value) = row?;
                 let (name, value) = (name.value(), value.value());
-                let (sum, bytes) = value.split_at_checked(CHECKSUM).ok_or(Fault::Checksum)?;
-                if sum != checksum(name, bytes) {
-                    return Err(Fault::Checksum);
+                let (stored_checksum, bytes) = value
+                    .split_at_checked(CHECKSUM_BYTES)
+                    .ok_or(DiskError::Checksum)?;
+                if stored_checksum != checksum(name, bytes) {
+                    return Err(DiskError::Checksum);
                 }
-                found.push((name.to_vec(), bytes.to_vec()));
+                entries.push((name.to_vec(), bytes.to_vec()));
             }
-            Ok(found)
+            Ok(entries)
         })
     }
 
     fn put(&mut self, batch: Batch) -> Result<(), StorageError> {
-        self.with(|db| {
+        self.with_database(|db| {
             let write = db.begin_write()?;
             {
-                let mut kept = write.open_table(KEPT)?;
+                let mut table = write.open_table(ENTRIES)?;
                 for (name, bytes) in &batch {
                     match bytes {
-                        None => drop(kept.remove(name.as_slice())?),
+                        None => drop(table.remove(name.as_slice())?),
                         Some(bytes) => {
                             let value = [&checksum(name, bytes)[..], bytes].concat();
-                            kept.insert(name.as_slice(), value.as_slice())?;
+                            table.insert(name.as_slice(), value.as_slice())?;
                         }
                     }
                 }
@@ -134,7 +141,7 @@
     }
 }
 
-fn checksum(name: &[u8], bytes: &[u8]) -> [u8; CHECKSUM] {
+fn checksum(name: &[u8], bytes: &[u8]) -> [u8; CHECKSUM_BYTES] {
     let mut hash = crc32fast::Hasher::new();
     hash.update(&(name.len() as u64).to_le_bytes());
     hash.update(name);
@@ -142,50 +149,58 @@
     hash.finalize().to_le_bytes()
 }
 
-/// A new store is given its version; one that is there has to have it.
-fn begin(db: Database) -> Result<Database, Fault> {
+/// Writes the format version to a new database, and checks it in an existing one.
+fn check_or_init(db: Database) -> Result<Database, DiskError> {
     let read = db.begin_read()?;
-    let version = match read.open_table(ABOUT) {
-        Ok(about) => about.get(VERSION)?.map(|v| v.value()),
+    let version = match read.open_table(METADATA) {
+        Ok(metadata) => metadata.get(VERSION_KEY)?.map(|v| v.value()),
         Err(TableError::TableDoesNotExist(_)) => None,
         Err(TableError::Storage(e)) => return Err(e.into()),
-        Err(_) => return Err(Fault::Foreign),
+        Err(_) => return Err(DiskError::ForeignDatabase),
     };
     match version {
-        Some(THIS_VERSION) => return Ok(db),
-        Some(other) => return Err(Fault::Version(other)),
-        None if read.list_tables()?.any(|t| t.name() != ABOUT.name()) => {
-            return Err(Fault::Foreign)
+        Some(FORMAT_VERSION) => return Ok(db),
+        Some(other) => return Err(DiskError::Version(other)),
+        None if read.list_tables()?.any(|t| t.name() != METADATA.name()) => {
+            return Err(DiskError::ForeignDatabase)
         }
         None => {}
     }
     drop(read);
     let write = db.begin_write()?;
-    write.open_table(KEPT)?;
-    write.open_table(ABOUT)?.insert(VERSION, THIS_VERSION)?;
+    write.open_table(ENTRIES)?;
+    write
+        .open_table(METADATA)?
+        .insert(VERSION_KEY, FORMAT_VERSION)?;
     write.commit()?;
     Ok(db)
 }
 
-fn in_words(shown: &str, fault: &Fault) -> StorageError {
-    let away = "move it away to begin empty, and let the copies elsewhere fill it";
-    StorageError::Io(match fault {
-        Fault::Store(redb::Error::Io(e)) if is_full(e.kind()) => return StorageError::Full,
-        Fault::Store(redb::Error::Io(e)) if e.kind() == ErrorKind::InvalidData => {
-            format!("{shown} is no store, or is damaged ({e}); {away}")
+fn error_with_advice(display_path: &str, error: &DiskError) -> StorageError {
+    let move_away = "move it away to start with an empty store, which is filled from the copies of other members";
+    StorageError::Io(match error {
+        DiskError::Database(redb::Error::Io(e)) if is_full(e.kind()) => return StorageError::Full,
+        DiskError::Database(redb::Error::Io(e)) if e.kind() == ErrorKind::InvalidData => {
+            format!("{display_path} is not a store, or is damaged ({e}); {move_away}")
         }
-        Fault::Store(redb::Error::Io(e)) => format!("{shown}: {e}"),
-        Fault::Store(redb::Error::DatabaseAlreadyOpen) => {
-            format!("{shown} is open in another process; give each dispatcher a file of its own")
+        DiskError::Database(redb::Error::Io(e)) => format!("{display_path}: {e}"),
+        DiskError::Database(redb::Error::DatabaseAlreadyOpen) => {
+            format!("{display_path} is open in another process; use a different file for each dispatcher")
         }
-        Fault::Store(redb::Error::Corrupted(why)) => format!("{shown} is damaged ({why}); {away}"),
-        Fault::Store(e) => format!("{shown}: {e}; {away}"),
-        Fault::Foreign => format!("{shown} holds something else; name another file under 'kept'"),
-        Fault::Version(version) => {
-            format!("{shown} is of version {version}, and {THIS_VERSION} is read here; start that program, or {away}")
+        DiskError::Database(redb::Error::Corrupted(why)) => {
+            format!("{display_path} is damaged ({why}); {move_away}")
         }
-        Fault::Checksum => format!("{shown} is damaged (a checksum is wrong); {away}"),
-        Fault::Broken => format!("{shown} is damaged; {away}"),
+        DiskError::Database(e) => format!("{display_path}: {e}; {move_away}"),
+        DiskError::ForeignDatabase => {
+            format!("{display_path} holds something else; name another file under 'kept'")
+        }
+        DiskError::Version(version) => {
+            format!("{display_path} is of version {version}, and this program reads version {FORMAT_VERSION}; run a program that reads that version, or {move_away}")
+        }
+        DiskError::Checksum => {
+            format!("{display_path} is damaged (a checksum is wrong); {move_away}")
+        }
+        DiskError::Panicked => format!("{display_path} is damaged; {move_away}"),
     })
 }
 
--- a/crates/cluster-net/src/error.rs
+++ b/crates/cluster-net/src/error.rs
@@ -1,4 +1,4 @@
-//! What can keep a dispatcher from its peers, and what an operator can do.
+//! Errors of the network runtime, with advice for the operator.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -6,29 +6,29 @@
 
 use bitternlatch_membership::RosterError;
 
-/// What of a member could not be opened at its address.
+/// The socket of a member that could not be bound: UDP for datagrams, or TCP for connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointKind {
     Datagrams,
     Connections,
 }
 
-/// Why a roster that was told, or kept, is not taken.
+/// Why a roster from a seed, or the stored roster, is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SeedError {
-    #[error("this is no roster")]
+    #[error("not a roster")]
     Malformed,
-    #[error("this is no roster: {0}")]
+    #[error("not a roster: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("the proof does not fit: another secret, or an old answer")]
+    #[error("the authentication tag is invalid: another secret, or a replayed answer")]
     InvalidTag,
-    #[error("it belongs to the cluster '{0}'")]
+    #[error("the roster belongs to cluster '{0}'")]
     OtherCluster(String),
     #[error("{0}")]
     Io(#[from] io::Error),
 }
 
-/// Seeds that told no roster, each with its cause.
+/// The seeds that sent no valid roster, with the error of each.
 #[derive(Debug)]
 pub struct SeedErrors(pub Vec<(SocketAddrV4, SeedError)>);
 
@@ -54,9 +54,9 @@
     },
     #[error("cluster.roster: {0}")]
     Roster(#[from] RosterError),
-    #[error("cluster: no address of its own")]
+    #[error("cluster: this dispatcher has no address")]
     NoOwnAddress,
-    #[error("cluster: no {kind:?} at {address}: {error}")]
+    #[error("cluster: cannot bind {address} for {kind:?}: {error}")]
     Bind {
         kind: EndpointKind,
         address: SocketAddrV4,
@@ -64,22 +64,22 @@
     },
     #[error("{}: {error}", path.display())]
     StartNumberFile { path: PathBuf, error: io::Error },
-    #[error("{}: not a start's number", path.display())]
+    #[error("{}: not a start number", path.display())]
     InvalidStartNumber { path: PathBuf },
-    #[error("no randomness: {0}")]
+    #[error("no random numbers: {0}")]
     Random(#[from] getrandom::Error),
-    #[error("cluster: no thread: {0}")]
+    #[error("cluster: cannot start a thread: {0}")]
     Thread(io::Error),
-    #[error("cluster.seeds: none tells the roster: {0}")]
+    #[error("cluster.seeds: no seed sent the roster: {0}")]
     Seeds(SeedErrors),
-    #[error("cluster.seeds: {seeds}; and the kept roster: {stored}")]
+    #[error("cluster.seeds: {seeds}; the stored roster: {stored}")]
     StoredRoster {
         seeds: SeedErrors,
         stored: SeedError,
     },
     #[error("{peer}: {error}")]
     Unreachable { peer: SocketAddr, error: io::Error },
-    #[error("{peer}: this is not a view: {error}")]
+    #[error("{peer}: not a cluster status: {error}")]
     InvalidStatus {
         peer: SocketAddr,
         error: serde_json::Error,
@@ -87,33 +87,33 @@
 }
 
 impl ClusterNetError {
-    /// What an operator can do.
+    /// Advice for the operator.
     pub fn advice(&self) -> &'static str {
         match self {
             ClusterNetError::Secret { error, .. } if error.kind() == io::ErrorKind::NotFound => {
-                "make it once with 'head -c 32 /dev/urandom | base64 > FILE' and give the same file to every member"
+                "create it once with 'head -c 32 /dev/urandom | base64 > FILE' and give the same file to every member"
             }
-            ClusterNetError::Secret { .. } => "let the process read the file that 'cluster.secret' names",
+            ClusterNetError::Secret { .. } => "give the process read access to the file that 'cluster.secret' names",
             ClusterNetError::SecretSize { .. } => {
-                "make it anew with 'head -c 32 /dev/urandom | base64 > FILE' and give the same file to every member"
+                "create it again with 'head -c 32 /dev/urandom | base64 > FILE' and give the same file to every member"
             }
-            ClusterNetError::Roster(_) => "give all members the same roster, this one in it, each name once",
+            ClusterNetError::Roster(_) => "give all members the same roster, which contains this member and each name once",
             ClusterNetError::NoOwnAddress => "name this dispatcher in 'cluster.roster', or set 'cluster.address'",
             ClusterNetError::Bind { .. } => {
-                "end the process that holds the address, or set 'cluster.address' to one of this machine"
+                "stop the process that uses the address, or set 'cluster.address' to one of this machine"
             }
-            ClusterNetError::StartNumberFile { .. } => "let the process write the folder of the file that 'cluster.kept' names",
-            ClusterNetError::InvalidStartNumber { .. } => "remove it to begin anew",
-            ClusterNetError::Random(_) => "the system gives no random numbers; look at the machine",
-            ClusterNetError::Thread(_) => "raise the bound on threads of this user, or end other processes",
+            ClusterNetError::StartNumberFile { .. } => "give the process write access to the folder of the file that 'cluster.kept' names",
+            ClusterNetError::InvalidStartNumber { .. } => "remove the file to start again from the clock",
+            ClusterNetError::Random(_) => "check why the system provides no random numbers",
+            ClusterNetError::Thread(_) => "raise the thread limit of this user, or stop other processes",
             ClusterNetError::Seeds(_) => "start a member that has a roster first, or name others under 'cluster.seeds'",
-            ClusterNetError::StoredRoster { .. } => "remove the kept roster once a seed can be reached",
-            ClusterNetError::Unreachable { .. } => "look whether the process runs, and at the network on the way to it",
-            ClusterNetError::InvalidStatus { .. } => "ask a member's address of the cluster, of the same version as this program",
+            ClusterNetError::StoredRoster { .. } => "remove the stored roster once a seed can be reached",
+            ClusterNetError::Unreachable { .. } => "check that the process runs, and the network to it",
+            ClusterNetError::InvalidStatus { .. } => "use the cluster address of a member that runs the same version as this program",
         }
     }
 
-    /// The error and what to do, in one line.
+    /// The error and the advice, in one line.
     pub fn with_advice(&self) -> String {
         format!("{self}; {}", self.advice())
     }
--- a/crates/cluster-net/src/error/tests.rs
+++ b/crates/cluster-net/src/error/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[test]
-fn each_says_what_to_do_and_no_two_the_same() {
+fn each_error_has_advice_of_its_own() {
     let io = || io::Error::from(io::ErrorKind::PermissionDenied);
-    let json = || serde_json::from_str::<u8>("x").expect_err("no number");
+    let json = || serde_json::from_str::<u8>("x").expect_err("not a number");
     let (path, address) = (
         PathBuf::from("f"),
         SocketAddrV4::new([127, 0, 0, 1].into(), 1),
@@ -62,5 +62,7 @@
         .iter()
         .all(|e| e.with_advice().ends_with(e.advice())
             && e.with_advice().len() > e.advice().len() + 2));
-    assert!(faults().to_string().contains("; 127.0.0.1:1: the proof"));
+    assert!(faults()
+        .to_string()
+        .contains("; 127.0.0.1:1: the authentication tag"));
 }
--- a/crates/cluster-net/src/runtime.rs
+++ b/crates/cluster-net/src/runtime.rs
@@ -155,7 +155,7 @@
             .incarnation_file
             .as_ref()
             .map(|file| base.join(file));
-        let process = start::number(start_number_path.as_deref())?;
+        let process = start::next_start_number(start_number_path.as_deref())?;
         let seed = getrandom::u64()?;
         let clock = Clock::start();
         let member = Membership::new(name, process, roster, secret.clone(), seed, now(&clock));
@@ -442,7 +442,7 @@
         if let Some(Err(error)) = self
             .start_number_path
             .as_ref()
-            .map(|path| start::raise(path, later))
+            .map(|path| start::store_if_later(path, later))
         {
             tracing::warn!(%error, "cannot store the later start number; if the clock is set back, the next start may be taken for an earlier one");
         }
--- a/crates/cluster-net/src/seeds/tests.rs
+++ b/crates/cluster-net/src/seeds/tests.rs
@@ -19,38 +19,38 @@
 }
 
 #[test]
-fn an_answer_is_taken_for_its_own_question_secret_and_cluster_alone() {
+fn an_answer_is_accepted_only_for_the_same_nonce_secret_and_cluster() {
     let (cluster, secret) = (cluster(), Secret::new("hall", b"s"));
-    let nonce = "0".repeat(2 * NONCE);
-    let told = answer(&cluster, &secret, &format!("roster 1 d2 {nonce}")).expect("an answer");
+    let nonce = "0".repeat(2 * NONCE_BYTES);
+    let sent = answer(&cluster, &secret, &format!("roster 1 d2 {nonce}")).expect("an answer");
     assert_eq!(
-        read("hall", &secret, &nonce, &told).ok(),
+        verify_answer("hall", &secret, &nonce, &sent).ok(),
         Some(cluster.roster.clone())
     );
-    let fails = |secret: &Secret, name: &str, nonce: &str, told: &str| {
-        read(name, secret, nonce, told).is_err()
+    let fails = |secret: &Secret, name: &str, nonce: &str, sent: &str| {
+        verify_answer(name, secret, nonce, sent).is_err()
     };
     assert!(
-        fails(&secret, "hall", &"1".repeat(2 * NONCE), &told),
-        "an old answer"
+        fails(&secret, "hall", &"1".repeat(2 * NONCE_BYTES), &sent),
+        "a replayed answer"
     );
     assert!(
-        fails(&Secret::new("hall", b"t"), "hall", &nonce, &told),
-        "a stranger's"
+        fails(&Secret::new("hall", b"t"), "hall", &nonce, &sent),
+        "another secret"
     );
-    assert!(fails(&secret, "yard", &nonce, &told), "another cluster's");
+    assert!(fails(&secret, "yard", &nonce, &sent), "another cluster's");
     assert!(
-        fails(&secret, "hall", &nonce, &told.replace("7001", "7009")),
-        "changed on the way"
+        fails(&secret, "hall", &nonce, &sent.replace("7001", "7009")),
+        "changed in transit"
     );
     assert!(fails(&secret, "hall", &nonce, ""));
-    for question in [
+    for request in [
         "members 1",
         "roster 1 d2",
         "roster 2 d2 00",
         "roster 1 d2 00",
         "",
     ] {
-        assert_eq!(answer(&cluster, &secret, question), None, "{question}");
+        assert_eq!(answer(&cluster, &secret, request), None, "{request}");
     }
 }
--- a/crates/cluster-net/src/snapshot.rs
+++ b/crates/cluster-net/src/snapshot.rs
@@ -1,5 +1,6 @@
-//! A store of few, small things in one file, replaced whole: written beside it, made durable, renamed over it. So the file is
-//! the one before or the one after, and a checksum tells where the disk kept neither.
+//! A store for a few small entries in one file. Each write replaces the file: the new content is written to a temporary file,
+//! synced, and renamed over the old file. After a crash the file has either the old or the new content; a checksum detects a file
+//! that the disk damaged.
 
 use std::fs::File;
 use std::io::{ErrorKind, Write};
@@ -10,23 +11,26 @@
 
 use crate::service::{Batch, Store};
 
-/// What each file begins with: four letters and a version.
-const HEAD: &[u8] = b"bls1";
-/// Longest file that is read or written, bytes.
-const FILE_BYTES: u64 = 16 * 1024 * 1024;
+/// The first bytes of a snapshot file: the format and its version.
+const MAGIC: &[u8] = b"bls1";
+/// Maximum size of a snapshot file, bytes.
+const MAX_FILE_BYTES: u64 = 16 * 1024 * 1024;
 
-/// See the module's front.
+/// A [`Store`] that keeps all entries in memory and in one file, which each write replaces atomically.
 pub struct SnapshotStore {
     path: PathBuf,
-    kept: StoredEntries,
+    entries: StoredEntries,
 }
 
 impl SnapshotStore {
     pub fn new(path: PathBuf) -> SnapshotStore {
-        SnapshotStore { path, kept: vec![] }
+        SnapshotStore {
+            path,
+            entries: vec![],
+        }
     }
 
-    fn failed(&self, e: &std::io::Error) -> StorageError {
+    fn storage_error(&self, e: &std::io::Error) -> StorageError {
         match e.kind() {
             ErrorKind::StorageFull | ErrorKind::QuotaExceeded => StorageError::Full,
             _ => StorageError::Io(format!("{}: {e}", self.path.display())),
@@ -34,30 +38,30 @@
     }
 }
 
-fn encode(kept: &StoredEntries) -> Vec<u8> {
+fn encode(entries: &StoredEntries) -> Vec<u8> {
     let mut body = vec![];
-    for (name, bytes) in kept {
-        for part in [name, bytes] {
-            body.extend((part.len() as u64).to_le_bytes());
-            body.extend(part);
+    for (name, bytes) in entries {
+        for field in [name, bytes] {
+            body.extend((field.len() as u64).to_le_bytes());
+            body.extend(field);
         }
     }
-    [HEAD, &hash(&body).to_le_bytes(), &body].concat()
+    [MAGIC, &hash(&body).to_le_bytes(), &body].concat()
 }
 
 fn decode(file: &[u8]) -> Option<StoredEntries> {
-    let (sum, mut rest) = file.strip_prefix(HEAD)?.split_first_chunk::<4>()?;
-    if hash(rest) != u32::from_le_bytes(*sum) {
+    let (checksum, mut rest) = file.strip_prefix(MAGIC)?.split_first_chunk::<4>()?;
+    if hash(rest) != u32::from_le_bytes(*checksum) {
         return None;
     }
-    let mut parts = vec![];
+    let mut fields = vec![];
     while let Some((length, more)) = rest.split_first_chunk::<8>() {
-        let (part, more) =
+        let (field, more) =
             more.split_at_checked(usize::try_from(u64::from_le_bytes(*length)).ok()?)?;
-        parts.push(part.to_vec());
+        fields.push(field.to_vec());
         rest = more;
     }
-    let pairs = parts.chunks_exact(2);
+    let pairs = fields.chunks_exact(2);
     (rest.is_empty() && pairs.remainder().is_empty()).then(|| {
         pairs
             .map(|pair| (pair[0].clone(), pair[1].clone()))
@@ -65,50 +69,53 @@
     })
 }
 
-fn write_whole(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
-    let mut beside = path.as_os_str().to_owned();
-    beside.push(".new");
-    let beside = PathBuf::from(beside);
-    let mut file = File::create(&beside)?;
+fn replace_file(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
+    let mut temporary = path.as_os_str().to_owned();
+    temporary.push(".new");
+    let temporary = PathBuf::from(temporary);
+    let mut file = File::create(&temporary)?;
     file.write_all(bytes)?;
     file.sync_all()?;
-    std::fs::rename(&beside, path)?;
-    // The name is durable once its folder is.
-    let folder = path
+    std::fs::rename(&temporary, path)?;
+    // A rename is durable only after the directory has been synced.
+    let directory = path
         .parent()
         .filter(|p| !p.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
-    File::open(folder)?.sync_all()
+    File::open(directory)?.sync_all()
 }
 
 impl Store for SnapshotStore {
     fn load(&mut self) -> Result<StoredEntries, StorageError> {
-        let bad = |why: &str| StorageError::Io(format!("{}: {why}", self.path.display()));
+        let invalid = |reason: &str| StorageError::Io(format!("{}: {reason}", self.path.display()));
         match std::fs::metadata(&self.path) {
             Err(e) if e.kind() == ErrorKind::NotFound => return Ok(vec![]),
-            Err(e) => return Err(self.failed(&e)),
-            Ok(about) if about.len() > FILE_BYTES => return Err(bad("larger than any snapshot")),
+            Err(e) => return Err(self.storage_error(&e)),
+            Ok(metadata) if metadata.len() > MAX_FILE_BYTES => {
+                return Err(invalid("the file is too large for a snapshot"))
+            }
             Ok(_) => {}
         }
-        let file = std::fs::read(&self.path).map_err(|e| self.failed(&e))?;
-        self.kept = decode(&file).ok_or_else(|| bad("torn, emptied, or of another version"))?;
-        Ok(self.kept.clone())
+        let file = std::fs::read(&self.path).map_err(|e| self.storage_error(&e))?;
+        self.entries = decode(&file)
+            .ok_or_else(|| invalid("the snapshot is damaged or of another version"))?;
+        Ok(self.entries.clone())
     }
 
     fn put(&mut self, batch: Batch) -> Result<(), StorageError> {
-        let mut kept = self.kept.clone();
+        let mut entries = self.entries.clone();
         for (name, bytes) in batch {
-            kept.retain(|known| known.0 != name);
-            kept.extend(bytes.map(|bytes| (name, bytes)));
+            entries.retain(|entry| entry.0 != name);
+            entries.extend(bytes.map(|bytes| (name, bytes)));
         }
-        let file = encode(&kept);
-        if file.len() as u64 > FILE_BYTES {
+        let file = encode(&entries);
+        if file.len() as u64 > MAX_FILE_BYTES {
             return Err(StorageError::Io(
-                "a snapshot too large to be read back".to_string(),
+                "the snapshot would exceed the maximum file size".to_string(),
             ));
         }
-        write_whole(&self.path, &file).map_err(|e| self.failed(&e))?;
-        self.kept = kept;
+        replace_file(&self.path, &file).map_err(|e| self.storage_error(&e))?;
+        self.entries = entries;
         Ok(())
     }
 }
--- a/crates/cluster-net/src/snapshot/tests.rs
+++ b/crates/cluster-net/src/snapshot/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_put_is_read_back_whole_or_refused() {
+fn a_snapshot_is_read_back_in_full_and_a_damaged_one_is_rejected() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("kept");
     let mut store = SnapshotStore::new(path.clone());
@@ -19,9 +19,9 @@
         .unwrap();
     let expected: StoredEntries = vec![(b"b".to_vec(), vec![]), (b"a".to_vec(), b"two".to_vec())];
     assert_eq!(SnapshotStore::new(path.clone()).load(), Ok(expected));
-    let whole = std::fs::read(&path).unwrap();
-    for length in 0..whole.len() {
-        std::fs::write(&path, &whole[..length]).unwrap();
+    let file = std::fs::read(&path).unwrap();
+    for length in 0..file.len() {
+        std::fs::write(&path, &file[..length]).unwrap();
         assert!(
             matches!(
                 SnapshotStore::new(path.clone()).load(),
@@ -30,13 +30,13 @@
             "{length}"
         );
     }
-    for at in 0..whole.len() {
-        let mut torn = whole.clone();
-        torn[at] ^= 4;
-        std::fs::write(&path, &torn).unwrap();
+    for at in 0..file.len() {
+        let mut damaged = file.clone();
+        damaged[at] ^= 4;
+        std::fs::write(&path, &damaged).unwrap();
         assert!(SnapshotStore::new(path.clone()).load().is_err(), "{at}");
     }
-    // A broken one is replaced.
+    // A write replaces a damaged snapshot.
     store.put(vec![]).unwrap();
     assert!(SnapshotStore::new(path.clone()).load().is_ok());
     assert!(SnapshotStore::new(dir.path().join("no/folder"))
--- a/crates/cluster-net/src/start.rs
+++ b/crates/cluster-net/src/start.rs
@@ -1,69 +1,71 @@
-//! The number of this start: later ones are larger, whatever the clock says.
+//! Start numbers: each start of a member has a larger number than the one before, even if the clock was set back.
 
 use std::fs::File;
 use std::io::{ErrorKind, Write};
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Longest file that is read, bytes.
-const FILE_BYTES: u64 = 64;
+/// Maximum size of the start number file, bytes.
+const MAX_FILE_BYTES: u64 = 64;
 
 use crate::error::ClusterNetError;
 
-/// The clock's milliseconds, or one more than the start that the file tells of if that is later; written there
-/// before it is used, so that no two starts of one folder have one number.
+/// Returns the number of this start: the Unix time in milliseconds, or the stored start number plus one if that is larger. The
+/// number is stored before it is used, so that two starts from the same folder never have the same number.
 ///
 /// # Errors
-/// Where the file cannot be read or written, or holds no number; a start that could pass for an earlier one is none.
-pub(crate) fn number(kept: Option<&Path>) -> Result<u64, ClusterNetError> {
+/// If the file cannot be read or written, or contains no number. The process must not start with a number that an earlier start
+/// may have used.
+pub(crate) fn next_start_number(path: Option<&Path>) -> Result<u64, ClusterNetError> {
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_millis() as u64;
-    let Some(path) = kept else { return Ok(unix) };
-    let bad = |error| ClusterNetError::StartNumberFile {
+    let Some(path) = path else { return Ok(unix) };
+    let file_error = |error| ClusterNetError::StartNumberFile {
         path: path.to_path_buf(),
         error,
     };
-    let no_number = || ClusterNetError::InvalidStartNumber {
+    let invalid_number = || ClusterNetError::InvalidStartNumber {
         path: path.to_path_buf(),
     };
     let last = match std::fs::metadata(path) {
         Err(e) if e.kind() == ErrorKind::NotFound => 0,
-        Err(e) => return Err(bad(e)),
-        Ok(about) if about.len() > FILE_BYTES => return Err(no_number()),
+        Err(e) => return Err(file_error(e)),
+        Ok(metadata) if metadata.len() > MAX_FILE_BYTES => return Err(invalid_number()),
         Ok(_) => {
-            let text = std::fs::read_to_string(path).map_err(bad)?;
-            text.trim().parse().map_err(|_| no_number())?
+            let text = std::fs::read_to_string(path).map_err(file_error)?;
+            text.trim().parse().map_err(|_| invalid_number())?
         }
     };
     let number = unix.max(last + 1);
-    write(path, number).map_err(bad)?;
+    write(path, number).map_err(file_error)?;
     Ok(number)
 }
 
-/// Keeps the number of a start that has taken this one's place: with an older copy of its folder and a clock set back the next
-/// start would else be taken for an earlier one again, and again end.
+/// Stores the number of a later start that has fenced this one, unless the stored number is already as large. Otherwise, after
+/// a restore of an older copy of the folder with the clock set back, the next start would again take a smaller number and be
+/// fenced too.
 ///
 /// # Errors
-/// As the file's.
-pub(crate) fn raise(path: &Path, later: u64) -> std::io::Result<()> {
-    let kept = std::fs::read_to_string(path)
+/// If the file cannot be written.
+pub(crate) fn store_if_later(path: &Path, later: u64) -> std::io::Result<()> {
+    let stored = std::fs::read_to_string(path)
         .ok()
         .and_then(|text| text.trim().parse::<u64>().ok());
-    match kept {
-        Some(kept) if kept >= later => Ok(()),
+    match stored {
+        Some(stored) if stored >= later => Ok(()),
         _ => write(path, later),
     }
 }
 
-/// Whole or not at all: a torn number would stop the next start.
+/// Writes the start number atomically: a partially written number would prevent the next start.
 fn write(path: &Path, number: u64) -> std::io::Result<()> {
-    let beside = path.with_extension("new");
-    let mut file = File::create(&beside)?;
+    let temporary = path.with_extension("new");
+    let mut file = File::create(&temporary)?;
     writeln!(file, "{number}")?;
     file.sync_all()?;
-    std::fs::rename(&beside, path)
+    std::fs::rename(&temporary, path)
 }
 
 #[cfg(test)]
--- a/crates/cluster-net/src/start/tests.rs
+++ b/crates/cluster-net/src/start/tests.rs
@@ -1,26 +1,25 @@
 use super::*;
 
 #[test]
-fn each_start_of_one_folder_is_later_though_the_clock_is_behind() {
+fn start_numbers_increase_even_if_the_clock_is_behind() {
     let dir = std::env::temp_dir().join(format!("bitternlatch-start-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("a directory");
     let path = dir.join("d1.start");
-    let first = number(Some(&path)).expect("a number");
-    assert!(number(Some(&path)).expect("a number") > first);
+    let first = next_start_number(Some(&path)).expect("a number");
+    assert!(next_start_number(Some(&path)).expect("a number") > first);
     let ahead = u64::MAX / 2;
     std::fs::write(&path, ahead.to_string()).expect("a file");
-    assert_eq!(number(Some(&path)).ok(), Some(ahead + 1));
-    raise(&path, ahead).expect("kept");
+    assert_eq!(next_start_number(Some(&path)).ok(), Some(ahead + 1));
+    store_if_later(&path, ahead).expect("stored");
     assert_eq!(
-        number(Some(&path)).ok(),
+        next_start_number(Some(&path)).ok(),
         Some(ahead + 2),
-        "an earlier one lowers nothing"
+        "an earlier number is not stored"
     );
-    raise(&path, ahead + 9).expect("kept");
-    assert_eq!(number(Some(&path)).ok(), Some(ahead + 10));
+    store_if_later(&path, ahead + 9).expect("stored");
+    assert_eq!(next_start_number(Some(&path)).ok(), Some(ahead + 10));
     std::fs::write(&path, "x7").expect("a file");
-    assert!(
-        number(Some(&path)).is_err_and(|e| matches!(e, ClusterNetError::InvalidStartNumber { .. }))
-    );
+    assert!(next_start_number(Some(&path))
+        .is_err_and(|e| matches!(e, ClusterNetError::InvalidStartNumber { .. })));
     std::fs::remove_dir_all(&dir).expect("removed");
 }
--- a/crates/cluster-net/src/status.rs
+++ b/crates/cluster-net/src/status.rs
@@ -1,4 +1,4 @@
-//! Whole views over TCP, as JSON: how operators and other programs see what a member knows.
+//! Serves the state of a member over TCP as JSON, for operators and answer_roster programs.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -11,38 +11,41 @@
 use crate::error::ClusterNetError;
 use crate::links;
 
-/// The question for a view.
-const QUESTION: &str = "members 1";
-/// Longest question and longest answer, bytes: a thousand members take some 250 KB in a view, 150 in a roster.
-const QUESTION_BYTES: u64 = 256;
-const ANSWER_BYTES: u64 = 1 << 20;
-/// Longest that one handle is waited for; askers are served one after the other.
-const ASKER: Duration = Duration::from_millis(500);
+/// The request member_status that asks for the cluster status.
+const STATUS_REQUEST: &str = "members 1";
+/// Maximum length of a request member_status, bytes.
+const MAX_REQUEST_BYTES: u64 = 256;
+/// Maximum length of an answer, bytes. A thousand members take about 250 KB in a status and 150 KB in a roster.
+const MAX_ANSWER_BYTES: u64 = 1 << 20;
+/// Timeout of a read or write on one client connection. Clients are served one after another, so a slow one delays the rest.
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A view as it is told. Times in Unix milliseconds of the member's own clock.
+/// The state of the cluster as one member sees it. Times are in milliseconds of that member's own clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClusterStatus {
     pub cluster: String,
     pub name: String,
     pub address: String,
     pub start: u64,
-    /// How often it came back under this start after others had given it up.
+    /// How often the member has rejoined under this start after peers had declared it down.
     pub comebacks: u16,
+    /// The quorum state, in lower case.
     pub standing: String,
-    /// The later start under its name to which it has given way.
+    /// The number of a later start with the same name, which has fenced this member.
     pub fenced_by: Option<u64>,
     pub at_ms: u64,
-    /// Whom it asks for its part of what all share; empty where it knows nobody.
+    /// The leader from which the member requests its quota lease; empty if no leader is known.
     #[serde(default)]
     pub steward: String,
-    /// What it may spend of the whole now, from 0 to 1.
+    /// The fraction of the shared quotas that the member may use now, from 0 to 1.
     #[serde(default)]
     pub part: f64,
     pub members: Vec<MemberStatus>,
-    /// Datagrams not taken, by cause.
+    /// The number of rejected datagrams, by cause.
     pub dropped: BTreeMap<String, u64>,
 }
 
+/// The state of one peer as a member sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
     pub name: String,
@@ -57,13 +60,13 @@
     pub(crate) fn of(
         cluster: &str,
         name: &str,
-        whole: &ClusterMember,
+        cluster_member: &ClusterMember,
         now: Duration,
     ) -> ClusterStatus {
-        let view = whole.membership().view();
-        let part = whole.quota().lease();
-        let lent = if now < part.until { part.leased } else { 0.0 };
-        let line = |m: &bitternlatch_membership::MemberView| MemberStatus {
+        let view = cluster_member.membership().view();
+        let lease = cluster_member.quota().lease();
+        let leased = if now < lease.until { lease.leased } else { 0.0 };
+        let member_status = |m: &bitternlatch_membership::MemberView| MemberStatus {
             name: m.name.clone(),
             address: m.address.to_string(),
             start: m.start.map(|s| s.process),
@@ -80,37 +83,37 @@
             standing: format!("{:?}", view.quorum).to_lowercase(),
             fenced_by: view.fenced_by.map(|s| s.process),
             at_ms: now.as_millis() as u64,
-            steward: whole
+            steward: cluster_member
                 .quota()
                 .leader()
-                .map(|key| whole.membership().name_of(key))
+                .map(|key| cluster_member.membership().name_of(key))
                 .unwrap_or_default(),
-            part: lent + unleased_quota(whole.membership().roster().len()),
-            members: view.members.iter().map(line).collect(),
+            part: leased + unleased_quota(cluster_member.membership().roster().len()),
+            members: view.members.iter().map(member_status).collect(),
             dropped: view
                 .rejected
                 .iter()
-                .map(|(why, n)| (why.name().to_string(), *n))
+                .map(|(cause, count)| (cause.name().to_string(), *count))
                 .collect(),
         }
     }
 }
 
-/// Answers askers one after the other until the process ends; links that peers open go their own way.
+/// Answers clients one after another until the process ends. A connection on which a peer opens a link is passed to `link`.
 pub(crate) fn serve(
     listener: &TcpListener,
     view: impl Fn() -> ClusterStatus,
-    other: impl Fn(&str) -> Option<String>,
+    answer_roster: impl Fn(&str) -> Option<String>,
     link: impl Fn(BufReader<TcpStream>),
 ) {
     for stream in listener.incoming() {
         match stream {
             Ok(stream) => {
-                if let Err(e) = answer(stream, &view, &other, &link) {
-                    tracing::debug!(error = %e, "a status query was not answered");
+                if let Err(e) = answer(stream, &view, &answer_roster, &link) {
+                    tracing::debug!(error = %e, "a status request was not answered");
                 }
             }
-            // Without descriptors it would spin.
+            // The sleep avoids a busy loop while the process has no free file descriptors.
             Err(_) => std::thread::sleep(Duration::from_millis(50)),
         }
     }
@@ -119,46 +122,54 @@
 fn answer(
     mut stream: TcpStream,
     view: &impl Fn() -> ClusterStatus,
-    other: &impl Fn(&str) -> Option<String>,
+    answer_roster: &impl Fn(&str) -> Option<String>,
     link: &impl Fn(BufReader<TcpStream>),
 ) -> io::Result<()> {
-    stream.set_read_timeout(Some(ASKER))?;
-    stream.set_write_timeout(Some(ASKER))?;
-    let mut question = String::new();
+    stream.set_read_timeout(Some(CLIENT_TIMEOUT))?;
+    stream.set_write_timeout(Some(CLIENT_TIMEOUT))?;
+    let mut request = String::new();
     let mut reader = BufReader::new(stream.try_clone()?);
     (&mut reader)
-        .take(QUESTION_BYTES)
-        .read_line(&mut question)?;
-    if question.split_whitespace().next() == Some(links::LINK_WORD) {
+        .take(MAX_REQUEST_BYTES)
+        .read_line(&mut request)?;
+    if request.split_whitespace().next() == Some(links::LINK_WORD) {
         link(reader);
         return Ok(());
     }
-    if question.trim() != QUESTION {
-        let wrong = || "{\"error\":\"the question is 'members 1'\"}\n".to_string();
-        return stream.write_all(other(question.trim()).unwrap_or_else(wrong).as_bytes());
+    if request.trim() != STATUS_REQUEST {
+        let unknown_request = || "{\"error\":\"the question is 'members 1'\"}\n".to_string();
+        return stream.write_all(
+            answer_roster(request.trim())
+                .unwrap_or_else(unknown_request)
+                .as_bytes(),
+        );
     }
     let mut text = serde_json::to_string(&view())?;
     text.push('\n');
     stream.write_all(text.as_bytes())
 }
 
-/// Puts one question to a member and gives all that it answers.
-pub(crate) fn put(peer: SocketAddr, question: &str, within: Duration) -> io::Result<String> {
-    let mut stream = TcpStream::connect_timeout(&peer, within)?;
-    stream.set_read_timeout(Some(within))?;
-    stream.set_write_timeout(Some(within))?;
-    writeln!(stream, "{question}")?;
+/// Sends one request line to a member and returns the whole answer.
+pub(crate) fn request_answer(
+    peer: SocketAddr,
+    request: &str,
+    timeout: Duration,
+) -> io::Result<String> {
+    let mut stream = TcpStream::connect_timeout(&peer, timeout)?;
+    stream.set_read_timeout(Some(timeout))?;
+    stream.set_write_timeout(Some(timeout))?;
+    writeln!(stream, "{request}")?;
     let mut text = String::new();
-    stream.take(ANSWER_BYTES).read_to_string(&mut text)?;
+    stream.take(MAX_ANSWER_BYTES).read_to_string(&mut text)?;
     Ok(text)
 }
 
-/// What a member knows, as it tells it.
+/// Fetches the cluster status from a member. `timeout` limits the connect and each read and write.
 ///
 /// # Errors
-/// Where it cannot be reached within the time, or what it tells cannot be read.
-pub fn fetch_status(peer: SocketAddr, within: Duration) -> Result<ClusterStatus, ClusterNetError> {
-    let text = put(peer, QUESTION, within)
+/// If the member cannot be reached in time, or the answer is not a status.
+pub fn fetch_status(peer: SocketAddr, timeout: Duration) -> Result<ClusterStatus, ClusterNetError> {
+    let text = request_answer(peer, STATUS_REQUEST, timeout)
         .map_err(|error| ClusterNetError::Unreachable { peer, error })?;
     serde_json::from_str(&text).map_err(|error| ClusterNetError::InvalidStatus { peer, error })
 }
--- a/crates/cluster-net/tests/durable_store.rs
+++ b/crates/cluster-net/tests/durable_store.rs
@@ -1,4 +1,5 @@
-//! What a machine keeps on disk: whole after a crash, refused in words where it is not what was written.
+//! The durable store of a service: entries survive a reopening and a full disk, and a damaged or foreign file is rejected with a
+//! message that says what to do.
 
 use std::fs;
 use std::io::{Error, ErrorKind};
@@ -9,58 +10,59 @@
 use bitternlatch_quota_lease::StorageError;
 use redb::StorageBackend;
 
-fn some(name: &str, bytes: &[u8]) -> (Vec<u8>, Option<Vec<u8>>) {
+fn entry(name: &str, bytes: &[u8]) -> (Vec<u8>, Option<Vec<u8>>) {
     (name.as_bytes().to_vec(), Some(bytes.to_vec()))
 }
 
-fn words(error: StorageError) -> String {
+fn message(error: StorageError) -> String {
     match error {
-        StorageError::Io(words) => words,
+        StorageError::Io(message) => message,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn what_was_put_survives_a_reopening_and_what_was_removed_does_not() {
+fn entries_survive_a_reopening_and_removed_entries_do_not() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("copies.redb");
-    let mut kept = DurableStore::new(&path);
-    assert_eq!(kept.load(), Ok(vec![]));
-    let batch: Batch = vec![some("a", b"1"), some("b", &[7; 50_000]), some("c", b"")];
-    kept.put(batch).expect("kept");
-    kept.put(vec![some("a", b"2"), (b"b".to_vec(), None)])
+    let mut store = DurableStore::new(&path);
+    assert_eq!(store.load(), Ok(vec![]));
+    let batch: Batch = vec![entry("a", b"1"), entry("b", &[7; 50_000]), entry("c", b"")];
+    store.put(batch).expect("kept");
+    store
+        .put(vec![entry("a", b"2"), (b"b".to_vec(), None)])
         .expect("kept");
-    let whole = vec![(b"a".to_vec(), b"2".to_vec()), (b"c".to_vec(), vec![])];
-    assert_eq!(kept.load(), Ok(whole.clone()));
-    let other = words(DurableStore::new(&path).load().expect_err("open already"));
+    let remaining = vec![(b"a".to_vec(), b"2".to_vec()), (b"c".to_vec(), vec![])];
+    assert_eq!(store.load(), Ok(remaining.clone()));
+    let other = message(DurableStore::new(&path).load().expect_err("open already"));
     assert!(other.contains("another process"), "{other}");
-    drop(kept);
-    assert_eq!(DurableStore::new(&path).load(), Ok(whole));
+    drop(store);
+    assert_eq!(DurableStore::new(&path).load(), Ok(remaining));
 }
 
 #[test]
-fn a_file_that_is_torn_foreign_or_of_another_version_is_refused_with_what_to_do() {
+fn a_truncated_foreign_or_later_version_file_is_rejected_with_advice() {
     let dir = tempfile::tempdir().expect("a folder");
     let at = |name: &str| dir.path().join(name);
     let good = at("good.redb");
-    let mut kept = DurableStore::new(&good);
+    let mut store = DurableStore::new(&good);
     let batch = (0..200u32)
-        .map(|i| some(&format!("name-{i}"), &[i as u8; 300]))
+        .map(|i| entry(&format!("name-{i}"), &[i as u8; 300]))
         .collect();
-    kept.put(batch).expect("kept");
-    let found = kept.load().expect("all");
-    drop(kept);
+    store.put(batch).expect("kept");
+    let found = store.load().expect("all");
+    drop(store);
     let bytes = fs::read(&good).expect("the file");
     let mut refused = 0;
     for part in 1..16 {
         let torn = at(&format!("torn-{part}"));
         fs::write(&torn, &bytes[..bytes.len() * part / 16]).expect("a file");
-        // Whole it may be, as the end of the file is room; another content it never is.
+        // A truncated file may still be complete, as the end of the file is unused space; it never has other content.
         match DurableStore::new(&torn).load() {
-            Ok(kept) => assert_eq!(kept, found, "{part}/16 of it"),
+            Ok(entries) => assert_eq!(entries, found, "{part}/16 of it"),
             Err(e) => {
                 refused += 1;
-                assert!(words(e).contains("move it away"), "{part}/16 of it");
+                assert!(message(e).contains("move it away"), "{part}/16 of it");
             }
         }
     }
@@ -72,7 +74,7 @@
         other[i] ^= 0x10;
         fs::write(&flipped, other).expect("a file");
         match DurableStore::new(&flipped).load() {
-            Ok(kept) => assert_eq!(kept, found, "byte {i}"),
+            Ok(entries) => assert_eq!(entries, found, "byte {i}"),
             Err(_) => noticed += 1,
         }
     }
@@ -83,7 +85,8 @@
     )
     .expect("a file");
     assert!(
-        words(DurableStore::new(&at("text")).load().expect_err("foreign")).contains("move it away")
+        message(DurableStore::new(&at("text")).load().expect_err("foreign"))
+            .contains("move it away")
     );
     let make = |name: &str, table: redb::TableDefinition<'_, &str, u64>| {
         let db = redb::Database::create(at(name)).expect("a database");
@@ -96,7 +99,7 @@
         write.commit().expect("written");
     };
     make("foreign", redb::TableDefinition::new("others"));
-    assert!(words(
+    assert!(message(
         DurableStore::new(&at("foreign"))
             .load()
             .expect_err("foreign")
@@ -104,18 +107,20 @@
     .contains("something else"));
     make("later", redb::TableDefinition::new("about"));
     assert!(
-        words(DurableStore::new(&at("later")).load().expect_err("later")).contains("of version 9")
+        message(DurableStore::new(&at("later")).load().expect_err("later"))
+            .contains("of version 9")
     );
 }
 
-/// A disk in memory that holds so many bytes.
+/// An in-memory storage backend with a limited capacity.
 #[derive(Clone, Debug)]
-struct Small {
+struct LimitedStorage {
     bytes: Arc<Mutex<Vec<u8>>>,
-    room: Arc<AtomicU64>,
+    /// Maximum length of the storage, bytes.
+    capacity: Arc<AtomicU64>,
 }
 
-impl StorageBackend for Small {
+impl StorageBackend for LimitedStorage {
     fn len(&self) -> Result<u64, Error> {
         Ok(self.bytes.lock().expect("not poisoned").len() as u64)
     }
@@ -129,7 +134,7 @@
         Ok(())
     }
     fn set_len(&self, len: u64) -> Result<(), Error> {
-        if len > self.room.load(Ordering::SeqCst) {
+        if len > self.capacity.load(Ordering::SeqCst) {
             return Err(Error::from(ErrorKind::StorageFull));
         }
         self.bytes
@@ -153,29 +158,29 @@
 }
 
 #[test]
-fn a_full_disk_is_named_keeps_what_it_had_and_goes_on_once_there_is_room() {
-    let disk = Small {
+fn a_full_disk_is_reported_loses_no_entry_and_recovers_when_space_is_free() {
+    let disk = LimitedStorage {
         bytes: Arc::default(),
-        room: Arc::new(AtomicU64::new(4 << 20)),
+        capacity: Arc::new(AtomicU64::new(4 << 20)),
     };
-    let own = disk.clone();
-    let mut kept = DurableStore::with_backend(move || own.clone());
-    kept.put(vec![some("first", b"1")]).expect("kept");
+    let backend = disk.clone();
+    let mut store = DurableStore::with_backend(move || backend.clone());
+    store.put(vec![entry("first", b"1")]).expect("kept");
     let big = |i: u32| {
         vec![
-            some(&format!("big-{i}"), &vec![i as u8; 300_000]),
-            some("last", &i.to_le_bytes()),
+            entry(&format!("big-{i}"), &vec![i as u8; 300_000]),
+            entry("last", &i.to_le_bytes()),
         ]
     };
-    let full = (0..100).find_map(|i| kept.put(big(i)).err().map(|e| (i, e)));
+    let full = (0..100).find_map(|i| store.put(big(i)).err().map(|e| (i, e)));
     let (at, error) = full.expect("it runs full");
     assert_eq!(error, StorageError::Full);
     assert!(error.advice().contains("free space"));
-    assert_eq!(kept.put(big(at)), Err(StorageError::Full), "still");
-    let found = kept.load().expect("what was kept is there");
+    assert_eq!(store.put(big(at)), Err(StorageError::Full), "still");
+    let found = store.load().expect("what was kept is there");
     assert_eq!(found.len(), 2 + at as usize, "whole batches alone");
     assert!(found.contains(&(b"last".to_vec(), (at - 1).to_le_bytes().to_vec())));
-    disk.room.store(64 << 20, Ordering::SeqCst);
-    kept.put(big(at)).expect("there is room again");
-    assert_eq!(kept.load().expect("all").len(), 3 + at as usize);
+    disk.capacity.store(64 << 20, Ordering::SeqCst);
+    store.put(big(at)).expect("there is room again");
+    assert_eq!(store.load().expect("all").len(), 3 + at as usize);
 }
--- a/crates/cluster-net/tests/golden.rs
+++ b/crates/cluster-net/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Files, frames, answers and views, byte for byte as they were before any name changed.
+//! Files, frames, answers and the status keep their bytes.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -58,10 +58,10 @@
     answer
 }
 
-/// Sends what it is asked to.
-struct Sends;
+/// A service that sends each request as a frame to member `d2`.
+struct FrameSender;
 
-impl ClusterService for Sends {
+impl ClusterService for FrameSender {
     const TOPIC: Topic = Topic::Workflows;
     type Request = Vec<u8>;
     type Event = ();
@@ -73,11 +73,11 @@
     fn step(
         &mut self,
         _: Duration,
-        given: ServiceInput<Vec<u8>>,
+        input: ServiceInput<Vec<u8>>,
         out: &mut Vec<ServiceOutput<()>>,
     ) {
-        if let ServiceInput::Request(said) = given {
-            out.push(ServiceOutput::SendFrame(NameKey::of("d2"), said));
+        if let ServiceInput::Request(payload) = input {
+            out.push(ServiceOutput::SendFrame(NameKey::of("d2"), payload));
         }
     }
 }
@@ -112,8 +112,8 @@
     );
 
     let handle: ServiceHandle<Vec<u8>> = runtime
-        .add_service(Sends, None, |()| ())
-        .expect("a machine");
+        .add_service(FrameSender, None, |()| ())
+        .expect("a service");
     handle.request(b"first".to_vec()).expect("asked");
     let (link, _) = peer.accept().expect("a link");
     let mut link = BufReader::new(link);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn view_keeps_its_text() {
+fn status_json_keeps_its_text() {
     let line = |name: &str, start, state: &str| MemberStatus {
         name: name.into(),
         address: "127.0.0.1:7002".into(),
@@ -163,7 +163,7 @@
     );
 }
 
-/// What a seed of this cluster answers, and what it was asked.
+/// Starts a seed that answers one request with `text` and an authentication tag. The thread returns the request.
 fn seed(port: u16, text: String) -> (SocketAddrV4, std::thread::JoinHandle<String>) {
     let listener = TcpListener::bind(address(port)).expect("a listener");
     let answer = move || {
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn roster_is_asked_for_told_and_kept_in_the_same_bytes() {
+fn roster_request_answer_and_stored_file_keep_their_bytes() {
     let dir = folder();
     let (at, asked) = seed(3, ROSTER.to_string());
     let (told, by) = fetch_roster(&with_seeds(vec![at]), "d2", dir.path()).expect("a roster");
@@ -224,11 +224,11 @@
 }
 
 #[test]
-fn kept_roster_as_found_counts_where_no_seed_answers() {
+fn a_stored_roster_in_the_golden_bytes_is_used_if_no_seed_answers() {
     let dir = folder();
     std::fs::write(dir.path().join("d1.start.roster"), ROSTER).expect("a file");
     let (told, by) = fetch_roster(&with_seeds(vec![]), "d2", dir.path()).expect("a roster");
-    assert_eq!((told, by.as_str()), (golden_roster(), "the last one told"));
+    assert_eq!((told, by.as_str()), (golden_roster(), "the stored roster"));
 }
 
 fn small_store() -> StoredEntries {
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn snapshot_as_found_is_read_and_written_in_the_same_bytes() {
+fn a_golden_snapshot_is_read_and_written_in_the_same_bytes() {
     let dir = folder();
     let path = dir.path().join("lengths");
     SnapshotStore::new(path.clone())
@@ -259,7 +259,8 @@
     assert_eq!(SnapshotStore::new(path).load(), Ok(small_store()));
 }
 
-/// The store's file as found, without the runs of zeros that it mostly consists of: offset, length, bytes.
+/// Writes the golden store file to `path`. The packed form is the file length, then the ranges that are not zero, each as offset,
+/// length and bytes.
 fn unpack(packed: &[u8], path: &Path) {
     let word = |bytes: &[u8]| u32::from_le_bytes(bytes.try_into().expect("four bytes")) as usize;
     let mut file = vec![0; word(&packed[..4])];
@@ -273,7 +274,7 @@
 }
 
 #[test]
-fn durable_store_as_found_is_read_back() {
+fn a_golden_durable_store_is_read() {
     let dir = folder();
     let path = dir.path().join("copies.redb");
     unpack(include_bytes!("golden/store.bin"), &path);
--- a/crates/cluster-net/tests/services.rs
+++ b/crates/cluster-net/tests/services.rs
@@ -1,4 +1,5 @@
-//! Machines beside planes in one process, over real sockets: datagrams, frames, a disk, and who may speak.
+//! Services of two cluster runtimes in one process, over real sockets: datagrams, frames, a disk store, and the checks of the
+//! secret file.
 
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -10,19 +11,19 @@
 use bitternlatch_quota_lease::{ClusterService, ServiceInput, ServiceOutput, StorageError};
 use crossbeam_channel::{unbounded, Receiver};
 
-/// Passes on what it is asked, and tells all that it hears.
+/// A service that sends and stores what it is requested to, and reports its handle_two inputs as events.
 struct Echo;
 
 #[derive(Debug, PartialEq)]
-enum Ask {
-    Say(NameKey, Vec<u8>),
-    Send(NameKey, Vec<u8>),
-    Keep(u64, Vec<u8>),
+enum EchoRequest {
+    Datagram(NameKey, Vec<u8>),
+    Frame(NameKey, Vec<u8>),
+    Persist(u64, Vec<u8>),
 }
 
 impl ClusterService for Echo {
     const TOPIC: Topic = Topic::Lengths;
-    type Request = Ask;
+    type Request = EchoRequest;
     type Event = String;
 
     fn wake_at(&self) -> Option<Duration> {
@@ -32,22 +33,24 @@
     fn step(
         &mut self,
         _: Duration,
-        given: ServiceInput<Ask>,
+        input: ServiceInput<EchoRequest>,
         out: &mut Vec<ServiceOutput<String>>,
     ) {
-        match given {
+        match input {
             ServiceInput::Wake | ServiceInput::Peers(_) => {}
-            ServiceInput::Request(Ask::Say(to, said)) => {
-                out.push(ServiceOutput::SendDatagram(to, said))
+            ServiceInput::Request(EchoRequest::Datagram(to, payload)) => {
+                out.push(ServiceOutput::SendDatagram(to, payload))
             }
-            ServiceInput::Request(Ask::Send(to, said)) => {
-                out.push(ServiceOutput::SendFrame(to, said))
+            ServiceInput::Request(EchoRequest::Frame(to, payload)) => {
+                out.push(ServiceOutput::SendFrame(to, payload))
+            }
+            ServiceInput::Request(EchoRequest::Persist(ticket, name)) => {
+                out.push(ServiceOutput::Persist {
+                    ticket,
+                    name,
+                    bytes: Some(b"kept".to_vec()),
+                })
             }
-            ServiceInput::Request(Ask::Keep(ticket, name)) => out.push(ServiceOutput::Persist {
-                ticket,
-                name,
-                bytes: Some(b"kept".to_vec()),
-            }),
             ServiceInput::Datagram { payload, .. } => {
                 out.push(ServiceOutput::Event(format!("said {}", payload.len())))
             }
@@ -67,9 +70,10 @@
     }
 }
 
-struct Shelf(usize);
+/// A store with room for a number of writes.
+struct LimitedStore(usize);
 
-impl Store for Shelf {
+impl Store for LimitedStore {
     fn load(&mut self) -> Result<Vec<(Vec<u8>, Vec<u8>)>, StorageError> {
         Ok(vec![(b"a".to_vec(), b"b".to_vec())])
     }
@@ -91,7 +95,7 @@
     n: u16,
     store: Option<Box<dyn Store>>,
     dir: &Path,
-) -> (ClusterRuntime, ServiceHandle<Ask>, Receiver<String>) {
+) -> (ClusterRuntime, ServiceHandle<EchoRequest>, Receiver<String>) {
     let peer = |n| Peer {
         name: format!("d{n}"),
         address: address(n),
@@ -106,52 +110,62 @@
     };
     let mut runtime =
         ClusterRuntime::join(&cluster, &format!("d{n}"), dir, |_| ()).expect("a runtime");
-    let (to, heard) = unbounded();
+    let (to, events) = unbounded();
     let handle = runtime
-        .add_service(Echo, store, move |told| drop(to.send(told)))
-        .expect("a machine");
-    (runtime, handle, heard)
+        .add_service(Echo, store, move |event| drop(to.send(event)))
+        .expect("a service");
+    (runtime, handle, events)
 }
 
-fn until(heard: &Receiver<String>, what: &str) {
+fn wait_for_event(events: &Receiver<String>, what: &str) {
     let by = Instant::now() + Duration::from_secs(20);
     loop {
-        let told = heard
+        let event = events
             .recv_deadline(by)
-            .unwrap_or_else(|_| panic!("'{what}' has not come"));
-        if told == what {
+            .unwrap_or_else(|_| panic!("'{what}' has not been reported"));
+        if event == what {
             return;
         }
     }
 }
 
 #[test]
-fn machines_hear_datagrams_and_frames_keep_and_leave() {
+fn services_receive_datagrams_and_frames_store_entries_and_leave() {
     let dir = tempfile::tempdir().expect("a folder");
     std::fs::write(dir.path().join("secret"), "sixteen bytes or more").expect("a secret");
-    let (one, asks, kept) = start(1, Some(Box::new(Shelf(1))), dir.path());
-    let (two, other, heard) = start(2, None, dir.path());
+    let (one, handle_one, events_one) = start(1, Some(Box::new(LimitedStore(1))), dir.path());
+    let (two, handle_two, events_two) = start(2, None, dir.path());
     let d2 = NameKey::of("d2");
-    until(&kept, "found 1");
-    asks.request(Ask::Say(d2, vec![7; 200])).expect("asked");
-    until(&heard, "said 200");
+    wait_for_event(&events_one, "found 1");
+    handle_one
+        .request(EchoRequest::Datagram(d2, vec![7; 200]))
+        .expect("queued");
+    wait_for_event(&events_two, "said 200");
     for size in [0, 60_000] {
-        asks.request(Ask::Send(d2, vec![0; size])).expect("asked");
-        until(&heard, &format!("frame {size}"));
+        handle_one
+            .request(EchoRequest::Frame(d2, vec![0; size]))
+            .expect("queued");
+        wait_for_event(&events_two, &format!("frame {size}"));
     }
-    asks.request(Ask::Keep(1, b"x".to_vec())).expect("asked");
-    until(&kept, "kept 1 true");
-    asks.request(Ask::Keep(2, b"y".to_vec())).expect("asked");
-    until(&kept, "kept 2 false");
-    other.request(Ask::Keep(3, b"z".to_vec())).expect("asked");
-    until(&heard, "kept 3 false");
+    handle_one
+        .request(EchoRequest::Persist(1, b"x".to_vec()))
+        .expect("queued");
+    wait_for_event(&events_one, "kept 1 true");
+    handle_one
+        .request(EchoRequest::Persist(2, b"y".to_vec()))
+        .expect("queued");
+    wait_for_event(&events_one, "kept 2 false");
+    handle_two
+        .request(EchoRequest::Persist(3, b"z".to_vec()))
+        .expect("queued");
+    wait_for_event(&events_two, "kept 3 false");
     two.leave();
-    until(&heard, "leaves");
+    wait_for_event(&events_two, "leaves");
     one.leave();
 }
 
 #[test]
-fn a_cluster_without_its_secret_is_told_how_to_make_one() {
+fn a_missing_or_short_secret_is_reported_with_advice() {
     let dir = tempfile::tempdir().expect("a folder");
     let roster = vec![Peer {
         name: "d1".into(),
--- a/programs/chaos/src/parted.rs
+++ b/programs/chaos/src/parted.rs
@@ -59,7 +59,7 @@
 pub enum What {
     /// SIGSTOP, and SIGCONT after the time.
     Pause,
-    /// The same for the one that became leader; issues quota leases; `dispatcher` where none does.
+    /// The same for the leader, which issues quota leases; `dispatcher` where there is none.
     PauseSteward,
     /// SIGKILL, and a start with what its folder holds after the time.
     Kill,
@@ -413,7 +413,10 @@
 
     #[test]
     fn the_one_that_lends_is_known_by_the_last_word_of_its_log() {
-        let (begun, ended) = ("became leader; issues quota leases\n", "no longer leader; stopped issuing quota leases\n");
+        let (begun, ended) = (
+            "became leader; issues quota leases\n",
+            "no longer leader; stopped issuing quota leases\n",
+        );
         let lends = |log: &[&str]| super::lends_last(&log.concat());
         assert!(lends(&[begun]) && lends(&[begun, ended, begun]));
         assert!(!lends(&[]) && !lends(&[begun, ended]) && !lends(&[ended]));
--- a/programs/chaos/tests/seeds.rs
+++ b/programs/chaos/tests/seeds.rs
@@ -108,7 +108,7 @@
     assert!(
         seeded
             .log()
-            .contains("cluster.seeds: none tells the roster"),
+            .contains("cluster.seeds: no seed sent the roster"),
         "{}",
         seeded.log()
     );
@@ -120,7 +120,7 @@
     seeded.start(2);
     seeded.until(2, "alone");
     assert!(
-        seeded.log().contains("the last one told counts"),
+        seeded.log().contains("using the stored roster"),
         "{}",
         seeded.log()
     );
@@ -134,7 +134,7 @@
     seeded.start(2);
     assert!(!seeded.members[2].ended(SOON));
     assert!(
-        seeded.log().contains("the proof does not fit"),
+        seeded.log().contains("the authentication tag is invalid"),
         "{}",
         seeded.log()
     );
--- a/programs/chaos/tests/workflows.rs
+++ b/programs/chaos/tests/workflows.rs
@@ -272,7 +272,7 @@
         std::fs::write(three.rig.dir.join(format!("{of}.workflows")), text).expect("a file");
         three.start(of);
         (0..3).for_each(|i| three.until(i, "whole"));
-        let named = |log: String| log.contains(".workflows is no store, or is damaged");
+        let named = |log: String| log.contains(".workflows is not a store, or is damaged");
         wait_for("its name in the log", || {
             three.rig.dispatchers[of].log().is_ok_and(named)
         });
--- a/programs/cluster-status/src/lib.rs
+++ b/programs/cluster-status/src/lib.rs
@@ -1,4 +1,4 @@
-//! Views of several members, side by side.
+//! Fetches the cluster status of several members and compares them.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -6,51 +6,53 @@
 
 use bitternlatch_cluster_net::{fetch_status, ClusterStatus};
 
-/// A member's name and what it tells, or why it tells nothing.
-pub type Told = (String, Result<ClusterStatus, String>);
+/// The name of a member and its cluster status, or the error of fetching it.
+pub type FetchedStatus = (String, Result<ClusterStatus, String>);
 
-/// The first view, and those of all members that it names.
-pub fn gather(first: ClusterStatus, within: Duration) -> Vec<Told> {
+/// Fetches the cluster status of all members that the first status names, and returns it with the first one in front.
+pub fn fetch_all(first: ClusterStatus, timeout: Duration) -> Vec<FetchedStatus> {
     let others = first
         .members
         .iter()
         .map(|m| (m.name.clone(), m.address.clone()))
         .collect::<Vec<_>>();
-    let askers = others.into_iter().map(|(name, address)| {
-        let asked = move || match address.parse() {
-            Ok(address) => fetch_status(address, within).map_err(|e| e.to_string()),
-            Err(_) => Err(format!("'{address}' is no address")),
+    let requests = others.into_iter().map(|(name, address)| {
+        let fetch = move || match address.parse() {
+            Ok(address) => fetch_status(address, timeout).map_err(|e| e.to_string()),
+            Err(_) => Err(format!("'{address}' is not an address")),
         };
-        (name, std::thread::spawn(asked))
+        (name, std::thread::spawn(fetch))
     });
-    // All are asked at once: those that are not there would else be waited for one after the other.
-    let askers: Vec<_> = askers.collect();
-    let ended = |_| Err("the asker's thread ended".to_string());
+    // All members are queried in parallel, so that the timeouts of unreachable members do not add up.
+    let requests: Vec<_> = requests.collect();
+    let thread_error = |_| Err("the request thread ended".to_string());
     let mut views = vec![(first.name.clone(), Ok(first))];
     views.extend(
-        askers
+        requests
             .into_iter()
-            .map(|(name, asker)| (name, asker.join().unwrap_or_else(ended))),
+            .map(|(name, request)| (name, request.join().unwrap_or_else(thread_error))),
     );
     views
 }
 
-/// Where members say different things of one member, a line each.
-pub fn differences(views: &[Told]) -> Vec<String> {
-    let mut said: BTreeMap<&str, BTreeMap<&str, Vec<&str>>> = BTreeMap::new();
+/// One line of text for each member whose state differs between the statuses.
+pub fn differences(views: &[FetchedStatus]) -> Vec<String> {
+    let mut states_by_member: BTreeMap<&str, BTreeMap<&str, Vec<&str>>> = BTreeMap::new();
     for (by, view) in views
         .iter()
         .filter_map(|(by, v)| v.as_ref().ok().map(|v| (by, v)))
     {
         for member in &view.members {
-            said.entry(&member.name)
+            states_by_member
+                .entry(&member.name)
                 .or_default()
                 .entry(&member.state)
                 .or_default()
                 .push(by);
         }
-        // Each is alive to itself.
-        said.entry(by)
+        // A member counts as alive in its own status, which does not list the member itself.
+        states_by_member
+            .entry(by)
             .or_default()
             .entry("alive")
             .or_default()
@@ -62,10 +64,10 @@
             .map(|(state, by)| format!("{state} to {}", by.join(", ")));
         (states.len() > 1).then(|| format!("{name} is {}", parts.collect::<Vec<_>>().join("; ")))
     };
-    said.iter().filter_map(line).collect()
+    states_by_member.iter().filter_map(line).collect()
 }
 
-/// One view as text.
+/// Formats a status as a text table.
 pub fn table(view: &ClusterStatus) -> String {
     let mut text = format!(
         "{} of {}, start {}: {}",
@@ -110,7 +112,7 @@
 
     use super::*;
 
-    fn view(name: &str, others: &[(&str, &str)]) -> Told {
+    fn view(name: &str, others: &[(&str, &str)]) -> FetchedStatus {
         let line = |(name, state): &(&str, &str)| MemberStatus {
             name: name.to_string(),
             address: "127.0.0.1:1".into(),
@@ -137,7 +139,7 @@
     }
 
     #[test]
-    fn views_that_differ_are_told_by_member() {
+    fn differing_states_are_reported_by_member() {
         let alike = [view("a", &[("b", "alive")]), view("b", &[("a", "alive")])];
         assert!(differences(&alike).is_empty());
         let differ = [
@@ -149,7 +151,7 @@
     }
 
     #[test]
-    fn a_table_shows_state_time_and_what_was_dropped() {
+    fn a_table_shows_states_times_and_rejected_datagrams() {
         let (_, shown) = view("a", &[("b", "suspect")]);
         let text = table(&shown.expect("a view"));
         assert!(text.starts_with("a of hall, start 7: whole\n"), "{text}");
--- a/programs/cluster-status/src/main.rs
+++ b/programs/cluster-status/src/main.rs
@@ -1,38 +1,39 @@
-//! Shows what dispatchers know of each other, and where they differ.
+//! Shows the cluster status of dispatchers, and where the statuses differ.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::time::Duration;
 
 use bitternlatch_cluster_net::fetch_status;
-use bitternlatch_cluster_status::{differences, gather, table};
+use bitternlatch_cluster_status::{differences, fetch_all, table};
 use clap::{Parser, Subcommand};
 
-/// Shows what dispatchers know of each other.
+/// Shows the cluster status of dispatchers.
 #[derive(Parser)]
 #[command(
     version,
     after_help = "Example:\n  bitternlatch-cluster-status members --peer 127.0.0.1:7811 --all\n\nExit codes: 0 shown, \
-    1 shown and members differ or are not there, 2 the peer could not be asked."
+    1 shown, but members differ, are unreachable or do not see the whole roster, 2 the peer did not answer."
 )]
 struct Args {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Each member as a peer sees it, since when and on what evidence.
+enum Command {
+    /// Show the state of each member as a peer sees it, with the time and the evidence of the state.
     Members {
-        /// A member's address for peers.
+        /// Cluster address of a member.
         #[arg(long)]
         peer: SocketAddr,
-        /// Ask every member that it names, and show where views differ.
+        /// Query every member of the roster, and show where their statuses differ.
         #[arg(long)]
         all: bool,
+        /// Print JSON instead of tables.
         #[arg(long)]
         json: bool,
-        /// Longest wait for one member, seconds.
+        /// Timeout of the query of one member, seconds.
         #[arg(long, default_value_t = 2.0, value_parser = seconds)]
         within_s: f64,
     },
@@ -41,22 +42,22 @@
 fn seconds(text: &str) -> Result<f64, String> {
     let value: f64 = text
         .parse()
-        .map_err(|_| "a number of seconds is expected".to_string())?;
+        .map_err(|_| "expected a number of seconds".to_string())?;
     (0.01..=60.0)
         .contains(&value)
         .then_some(value)
-        .ok_or("0.01 to 60 are expected".to_string())
+        .ok_or("expected 0.01 to 60 seconds".to_string())
 }
 
 fn main() -> ExitCode {
-    let What::Members {
+    let Command::Members {
         peer,
         all,
         json,
         within_s,
-    } = Args::parse().what;
-    let within = Duration::from_secs_f64(within_s);
-    let first = match fetch_status(peer, within) {
+    } = Args::parse().command;
+    let timeout = Duration::from_secs_f64(within_s);
+    let first = match fetch_status(peer, timeout) {
         Ok(shown) => shown,
         Err(why) => {
             eprintln!("bitternlatch-cluster-status: {why}");
@@ -64,7 +65,7 @@
         }
     };
     let views = if all {
-        gather(first, within)
+        fetch_all(first, timeout)
     } else {
         vec![(first.name.clone(), Ok(first))]
     };
@@ -88,11 +89,11 @@
         }
         differ.iter().for_each(|line| println!("{line}"));
     }
-    let away = |view: &Result<bitternlatch_cluster_net::ClusterStatus, String>| match view {
+    let is_degraded = |view: &Result<bitternlatch_cluster_net::ClusterStatus, String>| match view {
         Ok(shown) => shown.standing != "whole",
         Err(_) => true,
     };
     ExitCode::from(u8::from(
-        !differ.is_empty() || views.iter().any(|v| away(&v.1)),
+        !differ.is_empty() || views.iter().any(|v| is_degraded(&v.1)),
     ))
 }
