--- a/crates/cluster-net/src/durable_store.rs
+++ b/crates/cluster-net/src/durable_store.rs
@@ -42,22 +42,22 @@
 }
 
 /// Opens the database.
-type Open = Box<dyn FnMut() -> Result<Database, DatabaseError> + Send>;
+type OpenDatabase = Box<dyn FnMut() -> Result<Database, DatabaseError> + Send>;
 
 /// A [`Store`] in a database file. After an error the file is opened again on the next access, so that the store recovers by
 /// itself, for example when a full disk has free space again.
 pub struct DurableStore {
     /// The path of the file, for messages.
     display_path: String,
-    open: Open,
+    open: OpenDatabase,
     db: Option<Database>,
 }
 
 impl DurableStore {
     /// A store in the file at `path`, which is created if it does not exist. The file is opened on the first access.
     pub fn new(path: &Path) -> DurableStore {
-        let own = path.to_path_buf();
-        let open = move || Builder::new().create(&own);
+        let path_buf = path.to_path_buf();
+        let open = move || Builder::new().create(&path_buf);
         DurableStore {
             display_path: path.display().to_string(),
             open: Box::new(open),
@@ -83,7 +83,7 @@
     ) -> Result<T, StorageError> {
         let db = self.db.take();
         let open = &mut self.open;
-        // `redb` asserts invariants of its own writes. A file that was changed by others may violate them, and the panic must not
+        // `redb` asserts invariants of its path_buf writes. A file that was changed by others may violate them, and the panic must not
         // end the thread.
         let run = move || -> Result<(T, Database), DiskError> {
             let db = match db {
--- a/crates/cluster-net/src/seeds.rs
+++ b/crates/cluster-net/src/seeds.rs
@@ -18,7 +18,7 @@
 use crate::runtime::read_secret;
 use crate::status::request_answer;
 
-/// How long the seeds are asked, one after another and repeatedly, before the stored roster is used.
+/// How long the seeds are queried, one after another and repeatedly, before the stored roster is used.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
 /// Timeout of connecting to one seed, and of each read and write.
 const SEED_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/cluster-net/src/service.rs
+++ b/crates/cluster-net/src/service.rs
@@ -1,4 +1,4 @@
-//! Runs services beside the membership. Each service has an event loop on a thread of its own, which receives its inputs over a
+//! Runs services, which are state machines that exchange messages with their peers through the network runtime. Each service has an event loop on a thread of its own, which receives its inputs over a
 //! bounded channel, and a second thread for its disk store.
 
 use std::net::UdpSocket;
--- a/crates/cluster-net/src/snapshot/tests.rs
+++ b/crates/cluster-net/src/snapshot/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn a_snapshot_is_read_back_in_full_and_a_damaged_one_is_rejected() {
     let dir = tempfile::tempdir().unwrap();
-    let path = dir.path().join("kept");
+    let path = dir.path().join("snapshot");
     let mut store = SnapshotStore::new(path.clone());
     assert_eq!(store.load(), Ok(vec![]));
     let put = |name: &[u8], bytes: Option<&[u8]>| (name.to_vec(), bytes.map(<[u8]>::to_vec));
--- a/crates/cluster-net/src/status.rs
+++ b/crates/cluster-net/src/status.rs
@@ -11,16 +11,17 @@
 use crate::error::ClusterNetError;
 use crate::links;
 
-/// The request member_status that asks for the cluster status.
+/// The request line that asks for the cluster status.
 const STATUS_REQUEST: &str = "members 1";
-/// Maximum length of a request member_status, bytes.
+/// Maximum length of a request line, bytes.
 const MAX_REQUEST_BYTES: u64 = 256;
 /// Maximum length of an answer, bytes. A thousand members take about 250 KB in a status and 150 KB in a roster.
 const MAX_ANSWER_BYTES: u64 = 1 << 20;
 /// Timeout of a read or write on one client connection. Clients are served one after another, so a slow one delays the rest.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The state of the cluster as one member sees it. Times are in milliseconds of that member's own clock.
+/// The state of the cluster as one member sees it. Times are Unix times in milliseconds, by that member's own
+/// clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClusterStatus {
     pub cluster: String,
@@ -102,14 +103,14 @@
 /// Answers clients one after another until the process ends. A connection on which a peer opens a link is passed to `link`.
 pub(crate) fn serve(
     listener: &TcpListener,
-    view: impl Fn() -> ClusterStatus,
+    status: impl Fn() -> ClusterStatus,
     answer_roster: impl Fn(&str) -> Option<String>,
     link: impl Fn(BufReader<TcpStream>),
 ) {
     for stream in listener.incoming() {
         match stream {
             Ok(stream) => {
-                if let Err(e) = answer(stream, &view, &answer_roster, &link) {
+                if let Err(e) = handle_connection(stream, &status, &answer_roster, &link) {
                     tracing::debug!(error = %e, "a status request was not answered");
                 }
             }
@@ -119,9 +120,9 @@
     }
 }
 
-fn answer(
+fn handle_connection(
     mut stream: TcpStream,
-    view: &impl Fn() -> ClusterStatus,
+    status: &impl Fn() -> ClusterStatus,
     answer_roster: &impl Fn(&str) -> Option<String>,
     link: &impl Fn(BufReader<TcpStream>),
 ) -> io::Result<()> {
@@ -144,7 +145,7 @@
                 .as_bytes(),
         );
     }
-    let mut text = serde_json::to_string(&view())?;
+    let mut text = serde_json::to_string(&status())?;
     text.push('\n');
     stream.write_all(text.as_bytes())
 }
--- a/crates/cluster-net/tests/durable_store.rs
+++ b/crates/cluster-net/tests/durable_store.rs
@@ -23,15 +23,15 @@
 
 #[test]
 fn entries_survive_a_reopening_and_removed_entries_do_not() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("copies.redb");
     let mut store = DurableStore::new(&path);
     assert_eq!(store.load(), Ok(vec![]));
     let batch: Batch = vec![entry("a", b"1"), entry("b", &[7; 50_000]), entry("c", b"")];
-    store.put(batch).expect("kept");
+    store.put(batch).expect("stored");
     store
         .put(vec![entry("a", b"2"), (b"b".to_vec(), None)])
-        .expect("kept");
+        .expect("stored");
     let remaining = vec![(b"a".to_vec(), b"2".to_vec()), (b"c".to_vec(), vec![])];
     assert_eq!(store.load(), Ok(remaining.clone()));
     let other = message(DurableStore::new(&path).load().expect_err("open already"));
@@ -42,27 +42,30 @@
 
 #[test]
 fn a_truncated_foreign_or_later_version_file_is_rejected_with_advice() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a directory");
     let at = |name: &str| dir.path().join(name);
     let good = at("good.redb");
     let mut store = DurableStore::new(&good);
     let batch = (0..200u32)
         .map(|i| entry(&format!("name-{i}"), &[i as u8; 300]))
         .collect();
-    store.put(batch).expect("kept");
+    store.put(batch).expect("stored");
     let found = store.load().expect("all");
     drop(store);
     let bytes = fs::read(&good).expect("the file");
     let mut refused = 0;
-    for part in 1..16 {
-        let torn = at(&format!("torn-{part}"));
-        fs::write(&torn, &bytes[..bytes.len() * part / 16]).expect("a file");
+    for sixteenths in 1..16 {
+        let torn = at(&format!("torn-{sixteenths}"));
+        fs::write(&torn, &bytes[..bytes.len() * sixteenths / 16]).expect("a file");
         // A truncated file may still be complete, as the end of the file is unused space; it never has other content.
         match DurableStore::new(&torn).load() {
-            Ok(entries) => assert_eq!(entries, found, "{part}/16 of it"),
+            Ok(entries) => assert_eq!(entries, found, "{sixteenths}/16 of the file"),
             Err(e) => {
                 refused += 1;
-                assert!(message(e).contains("move it away"), "{part}/16 of it");
+                assert!(
+                    message(e).contains("move it away"),
+                    "{sixteenths}/16 of the file"
+                );
             }
         }
     }
@@ -165,7 +168,7 @@
     };
     let backend = disk.clone();
     let mut store = DurableStore::with_backend(move || backend.clone());
-    store.put(vec![entry("first", b"1")]).expect("kept");
+    store.put(vec![entry("first", b"1")]).expect("stored");
     let big = |i: u32| {
         vec![
             entry(&format!("big-{i}"), &vec![i as u8; 300_000]),
@@ -177,8 +180,8 @@
     assert_eq!(error, StorageError::Full);
     assert!(error.advice().contains("free space"));
     assert_eq!(store.put(big(at)), Err(StorageError::Full), "still");
-    let found = store.load().expect("what was kept is there");
-    assert_eq!(found.len(), 2 + at as usize, "whole batches alone");
+    let found = store.load().expect("the stored entries");
+    assert_eq!(found.len(), 2 + at as usize, "complete batches only");
     assert!(found.contains(&(b"last".to_vec(), (at - 1).to_le_bytes().to_vec())));
     disk.capacity.store(64 << 20, Ordering::SeqCst);
     store.put(big(at)).expect("there is room again");
--- a/crates/cluster-net/tests/golden.rs
+++ b/crates/cluster-net/tests/golden.rs
@@ -43,16 +43,16 @@
     }
 }
 
-fn folder() -> tempfile::TempDir {
-    let dir = tempfile::tempdir().expect("a folder");
+fn member_dir() -> tempfile::TempDir {
+    let dir = tempfile::tempdir().expect("a directory");
     std::fs::write(dir.path().join("secret"), SECRET).expect("a secret");
     std::fs::write(dir.path().join("d1.start"), START).expect("a start");
     dir
 }
 
-fn put(to: SocketAddrV4, question: &str) -> String {
+fn request(to: SocketAddrV4, question: &str) -> String {
     let mut stream = TcpStream::connect(to).expect("connected");
-    stream.write_all(question.as_bytes()).expect("asked");
+    stream.write_all(question.as_bytes()).expect("sent");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
     answer
@@ -84,15 +84,15 @@
 
 #[test]
 fn start_number_status_and_frames_keep_their_bytes() {
-    let dir = folder();
+    let dir = member_dir();
     let peer = TcpListener::bind(address(2)).expect("a listener");
     let mut runtime =
         ClusterRuntime::join(&cluster([1, 2]), "d1", dir.path(), |_| ()).expect("a runtime");
-    let kept = std::fs::read_to_string(dir.path().join("d1.start")).expect("the start");
-    assert_eq!(kept, "4000000000000001\n");
+    let stored = std::fs::read_to_string(dir.path().join("d1.start")).expect("the start");
+    assert_eq!(stored, "4000000000000001\n");
 
     let view: serde_json::Value =
-        serde_json::from_str(&put(address(1), "members 1\n")).expect("a view");
+        serde_json::from_str(&request(address(1), "members 1\n")).expect("a status");
     assert_eq!(view["start"], 4_000_000_000_000_001_u64);
     assert_eq!(view["standing"], "alone");
     assert_eq!(view["steward"], "");
@@ -107,20 +107,20 @@
     });
     assert_eq!(view["members"], serde_json::json!([member]));
     assert_eq!(
-        put(address(1), "else\n"),
+        request(address(1), "else\n"),
         "{\"error\":\"the question is 'members 1'\"}\n"
     );
 
     let handle: ServiceHandle<Vec<u8>> = runtime
         .add_service(FrameSender, None, |()| ())
         .expect("a service");
-    handle.request(b"first".to_vec()).expect("asked");
+    handle.request(b"first".to_vec()).expect("sent");
     let (link, _) = peer.accept().expect("a link");
     let mut link = BufReader::new(link);
     let mut opening = String::new();
     link.read_line(&mut opening).expect("a line");
     assert_eq!(opening, "link 1 d1\n");
-    handle.request(vec![0, 1, 0]).expect("asked");
+    handle.request(vec![0, 1, 0]).expect("sent");
     let mut frames = String::new();
     for _ in 0..2 {
         let mut frame = Vec::new();
@@ -133,7 +133,7 @@
 
 #[test]
 fn status_json_keeps_its_text() {
-    let line = |name: &str, start, state: &str| MemberStatus {
+    let member = |name: &str, start, state: &str| MemberStatus {
         name: name.into(),
         address: "127.0.0.1:7002".into(),
         start,
@@ -141,7 +141,7 @@
         since_ms: 17,
         evidence: "never heard".into(),
     };
-    let shown = ClusterStatus {
+    let status = ClusterStatus {
         cluster: "hall".into(),
         name: "d1".into(),
         address: "127.0.0.1:7001".into(),
@@ -152,14 +152,17 @@
         at_ms: 123_456,
         steward: "d2".into(),
         part: 0.25,
-        members: vec![line("d2", Some(5), "alive"), line("d3", None, "unheard")],
+        members: vec![
+            member("d2", Some(5), "alive"),
+            member("d3", None, "unheard"),
+        ],
         dropped: BTreeMap::from([("old_start".into(), 3), ("proof".into(), 1)]),
     };
     let text = include_str!("golden/view.json").trim_end();
-    assert_eq!(serde_json::to_string(&shown).expect("text"), text);
+    assert_eq!(serde_json::to_string(&status).expect("text"), text);
     assert_eq!(
-        serde_json::from_str::<ClusterStatus>(text).expect("a view"),
-        shown
+        serde_json::from_str::<ClusterStatus>(text).expect("a status"),
+        status
     );
 }
 
@@ -172,9 +175,9 @@
         let mut question = String::new();
         stream.read_line(&mut question).expect("a line");
         let nonce = question.split_whitespace().last().unwrap_or_default();
-        let proof = Secret::new("hall", SECRET).proof(nonce.as_bytes(), text.as_bytes());
-        let answer = format!("{text}\n{}\n", hex(&proof));
-        stream.get_mut().write_all(answer.as_bytes()).expect("told");
+        let tag = Secret::new("hall", SECRET).proof(nonce.as_bytes(), text.as_bytes());
+        let answer = format!("{text}\n{}\n", hex(&tag));
+        stream.get_mut().write_all(answer.as_bytes()).expect("sent");
         question
     };
     (address(port), std::thread::spawn(answer))
@@ -199,23 +202,28 @@
 
 #[test]
 fn roster_request_answer_and_stored_file_keep_their_bytes() {
-    let dir = folder();
-    let (at, asked) = seed(3, ROSTER.to_string());
-    let (told, by) = fetch_roster(&with_seeds(vec![at]), "d2", dir.path()).expect("a roster");
-    assert_eq!((told, by), (golden_roster(), format!("seed {at}")));
-    let question = asked.join().expect("a question");
-    let (words, nonce) = question.trim_end().rsplit_once(' ').expect("words");
-    assert_eq!((words, nonce.len()), ("roster 1 d2", 32));
-    let kept = std::fs::read_to_string(dir.path().join("d1.start.roster")).expect("kept");
-    assert_eq!(kept, ROSTER);
+    let dir = member_dir();
+    let (seed_address, seed_thread) = seed(3, ROSTER.to_string());
+    let (roster, source) =
+        fetch_roster(&with_seeds(vec![seed_address]), "d2", dir.path()).expect("a roster");
+    assert_eq!(
+        (roster, source),
+        (golden_roster(), format!("seed {seed_address}"))
+    );
+    let question = seed_thread.join().expect("a question");
+    let (prefix, nonce) = question.trim_end().rsplit_once(' ').expect("words");
+    assert_eq!((prefix, nonce.len()), ("roster 1 d2", 32));
+    let stored =
+        std::fs::read_to_string(dir.path().join("d1.start.roster")).expect("the stored roster");
+    assert_eq!(stored, ROSTER);
 
-    let telling = Cluster {
+    let with_roster = Cluster {
         roster: golden_roster(),
         address: Some(address(4)),
         ..cluster([0, 0])
     };
-    let runtime = ClusterRuntime::join(&telling, "d1", dir.path(), |_| ()).expect("a runtime");
-    let answer = put(address(4), "roster 1 d2 000102030405060708090a0b0c0d0e0f\n");
+    let runtime = ClusterRuntime::join(&with_roster, "d1", dir.path(), |_| ()).expect("a runtime");
+    let answer = request(address(4), "roster 1 d2 000102030405060708090a0b0c0d0e0f\n");
     runtime.leave();
     assert_eq!(
         answer,
@@ -225,10 +233,13 @@
 
 #[test]
 fn a_stored_roster_in_the_golden_bytes_is_used_if_no_seed_answers() {
-    let dir = folder();
+    let dir = member_dir();
     std::fs::write(dir.path().join("d1.start.roster"), ROSTER).expect("a file");
-    let (told, by) = fetch_roster(&with_seeds(vec![]), "d2", dir.path()).expect("a roster");
-    assert_eq!((told, by.as_str()), (golden_roster(), "the stored roster"));
+    let (roster, source) = fetch_roster(&with_seeds(vec![]), "d2", dir.path()).expect("a roster");
+    assert_eq!(
+        (roster, source.as_str()),
+        (golden_roster(), "the stored roster")
+    );
 }
 
 fn small_store() -> StoredEntries {
@@ -248,7 +259,7 @@
 
 #[test]
 fn a_golden_snapshot_is_read_and_written_in_the_same_bytes() {
-    let dir = folder();
+    let dir = member_dir();
     let path = dir.path().join("lengths");
     SnapshotStore::new(path.clone())
         .put(as_batch(small_store()))
@@ -262,11 +273,12 @@
 /// Writes the golden store file to `path`. The packed form is the file length, then the ranges that are not zero, each as offset,
 /// length and bytes.
 fn unpack(packed: &[u8], path: &Path) {
-    let word = |bytes: &[u8]| u32::from_le_bytes(bytes.try_into().expect("four bytes")) as usize;
-    let mut file = vec![0; word(&packed[..4])];
+    let read_u32 =
+        |bytes: &[u8]| u32::from_le_bytes(bytes.try_into().expect("four bytes")) as usize;
+    let mut file = vec![0; read_u32(&packed[..4])];
     let mut rest = &packed[4..];
     while !rest.is_empty() {
-        let (at, length) = (word(&rest[..4]), word(&rest[4..8]));
+        let (at, length) = (read_u32(&rest[..4]), read_u32(&rest[4..8]));
         file[at..at + length].copy_from_slice(&rest[8..8 + length]);
         rest = &rest[8 + length..];
     }
@@ -275,7 +287,7 @@
 
 #[test]
 fn a_golden_durable_store_is_read() {
-    let dir = folder();
+    let dir = member_dir();
     let path = dir.path().join("copies.redb");
     unpack(include_bytes!("golden/store.bin"), &path);
     let mut expected = small_store();
--- a/crates/cluster-net/tests/services.rs
+++ b/crates/cluster-net/tests/services.rs
@@ -11,7 +11,7 @@
 use bitternlatch_quota_lease::{ClusterService, ServiceInput, ServiceOutput, StorageError};
 use crossbeam_channel::{unbounded, Receiver};
 
-/// A service that sends and stores what it is requested to, and reports its handle_two inputs as events.
+/// A service that sends and stores what it is requested to, and reports its other inputs as events.
 struct Echo;
 
 #[derive(Debug, PartialEq)]
@@ -131,7 +131,7 @@
 
 #[test]
 fn services_receive_datagrams_and_frames_store_entries_and_leave() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a directory");
     std::fs::write(dir.path().join("secret"), "sixteen bytes or more").expect("a secret");
     let (one, handle_one, events_one) = start(1, Some(Box::new(LimitedStore(1))), dir.path());
     let (two, handle_two, events_two) = start(2, None, dir.path());
@@ -166,7 +166,7 @@
 
 #[test]
 fn a_missing_or_short_secret_is_reported_with_advice() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a directory");
     let roster = vec![Peer {
         name: "d1".into(),
         address: address(1),
--- a/programs/cluster-status/src/lib.rs
+++ b/programs/cluster-status/src/lib.rs
@@ -26,23 +26,23 @@
     // All members are queried in parallel, so that the timeouts of unreachable members do not add up.
     let requests: Vec<_> = requests.collect();
     let thread_error = |_| Err("the request thread ended".to_string());
-    let mut views = vec![(first.name.clone(), Ok(first))];
-    views.extend(
+    let mut statuses = vec![(first.name.clone(), Ok(first))];
+    statuses.extend(
         requests
             .into_iter()
             .map(|(name, request)| (name, request.join().unwrap_or_else(thread_error))),
     );
-    views
+    statuses
 }
 
 /// One line of text for each member whose state differs between the statuses.
-pub fn differences(views: &[FetchedStatus]) -> Vec<String> {
+pub fn differences(statuses: &[FetchedStatus]) -> Vec<String> {
     let mut states_by_member: BTreeMap<&str, BTreeMap<&str, Vec<&str>>> = BTreeMap::new();
-    for (by, view) in views
+    for (by, status) in statuses
         .iter()
         .filter_map(|(by, v)| v.as_ref().ok().map(|v| (by, v)))
     {
-        for member in &view.members {
+        for member in &status.members {
             states_by_member
                 .entry(&member.name)
                 .or_default()
@@ -58,49 +58,52 @@
             .or_default()
             .push(by);
     }
-    let line = |(name, states): (&&str, &BTreeMap<&str, Vec<&str>>)| {
+    let describe = |(name, states): (&&str, &BTreeMap<&str, Vec<&str>>)| {
         let parts = states
             .iter()
             .map(|(state, by)| format!("{state} to {}", by.join(", ")));
         (states.len() > 1).then(|| format!("{name} is {}", parts.collect::<Vec<_>>().join("; ")))
     };
-    states_by_member.iter().filter_map(line).collect()
+    states_by_member.iter().filter_map(describe).collect()
 }
 
 /// Formats a status as a text table.
-pub fn table(view: &ClusterStatus) -> String {
+pub fn table(status: &ClusterStatus) -> String {
     let mut text = format!(
         "{} of {}, start {}: {}",
-        view.name, view.cluster, view.start, view.standing
+        status.name, status.cluster, status.start, status.standing
     );
-    if let Some(by) = view.fenced_by {
+    if let Some(by) = status.fenced_by {
         let _ = write!(text, ", has given way to start {by}");
     }
-    let steward = if view.steward.is_empty() {
+    let leader = if status.steward.is_empty() {
         "nobody known"
     } else {
-        &view.steward
+        &status.steward
     };
     let _ = writeln!(
         text,
-        "\n  spends {:.3} of what all share, lent by {steward}",
-        view.part
+        "\n  spends {:.3} of what all share, lent by {leader}",
+        status.part
     );
     let _ = writeln!(
         text,
         "  {:<20} {:<21} {:<8} {:>10}  evidence",
         "member", "address", "state", "for s"
     );
-    for m in &view.members {
-        let for_s = view.at_ms.saturating_sub(m.since_ms) as f64 / 1000.0;
+    for member in &status.members {
+        let for_s = status.at_ms.saturating_sub(member.since_ms) as f64 / 1000.0;
         let _ = writeln!(
             text,
             "  {:<20} {:<21} {:<8} {for_s:>10.1}  {}",
-            m.name, m.address, m.state, m.evidence
+            member.name, member.address, member.state, member.evidence
         );
     }
-    if !view.dropped.is_empty() {
-        let parts = view.dropped.iter().map(|(why, n)| format!("{why} {n}"));
+    if !status.dropped.is_empty() {
+        let parts = status
+            .dropped
+            .iter()
+            .map(|(cause, count)| format!("{cause} {count}"));
         let _ = writeln!(text, "  dropped: {}", parts.collect::<Vec<_>>().join(", "));
     }
     text
@@ -112,8 +115,8 @@
 
     use super::*;
 
-    fn view(name: &str, others: &[(&str, &str)]) -> FetchedStatus {
-        let line = |(name, state): &(&str, &str)| MemberStatus {
+    fn fetched(name: &str, others: &[(&str, &str)]) -> FetchedStatus {
+        let member = |(name, state): &(&str, &str)| MemberStatus {
             name: name.to_string(),
             address: "127.0.0.1:1".into(),
             start: Some(1),
@@ -121,7 +124,7 @@
             since_ms: 1_000,
             evidence: "probe".into(),
         };
-        let shown = ClusterStatus {
+        let status = ClusterStatus {
             cluster: "hall".into(),
             name: name.into(),
             address: "127.0.0.1:2".into(),
@@ -132,19 +135,22 @@
             at_ms: 3_500,
             steward: "b".into(),
             part: 0.5,
-            members: others.iter().map(line).collect(),
+            members: others.iter().map(member).collect(),
             dropped: BTreeMap::from([("proof".to_string(), 2)]),
         };
-        (name.to_string(), Ok(shown))
+        (name.to_string(), Ok(status))
     }
 
     #[test]
     fn differing_states_are_reported_by_member() {
-        let alike = [view("a", &[("b", "alive")]), view("b", &[("a", "alive")])];
+        let alike = [
+            fetched("a", &[("b", "alive")]),
+            fetched("b", &[("a", "alive")]),
+        ];
         assert!(differences(&alike).is_empty());
         let differ = [
-            view("a", &[("b", "down")]),
-            view("b", &[("a", "alive")]),
+            fetched("a", &[("b", "down")]),
+            fetched("b", &[("a", "alive")]),
             ("c".into(), Err("away".into())),
         ];
         assert_eq!(differences(&differ), ["b is alive to b; down to a"]);
@@ -152,8 +158,8 @@
 
     #[test]
     fn a_table_shows_states_times_and_rejected_datagrams() {
-        let (_, shown) = view("a", &[("b", "suspect")]);
-        let text = table(&shown.expect("a view"));
+        let (_, status) = fetched("a", &[("b", "suspect")]);
+        let text = table(&status.expect("a status"));
         assert!(text.starts_with("a of hall, start 7: whole\n"), "{text}");
         assert!(
             text.contains("spends 0.500 of what all share, lent by b\n"),
--- a/programs/cluster-status/src/main.rs
+++ b/programs/cluster-status/src/main.rs
@@ -58,42 +58,43 @@
     } = Args::parse().command;
     let timeout = Duration::from_secs_f64(within_s);
     let first = match fetch_status(peer, timeout) {
-        Ok(shown) => shown,
-        Err(why) => {
-            eprintln!("bitternlatch-cluster-status: {why}");
+        Ok(status) => status,
+        Err(error) => {
+            eprintln!("bitternlatch-cluster-status: {error}");
             return ExitCode::from(2);
         }
     };
-    let views = if all {
+    let statuses = if all {
         fetch_all(first, timeout)
     } else {
         vec![(first.name.clone(), Ok(first))]
     };
-    let differ = differences(&views);
+    let differing = differences(&statuses);
     if json {
-        let views = views.iter().map(|(name, view)| match view {
-            Ok(view) => (name.clone(), serde_json::json!(view)),
-            Err(why) => (name.clone(), serde_json::json!({ "error": why })),
+        let statuses = statuses.iter().map(|(name, status)| match status {
+            Ok(status) => (name.clone(), serde_json::json!(status)),
+            Err(error) => (name.clone(), serde_json::json!({ "error": error })),
         });
-        let views: serde_json::Map<String, serde_json::Value> = views.collect();
+        let views: serde_json::Map<String, serde_json::Value> = statuses.collect();
         println!(
             "{:#}",
-            serde_json::json!({ "views": views, "differences": differ })
+            serde_json::json!({ "views": views, "differences": differing })
         );
     } else {
-        for (name, view) in &views {
-            match view {
-                Ok(view) => println!("{}", table(view)),
-                Err(why) => println!("{name} did not answer: {why}\n"),
+        for (name, status) in &statuses {
+            match status {
+                Ok(status) => println!("{}", table(status)),
+                Err(error) => println!("{name} did not answer: {error}\n"),
             }
         }
-        differ.iter().for_each(|line| println!("{line}"));
+        differing.iter().for_each(|line| println!("{line}"));
     }
-    let is_degraded = |view: &Result<bitternlatch_cluster_net::ClusterStatus, String>| match view {
-        Ok(shown) => shown.standing != "whole",
-        Err(_) => true,
-    };
+    let is_degraded =
+        |status: &Result<bitternlatch_cluster_net::ClusterStatus, String>| match status {
+            Ok(status) => status.standing != "whole",
+            Err(_) => true,
+        };
     ExitCode::from(u8::from(
-        !differ.is_empty() || views.iter().any(|v| is_degraded(&v.1)),
+        !differing.is_empty() || statuses.iter().any(|v| is_degraded(&v.1)),
     ))
 }
