--- a/crates/cluster-net/src/error.rs
+++ b/crates/cluster-net/src/error.rs
@@ -1,4 +1,4 @@
-//! What can keep a dispatcher from its peers, and what an operator can do.
+//! Errors of the network runtime, with advice for the operator.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -6,36 +6,36 @@
 
 use bitternlatch_membership::RosterError;
 
-/// What of a member could not be opened at its address.
+/// The socket of a member that could not be bound: UDP for datagrams, or TCP for connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointKind {
     Datagrams,
     Connections,
 }
 
-/// Why a roster that was told, or kept, is not taken.
+/// Why a roster from a seed, or the stored roster, is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SeedError {
-    #[error("this is no roster")]
-    Shape,
-    #[error("this is no roster: {0}")]
+    #[error("not a roster")]
+    Malformed,
+    #[error("not a roster: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("the proof does not fit: another secret, or an old answer")]
-    Proof,
-    #[error("it belongs to the cluster '{0}'")]
+    #[error("the authentication tag is invalid: another secret, or a replayed answer")]
+    InvalidTag,
+    #[error("the roster belongs to cluster '{0}'")]
     OtherCluster(String),
     #[error("{0}")]
-    Unreached(#[from] io::Error),
+    Io(#[from] io::Error),
 }
 
-/// Seeds that told no roster, each with its cause.
+/// The seeds that sent no valid roster, with the error of each.
 #[derive(Debug)]
 pub struct SeedErrors(pub Vec<(SocketAddrV4, SeedError)>);
 
 impl std::fmt::Display for SeedErrors {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        for (i, (seed, why)) in self.0.iter().enumerate() {
-            write!(f, "{}{seed}: {why}", if i == 0 { "" } else { "; " })?;
+        for (i, (seed, error)) in self.0.iter().enumerate() {
+            write!(f, "{}{seed}: {error}", if i == 0 { "" } else { "; " })?;
         }
         Ok(())
     }
@@ -43,74 +43,77 @@
 
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterNetError {
-    #[error("{}: {why}", path.display())]
-    Secret { path: PathBuf, why: io::Error },
-    #[error("{}: {bytes} bytes; a secret has {least} to {most}", path.display())]
+    #[error("{}: {error}", path.display())]
+    Secret { path: PathBuf, error: io::Error },
+    #[error("{}: {bytes} bytes; a secret has {min} to {max}", path.display())]
     SecretSize {
         path: PathBuf,
         bytes: u64,
-        least: u64,
-        most: u64,
+        min: u64,
+        max: u64,
     },
     #[error("cluster.roster: {0}")]
     Roster(#[from] RosterError),
-    #[error("cluster: no address of its own")]
-    NoAddress,
-    #[error("cluster: no {what:?} at {address}: {why}")]
-    Address {
-        what: EndpointKind,
+    #[error("cluster: this dispatcher has no address")]
+    NoOwnAddress,
+    #[error("cluster: cannot bind {address} for {kind:?}: {error}")]
+    Bind {
+        kind: EndpointKind,
         address: SocketAddrV4,
-        why: io::Error,
+        error: io::Error,
     },
-    #[error("{}: {why}", path.display())]
-    Start { path: PathBuf, why: io::Error },
-    #[error("{}: not a start's number", path.display())]
-    NoNumber { path: PathBuf },
-    #[error("no randomness: {0}")]
+    #[error("{}: {error}", path.display())]
+    StartNumberFile { path: PathBuf, error: io::Error },
+    #[error("{}: not a start number", path.display())]
+    InvalidStartNumber { path: PathBuf },
+    #[error("no random numbers: {0}")]
     Random(#[from] getrandom::Error),
-    #[error("cluster: no thread: {0}")]
+    #[error("cluster: cannot start a thread: {0}")]
     Thread(io::Error),
-    #[error("cluster.seeds: none tells the roster: {0}")]
+    #[error("cluster.seeds: no seed sent the roster: {0}")]
     Seeds(SeedErrors),
-    #[error("cluster.seeds: {seeds}; and the kept roster: {kept}")]
-    KeptRoster { seeds: SeedErrors, kept: SeedError },
-    #[error("{peer}: {why}")]
-    NoAnswer { peer: SocketAddr, why: io::Error },
-    #[error("{peer}: this is not a view: {why}")]
-    NoView {
+    #[error("cluster.seeds: {seeds}; the stored roster: {stored}")]
+    StoredRoster {
+        seeds: SeedErrors,
+        stored: SeedError,
+    },
+    #[error("{peer}: {error}")]
+    Unreachable { peer: SocketAddr, error: io::Error },
+    #[error("{peer}: not a cluster status: {error}")]
+    InvalidStatus {
         peer: SocketAddr,
-        why: serde_json::Error,
+        error: serde_json::Error,
     },
 }
 
 impl ClusterNetError {
-    /// What an operator can do.
+    /// Advice for the operator.
     pub fn advice(&self) -> &'static str {
         match self {
-            ClusterNetError::Secret { why, .. } if why.kind() == io::ErrorKind::NotFound => {
-                "make it once with 'head -c 32 /dev/urandom | base64 > FILE' and give the same file to every member"
+            ClusterNetError::Secret { error, .. } if error.kind() == io::ErrorKind::NotFound => {
+                "create it once with 'head -c 32 /dev/urandom | base64 > FILE' and give the same file to every member"
             }
-            ClusterNetError::Secret { .. } => "let the process read the file that 'cluster.secret' names",
+            ClusterNetError::Secret { .. } => "give the process read access to the file that 'cluster.secret' names",
             ClusterNetError::SecretSize { .. } => {
-                "make it anew with 'head -c 32 /dev/urandom | base64 > FILE' and give the same file to every member"
+                "create it again with 'head -c 32 /dev/urandom | base64 > FILE' and give the same file to every member"
             }
-            ClusterNetError::Roster(_) => "give all members the same roster, this one in it, each name once",
-            ClusterNetError::NoAddress => "name this dispatcher in 'cluster.roster', or set 'cluster.address'",
-            ClusterNetError::Address { .. } => {
-                "end the process that holds the address, or set 'cluster.address' to one of this machine"
+            ClusterNetError::Roster(_) => "give all members the same roster, which contains this member and each name once",
+            ClusterNetError::NoOwnAddress => "name this dispatcher in 'cluster.roster', or set 'cluster.address'",
+            ClusterNetError::Bind { .. } => {
+                "stop the process that uses the address, or set 'cluster.address' to one of this machine"
             }
-            ClusterNetError::Start { .. } => "let the process write the folder of the file that 'cluster.kept' names",
-            ClusterNetError::NoNumber { .. } => "remove it to begin anew",
-            ClusterNetError::Random(_) => "the system gives no random numbers; look at the machine",
-            ClusterNetError::Thread(_) => "raise the bound on threads of this user, or end other processes",
+            ClusterNetError::StartNumberFile { .. } => "give the process write access to the folder of the file that 'cluster.kept' names",
+            ClusterNetError::InvalidStartNumber { .. } => "remove the file to start again from the clock",
+            ClusterNetError::Random(_) => "check why the system provides no random numbers",
+            ClusterNetError::Thread(_) => "raise the thread limit of this user, or stop other processes",
             ClusterNetError::Seeds(_) => "start a member that has a roster first, or name others under 'cluster.seeds'",
-            ClusterNetError::KeptRoster { .. } => "remove the kept roster once a seed can be reached",
-            ClusterNetError::NoAnswer { .. } => "look whether the process runs, and at the network on the way to it",
-            ClusterNetError::NoView { .. } => "ask a member's address of the cluster, of the same version as this program",
+            ClusterNetError::StoredRoster { .. } => "remove the stored roster once a seed can be reached",
+            ClusterNetError::Unreachable { .. } => "check that the process runs, and the network to it",
+            ClusterNetError::InvalidStatus { .. } => "use the cluster address of a member that runs the same version as this program",
         }
     }
 
-    /// The error and what to do, in one line.
+    /// The error and the advice, in one line.
     pub fn with_advice(&self) -> String {
         format!("{self}; {}", self.advice())
     }
--- a/crates/cluster-net/src/snapshot/tests.rs
+++ b/crates/cluster-net/src/snapshot/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn what_is_put_is_read_back_whole_or_refused() {
+fn a_snapshot_is_read_back_in_full_and_a_damaged_one_is_rejected() {
     let dir = tempfile::tempdir().unwrap();
-    let path = dir.path().join("kept");
-    let mut store = SnapshotStore::at(path.clone());
+    let path = dir.path().join("snapshot");
+    let mut store = SnapshotStore::new(path.clone());
     assert_eq!(store.load(), Ok(vec![]));
     let put = |name: &[u8], bytes: Option<&[u8]>| (name.to_vec(), bytes.map(<[u8]>::to_vec));
     store
@@ -18,28 +18,28 @@
         ])
         .unwrap();
     let expected: StoredEntries = vec![(b"b".to_vec(), vec![]), (b"a".to_vec(), b"two".to_vec())];
-    assert_eq!(SnapshotStore::at(path.clone()).load(), Ok(expected));
-    let whole = std::fs::read(&path).unwrap();
-    for length in 0..whole.len() {
-        std::fs::write(&path, &whole[..length]).unwrap();
+    assert_eq!(SnapshotStore::new(path.clone()).load(), Ok(expected));
+    let file = std::fs::read(&path).unwrap();
+    for length in 0..file.len() {
+        std::fs::write(&path, &file[..length]).unwrap();
         assert!(
             matches!(
-                SnapshotStore::at(path.clone()).load(),
+                SnapshotStore::new(path.clone()).load(),
                 Err(StorageError::Io(_))
             ),
             "{length}"
         );
     }
-    for at in 0..whole.len() {
-        let mut torn = whole.clone();
-        torn[at] ^= 4;
-        std::fs::write(&path, &torn).unwrap();
-        assert!(SnapshotStore::at(path.clone()).load().is_err(), "{at}");
+    for at in 0..file.len() {
+        let mut damaged = file.clone();
+        damaged[at] ^= 4;
+        std::fs::write(&path, &damaged).unwrap();
+        assert!(SnapshotStore::new(path.clone()).load().is_err(), "{at}");
     }
-    // A broken one is replaced.
+    // A write replaces a damaged snapshot.
     store.put(vec![]).unwrap();
-    assert!(SnapshotStore::at(path.clone()).load().is_ok());
-    assert!(SnapshotStore::at(dir.path().join("no/folder"))
+    assert!(SnapshotStore::new(path.clone()).load().is_ok());
+    assert!(SnapshotStore::new(dir.path().join("no/folder"))
         .put(vec![])
         .is_err());
 }
