--- a/crates/cluster-net/src/durable_store.rs
+++ b/crates/cluster-net/src/durable_store.rs
@@ -83,7 +83,7 @@
     ) -> Result<T, StorageError> {
         let db = self.db.take();
         let open = &mut self.open;
-        // `redb` asserts invariants of its path_buf writes. A file that was changed by others may violate them, and the panic must not
+        // `redb` asserts invariants of its own writes. A file that was changed by others may violate them, and the panic must not
         // end the thread.
         let run = move || -> Result<(T, Database), DiskError> {
             let db = match db {
--- a/crates/cluster-net/src/links.rs
+++ b/crates/cluster-net/src/links.rs
@@ -162,8 +162,8 @@
     /// member are dropped.
     fn receive_frame(&self, signed: &[u8]) {
         let mut verifier = lock(&self.verifier);
-        let (verifier, secret) = &mut *verifier;
-        let Ok((from, addressed)) = verifier.verify_up_to(secret, signed, MAX_SIGNED_FRAME) else {
+        let (verifier, signer) = &mut *verifier;
+        let Ok((from, addressed)) = verifier.verify_up_to(signer, signed, MAX_SIGNED_FRAME) else {
             return;
         };
         let Kind::Topic(topic) = from.kind else {
--- a/crates/cluster-net/src/runtime.rs
+++ b/crates/cluster-net/src/runtime.rs
@@ -155,22 +155,29 @@
             .incarnation_file
             .as_ref()
             .map(|file| base.join(file));
-        let process = start::next_start_number(start_number_path.as_deref())?;
+        let start_number = start::next_start_number(start_number_path.as_deref())?;
         let seed = getrandom::u64()?;
         let clock = Clock::start();
-        let member = Membership::new(name, process, roster, secret.clone(), seed, now(&clock));
+        let member = Membership::new(
+            name,
+            start_number,
+            roster,
+            secret.clone(),
+            seed,
+            now(&clock),
+        );
         let routes = Arc::new(Routes::default());
         let links = Arc::new(Links::new(
             name,
-            process,
+            start_number,
             &secret,
             member.addresses(),
             Arc::clone(&routes),
         ));
         let cluster_member = ClusterMember::new(member, seed.rotate_left(32), now(&clock));
         let cluster_member = Arc::new(Mutex::new(cluster_member));
-        let thread = |what: &str| std::thread::Builder::new().name(what.into());
-        let no_thread = ClusterNetError::Thread;
+        let thread = |name: &str| std::thread::Builder::new().name(name.into());
+        let thread_error = ClusterNetError::Thread;
         let (status_member, cluster_name, own_name) = (
             Arc::clone(&cluster_member),
             cluster.name.clone(),
@@ -185,7 +192,7 @@
         let link = move |reader| accepting_links.accept(reader);
         thread("views")
             .spawn(move || status::serve(&listener, status, answer_roster, link))
-            .map_err(no_thread)?;
+            .map_err(thread_error)?;
         let own_socket = socket
             .try_clone()
             .map_err(bind_error(EndpointKind::Datagrams))?;
@@ -206,12 +213,12 @@
             stop: ended,
             routes,
             name,
-            start_number: process,
+            start_number,
             start_number_path,
         };
         let run = move || runtime.run(&mut on_event);
-        let thread = thread("peers").spawn(run).map_err(no_thread)?;
-        tracing::info!(cluster = cluster.name, %address, start = process, "joined the cluster");
+        let thread = thread("peers").spawn(run).map_err(thread_error)?;
+        tracing::info!(cluster = cluster.name, %address, start = start_number, "joined the cluster");
         Ok(ClusterRuntime {
             cluster_member: runtime_member,
             stop,
--- a/crates/cluster-net/src/status.rs
+++ b/crates/cluster-net/src/status.rs
@@ -1,4 +1,4 @@
-//! Serves the state of a member over TCP as JSON, for operators and answer_roster programs.
+//! Serves the state of a member over TCP as JSON, for operators and other programs.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
