--- a/programs/dispatch/src/beside.rs
+++ b/programs/dispatch/src/beside.rs
@@ -106,7 +106,10 @@
     else {
         return Ok(());
     };
-    let service = OutputLengths::new(context.runtime.process_and_roster().0, context.runtime.now());
+    let service = OutputLengths::new(
+        context.runtime.process_and_roster().0,
+        context.runtime.now(),
+    );
     let snapshots = settings
         .snapshot_file
         .as_ref()
