--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -1,58 +1,66 @@
-//! Continuous batching: who is let in, what a step does, who is thrown out.
+//! Continuous batching: admission of requests, the work of each step, and preemption.
 
 use crate::engine::{key, Engine};
 use crate::sequence::{Phase, Sequence};
 use crate::{Id, Output, Work};
 
-/// A step under way. Requests are named with their admission, so that one that ended and came again is not taken for itself.
+/// The running step. Each entry carries the request's admission number, so that the result of a step is not applied to a
+/// request that ended and was submitted again, or was preempted and admitted again, during the step.
 #[derive(Debug)]
 pub(crate) struct Step {
     pub ends: f64,
-    read: Vec<(Id, u64, u64)>,
-    write: Vec<(Id, u64)>,
+    prefill: Vec<(Id, u64, u64)>,
+    decode: Vec<(Id, u64)>,
 }
 
 impl Engine {
-    /// Lets in what can be let in and begins a step where none is under way.
-    pub(crate) fn go(&mut self, out: &mut Vec<Output>) {
+    /// Admits queued requests and starts a step if none is running. Does nothing during a pause.
+    pub(crate) fn schedule(&mut self, out: &mut Vec<Output>) {
         if self.paused() {
             return;
         }
         if self.step.is_some() {
             return self.admit();
         }
-        // Who is at work grows first, and where that threw somebody out nobody new comes in.
+        // Decoding sequences get their blocks before new requests are admitted. If that preempted a
+        // sequence, none is admitted, unless no sequence is left to decode.
         let before = self.preemptions;
-        let mut write = self.grow(out);
-        if self.preemptions == before || write.is_empty() {
+        let mut decode = self.grow(out);
+        if self.preemptions == before || decode.is_empty() {
             self.admit();
         }
-        let read = self.pieces();
-        write.retain(|(id, _)| {
+        let prefill = self.prefill_chunks();
+        decode.retain(|(id, _)| {
             self.sequences
                 .get(id)
-                .is_some_and(|s| s.phase == Phase::Writing)
+                .is_some_and(|s| s.phase == Phase::Decoding)
         });
-        if read.is_empty() && write.is_empty() {
+        if prefill.is_empty() && decode.is_empty() {
             return;
         }
-        let tokens = read.iter().map(|r| r.2).sum();
-        let ends = self.now + self.constants.step_s(tokens, write.len()) * self.slowness;
-        self.step = Some(Step { ends, read, write });
+        let tokens = prefill.iter().map(|r| r.2).sum();
+        let ends = self.now + self.constants.step_s(tokens, decode.len()) * self.slowness;
+        self.step = Some(Step {
+            ends,
+            prefill,
+            decode,
+        });
     }
 
-    pub(crate) fn reading(&self) -> usize {
+    /// Number of running requests in the prefill phase.
+    pub(crate) fn prefilling_count(&self) -> usize {
         self.active
             .values()
-            .filter(|id| self.is(**id, Phase::Reading))
+            .filter(|id| self.is_in_phase(**id, Phase::Prefilling))
             .count()
     }
 
-    fn is(&self, id: Id, phase: Phase) -> bool {
+    fn is_in_phase(&self, id: Id, phase: Phase) -> bool {
         self.sequences.get(&id).is_some_and(|s| s.phase == phase)
     }
 
-    /// Lets waiting requests in, in their order: as far as slots, memory and reads at once go.
+    /// Admits queued requests in queue order until the first one for which a slot, memory or one of `reads_a_step`
+    /// concurrent prefills is missing.
     fn admit(&mut self) {
         while let Some(id) = self.waiting.front().copied() {
             let Some(s) = self.sequences.get(&id) else {
@@ -60,8 +68,9 @@
                 continue;
             };
             let fetches = s.fetches();
-            let no_slot = s.writes() && self.slots_used() >= self.constants.slots;
-            if no_slot || (!fetches && self.reading() >= self.constants.reads_a_step) {
+            let slot_missing = s.decodes() && self.slots_used() >= self.constants.slots;
+            if slot_missing || (!fetches && self.prefilling_count() >= self.constants.reads_a_step)
+            {
                 return;
             }
             let spare = match self.active.is_empty() {
@@ -73,7 +82,9 @@
             } else {
                 &s.request.prompt.marks
             };
-            let Some((holding, known)) = self.memory.take(marks, s.needs(&self.constants), spare)
+            let Some((allocation, cached_blocks)) =
+                self.memory
+                    .allocate(marks, s.blocks_needed(&self.constants), spare)
             else {
                 return;
             };
@@ -83,8 +94,8 @@
             let Some(s) = self.sequences.get_mut(&id) else {
                 return;
             };
-            let tokens = s.tokens();
-            s.holding = holding;
+            let tokens = s.context_tokens();
+            s.allocation = allocation;
             s.admitted = admitted;
             self.active.insert(admitted, id);
             if fetches {
@@ -96,33 +107,34 @@
                     .insert((key(now + self.fetch_delay_s + transfer_s), id), ());
                 continue;
             }
-            // One token is read always: the next one comes from it.
-            s.read = (known as u64)
+            // At least one token is prefilled even if the whole prompt is cached: its output is the next token.
+            s.prefilled = (cached_blocks as u64)
                 .saturating_mul(self.constants.block_tokens)
                 .min(tokens.saturating_sub(1));
-            s.phase = Phase::Reading;
-            s.cached.get_or_insert(s.read);
-            if s.again {
-                self.read_again += tokens - s.read;
+            s.phase = Phase::Prefilling;
+            s.cached.get_or_insert(s.prefilled);
+            if s.recompute {
+                self.read_again += tokens - s.prefilled;
             }
         }
     }
 
-    /// Room for the next token of each that writes, the earliest let in first. Where there is none the latest is thrown out.
+    /// Allocates memory for the next token of each decoding sequence, in order of admission. When no block is free, the most
+    /// recently admitted sequence is preempted. Returns the sequences that can decode in the next step.
     fn grow(&mut self, out: &mut Vec<Output>) -> Vec<(Id, u64)> {
         let mut grown = Vec::new();
-        let writers: Vec<(u64, Id)> = self.active.iter().map(|(n, id)| (*n, *id)).collect();
-        for (admitted, id) in writers {
-            // One that was thrown out for an earlier one no longer writes.
-            while self.is(id, Phase::Writing) {
+        let decoding: Vec<(u64, Id)> = self.active.iter().map(|(n, id)| (*n, *id)).collect();
+        for (admitted, id) in decoding {
+            // A sequence that was preempted in favor of an earlier one is no longer decoding.
+            while self.is_in_phase(id, Phase::Decoding) {
                 let Some(s) = self.sequences.get_mut(&id) else {
                     break;
                 };
-                if s.holding.blocks() >= s.needs(&self.constants) {
+                if s.allocation.blocks() >= s.blocks_needed(&self.constants) {
                     grown.push((id, admitted));
                     break;
                 }
-                if !self.memory.grow(&mut s.holding) {
+                if !self.memory.grow(&mut s.allocation) {
                     self.preempt(out);
                 }
             }
@@ -130,23 +142,24 @@
         grown
     }
 
-    /// Throws out the latest that reads or writes. What is being fetched stays: the other engine's state waits for it.
+    /// Preempts the most recently admitted sequence in prefill or decode and puts it at the front of the queue. Sequences that
+    /// fetch KV cache state are not preempted, because the other engine holds that state until the fetch is confirmed.
     fn preempt(&mut self, out: &mut Vec<Output>) {
-        let works = |s: &Sequence| matches!(s.phase, Phase::Reading | Phase::Writing);
+        let preemptible = |s: &Sequence| matches!(s.phase, Phase::Prefilling | Phase::Decoding);
         let latest = self
             .active
             .values()
             .rev()
-            .find(|id| self.sequences.get(id).is_some_and(works))
+            .find(|id| self.sequences.get(id).is_some_and(preemptible))
             .copied();
         let Some((id, s)) = latest.and_then(|id| Some((id, self.sequences.get_mut(&id)?))) else {
             return;
         };
         self.active.remove(&s.admitted);
-        self.memory.let_go(&mut s.holding);
-        s.phase = Phase::Waiting;
-        s.again = true;
-        s.read = 0;
+        self.memory.release(&mut s.allocation);
+        s.phase = Phase::Queued;
+        s.recompute = true;
+        s.prefilled = 0;
         self.waiting.push_front(id);
         self.preemptions += 1;
         out.push(Output::Preempted {
@@ -155,36 +168,42 @@
         });
     }
 
-    /// Pieces of prompts for the next step.
-    fn pieces(&self) -> Vec<(Id, u64, u64)> {
-        let mut left = self.constants.read_tokens_a_step;
-        let mut pieces = Vec::new();
+    /// Prompt chunks that the next step prefills: at most `reads_a_step` prompts and `read_tokens_a_step` tokens in all, in order
+    /// of admission.
+    fn prefill_chunks(&self) -> Vec<(Id, u64, u64)> {
+        let mut budget = self.constants.read_tokens_a_step;
+        let mut chunks = Vec::new();
         for (admitted, id) in &self.active {
-            let Some(s) = self.sequences.get(id).filter(|s| s.phase == Phase::Reading) else {
+            let Some(s) = self
+                .sequences
+                .get(id)
+                .filter(|s| s.phase == Phase::Prefilling)
+            else {
                 continue;
             };
-            let piece = s.tokens().saturating_sub(s.read).min(left);
-            if pieces.len() >= self.constants.reads_a_step || (piece == 0 && left == 0) {
+            let chunk = s.context_tokens().saturating_sub(s.prefilled).min(budget);
+            if chunks.len() >= self.constants.reads_a_step || (chunk == 0 && budget == 0) {
                 break;
             }
-            left -= piece;
-            pieces.push((*id, *admitted, piece));
+            budget -= chunk;
+            chunks.push((*id, *admitted, chunk));
         }
-        pieces
+        chunks
     }
 
+    /// Ends the running step: emits one token per decoded sequence and advances the prompts that were prefilled.
     pub(crate) fn finish_step(&mut self, out: &mut Vec<Output>) {
         let Some(step) = self.step.take() else { return };
-        for (id, admitted) in step.write {
+        for (id, admitted) in step.decode {
             if self
                 .sequences
                 .get(&id)
                 .is_some_and(|s| s.admitted == admitted)
             {
-                self.token(id, out);
+                self.emit_token(id, out);
             }
         }
-        for (id, admitted, tokens) in step.read {
+        for (id, admitted, tokens) in step.prefill {
             let Some(s) = self
                 .sequences
                 .get_mut(&id)
@@ -192,14 +211,15 @@
             else {
                 continue;
             };
-            s.read += tokens;
-            if s.read < s.tokens() {
+            s.prefilled += tokens;
+            if s.prefilled < s.context_tokens() {
                 continue;
             }
-            self.memory.name(&mut s.holding, &s.request.prompt.marks);
+            self.memory
+                .share_prompt_blocks(&mut s.allocation, &s.request.prompt.marks);
             if s.request.work != Work::Read {
-                s.phase = Phase::Writing;
-                self.token(id, out);
+                s.phase = Phase::Decoding;
+                self.emit_token(id, out);
                 continue;
             }
             s.phase = Phase::Held;
@@ -214,12 +234,13 @@
         }
     }
 
-    pub(crate) fn token(&mut self, id: Id, out: &mut Vec<Output>) {
+    /// Emits the next token of a request, and removes the request after its last token.
+    pub(crate) fn emit_token(&mut self, id: Id, out: &mut Vec<Output>) {
         let Some(s) = self.sequences.get_mut(&id) else {
             return;
         };
         s.written = s.written.saturating_add(1);
-        let last = s.written >= s.answer();
+        let last = s.written >= s.output_tokens();
         out.push(Output::Token {
             id,
             number: s.written,
@@ -227,7 +248,7 @@
             cached: s.cached.unwrap_or(0),
         });
         if last {
-            self.end(id);
+            self.remove(id);
         }
     }
 }
--- a/crates/engine/src/constants.rs
+++ b/crates/engine/src/constants.rs
@@ -1,42 +1,46 @@
-//! What an engine is made of.
+//! Capacity and timing parameters of an engine.
 
 use serde::{Deserialize, Serialize};
 
 use crate::EngineError;
 
-/// Sizes and times of one engine. A step takes
-/// `max(write_step_s if any sequence writes, read_step_s if any prompt is read) + sequence_s x sequences that write +
-/// tokens read / read_tokens_per_s` seconds, times the slowness.
+/// Capacities and timings of one engine. A step takes
+/// `max(write_step_s if any sequence decodes, read_step_s if any prompt is prefilled) + sequence_s x decoding sequences +
+/// prefilled tokens / read_tokens_per_s` seconds, multiplied by the slowness factor.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Constants {
-    /// Answers at work at once.
+    /// Maximum number of running requests that generate output.
     pub slots: usize,
-    /// Requests that may wait for a slot, and reads for other engines that may be unfinished.
+    /// Maximum number of queued requests. For a prefill-only request, running prefills count as well.
     pub queue: usize,
-    /// Memory for what is at work and for states that are held, tokens; rounded down to blocks.
+    /// KV cache memory for running requests and for states held for other engines, in tokens, rounded down to whole blocks.
     pub memory_tokens: u64,
-    /// Tokens of a block, the unit of memory and of the prefix cache.
+    /// Tokens per KV cache block, the unit of memory and of the prefix cache.
     pub block_tokens: u64,
-    /// Up to this many tokens in all, blocks that nobody uses stay for prompts that begin alike; the least recently used go first. As much as
-    /// `memory_tokens`: the cache lives in the memory that is free. More: a second store behind it. 0: none.
+    /// Limit, in tokens, on used and unused KV cache blocks together below which unused blocks are kept in the prefix cache;
+    /// the least recently used are evicted first. Equal to `memory_tokens`, the cache uses the free part of the memory; a
+    /// larger value models a second-tier store behind the memory; 0 disables the cache.
     pub cache_tokens: u64,
-    /// Share of the memory that stays free when a request is let in beside others, so that these can grow for a while.
+    /// Share of the memory, from 0 to below 1, that must stay free when a request is admitted while others run, so that these
+    /// have blocks for the tokens they generate next.
     pub spare: f64,
-    /// Prompt tokens read by one step at the most: longer prompts are read in pieces.
+    /// Maximum number of prompt tokens that one step prefills. Longer prompts are prefilled in chunks.
     pub read_tokens_a_step: u64,
-    /// Prompts that one step reads from, and so prompts under way at once.
+    /// Maximum number of prompts that one step prefills, and so of requests in the prefill phase.
     pub reads_a_step: usize,
-    /// Seconds of a step in which sequences write.
+    /// Fixed time of a step in which any sequence decodes, in seconds.
     pub write_step_s: f64,
-    /// Seconds of a step that only reads.
+    /// Fixed time of a step that prefills, in seconds. In a step that also decodes, the larger of `read_step_s` and
+    /// `write_step_s` applies.
     pub read_step_s: f64,
-    /// Seconds for each sequence that writes in a step.
+    /// Additional step time per decoding sequence, in seconds.
     pub sequence_s: f64,
+    /// Prefill rate, in prompt tokens per second.
     pub read_tokens_per_s: f64,
-    /// Tokens of a state that a writer fetches in a second; fetches do not share it.
+    /// Rate at which a decode engine fetches KV cache state, in tokens per second. Concurrent fetches do not share this rate.
     pub transfer_tokens_per_s: f64,
-    /// Seconds for which a state is held at the most; absent: until it is let go of.
+    /// Maximum time that KV cache state is held for another engine, in seconds. If absent, it is held until it is released.
     pub hold_s: Option<f64>,
 }
 
@@ -62,28 +66,30 @@
 }
 
 impl Constants {
-    /// Seconds of a step at slowness 1.
-    pub fn step_s(&self, read_tokens: u64, writers: usize) -> f64 {
-        let fixed = match (writers, read_tokens) {
+    /// Duration of a step in seconds at a slowness factor of 1.
+    pub fn step_s(&self, read_tokens: u64, decoding: usize) -> f64 {
+        let fixed = match (decoding, read_tokens) {
             (0, _) => self.read_step_s,
             (_, 0) => self.write_step_s,
             _ => self.write_step_s.max(self.read_step_s),
         };
-        fixed + self.sequence_s * writers as f64 + read_tokens as f64 / self.read_tokens_per_s
+        fixed + self.sequence_s * decoding as f64 + read_tokens as f64 / self.read_tokens_per_s
     }
 
-    /// Blocks that hold so many tokens.
+    /// Number of KV cache blocks needed for a number of tokens.
     pub fn blocks(&self, tokens: u64) -> usize {
         usize::try_from(tokens.div_ceil(self.block_tokens.max(1))).unwrap_or(usize::MAX)
     }
 
-    /// Blocks of the memory.
+    /// Number of KV cache blocks in the memory.
     pub fn memory_blocks(&self) -> usize {
         usize::try_from(self.memory_tokens / self.block_tokens.max(1)).unwrap_or(usize::MAX)
     }
 
     /// # Errors
-    /// Where an engine of these could not work: a time or rate that is no number, no slot, no block.
+    /// [`EngineError::Unworkable`] if a time is negative or not finite, a rate is not positive and finite, `spare` is 1 or
+    /// more, one of `slots`, `block_tokens`, `read_tokens_a_step` and `reads_a_step` is zero, the memory has no block, or a
+    /// decode step would take no time.
     pub fn check(&self) -> Result<(), EngineError> {
         let times = [
             self.write_step_s,
@@ -104,7 +110,7 @@
             && rates.iter().all(|r| r.is_finite() && *r > 0.0)
             && counts.iter().all(|n| *n > 0)
             && self.memory_blocks() > 0
-            // Steps that take no time would come without end.
+            // With decode steps of zero duration, simulated time would not advance.
             && self.write_step_s + self.sequence_s > 0.0;
         good.then_some(()).ok_or(EngineError::Unworkable)
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The machine: what is here, what is due, what is told.
+//! The engine state machine: requests, timers, inputs and outputs.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,20 +7,21 @@
 use crate::sequence::{Phase, Sequence};
 use crate::{Constants, EngineError, Facts, Id, Input, Output, Prompt, Request, Work};
 
-/// One engine. Times are seconds of any clock that starts at zero or later; one that goes back is taken for one that stands.
+/// One simulated model server engine. Times are seconds of any clock that starts at zero or later; a time earlier than the
+/// previous one is replaced by the previous one.
 #[derive(Debug)]
 pub struct Engine {
     pub(crate) constants: Constants,
     pub(crate) now: f64,
     pub(crate) memory: Memory,
-    /// All that is here; bounded by the queue, the slots and, for states, the memory.
+    /// All requests and held states, by id. Their number is bounded by the queue, the slots and, for held states, the memory.
     pub(crate) sequences: BTreeMap<Id, Sequence>,
     pub(crate) waiting: VecDeque<Id>,
-    /// At work, in the order of admission.
+    /// Running requests by admission number.
     pub(crate) active: BTreeMap<u64, Id>,
     pub(crate) admissions: u64,
     pub(crate) step: Option<Step>,
-    /// Ends of fetches and of states; see [`key`].
+    /// End times of KV cache fetches and of held states, as [`key`] encodes them.
     pub(crate) timers: BTreeMap<(u64, Id), ()>,
     pub(crate) slowness: f64,
     pub(crate) fetch_delay_s: f64,
@@ -30,7 +31,7 @@
     draining: bool,
 }
 
-/// A time as a key: floats that are not negative are ordered as their bits.
+/// Converts a time in seconds to an ordered map key: the bit patterns of non-negative floats sort like their values.
 pub(crate) fn key(at: f64) -> u64 {
     at.max(0.0).to_bits()
 }
@@ -63,7 +64,7 @@
         })
     }
 
-    /// Goes on to a time, with all that was due before it at its own time, and takes one input.
+    /// Advances the engine to `now`, processing each due event at its own time, and then applies one input.
     pub fn step(&mut self, now: f64, input: Input, out: &mut Vec<Output>) {
         self.advance(now, out);
         match input {
@@ -74,10 +75,10 @@
                     out.push(Output::Refused { id, why });
                 }
             }
-            Input::Cancel(id) => self.end(id),
-            Input::Release(id) if self.holds(id) => self.end(id),
+            Input::Cancel(id) => self.remove(id),
+            Input::Release(id) if self.holds(id) => self.remove(id),
             Input::Release(_) => {}
-            Input::Taken(id) => self.taken(id, out),
+            Input::Taken(id) => self.transfer_confirmed(id, out),
             Input::Flush => self.memory.flush(),
             Input::LoseStates => {
                 let held: Vec<Id> = self
@@ -86,7 +87,7 @@
                     .copied()
                     .filter(|id| self.holds(*id))
                     .collect();
-                held.into_iter().for_each(|id| self.end(id));
+                held.into_iter().for_each(|id| self.remove(id));
             }
             Input::PauseUntil(at) if at.is_finite() => {
                 self.paused_until = self.paused_until.max(at)
@@ -96,10 +97,10 @@
             Input::PauseUntil(_) | Input::Slowness(_) | Input::FetchDelay(_) => {}
             Input::Drain => self.draining = true,
         }
-        self.go(out);
+        self.schedule(out);
     }
 
-    /// When it wants to be stepped again; none while nothing is due.
+    /// Time in seconds at which [`Engine::step`] must be called next, or `None` if no event is scheduled.
     pub fn next_at(&self) -> Option<f64> {
         let timer = self
             .timers
@@ -111,17 +112,18 @@
             .reduce(f64::min);
         match next {
             Some(at) => Some(at.max(self.paused_until)),
-            // Something may wait for the end of a pause alone.
+            // Requests may be waiting only for the end of a pause.
             None => (self.paused() && !self.sequences.is_empty()).then_some(self.paused_until),
         }
     }
 
+    /// Current load and counters of the engine.
     pub fn facts(&self) -> Facts {
-        let here = || self.sequences.values();
+        let sequences = || self.sequences.values();
         Facts {
             running: self.active.len(),
             waiting: self.waiting.len(),
-            held: here().filter(|s| s.phase == Phase::Held).count(),
+            held: sequences().filter(|s| s.phase == Phase::Held).count(),
             slots_used: self.slots_used(),
             used_blocks: self.memory.used(),
             memory_blocks: self.memory.capacity(),
@@ -131,27 +133,27 @@
         }
     }
 
-    /// It is here: waits, is at work, or has left a state.
+    /// Whether the request is queued, is running, or has KV cache state held for another engine.
     pub fn has(&self, id: Id) -> bool {
         self.sequences.contains_key(&id)
     }
 
-    /// It holds the state of this read.
+    /// Whether the engine holds the KV cache state of this prefill request for another engine.
     pub fn holds(&self, id: Id) -> bool {
         self.sequences
             .get(&id)
             .is_some_and(|s| s.phase == Phase::Held)
     }
 
-    /// Tokens at the begin of a prompt that it would not read if it began now.
+    /// Number of leading prompt tokens that the prefix cache would cover if the prompt's prefill started now.
     pub fn known_tokens(&self, prompt: &Prompt) -> u64 {
-        let known = self.memory.known(&prompt.marks) as u64;
+        let known = self.memory.cached_prefix_blocks(&prompt.marks) as u64;
         known
             .saturating_mul(self.constants.block_tokens)
             .min(prompt.tokens.saturating_sub(1))
     }
 
-    /// Nothing is here, not even a state.
+    /// Whether the engine has no queued or running request and holds no KV cache state.
     pub fn is_empty(&self) -> bool {
         self.sequences.is_empty()
     }
@@ -163,7 +165,7 @@
     pub(crate) fn slots_used(&self) -> usize {
         self.active
             .values()
-            .filter(|id| self.sequences.get(id).is_some_and(Sequence::writes))
+            .filter(|id| self.sequences.get(id).is_some_and(Sequence::decodes))
             .count()
     }
 
@@ -180,25 +182,27 @@
                 .first_key_value()
                 .map(|((at, id), ())| (f64::from_bits(*at), *id));
             match (timer, self.step.as_ref().map(|s| s.ends)) {
-                (Some((at, id)), ends) if ends.is_none_or(|ends| at <= ends) => self.timer(id, out),
+                (Some((at, id)), ends) if ends.is_none_or(|ends| at <= ends) => {
+                    self.handle_timer(id, out)
+                }
                 (_, Some(_)) => self.finish_step(out),
                 _ => {}
             }
-            self.go(out);
+            self.schedule(out);
         }
         self.now = now;
     }
 
-    /// The end of a fetch, or of a state's time.
-    fn timer(&mut self, id: Id, out: &mut Vec<Output>) {
+    /// Handles the first timer: a KV cache fetch has completed, or the hold time of a state has expired.
+    fn handle_timer(&mut self, id: Id, out: &mut Vec<Output>) {
         self.timers.pop_first();
         match self.sequences.get_mut(&id) {
             Some(s) if s.phase == Phase::Fetching => {
-                s.phase = Phase::Arrived;
+                s.phase = Phase::Fetched;
                 out.push(Output::Fetched { id });
             }
             Some(s) if s.phase == Phase::Held => {
-                self.end(id);
+                self.remove(id);
                 out.push(Output::Expired { id });
             }
             _ => {}
@@ -215,7 +219,7 @@
         if self.sequences.contains_key(&id) {
             return Err(EngineError::Twice);
         }
-        if constants.blocks(prompt.saturating_add(u64::from(sequence.answer())))
+        if constants.blocks(prompt.saturating_add(u64::from(sequence.output_tokens())))
             > self.memory.capacity()
         {
             return Err(EngineError::NeverFits);
@@ -224,7 +228,7 @@
             return Err(EngineError::MemoryFull);
         }
         let unfinished = match sequence.request.work {
-            Work::Read => self.waiting.len() + self.reading(),
+            Work::Read => self.waiting.len() + self.prefilling_count(),
             _ => self.waiting.len(),
         };
         if unfinished >= constants.queue {
@@ -235,29 +239,29 @@
         Ok(())
     }
 
-    fn taken(&mut self, id: Id, out: &mut Vec<Output>) {
+    fn transfer_confirmed(&mut self, id: Id, out: &mut Vec<Output>) {
         if let Some(s) = self
             .sequences
             .get_mut(&id)
-            .filter(|s| s.phase == Phase::Arrived)
+            .filter(|s| s.phase == Phase::Fetched)
         {
-            // The read that made the state made the first token too.
-            s.phase = Phase::Writing;
-            self.token(id, out);
+            // The prefill that produced the fetched KV cache state also produced the first token.
+            s.phase = Phase::Decoding;
+            self.emit_token(id, out);
         }
     }
 
-    /// Takes a request out, wherever it is.
-    pub(crate) fn end(&mut self, id: Id) {
+    /// Removes a request in any phase and releases its memory, timers and queue position.
+    pub(crate) fn remove(&mut self, id: Id) {
         let Some(mut sequence) = self.sequences.remove(&id) else {
             return;
         };
-        self.memory.let_go(&mut sequence.holding);
+        self.memory.release(&mut sequence.allocation);
         self.timers.retain(|(_, of), ()| *of != id);
-        if sequence.phase == Phase::Waiting {
+        if sequence.phase == Phase::Queued {
             self.waiting.retain(|w| *w != id);
         }
-        if sequence.at_work() {
+        if sequence.is_running() {
             self.active.remove(&sequence.admitted);
         }
     }
--- a/crates/engine/src/error.rs
+++ b/crates/engine/src/error.rs
@@ -1,34 +1,34 @@
-//! What can be wrong, and what an operator can do.
+//! Errors of the engine, with advice for the operator.
 
-/// Errors of engines.
+/// Reasons for which an engine rejects its parameters or a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EngineError {
-    #[error("a constant of the engine is not a number that can be worked with")]
+    #[error("an engine constant is out of range")]
     Unworkable,
-    #[error("as many requests wait as may")]
+    #[error("the queue is full")]
     QueueFull,
-    #[error("its prompt does not fit beside what is held")]
+    #[error("the prompt does not fit into the free KV cache memory")]
     MemoryFull,
-    #[error("its prompt and answer are more than the whole memory")]
+    #[error("prompt and output together exceed the KV cache memory")]
     NeverFits,
-    #[error("the engine drains")]
+    #[error("the engine is draining")]
     Draining,
-    #[error("a request of this id is here already")]
+    #[error("a request with this id already exists")]
     Twice,
 }
 
 impl EngineError {
-    /// What an operator can do.
+    /// Advice to the operator on how to resolve the error.
     pub fn advice(&self) -> &'static str {
         match self {
             EngineError::Unworkable => {
-                "give rates and times that are positive and finite, one slot and one block of memory at the least"
+                "set positive and finite rates and times, at least one slot and at least one block of memory"
             }
-            EngineError::QueueFull => "send to another engine, or let fewer in; a longer queue makes answers late",
-            EngineError::MemoryFull => "wait until answers have ended or states are let go of, or add engines",
-            EngineError::NeverFits => "shorten the prompt, lower the ceiling of the answer, or give the engine more memory",
-            EngineError::Draining => "send to another engine; this one takes new work after its restart",
-            EngineError::Twice => "give each attempt an id of its own",
+            EngineError::QueueFull => "send to another engine or admit fewer requests; a longer queue increases latency",
+            EngineError::MemoryFull => "wait until requests finish or held KV cache states are released, or add engines",
+            EngineError::NeverFits => "shorten the prompt, lower the output token limit, or give the engine more memory",
+            EngineError::Draining => "send to another engine; this one accepts new requests after its restart",
+            EngineError::Twice => "use a unique id for each attempt",
         }
     }
 }
--- a/crates/engine/src/io.rs
+++ b/crates/engine/src/io.rs
@@ -1,26 +1,28 @@
-//! What an engine is told, and what it says.
+//! Inputs and outputs of an engine.
 
 use crate::EngineError;
 
-/// A request at an engine; the caller numbers them.
+/// Id of a request at an engine, assigned by the code that submits the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id(pub u64);
 
-/// A prompt: its length, and a mark for each of its whole blocks that also stands for all before it. A prompt without marks shares nothing.
+/// A prompt: its length in tokens and a prefix hash for each of its full KV cache blocks, which identifies that block and all
+/// blocks before it. A prompt without hashes shares no blocks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
     pub tokens: u64,
     pub marks: Vec<u64>,
 }
 
-/// What is to be done with a prompt. `answer` is the answer's length in tokens, which only the engine knows.
+/// Phases of a request that this engine executes. `answer` is the output length in tokens, which only the engine knows in
+/// advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// Read it and hold the state for another engine.
+    /// Prefill the prompt and hold the KV cache state for another engine.
     Read,
-    /// Read it and write the answer.
+    /// Prefill the prompt and decode the output.
     ReadAndWrite { answer: u32 },
-    /// Fetch the state from another engine and write the answer.
+    /// Fetch the KV cache state from another engine and decode the output.
     FetchAndWrite { answer: u32 },
 }
 
@@ -33,26 +35,28 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// Nothing but the time.
+    /// Only advances the time.
     Time,
     Submit(Request),
-    /// Ends a request wherever it is, its state included. Tokens of a step under way are not given.
+    /// Ends a request in any phase and releases its KV cache state. The token that a running step computes for it is not emitted.
     Cancel(Id),
-    /// Lets go of a state that is held.
+    /// Releases KV cache state that is held for another engine.
     Release(Id),
-    /// A fetched state has been taken where it was held: the answer begins. Without it the request stays where it is.
+    /// Confirms that the holding engine handed over a fetched KV cache state; decoding starts. Until then, the request keeps
+    /// its slot and memory and makes no progress.
     Taken(Id),
-    /// Forgets all prefixes; what is at work keeps what it has.
+    /// Clears the prefix cache. Running requests keep their blocks.
     Flush,
-    /// Forgets all states that are held.
+    /// Drops all KV cache states that are held for other engines.
     LoseStates,
-    /// Does nothing until then; what was due comes after.
+    /// Pauses the engine until this time in seconds. Events that fall due in the pause are processed at its end.
     PauseUntil(f64),
-    /// Factor on what begins from now on; 1 is as stated. Ignored unless positive and finite.
+    /// Factor on the duration of steps and fetches that start from now on; 1 is the configured speed. Ignored unless positive
+    /// and finite.
     Slowness(f64),
-    /// Seconds that fetches that begin from now on take longer. Ignored unless finite and not negative.
+    /// Additional duration, in seconds, of fetches that start from now on. Ignored unless finite and not negative.
     FetchDelay(f64),
-    /// Takes nothing new from now on.
+    /// Rejects new requests from now on.
     Drain,
 }
 
@@ -62,50 +66,52 @@
         id: Id,
         why: EngineError,
     },
-    /// A read for another engine is done; its state is held. `cached` tokens of it were known.
+    /// A prefill for another engine is complete and its KV cache state is held. The prefix cache covered `cached` tokens.
     Read {
         id: Id,
         cached: u64,
     },
-    /// A state has come; say [`Input::Taken`] or [`Input::Cancel`].
+    /// A KV cache state has been fetched; the caller must reply with [`Input::Taken`] or [`Input::Cancel`].
     Fetched {
         id: Id,
     },
-    /// The answer's `number`th token, from 1. `last` ends the request.
+    /// An output token; `number` counts from 1. The request ends with the token marked `last`.
     Token {
         id: Id,
         number: u32,
         last: bool,
         cached: u64,
     },
-    /// Thrown out of memory with so many tokens written; its prompt and these will be read again. It waits in front of all others.
+    /// A request was preempted after `written` output tokens. It is at the front of the queue; its prompt and these tokens are
+    /// prefilled again after its next admission.
     Preempted {
         id: Id,
         written: u32,
     },
-    /// A state was held for its whole time and is gone.
+    /// A KV cache state was held for `hold_s` seconds without being released and was dropped.
     Expired {
         id: Id,
     },
 }
 
-/// How an engine stands.
+/// Load and counters of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Facts {
-    /// At work: read, fetched or written.
+    /// Running requests: in prefill, fetching KV cache state or decoding.
     pub running: usize,
+    /// Queued requests, including preempted ones.
     pub waiting: usize,
-    /// States held for other engines.
+    /// KV cache states held for other engines.
     pub held: usize,
-    /// Answers at work, of the slots.
+    /// Slots in use: running requests that generate output.
     pub slots_used: usize,
-    /// Blocks that work and states refer to, each counted once, of `memory_blocks`.
+    /// KV cache blocks referenced by running requests and held states, each counted once; at most `memory_blocks`.
     pub used_blocks: usize,
     pub memory_blocks: usize,
-    /// Blocks that only the prefix cache keeps.
+    /// KV cache blocks that no request or held state references and that remain only in the prefix cache.
     pub cached_blocks: usize,
-    /// Requests thrown out of memory since the start.
+    /// Preemptions since the start of the engine.
     pub preemptions: u64,
-    /// Tokens read again after that.
+    /// Tokens prefilled again after preemptions, since the start of the engine.
     pub read_again: u64,
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,8 +1,8 @@
-//! An engine that fills: batch slots, memory in blocks with a prefix cache, a step time by a formula with stated constants, and
-//! preemption by recompute when memory runs out, counted. No input or output: requests and a clock go in, tokens come out.
+//! Capacity model of an inference engine with continuous batching: batch slots, KV cache blocks with a prefix cache, step times
+//! from a formula, and counted preemption by recomputation when memory runs out. The crate does no I/O.
 //!
-//! [`Engine`] is stepped with a time in seconds and an [`Input`], and appends [`Output`]s; [`Engine::next_at`] says when it wants to be
-//! stepped again. It draws nothing by chance, so that the same inputs at the same times give the same outputs.
+//! [`Engine::step`] takes a time in seconds and an [`Input`] and appends [`Output`]s; [`Engine::next_at`] returns the time of the
+//! next call. The model is deterministic: the same inputs at the same times give the same outputs.
 
 mod batch;
 mod constants;
--- a/crates/engine/src/memory.rs
+++ b/crates/engine/src/memory.rs
@@ -1,59 +1,60 @@
-//! Memory in blocks: those of prompts can be shared, and stay for a while when nobody uses them.
+//! KV cache block allocator: full prompt blocks are shared by reference count and stay in the prefix cache when unused.
 
 use std::collections::BTreeMap;
 
-/// A block's name: how often the cache had been flushed, and the prompt's mark.
-type Name = (u32, u64);
+/// Key of a shared block: the number of cache flushes before it was stored, and the prefix hash of the block.
+type BlockKey = (u32, u64);
 
 #[derive(Debug)]
 struct Block {
-    users: usize,
-    /// Place among the unused ones.
-    since: u64,
+    references: usize,
+    /// Position in the least-recently-used order; 0 while the block is in use.
+    lru_position: u64,
 }
 
-/// What one request holds.
+/// KV cache blocks allocated to one request.
 #[derive(Debug, Default, PartialEq)]
-pub(crate) struct Holding {
-    named: Vec<Name>,
-    own: usize,
+pub(crate) struct Allocation {
+    shared: Vec<BlockKey>,
+    private: usize,
 }
 
-impl Holding {
+impl Allocation {
     pub(crate) fn blocks(&self) -> usize {
-        self.named.len() + self.own
+        self.shared.len() + self.private
     }
 }
 
-/// Used blocks are `capacity` at the most; used and unused ones together `kept` at the most, as far as unused ones can go.
+/// Block allocator. At most `capacity` blocks are in use. Unused blocks are evicted while used and unused blocks together
+/// exceed `kept`.
 #[derive(Debug)]
 pub(crate) struct Memory {
     capacity: usize,
     kept: usize,
-    named: BTreeMap<Name, Block>,
-    /// Unused blocks, the one that was used longest ago first.
-    unused: BTreeMap<u64, Name>,
-    own: usize,
+    shared: BTreeMap<BlockKey, Block>,
+    /// Unused blocks of the prefix cache, least recently used first.
+    unused: BTreeMap<u64, BlockKey>,
+    private: usize,
     flushes: u32,
-    serial: u64,
+    last_lru_position: u64,
 }
 
 impl Memory {
     pub(crate) fn new(capacity: usize, kept: usize) -> Memory {
-        let (named, unused) = (BTreeMap::new(), BTreeMap::new());
+        let (shared, unused) = (BTreeMap::new(), BTreeMap::new());
         Memory {
             capacity,
             kept,
-            named,
+            shared,
             unused,
-            own: 0,
+            private: 0,
             flushes: 0,
-            serial: 0,
+            last_lru_position: 0,
         }
     }
 
     pub(crate) fn used(&self) -> usize {
-        self.named.len() - self.unused.len() + self.own
+        self.shared.len() - self.unused.len() + self.private
     }
 
     pub(crate) fn capacity(&self) -> usize {
@@ -64,135 +65,144 @@
         self.unused.len()
     }
 
-    /// Blocks at the begin of a prompt that are known.
-    pub(crate) fn known(&self, marks: &[u64]) -> usize {
+    /// Number of leading prompt blocks that are cached.
+    pub(crate) fn cached_prefix_blocks(&self, marks: &[u64]) -> usize {
         marks
             .iter()
-            .take_while(|m| self.named.contains_key(&(self.flushes, **m)))
+            .take_while(|m| self.shared.contains_key(&(self.flushes, **m)))
             .count()
     }
 
-    /// Room for so many blocks, those of `marks` that are known among them; `spare` blocks stay free. Gives what is held and how many were
-    /// known.
-    pub(crate) fn take(
+    /// Allocates `blocks` blocks, reusing the cached leading blocks of `marks`, if at least `spare` blocks stay free. Returns the
+    /// allocation and the number of cached blocks in it.
+    pub(crate) fn allocate(
         &mut self,
         marks: &[u64],
         blocks: usize,
         spare: usize,
-    ) -> Option<(Holding, usize)> {
-        let known = self.known(marks).min(blocks);
-        let names: Vec<Name> = marks
+    ) -> Option<(Allocation, usize)> {
+        let cached = self.cached_prefix_blocks(marks).min(blocks);
+        let keys: Vec<BlockKey> = marks
             .iter()
-            .take(known)
+            .take(cached)
             .map(|m| (self.flushes, *m))
             .collect();
-        let woken = names
+        let reactivated = keys
             .iter()
-            .filter(|n| self.named.get(n).is_some_and(|b| b.users == 0))
+            .filter(|n| self.shared.get(n).is_some_and(|b| b.references == 0))
             .count();
-        let own = blocks - known;
+        let private = blocks - cached;
         if self
             .used()
-            .saturating_add(woken)
-            .saturating_add(own)
+            .saturating_add(reactivated)
+            .saturating_add(private)
             .saturating_add(spare)
             > self.capacity
         {
             return None;
         }
-        names.iter().for_each(|n| self.refer(*n));
-        self.own += own;
+        keys.iter().for_each(|n| self.add_reference(*n));
+        self.private += private;
         self.evict();
-        Some((Holding { named: names, own }, known))
+        Some((
+            Allocation {
+                shared: keys,
+                private,
+            },
+            cached,
+        ))
     }
 
-    /// One block more; false where there is none.
-    pub(crate) fn grow(&mut self, holding: &mut Holding) -> bool {
+    /// Adds one block to an allocation; returns false if no block is free.
+    pub(crate) fn grow(&mut self, allocation: &mut Allocation) -> bool {
         if self.used() >= self.capacity {
             return false;
         }
-        self.own += 1;
-        holding.own += 1;
+        self.private += 1;
+        allocation.private += 1;
         self.evict();
         true
     }
 
-    /// A prompt has been read: its blocks can be shared from now on. One that somebody else read meanwhile is shared with him.
-    pub(crate) fn name(&mut self, holding: &mut Holding, marks: &[u64]) {
-        for mark in marks.iter().skip(holding.named.len()) {
-            if holding.own == 0 {
+    /// Makes the full blocks of a prefilled prompt shareable. A block that another request stored in the meantime replaces the
+    /// private copy.
+    pub(crate) fn share_prompt_blocks(&mut self, allocation: &mut Allocation, marks: &[u64]) {
+        for mark in marks.iter().skip(allocation.shared.len()) {
+            if allocation.private == 0 {
                 return;
             }
-            let name = (self.flushes, *mark);
-            self.refer(name);
-            holding.named.push(name);
-            holding.own -= 1;
-            self.own -= 1;
+            let key = (self.flushes, *mark);
+            self.add_reference(key);
+            allocation.shared.push(key);
+            allocation.private -= 1;
+            self.private -= 1;
         }
         self.evict();
     }
 
-    pub(crate) fn let_go(&mut self, holding: &mut Holding) {
-        self.own -= holding.own;
-        holding.own = 0;
-        // The end of a prompt goes before its begin, which others may share.
-        for name in holding.named.drain(..).rev() {
-            let Some(block) = self.named.get_mut(&name) else {
+    /// Releases all blocks of an allocation. Shared blocks without other references stay in the prefix cache.
+    pub(crate) fn release(&mut self, allocation: &mut Allocation) {
+        self.private -= allocation.private;
+        allocation.private = 0;
+        // The last blocks of a prompt become evictable before its first ones, which other prompts are more likely to share.
+        for key in allocation.shared.drain(..).rev() {
+            let Some(block) = self.shared.get_mut(&key) else {
                 continue;
             };
-            block.users -= 1;
-            if block.users > 0 {
+            block.references -= 1;
+            if block.references > 0 {
                 continue;
             }
-            if name.0 != self.flushes {
-                self.named.remove(&name);
+            if key.0 != self.flushes {
+                self.shared.remove(&key);
                 continue;
             }
-            self.serial += 1;
-            block.since = self.serial;
-            self.unused.insert(self.serial, name);
+            self.last_lru_position += 1;
+            block.lru_position = self.last_lru_position;
+            self.unused.insert(self.last_lru_position, key);
         }
         self.evict();
     }
 
+    /// Clears the prefix cache. Blocks in use keep their old flush number and are no longer found.
     pub(crate) fn flush(&mut self) {
-        for (_, name) in std::mem::take(&mut self.unused) {
-            self.named.remove(&name);
+        for (_, key) in std::mem::take(&mut self.unused) {
+            self.shared.remove(&key);
         }
         self.flushes = self.flushes.wrapping_add(1);
     }
 
-    fn refer(&mut self, name: Name) {
-        let block = self
-            .named
-            .entry(name)
-            .or_insert(Block { users: 0, since: 0 });
-        block.users += 1;
-        // Zero stands for none: places are numbered from one.
-        if block.users == 1 && block.since != 0 {
-            self.unused.remove(&block.since);
-            block.since = 0;
+    fn add_reference(&mut self, key: BlockKey) {
+        let block = self.shared.entry(key).or_insert(Block {
+            references: 0,
+            lru_position: 0,
+        });
+        block.references += 1;
+        // Position 0 means that the block is not in the unused list: positions start at 1.
+        if block.references == 1 && block.lru_position != 0 {
+            self.unused.remove(&block.lru_position);
+            block.lru_position = 0;
         }
     }
 
     fn evict(&mut self) {
-        while self.named.len() + self.own > self.kept {
-            let Some((_, name)) = self.unused.pop_first() else {
+        while self.shared.len() + self.private > self.kept {
+            let Some((_, key)) = self.unused.pop_first() else {
                 return;
             };
-            self.named.remove(&name);
+            self.shared.remove(&key);
         }
     }
 
-    /// Used blocks, counted again from what is held.
+    /// Number of used blocks, recomputed from all allocations.
     #[cfg(test)]
-    pub(crate) fn recount<'a>(holdings: impl Iterator<Item = &'a Holding>) -> usize {
-        let mut names = std::collections::BTreeSet::new();
-        let mut own = 0;
-        for holding in holdings {
-            names.extend(holding.named.iter().copied());
-            own += holding.own;
+    pub(crate) fn recount<'a>(allocations: impl Iterator<Item = &'a Allocation>) -> usize {
+        let mut keys = std::collections::BTreeSet::new();
+        let mut private = 0;
+        for allocation in allocations {
+            keys.extend(allocation.shared.iter().copied());
+            private += allocation.private;
         }
-        names.len() + own
+        keys.len() + private
     }
 }
--- a/crates/engine/src/properties.rs
+++ b/crates/engine/src/properties.rs
@@ -1,4 +1,4 @@
-//! Memory is conserved and everyone ends, whatever comes.
+//! Property tests: under random inputs, block accounting stays consistent and every request ends.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 use crate::{Constants, Engine, Id, Input, Output, Prompt, Request, Work};
 
 #[derive(Clone, Debug)]
-enum Act {
+enum Action {
     Submit(Work, u64, u64),
     Cancel(usize),
     Release(usize),
@@ -16,24 +16,24 @@
     Other(Input),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn action() -> impl Strategy<Value = Action> {
     let work = prop_oneof![
         Just(Work::Read),
         (0u32..60).prop_map(|answer| Work::ReadAndWrite { answer }),
         (0u32..60).prop_map(|answer| Work::FetchAndWrite { answer }),
     ];
     prop_oneof![
-        8 => (work, 0u64..90, 0u64..3).prop_map(|(work, tokens, begin)| Act::Submit(work, tokens, begin)),
-        1 => (0usize..40).prop_map(Act::Cancel),
-        1 => (0usize..40).prop_map(Act::Release),
-        6 => (0.0f64..0.3).prop_map(Act::Wait),
+        8 => (work, 0u64..90, 0u64..3).prop_map(|(work, tokens, prefix)| Action::Submit(work, tokens, prefix)),
+        1 => (0usize..40).prop_map(Action::Cancel),
+        1 => (0usize..40).prop_map(Action::Release),
+        6 => (0.0f64..0.3).prop_map(Action::Wait),
         1 => prop_oneof![
             Just(Input::Flush),
             Just(Input::LoseStates),
             (0.0f64..20.0).prop_map(Input::PauseUntil),
             (0.2f64..4.0).prop_map(Input::Slowness),
             (0.0f64..1.0).prop_map(Input::FetchDelay),
-        ].prop_map(Act::Other),
+        ].prop_map(Action::Other),
     ]
 }
 
@@ -63,18 +63,18 @@
         })
 }
 
-struct Played {
+struct CheckedEngine {
     engine: Engine,
     open: BTreeSet<Id>,
     preempted: u64,
 }
 
-impl Played {
+impl CheckedEngine {
     fn step(&mut self, now: f64, input: Input) {
         let (mut out, mut fetched) = (Vec::new(), Vec::new());
         self.engine.step(now, input, &mut out);
-        for said in out {
-            match said {
+        for output in out {
+            match output {
                 Output::Token { id, last: true, .. }
                 | Output::Read { id, .. }
                 | Output::Refused { id, why: _ } => {
@@ -87,7 +87,7 @@
             }
         }
         let (facts, engine) = (self.engine.facts(), &self.engine);
-        let held = Memory::recount(engine.sequences.values().map(|s| &s.holding));
+        let held = Memory::recount(engine.sequences.values().map(|s| &s.allocation));
         assert_eq!(
             facts.used_blocks, held,
             "blocks in use are those that somebody refers to"
@@ -99,7 +99,7 @@
             "{facts:?}"
         );
         assert!(facts.slots_used <= engine.constants.slots);
-        assert!(engine.reading() <= engine.constants.reads_a_step);
+        assert!(engine.prefilling_count() <= engine.constants.reads_a_step);
         assert_eq!(facts.preemptions, self.preempted);
         assert_eq!(
             facts.running + facts.waiting + facts.held,
@@ -110,7 +110,7 @@
             .for_each(|id| self.step(now, Input::Taken(id)));
     }
 
-    /// Until nothing is due any more.
+    /// Steps the engine until no event is scheduled.
     fn drain(&mut self) {
         for _ in 0..200_000 {
             let Some(at) = self.engine.next_at() else {
@@ -125,46 +125,46 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
     #[test]
-    fn memory_is_conserved_preempted_ones_end_and_nothing_stays(
-        constants in constants(), acts in proptest::collection::vec(act(), 1..120)
+    fn block_accounting_is_consistent_and_every_request_ends(
+        constants in constants(), actions in proptest::collection::vec(action(), 1..120)
     ) {
-        let mut played =
-            Played { engine: Engine::new(constants).expect("constants"), open: BTreeSet::new(), preempted: 0 };
+        let mut checked =
+            CheckedEngine { engine: Engine::new(constants).expect("constants"), open: BTreeSet::new(), preempted: 0 };
         let (mut now, mut ids) = (0.0, Vec::new());
-        for act in acts {
-            match act {
-                Act::Submit(work, tokens, begin) => {
+        for action in actions {
+            match action {
+                Action::Submit(work, tokens, prefix) => {
                     let id = Id(ids.len() as u64);
                     ids.push(id);
-                    played.open.insert(id);
-                    // Prompts of one begin share their first blocks.
-                    let marks = (0..tokens / constants.block_tokens).map(|n| begin * 1000 + n).collect();
-                    played.step(now, Input::Submit(Request { id, prompt: Prompt { tokens, marks }, work }));
+                    checked.open.insert(id);
+                    // Prompts with the same `prefix` number share their first blocks.
+                    let marks = (0..tokens / constants.block_tokens).map(|n| prefix * 1000 + n).collect();
+                    checked.step(now, Input::Submit(Request { id, prompt: Prompt { tokens, marks }, work }));
                 }
-                Act::Cancel(_) | Act::Release(_) if ids.is_empty() => {}
-                Act::Cancel(n) => {
+                Action::Cancel(_) | Action::Release(_) if ids.is_empty() => {}
+                Action::Cancel(n) => {
                     let id = ids[n % ids.len()];
-                    // What was due before it came is said first.
-                    played.step(now, Input::Time);
-                    played.step(now, Input::Cancel(id));
-                    played.open.remove(&id);
+                    // Outputs due before the cancellation are processed first.
+                    checked.step(now, Input::Time);
+                    checked.step(now, Input::Cancel(id));
+                    checked.open.remove(&id);
                 }
-                Act::Release(n) => played.step(now, Input::Release(ids[n % ids.len()])),
-                Act::Wait(s) => {
+                Action::Release(n) => checked.step(now, Input::Release(ids[n % ids.len()])),
+                Action::Wait(s) => {
                     now += s;
-                    played.step(now, Input::Time);
+                    checked.step(now, Input::Time);
                 }
-                Act::Other(input) => played.step(now, input),
+                Action::Other(input) => checked.step(now, input),
             }
         }
-        played.drain();
-        // States may have kept others out of the memory.
+        checked.drain();
+        // Held states may have kept queued requests out of memory; releasing them lets those requests run.
         for id in ids {
-            let at = played.engine.now;
-            played.step(at, Input::Release(id));
-            played.drain();
+            let at = checked.engine.now;
+            checked.step(at, Input::Release(id));
+            checked.drain();
         }
-        prop_assert!(played.open.is_empty(), "never ended: {:?}", played.open);
-        prop_assert!(played.engine.is_empty() && played.engine.facts().used_blocks == 0);
+        prop_assert!(checked.open.is_empty(), "never ended: {:?}", checked.open);
+        prop_assert!(checked.engine.is_empty() && checked.engine.facts().used_blocks == 0);
     }
 }
--- a/crates/engine/src/sequence.rs
+++ b/crates/engine/src/sequence.rs
@@ -1,17 +1,17 @@
-//! One request at an engine.
+//! State of one request at an engine.
 
-use crate::memory::Holding;
+use crate::memory::Allocation;
 use crate::{Constants, Request, Work};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    Waiting,
+    Queued,
     Fetching,
-    /// Its state has come and is not taken yet.
-    Arrived,
-    Reading,
-    Writing,
-    /// A state for another engine.
+    /// The KV cache state has been fetched; the holding engine has not confirmed the transfer yet.
+    Fetched,
+    Prefilling,
+    Decoding,
+    /// The prompt is prefilled and its KV cache state is held for another engine.
     Held,
 }
 
@@ -19,68 +19,73 @@
 pub(crate) struct Sequence {
     pub request: Request,
     pub phase: Phase,
-    pub holding: Holding,
-    /// Place in the order of admission; the latest is thrown out first.
+    pub allocation: Allocation,
+    /// Admission number. The sequence with the highest number is preempted first.
     pub admitted: u64,
+    /// Output tokens emitted so far.
     pub written: u32,
-    /// Tokens read since it was let in, those known before included.
-    pub read: u64,
-    /// Tokens that were known when it was let in first.
+    /// Tokens prefilled since the last admission, including those from the prefix cache.
+    pub prefilled: u64,
+    /// Tokens that the prefix cache covered at the first admission.
     pub cached: Option<u64>,
-    /// It was thrown out: what it had is read again, also where it had been fetched.
-    pub again: bool,
+    /// Whether the sequence was preempted: its prompt and output so far are prefilled again, even if its KV cache state had been
+    /// fetched.
+    pub recompute: bool,
 }
 
 impl Sequence {
     pub(crate) fn new(request: Request) -> Sequence {
-        let holding = Holding::default();
-        let (phase, admitted, written, read, cached, again) =
-            (Phase::Waiting, 0, 0, 0, None, false);
+        let allocation = Allocation::default();
+        let (phase, admitted, written, prefilled, cached, recompute) =
+            (Phase::Queued, 0, 0, 0, None, false);
         Sequence {
             request,
             phase,
-            holding,
+            allocation,
             admitted,
             written,
-            read,
+            prefilled,
             cached,
-            again,
+            recompute,
         }
     }
 
-    /// Tokens of the answer.
-    pub(crate) fn answer(&self) -> u32 {
+    /// Output length in tokens.
+    pub(crate) fn output_tokens(&self) -> u32 {
         match self.request.work {
             Work::Read => 0,
-            // An answer is one token at the least: the one that the read ends with.
+            // The output has at least one token: the prefill produces it.
             Work::ReadAndWrite { answer } | Work::FetchAndWrite { answer } => answer.max(1),
         }
     }
 
-    /// It takes one of the slots when it is at work.
-    pub(crate) fn writes(&self) -> bool {
+    /// Whether the request decodes here, and so takes a slot while it runs.
+    pub(crate) fn decodes(&self) -> bool {
         self.request.work != Work::Read
     }
 
-    /// Its state comes from another engine.
+    /// Whether the KV cache state is fetched from another engine.
     pub(crate) fn fetches(&self) -> bool {
-        matches!(self.request.work, Work::FetchAndWrite { .. }) && !self.again
+        matches!(self.request.work, Work::FetchAndWrite { .. }) && !self.recompute
     }
 
-    /// Tokens that it has in memory once it is read.
-    pub(crate) fn tokens(&self) -> u64 {
+    /// Prompt and output tokens that are in the KV cache after prefill.
+    pub(crate) fn context_tokens(&self) -> u64 {
         self.request
             .prompt
             .tokens
             .saturating_add(u64::from(self.written))
     }
 
-    /// Blocks that it needs so that the next token finds room.
-    pub(crate) fn needs(&self, constants: &Constants) -> usize {
-        constants.blocks(self.tokens().saturating_add(u64::from(self.writes())))
+    /// Number of KV cache blocks needed, including space for the next output token.
+    pub(crate) fn blocks_needed(&self, constants: &Constants) -> usize {
+        constants.blocks(
+            self.context_tokens()
+                .saturating_add(u64::from(self.decodes())),
+        )
     }
 
-    pub(crate) fn at_work(&self) -> bool {
-        !matches!(self.phase, Phase::Waiting | Phase::Held)
+    pub(crate) fn is_running(&self) -> bool {
+        !matches!(self.phase, Phase::Queued | Phase::Held)
     }
 }
