--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -1,26 +1,27 @@
-//! What is injected how often: `FAULT_SHIM=seed=7,accept=0.1,socket=0.1,connect=0.1,wait=0.2,short=0.3,clock_s=3600`.
+//! Fault plan: the kinds of faults to inject and the share of calls affected, for example
+//! `FAULT_SHIM=seed=7,accept=0.1,socket=0.1,connect=0.1,wait=0.2,short=0.3,clock_s=3600`.
 
 use std::str::FromStr;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A kind of injection, in the order of the counts in their file.
+/// Kind of injected fault. The discriminant is the byte offset of the kind's mark in the file `FAULT_SHIM_COUNTS`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// `accept4` fails for a moment.
+    /// `accept4` fails with a transient error.
     Accept,
-    /// `socket` fails for a moment.
+    /// `socket` fails with a transient error.
     Socket,
-    /// `connect` fails for a moment.
+    /// `connect` fails with a transient error.
     Connect,
-    /// `epoll_wait` is interrupted.
+    /// `epoll_wait` fails with `EINTR`.
     Wait,
-    /// `recv`, `read`, `send` and `write` take less than they could.
+    /// `recv` and `send` transfer fewer bytes than requested, or fail with `EINTR`.
     Short,
-    /// The wall clock is off.
+    /// The wall clock (`CLOCK_REALTIME`) is shifted.
     Clock,
 }
 
-/// All kinds, by their names in a plan.
+/// All kinds of faults with their names in a plan.
 pub const KINDS: [(&str, Kind); 6] = [
     ("accept", Kind::Accept),
     ("socket", Kind::Socket),
@@ -30,13 +31,13 @@
     ("clock_s", Kind::Clock),
 ];
 
-/// The plan of one process.
+/// The fault plan of one process.
 #[derive(Debug, Default)]
 pub struct Plan {
     seed: u64,
-    /// Share of calls that are hit, by kind.
+    /// Share of calls that fail, from 0 to 0.9, by kind of fault.
     shares: [f64; KINDS.len()],
-    /// Seconds by which the wall clock is ahead; negative where it is behind.
+    /// Shift of the wall clock in seconds; negative if it is behind.
     pub clock_s: i64,
     draws: AtomicU64,
 }
@@ -45,23 +46,23 @@
     type Err = String;
 
     /// # Errors
-    /// A word that is no pair of a known name and a figure in its range.
+    /// If an item of the plan is not `NAME=NUMBER` with a known name and a number in the permitted range.
     fn from_str(text: &str) -> Result<Plan, String> {
         let mut plan = Plan::default();
         for pair in text.split(',').filter(|p| !p.is_empty()) {
-            let wrong = || {
-                format!("FAULT_SHIM: '{pair}' is not NAME=FIGURE with a known name and a figure in range")
+            let invalid = || {
+                format!("FAULT_SHIM: '{pair}' is not NAME=NUMBER with a known name and a number in range")
             };
-            let (name, figure) = pair.split_once('=').ok_or_else(wrong)?;
+            let (name, number_text) = pair.split_once('=').ok_or_else(invalid)?;
             match name {
-                "seed" => plan.seed = figure.parse().map_err(|_| wrong())?,
-                "clock_s" => plan.clock_s = figure.parse().map_err(|_| wrong())?,
+                "seed" => plan.seed = number_text.parse().map_err(|_| invalid())?,
+                "clock_s" => plan.clock_s = number_text.parse().map_err(|_| invalid())?,
                 _ => {
-                    let at = KINDS.iter().position(|k| k.0 == name).ok_or_else(wrong)?;
-                    let share: f64 = figure.parse().map_err(|_| wrong())?;
-                    plan.shares[at] = Some(share)
+                    let index = KINDS.iter().position(|k| k.0 == name).ok_or_else(invalid)?;
+                    let share: f64 = number_text.parse().map_err(|_| invalid())?;
+                    plan.shares[index] = Some(share)
                         .filter(|s| (0.0..=0.9).contains(s))
-                        .ok_or_else(wrong)?;
+                        .ok_or_else(invalid)?;
                 }
             }
         }
@@ -70,20 +71,21 @@
 }
 
 impl Plan {
-    /// A number for one call, or `None` where it is left alone.
+    /// Decides whether to inject a fault into one call. Returns a pseudorandom number that selects the variant of the fault, or
+    /// `None` if the call runs unchanged.
     pub fn hits(&self, kind: Kind) -> Option<u64> {
         let share = self.shares[kind as usize];
         if share <= 0.0 {
             return None;
         }
-        let number = mixed(self.seed ^ mixed(self.draws.fetch_add(1, Ordering::Relaxed)));
-        let drawn = (number >> 11) as f64 / (1u64 << 53) as f64;
-        (drawn < share).then(|| mixed(number))
+        let number = mix(self.seed ^ mix(self.draws.fetch_add(1, Ordering::Relaxed)));
+        let fraction = (number >> 11) as f64 / (1u64 << 53) as f64;
+        (fraction < share).then(|| mix(number))
     }
 }
 
-/// The finalizer of splitmix64.
-fn mixed(value: u64) -> u64 {
+/// Mixes the bits of a value with the splitmix64 output function.
+fn mix(value: u64) -> u64 {
     let z = value.wrapping_add(0x9E37_79B9_7F4A_7C15);
     let z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     let z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
