--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,8 +1,9 @@
-//! A network in simulated time, for tests and measurements of machines without I/O: loss, delay, duplicates, cuts, pauses,
-//! kills, and clocks that differ. One seed, one course of events.
+//! Network in simulated time for tests and measurements of state machines without I/O: message delay, loss and duplicates,
+//! partitions, paused and killed processes, and clock offsets. A run is determined by its seed.
 //!
-//! [`Network`] holds what is under way and the chance that it is late, lost or doubled; [`World`] steps machines over it in
-//! order of time. A machine that is paused hears what waited for it when it goes on, as a process does.
+//! [`Network`] holds the messages in flight and delays, loses or duplicates them at random; [`World`] steps state machines
+//! over the network in order of simulated time. Messages for a paused machine are delivered when it resumes, as the socket
+//! buffers of a suspended process would deliver them.
 
 mod network;
 mod world;
@@ -12,7 +13,7 @@
 
 use std::time::Duration;
 
-/// Milliseconds.
+/// Duration of `n` milliseconds.
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,21 +1,23 @@
-//! Machines stepped over a network in order of time.
+//! State machines stepped over a simulated network in order of time.
 
 use std::time::Duration;
 
 use crate::Network;
 
-/// What a machine wants sent: to whom, and what.
+/// Messages that a machine sends, each with its destination place.
 pub type Sent<M> = Vec<(usize, M)>;
 
-/// A machine at a place. What it does beyond sending it keeps for whoever looks.
+/// State machine of a simulated process. Its only outputs through this trait are messages; other results are kept in the
+/// machine, where a test can inspect them.
 pub trait Node {
+    /// Message type exchanged between the machines of a world.
     type Message: Clone;
 
-    /// When it wants to be woken, by its own clock.
+    /// Time of the machine's next timer by its local clock, if a timer is set.
     fn wake_at(&self) -> Option<Duration>;
-    /// Does what is due.
+    /// Handles the timers that are due at `now`, a time by the machine's local clock.
     fn wake(&mut self, now: Duration, out: &mut Sent<Self::Message>);
-    /// Takes a message.
+    /// Handles a message that is delivered at `now`, a time by the machine's local clock.
     fn take(
         &mut self,
         now: Duration,
@@ -25,23 +27,24 @@
     );
 }
 
-/// One place: the process there, if there is one, and its clock.
+/// One place in the world: its process, if one is running, and its local clock.
 pub struct Place<N: Node> {
     pub node: Option<N>,
     pub paused: bool,
-    /// How far its clock is ahead of the world's.
+    /// Offset by which the local clock of this place is ahead of simulated time.
     pub ahead: Duration,
+    /// Messages that arrived while the process was paused, each with its sender.
     inbox: Vec<(usize, N::Message)>,
 }
 
-/// Machines, and what is under way between them.
+/// State machines and the network between them.
 pub struct World<N: Node> {
     pub net: Network<N::Message>,
     pub places: Vec<Place<N>>,
 }
 
 impl<N: Node> World<N> {
-    /// So many empty places.
+    /// Creates a world of `of` places without processes. The seed determines delays, losses and duplicates.
     pub fn new(of: usize, seed: u64) -> World<N> {
         let place = || Place {
             node: None,
@@ -55,16 +58,17 @@
         }
     }
 
+    /// Simulated time since the start of the run.
     pub fn now(&self) -> Duration {
         self.net.now
     }
 
-    /// The time by a place's own clock.
+    /// Time by the local clock of a place.
     pub fn now_at(&self, i: usize) -> Duration {
         self.net.now + self.places[i].ahead
     }
 
-    /// Starts a process at a place, with nothing of the last one.
+    /// Starts a process at a place and discards the previous process and its inbox; the clock offset of the place remains.
     pub fn start(&mut self, i: usize, node: N) {
         let ahead = self.places[i].ahead;
         self.places[i] = Place {
@@ -75,18 +79,20 @@
         };
     }
 
-    /// Ends a process between two instructions; gives what is left of it, as a disk would.
+    /// Kills a process between two steps and returns its state machine, from which a test can take the state that would have
+    /// been on disk.
     pub fn kill(&mut self, i: usize) -> Option<N> {
         self.places[i].inbox.clear();
         self.places[i].paused = false;
         self.places[i].node.take()
     }
 
+    /// Pauses a process: its timers do not fire, and messages for it collect in its inbox.
     pub fn pause(&mut self, i: usize) {
         self.places[i].paused = true;
     }
 
-    /// Lets a paused process go on; it hears what waited for it.
+    /// Resumes a paused process and delivers the messages in its inbox.
     pub fn go_on(&mut self, i: usize) {
         self.places[i].paused = false;
         for (from, message) in std::mem::take(&mut self.places[i].inbox) {
@@ -94,7 +100,8 @@
         }
     }
 
-    /// Does something with a process that is there and not paused, and carries out what it sends.
+    /// Calls a function on the process at a place, if one is running and not paused, and sends the messages that the function
+    /// produces.
     pub fn act<T>(
         &mut self,
         i: usize,
@@ -103,10 +110,10 @@
         let (now, place) = (self.now_at(i), &mut self.places[i]);
         let node = place.node.as_mut().filter(|_| !place.paused)?;
         let mut out = Vec::new();
-        let done = act(node, now, &mut out);
+        let result = act(node, now, &mut out);
         out.into_iter()
             .for_each(|(to, message)| self.net.send(i, to, message));
-        Some(done)
+        Some(result)
     }
 
     fn deliver(&mut self, from: usize, to: usize, message: N::Message) {
@@ -117,10 +124,10 @@
         self.act(to, |node, now, out| node.take(now, from, message, out));
     }
 
-    /// The first place that wants to be woken, and when by the world's clock.
+    /// The earliest timer of all running, unpaused processes: its simulated time and its place.
     fn next_timer(&self) -> Option<(Duration, usize)> {
-        let awake = self.places.iter().enumerate().filter(|(_, p)| !p.paused);
-        let timers = awake.filter_map(|(i, p)| {
+        let unpaused = self.places.iter().enumerate().filter(|(_, p)| !p.paused);
+        let timers = unpaused.filter_map(|(i, p)| {
             Some((
                 p.node
                     .as_ref()?
@@ -133,7 +140,8 @@
         timers.min()
     }
 
-    /// Lets time pass.
+    /// Advances simulated time to `until`, delivering messages and firing timers in order of time. A message goes before a timer
+    /// that is due at the same time.
     pub fn run(&mut self, until: Duration) {
         loop {
             let (message, timer) = (self.net.next_at(), self.next_timer());
@@ -159,10 +167,10 @@
     use super::*;
     use crate::ms;
 
-    /// Says a number to the next place each 10 ms, and counts what it hears.
+    /// Sends a number to place 1 every 10 ms and records the numbers it receives.
     struct Counter {
         at: Duration,
-        heard: Vec<u32>,
+        received: Vec<u32>,
     }
 
     impl Node for Counter {
@@ -178,48 +186,57 @@
         }
 
         fn take(&mut self, _: Duration, _: usize, message: u32, _: &mut Sent<u32>) {
-            self.heard.push(message);
+            self.received.push(message);
         }
     }
 
-    fn two() -> World<Counter> {
+    fn two_counters() -> World<Counter> {
         let mut world = World::new(2, 1);
         world.places[1].ahead = ms(5000);
         for i in 0..2 {
             let at = if i == 0 { ms(10) } else { ms(99_000) };
-            world.start(i, Counter { at, heard: vec![] });
+            world.start(
+                i,
+                Counter {
+                    at,
+                    received: vec![],
+                },
+            );
         }
         world
     }
 
-    fn heard(world: &World<Counter>) -> usize {
-        world.places[1].node.as_ref().map_or(0, |n| n.heard.len())
+    fn received_count(world: &World<Counter>) -> usize {
+        world.places[1]
+            .node
+            .as_ref()
+            .map_or(0, |n| n.received.len())
     }
 
     #[test]
-    fn what_waits_for_a_paused_process_is_heard_when_it_goes_on_and_a_killed_one_hears_nothing() {
-        let mut world = two();
+    fn paused_process_receives_pending_messages_on_resume_and_killed_process_receives_none() {
+        let mut world = two_counters();
         world.run(ms(100));
-        assert_eq!(heard(&world), 9);
+        assert_eq!(received_count(&world), 9);
         world.pause(1);
         world.run(ms(200));
-        assert_eq!(heard(&world), 9);
+        assert_eq!(received_count(&world), 9);
         world.go_on(1);
-        assert_eq!(heard(&world), 19);
+        assert_eq!(received_count(&world), 19);
         assert!(world.kill(1).is_some());
         world.run(ms(300));
-        assert_eq!(heard(&world), 0);
+        assert_eq!(received_count(&world), 0);
     }
 
     #[test]
-    fn a_cut_stops_what_is_sent_after_it_and_loss_and_doubles_are_drawn() {
-        let mut world = two();
+    fn partition_drops_later_messages_and_duplicates_are_delivered() {
+        let mut world = two_counters();
         world.net.passes = Box::new(|_, _| false);
         world.run(ms(100));
-        assert_eq!(heard(&world), 0);
+        assert_eq!(received_count(&world), 0);
         world.net.passes = Box::new(|_, _| true);
         (world.net.loss, world.net.twice) = (0.0, 1.0);
         world.run(ms(203));
-        assert!(heard(&world) >= 18);
+        assert!(received_count(&world) >= 18);
     }
 }
