--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -107,7 +107,8 @@
                     .insert((key(now + self.fetch_delay_s + transfer_s), id), ());
                 continue;
             }
-            // At least one token is prefilled even if the whole prompt is cached: its output is the next token.
+            // At least one token is prefilled even if the whole prompt is cached: the model output for the last prompt token is
+            // the first new token.
             s.prefilled = (cached_blocks as u64)
                 .saturating_mul(self.constants.block_tokens)
                 .min(tokens.saturating_sub(1));
--- a/crates/engine/src/sequence.rs
+++ b/crates/engine/src/sequence.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Whether the request decodes here, and so takes a slot while it runs.
+    /// Whether this engine decodes the output of the request. Such a request occupies a slot while running.
     pub(crate) fn decodes(&self) -> bool {
         self.request.work != Work::Read
     }
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -101,11 +101,11 @@
 #[test]
 fn single_request_follows_step_time_formula() {
     let mut one = recorded(small());
-    // Chunked prefill of 1,000 tokens at 18,000 tokens/s. The first output token comes at its end; 9 decode steps of 21 ms follow.
+    // Chunked prefill of 1,000 tokens at 18,000 tokens/s. The first output token comes at the end of prefill; 9 decode steps of 21 ms follow.
     one.submit(0.0, 1, 1_000, Work::ReadAndWrite { answer: 10 });
     one.run_until(10.0);
     near(one.finished_at(1), 1_000.0 / 18_000.0 + 9.0 * 0.021);
-    // A KV cache fetch at 250,000 tokens/s; the first output token comes at its end.
+    // A KV cache fetch at 250,000 tokens/s; the first output token comes at the end of the fetch.
     one.submit(10.0, 2, 5_000, Work::FetchAndWrite { answer: 10 });
     one.run_until(20.0);
     near(one.finished_at(2), 10.0 + 0.02 + 9.0 * 0.021);
