--- a/crates/budget/src/period.rs
+++ b/crates/budget/src/period.rs
@@ -179,7 +179,8 @@
         assert_eq!((a.remaining(after), first < second), (70, true));
         a.settle(second, 30, 45);
         assert_eq!(a.remaining(after), 55);
-        // The clock is set back past midnight: the new day's usage still counts.
+        // The clock is set back past midnight, to the earlier day: the allowance stays in the new day's period, whose usage of 45
+        // tokens is still subtracted.
         assert_eq!(a.remaining(before), 55);
     }
 }
--- a/crates/membership/src/datagram_auth.rs
+++ b/crates/membership/src/datagram_auth.rs
@@ -126,13 +126,13 @@
 /// The service that a message belongs to, other than the membership protocol itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Topic {
-    /// Leader election and quota leases.
+    /// Messages of the leader election, and requests for and grants of quota leases.
     QuotaLease,
-    /// Load shedding, retries and health checks.
+    /// Messages about load shedding, retries and health checks.
     Overload,
-    /// Observed output lengths.
+    /// Messages about observed output lengths.
     Lengths,
-    /// Workflow steps and the replicated registers that store them.
+    /// Messages about workflow steps and the replicated registers that store the steps.
     Workflows,
 }
 
--- a/crates/output-length/src/change.rs
+++ b/crates/output-length/src/change.rs
@@ -1,5 +1,6 @@
-//! Detects a change of a cell's length distribution by a two-sample Kolmogorov-Smirnov test of the recent responses against the
-//! earlier ones. The test assumes no particular shape of the distributions.
+//! Detects a change of the distribution of output lengths in a cell (a model, request class and range of prompt lengths) by a
+//! two-sample Kolmogorov-Smirnov test of the recent responses against the earlier ones. The test
+//! assumes no particular shape of the distributions.
 
 use std::time::Duration;
 
@@ -13,10 +14,11 @@
 /// Least number of responses in each of the two samples.
 const MIN_SAMPLE_RESPONSES: f32 = 40.0;
 /// Distance of the distributions that counts as a change, in units of `sqrt((n + m) / (n * m))` for samples of `n` and `m`
-/// responses. It gives about one false alarm in 50 000 tests; the test runs often.
+/// responses. This threshold gives about one false alarm in 50 000 tests; the test runs often.
 const DISTANCE_THRESHOLD: f32 = 2.4;
 
-/// The time of a change of the cell's length distribution, if one is detected: windows that began by then are obsolete.
+/// The time of a change of the cell's length distribution, if one is detected. Windows of the cell whose first response ended by
+/// that time are obsolete.
 pub(crate) fn detect_change(windows: &WindowStore, cell: &Cell, now: Duration) -> Option<Duration> {
     RECENT_SPANS
         .into_iter()
--- a/crates/output-length/src/coverage.rs
+++ b/crates/output-length/src/coverage.rs
@@ -1,5 +1,9 @@
-//! Calibrates the estimated 90th percentile by adaptive conformal inference (Gibbs and Candès, 2021), so that nine of ten
-//! responses are no longer than it, however the traffic changes.
+//! Calibrates the estimated 90th percentile of output lengths by adaptive conformal inference (Gibbs and Candès, 2021), so that
+//! nine of ten responses are no longer than the estimate, however the traffic changes.
+//!
+//! Calibration means adjusting, for each model and class, the quantile that is used as the estimated 90th percentile. Coverage is
+//! the share of responses, from 0 to 1, that were no longer than the 90th percentile estimated when their requests arrived; the
+//! miss rate is one minus the coverage.
 //!
 //! A response that is longer than its estimate makes the next estimates longer; nine that are not make them shorter by the same
 //! amount. The rate of misses therefore converges to the target without any assumption about the distribution of lengths.
@@ -12,13 +16,14 @@
 
 /// Target share of responses that are longer than the estimated 90th percentile.
 pub(crate) const TARGET_MISS_RATE: f64 = 0.1;
-/// Step size of the calibration: a larger one follows drift sooner but fluctuates more.
+/// Step size by which one response adjusts the miss rate: a larger one follows drift sooner but fluctuates more.
 const LEARNING_RATE: f64 = 0.01;
 /// Range of the calibrated miss rate.
 const MISS_RATE_RANGE: (f64, f64) = (0.0, 0.5);
 /// Limit of calibrated pairs of model and class; further ones use the target rate.
 const MAX_CALIBRATED_CLASSES: usize = 256;
-/// Number of recent responses over which the coverage in the log is averaged, with exponential decay.
+/// Number of responses over which the coverage in the logged status line is averaged, with exponential decay. The coverage is the
+/// share of responses that were no longer than their estimated 90th percentile.
 const COVERAGE_RESPONSES: f64 = 1000.0;
 
 /// The calibration of the estimated 90th percentile.
@@ -45,8 +50,8 @@
             .unwrap_or(TARGET_MISS_RATE)
     }
 
-    /// Adjusts the calibration by one response. `covered`: whether it was no longer than the 90th percentile that was estimated
-    /// when its request arrived.
+    /// Adjusts the miss rate of a model and class, from which their 90th percentile is estimated, by one response. `covered`:
+    /// whether the response was no longer than the 90th percentile that was estimated when its request arrived.
     pub fn record(&mut self, model: ModelKey, class: ClassKey, covered: bool) {
         let decay = 1.0 - 1.0 / COVERAGE_RESPONSES;
         self.predicted = self.predicted * decay + 1.0;
@@ -70,8 +75,8 @@
         (self.predicted > 0.0).then(|| self.covered / self.predicted)
     }
 
-    /// Adopts a peer's miss rates for the models and classes that have none here. A restarted dispatcher thus starts from its
-    /// peers' calibration and then adjusts it by its own responses.
+    /// Adopts a peer's miss rates for the models and classes for which this process has none. A restarted dispatcher thus
+    /// starts from the miss rates of its peers and then adjusts these by the responses that it observes.
     pub fn adopt_missing(&mut self, other: Calibration) {
         for (key, miss_rate) in other.miss_rates {
             if self.miss_rates.len() < MAX_CALIBRATED_CLASSES || self.miss_rates.contains_key(&key)
--- a/crates/output-length/src/curve.rs
+++ b/crates/output-length/src/curve.rs
@@ -1,4 +1,5 @@
-//! Quantiles of the output lengths of a cell, and the estimates for one response that follow from them.
+//! Quantiles of the output lengths of a cell, and the estimates for one response that follow from them. A cell is the group of
+//! requests with the same model, the same request class and a similar prompt length ([`Cell`]).
 
 use std::collections::BTreeMap;
 
@@ -9,20 +10,21 @@
 
 /// Number of quantiles in a curve: the lengths are divided into so many equal shares, and the curve has the median of each.
 const QUANTILE_COUNT: usize = 20;
-/// Limit of cells with an estimate in a table. Beyond it, a new cell replaces the first one in sort order, whose estimate is
-/// sent again later.
+/// Limit of cells with an estimate in a [`CurveTable`]. Beyond this limit, a new cell replaces the first one in sort order. The
+/// replaced estimate is added again when the learner ([`crate::Learner`]) next computes it or, in the table of the
+/// request-handling core, when [`crate::OutputLengths`] next emits it.
 pub const MAX_CURVES: usize = 1024;
 
-/// Distribution of the output lengths of a cell, tokens.
+/// Distribution of the output lengths of a cell ([`Cell`]), tokens.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuantileCurve {
     /// Quantiles at the middles of equal shares: with 20 of them, at 2.5%, 7.5% and so on to 97.5%.
     #[serde(rename = "points")]
     quantiles: [u32; QUANTILE_COUNT],
-    /// The 90th percentile, calibrated so that nine of ten responses are no longer.
+    /// The 90th percentile, tokens, adjusted by the observed lengths so that nine of ten responses are no longer.
     #[serde(rename = "high")]
     calibrated_p90: u32,
-    /// The 99th percentile.
+    /// The 99th percentile, tokens.
     #[serde(rename = "most")]
     p99: u32,
     /// Number of responses that the estimate is based on, weighted by age.
@@ -36,7 +38,7 @@
     pub mean: f64,
     /// Median.
     pub p50: f64,
-    /// 90th percentile, calibrated so that nine of ten responses are no longer.
+    /// 90th percentile, adjusted by the observed lengths so that nine of ten responses are no longer.
     pub p90: f64,
     /// 99th percentile.
     pub p99: f64,
@@ -140,7 +142,8 @@
         self.0.retain(|cell, _| keep(cell));
     }
 
-    /// The estimate of the cell or, without one, that of its class or of all requests.
+    /// The estimate of the cell that the arguments select or, without one, that of the model and class for prompts of any length,
+    /// or that of all requests. `prompt_tokens` is the prompt length, tokens.
     pub fn find(
         &self,
         model: ModelKey,
--- a/crates/output-length/src/learner.rs
+++ b/crates/output-length/src/learner.rs
@@ -1,4 +1,5 @@
-//! Learns the length distribution of each cell from finished responses and computes the estimates. Used with peers and without.
+//! Learns the distribution of output lengths from finished responses, for each cell (model, request class and range of prompt
+//! lengths), and computes the estimates. Used with peers and without.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -27,7 +28,7 @@
     computed_at: Duration,
 }
 
-/// Windows of responses, the estimates computed from them and their calibration.
+/// Windows of counted responses, the estimates computed from the windows, and the calibration of the estimates.
 pub struct Learner {
     /// Windows of all origins.
     pub(crate) windows: WindowStore,
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Counts a finished response and adjusts the calibration by it. Returns the window in which it was counted, `None` if it was
-    /// not.
+    /// Counts a finished response and adjusts the calibration of the estimated 90th percentile by its length. Returns the window
+    /// in which the response was counted, `None` if it was not counted.
     pub(crate) fn record(&mut self, now: Duration, response: &FinishedResponse) -> Option<Counted> {
         if let Some(predicted_p90) = response.predicted_p90 {
             let longer = response.output_tokens > predicted_p90;
@@ -82,8 +83,8 @@
         Some(counted)
     }
 
-    /// Stores a window of another origin: a peer, or an earlier incarnation of this process. Returns whether it was newer than
-    /// the stored copy.
+    /// Stores a window of another origin: a peer, or an earlier incarnation of this member. Returns whether the window was stored:
+    /// not if the stored copy has as many responses, a limit of the store is reached, or a detected change made the window obsolete.
     pub(crate) fn merge(
         &mut self,
         (cell, origin, number, window): (Cell, Origin, WindowNumber, Window),
@@ -219,7 +220,7 @@
         )
     }
 
-    /// Drops windows past their maximum age, and estimates of cells that have no windows left.
+    /// Drops windows whose last response ended `MAX_AGE` ago or earlier, and estimates of cells that have no windows left.
     pub(crate) fn drop_expired(&mut self, now: Duration) {
         self.windows.drop_expired(now);
         let stored: BTreeSet<Cell> = self.windows.cells().copied().collect();
--- a/crates/output-length/src/lib.rs
+++ b/crates/output-length/src/lib.rs
@@ -1,9 +1,21 @@
 //! Estimates output lengths of responses from the responses that all dispatchers have observed. Performs no I/O itself.
 //!
-//! Responses are counted by model, request class and prompt length ([`Cell`]). Each process (an [`Origin`]) counts into numbered
-//! windows that only grow, so merging two copies of a window means keeping the later one. A cell's estimate
-//! ([`QuantileCurve`]) is a sum over the latest windows of all origins, weighted by age, shrunk towards the estimate of its
-//! class and that towards the estimate of all requests; its 90th percentile is calibrated online against the observed lengths.
+//! The terms of this crate:
+//!
+//! - Cell ([`Cell`]): the requests with the same model, the same request class and a similar prompt length. The output lengths of
+//!   a cell are estimated together.
+//! - Origin ([`Origin`]): one incarnation of a dispatcher process, as the source of counts. Peers exchange and store the counts of
+//!   all origins.
+//! - Window ([`Window`]): the counts, by output length in tokens, of the responses of one cell that one origin counted during a
+//!   period of at most two minutes. The windows of an origin and cell are numbered. A window only grows, so merging two copies
+//!   of a window means keeping the one with more responses.
+//! - Calibration: the adjustment, after each response, of the estimated 90th percentile of a model and class, so that nine of ten
+//!   responses are no longer than it.
+//! - Coverage: the share of responses, from 0 to 1, that were no longer than the 90th percentile estimated when their requests
+//!   arrived. The calibration aims at a coverage of 0.9.
+//!
+//! The estimate of a cell ([`QuantileCurve`]) is computed from the sum of the latest copies of the windows of all origins,
+//! weighted by age. The sum of a cell is shrunk towards that of its class, and the sum of a class towards that of all requests.
 //! [`OutputLengths`] is the state machine that runs in each dispatcher and exchanges windows with its peers;
 //! [`LocalLearner`] learns without peers.
 
--- a/crates/output-length/src/machine.rs
+++ b/crates/output-length/src/machine.rs
@@ -1,5 +1,10 @@
-//! The state machine of one member: sends its own windows to peers as they grow, requests the windows that it has missed, and
-//! stores snapshots of all windows on disk.
+//! The state machine of one member: sends the windows that this process counts to peers as they grow, requests windows whose
+//! updates were lost, and stores snapshots of all windows on disk.
+//!
+//! A window holds the counts, by output length, of responses of one cell (a model, request class and range of prompt lengths)
+//! from one origin (an incarnation of a member). Own windows are those whose origin is this process. An estimate is the
+//! distribution of the output lengths of a cell, whose 90th percentile is adjusted by the calibration (miss rates by model and
+//! class). Estimates are emitted to the request-handling core (the core).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -29,7 +34,7 @@
 const MAX_TICK_DATAGRAMS: usize = 16;
 /// Interval of the state requests that are sent to one peer, in rotation, to obtain windows whose updates were lost.
 const STATE_REQUEST_INTERVAL: Duration = Duration::from_secs(10);
-/// Interval of state requests until the first complete reply, and to peers that have newly joined.
+/// Interval of initial state requests: to peers in rotation until the first complete reply, afterwards to newly joined peers.
 const INITIAL_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 /// Number of peers that an initial state request is sent to at once.
 const INITIAL_REQUEST_PEERS: usize = 3;
@@ -41,13 +46,14 @@
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 /// Number of unchanged estimates sent to the core again per tick, since an earlier event is lost if the core's queue was full.
 const RESENT_CURVES: usize = 4;
-/// Age assumed for a snapshot whose time is ahead of the clock, which then has been set back since.
+/// Age assumed for a snapshot whose time is ahead of the clock, because the clock was set back after the snapshot was taken.
 const AGE_AFTER_CLOCK_SET_BACK: Duration = Duration::from_secs(600);
 /// Name of the snapshot in the store.
 const SNAPSHOT_NAME: &[u8] = b"lengths";
-/// Bytes reserved in an update for everything but its records.
+/// Bytes reserved in an update for everything but the window records.
 const HEADER_LEN: usize = 16;
-/// Bytes reserved in a state frame for the calibration, which follows the records.
+/// Bytes reserved for the calibration (miss rates by model and class) in a frame that replies to a state request. The last frame
+/// of a reply holds the calibration after the window records.
 const CALIBRATION_LEN: usize = 8 * 1024;
 
 /// One member's state machine for the estimation of output lengths. It counts finished responses, exchanges windows of counts
@@ -58,7 +64,8 @@
     origin: Origin,
     /// Peers that are reachable.
     peers: BTreeSet<NameKey>,
-    /// Reachable peers to which no state request was sent since they joined.
+    /// Reachable peers that have joined and are not yet considered for an initial state request. After the first complete reply,
+    /// all are removed at the next interval, and at most [`INITIAL_REQUEST_PEERS`] of them get a request.
     unrequested_peers: BTreeSet<NameKey>,
     /// Own windows that have grown since they were last sent.
     unsent: BTreeSet<(Cell, WindowNumber)>,
@@ -68,7 +75,8 @@
     next_peer: usize,
     /// Number of state requests that may still be answered in this tick.
     replies_left: usize,
-    /// Whether a peer has replied in full to a state request, so that this process stores what peers knew before it started.
+    /// Whether a peer has replied in full to a state request, so that this process stores the windows that the peer had stored
+    /// before this process started.
     caught_up: bool,
     /// Estimates that are still to be sent to the core again in this round.
     resend_queue: Vec<(Cell, crate::QuantileCurve)>,
@@ -340,7 +348,8 @@
         }
     }
 
-    /// The stored windows of the selected origins.
+    /// Records of the stored windows of those origins for which `select` returns true, for a reply to a peer or for a snapshot.
+    /// An origin is the incarnation of a member that counted the responses of a window.
     fn records(
         &self,
         now: Duration,
@@ -397,7 +406,8 @@
         }
     }
 
-    /// Merges windows received from a peer or read from a snapshot. `extra_age` is added to their ages.
+    /// Merges windows received from a peer or read from a snapshot. `extra_age` is added to the ages of the windows: the time since
+    /// the snapshot was saved, or zero.
     fn merge(&mut self, now: Duration, extra_age: Duration, windows: Vec<OriginRecords>) {
         for OriginRecords { origin, records } in windows {
             // No copy of this process's own windows is newer than the one that it stores.
@@ -567,7 +577,9 @@
             }
             ServiceInput::Peers(peers) => {
                 let present: BTreeSet<NameKey> = peers.present.into_iter().collect();
-                // Peers that have joined, or joined again, may store windows that were missed here.
+                // Peers that have joined, or joined again, may store windows that this process has not received. After the
+                // first complete reply, up to `INITIAL_REQUEST_PEERS` of them get a state request at the next interval; any
+                // further ones get theirs in the rotation among all peers.
                 self.unrequested_peers
                     .extend(present.difference(&self.peers));
                 self.unrequested_peers.retain(|peer| present.contains(peer));
--- a/crates/output-length/src/message.rs
+++ b/crates/output-length/src/message.rs
@@ -1,5 +1,6 @@
 //! The encoding of messages between members and of the snapshot on disk: a version byte, followed by the value in postcard
-//! format.
+//! format. A window holds the counts, by output length, of responses of one cell ([`crate::Cell`]) from one origin
+//! ([`crate::Origin`]). The calibration holds the miss rates by model and class that adjust the estimated 90th percentile.
 
 use bitternlatch_membership::NameKey;
 use serde::{Deserialize, Serialize};
@@ -17,7 +18,7 @@
 /// Limit of origins in a state request.
 const MAX_REQUESTED_ORIGINS: usize = 4096;
 
-/// The windows of one origin.
+/// Records of windows of one origin.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct OriginRecords {
     pub origin: Origin,
@@ -27,7 +28,7 @@
 /// A message between members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// Windows counted by the sender itself that have grown, with the sender's incarnation.
+    /// Windows that the sender itself counted and that have grown since it last sent them, with the sender's incarnation.
     #[serde(rename = "News")]
     Update {
         #[serde(rename = "generation")]
--- a/crates/output-length/src/odd.rs
+++ b/crates/output-length/src/odd.rs
@@ -12,8 +12,8 @@
 /// Number of implausible reports at which a model server is named in the log: a single one may be a transient fault.
 const LOG_SERVER_AT: u32 = 3;
 
-/// Whether a model server's report of a response is impossible: no tokens despite text, or more tokens than its limit. A response
-/// whose client disconnected is never implausible, as its tokens are estimated by the dispatcher.
+/// Whether a model server's report of a response is impossible: no tokens despite text, or more tokens than the limit of the
+/// request. A response whose client disconnected is never implausible, as the dispatcher estimates the tokens of such a response.
 pub(crate) fn is_implausible(response: &FinishedResponse) -> bool {
     let no_tokens = response.output_tokens == 0
         && response.text_bytes > 0
--- a/crates/output-length/src/own.rs
+++ b/crates/output-length/src/own.rs
@@ -1,5 +1,5 @@
-//! Counts the responses of this process into its own windows. Each cell has one open window, of which each tenant may fill only
-//! a limited share.
+//! Counts the responses that this process observes into windows, by cell (model, request class and range of prompt lengths). A
+//! window holds the counts of a short period. Each cell has one open window, of which each tenant may fill only a limited share.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,19 +7,21 @@
 use crate::ids::{Cell, Origin, TenantKey, WindowNumber};
 use crate::windows::{Window, WindowStore, MAX_CELLS, MAX_WINDOW_RESPONSES};
 
-/// Age at which a window is closed if it has at least [`CLOSE_MIN_RESPONSES`].
+/// Time since a window was opened after which the window is closed if it has at least [`CLOSE_MIN_RESPONSES`].
 const CLOSE_AGE: Duration = Duration::from_secs(10);
 /// Number of responses from which a window is closed at [`CLOSE_AGE`].
 const CLOSE_MIN_RESPONSES: u32 = 32;
-/// Age at which a window is closed however few responses it has.
+/// Time since a window was opened after which the window is closed however few responses it has. A window is closed when the next
+/// response of the cell ends.
 const MAX_OPEN_AGE: Duration = Duration::from_secs(120);
 /// Time without responses after which a cell's open window may be removed to make room for other cells.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(1800);
 /// Number of slots among which tenants are distributed in a window; tenants in the same slot share one limit.
 const TENANT_SLOTS: usize = 32;
-/// Limit of a tenant slot's share of a window, as a multiple of an even share. One response is allowed beyond it.
+/// Limit of a tenant slot's share of the responses in a window, as a multiple of the even share, which is one divided by the number
+/// of slots in use. One response is allowed beyond the limit.
 const MAX_SHARE_RATIO: f64 = 1.25;
-/// Lower limit of the even share of a window.
+/// Lower limit of the even share, which is one divided by the number of tenant slots in use in a window.
 const MIN_EVEN_SHARE: f64 = 1.0 / 16.0;
 
 /// The open window of a cell.
@@ -76,8 +78,9 @@
         }
     }
 
-    /// Counts a response in its cell's open window, after replacing a window that is to be closed. `tokens` is its length, or a
-    /// lower bound of it unless `complete`. Returns `None` if the tenant has reached its share of the window.
+    /// Counts a response in its cell's open window, after replacing a window that is to be closed. `tokens` is the length of
+    /// the response if `complete`, otherwise a lower bound of that length. Returns `None` if the
+    /// tenant has reached its share of the window.
     pub fn count(
         &mut self,
         now: Duration,
--- a/crates/output-length/src/simulated.rs
+++ b/crates/output-length/src/simulated.rs
@@ -21,11 +21,11 @@
     pub logs: Vec<String>,
     /// The snapshot that was stored last.
     pub snapshot: Option<Vec<u8>>,
-    /// The members that are reported to it as reachable.
+    /// Indexes of the members that are reported to this member as reachable.
     pub peers: BTreeSet<usize>,
     /// Length of the longest datagram sent, bytes.
     pub longest_datagram: usize,
-    /// When the reachable peers are next reported to it.
+    /// When the reachable peers are next reported to this member.
     next_peers_report: Duration,
 }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Number of responses in all windows that it stores.
+    /// Number of responses in all windows that this member stores.
     pub fn responses(&self) -> u64 {
         self.machine.learner().windows().responses()
     }
--- a/crates/output-length/src/sketch.rs
+++ b/crates/output-length/src/sketch.rs
@@ -26,7 +26,7 @@
 pub struct Counts(Vec<(u8, u16)>);
 
 impl Counts {
-    /// Counts one response.
+    /// Counts one response of `tokens` output tokens.
     pub fn add(&mut self, tokens: u32) {
         let bin = bin_of(tokens) as u8;
         match self.0.binary_search_by_key(&bin, |b| b.0) {
--- a/crates/output-length/src/windows.rs
+++ b/crates/output-length/src/windows.rs
@@ -1,6 +1,9 @@
-//! Counts of responses from all origins, stored by cell, origin and window. A window only grows, so of two copies the one with
-//! more responses is the later one, whether copies arrive late, twice or out of order. Sums are computed from the latest copy
-//! of each window, so no response is counted twice.
+//! Counts of responses by output length, stored by cell, origin and window number.
+//!
+//! A cell is a group of similar requests: same model, same request class and similar prompt length. An origin is the incarnation
+//! of a member that counted the responses. A window holds the counts of one cell and origin during a short period. It only grows,
+//! so of two copies the one with more responses is the later one, whether copies arrive late, twice or out of order. Sums are
+//! computed from the latest copy of each window, so no response is counted twice.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,11 +23,12 @@
 /// Limit of stored windows. Memory use is 5 MB at a typical 300 bytes per window and 32 MB at the largest possible 2 KB. Beyond
 /// the limit, the oldest sixteenth is dropped.
 pub const MAX_WINDOWS: usize = 16 * 1024;
-/// Age at which the weight of a window has decayed to half.
+/// Time since the last response of a window ended after which the weight of the window has decayed to half.
 const HALF_LIFE: Duration = Duration::from_secs(240);
-/// Lowest weight of a window, so that after a night without traffic the earlier responses still give an estimate.
+/// Lowest weight of each response of a window, where 1 is that of a new one, so that after a night without traffic the earlier
+/// responses still give an estimate.
 const MIN_WEIGHT: f64 = 0.02;
-/// Age at which windows are dropped.
+/// Time since the last response of a window ended after which the window is dropped.
 pub(crate) const MAX_AGE: Duration = Duration::from_secs(24 * 3600);
 /// Weight, in responses, that one origin may have in a cell whatever the weight of the other origins.
 const MIN_ORIGIN_WEIGHT_LIMIT: f32 = 64.0;
@@ -34,9 +38,10 @@
 /// Responses of one cell, counted by one origin during a limited time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Window {
-    /// Lengths of the responses that the model finished.
+    /// Number of responses that the model ended by itself, by length in tokens.
     pub complete: Counts,
-    /// Lengths of the responses that ended early, by a token limit or a disconnected client: lower bounds of full lengths.
+    /// Number of responses that were cut off by the limit of output tokens or by a disconnected client, by length in tokens at
+    /// that point. The length is a lower bound of the length that the response would have had.
     pub censored: Counts,
     /// When the window's first response ended, by this process's clock.
     pub first_end: Duration,
@@ -45,19 +50,20 @@
 }
 
 impl Window {
-    /// Number of counted responses. As a window only grows, it also serves as the version of a copy.
+    /// Number of counted responses. As a window only grows, this number also serves as the version of a copy.
     pub fn responses(&self) -> u32 {
         self.complete.total() + self.censored.total()
     }
 
-    /// The weight of each response of the window: halves every [`HALF_LIFE`] after its last response, down to [`MIN_WEIGHT`].
+    /// The weight of each response of the window: 1 when the window's last response ended, halved every [`HALF_LIFE`] from then
+    /// on, and no less than [`MIN_WEIGHT`].
     fn weight(&self, now: Duration) -> f32 {
         let age = now.saturating_sub(self.last_end).as_secs_f64();
         0.5f64.powf(age / HALF_LIFE.as_secs_f64()).max(MIN_WEIGHT) as f32
     }
 }
 
-/// A window as sent to peers and stored in snapshots. It holds ages instead of times, as clocks of processes differ.
+/// A [`Window`] as sent to peers and stored in snapshots. The record holds ages instead of times, as clocks of processes differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowRecord {
     pub cell: Cell,
@@ -68,10 +74,11 @@
     /// Time since the window's last response ended, tenths of a second.
     #[serde(rename = "last")]
     pub last_end_age: u32,
-    /// Lengths of the responses that the model finished.
+    /// Number of responses that the model ended by itself, by length in tokens.
     #[serde(rename = "ended")]
     pub complete: Counts,
-    /// Lengths of the responses that ended early.
+    /// Number of responses that were cut off by the limit of output tokens or by a disconnected client, by length in tokens at
+    /// that point.
     #[serde(rename = "cut")]
     pub censored: Counts,
 }
@@ -99,7 +106,8 @@
         }
     }
 
-    /// Converts the record back into a window. `extra_age` is added to its ages: the time since a snapshot was saved.
+    /// Converts the record back into a window. `extra_age` is added to the record's ages: the time since the snapshot was saved
+    /// for a record from a snapshot, zero for one from a peer.
     pub(crate) fn window(self, now: Duration, extra_age: Duration) -> (Cell, WindowNumber, Window) {
         let at = |t: u32| now.saturating_sub(extra_age + Duration::from_millis(100 * u64::from(t)));
         let (first_end, last_end) = (
@@ -134,8 +142,8 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WindowStore {
     cells: BTreeMap<Cell, CellWindows>,
-    /// By cell, the time up to which windows were discarded because the length distribution had changed. Windows whose last
-    /// response ended by then are not merged again.
+    /// For each cell whose length distribution was found to have changed, the time up to which windows are obsolete. If a peer
+    /// or a snapshot supplies a window of the cell whose last response ended by this time, the window is not stored.
     discarded_until: BTreeMap<Cell, Duration>,
     /// Number of stored windows.
     count: usize,
@@ -153,7 +161,7 @@
         self.merge_within(MAX_CELLS, cell, (origin, number), window)
     }
 
-    /// Stores a window counted by this process. Its cells have room of their own beside the limit for those of peers.
+    /// Stores a window counted by this process. Such windows may add [`MAX_CELLS`] cells beyond the limit for windows from peers.
     pub(crate) fn merge_own(
         &mut self,
         cell: Cell,
@@ -164,8 +172,9 @@
         self.merge_within(2 * MAX_CELLS, cell, (origin, number), window)
     }
 
-    /// Stores a copy of a window if it is later than the stored one, its cell has room among `max_cells`, and it ended after the
-    /// last detected change.
+    /// Stores a copy of a window if the copy has more responses than the stored one, the cell is among the stored cells or these
+    /// are fewer than `max_cells`, and the copy's last response ended after the last detected change of the cell's distribution.
+    /// A window whose number is lower than those of [`MAX_ORIGIN_WINDOWS`] stored ones of the same origin is not stored.
     fn merge_within(
         &mut self,
         max_cells: usize,
@@ -305,8 +314,8 @@
             .flat_map(|(cell, of)| of.iter().map(|((o, n), w)| (*cell, *o, *n, w)))
     }
 
-    /// By origin, a hash over its stored windows and their versions. Peers compare it to find origins of which they store
-    /// different windows.
+    /// For each origin, a hash over the stored windows of the origin and their numbers of responses. Peers compare the hashes to
+    /// find origins of which they store different windows.
     pub(crate) fn digest(&self) -> BTreeMap<Origin, u64> {
         let mut digest = BTreeMap::new();
         for (cell, origin, number, w) in self.all() {
--- a/crates/protocol/src/workflow.rs
+++ b/crates/protocol/src/workflow.rs
@@ -1,5 +1,14 @@
 //! Workflow operations, an extension of the published API: clients request them by `metadata` fields of a `response.create`,
 //! and the results are the output text of the response.
+//!
+//! - Workflow: a sequence of numbered steps under a name that the client chose. Another worker can resume the workflow
+//!   after the lease of the first one expires.
+//! - Step: a unit of work of the workflow, identified by its number, that the worker requests and a model server runs. A
+//!   repeated request for a step that is done gets the stored result, and the step is not run again.
+//! - Claim: takes the workflow for one worker, under a lease and a new epoch. The worker gives the epoch in its later operations;
+//!   those with the epoch of an earlier claim are rejected. Settling a step needs no epoch.
+//! - Operation: what a request does with a workflow ([`Operation`]): claim it, run a step, renew the lease, finish the workflow,
+//!   cancel it, or settle a step, which records a person's decision about a step whose outcome is unknown.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +22,8 @@
 pub const META_WORKFLOW: &str = "workflow";
 /// `metadata` key of the name of the worker that claims the workflow.
 pub const META_WORKER: &str = "workflow_worker";
-/// `metadata` key of the operation; a step if absent.
+/// `metadata` key of the kind of operation: `claim`, `step`, `carry`, `finish`, `cancel` or `settle`. Without this key, the
+/// request runs a step.
 pub const META_DO: &str = "workflow_do";
 /// `metadata` key of the epoch of the worker's claim.
 pub const META_EPOCH: &str = "workflow_epoch";
@@ -104,7 +114,8 @@
     Open,
 }
 
-/// The result of an operation other than a claim or a step, sent as the output text of its response.
+/// The result of renewing a lease, finishing or cancelling a workflow, or settling a step, sent as the output text of the
+/// response. A claim is answered with [`Claimed`], a step with the output of the model server or the stored result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperationResult {
     /// The epoch given in the request; absent if the request gave none.
--- a/crates/quota-lease/src/cluster_service.rs
+++ b/crates/quota-lease/src/cluster_service.rs
@@ -20,7 +20,8 @@
     pub present: Vec<NameKey>,
     /// Time at which this information expires.
     pub valid_until: Duration,
-    /// The leased fraction of the shared quotas, in addition to [`crate::unleased_quota`]. It has an expiry of its own.
+    /// This member's lease of a fraction of all shared quotas, in addition to the fraction that each member may use without a
+    /// lease ([`crate::unleased_quota`]). The lease expires at [`QuotaLease::until`], regardless of `valid_until`.
     pub lease: QuotaLease,
 }
 
--- a/crates/quota-lease/src/leader_election.rs
+++ b/crates/quota-lease/src/leader_election.rs
@@ -43,7 +43,7 @@
 /// A voter's promise of its vote.
 struct Promise {
     to: Process,
-    /// The vote request that the promise answers.
+    /// Request number of the vote request that this promise granted.
     number: RequestNumber,
     /// When the promise expires.
     until: Duration,
--- a/crates/quota-lease/src/message.rs
+++ b/crates/quota-lease/src/message.rs
@@ -22,19 +22,19 @@
 pub enum Message {
     /// Requests a voter's promise for the time [`crate::VOTE_PROMISE`].
     VoteRequest {
-        /// Number of the request.
+        /// Identifies this vote request among those of the sender; the answer repeats the number.
         number: RequestNumber,
         /// Digest of the sender's configured roster.
         roster: u32,
     },
     /// The voter has promised its vote.
     VoteGranted {
-        /// Number of the request.
+        /// Number of the vote request that this message answers.
         number: RequestNumber,
     },
     /// The voter promises nothing: another process holds its promise, or it may not promise yet.
     VoteDenied {
-        /// Number of the request.
+        /// Number of the vote request that this message answers.
         number: RequestNumber,
         /// The process that holds the voter's promise, if there is one other than the candidate.
         leader: Option<NameKey>,
@@ -46,7 +46,7 @@
     },
     /// Requests a lease from the leader, and reports the sender's observations of model servers.
     LeaseRequest {
-        /// Number of the request.
+        /// Identifies this lease request among those of the sender; the answer repeats the number.
         number: RequestNumber,
         /// Digest of the sender's configured roster.
         roster: u32,
@@ -55,7 +55,7 @@
     },
     /// Grants a lease, and reports the other members' observations of model servers.
     LeaseGranted {
-        /// Number of the request.
+        /// Number of the lease request that this message answers.
         number: RequestNumber,
         /// The leased fraction of each quota, in millionths.
         leased_ppm: u32,
@@ -66,7 +66,7 @@
     },
     /// Answers a lease request where the sender of this message is not leader, or is leader but may not grant a lease yet.
     NotLeader {
-        /// Number of the request.
+        /// Number of the lease request that this message answers.
         number: RequestNumber,
         /// The leader, as far as the sender of this message knows.
         leader: Option<NameKey>,
