--- a/programs/chaos/tests/lengths.rs
+++ b/programs/chaos/tests/lengths.rs
@@ -111,7 +111,7 @@
             .entries;
         let text = format!("{entries:?}");
         assert!(
-            text.contains("Curves(") && text.contains("Ended("),
+            text.contains("Estimates(") && text.contains("ResponseFinished("),
             "{record:?}"
         );
         assert_eq!(
--- a/programs/chaos/tests/lengths_hard.rs
+++ b/programs/chaos/tests/lengths_hard.rs
@@ -79,9 +79,12 @@
             .expect("a good record")
             .entries;
         let text = format!("{entries:?}");
-        let last = text.rsplit("Ended(Ended {").next().expect("an end");
+        let last = text
+            .rsplit("ResponseFinished(FinishedResponse {")
+            .next()
+            .expect("an end");
         let told = last
-            .split("told: Some(")
+            .split("predicted_p90: Some(")
             .nth(1)
             .and_then(|t| t.split(')').next()?.parse().ok());
         assert!(
